--- /dev/null
+++ b/internal/lifecycle/stored_golden_test.go
@@ -0,0 +1,497 @@
+package lifecycle
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"lockroad/balance"
+	"lockroad/internal/keep"
+	"lockroad/internal/spoken/discovery"
+	"lockroad/internal/store"
+	"lockroad/internal/why"
+)
+
+// The tests of this file hold the store's format in place: what an earlier version of the program wrote must be
+// read whole, and what this one writes must be the same bytes. Records are encoded by the names of fields, so a
+// field that is renamed without a tag changes the format, and is read as zero without an error.
+//
+// testdata/golden has two folders of a store, one as it is written and one after a merge, and a dump of each kind.
+// They are written anew with
+//
+//	LOCKROAD_UPDATE_STORED_GOLDEN=1 go test ./internal/lifecycle -run TestStored
+//
+// and that is only for a new version of the format, with a Table.Upgrade that reads the old one.
+
+const (
+	updateStoredGolden = "LOCKROAD_UPDATE_STORED_GOLDEN"
+	storedGoldenDir    = "testdata/golden"
+)
+
+// storedAt is when a golden record was put. It lies far ahead, as the store lets go of decisions of a certain age.
+func storedAt(n int) time.Time {
+	return time.Date(2190, time.March, 4, 5, 6, n, 789_000_000, time.UTC)
+}
+
+func pointerTo[T any](v T) *T { return &v }
+
+// fullOrder, fullKnown and fullAccount have every field set, each to a value of its own.
+// Maps have one entry: the order of more is not fixed when they are encoded.
+
+func fullOrder() keep.Order {
+	return keep.Order{
+		Server: "server-1",
+		Who:    "operator-2",
+		Why:    "reason-3",
+		Since:  time.Date(2024, time.May, 4, 10, 20, 30, 123456789, time.UTC),
+		Until:  time.Date(2191, time.June, 5, 11, 21, 31, 234567891, time.UTC),
+	}
+}
+
+func fullKnown() keep.Known {
+	return keep.Known{
+		Name:  "relay-1",
+		Clock: 1002 * time.Millisecond,
+		Start: time.Date(2024, time.January, 3, 1, 2, 3, 456789123, time.UTC),
+		At:    time.Date(2024, time.January, 4, 2, 3, 4, 567891234, time.UTC),
+		Agent: "127.0.0.1:1005",
+		List: discovery.List{
+			Revision: 1006,
+			Complete: true,
+			Members: []discovery.Member{
+				{
+					ID:       "member-1007",
+					HostPort: "127.0.0.1:1008",
+					Locality: "zone-1009",
+					Flavor:   "flavor-1010",
+					Cell:     1011,
+					Phase:    "draining",
+					Size:     1012.5,
+					UpSince:  1013,
+				},
+				{
+					ID:       "member-1014",
+					HostPort: "127.0.0.1:1015",
+					Locality: "zone-1016",
+					Flavor:   "flavor-1017",
+					Cell:     1018,
+					Phase:    "ready",
+					Size:     1019.5,
+					UpSince:  1020,
+				},
+			},
+		},
+		Names: map[balance.ServerID]string{1021: "name-1022"},
+		Memory: balance.Memory{
+			Salt: 1023,
+			Servers: []balance.ServerMemory{
+				{
+					ID:       1024,
+					Weight:   0.1025,
+					Weighed:  1026 * time.Microsecond,
+					LastSent: 1027 * time.Microsecond,
+					StoodAt:  1028 * time.Microsecond,
+					FailedAt: 1029 * time.Microsecond,
+					LastSlow: 1030 * time.Microsecond,
+					Delay:    1031 * time.Microsecond,
+					DelayAt:  1032 * time.Microsecond,
+					Relieved: 1033 * time.Microsecond,
+					DrainAt:  1034 * time.Microsecond,
+					AwayAt:   1035 * time.Microsecond,
+					LastBorn: 1036 * time.Microsecond,
+				},
+				{
+					ID:       1037,
+					Weight:   0.1038,
+					Weighed:  1039 * time.Microsecond,
+					LastSent: 1040 * time.Microsecond,
+					StoodAt:  1041 * time.Microsecond,
+					FailedAt: 1042 * time.Microsecond,
+					LastSlow: 1043 * time.Microsecond,
+					Delay:    1044 * time.Microsecond,
+					DelayAt:  1045 * time.Microsecond,
+					Relieved: 1046 * time.Microsecond,
+					DrainAt:  1047 * time.Microsecond,
+					AwayAt:   1048 * time.Microsecond,
+					LastBorn: 1049 * time.Microsecond,
+				},
+			},
+			Routes: []balance.RouteMemory{
+				{Key: 1050, Server: 1051, Until: 1052 * time.Microsecond},
+				{Key: 1053, Server: 1054, Until: 1055 * time.Microsecond},
+			},
+			Recent:  balance.CountMemory{Count: 1056.25, Since: 1057 * time.Microsecond, From: 1058 * time.Microsecond},
+			Pace:    balance.CountMemory{Count: 1059.25, Since: 1060 * time.Microsecond, From: 1061 * time.Microsecond},
+			PerSize: 1062.5,
+			Load:    0.1063,
+			Loads:   1064.5,
+			Window:  1065.5,
+		},
+	}
+}
+
+func fullAccount() why.Account {
+	return why.Account{
+		Number:   2001,
+		Front:    "front-2002",
+		Name:     "name-2003",
+		NameCut:  true,
+		Class:    "class-2004",
+		Tenant:   "tenant-2005",
+		Group:    "group-2006",
+		Flow:     "flow-2007",
+		Came:     time.Date(2024, time.February, 5, 3, 4, 5, 678912345, time.UTC),
+		Patience: 2008.5,
+		Load:     2009.5,
+		Return:   true,
+		Pinned:   true,
+		Eventful: true,
+		Cut:      true,
+		Full:     true,
+		Answer:   "answer-2010",
+		Cause:    "cause-2011",
+		ComeBack: 2012.5,
+		Steps: []why.Step{
+			{
+				After:    2013.5,
+				What:     "what-2014",
+				Reason:   "reason-2015",
+				Attempt:  2016,
+				Server:   "server-2017",
+				Outcome:  "outcome-2018",
+				Wait:     2019.5,
+				Left:     2020.5,
+				Again:    2021,
+				Ready:    2022,
+				SlowPart: 0.2023,
+				Revision: 2024,
+				ListAge:  pointerTo(2025.5),
+				Believed: []why.Belief{
+					{
+						Server: "server-2026",
+						State:  "state-2027",
+						Bars:   []string{"bar-2028", "bar-2029"},
+						Weight: 0.2030,
+						Warmth: 0.2031,
+						Load:   2032.5,
+						Pull:   0.2033,
+						Delay:  2034.5,
+						Age:    pointerTo(2035.5),
+					},
+				},
+				Instead: "server-2036",
+				Text:    "text-2037",
+			},
+		},
+		Before: &why.Link{Number: 2038, By: "by-2039", Answer: "answer-2040", Text: "text-2041"},
+		After:  &why.Link{Number: 2042, By: "by-2043", Answer: "answer-2044", Text: "text-2045"},
+	}
+}
+
+// sparseAccount has what may be left out left out, at every depth.
+func sparseAccount() why.Account {
+	return why.Account{Steps: []why.Step{{Believed: []why.Belief{{}}}, {}}, Before: &why.Link{}}
+}
+
+const (
+	sparseKey   = "sparse"
+	accountKey  = "2024-02-05T03:04:05.678912345Z name-2003"
+	withdrawn   = "server-withdrawn"
+	goldenCount = 6 // records that are there in the end
+)
+
+// storedTables are the tables of the program itself, over one store.
+type storedTables struct {
+	orders    *store.Table[keep.Order]
+	learnt    *store.Table[keep.Known]
+	decisions *store.Table[why.Account]
+}
+
+func tablesOf(s *store.Store) storedTables {
+	k := &keeper{store: s}
+	return storedTables{
+		orders:    k.table(),
+		learnt:    learnt(s),
+		decisions: (&shelf{k: k}).table(),
+	}
+}
+
+func openStored(t *testing.T, dir string) *store.Store {
+	t.Helper()
+	s, report, err := store.Open(store.Dir(dir), store.Options{Kinds: keep.Kinds()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if report.Torn != nil || len(report.Damages) > 0 || len(report.Replaced) > 0 {
+		t.Fatalf("%s is not whole: %+v", dir, report)
+	}
+	t.Cleanup(func() { s.Close() })
+	return s
+}
+
+// encoded returns a record as its table writes it, with a fixed time in place of now.
+func encoded[T any](t *testing.T, table *store.Table[T], key string, at time.Time, value T) store.Change {
+	t.Helper()
+	if err := table.Commit(t.Context(), key, value); err != nil {
+		t.Fatal(err)
+	}
+	record, ok, err := table.Store.Get(table.Kind, key)
+	if err != nil || !ok {
+		t.Fatalf("%s %q can't be read back: %v", table.Kind, key, err)
+	}
+	change := record.Change
+	change.At = at
+	return change
+}
+
+// writeStored writes the golden records to a folder, a commit each, and merges its files if so wanted.
+func writeStored(t *testing.T, dir string, merge bool) {
+	t.Helper()
+	encoder := tablesOf(openStored(t, t.TempDir()))
+	target := openStored(t, dir)
+	for _, change := range []store.Change{
+		encoded(t, encoder.orders, "server-1", storedAt(1), fullOrder()),
+		encoded(t, encoder.orders, sparseKey, storedAt(2), keep.Order{}),
+		encoded(t, encoder.orders, withdrawn, storedAt(3), keep.Order{Server: withdrawn}),
+		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Gone: true},
+		encoded(t, encoder.learnt, learntKey, storedAt(5), keep.Known{}),
+		encoded(t, encoder.learnt, learntKey, storedAt(6), fullKnown()),
+		encoded(t, encoder.learnt, sparseKey, storedAt(7), keep.Known{}),
+		encoded(t, encoder.decisions, accountKey, storedAt(8), fullAccount()),
+		encoded(t, encoder.decisions, sparseKey, storedAt(9), sparseAccount()),
+	} {
+		// One by one, so that each frame says the same of the commits before it.
+		if err := target.Commit(context.Background(), change); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if merge {
+		if err := target.Compact(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := target.Close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// storedFolders are the golden folders, and whether their files were merged.
+var storedFolders = map[string]bool{"plain": false, "merged": true}
+
+// filesOf reads the files of a folder but its lock, which is empty.
+func filesOf(t *testing.T, dir string) map[string][]byte {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := make(map[string][]byte)
+	for _, e := range entries {
+		if e.Name() == "lock" {
+			continue
+		}
+		if files[e.Name()], err = os.ReadFile(filepath.Join(dir, e.Name())); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if len(files) == 0 {
+		t.Fatalf("%s has no files", dir)
+	}
+	return files
+}
+
+// copyOfGolden returns a copy of a golden folder: a store that is opened is written to.
+func copyOfGolden(t *testing.T, name string) string {
+	t.Helper()
+	dir := t.TempDir()
+	for file, content := range filesOf(t, filepath.Join(storedGoldenDir, name)) {
+		if err := os.WriteFile(filepath.Join(dir, file), content, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return dir
+}
+
+// updatesGolden tells whether the golden files are to be written anew.
+func updatesGolden() bool { return os.Getenv(updateStoredGolden) != "" }
+
+func writeGolden(t *testing.T, name string, content []byte) {
+	t.Helper()
+	path := filepath.Join(storedGoldenDir, name)
+	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, content, 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// The bytes that a store writes are those that earlier versions wrote.
+func TestStoredFolderHasSameBytes(t *testing.T) {
+	for name, merge := range storedFolders {
+		t.Run(name, func(t *testing.T) {
+			dir := t.TempDir()
+			writeStored(t, dir, merge)
+			got := filesOf(t, dir)
+			if updatesGolden() {
+				if err := os.RemoveAll(filepath.Join(storedGoldenDir, name)); err != nil {
+					t.Fatal(err)
+				}
+				for file, content := range got {
+					writeGolden(t, filepath.Join(name, file), content)
+				}
+			}
+			want := filesOf(t, filepath.Join(storedGoldenDir, name))
+			if g, w := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(g, w) {
+				t.Fatalf("the files are %q, not %q", g, w)
+			}
+			for file := range want {
+				if !bytes.Equal(got[file], want[file]) {
+					t.Errorf("%s has other bytes:\n%q\nnot\n%q", file, got[file], want[file])
+				}
+			}
+		})
+	}
+}
+
+// A store's folder that an earlier version wrote is read whole: each record, each field.
+func TestStoredFolderOfEarlierVersionIsRead(t *testing.T) {
+	for name := range storedFolders {
+		t.Run(name, func(t *testing.T) {
+			dir := copyOfGolden(t, name)
+			report, err := store.Check(store.Dir(dir), keep.Kinds())
+			if err != nil || report.Torn != nil || len(report.Damages) > 0 || report.Records != goldenCount {
+				t.Fatalf("a check says %+v, %v", report, err)
+			}
+			tables := tablesOf(openStored(t, dir))
+			requireRecords(t, tables.orders, []storedRecord[keep.Order]{
+				{"server-1", storedAt(1), fullOrder()},
+				{sparseKey, storedAt(2), keep.Order{}},
+			})
+			requireRecords(t, tables.learnt, []storedRecord[keep.Known]{
+				{learntKey, storedAt(6), fullKnown()},
+				{sparseKey, storedAt(7), keep.Known{}},
+			})
+			requireRecords(t, tables.decisions, []storedRecord[why.Account]{
+				{accountKey, storedAt(8), fullAccount()},
+				{sparseKey, storedAt(9), sparseAccount()},
+			})
+		})
+	}
+}
+
+type storedRecord[T any] struct {
+	key   string
+	at    time.Time
+	value T
+}
+
+// requireRecords fails unless a table holds just these records, in their order.
+func requireRecords[T any](t *testing.T, table *store.Table[T], want []storedRecord[T]) {
+	t.Helper()
+	var got []storedRecord[T]
+	err := table.Each(false, func(key string, at time.Time, value T) bool {
+		got = append(got, storedRecord[T]{key, at.UTC(), value})
+		return true
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(got) != len(want) {
+		t.Fatalf("%d records of %s were read, not %d", len(got), table.Kind, len(want))
+	}
+	for i := range want {
+		if !reflect.DeepEqual(got[i], want[i]) {
+			t.Errorf("%s were read as\n%+v\nnot\n%+v", table.Kind, got[i], want[i])
+		}
+	}
+}
+
+// A dump of a store says what it said, and a merge changes nothing in it.
+func TestStoredDumpIsUnchanged(t *testing.T) {
+	for folder := range storedFolders {
+		for _, kind := range keep.Kinds() {
+			t.Run(folder+" "+kind.Name, func(t *testing.T) {
+				var got bytes.Buffer
+				if err := store.Dump(store.Dir(copyOfGolden(t, folder)), keep.Kinds(), kind.Name, &got); err != nil {
+					t.Fatal(err)
+				}
+				file := fmt.Sprintf("dump-%s.jsonl", kind.Name)
+				if updatesGolden() {
+					writeGolden(t, file, got.Bytes())
+				}
+				want, err := os.ReadFile(filepath.Join(storedGoldenDir, file))
+				if err != nil {
+					t.Fatal(err)
+				}
+				if !bytes.Equal(got.Bytes(), want) {
+					t.Errorf("the dump is\n%s\nnot\n%s", &got, want)
+				}
+			})
+		}
+	}
+}
+
+// The golden records leave no field at zero and give no two the same value: a field that is added has to be
+// added to them, and two that are exchanged are seen.
+func TestStoredGoldenSetsEveryField(t *testing.T) {
+	for _, root := range []any{fullOrder(), fullKnown(), fullAccount()} {
+		seen := make(map[any]string)
+		requireFull(t, reflect.ValueOf(root), reflect.TypeOf(root).String(), seen)
+	}
+}
+
+// requireFull fails for each field, element or key below v that is zero, or that has the value of another.
+func requireFull(t *testing.T, v reflect.Value, path string, seen map[any]string) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	_, isTime := v.Interface().(time.Time)
+	switch {
+	case isTime:
+		requireDistinct(t, v, path, seen)
+	case v.Kind() == reflect.Pointer:
+		requireFull(t, v.Elem(), path, seen)
+	case v.Kind() == reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				requireFull(t, v.Field(i), path+"."+field.Name, seen)
+			}
+		}
+	case v.Kind() == reflect.Slice:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", path)
+		}
+		for i := range v.Len() {
+			requireFull(t, v.Index(i), fmt.Sprintf("%s[%d]", path, i), seen)
+		}
+	case v.Kind() == reflect.Map:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", path)
+		}
+		for _, key := range v.MapKeys() {
+			requireFull(t, key, path+" key", seen)
+			requireFull(t, v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key), seen)
+		}
+	case v.Kind() == reflect.Bool: // there is but one that is not zero
+	default:
+		requireDistinct(t, v, path, seen)
+	}
+}
+
+func requireDistinct(t *testing.T, v reflect.Value, path string, seen map[any]string) {
+	t.Helper()
+	if other, ok := seen[v.Interface()]; ok {
+		t.Errorf("%s has the value of %s, %v", path, other, v)
+	}
+	seen[v.Interface()] = path
+}
