--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -1,6 +1,7 @@
 package memory
 
 import (
+	"encoding/json"
 	"testing"
 
 	"lockroad/balance"
@@ -121,3 +122,17 @@
 		}
 	}
 }
+
+// The names of transactions under way go from one process to the next at an upgrade: the form stays.
+func TestNamedKeepsItsForm(t *testing.T) {
+	const form = `{"Front":"front-1","Name":"name-2"}`
+	want := Named{Front: "front-1", Name: "name-2"}
+	text, err := json.Marshal(want)
+	if err != nil || string(text) != form {
+		t.Errorf("it is written as %s, %v", text, err)
+	}
+	var got Named
+	if err := json.Unmarshal([]byte(form), &got); err != nil || got != want {
+		t.Errorf("it is read as %+v, %v", got, err)
+	}
+}
--- a/internal/memory/transactions.go
+++ b/internal/memory/transactions.go
@@ -43,8 +43,11 @@
 	elsewhere map[Named]struct{} // under way in another process of this relay
 }
 
-// Named is what a transaction goes by outside.
-type Named struct{ Front, Name string }
+// Named is what a transaction goes by outside. A process hands those under way to the next as JSON.
+type Named struct {
+	Front string `json:"Front"`
+	Name  string `json:"Name"`
+}
 
 // NewTransactions returns an empty table.
 func NewTransactions() *Transactions {
--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -35,7 +35,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// entry is one record as it stands in a frame, or the end of one.
+// entry is one record as it stands in a frame, or the end of one. It is encoded as an array: the order of the
+// fields is the format, and their names are not part of it.
 type entry struct {
 	_       struct{} `cbor:",toarray"`
 	Kind    string
--- a/internal/why/account.go
+++ b/internal/why/account.go
@@ -23,73 +23,74 @@
 	Shelf  Shelf // of those that outlast a restart; nil: none do
 }
 
-// Account is what there is to tell of a transaction.
+// Account is what there is to tell of a transaction. It and what it holds are written as JSON for operators, and
+// as CBOR to the store: the names in the tags are those of both forms, and stay whatever the fields are called.
 type Account struct {
-	Number   uint64    `json:"number"`
-	Front    string    `json:"front"`
-	Name     string    `json:"name"`
-	NameCut  bool      `json:"name_cut,omitempty"`
-	Class    string    `json:"class"`
-	Tenant   string    `json:"tenant,omitempty"`
-	Group    string    `json:"group,omitempty"`
-	Flow     string    `json:"flow,omitempty"`
-	Came     time.Time `json:"came"`
-	Patience float64   `json:"patience_ms"`
-	Load     float64   `json:"load_us,omitempty"`
-	Return   bool      `json:"return,omitempty"`
-	Pinned   bool      `json:"pinned,omitempty"`
-	Eventful bool      `json:"eventful,omitempty"`
-	Cut      bool      `json:"first_steps_gone,omitempty"`
-	Full     bool      `json:"steps_left_out,omitempty"`
-	Answer   string    `json:"answer"`
-	Cause    string    `json:"cause,omitempty"`
-	ComeBack float64   `json:"come_back_ms,omitempty"`
-	Steps    []Step    `json:"steps"`
-	Before   *Link     `json:"before,omitempty"` // the transaction that its client had before
-	After    *Link     `json:"after,omitempty"`  // and the next
+	Number   uint64    `cbor:"number" json:"number"`
+	Front    string    `cbor:"front" json:"front"`
+	Name     string    `cbor:"name" json:"name"`
+	NameCut  bool      `cbor:"name_cut,omitempty" json:"name_cut,omitempty"`
+	Class    string    `cbor:"class" json:"class"`
+	Tenant   string    `cbor:"tenant,omitempty" json:"tenant,omitempty"`
+	Group    string    `cbor:"group,omitempty" json:"group,omitempty"`
+	Flow     string    `cbor:"flow,omitempty" json:"flow,omitempty"`
+	Came     time.Time `cbor:"came" json:"came"`
+	Patience float64   `cbor:"patience_ms" json:"patience_ms"`
+	Load     float64   `cbor:"load_us,omitempty" json:"load_us,omitempty"`
+	Return   bool      `cbor:"return,omitempty" json:"return,omitempty"`
+	Pinned   bool      `cbor:"pinned,omitempty" json:"pinned,omitempty"`
+	Eventful bool      `cbor:"eventful,omitempty" json:"eventful,omitempty"`
+	Cut      bool      `cbor:"first_steps_gone,omitempty" json:"first_steps_gone,omitempty"`
+	Full     bool      `cbor:"steps_left_out,omitempty" json:"steps_left_out,omitempty"`
+	Answer   string    `cbor:"answer" json:"answer"`
+	Cause    string    `cbor:"cause,omitempty" json:"cause,omitempty"`
+	ComeBack float64   `cbor:"come_back_ms,omitempty" json:"come_back_ms,omitempty"`
+	Steps    []Step    `cbor:"steps" json:"steps"`
+	Before   *Link     `cbor:"before,omitempty" json:"before,omitempty"` // the transaction that its client had before
+	After    *Link     `cbor:"after,omitempty" json:"after,omitempty"`   // and the next
 
 	ago time.Duration
 }
 
 // Step is one thing that happened.
 type Step struct {
-	After    float64  `json:"after_ms"` // since the transaction came
-	What     string   `json:"what"`     // sent, held, refused, failed, moved, pass, outcome, up or end
-	Reason   string   `json:"reason,omitempty"`
-	Attempt  int      `json:"attempt,omitempty"`
-	Server   string   `json:"server,omitempty"`
-	Outcome  string   `json:"outcome,omitempty"`
-	Wait     float64  `json:"wait_ms,omitempty"`
-	Left     float64  `json:"left_ms,omitempty"`
-	Again    int      `json:"again,omitempty"`
-	Ready    int      `json:"ready_servers,omitempty"`
-	SlowPart float64  `json:"slow_part,omitempty"`
-	Revision uint64   `json:"list_revision,omitempty"`
-	ListAge  *float64 `json:"list_age_ms,omitempty"`
-	Believed []Belief `json:"believed,omitempty"`
-	Instead  string   `json:"instead,omitempty"` // would have been chosen but for its bars
-	Text     string   `json:"text"`
+	After    float64  `cbor:"after_ms" json:"after_ms"` // since the transaction came
+	What     string   `cbor:"what" json:"what"`         // sent, held, refused, failed, moved, pass, outcome, up or end
+	Reason   string   `cbor:"reason,omitempty" json:"reason,omitempty"`
+	Attempt  int      `cbor:"attempt,omitempty" json:"attempt,omitempty"`
+	Server   string   `cbor:"server,omitempty" json:"server,omitempty"`
+	Outcome  string   `cbor:"outcome,omitempty" json:"outcome,omitempty"`
+	Wait     float64  `cbor:"wait_ms,omitempty" json:"wait_ms,omitempty"`
+	Left     float64  `cbor:"left_ms,omitempty" json:"left_ms,omitempty"`
+	Again    int      `cbor:"again,omitempty" json:"again,omitempty"`
+	Ready    int      `cbor:"ready_servers,omitempty" json:"ready_servers,omitempty"`
+	SlowPart float64  `cbor:"slow_part,omitempty" json:"slow_part,omitempty"`
+	Revision uint64   `cbor:"list_revision,omitempty" json:"list_revision,omitempty"`
+	ListAge  *float64 `cbor:"list_age_ms,omitempty" json:"list_age_ms,omitempty"`
+	Believed []Belief `cbor:"believed,omitempty" json:"believed,omitempty"`
+	Instead  string   `cbor:"instead,omitempty" json:"instead,omitempty"` // would have been chosen but for its bars
+	Text     string   `cbor:"text" json:"text"`
 }
 
 // Belief is what was held of a server.
 type Belief struct {
-	Server string   `json:"server"`
-	State  string   `json:"state"`
-	Bars   []string `json:"bars,omitempty"`
-	Weight float64  `json:"weight"`
-	Warmth float64  `json:"warmth"`
-	Load   float64  `json:"load"`
-	Pull   float64  `json:"pull"`
-	Delay  float64  `json:"delay_ms"`
-	Age    *float64 `json:"delay_age_ms,omitempty"`
+	Server string   `cbor:"server" json:"server"`
+	State  string   `cbor:"state" json:"state"`
+	Bars   []string `cbor:"bars,omitempty" json:"bars,omitempty"`
+	Weight float64  `cbor:"weight" json:"weight"`
+	Warmth float64  `cbor:"warmth" json:"warmth"`
+	Load   float64  `cbor:"load" json:"load"`
+	Pull   float64  `cbor:"pull" json:"pull"`
+	Delay  float64  `cbor:"delay_ms" json:"delay_ms"`
+	Age    *float64 `cbor:"delay_age_ms,omitempty" json:"delay_age_ms,omitempty"`
 }
 
 // Link is a transaction that belongs with another.
 type Link struct {
-	Number uint64 `json:"number"`
-	By     string `json:"by"` // flow, name or group
-	Answer string `json:"answer"`
-	Text   string `json:"text"`
+	Number uint64 `cbor:"number" json:"number"`
+	By     string `cbor:"by" json:"by"` // flow, name or group
+	Answer string `cbor:"answer" json:"answer"`
+	Text   string `cbor:"text" json:"text"`
 }
 
 // ms is a time in milliseconds, to the microsecond.
