--- /dev/null
+++ b/internal/handover/encoding_test.go
@@ -0,0 +1,152 @@
+package handover
+
+import (
+	"bytes"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"reflect"
+	"syscall"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"lockroad/internal/steps"
+)
+
+// frames are a Unix socket's two ends, on which the bytes of messages are read and written as they are.
+func frames(t *testing.T) (near, far channel) {
+	t.Helper()
+	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	end := func(fd int) channel {
+		f := os.NewFile(uintptr(fd), "end")
+		defer f.Close()
+		c, err := net.FileConn(f)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		return channel{c.(*net.UnixConn)}
+	}
+	return end(fds[0]), end(fds[1])
+}
+
+// frame is the form of a message in a golden file: the head in hexadecimal digits, a line break, and the body.
+func frame(head, body []byte) []byte { return fmt.Appendf(nil, "%x\n%s", head, body) }
+
+// keepsFrame fails the test if a message is sent in other bytes than its golden file has, or if what is received of
+// these bytes is not the same message.
+func keepsFrame[T any](t *testing.T, path string, k kind, body T, sockets ...syscall.Conn) {
+	t.Helper()
+	near, far := frames(t)
+	if err := near.send(time.Second, k, body, sockets...); err != nil {
+		t.Fatal(err)
+	}
+	near.CloseWrite()
+	far.SetReadDeadline(time.Now().Add(time.Second))
+	sent, err := io.ReadAll(far)
+	if err != nil || len(sent) < headSize {
+		t.Fatalf("%s: %d bytes were sent, %v", path, len(sent), err)
+	}
+	golden := steps.Golden(t, path, frame(sent[:headSize], sent[headSize:]))
+
+	digits, text, _ := bytes.Cut(golden, []byte("\n"))
+	head, err := hex.DecodeString(string(digits))
+	if err != nil {
+		t.Fatal(err)
+	}
+	near, far = frames(t)
+	err = withDescriptors(sockets, nil, func(fds []int) error {
+		var rights []byte
+		if len(fds) > 0 {
+			rights = unix.UnixRights(fds...)
+		}
+		_, _, err := near.WriteMsgUnix(append(head, text...), rights, nil)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	m, err := far.receive(time.Now().Add(time.Second))
+	if err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	defer m.drop()
+	var decoded T
+	if err := m.into(&decoded); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	if m.kind != k || len(m.files) != len(sockets) || !reflect.DeepEqual(decoded, body) {
+		t.Errorf("%s is received as kind %d with %d descriptors and\n%+v, want %d, %d and\n%+v",
+			path, m.kind, len(m.files), decoded, k, len(sockets), body)
+	}
+}
+
+// listeners are the sockets that an offer comes with.
+func listeners(t *testing.T, n int) (all []syscall.Conn) {
+	t.Helper()
+	for range n {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { l.Close() })
+		all = append(all, l.(*net.TCPListener))
+	}
+	return all
+}
+
+func TestHelloKeepsItsEncoding(t *testing.T) {
+	whole := hello{Format: 1, PID: 4711}
+	steps.Complete(t, whole)
+	keepsFrame(t, "testdata/hello.frame", kindHello, whole)
+}
+
+// A peer of another format is refused: the number may change with the encoding only.
+func TestFormatVersionIsUnchanged(t *testing.T) {
+	if Format != 1 {
+		t.Errorf("the format is %d, and the golden files are of 1", Format)
+	}
+}
+
+func TestOfferKeepsItsEncoding(t *testing.T) {
+	whole := &Offer{
+		Clock: 1234567890 * time.Nanosecond, Start: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC),
+		Doors: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
+	}
+	steps.Complete(t, whole)
+	keepsFrame(t, "testdata/offer.frame", kindOffer, whole, listeners(t, 2)...)
+	keepsFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
+}
+
+func TestRefusalKeepsItsEncoding(t *testing.T) {
+	keepsFrame(t, "testdata/refuse.frame", kindRefuse, "format 2 against 1, or another new process is there")
+}
+
+func TestTakeKeepsItsEncoding(t *testing.T) { keepsFrame[any](t, "testdata/take.frame", kindTake, nil) }
+
+func TestGoKeepsItsEncoding(t *testing.T) { keepsFrame[any](t, "testdata/go.frame", kindGo, nil) }
+
+func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
+	whole := standing{Number: 42, What: json.RawMessage(`{"Front":"line"}`)}
+	steps.Complete(t, whole)
+	near, far := pair(t)
+	keepsFrame(t, "testdata/established.frame", kindStanding, whole, near.(*net.TCPConn), far.(*net.TCPConn))
+}
+
+func TestAcknowledgementsKeepTheirEncoding(t *testing.T) {
+	keepsFrame(t, "testdata/ack.frame", kindAck, 42)
+	keepsFrame(t, "testdata/nack.frame", kindNack, 43)
+}
+
+// Both processes look for each other at the same path.
+func TestSocketPathIsUnchanged(t *testing.T) {
+	steps.Golden(t, "testdata/path.txt", []byte(Path("/run/x", "n0", "127.0.0.1:7000")))
+}
--- /dev/null
+++ b/internal/steps/golden.go
@@ -0,0 +1,117 @@
+package steps
+
+import (
+	"bytes"
+	"encoding"
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// UpdateGolden names the environment variable that has Golden write its files instead of comparing with
+// them. The files are what programs in service write and read: set it only for a new format version.
+const UpdateGolden = "LOCKROAD_UPDATE_GOLDEN"
+
+// Golden fails the test if got differs from the golden file of a path, and returns the file's bytes.
+func Golden(t testing.TB, path string, got []byte) []byte {
+	t.Helper()
+	if os.Getenv(UpdateGolden) != "" {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: the encoding has changed:\n got %q\nwant %q", path, got, want)
+	}
+	return want
+}
+
+// GoldenJSON fails the test if a value's JSON differs from the golden file of a path, or if the file does
+// not decode to an equal value.
+func GoldenJSON[T any](t testing.TB, path string, value T) {
+	t.Helper()
+	text, err := json.Marshal(value)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var decoded T
+	if err := json.Unmarshal(Golden(t, path, text), &decoded); err != nil {
+		t.Fatalf("%s: %v", path, err)
+	}
+	if !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s is decoded as\n%+v, want\n%+v", path, decoded, value)
+	}
+}
+
+// Complete fails the test at each field, element, key or value within a value that is zero or empty, and at
+// each two equal numbers or strings in one struct: an encoding that leaves fields out, or swaps two, would
+// not show.
+func Complete(t testing.TB, value any) {
+	t.Helper()
+	complete(t, reflect.TypeOf(value).String(), reflect.ValueOf(value))
+}
+
+func complete(t testing.TB, path string, v reflect.Value) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	if encodesItself(v.Type()) {
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		complete(t, path, v.Elem())
+	case reflect.Struct:
+		seen := make(map[any]string)
+		for i := range v.NumField() {
+			field := v.Type().Field(i)
+			if !field.IsExported() {
+				continue
+			}
+			complete(t, path+"."+field.Name, v.Field(i))
+			if kind := field.Type.Kind(); kind == reflect.Bool || !field.Type.Comparable() {
+				continue
+			}
+			if other, found := seen[v.Field(i).Interface()]; found {
+				t.Errorf("%s.%s equals %s", path, field.Name, other)
+			}
+			seen[v.Field(i).Interface()] = field.Name
+		}
+	case reflect.Slice, reflect.Array:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", path)
+		}
+		for i := range v.Len() {
+			complete(t, path+"[]", v.Index(i))
+		}
+	case reflect.Map:
+		if v.Len() == 0 {
+			t.Errorf("%s is empty", path)
+		}
+		for _, key := range v.MapKeys() {
+			complete(t, path+" key", key)
+			complete(t, path+"[]", v.MapIndex(key))
+		}
+	}
+}
+
+// encodesItself tells whether a type has an encoding of its own, so that names of its fields do not matter.
+func encodesItself(t reflect.Type) bool {
+	for _, encoder := range []reflect.Type{reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()} {
+		if t.Implements(encoder) || reflect.PointerTo(t).Implements(encoder) {
+			return true
+		}
+	}
+	return false
+}
