--- a/balance/encoding_test.go
+++ b/balance/encoding_test.go
@@ -59,3 +59,8 @@
 		}
 	}
 }
+
+// A field that has no name in its tags would change both encodings when it is renamed.
+func TestMemoryFieldsAreTagged(t *testing.T) {
+	steps.Tagged(t, []string{"json", "cbor"}, balance.Memory{})
+}
--- a/balance/memory.go
+++ b/balance/memory.go
@@ -15,37 +15,46 @@
 
 // Memory is what a Balancer has learnt.
 type Memory struct {
-	Salt    uint64 // turns that come by chance stay where they are
-	Servers []ServerMemory
-	Routes  []RouteMemory
-	Recent  CountMemory // set-ups that warm servers took
-	Pace    CountMemory // requests that servers were looked for
-	PerSize float64
-	Load    float64 // mean told load of a connection, over Loads of them
-	Loads   float64
-	Window  float64 // set-ups that may be under way
+	Salt    uint64         `json:"Salt" cbor:"Salt"` // turns that come by chance stay where they are
+	Servers []ServerMemory `json:"Servers" cbor:"Servers"`
+	Routes  []RouteMemory  `json:"Routes" cbor:"Routes"`
+	Recent  CountMemory    `json:"Recent" cbor:"Recent"` // set-ups that warm servers took
+	Pace    CountMemory    `json:"Pace" cbor:"Pace"`     // requests that servers were looked for
+	PerSize float64        `json:"PerSize" cbor:"PerSize"`
+	Load    float64        `json:"Load" cbor:"Load"` // mean told load of a connection, over Loads of them
+	Loads   float64        `json:"Loads" cbor:"Loads"`
+	Window  float64        `json:"Window" cbor:"Window"` // set-ups that may be under way
 }
 
 // ServerMemory is what was learnt of a server.
 type ServerMemory struct {
-	ID                                  ServerID
-	Weight                              float64
-	Weighed, LastSent, StoodAt          time.Duration
-	FailedAt, LastSlow, Delay, DelayAt  time.Duration
-	Relieved, DrainAt, AwayAt, LastBorn time.Duration
+	ID       ServerID      `json:"ID" cbor:"ID"`
+	Weight   float64       `json:"Weight" cbor:"Weight"`
+	Weighed  time.Duration `json:"Weighed" cbor:"Weighed"`
+	LastSent time.Duration `json:"LastSent" cbor:"LastSent"`
+	StoodAt  time.Duration `json:"StoodAt" cbor:"StoodAt"`
+	FailedAt time.Duration `json:"FailedAt" cbor:"FailedAt"`
+	LastSlow time.Duration `json:"LastSlow" cbor:"LastSlow"`
+	Delay    time.Duration `json:"Delay" cbor:"Delay"`
+	DelayAt  time.Duration `json:"DelayAt" cbor:"DelayAt"`
+	Relieved time.Duration `json:"Relieved" cbor:"Relieved"`
+	DrainAt  time.Duration `json:"DrainAt" cbor:"DrainAt"`
+	AwayAt   time.Duration `json:"AwayAt" cbor:"AwayAt"`
+	LastBorn time.Duration `json:"LastBorn" cbor:"LastBorn"`
 }
 
 // RouteMemory is the route of a group.
 type RouteMemory struct {
-	Key    uint64
-	Server ServerID
-	Until  time.Duration
+	Key    uint64        `json:"Key" cbor:"Key"`
+	Server ServerID      `json:"Server" cbor:"Server"`
+	Until  time.Duration `json:"Until" cbor:"Until"`
 }
 
 // CountMemory is a count in which what is past fades.
 type CountMemory struct {
-	Count       float64
-	Since, From time.Duration
+	Count float64       `json:"Count" cbor:"Count"`
+	Since time.Duration `json:"Since" cbor:"Since"`
+	From  time.Duration `json:"From" cbor:"From"`
 }
 
 func (f *fading) memory() CountMemory { return CountMemory{f.count, f.since, f.from} }
--- a/internal/core/encoding_test.go
+++ b/internal/core/encoding_test.go
@@ -22,3 +22,7 @@
 	steps.GoldenJSON(t, "testdata/established.json", wholeStanding())
 	steps.GoldenJSON(t, "testdata/established-zero.json", Standing{Wire: json.RawMessage("{}")})
 }
+
+func TestEstablishedConnectionFieldsAreTagged(t *testing.T) {
+	steps.Tagged(t, []string{"json"}, Standing{})
+}
--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -17,14 +17,17 @@
 // Standing is a transaction that stands, as one process of a relay hands it to the next.
 // Times are on the clock that the two have in common.
 type Standing struct {
-	Front, Name, Class string
-	Tenant             string // "" if the settings name none, or from a process that does not tell it
-	Server             string
-	Item, Group        uint64
-	Load               float64 // that its server told last, or that was expected
-	Return             bool
-	Asked              time.Duration   // since when its client's word is unanswered; 0 if none is
-	Wire               json.RawMessage // the front's own
+	Front  string          `json:"Front"`
+	Name   string          `json:"Name"`
+	Class  string          `json:"Class"`
+	Tenant string          `json:"Tenant"` // "" if the settings name none, or from a process that does not tell it
+	Server string          `json:"Server"`
+	Item   uint64          `json:"Item"`
+	Group  uint64          `json:"Group"`
+	Load   float64         `json:"Load"` // that its server told last, or that was expected
+	Return bool            `json:"Return"`
+	Asked  time.Duration   `json:"Asked"` // since when its client's word is unanswered; 0 if none is
+	Wire   json.RawMessage `json:"Wire"`  // the front's own
 }
 
 // Give hands a transaction over with its sockets. After nil it is another process's.
--- a/internal/handover/encoding_test.go
+++ b/internal/handover/encoding_test.go
@@ -150,3 +150,9 @@
 func TestSocketPathIsUnchanged(t *testing.T) {
 	steps.Golden(t, "testdata/path.txt", []byte(Path("/run/x", "n0", "127.0.0.1:7000")))
 }
+
+func TestMessageFieldsAreTagged(t *testing.T) {
+	for _, message := range []any{hello{}, Offer{}, standing{}} {
+		steps.Tagged(t, []string{"json"}, message)
+	}
+}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -34,16 +34,16 @@
 
 // hello is who a new process is.
 type hello struct {
-	Format int
-	PID    int
+	Format int `json:"Format"`
+	PID    int `json:"PID"`
 }
 
 // Offer is what a new process is given to begin with.
 type Offer struct {
-	Clock time.Duration // what the old process's clock shows
-	Start time.Time     // and since when it goes
-	Doors []string      // names of the listening sockets
-	State json.RawMessage
+	Clock time.Duration   `json:"Clock"` // what the old process's clock shows
+	Start time.Time       `json:"Start"` // and since when it goes
+	Doors []string        `json:"Doors"` // names of the listening sockets
+	State json.RawMessage `json:"State"`
 }
 
 // Giver is the relay of the process that runs.
@@ -249,8 +249,8 @@
 
 // standing is a connection on its way.
 type standing struct {
-	Number int
-	What   json.RawMessage
+	Number int             `json:"Number"`
+	What   json.RawMessage `json:"What"`
 }
 
 // Give hands a connection over, with its sockets, and waits for the new process's word.
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -1,6 +1,7 @@
 package lifecycle
 
 import (
+	"reflect"
 	"testing"
 	"time"
 
@@ -54,3 +55,8 @@
 		Orders: make([]keep.Order, 1),
 	})
 }
+
+// memory.Named has no tags yet; the golden file of the state holds its names.
+func TestStateFieldsAreTagged(t *testing.T) {
+	steps.Tagged(t, []string{"json"}, state{}, reflect.TypeFor[memory.Named]())
+}
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -31,14 +31,14 @@
 
 // state is what a new process is given to begin with.
 type state struct {
-	Agent  string // that the list is of
-	List   discovery.List
-	Names  map[balance.ServerID]string // the numbers that Memory speaks of
-	Memory balance.Memory
-	Beats  map[balance.ServerID]line.Beat // of servers that tell delays
-	Open   []memory.Named                 // transactions under way
-	Seats  []int                          // taken, by hall
-	Orders []keep.Order                   // that have servers drain
+	Agent  string                         `json:"Agent"` // that the list is of
+	List   discovery.List                 `json:"List"`
+	Names  map[balance.ServerID]string    `json:"Names"` // the numbers that Memory speaks of
+	Memory balance.Memory                 `json:"Memory"`
+	Beats  map[balance.ServerID]line.Beat `json:"Beats"`  // of servers that tell delays
+	Open   []memory.Named                 `json:"Open"`   // transactions under way
+	Seats  []int                          `json:"Seats"`  // taken, by hall
+	Orders []keep.Order                   `json:"Orders"` // that have servers drain
 }
 
 // memory keeps the process to a part of the relay's memory.
--- a/internal/spoken/discovery/encoding_test.go
+++ b/internal/spoken/discovery/encoding_test.go
@@ -15,3 +15,5 @@
 	steps.GoldenJSON(t, "testdata/list.json", whole)
 	steps.GoldenJSON(t, "testdata/list-zero.json", List{})
 }
+
+func TestListFieldsAreTagged(t *testing.T) { steps.Tagged(t, []string{"json"}, List{}) }
--- a/internal/spoken/line/carry.go
+++ b/internal/spoken/line/carry.go
@@ -91,16 +91,17 @@
 
 // part is a line that has not ended yet.
 type part struct {
-	Text []byte `json:",omitempty"`
-	Long bool   `json:",omitempty"`
+	Text []byte `json:"Text,omitempty"`
+	Long bool   `json:"Long,omitempty"`
 }
 
 func (p part) splitter() splitter { return splitter{part: p.Text, long: p.Long} }
 
 // parked is what another process needs beside the sockets.
 type parked struct {
-	Mid      bool // a line to the client is written in part
-	Up, Down part
+	Mid  bool `json:"Mid"` // a line to the client is written in part
+	Up   part `json:"Up"`
+	Down part `json:"Down"`
 }
 
 // Park brings both ways to a halt.
--- a/internal/spoken/line/encoding_test.go
+++ b/internal/spoken/line/encoding_test.go
@@ -70,3 +70,8 @@
 	client.want(" a line\r\nMOVE\r\n")
 	client.wantEnd(false)
 }
+
+func TestHandedOverFieldsAreTagged(t *testing.T) {
+	steps.Tagged(t, []string{"json"}, parked{})
+	steps.Tagged(t, []string{"json"}, Beat{})
+}
--- a/internal/spoken/line/notes.go
+++ b/internal/spoken/line/notes.go
@@ -52,9 +52,9 @@
 // Beat is what is known of the times at which a server tells its delay, for another
 // process to go on with.
 type Beat struct {
-	At    time.Duration // a delay came last; 0 if none has
-	Last  float64       // that delay
-	Count int           // how many have come on the dot
+	At    time.Duration `json:"At"`    // a delay came last; 0 if none has
+	Last  float64       `json:"Last"`  // that delay
+	Count int           `json:"Count"` // how many have come on the dot
 }
 
 // beatsOf returns what is known of servers.
