--- /dev/null
+++ b/balance/bench_test.go
@@ -0,0 +1,117 @@
+package balance
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+)
+
+// benchFleets are the numbers of servers that benchmarks run with. A draw works otherwise from 64 servers on.
+var benchFleets = []int{5, 60, 1000, 5000}
+
+// benchStanding is how many connections stand a server while a benchmark runs.
+const benchStanding = 4
+
+// BenchmarkSetUp is a request from its arrival over the attempt sent and the connection up to its end: of a group whose
+// route is cached, of one that is drawn for, and of none.
+func BenchmarkSetUp(b *testing.B) {
+	for _, n := range benchFleets {
+		for _, how := range []string{"cached", "drawn", "alone"} {
+			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
+				m, id := benchBalancer(n)
+				now := 2 * time.Hour
+				b.ReportAllocs()
+				b.ResetTimer()
+				for i := range b.N {
+					id++
+					now += 5 * time.Millisecond
+					setUpOnce(b, m, now, Request{ID: id, Group: benchGroup(how, i), Left: 2 * time.Second})
+				}
+			})
+		}
+	}
+}
+
+// BenchmarkFacadeSetUp is the same through Pick, Report and Tick.
+func BenchmarkFacadeSetUp(b *testing.B) {
+	for _, n := range benchFleets {
+		for _, how := range []string{"cached", "drawn"} {
+			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
+				f := NewFacade(testSettings(), 1)
+				f.Report(Farm{Kind: ListFull, Servers: ready(n)})
+				f.Tick(time.Hour)
+				now := time.Hour
+				gone, cancel := context.WithCancel(context.Background())
+				cancel()
+				next := func(t *Ticket, want StepKind) {
+					if s, err := f.Pick(gone, t); err != nil || s.Kind != want {
+						b.Fatalf("step %v, %v; want kind %d", s, err, want)
+					}
+				}
+				b.ReportAllocs()
+				b.ResetTimer()
+				for i := range b.N {
+					now += 5 * time.Millisecond
+					t := NewTicket(Ask{Group: benchGroup(how, i), GiveUp: now + 2*time.Second})
+					f.Pick(gone, t)
+					f.Tick(now)
+					next(t, StepPass)
+					f.Report(Stands{Ticket: t, Took: 20 * time.Millisecond})
+					f.Tick(now)
+					next(t, StepUp)
+					f.Report(Ended{Ticket: t, How: OK})
+					f.Tick(now)
+					next(t, StepOver)
+				}
+			})
+		}
+	}
+}
+
+func benchGroup(how string, i int) uint64 {
+	switch how {
+	case "cached":
+		return uint64(i%64) + 1
+	case "drawn":
+		return uint64(i) + 1<<40
+	}
+	return 0
+}
+
+// benchBalancer returns a Balancer of n servers with connections that stand, and the last request's number.
+func benchBalancer(n int) (*Balancer, RequestID) {
+	m := New(testSettings(), 1)
+	m.Handle(time.Hour, ServerList{Kind: ListFull, Servers: ready(n)})
+	id := RequestID(0)
+	for i := range benchStanding * n {
+		id++
+		now := time.Hour + time.Duration(i)*time.Millisecond
+		for _, a := range m.Handle(now, Request{ID: id, Group: uint64(id) + 1000, Left: 2 * time.Second}) {
+			if s, sent := a.(Send); sent {
+				m.Handle(now, Standing{Request: id, Server: s.Server, Took: 20 * time.Millisecond})
+			}
+		}
+	}
+	return m, id
+}
+
+// setUpOnce plays a request from its arrival to its end, and the timer that was set for it.
+func setUpOnce(b *testing.B, m *Balancer, now time.Duration, q Request) {
+	var to ServerID
+	var token uint32
+	for _, a := range m.Handle(now, q) {
+		switch a := a.(type) {
+		case Send:
+			to = a.Server
+		case SetTimer:
+			token = a.Token
+		}
+	}
+	if to == 0 {
+		b.Fatalf("request %d was not sent", q.ID)
+	}
+	m.Handle(now, Standing{Request: q.ID, Server: to, Took: 20 * time.Millisecond})
+	m.Handle(now, Outcome{Request: q.ID, Server: to, Status: OK, Done: true})
+	m.Handle(now, Timer{Token: token})
+}
--- a/balance/sieve_test.go
+++ b/balance/sieve_test.go
@@ -123,7 +123,7 @@
 // BenchmarkDraw is a draw of a group without a route, by the fleet's size; told is with a
 // witness that looks on.
 func BenchmarkDraw(b *testing.B) {
-	for _, n := range []int{12, 100, 1000, 5000} {
+	for _, n := range []int{5, 12, 60, 100, 1000, 5000} {
 		for _, how := range []string{"looking at all", "as it is"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
 				m := New(testSettings(), 1)
