--- /dev/null
+++ b/internal/console/golden_test.go
@@ -0,0 +1,177 @@
+package console
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lockroad/balance"
+	"lockroad/internal/core"
+	"lockroad/internal/golden"
+	"lockroad/internal/keep"
+	"lockroad/internal/members"
+	"lockroad/internal/memory"
+	"lockroad/internal/record"
+	"lockroad/internal/store"
+	"lockroad/internal/why"
+)
+
+// fixedKeeper has two orders in force and a store with every figure set.
+type fixedKeeper struct {
+	since   time.Time
+	failing error
+}
+
+func (k *fixedKeeper) order() keep.Order {
+	return keep.Order{Server: "s-1", Who: "ada", Why: "disk swap", Since: k.since, Until: k.since.Add(2 * time.Hour)}
+}
+
+func (k *fixedKeeper) Drain(context.Context, keep.Order) (was *keep.Order, kept, err error) {
+	replaced := k.order()
+	return &replaced, nil, nil
+}
+
+func (k *fixedKeeper) Undrain(context.Context, string, string) (was keep.Order, kept, err error) {
+	return k.order(), errors.New("no room"), nil
+}
+
+func (k *fixedKeeper) Orders() []keep.Order {
+	return []keep.Order{k.order(), {Server: "s-2", Who: "bob", Since: k.since}}
+}
+
+func (k *fixedKeeper) Stats() (store.Stats, error) {
+	return store.Stats{
+		Records: map[string]int{"farm": 3, "order": 2}, Dropped: map[string]uint64{"farm": 1, "order": 4},
+		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, Live: 1600, Waiting: 17, Failing: k.failing, Retained: 18 * time.Minute,
+	}, nil
+}
+
+func (*fixedKeeper) Pinned(uint64) {}
+
+// useUTC has times of day written in UTC, whatever the machine's zone.
+func useUTC(t *testing.T) {
+	local := time.Local
+	time.Local = time.UTC
+	t.Cleanup(func() { time.Local = local })
+}
+
+// withFixedRelay calls do with the desk of a relay whose clock stands still and that has
+// something in every field of every answer.
+func withFixedRelay(t *testing.T, do func(d *Desk)) {
+	t.Helper()
+	useUTC(t)
+	synctest.Test(t, func(t *testing.T) {
+		k := core.New(balance.Settings{
+			Classes: []balance.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, ColdShare: 1, TipMultiple: 1, TipAfter: 1,
+		}, 1, core.NewClock())
+		ctx, cancel := context.WithCancel(context.Background())
+		var all sync.WaitGroup
+		all.Go(func() { k.Run(ctx) })
+		defer func() { cancel(); all.Wait() }()
+		var servers []balance.Server
+		var addresses []string
+		for i, state := range []balance.State{balance.Ready, balance.Ready, balance.Draining} {
+			servers = append(servers, balance.Server{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
+			addresses = append(addresses, fmt.Sprintf("10.1.0.%d:3000", i+1))
+		}
+		k.Listed(balance.ListFull, servers, addresses)
+		k.Order("s-2", true)
+		for i, stage := range []memory.Stage{memory.Waiting, memory.Out, memory.Open} {
+			n, _ := k.Transactions.Add(memory.Transaction{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
+			if stage != memory.Waiting {
+				k.Transactions.Set(n, stage, servers[i].ID)
+			}
+		}
+		k.Counters.Transactions.Add(41)
+		k.Counters.BadLines.Add(42)
+		for end := range memory.EndNames {
+			for range end + 1 {
+				k.Counters.End(memory.End(end))
+			}
+		}
+		for status := range memory.Statuses {
+			for range status + 1 {
+				k.Counters.Pass(balance.Status(status))
+			}
+		}
+		r, err := record.New(record.LeastBytes, k.Clock)
+		if err != nil {
+			t.Fatal(err)
+		}
+		trace := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "name-1", Ask: balance.Ask{GiveUp: k.Clock.Now() + time.Second}})
+		trace.Pass(servers[0].ID)(balance.Full)
+		trace.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
+		time.Sleep(1234 * time.Millisecond)
+		synctest.Wait()
+		do(&Desk{
+			Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
+			Why: &why.Teller{Record: r, Names: k.Farm}, Drain: func() {}, Keeper: &fixedKeeper{since: time.Now()},
+			Reload: func(_ context.Context, dry bool) ([]string, error) {
+				return []string{"limits.cores: 2 becomes 4"}, nil
+			},
+			Health: func() ([]members.Health, bool) {
+				return []members.Health{
+					{Name: "s-1", State: members.Up}, {Name: "s-2", State: members.Down, Since: 90 * time.Second, Fails: 4, Why: "refused"},
+				}, true
+			},
+			Log:     func(int) []string { return []string{"first\n", "second\n"} },
+			Restart: func() error { return nil },
+		})
+	})
+}
+
+// transcript is each command with its verdict and answer.
+func transcript(d *Desk, texts ...string) string {
+	var b strings.Builder
+	for _, text := range texts {
+		verdict, answer := d.answer(context.Background(), text, "ada")
+		fmt.Fprintf(&b, "> %s\n%s\n%s\n", text, verdict, answer)
+	}
+	return b.String()
+}
+
+// Every command that takes --json, as a program reads it.
+func TestCommandsJSONIsStable(t *testing.T) {
+	withFixedRelay(t, func(d *Desk) {
+		for _, c := range commands {
+			if c.forms {
+				golden.Compare(t, c.name+".jsonl", transcript(d, c.name+" --json"))
+			}
+		}
+		golden.Compare(t, "why.jsonl", transcript(d, "why --json 1", `why --json --where (answer "unavailable")`, "why --json --by class,answer,reason"))
+	})
+}
+
+// Every command's text, and what changes the relay.
+func TestCommandsTextIsStable(t *testing.T) {
+	withFixedRelay(t, func(d *Desk) {
+		for _, c := range commands {
+			if c.forms {
+				golden.Compare(t, c.name+".txt", transcript(d, c.name))
+			}
+		}
+		golden.Compare(t, "help.txt", transcript(d, "help", "help why"))
+		golden.Compare(t, "actions.txt", transcript(d, "why 1", "why --by class,answer", "pin 1", "unpin 1", "drain", "drain s-1 for 90m because it is hot",
+			"drain s-1 until", "undrain s-1", "undrain", "restart", "reload", "reload --dry-run", "reload now", "status farm", "explode"))
+	})
+}
+
+// What the commands answer where there is nothing to tell, or no way to.
+func TestEmptyAnswersAreStable(t *testing.T) {
+	useUTC(t)
+	d := &Desk{Name: "n3", Core: core.New(balance.Settings{Relays: 1}, 1, core.NewClock()), Keeper: &fixedKeeper{failing: errors.New("disk full")}}
+	failing := transcript(d, "store", "store --json")
+	d.Keeper = nil
+	golden.Compare(t, "empty.txt", failing+transcript(d, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
+		"record", "why 1", "pin 1", "drain s-1", "undrain s-1", "restart", "reload", "log"))
+}
+
+// The exit codes of lockroad console.
+func TestExitCodesAreStable(t *testing.T) {
+	golden.Compare(t, "exit-codes.txt", fmt.Sprintf("ok %d\nrefused %d\nusage %d\nunreachable %d\n", ExitOK, ExitRefused, ExitUsage, ExitUnreachable))
+}
--- /dev/null
+++ b/internal/why/golden_test.go
@@ -0,0 +1,185 @@
+package why
+
+import (
+	"fmt"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lockroad/balance"
+	"lockroad/internal/core"
+	"lockroad/internal/golden"
+	"lockroad/internal/memory"
+	"lockroad/internal/record"
+)
+
+// fullTransaction has every field set that an account tells of.
+func fullTransaction(began time.Duration) *record.Transaction {
+	decision := balance.Decision{
+		At: began, Verdict: balance.Sent, Reason: balance.RouteSlow, Attempt: 2, Server: 1, Wait: 1500 * time.Microsecond, Left: 2 * time.Second,
+		Servers: 3, SlowPart: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, Instead: 1,
+		Believed: []balance.Belief{belief(1, 0), belief(2, balance.BarSlow|balance.BarAway)},
+	}
+	return &record.Transaction{
+		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, Began: began,
+		Patience: 2 * time.Second, Load: 0.00025, Return: true, Cut: true, Full: true, Eventful: true, Pinned: true, Ended: true,
+		Steps: []record.Step{
+			{Kind: record.Decided, At: began, Decision: decision, Again: 5},
+			{Kind: record.PassOut, At: began + time.Millisecond, Server: 1},
+			{Kind: record.PassBack, At: began + 20*time.Millisecond, Server: 1, How: balance.OK},
+			{Kind: record.Up, At: began + 21*time.Millisecond},
+			{Kind: record.Final, At: began + 3*time.Second, Final: core.Final{
+				End: memory.Unavailable, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond, How: balance.Reset}},
+		},
+	}
+}
+
+// fixedTime takes the place of the time of day in an account.
+var fixedTime = time.Date(2024, 5, 6, 7, 8, 9, 123456789, time.UTC)
+
+// fullAccount is what is told of it, with links.
+func fullAccount(h *hall) *Account {
+	time.Sleep(5 * time.Second)
+	a := h.w.account(fullTransaction(h.from))
+	a.Came = fixedTime
+	a.Before = &Link{Number: 6, By: "flow", Answer: "moved", Text: "its client came back from 6"}
+	a.After = &Link{Number: 8, By: "name", Answer: "up", Text: "its client came again"}
+	return a
+}
+
+func TestAccountJSONIsStable(t *testing.T) {
+	in(t, func(h *hall) {
+		a := fullAccount(h)
+		for name, v := range map[string]any{"account": *a, "step": a.Steps[0], "belief": a.Steps[0].Believed[1], "link": *a.Before} {
+			of := reflect.ValueOf(v)
+			for i := range of.NumField() {
+				field := of.Type().Field(i)
+				// A decision sets all but the outcome, which is a pass's.
+				if field.IsExported() && of.Field(i).IsZero() && field.Tag.Get("json") != "after_ms" && field.Tag.Get("json") != "outcome,omitempty" {
+					t.Errorf("%s: the field %s is not set, so its form is not compared", name, field.Tag.Get("json"))
+				}
+			}
+		}
+		var b strings.Builder
+		if err := WriteJSON(&b, []*Account{a, {Came: fixedTime}}); err != nil {
+			t.Fatal(err)
+		}
+		golden.Compare(t, "account.jsonl", b.String())
+	})
+}
+
+func TestAccountTextIsStable(t *testing.T) {
+	in(t, func(h *hall) {
+		var b strings.Builder
+		fullAccount(h).Write(&b)
+		golden.Compare(t, "account.txt", b.String())
+	})
+}
+
+// Every decision, bar, outcome and end as an account tells it, in words and as JSON.
+func TestStepsAreStable(t *testing.T) {
+	in(t, func(h *hall) {
+		transaction := fullTransaction(h.from)
+		var b strings.Builder
+		tell := func(s record.Step) {
+			step := h.w.step(transaction, &s, 0)
+			fmt.Fprintf(&b, "%s|%s|%s|%s\n", step.What, step.Reason, step.Outcome, step.Text)
+		}
+		for verdict := range balance.Verdicts {
+			for reason := range balance.Reasons {
+				s := transaction.Steps[0]
+				s.Decision.Verdict, s.Decision.Reason = balance.Verdict(verdict), balance.Reason(reason)
+				tell(s)
+			}
+		}
+		for status := range memory.Statuses {
+			tell(record.Step{Kind: record.PassBack, At: h.from, Server: 2, How: balance.Status(status)})
+		}
+		for end := range memory.EndNames {
+			for cause := range core.Causes {
+				for status := range memory.Statuses {
+					tell(record.Step{Kind: record.Final, At: h.from, Final: core.Final{
+						End: memory.End(end), Cause: core.Cause(cause), How: balance.Status(status), ComeBack: time.Second}})
+				}
+			}
+		}
+		for bar, name := range balance.BarNames {
+			fmt.Fprintf(&b, "bar|%s|%s\n", name, barText(1<<bar))
+		}
+		golden.Compare(t, "steps.txt", b.String())
+	})
+}
+
+// What queries and counts are written in, and the closed sets of their words.
+func TestQueryVocabularyIsStable(t *testing.T) {
+	var b strings.Builder
+	b.WriteString(Help())
+	for _, f := range fields {
+		fmt.Fprintf(&b, "field %s\n", f.name)
+	}
+	list := func(of string, words []string) { fmt.Fprintf(&b, "%s: %s\n", of, strings.Join(words, " ")) }
+	list("facets", facets)
+	list("answers", answers)
+	list("ends", memory.EndNames)
+	list("causes", core.Causes[:])
+	list("reasons", balance.Reasons[:])
+	list("verdicts", balance.Verdicts[:])
+	list("outcomes", memory.Statuses)
+	list("bars", balance.BarNames[:])
+	list("ties", ties)
+	list("kinds", record.Kinds[:])
+	var compared []string
+	for word := range operators {
+		compared = append(compared, word)
+	}
+	slices.Sort(compared)
+	list("operators", compared)
+	for _, state := range []balance.State{balance.Ready, balance.Draining, balance.Gone} {
+		fmt.Fprintf(&b, "state: %s\n", memory.PhaseName(state))
+	}
+	for _, stage := range []memory.Stage{memory.Waiting, memory.Out, memory.Open} {
+		fmt.Fprintf(&b, "stage: %s\n", stage)
+	}
+	golden.Compare(t, "vocabulary.txt", b.String())
+}
+
+// Words written for each constant: a name that moves to another constant shows here.
+func TestConstantsKeepTheirWords(t *testing.T) {
+	var b strings.Builder
+	for _, c := range []fmt.Stringer{
+		memory.Ended, memory.Unavailable, memory.Failed, memory.ClientLeft, memory.Moved, memory.Silent, memory.HandedOver,
+		core.Decided, core.NoSeat, core.RelayLeaves, core.NotOpen, core.NoEcho, core.OverLimit,
+		balance.Sent, balance.Held, balance.Refused, balance.Failing, balance.Moving,
+		balance.CachedRoute, balance.RouteGone, balance.RouteSlow, balance.RouteEased, balance.RouteFull, balance.RouteCold, balance.DrawnAgain,
+		balance.Drawn, balance.WindowFull, balance.NoneUsable, balance.ServerSlow, balance.ServerEased, balance.Backoff, balance.NoHope,
+		balance.OutOfTime, balance.OutOfTries, balance.MayNotRepeat, balance.Relief, balance.ServerDrains, balance.RelayLeaves,
+	} {
+		fmt.Fprintf(&b, "%d %s\n", reflect.ValueOf(c).Uint(), c)
+	}
+	for _, how := range []balance.Status{balance.OK, balance.Error, balance.Full, balance.Timeout, balance.ConnectFailed, balance.Reset, balance.Cancelled, balance.Moot, balance.SentAway} {
+		fmt.Fprintf(&b, "%d %s\n", how, memory.Statuses[how])
+	}
+	golden.Compare(t, "constants.txt", b.String())
+}
+
+// Answers to questions: by query, by counts, in words and as JSON.
+func TestAnswersAreStable(t *testing.T) {
+	local := time.Local
+	time.Local = time.UTC // times of day are told in the machine's zone
+	defer func() { time.Local = local }()
+	in(t, func(h *hall) {
+		h.refused()
+		h.begin("page", func(a *core.Ask) { a.Tenant = "acme" }).Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat})
+		var b strings.Builder
+		for _, line := range []string{
+			"--by " + strings.Join(facets, ","), "--json --by " + strings.Join(facets, ","), "--by class (class \"page\")", "--json --by reason (class \"live-preview\")",
+			"(class \"none\")", "--by colour", "(colour red)", "(answer lost)", "--odd", "99", "nobody",
+		} {
+			fmt.Fprintf(&b, "> %s\n%s\n", line, h.ask(line))
+		}
+		golden.Compare(t, "answers.txt", b.String())
+		golden.Compare(t, "refused.jsonl", h.ask(`--json --where (answer "unavailable")`))
+	})
+}
