--- /dev/null
+++ b/internal/fault/golden_test.go
@@ -0,0 +1,87 @@
+package fault
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lockroad/internal/golden"
+)
+
+// A fault that was done, and an answer, as a line of JSON with every field set.
+func TestLineJSONIsStable(t *testing.T) {
+	full := Line{At: 1, Fault: Cut, Rule: "r", Route: "a", Conn: 2, Direction: "up", Offset: 3, Listen: "l", Target: "t", Conns: 4, Open: 5,
+		Up: 6, Down: 7, Rules: []string{"r"}, Done: "(status)", Error: "e"}
+	for of, i := reflect.ValueOf(full), 0; i < of.NumField(); i++ {
+		if of.Field(i).IsZero() {
+			t.Errorf("the field %s is not set, so its form is not compared", of.Type().Field(i).Tag.Get("json"))
+		}
+	}
+	did := Did{Where: Where{Route: "a", Conn: 2, Direction: Down}, At: 1500 * time.Microsecond, Kind: Garble, Rule: "r", Offset: 3}
+	var b strings.Builder
+	for _, one := range []Line{full, {}, did.Line()} {
+		text, err := json.Marshal(one)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&b, "%s\n", text)
+	}
+	golden.Compare(t, "line.jsonl", b.String())
+}
+
+// The control socket's commands and their answers.
+func TestCommandsAnswersAreStable(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := NewProxy(rules(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
+		defer p.Close()
+		var b strings.Builder
+		err := p.Talk(strings.NewReader(strings.Join([]string{
+			"; a comment", "(status)", "(trigger a)", "(trigger nobody)", "(add (rule c (at 2s) (for 1s) (latency 5ms 2ms normal)))", "(status)",
+			"(clear c)", "(clear)", "(cut r)", "(status)", "(explode)", "(add (rule d))", "nonsense",
+		}, "\n")), &b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Compare(t, "answers.jsonl", b.String())
+	})
+}
+
+// The words that scripts are written in, and the forms in which rules are told again.
+func TestScriptVocabularyIsStable(t *testing.T) {
+	var b strings.Builder
+	b.WriteString(Help() + Commands)
+	for _, kind := range []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, Half, Cut, Refuse, Mute, QueueFull, Vanish} {
+		fmt.Fprintf(&b, "fault %s, of a door: %v\n", kind, kind.ofDoor())
+	}
+	for _, kind := range []TriggerKind{FromStart, AtTime, AfterBytes, AtLine, AtFrame, AtPerformance, OnCommand, Chance} {
+		fmt.Fprintf(&b, "trigger %s\n", kind)
+	}
+	for _, d := range []Direction{Up, Down, Both} {
+		fmt.Fprintf(&b, "direction %s\n", d)
+	}
+	for _, name := range slices.Sorted(maps.Keys(performatives)) {
+		fmt.Fprintf(&b, "performative %s %#x\n", name, performatives[name])
+	}
+	for _, script := range []string{
+		`(rule a (route x y) (direction down) (conn 1 3) (every 2) (first "OPEN \"x\"") (fraction 12.5) (at 2s) (for 1m0s) (latency 5ms 2ms normal) (cut rst))`,
+		`(rule a (after-bytes 5) (garble flip 1))`, `(rule a (at-line 2) (garble insert 1))`, `(rule a (at-frame 3) (garble drop 1))`,
+		`(rule a (at-performative attach 2) (garble duplicate 9) (drip 3 10ms))`, `(rule a (on-command) (stall) (pause) (merge) (split 4))`,
+		`(rule a (chance 5) (bandwidth 900) (swallow))`, `(rule a (latency 1ms))`, `(rule a (latency 1ms 1ms uniform))`, `(rule a (latency 1ms 1ms exponential))`,
+		`(rule a (half-close))`, `(rule a (cut fin))`, `(rule a (refuse))`, `(rule a (mute))`, `(rule a (queue-full))`, `(rule a (for 1s) (vanish))`,
+		`(rule a (explode))`, `(rule a (at-performative hello) (stall))`, `(rule a (direction left) (stall))`,
+	} {
+		all, err := ParseRules(script)
+		if err != nil {
+			fmt.Fprintf(&b, "%s: %v\n", script, err)
+			continue
+		}
+		fmt.Fprintf(&b, "%s\n", all[0])
+	}
+	golden.Compare(t, "vocabulary.txt", b.String())
+}
--- /dev/null
+++ b/internal/lab/golden_test.go
@@ -0,0 +1,86 @@
+package lab
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"lockroad/internal/golden"
+	"lockroad/internal/model"
+)
+
+// fixedResults have a figure of its own in every column.
+func fixedResults(policy string, add float64) *Results {
+	r := &Results{Source: "(experiment \"fixed\")\n"}
+	for seed := range uint64(3) {
+		row := Row{Where: "calm servers=3", Policy: policy, Seed: seed}
+		for i := range Metrics {
+			row.Figures = append(row.Figures, float64(i)+float64(seed)/8+add)
+		}
+		r.Rows = append(r.Rows, row)
+	}
+	return r
+}
+
+// A file of results: the experiment, the columns and the rows.
+func TestResultsCSVIsStable(t *testing.T) {
+	r := fixedResults("module", 0.1)
+	text := head(r.Source)
+	for _, row := range r.Rows {
+		text += string(row.line())
+	}
+	golden.Compare(t, "results.csv", text)
+	again, err := parse("results.csv", golden.Read(t, "results.csv"))
+	if err != nil || again.Source != r.Source || len(again.Rows) != len(r.Rows) || again.Rows[2].Figure("g") != 0.35 {
+		t.Errorf("read as %+v, %v", again, err)
+	}
+}
+
+// The columns stand for the fields of a result that they have stood for.
+func TestFiguresOfAResultAreStable(t *testing.T) {
+	r := &model.Result{G: 1, Service: 2, Worst10: 3, Attempts: 4, Refused: 50, GaveUp: 60, Moves: 70, Silent: 80, Broken: 90, Crossed: 100, Late: 11, Tipped: 12,
+		Spread: 13, GroupsPer: 14, Recovery: 15, Clients: 10, Standing: 16, Probes: 170, FoundIn: 18, Alarms: 19, Events: 20, Took: 21}
+	for i, c := range model.Galway().Classes {
+		r.Classes = append(r.Classes, model.ClassResult{Name: c.Name, Service: 30 + float64(i), InAim: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
+	}
+	var b strings.Builder
+	for i, v := range figures(r) {
+		fmt.Fprintf(&b, "%s %v\n", Metrics[i], v)
+	}
+	golden.Compare(t, "figures.txt", b.String())
+}
+
+// The words that experiments are written in.
+func TestExperimentVocabularyIsStable(t *testing.T) {
+	var b strings.Builder
+	fmt.Fprintf(&b, "metrics: %s\nparameters: %s\n", strings.Join(Metrics, " "), strings.Join(model.Parameters(), " "))
+	for _, p := range model.Policies {
+		fmt.Fprintf(&b, "policy %s\n", p.Name)
+	}
+	for _, act := range []string{"(hang 1 1s)", "(slow 1 2 1s)", "(drain 1)", "(restart 1 1s)", "(add 1)", "(drop 10)", "(list-behind 1s 2s)", "(relay-restart 1 1s)", "(surge 2 1s)", "(explode)"} {
+		e, err := Parse(`(experiment "g" (world (for 3s)) (policies module) (scene h (at 1s ` + act + `)) (matrix (servers 3 4)) (seeds 2) (claim service module >= 0.01 h))`)
+		if err != nil {
+			fmt.Fprintf(&b, "%s: %v\n", act, err)
+			continue
+		}
+		fmt.Fprintf(&b, "%s; %s; %s; %s\n", e.Scenes[0].Acts[0], e.Claims[0], e.Cells()[0].Where(), e.Runs()[0].Key())
+	}
+	for _, bad := range []string{"(other)", `(experiment "g" (wrld))`, `(experiment "g" (world (wrld 1)))`, `(experiment "g" (policies nobody))`, `(experiment "g" (claim joy module >= 1))`} {
+		_, err := Parse(bad)
+		fmt.Fprintf(&b, "%s: %v\n", bad, err)
+	}
+	golden.Compare(t, "vocabulary.txt", b.String())
+}
+
+// What is told of results and of the difference of two.
+func TestReportsAreStable(t *testing.T) {
+	a, c := fixedResults("module", 0.1), fixedResults("module", 0.3)
+	var b strings.Builder
+	if err := a.Report(&b, Metrics); err != nil {
+		t.Fatal(err)
+	}
+	if err := Compare(&b, a, c, []string{"g", "moves"}); err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "report.txt", b.String())
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,64 @@
+package wire
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"lockroad/internal/golden"
+)
+
+// What is told where one of the settings' keys is missing, of another type or out of range:
+// a key that is read under another name shows here as one that changes nothing.
+func TestSettingsKeysAreStable(t *testing.T) {
+	var b strings.Builder
+	good := golden.Read(t, "settings.json")
+	want, err := ParseSettings(good)
+	if err != nil {
+		t.Fatal(err)
+	}
+	outcome := func(tree any) string {
+		text, err := json.Marshal(tree)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := ParseSettings(text)
+		switch {
+		case err != nil:
+			return err.Error()
+		case !reflect.DeepEqual(got, want):
+			return "changes what is read"
+		}
+		return "changes nothing"
+	}
+	var tree any
+	if err := json.Unmarshal(good, &tree); err != nil {
+		t.Fatal(err)
+	}
+	golden.EachKey(tree, func(path string, value any, set func(any), remove, restore func()) {
+		remove()
+		fmt.Fprintf(&b, "%s missing: %s\n", path, outcome(tree))
+		restore()
+		set(map[string]any{})
+		fmt.Fprintf(&b, "%s {}: %s\n", path, outcome(tree))
+		restore()
+		set(-1)
+		fmt.Fprintf(&b, "%s -1: %s\n", path, outcome(tree))
+		restore()
+	})
+	golden.Compare(t, "settings-keys.txt", b.String())
+}
+
+// The words that settings may have.
+func TestSettingsWordsAreStable(t *testing.T) {
+	var b strings.Builder
+	for _, word := range []string{"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "Idempotent"} {
+		effect, isEffect := effects[word]
+		scope, isScope := scopes[word]
+		fmt.Fprintf(&b, "%s: effect %d %v, scope %d %v\n", word, effect, isEffect, scope, isScope)
+	}
+	fmt.Fprintf(&b, "%d effects, %d scopes\n", len(effects), len(scopes))
+	golden.Compare(t, "words.txt", b.String())
+}
