--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -60,17 +60,20 @@
 
 // config reads a configuration and collects all that is wrong with it.
 func (f *finder) config(text []byte) *Config {
+	// Keys are found whatever their case; errors tell them as the tags have them.
 	var raw struct {
-		Name, Listen, Discovery, Seed string
-
-		Admin  string `json:"admin_addr"`
-		Limits struct {
+		Name      string `json:"Name"`
+		Listen    string `json:"Listen"`
+		Discovery string `json:"Discovery"`
+		Seed      string `json:"Seed"`
+		Admin     string `json:"admin_addr"`
+		Limits    struct {
 			Cores    float64 `json:"cores"`
 			MemoryMB int64   `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
-		}
-		Known    discovery.List
-		Settings json.RawMessage
+		} `json:"Limits"`
+		Known    discovery.List  `json:"Known"`
+		Settings json.RawMessage `json:"Settings"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
 		f.jsonError(text, err)
@@ -91,8 +94,10 @@
 		return nil
 	}
 	var names struct {
-		Localities []string
-		Limits     struct{ MaxRetryAfterUs float64 }
+		Localities []string `json:"Localities"`
+		Limits     struct {
+			MaxRetryAfterUs float64 `json:"MaxRetryAfterUs"`
+		} `json:"Limits"`
 	}
 	if err := json.Unmarshal(raw.Settings, &names); err != nil {
 		f.add("settings", "%v", err)
--- a/internal/lifecycle/site.go
+++ b/internal/lifecycle/site.go
@@ -54,36 +54,39 @@
 	Admin  string `toml:"admin_addr"`
 	Hall   string `toml:"hall"`
 	Server []struct {
-		Name, Address, Hall string
-		Size                float64
+		Name    string  `toml:"name"`
+		Address string  `toml:"address"`
+		Hall    string  `toml:"hall"`
+		Size    float64 `toml:"size"`
 	} `toml:"server"`
 	Class []struct {
-		Name    string
-		SetUp   span `toml:"set_up_within"`
-		GiveUp  span `toml:"give_up_after"`
-		Message span `toml:"message_within"`
-		Effect  string
-		Most    int // transactions at a time; 0: any number
+		Name    string `toml:"name"`
+		SetUp   span   `toml:"set_up_within"`
+		GiveUp  span   `toml:"give_up_after"`
+		Message span   `toml:"message_within"`
+		Effect  string `toml:"effect"`
+		Most    int    `toml:"most"` // transactions at a time; 0: any number
 	} `toml:"class"`
 	Limits struct {
-		Cores    float64
-		MemoryMB int64 `toml:"memory_mb"`
-		Sockets  int
-		Attempts int
+		Cores    float64 `toml:"cores"`
+		MemoryMB int64   `toml:"memory_mb"`
+		Sockets  int     `toml:"sockets"`
+		Attempts int     `toml:"attempts"`
 
 		PerAddress int     `toml:"per_address"` // transactions of a client address at a time; 0: any number
 		Rate       float64 `toml:"rate"`        // that an address may begin a second; 0: any number
 		Burst      int     `toml:"burst"`       // and at once after a while of silence
 		Fair       bool    `toml:"fair"`        // seats that run short are shared out among addresses
-	}
+	} `toml:"limits"`
 	Health struct {
-		Probe      string
-		Every      span
-		Timeout    span
-		Rise, Fall int
-		Share      float64
-		Panic      float64
-	}
+		Probe   string  `toml:"probe"`
+		Every   span    `toml:"every"`
+		Timeout span    `toml:"timeout"`
+		Rise    int     `toml:"rise"`
+		Fall    int     `toml:"fall"`
+		Share   float64 `toml:"share"`
+		Panic   float64 `toml:"panic"`
+	} `toml:"health"`
 }
 
 // What a site's file leaves out.
