--- a/balance/facade_test.go
+++ b/balance/facade_test.go
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	why := errors.New("no step")
 	cancel(why)
-	if s, err := d.Pick(ctx, t); err != why {
+	if s, err := d.Pick(ctx, t); !errors.Is(err, why) {
 		d.t.Fatalf("got step %+v, %v, want none", s, err)
 	}
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -27,7 +27,7 @@
 	var reply wire.Reply
 	for {
 		batch, err := in.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -104,7 +105,8 @@
 	for _, c := range quiet {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); err != nil {
-			if e, ok := err.(net.Error); ok && e.Timeout() {
+			var failed net.Error
+			if errors.As(err, &failed) && failed.Timeout() {
 				open++
 			}
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -437,12 +437,12 @@
 				<-t.pass.left
 			}
 			switch {
-			case t.pass.cause == errSilent:
+			case errors.Is(t.pass.cause, errSilent):
 				t.x.Move()
 				return Final{End: memory.Silent, Cause: NoEcho, How: t.pass.how}
 			case t.pass.told:
 				return Final{End: memory.Moved, Cause: RelayLeaves, How: t.pass.how}
-			case t.pass.cause == errHanded:
+			case errors.Is(t.pass.cause, errHanded):
 				return Final{End: memory.HandedOver, Cause: RelayLeaves, How: t.pass.how}
 			}
 			return Final{End: memory.Ended, How: t.pass.how}
@@ -609,7 +609,7 @@
 		}
 	}()
 	how := t.x.Join(ctx, link, pulse)
-	if context.Cause(ctx) == errSilent {
+	if errors.Is(context.Cause(ctx), errSilent) {
 		return balance.Reset
 	}
 	return how
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -1,6 +1,7 @@
 package sexp
 
 import (
+	"errors"
 	"strings"
 	"testing"
 	"time"
@@ -68,7 +69,8 @@
 	f.Fuzz(func(t *testing.T, source string) {
 		all, err := Parse(source)
 		if err != nil {
-			if at, ok := err.(*Error); !ok || at.Line < 1 || at.Column < 0 || at.What == "" {
+			var at *Error
+			if !errors.As(err, &at) || at.Line < 1 || at.Column < 0 || at.What == "" {
 				t.Errorf("%q: %v says not where", source, err)
 			}
 			return
--- a/internal/spoken/amqp/blocked_test.go
+++ b/internal/spoken/amqp/blocked_test.go
@@ -144,7 +144,9 @@
 	t.Cleanup(func() { stop(); <-ended })
 	go func() {
 		defer close(ended)
-		for link.Send(ctx, client10.NewMessage(damPage), nil) == nil {
+		var err error
+		for err == nil {
+			err = link.Send(ctx, client10.NewMessage(damPage), nil)
 		}
 	}()
 	held := 0 // looks in a row at which somebody was writing
@@ -312,7 +314,7 @@
 	}
 	u.Close()
 	u.flowed(f.perf)
-	if err := u.await(); err != errQuit {
+	if err := u.await(); !errors.Is(err, errQuit) {
 		t.Errorf("a transfer of a session that has ended: %v", err)
 	}
 	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -60,14 +60,14 @@
 	rd := NewReader(r)
 	for {
 		b, err := rd.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return records, nil
 		} else if err != nil {
 			return nil, err
 		}
 		for {
 			rec, err := b.Next()
-			if err == io.EOF {
+			if errors.Is(err, io.EOF) {
 				break
 			} else if err != nil {
 				return nil, err
@@ -130,7 +130,7 @@
 	var instances []uint32
 	for {
 		rec, err := b.Next()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
@@ -199,7 +199,7 @@
 }
 
 func TestMalformedInputIsNamed(t *testing.T) {
-	edit := func(record, old, new string) string { return strings.Replace(record, old, new, 1) }
+	edit := func(record, old, wanted string) string { return strings.Replace(record, old, wanted, 1) }
 	for name, test := range map[string]struct {
 		in   []byte
 		want string
