--- a/internal/handover/channel.go
+++ b/internal/handover/channel.go
@@ -181,10 +181,10 @@
 
 // wanted fails if a message is not of a kind.
 func (m *message) wanted(k kind) error {
-	switch {
-	case m.kind == k:
+	switch m.kind {
+	case k:
 		return nil
-	case m.kind == kindRefuse:
+	case kindRefuse:
 		var why string
 		m.into(&why)
 		return fmt.Errorf("handover: refused: %.200s", why)
--- a/internal/model/sim.go
+++ b/internal/model/sim.go
@@ -169,7 +169,6 @@
 	zone    int
 	d       Decider
 	up      bool
-	started time.Duration // its timers of before are void
 	life    uint32
 	of      map[balance.RequestID]uint32
 	next    balance.RequestID
@@ -677,10 +676,10 @@
 		answer(balance.Reset, 0)
 		return
 	}
-	cap := v.cap * v.factor * s.warmth(v)
+	capacity := v.cap * v.factor * s.warmth(v)
 	work := time.Duration(float64(s.SetUp) / (v.speed * v.factor * float64(s.Cores) * s.warmth(v)))
 	queued := max(0, v.free-s.now)
-	if v.draining || float64(len(v.conns)) >= s.ConnsMost*cap || queued > time.Duration(s.Queue)*work {
+	if v.draining || float64(len(v.conns)) >= s.ConnsMost*capacity || queued > time.Duration(s.Queue)*work {
 		answer(balance.Full, 0)
 		return
 	}
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -154,12 +154,6 @@
 	return s
 }
 
-// capacity is what all servers can do, in mean connections.
-func (w *World) capacity() float64 {
-	speed := (1-w.Slow)*(w.Speed[0]+w.Speed[1])/2 + w.Slow*(w.SlowSpeed[0]+w.SlowSpeed[1])/2
-	return float64(w.Servers) * float64(w.Cores) * w.PerCore * speed
-}
-
 // Scaled returns the world with so many times the servers, traffic, standing
 // connections and groups, and so many relays.
 func (w World) Scaled(by float64, relays int) World {
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -167,8 +167,8 @@
 	var bad []uint64
 	const n = 20_000
 	for i := uint64(1); i <= n; i++ {
-		switch {
-		case i%100 == 0:
+		switch i % 100 {
+		case 0:
 			bad = append(bad, i)
 			tr := serve(r, i, balance.Full, balance.Timeout)
 			tr.Decided(decision(balance.Refused, balance.OutOfTime, 2, 0))
@@ -364,7 +364,7 @@
 					}
 				}
 			},
-			"begin": func(rt *rapid.T) {
+			"begin": func(_ *rapid.T) {
 				last++
 				all[last] = &model{Trace: r.Began(last, ask(last))}
 			},
@@ -393,7 +393,7 @@
 					m.held = 0
 				}
 			},
-			"up": func(rt *rapid.T) {
+			"up": func(_ *rapid.T) {
 				if _, m := pick(); m != nil && !m.done {
 					m.Up()
 					m.steps++
--- a/internal/why/account.go
+++ b/internal/why/account.go
@@ -343,8 +343,8 @@
 		if d.Attempt > 0 {
 			text += fmt.Sprintf(", after %d attempts", d.Attempt)
 		}
-		switch {
-		case d.Servers == 0:
+		switch d.Servers {
+		case 0:
 			text += "; the list names no ready server"
 		default:
 			text += fmt.Sprintf("; %d servers are ready, %.0f%% of them slow", d.Servers, 100*d.SlowPart)
