--- a/balance/api.go
+++ b/balance/api.go
@@ -22,6 +22,7 @@
 // Effect says what sending a request of a class more than once does.
 type Effect uint8
 
+// The effects of sending a request more than once.
 const (
 	Idempotent   Effect = iota // safe to repeat anywhere
 	Deduplicated               // repeats are dropped within a scope, for a while
@@ -31,10 +32,11 @@
 // Scope is the set of servers that drop each other's repeats of a request.
 type Scope uint8
 
+// The scopes of deduplication.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // every server
+	ScopeZone              // the servers of one zone
+	ScopeCell              // the servers of one cell
 )
 
 // Class describes one kind of request.
@@ -118,10 +120,11 @@
 // State is what the server list says of a server.
 type State uint8
 
+// The states of a server in the server list.
 const (
-	Gone State = iota
-	Ready
-	Draining
+	Gone     State = iota // no longer in the list
+	Ready                 // takes requests
+	Draining              // finishes what it has and takes nothing new
 )
 
 // Server is one line of the server list.
@@ -140,6 +143,7 @@
 // ListKind tells how a server list is to be read.
 type ListKind uint8
 
+// The kinds of server list.
 const (
 	ListFailed ListKind = iota // a call for the list failed; the old one holds
 	ListFull                   // all servers; those missing are gone
@@ -185,6 +189,7 @@
 // Status is how an attempt ended.
 type Status uint8
 
+// The results of an attempt.
 const (
 	OK            Status = iota
 	Error                // the server answered with an error
--- a/balance/facade.go
+++ b/balance/facade.go
@@ -35,6 +35,7 @@
 // StepKind says what is to be done next for a transaction.
 type StepKind uint8
 
+// The kinds of step.
 const (
 	StepPass        StepKind = iota // begin a proxy pass to Server
 	StepUp                          // the pass is accepted: it is the client's
--- a/balance/sieve_test.go
+++ b/balance/sieve_test.go
@@ -82,7 +82,7 @@
 					take(r.do(Request{ID: r.next, Group: rapid.Uint64Range(1, 500).Draw(rt, "group"), Left: 2 * time.Second}))
 				}
 			},
-			"stand": func(rt *rapid.T) {
+			"stand": func(_ *rapid.T) {
 				for id, s := range out {
 					delete(out, id)
 					up[id] = s
@@ -90,13 +90,13 @@
 					take(r.do(LoadNote{Request: id, Server: s, Load: 0.01 + float64(id%7)/20}))
 				}
 			},
-			"fail": func(rt *rapid.T) {
+			"fail": func(_ *rapid.T) {
 				for id, s := range out {
 					delete(out, id)
 					take(r.do(Outcome{Request: id, Server: s, Status: Status(1 + id%5)}))
 				}
 			},
-			"end": func(rt *rapid.T) {
+			"end": func(_ *rapid.T) {
 				for id, s := range up {
 					if delete(up, id); id%2 == 0 {
 						take(r.do(Outcome{Request: id, Server: s, Status: OK, Done: true}))
--- a/balance/why.go
+++ b/balance/why.go
@@ -16,6 +16,7 @@
 // Verdict is what was decided.
 type Verdict uint8
 
+// The verdicts of a decision.
 const (
 	Sent    Verdict = iota // to Server, for Wait at the most; 0 means until the client gives up
 	Held                   // for Wait; 0 means until the window opens
@@ -34,6 +35,7 @@
 // Reason is why it was decided: one of a closed set.
 type Reason uint8
 
+// The reasons of a decision.
 const (
 	NoReason     Reason = iota
 	CachedRoute         // the server that is cached for its group
@@ -80,6 +82,7 @@
 // Bars are what keeps a server from being sent a transaction.
 type Bars uint16
 
+// The bars, one bit each.
 const (
 	BarAway  Bars = 1 << iota // it drains, is gone, or has lately sent clients away itself
 	BarTried                  // it has failed the transaction
--- a/balance/why_test.go
+++ b/balance/why_test.go
@@ -94,7 +94,7 @@
 		for attempt := 1; ; attempt++ {
 			s := done[0].(Send)
 			tried = append(tried, s.Server)
-			done = w.fail(id, s.Server, Reset)
+			w.fail(id, s.Server, Reset)
 			if attempt == w.b.set.MaxAttempts {
 				break
 			}
@@ -236,7 +236,7 @@
 			}
 			account(got)
 		}
-		any := func(m map[RequestID]ServerID, what string) (RequestID, ServerID, bool) {
+		pick := func(m map[RequestID]ServerID, what string) (RequestID, ServerID, bool) {
 			var ids []RequestID
 			for id := range m {
 				ids = append(ids, id)
@@ -257,21 +257,21 @@
 					Return: rapid.Bool().Draw(rt, "return"),
 				}))
 			},
-			"stand": func(rt *rapid.T) {
-				if id, s, ok := any(out, "stands"); ok {
+			"stand": func(_ *rapid.T) {
+				if id, s, ok := pick(out, "stands"); ok {
 					delete(out, id)
 					up[id] = s
 					account(both(Standing{Request: id, Server: s, Took: 20 * ms}))
 				}
 			},
 			"fail": func(rt *rapid.T) {
-				if id, s, ok := any(out, "fails"); ok {
+				if id, s, ok := pick(out, "fails"); ok {
 					delete(out, id)
 					account(both(Outcome{Request: id, Server: s, Status: Status(rapid.IntRange(1, 8).Draw(rt, "status"))}))
 				}
 			},
 			"end": func(rt *rapid.T) {
-				if id, s, ok := any(up, "ends"); ok {
+				if id, s, ok := pick(up, "ends"); ok {
 					delete(up, id)
 					account(both(Outcome{Request: id, Server: s, Status: []Status{OK, Reset, SentAway}[rapid.IntRange(0, 2).Draw(rt, "end")], Done: true}))
 				}
--- a/cmd/locklab/main.go
+++ b/cmd/locklab/main.go
@@ -189,7 +189,7 @@
 }
 
 // Run draws it.
-func (c *plotCommand) Run(s streams) error {
+func (c *plotCommand) Run(_ streams) error {
 	if c.Kind == "size" {
 		r, err := lab.Read(c.From)
 		if err != nil {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -204,7 +204,7 @@
 }
 
 func TestPassAboutToGoOutSparesALeavingServer(t *testing.T) {
-	bench(t, 1, func(k *Core, list func(int, balance.State)) {
+	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
 		x := &fake{t: t, k: k, acts: func() act {
 			t.Error("a draining server was sent a pass")
 			return act{}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -10,6 +10,7 @@
 // Cause is why a transaction ended as it did where the module did not decide it.
 type Cause uint8
 
+// The causes of an end.
 const (
 	Decided     Cause = iota // the module, the client or the server ended it
 	NoSeat                   // the front had no seat for it
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -328,7 +328,7 @@
 }
 
 // summary writes how it went by class, and some answers to read.
-func (d *run) summary(accounts map[string]*why.Account) error {
+func (d *run) summary(_ map[string]*why.Account) error {
 	t := tabwriter.NewWriter(d.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\nCLASS\tASKED\tUP\tUNAVAILABLE\tFAILED\tNO ANSWER\tMOVED\tSET-UP p50\tp99")
 	d.result.ByAnswer = make(map[string]int)
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -101,8 +101,8 @@
 	if got := feed(500*ms, "x") + feed(1100*ms, "y"); got != "1.1s:y|" {
 		t.Errorf("after it: %q", got)
 	}
-	if next, any := f.Next(1200 * ms); !any || next != 5*time.Second {
-		t.Errorf("next is %v, %v", next, any)
+	if next, found := f.Next(1200 * ms); !found || next != 5*time.Second {
+		t.Errorf("next is %v, %v", next, found)
 	}
 	f.Command("c", 2*time.Second)
 	if stalled, until := f.Stalled(2 * time.Second); !stalled || until != 0 {
--- a/internal/fault/flow.go
+++ b/internal/fault/flow.go
@@ -18,6 +18,7 @@
 // OpKind is what is to be done next.
 type OpKind uint8
 
+// The kinds of operation.
 const (
 	OpWrite OpKind = iota // Data, in a packet of its own, no earlier than At
 	OpHalf                // end this direction, and swallow what still comes
@@ -153,10 +154,10 @@
 // Next is the next time at which something happens without a byte: Due has to be
 // called then. It returns false where there is none.
 func (f *Flow) Next(now time.Duration) (time.Duration, bool) {
-	next, any := time.Duration(math.MaxInt64), false
+	next, found := time.Duration(math.MaxInt64), false
 	soon := func(at time.Duration) {
 		if at > now {
-			next, any = min(next, at), true
+			next, found = min(next, at), true
 		}
 	}
 	for _, l := range f.rules {
@@ -170,7 +171,7 @@
 	if len(f.merged) > 0 {
 		soon(max(now+1, f.since+mergeMost))
 	}
-	return next, any
+	return next, found
 }
 
 // Due does what is due by now without a byte.
--- a/internal/fault/proxy.go
+++ b/internal/fault/proxy.go
@@ -302,10 +302,10 @@
 	for {
 		s.mu.Lock()
 		now := p.now()
-		next, any := s.flow.Next(now)
+		next, found := s.flow.Next(now)
 		s.mu.Unlock()
 		var due <-chan time.Time
-		if any {
+		if found {
 			due = time.After(next - now)
 		}
 		select {
--- a/internal/fault/script.go
+++ b/internal/fault/script.go
@@ -22,10 +22,11 @@
 // Direction of bytes: Up is from who connects to who is connected to.
 type Direction uint8
 
+// The directions of a connection.
 const (
-	Up Direction = iota
-	Down
-	Both
+	Up   Direction = iota // to the side that was connected to
+	Down                  // to the side that connected
+	Both                  // each of the two
 )
 
 // Directions are their names, in the order of their numbers.
@@ -37,6 +38,7 @@
 // TriggerKind is what sets a rule off.
 type TriggerKind string
 
+// The kinds of trigger.
 const (
 	FromStart     TriggerKind = "start"           // when the connection begins
 	AtTime        TriggerKind = "at"              // at a time of the script's clock
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -21,9 +21,10 @@
 	// OrdersMost bounds the orders that are kept, one a server: far more servers than a farm has. The oldest go
 	// first, and a server that was to drain would get clients again after a restart.
 	OrdersMost = 1 << 16
-	// DecisionsMost and DecisionsFor bound the decisions that are kept.
+	// DecisionsMost is how many decisions are kept at the most.
 	DecisionsMost = 2000
-	DecisionsFor  = 14 * 24 * time.Hour
+	// DecisionsFor is how long a decision is kept.
+	DecisionsFor = 14 * 24 * time.Hour
 )
 
 // Kinds are all that a relay keeps.
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -55,11 +55,11 @@
 	agent := listen(t)
 	good := configText("127.0.0.1:0", agent.Addr().String(), "x")
 	added := strings.Replace(good, `[{"AimUs"`, `[{"Name": "extra", "AimUs": 900000, "DeadlineUs": 2000000, "Semantics": "at_most_once"}, {"AimUs"`, 1)
-	with := func(old, new string) string {
+	with := func(old, replacement string) string {
 		if !strings.Contains(added, old) {
 			t.Fatalf("%q is not there", old)
 		}
-		return strings.Replace(added, old, new, 1)
+		return strings.Replace(added, old, replacement, 1)
 	}
 	broken := map[string]string{
 		"":                                "unexpected end",
@@ -168,7 +168,7 @@
 // A file that is written anew while it is read is read again.
 func TestFileReplacedWhileItIsRead(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	old, new := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
+	old, replacement := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
 	write(t, file, string(old))
 	stop, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -180,7 +180,7 @@
 			default:
 			}
 			next := file + ".next"
-			os.WriteFile(next, [][]byte{old, new}[i%2], 0o600)
+			os.WriteFile(next, [][]byte{old, replacement}[i%2], 0o600)
 			os.Rename(next, file)
 		}
 	}()
@@ -190,7 +190,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(text, old) && !bytes.Equal(text, new) {
+		if !bytes.Equal(text, old) && !bytes.Equal(text, replacement) {
 			t.Fatalf("%d bytes of two files", len(text))
 		}
 	}
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -64,6 +64,7 @@
 // Why tells which bound turned a transaction away.
 type Why uint8
 
+// The bounds that may turn a transaction away; String describes each.
 const (
 	PerAddress Why = iota
 	Rate
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -56,6 +56,7 @@
 // State is what is held of a server.
 type State uint8
 
+// The states of a server.
 const (
 	Up State = iota
 	Down
--- a/internal/memory/counters.go
+++ b/internal/memory/counters.go
@@ -9,6 +9,7 @@
 // End is how a transaction came to its end.
 type End uint8
 
+// The ends of a transaction.
 const (
 	Ended       End = iota // it stood, and one side has ended it
 	Unavailable            // the unavailable answer
--- a/internal/memory/transactions.go
+++ b/internal/memory/transactions.go
@@ -13,6 +13,7 @@
 // Stage is how far a transaction has come.
 type Stage uint8
 
+// The stages of a transaction, in their order.
 const (
 	Waiting Stage = iota // for a decision
 	Out                  // a pass is out
--- a/internal/model/policies.go
+++ b/internal/model/policies.go
@@ -49,8 +49,8 @@
 			return ev, true
 		}}
 	}},
-	{"random", plain(func(p *simple, q *asked, from []*known) *known { return from[p.rng.IntN(len(from))] })},
-	{"round-robin", plain(func(p *simple, q *asked, from []*known) *known {
+	{"random", plain(func(p *simple, _ *asked, from []*known) *known { return from[p.rng.IntN(len(from))] })},
+	{"round-robin", plain(func(p *simple, _ *asked, from []*known) *known {
 		p.turn++
 		for _, k := range from {
 			if int(k.ID) > p.turn%p.most {
@@ -61,17 +61,17 @@
 		p.turn = int(from[0].ID) - 1
 		return from[0]
 	})},
-	{"least-connections", plain(func(p *simple, q *asked, from []*known) *known {
+	{"least-connections", plain(func(_ *simple, _ *asked, from []*known) *known {
 		return slices.MinFunc(from, func(x, y *known) int { return cmp.Compare(x.conns, y.conns) })
 	})},
-	{"two-choices", plain(func(p *simple, q *asked, from []*known) *known {
+	{"two-choices", plain(func(p *simple, _ *asked, from []*known) *known {
 		x, y := from[p.rng.IntN(len(from))], from[p.rng.IntN(len(from))]
 		if y.conns < x.conns {
 			return y
 		}
 		return x
 	})},
-	{"bounded-hash", plain(func(p *simple, q *asked, from []*known) *known {
+	{"bounded-hash", plain(func(_ *simple, q *asked, from []*known) *known {
 		total := 1
 		for _, k := range from {
 			total += k.conns
@@ -164,7 +164,7 @@
 }
 
 func plain(choose func(*simple, *asked, []*known) *known) func(*Sim, int) Decider {
-	return func(s *Sim, r int) Decider {
+	return func(s *Sim, _ int) Decider {
 		return &simple{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balance.ServerID]*known),
 			asks: make(map[balance.RequestID]*asked), timers: make(map[uint32]balance.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
 	}
@@ -177,11 +177,11 @@
 	if v.down || v.hung || v.draining {
 		return math.Inf(1)
 	}
-	cap := v.cap * v.factor * p.s.warmth(v)
-	if full := (v.load+1+float64(v.out))/cap + v.backlog.Seconds(); v.groups[group] > 0 && full < groupTo {
+	capacity := v.cap * v.factor * p.s.warmth(v)
+	if full := (v.load+1+float64(v.out))/capacity + v.backlog.Seconds(); v.groups[group] > 0 && full < groupTo {
 		return full - 1 // it need not pay for the group again
 	}
-	return (v.load+1+p.s.GroupCost+float64(v.out))/cap + v.backlog.Seconds()
+	return (v.load+1+p.s.GroupCost+float64(v.out))/capacity + v.backlog.Seconds()
 }
 
 // groupTo is how full the oracle makes a server to keep a group together.
--- a/internal/model/scenes.go
+++ b/internal/model/scenes.go
@@ -277,8 +277,8 @@
 		if v.down {
 			continue
 		}
-		cap := v.cap * v.factor * s.warmth(v)
-		rho := v.load / cap
+		capacity := v.cap * v.factor * s.warmth(v)
+		rho := v.load / capacity
 		// What is asked beyond what can be done piles up, and is worked off after.
 		v.backlog = max(0, v.backlog+time.Duration((rho-1)*float64(dt)))
 		switch {
@@ -367,24 +367,24 @@
 	"attempts":   whole(1, 20, func(w *World, v int) { w.Attempts = v }),
 	"retries":    whole(0, 20, func(w *World, v int) { w.Retries = v }),
 	"queue":      whole(1, 100_000, func(w *World, v int) { w.Queue = v }),
-	"rate":       real(0, 1e5, func(w *World, v float64) { w.Rate = v }),
-	"swing":      real(0, 0.99, func(w *World, v float64) { w.Swing = v }),
-	"skew":       real(0, 1, func(w *World, v float64) { w.Skew = v }),
-	"slow":       real(0, 1, func(w *World, v float64) { w.Slow = v }),
-	"per-core":   real(0.1, 1e4, func(w *World, v float64) { w.PerCore = v }),
-	"load-swing": real(0, 1, func(w *World, v float64) { w.LoadSwing = v }),
-	"group-cost": real(0, 1e3, func(w *World, v float64) { w.GroupCost = v }),
-	"group-skew": real(0, 3, func(w *World, v float64) { w.GroupSkew = v }),
+	"rate":       float(0, 1e5, func(w *World, v float64) { w.Rate = v }),
+	"swing":      float(0, 0.99, func(w *World, v float64) { w.Swing = v }),
+	"skew":       float(0, 1, func(w *World, v float64) { w.Skew = v }),
+	"slow":       float(0, 1, func(w *World, v float64) { w.Slow = v }),
+	"per-core":   float(0.1, 1e4, func(w *World, v float64) { w.PerCore = v }),
+	"load-swing": float(0, 1, func(w *World, v float64) { w.LoadSwing = v }),
+	"group-cost": float(0, 1e3, func(w *World, v float64) { w.GroupCost = v }),
+	"group-skew": float(0, 3, func(w *World, v float64) { w.GroupSkew = v }),
 	"probed":     whole(0, 1, func(w *World, v int) { w.Probed = v == 1 }),
-	"probe-loss": real(0, 0.9, func(w *World, v float64) { w.ProbeLoss = v }),
+	"probe-loss": float(0, 0.9, func(w *World, v float64) { w.ProbeLoss = v }),
 	"warm":       whole(0, 1, func(w *World, v int) { w.Warm = v == 1 }),
-	"honour":     real(0, 1, func(w *World, v float64) { w.Honour = v }),
-	"cold-share": real(0.01, 1, func(w *World, v float64) { w.ColdShare = v }),
-	"scale-load": real(0.01, 100, func(w *World, v float64) {
+	"honour":     float(0, 1, func(w *World, v float64) { w.Honour = v }),
+	"cold-share": float(0.01, 1, func(w *World, v float64) { w.ColdShare = v }),
+	"scale-load": float(0.01, 100, func(w *World, v float64) {
 		w.Rate *= v
 		w.Standing = int(float64(w.Standing) * v)
 	}),
-	"scale":      real(0.05, 400, func(w *World, v float64) { *w = w.Scaled(v, w.Relays) }),
+	"scale":      float(0.05, 400, func(w *World, v float64) { *w = w.Scaled(v, w.Relays) }),
 	"for":        span(func(w *World, d time.Duration) { w.For = d }),
 	"life":       span(func(w *World, d time.Duration) { w.Life = d }),
 	"period":     span(func(w *World, d time.Duration) { w.Period = d }),
@@ -408,7 +408,7 @@
 	}
 }
 
-func real(least, most float64, set func(*World, float64)) func(*World, *sexp.Node) error {
+func float(least, most float64, set func(*World, float64)) func(*World, *sexp.Node) error {
 	return func(w *World, n *sexp.Node) error {
 		v, err := number(n, least, most)
 		if err == nil {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -126,12 +126,12 @@
 					k.used--
 				}
 			},
-			"done": func(t *rapid.T) {
+			"done": func(_ *rapid.T) {
 				id, k := some(func(k *known) bool { return k.used > 0 })
 				p.Done(now, id)
 				k.used--
 			},
-			"shut": func(t *rapid.T) {
+			"shut": func(_ *rapid.T) {
 				id, k := some(func(*known) bool { return true })
 				p.Shut(id)
 				k.shut = true
@@ -142,7 +142,7 @@
 					k.shut = k.shut || k.server == "a"
 				}
 			},
-			"lose": func(t *rapid.T) {
+			"lose": func(_ *rapid.T) {
 				id, _ := some(func(*known) bool { return true })
 				p.Lost(id)
 				delete(all, id)
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -54,6 +54,7 @@
 // StepKind tells what a step is.
 type StepKind uint8
 
+// The kinds of step.
 const (
 	Decided  StepKind = stepDecided // by the module: Decision and Again
 	PassOut  StepKind = stepPass    // a proxy pass to Server begins
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -15,6 +15,7 @@
 // Rule is one of the operators' rules.
 type Rule string
 
+// The operators' rules.
 const (
 	Answered Rule = "one final answer in time"
 	Once     Rule = "never two attempts at once"
--- a/internal/screen/screen_test.go
+++ b/internal/screen/screen_test.go
@@ -24,7 +24,7 @@
 func (r *relay) ask(command string) (string, error) {
 	r.told = append(r.told, command)
 	if r.dead {
-		return "", errors.New("no relay answers at /run/x\n")
+		return "", errors.New("no relay answers at /run/x\n") //nolint:revive // as a console answers, with its newline
 	}
 	switch command {
 	case "servers":
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	// TextMost is how many bytes a text may have, DepthMost how deep lists may nest.
-	TextMost  = 1 << 20
+	// TextMost is how many bytes a text may have.
+	TextMost = 1 << 20
+	// DepthMost is how deep lists may nest.
 	DepthMost = 64
 )
 
--- a/internal/spoken/amqp/conformance_test.go
+++ b/internal/spoken/amqp/conformance_test.go
@@ -456,7 +456,7 @@
 		return errors.Join(err, same("settled", all[0].flag(4), true), same("disposition of", f.number(1, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
-		s := &seenAt{reply: func(c *conn, session *session, f frame) bool {
+		s := &seenAt{reply: func(c *conn, _ *session, f frame) bool {
 			if f.code != codeFlow || f.field(4) == nil {
 				return false
 			}
--- a/internal/spoken/amqp/endings_test.go
+++ b/internal/spoken/amqp/endings_test.go
@@ -38,7 +38,7 @@
 }
 
 // result is what became of a transaction, once that is known.
-func result(r *rig, w wire, ctx context.Context, giveUp time.Duration) <-chan seen {
+func result(ctx context.Context, r *rig, w wire, giveUp time.Duration) <-chan seen {
 	name := r.name()
 	out := make(chan seen, 1)
 	go func() {
@@ -83,7 +83,7 @@
 		r := newRig(t, w, 1, nil)
 		r.script.hold = g.hold
 		r.retune(func(s *balance.Settings) { s.Classes[0].Deadline = time.Minute })
-		late := result(r, w, context.Background(), time.Minute) // its turn is at 0.62 of the time
+		late := result(context.Background(), r, w, time.Minute) // its turn is at 0.62 of the time
 		await(t, "the first comes to a server", g.came)
 		r.core.MoveAll(over)
 		began := r.core.Clock.Now()
@@ -107,7 +107,7 @@
 		r := newRig(t, w, 1, nil)
 		r.script.hold = g.hold
 		r.retune(func(s *balance.Settings) { s.Classes[0].Deadline = time.Minute })
-		late := result(r, w, context.Background(), time.Minute)
+		late := result(context.Background(), r, w, time.Minute)
 		await(t, "it comes to a server", g.came)
 		r.list(balance.Draining, 0) // the module's mail keeps its order
 		close(g.open)
@@ -140,7 +140,7 @@
 					s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Memory = c.class.Effect, c.class.Scope, c.class.Memory
 					s.Classes[0].Deadline = time.Minute
 				})
-				waits := result(r, w, context.Background(), time.Minute)
+				waits := result(context.Background(), r, w, time.Minute)
 				await(t, "it comes to a server", g.came)
 				r.core.TurnAway()
 				if s := await(t, "its answer", waits); s.answer != c.want {
@@ -224,7 +224,7 @@
 				r.list(balance.Ready, 0)
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
-				waits := result(r, w, ctx, time.Minute)
+				waits := result(ctx, r, w, time.Minute)
 				steps.Until(t, "its pass goes out", func() bool {
 					all := r.core.Transactions.List()
 					return len(all) == 1 && all[0].Passes == 1
@@ -258,7 +258,7 @@
 		ctx, leave := context.WithCancel(context.Background())
 		defer leave()
 		began := r.core.Clock.Now()
-		waits := result(r, w, ctx, giveUp)
+		waits := result(ctx, r, w, giveUp)
 		steps.Until(t, "the connection is late", func() bool { return r.core.Clock.Now()-began > late })
 		f.let(t, w, r.script)
 		steps.Until(t, "it is up", func() bool { return r.core.Counters.Up.Load() == 1 })
@@ -296,7 +296,7 @@
 			s.Classes[0].Deadline, s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Memory = time.Minute, balance.Deduplicated, balance.ScopeCell, memory
 		})
 		began := r.core.Clock.Now()
-		waits := result(r, w, context.Background(), time.Minute)
+		waits := result(context.Background(), r, w, time.Minute)
 		await(t, "the first comes to its server", g.came)
 		r.core.Listed(balance.ListDelta, []balance.Server{{ID: r.core.Farm.ID("s-2"), State: balance.Ready, Weight: 1}}, []string{f.Addr().String()})
 		close(g.open) // it breaks
@@ -350,13 +350,13 @@
 				if c.name == "for a server that takes nothing now" {
 					// It is cold, and another has just had what it bears.
 					r.list(balance.Ready, r.core.Clock.Now()-18*time.Second)
-					result(r, w, first, time.Minute)
+					result(first, r, w, time.Minute)
 					steps.Until(t, "the first stands", func() bool { return r.core.Counters.Up.Load() == 1 })
 					stands = 1
 				}
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
-				waits := result(r, w, ctx, time.Minute)
+				waits := result(ctx, r, w, time.Minute)
 				steps.Until(t, "it waits", func() bool { return c.waits(t, r) })
 				leave()
 				steps.Until(t, "it is forgotten", func() bool { return r.core.Transactions.Len() == stands })
--- a/internal/spoken/amqp/outbox.go
+++ b/internal/spoken/amqp/outbox.go
@@ -97,8 +97,8 @@
 func (o *outbox) run() {
 	defer o.close()
 	for {
-		p, any := o.take()
-		if !any {
+		p, found := o.take()
+		if !found {
 			select {
 			case <-o.more:
 			case <-o.up.stop:
--- a/internal/spoken/amqp/peer.go
+++ b/internal/spoken/amqp/peer.go
@@ -40,10 +40,11 @@
 // PeerKind is the kind of a PeerEvent.
 type PeerKind uint8
 
+// The kinds of PeerEvent.
 const (
-	PeerAttached PeerKind = iota
-	PeerDelivered
-	PeerDetached
+	PeerAttached  PeerKind = iota // the other side has attached a link
+	PeerDelivered                 // the other side has sent a whole delivery
+	PeerDetached                  // the other side has detached a link
 )
 
 // sessionsMost is how many sessions a stand-in takes on a connection.
--- a/internal/spoken/amqp/random_test.go
+++ b/internal/spoken/amqp/random_test.go
@@ -27,7 +27,7 @@
 const judgesWait = time.Minute
 
 // judges is a server that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
-func judges(t testing.TB, tcp *net.TCPConn, _ *script) {
+func judges(_ testing.TB, tcp *net.TCPConn, _ *script) {
 	c, err := AcceptPeerConn(tcp, judgesWait, false)
 	if err != nil {
 		return
--- a/internal/spoken/amqp/trunks_test.go
+++ b/internal/spoken/amqp/trunks_test.go
@@ -24,7 +24,7 @@
 	attaching             func(conn, session int64) bool
 }
 
-func (s *shares) serve(t testing.TB, tcp *net.TCPConn, _ *script) {
+func (s *shares) serve(_ testing.TB, tcp *net.TCPConn, _ *script) {
 	c, err := AcceptPeerConn(tcp, serverWait, false)
 	if err != nil {
 		return
@@ -148,7 +148,7 @@
 // A connection that breaks ends each of its transactions cleanly, and none of another connection's; those that were on
 // their way are tried elsewhere or answered.
 func TestOneConnectionsEndIsItsOwn(t *testing.T) {
-	s := &shares{attaching: func(conn, session int64) bool { return session != 5 }} // the fifth breaks the second connection
+	s := &shares{attaching: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
 	r := sharedRig(t, s, pool.Settings{Sessions: 3, Idle: time.Minute})
 	c := clientOf(t, r)
 	var all []*client10.Sender
--- a/internal/spoken/hall.go
+++ b/internal/spoken/hall.go
@@ -13,9 +13,9 @@
 	// OpeningWait is how long a client may take, from its connection on, to say
 	// whole what it wants. Those that don't are owed a word or a close within 3 s.
 	OpeningWait = 2 * time.Second
-	// LingerFor is how long a client that was answered may take to read that, and
-	// LingerBytes how much of what it still says is read meanwhile.
-	LingerFor   = 500 * time.Millisecond
+	// LingerFor is how long a client that was answered may take to read that.
+	LingerFor = 500 * time.Millisecond
+	// LingerBytes is how much of what such a client still says is read meanwhile, at the most.
 	LingerBytes = 256 << 10
 
 	// A guest that waits gets this long for its first word to be read before it can
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -18,6 +18,7 @@
 // Mode is what a server does with transactions that come.
 type Mode string
 
+// The modes of a server.
 const (
 	Accepting Mode = "accept"
 	Hanging   Mode = "hang"      // takes them and says nothing
--- a/internal/steps/steps.go
+++ b/internal/steps/steps.go
@@ -40,9 +40,9 @@
 
 // Until waits for something to come true that is due at any moment, and fails the test if it
 // does not within 10 s. It is for what real sockets and processes do, which no fake clock drives.
-func Until(t testing.TB, what string, true func() bool) {
+func Until(t testing.TB, what string, reached func() bool) {
 	t.Helper()
-	for late := time.Now().Add(10 * time.Second); !true(); time.Sleep(time.Millisecond) {
+	for late := time.Now().Add(10 * time.Second); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal(what)
 		}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -26,6 +26,7 @@
 // Sync is when a kind's commits are made sure to outlast a power cut. All outlast a kill.
 type Sync uint8
 
+// The times at which commits are synced.
 const (
 	AtOnce     Sync = iota // before they are reported
 	Grouped                // with others within GroupWait, and reported then
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -428,7 +428,7 @@
 	defer s.Close()
 	old := &Table[string]{Store: s, Kind: "order", Version: 1}
 	must(t, old.Commit(context.Background(), "a", "Ada"))
-	people := &Table[person]{Store: s, Kind: "order", Version: 2, Upgrade: func(version uint, body []byte) (person, error) {
+	people := &Table[person]{Store: s, Kind: "order", Version: 2, Upgrade: func(_ uint, body []byte) (person, error) {
 		var name string
 		err := cbor.Unmarshal(body, &name)
 		return person{Name: name}, err
--- a/internal/trouble/trouble_test.go
+++ b/internal/trouble/trouble_test.go
@@ -43,12 +43,12 @@
 
 // group is what a single client comes with whose server the test wants to know.
 func single(stay time.Duration) func(context.Context, *testing.T, *Stage) []standin.Visit {
-	return func(ctx context.Context, t *testing.T, st *Stage) []standin.Visit { return st.Visits(ctx, 1, stay) }
+	return func(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit { return st.Visits(ctx, 1, stay) }
 }
 
 // many has 18 clients of as many groups come, which stay for a time.
 func many(stay time.Duration) func(context.Context, *testing.T, *Stage) []standin.Visit {
-	return func(ctx context.Context, t *testing.T, st *Stage) []standin.Visit { return st.Visits(ctx, 18, stay) }
+	return func(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit { return st.Visits(ctx, 18, stay) }
 }
 
 // listed has discovery say something, and then clients come.
@@ -148,7 +148,7 @@
 	{name: "discovery sends half an object, again and again", scene: Scene{Rules: `(rule a (route discovery) (direction down) (after-bytes 150) (cut fin))`}, do: listed, want: "up", within: second},
 	{name: "discovery's words are garbled", scene: Scene{Rules: `(rule a (route discovery) (direction down) (after-bytes 150) (garble flip 30))`}, do: listed, want: "up", within: second},
 	{name: "discovery goes back in revision", scene: Scene{}, want: "up", within: second,
-		do: func(ctx context.Context, t *testing.T, st *Stage) []standin.Visit {
+		do: func(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit {
 			st.Site.Discovery.Rewind()
 			st.Proxy.Cut("discovery")
 			return st.Visits(ctx, 18, 600*ms)
--- a/internal/why/query.go
+++ b/internal/why/query.go
@@ -124,14 +124,14 @@
 				return nil, err
 			}
 		}
-		any := head == "or"
+		wanted := head == "or"
 		return func(t *record.Transaction, now time.Duration) bool {
 			for _, q := range all {
-				if q(t, now) == any {
-					return any
+				if q(t, now) == wanted {
+					return wanted
 				}
 			}
-			return !any
+			return !wanted
 		}, nil
 	case "not":
 		if len(args) != 1 {
