--- a/Makefile
+++ b/Makefile
@@ -23,9 +23,7 @@
 	go test -race ./...
 
 lint:
-	@unformatted=$$(gofmt -l .); test -z "$$unformatted" || { echo "gofmt wants changes in: $$unformatted"; exit 1; }
-	go vet ./...
-	go vet -tags debug ./...
+	.ci/lint
 
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzHall$$' -fuzztime $(FUZZTIME) ./internal/spoken
