--- a/balance/balance.go
+++ b/balancer/balance.go
@@ -4,7 +4,7 @@
 // route; a retry backs off, skips the cache and draws at random by weight among the servers not yet tried; a
 // controller moves the weights. What goes beyond it says what it guards against.
 
-package balance
+package balancer
 
 import (
 	"cmp"
@@ -97,30 +97,30 @@
 func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
 	b.now, b.out, b.fleet.summed, b.pace.from = now, b.out[:0], false, cmp.Or(b.pace.from, now)
 	switch ev := ev.(type) {
-	case ServerList:
+	case EndpointList:
 		b.listArrived(ev)
-	case Retuned:
+	case SettingsChanged:
 		b.retune(ev.Settings)
 	case Request:
 		b.arrived(ev)
 	case Resumed:
 		b.resumed(ev)
-	case Standing:
+	case Established:
 		b.stands(ev)
 	case Outcome:
 		b.ended(ev)
-	case Dismissed:
+	case AnswerRequired:
 		if q := b.requests[ev.Request]; q != nil && !q.up {
-			b.end(q, RelayLeaves)
+			b.end(q, ReasonShutdown)
 		}
 	case ClientLeft:
 		b.forget(b.requests[ev.Request])
-	case LoadNote:
+	case ConnectionLoad:
 		if q := b.requests[ev.Request]; q != nil && q.up {
 			b.fleet.weigh(q, ev.Load)
 		}
-	case DelayNote:
-		if s := b.fleet.find(ev.Server); s != nil {
+	case EndpointDelay:
+		if s := b.fleet.find(ev.Endpoint); s != nil {
 			b.delayed(s, ev.Delay)
 		}
 	case Timer:
@@ -144,7 +144,7 @@
 		b.watch()
 	case q == nil || q.over || q.up:
 	case b.now >= q.giveUp:
-		b.end(q, OutOfTime)
+		b.end(q, ReasonDeadlineExceeded)
 	case q.waiting && b.now < q.listUntil:
 		b.wake(q, q.listUntil-b.now)
 	case q.waiting && b.now >= q.notBefore:
@@ -158,7 +158,7 @@
 	q := b.begin(ev)
 	// Rule 1: a timer of the request's own answers it a little ahead of the
 	// client's patience, whatever it then waits for.
-	left := max(0, ev.Left-2*b.set.Tick)
+	left := max(0, ev.TimeLeft-2*b.set.MinTick)
 	q.giveUp = b.now + left
 	b.wake(q, left)
 	b.advance(q)
@@ -166,7 +166,7 @@
 
 func (b *Balancer) resumed(ev Resumed) {
 	q := b.begin(ev.Request)
-	q.at, q.attempts = b.fleet.find(ev.Server), 1
+	q.at, q.attempts = b.fleet.find(ev.Endpoint), 1
 	b.stand(q)
 	b.sendAway(q.at)
 }
@@ -179,13 +179,13 @@
 		return
 	}
 	if b.window.full() {
-		b.note(Held, WindowFull, q, nil, 0)
+		b.note(VerdictHeld, ReasonWindowFull, q, nil, 0)
 		b.window.queue = append(b.window.queue, q)
 		return
 	}
 	s, why := b.pick(q)
 	if s == nil && !b.hope(q) {
-		b.end(q, NoHope)
+		b.end(q, ReasonNoViableEndpoint)
 		return
 	}
 	if s == nil || b.mustWait(s) {
@@ -197,23 +197,23 @@
 	}
 	q.attempts++
 	wait := b.patience(q)
-	b.note(Sent, why, q, s, wait)
+	b.note(VerdictSent, why, q, s, wait)
 	q.at, q.sentAt = s, b.now
 	b.window.out++
 	s.lastSent = b.now
-	b.do(Send{Request: q.ID, Server: s.ID, Timeout: wait, Latest: q.known()})
+	b.do(SendAttempt{Request: q.ID, Endpoint: s.ID, Timeout: wait, NotAfter: q.known()})
 }
 
 // hope tells whether waiting can still find a request a server: one that is ready
 // and not yet tried. A request without hope is answered at once.
 func (b *Balancer) hope(q *request) bool {
 	return slices.ContainsFunc(b.fleet.servers, func(s *server) bool {
-		return s.State == Ready && q.mayUse(s) && !slices.Contains(q.tried, s.ID)
+		return s.State == StateReady && q.mayUse(s) && !slices.Contains(q.tried, s.ID)
 	})
 }
 
 func (b *Balancer) rest(q *request, wait time.Duration, why Reason, s *server) {
-	b.note(Held, why, q, s, wait)
+	b.note(VerdictHeld, why, q, s, wait)
 	q.waiting, q.notBefore = true, b.now+wait
 	if q.notBefore < q.giveUp {
 		b.wake(q, wait)
@@ -229,7 +229,7 @@
 		q.class.Effect == AtMostOnce || left/2 <= cmp.Or(b.setups.usual(b.now), setupGuess) {
 		return left
 	}
-	return max(left/2, min(left, b.set.Connect+holdFor))
+	return max(left/2, min(left, b.set.ConnectTimeout+holdFor))
 }
 
 // mayTry tells whether another attempt is allowed at a time: rule 1 wants time
@@ -245,7 +245,7 @@
 	if !q.mayRun || q.class.Effect != Deduplicated {
 		return 0
 	}
-	return max(1, q.ranSince+q.class.Memory-onTheWay)
+	return max(1, q.ranSince+q.class.DeduplicationWindow-onTheWay)
 }
 
 // mayUse tells whether rule 2 allows a server for the next attempt: a repeat of
@@ -257,7 +257,7 @@
 	return s.Zone == q.ranZone && (q.class.Scope == ScopeZone || s.Cell == q.ranCell)
 }
 
-func (b *Balancer) stands(ev Standing) {
+func (b *Balancer) stands(ev Established) {
 	q := b.requests[ev.Request]
 	if q == nil || q.at == nil || q.up {
 		return
@@ -265,12 +265,12 @@
 	s := q.at
 	s.stoodAt = b.now
 	s.raise(b.now)
-	b.setups.stood(ev.Took, b.now)
-	if !q.Return && b.warmth(s) >= 1 {
+	b.setups.stood(ev.SetupTime, b.now)
+	if !q.Returning && b.warmth(s) >= 1 {
 		b.fleet.recent.add(b.now)
 	}
 	b.window.out--
-	if ev.Took <= q.class.Aim {
+	if ev.SetupTime <= q.class.LatencyObjective {
 		b.window.size = min(windowMax, b.window.size+1/b.window.size)
 	}
 	b.stand(q)
@@ -279,12 +279,12 @@
 
 func (b *Balancer) ended(ev Outcome) {
 	q := b.requests[ev.Request]
-	if q == nil || q.at == nil && !ev.Done && !q.up {
+	if q == nil || q.at == nil && !ev.Final && !q.up {
 		return
 	}
 	switch s := q.at; ev.Status {
-	case OK, Cancelled, Moot:
-	case SentAway:
+	case StatusOK, StatusCancelled, StatusNotSent:
+	case StatusRedirected:
 		// The server knows before the list that it drains. It guards against placing
 		// clients where they come from, to be sent away again, until the list comes.
 		if s != nil {
@@ -294,14 +294,14 @@
 	default:
 		b.failed(q, ev.Status)
 	}
-	if q.up || ev.Done {
+	if q.up || ev.Final {
 		b.forget(q)
 		return
 	}
-	if ev.Status == Timeout {
-		b.setups.cutOff(ev.Server, b.now-q.sentAt, b.now)
+	if ev.Status == StatusTimeout {
+		b.setups.cutOff(ev.Endpoint, b.now-q.sentAt, b.now)
 	}
-	q.mayRun = q.mayRun || ev.Status != Full && ev.Status != ConnectFailed && ev.Status != Moot
+	q.mayRun = q.mayRun || ev.Status != StatusFull && ev.Status != StatusConnectFailed && ev.Status != StatusNotSent
 	q.at = nil
 	b.window.out--
 	b.retry(q)
@@ -309,18 +309,18 @@
 
 // failed answers the failure of an attempt, or of the connection it became: the
 // route was wrong, and the server loses weight.
-func (b *Balancer) failed(q *request, why Status) {
+func (b *Balancer) failed(q *request, why AttemptStatus) {
 	s := q.at
 	if s == nil {
 		return
 	}
-	if !q.up && (why == Error || why == Timeout) && b.sharedCause(s) {
+	if !q.up && (why == StatusError || why == StatusTimeout) && b.sharedCause(s) {
 		return
 	}
 	b.routes.clear(q.key(), s.ID)
 	q.tried = append(q.tried, s.ID)
 	s.cut(weightCut, b.now)
-	if why == Full { // it turns away what it can't bear: requests wait as for a slow one
+	if why == StatusFull { // it turns away what it can't bear: requests wait as for a slow one
 		s.lastSlow, s.delayAt = b.now, b.now
 		b.strange(s)
 	}
@@ -333,14 +333,14 @@
 		b.end(q, b.spent(q, b.now+wait))
 		return
 	}
-	if b.set.Ask && b.now >= b.list.readAt+listPause {
+	if b.set.PollList && b.now >= b.list.readAt+listPause {
 		// After a zone is lost every retry wants the list: they share one call, and
 		// go on with the list they have when it isn't answered.
 		q.listUntil = b.now + listPatience
 		b.list.waiting = append(b.list.waiting, q)
 		b.watch()
 	}
-	b.rest(q, wait, Backoff, nil)
+	b.rest(q, wait, ReasonBackoff, nil)
 }
 
 // comeBack is the advice that a refusal carries, and guards against clients that come back to servers as full
@@ -349,7 +349,7 @@
 func (b *Balancer) comeBack(q *request) time.Duration {
 	soonest := b.set.MaxRetryAfter
 	for _, s := range b.fleet.servers {
-		if s.State == Ready {
+		if s.State == StateReady {
 			wait := backoffBase << min(q.attempts, 8)
 			if s.slowAt(b.now) {
 				wait = max(wait, s.delayAt+slowLife-b.now)
@@ -360,8 +360,8 @@
 	return soonest
 }
 
-// Advice is when a client should come again that the relay has no place for.
-func (b *Balancer) Advice(now time.Duration) time.Duration {
+// RetryAfter is when a client should come again that the relay has no place for.
+func (b *Balancer) RetryAfter(now time.Duration) time.Duration {
 	b.now = now
 	return b.comeBack(&request{})
 }
@@ -371,10 +371,10 @@
 	ran := q.mayRun || q.at != nil
 	if !ran || q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
 		wait := b.comeBack(q)
-		b.note(Refused, why, q, q.at, wait)
-		b.do(Refuse{Request: q.ID, RetryAfter: wait})
+		b.note(VerdictRejected, why, q, q.at, wait)
+		b.do(Reject{Request: q.ID, RetryAfter: wait})
 	} else {
-		b.note(Failing, why, q, q.at, 0)
+		b.note(VerdictFailed, why, q, q.at, 0)
 		b.do(Fail{Request: q.ID})
 	}
 	b.forget(q)
@@ -388,7 +388,7 @@
 	if id, ok := b.routes.get(q.key(), b.now); ok && q.attempts == 0 {
 		s := b.fleet.find(id)
 		if s != nil && b.usable(q, s) && !b.mustWait(s) && b.spare(s) > spareFull {
-			return s, CachedRoute
+			return s, ReasonCachedRoute
 		}
 		why = b.passedOver(q, s)
 	}
@@ -423,7 +423,7 @@
 
 // usable tells whether a server may be sent a request at all.
 func (b *Balancer) usable(q *request, s *server) bool {
-	return s.State == Ready && (s.awayAt == 0 || b.now >= s.awayAt+awayFor) && q.mayUse(s) &&
+	return s.State == StateReady && (s.awayAt == 0 || b.now >= s.awayAt+awayFor) && q.mayUse(s) &&
 		!slices.Contains(q.tried, s.ID) && b.coldAllows(q, s)
 }
 
@@ -487,7 +487,7 @@
 	s.relieved = b.now
 	keep = max(keepMin, keep)
 	s.cut(keep, b.now)
-	b.relieve(s, int(float64(len(s.conns))*(1-keep)+b.rng.Float64()), Relief)
+	b.relieve(s, int(float64(len(s.conns))*(1-keep)+b.rng.Float64()), ReasonLoadRelief)
 }
 
 // mustWait guards against set-ups that keep slow servers slow: requests wait
@@ -495,17 +495,17 @@
 // eased into work. A group whose cached server is so is drawn anew first.
 func (b *Balancer) mustWait(s *server) bool {
 	return s.slowAt(b.now) || s.lastSlow > 0 && b.now < s.lastSlow+easeFor &&
-		!b.turn(s, b.part*b.set.TipAfter.Seconds()/easeGap.Seconds()/float64(b.set.Relays))
+		!b.turn(s, b.part*b.set.OverloadWindow.Seconds()/easeGap.Seconds()/float64(b.set.Relays))
 }
 
 // turn shares a server among relays that know nothing of each other, where this one may send
 // it n set-ups within the time that pushes a cold server over; its turn comes by chance if n < 1.
 func (b *Balancer) turn(s *server, n float64) bool {
-	return b.rested(s, n) && uniform(b.salt+uint64(b.now/b.set.TipAfter), s.ID) < n
+	return b.rested(s, n) && uniform(b.salt+uint64(b.now/b.set.OverloadWindow), s.ID) < n
 }
 
 func (b *Balancer) rested(s *server, n float64) bool {
-	return float64(b.now-max(s.lastSent, s.Born)) >= float64(b.set.TipAfter)/max(1, n)
+	return float64(b.now-max(s.lastSent, s.StartedAt)) >= float64(b.set.OverloadWindow)/max(1, n)
 }
 
 // relieve moves n of a server's connections away: small groups first and whole,
@@ -519,8 +519,8 @@
 	slices.SortStableFunc(conns, func(x, y *request) int { return cmp.Compare(rank(x), rank(y)) })
 	for _, q := range conns[:n] {
 		b.routes.clear(q.key(), s.ID)
-		b.note(Moving, why, q, s, 0)
-		b.do(Move{Request: q.ID})
+		b.note(VerdictMigrated, why, q, s, 0)
+		b.do(Migrate{Request: q.ID})
 		b.forget(q)
 	}
 }
@@ -528,7 +528,7 @@
 // sendAway guards against clients that are cut off when their draining server stops. They
 // move a part at a time, lest those who take them in are swamped; of many relays, by chance.
 func (b *Balancer) sendAway(s *server) {
-	if s == nil || s.sending || s.State != Draining || len(s.conns) == 0 {
+	if s == nil || s.sending || s.State != StateDraining || len(s.conns) == 0 {
 		return
 	}
 	s.sending = true
@@ -539,7 +539,7 @@
 		left := s.drainAt + leaveBy - b.now
 		n = int(float64(len(s.conns))*float64(leaveEvery)/float64(max(left, leaveEvery)) + b.rng.Float64())
 	}
-	b.relieve(s, n, ServerDrains)
+	b.relieve(s, n, ReasonEndpointDraining)
 	b.again(s, after)
 }
 
@@ -589,11 +589,11 @@
 
 // warmth is the part of its capacity that a server has at the least.
 func (b *Balancer) warmth(s *server) float64 {
-	if s.Born == 0 || b.now >= s.Born+b.set.ColdFor {
+	if s.StartedAt == 0 || b.now >= s.StartedAt+b.set.SlowStartDuration {
 		return 1
 	}
-	age := float64(max(0, b.now-s.Born)) / float64(b.set.ColdFor)
-	return b.set.ColdShare + (1-b.set.ColdShare)*age
+	age := float64(max(0, b.now-s.StartedAt)) / float64(b.set.SlowStartDuration)
+	return b.set.InitialCapacity + (1-b.set.InitialCapacity)*age
 }
 
 // coldAllows keeps rule 4: within the time in which a cold server could fall over it gets, from all relays
@@ -603,7 +603,7 @@
 	if b.warmth(s) >= 1 {
 		return true
 	}
-	n, span := b.coldPart(s), b.set.TipAfter
+	n, span := b.coldPart(s), b.set.OverloadWindow
 	if !b.many() || n >= 1 {
 		return b.turn(s, n)
 	}
@@ -620,7 +620,7 @@
 	if b.many() {
 		least *= s.size() * coldLeast
 	}
-	n := b.fleet.perSize * s.size() * b.set.TipAfter.Seconds() * b.set.TipMultiple * coldPart
+	n := b.fleet.perSize * s.size() * b.set.OverloadWindow.Seconds() * b.set.OverloadMultiple * coldPart
 	return b.part * b.warmth(s) * max(least, n)
 }
 
@@ -630,7 +630,7 @@
 	if !b.many() {
 		return nil
 	}
-	for s := range b.fleet.cold(b.now, b.set.ColdFor) {
+	for s := range b.fleet.cold(b.now, b.set.SlowStartDuration) {
 		if b.coldPart(s) < 1 && b.usable(q, s) && !s.slowAt(b.now) &&
 			(best == nil || uniform(b.salt, s.ID) < uniform(b.salt, best.ID)) {
 			best = s
@@ -644,30 +644,30 @@
 // watch asks for the list and its changes. A timer guards against an answer
 // that is lost, and against asking too seldom for rule 3.
 func (b *Balancer) watch() {
-	if l := &b.list; b.set.Ask && (!l.out || b.now >= l.outAt+listPatience) {
+	if l := &b.list; b.set.PollList && (!l.out || b.now >= l.outAt+listPatience) {
 		l.out, l.outAt = true, b.now
-		b.do(Watch{})
-		b.wake(nil, max(b.set.AskEvery/2, listPatience))
+		b.do(WatchEndpoints{})
+		b.wake(nil, max(b.set.PollInterval/2, listPatience))
 	}
 }
 
-func (b *Balancer) listArrived(ev ServerList) {
+func (b *Balancer) listArrived(ev EndpointList) {
 	l := &b.list
 	l.out = false
 	switch ev.Kind {
 	case ListFailed:
-		b.wake(nil, min(listPause<<min(l.fails, 8), b.set.AskEvery/2))
+		b.wake(nil, min(listPause<<min(l.fails, 8), b.set.PollInterval/2))
 		l.fails++
 	case ListCached:
-		b.fleet.replace(ev.Servers)
+		b.fleet.replace(ev.Endpoints)
 		b.watch() // it may be stale
 	case ListFull:
-		b.fleet.replace(ev.Servers)
+		b.fleet.replace(ev.Endpoints)
 		l.fails, l.readAt = 0, b.now
 	case ListDelta:
 		l.fails, l.readAt = 0, b.now
 	}
-	for _, line := range ev.Servers {
+	for _, line := range ev.Endpoints {
 		b.update(line)
 	}
 	waiting := l.waiting
@@ -681,17 +681,17 @@
 }
 
 // update takes a line of the list. A server that has restarted begins anew.
-func (b *Balancer) update(line Server) {
+func (b *Balancer) update(line Endpoint) {
 	s := b.fleet.find(line.ID)
 	switch {
-	case s == nil && line.State == Gone:
+	case s == nil && line.State == StateGone:
 	case s == nil:
-		b.fleet.insert(&server{Server: line, weight: weightStart, weighed: b.now}, b.now)
+		b.fleet.insert(&server{Endpoint: line, weight: weightStart, weighed: b.now}, b.now)
 	default:
-		if line.Born > s.Born {
+		if line.StartedAt > s.StartedAt {
 			s.weight, s.weighed, s.lastSlow, s.awayAt = weightStart, b.now, 0, 0
 		}
-		s.Server, b.fleet.sure = line, false
+		s.Endpoint, b.fleet.sure = line, false
 		if !s.sending {
 			s.drainAt = b.now
 			b.sendAway(s)
--- a/balance/bench_test.go
+++ b/balancer/bench_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 				for i := range b.N {
 					id++
 					now += 5 * time.Millisecond
-					setUpOnce(b, m, now, Request{ID: id, Group: benchGroup(how, i), Left: 2 * time.Second})
+					setUpOnce(b, m, now, Request{ID: id, Group: benchGroup(how, i), TimeLeft: 2 * time.Second})
 				}
 			})
 		}
@@ -38,13 +38,13 @@
 	for _, n := range benchFleets {
 		for _, how := range []string{"cached", "drawn"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
-				f := NewFacade(testSettings(), 1)
-				f.Report(Farm{Kind: ListFull, Servers: ready(n)})
+				f := NewLoop(testSettings(), 1)
+				f.Report(EndpointUpdate{Kind: ListFull, Endpoints: ready(n)})
 				f.Tick(time.Hour)
 				now := time.Hour
 				gone, cancel := context.WithCancel(context.Background())
 				cancel()
-				next := func(t *Ticket, want StepKind) {
+				next := func(t *RequestHandle, want ActionKind) {
 					if s, err := f.Pick(gone, t); err != nil || s.Kind != want {
 						b.Fatalf("step %v, %v; want kind %d", s, err, want)
 					}
@@ -53,16 +53,16 @@
 				b.ResetTimer()
 				for i := range b.N {
 					now += 5 * time.Millisecond
-					t := NewTicket(Ask{Group: benchGroup(how, i), GiveUp: now + 2*time.Second})
+					t := NewRequestHandle(RequestOptions{Group: benchGroup(how, i), Deadline: now + 2*time.Second})
 					f.Pick(gone, t)
 					f.Tick(now)
-					next(t, StepPass)
-					f.Report(Stands{Ticket: t, Took: 20 * time.Millisecond})
+					next(t, ActionAttempt)
+					f.Report(AttemptEstablished{Handle: t, SetupTime: 20 * time.Millisecond})
 					f.Tick(now)
-					next(t, StepUp)
-					f.Report(Ended{Ticket: t, How: OK})
+					next(t, ActionEstablished)
+					f.Report(AttemptEnded{Handle: t, Status: StatusOK})
 					f.Tick(now)
-					next(t, StepOver)
+					next(t, ActionClosed)
 				}
 			})
 		}
@@ -82,14 +82,14 @@
 // benchBalancer returns a Balancer of n servers with connections that stand, and the last request's number.
 func benchBalancer(n int) (*Balancer, RequestID) {
 	m := New(testSettings(), 1)
-	m.Handle(time.Hour, ServerList{Kind: ListFull, Servers: ready(n)})
+	m.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: ready(n)})
 	id := RequestID(0)
 	for i := range benchStanding * n {
 		id++
 		now := time.Hour + time.Duration(i)*time.Millisecond
-		for _, a := range m.Handle(now, Request{ID: id, Group: uint64(id) + 1000, Left: 2 * time.Second}) {
-			if s, sent := a.(Send); sent {
-				m.Handle(now, Standing{Request: id, Server: s.Server, Took: 20 * time.Millisecond})
+		for _, a := range m.Handle(now, Request{ID: id, Group: uint64(id) + 1000, TimeLeft: 2 * time.Second}) {
+			if s, sent := a.(SendAttempt); sent {
+				m.Handle(now, Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * time.Millisecond})
 			}
 		}
 	}
@@ -98,12 +98,12 @@
 
 // setUpOnce plays a request from its arrival to its end, and the timer that was set for it.
 func setUpOnce(b *testing.B, m *Balancer, now time.Duration, q Request) {
-	var to ServerID
+	var to EndpointID
 	var token uint32
 	for _, a := range m.Handle(now, q) {
 		switch a := a.(type) {
-		case Send:
-			to = a.Server
+		case SendAttempt:
+			to = a.Endpoint
 		case SetTimer:
 			token = a.Token
 		}
@@ -111,7 +111,7 @@
 	if to == 0 {
 		b.Fatalf("request %d was not sent", q.ID)
 	}
-	m.Handle(now, Standing{Request: q.ID, Server: to, Took: 20 * time.Millisecond})
-	m.Handle(now, Outcome{Request: q.ID, Server: to, Status: OK, Done: true})
+	m.Handle(now, Established{Request: q.ID, Endpoint: to, SetupTime: 20 * time.Millisecond})
+	m.Handle(now, Outcome{Request: q.ID, Endpoint: to, Status: StatusOK, Final: true})
 	m.Handle(now, Timer{Token: token})
 }
--- a/balance/departures_test.go
+++ b/balancer/departures_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"testing"
@@ -6,8 +6,8 @@
 )
 
 // openMany sets up n connections of a group and returns their server.
-func (r *relay) openMany(group uint64, n int) ServerID {
-	var to ServerID
+func (r *relay) openMany(group uint64, n int) EndpointID {
+	var to EndpointID
 	for range n {
 		_, to = r.open(group)
 	}
@@ -21,9 +21,9 @@
 	r.openMany(7, 19)
 	s := r.b.fleet.find(to)
 	before := s.weightAt(r.now)
-	wantActions(t, r.do(DelayNote{Request: id, Server: to, Delay: 90 * ms}))
+	wantActions(t, r.do(EndpointDelay{Request: id, Endpoint: to, Delay: 90 * ms}))
 	r.pass(time.Second)
-	moved := count[Move](r.do(DelayNote{Request: id, Server: to, Delay: 500 * ms}))
+	moved := count[Migrate](r.do(EndpointDelay{Request: id, Endpoint: to, Delay: 500 * ms}))
 	if moved == 0 || moved == 20 {
 		t.Fatalf("%d of 20 connections moved, want a part", moved)
 	}
@@ -52,7 +52,7 @@
 		s := r.b.fleet.find(to)
 		s.delay, s.delayAt = test.before, r.now
 		r.pass(time.Second)
-		n := count[Move](r.do(DelayNote{Request: id, Server: to, Delay: test.delay}))
+		n := count[Migrate](r.do(EndpointDelay{Request: id, Endpoint: to, Delay: test.delay}))
 		if n < test.min || n > test.max {
 			t.Errorf("%s: %d of 20 moved, want %d to %d", test.name, n, test.min, test.max)
 		}
@@ -66,8 +66,8 @@
 	r.openMany(1, 9)
 	small, _ := r.open(2)
 	r.openMany(2, 1)
-	r.do(ServerList{Kind: ListDelta, Servers: ready(2)[1:]})
-	r.b.relieve(r.b.fleet.find(1), 3, Relief)
+	r.do(EndpointList{Kind: ListDelta, Endpoints: ready(2)[1:]})
+	r.b.relieve(r.b.fleet.find(1), 3, ReasonLoadRelief)
 	if r.b.requests[small] != nil || r.b.fleet.find(1).groups[2] != 0 {
 		t.Error("the small group stayed")
 	}
@@ -83,12 +83,12 @@
 	for seed := range uint64(200) {
 		r := newRelay(t, testSettings(), ready(6)...)
 		r.b = New(testSettings(), seed)
-		r.do(ServerList{Kind: ListCached, Servers: ready(6)})
+		r.do(EndpointList{Kind: ListCached, Endpoints: ready(6)})
 		id, to := r.open(7)
 		s := r.b.fleet.find(to)
 		s.delay, s.delayAt = 600*ms, r.now
 		r.pass(time.Second)
-		moved += count[Move](r.do(DelayNote{Request: id, Server: to, Delay: 600 * ms}))
+		moved += count[Migrate](r.do(EndpointDelay{Request: id, Endpoint: to, Delay: 600 * ms}))
 	}
 	if moved < 20 || moved > 70 {
 		t.Errorf("%d of 200 relays moved their connection, want about 40", moved)
@@ -96,18 +96,18 @@
 }
 
 // failOn has set-ups of several groups fail on n of 6 servers while the others accept.
-func failOn(r *relay, n int, why Status) {
+func failOn(r *relay, n int, why AttemptStatus) {
 	for key := range uint64(60) {
 		id, done := r.ask(key + 1)
 		for _, a := range done {
-			s, ok := a.(Send)
+			s, ok := a.(SendAttempt)
 			switch {
 			case !ok:
-			case int(s.Server) <= n:
-				r.fail(id, s.Server, why)
+			case int(s.Endpoint) <= n:
+				r.fail(id, s.Endpoint, why)
 			default:
-				r.do(Standing{Request: id, Server: s.Server, Took: ms})
-				r.do(Outcome{Request: id, Server: s.Server, Status: OK, Done: true})
+				r.do(Established{Request: id, Endpoint: s.Endpoint, SetupTime: ms})
+				r.do(Outcome{Request: id, Endpoint: s.Endpoint, Status: StatusOK, Final: true})
 			}
 		}
 		r.pass(20 * ms)
@@ -119,13 +119,13 @@
 	for _, test := range []struct {
 		name   string
 		n      int
-		why    Status
+		why    AttemptStatus
 		shared bool
 	}{
-		{"all time out", 6, Timeout, true},
-		{"all answer with errors", 6, Error, true},
-		{"one server", 1, Error, false},
-		{"all unreachable", 6, ConnectFailed, false},
+		{"all time out", 6, StatusTimeout, true},
+		{"all answer with errors", 6, StatusError, true},
+		{"one server", 1, StatusError, false},
+		{"all unreachable", 6, StatusConnectFailed, false},
 	} {
 		r := newRelay(t, testSettings(), ready(6)...)
 		failOn(r, test.n, test.why)
@@ -158,9 +158,9 @@
 	second, done := r.ask(2)
 	wantActions(t, done)
 	r.ask(3)
-	done = r.do(Standing{Request: first, Server: to, Took: time.Second}) // late: the window stays
+	done = r.do(Established{Request: first, Endpoint: to, SetupTime: time.Second}) // late: the window stays
 	r.sent(done, second)
-	if n := count[Refuse](r.pass(2 * time.Second)); n != 2 {
+	if n := count[Reject](r.pass(2 * time.Second)); n != 2 {
 		t.Errorf("%d of the 2 that waited were answered", n)
 	}
 }
@@ -185,9 +185,9 @@
 	heavy, to := r.open(1)
 	light, other := r.open(2)
 	for range 20 {
-		r.do(LoadNote{Request: light, Server: other, Load: 0.01})
+		r.do(ConnectionLoad{Request: light, Endpoint: other, Load: 0.01})
 	}
-	r.do(LoadNote{Request: heavy, Server: to, Load: 0.1})
+	r.do(ConnectionLoad{Request: heavy, Endpoint: to, Load: 0.1})
 	q, p := r.b.requests[heavy], r.b.requests[light]
 	if q.load <= 2*p.load {
 		t.Errorf("a connection of ten times the load is booked as %v beside %v", q.load, p.load)
@@ -198,12 +198,12 @@
 
 func askRelay(t *testing.T) *relay {
 	s := testSettings()
-	s.Ask = true
+	s.PollList = true
 	r := newRelay(t, s, ready(4)...)
-	if n := count[Watch](r.log); n != 1 {
+	if n := count[WatchEndpoints](r.log); n != 1 {
 		t.Fatalf("%d calls for the list at the start, want 1", n)
 	}
-	r.do(ServerList{Kind: ListFull, Servers: ready(4)})
+	r.do(EndpointList{Kind: ListFull, Endpoints: ready(4)})
 	return r
 }
 
@@ -212,16 +212,16 @@
 		r := askRelay(t)
 		r.pass(time.Second)
 		id, done := r.ask(7)
-		done = r.fail(id, r.sent(done, id), Full)
-		wantActions(t, done, Watch{})
+		done = r.fail(id, r.sent(done, id), StatusFull)
+		wantActions(t, done, WatchEndpoints{})
 		if listAfter < backoffBase {
 			r.pass(listAfter)
-			wantActions(t, r.do(ServerList{Kind: ListDelta}))
+			wantActions(t, r.do(EndpointList{Kind: ListDelta}))
 			wantActions(t, r.pass(backoffBase-listAfter-1))
 			r.sent(r.pass(1), id)
 		} else {
 			wantActions(t, r.pass(listAfter))
-			r.sent(r.do(ServerList{Kind: ListDelta}), id)
+			r.sent(r.do(EndpointList{Kind: ListDelta}), id)
 		}
 	}
 }
@@ -231,11 +231,11 @@
 		r := askRelay(t)
 		r.pass(time.Second)
 		id, done := r.ask(7)
-		r.fail(id, r.sent(done, id), Full)
+		r.fail(id, r.sent(done, id), StatusFull)
 		if !lost {
-			r.do(ServerList{Kind: ListFailed})
+			r.do(EndpointList{Kind: ListFailed})
 		}
-		if n := count[Send](r.pass(1500 * ms)); n != 1 {
+		if n := count[SendAttempt](r.pass(1500 * ms)); n != 1 {
 			t.Errorf("lost %v: %d attempts followed", lost, n)
 		}
 	}
@@ -244,18 +244,18 @@
 func TestRetriesShareOneCall(t *testing.T) {
 	r := askRelay(t)
 	r.pass(time.Second)
-	calls := count[Watch](r.log)
+	calls := count[WatchEndpoints](r.log)
 	for key := range uint64(10) {
 		id, done := r.ask(key + 1)
-		r.fail(id, r.sent(done, id), ConnectFailed)
+		r.fail(id, r.sent(done, id), StatusConnectFailed)
 	}
-	if n := count[Watch](r.log) - calls; n != 1 {
+	if n := count[WatchEndpoints](r.log) - calls; n != 1 {
 		t.Errorf("10 retries made %d calls, want 1", n)
 	}
-	if n := count[Send](r.do(ServerList{Kind: ListDelta})); n != 0 {
+	if n := count[SendAttempt](r.do(EndpointList{Kind: ListDelta})); n != 0 {
 		t.Errorf("%d attempts left before their backoff", n)
 	}
-	if n := count[Send](r.pass(backoffBase)); n != 10 {
+	if n := count[SendAttempt](r.pass(backoffBase)); n != 10 {
 		t.Errorf("%d of 10 retries left", n)
 	}
 }
@@ -263,25 +263,25 @@
 // Rule 3 wants the list asked for again after a failure, and in time.
 func TestListIsAskedForUntilItIsAnswered(t *testing.T) {
 	s := testSettings()
-	s.Ask = true
+	s.PollList = true
 	r := newRelay(t, s, ready(2)...)
 	for range 10 {
-		calls := count[Watch](r.log)
-		r.do(ServerList{Kind: ListFailed})
-		r.pass(s.AskEvery/2 + ms)
-		if count[Watch](r.log) == calls {
+		calls := count[WatchEndpoints](r.log)
+		r.do(EndpointList{Kind: ListFailed})
+		r.pass(s.PollInterval/2 + ms)
+		if count[WatchEndpoints](r.log) == calls {
 			t.Fatal("a failed call was not followed by another within half the time allowed")
 		}
 	}
-	calls := count[Watch](r.log)
-	r.pass(s.AskEvery)
-	if count[Watch](r.log) == calls {
+	calls := count[WatchEndpoints](r.log)
+	r.pass(s.PollInterval)
+	if count[WatchEndpoints](r.log) == calls {
 		t.Error("a call that was never answered was not repeated")
 	}
-	r.do(ServerList{Kind: ListFull, Servers: ready(2)})
-	calls = count[Watch](r.log)
+	r.do(EndpointList{Kind: ListFull, Endpoints: ready(2)})
+	calls = count[WatchEndpoints](r.log)
 	r.pass(time.Minute)
-	if n := count[Watch](r.log) - calls; n != 0 {
+	if n := count[WatchEndpoints](r.log) - calls; n != 0 {
 		t.Errorf("%d calls while the subscription stands", n)
 	}
 }
@@ -290,13 +290,13 @@
 
 func TestResumedConnectionsGiveRoutesBack(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(6)...)
-	r.do(Resumed{Request: Request{ID: 900, Group: 7}, Server: 4})
-	r.do(Resumed{Request: Request{ID: 901, Group: 8}, Server: 77}) // not on the stale list
+	r.do(Resumed{Request: Request{ID: 900, Group: 7}, Endpoint: 4})
+	r.do(Resumed{Request: Request{ID: 901, Group: 8}, Endpoint: 77}) // not on the stale list
 	if _, to := r.open(7); to != 4 {
 		t.Errorf("group went to %d, its connection is at 4", to)
 	}
-	r.do(Outcome{Request: 900, Server: 4, Status: Reset, Done: true})
-	r.do(Outcome{Request: 901, Server: 77, Status: Reset, Done: true})
+	r.do(Outcome{Request: 900, Endpoint: 4, Status: StatusReset, Final: true})
+	r.do(Outcome{Request: 901, Endpoint: 77, Status: StatusReset, Final: true})
 	if n := len(r.b.requests); n != 1 {
 		t.Errorf("%d connections held, want 1", n)
 	}
@@ -307,8 +307,8 @@
 	s := r.b.fleet.find(1)
 	s.cut(0, r.now)
 	s.lastSlow, s.delayAt = r.now, r.now
-	r.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: 1, State: Ready, Weight: 1, Born: r.now}}})
-	if s.weightAt(r.now) != weightStart || s.slowAt(r.now) || r.b.warmth(s) != r.b.set.ColdShare {
+	r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: r.now}}})
+	if s.weightAt(r.now) != weightStart || s.slowAt(r.now) || r.b.warmth(s) != r.b.set.InitialCapacity {
 		t.Errorf("weight %v, slow %v, warmth %v", s.weightAt(r.now), s.lastSlow, r.b.warmth(s))
 	}
 }
@@ -318,36 +318,36 @@
 func TestMidFlowConnectionGoesToItsGroupsServer(t *testing.T) {
 	a, b := newRelay(t, testSettings(), ready(6)...), newRelay(t, testSettings(), ready(6)...)
 	_, to := a.open(7)
-	if got := b.sent(b.do(Request{ID: 1, Group: 7, Left: time.Second}), 1); got != to {
+	if got := b.sent(b.do(Request{ID: 1, Group: 7, TimeLeft: time.Second}), 1); got != to {
 		t.Errorf("the connection stands at %d, another relay sent it to %d", to, got)
 	}
 }
 
 func TestUnknownClassIsHeldUnsafe(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(3)...)
-	to := r.sent(r.do(Request{ID: 1, Class: 9, Left: time.Second}), 1)
-	wantActions(t, r.fail(1, to, Error), Fail{Request: 1})
+	to := r.sent(r.do(Request{ID: 1, Class: 9, TimeLeft: time.Second}), 1)
+	wantActions(t, r.fail(1, to, StatusError), Fail{Request: 1})
 }
 
 // Set-ups and moves among slow servers are what keeps them slow.
 func TestRequestsWaitWhileTheServerPickedIsSlow(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(1)...)
 	up, to := r.open(7)
-	r.do(DelayNote{Request: up, Server: to, Delay: time.Second})
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: time.Second})
 	id, done := r.ask(7)
 	wantActions(t, done)
 	wantActions(t, r.pass(500*ms))
-	r.do(DelayNote{Request: up, Server: to, Delay: 30 * ms})
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: 30 * ms})
 	r.sent(r.pass(holdFor), id)
-	r.do(Standing{Request: id, Server: to, Took: ms})
-	r.do(DelayNote{Request: up, Server: to, Delay: time.Second})
+	r.do(Established{Request: id, Endpoint: to, SetupTime: ms})
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: time.Second})
 	late, _ := r.ask(7)
 	for range 4 { // notes keep coming; the one that waits is answered all the same
 		r.pass(475 * ms)
-		r.do(DelayNote{Request: up, Server: to, Delay: time.Second})
+		r.do(EndpointDelay{Request: up, Endpoint: to, Delay: time.Second})
 	}
 	r.pass(100 * ms)
-	if count[Refuse](r.log) != 1 || r.b.requests[late] != nil {
+	if count[Reject](r.log) != 1 || r.b.requests[late] != nil {
 		t.Errorf("the request that waited has no answer: %v", r.log)
 	}
 }
@@ -357,7 +357,7 @@
 	r := newRelay(t, testSettings(), ready(1)...)
 	up, to := r.open(7)
 	r.openMany(7, 19)
-	moved := count[Move](r.do(DelayNote{Request: up, Server: to, Delay: time.Second}))
+	moved := count[Migrate](r.do(EndpointDelay{Request: up, Endpoint: to, Delay: time.Second}))
 	if moved < 5 || moved > 18 {
 		t.Fatalf("%d of 20 moved", moved)
 	}
@@ -366,8 +366,8 @@
 		wantActions(t, done)
 	}
 	r.pass(ms)
-	r.do(DelayNote{Request: up, Server: to, Delay: 10 * ms})
-	if n := count[Send](r.pass(2 * time.Second)); n < 2 {
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: 10 * ms})
+	if n := count[SendAttempt](r.pass(2 * time.Second)); n < 2 {
 		t.Errorf("%d of %d sent once the server was no longer slow", n, moved)
 	}
 }
@@ -376,11 +376,11 @@
 func TestRequestsWaitForAServerThatIsFull(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(1)...)
 	id, done := r.ask(7)
-	r.fail(id, r.sent(done, id), Full)
+	r.fail(id, r.sent(done, id), StatusFull)
 	_, done = r.ask(8)
 	wantActions(t, done)
 	r.pass(1500 * ms)
-	if n := count[Send](r.log); n != 1 {
+	if n := count[SendAttempt](r.log); n != 1 {
 		t.Errorf("%d attempts at a server that was full", n)
 	}
 }
@@ -391,20 +391,20 @@
 	s.Relays = 2
 	r := newRelay(t, s, ready(1)...)
 	up, to := r.open(7)
-	r.do(DelayNote{Request: up, Server: to, Delay: time.Second})
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: time.Second})
 	for range 20 {
 		r.ask(7)
 	}
 	r.pass(ms)
-	r.do(DelayNote{Request: up, Server: to, Delay: 10 * ms})
-	if n := count[Send](r.pass(time.Second)); n < 2 || n > 3 {
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: 10 * ms})
+	if n := count[SendAttempt](r.pass(time.Second)); n < 2 || n > 3 {
 		t.Errorf("%d sent within a second, want one in %v", n, 2*easeGap)
 	}
 	r.pass(easeFor)
 	sent := 0
 	for range 10 {
 		_, done := r.ask(8)
-		sent += count[Send](done)
+		sent += count[SendAttempt](done)
 	}
 	if sent != 10 {
 		t.Errorf("%d of 10 sent long after", sent)
@@ -435,7 +435,7 @@
 		for key := range uint64(20) {
 			r := newRelay(t, testSettings(), ready(6)...)
 			id, to := r.open(key + 1)
-			r.do(DelayNote{Request: id, Server: to, Delay: test.delay})
+			r.do(EndpointDelay{Request: id, Endpoint: to, Delay: test.delay})
 			if _, next := r.open(key + 1); next != to {
 				moved++
 			}
@@ -453,7 +453,7 @@
 	s.MaxRetryAfter = 1500 * ms
 	r := newRelay(t, s)
 	id, done := r.ask(7)
-	wantActions(t, append(done, r.pass(2*time.Second)...), Refuse{Request: id, RetryAfter: 1500 * ms})
+	wantActions(t, append(done, r.pass(2*time.Second)...), Reject{Request: id, RetryAfter: 1500 * ms})
 }
 
 // A client has to be told to move before its server leaves; but not all at once.
@@ -461,18 +461,18 @@
 	r := newRelay(t, testSettings(), ready(2)...)
 	for i := range 20 {
 		r.next++
-		r.do(Resumed{Request: Request{ID: r.next, Group: uint64(i + 1)}, Server: 1})
+		r.do(Resumed{Request: Request{ID: r.next, Group: uint64(i + 1)}, Endpoint: 1})
 	}
-	line := Server{ID: 1, State: Draining, Weight: 1}
-	first := count[Move](r.do(ServerList{Kind: ListDelta, Servers: []Server{line}}))
+	line := Endpoint{ID: 1, State: StateDraining, Weight: 1}
+	first := count[Migrate](r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}}))
 	if first == 0 || first > 5 {
 		t.Errorf("%d of 20 clients were moved at once", first)
 	}
-	if again := count[Move](r.do(ServerList{Kind: ListDelta, Servers: []Server{line}})); again != 0 {
+	if again := count[Migrate](r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}})); again != 0 {
 		t.Errorf("%d more were moved as the list came again", again)
 	}
-	if count[Move](r.pass(4*time.Second)) != 20-first || len(r.b.leaving) != 0 {
-		t.Errorf("%d clients are left on a server that drains", 20-count[Move](r.log))
+	if count[Migrate](r.pass(4*time.Second)) != 20-first || len(r.b.leaving) != 0 {
+		t.Errorf("%d clients are left on a server that drains", 20-count[Migrate](r.log))
 	}
 }
 
@@ -483,14 +483,14 @@
 	s.Relays = 80
 	relays := fleetOf(t, s, ready(3)...)
 	for _, r := range relays {
-		r.do(Resumed{Request: Request{ID: 1, Group: 5}, Server: 1})
-		r.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: 1, State: Draining, Weight: 1}}})
+		r.do(Resumed{Request: Request{ID: 1, Group: 5}, Endpoint: 1})
+		r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
 	}
 	moved := 0
 	for at := 250 * ms; at <= 4250*ms; at += 250 * ms {
 		n := 0
 		for _, r := range relays {
-			n += count[Move](r.pass(250 * ms))
+			n += count[Migrate](r.pass(250 * ms))
 		}
 		if moved += n; n > 24 || at < 2*time.Second && n > 0 {
 			t.Errorf("%d move in the 250 ms before %v", n, at)
@@ -507,14 +507,14 @@
 	s.MaxRetryAfter = 1500 * ms
 	r := newRelay(t, s, ready(2)...)
 	id, done := r.ask(7)
-	r.fail(id, r.sent(done, id), Full)
+	r.fail(id, r.sent(done, id), StatusFull)
 	done = r.pass(backoffBase)
-	if count[Send](done) == 0 { // the draw may hold it back while it is eased in
+	if count[SendAttempt](done) == 0 { // the draw may hold it back while it is eased in
 		done = r.pass(easeFor)
 	}
 	second := r.sent(done, id)
-	r.fail(id, second, Full)
-	wantActions(t, r.pass(2*backoffBase), Refuse{Request: id, RetryAfter: 1500 * ms})
+	r.fail(id, second, StatusFull)
+	wantActions(t, r.pass(2*backoffBase), Reject{Request: id, RetryAfter: 1500 * ms})
 }
 
 // The advice is when the first server held slow takes work again.
@@ -523,10 +523,10 @@
 	s.MaxRetryAfter = 10 * time.Second
 	r := newRelay(t, s, ready(1)...)
 	up, to := r.open(7)
-	r.do(DelayNote{Request: up, Server: to, Delay: time.Second})
+	r.do(EndpointDelay{Request: up, Endpoint: to, Delay: time.Second})
 	id, _ := r.ask(7)
-	left := 2*time.Second - 2*s.Tick
-	wantActions(t, r.pass(left), Refuse{Request: id, RetryAfter: slowLife - left})
+	left := 2*time.Second - 2*s.MinTick
+	wantActions(t, r.pass(left), Reject{Request: id, RetryAfter: slowLife - left})
 }
 
 // Load that is told with a request counts before the first note.
@@ -535,11 +535,11 @@
 	var light, heavy RequestID
 	for key := range uint64(40) {
 		light, _ = r.open(key + 1)
-		r.do(LoadNote{Request: light, Load: 1})
+		r.do(ConnectionLoad{Request: light, Load: 1})
 	}
 	heavy, r.next = r.next+1, r.next+1
-	to := r.sent(r.do(Request{ID: heavy, Group: 1000, Left: time.Second, Load: 5}), heavy)
-	r.do(Standing{Request: heavy, Server: to, Took: ms})
+	to := r.sent(r.do(Request{ID: heavy, Group: 1000, TimeLeft: time.Second, ExpectedLoad: 5}), heavy)
+	r.do(Established{Request: heavy, Endpoint: to, SetupTime: ms})
 	if l, h := r.b.requests[light].load, r.b.requests[heavy].load; h < 4*l {
 		t.Errorf("booked loads %v and %v, want the second about five times the first", l, h)
 	}
@@ -563,10 +563,10 @@
 			s := r.b.fleet.find(to)
 			s.delay, s.delayAt = 400*ms, r.now
 			r.pass(time.Second)
-			for i := range ServerID(c.slow - 1) {
-				r.do(DelayNote{Server: (to+i)%6 + 1, Delay: 150 * ms})
+			for i := range EndpointID(c.slow - 1) {
+				r.do(EndpointDelay{Endpoint: (to+i)%6 + 1, Delay: 150 * ms})
 			}
-			r.do(DelayNote{Request: id, Server: to, Delay: 150 * ms})
+			r.do(EndpointDelay{Request: id, Endpoint: to, Delay: 150 * ms})
 			if r.b.draw(&request{Request: Request{Group: key + 1}}) == s {
 				stay++
 			}
@@ -584,15 +584,15 @@
 	r := newRelay(t, testSettings(), ready(2)...)
 	id, to := r.open(7)
 	r.open(7)
-	r.do(Outcome{Request: id, Server: to, Status: SentAway, Done: true})
+	r.do(Outcome{Request: id, Endpoint: to, Status: StatusRedirected, Final: true})
 	for key := range uint64(30) {
 		if _, next := r.open(key + 1); next == to {
 			t.Fatalf("group %d goes to the server that sends its clients away", key+1)
 		}
 	}
 	line := ready(2)[to-1]
-	line.Born = r.now - testSettings().ColdFor // it has started anew, and is warm
-	r.do(ServerList{Kind: ListDelta, Servers: []Server{line}})
+	line.StartedAt = r.now - testSettings().SlowStartDuration // it has started anew, and is warm
+	r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}})
 	back := 0
 	for key := range uint64(60) {
 		if _, next := r.open(key + 100); next == to {
--- /dev/null
+++ b/balancer/encoding_test.go
@@ -0,0 +1,66 @@
+package balancer_test
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"lockroad/balancer"
+	"lockroad/internal/steps"
+)
+
+// wholeMemory is a Memory with every field set.
+func wholeMemory() balancer.Snapshot {
+	return balancer.Snapshot{
+		Salt: 0xfedcba9876543210,
+		Endpoints: []balancer.EndpointSnapshot{
+			{
+				ID: 0xf1e2d3c4, Weight: 1.25, WeightSetAt: 1001 * time.Millisecond, LastAttemptAt: 1002 * time.Millisecond,
+				EstablishedAt: 1003 * time.Millisecond, FailedAt: 1004 * time.Millisecond, SlowAt: 1005 * time.Millisecond,
+				Delay: 1006 * time.Microsecond, DelayAt: 1007 * time.Millisecond, RelievedAt: 1008 * time.Millisecond,
+				DrainingSince: 1009 * time.Millisecond, RedirectedAt: 1010 * time.Millisecond, StartedAt: -1011 * time.Millisecond,
+			},
+			{
+				ID: 2, Weight: 0.5, WeightSetAt: 2001, LastAttemptAt: 2002, EstablishedAt: 2003, FailedAt: 2004, SlowAt: 2005,
+				Delay: 2006, DelayAt: 2007, RelievedAt: 2008, DrainingSince: 2009, RedirectedAt: 2010, StartedAt: 2011,
+			},
+		},
+		Routes:        []balancer.RouteSnapshot{{Key: 0x123456789abcdef1, Endpoint: 3, ExpiresAt: 3001 * time.Second}},
+		RecentSetups:  balancer.CounterSnapshot{Count: 4.5, UpdatedAt: 4001 * time.Millisecond, CountedFrom: 4002 * time.Millisecond},
+		ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * time.Millisecond, CountedFrom: 5002 * time.Millisecond},
+		SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
+	}
+}
+
+// What a balancer has learnt goes to a relay's next process as JSON.
+func TestMemoryKeepsItsJSONEncoding(t *testing.T) {
+	steps.Complete(t, wholeMemory())
+	steps.GoldenJSON(t, "testdata/memory.json", wholeMemory())
+	steps.GoldenJSON(t, "testdata/memory-zero.json", balancer.Snapshot{})
+	steps.GoldenJSON(t, "testdata/memory-zero-elements.json", balancer.Snapshot{
+		Endpoints: make([]balancer.EndpointSnapshot, 1), Routes: make([]balancer.RouteSnapshot, 1)})
+}
+
+// It goes to the store as CBOR.
+func TestMemoryKeepsItsCBOREncoding(t *testing.T) {
+	for path, memory := range map[string]balancer.Snapshot{"testdata/memory.cbor": wholeMemory(), "testdata/memory-zero.cbor": {}} {
+		body, err := cbor.Marshal(memory)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var decoded balancer.Snapshot
+		if err := cbor.Unmarshal(steps.Golden(t, path, body), &decoded); err != nil {
+			t.Fatalf("%s: %v", path, err)
+		}
+		if !reflect.DeepEqual(decoded, memory) {
+			t.Errorf("%s is decoded as\n%+v, want\n%+v", path, decoded, memory)
+		}
+	}
+}
+
+// A field that has no name in its tags would change both encodings when it is renamed.
+func TestMemoryFieldsAreTagged(t *testing.T) {
+	steps.Tagged(t, []string{"json", "cbor"}, balancer.Snapshot{})
+}
--- /dev/null
+++ b/balancer/example_test.go
@@ -0,0 +1,50 @@
+package balancer_test
+
+import (
+	"fmt"
+	"log"
+	"time"
+
+	"lockroad/balancer"
+)
+
+// A relay hands events over with its clock and carries out what comes back.
+func Example() {
+	settings := balancer.Settings{
+		Classes:           []balancer.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
+		Relays:            1,
+		MaxAttempts:       3,
+		ConnectTimeout:    200 * time.Millisecond,
+		InitialCapacity:   0.2,
+		SlowStartDuration: 20 * time.Second,
+		OverloadMultiple:  3,
+		OverloadWindow:    1500 * time.Millisecond,
+	}
+	if err := settings.Validate(); err != nil {
+		log.Fatal(err)
+	}
+	b := balancer.New(settings, 1)
+	now := 10 * time.Second // any clock that only goes forward
+	b.Handle(now, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{
+		{ID: 1, State: balancer.StateReady, Weight: 4},
+		{ID: 2, State: balancer.StateDraining, Weight: 4},
+	}})
+	for _, action := range b.Handle(now, balancer.Request{ID: 7, Group: 42, TimeLeft: 2 * time.Second}) {
+		switch a := action.(type) {
+		case balancer.SendAttempt:
+			fmt.Printf("connect request %d to server %d, wait %v\n", a.Request, a.Endpoint, a.Timeout)
+		case balancer.SetTimer:
+			fmt.Printf("timer %d in %v\n", a.Token, a.After)
+		}
+	}
+	for _, action := range b.Handle(now+90*time.Millisecond,
+		balancer.Outcome{Request: 7, Endpoint: 1, Status: balancer.StatusFull}) {
+		if a, ok := action.(balancer.SetTimer); ok {
+			fmt.Printf("try again in %v\n", a.After)
+		}
+	}
+	// Output:
+	// timer 1 in 2s
+	// connect request 7 to server 1, wait 1s
+	// try again in 100ms
+}
--- a/balance/facade_test.go
+++ b/balancer/facade_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"context"
@@ -9,15 +9,15 @@
 
 // driven is a Facade whose turns the test takes.
 type driven struct {
-	*Facade
+	*Loop
 	t   *testing.T
 	now time.Duration
 }
 
 func newDriven(t *testing.T, servers int) *driven {
 	t.Helper()
-	d := &driven{NewFacade(testSettings(), 1), t, time.Hour}
-	d.Report(Farm{Kind: ListCached, Servers: ready(servers)})
+	d := &driven{NewLoop(testSettings(), 1), t, time.Hour}
+	d.Report(EndpointUpdate{Kind: ListCached, Endpoints: ready(servers)})
 	d.turn(0)
 	return d
 }
@@ -37,15 +37,15 @@
 }
 
 // ask hands in a transaction.
-func (d *driven) ask() *Ticket {
-	t := NewTicket(Ask{Group: 7, GiveUp: d.now + 2*time.Second})
+func (d *driven) ask() *RequestHandle {
+	t := NewRequestHandle(RequestOptions{Group: 7, Deadline: d.now + 2*time.Second})
 	t.begun = true // Pick would block before the turn
 	d.post(t)
 	d.turn(0)
 	return t
 }
 
-func (d *driven) want(t *Ticket, kind StepKind) Step {
+func (d *driven) want(t *RequestHandle, kind ActionKind) RequestAction {
 	d.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -56,7 +56,7 @@
 	return s
 }
 
-func (d *driven) wantNone(t *Ticket) {
+func (d *driven) wantNone(t *RequestHandle) {
 	d.t.Helper()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	why := errors.New("no step")
@@ -69,21 +69,21 @@
 func TestTransactionIsTriedAgainUntilItStands(t *testing.T) {
 	d := newDriven(t, 2)
 	q := d.ask()
-	first := d.want(q, StepPass)
+	first := d.want(q, ActionAttempt)
 	d.wantNone(q)
-	d.Report(Ended{Ticket: q, How: ConnectFailed})
+	d.Report(AttemptEnded{Handle: q, Status: StatusConnectFailed})
 	d.turn(0)
 	d.wantNone(q) // it backs off
 	d.turn(backoffBase)
-	if second := d.want(q, StepPass); second.Server == first.Server {
+	if second := d.want(q, ActionAttempt); second.Endpoint == first.Endpoint {
 		t.Error("the second pass goes where the first has failed")
 	}
-	d.Report(Stands{Ticket: q, Took: 5 * ms})
+	d.Report(AttemptEstablished{Handle: q, SetupTime: 5 * ms})
 	d.turn(0)
-	d.want(q, StepUp)
-	d.Report(Ended{Ticket: q, How: OK})
+	d.want(q, ActionEstablished)
+	d.Report(AttemptEnded{Handle: q, Status: StatusOK})
 	d.turn(0)
-	d.want(q, StepOver)
+	d.want(q, ActionClosed)
 	if len(d.tickets) != 0 {
 		t.Errorf("%d tickets are kept", len(d.tickets))
 	}
@@ -92,39 +92,39 @@
 func TestAnswerComesWhileAPassIsOut(t *testing.T) {
 	d := newDriven(t, 1)
 	q := d.ask()
-	d.want(q, StepPass)
+	d.want(q, ActionAttempt)
 	d.turn(2 * time.Second)
-	d.want(q, StepUnavailable)
+	d.want(q, ActionReject)
 	// The pass that stands after that comes too late.
-	d.Report(Stands{Ticket: q})
-	d.Report(Ended{Ticket: q, How: Cancelled})
+	d.Report(AttemptEstablished{Handle: q})
+	d.Report(AttemptEnded{Handle: q, Status: StatusCancelled})
 	d.turn(0)
 	d.wantNone(q)
 }
 
 func TestSlowServersConnectionsAreMoved(t *testing.T) {
 	d := newDriven(t, 1)
-	q := NewTicket(Ask{Group: 7, Open: true, At: 1})
+	q := NewRequestHandle(RequestOptions{Group: 7, Established: true, Endpoint: 1})
 	q.begun = true
 	d.post(q)
 	d.turn(0)
-	d.want(q, StepUp)
+	d.want(q, ActionEstablished)
 	for range 4 {
-		d.Report(Load{Ticket: q, Load: 0.1})
-		d.Report(Delay{Server: 1, Delay: 3 * time.Second})
+		d.Report(LoadReport{Handle: q, Load: 0.1})
+		d.Report(DelayReport{Endpoint: 1, Delay: 3 * time.Second})
 		d.turn(time.Second)
 	}
-	d.want(q, StepMove)
+	d.want(q, ActionMigrate)
 }
 
 func TestClientThatLeavesGetsNothingMore(t *testing.T) {
 	d := newDriven(t, 2)
 	q := d.ask()
-	d.want(q, StepPass)
-	d.Report(Left{Ticket: q})
-	d.Report(Ended{Ticket: q, How: Cancelled})
+	d.want(q, ActionAttempt)
+	d.Report(ClientDisconnected{Handle: q})
+	d.Report(AttemptEnded{Handle: q, Status: StatusCancelled})
 	d.turn(3 * time.Second)
-	d.want(q, StepOver)
+	d.want(q, ActionClosed)
 	d.wantNone(q)
 }
 
@@ -133,6 +133,6 @@
 	d := newDriven(t, 1)
 	d.Close()
 	for range mailboxSize + 1 {
-		d.Report(Delay{Server: 1})
+		d.Report(DelayReport{Endpoint: 1})
 	}
 }
--- a/balance/harness_test.go
+++ b/balancer/harness_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"reflect"
@@ -12,16 +12,16 @@
 // testSettings describes a small deployment with one class that is safe to repeat.
 func testSettings() Settings {
 	return Settings{
-		Classes:     []Class{{Aim: 500 * ms, Deadline: 2 * time.Second, MessageAim: 100 * ms}},
-		Relays:      1,
-		MaxAttempts: 3,
-		Tick:        5 * ms,
-		Connect:     200 * ms,
-		ColdShare:   0.2,
-		ColdFor:     20 * time.Second,
-		TipMultiple: 3,
-		TipAfter:    1500 * ms,
-		AskEvery:    10 * time.Second,
+		Classes:           []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms}},
+		Relays:            1,
+		MaxAttempts:       3,
+		MinTick:           5 * ms,
+		ConnectTimeout:    200 * ms,
+		InitialCapacity:   0.2,
+		SlowStartDuration: 20 * time.Second,
+		OverloadMultiple:  3,
+		OverloadWindow:    1500 * ms,
+		PollInterval:      10 * time.Second,
 	}
 }
 
@@ -40,33 +40,33 @@
 	token uint32
 }
 
-func newRelay(t *testing.T, s Settings, servers ...Server) *relay {
+func newRelay(t *testing.T, s Settings, servers ...Endpoint) *relay {
 	t.Helper()
 	if err := s.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	r := &relay{t: t, b: New(s, 1), now: time.Hour}
-	r.do(ServerList{Kind: ListCached, Servers: servers})
+	r.do(EndpointList{Kind: ListCached, Endpoints: servers})
 	return r
 }
 
 // fleetOf returns as many relays as the settings name, each of a seed of its own.
-func fleetOf(t *testing.T, s Settings, servers ...Server) []*relay {
+func fleetOf(t *testing.T, s Settings, servers ...Endpoint) []*relay {
 	t.Helper()
 	relays := make([]*relay, s.Relays)
 	for i := range relays {
 		relays[i] = newRelay(t, s)
 		relays[i].b = New(s, uint64(i)<<32+7)
-		relays[i].do(ServerList{Kind: ListCached, Servers: servers})
+		relays[i].do(EndpointList{Kind: ListCached, Endpoints: servers})
 	}
 	return relays
 }
 
 // ready returns n ready servers of equal size, numbered from 1.
-func ready(n int) []Server {
-	list := make([]Server, n)
+func ready(n int) []Endpoint {
+	list := make([]Endpoint, n)
 	for i := range list {
-		list[i] = Server{ID: ServerID(i + 1), State: Ready, Weight: 1}
+		list[i] = Endpoint{ID: EndpointID(i + 1), State: StateReady, Weight: 1}
 	}
 	return list
 }
@@ -111,32 +111,32 @@
 // ask hands over a request of a group and returns its ID and what was done.
 func (r *relay) ask(group uint64) (RequestID, []Action) {
 	r.next++
-	return r.next, r.do(Request{ID: r.next, Group: group, Left: 2 * time.Second})
+	return r.next, r.do(Request{ID: r.next, Group: group, TimeLeft: 2 * time.Second})
 }
 
 // open sets a connection of a group up and returns its ID and server.
-func (r *relay) open(group uint64) (RequestID, ServerID) {
+func (r *relay) open(group uint64) (RequestID, EndpointID) {
 	r.t.Helper()
 	id, done := r.ask(group)
 	to := r.sent(done, id)
-	r.do(Standing{Request: id, Server: to, Took: 10 * ms})
+	r.do(Established{Request: id, Endpoint: to, SetupTime: 10 * ms})
 	return id, to
 }
 
 // sent returns the server that the only action sends a request to.
-func (r *relay) sent(done []Action, id RequestID) ServerID {
+func (r *relay) sent(done []Action, id RequestID) EndpointID {
 	r.t.Helper()
 	if len(done) == 1 {
-		if s, ok := done[0].(Send); ok && s.Request == id {
-			return s.Server
+		if s, ok := done[0].(SendAttempt); ok && s.Request == id {
+			return s.Endpoint
 		}
 	}
 	r.t.Fatalf("want request %d sent, got %v", id, done)
 	return 0
 }
 
-func (r *relay) fail(id RequestID, to ServerID, why Status) []Action {
-	return r.do(Outcome{Request: id, Server: to, Status: why})
+func (r *relay) fail(id RequestID, to EndpointID, why AttemptStatus) []Action {
+	return r.do(Outcome{Request: id, Endpoint: to, Status: why})
 }
 
 func count[T Action](done []Action) int {
--- a/balance/herd_test.go
+++ b/balancer/herd_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"testing"
@@ -19,9 +19,9 @@
 	s := testSettings()
 	s.Relays, s.MaxAttempts = relays, 5
 	s.Classes = []Class{
-		{Name: "patient", Aim: 800 * ms, Deadline: 4800 * ms, MessageAim: 100 * ms},
-		{Name: "short of time", Aim: 500 * ms, Deadline: 600 * ms, MessageAim: 60 * ms},
-		{Name: "once", Aim: 500 * ms, Deadline: 700 * ms, MessageAim: 60 * ms, Effect: AtMostOnce},
+		{Name: "patient", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 100 * ms},
+		{Name: "short of time", LatencyObjective: 500 * ms, Deadline: 600 * ms, MessageLatencyObjective: 60 * ms},
+		{Name: "once", LatencyObjective: 500 * ms, Deadline: 700 * ms, MessageLatencyObjective: 60 * ms, Effect: AtMostOnce},
 	}
 	asked, served := make([]int, len(s.Classes)), make([]int, len(s.Classes))
 	for i, r := range fleetOf(t, s, ready(servers)...) {
@@ -30,29 +30,29 @@
 			asked[class]++
 			left := s.Classes[class].Deadline
 			id, began := RequestID(round+1), r.now
-			done := r.do(Request{ID: id, Group: uint64(i*rounds + round + 1), Class: class, Left: left})
+			done := r.do(Request{ID: id, Group: uint64(i*rounds + round + 1), Class: class, TimeLeft: left})
 			for len(done) > 0 {
-				send, ok := done[0].(Send)
+				send, ok := done[0].(SendAttempt)
 				if !ok {
 					break // refused or failed
 				}
 				wait := took
-				up := send.Server%8 != 0 && send.Timeout >= took
+				up := send.Endpoint%8 != 0 && send.Timeout >= took
 				if !up {
 					wait = send.Timeout
 				}
 				r.now += wait // its own timers come later: the outcome is there first
 				if up {
-					r.do(Standing{Request: id, Server: send.Server, Took: took})
+					r.do(Established{Request: id, Endpoint: send.Endpoint, SetupTime: took})
 					served[class]++
 					break
 				}
-				done = r.do(Outcome{Request: id, Server: send.Server, Status: Timeout})
+				done = r.do(Outcome{Request: id, Endpoint: send.Endpoint, Status: StatusTimeout})
 				for len(done) == 0 && r.now < began+left {
 					done = r.pass(ms)
 				}
 			}
-			if late := r.now - began; late > left+s.Tick {
+			if late := r.now - began; late > left+s.MinTick {
 				t.Errorf("relay %d answers after %v of %v", i, late, left)
 			}
 			r.pass(max(0, began+time.Second-r.now))
@@ -71,7 +71,7 @@
 	s.Classes[0].Effect = AtMostOnce
 	r := newRelay(t, s, ready(3)...)
 	_, done := r.ask(1)
-	if send, ok := done[0].(Send); !ok || send.Timeout < 1900*ms {
+	if send, ok := done[0].(SendAttempt); !ok || send.Timeout < 1900*ms {
 		t.Errorf("of 2 s the attempt gets %v", done)
 	}
 }
--- a/balance/many_test.go
+++ b/balancer/many_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"testing"
@@ -9,8 +9,8 @@
 type farm struct {
 	t      *testing.T
 	relays []*relay
-	seats  map[ServerID]int // free; a server without any turns away
-	hung   map[ServerID]bool
+	seats  map[EndpointID]int // free; a server without any turns away
+	hung   map[EndpointID]bool
 
 	asked map[key]*visit
 	late  map[time.Duration][]func() // outcomes to come, by time
@@ -25,14 +25,14 @@
 	at, answered time.Duration
 	out          bool
 	up           bool
-	tried        []ServerID
+	tried        []EndpointID
 	back         time.Duration
 }
 
 func newFarm(t *testing.T, s Settings, servers, seats int) *farm {
-	f := &farm{t: t, relays: fleetOf(t, s, ready(servers)...), seats: map[ServerID]int{}, hung: map[ServerID]bool{}, asked: map[key]*visit{}, late: map[time.Duration][]func(){}}
+	f := &farm{t: t, relays: fleetOf(t, s, ready(servers)...), seats: map[EndpointID]int{}, hung: map[EndpointID]bool{}, asked: map[key]*visit{}, late: map[time.Duration][]func(){}}
 	for i := range servers {
-		f.seats[ServerID(i+1)] = seats
+		f.seats[EndpointID(i+1)] = seats
 	}
 	return f
 }
@@ -42,31 +42,31 @@
 	r := f.relays[i]
 	for _, a := range done {
 		switch a := a.(type) {
-		case Send:
+		case SendAttempt:
 			v := f.asked[key{i, a.Request}]
 			if v.out || v.up || v.answered > 0 {
 				f.t.Errorf("relay %d: request %d is sent while %+v", i, a.Request, v)
 			}
 			v.out = true
-			v.tried = append(v.tried, a.Server)
+			v.tried = append(v.tried, a.Endpoint)
 			end := func(ev Event) {
 				v.out = false
 				f.take(i, r.do(ev))
 			}
 			switch {
-			case f.hung[a.Server]:
+			case f.hung[a.Endpoint]:
 				at := r.now + a.Timeout
 				f.late[at.Truncate(10*ms)] = append(f.late[at.Truncate(10*ms)], func() {
-					end(Outcome{Request: a.Request, Server: a.Server, Status: Timeout})
+					end(Outcome{Request: a.Request, Endpoint: a.Endpoint, Status: StatusTimeout})
 				})
-			case f.seats[a.Server] == 0:
-				end(Outcome{Request: a.Request, Server: a.Server, Status: Full})
+			case f.seats[a.Endpoint] == 0:
+				end(Outcome{Request: a.Request, Endpoint: a.Endpoint, Status: StatusFull})
 			default:
-				f.seats[a.Server]--
+				f.seats[a.Endpoint]--
 				v.up, v.answered = true, r.now
-				end(Standing{Request: a.Request, Server: a.Server, Took: ms})
+				end(Established{Request: a.Request, Endpoint: a.Endpoint, SetupTime: ms})
 			}
-		case Refuse:
+		case Reject:
 			v := f.asked[key{i, a.Request}]
 			if v.answered > 0 || v.out {
 				f.t.Errorf("relay %d: request %d is refused while %+v", i, a.Request, v)
@@ -83,7 +83,7 @@
 	r := f.relays[i]
 	r.next++
 	f.asked[key{i, r.next}] = &visit{at: r.now}
-	f.take(i, r.do(Request{ID: r.next, Group: group, Left: 2 * time.Second}))
+	f.take(i, r.do(Request{ID: r.next, Group: group, TimeLeft: 2 * time.Second}))
 }
 
 // pass lets time go by for all relays.
--- a/balance/memory_test.go
+++ b/balancer/memory_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"encoding/json"
@@ -8,20 +8,20 @@
 
 // heir is a relay's next process: it has what the one before has learnt, as JSON brings it,
 // and goes on at its clock.
-func (r *relay) heir(seed uint64, servers ...Server) *relay {
+func (r *relay) heir(seed uint64, servers ...Endpoint) *relay {
 	r.t.Helper()
-	text, err := json.Marshal(r.b.Recollect())
+	text, err := json.Marshal(r.b.Snapshot())
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(text, &m); err != nil {
 		r.t.Fatal(err)
 	}
 	n := newRelay(r.t, testSettings())
 	n.b, n.now = New(testSettings(), seed), r.now
-	n.do(ServerList{Kind: ListCached, Servers: servers})
-	n.b.restore(m)
+	n.do(EndpointList{Kind: ListCached, Endpoints: servers})
+	n.b.restoreSnapshot(m)
 	return n
 }
 
@@ -33,7 +33,7 @@
 	_, at := r.open(7)
 	id, done := r.ask(8)
 	bad := r.sent(done, id)
-	r.fail(id, bad, Full)
+	r.fail(id, bad, StatusFull)
 	r.pass(time.Second)
 	n := r.heir(99, servers...)
 	if id, done := n.ask(7); n.sent(done, id) != at {
@@ -54,7 +54,7 @@
 	// Of a server that has started again meanwhile nothing is known.
 	for i := range servers {
 		if servers[i].ID == bad {
-			servers[i].Born = r.now
+			servers[i].StartedAt = r.now
 		}
 	}
 	if n := r.heir(99, servers...); n.b.fleet.find(bad).slowAt(n.now) {
@@ -65,16 +65,16 @@
 // Of the budget for cold servers what one process has spent the next does not spend again,
 // and a process whose part is none sends them nothing.
 func TestBudgetOfColdServersIsSpentOnce(t *testing.T) {
-	cold := func(r *relay) []Server { return []Server{{ID: 1, State: Ready, Weight: 1, Born: r.now}} }
+	cold := func(r *relay) []Endpoint { return []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: r.now}} }
 	r := newRelay(t, testSettings())
 	servers := cold(r)
-	r.do(ServerList{Kind: ListFull, Servers: servers})
+	r.do(EndpointList{Kind: ListFull, Endpoints: servers})
 	sent := func(r *relay, until time.Duration) (n int) {
 		for end := r.now + until; r.now < end; {
 			id, done := r.ask(0)
 			done = append(done, r.pass(10*ms)...)
-			if n += count[Send](done); count[Send](done) > 0 {
-				r.do(Standing{Request: id, Server: 1, Took: ms})
+			if n += count[SendAttempt](done); count[SendAttempt](done) > 0 {
+				r.do(Established{Request: id, Endpoint: 1, SetupTime: ms})
 			}
 		}
 		return n
@@ -87,7 +87,7 @@
 		}
 	}
 	n := r.heir(5, servers...)
-	n.do(ServerList{Kind: ListFull, Servers: servers})
+	n.do(EndpointList{Kind: ListFull, Endpoints: servers})
 	alone, both = sent(r, 400*ms), sent(n, 400*ms)
 	if both > alone+1 {
 		t.Errorf("the next process sends %d where the same one sends %d", both, alone)
@@ -100,12 +100,12 @@
 
 // Connections that come to a process with a server that drains are sent away as the rest.
 func TestConnectionsTakenUpLeaveADrainingServer(t *testing.T) {
-	r := newRelay(t, testSettings(), Server{ID: 1, State: Draining, Weight: 1}, Server{ID: 2, State: Ready, Weight: 1})
+	r := newRelay(t, testSettings(), Endpoint{ID: 1, State: StateDraining, Weight: 1}, Endpoint{ID: 2, State: StateReady, Weight: 1})
 	var moved int
 	for i := range 10 {
-		moved += count[Move](r.do(Resumed{Request: Request{ID: RequestID(100 + i), Group: uint64(i)}, Server: 1}))
+		moved += count[Migrate](r.do(Resumed{Request: Request{ID: RequestID(100 + i), Group: uint64(i)}, Endpoint: 1}))
 	}
-	if moved += count[Move](r.pass(leaveBy)); moved != 10 {
+	if moved += count[Migrate](r.pass(leaveBy)); moved != 10 {
 		t.Errorf("of 10 clients %d were sent away", moved)
 	}
 }
--- a/balance/module_test.go
+++ b/balancer/module_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"os"
@@ -37,11 +37,11 @@
 		"no memory":        func(s *Settings) { s.Classes[0].Effect = Deduplicated },
 		"no relays":        func(s *Settings) { s.Relays = 0 },
 		"no attempts":      func(s *Settings) { s.MaxAttempts = 0 },
-		"no cold share":    func(s *Settings) { s.ColdShare = 0 },
-		"large cold share": func(s *Settings) { s.ColdShare = 2 },
-		"no tip":           func(s *Settings) { s.TipAfter = 0 },
-		"negative":         func(s *Settings) { s.Tick = -1 },
-		"ask never":        func(s *Settings) { s.Ask, s.AskEvery = true, 0 },
+		"no cold share":    func(s *Settings) { s.InitialCapacity = 0 },
+		"large cold share": func(s *Settings) { s.InitialCapacity = 2 },
+		"no tip":           func(s *Settings) { s.OverloadWindow = 0 },
+		"negative":         func(s *Settings) { s.MinTick = -1 },
+		"ask never":        func(s *Settings) { s.PollList, s.PollInterval = true, 0 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -65,11 +65,11 @@
 				other.pass(7 * ms)
 			}
 			for _, a := range done {
-				if s, ok := a.(Send); ok && key%3 == 0 {
-					r.fail(id, s.Server, Status(1+key%5))
+				if s, ok := a.(SendAttempt); ok && key%3 == 0 {
+					r.fail(id, s.Endpoint, AttemptStatus(1+key%5))
 				} else if ok {
-					r.do(Standing{Request: id, Server: s.Server})
-					r.do(DelayNote{Request: id, Server: s.Server, Delay: time.Duration(key*10) * ms})
+					r.do(Established{Request: id, Endpoint: s.Endpoint})
+					r.do(EndpointDelay{Request: id, Endpoint: s.Endpoint, Delay: time.Duration(key*10) * ms})
 				}
 			}
 			r.pass(30 * ms)
--- a/balance/path_test.go
+++ b/balancer/path_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 )
 
 // setupFailures are the ways in which an attempt fails before it stands.
-var setupFailures = []Status{Error, Full, Timeout, ConnectFailed, Reset}
+var setupFailures = []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset}
 
 func TestConnectionFollowsItsGroup(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(8)...)
@@ -21,9 +21,9 @@
 
 func TestRouteWithoutGroupIsTheItems(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(8)...)
-	item := func(id RequestID) ServerID {
-		to := r.sent(r.do(Request{ID: id, Item: 9, Left: time.Second}), id)
-		r.do(Standing{Request: id, Server: to})
+	item := func(id RequestID) EndpointID {
+		to := r.sent(r.do(Request{ID: id, Item: 9, TimeLeft: time.Second}), id)
+		r.do(Established{Request: id, Endpoint: to})
 		return to
 	}
 	if a, b := item(1), item(2); a != b {
@@ -69,10 +69,10 @@
 	r.open(7)
 	r.next++
 	id := r.next
-	to := r.sent(r.do(Request{ID: id, Group: 7, Left: 10 * time.Second}), id)
-	tried := map[ServerID]bool{to: true}
+	to := r.sent(r.do(Request{ID: id, Group: 7, TimeLeft: 10 * time.Second}), id)
+	tried := map[EndpointID]bool{to: true}
 	for _, wait := range []time.Duration{100 * ms, 200 * ms, 400 * ms} {
-		wantActions(t, r.fail(id, to, Full))
+		wantActions(t, r.fail(id, to, StatusFull))
 		wantActions(t, r.pass(wait-1))
 		to = r.sent(r.pass(1), id)
 		if tried[to] {
@@ -80,7 +80,7 @@
 		}
 		tried[to] = true
 	}
-	wantActions(t, r.fail(id, to, Full), Refuse{Request: id})
+	wantActions(t, r.fail(id, to, StatusFull), Reject{Request: id})
 }
 
 func TestStandingWritesAndResetClearsTheRoute(t *testing.T) {
@@ -89,12 +89,12 @@
 	if got, ok := r.b.routes.get(7, r.now); !ok || got != to {
 		t.Fatalf("route is %d, %v; want %d", got, ok, to)
 	}
-	r.do(Outcome{Request: id, Server: to, Status: Reset, Done: true})
+	r.do(Outcome{Request: id, Endpoint: to, Status: StatusReset, Final: true})
 	if _, ok := r.b.routes.get(7, r.now); ok {
 		t.Error("route outlived the reset of its connection")
 	}
 	id, to = r.open(7)
-	r.do(Outcome{Request: id, Server: to, Status: OK, Done: true})
+	r.do(Outcome{Request: id, Endpoint: to, Status: StatusOK, Final: true})
 	if _, ok := r.b.routes.get(7, r.now); !ok {
 		t.Error("a connection's ordinary end cleared its route")
 	}
@@ -103,7 +103,7 @@
 func TestRouteCacheIsBoundedAndExpires(t *testing.T) {
 	r := routes{size: 3, at: make(map[uint64]int)}
 	for key := uint64(1); key <= 5; key++ {
-		r.put(key, ServerID(key), time.Second)
+		r.put(key, EndpointID(key), time.Second)
 	}
 	if len(r.ring) != 3 || len(r.at) != 3 {
 		t.Errorf("%d entries and %d keys in a cache of 3", len(r.ring), len(r.at))
@@ -142,7 +142,7 @@
 func TestRelaysDrawAlikeForAGroup(t *testing.T) {
 	a, b := New(testSettings(), 1), New(testSettings(), 2)
 	for _, x := range []*Balancer{a, b} {
-		x.Handle(0, ServerList{Kind: ListCached, Servers: ready(12)})
+		x.Handle(0, EndpointList{Kind: ListCached, Endpoints: ready(12)})
 	}
 	for key := uint64(1); key < 100; key++ {
 		q := &request{Request: Request{Group: key}}
@@ -164,7 +164,7 @@
 	spread := func(relays int) (mean float64) {
 		const groups = 50
 		for group := range uint64(groups) {
-			used := map[ServerID]bool{}
+			used := map[EndpointID]bool{}
 			for s.Zone = range 4 {
 				s.Relays = relays
 				r := newRelay(t, s, servers...)
--- a/balance/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"cmp"
--- a/balance/replay_test.go
+++ b/balancer/replay_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"bufio"
@@ -125,11 +125,11 @@
 type player struct {
 	settings map[string]*Settings
 	b        *Balancer
-	snapshot Memory
+	snapshot Snapshot
 	told     []string // decisions of the input at hand
 
-	facade  *Facade
-	tickets map[string]*Ticket
+	facade  *Loop
+	tickets map[string]*RequestHandle
 	order   []string // of the tickets that are open
 	gone    context.Context
 }
@@ -137,7 +137,7 @@
 func newPlayer() *player {
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	return &player{settings: make(map[string]*Settings), tickets: make(map[string]*Ticket), gone: gone}
+	return &player{settings: make(map[string]*Settings), tickets: make(map[string]*RequestHandle), gone: gone}
 }
 
 // play plays one input and returns what it brought.
@@ -177,17 +177,17 @@
 		p.b.Observe(func(id RequestID, d *Decision) { p.told = append(p.told, formatDecision(id, d)...) })
 		return nil
 	case "snapshot":
-		p.snapshot = p.b.Recollect()
+		p.snapshot = p.b.Snapshot()
 		return formatSnapshot(&p.snapshot)
 	case "renumber": // a server that is left out; all others become themselves
-		left := ServerID(whole(t, w[0]))
-		p.snapshot.Renumber(func(id ServerID) (ServerID, bool) { return id, id != left })
+		left := EndpointID(whole(t, w[0]))
+		p.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != left })
 		return formatSnapshot(&p.snapshot)
 	case "restore":
-		p.b.Remember(now, p.snapshot)
+		p.b.Restore(now, p.snapshot)
 		return nil
 	case "advice":
-		return []string{"advice " + nanos(p.b.Advice(now))}
+		return []string{"advice " + nanos(p.b.RetryAfter(now))}
 	case "views":
 		return formatViews(p.b.views())
 	case "avoided":
@@ -208,28 +208,28 @@
 // parseEvent reads an event of the Balancer.
 func (p *player) parseEvent(t *testing.T, word string, w []string) Event {
 	request := func(i int) RequestID { return RequestID(whole(t, w[i])) }
-	server := func(i int) ServerID { return ServerID(whole(t, w[i])) }
+	server := func(i int) EndpointID { return EndpointID(whole(t, w[i])) }
 	switch word {
 	case "list": // kind, servers
-		return ServerList{Kind: parseListKind(t, w[0]), Servers: parseServers(t, w[1:])}
+		return EndpointList{Kind: parseListKind(t, w[0]), Endpoints: parseServers(t, w[1:])}
 	case "retuned":
-		return Retuned{Settings: p.settings[w[0]]}
+		return SettingsChanged{Settings: p.settings[w[0]]}
 	case "request":
 		return p.parseRequest(t, w)
 	case "resumed": // server, request
-		return Resumed{Server: server(0), Request: p.parseRequest(t, w[1:])}
+		return Resumed{Endpoint: server(0), Request: p.parseRequest(t, w[1:])}
 	case "standing": // request, server, time it took
-		return Standing{Request: request(0), Server: server(1), Took: span(t, w[2])}
+		return Established{Request: request(0), Endpoint: server(1), SetupTime: span(t, w[2])}
 	case "outcome": // request, server, status, over
-		return Outcome{Request: request(0), Server: server(1), Status: parseStatus(t, w[2]), Done: parseBool(t, w[3])}
+		return Outcome{Request: request(0), Endpoint: server(1), Status: parseStatus(t, w[2]), Final: parseBool(t, w[3])}
 	case "dismissed":
-		return Dismissed{Request: request(0)}
+		return AnswerRequired{Request: request(0)}
 	case "left":
 		return ClientLeft{Request: request(0)}
 	case "load": // request, server, load
-		return LoadNote{Request: request(0), Server: server(1), Load: decimal(t, w[2])}
+		return ConnectionLoad{Request: request(0), Endpoint: server(1), Load: decimal(t, w[2])}
 	case "delay": // request, server, delay
-		return DelayNote{Request: request(0), Server: server(1), Delay: span(t, w[2])}
+		return EndpointDelay{Request: request(0), Endpoint: server(1), Delay: span(t, w[2])}
 	case "timer":
 		return Timer{Token: uint32(whole(t, w[0]))}
 	}
@@ -241,23 +241,23 @@
 func (p *player) parseRequest(t *testing.T, w []string) Request {
 	return Request{
 		ID: RequestID(whole(t, w[0])), Class: int(whole(t, w[1])), Item: whole(t, w[2]), Group: whole(t, w[3]),
-		Left: span(t, w[4]), Load: decimal(t, w[5]), Return: parseBool(t, w[6]), Under: p.settings[w[7]],
+		TimeLeft: span(t, w[4]), ExpectedLoad: decimal(t, w[5]), Returning: parseBool(t, w[6]), Settings: p.settings[w[7]],
 	}
 }
 
 func formatAction(t *testing.T, a Action) string {
 	switch a := a.(type) {
-	case Send:
-		return fmt.Sprintf("send %d %d %d %d", a.Request, a.Server, int64(a.Timeout), int64(a.Latest))
-	case Refuse:
+	case SendAttempt:
+		return fmt.Sprintf("send %d %d %d %d", a.Request, a.Endpoint, int64(a.Timeout), int64(a.NotAfter))
+	case Reject:
 		return fmt.Sprintf("refuse %d %d", a.Request, int64(a.RetryAfter))
 	case Fail:
 		return fmt.Sprintf("fail %d", a.Request)
-	case Move:
+	case Migrate:
 		return fmt.Sprintf("move %d", a.Request)
 	case SetTimer:
 		return fmt.Sprintf("timer %d %d", a.Token, int64(a.After))
-	case Watch:
+	case WatchEndpoints:
 		return "watch"
 	}
 	t.Fatalf("no such action: %T", a)
@@ -268,41 +268,41 @@
 func (p *player) playFacade(t *testing.T, now time.Duration, word string, w []string) []string {
 	switch word {
 	case "facade": // settings, seed
-		p.facade = NewFacade(*p.settings[w[0]], whole(t, w[1]))
+		p.facade = NewLoop(*p.settings[w[0]], whole(t, w[1]))
 		p.facade.Observe()
-		p.facade.Survey()
+		p.facade.PublishCounts()
 		return nil
 	case "tick":
 		return p.tick(now)
 	case "pick": // name, class, item, group, give up at, load, comes back, settings, open at server or "-"
-		ask := Ask{
-			Class: int(whole(t, w[1])), Item: whole(t, w[2]), Group: whole(t, w[3]), GiveUp: span(t, w[4]),
-			Load: decimal(t, w[5]), Return: parseBool(t, w[6]), Under: p.settings[w[7]], Witness: tellNamed{p, w[0]},
+		ask := RequestOptions{
+			Class: int(whole(t, w[1])), Item: whole(t, w[2]), Group: whole(t, w[3]), Deadline: span(t, w[4]),
+			ExpectedLoad: decimal(t, w[5]), Returning: parseBool(t, w[6]), Settings: p.settings[w[7]], Observer: tellNamed{p, w[0]},
 		}
 		if w[8] != "-" {
-			ask.Open, ask.At = true, ServerID(whole(t, w[8]))
+			ask.Established, ask.Endpoint = true, EndpointID(whole(t, w[8]))
 		}
-		ticket := NewTicket(ask)
+		ticket := NewRequestHandle(ask)
 		p.tickets[w[0]] = ticket
 		p.order = append(p.order, w[0])
 		p.facade.Pick(p.gone, ticket)
-		return []string{"time left " + nanos(ticket.Left(now))}
+		return []string{"time left " + nanos(ticket.TimeLeft(now))}
 	case "advice":
-		wait := inTurn(p, now, p.facade.Advise)
+		wait := inTurn(p, now, p.facade.RetryAfter)
 		return append([]string{"advice " + nanos(wait)}, p.told...)
 	case "views":
-		views := inTurn(p, now, func(ctx context.Context) []View { v, _ := p.facade.Hold(ctx); return v })
+		views := inTurn(p, now, func(ctx context.Context) []EndpointView { v, _ := p.facade.EndpointViews(ctx); return v })
 		return append(formatViews(views), p.told...)
 	case "snapshot":
-		p.snapshot = inTurn(p, now, func(ctx context.Context) Memory { m, _ := p.facade.Recollect(ctx); return m })
+		p.snapshot = inTurn(p, now, func(ctx context.Context) Snapshot { m, _ := p.facade.Snapshot(ctx); return m })
 		return append(formatSnapshot(&p.snapshot), p.told...)
 	case "pool":
-		listed, avoided := p.facade.Pool(now)
+		listed, avoided := p.facade.EndpointCounts(now)
 		return []string{fmt.Sprintf("pool %d %d", listed, avoided)}
 	case "close":
 		p.facade.Close()
-		wait := p.facade.Advise(context.Background())
-		_, err := p.facade.Hold(p.gone)
+		wait := p.facade.RetryAfter(context.Background())
+		_, err := p.facade.EndpointViews(p.gone)
 		return []string{fmt.Sprintf("closed %d %t", int64(wait), err != nil)}
 	}
 	p.facade.Report(p.parseNews(t, word, w))
@@ -310,28 +310,28 @@
 }
 
 // parseNews reads what is reported to the Facade.
-func (p *player) parseNews(t *testing.T, word string, w []string) News {
+func (p *player) parseNews(t *testing.T, word string, w []string) LoopEvent {
 	switch word {
 	case "stands": // name, time it took
-		return Stands{Ticket: p.tickets[w[0]], Took: span(t, w[1])}
+		return AttemptEstablished{Handle: p.tickets[w[0]], SetupTime: span(t, w[1])}
 	case "ended": // name, status
-		return Ended{Ticket: p.tickets[w[0]], How: parseStatus(t, w[1])}
+		return AttemptEnded{Handle: p.tickets[w[0]], Status: parseStatus(t, w[1])}
 	case "dismiss":
-		return Dismiss{Ticket: p.tickets[w[0]]}
+		return RequireAnswer{Handle: p.tickets[w[0]]}
 	case "left":
-		return Left{Ticket: p.tickets[w[0]]}
+		return ClientDisconnected{Handle: p.tickets[w[0]]}
 	case "load": // name, load
-		return Load{Ticket: p.tickets[w[0]], Load: decimal(t, w[1])}
+		return LoadReport{Handle: p.tickets[w[0]], Load: decimal(t, w[1])}
 	case "delay": // server, delay
-		return Delay{Server: ServerID(whole(t, w[0])), Delay: span(t, w[1])}
+		return DelayReport{Endpoint: EndpointID(whole(t, w[0])), Delay: span(t, w[1])}
 	case "farm": // kind, revision, servers
-		return Farm{Kind: parseListKind(t, w[0]), Revision: whole(t, w[1]), Servers: parseServers(t, w[2:])}
+		return EndpointUpdate{Kind: parseListKind(t, w[0]), Revision: whole(t, w[1]), Endpoints: parseServers(t, w[2:])}
 	case "retune":
-		return Retune{Settings: p.settings[w[0]]}
+		return UpdateSettings{Settings: p.settings[w[0]]}
 	case "restore":
-		return Remember{Memory: p.snapshot}
+		return RestoreSnapshot{Snapshot: p.snapshot}
 	case "budget":
-		return Budget{Part: decimal(t, w[0])}
+		return SlowStartBudget{Share: decimal(t, w[0])}
 	}
 	t.Fatalf("no such input: %s", word)
 	return nil
@@ -350,11 +350,11 @@
 				break
 			}
 			word := [...]string{
-				StepPass: "pass", StepUp: "up", StepMove: "move", StepOver: "over",
-				StepUnavailable: "unavailable", StepFailed: "failed",
+				ActionAttempt: "pass", ActionEstablished: "up", ActionMigrate: "move", ActionClosed: "over",
+				ActionReject: "unavailable", ActionFail: "failed",
 			}[step.Kind]
-			over = over || step.Kind != StepPass && step.Kind != StepUp
-			out = append(out, fmt.Sprintf("step %s %s %d %d %d", name, word, step.Server, int64(step.Wait), int64(step.Latest)))
+			over = over || step.Kind != ActionAttempt && step.Kind != ActionEstablished
+			out = append(out, fmt.Sprintf("step %s %s %d %d %d", name, word, step.Endpoint, int64(step.Wait), int64(step.NotAfter)))
 		}
 		if !over {
 			open = append(open, name)
@@ -367,12 +367,12 @@
 // inTurn asks what only a turn can answer, and does the turn.
 func inTurn[T any](p *player, now time.Duration, ask func(context.Context) T) T {
 	select {
-	case <-p.facade.Waiting():
+	case <-p.facade.Pending():
 	default:
 	}
 	answer := make(chan T, 1)
 	go func() { answer <- ask(context.Background()) }()
-	<-p.facade.Waiting()
+	<-p.facade.Pending()
 	p.facade.Tick(now)
 	return <-answer
 }
@@ -392,37 +392,37 @@
 // formatDecision writes a decision as one line and each belief as one more.
 func formatDecision(id RequestID, d *Decision) []string {
 	out := []string{fmt.Sprintf("decided %d %s %s at=%d attempt=%d server=%d wait=%d left=%d ready=%d slow=%s revision=%d age=%d instead=%d",
-		id, d.Verdict, d.Reason, int64(d.At), d.Attempt, d.Server, int64(d.Wait), int64(d.Left), d.Servers, digits(d.SlowPart),
-		d.Revision, int64(d.ListAge), d.Instead)}
-	for _, f := range d.Believed {
-		out = append(out, fmt.Sprintf("believed %d %s %s %s %s %s %s %d %d", f.Server, formatState(f.State),
-			strings.Join(append([]string{"bars"}, f.Bars.Names()...), ","), digits(f.Weight), digits(f.Warmth), digits(f.Load),
-			digits(f.Pull), int64(f.Delay), int64(f.Age)))
+		id, d.Verdict, d.Reason, int64(d.At), d.Attempt, d.Endpoint, int64(d.Wait), int64(d.TimeLeft), d.ReadyEndpoints, digits(d.SlowShare),
+		d.Revision, int64(d.ListAge), d.Preferred)}
+	for _, f := range d.Considered {
+		out = append(out, fmt.Sprintf("believed %d %s %s %s %s %s %s %d %d", f.Endpoint, formatState(f.State),
+			strings.Join(append([]string{"bars"}, f.Exclusions.Names()...), ","), digits(f.Weight), digits(f.Warmth), digits(f.Load),
+			digits(f.Probability), int64(f.Delay), int64(f.DelayAge)))
 	}
 	return out
 }
 
-func formatSnapshot(m *Memory) []string {
-	count := func(c CountMemory) string {
-		return fmt.Sprintf("%s,%d,%d", digits(c.Count), int64(c.Since), int64(c.From))
+func formatSnapshot(m *Snapshot) []string {
+	count := func(c CounterSnapshot) string {
+		return fmt.Sprintf("%s,%d,%d", digits(c.Count), int64(c.UpdatedAt), int64(c.CountedFrom))
 	}
 	out := []string{fmt.Sprintf("snapshot salt=%d recent=%s pace=%s persize=%s load=%s loads=%s window=%s", m.Salt,
-		count(m.Recent), count(m.Pace), digits(m.PerSize), digits(m.Load), digits(m.Loads), digits(m.Window))}
-	for _, s := range m.Servers {
-		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", s.ID, digits(s.Weight), int64(s.Weighed),
-			int64(s.LastSent), int64(s.StoodAt), int64(s.FailedAt), int64(s.LastSlow), int64(s.Delay), int64(s.DelayAt),
-			int64(s.Relieved), int64(s.DrainAt), int64(s.AwayAt), int64(s.LastBorn)))
+		count(m.RecentSetups), count(m.ArrivalRate), digits(m.SetupsPerSize), digits(m.MeanLoad), digits(m.LoadSamples), digits(m.ConcurrencyWindow))}
+	for _, s := range m.Endpoints {
+		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", s.ID, digits(s.Weight), int64(s.WeightSetAt),
+			int64(s.LastAttemptAt), int64(s.EstablishedAt), int64(s.FailedAt), int64(s.SlowAt), int64(s.Delay), int64(s.DelayAt),
+			int64(s.RelievedAt), int64(s.DrainingSince), int64(s.RedirectedAt), int64(s.StartedAt)))
 	}
 	for _, r := range m.Routes {
-		out = append(out, fmt.Sprintf("route %d %d %d", r.Key, r.Server, int64(r.Until)))
+		out = append(out, fmt.Sprintf("route %d %d %d", r.Key, r.Endpoint, int64(r.ExpiresAt)))
 	}
 	return out
 }
 
-func formatViews(views []View) []string {
+func formatViews(views []EndpointView) []string {
 	var out []string
 	for _, v := range views {
-		out = append(out, fmt.Sprintf("view %d %d %s %q", v.Server, int64(v.Delay), digits(v.Load), v.Avoided))
+		out = append(out, fmt.Sprintf("view %d %d %s %q", v.Endpoint, int64(v.Delay), digits(v.Load), v.Avoided))
 	}
 	return out
 }
@@ -432,11 +432,11 @@
 var (
 	effectWords = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
 	scopeWords  = map[string]Scope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
-	stateWords  = map[string]State{"gone": Gone, "ready": Ready, "draining": Draining}
+	stateWords  = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
 	listWords   = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
-	statusWords = map[string]Status{
-		"ok": OK, "error": Error, "full": Full, "timeout": Timeout, "connect": ConnectFailed, "reset": Reset,
-		"cancelled": Cancelled, "moot": Moot, "away": SentAway,
+	statusWords = map[string]AttemptStatus{
+		"ok": StatusOK, "error": StatusError, "full": StatusFull, "timeout": StatusTimeout, "connect": StatusConnectFailed, "reset": StatusReset,
+		"cancelled": StatusCancelled, "moot": StatusNotSent, "away": StatusRedirected,
 	}
 )
 
@@ -449,10 +449,10 @@
 	return m
 }
 
-func parseListKind(t *testing.T, word string) ListKind { return meaning(t, listWords, word) }
-func parseStatus(t *testing.T, word string) Status     { return meaning(t, statusWords, word) }
+func parseListKind(t *testing.T, word string) ListKind    { return meaning(t, listWords, word) }
+func parseStatus(t *testing.T, word string) AttemptStatus { return meaning(t, statusWords, word) }
 
-func formatState(s State) string {
+func formatState(s EndpointState) string {
 	for word, state := range stateWords {
 		if state == s {
 			return word
@@ -462,13 +462,13 @@
 }
 
 // parseServers reads servers as number:state:zone:cell:weight:time of start.
-func parseServers(t *testing.T, words []string) []Server {
-	var list []Server
+func parseServers(t *testing.T, words []string) []Endpoint {
+	var list []Endpoint
 	for _, word := range words {
 		w := strings.Split(word, ":")
-		list = append(list, Server{
-			ID: ServerID(whole(t, w[0])), State: meaning(t, stateWords, w[1]), Zone: int(whole(t, w[2])),
-			Cell: int(whole(t, w[3])), Weight: decimal(t, w[4]), Born: span(t, w[5]),
+		list = append(list, Endpoint{
+			ID: EndpointID(whole(t, w[0])), State: meaning(t, stateWords, w[1]), Zone: int(whole(t, w[2])),
+			Cell: int(whole(t, w[3])), Weight: decimal(t, w[4]), StartedAt: span(t, w[5]),
 		})
 	}
 	return list
@@ -490,19 +490,19 @@
 func parseSettings(t *testing.T, words []string) *Settings {
 	m := pairs(t, words)
 	return &Settings{
-		Relays: int(whole(t, m["relays"])), Zone: int(whole(t, m["zone"])), Ask: parseBool(t, m["ask"]),
-		AskEvery: span(t, m["askevery"]), MaxAttempts: int(whole(t, m["attempts"])), Tick: span(t, m["tick"]),
-		Connect: span(t, m["connect"]), MaxRetryAfter: span(t, m["retryafter"]), ColdShare: decimal(t, m["coldshare"]),
-		ColdFor: span(t, m["coldfor"]), TipMultiple: decimal(t, m["tipmultiple"]), TipAfter: span(t, m["tipafter"]),
-		CrossZoneCost: decimal(t, m["crosszone"]), TellsLoad: parseBool(t, m["tellsload"]), TellsDelay: parseBool(t, m["tellsdelay"]),
+		Relays: int(whole(t, m["relays"])), Zone: int(whole(t, m["zone"])), PollList: parseBool(t, m["ask"]),
+		PollInterval: span(t, m["askevery"]), MaxAttempts: int(whole(t, m["attempts"])), MinTick: span(t, m["tick"]),
+		ConnectTimeout: span(t, m["connect"]), MaxRetryAfter: span(t, m["retryafter"]), InitialCapacity: decimal(t, m["coldshare"]),
+		SlowStartDuration: span(t, m["coldfor"]), OverloadMultiple: decimal(t, m["tipmultiple"]), OverloadWindow: span(t, m["tipafter"]),
+		CrossZoneCost: decimal(t, m["crosszone"]), ReportsLoad: parseBool(t, m["tellsload"]), ReportsDelay: parseBool(t, m["tellsdelay"]),
 	}
 }
 
 func parseClass(t *testing.T, words []string) Class {
 	m := pairs(t, words)
 	return Class{
-		Name: m["name"], Aim: span(t, m["aim"]), Deadline: span(t, m["deadline"]), Effect: meaning(t, effectWords, m["effect"]),
-		Scope: meaning(t, scopeWords, m["scope"]), Memory: span(t, m["memory"]), MessageAim: span(t, m["messageaim"]),
+		Name: m["name"], LatencyObjective: span(t, m["aim"]), Deadline: span(t, m["deadline"]), Effect: meaning(t, effectWords, m["effect"]),
+		Scope: meaning(t, scopeWords, m["scope"]), DeduplicationWindow: span(t, m["memory"]), MessageLatencyObjective: span(t, m["messageaim"]),
 	}
 }
 
--- a/balance/rules_test.go
+++ b/balancer/rules_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"math/rand/v2"
@@ -9,20 +9,20 @@
 
 // Rule 1: whatever a request waits for, it is answered in time and once.
 func TestEveryRequestIsAnsweredInTime(t *testing.T) {
-	for name, servers := range map[string][]Server{
+	for name, servers := range map[string][]Endpoint{
 		"no server":     nil,
-		"none ready":    {{ID: 1, State: Draining, Weight: 1}},
+		"none ready":    {{ID: 1, State: StateDraining, Weight: 1}},
 		"one, silent":   ready(1),
 		"several":       ready(3),
-		"only cold one": {{ID: 1, State: Ready, Weight: 1, Born: time.Hour}},
+		"only cold one": {{ID: 1, State: StateReady, Weight: 1, StartedAt: time.Hour}},
 	} {
 		for _, left := range []time.Duration{0, ms, 50 * ms, 150 * ms, 2 * time.Second} {
 			r := newRelay(t, testSettings(), servers...)
-			done := r.do(Request{ID: 1, Left: left})
+			done := r.do(Request{ID: 1, TimeLeft: left})
 			if left > 10*ms {
 				done = append(done, r.pass(left-1)...)
 			}
-			if n := count[Refuse](done) + count[Fail](done); n != 1 {
+			if n := count[Reject](done) + count[Fail](done); n != 1 {
 				t.Errorf("%s, %v left: %d answers", name, left, n)
 			}
 			if done = r.pass(10 * time.Second); len(done) > 0 {
@@ -34,17 +34,17 @@
 
 func TestBackoffThatOutlastsTheClientEndsTheRequest(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(3)...)
-	to := r.sent(r.do(Request{ID: 1, Left: 90 * ms}), 1)
-	wantActions(t, r.fail(1, to, Full), Refuse{Request: 1})
+	to := r.sent(r.do(Request{ID: 1, TimeLeft: 90 * ms}), 1)
+	wantActions(t, r.fail(1, to, StatusFull), Reject{Request: 1})
 }
 
 func TestNothingFollowsAClientThatLeft(t *testing.T) {
 	r := newRelay(t, testSettings(), ready(3)...)
-	to := r.sent(r.do(Request{ID: 1, Left: time.Second}), 1)
-	r.fail(1, to, Full)
+	to := r.sent(r.do(Request{ID: 1, TimeLeft: time.Second}), 1)
+	r.fail(1, to, StatusFull)
 	wantActions(t, r.do(ClientLeft{Request: 1}))
 	wantActions(t, r.pass(5*time.Second))
-	wantActions(t, r.fail(1, to, Full))
+	wantActions(t, r.fail(1, to, StatusFull))
 	wantActions(t, r.do(Timer{Token: 999}))
 	if len(r.b.requests) != 0 || r.b.window.out != 0 {
 		t.Errorf("%d requests held, %d attempts counted", len(r.b.requests), r.b.window.out)
@@ -53,25 +53,25 @@
 
 // Rule 2: what may follow an attempt, by class and by how it ended.
 func TestRepeatsAndRefusalsByClass(t *testing.T) {
-	servers := []Server{
-		{ID: 1, State: Ready, Weight: 1, Zone: 0, Cell: 0},
-		{ID: 2, State: Ready, Weight: 1, Zone: 0, Cell: 1},
-		{ID: 3, State: Ready, Weight: 1, Zone: 1, Cell: 2},
-		{ID: 4, State: Ready, Weight: 1, Zone: 0, Cell: 0},
-		{ID: 5, State: Ready, Weight: 1, Zone: 1, Cell: 2},
-	}
-	zone := map[ServerID]int{1: 0, 2: 0, 3: 1, 4: 0, 5: 1}
-	cell := map[ServerID]int{1: 0, 2: 1, 3: 2, 4: 0, 5: 2}
-	ran := map[Status]bool{Error: true, Timeout: true, Reset: true, Cancelled: true}
+	servers := []Endpoint{
+		{ID: 1, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
+		{ID: 2, State: StateReady, Weight: 1, Zone: 0, Cell: 1},
+		{ID: 3, State: StateReady, Weight: 1, Zone: 1, Cell: 2},
+		{ID: 4, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
+		{ID: 5, State: StateReady, Weight: 1, Zone: 1, Cell: 2},
+	}
+	zone := map[EndpointID]int{1: 0, 2: 0, 3: 1, 4: 0, 5: 1}
+	cell := map[EndpointID]int{1: 0, 2: 1, 3: 2, 4: 0, 5: 2}
+	ran := map[AttemptStatus]bool{StatusError: true, StatusTimeout: true, StatusReset: true, StatusCancelled: true}
 	for _, class := range []Class{
 		{Effect: Idempotent},
-		{Effect: Deduplicated, Scope: ScopeAll, Memory: 5 * time.Second},
-		{Effect: Deduplicated, Scope: ScopeZone, Memory: 5 * time.Second},
-		{Effect: Deduplicated, Scope: ScopeCell, Memory: 5 * time.Second},
-		{Effect: Deduplicated, Scope: ScopeAll, Memory: 50 * ms},
+		{Effect: Deduplicated, Scope: ScopeAll, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, Scope: ScopeZone, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, Scope: ScopeCell, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, Scope: ScopeAll, DeduplicationWindow: 50 * ms},
 		{Effect: AtMostOnce},
 	} {
-		for _, why := range []Status{Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot} {
+		for _, why := range []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent} {
 			for key := uint64(1); key < 20; key++ {
 				s := testSettings()
 				class.Deadline = 2 * time.Second
@@ -81,21 +81,21 @@
 				first := r.sent(done, id)
 				done = append(r.fail(id, first, why), r.pass(150*ms)...)
 				mayRepeat := !ran[why] || class.Effect == Idempotent ||
-					class.Effect == Deduplicated && class.Memory > 100*ms
+					class.Effect == Deduplicated && class.DeduplicationWindow > 100*ms
 				mayRefuse := !ran[why] || class.Effect == Idempotent ||
 					class.Effect == Deduplicated && class.Scope == ScopeAll
 				for _, a := range done {
 					switch a := a.(type) {
-					case Send:
+					case SendAttempt:
 						if !mayRepeat {
 							t.Errorf("%+v after %d: sent again", class, why)
 						}
 						scoped := ran[why] && class.Effect == Deduplicated
-						if scoped && class.Scope == ScopeZone && zone[a.Server] != zone[first] ||
-							scoped && class.Scope == ScopeCell && cell[a.Server] != cell[first] {
-							t.Errorf("%+v after %d: %d then %d", class, why, first, a.Server)
+						if scoped && class.Scope == ScopeZone && zone[a.Endpoint] != zone[first] ||
+							scoped && class.Scope == ScopeCell && cell[a.Endpoint] != cell[first] {
+							t.Errorf("%+v after %d: %d then %d", class, why, first, a.Endpoint)
 						}
-					case Refuse:
+					case Reject:
 						if !mayRefuse {
 							t.Errorf("%+v after %d: refused", class, why)
 						}
@@ -105,7 +105,7 @@
 						}
 					}
 				}
-				if mayRepeat && class.Scope == ScopeAll && count[Send](done) != 1 {
+				if mayRepeat && class.Scope == ScopeAll && count[SendAttempt](done) != 1 {
 					t.Errorf("%+v after %d: not sent again", class, why)
 				}
 			}
@@ -116,20 +116,20 @@
 // Rule 3: neither first tries, cached routes nor timers go to a server that
 // drains or is gone.
 func TestDrainsAreKept(t *testing.T) {
-	for name, list := range map[string]ServerList{
-		"draining":   {Kind: ListDelta, Servers: []Server{{ID: 1, State: Draining, Weight: 1}}},
-		"gone":       {Kind: ListDelta, Servers: []Server{{ID: 1, State: Gone}}},
-		"left out":   {Kind: ListFull, Servers: ready(2)[1:]},
-		"cached out": {Kind: ListCached, Servers: ready(2)[1:]},
+	for name, list := range map[string]EndpointList{
+		"draining":   {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}},
+		"gone":       {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateGone}}},
+		"left out":   {Kind: ListFull, Endpoints: ready(2)[1:]},
+		"cached out": {Kind: ListCached, Endpoints: ready(2)[1:]},
 	} {
 		r := newRelay(t, testSettings(), ready(1)...)
 		r.open(7)
-		r.do(ServerList{Kind: ListDelta, Servers: ready(2)[1:]})
+		r.do(EndpointList{Kind: ListDelta, Endpoints: ready(2)[1:]})
 		var ids []RequestID
 		for key := range uint64(20) { // some wait for a backoff when the news comes
 			id, done := r.ask(key + 7)
 			ids = append(ids, id)
-			r.fail(id, r.sent(done, id), ConnectFailed)
+			r.fail(id, r.sent(done, id), StatusConnectFailed)
 		}
 		r.do(list)
 		for range 20 {
@@ -137,10 +137,10 @@
 		}
 		r.pass(time.Second)
 		for _, a := range r.log[slices.IndexFunc(r.log, func(a Action) bool {
-			s, ok := a.(Send)
+			s, ok := a.(SendAttempt)
 			return ok && s.Request > ids[len(ids)-1]
 		}):] {
-			if s, ok := a.(Send); ok && s.Server == 1 {
+			if s, ok := a.(SendAttempt); ok && s.Endpoint == 1 {
 				t.Errorf("%s: request %d sent to it", name, s.Request)
 			}
 		}
@@ -159,10 +159,10 @@
 			id, done := r.ask(uint64(r.next) + 100)
 			to := r.sent(done, id)
 			if to == 1 && reject {
-				r.fail(id, to, Error)
+				r.fail(id, to, StatusError)
 			} else {
-				r.do(Standing{Request: id, Server: to, Took: ms})
-				r.do(Outcome{Request: id, Server: to, Status: OK, Done: true})
+				r.do(Established{Request: id, Endpoint: to, SetupTime: ms})
+				r.do(Outcome{Request: id, Endpoint: to, Status: StatusOK, Final: true})
 			}
 			if to != 1 {
 				continue
@@ -171,7 +171,7 @@
 			sends++
 			n := 0
 			for _, x := range at {
-				if x > r.now-s.TipAfter {
+				if x > r.now-s.OverloadWindow {
 					n++
 				}
 			}
@@ -181,8 +181,8 @@
 	}
 	arrive(10*time.Second, false)
 	for _, reject := range []bool{false, true} {
-		servers[0].Born = r.now
-		r.do(ServerList{Kind: ListDelta, Servers: servers[:1]})
+		servers[0].StartedAt = r.now
+		r.do(EndpointList{Kind: ListDelta, Endpoints: servers[:1]})
 		// Each server bears two new connections a second of the twenty: a cold one
 		// can take 3 x 0.2 x 2 x 1.5 = 1.8 in any window at first.
 		early, most := arrive(3*time.Second, reject)
@@ -200,19 +200,19 @@
 	s.Relays = 2
 	servers := ready(4)
 	for i := range servers {
-		servers[i].Born = time.Hour
+		servers[i].StartedAt = time.Hour
 	}
 	r := newRelay(t, s, servers...)
-	last := map[ServerID]time.Duration{}
+	last := map[EndpointID]time.Duration{}
 	for range 390 {
 		_, done := r.ask(uint64(r.next))
 		for _, a := range append(done, r.pass(50*ms)...) {
-			if s, ok := a.(Send); ok {
-				if gap := r.now - last[s.Server]; last[s.Server] > 0 && gap < 1500*ms {
-					t.Fatalf("server %d sent to twice within %v", s.Server, gap)
+			if s, ok := a.(SendAttempt); ok {
+				if gap := r.now - last[s.Endpoint]; last[s.Endpoint] > 0 && gap < 1500*ms {
+					t.Fatalf("server %d sent to twice within %v", s.Endpoint, gap)
 				}
-				last[s.Server] = r.now
-				r.do(Standing{Request: s.Request, Server: s.Server})
+				last[s.Endpoint] = r.now
+				r.do(Established{Request: s.Request, Endpoint: s.Endpoint})
 			}
 		}
 	}
@@ -226,14 +226,14 @@
 func TestColdServerIsSharedByManyRelays(t *testing.T) {
 	s := testSettings()
 	s.Relays = 100
-	relays := fleetOf(t, s, Server{ID: 1, State: Ready, Weight: 1, Born: time.Hour})
+	relays := fleetOf(t, s, Endpoint{ID: 1, State: StateReady, Weight: 1, StartedAt: time.Hour})
 	sent := map[time.Duration]int{} // by span
 	total := 0
 	for range 150 {
 		for _, r := range relays {
 			_, done := r.ask(5)
-			n := count[Send](append(done, r.pass(100*ms)...))
-			sent[r.now/s.TipAfter] += n
+			n := count[SendAttempt](append(done, r.pass(100*ms)...))
+			sent[r.now/s.OverloadWindow] += n
 			total += n
 		}
 	}
@@ -253,7 +253,7 @@
 	s := testSettings()
 	s.Relays = 80
 	servers := ready(5)
-	servers[0].Born = time.Hour
+	servers[0].StartedAt = time.Hour
 	relays := fleetOf(t, s, servers...)
 	var sent []time.Duration // to the cold server
 	for i := range 400 {     // twenty requests a second, each at another relay
@@ -263,7 +263,7 @@
 		if to := r.sent(done, id); to == 1 {
 			sent = append(sent, r.now)
 		} else {
-			r.do(Standing{Request: id, Server: to, Took: ms})
+			r.do(Established{Request: id, Endpoint: to, SetupTime: ms})
 		}
 	}
 	// It may be sent 6 in 1.5 s when it is warm, and on average 0.6 of that.
@@ -280,9 +280,9 @@
 // the servers that have just started.
 func TestCrowdDoesNotPushNewServersOver(t *testing.T) {
 	s := testSettings()
-	s.Relays, s.TipAfter, s.ColdShare = 80, 3*time.Second, 0.12
+	s.Relays, s.OverloadWindow, s.InitialCapacity = 80, 3*time.Second, 0.12
 	relays := fleetOf(t, s, ready(13)...)
-	sent := map[ServerID][]time.Duration{}
+	sent := map[EndpointID][]time.Duration{}
 	play := func(n int, every time.Duration) {
 		at := relays[0].now
 		for i := range n {
@@ -293,18 +293,18 @@
 			id, done := r.ask(uint64(i % 14))
 			to := r.sent(done, id)
 			sent[to] = append(sent[to], r.now)
-			r.do(Standing{Request: id, Server: to, Took: ms})
-			r.do(Outcome{Request: id, Server: to, Status: OK, Done: true})
+			r.do(Established{Request: id, Endpoint: to, SetupTime: ms})
+			r.do(Outcome{Request: id, Endpoint: to, Status: StatusOK, Final: true})
 		}
 	}
 	play(80, 500*ms)
 	servers := ready(13)
 	for i := range 8 {
-		servers[i].Born = relays[0].now
+		servers[i].StartedAt = relays[0].now
 	}
 	for _, r := range relays {
 		r.pass(2 * time.Second) // that the list is behind
-		r.do(ServerList{Kind: ListDelta, Servers: servers})
+		r.do(EndpointList{Kind: ListDelta, Endpoints: servers})
 	}
 	clear(sent)
 	play(120, 17*ms)
@@ -335,11 +335,11 @@
 	*relay
 	rng      *rand.Rand
 	set      Settings
-	servers  []Server
-	bad      map[ServerID]time.Duration // told draining or gone since
+	servers  []Endpoint
+	bad      map[EndpointID]time.Duration // told draining or gone since
 	open     map[RequestID]*playRequest
 	tries    []try // attempts out or connections up
-	coldSent map[ServerID][]time.Duration
+	coldSent map[EndpointID][]time.Duration
 }
 
 type playRequest struct {
@@ -352,7 +352,7 @@
 
 type try struct {
 	id   RequestID
-	to   Server
+	to   Endpoint
 	sent time.Duration
 	ran  bool
 }
@@ -361,23 +361,23 @@
 	rng := rand.New(rand.NewPCG(seed, 99))
 	s := testSettings()
 	s.Relays = 1 + rng.IntN(4)
-	s.Ask = rng.IntN(2) == 0
+	s.PollList = rng.IntN(2) == 0
 	s.CrossZoneCost = float64(rng.IntN(2))
 	s.MaxAttempts = 1 + rng.IntN(5)
 	s.Classes = []Class{
-		{Aim: 300 * ms, Deadline: 2 * time.Second, MessageAim: 50 * ms},
-		{Aim: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Scope: ScopeZone, Memory: time.Second},
-		{Aim: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Scope: ScopeCell, Memory: time.Second},
-		{Aim: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Memory: 300 * ms},
-		{Aim: 300 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 50 * ms},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Scope: ScopeZone, DeduplicationWindow: time.Second},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Scope: ScopeCell, DeduplicationWindow: time.Second},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationWindow: 300 * ms},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce},
 	}
 	servers := ready(1 + rng.IntN(10))
 	for i := range servers {
 		servers[i].Zone, servers[i].Cell = i%2, i%4
 	}
 	p := &play{relay: newRelay(t, s, servers...), rng: rng, set: s, servers: slices.Clone(servers),
-		bad: map[ServerID]time.Duration{}, open: map[RequestID]*playRequest{},
-		coldSent: map[ServerID][]time.Duration{}}
+		bad: map[EndpointID]time.Duration{}, open: map[RequestID]*playRequest{},
+		coldSent: map[EndpointID][]time.Duration{}}
 	return p
 }
 
@@ -428,13 +428,13 @@
 	case k < 6:
 		p.next++
 		q := Request{ID: p.next, Class: p.rng.IntN(len(p.set.Classes)), Group: p.rng.Uint64N(6),
-			Left: time.Duration(p.rng.IntN(2000)) * ms, Return: p.rng.IntN(3) == 0}
+			TimeLeft: time.Duration(p.rng.IntN(2000)) * ms, Returning: p.rng.IntN(3) == 0}
 		p.open[q.ID] = &playRequest{Request: q, at: p.now}
 		p.check(p.do(q))
 	case k < 13 && len(p.tries) > 0:
 		p.endTry(p.rng.IntN(len(p.tries)))
 	case k < 14:
-		p.news()
+		p.loopEvent()
 	case k < 15:
 		if ids := p.ids(); len(ids) > 0 {
 			id := ids[p.rng.IntN(len(ids))]
@@ -446,8 +446,8 @@
 	case k < 16 && len(p.tries) > 0:
 		x := p.tries[p.rng.IntN(len(p.tries))]
 		delay := time.Duration(p.rng.IntN(3000)) * ms
-		p.check(p.do(DelayNote{Request: x.id, Server: x.to.ID, Delay: delay}))
-		p.check(p.do(LoadNote{Request: x.id, Server: x.to.ID, Load: p.rng.Float64()}))
+		p.check(p.do(EndpointDelay{Request: x.id, Endpoint: x.to.ID, Delay: delay}))
+		p.check(p.do(ConnectionLoad{Request: x.id, Endpoint: x.to.ID, Load: p.rng.Float64()}))
 	case k < 17:
 		p.check(p.do(Timer{Token: p.rng.Uint32()}))
 	default:
@@ -470,46 +470,46 @@
 	q := p.open[x.id]
 	if q != nil && !q.up && p.rng.IntN(2) == 0 {
 		q.up = true
-		p.check(p.do(Standing{Request: x.id, Server: x.to.ID}))
+		p.check(p.do(Established{Request: x.id, Endpoint: x.to.ID}))
 		return
 	}
 	p.tries = slices.Delete(p.tries, i, i+1)
-	why := []Status{OK, Error, Full, Timeout, ConnectFailed, Reset, Cancelled, Moot}[p.rng.IntN(8)]
-	over := q == nil || q.up || why == OK
+	why := []AttemptStatus{StatusOK, StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent}[p.rng.IntN(8)]
+	over := q == nil || q.up || why == StatusOK
 	if q != nil {
 		q.out--
-		if why != Full && why != ConnectFailed && why != Moot {
+		if why != StatusFull && why != StatusConnectFailed && why != StatusNotSent {
 			q.tries[len(q.tries)-1].ran = true
 		}
 	}
 	if over {
 		delete(p.open, x.id)
 	}
-	p.check(p.do(Outcome{Request: x.id, Server: x.to.ID, Status: why, Done: over}))
+	p.check(p.do(Outcome{Request: x.id, Endpoint: x.to.ID, Status: why, Final: over}))
 }
 
-// news changes the list: servers drain, go, come back cold or are left out.
-func (p *play) news() {
+// loopEvent changes the list: servers drain, go, come back cold or are left out.
+func (p *play) loopEvent() {
 	if p.rng.IntN(4) == 0 {
-		p.check(p.do(ServerList{Kind: ListFailed}))
+		p.check(p.do(EndpointList{Kind: ListFailed}))
 		return
 	}
 	s := &p.servers[p.rng.IntN(len(p.servers))]
-	s.State = State(p.rng.IntN(3))
-	if s.State == Ready && p.rng.IntN(2) == 0 {
-		s.Born = p.now
+	s.State = EndpointState(p.rng.IntN(3))
+	if s.State == StateReady && p.rng.IntN(2) == 0 {
+		s.StartedAt = p.now
 		delete(p.coldSent, s.ID)
 	}
-	list := ServerList{Kind: ListDelta, Servers: []Server{*s}}
+	list := EndpointList{Kind: ListDelta, Endpoints: []Endpoint{*s}}
 	if p.rng.IntN(3) == 0 {
-		list = ServerList{Kind: ListFull}
+		list = EndpointList{Kind: ListFull}
 		for _, s := range p.servers {
-			if s.State != Gone {
-				list.Servers = append(list.Servers, s)
+			if s.State != StateGone {
+				list.Endpoints = append(list.Endpoints, s)
 			}
 		}
 	}
-	if s.State == Ready {
+	if s.State == StateReady {
 		delete(p.bad, s.ID)
 	} else if p.bad[s.ID] == 0 {
 		p.bad[s.ID] = p.now
@@ -522,9 +522,9 @@
 	p.t.Helper()
 	for _, a := range done {
 		switch a := a.(type) {
-		case Send:
+		case SendAttempt:
 			p.checkSend(a)
-		case Refuse:
+		case Reject:
 			q := p.answer(a.Request)
 			for i := range q.tries {
 				if c := p.set.Classes[q.Class]; (q.tries[i].ran || q.out > 0) && c.Effect != Idempotent &&
@@ -534,7 +534,7 @@
 			}
 		case Fail:
 			p.answer(a.Request)
-		case Move:
+		case Migrate:
 			if q := p.open[a.Request]; q == nil || !q.up {
 				p.t.Fatalf("request %d moved, but it isn't up", a.Request)
 			}
@@ -550,14 +550,14 @@
 	if q == nil || q.up {
 		p.t.Fatalf("rule 1: request %d answered, but not owed an answer", id)
 	}
-	if p.now > q.at+q.Left+20*ms {
-		p.t.Fatalf("rule 1: request %d answered %v after its client left", id, p.now-q.at-q.Left)
+	if p.now > q.at+q.TimeLeft+20*ms {
+		p.t.Fatalf("rule 1: request %d answered %v after its client left", id, p.now-q.at-q.TimeLeft)
 	}
 	delete(p.open, id)
 	return q
 }
 
-func (p *play) checkSend(a Send) {
+func (p *play) checkSend(a SendAttempt) {
 	p.t.Helper()
 	q := p.open[a.Request]
 	if q == nil || q.up || q.out > 0 {
@@ -566,7 +566,7 @@
 	if len(q.tries) >= p.set.MaxAttempts {
 		p.t.Fatalf("request %d has more than %d attempts", a.Request, p.set.MaxAttempts)
 	}
-	i := slices.IndexFunc(p.servers, func(s Server) bool { return s.ID == a.Server })
+	i := slices.IndexFunc(p.servers, func(s Endpoint) bool { return s.ID == a.Endpoint })
 	to := p.servers[i]
 	class := p.set.Classes[q.Class]
 	for _, x := range q.tries {
@@ -575,7 +575,7 @@
 		}
 		switch {
 		case class.Effect == AtMostOnce,
-			p.now > x.sent+class.Memory,
+			p.now > x.sent+class.DeduplicationWindow,
 			class.Scope == ScopeZone && to.Zone != x.to.Zone,
 			class.Scope == ScopeCell && to.Cell != x.to.Cell:
 			p.t.Fatalf("rule 2: request %d of class %d sent again", q.ID, q.Class)
@@ -584,19 +584,19 @@
 	if since, ok := p.bad[to.ID]; ok && p.now > since+time.Second {
 		p.t.Fatalf("rule 3: sent to %d, told draining or gone %v ago", to.ID, p.now-since)
 	}
-	if to.Born > 0 && p.now < to.Born+p.set.ColdFor {
+	if to.StartedAt > 0 && p.now < to.StartedAt+p.set.SlowStartDuration {
 		// No more than the share of one relay in what a window may hold, or one.
 		sent := append(p.coldSent[to.ID], p.now)
 		p.coldSent[to.ID] = sent
 		n := 0
 		for _, at := range sent {
-			if at > p.now-p.set.TipAfter {
+			if at > p.now-p.set.OverloadWindow {
 				n++
 			}
 		}
-		age := float64(p.now-to.Born) / float64(p.set.ColdFor)
-		share := p.set.ColdShare + (1-p.set.ColdShare)*age
-		if most := 1 + 10*share*p.set.TipMultiple*p.set.TipAfter.Seconds(); float64(n) > most {
+		age := float64(p.now-to.StartedAt) / float64(p.set.SlowStartDuration)
+		share := p.set.InitialCapacity + (1-p.set.InitialCapacity)*age
+		if most := 1 + 10*share*p.set.OverloadMultiple*p.set.OverloadWindow.Seconds(); float64(n) > most {
 			p.t.Fatalf("rule 4: cold server %d sent %d in a window, %v at most", to.ID, n, most)
 		}
 	}
@@ -610,9 +610,9 @@
 func TestServersThatAreGoneAreForgotten(t *testing.T) {
 	b := New(testSettings(), 1)
 	now := time.Duration(0)
-	for id := ServerID(1); id < 3000; id++ {
+	for id := EndpointID(1); id < 3000; id++ {
 		now += time.Second
-		b.Handle(now, ServerList{Kind: ListDelta, Servers: []Server{{ID: id, State: Ready, Weight: 1}, {ID: id - 1, State: Gone}}})
+		b.Handle(now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: id, State: StateReady, Weight: 1}, {ID: id - 1, State: StateGone}}})
 	}
 	if n := len(b.fleet.servers); n > 3 {
 		t.Errorf("%d servers are kept, of which one is there", n)
--- a/balance/sieve_test.go
+++ b/balancer/sieve_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"fmt"
@@ -44,16 +44,16 @@
 			list[i].Weight = 1 + float64(i%4)/2
 		}
 		r := newRelay(t, set, list...)
-		server := rapid.Map(rapid.IntRange(1, n), func(i int) ServerID { return ServerID(i) })
-		out, up := make(map[RequestID]ServerID), make(map[RequestID]ServerID)
+		server := rapid.Map(rapid.IntRange(1, n), func(i int) EndpointID { return EndpointID(i) })
+		out, up := make(map[RequestID]EndpointID), make(map[RequestID]EndpointID)
 		take := func(done []Action) {
 			for _, a := range done {
 				switch a := a.(type) {
-				case Send:
-					out[a.Request] = a.Server
-				case Refuse:
+				case SendAttempt:
+					out[a.Request] = a.Endpoint
+				case Reject:
 					delete(out, a.Request)
-				case Move:
+				case Migrate:
 					delete(up, a.Request)
 				}
 			}
@@ -79,41 +79,41 @@
 			"ask": func(rt *rapid.T) {
 				for range rapid.IntRange(1, 20).Draw(rt, "n") {
 					r.next++
-					take(r.do(Request{ID: r.next, Group: rapid.Uint64Range(1, 500).Draw(rt, "group"), Left: 2 * time.Second}))
+					take(r.do(Request{ID: r.next, Group: rapid.Uint64Range(1, 500).Draw(rt, "group"), TimeLeft: 2 * time.Second}))
 				}
 			},
 			"stand": func(_ *rapid.T) {
 				for id, s := range out {
 					delete(out, id)
 					up[id] = s
-					take(r.do(Standing{Request: id, Server: s, Took: 20 * ms}))
-					take(r.do(LoadNote{Request: id, Server: s, Load: 0.01 + float64(id%7)/20}))
+					take(r.do(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
+					take(r.do(ConnectionLoad{Request: id, Endpoint: s, Load: 0.01 + float64(id%7)/20}))
 				}
 			},
 			"fail": func(_ *rapid.T) {
 				for id, s := range out {
 					delete(out, id)
-					take(r.do(Outcome{Request: id, Server: s, Status: Status(1 + id%5)}))
+					take(r.do(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(1 + id%5)}))
 				}
 			},
 			"end": func(_ *rapid.T) {
 				for id, s := range up {
 					if delete(up, id); id%2 == 0 {
-						take(r.do(Outcome{Request: id, Server: s, Status: OK, Done: true}))
+						take(r.do(Outcome{Request: id, Endpoint: s, Status: StatusOK, Final: true}))
 					}
 				}
 			},
 			"slow": func(rt *rapid.T) {
 				for range rapid.IntRange(1, n/2).Draw(rt, "n") {
-					take(r.do(DelayNote{Server: server.Draw(rt, "server"), Delay: time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * ms}))
+					take(r.do(EndpointDelay{Endpoint: server.Draw(rt, "server"), Delay: time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * ms}))
 				}
 			},
 			"list": func(rt *rapid.T) {
-				line := Server{ID: server.Draw(rt, "server"), State: State(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
+				line := Endpoint{ID: server.Draw(rt, "server"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
-					line.Born = r.now
+					line.StartedAt = r.now
 				}
-				take(r.do(ServerList{Kind: ListDelta, Servers: []Server{line}}))
+				take(r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}}))
 			},
 			"pass": func(rt *rapid.T) { take(r.pass(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * ms)) },
 		})
@@ -127,12 +127,12 @@
 		for _, how := range []string{"looking at all", "as it is"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
 				m := New(testSettings(), 1)
-				m.Handle(time.Hour, ServerList{Kind: ListFull, Servers: ready(n)})
+				m.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: ready(n)})
 				for i := range 6 * n { // what stands on them differs
 					id := RequestID(i + 1)
-					for _, a := range m.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), Left: 2 * time.Second}) {
-						if s, ok := a.(Send); ok {
-							m.Handle(time.Hour+time.Duration(i)*ms, Standing{Request: id, Server: s.Server})
+					for _, a := range m.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), TimeLeft: 2 * time.Second}) {
+						if s, ok := a.(SendAttempt); ok {
+							m.Handle(time.Hour+time.Duration(i)*ms, Established{Request: id, Endpoint: s.Endpoint})
 						}
 					}
 				}
@@ -158,10 +158,10 @@
 	r := newRelay(t, testSettings(), ready(3)...)
 	var up []RequestID
 	for id := RequestID(1); id <= 30; id++ {
-		for _, a := range r.do(Request{ID: id, Group: uint64(id), Left: time.Second}) {
-			if s, sent := a.(Send); sent {
-				r.do(Standing{Request: id, Server: s.Server, Took: 20 * ms})
-				r.do(LoadNote{Request: id, Server: s.Server, Load: 0.1 * float64(id)})
+		for _, a := range r.do(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
+			if s, sent := a.(SendAttempt); sent {
+				r.do(Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * ms})
+				r.do(ConnectionLoad{Request: id, Endpoint: s.Endpoint, Load: 0.1 * float64(id)})
 				up = append(up, id)
 			}
 		}
@@ -170,7 +170,7 @@
 		t.Fatalf("%d connections stand", len(up))
 	}
 	for _, id := range up {
-		r.do(Outcome{Request: id, Status: OK, Done: true})
+		r.do(Outcome{Request: id, Status: StatusOK, Final: true})
 	}
 	if load, _, _, _ := r.b.totals(); load != 0 {
 		t.Errorf("the kept load is %v", load)
--- a/balance/state.go
+++ b/balancer/state.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"cmp"
@@ -38,7 +38,7 @@
 	class     *Class        // of them
 	giveUp    time.Duration // answered by then
 	attempts  int
-	tried     []ServerID
+	tried     []EndpointID
 	at        *server // where its attempt is out or its connection stands
 	up        bool    // the connection stands
 	over      bool
@@ -61,7 +61,7 @@
 
 // begin enters a request, under the settings that it keeps.
 func (b *Balancer) begin(ev Request) *request {
-	q := &request{Request: ev, set: cmp.Or(ev.Under, b.set)}
+	q := &request{Request: ev, set: cmp.Or(ev.Settings, b.set)}
 	q.class = q.set.class(ev.Class)
 	b.requests[q.ID] = q
 	return q
@@ -82,15 +82,15 @@
 func (s *Settings) shortestAim() time.Duration {
 	var aim time.Duration
 	for _, c := range s.Classes {
-		if c.MessageAim > 0 && (aim == 0 || c.MessageAim < aim) {
-			aim = c.MessageAim
+		if c.MessageLatencyObjective > 0 && (aim == 0 || c.MessageLatencyObjective < aim) {
+			aim = c.MessageLatencyObjective
 		}
 	}
 	return aim
 }
 
 type server struct {
-	Server
+	Endpoint
 	weight   float64 // the controller's, as of weighed
 	weighed  time.Duration
 	conns    []*request
@@ -124,7 +124,7 @@
 // was heard of it; 0 if it is not avoided.
 func (s *server) avoidedUntil() (until time.Duration) {
 	switch {
-	case s.State == Draining:
+	case s.State == StateDraining:
 		return math.MaxInt64
 	case s.awayAt > 0:
 		until = s.awayAt + awayFor
@@ -140,7 +140,7 @@
 func (b *Balancer) avoided(room []time.Duration) (listed int, until []time.Duration) {
 	until = room[:0]
 	for _, s := range b.fleet.servers {
-		if s.State == Gone {
+		if s.State == StateGone {
 			continue
 		}
 		listed++
@@ -203,7 +203,7 @@
 // paced counts a request that a server is drawn for: once in the time in which a cold
 // server could fall over, as it gets one chance at each in that.
 func (b *Balancer) paced(q *request) {
-	if span := 1 + b.now/b.set.TipAfter; q.span != span {
+	if span := 1 + b.now/b.set.OverloadWindow; q.span != span {
 		q.span = span
 		b.pace.add(b.now)
 	}
@@ -248,7 +248,7 @@
 	}
 	return func(yield func(*server) bool) {
 		for _, s := range servers {
-			if s.State == Ready && s.Born > 0 && now < s.Born+within && !yield(s) {
+			if s.State == StateReady && s.StartedAt > 0 && now < s.StartedAt+within && !yield(s) {
 				return
 			}
 		}
@@ -269,9 +269,9 @@
 	f.sure, f.load0, f.size0, f.biggest, f.odd = true, 0, 0, 0, f.odd[:0]
 	f.salts = f.salts[:0]
 	for _, s := range f.servers {
-		s.fleet, s.odd = f, s.Born > 0 || s.lastSlow > 0
+		s.fleet, s.odd = f, s.StartedAt > 0 || s.lastSlow > 0
 		f.salts = append(f.salts, salted(s.ID))
-		if s.State == Ready {
+		if s.State == StateReady {
 			f.load0 += s.demand()
 			f.size0 += s.size()
 			f.biggest = max(f.biggest, s.size())
@@ -284,18 +284,18 @@
 
 // changes keeps the fleet's load true over a change of a server's.
 func (s *server) changes(before float64) {
-	if s.fleet != nil && s.State == Ready {
+	if s.fleet != nil && s.State == StateReady {
 		s.fleet.load0 += s.demand() - before
 	}
 }
 
-func (f *fleet) search(id ServerID) (int, bool) {
-	return slices.BinarySearchFunc(f.servers, id, func(s *server, id ServerID) int {
+func (f *fleet) search(id EndpointID) (int, bool) {
+	return slices.BinarySearchFunc(f.servers, id, func(s *server, id EndpointID) int {
 		return cmp.Compare(s.ID, id)
 	})
 }
 
-func (f *fleet) find(id ServerID) *server {
+func (f *fleet) find(id EndpointID) *server {
 	if i, ok := f.search(id); ok {
 		return f.servers[i]
 	}
@@ -304,17 +304,17 @@
 
 // replace marks the servers that a whole list leaves out as gone, and drops
 // those that nothing refers to any more.
-func (f *fleet) replace(list []Server) {
+func (f *fleet) replace(list []Endpoint) {
 	f.sure = false
-	named := make(map[ServerID]bool, len(list))
+	named := make(map[EndpointID]bool, len(list))
 	for _, line := range list {
 		named[line.ID] = true
 	}
 	f.servers = slices.DeleteFunc(f.servers, func(s *server) bool {
 		if !named[s.ID] {
-			s.State = Gone
+			s.State = StateGone
 		}
-		return s.State == Gone && len(s.conns) == 0
+		return s.State == StateGone && len(s.conns) == 0
 	})
 }
 
@@ -326,7 +326,7 @@
 func (f *fleet) insert(s *server, now time.Duration) {
 	f.sure = false
 	f.servers = slices.DeleteFunc(f.servers, func(s *server) bool {
-		return s.State == Gone && len(s.conns) == 0 && now > max(s.lastSent, s.stoodAt, s.failedAt)+goneLife
+		return s.State == StateGone && len(s.conns) == 0 && now > max(s.lastSent, s.stoodAt, s.failedAt)+goneLife
 	})
 	s.groups = make(map[uint64]int)
 	i, _ := f.search(s.ID)
@@ -336,8 +336,8 @@
 // book adds a connection to its server, with the load expected of it if known.
 func (f *fleet) book(q *request) {
 	q.at.add(q)
-	if q.Load > 0 {
-		f.weigh(q, q.Load)
+	if q.ExpectedLoad > 0 {
+		f.weigh(q, q.ExpectedLoad)
 	}
 }
 
@@ -378,7 +378,7 @@
 // added adds up servers one by one.
 func (b *Balancer) added(servers []*server) (load, size, warm, slow float64) {
 	for _, s := range servers {
-		if s.State == Ready {
+		if s.State == StateReady {
 			load += s.demand()
 			size += s.size()
 			if b.warmth(s) >= 1 {
@@ -558,7 +558,7 @@
 	at   time.Duration // it was last heard of
 
 	cut time.Duration // one was given up after this, at the server by, and none has stood since; 0: none was
-	by  ServerID
+	by  EndpointID
 }
 
 // setupLife is how long that holds: what slows all set-ups passes within it.
@@ -579,7 +579,7 @@
 
 // cutOff notes one that was given up after a time. One server may hang; where a second keeps a set-up as long, with
 // none that stood between them, it is what they take at the least.
-func (u *setups) cutOff(at ServerID, after, now time.Duration) {
+func (u *setups) cutOff(at EndpointID, after, now time.Duration) {
 	if u.cut > 0 && u.by != at {
 		u.took, u.at = max(u.cut, after, u.usual(now)), now
 	}
@@ -596,10 +596,10 @@
 }
 
 // mix hashes a key and a server.
-func mix(key uint64, id ServerID) uint64 { return stir(key ^ salted(id)) }
+func mix(key uint64, id EndpointID) uint64 { return stir(key ^ salted(id)) }
 
 // salted is a server's part of a hash.
-func salted(id ServerID) uint64 { return uint64(id) * 0x9e3779b97f4a7c15 }
+func salted(id EndpointID) uint64 { return uint64(id) * 0x9e3779b97f4a7c15 }
 
 func stir(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -608,7 +608,7 @@
 }
 
 // uniform hashes a key and a server to a number between 0 and 1.
-func uniform(key uint64, id ServerID) float64 { return (float64(mix(key, id)>>11) + 0.5) / (1 << 53) }
+func uniform(key uint64, id EndpointID) float64 { return (float64(mix(key, id)>>11) + 0.5) / (1 << 53) }
 
 // routes is a bounded cache of the servers of groups; the oldest entry goes first.
 type routes struct {
@@ -620,11 +620,11 @@
 
 type route struct {
 	key    uint64
-	server ServerID
+	server EndpointID
 	until  time.Duration
 }
 
-func (r *routes) get(key uint64, now time.Duration) (ServerID, bool) {
+func (r *routes) get(key uint64, now time.Duration) (EndpointID, bool) {
 	i, ok := r.at[key]
 	if !ok || now >= r.ring[i].until {
 		return 0, false
@@ -632,7 +632,7 @@
 	return r.ring[i].server, true
 }
 
-func (r *routes) put(key uint64, id ServerID, until time.Duration) {
+func (r *routes) put(key uint64, id EndpointID, until time.Duration) {
 	if key == 0 {
 		return
 	}
@@ -649,7 +649,7 @@
 }
 
 // clear forgets the route of a group if it leads to the server.
-func (r *routes) clear(key uint64, id ServerID) {
+func (r *routes) clear(key uint64, id EndpointID) {
 	if i, ok := r.at[key]; ok && r.ring[i].server == id {
 		r.ring[i].until = math.MinInt64
 	}
--- a/balance/why_test.go
+++ b/balancer/why_test.go
@@ -1,4 +1,4 @@
-package balance
+package balancer
 
 import (
 	"fmt"
@@ -17,11 +17,11 @@
 	of   []RequestID
 }
 
-func newWatched(t *testing.T, s Settings, servers ...Server) *watched {
+func newWatched(t *testing.T, s Settings, servers ...Endpoint) *watched {
 	w := &watched{relay: newRelay(t, s, servers...)}
 	w.b.Observe(func(id RequestID, d *Decision) {
 		kept := *d
-		kept.Believed = slices.Clone(d.Believed)
+		kept.Considered = slices.Clone(d.Considered)
 		w.told, w.of = append(w.told, kept), append(w.of, id)
 	})
 	return w
@@ -41,114 +41,114 @@
 }
 
 // slow has a server be slow from now on.
-func (w *watched) slow(id ServerID) { w.do(DelayNote{Server: id, Delay: 3 * time.Second}) }
+func (w *watched) slow(id EndpointID) { w.do(EndpointDelay{Endpoint: id, Delay: 3 * time.Second}) }
 
 func TestEveryReasonIsTold(t *testing.T) {
 	const group = 7
 	t.Run("a cached route, and what passes it over", func(t *testing.T) {
 		w := newWatched(t, testSettings(), ready(4)...)
 		id, home := w.open(group)
-		if d := w.last(Sent, Drawn); d.Server != home || d.Attempt != 1 || len(d.Believed) != BeliefsMost || d.Servers != 4 {
+		if d := w.last(VerdictSent, ReasonWeightedDraw); d.Endpoint != home || d.Attempt != 1 || len(d.Considered) != MaxConsidered || d.ReadyEndpoints != 4 {
 			t.Errorf("told %+v", d)
 		}
 		w.open(group)
-		if d := w.last(Sent, CachedRoute); d.Server != home || d.Believed[0].Server != home || d.Believed[0].Load <= 0 || d.Instead != -1 {
+		if d := w.last(VerdictSent, ReasonCachedRoute); d.Endpoint != home || d.Considered[0].Endpoint != home || d.Considered[0].Load <= 0 || d.Preferred != -1 {
 			t.Errorf("told %+v", d)
 		}
-		w.do(LoadNote{Request: id, Server: home, Load: 0.1})
+		w.do(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
 		w.slow(home)
-		w.last(Moving, Relief)
+		w.last(VerdictMigrated, ReasonLoadRelief)
 		// A group that has lost its route is drawn past the slow server, and told so.
-		w.do(Standing{})
+		w.do(Established{})
 		w.b.routes.put(group, home, w.now+time.Minute)
 		w.ask(group)
-		d := w.last(Sent, RouteSlow)
-		if d.Server == home || d.Instead < 0 || d.Believed[d.Instead].Server != home || d.Believed[d.Instead].Bars&BarSlow == 0 ||
-			d.Believed[d.Instead].Delay != 3*time.Second || d.Believed[d.Instead].Age != 0 || d.SlowPart != 0.25 {
+		d := w.last(VerdictSent, ReasonRouteSlow)
+		if d.Endpoint == home || d.Preferred < 0 || d.Considered[d.Preferred].Endpoint != home || d.Considered[d.Preferred].Exclusions&ExcludedSlow == 0 ||
+			d.Considered[d.Preferred].Delay != 3*time.Second || d.Considered[d.Preferred].DelayAge != 0 || d.SlowShare != 0.25 {
 			t.Errorf("told %+v", d)
 		}
 		w.pass(slowLife + ms)
 		w.b.fleet.find(home).lastSent = w.now // its turn is past
 		w.b.routes.put(group, home, w.now+time.Minute)
 		w.ask(group)
-		w.last(Sent, RouteEased)
+		w.last(VerdictSent, ReasonRouteRecovering)
 		w.pass(easeFor)
-		w.do(DelayNote{Server: home, Delay: 60 * ms})
+		w.do(EndpointDelay{Endpoint: home, Delay: 60 * ms})
 		w.b.routes.put(group, home, w.now+time.Minute)
 		w.ask(group)
-		w.last(Sent, RouteFull)
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: home, State: Draining, Weight: 1}}})
+		w.last(VerdictSent, ReasonRouteAtCapacity)
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
 		w.b.routes.put(group, home, w.now+time.Minute)
 		w.ask(group)
-		w.last(Sent, RouteGone)
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: home, State: Ready, Weight: 1, Born: w.now}}})
+		w.last(VerdictSent, ReasonRouteGone)
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Weight: 1, StartedAt: w.now}}})
 		w.b.fleet.find(home).lastSent = w.now
 		w.b.routes.put(group, home, w.now+time.Minute)
 		w.ask(group)
-		w.last(Sent, RouteCold)
+		w.last(VerdictSent, ReasonRouteWarmingUp)
 	})
 	t.Run("tried again until its tries are used up", func(t *testing.T) {
 		w := newWatched(t, testSettings(), ready(4)...)
 		id, done := w.ask(group)
-		var tried []ServerID
+		var tried []EndpointID
 		for attempt := 1; ; attempt++ {
-			s := done[0].(Send)
-			tried = append(tried, s.Server)
-			w.fail(id, s.Server, Reset)
+			s := done[0].(SendAttempt)
+			tried = append(tried, s.Endpoint)
+			w.fail(id, s.Endpoint, StatusReset)
 			if attempt == w.b.set.MaxAttempts {
 				break
 			}
-			if d := w.last(Held, Backoff); d.Wait != backoffBase<<(attempt-1) || d.Attempt != attempt {
+			if d := w.last(VerdictHeld, ReasonBackoff); d.Wait != backoffBase<<(attempt-1) || d.Attempt != attempt {
 				t.Errorf("told %+v", d)
 			}
 			done = w.pass(backoffBase << (attempt - 1))
-			d := w.last(Sent, DrawnAgain)
-			if d.Attempt != attempt+1 || slices.Contains(tried, d.Server) {
+			d := w.last(VerdictSent, ReasonRedrawn)
+			if d.Attempt != attempt+1 || slices.Contains(tried, d.Endpoint) {
 				t.Errorf("tried %v, then told %+v", tried, d)
 			}
-			for _, f := range d.Believed {
-				if f.Bars&BarTried != 0 != slices.Contains(tried, f.Server) {
+			for _, f := range d.Considered {
+				if f.Exclusions&ExcludedTried != 0 != slices.Contains(tried, f.Endpoint) {
 					t.Errorf("tried %v, told of %+v", tried, f)
 				}
 			}
 		}
-		w.last(Refused, OutOfTries)
+		w.last(VerdictRejected, ReasonAttemptsExhausted)
 	})
 	t.Run("held and given up", func(t *testing.T) {
 		w := newWatched(t, testSettings(), ready(1)...)
 		w.slow(1)
 		w.ask(group)
-		if d := w.last(Held, ServerSlow); d.Believed[0].Server != 1 || d.Wait != holdFor {
+		if d := w.last(VerdictHeld, ReasonEndpointSlow); d.Considered[0].Endpoint != 1 || d.Wait != holdFor {
 			t.Errorf("told %+v", d)
 		}
 		for range 20 {
 			w.slow(1)
 			w.pass(100 * ms)
 		}
-		if d := w.last(Refused, OutOfTime); d.Left != 0 {
+		if d := w.last(VerdictRejected, ReasonDeadlineExceeded); d.TimeLeft != 0 {
 			t.Errorf("told %+v", d)
 		}
 		w.pass(slowLife)
 		w.b.fleet.find(1).lastSent = w.now
 		w.ask(group)
-		w.last(Held, NoneUsable) // it is eased into work, and few are slow
+		w.last(VerdictHeld, ReasonNoneEligible) // it is eased into work, and few are slow
 		// Where many are slow a request waits for the one that it falls on.
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: 2, State: Ready, Weight: 1}}})
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Weight: 1}}})
 		w.slow(2)
-		for other := uint64(1); w.told[len(w.told)-1].Reason != ServerEased && other < 99; other++ {
+		for other := uint64(1); w.told[len(w.told)-1].Reason != ReasonEndpointRecovering && other < 99; other++ {
 			w.ask(group + other)
 		}
-		w.last(Held, ServerEased)
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: 2, State: Gone}}})
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: 1, State: Draining, Weight: 1}}})
+		w.last(VerdictHeld, ReasonEndpointRecovering)
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateGone}}})
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
 		w.ask(group)
-		if d := w.last(Refused, NoHope); d.Servers != 0 {
+		if d := w.last(VerdictRejected, ReasonNoViableEndpoint); d.ReadyEndpoints != 0 {
 			t.Errorf("told %+v", d)
 		}
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: 1, State: Ready, Weight: 1, Born: w.now}}})
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: w.now}}})
 		w.b.fleet.find(1).lastSent = w.now
 		w.ask(group)
-		w.last(Held, NoneUsable)
+		w.last(VerdictHeld, ReasonNoneEligible)
 	})
 	t.Run("the window, a repeat that must not be, a drain", func(t *testing.T) {
 		s := testSettings()
@@ -157,19 +157,19 @@
 		w.b.window.size = 1
 		first, done := w.ask(group)
 		w.ask(group + 1)
-		w.last(Held, WindowFull)
-		w.fail(first, done[0].(Send).Server, Reset)
-		if i := slices.Index(w.of, first); w.told[i].Verdict != Sent || w.of[len(w.of)-1] == first {
+		w.last(VerdictHeld, ReasonWindowFull)
+		w.fail(first, done[0].(SendAttempt).Endpoint, StatusReset)
+		if i := slices.Index(w.of, first); w.told[i].Verdict != VerdictSent || w.of[len(w.of)-1] == first {
 			t.Error("the second was not sent once the window opened")
 		}
 		i := len(w.told) - 2
-		if d := w.told[i]; w.of[i] != first || d.Verdict != Failing || d.Reason != MayNotRepeat {
+		if d := w.told[i]; w.of[i] != first || d.Verdict != VerdictFailed || d.Reason != ReasonNotRepeatable {
 			t.Errorf("told %+v", d)
 		}
 		w.b.window.size = 9
 		_, home := w.open(group + 2)
-		w.do(ServerList{Kind: ListDelta, Servers: []Server{{ID: home, State: Draining, Weight: 1}}})
-		if d := w.last(Moving, ServerDrains); d.Server != home || d.Believed[0].State != Draining {
+		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
+		if d := w.last(VerdictMigrated, ReasonEndpointDraining); d.Endpoint != home || d.Considered[0].State != StateDraining {
 			t.Errorf("told %+v", d)
 		}
 	})
@@ -184,7 +184,7 @@
 		set.Relays = rapid.IntRange(1, 4).Draw(rt, "relays")
 		set.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
 		set.Classes[0].Effect = Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
-		set.Classes[0].Memory = time.Second
+		set.Classes[0].DeduplicationWindow = time.Second
 		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeFleet, largeFleet+9)).Draw(rt, "servers")
 		blind, seen := newRelay(t, set, ready(n)...), newWatched(t, set, ready(n)...)
 		both := func(ev Event) []Action {
@@ -194,25 +194,25 @@
 			}
 			return got
 		}
-		out := make(map[RequestID]ServerID)
-		up := make(map[RequestID]ServerID)
+		out := make(map[RequestID]EndpointID)
+		up := make(map[RequestID]EndpointID)
 		var next RequestID
 		from := len(seen.told)
 		account := func(done []Action) {
 			var want []string
 			for _, a := range done {
 				switch a := a.(type) {
-				case Send:
-					out[a.Request] = a.Server
-					want = append(want, fmt.Sprint(a.Request, Sent, a.Server, a.Timeout))
-				case Refuse:
+				case SendAttempt:
+					out[a.Request] = a.Endpoint
+					want = append(want, fmt.Sprint(a.Request, VerdictSent, a.Endpoint, a.Timeout))
+				case Reject:
 					delete(out, a.Request)
-					want = append(want, fmt.Sprint(a.Request, Refused, 0, a.RetryAfter))
+					want = append(want, fmt.Sprint(a.Request, VerdictRejected, 0, a.RetryAfter))
 				case Fail:
 					delete(out, a.Request)
-					want = append(want, fmt.Sprint(a.Request, Failing, 0, time.Duration(0)))
-				case Move:
-					want = append(want, fmt.Sprint(a.Request, Moving, up[a.Request], time.Duration(0)))
+					want = append(want, fmt.Sprint(a.Request, VerdictFailed, 0, time.Duration(0)))
+				case Migrate:
+					want = append(want, fmt.Sprint(a.Request, VerdictMigrated, up[a.Request], time.Duration(0)))
 					delete(up, a.Request)
 				}
 			}
@@ -220,8 +220,8 @@
 			for i := from; i < len(seen.told); i++ {
 				d := seen.told[i]
 				reached[d.Reason] = true
-				if d.Verdict != Held {
-					got = append(got, fmt.Sprint(seen.of[i], d.Verdict, d.Server, d.Wait))
+				if d.Verdict != VerdictHeld {
+					got = append(got, fmt.Sprint(seen.of[i], d.Verdict, d.Endpoint, d.Wait))
 				}
 			}
 			from = len(seen.told)
@@ -236,7 +236,7 @@
 			}
 			account(got)
 		}
-		pick := func(m map[RequestID]ServerID, what string) (RequestID, ServerID, bool) {
+		pick := func(m map[RequestID]EndpointID, what string) (RequestID, EndpointID, bool) {
 			var ids []RequestID
 			for id := range m {
 				ids = append(ids, id)
@@ -248,48 +248,48 @@
 			id := rapid.SampledFrom(ids).Draw(rt, what)
 			return id, m[id], true
 		}
-		server := rapid.Map(rapid.IntRange(1, n), func(i int) ServerID { return ServerID(i) })
+		server := rapid.Map(rapid.IntRange(1, n), func(i int) EndpointID { return EndpointID(i) })
 		rt.Repeat(map[string]func(*rapid.T){
 			"ask": func(rt *rapid.T) {
 				next++
 				account(both(Request{
-					ID: next, Group: rapid.Uint64Range(0, 5).Draw(rt, "group"), Left: 2 * time.Second,
-					Return: rapid.Bool().Draw(rt, "return"),
+					ID: next, Group: rapid.Uint64Range(0, 5).Draw(rt, "group"), TimeLeft: 2 * time.Second,
+					Returning: rapid.Bool().Draw(rt, "return"),
 				}))
 			},
 			"stand": func(_ *rapid.T) {
 				if id, s, ok := pick(out, "stands"); ok {
 					delete(out, id)
 					up[id] = s
-					account(both(Standing{Request: id, Server: s, Took: 20 * ms}))
+					account(both(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
 				}
 			},
 			"fail": func(rt *rapid.T) {
 				if id, s, ok := pick(out, "fails"); ok {
 					delete(out, id)
-					account(both(Outcome{Request: id, Server: s, Status: Status(rapid.IntRange(1, 8).Draw(rt, "status"))}))
+					account(both(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(rapid.IntRange(1, 8).Draw(rt, "status"))}))
 				}
 			},
 			"end": func(rt *rapid.T) {
 				if id, s, ok := pick(up, "ends"); ok {
 					delete(up, id)
-					account(both(Outcome{Request: id, Server: s, Status: []Status{OK, Reset, SentAway}[rapid.IntRange(0, 2).Draw(rt, "end")], Done: true}))
+					account(both(Outcome{Request: id, Endpoint: s, Status: []AttemptStatus{StatusOK, StatusReset, StatusRedirected}[rapid.IntRange(0, 2).Draw(rt, "end")], Final: true}))
 				}
 			},
 			"delay": func(rt *rapid.T) {
-				account(both(DelayNote{Server: server.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
+				account(both(EndpointDelay{Endpoint: server.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
 			},
 			"list": func(rt *rapid.T) {
-				line := Server{ID: server.Draw(rt, "listed"), State: State(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: 1, Zone: 0}
+				line := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
-					line.Born = seen.now
+					line.StartedAt = seen.now
 				}
-				account(both(ServerList{Kind: ListDelta, Servers: []Server{line}}))
+				account(both(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}}))
 			},
 			"pass": func(rt *rapid.T) { pass(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * ms) },
 		})
 	})
-	for r := CachedRoute; r < reasons; r++ {
+	for r := ReasonCachedRoute; r < reasons; r++ {
 		if !reached[r] {
 			t.Logf("no random run came to %v", r)
 		}
@@ -301,7 +301,7 @@
 		for _, told := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d/told=%v", n, told), func(b *testing.B) {
 				m := New(testSettings(), 1)
-				m.Handle(time.Hour, ServerList{Kind: ListFull, Servers: ready(n)})
+				m.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: ready(n)})
 				if told {
 					m.Observe(func(RequestID, *Decision) {})
 				}
@@ -309,7 +309,7 @@
 				for i := range b.N {
 					now := time.Hour + time.Duration(i)*time.Millisecond
 					id := RequestID(i + 1)
-					m.Handle(now, Request{ID: id, Group: uint64(i%64) + 1, Left: 2 * time.Second})
+					m.Handle(now, Request{ID: id, Group: uint64(i%64) + 1, TimeLeft: 2 * time.Second})
 					m.Handle(now, ClientLeft{Request: id})
 				}
 			})
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -9,7 +9,7 @@
 	"io"
 	"os"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 // serve answers batches until the input ends.
 func serve(r io.Reader, w io.Writer) error {
 	in := wire.NewReader(bufio.NewReaderSize(r, 1<<16))
-	instances := make(map[uint32]*balance.Balancer)
+	instances := make(map[uint32]*balancer.Balancer)
 	var reply wire.Reply
 	for {
 		batch, err := in.Next()
@@ -44,7 +44,7 @@
 }
 
 // answer hands the records of a batch to their instances.
-func answer(batch *wire.Batch, instances map[uint32]*balance.Balancer, reply *wire.Reply) error {
+func answer(batch *wire.Batch, instances map[uint32]*balancer.Balancer, reply *wire.Reply) error {
 	for {
 		rec, err := batch.Next()
 		if errors.Is(err, io.EOF) {
@@ -55,10 +55,10 @@
 		}
 		switch body := rec.Body.(type) {
 		case wire.Attach:
-			instances[rec.Instance] = balance.New(body.Settings, body.Seed)
+			instances[rec.Instance] = balancer.New(body.Settings, body.Seed)
 		case wire.Retire:
 			delete(instances, rec.Instance)
-		case balance.Event:
+		case balancer.Event:
 			b := instances[rec.Instance]
 			if b == nil {
 				return fmt.Errorf("instance %d is not attached", rec.Instance)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/core"
 	"lockroad/internal/members"
@@ -221,7 +221,7 @@
 			row(e.Name, e.Count)
 		}
 		for how, name := range memory.Statuses {
-			row("passes "+name, c.Passes(balance.Status(how)))
+			row("passes "+name, c.Passes(balancer.AttemptStatus(how)))
 		}
 		row("bad openings", c.BadLines.Load())
 		row("broken invariants", assert.Broken())
@@ -247,7 +247,7 @@
 	held := d.Core.Held(ctx)
 	table(w, []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}, func(row func(...any)) {
 		for _, s := range d.Core.Farm.List() {
-			if s.Phase == balance.Gone && at[s.Name] == 0 {
+			if s.Phase == balancer.StateGone && at[s.Name] == 0 {
 				continue
 			}
 			var delay, load, avoided any
@@ -268,14 +268,14 @@
 
 // phase is a server's phase, and whose word it is.
 func (d *Desk) phase(s memory.Server) string {
-	if s.Phase == balance.Draining && d.Core.Ordered(s.Name) {
+	if s.Phase == balancer.StateDraining && d.Core.Ordered(s.Name) {
 		return memory.PhaseName(s.Phase) + ", as ordered"
 	}
 	return memory.PhaseName(s.Phase)
 }
 
 func (d *Desk) transactions(w io.Writer) {
-	names := make(map[balance.ServerID]string)
+	names := make(map[balancer.EndpointID]string)
 	for _, s := range d.Core.Farm.List() {
 		names[s.ID] = s.Name
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/record"
@@ -26,21 +26,21 @@
 // socket and how often it was told to drain.
 func start(t *testing.T) (socket string, drained func() int) {
 	t.Helper()
-	k := core.New(balance.Settings{
-		Classes: []balance.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, ColdShare: 1, TipMultiple: 1, TipAfter: 1,
+	k := core.New(balancer.Settings{
+		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 	}, 1, core.NewClock())
 	id := k.Farm.ID("s-5be2a07c")
-	k.Listed(balance.ListFull, []balance.Server{{ID: id, State: balance.Draining, Weight: 1}}, []string{"10.1.0.18:3000"})
+	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
 	n, _ := k.Transactions.Add(memory.Transaction{Front: "line", Name: "9b1f03aa", Class: "page", Since: k.Clock.Now()})
 	k.Transactions.Set(n, memory.Open, id)
 	k.Counters.End(memory.Moved)
-	k.Counters.Pass(balance.Timeout)
+	k.Counters.Pass(balancer.StatusTimeout)
 	r, err := record.New(record.LeastBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "9b1f03aa", Ask: balance.Ask{GiveUp: k.Clock.Now() + time.Second}})
-	tr.Pass(id)(balance.Full)
+	tr := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
+	tr.Pass(id)(balancer.StatusFull)
 	tr.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
 	var mu sync.Mutex
 	drains := 0
@@ -191,7 +191,7 @@
 // Names come from clients: none of them moves the terminal, and JSON stays JSON.
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
-	d := &Desk{Core: core.New(balance.Settings{Relays: 1}, 1, core.NewClock())}
+	d := &Desk{Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock())}
 	d.Core.Transactions.Add(memory.Transaction{Front: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := d.answer(context.Background(), command, "me")
@@ -259,7 +259,7 @@
 // A console that looks on goes on while the relay is away; a relay that is out of descriptors
 // answers once it has some.
 func TestWatchGoesOnOverARestart(t *testing.T) {
-	d := &Desk{Name: "n1", Core: core.New(balance.Settings{Relays: 1}, 1, core.NewClock())}
+	d := &Desk{Name: "n1", Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock())}
 	socket := filepath.Join(t.TempDir(), "console")
 	if code := Watch(t.Context(), socket, "status", time.Millisecond, false, io.Discard, io.Discard); code != ExitUnreachable {
 		t.Errorf("code %d of a relay that was never there", code)
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/golden"
 	"lockroad/internal/keep"
@@ -66,20 +66,20 @@
 	t.Helper()
 	useUTC(t)
 	synctest.Test(t, func(t *testing.T) {
-		k := core.New(balance.Settings{
-			Classes: []balance.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, ColdShare: 1, TipMultiple: 1, TipAfter: 1,
+		k := core.New(balancer.Settings{
+			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 		}, 1, core.NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { k.Run(ctx) })
 		defer func() { cancel(); all.Wait() }()
-		var servers []balance.Server
+		var servers []balancer.Endpoint
 		var addresses []string
-		for i, state := range []balance.State{balance.Ready, balance.Ready, balance.Draining} {
-			servers = append(servers, balance.Server{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
+		for i, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateReady, balancer.StateDraining} {
+			servers = append(servers, balancer.Endpoint{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
 			addresses = append(addresses, fmt.Sprintf("10.1.0.%d:3000", i+1))
 		}
-		k.Listed(balance.ListFull, servers, addresses)
+		k.Listed(balancer.ListFull, servers, addresses)
 		k.Order("s-2", true)
 		for i, stage := range []memory.Stage{memory.Waiting, memory.Out, memory.Open} {
 			n, _ := k.Transactions.Add(memory.Transaction{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
@@ -96,15 +96,15 @@
 		}
 		for status := range memory.Statuses {
 			for range status + 1 {
-				k.Counters.Pass(balance.Status(status))
+				k.Counters.Pass(balancer.AttemptStatus(status))
 			}
 		}
 		r, err := record.New(record.LeastBytes, k.Clock)
 		if err != nil {
 			t.Fatal(err)
 		}
-		trace := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "name-1", Ask: balance.Ask{GiveUp: k.Clock.Now() + time.Second}})
-		trace.Pass(servers[0].ID)(balance.Full)
+		trace := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
+		trace.Pass(servers[0].ID)(balancer.StatusFull)
 		trace.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
 		time.Sleep(1234 * time.Millisecond)
 		synctest.Wait()
@@ -164,7 +164,7 @@
 // What the commands answer where there is nothing to tell, or no way to.
 func TestEmptyAnswersAreStable(t *testing.T) {
 	useUTC(t)
-	d := &Desk{Name: "n3", Core: core.New(balance.Settings{Relays: 1}, 1, core.NewClock()), Keeper: &fixedKeeper{failing: errors.New("disk full")}}
+	d := &Desk{Name: "n3", Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock()), Keeper: &fixedKeeper{failing: errors.New("disk full")}}
 	failing := transcript(d, "store", "store --json")
 	d.Keeper = nil
 	golden.Compare(t, "empty.txt", failing+transcript(d, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/figures"
 	"lockroad/internal/limits"
@@ -19,7 +19,7 @@
 
 // Ask is what a front hands over with a transaction.
 type Ask struct {
-	balance.Ask
+	balancer.RequestOptions
 	Front string
 	Name  string // as the client calls it; no two under way share one
 	Class string
@@ -38,13 +38,13 @@
 // at once, and calls Pass and Join from one goroutine, the rest from another.
 type Exchange interface {
 	// Pass carries the transaction to an application server and waits for the
-	// answer. It returns a Link only with balance.OK. It ends when ctx does, and
+	// answer. It returns a Link only with balancer.StatusOK. It ends when ctx does, and
 	// has closed its connection when it returns without a Link. Just before the first
 	// byte of the transaction it asks out.May, and sends nothing where that is false.
-	Pass(ctx context.Context, out Out) (Link, balance.Status)
+	Pass(ctx context.Context, out Out) (Link, balancer.AttemptStatus)
 	// Join tells the client that it is up, then pulse.Up, and passes on what both
 	// sides say until the end of either. It returns how that end came about.
-	Join(ctx context.Context, link Link, pulse *Pulse) balance.Status
+	Join(ctx context.Context, link Link, pulse *Pulse) balancer.AttemptStatus
 	// Bad, Unavailable, Failed and Move end the transaction at the client. Bad
 	// says that what it asks for makes no sense. Move tells whether the client was
 	// told to: its server may just have said the last word itself.
@@ -87,8 +87,8 @@
 	Figures      *figures.Figures
 	Log          *slog.Logger // of what is no transaction's; set before the first turn, or nothing is logged
 
-	terms     atomic.Pointer[balance.Settings] // in force
-	facade    *balance.Facade
+	terms     atomic.Pointer[balancer.Settings] // in force
+	facade    *balancer.Loop
 	pulses    *pulses
 	observers observers
 	seen      atomic.Uint64 // revision of the list
@@ -115,7 +115,7 @@
 }
 
 // New returns a Core with nothing in it.
-func New(s balance.Settings, seed uint64, clock Clock) *Core {
+func New(s balancer.Settings, seed uint64, clock Clock) *Core {
 	leaving, moveAll := context.WithCancel(context.Background())
 	closing, turnAll := context.WithCancel(context.Background())
 	c := &Core{
@@ -125,7 +125,7 @@
 		Counters:     &memory.Counters{},
 		Figures:      &figures.Figures{},
 		Log:          slog.New(slog.DiscardHandler),
-		facade:       balance.NewFacade(s, seed),
+		facade:       balancer.NewLoop(s, seed),
 		pulses:       newPulses(&s, clock),
 		leaving:      leaving,
 		moveAll:      moveAll,
@@ -138,17 +138,17 @@
 }
 
 // Terms are the settings in force, which a transaction that begins now keeps to its end.
-func (c *Core) Terms() *balance.Settings { return c.terms.Load() }
+func (c *Core) Terms() *balancer.Settings { return c.terms.Load() }
 
 // Retune puts other settings in force, for all transactions that begin from now on.
-func (c *Core) Retune(s *balance.Settings) {
+func (c *Core) Retune(s *balancer.Settings) {
 	c.nameClasses(s) // before anyone is counted under them
-	c.facade.Report(balance.Retune{Settings: s})
+	c.facade.Report(balancer.UpdateSettings{Settings: s})
 	c.pulses.retune(s)
 	c.terms.Store(s)
 }
 
-func (c *Core) nameClasses(s *balance.Settings) {
+func (c *Core) nameClasses(s *balancer.Settings) {
 	names := make([]string, len(s.Classes))
 	for i, class := range s.Classes {
 		names[i] = class.Name
@@ -168,7 +168,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.facade.Waiting():
+		case <-c.facade.Pending():
 		case <-alarm.C:
 		}
 		now := c.Clock.Now()
@@ -205,7 +205,7 @@
 // NoSeat is for a transaction that a front has no seat for, or that is over a limit. It returns when its client
 // should come again.
 func (c *Core) NoSeat(ctx context.Context, ask Ask, cause Cause) time.Duration {
-	wait := c.facade.Advise(ctx)
+	wait := c.facade.RetryAfter(ctx)
 	c.Figures.Kind(ask.Class).Shed()
 	if len(c.observers) > 0 {
 		c.observers.began(c.Transactions.Number(), ask).Ended(Final{End: memory.Unavailable, Cause: cause, ComeBack: wait})
@@ -254,8 +254,8 @@
 // Survey has the figures tell of the farm as the module sees it. It is called before the
 // first turn.
 func (c *Core) Survey() {
-	c.facade.Survey()
-	c.Figures.Pool = func() (listed, avoided int) { return c.facade.Pool(c.Clock.Now()) }
+	c.facade.PublishCounts()
+	c.Figures.Pool = func() (listed, avoided int) { return c.facade.EndpointCounts(c.Clock.Now()) }
 }
 
 // Observe has one more observer told of the transactions to come. It is called before
@@ -272,8 +272,8 @@
 // the client has left.
 func (c *Core) Serve(ctx context.Context, ask Ask, x Exchange) {
 	now := c.Clock.Now()
-	if ask.Under == nil {
-		ask.Under = c.Terms()
+	if ask.Settings == nil {
+		ask.Settings = c.Terms()
 	}
 	number, ok := c.Transactions.Add(memory.Transaction{
 		Front: ask.Front, Name: ask.Name, Class: ask.Class, Since: now,
@@ -290,14 +290,14 @@
 	c.Counters.Transactions.Add(1)
 	// No client of a class waits longer than that class; one that says so would
 	// hold its place for as long as it likes.
-	ask.GiveUp = min(ask.GiveUp, now+patience(ask))
+	ask.Deadline = min(ask.Deadline, now+patience(ask))
 	c.see(ctx, number, ask, x, func(t *transaction) bool { return t.resume(ctx) })
 }
 
 // patience is how long a client waits at the most, by its class.
 func patience(ask Ask) time.Duration {
-	if i := ask.Ask.Class; i >= 0 && i < len(ask.Under.Classes) {
-		return ask.Under.Classes[i].Deadline
+	if i := ask.RequestOptions.Class; i >= 0 && i < len(ask.Settings.Classes) {
+		return ask.Settings.Classes[i].Deadline
 	}
 	return 0
 }
@@ -305,7 +305,7 @@
 // Adopt sees a transaction through that stands already, as another process of this relay
 // has handed it over with its link.
 func (c *Core) Adopt(ctx context.Context, s *Standing, ask Ask, x Exchange, link Link) {
-	ask.At, ask.Open = s.Server, true
+	ask.At, ask.Established = s.Server, true
 	number, ok := c.Transactions.Adopt(memory.Transaction{
 		Front: ask.Front, Name: ask.Name, Class: ask.Class, Since: c.Clock.Now(),
 	})
@@ -326,9 +326,9 @@
 	defer c.Figures.Active.Add(-1)
 	t.trace = c.observers.began(number, ask)
 	if len(t.trace) > 0 {
-		t.ask.Witness = t.trace
+		t.ask.Observer = t.trace
 	}
-	t.ticket = balance.NewTicket(t.ask.Ask)
+	t.ticket = balancer.NewRequestHandle(t.ask.RequestOptions)
 	end := t.run(ctx, stand)
 	t.pass.stop()
 	c.Counters.End(end.End)
@@ -340,7 +340,7 @@
 	core   *Core
 	x      Exchange
 	ask    Ask
-	ticket *balance.Ticket
+	ticket *balancer.RequestHandle
 	number uint64
 	kind   *figures.Kind
 	asked  time.Duration // since when its client's word was unanswered as it was handed over; 0 if none is
@@ -355,8 +355,8 @@
 	granted chan struct{} // closed once the module has it standing
 	up      chan struct{} // closed once the client has been told so
 	ended   chan struct{}
-	cause   error          // why it was ended here, once ended is closed
-	how     balance.Status // and how it ended
+	cause   error                  // why it was ended here, once ended is closed
+	how     balancer.AttemptStatus // and how it ended
 
 	left chan struct{} // closed once its turn to leave is over, or will not come; nil if it never stood
 	told bool          // its client was told to move as the relay leaves, once left is closed
@@ -385,13 +385,13 @@
 func (t *transaction) run(ctx context.Context, stand func(*transaction) bool) Final {
 	c := t.core
 	t.ctx = ctx
-	if t.ask.Open && !stand(t) {
+	if t.ask.Established && !stand(t) {
 		t.unavailable(0)
 		return Final{End: memory.Unavailable, Cause: NotOpen}
 	}
 	waiting, answer := context.WithCancel(ctx)
 	defer answer()
-	if !t.ask.Open {
+	if !t.ask.Established {
 		defer context.AfterFunc(c.closing, answer)()
 	}
 	cause := Decided
@@ -400,38 +400,38 @@
 		if err != nil && ctx.Err() == nil {
 			// The relay leaves, and the client is still there. Which answer it is owed is the module's to say:
 			// its pass may have run, or have been accepted in this very moment.
-			c.facade.Report(balance.Dismiss{Ticket: t.ticket})
+			c.facade.Report(balancer.RequireAnswer{Handle: t.ticket})
 			waiting, cause = ctx, RelayLeaves
 			continue
 		}
 		if err != nil {
 			t.pass.stop()
-			c.facade.Report(balance.Left{Ticket: t.ticket})
-			return Final{End: memory.ClientLeft, How: balance.Cancelled}
+			c.facade.Report(balancer.ClientDisconnected{Handle: t.ticket})
+			return Final{End: memory.ClientLeft, How: balancer.StatusCancelled}
 		}
 		switch step.Kind {
-		case balance.StepPass:
+		case balancer.ActionAttempt:
 			if cause != RelayLeaves { // else it is about to be answered
 				t.start(ctx, step)
 			}
-		case balance.StepUp:
+		case balancer.ActionEstablished:
 			t.trace.Up()
 			waiting = ctx // it moves with the others
 			close(t.pass.granted)
-		case balance.StepUnavailable:
+		case balancer.ActionReject:
 			if cause == RelayLeaves {
 				step.Wait = 0 // another relay may have room at once
 			}
 			t.unavailable(step.Wait)
 			return Final{End: memory.Unavailable, Cause: cause, ComeBack: step.Wait}
-		case balance.StepFailed:
+		case balancer.ActionFail:
 			t.x.Failed()
 			t.kind.Failed()
 			return Final{End: memory.Failed, Cause: cause}
-		case balance.StepMove:
+		case balancer.ActionMigrate:
 			t.pass.move(t.x)
-			return Final{End: memory.Moved, How: balance.Cancelled}
-		case balance.StepOver:
+			return Final{End: memory.Moved, How: balancer.StatusCancelled}
+		case balancer.ActionClosed:
 			<-t.pass.ended
 			if t.pass.left != nil { // its server's end may cross with its turn to leave: what counts is what its client was told
 				<-t.pass.left
@@ -483,13 +483,13 @@
 		if to, ok := t.core.Farm.Find(id); named && ok {
 			t.core.Transactions.Set(t.number, memory.Out, to.ID)
 			link, how := t.attempt(ctx, Out{To: to, Wait: resumeWait, Resume: true})
-			if how != balance.Error {
+			if how != balancer.StatusError {
 				doubt.Stop() // it may yet come up
 			}
-			if how == balance.OK {
-				t.ask.Ask.At = id
-				t.ticket = balance.NewTicket(t.ask.Ask)
-				t.launch(t.ctx, func(ctx context.Context, p *pass) balance.Status {
+			if how == balancer.StatusOK {
+				t.ask.RequestOptions.Endpoint = id
+				t.ticket = balancer.NewRequestHandle(t.ask.RequestOptions)
+				t.launch(t.ctx, func(ctx context.Context, p *pass) balancer.AttemptStatus {
 					return t.join(ctx, p, to, link)
 				})
 				return true
@@ -504,26 +504,26 @@
 }
 
 // start begins a pass that the module has picked.
-func (t *transaction) start(ctx context.Context, step balance.Step) {
-	t.launch(ctx, func(ctx context.Context, p *pass) balance.Status {
-		to, ok := t.core.Farm.Find(step.Server)
+func (t *transaction) start(ctx context.Context, step balancer.RequestAction) {
+	t.launch(ctx, func(ctx context.Context, p *pass) balancer.AttemptStatus {
+		to, ok := t.core.Farm.Find(step.Endpoint)
 		if !ok {
-			return balance.Moot
+			return balancer.StatusNotSent
 		}
 		t.core.Transactions.Set(t.number, memory.Out, to.ID)
 		began := t.core.Clock.Now()
-		link, how := t.attempt(ctx, Out{To: to, Wait: step.Wait, Latest: step.Latest})
-		if how != balance.OK {
+		link, how := t.attempt(ctx, Out{To: to, Wait: step.Wait, Latest: step.NotAfter})
+		if how != balancer.StatusOK {
 			return how
 		}
-		t.core.facade.Report(balance.Stands{Ticket: t.ticket, Took: t.core.Clock.Now() - began})
+		t.core.facade.Report(balancer.AttemptEstablished{Handle: t.ticket, SetupTime: t.core.Clock.Now() - began})
 		return t.join(ctx, p, to, link)
 	})
 }
 
 // launch runs a pass beside the transaction. Its end is reported only after its
 // connection is closed, so that no other goes out before.
-func (t *transaction) launch(ctx context.Context, carry func(context.Context, *pass) balance.Status) {
+func (t *transaction) launch(ctx context.Context, carry func(context.Context, *pass) balancer.AttemptStatus) {
 	if t.pass != nil {
 		select {
 		case <-t.pass.ended:
@@ -541,42 +541,42 @@
 		cancel(errOver)
 		t.core.Counters.Pass(how)
 		close(p.ended)
-		t.core.facade.Report(balance.Ended{Ticket: t.ticket, How: how})
+		t.core.facade.Report(balancer.AttemptEnded{Handle: t.ticket, Status: how})
 	}()
 }
 
 // attempt has the front carry out a pass within its time.
-func (t *transaction) attempt(ctx context.Context, out Out) (Link, balance.Status) {
+func (t *transaction) attempt(ctx context.Context, out Out) (Link, balancer.AttemptStatus) {
 	if out.clock = t.core.Clock; out.Wait <= 0 {
-		out.Wait = t.ticket.Left(out.clock.Now())
+		out.Wait = t.ticket.TimeLeft(out.clock.Now())
 	}
 	ctx, cancel := context.WithTimeout(ctx, out.Wait)
 	defer cancel()
 	ended := t.trace.Pass(out.To.ID)
 	link, how := t.x.Pass(ctx, out)
 	ended(how)
-	assert.That((link != nil) == (how == balance.OK), "a pass gives a link exactly when it is up")
+	assert.That((link != nil) == (how == balancer.StatusOK), "a pass gives a link exactly when it is up")
 	return link, how
 }
 
 // join waits until the module has the connection standing, and sees it to its end.
-func (t *transaction) join(ctx context.Context, p *pass, to memory.Server, link Link) balance.Status {
+func (t *transaction) join(ctx context.Context, p *pass, to memory.Server, link Link) balancer.AttemptStatus {
 	c := t.core
 	defer link.Close()
 	select {
 	case <-p.granted:
 	case <-ctx.Done():
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
 	c.Counters.Up.Add(1)
 	c.Transactions.Set(t.number, memory.Open, to.ID)
 	pulse := c.pulses.add(&Pulse{
-		server: to.ID, up: p.up, kind: t.kind, asked: t.asked, told: t.ask.Load,
+		server: to.ID, up: p.up, kind: t.kind, asked: t.asked, told: t.ask.ExpectedLoad,
 		silent: func() { p.cancel(errSilent) },
-		load:   func(load float64) { c.facade.Report(balance.Load{Ticket: t.ticket, Load: load}) },
+		load:   func(load float64) { c.facade.Report(balancer.LoadReport{Handle: t.ticket, Load: load}) },
 		delay: func(d time.Duration) {
 			c.pulses.heard(to.ID, d)
-			c.facade.Report(balance.Delay{Server: to.ID, Delay: d})
+			c.facade.Report(balancer.DelayReport{Endpoint: to.ID, Delay: d})
 		},
 	})
 	defer c.pulses.remove(pulse)
@@ -610,7 +610,7 @@
 	}()
 	how := t.x.Join(ctx, link, pulse)
 	if errors.Is(context.Cause(ctx), errSilent) {
-		return balance.Reset
+		return balancer.StatusReset
 	}
 	return how
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/memory"
 	"lockroad/internal/steps"
@@ -16,30 +16,30 @@
 
 const ms = time.Millisecond
 
-func settings() balance.Settings {
-	return balance.Settings{
-		Classes: []balance.Class{{Aim: 200 * ms, Deadline: time.Second, MessageAim: 60 * ms}},
-		Relays:  1, MaxAttempts: 3, Tick: 2 * ms, Connect: 50 * ms, MaxRetryAfter: 2 * time.Second,
-		ColdShare: 0.2, ColdFor: 20 * time.Second, TipMultiple: 3, TipAfter: 3 * time.Second,
+func settings() balancer.Settings {
+	return balancer.Settings{
+		Classes: []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
+		Relays:  1, MaxAttempts: 3, MinTick: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
+		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 }
 
 // bench runs a core with a farm of n servers on a fake clock.
-func bench(t *testing.T, n int, do func(k *Core, list func(server int, phase balance.State))) {
+func bench(t *testing.T, n int, do func(k *Core, list func(server int, phase balancer.EndpointState))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		k := New(settings(), 1, NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = k.Run(ctx) }()
 		go func() { _ = k.Watch(ctx) }()
-		line := func(i int, phase balance.State) balance.Server {
-			return balance.Server{ID: k.Farm.ID(fmt.Sprintf("s-%d", i)), State: phase, Weight: 1}
+		line := func(i int, phase balancer.EndpointState) balancer.Endpoint {
+			return balancer.Endpoint{ID: k.Farm.ID(fmt.Sprintf("s-%d", i)), State: phase, Weight: 1}
 		}
 		for i := range n {
-			k.Listed(balance.ListDelta, []balance.Server{line(i, balance.Ready)}, []string{"address"})
+			k.Listed(balancer.ListDelta, []balancer.Endpoint{line(i, balancer.StateReady)}, []string{"address"})
 		}
-		do(k, func(server int, phase balance.State) {
-			k.Listed(balance.ListDelta, []balance.Server{line(server, phase)}, []string{"address"})
+		do(k, func(server int, phase balancer.EndpointState) {
+			k.Listed(balancer.ListDelta, []balancer.Endpoint{line(server, phase)}, []string{"address"})
 		})
 		synctest.Wait()
 		if n := k.Transactions.Len(); n != 0 {
@@ -55,7 +55,7 @@
 
 // act is what a server does with a pass.
 type act struct {
-	how   balance.Status
+	how   balancer.AttemptStatus
 	after time.Duration
 	lives time.Duration // of one that is up
 	mute  bool          // it says nothing once it is up
@@ -77,7 +77,7 @@
 
 func (fakeLink) Close() {}
 
-func (x *fake) Pass(ctx context.Context, out Out) (Link, balance.Status) {
+func (x *fake) Pass(ctx context.Context, out Out) (Link, balancer.AttemptStatus) {
 	x.mu.Lock()
 	if x.out++; x.out > 1 {
 		x.t.Error("two passes are out at once")
@@ -95,24 +95,24 @@
 		x.t.Errorf("a pass has %v", out.Wait)
 	}
 	if !out.May(ctx) {
-		return nil, balance.Moot
+		return nil, balancer.StatusNotSent
 	}
 	a := x.acts()
 	select {
 	case <-time.After(a.after):
-		if a.how == balance.OK {
+		if a.how == balancer.StatusOK {
 			return fakeLink{a}, a.how
 		}
 		return nil, a.how
 	case <-ctx.Done():
 		if ctx.Err() == context.DeadlineExceeded {
-			return nil, balance.Timeout
+			return nil, balancer.StatusTimeout
 		}
-		return nil, balance.Cancelled
+		return nil, balancer.StatusCancelled
 	}
 }
 
-func (x *fake) Join(ctx context.Context, link Link, pulse *Pulse) balance.Status {
+func (x *fake) Join(ctx context.Context, link Link, pulse *Pulse) balancer.AttemptStatus {
 	x.answer("up")
 	pulse.Up()
 	a := link.(fakeLink)
@@ -127,9 +127,9 @@
 				pulse.Answered()
 			}
 		case <-end:
-			return balance.OK
+			return balancer.StatusOK
 		case <-ctx.Done():
-			return balance.Cancelled
+			return balancer.StatusCancelled
 		}
 	}
 }
@@ -152,10 +152,10 @@
 	bye chan struct{} // closed as the client is told
 }
 
-func (x *crossing) Join(_ context.Context, _ Link, pulse *Pulse) balance.Status {
+func (x *crossing) Join(_ context.Context, _ Link, pulse *Pulse) balancer.AttemptStatus {
 	pulse.Up()
 	<-x.bye
-	return balance.OK
+	return balancer.StatusOK
 }
 
 func (x *crossing) Move() bool {
@@ -167,12 +167,12 @@
 // What counts is what the client was told: a server's end that crosses with its turn to move does not make it one that its server
 // has ended.
 func TestAnEndThatCrossesWithTheMoveIsAMove(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
-		x := &crossing{fake{t: t, k: k, acts: always(act{how: balance.OK})}, make(chan struct{})}
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+		x := &crossing{fake{t: t, k: k, acts: always(act{how: balancer.StatusOK})}, make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			k.Serve(context.Background(), Ask{Front: "fake", Ask: balance.Ask{GiveUp: k.Clock.Now() + time.Second}}, x)
+			k.Serve(context.Background(), Ask{Front: "fake", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}, x)
 		}()
 		synctest.Wait()
 		k.MoveAll(ms)
@@ -187,14 +187,14 @@
 
 // ask runs a transaction and returns once it is over.
 func (x *fake) ask(ctx context.Context, wait time.Duration) {
-	x.k.Serve(ctx, Ask{Front: "fake", Ask: balance.Ask{Group: 7, GiveUp: x.k.Clock.Now() + wait}}, x)
+	x.k.Serve(ctx, Ask{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: x.k.Clock.Now() + wait}}, x)
 }
 
 func always(a act) func() act { return func() act { return a } }
 
 func TestSilentServerIsLeftWithinSevenSeconds(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
-		x := &fake{t: t, k: k, acts: always(act{how: balance.OK, lives: time.Minute, mute: true})}
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: time.Minute, mute: true})}
 		began := k.Clock.Now()
 		x.ask(context.Background(), time.Second)
 		if took := k.Clock.Now() - began; took > 7*time.Second || len(x.answers) != 2 || x.answers[1] != "move" {
@@ -204,13 +204,13 @@
 }
 
 func TestPassAboutToGoOutSparesALeavingServer(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
 		x := &fake{t: t, k: k, acts: func() act {
 			t.Error("a draining server was sent a pass")
 			return act{}
 		}}
 		// The farm knows at once, the module with its next turn.
-		k.Farm.Update(k.Farm.ID("s-0"), "", balance.Draining)
+		k.Farm.Update(k.Farm.ID("s-0"), "", balancer.StateDraining)
 		x.ask(context.Background(), time.Second)
 		if len(x.answers) != 1 || x.answers[0] != "unavailable" {
 			t.Errorf("the client has been told %v", x.answers)
@@ -219,28 +219,28 @@
 }
 
 func TestResumedConnectionGoesToItsServerOnly(t *testing.T) {
-	bench(t, 3, func(k *Core, list func(int, balance.State)) {
-		list(2, balance.Draining)
-		x := &fake{t: t, k: k, acts: always(act{how: balance.OK, lives: 3 * time.Second})}
+	bench(t, 3, func(k *Core, list func(int, balancer.EndpointState)) {
+		list(2, balancer.StateDraining)
+		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: 3 * time.Second})}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			k.Serve(context.Background(), Ask{At: "s-1", Ask: balance.Ask{Open: true}}, x)
+			k.Serve(context.Background(), Ask{At: "s-1", RequestOptions: balancer.RequestOptions{Established: true}}, x)
 		}()
 		synctest.Wait()
 		if all := k.Transactions.List(); len(all) != 1 || all[0].Server != k.Farm.ID("s-1") || all[0].Stage != memory.Open {
 			t.Errorf("under way: %+v", all)
 		}
 		<-done
-		time.AfterFunc(time.Second, func() { list(4, balance.Ready) }) // the list comes late
+		time.AfterFunc(time.Second, func() { list(4, balancer.StateReady) }) // the list comes late
 		late := &fake{t: t, k: k}
 		late.acts = func() act {
-			late.acts = always(act{how: balance.OK})
-			return act{how: balance.ConnectFailed}
+			late.acts = always(act{how: balancer.StatusOK})
+			return act{how: balancer.StatusConnectFailed}
 		}
-		k.Serve(context.Background(), Ask{At: "s-4", Ask: balance.Ask{Open: true}}, late)
+		k.Serve(context.Background(), Ask{At: "s-4", RequestOptions: balancer.RequestOptions{Established: true}}, late)
 		none := &fake{t: t, k: k}
-		k.Serve(context.Background(), Ask{At: "s-9", Ask: balance.Ask{Open: true}}, none)
+		k.Serve(context.Background(), Ask{At: "s-9", RequestOptions: balancer.RequestOptions{Established: true}}, none)
 		if got := fmt.Sprint(x.answers, late.answers, none.answers); got != "[up] [up] [unavailable]" {
 			t.Errorf("the clients have been told %v", got)
 		}
@@ -250,12 +250,12 @@
 // A client that names a server which no list knows, or one that doesn't know it, is
 // told so within 3 s, and leaves nothing behind in the farm.
 func TestResumingWhatIsNotOpenEndsSoon(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
 		known := len(k.Farm.List())
 		for _, at := range []string{"s-0", "s-77", "an odd name"} {
-			x := &fake{t: t, k: k, acts: always(act{how: balance.Error})}
+			x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusError})}
 			began := k.Clock.Now()
-			k.Serve(context.Background(), Ask{At: at, Ask: balance.Ask{Open: true}}, x)
+			k.Serve(context.Background(), Ask{At: at, RequestOptions: balancer.RequestOptions{Established: true}}, x)
 			if took := k.Clock.Now() - began; took > 3*time.Second || fmt.Sprint(x.answers) != "[unavailable]" {
 				t.Errorf("at %s: after %v the client has been told %v", at, took, x.answers)
 			}
@@ -269,9 +269,9 @@
 // A module may move a client in the turn after it stands: the move must not
 // overtake the word that it is up, which reads as a failure.
 func TestMoveFollowsTheWordThatItIsUp(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
 		k.MoveAll(time.Millisecond)
-		x := &fake{t: t, k: k, acts: always(act{how: balance.OK, lives: time.Minute})}
+		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: time.Minute})}
 		x.ask(context.Background(), time.Second)
 		if fmt.Sprint(x.answers) != "[up move]" {
 			t.Errorf("the client has been told %v", x.answers)
@@ -281,13 +281,13 @@
 
 // A crowd that moves all at once swamps those who take it in.
 func TestEveryoneMovesOneAfterAnother(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
 		const n, over = 40, 800 * ms
 		var all sync.WaitGroup
 		moved := make(chan time.Duration, n)
 		for range n {
 			all.Go(func() {
-				x := &fake{t: t, k: k, acts: always(act{how: balance.OK, lives: time.Minute})}
+				x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: time.Minute})}
 				x.ask(context.Background(), time.Second)
 				moved <- x.at
 			})
@@ -315,8 +315,8 @@
 
 // SIGKILL can come before a client's patience has passed: who waits is answered.
 func TestWaitingClientsAreAnsweredBeforeTheEnd(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
-		x := &fake{t: t, k: k, acts: always(act{how: balance.OK, after: time.Minute})}
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, after: time.Minute})}
 		began := k.Clock.Now()
 		time.AfterFunc(200*ms, k.TurnAway)
 		x.ask(context.Background(), time.Second)
@@ -328,11 +328,11 @@
 
 // The same for one that was open before the start and is not up again yet.
 func TestAResumedConnectionIsAnsweredBeforeTheEnd(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
-		x := &fake{t: t, k: k, acts: always(act{how: balance.Full})}
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusFull})}
 		began := k.Clock.Now()
 		time.AfterFunc(200*ms, k.TurnAway)
-		k.Serve(context.Background(), Ask{Front: "fake", At: "s-0", Ask: balance.Ask{GiveUp: began + time.Second, Open: true}}, x)
+		k.Serve(context.Background(), Ask{Front: "fake", At: "s-0", RequestOptions: balancer.RequestOptions{Deadline: began + time.Second, Established: true}}, x)
 		if took := k.Clock.Now() - began; took != 200*ms || fmt.Sprint(x.answers) != "[unavailable]" {
 			t.Errorf("after %v the client has been told %v", took, x.answers)
 		}
@@ -356,7 +356,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			return act{
-				how:   []balance.Status{balance.OK, balance.Error, balance.Full, balance.ConnectFailed, balance.Reset}[s.Pick(5)],
+				how:   []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusConnectFailed, balancer.StatusReset}[s.Pick(5)],
 				after: time.Duration(s.Pick(8)) * 90 * ms, lives: time.Duration(s.Pick(9)) * time.Second, mute: s.Pick(4) == 1,
 			}
 		}
@@ -370,7 +370,7 @@
 			defer mu.Unlock()
 			return s.More()
 		}
-		bench(t, 3, func(k *Core, list func(int, balance.State)) {
+		bench(t, 3, func(k *Core, list func(int, balancer.EndpointState)) {
 			var all sync.WaitGroup
 			for more() {
 				switch pick(4) {
@@ -389,7 +389,7 @@
 						x.check(giveUp, left)
 					})
 				case 2:
-					list(pick(3), []balance.State{balance.Ready, balance.Draining, balance.Gone}[pick(3)])
+					list(pick(3), []balancer.EndpointState{balancer.StateReady, balancer.StateDraining, balancer.StateGone}[pick(3)])
 				case 3:
 					time.Sleep(time.Duration(pick(100)) * 10 * ms) // of the fake clock
 				}
--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/memory"
 )
 
@@ -54,27 +54,29 @@
 }
 
 // Spend tells what part of the relay's budget for cold servers this process has.
-func (c *Core) Spend(part float64) { c.facade.Report(balance.Budget{Part: part}) }
+func (c *Core) Spend(part float64) { c.facade.Report(balancer.SlowStartBudget{Share: part}) }
 
 // Recollect returns what the module has learnt.
-func (c *Core) Recollect(ctx context.Context) (balance.Memory, error) { return c.facade.Recollect(ctx) }
+func (c *Core) Recollect(ctx context.Context) (balancer.Snapshot, error) {
+	return c.facade.Snapshot(ctx)
+}
 
 // Held is what the module holds of each server, or what there is of it before ctx ends.
-func (c *Core) Held(ctx context.Context) map[balance.ServerID]balance.View {
-	all, err := c.facade.Hold(ctx)
+func (c *Core) Held(ctx context.Context) map[balancer.EndpointID]balancer.EndpointView {
+	all, err := c.facade.EndpointViews(ctx)
 	if err != nil {
 		return nil
 	}
-	held := make(map[balance.ServerID]balance.View, len(all))
+	held := make(map[balancer.EndpointID]balancer.EndpointView, len(all))
 	for _, h := range all {
-		held[h.Server] = h
+		held[h.Endpoint] = h
 	}
 	return held
 }
 
 // Remember has the module take over what another process's has learnt. The list that it
 // speaks of has been handed in before.
-func (c *Core) Remember(m balance.Memory) { c.facade.Report(balance.Remember{Memory: m}) }
+func (c *Core) Remember(m balancer.Snapshot) { c.facade.Report(balancer.RestoreSnapshot{Snapshot: m}) }
 
 // hand hands a transaction over that stands. It tells whether another process carries it on.
 // over is closed once its connection has ended.
@@ -106,7 +108,7 @@
 	pulse.mu.Lock()
 	s := &Standing{
 		Front: t.ask.Front, Name: t.ask.Name, Class: t.ask.Class, Tenant: t.ask.Tenant, Server: to.Name, Item: t.ask.Item, Group: t.ask.Group,
-		Load: pulse.told, Return: t.ask.Return, Asked: pulse.asked, Wire: text,
+		Load: pulse.told, Return: t.ask.Returning, Asked: pulse.asked, Wire: text,
 	}
 	pulse.mu.Unlock()
 	if err == nil {
@@ -128,8 +130,8 @@
 	if !named || !ok { // no list has named it yet: it is carried on, and the module sees no server
 		to = memory.Server{Name: s.Server}
 	}
-	t.ask.Ask.At = to.ID
-	t.ticket = balance.NewTicket(t.ask.Ask)
-	t.launch(t.ctx, func(ctx context.Context, p *pass) balance.Status { return t.join(ctx, p, to, link) })
+	t.ask.RequestOptions.Endpoint = to.ID
+	t.ticket = balancer.NewRequestHandle(t.ask.RequestOptions)
+	t.launch(t.ctx, func(ctx context.Context, p *pass) balancer.AttemptStatus { return t.join(ctx, p, to, link) })
 	return true
 }
--- a/internal/core/hand_test.go
+++ b/internal/core/hand_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // stuck is a front's side that can't be parked, as one side is in the middle of a write.
@@ -30,15 +30,15 @@
 // What can't be handed over stands still for less than a second until it is moved: a side's end is to be passed on
 // within that. Its turn to be handed over came before the try, and a turn to be moved after it: 1.6 s in all.
 func TestWhatIsNotHandedOverIsMovedInTime(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balance.State)) {
+	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
 		var all []*stuck
 		var here sync.WaitGroup
 		for range 20 {
-			x := &stuck{fake: fake{t: t, k: k, acts: always(act{how: balance.OK, lives: time.Minute})}}
+			x := &stuck{fake: fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: time.Minute})}}
 			all = append(all, x)
 			name := string(rune('a' + len(all)))
 			here.Go(func() {
-				x.k.Serve(context.Background(), Ask{Front: "fake", Name: name, Ask: balance.Ask{GiveUp: k.Clock.Now() + 5*time.Second}}, x)
+				x.k.Serve(context.Background(), Ask{Front: "fake", Name: name, RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + 5*time.Second}}, x)
 			})
 			time.Sleep(500 * time.Millisecond) // of the fake clock
 		}
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/memory"
 )
 
@@ -36,8 +36,8 @@
 type Final struct {
 	End      memory.End
 	Cause    Cause
-	ComeBack time.Duration  // told with the unavailable answer; 0 if nothing was
-	How      balance.Status // of one that stood: how its connection ended
+	ComeBack time.Duration          // told with the unavailable answer; 0 if nothing was
+	How      balancer.AttemptStatus // of one that stood: how its connection ended
 }
 
 // Observer is told of every transaction, those that no seat is free for included.
@@ -49,10 +49,10 @@
 // Trace follows one transaction. Its own steps are told one at a time; decisions come
 // in the turn that decides, beside them, and must not be held up.
 type Trace interface {
-	balance.Witness
+	balancer.DecisionObserver
 	// Pass notes that a proxy pass begins; what it returns notes how it ended, or
-	// with balance.OK that it was accepted.
-	Pass(server balance.ServerID) func(how balance.Status)
+	// with balancer.StatusOK that it was accepted.
+	Pass(server balancer.EndpointID) func(how balancer.AttemptStatus)
 	Up()
 	Ended(Final)
 }
@@ -70,18 +70,18 @@
 // traces are the traces of one transaction.
 type traces []Trace
 
-func (t traces) Decided(d *balance.Decision) {
+func (t traces) Decided(d *balancer.Decision) {
 	for _, one := range t {
 		one.Decided(d)
 	}
 }
 
-func (t traces) Pass(server balance.ServerID) func(balance.Status) {
-	ended := make([]func(balance.Status), len(t))
+func (t traces) Pass(server balancer.EndpointID) func(balancer.AttemptStatus) {
+	ended := make([]func(balancer.AttemptStatus), len(t))
 	for i, one := range t {
 		ended[i] = one.Pass(server)
 	}
-	return func(how balance.Status) {
+	return func(how balancer.AttemptStatus) {
 		for _, end := range ended {
 			end(how)
 		}
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -3,30 +3,30 @@
 import (
 	"slices"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // listing is the list as discovery tells it, and the servers that an operator has ordered to drain
 // whatever it says.
 type listing struct {
-	lines   map[balance.ServerID]balance.Server
+	lines   map[balancer.EndpointID]balancer.Endpoint
 	ordered map[string]bool
 }
 
 // Listed takes news of the farm: at once for passes about to go out, and for
 // the module with its next turn.
-func (c *Core) Listed(kind balance.ListKind, servers []balance.Server, addresses []string) {
+func (c *Core) Listed(kind balancer.ListKind, servers []balancer.Endpoint, addresses []string) {
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
-	if kind != balance.ListDelta {
+	if kind != balancer.ListDelta {
 		c.Farm.Keep(servers)
 		clear(c.listing.lines)
 	}
 	if c.listing.lines == nil {
-		c.listing.lines = make(map[balance.ServerID]balance.Server)
+		c.listing.lines = make(map[balancer.EndpointID]balancer.Endpoint)
 	}
 	for _, s := range servers {
-		if c.listing.lines[s.ID] = s; s.State == balance.Gone {
+		if c.listing.lines[s.ID] = s; s.State == balancer.StateGone {
 			delete(c.listing.lines, s.ID) // there may never be a whole list to drop it
 		}
 	}
@@ -35,12 +35,12 @@
 
 // tell tells of lines of the list, with orders in force. It is called with listMu held, so that what the farm
 // and the module hear comes in one order.
-func (c *Core) tell(kind balance.ListKind, servers []balance.Server, addresses []string) {
+func (c *Core) tell(kind balancer.ListKind, servers []balancer.Endpoint, addresses []string) {
 	if len(c.listing.ordered) > 0 {
 		servers = slices.Clone(servers)
 		for i := range servers {
-			if servers[i].State == balance.Ready && c.listing.ordered[c.Farm.Name(servers[i].ID)] {
-				servers[i].State = balance.Draining
+			if servers[i].State == balancer.StateReady && c.listing.ordered[c.Farm.Name(servers[i].ID)] {
+				servers[i].State = balancer.StateDraining
 			}
 		}
 	}
@@ -51,7 +51,7 @@
 		}
 		c.Farm.Update(s.ID, address, s.State)
 	}
-	c.facade.Report(balance.Farm{Kind: kind, Servers: servers, Revision: c.seen.Load()})
+	c.facade.Report(balancer.EndpointUpdate{Kind: kind, Endpoints: servers, Revision: c.seen.Load()})
 }
 
 // Order has a server drain from now on, or no longer, whatever the list says. A server that is
@@ -72,7 +72,7 @@
 		return false
 	}
 	id, _ := c.Farm.Lookup(server)
-	c.tell(balance.ListDelta, []balance.Server{c.listing.lines[id]}, nil)
+	c.tell(balancer.ListDelta, []balancer.Endpoint{c.listing.lines[id]}, nil)
 	return true
 }
 
--- a/internal/core/pulse.go
+++ b/internal/core/pulse.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/figures"
 )
 
@@ -23,7 +23,7 @@
 // connections stay open.
 type Pulse struct {
 	clock  Clock
-	server balance.ServerID
+	server balancer.EndpointID
 	up     chan struct{}
 	kind   *figures.Kind
 	silent func()
@@ -96,7 +96,7 @@
 
 	mu   sync.Mutex
 	all  map[*Pulse]struct{}
-	told map[balance.ServerID]told
+	told map[balancer.EndpointID]told
 }
 
 type told struct {
@@ -112,19 +112,19 @@
 // spare: it comes once a second.
 const saidFor = 1500 * time.Millisecond
 
-func newPulses(s *balance.Settings, clock Clock) *pulses {
-	p := &pulses{clock: clock, all: make(map[*Pulse]struct{}), told: make(map[balance.ServerID]told)}
+func newPulses(s *balancer.Settings, clock Clock) *pulses {
+	p := &pulses{clock: clock, all: make(map[*Pulse]struct{}), told: make(map[balancer.EndpointID]told)}
 	p.retune(s)
 	return p
 }
 
 // retune goes over to other settings.
-func (p *pulses) retune(s *balance.Settings) {
+func (p *pulses) retune(s *balancer.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.floor = 0
 	for _, c := range s.Classes {
-		if aim := c.MessageAim / 3; aim > 0 && (p.floor == 0 || aim < p.floor) {
+		if aim := c.MessageLatencyObjective / 3; aim > 0 && (p.floor == 0 || aim < p.floor) {
 			p.floor = aim
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // heard notes what a server says itself of its delay.
-func (p *pulses) heard(id balance.ServerID, delay time.Duration) {
+func (p *pulses) heard(id balancer.EndpointID, delay time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.told[id]
@@ -156,10 +156,10 @@
 // look takes all pulses, ends the silent ones and returns the delays to tell:
 // once a second of a server while it is over the floor, and once more when it is
 // back under.
-func (p *pulses) look(now time.Duration) []balance.Delay {
+func (p *pulses) look(now time.Duration) []balancer.DelayReport {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	worst := make(map[balance.ServerID]time.Duration)
+	worst := make(map[balancer.EndpointID]time.Duration)
 	for pulse := range p.all {
 		delay, silent := pulse.take(now)
 		worst[pulse.server] = max(worst[pulse.server], delay)
@@ -167,7 +167,7 @@
 			pulse.silent()
 		}
 	}
-	var tell []balance.Delay
+	var tell []balancer.DelayReport
 	for id, delay := range worst {
 		t := p.told[id]
 		t.worst = max(t.worst, delay)
@@ -179,7 +179,7 @@
 				if now < t.saidAt+saidFor {
 					t.worst = max(t.worst, t.said)
 				}
-				tell = append(tell, balance.Delay{Server: id, Delay: t.worst})
+				tell = append(tell, balancer.DelayReport{Endpoint: id, Delay: t.worst})
 				t.over = over
 			}
 			t.at, t.worst = now, 0
--- a/internal/core/pulse_test.go
+++ b/internal/core/pulse_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Delays are told once a second while they matter, and once more when they don't.
@@ -14,7 +14,7 @@
 		p := newPulses(new(settings()), NewClock())
 		silent := 0
 		pulse := p.add(&Pulse{server: 1, silent: func() { silent++ }})
-		look := func(after time.Duration) []balance.Delay {
+		look := func(after time.Duration) []balancer.DelayReport {
 			time.Sleep(after) // of the fake clock
 			return p.look(p.clock.Now())
 		}
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/store"
 )
@@ -50,14 +50,14 @@
 
 // Known is what a relay had learnt at a time.
 type Known struct {
-	Name   string                      `cbor:"1,keyasint"` // the relay's
-	Clock  time.Duration               `cbor:"2,keyasint"` // it showed this at At
-	Start  time.Time                   `cbor:"3,keyasint"` // the clock's
-	At     time.Time                   `cbor:"4,keyasint"`
-	Agent  string                      `cbor:"5,keyasint"` // of discovery
-	List   discovery.List              `cbor:"6,keyasint"`
-	Names  map[balance.ServerID]string `cbor:"7,keyasint"` // the numbers that Memory speaks of
-	Memory balance.Memory              `cbor:"8,keyasint"`
+	Name   string                         `cbor:"1,keyasint"` // the relay's
+	Clock  time.Duration                  `cbor:"2,keyasint"` // it showed this at At
+	Start  time.Time                      `cbor:"3,keyasint"` // the clock's
+	At     time.Time                      `cbor:"4,keyasint"`
+	Agent  string                         `cbor:"5,keyasint"` // of discovery
+	List   discovery.List                 `cbor:"6,keyasint"`
+	Names  map[balancer.EndpointID]string `cbor:"7,keyasint"` // the numbers that Memory speaks of
+	Memory balancer.Snapshot              `cbor:"8,keyasint"`
 }
 
 // What is believed of Known at which age. Who is believed too long sends a crowd to servers that have died
@@ -83,7 +83,7 @@
 		k.Memory.Routes = nil
 	}
 	if age > HealthFor {
-		k.Memory.Servers = nil
+		k.Memory.Endpoints = nil
 	}
 	// Whoever has drained, or was gone, stays so until the list says otherwise.
 	return age, true
--- a/internal/keep/keep_test.go
+++ b/internal/keep/keep_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // What is believed goes by age; nothing is of a time that lies ahead, or of another relay.
@@ -19,10 +19,10 @@
 		{0, "n1", true, 1, 1}, {RoutesFor, "n1", true, 1, 1}, {RoutesFor + 1, "n1", true, 0, 1}, {HealthFor, "n1", true, 0, 1},
 		{HealthFor + 1, "n1", true, 0, 0}, {ListFor, "n1", true, 0, 0}, {ListFor + 1, "n1", false, 0, 0}, {-1, "n1", false, 0, 0}, {0, "n2", false, 0, 0},
 	} {
-		k := Known{Name: "n1", At: at, Memory: balance.Memory{Routes: make([]balance.RouteMemory, 1), Servers: make([]balance.ServerMemory, 1)}}
+		k := Known{Name: "n1", At: at, Memory: balancer.Snapshot{Routes: make([]balancer.RouteSnapshot, 1), Endpoints: make([]balancer.EndpointSnapshot, 1)}}
 		age, ok := k.Believe(c.name, at.Add(c.age))
-		if ok != c.ok || age != c.age || ok && (len(k.Memory.Routes) != c.routes || len(k.Memory.Servers) != c.servers) {
-			t.Errorf("%s at the age of %v: %v, %d routes, %d servers", c.name, c.age, ok, len(k.Memory.Routes), len(k.Memory.Servers))
+		if ok != c.ok || age != c.age || ok && (len(k.Memory.Routes) != c.routes || len(k.Memory.Endpoints) != c.servers) {
+			t.Errorf("%s at the age of %v: %v, %d routes, %d servers", c.name, c.age, ok, len(k.Memory.Routes), len(k.Memory.Endpoints))
 		}
 	}
 }
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/wire"
 )
@@ -26,7 +26,7 @@
 	MemoryMB  int64
 	Sockets   int
 	Known     discovery.List
-	Settings  balance.Settings
+	Settings  balancer.Settings
 	Zones     []string
 
 	text      []byte // that it was read from
@@ -117,7 +117,7 @@
 		switch at := fmt.Sprintf("settings.Classes[%d].Name", i); {
 		case class.Name == "":
 			f.add(at, "is missing")
-		case set.Named(class.Name) != i:
+		case set.ClassIndex(class.Name) != i:
 			f.add(at, "%q is the name of another class too", class.Name)
 		}
 	}
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/keep"
 	"lockroad/internal/memory"
 	"lockroad/internal/spoken/discovery"
@@ -20,19 +20,19 @@
 		List: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{{
 			ID: "s-5be2a07c", HostPort: "127.0.0.1:8001", Locality: "east", Flavor: "large", Cell: 3, Phase: "draining", Size: 1.5, UpSince: 1786000000123,
 		}}},
-		Names: map[balance.ServerID]string{0x5be2a07c: "s-5be2a07c", 9: "an odd name"},
-		Memory: balance.Memory{
+		Names: map[balancer.EndpointID]string{0x5be2a07c: "s-5be2a07c", 9: "an odd name"},
+		Memory: balancer.Snapshot{
 			Salt: 0xfedcba9876543210,
-			Servers: []balance.ServerMemory{{
-				ID: 0x5be2a07c, Weight: 1.25, Weighed: 1001 * ms, LastSent: 1002 * ms, StoodAt: 1003 * ms, FailedAt: 1004 * ms, LastSlow: 1005 * ms,
-				Delay: 6 * ms, DelayAt: 1007 * ms, Relieved: 1008 * ms, DrainAt: 1009 * ms, AwayAt: 1010 * ms, LastBorn: -1011 * ms,
+			Endpoints: []balancer.EndpointSnapshot{{
+				ID: 0x5be2a07c, Weight: 1.25, WeightSetAt: 1001 * ms, LastAttemptAt: 1002 * ms, EstablishedAt: 1003 * ms, FailedAt: 1004 * ms, SlowAt: 1005 * ms,
+				Delay: 6 * ms, DelayAt: 1007 * ms, RelievedAt: 1008 * ms, DrainingSince: 1009 * ms, RedirectedAt: 1010 * ms, StartedAt: -1011 * ms,
 			}},
-			Routes:  []balance.RouteMemory{{Key: 0x123456789abcdef1, Server: 9, Until: 3001 * ms}},
-			Recent:  balance.CountMemory{Count: 4.5, Since: 4001 * ms, From: 4002 * ms},
-			Pace:    balance.CountMemory{Count: 5.5, Since: 5001 * ms, From: 5002 * ms},
-			PerSize: 6.125, Load: 0.0078125, Loads: 8.5, Window: 9.75,
+			Routes:        []balancer.RouteSnapshot{{Key: 0x123456789abcdef1, Endpoint: 9, ExpiresAt: 3001 * ms}},
+			RecentSetups:  balancer.CounterSnapshot{Count: 4.5, UpdatedAt: 4001 * ms, CountedFrom: 4002 * ms},
+			ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * ms, CountedFrom: 5002 * ms},
+			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
 		},
-		Beats: map[balance.ServerID]line.Beat{0x5be2a07c: {At: 6001 * ms, Last: 12.5, Count: 7}},
+		Beats: map[balancer.EndpointID]line.Beat{0x5be2a07c: {At: 6001 * ms, Last: 12.5, Count: 7}},
 		Open:  []memory.Named{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
 		Seats: []int{17, 4},
 		Orders: []keep.Order{{
@@ -48,8 +48,8 @@
 	steps.GoldenJSON(t, "testdata/state-zero.json", state{})
 	steps.GoldenJSON(t, "testdata/state-zero-elements.json", state{
 		List:   discovery.List{Members: make([]discovery.Member, 1)},
-		Names:  map[balance.ServerID]string{0: ""},
-		Beats:  map[balance.ServerID]line.Beat{0: {}},
+		Names:  map[balancer.EndpointID]string{0: ""},
+		Beats:  map[balancer.EndpointID]line.Beat{0: {}},
 		Open:   make([]memory.Named, 1),
 		Orders: make([]keep.Order, 1),
 	})
--- a/internal/lifecycle/keep.go
+++ b/internal/lifecycle/keep.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/keep"
 	"lockroad/internal/store"
@@ -249,10 +249,12 @@
 	number uint64
 }
 
-func (shelved) Decided(*balance.Decision)                  {}
-func (shelved) Pass(balance.ServerID) func(balance.Status) { return func(balance.Status) {} }
-func (shelved) Up()                                        {}
-func (s shelved) Ended(core.Final)                         { s.keep(s.number) }
+func (shelved) Decided(*balancer.Decision) {}
+func (shelved) Pass(balancer.EndpointID) func(balancer.AttemptStatus) {
+	return func(balancer.AttemptStatus) {}
+}
+func (shelved) Up()                {}
+func (s shelved) Ended(core.Final) { s.keep(s.number) }
 
 // Pinned keeps the account of a transaction that was pinned, as far as it has come.
 func (k *keeper) Pinned(number uint64) {
@@ -341,9 +343,9 @@
 	if err != nil {
 		return
 	}
-	known := keep.Known{Name: k.r.config.Name, Clock: k.core.Clock.Now(), Start: k.core.Clock.Start(), At: time.Now(), Names: make(map[balance.ServerID]string), Memory: m}
+	known := keep.Known{Name: k.r.config.Name, Clock: k.core.Clock.Now(), Start: k.core.Clock.Start(), At: time.Now(), Names: make(map[balancer.EndpointID]string), Memory: m}
 	known.List, known.Agent = k.r.watcher.List()
-	for _, one := range m.Servers {
+	for _, one := range m.Endpoints {
 		known.Names[one.ID] = k.core.Farm.Name(one.ID)
 	}
 	learnt(s).Put(learntKey, known)
--- a/internal/lifecycle/many_test.go
+++ b/internal/lifecycle/many_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/console"
 	"lockroad/internal/core"
 	"lockroad/internal/keep"
@@ -40,9 +40,9 @@
 // knowing is a core with a list of n servers, and the watcher that took it.
 func knowing(t testing.TB, n int) (*core.Core, *discovery.Watcher) {
 	t.Helper()
-	k := core.New(balance.Settings{
-		Classes: []balance.Class{{Name: "page", Deadline: time.Second}}, Relays: 350, MaxAttempts: 3, Tick: 2 * time.Millisecond,
-		ColdShare: 0.2, ColdFor: 23 * time.Second, TipMultiple: 3, TipAfter: time.Second,
+	k := core.New(balancer.Settings{
+		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 350, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
+		InitialCapacity: 0.2, SlowStartDuration: 23 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, core.NewClock())
 	w := &discovery.Watcher{Core: k, Zones: []string{"a"}, Keep: true}
 	if err := w.Know(listOf(n)); err != nil {
@@ -52,15 +52,15 @@
 }
 
 // learntOf is what a relay has learnt of n servers, with all routes that are kept.
-func learntOf(n int) balance.Memory {
-	var m balance.Memory
+func learntOf(n int) balancer.Snapshot {
+	var m balancer.Snapshot
 	for i := range n {
 		at := time.Duration(i) * time.Second
-		m.Servers = append(m.Servers, balance.ServerMemory{ID: balance.ServerID(i + 1), Weight: 0.123456789, Weighed: at, LastSent: at, StoodAt: at,
-			FailedAt: at, LastSlow: at, Delay: at, DelayAt: at, Relieved: at, DrainAt: at, AwayAt: at, LastBorn: at})
+		m.Endpoints = append(m.Endpoints, balancer.EndpointSnapshot{ID: balancer.EndpointID(i + 1), Weight: 0.123456789, WeightSetAt: at, LastAttemptAt: at, EstablishedAt: at,
+			FailedAt: at, SlowAt: at, Delay: at, DelayAt: at, RelievedAt: at, DrainingSince: at, RedirectedAt: at, StartedAt: at})
 	}
 	for i := range 4096 {
-		m.Routes = append(m.Routes, balance.RouteMemory{Key: uint64(i) << 40, Server: balance.ServerID(i%n + 1), Until: time.Hour})
+		m.Routes = append(m.Routes, balancer.RouteSnapshot{Key: uint64(i) << 40, Endpoint: balancer.EndpointID(i%n + 1), ExpiresAt: time.Hour})
 	}
 	return m
 }
@@ -124,10 +124,10 @@
 		}
 		for name, c := range map[string]struct {
 			text  []byte
-			phase balance.State
+			phase balancer.EndpointState
 		}{
-			"whole": {whole, balance.Ready}, "indented": {indented, balance.Ready}, "pieces": {pieces.Bytes(), balance.Ready},
-			"changes": {append(append(whole, '\n'), drains.Bytes()...), balance.Draining},
+			"whole": {whole, balancer.StateReady}, "indented": {indented, balancer.StateReady}, "pieces": {pieces.Bytes(), balancer.StateReady},
+			"changes": {append(append(whole, '\n'), drains.Bytes()...), balancer.StateDraining},
 		} {
 			k, _ := knowing(t, 0)
 			ctx, cancel := context.WithCancel(t.Context())
@@ -154,9 +154,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		known := keep.Known{Name: "n1", At: time.Now(), List: listOf(n), Names: map[balance.ServerID]string{}, Memory: learntOf(n)}
+		known := keep.Known{Name: "n1", At: time.Now(), List: listOf(n), Names: map[balancer.EndpointID]string{}, Memory: learntOf(n)}
 		for i, m := range known.List.Members {
-			known.Names[balance.ServerID(i+1)] = m.ID
+			known.Names[balancer.EndpointID(i+1)] = m.ID
 		}
 		if err := learnt(s).Commit(t.Context(), learntKey, known); err != nil {
 			t.Errorf("%d servers: what is learnt is not kept: %v", n, err)
@@ -177,8 +177,8 @@
 			t.Fatal(err)
 		}
 		got, _, ok, err := learnt(s).Get(learntKey)
-		if !ok || err != nil || len(got.List.Members) != n || len(got.Memory.Servers) != n || len(got.Memory.Routes) != 4096 {
-			t.Errorf("%d servers: %v, %v, %d, %d and %d are read back", n, ok, err, len(got.List.Members), len(got.Memory.Servers), len(got.Memory.Routes))
+		if !ok || err != nil || len(got.List.Members) != n || len(got.Memory.Endpoints) != n || len(got.Memory.Routes) != 4096 {
+			t.Errorf("%d servers: %v, %v, %d, %d and %d are read back", n, ok, err, len(got.List.Members), len(got.Memory.Endpoints), len(got.Memory.Routes))
 		}
 		if stats := s.Stats(); stats.Records[keep.Orders] != n {
 			t.Errorf("%d orders: %d are there after a restart", n, stats.Records[keep.Orders])
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.Named("page") != 0 ||
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.ClassIndex("page") != 0 ||
 		c.Zones[1] != "b" || c.Known.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
 		t.Errorf("read as %+v", c)
 	}
