--- a/internal/lifecycle/site.go
+++ b/internal/lifecycle/site.go
@@ -14,7 +14,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/limits"
 	"lockroad/internal/members"
 	"lockroad/internal/spoken/probe"
@@ -192,23 +192,23 @@
 	return set
 }
 
-func (f *finder) siteSettings(raw *siteFile) balance.Settings {
-	set := balance.Settings{
-		Relays: 1, Tick: 2 * time.Millisecond, Connect: 500 * time.Millisecond, MaxRetryAfter: 2 * time.Second, MaxAttempts: cmp.Or(raw.Limits.Attempts, siteAttempts),
-		ColdShare: 0.2, ColdFor: 20 * time.Second, TipMultiple: 3, TipAfter: 3 * time.Second, CrossZoneCost: 0.03, TellsLoad: true, TellsDelay: true,
+func (f *finder) siteSettings(raw *siteFile) balancer.Settings {
+	set := balancer.Settings{
+		Relays: 1, MinTick: 2 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond, MaxRetryAfter: 2 * time.Second, MaxAttempts: cmp.Or(raw.Limits.Attempts, siteAttempts),
+		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, CrossZoneCost: 0.03, ReportsLoad: true, ReportsDelay: true,
 	}
 	if len(raw.Class) == 0 {
 		f.add("class", "is missing: clients name one")
 	}
-	effects := map[string]balance.Effect{"": balance.Idempotent, "idempotent": balance.Idempotent, "at_most_once": balance.AtMostOnce}
+	effects := map[string]balancer.Effect{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
 	for i, one := range raw.Class {
 		at := fmt.Sprintf("class[%d].", i)
-		class := balance.Class{Name: one.Name, Aim: time.Duration(cmp.Or(one.SetUp, span(siteSetUp))), Deadline: time.Duration(cmp.Or(one.GiveUp, span(siteGiveUp))), MessageAim: time.Duration(one.Message)}
+		class := balancer.Class{Name: one.Name, LatencyObjective: time.Duration(cmp.Or(one.SetUp, span(siteSetUp))), Deadline: time.Duration(cmp.Or(one.GiveUp, span(siteGiveUp))), MessageLatencyObjective: time.Duration(one.Message)}
 		effect, ok := effects[one.Effect]
 		switch {
 		case one.Name == "":
 			f.add(at+"name", "is missing")
-		case set.Named(one.Name) >= 0:
+		case set.ClassIndex(one.Name) >= 0:
 			f.add(at+"name", "%q is the name of another class too", one.Name)
 		case !ok:
 			f.add(at+"effect", "%q is neither idempotent nor at_most_once", one.Effect)
--- a/internal/lifecycle/stored_golden_test.go
+++ b/internal/lifecycle/stored_golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/keep"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/store"
@@ -88,51 +88,51 @@
 				},
 			},
 		},
-		Names: map[balance.ServerID]string{1021: "name-1022"},
-		Memory: balance.Memory{
+		Names: map[balancer.EndpointID]string{1021: "name-1022"},
+		Memory: balancer.Snapshot{
 			Salt: 1023,
-			Servers: []balance.ServerMemory{
+			Endpoints: []balancer.EndpointSnapshot{
 				{
-					ID:       1024,
-					Weight:   0.1025,
-					Weighed:  1026 * time.Microsecond,
-					LastSent: 1027 * time.Microsecond,
-					StoodAt:  1028 * time.Microsecond,
-					FailedAt: 1029 * time.Microsecond,
-					LastSlow: 1030 * time.Microsecond,
-					Delay:    1031 * time.Microsecond,
-					DelayAt:  1032 * time.Microsecond,
-					Relieved: 1033 * time.Microsecond,
-					DrainAt:  1034 * time.Microsecond,
-					AwayAt:   1035 * time.Microsecond,
-					LastBorn: 1036 * time.Microsecond,
+					ID:            1024,
+					Weight:        0.1025,
+					WeightSetAt:   1026 * time.Microsecond,
+					LastAttemptAt: 1027 * time.Microsecond,
+					EstablishedAt: 1028 * time.Microsecond,
+					FailedAt:      1029 * time.Microsecond,
+					SlowAt:        1030 * time.Microsecond,
+					Delay:         1031 * time.Microsecond,
+					DelayAt:       1032 * time.Microsecond,
+					RelievedAt:    1033 * time.Microsecond,
+					DrainingSince: 1034 * time.Microsecond,
+					RedirectedAt:  1035 * time.Microsecond,
+					StartedAt:     1036 * time.Microsecond,
 				},
 				{
-					ID:       1037,
-					Weight:   0.1038,
-					Weighed:  1039 * time.Microsecond,
-					LastSent: 1040 * time.Microsecond,
-					StoodAt:  1041 * time.Microsecond,
-					FailedAt: 1042 * time.Microsecond,
-					LastSlow: 1043 * time.Microsecond,
-					Delay:    1044 * time.Microsecond,
-					DelayAt:  1045 * time.Microsecond,
-					Relieved: 1046 * time.Microsecond,
-					DrainAt:  1047 * time.Microsecond,
-					AwayAt:   1048 * time.Microsecond,
-					LastBorn: 1049 * time.Microsecond,
+					ID:            1037,
+					Weight:        0.1038,
+					WeightSetAt:   1039 * time.Microsecond,
+					LastAttemptAt: 1040 * time.Microsecond,
+					EstablishedAt: 1041 * time.Microsecond,
+					FailedAt:      1042 * time.Microsecond,
+					SlowAt:        1043 * time.Microsecond,
+					Delay:         1044 * time.Microsecond,
+					DelayAt:       1045 * time.Microsecond,
+					RelievedAt:    1046 * time.Microsecond,
+					DrainingSince: 1047 * time.Microsecond,
+					RedirectedAt:  1048 * time.Microsecond,
+					StartedAt:     1049 * time.Microsecond,
 				},
 			},
-			Routes: []balance.RouteMemory{
-				{Key: 1050, Server: 1051, Until: 1052 * time.Microsecond},
-				{Key: 1053, Server: 1054, Until: 1055 * time.Microsecond},
+			Routes: []balancer.RouteSnapshot{
+				{Key: 1050, Endpoint: 1051, ExpiresAt: 1052 * time.Microsecond},
+				{Key: 1053, Endpoint: 1054, ExpiresAt: 1055 * time.Microsecond},
 			},
-			Recent:  balance.CountMemory{Count: 1056.25, Since: 1057 * time.Microsecond, From: 1058 * time.Microsecond},
-			Pace:    balance.CountMemory{Count: 1059.25, Since: 1060 * time.Microsecond, From: 1061 * time.Microsecond},
-			PerSize: 1062.5,
-			Load:    0.1063,
-			Loads:   1064.5,
-			Window:  1065.5,
+			RecentSetups:      balancer.CounterSnapshot{Count: 1056.25, UpdatedAt: 1057 * time.Microsecond, CountedFrom: 1058 * time.Microsecond},
+			ArrivalRate:       balancer.CounterSnapshot{Count: 1059.25, UpdatedAt: 1060 * time.Microsecond, CountedFrom: 1061 * time.Microsecond},
+			SetupsPerSize:     1062.5,
+			MeanLoad:          0.1063,
+			LoadSamples:       1064.5,
+			ConcurrencyWindow: 1065.5,
 		},
 	}
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/console"
 	"lockroad/internal/core"
 	"lockroad/internal/handover"
@@ -31,14 +31,14 @@
 
 // state is what a new process is given to begin with.
 type state struct {
-	Agent  string                         `json:"Agent"` // that the list is of
-	List   discovery.List                 `json:"List"`
-	Names  map[balance.ServerID]string    `json:"Names"` // the numbers that Memory speaks of
-	Memory balance.Memory                 `json:"Memory"`
-	Beats  map[balance.ServerID]line.Beat `json:"Beats"`  // of servers that tell delays
-	Open   []memory.Named                 `json:"Open"`   // transactions under way
-	Seats  []int                          `json:"Seats"`  // taken, by hall
-	Orders []keep.Order                   `json:"Orders"` // that have servers drain
+	Agent  string                            `json:"Agent"` // that the list is of
+	List   discovery.List                    `json:"List"`
+	Names  map[balancer.EndpointID]string    `json:"Names"` // the numbers that Memory speaks of
+	Memory balancer.Snapshot                 `json:"Memory"`
+	Beats  map[balancer.EndpointID]line.Beat `json:"Beats"`  // of servers that tell delays
+	Open   []memory.Named                    `json:"Open"`   // transactions under way
+	Seats  []int                             `json:"Seats"`  // taken, by hall
+	Orders []keep.Order                      `json:"Orders"` // that have servers drain
 }
 
 // memory keeps the process to a part of the relay's memory.
@@ -101,7 +101,7 @@
 			s.Names = known.Names
 			known.Memory.Renumber(r.here)
 			r.core.Remember(known.Memory)
-			r.log.Info("what was learnt before is taken up", "age", age.Round(time.Millisecond), "servers", len(known.Memory.Servers), "routes", len(known.Memory.Routes))
+			r.log.Info("what was learnt before is taken up", "age", age.Round(time.Millisecond), "servers", len(known.Memory.Endpoints), "routes", len(known.Memory.Routes))
 		}()
 		// Revisions of two agents can't be compared: the platform's list is the newer one then.
 		if r.prober == nil && known.Agent == r.config.Discovery && known.List.Revision >= r.config.Known.Revision {
@@ -121,7 +121,7 @@
 }
 
 // here is the number that a server of the old process's has in this one.
-func (r *relay) here(old balance.ServerID) (balance.ServerID, bool) {
+func (r *relay) here(old balancer.EndpointID) (balancer.EndpointID, bool) {
 	return r.core.Farm.Lookup(r.told.Names[old])
 }
 
@@ -238,14 +238,14 @@
 func (r *relay) Offer(ctx context.Context) (*handover.Offer, []syscall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, recollectWait)
 	defer cancel()
-	s := state{Names: make(map[balance.ServerID]string), Open: r.core.Transactions.Names(), Orders: r.keeper.Orders()}
+	s := state{Names: make(map[balancer.EndpointID]string), Open: r.core.Transactions.Names(), Orders: r.keeper.Orders()}
 	var err error
 	if s.Memory, err = r.core.Recollect(ctx); err != nil {
 		return nil, nil, err
 	}
 	s.List, s.Agent = r.watcher.List()
 	s.Beats = r.line.Beats()
-	for _, known := range s.Memory.Servers {
+	for _, known := range s.Memory.Endpoints {
 		s.Names[known.ID] = r.core.Farm.Name(known.ID)
 	}
 	for _, h := range r.halls {
--- a/internal/logs/transactions.go
+++ b/internal/logs/transactions.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 )
@@ -17,7 +17,7 @@
 type Transactions struct {
 	Log   *slog.Logger
 	Clock core.Clock
-	Name  func(balance.ServerID) string // of a server
+	Name  func(balancer.EndpointID) string // of a server
 }
 
 // Began follows a transaction.
@@ -39,7 +39,7 @@
 }
 
 // Decided notes why, in no time.
-func (f *followed) Decided(d *balance.Decision) {
+func (f *followed) Decided(d *balancer.Decision) {
 	f.decided.Store(true)
 	f.last.Store(uint64(d.Reason) | uint64(min(d.Attempt, 255))<<8)
 }
@@ -47,7 +47,7 @@
 func (f *followed) line(level slog.Level, message string, more ...any) {
 	server := "-"
 	if f.sent.Load() {
-		server = f.Name(balance.ServerID(f.server.Load()))
+		server = f.Name(balancer.EndpointID(f.server.Load()))
 	}
 	args := append([]any{"number", f.number, "front", f.front, "name", f.name, "class", f.class, "server", server}, more...)
 	if f.tenant != "" {
@@ -55,18 +55,18 @@
 	}
 	if f.decided.Load() {
 		last := f.last.Load()
-		args = append(args, "reason", balance.Reason(last&0xff).String(), "attempt", last>>8)
+		args = append(args, "reason", balancer.Reason(last&0xff).String(), "attempt", last>>8)
 	}
 	f.Log.Log(context.Background(), level, message, args...)
 }
 
 // Pass logs a pass that fails.
-func (f *followed) Pass(server balance.ServerID) func(balance.Status) {
+func (f *followed) Pass(server balancer.EndpointID) func(balancer.AttemptStatus) {
 	f.server.Store(uint32(server))
 	f.sent.Store(true)
 	began := f.Clock.Now()
-	return func(how balance.Status) {
-		if how != balance.OK && how != balance.Cancelled {
+	return func(how balancer.AttemptStatus) {
+		if how != balancer.StatusOK && how != balancer.StatusCancelled {
 			f.line(slog.LevelInfo, "a pass has failed", "outcome", memory.Statuses[how], "took", f.Clock.Now()-began)
 		}
 	}
@@ -88,7 +88,7 @@
 	case memory.Moved:
 		f.line(slog.LevelDebug, "a client is moved", "cause", end.Cause.String(), "stood", took)
 	case memory.Ended:
-		if end.How != balance.OK && end.How != balance.Cancelled {
+		if end.How != balancer.StatusOK && end.How != balancer.StatusCancelled {
 			f.line(slog.LevelInfo, "a connection is lost", "outcome", memory.Statuses[end.How], "stood", took)
 		}
 	}
--- a/internal/memory/counters.go
+++ b/internal/memory/counters.go
@@ -3,7 +3,7 @@
 import (
 	"sync/atomic"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // End is how a transaction came to its end.
@@ -44,10 +44,10 @@
 var Statuses = []string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "sent_away"}
 
 // Pass counts the end of a pass.
-func (c *Counters) Pass(how balance.Status) { c.passes[how].Add(1) }
+func (c *Counters) Pass(how balancer.AttemptStatus) { c.passes[how].Add(1) }
 
 // Passes returns how many passes have ended in a way.
-func (c *Counters) Passes(how balance.Status) int64 { return c.passes[how].Load() }
+func (c *Counters) Passes(how balancer.AttemptStatus) int64 { return c.passes[how].Load() }
 
 // End counts the end of a transaction.
 func (c *Counters) End(e End) { c.ends[e].Add(1) }
--- a/internal/memory/farm.go
+++ b/internal/memory/farm.go
@@ -9,15 +9,15 @@
 	"strings"
 	"sync"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Phase is what discovery says of an application server.
-type Phase = balance.State
+type Phase = balancer.EndpointState
 
 // Server is an application server as discovery last named it.
 type Server struct {
-	ID      balance.ServerID
+	ID      balancer.EndpointID
 	Name    string
 	Address string
 	Phase   Phase
@@ -30,8 +30,8 @@
 // Farm is discovery's list. It is safe for concurrent use.
 type Farm struct {
 	mu      sync.Mutex
-	servers map[balance.ServerID]*entry
-	names   map[string]balance.ServerID
+	servers map[balancer.EndpointID]*entry
+	names   map[string]balancer.EndpointID
 }
 
 type entry struct {
@@ -41,12 +41,12 @@
 
 // NewFarm returns a farm that names no server.
 func NewFarm() *Farm {
-	return &Farm{servers: make(map[balance.ServerID]*entry), names: make(map[string]balance.ServerID)}
+	return &Farm{servers: make(map[balancer.EndpointID]*entry), names: make(map[string]balancer.EndpointID)}
 }
 
 // ID returns the number of a server, the same at every relay: the hexadecimal
 // end of its name, or else a hash of it. Two names never share one.
-func (f *Farm) ID(name string) balance.ServerID {
+func (f *Farm) ID(name string) balancer.EndpointID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id, ok := f.names[name]; ok {
@@ -58,7 +58,7 @@
 		h.Write([]byte(name))
 		n = uint64(h.Sum32())
 	}
-	id := balance.ServerID(n)
+	id := balancer.EndpointID(n)
 	for f.servers[id] != nil {
 		id++
 	}
@@ -69,7 +69,7 @@
 
 // Lookup returns the number of a server that has one. What clients name makes no
 // entry: those would pile up with every odd name.
-func (f *Farm) Lookup(name string) (balance.ServerID, bool) {
+func (f *Farm) Lookup(name string) (balancer.EndpointID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id, ok := f.names[name]
@@ -77,7 +77,7 @@
 }
 
 // Name is the name of a server that has a number, or its number.
-func (f *Farm) Name(id balance.ServerID) string {
+func (f *Farm) Name(id balancer.EndpointID) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if e := f.servers[id]; e != nil {
@@ -88,7 +88,7 @@
 
 // Update takes a line of the list. A server that drains or is gone is leaving
 // at once, also for passes about to go out.
-func (f *Farm) Update(id balance.ServerID, address string, phase Phase) {
+func (f *Farm) Update(id balancer.EndpointID, address string, phase Phase) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.servers[id]
@@ -100,14 +100,14 @@
 	}
 	e.Phase = phase
 	switch {
-	case phase == balance.Ready && (e.leave == nil || closed(e.leave)):
+	case phase == balancer.StateReady && (e.leave == nil || closed(e.leave)):
 		e.leave = make(chan struct{})
 		e.Leaving = e.leave
-	case phase != balance.Ready && e.leave == nil:
+	case phase != balancer.StateReady && e.leave == nil:
 		e.leave = make(chan struct{})
 		e.Leaving = e.leave
 		fallthrough
-	case phase != balance.Ready && !closed(e.leave):
+	case phase != balancer.StateReady && !closed(e.leave):
 		close(e.leave)
 	}
 }
@@ -122,20 +122,20 @@
 }
 
 // Keep marks every server as gone that a whole list leaves out.
-func (f *Farm) Keep(named []balance.Server) {
-	there := make(map[balance.ServerID]bool, len(named)) // lists of thousands come while clients wait
+func (f *Farm) Keep(named []balancer.Endpoint) {
+	there := make(map[balancer.EndpointID]bool, len(named)) // lists of thousands come while clients wait
 	for _, n := range named {
 		there[n.ID] = true
 	}
 	for _, s := range f.List() {
-		if s.Phase != balance.Gone && !there[s.ID] {
-			f.Update(s.ID, "", balance.Gone)
+		if s.Phase != balancer.StateGone && !there[s.ID] {
+			f.Update(s.ID, "", balancer.StateGone)
 		}
 	}
 }
 
 // Find returns a server that the list has named.
-func (f *Farm) Find(id balance.ServerID) (Server, bool) {
+func (f *Farm) Find(id balancer.EndpointID) (Server, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.servers[id]
--- a/internal/memory/memory_test.go
+++ b/internal/memory/memory_test.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"testing"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // The name of a transaction that another process of the relay has is taken here too, until
@@ -50,23 +50,23 @@
 	if _, ok := f.Find(id); ok {
 		t.Error("a server was found that no list has named")
 	}
-	f.Update(id, "a:1", balance.Ready)
+	f.Update(id, "a:1", balancer.StateReady)
 	before, _ := f.Find(id)
-	f.Update(id, "a:2", balance.Ready)
+	f.Update(id, "a:2", balancer.StateReady)
 	if before.IsLeaving() {
 		t.Error("a server is leaving that has only moved")
 	}
-	f.Update(id, "", balance.Draining)
-	f.Update(id, "", balance.Gone)
+	f.Update(id, "", balancer.StateDraining)
+	f.Update(id, "", balancer.StateGone)
 	if !before.IsLeaving() {
 		t.Error("a server that drains is not leaving")
 	}
-	f.Update(id, "", balance.Ready)
+	f.Update(id, "", balancer.StateReady)
 	if after, _ := f.Find(id); after.IsLeaving() || after.Address != "a:2" || !before.IsLeaving() {
 		t.Error("a server that is back is leaving, or who held the old one isn't told")
 	}
 	cold := f.ID("s-2")
-	f.Update(cold, "b:1", balance.Draining)
+	f.Update(cold, "b:1", balancer.StateDraining)
 	if s, ok := f.Find(cold); !ok || !s.IsLeaving() {
 		t.Error("a server that was first heard of draining is not leaving")
 	}
@@ -75,9 +75,9 @@
 func TestWholeListEndsWhatItLeavesOut(t *testing.T) {
 	f := NewFarm()
 	for _, name := range []string{"s-1", "s-2", "s-3"} {
-		f.Update(f.ID(name), "a", balance.Ready)
+		f.Update(f.ID(name), "a", balancer.StateReady)
 	}
-	f.Keep([]balance.Server{{ID: f.ID("s-2")}})
+	f.Keep([]balancer.Endpoint{{ID: f.ID("s-2")}})
 	if n := f.Phases(); n != [3]int64{2, 1, 0} {
 		t.Errorf("gone, ready, draining: %v", n)
 	}
--- a/internal/memory/transactions.go
+++ b/internal/memory/transactions.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Stage is how far a transaction has come.
@@ -30,7 +30,7 @@
 	Class  string
 	Since  time.Duration
 	Stage  Stage
-	Server balance.ServerID
+	Server balancer.EndpointID
 	Passes int
 }
 
@@ -116,7 +116,7 @@
 }
 
 // Set notes how far a transaction has come.
-func (t *Transactions) Set(number uint64, stage Stage, server balance.ServerID) {
+func (t *Transactions) Set(number uint64, stage Stage, server balancer.EndpointID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if x := t.all[number]; x != nil {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/members"
 	"lockroad/internal/sexp"
 )
@@ -241,15 +241,15 @@
 
 // The baselines keep their published rules.
 func TestBaselinesChooseAsTheyShould(t *testing.T) {
-	ask := func(name string, n int, group uint64) map[balance.ServerID]int {
+	ask := func(name string, n int, group uint64) map[balancer.EndpointID]int {
 		s := New(Galway(), nil, policy(name), 1)
-		got := make(map[balance.ServerID]int)
+		got := make(map[balancer.EndpointID]int)
 		for i := range n {
-			id := balance.RequestID(9000 + i)
-			for _, a := range s.relays[0].d.Handle(base, balance.Request{ID: id, Group: group, Left: time.Second}) {
-				if send, ok := a.(balance.Send); ok {
-					got[send.Server]++
-					s.relays[0].d.Handle(base, balance.Standing{Request: id, Server: send.Server})
+			id := balancer.RequestID(9000 + i)
+			for _, a := range s.relays[0].d.Handle(base, balancer.Request{ID: id, Group: group, TimeLeft: time.Second}) {
+				if send, ok := a.(balancer.SendAttempt); ok {
+					got[send.Endpoint]++
+					s.relays[0].d.Handle(base, balancer.Established{Request: id, Endpoint: send.Endpoint})
 				}
 			}
 		}
@@ -303,7 +303,7 @@
 }
 
 // A relay of the model is a Balancer of the program.
-var _ Decider = (*balance.Balancer)(nil)
+var _ Decider = (*balancer.Balancer)(nil)
 
 // BenchmarkDay simulates days of several sizes, and reports how many times as fast as
 // real time, events a second, and the memory of a standing connection.
--- a/internal/model/policies.go
+++ b/internal/model/policies.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Policies are the module and those that it is compared with, by their published rules:
 //
-//   - module: balance.Balancer, the very decisions of the program.
+//   - module: balancer.Balancer, the very decisions of the program.
 //   - module-no-zones, module-no-notes, module-no-routes: the same without the preference
 //     for servers of the own zone; without word of servers' delays, and so without slow
 //     marks, relief and easing; and with no group, so without cached routes and with a draw
@@ -27,22 +27,22 @@
 //   - oracle: sees the true state of all servers; the ceiling for placing, as it moves nobody.
 var Policies = []Policy{
 	{"module", func(s *Sim, r int) Decider {
-		return balance.New(s.settings(s.relays[r].zone), s.rng.Uint64())
+		return balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64())
 	}},
 	{"module-no-zones", func(s *Sim, r int) Decider {
 		set := s.settings(s.relays[r].zone)
 		set.CrossZoneCost = 0
-		return balance.New(set, s.rng.Uint64())
+		return balancer.New(set, s.rng.Uint64())
 	}},
 	{"module-no-notes", func(s *Sim, r int) Decider {
-		return without{balance.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balance.Event) (balance.Event, bool) {
-			_, note := ev.(balance.DelayNote)
+		return without{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+			_, note := ev.(balancer.EndpointDelay)
 			return ev, !note
 		}}
 	}},
 	{"module-no-routes", func(s *Sim, r int) Decider {
-		return without{balance.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balance.Event) (balance.Event, bool) {
-			if q, ok := ev.(balance.Request); ok {
+		return without{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+			if q, ok := ev.(balancer.Request); ok {
 				q.Group, q.Item = 0, 0
 				return q, true
 			}
@@ -95,11 +95,11 @@
 // without is a decider that does not see all there is.
 type without struct {
 	Decider
-	see func(balance.Event) (balance.Event, bool)
+	see func(balancer.Event) (balancer.Event, bool)
 }
 
 // Handle passes on what the decider sees.
-func (w without) Handle(now time.Duration, ev balance.Event) []balance.Action {
+func (w without) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	if ev, ok := w.see(ev); ok {
 		return w.Decider.Handle(now, ev)
 	}
@@ -115,7 +115,7 @@
 	return Policies[i], true
 }
 
-func rendezvous(group uint64, id balance.ServerID) uint64 {
+func rendezvous(group uint64, id balancer.EndpointID) uint64 {
 	h := fnv.New64a()
 	var b [12]byte
 	for i := range 8 {
@@ -135,29 +135,29 @@
 	s        *Sim
 	rng      *rand.Rand
 	choose   func(p *simple, q *asked, from []*known) *known
-	servers  map[balance.ServerID]*known
+	servers  map[balancer.EndpointID]*known
 	order    []*known
-	asks     map[balance.RequestID]*asked
-	timers   map[uint32]balance.RequestID
+	asks     map[balancer.RequestID]*asked
+	timers   map[uint32]balancer.RequestID
 	token    uint32
 	turn     int
 	most     int
 	attempts int
-	out      []balance.Action
+	out      []balancer.Action
 	from     []*known
 }
 
 type known struct {
-	balance.Server
+	balancer.Endpoint
 	conns int
-	of    map[balance.RequestID]bool
+	of    map[balancer.RequestID]bool
 }
 
 type asked struct {
-	balance.Request
+	balancer.Request
 	until time.Duration
 	tries int
-	tried []balance.ServerID
+	tried []balancer.EndpointID
 	at    *known
 	up    bool
 	timer uint32
@@ -165,8 +165,8 @@
 
 func plain(choose func(*simple, *asked, []*known) *known) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
-		return &simple{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balance.ServerID]*known),
-			asks: make(map[balance.RequestID]*asked), timers: make(map[uint32]balance.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
+		return &simple{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balancer.EndpointID]*known),
+			asks: make(map[balancer.RequestID]*asked), timers: make(map[uint32]balancer.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
 	}
 }
 
@@ -188,23 +188,23 @@
 const groupTo = 0.75
 
 // Handle takes an event and returns what to do.
-func (p *simple) Handle(now time.Duration, ev balance.Event) []balance.Action {
+func (p *simple) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	p.out = p.out[:0]
 	switch ev := ev.(type) {
-	case balance.ServerList:
+	case balancer.EndpointList:
 		p.listed(ev)
-	case balance.Request:
-		q := &asked{Request: ev, until: now + ev.Left - 4*time.Millisecond}
+	case balancer.Request:
+		q := &asked{Request: ev, until: now + ev.TimeLeft - 4*time.Millisecond}
 		p.asks[ev.ID] = q
-		p.wake(q, ev.Left-4*time.Millisecond)
+		p.wake(q, ev.TimeLeft-4*time.Millisecond)
 		p.try(now, q)
-	case balance.Standing:
+	case balancer.Established:
 		if q := p.asks[ev.Request]; q != nil && q.at != nil {
 			q.up = true
 			q.at.conns++
 			q.at.of[q.ID] = true
 		}
-	case balance.Outcome:
+	case balancer.Outcome:
 		q := p.asks[ev.Request]
 		if q == nil {
 			break
@@ -223,11 +223,11 @@
 			break
 		}
 		p.wake(q, wait)
-	case balance.ClientLeft:
+	case balancer.ClientLeft:
 		if q := p.asks[ev.Request]; q != nil {
 			p.drop(q)
 		}
-	case balance.Timer:
+	case balancer.Timer:
 		id, ok := p.timers[ev.Token]
 		delete(p.timers, ev.Token)
 		q := p.asks[id]
@@ -246,11 +246,11 @@
 	p.token++
 	p.timers[p.token] = q.ID
 	q.timer = p.token
-	p.out = append(p.out, balance.SetTimer{Token: p.token, After: max(0, after)})
+	p.out = append(p.out, balancer.SetTimer{Token: p.token, After: max(0, after)})
 }
 
 func (p *simple) refuse(q *asked) {
-	p.out = append(p.out, balance.Refuse{Request: q.ID, RetryAfter: 100 * time.Millisecond})
+	p.out = append(p.out, balancer.Reject{Request: q.ID, RetryAfter: 100 * time.Millisecond})
 	p.drop(q)
 }
 
@@ -266,7 +266,7 @@
 func (p *simple) try(now time.Duration, q *asked) {
 	p.from = p.from[:0]
 	for _, k := range p.order {
-		if k.State == balance.Ready && !slices.Contains(q.tried, k.ID) {
+		if k.State == balancer.StateReady && !slices.Contains(q.tried, k.ID) {
 			p.from = append(p.from, k)
 		}
 	}
@@ -280,30 +280,30 @@
 	if q.tries < p.attempts {
 		wait /= 2
 	}
-	p.out = append(p.out, balance.Send{Request: q.ID, Server: q.at.ID, Timeout: wait})
+	p.out = append(p.out, balancer.SendAttempt{Request: q.ID, Endpoint: q.at.ID, Timeout: wait})
 }
 
-func (p *simple) listed(l balance.ServerList) {
-	for _, line := range l.Servers {
+func (p *simple) listed(l balancer.EndpointList) {
+	for _, line := range l.Endpoints {
 		k := p.servers[line.ID]
 		if k == nil {
-			k = &known{Server: line, of: make(map[balance.RequestID]bool)}
+			k = &known{Endpoint: line, of: make(map[balancer.RequestID]bool)}
 			p.servers[line.ID] = k
 			p.order = append(p.order, k)
 			slices.SortFunc(p.order, func(x, y *known) int { return cmp.Compare(x.ID, y.ID) })
 		}
-		k.Server = line
+		k.Endpoint = line
 		p.most = max(p.most, int(line.ID))
-		if line.State != balance.Draining {
+		if line.State != balancer.StateDraining {
 			continue
 		}
-		ids := make([]balance.RequestID, 0, len(k.of))
+		ids := make([]balancer.RequestID, 0, len(k.of))
 		for id := range k.of {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			p.out = append(p.out, balance.Move{Request: id})
+			p.out = append(p.out, balancer.Migrate{Request: id})
 			p.drop(p.asks[id])
 		}
 	}
--- a/internal/model/probed.go
+++ b/internal/model/probed.go
@@ -5,7 +5,7 @@
 	"strconv"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/members"
 )
 
@@ -69,9 +69,9 @@
 }
 
 // passed tells a relay's members what became of a pass.
-func (s *Sim) passed(id uint32, server int32, how balance.Status) {
-	if r := s.relays[id]; r.members != nil && how != balance.Moot && how != balance.Cancelled {
-		r.members.Passed(s.now, memberName(int(server)), how == balance.OK || how == balance.Full || how == balance.SentAway, "")
+func (s *Sim) passed(id uint32, server int32, how balancer.AttemptStatus) {
+	if r := s.relays[id]; r.members != nil && how != balancer.StatusNotSent && how != balancer.StatusCancelled {
+		r.members.Passed(s.now, memberName(int(server)), how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected, "")
 		s.members(id)
 	}
 }
@@ -81,26 +81,26 @@
 	for _, c := range s.relays[id].members.Changes() {
 		i := int(memberNumber(c.Name))
 		line := s.line(i)
-		line.State, line.Born = balance.Ready, c.Born
+		line.State, line.StartedAt = balancer.StateReady, c.Born
 		if c.State == members.Down {
-			line.State = balance.Gone
+			line.State = balancer.StateGone
 		}
 		s.heard(id, i, line.State)
-		s.tell(id, balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{line}})
+		s.tell(id, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{line}})
 	}
 }
 
 // heard counts what a relay is told of a server: how late, and whether it is true.
-func (s *Sim) heard(id uint32, i int, state balance.State) {
+func (s *Sim) heard(id uint32, i int, state balancer.EndpointState) {
 	v, a := s.servers[i], &s.account
 	gone := v.down || v.hung
 	switch {
-	case state == balance.Ready || s.now < base:
+	case state == balancer.StateReady || s.now < base:
 	case gone && !v.heard[id]:
 		v.heard[id] = true
 		a.found++
 		a.foundIn += s.now - v.awayAt
-	case !gone && v.phase == balance.Ready:
+	case !gone && v.phase == balancer.StateReady:
 		a.alarms++
 	}
 }
--- a/internal/model/scenes.go
+++ b/internal/model/scenes.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/sexp"
 )
 
@@ -107,7 +107,7 @@
 func (s *Sim) some(n int) []int {
 	var all []int
 	for i, v := range s.servers {
-		if v.phase == balance.Ready && !v.down && !v.hung {
+		if v.phase == balancer.StateReady && !v.down && !v.hung {
 			all = append(all, i)
 		}
 	}
@@ -138,7 +138,7 @@
 	case "drain":
 		for _, i := range s.some(a.Count) {
 			v := s.servers[i]
-			v.phase, v.draining = balance.Draining, true
+			v.phase, v.draining = balancer.StateDraining, true
 			s.publish(i)
 			s.after(time.Second, event{kind: evAway, x: uint32(i)})
 			s.after(s.DrainFor, event{kind: evStop, x: uint32(i)})
@@ -155,7 +155,7 @@
 	case "drop":
 		for id := range s.clients {
 			if c := &s.clients[id]; c.state == up && s.rng.Float64() < a.Part {
-				s.lost(uint32(id), balance.Cancelled, s.span([2]time.Duration{970 * time.Millisecond, 2700 * time.Millisecond}))
+				s.lost(uint32(id), balancer.StatusCancelled, s.span([2]time.Duration{970 * time.Millisecond, 2700 * time.Millisecond}))
 			}
 		}
 	case "list-behind":
@@ -224,7 +224,7 @@
 	for range int(math.Ceil(float64(len(v.conns)) / 10)) {
 		id := v.conns[s.rng.IntN(len(v.conns))]
 		s.account.moves++
-		s.lost(id, balance.SentAway, s.span(s.Return))
+		s.lost(id, balancer.StatusRedirected, s.span(s.Return))
 	}
 	s.after(500*time.Millisecond, event{kind: evAway, x: uint32(i)})
 }
@@ -237,11 +237,11 @@
 	}
 	v.down, v.hung, v.factor, v.backlog, v.free = true, false, 1, 0, 0
 	s.goesAway(v)
-	v.phase = balance.Gone
+	v.phase = balancer.StateGone
 	for len(v.conns) > 0 {
 		id := v.conns[len(v.conns)-1]
 		s.account.broken++
-		s.lost(id, balance.Reset, s.span(s.Return))
+		s.lost(id, balancer.StatusReset, s.span(s.Return))
 	}
 	if killed {
 		s.publish(i)
@@ -253,7 +253,7 @@
 func (s *Sim) starts(i int) {
 	v := s.servers[i]
 	if v.down {
-		v.down, v.draining, v.phase, v.born, v.sent = false, false, balance.Ready, s.now, nil
+		v.down, v.draining, v.phase, v.born, v.sent = false, false, balancer.StateReady, s.now, nil
 		s.publish(i)
 	}
 	v.hung, v.factor = false, 1
@@ -323,7 +323,7 @@
 		load := c.usual * float32(1+s.LoadSwing*(2*s.rng.Float64()-1))
 		v.load += float64(load) - float64(c.load)
 		c.load = load
-		s.tell(c.relay, balance.LoadNote{Request: c.id, Server: s.serverID(int32(i)), Load: float64(load) / s.PerCore})
+		s.tell(c.relay, balancer.ConnectionLoad{Request: c.id, Endpoint: s.serverID(int32(i)), Load: float64(load) / s.PerCore})
 	}
 }
 
@@ -338,7 +338,7 @@
 	for r, some := range has {
 		if some && (over || v.toldSlow[r]) {
 			v.toldSlow[r] = over
-			s.tell(uint32(r), balance.DelayNote{Server: s.serverID(int32(i)), Delay: v.delay})
+			s.tell(uint32(r), balancer.EndpointDelay{Endpoint: s.serverID(int32(i)), Delay: v.delay})
 		}
 	}
 }
--- a/internal/model/sim.go
+++ b/internal/model/sim.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/members"
 )
 
-// Decider decides for one relay, as balance.Balancer does.
+// Decider decides for one relay, as balancer.Balancer does.
 type Decider interface {
-	Handle(now time.Duration, ev balance.Event) []balance.Action
+	Handle(now time.Duration, ev balancer.Event) []balancer.Action
 }
 
 // base is what the clock shows at the start: well above the times that matter, as in
@@ -132,7 +132,7 @@
 	until  time.Duration
 	since  time.Duration // it asked, for this visit
 	first  time.Duration // it first asked
-	id     balance.RequestID
+	id     balancer.RequestID
 	loses  bool // its server has gone silent under it
 }
 
@@ -142,7 +142,7 @@
 	speed    float64 // of a core
 	cap      float64 // mean connections, warm
 	born     time.Duration
-	phase    balance.State
+	phase    balancer.EndpointState
 	down     bool
 	hung     bool
 	hungAt   time.Duration
@@ -170,8 +170,8 @@
 	d       Decider
 	up      bool
 	life    uint32
-	of      map[balance.RequestID]uint32
-	next    balance.RequestID
+	of      map[balancer.RequestID]uint32
+	next    balancer.RequestID
 }
 
 // Sim is a world under way.
@@ -250,7 +250,7 @@
 // newServer adds a server, of the next zone in turn.
 func (s *Sim) newServer(speed float64, born time.Duration) {
 	s.servers = append(s.servers, &server{
-		zone: len(s.servers) % s.Zones, speed: speed, cap: speed * float64(s.Cores) * s.PerCore, phase: balance.Ready, factor: 1, born: born,
+		zone: len(s.servers) % s.Zones, speed: speed, cap: speed * float64(s.Cores) * s.PerCore, phase: balancer.StateReady, factor: 1, born: born,
 		groups: make(map[uint32]int), upBy: make([]int, len(s.Classes)), told: make([]time.Duration, s.Relays), toldSlow: make([]bool, s.Relays), heard: make(map[uint32]bool),
 	})
 }
@@ -302,7 +302,7 @@
 		s.opens(e)
 	case evTimer:
 		if r := s.relays[e.id]; r.up && r.life == e.x {
-			s.tell(e.id, balance.Timer{Token: e.gen})
+			s.tell(e.id, balancer.Timer{Token: e.gen})
 		}
 	case evAtServer:
 		s.atServer(e)
@@ -310,7 +310,7 @@
 		s.result(e)
 	case evTimeout:
 		if c := &s.clients[e.id]; c.state == waiting && c.out == e.gen && c.server >= 0 {
-			s.passEnds(e.id, balance.Timeout)
+			s.passEnds(e.id, balancer.StatusTimeout)
 		}
 	case evGiveUp:
 		if c := &s.clients[e.id]; c.state == waiting && c.gen == e.gen {
@@ -327,7 +327,7 @@
 	case evSilent:
 		if c := &s.clients[e.id]; c.state == up && c.gen == e.gen && c.loses {
 			s.account.silent++
-			s.lost(e.id, balance.Reset, s.span(s.Return))
+			s.lost(e.id, balancer.StatusReset, s.span(s.Return))
 		}
 	case evList:
 		s.listed(e)
@@ -457,7 +457,7 @@
 	r.of[c.id] = e.id
 	s.account.visits++
 	s.push(event{at: c.since + k.GiveUp, kind: evGiveUp, id: e.id, gen: c.gen})
-	s.tell(c.relay, balance.Request{ID: c.id, Class: int(c.class), Item: uint64(e.id) + 1, Group: uint64(c.group) + 1, Left: c.since + k.GiveUp - s.now, Return: c.again})
+	s.tell(c.relay, balancer.Request{ID: c.id, Class: int(c.class), Item: uint64(e.id) + 1, Group: uint64(c.group) + 1, TimeLeft: c.since + k.GiveUp - s.now, Returning: c.again})
 }
 
 // comesAgain has a client that got nothing come again after a while, if it still wants
@@ -498,7 +498,7 @@
 		s.leavesRelay(e.id)
 	case up:
 		s.take(e.id)
-		s.forget(e.id, balance.Outcome{Request: c.id, Server: s.serverID(c.server), Status: balance.OK, Done: true})
+		s.forget(e.id, balancer.Outcome{Request: c.id, Endpoint: s.serverID(c.server), Status: balancer.StatusOK, Final: true})
 	}
 	s.present[c.class]--
 	s.account.left++
@@ -514,11 +514,11 @@
 	r := s.relays[c.relay]
 	delete(r.of, c.id)
 	c.server = -1
-	s.tell(c.relay, balance.ClientLeft{Request: c.id})
+	s.tell(c.relay, balancer.ClientLeft{Request: c.id})
 }
 
 // forget tells a relay of the end of a connection that stood.
-func (s *Sim) forget(id uint32, o balance.Outcome) {
+func (s *Sim) forget(id uint32, o balancer.Outcome) {
 	c := &s.clients[id]
 	relay := c.relay
 	delete(s.relays[relay].of, c.id)
@@ -542,68 +542,68 @@
 }
 
 // lost ends a connection that stood, other than by its client or a move.
-func (s *Sim) lost(id uint32, how balance.Status, back time.Duration) {
+func (s *Sim) lost(id uint32, how balancer.AttemptStatus, back time.Duration) {
 	c := &s.clients[id]
 	s.take(id)
-	s.forget(id, balance.Outcome{Request: c.id, Server: s.serverID(c.server), Status: how, Done: true})
+	s.forget(id, balancer.Outcome{Request: c.id, Endpoint: s.serverID(c.server), Status: how, Final: true})
 	s.returns(id, back)
 }
 
 // Relays.
 
-func (s *Sim) serverID(i int32) balance.ServerID { return balance.ServerID(i + 1) }
+func (s *Sim) serverID(i int32) balancer.EndpointID { return balancer.EndpointID(i + 1) }
 
 // startRelay starts a relay from nothing but the list.
 func (s *Sim) startRelay(id uint32) {
 	r := s.relays[id]
-	r.up, r.of = true, make(map[balance.RequestID]uint32)
+	r.up, r.of = true, make(map[balancer.RequestID]uint32)
 	r.life++
-	old, _ := r.d.(*balance.Balancer)
+	old, _ := r.d.(*balancer.Balancer)
 	r.d = s.make(s, int(id))
-	list := make([]balance.Server, len(s.servers))
+	list := make([]balancer.Endpoint, len(s.servers))
 	for i := range s.servers {
 		if list[i] = s.line(i); s.Probed {
-			list[i].State = balance.Ready // as its file has it
+			list[i].State = balancer.StateReady // as its file has it
 		}
 	}
-	s.tell(id, balance.ServerList{Kind: balance.ListFull, Servers: list})
+	s.tell(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
 	if s.Probed {
 		s.joins(id)
 	}
-	if fresh, ok := r.d.(*balance.Balancer); ok && old != nil && s.Warm {
-		fresh.Remember(s.now, old.Recollect())
+	if fresh, ok := r.d.(*balancer.Balancer); ok && old != nil && s.Warm {
+		fresh.Restore(s.now, old.Snapshot())
 	}
 }
 
 // line is a server's line of the list.
-func (s *Sim) line(i int) balance.Server {
+func (s *Sim) line(i int) balancer.Endpoint {
 	v := s.servers[i]
-	return balance.Server{ID: s.serverID(int32(i)), State: v.phase, Zone: v.zone, Weight: 1, Born: v.born}
+	return balancer.Endpoint{ID: s.serverID(int32(i)), State: v.phase, Zone: v.zone, Weight: 1, StartedAt: v.born}
 }
 
 // tell has a relay take an event, and does what it wants done.
-func (s *Sim) tell(id uint32, ev balance.Event) {
+func (s *Sim) tell(id uint32, ev balancer.Event) {
 	r := s.relays[id]
 	if !r.up {
 		return
 	}
 	for _, a := range r.d.Handle(s.now, ev) {
 		switch a := a.(type) {
-		case balance.SetTimer:
+		case balancer.SetTimer:
 			s.after(a.After, event{kind: evTimer, id: id, gen: a.Token, x: r.life})
-		case balance.Send:
+		case balancer.SendAttempt:
 			if c, ok := r.of[a.Request]; ok {
-				s.sends(id, c, int32(a.Server)-1, a.Timeout)
+				s.sends(id, c, int32(a.Endpoint)-1, a.Timeout)
 			}
-		case balance.Refuse:
+		case balancer.Reject:
 			if c, ok := r.of[a.Request]; ok {
 				s.refused(c, a.RetryAfter)
 			}
-		case balance.Fail:
+		case balancer.Fail:
 			if c, ok := r.of[a.Request]; ok {
 				s.refused(c, 0)
 			}
-		case balance.Move:
+		case balancer.Migrate:
 			if c, ok := r.of[a.Request]; ok && s.clients[c].state == up {
 				delete(r.of, a.Request)
 				s.take(c)
@@ -641,7 +641,7 @@
 	c.out++
 	v.out++
 	s.account.passes++
-	if at := v.told[relay]; at > 0 && s.now > at+500*time.Millisecond && v.phase != balance.Ready {
+	if at := v.told[relay]; at > 0 && s.now > at+500*time.Millisecond && v.phase != balancer.StateReady {
 		s.account.late++
 	}
 	way := s.hop(relay, server)
@@ -661,30 +661,30 @@
 		return
 	}
 	v := s.servers[c.server]
-	answer := func(how balance.Status, after time.Duration) {
+	answer := func(how balancer.AttemptStatus, after time.Duration) {
 		s.after(after+time.Duration(e.x), event{kind: evResult, id: e.id, gen: c.out, x: uint32(how)})
 	}
 	switch {
 	case v.down:
-		answer(balance.ConnectFailed, 0)
+		answer(balancer.StatusConnectFailed, 0)
 		return
 	case v.hung:
 		return // it takes it and says nothing
 	}
 	s.tips(v)
 	if v.down {
-		answer(balance.Reset, 0)
+		answer(balancer.StatusReset, 0)
 		return
 	}
 	capacity := v.cap * v.factor * s.warmth(v)
 	work := time.Duration(float64(s.SetUp) / (v.speed * v.factor * float64(s.Cores) * s.warmth(v)))
 	queued := max(0, v.free-s.now)
 	if v.draining || float64(len(v.conns)) >= s.ConnsMost*capacity || queued > time.Duration(s.Queue)*work {
-		answer(balance.Full, 0)
+		answer(balancer.StatusFull, 0)
 		return
 	}
 	v.free = max(v.free, s.now) + work
-	answer(balance.OK, v.free-s.now+v.backlog)
+	answer(balancer.StatusOK, v.free-s.now+v.backlog)
 }
 
 // tips has a cold server fall over that is sent too much.
@@ -723,16 +723,16 @@
 	if c.state != waiting || c.out != e.gen || c.server < 0 {
 		return
 	}
-	if how := balance.Status(e.x); how != balance.OK {
+	if how := balancer.AttemptStatus(e.x); how != balancer.StatusOK {
 		s.passEnds(e.id, how)
 		return
 	}
 	v := s.servers[c.server]
 	if v.down {
-		s.passEnds(e.id, balance.Reset)
+		s.passEnds(e.id, balancer.StatusReset)
 		return
 	}
-	s.passed(c.relay, c.server, balance.OK)
+	s.passed(c.relay, c.server, balancer.StatusOK)
 	if c.state != waiting || c.out != e.gen || c.server < 0 {
 		return // what it says of the server has had the module decide otherwise
 	}
@@ -752,14 +752,14 @@
 		s.silences(e.id)
 	}
 	relay, id := c.relay, c.id
-	s.tell(relay, balance.Standing{Request: id, Server: s.serverID(c.server), Took: s.now - c.since})
+	s.tell(relay, balancer.Established{Request: id, Endpoint: s.serverID(c.server), SetupTime: s.now - c.since})
 	if c := &s.clients[e.id]; c.state == up && c.id == id && c.relay == relay {
-		s.tell(relay, balance.LoadNote{Request: id, Server: s.serverID(c.server), Load: float64(c.load) / s.PerCore})
+		s.tell(relay, balancer.ConnectionLoad{Request: id, Endpoint: s.serverID(c.server), Load: float64(c.load) / s.PerCore})
 	}
 }
 
 // passEnds tells a relay of the end of a pass that is out.
-func (s *Sim) passEnds(id uint32, how balance.Status) {
+func (s *Sim) passEnds(id uint32, how balancer.AttemptStatus) {
 	c := &s.clients[id]
 	server, of := c.server, c.id
 	s.voids(c)
@@ -767,7 +767,7 @@
 	if s.passed(c.relay, server, how); c.state != waiting || c.id != of || c.server >= 0 {
 		return // what it says of the server has had the module decide otherwise
 	}
-	s.tell(c.relay, balance.Outcome{Request: c.id, Server: s.serverID(server), Status: how})
+	s.tell(c.relay, balancer.Outcome{Request: c.id, Endpoint: s.serverID(server), Status: how})
 }
 
 // voids ends the pass of a client that waits, if one is out.
@@ -790,15 +790,15 @@
 func (s *Sim) listed(e event) {
 	line := s.line(int(e.x))
 	v := s.servers[e.x]
-	if line.State == balance.Gone {
+	if line.State == balancer.StateGone {
 		s.heard(e.id, int(e.x), line.State)
 	}
-	if line.State != balance.Ready && v.told[e.id] == 0 {
+	if line.State != balancer.StateReady && v.told[e.id] == 0 {
 		v.told[e.id] = s.now
-	} else if line.State == balance.Ready {
+	} else if line.State == balancer.StateReady {
 		v.told[e.id] = 0
 	}
-	s.tell(e.id, balance.ServerList{Kind: balance.ListDelta, Servers: []balance.Server{line}})
+	s.tell(e.id, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{line}})
 }
 
 // publish has the list tell all relays of a server, each in its time.
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -12,7 +12,7 @@
 	"fmt"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/members"
 )
 
@@ -143,13 +143,13 @@
 }
 
 // settings are what the module is told in a zone.
-func (w *World) settings(zone int) balance.Settings {
-	s := balance.Settings{
-		Relays: w.Relays, Zone: zone, MaxAttempts: w.Attempts, Tick: 2 * time.Millisecond, Connect: w.Connect, MaxRetryAfter: 2 * time.Second,
-		ColdShare: w.ColdShare, ColdFor: w.ColdFor, TipMultiple: w.Tip, TipAfter: w.TipAfter, CrossZoneCost: 0.03,
+func (w *World) settings(zone int) balancer.Settings {
+	s := balancer.Settings{
+		Relays: w.Relays, Zone: zone, MaxAttempts: w.Attempts, MinTick: 2 * time.Millisecond, ConnectTimeout: w.Connect, MaxRetryAfter: 2 * time.Second,
+		InitialCapacity: w.ColdShare, SlowStartDuration: w.ColdFor, OverloadMultiple: w.Tip, OverloadWindow: w.TipAfter, CrossZoneCost: 0.03,
 	}
 	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, balance.Class{Aim: c.Aim, Deadline: c.GiveUp, MessageAim: c.MessageAim})
+		s.Classes = append(s.Classes, balancer.Class{LatencyObjective: c.Aim, Deadline: c.GiveUp, MessageLatencyObjective: c.MessageAim})
 	}
 	return s
 }
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 )
@@ -36,8 +36,8 @@
 	Ended    bool
 	Steps    []Step
 	block    uint32
-	hash     uint64           // of the whole name
-	believed []balance.Belief // of all decisions
+	hash     uint64                        // of the whole name
+	believed []balancer.ConsideredEndpoint // of all decisions
 }
 
 // Clone returns a copy that shares nothing.
@@ -45,7 +45,7 @@
 	c := *t
 	c.Steps = slices.Clone(t.Steps)
 	for i := range c.Steps {
-		c.Steps[i].Decision.Believed = slices.Clone(c.Steps[i].Decision.Believed)
+		c.Steps[i].Decision.Considered = slices.Clone(c.Steps[i].Decision.Considered)
 	}
 	c.believed = nil
 	return &c
@@ -58,7 +58,7 @@
 const (
 	Decided  StepKind = stepDecided // by the module: Decision and Again
 	PassOut  StepKind = stepPass    // a proxy pass to Server begins
-	PassBack StepKind = stepPassed  // the pass to Server ended as How, accepted if that is balance.OK
+	PassBack StepKind = stepPassed  // the pass to Server ended as How, accepted if that is balancer.StatusOK
 	Up       StepKind = stepUp      // the module has it standing
 	Final    StepKind = stepEnded   // Final says how
 )
@@ -67,10 +67,10 @@
 type Step struct {
 	Kind     StepKind
 	At       time.Duration // on the relay's clock
-	Decision balance.Decision
+	Decision balancer.Decision
 	Again    int // times that the same was decided again right after
-	Server   balance.ServerID
-	How      balance.Status
+	Server   balancer.EndpointID
+	How      balancer.AttemptStatus
 	Final    core.Final
 }
 
@@ -120,8 +120,8 @@
 
 // Pass is a proxy pass as it went.
 type Pass struct {
-	Server balance.ServerID
-	How    balance.Status
+	Server balancer.EndpointID
+	How    balancer.AttemptStatus
 	Out    bool // it has not ended
 	Began  time.Duration
 	Took   time.Duration
@@ -256,19 +256,19 @@
 		s.Again = int(w[2] >> 32 & 0xffff)
 		s.Decision = t.decision(w)
 	case PassOut:
-		s.Server = balance.ServerID(w[2])
+		s.Server = balancer.EndpointID(w[2])
 	case PassBack:
-		s.Server, s.How = balance.ServerID(w[2]), balance.Status(w[2]>>32)
+		s.Server, s.How = balancer.EndpointID(w[2]), balancer.AttemptStatus(w[2]>>32)
 	case Final:
 		s.Final = core.Final{
 			ComeBack: time.Duration(w[2]&math.MaxUint32) * time.Microsecond,
-			End:      memory.End(w[2] >> 32), Cause: core.Cause(w[2] >> 40), How: balance.Status(w[2] >> 48),
+			End:      memory.End(w[2] >> 32), Cause: core.Cause(w[2] >> 40), How: balancer.AttemptStatus(w[2] >> 48),
 		}
 	}
 	return s
 }
 
-func (t *Transaction) decision(w []uint64) balance.Decision {
+func (t *Transaction) decision(w []uint64) balancer.Decision {
 	us := func(v uint64) time.Duration { return time.Duration(v&math.MaxUint32) * time.Microsecond }
 	part := func(v uint64) float64 { return float64(v&0xffff) / 0xffff }
 	// A time of which there may be none is one more than it is.
@@ -278,22 +278,22 @@
 		}
 		return -1
 	}
-	d := balance.Decision{
-		At: time.Duration(w[1]), Verdict: balance.Verdict(w[0] >> 16), Reason: balance.Reason(w[0] >> 24),
-		Attempt: int(w[0] >> 32 & 0xff), Instead: int(w[0]>>48&0xff) - 1,
-		Server: balance.ServerID(w[2]), Servers: int(w[2] >> 48),
-		Wait: us(w[3]), Left: us(w[3] >> 32), Revision: w[4], ListAge: maybe(w[5]), SlowPart: part(w[5] >> 32),
+	d := balancer.Decision{
+		At: time.Duration(w[1]), Verdict: balancer.Verdict(w[0] >> 16), Reason: balancer.Reason(w[0] >> 24),
+		Attempt: int(w[0] >> 32 & 0xff), Preferred: int(w[0]>>48&0xff) - 1,
+		Endpoint: balancer.EndpointID(w[2]), ReadyEndpoints: int(w[2] >> 48),
+		Wait: us(w[3]), TimeLeft: us(w[3] >> 32), Revision: w[4], ListAge: maybe(w[5]), SlowShare: part(w[5] >> 32),
 	}
 	from := len(t.believed)
 	for f := w[6:]; len(f) >= 3; f = f[3:] {
-		t.believed = append(t.believed, balance.Belief{
-			Server: balance.ServerID(f[0]), State: balance.State(f[0] >> 32 & 3), Bars: balance.Bars(f[0] >> 34 & 0x3fff),
+		t.believed = append(t.believed, balancer.ConsideredEndpoint{
+			Endpoint: balancer.EndpointID(f[0]), State: balancer.EndpointState(f[0] >> 32 & 3), Exclusions: balancer.Exclusions(f[0] >> 34 & 0x3fff),
 			Weight: part(f[0] >> 48), Load: float64(math.Float32frombits(uint32(f[1]))), Warmth: part(f[1] >> 32),
-			Pull: part(f[1] >> 48), Delay: us(f[2]), Age: maybe(f[2] >> 32),
+			Probability: part(f[1] >> 48), Delay: us(f[2]), DelayAge: maybe(f[2] >> 32),
 		})
 	}
-	if d.Believed = t.believed[from:len(t.believed):len(t.believed)]; len(d.Believed) == 0 {
-		d.Believed = nil
+	if d.Considered = t.believed[from:len(t.believed):len(t.believed)]; len(d.Considered) == 0 {
+		d.Considered = nil
 	}
 	return d
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -27,7 +27,7 @@
 	"sync/atomic"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 )
@@ -134,7 +134,7 @@
 // holding is the last step, if that is a decision to hold. The same again is
 // counted there: a transaction that waits for long is held every tenth of a second.
 type holding struct {
-	reason balance.Reason
+	reason balancer.Reason
 	block  uint32 // where the word of the step is that counts; none if there is no such step
 	word   int
 	count  uint64
@@ -162,10 +162,10 @@
 		return false
 	}
 	t.head, t.hold.block = head, none
-	if t.ask.Return {
+	if t.ask.Returning {
 		flags |= flagReturn
 	}
-	if t.ask.Open {
+	if t.ask.Established {
 		flags |= flagOpen
 	}
 	n := min(len(t.ask.Name), nameMost)
@@ -175,8 +175,8 @@
 	s(headBegan, uint64(t.began))
 	s(headGroup, t.ask.Group)
 	s(headItem, t.ask.Item)
-	s(headPatience, uint64(max(0, t.ask.GiveUp-t.began)))
-	s(headLoad, math.Float64bits(t.ask.Load))
+	s(headPatience, uint64(max(0, t.ask.Deadline-t.began)))
+	s(headLoad, math.Float64bits(t.ask.ExpectedLoad))
 	s(headFacts, r.word(t.ask.Class)|r.word(t.ask.Front)<<8|flags<<16|uint64(n)<<32|r.word(t.ask.Tenant)<<40)
 	s(headHash, hashOf(t.ask.Name))
 	for i := range nameMost / 8 {
@@ -245,7 +245,7 @@
 
 // Decided keeps a decision of the module. One that has crossed the end, as when the
 // client leaves just as its time is up, came to nothing and is left aside.
-func (t *trace) Decided(d *balance.Decision) {
+func (t *trace) Decided(d *balancer.Decision) {
 	r := t.r.ring
 	defer r.mu.Unlock()
 	if !t.lock() {
@@ -255,23 +255,23 @@
 	if r.load(t.head, headFacts)>>16&flagEnded != 0 {
 		return
 	}
-	if h := &t.hold; d.Verdict == balance.Held && h.block != none && h.reason == d.Reason {
+	if h := &t.hold; d.Verdict == balancer.VerdictHeld && h.block != none && h.reason == d.Reason {
 		h.count++
 		r.store(h.block, h.word, r.load(h.block, h.word)&^(0xffff<<32)|min(h.count, 0xffff)<<32)
 		return
 	}
-	var room [6 + 3*balance.BeliefsMost]uint64
+	var room [6 + 3*balancer.MaxConsidered]uint64
 	step := encode(room[:0], d)
 	var flags uint64
 	switch {
-	case d.Verdict == balance.Held && d.Reason != balance.Backoff:
+	case d.Verdict == balancer.VerdictHeld && d.Reason != balancer.ReasonBackoff:
 		flags = flagHeld
-	case d.Verdict == balance.Refused, d.Verdict == balance.Failing, d.Reason == balance.Relief, d.Attempt > 1:
+	case d.Verdict == balancer.VerdictRejected, d.Verdict == balancer.VerdictFailed, d.Reason == balancer.ReasonLoadRelief, d.Attempt > 1:
 		flags = flagBad
 	}
 	block, word := r.tail[t.head], usedOf(r.load(r.tail[t.head], 0))+2
 	t.append(flags, stay, step)
-	if d.Verdict != balance.Held || r.tail[t.head] == block && word >= blockWords {
+	if d.Verdict != balancer.VerdictHeld || r.tail[t.head] == block && word >= blockWords {
 		return // nothing to count, or the step did not fit
 	}
 	for ; word >= blockWords; word -= blockWords - 1 {
@@ -281,11 +281,11 @@
 }
 
 // Pass keeps that a pass begins, and with what it returns how it ended.
-func (t *trace) Pass(server balance.ServerID) func(how balance.Status) {
+func (t *trace) Pass(server balancer.EndpointID) func(how balancer.AttemptStatus) {
 	t.note(stepPass, uint64(server), 0, stay)
-	return func(how balance.Status) {
+	return func(how balancer.AttemptStatus) {
 		var flags uint64
-		if how != balance.OK && how != balance.Cancelled {
+		if how != balancer.StatusOK && how != balancer.StatusCancelled {
 			flags = flagBad
 		}
 		t.note(stepPassed, uint64(server)|uint64(how)<<32, flags, stay)
@@ -312,21 +312,21 @@
 }
 
 // encode appends the words of a decision.
-func encode(to []uint64, d *balance.Decision) []uint64 {
-	n := len(d.Believed)
+func encode(to []uint64, d *balancer.Decision) []uint64 {
+	n := len(d.Considered)
 	to = append(to,
 		stepDecided|uint64(6+3*n)<<8|uint64(d.Verdict)<<16|uint64(d.Reason)<<24|uint64(min(d.Attempt, 255))<<32|
-			uint64(n)<<40|uint64(d.Instead+1)<<48,
+			uint64(n)<<40|uint64(d.Preferred+1)<<48,
 		uint64(d.At),
-		uint64(d.Server)|uint64(min(d.Servers, 0xffff))<<48, // between them: how often it was decided again
-		clip(d.Wait, time.Microsecond)|clip(d.Left, time.Microsecond)<<32,
+		uint64(d.Endpoint)|uint64(min(d.ReadyEndpoints, 0xffff))<<48, // between them: how often it was decided again
+		clip(d.Wait, time.Microsecond)|clip(d.TimeLeft, time.Microsecond)<<32,
 		d.Revision,
-		clip(d.ListAge+time.Millisecond, time.Millisecond)|part(d.SlowPart)<<32) // 0: not known
-	for _, f := range d.Believed {
+		clip(d.ListAge+time.Millisecond, time.Millisecond)|part(d.SlowShare)<<32) // 0: not known
+	for _, f := range d.Considered {
 		to = append(to,
-			uint64(f.Server)|uint64(f.State)<<32|uint64(f.Bars)<<34|part(f.Weight)<<48,
-			uint64(math.Float32bits(float32(f.Load)))|part(f.Warmth)<<32|part(f.Pull)<<48,
-			clip(f.Delay, time.Microsecond)|clip(f.Age+time.Millisecond, time.Millisecond)<<32) // 0: none
+			uint64(f.Endpoint)|uint64(f.State)<<32|uint64(f.Exclusions)<<34|part(f.Weight)<<48,
+			uint64(math.Float32bits(float32(f.Load)))|part(f.Warmth)<<32|part(f.Probability)<<48,
+			clip(f.Delay, time.Microsecond)|clip(f.DelayAge+time.Millisecond, time.Millisecond)<<32) // 0: none
 	}
 	return to
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 )
@@ -29,30 +29,30 @@
 }
 
 func ask(number uint64) core.Ask {
-	return core.Ask{Front: "line", Class: "page", Name: fmt.Sprintf("%016x", number*0x9e3779b97f4a7c15), Ask: balance.Ask{
-		Group: number % 9, Item: number, GiveUp: 2 * time.Hour,
+	return core.Ask{Front: "line", Class: "page", Name: fmt.Sprintf("%016x", number*0x9e3779b97f4a7c15), RequestOptions: balancer.RequestOptions{
+		Group: number % 9, Item: number, Deadline: 2 * time.Hour,
 	}}
 }
 
 // decision is one of a verdict, with as much as there can be in it.
-func decision(v balance.Verdict, why balance.Reason, attempt int, server balance.ServerID) *balance.Decision {
-	d := &balance.Decision{At: time.Hour, Verdict: v, Reason: why, Attempt: attempt, Server: server, Instead: -1, ListAge: -1,
-		Left: 2 * time.Second, Servers: 12, Revision: 41}
-	for i := range balance.BeliefsMost {
-		d.Believed = append(d.Believed, balance.Belief{Server: server + balance.ServerID(i), State: balance.Ready, Weight: 0.5, Age: -1})
+func decision(v balancer.Verdict, why balancer.Reason, attempt int, server balancer.EndpointID) *balancer.Decision {
+	d := &balancer.Decision{At: time.Hour, Verdict: v, Reason: why, Attempt: attempt, Endpoint: server, Preferred: -1, ListAge: -1,
+		TimeLeft: 2 * time.Second, ReadyEndpoints: 12, Revision: 41}
+	for i := range balancer.MaxConsidered {
+		d.Considered = append(d.Considered, balancer.ConsideredEndpoint{Endpoint: server + balancer.EndpointID(i), State: balancer.StateReady, Weight: 0.5, DelayAge: -1})
 	}
 	return d
 }
 
 // serve keeps a transaction with passes that end as told; the last is accepted if it
-// is balance.OK.
-func serve(r *Record, number uint64, how ...balance.Status) core.Trace {
+// is balancer.StatusOK.
+func serve(r *Record, number uint64, how ...balancer.AttemptStatus) core.Trace {
 	t := r.Began(number, ask(number))
 	for i, h := range how {
-		server := balance.ServerID(i + 1)
-		t.Decided(decision(balance.Sent, balance.Drawn, i+1, server))
+		server := balancer.EndpointID(i + 1)
+		t.Decided(decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, i+1, server))
 		t.Pass(server)(h)
-		if h == balance.OK {
+		if h == balancer.StatusOK {
 			t.Up()
 		}
 	}
@@ -73,21 +73,21 @@
 			}
 			return time.Duration(rapid.Uint32Range(0, math.MaxUint32-1).Draw(rt, "ms")) * time.Millisecond
 		})
-		d := balance.Decision{
-			At: us.Draw(rt, "at"), Verdict: balance.Verdict(rapid.IntRange(0, 4).Draw(rt, "verdict")),
-			Reason:  balance.Reason(rapid.IntRange(0, len(balance.Reasons)-1).Draw(rt, "reason")),
-			Attempt: rapid.IntRange(0, 255).Draw(rt, "attempt"), Server: balance.ServerID(rapid.Uint32().Draw(rt, "server")),
-			Wait: us.Draw(rt, "wait"), Left: us.Draw(rt, "left"), Servers: rapid.IntRange(0, 0xffff).Draw(rt, "servers"),
-			SlowPart: part.Draw(rt, "slow"), Revision: rapid.Uint64().Draw(rt, "revision"), ListAge: age.Draw(rt, "list"),
+		d := balancer.Decision{
+			At: us.Draw(rt, "at"), Verdict: balancer.Verdict(rapid.IntRange(0, 4).Draw(rt, "verdict")),
+			Reason:  balancer.Reason(rapid.IntRange(0, len(balancer.ReasonNames)-1).Draw(rt, "reason")),
+			Attempt: rapid.IntRange(0, 255).Draw(rt, "attempt"), Endpoint: balancer.EndpointID(rapid.Uint32().Draw(rt, "server")),
+			Wait: us.Draw(rt, "wait"), TimeLeft: us.Draw(rt, "left"), ReadyEndpoints: rapid.IntRange(0, 0xffff).Draw(rt, "servers"),
+			SlowShare: part.Draw(rt, "slow"), Revision: rapid.Uint64().Draw(rt, "revision"), ListAge: age.Draw(rt, "list"),
 		}
-		for range rapid.IntRange(0, balance.BeliefsMost).Draw(rt, "beliefs") {
-			d.Believed = append(d.Believed, balance.Belief{
-				Server: balance.ServerID(rapid.Uint32().Draw(rt, "s")), State: balance.State(rapid.IntRange(0, 2).Draw(rt, "state")),
-				Bars: balance.Bars(rapid.IntRange(0, 127).Draw(rt, "bars")), Weight: part.Draw(rt, "weight"), Warmth: part.Draw(rt, "warmth"),
-				Load: float64(rapid.Float32().Draw(rt, "load")), Pull: part.Draw(rt, "pull"), Delay: us.Draw(rt, "delay"), Age: age.Draw(rt, "age"),
+		for range rapid.IntRange(0, balancer.MaxConsidered).Draw(rt, "beliefs") {
+			d.Considered = append(d.Considered, balancer.ConsideredEndpoint{
+				Endpoint: balancer.EndpointID(rapid.Uint32().Draw(rt, "s")), State: balancer.EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")),
+				Exclusions: balancer.Exclusions(rapid.IntRange(0, 127).Draw(rt, "bars")), Weight: part.Draw(rt, "weight"), Warmth: part.Draw(rt, "warmth"),
+				Load: float64(rapid.Float32().Draw(rt, "load")), Probability: part.Draw(rt, "pull"), Delay: us.Draw(rt, "delay"), DelayAge: age.Draw(rt, "age"),
 			})
 		}
-		d.Instead = rapid.IntRange(-1, len(d.Believed)-1).Draw(rt, "instead")
+		d.Preferred = rapid.IntRange(-1, len(d.Considered)-1).Draw(rt, "instead")
 		number++
 		r.Began(number, ask(number)).Decided(&d)
 		got, err := r.Number(number)
@@ -112,24 +112,24 @@
 func TestTransactionIsKeptWhole(t *testing.T) {
 	r := newRecord(t, LeastBytes)
 	const long = "a container that has been given a name of some length/and so has the link"
-	tr := r.Began(7, core.Ask{Front: "amqp", Class: "live-preview", Name: long, Ask: balance.Ask{
-		Group: 5, Item: 6, GiveUp: r.clock.Now() + 2*time.Second, Load: 0.25, Return: true, Open: true,
+	tr := r.Began(7, core.Ask{Front: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
+		Group: 5, Item: 6, Deadline: r.clock.Now() + 2*time.Second, ExpectedLoad: 0.25, Returning: true, Established: true,
 	}})
-	hold := decision(balance.Held, balance.ServerSlow, 0, 3)
+	hold := decision(balancer.VerdictHeld, balancer.ReasonEndpointSlow, 0, 3)
 	for range 40 { // the same again takes no more room
 		tr.Decided(hold)
 	}
-	tr.Decided(decision(balance.Sent, balance.RouteSlow, 1, 3))
+	tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRouteSlow, 1, 3))
 	back := tr.Pass(3)
 	if got, _ := r.Number(7); got.AnswerName() != "waiting" || !got.Passes()[0].Out {
 		t.Errorf("kept %+v", got)
 	}
-	back(balance.Full)
-	tr.Decided(decision(balance.Sent, balance.DrawnAgain, 2, 1<<31))
-	tr.Pass(1 << 31)(balance.OK)
+	back(balancer.StatusFull)
+	tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRedrawn, 2, 1<<31))
+	tr.Pass(1 << 31)(balancer.StatusOK)
 	tr.Up()
-	tr.Ended(core.Final{End: memory.Moved, Cause: core.RelayLeaves, How: balance.Cancelled, ComeBack: 1500 * time.Millisecond})
-	tr.Decided(decision(balance.Refused, balance.OutOfTime, 2, 0)) // it has crossed the end
+	tr.Ended(core.Final{End: memory.Moved, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond})
+	tr.Decided(decision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0)) // it has crossed the end
 	got, err := r.Number(7)
 	if err != nil {
 		t.Fatal(err)
@@ -146,11 +146,11 @@
 		t.Errorf("kept the steps %v, want %v", kinds, want)
 	}
 	f, ended := got.Answer()
-	if want := (core.Final{End: memory.Moved, Cause: core.RelayLeaves, How: balance.Cancelled, ComeBack: 1500 * time.Millisecond}); !ended || f != want {
+	if want := (core.Final{End: memory.Moved, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond}); !ended || f != want {
 		t.Errorf("kept the end %+v", f)
 	}
 	passes := got.Passes()
-	if len(passes) != 2 || passes[0].Server != 3 || passes[0].How != balance.Full || passes[1].Server != 1<<31 || passes[1].How != balance.OK || passes[1].Out {
+	if len(passes) != 2 || passes[0].Server != 3 || passes[0].How != balancer.StatusFull || passes[1].Server != 1<<31 || passes[1].How != balancer.StatusOK || passes[1].Out {
 		t.Errorf("kept the passes %+v", passes)
 	}
 	if all, err := r.Name(long); err != nil || len(all) != 1 || all[0].Number != 7 {
@@ -170,11 +170,11 @@
 		switch i % 100 {
 		case 0:
 			bad = append(bad, i)
-			tr := serve(r, i, balance.Full, balance.Timeout)
-			tr.Decided(decision(balance.Refused, balance.OutOfTime, 2, 0))
+			tr := serve(r, i, balancer.StatusFull, balancer.StatusTimeout)
+			tr.Decided(decision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0))
 			tr.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
 		default:
-			serve(r, i, balance.OK).Ended(core.Final{End: memory.Ended})
+			serve(r, i, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
 		}
 	}
 	for _, i := range bad {
@@ -198,7 +198,7 @@
 	}
 	// Where all are refused, the oldest of those go, and never the whole of the rest.
 	for i := uint64(n + 1); i <= 2*n; i++ {
-		serve(r, i, balance.Full).Ended(core.Final{End: memory.Unavailable})
+		serve(r, i, balancer.StatusFull).Ended(core.Final{End: memory.Unavailable})
 	}
 	s = r.Stats()
 	if share := float64(s.Held["eventful"]) / float64(s.Blocks); s.Kept["uneventful"] == 0 || share > 0.77 {
@@ -214,21 +214,21 @@
 	r := newRecord(t, LeastBytes)
 	waiting := r.Began(1, ask(1))
 	for i := uint64(2); i < 10_000; i++ {
-		serve(r, i, balance.Full).Ended(core.Final{End: memory.Unavailable})
+		serve(r, i, balancer.StatusFull).Ended(core.Final{End: memory.Unavailable})
 	}
 	if got, err := r.Number(1); err != nil || got.Cut {
 		t.Errorf("who waits: %+v, %v", got, err)
 	}
-	waiting.Pass(4)(balance.OK)
+	waiting.Pass(4)(balancer.StatusOK)
 	waiting.Up()
 	for i := uint64(10_000); i < 20_000; i++ {
-		serve(r, i, balance.OK).Ended(core.Final{End: memory.Ended})
+		serve(r, i, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
 	}
 	// It has stood for so long that its beginning is gone. Its end is told by itself.
 	if _, err := r.Number(1); !errors.Is(err, ErrGone) {
 		t.Errorf("who has stood for long: %v", err)
 	}
-	waiting.Decided(decision(balance.Moving, balance.Relief, 1, 4))
+	waiting.Decided(decision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
 	waiting.Ended(core.Final{End: memory.Moved})
 	if got, err := r.Number(1); err != nil || !got.Cut || got.AnswerName() != "moved" || len(got.Steps) != 2 {
 		t.Errorf("its end: %+v, %v", got, err)
@@ -237,16 +237,16 @@
 
 func TestPinStaysWithinItsShare(t *testing.T) {
 	r := newRecord(t, LeastBytes)
-	serve(r, 1, balance.OK).Ended(core.Final{End: memory.Ended})
+	serve(r, 1, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
 	if err := r.Pin(1, true); err != nil {
 		t.Fatal(err)
 	}
-	standing := serve(r, 2, balance.OK)
+	standing := serve(r, 2, balancer.StatusOK)
 	if err := r.Pin(2, true); err != nil {
 		t.Fatal(err)
 	}
 	for i := uint64(3); i < 5000; i++ {
-		serve(r, i, balance.OK).Ended(core.Final{End: memory.Ended})
+		serve(r, i, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
 	}
 	standing.Ended(core.Final{End: memory.Silent})
 	for _, i := range []uint64{1, 2} {
@@ -335,7 +335,7 @@
 			core.Trace
 			steps int // since its beginning or its last loss
 			done  bool
-			held  balance.Reason
+			held  balancer.Reason
 		}
 		all := make(map[uint64]*model)
 		var last uint64
@@ -373,22 +373,22 @@
 				if m == nil || m.done {
 					return
 				}
-				why := balance.Reason(rapid.IntRange(int(balance.NoneUsable), int(balance.ServerEased)).Draw(rt, "why"))
+				why := balancer.Reason(rapid.IntRange(int(balancer.ReasonNoneEligible), int(balancer.ReasonEndpointRecovering)).Draw(rt, "why"))
 				if rapid.Bool().Draw(rt, "held") {
-					m.Decided(decision(balance.Held, why, 1, 2))
+					m.Decided(decision(balancer.VerdictHeld, why, 1, 2))
 					if m.held != why {
 						m.steps++
 					}
 					m.held = why
 					return
 				}
-				m.Decided(decision(balance.Sent, balance.Drawn, 1, 2))
+				m.Decided(decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 2))
 				m.steps++
 				m.held = 0
 			},
 			"pass": func(rt *rapid.T) {
 				if _, m := pick(); m != nil && !m.done {
-					m.Pass(1)(balance.Status(rapid.IntRange(0, 8).Draw(rt, "how")))
+					m.Pass(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "how")))
 					m.steps += 2
 					m.held = 0
 				}
@@ -430,10 +430,10 @@
 			for range 4000 {
 				n := number.Add(1)
 				tr := r.Began(n, ask(n))
-				server := balance.ServerID(n)
+				server := balancer.EndpointID(n)
 				for attempt := range int(n % 4) {
-					tr.Decided(decision(balance.Sent, balance.DrawnAgain, attempt+1, server))
-					tr.Pass(server)(balance.Full)
+					tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRedrawn, attempt+1, server))
+					tr.Pass(server)(balancer.StatusFull)
 				}
 				tr.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Duration(n) * time.Microsecond})
 			}
@@ -448,7 +448,7 @@
 					t.Errorf("read a mix of two: %+v", x)
 				}
 				for _, s := range x.Steps {
-					if s.Kind == Decided && s.Decision.Server != balance.ServerID(x.Number) || s.Kind == PassOut && s.Server != balance.ServerID(x.Number) ||
+					if s.Kind == Decided && s.Decision.Endpoint != balancer.EndpointID(x.Number) || s.Kind == PassOut && s.Server != balancer.EndpointID(x.Number) ||
 						s.Kind == Final && s.Final.ComeBack != time.Duration(x.Number)*time.Microsecond {
 						t.Errorf("transaction %d has a step of another: %+v", x.Number, s)
 					}
@@ -472,9 +472,9 @@
 func TestWritingMakesNoGarbage(t *testing.T) {
 	r := newRecord(t, LeastBytes)
 	tr := r.Began(1, ask(1))
-	d := decision(balance.Sent, balance.Drawn, 1, 3)
+	d := decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 3)
 	for i := range uint64(5000) { // until the ring is full
-		serve(r, i+2, balance.OK)
+		serve(r, i+2, balancer.StatusOK)
 	}
 	if n := testing.AllocsPerRun(1000, func() { tr.Decided(d) }); n != 0 {
 		t.Errorf("a decision makes %v allocations", n)
@@ -495,7 +495,7 @@
 		runtime.ReadMemStats(&before)
 		r := newRecord(t, bytes)
 		for i := uint64(1); i <= 40_000; i++ {
-			serve(r, i, balance.Full, balance.OK).Ended(core.Final{End: memory.Ended})
+			serve(r, i, balancer.StatusFull, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -514,7 +514,7 @@
 		b.Run(fmt.Sprintf("reader=%v", reading), func(b *testing.B) {
 			r := newRecord(b, DefaultBytes)
 			for i := range uint64(20_000) {
-				serve(r, i+1, balance.OK).Ended(core.Final{End: memory.Ended})
+				serve(r, i+1, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
 			}
 			var done atomic.Bool
 			var reader sync.WaitGroup
@@ -525,7 +525,7 @@
 					}
 				})
 			}
-			d := decision(balance.Sent, balance.Drawn, 1, 3)
+			d := decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 3)
 			var tr core.Trace
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/internal/spoken/amqp/blocked_test.go
+++ b/internal/spoken/amqp/blocked_test.go
@@ -14,7 +14,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/pool"
 	"lockroad/internal/steps"
 )
@@ -128,9 +128,9 @@
 		f.Pool = pool.Settings{Sessions: 4, Idle: time.Minute}
 		front = f
 	}, nil), 1, nil)
-	r.retune(func(s *balance.Settings) { s.Connect, s.Classes[0].Deadline = time.Minute, time.Minute })
+	r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
 	r.names = []string{d.Addr().String()}
-	r.list(balance.Ready, 0)
+	r.list(balancer.StateReady, 0)
 	first, err := clientOf(t, r).NewSender(t.Context(), "there", &client10.SenderOptions{
 		Name: "first", Properties: linkProperties(), SettlementMode: client10.SenderSettleModeSettled.Ptr(),
 	})
@@ -197,10 +197,10 @@
 				second.write(3, perf{codeDetach, list{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
 				second.until(codeDetach, 2, condInvalid, 3*time.Second)
-				steps.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Passes(balance.Moot) == 1 })
+				steps.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Passes(balancer.StatusNotSent) == 1 })
 				d.let()
 			case "the server drains":
-				r.list(balance.Draining, 0)
+				r.list(balancer.StateDraining, 0)
 				d.let()
 				second.want(codeAttach, 0, "")
 				second.want(codeDetach, 2, condLimit)
@@ -224,7 +224,7 @@
 	t.Parallel()
 	d := newDam(t, 1, 10000)
 	r, f, first := damRig(t, d)
-	r.retune(func(s *balance.Settings) { s.Connect = 400 * time.Millisecond })
+	r.retune(func(s *balancer.Settings) { s.ConnectTimeout = 400 * time.Millisecond })
 	flood(t, f, first)
 	l := listen(t)
 	defer l.Close()
@@ -238,7 +238,7 @@
 	props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(3000), symbol(propGroup), text(linkProperties()[propGroup])}
 	second.attach(1, props)
 	steps.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
-	r.core.Listed(balance.ListDelta, []balance.Server{{ID: r.core.Farm.ID("s-2"), State: balance.Ready, Weight: 1}}, []string{l.Addr().String()})
+	r.core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Farm.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
 	began := time.Now()
 	second.want(codeAttach, 0, "")
 	second.want(codeFlow, 0, "")
--- a/internal/spoken/amqp/both_test.go
+++ b/internal/spoken/amqp/both_test.go
@@ -18,7 +18,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/spoken"
@@ -422,7 +422,7 @@
 	core    *core.Core
 	script  *script
 	address string
-	farm    []balance.Server
+	farm    []balancer.Endpoint
 	names   []string
 	handed  atomic.Uint64 // of transactions, handed out
 	end     func()        // ends the relay and its servers, and waits for both
@@ -442,11 +442,11 @@
 // newLateRig is one that takes no turn before it is told to.
 func newLateRig(t testing.TB, w wire, servers int, acts []behaviour, seats int, turns <-chan struct{}) *rig {
 	t.Helper()
-	set := balance.Settings{
-		Classes:     []balance.Class{{Name: "page", Aim: 200 * time.Millisecond, Deadline: patience}},
+	set := balancer.Settings{
+		Classes:     []balancer.Class{{Name: "page", LatencyObjective: 200 * time.Millisecond, Deadline: patience}},
 		Relays:      1,
-		MaxAttempts: 3, Tick: 2 * time.Millisecond, Connect: 400 * time.Millisecond,
-		MaxRetryAfter: 2 * time.Second, ColdShare: 0.2, ColdFor: 20 * time.Second, TipMultiple: 3, TipAfter: 3 * time.Second,
+		MaxAttempts: 3, MinTick: 2 * time.Millisecond, ConnectTimeout: 400 * time.Millisecond,
+		MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 	if err := set.Validate(); err != nil {
 		t.Fatal(err)
@@ -457,13 +457,13 @@
 	for i := range servers {
 		l := listen(t)
 		r.names = append(r.names, l.Addr().String())
-		r.farm = append(r.farm, balance.Server{
-			ID: r.core.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: balance.Ready, Weight: 1,
+		r.farm = append(r.farm, balancer.Endpoint{
+			ID: r.core.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1,
 		})
 		all.Go(func() { serveAll(t, l, w, r.script) })
 		context.AfterFunc(ctx, func() { l.Close() })
 	}
-	r.core.Listed(balance.ListFull, r.farm, r.names)
+	r.core.Listed(balancer.ListFull, r.farm, r.names)
 	l := listen(t)
 	r.address = l.Addr().String()
 	all.Go(func() {
@@ -523,12 +523,12 @@
 }
 
 // list changes the phase of all servers.
-func (r *rig) list(phase balance.State, born time.Duration) {
+func (r *rig) list(phase balancer.EndpointState, born time.Duration) {
 	r.farm = slices.Clone(r.farm) // what was handed over is the core's
 	for i := range r.farm {
-		r.farm[i].State, r.farm[i].Born = phase, born
+		r.farm[i].State, r.farm[i].StartedAt = phase, born
 	}
-	r.core.Listed(balance.ListDelta, r.farm, r.names)
+	r.core.Listed(balancer.ListDelta, r.farm, r.names)
 }
 
 // settled waits until no transaction is under way and returns the verdict.
@@ -542,7 +542,7 @@
 	}
 	var passes []string
 	for i, name := range memory.Statuses {
-		if n := r.core.Counters.Passes(balance.Status(i)); n > 0 {
+		if n := r.core.Counters.Passes(balancer.AttemptStatus(i)); n > 0 {
 			passes = append(passes, fmt.Sprintf("%s=%d", name, n))
 		}
 	}
@@ -634,13 +634,13 @@
 			verdict{[]seen{{"lost", false, ""}}, "cancelled=1", 1}},
 		{"nothing goes to a draining server", 2, nil,
 			func(t *testing.T, r *rig, w wire) verdict {
-				r.list(balance.Draining, 0)
+				r.list(balancer.StateDraining, 0)
 				return r.settled(t, one(t, r, w, patience, nil))
 			},
 			verdict{[]seen{{"unavailable", true, ""}}, "", 0}},
 		{"nothing goes to a server that is gone", 2, nil,
 			func(t *testing.T, r *rig, w wire) verdict {
-				r.list(balance.Gone, 0)
+				r.list(balancer.StateGone, 0)
 				return r.settled(t, one(t, r, w, patience, nil))
 			},
 			verdict{[]seen{{"unavailable", true, ""}}, "", 0}},
@@ -810,7 +810,7 @@
 // crowdAtColdServer has four clients ask at once for a server that has just
 // started. Within the time that could push it over it takes one of them.
 func crowdAtColdServer(t *testing.T, r *rig, w wire) verdict {
-	r.list(balance.Ready, r.core.Clock.Now()-18*time.Second)
+	r.list(balancer.StateReady, r.core.Clock.Now()-18*time.Second)
 	var all sync.WaitGroup
 	got := make([]seen, 4)
 	for i := range got {
--- a/internal/spoken/amqp/endings_test.go
+++ b/internal/spoken/amqp/endings_test.go
@@ -14,7 +14,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/pool"
 	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
@@ -82,7 +82,7 @@
 		g := newGate()
 		r := newRig(t, w, 1, nil)
 		r.script.hold = g.hold
-		r.retune(func(s *balance.Settings) { s.Classes[0].Deadline = time.Minute })
+		r.retune(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
 		late := result(context.Background(), r, w, time.Minute) // its turn is at 0.62 of the time
 		await(t, "the first comes to a server", g.came)
 		r.core.MoveAll(over)
@@ -106,10 +106,10 @@
 		g := newGate()
 		r := newRig(t, w, 1, nil)
 		r.script.hold = g.hold
-		r.retune(func(s *balance.Settings) { s.Classes[0].Deadline = time.Minute })
+		r.retune(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
 		late := result(context.Background(), r, w, time.Minute)
 		await(t, "it comes to a server", g.came)
-		r.list(balance.Draining, 0) // the module's mail keeps its order
+		r.list(balancer.StateDraining, 0) // the module's mail keeps its order
 		close(g.open)
 		if s := await(t, "its end", late); s != (seen{"up", false, "moved"}) {
 			t.Errorf("who is accepted late is %+v", s)
@@ -122,13 +122,13 @@
 func TestWhoWaitsIsAnsweredByItsClass(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		class balance.Class
+		class balancer.Class
 		want  string
 	}{
-		{"idempotent", balance.Class{Effect: balance.Idempotent}, "unavailable"},
-		{"at most once", balance.Class{Effect: balance.AtMostOnce}, "failed"},
-		{"deduplicated by all", balance.Class{Effect: balance.Deduplicated, Scope: balance.ScopeAll, Memory: time.Minute}, "unavailable"},
-		{"deduplicated in a cell", balance.Class{Effect: balance.Deduplicated, Scope: balance.ScopeCell, Memory: time.Minute}, "failed"},
+		{"idempotent", balancer.Class{Effect: balancer.Idempotent}, "unavailable"},
+		{"at most once", balancer.Class{Effect: balancer.AtMostOnce}, "failed"},
+		{"deduplicated by all", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeAll, DeduplicationWindow: time.Minute}, "unavailable"},
+		{"deduplicated in a cell", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			each(t, func(t *testing.T, w wire) {
@@ -136,8 +136,8 @@
 				defer close(g.open)
 				r := newRig(t, w, 1, nil)
 				r.script.hold = g.hold
-				r.retune(func(s *balance.Settings) {
-					s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Memory = c.class.Effect, c.class.Scope, c.class.Memory
+				r.retune(func(s *balancer.Settings) {
+					s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].DeduplicationWindow = c.class.Effect, c.class.Scope, c.class.DeduplicationWindow
 					s.Classes[0].Deadline = time.Minute
 				})
 				waits := result(context.Background(), r, w, time.Minute)
@@ -152,9 +152,9 @@
 }
 
 // retune puts other settings in force.
-func (r *rig) retune(change func(*balance.Settings)) {
+func (r *rig) retune(change func(*balancer.Settings)) {
 	s := *r.core.Terms()
-	s.Classes = append([]balance.Class(nil), s.Classes...)
+	s.Classes = append([]balancer.Class(nil), s.Classes...)
 	change(&s)
 	r.core.Retune(&s)
 }
@@ -212,16 +212,16 @@
 		do   func(r *rig, leave func())
 	}{
 		{"the client leaves", func(_ *rig, leave func()) { leave() }},
-		{"the server drains", func(r *rig, _ func()) { r.list(balance.Draining, 0) }},
-		{"the server is gone", func(r *rig, _ func()) { r.list(balance.Gone, 0) }},
+		{"the server drains", func(r *rig, _ func()) { r.list(balancer.StateDraining, 0) }},
+		{"the server is gone", func(r *rig, _ func()) { r.list(balancer.StateGone, 0) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			each(t, func(t *testing.T, w wire) {
 				f := fullListener(t)
 				r := newRig(t, w, 1, nil)
-				r.retune(func(s *balance.Settings) { s.Connect, s.Classes[0].Deadline = time.Minute, time.Minute })
+				r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
 				r.names = []string{f.Addr().String()}
-				r.list(balance.Ready, 0)
+				r.list(balancer.StateReady, 0)
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
 				waits := result(ctx, r, w, time.Minute)
@@ -250,11 +250,11 @@
 		const giveUp, late = 4 * time.Second, 600 * time.Millisecond
 		f := fullListener(t)
 		r := newRig(t, w, 1, nil)
-		r.retune(func(s *balance.Settings) {
-			s.Connect, s.Classes[0].Deadline, s.MaxAttempts = time.Minute, time.Minute, 1
+		r.retune(func(s *balancer.Settings) {
+			s.ConnectTimeout, s.Classes[0].Deadline, s.MaxAttempts = time.Minute, time.Minute, 1
 		})
 		r.names = []string{f.Addr().String()}
-		r.list(balance.Ready, 0)
+		r.list(balancer.StateReady, 0)
 		ctx, leave := context.WithCancel(context.Background())
 		defer leave()
 		began := r.core.Clock.Now()
@@ -291,14 +291,14 @@
 		f, g := fullListener(t), newGate()
 		r := newRig(t, w, 1, []behaviour{breaks})
 		r.script.hold = g.hold
-		r.retune(func(s *balance.Settings) {
-			s.Connect = time.Minute
-			s.Classes[0].Deadline, s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].Memory = time.Minute, balance.Deduplicated, balance.ScopeCell, memory
+		r.retune(func(s *balancer.Settings) {
+			s.ConnectTimeout = time.Minute
+			s.Classes[0].Deadline, s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
 		})
 		began := r.core.Clock.Now()
 		waits := result(context.Background(), r, w, time.Minute)
 		await(t, "the first comes to its server", g.came)
-		r.core.Listed(balance.ListDelta, []balance.Server{{ID: r.core.Farm.ID("s-2"), State: balance.Ready, Weight: 1}}, []string{f.Addr().String()})
+		r.core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Farm.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
 		close(g.open) // it breaks
 		steps.Until(t, "the repeat is out", func() bool {
 			all := r.core.Transactions.List()
@@ -328,7 +328,7 @@
 		{"for a turn", 1, nil, func(_ *testing.T, r *rig) bool { return r.core.Transactions.Len() == 1 }, 0},
 		// The last wait takes 1.6 s.
 		{"for its backoff", 7, []behaviour{breaks, breaks, breaks, breaks, breaks}, func(_ *testing.T, r *rig) bool {
-			return r.core.Counters.Passes(balance.Reset) == 5
+			return r.core.Counters.Passes(balancer.StatusReset) == 5
 		}, 5},
 		{"for a server that takes nothing now", 1, []behaviour{accept}, func(_ *testing.T, r *rig) bool {
 			return r.core.Transactions.Len() == 2
@@ -340,7 +340,7 @@
 				r := newLateRig(t, w, c.servers, c.acts, 64, turns)
 				begin := sync.OnceFunc(func() { close(turns) })
 				defer begin()
-				r.retune(func(s *balance.Settings) { s.MaxAttempts, s.Classes[0].Deadline = 9, time.Minute })
+				r.retune(func(s *balancer.Settings) { s.MaxAttempts, s.Classes[0].Deadline = 9, time.Minute })
 				stands := 0
 				if c.name != "for a turn" {
 					begin()
@@ -349,7 +349,7 @@
 				defer end()
 				if c.name == "for a server that takes nothing now" {
 					// It is cold, and another has just had what it bears.
-					r.list(balance.Ready, r.core.Clock.Now()-18*time.Second)
+					r.list(balancer.StateReady, r.core.Clock.Now()-18*time.Second)
 					result(first, r, w, time.Minute)
 					steps.Until(t, "the first stands", func() bool { return r.core.Counters.Up.Load() == 1 })
 					stands = 1
@@ -380,10 +380,10 @@
 func TestASharedConnectionThatIsClosedUnderAnAttach(t *testing.T) {
 	for _, c := range []struct {
 		name     string
-		effect   balance.Effect
+		effect   balancer.Effect
 		sessions int64 // that servers have seen in all
 		cond     string
-	}{{"idempotent", balance.Idempotent, 3, ""}, {"at most once", balance.AtMostOnce, 2, condInternal}} {
+	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, condInternal}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			// The first link comes and goes; the second's attach is read, and its connection closed.
@@ -391,7 +391,7 @@
 			w := wireOf(func(f *Front) { f.Pool = pool.Settings{Sessions: 4, Idle: time.Minute} }, nil)
 			w.server = s.serve
 			r := newRig(t, w, 2, nil)
-			r.retune(func(s *balance.Settings) { s.Classes[0].Effect, s.Classes[0].Deadline = c.effect, time.Minute })
+			r.retune(func(s *balancer.Settings) { s.Classes[0].Effect, s.Classes[0].Deadline = c.effect, time.Minute })
 			session := clientOf(t, r)
 			first := attach(t, session, "first")
 			ctx, cancel := context.WithTimeout(context.Background(), serverWait)
@@ -408,7 +408,7 @@
 			if got := s.sessions.Load(); got != c.sessions {
 				t.Errorf("servers have seen %d sessions, want %d", got, c.sessions)
 			}
-			if n := r.core.Counters.Passes(balance.Reset); n != 1 {
+			if n := r.core.Counters.Passes(balancer.StatusReset); n != 1 {
 				t.Errorf("%d passes were reset", n)
 			}
 		})
@@ -420,9 +420,9 @@
 func TestAFaultyClientsLinksAreLetGoAtOnce(t *testing.T) {
 	f := fullListener(t)
 	r := newRig(t, wires[1], 1, nil)
-	r.retune(func(s *balance.Settings) { s.Connect, s.Classes[0].Deadline = time.Minute, time.Minute })
+	r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
 	r.names = []string{f.Addr().String()}
-	r.list(balance.Ready, 0)
+	r.list(balancer.StateReady, 0)
 	c := dialRaw(t, r.address).begin()
 	c.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
 	steps.Until(t, "its pass goes out", func() bool {
--- a/internal/spoken/amqp/front.go
+++ b/internal/spoken/amqp/front.go
@@ -447,17 +447,17 @@
 	address := addressOf(p)
 	rule := f.place(address, container)
 	ask := core.Ask{Front: "amqp", Name: container + "/" + name, Class: text(props.get(propClass)), Tenant: text(props.get(propTenant))}
-	ask.Under = f.Core.Terms()
+	ask.Settings = f.Core.Terms()
 	if ask.Class == "" && rule != nil {
 		ask.Class = rule.Class
 		props = props.with(propClass, ask.Class)
 	}
-	if ask.Ask.Class = ask.Under.Named(ask.Class); ask.Class == "" {
+	if ask.RequestOptions.Class = ask.Settings.ClassIndex(ask.Class); ask.Class == "" {
 		return ask, p, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
-	} else if ask.Ask.Class < 0 {
+	} else if ask.RequestOptions.Class < 0 {
 		return ask, p, fmt.Errorf("%q is no known class", ask.Class)
 	}
-	if !ask.Under.Serves(ask.Tenant) {
+	if !ask.Settings.AcceptsTenant(ask.Tenant) {
 		return ask, p, fmt.Errorf("%q is no known tenant; the property %q names one", ask.Tenant, propTenant)
 	}
 	var give time.Duration
@@ -467,18 +467,18 @@
 	case props.get(propGiveUp) != nil || rule == nil:
 		return ask, p, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propGiveUp)
 	default:
-		give = cmp.Or(rule.GiveUp, ask.Under.Classes[ask.Ask.Class].Deadline)
+		give = cmp.Or(rule.GiveUp, ask.Settings.Classes[ask.RequestOptions.Class].Deadline)
 	}
-	ask.GiveUp = f.Core.Clock.Now() + give
+	ask.Deadline = f.Core.Clock.Now() + give
 	if ask.Group = keyOf(props.get(propGroup)); ask.Group == 0 && rule != nil {
 		if ask.Group = rule.group(p, address, container); ask.Group != 0 {
 			props = props.with(propGroup, strconv.FormatUint(ask.Group, 16))
 		}
 	}
 	ask.Item = keyOf(props.get(propItem))
-	ask.Return, _ = props.get(propAgain).(bool)
+	ask.Returning, _ = props.get(propAgain).(bool)
 	if us, ok := figure(props.get(propLoad)); ok {
-		ask.Load = us / 1e6
+		ask.ExpectedLoad = us / 1e6
 	}
 	return ask, p.with(13, props), nil
 }
--- a/internal/spoken/amqp/link.go
+++ b/internal/spoken/amqp/link.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/spoken"
 )
@@ -70,7 +70,7 @@
 
 // Join answers the client's attach with the server's and passes frames on, both
 // ways, until the connection has ended.
-func (l *link) Join(ctx context.Context, to core.Link, pulse *core.Pulse) balance.Status {
+func (l *link) Join(ctx context.Context, to core.Link, pulse *core.Pulse) balancer.AttemptStatus {
 	u := to.(*upstream)
 	defer close(u.stop)
 	stop := context.AfterFunc(ctx, u.Close)
@@ -82,10 +82,10 @@
 	credit, gone := l.credit, l.gone
 	l.mu.Unlock()
 	if gone {
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
 	if l.session.write(l.session.channel, u.attach.with(0, l.name).with(1, l.handle), nil) != nil {
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
 	pulse.Up()
 	if u.credit != nil {
@@ -98,7 +98,7 @@
 }
 
 // downstream passes on what the server says until its end.
-func (l *link) downstream(ctx context.Context, u *upstream, pulse *core.Pulse) balance.Status {
+func (l *link) downstream(ctx context.Context, u *upstream, pulse *core.Pulse) balancer.AttemptStatus {
 	for {
 		f, err := u.next(0)
 		l.mu.Lock()
@@ -106,28 +106,28 @@
 		l.mu.Unlock()
 		switch {
 		case ctx.Err() != nil: // moved or silent: the client is still to be told
-			return spoken.Ended(ctx, balance.Cancelled)
+			return spoken.Ended(ctx, balancer.StatusCancelled)
 		case err != nil && gone:
-			return balance.Cancelled
+			return balancer.StatusCancelled
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			pulse.Silent()
-			return balance.Reset
+			return balancer.StatusReset
 		case err != nil:
 			l.detach(condForced, "the application server is lost", nil)
-			return balance.Reset
+			return balancer.StatusReset
 		case f.empty:
 			continue
 		case f.code == codeDetach, f.code == codeEnd, f.code == codeClose:
 			return l.serverEnds(u, f, gone)
 		}
 		if !l.down(f) {
-			return balance.Cancelled
+			return balancer.StatusCancelled
 		}
 	}
 }
 
 // serverEnds passes on the end that a server has set to the link.
-func (l *link) serverEnds(u *upstream, f frame, gone bool) balance.Status {
+func (l *link) serverEnds(u *upstream, f frame, gone bool) balancer.AttemptStatus {
 	at := 0
 	if f.code == codeDetach {
 		at = 2
@@ -142,13 +142,13 @@
 	}
 	switch {
 	case cond == "" && f.code == codeDetach:
-		return balance.OK
+		return balancer.StatusOK
 	case cond == condDetachForced:
-		return balance.SentAway // it drains, whatever the list says
+		return balancer.StatusRedirected // it drains, whatever the list says
 	case gone:
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
-	return balance.Reset
+	return balancer.StatusReset
 }
 
 // down passes a frame of the server to the client. It tells whether the client
--- a/internal/spoken/amqp/secure_test.go
+++ b/internal/spoken/amqp/secure_test.go
@@ -229,7 +229,7 @@
 			continue
 		}
 		props, _ := told.field(13).(mapping)
-		if err != nil || ask.Class != c.class || ask.Group != c.group || (ask.GiveUp-now).Round(50*time.Millisecond) != c.give ||
+		if err != nil || ask.Class != c.class || ask.Group != c.group || (ask.Deadline-now).Round(50*time.Millisecond) != c.give ||
 			text(props.get(propClass)) != c.class || keyOf(props.get(propGroup)) != c.group {
 			t.Errorf("%s of %s: %+v, %v, %v", c.address, c.container, ask, props, err)
 		}
--- a/internal/spoken/amqp/server.go
+++ b/internal/spoken/amqp/server.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/pool"
@@ -255,21 +255,21 @@
 
 // Pass attaches the client's link at a server, and waits for its attach and, if
 // the client is to send, for credit.
-func (l *link) Pass(ctx context.Context, out core.Out) (up core.Link, how balance.Status) {
+func (l *link) Pass(ctx context.Context, out core.Out) (up core.Link, how balancer.AttemptStatus) {
 	address := out.To.Address
 	if host, _, err := net.SplitHostPort(address); err == nil && l.front.ServerPort != 0 {
 		address = net.JoinHostPort(host, strconv.Itoa(l.front.ServerPort))
 	}
-	u, err := l.front.reach(ctx, out.To, address, min(cmp.Or(l.front.Core.Terms().Connect, out.Wait), out.Wait))
+	u, err := l.front.reach(ctx, out.To, address, min(cmp.Or(l.front.Core.Terms().ConnectTimeout, out.Wait), out.Wait))
 	if err != nil {
 		return nil, spoken.Unsent(ctx)
 	}
 	stop := context.AfterFunc(ctx, u.Close)
 	how = l.ask(ctx, u, out)
-	if !stop() && how == balance.OK {
-		how = spoken.Ended(ctx, balance.Reset)
+	if !stop() && how == balancer.StatusOK {
+		how = spoken.Ended(ctx, balancer.StatusReset)
 	}
-	if how != balance.OK {
+	if how != balancer.StatusOK {
 		close(u.stop)
 		u.Close()
 		return nil, how
@@ -278,7 +278,7 @@
 }
 
 // ask returns what came of the attach at a server.
-func (l *link) ask(ctx context.Context, u *upstream, out core.Out) balance.Status {
+func (l *link) ask(ctx context.Context, u *upstream, out core.Out) balancer.AttemptStatus {
 	props, _ := l.attach.field(13).(mapping)
 	p := l.attach.with(1, uint32(0)).with(13, props.with(propGiveUp, uint32(max(1, out.Left(ctx).Milliseconds()))))
 	frames := []perf{p}
@@ -289,7 +289,7 @@
 	}
 	switch err := u.sendFirst(ctx, may, frames...); {
 	case errors.Is(err, errMoot):
-		return balance.Moot
+		return balancer.StatusNotSent
 	case err != nil:
 		return spoken.Unsent(ctx) // of a frame that is not whole nothing runs
 	}
@@ -298,9 +298,9 @@
 		f, err := u.next(out.Wait)
 		if err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
-				return balance.Timeout
+				return balancer.StatusTimeout
 			}
-			return spoken.Ended(ctx, balance.Reset)
+			return spoken.Ended(ctx, balancer.StatusReset)
 		}
 		switch {
 		case f.empty:
@@ -316,19 +316,19 @@
 		case f.code == codeEnd, f.code == codeClose:
 			return refused(f.perf, 0)
 		default:
-			return balance.Error
+			return balancer.StatusError
 		}
 		// An attach without the terminus that the server owns announces a refusal.
 		if !l.sends && u.attach.field(5) != nil || l.sends && u.attach.field(6) != nil && u.credit != nil {
-			return balance.OK
+			return balancer.StatusOK
 		}
 	}
 }
 
 // refused is the outcome of a pass that a server has turned down.
-func refused(p perf, at int) balance.Status {
+func refused(p perf, at int) balancer.AttemptStatus {
 	if cond, _ := p.condition(at); cond == condLimit {
-		return balance.Full
+		return balancer.StatusFull
 	}
-	return balance.Error
+	return balancer.StatusError
 }
--- a/internal/spoken/amqp/stall_test.go
+++ b/internal/spoken/amqp/stall_test.go
@@ -10,7 +10,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // stalls answers the attach with a lot of credit, and then reads nothing more.
@@ -80,7 +80,7 @@
 		l := listen(t)
 		t.Cleanup(func() { l.Close() })
 		id := r.core.Farm.ID(name)
-		r.farm, r.names = append(r.farm, balance.Server{ID: id, State: balance.Ready, Weight: 1}), append(r.names, l.Addr().String())
+		r.farm, r.names = append(r.farm, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(r.names, l.Addr().String())
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -94,7 +94,7 @@
 	}
 	serve("s-1", func(c *net.TCPConn) { stalls(t, c, release) })
 	serve("s-2", settles)
-	r.core.Listed(balance.ListFull, r.farm, r.names)
+	r.core.Listed(balancer.ListFull, r.farm, r.names)
 	for i := 0; stalled == "" || sound == ""; i++ { // which groups are drawn to which server
 		group := fmt.Sprintf("%x", 1000+i)
 		ctx, leave := context.WithTimeout(context.Background(), serverWait)
--- a/internal/spoken/amqp/trunks_test.go
+++ b/internal/spoken/amqp/trunks_test.go
@@ -13,7 +13,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/pool"
 	"lockroad/internal/steps"
 )
@@ -205,8 +205,8 @@
 	r := sharedRig(t, s, pool.Settings{Sessions: 8, Idle: time.Minute})
 	c := clientOf(t, r)
 	attach(t, c, "one")
-	r.farm[0].State = balance.Draining
-	r.core.Listed(balance.ListDelta, r.farm, r.names)
+	r.farm[0].State = balancer.StateDraining
+	r.core.Listed(balancer.ListDelta, r.farm, r.names)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if _, err := c.NewSender(ctx, "there", &client10.SenderOptions{Name: "two", Properties: linkProperties()}); err == nil {
--- a/internal/spoken/discovery/discovery.go
+++ b/internal/spoken/discovery/discovery.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 )
 
@@ -51,7 +51,7 @@
 
 // pace is the one that the settings in force ask for.
 func (w *Watcher) pace() pace {
-	if w.Core.Terms().Ask {
+	if w.Core.Terms().PollList {
 		return ofService
 	}
 	return ofAgent
@@ -76,8 +76,8 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]balance.State{
-	"ready": balance.Ready, "draining": balance.Draining, "gone": balance.Gone,
+var phases = map[string]balancer.EndpointState{
+	"ready": balancer.StateReady, "draining": balancer.StateDraining, "gone": balancer.StateGone,
 }
 
 // Watcher keeps a core's farm up to date.
@@ -148,7 +148,7 @@
 // Resume takes the list that another process of this relay had, and the agent that its
 // revision is of.
 func (w *Watcher) Resume(l List, agent string) error {
-	if err := w.take(l, balance.ListCached); err != nil {
+	if err := w.take(l, balancer.ListCached); err != nil {
 		return err
 	}
 	if agent != w.Address {
@@ -170,10 +170,10 @@
 }
 
 // keep takes news into the list that is kept.
-func (w *Watcher) keep(l List, kind balance.ListKind) {
+func (w *Watcher) keep(l List, kind balancer.ListKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if kind != balance.ListDelta {
+	if kind != balancer.ListDelta {
 		w.kept = l
 		w.kept.Members = slices.Clone(l.Members)
 		return
@@ -195,15 +195,15 @@
 }
 
 // Know takes the list that the relay had before its start.
-func (w *Watcher) Know(l List) error { return w.take(l, balance.ListCached) }
+func (w *Watcher) Know(l List) error { return w.take(l, balancer.ListCached) }
 
 var errEmpty = errors.New("discovery: a whole list names no server; the farm stays as it is")
 
-func (w *Watcher) take(l List, kind balance.ListKind) error {
-	if kind == balance.ListFull && len(l.Members) == 0 && len(w.Core.Farm.List()) > 0 {
+func (w *Watcher) take(l List, kind balancer.ListKind) error {
+	if kind == balancer.ListFull && len(l.Members) == 0 && len(w.Core.Farm.List()) > 0 {
 		return errEmpty // an agent that has lost its list would have every client turned away
 	}
-	servers := make([]balance.Server, 0, len(l.Members))
+	servers := make([]balancer.Endpoint, 0, len(l.Members))
 	addresses := make([]string, 0, len(l.Members))
 	held := w.hold(&l)
 	for _, m := range l.Members {
@@ -211,9 +211,9 @@
 		if !ok || m.ID == "" || !(m.Size >= 0 && m.Size < 1e12) {
 			return fmt.Errorf("discovery: member %q in phase %q of size %v makes no sense", m.ID, m.Phase, m.Size)
 		}
-		servers = append(servers, balance.Server{
+		servers = append(servers, balancer.Endpoint{
 			ID: w.Core.Farm.ID(m.ID), State: phase, Zone: w.Zone(m.Locality),
-			Cell: m.Cell, Weight: m.Size, Born: w.Core.Clock.AtUnixMilli(m.UpSince),
+			Cell: m.Cell, Weight: m.Size, StartedAt: w.Core.Clock.AtUnixMilli(m.UpSince),
 		})
 		addresses = append(addresses, m.HostPort)
 	}
@@ -255,7 +255,7 @@
 
 // note notes what a list that was taken has told. Where servers were held against an older one, the list is asked for
 // anew, whole, once every agent has the newer: what it says then is so.
-func (w *Watcher) note(l List, kind balance.ListKind, held bool) {
+func (w *Watcher) note(l List, kind balancer.ListKind, held bool) {
 	now := time.Now()
 	is := func(id, phase string) {
 		if w.told[id].phase != phase {
@@ -265,7 +265,7 @@
 	if w.told == nil {
 		w.told = make(map[string]told)
 	}
-	if w.newest = max(w.newest, l.Revision); kind != balance.ListDelta {
+	if w.newest = max(w.newest, l.Revision); kind != balancer.ListDelta {
 		if !held {
 			w.newest = l.Revision
 		}
@@ -350,7 +350,7 @@
 		}
 		select {
 		case <-turn.Done():
-		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Core.Terms().AskEvery)):
+		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Core.Terms().PollInterval)):
 		}
 		done()
 	}
@@ -465,9 +465,9 @@
 		} else if err != nil {
 			return err
 		}
-		kind := balance.ListDelta
+		kind := balancer.ListDelta
 		if l.Complete {
-			kind = balance.ListFull
+			kind = balancer.ListFull
 		} else if l.Revision < w.revision {
 			continue // changes that newer ones have overtaken
 		}
--- a/internal/spoken/discovery/discovery_test.go
+++ b/internal/spoken/discovery/discovery_test.go
@@ -16,15 +16,15 @@
 	"testing/iotest"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/steps"
 )
 
 func newCore() *core.Core {
-	return core.New(balance.Settings{
-		Classes: []balance.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 3,
-		ColdShare: 0.2, TipMultiple: 3, TipAfter: time.Second,
+	return core.New(balancer.Settings{
+		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 3,
+		InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, core.NewClock())
 }
 
@@ -344,7 +344,7 @@
 	k := newCore()
 	if ask {
 		s := *k.Terms()
-		s.Ask, s.AskEvery = true, 10*time.Second
+		s.PollList, s.PollInterval = true, 10*time.Second
 		k.Retune(&s)
 	}
 	w := &Watcher{Core: k, Address: address, Zones: []string{"a", "b"}}
--- a/internal/spoken/line/carry.go
+++ b/internal/spoken/line/carry.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/spoken"
 )
@@ -143,10 +143,10 @@
 }
 
 // Beats returns what is known of the times at which servers tell delays.
-func (f *Front) Beats() map[balance.ServerID]Beat { return f.notes.beatsOf() }
+func (f *Front) Beats() map[balancer.EndpointID]Beat { return f.notes.beatsOf() }
 
 // Know takes over what another process knows of the times at which a server tells delays.
-func (f *Front) Know(id balance.ServerID, b Beat) { f.notes.know(id, b) }
+func (f *Front) Know(id balancer.EndpointID, b Beat) { f.notes.know(id, b) }
 
 // Adopt prepares to carry on a transaction that another process of this relay has handed
 // over. What it returns does so, to its end.
@@ -169,8 +169,8 @@
 	x.adopted = true
 	x.up, x.down = newLane(was.Up.splitter()), newLane(was.Down.splitter())
 	terms := f.Core.Terms()
-	ask := core.Ask{Front: "line", Name: s.Name, Class: s.Class, Tenant: s.Tenant, Ask: balance.Ask{
-		Under: terms, Class: terms.Named(s.Class), Item: s.Item, Group: s.Group, Load: s.Load, Return: s.Return,
+	ask := core.Ask{Front: "line", Name: s.Name, Class: s.Class, Tenant: s.Tenant, RequestOptions: balancer.RequestOptions{
+		Settings: terms, Class: terms.ClassIndex(s.Class), Item: s.Item, Group: s.Group, ExpectedLoad: s.Load, Returning: s.Return,
 	}}
 	id, _ := f.Core.Farm.Lookup(s.Server)
 	link := newServer(server, id)
--- a/internal/spoken/line/carry_test.go
+++ b/internal/spoken/line/carry_test.go
@@ -12,7 +12,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/steps"
 )
@@ -89,10 +89,12 @@
 // mute is a trace that nobody reads.
 type mute struct{}
 
-func (mute) Decided(*balance.Decision)                  {}
-func (mute) Pass(balance.ServerID) func(balance.Status) { return func(balance.Status) {} }
-func (mute) Up()                                        {}
-func (mute) Ended(core.Final)                           {}
+func (mute) Decided(*balancer.Decision) {}
+func (mute) Pass(balancer.EndpointID) func(balancer.AttemptStatus) {
+	return func(balancer.AttemptStatus) {}
+}
+func (mute) Up()              {}
+func (mute) Ended(core.Final) {}
 
 // A transaction stays its tenant's: the new process's records, logs and spans tell it as the old one's did.
 func TestATenantIsHandedOver(t *testing.T) {
--- a/internal/spoken/line/front.go
+++ b/internal/spoken/line/front.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/spoken"
 )
@@ -90,12 +90,12 @@
 		}
 		o, err := parseOpening(string(text))
 		terms := f.Core.Terms()
-		class := terms.Named(o.class)
+		class := terms.ClassIndex(o.class)
 		if err != nil || class < 0 {
 			f.bad(c, "an opening that can't be read, or of no known class")
 			return
 		}
-		if !terms.Serves(o.tenant) {
+		if !terms.AcceptsTenant(o.tenant) {
 			f.bad(c, "an opening of no known tenant")
 			return
 		}
@@ -146,10 +146,10 @@
 }
 
 // ask is what an opening asks for.
-func (f *Front) ask(o opening, terms *balance.Settings, class int) core.Ask {
-	return core.Ask{Front: "line", Name: o.id, Class: o.class, Tenant: o.tenant, At: o.at, Ask: balance.Ask{
-		Under: terms, Class: class, Item: o.item, Group: o.group, Load: o.load, Return: o.back,
-		GiveUp: f.Core.Clock.Now() + o.wait, Open: o.at != "",
+func (f *Front) ask(o opening, terms *balancer.Settings, class int) core.Ask {
+	return core.Ask{Front: "line", Name: o.id, Class: o.class, Tenant: o.tenant, At: o.at, RequestOptions: balancer.RequestOptions{
+		Settings: terms, Class: class, Item: o.item, Group: o.group, ExpectedLoad: o.load, Returning: o.back,
+		Deadline: f.Core.Clock.Now() + o.wait, Established: o.at != "",
 	}}
 }
 
@@ -186,11 +186,11 @@
 type server struct {
 	*net.TCPConn
 	r  *reader
-	id balance.ServerID
+	id balancer.EndpointID
 	up []byte // the line that says that it is up
 }
 
-func newServer(c *net.TCPConn, id balance.ServerID) *server {
+func newServer(c *net.TCPConn, id balancer.EndpointID) *server {
 	return &server{TCPConn: c, r: newReader(c), id: id}
 }
 
@@ -223,8 +223,8 @@
 }
 
 // Pass sends the opening to a server and waits for its answer.
-func (x *exchange) Pass(ctx context.Context, out core.Out) (core.Link, balance.Status) {
-	d := net.Dialer{Timeout: x.front.Core.Terms().Connect, KeepAlive: -1}
+func (x *exchange) Pass(ctx context.Context, out core.Out) (core.Link, balancer.AttemptStatus) {
+	d := net.Dialer{Timeout: x.front.Core.Terms().ConnectTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", out.To.Address)
 	if err != nil {
 		return nil, spoken.Unsent(ctx)
@@ -232,10 +232,10 @@
 	s := newServer(conn.(*net.TCPConn), out.To.ID)
 	stop := context.AfterFunc(ctx, s.Close)
 	how := x.ask(ctx, s, out)
-	if !stop() && how == balance.OK {
-		how = spoken.Ended(ctx, balance.Reset)
+	if !stop() && how == balancer.StatusOK {
+		how = spoken.Ended(ctx, balancer.StatusReset)
 	}
-	if how != balance.OK {
+	if how != balancer.StatusOK {
 		s.Close()
 		return nil, how
 	}
@@ -243,9 +243,9 @@
 }
 
 // ask returns what came of the opening at a server.
-func (x *exchange) ask(ctx context.Context, s *server, out core.Out) balance.Status {
+func (x *exchange) ask(ctx context.Context, s *server, out core.Out) balancer.AttemptStatus {
 	if !out.May(ctx) {
-		return balance.Moot
+		return balancer.StatusNotSent
 	}
 	if _, err := s.Write(x.opening.with(out.Left(ctx))); err != nil {
 		return spoken.Unsent(ctx) // of a line that is not whole nothing runs
@@ -253,20 +253,20 @@
 	x.front.Core.Figures.Tries.Add(1)
 	text, err := s.r.line()
 	if err != nil {
-		return spoken.Ended(ctx, balance.Reset)
+		return spoken.Ended(ctx, balancer.StatusReset)
 	}
 	switch w, _ := parseWord(text); w {
 	case wordUp:
 		s.up = slices.Clone(text)
-		return balance.OK
+		return balancer.StatusOK
 	case wordBusy:
-		return balance.Full
+		return balancer.StatusFull
 	}
-	return balance.Error
+	return balancer.StatusError
 }
 
 // Join passes lines on, both ways, until the connection has ended.
-func (x *exchange) Join(ctx context.Context, link core.Link, pulse *core.Pulse) balance.Status {
+func (x *exchange) Join(ctx context.Context, link core.Link, pulse *core.Pulse) balancer.AttemptStatus {
 	s := link.(*server)
 	stop := context.AfterFunc(ctx, s.Close)
 	defer stop()
@@ -275,7 +275,7 @@
 	x.at = s
 	x.joined <- joint{s, pulse}
 	if s.up != nil && x.client.write(s.up) != nil {
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
 	pulse.Up()
 	return x.downstream(ctx, s, pulse)
@@ -283,10 +283,10 @@
 
 // downstream passes on what the server says, and ends the client's side as the
 // server's ends, unless it was ended from here.
-func (x *exchange) downstream(ctx context.Context, s *server, pulse *core.Pulse) balance.Status {
+func (x *exchange) downstream(ctx context.Context, s *server, pulse *core.Pulse) balancer.AttemptStatus {
 	defer x.down.stop(false)
 	defer close(x.client.dry)
-	how := balance.Reset
+	how := balancer.StatusReset
 	lines := &x.down.lines
 	last, resumed := false, false
 	clock := x.front.Core.Clock
@@ -297,9 +297,9 @@
 		lines.feed(b, func(text []byte) {
 			switch w, figure := parseWord(text); w {
 			case wordBye:
-				how, last = balance.OK, true
+				how, last = balancer.StatusOK, true
 			case wordMove:
-				how, last = balance.SentAway, true // it drains, whatever the list says
+				how, last = balancer.StatusRedirected, true // it drains, whatever the list says
 			case wordLoad:
 				if x.front.notes.isDelay(x.front.Core.Terms(), s.id, figure, now, now-began) {
 					pulse.Delay(time.Duration(figure * float64(time.Millisecond)))
@@ -314,7 +314,7 @@
 			if last { // its client left at the server's word, while more was on its way
 				return how
 			}
-			return balance.Cancelled
+			return balancer.StatusCancelled
 		}
 		if last {
 			x.client.closing()
@@ -327,12 +327,12 @@
 			case <-x.resumed: // the other way has ended, and this one is about to
 				resumed = true
 			case <-ctx.Done(): // it is handed over or moved
-				return balance.Cancelled
+				return balancer.StatusCancelled
 			}
 		case ctx.Err() != nil: // moved or silent: the client is still to be told
 			return spoken.Ended(ctx, how)
-		case x.ended.Load() && how == balance.Reset:
-			return balance.Cancelled // the client has left
+		case x.ended.Load() && how == balancer.StatusReset:
+			return balancer.StatusCancelled // the client has left
 		case errors.Is(err, io.EOF):
 			x.client.CloseWrite()
 			return how
--- a/internal/spoken/line/front_test.go
+++ b/internal/spoken/line/front_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
@@ -30,10 +30,10 @@
 
 func newSite(t *testing.T, most int, observers ...core.Observer) *site {
 	t.Helper()
-	k := core.New(balance.Settings{
-		Classes: []balance.Class{{Name: "page", Aim: time.Second, Deadline: 5 * time.Second, MessageAim: 60 * time.Millisecond}},
-		Relays:  1, MaxAttempts: 3, Connect: time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdShare: 0.2, ColdFor: 20 * time.Second, TipMultiple: 3, TipAfter: 3 * time.Second,
+	k := core.New(balancer.Settings{
+		Classes: []balancer.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, MessageLatencyObjective: 60 * time.Millisecond}},
+		Relays:  1, MaxAttempts: 3, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
+		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}, 1, core.NewClock())
 	for _, o := range observers {
 		k.Observe(o)
@@ -48,7 +48,7 @@
 		doors[i] = l
 	}
 	s.server, s.address = doors[0], doors[1].Addr().String()
-	k.Listed(balance.ListFull, []balance.Server{{ID: k.Farm.ID("s-1"), State: balance.Ready, Weight: 1}},
+	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: k.Farm.ID("s-1"), State: balancer.StateReady, Weight: 1}},
 		[]string{s.server.Addr().String()})
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -294,7 +294,7 @@
 // very turn in which it takes it up.
 func TestAConnectionFromBeforeTheStartMovesOffAServerThatDrains(t *testing.T) {
 	s := newSite(t, 8)
-	s.core.Listed(balance.ListDelta, []balance.Server{{ID: s.core.Farm.ID("s-1"), State: balance.Draining, Weight: 1}},
+	s.core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: s.core.Farm.ID("s-1"), State: balancer.StateDraining, Weight: 1}},
 		[]string{s.server.Addr().String()})
 	client := s.client()
 	client.say(strings.Replace(fmt.Sprintf(first, 4000), "\r\n", ",at=s-1\r\n", 1))
--- a/internal/spoken/line/notes.go
+++ b/internal/spoken/line/notes.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Application servers tell two things by LOAD lines: the load of the connection
@@ -32,7 +32,7 @@
 // notes tells loads from delays.
 type notes struct {
 	mu   sync.Mutex
-	from map[balance.ServerID]*beats
+	from map[balancer.EndpointID]*beats
 }
 
 // beats is what is known of the times at which a server tells its delay.
@@ -58,10 +58,10 @@
 }
 
 // beatsOf returns what is known of servers.
-func (n *notes) beatsOf() map[balance.ServerID]Beat {
+func (n *notes) beatsOf() map[balancer.EndpointID]Beat {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make(map[balance.ServerID]Beat, len(n.from))
+	all := make(map[balancer.EndpointID]Beat, len(n.from))
 	for id, b := range n.from {
 		if b.Count > 0 {
 			all[id] = b.Beat
@@ -71,20 +71,20 @@
 }
 
 // know takes over what another process knows of a server.
-func (n *notes) know(id balance.ServerID, b Beat) {
+func (n *notes) know(id balancer.EndpointID, b Beat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.from == nil {
-		n.from = make(map[balance.ServerID]*beats)
+		n.from = make(map[balancer.EndpointID]*beats)
 	}
 	n.from[id] = &beats{Beat: b}
 }
 
 // isDelay tells whether the figure of a LOAD line is a delay, by the settings or else by
 // what it looks like.
-func (n *notes) isDelay(terms *balance.Settings, server balance.ServerID, figure float64, now, since time.Duration) bool {
-	if !terms.TellsDelay || !terms.TellsLoad {
-		return terms.TellsDelay
+func (n *notes) isDelay(terms *balancer.Settings, server balancer.EndpointID, figure float64, now, since time.Duration) bool {
+	if !terms.ReportsDelay || !terms.ReportsLoad {
+		return terms.ReportsDelay
 	}
 	return n.delay(server, figure, now, since)
 }
@@ -92,14 +92,14 @@
 // delay tells whether the figure of a LOAD line looks like a delay. since is how long the
 // connection has been up: the first that a server tells of a connection, at once,
 // is its load.
-func (n *notes) delay(server balance.ServerID, figure float64, now, since time.Duration) bool {
+func (n *notes) delay(server balancer.EndpointID, figure float64, now, since time.Duration) bool {
 	if since < freshFor || figure <= 0 || figure >= mostDelay {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.from == nil {
-		n.from = make(map[balance.ServerID]*beats)
+		n.from = make(map[balancer.EndpointID]*beats)
 	}
 	b := n.from[server]
 	if b == nil || b.Count > 0 && now-b.At > beatLife {
--- a/internal/spoken/line/notes_test.go
+++ b/internal/spoken/line/notes_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // A day lost a third of its service as delays were booked as loads: the module
@@ -66,7 +66,7 @@
 		want        bool
 	}{{true, false, 50, false}, {false, true, 5000, true}, {false, false, 50, false}, {true, true, 50, true}, {true, true, 5000, false}} {
 		n := &notes{}
-		got := n.isDelay(&balance.Settings{TellsLoad: c.load, TellsDelay: c.delay}, 1, c.figure, time.Hour, time.Second)
+		got := n.isDelay(&balancer.Settings{ReportsLoad: c.load, ReportsDelay: c.delay}, 1, c.figure, time.Hour, time.Second)
 		if got != c.want {
 			t.Errorf("%+v: taken for a delay: %v", c, got)
 		}
@@ -75,7 +75,7 @@
 
 // A process that goes on with what another knows takes the first delay for one.
 func TestBeatsAreTakenOver(t *testing.T) {
-	both := &balance.Settings{TellsLoad: true, TellsDelay: true}
+	both := &balancer.Settings{ReportsLoad: true, ReportsDelay: true}
 	old, next := &notes{}, &notes{}
 	for i := range 3 {
 		old.isDelay(both, 7, 400+float64(i), time.Hour+time.Duration(i)*beat, time.Second)
--- a/internal/spoken/otlp/golden_test.go
+++ b/internal/spoken/otlp/golden_test.go
@@ -19,7 +19,7 @@
 	metricpb "go.opentelemetry.io/proto/otlp/metrics/v1"
 	"google.golang.org/protobuf/proto"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/golden"
 	"lockroad/internal/memory"
@@ -140,9 +140,9 @@
 	collector := &transcriber{}
 	server := httptest.NewServer(collector)
 	defer server.Close()
-	k := core.New(balance.Settings{Classes: []balance.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, ColdShare: 1, TipMultiple: 1, TipAfter: 1}, 1, core.NewClock())
+	k := core.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, core.NewClock())
 	first, second := k.Farm.ID("s-1"), k.Farm.ID("s-2")
-	k.Listed(balance.ListFull, []balance.Server{{ID: first, State: balance.Ready, Weight: 1}, {ID: second, State: balance.Draining, Weight: 1}}, []string{"a:1", "b:1"})
+	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
 	for end := range memory.EndNames {
 		for range end + 1 {
 			k.Counters.End(memory.End(end))
@@ -150,7 +150,7 @@
 	}
 	for status := range memory.Statuses {
 		for range status + 1 {
-			k.Counters.Pass(balance.Status(status))
+			k.Counters.Pass(balancer.AttemptStatus(status))
 		}
 	}
 	k.Counters.Transactions.Add(41)
@@ -162,16 +162,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := core.Ask{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", Ask: balance.Ask{GiveUp: k.Clock.Now() + time.Second}}
+	ask := core.Ask{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}
 	kept := r.Began(7, ask)
-	for _, verdict := range []balance.Verdict{balance.Sent, balance.Held, balance.Refused, balance.Failing, balance.Moving} {
-		kept.Decided(&balance.Decision{At: k.Clock.Now(), Verdict: verdict, Reason: balance.RouteSlow, Attempt: 2, Server: first, Servers: 3, Instead: 1,
-			Believed: []balance.Belief{{Server: first, State: balance.Ready}, {Server: second, State: balance.Ready}}})
+	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
+		kept.Decided(&balancer.Decision{At: k.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
+			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
-	kept.Pass(first)(balance.OK)
+	kept.Pass(first)(balancer.StatusOK)
 	traced := (&observer{clock: k.Clock, farm: k.Farm, record: r, tracer: telemetry.tracers.Tracer(scope)}).Began(7, ask)
 	for status := range memory.Statuses {
-		traced.Pass(first)(balance.Status(status))
+		traced.Pass(first)(balancer.AttemptStatus(status))
 	}
 	traced.Up()
 	traced.Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond})
--- a/internal/spoken/otlp/otlp.go
+++ b/internal/spoken/otlp/otlp.go
@@ -19,7 +19,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
@@ -113,7 +113,7 @@
 		}),
 		count("lockroad.passes", "proxy passes that have ended, by outcome", func(o metric.Int64Observer) {
 			for how, name := range memory.Statuses {
-				o.Observe(c.Passes(balance.Status(how)), by("outcome", name))
+				o.Observe(c.Passes(balancer.AttemptStatus(how)), by("outcome", name))
 			}
 		}),
 		count("lockroad.invariants.broken", "invariants that did not hold", func(o metric.Int64Observer) {
@@ -126,7 +126,7 @@
 		}),
 		gauge("lockroad.farm", "application servers, by phase", func(o metric.Int64Observer) {
 			for phase, n := range k.Farm.Phases() {
-				o.Observe(n, by("phase", memory.PhaseName(balance.State(phase))))
+				o.Observe(n, by("phase", memory.PhaseName(balancer.EndpointState(phase))))
 			}
 		}),
 	)
@@ -160,16 +160,16 @@
 }
 
 // Pass begins the span of a proxy pass; the result ends it.
-func (t *traced) Pass(server balance.ServerID) func(how balance.Status) {
+func (t *traced) Pass(server balancer.EndpointID) func(how balancer.AttemptStatus) {
 	name := ""
 	if s, ok := t.farm.Find(server); ok {
 		name = s.Name
 	}
 	_, span := t.tracer.Start(t.ctx, "proxy pass", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("server", name)))
-	return func(how balance.Status) {
+	return func(how balancer.AttemptStatus) {
 		span.SetAttributes(attribute.String("outcome", memory.Statuses[how]))
-		if how != balance.OK {
+		if how != balancer.StatusOK {
 			span.SetStatus(codes.Error, memory.Statuses[how])
 		}
 		span.End()
@@ -180,7 +180,7 @@
 func (t *traced) Up() { t.span.AddEvent("up") }
 
 // Decided is of no use to a span: what was decided is read from the record.
-func (t *traced) Decided(*balance.Decision) {}
+func (t *traced) Decided(*balancer.Decision) {}
 
 // Ended ends the span with the final answer, or the end that it came to.
 func (t *traced) Ended(f core.Final) {
@@ -209,7 +209,7 @@
 		return
 	}
 	events := 0
-	var last *balance.Decision
+	var last *balancer.Decision
 	for i := range kept.Steps {
 		s := &kept.Steps[i]
 		if s.Kind != record.Decided {
@@ -221,13 +221,13 @@
 		}
 		with := []attribute.KeyValue{
 			attribute.String("verdict", last.Verdict.String()), attribute.String("reason", last.Reason.String()),
-			attribute.Int("attempt", last.Attempt), attribute.Int("ready_servers", last.Servers), attribute.Int("again", s.Again),
+			attribute.Int("attempt", last.Attempt), attribute.Int("ready_servers", last.ReadyEndpoints), attribute.Int("again", s.Again),
 		}
-		if last.Verdict == balance.Sent || last.Verdict == balance.Moving {
-			with = append(with, attribute.String("server", t.farm.Name(last.Server)))
+		if last.Verdict == balancer.VerdictSent || last.Verdict == balancer.VerdictMigrated {
+			with = append(with, attribute.String("server", t.farm.Name(last.Endpoint)))
 		}
-		if last.Instead >= 0 && last.Instead < len(last.Believed) {
-			with = append(with, attribute.String("instead", t.farm.Name(last.Believed[last.Instead].Server)))
+		if last.Preferred >= 0 && last.Preferred < len(last.Considered) {
+			with = append(with, attribute.String("instead", t.farm.Name(last.Considered[last.Preferred].Endpoint)))
 		}
 		t.span.AddEvent("decision", trace.WithTimestamp(t.clock.Wall(s.At)), trace.WithAttributes(with...))
 	}
--- a/internal/spoken/otlp/otlp_test.go
+++ b/internal/spoken/otlp/otlp_test.go
@@ -10,7 +10,7 @@
 
 	spanpb "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/record"
 	"lockroad/internal/standin"
@@ -19,26 +19,28 @@
 // exchange is a transaction that two servers turn away.
 type exchange struct{}
 
-func (exchange) Pass(context.Context, core.Out) (core.Link, balance.Status) {
-	return nil, balance.Full
+func (exchange) Pass(context.Context, core.Out) (core.Link, balancer.AttemptStatus) {
+	return nil, balancer.StatusFull
 }
-func (exchange) Join(context.Context, core.Link, *core.Pulse) balance.Status { return balance.OK }
-func (exchange) Bad(string)                                                  {}
-func (exchange) Unavailable(time.Duration)                                   {}
-func (exchange) Failed()                                                     {}
-func (exchange) Move() bool                                                  { return true }
+func (exchange) Join(context.Context, core.Link, *core.Pulse) balancer.AttemptStatus {
+	return balancer.StatusOK
+}
+func (exchange) Bad(string)                {}
+func (exchange) Unavailable(time.Duration) {}
+func (exchange) Failed()                   {}
+func (exchange) Move() bool                { return true }
 
 // serve runs a core and has it see a transaction through.
 func serve(t *testing.T, endpoint string) *Telemetry {
 	t.Helper()
-	k := core.New(balance.Settings{
-		Classes: []balance.Class{{Aim: time.Second, Deadline: 5 * time.Second}},
-		Relays:  1, MaxAttempts: 3, ColdShare: 0.2, TipMultiple: 3, TipAfter: time.Second,
+	k := core.New(balancer.Settings{
+		Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second}},
+		Relays:  1, MaxAttempts: 3, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, core.NewClock())
-	servers := []balance.Server{
-		{ID: k.Farm.ID("s-1"), State: balance.Ready, Weight: 1}, {ID: k.Farm.ID("s-2"), State: balance.Ready, Weight: 1},
+	servers := []balancer.Endpoint{
+		{ID: k.Farm.ID("s-1"), State: balancer.StateReady, Weight: 1}, {ID: k.Farm.ID("s-2"), State: balancer.StateReady, Weight: 1},
 	}
-	k.Listed(balance.ListFull, servers, []string{"a", "b"})
+	k.Listed(balancer.ListFull, servers, []string{"a", "b"})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r, err := record.New(record.LeastBytes, k.Clock)
@@ -53,7 +55,7 @@
 	}
 	go func() { _ = k.Run(ctx) }()
 	began := time.Now()
-	k.Serve(ctx, core.Ask{Front: "line", Name: "9b1f", Class: "page", Ask: balance.Ask{GiveUp: k.Clock.Now() + 3*time.Second}}, exchange{})
+	k.Serve(ctx, core.Ask{Front: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + 3*time.Second}}, exchange{})
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("the transaction took %v: telemetry holds it up", took)
 	}
--- a/internal/spoken/probe/probe.go
+++ b/internal/spoken/probe/probe.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/members"
 	"lockroad/internal/memory"
@@ -66,7 +66,7 @@
 	defer p.mu.Unlock()
 	for _, old := range p.servers {
 		if !slices.ContainsFunc(servers, func(s Server) bool { return s.Name == old.Name }) {
-			p.tell(old, balance.Draining, 0)
+			p.tell(old, balancer.StateDraining, 0)
 		}
 	}
 	was := p.servers
@@ -75,7 +75,7 @@
 	p.members.Replace(names(servers), p.Core.Clock.Now())
 	for _, s := range servers {
 		if i := slices.IndexFunc(was, func(old Server) bool { return old.Name == s.Name }); i >= 0 && was[i] != s {
-			p.tell(s, balance.Ready, 0) // at another address, or of another size
+			p.tell(s, balancer.StateReady, 0) // at another address, or of another size
 		}
 	}
 	p.list()
@@ -95,8 +95,8 @@
 }
 
 // tell lists a server.
-func (p *Prober) tell(s Server, state balance.State, born time.Duration) {
-	p.Core.Listed(balance.ListDelta, []balance.Server{{ID: p.Core.Farm.ID(s.Name), State: state, Zone: s.Zone, Weight: s.Size, Born: born}}, []string{s.Address})
+func (p *Prober) tell(s Server, state balancer.EndpointState, born time.Duration) {
+	p.Core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: p.Core.Farm.ID(s.Name), State: state, Zone: s.Zone, Weight: s.Size, StartedAt: born}}, []string{s.Address})
 }
 
 // list tells of all that has changed.
@@ -106,9 +106,9 @@
 		if !ok {
 			continue
 		}
-		state := balance.Ready
+		state := balancer.StateReady
 		if c.State == members.Down {
-			state = balance.Gone
+			state = balancer.StateGone
 		}
 		p.tell(s, state, c.Born)
 	}
@@ -204,18 +204,18 @@
 
 type passes struct{ *Prober }
 
-func (passes) Decided(*balance.Decision) {}
-func (passes) Up()                       {}
-func (passes) Ended(core.Final)          {}
+func (passes) Decided(*balancer.Decision) {}
+func (passes) Up()                        {}
+func (passes) Ended(core.Final)           {}
 
 // Pass takes the outcome of a pass. A server that turns it away, or that sends its clients away, is there.
-func (p passes) Pass(server balance.ServerID) func(how balance.Status) {
-	return func(how balance.Status) {
+func (p passes) Pass(server balancer.EndpointID) func(how balancer.AttemptStatus) {
+	return func(how balancer.AttemptStatus) {
 		switch how {
-		case balance.Moot, balance.Cancelled:
+		case balancer.StatusNotSent, balancer.StatusCancelled:
 			return
 		}
-		ok := how == balance.OK || how == balance.Full || how == balance.SentAway
+		ok := how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.members.Passed(p.Core.Clock.Now(), p.Core.Farm.Name(server), ok, "a pass: "+memory.Statuses[how])
--- a/internal/spoken/spoken.go
+++ b/internal/spoken/spoken.go
@@ -7,7 +7,7 @@
 	"net"
 	"syscall"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Discard takes what has come on a connection and was not read, without waiting for more. It guards against a close over
@@ -34,21 +34,21 @@
 
 // Unsent is the outcome of a pass whose connection did not come up, or that was ended from here
 // before anything of it was sent: whatever its server does, it has not run.
-func Unsent(ctx context.Context) balance.Status {
+func Unsent(ctx context.Context) balancer.AttemptStatus {
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return balance.ConnectFailed
+		return balancer.StatusConnectFailed
 	}
-	return balance.Moot
+	return balancer.StatusNotSent
 }
 
 // Ended is the outcome of a pass that broke, or that was ended from here: ctx is
 // the pass's own, with its time-out.
-func Ended(ctx context.Context, broke balance.Status) balance.Status {
+func Ended(ctx context.Context, broke balancer.AttemptStatus) balancer.AttemptStatus {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return balance.Timeout
+		return balancer.StatusTimeout
 	case ctx.Err() != nil:
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
 	return broke
 }
--- a/internal/why/account.go
+++ b/internal/why/account.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/record"
@@ -220,25 +220,25 @@
 		return "its server has gone silent; its client is told to move"
 	}
 	switch f.How {
-	case balance.OK:
+	case balancer.StatusOK:
 		return "its server ends it in good order"
-	case balance.SentAway:
+	case balancer.StatusRedirected:
 		return "its server sends the client away, as it leaves"
-	case balance.Cancelled:
+	case balancer.StatusCancelled:
 		return "its client ends it"
 	}
 	return "its server breaks the connection"
 }
 
-var barTexts = map[balance.Bars]string{
-	balance.BarAway: "leaving", balance.BarTried: "having failed this transaction", balance.BarScope: "being where a repeat must not run",
-	balance.BarCold: "being cold, with no room for another yet", balance.BarSlow: "being slow or full", balance.BarEased: "being eased into work",
-	balance.BarFull: "taking up its messages' time",
+var barTexts = map[balancer.Exclusions]string{
+	balancer.ExcludedDraining: "leaving", balancer.ExcludedTried: "having failed this transaction", balancer.ExcludedScope: "being where a repeat must not run",
+	balancer.ExcludedWarmingUp: "being cold, with no room for another yet", balancer.ExcludedSlow: "being slow or full", balancer.ExcludedRecovering: "being eased into work",
+	balancer.ExcludedAtCapacity: "taking up its messages' time",
 }
 
-func barText(b balance.Bars) string {
+func barText(b balancer.Exclusions) string {
 	var all []string
-	for bit := balance.Bars(1); bit <= b; bit <<= 1 {
+	for bit := balancer.Exclusions(1); bit <= b; bit <<= 1 {
 		if b&bit != 0 {
 			all = append(all, barTexts[bit])
 		}
@@ -247,15 +247,15 @@
 }
 
 // figures are what was held of a server, for a person.
-func figures(f balance.Belief) string {
+func figures(f balancer.ConsideredEndpoint) string {
 	text := fmt.Sprintf("load %.1f, weight %.2f", f.Load, f.Weight)
-	if f.Age >= 0 {
-		text += fmt.Sprintf(", delay %s %s ago", span(f.Delay), span(f.Age))
+	if f.DelayAge >= 0 {
+		text += fmt.Sprintf(", delay %s %s ago", span(f.Delay), span(f.DelayAge))
 	}
 	if f.Warmth < 1 {
 		text += fmt.Sprintf(", %.0f%% warm", 100*f.Warmth)
 	}
-	if f.State != balance.Ready {
+	if f.State != balancer.StateReady {
 		text += ", " + memory.PhaseName(f.State)
 	}
 	return text
@@ -265,54 +265,54 @@
 func (w *Teller) decided(out *Step, s *record.Step) {
 	d := &s.Decision
 	out.What, out.Reason, out.Attempt, out.Again = d.Verdict.String(), d.Reason.String(), d.Attempt, s.Again
-	out.Wait, out.Left, out.Ready, out.SlowPart, out.Revision = ms(d.Wait), ms(d.Left), d.Servers, part(d.SlowPart), d.Revision
+	out.Wait, out.Left, out.Ready, out.SlowPart, out.Revision = ms(d.Wait), ms(d.TimeLeft), d.ReadyEndpoints, part(d.SlowShare), d.Revision
 	if d.ListAge >= 0 {
 		age := ms(d.ListAge)
 		out.ListAge = &age
 	}
-	if d.Verdict == balance.Sent || d.Verdict == balance.Moving {
-		out.Server = w.Names.Name(d.Server)
+	if d.Verdict == balancer.VerdictSent || d.Verdict == balancer.VerdictMigrated {
+		out.Server = w.Names.Name(d.Endpoint)
 	}
-	for _, f := range d.Believed {
-		b := Belief{Server: w.Names.Name(f.Server), State: memory.PhaseName(f.State), Bars: f.Bars.Names(), Weight: part(f.Weight),
-			Warmth: part(f.Warmth), Load: part(f.Load), Pull: part(f.Pull), Delay: ms(f.Delay)}
-		if f.Age >= 0 {
-			age := ms(f.Age)
+	for _, f := range d.Considered {
+		b := Belief{Server: w.Names.Name(f.Endpoint), State: memory.PhaseName(f.State), Bars: f.Exclusions.Names(), Weight: part(f.Weight),
+			Warmth: part(f.Warmth), Load: part(f.Load), Pull: part(f.Probability), Delay: ms(f.Delay)}
+		if f.DelayAge >= 0 {
+			age := ms(f.DelayAge)
 			b.Age = &age
 		}
 		out.Believed = append(out.Believed, b)
 	}
 	first := "a server"
-	if len(d.Believed) > 0 {
-		first = w.Names.Name(d.Believed[0].Server)
+	if len(d.Considered) > 0 {
+		first = w.Names.Name(d.Considered[0].Endpoint)
 	}
 	instead, barred := "", ""
-	if d.Instead >= 0 && d.Instead < len(d.Believed) {
-		f := d.Believed[d.Instead]
-		instead = w.Names.Name(f.Server)
+	if d.Preferred >= 0 && d.Preferred < len(d.Considered) {
+		f := d.Considered[d.Preferred]
+		instead = w.Names.Name(f.Endpoint)
 		out.Instead = instead
-		barred = fmt.Sprintf("; would have gone to %s but for its %s (%s)", instead, cmp.Or(barText(f.Bars), "taking up its messages' time"), figures(f))
+		barred = fmt.Sprintf("; would have gone to %s but for its %s (%s)", instead, cmp.Or(barText(f.Exclusions), "taking up its messages' time"), figures(f))
 	}
 	var text string
 	switch d.Verdict {
-	case balance.Sent:
+	case balancer.VerdictSent:
 		text = fmt.Sprintf("attempt %d goes to %s", d.Attempt, out.Server)
 		switch d.Reason {
-		case balance.CachedRoute:
+		case balancer.ReasonCachedRoute:
 			text += ", where its group is"
-		case balance.DrawnAgain:
-			text += fmt.Sprintf(", drawn from %d ready servers past those that failed it", d.Servers)
-		case balance.RouteGone, balance.RouteSlow, balance.RouteEased, balance.RouteFull, balance.RouteCold:
+		case balancer.ReasonRedrawn:
+			text += fmt.Sprintf(", drawn from %d ready servers past those that failed it", d.ReadyEndpoints)
+		case balancer.ReasonRouteGone, balancer.ReasonRouteSlow, balancer.ReasonRouteRecovering, balancer.ReasonRouteAtCapacity, balancer.ReasonRouteWarmingUp:
 			home := cmp.Or(instead, "the server")
-			text += fmt.Sprintf(", drawn anew from %d ready servers as %s, where its group is, %s", d.Servers, home, passedOver[d.Reason])
+			text += fmt.Sprintf(", drawn anew from %d ready servers as %s, where its group is, %s", d.ReadyEndpoints, home, passedOver[d.Reason])
 		default:
-			text += fmt.Sprintf(", drawn from %d ready servers", d.Servers)
+			text += fmt.Sprintf(", drawn from %d ready servers", d.ReadyEndpoints)
 		}
-		if len(d.Believed) > 0 {
-			text += " (" + figures(d.Believed[0]) + ")"
+		if len(d.Considered) > 0 {
+			text += " (" + figures(d.Considered[0]) + ")"
 		}
 		text += barred
-	case balance.Held:
+	case balancer.VerdictHeld:
 		text = "waits"
 		if d.Wait > 0 {
 			text += " " + span(d.Wait)
@@ -321,53 +321,53 @@
 			text += fmt.Sprintf(", and %d times more", s.Again)
 		}
 		switch d.Reason {
-		case balance.Backoff:
+		case balancer.ReasonBackoff:
 			text += fmt.Sprintf(" before attempt %d", d.Attempt+1)
-		case balance.WindowFull:
+		case balancer.ReasonWindowFull:
 			text += ": as many set-ups are under way as the relay allows itself"
-		case balance.NoneUsable:
-			text += fmt.Sprintf(": of %d ready servers none may take it now", d.Servers)
+		case balancer.ReasonNoneEligible:
+			text += fmt.Sprintf(": of %d ready servers none may take it now", d.ReadyEndpoints)
 			if instead != "" {
 				text += barred
 			}
-		case balance.ServerSlow:
+		case balancer.ReasonEndpointSlow:
 			text += fmt.Sprintf(": %s, which it falls on, is slow or full", first)
-		case balance.ServerEased:
+		case balancer.ReasonEndpointRecovering:
 			text += fmt.Sprintf(": %s, which it falls on, is being eased into work", first)
 		}
-		if (d.Reason == balance.ServerSlow || d.Reason == balance.ServerEased) && len(d.Believed) > 0 {
-			text += " (" + figures(d.Believed[0]) + ")"
+		if (d.Reason == balancer.ReasonEndpointSlow || d.Reason == balancer.ReasonEndpointRecovering) && len(d.Considered) > 0 {
+			text += " (" + figures(d.Considered[0]) + ")"
 		}
-	case balance.Refused, balance.Failing:
+	case balancer.VerdictRejected, balancer.VerdictFailed:
 		text = "is given up: " + givenUp[d.Reason]
 		if d.Attempt > 0 {
 			text += fmt.Sprintf(", after %d attempts", d.Attempt)
 		}
-		switch d.Servers {
+		switch d.ReadyEndpoints {
 		case 0:
 			text += "; the list names no ready server"
 		default:
-			text += fmt.Sprintf("; %d servers are ready, %.0f%% of them slow", d.Servers, 100*d.SlowPart)
+			text += fmt.Sprintf("; %d servers are ready, %.0f%% of them slow", d.ReadyEndpoints, 100*d.SlowShare)
 		}
 		text += barred
-	case balance.Moving:
-		text = fmt.Sprintf("is moved off %s, which %s", out.Server, map[balance.Reason]string{
-			balance.Relief: "is slow and has to lose connections", balance.ServerDrains: "drains"}[d.Reason])
-		if len(d.Believed) > 0 {
-			text += " (" + figures(d.Believed[0]) + ")"
+	case balancer.VerdictMigrated:
+		text = fmt.Sprintf("is moved off %s, which %s", out.Server, map[balancer.Reason]string{
+			balancer.ReasonLoadRelief: "is slow and has to lose connections", balancer.ReasonEndpointDraining: "drains"}[d.Reason])
+		if len(d.Considered) > 0 {
+			text += " (" + figures(d.Considered[0]) + ")"
 		}
 	}
 	out.Text = text
 }
 
-var passedOver = map[balance.Reason]string{
-	balance.RouteGone: "takes nothing new", balance.RouteSlow: "is slow or full", balance.RouteEased: "is being eased into work",
-	balance.RouteFull: "takes up its messages' time", balance.RouteCold: "is cold and has had what it bears",
+var passedOver = map[balancer.Reason]string{
+	balancer.ReasonRouteGone: "takes nothing new", balancer.ReasonRouteSlow: "is slow or full", balancer.ReasonRouteRecovering: "is being eased into work",
+	balancer.ReasonRouteAtCapacity: "takes up its messages' time", balancer.ReasonRouteWarmingUp: "is cold and has had what it bears",
 }
 
-var givenUp = map[balance.Reason]string{
-	balance.NoHope: "no ready server is left that it has not tried", balance.OutOfTime: "its client's time is up, or would be before another attempt",
-	balance.OutOfTries: "it has had all the attempts that it may have", balance.MayNotRepeat: "it may have run, and must not run twice", balance.RelayLeaves: "its relay leaves",
+var givenUp = map[balancer.Reason]string{
+	balancer.ReasonNoViableEndpoint: "no ready server is left that it has not tried", balancer.ReasonDeadlineExceeded: "its client's time is up, or would be before another attempt",
+	balancer.ReasonAttemptsExhausted: "it has had all the attempts that it may have", balancer.ReasonNotRepeatable: "it may have run, and must not run twice", balancer.ReasonShutdown: "its relay leaves",
 }
 
 // ending tells how a transaction ended, in a clause that follows its number.
@@ -381,9 +381,9 @@
 		if s.Kind == record.Decided {
 			d := s.Decision
 			switch d.Verdict {
-			case balance.Moving:
-				why = fmt.Sprintf(" (%s: %s)", d.Reason, w.Names.Name(d.Server))
-			case balance.Refused, balance.Failing:
+			case balancer.VerdictMigrated:
+				why = fmt.Sprintf(" (%s: %s)", d.Reason, w.Names.Name(d.Endpoint))
+			case balancer.VerdictRejected, balancer.VerdictFailed:
 				why = fmt.Sprintf(" (%s)", d.Reason)
 			}
 			break
@@ -449,7 +449,7 @@
 // gone tells whether a transaction's client was moved or cut off.
 func gone(t *record.Transaction) bool {
 	f, ok := t.Answer()
-	return ok && (f.End == memory.Moved || f.End == memory.Silent || f.End == memory.Ended && f.How != balance.OK && f.How != balance.Cancelled)
+	return ok && (f.End == memory.Moved || f.End == memory.Silent || f.End == memory.Ended && f.How != balancer.StatusOK && f.How != balancer.StatusCancelled)
 }
 
 func sameAs(x, y *record.Transaction) string {
--- a/internal/why/ask.go
+++ b/internal/why/ask.go
@@ -11,7 +11,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/memory"
 	"lockroad/internal/record"
 )
@@ -267,7 +267,7 @@
 			continue
 		}
 		d, outcome := &t.Steps[i].Decision, ""
-		for j := i + 1; j < len(t.Steps) && d.Verdict == balance.Sent && t.Steps[j].Kind != record.Decided; j++ {
+		for j := i + 1; j < len(t.Steps) && d.Verdict == balancer.VerdictSent && t.Steps[j].Kind != record.Decided; j++ {
 			if t.Steps[j].Kind == record.PassBack {
 				outcome = memory.Statuses[t.Steps[j].How]
 				break
@@ -281,7 +281,7 @@
 	}
 }
 
-func (c *counter) count(t *record.Transaction, d *balance.Decision, outcome string) {
+func (c *counter) count(t *record.Transaction, d *balancer.Decision, outcome string) {
 	c.key = c.key[:0]
 	for i, f := range c.by {
 		if i > 0 {
@@ -299,7 +299,7 @@
 	}
 }
 
-func (c *counter) cell(t *record.Transaction, d *balance.Decision, outcome, facet string) string {
+func (c *counter) cell(t *record.Transaction, d *balancer.Decision, outcome, facet string) string {
 	switch facet {
 	case "class":
 		return t.Class
@@ -320,8 +320,8 @@
 	case "outcome":
 		return outcome
 	case "server":
-		if d != nil && (d.Verdict == balance.Sent || d.Verdict == balance.Moving) {
-			return c.names.Name(d.Server)
+		if d != nil && (d.Verdict == balancer.VerdictSent || d.Verdict == balancer.VerdictMigrated) {
+			return c.names.Name(d.Endpoint)
 		}
 	case "reason":
 		if d != nil {
--- a/internal/why/core_test.go
+++ b/internal/why/core_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/record"
@@ -19,7 +19,7 @@
 
 // scripted is a front's side of a transaction whose passes end as told.
 type scripted struct {
-	hows []balance.Status
+	hows []balancer.AttemptStatus
 	seen []string // server and outcome of each pass
 	farm *memory.Farm
 }
@@ -28,30 +28,30 @@
 
 func (noLink) Close() {}
 
-func (x *scripted) Pass(_ context.Context, out core.Out) (core.Link, balance.Status) {
-	how := balance.OK
+func (x *scripted) Pass(_ context.Context, out core.Out) (core.Link, balancer.AttemptStatus) {
+	how := balancer.StatusOK
 	if n := len(x.seen); n < len(x.hows) {
 		how = x.hows[n]
 	}
-	if how == balance.Timeout {
+	if how == balancer.StatusTimeout {
 		time.Sleep(out.Wait)
 	} else {
 		time.Sleep(20 * time.Millisecond)
 	}
 	x.seen = append(x.seen, x.farm.Name(out.To.ID)+" "+memory.Statuses[how])
-	if how == balance.OK {
+	if how == balancer.StatusOK {
 		return noLink{}, how
 	}
 	return nil, how
 }
 
-func (x *scripted) Join(ctx context.Context, _ core.Link, p *core.Pulse) balance.Status {
+func (x *scripted) Join(ctx context.Context, _ core.Link, p *core.Pulse) balancer.AttemptStatus {
 	p.Up()
 	select {
 	case <-time.After(time.Second):
-		return balance.OK
+		return balancer.StatusOK
 	case <-ctx.Done():
-		return balance.Cancelled
+		return balancer.StatusCancelled
 	}
 }
 func (*scripted) Bad(string)                {}
@@ -63,9 +63,9 @@
 // the third refusing, and the next of its group; then a server that drains.
 func TestModulesOwnDecisionsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := core.New(balance.Settings{
-			Classes: []balance.Class{{Aim: 200 * time.Millisecond, Deadline: 4 * time.Second}}, Relays: 1, MaxAttempts: 3, Tick: 2 * time.Millisecond,
-			Connect: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, ColdShare: 0.2, ColdFor: time.Second, TipMultiple: 3, TipAfter: time.Second,
+		k := core.New(balancer.Settings{
+			Classes: []balancer.Class{{LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second}}, Relays: 1, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
+			ConnectTimeout: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 		}, 1, core.NewClock())
 		r, err := record.New(record.LeastBytes, k.Clock)
 		if err != nil {
@@ -73,18 +73,18 @@
 		}
 		k.Observe(r)
 		w := &Teller{Record: r, Names: k.Farm}
-		var list []balance.Server
+		var list []balancer.Endpoint
 		for i := range 3 {
-			list = append(list, balance.Server{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: balance.Ready, Weight: 1})
+			list = append(list, balancer.Endpoint{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
 		}
 		k.Revised(17)
-		k.Listed(balance.ListFull, list, []string{"a", "b", "c"})
+		k.Listed(balancer.ListFull, list, []string{"a", "b", "c"})
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { _ = k.Run(ctx) })
-		serve := func(hows ...balance.Status) (*scripted, *Account) {
+		serve := func(hows ...balancer.AttemptStatus) (*scripted, *Account) {
 			x := &scripted{hows: hows, farm: k.Farm}
-			k.Serve(ctx, core.Ask{Front: "line", Class: "page", Name: "a", Ask: balance.Ask{Group: 7, GiveUp: k.Clock.Now() + 4*time.Second}}, x)
+			k.Serve(ctx, core.Ask{Front: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: k.Clock.Now() + 4*time.Second}}, x)
 			synctest.Wait()
 			kept, err := r.Name("a")
 			if err != nil {
@@ -107,7 +107,7 @@
 				t.Errorf("told %v, %s, %s; seen %v; want %s, %s", passes, strings.Join(why, ", "), a.Answer, x.seen, reasons, answer)
 			}
 		}
-		x, a := serve(balance.Timeout, balance.Reset, balance.Full)
+		x, a := serve(balancer.StatusTimeout, balancer.StatusReset, balancer.StatusFull)
 		check(x, a, "sent drawn, held backoff, sent drawn-again, held backoff, sent drawn-again, refused out-of-tries", "unavailable")
 		if len(x.seen) != 3 || a.ComeBack == 0 {
 			t.Errorf("seen %v, to come back in %v ms", x.seen, a.ComeBack)
@@ -120,11 +120,11 @@
 		home := x.seen[0][:3]
 		for i := range list {
 			if k.Farm.Name(list[i].ID) == home {
-				list[i].State = balance.Draining
+				list[i].State = balancer.StateDraining
 			}
 		}
 		k.Revised(18)
-		k.Listed(balance.ListDelta, list, []string{"a", "b", "c"})
+		k.Listed(balancer.ListDelta, list, []string{"a", "b", "c"})
 		x, a = serve()
 		if a.Steps[0].Reason != "route-gone" || a.Steps[0].Revision != 18 || strings.HasPrefix(x.seen[0], home) || !strings.Contains(a.Steps[0].Text, "as "+home+", where its group is, takes nothing new") {
 			t.Errorf("told %+v; seen %v", a.Steps[0], x.seen)
@@ -147,23 +147,23 @@
 				b.Fatal(err)
 			}
 			farm := memory.NewFarm()
-			var list []balance.Server
+			var list []balancer.Endpoint
 			for i := range 13 {
-				list = append(list, balance.Server{ID: farm.ID(fmt.Sprintf("s-%d", i+1)), State: balance.Ready, Weight: 1})
+				list = append(list, balancer.Endpoint{ID: farm.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
 			}
-			m := balance.New(balance.Settings{
-				Classes: []balance.Class{{Deadline: time.Second}}, Relays: 4, MaxAttempts: 5, ColdShare: 0.2, TipMultiple: 3, TipAfter: time.Second,
+			m := balancer.New(balancer.Settings{
+				Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 4, MaxAttempts: 5, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 			}, 1)
-			m.Handle(clock.Now(), balance.ServerList{Kind: balance.ListFull, Servers: list})
+			m.Handle(clock.Now(), balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
 			var trace core.Trace
-			m.Observe(func(_ balance.RequestID, d *balance.Decision) { trace.Decided(d) })
+			m.Observe(func(_ balancer.RequestID, d *balancer.Decision) { trace.Decided(d) })
 			number := uint64(0)
 			turn := func() {
 				number++
-				trace = r.Began(number, core.Ask{Front: "line", Class: "page", Ask: balance.Ask{GiveUp: clock.Now() + time.Second}})
-				id, now := balance.RequestID(number), clock.Now()
-				m.Handle(now, balance.Request{ID: id, Group: number % 64, Left: time.Second})
-				m.Handle(now, balance.ClientLeft{Request: id})
+				trace = r.Began(number, core.Ask{Front: "line", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: clock.Now() + time.Second}})
+				id, now := balancer.RequestID(number), clock.Now()
+				m.Handle(now, balancer.Request{ID: id, Group: number % 64, TimeLeft: time.Second})
+				m.Handle(now, balancer.ClientLeft{Request: id})
 				trace.Ended(core.Final{End: memory.Ended})
 			}
 			for range 20_000 {
--- a/internal/why/golden_test.go
+++ b/internal/why/golden_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/golden"
 	"lockroad/internal/memory"
@@ -17,10 +17,10 @@
 
 // fullTransaction has every field set that an account tells of.
 func fullTransaction(began time.Duration) *record.Transaction {
-	decision := balance.Decision{
-		At: began, Verdict: balance.Sent, Reason: balance.RouteSlow, Attempt: 2, Server: 1, Wait: 1500 * time.Microsecond, Left: 2 * time.Second,
-		Servers: 3, SlowPart: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, Instead: 1,
-		Believed: []balance.Belief{belief(1, 0), belief(2, balance.BarSlow|balance.BarAway)},
+	decision := balancer.Decision{
+		At: began, Verdict: balancer.VerdictSent, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: 1, Wait: 1500 * time.Microsecond, TimeLeft: 2 * time.Second,
+		ReadyEndpoints: 3, SlowShare: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, Preferred: 1,
+		Considered: []balancer.ConsideredEndpoint{belief(1, 0), belief(2, balancer.ExcludedSlow|balancer.ExcludedDraining)},
 	}
 	return &record.Transaction{
 		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, Began: began,
@@ -28,10 +28,10 @@
 		Steps: []record.Step{
 			{Kind: record.Decided, At: began, Decision: decision, Again: 5},
 			{Kind: record.PassOut, At: began + time.Millisecond, Server: 1},
-			{Kind: record.PassBack, At: began + 20*time.Millisecond, Server: 1, How: balance.OK},
+			{Kind: record.PassBack, At: began + 20*time.Millisecond, Server: 1, How: balancer.StatusOK},
 			{Kind: record.Up, At: began + 21*time.Millisecond},
 			{Kind: record.Final, At: began + 3*time.Second, Final: core.Final{
-				End: memory.Unavailable, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond, How: balance.Reset}},
+				End: memory.Unavailable, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond, How: balancer.StatusReset}},
 		},
 	}
 }
@@ -87,25 +87,25 @@
 			step := h.w.step(transaction, &s, 0)
 			fmt.Fprintf(&b, "%s|%s|%s|%s\n", step.What, step.Reason, step.Outcome, step.Text)
 		}
-		for verdict := range balance.Verdicts {
-			for reason := range balance.Reasons {
+		for verdict := range balancer.VerdictNames {
+			for reason := range balancer.ReasonNames {
 				s := transaction.Steps[0]
-				s.Decision.Verdict, s.Decision.Reason = balance.Verdict(verdict), balance.Reason(reason)
+				s.Decision.Verdict, s.Decision.Reason = balancer.Verdict(verdict), balancer.Reason(reason)
 				tell(s)
 			}
 		}
 		for status := range memory.Statuses {
-			tell(record.Step{Kind: record.PassBack, At: h.from, Server: 2, How: balance.Status(status)})
+			tell(record.Step{Kind: record.PassBack, At: h.from, Server: 2, How: balancer.AttemptStatus(status)})
 		}
 		for end := range memory.EndNames {
 			for cause := range core.Causes {
 				for status := range memory.Statuses {
 					tell(record.Step{Kind: record.Final, At: h.from, Final: core.Final{
-						End: memory.End(end), Cause: core.Cause(cause), How: balance.Status(status), ComeBack: time.Second}})
+						End: memory.End(end), Cause: core.Cause(cause), How: balancer.AttemptStatus(status), ComeBack: time.Second}})
 				}
 			}
 		}
-		for bar, name := range balance.BarNames {
+		for bar, name := range balancer.ExclusionNames {
 			fmt.Fprintf(&b, "bar|%s|%s\n", name, barText(1<<bar))
 		}
 		golden.Compare(t, "steps.txt", b.String())
@@ -124,10 +124,10 @@
 	list("answers", answers)
 	list("ends", memory.EndNames)
 	list("causes", core.Causes[:])
-	list("reasons", balance.Reasons[:])
-	list("verdicts", balance.Verdicts[:])
+	list("reasons", balancer.ReasonNames[:])
+	list("verdicts", balancer.VerdictNames[:])
 	list("outcomes", memory.Statuses)
-	list("bars", balance.BarNames[:])
+	list("bars", balancer.ExclusionNames[:])
 	list("ties", ties)
 	list("kinds", record.Kinds[:])
 	var compared []string
@@ -136,7 +136,7 @@
 	}
 	slices.Sort(compared)
 	list("operators", compared)
-	for _, state := range []balance.State{balance.Ready, balance.Draining, balance.Gone} {
+	for _, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateDraining, balancer.StateGone} {
 		fmt.Fprintf(&b, "state: %s\n", memory.PhaseName(state))
 	}
 	for _, stage := range []memory.Stage{memory.Waiting, memory.Out, memory.Open} {
@@ -151,14 +151,14 @@
 	for _, c := range []fmt.Stringer{
 		memory.Ended, memory.Unavailable, memory.Failed, memory.ClientLeft, memory.Moved, memory.Silent, memory.HandedOver,
 		core.Decided, core.NoSeat, core.RelayLeaves, core.NotOpen, core.NoEcho, core.OverLimit,
-		balance.Sent, balance.Held, balance.Refused, balance.Failing, balance.Moving,
-		balance.CachedRoute, balance.RouteGone, balance.RouteSlow, balance.RouteEased, balance.RouteFull, balance.RouteCold, balance.DrawnAgain,
-		balance.Drawn, balance.WindowFull, balance.NoneUsable, balance.ServerSlow, balance.ServerEased, balance.Backoff, balance.NoHope,
-		balance.OutOfTime, balance.OutOfTries, balance.MayNotRepeat, balance.Relief, balance.ServerDrains, balance.RelayLeaves,
+		balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated,
+		balancer.ReasonCachedRoute, balancer.ReasonRouteGone, balancer.ReasonRouteSlow, balancer.ReasonRouteRecovering, balancer.ReasonRouteAtCapacity, balancer.ReasonRouteWarmingUp, balancer.ReasonRedrawn,
+		balancer.ReasonWeightedDraw, balancer.ReasonWindowFull, balancer.ReasonNoneEligible, balancer.ReasonEndpointSlow, balancer.ReasonEndpointRecovering, balancer.ReasonBackoff, balancer.ReasonNoViableEndpoint,
+		balancer.ReasonDeadlineExceeded, balancer.ReasonAttemptsExhausted, balancer.ReasonNotRepeatable, balancer.ReasonLoadRelief, balancer.ReasonEndpointDraining, balancer.ReasonShutdown,
 	} {
 		fmt.Fprintf(&b, "%d %s\n", reflect.ValueOf(c).Uint(), c)
 	}
-	for _, how := range []balance.Status{balance.OK, balance.Error, balance.Full, balance.Timeout, balance.ConnectFailed, balance.Reset, balance.Cancelled, balance.Moot, balance.SentAway} {
+	for _, how := range []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusCancelled, balancer.StatusNotSent, balancer.StatusRedirected} {
 		fmt.Fprintf(&b, "%d %s\n", how, memory.Statuses[how])
 	}
 	golden.Compare(t, "constants.txt", b.String())
--- a/internal/why/query.go
+++ b/internal/why/query.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/record"
@@ -18,8 +18,8 @@
 
 // Names are the names of application servers.
 type Names interface {
-	Name(balance.ServerID) string
-	Lookup(name string) (balance.ServerID, bool)
+	Name(balancer.EndpointID) string
+	Lookup(name string) (balancer.EndpointID, bool)
 }
 
 // Query chooses transactions.
@@ -60,10 +60,10 @@
 				}
 				return nil
 			})},
-		{"reason", "REASON ...", "a decision had this reason: " + strings.Join(balance.Reasons[1:], ", "),
-			oneOf(balance.Reasons[1:], decisions(func(d *balance.Decision) string { return d.Reason.String() }))},
-		{"verdict", "VERDICT ...", "a decision was this: " + strings.Join(balance.Verdicts[:], ", "),
-			oneOf(balance.Verdicts[:], decisions(func(d *balance.Decision) string { return d.Verdict.String() }))},
+		{"reason", "REASON ...", "a decision had this reason: " + strings.Join(balancer.ReasonNames[1:], ", "),
+			oneOf(balancer.ReasonNames[1:], decisions(func(d *balancer.Decision) string { return d.Reason.String() }))},
+		{"verdict", "VERDICT ...", "a decision was this: " + strings.Join(balancer.VerdictNames[:], ", "),
+			oneOf(balancer.VerdictNames[:], decisions(func(d *balancer.Decision) string { return d.Verdict.String() }))},
 		{"outcome", "OUTCOME ...", "a pass ended so: " + strings.Join(memory.Statuses, ", "),
 			oneOf(memory.Statuses, func(t *record.Transaction) (all []string) {
 				for _, p := range t.Passes() {
@@ -174,7 +174,7 @@
 	}
 }
 
-func decisions(of func(*balance.Decision) string) func(*record.Transaction) []string {
+func decisions(of func(*balancer.Decision) string) func(*record.Transaction) []string {
 	return func(t *record.Transaction) (all []string) {
 		for i := range t.Steps {
 			if t.Steps[i].Kind == record.Decided {
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ids := make([]balance.ServerID, len(want))
+	ids := make([]balancer.EndpointID, len(want))
 	for i, w := range want {
 		var ok bool
 		if ids[i], ok = c.names.Lookup(w); !ok {
@@ -217,7 +217,7 @@
 	return func(t *record.Transaction, _ time.Duration) bool {
 		return slices.ContainsFunc(t.Steps, func(s record.Step) bool {
 			return s.Kind == record.PassOut && slices.Contains(ids, s.Server) ||
-				s.Kind == record.Decided && s.Decision.Verdict != balance.Held && s.Decision.Server != 0 && slices.Contains(ids, s.Decision.Server)
+				s.Kind == record.Decided && s.Decision.Verdict != balancer.VerdictHeld && s.Decision.Endpoint != 0 && slices.Contains(ids, s.Decision.Endpoint)
 		})
 	}, nil
 }
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/memory"
 	"lockroad/internal/record"
@@ -43,8 +43,8 @@
 
 func (h *hall) begin(class string, change func(*core.Ask)) core.Trace {
 	h.next++
-	a := core.Ask{Front: "line", Class: class, Name: fmt.Sprintf("%016x", h.next), Ask: balance.Ask{
-		Group: 0x5c0f, Item: 0x7f00 + h.next, GiveUp: h.r.Clock().Now() + 2*time.Second,
+	a := core.Ask{Front: "line", Class: class, Name: fmt.Sprintf("%016x", h.next), RequestOptions: balancer.RequestOptions{
+		Group: 0x5c0f, Item: 0x7f00 + h.next, Deadline: h.r.Clock().Now() + 2*time.Second,
 	}}
 	if change != nil {
 		change(&a)
@@ -53,42 +53,42 @@
 }
 
 // decided tells a trace of a decision about servers, of which the first is chosen.
-func (h *hall) decided(tr core.Trace, v balance.Verdict, why balance.Reason, attempt int, wait time.Duration, f ...balance.Belief) {
-	d := &balance.Decision{At: h.r.Clock().Now(), Verdict: v, Reason: why, Attempt: attempt, Wait: wait, Servers: 3, SlowPart: 1. / 3,
-		Revision: 41, ListAge: 3200 * time.Millisecond, Believed: f, Instead: -1}
-	if len(f) > 0 && (v == balance.Sent || v == balance.Moving) {
-		d.Server = f[0].Server
+func (h *hall) decided(tr core.Trace, v balancer.Verdict, why balancer.Reason, attempt int, wait time.Duration, f ...balancer.ConsideredEndpoint) {
+	d := &balancer.Decision{At: h.r.Clock().Now(), Verdict: v, Reason: why, Attempt: attempt, Wait: wait, ReadyEndpoints: 3, SlowShare: 1. / 3,
+		Revision: 41, ListAge: 3200 * time.Millisecond, Considered: f, Preferred: -1}
+	if len(f) > 0 && (v == balancer.VerdictSent || v == balancer.VerdictMigrated) {
+		d.Endpoint = f[0].Endpoint
 	}
 	if len(f) > 1 {
-		d.Instead = 1
+		d.Preferred = 1
 	}
 	tr.Decided(d)
 }
 
-func belief(server balance.ServerID, bars balance.Bars) balance.Belief {
-	return balance.Belief{Server: server, State: balance.Ready, Bars: bars, Weight: 0.5, Warmth: 1, Load: 4.2, Pull: 0.3, Delay: 2100 * time.Millisecond, Age: 300 * time.Millisecond}
+func belief(server balancer.EndpointID, bars balancer.Exclusions) balancer.ConsideredEndpoint {
+	return balancer.ConsideredEndpoint{Endpoint: server, State: balancer.StateReady, Exclusions: bars, Weight: 0.5, Warmth: 1, Load: 4.2, Probability: 0.3, Delay: 2100 * time.Millisecond, DelayAge: 300 * time.Millisecond}
 }
 
 // refused has a live preview tried at all three servers, the last of which is full.
 func (h *hall) refused() {
 	tr := h.begin("live-preview", nil)
-	for i, how := range []balance.Status{balance.Timeout, balance.Reset, balance.Full} {
-		server := balance.ServerID(i + 1)
+	for i, how := range []balancer.AttemptStatus{balancer.StatusTimeout, balancer.StatusReset, balancer.StatusFull} {
+		server := balancer.EndpointID(i + 1)
 		switch i {
 		case 0:
-			h.decided(tr, balance.Sent, balance.RouteSlow, 1, time.Second, belief(server, 0), belief(2, balance.BarSlow))
+			h.decided(tr, balancer.VerdictSent, balancer.ReasonRouteSlow, 1, time.Second, belief(server, 0), belief(2, balancer.ExcludedSlow))
 		default:
-			h.decided(tr, balance.Sent, balance.DrawnAgain, i+1, time.Second, belief(server, 0))
+			h.decided(tr, balancer.VerdictSent, balancer.ReasonRedrawn, i+1, time.Second, belief(server, 0))
 		}
 		back := tr.Pass(server)
 		time.Sleep(250 * time.Millisecond)
 		back(how)
 		if i < 2 {
-			h.decided(tr, balance.Held, balance.Backoff, i+1, 100*time.Millisecond)
+			h.decided(tr, balancer.VerdictHeld, balancer.ReasonBackoff, i+1, 100*time.Millisecond)
 			time.Sleep(100 * time.Millisecond)
 		}
 	}
-	h.decided(tr, balance.Refused, balance.OutOfTries, 3, 800*time.Millisecond)
+	h.decided(tr, balancer.VerdictRejected, balancer.ReasonAttemptsExhausted, 3, 800*time.Millisecond)
 	tr.Ended(core.Final{End: memory.Unavailable, ComeBack: 800 * time.Millisecond})
 }
 
@@ -152,21 +152,21 @@
 	in(t, func(h *hall) {
 		move := func(a *core.Ask) { a.Item = 0x99; a.Group = 7 }
 		first := h.begin("page", move)
-		h.decided(first, balance.Sent, balance.Drawn, 1, 0, belief(1, 0))
-		first.Pass(1)(balance.OK)
+		h.decided(first, balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 0, belief(1, 0))
+		first.Pass(1)(balancer.StatusOK)
 		first.Up()
 		time.Sleep(3 * time.Second)
-		h.decided(first, balance.Moving, balance.Relief, 1, 0, belief(1, balance.BarSlow))
+		h.decided(first, balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 0, belief(1, balancer.ExcludedSlow))
 		first.Ended(core.Final{End: memory.Moved})
 		h.begin("page", func(a *core.Ask) { a.Item, a.Group = 0x98, 7 }).Ended(core.Final{End: memory.ClientLeft}) // of the group, and not back
 		time.Sleep(400 * time.Millisecond)
-		back := h.begin("page", func(a *core.Ask) { move(a); a.Return = true })
-		h.begin("page", func(a *core.Ask) { a.Item, a.Group, a.Return = 0x97, 7, true })
+		back := h.begin("page", func(a *core.Ask) { move(a); a.Returning = true })
+		h.begin("page", func(a *core.Ask) { a.Item, a.Group, a.Returning = 0x97, 7, true })
 		if got := h.ask("1"); !strings.Contains(got, "its client came again 400 ms later as 3 (of the same flow), which waits for an answer") ||
 			!strings.Contains(got, "is moved off s-1, which is slow and has to lose connections") {
 			t.Errorf("of the first:\n%s", got)
 		}
-		back.Pass(2)(balance.OK)
+		back.Pass(2)(balancer.StatusOK)
 		back.Up()
 		if got := h.ask("3"); !strings.Contains(got, "its client came back from 1 (of the same flow), whose client is told to move (relief: s-1), 400 ms before") ||
 			!strings.Contains(got, "back after a move or a break") || !strings.Contains(got, "  it stands\n") {
@@ -187,12 +187,12 @@
 		time.Sleep(time.Minute)
 		for range 3 { // 2 to 4
 			tr := h.begin("page", nil)
-			h.decided(tr, balance.Sent, balance.CachedRoute, 1, 0, belief(2, 0))
-			tr.Pass(2)(balance.OK)
+			h.decided(tr, balancer.VerdictSent, balancer.ReasonCachedRoute, 1, 0, belief(2, 0))
+			tr.Pass(2)(balancer.StatusOK)
 			tr.Up()
 			tr.Ended(core.Final{End: memory.Ended})
 		}
-		h.begin("print", func(a *core.Ask) { a.Front, a.Return = "amqp", true }).Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat}) // 5
+		h.begin("print", func(a *core.Ask) { a.Front, a.Returning = "amqp", true }).Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat}) // 5
 		if err := h.r.Pin(3, true); err != nil {
 			t.Fatal(err)
 		}
@@ -299,8 +299,8 @@
 	in(t, func(h *hall) {
 		for range 20_000 {
 			tr := h.begin("page", nil)
-			h.decided(tr, balance.Sent, balance.Drawn, 1, 0, belief(1, 0))
-			tr.Pass(1)(balance.OK)
+			h.decided(tr, balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 0, belief(1, 0))
+			tr.Pass(1)(balancer.StatusOK)
 			tr.Up()
 			tr.Ended(core.Final{End: memory.Moved})
 			time.Sleep(time.Millisecond)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -11,7 +11,7 @@
 	"math"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 const (
@@ -49,14 +49,14 @@
 // Attach starts an instance.
 type Attach struct {
 	Seed     uint64
-	Settings balance.Settings
+	Settings balancer.Settings
 }
 
 // Retire ends an instance.
 type Retire struct{}
 
 // Record is what one record of a batch says to one instance: an Attach, a
-// Retire or a balance.Event. It is nil for records that no decision needs.
+// Retire or a balancer.Event. It is nil for records that no decision needs.
 type Record struct {
 	Instance uint32
 	Body     any
@@ -66,7 +66,7 @@
 type Reader struct {
 	r     io.Reader
 	buf   bytes.Buffer
-	pages [maxPages][]balance.Server
+	pages [maxPages][]balancer.Endpoint
 }
 
 // NewReader returns a Reader that reads from r.
@@ -168,45 +168,45 @@
 		if c.short {
 			break
 		}
-		var s balance.Settings
+		var s balancer.Settings
 		if s, err = ParseSettings(info); err == nil {
 			rec.Body = Attach{Seed: seed, Settings: s}
 		}
 	case codeTopology:
 		rec.Body, err = rd.topology(c)
 	case codeRequest:
-		var q balance.Request
-		q.ID = balance.RequestID(c.u32())
+		var q balancer.Request
+		q.ID = balancer.RequestID(c.u32())
 		q.Class = int(c.u8())
 		c.u16() // the tenant: all are served alike
 		q.Item = c.u64()
-		q.Left = c.span()
+		q.TimeLeft = c.span()
 		load := c.u32()
 		q.Group = c.u64()
 		setBits(&q, c.u16(), load)
 		rec.Body = q
 	case codeResumed:
-		var q balance.Request
-		q.ID = balance.RequestID(c.u32())
-		q.Left = c.span()
-		server := balance.ServerID(c.u32())
+		var q balancer.Request
+		q.ID = balancer.RequestID(c.u32())
+		q.TimeLeft = c.span()
+		server := balancer.EndpointID(c.u32())
 		q.Group = c.u64()
 		q.Class = int(c.u8())
 		load := c.u32()
 		c.u16() // the tenant: all are served alike
 		q.Item = c.u64()
 		setBits(&q, c.u16(), load)
-		rec.Body = balance.Resumed{Request: q, Server: server}
+		rec.Body = balancer.Resumed{Request: q, Endpoint: server}
 	case codeBegun:
-		id, took := balance.RequestID(c.u32()), c.span()
+		id, took := balancer.RequestID(c.u32()), c.span()
 		c.u16() // attempts of a request never overlap, so their numbers say nothing
-		rec.Body = balance.Standing{Request: id, Server: balance.ServerID(c.u32()), Took: took}
+		rec.Body = balancer.Established{Request: id, Endpoint: balancer.EndpointID(c.u32()), SetupTime: took}
 	case codeOutcome:
 		rec.Body, err = outcome(c)
 	case codeClientLeft:
-		rec.Body = balance.ClientLeft{Request: balance.RequestID(c.u32())}
+		rec.Body = balancer.ClientLeft{Request: balancer.RequestID(c.u32())}
 	case codeWake:
-		rec.Body = balance.Timer{Token: c.u32()}
+		rec.Body = balancer.Timer{Token: c.u32()}
 	case codeProbeDone: // nothing here sends probes
 		c.u32()
 		c.u16()
@@ -223,32 +223,32 @@
 	return rec, err
 }
 
-func setBits(q *balance.Request, bits uint16, load uint32) {
+func setBits(q *balancer.Request, bits uint16, load uint32) {
 	if bits&bitLoadValid != 0 {
-		q.Load = float64(load) / 1e6
+		q.ExpectedLoad = float64(load) / 1e6
 	}
-	q.Return = bits&bitReturn != 0
+	q.Returning = bits&bitReturn != 0
 }
 
-var statuses = map[uint16]balance.Status{
-	100: balance.OK,
-	301: balance.Error,
-	302: balance.Full,
-	303: balance.Timeout,
-	304: balance.ConnectFailed,
-	305: balance.Reset,
-	306: balance.Cancelled,
-	307: balance.Moot,
+var statuses = map[uint16]balancer.AttemptStatus{
+	100: balancer.StatusOK,
+	301: balancer.StatusError,
+	302: balancer.StatusFull,
+	303: balancer.StatusTimeout,
+	304: balancer.StatusConnectFailed,
+	305: balancer.StatusReset,
+	306: balancer.StatusCancelled,
+	307: balancer.StatusNotSent,
 }
 
 func outcome(c *cursor) (any, error) {
-	var o balance.Outcome
-	o.Request = balance.RequestID(c.u32())
-	o.Done = c.u8() != 0
+	var o balancer.Outcome
+	o.Request = balancer.RequestID(c.u32())
+	o.Final = c.u8() != 0
 	c.u32() // how long it took: no decision uses it
 	c.u16() // the attempt's number
 	code := c.u16()
-	o.Server = balance.ServerID(c.u32())
+	o.Endpoint = balancer.EndpointID(c.u32())
 	c.floats() // load reports: no decision uses them
 	status, ok := statuses[code]
 	if !ok && !c.short {
@@ -259,9 +259,9 @@
 }
 
 func heartbeat(c *cursor) (any, error) {
-	id := balance.RequestID(c.u32())
+	id := balancer.RequestID(c.u32())
 	c.u16() // the attempt's number
-	server := balance.ServerID(c.u32())
+	server := balancer.EndpointID(c.u32())
 	kind, level := c.u8(), float64(c.f32())
 	if c.short {
 		return nil, nil
@@ -271,19 +271,19 @@
 	}
 	switch kind {
 	case 1:
-		return balance.LoadNote{Request: id, Server: server, Load: level / 1e6}, nil
+		return balancer.ConnectionLoad{Request: id, Endpoint: server, Load: level / 1e6}, nil
 	case 2:
-		return balance.DelayNote{Request: id, Server: server,
+		return balancer.EndpointDelay{Request: id, Endpoint: server,
 			Delay: time.Duration(level * float64(time.Millisecond))}, nil
 	}
 	return nil, fmt.Errorf("unknown kind %d", kind)
 }
 
-var listKinds = map[uint8]balance.ListKind{
-	0: balance.ListFailed,
-	2: balance.ListFull,
-	3: balance.ListCached,
-	4: balance.ListDelta,
+var listKinds = map[uint8]balancer.ListKind{
+	0: balancer.ListFailed,
+	2: balancer.ListFull,
+	3: balancer.ListCached,
+	4: balancer.ListDelta,
 }
 
 func (rd *Reader) topology(c *cursor) (any, error) {
@@ -297,13 +297,13 @@
 	if !ok {
 		return nil, fmt.Errorf("unknown mode %d", mode)
 	}
-	if kind == balance.ListFailed {
-		return balance.ServerList{Kind: kind}, nil
+	if kind == balancer.ListFailed {
+		return balancer.EndpointList{Kind: kind}, nil
 	}
 	if page >= maxPages || rd.pages[page] == nil {
 		return nil, fmt.Errorf("no list has the number %d", page)
 	}
-	return balance.ServerList{Kind: kind, Servers: rd.pages[page]}, nil
+	return balancer.EndpointList{Kind: kind, Endpoints: rd.pages[page]}, nil
 }
 
 func (rd *Reader) catalog(c *cursor) error {
@@ -315,7 +315,7 @@
 	if page >= maxPages {
 		return fmt.Errorf("list number %d is not below %d", page, maxPages)
 	}
-	list := make([]balance.Server, n)
+	list := make([]balancer.Endpoint, n)
 	for i := range list {
 		s := &list[i]
 		s.Zone = int(c.u16())
@@ -325,14 +325,14 @@
 		if err != nil {
 			return err
 		}
-		s.Born = born
-		s.ID = balance.ServerID(c.u32())
+		s.StartedAt = born
+		s.ID = balancer.EndpointID(c.u32())
 		state := c.u8()
 		c.u16() // the machine's kind: decisions go by what is observed
-		if state > uint8(balance.Draining) {
+		if state > uint8(balancer.StateDraining) {
 			return fmt.Errorf("server %d: unknown state %d", s.ID, state)
 		}
-		s.State = balance.State(state)
+		s.State = balancer.EndpointState(state)
 		if !(s.Weight >= 0 && s.Weight < 1e12) {
 			return fmt.Errorf("server %d: weight %v is out of range", s.ID, s.Weight)
 		}
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Codes of the actions.
@@ -36,19 +36,19 @@
 }
 
 // Add appends an action of an instance.
-func (r *Reply) Add(instance uint32, a balance.Action) error {
+func (r *Reply) Add(instance uint32, a balancer.Action) error {
 	switch a := a.(type) {
-	case balance.Send:
-		r.record(codeRelay, instance, uint32(a.Request), clip(a.Timeout), uint32(a.Server))
-	case balance.Refuse:
+	case balancer.SendAttempt:
+		r.record(codeRelay, instance, uint32(a.Request), clip(a.Timeout), uint32(a.Endpoint))
+	case balancer.Reject:
 		r.record(codeSayNo, instance, uint32(a.Request), clip(a.RetryAfter))
-	case balance.Fail:
+	case balancer.Fail:
 		r.record(codeRespondError, instance, uint32(a.Request))
-	case balance.Move:
+	case balancer.Migrate:
 		r.record(codeGoAway, instance, uint32(a.Request))
-	case balance.SetTimer:
+	case balancer.SetTimer:
 		r.record(codeWakeAt, instance, clip(min(a.After, maxTimer)), a.Token)
-	case balance.Watch:
+	case balancer.WatchEndpoints:
 		r.record(codeObserve, instance)
 		r.buf = append(r.buf, 1)
 		binary.LittleEndian.PutUint32(r.buf[len(r.buf)-9:], 5)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // object is a JSON object whose keys are looked up one by one, so that a
@@ -98,16 +98,16 @@
 	return t
 }
 
-var effects = map[string]balance.Effect{
-	"idempotent":   balance.Idempotent,
-	"deduplicated": balance.Deduplicated,
-	"at_most_once": balance.AtMostOnce,
+var effects = map[string]balancer.Effect{
+	"idempotent":   balancer.Idempotent,
+	"deduplicated": balancer.Deduplicated,
+	"at_most_once": balancer.AtMostOnce,
 }
 
-var scopes = map[string]balance.Scope{
-	"all":  balance.ScopeAll,
-	"zone": balance.ScopeZone,
-	"cell": balance.ScopeCell,
+var scopes = map[string]balancer.Scope{
+	"all":  balancer.ScopeAll,
+	"zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell,
 }
 
 func pick[T any](r *settingsReader, from map[string]T, path, word string) T {
@@ -119,37 +119,37 @@
 }
 
 // ParseSettings reads the settings that an instance is given at its start.
-func ParseSettings(info []byte) (balance.Settings, error) {
+func ParseSettings(info []byte) (balancer.Settings, error) {
 	var o object
 	if err := json.Unmarshal(info, &o); err != nil {
-		return balance.Settings{}, fmt.Errorf("settings are no JSON object: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings are no JSON object: %w", err)
 	}
 	r := &settingsReader{}
 	limits := need[object](r, o, "", "Limits")
 	rules := need[object](r, o, "", "Guarantees")
 	costs := maybe[object](r, o, "", "Costs")
 	facts := maybe[object](r, o, "", "Specifics")
-	s := balance.Settings{
-		Relays: need[int](r, o, "", "NInstances"),
-		Zone:   need[int](r, o, "", "Zone"),
-		Tick:   span(r, o, "", "QuantumUs"),
-		Ask: pick(r, map[string]bool{"push": false, "ask": true}, "Discovery",
+	s := balancer.Settings{
+		Relays:  need[int](r, o, "", "NInstances"),
+		Zone:    need[int](r, o, "", "Zone"),
+		MinTick: span(r, o, "", "QuantumUs"),
+		PollList: pick(r, map[string]bool{"push": false, "ask": true}, "Discovery",
 			need[string](r, o, "", "Discovery")),
-		MaxAttempts:   need[int](r, limits, "Limits.", "TryLimit"),
-		Connect:       span(r, limits, "Limits.", "ConnectTimeoutUs"),
-		ColdShare:     need[float64](r, rules, "Guarantees.", "StartCapacity"),
-		ColdFor:       span(r, rules, "Guarantees.", "ColdUs"),
-		TipMultiple:   need[float64](r, rules, "Guarantees.", "TipMultiple"),
-		TipAfter:      over(r, rules, "Guarantees.", "FallUs"),
-		CrossZoneCost: maybe[float64](r, costs, "Costs.", "CrossZone"),
+		MaxAttempts:       need[int](r, limits, "Limits.", "TryLimit"),
+		ConnectTimeout:    span(r, limits, "Limits.", "ConnectTimeoutUs"),
+		InitialCapacity:   need[float64](r, rules, "Guarantees.", "StartCapacity"),
+		SlowStartDuration: span(r, rules, "Guarantees.", "ColdUs"),
+		OverloadMultiple:  need[float64](r, rules, "Guarantees.", "TipMultiple"),
+		OverloadWindow:    over(r, rules, "Guarantees.", "FallUs"),
+		CrossZoneCost:     maybe[float64](r, costs, "Costs.", "CrossZone"),
 	}
 	if maybe[bool](r, limits, "Limits.", "RetryAfter") {
 		s.MaxRetryAfter = span(r, limits, "Limits.", "MaxRetryAfterUs")
 	}
-	if s.Ask {
-		s.AskEvery = over(r, rules, "Guarantees.", "AskEveryUs")
+	if s.PollList {
+		s.PollInterval = over(r, rules, "Guarantees.", "AskEveryUs")
 	}
-	s.TellsLoad, s.TellsDelay = tells(r, facts, "TellsLoad"), tells(r, facts, "TellsDelay")
+	s.ReportsLoad, s.ReportsDelay = tells(r, facts, "TellsLoad"), tells(r, facts, "TellsDelay")
 	if s.CrossZoneCost < 0 {
 		r.failf("Costs.CrossZone", "is %v, which is no price", s.CrossZoneCost)
 	}
@@ -159,16 +159,16 @@
 	if s.Relays < 1 {
 		r.failf("NInstances", "is not over 0")
 	}
-	if !(s.ColdShare > 0 && s.ColdShare <= 1) {
-		r.failf("Guarantees.StartCapacity", "is %v, which is not over 0 and up to 1", s.ColdShare)
+	if !(s.InitialCapacity > 0 && s.InitialCapacity <= 1) {
+		r.failf("Guarantees.StartCapacity", "is %v, which is not over 0 and up to 1", s.InitialCapacity)
 	}
-	if !(s.TipMultiple > 0) {
+	if !(s.OverloadMultiple > 0) {
 		r.failf("Guarantees.TipMultiple", "is not over 0")
 	}
 	s.Tenants = tenants(r, o)
 	s.Classes = classes(r, o, maybe[[]float64](r, facts, "Specifics.", "MessageAimUs"))
 	if len(r.errs) > 0 {
-		return balance.Settings{}, r.errs
+		return balancer.Settings{}, r.errs
 	}
 	return s, s.Validate()
 }
@@ -199,26 +199,26 @@
 	return need[bool](r, facts, "Specifics.", key)
 }
 
-func classes(r *settingsReader, o object, messageAims []float64) []balance.Class {
-	var list []balance.Class
+func classes(r *settingsReader, o object, messageAims []float64) []balancer.Class {
+	var list []balancer.Class
 	given := need[[]object](r, o, "", "Classes")
 	if len(given) == 0 {
 		r.failf("Classes", "names none")
 	}
 	for i, c := range given {
 		path := fmt.Sprintf("Classes[%d].", i)
-		class := balance.Class{
-			Name:     maybe[string](r, c, path, "Name"),
-			Aim:      span(r, c, path, "AimUs"),
-			Deadline: over(r, c, path, "DeadlineUs"),
-			Effect:   pick(r, effects, path+"Semantics", need[string](r, c, path, "Semantics")),
+		class := balancer.Class{
+			Name:             maybe[string](r, c, path, "Name"),
+			LatencyObjective: span(r, c, path, "AimUs"),
+			Deadline:         over(r, c, path, "DeadlineUs"),
+			Effect:           pick(r, effects, path+"Semantics", need[string](r, c, path, "Semantics")),
 		}
-		if class.Effect == balance.Deduplicated {
+		if class.Effect == balancer.Deduplicated {
 			class.Scope = pick(r, scopes, path+"KeyScope", need[string](r, c, path, "KeyScope"))
-			class.Memory = over(r, c, path, "MemorySpanUs")
+			class.DeduplicationWindow = over(r, c, path, "MemorySpanUs")
 		}
 		if i < len(messageAims) {
-			class.MessageAim = r.span(fmt.Sprintf("Specifics.MessageAimUs[%d]", i), messageAims[i])
+			class.MessageLatencyObjective = r.span(fmt.Sprintf("Specifics.MessageAimUs[%d]", i), messageAims[i])
 		}
 		list = append(list, class)
 	}
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 const sample = `{
@@ -35,27 +35,27 @@
 		t.Fatal(err)
 	}
 	const us = time.Microsecond
-	want := balance.Settings{
+	want := balancer.Settings{
 		Tenants: []string{"x", "y"},
-		Classes: []balance.Class{
-			{Name: "a", Aim: 300000 * us, Deadline: 1200000 * us, MessageAim: 100000 * us},
-			{Name: "b", Aim: 400000 * us, Deadline: 1300000 * us, MessageAim: 50000 * us,
-				Effect: balance.Deduplicated, Scope: balance.ScopeCell, Memory: 6 * time.Second},
-			{Name: "c", Aim: us, Deadline: 2 * us, Effect: balance.AtMostOnce, MessageAim: 150000 * us},
+		Classes: []balancer.Class{
+			{Name: "a", LatencyObjective: 300000 * us, Deadline: 1200000 * us, MessageLatencyObjective: 100000 * us},
+			{Name: "b", LatencyObjective: 400000 * us, Deadline: 1300000 * us, MessageLatencyObjective: 50000 * us,
+				Effect: balancer.Deduplicated, Scope: balancer.ScopeCell, DeduplicationWindow: 6 * time.Second},
+			{Name: "c", LatencyObjective: us, Deadline: 2 * us, Effect: balancer.AtMostOnce, MessageLatencyObjective: 150000 * us},
 		},
-		Relays:        2,
-		Zone:          1,
-		Ask:           true,
-		AskEvery:      10 * time.Second,
-		MaxAttempts:   3,
-		Tick:          5 * time.Millisecond,
-		Connect:       250 * time.Millisecond,
-		MaxRetryAfter: 1500 * time.Millisecond,
-		ColdShare:     0.13,
-		ColdFor:       23 * time.Second,
-		TipMultiple:   3, TipAfter: 1500 * time.Millisecond,
+		Relays:            2,
+		Zone:              1,
+		PollList:          true,
+		PollInterval:      10 * time.Second,
+		MaxAttempts:       3,
+		MinTick:           5 * time.Millisecond,
+		ConnectTimeout:    250 * time.Millisecond,
+		MaxRetryAfter:     1500 * time.Millisecond,
+		InitialCapacity:   0.13,
+		SlowStartDuration: 23 * time.Second,
+		OverloadMultiple:  3, OverloadWindow: 1500 * time.Millisecond,
 		CrossZoneCost: 0.06,
-		TellsLoad:     true,
+		ReportsLoad:   true,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lockroad/balance"
+	"lockroad/balancer"
 )
 
 // Example frames of the wire's description.
@@ -78,35 +78,35 @@
 }
 
 func TestExampleEventsAreDecoded(t *testing.T) {
-	request := balance.Request{ID: 0x5d3a91c4, Item: 0x91f03b7c55d20a64, Group: 0x2b8e6401d9f37c10,
-		Left: 240 * time.Millisecond, Load: 0.012}
+	request := balancer.Request{ID: 0x5d3a91c4, Item: 0x91f03b7c55d20a64, Group: 0x2b8e6401d9f37c10,
+		TimeLeft: 240 * time.Millisecond, ExpectedLoad: 0.012}
 	resumed := request
 	resumed.ID = 0x0e6f2b19
-	servers := []balance.Server{
-		{ID: 0x03124a07, State: balance.Ready, Weight: 1},
-		{ID: 0x2c9011f2, State: balance.Ready, Weight: 1.5, Zone: 1, Born: 0x5d1420 * time.Microsecond},
+	servers := []balancer.Endpoint{
+		{ID: 0x03124a07, State: balancer.StateReady, Weight: 1},
+		{ID: 0x2c9011f2, State: balancer.StateReady, Weight: 1.5, Zone: 1, StartedAt: 0x5d1420 * time.Microsecond},
 	}
 	for name, test := range map[string]struct {
 		records []string
 		want    any
 	}{
 		"request":     {[]string{requestRecord}, request},
-		"wake":        {[]string{wakeRecord}, balance.Timer{Token: 77}},
-		"client_left": {[]string{leftRecord}, balance.ClientLeft{Request: 0x0e6f2b19}},
-		"begun": {[]string{begunRecord}, balance.Standing{Request: 0x5d3a91c4, Server: 0x03124a07,
-			Took: 0x2422 * time.Microsecond}},
-		"outcome": {[]string{outcomeRecord}, balance.Outcome{Request: 0x5d3a91c4, Server: 0x03124a07,
-			Done: true}},
-		"resumed":  {[]string{resumedRecord}, balance.Resumed{Request: resumed, Server: 0x2c9011f2}},
+		"wake":        {[]string{wakeRecord}, balancer.Timer{Token: 77}},
+		"client_left": {[]string{leftRecord}, balancer.ClientLeft{Request: 0x0e6f2b19}},
+		"begun": {[]string{begunRecord}, balancer.Established{Request: 0x5d3a91c4, Endpoint: 0x03124a07,
+			SetupTime: 0x2422 * time.Microsecond}},
+		"outcome": {[]string{outcomeRecord}, balancer.Outcome{Request: 0x5d3a91c4, Endpoint: 0x03124a07,
+			Final: true}},
+		"resumed":  {[]string{resumedRecord}, balancer.Resumed{Request: resumed, Endpoint: 0x2c9011f2}},
 		"datagram": {[]string{datagramRecord}, nil},
 		"probe":    {[]string{probeRecord}, nil},
-		"load":     {[]string{loadRecord}, balance.LoadNote{Request: 0x5d3a91c4, Server: 0x03124a07, Load: 0.5e-6}},
-		"delay": {[]string{delayRecord}, balance.DelayNote{Request: 0x5d3a91c4, Server: 0x03124a07,
+		"load":     {[]string{loadRecord}, balancer.ConnectionLoad{Request: 0x5d3a91c4, Endpoint: 0x03124a07, Load: 0.5e-6}},
+		"delay": {[]string{delayRecord}, balancer.EndpointDelay{Request: 0x5d3a91c4, Endpoint: 0x03124a07,
 			Delay: 500 * time.Microsecond}},
 		"retire":  {[]string{retireRecord}, Retire{}},
 		"catalog": {[]string{catalogRecord}, nil},
-		"list":    {[]string{catalogRecord, topologyRecord}, balance.ServerList{Kind: balance.ListCached, Servers: servers}},
-		"failed":  {[]string{failedRecord}, balance.ServerList{Kind: balance.ListFailed}},
+		"list":    {[]string{catalogRecord, topologyRecord}, balancer.EndpointList{Kind: balancer.ListCached, Endpoints: servers}},
+		"failed":  {[]string{failedRecord}, balancer.EndpointList{Kind: balancer.ListFailed}},
 	} {
 		records, err := readAll(bytes.NewReader(batch(t, test.records...)))
 		if err != nil {
@@ -144,18 +144,18 @@
 
 func TestExampleActionsAreEncoded(t *testing.T) {
 	for name, test := range map[string]struct {
-		action balance.Action
+		action balancer.Action
 		want   string
 	}{
-		"relay": {balance.Send{Request: 0x5d3a91c4, Server: 0x03124a07, Timeout: 80 * time.Millisecond},
+		"relay": {balancer.SendAttempt{Request: 0x5d3a91c4, Endpoint: 0x03124a07, Timeout: 80 * time.Millisecond},
 			"01 10000000 03000000 c4913a5d 80380100 074a1203"},
-		"observe": {balance.Watch{}, "0b 05000000 03000000 01"},
-		"say_no": {balance.Refuse{Request: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond},
+		"observe": {balancer.WatchEndpoints{}, "0b 05000000 03000000 01"},
+		"say_no": {balancer.Reject{Request: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond},
 			"02 0c000000 03000000 192b6f0e 90d00300"},
-		"wake_at": {balance.SetTimer{Token: 77, After: 500 * time.Millisecond},
+		"wake_at": {balancer.SetTimer{Token: 77, After: 500 * time.Millisecond},
 			"05 0c000000 03000000 20a10700 4d000000"},
-		"respond_error": {balance.Fail{Request: 0x0e6f2b19}, "03 08000000 03000000 192b6f0e"},
-		"go_away":       {balance.Move{Request: 0x0e6f2b19}, "0d 08000000 03000000 192b6f0e"},
+		"respond_error": {balancer.Fail{Request: 0x0e6f2b19}, "03 08000000 03000000 192b6f0e"},
+		"go_away":       {balancer.Migrate{Request: 0x0e6f2b19}, "0d 08000000 03000000 192b6f0e"},
 	} {
 		var r Reply
 		r.Reset()
@@ -191,8 +191,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := records[1].Body.(balance.ServerList).Servers[0].ID
-	second := records[3].Body.(balance.ServerList).Servers[0].ID
+	first := records[1].Body.(balancer.EndpointList).Endpoints[0].ID
+	second := records[3].Body.(balancer.EndpointList).Endpoints[0].ID
 	if first != 0x03124a07 || second != 0x99999999 {
 		t.Errorf("lists begin with %x and %x", first, second)
 	}
