--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -19,8 +19,8 @@
 	"lockroad/internal/assert"
 	"lockroad/internal/core"
 	"lockroad/internal/members"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 	"lockroad/internal/why"
 )
 
@@ -213,17 +213,17 @@
 	c := d.Core.Counters
 	table(w, nil, func(row func(...any)) {
 		row("relay", d.Name)
-		row("transactions", c.Transactions.Load())
-		for stage, n := range d.Core.Transactions.Stages() {
-			row("  "+memory.Stage(stage).String(), n)
+		row("transactions", c.Requests.Load())
+		for stage, n := range d.Core.Transactions.CountByStage() {
+			row("  "+registry.Stage(stage).String(), n)
 		}
 		for _, e := range c.Ends() {
 			row(e.Name, e.Count)
 		}
-		for how, name := range memory.Statuses {
-			row("passes "+name, c.Passes(balancer.AttemptStatus(how)))
+		for how, name := range registry.StatusNames {
+			row("passes "+name, c.Attempts(balancer.AttemptStatus(how)))
 		}
-		row("bad openings", c.BadLines.Load())
+		row("bad openings", c.ProtocolErrors.Load())
 		row("broken invariants", assert.Broken())
 	})
 }
@@ -247,7 +247,7 @@
 	held := d.Core.Held(ctx)
 	table(w, []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}, func(row func(...any)) {
 		for _, s := range d.Core.Farm.List() {
-			if s.Phase == balancer.StateGone && at[s.Name] == 0 {
+			if s.State == balancer.StateGone && at[s.Name] == 0 {
 				continue
 			}
 			var delay, load, avoided any
@@ -267,11 +267,11 @@
 }
 
 // phase is a server's phase, and whose word it is.
-func (d *Desk) phase(s memory.Server) string {
-	if s.Phase == balancer.StateDraining && d.Core.Ordered(s.Name) {
-		return memory.PhaseName(s.Phase) + ", as ordered"
+func (d *Desk) phase(s registry.Endpoint) string {
+	if s.State == balancer.StateDraining && d.Core.Ordered(s.Name) {
+		return registry.StateName(s.State) + ", as ordered"
 	}
-	return memory.PhaseName(s.Phase)
+	return registry.StateName(s.State)
 }
 
 func (d *Desk) transactions(w io.Writer) {
@@ -283,10 +283,10 @@
 	table(w, []string{"NUMBER", "FRONT", "NAME", "CLASS", "STAGE", "SERVER", "PASSES", "AGE"}, func(row func(...any)) {
 		for _, t := range d.Core.Transactions.List() {
 			var server any
-			if t.Stage != memory.Waiting {
-				server = names[t.Server]
+			if t.Stage != registry.StageWaiting {
+				server = names[t.Endpoint]
 			}
-			row(t.Number, t.Front, t.Name, t.Class, t.Stage, server, t.Passes, (now - t.Since).Round(time.Millisecond))
+			row(t.Number, t.Front, t.Name, t.Class, t.Stage, server, t.Attempts, (now - t.Since).Round(time.Millisecond))
 		}
 	})
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -16,8 +16,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 	"lockroad/internal/steps"
 	"lockroad/internal/why"
 )
@@ -31,17 +31,17 @@
 	}, 1, core.NewClock())
 	id := k.Farm.ID("s-5be2a07c")
 	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
-	n, _ := k.Transactions.Add(memory.Transaction{Front: "line", Name: "9b1f03aa", Class: "page", Since: k.Clock.Now()})
-	k.Transactions.Set(n, memory.Open, id)
-	k.Counters.End(memory.Moved)
-	k.Counters.Pass(balancer.StatusTimeout)
+	n, _ := k.Transactions.Add(registry.Request{Front: "line", Name: "9b1f03aa", Class: "page", Since: k.Clock.Now()})
+	k.Transactions.Set(n, registry.StageEstablished, id)
+	k.Counters.CountEnd(registry.EndMigrated)
+	k.Counters.CountAttempt(balancer.StatusTimeout)
 	r, err := record.New(record.LeastBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
 	tr := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
 	tr.Pass(id)(balancer.StatusFull)
-	tr.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
+	tr.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Second})
 	var mu sync.Mutex
 	drains := 0
 	d := &Desk{Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}}, Why: &why.Teller{Record: r, Names: k.Farm}, Drain: func() {
@@ -192,7 +192,7 @@
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
 	d := &Desk{Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock())}
-	d.Core.Transactions.Add(memory.Transaction{Front: "line", Name: evil, Class: evil})
+	d.Core.Transactions.Add(registry.Request{Front: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := d.answer(context.Background(), command, "me")
 		head, body, _ := strings.Cut(frame("ok", answer), "\n")
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -15,8 +15,8 @@
 	"lockroad/internal/golden"
 	"lockroad/internal/keep"
 	"lockroad/internal/members"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
 )
@@ -81,22 +81,22 @@
 		}
 		k.Listed(balancer.ListFull, servers, addresses)
 		k.Order("s-2", true)
-		for i, stage := range []memory.Stage{memory.Waiting, memory.Out, memory.Open} {
-			n, _ := k.Transactions.Add(memory.Transaction{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
-			if stage != memory.Waiting {
+		for i, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
+			n, _ := k.Transactions.Add(registry.Request{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
+			if stage != registry.StageWaiting {
 				k.Transactions.Set(n, stage, servers[i].ID)
 			}
 		}
-		k.Counters.Transactions.Add(41)
-		k.Counters.BadLines.Add(42)
-		for end := range memory.EndNames {
+		k.Counters.Requests.Add(41)
+		k.Counters.ProtocolErrors.Add(42)
+		for end := range registry.EndNames {
 			for range end + 1 {
-				k.Counters.End(memory.End(end))
+				k.Counters.CountEnd(registry.End(end))
 			}
 		}
-		for status := range memory.Statuses {
+		for status := range registry.StatusNames {
 			for range status + 1 {
-				k.Counters.Pass(balancer.AttemptStatus(status))
+				k.Counters.CountAttempt(balancer.AttemptStatus(status))
 			}
 		}
 		r, err := record.New(record.LeastBytes, k.Clock)
@@ -105,7 +105,7 @@
 		}
 		trace := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
 		trace.Pass(servers[0].ID)(balancer.StatusFull)
-		trace.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
+		trace.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Second})
 		time.Sleep(1234 * time.Millisecond)
 		synctest.Wait()
 		do(&Desk{
--- a/internal/console/orders.go
+++ b/internal/console/orders.go
@@ -18,7 +18,7 @@
 
 	"lockroad/internal/keep"
 	"lockroad/internal/members"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 	"lockroad/internal/store"
 )
 
@@ -144,8 +144,8 @@
 func (d *Desk) at() map[string]int {
 	at := make(map[string]int)
 	for _, t := range d.Core.Transactions.List() {
-		if t.Stage != memory.Waiting {
-			at[d.Core.Farm.Name(t.Server)]++
+		if t.Stage != registry.StageWaiting {
+			at[d.Core.Farm.Name(t.Endpoint)]++
 		}
 	}
 	return at
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/assert"
 	"lockroad/internal/figures"
 	"lockroad/internal/limits"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Ask is what a front hands over with a transaction.
@@ -56,7 +56,7 @@
 
 // Out is a pass that is to go out.
 type Out struct {
-	To     memory.Server
+	To     registry.Endpoint
 	Wait   time.Duration // for the answer
 	Latest time.Duration // on the core's clock: it is not sent later; 0: at any time
 	Resume bool          // it has been open there since before the relay's start
@@ -67,7 +67,7 @@
 // server may have begun to drain, and a repeat may have become one that its server would run anew:
 // a connection can come up late.
 func (o Out) May(ctx context.Context) bool {
-	return ctx.Err() == nil && (o.Resume || !o.To.IsLeaving()) && (o.Latest == 0 || o.clock.Now() < o.Latest)
+	return ctx.Err() == nil && (o.Resume || !o.To.IsDraining()) && (o.Latest == 0 || o.clock.Now() < o.Latest)
 }
 
 // Left is how long the answer is still waited for: what its server is told. ctx is the pass's own, with its time-out.
@@ -81,9 +81,9 @@
 // Core runs transactions over the module.
 type Core struct {
 	Clock        Clock
-	Farm         *memory.Farm
-	Transactions *memory.Transactions
-	Counters     *memory.Counters
+	Farm         *registry.Endpoints
+	Transactions *registry.Requests
+	Counters     *registry.Counters
 	Figures      *figures.Figures
 	Log          *slog.Logger // of what is no transaction's; set before the first turn, or nothing is logged
 
@@ -120,9 +120,9 @@
 	closing, turnAll := context.WithCancel(context.Background())
 	c := &Core{
 		Clock:        clock,
-		Farm:         memory.NewFarm(),
-		Transactions: memory.NewTransactions(),
-		Counters:     &memory.Counters{},
+		Farm:         registry.NewEndpoints(),
+		Transactions: registry.NewRequests(),
+		Counters:     &registry.Counters{},
 		Figures:      &figures.Figures{},
 		Log:          slog.New(slog.DiscardHandler),
 		facade:       balancer.NewLoop(s, seed),
@@ -208,7 +208,7 @@
 	wait := c.facade.RetryAfter(ctx)
 	c.Figures.Kind(ask.Class).Shed()
 	if len(c.observers) > 0 {
-		c.observers.began(c.Transactions.Number(), ask).Ended(Final{End: memory.Unavailable, Cause: cause, ComeBack: wait})
+		c.observers.began(c.Transactions.Number(), ask).Ended(Final{End: registry.EndRejected, Cause: cause, ComeBack: wait})
 	}
 	return wait
 }
@@ -247,7 +247,7 @@
 
 // Misspoke counts and logs a client that says what makes no sense.
 func (c *Core) Misspoke(front, what string) {
-	c.Counters.BadLines.Add(1)
+	c.Counters.ProtocolErrors.Add(1)
 	c.Log.Warn("a client says what makes no sense", "front", front, "what", what)
 }
 
@@ -275,7 +275,7 @@
 	if ask.Settings == nil {
 		ask.Settings = c.Terms()
 	}
-	number, ok := c.Transactions.Add(memory.Transaction{
+	number, ok := c.Transactions.Add(registry.Request{
 		Front: ask.Front, Name: ask.Name, Class: ask.Class, Since: now,
 	})
 	if !ok {
@@ -287,7 +287,7 @@
 		c.Figures.Kind(ask.Class).Failed()
 		return
 	}
-	c.Counters.Transactions.Add(1)
+	c.Counters.Requests.Add(1)
 	// No client of a class waits longer than that class; one that says so would
 	// hold its place for as long as it likes.
 	ask.Deadline = min(ask.Deadline, now+patience(ask))
@@ -306,7 +306,7 @@
 // has handed it over with its link.
 func (c *Core) Adopt(ctx context.Context, s *Standing, ask Ask, x Exchange, link Link) {
 	ask.At, ask.Established = s.Server, true
-	number, ok := c.Transactions.Adopt(memory.Transaction{
+	number, ok := c.Transactions.Adopt(registry.Request{
 		Front: ask.Front, Name: ask.Name, Class: ask.Class, Since: c.Clock.Now(),
 	})
 	if !ok {
@@ -331,7 +331,7 @@
 	t.ticket = balancer.NewRequestHandle(t.ask.RequestOptions)
 	end := t.run(ctx, stand)
 	t.pass.stop()
-	c.Counters.End(end.End)
+	c.Counters.CountEnd(end.End)
 	t.trace.Ended(end)
 }
 
@@ -387,7 +387,7 @@
 	t.ctx = ctx
 	if t.ask.Established && !stand(t) {
 		t.unavailable(0)
-		return Final{End: memory.Unavailable, Cause: NotOpen}
+		return Final{End: registry.EndRejected, Cause: NotOpen}
 	}
 	waiting, answer := context.WithCancel(ctx)
 	defer answer()
@@ -407,7 +407,7 @@
 		if err != nil {
 			t.pass.stop()
 			c.facade.Report(balancer.ClientDisconnected{Handle: t.ticket})
-			return Final{End: memory.ClientLeft, How: balancer.StatusCancelled}
+			return Final{End: registry.EndClientLeft, How: balancer.StatusCancelled}
 		}
 		switch step.Kind {
 		case balancer.ActionAttempt:
@@ -423,14 +423,14 @@
 				step.Wait = 0 // another relay may have room at once
 			}
 			t.unavailable(step.Wait)
-			return Final{End: memory.Unavailable, Cause: cause, ComeBack: step.Wait}
+			return Final{End: registry.EndRejected, Cause: cause, ComeBack: step.Wait}
 		case balancer.ActionFail:
 			t.x.Failed()
 			t.kind.Failed()
-			return Final{End: memory.Failed, Cause: cause}
+			return Final{End: registry.EndFailed, Cause: cause}
 		case balancer.ActionMigrate:
 			t.pass.move(t.x)
-			return Final{End: memory.Moved, How: balancer.StatusCancelled}
+			return Final{End: registry.EndMigrated, How: balancer.StatusCancelled}
 		case balancer.ActionClosed:
 			<-t.pass.ended
 			if t.pass.left != nil { // its server's end may cross with its turn to leave: what counts is what its client was told
@@ -439,13 +439,13 @@
 			switch {
 			case errors.Is(t.pass.cause, errSilent):
 				t.x.Move()
-				return Final{End: memory.Silent, Cause: NoEcho, How: t.pass.how}
+				return Final{End: registry.EndHeartbeatTimeout, Cause: NoEcho, How: t.pass.how}
 			case t.pass.told:
-				return Final{End: memory.Moved, Cause: RelayLeaves, How: t.pass.how}
+				return Final{End: registry.EndMigrated, Cause: RelayLeaves, How: t.pass.how}
 			case errors.Is(t.pass.cause, errHanded):
-				return Final{End: memory.HandedOver, Cause: RelayLeaves, How: t.pass.how}
+				return Final{End: registry.EndHandedOff, Cause: RelayLeaves, How: t.pass.how}
 			}
-			return Final{End: memory.Ended, How: t.pass.how}
+			return Final{End: registry.EndClosed, How: t.pass.how}
 		}
 	}
 }
@@ -481,7 +481,7 @@
 	for {
 		id, named := t.core.Farm.Lookup(t.ask.At)
 		if to, ok := t.core.Farm.Find(id); named && ok {
-			t.core.Transactions.Set(t.number, memory.Out, to.ID)
+			t.core.Transactions.Set(t.number, registry.StageAttempting, to.ID)
 			link, how := t.attempt(ctx, Out{To: to, Wait: resumeWait, Resume: true})
 			if how != balancer.StatusError {
 				doubt.Stop() // it may yet come up
@@ -510,7 +510,7 @@
 		if !ok {
 			return balancer.StatusNotSent
 		}
-		t.core.Transactions.Set(t.number, memory.Out, to.ID)
+		t.core.Transactions.Set(t.number, registry.StageAttempting, to.ID)
 		began := t.core.Clock.Now()
 		link, how := t.attempt(ctx, Out{To: to, Wait: step.Wait, Latest: step.NotAfter})
 		if how != balancer.StatusOK {
@@ -539,7 +539,7 @@
 		how := carry(ctx, p)
 		p.cause, p.how = context.Cause(ctx), how
 		cancel(errOver)
-		t.core.Counters.Pass(how)
+		t.core.Counters.CountAttempt(how)
 		close(p.ended)
 		t.core.facade.Report(balancer.AttemptEnded{Handle: t.ticket, Status: how})
 	}()
@@ -560,7 +560,7 @@
 }
 
 // join waits until the module has the connection standing, and sees it to its end.
-func (t *transaction) join(ctx context.Context, p *pass, to memory.Server, link Link) balancer.AttemptStatus {
+func (t *transaction) join(ctx context.Context, p *pass, to registry.Endpoint, link Link) balancer.AttemptStatus {
 	c := t.core
 	defer link.Close()
 	select {
@@ -568,8 +568,8 @@
 	case <-ctx.Done():
 		return balancer.StatusCancelled
 	}
-	c.Counters.Up.Add(1)
-	c.Transactions.Set(t.number, memory.Open, to.ID)
+	c.Counters.Established.Add(1)
+	c.Transactions.Set(t.number, registry.StageEstablished, to.ID)
 	pulse := c.pulses.add(&Pulse{
 		server: to.ID, up: p.up, kind: t.kind, asked: t.asked, told: t.ask.ExpectedLoad,
 		silent: func() { p.cancel(errSilent) },
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -10,7 +10,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 	"lockroad/internal/steps"
 )
 
@@ -228,7 +228,7 @@
 			k.Serve(context.Background(), Ask{At: "s-1", RequestOptions: balancer.RequestOptions{Established: true}}, x)
 		}()
 		synctest.Wait()
-		if all := k.Transactions.List(); len(all) != 1 || all[0].Server != k.Farm.ID("s-1") || all[0].Stage != memory.Open {
+		if all := k.Transactions.List(); len(all) != 1 || all[0].Endpoint != k.Farm.ID("s-1") || all[0].Stage != registry.StageEstablished {
 			t.Errorf("under way: %+v", all)
 		}
 		<-done
--- a/internal/core/hand.go
+++ b/internal/core/hand.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // endFor is how long a transaction that can't be handed over may take to end by itself
@@ -80,7 +80,7 @@
 
 // hand hands a transaction over that stands. It tells whether another process carries it on.
 // over is closed once its connection has ended.
-func (t *transaction) hand(p *pass, pulse *Pulse, to memory.Server, over <-chan struct{}) bool {
+func (t *transaction) hand(p *pass, pulse *Pulse, to registry.Endpoint, over <-chan struct{}) bool {
 	give := t.core.give.Load()
 	x, portable := t.x.(Portable)
 	if give == nil || !portable {
@@ -128,7 +128,7 @@
 	id, named := t.core.Farm.Lookup(s.Server)
 	to, ok := t.core.Farm.Find(id)
 	if !named || !ok { // no list has named it yet: it is carried on, and the module sees no server
-		to = memory.Server{Name: s.Server}
+		to = registry.Endpoint{Name: s.Server}
 	}
 	t.ask.RequestOptions.Endpoint = to.ID
 	t.ticket = balancer.NewRequestHandle(t.ask.RequestOptions)
--- a/internal/core/observe.go
+++ b/internal/core/observe.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Cause is why a transaction ended as it did where the module did not decide it.
@@ -34,7 +34,7 @@
 
 // Final is how a transaction ended.
 type Final struct {
-	End      memory.End
+	End      registry.End
 	Cause    Cause
 	ComeBack time.Duration          // told with the unavailable answer; 0 if nothing was
 	How      balancer.AttemptStatus // of one that stood: how its connection ended
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -19,7 +19,7 @@
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
 	if kind != balancer.ListDelta {
-		c.Farm.Keep(servers)
+		c.Farm.RetainOnly(servers)
 		clear(c.listing.lines)
 	}
 	if c.listing.lines == nil {
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -6,7 +6,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/keep"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/spoken/line"
 	"lockroad/internal/steps"
@@ -33,7 +33,7 @@
 			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
 		},
 		Beats: map[balancer.EndpointID]line.Beat{0x5be2a07c: {At: 6001 * ms, Last: 12.5, Count: 7}},
-		Open:  []memory.Named{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
+		Open:  []registry.RequestName{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
 		Seats: []int{17, 4},
 		Orders: []keep.Order{{
 			Server: "s-1", Who: "uid 1000", Why: "new strings",
@@ -50,7 +50,7 @@
 		List:   discovery.List{Members: make([]discovery.Member, 1)},
 		Names:  map[balancer.EndpointID]string{0: ""},
 		Beats:  map[balancer.EndpointID]line.Beat{0: {}},
-		Open:   make([]memory.Named, 1),
+		Open:   make([]registry.RequestName, 1),
 		Orders: make([]keep.Order, 1),
 	})
 }
--- a/internal/lifecycle/many_test.go
+++ b/internal/lifecycle/many_test.go
@@ -135,7 +135,7 @@
 			w := &discovery.Watcher{Core: k, Address: discoveryOf(t, c.text, 1000), Zones: []string{"a"}, Keep: true}
 			go func() { _ = w.Run(ctx); close(done) }()
 			go func() { _ = k.Run(ctx) }()
-			steps.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Farm.Phases()[c.phase] == int64(n) })
+			steps.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Farm.CountByState()[c.phase] == int64(n) })
 			cancel()
 			<-done
 			if l, _ := w.List(); len(l.Members) != n {
--- a/internal/lifecycle/stored_tags_test.go
+++ b/internal/lifecycle/stored_tags_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockroad/internal/keep"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 	"lockroad/internal/why"
 )
 
@@ -24,7 +24,7 @@
 		{reflect.TypeFor[keep.Order](), isBoth},
 		{reflect.TypeFor[keep.Known](), isCBOR},
 		{reflect.TypeFor[why.Account](), isBoth},
-		{reflect.TypeFor[memory.Named](), isJSON},
+		{reflect.TypeFor[registry.RequestName](), isJSON},
 	} {
 		seen := map[reflect.Type]bool{reflect.TypeFor[time.Time](): true}
 		requireTags(t, root.of, root.isNamed, seen)
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -15,7 +15,7 @@
 	"lockroad/internal/core"
 	"lockroad/internal/handover"
 	"lockroad/internal/keep"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/spoken/line"
@@ -36,7 +36,7 @@
 	Names  map[balancer.EndpointID]string    `json:"Names"` // the numbers that Memory speaks of
 	Memory balancer.Snapshot                 `json:"Memory"`
 	Beats  map[balancer.EndpointID]line.Beat `json:"Beats"`  // of servers that tell delays
-	Open   []memory.Named                    `json:"Open"`   // transactions under way
+	Open   []registry.RequestName            `json:"Open"`   // transactions under way
 	Seats  []int                             `json:"Seats"`  // taken, by hall
 	Orders []keep.Order                      `json:"Orders"` // that have servers drain
 }
--- a/internal/logs/transactions.go
+++ b/internal/logs/transactions.go
@@ -8,7 +8,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Transactions is an observer that logs the trouble of transactions: passes that
@@ -67,7 +67,7 @@
 	began := f.Clock.Now()
 	return func(how balancer.AttemptStatus) {
 		if how != balancer.StatusOK && how != balancer.StatusCancelled {
-			f.line(slog.LevelInfo, "a pass has failed", "outcome", memory.Statuses[how], "took", f.Clock.Now()-began)
+			f.line(slog.LevelInfo, "a pass has failed", "outcome", registry.StatusNames[how], "took", f.Clock.Now()-began)
 		}
 	}
 }
@@ -79,17 +79,17 @@
 func (f *followed) Ended(end core.Final) {
 	took := f.Clock.Now() - f.began
 	switch end.End {
-	case memory.Unavailable:
+	case registry.EndRejected:
 		f.line(slog.LevelWarn, "a transaction is refused", "cause", end.Cause.String(), "come_back", end.ComeBack, "took", took)
-	case memory.Failed:
+	case registry.EndFailed:
 		f.line(slog.LevelWarn, "a transaction has failed", "took", took)
-	case memory.Silent:
+	case registry.EndHeartbeatTimeout:
 		f.line(slog.LevelWarn, "a server has gone silent", "stood", took)
-	case memory.Moved:
+	case registry.EndMigrated:
 		f.line(slog.LevelDebug, "a client is moved", "cause", end.Cause.String(), "stood", took)
-	case memory.Ended:
+	case registry.EndClosed:
 		if end.How != balancer.StatusOK && end.How != balancer.StatusCancelled {
-			f.line(slog.LevelInfo, "a connection is lost", "outcome", memory.Statuses[end.How], "stood", took)
+			f.line(slog.LevelInfo, "a connection is lost", "outcome", registry.StatusNames[end.How], "stood", took)
 		}
 	}
 }
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -11,7 +11,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Transaction is what is kept of one: the reader's own copy.
@@ -262,7 +262,7 @@
 	case Final:
 		s.Final = core.Final{
 			ComeBack: time.Duration(w[2]&math.MaxUint32) * time.Microsecond,
-			End:      memory.End(w[2] >> 32), Cause: core.Cause(w[2] >> 40), How: balancer.AttemptStatus(w[2] >> 48),
+			End:      registry.End(w[2] >> 32), Cause: core.Cause(w[2] >> 40), How: balancer.AttemptStatus(w[2] >> 48),
 		}
 	}
 	return s
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -29,7 +29,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Bytes that a Record may have.
@@ -299,7 +299,7 @@
 func (t *trace) Ended(f core.Final) {
 	flags := uint64(flagEnded)
 	switch f.End {
-	case memory.Unavailable, memory.Failed, memory.Silent:
+	case registry.EndRejected, registry.EndFailed, registry.EndHeartbeatTimeout:
 		flags |= flagBad
 	}
 	us := min(uint64(f.ComeBack/time.Microsecond), math.MaxUint32)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -16,7 +16,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 func newRecord(t testing.TB, bytes int) *Record {
@@ -128,7 +128,7 @@
 	tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRedrawn, 2, 1<<31))
 	tr.Pass(1 << 31)(balancer.StatusOK)
 	tr.Up()
-	tr.Ended(core.Final{End: memory.Moved, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond})
+	tr.Ended(core.Final{End: registry.EndMigrated, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond})
 	tr.Decided(decision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0)) // it has crossed the end
 	got, err := r.Number(7)
 	if err != nil {
@@ -146,7 +146,7 @@
 		t.Errorf("kept the steps %v, want %v", kinds, want)
 	}
 	f, ended := got.Answer()
-	if want := (core.Final{End: memory.Moved, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond}); !ended || f != want {
+	if want := (core.Final{End: registry.EndMigrated, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond}); !ended || f != want {
 		t.Errorf("kept the end %+v", f)
 	}
 	passes := got.Passes()
@@ -172,9 +172,9 @@
 			bad = append(bad, i)
 			tr := serve(r, i, balancer.StatusFull, balancer.StatusTimeout)
 			tr.Decided(decision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0))
-			tr.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Second})
+			tr.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Second})
 		default:
-			serve(r, i, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
+			serve(r, i, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
 		}
 	}
 	for _, i := range bad {
@@ -198,7 +198,7 @@
 	}
 	// Where all are refused, the oldest of those go, and never the whole of the rest.
 	for i := uint64(n + 1); i <= 2*n; i++ {
-		serve(r, i, balancer.StatusFull).Ended(core.Final{End: memory.Unavailable})
+		serve(r, i, balancer.StatusFull).Ended(core.Final{End: registry.EndRejected})
 	}
 	s = r.Stats()
 	if share := float64(s.Held["eventful"]) / float64(s.Blocks); s.Kept["uneventful"] == 0 || share > 0.77 {
@@ -214,7 +214,7 @@
 	r := newRecord(t, LeastBytes)
 	waiting := r.Began(1, ask(1))
 	for i := uint64(2); i < 10_000; i++ {
-		serve(r, i, balancer.StatusFull).Ended(core.Final{End: memory.Unavailable})
+		serve(r, i, balancer.StatusFull).Ended(core.Final{End: registry.EndRejected})
 	}
 	if got, err := r.Number(1); err != nil || got.Cut {
 		t.Errorf("who waits: %+v, %v", got, err)
@@ -222,14 +222,14 @@
 	waiting.Pass(4)(balancer.StatusOK)
 	waiting.Up()
 	for i := uint64(10_000); i < 20_000; i++ {
-		serve(r, i, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
+		serve(r, i, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
 	}
 	// It has stood for so long that its beginning is gone. Its end is told by itself.
 	if _, err := r.Number(1); !errors.Is(err, ErrGone) {
 		t.Errorf("who has stood for long: %v", err)
 	}
 	waiting.Decided(decision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
-	waiting.Ended(core.Final{End: memory.Moved})
+	waiting.Ended(core.Final{End: registry.EndMigrated})
 	if got, err := r.Number(1); err != nil || !got.Cut || got.AnswerName() != "moved" || len(got.Steps) != 2 {
 		t.Errorf("its end: %+v, %v", got, err)
 	}
@@ -237,7 +237,7 @@
 
 func TestPinStaysWithinItsShare(t *testing.T) {
 	r := newRecord(t, LeastBytes)
-	serve(r, 1, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
+	serve(r, 1, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
 	if err := r.Pin(1, true); err != nil {
 		t.Fatal(err)
 	}
@@ -246,9 +246,9 @@
 		t.Fatal(err)
 	}
 	for i := uint64(3); i < 5000; i++ {
-		serve(r, i, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
+		serve(r, i, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
 	}
-	standing.Ended(core.Final{End: memory.Silent})
+	standing.Ended(core.Final{End: registry.EndHeartbeatTimeout})
 	for _, i := range []uint64{1, 2} {
 		if got, err := r.Number(i); err != nil || !got.Pinned || got.Cut || !got.Ended {
 			t.Errorf("pinned: %+v, %v", got, err)
@@ -402,7 +402,7 @@
 			},
 			"end": func(rt *rapid.T) {
 				if _, m := pick(); m != nil && !m.done {
-					m.Ended(core.Final{End: memory.End(rapid.IntRange(0, 5).Draw(rt, "end"))})
+					m.Ended(core.Final{End: registry.End(rapid.IntRange(0, 5).Draw(rt, "end"))})
 					m.steps++
 					m.done = true
 				}
@@ -435,7 +435,7 @@
 					tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRedrawn, attempt+1, server))
 					tr.Pass(server)(balancer.StatusFull)
 				}
-				tr.Ended(core.Final{End: memory.Unavailable, ComeBack: time.Duration(n) * time.Microsecond})
+				tr.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Duration(n) * time.Microsecond})
 			}
 		})
 	}
@@ -495,7 +495,7 @@
 		runtime.ReadMemStats(&before)
 		r := newRecord(t, bytes)
 		for i := uint64(1); i <= 40_000; i++ {
-			serve(r, i, balancer.StatusFull, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
+			serve(r, i, balancer.StatusFull, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -514,7 +514,7 @@
 		b.Run(fmt.Sprintf("reader=%v", reading), func(b *testing.B) {
 			r := newRecord(b, DefaultBytes)
 			for i := range uint64(20_000) {
-				serve(r, i+1, balancer.StatusOK).Ended(core.Final{End: memory.Ended})
+				serve(r, i+1, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
 			}
 			var done atomic.Bool
 			var reader sync.WaitGroup
--- a/internal/screen/screen.go
+++ b/internal/screen/screen.go
@@ -13,7 +13,7 @@
 	"github.com/mattn/go-runewidth"
 
 	"lockroad/internal/console"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Ask has the relay run a command of its console.
@@ -96,7 +96,7 @@
 			return l
 		}
 		if text, l.err = ask("status --json"); l.err == nil {
-			l.count = int(sum(text, memory.Waiting.String(), memory.Out.String(), memory.Open.String()))
+			l.count = int(sum(text, registry.StageWaiting.String(), registry.StageAttempting.String(), registry.StageEstablished.String()))
 			text, l.err = ask("servers --json")
 		}
 		for line := range strings.Lines(text) {
--- a/internal/spoken/amqp/blocked_test.go
+++ b/internal/spoken/amqp/blocked_test.go
@@ -197,7 +197,7 @@
 				second.write(3, perf{codeDetach, list{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
 				second.until(codeDetach, 2, condInvalid, 3*time.Second)
-				steps.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Passes(balancer.StatusNotSent) == 1 })
+				steps.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
 				d.let()
 			case "the server drains":
 				r.list(balancer.StateDraining, 0)
--- a/internal/spoken/amqp/both_test.go
+++ b/internal/spoken/amqp/both_test.go
@@ -20,7 +20,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/line"
 )
@@ -541,8 +541,8 @@
 		time.Sleep(time.Millisecond) // a poll with a bound: nothing waits for it
 	}
 	var passes []string
-	for i, name := range memory.Statuses {
-		if n := r.core.Counters.Passes(balancer.AttemptStatus(i)); n > 0 {
+	for i, name := range registry.StatusNames {
+		if n := r.core.Counters.Attempts(balancer.AttemptStatus(i)); n > 0 {
 			passes = append(passes, fmt.Sprintf("%s=%d", name, n))
 		}
 	}
--- a/internal/spoken/amqp/endings_test.go
+++ b/internal/spoken/amqp/endings_test.go
@@ -227,7 +227,7 @@
 				waits := result(ctx, r, w, time.Minute)
 				steps.Until(t, "its pass goes out", func() bool {
 					all := r.core.Transactions.List()
-					return len(all) == 1 && all[0].Passes == 1
+					return len(all) == 1 && all[0].Attempts == 1
 				})
 				c.do(r, leave)
 				if c.name == "the client leaves" {
@@ -261,7 +261,7 @@
 		waits := result(ctx, r, w, giveUp)
 		steps.Until(t, "the connection is late", func() bool { return r.core.Clock.Now()-began > late })
 		f.let(t, w, r.script)
-		steps.Until(t, "it is up", func() bool { return r.core.Counters.Up.Load() == 1 })
+		steps.Until(t, "it is up", func() bool { return r.core.Counters.Established.Load() == 1 })
 		if r.script.mu.Lock(); r.script.waits <= 0 || r.script.waits > giveUp-late {
 			t.Errorf("the server is told to answer within %v", r.script.waits)
 		}
@@ -302,7 +302,7 @@
 		close(g.open) // it breaks
 		steps.Until(t, "the repeat is out", func() bool {
 			all := r.core.Transactions.List()
-			return len(all) == 1 && all[0].Passes == 2
+			return len(all) == 1 && all[0].Attempts == 2
 		})
 		steps.Until(t, "the first is forgotten", func() bool { return r.core.Clock.Now() > began+2*memory })
 		f.let(t, w, r.script)
@@ -328,7 +328,7 @@
 		{"for a turn", 1, nil, func(_ *testing.T, r *rig) bool { return r.core.Transactions.Len() == 1 }, 0},
 		// The last wait takes 1.6 s.
 		{"for its backoff", 7, []behaviour{breaks, breaks, breaks, breaks, breaks}, func(_ *testing.T, r *rig) bool {
-			return r.core.Counters.Passes(balancer.StatusReset) == 5
+			return r.core.Counters.Attempts(balancer.StatusReset) == 5
 		}, 5},
 		{"for a server that takes nothing now", 1, []behaviour{accept}, func(_ *testing.T, r *rig) bool {
 			return r.core.Transactions.Len() == 2
@@ -351,7 +351,7 @@
 					// It is cold, and another has just had what it bears.
 					r.list(balancer.StateReady, r.core.Clock.Now()-18*time.Second)
 					result(first, r, w, time.Minute)
-					steps.Until(t, "the first stands", func() bool { return r.core.Counters.Up.Load() == 1 })
+					steps.Until(t, "the first stands", func() bool { return r.core.Counters.Established.Load() == 1 })
 					stands = 1
 				}
 				ctx, leave := context.WithCancel(context.Background())
@@ -408,7 +408,7 @@
 			if got := s.sessions.Load(); got != c.sessions {
 				t.Errorf("servers have seen %d sessions, want %d", got, c.sessions)
 			}
-			if n := r.core.Counters.Passes(balancer.StatusReset); n != 1 {
+			if n := r.core.Counters.Attempts(balancer.StatusReset); n != 1 {
 				t.Errorf("%d passes were reset", n)
 			}
 		})
@@ -427,7 +427,7 @@
 	c.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
 	steps.Until(t, "its pass goes out", func() bool {
 		all := r.core.Transactions.List()
-		return len(all) == 1 && all[0].Passes == 1
+		return len(all) == 1 && all[0].Attempts == 1
 	})
 	c.write(5, perf{codeAttach, list{"a link", uint32(1), false}}, nil) // on a channel without a session
 	c.want(codeClose, 0, condFraming)
--- a/internal/spoken/amqp/server.go
+++ b/internal/spoken/amqp/server.go
@@ -14,8 +14,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/pool"
+	"lockroad/internal/registry"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
 )
@@ -80,7 +80,7 @@
 }
 
 // reach opens a connection to a server, with a session on it; on a shared one the session begins as the attach goes out.
-func (f *Front) reach(ctx context.Context, to memory.Server, address string, bound time.Duration) (*upstream, error) {
+func (f *Front) reach(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*upstream, error) {
 	if f.trunks != nil {
 		l, id, err := f.trunks.lane(ctx, to, address, bound)
 		if err != nil {
--- a/internal/spoken/amqp/trunks.go
+++ b/internal/spoken/amqp/trunks.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/memory"
 	"lockroad/internal/pool"
+	"lockroad/internal/registry"
 )
 
 // letGo is how long a server may take to let go of a session that was ended. Its connection takes nothing new
@@ -44,7 +44,7 @@
 }
 
 // lane opens a session at a server, on a connection that others share or that is brought up for it.
-func (t *trunks) lane(ctx context.Context, to memory.Server, address string, bound time.Duration) (*lane, pool.ID, error) {
+func (t *trunks) lane(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*lane, pool.ID, error) {
 	for {
 		t.mu.Lock()
 		if t.over {
@@ -93,7 +93,7 @@
 }
 
 // bringUp dials a server. What comes of it is every waiting transaction's.
-func (t *trunks) bringUp(tr *trunk, to memory.Server, bound time.Duration) {
+func (t *trunks) bringUp(tr *trunk, to registry.Endpoint, bound time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	u, err := t.front.dial(ctx, tr.address, bound)
 	cancel()
@@ -115,11 +115,11 @@
 	close(tr.ready)
 	t.mu.Unlock()
 	go u.beat(u.idle, tr.stop)
-	if to.Leaving != nil {
+	if to.Draining != nil {
 		go func() {
 			select {
 			case <-tr.stop:
-			case <-to.Leaving: // its clients are moved; the connection goes with the last
+			case <-to.Draining: // its clients are moved; the connection goes with the last
 				t.mu.Lock()
 				t.pool.Shut(tr.id)
 				t.tidy()
--- a/internal/spoken/discovery/discovery_test.go
+++ b/internal/spoken/discovery/discovery_test.go
@@ -97,7 +97,7 @@
 func farmOf(k *core.Core) string {
 	var all []string
 	for _, s := range k.Farm.List() {
-		all = append(all, s.Name+"="+[]string{"gone", "ready", "draining"}[s.Phase])
+		all = append(all, s.Name+"="+[]string{"gone", "ready", "draining"}[s.State])
 	}
 	return strings.Join(all, " ")
 }
@@ -132,7 +132,7 @@
 		switch i {
 		case 0: // what is about to go out to s-2 learns at once that it drains
 			select {
-			case <-known.Leaving:
+			case <-known.Draining:
 			case <-time.After(5 * time.Second):
 				t.Fatal("a server that drains is not leaving")
 			}
@@ -443,7 +443,7 @@
 	if got := farmOf(k); got != "s-1=draining s-2=draining s-3=ready s-4=gone s-5=draining s-6=ready" {
 		t.Errorf("the farm is %s", got)
 	}
-	if !passes.IsLeaving() {
+	if !passes.IsDraining() {
 		t.Error("a pass would go to a server that drains")
 	}
 	io.WriteString(h, chunk(list(52, false, member("s-2", "ready"))))
--- a/internal/spoken/line/encoding_test.go
+++ b/internal/spoken/line/encoding_test.go
@@ -60,7 +60,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it is not handed over")
 	}
-	steps.Until(t, "it is not taken up", func() bool { return to.core.Transactions.Stages()[2] == 1 })
+	steps.Until(t, "it is not taken up", func() bool { return to.core.Transactions.CountByStage()[2] == 1 })
 	client.say("ord\r\n")
 	server.want("ord\r\n")
 	server.say("rd\r\nhalf")
--- a/internal/spoken/line/front_test.go
+++ b/internal/spoken/line/front_test.go
@@ -203,7 +203,7 @@
 		client.want("ERR\r\n")
 		client.wantEnd(false)
 	}
-	if n := s.core.Counters.BadLines.Load(); n != 4 {
+	if n := s.core.Counters.ProtocolErrors.Load(); n != 4 {
 		t.Errorf("%d bad openings were counted, want 4", n)
 	}
 }
--- a/internal/spoken/otlp/golden_test.go
+++ b/internal/spoken/otlp/golden_test.go
@@ -22,8 +22,8 @@
 	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/golden"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 // transcriber is a collector that writes down what it is sent, but for times and ids.
@@ -143,17 +143,17 @@
 	k := core.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, core.NewClock())
 	first, second := k.Farm.ID("s-1"), k.Farm.ID("s-2")
 	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
-	for end := range memory.EndNames {
+	for end := range registry.EndNames {
 		for range end + 1 {
-			k.Counters.End(memory.End(end))
+			k.Counters.CountEnd(registry.End(end))
 		}
 	}
-	for status := range memory.Statuses {
+	for status := range registry.StatusNames {
 		for range status + 1 {
-			k.Counters.Pass(balancer.AttemptStatus(status))
+			k.Counters.CountAttempt(balancer.AttemptStatus(status))
 		}
 	}
-	k.Counters.Transactions.Add(41)
+	k.Counters.Requests.Add(41)
 	r, err := record.New(record.LeastBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
@@ -170,11 +170,11 @@
 	}
 	kept.Pass(first)(balancer.StatusOK)
 	traced := (&observer{clock: k.Clock, farm: k.Farm, record: r, tracer: telemetry.tracers.Tracer(scope)}).Began(7, ask)
-	for status := range memory.Statuses {
+	for status := range registry.StatusNames {
 		traced.Pass(first)(balancer.AttemptStatus(status))
 	}
 	traced.Up()
-	traced.Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond})
+	traced.Ended(core.Final{End: registry.EndRejected, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond})
 	if err := telemetry.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/spoken/otlp/otlp.go
+++ b/internal/spoken/otlp/otlp.go
@@ -22,8 +22,8 @@
 	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 const (
@@ -104,7 +104,7 @@
 	c := k.Counters
 	return errors.Join(parts,
 		count("lockroad.transactions", "transactions taken", func(o metric.Int64Observer) {
-			o.Observe(c.Transactions.Load())
+			o.Observe(c.Requests.Load())
 		}),
 		count("lockroad.answers", "final answers and other ends, by kind", func(o metric.Int64Observer) {
 			for _, e := range c.Ends() {
@@ -112,21 +112,21 @@
 			}
 		}),
 		count("lockroad.passes", "proxy passes that have ended, by outcome", func(o metric.Int64Observer) {
-			for how, name := range memory.Statuses {
-				o.Observe(c.Passes(balancer.AttemptStatus(how)), by("outcome", name))
+			for how, name := range registry.StatusNames {
+				o.Observe(c.Attempts(balancer.AttemptStatus(how)), by("outcome", name))
 			}
 		}),
 		count("lockroad.invariants.broken", "invariants that did not hold", func(o metric.Int64Observer) {
 			o.Observe(assert.Broken())
 		}),
 		gauge("lockroad.connections", "transactions under way, by stage", func(o metric.Int64Observer) {
-			for stage, n := range k.Transactions.Stages() {
-				o.Observe(n, by("stage", memory.Stage(stage).String()))
+			for stage, n := range k.Transactions.CountByStage() {
+				o.Observe(n, by("stage", registry.Stage(stage).String()))
 			}
 		}),
 		gauge("lockroad.farm", "application servers, by phase", func(o metric.Int64Observer) {
-			for phase, n := range k.Farm.Phases() {
-				o.Observe(n, by("phase", memory.PhaseName(balancer.EndpointState(phase))))
+			for phase, n := range k.Farm.CountByState() {
+				o.Observe(n, by("phase", registry.StateName(balancer.EndpointState(phase))))
 			}
 		}),
 	)
@@ -135,7 +135,7 @@
 // observer makes a span of each transaction.
 type observer struct {
 	clock  core.Clock
-	farm   *memory.Farm
+	farm   *registry.Endpoints
 	record *record.Record
 	tracer trace.Tracer
 }
@@ -168,9 +168,9 @@
 	_, span := t.tracer.Start(t.ctx, "proxy pass", trace.WithSpanKind(trace.SpanKindClient),
 		trace.WithAttributes(attribute.String("server", name)))
 	return func(how balancer.AttemptStatus) {
-		span.SetAttributes(attribute.String("outcome", memory.Statuses[how]))
+		span.SetAttributes(attribute.String("outcome", registry.StatusNames[how]))
 		if how != balancer.StatusOK {
-			span.SetStatus(codes.Error, memory.Statuses[how])
+			span.SetStatus(codes.Error, registry.StatusNames[how])
 		}
 		span.End()
 	}
--- a/internal/spoken/probe/probe.go
+++ b/internal/spoken/probe/probe.go
@@ -15,7 +15,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/members"
-	"lockroad/internal/memory"
+	"lockroad/internal/registry"
 )
 
 // Server is one of the list.
@@ -218,7 +218,7 @@
 		ok := how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.members.Passed(p.Core.Clock.Now(), p.Core.Farm.Name(server), ok, "a pass: "+memory.Statuses[how])
+		p.members.Passed(p.Core.Clock.Now(), p.Core.Farm.Name(server), ok, "a pass: "+registry.StatusNames[how])
 		p.list()
 	}
 }
--- a/internal/why/account.go
+++ b/internal/why/account.go
@@ -12,8 +12,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 // Teller tells of what a record holds.
@@ -169,7 +169,7 @@
 		out.What, out.Server = "pass", w.Names.Name(s.Server)
 		out.Text = "connects to " + out.Server
 	case record.PassBack:
-		out.What, out.Server, out.Outcome = "outcome", w.Names.Name(s.Server), memory.Statuses[s.How]
+		out.What, out.Server, out.Outcome = "outcome", w.Names.Name(s.Server), registry.StatusNames[s.How]
 		out.Text = out.Server + " " + outcomes[s.How]
 	case record.Up:
 		out.What, out.Text = "up", "the client is told that it is up"
@@ -195,7 +195,7 @@
 		back = ", to come back in " + span(f.ComeBack)
 	}
 	switch f.End {
-	case memory.Unavailable:
+	case registry.EndRejected:
 		switch f.Cause {
 		case core.NoSeat:
 			return "gets the unavailable answer at the door: no seat was free" + back
@@ -207,16 +207,16 @@
 			return "gets the unavailable answer: it was not open at the server that its client named"
 		}
 		return "gets the unavailable answer" + back
-	case memory.Failed:
+	case registry.EndFailed:
 		return "gets the failed answer"
-	case memory.ClientLeft:
+	case registry.EndClientLeft:
 		return "its client has left before an answer"
-	case memory.Moved:
+	case registry.EndMigrated:
 		if f.Cause == core.RelayLeaves {
 			return "its client is told to move: the relay is leaving"
 		}
 		return "its client is told to move"
-	case memory.Silent:
+	case registry.EndHeartbeatTimeout:
 		return "its server has gone silent; its client is told to move"
 	}
 	switch f.How {
@@ -256,7 +256,7 @@
 		text += fmt.Sprintf(", %.0f%% warm", 100*f.Warmth)
 	}
 	if f.State != balancer.StateReady {
-		text += ", " + memory.PhaseName(f.State)
+		text += ", " + registry.StateName(f.State)
 	}
 	return text
 }
@@ -274,7 +274,7 @@
 		out.Server = w.Names.Name(d.Endpoint)
 	}
 	for _, f := range d.Considered {
-		b := Belief{Server: w.Names.Name(f.Endpoint), State: memory.PhaseName(f.State), Bars: f.Exclusions.Names(), Weight: part(f.Weight),
+		b := Belief{Server: w.Names.Name(f.Endpoint), State: registry.StateName(f.State), Bars: f.Exclusions.Names(), Weight: part(f.Weight),
 			Warmth: part(f.Warmth), Load: part(f.Load), Pull: part(f.Probability), Delay: ms(f.Delay)}
 		if f.DelayAge >= 0 {
 			age := ms(f.DelayAge)
@@ -449,7 +449,7 @@
 // gone tells whether a transaction's client was moved or cut off.
 func gone(t *record.Transaction) bool {
 	f, ok := t.Answer()
-	return ok && (f.End == memory.Moved || f.End == memory.Silent || f.End == memory.Ended && f.How != balancer.StatusOK && f.How != balancer.StatusCancelled)
+	return ok && (f.End == registry.EndMigrated || f.End == registry.EndHeartbeatTimeout || f.End == registry.EndClosed && f.How != balancer.StatusOK && f.How != balancer.StatusCancelled)
 }
 
 func sameAs(x, y *record.Transaction) string {
--- a/internal/why/ask.go
+++ b/internal/why/ask.go
@@ -12,8 +12,8 @@
 	"text/tabwriter"
 
 	"lockroad/balancer"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 // Question is what is asked, as a console or the command line puts it.
@@ -269,7 +269,7 @@
 		d, outcome := &t.Steps[i].Decision, ""
 		for j := i + 1; j < len(t.Steps) && d.Verdict == balancer.VerdictSent && t.Steps[j].Kind != record.Decided; j++ {
 			if t.Steps[j].Kind == record.PassBack {
-				outcome = memory.Statuses[t.Steps[j].How]
+				outcome = registry.StatusNames[t.Steps[j].How]
 				break
 			}
 		}
--- a/internal/why/core_test.go
+++ b/internal/why/core_test.go
@@ -13,15 +13,15 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 // scripted is a front's side of a transaction whose passes end as told.
 type scripted struct {
 	hows []balancer.AttemptStatus
 	seen []string // server and outcome of each pass
-	farm *memory.Farm
+	farm *registry.Endpoints
 }
 
 type noLink struct{}
@@ -38,7 +38,7 @@
 	} else {
 		time.Sleep(20 * time.Millisecond)
 	}
-	x.seen = append(x.seen, x.farm.Name(out.To.ID)+" "+memory.Statuses[how])
+	x.seen = append(x.seen, x.farm.Name(out.To.ID)+" "+registry.StatusNames[how])
 	if how == balancer.StatusOK {
 		return noLink{}, how
 	}
@@ -146,7 +146,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			farm := memory.NewFarm()
+			farm := registry.NewEndpoints()
 			var list []balancer.Endpoint
 			for i := range 13 {
 				list = append(list, balancer.Endpoint{ID: farm.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
@@ -164,7 +164,7 @@
 				id, now := balancer.RequestID(number), clock.Now()
 				m.Handle(now, balancer.Request{ID: id, Group: number % 64, TimeLeft: time.Second})
 				m.Handle(now, balancer.ClientLeft{Request: id})
-				trace.Ended(core.Final{End: memory.Ended})
+				trace.Ended(core.Final{End: registry.EndClosed})
 			}
 			for range 20_000 {
 				turn()
--- a/internal/why/golden_test.go
+++ b/internal/why/golden_test.go
@@ -11,8 +11,8 @@
 	"lockroad/balancer"
 	"lockroad/internal/core"
 	"lockroad/internal/golden"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 // fullTransaction has every field set that an account tells of.
@@ -31,7 +31,7 @@
 			{Kind: record.PassBack, At: began + 20*time.Millisecond, Server: 1, How: balancer.StatusOK},
 			{Kind: record.Up, At: began + 21*time.Millisecond},
 			{Kind: record.Final, At: began + 3*time.Second, Final: core.Final{
-				End: memory.Unavailable, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond, How: balancer.StatusReset}},
+				End: registry.EndRejected, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond, How: balancer.StatusReset}},
 		},
 	}
 }
@@ -94,14 +94,14 @@
 				tell(s)
 			}
 		}
-		for status := range memory.Statuses {
+		for status := range registry.StatusNames {
 			tell(record.Step{Kind: record.PassBack, At: h.from, Server: 2, How: balancer.AttemptStatus(status)})
 		}
-		for end := range memory.EndNames {
+		for end := range registry.EndNames {
 			for cause := range core.Causes {
-				for status := range memory.Statuses {
+				for status := range registry.StatusNames {
 					tell(record.Step{Kind: record.Final, At: h.from, Final: core.Final{
-						End: memory.End(end), Cause: core.Cause(cause), How: balancer.AttemptStatus(status), ComeBack: time.Second}})
+						End: registry.End(end), Cause: core.Cause(cause), How: balancer.AttemptStatus(status), ComeBack: time.Second}})
 				}
 			}
 		}
@@ -122,11 +122,11 @@
 	list := func(of string, words []string) { fmt.Fprintf(&b, "%s: %s\n", of, strings.Join(words, " ")) }
 	list("facets", facets)
 	list("answers", answers)
-	list("ends", memory.EndNames)
+	list("ends", registry.EndNames)
 	list("causes", core.Causes[:])
 	list("reasons", balancer.ReasonNames[:])
 	list("verdicts", balancer.VerdictNames[:])
-	list("outcomes", memory.Statuses)
+	list("outcomes", registry.StatusNames)
 	list("bars", balancer.ExclusionNames[:])
 	list("ties", ties)
 	list("kinds", record.Kinds[:])
@@ -137,9 +137,9 @@
 	slices.Sort(compared)
 	list("operators", compared)
 	for _, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateDraining, balancer.StateGone} {
-		fmt.Fprintf(&b, "state: %s\n", memory.PhaseName(state))
+		fmt.Fprintf(&b, "state: %s\n", registry.StateName(state))
 	}
-	for _, stage := range []memory.Stage{memory.Waiting, memory.Out, memory.Open} {
+	for _, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
 		fmt.Fprintf(&b, "stage: %s\n", stage)
 	}
 	golden.Compare(t, "vocabulary.txt", b.String())
@@ -149,7 +149,7 @@
 func TestConstantsKeepTheirWords(t *testing.T) {
 	var b strings.Builder
 	for _, c := range []fmt.Stringer{
-		memory.Ended, memory.Unavailable, memory.Failed, memory.ClientLeft, memory.Moved, memory.Silent, memory.HandedOver,
+		registry.EndClosed, registry.EndRejected, registry.EndFailed, registry.EndClientLeft, registry.EndMigrated, registry.EndHeartbeatTimeout, registry.EndHandedOff,
 		core.Decided, core.NoSeat, core.RelayLeaves, core.NotOpen, core.NoEcho, core.OverLimit,
 		balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated,
 		balancer.ReasonCachedRoute, balancer.ReasonRouteGone, balancer.ReasonRouteSlow, balancer.ReasonRouteRecovering, balancer.ReasonRouteAtCapacity, balancer.ReasonRouteWarmingUp, balancer.ReasonRedrawn,
@@ -159,7 +159,7 @@
 		fmt.Fprintf(&b, "%d %s\n", reflect.ValueOf(c).Uint(), c)
 	}
 	for _, how := range []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusCancelled, balancer.StatusNotSent, balancer.StatusRedirected} {
-		fmt.Fprintf(&b, "%d %s\n", how, memory.Statuses[how])
+		fmt.Fprintf(&b, "%d %s\n", how, registry.StatusNames[how])
 	}
 	golden.Compare(t, "constants.txt", b.String())
 }
@@ -171,7 +171,7 @@
 	defer func() { time.Local = local }()
 	in(t, func(h *hall) {
 		h.refused()
-		h.begin("page", func(a *core.Ask) { a.Tenant = "acme" }).Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat})
+		h.begin("page", func(a *core.Ask) { a.Tenant = "acme" }).Ended(core.Final{End: registry.EndRejected, Cause: core.NoSeat})
 		var b strings.Builder
 		for _, line := range []string{
 			"--by " + strings.Join(facets, ","), "--json --by " + strings.Join(facets, ","), "--by class (class \"page\")", "--json --by reason (class \"live-preview\")",
--- a/internal/why/query.go
+++ b/internal/why/query.go
@@ -11,8 +11,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 	"lockroad/internal/sexp"
 )
 
@@ -37,7 +37,7 @@
 type compiler struct{ names Names }
 
 // answers are what a transaction can have for an answer so far.
-var answers = append([]string{"waiting", "up"}, memory.EndNames...)
+var answers = append([]string{"waiting", "up"}, registry.EndNames...)
 
 var fields []field
 
@@ -64,11 +64,11 @@
 			oneOf(balancer.ReasonNames[1:], decisions(func(d *balancer.Decision) string { return d.Reason.String() }))},
 		{"verdict", "VERDICT ...", "a decision was this: " + strings.Join(balancer.VerdictNames[:], ", "),
 			oneOf(balancer.VerdictNames[:], decisions(func(d *balancer.Decision) string { return d.Verdict.String() }))},
-		{"outcome", "OUTCOME ...", "a pass ended so: " + strings.Join(memory.Statuses, ", "),
-			oneOf(memory.Statuses, func(t *record.Transaction) (all []string) {
+		{"outcome", "OUTCOME ...", "a pass ended so: " + strings.Join(registry.StatusNames, ", "),
+			oneOf(registry.StatusNames, func(t *record.Transaction) (all []string) {
 				for _, p := range t.Passes() {
 					if !p.Out {
-						all = append(all, memory.Statuses[p.How])
+						all = append(all, registry.StatusNames[p.How])
 					}
 				}
 				return all
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -10,14 +10,14 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/core"
-	"lockroad/internal/memory"
 	"lockroad/internal/record"
+	"lockroad/internal/registry"
 )
 
 // hall is a record with a clock that the test moves, and three servers.
 type hall struct {
 	t    *testing.T
-	farm *memory.Farm
+	farm *registry.Endpoints
 	r    *record.Record
 	w    *Teller
 	next uint64
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &hall{t: t, farm: memory.NewFarm(), r: r, from: clock.Now()}
+		h := &hall{t: t, farm: registry.NewEndpoints(), r: r, from: clock.Now()}
 		for i := range 3 {
 			h.farm.ID(fmt.Sprintf("s-%d", i+1))
 		}
@@ -89,7 +89,7 @@
 		}
 	}
 	h.decided(tr, balancer.VerdictRejected, balancer.ReasonAttemptsExhausted, 3, 800*time.Millisecond)
-	tr.Ended(core.Final{End: memory.Unavailable, ComeBack: 800 * time.Millisecond})
+	tr.Ended(core.Final{End: registry.EndRejected, ComeBack: 800 * time.Millisecond})
 }
 
 func (h *hall) ask(line string) string {
@@ -157,8 +157,8 @@
 		first.Up()
 		time.Sleep(3 * time.Second)
 		h.decided(first, balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 0, belief(1, balancer.ExcludedSlow))
-		first.Ended(core.Final{End: memory.Moved})
-		h.begin("page", func(a *core.Ask) { a.Item, a.Group = 0x98, 7 }).Ended(core.Final{End: memory.ClientLeft}) // of the group, and not back
+		first.Ended(core.Final{End: registry.EndMigrated})
+		h.begin("page", func(a *core.Ask) { a.Item, a.Group = 0x98, 7 }).Ended(core.Final{End: registry.EndClientLeft}) // of the group, and not back
 		time.Sleep(400 * time.Millisecond)
 		back := h.begin("page", func(a *core.Ask) { move(a); a.Returning = true })
 		h.begin("page", func(a *core.Ask) { a.Item, a.Group, a.Returning = 0x97, 7, true })
@@ -190,9 +190,9 @@
 			h.decided(tr, balancer.VerdictSent, balancer.ReasonCachedRoute, 1, 0, belief(2, 0))
 			tr.Pass(2)(balancer.StatusOK)
 			tr.Up()
-			tr.Ended(core.Final{End: memory.Ended})
+			tr.Ended(core.Final{End: registry.EndClosed})
 		}
-		h.begin("print", func(a *core.Ask) { a.Front, a.Returning = "amqp", true }).Ended(core.Final{End: memory.Unavailable, Cause: core.NoSeat}) // 5
+		h.begin("print", func(a *core.Ask) { a.Front, a.Returning = "amqp", true }).Ended(core.Final{End: registry.EndRejected, Cause: core.NoSeat}) // 5
 		if err := h.r.Pin(3, true); err != nil {
 			t.Fatal(err)
 		}
@@ -302,7 +302,7 @@
 			h.decided(tr, balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 0, belief(1, 0))
 			tr.Pass(1)(balancer.StatusOK)
 			tr.Up()
-			tr.Ended(core.Final{End: memory.Moved})
+			tr.Ended(core.Final{End: registry.EndMigrated})
 			time.Sleep(time.Millisecond)
 		}
 		for line, want := range map[string]string{
