--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/figures"
+	"lockroad/internal/metrics"
 )
 
 // serve runs a desk and returns where it is.
@@ -60,8 +60,8 @@
 
 func TestCallsAreAnswered(t *testing.T) {
 	var ready atomic.Bool
-	f := &figures.Figures{}
-	f.Tries.Add(5)
+	f := &metrics.Set{}
+	f.Attempts.Add(5)
 	address := serve(t, &Desk{Ready: ready.Load, Figures: f})
 	for _, c := range []struct {
 		text string
@@ -87,7 +87,7 @@
 
 // Callers who finish no call hold no more places than there are, and keep nobody out.
 func TestCallersWhoSayNothingKeepNobodyOut(t *testing.T) {
-	address := serve(t, &Desk{Ready: func() bool { return true }, Figures: &figures.Figures{}})
+	address := serve(t, &Desk{Ready: func() bool { return true }, Figures: &metrics.Set{}})
 	var quiet []net.Conn
 	for i := range 3 * Places {
 		c, err := net.Dial("tcp", address)
@@ -118,7 +118,7 @@
 
 // The call is complete at every byte that it is cut at.
 func TestCallsInPieces(t *testing.T) {
-	address := serve(t, &Desk{Ready: func() bool { return true }, Figures: &figures.Figures{}})
+	address := serve(t, &Desk{Ready: func() bool { return true }, Figures: &metrics.Set{}})
 	text := get("/-/ready")
 	for cut := 1; cut < len(text); cut++ {
 		c, err := net.Dial("tcp", address)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -10,8 +10,8 @@
 	"sync"
 	"testing"
 
-	"lockroad/internal/figures"
 	"lockroad/internal/golden"
+	"lockroad/internal/metrics"
 )
 
 // What is answered at each path of the second address: status, type and text.
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	ready := false
-	d := &Desk{Ready: func() bool { return ready }, Figures: &figures.Figures{}}
+	d := &Desk{Ready: func() bool { return ready }, Figures: &metrics.Set{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { d.Serve(ctx, l) })
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,8 +12,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
-	"lockroad/internal/figures"
 	"lockroad/internal/limits"
+	"lockroad/internal/metrics"
 	"lockroad/internal/registry"
 )
 
@@ -84,7 +84,7 @@
 	Farm         *registry.Endpoints
 	Transactions *registry.Requests
 	Counters     *registry.Counters
-	Figures      *figures.Figures
+	Figures      *metrics.Set
 	Log          *slog.Logger // of what is no transaction's; set before the first turn, or nothing is logged
 
 	terms     atomic.Pointer[balancer.Settings] // in force
@@ -123,7 +123,7 @@
 		Farm:         registry.NewEndpoints(),
 		Transactions: registry.NewRequests(),
 		Counters:     &registry.Counters{},
-		Figures:      &figures.Figures{},
+		Figures:      &metrics.Set{},
 		Log:          slog.New(slog.DiscardHandler),
 		facade:       balancer.NewLoop(s, seed),
 		pulses:       newPulses(&s, clock),
@@ -153,7 +153,7 @@
 	for i, class := range s.Classes {
 		names[i] = class.Name
 	}
-	c.Figures.Name(names)
+	c.Figures.SetClasses(names)
 }
 
 // Revised notes the revision of the list that is handed over next.
@@ -206,7 +206,7 @@
 // should come again.
 func (c *Core) NoSeat(ctx context.Context, ask Ask, cause Cause) time.Duration {
 	wait := c.facade.RetryAfter(ctx)
-	c.Figures.Kind(ask.Class).Shed()
+	c.Figures.Class(ask.Class).CountRejected()
 	if len(c.observers) > 0 {
 		c.observers.began(c.Transactions.Number(), ask).Ended(Final{End: registry.EndRejected, Cause: cause, ComeBack: wait})
 	}
@@ -255,7 +255,7 @@
 // first turn.
 func (c *Core) Survey() {
 	c.facade.PublishCounts()
-	c.Figures.Pool = func() (listed, avoided int) { return c.facade.EndpointCounts(c.Clock.Now()) }
+	c.Figures.EndpointCounts = func() (listed, avoided int) { return c.facade.EndpointCounts(c.Clock.Now()) }
 }
 
 // Observe has one more observer told of the transactions to come. It is called before
@@ -284,7 +284,7 @@
 		// the route of the other's group is forgotten.
 		c.Misspoke(ask.Front, "a transaction of this name is open")
 		x.Bad("a transaction of this name is open")
-		c.Figures.Kind(ask.Class).Failed()
+		c.Figures.Class(ask.Class).CountFailed()
 		return
 	}
 	c.Counters.Requests.Add(1)
@@ -320,10 +320,10 @@
 // see sees a transaction through that was entered. One that is open already is brought to
 // where it stands first.
 func (c *Core) see(ctx context.Context, number uint64, ask Ask, x Exchange, stand func(*transaction) bool) {
-	t := &transaction{core: c, x: x, ask: ask, number: number, kind: c.Figures.Kind(ask.Class)}
+	t := &transaction{core: c, x: x, ask: ask, number: number, kind: c.Figures.Class(ask.Class)}
 	defer c.Transactions.Remove(t.number)
-	c.Figures.Active.Add(1)
-	defer c.Figures.Active.Add(-1)
+	c.Figures.ActiveRequests.Add(1)
+	defer c.Figures.ActiveRequests.Add(-1)
 	t.trace = c.observers.began(number, ask)
 	if len(t.trace) > 0 {
 		t.ask.Observer = t.trace
@@ -342,7 +342,7 @@
 	ask    Ask
 	ticket *balancer.RequestHandle
 	number uint64
-	kind   *figures.Kind
+	kind   *metrics.ClassCounters
 	asked  time.Duration // since when its client's word was unanswered as it was handed over; 0 if none is
 	pass   *pass
 	trace  traces
@@ -426,7 +426,7 @@
 			return Final{End: registry.EndRejected, Cause: cause, ComeBack: step.Wait}
 		case balancer.ActionFail:
 			t.x.Failed()
-			t.kind.Failed()
+			t.kind.CountFailed()
 			return Final{End: registry.EndFailed, Cause: cause}
 		case balancer.ActionMigrate:
 			t.pass.move(t.x)
@@ -453,7 +453,7 @@
 // unavailable gives the unavailable answer.
 func (t *transaction) unavailable(comeBack time.Duration) {
 	t.x.Unavailable(comeBack)
-	t.kind.Shed()
+	t.kind.CountRejected()
 }
 
 const (
--- a/internal/core/pulse.go
+++ b/internal/core/pulse.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/figures"
+	"lockroad/internal/metrics"
 )
 
 const (
@@ -25,7 +25,7 @@
 	clock  Clock
 	server balancer.EndpointID
 	up     chan struct{}
-	kind   *figures.Kind
+	kind   *metrics.ClassCounters
 	silent func()
 	load   func(float64)
 	delay  func(time.Duration)
@@ -39,7 +39,7 @@
 // Up notes that the client has been told that it is up. It is called once.
 func (p *Pulse) Up() {
 	close(p.up)
-	p.kind.OK()
+	p.kind.CountEstablished()
 }
 
 // Asked notes that the client has said something.
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -112,10 +112,10 @@
 		}
 		switch {
 		case err != nil && !ask.dry:
-			r.core.Figures.Rejected.Add(1)
+			r.core.Figures.ReloadsRejected.Add(1)
 			r.log.Error("the configuration stays as it was", "error", err)
 		case !ask.dry:
-			r.core.Figures.Applied.Add(1)
+			r.core.Figures.ReloadsApplied.Add(1)
 		}
 		if ask.answer != nil {
 			ask.answer <- reloadAnswer{changes, err}
--- a/internal/figures/figures_test.go
+++ b/internal/metrics/figures_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"fmt"
@@ -6,25 +6,25 @@
 	"testing"
 )
 
-func text(f *Figures) string {
+func text(f *Set) string {
 	var b strings.Builder
 	_, _ = f.WriteTo(&b)
 	return b.String()
 }
 
 func TestFiguresAreWrittenInThePagesForm(t *testing.T) {
-	f := &Figures{}
-	f.Name([]string{"page", `od"d\`})
-	f.Kind("page").OK()
-	f.Kind("page").OK()
-	f.Kind("page").Shed()
-	f.Kind(`od"d\`).Failed()
-	f.Kind("never named").OK() // counts nothing
-	f.Tries.Add(7)
-	f.Active.Add(3)
-	f.Applied.Add(2)
-	f.Rejected.Add(1)
-	f.Pool = func() (int, int) { return 12, 4 }
+	f := &Set{}
+	f.SetClasses([]string{"page", `od"d\`})
+	f.Class("page").CountEstablished()
+	f.Class("page").CountEstablished()
+	f.Class("page").CountRejected()
+	f.Class(`od"d\`).CountFailed()
+	f.Class("never named").CountEstablished() // counts nothing
+	f.Attempts.Add(7)
+	f.ActiveRequests.Add(3)
+	f.ReloadsApplied.Add(2)
+	f.ReloadsRejected.Add(1)
+	f.EndpointCounts = func() (int, int) { return 12, 4 }
 	want := `edge_proxy_ok_total{kind="od\"d\\"} 0
 edge_proxy_ok_total{kind="page"} 2
 edge_proxy_shed_total{kind="od\"d\\"} 0
@@ -45,17 +45,17 @@
 
 // A class that is dropped goes on being told of, and counts on for those who began in it.
 func TestClassesComeAndGo(t *testing.T) {
-	f := &Figures{}
-	f.Name([]string{"old"})
-	old := f.Kind("old")
-	old.OK()
-	f.Name([]string{"new"})
-	old.OK()
+	f := &Set{}
+	f.SetClasses([]string{"old"})
+	old := f.Class("old")
+	old.CountEstablished()
+	f.SetClasses([]string{"new"})
+	old.CountEstablished()
 	if got := text(f); !strings.Contains(got, `ok_total{kind="old"} 2`) || !strings.Contains(got, `ok_total{kind="new"} 0`) {
 		t.Errorf("written as\n%s", got)
 	}
 	for i := range 2 * kindsMost {
-		f.Name([]string{fmt.Sprint(i)})
+		f.SetClasses([]string{fmt.Sprint(i)})
 	}
 	if n := len(*f.kinds.Load()); n > kindsMost {
 		t.Errorf("%d classes are kept", n)
--- a/internal/spoken/amqp/front.go
+++ b/internal/spoken/amqp/front.go
@@ -401,13 +401,13 @@
 	if err != nil {
 		front.Core.Misspoke("amqp", err.Error())
 		s.refuse(l, condInvalid, err.Error(), nil)
-		front.Core.Figures.Kind(ask.Class).Failed()
+		front.Core.Figures.Class(ask.Class).CountFailed()
 		return nil
 	}
 	if !front.Gate.May(s.client.user, ask.Class) {
 		front.Core.Misspoke("amqp", "a client may not open a class")
 		s.refuse(l, condUnauthorized, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
-		front.Core.Figures.Kind(ask.Class).Failed()
+		front.Core.Figures.Class(ask.Class).CountFailed()
 		return nil
 	}
 	release, ok := front.Core.Admit(s.client.conn.RemoteAddr(), ask)
--- a/internal/spoken/amqp/server.go
+++ b/internal/spoken/amqp/server.go
@@ -293,7 +293,7 @@
 	case err != nil:
 		return spoken.Unsent(ctx) // of a frame that is not whole nothing runs
 	}
-	l.front.Core.Figures.Tries.Add(1)
+	l.front.Core.Figures.Attempts.Add(1)
 	for {
 		f, err := u.next(out.Wait)
 		if err != nil {
--- a/internal/spoken/line/front.go
+++ b/internal/spoken/line/front.go
@@ -174,7 +174,7 @@
 	if x.early.Load() {
 		f.Core.Misspoke("line", "a client goes on before its answer")
 		if c.end("ERR\r\n") {
-			f.Core.Figures.Kind(ask.Class).Failed()
+			f.Core.Figures.Class(ask.Class).CountFailed()
 		}
 	}
 	c.CloseWrite() // nothing follows its last line, not even if it is shown out
@@ -250,7 +250,7 @@
 	if _, err := s.Write(x.opening.with(out.Left(ctx))); err != nil {
 		return spoken.Unsent(ctx) // of a line that is not whole nothing runs
 	}
-	x.front.Core.Figures.Tries.Add(1)
+	x.front.Core.Figures.Attempts.Add(1)
 	text, err := s.r.line()
 	if err != nil {
 		return spoken.Ended(ctx, balancer.StatusReset)
