--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -12,8 +12,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
-	"lockroad/internal/limits"
 	"lockroad/internal/metrics"
+	"lockroad/internal/quota"
 	"lockroad/internal/registry"
 )
 
@@ -93,8 +93,8 @@
 	observers observers
 	seen      atomic.Uint64 // revision of the list
 
-	Limits   *limits.Gate // of addresses and classes; nil: there are none
-	Readings []Reading    // for telemetry; set before it starts
+	Limits   *quota.Limiter // of addresses and classes; nil: there are none
+	Readings []Reading      // for telemetry; set before it starts
 
 	listMu  sync.Mutex
 	listing listing
@@ -195,7 +195,7 @@
 	if err != nil {
 		host = address.String()
 	}
-	release, why, ok := c.Limits.Take(c.Clock.Now(), host, ask.Class)
+	release, why, ok := c.Limits.Acquire(c.Clock.Now(), host, ask.Class)
 	if !ok {
 		c.Log.Debug("a client is over a limit", "address", host, "class", ask.Class, "limit", why)
 	}
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -177,7 +177,7 @@
 		inForce = next
 		r.core.Retune(&next.Config.Settings)
 		r.prober.Replace(next.Health, next.Servers)
-		r.core.Limits.Retune(next.limits(r.seats))
+		r.core.Limits.UpdateSettings(next.limits(r.seats))
 		for _, change := range changes {
 			r.log.Info("the site's file", "change", change)
 		}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -20,8 +20,8 @@
 	"lockroad/internal/console"
 	"lockroad/internal/core"
 	"lockroad/internal/handover"
-	"lockroad/internal/limits"
 	"lockroad/internal/logs"
+	"lockroad/internal/quota"
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
@@ -191,7 +191,7 @@
 		return err
 	}
 	if s := words.Site; s != nil { // nobody has been let in yet
-		r.core.Limits = limits.New(s.limits(r.seats))
+		r.core.Limits = quota.New(s.limits(r.seats))
 	}
 	r.unused()
 	defer r.close()
--- a/internal/lifecycle/site.go
+++ b/internal/lifecycle/site.go
@@ -15,8 +15,8 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"lockroad/balancer"
-	"lockroad/internal/limits"
 	"lockroad/internal/members"
+	"lockroad/internal/quota"
 	"lockroad/internal/spoken/probe"
 )
 
@@ -28,7 +28,7 @@
 	Servers  []probe.Server
 	Health   members.Settings
 	Ping     bool
-	Limits   limits.Settings
+	Limits   quota.Settings
 	Fair     bool // seats that run short are shared out
 
 	flat map[string]string // every key with its value, for the difference to another
@@ -166,7 +166,7 @@
 	c.Settings = f.siteSettings(&raw)
 	s.Config = c
 	s.Health = f.siteHealth(&raw, s)
-	s.Limits, s.Fair = limits.Settings{PerAddress: raw.Limits.PerAddress, Rate: raw.Limits.Rate, Burst: raw.Limits.Burst, PerClass: make(map[string]int)}, raw.Limits.Fair
+	s.Limits, s.Fair = quota.Settings{PerAddress: raw.Limits.PerAddress, Rate: raw.Limits.Rate, Burst: raw.Limits.Burst, PerClass: make(map[string]int)}, raw.Limits.Fair
 	for i, one := range raw.Class {
 		if one.Most < 0 {
 			f.add(fmt.Sprintf("class[%d].most", i), "%d is negative", one.Most)
@@ -174,7 +174,7 @@
 			s.Limits.PerClass[one.Name] = one.Most
 		}
 	}
-	if err := s.Limits.Check(); err != nil {
+	if err := s.Limits.Validate(); err != nil {
 		f.add("limits", "%v", err)
 	}
 	if err := f.found.err(); err != nil {
@@ -184,7 +184,7 @@
 }
 
 // limits are those of a relay with so many seats.
-func (s *Site) limits(seats int) limits.Settings {
+func (s *Site) limits(seats int) quota.Settings {
 	set := s.Limits
 	if s.Fair {
 		set.Fair = seats
--- a/internal/limits/limits.go
+++ b/internal/quota/limits.go
@@ -1,7 +1,7 @@
 // Package limits keeps one client address, or one class, from taking what all need. It decides and does no I/O: a
 // front asks Take before it seats a transaction and calls what it returns once that has ended. Who is turned away gets
 // the unavailable answer, with when to come again from the module.
-package limits
+package quota
 
 import (
 	"fmt"
@@ -26,8 +26,8 @@
 // transaction and with all of its burst is as one that never came.
 const addressesMost = 1 << 14
 
-// Check tells what makes no sense.
-func (s *Settings) Check() error {
+// Validate tells what makes no sense.
+func (s *Settings) Validate() error {
 	switch {
 	case s.PerAddress < 0 || s.Burst < 0 || s.Fair < 0:
 		return fmt.Errorf("a bound is negative")
@@ -50,8 +50,8 @@
 	at     time.Duration // tokens are as of then
 }
 
-// Gate applies limits. It is safe for concurrent use; times are on one clock.
-type Gate struct {
+// Limiter applies limits. It is safe for concurrent use; times are on one clock.
+type Limiter struct {
 	mu      sync.Mutex
 	set     Settings
 	holders map[string]*holder
@@ -61,29 +61,29 @@
 	refused [4]uint64
 }
 
-// Why tells which bound turned a transaction away.
-type Why uint8
+// Reason tells which bound turned a transaction away.
+type Reason uint8
 
 // The bounds that may turn a transaction away; String describes each.
 const (
-	PerAddress Why = iota
-	Rate
-	PerClass
-	FairShare
+	ReasonPerAddress Reason = iota
+	ReasonRate
+	ReasonPerClass
+	ReasonFairShare
 )
 
 // String is what a person is told.
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"as many transactions of one address as may be", "one address begins them too fast", "as many transactions of the class as may be", "the box is full, and the address has its fair share"}[w]
 }
 
 // New returns a gate.
-func New(s Settings) *Gate {
-	return &Gate{set: s, holders: make(map[string]*holder), classes: make(map[string]int)}
+func New(s Settings) *Limiter {
+	return &Limiter{set: s, holders: make(map[string]*holder), classes: make(map[string]int)}
 }
 
-// Retune puts other limits in force, for those that come from now on.
-func (g *Gate) Retune(s Settings) {
+// UpdateSettings puts other limits in force, for those that come from now on.
+func (g *Limiter) UpdateSettings(s Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.set = s
@@ -96,21 +96,21 @@
 	return max(1, s.Rate)
 }
 
-// Take tells whether a transaction of an address and class may begin; release is to be called once, when it has ended.
-func (g *Gate) Take(now time.Duration, address, class string) (release func(), why Why, ok bool) {
+// Acquire tells whether a transaction of an address and class may begin; release is to be called once, when it has ended.
+func (g *Limiter) Acquire(now time.Duration, address, class string) (release func(), why Reason, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	h := g.holder(now, address)
 	s := &g.set
 	switch {
 	case s.PerAddress > 0 && h.holds >= s.PerAddress:
-		return g.refuse(PerAddress)
+		return g.refuse(ReasonPerAddress)
 	case s.PerClass[class] > 0 && g.classes[class] >= s.PerClass[class]:
-		return g.refuse(PerClass)
+		return g.refuse(ReasonPerClass)
 	case s.Fair > 0 && float64(g.total) >= scarce*float64(s.Fair) && h.holds >= g.share():
-		return g.refuse(FairShare)
+		return g.refuse(ReasonFairShare)
 	case s.Rate > 0 && h.tokens < 1:
-		return g.refuse(Rate)
+		return g.refuse(ReasonRate)
 	}
 	if s.Rate > 0 {
 		h.tokens--
@@ -126,15 +126,15 @@
 
 // share is what an address may hold while seats run short: as much as each of those that are there and one that may
 // yet come, and always one. Without the one to come an address alone would hold every seat, and the next find none.
-func (g *Gate) share() int { return max(1, g.set.Fair/(g.active+1)) }
+func (g *Limiter) share() int { return max(1, g.set.Fair/(g.active+1)) }
 
-func (g *Gate) refuse(why Why) (func(), Why, bool) {
+func (g *Limiter) refuse(why Reason) (func(), Reason, bool) {
 	g.refused[why]++
 	return nil, why, false
 }
 
 // holder is what is known of an address, with its tokens as of now.
-func (g *Gate) holder(now time.Duration, address string) *holder {
+func (g *Limiter) holder(now time.Duration, address string) *holder {
 	h := g.holders[address]
 	if h == nil {
 		if len(g.holders) >= addressesMost {
@@ -149,7 +149,7 @@
 }
 
 // forget lets go of addresses that are as ones that never came; if there are none, of any that hold nothing.
-func (g *Gate) forget(now time.Duration) {
+func (g *Limiter) forget(now time.Duration) {
 	for pass := range 2 {
 		for address, h := range g.holders {
 			full := h.tokens+g.set.Rate*(now-h.at).Seconds() >= g.set.burst()
@@ -163,7 +163,7 @@
 	}
 }
 
-func (g *Gate) release(address, class string) {
+func (g *Limiter) release(address, class string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.total--
@@ -177,8 +177,8 @@
 	}
 }
 
-// Refused is how many were turned away by a bound.
-func (g *Gate) Refused(why Why) uint64 {
+// Rejections is how many were turned away by a bound.
+func (g *Limiter) Rejections(why Reason) uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.refused[why]
--- a/internal/limits/limits_test.go
+++ b/internal/quota/limits_test.go
@@ -1,4 +1,4 @@
-package limits
+package quota
 
 import (
 	"fmt"
@@ -13,16 +13,16 @@
 	g := New(Settings{Rate: 2, Burst: 3})
 	began := 0
 	for ms := range 3000 {
-		if _, why, ok := g.Take(time.Duration(ms)*time.Millisecond, "a", "page"); ok {
+		if _, why, ok := g.Acquire(time.Duration(ms)*time.Millisecond, "a", "page"); ok {
 			began++
-		} else if why != Rate {
+		} else if why != ReasonRate {
 			t.Fatal(why)
 		}
 	}
 	if began != 3+5 {
 		t.Errorf("%d began in 3 s", began)
 	}
-	if _, _, ok := g.Take(3*time.Second, "b", "page"); !ok {
+	if _, _, ok := g.Acquire(3*time.Second, "b", "page"); !ok {
 		t.Error("another address is held up")
 	}
 }
@@ -33,7 +33,7 @@
 	g := New(Settings{Fair: 100})
 	held := 0
 	for range 1000 {
-		if _, _, ok := g.Take(0, "flood", "page"); ok {
+		if _, _, ok := g.Acquire(0, "flood", "page"); ok {
 			held++
 		}
 	}
@@ -49,7 +49,7 @@
 				if n > 0 {
 					address = fmt.Sprintf("room-%d", n%4)
 				}
-				if _, _, ok := g.Take(0, address, "page"); ok {
+				if _, _, ok := g.Acquire(0, address, "page"); ok {
 					counts[address]++
 				}
 			}
@@ -91,11 +91,11 @@
 			address, class := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "address"), rapid.SampledFrom([]string{"page", "live"}).Draw(t, "class")
 			mine := count(func(h held) bool { return h.address == address })
 			ofClass := count(func(h held) bool { return h.class == class })
-			release, why, ok := g.Take(0, address, class)
+			release, why, ok := g.Acquire(0, address, class)
 			switch {
 			case ok && set.PerAddress > 0 && mine >= set.PerAddress, ok && class == "page" && ofClass >= set.PerClass["page"]:
 				t.Fatalf("%s has %d, its class %d, and one more is taken", address, mine, ofClass)
-			case !ok && mine == 0 && why != PerClass:
+			case !ok && mine == 0 && why != ReasonPerClass:
 				t.Fatalf("an address that holds nothing is turned away: %v", why)
 			case ok:
 				all = append(all, held{address, class, release})
@@ -113,16 +113,16 @@
 // Addresses by the ten thousand are forgotten, and those that hold something are not.
 func TestAddressesAreBounded(t *testing.T) {
 	g := New(Settings{PerAddress: 1, Rate: 1})
-	release, _, _ := g.Take(0, "stays", "page")
+	release, _, _ := g.Acquire(0, "stays", "page")
 	for i := range 3 * addressesMost {
-		if r, _, ok := g.Take(time.Duration(i)*time.Millisecond, fmt.Sprint(i), "page"); ok {
+		if r, _, ok := g.Acquire(time.Duration(i)*time.Millisecond, fmt.Sprint(i), "page"); ok {
 			r()
 		}
 		if len(g.holders) > addressesMost {
 			t.Fatalf("%d addresses are known", len(g.holders))
 		}
 	}
-	if _, why, ok := g.Take(time.Hour, "stays", "page"); ok || why != PerAddress {
+	if _, why, ok := g.Acquire(time.Hour, "stays", "page"); ok || why != ReasonPerAddress {
 		t.Error("an address that holds one is forgotten")
 	}
 	release()
@@ -130,11 +130,11 @@
 
 func TestCheck(t *testing.T) {
 	for _, bad := range []Settings{{PerAddress: -1}, {Rate: -1}, {Burst: 3}, {PerClass: map[string]int{"page": 0}}} {
-		if bad.Check() == nil {
+		if bad.Validate() == nil {
 			t.Errorf("%+v is taken", bad)
 		}
 	}
-	if err := (&Settings{PerAddress: 4, Rate: 2, Burst: 8, Fair: 100}).Check(); err != nil {
+	if err := (&Settings{PerAddress: 4, Rate: 2, Burst: 8, Fair: 100}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
