--- a/Makefile
+++ b/Makefile
@@ -27,7 +27,7 @@
 
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzHall$$' -fuzztime $(FUZZTIME) ./internal/spoken
-	go test -run '^$$' -fuzz '^FuzzTransactions$$' -fuzztime $(FUZZTIME) ./internal/core
+	go test -run '^$$' -fuzz '^FuzzTransactions$$' -fuzztime $(FUZZTIME) ./internal/proxy
 	go test -run '^$$' -fuzz '^FuzzMoveComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
 	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
 	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -17,8 +17,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
-	"lockroad/internal/core"
 	"lockroad/internal/members"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/why"
@@ -39,7 +39,7 @@
 // Desk answers the console's commands.
 type Desk struct {
 	Name   string
-	Core   *core.Core
+	Core   *proxy.Proxy
 	Fronts []Fronts
 	Drain  func()      // has the relay leave
 	Why    *why.Teller // tells of decisions; nil: none are kept
@@ -214,7 +214,7 @@
 	table(w, nil, func(row func(...any)) {
 		row("relay", d.Name)
 		row("transactions", c.Requests.Load())
-		for stage, n := range d.Core.Transactions.CountByStage() {
+		for stage, n := range d.Core.Requests.CountByStage() {
 			row("  "+registry.Stage(stage).String(), n)
 		}
 		for _, e := range c.Ends() {
@@ -230,7 +230,7 @@
 
 func (d *Desk) farm(w io.Writer) {
 	table(w, []string{"SERVER", "ADDRESS", "PHASE"}, func(row func(...any)) {
-		for _, s := range d.Core.Farm.List() {
+		for _, s := range d.Core.Endpoints.List() {
 			row(s.Name, s.Address, d.phase(s))
 		}
 	})
@@ -244,9 +244,9 @@
 	at := d.at()
 	ctx, cancel := context.WithTimeout(a.ctx, viewWait)
 	defer cancel()
-	held := d.Core.Held(ctx)
+	held := d.Core.EndpointViews(ctx)
 	table(w, []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}, func(row func(...any)) {
-		for _, s := range d.Core.Farm.List() {
+		for _, s := range d.Core.Endpoints.List() {
 			if s.State == balancer.StateGone && at[s.Name] == 0 {
 				continue
 			}
@@ -268,7 +268,7 @@
 
 // phase is a server's phase, and whose word it is.
 func (d *Desk) phase(s registry.Endpoint) string {
-	if s.State == balancer.StateDraining && d.Core.Ordered(s.Name) {
+	if s.State == balancer.StateDraining && d.Core.DrainDirected(s.Name) {
 		return registry.StateName(s.State) + ", as ordered"
 	}
 	return registry.StateName(s.State)
@@ -276,12 +276,12 @@
 
 func (d *Desk) transactions(w io.Writer) {
 	names := make(map[balancer.EndpointID]string)
-	for _, s := range d.Core.Farm.List() {
+	for _, s := range d.Core.Endpoints.List() {
 		names[s.ID] = s.Name
 	}
 	now := d.Core.Clock.Now()
 	table(w, []string{"NUMBER", "FRONT", "NAME", "CLASS", "STAGE", "SERVER", "PASSES", "AGE"}, func(row func(...any)) {
-		for _, t := range d.Core.Transactions.List() {
+		for _, t := range d.Core.Requests.List() {
 			var server any
 			if t.Stage != registry.StageWaiting {
 				server = names[t.Endpoint]
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/steps"
@@ -26,25 +26,25 @@
 // socket and how often it was told to drain.
 func start(t *testing.T) (socket string, drained func() int) {
 	t.Helper()
-	k := core.New(balancer.Settings{
+	k := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
-	}, 1, core.NewClock())
-	id := k.Farm.ID("s-5be2a07c")
-	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
-	n, _ := k.Transactions.Add(registry.Request{Front: "line", Name: "9b1f03aa", Class: "page", Since: k.Clock.Now()})
-	k.Transactions.Set(n, registry.StageEstablished, id)
+	}, 1, proxy.NewClock())
+	id := k.Endpoints.ID("s-5be2a07c")
+	k.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
+	n, _ := k.Requests.Add(registry.Request{Front: "line", Name: "9b1f03aa", Class: "page", Since: k.Clock.Now()})
+	k.Requests.Set(n, registry.StageEstablished, id)
 	k.Counters.CountEnd(registry.EndMigrated)
 	k.Counters.CountAttempt(balancer.StatusTimeout)
 	r, err := record.New(record.LeastBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
-	tr.Pass(id)(balancer.StatusFull)
-	tr.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Second})
+	tr := r.Began(1, proxy.Request{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
+	tr.AttemptStarted(id)(balancer.StatusFull)
+	tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
 	drains := 0
-	d := &Desk{Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}}, Why: &why.Teller{Record: r, Names: k.Farm}, Drain: func() {
+	d := &Desk{Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}}, Why: &why.Teller{Record: r, Names: k.Endpoints}, Drain: func() {
 		mu.Lock()
 		defer mu.Unlock()
 		drains++
@@ -191,8 +191,8 @@
 // Names come from clients: none of them moves the terminal, and JSON stays JSON.
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
-	d := &Desk{Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock())}
-	d.Core.Transactions.Add(registry.Request{Front: "line", Name: evil, Class: evil})
+	d := &Desk{Core: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+	d.Core.Requests.Add(registry.Request{Front: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := d.answer(context.Background(), command, "me")
 		head, body, _ := strings.Cut(frame("ok", answer), "\n")
@@ -259,7 +259,7 @@
 // A console that looks on goes on while the relay is away; a relay that is out of descriptors
 // answers once it has some.
 func TestWatchGoesOnOverARestart(t *testing.T) {
-	d := &Desk{Name: "n1", Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock())}
+	d := &Desk{Name: "n1", Core: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
 	socket := filepath.Join(t.TempDir(), "console")
 	if code := Watch(t.Context(), socket, "status", time.Millisecond, false, io.Discard, io.Discard); code != ExitUnreachable {
 		t.Errorf("code %d of a relay that was never there", code)
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
 	"lockroad/internal/golden"
 	"lockroad/internal/keep"
 	"lockroad/internal/members"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/store"
@@ -66,9 +66,9 @@
 	t.Helper()
 	useUTC(t)
 	synctest.Test(t, func(t *testing.T) {
-		k := core.New(balancer.Settings{
+		k := proxy.New(balancer.Settings{
 			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
-		}, 1, core.NewClock())
+		}, 1, proxy.NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { k.Run(ctx) })
@@ -76,15 +76,15 @@
 		var servers []balancer.Endpoint
 		var addresses []string
 		for i, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateReady, balancer.StateDraining} {
-			servers = append(servers, balancer.Endpoint{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
+			servers = append(servers, balancer.Endpoint{ID: k.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
 			addresses = append(addresses, fmt.Sprintf("10.1.0.%d:3000", i+1))
 		}
-		k.Listed(balancer.ListFull, servers, addresses)
-		k.Order("s-2", true)
+		k.UpdateEndpoints(balancer.ListFull, servers, addresses)
+		k.SetDrain("s-2", true)
 		for i, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
-			n, _ := k.Transactions.Add(registry.Request{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
+			n, _ := k.Requests.Add(registry.Request{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
 			if stage != registry.StageWaiting {
-				k.Transactions.Set(n, stage, servers[i].ID)
+				k.Requests.Set(n, stage, servers[i].ID)
 			}
 		}
 		k.Counters.Requests.Add(41)
@@ -103,14 +103,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		trace := r.Began(1, core.Ask{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
-		trace.Pass(servers[0].ID)(balancer.StatusFull)
-		trace.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Second})
+		trace := r.Began(1, proxy.Request{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
+		trace.AttemptStarted(servers[0].ID)(balancer.StatusFull)
+		trace.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 		time.Sleep(1234 * time.Millisecond)
 		synctest.Wait()
 		do(&Desk{
 			Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
-			Why: &why.Teller{Record: r, Names: k.Farm}, Drain: func() {}, Keeper: &fixedKeeper{since: time.Now()},
+			Why: &why.Teller{Record: r, Names: k.Endpoints}, Drain: func() {}, Keeper: &fixedKeeper{since: time.Now()},
 			Reload: func(_ context.Context, dry bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
@@ -164,7 +164,7 @@
 // What the commands answer where there is nothing to tell, or no way to.
 func TestEmptyAnswersAreStable(t *testing.T) {
 	useUTC(t)
-	d := &Desk{Name: "n3", Core: core.New(balancer.Settings{Relays: 1}, 1, core.NewClock()), Keeper: &fixedKeeper{failing: errors.New("disk full")}}
+	d := &Desk{Name: "n3", Core: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Keeper: &fixedKeeper{failing: errors.New("disk full")}}
 	failing := transcript(d, "store", "store --json")
 	d.Keeper = nil
 	golden.Compare(t, "empty.txt", failing+transcript(d, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
--- a/internal/console/orders.go
+++ b/internal/console/orders.go
@@ -143,9 +143,9 @@
 // at counts the transactions at each server, those that are on their way there included.
 func (d *Desk) at() map[string]int {
 	at := make(map[string]int)
-	for _, t := range d.Core.Transactions.List() {
+	for _, t := range d.Core.Requests.List() {
 		if t.Stage != registry.StageWaiting {
-			at[d.Core.Farm.Name(t.Endpoint)]++
+			at[d.Core.Endpoints.Name(t.Endpoint)]++
 		}
 	}
 	return at
--- a/internal/lifecycle/golden_test.go
+++ b/internal/lifecycle/golden_test.go
@@ -180,7 +180,7 @@
 func TestStoreMetricsAreStable(t *testing.T) {
 	var b strings.Builder
 	for _, r := range (&keeper{}).readings() {
-		fmt.Fprintf(&b, "%s (%s), grows %v\n", r.Name, r.What, r.Grows)
+		fmt.Fprintf(&b, "%s (%s), grows %v\n", r.Name, r.Description, r.Cumulative)
 	}
 	golden.Compare(t, "store-metrics.txt", b.String())
 }
--- a/internal/lifecycle/keep.go
+++ b/internal/lifecycle/keep.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
 	"lockroad/internal/keep"
+	"lockroad/internal/proxy"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
 )
@@ -28,7 +28,7 @@
 
 // keeper keeps what a relay is to keep. One without a store keeps orders until the relay ends.
 type keeper struct {
-	core  *core.Core
+	core  *proxy.Proxy
 	r     *relay
 	shelf *shelf // nil: no decisions are kept
 
@@ -111,7 +111,7 @@
 	for server := range k.orders {
 		if !slices.ContainsFunc(kept, func(o keep.Order) bool { return o.Server == server }) {
 			delete(k.orders, server)
-			k.core.Order(server, false)
+			k.core.SetDrain(server, false)
 		}
 	}
 	k.enforce(kept)
@@ -124,7 +124,7 @@
 			continue
 		}
 		k.orders[o.Server] = o
-		k.core.Order(o.Server, true)
+		k.core.SetDrain(o.Server, true)
 		k.r.log.Info("a server drains as ordered", "server", o.Server, "who", o.Who, "since", o.Since, "why", o.Why)
 	}
 }
@@ -133,14 +133,14 @@
 func (k *keeper) Drain(ctx context.Context, o keep.Order) (was *keep.Order, kept, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if _, known := k.core.Farm.Lookup(o.Server); !known {
+	if _, known := k.core.Endpoints.Lookup(o.Server); !known {
 		return nil, nil, fmt.Errorf("no server %q is listed; farm names them", o.Server)
 	}
 	if old, there := k.orders[o.Server]; there {
 		was = &old
 	}
 	k.orders[o.Server] = o
-	k.core.Order(o.Server, true) // at once, whatever the disk does
+	k.core.SetDrain(o.Server, true) // at once, whatever the disk does
 	k.r.log.Warn("a server is ordered to drain", "server", o.Server, "who", o.Who, "until", o.Until, "why", o.Why)
 	return was, k.kept(ctx, func(ctx context.Context) error { return k.table().Commit(ctx, o.Server, o) }), nil
 }
@@ -159,7 +159,7 @@
 
 func (k *keeper) withdraw(ctx context.Context, server string) (kept error) {
 	delete(k.orders, server)
-	k.core.Order(server, false)
+	k.core.SetDrain(server, false)
 	return k.kept(ctx, func(ctx context.Context) error { return k.table().Remove(ctx, server) })
 }
 
@@ -241,7 +241,9 @@
 }
 
 // Began has the account of a transaction kept once it has ended.
-func (s *shelf) Began(number uint64, _ core.Ask) core.Trace { return shelved{s, number} }
+func (s *shelf) Began(number uint64, _ proxy.Request) proxy.RequestObserver {
+	return shelved{s, number}
+}
 
 // shelved is a transaction whose account may be kept. Only its end matters.
 type shelved struct {
@@ -250,11 +252,11 @@
 }
 
 func (shelved) Decided(*balancer.Decision) {}
-func (shelved) Pass(balancer.EndpointID) func(balancer.AttemptStatus) {
+func (shelved) AttemptStarted(balancer.EndpointID) func(balancer.AttemptStatus) {
 	return func(balancer.AttemptStatus) {}
 }
-func (shelved) Up()                {}
-func (s shelved) Ended(core.Final) { s.keep(s.number) }
+func (shelved) Established()         {}
+func (s shelved) Ended(proxy.Result) { s.keep(s.number) }
 
 // Pinned keeps the account of a transaction that was pinned, as far as it has come.
 func (k *keeper) Pinned(number uint64) {
@@ -339,14 +341,14 @@
 	}
 	asking, cancel := context.WithTimeout(ctx, recollectWait)
 	defer cancel()
-	m, err := k.core.Recollect(asking)
+	m, err := k.core.Snapshot(asking)
 	if err != nil {
 		return
 	}
 	known := keep.Known{Name: k.r.config.Name, Clock: k.core.Clock.Now(), Start: k.core.Clock.Start(), At: time.Now(), Names: make(map[balancer.EndpointID]string), Memory: m}
 	known.List, known.Agent = k.r.watcher.List()
 	for _, one := range m.Endpoints {
-		known.Names[one.ID] = k.core.Farm.Name(one.ID)
+		known.Names[one.ID] = k.core.Endpoints.Name(one.ID)
 	}
 	learnt(s).Put(learntKey, known)
 }
@@ -365,16 +367,16 @@
 }
 
 // readings are what telemetry tells of the store.
-func (k *keeper) readings() []core.Reading {
-	return []core.Reading{
-		{Name: "lockroad.store.failing", What: "1 while nothing can be kept on disk", Read: func() int64 {
+func (k *keeper) readings() []proxy.Instrument {
+	return []proxy.Instrument{
+		{Name: "lockroad.store.failing", Description: "1 while nothing can be kept on disk", Read: func() int64 {
 			if s, err := k.Stats(); err != nil || s.Failing != nil {
 				return 1
 			}
 			return 0
 		}},
-		{Name: "lockroad.store.bytes", What: "bytes of the store's files", Read: func() int64 { s, _ := k.Stats(); return s.Bytes }},
-		{Name: "lockroad.store.dropped", What: "records that were not kept", Grows: true, Read: func() (n int64) {
+		{Name: "lockroad.store.bytes", Description: "bytes of the store's files", Read: func() int64 { s, _ := k.Stats(); return s.Bytes }},
+		{Name: "lockroad.store.dropped", Description: "records that were not kept", Cumulative: true, Read: func() (n int64) {
 			s, _ := k.Stats()
 			for _, of := range s.Dropped {
 				n += int64(of)
--- a/internal/lifecycle/many_test.go
+++ b/internal/lifecycle/many_test.go
@@ -16,8 +16,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/console"
-	"lockroad/internal/core"
 	"lockroad/internal/keep"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/steps"
 	"lockroad/internal/store"
@@ -38,12 +38,12 @@
 }
 
 // knowing is a core with a list of n servers, and the watcher that took it.
-func knowing(t testing.TB, n int) (*core.Core, *discovery.Watcher) {
+func knowing(t testing.TB, n int) (*proxy.Proxy, *discovery.Watcher) {
 	t.Helper()
-	k := core.New(balancer.Settings{
+	k := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 350, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
 		InitialCapacity: 0.2, SlowStartDuration: 23 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
-	}, 1, core.NewClock())
+	}, 1, proxy.NewClock())
 	w := &discovery.Watcher{Core: k, Zones: []string{"a"}, Keep: true}
 	if err := w.Know(listOf(n)); err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 			w := &discovery.Watcher{Core: k, Address: discoveryOf(t, c.text, 1000), Zones: []string{"a"}, Keep: true}
 			go func() { _ = w.Run(ctx); close(done) }()
 			go func() { _ = k.Run(ctx) }()
-			steps.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Farm.CountByState()[c.phase] == int64(n) })
+			steps.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Endpoints.CountByState()[c.phase] == int64(n) })
 			cancel()
 			<-done
 			if l, _ := w.List(); len(l.Members) != n {
@@ -238,7 +238,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { _ = k.Run(ctx); close(done) }()
-		if _, err := k.Recollect(ctx); err != nil { // the list has been taken
+		if _, err := k.Snapshot(ctx); err != nil { // the list has been taken
 			t.Fatal(err)
 		}
 		took := int64(heap()) - int64(before)
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -112,10 +112,10 @@
 		}
 		switch {
 		case err != nil && !ask.dry:
-			r.core.Figures.ReloadsRejected.Add(1)
+			r.core.Metrics.ReloadsRejected.Add(1)
 			r.log.Error("the configuration stays as it was", "error", err)
 		case !ask.dry:
-			r.core.Figures.ReloadsApplied.Add(1)
+			r.core.Metrics.ReloadsApplied.Add(1)
 		}
 		if ask.answer != nil {
 			ask.answer <- reloadAnswer{changes, err}
@@ -155,7 +155,7 @@
 			c.Settings.Zone = r.watcher.Zone(c.Zones[zone])
 		}
 		inForce = text
-		r.core.Retune(&c.Settings)
+		r.core.UpdateSettings(&c.Settings)
 		r.watcher.Follow(c.Discovery)
 		r.log.Info("configuration taken", "discovery", c.Discovery, "classes", len(c.Settings.Classes), "attempts", c.Settings.MaxAttempts)
 		return changes, nil
@@ -175,9 +175,9 @@
 			return changes, nil
 		}
 		inForce = next
-		r.core.Retune(&next.Config.Settings)
+		r.core.UpdateSettings(&next.Config.Settings)
 		r.prober.Replace(next.Health, next.Servers)
-		r.core.Limits.UpdateSettings(next.limits(r.seats))
+		r.core.Quota.UpdateSettings(next.limits(r.seats))
 		for _, change := range changes {
 			r.log.Info("the site's file", "change", change)
 		}
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"testing"
 
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/steps"
 )
@@ -204,7 +204,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := core.New(c.Settings, 1, core.NewClock())
+	k := proxy.New(c.Settings, 1, proxy.NewClock())
 	r := &relay{config: c, core: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Core: k, Address: c.Discovery, Zones: c.Zones}}
 	take := r.platform(Words{File: file})
 	for _, next := range []struct {
@@ -218,7 +218,7 @@
 		if _, err := take(reloadAsk{}); err != nil {
 			t.Fatal(err)
 		}
-		if got := k.Terms().Zone; got != next.want {
+		if got := k.Settings().Zone; got != next.want {
 			t.Errorf("zone %d of %s is %d here, want %d", next.zone, next.localities, got, next.want)
 		}
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -18,9 +18,9 @@
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
 	"lockroad/internal/console"
-	"lockroad/internal/core"
 	"lockroad/internal/handover"
 	"lockroad/internal/logs"
+	"lockroad/internal/proxy"
 	"lockroad/internal/quota"
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
@@ -94,7 +94,7 @@
 // relay is a relay that has been started.
 type relay struct {
 	config  *Config
-	core    *core.Core
+	core    *proxy.Proxy
 	log     *slog.Logger
 	watcher *discovery.Watcher
 	listed  <-chan struct{} // closed once discovery has told its list
@@ -140,18 +140,18 @@
 		r.keeper.wait()
 	}
 	defer r.keeper.close()
-	clock := core.NewClock()
+	clock := proxy.NewClock()
 	known, age, warm := r.keeper.known()
 	switch {
 	case r.guest != nil:
-		clock = core.ContinueClock(r.guest.Offer.Clock, r.guest.Offer.Start)
+		clock = proxy.ContinueClock(r.guest.Offer.Clock, r.guest.Offer.Start)
 	case warm:
-		clock = core.ContinueClock(known.Clock+age, known.Start)
+		clock = proxy.ContinueClock(known.Clock+age, known.Start)
 	}
-	r.core = core.New(c.Settings, c.Seed, clock)
+	r.core = proxy.New(c.Settings, c.Seed, clock)
 	r.keeper.core = r.core
 	if o.Store.Dir != "" {
-		r.core.Readings = r.keeper.readings()
+		r.core.Instruments = r.keeper.readings()
 	}
 	if err := r.observe(o); err != nil {
 		return err
@@ -167,7 +167,7 @@
 			return fmt.Errorf("admin_addr: %w", err)
 		}
 		defer desk.Close()
-		r.core.Survey()
+		r.core.PublishCounts()
 	}
 	r.watcher = &discovery.Watcher{Core: r.core, Address: c.Discovery, Zones: c.Zones, Keep: c.Admin != "" || o.Store.Dir != ""}
 	r.listed = r.watcher.Told()
@@ -191,7 +191,7 @@
 		return err
 	}
 	if s := words.Site; s != nil { // nobody has been let in yet
-		r.core.Limits = quota.New(s.limits(r.seats))
+		r.core.Quota = quota.New(s.limits(r.seats))
 	}
 	r.unused()
 	defer r.close()
@@ -215,7 +215,7 @@
 			desk.Health = r.prober.Health
 		}
 		if r.record != nil {
-			desk.Why = &why.Teller{Record: r.record, Names: r.core.Farm}
+			desk.Why = &why.Teller{Record: r.record, Names: r.core.Endpoints}
 			if r.keeper.shelf != nil {
 				desk.Why = r.keeper.shelf.teller
 			}
@@ -237,7 +237,7 @@
 		})
 	}
 	if desk != nil {
-		d := &admin.Desk{Ready: r.takes.Load, Figures: r.core.Figures}
+		d := &admin.Desk{Ready: r.takes.Load, Figures: r.core.Metrics}
 		g.Go(func() error {
 			if err := d.Serve(ctx, desk); err != nil { // clients are served without it
 				log.Error("the second address answers no more", "error", err)
@@ -246,7 +246,7 @@
 		})
 	}
 	g.Go(func() error { return r.core.Run(ctx) })
-	g.Go(func() error { return r.core.Watch(ctx) })
+	g.Go(func() error { return r.core.MonitorHeartbeats(ctx) })
 	if r.prober != nil {
 		g.Go(func() error { return r.prober.Run(ctx) })
 	} else {
@@ -268,7 +268,7 @@
 	}
 	log.Info("ready", "name", c.Name, "listen", c.Listen)
 	err := g.Wait()
-	log.Info("stopped", "transactions", r.core.Transactions.Len(), "broken_invariants", assert.Broken())
+	log.Info("stopped", "transactions", r.core.Requests.Len(), "broken_invariants", assert.Broken())
 	if err == nil && r.again.Load() {
 		return ErrRestart
 	}
@@ -287,11 +287,11 @@
 		r.core.Observe(r.record)
 		if o.Store.Dir != "" { // after the record, which it reads
 			r.keeper.shelf = newShelf(r.keeper)
-			r.keeper.shelf.teller = &why.Teller{Record: r.record, Names: r.core.Farm, Shelf: r.keeper.shelf}
+			r.keeper.shelf.teller = &why.Teller{Record: r.record, Names: r.core.Endpoints, Shelf: r.keeper.shelf}
 			r.core.Observe(r.keeper.shelf)
 		}
 	}
-	r.core.Observe(&logs.Transactions{Log: r.log, Clock: r.core.Clock, Name: r.core.Farm.Name})
+	r.core.Observe(&logs.Transactions{Log: r.log, Clock: r.core.Clock, Name: r.core.Endpoints.Name})
 	return nil
 }
 
@@ -411,11 +411,11 @@
 	r.leaves.Store(true)
 	r.takes.Store(false)
 	began, killed := time.Now(), time.Duration(0)
-	for _, class := range r.core.Terms().Classes {
+	for _, class := range r.core.Settings().Classes {
 		killed = max(killed, min(class.Deadline, killLongest))
 	}
 	killed += killAfter
-	r.log.Info("leaving", "transactions", r.core.Transactions.Len())
+	r.log.Info("leaving", "transactions", r.core.Requests.Len())
 	handed := r.host != nil && r.host.Leave()
 	ctx, done := context.WithTimeout(ctx, killed-lastEnd)
 	defer done()
@@ -424,19 +424,19 @@
 		// Who comes is the new process's. What stands here goes there too, and what is still to
 		// stand as soon as it does.
 		r.close()
-		r.core.GiveAll(r.host.Give, moveOver)
+		r.core.HandOffAll(r.host.Give, moveOver)
 		until(killed - turnAway)
-		r.core.TurnAway()
+		r.core.RejectPending()
 		<-ctx.Done()
 		return nil
 	}
 	move := max(moveAfter, killed-lastMove-moveOver)
 	until(move)
-	r.core.MoveAll(max(time.Millisecond, killed-lastMove-move))
+	r.core.MigrateAll(max(time.Millisecond, killed-lastMove-move))
 	until(killed - closeDoor)
 	r.close()
 	until(killed - turnAway)
-	r.core.TurnAway()
+	r.core.RejectPending()
 	<-ctx.Done() // the fronts end it before its time once the last client is gone
 	return nil
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -12,9 +12,9 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/console"
-	"lockroad/internal/core"
 	"lockroad/internal/handover"
 	"lockroad/internal/keep"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/discovery"
@@ -88,9 +88,9 @@
 		}
 		if err == nil {
 			s.Memory.Renumber(r.here)
-			r.core.Remember(s.Memory)
-			r.core.Spend(0) // the old process still does
-			r.core.Transactions.Reserve(s.Open)
+			r.core.Restore(s.Memory)
+			r.core.SetSlowStartShare(0) // the old process still does
+			r.core.Requests.Reserve(s.Open)
 			return
 		}
 		r.log.Warn("what the old process knows is of no use", "error", err)
@@ -100,7 +100,7 @@
 		defer func() { // once the servers are listed
 			s.Names = known.Names
 			known.Memory.Renumber(r.here)
-			r.core.Remember(known.Memory)
+			r.core.Restore(known.Memory)
 			r.log.Info("what was learnt before is taken up", "age", age.Round(time.Millisecond), "servers", len(known.Memory.Endpoints), "routes", len(known.Memory.Routes))
 		}()
 		// Revisions of two agents can't be compared: the platform's list is the newer one then.
@@ -122,7 +122,7 @@
 
 // here is the number that a server of the old process's has in this one.
 func (r *relay) here(old balancer.EndpointID) (balancer.EndpointID, bool) {
-	return r.core.Farm.Lookup(r.told.Names[old])
+	return r.core.Endpoints.Lookup(r.told.Names[old])
 }
 
 // handedDoor is the door of a name that the old process offers, if it is at an address;
@@ -174,7 +174,7 @@
 		r.halls[i].Lend(seats)
 	}
 	err := r.guest.Take()
-	r.core.Spend(1)
+	r.core.SetSlowStartShare(1)
 	for _, d := range r.doors {
 		d.Open()
 	}
@@ -186,7 +186,7 @@
 	go func() {
 		defer r.alone()
 		r.guest.Adopt(ctx, func(what json.RawMessage, sockets []net.Conn) (func(), error) {
-			var s core.Standing
+			var s proxy.EstablishedRequest
 			if err := json.Unmarshal(what, &s); err != nil {
 				return nil, err
 			}
@@ -201,7 +201,7 @@
 	for _, h := range r.halls {
 		h.Lend(0)
 	}
-	r.core.Transactions.Release()
+	r.core.Requests.Release()
 	r.memory(1)
 	close(r.orphan)
 }
@@ -238,15 +238,15 @@
 func (r *relay) Offer(ctx context.Context) (*handover.Offer, []syscall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, recollectWait)
 	defer cancel()
-	s := state{Names: make(map[balancer.EndpointID]string), Open: r.core.Transactions.Names(), Orders: r.keeper.Orders()}
+	s := state{Names: make(map[balancer.EndpointID]string), Open: r.core.Requests.Names(), Orders: r.keeper.Orders()}
 	var err error
-	if s.Memory, err = r.core.Recollect(ctx); err != nil {
+	if s.Memory, err = r.core.Snapshot(ctx); err != nil {
 		return nil, nil, err
 	}
 	s.List, s.Agent = r.watcher.List()
 	s.Beats = r.line.Beats()
 	for _, known := range s.Memory.Endpoints {
-		s.Names[known.ID] = r.core.Farm.Name(known.ID)
+		s.Names[known.ID] = r.core.Endpoints.Name(known.ID)
 	}
 	for _, h := range r.halls {
 		s.Seats = append(s.Seats, h.Taken())
@@ -279,6 +279,6 @@
 		part, room = 0, 0.5
 	}
 	r.takes.Store(!given && !r.leaves.Load())
-	r.core.Spend(part)
+	r.core.SetSlowStartShare(part)
 	r.memory(room)
 }
--- a/internal/logs/transactions.go
+++ b/internal/logs/transactions.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
 
@@ -16,12 +16,12 @@
 // front, class and server.
 type Transactions struct {
 	Log   *slog.Logger
-	Clock core.Clock
+	Clock proxy.Clock
 	Name  func(balancer.EndpointID) string // of a server
 }
 
 // Began follows a transaction.
-func (o *Transactions) Began(number uint64, ask core.Ask) core.Trace {
+func (o *Transactions) Began(number uint64, ask proxy.Request) proxy.RequestObserver {
 	return &followed{Transactions: o, number: number, front: ask.Front, class: ask.Class, tenant: ask.Tenant, name: ask.Name, began: o.Clock.Now()}
 }
 
@@ -60,8 +60,8 @@
 	f.Log.Log(context.Background(), level, message, args...)
 }
 
-// Pass logs a pass that fails.
-func (f *followed) Pass(server balancer.EndpointID) func(balancer.AttemptStatus) {
+// AttemptStarted logs a pass that fails.
+func (f *followed) AttemptStarted(server balancer.EndpointID) func(balancer.AttemptStatus) {
 	f.server.Store(uint32(server))
 	f.sent.Store(true)
 	began := f.Clock.Now()
@@ -72,15 +72,15 @@
 	}
 }
 
-// Up is no trouble.
-func (f *followed) Up() {}
+// Established is no trouble.
+func (f *followed) Established() {}
 
 // Ended logs an answer that no client wants, and a connection that was lost.
-func (f *followed) Ended(end core.Final) {
+func (f *followed) Ended(end proxy.Result) {
 	took := f.Clock.Now() - f.began
 	switch end.End {
 	case registry.EndRejected:
-		f.line(slog.LevelWarn, "a transaction is refused", "cause", end.Cause.String(), "come_back", end.ComeBack, "took", took)
+		f.line(slog.LevelWarn, "a transaction is refused", "cause", end.Cause.String(), "come_back", end.RetryAfter, "took", took)
 	case registry.EndFailed:
 		f.line(slog.LevelWarn, "a transaction has failed", "took", took)
 	case registry.EndHeartbeatTimeout:
@@ -88,8 +88,8 @@
 	case registry.EndMigrated:
 		f.line(slog.LevelDebug, "a client is moved", "cause", end.Cause.String(), "stood", took)
 	case registry.EndClosed:
-		if end.How != balancer.StatusOK && end.How != balancer.StatusCancelled {
-			f.line(slog.LevelInfo, "a connection is lost", "outcome", registry.StatusNames[end.How], "stood", took)
+		if end.Status != balancer.StatusOK && end.Status != balancer.StatusCancelled {
+			f.line(slog.LevelInfo, "a connection is lost", "outcome", registry.StatusNames[end.Status], "stood", took)
 		}
 	}
 }
--- a/internal/core/clock.go
+++ b/internal/proxy/clock.go
@@ -1,7 +1,7 @@
 // Package core carries a transaction from its arrival to its final answer and,
 // once it stands, to its end. It knows no wire: fronts hand it transactions, and
 // carry out passes and answers for it.
-package core
+package proxy
 
 import (
 	"time"
--- a/internal/core/core_test.go
+++ b/internal/proxy/core_test.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"context"
@@ -25,24 +25,24 @@
 }
 
 // bench runs a core with a farm of n servers on a fake clock.
-func bench(t *testing.T, n int, do func(k *Core, list func(server int, phase balancer.EndpointState))) {
+func bench(t *testing.T, n int, do func(k *Proxy, list func(server int, phase balancer.EndpointState))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		k := New(settings(), 1, NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = k.Run(ctx) }()
-		go func() { _ = k.Watch(ctx) }()
+		go func() { _ = k.MonitorHeartbeats(ctx) }()
 		line := func(i int, phase balancer.EndpointState) balancer.Endpoint {
-			return balancer.Endpoint{ID: k.Farm.ID(fmt.Sprintf("s-%d", i)), State: phase, Weight: 1}
+			return balancer.Endpoint{ID: k.Endpoints.ID(fmt.Sprintf("s-%d", i)), State: phase, Weight: 1}
 		}
 		for i := range n {
-			k.Listed(balancer.ListDelta, []balancer.Endpoint{line(i, balancer.StateReady)}, []string{"address"})
+			k.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{line(i, balancer.StateReady)}, []string{"address"})
 		}
 		do(k, func(server int, phase balancer.EndpointState) {
-			k.Listed(balancer.ListDelta, []balancer.Endpoint{line(server, phase)}, []string{"address"})
+			k.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{line(server, phase)}, []string{"address"})
 		})
 		synctest.Wait()
-		if n := k.Transactions.Len(); n != 0 {
+		if n := k.Requests.Len(); n != 0 {
 			t.Errorf("%d transactions are still under way", n)
 		}
 		if n := assert.Broken(); n != 0 {
@@ -64,7 +64,7 @@
 // fake is a front's side of a transaction, and the model that it is checked by.
 type fake struct {
 	t    *testing.T
-	k    *Core
+	k    *Proxy
 	acts func() act
 
 	mu      sync.Mutex
@@ -77,7 +77,7 @@
 
 func (fakeLink) Close() {}
 
-func (x *fake) Pass(ctx context.Context, out Out) (Link, balancer.AttemptStatus) {
+func (x *fake) Attempt(ctx context.Context, out Attempt) (UpstreamConn, balancer.AttemptStatus) {
 	x.mu.Lock()
 	if x.out++; x.out > 1 {
 		x.t.Error("two passes are out at once")
@@ -91,10 +91,10 @@
 		x.out--
 		x.mu.Unlock()
 	}()
-	if out.Wait <= 0 {
-		x.t.Errorf("a pass has %v", out.Wait)
+	if out.Timeout <= 0 {
+		x.t.Errorf("a pass has %v", out.Timeout)
 	}
-	if !out.May(ctx) {
+	if !out.StillPermitted(ctx) {
 		return nil, balancer.StatusNotSent
 	}
 	a := x.acts()
@@ -112,9 +112,9 @@
 	}
 }
 
-func (x *fake) Join(ctx context.Context, link Link, pulse *Pulse) balancer.AttemptStatus {
+func (x *fake) Pipe(ctx context.Context, link UpstreamConn, pulse *Heartbeat) balancer.AttemptStatus {
 	x.answer("up")
-	pulse.Up()
+	pulse.Established()
 	a := link.(fakeLink)
 	end := time.After(a.lives)
 	tick := time.NewTicker(2 * time.Second)
@@ -122,9 +122,9 @@
 	for {
 		select {
 		case <-tick.C:
-			pulse.Asked()
+			pulse.ClientSent()
 			if !a.mute {
-				pulse.Answered()
+				pulse.EndpointSent()
 			}
 		case <-end:
 			return balancer.StatusOK
@@ -141,10 +141,10 @@
 	x.at = x.k.Clock.Now()
 }
 
-func (x *fake) Bad(string)                { x.answer("bad") }
-func (x *fake) Unavailable(time.Duration) { x.answer("unavailable") }
-func (x *fake) Failed()                   { x.answer("failed") }
-func (x *fake) Move() bool                { x.answer("move"); return true }
+func (x *fake) BadRequest(string)    { x.answer("bad") }
+func (x *fake) Reject(time.Duration) { x.answer("unavailable") }
+func (x *fake) Fail()                { x.answer("failed") }
+func (x *fake) Migrate() bool        { x.answer("move"); return true }
 
 // crossing is a front's side whose server says the last word just as its client is told to move.
 type crossing struct {
@@ -152,30 +152,30 @@
 	bye chan struct{} // closed as the client is told
 }
 
-func (x *crossing) Join(_ context.Context, _ Link, pulse *Pulse) balancer.AttemptStatus {
-	pulse.Up()
+func (x *crossing) Pipe(_ context.Context, _ UpstreamConn, pulse *Heartbeat) balancer.AttemptStatus {
+	pulse.Established()
 	<-x.bye
 	return balancer.StatusOK
 }
 
-func (x *crossing) Move() bool {
+func (x *crossing) Migrate() bool {
 	close(x.bye)
 	time.Sleep(ms) // of the fake clock: the pass has ended by then
-	return x.fake.Move()
+	return x.fake.Migrate()
 }
 
 // What counts is what the client was told: a server's end that crosses with its turn to move does not make it one that its server
 // has ended.
 func TestAnEndThatCrossesWithTheMoveIsAMove(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		x := &crossing{fake{t: t, k: k, acts: always(act{how: balancer.StatusOK})}, make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			k.Serve(context.Background(), Ask{Front: "fake", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}, x)
+			k.Serve(context.Background(), Request{Front: "fake", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}, x)
 		}()
 		synctest.Wait()
-		k.MoveAll(ms)
+		k.MigrateAll(ms)
 		<-ended
 		for _, e := range k.Counters.Ends() {
 			if want := map[string]int64{"moved": 1}[e.Name]; e.Count != want {
@@ -187,13 +187,13 @@
 
 // ask runs a transaction and returns once it is over.
 func (x *fake) ask(ctx context.Context, wait time.Duration) {
-	x.k.Serve(ctx, Ask{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: x.k.Clock.Now() + wait}}, x)
+	x.k.Serve(ctx, Request{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: x.k.Clock.Now() + wait}}, x)
 }
 
 func always(a act) func() act { return func() act { return a } }
 
 func TestSilentServerIsLeftWithinSevenSeconds(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: time.Minute, mute: true})}
 		began := k.Clock.Now()
 		x.ask(context.Background(), time.Second)
@@ -204,13 +204,13 @@
 }
 
 func TestPassAboutToGoOutSparesALeavingServer(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		x := &fake{t: t, k: k, acts: func() act {
 			t.Error("a draining server was sent a pass")
 			return act{}
 		}}
 		// The farm knows at once, the module with its next turn.
-		k.Farm.Update(k.Farm.ID("s-0"), "", balancer.StateDraining)
+		k.Endpoints.Update(k.Endpoints.ID("s-0"), "", balancer.StateDraining)
 		x.ask(context.Background(), time.Second)
 		if len(x.answers) != 1 || x.answers[0] != "unavailable" {
 			t.Errorf("the client has been told %v", x.answers)
@@ -219,16 +219,16 @@
 }
 
 func TestResumedConnectionGoesToItsServerOnly(t *testing.T) {
-	bench(t, 3, func(k *Core, list func(int, balancer.EndpointState)) {
+	bench(t, 3, func(k *Proxy, list func(int, balancer.EndpointState)) {
 		list(2, balancer.StateDraining)
 		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: 3 * time.Second})}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			k.Serve(context.Background(), Ask{At: "s-1", RequestOptions: balancer.RequestOptions{Established: true}}, x)
+			k.Serve(context.Background(), Request{EndpointName: "s-1", RequestOptions: balancer.RequestOptions{Established: true}}, x)
 		}()
 		synctest.Wait()
-		if all := k.Transactions.List(); len(all) != 1 || all[0].Endpoint != k.Farm.ID("s-1") || all[0].Stage != registry.StageEstablished {
+		if all := k.Requests.List(); len(all) != 1 || all[0].Endpoint != k.Endpoints.ID("s-1") || all[0].Stage != registry.StageEstablished {
 			t.Errorf("under way: %+v", all)
 		}
 		<-done
@@ -238,9 +238,9 @@
 			late.acts = always(act{how: balancer.StatusOK})
 			return act{how: balancer.StatusConnectFailed}
 		}
-		k.Serve(context.Background(), Ask{At: "s-4", RequestOptions: balancer.RequestOptions{Established: true}}, late)
+		k.Serve(context.Background(), Request{EndpointName: "s-4", RequestOptions: balancer.RequestOptions{Established: true}}, late)
 		none := &fake{t: t, k: k}
-		k.Serve(context.Background(), Ask{At: "s-9", RequestOptions: balancer.RequestOptions{Established: true}}, none)
+		k.Serve(context.Background(), Request{EndpointName: "s-9", RequestOptions: balancer.RequestOptions{Established: true}}, none)
 		if got := fmt.Sprint(x.answers, late.answers, none.answers); got != "[up] [up] [unavailable]" {
 			t.Errorf("the clients have been told %v", got)
 		}
@@ -250,17 +250,17 @@
 // A client that names a server which no list knows, or one that doesn't know it, is
 // told so within 3 s, and leaves nothing behind in the farm.
 func TestResumingWhatIsNotOpenEndsSoon(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
-		known := len(k.Farm.List())
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
+		known := len(k.Endpoints.List())
 		for _, at := range []string{"s-0", "s-77", "an odd name"} {
 			x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusError})}
 			began := k.Clock.Now()
-			k.Serve(context.Background(), Ask{At: at, RequestOptions: balancer.RequestOptions{Established: true}}, x)
+			k.Serve(context.Background(), Request{EndpointName: at, RequestOptions: balancer.RequestOptions{Established: true}}, x)
 			if took := k.Clock.Now() - began; took > 3*time.Second || fmt.Sprint(x.answers) != "[unavailable]" {
 				t.Errorf("at %s: after %v the client has been told %v", at, took, x.answers)
 			}
 		}
-		if n := len(k.Farm.List()); n != known {
+		if n := len(k.Endpoints.List()); n != known {
 			t.Errorf("the farm has grown from %d to %d", known, n)
 		}
 	})
@@ -269,8 +269,8 @@
 // A module may move a client in the turn after it stands: the move must not
 // overtake the word that it is up, which reads as a failure.
 func TestMoveFollowsTheWordThatItIsUp(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
-		k.MoveAll(time.Millisecond)
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
+		k.MigrateAll(time.Millisecond)
 		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, lives: time.Minute})}
 		x.ask(context.Background(), time.Second)
 		if fmt.Sprint(x.answers) != "[up move]" {
@@ -281,7 +281,7 @@
 
 // A crowd that moves all at once swamps those who take it in.
 func TestEveryoneMovesOneAfterAnother(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		const n, over = 40, 800 * ms
 		var all sync.WaitGroup
 		moved := make(chan time.Duration, n)
@@ -294,7 +294,7 @@
 		}
 		synctest.Wait()
 		began := k.Clock.Now()
-		k.MoveAll(over)
+		k.MigrateAll(over)
 		all.Wait()
 		close(moved)
 		var quarters [4]int
@@ -315,10 +315,10 @@
 
 // SIGKILL can come before a client's patience has passed: who waits is answered.
 func TestWaitingClientsAreAnsweredBeforeTheEnd(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusOK, after: time.Minute})}
 		began := k.Clock.Now()
-		time.AfterFunc(200*ms, k.TurnAway)
+		time.AfterFunc(200*ms, k.RejectPending)
 		x.ask(context.Background(), time.Second)
 		if took := k.Clock.Now() - began; took != 200*ms || fmt.Sprint(x.answers) != "[unavailable]" {
 			t.Errorf("after %v the client has been told %v", took, x.answers)
@@ -328,11 +328,11 @@
 
 // The same for one that was open before the start and is not up again yet.
 func TestAResumedConnectionIsAnsweredBeforeTheEnd(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		x := &fake{t: t, k: k, acts: always(act{how: balancer.StatusFull})}
 		began := k.Clock.Now()
-		time.AfterFunc(200*ms, k.TurnAway)
-		k.Serve(context.Background(), Ask{Front: "fake", At: "s-0", RequestOptions: balancer.RequestOptions{Deadline: began + time.Second, Established: true}}, x)
+		time.AfterFunc(200*ms, k.RejectPending)
+		k.Serve(context.Background(), Request{Front: "fake", EndpointName: "s-0", RequestOptions: balancer.RequestOptions{Deadline: began + time.Second, Established: true}}, x)
 		if took := k.Clock.Now() - began; took != 200*ms || fmt.Sprint(x.answers) != "[unavailable]" {
 			t.Errorf("after %v the client has been told %v", took, x.answers)
 		}
@@ -370,7 +370,7 @@
 			defer mu.Unlock()
 			return s.More()
 		}
-		bench(t, 3, func(k *Core, list func(int, balancer.EndpointState)) {
+		bench(t, 3, func(k *Proxy, list func(int, balancer.EndpointState)) {
 			var all sync.WaitGroup
 			for more() {
 				switch pick(4) {
--- a/internal/core/encoding_test.go
+++ b/internal/proxy/encoding_test.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"encoding/json"
@@ -9,20 +9,20 @@
 )
 
 // wholeStanding is an established connection as one process tells the next of it, with every field set.
-func wholeStanding() Standing {
-	return Standing{
-		Front: "line", Name: "9b1f03aa5c7e2d41", Class: "page", Tenant: "cedar", Server: "s-5be2a07c",
-		Item: 0xfedcba9876543210, Group: 0x123456789abcdef1, Load: 0.0078125, Return: true, Asked: 1234567890 * time.Nanosecond,
-		Wire: json.RawMessage(`{"Mid":true,"Up":{"Text":"TiA3IHc="},"Down":{"Long":true}}`),
+func wholeStanding() EstablishedRequest {
+	return EstablishedRequest{
+		Front: "line", Name: "9b1f03aa5c7e2d41", Class: "page", Tenant: "cedar", Endpoint: "s-5be2a07c",
+		Item: 0xfedcba9876543210, Group: 0x123456789abcdef1, Load: 0.0078125, Returning: true, UnansweredSince: 1234567890 * time.Nanosecond,
+		FrontendState: json.RawMessage(`{"Mid":true,"Up":{"Text":"TiA3IHc="},"Down":{"Long":true}}`),
 	}
 }
 
 func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
 	steps.Complete(t, wholeStanding())
 	steps.GoldenJSON(t, "testdata/established.json", wholeStanding())
-	steps.GoldenJSON(t, "testdata/established-zero.json", Standing{Wire: json.RawMessage("{}")})
+	steps.GoldenJSON(t, "testdata/established-zero.json", EstablishedRequest{FrontendState: json.RawMessage("{}")})
 }
 
 func TestEstablishedConnectionFieldsAreTagged(t *testing.T) {
-	steps.Tagged(t, []string{"json"}, Standing{})
+	steps.Tagged(t, []string{"json"}, EstablishedRequest{})
 }
--- a/internal/core/hand_test.go
+++ b/internal/proxy/hand_test.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	parked time.Duration
 }
 
-func (x *stuck) Park() (any, []syscall.Conn, bool) {
+func (x *stuck) Pause() (any, []syscall.Conn, bool) {
 	x.mu.Lock()
 	x.parked = x.k.Clock.Now()
 	x.mu.Unlock()
@@ -25,12 +25,12 @@
 	return nil, nil, false
 }
 
-func (x *stuck) Settle(handed bool) bool { return handed }
+func (x *stuck) Resolve(handed bool) bool { return handed }
 
 // What can't be handed over stands still for less than a second until it is moved: a side's end is to be passed on
 // within that. Its turn to be handed over came before the try, and a turn to be moved after it: 1.6 s in all.
 func TestWhatIsNotHandedOverIsMovedInTime(t *testing.T) {
-	bench(t, 1, func(k *Core, _ func(int, balancer.EndpointState)) {
+	bench(t, 1, func(k *Proxy, _ func(int, balancer.EndpointState)) {
 		var all []*stuck
 		var here sync.WaitGroup
 		for range 20 {
@@ -38,11 +38,11 @@
 			all = append(all, x)
 			name := string(rune('a' + len(all)))
 			here.Go(func() {
-				x.k.Serve(context.Background(), Ask{Front: "fake", Name: name, RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + 5*time.Second}}, x)
+				x.k.Serve(context.Background(), Request{Front: "fake", Name: name, RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + 5*time.Second}}, x)
 			})
 			time.Sleep(500 * time.Millisecond) // of the fake clock
 		}
-		k.GiveAll(func(any, ...syscall.Conn) error { return nil }, 800*time.Millisecond)
+		k.HandOffAll(func(any, ...syscall.Conn) error { return nil }, 800*time.Millisecond)
 		here.Wait()
 		var tries []time.Duration
 		for i, x := range all {
--- a/internal/core/orders.go
+++ b/internal/proxy/orders.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"slices"
@@ -13,13 +13,13 @@
 	ordered map[string]bool
 }
 
-// Listed takes news of the farm: at once for passes about to go out, and for
+// UpdateEndpoints takes news of the farm: at once for passes about to go out, and for
 // the module with its next turn.
-func (c *Core) Listed(kind balancer.ListKind, servers []balancer.Endpoint, addresses []string) {
+func (c *Proxy) UpdateEndpoints(kind balancer.ListKind, servers []balancer.Endpoint, addresses []string) {
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
 	if kind != balancer.ListDelta {
-		c.Farm.RetainOnly(servers)
+		c.Endpoints.RetainOnly(servers)
 		clear(c.listing.lines)
 	}
 	if c.listing.lines == nil {
@@ -35,11 +35,11 @@
 
 // tell tells of lines of the list, with orders in force. It is called with listMu held, so that what the farm
 // and the module hear comes in one order.
-func (c *Core) tell(kind balancer.ListKind, servers []balancer.Endpoint, addresses []string) {
+func (c *Proxy) tell(kind balancer.ListKind, servers []balancer.Endpoint, addresses []string) {
 	if len(c.listing.ordered) > 0 {
 		servers = slices.Clone(servers)
 		for i := range servers {
-			if servers[i].State == balancer.StateReady && c.listing.ordered[c.Farm.Name(servers[i].ID)] {
+			if servers[i].State == balancer.StateReady && c.listing.ordered[c.Endpoints.Name(servers[i].ID)] {
 				servers[i].State = balancer.StateDraining
 			}
 		}
@@ -49,14 +49,14 @@
 		if addresses != nil {
 			address = addresses[i]
 		}
-		c.Farm.Update(s.ID, address, s.State)
+		c.Endpoints.Update(s.ID, address, s.State)
 	}
 	c.facade.Report(balancer.EndpointUpdate{Kind: kind, Endpoints: servers, Revision: c.seen.Load()})
 }
 
-// Order has a server drain from now on, or no longer, whatever the list says. A server that is
+// SetDrain has a server drain from now on, or no longer, whatever the list says. A server that is
 // not listed yet drains as soon as it is. It tells whether it is listed.
-func (c *Core) Order(server string, drains bool) (listed bool) {
+func (c *Proxy) SetDrain(server string, drains bool) (listed bool) {
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
 	if c.listing.ordered == nil {
@@ -71,20 +71,20 @@
 	if !c.isListed(server) {
 		return false
 	}
-	id, _ := c.Farm.Lookup(server)
+	id, _ := c.Endpoints.Lookup(server)
 	c.tell(balancer.ListDelta, []balancer.Endpoint{c.listing.lines[id]}, nil)
 	return true
 }
 
 // isListed tells whether the list names a server that is not gone.
-func (c *Core) isListed(server string) bool {
-	id, ok := c.Farm.Lookup(server)
+func (c *Proxy) isListed(server string) bool {
+	id, ok := c.Endpoints.Lookup(server)
 	_, named := c.listing.lines[id]
 	return ok && named
 }
 
-// Ordered tells whether an operator has a server drain.
-func (c *Core) Ordered(server string) bool {
+// DrainDirected tells whether an operator has a server drain.
+func (c *Proxy) DrainDirected(server string) bool {
 	c.listMu.Lock()
 	defer c.listMu.Unlock()
 	return c.listing.ordered[server]
--- a/internal/core/pulse.go
+++ b/internal/proxy/pulse.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	silentAfter = 4500 * time.Millisecond
 )
 
-// Pulse is the beat of one connection: what its client says should bring
+// Heartbeat is the beat of one connection: what its client says should bring
 // something back at once. It guards against servers that go silent while their
 // connections stay open.
-type Pulse struct {
+type Heartbeat struct {
 	clock  Clock
 	server balancer.EndpointID
 	up     chan struct{}
@@ -36,14 +36,14 @@
 	told  float64       // the load that the server told last, in seconds of work a second
 }
 
-// Up notes that the client has been told that it is up. It is called once.
-func (p *Pulse) Up() {
+// Established notes that the client has been told that it is up. It is called once.
+func (p *Heartbeat) Established() {
 	close(p.up)
 	p.kind.CountEstablished()
 }
 
-// Asked notes that the client has said something.
-func (p *Pulse) Asked() {
+// ClientSent notes that the client has said something.
+func (p *Heartbeat) ClientSent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.asked == 0 {
@@ -51,8 +51,8 @@
 	}
 }
 
-// Answered notes that the server has said something back.
-func (p *Pulse) Answered() {
+// EndpointSent notes that the server has said something back.
+func (p *Heartbeat) EndpointSent() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.asked != 0 {
@@ -61,23 +61,23 @@
 	}
 }
 
-// Silent notes that the server has not even said that it lives.
-func (p *Pulse) Silent() { p.silent() }
+// TimedOut notes that the server has not even said that it lives.
+func (p *Heartbeat) TimedOut() { p.silent() }
 
-// Load notes the load that the server tells of the connection.
-func (p *Pulse) Load(load float64) {
+// ReportLoad notes the load that the server tells of the connection.
+func (p *Heartbeat) ReportLoad(load float64) {
 	p.mu.Lock()
 	p.told = load
 	p.mu.Unlock()
 	p.load(load)
 }
 
-// Delay notes how long a message takes at the server, as it says itself.
-func (p *Pulse) Delay(delay time.Duration) { p.delay(delay) }
+// ReportDelay notes how long a message takes at the server, as it says itself.
+func (p *Heartbeat) ReportDelay(delay time.Duration) { p.delay(delay) }
 
 // take returns the longest answer since the last look, or the wait for the one
 // that is still to come, and whether it has gone silent.
-func (p *Pulse) take(now time.Duration) (delay time.Duration, silent bool) {
+func (p *Heartbeat) take(now time.Duration) (delay time.Duration, silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delay, p.echo = p.echo, 0
@@ -95,7 +95,7 @@
 	floor time.Duration // delays under it are not told; 0 if none are
 
 	mu   sync.Mutex
-	all  map[*Pulse]struct{}
+	all  map[*Heartbeat]struct{}
 	told map[balancer.EndpointID]told
 }
 
@@ -113,7 +113,7 @@
 const saidFor = 1500 * time.Millisecond
 
 func newPulses(s *balancer.Settings, clock Clock) *pulses {
-	p := &pulses{clock: clock, all: make(map[*Pulse]struct{}), told: make(map[balancer.EndpointID]told)}
+	p := &pulses{clock: clock, all: make(map[*Heartbeat]struct{}), told: make(map[balancer.EndpointID]told)}
 	p.retune(s)
 	return p
 }
@@ -130,7 +130,7 @@
 	}
 }
 
-func (p *pulses) add(pulse *Pulse) *Pulse {
+func (p *pulses) add(pulse *Heartbeat) *Heartbeat {
 	pulse.clock = p.clock
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +138,7 @@
 	return pulse
 }
 
-func (p *pulses) remove(pulse *Pulse) {
+func (p *pulses) remove(pulse *Heartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.all, pulse)
@@ -189,8 +189,8 @@
 	return tell
 }
 
-// Watch looks at the pulses until ctx ends.
-func (c *Core) Watch(ctx context.Context) error {
+// MonitorHeartbeats looks at the pulses until ctx ends.
+func (c *Proxy) MonitorHeartbeats(ctx context.Context) error {
 	tick := time.NewTicker(pulseEvery)
 	defer tick.Stop()
 	for {
--- a/internal/core/pulse_test.go
+++ b/internal/proxy/pulse_test.go
@@ -1,4 +1,4 @@
-package core
+package proxy
 
 import (
 	"testing"
@@ -13,26 +13,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := newPulses(new(settings()), NewClock())
 		silent := 0
-		pulse := p.add(&Pulse{server: 1, silent: func() { silent++ }})
+		pulse := p.add(&Heartbeat{server: 1, silent: func() { silent++ }})
 		look := func(after time.Duration) []balancer.DelayReport {
 			time.Sleep(after) // of the fake clock
 			return p.look(p.clock.Now())
 		}
-		pulse.Asked()
+		pulse.ClientSent()
 		time.Sleep(5 * ms)
-		pulse.Answered()
+		pulse.EndpointSent()
 		if tell := look(time.Second); len(tell) != 0 {
 			t.Errorf("a quick echo was told as %v", tell)
 		}
-		pulse.Asked()
+		pulse.ClientSent()
 		if tell := look(time.Second); len(tell) != 1 || tell[0].Delay != time.Second {
 			t.Errorf("an echo missing for a second was told as %v", tell)
 		}
-		pulse.Asked() // the first is still unanswered
+		pulse.ClientSent() // the first is still unanswered
 		if tell := look(500 * ms); len(tell) != 0 {
 			t.Errorf("told again within the second: %v", tell)
 		}
-		pulse.Answered()
+		pulse.EndpointSent()
 		if tell := look(500 * ms); len(tell) != 1 || tell[0].Delay != 1500*ms {
 			t.Errorf("a late echo was told as %v", tell)
 		}
@@ -42,7 +42,7 @@
 		if tell := look(time.Second); len(tell) != 0 {
 			t.Errorf("being back was told again: %v", tell)
 		}
-		pulse.Asked()
+		pulse.ClientSent()
 		if look(silentAfter - ms); silent != 0 {
 			t.Error("silent before its time")
 		}
@@ -78,9 +78,9 @@
 func TestMissingEchoDoesNotOutdateTheServersWord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPulses(new(settings()), NewClock())
-		pulse := p.add(&Pulse{server: 1, silent: func() {}})
+		pulse := p.add(&Heartbeat{server: 1, silent: func() {}})
 		p.heard(1, 10*time.Second)
-		pulse.Asked()
+		pulse.ClientSent()
 		time.Sleep(time.Second)
 		if tell := p.look(p.clock.Now()); len(tell) != 1 || tell[0].Delay != 10*time.Second {
 			t.Errorf("told as %v", tell)
--- a/internal/record/read.go
+++ b/internal/record/read.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
 
@@ -71,15 +71,15 @@
 	Again    int // times that the same was decided again right after
 	Server   balancer.EndpointID
 	How      balancer.AttemptStatus
-	Final    core.Final
+	Final    proxy.Result
 }
 
 // Answer is how the transaction ended, and false if it has not, or not in what is kept.
-func (t *Transaction) Answer() (core.Final, bool) {
+func (t *Transaction) Answer() (proxy.Result, bool) {
 	if n := len(t.Steps); n > 0 && t.Steps[n-1].Kind == Final {
 		return t.Steps[n-1].Final, true
 	}
-	return core.Final{}, false
+	return proxy.Result{}, false
 }
 
 // AnswerName is the word for how it ended, or how far it has come: "waiting" or "up".
@@ -260,9 +260,9 @@
 	case PassBack:
 		s.Server, s.How = balancer.EndpointID(w[2]), balancer.AttemptStatus(w[2]>>32)
 	case Final:
-		s.Final = core.Final{
-			ComeBack: time.Duration(w[2]&math.MaxUint32) * time.Microsecond,
-			End:      registry.End(w[2] >> 32), Cause: core.Cause(w[2] >> 40), How: balancer.AttemptStatus(w[2] >> 48),
+		s.Final = proxy.Result{
+			RetryAfter: time.Duration(w[2]&math.MaxUint32) * time.Microsecond,
+			End:        registry.End(w[2] >> 32), Cause: proxy.EndCause(w[2] >> 40), Status: balancer.AttemptStatus(w[2] >> 48),
 		}
 	}
 	return s
@@ -374,6 +374,6 @@
 }
 
 // Clock is the clock that the times are on.
-func (r *Record) Clock() core.Clock { return r.clock }
+func (r *Record) Clock() proxy.Clock { return r.clock }
 
-var _ core.Observer = (*Record)(nil)
+var _ proxy.Observer = (*Record)(nil)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -28,7 +28,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
 
@@ -78,7 +78,7 @@
 // Record is a bounded record of transactions. It is safe for concurrent use.
 type Record struct {
 	ring  *ring
-	clock core.Clock
+	clock proxy.Clock
 	names atomic.Pointer[[]string] // of classes and fronts, by number; only ever grows
 
 	last atomic.Uint64 // number of the youngest transaction begun
@@ -86,7 +86,7 @@
 }
 
 // New returns an empty record of so many bytes, from LeastBytes to MostBytes.
-func New(bytes int, clock core.Clock) (*Record, error) {
+func New(bytes int, clock proxy.Clock) (*Record, error) {
 	if bytes < LeastBytes || bytes > MostBytes {
 		return nil, fmt.Errorf("record: %d bytes are not within %d and %d", bytes, LeastBytes, MostBytes)
 	}
@@ -124,7 +124,7 @@
 type trace struct {
 	r      *Record
 	number uint64
-	ask    core.Ask
+	ask    proxy.Request
 	began  time.Duration
 
 	head uint32
@@ -141,7 +141,7 @@
 }
 
 // Began begins to keep a transaction.
-func (r *Record) Began(number uint64, ask core.Ask) core.Trace {
+func (r *Record) Began(number uint64, ask proxy.Request) proxy.RequestObserver {
 	t := &trace{r: r, number: number, ask: ask, began: r.clock.Now(), head: none}
 	t.hold.block = none
 	r.ring.mu.Lock()
@@ -280,8 +280,8 @@
 	t.hold = holding{reason: d.Reason, block: block, word: word}
 }
 
-// Pass keeps that a pass begins, and with what it returns how it ended.
-func (t *trace) Pass(server balancer.EndpointID) func(how balancer.AttemptStatus) {
+// AttemptStarted keeps that a pass begins, and with what it returns how it ended.
+func (t *trace) AttemptStarted(server balancer.EndpointID) func(how balancer.AttemptStatus) {
 	t.note(stepPass, uint64(server), 0, stay)
 	return func(how balancer.AttemptStatus) {
 		var flags uint64
@@ -292,18 +292,18 @@
 	}
 }
 
-// Up keeps that the client was told that it is up.
-func (t *trace) Up() { t.note(stepUp, 0, 0, plain) }
+// Established keeps that the client was told that it is up.
+func (t *trace) Established() { t.note(stepUp, 0, 0, plain) }
 
 // Ended keeps the final answer, or the end that a transaction which stood came to.
-func (t *trace) Ended(f core.Final) {
+func (t *trace) Ended(f proxy.Result) {
 	flags := uint64(flagEnded)
 	switch f.End {
 	case registry.EndRejected, registry.EndFailed, registry.EndHeartbeatTimeout:
 		flags |= flagBad
 	}
-	us := min(uint64(f.ComeBack/time.Microsecond), math.MaxUint32)
-	t.note(stepEnded, us|uint64(f.End)<<32|uint64(f.Cause)<<40|uint64(f.How)<<48, flags, plain)
+	us := min(uint64(f.RetryAfter/time.Microsecond), math.MaxUint32)
+	t.note(stepEnded, us|uint64(f.End)<<32|uint64(f.Cause)<<40|uint64(f.Status)<<48, flags, plain)
 }
 
 // note keeps a step of one figure.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -15,21 +15,21 @@
 	"pgregory.net/rapid"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
 
 func newRecord(t testing.TB, bytes int) *Record {
 	t.Helper()
-	r, err := New(bytes, core.NewClock())
+	r, err := New(bytes, proxy.NewClock())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-func ask(number uint64) core.Ask {
-	return core.Ask{Front: "line", Class: "page", Name: fmt.Sprintf("%016x", number*0x9e3779b97f4a7c15), RequestOptions: balancer.RequestOptions{
+func ask(number uint64) proxy.Request {
+	return proxy.Request{Front: "line", Class: "page", Name: fmt.Sprintf("%016x", number*0x9e3779b97f4a7c15), RequestOptions: balancer.RequestOptions{
 		Group: number % 9, Item: number, Deadline: 2 * time.Hour,
 	}}
 }
@@ -46,14 +46,14 @@
 
 // serve keeps a transaction with passes that end as told; the last is accepted if it
 // is balancer.StatusOK.
-func serve(r *Record, number uint64, how ...balancer.AttemptStatus) core.Trace {
+func serve(r *Record, number uint64, how ...balancer.AttemptStatus) proxy.RequestObserver {
 	t := r.Began(number, ask(number))
 	for i, h := range how {
 		server := balancer.EndpointID(i + 1)
 		t.Decided(decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, i+1, server))
-		t.Pass(server)(h)
+		t.AttemptStarted(server)(h)
 		if h == balancer.StatusOK {
-			t.Up()
+			t.Established()
 		}
 	}
 	return t
@@ -100,8 +100,8 @@
 func TestTenantIsKept(t *testing.T) {
 	r := newRecord(t, LeastBytes)
 	for i, tenant := range []string{"", "fraser", "cedar"} {
-		trace := r.Began(uint64(i+1), core.Ask{Front: "line", Name: "a name", Class: "page", Tenant: tenant})
-		trace.Ended(core.Final{})
+		trace := r.Began(uint64(i+1), proxy.Request{Front: "line", Name: "a name", Class: "page", Tenant: tenant})
+		trace.Ended(proxy.Result{})
 		got, err := r.Number(uint64(i + 1))
 		if err != nil || got.Tenant != tenant || got.Class != "page" || got.Front != "line" || got.Name != "a name" {
 			t.Errorf("kept as %+v, %v, want the tenant %q", got, err, tenant)
@@ -112,7 +112,7 @@
 func TestTransactionIsKeptWhole(t *testing.T) {
 	r := newRecord(t, LeastBytes)
 	const long = "a container that has been given a name of some length/and so has the link"
-	tr := r.Began(7, core.Ask{Front: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
+	tr := r.Began(7, proxy.Request{Front: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
 		Group: 5, Item: 6, Deadline: r.clock.Now() + 2*time.Second, ExpectedLoad: 0.25, Returning: true, Established: true,
 	}})
 	hold := decision(balancer.VerdictHeld, balancer.ReasonEndpointSlow, 0, 3)
@@ -120,15 +120,15 @@
 		tr.Decided(hold)
 	}
 	tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRouteSlow, 1, 3))
-	back := tr.Pass(3)
+	back := tr.AttemptStarted(3)
 	if got, _ := r.Number(7); got.AnswerName() != "waiting" || !got.Passes()[0].Out {
 		t.Errorf("kept %+v", got)
 	}
 	back(balancer.StatusFull)
 	tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRedrawn, 2, 1<<31))
-	tr.Pass(1 << 31)(balancer.StatusOK)
-	tr.Up()
-	tr.Ended(core.Final{End: registry.EndMigrated, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond})
+	tr.AttemptStarted(1 << 31)(balancer.StatusOK)
+	tr.Established()
+	tr.Ended(proxy.Result{End: registry.EndMigrated, Cause: proxy.CauseShutdown, Status: balancer.StatusCancelled, RetryAfter: 1500 * time.Millisecond})
 	tr.Decided(decision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0)) // it has crossed the end
 	got, err := r.Number(7)
 	if err != nil {
@@ -146,7 +146,7 @@
 		t.Errorf("kept the steps %v, want %v", kinds, want)
 	}
 	f, ended := got.Answer()
-	if want := (core.Final{End: registry.EndMigrated, Cause: core.RelayLeaves, How: balancer.StatusCancelled, ComeBack: 1500 * time.Millisecond}); !ended || f != want {
+	if want := (proxy.Result{End: registry.EndMigrated, Cause: proxy.CauseShutdown, Status: balancer.StatusCancelled, RetryAfter: 1500 * time.Millisecond}); !ended || f != want {
 		t.Errorf("kept the end %+v", f)
 	}
 	passes := got.Passes()
@@ -172,9 +172,9 @@
 			bad = append(bad, i)
 			tr := serve(r, i, balancer.StatusFull, balancer.StatusTimeout)
 			tr.Decided(decision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0))
-			tr.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Second})
+			tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 		default:
-			serve(r, i, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
+			serve(r, i, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 		}
 	}
 	for _, i := range bad {
@@ -198,7 +198,7 @@
 	}
 	// Where all are refused, the oldest of those go, and never the whole of the rest.
 	for i := uint64(n + 1); i <= 2*n; i++ {
-		serve(r, i, balancer.StatusFull).Ended(core.Final{End: registry.EndRejected})
+		serve(r, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
 	s = r.Stats()
 	if share := float64(s.Held["eventful"]) / float64(s.Blocks); s.Kept["uneventful"] == 0 || share > 0.77 {
@@ -214,22 +214,22 @@
 	r := newRecord(t, LeastBytes)
 	waiting := r.Began(1, ask(1))
 	for i := uint64(2); i < 10_000; i++ {
-		serve(r, i, balancer.StatusFull).Ended(core.Final{End: registry.EndRejected})
+		serve(r, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
 	if got, err := r.Number(1); err != nil || got.Cut {
 		t.Errorf("who waits: %+v, %v", got, err)
 	}
-	waiting.Pass(4)(balancer.StatusOK)
-	waiting.Up()
+	waiting.AttemptStarted(4)(balancer.StatusOK)
+	waiting.Established()
 	for i := uint64(10_000); i < 20_000; i++ {
-		serve(r, i, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
+		serve(r, i, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	}
 	// It has stood for so long that its beginning is gone. Its end is told by itself.
 	if _, err := r.Number(1); !errors.Is(err, ErrGone) {
 		t.Errorf("who has stood for long: %v", err)
 	}
 	waiting.Decided(decision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
-	waiting.Ended(core.Final{End: registry.EndMigrated})
+	waiting.Ended(proxy.Result{End: registry.EndMigrated})
 	if got, err := r.Number(1); err != nil || !got.Cut || got.AnswerName() != "moved" || len(got.Steps) != 2 {
 		t.Errorf("its end: %+v, %v", got, err)
 	}
@@ -237,7 +237,7 @@
 
 func TestPinStaysWithinItsShare(t *testing.T) {
 	r := newRecord(t, LeastBytes)
-	serve(r, 1, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
+	serve(r, 1, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	if err := r.Pin(1, true); err != nil {
 		t.Fatal(err)
 	}
@@ -246,9 +246,9 @@
 		t.Fatal(err)
 	}
 	for i := uint64(3); i < 5000; i++ {
-		serve(r, i, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
+		serve(r, i, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	}
-	standing.Ended(core.Final{End: registry.EndHeartbeatTimeout})
+	standing.Ended(proxy.Result{End: registry.EndHeartbeatTimeout})
 	for _, i := range []uint64{1, 2} {
 		if got, err := r.Number(i); err != nil || !got.Pinned || got.Cut || !got.Ended {
 			t.Errorf("pinned: %+v, %v", got, err)
@@ -283,7 +283,7 @@
 
 func TestSizesOutOfRangeAreRefused(t *testing.T) {
 	for _, n := range []int{-1, 0, LeastBytes - 1, MostBytes + 1} {
-		if r, err := New(n, core.NewClock()); err == nil || !strings.Contains(err.Error(), fmt.Sprint(n)) {
+		if r, err := New(n, proxy.NewClock()); err == nil || !strings.Contains(err.Error(), fmt.Sprint(n)) {
 			t.Errorf("%d bytes: %v, %v", n, r, err)
 		}
 	}
@@ -332,7 +332,7 @@
 		r := newRecord(t, LeastBytes)
 		r.ring = newRing(perBlock * rapid.IntRange(4, 60).Draw(rt, "blocks"))
 		type model struct {
-			core.Trace
+			proxy.RequestObserver
 			steps int // since its beginning or its last loss
 			done  bool
 			held  balancer.Reason
@@ -366,7 +366,7 @@
 			},
 			"begin": func(_ *rapid.T) {
 				last++
-				all[last] = &model{Trace: r.Began(last, ask(last))}
+				all[last] = &model{RequestObserver: r.Began(last, ask(last))}
 			},
 			"decide": func(rt *rapid.T) {
 				_, m := pick()
@@ -388,21 +388,21 @@
 			},
 			"pass": func(rt *rapid.T) {
 				if _, m := pick(); m != nil && !m.done {
-					m.Pass(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "how")))
+					m.AttemptStarted(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "how")))
 					m.steps += 2
 					m.held = 0
 				}
 			},
 			"up": func(_ *rapid.T) {
 				if _, m := pick(); m != nil && !m.done {
-					m.Up()
+					m.Established()
 					m.steps++
 					m.held = 0
 				}
 			},
 			"end": func(rt *rapid.T) {
 				if _, m := pick(); m != nil && !m.done {
-					m.Ended(core.Final{End: registry.End(rapid.IntRange(0, 5).Draw(rt, "end"))})
+					m.Ended(proxy.Result{End: registry.End(rapid.IntRange(0, 5).Draw(rt, "end"))})
 					m.steps++
 					m.done = true
 				}
@@ -433,9 +433,9 @@
 				server := balancer.EndpointID(n)
 				for attempt := range int(n % 4) {
 					tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRedrawn, attempt+1, server))
-					tr.Pass(server)(balancer.StatusFull)
+					tr.AttemptStarted(server)(balancer.StatusFull)
 				}
-				tr.Ended(core.Final{End: registry.EndRejected, ComeBack: time.Duration(n) * time.Microsecond})
+				tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Duration(n) * time.Microsecond})
 			}
 		})
 	}
@@ -449,7 +449,7 @@
 				}
 				for _, s := range x.Steps {
 					if s.Kind == Decided && s.Decision.Endpoint != balancer.EndpointID(x.Number) || s.Kind == PassOut && s.Server != balancer.EndpointID(x.Number) ||
-						s.Kind == Final && s.Final.ComeBack != time.Duration(x.Number)*time.Microsecond {
+						s.Kind == Final && s.Final.RetryAfter != time.Duration(x.Number)*time.Microsecond {
 						t.Errorf("transaction %d has a step of another: %+v", x.Number, s)
 					}
 				}
@@ -479,7 +479,7 @@
 	if n := testing.AllocsPerRun(1000, func() { tr.Decided(d) }); n != 0 {
 		t.Errorf("a decision makes %v allocations", n)
 	}
-	if n := testing.AllocsPerRun(1000, func() { tr.Up() }); n != 0 {
+	if n := testing.AllocsPerRun(1000, func() { tr.Established() }); n != 0 {
 		t.Errorf("a step makes %v allocations", n)
 	}
 	if r.Bytes() > LeastBytes {
@@ -495,7 +495,7 @@
 		runtime.ReadMemStats(&before)
 		r := newRecord(t, bytes)
 		for i := uint64(1); i <= 40_000; i++ {
-			serve(r, i, balancer.StatusFull, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
+			serve(r, i, balancer.StatusFull, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -514,7 +514,7 @@
 		b.Run(fmt.Sprintf("reader=%v", reading), func(b *testing.B) {
 			r := newRecord(b, DefaultBytes)
 			for i := range uint64(20_000) {
-				serve(r, i+1, balancer.StatusOK).Ended(core.Final{End: registry.EndClosed})
+				serve(r, i+1, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 			}
 			var done atomic.Bool
 			var reader sync.WaitGroup
@@ -526,7 +526,7 @@
 				})
 			}
 			d := decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 3)
-			var tr core.Trace
+			var tr proxy.RequestObserver
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
--- a/internal/spoken/amqp/blocked_test.go
+++ b/internal/spoken/amqp/blocked_test.go
@@ -238,7 +238,7 @@
 	props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(3000), symbol(propGroup), text(linkProperties()[propGroup])}
 	second.attach(1, props)
 	steps.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
-	r.core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Farm.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
+	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
 	began := time.Now()
 	second.want(codeAttach, 0, "")
 	second.want(codeFlow, 0, "")
@@ -251,7 +251,7 @@
 	d.let()
 	_ = first.Close(t.Context())
 	second.Close()
-	steps.Until(t, "both are over", func() bool { return r.core.Transactions.Len() == 0 })
+	steps.Until(t, "both are over", func() bool { return r.core.Requests.Len() == 0 })
 	d.sawTheFirstAlone(t, r)
 }
 
@@ -294,7 +294,7 @@
 			break
 		}
 	}
-	steps.Until(t, "the transaction is over", func() bool { return r.core.Transactions.Len() == 0 })
+	steps.Until(t, "the transaction is over", func() bool { return r.core.Requests.Len() == 0 })
 }
 
 // A pass that is given up, or a transaction that ends, closes its session at once, while a word of its server may be in
@@ -302,7 +302,7 @@
 func TestAFlowInHandAsItsSessionEndsChangesNothing(t *testing.T) {
 	d := newDam(t, 3, 100)
 	r, front, first := damRig(t, d)
-	u, err := front.reach(t.Context(), r.core.Farm.List()[0], d.Addr().String(), 5*time.Second)
+	u, err := front.reach(t.Context(), r.core.Endpoints.List()[0], d.Addr().String(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/spoken/amqp/both_test.go
+++ b/internal/spoken/amqp/both_test.go
@@ -19,7 +19,7 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/line"
@@ -109,7 +109,7 @@
 // wire is one of the two ways to speak.
 type wire struct {
 	name  string
-	front func(k *core.Core, seats int) server
+	front func(k *proxy.Proxy, seats int) server
 	// server answers one connection to an application server.
 	server func(t testing.TB, c *net.TCPConn, s *script)
 	// open begins a transaction of a name and waits for its answer; the client
@@ -124,11 +124,11 @@
 }
 
 var wires = []wire{
-	{name: "line", front: func(k *core.Core, seats int) server {
+	{name: "line", front: func(k *proxy.Proxy, seats int) server {
 		return &line.Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}}
 	}, server: lineServer, open: lineOpen, hasty: lineHasty,
 		slow: []string{"PING\r\n", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=", "p"}, endless: "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c="},
-	{name: "amqp", front: func(k *core.Core, seats int) server {
+	{name: "amqp", front: func(k *proxy.Proxy, seats int) server {
 		return &Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}}
 	}, server: amqpServer, open: amqpOpen, hasty: amqpHasty,
 		slow: []string{string(headerAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(headerAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
@@ -419,7 +419,7 @@
 
 // rig is a core with one front and a farm of stand-ins.
 type rig struct {
-	core    *core.Core
+	core    *proxy.Proxy
 	script  *script
 	address string
 	farm    []balancer.Endpoint
@@ -451,19 +451,19 @@
 	if err := set.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{core: core.New(set, 1, core.NewClock()), script: &script{acts: acts, ends: make(chan struct{}, 64)}}
+	r := &rig{core: proxy.New(set, 1, proxy.NewClock()), script: &script{acts: acts, ends: make(chan struct{}, 64)}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range servers {
 		l := listen(t)
 		r.names = append(r.names, l.Addr().String())
 		r.farm = append(r.farm, balancer.Endpoint{
-			ID: r.core.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1,
+			ID: r.core.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1,
 		})
 		all.Go(func() { serveAll(t, l, w, r.script) })
 		context.AfterFunc(ctx, func() { l.Close() })
 	}
-	r.core.Listed(balancer.ListFull, r.farm, r.names)
+	r.core.UpdateEndpoints(balancer.ListFull, r.farm, r.names)
 	l := listen(t)
 	r.address = l.Addr().String()
 	all.Go(func() {
@@ -528,13 +528,13 @@
 	for i := range r.farm {
 		r.farm[i].State, r.farm[i].StartedAt = phase, born
 	}
-	r.core.Listed(balancer.ListDelta, r.farm, r.names)
+	r.core.UpdateEndpoints(balancer.ListDelta, r.farm, r.names)
 }
 
 // settled waits until no transaction is under way and returns the verdict.
 func (r *rig) settled(t *testing.T, all ...seen) verdict {
 	t.Helper()
-	for late := time.Now().Add(5 * time.Second); r.core.Transactions.Len() > 0; {
+	for late := time.Now().Add(5 * time.Second); r.core.Requests.Len() > 0; {
 		if time.Now().After(late) {
 			t.Fatal("a transaction is under way long after its end")
 		}
@@ -627,7 +627,7 @@
 			verdict{[]seen{{"up", false, "broken"}}, "reset=1", 1}},
 		{"the relay leaves", 1, []behaviour{accept},
 			func(t *testing.T, r *rig, w wire) verdict {
-				return r.settled(t, one(t, r, w, patience, func() { r.core.MoveAll(time.Millisecond) }))
+				return r.settled(t, one(t, r, w, patience, func() { r.core.MigrateAll(time.Millisecond) }))
 			},
 			verdict{[]seen{{"up", false, "moved"}}, "cancelled=1", 1}},
 		{"the client leaves a pass that is out", 1, []behaviour{hang}, clientLeaves,
@@ -659,7 +659,7 @@
 				var late seen
 				first := one(t, r, w, patience, func() {
 					late = one(t, r, w, patience, nil)
-					r.core.MoveAll(time.Millisecond)
+					r.core.MigrateAll(time.Millisecond)
 				})
 				return r.settled(t, late, first)
 			},
@@ -734,7 +734,7 @@
 	name := r.name()
 	first := named(t, r, w, name, patience, func() {
 		second = named(t, r, w, name, patience, nil)
-		r.core.MoveAll(time.Millisecond)
+		r.core.MigrateAll(time.Millisecond)
 	})
 	return r.settled(t, second, first)
 }
--- a/internal/spoken/amqp/endings_test.go
+++ b/internal/spoken/amqp/endings_test.go
@@ -85,7 +85,7 @@
 		r.retune(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
 		late := result(context.Background(), r, w, time.Minute) // its turn is at 0.62 of the time
 		await(t, "the first comes to a server", g.came)
-		r.core.MoveAll(over)
+		r.core.MigrateAll(over)
 		began := r.core.Clock.Now()
 		steps.Until(t, "its turn is over", func() bool { return r.core.Clock.Now()-began > over*2/3 })
 		close(g.open)
@@ -142,7 +142,7 @@
 				})
 				waits := result(context.Background(), r, w, time.Minute)
 				await(t, "it comes to a server", g.came)
-				r.core.TurnAway()
+				r.core.RejectPending()
 				if s := await(t, "its answer", waits); s.answer != c.want {
 					t.Errorf("the client is told %q, want %q", s.answer, c.want)
 				}
@@ -153,10 +153,10 @@
 
 // retune puts other settings in force.
 func (r *rig) retune(change func(*balancer.Settings)) {
-	s := *r.core.Terms()
+	s := *r.core.Settings()
 	s.Classes = append([]balancer.Class(nil), s.Classes...)
 	change(&s)
-	r.core.Retune(&s)
+	r.core.UpdateSettings(&s)
 }
 
 // full is a listener on loopback whose queue is full: who dials it waits for as long as the test wants.
@@ -226,12 +226,12 @@
 				defer leave()
 				waits := result(ctx, r, w, time.Minute)
 				steps.Until(t, "its pass goes out", func() bool {
-					all := r.core.Transactions.List()
+					all := r.core.Requests.List()
 					return len(all) == 1 && all[0].Attempts == 1
 				})
 				c.do(r, leave)
 				if c.name == "the client leaves" {
-					steps.Until(t, "the relay has seen it leave", func() bool { return r.core.Transactions.Len() == 0 })
+					steps.Until(t, "the relay has seen it leave", func() bool { return r.core.Requests.Len() == 0 })
 				}
 				f.let(t, w, r.script)
 				await(t, "the client's end", waits)
@@ -298,10 +298,10 @@
 		began := r.core.Clock.Now()
 		waits := result(context.Background(), r, w, time.Minute)
 		await(t, "the first comes to its server", g.came)
-		r.core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Farm.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
+		r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
 		close(g.open) // it breaks
 		steps.Until(t, "the repeat is out", func() bool {
-			all := r.core.Transactions.List()
+			all := r.core.Requests.List()
 			return len(all) == 1 && all[0].Attempts == 2
 		})
 		steps.Until(t, "the first is forgotten", func() bool { return r.core.Clock.Now() > began+2*memory })
@@ -325,13 +325,13 @@
 		waits   func(t *testing.T, r *rig) bool // whether it has come to where it is to wait
 		want    int                             // transactions that have come to servers by then
 	}{
-		{"for a turn", 1, nil, func(_ *testing.T, r *rig) bool { return r.core.Transactions.Len() == 1 }, 0},
+		{"for a turn", 1, nil, func(_ *testing.T, r *rig) bool { return r.core.Requests.Len() == 1 }, 0},
 		// The last wait takes 1.6 s.
 		{"for its backoff", 7, []behaviour{breaks, breaks, breaks, breaks, breaks}, func(_ *testing.T, r *rig) bool {
 			return r.core.Counters.Attempts(balancer.StatusReset) == 5
 		}, 5},
 		{"for a server that takes nothing now", 1, []behaviour{accept}, func(_ *testing.T, r *rig) bool {
-			return r.core.Transactions.Len() == 2
+			return r.core.Requests.Len() == 2
 		}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -359,7 +359,7 @@
 				waits := result(ctx, r, w, time.Minute)
 				steps.Until(t, "it waits", func() bool { return c.waits(t, r) })
 				leave()
-				steps.Until(t, "it is forgotten", func() bool { return r.core.Transactions.Len() == stands })
+				steps.Until(t, "it is forgotten", func() bool { return r.core.Requests.Len() == stands })
 				await(t, "its client's end", waits)
 				begin()
 				if r.script.mu.Lock(); r.script.taken != c.want {
@@ -399,7 +399,7 @@
 			if err := first.Close(ctx); err != nil {
 				t.Fatal(err)
 			}
-			steps.Until(t, "the first has ended", func() bool { return r.core.Transactions.Len() == 0 })
+			steps.Until(t, "the first has ended", func() bool { return r.core.Requests.Len() == 0 })
 			_, err := session.NewSender(ctx, "there", &client10.SenderOptions{Name: "second", Properties: linkProperties()})
 			var end *client10.Error
 			if c.cond == "" && err != nil || c.cond != "" && (!errors.As(err, &end) || end.Condition != client10.ErrCond(c.cond)) {
@@ -426,13 +426,13 @@
 	c := dialRaw(t, r.address).begin()
 	c.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
 	steps.Until(t, "its pass goes out", func() bool {
-		all := r.core.Transactions.List()
+		all := r.core.Requests.List()
 		return len(all) == 1 && all[0].Attempts == 1
 	})
 	c.write(5, perf{codeAttach, list{"a link", uint32(1), false}}, nil) // on a channel without a session
 	c.want(codeClose, 0, condFraming)
 	told := time.Now() // and it stays: a client that lingers is waited for
-	steps.Until(t, "its link is let go", func() bool { return r.core.Transactions.Len() == 0 })
+	steps.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
 	if took := time.Since(told); took > spoken.LingerFor/2 {
 		t.Errorf("its link is let go %v after its connection's end", took)
 	}
--- a/internal/spoken/amqp/front.go
+++ b/internal/spoken/amqp/front.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/core"
 	"lockroad/internal/pool"
+	"lockroad/internal/proxy"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
 )
@@ -27,7 +27,7 @@
 
 // Front is where clients that speak AMQP come in.
 type Front struct {
-	Core *core.Core
+	Core *proxy.Proxy
 	Hall *spoken.Hall // its seats are for links, its room for connections without
 	// ServerPort is where application servers speak AMQP; 0: as discovery says.
 	ServerPort int
@@ -81,7 +81,7 @@
 		err = c.run()
 	}
 	if bad := (fault{}); errors.As(err, &bad) {
-		f.Core.Misspoke("amqp", bad.text)
+		f.Core.ProtocolError("amqp", bad.text)
 		c.write(0, perf{codeClose, list{errorOf(bad.cond, bad.text, nil)}}, nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
@@ -106,7 +106,7 @@
 	defer done()
 	secured := tls.Server(c.tcp, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		c.front.Core.Misspoke("amqp", "no TLS comes about: "+err.Error())
+		c.front.Core.ProtocolError("amqp", "no TLS comes about: "+err.Error())
 		return err // which is no fault: there is nobody to tell it to in the standard's words
 	}
 	state := secured.ConnectionState()
@@ -232,7 +232,7 @@
 	}
 	if !ok {
 		c.sasl(perf{codeOutcome, list{uint8(1)}})
-		c.front.Core.Misspoke("amqp", "a client does not say who it is, or is not")
+		c.front.Core.ProtocolError("amqp", "a client does not say who it is, or is not")
 		return errors.New("the client does not say who it is, or is not")
 	}
 	c.user = user
@@ -289,7 +289,7 @@
 	err := s.take(f)
 	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
 	if bad := (fault{}); errors.As(err, &bad) && bad.cond != condFraming {
-		c.front.Core.Misspoke("amqp", bad.text)
+		c.front.Core.ProtocolError("amqp", bad.text)
 		s.dead = true
 		err := s.write(f.channel, perf{codeEnd, list{errorOf(bad.cond, bad.text, nil)}}, nil)
 		s.lost()
@@ -399,25 +399,25 @@
 	ask, p, err := front.ask(p, s.client.name, name)
 	l.attach = p
 	if err != nil {
-		front.Core.Misspoke("amqp", err.Error())
+		front.Core.ProtocolError("amqp", err.Error())
 		s.refuse(l, condInvalid, err.Error(), nil)
-		front.Core.Figures.Class(ask.Class).CountFailed()
+		front.Core.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	if !front.Gate.May(s.client.user, ask.Class) {
-		front.Core.Misspoke("amqp", "a client may not open a class")
+		front.Core.ProtocolError("amqp", "a client may not open a class")
 		s.refuse(l, condUnauthorized, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
-		front.Core.Figures.Class(ask.Class).CountFailed()
+		front.Core.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	release, ok := front.Core.Admit(s.client.conn.RemoteAddr(), ask)
 	if !ok {
-		s.refuse(l, condLimit, "its address or class has as many links as it may", comeBackInfo(front.Core.NoSeat(s.client.ctx, ask, core.OverLimit)))
+		s.refuse(l, condLimit, "its address or class has as many links as it may", comeBackInfo(front.Core.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
 		return nil
 	}
 	if !s.client.guest.Sit() {
 		release()
-		s.refuse(l, condLimit, "the relay holds as many links as it may", comeBackInfo(front.Core.NoSeat(s.client.ctx, ask, core.NoSeat)))
+		s.refuse(l, condLimit, "the relay holds as many links as it may", comeBackInfo(front.Core.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
 		return nil
 	}
 	ctx, left := context.WithCancel(s.client.ctx)
@@ -442,12 +442,12 @@
 
 // ask reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Front) ask(p perf, container, name string) (core.Ask, perf, error) {
+func (f *Front) ask(p perf, container, name string) (proxy.Request, perf, error) {
 	props, _ := p.field(13).(mapping)
 	address := addressOf(p)
 	rule := f.place(address, container)
-	ask := core.Ask{Front: "amqp", Name: container + "/" + name, Class: text(props.get(propClass)), Tenant: text(props.get(propTenant))}
-	ask.Settings = f.Core.Terms()
+	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: text(props.get(propClass)), Tenant: text(props.get(propTenant))}
+	ask.Settings = f.Core.Settings()
 	if ask.Class == "" && rule != nil {
 		ask.Class = rule.Class
 		props = props.with(propClass, ask.Class)
--- a/internal/spoken/amqp/link.go
+++ b/internal/spoken/amqp/link.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken"
 )
 
@@ -32,7 +32,7 @@
 	mu       sync.Mutex
 	out      *outbox   // what the client has for the server
 	up       *upstream // the server, once it is the client's
-	pulse    *core.Pulse
+	pulse    *proxy.Heartbeat
 	credit   *perf // what the client has granted so far
 	attached bool  // the client has been answered
 	detached bool  // the client has been told of the end
@@ -68,16 +68,16 @@
 	return x, ok && x >= 0 && x < 1e12
 }
 
-// Join answers the client's attach with the server's and passes frames on, both
+// Pipe answers the client's attach with the server's and passes frames on, both
 // ways, until the connection has ended.
-func (l *link) Join(ctx context.Context, to core.Link, pulse *core.Pulse) balancer.AttemptStatus {
+func (l *link) Pipe(ctx context.Context, to proxy.UpstreamConn, pulse *proxy.Heartbeat) balancer.AttemptStatus {
 	u := to.(*upstream)
 	defer close(u.stop)
 	stop := context.AfterFunc(ctx, u.Close)
 	defer stop()
 	l.mu.Lock()
 	l.up, l.pulse, l.attached = u, pulse, true
-	l.out = newOutbox(l.session, u, pulse.Silent)
+	l.out = newOutbox(l.session, u, pulse.TimedOut)
 	go l.out.run()
 	credit, gone := l.credit, l.gone
 	l.mu.Unlock()
@@ -87,7 +87,7 @@
 	if l.session.write(l.session.channel, u.attach.with(0, l.name).with(1, l.handle), nil) != nil {
 		return balancer.StatusCancelled
 	}
-	pulse.Up()
+	pulse.Established()
 	if u.credit != nil {
 		l.down(frame{perf: *u.credit})
 	}
@@ -98,7 +98,7 @@
 }
 
 // downstream passes on what the server says until its end.
-func (l *link) downstream(ctx context.Context, u *upstream, pulse *core.Pulse) balancer.AttemptStatus {
+func (l *link) downstream(ctx context.Context, u *upstream, pulse *proxy.Heartbeat) balancer.AttemptStatus {
 	for {
 		f, err := u.next(0)
 		l.mu.Lock()
@@ -110,7 +110,7 @@
 		case err != nil && gone:
 			return balancer.StatusCancelled
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			pulse.Silent()
+			pulse.TimedOut()
 			return balancer.StatusReset
 		case err != nil:
 			l.detach(condForced, "the application server is lost", nil)
@@ -162,7 +162,7 @@
 		}
 		if props, ok := f.field(10).(mapping); ok {
 			if us, ok := figure(props.get(propLoad)); ok {
-				l.pulse.Load(us / 1e6)
+				l.pulse.ReportLoad(us / 1e6)
 			}
 		}
 		p := f.perf
@@ -174,14 +174,14 @@
 		if l.sends || l.up.took(false) != nil {
 			return true // out of turn: left aside
 		}
-		l.pulse.Answered()
+		l.pulse.EndpointSent()
 		p, err := l.ids.carry(f.perf, s)
 		if err != nil {
 			return true
 		}
 		return s.transfer(p.with(0, l.handle), f.payload) == nil
 	case codeDisposition:
-		l.pulse.Answered()
+		l.pulse.EndpointSent()
 		for _, p := range l.ids.translate(f.perf, l.sends) {
 			if s.write(s.channel, p, nil) != nil {
 				return false
@@ -204,7 +204,7 @@
 }
 
 // joined returns what goes to the server while frames pass.
-func (l *link) joined() (*outbox, *core.Pulse) {
+func (l *link) joined() (*outbox, *proxy.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.detached || l.gone {
@@ -262,7 +262,7 @@
 		return err
 	}
 	if !f.flag(5) && !f.flag(4) {
-		pulse.Asked()
+		pulse.ClientSent()
 	}
 	next := parcel{perf: p.with(0, uint32(0)), payload: f.payload, transfer: true}
 	if !f.flag(5) {
@@ -351,11 +351,11 @@
 	return true
 }
 
-// Bad answers what makes no sense.
-func (l *link) Bad(why string) { l.detach(condNotAllowed, why, nil) }
+// BadRequest answers what makes no sense.
+func (l *link) BadRequest(why string) { l.detach(condNotAllowed, why, nil) }
 
-// Unavailable answers that trying again is harmless.
-func (l *link) Unavailable(comeBack time.Duration) {
+// Reject answers that trying again is harmless.
+func (l *link) Reject(comeBack time.Duration) {
 	l.detach(condLimit, "no application server takes it", comeBackInfo(comeBack))
 }
 
@@ -367,12 +367,12 @@
 	return info
 }
 
-// Failed answers what promises nothing.
-func (l *link) Failed() { l.detach(condInternal, "the transaction has failed", nil) }
+// Fail answers what promises nothing.
+func (l *link) Fail() { l.detach(condInternal, "the transaction has failed", nil) }
 
-// Move sends the client away politely: between two deliveries, if the one that
+// Migrate sends the client away politely: between two deliveries, if the one that
 // is under way ends in time.
-func (l *link) Move() bool {
+func (l *link) Migrate() bool {
 	select {
 	case <-l.ids.whole():
 	case <-time.After(moveFor):
--- a/internal/spoken/amqp/passing_test.go
+++ b/internal/spoken/amqp/passing_test.go
@@ -12,7 +12,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken"
 )
 
@@ -266,7 +266,7 @@
 
 func TestSilentClientIsClosed(t *testing.T) {
 	w := wires[1]
-	w.front = func(k *core.Core, seats int) server {
+	w.front = func(k *proxy.Proxy, seats int) server {
 		return &Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}, Idle: 100 * time.Millisecond}
 	}
 	r := newRig(t, w, 1, nil)
--- a/internal/spoken/amqp/secure_test.go
+++ b/internal/spoken/amqp/secure_test.go
@@ -15,7 +15,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
@@ -24,7 +24,7 @@
 // wireOf is AMQP with a front that is prepared, and servers that speak TLS if theirs is given.
 func wireOf(prepare func(*Front), servers *tls.Config) wire {
 	w := wires[1]
-	w.front = func(k *core.Core, seats int) server {
+	w.front = func(k *proxy.Proxy, seats int) server {
 		f := &Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}}
 		prepare(f)
 		return f
@@ -257,9 +257,9 @@
 // Where the settings name tenants an attach has to name one of them, as an opening on the line does.
 func TestAttachesNameATenant(t *testing.T) {
 	r := newRig(t, wires[1], 1, nil)
-	terms := *r.core.Terms()
+	terms := *r.core.Settings()
 	terms.Tenants = []string{"fraser", "cedar"}
-	r.core.Retune(&terms)
+	r.core.UpdateSettings(&terms)
 	f := &Front{Core: r.core}
 	for tenant, wrong := range map[any]string{nil: `"" is no known tenant`, "other": `"other" is no known tenant`, "cedar": ""} {
 		props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(300)}
--- a/internal/spoken/amqp/server.go
+++ b/internal/spoken/amqp/server.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
 	"lockroad/internal/pool"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
@@ -253,14 +253,14 @@
 	return nil
 }
 
-// Pass attaches the client's link at a server, and waits for its attach and, if
+// Attempt attaches the client's link at a server, and waits for its attach and, if
 // the client is to send, for credit.
-func (l *link) Pass(ctx context.Context, out core.Out) (up core.Link, how balancer.AttemptStatus) {
-	address := out.To.Address
+func (l *link) Attempt(ctx context.Context, out proxy.Attempt) (up proxy.UpstreamConn, how balancer.AttemptStatus) {
+	address := out.Endpoint.Address
 	if host, _, err := net.SplitHostPort(address); err == nil && l.front.ServerPort != 0 {
 		address = net.JoinHostPort(host, strconv.Itoa(l.front.ServerPort))
 	}
-	u, err := l.front.reach(ctx, out.To, address, min(cmp.Or(l.front.Core.Terms().ConnectTimeout, out.Wait), out.Wait))
+	u, err := l.front.reach(ctx, out.Endpoint, address, min(cmp.Or(l.front.Core.Settings().ConnectTimeout, out.Timeout), out.Timeout))
 	if err != nil {
 		return nil, spoken.Unsent(ctx)
 	}
@@ -278,14 +278,14 @@
 }
 
 // ask returns what came of the attach at a server.
-func (l *link) ask(ctx context.Context, u *upstream, out core.Out) balancer.AttemptStatus {
+func (l *link) ask(ctx context.Context, u *upstream, out proxy.Attempt) balancer.AttemptStatus {
 	props, _ := l.attach.field(13).(mapping)
-	p := l.attach.with(1, uint32(0)).with(13, props.with(propGiveUp, uint32(max(1, out.Left(ctx).Milliseconds()))))
+	p := l.attach.with(1, uint32(0)).with(13, props.with(propGiveUp, uint32(max(1, out.TimeLeft(ctx).Milliseconds()))))
 	frames := []perf{p}
-	may := func() bool { return out.May(ctx) }
+	may := func() bool { return out.StillPermitted(ctx) }
 	if u.lane != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
 		frames = []perf{u.begin(nil), p}
-		may = func() bool { return out.May(ctx) && u.lane.begins() }
+		may = func() bool { return out.StillPermitted(ctx) && u.lane.begins() }
 	}
 	switch err := u.sendFirst(ctx, may, frames...); {
 	case errors.Is(err, errMoot):
@@ -293,9 +293,9 @@
 	case err != nil:
 		return spoken.Unsent(ctx) // of a frame that is not whole nothing runs
 	}
-	l.front.Core.Figures.Attempts.Add(1)
+	l.front.Core.Metrics.Attempts.Add(1)
 	for {
-		f, err := u.next(out.Wait)
+		f, err := u.next(out.Timeout)
 		if err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return balancer.StatusTimeout
--- a/internal/spoken/amqp/stall_test.go
+++ b/internal/spoken/amqp/stall_test.go
@@ -79,7 +79,7 @@
 	serve := func(name string, do func(*net.TCPConn)) {
 		l := listen(t)
 		t.Cleanup(func() { l.Close() })
-		id := r.core.Farm.ID(name)
+		id := r.core.Endpoints.ID(name)
 		r.farm, r.names = append(r.farm, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(r.names, l.Addr().String())
 		go func() {
 			for {
@@ -94,7 +94,7 @@
 	}
 	serve("s-1", func(c *net.TCPConn) { stalls(t, c, release) })
 	serve("s-2", settles)
-	r.core.Listed(balancer.ListFull, r.farm, r.names)
+	r.core.UpdateEndpoints(balancer.ListFull, r.farm, r.names)
 	for i := 0; stalled == "" || sound == ""; i++ { // which groups are drawn to which server
 		group := fmt.Sprintf("%x", 1000+i)
 		ctx, leave := context.WithTimeout(context.Background(), serverWait)
--- a/internal/spoken/amqp/trunks_test.go
+++ b/internal/spoken/amqp/trunks_test.go
@@ -114,7 +114,7 @@
 	for _, one := range all {
 		_ = one.Close(t.Context())
 	}
-	steps.Until(t, "a transaction is left", func() bool { return r.core.Transactions.Len() == 0 })
+	steps.Until(t, "a transaction is left", func() bool { return r.core.Requests.Len() == 0 })
 	for i := range 3 {
 		one := attach(t, c, fmt.Sprint("again ", i))
 		say(t, one)
@@ -166,7 +166,7 @@
 	if err := all[3].Send(ctx, client10.NewMessage([]byte("n")), nil); err == nil {
 		t.Error("the fourth's connection has broken, and it goes on")
 	}
-	steps.Until(t, "the fourth is still there", func() bool { return r.core.Transactions.Len() == 3 })
+	steps.Until(t, "the fourth is still there", func() bool { return r.core.Requests.Len() == 3 })
 }
 
 // Many come and go at once: each is answered, and in the end nothing is left of any.
@@ -192,7 +192,7 @@
 	}
 	all.Wait()
 	steps.Until(t, "something is left", func() bool {
-		return r.core.Transactions.Len() == 0 && descriptorsTo(r.names[0]) == 0 && runtime.NumGoroutine() <= before+2
+		return r.core.Requests.Len() == 0 && descriptorsTo(r.names[0]) == 0 && runtime.NumGoroutine() <= before+2
 	})
 	if s.most.Load() > 5 {
 		t.Errorf("%d sessions on one connection", s.most.Load())
@@ -206,7 +206,7 @@
 	c := clientOf(t, r)
 	attach(t, c, "one")
 	r.farm[0].State = balancer.StateDraining
-	r.core.Listed(balancer.ListDelta, r.farm, r.names)
+	r.core.UpdateEndpoints(balancer.ListDelta, r.farm, r.names)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if _, err := c.NewSender(ctx, "there", &client10.SenderOptions{Name: "two", Properties: linkProperties()}); err == nil {
--- a/internal/spoken/discovery/discovery.go
+++ b/internal/spoken/discovery/discovery.go
@@ -20,7 +20,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 )
 
 const (
@@ -51,7 +51,7 @@
 
 // pace is the one that the settings in force ask for.
 func (w *Watcher) pace() pace {
-	if w.Core.Terms().PollList {
+	if w.Core.Settings().PollList {
 		return ofService
 	}
 	return ofAgent
@@ -82,7 +82,7 @@
 
 // Watcher keeps a core's farm up to date.
 type Watcher struct {
-	Core     *core.Core
+	Core     *proxy.Proxy
 	Address  string // at the start; Follow names another
 	Zones    []string
 	Keep     bool // the list is kept as it came, for List
@@ -200,7 +200,7 @@
 var errEmpty = errors.New("discovery: a whole list names no server; the farm stays as it is")
 
 func (w *Watcher) take(l List, kind balancer.ListKind) error {
-	if kind == balancer.ListFull && len(l.Members) == 0 && len(w.Core.Farm.List()) > 0 {
+	if kind == balancer.ListFull && len(l.Members) == 0 && len(w.Core.Endpoints.List()) > 0 {
 		return errEmpty // an agent that has lost its list would have every client turned away
 	}
 	servers := make([]balancer.Endpoint, 0, len(l.Members))
@@ -212,7 +212,7 @@
 			return fmt.Errorf("discovery: member %q in phase %q of size %v makes no sense", m.ID, m.Phase, m.Size)
 		}
 		servers = append(servers, balancer.Endpoint{
-			ID: w.Core.Farm.ID(m.ID), State: phase, Zone: w.Zone(m.Locality),
+			ID: w.Core.Endpoints.ID(m.ID), State: phase, Zone: w.Zone(m.Locality),
 			Cell: m.Cell, Weight: m.Size, StartedAt: w.Core.Clock.AtUnixMilli(m.UpSince),
 		})
 		addresses = append(addresses, m.HostPort)
@@ -221,8 +221,8 @@
 		w.keep(l, kind)
 	}
 	w.fails = 0
-	w.Core.Revised(l.Revision)
-	w.Core.Listed(kind, servers, addresses)
+	w.Core.SetRevision(l.Revision)
+	w.Core.UpdateEndpoints(kind, servers, addresses)
 	w.note(l, kind, held)
 	return nil
 }
@@ -350,7 +350,7 @@
 		}
 		select {
 		case <-turn.Done():
-		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Core.Terms().PollInterval)):
+		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Core.Settings().PollInterval)):
 		}
 		done()
 	}
--- a/internal/spoken/discovery/discovery_test.go
+++ b/internal/spoken/discovery/discovery_test.go
@@ -17,15 +17,15 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/steps"
 )
 
-func newCore() *core.Core {
-	return core.New(balancer.Settings{
+func newCore() *proxy.Proxy {
+	return proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 3,
 		InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
-	}, 1, core.NewClock())
+	}, 1, proxy.NewClock())
 }
 
 func member(id, phase string) string {
@@ -94,9 +94,9 @@
 	}
 }
 
-func farmOf(k *core.Core) string {
+func farmOf(k *proxy.Proxy) string {
 	var all []string
-	for _, s := range k.Farm.List() {
+	for _, s := range k.Endpoints.List() {
 		all = append(all, s.Name+"="+[]string{"gone", "ready", "draining"}[s.State])
 	}
 	return strings.Join(all, " ")
@@ -116,7 +116,7 @@
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	known, _ := k.Farm.Find(k.Farm.ID("s-2"))
+	known, _ := k.Endpoints.Find(k.Endpoints.ID("s-2"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = w.Run(ctx) })
@@ -340,12 +340,12 @@
 }
 
 // watching has a farm watched until the test's end.
-func watching(t *testing.T, address string, ask bool) (*core.Core, *Watcher) {
+func watching(t *testing.T, address string, ask bool) (*proxy.Proxy, *Watcher) {
 	k := newCore()
 	if ask {
-		s := *k.Terms()
+		s := *k.Settings()
 		s.PollList, s.PollInterval = true, 10*time.Second
-		k.Retune(&s)
+		k.UpdateSettings(&s)
 	}
 	w := &Watcher{Core: k, Address: address, Zones: []string{"a", "b"}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -434,7 +434,7 @@
 	old.answer(list(50, true, member("s-1", "ready"), member("s-2", "ready"), member("s-3", "ready"), member("s-4", "ready"), member("s-5", "ready")))
 	io.WriteString(old, chunk(list(51, false, member("s-1", "draining"), member("s-2", "draining"), member("s-3", "draining"), member("s-4", "gone"))))
 	steps.Until(t, "the drains are told", func() bool { return farmOf(k) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
-	passes, _ := k.Farm.Find(k.Farm.ID("s-1"))
+	passes, _ := k.Endpoints.Find(k.Endpoints.ID("s-1"))
 	w.Follow(after.address)
 	h, _ := after.next("0")
 	again := strings.Replace(member("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
--- a/internal/spoken/line/carry.go
+++ b/internal/spoken/line/carry.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken"
 )
 
@@ -60,9 +60,9 @@
 	return x.parking.Load() && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Settle notes whether another process carries the transaction on. Only the first call
+// Resolve notes whether another process carries the transaction on. Only the first call
 // counts; it tells what that said.
-func (x *exchange) Settle(handed bool) bool {
+func (x *exchange) Resolve(handed bool) bool {
 	x.settle.Do(func() {
 		x.handed = handed
 		c := x.client
@@ -104,8 +104,8 @@
 	Down part `json:"Down"`
 }
 
-// Park brings both ways to a halt.
-func (x *exchange) Park() (wire any, sockets []syscall.Conn, ok bool) {
+// Pause brings both ways to a halt.
+func (x *exchange) Pause() (wire any, sockets []syscall.Conn, ok bool) {
 	defer func() {
 		if !ok {
 			x.resume()
@@ -150,9 +150,9 @@
 
 // Adopt prepares to carry on a transaction that another process of this relay has handed
 // over. What it returns does so, to its end.
-func (f *Front) Adopt(ctx context.Context, s *core.Standing, sockets []net.Conn) (carry func(), err error) {
+func (f *Front) Adopt(ctx context.Context, s *proxy.EstablishedRequest, sockets []net.Conn) (carry func(), err error) {
 	var was parked
-	if err := json.Unmarshal(s.Wire, &was); err != nil {
+	if err := json.Unmarshal(s.FrontendState, &was); err != nil {
 		return nil, err
 	}
 	if len(sockets) != 2 {
@@ -168,11 +168,11 @@
 	x := f.exchange(c)
 	x.adopted = true
 	x.up, x.down = newLane(was.Up.splitter()), newLane(was.Down.splitter())
-	terms := f.Core.Terms()
-	ask := core.Ask{Front: "line", Name: s.Name, Class: s.Class, Tenant: s.Tenant, RequestOptions: balancer.RequestOptions{
-		Settings: terms, Class: terms.ClassIndex(s.Class), Item: s.Item, Group: s.Group, ExpectedLoad: s.Load, Returning: s.Return,
+	terms := f.Core.Settings()
+	ask := proxy.Request{Front: "line", Name: s.Name, Class: s.Class, Tenant: s.Tenant, RequestOptions: balancer.RequestOptions{
+		Settings: terms, Class: terms.ClassIndex(s.Class), Item: s.Item, Group: s.Group, ExpectedLoad: s.Load, Returning: s.Returning,
 	}}
-	id, _ := f.Core.Farm.Lookup(s.Server)
+	id, _ := f.Core.Endpoints.Lookup(s.Endpoint)
 	link := newServer(server, id)
 	return func() {
 		seen := f.Hall.Adopt(func(g *spoken.Guest) {
--- a/internal/spoken/line/carry_test.go
+++ b/internal/spoken/line/carry_test.go
@@ -13,13 +13,13 @@
 	"golang.org/x/sys/unix"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/steps"
 )
 
 // heir is another process's front for what a site hands over: the same sockets by
 // descriptors of its own, as a Unix socket would bring them.
-func (s *site) heir(observers ...core.Observer) (*site, core.Give) {
+func (s *site) heir(observers ...proxy.Observer) (*site, proxy.HandoffFunc) {
 	to := newSite(s.t, 8, observers...)
 	return to, func(what any, sockets ...syscall.Conn) error {
 		var copies []net.Conn
@@ -43,7 +43,7 @@
 		if err != nil {
 			return err
 		}
-		var st core.Standing
+		var st proxy.EstablishedRequest
 		if err := json.Unmarshal(text, &st); err != nil {
 			return err
 		}
@@ -68,13 +68,13 @@
 		server.say(echo[:cut])
 		client.want(echo[:cut])
 		to, give := s.heir()
-		s.core.GiveAll(give, time.Millisecond)
-		steps.Until(t, "it is not handed over", func() bool { return to.core.Transactions.CountByStage()[2] == 1 && s.core.Transactions.Len() == 0 })
+		s.core.HandOffAll(give, time.Millisecond)
+		steps.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 && s.core.Requests.Len() == 0 })
 		client.say(said[cut:] + said)
 		server.want(said[cut:] + said)
 		server.say(echo[cut:] + echo + "half")
 		client.want(echo[cut:] + echo + "half")
-		to.core.MoveAll(time.Millisecond)
+		to.core.MigrateAll(time.Millisecond)
 		server.say(" a line\r\n")
 		client.want(" a line\r\nMOVE\r\n")
 		client.wantEnd(false)
@@ -82,19 +82,19 @@
 }
 
 // asks tells what each transaction that begins has asked for.
-type asks chan core.Ask
+type asks chan proxy.Request
 
-func (a asks) Began(_ uint64, ask core.Ask) core.Trace { a <- ask; return mute{} }
+func (a asks) Began(_ uint64, ask proxy.Request) proxy.RequestObserver { a <- ask; return mute{} }
 
 // mute is a trace that nobody reads.
 type mute struct{}
 
 func (mute) Decided(*balancer.Decision) {}
-func (mute) Pass(balancer.EndpointID) func(balancer.AttemptStatus) {
+func (mute) AttemptStarted(balancer.EndpointID) func(balancer.AttemptStatus) {
 	return func(balancer.AttemptStatus) {}
 }
-func (mute) Up()              {}
-func (mute) Ended(core.Final) {}
+func (mute) Established()       {}
+func (mute) Ended(proxy.Result) {}
 
 // A transaction stays its tenant's: the new process's records, logs and spans tell it as the old one's did.
 func TestATenantIsHandedOver(t *testing.T) {
@@ -106,7 +106,7 @@
 	client.want("UP x\r\n")
 	seen := make(asks, 1)
 	to, give := s.heir(seen)
-	s.core.GiveAll(give, time.Millisecond)
+	s.core.HandOffAll(give, time.Millisecond)
 	select {
 	case ask := <-seen:
 		if ask.Tenant != "cedar" || ask.Class != "page" {
@@ -117,7 +117,7 @@
 	}
 	client.Close()
 	server.Close()
-	steps.Until(t, "it has not ended", func() bool { return to.core.Transactions.Len() == 0 })
+	steps.Until(t, "it has not ended", func() bool { return to.core.Requests.Len() == 0 })
 }
 
 // Ends are passed on alike after it, and so is what comes in one piece with them.
@@ -125,8 +125,8 @@
 	s := newSite(t, 8)
 	client, server := s.open()
 	to, give := s.heir()
-	s.core.GiveAll(give, time.Millisecond)
-	steps.Until(t, "it is not handed over", func() bool { return to.core.Transactions.CountByStage()[2] == 1 })
+	s.core.HandOffAll(give, time.Millisecond)
+	steps.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
 	client.say("a\r\nb\r\n")
 	client.CloseWrite()
 	server.want("a\r\nb\r\n")
@@ -135,14 +135,14 @@
 	server.Close()
 	client.want("BYE\r\n")
 	client.wantEnd(false)
-	steps.Until(t, "it is not over", func() bool { return to.core.Transactions.Len() == 0 })
+	steps.Until(t, "it is not over", func() bool { return to.core.Requests.Len() == 0 })
 }
 
 // Who can't be handed over is moved, as ever: nobody takes it, or its end is under way.
 func TestTransactionThatIsNotTakenIsMoved(t *testing.T) {
 	s := newSite(t, 8)
 	client, _ := s.open()
-	s.core.GiveAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
+	s.core.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
 	client.want("MOVE\r\n")
 	client.wantEnd(false)
 
@@ -151,7 +151,7 @@
 	client.CloseWrite()
 	server.wantEnd(false)
 	given := 0
-	s.core.GiveAll(func(any, ...syscall.Conn) error { given++; return nil }, time.Millisecond)
+	s.core.HandOffAll(func(any, ...syscall.Conn) error { given++; return nil }, time.Millisecond)
 	client.want("MOVE\r\n")
 	client.wantEnd(false)
 	if given != 0 {
@@ -171,7 +171,7 @@
 	its := s.peer(s.server.Accept())
 	its.say("UP 1\r\n")
 	other.want("UP 1\r\n")
-	s.core.GiveAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
+	s.core.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
 	other.want("MOVE\r\n")
 	server.say("x\r\nBYE\r\n")
 	server.Close()
@@ -205,6 +205,6 @@
 		client.Close()
 		server.wantEnd(false)
 		server.Close()
-		steps.Until(t, "it is not over", func() bool { return s.core.Transactions.Len() == 0 })
+		steps.Until(t, "it is not over", func() bool { return s.core.Requests.Len() == 0 })
 	}
 }
--- a/internal/spoken/line/encoding_test.go
+++ b/internal/spoken/line/encoding_test.go
@@ -46,7 +46,7 @@
 	client.want("M 1 2 wo")
 	to, give := s.heir()
 	encoded, golden := make(chan []byte, 1), make(chan []byte, 1)
-	s.core.GiveAll(func(what any, sockets ...syscall.Conn) error {
+	s.core.HandOffAll(func(what any, sockets ...syscall.Conn) error {
 		text, err := json.Marshal(what)
 		if err != nil {
 			return err
@@ -60,12 +60,12 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it is not handed over")
 	}
-	steps.Until(t, "it is not taken up", func() bool { return to.core.Transactions.CountByStage()[2] == 1 })
+	steps.Until(t, "it is not taken up", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
 	client.say("ord\r\n")
 	server.want("ord\r\n")
 	server.say("rd\r\nhalf")
 	client.want("rd\r\nhalf")
-	to.core.MoveAll(time.Millisecond)
+	to.core.MigrateAll(time.Millisecond)
 	server.say(" a line\r\n")
 	client.want(" a line\r\nMOVE\r\n")
 	client.wantEnd(false)
--- a/internal/spoken/line/front.go
+++ b/internal/spoken/line/front.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken"
 )
 
@@ -26,7 +26,7 @@
 
 // Front is where clients of the platform come in.
 type Front struct {
-	Core *core.Core
+	Core *proxy.Proxy
 	Hall *spoken.Hall
 
 	notes notes
@@ -89,7 +89,7 @@
 			continue
 		}
 		o, err := parseOpening(string(text))
-		terms := f.Core.Terms()
+		terms := f.Core.Settings()
 		class := terms.ClassIndex(o.class)
 		if err != nil || class < 0 {
 			f.bad(c, "an opening that can't be read, or of no known class")
@@ -102,12 +102,12 @@
 		ask := f.ask(o, terms, class)
 		release, ok := f.Core.Admit(conn.RemoteAddr(), ask)
 		if !ok {
-			f.turnAway(ctx, c, ask, core.OverLimit)
+			f.turnAway(ctx, c, ask, proxy.CauseQuotaExceeded)
 			return
 		}
 		defer release()
 		if !g.Sit() {
-			f.turnAway(ctx, c, ask, core.NoSeat)
+			f.turnAway(ctx, c, ask, proxy.CauseConnectionLimit)
 			return
 		}
 		if !hurry() {
@@ -131,7 +131,7 @@
 
 // bad answers what makes no sense: one clean failure.
 func (f *Front) bad(c *client, what string) {
-	f.Core.Misspoke("line", what)
+	f.Core.ProtocolError("line", what)
 	c.end("ERR\r\n")
 	go c.drain()
 	c.finish()
@@ -139,15 +139,15 @@
 
 // turnAway answers a client that no seat is free for, or that is over a limit. Its opening has been read:
 // closing with it unread would reset the connection, and lose the answer.
-func (f *Front) turnAway(ctx context.Context, c *client, ask core.Ask, cause core.Cause) {
-	c.end(busy(f.Core.NoSeat(ctx, ask, cause)))
+func (f *Front) turnAway(ctx context.Context, c *client, ask proxy.Request, cause proxy.EndCause) {
+	c.end(busy(f.Core.Reject(ctx, ask, cause)))
 	go c.drain()
 	c.finish()
 }
 
 // ask is what an opening asks for.
-func (f *Front) ask(o opening, terms *balancer.Settings, class int) core.Ask {
-	return core.Ask{Front: "line", Name: o.id, Class: o.class, Tenant: o.tenant, At: o.at, RequestOptions: balancer.RequestOptions{
+func (f *Front) ask(o opening, terms *balancer.Settings, class int) proxy.Request {
+	return proxy.Request{Front: "line", Name: o.id, Class: o.class, Tenant: o.tenant, EndpointName: o.at, RequestOptions: balancer.RequestOptions{
 		Settings: terms, Class: class, Item: o.item, Group: o.group, ExpectedLoad: o.load, Returning: o.back,
 		Deadline: f.Core.Clock.Now() + o.wait, Established: o.at != "",
 	}}
@@ -161,20 +161,20 @@
 }
 
 // see sees a client with a seat through: its transaction, and its leave.
-func (f *Front) see(ctx context.Context, x *exchange, g *spoken.Guest, ask core.Ask, serve func(context.Context)) {
+func (f *Front) see(ctx context.Context, x *exchange, g *spoken.Guest, ask proxy.Request, serve func(context.Context)) {
 	ctx, left := context.WithCancel(ctx)
 	defer left()
 	c := x.client
 	go x.upstream(left)
 	serve(ctx)
 	close(x.joined)
-	if x.Settle(false) {
+	if x.Resolve(false) {
 		return // another process has it
 	}
 	if x.early.Load() {
-		f.Core.Misspoke("line", "a client goes on before its answer")
+		f.Core.ProtocolError("line", "a client goes on before its answer")
 		if c.end("ERR\r\n") {
-			f.Core.Figures.Class(ask.Class).CountFailed()
+			f.Core.Metrics.Class(ask.Class).CountFailed()
 		}
 	}
 	c.CloseWrite() // nothing follows its last line, not even if it is shown out
@@ -200,7 +200,7 @@
 // joint is what the client's stream is passed on to once the transaction is up.
 type joint struct {
 	server *server
-	pulse  *core.Pulse
+	pulse  *proxy.Heartbeat
 }
 
 // exchange is one client's transaction.
@@ -222,14 +222,14 @@
 	handed   bool          // and whether it does
 }
 
-// Pass sends the opening to a server and waits for its answer.
-func (x *exchange) Pass(ctx context.Context, out core.Out) (core.Link, balancer.AttemptStatus) {
-	d := net.Dialer{Timeout: x.front.Core.Terms().ConnectTimeout, KeepAlive: -1}
-	conn, err := d.DialContext(ctx, "tcp", out.To.Address)
+// Attempt sends the opening to a server and waits for its answer.
+func (x *exchange) Attempt(ctx context.Context, out proxy.Attempt) (proxy.UpstreamConn, balancer.AttemptStatus) {
+	d := net.Dialer{Timeout: x.front.Core.Settings().ConnectTimeout, KeepAlive: -1}
+	conn, err := d.DialContext(ctx, "tcp", out.Endpoint.Address)
 	if err != nil {
 		return nil, spoken.Unsent(ctx)
 	}
-	s := newServer(conn.(*net.TCPConn), out.To.ID)
+	s := newServer(conn.(*net.TCPConn), out.Endpoint.ID)
 	stop := context.AfterFunc(ctx, s.Close)
 	how := x.ask(ctx, s, out)
 	if !stop() && how == balancer.StatusOK {
@@ -243,14 +243,14 @@
 }
 
 // ask returns what came of the opening at a server.
-func (x *exchange) ask(ctx context.Context, s *server, out core.Out) balancer.AttemptStatus {
-	if !out.May(ctx) {
+func (x *exchange) ask(ctx context.Context, s *server, out proxy.Attempt) balancer.AttemptStatus {
+	if !out.StillPermitted(ctx) {
 		return balancer.StatusNotSent
 	}
-	if _, err := s.Write(x.opening.with(out.Left(ctx))); err != nil {
+	if _, err := s.Write(x.opening.with(out.TimeLeft(ctx))); err != nil {
 		return spoken.Unsent(ctx) // of a line that is not whole nothing runs
 	}
-	x.front.Core.Figures.Attempts.Add(1)
+	x.front.Core.Metrics.Attempts.Add(1)
 	text, err := s.r.line()
 	if err != nil {
 		return spoken.Ended(ctx, balancer.StatusReset)
@@ -265,8 +265,8 @@
 	return balancer.StatusError
 }
 
-// Join passes lines on, both ways, until the connection has ended.
-func (x *exchange) Join(ctx context.Context, link core.Link, pulse *core.Pulse) balancer.AttemptStatus {
+// Pipe passes lines on, both ways, until the connection has ended.
+func (x *exchange) Pipe(ctx context.Context, link proxy.UpstreamConn, pulse *proxy.Heartbeat) balancer.AttemptStatus {
 	s := link.(*server)
 	stop := context.AfterFunc(ctx, s.Close)
 	defer stop()
@@ -277,13 +277,13 @@
 	if s.up != nil && x.client.write(s.up) != nil {
 		return balancer.StatusCancelled
 	}
-	pulse.Up()
+	pulse.Established()
 	return x.downstream(ctx, s, pulse)
 }
 
 // downstream passes on what the server says, and ends the client's side as the
 // server's ends, unless it was ended from here.
-func (x *exchange) downstream(ctx context.Context, s *server, pulse *core.Pulse) balancer.AttemptStatus {
+func (x *exchange) downstream(ctx context.Context, s *server, pulse *proxy.Heartbeat) balancer.AttemptStatus {
 	defer x.down.stop(false)
 	defer close(x.client.dry)
 	how := balancer.StatusReset
@@ -301,13 +301,13 @@
 			case wordMove:
 				how, last = balancer.StatusRedirected, true // it drains, whatever the list says
 			case wordLoad:
-				if x.front.notes.isDelay(x.front.Core.Terms(), s.id, figure, now, now-began) {
-					pulse.Delay(time.Duration(figure * float64(time.Millisecond)))
+				if x.front.notes.isDelay(x.front.Core.Settings(), s.id, figure, now, now-began) {
+					pulse.ReportDelay(time.Duration(figure * float64(time.Millisecond)))
 				} else {
-					pulse.Load(figure / 1e6)
+					pulse.ReportLoad(figure / 1e6)
 				}
 			default:
-				pulse.Answered()
+				pulse.EndpointSent()
 			}
 		})
 		if len(b) > 0 && x.client.write(b) != nil {
@@ -366,7 +366,7 @@
 	for err == nil && to.server != nil {
 		if _, err = x.client.r.Peek(1); err == nil {
 			b, _ := x.client.r.Peek(x.client.r.Buffered())
-			x.up.lines.feed(b, func([]byte) { to.pulse.Asked() })
+			x.up.lines.feed(b, func([]byte) { to.pulse.ClientSent() })
 			_, broke := to.server.Write(b)
 			_, _ = x.client.r.Discard(len(b)) // they are buffered
 			if broke != nil {
@@ -392,14 +392,14 @@
 	to.server.SetReadDeadline(time.Now().Add(byeWait))
 }
 
-// Bad answers what makes no sense.
-func (x *exchange) Bad(string) { x.client.end("ERR\r\n") }
+// BadRequest answers what makes no sense.
+func (x *exchange) BadRequest(string) { x.client.end("ERR\r\n") }
 
-// Unavailable answers that trying again is harmless.
-func (x *exchange) Unavailable(comeBack time.Duration) { x.client.end(busy(comeBack)) }
+// Reject answers that trying again is harmless.
+func (x *exchange) Reject(comeBack time.Duration) { x.client.end(busy(comeBack)) }
 
-// Failed answers what promises nothing.
-func (x *exchange) Failed() { x.client.end("ERR\r\n") }
+// Fail answers what promises nothing.
+func (x *exchange) Fail() { x.client.end("ERR\r\n") }
 
-// Move sends the client away politely.
-func (x *exchange) Move() bool { return x.client.end(lineMove) }
+// Migrate sends the client away politely.
+func (x *exchange) Migrate() bool { return x.client.end(lineMove) }
--- a/internal/spoken/line/front_test.go
+++ b/internal/spoken/line/front_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
 )
@@ -22,19 +22,19 @@
 // site is a front with one application server, whose end the test holds.
 type site struct {
 	t       *testing.T
-	core    *core.Core
+	core    *proxy.Proxy
 	front   *Front
 	address string
 	server  net.Listener
 }
 
-func newSite(t *testing.T, most int, observers ...core.Observer) *site {
+func newSite(t *testing.T, most int, observers ...proxy.Observer) *site {
 	t.Helper()
-	k := core.New(balancer.Settings{
+	k := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, MessageLatencyObjective: 60 * time.Millisecond}},
 		Relays:  1, MaxAttempts: 3, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
-	}, 1, core.NewClock())
+	}, 1, proxy.NewClock())
 	for _, o := range observers {
 		k.Observe(o)
 	}
@@ -48,7 +48,7 @@
 		doors[i] = l
 	}
 	s.server, s.address = doors[0], doors[1].Addr().String()
-	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: k.Farm.ID("s-1"), State: balancer.StateReady, Weight: 1}},
+	k.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: k.Endpoints.ID("s-1"), State: balancer.StateReady, Weight: 1}},
 		[]string{s.server.Addr().String()})
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -170,7 +170,7 @@
 	client, server := s.open()
 	server.say("half a li")
 	client.want("half a li")
-	s.core.MoveAll(time.Millisecond)
+	s.core.MigrateAll(time.Millisecond)
 	server.say("ne\r\n")
 	client.want("ne\r\nMOVE\r\n")
 	client.wantEnd(false)
@@ -184,7 +184,7 @@
 	client, server := s.open()
 	server.say("half a li")
 	client.want("half a li")
-	s.core.MoveAll(time.Millisecond)
+	s.core.MigrateAll(time.Millisecond)
 	began := s.core.Clock.Now()
 	steps.Until(t, "half a second is over", func() bool { return s.core.Clock.Now()-began > 500*time.Millisecond })
 	server.say("ne\r\n")
@@ -211,9 +211,9 @@
 // Where the settings name tenants an opening has to name one of them; the server hears of it as the client said it.
 func TestOpeningsNameATenant(t *testing.T) {
 	s := newSite(t, 8)
-	terms := *s.core.Terms()
+	terms := *s.core.Settings()
 	terms.Tenants = []string{"fraser", "cedar"}
-	s.core.Retune(&terms)
+	s.core.UpdateSettings(&terms)
 	for _, text := range []string{"OPEN 1 2 c=page,d=4000\r\n", "OPEN 1 2 c=page,t=other,d=4000\r\n", "OPEN 1 2 c=page,t=,d=4000\r\n"} {
 		client := s.client()
 		client.say(text)
@@ -276,7 +276,7 @@
 	c.say("PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21")
 	c.want("PONG\r\n") // it is being read
 	began := time.Now()
-	s.core.TurnAway()
+	s.core.RejectPending()
 	c.want("BUSY\r\n")
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("answered after %v", took)
@@ -294,7 +294,7 @@
 // very turn in which it takes it up.
 func TestAConnectionFromBeforeTheStartMovesOffAServerThatDrains(t *testing.T) {
 	s := newSite(t, 8)
-	s.core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: s.core.Farm.ID("s-1"), State: balancer.StateDraining, Weight: 1}},
+	s.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: s.core.Endpoints.ID("s-1"), State: balancer.StateDraining, Weight: 1}},
 		[]string{s.server.Addr().String()})
 	client := s.client()
 	client.say(strings.Replace(fmt.Sprintf(first, 4000), "\r\n", ",at=s-1\r\n", 1))
--- a/internal/spoken/otlp/golden_test.go
+++ b/internal/spoken/otlp/golden_test.go
@@ -20,8 +20,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
 	"lockroad/internal/golden"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
@@ -140,9 +140,9 @@
 	collector := &transcriber{}
 	server := httptest.NewServer(collector)
 	defer server.Close()
-	k := core.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, core.NewClock())
-	first, second := k.Farm.ID("s-1"), k.Farm.ID("s-2")
-	k.Listed(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
+	k := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
+	first, second := k.Endpoints.ID("s-1"), k.Endpoints.ID("s-2")
+	k.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
 	for end := range registry.EndNames {
 		for range end + 1 {
 			k.Counters.CountEnd(registry.End(end))
@@ -162,19 +162,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := core.Ask{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}
+	ask := proxy.Request{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}
 	kept := r.Began(7, ask)
 	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
 		kept.Decided(&balancer.Decision{At: k.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
 			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
-	kept.Pass(first)(balancer.StatusOK)
-	traced := (&observer{clock: k.Clock, farm: k.Farm, record: r, tracer: telemetry.tracers.Tracer(scope)}).Began(7, ask)
+	kept.AttemptStarted(first)(balancer.StatusOK)
+	traced := (&observer{clock: k.Clock, farm: k.Endpoints, record: r, tracer: telemetry.tracers.Tracer(scope)}).Began(7, ask)
 	for status := range registry.StatusNames {
-		traced.Pass(first)(balancer.AttemptStatus(status))
+		traced.AttemptStarted(first)(balancer.AttemptStatus(status))
 	}
-	traced.Up()
-	traced.Ended(core.Final{End: registry.EndRejected, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond})
+	traced.Established()
+	traced.Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit, RetryAfter: 800 * time.Millisecond})
 	if err := telemetry.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/spoken/otlp/otlp.go
+++ b/internal/spoken/otlp/otlp.go
@@ -21,7 +21,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
@@ -41,7 +41,7 @@
 // Start begins to send a core's metrics to a collector every so often, and has
 // the core tell of its transactions. What was decided for them, and why, is read from
 // a record that has observed the core before; without one it is left out.
-func Start(ctx context.Context, endpoint, name string, every time.Duration, k *core.Core, r *record.Record) (*Telemetry, error) {
+func Start(ctx context.Context, endpoint, name string, every time.Duration, k *proxy.Proxy, r *record.Record) (*Telemetry, error) {
 	metrics, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(endpoint+"/v1/metrics"),
 		otlpmetrichttp.WithTimeout(exportMost), otlpmetrichttp.WithRetry(otlpmetrichttp.RetryConfig{}))
 	if err != nil {
@@ -63,7 +63,7 @@
 	if err := observe(t.meters.Meter(scope), k); err != nil {
 		return nil, errors.Join(fmt.Errorf("telemetry: %w", err), t.Stop(ctx))
 	}
-	k.Observe(&observer{clock: k.Clock, farm: k.Farm, record: r, tracer: t.tracers.Tracer(scope)})
+	k.Observe(&observer{clock: k.Clock, farm: k.Endpoints, record: r, tracer: t.tracers.Tracer(scope)})
 	return t, nil
 }
 
@@ -73,7 +73,7 @@
 }
 
 // observe reads the core's counters whenever metrics are due.
-func observe(m metric.Meter, k *core.Core) error {
+func observe(m metric.Meter, k *proxy.Proxy) error {
 	count := func(name, what string, read func(metric.Int64Observer)) error {
 		_, err := m.Int64ObservableCounter(name, metric.WithDescription(what),
 			metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
@@ -94,12 +94,12 @@
 		return metric.WithAttributes(attribute.String(key, value))
 	}
 	var parts error
-	for _, r := range k.Readings {
+	for _, r := range k.Instruments {
 		tell := gauge
-		if r.Grows {
+		if r.Cumulative {
 			tell = count
 		}
-		parts = errors.Join(parts, tell(r.Name, r.What, func(o metric.Int64Observer) { o.Observe(r.Read()) }))
+		parts = errors.Join(parts, tell(r.Name, r.Description, func(o metric.Int64Observer) { o.Observe(r.Read()) }))
 	}
 	c := k.Counters
 	return errors.Join(parts,
@@ -120,12 +120,12 @@
 			o.Observe(assert.Broken())
 		}),
 		gauge("lockroad.connections", "transactions under way, by stage", func(o metric.Int64Observer) {
-			for stage, n := range k.Transactions.CountByStage() {
+			for stage, n := range k.Requests.CountByStage() {
 				o.Observe(n, by("stage", registry.Stage(stage).String()))
 			}
 		}),
 		gauge("lockroad.farm", "application servers, by phase", func(o metric.Int64Observer) {
-			for phase, n := range k.Farm.CountByState() {
+			for phase, n := range k.Endpoints.CountByState() {
 				o.Observe(n, by("phase", registry.StateName(balancer.EndpointState(phase))))
 			}
 		}),
@@ -134,13 +134,13 @@
 
 // observer makes a span of each transaction.
 type observer struct {
-	clock  core.Clock
+	clock  proxy.Clock
 	farm   *registry.Endpoints
 	record *record.Record
 	tracer trace.Tracer
 }
 
-func (o *observer) Began(number uint64, a core.Ask) core.Trace {
+func (o *observer) Began(number uint64, a proxy.Request) proxy.RequestObserver {
 	ctx, span := o.tracer.Start(context.Background(), "transaction", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(attribute.String("front", a.Front), attribute.String("class", a.Class),
 			attribute.String("transaction", a.Name),
@@ -159,8 +159,8 @@
 	number uint64
 }
 
-// Pass begins the span of a proxy pass; the result ends it.
-func (t *traced) Pass(server balancer.EndpointID) func(how balancer.AttemptStatus) {
+// AttemptStarted begins the span of a proxy pass; the result ends it.
+func (t *traced) AttemptStarted(server balancer.EndpointID) func(how balancer.AttemptStatus) {
 	name := ""
 	if s, ok := t.farm.Find(server); ok {
 		name = s.Name
@@ -176,14 +176,14 @@
 	}
 }
 
-// Up notes that the transaction stands.
-func (t *traced) Up() { t.span.AddEvent("up") }
+// Established notes that the transaction stands.
+func (t *traced) Established() { t.span.AddEvent("up") }
 
 // Decided is of no use to a span: what was decided is read from the record.
 func (t *traced) Decided(*balancer.Decision) {}
 
 // Ended ends the span with the final answer, or the end that it came to.
-func (t *traced) Ended(f core.Final) {
+func (t *traced) Ended(f proxy.Result) {
 	t.span.SetAttributes(attribute.String("answer", f.End.String()))
 	t.why(f)
 	t.span.End()
@@ -194,12 +194,12 @@
 
 // why adds what the record has of the transaction: an event for each decision, and the
 // reason of the last. Console and span so tell the same.
-func (t *traced) why(f core.Final) {
-	if f.Cause != core.Decided {
+func (t *traced) why(f proxy.Result) {
+	if f.Cause != proxy.CauseDecided {
 		t.span.SetAttributes(attribute.String("cause", f.Cause.String()))
 	}
-	if f.ComeBack > 0 {
-		t.span.SetAttributes(attribute.Int64("come_back_ms", f.ComeBack.Milliseconds()))
+	if f.RetryAfter > 0 {
+		t.span.SetAttributes(attribute.Int64("come_back_ms", f.RetryAfter.Milliseconds()))
 	}
 	if t.record == nil {
 		return
--- a/internal/spoken/otlp/otlp_test.go
+++ b/internal/spoken/otlp/otlp_test.go
@@ -11,7 +11,7 @@
 	spanpb "go.opentelemetry.io/proto/otlp/trace/v1"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/standin"
 )
@@ -19,28 +19,28 @@
 // exchange is a transaction that two servers turn away.
 type exchange struct{}
 
-func (exchange) Pass(context.Context, core.Out) (core.Link, balancer.AttemptStatus) {
+func (exchange) Attempt(context.Context, proxy.Attempt) (proxy.UpstreamConn, balancer.AttemptStatus) {
 	return nil, balancer.StatusFull
 }
-func (exchange) Join(context.Context, core.Link, *core.Pulse) balancer.AttemptStatus {
+func (exchange) Pipe(context.Context, proxy.UpstreamConn, *proxy.Heartbeat) balancer.AttemptStatus {
 	return balancer.StatusOK
 }
-func (exchange) Bad(string)                {}
-func (exchange) Unavailable(time.Duration) {}
-func (exchange) Failed()                   {}
-func (exchange) Move() bool                { return true }
+func (exchange) BadRequest(string)    {}
+func (exchange) Reject(time.Duration) {}
+func (exchange) Fail()                {}
+func (exchange) Migrate() bool        { return true }
 
 // serve runs a core and has it see a transaction through.
 func serve(t *testing.T, endpoint string) *Telemetry {
 	t.Helper()
-	k := core.New(balancer.Settings{
+	k := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second}},
 		Relays:  1, MaxAttempts: 3, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
-	}, 1, core.NewClock())
+	}, 1, proxy.NewClock())
 	servers := []balancer.Endpoint{
-		{ID: k.Farm.ID("s-1"), State: balancer.StateReady, Weight: 1}, {ID: k.Farm.ID("s-2"), State: balancer.StateReady, Weight: 1},
+		{ID: k.Endpoints.ID("s-1"), State: balancer.StateReady, Weight: 1}, {ID: k.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1},
 	}
-	k.Listed(balancer.ListFull, servers, []string{"a", "b"})
+	k.UpdateEndpoints(balancer.ListFull, servers, []string{"a", "b"})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r, err := record.New(record.LeastBytes, k.Clock)
@@ -48,14 +48,14 @@
 		t.Fatal(err)
 	}
 	k.Observe(r)
-	k.Readings = []core.Reading{{Name: "lockroad.part.state", Read: func() int64 { return 3 }}, {Name: "lockroad.part.count", Grows: true, Read: func() int64 { return 4 }}}
+	k.Instruments = []proxy.Instrument{{Name: "lockroad.part.state", Read: func() int64 { return 3 }}, {Name: "lockroad.part.count", Cumulative: true, Read: func() int64 { return 4 }}}
 	telemetry, err := Start(ctx, endpoint, "n1", time.Hour, k, r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go func() { _ = k.Run(ctx) }()
 	began := time.Now()
-	k.Serve(ctx, core.Ask{Front: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + 3*time.Second}}, exchange{})
+	k.Serve(ctx, proxy.Request{Front: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + 3*time.Second}}, exchange{})
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("the transaction took %v: telemetry holds it up", took)
 	}
--- a/internal/spoken/probe/probe.go
+++ b/internal/spoken/probe/probe.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
 	"lockroad/internal/members"
+	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
 
@@ -28,7 +28,7 @@
 
 // Prober lists servers. It is an observer of transactions, whose passes tell of servers too.
 type Prober struct {
-	Core *core.Core
+	Core *proxy.Proxy
 	Ping bool // servers answer PING with PONG; else a connection that comes up will do
 
 	mu      sync.Mutex
@@ -40,7 +40,7 @@
 }
 
 // New returns a prober of servers, all of which are held to be up at first.
-func New(k *core.Core, set members.Settings, servers []Server, ping bool) *Prober {
+func New(k *proxy.Proxy, set members.Settings, servers []Server, ping bool) *Prober {
 	p := &Prober{Core: k, Ping: ping, set: set, servers: servers, wake: make(chan struct{}, 1)}
 	p.members = members.New(set, names(servers), k.Clock.Now())
 	return p
@@ -96,7 +96,7 @@
 
 // tell lists a server.
 func (p *Prober) tell(s Server, state balancer.EndpointState, born time.Duration) {
-	p.Core.Listed(balancer.ListDelta, []balancer.Endpoint{{ID: p.Core.Farm.ID(s.Name), State: state, Zone: s.Zone, Weight: s.Size, StartedAt: born}}, []string{s.Address})
+	p.Core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: p.Core.Endpoints.ID(s.Name), State: state, Zone: s.Zone, Weight: s.Size, StartedAt: born}}, []string{s.Address})
 }
 
 // list tells of all that has changed.
@@ -200,16 +200,16 @@
 }
 
 // Began follows a transaction's passes.
-func (p *Prober) Began(uint64, core.Ask) core.Trace { return passes{p} }
+func (p *Prober) Began(uint64, proxy.Request) proxy.RequestObserver { return passes{p} }
 
 type passes struct{ *Prober }
 
 func (passes) Decided(*balancer.Decision) {}
-func (passes) Up()                        {}
-func (passes) Ended(core.Final)           {}
+func (passes) Established()               {}
+func (passes) Ended(proxy.Result)         {}
 
-// Pass takes the outcome of a pass. A server that turns it away, or that sends its clients away, is there.
-func (p passes) Pass(server balancer.EndpointID) func(how balancer.AttemptStatus) {
+// AttemptStarted takes the outcome of a pass. A server that turns it away, or that sends its clients away, is there.
+func (p passes) AttemptStarted(server balancer.EndpointID) func(how balancer.AttemptStatus) {
 	return func(how balancer.AttemptStatus) {
 		switch how {
 		case balancer.StatusNotSent, balancer.StatusCancelled:
@@ -218,7 +218,7 @@
 		ok := how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.members.Passed(p.Core.Clock.Now(), p.Core.Farm.Name(server), ok, "a pass: "+registry.StatusNames[how])
+		p.members.Passed(p.Core.Clock.Now(), p.Core.Endpoints.Name(server), ok, "a pass: "+registry.StatusNames[how])
 		p.list()
 	}
 }
--- a/internal/why/account.go
+++ b/internal/why/account.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
@@ -143,8 +143,8 @@
 		a.Flow = fmt.Sprintf("%016x", t.Item)
 	}
 	if f, ok := t.Answer(); ok {
-		a.ComeBack = ms(f.ComeBack)
-		if f.Cause != core.Decided {
+		a.ComeBack = ms(f.RetryAfter)
+		if f.Cause != proxy.CauseDecided {
 			a.Cause = f.Cause.String()
 		}
 	}
@@ -175,7 +175,7 @@
 		out.What, out.Text = "up", "the client is told that it is up"
 	case record.Final:
 		out.What = "end"
-		out.Wait = ms(s.Final.ComeBack)
+		out.Wait = ms(s.Final.RetryAfter)
 		out.Text = final(s.Final)
 		if up > 0 {
 			out.Text += fmt.Sprintf(", after %s", span(s.At-up))
@@ -189,21 +189,21 @@
 	"breaks the connection", "is let go: the pass is called off", "is spared: it has just begun to leave", "sends the client away, as it leaves",
 }
 
-func final(f core.Final) string {
+func final(f proxy.Result) string {
 	back := ""
-	if f.ComeBack > 0 {
-		back = ", to come back in " + span(f.ComeBack)
+	if f.RetryAfter > 0 {
+		back = ", to come back in " + span(f.RetryAfter)
 	}
 	switch f.End {
 	case registry.EndRejected:
 		switch f.Cause {
-		case core.NoSeat:
+		case proxy.CauseConnectionLimit:
 			return "gets the unavailable answer at the door: no seat was free" + back
-		case core.OverLimit:
+		case proxy.CauseQuotaExceeded:
 			return "gets the unavailable answer at the door: its address or its class has as much as may be" + back
-		case core.RelayLeaves:
+		case proxy.CauseShutdown:
 			return "gets the unavailable answer: the relay is leaving"
-		case core.NotOpen:
+		case proxy.CauseNotOpen:
 			return "gets the unavailable answer: it was not open at the server that its client named"
 		}
 		return "gets the unavailable answer" + back
@@ -212,14 +212,14 @@
 	case registry.EndClientLeft:
 		return "its client has left before an answer"
 	case registry.EndMigrated:
-		if f.Cause == core.RelayLeaves {
+		if f.Cause == proxy.CauseShutdown {
 			return "its client is told to move: the relay is leaving"
 		}
 		return "its client is told to move"
 	case registry.EndHeartbeatTimeout:
 		return "its server has gone silent; its client is told to move"
 	}
-	switch f.How {
+	switch f.Status {
 	case balancer.StatusOK:
 		return "its server ends it in good order"
 	case balancer.StatusRedirected:
@@ -449,7 +449,7 @@
 // gone tells whether a transaction's client was moved or cut off.
 func gone(t *record.Transaction) bool {
 	f, ok := t.Answer()
-	return ok && (f.End == registry.EndMigrated || f.End == registry.EndHeartbeatTimeout || f.End == registry.EndClosed && f.How != balancer.StatusOK && f.How != balancer.StatusCancelled)
+	return ok && (f.End == registry.EndMigrated || f.End == registry.EndHeartbeatTimeout || f.End == registry.EndClosed && f.Status != balancer.StatusOK && f.Status != balancer.StatusCancelled)
 }
 
 func sameAs(x, y *record.Transaction) string {
--- a/internal/why/core_test.go
+++ b/internal/why/core_test.go
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
@@ -28,25 +28,25 @@
 
 func (noLink) Close() {}
 
-func (x *scripted) Pass(_ context.Context, out core.Out) (core.Link, balancer.AttemptStatus) {
+func (x *scripted) Attempt(_ context.Context, out proxy.Attempt) (proxy.UpstreamConn, balancer.AttemptStatus) {
 	how := balancer.StatusOK
 	if n := len(x.seen); n < len(x.hows) {
 		how = x.hows[n]
 	}
 	if how == balancer.StatusTimeout {
-		time.Sleep(out.Wait)
+		time.Sleep(out.Timeout)
 	} else {
 		time.Sleep(20 * time.Millisecond)
 	}
-	x.seen = append(x.seen, x.farm.Name(out.To.ID)+" "+registry.StatusNames[how])
+	x.seen = append(x.seen, x.farm.Name(out.Endpoint.ID)+" "+registry.StatusNames[how])
 	if how == balancer.StatusOK {
 		return noLink{}, how
 	}
 	return nil, how
 }
 
-func (x *scripted) Join(ctx context.Context, _ core.Link, p *core.Pulse) balancer.AttemptStatus {
-	p.Up()
+func (x *scripted) Pipe(ctx context.Context, _ proxy.UpstreamConn, p *proxy.Heartbeat) balancer.AttemptStatus {
+	p.Established()
 	select {
 	case <-time.After(time.Second):
 		return balancer.StatusOK
@@ -54,37 +54,37 @@
 		return balancer.StatusCancelled
 	}
 }
-func (*scripted) Bad(string)                {}
-func (*scripted) Unavailable(time.Duration) {}
-func (*scripted) Failed()                   {}
-func (*scripted) Move() bool                { return true }
+func (*scripted) BadRequest(string)    {}
+func (*scripted) Reject(time.Duration) {}
+func (*scripted) Fail()                {}
+func (*scripted) Migrate() bool        { return true }
 
 // The whole way: the module's own decisions on a transaction that three servers fail,
 // the third refusing, and the next of its group; then a server that drains.
 func TestModulesOwnDecisionsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := core.New(balancer.Settings{
+		k := proxy.New(balancer.Settings{
 			Classes: []balancer.Class{{LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second}}, Relays: 1, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
 			ConnectTimeout: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
-		}, 1, core.NewClock())
+		}, 1, proxy.NewClock())
 		r, err := record.New(record.LeastBytes, k.Clock)
 		if err != nil {
 			t.Fatal(err)
 		}
 		k.Observe(r)
-		w := &Teller{Record: r, Names: k.Farm}
+		w := &Teller{Record: r, Names: k.Endpoints}
 		var list []balancer.Endpoint
 		for i := range 3 {
-			list = append(list, balancer.Endpoint{ID: k.Farm.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
+			list = append(list, balancer.Endpoint{ID: k.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
 		}
-		k.Revised(17)
-		k.Listed(balancer.ListFull, list, []string{"a", "b", "c"})
+		k.SetRevision(17)
+		k.UpdateEndpoints(balancer.ListFull, list, []string{"a", "b", "c"})
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { _ = k.Run(ctx) })
 		serve := func(hows ...balancer.AttemptStatus) (*scripted, *Account) {
-			x := &scripted{hows: hows, farm: k.Farm}
-			k.Serve(ctx, core.Ask{Front: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: k.Clock.Now() + 4*time.Second}}, x)
+			x := &scripted{hows: hows, farm: k.Endpoints}
+			k.Serve(ctx, proxy.Request{Front: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: k.Clock.Now() + 4*time.Second}}, x)
 			synctest.Wait()
 			kept, err := r.Name("a")
 			if err != nil {
@@ -119,12 +119,12 @@
 		check(x, a, "sent cached-route", "ended")
 		home := x.seen[0][:3]
 		for i := range list {
-			if k.Farm.Name(list[i].ID) == home {
+			if k.Endpoints.Name(list[i].ID) == home {
 				list[i].State = balancer.StateDraining
 			}
 		}
-		k.Revised(18)
-		k.Listed(balancer.ListDelta, list, []string{"a", "b", "c"})
+		k.SetRevision(18)
+		k.UpdateEndpoints(balancer.ListDelta, list, []string{"a", "b", "c"})
 		x, a = serve()
 		if a.Steps[0].Reason != "route-gone" || a.Steps[0].Revision != 18 || strings.HasPrefix(x.seen[0], home) || !strings.Contains(a.Steps[0].Text, "as "+home+", where its group is, takes nothing new") {
 			t.Errorf("told %+v; seen %v", a.Steps[0], x.seen)
@@ -141,7 +141,7 @@
 	var alone [2]float64
 	for _, asked := range []bool{false, true} {
 		b.Run(fmt.Sprintf("asked=%v", asked), func(b *testing.B) {
-			clock := core.NewClock()
+			clock := proxy.NewClock()
 			r, err := record.New(record.DefaultBytes, clock)
 			if err != nil {
 				b.Fatal(err)
@@ -155,16 +155,16 @@
 				Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 4, MaxAttempts: 5, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 			}, 1)
 			m.Handle(clock.Now(), balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
-			var trace core.Trace
+			var trace proxy.RequestObserver
 			m.Observe(func(_ balancer.RequestID, d *balancer.Decision) { trace.Decided(d) })
 			number := uint64(0)
 			turn := func() {
 				number++
-				trace = r.Began(number, core.Ask{Front: "line", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: clock.Now() + time.Second}})
+				trace = r.Began(number, proxy.Request{Front: "line", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: clock.Now() + time.Second}})
 				id, now := balancer.RequestID(number), clock.Now()
 				m.Handle(now, balancer.Request{ID: id, Group: number % 64, TimeLeft: time.Second})
 				m.Handle(now, balancer.ClientLeft{Request: id})
-				trace.Ended(core.Final{End: registry.EndClosed})
+				trace.Ended(proxy.Result{End: registry.EndClosed})
 			}
 			for range 20_000 {
 				turn()
--- a/internal/why/golden_test.go
+++ b/internal/why/golden_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
 	"lockroad/internal/golden"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
@@ -30,8 +30,8 @@
 			{Kind: record.PassOut, At: began + time.Millisecond, Server: 1},
 			{Kind: record.PassBack, At: began + 20*time.Millisecond, Server: 1, How: balancer.StatusOK},
 			{Kind: record.Up, At: began + 21*time.Millisecond},
-			{Kind: record.Final, At: began + 3*time.Second, Final: core.Final{
-				End: registry.EndRejected, Cause: core.NoSeat, ComeBack: 800 * time.Millisecond, How: balancer.StatusReset}},
+			{Kind: record.Final, At: began + 3*time.Second, Final: proxy.Result{
+				End: registry.EndRejected, Cause: proxy.CauseConnectionLimit, RetryAfter: 800 * time.Millisecond, Status: balancer.StatusReset}},
 		},
 	}
 }
@@ -98,10 +98,10 @@
 			tell(record.Step{Kind: record.PassBack, At: h.from, Server: 2, How: balancer.AttemptStatus(status)})
 		}
 		for end := range registry.EndNames {
-			for cause := range core.Causes {
+			for cause := range proxy.CauseNames {
 				for status := range registry.StatusNames {
-					tell(record.Step{Kind: record.Final, At: h.from, Final: core.Final{
-						End: registry.End(end), Cause: core.Cause(cause), How: balancer.AttemptStatus(status), ComeBack: time.Second}})
+					tell(record.Step{Kind: record.Final, At: h.from, Final: proxy.Result{
+						End: registry.End(end), Cause: proxy.EndCause(cause), Status: balancer.AttemptStatus(status), RetryAfter: time.Second}})
 				}
 			}
 		}
@@ -123,7 +123,7 @@
 	list("facets", facets)
 	list("answers", answers)
 	list("ends", registry.EndNames)
-	list("causes", core.Causes[:])
+	list("causes", proxy.CauseNames[:])
 	list("reasons", balancer.ReasonNames[:])
 	list("verdicts", balancer.VerdictNames[:])
 	list("outcomes", registry.StatusNames)
@@ -150,7 +150,7 @@
 	var b strings.Builder
 	for _, c := range []fmt.Stringer{
 		registry.EndClosed, registry.EndRejected, registry.EndFailed, registry.EndClientLeft, registry.EndMigrated, registry.EndHeartbeatTimeout, registry.EndHandedOff,
-		core.Decided, core.NoSeat, core.RelayLeaves, core.NotOpen, core.NoEcho, core.OverLimit,
+		proxy.CauseDecided, proxy.CauseConnectionLimit, proxy.CauseShutdown, proxy.CauseNotOpen, proxy.CauseHeartbeatTimeout, proxy.CauseQuotaExceeded,
 		balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated,
 		balancer.ReasonCachedRoute, balancer.ReasonRouteGone, balancer.ReasonRouteSlow, balancer.ReasonRouteRecovering, balancer.ReasonRouteAtCapacity, balancer.ReasonRouteWarmingUp, balancer.ReasonRedrawn,
 		balancer.ReasonWeightedDraw, balancer.ReasonWindowFull, balancer.ReasonNoneEligible, balancer.ReasonEndpointSlow, balancer.ReasonEndpointRecovering, balancer.ReasonBackoff, balancer.ReasonNoViableEndpoint,
@@ -171,7 +171,7 @@
 	defer func() { time.Local = local }()
 	in(t, func(h *hall) {
 		h.refused()
-		h.begin("page", func(a *core.Ask) { a.Tenant = "acme" }).Ended(core.Final{End: registry.EndRejected, Cause: core.NoSeat})
+		h.begin("page", func(a *proxy.Request) { a.Tenant = "acme" }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit})
 		var b strings.Builder
 		for _, line := range []string{
 			"--by " + strings.Join(facets, ","), "--json --by " + strings.Join(facets, ","), "--by class (class \"page\")", "--json --by reason (class \"live-preview\")",
--- a/internal/why/query.go
+++ b/internal/why/query.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/sexp"
@@ -53,8 +53,8 @@
 		{"server", "SERVER ...", "sent to one of these", onServer},
 		{"answer", "ANSWER ...", "how it ended, or how far it has come: " + strings.Join(answers, ", "),
 			oneOf(answers, func(t *record.Transaction) []string { return []string{t.AnswerName()} })},
-		{"cause", "CAUSE ...", "why it ended where the module did not decide it: " + strings.Join(core.Causes[:], ", "),
-			oneOf(core.Causes[:], func(t *record.Transaction) []string {
+		{"cause", "CAUSE ...", "why it ended where the module did not decide it: " + strings.Join(proxy.CauseNames[:], ", "),
+			oneOf(proxy.CauseNames[:], func(t *record.Transaction) []string {
 				if f, ok := t.Answer(); ok {
 					return []string{f.Cause.String()}
 				}
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/core"
+	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
@@ -27,7 +27,7 @@
 func in(t *testing.T, do func(h *hall)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		clock := core.NewClock()
+		clock := proxy.NewClock()
 		r, err := record.New(record.LeastBytes, clock)
 		if err != nil {
 			t.Fatal(err)
@@ -41,9 +41,9 @@
 	})
 }
 
-func (h *hall) begin(class string, change func(*core.Ask)) core.Trace {
+func (h *hall) begin(class string, change func(*proxy.Request)) proxy.RequestObserver {
 	h.next++
-	a := core.Ask{Front: "line", Class: class, Name: fmt.Sprintf("%016x", h.next), RequestOptions: balancer.RequestOptions{
+	a := proxy.Request{Front: "line", Class: class, Name: fmt.Sprintf("%016x", h.next), RequestOptions: balancer.RequestOptions{
 		Group: 0x5c0f, Item: 0x7f00 + h.next, Deadline: h.r.Clock().Now() + 2*time.Second,
 	}}
 	if change != nil {
@@ -53,7 +53,7 @@
 }
 
 // decided tells a trace of a decision about servers, of which the first is chosen.
-func (h *hall) decided(tr core.Trace, v balancer.Verdict, why balancer.Reason, attempt int, wait time.Duration, f ...balancer.ConsideredEndpoint) {
+func (h *hall) decided(tr proxy.RequestObserver, v balancer.Verdict, why balancer.Reason, attempt int, wait time.Duration, f ...balancer.ConsideredEndpoint) {
 	d := &balancer.Decision{At: h.r.Clock().Now(), Verdict: v, Reason: why, Attempt: attempt, Wait: wait, ReadyEndpoints: 3, SlowShare: 1. / 3,
 		Revision: 41, ListAge: 3200 * time.Millisecond, Considered: f, Preferred: -1}
 	if len(f) > 0 && (v == balancer.VerdictSent || v == balancer.VerdictMigrated) {
@@ -80,7 +80,7 @@
 		default:
 			h.decided(tr, balancer.VerdictSent, balancer.ReasonRedrawn, i+1, time.Second, belief(server, 0))
 		}
-		back := tr.Pass(server)
+		back := tr.AttemptStarted(server)
 		time.Sleep(250 * time.Millisecond)
 		back(how)
 		if i < 2 {
@@ -89,7 +89,7 @@
 		}
 	}
 	h.decided(tr, balancer.VerdictRejected, balancer.ReasonAttemptsExhausted, 3, 800*time.Millisecond)
-	tr.Ended(core.Final{End: registry.EndRejected, ComeBack: 800 * time.Millisecond})
+	tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: 800 * time.Millisecond})
 }
 
 func (h *hall) ask(line string) string {
@@ -150,24 +150,24 @@
 // A move and the same client's return are told of together.
 func TestMoveIsLinkedWithTheReturn(t *testing.T) {
 	in(t, func(h *hall) {
-		move := func(a *core.Ask) { a.Item = 0x99; a.Group = 7 }
+		move := func(a *proxy.Request) { a.Item = 0x99; a.Group = 7 }
 		first := h.begin("page", move)
 		h.decided(first, balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 0, belief(1, 0))
-		first.Pass(1)(balancer.StatusOK)
-		first.Up()
+		first.AttemptStarted(1)(balancer.StatusOK)
+		first.Established()
 		time.Sleep(3 * time.Second)
 		h.decided(first, balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 0, belief(1, balancer.ExcludedSlow))
-		first.Ended(core.Final{End: registry.EndMigrated})
-		h.begin("page", func(a *core.Ask) { a.Item, a.Group = 0x98, 7 }).Ended(core.Final{End: registry.EndClientLeft}) // of the group, and not back
+		first.Ended(proxy.Result{End: registry.EndMigrated})
+		h.begin("page", func(a *proxy.Request) { a.Item, a.Group = 0x98, 7 }).Ended(proxy.Result{End: registry.EndClientLeft}) // of the group, and not back
 		time.Sleep(400 * time.Millisecond)
-		back := h.begin("page", func(a *core.Ask) { move(a); a.Returning = true })
-		h.begin("page", func(a *core.Ask) { a.Item, a.Group, a.Returning = 0x97, 7, true })
+		back := h.begin("page", func(a *proxy.Request) { move(a); a.Returning = true })
+		h.begin("page", func(a *proxy.Request) { a.Item, a.Group, a.Returning = 0x97, 7, true })
 		if got := h.ask("1"); !strings.Contains(got, "its client came again 400 ms later as 3 (of the same flow), which waits for an answer") ||
 			!strings.Contains(got, "is moved off s-1, which is slow and has to lose connections") {
 			t.Errorf("of the first:\n%s", got)
 		}
-		back.Pass(2)(balancer.StatusOK)
-		back.Up()
+		back.AttemptStarted(2)(balancer.StatusOK)
+		back.Established()
 		if got := h.ask("3"); !strings.Contains(got, "its client came back from 1 (of the same flow), whose client is told to move (relief: s-1), 400 ms before") ||
 			!strings.Contains(got, "back after a move or a break") || !strings.Contains(got, "  it stands\n") {
 			t.Errorf("of the second:\n%s", got)
@@ -188,11 +188,11 @@
 		for range 3 { // 2 to 4
 			tr := h.begin("page", nil)
 			h.decided(tr, balancer.VerdictSent, balancer.ReasonCachedRoute, 1, 0, belief(2, 0))
-			tr.Pass(2)(balancer.StatusOK)
-			tr.Up()
-			tr.Ended(core.Final{End: registry.EndClosed})
+			tr.AttemptStarted(2)(balancer.StatusOK)
+			tr.Established()
+			tr.Ended(proxy.Result{End: registry.EndClosed})
 		}
-		h.begin("print", func(a *core.Ask) { a.Front, a.Returning = "amqp", true }).Ended(core.Final{End: registry.EndRejected, Cause: core.NoSeat}) // 5
+		h.begin("print", func(a *proxy.Request) { a.Front, a.Returning = "amqp", true }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit}) // 5
 		if err := h.r.Pin(3, true); err != nil {
 			t.Fatal(err)
 		}
@@ -300,9 +300,9 @@
 		for range 20_000 {
 			tr := h.begin("page", nil)
 			h.decided(tr, balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 0, belief(1, 0))
-			tr.Pass(1)(balancer.StatusOK)
-			tr.Up()
-			tr.Ended(core.Final{End: registry.EndMigrated})
+			tr.AttemptStarted(1)(balancer.StatusOK)
+			tr.Established()
+			tr.Ended(proxy.Result{End: registry.EndMigrated})
 			time.Sleep(time.Millisecond)
 		}
 		for line, want := range map[string]string{
