--- a/Makefile
+++ b/Makefile
@@ -28,10 +28,10 @@
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzHall$$' -fuzztime $(FUZZTIME) ./internal/spoken
 	go test -run '^$$' -fuzz '^FuzzTransactions$$' -fuzztime $(FUZZTIME) ./internal/proxy
-	go test -run '^$$' -fuzz '^FuzzMoveComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
-	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
-	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
-	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/spoken/line
+	go test -run '^$$' -fuzz '^FuzzMoveComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
+	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
+	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
+	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzChunks$$' -fuzztime $(FUZZTIME) ./internal/spoken/discovery
 	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/spoken/amqp
 	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/spoken/amqp
--- a/internal/spoken/line/carry.go
+++ b/internal/frontend/line/carry.go
@@ -142,15 +142,15 @@
 	close(x.resumed)
 }
 
-// Beats returns what is known of the times at which servers tell delays.
-func (f *Front) Beats() map[balancer.EndpointID]Beat { return f.notes.beatsOf() }
+// ReportTimings returns what is known of the times at which servers tell delays.
+func (f *Frontend) ReportTimings() map[balancer.EndpointID]ReportTiming { return f.notes.beatsOf() }
 
-// Know takes over what another process knows of the times at which a server tells delays.
-func (f *Front) Know(id balancer.EndpointID, b Beat) { f.notes.know(id, b) }
+// RestoreTiming takes over what another process knows of the times at which a server tells delays.
+func (f *Frontend) RestoreTiming(id balancer.EndpointID, b ReportTiming) { f.notes.know(id, b) }
 
 // Adopt prepares to carry on a transaction that another process of this relay has handed
 // over. What it returns does so, to its end.
-func (f *Front) Adopt(ctx context.Context, s *proxy.EstablishedRequest, sockets []net.Conn) (carry func(), err error) {
+func (f *Frontend) Adopt(ctx context.Context, s *proxy.EstablishedRequest, sockets []net.Conn) (carry func(), err error) {
 	var was parked
 	if err := json.Unmarshal(s.FrontendState, &was); err != nil {
 		return nil, err
@@ -168,17 +168,17 @@
 	x := f.exchange(c)
 	x.adopted = true
 	x.up, x.down = newLane(was.Up.splitter()), newLane(was.Down.splitter())
-	terms := f.Core.Settings()
+	terms := f.Proxy.Settings()
 	ask := proxy.Request{Front: "line", Name: s.Name, Class: s.Class, Tenant: s.Tenant, RequestOptions: balancer.RequestOptions{
 		Settings: terms, Class: terms.ClassIndex(s.Class), Item: s.Item, Group: s.Group, ExpectedLoad: s.Load, Returning: s.Returning,
 	}}
-	id, _ := f.Core.Endpoints.Lookup(s.Endpoint)
+	id, _ := f.Proxy.Endpoints.Lookup(s.Endpoint)
 	link := newServer(server, id)
 	return func() {
-		seen := f.Hall.Adopt(func(g *spoken.Guest) {
+		seen := f.Limiter.Adopt(func(g *spoken.Guest) {
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			f.see(ctx, x, g, ask, func(ctx context.Context) { f.Core.Adopt(ctx, s, ask, x, link) })
+			f.see(ctx, x, g, ask, func(ctx context.Context) { f.Proxy.Adopt(ctx, s, ask, x, link) })
 		})
 		if !seen { // this process is closing itself
 			c.end(lineMove)
--- a/internal/spoken/line/encoding_test.go
+++ b/internal/frontend/line/encoding_test.go
@@ -22,10 +22,10 @@
 }
 
 func TestHeartbeatKeepsItsEncoding(t *testing.T) {
-	whole := Beat{At: 1234567890, Last: 12.5, Count: 7}
+	whole := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTime: 7}
 	steps.Complete(t, whole)
 	steps.GoldenJSON(t, "testdata/heartbeat.json", whole)
-	steps.GoldenJSON(t, "testdata/heartbeat-zero.json", Beat{})
+	steps.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
 }
 
 // What a front hands over of a connection that is in the middle of a line on both sides is the golden file's, and a front
@@ -73,5 +73,5 @@
 
 func TestHandedOverFieldsAreTagged(t *testing.T) {
 	steps.Tagged(t, []string{"json"}, parked{})
-	steps.Tagged(t, []string{"json"}, Beat{})
+	steps.Tagged(t, []string{"json"}, ReportTiming{})
 }
--- a/internal/spoken/line/front.go
+++ b/internal/frontend/line/front.go
@@ -24,18 +24,18 @@
 	pingsMost = 16                     // that a client may send before its opening
 )
 
-// Front is where clients of the platform come in.
-type Front struct {
-	Core *proxy.Proxy
-	Hall *spoken.Hall
+// Frontend is where clients of the platform come in.
+type Frontend struct {
+	Proxy   *proxy.Proxy
+	Limiter *spoken.Hall
 
 	notes notes
 }
 
 // Serve takes clients until the listener is closed, and then sees those through
 // that it has.
-func (f *Front) Serve(ctx context.Context, l net.Listener) error {
-	return spoken.Accept(ctx, l, f.Hall, f.client)
+func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
+	return spoken.Accept(ctx, l, f.Limiter, f.client)
 }
 
 // showOut tells a client that has not said what it wants to come again. So short
@@ -48,7 +48,7 @@
 }
 
 // client sees one client's connection through.
-func (f *Front) client(ctx context.Context, conn *net.TCPConn, g *spoken.Guest) {
+func (f *Frontend) client(ctx context.Context, conn *net.TCPConn, g *spoken.Guest) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	c := newClient(conn)
@@ -59,7 +59,7 @@
 	c.SetReadDeadline(g.Since.Add(spoken.OpeningWait))
 	// Whoever writes it in pieces is still owed a word when the relay ends.
 	hurried := make(chan struct{})
-	hurry := context.AfterFunc(f.Core.Closing(), func() {
+	hurry := context.AfterFunc(f.Proxy.Closing(), func() {
 		defer close(hurried)
 		if late := time.Now().Add(lastWait); late.Before(g.Since.Add(spoken.OpeningWait)) {
 			c.SetReadDeadline(late)
@@ -68,7 +68,7 @@
 	defer hurry()
 	for pings := 0; ; pings++ {
 		text, err := c.r.ReadSlice('\n')
-		if errors.Is(err, os.ErrDeadlineExceeded) && f.Core.Closing().Err() != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) && f.Proxy.Closing().Err() != nil {
 			c.end(busy(0))
 			go c.drain()
 			c.finish()
@@ -89,7 +89,7 @@
 			continue
 		}
 		o, err := parseOpening(string(text))
-		terms := f.Core.Settings()
+		terms := f.Proxy.Settings()
 		class := terms.ClassIndex(o.class)
 		if err != nil || class < 0 {
 			f.bad(c, "an opening that can't be read, or of no known class")
@@ -100,7 +100,7 @@
 			return
 		}
 		ask := f.ask(o, terms, class)
-		release, ok := f.Core.Admit(conn.RemoteAddr(), ask)
+		release, ok := f.Proxy.Admit(conn.RemoteAddr(), ask)
 		if !ok {
 			f.turnAway(ctx, c, ask, proxy.CauseQuotaExceeded)
 			return
@@ -116,7 +116,7 @@
 		c.SetReadDeadline(time.Time{})
 		x := f.exchange(c)
 		x.opening = o
-		f.see(ctx, x, g, ask, func(ctx context.Context) { f.Core.Serve(ctx, ask, x) })
+		f.see(ctx, x, g, ask, func(ctx context.Context) { f.Proxy.Serve(ctx, ask, x) })
 		return
 	}
 }
@@ -130,8 +130,8 @@
 }
 
 // bad answers what makes no sense: one clean failure.
-func (f *Front) bad(c *client, what string) {
-	f.Core.ProtocolError("line", what)
+func (f *Frontend) bad(c *client, what string) {
+	f.Proxy.ProtocolError("line", what)
 	c.end("ERR\r\n")
 	go c.drain()
 	c.finish()
@@ -139,21 +139,21 @@
 
 // turnAway answers a client that no seat is free for, or that is over a limit. Its opening has been read:
 // closing with it unread would reset the connection, and lose the answer.
-func (f *Front) turnAway(ctx context.Context, c *client, ask proxy.Request, cause proxy.EndCause) {
-	c.end(busy(f.Core.Reject(ctx, ask, cause)))
+func (f *Frontend) turnAway(ctx context.Context, c *client, ask proxy.Request, cause proxy.EndCause) {
+	c.end(busy(f.Proxy.Reject(ctx, ask, cause)))
 	go c.drain()
 	c.finish()
 }
 
 // ask is what an opening asks for.
-func (f *Front) ask(o opening, terms *balancer.Settings, class int) proxy.Request {
+func (f *Frontend) ask(o opening, terms *balancer.Settings, class int) proxy.Request {
 	return proxy.Request{Front: "line", Name: o.id, Class: o.class, Tenant: o.tenant, EndpointName: o.at, RequestOptions: balancer.RequestOptions{
 		Settings: terms, Class: class, Item: o.item, Group: o.group, ExpectedLoad: o.load, Returning: o.back,
-		Deadline: f.Core.Clock.Now() + o.wait, Established: o.at != "",
+		Deadline: f.Proxy.Clock.Now() + o.wait, Established: o.at != "",
 	}}
 }
 
-func (f *Front) exchange(c *client) *exchange {
+func (f *Frontend) exchange(c *client) *exchange {
 	return &exchange{
 		front: f, client: c, joined: make(chan joint, 1), up: newLane(splitter{}), down: newLane(splitter{}),
 		resumed: make(chan struct{}), settled: make(chan struct{}),
@@ -161,7 +161,7 @@
 }
 
 // see sees a client with a seat through: its transaction, and its leave.
-func (f *Front) see(ctx context.Context, x *exchange, g *spoken.Guest, ask proxy.Request, serve func(context.Context)) {
+func (f *Frontend) see(ctx context.Context, x *exchange, g *spoken.Guest, ask proxy.Request, serve func(context.Context)) {
 	ctx, left := context.WithCancel(ctx)
 	defer left()
 	c := x.client
@@ -172,9 +172,9 @@
 		return // another process has it
 	}
 	if x.early.Load() {
-		f.Core.ProtocolError("line", "a client goes on before its answer")
+		f.Proxy.ProtocolError("line", "a client goes on before its answer")
 		if c.end("ERR\r\n") {
-			f.Core.Metrics.Class(ask.Class).CountFailed()
+			f.Proxy.Metrics.Class(ask.Class).CountFailed()
 		}
 	}
 	c.CloseWrite() // nothing follows its last line, not even if it is shown out
@@ -205,7 +205,7 @@
 
 // exchange is one client's transaction.
 type exchange struct {
-	front   *Front
+	front   *Frontend
 	client  *client
 	opening opening
 	at      *server // once it is up
@@ -224,7 +224,7 @@
 
 // Attempt sends the opening to a server and waits for its answer.
 func (x *exchange) Attempt(ctx context.Context, out proxy.Attempt) (proxy.UpstreamConn, balancer.AttemptStatus) {
-	d := net.Dialer{Timeout: x.front.Core.Settings().ConnectTimeout, KeepAlive: -1}
+	d := net.Dialer{Timeout: x.front.Proxy.Settings().ConnectTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", out.Endpoint.Address)
 	if err != nil {
 		return nil, spoken.Unsent(ctx)
@@ -250,7 +250,7 @@
 	if _, err := s.Write(x.opening.with(out.TimeLeft(ctx))); err != nil {
 		return spoken.Unsent(ctx) // of a line that is not whole nothing runs
 	}
-	x.front.Core.Metrics.Attempts.Add(1)
+	x.front.Proxy.Metrics.Attempts.Add(1)
 	text, err := s.r.line()
 	if err != nil {
 		return spoken.Ended(ctx, balancer.StatusReset)
@@ -289,7 +289,7 @@
 	how := balancer.StatusReset
 	lines := &x.down.lines
 	last, resumed := false, false
-	clock := x.front.Core.Clock
+	clock := x.front.Proxy.Clock
 	began := clock.Now()
 	for {
 		b, err := s.r.next()
@@ -301,7 +301,7 @@
 			case wordMove:
 				how, last = balancer.StatusRedirected, true // it drains, whatever the list says
 			case wordLoad:
-				if x.front.notes.isDelay(x.front.Core.Settings(), s.id, figure, now, now-began) {
+				if x.front.notes.isDelay(x.front.Proxy.Settings(), s.id, figure, now, now-began) {
 					pulse.ReportDelay(time.Duration(figure * float64(time.Millisecond)))
 				} else {
 					pulse.ReportLoad(figure / 1e6)
--- a/internal/spoken/line/front_test.go
+++ b/internal/frontend/line/front_test.go
@@ -23,7 +23,7 @@
 type site struct {
 	t       *testing.T
 	core    *proxy.Proxy
-	front   *Front
+	front   *Frontend
 	address string
 	server  net.Listener
 }
@@ -38,7 +38,7 @@
 	for _, o := range observers {
 		k.Observe(o)
 	}
-	s := &site{t: t, core: k, front: &Front{Core: k, Hall: &spoken.Hall{Seats: most, Waiting: 4}}}
+	s := &site{t: t, core: k, front: &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: most, Waiting: 4}}}
 	var doors [2]net.Listener
 	for i := range doors {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/spoken/line/notes.go
+++ b/internal/frontend/line/notes.go
@@ -37,7 +37,7 @@
 
 // beats is what is known of the times at which a server tells its delay.
 type beats struct {
-	Beat
+	ReportTiming
 	guesses []guess // of the last second
 }
 
@@ -49,35 +49,35 @@
 	figure float64
 }
 
-// Beat is what is known of the times at which a server tells its delay, for another
+// ReportTiming is what is known of the times at which a server tells its delay, for another
 // process to go on with.
-type Beat struct {
-	At    time.Duration `json:"At"`    // a delay came last; 0 if none has
-	Last  float64       `json:"Last"`  // that delay
-	Count int           `json:"Count"` // how many have come on the dot
+type ReportTiming struct {
+	LastAt    time.Duration `json:"At"`    // a delay came last; 0 if none has
+	LastDelay float64       `json:"Last"`  // that delay
+	OnTime    int           `json:"Count"` // how many have come on the dot
 }
 
 // beatsOf returns what is known of servers.
-func (n *notes) beatsOf() map[balancer.EndpointID]Beat {
+func (n *notes) beatsOf() map[balancer.EndpointID]ReportTiming {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	all := make(map[balancer.EndpointID]Beat, len(n.from))
+	all := make(map[balancer.EndpointID]ReportTiming, len(n.from))
 	for id, b := range n.from {
-		if b.Count > 0 {
-			all[id] = b.Beat
+		if b.OnTime > 0 {
+			all[id] = b.ReportTiming
 		}
 	}
 	return all
 }
 
 // know takes over what another process knows of a server.
-func (n *notes) know(id balancer.EndpointID, b Beat) {
+func (n *notes) know(id balancer.EndpointID, b ReportTiming) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.from == nil {
 		n.from = make(map[balancer.EndpointID]*beats)
 	}
-	n.from[id] = &beats{Beat: b}
+	n.from[id] = &beats{ReportTiming: b}
 }
 
 // isDelay tells whether the figure of a LOAD line is a delay, by the settings or else by
@@ -102,20 +102,20 @@
 		n.from = make(map[balancer.EndpointID]*beats)
 	}
 	b := n.from[server]
-	if b == nil || b.Count > 0 && now-b.At > beatLife {
+	if b == nil || b.OnTime > 0 && now-b.LastAt > beatLife {
 		b = &beats{}
 		n.from[server] = b
 	}
-	gap := now - b.At
+	gap := now - b.LastAt
 	switch {
 	// A load that falls on the beat by chance passed for a delay of 24 s, and had a
 	// sound server's connections moved: no delay grows that fast.
-	case b.Count > 0 && gap >= beat-beatSlack && min(gap%beat, beat-gap%beat) <= beatSlack &&
-		figure <= b.Last+surgeMost*(gap+beatSlack).Seconds():
-	case b.Count > 1 && gap < beatRest:
+	case b.OnTime > 0 && gap >= beat-beatSlack && min(gap%beat, beat-gap%beat) <= beatSlack &&
+		figure <= b.LastDelay+surgeMost*(gap+beatSlack).Seconds():
+	case b.OnTime > 1 && gap < beatRest:
 		return false
 	case figure < sureDelay:
-		b.Count = 0
+		b.OnTime = 0
 	case b.follows(figure, now):
 	default:
 		if len(b.guesses) == guessMost {
@@ -124,7 +124,7 @@
 		b.guesses = append(b.guesses, guess{now, figure})
 		return false
 	}
-	b.Beat, b.guesses = Beat{now, figure, b.Count + 1}, nil
+	b.ReportTiming, b.guesses = ReportTiming{now, figure, b.OnTime + 1}, nil
 	return true
 }
 
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/frontend/line"
 	"lockroad/internal/keep"
 	"lockroad/internal/registry"
 	"lockroad/internal/spoken/discovery"
-	"lockroad/internal/spoken/line"
 	"lockroad/internal/steps"
 )
 
@@ -32,7 +32,7 @@
 			ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * ms, CountedFrom: 5002 * ms},
 			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
 		},
-		Beats: map[balancer.EndpointID]line.Beat{0x5be2a07c: {At: 6001 * ms, Last: 12.5, Count: 7}},
+		Beats: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTime: 7}},
 		Open:  []registry.RequestName{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
 		Seats: []int{17, 4},
 		Orders: []keep.Order{{
@@ -49,7 +49,7 @@
 	steps.GoldenJSON(t, "testdata/state-zero-elements.json", state{
 		List:   discovery.List{Members: make([]discovery.Member, 1)},
 		Names:  map[balancer.EndpointID]string{0: ""},
-		Beats:  map[balancer.EndpointID]line.Beat{0: {}},
+		Beats:  map[balancer.EndpointID]line.ReportTiming{0: {}},
 		Open:   make([]registry.RequestName, 1),
 		Orders: make([]keep.Order, 1),
 	})
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -18,6 +18,7 @@
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
 	"lockroad/internal/console"
+	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
 	"lockroad/internal/logs"
 	"lockroad/internal/proxy"
@@ -27,7 +28,6 @@
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/amqp"
 	"lockroad/internal/spoken/discovery"
-	"lockroad/internal/spoken/line"
 	"lockroad/internal/spoken/otlp"
 	"lockroad/internal/spoken/probe"
 	"lockroad/internal/why"
@@ -102,7 +102,7 @@
 	record  *record.Record // nil: no decisions are kept
 	takes   atomic.Bool    // clients are taken
 	leaves  atomic.Bool    // it was told to leave
-	line    *line.Front
+	line    *line.Frontend
 	halls   []*spoken.Hall
 	host    *handover.Host  // as a new version finds it; nil: none can come
 	guest   *handover.Guest // of the old process, while it is there; nil: there is none
@@ -320,7 +320,7 @@
 	}
 	r.seats = seats + links
 	hall := &spoken.Hall{Seats: seats, Waiting: waiting}
-	r.line = &line.Front{Core: r.core, Hall: hall}
+	r.line = &line.Frontend{Proxy: r.core, Limiter: hall}
 	r.halls = append(r.halls, hall)
 	if err := r.door("line", c.Listen, r.line); err != nil {
 		return err
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -12,13 +12,13 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/console"
+	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
 	"lockroad/internal/keep"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/discovery"
-	"lockroad/internal/spoken/line"
 )
 
 // This file has a relay of a new version take over from the process that runs, and be
@@ -31,14 +31,14 @@
 
 // state is what a new process is given to begin with.
 type state struct {
-	Agent  string                            `json:"Agent"` // that the list is of
-	List   discovery.List                    `json:"List"`
-	Names  map[balancer.EndpointID]string    `json:"Names"` // the numbers that Memory speaks of
-	Memory balancer.Snapshot                 `json:"Memory"`
-	Beats  map[balancer.EndpointID]line.Beat `json:"Beats"`  // of servers that tell delays
-	Open   []registry.RequestName            `json:"Open"`   // transactions under way
-	Seats  []int                             `json:"Seats"`  // taken, by hall
-	Orders []keep.Order                      `json:"Orders"` // that have servers drain
+	Agent  string                                    `json:"Agent"` // that the list is of
+	List   discovery.List                            `json:"List"`
+	Names  map[balancer.EndpointID]string            `json:"Names"` // the numbers that Memory speaks of
+	Memory balancer.Snapshot                         `json:"Memory"`
+	Beats  map[balancer.EndpointID]line.ReportTiming `json:"Beats"`  // of servers that tell delays
+	Open   []registry.RequestName                    `json:"Open"`   // transactions under way
+	Seats  []int                                     `json:"Seats"`  // taken, by hall
+	Orders []keep.Order                              `json:"Orders"` // that have servers drain
 }
 
 // memory keeps the process to a part of the relay's memory.
@@ -167,7 +167,7 @@
 	}
 	for old, beat := range r.told.Beats {
 		if id, ok := r.here(old); ok {
-			r.line.Know(id, beat)
+			r.line.RestoreTiming(id, beat)
 		}
 	}
 	for i, seats := range r.told.Seats[:min(len(r.told.Seats), len(r.halls))] {
@@ -244,7 +244,7 @@
 		return nil, nil, err
 	}
 	s.List, s.Agent = r.watcher.List()
-	s.Beats = r.line.Beats()
+	s.Beats = r.line.ReportTimings()
 	for _, known := range s.Memory.Endpoints {
 		s.Names[known.ID] = r.core.Endpoints.Name(known.ID)
 	}
--- a/internal/spoken/amqp/both_test.go
+++ b/internal/spoken/amqp/both_test.go
@@ -19,10 +19,10 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
+	"lockroad/internal/frontend/line"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
-	"lockroad/internal/spoken/line"
 )
 
 // The same cases run through both fronts, with stand-ins for clients and
@@ -125,7 +125,7 @@
 
 var wires = []wire{
 	{name: "line", front: func(k *proxy.Proxy, seats int) server {
-		return &line.Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}}
+		return &line.Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}}
 	}, server: lineServer, open: lineOpen, hasty: lineHasty,
 		slow: []string{"PING\r\n", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=", "p"}, endless: "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c="},
 	{name: "amqp", front: func(k *proxy.Proxy, seats int) server {
