--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 
 # random tries CHECKS random runs of steps that no earlier run tried. CI's are the same every time.
 random:
-	RAPID_SEED=0 go test -count=1 ./balancer ./internal/fault ./internal/handover ./internal/model ./internal/pool ./internal/record ./internal/spoken/amqp -rapid.checks=$(CHECKS)
+	RAPID_SEED=0 go test -count=1 ./balancer ./internal/fault ./internal/handover ./internal/model ./internal/pool ./internal/record ./internal/frontend/amqp -rapid.checks=$(CHECKS)
 
 race:
 	go test -race ./...
@@ -33,8 +33,8 @@
 	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzChunks$$' -fuzztime $(FUZZTIME) ./internal/spoken/discovery
-	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/spoken/amqp
-	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/spoken/amqp
+	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
+	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime $(FUZZTIME) ./internal/sexp
 
 # why-run is the long form of the demonstration's test: 500 answers after five minutes
--- a/internal/spoken/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -121,10 +121,10 @@
 }
 
 // damRig is a relay whose transactions share connections to such a server, and a client that has one.
-func damRig(t *testing.T, d *dam) (*rig, *Front, *client10.Sender) {
+func damRig(t *testing.T, d *dam) (*rig, *Frontend, *client10.Sender) {
 	t.Helper()
-	var front *Front
-	r := newRig(t, wireOf(func(f *Front) {
+	var front *Frontend
+	r := newRig(t, wireOf(func(f *Frontend) {
 		f.Pool = pool.Settings{Sessions: 4, Idle: time.Minute}
 		front = f
 	}, nil), 1, nil)
@@ -141,7 +141,7 @@
 }
 
 // flood sends deliveries until the connection to the server is blocked.
-func flood(t *testing.T, f *Front, link *client10.Sender) {
+func flood(t *testing.T, f *Frontend, link *client10.Sender) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -165,7 +165,7 @@
 }
 
 // muxOf is the one shared connection.
-func muxOf(f *Front) *mux {
+func muxOf(f *Frontend) *mux {
 	f.trunks.mu.Lock()
 	defer f.trunks.mu.Unlock()
 	for _, tr := range f.trunks.open {
--- a/internal/spoken/amqp/both_test.go
+++ b/internal/frontend/amqp/both_test.go
@@ -129,7 +129,7 @@
 	}, server: lineServer, open: lineOpen, hasty: lineHasty,
 		slow: []string{"PING\r\n", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=", "p"}, endless: "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c="},
 	{name: "amqp", front: func(k *proxy.Proxy, seats int) server {
-		return &Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}}
+		return &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}}
 	}, server: amqpServer, open: amqpOpen, hasty: amqpHasty,
 		slow: []string{string(headerAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(headerAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
 }
--- a/internal/spoken/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -25,18 +25,18 @@
 	byeWait   = time.Second            // a peer may take this long to answer a close
 )
 
-// Front is where clients that speak AMQP come in.
-type Front struct {
-	Core *proxy.Proxy
-	Hall *spoken.Hall // its seats are for links, its room for connections without
+// Frontend is where clients that speak AMQP come in.
+type Frontend struct {
+	Proxy   *proxy.Proxy
+	Limiter *spoken.Hall // its seats are for links, its room for connections without
 	// ServerPort is where application servers speak AMQP; 0: as discovery says.
-	ServerPort int
-	Idle       time.Duration // a client that is silent for this long goes; 0: the usual
+	EndpointPort int
+	IdleTimeout  time.Duration // a client that is silent for this long goes; 0: the usual
 
-	Gate    *secure.Gate    // says who clients are and what they may open; nil: everyone everything
-	Servers *secure.Servers // how connections to application servers are secured; nil: they are not
-	Pool    pool.Settings   // connections to servers that transactions share; zero: each has its own
-	Places  []Place         // what links want whose attach does not say it; each is compiled
+	Authenticator *secure.Gate    // says who clients are and what they may open; nil: everyone everything
+	EndpointTLS   *secure.Servers // how connections to application servers are secured; nil: they are not
+	Pool          pool.Settings   // connections to servers that transactions share; zero: each has its own
+	Placements    []Placement     // what links want whose attach does not say it; each is compiled
 
 	plain  sync.Map // addresses of servers that speak without the security layer
 	trunks *trunks  // nil: no connections are shared
@@ -44,19 +44,19 @@
 
 // Serve takes clients until the listener is closed, and then sees those through
 // that it has.
-func (f *Front) Serve(ctx context.Context, l net.Listener) error {
+func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	if f.Pool.Sessions > 0 {
 		f.trunks = newTrunks(f, f.Pool)
 		defer f.trunks.close()
 		defer context.AfterFunc(ctx, f.trunks.close)() // at the relay's end nobody waits for a server that does not read
 	}
-	return spoken.Accept(ctx, l, f.Hall, f.client)
+	return spoken.Accept(ctx, l, f.Limiter, f.client)
 }
 
 // client is a client's connection.
 type client struct {
 	*conn
-	front    *Front
+	front    *Frontend
 	guest    *spoken.Guest
 	ctx      context.Context
 	links    sync.WaitGroup
@@ -69,7 +69,7 @@
 }
 
 // client sees one connection through.
-func (f *Front) client(ctx context.Context, tcp *net.TCPConn, g *spoken.Guest) {
+func (f *Frontend) client(ctx context.Context, tcp *net.TCPConn, g *spoken.Guest) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &client{
 		conn: newConn(tcp), front: f, guest: g, ctx: ctx, tcp: tcp,
@@ -81,7 +81,7 @@
 		err = c.run()
 	}
 	if bad := (fault{}); errors.As(err, &bad) {
-		f.Core.ProtocolError("amqp", bad.text)
+		f.Proxy.ProtocolError("amqp", bad.text)
 		c.write(0, perf{codeClose, list{errorOf(bad.cond, bad.text, nil)}}, nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
@@ -98,7 +98,7 @@
 // secures brings TLS up, where it is to be. A client that shows nothing of it has as long as for
 // the greeting, of which this is a part.
 func (c *client) secures() error {
-	config := c.front.Gate.TLS()
+	config := c.front.Authenticator.TLS()
 	if config == nil {
 		return nil
 	}
@@ -106,7 +106,7 @@
 	defer done()
 	secured := tls.Server(c.tcp, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		c.front.Core.ProtocolError("amqp", "no TLS comes about: "+err.Error())
+		c.front.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
 		return err // which is no fault: there is nobody to tell it to in the standard's words
 	}
 	state := secured.ConnectionState()
@@ -150,7 +150,7 @@
 	c.until = time.Time{}
 	c.guest.ShowOut(c.showOut)
 	go c.leave()
-	idle := cmp.Or(c.front.Idle, idleMost)
+	idle := cmp.Or(c.front.IdleTimeout, idleMost)
 	for {
 		f, err := c.read(frameAMQP, idle)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -182,7 +182,7 @@
 		if h, err = c.readHeader(helloWait); err != nil {
 			return err
 		}
-	} else if !c.front.Gate.Bare() {
+	} else if !c.front.Authenticator.Bare() {
 		c.header(headerSASL) // which the standard has for an answer, and the end
 		return errors.New("the client comes without the security layer, and has to say who it is")
 	}
@@ -213,7 +213,7 @@
 	if err := c.header(headerSASL); err != nil {
 		return err
 	}
-	gate := c.front.Gate
+	gate := c.front.Authenticator
 	var names array
 	for _, name := range gate.Mechanisms(c.tls) {
 		names = append(names, symbol(name))
@@ -232,7 +232,7 @@
 	}
 	if !ok {
 		c.sasl(perf{codeOutcome, list{uint8(1)}})
-		c.front.Core.ProtocolError("amqp", "a client does not say who it is, or is not")
+		c.front.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
 		return errors.New("the client does not say who it is, or is not")
 	}
 	c.user = user
@@ -244,7 +244,7 @@
 	select {
 	case <-c.stop:
 		return
-	case <-c.front.Core.Closing().Done():
+	case <-c.front.Proxy.Closing().Done():
 	}
 	select {
 	case <-c.stop:
@@ -289,7 +289,7 @@
 	err := s.take(f)
 	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
 	if bad := (fault{}); errors.As(err, &bad) && bad.cond != condFraming {
-		c.front.Core.ProtocolError("amqp", bad.text)
+		c.front.Proxy.ProtocolError("amqp", bad.text)
 		s.dead = true
 		err := s.write(f.channel, perf{codeEnd, list{errorOf(bad.cond, bad.text, nil)}}, nil)
 		s.lost()
@@ -399,25 +399,25 @@
 	ask, p, err := front.ask(p, s.client.name, name)
 	l.attach = p
 	if err != nil {
-		front.Core.ProtocolError("amqp", err.Error())
+		front.Proxy.ProtocolError("amqp", err.Error())
 		s.refuse(l, condInvalid, err.Error(), nil)
-		front.Core.Metrics.Class(ask.Class).CountFailed()
+		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
-	if !front.Gate.May(s.client.user, ask.Class) {
-		front.Core.ProtocolError("amqp", "a client may not open a class")
+	if !front.Authenticator.May(s.client.user, ask.Class) {
+		front.Proxy.ProtocolError("amqp", "a client may not open a class")
 		s.refuse(l, condUnauthorized, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
-		front.Core.Metrics.Class(ask.Class).CountFailed()
+		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
-	release, ok := front.Core.Admit(s.client.conn.RemoteAddr(), ask)
+	release, ok := front.Proxy.Admit(s.client.conn.RemoteAddr(), ask)
 	if !ok {
-		s.refuse(l, condLimit, "its address or class has as many links as it may", comeBackInfo(front.Core.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
+		s.refuse(l, condLimit, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
 		return nil
 	}
 	if !s.client.guest.Sit() {
 		release()
-		s.refuse(l, condLimit, "the relay holds as many links as it may", comeBackInfo(front.Core.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
+		s.refuse(l, condLimit, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
 		return nil
 	}
 	ctx, left := context.WithCancel(s.client.ctx)
@@ -426,7 +426,7 @@
 		defer s.client.guest.Rise()
 		defer release()
 		defer left()
-		front.Core.Serve(ctx, ask, l)
+		front.Proxy.Serve(ctx, ask, l)
 		l.finish()
 	})
 	return nil
@@ -442,12 +442,12 @@
 
 // ask reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Front) ask(p perf, container, name string) (proxy.Request, perf, error) {
+func (f *Frontend) ask(p perf, container, name string) (proxy.Request, perf, error) {
 	props, _ := p.field(13).(mapping)
 	address := addressOf(p)
 	rule := f.place(address, container)
 	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: text(props.get(propClass)), Tenant: text(props.get(propTenant))}
-	ask.Settings = f.Core.Settings()
+	ask.Settings = f.Proxy.Settings()
 	if ask.Class == "" && rule != nil {
 		ask.Class = rule.Class
 		props = props.with(propClass, ask.Class)
@@ -467,9 +467,9 @@
 	case props.get(propGiveUp) != nil || rule == nil:
 		return ask, p, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propGiveUp)
 	default:
-		give = cmp.Or(rule.GiveUp, ask.Settings.Classes[ask.RequestOptions.Class].Deadline)
+		give = cmp.Or(rule.Timeout, ask.Settings.Classes[ask.RequestOptions.Class].Deadline)
 	}
-	ask.Deadline = f.Core.Clock.Now() + give
+	ask.Deadline = f.Proxy.Clock.Now() + give
 	if ask.Group = keyOf(props.get(propGroup)); ask.Group == 0 && rule != nil {
 		if ask.Group = rule.group(p, address, container); ask.Group != 0 {
 			props = props.with(propGroup, strconv.FormatUint(ask.Group, 16))
--- a/internal/spoken/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -19,7 +19,7 @@
 
 // link is one transaction of a client.
 type link struct {
-	front   *Front
+	front   *Frontend
 	session *session // the client's
 	handle  uint32
 	name    string
--- a/internal/spoken/amqp/passing_test.go
+++ b/internal/frontend/amqp/passing_test.go
@@ -267,7 +267,7 @@
 func TestSilentClientIsClosed(t *testing.T) {
 	w := wires[1]
 	w.front = func(k *proxy.Proxy, seats int) server {
-		return &Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}, Idle: 100 * time.Millisecond}
+		return &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}, IdleTimeout: 100 * time.Millisecond}
 	}
 	r := newRig(t, w, 1, nil)
 	dialRaw(t, r.address).want(codeClose, 0, condLimit)
--- a/internal/spoken/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -163,8 +163,8 @@
 // End ends the session.
 func (p *Peer) End() { p.lane.close() }
 
-// Swallow takes what comes for the session and says nothing, until its end.
-func (p *Peer) Swallow() {
+// DiscardInput takes what comes for the session and says nothing, until its end.
+func (p *Peer) DiscardInput() {
 	for {
 		if f, err := p.next(0); err != nil || f.code == codeEnd {
 			return
@@ -245,8 +245,8 @@
 	return p.flow(perf{codeFlow, list{nil, nil, nil, nil, handle, count, credit}})
 }
 
-// Refuse answers an attach with an end at once, by a condition of the standard.
-func (p *Peer) Refuse(e PeerEvent, condition string) error {
+// RejectAttach answers an attach with an end at once, by a condition of the standard.
+func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
 	reply := e.attach.with(1, e.Handle).with(2, !e.attach.flag(2)).with(6, nil).with(9, nil).with(13, nil)
 	if err := p.write(p.channel, reply, nil); err != nil {
 		return err
@@ -268,12 +268,12 @@
 	return p.write(p.channel, perf{codeDisposition, list{true, delivery, nil, true, described{uint64(0x24), list{}}}}, nil)
 }
 
-// Whole reads a property that is a whole number.
-func Whole(v any) (uint64, bool) { return whole(v) }
+// WholeNumber reads a property that is a whole number.
+func WholeNumber(v any) (uint64, bool) { return whole(v) }
 
 // Conditions that a server ends links with.
 const (
-	Busy     = condLimit
-	Internal = condInternal
-	SentAway = condDetachForced
+	ConditionResourceLimit = condLimit
+	ConditionInternalError = condInternal
+	ConditionDetachForced  = condDetachForced
 )
--- a/internal/spoken/amqp/place.go
+++ b/internal/frontend/amqp/place.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Place says what a client's link wants where its attach does not: clients that know nothing of the
+// Placement says what a client's link wants where its attach does not: clients that know nothing of the
 // relay name an address only. The first rule that fits holds.
-type Place struct {
+type Placement struct {
 	Address   string        // of the link's other end; "*" stands for any text, and empty for any address
 	Container string        // that the client calls itself; the same
 	Class     string        // that its link is of
-	GiveUp    time.Duration // that it waits; 0: as long as its class does
+	Timeout   time.Duration // that it waits; 0: as long as its class does
 	// Group is what the link shares work by: "address", "container", "link" for its name, or
 	// "property:NAME" for one of the attach's properties; empty: nothing.
 	Group string
@@ -26,12 +26,12 @@
 const propertyOf = "property:"
 
 // Compile checks a rule and makes it ready. Its errors name the key.
-func (p *Place) Compile() error {
+func (p *Placement) Compile() error {
 	if p.Class == "" {
 		return errors.New("class: is missing")
 	}
-	if p.GiveUp < 0 {
-		return fmt.Errorf("give_up: %v is negative", p.GiveUp)
+	if p.Timeout < 0 {
+		return fmt.Errorf("give_up: %v is negative", p.Timeout)
 	}
 	if name, is := strings.CutPrefix(p.Group, propertyOf); !slices.Contains([]string{"", "address", "container", "link"}, p.Group) && (!is || name == "") {
 		return fmt.Errorf("group: %q is neither address, container, link nor property:NAME", p.Group)
@@ -64,9 +64,9 @@
 }
 
 // place finds the rule for an attach; nil if none fits.
-func (f *Front) place(address, container string) *Place {
-	for i := range f.Places {
-		p := &f.Places[i]
+func (f *Frontend) place(address, container string) *Placement {
+	for i := range f.Placements {
+		p := &f.Placements[i]
 		if (p.address == nil || p.address.MatchString(address)) && (p.container == nil || p.container.MatchString(container)) {
 			return p
 		}
@@ -75,7 +75,7 @@
 }
 
 // group is what a link shares work by, under a rule.
-func (p *Place) group(attach perf, address, container string) uint64 {
+func (p *Placement) group(attach perf, address, container string) uint64 {
 	switch p.Group {
 	case "":
 		return 0
--- a/internal/spoken/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -74,7 +74,7 @@
 func TestRandomDeliveriesAreSettledOnce(t *testing.T) {
 	for _, set := range []pool.Settings{{}, {Sessions: 3, Idle: time.Minute}} {
 		t.Run(fmt.Sprintf("%d sessions", set.Sessions), func(t *testing.T) {
-			w := wireOf(func(f *Front) { f.Pool = set }, nil)
+			w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
 			w.server = judges
 			r := newRig(t, w, 1, nil)
 			rapid.Check(t, func(rt *rapid.T) { randomDeliveries(t, rt, r.address) })
--- a/internal/spoken/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -22,10 +22,10 @@
 )
 
 // wireOf is AMQP with a front that is prepared, and servers that speak TLS if theirs is given.
-func wireOf(prepare func(*Front), servers *tls.Config) wire {
+func wireOf(prepare func(*Frontend), servers *tls.Config) wire {
 	w := wires[1]
 	w.front = func(k *proxy.Proxy, seats int) server {
-		f := &Front{Core: k, Hall: &spoken.Hall{Seats: seats, Waiting: 64}}
+		f := &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}}
 		prepare(f)
 		return f
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := wireOf(func(f *Front) { f.Gate, f.Servers = gate, up }, &tls.Config{Certificates: []tls.Certificate{serverPair}, ClientCAs: trusted(t, a.CA), ClientAuth: tls.RequireAndVerifyClientCert})
+	w := wireOf(func(f *Frontend) { f.Authenticator, f.EndpointTLS = gate, up }, &tls.Config{Certificates: []tls.Certificate{serverPair}, ClientCAs: trusted(t, a.CA), ClientAuth: tls.RequireAndVerifyClientCert})
 	r := newRig(t, w, 2, nil)
 	trusts := &tls.Config{RootCAs: trusted(t, a.CA), ServerName: "127.0.0.1"}
 
@@ -177,7 +177,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(t, wireOf(func(f *Front) { f.Gate = gate }, nil), 1, nil)
+	r := newRig(t, wireOf(func(f *Frontend) { f.Authenticator = gate }, nil), 1, nil)
 	for _, text := range []string{"", "\x16\x03\x01\x02", string(headerAMQP[:])} {
 		c, err := net.Dial("tcp", r.address)
 		if err != nil {
@@ -195,13 +195,13 @@
 // A client that names an address only is placed by the rule for it, and its server is told what the rule
 // has added. Where no rule fits, the refusal names what is missing.
 func TestPlainClientsArePlacedByRules(t *testing.T) {
-	places := []Place{{Address: "scores/*/preview", Class: "none"}, {Address: "scores/*", Class: "page", GiveUp: 900 * time.Millisecond, Group: "address"}, {Container: "desk-*", Class: "page"}}
+	places := []Placement{{Address: "scores/*/preview", Class: "none"}, {Address: "scores/*", Class: "page", Timeout: 900 * time.Millisecond, Group: "address"}, {Container: "desk-*", Class: "page"}}
 	for i := range places {
 		if err := places[i].Compile(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f := &Front{Core: newRig(t, wires[1], 1, nil).core, Places: places}
+	f := &Frontend{Proxy: newRig(t, wires[1], 1, nil).core, Placements: places}
 	attach := func(address string, props mapping) perf {
 		return perf{codeAttach, list{"a link", uint32(0), false, nil, nil, described{uint64(0x28), list{"here"}}, described{uint64(0x29), list{address}}, nil, nil, uint32(0), nil, nil, nil, props}}
 	}
@@ -220,7 +220,7 @@
 		{"other", "x", mapping{symbol(propClass), "page"}, "", `"give-up-ms"`, 0, 0},
 		{"scores/12", "x", mapping{symbol(propGiveUp), "soon"}, "", `"give-up-ms"`, 0, 0},
 	} {
-		now := f.Core.Clock.Now()
+		now := f.Proxy.Clock.Now()
 		ask, told, err := f.ask(attach(c.address, c.props), c.container, "a link")
 		if c.wrong != "" {
 			if err == nil || !strings.Contains(err.Error(), c.wrong) {
@@ -234,12 +234,12 @@
 			t.Errorf("%s of %s: %+v, %v, %v", c.address, c.container, ask, props, err)
 		}
 	}
-	for what, p := range map[string]Place{"class: is missing": {Address: "x"}, "give_up": {Class: "x", GiveUp: -1}, "group": {Class: "x", Group: "property:"}} {
+	for what, p := range map[string]Placement{"class: is missing": {Address: "x"}, "give_up": {Class: "x", Timeout: -1}, "group": {Class: "x", Group: "property:"}} {
 		if err := p.Compile(); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	w := wireOf(func(f *Front) { f.Places = places }, nil)
+	w := wireOf(func(f *Frontend) { f.Placements = places }, nil)
 	r := newRig(t, w, 1, nil)
 	c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
 	if err != nil {
@@ -260,7 +260,7 @@
 	terms := *r.core.Settings()
 	terms.Tenants = []string{"fraser", "cedar"}
 	r.core.UpdateSettings(&terms)
-	f := &Front{Core: r.core}
+	f := &Frontend{Proxy: r.core}
 	for tenant, wrong := range map[any]string{nil: `"" is no known tenant`, "other": `"other" is no known tenant`, "cedar": ""} {
 		props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(300)}
 		if tenant != nil {
@@ -300,7 +300,7 @@
 		{"tls, a password known again", gate, trusts, client10.SASLTypePlain("ann", "ann's")},
 	} {
 		b.Run(way.name, func(b *testing.B) {
-			r := newRig(b, wireOf(func(f *Front) { f.Gate = way.gate }, nil), 1, nil)
+			r := newRig(b, wireOf(func(f *Frontend) { f.Authenticator = way.gate }, nil), 1, nil)
 			for b.Loop() {
 				c, err := dialSecured(r.address, way.config, way.as)
 				if err != nil {
--- a/internal/spoken/amqp/server.go
+++ b/internal/frontend/amqp/server.go
@@ -80,7 +80,7 @@
 }
 
 // reach opens a connection to a server, with a session on it; on a shared one the session begins as the attach goes out.
-func (f *Front) reach(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*upstream, error) {
+func (f *Frontend) reach(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*upstream, error) {
 	if f.trunks != nil {
 		l, id, err := f.trunks.lane(ctx, to, address, bound)
 		if err != nil {
@@ -131,7 +131,7 @@
 // that is bounded as a connection's set-up: nothing has run by then. A server that
 // speaks without the security layer says so to the header of that layer (part 2,
 // section 2.2), and closes: it is dialled again without, and so from then on.
-func (f *Front) dial(ctx context.Context, address string, bound time.Duration) (*upstream, error) {
+func (f *Frontend) dial(ctx context.Context, address string, bound time.Duration) (*upstream, error) {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	_, plain := f.plain.Load(address)
@@ -147,7 +147,7 @@
 	return u, err
 }
 
-func (f *Front) dialOnce(ctx context.Context, address string, bound time.Duration, plain bool) (*upstream, error) {
+func (f *Frontend) dialOnce(ctx context.Context, address string, bound time.Duration, plain bool) (*upstream, error) {
 	d := net.Dialer{KeepAlive: -1}
 	tcp, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -156,7 +156,7 @@
 	over := socket(tcp.(*net.TCPConn))
 	host, _, _ := net.SplitHostPort(address)
 	shows := false // the relay shows a certificate
-	if config := f.Servers.For(host); config != nil {
+	if config := f.EndpointTLS.For(host); config != nil {
 		secured := tls.Client(tcp, config)
 		if err := secured.HandshakeContext(ctx); err != nil {
 			tcp.Close()
@@ -257,10 +257,10 @@
 // the client is to send, for credit.
 func (l *link) Attempt(ctx context.Context, out proxy.Attempt) (up proxy.UpstreamConn, how balancer.AttemptStatus) {
 	address := out.Endpoint.Address
-	if host, _, err := net.SplitHostPort(address); err == nil && l.front.ServerPort != 0 {
-		address = net.JoinHostPort(host, strconv.Itoa(l.front.ServerPort))
+	if host, _, err := net.SplitHostPort(address); err == nil && l.front.EndpointPort != 0 {
+		address = net.JoinHostPort(host, strconv.Itoa(l.front.EndpointPort))
 	}
-	u, err := l.front.reach(ctx, out.Endpoint, address, min(cmp.Or(l.front.Core.Settings().ConnectTimeout, out.Timeout), out.Timeout))
+	u, err := l.front.reach(ctx, out.Endpoint, address, min(cmp.Or(l.front.Proxy.Settings().ConnectTimeout, out.Timeout), out.Timeout))
 	if err != nil {
 		return nil, spoken.Unsent(ctx)
 	}
@@ -293,7 +293,7 @@
 	case err != nil:
 		return spoken.Unsent(ctx) // of a frame that is not whole nothing runs
 	}
-	l.front.Core.Metrics.Attempts.Add(1)
+	l.front.Proxy.Metrics.Attempts.Add(1)
 	for {
 		f, err := u.next(out.Timeout)
 		if err != nil {
--- a/internal/spoken/amqp/trunks.go
+++ b/internal/frontend/amqp/trunks.go
@@ -17,7 +17,7 @@
 // trunks are the connections to servers that transactions share. Which one a transaction takes is the pool's decision; here
 // they are brought up, read, and closed.
 type trunks struct {
-	front *Front
+	front *Frontend
 
 	mu    sync.Mutex
 	pool  *pool.Pool
@@ -39,7 +39,7 @@
 	stop    chan struct{}
 }
 
-func newTrunks(f *Front, s pool.Settings) *trunks {
+func newTrunks(f *Frontend, s pool.Settings) *trunks {
 	return &trunks{front: f, pool: pool.New(s), open: make(map[pool.ID]*trunk)}
 }
 
@@ -88,7 +88,7 @@
 func (t *trunks) done(tr *trunk) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.pool.Done(t.front.Core.Clock.Now(), tr.id)
+	t.pool.Done(t.front.Proxy.Clock.Now(), tr.id)
 	t.tidy()
 }
 
@@ -143,7 +143,7 @@
 
 // tidy closes the trunks that have idled long enough, and looks again when the next ones have. The caller holds the lock.
 func (t *trunks) tidy() {
-	now := t.front.Core.Clock.Now()
+	now := t.front.Proxy.Clock.Now()
 	out, next := t.pool.Idle(now)
 	for _, id := range out {
 		if tr := t.open[id]; !tr.leaves {
--- a/internal/spoken/amqp/trunks_test.go
+++ b/internal/frontend/amqp/trunks_test.go
@@ -54,7 +54,7 @@
 // sharedRig is a relay whose transactions share connections to one server.
 func sharedRig(t testing.TB, s *shares, set pool.Settings) *rig {
 	t.Helper()
-	w := wireOf(func(f *Front) { f.Pool = set }, nil)
+	w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
 	w.server = s.serve
 	return newSeatedRig(t, w, 1, nil, 2000)
 }
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/logs"
 	"lockroad/internal/pool"
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
-	"lockroad/internal/spoken/amqp"
 )
 
 // Operator is what a site's operator sets beside the platform's configuration.
@@ -87,9 +87,9 @@
 }
 
 // places are the rules, ready for use. Errors name the rule and its key.
-func (a *AMQP) places() (all []amqp.Place, err error) {
+func (a *AMQP) places() (all []amqp.Placement, err error) {
 	for i, one := range a.Places {
-		p := amqp.Place{Address: one.Address, Container: one.Container, Class: one.Class, GiveUp: time.Duration(one.GiveUp), Group: one.Group}
+		p := amqp.Placement{Address: one.Address, Container: one.Container, Class: one.Class, Timeout: time.Duration(one.GiveUp), Group: one.Group}
 		if bad := p.Compile(); bad != nil {
 			err = errors.Join(err, fmt.Errorf("amqp.place[%d].%w", i, bad))
 		}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -18,6 +18,7 @@
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
 	"lockroad/internal/console"
+	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
 	"lockroad/internal/logs"
@@ -26,7 +27,6 @@
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
-	"lockroad/internal/spoken/amqp"
 	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/spoken/otlp"
 	"lockroad/internal/spoken/probe"
@@ -330,9 +330,9 @@
 	}
 	hall = &spoken.Hall{Seats: links, Waiting: waiting}
 	r.halls = append(r.halls, hall)
-	front := &amqp.Front{Core: r.core, ServerPort: o.AMQP.ServerPort, Hall: hall, Pool: o.AMQP.pool()}
+	front := &amqp.Frontend{Proxy: r.core, EndpointPort: o.AMQP.ServerPort, Limiter: hall, Pool: o.AMQP.pool()}
 	var err error
-	if front.Places, err = o.AMQP.places(); err != nil {
+	if front.Placements, err = o.AMQP.places(); err != nil {
 		return err
 	}
 	if r.keys.gate, err = secure.Open(o.AMQP.security()); err != nil {
@@ -341,7 +341,7 @@
 	if r.keys.servers, err = secure.OpenServers(o.AMQP.upstream()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
-	front.Gate, front.Servers = r.keys.gate, r.keys.servers
+	front.Authenticator, front.EndpointTLS = r.keys.gate, r.keys.servers
 	return r.door("amqp", o.AMQP.Listen, front)
 }
 
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/spoken/amqp"
+	"lockroad/internal/frontend/amqp"
 )
 
 // Mode is what a server does with transactions that come.
@@ -449,7 +449,7 @@
 		switch e.Kind {
 		case amqp.PeerAttached:
 			class, _ := e.Properties["class"].(string)
-			ms, _ := amqp.Whole(e.Properties["give-up-ms"])
+			ms, _ := amqp.WholeNumber(e.Properties["give-up-ms"])
 			pass = s.Ledger.pass(Pass{Server: s.Name, Front: "amqp", Name: e.Name, Class: class, At: time.Now(),
 				GiveUp: time.Duration(ms) * time.Millisecond})
 			defer s.closed(pass)
@@ -459,18 +459,18 @@
 			switch s.verdict(ctx) {
 			case NoCredit:
 				p.Attach(e, 0)
-				p.Swallow()
+				p.DiscardInput()
 				return
 			case Hanging:
-				p.Swallow()
+				p.DiscardInput()
 				return
 			case Full:
 				answered("busy")
-				p.Refuse(e, amqp.Busy)
+				p.RejectAttach(e, amqp.ConditionResourceLimit)
 				continue
 			case Failing:
 				answered("error")
-				p.Refuse(e, amqp.Internal)
+				p.RejectAttach(e, amqp.ConditionInternalError)
 				continue
 			case Breaking:
 				answered("broken")
@@ -491,7 +491,7 @@
 			s.all.Go(func() {
 				s.awaitLeave(ctx, func() {
 					ended("away")
-					p.Detach(e.Handle, amqp.SentAway)
+					p.Detach(e.Handle, amqp.ConditionDetachForced)
 				})
 			})
 		case amqp.PeerDelivered:
