--- a/Makefile
+++ b/Makefile
@@ -32,7 +32,7 @@
 	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
-	go test -run '^$$' -fuzz '^FuzzChunks$$' -fuzztime $(FUZZTIME) ./internal/spoken/discovery
+	go test -run '^$$' -fuzz '^FuzzChunks$$' -fuzztime $(FUZZTIME) ./internal/discovery
 	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
 	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime $(FUZZTIME) ./internal/sexp
--- a/internal/spoken/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -51,7 +51,7 @@
 
 // pace is the one that the settings in force ask for.
 func (w *Watcher) pace() pace {
-	if w.Core.Settings().PollList {
+	if w.Proxy.Settings().PollList {
 		return ofService
 	}
 	return ofAgent
@@ -82,12 +82,12 @@
 
 // Watcher keeps a core's farm up to date.
 type Watcher struct {
-	Core     *proxy.Proxy
-	Address  string // at the start; Follow names another
-	Zones    []string
-	Keep     bool // the list is kept as it came, for List
-	revision uint64
-	fails    int // watches since one last brought anything
+	Proxy      *proxy.Proxy
+	Address    string // at the start; Follow names another
+	Zones      []string
+	RetainList bool // the list is kept as it came, for List
+	revision   uint64
+	fails      int // watches since one last brought anything
 
 	newest uint64          // revision of the newest list, whichever agent told it
 	told   map[string]told // of each server that is listed, or was lately
@@ -103,10 +103,10 @@
 	cancel context.CancelFunc // ends the watch that is open
 }
 
-// Follow has the list watched at another address from now on. It guards against
+// SetAddress has the list watched at another address from now on. It guards against
 // an agent that is about to go: the watch there ends at once, and the farm stays
 // as it is until the new agent has told its list.
-func (w *Watcher) Follow(address string) {
+func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if address == w.Address && w.next == "" {
@@ -157,9 +157,9 @@
 	return nil
 }
 
-// Zone is the number of a locality for as long as the relay runs, whatever the order of a later configuration. One that
+// ZoneNumber is the number of a locality for as long as the relay runs, whatever the order of a later configuration. One that
 // no configuration has named gets a number of its own: two of them must not pass for one zone, in which a repeat is dropped.
-func (w *Watcher) Zone(locality string) int {
+func (w *Watcher) ZoneNumber(locality string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if i := slices.Index(w.Zones, locality); i >= 0 {
@@ -194,13 +194,13 @@
 	w.kept.Members = slices.DeleteFunc(w.kept.Members, func(m Member) bool { return m.Phase == "gone" })
 }
 
-// Know takes the list that the relay had before its start.
-func (w *Watcher) Know(l List) error { return w.take(l, balancer.ListCached) }
+// Seed takes the list that the relay had before its start.
+func (w *Watcher) Seed(l List) error { return w.take(l, balancer.ListCached) }
 
 var errEmpty = errors.New("discovery: a whole list names no server; the farm stays as it is")
 
 func (w *Watcher) take(l List, kind balancer.ListKind) error {
-	if kind == balancer.ListFull && len(l.Members) == 0 && len(w.Core.Endpoints.List()) > 0 {
+	if kind == balancer.ListFull && len(l.Members) == 0 && len(w.Proxy.Endpoints.List()) > 0 {
 		return errEmpty // an agent that has lost its list would have every client turned away
 	}
 	servers := make([]balancer.Endpoint, 0, len(l.Members))
@@ -212,17 +212,17 @@
 			return fmt.Errorf("discovery: member %q in phase %q of size %v makes no sense", m.ID, m.Phase, m.Size)
 		}
 		servers = append(servers, balancer.Endpoint{
-			ID: w.Core.Endpoints.ID(m.ID), State: phase, Zone: w.Zone(m.Locality),
-			Cell: m.Cell, Weight: m.Size, StartedAt: w.Core.Clock.AtUnixMilli(m.UpSince),
+			ID: w.Proxy.Endpoints.ID(m.ID), State: phase, Zone: w.ZoneNumber(m.Locality),
+			Cell: m.Cell, Weight: m.Size, StartedAt: w.Proxy.Clock.AtUnixMilli(m.UpSince),
 		})
 		addresses = append(addresses, m.HostPort)
 	}
-	if w.revision = l.Revision; w.Keep {
+	if w.revision = l.Revision; w.RetainList {
 		w.keep(l, kind)
 	}
 	w.fails = 0
-	w.Core.SetRevision(l.Revision)
-	w.Core.UpdateEndpoints(kind, servers, addresses)
+	w.Proxy.SetRevision(l.Revision)
+	w.Proxy.UpdateEndpoints(kind, servers, addresses)
 	w.note(l, kind, held)
 	return nil
 }
@@ -287,7 +287,7 @@
 		maps.DeleteFunc(w.told, func(_ string, t told) bool { return t.phase == "gone" && now.Sub(t.since) >= staleFor })
 	}
 	if held {
-		w.Core.Log.Warn("an older list has servers ready that were told to leave; they are held back", "revision", l.Revision, "newest", w.newest)
+		w.Proxy.Log.Warn("an older list has servers ready that were told to leave; they are held back", "revision", l.Revision, "newest", w.newest)
 		w.askAnew()
 	}
 }
@@ -323,9 +323,9 @@
 	}
 }
 
-// Told is closed once a watch has brought what discovery has. It guards against clients that are placed by the list
+// Synced is closed once a watch has brought what discovery has. It guards against clients that are placed by the list
 // from before the start: what the agent has counts as told from a process's first moment.
-func (w *Watcher) Told() <-chan struct{} {
+func (w *Watcher) Synced() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.first == nil {
@@ -346,11 +346,11 @@
 			w.fails = 0 // it has lived, be it without news
 		}
 		if turn.Err() == nil {
-			w.Core.Log.Warn("the watch of the farm has ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
+			w.Proxy.Log.Warn("the watch of the farm has ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
 		}
 		select {
 		case <-turn.Done():
-		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Core.Settings().PollInterval)):
+		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Proxy.Settings().PollInterval)):
 		}
 		done()
 	}
--- a/internal/spoken/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -110,8 +110,8 @@
 		[]string{list(50, true, member("s-2", "ready"))[:30], list(50, true, member("s-2", "ready"))[30:] + "\n" + list(51, false, member("s-3", "ready"))},
 	)
 	k := newCore()
-	w := &Watcher{Core: k, Address: address, Zones: []string{"a", "b"}}
-	if err := w.Know(List{Revision: 41, Complete: true, Members: []Member{
+	w := &Watcher{Proxy: k, Address: address, Zones: []string{"a", "b"}}
+	if err := w.Seed(List{Revision: 41, Complete: true, Members: []Member{
 		{ID: "s-1", HostPort: "x", Locality: "a", Phase: "ready", Size: 1}, {ID: "s-2", HostPort: "y", Locality: "b", Phase: "ready", Size: 1},
 	}}); err != nil {
 		t.Fatal(err)
@@ -161,7 +161,7 @@
 	k := newCore()
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
-	done.Go(func() { _ = (&Watcher{Core: k, Address: address, Zones: []string{"a", "b"}}).Run(ctx) })
+	done.Go(func() { _ = (&Watcher{Proxy: k, Address: address, Zones: []string{"a", "b"}}).Run(ctx) })
 	defer done.Wait()
 	defer cancel()
 	wantWatches(t, asked, "from=0", "from=8")
@@ -172,9 +172,9 @@
 
 func TestListsThatMakeNoSenseChangeNothing(t *testing.T) {
 	k := newCore()
-	w := &Watcher{Core: k}
+	w := &Watcher{Proxy: k}
 	for _, m := range []Member{{ID: "", Phase: "ready"}, {ID: "s-1", Phase: "odd"}, {ID: "s-1", Phase: "ready", Size: -1}} {
-		if err := w.Know(List{Members: []Member{m}}); err == nil {
+		if err := w.Seed(List{Members: []Member{m}}); err == nil {
 			t.Errorf("%+v was taken", m)
 		}
 	}
@@ -198,7 +198,7 @@
 			k.Log = slog.New(slog.NewTextHandler(log, nil))
 			ctx, cancel := context.WithCancel(t.Context())
 			var done sync.WaitGroup
-			done.Go(func() { _ = (&Watcher{Core: k, Address: address, Zones: []string{"a", "b"}}).Run(ctx) })
+			done.Go(func() { _ = (&Watcher{Proxy: k, Address: address, Zones: []string{"a", "b"}}).Run(ctx) })
 			defer done.Wait()
 			defer cancel()
 			wantWatches(t, asked, "from=0", "from=7", "from=8")
@@ -347,7 +347,7 @@
 		s.PollList, s.PollInterval = true, 10*time.Second
 		k.UpdateSettings(&s)
 	}
-	w := &Watcher{Core: k, Address: address, Zones: []string{"a", "b"}}
+	w := &Watcher{Proxy: k, Address: address, Zones: []string{"a", "b"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = w.Run(ctx) })
@@ -411,7 +411,7 @@
 	old, _ := before.next("0")
 	old.answer(list(7, true, member("s-1", "ready"), member("s-2", "ready")), list(8, false, member("s-1", "draining"))[:50])
 	steps.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
-	w.Follow(after.address)
+	w.SetAddress(after.address)
 	h, _ := after.next("0")
 	h.answer(list(9, true, member("s-1", "draining"), member("s-2", "draining")))
 	steps.Until(t, "the new agent's list is there", func() bool { return farmOf(k) == "s-1=draining s-2=draining" })
@@ -435,7 +435,7 @@
 	io.WriteString(old, chunk(list(51, false, member("s-1", "draining"), member("s-2", "draining"), member("s-3", "draining"), member("s-4", "gone"))))
 	steps.Until(t, "the drains are told", func() bool { return farmOf(k) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
 	passes, _ := k.Endpoints.Find(k.Endpoints.ID("s-1"))
-	w.Follow(after.address)
+	w.SetAddress(after.address)
 	h, _ := after.next("0")
 	again := strings.Replace(member("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
 	h.answer(list(48, true, member("s-1", "ready"), member("s-2", "ready"), again, member("s-4", "ready"), member("s-5", "draining"), member("s-6", "ready")))
@@ -470,15 +470,15 @@
 // one zone alone.
 func TestLocalitiesKeepTheirNumbers(t *testing.T) {
 	k := newCore()
-	w := &Watcher{Core: k, Zones: []string{"a", "b"}}
+	w := &Watcher{Proxy: k, Zones: []string{"a", "b"}}
 	for i, want := range map[string]int{"a": 0, "b": 1} {
-		if got := w.Zone(i); got != want {
+		if got := w.ZoneNumber(i); got != want {
 			t.Errorf("locality %q is %d", i, got)
 		}
 	}
-	c, d := w.Zone("c"), w.Zone("d")
-	if c < 2 || d < 2 || c == d || w.Zone("c") != c || w.Zone("b") != 1 {
-		t.Errorf("localities that nobody named are %d and %d, then %d and %d", c, d, w.Zone("c"), w.Zone("b"))
+	c, d := w.ZoneNumber("c"), w.ZoneNumber("d")
+	if c < 2 || d < 2 || c == d || w.ZoneNumber("c") != c || w.ZoneNumber("b") != 1 {
+		t.Errorf("localities that nobody named are %d and %d, then %d and %d", c, d, w.ZoneNumber("c"), w.ZoneNumber("b"))
 	}
 }
 
@@ -489,7 +489,7 @@
 	h, _ := agent.next("0")
 	h.answer(list(7, true, member("s-1", "ready")))
 	steps.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
-	w.Follow(agent.address)
+	w.SetAddress(agent.address)
 	io.WriteString(h, chunk(list(8, false, member("s-1", "draining"))))
 	steps.Until(t, "the watch still tells", func() bool { return farmOf(k) == "s-1=draining" })
 	if n := len(agent.watches); n != 0 {
--- a/internal/keep/keep.go
+++ b/internal/keep/keep.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/spoken/discovery"
+	"lockroad/internal/discovery"
 	"lockroad/internal/store"
 )
 
--- a/internal/lifecycle/config.go
+++ b/internal/lifecycle/config.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"lockroad/balancer"
-	"lockroad/internal/spoken/discovery"
+	"lockroad/internal/discovery"
 	"lockroad/internal/wire"
 )
 
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/keep"
 	"lockroad/internal/registry"
-	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/steps"
 )
 
--- a/internal/lifecycle/many_test.go
+++ b/internal/lifecycle/many_test.go
@@ -16,9 +16,9 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/console"
+	"lockroad/internal/discovery"
 	"lockroad/internal/keep"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/steps"
 	"lockroad/internal/store"
 )
@@ -44,8 +44,8 @@
 		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 350, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
 		InitialCapacity: 0.2, SlowStartDuration: 23 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
-	w := &discovery.Watcher{Core: k, Zones: []string{"a"}, Keep: true}
-	if err := w.Know(listOf(n)); err != nil {
+	w := &discovery.Watcher{Proxy: k, Zones: []string{"a"}, RetainList: true}
+	if err := w.Seed(listOf(n)); err != nil {
 		t.Fatal(err)
 	}
 	return k, w
@@ -132,7 +132,7 @@
 			k, _ := knowing(t, 0)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			w := &discovery.Watcher{Core: k, Address: discoveryOf(t, c.text, 1000), Zones: []string{"a"}, Keep: true}
+			w := &discovery.Watcher{Proxy: k, Address: discoveryOf(t, c.text, 1000), Zones: []string{"a"}, RetainList: true}
 			go func() { _ = w.Run(ctx); close(done) }()
 			go func() { _ = k.Run(ctx) }()
 			steps.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Endpoints.CountByState()[c.phase] == int64(n) })
--- a/internal/lifecycle/reload.go
+++ b/internal/lifecycle/reload.go
@@ -152,11 +152,11 @@
 			r.log.Warn("name, addresses but discovery's, and limits take effect with the next start only")
 		}
 		if zone := c.Settings.Zone; zone >= 0 && zone < len(c.Zones) { // servers keep the numbers that their localities have here
-			c.Settings.Zone = r.watcher.Zone(c.Zones[zone])
+			c.Settings.Zone = r.watcher.ZoneNumber(c.Zones[zone])
 		}
 		inForce = text
 		r.core.UpdateSettings(&c.Settings)
-		r.watcher.Follow(c.Discovery)
+		r.watcher.SetAddress(c.Discovery)
 		r.log.Info("configuration taken", "discovery", c.Discovery, "classes", len(c.Settings.Classes), "attempts", c.Settings.MaxAttempts)
 		return changes, nil
 	}
--- a/internal/lifecycle/reload_test.go
+++ b/internal/lifecycle/reload_test.go
@@ -12,8 +12,8 @@
 	"syscall"
 	"testing"
 
+	"lockroad/internal/discovery"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/steps"
 )
 
@@ -205,7 +205,7 @@
 		t.Fatal(err)
 	}
 	k := proxy.New(c.Settings, 1, proxy.NewClock())
-	r := &relay{config: c, core: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Core: k, Address: c.Discovery, Zones: c.Zones}}
+	r := &relay{config: c, core: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: k, Address: c.Discovery, Zones: c.Zones}}
 	take := r.platform(Words{File: file})
 	for _, next := range []struct {
 		localities string
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -18,6 +18,7 @@
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
 	"lockroad/internal/console"
+	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
@@ -27,7 +28,6 @@
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
-	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/spoken/otlp"
 	"lockroad/internal/spoken/probe"
 	"lockroad/internal/why"
@@ -169,8 +169,8 @@
 		defer desk.Close()
 		r.core.PublishCounts()
 	}
-	r.watcher = &discovery.Watcher{Core: r.core, Address: c.Discovery, Zones: c.Zones, Keep: c.Admin != "" || o.Store.Dir != ""}
-	r.listed = r.watcher.Told()
+	r.watcher = &discovery.Watcher{Proxy: r.core, Address: c.Discovery, Zones: c.Zones, RetainList: c.Admin != "" || o.Store.Dir != ""}
+	r.listed = r.watcher.Synced()
 	r.begin(known, age, warm)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/lifecycle/stored_golden_test.go
+++ b/internal/lifecycle/stored_golden_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/discovery"
 	"lockroad/internal/keep"
-	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
 )
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -12,13 +12,13 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/console"
+	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
 	"lockroad/internal/keep"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/spoken"
-	"lockroad/internal/spoken/discovery"
 )
 
 // This file has a relay of a new version take over from the process that runs, and be
@@ -115,7 +115,7 @@
 	if r.prober != nil {
 		return
 	}
-	if err := r.watcher.Know(r.config.Known); err != nil {
+	if err := r.watcher.Seed(r.config.Known); err != nil {
 		r.log.Warn("the list from before the start is of no use", "error", err)
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/spoken/discovery"
+	"lockroad/internal/discovery"
 )
 
 // Discovery is a stand-in of discovery's agent: the list whole, and a watch of its
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/spoken/discovery"
+	"lockroad/internal/discovery"
 )
 
 // Site is a farm of stand-ins with its discovery, and the clients that come to it.
--- a/internal/trouble/scene.go
+++ b/internal/trouble/scene.go
@@ -17,10 +17,10 @@
 	"time"
 
 	"lockroad/internal/console"
+	"lockroad/internal/discovery"
 	"lockroad/internal/fault"
 	"lockroad/internal/lifecycle"
 	"lockroad/internal/rules"
-	"lockroad/internal/spoken/discovery"
 	"lockroad/internal/standin"
 )
 
