--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -17,7 +17,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
 	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
@@ -46,8 +46,8 @@
 	Keeper Keeper      // takes orders; nil: none are taken
 	// Reload has the configuration's file taken, and tells what changes; with dry it only tells.
 	Reload func(ctx context.Context, dry bool) ([]string, error)
-	Health func() (all []members.Health, doubts bool) // of a site's servers; nil: discovery tells of them
-	Log    func(most int) []string                    // the last lines of the log; nil: none are kept
+	Health func() (all []healthcheck.EndpointHealth, doubts bool) // of a site's servers; nil: discovery tells of them
+	Log    func(most int) []string                                // the last lines of the log; nil: none are kept
 	// Restart has the relay leave and be started again. An error says why that can't be.
 	Restart func() error
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -12,8 +12,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/golden"
+	"lockroad/internal/healthcheck"
 	"lockroad/internal/keep"
-	"lockroad/internal/members"
 	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
@@ -114,9 +114,9 @@
 			Reload: func(_ context.Context, dry bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
-			Health: func() ([]members.Health, bool) {
-				return []members.Health{
-					{Name: "s-1", State: members.Up}, {Name: "s-2", State: members.Down, Since: 90 * time.Second, Fails: 4, Why: "refused"},
+			Health: func() ([]healthcheck.EndpointHealth, bool) {
+				return []healthcheck.EndpointHealth{
+					{Name: "s-1", State: healthcheck.StateUp}, {Name: "s-2", State: healthcheck.StateDown, Since: 90 * time.Second, ConsecutiveFailures: 4, Reason: "refused"},
 				}, true
 			},
 			Log:     func(int) []string { return []string{"first\n", "second\n"} },
--- a/internal/console/orders.go
+++ b/internal/console/orders.go
@@ -16,8 +16,8 @@
 
 	"golang.org/x/sys/unix"
 
+	"lockroad/internal/healthcheck"
 	"lockroad/internal/keep"
-	"lockroad/internal/members"
 	"lockroad/internal/registry"
 	"lockroad/internal/store"
 )
@@ -236,10 +236,10 @@
 	table(w, []string{"SERVER", "STATE", "FOR", "FAILED IN A ROW", "WHY"}, func(row func(...any)) {
 		for _, h := range all {
 			state, since := "up", any(nil)
-			if h.State == members.Down {
+			if h.State == healthcheck.StateDown {
 				state, since = "down", h.Since.Round(time.Second)
 			}
-			row(h.Name, state, since, h.Fails, h.Why)
+			row(h.Name, state, since, h.ConsecutiveFailures, h.Reason)
 		}
 	})
 }
--- a/internal/members/members_test.go
+++ b/internal/healthcheck/members_test.go
@@ -1,4 +1,4 @@
-package members
+package healthcheck
 
 import (
 	"fmt"
@@ -13,12 +13,12 @@
 const second = time.Second
 
 // follow plays probes of servers, each of which answers as alive says, until a time. It returns when each change was told.
-func follow(m *Members, from, until time.Duration, alive func(name string, now time.Duration) bool) (told map[string][]string) {
+func follow(m *Tracker, from, until time.Duration, alive func(name string, now time.Duration) bool) (told map[string][]string) {
 	told = make(map[string][]string)
 	for now := from; now < until; {
 		names, next := m.Due(now)
 		for _, name := range names {
-			m.Probed(now, name, alive(name, now), "refused")
+			m.ProbeEnded(now, name, alive(name, now), "refused")
 		}
 		for _, c := range m.Changes() {
 			told[c.Name] = append(told[c.Name], fmt.Sprintf("%v %v", [...]string{"up", "down"}[c.State], (now-from).Round(second)))
@@ -31,7 +31,7 @@
 // A server that dies is down after three probes, and up again, as one that has just started, after two. One that
 // fails every other probe stays as it is.
 func TestRiseAndFall(t *testing.T) {
-	m := New(Usual(), []string{"a", "b", "c", "d"}, 0)
+	m := New(DefaultSettings(), []string{"a", "b", "c", "d"}, 0)
 	told := follow(m, 0, 60*second, func(name string, now time.Duration) bool {
 		switch name {
 		case "a":
@@ -51,39 +51,39 @@
 
 // Where most seem to be dead the sensor is doubted before the servers, until it is not so any more.
 func TestPanic(t *testing.T) {
-	m := New(Usual(), []string{"a", "b", "c", "d"}, 0)
+	m := New(DefaultSettings(), []string{"a", "b", "c", "d"}, 0)
 	cutOff := func(string, time.Duration) bool { return false }
 	told := follow(m, 0, 20*second, cutOff)
-	if !m.Doubts() || len(told["d"]) != 1 {
-		t.Fatalf("doubts %v: %v", m.Doubts(), told)
+	if !m.PanicMode() || len(told["d"]) != 1 {
+		t.Fatalf("doubts %v: %v", m.PanicMode(), told)
 	}
 	for _, x := range m.all {
-		if x.told.State != Up {
+		if x.told.State != StateUp {
 			t.Errorf("%s is listed as down", x.name)
 		}
 	}
 	follow(m, 20*second, 40*second, func(name string, _ time.Duration) bool { return name != "a" })
-	if m.Doubts() || m.find("a").told.State != Down || m.find("b").told.State != Up {
-		t.Errorf("doubts %v, a %v, b %v", m.Doubts(), m.find("a").told, m.find("b").told)
+	if m.PanicMode() || m.find("a").told.State != StateDown || m.find("b").told.State != StateUp {
+		t.Errorf("doubts %v, a %v, b %v", m.PanicMode(), m.find("a").told, m.find("b").told)
 	}
 }
 
 // Passes bring a server down faster than probes, and never up.
 func TestPasses(t *testing.T) {
-	m := New(Usual(), []string{"a", "b", "c"}, 0)
+	m := New(DefaultSettings(), []string{"a", "b", "c"}, 0)
 	m.Changes()
 	for i := range 3 {
-		m.Passed(time.Duration(i)*100*time.Millisecond, "a", false, "timeout")
+		m.AttemptEnded(time.Duration(i)*100*time.Millisecond, "a", false, "timeout")
 	}
-	if c := m.Changes(); len(c) != 1 || c[0].Name != "a" || c[0].State != Down {
+	if c := m.Changes(); len(c) != 1 || c[0].Name != "a" || c[0].State != StateDown {
 		t.Fatalf("told is %v", c)
 	}
-	m.Passed(second, "a", true, "")
-	m.Passed(second, "nobody", false, "")
+	m.AttemptEnded(second, "a", true, "")
+	m.AttemptEnded(second, "nobody", false, "")
 	if c := m.Changes(); len(c) != 0 {
 		t.Errorf("told is %v", c)
 	}
-	if h := m.Health(5 * second); h[0].Why != "timeout" || h[0].Since < 4*second {
+	if h := m.Health(5 * second); h[0].Reason != "timeout" || h[0].Since < 4*second {
 		t.Errorf("%+v", h)
 	}
 }
@@ -92,7 +92,7 @@
 // listed as down, and one that is dead is after the time that the settings say, unless most are.
 func TestRandomSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Usual()
+		set := DefaultSettings()
 		set.Fall = rapid.IntRange(1, 4).Draw(t, "fall")
 		set.Rise = rapid.IntRange(1, 4).Draw(t, "rise")
 		n := rapid.IntRange(1, 8).Draw(t, "servers")
@@ -105,7 +105,7 @@
 		probes := make(map[string][]time.Duration)
 		listed := make(map[string]State)
 		for _, name := range names {
-			listed[name] = Down // until it is told of
+			listed[name] = StateDown // until it is told of
 		}
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -119,7 +119,7 @@
 				}
 			case 1:
 				_, is := dead[name]
-				m.Passed(now, name, !is, "reset")
+				m.AttemptEnded(now, name, !is, "reset")
 			case 2:
 				m.Replace(names, now)
 			}
@@ -127,7 +127,7 @@
 				due, next := m.Due(now)
 				for _, x := range due {
 					_, is := dead[x]
-					m.Probed(now, x, !is, "refused")
+					m.ProbeEnded(now, x, !is, "refused")
 					probes[x] = append(probes[x], now)
 				}
 				for _, c := range m.Changes() {
@@ -137,25 +137,25 @@
 			}
 			for _, x := range names {
 				since, is := dead[x]
-				down := m.find(x).state == Down
-				if !is && m.find(x).fails > 0 && !down && len(probes[x]) > 0 && now-probes[x][len(probes[x])-1] > 3*set.Every {
+				down := m.find(x).state == StateDown
+				if !is && m.find(x).fails > 0 && !down && len(probes[x]) > 0 && now-probes[x][len(probes[x])-1] > 3*set.Interval {
 					t.Fatalf("%s goes without a probe", x)
 				}
-				if is && now-since > time.Duration(set.Fall+1)*set.Every && !down {
+				if is && now-since > time.Duration(set.Fall+1)*set.Interval && !down {
 					t.Fatalf("%s is dead for %v and not down", x, now-since)
 				}
-				if listed[x] == Down && !down {
+				if listed[x] == StateDown && !down {
 					t.Fatalf("%s is listed as down and is not", x)
 				}
-				if down && listed[x] == Up && !m.Doubts() {
+				if down && listed[x] == StateUp && !m.PanicMode() {
 					t.Fatalf("%s is down, and listed as up without a doubt", x)
 				}
 			}
 		}
 		for x, at := range probes {
 			for i := 4; i < len(at); i++ {
-				if at[i]-at[i-4] < set.Every {
-					t.Fatalf("%s is probed at %v: five times within %v", x, at[i-4:i+1], set.Every)
+				if at[i]-at[i-4] < set.Interval {
+					t.Fatalf("%s is probed at %v: five times within %v", x, at[i-4:i+1], set.Interval)
 				}
 			}
 		}
@@ -171,7 +171,7 @@
 	}
 	for _, lost := range []float64{0, 0.02, 0.1} {
 		rng := rand.New(rand.NewPCG(1, 1))
-		m := New(Usual(), names, 0)
+		m := New(DefaultSettings(), names, 0)
 		var waits []time.Duration
 		alarms, died, dead := 0, time.Duration(0), ""
 		next := 10 * time.Minute
@@ -181,14 +181,14 @@
 			}
 			due, again := m.Due(now)
 			for _, name := range due {
-				m.Probed(now, name, name != dead && rng.Float64() >= lost, "lost")
+				m.ProbeEnded(now, name, name != dead && rng.Float64() >= lost, "lost")
 			}
 			for _, c := range m.Changes() {
 				switch {
-				case c.State == Down && c.Name == dead:
+				case c.State == StateDown && c.Name == dead:
 					waits = append(waits, now-died)
 					dead, next = "", now+10*time.Minute+time.Duration(rng.IntN(2000))*time.Millisecond // it is back at once
-				case c.State == Down:
+				case c.State == StateDown:
 					alarms++
 				}
 			}
@@ -204,16 +204,16 @@
 }
 
 func TestCheck(t *testing.T) {
-	usual := Usual()
-	if err := usual.Check(); err != nil {
+	usual := DefaultSettings()
+	if err := usual.Validate(); err != nil {
 		t.Error(err)
 	}
 	for _, bad := range []func(*Settings){
-		func(s *Settings) { s.Every = 0 }, func(s *Settings) { s.Timeout = 3 * second }, func(s *Settings) { s.Rise = 0 },
-		func(s *Settings) { s.Share = 0.2 }, func(s *Settings) { s.Panic = 0 }, func(s *Settings) { s.Every, s.Timeout = 100*time.Millisecond, 50*time.Millisecond },
+		func(s *Settings) { s.Interval = 0 }, func(s *Settings) { s.Timeout = 3 * second }, func(s *Settings) { s.Rise = 0 },
+		func(s *Settings) { s.MaxLoadShare = 0.2 }, func(s *Settings) { s.PanicThreshold = 0 }, func(s *Settings) { s.Interval, s.Timeout = 100*time.Millisecond, 50*time.Millisecond },
 	} {
-		s := Usual()
-		if bad(&s); s.Check() == nil {
+		s := DefaultSettings()
+		if bad(&s); s.Validate() == nil {
 			t.Errorf("%+v is taken", s)
 		}
 	}
--- a/internal/spoken/probe/probe.go
+++ b/internal/healthcheck/prober/probe.go
@@ -1,6 +1,6 @@
 // Package probe finds out which application servers of a list are up, where no discovery tells: it carries out
-// the probes that internal/members asks for, and lists servers by what that holds of them.
-package probe
+// the probes that internal/healthcheck asks for, and lists servers by what that holds of them.
+package prober
 
 import (
 	"bufio"
@@ -13,13 +13,13 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
 
-// Server is one of the list.
-type Server struct {
+// Endpoint is one of the list.
+type Endpoint struct {
 	Name    string
 	Address string
 	Zone    int
@@ -28,53 +28,53 @@
 
 // Prober lists servers. It is an observer of transactions, whose passes tell of servers too.
 type Prober struct {
-	Core *proxy.Proxy
-	Ping bool // servers answer PING with PONG; else a connection that comes up will do
+	Proxy *proxy.Proxy
+	Ping  bool // servers answer PING with PONG; else a connection that comes up will do
 
 	mu      sync.Mutex
-	set     members.Settings
-	servers []Server
-	members *members.Members
+	set     healthcheck.Settings
+	servers []Endpoint
+	members *healthcheck.Tracker
 	wake    chan struct{}
 	doubts  bool
 }
 
 // New returns a prober of servers, all of which are held to be up at first.
-func New(k *proxy.Proxy, set members.Settings, servers []Server, ping bool) *Prober {
-	p := &Prober{Core: k, Ping: ping, set: set, servers: servers, wake: make(chan struct{}, 1)}
-	p.members = members.New(set, names(servers), k.Clock.Now())
+func New(k *proxy.Proxy, set healthcheck.Settings, servers []Endpoint, ping bool) *Prober {
+	p := &Prober{Proxy: k, Ping: ping, set: set, servers: servers, wake: make(chan struct{}, 1)}
+	p.members = healthcheck.New(set, names(servers), k.Clock.Now())
 	return p
 }
 
-func names(servers []Server) (all []string) {
+func names(servers []Endpoint) (all []string) {
 	for _, s := range servers {
 		all = append(all, s.Name)
 	}
 	return all
 }
 
-// Begin lists all servers. It is called before the first turn.
-func (p *Prober) Begin() {
+// Start lists all servers. It is called before the first turn.
+func (p *Prober) Start() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.list()
 }
 
 // Replace puts another list and other settings in place. Clients of a server that it no longer names are moved.
-func (p *Prober) Replace(set members.Settings, servers []Server) {
+func (p *Prober) Replace(set healthcheck.Settings, servers []Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, old := range p.servers {
-		if !slices.ContainsFunc(servers, func(s Server) bool { return s.Name == old.Name }) {
+		if !slices.ContainsFunc(servers, func(s Endpoint) bool { return s.Name == old.Name }) {
 			p.tell(old, balancer.StateDraining, 0)
 		}
 	}
 	was := p.servers
 	p.set, p.servers = set, servers
-	p.members.Retune(set)
-	p.members.Replace(names(servers), p.Core.Clock.Now())
+	p.members.UpdateSettings(set)
+	p.members.Replace(names(servers), p.Proxy.Clock.Now())
 	for _, s := range servers {
-		if i := slices.IndexFunc(was, func(old Server) bool { return old.Name == s.Name }); i >= 0 && was[i] != s {
+		if i := slices.IndexFunc(was, func(old Endpoint) bool { return old.Name == s.Name }); i >= 0 && was[i] != s {
 			p.tell(s, balancer.StateReady, 0) // at another address, or of another size
 		}
 	}
@@ -86,17 +86,17 @@
 }
 
 // find returns a server of the list.
-func (p *Prober) find(name string) (Server, bool) {
-	i := slices.IndexFunc(p.servers, func(s Server) bool { return s.Name == name })
+func (p *Prober) find(name string) (Endpoint, bool) {
+	i := slices.IndexFunc(p.servers, func(s Endpoint) bool { return s.Name == name })
 	if i < 0 {
-		return Server{}, false
+		return Endpoint{}, false
 	}
 	return p.servers[i], true
 }
 
 // tell lists a server.
-func (p *Prober) tell(s Server, state balancer.EndpointState, born time.Duration) {
-	p.Core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: p.Core.Endpoints.ID(s.Name), State: state, Zone: s.Zone, Weight: s.Size, StartedAt: born}}, []string{s.Address})
+func (p *Prober) tell(s Endpoint, state balancer.EndpointState, born time.Duration) {
+	p.Proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: p.Proxy.Endpoints.ID(s.Name), State: state, Zone: s.Zone, Weight: s.Size, StartedAt: born}}, []string{s.Address})
 }
 
 // list tells of all that has changed.
@@ -107,25 +107,25 @@
 			continue
 		}
 		state := balancer.StateReady
-		if c.State == members.Down {
+		if c.State == healthcheck.StateDown {
 			state = balancer.StateGone
 		}
-		p.tell(s, state, c.Born)
+		p.tell(s, state, c.RecoveredAt)
 	}
-	if d := p.members.Doubts(); d != p.doubts {
+	if d := p.members.PanicMode(); d != p.doubts {
 		if p.doubts = d; d {
-			p.Core.Log.Error("most servers seem to be down: this box is doubted before them, and all are listed as up")
+			p.Proxy.Log.Error("most servers seem to be down: this box is doubted before them, and all are listed as up")
 		} else {
-			p.Core.Log.Info("servers are listed as they are found again")
+			p.Proxy.Log.Info("servers are listed as they are found again")
 		}
 	}
 }
 
 // Health tells of all servers.
-func (p *Prober) Health() (all []members.Health, doubts bool) {
+func (p *Prober) Health() (all []healthcheck.EndpointHealth, doubts bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.members.Health(p.Core.Clock.Now()), p.members.Doubts()
+	return p.members.Health(p.Proxy.Clock.Now()), p.members.PanicMode()
 }
 
 // Run probes until ctx ends.
@@ -134,7 +134,7 @@
 	defer out.Wait()
 	for {
 		p.mu.Lock()
-		now := p.Core.Clock.Now()
+		now := p.Proxy.Clock.Now()
 		due, next := p.members.Due(now)
 		wait := p.set.Timeout
 		for _, name := range due {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (p *Prober) probe(ctx context.Context, s Server, wait time.Duration) {
+func (p *Prober) probe(ctx context.Context, s Endpoint, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	err := p.ask(ctx, s.Address)
@@ -165,7 +165,7 @@
 	if err != nil {
 		why = err.Error()
 	}
-	p.members.Probed(p.Core.Clock.Now(), s.Name, err == nil, why)
+	p.members.ProbeEnded(p.Proxy.Clock.Now(), s.Name, err == nil, why)
 	p.list()
 }
 
@@ -218,7 +218,7 @@
 		ok := how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.members.Passed(p.Core.Clock.Now(), p.Core.Endpoints.Name(server), ok, "a pass: "+registry.StatusNames[how])
+		p.members.AttemptEnded(p.Proxy.Clock.Now(), p.Proxy.Endpoints.Name(server), ok, "a pass: "+registry.StatusNames[how])
 		p.list()
 	}
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -22,6 +22,7 @@
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
+	"lockroad/internal/healthcheck/prober"
 	"lockroad/internal/logs"
 	"lockroad/internal/proxy"
 	"lockroad/internal/quota"
@@ -29,7 +30,6 @@
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
 	"lockroad/internal/spoken/otlp"
-	"lockroad/internal/spoken/probe"
 	"lockroad/internal/why"
 )
 
@@ -109,7 +109,7 @@
 	orphan  chan struct{}   // closed once there is no old process
 	told    *state          // by the old process, as far as it is of use
 	keeper  *keeper
-	prober  *probe.Prober // of a site's servers; nil: discovery tells of them
+	prober  *prober.Prober // of a site's servers; nil: discovery tells of them
 	keys    keys
 	reloads chan reloadAsk
 	seats   int // of all fronts
@@ -157,7 +157,7 @@
 		return err
 	}
 	if s := words.Site; s != nil {
-		r.prober = probe.New(r.core, s.Health, s.Servers, s.Ping)
+		r.prober = prober.New(r.core, s.Health, s.Servers, s.Ping)
 		r.core.Observe(r.prober)
 	}
 	var desk net.Listener // of the second address
--- a/internal/lifecycle/site.go
+++ b/internal/lifecycle/site.go
@@ -15,9 +15,9 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"lockroad/balancer"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
+	"lockroad/internal/healthcheck/prober"
 	"lockroad/internal/quota"
-	"lockroad/internal/spoken/probe"
 )
 
 // Site is all that a small site has in one file: a relay's configuration, its servers, and the operator's settings. It
@@ -25,8 +25,8 @@
 type Site struct {
 	Config   *Config
 	Operator *Operator
-	Servers  []probe.Server
-	Health   members.Settings
+	Servers  []prober.Endpoint
+	Health   healthcheck.Settings
 	Ping     bool
 	Limits   quota.Settings
 	Fair     bool // seats that run short are shared out
@@ -152,7 +152,7 @@
 		if _, _, err := net.SplitHostPort(one.Address); err != nil {
 			f.add(at+"address", "%q is no host:port: %v", one.Address, err)
 		}
-		if slices.ContainsFunc(s.Servers, func(x probe.Server) bool { return x.Name == name }) {
+		if slices.ContainsFunc(s.Servers, func(x prober.Endpoint) bool { return x.Name == name }) {
 			f.add(at+"name", "%q is the name of another server too", name)
 		}
 		if strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' }) {
@@ -161,7 +161,7 @@
 		if one.Size < 0 {
 			f.add(at+"size", "%v is negative", one.Size)
 		}
-		s.Servers = append(s.Servers, probe.Server{Name: name, Address: one.Address, Zone: zone(one.Hall), Size: cmp.Or(one.Size, 1)})
+		s.Servers = append(s.Servers, prober.Endpoint{Name: name, Address: one.Address, Zone: zone(one.Hall), Size: cmp.Or(one.Size, 1)})
 	}
 	c.Settings = f.siteSettings(&raw)
 	s.Config = c
@@ -219,12 +219,12 @@
 	return set
 }
 
-func (f *finder) siteHealth(raw *siteFile, s *Site) members.Settings {
-	u, h := members.Usual(), raw.Health
-	u.Every, u.Timeout = time.Duration(cmp.Or(h.Every, span(u.Every))), time.Duration(cmp.Or(h.Timeout, span(u.Timeout)))
+func (f *finder) siteHealth(raw *siteFile, s *Site) healthcheck.Settings {
+	u, h := healthcheck.DefaultSettings(), raw.Health
+	u.Interval, u.Timeout = time.Duration(cmp.Or(h.Every, span(u.Interval))), time.Duration(cmp.Or(h.Timeout, span(u.Timeout)))
 	u.Rise, u.Fall = cmp.Or(h.Rise, u.Rise), cmp.Or(h.Fall, u.Fall)
-	u.Share, u.Panic = cmp.Or(h.Share, u.Share), cmp.Or(h.Panic, u.Panic)
-	if err := u.Check(); err != nil {
+	u.MaxLoadShare, u.PanicThreshold = cmp.Or(h.Share, u.MaxLoadShare), cmp.Or(h.Panic, u.PanicThreshold)
+	if err := u.Validate(); err != nil {
 		f.add("health", "%v", err)
 	}
 	switch h.Probe {
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -79,7 +79,7 @@
 	r.told = &s
 	defer func() { r.keeper.recall(s.Orders) }()
 	if r.prober != nil {
-		r.prober.Begin()
+		r.prober.Start()
 	}
 	if r.guest != nil {
 		err := json.Unmarshal(r.guest.Offer.State, &s)
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"lockroad/balancer"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
 	"lockroad/internal/sexp"
 )
 
@@ -225,7 +225,7 @@
 	if r := day(false, 0, hangs); r.FoundIn != 0 || r.Probes != 0 {
 		t.Errorf("a list that is told finds hung servers in %v s, with %d probes", r.FoundIn, r.Probes)
 	}
-	most := (3*members.Usual().Every + members.Usual().Timeout).Seconds()
+	most := (3*healthcheck.DefaultSettings().Interval + healthcheck.DefaultSettings().Timeout).Seconds()
 	for _, acts := range []string{hangs, dies} {
 		if r := day(true, 0, acts); r.FoundIn <= 0 || r.FoundIn > most {
 			t.Errorf("%s: found in %v s, want within %v", acts, r.FoundIn, most)
--- a/internal/model/probed.go
+++ b/internal/model/probed.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
 )
 
 // This file has relays find out by themselves which servers are up, as on a box of its own, in
@@ -26,7 +26,7 @@
 // joins gives a relay that starts its members; all are held to be up.
 func (s *Sim) joins(id uint32) {
 	r := s.relays[id]
-	r.members = members.New(s.Probes, s.memberNames(), s.now)
+	r.members = healthcheck.New(s.Probes, s.memberNames(), s.now)
 	r.members.Changes()
 	s.probes(id)
 }
@@ -53,7 +53,7 @@
 		case v.down:
 			ok = 0
 		default:
-			v.free = max(v.free, s.now) + members.ProbeCost/time.Duration(s.Cores)
+			v.free = max(v.free, s.now) + healthcheck.ProbeCost/time.Duration(s.Cores)
 		}
 		s.after(took, event{kind: evProbed, id: id, x: uint32(i)<<1 | ok, gen: r.life})
 	}
@@ -63,7 +63,7 @@
 // probed is the outcome of a probe.
 func (s *Sim) probed(e event) {
 	if r := s.relays[e.id]; r.up && r.life == e.gen {
-		r.members.Probed(s.now, memberName(int(e.x>>1)), e.x&1 == 1, "")
+		r.members.ProbeEnded(s.now, memberName(int(e.x>>1)), e.x&1 == 1, "")
 		s.members(e.id)
 	}
 }
@@ -71,7 +71,7 @@
 // passed tells a relay's members what became of a pass.
 func (s *Sim) passed(id uint32, server int32, how balancer.AttemptStatus) {
 	if r := s.relays[id]; r.members != nil && how != balancer.StatusNotSent && how != balancer.StatusCancelled {
-		r.members.Passed(s.now, memberName(int(server)), how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected, "")
+		r.members.AttemptEnded(s.now, memberName(int(server)), how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected, "")
 		s.members(id)
 	}
 }
@@ -81,8 +81,8 @@
 	for _, c := range s.relays[id].members.Changes() {
 		i := int(memberNumber(c.Name))
 		line := s.line(i)
-		line.State, line.StartedAt = balancer.StateReady, c.Born
-		if c.State == members.Down {
+		line.State, line.StartedAt = balancer.StateReady, c.RecoveredAt
+		if c.State == healthcheck.StateDown {
 			line.State = balancer.StateGone
 		}
 		s.heard(id, i, line.State)
--- a/internal/model/sim.go
+++ b/internal/model/sim.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
 )
 
 // Decider decides for one relay, as balancer.Balancer does.
@@ -165,7 +165,7 @@
 
 // relay is one relay.
 type relay struct {
-	members *members.Members // nil: the list is told to it
+	members *healthcheck.Tracker // nil: the list is told to it
 	zone    int
 	d       Decider
 	up      bool
--- a/internal/model/world.go
+++ b/internal/model/world.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/members"
+	"lockroad/internal/healthcheck"
 )
 
 // Class is one kind of client.
@@ -83,9 +83,9 @@
 	Attempts int              // of a transaction
 	Warm     bool             // relays that restart go on with what they had learnt, as those with a store
 
-	Probed    bool             // relays find out by probes and passes which servers are up; no list is told
-	Probes    members.Settings // of those
-	ProbeLoss float64          // part of the probes that get lost
+	Probed    bool                 // relays find out by probes and passes which servers are up; no list is told
+	Probes    healthcheck.Settings // of those
+	ProbeLoss float64              // part of the probes that get lost
 
 	MovePrice float64 // points of service lost if each client is moved once, of 1
 }
@@ -109,7 +109,7 @@
 		Same:     [2]time.Duration{130 * time.Microsecond, 310 * time.Microsecond}, Cross: [2]time.Duration{1400 * time.Microsecond, 2600 * time.Microsecond},
 		Client: [2]time.Duration{410 * time.Microsecond, 1100 * time.Microsecond}, Notice: [2]time.Duration{1300 * ms, 4500 * ms}, Connect: 500 * ms,
 		Retries: 2, Backoff: [2]time.Duration{42 * ms, 340 * ms}, Return: [2]time.Duration{57 * ms, 520 * ms}, Honour: 0.77, Beat: 2 * time.Second,
-		Silence: 4500 * ms, Attempts: 5, MovePrice: 0.045, Probes: members.Usual(),
+		Silence: 4500 * ms, Attempts: 5, MovePrice: 0.045, Probes: healthcheck.DefaultSettings(),
 	}
 }
 
@@ -136,7 +136,7 @@
 	bad(w.PerCore <= 0 || w.Cores < 1, "a core bears %v connections, and a server has %d", w.PerCore, w.Cores)
 	bad(w.ColdShare <= 0 || w.ColdShare > 1, "cold-share %v is not within 0 and 1", w.ColdShare)
 	bad(!(w.LoadSwing >= 0 && w.LoadSwing <= 1), "load-swing %v is not within 0 and 1", w.LoadSwing)
-	bad(w.Probed && w.Probes.Check() != nil, "probes: %v", w.Probes.Check())
+	bad(w.Probed && w.Probes.Validate() != nil, "probes: %v", w.Probes.Validate())
 	bad(!(w.ProbeLoss >= 0 && w.ProbeLoss < 1), "probe-loss %v is not within 0 and 1", w.ProbeLoss)
 	bad(w.Attempts < 1, "attempts %d are fewer than one", w.Attempts)
 	return errors.Join(all...)
