--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -29,7 +29,7 @@
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
 	"lockroad/internal/spoken"
-	"lockroad/internal/spoken/otlp"
+	"lockroad/internal/telemetry"
 	"lockroad/internal/why"
 )
 
@@ -175,7 +175,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if o.OTLP.Endpoint != "" {
-		t, err := otlp.Start(ctx, o.OTLP.Endpoint, c.Name, telemetryEvery, r.core, r.record)
+		t, err := telemetry.Start(ctx, o.OTLP.Endpoint, c.Name, telemetryEvery, r.core, r.record)
 		if err != nil {
 			return err
 		}
--- a/internal/spoken/otlp/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -1,4 +1,4 @@
-package otlp
+package telemetry
 
 import (
 	"compress/gzip"
--- a/internal/spoken/otlp/otlp.go
+++ b/internal/telemetry/otlp.go
@@ -1,7 +1,7 @@
 // Package otlp sends the relay's metrics, and a span for each transaction with
 // its passes, to a collector: OTLP over HTTP by the OpenTelemetry SDK. What the
 // collector doesn't take in time is dropped.
-package otlp
+package telemetry
 
 import (
 	"context"
--- a/internal/spoken/otlp/otlp_test.go
+++ b/internal/telemetry/otlp_test.go
@@ -1,4 +1,4 @@
-package otlp
+package telemetry
 
 import (
 	"context"
