--- a/internal/frontend/amqp/both_test.go
+++ b/internal/frontend/amqp/both_test.go
@@ -20,9 +20,9 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/frontend/line"
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
-	"lockroad/internal/spoken"
 )
 
 // The same cases run through both fronts, with stand-ins for clients and
@@ -125,11 +125,11 @@
 
 var wires = []wire{
 	{name: "line", front: func(k *proxy.Proxy, seats int) server {
-		return &line.Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}}
+		return &line.Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 	}, server: lineServer, open: lineOpen, hasty: lineHasty,
 		slow: []string{"PING\r\n", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=", "p"}, endless: "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c="},
 	{name: "amqp", front: func(k *proxy.Proxy, seats int) server {
-		return &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}}
+		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 	}, server: amqpServer, open: amqpOpen, hasty: amqpHasty,
 		slow: []string{string(headerAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(headerAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
 }
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -15,8 +15,8 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
+	"lockroad/internal/listener"
 	"lockroad/internal/pool"
-	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
 )
 
@@ -433,7 +433,7 @@
 	c.want(codeClose, 0, condFraming)
 	told := time.Now() // and it stays: a client that lingers is waited for
 	steps.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
-	if took := time.Since(told); took > spoken.LingerFor/2 {
+	if took := time.Since(told); took > listener.LingerTimeout/2 {
 		t.Errorf("its link is let go %v after its connection's end", took)
 	}
 }
--- a/internal/frontend/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -13,22 +13,22 @@
 	"sync"
 	"time"
 
+	"lockroad/internal/listener"
 	"lockroad/internal/pool"
 	"lockroad/internal/proxy"
 	"lockroad/internal/secure"
-	"lockroad/internal/spoken"
 )
 
 const (
-	helloWait = spoken.OpeningWait     // a client may take this long to open, all in all
-	leaveWait = 200 * time.Millisecond // a connection whose links are moved or answered has this long once the relay ends
-	byeWait   = time.Second            // a peer may take this long to answer a close
+	helloWait = listener.OpeningTimeout // a client may take this long to open, all in all
+	leaveWait = 200 * time.Millisecond  // a connection whose links are moved or answered has this long once the relay ends
+	byeWait   = time.Second             // a peer may take this long to answer a close
 )
 
 // Frontend is where clients that speak AMQP come in.
 type Frontend struct {
 	Proxy   *proxy.Proxy
-	Limiter *spoken.Hall // its seats are for links, its room for connections without
+	Limiter *listener.ConnLimiter // its seats are for links, its room for connections without
 	// ServerPort is where application servers speak AMQP; 0: as discovery says.
 	EndpointPort int
 	IdleTimeout  time.Duration // a client that is silent for this long goes; 0: the usual
@@ -50,14 +50,14 @@
 		defer f.trunks.close()
 		defer context.AfterFunc(ctx, f.trunks.close)() // at the relay's end nobody waits for a server that does not read
 	}
-	return spoken.Accept(ctx, l, f.Limiter, f.client)
+	return listener.Serve(ctx, l, f.Limiter, f.client)
 }
 
 // client is a client's connection.
 type client struct {
 	*conn
 	front    *Frontend
-	guest    *spoken.Guest
+	guest    *listener.Admission
 	ctx      context.Context
 	links    sync.WaitGroup
 	sessions map[uint16]*clientSession
@@ -69,7 +69,7 @@
 }
 
 // client sees one connection through.
-func (f *Frontend) client(ctx context.Context, tcp *net.TCPConn, g *spoken.Guest) {
+func (f *Frontend) client(ctx context.Context, tcp *net.TCPConn, g *listener.Admission) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &client{
 		conn: newConn(tcp), front: f, guest: g, ctx: ctx, tcp: tcp,
@@ -102,7 +102,7 @@
 	if config == nil {
 		return nil
 	}
-	ctx, done := context.WithDeadline(c.ctx, c.guest.Since.Add(helloWait))
+	ctx, done := context.WithDeadline(c.ctx, c.guest.IdleSince.Add(helloWait))
 	defer done()
 	secured := tls.Server(c.tcp, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
@@ -119,8 +119,8 @@
 // words of the client unread would reset it. One that has left is not waited for.
 func (c *client) linger() {
 	_ = c.CloseWrite()
-	c.SetReadDeadline(time.Now().Add(spoken.LingerFor))
-	_, _ = io.CopyN(io.Discard, c.r, spoken.LingerBytes)
+	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
+	_, _ = io.CopyN(io.Discard, c.r, listener.LingerMaxBytes)
 }
 
 // showOut closes a connection without links to make room for another. It never
@@ -134,13 +134,13 @@
 		_, _ = c.Write(c.buf) // the close follows either way
 		c.mu.Unlock()
 	}
-	spoken.Discard(c.tcp)
+	listener.Discard(c.tcp)
 	c.tcp.Close()
 }
 
 // run greets the client and takes its frames, until its connection ends.
 func (c *client) run() error {
-	c.until = c.guest.Since.Add(helloWait)
+	c.until = c.guest.IdleSince.Add(helloWait)
 	if err := c.greet(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return fault{condLimit, "the connection has not been opened in time"}
@@ -148,7 +148,7 @@
 		return err
 	}
 	c.until = time.Time{}
-	c.guest.ShowOut(c.showOut)
+	c.guest.OnEvict(c.showOut)
 	go c.leave()
 	idle := cmp.Or(c.front.IdleTimeout, idleMost)
 	for {
@@ -415,7 +415,7 @@
 		s.refuse(l, condLimit, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
 		return nil
 	}
-	if !s.client.guest.Sit() {
+	if !s.client.guest.Acquire() {
 		release()
 		s.refuse(l, condLimit, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
 		return nil
@@ -423,7 +423,7 @@
 	ctx, left := context.WithCancel(s.client.ctx)
 	l.left = left
 	s.client.links.Go(func() {
-		defer s.client.guest.Rise()
+		defer s.client.guest.Release()
 		defer release()
 		defer left()
 		front.Proxy.Serve(ctx, ask, l)
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken"
 )
 
 // moveFor bounds the wait for the rest of a delivery before its link is moved.
@@ -106,7 +106,7 @@
 		l.mu.Unlock()
 		switch {
 		case ctx.Err() != nil: // moved or silent: the client is still to be told
-			return spoken.Ended(ctx, balancer.StatusCancelled)
+			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
 		case err != nil && gone:
 			return balancer.StatusCancelled
 		case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/frontend/amqp/passing_test.go
+++ b/internal/frontend/amqp/passing_test.go
@@ -12,8 +12,8 @@
 
 	client10 "github.com/Azure/go-amqp"
 
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken"
 )
 
 // dialFront opens a session of an independent client at a front.
@@ -267,7 +267,7 @@
 func TestSilentClientIsClosed(t *testing.T) {
 	w := wires[1]
 	w.front = func(k *proxy.Proxy, seats int) server {
-		return &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}, IdleTimeout: 100 * time.Millisecond}
+		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}, IdleTimeout: 100 * time.Millisecond}
 	}
 	r := newRig(t, w, 1, nil)
 	dialRaw(t, r.address).want(codeClose, 0, condLimit)
--- a/internal/frontend/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -15,9 +15,9 @@
 
 	client10 "github.com/Azure/go-amqp"
 
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 	"lockroad/internal/secure"
-	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
 )
 
@@ -25,7 +25,7 @@
 func wireOf(prepare func(*Frontend), servers *tls.Config) wire {
 	w := wires[1]
 	w.front = func(k *proxy.Proxy, seats int) server {
-		f := &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: seats, Waiting: 64}}
+		f := &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 		prepare(f)
 		return f
 	}
--- a/internal/frontend/amqp/server.go
+++ b/internal/frontend/amqp/server.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/listener"
 	"lockroad/internal/pool"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/secure"
-	"lockroad/internal/spoken"
 )
 
 const (
@@ -262,12 +262,12 @@
 	}
 	u, err := l.front.reach(ctx, out.Endpoint, address, min(cmp.Or(l.front.Proxy.Settings().ConnectTimeout, out.Timeout), out.Timeout))
 	if err != nil {
-		return nil, spoken.Unsent(ctx)
+		return nil, listener.NotSentStatus(ctx)
 	}
 	stop := context.AfterFunc(ctx, u.Close)
 	how = l.ask(ctx, u, out)
 	if !stop() && how == balancer.StatusOK {
-		how = spoken.Ended(ctx, balancer.StatusReset)
+		how = listener.BrokenStatus(ctx, balancer.StatusReset)
 	}
 	if how != balancer.StatusOK {
 		close(u.stop)
@@ -291,7 +291,7 @@
 	case errors.Is(err, errMoot):
 		return balancer.StatusNotSent
 	case err != nil:
-		return spoken.Unsent(ctx) // of a frame that is not whole nothing runs
+		return listener.NotSentStatus(ctx) // of a frame that is not whole nothing runs
 	}
 	l.front.Proxy.Metrics.Attempts.Add(1)
 	for {
@@ -300,7 +300,7 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return balancer.StatusTimeout
 			}
-			return spoken.Ended(ctx, balancer.StatusReset)
+			return listener.BrokenStatus(ctx, balancer.StatusReset)
 		}
 		switch {
 		case f.empty:
--- a/internal/frontend/line/carry.go
+++ b/internal/frontend/line/carry.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken"
 )
 
 // This file carries a transaction that stands from one process of a relay to the next:
@@ -175,7 +175,7 @@
 	id, _ := f.Proxy.Endpoints.Lookup(s.Endpoint)
 	link := newServer(server, id)
 	return func() {
-		seen := f.Limiter.Adopt(func(g *spoken.Guest) {
+		seen := f.Limiter.Adopt(func(g *listener.Admission) {
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			f.see(ctx, x, g, ask, func(ctx context.Context) { f.Proxy.Adopt(ctx, s, ask, x, link) })
--- a/internal/frontend/line/client.go
+++ b/internal/frontend/line/client.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/spoken"
+	"lockroad/internal/listener"
 )
 
 const (
@@ -108,7 +108,7 @@
 // closing with words of the client unread would reset it.
 func (c *client) finish() {
 	c.CloseWrite()
-	c.SetReadDeadline(time.Now().Add(spoken.LingerFor))
+	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
 	<-c.gone
 	c.Close()
 }
@@ -116,7 +116,7 @@
 // drain reads what a client still says after its last line, until its end or so
 // much of it that it costs the others.
 func (c *client) drain() {
-	_, _ = io.CopyN(io.Discard, c.r, spoken.LingerBytes)
+	_, _ = io.CopyN(io.Discard, c.r, listener.LingerMaxBytes)
 	close(c.gone)
 }
 
--- a/internal/frontend/line/front.go
+++ b/internal/frontend/line/front.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken"
 )
 
 const (
@@ -27,7 +27,7 @@
 // Frontend is where clients of the platform come in.
 type Frontend struct {
 	Proxy   *proxy.Proxy
-	Limiter *spoken.Hall
+	Limiter *listener.ConnLimiter
 
 	notes notes
 }
@@ -35,7 +35,7 @@
 // Serve takes clients until the listener is closed, and then sees those through
 // that it has.
 func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
-	return spoken.Accept(ctx, l, f.Limiter, f.client)
+	return listener.Serve(ctx, l, f.Limiter, f.client)
 }
 
 // showOut tells a client that has not said what it wants to come again. So short
@@ -43,25 +43,25 @@
 func showOut(c *net.TCPConn) {
 	c.SetWriteDeadline(time.Now().Add(time.Millisecond))
 	io.WriteString(c, "BUSY\r\n")
-	spoken.Discard(c)
+	listener.Discard(c)
 	c.Close()
 }
 
 // client sees one client's connection through.
-func (f *Frontend) client(ctx context.Context, conn *net.TCPConn, g *spoken.Guest) {
+func (f *Frontend) client(ctx context.Context, conn *net.TCPConn, g *listener.Admission) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	c := newClient(conn)
 	defer c.Close()
-	g.ShowOut(func() { showOut(conn) })
+	g.OnEvict(func() { showOut(conn) })
 	// The whole opening has to be there by then; nothing that comes before it gives
 	// a client more time.
-	c.SetReadDeadline(g.Since.Add(spoken.OpeningWait))
+	c.SetReadDeadline(g.IdleSince.Add(listener.OpeningTimeout))
 	// Whoever writes it in pieces is still owed a word when the relay ends.
 	hurried := make(chan struct{})
 	hurry := context.AfterFunc(f.Proxy.Closing(), func() {
 		defer close(hurried)
-		if late := time.Now().Add(lastWait); late.Before(g.Since.Add(spoken.OpeningWait)) {
+		if late := time.Now().Add(lastWait); late.Before(g.IdleSince.Add(listener.OpeningTimeout)) {
 			c.SetReadDeadline(late)
 		}
 	})
@@ -106,7 +106,7 @@
 			return
 		}
 		defer release()
-		if !g.Sit() {
+		if !g.Acquire() {
 			f.turnAway(ctx, c, ask, proxy.CauseConnectionLimit)
 			return
 		}
@@ -161,7 +161,7 @@
 }
 
 // see sees a client with a seat through: its transaction, and its leave.
-func (f *Frontend) see(ctx context.Context, x *exchange, g *spoken.Guest, ask proxy.Request, serve func(context.Context)) {
+func (f *Frontend) see(ctx context.Context, x *exchange, g *listener.Admission, ask proxy.Request, serve func(context.Context)) {
 	ctx, left := context.WithCancel(ctx)
 	defer left()
 	c := x.client
@@ -178,7 +178,7 @@
 		}
 	}
 	c.CloseWrite() // nothing follows its last line, not even if it is shown out
-	g.Rise()
+	g.Release()
 	c.finish()
 }
 
@@ -227,13 +227,13 @@
 	d := net.Dialer{Timeout: x.front.Proxy.Settings().ConnectTimeout, KeepAlive: -1}
 	conn, err := d.DialContext(ctx, "tcp", out.Endpoint.Address)
 	if err != nil {
-		return nil, spoken.Unsent(ctx)
+		return nil, listener.NotSentStatus(ctx)
 	}
 	s := newServer(conn.(*net.TCPConn), out.Endpoint.ID)
 	stop := context.AfterFunc(ctx, s.Close)
 	how := x.ask(ctx, s, out)
 	if !stop() && how == balancer.StatusOK {
-		how = spoken.Ended(ctx, balancer.StatusReset)
+		how = listener.BrokenStatus(ctx, balancer.StatusReset)
 	}
 	if how != balancer.StatusOK {
 		s.Close()
@@ -248,12 +248,12 @@
 		return balancer.StatusNotSent
 	}
 	if _, err := s.Write(x.opening.with(out.TimeLeft(ctx))); err != nil {
-		return spoken.Unsent(ctx) // of a line that is not whole nothing runs
+		return listener.NotSentStatus(ctx) // of a line that is not whole nothing runs
 	}
 	x.front.Proxy.Metrics.Attempts.Add(1)
 	text, err := s.r.line()
 	if err != nil {
-		return spoken.Ended(ctx, balancer.StatusReset)
+		return listener.BrokenStatus(ctx, balancer.StatusReset)
 	}
 	switch w, _ := parseWord(text); w {
 	case wordUp:
@@ -330,7 +330,7 @@
 				return balancer.StatusCancelled
 			}
 		case ctx.Err() != nil: // moved or silent: the client is still to be told
-			return spoken.Ended(ctx, how)
+			return listener.BrokenStatus(ctx, how)
 		case x.ended.Load() && how == balancer.StatusReset:
 			return balancer.StatusCancelled // the client has left
 		case errors.Is(err, io.EOF):
--- a/internal/frontend/line/front_test.go
+++ b/internal/frontend/line/front_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/spoken"
 	"lockroad/internal/steps"
 )
 
@@ -38,7 +38,7 @@
 	for _, o := range observers {
 		k.Observe(o)
 	}
-	s := &site{t: t, core: k, front: &Frontend{Proxy: k, Limiter: &spoken.Hall{Seats: most, Waiting: 4}}}
+	s := &site{t: t, core: k, front: &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: most, MaxIdle: 4}}}
 	var doors [2]net.Listener
 	for i := range doors {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -23,12 +23,12 @@
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
 	"lockroad/internal/healthcheck/prober"
+	"lockroad/internal/listener"
 	"lockroad/internal/logs"
 	"lockroad/internal/proxy"
 	"lockroad/internal/quota"
 	"lockroad/internal/record"
 	"lockroad/internal/secure"
-	"lockroad/internal/spoken"
 	"lockroad/internal/telemetry"
 	"lockroad/internal/why"
 )
@@ -74,7 +74,7 @@
 type door struct {
 	console.Fronts
 	front
-	*spoken.Door
+	*listener.Listener
 }
 
 // Words are what the platform says to a relay that runs.
@@ -103,7 +103,7 @@
 	takes   atomic.Bool    // clients are taken
 	leaves  atomic.Bool    // it was told to leave
 	line    *line.Frontend
-	halls   []*spoken.Hall
+	halls   []*listener.ConnLimiter
 	host    *handover.Host  // as a new version finds it; nil: none can come
 	guest   *handover.Guest // of the old process, while it is there; nil: there is none
 	orphan  chan struct{}   // closed once there is no old process
@@ -319,7 +319,7 @@
 		waiting = max(1, waiting/2)
 	}
 	r.seats = seats + links
-	hall := &spoken.Hall{Seats: seats, Waiting: waiting}
+	hall := &listener.ConnLimiter{Slots: seats, MaxIdle: waiting}
 	r.line = &line.Frontend{Proxy: r.core, Limiter: hall}
 	r.halls = append(r.halls, hall)
 	if err := r.door("line", c.Listen, r.line); err != nil {
@@ -328,7 +328,7 @@
 	if o.AMQP.Listen == "" {
 		return nil
 	}
-	hall = &spoken.Hall{Seats: links, Waiting: waiting}
+	hall = &listener.ConnLimiter{Slots: links, MaxIdle: waiting}
 	r.halls = append(r.halls, hall)
 	front := &amqp.Frontend{Proxy: r.core, EndpointPort: o.AMQP.ServerPort, Limiter: hall, Pool: o.AMQP.pool()}
 	var err error
@@ -349,7 +349,7 @@
 	l := r.handedDoor(name, address)
 	var err error
 	if l == nil {
-		l, err = spoken.OpenDoor(address, r.config.Admin != "") // who asks there whether it is ready may replace it under load
+		l, err = listener.Listen(address, r.config.Admin != "") // who asks there whether it is ready may replace it under load
 	}
 	if err != nil {
 		r.close()
@@ -361,7 +361,7 @@
 
 func (r *relay) close() {
 	for _, d := range r.doors {
-		d.Shut()
+		d.Shutdown()
 	}
 }
 
@@ -378,7 +378,7 @@
 	}
 	var g errgroup.Group
 	for _, d := range r.doors {
-		g.Go(func() error { return d.front.Serve(ctx, d.Door) })
+		g.Go(func() error { return d.front.Serve(ctx, d.Listener) })
 	}
 	return g.Wait()
 }
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -16,9 +16,9 @@
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/handover"
 	"lockroad/internal/keep"
+	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
-	"lockroad/internal/spoken"
 )
 
 // This file has a relay of a new version take over from the process that runs, and be
@@ -127,7 +127,7 @@
 
 // handedDoor is the door of a name that the old process offers, if it is at an address;
 // it rests until the old process takes nobody in. nil: none is offered.
-func (r *relay) handedDoor(name, address string) *spoken.Door {
+func (r *relay) handedDoor(name, address string) *listener.Listener {
 	if r.guest == nil {
 		return nil
 	}
@@ -140,8 +140,8 @@
 		return nil
 	}
 	r.guest.Doors[i] = nil
-	d := spoken.NewDoor(l)
-	d.Rest()
+	d := listener.New(l)
+	d.Pause()
 	return d
 }
 
@@ -171,12 +171,12 @@
 		}
 	}
 	for i, seats := range r.told.Seats[:min(len(r.told.Seats), len(r.halls))] {
-		r.halls[i].Lend(seats)
+		r.halls[i].LendSlots(seats)
 	}
 	err := r.guest.Take()
 	r.core.SetSlowStartShare(1)
 	for _, d := range r.doors {
-		d.Open()
+		d.Resume()
 	}
 	if err != nil {
 		r.alone()
@@ -199,7 +199,7 @@
 // alone gives this process all that the two had in common: the old one is gone.
 func (r *relay) alone() {
 	for _, h := range r.halls {
-		h.Lend(0)
+		h.LendSlots(0)
 	}
 	r.core.Requests.Release()
 	r.memory(1)
@@ -249,7 +249,7 @@
 		s.Names[known.ID] = r.core.Endpoints.Name(known.ID)
 	}
 	for _, h := range r.halls {
-		s.Seats = append(s.Seats, h.Taken())
+		s.Seats = append(s.Seats, h.SlotsInUse())
 	}
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -259,7 +259,7 @@
 	var sockets []syscall.Conn
 	for _, d := range r.doors {
 		o.Doors = append(o.Doors, d.Name)
-		sockets = append(sockets, d.Door)
+		sockets = append(sockets, d.Listener)
 	}
 	o.Clock = r.core.Clock.Now()
 	return o, sockets, nil
@@ -270,9 +270,9 @@
 	part, room := 1.0, 1.0
 	for _, d := range r.doors {
 		if given {
-			d.Rest()
+			d.Pause()
 		} else {
-			d.Open()
+			d.Resume()
 		}
 	}
 	if given {
--- a/internal/spoken/door.go
+++ b/internal/listener/door.go
@@ -1,4 +1,4 @@
-package spoken
+package listener
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 	drainMost = 100 * time.Millisecond // and until nobody waits there, but no longer than this
 )
 
-// Door is a listener that can rest, and that shuts without turning away who has
+// Listener is a listener that can rest, and that shuts without turning away who has
 // connected: closing a listener resets the connections that wait in its queue.
-type Door struct {
+type Listener struct {
 	*net.TCPListener
 
 	mu   sync.Mutex
@@ -30,10 +30,10 @@
 	last time.Time // nobody is taken in after it, once the door shuts
 }
 
-// OpenDoor listens at an address. A shared door can be opened beside another
+// Listen listens at an address. A shared door can be opened beside another
 // process's at the same address, as a new version is; the system lets none but the same
 // user's do that.
-func OpenDoor(address string, shared bool) (*Door, error) {
+func Listen(address string, shared bool) (*Listener, error) {
 	var c net.ListenConfig
 	if shared {
 		c.Control = func(_, _ string, raw syscall.RawConn) error {
@@ -48,18 +48,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return NewDoor(l.(*net.TCPListener)), nil
+	return New(l.(*net.TCPListener)), nil
 }
 
-// NewDoor is a door of a socket that listens already.
-func NewDoor(l *net.TCPListener) *Door {
-	d := &Door{TCPListener: l}
+// New is a door of a socket that listens already.
+func New(l *net.TCPListener) *Listener {
+	d := &Listener{TCPListener: l}
 	d.out.L = &d.mu
 	return d
 }
 
 // Accept takes in the next one who comes. It waits while the door rests.
-func (d *Door) Accept() (net.Conn, error) {
+func (d *Listener) Accept() (net.Conn, error) {
 	for {
 		d.mu.Lock()
 		rest := d.rest
@@ -93,10 +93,10 @@
 	}
 }
 
-// Rest has the door take nobody in. Who comes waits in the queue, which another process
+// Pause has the door take nobody in. Who comes waits in the queue, which another process
 // may share. It waits until nobody is on the way in any more: an Accept that looked at the
 // deadline before it was set would still take in one who comes after Rest.
-func (d *Door) Rest() {
+func (d *Listener) Pause() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.rest != nil || d.shut {
@@ -110,14 +110,14 @@
 	}
 }
 
-// Open has a door that rests take people in again.
-func (d *Door) Open() {
+// Resume has a door that rests take people in again.
+func (d *Listener) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.open(time.Time{})
 }
 
-func (d *Door) open(until time.Time) {
+func (d *Listener) open(until time.Time) {
 	d.SetDeadline(until)
 	if d.rest != nil {
 		close(d.rest)
@@ -126,9 +126,9 @@
 	}
 }
 
-// Shut closes the door after those who wait in its queue; one that rests at once, as its
+// Shutdown closes the door after those who wait in its queue; one that rests at once, as its
 // queue is another's by then. Only the first call counts.
-func (d *Door) Shut() {
+func (d *Listener) Shutdown() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.shut {
@@ -145,7 +145,7 @@
 // waiting takes who waits in the queue after the time to shut has come; nil: nobody does. It
 // goes by the descriptor: a read past its deadline is not tried, and a goroutine that wakes
 // late finds people in the queue, whom the close would reset.
-func (d *Door) waiting() net.Conn {
+func (d *Listener) waiting() net.Conn {
 	raw, err := d.SyscallConn()
 	if err != nil {
 		return nil
--- a/internal/spoken/door_test.go
+++ b/internal/listener/door_test.go
@@ -1,4 +1,4 @@
-package spoken
+package listener
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 )
 
 // come connects to a door and returns the connection.
-func come(t *testing.T, d *Door) net.Conn {
+func come(t *testing.T, d *Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", d.Addr().String())
 	if err != nil {
@@ -23,7 +23,7 @@
 }
 
 // greet takes in whoever comes until the door is shut.
-func greet(t *testing.T, d *Door) (done chan struct{}) {
+func greet(t *testing.T, d *Listener) (done chan struct{}) {
 	done = make(chan struct{})
 	go func() {
 		defer close(done)
@@ -51,7 +51,7 @@
 
 // Closing a listener resets who waits in its queue: of 20 none may be.
 func TestDoorShutsAfterThoseWhoWait(t *testing.T) {
-	d, err := OpenDoor("127.0.0.1:0", false)
+	d, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,8 +59,8 @@
 	for range 20 {
 		all = append(all, come(t, d))
 	}
-	d.Shut()
-	d.Shut()
+	d.Shutdown()
+	d.Shutdown()
 	d.SetDeadline(time.Unix(1, 0)) // who is to take them in wakes late
 	<-greet(t, d)
 	for _, c := range all {
@@ -74,39 +74,39 @@
 
 // Two doors share an address only if both say so, and one that rests takes nobody in.
 func TestDoorsAreSharedAndRest(t *testing.T) {
-	old, err := OpenDoor("127.0.0.1:0", true)
+	old, err := Listen("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d, err := OpenDoor(old.Addr().String(), false); err == nil {
+	if d, err := Listen(old.Addr().String(), false); err == nil {
 		d.Close()
 		t.Error("a door that is not shared was opened beside another")
 	}
-	next, err := OpenDoor(old.Addr().String(), true)
+	next, err := Listen(old.Addr().String(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	next.Close()
 	done := greet(t, old)
 	greeted(t, come(t, old))
-	old.Rest()
+	old.Pause()
 	waits := come(t, old)
 	waits.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := waits.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Error("a door that rests has taken someone in")
 	}
 	waits.SetDeadline(time.Now().Add(5 * time.Second))
-	old.Open()
+	old.Resume()
 	greeted(t, waits)
-	old.Rest()
-	old.Shut() // at once
+	old.Pause()
+	old.Shutdown() // at once
 	<-done
 }
 
 // Whoever comes after a door has been laid to rest is not taken in, however late the one
 // wakes who was about to.
 func TestNobodySlipsIntoADoorThatRests(t *testing.T) {
-	d, err := OpenDoor("127.0.0.1:0", false)
+	d, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -129,7 +129,7 @@
 		for range i % 7 { // the one at the door is somewhere else each time
 			runtime.Gosched()
 		}
-		d.Rest()
+		d.Pause()
 		rests.Store(true)
 		c, err := net.Dial("tcp", d.Addr().String())
 		if err != nil {
@@ -137,10 +137,10 @@
 		}
 		runtime.Gosched()
 		rests.Store(false)
-		d.Open()
+		d.Resume()
 		_, _ = io.ReadAll(c) // until it has been taken in
 		c.Close()
 	}
-	d.Shut()
+	d.Shutdown()
 	<-done
 }
--- a/internal/spoken/hall_test.go
+++ b/internal/listener/hall_test.go
@@ -1,4 +1,4 @@
-package spoken
+package listener
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 // but nobody goes before there was time to read a first word.
 func TestCrowdMakesRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &Hall{Seats: 1, Waiting: 3}
+		h := &ConnLimiter{Slots: 1, MaxIdle: 3}
 		var out []int
 		for i := range 10 {
-			g := &Guest{hall: h}
+			g := &Admission{hall: h}
 			g.out = func() {
-				if waited := time.Since(g.Since); waited < waitLeast || waited > 2*waitLeast {
+				if waited := time.Since(g.IdleSince); waited < waitLeast || waited > 2*waitLeast {
 					t.Errorf("guest %d goes after %v", i, waited)
 				}
 				out = append(out, i)
@@ -33,7 +33,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		if h.enter(ctx, &Guest{hall: h}) {
+		if h.enter(ctx, &Admission{hall: h}) {
 			t.Error("room was found though the relay has ended")
 		}
 	})
@@ -49,9 +49,9 @@
 			return
 		}
 		synctest.Test(t, func(t *testing.T) {
-			h := &Hall{Seats: 2, Waiting: 3}
+			h := &ConnLimiter{Slots: 2, MaxIdle: 3}
 			type model struct {
-				*Guest
+				*Admission
 				seats int
 				out   bool // shown out, or left
 			}
@@ -60,8 +60,8 @@
 				step := s.Pick(4)
 				if step == 0 || len(all) == 0 {
 					m := &model{}
-					m.Guest = &Guest{hall: h, out: func() { m.out = true }}
-					h.enter(context.Background(), m.Guest)
+					m.Admission = &Admission{hall: h, out: func() { m.out = true }}
+					h.enter(context.Background(), m.Admission)
 					all = append(all, m)
 					continue
 				}
@@ -71,14 +71,14 @@
 				}
 				switch m := all[s.Pick(len(all))]; step {
 				case 1:
-					if got, want := m.Sit(), !m.out && taken < h.Seats; got != want {
+					if got, want := m.Acquire(), !m.out && taken < h.Slots; got != want {
 						t.Fatalf("a seat was given: %v, want %v", got, want)
 					} else if got {
 						m.seats++
 					}
 				case 2:
 					if m.seats > 0 {
-						m.Rise()
+						m.Release()
 						m.seats--
 					}
 				case 3:
@@ -94,11 +94,11 @@
 					if m.seats > 0 {
 						held += 1 + m.seats
 					}
-					if waits := slices.Contains(h.queue, m.Guest); waits != (m.seats == 0 && !m.out) {
+					if waits := slices.Contains(h.queue, m.Admission); waits != (m.seats == 0 && !m.out) {
 						t.Fatalf("with %d seats, out %v, a guest waits: %v", m.seats, m.out, waits)
 					}
 				}
-				if h.taken != taken || held > h.Waiting+2*h.Seats {
+				if h.taken != taken || held > h.MaxIdle+2*h.Slots {
 					t.Fatalf("%d seats are taken, %d held to be, %d descriptors", taken, h.taken, held)
 				}
 			}
--- a/internal/spoken/spoken.go
+++ b/internal/listener/spoken.go
@@ -1,5 +1,5 @@
 // Package spoken holds what the fronts share; each wire has a package below it.
-package spoken
+package listener
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	}
 	raw.Control(func(fd uintptr) { // no read: another goroutine may be within one
 		var b [4 << 10]byte
-		for taken := 0; taken < LingerBytes; {
+		for taken := 0; taken < LingerMaxBytes; {
 			n, err := syscall.Read(int(fd), b[:])
 			if err == syscall.EINTR {
 				continue
@@ -32,18 +32,18 @@
 	})
 }
 
-// Unsent is the outcome of a pass whose connection did not come up, or that was ended from here
+// NotSentStatus is the outcome of a pass whose connection did not come up, or that was ended from here
 // before anything of it was sent: whatever its server does, it has not run.
-func Unsent(ctx context.Context) balancer.AttemptStatus {
+func NotSentStatus(ctx context.Context) balancer.AttemptStatus {
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return balancer.StatusConnectFailed
 	}
 	return balancer.StatusNotSent
 }
 
-// Ended is the outcome of a pass that broke, or that was ended from here: ctx is
+// BrokenStatus is the outcome of a pass that broke, or that was ended from here: ctx is
 // the pass's own, with its time-out.
-func Ended(ctx context.Context, broke balancer.AttemptStatus) balancer.AttemptStatus {
+func BrokenStatus(ctx context.Context, broke balancer.AttemptStatus) balancer.AttemptStatus {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balancer.StatusTimeout
