--- a/internal/handover/channel.go
+++ b/internal/hotrestart/channel.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
--- a/internal/handover/encoding_test.go
+++ b/internal/hotrestart/encoding_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
@@ -111,15 +111,15 @@
 
 // A peer of another format is refused: the number may change with the encoding only.
 func TestFormatVersionIsUnchanged(t *testing.T) {
-	if Format != 1 {
-		t.Errorf("the format is %d, and the golden files are of 1", Format)
+	if ProtocolVersion != 1 {
+		t.Errorf("the format is %d, and the golden files are of 1", ProtocolVersion)
 	}
 }
 
 func TestOfferKeepsItsEncoding(t *testing.T) {
 	whole := &Offer{
-		Clock: 1234567890 * time.Nanosecond, Start: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC),
-		Doors: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
+		Clock: 1234567890 * time.Nanosecond, ClockStart: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC),
+		ListenerNames: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
 	}
 	steps.Complete(t, whole)
 	keepsFrame(t, "testdata/offer.frame", kindOffer, whole, listeners(t, 2)...)
@@ -148,7 +148,7 @@
 
 // Both processes look for each other at the same path.
 func TestSocketPathIsUnchanged(t *testing.T) {
-	steps.Golden(t, "testdata/path.txt", []byte(Path("/run/x", "n0", "127.0.0.1:7000")))
+	steps.Golden(t, "testdata/path.txt", []byte(SocketPath("/run/x", "n0", "127.0.0.1:7000")))
 }
 
 func TestMessageFieldsAreTagged(t *testing.T) {
--- a/internal/handover/guest.go
+++ b/internal/hotrestart/guest.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// Guest is a new process that has been offered the place of one that runs.
-type Guest struct {
-	Offer *Offer
-	Doors []net.Listener // in the order of the offer's names
+// Successor is a new process that has been offered the place of one that runs.
+type Successor struct {
+	Offer     *Offer
+	Listeners []net.Listener // in the order of the offer's names
 
 	mu  sync.Mutex
-	new New
+	new SuccessorState
 	c   channel
 }
 
-// Ask asks at the meeting place for an old process's place. Whatever goes wrong, the caller
+// Connect asks at the meeting place for an old process's place. Whatever goes wrong, the caller
 // is to start alone.
-func Ask(path string) (*Guest, error) { return ask(path, Format) }
+func Connect(path string) (*Successor, error) { return ask(path, ProtocolVersion) }
 
-func ask(path string, format int) (*Guest, error) {
+func ask(path string, format int) (*Successor, error) {
 	conn, err := net.DialTimeout("unix", path, stepWait)
 	if err != nil {
 		return nil, err
 	}
-	g := &Guest{c: channel{conn.(*net.UnixConn)}}
+	g := &Successor{c: channel{conn.(*net.UnixConn)}}
 	if err := g.hear(format); err != nil {
 		g.Close()
-		for _, l := range g.Doors {
+		for _, l := range g.Listeners {
 			l.Close()
 		}
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // hear says hello and takes the offer.
-func (g *Guest) hear(format int) error {
+func (g *Successor) hear(format int) error {
 	if err := g.c.sameUser(); err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	if err := m.into(g.Offer); err != nil {
 		return err
 	}
-	if len(m.files) != len(g.Offer.Doors) {
+	if len(m.files) != len(g.Offer.ListenerNames) {
 		return errStrange
 	}
 	for _, f := range m.files {
@@ -69,16 +69,16 @@
 		if err != nil {
 			return err
 		}
-		g.Doors = append(g.Doors, l)
+		g.Listeners = append(g.Listeners, l)
 	}
 	return nil
 }
 
-// Take takes the old process's place over. After an error it is gone or strange, and this
+// TakeOver takes the old process's place over. After an error it is gone or strange, and this
 // process is to go on alone with what it has.
-func (g *Guest) Take() error {
+func (g *Successor) TakeOver() error {
 	g.mu.Lock()
-	may := g.new.Take()
+	may := g.new.TakeOver()
 	g.mu.Unlock()
 	err := errStrange
 	if may {
@@ -87,15 +87,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.new.Lost()
+		g.new.PeerLost()
 		g.c.Close() // for the old one to take clients in again, if it is still there
 		return err
 	}
-	g.new.Go()
+	g.new.PredecessorPaused()
 	return nil
 }
 
-func (g *Guest) take() error {
+func (g *Successor) take() error {
 	if err := g.c.send(stepWait, kindTake, nil); err != nil {
 		return err
 	}
@@ -107,17 +107,17 @@
 	return m.wanted(kindGo)
 }
 
-// Takes tells whether this process takes clients in.
-func (g *Guest) Takes() bool {
+// MayAccept tells whether this process takes clients in.
+func (g *Successor) MayAccept() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.new.Takes()
+	return g.new.MayAccept()
 }
 
 // Adopt takes connections until the old process is gone, or ctx ends. For each, prepare
 // returns what carries it on, to be called once the old process knows; what it gets is
 // closed if it fails.
-func (g *Guest) Adopt(ctx context.Context, prepare func(what json.RawMessage, sockets []net.Conn) (carry func(), err error)) {
+func (g *Successor) Adopt(ctx context.Context, prepare func(what json.RawMessage, sockets []net.Conn) (carry func(), err error)) {
 	defer context.AfterFunc(ctx, func() { g.c.Close() })()
 	defer g.Close()
 	for {
@@ -132,7 +132,7 @@
 }
 
 // adopt takes one connection. It tells whether more may come.
-func (g *Guest) adopt(m *message, prepare func(json.RawMessage, []net.Conn) (func(), error)) bool {
+func (g *Successor) adopt(m *message, prepare func(json.RawMessage, []net.Conn) (func(), error)) bool {
 	defer m.drop() // sockets are made of copies
 	var s standing
 	if m.kind != kindStanding || m.into(&s) != nil {
@@ -170,4 +170,4 @@
 }
 
 // Close ends the talk with the old process.
-func (g *Guest) Close() { g.c.Close() }
+func (g *Successor) Close() { g.c.Close() }
--- a/internal/handover/handover.go
+++ b/internal/hotrestart/handover.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -21,9 +21,9 @@
 	takeWait = 10 * time.Second // a new process may take this long to start, once it has the offer
 )
 
-// Path is where the processes of a relay meet: in the folder that they have in common. It
+// SocketPath is where the processes of a relay meet: in the folder that they have in common. It
 // is "" where there is none.
-func Path(dir, name, listen string) string {
+func SocketPath(dir, name, listen string) string {
 	if dir == "" {
 		return ""
 	}
@@ -40,28 +40,28 @@
 
 // Offer is what a new process is given to begin with.
 type Offer struct {
-	Clock time.Duration   `json:"Clock"` // what the old process's clock shows
-	Start time.Time       `json:"Start"` // and since when it goes
-	Doors []string        `json:"Doors"` // names of the listening sockets
-	State json.RawMessage `json:"State"`
+	Clock         time.Duration   `json:"Clock"` // what the old process's clock shows
+	ClockStart    time.Time       `json:"Start"` // and since when it goes
+	ListenerNames []string        `json:"Doors"` // names of the listening sockets
+	State         json.RawMessage `json:"State"`
 }
 
-// Giver is the relay of the process that runs.
-type Giver interface {
+// Handler is the relay of the process that runs.
+type Handler interface {
 	// Offer returns what a new process begins with, and the sockets of its doors.
 	Offer(context.Context) (*Offer, []syscall.Conn, error)
 	// Given has the relay take nobody in and spend nothing, as another does; or again.
-	Given(bool)
+	PeerServes(bool)
 }
 
-// Host is the process that runs, as a new one finds it.
-type Host struct {
+// Predecessor is the process that runs, as a new one finds it.
+type Predecessor struct {
 	path  string
-	giver Giver
+	giver Handler
 	log   *slog.Logger
 
 	mu      sync.Mutex
-	old     Old
+	old     PredecessorState
 	peer    channel
 	answers chan *message // to connections that were given
 	next    int
@@ -70,14 +70,14 @@
 	l      *net.UnixListener
 }
 
-// NewHost returns the host of a relay. It does nothing before Serve.
-func NewHost(path string, giver Giver, log *slog.Logger) *Host {
-	return &Host{path: path, giver: giver, log: log}
+// NewPredecessor returns the host of a relay. It does nothing before Serve.
+func NewPredecessor(path string, giver Handler, log *slog.Logger) *Predecessor {
+	return &Predecessor{path: path, giver: giver, log: log}
 }
 
 // listen opens the meeting place, in the stead of who was there: an old process, or what
 // one that was killed has left.
-func (h *Host) listen() error {
+func (h *Predecessor) listen() error {
 	at := fmt.Sprintf("%s.%d", h.path, os.Getpid())
 	_ = os.Remove(at) // if it stays, ListenUnix fails
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: at, Net: "unix"})
@@ -102,7 +102,7 @@
 
 // Serve waits for new processes until ctx ends. Where there is no meeting place to be had
 // it does nothing: the next version starts beside this one.
-func (h *Host) Serve(ctx context.Context) error {
+func (h *Predecessor) Serve(ctx context.Context) error {
 	if err := h.listen(); err != nil {
 		h.log.Warn("a new version will not find this process", "error", err)
 		return nil
@@ -142,7 +142,7 @@
 }
 
 // meet sees a new process through, from its hello until it is gone.
-func (h *Host) meet(ctx context.Context, c channel) {
+func (h *Predecessor) meet(ctx context.Context, c channel) {
 	defer c.Close()
 	if err := c.sameUser(); err != nil {
 		h.log.Warn("a process is turned away", "error", err)
@@ -159,19 +159,19 @@
 		return
 	}
 	h.mu.Lock()
-	accepted := h.old.Hello(who.Format)
+	accepted := h.old.AcceptPeer(who.Format)
 	if accepted {
 		h.peer, h.answers = c, make(chan *message, 1)
 	}
 	h.mu.Unlock()
 	if !accepted {
-		_ = c.send(stepWait, kindRefuse, fmt.Sprintf("format %d against %d, or another new process is there", who.Format, Format))
+		_ = c.send(stepWait, kindRefuse, fmt.Sprintf("format %d against %d, or another new process is there", who.Format, ProtocolVersion))
 		h.log.Warn("a new process is refused", "pid", who.PID, "format", who.Format)
 		return
 	}
 	err = h.give(ctx, c)
 	h.mu.Lock()
-	again, leaving := h.old.Lost(), h.old.leaving
+	again, leaving := h.old.PeerLost(), h.old.leaving
 	h.peer = channel{}
 	close(h.answers)
 	h.mu.Unlock()
@@ -180,7 +180,7 @@
 	}
 	h.log.Warn("the new process is gone", "pid", who.PID, "error", err, "leaving", leaving)
 	if again {
-		h.giver.Given(false)
+		h.giver.PeerServes(false)
 		if err := h.listen(); err != nil { // it has taken the meeting place
 			h.log.Warn("a new version will not find this process", "error", err)
 		}
@@ -188,7 +188,7 @@
 }
 
 // give offers this process's place, and returns when the new one is gone.
-func (h *Host) give(ctx context.Context, c channel) error {
+func (h *Predecessor) give(ctx context.Context, c channel) error {
 	offer, doors, err := h.giver.Offer(ctx)
 	if err != nil {
 		_ = c.send(stepWait, kindRefuse, err.Error())
@@ -206,12 +206,12 @@
 		return err
 	}
 	h.mu.Lock()
-	took := h.old.Took()
+	took := h.old.TakenOver()
 	h.mu.Unlock()
 	if !took {
 		return errStrange
 	}
-	h.giver.Given(true)
+	h.giver.PeerServes(true)
 	if err := c.send(stepWait, kindGo, nil); err != nil {
 		return err
 	}
@@ -233,13 +233,13 @@
 	}
 }
 
-// Leave notes that this process was told to leave. It tells whether connections that
+// BeginShutdown notes that this process was told to leave. It tells whether connections that
 // stand are to be handed over.
-func (h *Host) Leave() bool {
+func (h *Predecessor) BeginShutdown() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.old.Leave()
-	return h.old.Gives()
+	h.old.BeginShutdown()
+	return h.old.MayHandOff()
 }
 
 var (
@@ -253,10 +253,10 @@
 	What   json.RawMessage `json:"What"`
 }
 
-// Give hands a connection over, with its sockets, and waits for the new process's word.
+// HandOff hands a connection over, with its sockets, and waits for the new process's word.
 // After nil it is the other's, and no byte may be read or written here; after an error it
 // is still this process's.
-func (h *Host) Give(what any, sockets ...syscall.Conn) error {
+func (h *Predecessor) HandOff(what any, sockets ...syscall.Conn) error {
 	text, err := json.Marshal(what)
 	if err != nil {
 		return err
@@ -264,7 +264,7 @@
 	h.giving.Lock()
 	defer h.giving.Unlock()
 	h.mu.Lock()
-	gives, c, answers := h.old.Gives(), h.peer, h.answers
+	gives, c, answers := h.old.MayHandOff(), h.peer, h.answers
 	h.next++
 	number := h.next
 	h.mu.Unlock()
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"context"
@@ -36,10 +36,10 @@
 	if s := g.state.Load(); s != nil {
 		state = *s
 	}
-	return &Offer{Clock: time.Hour, Doors: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{g.door}, err
+	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{g.door}, err
 }
 
-func (g *giver) Given(given bool) {
+func (g *giver) PeerServes(given bool) {
 	if given {
 		g.given.Add(1)
 	} else {
@@ -48,14 +48,14 @@
 }
 
 // host runs a host and returns where it is met.
-func host(t *testing.T) (*Host, *giver) {
+func host(t *testing.T) (*Predecessor, *giver) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := &giver{door: l.(*net.TCPListener)}
-	h := NewHost(Path(t.TempDir(), "n0", "a:1"), g, slog.New(slog.DiscardHandler))
+	h := NewPredecessor(SocketPath(t.TempDir(), "n0", "a:1"), g, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- h.Serve(ctx) }()
@@ -71,12 +71,12 @@
 }
 
 // guest asks until there is an offer: a host notices that a guest is gone a moment later.
-func guest(t *testing.T, h *Host) *Guest {
+func guest(t *testing.T, h *Predecessor) *Successor {
 	t.Helper()
-	var g *Guest
+	var g *Successor
 	steps.Until(t, "no offer is made", func() (ok bool) {
 		var err error
-		g, err = Ask(h.path)
+		g, err = Connect(h.path)
 		return err == nil
 	})
 	t.Cleanup(g.Close)
@@ -104,26 +104,26 @@
 func TestPlaceIsHandedOver(t *testing.T) {
 	h, old := host(t)
 	g := guest(t, h)
-	if g.Offer.Clock != time.Hour || string(g.Offer.State) != `{"x":1}` || len(g.Doors) != 1 {
-		t.Errorf("offered %+v with %d doors", g.Offer, len(g.Doors))
+	if g.Offer.Clock != time.Hour || string(g.Offer.State) != `{"x":1}` || len(g.Listeners) != 1 {
+		t.Errorf("offered %+v with %d doors", g.Offer, len(g.Listeners))
 	}
-	if g.Takes() || old.given.Load() != 0 {
+	if g.MayAccept() || old.given.Load() != 0 {
 		t.Error("the place is given before it was taken")
 	}
-	if err := g.Take(); err != nil || !g.Takes() {
+	if err := g.TakeOver(); err != nil || !g.MayAccept() {
 		t.Fatal(err)
 	}
 	if old.given.Load() != 1 {
 		t.Error("the old process was not told")
 	}
 	// Who waits in the queue stays in it, though the old process closes its descriptor.
-	waits, err := net.Dial("tcp", g.Doors[0].Addr().String())
+	waits, err := net.Dial("tcp", g.Listeners[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer waits.Close()
 	old.door.Close()
-	c, err := g.Doors[0].Accept()
+	c, err := g.Listeners[0].Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -133,10 +133,10 @@
 	}
 
 	near, far := pair(t)
-	if err := h.Give("too early", near.(syscall.Conn)); !errors.Is(err, errNobody) {
+	if err := h.HandOff("too early", near.(syscall.Conn)); !errors.Is(err, errNobody) {
 		t.Errorf("given before it was told to leave: %v", err)
 	}
-	if !h.Leave() {
+	if !h.BeginShutdown() {
 		t.Error("nobody is there to give to")
 	}
 	adopted := make(chan net.Conn, 1)
@@ -146,10 +146,10 @@
 		}
 		return func() { adopted <- sockets[0] }, nil
 	})
-	if err := h.Give("odd", near.(syscall.Conn)); !errors.Is(err, errNot) {
+	if err := h.HandOff("odd", near.(syscall.Conn)); !errors.Is(err, errNot) {
 		t.Errorf("what is not adopted: %v", err)
 	}
-	if err := h.Give("mine", near.(syscall.Conn)); err != nil {
+	if err := h.HandOff("mine", near.(syscall.Conn)); err != nil {
 		t.Fatal(err)
 	}
 	near.Close()
@@ -176,10 +176,10 @@
 	h, old := host(t)
 	guest(t, h).Close() // before
 	g := guest(t, h)
-	if err := g.Take(); err != nil {
+	if err := g.TakeOver(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Ask(h.path); err == nil || !strings.Contains(err.Error(), "another new process") {
+	if _, err := Connect(h.path); err == nil || !strings.Contains(err.Error(), "another new process") {
 		t.Errorf("a second one: %v", err)
 	}
 	if err := os.Remove(h.path); err != nil { // it has opened its own there
@@ -188,13 +188,13 @@
 	g.Close()
 	steps.Until(t, "the old process does not go on", func() bool { return old.given.Load() == 0 })
 	g = guest(t, h)
-	if err := g.Take(); err != nil {
+	if err := g.TakeOver(); err != nil {
 		t.Fatal(err)
 	}
-	h.Leave()
+	h.BeginShutdown()
 	g.Close()
 	near, _ := pair(t)
-	steps.Until(t, "it is still given", func() bool { return h.Give("x", near.(syscall.Conn)) != nil })
+	steps.Until(t, "it is still given", func() bool { return h.HandOff("x", near.(syscall.Conn)) != nil })
 }
 
 // An old process that is killed before it gives its place, or after, leaves the new one
@@ -204,18 +204,18 @@
 		h, _ := host(t)
 		g := guest(t, h)
 		if after {
-			if err := g.Take(); err != nil {
+			if err := g.TakeOver(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		h.mu.Lock()
 		h.peer.Close()
 		h.mu.Unlock()
-		if !after && g.Take() == nil {
+		if !after && g.TakeOver() == nil {
 			t.Error("the place of a process was taken that is gone")
 		}
 		g.Adopt(context.Background(), nil) // ends at once
-		if !g.Takes() || len(g.Doors) != 1 {
+		if !g.MayAccept() || len(g.Listeners) != 1 {
 			t.Error("it takes nobody in")
 		}
 	}
@@ -223,21 +223,21 @@
 
 // Whatever is wrong with the other side, a new process starts alone, and soon.
 func TestStrangeOldProcesses(t *testing.T) {
-	if Path("", "n0", "a:1") != "" || Path("d", "n0", "a:1") == Path("d", "n1", "a:1") {
+	if SocketPath("", "n0", "a:1") != "" || SocketPath("d", "n0", "a:1") == SocketPath("d", "n1", "a:1") {
 		t.Error("meeting places")
 	}
 	h, old := host(t)
-	for _, format := range []int{Format - 1, Format + 1} {
+	for _, format := range []int{ProtocolVersion - 1, ProtocolVersion + 1} {
 		if _, err := ask(h.path, format); err == nil || !strings.Contains(err.Error(), "refused") {
 			t.Errorf("format %d: %v", format, err)
 		}
 	}
 	old.fail.Store(true)
-	if _, err := Ask(h.path); err == nil || !strings.Contains(err.Error(), "no turn comes") {
+	if _, err := Connect(h.path); err == nil || !strings.Contains(err.Error(), "no turn comes") {
 		t.Errorf("an old process that can't offer: %v", err)
 	}
 	dir := t.TempDir()
-	if _, err := Ask(filepath.Join(dir, "none")); err == nil {
+	if _, err := Connect(filepath.Join(dir, "none")); err == nil {
 		t.Error("nobody is there")
 	}
 	stale := filepath.Join(dir, "stale")
@@ -247,7 +247,7 @@
 	}
 	l.(*net.UnixListener).SetUnlinkOnClose(false)
 	l.Close()
-	if _, err := Ask(stale); err == nil {
+	if _, err := Connect(stale); err == nil {
 		t.Error("a stale socket")
 	}
 	message := func(k kind, files byte, body string) string {
@@ -277,7 +277,7 @@
 			defer c.Close()
 			io.WriteString(c, text)
 		}()
-		if _, err := Ask(at); err == nil {
+		if _, err := Connect(at); err == nil {
 			t.Errorf("%q was taken for an offer", text)
 		}
 	}
--- a/internal/handover/machine_test.go
+++ b/internal/hotrestart/machine_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"testing"
@@ -12,10 +12,10 @@
 // takes, by an old one that was told to leave; and whoever is left takes clients in.
 func TestTwoProcessesAreOneRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var old Old
-		var fresh *New
+		var old PredecessorState
+		var fresh *SuccessorState
 		var toOld, toNew []string
-		format := Format
+		format := ProtocolVersion
 		hears := false  // each still hears the other
 		cut := func() { // either ends the connection: the other notices in its own time
 			hears = false
@@ -25,13 +25,13 @@
 		step := 0
 		leave := rapid.IntRange(0, 40).Draw(t, "leave") // no earlier step than this, lest no old one goes on for long
 		rules := func() {
-			if hears && oldLives && fresh != nil && format == Format && old.Takes() && fresh.Takes() {
+			if hears && oldLives && fresh != nil && format == ProtocolVersion && old.MayAccept() && fresh.MayAccept() {
 				t.Fatal("both take clients in")
 			}
-			if hears && oldLives && old.Gives() && fresh != nil && fresh.stage != taking && fresh.stage != taken {
+			if hears && oldLives && old.MayHandOff() && fresh != nil && fresh.stage != taking && fresh.stage != taken {
 				t.Fatal("connections are given to who does not adopt them")
 			}
-			if oldLives && old.Gives() && !old.leaving {
+			if oldLives && old.MayHandOff() && !old.leaving {
 				t.Fatal("connections are given by who goes on")
 			}
 		}
@@ -43,8 +43,8 @@
 			do   func()
 		}{
 			{"a new process starts", func() bool { return fresh == nil && oldLives && len(toOld) == 0 }, func() {
-				fresh, toNew, hears = &New{}, nil, true
-				format = rapid.SampledFrom([]int{Format, Format, Format, Format - 1, Format + 1}).Draw(t, "format")
+				fresh, toNew, hears = &SuccessorState{}, nil, true
+				format = rapid.SampledFrom([]int{ProtocolVersion, ProtocolVersion, ProtocolVersion, ProtocolVersion - 1, ProtocolVersion + 1}).Draw(t, "format")
 				toOld = append(toOld, "hello")
 			}},
 			{"the old one hears", func() bool { return len(toOld) > 0 && oldLives }, func() {
@@ -52,24 +52,24 @@
 				toOld = toOld[1:]
 				switch what {
 				case "hello":
-					if old.Hello(format) != (format == Format) {
+					if old.AcceptPeer(format) != (format == ProtocolVersion) {
 						t.Fatalf("format %d: wrongly taken", format)
 					}
-					if format == Format {
+					if format == ProtocolVersion {
 						toNew = append(toNew, "offer")
 					} else {
 						cut()
 					}
 				case "take":
-					if old.Took() {
+					if old.TakenOver() {
 						toNew = append(toNew, "go")
 					}
 				case "lost":
-					before := old.Takes()
-					if again := old.Lost(); again == before {
+					before := old.MayAccept()
+					if again := old.PeerLost(); again == before {
 						t.Fatal("clients are taken in again that were, or not that were not")
 					}
-					if !old.Takes() || old.Gives() {
+					if !old.MayAccept() || old.MayHandOff() {
 						t.Fatal("the old process is alone and does not go on")
 					}
 				}
@@ -81,24 +81,24 @@
 				case "offer":
 					fresh.Offered()
 				case "go":
-					fresh.Go()
+					fresh.PredecessorPaused()
 				case "lost":
-					fresh.Lost()
-					if !fresh.Takes() {
+					fresh.PeerLost()
+					if !fresh.MayAccept() {
 						t.Fatal("the new process is alone and takes nobody in")
 					}
 				}
 			}},
 			{"the new one is ready", func() bool { return fresh != nil && fresh.stage == offered }, func() {
-				if !fresh.Take() {
+				if !fresh.TakeOver() {
 					t.Fatal("an offered place can't be taken")
 				}
 				if hears {
 					toOld = append(toOld, "take")
 				}
 			}},
-			{"the new one waits too long", func() bool { return fresh != nil && !fresh.Takes() && hears }, func() {
-				fresh.Lost()
+			{"the new one waits too long", func() bool { return fresh != nil && !fresh.MayAccept() && hears }, func() {
+				fresh.PeerLost()
 				cut()
 			}},
 			{"the new one is killed", func() bool { return fresh != nil }, func() {
@@ -107,7 +107,7 @@
 					toOld = append(toOld, "lost")
 				}
 			}},
-			{"the old one is told to leave", func() bool { return step >= leave }, func() { old.Leave() }},
+			{"the old one is told to leave", func() bool { return step >= leave }, func() { old.BeginShutdown() }},
 			{"the old one is killed", func() bool { return oldLives && fresh != nil }, func() {
 				oldLives, hears = false, false
 				toOld, toNew = nil, append(toNew, "lost")
@@ -132,14 +132,14 @@
 }
 
 func TestOneNewProcessAtATime(t *testing.T) {
-	var o Old
-	if !o.Hello(Format) || o.Hello(Format) || !o.Took() || o.Took() || o.Takes() || o.Gives() {
+	var o PredecessorState
+	if !o.AcceptPeer(ProtocolVersion) || o.AcceptPeer(ProtocolVersion) || !o.TakenOver() || o.TakenOver() || o.MayAccept() || o.MayHandOff() {
 		t.Errorf("%+v", o)
 	}
-	if o.Leave(); !o.Gives() {
+	if o.BeginShutdown(); !o.MayHandOff() {
 		t.Error("told to leave, it gives nothing")
 	}
-	if !o.Lost() || !o.Takes() || o.Gives() || !o.Hello(Format) {
+	if !o.PeerLost() || !o.MayAccept() || o.MayHandOff() || !o.AcceptPeer(ProtocolVersion) {
 		t.Errorf("alone again: %+v", o)
 	}
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -21,8 +21,8 @@
 	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/frontend/line"
-	"lockroad/internal/handover"
 	"lockroad/internal/healthcheck/prober"
+	"lockroad/internal/hotrestart"
 	"lockroad/internal/listener"
 	"lockroad/internal/logs"
 	"lockroad/internal/proxy"
@@ -104,10 +104,10 @@
 	leaves  atomic.Bool    // it was told to leave
 	line    *line.Frontend
 	halls   []*listener.ConnLimiter
-	host    *handover.Host  // as a new version finds it; nil: none can come
-	guest   *handover.Guest // of the old process, while it is there; nil: there is none
-	orphan  chan struct{}   // closed once there is no old process
-	told    *state          // by the old process, as far as it is of use
+	host    *hotrestart.Predecessor // as a new version finds it; nil: none can come
+	guest   *hotrestart.Successor   // of the old process, while it is there; nil: there is none
+	orphan  chan struct{}           // closed once there is no old process
+	told    *state                  // by the old process, as far as it is of use
 	keeper  *keeper
 	prober  *prober.Prober // of a site's servers; nil: discovery tells of them
 	keys    keys
@@ -144,7 +144,7 @@
 	known, age, warm := r.keeper.known()
 	switch {
 	case r.guest != nil:
-		clock = proxy.ContinueClock(r.guest.Offer.Clock, r.guest.Offer.Start)
+		clock = proxy.ContinueClock(r.guest.Offer.Clock, r.guest.Offer.ClockStart)
 	case warm:
 		clock = proxy.ContinueClock(known.Clock+age, known.Start)
 	}
@@ -416,7 +416,7 @@
 	}
 	killed += killAfter
 	r.log.Info("leaving", "transactions", r.core.Requests.Len())
-	handed := r.host != nil && r.host.Leave()
+	handed := r.host != nil && r.host.BeginShutdown()
 	ctx, done := context.WithTimeout(ctx, killed-lastEnd)
 	defer done()
 	until := func(at time.Duration) { pause(ctx, time.Until(began.Add(at))) }
@@ -424,7 +424,7 @@
 		// Who comes is the new process's. What stands here goes there too, and what is still to
 		// stand as soon as it does.
 		r.close()
-		r.core.HandOffAll(r.host.Give, moveOver)
+		r.core.HandOffAll(r.host.HandOff, moveOver)
 		until(killed - turnAway)
 		r.core.RejectPending()
 		<-ctx.Done()
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/line"
-	"lockroad/internal/handover"
+	"lockroad/internal/hotrestart"
 	"lockroad/internal/keep"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
@@ -53,14 +53,14 @@
 func (r *relay) ask() {
 	path := ""
 	if r.config.Admin != "" {
-		path = handover.Path(os.Getenv("TMPDIR"), r.config.Name, r.config.Listen)
+		path = hotrestart.SocketPath(os.Getenv("TMPDIR"), r.config.Name, r.config.Listen)
 	}
 	if path == "" {
 		close(r.orphan)
 		return
 	}
-	r.host = handover.NewHost(path, r, r.log)
-	guest, err := handover.Ask(path)
+	r.host = hotrestart.NewPredecessor(path, r, r.log)
+	guest, err := hotrestart.Connect(path)
 	if err != nil {
 		if _, there := os.Stat(path); there == nil {
 			r.log.Info("no process is there to take over from", "error", err)
@@ -131,15 +131,15 @@
 	if r.guest == nil {
 		return nil
 	}
-	i := slices.Index(r.guest.Offer.Doors, name)
+	i := slices.Index(r.guest.Offer.ListenerNames, name)
 	if i < 0 {
 		return nil
 	}
-	l, ok := r.guest.Doors[i].(*net.TCPListener)
+	l, ok := r.guest.Listeners[i].(*net.TCPListener)
 	if !ok || address != l.Addr().String() {
 		return nil
 	}
-	r.guest.Doors[i] = nil
+	r.guest.Listeners[i] = nil
 	d := listener.New(l)
 	d.Pause()
 	return d
@@ -151,10 +151,10 @@
 	if r.guest == nil {
 		return
 	}
-	for i, l := range r.guest.Doors {
+	for i, l := range r.guest.Listeners {
 		if l != nil {
 			l.Close()
-			r.guest.Doors[i] = nil
+			r.guest.Listeners[i] = nil
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	for i, seats := range r.told.Seats[:min(len(r.told.Seats), len(r.halls))] {
 		r.halls[i].LendSlots(seats)
 	}
-	err := r.guest.Take()
+	err := r.guest.TakeOver()
 	r.core.SetSlowStartShare(1)
 	for _, d := range r.doors {
 		d.Resume()
@@ -235,7 +235,7 @@
 }
 
 // Offer returns what a new process begins with.
-func (r *relay) Offer(ctx context.Context) (*handover.Offer, []syscall.Conn, error) {
+func (r *relay) Offer(ctx context.Context) (*hotrestart.Offer, []syscall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, recollectWait)
 	defer cancel()
 	s := state{Names: make(map[balancer.EndpointID]string), Open: r.core.Requests.Names(), Orders: r.keeper.Orders()}
@@ -255,18 +255,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	o := &handover.Offer{State: text, Start: r.core.Clock.Start()}
+	o := &hotrestart.Offer{State: text, ClockStart: r.core.Clock.Start()}
 	var sockets []syscall.Conn
 	for _, d := range r.doors {
-		o.Doors = append(o.Doors, d.Name)
+		o.ListenerNames = append(o.ListenerNames, d.Name)
 		sockets = append(sockets, d.Listener)
 	}
 	o.Clock = r.core.Clock.Now()
 	return o, sockets, nil
 }
 
-// Given has this process take nobody in and spend nothing, as another does; or again.
-func (r *relay) Given(given bool) {
+// PeerServes has this process take nobody in and spend nothing, as another does; or again.
+func (r *relay) PeerServes(given bool) {
 	part, room := 1.0, 1.0
 	for _, d := range r.doors {
 		if given {
