--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -7,7 +7,7 @@
 	"io"
 	"time"
 
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
 )
@@ -62,7 +62,7 @@
 
 // Run checks.
 func (c *storeCheck) Run(s streams) error {
-	r, err := store.Check(c.fs(), keep.Kinds())
+	r, err := store.Check(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 
 // Run tells how many records there are of each kind.
 func (c *storeStats) Run(s streams) error {
-	r, kinds, err := store.Count(c.fs(), keep.Kinds())
+	r, kinds, err := store.Count(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
@@ -90,14 +90,14 @@
 
 // Run writes records.
 func (c *storeDump) Run(s streams) error {
-	return store.Dump(c.fs(), keep.Kinds(), c.Kind, s.out)
+	return store.Dump(c.fs(), persistence.Kinds(), c.Kind, s.out)
 }
 
 type storeCompact struct{ folder }
 
 // Run merges.
 func (c *storeCompact) Run(s streams) error {
-	before, after, err := store.Compact(c.fs(), keep.Kinds())
+	before, after, err := store.Compact(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 
 // Run repairs.
 func (c *storeRepair) Run(s streams) error {
-	before, after, err := store.Repair(c.fs(), keep.Kinds())
+	before, after, err := store.Repair(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
@@ -126,11 +126,11 @@
 
 // Run removes a client's decisions, also from what the files hold and no longer want.
 func (c *storeErase) Run(s streams) error {
-	kept, _, err := store.Open(c.fs(), store.Options{Kinds: keep.Kinds()})
+	kept, _, err := store.Open(c.fs(), store.Options{Kinds: persistence.Kinds()})
 	if err != nil {
 		return err
 	}
-	table := &store.Table[why.Account]{Store: kept, Kind: keep.Decisions, Version: 1}
+	table := &store.Table[why.Account]{Store: kept, Kind: persistence.KindDecisions, Version: 1}
 	var keys []string
 	err = table.Each(false, func(key string, _ time.Time, a why.Account) bool {
 		if a.Of(c.Of) {
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -13,7 +13,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/golden"
 	"lockroad/internal/healthcheck"
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
 	"lockroad/internal/record"
 	"lockroad/internal/registry"
@@ -27,21 +27,21 @@
 	failing error
 }
 
-func (k *fixedKeeper) order() keep.Order {
-	return keep.Order{Server: "s-1", Who: "ada", Why: "disk swap", Since: k.since, Until: k.since.Add(2 * time.Hour)}
+func (k *fixedKeeper) order() persistence.DrainDirective {
+	return persistence.DrainDirective{Endpoint: "s-1", By: "ada", Reason: "disk swap", Since: k.since, Until: k.since.Add(2 * time.Hour)}
 }
 
-func (k *fixedKeeper) Drain(context.Context, keep.Order) (was *keep.Order, kept, err error) {
+func (k *fixedKeeper) Drain(context.Context, persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error) {
 	replaced := k.order()
 	return &replaced, nil, nil
 }
 
-func (k *fixedKeeper) Undrain(context.Context, string, string) (was keep.Order, kept, err error) {
+func (k *fixedKeeper) Undrain(context.Context, string, string) (was persistence.DrainDirective, kept, err error) {
 	return k.order(), errors.New("no room"), nil
 }
 
-func (k *fixedKeeper) Orders() []keep.Order {
-	return []keep.Order{k.order(), {Server: "s-2", Who: "bob", Since: k.since}}
+func (k *fixedKeeper) Orders() []persistence.DrainDirective {
+	return []persistence.DrainDirective{k.order(), {Endpoint: "s-2", By: "bob", Since: k.since}}
 }
 
 func (k *fixedKeeper) Stats() (store.Stats, error) {
--- a/internal/console/orders.go
+++ b/internal/console/orders.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	"lockroad/internal/healthcheck"
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/registry"
 	"lockroad/internal/store"
 )
@@ -25,10 +25,10 @@
 // Keeper keeps orders that have servers drain, and tells of what is kept on disk.
 type Keeper interface {
 	// Drain has a server drain at once. kept says why the order does not outlast a restart, was what it replaces.
-	Drain(ctx context.Context, o keep.Order) (was *keep.Order, kept, err error)
+	Drain(ctx context.Context, o persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error)
 	// Undrain withdraws an order, and returns it.
-	Undrain(ctx context.Context, server, who string) (was keep.Order, kept, err error)
-	Orders() []keep.Order
+	Undrain(ctx context.Context, server, who string) (was persistence.DrainDirective, kept, err error)
+	Orders() []persistence.DrainDirective
 	Stats() (store.Stats, error)
 	Pinned(number uint64) // has the account of a transaction outlast a restart
 }
@@ -58,10 +58,10 @@
 }
 
 // parseOrder reads SERVER [for TIME] [because WORDS].
-func parseOrder(words, who string, now time.Time) (o keep.Order, err error) {
-	o = keep.Order{Who: who, Since: now}
+func parseOrder(words, who string, now time.Time) (o persistence.DrainDirective, err error) {
+	o = persistence.DrainDirective{By: who, Since: now}
 	server, rest, _ := strings.Cut(words, " ")
-	o.Server = server
+	o.Endpoint = server
 	for rest = strings.TrimSpace(rest); rest != ""; {
 		word, after, _ := strings.Cut(rest, " ")
 		after = strings.TrimSpace(after)
@@ -77,7 +77,7 @@
 			if after == "" {
 				return o, errors.New("because: expected words")
 			}
-			o.Why, rest = after, ""
+			o.Reason, rest = after, ""
 		default:
 			return o, fmt.Errorf("%q: expected SERVER [for TIME] [because WORDS]", word)
 		}
@@ -102,9 +102,9 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "%s drains: nothing new goes there, and its %d transactions are moved; %s\n", o.Server, d.at()[o.Server], keptWords(kept))
+	fmt.Fprintf(w, "%s drains: nothing new goes there, and its %d transactions are moved; %s\n", o.Endpoint, d.at()[o.Endpoint], keptWords(kept))
 	if was != nil {
-		fmt.Fprintf(w, "this replaces the order of %s since %s%s\n", was.Who, stamp(was.Since), because(was.Why))
+		fmt.Fprintf(w, "this replaces the order of %s since %s%s\n", was.By, stamp(was.Since), because(was.Reason))
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(w, "%s is as the list has it again; the order of %s since %s%s is withdrawn, %s\n", a.words, was.Who, stamp(was.Since), because(was.Why), keptWords(kept))
+	fmt.Fprintf(w, "%s is as the list has it again; the order of %s since %s%s is withdrawn, %s\n", a.words, was.By, stamp(was.Since), because(was.Reason), keptWords(kept))
 	return nil
 }
 
@@ -153,7 +153,7 @@
 
 // orders lists orders, with how many transactions are still to be moved.
 func (d *Desk) orders(w io.Writer) {
-	var all []keep.Order
+	var all []persistence.DrainDirective
 	if d.Keeper != nil {
 		all = d.Keeper.Orders()
 	}
@@ -168,7 +168,7 @@
 			if !o.Until.IsZero() {
 				until = stamp(o.Until)
 			}
-			row(o.Server, at[o.Server], o.Who, stamp(o.Since), until, strconv.Quote(o.Why))
+			row(o.Endpoint, at[o.Endpoint], o.By, stamp(o.Since), until, strconv.Quote(o.Reason))
 		}
 	})
 }
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/lifecycle/encoding_test.go
@@ -7,7 +7,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/line"
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/registry"
 	"lockroad/internal/steps"
 )
@@ -35,8 +35,8 @@
 		Beats: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTime: 7}},
 		Open:  []registry.RequestName{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
 		Seats: []int{17, 4},
-		Orders: []keep.Order{{
-			Server: "s-1", Who: "uid 1000", Why: "new strings",
+		Orders: []persistence.DrainDirective{{
+			Endpoint: "s-1", By: "uid 1000", Reason: "new strings",
 			Since: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC), Until: time.Date(2026, 7, 8, 10, 10, 11, 0, time.UTC),
 		}},
 	}
@@ -51,7 +51,7 @@
 		Names:  map[balancer.EndpointID]string{0: ""},
 		Beats:  map[balancer.EndpointID]line.ReportTiming{0: {}},
 		Open:   make([]registry.RequestName, 1),
-		Orders: make([]keep.Order, 1),
+		Orders: make([]persistence.DrainDirective, 1),
 	})
 }
 
--- a/internal/lifecycle/keep.go
+++ b/internal/lifecycle/keep.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lockroad/balancer"
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
@@ -35,7 +35,7 @@
 	mu     sync.Mutex // of what follows, and so that orders come one after another
 	store  *store.Store
 	off    error // why there is no store; nil: none is wanted
-	orders map[string]keep.Order
+	orders map[string]persistence.DrainDirective
 
 	settled chan struct{} // closed once the store is open, or is known not to be
 }
@@ -46,7 +46,7 @@
 )
 
 func newKeeper(r *relay) *keeper {
-	return &keeper{r: r, orders: make(map[string]keep.Order), settled: make(chan struct{})}
+	return &keeper{r: r, orders: make(map[string]persistence.DrainDirective), settled: make(chan struct{})}
 }
 
 // wait leaves the store to the old process, until it is gone.
@@ -60,7 +60,7 @@
 		k.off = errNoStore
 		return
 	}
-	s, report, err := store.Open(store.Dir(o.Dir), store.Options{Kinds: keep.Kinds(), Bytes: int64(o.MB) << 20, Log: k.r.log})
+	s, report, err := store.Open(store.Dir(o.Dir), store.Options{Kinds: persistence.Kinds(), Bytes: int64(o.MB) << 20, Log: k.r.log})
 	if err != nil {
 		k.off = err
 		k.r.log.Error("nothing is kept: the relay runs on without its store", "folder", o.Dir, "error", err)
@@ -73,27 +73,27 @@
 	}
 }
 
-func (k *keeper) table() *store.Table[keep.Order] {
-	return &store.Table[keep.Order]{Store: k.store, Kind: keep.Orders, Version: 1}
+func (k *keeper) table() *store.Table[persistence.DrainDirective] {
+	return &store.Table[persistence.DrainDirective]{Store: k.store, Kind: persistence.KindDrainDirectives, Version: 1}
 }
 
 // learnt is where what the module has learnt is kept, under one key.
-func learnt(s *store.Store) *store.Table[keep.Known] {
-	return &store.Table[keep.Known]{Store: s, Kind: keep.Learnt, Version: 1}
+func learnt(s *store.Store) *store.Table[persistence.RelaySnapshot] {
+	return &store.Table[persistence.RelaySnapshot]{Store: s, Kind: persistence.KindSnapshots, Version: 1}
 }
 
 const learntKey = "now"
 
 // recall puts the orders in force that were kept, and those of the old process.
-func (k *keeper) recall(handed []keep.Order) {
+func (k *keeper) recall(handed []persistence.DrainDirective) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.enforce(append(k.read(), handed...))
 }
 
 // read returns the orders that are kept.
-func (k *keeper) read() (all []keep.Order) {
-	if err := k.table().Each(false, func(_ string, _ time.Time, o keep.Order) bool { all = append(all, o); return true }); err != nil {
+func (k *keeper) read() (all []persistence.DrainDirective) {
+	if err := k.table().Each(false, func(_ string, _ time.Time, o persistence.DrainDirective) bool { all = append(all, o); return true }); err != nil {
 		k.r.log.Error("an order that was kept can't be read", "error", err)
 	}
 	return all
@@ -109,7 +109,7 @@
 	}
 	kept := k.read()
 	for server := range k.orders {
-		if !slices.ContainsFunc(kept, func(o keep.Order) bool { return o.Server == server }) {
+		if !slices.ContainsFunc(kept, func(o persistence.DrainDirective) bool { return o.Endpoint == server }) {
 			delete(k.orders, server)
 			k.core.SetDrain(server, false)
 		}
@@ -118,35 +118,35 @@
 }
 
 // enforce puts orders in force that are not yet.
-func (k *keeper) enforce(all []keep.Order) {
+func (k *keeper) enforce(all []persistence.DrainDirective) {
 	for _, o := range all {
-		if _, there := k.orders[o.Server]; there || o.Over(time.Now()) {
+		if _, there := k.orders[o.Endpoint]; there || o.Expired(time.Now()) {
 			continue
 		}
-		k.orders[o.Server] = o
-		k.core.SetDrain(o.Server, true)
-		k.r.log.Info("a server drains as ordered", "server", o.Server, "who", o.Who, "since", o.Since, "why", o.Why)
+		k.orders[o.Endpoint] = o
+		k.core.SetDrain(o.Endpoint, true)
+		k.r.log.Info("a server drains as ordered", "server", o.Endpoint, "who", o.By, "since", o.Since, "why", o.Reason)
 	}
 }
 
 // Drain has a server drain. kept says why the order does not outlast a restart; was is the order that it replaces.
-func (k *keeper) Drain(ctx context.Context, o keep.Order) (was *keep.Order, kept, err error) {
+func (k *keeper) Drain(ctx context.Context, o persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if _, known := k.core.Endpoints.Lookup(o.Server); !known {
-		return nil, nil, fmt.Errorf("no server %q is listed; farm names them", o.Server)
+	if _, known := k.core.Endpoints.Lookup(o.Endpoint); !known {
+		return nil, nil, fmt.Errorf("no server %q is listed; farm names them", o.Endpoint)
 	}
-	if old, there := k.orders[o.Server]; there {
+	if old, there := k.orders[o.Endpoint]; there {
 		was = &old
 	}
-	k.orders[o.Server] = o
-	k.core.SetDrain(o.Server, true) // at once, whatever the disk does
-	k.r.log.Warn("a server is ordered to drain", "server", o.Server, "who", o.Who, "until", o.Until, "why", o.Why)
-	return was, k.kept(ctx, func(ctx context.Context) error { return k.table().Commit(ctx, o.Server, o) }), nil
+	k.orders[o.Endpoint] = o
+	k.core.SetDrain(o.Endpoint, true) // at once, whatever the disk does
+	k.r.log.Warn("a server is ordered to drain", "server", o.Endpoint, "who", o.By, "until", o.Until, "why", o.Reason)
+	return was, k.kept(ctx, func(ctx context.Context) error { return k.table().Commit(ctx, o.Endpoint, o) }), nil
 }
 
 // Undrain withdraws an order. It returns the one that was in force.
-func (k *keeper) Undrain(ctx context.Context, server, who string) (was keep.Order, kept, err error) {
+func (k *keeper) Undrain(ctx context.Context, server, who string) (was persistence.DrainDirective, kept, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	was, there := k.orders[server]
@@ -173,14 +173,14 @@
 }
 
 // Orders are those in force, by server.
-func (k *keeper) Orders() []keep.Order {
+func (k *keeper) Orders() []persistence.DrainDirective {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var all []keep.Order
+	var all []persistence.DrainDirective
 	for _, o := range k.orders {
 		all = append(all, o)
 	}
-	slices.SortFunc(all, func(x, y keep.Order) int { return strings.Compare(x.Server, y.Server) })
+	slices.SortFunc(all, func(x, y persistence.DrainDirective) int { return strings.Compare(x.Endpoint, y.Endpoint) })
 	return all
 }
 
@@ -229,7 +229,7 @@
 func (s *shelf) table() *store.Table[why.Account] {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	return &store.Table[why.Account]{Store: s.k.store, Kind: keep.Decisions, Version: 1}
+	return &store.Table[why.Account]{Store: s.k.store, Kind: persistence.KindDecisions, Version: 1}
 }
 
 // Put keeps an account.
@@ -322,8 +322,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for server, o := range k.orders {
-		if o.Over(now) {
-			k.r.log.Info("an order to drain has expired", "server", server, "who", o.Who)
+		if o.Expired(now) {
+			k.r.log.Info("an order to drain has expired", "server", server, "who", o.By)
 			if err := k.withdraw(ctx, server); err != nil && k.store != nil {
 				k.r.log.Error("an order that has expired is still kept", "server", server, "error", err)
 			}
@@ -345,7 +345,7 @@
 	if err != nil {
 		return
 	}
-	known := keep.Known{Name: k.r.config.Name, Clock: k.core.Clock.Now(), Start: k.core.Clock.Start(), At: time.Now(), Names: make(map[balancer.EndpointID]string), Memory: m}
+	known := persistence.RelaySnapshot{Name: k.r.config.Name, Clock: k.core.Clock.Now(), ClockStart: k.core.Clock.Start(), TakenAt: time.Now(), Names: make(map[balancer.EndpointID]string), Balancer: m}
 	known.List, known.Agent = k.r.watcher.List()
 	for _, one := range m.Endpoints {
 		known.Names[one.ID] = k.core.Endpoints.Name(one.ID)
@@ -354,7 +354,7 @@
 }
 
 // known returns what was learnt before a restart, if it is young enough.
-func (k *keeper) known() (keep.Known, time.Duration, bool) {
+func (k *keeper) known() (persistence.RelaySnapshot, time.Duration, bool) {
 	known, _, ok, err := learnt(k.store).Get(learntKey)
 	if err != nil {
 		k.r.log.Warn("what was learnt before can't be read", "error", err)
@@ -362,7 +362,7 @@
 	if !ok {
 		return known, 0, false
 	}
-	age, ok := known.Believe(k.r.config.Name, time.Now())
+	age, ok := known.DiscardStale(k.r.config.Name, time.Now())
 	return known, age, ok
 }
 
--- a/internal/lifecycle/many_test.go
+++ b/internal/lifecycle/many_test.go
@@ -17,7 +17,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
 	"lockroad/internal/steps"
 	"lockroad/internal/store"
@@ -150,38 +150,38 @@
 func TestManyServersOutlastARestart(t *testing.T) {
 	for _, n := range manyServers {
 		dir := t.TempDir()
-		s, _, err := store.Open(store.Dir(dir), store.Options{Kinds: keep.Kinds()})
+		s, _, err := store.Open(store.Dir(dir), store.Options{Kinds: persistence.Kinds()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		known := keep.Known{Name: "n1", At: time.Now(), List: listOf(n), Names: map[balancer.EndpointID]string{}, Memory: learntOf(n)}
+		known := persistence.RelaySnapshot{Name: "n1", TakenAt: time.Now(), List: listOf(n), Names: map[balancer.EndpointID]string{}, Balancer: learntOf(n)}
 		for i, m := range known.List.Members {
 			known.Names[balancer.EndpointID(i+1)] = m.ID
 		}
 		if err := learnt(s).Commit(t.Context(), learntKey, known); err != nil {
 			t.Errorf("%d servers: what is learnt is not kept: %v", n, err)
 		}
-		orders := &store.Table[keep.Order]{Store: s, Kind: keep.Orders, Version: 1}
+		orders := &store.Table[persistence.DrainDirective]{Store: s, Kind: persistence.KindDrainDirectives, Version: 1}
 		for i, m := range known.List.Members {
-			if orders.Put(m.ID, keep.Order{Server: m.ID, Since: time.Now()}); i%200 == 0 { // the queue has a bound
-				if err := orders.Commit(t.Context(), m.ID, keep.Order{Server: m.ID}); err != nil {
+			if orders.Put(m.ID, persistence.DrainDirective{Endpoint: m.ID, Since: time.Now()}); i%200 == 0 { // the queue has a bound
+				if err := orders.Commit(t.Context(), m.ID, persistence.DrainDirective{Endpoint: m.ID}); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
-		if err := orders.Commit(t.Context(), "s-00000001", keep.Order{Server: "s-00000001"}); err != nil {
+		if err := orders.Commit(t.Context(), "s-00000001", persistence.DrainDirective{Endpoint: "s-00000001"}); err != nil {
 			t.Fatal(err)
 		}
 		_ = s.Close()
-		if s, _, err = store.Open(store.Dir(dir), store.Options{Kinds: keep.Kinds()}); err != nil {
+		if s, _, err = store.Open(store.Dir(dir), store.Options{Kinds: persistence.Kinds()}); err != nil {
 			t.Fatal(err)
 		}
 		got, _, ok, err := learnt(s).Get(learntKey)
-		if !ok || err != nil || len(got.List.Members) != n || len(got.Memory.Endpoints) != n || len(got.Memory.Routes) != 4096 {
-			t.Errorf("%d servers: %v, %v, %d, %d and %d are read back", n, ok, err, len(got.List.Members), len(got.Memory.Endpoints), len(got.Memory.Routes))
+		if !ok || err != nil || len(got.List.Members) != n || len(got.Balancer.Endpoints) != n || len(got.Balancer.Routes) != 4096 {
+			t.Errorf("%d servers: %v, %v, %d, %d and %d are read back", n, ok, err, len(got.List.Members), len(got.Balancer.Endpoints), len(got.Balancer.Routes))
 		}
-		if stats := s.Stats(); stats.Records[keep.Orders] != n {
-			t.Errorf("%d orders: %d are there after a restart", n, stats.Records[keep.Orders])
+		if stats := s.Stats(); stats.Records[persistence.KindDrainDirectives] != n {
+			t.Errorf("%d orders: %d are there after a restart", n, stats.Records[persistence.KindDrainDirectives])
 		}
 		_ = s.Close()
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -146,7 +146,7 @@
 	case r.guest != nil:
 		clock = proxy.ContinueClock(r.guest.Offer.Clock, r.guest.Offer.ClockStart)
 	case warm:
-		clock = proxy.ContinueClock(known.Clock+age, known.Start)
+		clock = proxy.ContinueClock(known.Clock+age, known.ClockStart)
 	}
 	r.core = proxy.New(c.Settings, c.Seed, clock)
 	r.keeper.core = r.core
--- a/internal/lifecycle/stored_golden_test.go
+++ b/internal/lifecycle/stored_golden_test.go
@@ -14,7 +14,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/discovery"
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
 )
@@ -45,23 +45,23 @@
 // fullOrder, fullKnown and fullAccount have every field set, each to a value of its own.
 // Maps have one entry: the order of more is not fixed when they are encoded.
 
-func fullOrder() keep.Order {
-	return keep.Order{
-		Server: "server-1",
-		Who:    "operator-2",
-		Why:    "reason-3",
-		Since:  time.Date(2024, time.May, 4, 10, 20, 30, 123456789, time.UTC),
-		Until:  time.Date(2191, time.June, 5, 11, 21, 31, 234567891, time.UTC),
+func fullOrder() persistence.DrainDirective {
+	return persistence.DrainDirective{
+		Endpoint: "server-1",
+		By:       "operator-2",
+		Reason:   "reason-3",
+		Since:    time.Date(2024, time.May, 4, 10, 20, 30, 123456789, time.UTC),
+		Until:    time.Date(2191, time.June, 5, 11, 21, 31, 234567891, time.UTC),
 	}
 }
 
-func fullKnown() keep.Known {
-	return keep.Known{
-		Name:  "relay-1",
-		Clock: 1002 * time.Millisecond,
-		Start: time.Date(2024, time.January, 3, 1, 2, 3, 456789123, time.UTC),
-		At:    time.Date(2024, time.January, 4, 2, 3, 4, 567891234, time.UTC),
-		Agent: "127.0.0.1:1005",
+func fullKnown() persistence.RelaySnapshot {
+	return persistence.RelaySnapshot{
+		Name:       "relay-1",
+		Clock:      1002 * time.Millisecond,
+		ClockStart: time.Date(2024, time.January, 3, 1, 2, 3, 456789123, time.UTC),
+		TakenAt:    time.Date(2024, time.January, 4, 2, 3, 4, 567891234, time.UTC),
+		Agent:      "127.0.0.1:1005",
 		List: discovery.List{
 			Revision: 1006,
 			Complete: true,
@@ -89,7 +89,7 @@
 			},
 		},
 		Names: map[balancer.EndpointID]string{1021: "name-1022"},
-		Memory: balancer.Snapshot{
+		Balancer: balancer.Snapshot{
 			Salt: 1023,
 			Endpoints: []balancer.EndpointSnapshot{
 				{
@@ -209,8 +209,8 @@
 
 // storedTables are the tables of the program itself, over one store.
 type storedTables struct {
-	orders    *store.Table[keep.Order]
-	learnt    *store.Table[keep.Known]
+	orders    *store.Table[persistence.DrainDirective]
+	learnt    *store.Table[persistence.RelaySnapshot]
 	decisions *store.Table[why.Account]
 }
 
@@ -225,7 +225,7 @@
 
 func openStored(t *testing.T, dir string) *store.Store {
 	t.Helper()
-	s, report, err := store.Open(store.Dir(dir), store.Options{Kinds: keep.Kinds()})
+	s, report, err := store.Open(store.Dir(dir), store.Options{Kinds: persistence.Kinds()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -258,12 +258,12 @@
 	target := openStored(t, dir)
 	for _, change := range []store.Change{
 		encoded(t, encoder.orders, "server-1", storedAt(1), fullOrder()),
-		encoded(t, encoder.orders, sparseKey, storedAt(2), keep.Order{}),
-		encoded(t, encoder.orders, withdrawn, storedAt(3), keep.Order{Server: withdrawn}),
+		encoded(t, encoder.orders, sparseKey, storedAt(2), persistence.DrainDirective{}),
+		encoded(t, encoder.orders, withdrawn, storedAt(3), persistence.DrainDirective{Endpoint: withdrawn}),
 		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Gone: true},
-		encoded(t, encoder.learnt, learntKey, storedAt(5), keep.Known{}),
+		encoded(t, encoder.learnt, learntKey, storedAt(5), persistence.RelaySnapshot{}),
 		encoded(t, encoder.learnt, learntKey, storedAt(6), fullKnown()),
-		encoded(t, encoder.learnt, sparseKey, storedAt(7), keep.Known{}),
+		encoded(t, encoder.learnt, sparseKey, storedAt(7), persistence.RelaySnapshot{}),
 		encoded(t, encoder.decisions, accountKey, storedAt(8), fullAccount()),
 		encoded(t, encoder.decisions, sparseKey, storedAt(9), sparseAccount()),
 	} {
@@ -366,18 +366,18 @@
 	for name := range storedFolders {
 		t.Run(name, func(t *testing.T) {
 			dir := copyOfGolden(t, name)
-			report, err := store.Check(store.Dir(dir), keep.Kinds())
+			report, err := store.Check(store.Dir(dir), persistence.Kinds())
 			if err != nil || report.Torn != nil || len(report.Damages) > 0 || report.Records != goldenCount {
 				t.Fatalf("a check says %+v, %v", report, err)
 			}
 			tables := tablesOf(openStored(t, dir))
-			requireRecords(t, tables.orders, []storedRecord[keep.Order]{
+			requireRecords(t, tables.orders, []storedRecord[persistence.DrainDirective]{
 				{"server-1", storedAt(1), fullOrder()},
-				{sparseKey, storedAt(2), keep.Order{}},
+				{sparseKey, storedAt(2), persistence.DrainDirective{}},
 			})
-			requireRecords(t, tables.learnt, []storedRecord[keep.Known]{
+			requireRecords(t, tables.learnt, []storedRecord[persistence.RelaySnapshot]{
 				{learntKey, storedAt(6), fullKnown()},
-				{sparseKey, storedAt(7), keep.Known{}},
+				{sparseKey, storedAt(7), persistence.RelaySnapshot{}},
 			})
 			requireRecords(t, tables.decisions, []storedRecord[why.Account]{
 				{accountKey, storedAt(8), fullAccount()},
@@ -417,10 +417,10 @@
 // A dump of a store says what it said, and a merge changes nothing in it.
 func TestStoredDumpIsUnchanged(t *testing.T) {
 	for folder := range storedFolders {
-		for _, kind := range keep.Kinds() {
+		for _, kind := range persistence.Kinds() {
 			t.Run(folder+" "+kind.Name, func(t *testing.T) {
 				var got bytes.Buffer
-				if err := store.Dump(store.Dir(copyOfGolden(t, folder)), keep.Kinds(), kind.Name, &got); err != nil {
+				if err := store.Dump(store.Dir(copyOfGolden(t, folder)), persistence.Kinds(), kind.Name, &got); err != nil {
 					t.Fatal(err)
 				}
 				file := fmt.Sprintf("dump-%s.jsonl", kind.Name)
--- a/internal/lifecycle/stored_tags_test.go
+++ b/internal/lifecycle/stored_tags_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/keep"
+	"lockroad/internal/persistence"
 	"lockroad/internal/registry"
 	"lockroad/internal/why"
 )
@@ -21,8 +21,8 @@
 		of      reflect.Type
 		isNamed func(reflect.StructTag) bool
 	}{
-		{reflect.TypeFor[keep.Order](), isBoth},
-		{reflect.TypeFor[keep.Known](), isCBOR},
+		{reflect.TypeFor[persistence.DrainDirective](), isBoth},
+		{reflect.TypeFor[persistence.RelaySnapshot](), isCBOR},
 		{reflect.TypeFor[why.Account](), isBoth},
 		{reflect.TypeFor[registry.RequestName](), isJSON},
 	} {
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -15,8 +15,8 @@
 	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/hotrestart"
-	"lockroad/internal/keep"
 	"lockroad/internal/listener"
+	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 )
@@ -38,7 +38,7 @@
 	Beats  map[balancer.EndpointID]line.ReportTiming `json:"Beats"`  // of servers that tell delays
 	Open   []registry.RequestName                    `json:"Open"`   // transactions under way
 	Seats  []int                                     `json:"Seats"`  // taken, by hall
-	Orders []keep.Order                              `json:"Orders"` // that have servers drain
+	Orders []persistence.DrainDirective              `json:"Orders"` // that have servers drain
 }
 
 // memory keeps the process to a part of the relay's memory.
@@ -74,7 +74,7 @@
 
 // begin takes the list and what was learnt from the old process, or what was kept a while ago, or else the
 // list of the configuration. Orders are in force before the first client is placed.
-func (r *relay) begin(known keep.Known, age time.Duration, warm bool) {
+func (r *relay) begin(known persistence.RelaySnapshot, age time.Duration, warm bool) {
 	var s state
 	r.told = &s
 	defer func() { r.keeper.recall(s.Orders) }()
@@ -99,9 +99,9 @@
 	if warm {
 		defer func() { // once the servers are listed
 			s.Names = known.Names
-			known.Memory.Renumber(r.here)
-			r.core.Restore(known.Memory)
-			r.log.Info("what was learnt before is taken up", "age", age.Round(time.Millisecond), "servers", len(known.Memory.Endpoints), "routes", len(known.Memory.Routes))
+			known.Balancer.Renumber(r.here)
+			r.core.Restore(known.Balancer)
+			r.log.Info("what was learnt before is taken up", "age", age.Round(time.Millisecond), "servers", len(known.Balancer.Endpoints), "routes", len(known.Balancer.Routes))
 		}()
 		// Revisions of two agents can't be compared: the platform's list is the newer one then.
 		if r.prober == nil && known.Agent == r.config.Discovery && known.List.Revision >= r.config.Known.Revision {
