--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -42,17 +42,17 @@
 
 // tell writes what was found, and returns the exit code's error.
 func tell(w io.Writer, r store.Report) error {
-	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them wanted; read in %v\n", r.Records, r.Commits, r.Files, r.Bytes, r.Live, r.Took.Round(time.Microsecond))
-	if t := r.Torn; t != nil {
+	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them wanted; read in %v\n", r.Records, r.Commits, r.Files, r.Bytes, r.LiveBytes, r.Duration.Round(time.Microsecond))
+	if t := r.TornTail; t != nil {
 		fmt.Fprintf(w, "%s ends in %d bytes from byte %d on that a crash tore: nothing in them was committed to last\n", t.File, t.Bytes, t.Offset)
 	}
 	for _, name := range r.Replaced {
 		fmt.Fprintf(w, "%s is left over from a merge, and goes at the next start\n", name)
 	}
-	for _, d := range r.Damages {
+	for _, d := range r.Damaged {
 		fmt.Fprintln(w, d)
 	}
-	if len(r.Damages) > 0 {
+	if len(r.Damaged) > 0 {
 		return exit(exitFailed)
 	}
 	return nil
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -47,7 +47,7 @@
 func (k *fixedKeeper) Stats() (store.Stats, error) {
 	return store.Stats{
 		Records: map[string]int{"farm": 3, "order": 2}, Dropped: map[string]uint64{"farm": 1, "order": 4},
-		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, Live: 1600, Waiting: 17, Failing: k.failing, Retained: 18 * time.Minute,
+		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, Waiting: 17, LastError: k.failing, Retained: 18 * time.Minute,
 	}, nil
 }
 
--- a/internal/console/orders.go
+++ b/internal/console/orders.go
@@ -186,11 +186,11 @@
 	}
 	table(w, nil, func(row func(...any)) {
 		state := "all is well"
-		if s.Failing != nil {
-			state = fmt.Sprintf("NOTHING IS KEPT NOW: %v", s.Failing)
+		if s.LastError != nil {
+			state = fmt.Sprintf("NOTHING IS KEPT NOW: %v", s.LastError)
 		}
 		row("state", state)
-		row("files", fmt.Sprintf("%d, %d bytes, %d of them wanted", s.Files, s.Bytes, s.Live))
+		row("files", fmt.Sprintf("%d, %d bytes, %d of them wanted", s.Files, s.Bytes, s.LiveBytes))
 		row("commits", fmt.Sprintf("%d, %d syncs, %d merges", s.Commits, s.Syncs, s.Merges))
 		row("waiting", s.Waiting)
 		row("reaches back", cmp.Or(s.Retained.Round(time.Second).String(), "-"))
--- a/internal/lifecycle/keep.go
+++ b/internal/lifecycle/keep.go
@@ -67,8 +67,8 @@
 		return
 	}
 	k.store, k.off = s, nil
-	k.r.log.Info("what is kept was read", "folder", o.Dir, "records", report.Records, "commits", report.Commits, "took", report.Took)
-	if t := report.Torn; t != nil {
+	k.r.log.Info("what is kept was read", "folder", o.Dir, "records", report.Records, "commits", report.Commits, "took", report.Duration)
+	if t := report.TornTail; t != nil {
 		k.r.log.Warn("the store's end was torn by a crash: what was not committed is gone", "file", t.File, "byte", t.Offset, "bytes", t.Bytes)
 	}
 }
@@ -370,7 +370,7 @@
 func (k *keeper) readings() []proxy.Instrument {
 	return []proxy.Instrument{
 		{Name: "lockroad.store.failing", Description: "1 while nothing can be kept on disk", Read: func() int64 {
-			if s, err := k.Stats(); err != nil || s.Failing != nil {
+			if s, err := k.Stats(); err != nil || s.LastError != nil {
 				return 1
 			}
 			return 0
--- a/internal/lifecycle/stored_golden_test.go
+++ b/internal/lifecycle/stored_golden_test.go
@@ -229,7 +229,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if report.Torn != nil || len(report.Damages) > 0 || len(report.Replaced) > 0 {
+	if report.TornTail != nil || len(report.Damaged) > 0 || len(report.Replaced) > 0 {
 		t.Fatalf("%s is not whole: %+v", dir, report)
 	}
 	t.Cleanup(func() { s.Close() })
@@ -260,7 +260,7 @@
 		encoded(t, encoder.orders, "server-1", storedAt(1), fullOrder()),
 		encoded(t, encoder.orders, sparseKey, storedAt(2), persistence.DrainDirective{}),
 		encoded(t, encoder.orders, withdrawn, storedAt(3), persistence.DrainDirective{Endpoint: withdrawn}),
-		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Gone: true},
+		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Deleted: true},
 		encoded(t, encoder.learnt, learntKey, storedAt(5), persistence.RelaySnapshot{}),
 		encoded(t, encoder.learnt, learntKey, storedAt(6), fullKnown()),
 		encoded(t, encoder.learnt, sparseKey, storedAt(7), persistence.RelaySnapshot{}),
@@ -367,7 +367,7 @@
 		t.Run(name, func(t *testing.T) {
 			dir := copyOfGolden(t, name)
 			report, err := store.Check(store.Dir(dir), persistence.Kinds())
-			if err != nil || report.Torn != nil || len(report.Damages) > 0 || report.Records != goldenCount {
+			if err != nil || report.TornTail != nil || len(report.Damaged) > 0 || report.Records != goldenCount {
 				t.Fatalf("a check says %+v, %v", report, err)
 			}
 			tables := tablesOf(openStored(t, dir))
--- a/internal/persistence/keep.go
+++ b/internal/persistence/keep.go
@@ -30,9 +30,9 @@
 // Kinds are all that a relay keeps.
 func Kinds() []store.Kind {
 	return []store.Kind{
-		{Name: KindDrainDirectives, Sync: store.AtOnce, Most: MaxDrainDirectives},
-		{Name: KindSnapshots, Sync: store.BestEffort, Most: 8},
-		{Name: KindDecisions, Sync: store.Grouped, Most: MaxDecisions, Keep: DecisionRetention},
+		{Name: KindDrainDirectives, Sync: store.SyncImmediate, MaxRecords: MaxDrainDirectives},
+		{Name: KindSnapshots, Sync: store.SyncBestEffort, MaxRecords: 8},
+		{Name: KindDecisions, Sync: store.SyncGrouped, MaxRecords: MaxDecisions, Retention: DecisionRetention},
 	}
 }
 
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -25,8 +25,8 @@
 
 func (d *Damage) Unwrap() error { return d.Err }
 
-// Torn is the end of the last file as a crash left it: nothing in it was reported committed to last.
-type Torn struct {
+// TornTail is the end of the last file as a crash left it: nothing in it was reported committed to last.
+type TornTail struct {
 	File   string
 	Offset int64
 	Bytes  int64
@@ -34,15 +34,15 @@
 
 // Report tells what opening a store found.
 type Report struct {
-	Records  int
-	Commits  uint64 // the last one's number
-	Files    int
-	Bytes    int64
-	Live     int64 // of them, of records that are still there; a merge leaves these
-	Torn     *Torn
-	Damages  []*Damage // found by a check, or passed over by a repair
-	Replaced []string  // files that a merged one stands for, left by a crash
-	Took     time.Duration
+	Records   int
+	Commits   uint64 // the last one's number
+	Files     int
+	Bytes     int64
+	LiveBytes int64 // of them, of records that are still there; a merge leaves these
+	TornTail  *TornTail
+	Damaged   []*Damage // found by a check, or passed over by a repair
+	Replaced  []string  // files that a merged one stands for, left by a crash
+	Duration  time.Duration
 }
 
 // segment is one file of the chain.
@@ -142,7 +142,7 @@
 		if err != nil {
 			return m, err
 		}
-		if m.report.Damages = append(m.report.Damages, d...); len(d) > 0 && !salvage {
+		if m.report.Damaged = append(m.report.Damaged, d...); len(d) > 0 && !salvage {
 			return m, d[0]
 		}
 	}
@@ -150,8 +150,8 @@
 	for _, t := range m.kinds {
 		m.report.Records += len(t.keys)
 	}
-	m.report.Commits, m.report.Files, m.report.Bytes, m.report.Live = m.next-1, len(m.segments), m.bytes, m.live
-	m.report.Took = time.Since(began)
+	m.report.Commits, m.report.Files, m.report.Bytes, m.report.LiveBytes = m.next-1, len(m.segments), m.bytes, m.live
+	m.report.Duration = time.Since(began)
 	return m, nil
 }
 
@@ -189,7 +189,7 @@
 		fallthrough
 	case err != nil:
 		if last && len(b) <= headSize { // its head is synced before anything else is written
-			m.report.Torn = &Torn{name, 0, s.size}
+			m.report.TornTail = &TornTail{name, 0, s.size}
 			m.bytes -= s.size
 			s.size = 0
 			return damages, nil
@@ -219,7 +219,7 @@
 			continue
 		}
 		if last && m.torn(b, at) {
-			m.report.Torn = &Torn{name, int64(at), s.size - int64(at)}
+			m.report.TornTail = &TornTail{name, int64(at), s.size - int64(at)}
 			m.bytes -= s.size - int64(at)
 			s.size = int64(at)
 			return damages, nil
@@ -298,7 +298,7 @@
 	for _, t := range m.kinds {
 		for e := t.order.Front(); e != nil; e = t.order.Front() {
 			s := e.Value.(*slot)
-			if !(t.Most > 0 && len(t.keys) > t.Most || t.Keep > 0 && now.Sub(s.at) > t.Keep) {
+			if !(t.MaxRecords > 0 && len(t.keys) > t.MaxRecords || t.Retention > 0 && now.Sub(s.at) > t.Retention) {
 				break
 			}
 			m.remove(s)
--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -41,7 +41,7 @@
 func Repair(folder FS, kinds []Kind) (before, after Report, err error) {
 	err = offline(folder, kinds, true, func(m *image) error {
 		before = m.report
-		if len(before.Damages) == 0 && before.Torn == nil && len(before.Replaced) == 0 {
+		if len(before.Damaged) == 0 && before.TornTail == nil && len(before.Replaced) == 0 {
 			return nil
 		}
 		// Its name stands for all that the files there are named for.
@@ -69,8 +69,8 @@
 	return before, after, err
 }
 
-// Counted is what a store holds of a kind.
-type Counted struct {
+// KindCount is what a store holds of a kind.
+type KindCount struct {
 	Name    string
 	Records int
 	Bytes   int64
@@ -78,11 +78,11 @@
 }
 
 // Count tells what a store holds.
-func Count(folder FS, kinds []Kind) (r Report, all []Counted, err error) {
+func Count(folder FS, kinds []Kind) (r Report, all []KindCount, err error) {
 	err = offline(folder, kinds, true, func(m *image) error {
 		r = m.report
 		for name, t := range m.kinds {
-			c := Counted{Name: name, Records: len(t.keys)}
+			c := KindCount{Name: name, Records: len(t.keys)}
 			for e := t.order.Back(); e != nil; e = e.Prev() {
 				s := e.Value.(*slot)
 				c.Bytes += s.weight
@@ -92,7 +92,7 @@
 				all = append(all, c)
 			}
 		}
-		slices.SortFunc(all, func(x, y Counted) int { return strings.Compare(x.Name, y.Name) })
+		slices.SortFunc(all, func(x, y KindCount) int { return strings.Compare(x.Name, y.Name) })
 		return nil
 	})
 	return r, all, err
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -28,22 +28,22 @@
 
 // The times at which commits are synced.
 const (
-	AtOnce     Sync = iota // before they are reported
-	Grouped                // with others within GroupWait, and reported then
-	BestEffort             // when the kernel writes them back
+	SyncImmediate  Sync = iota // before they are reported
+	SyncGrouped                // with others within GroupWait, and reported then
+	SyncBestEffort             // when the kernel writes them back
 )
 
 // Kind is a kind of record.
 type Kind struct {
-	Name string
-	Sync Sync
-	Most int           // records kept; the oldest go first. 0: any number
-	Keep time.Duration // for which they are kept; 0: for good
+	Name       string
+	Sync       Sync
+	MaxRecords int           // records kept; the oldest go first. 0: any number
+	Retention  time.Duration // for which they are kept; 0: for good
 }
 
 const (
-	// GroupWait is within what commits of the kind Grouped are made sure to last.
-	GroupWait = 50 * time.Millisecond
+	// GroupCommitInterval is within what commits of the kind Grouped are made sure to last.
+	GroupCommitInterval = 50 * time.Millisecond
 
 	queueMost   = 1024      // commits that wait for the disk
 	batchMost   = 128 << 10 // bytes that are written at once, about
@@ -79,7 +79,7 @@
 	At        time.Time // zero: now
 	Version   uint
 	Body      []byte
-	Gone      bool
+	Deleted   bool
 }
 
 // Record is one that is there.
@@ -105,17 +105,17 @@
 
 // Stats tell what a store has done.
 type Stats struct {
-	Records  map[string]int    // by kind
-	Dropped  map[string]uint64 // by kind, for lack of room or as the disk failed
-	Commits  uint64
-	Syncs    uint64
-	Merges   uint64
-	Files    int
-	Bytes    int64
-	Live     int64
-	Waiting  int
-	Failing  error         // what the disk last said, if commits fail now
-	Retained time.Duration // since the oldest record; 0 if there are none
+	Records   map[string]int    // by kind
+	Dropped   map[string]uint64 // by kind, for lack of room or as the disk failed
+	Commits   uint64
+	Syncs     uint64
+	Merges    uint64
+	Files     int
+	Bytes     int64
+	LiveBytes int64
+	Waiting   int
+	LastError error         // what the disk last said, if commits fail now
+	Retained  time.Duration // since the oldest record; 0 if there are none
 }
 
 // Store is an open store.
@@ -354,7 +354,7 @@
 				_ = s.sync()
 				due = nil
 			} else if due == nil && len(s.waiting) > 0 {
-				due = time.After(GroupWait)
+				due = time.After(GroupCommitInterval)
 			}
 		case <-due:
 			_ = s.sync()
@@ -428,7 +428,7 @@
 	s.room()
 	if s.m.live > s.most { // what makes room may come
 		all = slices.DeleteFunc(all, func(c *commit) bool {
-			puts := slices.ContainsFunc(c.changes, func(x Change) bool { return !x.Gone })
+			puts := slices.ContainsFunc(c.changes, func(x Change) bool { return !x.Deleted })
 			if puts {
 				s.report(c, ErrNoRoom)
 			}
@@ -441,7 +441,7 @@
 	frames := make([][]entry, len(all))
 	for i, c := range all {
 		for _, x := range c.changes {
-			frames[i] = append(frames[i], entry{Kind: x.Kind, Key: x.Key, At: x.At.UnixMilli(), Version: x.Version, Body: x.Body, Gone: x.Gone})
+			frames[i] = append(frames[i], entry{Kind: x.Kind, Key: x.Key, At: x.At.UnixMilli(), Version: x.Version, Body: x.Body, Gone: x.Deleted})
 		}
 	}
 	if err := s.append(frames); err != nil {
@@ -449,11 +449,11 @@
 		return false
 	}
 	for _, c := range all {
-		when := BestEffort
+		when := SyncBestEffort
 		for _, x := range c.changes {
 			when = min(when, s.kinds[x.Kind].Sync)
 		}
-		if atOnce = atOnce || when == AtOnce; when == BestEffort {
+		if atOnce = atOnce || when == SyncImmediate; when == SyncBestEffort {
 			s.report(c, nil)
 		} else {
 			s.waiting = append(s.waiting, c)
@@ -745,7 +745,7 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	st := Stats{Records: make(map[string]int), Dropped: make(map[string]uint64), Commits: s.commits, Syncs: s.syncs, Merges: s.merges,
-		Files: len(s.m.segments), Bytes: s.m.bytes, Live: s.m.live, Waiting: len(s.queue), Failing: s.failing}
+		Files: len(s.m.segments), Bytes: s.m.bytes, LiveBytes: s.m.live, Waiting: len(s.queue), LastError: s.failing}
 	for name, t := range s.m.kinds {
 		st.Records[name] = len(t.keys)
 		if e := t.order.Front(); e != nil {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -16,7 +16,7 @@
 	"pgregory.net/rapid"
 )
 
-var testKinds = []Kind{{Name: "order", Sync: AtOnce}, {Name: "note", Sync: Grouped, Most: 20}, {Name: "state", Sync: BestEffort}}
+var testKinds = []Kind{{Name: "order", Sync: SyncImmediate}, {Name: "note", Sync: SyncGrouped, MaxRecords: 20}, {Name: "state", Sync: SyncBestEffort}}
 
 func open(t testing.TB, folder FS) *Store {
 	t.Helper()
@@ -56,7 +56,7 @@
 	for i := range n {
 		c := []Change{put("order", fmt.Sprintf("s-%d", i%4), strings.Repeat("x", i%9)+fmt.Sprint(i)), put("state", "now", fmt.Sprint(i))}
 		if i%5 == 4 {
-			c[0].Gone = true
+			c[0].Deleted = true
 		}
 		must(t, s.Commit(context.Background(), c...))
 		if i == mergeAfter {
@@ -126,7 +126,7 @@
 			m, err := load(c, testKinds, false)
 			var d *Damage
 			switch {
-			case err == nil && m.report.Torn != nil && m.report.Torn.File == name && int64(at) >= m.report.Torn.Offset:
+			case err == nil && m.report.TornTail != nil && m.report.TornTail.File == name && int64(at) >= m.report.TornTail.Offset:
 				// the last frame alone, which says that all before it was sure
 				if fmt.Sprint(m.holds(t)) != fmt.Sprint(after[len(after)-1]) {
 					t.Fatalf("byte %d of %s: %v", at, name, m.holds(t))
@@ -213,7 +213,7 @@
 					_ = s.ask(func() error { return s.merge(true) }) // the disk may be down by now
 				}
 			}
-			if st := s.Stats(); failed > 0 && (st.Failing == nil || int(st.Dropped["order"]) != failed) {
+			if st := s.Stats(); failed > 0 && (st.LastError == nil || int(st.Dropped["order"]) != failed) {
 				t.Fatalf("full from operation %d: %d failed, told are %+v", full, failed, st)
 			}
 			folder.mu.Lock()
@@ -256,9 +256,9 @@
 			default:
 				n++
 				c := put(rapid.SampledFrom([]string{"order", "state"}).Draw(rt, "kind"), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "key")), strings.Repeat("y", n%70)+fmt.Sprint(n))
-				c.Gone = rapid.IntRange(0, 3).Draw(rt, "gone") == 0
+				c.Deleted = rapid.IntRange(0, 3).Draw(rt, "gone") == 0
 				must(t, s.Commit(context.Background(), c))
-				if model[c.Kind+" "+c.Key] = string(c.Body); c.Gone {
+				if model[c.Kind+" "+c.Key] = string(c.Body); c.Deleted {
 					delete(model, c.Kind+" "+c.Key)
 				}
 			}
@@ -273,7 +273,7 @@
 // Records are let go by number and age, the oldest first, also by a store that is opened again.
 func TestRetention(t *testing.T) {
 	folder := newMemFS()
-	kinds := []Kind{{Name: "note", Most: 5}, {Name: "old", Keep: time.Hour}}
+	kinds := []Kind{{Name: "note", MaxRecords: 5}, {Name: "old", Retention: time.Hour}}
 	s, _, err := Open(folder, Options{Kinds: kinds})
 	must(t, err)
 	for i := range 12 {
@@ -309,7 +309,7 @@
 	if err := s.Commit(ctx, put("order", "b", "x")); !errors.Is(err, ErrNoRoom) {
 		t.Errorf("one too many: %v", err)
 	}
-	must(t, s.Commit(ctx, Change{Kind: "order", Key: "a", Gone: true}))
+	must(t, s.Commit(ctx, Change{Kind: "order", Key: "a", Deleted: true}))
 	must(t, s.Commit(ctx, put("order", "b", "x")))
 }
 
@@ -385,7 +385,7 @@
 			}
 			before, now, err := Repair(c, testKinds)
 			must(t, err)
-			if len(now.Damages) > 0 || now.Torn != nil {
+			if len(now.Damaged) > 0 || now.TornTail != nil {
 				t.Fatalf("byte %d of %s: %+v after the repair of %+v", at, name, now, before)
 			}
 			s := open(t, c)
@@ -397,7 +397,7 @@
 			must(t, s.Commit(context.Background(), put("order", "more", "1")))
 			must(t, s.Close())
 			again, _, err := Repair(c, testKinds)
-			if must(t, err); len(again.Damages) > 0 || again.Torn != nil {
+			if must(t, err); len(again.Damaged) > 0 || again.TornTail != nil {
 				t.Fatalf("byte %d of %s: a second repair finds %+v", at, name, again)
 			}
 		}
@@ -409,7 +409,7 @@
 	}
 	before, now, err := Compact(folder, testKinds)
 	must(t, err)
-	if now.Bytes >= before.Bytes || len(now.Damages) > 0 {
+	if now.Bytes >= before.Bytes || len(now.Damaged) > 0 {
 		t.Errorf("%+v before, %+v after", before, now)
 	}
 	m, err := load(folder, testKinds, false)
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -62,7 +62,7 @@
 	if t.Store == nil {
 		return ErrClosed
 	}
-	return t.Store.Commit(ctx, Change{Kind: t.Kind, Key: key, Gone: true})
+	return t.Store.Commit(ctx, Change{Kind: t.Kind, Key: key, Deleted: true})
 }
 
 // Get returns a record and when it was put.
