--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -18,10 +18,10 @@
 	"github.com/charmbracelet/x/term"
 
 	"lockroad/internal/console"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/demo"
 	"lockroad/internal/lifecycle"
 	"lockroad/internal/logs"
-	"lockroad/internal/record"
 	"lockroad/internal/screen"
 	"lockroad/internal/why"
 )
@@ -359,7 +359,7 @@
 // Run runs the demonstration until its end or an interrupt.
 func (c *demoCommand) Run(s streams) error {
 	o := demo.Options{
-		Servers: c.Servers, Rate: c.Rate, For: c.For, Seed: c.Seed, AMQP: c.AMQP, Bytes: record.DefaultBytes, Asks: c.Asks, Out: s.out,
+		Servers: c.Servers, Rate: c.Rate, For: c.For, Seed: c.Seed, AMQP: c.AMQP, Bytes: decisionlog.DefaultBytes, Asks: c.Asks, Out: s.out,
 	}
 	if c.Script != "" {
 		text, err := os.ReadFile(c.Script)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -17,9 +17,9 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/healthcheck"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/why"
 )
@@ -362,11 +362,11 @@
 	return plain(func(d *Desk, w io.Writer) {
 		s := d.Why.Record.Stats()
 		table(w, []string{"KIND", "KEPT", "SHARE", "NO LONGER KEPT"}, func(row func(...any)) {
-			for _, kind := range record.Kinds {
-				row(kind, s.Kept[kind], fmt.Sprintf("%.1f%%", 100*float64(s.Held[kind])/float64(s.Blocks)), s.Dropped[kind])
+			for _, kind := range decisionlog.CategoryNames {
+				row(kind, s.Entries[kind], fmt.Sprintf("%.1f%%", 100*float64(s.BlocksInUse[kind])/float64(s.Blocks)), s.Dropped[kind])
 			}
 		})
-		fmt.Fprintf(w, "%d bytes, all set aside at the start; %d steps found no room\n", s.Bytes, s.Lost)
+		fmt.Fprintf(w, "%d bytes, all set aside at the start; %d steps found no room\n", s.Bytes, s.EventsLost)
 		if s.Horizon > 0 {
 			fmt.Fprintf(w, "all that came within the last %s are kept\n", (d.Core.Clock.Now() - s.Horizon).Round(time.Second))
 		}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/steps"
 	"lockroad/internal/why"
@@ -35,7 +35,7 @@
 	k.Requests.Set(n, registry.StageEstablished, id)
 	k.Counters.CountEnd(registry.EndMigrated)
 	k.Counters.CountAttempt(balancer.StatusTimeout)
-	r, err := record.New(record.LeastBytes, k.Clock)
+	r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/golden"
 	"lockroad/internal/healthcheck"
 	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/store"
 	"lockroad/internal/why"
@@ -99,7 +99,7 @@
 				k.Counters.CountAttempt(balancer.AttemptStatus(status))
 			}
 		}
-		r, err := record.New(record.LeastBytes, k.Clock)
+		r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/record/record.go
+++ b/internal/decisionlog/record.go
@@ -18,7 +18,7 @@
 // Who embeds a Record (1) sets it up before the first transaction, as the observer
 // of a core, (2) never blocks in what it calls back, as there is nothing of the kind,
 // and (3) asks from any goroutine, at any time.
-package record
+package decisionlog
 
 import (
 	"fmt"
@@ -34,9 +34,9 @@
 
 // Bytes that a Record may have.
 const (
-	LeastBytes   = 512 << 10
+	MinBytes     = 512 << 10
 	DefaultBytes = 2 << 20
-	MostBytes    = 1 << 30
+	MaxBytes     = 1 << 30
 )
 
 // The words of a head, after the link.
@@ -75,8 +75,8 @@
 	stepEnded
 )
 
-// Record is a bounded record of transactions. It is safe for concurrent use.
-type Record struct {
+// Log is a bounded record of transactions. It is safe for concurrent use.
+type Log struct {
 	ring  *ring
 	clock proxy.Clock
 	names atomic.Pointer[[]string] // of classes and fronts, by number; only ever grows
@@ -86,21 +86,21 @@
 }
 
 // New returns an empty record of so many bytes, from LeastBytes to MostBytes.
-func New(bytes int, clock proxy.Clock) (*Record, error) {
-	if bytes < LeastBytes || bytes > MostBytes {
-		return nil, fmt.Errorf("record: %d bytes are not within %d and %d", bytes, LeastBytes, MostBytes)
+func New(bytes int, clock proxy.Clock) (*Log, error) {
+	if bytes < MinBytes || bytes > MaxBytes {
+		return nil, fmt.Errorf("record: %d bytes are not within %d and %d", bytes, MinBytes, MaxBytes)
 	}
-	r := &Record{ring: newRing(bytes), clock: clock}
+	r := &Log{ring: newRing(bytes), clock: clock}
 	r.names.Store(&[]string{})
 	return r, nil
 }
 
 // Bytes is what the record's memory takes.
-func (r *Record) Bytes() int { return r.ring.blocks * perBlock }
+func (r *Log) Bytes() int { return r.ring.blocks * perBlock }
 
 // word returns the number of a class's or front's name. There are few; past 255 the
 // last stands for all.
-func (r *Record) word(name string) uint64 {
+func (r *Log) word(name string) uint64 {
 	all := *r.names.Load()
 	i := slices.Index(all, name)
 	if i < 0 && len(all) < 255 {
@@ -111,7 +111,7 @@
 	return uint64(max(0, i))
 }
 
-func (r *Record) name(i uint64) string {
+func (r *Log) name(i uint64) string {
 	if all := *r.names.Load(); i < uint64(len(all)) {
 		return all[i]
 	}
@@ -122,7 +122,7 @@
 // from the transaction's own goroutines. All but what was there at the start is
 // guarded by the ring's lock.
 type trace struct {
-	r      *Record
+	r      *Log
 	number uint64
 	ask    proxy.Request
 	began  time.Duration
@@ -141,7 +141,7 @@
 }
 
 // Began begins to keep a transaction.
-func (r *Record) Began(number uint64, ask proxy.Request) proxy.RequestObserver {
+func (r *Log) Began(number uint64, ask proxy.Request) proxy.RequestObserver {
 	t := &trace{r: r, number: number, ask: ask, began: r.clock.Now(), head: none}
 	t.hold.block = none
 	r.ring.mu.Lock()
--- a/internal/record/record_test.go
+++ b/internal/decisionlog/record_test.go
@@ -1,4 +1,4 @@
-package record
+package decisionlog
 
 import (
 	"errors"
@@ -19,7 +19,7 @@
 	"lockroad/internal/registry"
 )
 
-func newRecord(t testing.TB, bytes int) *Record {
+func newRecord(t testing.TB, bytes int) *Log {
 	t.Helper()
 	r, err := New(bytes, proxy.NewClock())
 	if err != nil {
@@ -46,7 +46,7 @@
 
 // serve keeps a transaction with passes that end as told; the last is accepted if it
 // is balancer.StatusOK.
-func serve(r *Record, number uint64, how ...balancer.AttemptStatus) proxy.RequestObserver {
+func serve(r *Log, number uint64, how ...balancer.AttemptStatus) proxy.RequestObserver {
 	t := r.Began(number, ask(number))
 	for i, h := range how {
 		server := balancer.EndpointID(i + 1)
@@ -60,7 +60,7 @@
 }
 
 func TestDecisionsAreKeptAsTheyWere(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	number := uint64(0)
 	rapid.Check(t, func(rt *rapid.T) {
 		part := rapid.Custom(func(rt *rapid.T) float64 { return float64(rapid.Uint16().Draw(rt, "part")) / 0xffff })
@@ -91,14 +91,14 @@
 		number++
 		r.Began(number, ask(number)).Decided(&d)
 		got, err := r.Number(number)
-		if err != nil || len(got.Steps) != 1 || got.Steps[0].At != d.At || !reflect.DeepEqual(got.Steps[0].Decision, d) {
+		if err != nil || len(got.Events) != 1 || got.Events[0].At != d.At || !reflect.DeepEqual(got.Events[0].Decision, d) {
 			rt.Fatalf("kept %+v as %+v, %v", d, got, err)
 		}
 	})
 }
 
 func TestTenantIsKept(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	for i, tenant := range []string{"", "fraser", "cedar"} {
 		trace := r.Began(uint64(i+1), proxy.Request{Front: "line", Name: "a name", Class: "page", Tenant: tenant})
 		trace.Ended(proxy.Result{})
@@ -110,7 +110,7 @@
 }
 
 func TestTransactionIsKeptWhole(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	const long = "a container that has been given a name of some length/and so has the link"
 	tr := r.Began(7, proxy.Request{Front: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
 		Group: 5, Item: 6, Deadline: r.clock.Now() + 2*time.Second, ExpectedLoad: 0.25, Returning: true, Established: true,
@@ -121,7 +121,7 @@
 	}
 	tr.Decided(decision(balancer.VerdictSent, balancer.ReasonRouteSlow, 1, 3))
 	back := tr.AttemptStarted(3)
-	if got, _ := r.Number(7); got.AnswerName() != "waiting" || !got.Passes()[0].Out {
+	if got, _ := r.Number(7); got.ResultName() != "waiting" || !got.Attempts()[0].InProgress {
 		t.Errorf("kept %+v", got)
 	}
 	back(balancer.StatusFull)
@@ -135,35 +135,35 @@
 		t.Fatal(err)
 	}
 	if got.Name != long[:nameMost] || !got.NameCut || got.Front != "amqp" || got.Class != "live-preview" || got.Group != 5 || got.Item != 6 ||
-		!got.Return || !got.Open || got.Load != 0.25 || got.Patience > 2*time.Second || got.Patience < time.Second || !got.Eventful || got.Cut || got.Full {
+		!got.Returning || !got.Resumed || got.Load != 0.25 || got.TimeLimit > 2*time.Second || got.TimeLimit < time.Second || !got.Notable || got.HeadEvicted || got.EventsOmitted {
 		t.Errorf("kept %+v", got)
 	}
 	var kinds []string
-	for _, s := range got.Steps {
-		kinds = append(kinds, fmt.Sprint(s.Kind, s.Again))
+	for _, s := range got.Events {
+		kinds = append(kinds, fmt.Sprint(s.Kind, s.Repeats))
 	}
 	if want := "[1 39 1 0 2 0 3 0 1 0 2 0 3 0 4 0 5 0]"; fmt.Sprint(kinds) != want {
 		t.Errorf("kept the steps %v, want %v", kinds, want)
 	}
-	f, ended := got.Answer()
+	f, ended := got.Result()
 	if want := (proxy.Result{End: registry.EndMigrated, Cause: proxy.CauseShutdown, Status: balancer.StatusCancelled, RetryAfter: 1500 * time.Millisecond}); !ended || f != want {
 		t.Errorf("kept the end %+v", f)
 	}
-	passes := got.Passes()
-	if len(passes) != 2 || passes[0].Server != 3 || passes[0].How != balancer.StatusFull || passes[1].Server != 1<<31 || passes[1].How != balancer.StatusOK || passes[1].Out {
+	passes := got.Attempts()
+	if len(passes) != 2 || passes[0].Endpoint != 3 || passes[0].Status != balancer.StatusFull || passes[1].Endpoint != 1<<31 || passes[1].Status != balancer.StatusOK || passes[1].InProgress {
 		t.Errorf("kept the passes %+v", passes)
 	}
 	if all, err := r.Name(long); err != nil || len(all) != 1 || all[0].Number != 7 {
 		t.Errorf("by its whole name: %v, %v", all, err)
 	}
-	if _, err := r.Name(long[:nameMost]); !errors.Is(err, ErrNever) {
+	if _, err := r.Name(long[:nameMost]); !errors.Is(err, ErrUnknown) {
 		t.Errorf("by a part of its name: %v", err)
 	}
 }
 
 // During a surge uneventful transactions go first; refused and retried ones stay.
 func TestSurgeLeavesWhatComplaintsAreAbout(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	var bad []uint64
 	const n = 20_000
 	for i := uint64(1); i <= n; i++ {
@@ -178,22 +178,22 @@
 		}
 	}
 	for _, i := range bad {
-		if got, err := r.Number(i); err != nil || got.AnswerName() != "unavailable" || len(got.Steps) != 8 {
+		if got, err := r.Number(i); err != nil || got.ResultName() != "unavailable" || len(got.Events) != 8 {
 			t.Fatalf("the refusal of %d: %+v, %v", i, got, err)
 		}
 	}
 	s := r.Stats()
-	if s.Dropped["eventful"] != 0 || s.Dropped["under-way"] != 0 || s.Kept["eventful"] != len(bad) ||
-		int(s.Dropped["uneventful"])+s.Kept["uneventful"]+len(bad) != n || s.Bytes > LeastBytes {
+	if s.Dropped["eventful"] != 0 || s.Dropped["under-way"] != 0 || s.Entries["eventful"] != len(bad) ||
+		int(s.Dropped["uneventful"])+s.Entries["uneventful"]+len(bad) != n || s.Bytes > MinBytes {
 		t.Errorf("the record holds %+v", s)
 	}
-	if _, err := r.Number(1); !errors.Is(err, ErrGone) {
+	if _, err := r.Number(1); !errors.Is(err, ErrEvicted) {
 		t.Errorf("of one that was dropped it is said: %v", err)
 	}
-	if _, err := r.Number(n + 1); !errors.Is(err, ErrNever) {
+	if _, err := r.Number(n + 1); !errors.Is(err, ErrUnknown) {
 		t.Errorf("of one that never came it is said: %v", err)
 	}
-	if _, err := r.Name("never came"); !errors.Is(err, ErrGone) {
+	if _, err := r.Name("never came"); !errors.Is(err, ErrEvicted) {
 		t.Errorf("of a name that nobody can know of any more it is said: %v", err)
 	}
 	// Where all are refused, the oldest of those go, and never the whole of the rest.
@@ -201,22 +201,22 @@
 		serve(r, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
 	s = r.Stats()
-	if share := float64(s.Held["eventful"]) / float64(s.Blocks); s.Kept["uneventful"] == 0 || share > 0.77 {
+	if share := float64(s.BlocksInUse["eventful"]) / float64(s.Blocks); s.Entries["uneventful"] == 0 || share > 0.77 {
 		t.Errorf("eventful transactions hold %.2f of the record; %+v", share, s)
 	}
-	if got, err := r.Number(2 * n); err != nil || got.AnswerName() != "unavailable" {
+	if got, err := r.Number(2 * n); err != nil || got.ResultName() != "unavailable" {
 		t.Errorf("the last: %+v, %v", got, err)
 	}
 }
 
 // A client that still waits is not forgotten for those that are done.
 func TestWhoWaitsGoesLast(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	waiting := r.Began(1, ask(1))
 	for i := uint64(2); i < 10_000; i++ {
 		serve(r, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
-	if got, err := r.Number(1); err != nil || got.Cut {
+	if got, err := r.Number(1); err != nil || got.HeadEvicted {
 		t.Errorf("who waits: %+v, %v", got, err)
 	}
 	waiting.AttemptStarted(4)(balancer.StatusOK)
@@ -225,18 +225,18 @@
 		serve(r, i, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	}
 	// It has stood for so long that its beginning is gone. Its end is told by itself.
-	if _, err := r.Number(1); !errors.Is(err, ErrGone) {
+	if _, err := r.Number(1); !errors.Is(err, ErrEvicted) {
 		t.Errorf("who has stood for long: %v", err)
 	}
 	waiting.Decided(decision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
 	waiting.Ended(proxy.Result{End: registry.EndMigrated})
-	if got, err := r.Number(1); err != nil || !got.Cut || got.AnswerName() != "moved" || len(got.Steps) != 2 {
+	if got, err := r.Number(1); err != nil || !got.HeadEvicted || got.ResultName() != "moved" || len(got.Events) != 2 {
 		t.Errorf("its end: %+v, %v", got, err)
 	}
 }
 
 func TestPinStaysWithinItsShare(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	serve(r, 1, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	if err := r.Pin(1, true); err != nil {
 		t.Fatal(err)
@@ -250,7 +250,7 @@
 	}
 	standing.Ended(proxy.Result{End: registry.EndHeartbeatTimeout})
 	for _, i := range []uint64{1, 2} {
-		if got, err := r.Number(i); err != nil || !got.Pinned || got.Cut || !got.Ended {
+		if got, err := r.Number(i); err != nil || !got.Pinned || got.HeadEvicted || !got.Ended {
 			t.Errorf("pinned: %+v, %v", got, err)
 		}
 	}
@@ -262,13 +262,13 @@
 		}
 	}
 	s := r.Stats()
-	if !errors.Is(full, ErrPins) || s.Kept["pinned"] != pins || s.Held["pinned"] > s.Blocks*pinnedShare/100 || pins < 10 {
+	if !errors.Is(full, ErrPinLimit) || s.Entries["pinned"] != pins || s.BlocksInUse["pinned"] > s.Blocks*pinnedShare/100 || pins < 10 {
 		t.Errorf("%d pins, then %v; %+v", pins, full, s)
 	}
 	for _, c := range []struct {
 		number uint64
 		want   error
-	}{{9, ErrGone}, {9999, ErrNever}} {
+	}{{9, ErrEvicted}, {9999, ErrUnknown}} {
 		if err := r.Pin(c.number, true); !errors.Is(err, c.want) {
 			t.Errorf("pinning %d: %v", c.number, err)
 		}
@@ -276,13 +276,13 @@
 	if err := r.Pin(2, false); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := r.Number(2); err != nil || got.Pinned || !got.Eventful {
+	if got, err := r.Number(2); err != nil || got.Pinned || !got.Notable {
 		t.Errorf("unpinned: %+v, %v", got, err)
 	}
 }
 
 func TestSizesOutOfRangeAreRefused(t *testing.T) {
-	for _, n := range []int{-1, 0, LeastBytes - 1, MostBytes + 1} {
+	for _, n := range []int{-1, 0, MinBytes - 1, MaxBytes + 1} {
 		if r, err := New(n, proxy.NewClock()); err == nil || !strings.Contains(err.Error(), fmt.Sprint(n)) {
 			t.Errorf("%d bytes: %v, %v", n, r, err)
 		}
@@ -329,7 +329,7 @@
 // by itself, or it is said to be gone. The memory is so small that all of it turns over.
 func TestRandomStepsLeaveTheRecordWhole(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		r := newRecord(t, LeastBytes)
+		r := newRecord(t, MinBytes)
 		r.ring = newRing(perBlock * rapid.IntRange(4, 60).Draw(rt, "blocks"))
 		type model struct {
 			proxy.RequestObserver
@@ -352,15 +352,15 @@
 				for n, m := range all {
 					got, err := r.Number(n)
 					switch {
-					case errors.Is(err, ErrGone):
+					case errors.Is(err, ErrEvicted):
 					case err != nil:
 						rt.Fatalf("%d: %v", n, err)
 					case got.Name != ask(n).Name || got.Item != n:
 						rt.Fatalf("%d is kept as %+v", n, got)
-					case !got.Cut && !got.Full && len(got.Steps) != m.steps:
-						rt.Fatalf("%d has %d steps, kept are %d: %+v", n, m.steps, len(got.Steps), got.Steps)
-					case got.Cut && len(got.Steps) > m.steps:
-						rt.Fatalf("%d has %d steps, kept are %d", n, m.steps, len(got.Steps))
+					case !got.HeadEvicted && !got.EventsOmitted && len(got.Events) != m.steps:
+						rt.Fatalf("%d has %d steps, kept are %d: %+v", n, m.steps, len(got.Events), got.Events)
+					case got.HeadEvicted && len(got.Events) > m.steps:
+						rt.Fatalf("%d has %d steps, kept are %d", n, m.steps, len(got.Events))
 					}
 				}
 			},
@@ -410,7 +410,7 @@
 			"pin": func(rt *rapid.T) {
 				if n, m := pick(); m != nil {
 					err := r.Pin(n, rapid.Bool().Draw(rt, "on"))
-					if err != nil && !errors.Is(err, ErrGone) && !errors.Is(err, ErrPins) {
+					if err != nil && !errors.Is(err, ErrEvicted) && !errors.Is(err, ErrPinLimit) {
 						rt.Fatalf("pin %d: %v", n, err)
 					}
 				}
@@ -421,7 +421,7 @@
 
 // Readers never see half a change, and hold nobody up.
 func TestReadersSeeWholeTransactions(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	var writers, readers sync.WaitGroup
 	var number atomic.Uint64
 	var done atomic.Bool
@@ -442,19 +442,19 @@
 	seen := 0
 	readers.Go(func() {
 		for !done.Load() {
-			r.Each(func(x *Transaction) bool {
+			r.Each(func(x *Entry) bool {
 				seen++
 				if x.Item != x.Number || x.Name != ask(x.Number).Name {
 					t.Errorf("read a mix of two: %+v", x)
 				}
-				for _, s := range x.Steps {
-					if s.Kind == Decided && s.Decision.Endpoint != balancer.EndpointID(x.Number) || s.Kind == PassOut && s.Server != balancer.EndpointID(x.Number) ||
-						s.Kind == Final && s.Final.RetryAfter != time.Duration(x.Number)*time.Microsecond {
+				for _, s := range x.Events {
+					if s.Kind == EventDecision && s.Decision.Endpoint != balancer.EndpointID(x.Number) || s.Kind == EventAttemptStarted && s.Endpoint != balancer.EndpointID(x.Number) ||
+						s.Kind == EventEnded && s.Result.RetryAfter != time.Duration(x.Number)*time.Microsecond {
 						t.Errorf("transaction %d has a step of another: %+v", x.Number, s)
 					}
 				}
-				if f, ended := x.Answer(); ended && len(x.Passes()) != int(x.Number%4) {
-					t.Errorf("transaction %d ended %v after %d passes", x.Number, f.End, len(x.Passes()))
+				if f, ended := x.Result(); ended && len(x.Attempts()) != int(x.Number%4) {
+					t.Errorf("transaction %d ended %v after %d passes", x.Number, f.End, len(x.Attempts()))
 				}
 				return true
 			})
@@ -470,7 +470,7 @@
 }
 
 func TestWritingMakesNoGarbage(t *testing.T) {
-	r := newRecord(t, LeastBytes)
+	r := newRecord(t, MinBytes)
 	tr := r.Began(1, ask(1))
 	d := decision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 3)
 	for i := range uint64(5000) { // until the ring is full
@@ -482,14 +482,14 @@
 	if n := testing.AllocsPerRun(1000, func() { tr.Established() }); n != 0 {
 		t.Errorf("a step makes %v allocations", n)
 	}
-	if r.Bytes() > LeastBytes {
+	if r.Bytes() > MinBytes {
 		t.Errorf("the record takes %d bytes", r.Bytes())
 	}
 }
 
 // The record takes what it was given and no more, however much goes through it.
 func TestMemoryStaysUnderItsCap(t *testing.T) {
-	for _, bytes := range []int{LeastBytes, DefaultBytes} {
+	for _, bytes := range []int{MinBytes, DefaultBytes} {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
@@ -521,7 +521,7 @@
 			if reading {
 				reader.Go(func() {
 					for !done.Load() {
-						r.Each(func(*Transaction) bool { return true })
+						r.Each(func(*Entry) bool { return true })
 					}
 				})
 			}
--- a/internal/record/ring.go
+++ b/internal/decisionlog/ring.go
@@ -1,4 +1,4 @@
-package record
+package decisionlog
 
 import (
 	"runtime"
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/record"
+	"lockroad/internal/decisionlog"
 )
 
 // The short form of `make why-run`: while servers hang, fill up, drain and restart and
@@ -15,7 +15,7 @@
 // tells the same.
 func TestAnswersAreAsTheStandInsSawIt(t *testing.T) {
 	var out strings.Builder
-	o := Options{Servers: 4, Rate: 25, For: 12 * time.Second, Seed: 3, AMQP: 0.4, Bytes: record.LeastBytes, Asks: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
+	o := Options{Servers: 4, Rate: 25, For: 12 * time.Second, Seed: 3, AMQP: 0.4, Bytes: decisionlog.MinBytes, Asks: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
 	if err := o.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/logs"
 	"lockroad/internal/pool"
-	"lockroad/internal/record"
 	"lockroad/internal/secure"
 )
 
@@ -134,7 +134,7 @@
 	case o.Why.Bytes != nil:
 		return *o.Why.Bytes
 	case o.Console.Socket != "" || o.OTLP.Endpoint != "":
-		return record.DefaultBytes
+		return decisionlog.DefaultBytes
 	}
 	return 0
 }
@@ -201,8 +201,8 @@
 			f.add("otlp.endpoint", "%q is no http or https URL", o.OTLP.Endpoint)
 		}
 	}
-	if n := o.Why.Bytes; n != nil && *n != 0 && (*n < record.LeastBytes || *n > record.MostBytes) {
-		f.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, record.LeastBytes, record.MostBytes)
+	if n := o.Why.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
+		f.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
 	}
 	o.Store.check(f)
 	if err := logs.CheckLevel(o.Log.Level); err != nil {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -18,6 +18,7 @@
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
 	"lockroad/internal/console"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/discovery"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/frontend/line"
@@ -27,7 +28,6 @@
 	"lockroad/internal/logs"
 	"lockroad/internal/proxy"
 	"lockroad/internal/quota"
-	"lockroad/internal/record"
 	"lockroad/internal/secure"
 	"lockroad/internal/telemetry"
 	"lockroad/internal/why"
@@ -99,9 +99,9 @@
 	watcher *discovery.Watcher
 	listed  <-chan struct{} // closed once discovery has told its list
 	doors   []door
-	record  *record.Record // nil: no decisions are kept
-	takes   atomic.Bool    // clients are taken
-	leaves  atomic.Bool    // it was told to leave
+	record  *decisionlog.Log // nil: no decisions are kept
+	takes   atomic.Bool      // clients are taken
+	leaves  atomic.Bool      // it was told to leave
 	line    *line.Frontend
 	halls   []*listener.ConnLimiter
 	host    *hotrestart.Predecessor // as a new version finds it; nil: none can come
@@ -281,7 +281,7 @@
 	r.core.Log = r.log
 	if n := o.record(); n > 0 {
 		var err error
-		if r.record, err = record.New(n, r.core.Clock); err != nil {
+		if r.record, err = decisionlog.New(n, r.core.Clock); err != nil {
 			return err
 		}
 		r.core.Observe(r.record)
--- a/internal/lifecycle/run_test.go
+++ b/internal/lifecycle/run_test.go
@@ -23,7 +23,7 @@
 	"github.com/Azure/go-amqp"
 
 	"lockroad/internal/console"
-	"lockroad/internal/record"
+	"lockroad/internal/decisionlog"
 )
 
 const settingsText = `{
@@ -64,7 +64,7 @@
 	if err != nil || o.AMQP.Listen == "" || o.Console.Socket == "" || o.OTLP.Endpoint != "" {
 		t.Errorf("the file that ships: %+v, %v", o, err)
 	}
-	if o.record() != record.DefaultBytes {
+	if o.record() != decisionlog.DefaultBytes {
 		t.Errorf("a console without a record of %d bytes", o.record())
 	}
 	for text, want := range map[string]string{
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -20,9 +20,9 @@
 	"google.golang.org/protobuf/proto"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/golden"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
 
@@ -154,7 +154,7 @@
 		}
 	}
 	k.Counters.Requests.Add(41)
-	r, err := record.New(record.LeastBytes, k.Clock)
+	r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/telemetry/otlp.go
+++ b/internal/telemetry/otlp.go
@@ -21,8 +21,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/assert"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
 
@@ -41,7 +41,7 @@
 // Start begins to send a core's metrics to a collector every so often, and has
 // the core tell of its transactions. What was decided for them, and why, is read from
 // a record that has observed the core before; without one it is left out.
-func Start(ctx context.Context, endpoint, name string, every time.Duration, k *proxy.Proxy, r *record.Record) (*Telemetry, error) {
+func Start(ctx context.Context, endpoint, name string, every time.Duration, k *proxy.Proxy, r *decisionlog.Log) (*Telemetry, error) {
 	metrics, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(endpoint+"/v1/metrics"),
 		otlpmetrichttp.WithTimeout(exportMost), otlpmetrichttp.WithRetry(otlpmetrichttp.RetryConfig{}))
 	if err != nil {
@@ -136,7 +136,7 @@
 type observer struct {
 	clock  proxy.Clock
 	farm   *registry.Endpoints
-	record *record.Record
+	record *decisionlog.Log
 	tracer trace.Tracer
 }
 
@@ -210,9 +210,9 @@
 	}
 	events := 0
 	var last *balancer.Decision
-	for i := range kept.Steps {
-		s := &kept.Steps[i]
-		if s.Kind != record.Decided {
+	for i := range kept.Events {
+		s := &kept.Events[i]
+		if s.Kind != decisionlog.EventDecision {
 			continue
 		}
 		last = &s.Decision
@@ -221,7 +221,7 @@
 		}
 		with := []attribute.KeyValue{
 			attribute.String("verdict", last.Verdict.String()), attribute.String("reason", last.Reason.String()),
-			attribute.Int("attempt", last.Attempt), attribute.Int("ready_servers", last.ReadyEndpoints), attribute.Int("again", s.Again),
+			attribute.Int("attempt", last.Attempt), attribute.Int("ready_servers", last.ReadyEndpoints), attribute.Int("again", s.Repeats),
 		}
 		if last.Verdict == balancer.VerdictSent || last.Verdict == balancer.VerdictMigrated {
 			with = append(with, attribute.String("server", t.farm.Name(last.Endpoint)))
@@ -232,6 +232,6 @@
 		t.span.AddEvent("decision", trace.WithTimestamp(t.clock.Wall(s.At)), trace.WithAttributes(with...))
 	}
 	if last != nil {
-		t.span.SetAttributes(attribute.String("reason", last.Reason.String()), attribute.Int("attempts", len(kept.Passes())))
+		t.span.SetAttributes(attribute.String("reason", last.Reason.String()), attribute.Int("attempts", len(kept.Attempts())))
 	}
 }
--- a/internal/telemetry/otlp_test.go
+++ b/internal/telemetry/otlp_test.go
@@ -11,8 +11,8 @@
 	spanpb "go.opentelemetry.io/proto/otlp/trace/v1"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/standin"
 )
 
@@ -43,7 +43,7 @@
 	k.UpdateEndpoints(balancer.ListFull, servers, []string{"a", "b"})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r, err := record.New(record.LeastBytes, k.Clock)
+	r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/why/account.go
+++ b/internal/why/account.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
 
 // Teller tells of what a record holds.
 type Teller struct {
-	Record *record.Record
+	Record *decisionlog.Log
 	Names  Names
 	Shelf  Shelf // of those that outlast a restart; nil: none do
 }
@@ -115,26 +115,26 @@
 }
 
 // Account tells of one transaction, with what its client had before and after it.
-func (w *Teller) Account(t *record.Transaction) *Account {
+func (w *Teller) Account(t *decisionlog.Entry) *Account {
 	a := w.account(t)
 	before, after := w.linked(t)
 	if before != nil {
-		a.Before = &Link{Number: before.Number, By: tie(before, t), Answer: before.AnswerName(), Text: fmt.Sprintf(
-			"its client came back from %d (%s), %s, %s before", before.Number, sameAs(before, t), w.ending(before), span(t.Began-before.Last()))}
+		a.Before = &Link{Number: before.Number, By: tie(before, t), Answer: before.ResultName(), Text: fmt.Sprintf(
+			"its client came back from %d (%s), %s, %s before", before.Number, sameAs(before, t), w.ending(before), span(t.StartedAt-before.LastEventAt()))}
 	}
 	if after != nil {
-		a.After = &Link{Number: after.Number, By: tie(t, after), Answer: after.AnswerName(), Text: fmt.Sprintf(
-			"its client came again %s later as %d (%s), %s", span(after.Began-t.Last()), after.Number, sameAs(t, after), w.ending(after))}
+		a.After = &Link{Number: after.Number, By: tie(t, after), Answer: after.ResultName(), Text: fmt.Sprintf(
+			"its client came again %s later as %d (%s), %s", span(after.StartedAt-t.LastEventAt()), after.Number, sameAs(t, after), w.ending(after))}
 	}
 	return a
 }
 
-func (w *Teller) account(t *record.Transaction) *Account {
+func (w *Teller) account(t *decisionlog.Entry) *Account {
 	clock := w.Record.Clock()
 	a := &Account{
-		Number: t.Number, Front: t.Front, Name: t.Name, NameCut: t.NameCut, Class: t.Class, Tenant: t.Tenant, Came: clock.Wall(t.Began),
-		Patience: ms(t.Patience), Load: t.Load * 1e6, Return: t.Return, Pinned: t.Pinned, Eventful: t.Eventful,
-		Cut: t.Cut, Full: t.Full, Answer: t.AnswerName(), ago: clock.Now() - t.Began,
+		Number: t.Number, Front: t.Front, Name: t.Name, NameCut: t.NameCut, Class: t.Class, Tenant: t.Tenant, Came: clock.Wall(t.StartedAt),
+		Patience: ms(t.TimeLimit), Load: t.Load * 1e6, Return: t.Returning, Pinned: t.Pinned, Eventful: t.Notable,
+		Cut: t.HeadEvicted, Full: t.EventsOmitted, Answer: t.ResultName(), ago: clock.Now() - t.StartedAt,
 	}
 	if t.Group != 0 {
 		a.Group = fmt.Sprintf("%016x", t.Group)
@@ -142,16 +142,16 @@
 	if t.Item != 0 {
 		a.Flow = fmt.Sprintf("%016x", t.Item)
 	}
-	if f, ok := t.Answer(); ok {
+	if f, ok := t.Result(); ok {
 		a.ComeBack = ms(f.RetryAfter)
 		if f.Cause != proxy.CauseDecided {
 			a.Cause = f.Cause.String()
 		}
 	}
 	var up time.Duration
-	for i := range t.Steps {
-		s := &t.Steps[i]
-		if s.Kind == record.Up {
+	for i := range t.Events {
+		s := &t.Events[i]
+		if s.Kind == decisionlog.EventEstablished {
 			up = s.At
 		}
 		a.Steps = append(a.Steps, w.step(t, s, up))
@@ -160,23 +160,23 @@
 }
 
 // step tells of one step.
-func (w *Teller) step(t *record.Transaction, s *record.Step, up time.Duration) Step {
-	out := Step{After: ms(s.At - t.Began)}
+func (w *Teller) step(t *decisionlog.Entry, s *decisionlog.Event, up time.Duration) Step {
+	out := Step{After: ms(s.At - t.StartedAt)}
 	switch s.Kind {
-	case record.Decided:
+	case decisionlog.EventDecision:
 		w.decided(&out, s)
-	case record.PassOut:
-		out.What, out.Server = "pass", w.Names.Name(s.Server)
+	case decisionlog.EventAttemptStarted:
+		out.What, out.Server = "pass", w.Names.Name(s.Endpoint)
 		out.Text = "connects to " + out.Server
-	case record.PassBack:
-		out.What, out.Server, out.Outcome = "outcome", w.Names.Name(s.Server), registry.StatusNames[s.How]
-		out.Text = out.Server + " " + outcomes[s.How]
-	case record.Up:
+	case decisionlog.EventAttemptEnded:
+		out.What, out.Server, out.Outcome = "outcome", w.Names.Name(s.Endpoint), registry.StatusNames[s.Status]
+		out.Text = out.Server + " " + outcomes[s.Status]
+	case decisionlog.EventEstablished:
 		out.What, out.Text = "up", "the client is told that it is up"
-	case record.Final:
+	case decisionlog.EventEnded:
 		out.What = "end"
-		out.Wait = ms(s.Final.RetryAfter)
-		out.Text = final(s.Final)
+		out.Wait = ms(s.Result.RetryAfter)
+		out.Text = final(s.Result)
 		if up > 0 {
 			out.Text += fmt.Sprintf(", after %s", span(s.At-up))
 		}
@@ -262,9 +262,9 @@
 }
 
 // decided tells of a decision.
-func (w *Teller) decided(out *Step, s *record.Step) {
+func (w *Teller) decided(out *Step, s *decisionlog.Event) {
 	d := &s.Decision
-	out.What, out.Reason, out.Attempt, out.Again = d.Verdict.String(), d.Reason.String(), d.Attempt, s.Again
+	out.What, out.Reason, out.Attempt, out.Again = d.Verdict.String(), d.Reason.String(), d.Attempt, s.Repeats
 	out.Wait, out.Left, out.Ready, out.SlowPart, out.Revision = ms(d.Wait), ms(d.TimeLeft), d.ReadyEndpoints, part(d.SlowShare), d.Revision
 	if d.ListAge >= 0 {
 		age := ms(d.ListAge)
@@ -317,8 +317,8 @@
 		if d.Wait > 0 {
 			text += " " + span(d.Wait)
 		}
-		if s.Again > 0 {
-			text += fmt.Sprintf(", and %d times more", s.Again)
+		if s.Repeats > 0 {
+			text += fmt.Sprintf(", and %d times more", s.Repeats)
 		}
 		switch d.Reason {
 		case balancer.ReasonBackoff:
@@ -371,14 +371,14 @@
 }
 
 // ending tells how a transaction ended, in a clause that follows its number.
-func (w *Teller) ending(t *record.Transaction) string {
-	f, ok := t.Answer()
+func (w *Teller) ending(t *decisionlog.Entry) string {
+	f, ok := t.Result()
 	if !ok {
-		return map[string]string{"up": "which stands", "waiting": "which waits for an answer"}[t.AnswerName()]
+		return map[string]string{"up": "which stands", "waiting": "which waits for an answer"}[t.ResultName()]
 	}
 	why := ""
-	for _, s := range slices.Backward(t.Steps) {
-		if s.Kind == record.Decided {
+	for _, s := range slices.Backward(t.Events) {
+		if s.Kind == decisionlog.EventDecision {
 			d := s.Decision
 			switch d.Verdict {
 			case balancer.VerdictMigrated:
@@ -400,16 +400,16 @@
 // linked finds what a transaction's client had before it, and what it came with after
 // it: the nearest of the same name or flow, or, where one of them says that it is back
 // after a move or a break, of the same group.
-func (w *Teller) linked(t *record.Transaction) (before, after *record.Transaction) {
-	w.Record.Related(t, func(o *record.Transaction) bool {
+func (w *Teller) linked(t *decisionlog.Entry) (before, after *decisionlog.Entry) {
+	w.Record.Related(t, func(o *decisionlog.Entry) bool {
 		switch {
 		case o.Number == t.Number:
-		case o.Number < t.Number && o.Ended && linkedBy(o, t) != "" && t.Began-o.Last() >= 0 && t.Began-o.Last() < backWithin:
-			if before == nil || better(o, before, t) || tie(o, t) == tie(before, t) && o.Last() > before.Last() {
+		case o.Number < t.Number && o.Ended && linkedBy(o, t) != "" && t.StartedAt-o.LastEventAt() >= 0 && t.StartedAt-o.LastEventAt() < backWithin:
+			if before == nil || better(o, before, t) || tie(o, t) == tie(before, t) && o.LastEventAt() > before.LastEventAt() {
 				before = o.Clone()
 			}
-		case o.Number > t.Number && t.Ended && linkedBy(t, o) != "" && o.Began-t.Last() >= 0 && o.Began-t.Last() < backWithin:
-			if after == nil || better(o, after, t) || tie(o, t) == tie(after, t) && o.Began < after.Began {
+		case o.Number > t.Number && t.Ended && linkedBy(t, o) != "" && o.StartedAt-t.LastEventAt() >= 0 && o.StartedAt-t.LastEventAt() < backWithin:
+			if after == nil || better(o, after, t) || tie(o, t) == tie(after, t) && o.StartedAt < after.StartedAt {
 				after = o.Clone()
 			}
 		}
@@ -421,7 +421,7 @@
 // ties in order of their certainty.
 var ties = []string{"name", "flow", "group"}
 
-func tie(x, y *record.Transaction) string {
+func tie(x, y *decisionlog.Entry) string {
 	switch {
 	case x.Name != "" && x.Name == y.Name && x.Front == y.Front:
 		return "name"
@@ -433,26 +433,26 @@
 	return ""
 }
 
-func better(x, y, of *record.Transaction) bool {
+func better(x, y, of *decisionlog.Entry) bool {
 	return slices.Index(ties, tie(x, of)) < slices.Index(ties, tie(y, of))
 }
 
 // linkedBy tells by what the later of two is its client's next, if it is.
-func linkedBy(first, then *record.Transaction) string {
+func linkedBy(first, then *decisionlog.Entry) string {
 	by := tie(first, then)
-	if by != "group" || then.Return && gone(first) {
+	if by != "group" || then.Returning && gone(first) {
 		return by
 	}
 	return ""
 }
 
 // gone tells whether a transaction's client was moved or cut off.
-func gone(t *record.Transaction) bool {
-	f, ok := t.Answer()
+func gone(t *decisionlog.Entry) bool {
+	f, ok := t.Result()
 	return ok && (f.End == registry.EndMigrated || f.End == registry.EndHeartbeatTimeout || f.End == registry.EndClosed && f.Status != balancer.StatusOK && f.Status != balancer.StatusCancelled)
 }
 
-func sameAs(x, y *record.Transaction) string {
+func sameAs(x, y *decisionlog.Entry) string {
 	switch tie(x, y) {
 	case "name":
 		return "of the same name"
--- a/internal/why/ask.go
+++ b/internal/why/ask.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 
 	"lockroad/balancer"
-	"lockroad/internal/record"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/registry"
 )
 
@@ -178,7 +178,7 @@
 }
 
 // choose returns the transactions asked for, the youngest first, and how many there are.
-func (w *Teller) choose(q Question) ([]*record.Transaction, int, error) {
+func (w *Teller) choose(q Question) ([]*decisionlog.Entry, int, error) {
 	if q.Of != "" {
 		all, err := w.named(q.Of)
 		return all, len(all), err
@@ -189,12 +189,12 @@
 	}
 	most := cmp.Or(q.Most, MostUsual)
 	now := w.Record.Clock().Now()
-	var all []*record.Transaction
+	var all []*decisionlog.Entry
 	total := 0
 	byAge := func() {
-		slices.SortFunc(all, func(x, y *record.Transaction) int { return cmp.Compare(y.Number, x.Number) })
+		slices.SortFunc(all, func(x, y *decisionlog.Entry) int { return cmp.Compare(y.Number, x.Number) })
 	}
-	w.Record.Each(func(t *record.Transaction) bool {
+	w.Record.Each(func(t *decisionlog.Entry) bool {
 		if holds(t, now) {
 			total++
 			if all = append(all, t.Clone()); len(all) >= 4*most {
@@ -209,33 +209,33 @@
 }
 
 // named returns what a number or a name stands for.
-func (w *Teller) named(of string) ([]*record.Transaction, error) {
+func (w *Teller) named(of string) ([]*decisionlog.Entry, error) {
 	byName, err := w.Record.Name(of)
 	if err == nil {
 		return byName[:min(len(byName), MostUsual)], nil
 	}
 	n, bad := strconv.ParseUint(of, 10, 64)
 	if bad != nil || len(of) > 12 {
-		if s := w.Record.Stats(); errors.Is(err, record.ErrGone) {
+		if s := w.Record.Stats(); errors.Is(err, decisionlog.ErrEvicted) {
 			return nil, fmt.Errorf("%w: %s%s", err, strings.TrimSuffix(w.reach(), "\n"), more(s))
 		}
 		return nil, err
 	}
 	t, err := w.Record.Number(n)
-	if errors.Is(err, record.ErrGone) {
+	if errors.Is(err, decisionlog.ErrEvicted) {
 		return nil, fmt.Errorf("%w: %s", err, strings.TrimSuffix(w.reach(), "\n"))
 	}
 	if err != nil {
 		return nil, err
 	}
-	return []*record.Transaction{t}, nil
+	return []*decisionlog.Entry{t}, nil
 }
 
-func more(s record.Stats) string {
-	if s.Lost == 0 {
+func more(s decisionlog.Stats) string {
+	if s.EventsLost == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d steps found no room", s.Lost)
+	return fmt.Sprintf("; %d steps found no room", s.EventsLost)
 }
 
 // facets are what transactions are counted by.
@@ -259,17 +259,17 @@
 }
 
 // add counts a transaction.
-func (c *counter) add(t *record.Transaction) {
+func (c *counter) add(t *decisionlog.Entry) {
 	c.total++
 	decided := false
-	for i := range t.Steps {
-		if t.Steps[i].Kind != record.Decided {
+	for i := range t.Events {
+		if t.Events[i].Kind != decisionlog.EventDecision {
 			continue
 		}
-		d, outcome := &t.Steps[i].Decision, ""
-		for j := i + 1; j < len(t.Steps) && d.Verdict == balancer.VerdictSent && t.Steps[j].Kind != record.Decided; j++ {
-			if t.Steps[j].Kind == record.PassBack {
-				outcome = registry.StatusNames[t.Steps[j].How]
+		d, outcome := &t.Events[i].Decision, ""
+		for j := i + 1; j < len(t.Events) && d.Verdict == balancer.VerdictSent && t.Events[j].Kind != decisionlog.EventDecision; j++ {
+			if t.Events[j].Kind == decisionlog.EventAttemptEnded {
+				outcome = registry.StatusNames[t.Events[j].Status]
 				break
 			}
 		}
@@ -281,7 +281,7 @@
 	}
 }
 
-func (c *counter) count(t *record.Transaction, d *balancer.Decision, outcome string) {
+func (c *counter) count(t *decisionlog.Entry, d *balancer.Decision, outcome string) {
 	c.key = c.key[:0]
 	for i, f := range c.by {
 		if i > 0 {
@@ -299,7 +299,7 @@
 	}
 }
 
-func (c *counter) cell(t *record.Transaction, d *balancer.Decision, outcome, facet string) string {
+func (c *counter) cell(t *decisionlog.Entry, d *balancer.Decision, outcome, facet string) string {
 	switch facet {
 	case "class":
 		return t.Class
@@ -308,15 +308,15 @@
 	case "front":
 		return t.Front
 	case "answer":
-		return t.AnswerName()
+		return t.ResultName()
 	case "cause":
-		if f, ok := t.Answer(); ok {
+		if f, ok := t.Result(); ok {
 			return f.Cause.String()
 		}
 	case "group":
 		return fmt.Sprintf("%016x", t.Group)
 	case "passes":
-		return strconv.Itoa(len(t.Passes()))
+		return strconv.Itoa(len(t.Attempts()))
 	case "outcome":
 		return outcome
 	case "server":
@@ -357,7 +357,7 @@
 		}
 	} else {
 		now := w.Record.Clock().Now()
-		w.Record.Each(func(t *record.Transaction) bool {
+		w.Record.Each(func(t *decisionlog.Entry) bool {
 			if holds(t, now) {
 				c.add(t)
 			}
--- a/internal/why/core_test.go
+++ b/internal/why/core_test.go
@@ -12,8 +12,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
 
@@ -67,7 +67,7 @@
 			Classes: []balancer.Class{{LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second}}, Relays: 1, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
 			ConnectTimeout: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 		}, 1, proxy.NewClock())
-		r, err := record.New(record.LeastBytes, k.Clock)
+		r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,7 +142,7 @@
 	for _, asked := range []bool{false, true} {
 		b.Run(fmt.Sprintf("asked=%v", asked), func(b *testing.B) {
 			clock := proxy.NewClock()
-			r, err := record.New(record.DefaultBytes, clock)
+			r, err := decisionlog.New(decisionlog.DefaultBytes, clock)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/why/golden_test.go
+++ b/internal/why/golden_test.go
@@ -9,28 +9,28 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/golden"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
 
 // fullTransaction has every field set that an account tells of.
-func fullTransaction(began time.Duration) *record.Transaction {
+func fullTransaction(began time.Duration) *decisionlog.Entry {
 	decision := balancer.Decision{
 		At: began, Verdict: balancer.VerdictSent, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: 1, Wait: 1500 * time.Microsecond, TimeLeft: 2 * time.Second,
 		ReadyEndpoints: 3, SlowShare: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, Preferred: 1,
 		Considered: []balancer.ConsideredEndpoint{belief(1, 0), belief(2, balancer.ExcludedSlow|balancer.ExcludedDraining)},
 	}
-	return &record.Transaction{
-		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, Began: began,
-		Patience: 2 * time.Second, Load: 0.00025, Return: true, Cut: true, Full: true, Eventful: true, Pinned: true, Ended: true,
-		Steps: []record.Step{
-			{Kind: record.Decided, At: began, Decision: decision, Again: 5},
-			{Kind: record.PassOut, At: began + time.Millisecond, Server: 1},
-			{Kind: record.PassBack, At: began + 20*time.Millisecond, Server: 1, How: balancer.StatusOK},
-			{Kind: record.Up, At: began + 21*time.Millisecond},
-			{Kind: record.Final, At: began + 3*time.Second, Final: proxy.Result{
+	return &decisionlog.Entry{
+		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, StartedAt: began,
+		TimeLimit: 2 * time.Second, Load: 0.00025, Returning: true, HeadEvicted: true, EventsOmitted: true, Notable: true, Pinned: true, Ended: true,
+		Events: []decisionlog.Event{
+			{Kind: decisionlog.EventDecision, At: began, Decision: decision, Repeats: 5},
+			{Kind: decisionlog.EventAttemptStarted, At: began + time.Millisecond, Endpoint: 1},
+			{Kind: decisionlog.EventAttemptEnded, At: began + 20*time.Millisecond, Endpoint: 1, Status: balancer.StatusOK},
+			{Kind: decisionlog.EventEstablished, At: began + 21*time.Millisecond},
+			{Kind: decisionlog.EventEnded, At: began + 3*time.Second, Result: proxy.Result{
 				End: registry.EndRejected, Cause: proxy.CauseConnectionLimit, RetryAfter: 800 * time.Millisecond, Status: balancer.StatusReset}},
 		},
 	}
@@ -83,24 +83,24 @@
 	in(t, func(h *hall) {
 		transaction := fullTransaction(h.from)
 		var b strings.Builder
-		tell := func(s record.Step) {
+		tell := func(s decisionlog.Event) {
 			step := h.w.step(transaction, &s, 0)
 			fmt.Fprintf(&b, "%s|%s|%s|%s\n", step.What, step.Reason, step.Outcome, step.Text)
 		}
 		for verdict := range balancer.VerdictNames {
 			for reason := range balancer.ReasonNames {
-				s := transaction.Steps[0]
+				s := transaction.Events[0]
 				s.Decision.Verdict, s.Decision.Reason = balancer.Verdict(verdict), balancer.Reason(reason)
 				tell(s)
 			}
 		}
 		for status := range registry.StatusNames {
-			tell(record.Step{Kind: record.PassBack, At: h.from, Server: 2, How: balancer.AttemptStatus(status)})
+			tell(decisionlog.Event{Kind: decisionlog.EventAttemptEnded, At: h.from, Endpoint: 2, Status: balancer.AttemptStatus(status)})
 		}
 		for end := range registry.EndNames {
 			for cause := range proxy.CauseNames {
 				for status := range registry.StatusNames {
-					tell(record.Step{Kind: record.Final, At: h.from, Final: proxy.Result{
+					tell(decisionlog.Event{Kind: decisionlog.EventEnded, At: h.from, Result: proxy.Result{
 						End: registry.End(end), Cause: proxy.EndCause(cause), Status: balancer.AttemptStatus(status), RetryAfter: time.Second}})
 				}
 			}
@@ -129,7 +129,7 @@
 	list("outcomes", registry.StatusNames)
 	list("bars", balancer.ExclusionNames[:])
 	list("ties", ties)
-	list("kinds", record.Kinds[:])
+	list("kinds", decisionlog.CategoryNames[:])
 	var compared []string
 	for word := range operators {
 		compared = append(compared, word)
--- a/internal/why/query.go
+++ b/internal/why/query.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 	"lockroad/internal/sexp"
 )
@@ -23,10 +23,10 @@
 }
 
 // Query chooses transactions.
-type Query func(t *record.Transaction, now time.Duration) bool
+type Query func(t *decisionlog.Entry, now time.Duration) bool
 
 // Everything chooses all.
-func Everything(*record.Transaction, time.Duration) bool { return true }
+func Everything(*decisionlog.Entry, time.Duration) bool { return true }
 
 // field is a form that a query may have besides and, or and not.
 type field struct {
@@ -43,19 +43,19 @@
 
 func init() {
 	fields = []field{
-		{"number", "N ...", "these numbers", oneOf(nil, func(t *record.Transaction) []string { return []string{strconv.FormatUint(t.Number, 10)} })},
-		{"name", "NAME ...", "as the client calls it", oneOf(nil, func(t *record.Transaction) []string { return []string{t.Name} })},
-		{"flow", "KEY ...", "the flow's key, in hexadecimal", keyed(func(t *record.Transaction) uint64 { return t.Item })},
-		{"group", "KEY ...", "the group, in hexadecimal", keyed(func(t *record.Transaction) uint64 { return t.Group })},
-		{"class", "CLASS ...", "its class", oneOf(nil, func(t *record.Transaction) []string { return []string{t.Class} })},
-		{"tenant", "TENANT ...", "whose it is", oneOf(nil, func(t *record.Transaction) []string { return []string{t.Tenant} })},
-		{"front", "FRONT ...", "the front that it came by", oneOf(nil, func(t *record.Transaction) []string { return []string{t.Front} })},
+		{"number", "N ...", "these numbers", oneOf(nil, func(t *decisionlog.Entry) []string { return []string{strconv.FormatUint(t.Number, 10)} })},
+		{"name", "NAME ...", "as the client calls it", oneOf(nil, func(t *decisionlog.Entry) []string { return []string{t.Name} })},
+		{"flow", "KEY ...", "the flow's key, in hexadecimal", keyed(func(t *decisionlog.Entry) uint64 { return t.Item })},
+		{"group", "KEY ...", "the group, in hexadecimal", keyed(func(t *decisionlog.Entry) uint64 { return t.Group })},
+		{"class", "CLASS ...", "its class", oneOf(nil, func(t *decisionlog.Entry) []string { return []string{t.Class} })},
+		{"tenant", "TENANT ...", "whose it is", oneOf(nil, func(t *decisionlog.Entry) []string { return []string{t.Tenant} })},
+		{"front", "FRONT ...", "the front that it came by", oneOf(nil, func(t *decisionlog.Entry) []string { return []string{t.Front} })},
 		{"server", "SERVER ...", "sent to one of these", onServer},
 		{"answer", "ANSWER ...", "how it ended, or how far it has come: " + strings.Join(answers, ", "),
-			oneOf(answers, func(t *record.Transaction) []string { return []string{t.AnswerName()} })},
+			oneOf(answers, func(t *decisionlog.Entry) []string { return []string{t.ResultName()} })},
 		{"cause", "CAUSE ...", "why it ended where the module did not decide it: " + strings.Join(proxy.CauseNames[:], ", "),
-			oneOf(proxy.CauseNames[:], func(t *record.Transaction) []string {
-				if f, ok := t.Answer(); ok {
+			oneOf(proxy.CauseNames[:], func(t *decisionlog.Entry) []string {
+				if f, ok := t.Result(); ok {
 					return []string{f.Cause.String()}
 				}
 				return nil
@@ -65,30 +65,30 @@
 		{"verdict", "VERDICT ...", "a decision was this: " + strings.Join(balancer.VerdictNames[:], ", "),
 			oneOf(balancer.VerdictNames[:], decisions(func(d *balancer.Decision) string { return d.Verdict.String() }))},
 		{"outcome", "OUTCOME ...", "a pass ended so: " + strings.Join(registry.StatusNames, ", "),
-			oneOf(registry.StatusNames, func(t *record.Transaction) (all []string) {
-				for _, p := range t.Passes() {
-					if !p.Out {
-						all = append(all, registry.StatusNames[p.How])
+			oneOf(registry.StatusNames, func(t *decisionlog.Entry) (all []string) {
+				for _, p := range t.Attempts() {
+					if !p.InProgress {
+						all = append(all, registry.StatusNames[p.Status])
 					}
 				}
 				return all
 			})},
-		{"since", "TIME", "it came, or something happened to it, within this time, such as 5m", within(func(t *record.Transaction, from time.Duration) bool { return t.Last() >= from })},
-		{"until", "TIME", "it came longer ago than this", within(func(t *record.Transaction, from time.Duration) bool { return t.Began <= from })},
+		{"since", "TIME", "it came, or something happened to it, within this time, such as 5m", within(func(t *decisionlog.Entry, from time.Duration) bool { return t.LastEventAt() >= from })},
+		{"until", "TIME", "it came longer ago than this", within(func(t *decisionlog.Entry, from time.Duration) bool { return t.StartedAt <= from })},
 		{"passes", "OP N", "how many passes it had, with one of = < > <= >=", compared(func(n *sexp.Node) (float64, error) {
 			v, err := n.Whole()
 			return float64(v), err
-		}, func(t *record.Transaction) (float64, bool) { return float64(len(t.Passes())), true })},
+		}, func(t *decisionlog.Entry) (float64, bool) { return float64(len(t.Attempts())), true })},
 		{"took", "OP TIME", "time from its coming to its answer", compared(func(n *sexp.Node) (float64, error) {
 			v, err := n.Duration()
 			return float64(v), err
-		}, func(t *record.Transaction) (float64, bool) {
+		}, func(t *decisionlog.Entry) (float64, bool) {
 			d, ok := answered(t)
 			return float64(d), ok
 		})},
-		{"return", "", "its client was back after a move or a break", flag(func(t *record.Transaction) bool { return t.Return })},
-		{"eventful", "", "refused, failed, retried, made to wait or moved off a slow server", flag(func(t *record.Transaction) bool { return t.Eventful })},
-		{"pinned", "", "kept by hand", flag(func(t *record.Transaction) bool { return t.Pinned })},
+		{"return", "", "its client was back after a move or a break", flag(func(t *decisionlog.Entry) bool { return t.Returning })},
+		{"eventful", "", "refused, failed, retried, made to wait or moved off a slow server", flag(func(t *decisionlog.Entry) bool { return t.Notable })},
+		{"pinned", "", "kept by hand", flag(func(t *decisionlog.Entry) bool { return t.Pinned })},
 	}
 }
 
@@ -125,7 +125,7 @@
 			}
 		}
 		wanted := head == "or"
-		return func(t *record.Transaction, now time.Duration) bool {
+		return func(t *decisionlog.Entry, now time.Duration) bool {
 			for _, q := range all {
 				if q(t, now) == wanted {
 					return wanted
@@ -141,7 +141,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return func(t *record.Transaction, now time.Duration) bool { return !q(t, now) }, nil
+		return func(t *decisionlog.Entry, now time.Duration) bool { return !q(t, now) }, nil
 	}
 	for _, f := range fields {
 		if f.name == head {
@@ -157,7 +157,7 @@
 
 // oneOf is a field that has one of the words that are given; all of them have to be
 // known, where there is a closed set.
-func oneOf(closed []string, of func(*record.Transaction) []string) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
+func oneOf(closed []string, of func(*decisionlog.Entry) []string) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
 	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
 		want, err := at.Values()
 		if err != nil {
@@ -168,17 +168,17 @@
 				return nil, args[i].Errorf("%s is never %q; expected one of %s", at.List.Items[0], w, strings.Join(closed, ", "))
 			}
 		}
-		return func(t *record.Transaction, _ time.Duration) bool {
+		return func(t *decisionlog.Entry, _ time.Duration) bool {
 			return slices.ContainsFunc(of(t), func(w string) bool { return slices.Contains(want, w) })
 		}, nil
 	}
 }
 
-func decisions(of func(*balancer.Decision) string) func(*record.Transaction) []string {
-	return func(t *record.Transaction) (all []string) {
-		for i := range t.Steps {
-			if t.Steps[i].Kind == record.Decided {
-				all = append(all, of(&t.Steps[i].Decision))
+func decisions(of func(*balancer.Decision) string) func(*decisionlog.Entry) []string {
+	return func(t *decisionlog.Entry) (all []string) {
+		for i := range t.Events {
+			if t.Events[i].Kind == decisionlog.EventDecision {
+				all = append(all, of(&t.Events[i].Decision))
 			}
 		}
 		return all
@@ -186,7 +186,7 @@
 }
 
 // keyed is a field that is a number written in hexadecimal.
-func keyed(of func(*record.Transaction) uint64) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
+func keyed(of func(*decisionlog.Entry) uint64) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
 	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
 		want, err := at.Values()
 		if err != nil {
@@ -198,7 +198,7 @@
 				return nil, args[i].Errorf("%q is no hexadecimal number of 64 bits", w)
 			}
 		}
-		return func(t *record.Transaction, _ time.Duration) bool { return slices.Contains(keys, of(t)) }, nil
+		return func(t *decisionlog.Entry, _ time.Duration) bool { return slices.Contains(keys, of(t)) }, nil
 	}
 }
 
@@ -214,15 +214,15 @@
 			return nil, args[i].Errorf("no list has named an application server %q", w)
 		}
 	}
-	return func(t *record.Transaction, _ time.Duration) bool {
-		return slices.ContainsFunc(t.Steps, func(s record.Step) bool {
-			return s.Kind == record.PassOut && slices.Contains(ids, s.Server) ||
-				s.Kind == record.Decided && s.Decision.Verdict != balancer.VerdictHeld && s.Decision.Endpoint != 0 && slices.Contains(ids, s.Decision.Endpoint)
+	return func(t *decisionlog.Entry, _ time.Duration) bool {
+		return slices.ContainsFunc(t.Events, func(s decisionlog.Event) bool {
+			return s.Kind == decisionlog.EventAttemptStarted && slices.Contains(ids, s.Endpoint) ||
+				s.Kind == decisionlog.EventDecision && s.Decision.Verdict != balancer.VerdictHeld && s.Decision.Endpoint != 0 && slices.Contains(ids, s.Decision.Endpoint)
 		})
 	}, nil
 }
 
-func within(holds func(t *record.Transaction, from time.Duration) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
+func within(holds func(t *decisionlog.Entry, from time.Duration) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
 	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
 		if len(args) != 1 {
 			return nil, at.Errorf("%s wants one time, such as 5m", at.List.Items[0])
@@ -231,7 +231,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return func(t *record.Transaction, now time.Duration) bool { return holds(t, now-d) }, nil
+		return func(t *decisionlog.Entry, now time.Duration) bool { return holds(t, now-d) }, nil
 	}
 }
 
@@ -240,7 +240,7 @@
 	"<=": func(x, y float64) bool { return x <= y }, ">=": func(x, y float64) bool { return x >= y },
 }
 
-func compared(read func(*sexp.Node) (float64, error), of func(*record.Transaction) (float64, bool)) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
+func compared(read func(*sexp.Node) (float64, error), of func(*decisionlog.Entry) (float64, bool)) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
 	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
 		if len(args) != 2 {
 			return nil, at.Errorf("%s wants a comparison and a value, such as >= 2", at.List.Items[0])
@@ -257,28 +257,28 @@
 		if err != nil {
 			return nil, err
 		}
-		return func(t *record.Transaction, _ time.Duration) bool {
+		return func(t *decisionlog.Entry, _ time.Duration) bool {
 			v, ok := of(t)
 			return ok && holds(v, limit)
 		}, nil
 	}
 }
 
-func flag(of func(*record.Transaction) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
+func flag(of func(*decisionlog.Entry) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
 	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
 		if len(args) != 0 {
 			return nil, args[0].Errorf("%s takes no value", at.List.Items[0])
 		}
-		return func(t *record.Transaction, _ time.Duration) bool { return of(t) }, nil
+		return func(t *decisionlog.Entry, _ time.Duration) bool { return of(t) }, nil
 	}
 }
 
 // answered is how long a transaction took to its answer: until it was up, or to the
 // unavailable or failed answer.
-func answered(t *record.Transaction) (time.Duration, bool) {
-	for _, s := range t.Steps {
-		if s.Kind == record.Up || s.Kind == record.Final {
-			return s.At - t.Began, true
+func answered(t *decisionlog.Entry) (time.Duration, bool) {
+	for _, s := range t.Events {
+		if s.Kind == decisionlog.EventEstablished || s.Kind == decisionlog.EventEnded {
+			return s.At - t.StartedAt, true
 		}
 	}
 	return 0, false
--- a/internal/why/shelf.go
+++ b/internal/why/shelf.go
@@ -16,7 +16,7 @@
 // the transaction's own goroutine, as it makes words.
 func (w *Teller) Keep(number uint64) {
 	t, err := w.Record.Number(number)
-	if err != nil || !t.Eventful && !t.Pinned {
+	if err != nil || !t.Notable && !t.Pinned {
 		return
 	}
 	a := w.account(t)
--- a/internal/why/why_test.go
+++ b/internal/why/why_test.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
 	"lockroad/internal/proxy"
-	"lockroad/internal/record"
 	"lockroad/internal/registry"
 )
 
@@ -18,7 +18,7 @@
 type hall struct {
 	t    *testing.T
 	farm *registry.Endpoints
-	r    *record.Record
+	r    *decisionlog.Log
 	w    *Teller
 	next uint64
 	from time.Duration
@@ -28,7 +28,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		clock := proxy.NewClock()
-		r, err := record.New(record.LeastBytes, clock)
+		r, err := decisionlog.New(decisionlog.MinBytes, clock)
 		if err != nil {
 			t.Fatal(err)
 		}
