--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -20,10 +20,10 @@
 	"lockroad/internal/console"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/demo"
+	"lockroad/internal/explain"
 	"lockroad/internal/lifecycle"
 	"lockroad/internal/logs"
 	"lockroad/internal/screen"
-	"lockroad/internal/why"
 )
 
 // logKept is how many lines of the log the console can tell.
@@ -287,7 +287,7 @@
   lockroad why --by server,reason --where '(since 10m)'
 
 A query is one of:
-` + why.Help()
+` + explain.Help()
 }
 
 // Validate wants one way to choose.
@@ -300,7 +300,7 @@
 
 // Run asks.
 func (c *whyCommand) Run(s streams) error {
-	q := why.Question{Of: c.Of, Where: c.Where, By: c.By, Most: c.Most, JSON: c.JSON}
+	q := explain.Query{Subject: c.Of, Where: c.Where, By: c.By, Limit: c.Most, JSON: c.JSON}
 	return c.run("why "+q.Line(), s)
 }
 
--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -7,9 +7,9 @@
 	"io"
 	"time"
 
+	"lockroad/internal/explain"
 	"lockroad/internal/persistence"
 	"lockroad/internal/store"
-	"lockroad/internal/why"
 )
 
 // storeCommand looks after the folder that a relay keeps things in.
@@ -130,10 +130,10 @@
 	if err != nil {
 		return err
 	}
-	table := &store.Table[why.Account]{Store: kept, Kind: persistence.KindDecisions, Version: 1}
+	table := &store.Table[explain.Explanation]{Store: kept, Kind: persistence.KindDecisions, Version: 1}
 	var keys []string
-	err = table.Each(false, func(key string, _ time.Time, a why.Account) bool {
-		if a.Of(c.Of) {
+	err = table.Each(false, func(key string, _ time.Time, a explain.Explanation) bool {
+		if a.Matches(c.Of) {
 			keys = append(keys, key)
 		}
 		return true
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -18,10 +18,10 @@
 	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/decisionlog"
+	"lockroad/internal/explain"
 	"lockroad/internal/healthcheck"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
-	"lockroad/internal/why"
 )
 
 const (
@@ -41,9 +41,9 @@
 	Name   string
 	Core   *proxy.Proxy
 	Fronts []Fronts
-	Drain  func()      // has the relay leave
-	Why    *why.Teller // tells of decisions; nil: none are kept
-	Keeper Keeper      // takes orders; nil: none are taken
+	Drain  func()             // has the relay leave
+	Why    *explain.Explainer // tells of decisions; nil: none are kept
+	Keeper Keeper             // takes orders; nil: none are taken
 	// Reload has the configuration's file taken, and tells what changes; with dry it only tells.
 	Reload func(ctx context.Context, dry bool) ([]string, error)
 	Health func() (all []healthcheck.EndpointHealth, doubts bool) // of a site's servers; nil: discovery tells of them
@@ -312,7 +312,7 @@
 			}
 		})
 	case "why":
-		fmt.Fprintf(w, "why NUMBER|NAME|FLOW\nwhy [--json] [--most N] [--by FIELD,...] [(QUERY)]\n\nA query is one of\n%s", why.Help())
+		fmt.Fprintf(w, "why NUMBER|NAME|FLOW\nwhy [--json] [--most N] [--by FIELD,...] [(QUERY)]\n\nA query is one of\n%s", explain.Help())
 	default:
 		return fmt.Errorf("there is more to tell of why only, not of %q", a.words)
 	}
@@ -326,7 +326,7 @@
 	if d.Why == nil {
 		return errNoRecord
 	}
-	q, err := why.ParseLine(a.words)
+	q, err := explain.ParseLine(a.words)
 	if err != nil {
 		return err
 	}
@@ -343,7 +343,7 @@
 		if err != nil {
 			return fmt.Errorf("%q is no transaction's number; why tells it", a.words)
 		}
-		if err := d.Why.Record.Pin(number, on); err != nil {
+		if err := d.Why.Log.Pin(number, on); err != nil {
 			return err
 		}
 		if on && d.Keeper != nil {
@@ -360,7 +360,7 @@
 		return errNoRecord
 	}
 	return plain(func(d *Desk, w io.Writer) {
-		s := d.Why.Record.Stats()
+		s := d.Why.Log.Stats()
 		table(w, []string{"KIND", "KEPT", "SHARE", "NO LONGER KEPT"}, func(row func(...any)) {
 			for _, kind := range decisionlog.CategoryNames {
 				row(kind, s.Entries[kind], fmt.Sprintf("%.1f%%", 100*float64(s.BlocksInUse[kind])/float64(s.Blocks)), s.Dropped[kind])
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -16,10 +16,10 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/decisionlog"
+	"lockroad/internal/explain"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/steps"
-	"lockroad/internal/why"
 )
 
 // start opens a console on a relay with something to show, and returns its
@@ -44,7 +44,7 @@
 	tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
 	drains := 0
-	d := &Desk{Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}}, Why: &why.Teller{Record: r, Names: k.Endpoints}, Drain: func() {
+	d := &Desk{Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}}, Why: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {
 		mu.Lock()
 		defer mu.Unlock()
 		drains++
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -12,13 +12,13 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/decisionlog"
+	"lockroad/internal/explain"
 	"lockroad/internal/golden"
 	"lockroad/internal/healthcheck"
 	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/store"
-	"lockroad/internal/why"
 )
 
 // fixedKeeper has two orders in force and a store with every figure set.
@@ -110,7 +110,7 @@
 		synctest.Wait()
 		do(&Desk{
 			Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
-			Why: &why.Teller{Record: r, Names: k.Endpoints}, Drain: func() {}, Keeper: &fixedKeeper{since: time.Now()},
+			Why: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {}, Keeper: &fixedKeeper{since: time.Now()},
 			Reload: func(_ context.Context, dry bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,9 +27,9 @@
 	spanpb "go.opentelemetry.io/proto/otlp/trace/v1"
 
 	"lockroad/internal/console"
+	"lockroad/internal/explain"
 	"lockroad/internal/lifecycle"
 	"lockroad/internal/standin"
-	"lockroad/internal/why"
 )
 
 // Options are what a demonstration is to be like.
@@ -271,7 +271,7 @@
 
 // ask asks for random transactions that clients had, and holds each answer against
 // what clients and servers saw.
-func (d *run) ask() (map[string]*why.Account, error) {
+func (d *run) ask() (map[string]*explain.Explanation, error) {
 	visits := d.site.Ledger.Visits()
 	d.result.Visits = len(visits)
 	byName := make(map[string][]standin.Pass)
@@ -282,7 +282,7 @@
 	}
 	down := d.downs()
 	order := d.rng.Perm(len(visits))
-	accounts := make(map[string]*why.Account)
+	accounts := make(map[string]*explain.Explanation)
 	for _, i := range order[:min(len(order), d.Asks)] {
 		v := visits[i]
 		name := v.Name
@@ -302,7 +302,7 @@
 			}
 			continue
 		}
-		a := &why.Account{}
+		a := &explain.Explanation{}
 		if err := json.Unmarshal([]byte(text), a); err != nil {
 			return nil, fmt.Errorf("the answer on %s: %w", name, err)
 		}
@@ -328,7 +328,7 @@
 }
 
 // summary writes how it went by class, and some answers to read.
-func (d *run) summary(_ map[string]*why.Account) error {
+func (d *run) summary(_ map[string]*explain.Explanation) error {
 	t := tabwriter.NewWriter(d.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "\nCLASS\tASKED\tUP\tUNAVAILABLE\tFAILED\tNO ANSWER\tMOVED\tSET-UP p50\tp99")
 	d.result.ByAnswer = make(map[string]int)
@@ -380,7 +380,7 @@
 
 // match holds one answer against what the stand-ins saw.
 type match struct {
-	account *why.Account
+	account *explain.Explanation
 	visit   standin.Visit
 	passes  []standin.Pass
 	down    map[string][]time.Time
@@ -403,11 +403,11 @@
 
 func (m *match) told() []seenPass {
 	var all []seenPass
-	for _, s := range m.account.Steps {
-		at := m.account.Came.Add(time.Duration(s.After * float64(time.Millisecond)))
+	for _, s := range m.account.Events {
+		at := m.account.ReceivedAt.Add(time.Duration(s.AfterMS * float64(time.Millisecond)))
 		switch s.What {
 		case "pass":
-			all = append(all, seenPass{server: s.Server, began: at})
+			all = append(all, seenPass{server: s.Endpoint, began: at})
 		case "outcome":
 			if n := len(all); n > 0 {
 				all[n-1].outcome, all[n-1].ended = s.Outcome, at
@@ -420,10 +420,10 @@
 // run returns what does not match.
 func (m *match) run() []string {
 	a, v := m.account, m.visit
-	if a.Class != v.Class || a.Front != v.Front || strings.TrimLeft(a.Flow, "0") != strings.TrimLeft(v.Flow, "0") || a.Return != v.Again {
+	if a.Class != v.Class || a.Front != v.Front || strings.TrimLeft(a.Flow, "0") != strings.TrimLeft(v.Flow, "0") || a.Returning != v.Again {
 		m.badf("the client was %s of %s by %s, again %v", v.Flow, v.Class, v.Front, v.Again)
 	}
-	if a.Cut {
+	if a.HeadEvicted {
 		return m.bad // what is left of it is only its end
 	}
 	seen := m.passes
@@ -487,24 +487,24 @@
 // answers holds the final answer against what the client was told.
 func (m *match) answers() {
 	a, v := m.account, m.visit
-	stood := slices.ContainsFunc(a.Steps, func(s why.Step) bool { return s.What == "up" })
-	last := a.Steps[len(a.Steps)-1]
+	stood := slices.ContainsFunc(a.Events, func(s explain.Event) bool { return s.What == "up" })
+	last := a.Events[len(a.Events)-1]
 	switch v.Answer {
 	case "up":
 		if !stood {
-			m.badf("the client was up, the answer says %s", a.Answer)
+			m.badf("the client was up, the answer says %s", a.Result)
 		}
 	case "unavailable":
-		if a.Answer != "unavailable" || (time.Duration(a.ComeBack*float64(time.Millisecond))-v.Back).Abs() >= 2*time.Millisecond {
-			m.badf("the client was told unavailable, to come back in %v, the answer says %s, in %v ms", v.Back, a.Answer, a.ComeBack)
+		if a.Result != "unavailable" || (time.Duration(a.RetryAfterMS*float64(time.Millisecond))-v.Back).Abs() >= 2*time.Millisecond {
+			m.badf("the client was told unavailable, to come back in %v, the answer says %s, in %v ms", v.Back, a.Result, a.RetryAfterMS)
 		}
 	case "failed":
-		if a.Answer != "failed" {
-			m.badf("the client was told that it has failed, the answer says %s", a.Answer)
+		if a.Result != "failed" {
+			m.badf("the client was told that it has failed, the answer says %s", a.Result)
 		}
 	case "none": // it gave up, or its answer came too late to be read
-		if a.Answer != "client_left" && last.After < v.GiveUp.Seconds()*1000-100 {
-			m.badf("the client had no answer in %v, the answer says %s after %.0f ms", v.Took, a.Answer, last.After)
+		if a.Result != "client_left" && last.AfterMS < v.GiveUp.Seconds()*1000-100 {
+			m.badf("the client had no answer in %v, the answer says %s after %.0f ms", v.Took, a.Result, last.AfterMS)
 		}
 	}
 	if v.Answer != "up" || v.End == "" {
@@ -514,23 +514,23 @@
 		"moved": {"moved", "silent", "ended"}, "broken": {"ended", "silent", "moved"},
 		"bye": {"ended", "moved", "silent"}, "left": {"ended", "moved", "silent", "client_left"}, "dropped": {"ended", "moved", "silent", "client_left"},
 	}[v.End]
-	ended := a.Came.Add(time.Duration(last.After * float64(time.Millisecond)))
-	if v.End == "moved" && (a.Answer == "client_left" || a.Answer == "ended" && strings.Contains(last.Text, "its client ends it")) &&
+	ended := a.ReceivedAt.Add(time.Duration(last.AfterMS * float64(time.Millisecond)))
+	if v.End == "moved" && (a.Result == "client_left" || a.Result == "ended" && strings.Contains(last.Text, "its client ends it")) &&
 		ended.Sub(v.At.Add(v.Took+v.Stood)).Abs() < crossing {
 		m.crossed++ // it went at the word, and was seen to go before the word's own end
 		return
 	}
-	if !slices.Contains(may, a.Answer) {
-		m.badf("the client's connection ended %s, the answer says %s", v.End, a.Answer)
+	if !slices.Contains(may, a.Result) {
+		m.badf("the client's connection ended %s, the answer says %s", v.End, a.Result)
 	}
-	if v.End == "moved" && a.Answer == "ended" && !strings.Contains(last.Text, "sends the client away") {
+	if v.End == "moved" && a.Result == "ended" && !strings.Contains(last.Text, "sends the client away") {
 		m.badf("the client was moved, the answer says that %s", last.Text)
 	}
 }
 
 // matchSpans holds the spans of telemetry against the answers, and returns how many.
-func (d *run) matchSpans(accounts map[string]*why.Account) int {
-	byNumber := make(map[string]*why.Account)
+func (d *run) matchSpans(accounts map[string]*explain.Explanation) int {
+	byNumber := make(map[string]*explain.Explanation)
 	for _, a := range accounts {
 		byNumber[fmt.Sprint(a.Number)] = a
 	}
@@ -560,16 +560,16 @@
 		n++
 		var passes bytes.Buffer
 		reason := ""
-		for _, step := range a.Steps {
+		for _, step := range a.Events {
 			switch {
 			case step.What == "outcome":
-				fmt.Fprintf(&passes, "%s %s;", step.Server, step.Outcome)
+				fmt.Fprintf(&passes, "%s %s;", step.Endpoint, step.Outcome)
 			case step.Reason != "":
 				reason = step.Reason
 			}
 		}
-		if s.answer != a.Answer || s.passes != passes.String() && !a.Cut || s.reason != reason {
-			d.result.Bad = append(d.result.Bad, fmt.Sprintf("transaction %s: telemetry tells %+v, the answer %s, %s, %s", number, *s, a.Answer, reason, passes.String()))
+		if s.answer != a.Result || s.passes != passes.String() && !a.HeadEvicted || s.reason != reason {
+			d.result.Bad = append(d.result.Bad, fmt.Sprintf("transaction %s: telemetry tells %+v, the answer %s, %s, %s", number, *s, a.Result, reason, passes.String()))
 		}
 	}
 	return n
--- a/internal/why/account.go
+++ b/internal/explain/account.go
@@ -1,4 +1,4 @@
-package why
+package explain
 
 import (
 	"cmp"
@@ -16,77 +16,77 @@
 	"lockroad/internal/registry"
 )
 
-// Teller tells of what a record holds.
-type Teller struct {
-	Record *decisionlog.Log
-	Names  Names
-	Shelf  Shelf // of those that outlast a restart; nil: none do
+// Explainer tells of what a record holds.
+type Explainer struct {
+	Log     *decisionlog.Log
+	Names   EndpointNames
+	Archive Archive // of those that outlast a restart; nil: none do
 }
 
-// Account is what there is to tell of a transaction. It and what it holds are written as JSON for operators, and
+// Explanation is what there is to tell of a transaction. It and what it holds are written as JSON for operators, and
 // as CBOR to the store: the names in the tags are those of both forms, and stay whatever the fields are called.
-type Account struct {
-	Number   uint64    `cbor:"number" json:"number"`
-	Front    string    `cbor:"front" json:"front"`
-	Name     string    `cbor:"name" json:"name"`
-	NameCut  bool      `cbor:"name_cut,omitempty" json:"name_cut,omitempty"`
-	Class    string    `cbor:"class" json:"class"`
-	Tenant   string    `cbor:"tenant,omitempty" json:"tenant,omitempty"`
-	Group    string    `cbor:"group,omitempty" json:"group,omitempty"`
-	Flow     string    `cbor:"flow,omitempty" json:"flow,omitempty"`
-	Came     time.Time `cbor:"came" json:"came"`
-	Patience float64   `cbor:"patience_ms" json:"patience_ms"`
-	Load     float64   `cbor:"load_us,omitempty" json:"load_us,omitempty"`
-	Return   bool      `cbor:"return,omitempty" json:"return,omitempty"`
-	Pinned   bool      `cbor:"pinned,omitempty" json:"pinned,omitempty"`
-	Eventful bool      `cbor:"eventful,omitempty" json:"eventful,omitempty"`
-	Cut      bool      `cbor:"first_steps_gone,omitempty" json:"first_steps_gone,omitempty"`
-	Full     bool      `cbor:"steps_left_out,omitempty" json:"steps_left_out,omitempty"`
-	Answer   string    `cbor:"answer" json:"answer"`
-	Cause    string    `cbor:"cause,omitempty" json:"cause,omitempty"`
-	ComeBack float64   `cbor:"come_back_ms,omitempty" json:"come_back_ms,omitempty"`
-	Steps    []Step    `cbor:"steps" json:"steps"`
-	Before   *Link     `cbor:"before,omitempty" json:"before,omitempty"` // the transaction that its client had before
-	After    *Link     `cbor:"after,omitempty" json:"after,omitempty"`   // and the next
+type Explanation struct {
+	Number        uint64          `cbor:"number" json:"number"`
+	Front         string          `cbor:"front" json:"front"`
+	Name          string          `cbor:"name" json:"name"`
+	NameCut       bool            `cbor:"name_cut,omitempty" json:"name_cut,omitempty"`
+	Class         string          `cbor:"class" json:"class"`
+	Tenant        string          `cbor:"tenant,omitempty" json:"tenant,omitempty"`
+	Group         string          `cbor:"group,omitempty" json:"group,omitempty"`
+	Flow          string          `cbor:"flow,omitempty" json:"flow,omitempty"`
+	ReceivedAt    time.Time       `cbor:"came" json:"came"`
+	TimeLimitMS   float64         `cbor:"patience_ms" json:"patience_ms"`
+	Load          float64         `cbor:"load_us,omitempty" json:"load_us,omitempty"`
+	Returning     bool            `cbor:"return,omitempty" json:"return,omitempty"`
+	Pinned        bool            `cbor:"pinned,omitempty" json:"pinned,omitempty"`
+	Notable       bool            `cbor:"eventful,omitempty" json:"eventful,omitempty"`
+	HeadEvicted   bool            `cbor:"first_steps_gone,omitempty" json:"first_steps_gone,omitempty"`
+	EventsOmitted bool            `cbor:"steps_left_out,omitempty" json:"steps_left_out,omitempty"`
+	Result        string          `cbor:"answer" json:"answer"`
+	Cause         string          `cbor:"cause,omitempty" json:"cause,omitempty"`
+	RetryAfterMS  float64         `cbor:"come_back_ms,omitempty" json:"come_back_ms,omitempty"`
+	Events        []Event         `cbor:"steps" json:"steps"`
+	Before        *RelatedRequest `cbor:"before,omitempty" json:"before,omitempty"` // the transaction that its client had before
+	After         *RelatedRequest `cbor:"after,omitempty" json:"after,omitempty"`   // and the next
 
 	ago time.Duration
 }
 
-// Step is one thing that happened.
-type Step struct {
-	After    float64  `cbor:"after_ms" json:"after_ms"` // since the transaction came
-	What     string   `cbor:"what" json:"what"`         // sent, held, refused, failed, moved, pass, outcome, up or end
-	Reason   string   `cbor:"reason,omitempty" json:"reason,omitempty"`
-	Attempt  int      `cbor:"attempt,omitempty" json:"attempt,omitempty"`
-	Server   string   `cbor:"server,omitempty" json:"server,omitempty"`
-	Outcome  string   `cbor:"outcome,omitempty" json:"outcome,omitempty"`
-	Wait     float64  `cbor:"wait_ms,omitempty" json:"wait_ms,omitempty"`
-	Left     float64  `cbor:"left_ms,omitempty" json:"left_ms,omitempty"`
-	Again    int      `cbor:"again,omitempty" json:"again,omitempty"`
-	Ready    int      `cbor:"ready_servers,omitempty" json:"ready_servers,omitempty"`
-	SlowPart float64  `cbor:"slow_part,omitempty" json:"slow_part,omitempty"`
-	Revision uint64   `cbor:"list_revision,omitempty" json:"list_revision,omitempty"`
-	ListAge  *float64 `cbor:"list_age_ms,omitempty" json:"list_age_ms,omitempty"`
-	Believed []Belief `cbor:"believed,omitempty" json:"believed,omitempty"`
-	Instead  string   `cbor:"instead,omitempty" json:"instead,omitempty"` // would have been chosen but for its bars
-	Text     string   `cbor:"text" json:"text"`
+// Event is one thing that happened.
+type Event struct {
+	AfterMS        float64              `cbor:"after_ms" json:"after_ms"` // since the transaction came
+	What           string               `cbor:"what" json:"what"`         // sent, held, refused, failed, moved, pass, outcome, up or end
+	Reason         string               `cbor:"reason,omitempty" json:"reason,omitempty"`
+	Attempt        int                  `cbor:"attempt,omitempty" json:"attempt,omitempty"`
+	Endpoint       string               `cbor:"server,omitempty" json:"server,omitempty"`
+	Outcome        string               `cbor:"outcome,omitempty" json:"outcome,omitempty"`
+	WaitMS         float64              `cbor:"wait_ms,omitempty" json:"wait_ms,omitempty"`
+	TimeLeftMS     float64              `cbor:"left_ms,omitempty" json:"left_ms,omitempty"`
+	Repeats        int                  `cbor:"again,omitempty" json:"again,omitempty"`
+	ReadyEndpoints int                  `cbor:"ready_servers,omitempty" json:"ready_servers,omitempty"`
+	SlowShare      float64              `cbor:"slow_part,omitempty" json:"slow_part,omitempty"`
+	Revision       uint64               `cbor:"list_revision,omitempty" json:"list_revision,omitempty"`
+	ListAgeMS      *float64             `cbor:"list_age_ms,omitempty" json:"list_age_ms,omitempty"`
+	Considered     []ConsideredEndpoint `cbor:"believed,omitempty" json:"believed,omitempty"`
+	Preferred      string               `cbor:"instead,omitempty" json:"instead,omitempty"` // would have been chosen but for its bars
+	Text           string               `cbor:"text" json:"text"`
 }
 
-// Belief is what was held of a server.
-type Belief struct {
-	Server string   `cbor:"server" json:"server"`
-	State  string   `cbor:"state" json:"state"`
-	Bars   []string `cbor:"bars,omitempty" json:"bars,omitempty"`
-	Weight float64  `cbor:"weight" json:"weight"`
-	Warmth float64  `cbor:"warmth" json:"warmth"`
-	Load   float64  `cbor:"load" json:"load"`
-	Pull   float64  `cbor:"pull" json:"pull"`
-	Delay  float64  `cbor:"delay_ms" json:"delay_ms"`
-	Age    *float64 `cbor:"delay_age_ms,omitempty" json:"delay_age_ms,omitempty"`
+// ConsideredEndpoint is what was held of a server.
+type ConsideredEndpoint struct {
+	Endpoint    string   `cbor:"server" json:"server"`
+	State       string   `cbor:"state" json:"state"`
+	Exclusions  []string `cbor:"bars,omitempty" json:"bars,omitempty"`
+	Weight      float64  `cbor:"weight" json:"weight"`
+	Warmth      float64  `cbor:"warmth" json:"warmth"`
+	Load        float64  `cbor:"load" json:"load"`
+	Probability float64  `cbor:"pull" json:"pull"`
+	DelayMS     float64  `cbor:"delay_ms" json:"delay_ms"`
+	DelayAgeMS  *float64 `cbor:"delay_age_ms,omitempty" json:"delay_age_ms,omitempty"`
 }
 
-// Link is a transaction that belongs with another.
-type Link struct {
+// RelatedRequest is a transaction that belongs with another.
+type RelatedRequest struct {
 	Number uint64 `cbor:"number" json:"number"`
 	By     string `cbor:"by" json:"by"` // flow, name or group
 	Answer string `cbor:"answer" json:"answer"`
@@ -114,27 +114,27 @@
 	return d.Round(time.Second).String()
 }
 
-// Account tells of one transaction, with what its client had before and after it.
-func (w *Teller) Account(t *decisionlog.Entry) *Account {
+// Explain tells of one transaction, with what its client had before and after it.
+func (w *Explainer) Explain(t *decisionlog.Entry) *Explanation {
 	a := w.account(t)
 	before, after := w.linked(t)
 	if before != nil {
-		a.Before = &Link{Number: before.Number, By: tie(before, t), Answer: before.ResultName(), Text: fmt.Sprintf(
+		a.Before = &RelatedRequest{Number: before.Number, By: tie(before, t), Answer: before.ResultName(), Text: fmt.Sprintf(
 			"its client came back from %d (%s), %s, %s before", before.Number, sameAs(before, t), w.ending(before), span(t.StartedAt-before.LastEventAt()))}
 	}
 	if after != nil {
-		a.After = &Link{Number: after.Number, By: tie(t, after), Answer: after.ResultName(), Text: fmt.Sprintf(
+		a.After = &RelatedRequest{Number: after.Number, By: tie(t, after), Answer: after.ResultName(), Text: fmt.Sprintf(
 			"its client came again %s later as %d (%s), %s", span(after.StartedAt-t.LastEventAt()), after.Number, sameAs(t, after), w.ending(after))}
 	}
 	return a
 }
 
-func (w *Teller) account(t *decisionlog.Entry) *Account {
-	clock := w.Record.Clock()
-	a := &Account{
-		Number: t.Number, Front: t.Front, Name: t.Name, NameCut: t.NameCut, Class: t.Class, Tenant: t.Tenant, Came: clock.Wall(t.StartedAt),
-		Patience: ms(t.TimeLimit), Load: t.Load * 1e6, Return: t.Returning, Pinned: t.Pinned, Eventful: t.Notable,
-		Cut: t.HeadEvicted, Full: t.EventsOmitted, Answer: t.ResultName(), ago: clock.Now() - t.StartedAt,
+func (w *Explainer) account(t *decisionlog.Entry) *Explanation {
+	clock := w.Log.Clock()
+	a := &Explanation{
+		Number: t.Number, Front: t.Front, Name: t.Name, NameCut: t.NameCut, Class: t.Class, Tenant: t.Tenant, ReceivedAt: clock.Wall(t.StartedAt),
+		TimeLimitMS: ms(t.TimeLimit), Load: t.Load * 1e6, Returning: t.Returning, Pinned: t.Pinned, Notable: t.Notable,
+		HeadEvicted: t.HeadEvicted, EventsOmitted: t.EventsOmitted, Result: t.ResultName(), ago: clock.Now() - t.StartedAt,
 	}
 	if t.Group != 0 {
 		a.Group = fmt.Sprintf("%016x", t.Group)
@@ -143,7 +143,7 @@
 		a.Flow = fmt.Sprintf("%016x", t.Item)
 	}
 	if f, ok := t.Result(); ok {
-		a.ComeBack = ms(f.RetryAfter)
+		a.RetryAfterMS = ms(f.RetryAfter)
 		if f.Cause != proxy.CauseDecided {
 			a.Cause = f.Cause.String()
 		}
@@ -154,28 +154,28 @@
 		if s.Kind == decisionlog.EventEstablished {
 			up = s.At
 		}
-		a.Steps = append(a.Steps, w.step(t, s, up))
+		a.Events = append(a.Events, w.step(t, s, up))
 	}
 	return a
 }
 
 // step tells of one step.
-func (w *Teller) step(t *decisionlog.Entry, s *decisionlog.Event, up time.Duration) Step {
-	out := Step{After: ms(s.At - t.StartedAt)}
+func (w *Explainer) step(t *decisionlog.Entry, s *decisionlog.Event, up time.Duration) Event {
+	out := Event{AfterMS: ms(s.At - t.StartedAt)}
 	switch s.Kind {
 	case decisionlog.EventDecision:
 		w.decided(&out, s)
 	case decisionlog.EventAttemptStarted:
-		out.What, out.Server = "pass", w.Names.Name(s.Endpoint)
-		out.Text = "connects to " + out.Server
+		out.What, out.Endpoint = "pass", w.Names.Name(s.Endpoint)
+		out.Text = "connects to " + out.Endpoint
 	case decisionlog.EventAttemptEnded:
-		out.What, out.Server, out.Outcome = "outcome", w.Names.Name(s.Endpoint), registry.StatusNames[s.Status]
-		out.Text = out.Server + " " + outcomes[s.Status]
+		out.What, out.Endpoint, out.Outcome = "outcome", w.Names.Name(s.Endpoint), registry.StatusNames[s.Status]
+		out.Text = out.Endpoint + " " + outcomes[s.Status]
 	case decisionlog.EventEstablished:
 		out.What, out.Text = "up", "the client is told that it is up"
 	case decisionlog.EventEnded:
 		out.What = "end"
-		out.Wait = ms(s.Result.RetryAfter)
+		out.WaitMS = ms(s.Result.RetryAfter)
 		out.Text = final(s.Result)
 		if up > 0 {
 			out.Text += fmt.Sprintf(", after %s", span(s.At-up))
@@ -262,25 +262,25 @@
 }
 
 // decided tells of a decision.
-func (w *Teller) decided(out *Step, s *decisionlog.Event) {
+func (w *Explainer) decided(out *Event, s *decisionlog.Event) {
 	d := &s.Decision
-	out.What, out.Reason, out.Attempt, out.Again = d.Verdict.String(), d.Reason.String(), d.Attempt, s.Repeats
-	out.Wait, out.Left, out.Ready, out.SlowPart, out.Revision = ms(d.Wait), ms(d.TimeLeft), d.ReadyEndpoints, part(d.SlowShare), d.Revision
+	out.What, out.Reason, out.Attempt, out.Repeats = d.Verdict.String(), d.Reason.String(), d.Attempt, s.Repeats
+	out.WaitMS, out.TimeLeftMS, out.ReadyEndpoints, out.SlowShare, out.Revision = ms(d.Wait), ms(d.TimeLeft), d.ReadyEndpoints, part(d.SlowShare), d.Revision
 	if d.ListAge >= 0 {
 		age := ms(d.ListAge)
-		out.ListAge = &age
+		out.ListAgeMS = &age
 	}
 	if d.Verdict == balancer.VerdictSent || d.Verdict == balancer.VerdictMigrated {
-		out.Server = w.Names.Name(d.Endpoint)
+		out.Endpoint = w.Names.Name(d.Endpoint)
 	}
 	for _, f := range d.Considered {
-		b := Belief{Server: w.Names.Name(f.Endpoint), State: registry.StateName(f.State), Bars: f.Exclusions.Names(), Weight: part(f.Weight),
-			Warmth: part(f.Warmth), Load: part(f.Load), Pull: part(f.Probability), Delay: ms(f.Delay)}
+		b := ConsideredEndpoint{Endpoint: w.Names.Name(f.Endpoint), State: registry.StateName(f.State), Exclusions: f.Exclusions.Names(), Weight: part(f.Weight),
+			Warmth: part(f.Warmth), Load: part(f.Load), Probability: part(f.Probability), DelayMS: ms(f.Delay)}
 		if f.DelayAge >= 0 {
 			age := ms(f.DelayAge)
-			b.Age = &age
+			b.DelayAgeMS = &age
 		}
-		out.Believed = append(out.Believed, b)
+		out.Considered = append(out.Considered, b)
 	}
 	first := "a server"
 	if len(d.Considered) > 0 {
@@ -290,13 +290,13 @@
 	if d.Preferred >= 0 && d.Preferred < len(d.Considered) {
 		f := d.Considered[d.Preferred]
 		instead = w.Names.Name(f.Endpoint)
-		out.Instead = instead
+		out.Preferred = instead
 		barred = fmt.Sprintf("; would have gone to %s but for its %s (%s)", instead, cmp.Or(barText(f.Exclusions), "taking up its messages' time"), figures(f))
 	}
 	var text string
 	switch d.Verdict {
 	case balancer.VerdictSent:
-		text = fmt.Sprintf("attempt %d goes to %s", d.Attempt, out.Server)
+		text = fmt.Sprintf("attempt %d goes to %s", d.Attempt, out.Endpoint)
 		switch d.Reason {
 		case balancer.ReasonCachedRoute:
 			text += ", where its group is"
@@ -351,7 +351,7 @@
 		}
 		text += barred
 	case balancer.VerdictMigrated:
-		text = fmt.Sprintf("is moved off %s, which %s", out.Server, map[balancer.Reason]string{
+		text = fmt.Sprintf("is moved off %s, which %s", out.Endpoint, map[balancer.Reason]string{
 			balancer.ReasonLoadRelief: "is slow and has to lose connections", balancer.ReasonEndpointDraining: "drains"}[d.Reason])
 		if len(d.Considered) > 0 {
 			text += " (" + figures(d.Considered[0]) + ")"
@@ -371,7 +371,7 @@
 }
 
 // ending tells how a transaction ended, in a clause that follows its number.
-func (w *Teller) ending(t *decisionlog.Entry) string {
+func (w *Explainer) ending(t *decisionlog.Entry) string {
 	f, ok := t.Result()
 	if !ok {
 		return map[string]string{"up": "which stands", "waiting": "which waits for an answer"}[t.ResultName()]
@@ -400,8 +400,8 @@
 // linked finds what a transaction's client had before it, and what it came with after
 // it: the nearest of the same name or flow, or, where one of them says that it is back
 // after a move or a break, of the same group.
-func (w *Teller) linked(t *decisionlog.Entry) (before, after *decisionlog.Entry) {
-	w.Record.Related(t, func(o *decisionlog.Entry) bool {
+func (w *Explainer) linked(t *decisionlog.Entry) (before, after *decisionlog.Entry) {
+	w.Log.Related(t, func(o *decisionlog.Entry) bool {
 		switch {
 		case o.Number == t.Number:
 		case o.Number < t.Number && o.Ended && linkedBy(o, t) != "" && t.StartedAt-o.LastEventAt() >= 0 && t.StartedAt-o.LastEventAt() < backWithin:
@@ -463,7 +463,7 @@
 }
 
 // Write writes an account in words: a head, then a line a step.
-func (a *Account) Write(w io.Writer) {
+func (a *Explanation) Write(w io.Writer) {
 	fmt.Fprintf(w, "transaction %d, front %s, name %s%s, class %s", a.Number, a.Front, cmp.Or(a.Name, "-"), map[bool]string{true: "..."}[a.NameCut], a.Class)
 	if a.Tenant != "" {
 		fmt.Fprintf(w, ", tenant %s", a.Tenant)
@@ -474,8 +474,8 @@
 	if a.Flow != "" {
 		fmt.Fprintf(w, ", flow %s", a.Flow)
 	}
-	fmt.Fprintf(w, "\n  came at %s, %s ago; its client waits %s", a.Came.Format("15:04:05.000"), span(a.ago), span(time.Duration(a.Patience*float64(time.Millisecond))))
-	if a.Return {
+	fmt.Fprintf(w, "\n  came at %s, %s ago; its client waits %s", a.ReceivedAt.Format("15:04:05.000"), span(a.ago), span(time.Duration(a.TimeLimitMS*float64(time.Millisecond))))
+	if a.Returning {
 		fmt.Fprint(w, "; back after a move or a break")
 	}
 	if a.Pinned {
@@ -485,28 +485,28 @@
 	if a.Before != nil {
 		fmt.Fprintf(w, "  %s\n", a.Before.Text)
 	}
-	if a.Cut {
+	if a.HeadEvicted {
 		fmt.Fprintln(w, "  its first steps are no longer kept")
 	}
 	var list string
-	for _, s := range a.Steps {
+	for _, s := range a.Events {
 		text := s.Text
 		if s.Revision != 0 {
 			now := fmt.Sprintf("list of revision %d", s.Revision)
-			if s.ListAge != nil {
-				now += fmt.Sprintf(", %s old", span(time.Duration(*s.ListAge*float64(time.Millisecond))))
+			if s.ListAgeMS != nil {
+				now += fmt.Sprintf(", %s old", span(time.Duration(*s.ListAgeMS*float64(time.Millisecond))))
 			}
 			if at, _, _ := strings.Cut(now, ","); at != list { // told once, as long as it is the same
 				text += " [" + now + "]"
 				list = at
 			}
 		}
-		fmt.Fprintf(w, "  %10s  %s\n", "+"+span(time.Duration(s.After*float64(time.Millisecond))), text)
+		fmt.Fprintf(w, "  %10s  %s\n", "+"+span(time.Duration(s.AfterMS*float64(time.Millisecond))), text)
 	}
-	if a.Full {
+	if a.EventsOmitted {
 		fmt.Fprintln(w, "  it had more steps than are kept of one")
 	}
-	switch a.Answer {
+	switch a.Result {
 	case "waiting":
 		fmt.Fprintln(w, "  it still waits for its answer")
 	case "up":
@@ -518,7 +518,7 @@
 }
 
 // WriteJSON writes accounts, one JSON object a line.
-func WriteJSON(w io.Writer, all []*Account) error {
+func WriteJSON(w io.Writer, all []*Explanation) error {
 	e := json.NewEncoder(w)
 	e.SetEscapeHTML(false)
 	for _, a := range all {
--- a/internal/why/ask.go
+++ b/internal/explain/ask.go
@@ -1,4 +1,4 @@
-package why
+package explain
 
 import (
 	"cmp"
@@ -16,29 +16,29 @@
 	"lockroad/internal/registry"
 )
 
-// Question is what is asked, as a console or the command line puts it.
-type Question struct {
-	Of    string   // a number or name; empty: by Where
-	Where string   // an S-expression; empty: all
-	By    []string // counts by these instead of accounts
-	Most  int      // accounts at the most, the youngest first; 0: MostUsual
-	JSON  bool
+// Query is what is asked, as a console or the command line puts it.
+type Query struct {
+	Subject string   // a number or name; empty: by Where
+	Where   string   // an S-expression; empty: all
+	By      []string // counts by these instead of accounts
+	Limit   int      // accounts at the most, the youngest first; 0: MostUsual
+	JSON    bool
 }
 
 // MostUsual and MostEver bound the accounts of one answer.
 const (
-	MostUsual = 10
-	MostEver  = 500
+	DefaultLimit = 10
+	MaxLimit     = 500
 )
 
 // Line writes the question as ParseLine reads it.
-func (q Question) Line() string {
+func (q Query) Line() string {
 	var all []string
 	if q.JSON {
 		all = append(all, "--json")
 	}
-	if q.Most != 0 {
-		all = append(all, "--most", strconv.Itoa(q.Most))
+	if q.Limit != 0 {
+		all = append(all, "--most", strconv.Itoa(q.Limit))
 	}
 	if len(q.By) > 0 {
 		all = append(all, "--by", strings.Join(q.By, ","))
@@ -46,15 +46,15 @@
 	switch {
 	case q.Where != "":
 		all = append(all, "--where", strings.Join(strings.Fields(q.Where), " "))
-	case q.Of != "":
-		all = append(all, "--", q.Of)
+	case q.Subject != "":
+		all = append(all, "--", q.Subject)
 	}
 	return strings.Join(all, " ")
 }
 
 // ParseLine reads a question: [--json] [--most N] [--by FIELD,...] then a number or
 // name, or --where and an S-expression, which last to the line's end.
-func ParseLine(line string) (q Question, err error) {
+func ParseLine(line string) (q Query, err error) {
 	rest := strings.TrimSpace(line)
 	for rest != "" {
 		if rest[0] == '(' {
@@ -79,8 +79,8 @@
 			if err != nil {
 				return q, err
 			}
-			if q.Most, err = strconv.Atoi(v); err != nil || q.Most < 1 || q.Most > MostEver {
-				return q, fmt.Errorf("--most %s: expected a number from 1 to %d", v, MostEver)
+			if q.Limit, err = strconv.Atoi(v); err != nil || q.Limit < 1 || q.Limit > MaxLimit {
+				return q, fmt.Errorf("--most %s: expected a number from 1 to %d", v, MaxLimit)
 			}
 		case "--by":
 			v, err := value()
@@ -94,13 +94,13 @@
 			}
 			return q, nil
 		case "--":
-			q.Of = after
+			q.Subject = after
 			return q, nil
 		default:
 			if strings.HasPrefix(word, "--") {
 				return q, fmt.Errorf("unknown option %s; expected --json, --most, --by or --where", word)
 			}
-			q.Of = rest
+			q.Subject = rest
 			return q, nil
 		}
 		rest = after
@@ -110,14 +110,14 @@
 
 // Answer answers a question. An error is for the one who asks: the question makes no
 // sense, or the record no longer has or never had what it is about.
-func (w *Teller) Answer(q Question, out io.Writer) error {
+func (w *Explainer) Answer(q Query, out io.Writer) error {
 	if len(q.By) > 0 {
 		return w.count(q, out)
 	}
 	chosen, total, err := w.choose(q)
-	if err != nil && q.Of != "" {
+	if err != nil && q.Subject != "" {
 		// It may have come before a restart, or so long ago that memory holds it no more.
-		if all, odd := w.shelved(q.Of, cmp.Or(q.Most, MostUsual)); len(all) > 0 {
+		if all, odd := w.shelved(q.Subject, cmp.Or(q.Limit, DefaultLimit)); len(all) > 0 {
 			return writeAll(out, q, all)
 		} else if odd != nil {
 			return fmt.Errorf("%w; %w", err, odd)
@@ -126,9 +126,9 @@
 	if err != nil {
 		return err
 	}
-	accounts := make([]*Account, len(chosen))
+	accounts := make([]*Explanation, len(chosen))
 	for i, t := range chosen {
-		accounts[i] = w.Account(t)
+		accounts[i] = w.Explain(t)
 	}
 	if err := writeAll(out, q, accounts); err != nil || q.JSON {
 		return err
@@ -139,13 +139,13 @@
 	if total > len(chosen) {
 		fmt.Fprintf(out, "\n%d of %d; --most shows more, --by counts all\n", len(chosen), total)
 	}
-	if q.Of == "" {
+	if q.Subject == "" {
 		fmt.Fprint(out, w.reach())
 	}
 	return nil
 }
 
-func writeAll(out io.Writer, q Question, accounts []*Account) error {
+func writeAll(out io.Writer, q Query, accounts []*Explanation) error {
 	if q.JSON {
 		return WriteJSON(out, accounts)
 	}
@@ -159,42 +159,42 @@
 }
 
 // reach tells how far back the record goes.
-func (w *Teller) reach() string {
-	s := w.Record.Stats()
+func (w *Explainer) reach() string {
+	s := w.Log.Stats()
 	if s.DroppedAll() == 0 {
 		return ""
 	}
-	clock := w.Record.Clock()
+	clock := w.Log.Clock()
 	return fmt.Sprintf("no longer kept: %d uneventful, %d eventful and %d unanswered; all that came within the last %s are kept\n",
 		s.Dropped["uneventful"], s.Dropped["eventful"], s.Dropped["under-way"], span(clock.Now()-s.Horizon))
 }
 
 // where returns what chooses the transactions of a question that names none.
-func (w *Teller) where(q Question) (Query, error) {
+func (w *Explainer) where(q Query) (Filter, error) {
 	if q.Where == "" {
-		return Everything, nil
+		return MatchAll, nil
 	}
 	return Compile(q.Where, w.Names)
 }
 
 // choose returns the transactions asked for, the youngest first, and how many there are.
-func (w *Teller) choose(q Question) ([]*decisionlog.Entry, int, error) {
-	if q.Of != "" {
-		all, err := w.named(q.Of)
+func (w *Explainer) choose(q Query) ([]*decisionlog.Entry, int, error) {
+	if q.Subject != "" {
+		all, err := w.named(q.Subject)
 		return all, len(all), err
 	}
 	holds, err := w.where(q)
 	if err != nil {
 		return nil, 0, err
 	}
-	most := cmp.Or(q.Most, MostUsual)
-	now := w.Record.Clock().Now()
+	most := cmp.Or(q.Limit, DefaultLimit)
+	now := w.Log.Clock().Now()
 	var all []*decisionlog.Entry
 	total := 0
 	byAge := func() {
 		slices.SortFunc(all, func(x, y *decisionlog.Entry) int { return cmp.Compare(y.Number, x.Number) })
 	}
-	w.Record.Each(func(t *decisionlog.Entry) bool {
+	w.Log.Each(func(t *decisionlog.Entry) bool {
 		if holds(t, now) {
 			total++
 			if all = append(all, t.Clone()); len(all) >= 4*most {
@@ -209,19 +209,19 @@
 }
 
 // named returns what a number or a name stands for.
-func (w *Teller) named(of string) ([]*decisionlog.Entry, error) {
-	byName, err := w.Record.Name(of)
+func (w *Explainer) named(of string) ([]*decisionlog.Entry, error) {
+	byName, err := w.Log.Name(of)
 	if err == nil {
-		return byName[:min(len(byName), MostUsual)], nil
+		return byName[:min(len(byName), DefaultLimit)], nil
 	}
 	n, bad := strconv.ParseUint(of, 10, 64)
 	if bad != nil || len(of) > 12 {
-		if s := w.Record.Stats(); errors.Is(err, decisionlog.ErrEvicted) {
+		if s := w.Log.Stats(); errors.Is(err, decisionlog.ErrEvicted) {
 			return nil, fmt.Errorf("%w: %s%s", err, strings.TrimSuffix(w.reach(), "\n"), more(s))
 		}
 		return nil, err
 	}
-	t, err := w.Record.Number(n)
+	t, err := w.Log.Number(n)
 	if errors.Is(err, decisionlog.ErrEvicted) {
 		return nil, fmt.Errorf("%w: %s", err, strings.TrimSuffix(w.reach(), "\n"))
 	}
@@ -246,7 +246,7 @@
 // garbage: who counts all of a full record should not set the collector to work beside
 // the turn loop.
 type counter struct {
-	names Names
+	names EndpointNames
 	by    []string
 	rows  map[string]*row
 	key   []byte
@@ -336,7 +336,7 @@
 }
 
 // count writes how many transactions fall in each row, the most first.
-func (w *Teller) count(q Question, out io.Writer) error {
+func (w *Explainer) count(q Query, out io.Writer) error {
 	for _, f := range q.By {
 		if !slices.Contains(facets, f) {
 			return fmt.Errorf("nothing is counted by %q; expected %s", f, strings.Join(facets, ", "))
@@ -347,8 +347,8 @@
 		return err
 	}
 	c := &counter{names: w.Names, by: q.By, rows: make(map[string]*row)}
-	if q.Of != "" {
-		named, err := w.named(q.Of)
+	if q.Subject != "" {
+		named, err := w.named(q.Subject)
 		if err != nil {
 			return err
 		}
@@ -356,8 +356,8 @@
 			c.add(t)
 		}
 	} else {
-		now := w.Record.Clock().Now()
-		w.Record.Each(func(t *decisionlog.Entry) bool {
+		now := w.Log.Clock().Now()
+		w.Log.Each(func(t *decisionlog.Entry) bool {
 			if holds(t, now) {
 				c.add(t)
 			}
@@ -367,7 +367,7 @@
 	return c.write(w, q, out)
 }
 
-func (c *counter) write(w *Teller, q Question, out io.Writer) error {
+func (c *counter) write(w *Explainer, q Query, out io.Writer) error {
 	keys := slices.SortedFunc(maps.Keys(c.rows), func(x, y string) int {
 		return cmp.Or(cmp.Compare(c.rows[y].count, c.rows[x].count), strings.Compare(x, y))
 	})
--- a/internal/why/core_test.go
+++ b/internal/explain/core_test.go
@@ -1,4 +1,4 @@
-package why
+package explain
 
 import (
 	"context"
@@ -72,7 +72,7 @@
 			t.Fatal(err)
 		}
 		k.Observe(r)
-		w := &Teller{Record: r, Names: k.Endpoints}
+		w := &Explainer{Log: r, Names: k.Endpoints}
 		var list []balancer.Endpoint
 		for i := range 3 {
 			list = append(list, balancer.Endpoint{ID: k.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
@@ -82,7 +82,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
 		all.Go(func() { _ = k.Run(ctx) })
-		serve := func(hows ...balancer.AttemptStatus) (*scripted, *Account) {
+		serve := func(hows ...balancer.AttemptStatus) (*scripted, *Explanation) {
 			x := &scripted{hows: hows, farm: k.Endpoints}
 			k.Serve(ctx, proxy.Request{Front: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: k.Clock.Now() + 4*time.Second}}, x)
 			synctest.Wait()
@@ -90,27 +90,27 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return x, w.Account(kept[0])
+			return x, w.Explain(kept[0])
 		}
-		check := func(x *scripted, a *Account, reasons, answer string) {
+		check := func(x *scripted, a *Explanation, reasons, answer string) {
 			t.Helper()
 			var passes, why []string
-			for _, s := range a.Steps {
+			for _, s := range a.Events {
 				if s.What == "outcome" {
-					passes = append(passes, s.Server+" "+s.Outcome)
+					passes = append(passes, s.Endpoint+" "+s.Outcome)
 				}
 				if s.Reason != "" {
 					why = append(why, s.What+" "+s.Reason)
 				}
 			}
-			if fmt.Sprint(passes) != fmt.Sprint(x.seen) || strings.Join(why, ", ") != reasons || a.Answer != answer || a.Steps[0].Revision != 17 {
-				t.Errorf("told %v, %s, %s; seen %v; want %s, %s", passes, strings.Join(why, ", "), a.Answer, x.seen, reasons, answer)
+			if fmt.Sprint(passes) != fmt.Sprint(x.seen) || strings.Join(why, ", ") != reasons || a.Result != answer || a.Events[0].Revision != 17 {
+				t.Errorf("told %v, %s, %s; seen %v; want %s, %s", passes, strings.Join(why, ", "), a.Result, x.seen, reasons, answer)
 			}
 		}
 		x, a := serve(balancer.StatusTimeout, balancer.StatusReset, balancer.StatusFull)
 		check(x, a, "sent drawn, held backoff, sent drawn-again, held backoff, sent drawn-again, refused out-of-tries", "unavailable")
-		if len(x.seen) != 3 || a.ComeBack == 0 {
-			t.Errorf("seen %v, to come back in %v ms", x.seen, a.ComeBack)
+		if len(x.seen) != 3 || a.RetryAfterMS == 0 {
+			t.Errorf("seen %v, to come back in %v ms", x.seen, a.RetryAfterMS)
 		}
 		time.Sleep(15 * time.Second) // until what was full is no longer eased into work
 		first, a := serve()
@@ -126,8 +126,8 @@
 		k.SetRevision(18)
 		k.UpdateEndpoints(balancer.ListDelta, list, []string{"a", "b", "c"})
 		x, a = serve()
-		if a.Steps[0].Reason != "route-gone" || a.Steps[0].Revision != 18 || strings.HasPrefix(x.seen[0], home) || !strings.Contains(a.Steps[0].Text, "as "+home+", where its group is, takes nothing new") {
-			t.Errorf("told %+v; seen %v", a.Steps[0], x.seen)
+		if a.Events[0].Reason != "route-gone" || a.Events[0].Revision != 18 || strings.HasPrefix(x.seen[0], home) || !strings.Contains(a.Events[0].Text, "as "+home+", where its group is, takes nothing new") {
+			t.Errorf("told %+v; seen %v", a.Events[0], x.seen)
 		}
 		cancel()
 		all.Wait()
@@ -172,7 +172,7 @@
 			stop := make(chan struct{})
 			var reader sync.WaitGroup
 			if asked {
-				w := &Teller{Record: r, Names: farm}
+				w := &Explainer{Log: r, Names: farm}
 				reader.Go(func() {
 					for {
 						select {
@@ -180,7 +180,7 @@
 							return
 						default:
 						}
-						if err := w.Answer(Question{By: []string{"server", "reason"}}, &strings.Builder{}); err != nil {
+						if err := w.Answer(Query{By: []string{"server", "reason"}}, &strings.Builder{}); err != nil {
 							b.Error(err)
 							return
 						}
--- a/internal/why/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -1,4 +1,4 @@
-package why
+package explain
 
 import (
 	"fmt"
@@ -40,19 +40,19 @@
 var fixedTime = time.Date(2024, 5, 6, 7, 8, 9, 123456789, time.UTC)
 
 // fullAccount is what is told of it, with links.
-func fullAccount(h *hall) *Account {
+func fullAccount(h *hall) *Explanation {
 	time.Sleep(5 * time.Second)
 	a := h.w.account(fullTransaction(h.from))
-	a.Came = fixedTime
-	a.Before = &Link{Number: 6, By: "flow", Answer: "moved", Text: "its client came back from 6"}
-	a.After = &Link{Number: 8, By: "name", Answer: "up", Text: "its client came again"}
+	a.ReceivedAt = fixedTime
+	a.Before = &RelatedRequest{Number: 6, By: "flow", Answer: "moved", Text: "its client came back from 6"}
+	a.After = &RelatedRequest{Number: 8, By: "name", Answer: "up", Text: "its client came again"}
 	return a
 }
 
 func TestAccountJSONIsStable(t *testing.T) {
 	in(t, func(h *hall) {
 		a := fullAccount(h)
-		for name, v := range map[string]any{"account": *a, "step": a.Steps[0], "belief": a.Steps[0].Believed[1], "link": *a.Before} {
+		for name, v := range map[string]any{"account": *a, "step": a.Events[0], "belief": a.Events[0].Considered[1], "link": *a.Before} {
 			of := reflect.ValueOf(v)
 			for i := range of.NumField() {
 				field := of.Type().Field(i)
@@ -63,7 +63,7 @@
 			}
 		}
 		var b strings.Builder
-		if err := WriteJSON(&b, []*Account{a, {Came: fixedTime}}); err != nil {
+		if err := WriteJSON(&b, []*Explanation{a, {ReceivedAt: fixedTime}}); err != nil {
 			t.Fatal(err)
 		}
 		golden.Compare(t, "account.jsonl", b.String())
--- a/internal/why/query.go
+++ b/internal/explain/query.go
@@ -1,7 +1,7 @@
 // Package why answers, from a record, why a transaction went to a given application
 // server or got the answer that it got: in words, as JSON, or as counts. It asks in
 // S-expressions and reads only; nothing that it does can hold the relay up.
-package why
+package explain
 
 import (
 	"slices"
@@ -16,25 +16,25 @@
 	"lockroad/internal/sexp"
 )
 
-// Names are the names of application servers.
-type Names interface {
+// EndpointNames are the names of application servers.
+type EndpointNames interface {
 	Name(balancer.EndpointID) string
 	Lookup(name string) (balancer.EndpointID, bool)
 }
 
-// Query chooses transactions.
-type Query func(t *decisionlog.Entry, now time.Duration) bool
+// Filter chooses transactions.
+type Filter func(t *decisionlog.Entry, now time.Duration) bool
 
-// Everything chooses all.
-func Everything(*decisionlog.Entry, time.Duration) bool { return true }
+// MatchAll chooses all.
+func MatchAll(*decisionlog.Entry, time.Duration) bool { return true }
 
 // field is a form that a query may have besides and, or and not.
 type field struct {
 	name, args, help string
-	build            func(q *compiler, at *sexp.Node, args []*sexp.Node) (Query, error)
+	build            func(q *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error)
 }
 
-type compiler struct{ names Names }
+type compiler struct{ names EndpointNames }
 
 // answers are what a transaction can have for an answer so far.
 var answers = append([]string{"waiting", "up"}, registry.EndNames...)
@@ -103,7 +103,7 @@
 }
 
 // Compile reads a query. An error says at which column what was expected.
-func Compile(source string, names Names) (Query, error) {
+func Compile(source string, names EndpointNames) (Filter, error) {
 	n, err := sexp.ParseOne(source)
 	if err != nil {
 		return nil, err
@@ -111,14 +111,14 @@
 	return (&compiler{names}).query(n)
 }
 
-func (c *compiler) query(n *sexp.Node) (Query, error) {
+func (c *compiler) query(n *sexp.Node) (Filter, error) {
 	head, args, err := n.Head()
 	if err != nil {
 		return nil, err
 	}
 	switch head {
 	case "and", "or":
-		all := make([]Query, len(args))
+		all := make([]Filter, len(args))
 		for i, a := range args {
 			if all[i], err = c.query(a); err != nil {
 				return nil, err
@@ -157,8 +157,8 @@
 
 // oneOf is a field that has one of the words that are given; all of them have to be
 // known, where there is a closed set.
-func oneOf(closed []string, of func(*decisionlog.Entry) []string) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
-	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
+func oneOf(closed []string, of func(*decisionlog.Entry) []string) func(*compiler, *sexp.Node, []*sexp.Node) (Filter, error) {
+	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error) {
 		want, err := at.Values()
 		if err != nil {
 			return nil, err
@@ -186,8 +186,8 @@
 }
 
 // keyed is a field that is a number written in hexadecimal.
-func keyed(of func(*decisionlog.Entry) uint64) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
-	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
+func keyed(of func(*decisionlog.Entry) uint64) func(*compiler, *sexp.Node, []*sexp.Node) (Filter, error) {
+	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error) {
 		want, err := at.Values()
 		if err != nil {
 			return nil, err
@@ -202,7 +202,7 @@
 	}
 }
 
-func onServer(c *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
+func onServer(c *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error) {
 	want, err := at.Values()
 	if err != nil {
 		return nil, err
@@ -222,8 +222,8 @@
 	}, nil
 }
 
-func within(holds func(t *decisionlog.Entry, from time.Duration) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
-	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
+func within(holds func(t *decisionlog.Entry, from time.Duration) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Filter, error) {
+	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 1 {
 			return nil, at.Errorf("%s wants one time, such as 5m", at.List.Items[0])
 		}
@@ -240,8 +240,8 @@
 	"<=": func(x, y float64) bool { return x <= y }, ">=": func(x, y float64) bool { return x >= y },
 }
 
-func compared(read func(*sexp.Node) (float64, error), of func(*decisionlog.Entry) (float64, bool)) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
-	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
+func compared(read func(*sexp.Node) (float64, error), of func(*decisionlog.Entry) (float64, bool)) func(*compiler, *sexp.Node, []*sexp.Node) (Filter, error) {
+	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 2 {
 			return nil, at.Errorf("%s wants a comparison and a value, such as >= 2", at.List.Items[0])
 		}
@@ -264,8 +264,8 @@
 	}
 }
 
-func flag(of func(*decisionlog.Entry) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Query, error) {
-	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Query, error) {
+func flag(of func(*decisionlog.Entry) bool) func(*compiler, *sexp.Node, []*sexp.Node) (Filter, error) {
+	return func(_ *compiler, at *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 0 {
 			return nil, args[0].Errorf("%s takes no value", at.List.Items[0])
 		}
--- a/internal/why/why_test.go
+++ b/internal/explain/why_test.go
@@ -1,4 +1,4 @@
-package why
+package explain
 
 import (
 	"encoding/json"
@@ -19,7 +19,7 @@
 	t    *testing.T
 	farm *registry.Endpoints
 	r    *decisionlog.Log
-	w    *Teller
+	w    *Explainer
 	next uint64
 	from time.Duration
 }
@@ -36,7 +36,7 @@
 		for i := range 3 {
 			h.farm.ID(fmt.Sprintf("s-%d", i+1))
 		}
-		h.w = &Teller{Record: r, Names: h.farm}
+		h.w = &Explainer{Log: r, Names: h.farm}
 		do(h)
 	})
 }
@@ -139,9 +139,9 @@
 				t.Errorf("asked by %s: %s", by, got)
 			}
 		}
-		var a Account
-		if err := json.Unmarshal([]byte(h.ask("--json 1")), &a); err != nil || a.Answer != "unavailable" || a.ComeBack != 800 || len(a.Steps) != 13 ||
-			a.Steps[0].Instead != "s-2" || a.Steps[0].Believed[1].Bars[0] != "slow" || a.Steps[2].Outcome != "timeout" || *a.Steps[0].ListAge != 3200 {
+		var a Explanation
+		if err := json.Unmarshal([]byte(h.ask("--json 1")), &a); err != nil || a.Result != "unavailable" || a.RetryAfterMS != 800 || len(a.Events) != 13 ||
+			a.Events[0].Preferred != "s-2" || a.Events[0].Considered[1].Exclusions[0] != "slow" || a.Events[2].Outcome != "timeout" || *a.Events[0].ListAgeMS != 3200 {
 			t.Errorf("as JSON %+v, %v", a, err)
 		}
 	})
@@ -320,15 +320,15 @@
 }
 
 func TestQuestionsAreReadAsWritten(t *testing.T) {
-	for _, q := range []Question{
-		{Of: "9b1f03aa"}, {Of: "--json", JSON: true}, {Where: `(class "a b")`, Most: 7}, {By: []string{"server", "reason"}, JSON: true}, {},
+	for _, q := range []Query{
+		{Subject: "9b1f03aa"}, {Subject: "--json", JSON: true}, {Where: `(class "a b")`, Limit: 7}, {By: []string{"server", "reason"}, JSON: true}, {},
 	} {
 		got, err := ParseLine(q.Line())
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(q) {
 			t.Errorf("%+v was read as %+v, %v", q, got, err)
 		}
 	}
-	if q, err := ParseLine("--most 3 (pinned)"); err != nil || q.Where != "(pinned)" || q.Most != 3 {
+	if q, err := ParseLine("--most 3 (pinned)"); err != nil || q.Where != "(pinned)" || q.Limit != 3 {
 		t.Errorf("read as %+v, %v", q, err)
 	}
 	for _, f := range fields {
--- a/internal/lifecycle/keep.go
+++ b/internal/lifecycle/keep.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/explain"
 	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
 	"lockroad/internal/store"
-	"lockroad/internal/why"
 )
 
 // This file has a relay keep on disk what must outlast a restart, where an operator names a folder. Whatever is
@@ -188,7 +188,7 @@
 // that a transaction does waits for words or the disk.
 type shelf struct {
 	k       *keeper
-	teller  *why.Teller
+	teller  *explain.Explainer
 	numbers chan uint64
 	missed  atomic.Uint64 // that found no room
 	done    chan struct{}
@@ -205,7 +205,7 @@
 func (s *shelf) run() {
 	defer close(s.done)
 	for n := range s.numbers {
-		s.teller.Keep(n)
+		s.teller.Save(n)
 	}
 }
 
@@ -226,18 +226,18 @@
 	}
 }
 
-func (s *shelf) table() *store.Table[why.Account] {
+func (s *shelf) table() *store.Table[explain.Explanation] {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	return &store.Table[why.Account]{Store: s.k.store, Kind: persistence.KindDecisions, Version: 1}
+	return &store.Table[explain.Explanation]{Store: s.k.store, Kind: persistence.KindDecisions, Version: 1}
 }
 
 // Put keeps an account.
-func (s *shelf) Put(key string, a *why.Account) { s.table().Put(key, *a) }
+func (s *shelf) Put(key string, a *explain.Explanation) { s.table().Put(key, *a) }
 
 // Each calls do with the accounts that are kept, the youngest first.
-func (s *shelf) Each(do func(*why.Account) bool) error {
-	return s.table().Each(true, func(_ string, _ time.Time, a why.Account) bool { return do(&a) })
+func (s *shelf) Each(do func(*explain.Explanation) bool) error {
+	return s.table().Each(true, func(_ string, _ time.Time, a explain.Explanation) bool { return do(&a) })
 }
 
 // Began has the account of a transaction kept once it has ended.
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -20,6 +20,7 @@
 	"lockroad/internal/console"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/discovery"
+	"lockroad/internal/explain"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/healthcheck/prober"
@@ -30,7 +31,6 @@
 	"lockroad/internal/quota"
 	"lockroad/internal/secure"
 	"lockroad/internal/telemetry"
-	"lockroad/internal/why"
 )
 
 const (
@@ -215,7 +215,7 @@
 			desk.Health = r.prober.Health
 		}
 		if r.record != nil {
-			desk.Why = &why.Teller{Record: r.record, Names: r.core.Endpoints}
+			desk.Why = &explain.Explainer{Log: r.record, Names: r.core.Endpoints}
 			if r.keeper.shelf != nil {
 				desk.Why = r.keeper.shelf.teller
 			}
@@ -287,7 +287,7 @@
 		r.core.Observe(r.record)
 		if o.Store.Dir != "" { // after the record, which it reads
 			r.keeper.shelf = newShelf(r.keeper)
-			r.keeper.shelf.teller = &why.Teller{Record: r.record, Names: r.core.Endpoints, Shelf: r.keeper.shelf}
+			r.keeper.shelf.teller = &explain.Explainer{Log: r.record, Names: r.core.Endpoints, Archive: r.keeper.shelf}
 			r.core.Observe(r.keeper.shelf)
 		}
 	}
--- a/internal/lifecycle/stored_golden_test.go
+++ b/internal/lifecycle/stored_golden_test.go
@@ -14,9 +14,9 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/discovery"
+	"lockroad/internal/explain"
 	"lockroad/internal/persistence"
 	"lockroad/internal/store"
-	"lockroad/internal/why"
 )
 
 // The tests of this file hold the store's format in place: what an earlier version of the program wrote must be
@@ -137,67 +137,67 @@
 	}
 }
 
-func fullAccount() why.Account {
-	return why.Account{
-		Number:   2001,
-		Front:    "front-2002",
-		Name:     "name-2003",
-		NameCut:  true,
-		Class:    "class-2004",
-		Tenant:   "tenant-2005",
-		Group:    "group-2006",
-		Flow:     "flow-2007",
-		Came:     time.Date(2024, time.February, 5, 3, 4, 5, 678912345, time.UTC),
-		Patience: 2008.5,
-		Load:     2009.5,
-		Return:   true,
-		Pinned:   true,
-		Eventful: true,
-		Cut:      true,
-		Full:     true,
-		Answer:   "answer-2010",
-		Cause:    "cause-2011",
-		ComeBack: 2012.5,
-		Steps: []why.Step{
+func fullAccount() explain.Explanation {
+	return explain.Explanation{
+		Number:        2001,
+		Front:         "front-2002",
+		Name:          "name-2003",
+		NameCut:       true,
+		Class:         "class-2004",
+		Tenant:        "tenant-2005",
+		Group:         "group-2006",
+		Flow:          "flow-2007",
+		ReceivedAt:    time.Date(2024, time.February, 5, 3, 4, 5, 678912345, time.UTC),
+		TimeLimitMS:   2008.5,
+		Load:          2009.5,
+		Returning:     true,
+		Pinned:        true,
+		Notable:       true,
+		HeadEvicted:   true,
+		EventsOmitted: true,
+		Result:        "answer-2010",
+		Cause:         "cause-2011",
+		RetryAfterMS:  2012.5,
+		Events: []explain.Event{
 			{
-				After:    2013.5,
-				What:     "what-2014",
-				Reason:   "reason-2015",
-				Attempt:  2016,
-				Server:   "server-2017",
-				Outcome:  "outcome-2018",
-				Wait:     2019.5,
-				Left:     2020.5,
-				Again:    2021,
-				Ready:    2022,
-				SlowPart: 0.2023,
-				Revision: 2024,
-				ListAge:  pointerTo(2025.5),
-				Believed: []why.Belief{
+				AfterMS:        2013.5,
+				What:           "what-2014",
+				Reason:         "reason-2015",
+				Attempt:        2016,
+				Endpoint:       "server-2017",
+				Outcome:        "outcome-2018",
+				WaitMS:         2019.5,
+				TimeLeftMS:     2020.5,
+				Repeats:        2021,
+				ReadyEndpoints: 2022,
+				SlowShare:      0.2023,
+				Revision:       2024,
+				ListAgeMS:      pointerTo(2025.5),
+				Considered: []explain.ConsideredEndpoint{
 					{
-						Server: "server-2026",
-						State:  "state-2027",
-						Bars:   []string{"bar-2028", "bar-2029"},
-						Weight: 0.2030,
-						Warmth: 0.2031,
-						Load:   2032.5,
-						Pull:   0.2033,
-						Delay:  2034.5,
-						Age:    pointerTo(2035.5),
+						Endpoint:    "server-2026",
+						State:       "state-2027",
+						Exclusions:  []string{"bar-2028", "bar-2029"},
+						Weight:      0.2030,
+						Warmth:      0.2031,
+						Load:        2032.5,
+						Probability: 0.2033,
+						DelayMS:     2034.5,
+						DelayAgeMS:  pointerTo(2035.5),
 					},
 				},
-				Instead: "server-2036",
-				Text:    "text-2037",
+				Preferred: "server-2036",
+				Text:      "text-2037",
 			},
 		},
-		Before: &why.Link{Number: 2038, By: "by-2039", Answer: "answer-2040", Text: "text-2041"},
-		After:  &why.Link{Number: 2042, By: "by-2043", Answer: "answer-2044", Text: "text-2045"},
+		Before: &explain.RelatedRequest{Number: 2038, By: "by-2039", Answer: "answer-2040", Text: "text-2041"},
+		After:  &explain.RelatedRequest{Number: 2042, By: "by-2043", Answer: "answer-2044", Text: "text-2045"},
 	}
 }
 
 // sparseAccount has what may be left out left out, at every depth.
-func sparseAccount() why.Account {
-	return why.Account{Steps: []why.Step{{Believed: []why.Belief{{}}}, {}}, Before: &why.Link{}}
+func sparseAccount() explain.Explanation {
+	return explain.Explanation{Events: []explain.Event{{Considered: []explain.ConsideredEndpoint{{}}}, {}}, Before: &explain.RelatedRequest{}}
 }
 
 const (
@@ -211,7 +211,7 @@
 type storedTables struct {
 	orders    *store.Table[persistence.DrainDirective]
 	learnt    *store.Table[persistence.RelaySnapshot]
-	decisions *store.Table[why.Account]
+	decisions *store.Table[explain.Explanation]
 }
 
 func tablesOf(s *store.Store) storedTables {
@@ -379,7 +379,7 @@
 				{learntKey, storedAt(6), fullKnown()},
 				{sparseKey, storedAt(7), persistence.RelaySnapshot{}},
 			})
-			requireRecords(t, tables.decisions, []storedRecord[why.Account]{
+			requireRecords(t, tables.decisions, []storedRecord[explain.Explanation]{
 				{accountKey, storedAt(8), fullAccount()},
 				{sparseKey, storedAt(9), sparseAccount()},
 			})
--- a/internal/lifecycle/stored_tags_test.go
+++ b/internal/lifecycle/stored_tags_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
+	"lockroad/internal/explain"
 	"lockroad/internal/persistence"
 	"lockroad/internal/registry"
-	"lockroad/internal/why"
 )
 
 // Every exported field that is encoded names itself in a tag, so that it can be renamed without a change of the
@@ -23,7 +23,7 @@
 	}{
 		{reflect.TypeFor[persistence.DrainDirective](), isBoth},
 		{reflect.TypeFor[persistence.RelaySnapshot](), isCBOR},
-		{reflect.TypeFor[why.Account](), isBoth},
+		{reflect.TypeFor[explain.Explanation](), isBoth},
 		{reflect.TypeFor[registry.RequestName](), isJSON},
 	} {
 		seen := map[reflect.Type]bool{reflect.TypeFor[time.Time](): true}
