--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -22,7 +22,7 @@
 	"lockroad/internal/demo"
 	"lockroad/internal/explain"
 	"lockroad/internal/lifecycle"
-	"lockroad/internal/logs"
+	"lockroad/internal/logging"
 	"lockroad/internal/screen"
 )
 
@@ -53,7 +53,7 @@
 
 // Validate checks the flags.
 func (c *runCommand) Validate() error {
-	return errors.Join(logs.CheckLevel(c.LogLevel), logs.CheckForm(c.LogForm))
+	return errors.Join(logging.CheckLevel(c.LogLevel), logging.CheckFormat(c.LogForm))
 }
 
 // Run runs the relay until it is told to leave.
@@ -68,19 +68,19 @@
 	} else {
 		o, bad = lifecycle.ReadOperator(c.Operator)
 	}
-	options := logs.Options{Level: c.LogLevel, Form: c.LogForm}
+	options := logging.Options{Level: c.LogLevel, Format: c.LogForm}
 	if bad == nil {
 		if options.Level == "" {
 			options.Level = o.Log.Level
 		}
-		if options.Form == "" {
-			options.Form = o.Log.Form
+		if options.Format == "" {
+			options.Format = o.Log.Form
 		}
 	}
 	if bad == nil && o.Console.Socket != "" {
-		options.Keep = logKept
+		options.TailLines = logKept
 	}
-	log := logs.New(options, s.errs)
+	log := logging.New(options, s.errs)
 	defer log.Close()
 	err := errors.Join(bad, c.run(site, o, log, bad != nil))
 	if errors.Is(err, lifecycle.ErrRestart) {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func (c *runCommand) run(site *lifecycle.Site, o *lifecycle.Operator, log *logs.Log, checkOnly bool) error {
+func (c *runCommand) run(site *lifecycle.Site, o *lifecycle.Operator, log *logging.Logger, checkOnly bool) error {
 	if c.Site != "" && checkOnly {
 		return nil
 	}
@@ -372,7 +372,7 @@
 	if c.Log {
 		to = s.errs
 	}
-	log := logs.New(logs.Options{Form: "text"}, to)
+	log := logging.New(logging.Options{Format: "text"}, to)
 	defer log.Close()
 	o.Log = log.Logger
 	if err := o.Check(); err != nil {
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -12,7 +12,7 @@
 
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/frontend/amqp"
-	"lockroad/internal/logs"
+	"lockroad/internal/logging"
 	"lockroad/internal/pool"
 	"lockroad/internal/secure"
 )
@@ -205,10 +205,10 @@
 		f.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
 	}
 	o.Store.check(f)
-	if err := logs.CheckLevel(o.Log.Level); err != nil {
+	if err := logging.CheckLevel(o.Log.Level); err != nil {
 		f.add("log.level", "%v", err)
 	}
-	if err := logs.CheckForm(o.Log.Form); err != nil {
+	if err := logging.CheckFormat(o.Log.Form); err != nil {
 		f.add("log.form", "%v", err)
 	}
 }
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -26,7 +26,7 @@
 	"lockroad/internal/healthcheck/prober"
 	"lockroad/internal/hotrestart"
 	"lockroad/internal/listener"
-	"lockroad/internal/logs"
+	"lockroad/internal/logging"
 	"lockroad/internal/proxy"
 	"lockroad/internal/quota"
 	"lockroad/internal/secure"
@@ -291,7 +291,7 @@
 			r.core.Observe(r.keeper.shelf)
 		}
 	}
-	r.core.Observe(&logs.Transactions{Log: r.log, Clock: r.core.Clock, Name: r.core.Endpoints.Name})
+	r.core.Observe(&logging.RequestObserver{Log: r.log, Clock: r.core.Clock, Name: r.core.Endpoints.Name})
 	return nil
 }
 
--- a/internal/logs/golden_test.go
+++ b/internal/logging/golden_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"testing"
@@ -14,9 +14,9 @@
 	time.Local = time.UTC // times are written in the machine's zone
 	defer func() { time.Local = local }()
 	synctest.Test(t, func(t *testing.T) {
-		for _, form := range Forms() {
+		for _, form := range Formats() {
 			var b buffer
-			l := New(Options{Level: "debug", Form: form}, &b)
+			l := New(Options{Level: "debug", Format: form}, &b)
 			l.With("number", 7).Debug("a word", "text", "two words", "took", 1500*time.Millisecond)
 			l.Info("a word", "share", 0.5, "yes", true)
 			l.Warn("a word")
--- a/internal/logs/limit.go
+++ b/internal/logging/limit.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"cmp"
--- a/internal/logs/logs.go
+++ b/internal/logging/logs.go
@@ -3,7 +3,7 @@
 // counted, so that a flood of bad clients costs little and hides nothing else. Lines
 // are written by a goroutine of their own: who reads them slowly, or not at all, holds
 // nobody up, and what there is no room for is counted as well.
-package logs
+package logging
 
 import (
 	"bytes"
@@ -24,17 +24,17 @@
 
 // Options say what is written and how.
 type Options struct {
-	Level string // debug, info, warn or error; empty: info
-	Form  string // text, logfmt or json; empty: logfmt
-	Keep  int    // lines that Tail tells of; 0: none
+	Level     string // debug, info, warn or error; empty: info
+	Format    string // text, logfmt or json; empty: logfmt
+	TailLines int    // lines that Tail tells of; 0: none
 }
 
 var levels = []string{"debug", "info", "warn", "error"}
 
 var forms = map[string]log.Formatter{"text": log.TextFormatter, "logfmt": log.LogfmtFormatter, "json": log.JSONFormatter}
 
-// Forms are the forms there are.
-func Forms() []string { return slices.Sorted(maps.Keys(forms)) }
+// Formats are the forms there are.
+func Formats() []string { return slices.Sorted(maps.Keys(forms)) }
 
 // CheckLevel tells whether a level makes sense; none does.
 func CheckLevel(level string) error {
@@ -44,10 +44,10 @@
 	return nil
 }
 
-// CheckForm tells whether a form makes sense; none does.
-func CheckForm(form string) error {
+// CheckFormat tells whether a form makes sense; none does.
+func CheckFormat(form string) error {
 	if _, ok := forms[form]; form != "" && !ok {
-		return fmt.Errorf("%q is no form; expected one of %s", form, strings.Join(Forms(), ", "))
+		return fmt.Errorf("%q is no form; expected one of %s", form, strings.Join(Formats(), ", "))
 	}
 	return nil
 }
@@ -59,8 +59,8 @@
 	keepBytes = 512                    // of a line that is kept
 )
 
-// Log is a log that has been set up.
-type Log struct {
+// Logger is a log that has been set up.
+type Logger struct {
 	*slog.Logger
 	lines *lines
 	limit *limited
@@ -69,10 +69,10 @@
 }
 
 // New sets a log up that writes to w. Its options have been checked.
-func New(o Options, w io.Writer) *Log {
+func New(o Options, w io.Writer) *Logger {
 	level, _ := log.ParseLevel(cmp.Or(o.Level, "info"))
-	l := &Log{lines: &lines{out: w, queue: make(chan []byte, linesMost), keep: o.Keep}, stop: make(chan struct{}), done: make(chan struct{})}
-	form := forms[cmp.Or(o.Form, "logfmt")]
+	l := &Logger{lines: &lines{out: w, queue: make(chan []byte, linesMost), keep: o.TailLines}, stop: make(chan struct{}), done: make(chan struct{})}
+	form := forms[cmp.Or(o.Format, "logfmt")]
 	handler := log.NewWithOptions(l.lines, log.Options{
 		Level: level, Formatter: form, ReportTimestamp: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 	})
@@ -86,7 +86,7 @@
 }
 
 // run writes lines, and every so often what was left out.
-func (l *Log) run() {
+func (l *Logger) run() {
 	defer close(l.done)
 	tick := time.NewTicker(sumsEvery)
 	defer tick.Stop()
@@ -111,7 +111,7 @@
 }
 
 // sums tells of kinds that have fallen silent how many lines of them were left out.
-func (l *Log) sums(now time.Time) {
+func (l *Logger) sums(now time.Time) {
 	l.limit.mu.Lock()
 	left := l.limit.limiter.sums(now)
 	l.limit.mu.Unlock()
@@ -128,7 +128,7 @@
 }
 
 // Close writes what waits, within half a second.
-func (l *Log) Close() {
+func (l *Logger) Close() {
 	close(l.stop)
 	select {
 	case <-l.done:
@@ -138,7 +138,7 @@
 
 // Tail returns the last lines that were logged, so many at the most, the oldest first. Each is
 // cut to its first part.
-func (l *Log) Tail(most int) []string {
+func (l *Logger) Tail(most int) []string {
 	l.lines.mu.Lock()
 	defer l.lines.mu.Unlock()
 	all := l.lines.kept
--- a/internal/logs/logs_test.go
+++ b/internal/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"encoding/json"
@@ -33,7 +33,7 @@
 		"text": "transaction refused number=7 class=\"live preview\"\n", "logfmt": `level=warn msg="transaction refused" number=7 class="live preview"`, "json": `"number":7`,
 	} {
 		var b buffer
-		l := New(Options{Level: "warn", Form: form}, &b)
+		l := New(Options{Level: "warn", Format: form}, &b)
 		l.Info("is not written")
 		l.With("number", 7).Warn("transaction refused", "class", "live preview")
 		l.Close()
@@ -44,12 +44,12 @@
 			t.Errorf("no JSON: %s", b.String())
 		}
 	}
-	for _, bad := range []error{CheckLevel("loud"), CheckForm("xml")} {
+	for _, bad := range []error{CheckLevel("loud"), CheckFormat("xml")} {
 		if bad == nil || !strings.Contains(bad.Error(), "expected one of") {
 			t.Errorf("an odd option gives %v", bad)
 		}
 	}
-	if CheckLevel("") != nil || CheckLevel("debug") != nil || CheckForm("") != nil || CheckForm("json") != nil {
+	if CheckLevel("") != nil || CheckLevel("debug") != nil || CheckFormat("") != nil || CheckFormat("json") != nil {
 		t.Error("options that make sense are refused")
 	}
 }
--- a/internal/logs/transactions.go
+++ b/internal/logging/transactions.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"context"
@@ -11,22 +11,22 @@
 	"lockroad/internal/registry"
 )
 
-// Transactions is an observer that logs the trouble of transactions: passes that
+// RequestObserver is an observer that logs the trouble of transactions: passes that
 // fail, and answers that no client wants. Each line carries the transaction's number,
 // front, class and server.
-type Transactions struct {
+type RequestObserver struct {
 	Log   *slog.Logger
 	Clock proxy.Clock
 	Name  func(balancer.EndpointID) string // of a server
 }
 
 // Began follows a transaction.
-func (o *Transactions) Began(number uint64, ask proxy.Request) proxy.RequestObserver {
-	return &followed{Transactions: o, number: number, front: ask.Front, class: ask.Class, tenant: ask.Tenant, name: ask.Name, began: o.Clock.Now()}
+func (o *RequestObserver) Began(number uint64, ask proxy.Request) proxy.RequestObserver {
+	return &followed{RequestObserver: o, number: number, front: ask.Front, class: ask.Class, tenant: ask.Tenant, name: ask.Name, began: o.Clock.Now()}
 }
 
 type followed struct {
-	*Transactions
+	*RequestObserver
 	number             uint64
 	front, class, name string
 	tenant             string // "" if it has none
