--- a/internal/pool/pool.go
+++ b/internal/connpool/pool.go
@@ -6,7 +6,7 @@
 //  3. closes the connections that Idle names, at the times that it names, and tells of each with Lost.
 //
 // All times are on one clock that never goes back.
-package pool
+package connpool
 
 import (
 	"cmp"
@@ -18,17 +18,17 @@
 
 // Settings bound the connections.
 type Settings struct {
-	Sessions int           // transactions over a connection at the most. More save set-ups and descriptors; one connection's end ends as many
-	Idle     time.Duration // a connection without any is kept for so long
+	MaxSessions int           // transactions over a connection at the most. More save set-ups and descriptors; one connection's end ends as many
+	IdleTimeout time.Duration // a connection without any is kept for so long
 }
 
-// Check tells what makes no sense.
-func (s Settings) Check() error {
-	if s.Sessions < 1 || s.Sessions > math.MaxUint16 {
-		return fmt.Errorf("%d sessions are not within 1 and %d", s.Sessions, math.MaxUint16)
+// Validate tells what makes no sense.
+func (s Settings) Validate() error {
+	if s.MaxSessions < 1 || s.MaxSessions > math.MaxUint16 {
+		return fmt.Errorf("%d sessions are not within 1 and %d", s.MaxSessions, math.MaxUint16)
 	}
-	if s.Idle < 0 {
-		return fmt.Errorf("%v is no time", s.Idle)
+	if s.IdleTimeout < 0 {
+		return fmt.Errorf("%v is no time", s.IdleTimeout)
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 	}
 	if best == nil {
 		p.last++
-		best = &conn{id: p.last, server: server, most: p.set.Sessions}
+		best = &conn{id: p.last, server: server, most: p.set.MaxSessions}
 		p.all[server] = append(p.all[server], best)
 		p.byID[best.id] = best
 		dial = true
@@ -97,7 +97,7 @@
 	if c == nil {
 		return 0
 	}
-	c.open, c.most = true, max(1, min(most, p.set.Sessions))
+	c.open, c.most = true, max(1, min(most, p.set.MaxSessions))
 	return max(0, c.used-c.most)
 }
 
@@ -144,7 +144,7 @@
 		if !c.open || c.used > 0 {
 			continue
 		}
-		switch at := c.since + p.set.Idle; {
+		switch at := c.since + p.set.IdleTimeout; {
 		case c.shut || now >= at:
 			c.shut = true
 			out = append(out, id)
--- a/internal/pool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package connpool
 
 import (
 	"slices"
@@ -10,8 +10,8 @@
 )
 
 func TestCheck(t *testing.T) {
-	for want, s := range map[string]Settings{"sessions": {}, "is no time": {Sessions: 1, Idle: -1}, "": {Sessions: 1}} {
-		if err := s.Check(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+	for want, s := range map[string]Settings{"sessions": {}, "is no time": {MaxSessions: 1, IdleTimeout: -1}, "": {MaxSessions: 1}} {
+		if err := s.Validate(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
 			t.Errorf("%+v: %v", s, err)
 		}
 	}
@@ -20,7 +20,7 @@
 // A second transaction shares the first one's connection, also while that is on its way; those beyond what the server
 // takes go elsewhere; a connection that is empty goes in its time, and one that leaves with its last.
 func TestLifeOfAConnection(t *testing.T) {
-	p := New(Settings{Sessions: 3, Idle: time.Second})
+	p := New(Settings{MaxSessions: 3, IdleTimeout: time.Second})
 	take := func(server string, want ID, dials bool) {
 		t.Helper()
 		if id, dial := p.Take(server); id != want || dial != dials {
@@ -70,7 +70,7 @@
 // is shut gets anything new, and each transaction is where it was put.
 func TestRandomSteps(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Sessions: rapid.IntRange(1, 4).Draw(t, "sessions"), Idle: time.Second}
+		set := Settings{MaxSessions: rapid.IntRange(1, 4).Draw(t, "sessions"), IdleTimeout: time.Second}
 		p := New(set)
 		type known struct {
 			server     string
@@ -106,7 +106,7 @@
 							t.Fatalf("a new connection beside one with room: %+v", x)
 						}
 					}
-					k = &known{server: server, most: set.Sessions}
+					k = &known{server: server, most: set.MaxSessions}
 					all[id] = k
 				}
 				if k.used++; k.server != server || k.shut || k.used > k.most {
@@ -116,7 +116,7 @@
 			"open": func(t *rapid.T) {
 				id, k := some(func(k *known) bool { return !k.open })
 				most := rapid.IntRange(0, 5).Draw(t, "most")
-				k.open, k.most = true, max(1, min(most, set.Sessions))
+				k.open, k.most = true, max(1, min(most, set.MaxSessions))
 				over := p.Opened(id, most)
 				if over != max(0, k.used-k.most) {
 					t.Fatalf("%d over of %+v", over, k)
@@ -156,7 +156,7 @@
 					}
 					all[id].shut = true
 				}
-				if next != 0 && (next <= now || next > now+set.Idle) {
+				if next != 0 && (next <= now || next > now+set.IdleTimeout) {
 					t.Fatalf("next %v at %v", next, now)
 				}
 			},
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -15,7 +15,7 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
-	"lockroad/internal/pool"
+	"lockroad/internal/connpool"
 	"lockroad/internal/steps"
 )
 
@@ -125,7 +125,7 @@
 	t.Helper()
 	var front *Frontend
 	r := newRig(t, wireOf(func(f *Frontend) {
-		f.Pool = pool.Settings{Sessions: 4, Idle: time.Minute}
+		f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute}
 		front = f
 	}, nil), 1, nil)
 	r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -18,7 +18,7 @@
 
 	client10 "github.com/Azure/go-amqp"
 
-	"lockroad/internal/pool"
+	"lockroad/internal/connpool"
 )
 
 var update = flag.Bool("update", false, "write docs/amqp-conformance.md anew")
@@ -647,7 +647,7 @@
 	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
 		var mu sync.Mutex
 		most, conns := uint16(0), 0
-		w := wireOf(func(f *Frontend) { f.Pool = pool.Settings{Sessions: 8, Idle: time.Minute} }, nil)
+		w := wireOf(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute} }, nil)
 		w.server = func(t testing.TB, tcp *net.TCPConn, _ *script) {
 			c, ok := greetClient(t, tcp)
 			if !ok {
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -15,8 +15,8 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
+	"lockroad/internal/connpool"
 	"lockroad/internal/listener"
-	"lockroad/internal/pool"
 	"lockroad/internal/steps"
 )
 
@@ -64,7 +64,7 @@
 
 // each runs a test through both fronts, and through AMQP with connections that transactions share.
 func each(t *testing.T, do func(t *testing.T, w wire)) {
-	shared := wireOf(func(f *Frontend) { f.Pool = pool.Settings{Sessions: 4, Idle: time.Second} }, nil)
+	shared := wireOf(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Second} }, nil)
 	shared.name = "amqp, shared"
 	for _, w := range append(slices.Clip(wires), shared) {
 		t.Run(w.name, func(t *testing.T) {
@@ -388,7 +388,7 @@
 			t.Parallel()
 			// The first link comes and goes; the second's attach is read, and its connection closed.
 			s := &shares{attaching: func(_, session int64) bool { return session != 2 }}
-			w := wireOf(func(f *Frontend) { f.Pool = pool.Settings{Sessions: 4, Idle: time.Minute} }, nil)
+			w := wireOf(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute} }, nil)
 			w.server = s.serve
 			r := newRig(t, w, 2, nil)
 			r.retune(func(s *balancer.Settings) { s.Classes[0].Effect, s.Classes[0].Deadline = c.effect, time.Minute })
--- a/internal/frontend/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"lockroad/internal/connpool"
 	"lockroad/internal/listener"
-	"lockroad/internal/pool"
 	"lockroad/internal/proxy"
 	"lockroad/internal/secure"
 )
@@ -33,10 +33,10 @@
 	EndpointPort int
 	IdleTimeout  time.Duration // a client that is silent for this long goes; 0: the usual
 
-	Authenticator *secure.Gate    // says who clients are and what they may open; nil: everyone everything
-	EndpointTLS   *secure.Servers // how connections to application servers are secured; nil: they are not
-	Pool          pool.Settings   // connections to servers that transactions share; zero: each has its own
-	Placements    []Placement     // what links want whose attach does not say it; each is compiled
+	Authenticator *secure.Gate      // says who clients are and what they may open; nil: everyone everything
+	EndpointTLS   *secure.Servers   // how connections to application servers are secured; nil: they are not
+	Pool          connpool.Settings // connections to servers that transactions share; zero: each has its own
+	Placements    []Placement       // what links want whose attach does not say it; each is compiled
 
 	plain  sync.Map // addresses of servers that speak without the security layer
 	trunks *trunks  // nil: no connections are shared
@@ -45,7 +45,7 @@
 // Serve takes clients until the listener is closed, and then sees those through
 // that it has.
 func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
-	if f.Pool.Sessions > 0 {
+	if f.Pool.MaxSessions > 0 {
 		f.trunks = newTrunks(f, f.Pool)
 		defer f.trunks.close()
 		defer context.AfterFunc(ctx, f.trunks.close)() // at the relay's end nobody waits for a server that does not read
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -11,7 +11,7 @@
 	client10 "github.com/Azure/go-amqp"
 	"pgregory.net/rapid"
 
-	"lockroad/internal/pool"
+	"lockroad/internal/connpool"
 )
 
 // verdictOf is the outcome that the stand-in gives a delivery, by its first byte.
@@ -72,8 +72,8 @@
 // A client that attaches, sends in pieces, aborts, settles beforehand and detaches in any order, over any number of links, gets
 // the outcome of each delivery that wants one once, as its server gave it, and of no other; the session and the connection stay.
 func TestRandomDeliveriesAreSettledOnce(t *testing.T) {
-	for _, set := range []pool.Settings{{}, {Sessions: 3, Idle: time.Minute}} {
-		t.Run(fmt.Sprintf("%d sessions", set.Sessions), func(t *testing.T) {
+	for _, set := range []connpool.Settings{{}, {MaxSessions: 3, IdleTimeout: time.Minute}} {
+		t.Run(fmt.Sprintf("%d sessions", set.MaxSessions), func(t *testing.T) {
 			w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
 			w.server = judges
 			r := newRig(t, w, 1, nil)
--- a/internal/frontend/amqp/server.go
+++ b/internal/frontend/amqp/server.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/connpool"
 	"lockroad/internal/listener"
-	"lockroad/internal/pool"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
 	"lockroad/internal/secure"
@@ -38,8 +38,8 @@
 // its own or on one that others share.
 type upstream struct {
 	*session
-	lane     *lane   // of a shared connection; nil: it has its own
-	shared   pool.ID // that connection
+	lane     *lane       // of a shared connection; nil: it has its own
+	shared   connpool.ID // that connection
 	trunks   *trunks
 	sessions int           // that the connection is to have at the most; 0: as any other
 	channels uint16        // highest channel that the server takes
@@ -164,7 +164,7 @@
 		}
 		over, shows = secured, len(config.Certificates) > 0
 	}
-	u := &upstream{session: newSession(newConn(over), 0), stop: make(chan struct{}), tcp: tcp, shows: shows, sessions: f.Pool.Sessions}
+	u := &upstream{session: newSession(newConn(over), 0), stop: make(chan struct{}), tcp: tcp, shows: shows, sessions: f.Pool.MaxSessions}
 	cut := context.AfterFunc(ctx, func() { tcp.Close() })
 	err = u.greet(bound, plain)
 	if !cut() {
--- a/internal/frontend/amqp/trunks.go
+++ b/internal/frontend/amqp/trunks.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"lockroad/internal/pool"
+	"lockroad/internal/connpool"
 	"lockroad/internal/registry"
 )
 
@@ -20,15 +20,15 @@
 	front *Frontend
 
 	mu    sync.Mutex
-	pool  *pool.Pool
-	open  map[pool.ID]*trunk
+	pool  *connpool.Pool
+	open  map[connpool.ID]*trunk
 	timer *time.Timer // for those that idle
 	over  bool
 }
 
 // trunk is one of them. It is usable once ready is closed without an error.
 type trunk struct {
-	id      pool.ID
+	id      connpool.ID
 	address string
 	ready   chan struct{}
 	err     error
@@ -39,12 +39,12 @@
 	stop    chan struct{}
 }
 
-func newTrunks(f *Frontend, s pool.Settings) *trunks {
-	return &trunks{front: f, pool: pool.New(s), open: make(map[pool.ID]*trunk)}
+func newTrunks(f *Frontend, s connpool.Settings) *trunks {
+	return &trunks{front: f, pool: connpool.New(s), open: make(map[connpool.ID]*trunk)}
 }
 
 // lane opens a session at a server, on a connection that others share or that is brought up for it.
-func (t *trunks) lane(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*lane, pool.ID, error) {
+func (t *trunks) lane(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*lane, connpool.ID, error) {
 	for {
 		t.mu.Lock()
 		if t.over {
@@ -99,7 +99,7 @@
 	cancel()
 	t.mu.Lock()
 	if err == nil {
-		tr.mux, tr.tcp, tr.most = newMux(u.conn), u.tcp, min(u.channels, uint16(t.front.Pool.Sessions-1))
+		tr.mux, tr.tcp, tr.most = newMux(u.conn), u.tcp, min(u.channels, uint16(t.front.Pool.MaxSessions-1))
 	}
 	if tr.err = err; err == nil && t.over {
 		tr.err = errQuit
@@ -189,7 +189,7 @@
 }
 
 // end ends a session from here, and shuts its trunk if the server does not let go of it.
-func (t *trunks) end(id pool.ID, l *lane) {
+func (t *trunks) end(id connpool.ID, l *lane) {
 	if l.close() {
 		return
 	}
--- a/internal/frontend/amqp/trunks_test.go
+++ b/internal/frontend/amqp/trunks_test.go
@@ -14,7 +14,7 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
-	"lockroad/internal/pool"
+	"lockroad/internal/connpool"
 	"lockroad/internal/steps"
 )
 
@@ -52,7 +52,7 @@
 }
 
 // sharedRig is a relay whose transactions share connections to one server.
-func sharedRig(t testing.TB, s *shares, set pool.Settings) *rig {
+func sharedRig(t testing.TB, s *shares, set connpool.Settings) *rig {
 	t.Helper()
 	w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
 	w.server = s.serve
@@ -99,7 +99,7 @@
 // same; a connection without any is closed in its time.
 func TestTransactionsShareConnections(t *testing.T) {
 	s := &shares{}
-	r := sharedRig(t, s, pool.Settings{Sessions: 3, Idle: 300 * time.Millisecond})
+	r := sharedRig(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: 300 * time.Millisecond})
 	c := clientOf(t, r)
 	var all []*client10.Sender
 	for i := range 7 {
@@ -149,7 +149,7 @@
 // their way are tried elsewhere or answered.
 func TestOneConnectionsEndIsItsOwn(t *testing.T) {
 	s := &shares{attaching: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
-	r := sharedRig(t, s, pool.Settings{Sessions: 3, Idle: time.Minute})
+	r := sharedRig(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: time.Minute})
 	c := clientOf(t, r)
 	var all []*client10.Sender
 	for i := range 4 {
@@ -172,7 +172,7 @@
 // Many come and go at once: each is answered, and in the end nothing is left of any.
 func TestSharedConnectionsUnderLoad(t *testing.T) {
 	s := &shares{}
-	r := sharedRig(t, s, pool.Settings{Sessions: 5, Idle: 100 * time.Millisecond})
+	r := sharedRig(t, s, connpool.Settings{MaxSessions: 5, IdleTimeout: 100 * time.Millisecond})
 	before := runtime.NumGoroutine()
 	var all sync.WaitGroup
 	for i := range 40 {
@@ -202,7 +202,7 @@
 // A server that drains gets nothing new over the connection that it has, which goes with its last transaction.
 func TestDrainedServersConnectionEmpties(t *testing.T) {
 	s := &shares{}
-	r := sharedRig(t, s, pool.Settings{Sessions: 8, Idle: time.Minute})
+	r := sharedRig(t, s, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
 	c := clientOf(t, r)
 	attach(t, c, "one")
 	r.farm[0].State = balancer.StateDraining
@@ -220,8 +220,8 @@
 func BenchmarkSetUp(b *testing.B) {
 	for _, way := range []struct {
 		name string
-		set  pool.Settings
-	}{{"a connection each", pool.Settings{}}, {"shared by 64", pool.Settings{Sessions: 64, Idle: time.Minute}}} {
+		set  connpool.Settings
+	}{{"a connection each", connpool.Settings{}}, {"shared by 64", connpool.Settings{MaxSessions: 64, IdleTimeout: time.Minute}}} {
 		b.Run(way.name, func(b *testing.B) {
 			r := sharedRig(b, &shares{}, way.set)
 			session := clientOf(b, r)
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -10,10 +10,10 @@
 	"strings"
 	"time"
 
+	"lockroad/internal/connpool"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/logging"
-	"lockroad/internal/pool"
 	"lockroad/internal/secure"
 )
 
@@ -71,8 +71,8 @@
 )
 
 // pool is how transactions share connections to servers.
-func (a *AMQP) pool() pool.Settings {
-	return pool.Settings{Sessions: a.Shared, Idle: time.Duration(cmp.Or(a.SharedIdle, sharedIdle))}
+func (a *AMQP) pool() connpool.Settings {
+	return connpool.Settings{MaxSessions: a.Shared, IdleTimeout: time.Duration(cmp.Or(a.SharedIdle, sharedIdle))}
 }
 
 // security is how clients of the front are let in.
