--- a/cmd/lockroad/passwd.go
+++ b/cmd/lockroad/passwd.go
@@ -10,7 +10,7 @@
 
 	"github.com/charmbracelet/x/term"
 
-	"lockroad/internal/secure"
+	"lockroad/internal/auth"
 )
 
 // passwdCommand keeps the file of users.
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	if err := secure.SetPassword(c.File, c.User, password, c.Remove); err != nil {
+	if err := auth.SetPassword(c.File, c.User, password, c.Remove); err != nil {
 		return err
 	}
 	fmt.Fprintf(s.out, "%s is written; a relay that runs takes it at SIGHUP\n", c.File)
--- a/internal/secure/secure.go
+++ b/internal/auth/secure.go
@@ -1,7 +1,7 @@
 // Package secure says who a peer is and what it may open: certificates for TLS, passwords of users,
 // and grants of classes. What it reads from files is one immutable value, which Reload replaces whole
 // or not at all; connections that stand go on with what they began under.
-package secure
+package auth
 
 import (
 	"crypto/tls"
@@ -42,39 +42,39 @@
 	Classes []string `toml:"classes"`
 }
 
-// Wrong is what is wrong with a setting, or the file that it names.
-type Wrong struct {
+// KeyError is what is wrong with a setting, or the file that it names.
+type KeyError struct {
 	Key string // as in the operator's file, below amqp
 	error
 }
 
-func (w Wrong) Unwrap() error { return w.error }
+func (w KeyError) Unwrap() error { return w.error }
 
 // at puts a key to an error, if it is one.
 func at(key string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return Wrong{key, err}
+	return KeyError{key, err}
 }
 
 var errPair = errors.New("a certificate wants its key, and a key its certificate")
 
-// Check tells what makes no sense of itself; files are looked at by Open.
-func (s *Settings) Check() error {
+// Validate tells what makes no sense of itself; files are looked at by Open.
+func (s *Settings) Validate() error {
 	switch {
 	case (s.Cert == "") != (s.Key == ""):
-		return Wrong{"tls.cert", errPair}
+		return KeyError{"tls.cert", errPair}
 	case s.ClientCA != "" && s.Cert == "":
-		return Wrong{"tls.client_ca", errors.New("clients show certificates over TLS only: cert and key are missing")}
+		return KeyError{"tls.client_ca", errors.New("clients show certificates over TLS only: cert and key are missing")}
 	case s.NoAnonymous && s.Users == "" && s.ClientCA == "":
-		return Wrong{"sasl.anonymous", errors.New("nobody could come: neither users nor client_ca says who clients are")}
+		return KeyError{"sasl.anonymous", errors.New("nobody could come: neither users nor client_ca says who clients are")}
 	case s.Users != "" && s.Cert == "" && !s.ClearPlain:
-		return Wrong{"sasl.users", errors.New("passwords would come in the clear: set cert and key, or plain_without_tls")}
+		return KeyError{"sasl.users", errors.New("passwords would come in the clear: set cert and key, or plain_without_tls")}
 	}
 	for i, g := range s.Grants {
 		if g.User == "" || len(g.Classes) == 0 {
-			return Wrong{"grant", fmt.Errorf("the %d. one wants a user and classes", i+1)}
+			return KeyError{"grant", fmt.Errorf("the %d. one wants a user and classes", i+1)}
 		}
 	}
 	return nil
@@ -88,23 +88,23 @@
 	users   *users
 }
 
-// Gate says who comes in. A nil Gate lets everyone do everything, without TLS.
-type Gate struct {
+// Authenticator says who comes in. A nil Gate lets everyone do everything, without TLS.
+type Authenticator struct {
 	set   Settings
 	state atomic.Pointer[state]
 }
 
-// Open reads all files. Its errors name the file.
-func Open(s Settings) (*Gate, error) {
-	if err := s.Check(); err != nil {
+// New reads all files. Its errors name the file.
+func New(s Settings) (*Authenticator, error) {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	g := &Gate{set: s}
+	g := &Authenticator{set: s}
 	return g, g.Reload()
 }
 
 // Reload reads all files anew. After an error what was read before stays in force, whole.
-func (g *Gate) Reload() error {
+func (g *Authenticator) Reload() error {
 	if g == nil {
 		return nil
 	}
@@ -163,7 +163,7 @@
 }
 
 // TLS is how connections are secured, by what is in force as each comes in; nil: they are not.
-func (g *Gate) TLS() *tls.Config {
+func (g *Authenticator) TLS() *tls.Config {
 	if g == nil || g.set.Cert == "" {
 		return nil
 	}
@@ -178,7 +178,7 @@
 }
 
 // Expires is when the relay's certificate expires; false: it has none.
-func (g *Gate) Expires() (time.Time, bool) {
+func (g *Authenticator) Expires() (time.Time, bool) {
 	if g == nil || g.set.Cert == "" {
 		return time.Time{}, false
 	}
@@ -186,7 +186,7 @@
 }
 
 // Mechanisms are those that a peer may choose from. c is nil without TLS.
-func (g *Gate) Mechanisms(c *tls.ConnectionState) (names []string) {
+func (g *Authenticator) Mechanisms(c *tls.ConnectionState) (names []string) {
 	if g == nil {
 		return []string{Anonymous}
 	}
@@ -211,12 +211,12 @@
 }
 
 // Bare tells whether a peer may come without the security layer.
-func (g *Gate) Bare() bool { return g == nil || !g.set.NoAnonymous }
+func (g *Authenticator) Bare() bool { return g == nil || !g.set.NoAnonymous }
 
 // Authenticate returns who a peer is, by a mechanism that it has chosen and its initial response. It fails alike
 // for a user that is not there and for a wrong password, and after about the same time. It takes some 20 ms of
 // processor time the first time for a password; one of them is looked at at a time.
-func (g *Gate) Authenticate(mechanism string, response []byte, c *tls.ConnectionState) (user string, ok bool) {
+func (g *Authenticator) Authenticate(mechanism string, response []byte, c *tls.ConnectionState) (user string, ok bool) {
 	if !slices.Contains(g.Mechanisms(c), mechanism) {
 		return "", false
 	}
@@ -235,8 +235,8 @@
 	return parts[1], g.state.Load().users.verify(parts[1], parts[2])
 }
 
-// May tells whether a user may open a class.
-func (g *Gate) May(user, class string) bool {
+// Authorized tells whether a user may open a class.
+func (g *Authenticator) Authorized(user, class string) bool {
 	if g == nil || len(g.set.Grants) == 0 {
 		return true
 	}
@@ -252,28 +252,28 @@
 	Name      string // that certificates have to be for; empty: the server's host
 }
 
-// Servers is the configuration for connections to servers, read anew by Reload. A nil one means no TLS.
-type Servers struct {
+// EndpointTLS is the configuration for connections to servers, read anew by Reload. A nil one means no TLS.
+type EndpointTLS struct {
 	set    Upstream
 	config atomic.Pointer[tls.Config]
 }
 
-// OpenServers reads all files; it returns nil where there is to be no TLS.
-func OpenServers(u Upstream) (*Servers, error) {
+// NewEndpointTLS reads all files; it returns nil where there is to be no TLS.
+func NewEndpointTLS(u Upstream) (*EndpointTLS, error) {
 	switch {
 	case u == Upstream{}:
 		return nil, nil
 	case u.CA == "":
-		return nil, Wrong{"servers_tls.ca", errors.New("is missing: a server's certificate could be anyone's")}
+		return nil, KeyError{"servers_tls.ca", errors.New("is missing: a server's certificate could be anyone's")}
 	case (u.Cert == "") != (u.Key == ""):
-		return nil, Wrong{"servers_tls.cert", errPair}
+		return nil, KeyError{"servers_tls.cert", errPair}
 	}
-	s := &Servers{set: u}
+	s := &EndpointTLS{set: u}
 	return s, s.Reload()
 }
 
 // Reload reads all files anew; after an error what was read before stays in force.
-func (s *Servers) Reload() error {
+func (s *EndpointTLS) Reload() error {
 	if s == nil {
 		return nil
 	}
@@ -294,7 +294,7 @@
 }
 
 // For is the configuration for a server at a host; nil: no TLS.
-func (s *Servers) For(host string) *tls.Config {
+func (s *EndpointTLS) For(host string) *tls.Config {
 	if s == nil {
 		return nil
 	}
--- a/internal/secure/secure_test.go
+++ b/internal/auth/secure_test.go
@@ -1,4 +1,4 @@
-package secure
+package auth
 
 import (
 	"crypto/tls"
@@ -40,7 +40,7 @@
 	if info, err := os.Stat(file); err != nil || info.Mode().Perm() != 0o600 || strings.Count(string(text), "ann:") != 1 {
 		t.Errorf("%v, %s", info.Mode(), text)
 	}
-	g, err := Open(Settings{Users: file, ClearPlain: true, NoAnonymous: true})
+	g, err := New(Settings{Users: file, ClearPlain: true, NoAnonymous: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,16 +107,16 @@
 		"in the clear": {Users: "x"}, "wants a user and classes": {Grants: []Grant{{User: "ann"}}}, "does not match": {Cert: other, Key: key},
 		"no such file": {Cert: cert, Key: key, ClientCA: "/not/there"}, "holds no certificate": {Cert: cert, Key: key, ClientCA: key},
 	} {
-		if _, err := Open(s); err == nil || !strings.Contains(err.Error(), what) {
+		if _, err := New(s); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
 	for what, u := range map[string]Upstream{"is missing": {Name: "x"}, "wants its key": {CA: a.CA, Cert: cert}, "holds no certificate": {CA: key}} {
-		if _, err := OpenServers(u); err == nil || !strings.Contains(err.Error(), what) {
+		if _, err := NewEndpointTLS(u); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	if s, err := OpenServers(Upstream{}); s != nil || err != nil || s.For("x") != nil || s.Reload() != nil {
+	if s, err := NewEndpointTLS(Upstream{}); s != nil || err != nil || s.For("x") != nil || s.Reload() != nil {
 		t.Error("nothing that is set is something")
 	}
 }
@@ -129,7 +129,7 @@
 	if err := SetPassword(users, "ann", "x", false); err != nil {
 		t.Fatal(err)
 	}
-	g, err := Open(Settings{Cert: cert, Key: key, ClientCA: a.CA, Users: users,
+	g, err := New(Settings{Cert: cert, Key: key, ClientCA: a.CA, Users: users,
 		Grants: []Grant{{"*", []string{"page"}}, {"ann", []string{"live"}}, {"desk", []string{"live", "print"}}}})
 	if err != nil {
 		t.Fatal(err)
@@ -148,15 +148,15 @@
 	}
 	for user, classes := range map[string]string{AnonymousUser: "page", "ann": "page live", "desk": "page live print"} {
 		for _, class := range []string{"page", "live", "print"} {
-			if g.May(user, class) != strings.Contains(classes, class) {
-				t.Errorf("%s and %s: %v", user, class, g.May(user, class))
+			if g.Authorized(user, class) != strings.Contains(classes, class) {
+				t.Errorf("%s and %s: %v", user, class, g.Authorized(user, class))
 			}
 		}
 	}
 	if at, ok := g.Expires(); !ok || time.Until(at) > 21*24*time.Hour || time.Until(at) < 19*24*time.Hour {
 		t.Errorf("it expires %v", at)
 	}
-	if none := (*Gate)(nil); !none.May("x", "y") || none.TLS() != nil || !none.Bare() || none.Reload() != nil {
+	if none := (*Authenticator)(nil); !none.Authorized("x", "y") || none.TLS() != nil || !none.Bare() || none.Reload() != nil {
 		t.Error("without a gate something is kept out")
 	}
 }
--- a/internal/secure/users.go
+++ b/internal/auth/users.go
@@ -1,4 +1,4 @@
-package secure
+package auth
 
 import (
 	"bufio"
--- a/internal/frontend/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
+	"lockroad/internal/auth"
 	"lockroad/internal/connpool"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/secure"
 )
 
 const (
@@ -33,10 +33,10 @@
 	EndpointPort int
 	IdleTimeout  time.Duration // a client that is silent for this long goes; 0: the usual
 
-	Authenticator *secure.Gate      // says who clients are and what they may open; nil: everyone everything
-	EndpointTLS   *secure.Servers   // how connections to application servers are secured; nil: they are not
-	Pool          connpool.Settings // connections to servers that transactions share; zero: each has its own
-	Placements    []Placement       // what links want whose attach does not say it; each is compiled
+	Authenticator *auth.Authenticator // says who clients are and what they may open; nil: everyone everything
+	EndpointTLS   *auth.EndpointTLS   // how connections to application servers are secured; nil: they are not
+	Pool          connpool.Settings   // connections to servers that transactions share; zero: each has its own
+	Placements    []Placement         // what links want whose attach does not say it; each is compiled
 
 	plain  sync.Map // addresses of servers that speak without the security layer
 	trunks *trunks  // nil: no connections are shared
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	c := &client{
 		conn: newConn(tcp), front: f, guest: g, ctx: ctx, tcp: tcp,
-		sessions: make(map[uint16]*clientSession), stop: make(chan struct{}), user: secure.AnonymousUser,
+		sessions: make(map[uint16]*clientSession), stop: make(chan struct{}), user: auth.AnonymousUser,
 	}
 	closed := context.AfterFunc(ctx, func() { tcp.Close() })
 	err := c.secures()
@@ -404,7 +404,7 @@
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
-	if !front.Authenticator.May(s.client.user, ask.Class) {
+	if !front.Authenticator.Authorized(s.client.user, ask.Class) {
 		front.Proxy.ProtocolError("amqp", "a client may not open a class")
 		s.refuse(l, condUnauthorized, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
--- a/internal/frontend/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -15,9 +15,9 @@
 
 	client10 "github.com/Azure/go-amqp"
 
+	"lockroad/internal/auth"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/secure"
 	"lockroad/internal/steps"
 )
 
@@ -91,15 +91,15 @@
 		t.Fatal(err)
 	}
 	users := filepath.Join(t.TempDir(), "users")
-	if err := secure.SetPassword(users, "ann", "ann's", false); err != nil {
+	if err := auth.SetPassword(users, "ann", "ann's", false); err != nil {
 		t.Fatal(err)
 	}
-	gate, err := secure.Open(secure.Settings{Cert: cert, Key: key, ClientCA: a.CA, Users: users, NoAnonymous: true,
-		Grants: []secure.Grant{{User: "ann", Classes: []string{"page"}}, {User: "desk", Classes: []string{"none"}}}})
+	gate, err := auth.New(auth.Settings{Cert: cert, Key: key, ClientCA: a.CA, Users: users, NoAnonymous: true,
+		Grants: []auth.Grant{{User: "ann", Classes: []string{"page"}}, {User: "desk", Classes: []string{"none"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	up, err := secure.OpenServers(secure.Upstream{CA: a.CA, Cert: cert, Key: key})
+	up, err := auth.NewEndpointTLS(auth.Upstream{CA: a.CA, Cert: cert, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +173,7 @@
 func TestHandshakeIsBounded(t *testing.T) {
 	a := steps.NewAuthority(t)
 	cert, key := a.Pair("relay", time.Hour)
-	gate, err := secure.Open(secure.Settings{Cert: cert, Key: key})
+	gate, err := auth.New(auth.Settings{Cert: cert, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -279,10 +279,10 @@
 	a := steps.NewAuthority(b)
 	cert, key := a.Pair("relay", time.Hour)
 	users := filepath.Join(b.TempDir(), "users")
-	if err := secure.SetPassword(users, "ann", "ann's", false); err != nil {
+	if err := auth.SetPassword(users, "ann", "ann's", false); err != nil {
 		b.Fatal(err)
 	}
-	gate, err := secure.Open(secure.Settings{Cert: cert, Key: key, Users: users})
+	gate, err := auth.New(auth.Settings{Cert: cert, Key: key, Users: users})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 	trusts.RootCAs.AppendCertsFromPEM(text)
 	for _, way := range []struct {
 		name   string
-		gate   *secure.Gate
+		gate   *auth.Authenticator
 		config *tls.Config
 		as     client10.SASLType
 	}{
--- a/internal/frontend/amqp/server.go
+++ b/internal/frontend/amqp/server.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/auth"
 	"lockroad/internal/connpool"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
-	"lockroad/internal/secure"
 )
 
 const (
@@ -199,9 +199,9 @@
 	if err != nil || f.code != codeMechanisms {
 		return errors.Join(err, errGreeting)
 	}
-	begin := perf{codeInit, list{symbol(secure.Anonymous), []byte("lockroad")}}
-	if u.shows && offers(f.field(0), secure.External) {
-		begin = perf{codeInit, list{symbol(secure.External), []byte{}}}
+	begin := perf{codeInit, list{symbol(auth.Anonymous), []byte("lockroad")}}
+	if u.shows && offers(f.field(0), auth.External) {
+		begin = perf{codeInit, list{symbol(auth.External), []byte{}}}
 	}
 	if err := u.sasl(begin); err != nil {
 		return err
--- a/internal/lifecycle/keys.go
+++ b/internal/lifecycle/keys.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"lockroad/internal/secure"
+	"lockroad/internal/auth"
 )
 
 const (
@@ -16,8 +16,8 @@
 
 // keys are the files that say who peers are. Neither is there without AMQP's front.
 type keys struct {
-	gate    *secure.Gate
-	servers *secure.Servers
+	gate    *auth.Authenticator
+	servers *auth.EndpointTLS
 }
 
 // reload reads all files anew. Connections that stand go on with what they began under.
--- a/internal/lifecycle/operator.go
+++ b/internal/lifecycle/operator.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
+	"lockroad/internal/auth"
 	"lockroad/internal/connpool"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/frontend/amqp"
 	"lockroad/internal/logging"
-	"lockroad/internal/secure"
 )
 
 // Operator is what a site's operator sets beside the platform's configuration.
@@ -49,7 +49,7 @@
 		Anonymous       *bool  `toml:"anonymous"`         // clients may come without saying who they are; not set: yes
 		PlainWithoutTLS bool   `toml:"plain_without_tls"` // passwords may come in the clear
 	} `toml:"sasl"`
-	Grants     []secure.Grant `toml:"grant"` // which classes users may open; none: all may open all
+	Grants     []auth.Grant `toml:"grant"` // which classes users may open; none: all may open all
 	ServersTLS struct {
 		CA   string `toml:"ca"`   // PEM file of who signs servers' certificates; empty: no TLS to servers
 		Cert string `toml:"cert"` // PEM files that the relay shows them; empty: none
@@ -76,14 +76,14 @@
 }
 
 // security is how clients of the front are let in.
-func (a *AMQP) security() secure.Settings {
-	return secure.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
+func (a *AMQP) security() auth.Settings {
+	return auth.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
 		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, ClearPlain: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
 // upstream is how servers are spoken to.
-func (a *AMQP) upstream() secure.Upstream {
-	return secure.Upstream{CA: a.ServersTLS.CA, Cert: a.ServersTLS.Cert, Key: a.ServersTLS.Key, Name: a.ServersTLS.Name}
+func (a *AMQP) upstream() auth.Upstream {
+	return auth.Upstream{CA: a.ServersTLS.CA, Cert: a.ServersTLS.Cert, Key: a.ServersTLS.Key, Name: a.ServersTLS.Name}
 }
 
 // places are the rules, ready for use. Errors name the rule and its key.
@@ -182,10 +182,10 @@
 		f.add("amqp.shared", "%d is not within 0 and %d", n, sharedMost)
 	}
 	// Files are looked at as well: a check that leaves out what a start would trip over is none.
-	_, err1 := secure.Open(o.AMQP.security())
-	_, err2 := secure.OpenServers(o.AMQP.upstream())
+	_, err1 := auth.New(o.AMQP.security())
+	_, err2 := auth.NewEndpointTLS(o.AMQP.upstream())
 	for _, err := range []error{err1, err2} {
-		if wrong := (secure.Wrong{}); errors.As(err, &wrong) {
+		if wrong := (auth.KeyError{}); errors.As(err, &wrong) {
 			f.add("amqp."+wrong.Key, "%v", wrong)
 		}
 	}
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -17,6 +17,7 @@
 
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
+	"lockroad/internal/auth"
 	"lockroad/internal/console"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/discovery"
@@ -29,7 +30,6 @@
 	"lockroad/internal/logging"
 	"lockroad/internal/proxy"
 	"lockroad/internal/quota"
-	"lockroad/internal/secure"
 	"lockroad/internal/telemetry"
 )
 
@@ -335,10 +335,10 @@
 	if front.Placements, err = o.AMQP.places(); err != nil {
 		return err
 	}
-	if r.keys.gate, err = secure.Open(o.AMQP.security()); err != nil {
+	if r.keys.gate, err = auth.New(o.AMQP.security()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
-	if r.keys.servers, err = secure.OpenServers(o.AMQP.upstream()); err != nil {
+	if r.keys.servers, err = auth.NewEndpointTLS(o.AMQP.upstream()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
 	front.Authenticator, front.EndpointTLS = r.keys.gate, r.keys.servers
