--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -14,7 +14,7 @@
 // Exit codes of the console.
 const (
 	ExitOK          = 0
-	ExitRefused     = 1 // the relay has turned the command down
+	ExitRejected    = 1 // the relay has turned the command down
 	ExitUsage       = 2 // the console was called wrongly
 	ExitUnreachable = 3 // no relay answers
 )
@@ -44,7 +44,7 @@
 	for first := true; ; first = false {
 		var answer, wrong strings.Builder
 		code := Run(socket, command, strings.NewReader(""), &answer, &wrong)
-		if code == ExitRefused || code != ExitOK && first {
+		if code == ExitRejected || code != ExitOK && first {
 			io.WriteString(errs, wrong.String())
 			return code
 		}
@@ -98,7 +98,7 @@
 	switch {
 	case errors.Is(err, errRefused):
 		fmt.Fprintf(s.errs, "lockroad: %s", answer)
-		return ExitRefused
+		return ExitRejected
 	case err != nil:
 		fmt.Fprintf(s.errs, "lockroad: the relay no longer answers: %v\n", err)
 		return ExitUnreachable
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -29,21 +29,21 @@
 	quietMost   = 10 * time.Minute // a console that says nothing for this long goes
 	answerMost  = 5 * time.Second  // an answer may take this long
 
-	// Consoles bounds those that are open at a time, and so the descriptors that they take.
-	Consoles = 24
+	// MaxSessions bounds those that are open at a time, and so the descriptors that they take.
+	MaxSessions = 24
 )
 
-// Fronts tells of a front that clients come in by.
-type Fronts struct{ Name, Listen string }
-
-// Desk answers the console's commands.
-type Desk struct {
-	Name   string
-	Core   *proxy.Proxy
-	Fronts []Fronts
-	Drain  func()             // has the relay leave
-	Why    *explain.Explainer // tells of decisions; nil: none are kept
-	Keeper Keeper             // takes orders; nil: none are taken
+// Frontend tells of a front that clients come in by.
+type Frontend struct{ Name, Listen string }
+
+// Server answers the console's commands.
+type Server struct {
+	Name        string
+	Proxy       *proxy.Proxy
+	Frontends   []Frontend
+	Drain       func()             // has the relay leave
+	Explainer   *explain.Explainer // tells of decisions; nil: none are kept
+	Persistence Persistence        // takes orders; nil: none are taken
 	// Reload has the configuration's file taken, and tells what changes; with dry it only tells.
 	Reload func(ctx context.Context, dry bool) ([]string, error)
 	Health func() (all []healthcheck.EndpointHealth, doubts bool) // of a site's servers; nil: discovery tells of them
@@ -55,7 +55,7 @@
 type command struct {
 	name, args, help string
 	// run answers. An error turns the command down.
-	run func(d *Desk, a asked, w io.Writer) error
+	run func(d *Server, a asked, w io.Writer) error
 	// forms says that --json may follow, and the answer is an object a line.
 	forms bool
 }
@@ -68,8 +68,8 @@
 }
 
 // bare is a command that takes no words.
-func bare(run func(d *Desk, a asked, w io.Writer) error) func(*Desk, asked, io.Writer) error {
-	return func(d *Desk, a asked, w io.Writer) error {
+func bare(run func(d *Server, a asked, w io.Writer) error) func(*Server, asked, io.Writer) error {
+	return func(d *Server, a asked, w io.Writer) error {
 		if a.words != "" {
 			return fmt.Errorf("nothing may follow here, not %q", a.words)
 		}
@@ -78,8 +78,8 @@
 }
 
 // plain is one that can't fail, either.
-func plain(run func(d *Desk, w io.Writer)) func(*Desk, asked, io.Writer) error {
-	return bare(func(d *Desk, _ asked, w io.Writer) error {
+func plain(run func(d *Server, w io.Writer)) func(*Server, asked, io.Writer) error {
+	return bare(func(d *Server, _ asked, w io.Writer) error {
 		run(d, w)
 		return nil
 	})
@@ -90,24 +90,24 @@
 
 func init() {
 	commands = []command{
-		{"status", "", "what the relay has done since its start", plain((*Desk).status), true},
-		{"farm", "", "the application servers, as discovery last named them", plain((*Desk).farm), true},
-		{"servers", "", "the servers with what is there of transactions, and what is held of them", bare((*Desk).servers), true},
-		{"transactions", "", "those under way", plain((*Desk).transactions), true},
-		{"fronts", "", "where clients come in", plain((*Desk).fronts), true},
-		{"why", "NUMBER|NAME|(QUERY)", "why a transaction went where it went; help why tells more", (*Desk).why, false},
+		{"status", "", "what the relay has done since its start", plain((*Server).status), true},
+		{"farm", "", "the application servers, as discovery last named them", plain((*Server).farm), true},
+		{"servers", "", "the servers with what is there of transactions, and what is held of them", bare((*Server).servers), true},
+		{"transactions", "", "those under way", plain((*Server).transactions), true},
+		{"fronts", "", "where clients come in", plain((*Server).fronts), true},
+		{"why", "NUMBER|NAME|(QUERY)", "why a transaction went where it went; help why tells more", (*Server).why, false},
 		{"pin", "NUMBER", "keep the record of a transaction", pin(true), false},
 		{"unpin", "NUMBER", "let it go again", pin(false), false},
-		{"record", "", "what the record of decisions holds and has let go", (*Desk).record, true},
+		{"record", "", "what the record of decisions holds and has let go", (*Server).record, true},
 		{"drain", "[SERVER [for TIME] [because WORDS]]", "have a server drain whatever the list says; without one, move everyone away and stop", drain, false},
 		{"undrain", "SERVER", "withdraw the order", undrain, false},
 		{"restart", "", "move everyone away and be started again, where a supervisor does that", bare(restart), false},
-		{"health", "", "which servers are up by their probes and passes", plain((*Desk).health), true},
+		{"health", "", "which servers are up by their probes and passes", plain((*Server).health), true},
 		{"reload", "[--dry-run]", "take the configuration's file anew, or tell what that would change", reload, false},
-		{"orders", "", "the orders in force that have servers drain", plain((*Desk).orders), true},
-		{"store", "", "what is kept on disk", plain((*Desk).store), true},
-		{"log", "[LINES]", "the last lines of the log", (*Desk).log, true},
-		{"help", "[why]", "this list; those with --json write an object a line", (*Desk).help, false},
+		{"orders", "", "the orders in force that have servers drain", plain((*Server).orders), true},
+		{"store", "", "what is kept on disk", plain((*Server).store), true},
+		{"log", "[LINES]", "the last lines of the log", (*Server).log, true},
+		{"help", "[why]", "this list; those with --json write an object a line", (*Server).help, false},
 	}
 }
 
@@ -133,10 +133,10 @@
 }
 
 // Serve answers consoles until ctx ends.
-func (d *Desk) Serve(ctx context.Context, l net.Listener) error {
+func (d *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { l.Close() })
 	defer stop()
-	places := make(chan struct{}, Consoles)
+	places := make(chan struct{}, MaxSessions)
 	for {
 		c, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -154,7 +154,7 @@
 		case places <- struct{}{}:
 		default: // of a console that knows nothing of it this is the answer to its first command
 			c.SetDeadline(time.Now().Add(time.Millisecond))
-			io.WriteString(c, frame("error", fmt.Sprintf("%d consoles are open, as many as may be\n", Consoles)))
+			io.WriteString(c, frame("error", fmt.Sprintf("%d consoles are open, as many as may be\n", MaxSessions)))
 			c.Close()
 			continue
 		}
@@ -168,7 +168,7 @@
 }
 
 // talk answers one console. An answer is a head, "ok N" or "error N", and N bytes.
-func (d *Desk) talk(ctx context.Context, c net.Conn) {
+func (d *Server) talk(ctx context.Context, c net.Conn) {
 	by := who(c)
 	r := bufio.NewReaderSize(c, commandMost)
 	for {
@@ -187,11 +187,11 @@
 
 // frame is an answer as it goes to a console, with nothing in it that would move a terminal.
 func frame(verdict, answer string) string {
-	answer = Clean(answer)
+	answer = Sanitize(answer)
 	return fmt.Sprintf("%s %d\n%s", verdict, len(answer), answer)
 }
 
-func (d *Desk) answer(ctx context.Context, text, by string) (verdict, answer string) {
+func (d *Server) answer(ctx context.Context, text, by string) (verdict, answer string) {
 	var b strings.Builder
 	name, words, _ := strings.Cut(text, " ")
 	for _, c := range commands {
@@ -209,12 +209,12 @@
 	return "error", fmt.Sprintf("unknown command %q; help lists those there are\n", name)
 }
 
-func (d *Desk) status(w io.Writer) {
-	c := d.Core.Counters
+func (d *Server) status(w io.Writer) {
+	c := d.Proxy.Counters
 	table(w, nil, func(row func(...any)) {
 		row("relay", d.Name)
 		row("transactions", c.Requests.Load())
-		for stage, n := range d.Core.Requests.CountByStage() {
+		for stage, n := range d.Proxy.Requests.CountByStage() {
 			row("  "+registry.Stage(stage).String(), n)
 		}
 		for _, e := range c.Ends() {
@@ -228,9 +228,9 @@
 	})
 }
 
-func (d *Desk) farm(w io.Writer) {
+func (d *Server) farm(w io.Writer) {
 	table(w, []string{"SERVER", "ADDRESS", "PHASE"}, func(row func(...any)) {
-		for _, s := range d.Core.Endpoints.List() {
+		for _, s := range d.Proxy.Endpoints.List() {
 			row(s.Name, s.Address, d.phase(s))
 		}
 	})
@@ -240,13 +240,13 @@
 const viewWait = time.Second
 
 // servers lists those that are not gone, or that someone is left at.
-func (d *Desk) servers(a asked, w io.Writer) error {
+func (d *Server) servers(a asked, w io.Writer) error {
 	at := d.at()
 	ctx, cancel := context.WithTimeout(a.ctx, viewWait)
 	defer cancel()
-	held := d.Core.EndpointViews(ctx)
+	held := d.Proxy.EndpointViews(ctx)
 	table(w, []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}, func(row func(...any)) {
-		for _, s := range d.Core.Endpoints.List() {
+		for _, s := range d.Proxy.Endpoints.List() {
 			if s.State == balancer.StateGone && at[s.Name] == 0 {
 				continue
 			}
@@ -267,21 +267,21 @@
 }
 
 // phase is a server's phase, and whose word it is.
-func (d *Desk) phase(s registry.Endpoint) string {
-	if s.State == balancer.StateDraining && d.Core.DrainDirected(s.Name) {
+func (d *Server) phase(s registry.Endpoint) string {
+	if s.State == balancer.StateDraining && d.Proxy.DrainDirected(s.Name) {
 		return registry.StateName(s.State) + ", as ordered"
 	}
 	return registry.StateName(s.State)
 }
 
-func (d *Desk) transactions(w io.Writer) {
+func (d *Server) transactions(w io.Writer) {
 	names := make(map[balancer.EndpointID]string)
-	for _, s := range d.Core.Endpoints.List() {
+	for _, s := range d.Proxy.Endpoints.List() {
 		names[s.ID] = s.Name
 	}
-	now := d.Core.Clock.Now()
+	now := d.Proxy.Clock.Now()
 	table(w, []string{"NUMBER", "FRONT", "NAME", "CLASS", "STAGE", "SERVER", "PASSES", "AGE"}, func(row func(...any)) {
-		for _, t := range d.Core.Requests.List() {
+		for _, t := range d.Proxy.Requests.List() {
 			var server any
 			if t.Stage != registry.StageWaiting {
 				server = names[t.Endpoint]
@@ -291,15 +291,15 @@
 	})
 }
 
-func (d *Desk) fronts(w io.Writer) {
+func (d *Server) fronts(w io.Writer) {
 	table(w, []string{"FRONT", "LISTENS"}, func(row func(...any)) {
-		for _, f := range d.Fronts {
+		for _, f := range d.Frontends {
 			row(f.Name, f.Listen)
 		}
 	})
 }
 
-func (d *Desk) help(a asked, w io.Writer) error {
+func (d *Server) help(a asked, w io.Writer) error {
 	switch a.words {
 	case "":
 		table(w, nil, func(row func(...any)) {
@@ -322,32 +322,32 @@
 var errNoRecord = errors.New("no decisions are kept: the operator's file has why.bytes = 0")
 
 // why answers a question about decisions.
-func (d *Desk) why(a asked, w io.Writer) error {
-	if d.Why == nil {
+func (d *Server) why(a asked, w io.Writer) error {
+	if d.Explainer == nil {
 		return errNoRecord
 	}
 	q, err := explain.ParseLine(a.words)
 	if err != nil {
 		return err
 	}
-	return d.Why.Answer(q, w)
+	return d.Explainer.Answer(q, w)
 }
 
 // pin keeps the record of a transaction, or lets it go.
-func pin(on bool) func(*Desk, asked, io.Writer) error {
-	return func(d *Desk, a asked, w io.Writer) error {
-		if d.Why == nil {
+func pin(on bool) func(*Server, asked, io.Writer) error {
+	return func(d *Server, a asked, w io.Writer) error {
+		if d.Explainer == nil {
 			return errNoRecord
 		}
 		number, err := strconv.ParseUint(a.words, 10, 64)
 		if err != nil {
 			return fmt.Errorf("%q is no transaction's number; why tells it", a.words)
 		}
-		if err := d.Why.Log.Pin(number, on); err != nil {
+		if err := d.Explainer.Log.Pin(number, on); err != nil {
 			return err
 		}
-		if on && d.Keeper != nil {
-			d.Keeper.Pinned(number)
+		if on && d.Persistence != nil {
+			d.Persistence.Pinned(number)
 		}
 		fmt.Fprintf(w, "transaction %d is %s\n", number, map[bool]string{true: "pinned", false: "no longer pinned"}[on])
 		return nil
@@ -355,12 +355,12 @@
 }
 
 // record tells of the record itself.
-func (d *Desk) record(a asked, w io.Writer) error {
-	if d.Why == nil {
+func (d *Server) record(a asked, w io.Writer) error {
+	if d.Explainer == nil {
 		return errNoRecord
 	}
-	return plain(func(d *Desk, w io.Writer) {
-		s := d.Why.Log.Stats()
+	return plain(func(d *Server, w io.Writer) {
+		s := d.Explainer.Log.Stats()
 		table(w, []string{"KIND", "KEPT", "SHARE", "NO LONGER KEPT"}, func(row func(...any)) {
 			for _, kind := range decisionlog.CategoryNames {
 				row(kind, s.Entries[kind], fmt.Sprintf("%.1f%%", 100*float64(s.BlocksInUse[kind])/float64(s.Blocks)), s.Dropped[kind])
@@ -368,7 +368,7 @@
 		})
 		fmt.Fprintf(w, "%d bytes, all set aside at the start; %d steps found no room\n", s.Bytes, s.EventsLost)
 		if s.Horizon > 0 {
-			fmt.Fprintf(w, "all that came within the last %s are kept\n", (d.Core.Clock.Now() - s.Horizon).Round(time.Second))
+			fmt.Fprintf(w, "all that came within the last %s are kept\n", (d.Proxy.Clock.Now() - s.Horizon).Round(time.Second))
 		}
 	})(d, a, w)
 }
@@ -379,7 +379,7 @@
 )
 
 // log tells the last lines of the log.
-func (d *Desk) log(a asked, w io.Writer) error {
+func (d *Server) log(a asked, w io.Writer) error {
 	if d.Log == nil {
 		return errors.New("this relay keeps no lines of its log")
 	}
@@ -398,7 +398,7 @@
 }
 
 // restart has the relay leave and be started again.
-func restart(d *Desk, _ asked, w io.Writer) error {
+func restart(d *Server, _ asked, w io.Writer) error {
 	if d.Restart == nil {
 		return errors.New("this relay can't be started again from here")
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -44,7 +44,7 @@
 	tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
 	drains := 0
-	d := &Desk{Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}}, Why: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {
+	d := &Server{Name: "n3", Proxy: k, Frontends: []Frontend{{"line", "10.0.0.4:3000"}}, Explainer: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {
 		mu.Lock()
 		defer mu.Unlock()
 		drains++
@@ -112,14 +112,14 @@
 		code            int
 		errs            string
 	}{
-		"unknown command":     {socket, "explode", ExitRefused, `unknown command "explode"`},
-		"words after a name":  {socket, "status farm", ExitRefused, `status: nothing may follow here, not "farm"`},
-		"a bad query":         {socket, "why (class", ExitRefused, "why: line 1, column 1: a list that is not closed"},
-		"no such pin":         {socket, "pin 99", ExitRefused, "pin: transaction 99 has not come"},
-		"a pin of a name":     {socket, "pin x", ExitRefused, `"x" is no transaction's number`},
-		"no lines":            {socket, "log 0", ExitRefused, "no number of lines"},
-		"no JSON of an order": {socket, "undrain --json", ExitRefused, "undrain: "},
-		"odd help":            {socket, "help me", ExitRefused, "there is more to tell of why only"},
+		"unknown command":     {socket, "explode", ExitRejected, `unknown command "explode"`},
+		"words after a name":  {socket, "status farm", ExitRejected, `status: nothing may follow here, not "farm"`},
+		"a bad query":         {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
+		"no such pin":         {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
+		"a pin of a name":     {socket, "pin x", ExitRejected, `"x" is no transaction's number`},
+		"no lines":            {socket, "log 0", ExitRejected, "no number of lines"},
+		"no JSON of an order": {socket, "undrain --json", ExitRejected, "undrain: "},
+		"odd help":            {socket, "help me", ExitRejected, "there is more to tell of why only"},
 		"nobody there":        {socket + "x", "status", ExitUnreachable, "no relay answers"},
 	} {
 		code, out, errs := run("", c.socket, c.command)
@@ -191,8 +191,8 @@
 // Names come from clients: none of them moves the terminal, and JSON stays JSON.
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
-	d := &Desk{Core: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
-	d.Core.Requests.Add(registry.Request{Front: "line", Name: evil, Class: evil})
+	d := &Server{Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+	d.Proxy.Requests.Add(registry.Request{Front: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := d.answer(context.Background(), command, "me")
 		head, body, _ := strings.Cut(frame("ok", answer), "\n")
@@ -219,7 +219,7 @@
 		_, err = io.WriteString(deaf, "help why\n")
 	}
 	var all []net.Conn
-	for len(all) < Consoles-1 {
+	for len(all) < MaxSessions-1 {
 		c, err := net.Dial("unix", socket)
 		if err != nil {
 			t.Fatal(err)
@@ -259,7 +259,7 @@
 // A console that looks on goes on while the relay is away; a relay that is out of descriptors
 // answers once it has some.
 func TestWatchGoesOnOverARestart(t *testing.T) {
-	d := &Desk{Name: "n1", Core: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+	d := &Server{Name: "n1", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
 	socket := filepath.Join(t.TempDir(), "console")
 	if code := Watch(t.Context(), socket, "status", time.Millisecond, false, io.Discard, io.Discard); code != ExitUnreachable {
 		t.Errorf("code %d of a relay that was never there", code)
--- a/internal/console/forms.go
+++ b/internal/console/forms.go
@@ -108,9 +108,9 @@
 	})
 }
 
-// Clean is a text without what would move a terminal: names come from clients and servers. What
+// Sanitize is a text without what would move a terminal: names come from clients and servers. What
 // is replaced is within names, and so within the strings of what is JSON.
-func Clean(text string) string {
+func Sanitize(text string) string {
 	return strings.Map(func(r rune) rune {
 		switch {
 		case r == '\n':
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -40,7 +40,7 @@
 	return k.order(), errors.New("no room"), nil
 }
 
-func (k *fixedKeeper) Orders() []persistence.DrainDirective {
+func (k *fixedKeeper) DrainDirectives() []persistence.DrainDirective {
 	return []persistence.DrainDirective{k.order(), {Endpoint: "s-2", By: "bob", Since: k.since}}
 }
 
@@ -62,7 +62,7 @@
 
 // withFixedRelay calls do with the desk of a relay whose clock stands still and that has
 // something in every field of every answer.
-func withFixedRelay(t *testing.T, do func(d *Desk)) {
+func withFixedRelay(t *testing.T, do func(d *Server)) {
 	t.Helper()
 	useUTC(t)
 	synctest.Test(t, func(t *testing.T) {
@@ -108,9 +108,9 @@
 		trace.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 		time.Sleep(1234 * time.Millisecond)
 		synctest.Wait()
-		do(&Desk{
-			Name: "n3", Core: k, Fronts: []Fronts{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
-			Why: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {}, Keeper: &fixedKeeper{since: time.Now()},
+		do(&Server{
+			Name: "n3", Proxy: k, Frontends: []Frontend{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
+			Explainer: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {}, Persistence: &fixedKeeper{since: time.Now()},
 			Reload: func(_ context.Context, dry bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
@@ -126,7 +126,7 @@
 }
 
 // transcript is each command with its verdict and answer.
-func transcript(d *Desk, texts ...string) string {
+func transcript(d *Server, texts ...string) string {
 	var b strings.Builder
 	for _, text := range texts {
 		verdict, answer := d.answer(context.Background(), text, "ada")
@@ -137,7 +137,7 @@
 
 // Every command that takes --json, as a program reads it.
 func TestCommandsJSONIsStable(t *testing.T) {
-	withFixedRelay(t, func(d *Desk) {
+	withFixedRelay(t, func(d *Server) {
 		for _, c := range commands {
 			if c.forms {
 				golden.Compare(t, c.name+".jsonl", transcript(d, c.name+" --json"))
@@ -149,7 +149,7 @@
 
 // Every command's text, and what changes the relay.
 func TestCommandsTextIsStable(t *testing.T) {
-	withFixedRelay(t, func(d *Desk) {
+	withFixedRelay(t, func(d *Server) {
 		for _, c := range commands {
 			if c.forms {
 				golden.Compare(t, c.name+".txt", transcript(d, c.name))
@@ -164,14 +164,14 @@
 // What the commands answer where there is nothing to tell, or no way to.
 func TestEmptyAnswersAreStable(t *testing.T) {
 	useUTC(t)
-	d := &Desk{Name: "n3", Core: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Keeper: &fixedKeeper{failing: errors.New("disk full")}}
+	d := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Persistence: &fixedKeeper{failing: errors.New("disk full")}}
 	failing := transcript(d, "store", "store --json")
-	d.Keeper = nil
+	d.Persistence = nil
 	golden.Compare(t, "empty.txt", failing+transcript(d, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
 		"record", "why 1", "pin 1", "drain s-1", "undrain s-1", "restart", "reload", "log"))
 }
 
 // The exit codes of lockroad console.
 func TestExitCodesAreStable(t *testing.T) {
-	golden.Compare(t, "exit-codes.txt", fmt.Sprintf("ok %d\nrefused %d\nusage %d\nunreachable %d\n", ExitOK, ExitRefused, ExitUsage, ExitUnreachable))
+	golden.Compare(t, "exit-codes.txt", fmt.Sprintf("ok %d\nrefused %d\nusage %d\nunreachable %d\n", ExitOK, ExitRejected, ExitUsage, ExitUnreachable))
 }
--- a/internal/console/orders.go
+++ b/internal/console/orders.go
@@ -22,13 +22,13 @@
 	"lockroad/internal/store"
 )
 
-// Keeper keeps orders that have servers drain, and tells of what is kept on disk.
-type Keeper interface {
+// Persistence keeps orders that have servers drain, and tells of what is kept on disk.
+type Persistence interface {
 	// Drain has a server drain at once. kept says why the order does not outlast a restart, was what it replaces.
 	Drain(ctx context.Context, o persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error)
 	// Undrain withdraws an order, and returns it.
 	Undrain(ctx context.Context, server, who string) (was persistence.DrainDirective, kept, err error)
-	Orders() []persistence.DrainDirective
+	DrainDirectives() []persistence.DrainDirective
 	Stats() (store.Stats, error)
 	Pinned(number uint64) // has the account of a transaction outlast a restart
 }
@@ -85,20 +85,20 @@
 	return o, nil
 }
 
-func drain(d *Desk, a asked, w io.Writer) error {
+func drain(d *Server, a asked, w io.Writer) error {
 	if a.words == "" {
 		d.Drain()
 		fmt.Fprintln(w, "everyone is being moved; the relay stops after the last")
 		return nil
 	}
-	if d.Keeper == nil {
+	if d.Persistence == nil {
 		return errNoKeeper
 	}
 	o, err := parseOrder(a.words, a.who, time.Now())
 	if err != nil {
 		return err
 	}
-	was, kept, err := d.Keeper.Drain(a.ctx, o)
+	was, kept, err := d.Persistence.Drain(a.ctx, o)
 	if err != nil {
 		return err
 	}
@@ -109,14 +109,14 @@
 	return nil
 }
 
-func undrain(d *Desk, a asked, w io.Writer) error {
-	if d.Keeper == nil {
+func undrain(d *Server, a asked, w io.Writer) error {
+	if d.Persistence == nil {
 		return errNoKeeper
 	}
 	if a.words == "" || strings.Contains(a.words, " ") {
 		return errors.New("expected SERVER")
 	}
-	was, kept, err := d.Keeper.Undrain(a.ctx, a.words, a.who)
+	was, kept, err := d.Persistence.Undrain(a.ctx, a.words, a.who)
 	if err != nil {
 		return err
 	}
@@ -141,21 +141,21 @@
 }
 
 // at counts the transactions at each server, those that are on their way there included.
-func (d *Desk) at() map[string]int {
+func (d *Server) at() map[string]int {
 	at := make(map[string]int)
-	for _, t := range d.Core.Requests.List() {
+	for _, t := range d.Proxy.Requests.List() {
 		if t.Stage != registry.StageWaiting {
-			at[d.Core.Endpoints.Name(t.Endpoint)]++
+			at[d.Proxy.Endpoints.Name(t.Endpoint)]++
 		}
 	}
 	return at
 }
 
 // orders lists orders, with how many transactions are still to be moved.
-func (d *Desk) orders(w io.Writer) {
+func (d *Server) orders(w io.Writer) {
 	var all []persistence.DrainDirective
-	if d.Keeper != nil {
-		all = d.Keeper.Orders()
+	if d.Persistence != nil {
+		all = d.Persistence.DrainDirectives()
 	}
 	if len(all) == 0 {
 		fmt.Fprintln(w, "no order is in force")
@@ -174,12 +174,12 @@
 }
 
 // store tells what is kept on disk.
-func (d *Desk) store(w io.Writer) {
-	if d.Keeper == nil {
+func (d *Server) store(w io.Writer) {
+	if d.Persistence == nil {
 		fmt.Fprintln(w, "nothing is kept on disk")
 		return
 	}
-	s, err := d.Keeper.Stats()
+	s, err := d.Persistence.Stats()
 	if err != nil {
 		fmt.Fprintf(w, "nothing is kept on disk: %v\n", err)
 		return
@@ -201,7 +201,7 @@
 }
 
 // reload has the configuration's file taken.
-func reload(d *Desk, a asked, w io.Writer) error {
+func reload(d *Server, a asked, w io.Writer) error {
 	if a.words != "" && a.words != "--dry-run" {
 		return fmt.Errorf("%q: expected nothing or --dry-run", a.words)
 	}
@@ -224,7 +224,7 @@
 }
 
 // health tells which servers are up.
-func (d *Desk) health(w io.Writer) {
+func (d *Server) health(w io.Writer) {
 	if d.Health == nil {
 		fmt.Fprintln(w, "discovery tells which servers are up; farm has them")
 		return
--- a/internal/lifecycle/keep.go
+++ b/internal/lifecycle/keep.go
@@ -172,8 +172,8 @@
 	return commit(ctx)
 }
 
-// Orders are those in force, by server.
-func (k *keeper) Orders() []persistence.DrainDirective {
+// DrainDirectives are those in force, by server.
+func (k *keeper) DrainDirectives() []persistence.DrainDirective {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var all []persistence.DrainDirective
--- a/internal/lifecycle/many_test.go
+++ b/internal/lifecycle/many_test.go
@@ -198,7 +198,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		go func() { _ = (&console.Desk{Name: "n1", Core: k}).Serve(ctx, l) }()
+		go func() { _ = (&console.Server{Name: "n1", Proxy: k}).Serve(ctx, l) }()
 		for _, command := range []string{"farm", "servers", "farm --json"} {
 			var out strings.Builder
 			if code := console.Run(socket, command, nil, &out, os.Stderr); code != 0 {
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -72,7 +72,7 @@
 
 // door is a front with its listener.
 type door struct {
-	console.Fronts
+	console.Frontend
 	front
 	*listener.Listener
 }
@@ -209,19 +209,19 @@
 				return err
 			}
 		}
-		desk := &console.Desk{Name: c.Name, Core: r.core, Drain: r.leave, Keeper: r.keeper, Reload: r.askReload, Log: words.Log,
+		desk := &console.Server{Name: c.Name, Proxy: r.core, Drain: r.leave, Persistence: r.keeper, Reload: r.askReload, Log: words.Log,
 			Restart: func() error { return r.restart(words.Supervised) }}
 		if r.prober != nil {
 			desk.Health = r.prober.Health
 		}
 		if r.record != nil {
-			desk.Why = &explain.Explainer{Log: r.record, Names: r.core.Endpoints}
+			desk.Explainer = &explain.Explainer{Log: r.record, Names: r.core.Endpoints}
 			if r.keeper.shelf != nil {
-				desk.Why = r.keeper.shelf.teller
+				desk.Explainer = r.keeper.shelf.teller
 			}
 		}
 		for _, d := range r.doors {
-			desk.Fronts = append(desk.Fronts, d.Fronts)
+			desk.Frontends = append(desk.Frontends, d.Frontend)
 		}
 		g.Go(func() error {
 			if l == nil { // the old process answers there until it ends
@@ -306,7 +306,7 @@
 			spare += admin.Places + 1 // and the caller who comes to a full room
 		}
 		if o.Console.Socket != "" {
-			spare += console.Consoles
+			spare += console.MaxSessions
 		}
 		waiting = max(1, c.Sockets-2*seats-spare)
 	}
@@ -355,7 +355,7 @@
 		r.close()
 		return fmt.Errorf("front %s: %w", name, err)
 	}
-	r.doors = append(r.doors, door{console.Fronts{Name: name, Listen: l.Addr().String()}, f, l})
+	r.doors = append(r.doors, door{console.Frontend{Name: name, Listen: l.Addr().String()}, f, l})
 	return nil
 }
 
--- a/internal/lifecycle/upgrade.go
+++ b/internal/lifecycle/upgrade.go
@@ -238,7 +238,7 @@
 func (r *relay) Offer(ctx context.Context) (*hotrestart.Offer, []syscall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, recollectWait)
 	defer cancel()
-	s := state{Names: make(map[balancer.EndpointID]string), Open: r.core.Requests.Names(), Orders: r.keeper.Orders()}
+	s := state{Names: make(map[balancer.EndpointID]string), Open: r.core.Requests.Names(), Orders: r.keeper.DrainDirectives()}
 	var err error
 	if s.Memory, err = r.core.Snapshot(ctx); err != nil {
 		return nil, nil, err
--- a/internal/screen/screen.go
+++ b/internal/screen/screen.go
@@ -135,7 +135,7 @@
 	}
 	lines := strings.Split(text, "\n")
 	for i, line := range lines {
-		lines[i] = console.Clean(line)
+		lines[i] = console.Sanitize(line)
 	}
 	return lines
 }
@@ -161,7 +161,7 @@
 	case said:
 		switch {
 		case msg.err != nil:
-			m.note = console.Clean(strings.TrimSpace(msg.err.Error()))
+			m.note = console.Sanitize(strings.TrimSpace(msg.err.Error()))
 		case msg.read:
 			m.text, m.top = split(msg.text), 0
 		default:
@@ -290,7 +290,7 @@
 		}
 		return all[len(all)-1]
 	}
-	head := "lockroad " + console.Clean(m.name) + "  "
+	head := "lockroad " + console.Sanitize(m.name) + "  "
 	count := fmt.Sprintf("%d transactions ", last(m.history))
 	slow := fmt.Sprintf("  slowest %s ", (time.Duration(last(m.delays)) * time.Microsecond).Round(100*time.Microsecond))
 	bars := max(0, m.w-runewidth.StringWidth(head+count+slow)-1)
@@ -324,7 +324,7 @@
 	foot := "? help  q leave  tab next  " + pages[m.page].hint
 	switch {
 	case m.failed != nil:
-		foot = "the relay does not answer: " + console.Clean(m.failed.Error())
+		foot = "the relay does not answer: " + console.Sanitize(m.failed.Error())
 	case m.question != "":
 		foot = m.question + " y/n"
 	case m.text != nil:
