--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -16,22 +16,22 @@
 )
 
 const (
-	// Places bounds the callers at a time, and so the descriptors that they take. Who has
+	// MaxCallers bounds the callers at a time, and so the descriptors that they take. Who has
 	// held a place longest without finishing its call makes room for the next.
-	Places = 16
+	MaxCallers = 16
 
 	headFor  = 2 * time.Second // a caller may take this long to say what it wants,
 	headMost = 4 << 10         // in so many bytes, and some that net/http adds,
 	writeFor = 2 * time.Second // and this long to read the answer
 )
 
-// Desk is what callers are told. Neither call may wait for anyone.
-type Desk struct {
+// Server is what callers are told. Neither call may wait for anyone.
+type Server struct {
 	Ready   func() bool // the process takes clients
-	Figures io.WriterTo
+	Metrics io.WriterTo
 }
 
-func (d *Desk) ready(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if !d.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
@@ -39,13 +39,13 @@
 	io.WriteString(w, "ready\n")
 }
 
-func (d *Desk) metrics(w http.ResponseWriter, _ *http.Request) {
+func (d *Server) metrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	_, _ = d.Figures.WriteTo(w) // if this fails, the caller has gone
+	_, _ = d.Metrics.WriteTo(w) // if this fails, the caller has gone
 }
 
 // Serve answers callers until ctx ends, and closes the listener.
-func (d *Desk) Serve(ctx context.Context, l net.Listener) error {
+func (d *Server) Serve(ctx context.Context, l net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", d.ready)
 	mux.HandleFunc("GET /-/metrics", d.metrics)
@@ -82,7 +82,7 @@
 	c := &caller{conn, r}
 	r.mu.Lock()
 	var first *caller
-	if len(r.all) == Places {
+	if len(r.all) == MaxCallers {
 		first = r.all[0]
 		r.all = slices.Delete(r.all, 0, 1)
 	}
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -17,7 +17,7 @@
 )
 
 // serve runs a desk and returns where it is.
-func serve(t *testing.T, d *Desk) string {
+func serve(t *testing.T, d *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	var ready atomic.Bool
 	f := &metrics.Set{}
 	f.Attempts.Add(5)
-	address := serve(t, &Desk{Ready: ready.Load, Figures: f})
+	address := serve(t, &Server{Ready: ready.Load, Metrics: f})
 	for _, c := range []struct {
 		text string
 		want int
@@ -87,9 +87,9 @@
 
 // Callers who finish no call hold no more places than there are, and keep nobody out.
 func TestCallersWhoSayNothingKeepNobodyOut(t *testing.T) {
-	address := serve(t, &Desk{Ready: func() bool { return true }, Figures: &metrics.Set{}})
+	address := serve(t, &Server{Ready: func() bool { return true }, Metrics: &metrics.Set{}})
 	var quiet []net.Conn
-	for i := range 3 * Places {
+	for i := range 3 * MaxCallers {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -111,14 +111,14 @@
 			}
 		}
 	}
-	if open > Places {
+	if open > MaxCallers {
 		t.Errorf("%d callers who say nothing hold a place", open)
 	}
 }
 
 // The call is complete at every byte that it is cut at.
 func TestCallsInPieces(t *testing.T) {
-	address := serve(t, &Desk{Ready: func() bool { return true }, Figures: &metrics.Set{}})
+	address := serve(t, &Server{Ready: func() bool { return true }, Metrics: &metrics.Set{}})
 	text := get("/-/ready")
 	for cut := 1; cut < len(text); cut++ {
 		c, err := net.Dial("tcp", address)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	ready := false
-	d := &Desk{Ready: func() bool { return ready }, Figures: &metrics.Set{}}
+	d := &Server{Ready: func() bool { return ready }, Metrics: &metrics.Set{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { d.Serve(ctx, l) })
--- a/internal/lifecycle/run.go
+++ b/internal/lifecycle/run.go
@@ -237,7 +237,7 @@
 		})
 	}
 	if desk != nil {
-		d := &admin.Desk{Ready: r.takes.Load, Figures: r.core.Metrics}
+		d := &admin.Server{Ready: r.takes.Load, Metrics: r.core.Metrics}
 		g.Go(func() error {
 			if err := d.Serve(ctx, desk); err != nil { // clients are served without it
 				log.Error("the second address answers no more", "error", err)
@@ -303,7 +303,7 @@
 		seats = max(1, c.Sockets*seatEighths/8)
 		spare := spareFDs
 		if c.Admin != "" {
-			spare += admin.Places + 1 // and the caller who comes to a full room
+			spare += admin.MaxCallers + 1 // and the caller who comes to a full room
 		}
 		if o.Console.Socket != "" {
 			spare += console.MaxSessions
