--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -21,9 +21,9 @@
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/demo"
 	"lockroad/internal/explain"
-	"lockroad/internal/lifecycle"
 	"lockroad/internal/logging"
 	"lockroad/internal/screen"
+	"lockroad/internal/server"
 )
 
 // logKept is how many lines of the log the console can tell.
@@ -58,15 +58,15 @@
 
 // Run runs the relay until it is told to leave.
 func (c *runCommand) Run(s streams) error {
-	var site *lifecycle.Site
-	var o *lifecycle.Operator
+	var site *server.Site
+	var o *server.Operator
 	var bad error
 	if c.Site != "" {
-		if site, bad = lifecycle.ReadSite(c.Site); bad == nil {
+		if site, bad = server.ReadSite(c.Site); bad == nil {
 			o = site.Operator
 		}
 	} else {
-		o, bad = lifecycle.ReadOperator(c.Operator)
+		o, bad = server.ReadOperator(c.Operator)
 	}
 	options := logging.Options{Level: c.LogLevel, Format: c.LogForm}
 	if bad == nil {
@@ -74,7 +74,7 @@
 			options.Level = o.Log.Level
 		}
 		if options.Format == "" {
-			options.Format = o.Log.Form
+			options.Format = o.Log.Format
 		}
 	}
 	if bad == nil && o.Console.Socket != "" {
@@ -83,7 +83,7 @@
 	log := logging.New(options, s.errs)
 	defer log.Close()
 	err := errors.Join(bad, c.run(site, o, log, bad != nil))
-	if errors.Is(err, lifecycle.ErrRestart) {
+	if errors.Is(err, server.ErrRestart) {
 		return exit(exitRestart)
 	}
 	if err != nil {
@@ -95,20 +95,20 @@
 	return nil
 }
 
-func (c *runCommand) run(site *lifecycle.Site, o *lifecycle.Operator, log *logging.Logger, checkOnly bool) error {
+func (c *runCommand) run(site *server.Site, o *server.Operator, log *logging.Logger, checkOnly bool) error {
 	if c.Site != "" && checkOnly {
 		return nil
 	}
 	if c.Config == "" && c.Site == "" {
 		return errors.New("PROXY_CONFIG names no configuration, and neither does --config")
 	}
-	var config *lifecycle.Config
+	var config *server.Config
 	file := c.Config
 	if site != nil {
 		config, file = site.Config, c.Site
 	} else {
 		var err error
-		if config, err = lifecycle.ReadConfig(c.Config); err != nil || checkOnly {
+		if config, err = server.ReadConfig(c.Config); err != nil || checkOnly {
 			return err
 		}
 	}
@@ -125,11 +125,11 @@
 		<-terms
 		close(leave)
 	}()
-	words := lifecycle.Words{
-		Leave: leave, Reload: hangups, File: file, Site: site, Log: log.Tail,
+	words := server.RunOptions{
+		Shutdown: leave, Reload: hangups, ConfigPath: file, Site: site, LogTail: log.Tail,
 		Supervised: os.Getenv("INVOCATION_ID") != "" || os.Getenv("LOCKROAD_SUPERVISED") != "",
 	}
-	return lifecycle.Run(context.Background(), words, config, o, log.Logger)
+	return server.Run(context.Background(), words, config, o, log.Logger)
 }
 
 // checkCommand tells what is wrong with files.
@@ -152,7 +152,7 @@
 func (c *checkCommand) Run(s streams) error {
 	code := exitOK
 	for _, file := range c.Files {
-		what, err := lifecycle.Check(file)
+		what, err := server.Check(file)
 		if err != nil {
 			fmt.Fprintln(s.errs, err)
 			code = exitFailed
--- a/cmd/lockroad/init.go
+++ b/cmd/lockroad/init.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"strings"
 
-	"lockroad/internal/lifecycle"
+	"lockroad/internal/server"
 )
 
 // initCommand writes a site's file.
@@ -73,10 +73,10 @@
 			return fmt.Errorf("%q is no host:port: %w", address, err)
 		}
 	}
-	if err := lifecycle.WriteSite(c.File, lifecycle.SiteText(c.Name, c.Listen, c.Socket, list)); err != nil {
+	if err := server.WriteSite(c.File, server.RenderSite(c.Name, c.Listen, c.Socket, list)); err != nil {
 		return err
 	}
-	if _, err := lifecycle.ReadSite(c.File); err != nil {
+	if _, err := server.ReadSite(c.File); err != nil {
 		return errors.Join(err, os.Remove(c.File))
 	}
 	fmt.Fprintf(s.out, "%s is written. Start: lockroad run --site %s\nLook: lockroad console --socket %s health\n", c.File, c.File, c.Socket)
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/lifecycle"
 	"lockroad/internal/rules"
+	"lockroad/internal/server"
 	"lockroad/internal/standin"
 	"lockroad/internal/steps"
 )
@@ -171,7 +171,7 @@
 			servers = append(servers, one.Address())
 		}
 		file := filepath.Join(s.folder, "site.toml")
-		text := lifecycle.SiteText("box", s.listen, filepath.Join(s.folder, "sock"), servers)
+		text := server.RenderSite("box", s.listen, filepath.Join(s.folder, "sock"), servers)
 		text = strings.Replace(text, "sockets = 4096", "sockets = 64", 1)
 		if !fair {
 			text = strings.Replace(text, "fair = true", "fair = false", 1)
@@ -179,13 +179,13 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		site, err := lifecycle.ReadSite(file)
+		site, err := server.ReadSite(file)
 		if err != nil {
 			t.Fatal(err)
 		}
 		leave, ended := make(chan struct{}), make(chan error, 1)
 		go func() {
-			ended <- lifecycle.Run(context.Background(), lifecycle.Words{Leave: leave, File: file, Site: site}, site.Config, site.Operator, slog.New(slog.DiscardHandler))
+			ended <- server.Run(context.Background(), server.RunOptions{Shutdown: leave, ConfigPath: file, Site: site}, site.Config, site.Operator, slog.New(slog.DiscardHandler))
 		}()
 		steps.Until(t, "no start", func() bool { return pongs(s.listen) })
 		flood := &standin.Crowd{Ledger: s.site.Ledger, Line: s.listen, From: "127.0.0.9", Classes: siteClasses[:1], Rate: 300, Groups: 9, Talk: 100 * time.Millisecond, Most: 200, Seed: 1}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -28,7 +28,7 @@
 
 	"lockroad/internal/console"
 	"lockroad/internal/explain"
-	"lockroad/internal/lifecycle"
+	"lockroad/internal/server"
 	"lockroad/internal/standin"
 )
 
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	config, err := lifecycle.ParseConfig(text)
+	config, err := server.ParseConfig(text)
 	if err != nil {
 		return err
 	}
@@ -203,15 +203,15 @@
 	d.collector = &standin.Collector{}
 	d.telemetry = &http.Server{Handler: d.collector, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = d.telemetry.Serve(l) }()
-	operator := &lifecycle.Operator{
-		AMQP:    lifecycle.AMQP{Listen: "127.0.0.1:0", ServerPort: d.site.AMQPPort},
-		Console: lifecycle.Console{Socket: d.socket},
-		OTLP:    lifecycle.OTLP{Endpoint: "http://" + l.Addr().String()},
-		Why:     lifecycle.Why{Bytes: &d.Bytes},
+	operator := &server.Operator{
+		AMQP:    server.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
+		Console: server.Console{Socket: d.socket},
+		OTLP:    server.OTLP{Endpoint: "http://" + l.Addr().String()},
+		Why:     server.Why{Bytes: &d.Bytes},
 	}
 	ctx, d.cancel = context.WithCancel(ctx)
 	d.ended = make(chan error, 1)
-	go func() { d.ended <- lifecycle.Run(ctx, lifecycle.Words{}, config, operator, d.Log) }()
+	go func() { d.ended <- server.Run(ctx, server.RunOptions{}, config, operator, d.Log) }()
 	for late := time.Now().Add(10 * time.Second); ; {
 		if d.fronts, err = d.listens(); err == nil {
 			break
--- a/internal/lifecycle/config.go
+++ b/internal/server/config.go
@@ -1,6 +1,6 @@
 // Package lifecycle starts the relay, tells when it is ready, and has it leave
 // in good order.
-package lifecycle
+package server
 
 import (
 	"encoding/json"
--- a/internal/lifecycle/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"testing"
--- a/internal/lifecycle/golden_test.go
+++ b/internal/server/golden_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"encoding/json"
@@ -173,7 +173,7 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, "site-changes.txt", strings.Join(differences(nil, s.flat, live), "\n")+"\n")
-	golden.Compare(t, "init.toml", SiteText("music-room", "0.0.0.0:3000", "/run/console.sock", []string{"10.0.0.5:4000", "10.0.0.6:4000"}))
+	golden.Compare(t, "init.toml", RenderSite("music-room", "0.0.0.0:3000", "/run/console.sock", []string{"10.0.0.5:4000", "10.0.0.6:4000"}))
 }
 
 // The metrics of the store, as telemetry has them.
--- a/internal/lifecycle/operator.go
+++ b/internal/server/operator.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"cmp"
@@ -30,9 +30,9 @@
 
 // AMQP sets up the front for clients that speak AMQP 1.0.
 type AMQP struct {
-	Listen     string `toml:"listen"`      // host:port; empty: the front is off
-	ServerPort int    `toml:"server_port"` // where application servers speak AMQP; 0: as discovery says
-	Links      int    `toml:"links"`       // at a time; 0: as many as the limits leave
+	Listen       string `toml:"listen"`      // host:port; empty: the front is off
+	EndpointPort int    `toml:"server_port"` // where application servers speak AMQP; 0: as discovery says
+	MaxLinks     int    `toml:"links"`       // at a time; 0: as many as the limits leave
 
 	// Shared is how many transactions go over one connection to a server at the most; 0: each has one of its own. More save
 	// descriptors and set-ups; the end of a connection is that of all on it.
@@ -49,14 +49,14 @@
 		Anonymous       *bool  `toml:"anonymous"`         // clients may come without saying who they are; not set: yes
 		PlainWithoutTLS bool   `toml:"plain_without_tls"` // passwords may come in the clear
 	} `toml:"sasl"`
-	Grants     []auth.Grant `toml:"grant"` // which classes users may open; none: all may open all
-	ServersTLS struct {
+	Grants      []auth.Grant `toml:"grant"` // which classes users may open; none: all may open all
+	EndpointTLS struct {
 		CA   string `toml:"ca"`   // PEM file of who signs servers' certificates; empty: no TLS to servers
 		Cert string `toml:"cert"` // PEM files that the relay shows them; empty: none
 		Key  string `toml:"key"`
 		Name string `toml:"name"` // that their certificates have to be for; empty: their host
 	} `toml:"servers_tls"`
-	Places []struct { // what links want whose attach does not say it; the first that fits holds
+	Placements []struct { // what links want whose attach does not say it; the first that fits holds
 		Address   string `toml:"address"`   // * stands for any text; empty: any
 		Container string `toml:"container"` // the same
 		Class     string `toml:"class"`
@@ -83,12 +83,12 @@
 
 // upstream is how servers are spoken to.
 func (a *AMQP) upstream() auth.Upstream {
-	return auth.Upstream{CA: a.ServersTLS.CA, Cert: a.ServersTLS.Cert, Key: a.ServersTLS.Key, Name: a.ServersTLS.Name}
+	return auth.Upstream{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
 }
 
 // places are the rules, ready for use. Errors name the rule and its key.
 func (a *AMQP) places() (all []amqp.Placement, err error) {
-	for i, one := range a.Places {
+	for i, one := range a.Placements {
 		p := amqp.Placement{Address: one.Address, Container: one.Container, Class: one.Class, Timeout: time.Duration(one.GiveUp), Group: one.Group}
 		if bad := p.Compile(); bad != nil {
 			err = errors.Join(err, fmt.Errorf("amqp.place[%d].%w", i, bad))
@@ -118,8 +118,8 @@
 
 // Log sets up the log.
 type Log struct {
-	Level string `toml:"level"` // debug, info, warn or error; empty: info
-	Form  string `toml:"form"`  // text, logfmt or json; empty: logfmt
+	Level  string `toml:"level"` // debug, info, warn or error; empty: info
+	Format string `toml:"form"`  // text, logfmt or json; empty: logfmt
 }
 
 // Store sets up what outlasts a restart.
@@ -172,10 +172,10 @@
 			f.add("amqp.listen", "port %q is no number up to 65535", port)
 		}
 	}
-	if n := o.AMQP.ServerPort; n < 0 || n > 65535 {
+	if n := o.AMQP.EndpointPort; n < 0 || n > 65535 {
 		f.add("amqp.server_port", "%d is no port", n)
 	}
-	if n := o.AMQP.Links; n < 0 {
+	if n := o.AMQP.MaxLinks; n < 0 {
 		f.add("amqp.links", "%d is negative", n)
 	}
 	if n := o.AMQP.Shared; n < 0 || n > sharedMost {
@@ -208,7 +208,7 @@
 	if err := logging.CheckLevel(o.Log.Level); err != nil {
 		f.add("log.level", "%v", err)
 	}
-	if err := logging.CheckFormat(o.Log.Form); err != nil {
+	if err := logging.CheckFormat(o.Log.Format); err != nil {
 		f.add("log.form", "%v", err)
 	}
 }
--- a/internal/lifecycle/reload.go
+++ b/internal/server/reload.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"cmp"
@@ -93,7 +93,7 @@
 // reload takes a new configuration each time the file has been replaced: its settings and
 // the address of discovery, or a site's servers. One that can't be read, or has anything wrong with it,
 // changes nothing.
-func (r *relay) reload(ctx context.Context, words Words) error {
+func (r *relay) reload(ctx context.Context, words RunOptions) error {
 	take := r.platform(words)
 	if words.Site != nil {
 		take = r.site(words)
@@ -124,13 +124,13 @@
 }
 
 // platform takes the platform's configuration. It tells what it changes, where someone wants to know.
-func (r *relay) platform(words Words) func(reloadAsk) ([]string, error) {
+func (r *relay) platform(words RunOptions) func(reloadAsk) ([]string, error) {
 	inForce, fixed := r.config.text, r.config
 	return func(ask reloadAsk) (changes []string, err error) {
-		text, err := readWhole(words.File)
+		text, err := readWhole(words.ConfigPath)
 		var c *Config
 		if err == nil {
-			c, err = parseConfig(words.File, text, inForce)
+			c, err = parseConfig(words.ConfigPath, text, inForce)
 		}
 		if err != nil {
 			return nil, err
@@ -163,10 +163,10 @@
 }
 
 // site takes a site's file. It tells what it changes.
-func (r *relay) site(words Words) func(reloadAsk) ([]string, error) {
+func (r *relay) site(words RunOptions) func(reloadAsk) ([]string, error) {
 	inForce := words.Site
 	return func(ask reloadAsk) ([]string, error) {
-		next, err := ReadSite(words.File)
+		next, err := ReadSite(words.ConfigPath)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/lifecycle/reload_test.go
+++ b/internal/server/reload_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"bytes"
@@ -85,7 +85,7 @@
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
 	var log lines
 	admin := freeAddress(t)
-	address, _ := startAt(t, admin, Words{Reload: reload, File: file}, agent, &Operator{}, &log)
+	address, _ := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &Operator{}, &log)
 	n := 0
 	for text, want := range broken {
 		write(t, file, text)
@@ -125,7 +125,7 @@
 	if err != nil || c.Admin != taken {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if err := Run(t.Context(), Words{}, c, &Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
+	if err := Run(t.Context(), RunOptions{}, c, &Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
 		t.Errorf("taken: %v", err)
 	}
 }
@@ -135,7 +135,7 @@
 	agent := listen(t)
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal, 1)
 	admin := freeAddress(t)
-	address, done := startAt(t, admin, Words{Reload: reload, File: file}, agent, &Operator{}, io.Discard)
+	address, done := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &Operator{}, io.Discard)
 	stays := open(t, address)
 	text := configText("127.0.0.1:0", agent.Addr().String(), "x")
 	for i := range 3 {
@@ -206,7 +206,7 @@
 	}
 	k := proxy.New(c.Settings, 1, proxy.NewClock())
 	r := &relay{config: c, core: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: k, Address: c.Discovery, Zones: c.Zones}}
-	take := r.platform(Words{File: file})
+	take := r.platform(RunOptions{ConfigPath: file})
 	for _, next := range []struct {
 		localities string
 		zone, want int
--- a/internal/lifecycle/run.go
+++ b/internal/server/run.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"context"
@@ -77,13 +77,13 @@
 	*listener.Listener
 }
 
-// Words are what the platform says to a relay that runs.
-type Words struct {
-	Leave  <-chan struct{}         // closed once it is to leave
-	Reload <-chan os.Signal        // a value each time the configuration's file has been replaced
-	File   string                  // the configuration's, or the site's
-	Site   *Site                   // that the configuration is of; nil: the platform's, with a discovery
-	Log    func(most int) []string // the last lines of the log; nil: none are kept
+// RunOptions are what the platform says to a relay that runs.
+type RunOptions struct {
+	Shutdown   <-chan struct{}         // closed once it is to leave
+	Reload     <-chan os.Signal        // a value each time the configuration's file has been replaced
+	ConfigPath string                  // the configuration's, or the site's
+	Site       *Site                   // that the configuration is of; nil: the platform's, with a discovery
+	LogTail    func(most int) []string // the last lines of the log; nil: none are kept
 	// Supervised says that whoever started the relay starts it again after ErrRestart.
 	Supervised bool
 }
@@ -121,7 +121,7 @@
 
 // Run runs a relay until it is told to leave, by the platform or at the console,
 // and everyone has been moved, or until ctx ends.
-func Run(ctx context.Context, words Words, c *Config, o *Operator, log *slog.Logger) error {
+func Run(ctx context.Context, words RunOptions, c *Config, o *Operator, log *slog.Logger) error {
 	if c.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	}
@@ -209,7 +209,7 @@
 				return err
 			}
 		}
-		desk := &console.Server{Name: c.Name, Proxy: r.core, Drain: r.leave, Persistence: r.keeper, Reload: r.askReload, Log: words.Log,
+		desk := &console.Server{Name: c.Name, Proxy: r.core, Drain: r.leave, Persistence: r.keeper, Reload: r.askReload, Log: words.LogTail,
 			Restart: func() error { return r.restart(words.Supervised) }}
 		if r.prober != nil {
 			desk.Health = r.prober.Health
@@ -258,7 +258,7 @@
 	if o.Store.Dir != "" || o.Console.Socket != "" {
 		g.Go(func() error { return r.keeper.run(ctx, o.Store) })
 	}
-	g.Go(func() error { return r.wait(ctx, cancel, words.Leave) })
+	g.Go(func() error { return r.wait(ctx, cancel, words.Shutdown) })
 	if err := r.takeOver(ctx); err != nil {
 		log.Warn("the old process is gone or strange: this one goes on alone", "error", err)
 	}
@@ -312,7 +312,7 @@
 	}
 	links := 0
 	if o.AMQP.Listen != "" {
-		if links = o.AMQP.Links; links == 0 || links > seats/2 {
+		if links = o.AMQP.MaxLinks; links == 0 || links > seats/2 {
 			links = max(1, seats/2)
 		}
 		seats = max(1, seats-links)
@@ -330,7 +330,7 @@
 	}
 	hall = &listener.ConnLimiter{Slots: links, MaxIdle: waiting}
 	r.halls = append(r.halls, hall)
-	front := &amqp.Frontend{Proxy: r.core, EndpointPort: o.AMQP.ServerPort, Limiter: hall, Pool: o.AMQP.pool()}
+	front := &amqp.Frontend{Proxy: r.core, EndpointPort: o.AMQP.EndpointPort, Limiter: hall, Pool: o.AMQP.pool()}
 	var err error
 	if front.Placements, err = o.AMQP.places(); err != nil {
 		return err
--- a/internal/lifecycle/run_test.go
+++ b/internal/server/run_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"bufio"
@@ -201,7 +201,7 @@
 
 // start runs a relay with a server that takes everyone. It returns where its line
 // front listens, and its end.
-func start(t *testing.T, words Words, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+func start(t *testing.T, words RunOptions, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	return startAt(t, "", words, discovery, o, log)
 }
@@ -219,7 +219,7 @@
 }
 
 // startAt is the same, with a second address.
-func startAt(t *testing.T, admin string, words Words, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+func startAt(t *testing.T, admin string, words RunOptions, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	server := listen(t)
 	go accepts(t, server, "UP 1\r\n")
@@ -227,13 +227,13 @@
 }
 
 // startOn is the same, with a server of the test's own.
-func startOn(t *testing.T, admin string, words Words, discovery, server net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+func startOn(t *testing.T, admin string, words RunOptions, discovery, server net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	return startFrom(t, configText("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, words, o, log)
 }
 
 // startFrom is the same, with a configuration of the test's own.
-func startFrom(t *testing.T, config, admin string, words Words, o *Operator, log io.Writer) (address string, done <-chan error) {
+func startFrom(t *testing.T, config, admin string, words RunOptions, o *Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	c, err := ParseConfig([]byte(config))
 	if err != nil {
@@ -269,7 +269,7 @@
 // others, everyone is told to move, and the relay ends well before SIGKILL.
 func TestRelayLeavesInGoodOrder(t *testing.T) {
 	drain := make(chan struct{})
-	address, done := start(t, Words{Leave: drain}, listen(t), &Operator{AMQP: AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
+	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), &Operator{AMQP: AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
 	clients := []*bufio.Reader{open(t, address)}
 	told := time.Now()
 	close(drain)
@@ -289,7 +289,7 @@
 	config := strings.Replace(configText("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
 	free := listen(t)
 	free.Close()
-	address, done := startFrom(t, config, "", Words{Leave: drain}, &Operator{AMQP: AMQP{Listen: free.Addr().String()}}, io.Discard)
+	address, done := startFrom(t, config, "", RunOptions{Shutdown: drain}, &Operator{AMQP: AMQP{Listen: free.Addr().String()}}, io.Discard)
 	idle, err := amqp.Dial(t.Context(), "amqp://"+free.Addr().String(), &amqp.ConnOptions{SASLType: amqp.SASLTypeAnonymous()})
 	if err != nil {
 		t.Fatal(err)
@@ -337,7 +337,7 @@
 		}
 	}()
 	drain := make(chan struct{})
-	address, done := startOn(t, "", Words{Leave: drain}, agent, server, &Operator{}, io.Discard)
+	address, done := startOn(t, "", RunOptions{Shutdown: drain}, agent, server, &Operator{}, io.Discard)
 	say := func(text string) *bufio.Reader {
 		t.Helper()
 		c, err := net.Dial("tcp", address)
@@ -373,7 +373,7 @@
 func TestRelayLeavesWhileItIsAsked(t *testing.T) {
 	drain := make(chan struct{})
 	o := &Operator{}
-	address, done := start(t, Words{Leave: drain}, listen(t), o, io.Discard)
+	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
 	for range 3 {
 		open(t, address)
 	}
@@ -409,7 +409,7 @@
 	t.Cleanup(func() { firstList = usual })
 	agent, other := listen(t), listen(t)
 	go accepts(t, other, "UP 2\r\n")
-	address, _ := start(t, Words{}, agent, &Operator{}, io.Discard)
+	address, _ := start(t, RunOptions{}, agent, &Operator{}, io.Discard)
 	_, _, conn := heldWatch(t, agent)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -465,7 +465,7 @@
 	agents := []net.Listener{listen(t), listen(t), listen(t)}
 	var log lines
 	o := &Operator{}
-	address, done := start(t, Words{Reload: reload, File: file}, agents[0], o, &log)
+	address, done := start(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
 	asked, old := watch(t, agents[0])
 	if asked != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
 		t.Errorf("asked %q", asked)
--- a/internal/lifecycle/site.go
+++ b/internal/server/site.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"bytes"
@@ -23,13 +23,13 @@
 // Site is all that a small site has in one file: a relay's configuration, its servers, and the operator's settings. It
 // needs no platform and no discovery.
 type Site struct {
-	Config   *Config
-	Operator *Operator
-	Servers  []prober.Endpoint
-	Health   healthcheck.Settings
-	Ping     bool
-	Limits   quota.Settings
-	Fair     bool // seats that run short are shared out
+	Config    *Config
+	Operator  *Operator
+	Servers   []prober.Endpoint
+	Health    healthcheck.Settings
+	Ping      bool
+	Quota     quota.Settings
+	FairShare bool // seats that run short are shared out
 
 	flat map[string]string // every key with its value, for the difference to another
 }
@@ -166,15 +166,15 @@
 	c.Settings = f.siteSettings(&raw)
 	s.Config = c
 	s.Health = f.siteHealth(&raw, s)
-	s.Limits, s.Fair = quota.Settings{PerAddress: raw.Limits.PerAddress, Rate: raw.Limits.Rate, Burst: raw.Limits.Burst, PerClass: make(map[string]int)}, raw.Limits.Fair
+	s.Quota, s.FairShare = quota.Settings{PerAddress: raw.Limits.PerAddress, Rate: raw.Limits.Rate, Burst: raw.Limits.Burst, PerClass: make(map[string]int)}, raw.Limits.Fair
 	for i, one := range raw.Class {
 		if one.Most < 0 {
 			f.add(fmt.Sprintf("class[%d].most", i), "%d is negative", one.Most)
 		} else if one.Most > 0 {
-			s.Limits.PerClass[one.Name] = one.Most
+			s.Quota.PerClass[one.Name] = one.Most
 		}
 	}
-	if err := s.Limits.Validate(); err != nil {
+	if err := s.Quota.Validate(); err != nil {
 		f.add("limits", "%v", err)
 	}
 	if err := f.found.err(); err != nil {
@@ -185,8 +185,8 @@
 
 // limits are those of a relay with so many seats.
 func (s *Site) limits(seats int) quota.Settings {
-	set := s.Limits
-	if s.Fair {
+	set := s.Quota
+	if s.FairShare {
 		set.Fair = seats
 	}
 	return set
@@ -321,8 +321,8 @@
 	return all
 }
 
-// SiteText is a site's file to begin with.
-func SiteText(name, listen, socket string, servers []string) string {
+// RenderSite is a site's file to begin with.
+func RenderSite(name, listen, socket string, servers []string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# A relay of a small site. `lockroad check` tells all that is wrong with this file; a reload takes servers,\n# classes, attempts and health, whole or not at all.\nname = %q\nlisten = %q\n", name, listen)
 	for i, address := range servers {
--- a/internal/lifecycle/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package server
 
 import (
 	"bytes"
@@ -26,7 +26,7 @@
 // testdata/golden has two folders of a store, one as it is written and one after a merge, and a dump of each kind.
 // They are written anew with
 //
-//	LOCKROAD_UPDATE_STORED_GOLDEN=1 go test ./internal/lifecycle -run TestStored
+//	LOCKROAD_UPDATE_STORED_GOLDEN=1 go test ./internal/server -run TestStored
 //
 // and that is only for a new version of the format, with a Table.Upgrade that reads the old one.
 
--- a/internal/trouble/scene.go
+++ b/internal/trouble/scene.go
@@ -19,8 +19,8 @@
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
 	"lockroad/internal/fault"
-	"lockroad/internal/lifecycle"
 	"lockroad/internal/rules"
+	"lockroad/internal/server"
 	"lockroad/internal/standin"
 )
 
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	config, err := lifecycle.ParseConfig(text)
+	config, err := server.ParseConfig(text)
 	if err != nil {
 		return err
 	}
@@ -150,11 +150,11 @@
 		return err
 	}
 	st.socket = filepath.Join(st.folder, "console")
-	o := &lifecycle.Operator{Console: lifecycle.Console{Socket: st.socket}, AMQP: lifecycle.AMQP{Listen: "127.0.0.1:0", ServerPort: st.Site.AMQPPort, Shared: st.Shared}}
+	o := &server.Operator{Console: server.Console{Socket: st.socket}, AMQP: server.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, Shared: st.Shared}}
 	ctx, st.cancel = context.WithCancel(ctx)
 	st.ended = make(chan error, 1)
 	go func() {
-		st.ended <- lifecycle.Run(ctx, lifecycle.Words{}, config, o, slog.New(slog.DiscardHandler))
+		st.ended <- server.Run(ctx, server.RunOptions{}, config, o, slog.New(slog.DiscardHandler))
 	}()
 	front, err := st.front()
 	if err != nil {
