--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -22,8 +22,8 @@
 	"lockroad/internal/demo"
 	"lockroad/internal/explain"
 	"lockroad/internal/logging"
-	"lockroad/internal/screen"
 	"lockroad/internal/server"
+	"lockroad/internal/tui"
 )
 
 // logKept is how many lines of the log the console can tell.
@@ -265,7 +265,7 @@
 		fmt.Fprint(s.errs, err)
 		return exit(console.ExitUnreachable)
 	}
-	_, err := tea.NewProgram(screen.New(name, ask), tea.WithInput(s.in), tea.WithOutput(s.out), tea.WithAltScreen()).Run()
+	_, err := tea.NewProgram(tui.New(name, ask), tea.WithInput(s.in), tea.WithOutput(s.out), tea.WithAltScreen()).Run()
 	return err
 }
 
--- a/internal/screen/screen.go
+++ b/internal/tui/screen.go
@@ -1,7 +1,7 @@
 // Package screen is the console that fills a terminal: a relay's servers, transactions, refusals and orders, looked at
 // anew every second through its console's socket, with draining a key away. It holds nothing of its own: a screen that is
 // killed leaves what it has asked for to the relay.
-package screen
+package tui
 
 import (
 	"encoding/json"
@@ -16,8 +16,8 @@
 	"lockroad/internal/registry"
 )
 
-// Ask has the relay run a command of its console.
-type Ask func(command string) (string, error)
+// CommandFunc has the relay run a command of its console.
+type CommandFunc func(command string) (string, error)
 
 // The least that is complete, and below which nothing is shown.
 const (
@@ -42,7 +42,7 @@
 
 // Model is the state of a screen; it is changed by messages alone.
 type Model struct {
-	ask      Ask
+	ask      CommandFunc
 	name     string
 	w, h     int
 	page     int
@@ -59,7 +59,7 @@
 }
 
 // New returns a screen of a relay.
-func New(name string, ask Ask) Model { return Model{ask: ask, name: name, w: wide, h: high} }
+func New(name string, ask CommandFunc) Model { return Model{ask: ask, name: name, w: wide, h: high} }
 
 type (
 	looked struct {
--- a/internal/screen/screen_test.go
+++ b/internal/tui/screen_test.go
@@ -1,4 +1,4 @@
-package screen
+package tui
 
 import (
 	"errors"
@@ -71,7 +71,7 @@
 	return tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(s)}
 }
 
-// Screens are as the pictures that are kept: go test ./internal/screen -update writes them.
+// Screens are as the pictures that are kept: go test ./internal/tui -update writes them.
 func TestPictures(t *testing.T) {
 	for _, c := range []struct {
 		name string
