--- a/cmd/lockfault/main.go
+++ b/cmd/faultproxy/main.go
@@ -18,7 +18,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"lockroad/internal/fault"
+	"lockroad/internal/faultproxy"
 )
 
 const (
@@ -90,13 +90,13 @@
 
 // Run runs until it is interrupted, its input ends, or its time is up.
 func (c *runCommand) Run(s streams) error {
-	var rules []*fault.Rule
+	var rules []*faultproxy.Rule
 	if c.Script != "" {
 		text, err := os.ReadFile(c.Script)
 		if err != nil {
 			return err
 		}
-		if rules, err = fault.ParseRules(string(text)); err != nil {
+		if rules, err = faultproxy.ParseRules(string(text)); err != nil {
 			return fmt.Errorf("%s: %w", c.Script, err)
 		}
 	}
@@ -116,22 +116,22 @@
 		defer l.Close()
 		commands = l
 	}
-	p := fault.NewProxy(rules, c.Seed)
+	p := faultproxy.NewProxy(rules, c.Seed)
 	defer p.Close()
-	out := &lines{w: s.out, queue: make(chan fault.Line, 1024)}
+	out := &lines{w: s.out, queue: make(chan faultproxy.Message, 1024)}
 	defer out.close()
-	p.Tell = func(d fault.Did) { out.tell(d.Line()) }
+	p.OnInjection = func(d faultproxy.Injection) { out.tell(d.Message()) }
 	for _, r := range c.Route {
 		name, rest, ok := strings.Cut(r, "=")
 		listen, target, both := strings.Cut(rest, ",")
 		if !ok || !both || name == "" {
 			return fmt.Errorf("route %q is no NAME=LISTEN,TARGET", r)
 		}
-		at, err := p.Open(fault.Route{Name: name, Listen: listen, Target: target})
+		at, err := p.Open(faultproxy.Route{Name: name, Listen: listen, Target: target})
 		if err != nil {
 			return err
 		}
-		out.tell(fault.Line{Route: name, Listen: at, Target: target, Done: "open"})
+		out.tell(faultproxy.Message{Route: name, Listen: at, Target: target, Done: "open"})
 	}
 	p.Restart()
 	if commands != nil {
@@ -139,7 +139,7 @@
 	}
 	if c.Commands {
 		ended := make(chan error, 1)
-		go func() { ended <- p.Talk(s.in, out) }()
+		go func() { ended <- p.ServeCommands(s.in, out) }()
 		select {
 		case err := <-ended:
 			return err
@@ -155,14 +155,14 @@
 // connection up. What there is no room for is counted.
 type lines struct {
 	w     io.Writer
-	queue chan fault.Line
+	queue chan faultproxy.Message
 	once  sync.Once
 	all   sync.WaitGroup
 	mu    sync.Mutex
 	lost  int
 }
 
-func (l *lines) tell(one fault.Line) {
+func (l *lines) tell(one faultproxy.Message) {
 	l.once.Do(func() {
 		l.all.Go(func() {
 			e := json.NewEncoder(l)
@@ -191,7 +191,7 @@
 	close(l.queue)
 	l.all.Wait()
 	if l.lost > 0 {
-		_ = json.NewEncoder(l.w).Encode(fault.Line{Error: fmt.Sprintf("%d lines found no room", l.lost)})
+		_ = json.NewEncoder(l.w).Encode(faultproxy.Message{Error: fmt.Sprintf("%d lines found no room", l.lost)})
 	}
 }
 
@@ -203,7 +203,7 @@
 
 // Run asks and prints the answer.
 func (c *tellCommand) Run(s streams) error {
-	answer, err := fault.Ask(c.Socket, strings.Join(c.Command, " "))
+	answer, err := faultproxy.SendCommand(c.Socket, strings.Join(c.Command, " "))
 	if err != nil {
 		return err
 	}
@@ -226,9 +226,9 @@
 	bad := 0
 	for _, file := range c.Files {
 		text, err := os.ReadFile(file)
-		var rules []*fault.Rule
+		var rules []*faultproxy.Rule
 		if err == nil {
-			rules, err = fault.ParseRules(string(text))
+			rules, err = faultproxy.ParseRules(string(text))
 		}
 		if err != nil {
 			bad++
@@ -248,6 +248,6 @@
 
 // Run lists them.
 func (*formsCommand) Run(s streams) error {
-	fmt.Fprintf(s.out, "A script holds rules:\n\n%s\nCommands:\n\n%s", fault.Help(), fault.Commands)
+	fmt.Fprintf(s.out, "A script holds rules:\n\n%s\nCommands:\n\n%s", faultproxy.Help(), faultproxy.Commands)
 	return nil
 }
--- a/cmd/lockfault/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/fault"
+	"lockroad/internal/faultproxy"
 )
 
 func command(args ...string) (code int, out, errs string) {
@@ -64,9 +64,9 @@
 		_ = out.Close()
 	}()
 	d := json.NewDecoder(told)
-	next := func() fault.Line {
+	next := func() faultproxy.Message {
 		t.Helper()
-		var one fault.Line
+		var one faultproxy.Message
 		if err := d.Decode(&one); err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 	var cut, done bool
 	for !cut || !done {
 		one := next()
-		cut = cut || one.Fault == fault.Cut && one.Rule == "a" && one.Route == "r" && one.Conn == 1 && one.Direction == "up" && one.Offset == 1 && one.At > 0
+		cut = cut || one.Fault == faultproxy.Cut && one.Rule == "a" && one.Route == "r" && one.Conn == 1 && one.Direction == "up" && one.Offset == 1 && one.At > 0
 		done = done || one.Done == "(trigger a)"
 		if one.Error != "" {
 			t.Fatal(one.Error)
--- a/internal/fault/control.go
+++ b/internal/faultproxy/control.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"lockroad/internal/sexp"
 )
 
-// Line is a fault that was done, or an answer, as a line of JSON.
-type Line struct {
+// Message is a fault that was done, or an answer, as a line of JSON.
+type Message struct {
 	At        int64    `json:"at_us"` // microseconds on the script's clock
 	Fault     Kind     `json:"fault,omitempty"`
 	Rule      string   `json:"rule,omitempty"`
@@ -34,9 +34,9 @@
 	Error     string   `json:"error,omitempty"`
 }
 
-// Line is what is told of a fault.
-func (d Did) Line() Line {
-	return Line{At: d.At.Microseconds(), Fault: d.Kind, Rule: d.Rule, Route: d.Route, Conn: d.Conn, Direction: d.Direction.String(), Offset: d.Offset}
+// Message is what is told of a fault.
+func (d Injection) Message() Message {
+	return Message{At: d.At.Microseconds(), Fault: d.Kind, Rule: d.Rule, Route: d.Route, Conn: d.Conn, Direction: d.Direction.String(), Offset: d.Offset}
 }
 
 // Commands lists what Do takes.
@@ -49,7 +49,7 @@
 
 // Do carries a command out and returns what it answers. An error says what is wrong
 // with the command, with its column where it can't be read.
-func (p *Proxy) Do(command string) ([]Line, error) {
+func (p *Proxy) Do(command string) ([]Message, error) {
 	n, err := sexp.ParseOne(command)
 	if err != nil {
 		return nil, err
@@ -58,8 +58,8 @@
 	if err != nil {
 		return nil, err
 	}
-	done := func() ([]Line, error) {
-		return []Line{{At: p.now().Microseconds(), Done: n.String()}}, nil
+	done := func() ([]Message, error) {
+		return []Message{{At: p.now().Microseconds(), Done: n.String()}}, nil
 	}
 	switch head {
 	case "trigger":
@@ -100,18 +100,18 @@
 		return done()
 	case "status":
 		routes, rules := p.Status()
-		var all []Line
+		var all []Message
 		for _, r := range routes {
-			all = append(all, Line{At: p.now().Microseconds(), Route: r.Name, Listen: r.Listen, Target: r.Target, Conns: r.Conns, Open: r.Open, Up: r.Up, Down: r.Down})
+			all = append(all, Message{At: p.now().Microseconds(), Route: r.Name, Listen: r.Listen, Target: r.Target, Conns: r.Conns, Open: r.Open, Up: r.Up, Down: r.Down})
 		}
-		return append(all, Line{At: p.now().Microseconds(), Rules: rules, Done: "(status)"}), nil
+		return append(all, Message{At: p.now().Microseconds(), Rules: rules, Done: "(status)"}), nil
 	}
 	return nil, n.List.Items[0].Errorf("there is no command %q; expected trigger, add, clear, cut or status", head)
 }
 
-// Talk carries out commands that come in, one a line, and writes what they answer,
+// ServeCommands carries out commands that come in, one a line, and writes what they answer,
 // until the input ends.
-func (p *Proxy) Talk(in io.Reader, out io.Writer) error {
+func (p *Proxy) ServeCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, sexp.TextMost)
 	e := json.NewEncoder(out)
@@ -122,7 +122,7 @@
 		}
 		answer, err := p.Do(command)
 		if err != nil {
-			answer = []Line{{At: p.now().Microseconds(), Error: err.Error()}}
+			answer = []Message{{At: p.now().Microseconds(), Error: err.Error()}}
 		}
 		for _, l := range answer {
 			if err := e.Encode(l); err != nil {
@@ -147,14 +147,14 @@
 		go func() {
 			defer c.Close()
 			defer context.AfterFunc(ctx, func() { c.Close() })()
-			_ = p.Talk(c, c)
+			_ = p.ServeCommands(c, c)
 		}()
 	}
 }
 
-// Ask has a proxy that serves at a socket carry a command out, and returns its answer.
+// SendCommand has a proxy that serves at a socket carry a command out, and returns its answer.
 // An answer with an error is an error.
-func Ask(socket, command string) ([]Line, error) {
+func SendCommand(socket, command string) ([]Message, error) {
 	c, err := net.DialTimeout("unix", socket, 5*time.Second)
 	if err != nil {
 		return nil, fmt.Errorf("no lockfault answers at %s: %w", socket, err)
@@ -165,10 +165,10 @@
 		return nil, err
 	}
 	c.(*net.UnixConn).CloseWrite()
-	var all []Line
+	var all []Message
 	d := json.NewDecoder(c)
 	for {
-		var l Line
+		var l Message
 		switch err := d.Decode(&l); {
 		case errors.Is(err, io.EOF) && len(all) > 0:
 			return all, nil
--- a/internal/fault/fault_test.go
+++ b/internal/faultproxy/fault_test.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"bytes"
@@ -72,8 +72,8 @@
 		{`(rule a (conn 2) (swallow)) (rule b (direction down) (swallow)) (rule c (route r2) (swallow)) (rule d (every 2) (swallow)) (rule e (first "X") (swallow))`, []string{"ab"}, "0s:ab|"},
 		{`(rule a (route r1) (conn 1) (first "a") (direction up) (every 1) (swallow))`, []string{"ab"}, ""},
 	} {
-		var did []Did
-		f := NewFlow(Where{"r1", 1, Up}, rules(t, c.script), 1, []byte(c.feeds[0]), func(d Did) { did = append(did, d) })
+		var did []Injection
+		f := NewFlow(Location{"r1", 1, Up}, rules(t, c.script), 1, []byte(c.feeds[0]), func(d Injection) { did = append(did, d) })
 		got, now := "", time.Duration(0)
 		for i, b := range c.feeds {
 			now = time.Duration(i) * 100 * ms
@@ -92,7 +92,7 @@
 }
 
 func TestCommandsAndTimers(t *testing.T) {
-	f := NewFlow(Where{"r", 1, Up}, rules(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
+	f := NewFlow(Location{"r", 1, Up}, rules(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
 	feed := func(at time.Duration, b string) string { return ops(f.Feed(at, []byte(b))) }
 	if got := feed(0, "x"); got != "0s:x|" {
 		t.Errorf("before the command: %q", got)
@@ -126,7 +126,7 @@
 	text := []byte(strings.Repeat("a line of some length\nb\n", 40))
 	script := `(rule flip (chance 20) (garble flip 3)) (rule insert (at-line 7) (garble insert 4)) (rule drop (after-bytes 200) (garble drop 9)) (rule cut (at-line 70) (cut rst))`
 	run := func(seed uint64, cut func(left int) int) string {
-		f := NewFlow(Where{"r", 3, Down}, rules(t, script), seed, nil, nil)
+		f := NewFlow(Location{"r", 3, Down}, rules(t, script), seed, nil, nil)
 		var out bytes.Buffer
 		for b := text; len(b) > 0; {
 			n := cut(len(b))
@@ -158,7 +158,7 @@
 			in = append(append(in, 0, 0, 0, byte(8+len(body)), 2, 0, 0, 0), body...)
 		}
 		in = append(in, rapid.SliceOfN(rapid.Byte(), 0, 5).Draw(rt, "rest")...)
-		f := NewFlow(Where{"r", 1, Up}, rules(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
+		f := NewFlow(Location{"r", 1, Up}, rules(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
 		var out []byte
 		take := func(all []Op) {
 			for _, op := range all {
@@ -166,7 +166,7 @@
 			}
 		}
 		swallowed := false
-		f.tell = func(d Did) { swallowed = swallowed || d.Kind == Swallow }
+		f.tell = func(d Injection) { swallowed = swallowed || d.Kind == Swallow }
 		for b := in; len(b) > 0; {
 			n := rapid.IntRange(1, len(b)).Draw(rt, "n")
 			take(f.Feed(0, b[:n]))
@@ -219,7 +219,7 @@
 	p     *Proxy
 	at    string
 	mu    sync.Mutex
-	did   []Did
+	did   []Injection
 	taken chan *net.TCPConn // connections at the server, where nobody echoes
 }
 
@@ -248,7 +248,7 @@
 		}
 	})
 	r.p = NewProxy(rules(t, script), 1)
-	r.p.Tell = func(d Did) {
+	r.p.OnInjection = func(d Injection) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.did = append(r.did, d)
--- a/internal/fault/flow.go
+++ b/internal/faultproxy/flow.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Where names one direction of one connection.
-type Where struct {
+// Location names one direction of one connection.
+type Location struct {
 	Route     string
 	Conn      uint64 // its number on its route, from 1
 	Direction Direction
@@ -34,21 +34,21 @@
 	Data []byte
 }
 
-// Did tells that a fault was done.
-type Did struct {
+// Injection tells that a fault was done.
+type Injection struct {
 	Rule string
 	Kind Kind
-	Where
+	Location
 	Offset uint64 // bytes of the direction that had come before
 	At     time.Duration
 }
 
 // Flow decides what becomes of the bytes of one direction. One goroutine uses it.
 type Flow struct {
-	where  Where
+	where  Location
 	seed   uint64
 	rules  []*live
-	tell   func(Did)
+	tell   func(Injection)
 	offset uint64        // bytes that have come
 	last   time.Duration // At of the last op: bytes never overtake each other
 	free   time.Duration // when the line is free, of a bandwidth
@@ -101,7 +101,7 @@
 
 // picks tells whether a rule is about a connection; first is what its connecting side
 // has said so far.
-func (r *Rule) picks(w Where, seed uint64, first []byte) bool {
+func (r *Rule) picks(w Location, seed uint64, first []byte) bool {
 	switch {
 	case len(r.Routes) > 0 && !slices.Contains(r.Routes, w.Route),
 		len(r.Conns) > 0 && !slices.Contains(r.Conns, w.Conn),
@@ -115,7 +115,7 @@
 // NewFlow returns the flow of a direction, with the rules that are about it. first is
 // what the connecting side says first; tell is told of each fault that is done, and may
 // be nil.
-func NewFlow(w Where, rules []*Rule, seed uint64, first []byte, tell func(Did)) *Flow {
+func NewFlow(w Location, rules []*Rule, seed uint64, first []byte, tell func(Injection)) *Flow {
 	f := &Flow{where: w, seed: seed, tell: tell}
 	for _, r := range rules {
 		f.Add(r, first)
@@ -240,7 +240,7 @@
 
 func (f *Flow) did(l *live, k Kind, now time.Duration) {
 	if f.tell != nil {
-		f.tell(Did{Rule: l.Name, Kind: k, Where: f.where, Offset: f.offset, At: now})
+		f.tell(Injection{Rule: l.Name, Kind: k, Location: f.where, Offset: f.offset, At: now})
 	}
 }
 
--- a/internal/fault/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"encoding/json"
@@ -16,16 +16,16 @@
 
 // A fault that was done, and an answer, as a line of JSON with every field set.
 func TestLineJSONIsStable(t *testing.T) {
-	full := Line{At: 1, Fault: Cut, Rule: "r", Route: "a", Conn: 2, Direction: "up", Offset: 3, Listen: "l", Target: "t", Conns: 4, Open: 5,
+	full := Message{At: 1, Fault: Cut, Rule: "r", Route: "a", Conn: 2, Direction: "up", Offset: 3, Listen: "l", Target: "t", Conns: 4, Open: 5,
 		Up: 6, Down: 7, Rules: []string{"r"}, Done: "(status)", Error: "e"}
 	for of, i := reflect.ValueOf(full), 0; i < of.NumField(); i++ {
 		if of.Field(i).IsZero() {
 			t.Errorf("the field %s is not set, so its form is not compared", of.Type().Field(i).Tag.Get("json"))
 		}
 	}
-	did := Did{Where: Where{Route: "a", Conn: 2, Direction: Down}, At: 1500 * time.Microsecond, Kind: Garble, Rule: "r", Offset: 3}
+	did := Injection{Location: Location{Route: "a", Conn: 2, Direction: Down}, At: 1500 * time.Microsecond, Kind: Garble, Rule: "r", Offset: 3}
 	var b strings.Builder
-	for _, one := range []Line{full, {}, did.Line()} {
+	for _, one := range []Message{full, {}, did.Message()} {
 		text, err := json.Marshal(one)
 		if err != nil {
 			t.Fatal(err)
@@ -41,7 +41,7 @@
 		p := NewProxy(rules(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
 		defer p.Close()
 		var b strings.Builder
-		err := p.Talk(strings.NewReader(strings.Join([]string{
+		err := p.ServeCommands(strings.NewReader(strings.Join([]string{
 			"; a comment", "(status)", "(trigger a)", "(trigger nobody)", "(add (rule c (at 2s) (for 1s) (latency 5ms 2ms normal)))", "(status)",
 			"(clear c)", "(clear)", "(cut r)", "(status)", "(explode)", "(add (rule d))", "nonsense",
 		}, "\n")), &b)
--- a/internal/fault/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -1,4 +1,4 @@
-package fault
+package faultproxy
 
 import (
 	"context"
@@ -23,8 +23,8 @@
 // Proxy passes connections between routes' doors and targets, and spoils them by its
 // rules. It is safe for concurrent use.
 type Proxy struct {
-	Seed uint64
-	Tell func(Did) // is told of each fault; it must not block. Set before the first route
+	Seed        uint64
+	OnInjection func(Injection) // is told of each fault; it must not block. Set before the first route
 
 	mu      sync.Mutex
 	rules   []*Rule
@@ -182,8 +182,8 @@
 	}
 	p.mu.Lock()
 	for dir, ends := range [2][2]*net.TCPConn{{near, far}, {far, near}} {
-		w := Where{r.Name, pr.number, Direction(dir)}
-		s := &stream{flow: NewFlow(w, p.rules, p.Seed, pr.first, p.Tell), queue: make(chan Op, 256), gone: make(chan struct{}), wake: make(chan struct{}, 1), again: make(chan struct{}, 1), paired: pr, from: ends[0], to: ends[1]}
+		w := Location{r.Name, pr.number, Direction(dir)}
+		s := &stream{flow: NewFlow(w, p.rules, p.Seed, pr.first, p.OnInjection), queue: make(chan Op, 256), gone: make(chan struct{}), wake: make(chan struct{}, 1), again: make(chan struct{}, 1), paired: pr, from: ends[0], to: ends[1]}
 		for name := range p.started {
 			s.flow.Command(name, p.now())
 		}
@@ -427,8 +427,8 @@
 
 // door begins a fault of a door, and has it end in its time. The caller holds the lock.
 func (p *Proxy) door(rule *Rule, k Kind, r *route) {
-	if p.Tell != nil {
-		p.Tell(Did{Rule: rule.Name, Kind: k, Where: Where{Route: r.Name, Direction: Both}, At: p.now()})
+	if p.OnInjection != nil {
+		p.OnInjection(Injection{Rule: rule.Name, Kind: k, Location: Location{Route: r.Name, Direction: Both}, At: p.now()})
 	}
 	r.change(k, 1)
 	if rule.For > 0 {
--- a/internal/fault/script.go
+++ b/internal/faultproxy/script.go
@@ -7,7 +7,7 @@
 //
 // Who embeds a Proxy (1) opens its routes before the parties connect, (2) starts the
 // script's clock with the first, and (3) closes it, which ends all connections.
-package fault
+package faultproxy
 
 import (
 	"fmt"
--- a/internal/trouble/random_test.go
+++ b/internal/trouble/random_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"lockroad/internal/fault"
+	"lockroad/internal/faultproxy"
 	"lockroad/internal/rules"
 	"lockroad/internal/standin"
 )
@@ -46,7 +46,7 @@
 // broken plays a scene and returns what broke a rule. What goes wrong on a server that
 // is spoilt is not the relay's doing; the answers are, whatever happens.
 func broken(t interface{ Fatal(...any) }, s Scene) string {
-	list, err := fault.ParseRules(s.Rules)
+	list, err := faultproxy.ParseRules(s.Rules)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/trouble/scene.go
+++ b/internal/trouble/scene.go
@@ -18,7 +18,7 @@
 
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
-	"lockroad/internal/fault"
+	"lockroad/internal/faultproxy"
 	"lockroad/internal/rules"
 	"lockroad/internal/server"
 	"lockroad/internal/standin"
@@ -47,11 +47,11 @@
 type Stage struct {
 	Scene
 	Site  *standin.Site
-	Proxy *fault.Proxy
+	Proxy *faultproxy.Proxy
 	Class standin.Class
 
 	mu     sync.Mutex
-	did    []fault.Did
+	did    []faultproxy.Injection
 	socket string
 	folder string
 	cancel context.CancelFunc
@@ -107,7 +107,7 @@
 
 // start builds the site, the proxy's routes, and the relay between them.
 func (st *Stage) start(ctx context.Context) error {
-	list, err := fault.ParseRules(st.Rules)
+	list, err := faultproxy.ParseRules(st.Rules)
 	if err != nil {
 		return fmt.Errorf("rules: %w", err)
 	}
@@ -117,8 +117,8 @@
 	for _, server := range st.Site.Servers {
 		server.Plain = st.Plain
 	}
-	st.Proxy = fault.NewProxy(list, st.Seed)
-	st.Proxy.Tell = func(d fault.Did) {
+	st.Proxy = faultproxy.NewProxy(list, st.Seed)
+	st.Proxy.OnInjection = func(d faultproxy.Injection) {
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		if len(st.did) < 10_000 {
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	at, err := st.Proxy.Open(fault.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: st.Site.Discovery.Address()})
+	at, err := st.Proxy.Open(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: st.Site.Discovery.Address()})
 	if err != nil {
 		return err
 	}
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	door, err := st.Proxy.Open(fault.Route{Name: "door", Listen: "127.0.0.1:0", Target: front})
+	door, err := st.Proxy.Open(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: front})
 	if err != nil {
 		return err
 	}
@@ -183,7 +183,7 @@
 		if st.Front == "amqp" {
 			target, listen = server.AMQP(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
 		}
-		at, err := st.Proxy.Open(fault.Route{Name: server.Name, Listen: listen, Target: target})
+		at, err := st.Proxy.Open(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
 		if err != nil {
 			for _, one := range st.Site.Servers[:i] {
 				st.Proxy.Shut(one.Name)
@@ -233,7 +233,7 @@
 }
 
 // Did are the faults that were done.
-func (st *Stage) Did() []fault.Did {
+func (st *Stage) Did() []faultproxy.Injection {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.did[:len(st.did):len(st.did)]
@@ -277,7 +277,7 @@
 }
 
 // Tell writes what was done and what was broken, for a person.
-func Tell(w io.Writer, did []fault.Did, broken []rules.Breach) {
+func Tell(w io.Writer, did []faultproxy.Injection, broken []rules.Breach) {
 	for _, d := range did {
 		fmt.Fprintf(w, "%10v  %s: %s on %s, connection %d %s, byte %d\n", d.At.Round(time.Millisecond), d.Rule, d.Kind, d.Route, d.Conn, d.Direction, d.Offset)
 	}
