--- a/cmd/lockroad/builds_test.go
+++ b/cmd/lockroad/builds_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/standin"
+	"lockroad/internal/fake"
 	"lockroad/internal/steps"
 )
 
@@ -47,9 +47,9 @@
 }
 
 // patientClasses are of clients whose messages may take long: the balancer moves nobody because the machine is busy.
-var patientClasses = []standin.Class{
-	{Name: "page", Share: 0.5, GiveUp: 1500 * time.Millisecond, Life: 2 * time.Second, Aim: 10 * time.Second},
-	{Name: "live", Share: 0.5, GiveUp: time.Second, Life: 4 * time.Second, Aim: 10 * time.Second},
+var patientClasses = []fake.Class{
+	{Name: "page", Share: 0.5, TimeLimit: 1500 * time.Millisecond, MeanLifetime: 2 * time.Second, LatencyObjective: 10 * time.Second},
+	{Name: "live", Share: 0.5, TimeLimit: time.Second, MeanLifetime: 4 * time.Second, LatencyObjective: 10 * time.Second},
 }
 
 // operated is a service whose relay has both fronts and a console, and no store: what its next process knows is
@@ -88,8 +88,8 @@
 		next.lives()
 		s.kept(1000, 0)
 		line := 0
-		for _, v := range s.site.Ledger.Visits() {
-			if v.Front != "line" {
+		for _, v := range s.site.Log.Sessions() {
+			if v.Frontend != "line" {
 				continue
 			}
 			line++
@@ -106,20 +106,20 @@
 
 // What was learnt goes over between builds: documents stay at their servers.
 func TestRoutesGoOverBetweenBuilds(t *testing.T) {
-	short := []standin.Class{{Name: "page", Share: 1, GiveUp: time.Second, Life: 50 * time.Millisecond}}
+	short := []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}
 	betweenBuilds(t, func(t *testing.T, from, to string) {
 		s, operator, socket := operated(t)
 		s.amqp, s.program = "", from
 		p := s.start(operator)
 		p.ready()
 		s.crowdOf(60, short, 3)
-		steps.Until(t, "few come", func() bool { return len(s.site.Ledger.Visits()) > 60 })
+		steps.Until(t, "few come", func() bool { return len(s.site.Log.Sessions()) > 60 })
 		s.left()
 		before := s.routes(time.Time{})
 		next := s.handOver(p, to, operator, socket, "no order")
 		upgraded := time.Now()
 		s.crowdOf(60, short, 4)
-		steps.Until(t, "few come again", func() bool { return len(s.site.Ledger.Visits()) > 120 })
+		steps.Until(t, "few come again", func() bool { return len(s.site.Log.Sessions()) > 120 })
 		s.left()
 		same, other := 0, 0
 		for group, server := range s.routes(upgraded) {
@@ -141,10 +141,10 @@
 // routes are the servers of documents, as the last passes since a time were to them.
 func (s *service) routes(since time.Time) map[string]string {
 	group, at := make(map[string]string), make(map[string]string)
-	for _, v := range s.site.Ledger.Visits() {
+	for _, v := range s.site.Log.Sessions() {
 		group[v.Name] = v.Group
 	}
-	for _, pass := range s.site.Ledger.Passes() {
+	for _, pass := range s.site.Log.Attempts() {
 		if pass.Answer == "up" && pass.At.After(since) {
 			at[group[pass.Name]] = pass.Server
 		}
--- a/cmd/lockroad/figures_test.go
+++ b/cmd/lockroad/figures_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/standin"
+	"lockroad/internal/fake"
 	"lockroad/internal/steps"
 )
 
@@ -38,7 +38,7 @@
 	s := newService(t)
 	p := s.start()
 	p.ready()
-	all := func(m standin.Mode) {
+	all := func(m fake.ServerMode) {
 		for _, one := range s.site.Servers {
 			one.Set(m, 0)
 		}
@@ -49,13 +49,13 @@
 		want map[string]int
 	}{
 		{"a client that goes before its answer", func() {
-			all(standin.Hanging)
+			all(fake.ModeHang)
 			c, _ := s.opens("a1", "page", false)
-			steps.Until(t, "it is not taken", func() bool { return p.figures()["active"] == 1 && len(s.site.Ledger.Passes()) == 1 })
+			steps.Until(t, "it is not taken", func() bool { return p.figures()["active"] == 1 && len(s.site.Log.Attempts()) == 1 })
 			c.Close()
 		}, nil},
 		{"one that is served and leaves", func() {
-			all(standin.Accepting)
+			all(fake.ModeAccept)
 			c, answer := s.opens("b1", "page", true)
 			if p.figures()["active"] != 1 {
 				t.Errorf("%q, and active is %d", answer, p.figures()["active"])
@@ -66,8 +66,8 @@
 		{"one that is moved, and comes again", func() {
 			c, _ := s.opens("c1", "live", true)
 			for _, one := range s.site.Servers {
-				if one.Name == s.site.Ledger.Passes()[len(s.site.Ledger.Passes())-1].Server {
-					one.Leave()
+				if one.Name == s.site.Log.Attempts()[len(s.site.Log.Attempts())-1].Server {
+					one.Drain()
 				}
 			}
 			if text, _ := io.ReadAll(c); len(text) == 0 {
@@ -92,7 +92,7 @@
 			_, _ = io.Copy(io.Discard, c)
 		}, nil},
 		{"the same, once the class has come by SIGHUP", func() {
-			s.write(append([]standin.Class{{Name: "extra", GiveUp: time.Second}}, serviceClasses...))
+			s.write(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
 			_ = p.Process.Signal(syscall.SIGHUP)
 			steps.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 1 })
 			c, _ := s.opens("f1", "extra", true)
@@ -111,7 +111,7 @@
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`ok_total{kind="extra"}`: 1, "config_applied_total": 1}},
 		{"servers that break what comes", func() {
-			all(standin.Breaking)
+			all(fake.ModeBreak)
 			c, _ := s.opens("h1", "page", true)
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`shed_total{kind="page"}`: 1}},
@@ -123,7 +123,7 @@
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`shed_total{kind="page"}`: 1}},
 	} {
-		before, tries := p.figures(), len(s.site.Ledger.Passes())
+		before, tries := p.figures(), len(s.site.Log.Attempts())
 		c.do()
 		steps.Until(t, c.name+": it is still active", func() bool { return p.figures()["active"] == 0 })
 		after := p.figures()
@@ -133,7 +133,7 @@
 		for name, n := range after {
 			want := c.want[name]
 			if name == "tries_total" {
-				want = len(s.site.Ledger.Passes()) - tries
+				want = len(s.site.Log.Attempts()) - tries
 			}
 			if n-before[name] != want {
 				t.Errorf("%s: %s grows by %d, want %d", c.name, name, n-before[name], want)
--- a/cmd/lockroad/keep_test.go
+++ b/cmd/lockroad/keep_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/standin"
+	"lockroad/internal/fake"
 	"lockroad/internal/steps"
 )
 
@@ -59,7 +59,7 @@
 
 // passesAt are the passes that a server had since a time.
 func (s *service) passesAt(server string, since time.Time) (n int) {
-	for _, p := range s.site.Ledger.Passes() {
+	for _, p := range s.site.Log.Attempts() {
 		if p.Server == server && p.At.After(since) {
 			n++
 		}
@@ -155,17 +155,17 @@
 	s, socket, env := kept(t)
 	p := s.start(env)
 	p.ready()
-	s.crowdOf(60, []standin.Class{{Name: "page", Share: 1, GiveUp: time.Second, Life: 50 * time.Millisecond}}, 3)
+	s.crowdOf(60, []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}, 3)
 	steps.Until(t, "nothing is learnt", func() bool {
 		return strings.Contains(strings.Join(strings.Fields(says(t, socket, "store")), " "), "learnt 1 kept")
 	})
 	s.left()
 	before := make(map[string]string) // where each document was last
 	group := make(map[string]string)
-	for _, v := range s.site.Ledger.Visits() {
+	for _, v := range s.site.Log.Sessions() {
 		group[v.Name] = v.Group
 	}
-	for _, pass := range s.site.Ledger.Passes() {
+	for _, pass := range s.site.Log.Attempts() {
 		if pass.Answer == "up" {
 			before[group[pass.Name]] = pass.Server
 		}
@@ -174,14 +174,14 @@
 	p = s.start(env)
 	p.ready()
 	killed := time.Now()
-	s.crowdOf(60, []standin.Class{{Name: "page", Share: 1, GiveUp: time.Second, Life: 50 * time.Millisecond}}, 4)
-	steps.Until(t, "nobody comes", func() bool { return len(s.site.Ledger.Visits()) > len(group)+40 })
+	s.crowdOf(60, []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}, 4)
+	steps.Until(t, "nobody comes", func() bool { return len(s.site.Log.Sessions()) > len(group)+40 })
 	s.left()
 	same, other := 0, 0
-	for _, v := range s.site.Ledger.Visits() {
+	for _, v := range s.site.Log.Sessions() {
 		group[v.Name] = v.Group
 	}
-	for _, pass := range s.site.Ledger.Passes() {
+	for _, pass := range s.site.Log.Attempts() {
 		if was, ok := before[group[pass.Name]]; ok && pass.At.After(killed) {
 			if was == pass.Server {
 				same++
@@ -204,13 +204,13 @@
 	t.Parallel()
 	s, socket, env := kept(t)
 	for _, one := range s.site.Servers {
-		one.Set(standin.Full, 0)
+		one.Set(fake.ModeBusy, 0)
 	}
 	p := s.start(env)
 	p.ready()
-	s.site.Crowd = &standin.Crowd{Ledger: s.site.Ledger, Line: s.listen, Most: 5, Seed: 9}
-	s.site.Crowd.Begin()
-	v := s.site.Crowd.One(t.Context(), "line", serviceClasses[0], "77", 0)
+	s.site.Clients = &fake.ClientPool{Log: s.site.Log, LineAddress: s.listen, MaxClients: 5, Seed: 9}
+	s.site.Clients.Prepare()
+	v := s.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "77", 0)
 	if v.Answer != "unavailable" {
 		t.Fatalf("the client got %s", v.Answer)
 	}
--- a/cmd/lockroad/lines_test.go
+++ b/cmd/lockroad/lines_test.go
@@ -39,7 +39,7 @@
 		s := newService(t)
 		s.program = build.program
 		for _, one := range s.site.Servers {
-			one.Most, one.SetUp = 10*lines, 0
+			one.MaxConns, one.SetupTime = 10*lines, 0
 		}
 		p := s.start()
 		p.ready()
--- a/cmd/lockroad/links_test.go
+++ b/cmd/lockroad/links_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		for _, one := range s.site.Servers {
-			one.Most, one.SetUp = 10*links, 0
+			one.MaxConns, one.SetupTime = 10*links, 0
 		}
 		p := s.start("LOCKROAD_OPERATOR=" + operator)
 		p.ready()
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/standin"
+	"lockroad/internal/fake"
 )
 
 // TestRehearse plays the three commonest troubles against builds of the program and tells how
@@ -59,7 +59,7 @@
 }
 
 // farmOf starts relays of a build behind a spreader, as processes.
-func farmOf(t *testing.T, s *service, classes []standin.Class, relays int) (front *spreader, doors []string, running []*process) {
+func farmOf(t *testing.T, s *service, classes []fake.Class, relays int) (front *spreader, doors []string, running []*process) {
 	front, doors, running = newSpreader(t), make([]string, relays), make([]*process, relays)
 	for i := range doors {
 		doors[i] = free(t)
@@ -73,7 +73,7 @@
 }
 
 // restart restarts the relays one after another.
-func restart(t *testing.T, s *service, classes []standin.Class, front *spreader, doors []string, running []*process) {
+func restart(t *testing.T, s *service, classes []fake.Class, front *spreader, doors []string, running []*process) {
 	for i, p := range running {
 		p.leave()
 		noticed := time.AfterFunc(noticeAfter, func() { front.drop(doors[i]) })
@@ -98,7 +98,7 @@
 	front, doors, running := farmOf(t, s, serviceClasses, relays)
 	classes := slices.Clone(serviceClasses)
 	for i := range classes {
-		classes[i].Life = 30 * time.Second
+		classes[i].MeanLifetime = 30 * time.Second
 	}
 	s.crowdOf(10, classes, seed+1)
 	time.Sleep(6 * time.Second)
@@ -106,13 +106,13 @@
 	bad := s.site.Servers[int(seed)%6]
 	switch {
 	case strings.Contains(trouble, "hangs"):
-		bad.Set(standin.Hanging, 0)
-		time.AfterFunc(6*time.Second, func() { bad.Set(standin.Accepting, 0) })
+		bad.Set(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
 	case strings.Contains(trouble, "gone"):
 		bad.Stop()
-		time.AfterFunc(9*time.Second, func() { s.site.Discovery.Phase(bad.Name, "gone", false) })
+		time.AfterFunc(9*time.Second, func() { s.site.Discovery.SetState(bad.Name, "gone", false) })
 	case strings.Contains(trouble, "drop"):
-		s.site.Crowd.Drop(0.53)
+		s.site.Clients.Drop(0.53)
 	default:
 		restart(t, s, serviceClasses, front, doors, running)
 	}
@@ -122,29 +122,29 @@
 		p.kill()
 	}
 	at := make(map[string]bool) // transactions at the bad server
-	for _, pass := range s.site.Ledger.Passes() {
+	for _, pass := range s.site.Log.Attempts() {
 		at[pass.Name] = at[pass.Name] || pass.Server == bad.Name && pass.Answer == "up"
 	}
-	flows := make(map[string][]standin.Visit)
-	for _, v := range s.site.Ledger.Visits() {
+	flows := make(map[string][]fake.Session)
+	for _, v := range s.site.Log.Sessions() {
 		flows[v.Flow] = append(flows[v.Flow], v)
 	}
 	for _, visits := range flows {
-		slices.SortFunc(visits, func(x, y standin.Visit) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
+		slices.SortFunc(visits, func(x, y fake.Session) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
 		since := visits[0].At // not served since then
 		for _, v := range visits {
-			if v.End == "moved" && v.At.Add(v.Took+v.Stood).After(began) {
+			if v.End == "moved" && v.At.Add(v.SetupTime+v.Established).After(began) {
 				moves++
 			}
 			if v.Answer != "up" {
 				continue
 			}
-			up := v.At.Add(v.Took)
+			up := v.At.Add(v.SetupTime)
 			if since.After(began) {
 				waits = append(waits, up.Sub(since))
 			}
 			since = time.Time{}
-			if end := up.Add(v.Stood); v.End != "left" && v.End != "bye" {
+			if end := up.Add(v.Established); v.End != "left" && v.End != "bye" {
 				if since = end; strings.Contains(trouble, "hangs") && at[v.Name] && up.Before(began) && end.After(began) {
 					since = began.Add(time.Nanosecond) // it stood at a server that answered nothing
 				}
@@ -158,11 +158,11 @@
 }
 
 // The operators' classes, with what they ask of a server: 82 ms of work a second on average.
-var weighty = []standin.Class{
-	{Name: "page-render", Share: 0.35, GiveUp: 4800 * time.Millisecond, Life: 20 * time.Second},
-	{Name: "part-extract", Share: 0.30, GiveUp: 4800 * time.Millisecond, Life: 40 * time.Second, Aim: 50 * time.Millisecond},
-	{Name: "live-preview", Share: 0.27, GiveUp: 2 * time.Second, Life: 40 * time.Second, Aim: 60 * time.Millisecond},
-	{Name: "print-export", Share: 0.08, GiveUp: 4800 * time.Millisecond, Life: 13 * time.Second},
+var weighty = []fake.Class{
+	{Name: "page-render", Share: 0.35, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 20 * time.Second},
+	{Name: "part-extract", Share: 0.30, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 40 * time.Second, LatencyObjective: 50 * time.Millisecond},
+	{Name: "live-preview", Share: 0.27, TimeLimit: 2 * time.Second, MeanLifetime: 40 * time.Second, LatencyObjective: 60 * time.Millisecond},
+	{Name: "print-export", Share: 0.08, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 13 * time.Second},
 }
 
 var worth = map[string]float64{"page-render": 5, "part-extract": 2, "live-preview": 1, "print-export": 5}
@@ -210,33 +210,33 @@
 }
 
 func rehearseWorth(t *testing.T, program, trouble string, seed uint64, warm bool) (l lost) {
-	bears := standin.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, Tell: 17 * time.Millisecond,
+	bears := fake.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, ReportOver: 17 * time.Millisecond,
 		Classes: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
-	s := newServiceOf(t, 6, func(one *standin.Server) {
-		one.Capacity, one.Doors, one.Load = bears, make([]string, 3), 0
+	s := newServiceOf(t, 6, func(one *fake.Server) {
+		one.Capacity, one.ExtraListeners, one.Load = bears, make([]string, 3), 0
 		if one.Name == "s-3" || one.Name == "s-5" { // a third are slow machines
 			one.Capacity.Work = 1200 * time.Millisecond
 		}
 	})
 	s.program, s.patience, s.warm = program, 3700*time.Millisecond, warm
 	front, doors, running := farmOf(t, s, weighty, 4)
-	s.come(&standin.Crowd{Classes: weighty, Rate: 9, Groups: 12, Talk: noteEvery, Most: 150, Seed: seed + 1})
+	s.come(&fake.ClientPool{Classes: weighty, Rate: 9, Groups: 12, MessageInterval: noteEvery, MaxClients: 150, Seed: seed + 1})
 	time.Sleep(4 * time.Second) // 36 clients that stand, which fill the farm to 0.6 with their groups
-	s.site.Crowd.Pace(1.3)
+	s.site.Clients.SetRate(1.3)
 	time.Sleep(4 * time.Second)
 	began := time.Now()
 	bad := s.site.Servers[int(seed)%6]
 	switch trouble {
 	case "one of six hangs for 6 s":
-		bad.Set(standin.Hanging, 0)
-		time.AfterFunc(6*time.Second, func() { bad.Set(standin.Accepting, 0) })
+		bad.Set(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
 	case "the relays restart":
 		restart(t, s, weighty, front, doors, running)
 	case "one restarts and is cold":
 		bad.Stop()
 		time.AfterFunc(2*time.Second, func() {
 			_ = bad.Start(bad.Address(), "")
-			time.AfterFunc(time.Second, func() { s.site.Phase(bad.Name, "ready", true) })
+			time.AfterFunc(time.Second, func() { s.site.SetState(bad.Name, "ready", true) })
 		})
 	}
 	time.Sleep(time.Until(began.Add(15 * time.Second)))
@@ -246,19 +246,19 @@
 		p.kill()
 	}
 	at := make(map[string]string)
-	for _, pass := range s.site.Ledger.Passes() {
+	for _, pass := range s.site.Log.Attempts() {
 		if pass.Answer == "up" {
 			at[pass.Name] = pass.Server
 		}
 	}
 	asked := 0.0
-	came, left := make(map[string]standin.Visit), make(map[string]time.Time)
+	came, left := make(map[string]fake.Session), make(map[string]time.Time)
 	stood := make(map[string]time.Duration)
-	for _, v := range s.site.Ledger.Visits() {
+	for _, v := range s.site.Log.Sessions() {
 		if first, ok := came[v.Flow]; !ok || v.At.Before(first.At) {
 			came[v.Flow] = v
 		}
-		end := v.At.Add(v.Took + v.Stood)
+		end := v.At.Add(v.SetupTime + v.Established)
 		if v.End != "left" {
 			end = over // it wants more
 		}
@@ -268,7 +268,7 @@
 		if v.End == "moved" {
 			l.moves++
 		}
-		stood[v.Flow] += v.Stood
+		stood[v.Flow] += v.Established
 		w := worth[v.Class]
 		l.served += w * float64(v.Echoes-v.Late) * noteEvery.Seconds()
 		bare := w * float64(v.Late+v.Missed) * noteEvery.Seconds()
@@ -304,24 +304,24 @@
 	with, without := s.start(env), second.start("LOCKROAD_OPERATOR="+bare)
 	with.ready()
 	without.ready()
-	for _, mode := range []standin.Mode{standin.Accepting, standin.Full} {
+	for _, mode := range []fake.ServerMode{fake.ModeAccept, fake.ModeBusy} {
 		var waits [2][]time.Duration
 		for i, one := range []*service{s, second} {
 			for _, server := range one.site.Servers {
-				server.SetUp = 0
+				server.SetupTime = 0
 				server.Set(mode, 0)
 			}
-			one.site.Crowd = &standin.Crowd{Ledger: one.site.Ledger, Line: one.listen, Most: 5, Seed: uint64(i + 1)}
-			one.site.Crowd.Begin()
+			one.site.Clients = &fake.ClientPool{Log: one.site.Log, LineAddress: one.listen, MaxClients: 5, Seed: uint64(i + 1)}
+			one.site.Clients.Prepare()
 		}
 		n := 2000
-		if mode == standin.Full {
+		if mode == fake.ModeBusy {
 			n = 40 // each takes its three tries and their pauses
 		}
 		for range n {
 			for i, one := range []*service{s, second} {
-				v := one.site.Crowd.One(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
-				waits[i] = append(waits[i], v.Took)
+				v := one.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
+				waits[i] = append(waits[i], v.SetupTime)
 			}
 		}
 		for i := range waits {
--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -40,7 +40,7 @@
 	}
 	p.ended <- nil
 	s.left()
-	for _, v := range s.site.Ledger.Visits() {
+	for _, v := range s.site.Log.Sessions() {
 		if v.Answer == "up" && v.End == "broken" {
 			t.Errorf("%s was cut off", v.Name)
 		}
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -11,22 +11,22 @@
 	"testing"
 	"time"
 
+	"lockroad/internal/fake"
 	"lockroad/internal/rules"
 	"lockroad/internal/server"
-	"lockroad/internal/standin"
 	"lockroad/internal/steps"
 )
 
-var siteClasses = []standin.Class{
-	{Name: "page", Share: 0.7, GiveUp: 4800 * time.Millisecond, Life: 500 * time.Millisecond},
-	{Name: "live", Share: 0.3, GiveUp: 2 * time.Second, Life: time.Second},
+var siteClasses = []fake.Class{
+	{Name: "page", Share: 0.7, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 500 * time.Millisecond},
+	{Name: "live", Share: 0.3, TimeLimit: 2 * time.Second, MeanLifetime: time.Second},
 }
 
 // From nothing to a client that is served by two commands; then a server dies and comes back, the file is reloaded with another
 // list, and a broken one is turned down. Nothing of it breaks a rule.
 func TestSiteFromNothing(t *testing.T) {
 	t.Parallel()
-	s := newServiceOf(t, 3, func(one *standin.Server) { one.Probes = true })
+	s := newServiceOf(t, 3, func(one *fake.Server) { one.Probes = true })
 	file, socket := filepath.Join(s.folder, "site.toml"), filepath.Join(s.folder, "sock")
 	args := []string{"init", file, "--name", "music-room", "--listen", s.listen, "--socket", socket}
 	for _, one := range s.site.Servers {
@@ -67,10 +67,10 @@
 		}
 	})
 	steps.Until(t, "no start", func() bool { return pongs(s.listen) })
-	s.come(&standin.Crowd{Classes: siteClasses, Rate: 60, Groups: 20, Talk: 40 * time.Millisecond, Most: 100, Seed: 5})
+	s.come(&fake.ClientPool{Classes: siteClasses, Rate: 60, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 100, Seed: 5})
 	served := func() int {
 		n := 0
-		for _, v := range s.site.Ledger.Visits() {
+		for _, v := range s.site.Log.Sessions() {
 			if v.Answer == "up" {
 				n++
 			}
@@ -128,8 +128,8 @@
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
 	}
-	for _, b := range rules.Judge(rules.History{Visits: s.site.Ledger.Visits(), Passes: s.site.Ledger.Passes(), Limits: rules.Usual(),
-		Broken: func(p standin.Pass) bool { return p.Server == "s-1" }, Spoiled: func(v standin.Visit) bool { return v.End == "broken" }}) {
+	for _, b := range rules.Judge(rules.History{Visits: s.site.Log.Sessions(), Passes: s.site.Log.Attempts(), Limits: rules.Usual(),
+		Broken: func(p fake.Attempt) bool { return p.Server == "s-1" }, Spoiled: func(v fake.Session) bool { return v.End == "broken" }}) {
 		t.Error(b)
 	}
 }
@@ -165,7 +165,7 @@
 func TestFloodOfOneAddress(t *testing.T) {
 	t.Parallel()
 	for _, fair := range []bool{true, false} {
-		s := newServiceOf(t, 2, func(one *standin.Server) { one.Probes = true })
+		s := newServiceOf(t, 2, func(one *fake.Server) { one.Probes = true })
 		var servers []string
 		for _, one := range s.site.Servers {
 			servers = append(servers, one.Address())
@@ -188,15 +188,15 @@
 			ended <- server.Run(context.Background(), server.RunOptions{Shutdown: leave, ConfigPath: file, Site: site}, site.Config, site.Operator, slog.New(slog.DiscardHandler))
 		}()
 		steps.Until(t, "no start", func() bool { return pongs(s.listen) })
-		flood := &standin.Crowd{Ledger: s.site.Ledger, Line: s.listen, From: "127.0.0.9", Classes: siteClasses[:1], Rate: 300, Groups: 9, Talk: 100 * time.Millisecond, Most: 200, Seed: 1}
-		flood.Classes = []standin.Class{{Name: "page", Share: 1, GiveUp: time.Second, Life: 30 * time.Second}}
-		flood.Begin()
+		flood := &fake.ClientPool{Log: s.site.Log, LineAddress: s.listen, SourceAddress: "127.0.0.9", Classes: siteClasses[:1], Rate: 300, Groups: 9, MessageInterval: 100 * time.Millisecond, MaxClients: 200, Seed: 1}
+		flood.Classes = []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 30 * time.Second}}
+		flood.Prepare()
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); flood.Run(ctx) }()
 		steps.Until(t, "the flood does not fill the box", func() bool {
 			up, away := 0, 0
-			for _, v := range s.site.Ledger.Visits() {
+			for _, v := range s.site.Log.Sessions() {
 				switch v.Answer {
 				case "up":
 					up++
@@ -206,11 +206,11 @@
 			}
 			return up >= 15 && away > 20
 		})
-		other := &standin.Crowd{Ledger: s.site.Ledger, Line: s.listen, From: "127.0.0.8", Most: 50, Seed: 2}
-		other.Begin()
+		other := &fake.ClientPool{Log: s.site.Log, LineAddress: s.listen, SourceAddress: "127.0.0.8", MaxClients: 50, Seed: 2}
+		other.Prepare()
 		served := 0
 		for range 20 {
-			if v := other.One(ctx, "line", siteClasses[0], "5", 20*time.Millisecond); v.Answer == "up" {
+			if v := other.RunSession(ctx, "line", siteClasses[0], "5", 20*time.Millisecond); v.Answer == "up" {
 				served++
 			}
 		}
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -17,20 +17,20 @@
 	"testing"
 	"time"
 
+	"lockroad/internal/fake"
 	"lockroad/internal/rules"
-	"lockroad/internal/standin"
 	"lockroad/internal/steps"
 )
 
-var serviceClasses = []standin.Class{
-	{Name: "page", Share: 0.5, GiveUp: 1500 * time.Millisecond, Life: 2 * time.Second},
-	{Name: "live", Share: 0.5, GiveUp: time.Second, Life: 4 * time.Second},
+var serviceClasses = []fake.Class{
+	{Name: "page", Share: 0.5, TimeLimit: 1500 * time.Millisecond, MeanLifetime: 2 * time.Second},
+	{Name: "live", Share: 0.5, TimeLimit: time.Second, MeanLifetime: 4 * time.Second},
 }
 
 // service is a site of stand-ins with clients, and processes of one relay in its middle.
 type service struct {
 	t              *testing.T
-	site           *standin.Site
+	site           *fake.Site
 	folder, config string
 	listen         string
 	amqp           string        // where half of the clients come; "": all come by the other front
@@ -76,9 +76,9 @@
 
 func newService(t *testing.T) *service { return newServiceOf(t, 3, nil) }
 
-func newServiceOf(t *testing.T, servers int, prepare func(*standin.Server)) *service {
+func newServiceOf(t *testing.T, servers int, prepare func(*fake.Server)) *service {
 	t.Helper()
-	site, err := standin.NewSite(servers, 5*time.Millisecond, 400, prepare)
+	site, err := fake.NewSite(servers, 5*time.Millisecond, 400, prepare)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,10 +90,10 @@
 }
 
 // write writes the configuration anew.
-func (s *service) write(classes []standin.Class) { s.writeFor(classes, 1, 0) }
+func (s *service) write(classes []fake.Class) { s.writeFor(classes, 1, 0) }
 
 // writeFor writes that of one of several relays.
-func (s *service) writeFor(classes []standin.Class, relays, number int) {
+func (s *service) writeFor(classes []fake.Class, relays, number int) {
 	s.t.Helper()
 	text, err := s.site.Config(classes, 7, number)
 	if err != nil {
@@ -213,18 +213,18 @@
 // crowd has clients come.
 func (s *service) crowd(rate float64) { s.crowdOf(rate, serviceClasses, 11) }
 
-func (s *service) crowdOf(rate float64, classes []standin.Class, seed uint64) {
-	s.come(&standin.Crowd{Classes: classes, Rate: rate, Groups: 20, Talk: 40 * time.Millisecond, Most: 150, Seed: seed})
+func (s *service) crowdOf(rate float64, classes []fake.Class, seed uint64) {
+	s.come(&fake.ClientPool{Classes: classes, Rate: rate, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 150, Seed: seed})
 }
 
 // come has a crowd come to the service.
-func (s *service) come(c *standin.Crowd) {
-	c.Ledger, c.Line = s.site.Ledger, s.listen
+func (s *service) come(c *fake.ClientPool) {
+	c.Log, c.LineAddress = s.site.Log, s.listen
 	if s.amqp != "" {
-		c.AMQP, c.Share = s.amqp, 0.5
+		c.AMQPAddress, c.Share = s.amqp, 0.5
 	}
-	s.site.Crowd = c
-	c.Begin()
+	s.site.Clients = c
+	c.Prepare()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); c.Run(ctx) }()
@@ -251,8 +251,8 @@
 func (s *service) kept(moved, door int) {
 	s.t.Helper()
 	s.left()
-	visits := s.site.Ledger.Visits()
-	for _, b := range rules.Judge(rules.History{Visits: visits, Passes: s.site.Ledger.Passes(), Told: s.site.Ledger.Told(), Limits: rules.Usual()}) {
+	visits := s.site.Log.Sessions()
+	for _, b := range rules.Judge(rules.History{Visits: visits, Passes: s.site.Log.Attempts(), Told: s.site.Log.EndpointChanges(), Limits: rules.Usual()}) {
 		if b.Rule != rules.Answered || door == 0 {
 			s.t.Error(b)
 		}
@@ -303,7 +303,7 @@
 	s, p := loaded(t)
 	next := s.start()
 	next.ready()
-	s.write(append([]standin.Class{{Name: "extra", GiveUp: time.Second}}, serviceClasses...))
+	s.write(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
 	for _, one := range []*process{p, next} {
 		_ = one.Process.Signal(syscall.SIGHUP)
 	}
@@ -402,10 +402,10 @@
 	next.lives()
 	s.kept(1000, 0)
 	moved := 0
-	for _, v := range s.site.Ledger.Visits() {
+	for _, v := range s.site.Log.Sessions() {
 		if v.End == "moved" {
 			moved++
-			if v.Front == "line" {
+			if v.Frontend == "line" {
 				t.Errorf("%s was moved, though its connection can be handed over", v.Name)
 			}
 		}
@@ -423,14 +423,14 @@
 	p := s.start()
 	p.ready()
 	s.crowd(80)
-	for _, mode := range []standin.Mode{standin.Full, standin.Hanging, standin.Failing, standin.Breaking, standin.Accepting} {
+	for _, mode := range []fake.ServerMode{fake.ModeBusy, fake.ModeHang, fake.ModeError, fake.ModeBreak, fake.ModeAccept} {
 		for _, server := range s.site.Servers[:2] {
 			server.Set(mode, 0)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 	for _, server := range s.site.Servers {
-		server.Set(standin.Full, 0)
+		server.Set(fake.ModeBusy, 0)
 	}
 	pause()
 	for i := range 5 { // no class, a class that is not there, and clients that go on too early
@@ -446,11 +446,11 @@
 		}
 	}
 	s.left()
-	want := map[string]int{"tries_total": len(s.site.Ledger.Passes()), "active": 0, "pool_size": 3}
+	want := map[string]int{"tries_total": len(s.site.Log.Attempts()), "active": 0, "pool_size": 3}
 	for _, c := range serviceClasses {
 		for figure, answer := range map[string]string{"ok": "up", "shed": "unavailable", "errors": "failed"} {
 			n := 0
-			for _, v := range s.site.Ledger.Visits() {
+			for _, v := range s.site.Log.Sessions() {
 				if v.Class == c.Name && v.Answer == answer {
 					n++
 				}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -28,8 +28,8 @@
 
 	"lockroad/internal/console"
 	"lockroad/internal/explain"
+	"lockroad/internal/fake"
 	"lockroad/internal/server"
-	"lockroad/internal/standin"
 )
 
 // Options are what a demonstration is to be like.
@@ -82,11 +82,11 @@
 }
 
 // Classes are those of the stand-in clients.
-var Classes = []standin.Class{
-	{Name: "page-render", Share: 0.35, GiveUp: 2400 * time.Millisecond, Life: 3 * time.Second},
-	{Name: "part-extract", Share: 0.30, GiveUp: 2400 * time.Millisecond, Life: 4 * time.Second},
-	{Name: "live-preview", Share: 0.27, GiveUp: time.Second, Life: 4 * time.Second},
-	{Name: "print-export", Share: 0.08, GiveUp: 2400 * time.Millisecond, Life: 2 * time.Second},
+var Classes = []fake.Class{
+	{Name: "page-render", Share: 0.35, TimeLimit: 2400 * time.Millisecond, MeanLifetime: 3 * time.Second},
+	{Name: "part-extract", Share: 0.30, TimeLimit: 2400 * time.Millisecond, MeanLifetime: 4 * time.Second},
+	{Name: "live-preview", Share: 0.27, TimeLimit: time.Second, MeanLifetime: 4 * time.Second},
+	{Name: "print-export", Share: 0.08, TimeLimit: 2400 * time.Millisecond, MeanLifetime: 2 * time.Second},
 }
 
 // Result is what came of a demonstration.
@@ -105,12 +105,12 @@
 // Run runs a demonstration. An error says that it could not be run; what did not match
 // is in the result.
 func Run(ctx context.Context, o Options) (*Result, error) {
-	site, err := standin.NewSite(o.Servers, 10*time.Millisecond, 0, nil)
+	site, err := fake.NewSite(o.Servers, 10*time.Millisecond, 0, nil)
 	if err != nil {
 		return nil, err
 	}
 	defer site.Stop()
-	acts, err := standin.ParseScript(cmp.Or(o.Script, Usual(o.For)), site.Names())
+	acts, err := fake.ParseScript(cmp.Or(o.Script, Usual(o.For)), site.Names())
 	if err != nil {
 		return nil, fmt.Errorf("script: %w", err)
 	}
@@ -124,14 +124,14 @@
 			_ = d.stop()
 		}
 	}()
-	site.Crowd = &standin.Crowd{Ledger: site.Ledger, Line: d.fronts["line"], AMQP: d.fronts["amqp"], Share: o.AMQP, Classes: Classes, Rate: o.Rate,
-		Groups: 40, Talk: 250 * time.Millisecond, Most: most, Seed: o.Seed}
-	site.Crowd.Begin()
+	site.Clients = &fake.ClientPool{Log: site.Log, LineAddress: d.fronts["line"], AMQPAddress: d.fronts["amqp"], Share: o.AMQP, Classes: Classes, Rate: o.Rate,
+		Groups: 40, MessageInterval: 250 * time.Millisecond, MaxClients: most, Seed: o.Seed}
+	site.Clients.Prepare()
 	coming, done := context.WithTimeout(ctx, o.For)
 	defer done()
 	var script sync.WaitGroup
-	script.Go(func() { site.Run(coming, acts, func(a standin.Act) { d.say("%s", a) }) })
-	site.Crowd.Run(coming)
+	script.Go(func() { site.Run(coming, acts, func(a fake.ScriptedAction) { d.say("%s", a) }) })
+	site.Clients.Run(coming)
 	script.Wait()
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
@@ -164,13 +164,13 @@
 // run is a demonstration under way.
 type run struct {
 	Options
-	site      *standin.Site
+	site      *fake.Site
 	rng       *rand.Rand
 	began     time.Time
 	folder    string
 	socket    string
 	fronts    map[string]string
-	collector *standin.Collector
+	collector *fake.Collector
 	telemetry *http.Server
 	cancel    context.CancelFunc
 	ended     chan error
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	d.collector = &standin.Collector{}
+	d.collector = &fake.Collector{}
 	d.telemetry = &http.Server{Handler: d.collector, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = d.telemetry.Serve(l) }()
 	operator := &server.Operator{
@@ -272,10 +272,10 @@
 // ask asks for random transactions that clients had, and holds each answer against
 // what clients and servers saw.
 func (d *run) ask() (map[string]*explain.Explanation, error) {
-	visits := d.site.Ledger.Visits()
+	visits := d.site.Log.Sessions()
 	d.result.Visits = len(visits)
-	byName := make(map[string][]standin.Pass)
-	passes := d.site.Ledger.Passes()
+	byName := make(map[string][]fake.Attempt)
+	passes := d.site.Log.Attempts()
 	d.result.Passes = len(passes)
 	for _, p := range passes {
 		byName[p.Name] = append(byName[p.Name], p)
@@ -286,7 +286,7 @@
 	for _, i := range order[:min(len(order), d.Asks)] {
 		v := visits[i]
 		name := v.Name
-		if v.Front == "amqp" {
+		if v.Frontend == "amqp" {
 			name = "client/" + v.Name
 		}
 		d.result.Asked++
@@ -319,9 +319,9 @@
 // downs are the times at which servers were killed.
 func (d *run) downs() map[string][]time.Time {
 	down := make(map[string][]time.Time)
-	for _, t := range d.site.Ledger.Told() {
-		if t.Phase == standin.Killed {
-			down[t.Server] = append(down[t.Server], t.At)
+	for _, t := range d.site.Log.EndpointChanges() {
+		if t.State == fake.Killed {
+			down[t.Endpoint] = append(down[t.Endpoint], t.At)
 		}
 	}
 	return down
@@ -335,7 +335,7 @@
 	for _, class := range Classes {
 		count := make(map[string]int)
 		took := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
-		for _, v := range d.site.Ledger.Visits() {
+		for _, v := range d.site.Log.Sessions() {
 			if v.Class != class.Name {
 				continue
 			}
@@ -346,7 +346,7 @@
 				count["moved"]++
 			}
 			if v.Answer == "up" {
-				took.RecordValue(v.Took.Microseconds())
+				took.RecordValue(v.SetupTime.Microseconds())
 			}
 		}
 		ms := func(q float64) time.Duration {
@@ -381,8 +381,8 @@
 // match holds one answer against what the stand-ins saw.
 type match struct {
 	account *explain.Explanation
-	visit   standin.Visit
-	passes  []standin.Pass
+	visit   fake.Session
+	passes  []fake.Attempt
 	down    map[string][]time.Time
 	crossed int
 	bad     []string
@@ -420,8 +420,8 @@
 // run returns what does not match.
 func (m *match) run() []string {
 	a, v := m.account, m.visit
-	if a.Class != v.Class || a.Front != v.Front || strings.TrimLeft(a.Flow, "0") != strings.TrimLeft(v.Flow, "0") || a.Returning != v.Again {
-		m.badf("the client was %s of %s by %s, again %v", v.Flow, v.Class, v.Front, v.Again)
+	if a.Class != v.Class || a.Front != v.Frontend || strings.TrimLeft(a.Flow, "0") != strings.TrimLeft(v.Flow, "0") || a.Returning != v.Returning {
+		m.badf("the client was %s of %s by %s, again %v", v.Flow, v.Class, v.Frontend, v.Returning)
 	}
 	if a.HeadEvicted {
 		return m.bad // what is left of it is only its end
@@ -454,7 +454,7 @@
 }
 
 // agree tells whether a pass ended as its server saw it.
-func (m *match) agree(p seenPass, s standin.Pass) bool {
+func (m *match) agree(p seenPass, s fake.Attempt) bool {
 	want := map[string]string{"ok": "up", "error": "error", "full": "busy", "reset": "broken"}
 	if s.Answer == want[p.outcome] && s.Answer != "" {
 		return true
@@ -495,16 +495,16 @@
 			m.badf("the client was up, the answer says %s", a.Result)
 		}
 	case "unavailable":
-		if a.Result != "unavailable" || (time.Duration(a.RetryAfterMS*float64(time.Millisecond))-v.Back).Abs() >= 2*time.Millisecond {
-			m.badf("the client was told unavailable, to come back in %v, the answer says %s, in %v ms", v.Back, a.Result, a.RetryAfterMS)
+		if a.Result != "unavailable" || (time.Duration(a.RetryAfterMS*float64(time.Millisecond))-v.RetryAfter).Abs() >= 2*time.Millisecond {
+			m.badf("the client was told unavailable, to come back in %v, the answer says %s, in %v ms", v.RetryAfter, a.Result, a.RetryAfterMS)
 		}
 	case "failed":
 		if a.Result != "failed" {
 			m.badf("the client was told that it has failed, the answer says %s", a.Result)
 		}
 	case "none": // it gave up, or its answer came too late to be read
-		if a.Result != "client_left" && last.AfterMS < v.GiveUp.Seconds()*1000-100 {
-			m.badf("the client had no answer in %v, the answer says %s after %.0f ms", v.Took, a.Result, last.AfterMS)
+		if a.Result != "client_left" && last.AfterMS < v.TimeLimit.Seconds()*1000-100 {
+			m.badf("the client had no answer in %v, the answer says %s after %.0f ms", v.SetupTime, a.Result, last.AfterMS)
 		}
 	}
 	if v.Answer != "up" || v.End == "" {
@@ -516,7 +516,7 @@
 	}[v.End]
 	ended := a.ReceivedAt.Add(time.Duration(last.AfterMS * float64(time.Millisecond)))
 	if v.End == "moved" && (a.Result == "client_left" || a.Result == "ended" && strings.Contains(last.Text, "its client ends it")) &&
-		ended.Sub(v.At.Add(v.Took+v.Stood)).Abs() < crossing {
+		ended.Sub(v.At.Add(v.SetupTime+v.Established)).Abs() < crossing {
 		m.crossed++ // it went at the word, and was seen to go before the word's own end
 		return
 	}
@@ -540,15 +540,15 @@
 	all := d.collector.Spans()
 	for _, s := range all {
 		if s.Name == "transaction" {
-			one := &spans{answer: standin.Attribute(s.Attributes, "answer"), reason: standin.Attribute(s.Attributes, "reason")}
-			found[standin.Attribute(s.Attributes, "number")], ids[string(s.SpanId)] = one, one
+			one := &spans{answer: fake.Attribute(s.Attributes, "answer"), reason: fake.Attribute(s.Attributes, "reason")}
+			found[fake.Attribute(s.Attributes, "number")], ids[string(s.SpanId)] = one, one
 		}
 	}
 	children := slices.Clone(all)
 	slices.SortStableFunc(children, func(x, y *spanpb.Span) int { return cmp.Compare(x.StartTimeUnixNano, y.StartTimeUnixNano) })
 	for _, s := range children {
 		if of := ids[string(s.ParentSpanId)]; of != nil && s.Name == "proxy pass" {
-			of.passes += standin.Attribute(s.Attributes, "server") + " " + standin.Attribute(s.Attributes, "outcome") + ";"
+			of.passes += fake.Attribute(s.Attributes, "server") + " " + fake.Attribute(s.Attributes, "outcome") + ";"
 		}
 	}
 	n := 0
--- a/internal/standin/capacity.go
+++ b/internal/fake/capacity.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	Group   time.Duration            // and of each group that any of them belong to
 	Message time.Duration            // that one takes at an idle server
 	// A server that has just started has this share of it, which grows evenly until it is warm.
-	ColdShare float64
-	ColdFor   time.Duration
-	Tell      time.Duration // relays are told of delays over this, once a second
+	ColdShare  float64
+	ColdFor    time.Duration
+	ReportOver time.Duration // relays are told of delays over this, once a second
 }
 
 // crowded is the part of a server's work from which on messages take no longer by the queue's
@@ -127,9 +127,9 @@
 		case <-beat.C:
 		}
 		s.mu.Lock()
-		delay, silent := s.burden.delay(time.Now()), s.mode == Hanging
+		delay, silent := s.burden.delay(time.Now()), s.mode == ModeHang
 		s.mu.Unlock()
-		long := delay > s.Capacity.Tell
+		long := delay > s.Capacity.ReportOver
 		if (long || was) && !silent {
 			for _, write := range s.told.first() {
 				_ = write(fmt.Sprintf("LOAD %d\r\n", delay.Milliseconds()))
--- a/internal/standin/capacity_test.go
+++ b/internal/fake/capacity_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"testing"
--- a/internal/standin/client.go
+++ b/internal/fake/client.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -20,28 +20,28 @@
 
 // Class is what clients of a class do.
 type Class struct {
-	Name   string
-	Share  float64       // of new connections
-	GiveUp time.Duration // a client waits this long for an answer
-	Life   time.Duration // a connection lasts this long on average
-	Aim    time.Duration // a note is wanted back within; 0: 100 ms
+	Name             string
+	Share            float64       // of new connections
+	TimeLimit        time.Duration // a client waits this long for an answer
+	MeanLifetime     time.Duration // a connection lasts this long on average
+	LatencyObjective time.Duration // a note is wanted back within; 0: 100 ms
 }
 
-// Crowd plays clients, which come at a rate and at random, say something every so
+// ClientPool plays clients, which come at a rate and at random, say something every so
 // often and expect it back, leave after a while, and come again when they are told to
 // move, turned away or cut off.
-type Crowd struct {
-	Ledger  *Ledger
-	Line    string // address of the relay's line front
-	AMQP    string // and of its AMQP front; empty: all come by the other
-	Share   float64
-	Classes []Class
-	Rate    float64 // new clients a second
-	Groups  int     // that they belong to, the first by far the most
-	Talk    time.Duration
-	Most    int // clients at a time
-	Seed    uint64
-	From    string // the address that they come from by line; "": any
+type ClientPool struct {
+	Log             *EventLog
+	LineAddress     string // address of the relay's line front
+	AMQPAddress     string // and of its AMQP front; empty: all come by the other
+	Share           float64
+	Classes         []Class
+	Rate            float64 // new clients a second
+	Groups          int     // that they belong to, the first by far the most
+	MessageInterval time.Duration
+	MaxClients      int // clients at a time
+	Seed            uint64
+	SourceAddress   string // the address that they come from by line; "": any
 
 	mu    sync.Mutex
 	rng   *rand.Rand
@@ -59,8 +59,8 @@
 	stays              time.Duration // for so long; 0: by chance
 }
 
-// Begin makes the crowd ready for clients to come.
-func (c *Crowd) Begin() {
+// Prepare makes the crowd ready for clients to come.
+func (c *ClientPool) Prepare() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rng = rand.New(rand.NewPCG(c.Seed, 7))
@@ -69,7 +69,7 @@
 
 // Run has clients come until ctx ends, and then waits until all of them have left. It
 // is called after Begin, once.
-func (c *Crowd) Run(ctx context.Context) {
+func (c *ClientPool) Run(ctx context.Context) {
 	defer c.all.Wait()
 	for {
 		c.mu.Lock()
@@ -87,14 +87,14 @@
 }
 
 // guest makes a new client, unless there are as many as may be.
-func (c *Crowd) guest() *guest {
+func (c *ClientPool) guest() *guest {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.here) >= c.Most {
+	if len(c.here) >= c.MaxClients {
 		return nil
 	}
 	g := &guest{front: "line", flow: fmt.Sprintf("%016x", c.rng.Uint64()|1), rng: rand.New(rand.NewPCG(c.rng.Uint64(), 0)), drop: make(chan struct{})}
-	if c.AMQP != "" && c.rng.Float64() < c.Share {
+	if c.AMQPAddress != "" && c.rng.Float64() < c.Share {
 		g.front = "amqp"
 	}
 	at := c.rng.Float64()
@@ -112,7 +112,7 @@
 }
 
 // Drop has a part of the clients that are there drop their connections and come again.
-func (c *Crowd) Drop(part float64) {
+func (c *ClientPool) Drop(part float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for g := range c.here {
@@ -126,8 +126,8 @@
 // usualAim is what clients want a note back within.
 const usualAim = 100 * time.Millisecond
 
-// Pace changes how many new clients come a second.
-func (c *Crowd) Pace(rate float64) {
+// SetRate changes how many new clients come a second.
+func (c *ClientPool) SetRate(rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Rate = rate
@@ -141,7 +141,7 @@
 )
 
 // stay sees one client through all its visits.
-func (c *Crowd) stay(ctx context.Context, g *guest) {
+func (c *ClientPool) stay(ctx context.Context, g *guest) {
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -154,7 +154,7 @@
 		name := fmt.Sprintf("%08x%08x", uint32(c.Seed), c.names)
 		drop := g.drop
 		c.mu.Unlock()
-		v := c.Ledger.visit(Visit{Front: g.front, Name: name, Flow: g.flow, Class: g.class.Name, Group: g.group, GiveUp: g.class.GiveUp, Again: again, Retry: retry, At: time.Now()})
+		v := c.Log.visit(Session{Frontend: g.front, Name: name, Flow: g.flow, Class: g.class.Name, Group: g.group, TimeLimit: g.class.TimeLimit, Returning: again, Retry: retry, At: time.Now()})
 		visit := c.visitLine
 		if g.front == "amqp" {
 			visit = c.visitAMQP
@@ -170,7 +170,7 @@
 			if retry++; retry > retriesMost {
 				return
 			}
-			c.Ledger.change(func() { wait = max(wait, v.Back) })
+			c.Log.change(func() { wait = max(wait, v.RetryAfter) })
 		}
 		select {
 		case <-ctx.Done():
@@ -184,38 +184,38 @@
 	if g.stays > 0 {
 		return g.stays
 	}
-	return time.Duration(g.rng.ExpFloat64() * float64(g.class.Life))
+	return time.Duration(g.rng.ExpFloat64() * float64(g.class.MeanLifetime))
 }
 
-func (c *Crowd) answered(v *Visit, what string, back time.Duration) {
-	c.Ledger.change(func() { v.Answer, v.Took, v.Back = what, time.Since(v.At), back })
+func (c *ClientPool) answered(v *Session, what string, back time.Duration) {
+	c.Log.change(func() { v.Answer, v.SetupTime, v.RetryAfter = what, time.Since(v.At), back })
 }
 
-func (c *Crowd) ended(v *Visit, how string) string {
-	c.Ledger.change(func() { v.End, v.Stood = how, time.Since(v.At)-v.Took })
+func (c *ClientPool) ended(v *Session, how string) string {
+	c.Log.change(func() { v.End, v.Established = how, time.Since(v.At)-v.SetupTime })
 	return how
 }
 
 // visitLine is one transaction over the platform's protocol.
-func (c *Crowd) visitLine(ctx context.Context, g *guest, v *Visit, drop <-chan struct{}) string {
-	d := net.Dialer{Timeout: g.class.GiveUp}
-	if c.From != "" {
-		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.From)}
+func (c *ClientPool) visitLine(ctx context.Context, g *guest, v *Session, drop <-chan struct{}) string {
+	d := net.Dialer{Timeout: g.class.TimeLimit}
+	if c.SourceAddress != "" {
+		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.SourceAddress)}
 	}
-	conn, err := d.Dial("tcp", c.Line)
+	conn, err := d.Dial("tcp", c.LineAddress)
 	if err != nil {
-		c.Ledger.change(func() { v.Refused = true })
+		c.Log.change(func() { v.Refused = true })
 		c.answered(v, "none", 0)
 		return "none"
 	}
 	defer conn.Close()
 	back := ""
-	if v.Again {
+	if v.Returning {
 		back = ",again=1"
 	}
-	c.Ledger.change(func() { v.At = time.Now() })
-	conn.SetDeadline(v.At.Add(g.class.GiveUp + grace))
-	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d,g=%s%s\r\n", v.Name, g.flow, g.class.Name, g.class.GiveUp.Milliseconds(), g.group, back)
+	c.Log.change(func() { v.At = time.Now() })
+	conn.SetDeadline(v.At.Add(g.class.TimeLimit + grace))
+	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d,g=%s%s\r\n", v.Name, g.flow, g.class.Name, g.class.TimeLimit.Milliseconds(), g.group, back)
 	r := bufio.NewReader(conn)
 	text, err := r.ReadString('\n')
 	word := strings.Fields(text)
@@ -264,25 +264,25 @@
 }
 
 // nothingMore counts what follows an answer that is final.
-func (c *Crowd) nothingMore(v *Visit, conn net.Conn, r io.Reader) {
+func (c *ClientPool) nothingMore(v *Session, conn net.Conn, r io.Reader) {
 	conn.SetDeadline(time.Now().Add(time.Second))
 	if n, _ := io.Copy(io.Discard, r); n > 0 {
-		c.Ledger.change(func() { v.More++ })
+		c.Log.change(func() { v.More++ })
 	}
 }
 
 // talk says something every so often until an end. What comes back are echoes, and
 // the words that end a transaction.
-func (c *Crowd) talk(ctx context.Context, g *guest, v *Visit, drop <-chan struct{}, lines <-chan string, say func(seq int) error, leave func()) string {
+func (c *ClientPool) talk(ctx context.Context, g *guest, v *Session, drop <-chan struct{}, lines <-chan string, say func(seq int) error, leave func()) string {
 	life := time.NewTimer(g.life())
 	defer life.Stop()
-	beat := time.NewTicker(max(c.Talk, 10*time.Millisecond))
+	beat := time.NewTicker(max(c.MessageInterval, 10*time.Millisecond))
 	defer beat.Stop()
 	over := ctx.Done()
 	leaving := false
 	var last <-chan time.Time
 	said, heard := 0, 0
-	defer func() { c.Ledger.change(func() { v.Missed = said - heard }) }()
+	defer func() { c.Log.change(func() { v.Missed = said - heard }) }()
 	for {
 		select {
 		case text, ok := <-lines:
@@ -299,7 +299,7 @@
 			case strings.HasPrefix(text, "LOAD "):
 			default:
 				heard++
-				c.echo(v, strings.TrimRight(text, "\r\n"), heard, g.class.Aim)
+				c.echo(v, strings.TrimRight(text, "\r\n"), heard, g.class.LatencyObjective)
 			}
 		case <-beat.C:
 			if !leaving && say(said+1) == nil {
@@ -323,10 +323,10 @@
 
 // visitAMQP is one transaction over AMQP 1.0, by a client library that knows nothing
 // of the relay.
-func (c *Crowd) visitAMQP(ctx context.Context, g *guest, v *Visit, drop <-chan struct{}) string {
-	open, cancel := context.WithTimeout(context.Background(), g.class.GiveUp+grace)
+func (c *ClientPool) visitAMQP(ctx context.Context, g *guest, v *Session, drop <-chan struct{}) string {
+	open, cancel := context.WithTimeout(context.Background(), g.class.TimeLimit+grace)
 	defer cancel()
-	conn, err := amqp10.Dial(open, "amqp://"+c.AMQP, &amqp10.ConnOptions{SASLType: amqp10.SASLTypeAnonymous(), ContainerID: "client"})
+	conn, err := amqp10.Dial(open, "amqp://"+c.AMQPAddress, &amqp10.ConnOptions{SASLType: amqp10.SASLTypeAnonymous(), ContainerID: "client"})
 	if err != nil {
 		c.answered(v, "none", 0)
 		return "none"
@@ -338,10 +338,10 @@
 		return "none"
 	}
 	// It waits from its attach on; what came before is not the transaction's.
-	open, cancel = context.WithTimeout(context.Background(), g.class.GiveUp+grace)
+	open, cancel = context.WithTimeout(context.Background(), g.class.TimeLimit+grace)
 	defer cancel()
-	c.Ledger.change(func() { v.At = time.Now() })
-	props := map[string]any{"class": g.class.Name, "give-up-ms": uint32(g.class.GiveUp.Milliseconds()), "group": g.group, "item": g.flow, "again": v.Again}
+	c.Log.change(func() { v.At = time.Now() })
+	props := map[string]any{"class": g.class.Name, "give-up-ms": uint32(g.class.TimeLimit.Milliseconds()), "group": g.group, "item": g.flow, "again": v.Returning}
 	sender, err := session.NewSender(open, "score", &amqp10.SenderOptions{Name: v.Name, Properties: props})
 	var refused *amqp10.Error
 	switch {
@@ -406,17 +406,17 @@
 }
 
 // echo holds what came back against what it should be.
-func (c *Crowd) echo(v *Visit, text string, seq int, aim time.Duration) {
+func (c *ClientPool) echo(v *Session, text string, seq int, aim time.Duration) {
 	var micros int64
 	_, err := fmt.Sscanf(text, "M %d ", &micros)
 	held := time.Since(time.UnixMicro(micros))
 	_, rest, _ := strings.Cut(strings.TrimPrefix(text, "M "), " ")
 	back, ok := readNote(rest, seq, v.Name)
-	c.Ledger.change(func() {
+	c.Log.change(func() {
 		if v.Echoes++; err != nil || !ok {
 			v.Garbled++
 		} else {
-			v.Held = max(v.Held, held)
+			v.MaxHeld = max(v.MaxHeld, held)
 		}
 		if back > cmp.Or(aim, usualAim) {
 			v.Late++
@@ -424,23 +424,23 @@
 	})
 }
 
-// One has one client come for one transaction and returns what it saw of it. It stays
+// RunSession has one client come for one transaction and returns what it saw of it. It stays
 // for a time, or until ctx ends.
-func (c *Crowd) One(ctx context.Context, front string, class Class, group string, stay time.Duration) Visit {
+func (c *ClientPool) RunSession(ctx context.Context, front string, class Class, group string, stay time.Duration) Session {
 	c.mu.Lock()
 	c.names++
 	n := c.names
 	c.mu.Unlock()
 	name := fmt.Sprintf("%08x%08x", uint32(c.Seed), n)
 	g := &guest{front: front, flow: name, group: group, class: class, rng: rand.New(rand.NewPCG(c.Seed, n)), stays: stay}
-	v := c.Ledger.visit(Visit{Front: front, Name: name, Flow: name, Class: class.Name, Group: group, GiveUp: class.GiveUp, At: time.Now()})
+	v := c.Log.visit(Session{Frontend: front, Name: name, Flow: name, Class: class.Name, Group: group, TimeLimit: class.TimeLimit, At: time.Now()})
 	if front == "amqp" {
 		c.visitAMQP(ctx, g, v, nil)
 	} else {
 		c.visitLine(ctx, g, v, nil)
 	}
-	c.Ledger.mu.Lock()
-	defer c.Ledger.mu.Unlock()
+	c.Log.mu.Lock()
+	defer c.Log.mu.Unlock()
 	return *v
 }
 
--- a/internal/standin/discovery.go
+++ b/internal/fake/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 // Discovery is a stand-in of discovery's agent: the list whole, and a watch of its
 // changes over HTTP/1.1.
 type Discovery struct {
-	Ledger *Ledger
+	Log *EventLog
 
 	mu      sync.Mutex
 	members map[string]discovery.Member
@@ -64,11 +64,11 @@
 	d.members[m.ID], d.at[m.ID] = m, d.now
 	close(d.changed)
 	d.changed = make(chan struct{})
-	d.Ledger.tell(Told{At: time.Now(), Server: m.ID, Phase: m.Phase})
+	d.Log.tell(EndpointChange{At: time.Now(), Endpoint: m.ID, State: m.Phase})
 }
 
-// Phase changes the phase of a member; with born it has just started.
-func (d *Discovery) Phase(id, phase string, born bool) {
+// SetState changes the phase of a member; with born it has just started.
+func (d *Discovery) SetState(id, phase string, born bool) {
 	d.mu.Lock()
 	m := d.members[id]
 	d.mu.Unlock()
--- a/internal/standin/script.go
+++ b/internal/fake/script.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"context"
@@ -9,37 +9,37 @@
 	"lockroad/internal/sexp"
 )
 
-// Act is what happens at a time of a script.
-type Act struct {
-	At     time.Duration
-	Kind   string // hang, busy, error, break, slow, accept, drain, restart or drop
-	Server string
-	For    time.Duration // how long it lasts, or of restart how long it is down
-	Delay  time.Duration // of slow: of an echo
-	Part   float64       // of drop: of the clients
+// ScriptedAction is what happens at a time of a script.
+type ScriptedAction struct {
+	At       time.Duration
+	Kind     string // hang, busy, error, break, slow, accept, drain, restart or drop
+	Server   string
+	Duration time.Duration // how long it lasts, or of restart how long it is down
+	Delay    time.Duration // of slow: of an echo
+	Share    float64       // of drop: of the clients
 }
 
 // String tells of it in words.
-func (a Act) String() string {
+func (a ScriptedAction) String() string {
 	switch a.Kind {
 	case "hang":
-		return fmt.Sprintf("%s hangs for %v: it takes transactions and answers none", a.Server, a.For)
+		return fmt.Sprintf("%s hangs for %v: it takes transactions and answers none", a.Server, a.Duration)
 	case "no-credit":
-		return fmt.Sprintf("%s attaches links and grants no credit for %v", a.Server, a.For)
+		return fmt.Sprintf("%s attaches links and grants no credit for %v", a.Server, a.Duration)
 	case "busy":
-		return fmt.Sprintf("%s turns everyone away for %v", a.Server, a.For)
+		return fmt.Sprintf("%s turns everyone away for %v", a.Server, a.Duration)
 	case "error":
-		return fmt.Sprintf("%s answers with errors for %v", a.Server, a.For)
+		return fmt.Sprintf("%s answers with errors for %v", a.Server, a.Duration)
 	case "break":
-		return fmt.Sprintf("%s breaks every connection for %v", a.Server, a.For)
+		return fmt.Sprintf("%s breaks every connection for %v", a.Server, a.Duration)
 	case "slow":
-		return fmt.Sprintf("%s takes %v for an echo, for %v", a.Server, a.Delay, a.For)
+		return fmt.Sprintf("%s takes %v for an echo, for %v", a.Server, a.Delay, a.Duration)
 	case "drain":
 		return fmt.Sprintf("%s drains, and leaves", a.Server)
 	case "restart":
-		return fmt.Sprintf("%s is killed, and starts again after %v", a.Server, a.For)
+		return fmt.Sprintf("%s is killed, and starts again after %v", a.Server, a.Duration)
 	case "drop":
-		return fmt.Sprintf("%.0f%% of the clients drop and come again", 100*a.Part)
+		return fmt.Sprintf("%.0f%% of the clients drop and come again", 100*a.Share)
 	}
 	return a.Kind
 }
@@ -50,12 +50,12 @@
 //	(slow SERVER DELAY TIME) (drain SERVER) (restart SERVER TIME) (drop PERCENT)
 //
 // An error says at which line and column what was expected.
-func ParseScript(source string, servers []string) ([]Act, error) {
+func ParseScript(source string, servers []string) ([]ScriptedAction, error) {
 	nodes, err := sexp.Parse(source)
 	if err != nil {
 		return nil, err
 	}
-	var acts []Act
+	var acts []ScriptedAction
 	for _, n := range nodes {
 		head, args, err := n.Head()
 		if err != nil {
@@ -75,7 +75,7 @@
 		act.At = at
 		acts = append(acts, act)
 	}
-	slices.SortStableFunc(acts, func(x, y Act) int { return int(x.At - y.At) })
+	slices.SortStableFunc(acts, func(x, y ScriptedAction) int { return int(x.At - y.At) })
 	return acts, nil
 }
 
@@ -85,7 +85,7 @@
 	"slow": {"SERVER", "DELAY", "TIME"}, "drain": {"SERVER"}, "restart": {"SERVER", "TIME"}, "drop": {"PERCENT"},
 }
 
-func parseAct(n *sexp.Node, servers []string) (a Act, err error) {
+func parseAct(n *sexp.Node, servers []string) (a ScriptedAction, err error) {
 	var args []*sexp.Node
 	if a.Kind, args, err = n.Head(); err != nil {
 		return a, err
@@ -104,7 +104,7 @@
 				err = args[i].Errorf("there is no server %q; expected one of %v", a.Server, servers)
 			}
 		case "TIME":
-			a.For, err = args[i].Duration()
+			a.Duration, err = args[i].Duration()
 		case "DELAY":
 			a.Delay, err = args[i].Duration()
 		case "PERCENT":
@@ -112,7 +112,7 @@
 			if v, err = args[i].Whole(); err == nil && v > 100 {
 				err = args[i].Errorf("%d is more than 100 in 100", v)
 			}
-			a.Part = float64(v) / 100
+			a.Share = float64(v) / 100
 		}
 		if err != nil {
 			return a, err
@@ -123,7 +123,7 @@
 
 // Run carries a script out and tells of each act once it has begun, until all are done or
 // ctx ends.
-func (s *Site) Run(ctx context.Context, acts []Act, tell func(Act)) {
+func (s *Site) Run(ctx context.Context, acts []ScriptedAction, tell func(ScriptedAction)) {
 	began := time.Now()
 	for _, a := range acts {
 		select {
@@ -136,7 +136,7 @@
 	}
 }
 
-func (s *Site) perform(ctx context.Context, a Act) {
+func (s *Site) perform(ctx context.Context, a ScriptedAction) {
 	server := s.Server(a.Server)
 	later := func(wait time.Duration, do func()) {
 		s.acts.Go(func() {
@@ -149,22 +149,22 @@
 	}
 	switch a.Kind {
 	case "hang", "busy", "error", "break", "no-credit":
-		server.Set(Mode(a.Kind), 0)
-		later(a.For, func() { server.Set(Accepting, 0) })
+		server.Set(ServerMode(a.Kind), 0)
+		later(a.Duration, func() { server.Set(ModeAccept, 0) })
 	case "slow":
-		server.Set(Accepting, a.Delay)
-		later(a.For, func() { server.Set(Accepting, 0) })
+		server.Set(ModeAccept, a.Delay)
+		later(a.Duration, func() { server.Set(ModeAccept, 0) })
 	case "drain":
-		s.Phase(a.Server, "draining", false)
-		server.Leave()
+		s.SetState(a.Server, "draining", false)
+		server.Drain()
 	case "restart":
 		server.Stop()
-		later(a.For, func() {
+		later(a.Duration, func() {
 			if server.Start(server.Address(), server.AMQP()) == nil {
-				s.Phase(a.Server, "ready", true)
+				s.SetState(a.Server, "ready", true)
 			}
 		})
 	case "drop":
-		s.Crowd.Drop(a.Part)
+		s.Clients.Drop(a.Share)
 	}
 }
--- a/internal/standin/script_test.go
+++ b/internal/fake/script_test.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	acts, err := ParseScript(`; an evening
 (at 2s (drop 30))
 (at 1s (slow s-1 250ms 4s)) (at 1s (restart "s-2" 3s))`, servers)
-	want := []Act{{At: time.Second, Kind: "slow", Server: "s-1", Delay: 250 * time.Millisecond, For: 4 * time.Second},
-		{At: time.Second, Kind: "restart", Server: "s-2", For: 3 * time.Second}, {At: 2 * time.Second, Kind: "drop", Part: 0.3}}
+	want := []ScriptedAction{{At: time.Second, Kind: "slow", Server: "s-1", Delay: 250 * time.Millisecond, Duration: 4 * time.Second},
+		{At: time.Second, Kind: "restart", Server: "s-2", Duration: 3 * time.Second}, {At: 2 * time.Second, Kind: "drop", Share: 0.3}}
 	if err != nil || fmt.Sprint(acts) != fmt.Sprint(want) {
 		t.Errorf("read as %v, %v", acts, err)
 	}
--- a/internal/standin/server.go
+++ b/internal/fake/server.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"bufio"
@@ -15,38 +15,38 @@
 	"lockroad/internal/frontend/amqp"
 )
 
-// Mode is what a server does with transactions that come.
-type Mode string
+// ServerMode is what a server does with transactions that come.
+type ServerMode string
 
 // The modes of a server.
 const (
-	Accepting Mode = "accept"
-	Hanging   Mode = "hang"      // takes them and says nothing
-	NoCredit  Mode = "no-credit" // attaches links and grants no credit; a line has no such thing and hangs
-	Full      Mode = "busy"      // turns them away
-	Failing   Mode = "error"     // answers with an error
-	Breaking  Mode = "break"     // takes them and breaks the connection
+	ModeAccept   ServerMode = "accept"
+	ModeHang     ServerMode = "hang"      // takes them and says nothing
+	ModeNoCredit ServerMode = "no-credit" // attaches links and grants no credit; a line has no such thing and hangs
+	ModeBusy     ServerMode = "busy"      // turns them away
+	ModeError    ServerMode = "error"     // answers with an error
+	ModeBreak    ServerMode = "break"     // takes them and breaks the connection
 )
 
 // Server is a stand-in of an application server. It speaks both wires.
 type Server struct {
-	Name   string
-	Ledger *Ledger
-	SetUp  time.Duration // that a set-up takes
-	Most   int           // connections at a time; more are turned away
-	Load   time.Duration // work a second that it tells of each connection
-	Plain  bool          // it speaks AMQP without the security layer
-	Probes bool          // it answers PING with PONG
+	Name      string
+	Log       *EventLog
+	SetupTime time.Duration // that a set-up takes
+	MaxConns  int           // connections at a time; more are turned away
+	Load      time.Duration // work a second that it tells of each connection
+	Plain     bool          // it speaks AMQP without the security layer
+	Probes    bool          // it answers PING with PONG
 	// Capacity is what it can do; line connections alone count. With it the server tells delays instead
 	// of loads.
-	Capacity Capacity
-	Doors    []string // further line doors, one for each relay beyond the first
+	Capacity       Capacity
+	ExtraListeners []string // further line doors, one for each relay beyond the first
 
 	mu      sync.Mutex
 	address [2]string // of the line and the AMQP listener
 	open    []net.Listener
 	conns   map[net.Conn]context.CancelFunc
-	mode    Mode
+	mode    ServerMode
 	delay   time.Duration // of an echo
 	leaving bool
 	up      int // transactions that stand
@@ -61,7 +61,7 @@
 func (s *Server) Start(line, amqp10 string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode, s.delay, s.leaving = Accepting, 0, false
+	s.mode, s.delay, s.leaving = ModeAccept, 0, false
 	s.conns = make(map[net.Conn]context.CancelFunc)
 	again := s.stop != nil
 	s.burden = burden{Capacity: s.Capacity, groups: make(map[string]int)}
@@ -69,7 +69,7 @@
 		s.burden.born = time.Now()
 	}
 	s.told.doors = nil
-	for i, address := range append([]string{line, amqp10}, s.Doors...) {
+	for i, address := range append([]string{line, amqp10}, s.ExtraListeners...) {
 		if address == "" {
 			continue
 		}
@@ -90,7 +90,7 @@
 			s.address[1] = l.Addr().String()
 			serve = s.amqp
 		default:
-			s.Doors[i-2] = l.Addr().String()
+			s.ExtraListeners[i-2] = l.Addr().String()
 		}
 		s.all.Go(func() { s.accept(l, serve) })
 	}
@@ -116,15 +116,15 @@
 
 // Set changes what the server does with transactions that come from now on, and how
 // long echoes take.
-func (s *Server) Set(m Mode, delay time.Duration) {
+func (s *Server) Set(m ServerMode, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode, s.delay = m, delay
 }
 
-// Leave has the server send its clients away, a part of them every tenth of a second.
+// Drain has the server send its clients away, a part of them every tenth of a second.
 // It takes nothing new.
-func (s *Server) Leave() {
+func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
@@ -132,7 +132,7 @@
 
 // Stop kills the server: its connections break, and new ones are refused.
 func (s *Server) Stop() {
-	s.Ledger.tell(Told{At: time.Now(), Server: s.Name, Phase: Killed})
+	s.Log.tell(EndpointChange{At: time.Now(), Endpoint: s.Name, State: Killed})
 	s.mu.Lock()
 	if s.stop != nil {
 		s.stop()
@@ -180,17 +180,17 @@
 }
 
 // verdict is what the server does with one transaction, after the time of a set-up.
-func (s *Server) verdict(ctx context.Context) Mode {
+func (s *Server) verdict(ctx context.Context) ServerMode {
 	s.mu.Lock()
-	m, wait := s.mode, s.SetUp
-	if m == Accepting && (s.leaving || s.Most > 0 && s.up >= s.Most) {
-		m = Full
+	m, wait := s.mode, s.SetupTime
+	if m == ModeAccept && (s.leaving || s.MaxConns > 0 && s.up >= s.MaxConns) {
+		m = ModeBusy
 	}
-	if m == Accepting {
+	if m == ModeAccept {
 		s.up++
 	}
 	s.mu.Unlock()
-	if m == Accepting && wait > 0 {
+	if m == ModeAccept && wait > 0 {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -213,7 +213,7 @@
 		delay += own - took // from when it was said: notes that wait behind one another wait at one time
 	}
 	s.mu.Unlock()
-	if m == Hanging {
+	if m == ModeHang {
 		return false
 	}
 	if delay > 0 {
@@ -258,7 +258,7 @@
 		io.WriteString(c, answer)
 		return
 	}
-	p := Pass{Server: s.Name, Front: "line", Name: words[1], At: time.Now()}
+	p := Attempt{Server: s.Name, Frontend: "line", Name: words[1], At: time.Now()}
 	group := ""
 	for field := range strings.SplitSeq(words[3], ",") {
 		switch key, value, _ := strings.Cut(field, "="); key {
@@ -268,27 +268,27 @@
 			group = value
 		case "d":
 			ms, _ := strconv.Atoi(value)
-			p.GiveUp = time.Duration(ms) * time.Millisecond
+			p.TimeLimit = time.Duration(ms) * time.Millisecond
 		}
 	}
-	pass := s.Ledger.pass(p)
+	pass := s.Log.pass(p)
 	defer s.closed(pass)
 	answered := func(what string) {
-		s.Ledger.change(func() { pass.Answer, pass.Answered = what, time.Now() })
+		s.Log.change(func() { pass.Answer, pass.Answered = what, time.Now() })
 	}
 	switch s.verdict(ctx) {
-	case Hanging, NoCredit:
+	case ModeHang, ModeNoCredit:
 		_, _ = io.Copy(io.Discard, r)
 		return
-	case Full:
+	case ModeBusy:
 		answered("busy")
 		io.WriteString(c, "BUSY\r\n")
 		return
-	case Failing:
+	case ModeError:
 		answered("error")
 		io.WriteString(c, "ERR\r\n")
 		return
-	case Breaking:
+	case ModeBreak:
 		answered("broken")
 		c.SetLinger(0)
 		return
@@ -308,7 +308,7 @@
 		return err
 	}
 	ended := func(how string) {
-		s.Ledger.change(func() {
+		s.Log.change(func() {
 			if pass.End == "" {
 				pass.End, pass.Ended = how, time.Now()
 			}
@@ -370,10 +370,10 @@
 }
 
 // heard holds a note of a client against what it should be. It returns how long it took to here.
-func (s *Server) heard(pass *Pass, text string, seq int) time.Duration {
+func (s *Server) heard(pass *Attempt, text string, seq int) time.Duration {
 	took, ok := readNote(strings.TrimRight(text, "\r\n"), seq, pass.Name)
-	s.Ledger.change(func() {
-		pass.Held = max(pass.Held, took)
+	s.Log.change(func() {
+		pass.MaxHeld = max(pass.MaxHeld, took)
 		if !ok {
 			pass.Garbled++
 		}
@@ -382,8 +382,8 @@
 }
 
 // closed notes that a pass's connection is at an end.
-func (s *Server) closed(pass *Pass) {
-	s.Ledger.change(func() { pass.Closed = time.Now() })
+func (s *Server) closed(pass *Attempt) {
+	s.Log.change(func() { pass.Closed = time.Now() })
 }
 
 // awaitLeave calls away once a connection is to be sent away, as its server leaves.
@@ -427,9 +427,9 @@
 // session serves one session, which is one transaction.
 func (s *Server) session(ctx context.Context, p *amqp.Peer, breaks func()) {
 	defer p.End()
-	var pass *Pass
+	var pass *Attempt
 	ended := func(how string) {
-		s.Ledger.change(func() {
+		s.Log.change(func() {
 			if pass != nil && pass.Answer == "up" && pass.End == "" {
 				pass.End, pass.Ended = how, time.Now()
 			}
@@ -450,29 +450,29 @@
 		case amqp.PeerAttached:
 			class, _ := e.Properties["class"].(string)
 			ms, _ := amqp.WholeNumber(e.Properties["give-up-ms"])
-			pass = s.Ledger.pass(Pass{Server: s.Name, Front: "amqp", Name: e.Name, Class: class, At: time.Now(),
-				GiveUp: time.Duration(ms) * time.Millisecond})
+			pass = s.Log.pass(Attempt{Server: s.Name, Frontend: "amqp", Name: e.Name, Class: class, At: time.Now(),
+				TimeLimit: time.Duration(ms) * time.Millisecond})
 			defer s.closed(pass)
 			answered := func(what string) {
-				s.Ledger.change(func() { pass.Answer, pass.Answered = what, time.Now() })
+				s.Log.change(func() { pass.Answer, pass.Answered = what, time.Now() })
 			}
 			switch s.verdict(ctx) {
-			case NoCredit:
+			case ModeNoCredit:
 				p.Attach(e, 0)
 				p.DiscardInput()
 				return
-			case Hanging:
+			case ModeHang:
 				p.DiscardInput()
 				return
-			case Full:
+			case ModeBusy:
 				answered("busy")
 				p.RejectAttach(e, amqp.ConditionResourceLimit)
 				continue
-			case Failing:
+			case ModeError:
 				answered("error")
 				p.RejectAttach(e, amqp.ConditionInternalError)
 				continue
-			case Breaking:
+			case ModeBreak:
 				answered("broken")
 				breaks()
 				return
--- a/internal/standin/site.go
+++ b/internal/fake/site.go
@@ -1,4 +1,4 @@
-package standin
+package fake
 
 import (
 	"cmp"
@@ -14,11 +14,11 @@
 
 // Site is a farm of stand-ins with its discovery, and the clients that come to it.
 type Site struct {
-	Ledger    *Ledger
+	Log       *EventLog
 	Servers   []*Server
 	Discovery *Discovery
 	Agents    []*Discovery // of the relays beyond the first, where servers have a door for each
-	Crowd     *Crowd
+	Clients   *ClientPool
 	AMQPPort  int // of all servers
 
 	acts sync.WaitGroup
@@ -28,19 +28,19 @@
 // server has a loopback address of its own, as all speak AMQP on one port. What else they are is
 // set by prepare, which may be nil.
 func NewSite(n int, setUp time.Duration, most int, prepare func(*Server)) (*Site, error) {
-	s := &Site{Ledger: &Ledger{}}
-	s.Discovery = &Discovery{Ledger: s.Ledger}
+	s := &Site{Log: &EventLog{}}
+	s.Discovery = &Discovery{Log: s.Log}
 	if err := s.Discovery.Start("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	for i := range n {
-		s.Servers = append(s.Servers, &Server{Name: fmt.Sprintf("s-%d", i+1), Ledger: s.Ledger, SetUp: setUp, Most: most, Load: 5 * time.Millisecond})
+		s.Servers = append(s.Servers, &Server{Name: fmt.Sprintf("s-%d", i+1), Log: s.Log, SetupTime: setUp, MaxConns: most, Load: 5 * time.Millisecond})
 		if prepare != nil {
 			prepare(s.Servers[i])
 		}
 	}
-	for range s.Servers[0].Doors {
-		agent := &Discovery{Ledger: &Ledger{}} // of what the first tells, too
+	for range s.Servers[0].ExtraListeners {
+		agent := &Discovery{Log: &EventLog{}} // of what the first tells, too
 		if err := agent.Start("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
@@ -51,7 +51,7 @@
 		if err = s.start(); err == nil {
 			return s, nil
 		}
-		s.Ledger.forget() // of servers that were never really there
+		s.Log.forget() // of servers that were never really there
 	}
 	s.Discovery.Stop()
 	return nil, err
@@ -61,8 +61,8 @@
 	port := "0"
 	for i, server := range s.Servers {
 		host := fmt.Sprintf("127.0.1.%d", i+1)
-		for door := range server.Doors {
-			server.Doors[door] = net.JoinHostPort(host, "0")
+		for door := range server.ExtraListeners {
+			server.ExtraListeners[door] = net.JoinHostPort(host, "0")
 		}
 		if err := server.Start(net.JoinHostPort(host, "0"), net.JoinHostPort(host, port)); err != nil {
 			for _, up := range s.Servers[:i] {
@@ -75,7 +75,7 @@
 		m := discovery.Member{ID: server.Name, HostPort: server.Address(), Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1}
 		s.Discovery.Set(m)
 		for i, agent := range s.Agents {
-			m.HostPort = server.Doors[i]
+			m.HostPort = server.ExtraListeners[i]
 			agent.Set(m)
 		}
 	}
@@ -92,11 +92,11 @@
 	return s.Discovery
 }
 
-// Phase has all of discovery tell a server's phase; with born it has just started.
-func (s *Site) Phase(id, phase string, born bool) {
-	s.Discovery.Phase(id, phase, born)
+// SetState has all of discovery tell a server's phase; with born it has just started.
+func (s *Site) SetState(id, phase string, born bool) {
+	s.Discovery.SetState(id, phase, born)
 	for _, agent := range s.Agents {
-		agent.Phase(id, phase, born)
+		agent.SetState(id, phase, born)
 	}
 }
 
@@ -138,9 +138,9 @@
 	var list []object
 	var aims []int64
 	for _, c := range classes {
-		list = append(list, object{"Name": c.Name, "AimUs": (c.GiveUp / 4).Microseconds(), "DeadlineUs": c.GiveUp.Microseconds(),
+		list = append(list, object{"Name": c.Name, "AimUs": (c.TimeLimit / 4).Microseconds(), "DeadlineUs": c.TimeLimit.Microseconds(),
 			"KeyScope": "all", "Semantics": "idempotent"})
-		aims = append(aims, cmp.Or(c.Aim, usualAim).Microseconds())
+		aims = append(aims, cmp.Or(c.LatencyObjective, usualAim).Microseconds())
 	}
 	agent := s.Agent(relay)
 	return json.Marshal(object{
--- a/internal/rules/rules.go
+++ b/internal/rules/rules.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"lockroad/internal/standin"
+	"lockroad/internal/fake"
 )
 
 // Rule is one of the operators' rules.
@@ -46,16 +46,16 @@
 
 // History is what there is to judge.
 type History struct {
-	Visits []standin.Visit
-	Passes []standin.Pass
-	Told   []standin.Told
+	Visits []fake.Session
+	Passes []fake.Attempt
+	Told   []fake.EndpointChange
 	Limits Limits
 	// Spoiled tells whether what a client saw is not the relay's doing, as something
 	// between the two was spoilt on purpose. nil: of none.
-	Spoiled func(standin.Visit) bool
+	Spoiled func(fake.Session) bool
 	// Broken tells whether a server's connections broke on their own, as something
 	// between it and the relay was spoilt. nil: of none.
-	Broken func(standin.Pass) bool
+	Broken func(fake.Attempt) bool
 }
 
 // Breach is a rule that was broken.
@@ -71,7 +71,7 @@
 // Judge returns all that broke a rule, in order of time.
 func Judge(h History) []Breach {
 	j := &judge{History: h}
-	j.byName = make(map[string][]standin.Pass)
+	j.byName = make(map[string][]fake.Attempt)
 	for _, p := range h.Passes {
 		j.byName[p.Name] = append(j.byName[p.Name], p)
 	}
@@ -91,7 +91,7 @@
 
 type judge struct {
 	History
-	byName map[string][]standin.Pass
+	byName map[string][]fake.Attempt
 	found  []Breach
 }
 
@@ -100,16 +100,16 @@
 }
 
 // visit judges what one client saw.
-func (j *judge) visit(v standin.Visit) {
+func (j *judge) visit(v fake.Session) {
 	switch {
 	case v.Refused: // the relay's door was shut: it has taken nothing
 		return
 	case v.Answer == "":
 		return // it is under way
 	case v.Answer == "none":
-		j.add(Answered, v.At, "%s got none: after %v of its %v it had no more than that", v.Name, v.Took, v.GiveUp)
-	case v.Took > v.GiveUp+j.Limits.Late:
-		j.add(Answered, v.At, "%s got %s after %v of %v", v.Name, v.Answer, v.Took, v.GiveUp)
+		j.add(Answered, v.At, "%s got none: after %v of its %v it had no more than that", v.Name, v.SetupTime, v.TimeLimit)
+	case v.SetupTime > v.TimeLimit+j.Limits.Late:
+		j.add(Answered, v.At, "%s got %s after %v of %v", v.Name, v.Answer, v.SetupTime, v.TimeLimit)
 	}
 	if v.More > 0 {
 		j.add(Answered, v.At, "%s got something after %s", v.Name, v.Answer)
@@ -117,8 +117,8 @@
 	if v.Garbled > 0 {
 		j.add(Whole, v.At, "%s got %d lines that were not as sent", v.Name, v.Garbled)
 	}
-	if v.Held > j.Limits.Held {
-		j.add(Prompt, v.At, "a line to %s was under way for %v", v.Name, v.Held)
+	if v.MaxHeld > j.Limits.Held {
+		j.add(Prompt, v.At, "a line to %s was under way for %v", v.Name, v.MaxHeld)
 	}
 	for _, p := range j.byName[v.Name] {
 		if j.Broken != nil && j.Broken(p) {
@@ -127,8 +127,8 @@
 		if p.Garbled > 0 {
 			j.add(Whole, p.At, "%s got %d lines of %s that were not as sent", p.Server, p.Garbled, v.Name)
 		}
-		if p.Held > j.Limits.Held {
-			j.add(Prompt, p.At, "a line of %s to %s was under way for %v", v.Name, p.Server, p.Held)
+		if p.MaxHeld > j.Limits.Held {
+			j.add(Prompt, p.At, "a line of %s to %s was under way for %v", v.Name, p.Server, p.MaxHeld)
 		}
 		// It was cut off although its server would have gone on.
 		if v.End == "broken" && p.Answer == "up" && (p.End == "gone" || p.End == "bye") {
@@ -139,8 +139,8 @@
 
 // once judges the passes of one transaction: one is out from when it came to a server
 // until that has answered that it takes it not, or its connection is at an end.
-func (j *judge) once(name string, passes []standin.Pass) {
-	slices.SortStableFunc(passes, func(x, y standin.Pass) int { return x.At.Compare(y.At) })
+func (j *judge) once(name string, passes []fake.Attempt) {
+	slices.SortStableFunc(passes, func(x, y fake.Attempt) int { return x.At.Compare(y.At) })
 	for i, p := range passes[:max(0, len(passes)-1)] {
 		until := p.Closed
 		if p.Answer == "busy" || p.Answer == "error" || p.Answer == "broken" {
@@ -158,16 +158,16 @@
 	type span struct{ from, to time.Time }
 	out := make(map[string][]span)
 	told := slices.Clone(j.Told)
-	slices.SortStableFunc(told, func(x, y standin.Told) int { return x.At.Compare(y.At) })
+	slices.SortStableFunc(told, func(x, y fake.EndpointChange) int { return x.At.Compare(y.At) })
 	for _, t := range told {
-		spans := out[t.Server]
+		spans := out[t.Endpoint]
 		open := len(spans) > 0 && spans[len(spans)-1].to.IsZero()
 		switch {
-		case t.Phase == standin.Killed: // nobody was told
-		case t.Phase == "ready" && open:
+		case t.State == fake.Killed: // nobody was told
+		case t.State == "ready" && open:
 			spans[len(spans)-1].to = t.At
-		case t.Phase != "ready" && !open:
-			out[t.Server] = append(spans, span{from: t.At})
+		case t.State != "ready" && !open:
+			out[t.Endpoint] = append(spans, span{from: t.At})
 		}
 	}
 	for _, p := range j.Passes {
@@ -188,16 +188,16 @@
 	}
 	down := make(map[string]bool)
 	for _, t := range j.Told {
-		if t.Phase == standin.Killed {
-			down[t.Server] = true
+		if t.State == fake.Killed {
+			down[t.Endpoint] = true
 		}
-		if t.Phase != "ready" || !down[t.Server] {
+		if t.State != "ready" || !down[t.Endpoint] {
 			continue
 		}
-		down[t.Server] = false
+		down[t.Endpoint] = false
 		var came []time.Time
 		for _, p := range j.Passes {
-			if age := p.At.Sub(t.At); p.Server == t.Server && age >= -l.TipAfter && age < l.ColdFor {
+			if age := p.At.Sub(t.At); p.Server == t.Endpoint && age >= -l.TipAfter && age < l.ColdFor {
 				came = append(came, p.At)
 			}
 		}
@@ -212,7 +212,7 @@
 			age := max(0, from.Sub(t.At)) + l.TipAfter
 			warmth := min(1, l.ColdShare+(1-l.ColdShare)*age.Seconds()/l.ColdFor.Seconds())
 			if most := max(1, l.Tip*warmth*l.Capacity*l.TipAfter.Seconds()); float64(n) > most {
-				j.add(Cold, from, "%d set-ups came to %s within %v, %v after its start; it bears %.1f", n, t.Server, l.TipAfter, from.Sub(t.At), most)
+				j.add(Cold, from, "%d set-ups came to %s within %v, %v after its start; it bears %.1f", n, t.Endpoint, l.TipAfter, from.Sub(t.At), most)
 				break
 			}
 		}
--- a/internal/rules/rules_test.go
+++ b/internal/rules/rules_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/standin"
+	"lockroad/internal/fake"
 )
 
 const ms = time.Millisecond
@@ -21,19 +21,19 @@
 	l.Capacity = 10
 	return History{
 		Limits: l,
-		Visits: []standin.Visit{
-			{Name: "a", At: at(0), GiveUp: time.Second, Answer: "up", Took: time.Second + 50*ms, End: "broken", Held: 1050 * ms},
-			{Name: "b", At: at(0), GiveUp: time.Second, Answer: "unavailable", Took: 10 * ms},
-			{Name: "c", At: at(0), Refused: true, Answer: "none", GiveUp: time.Second},
-			{Name: "d", At: at(0), GiveUp: time.Second, Answer: "up", Took: 10 * ms, End: "moved"},
+		Visits: []fake.Session{
+			{Name: "a", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: time.Second + 50*ms, End: "broken", MaxHeld: 1050 * ms},
+			{Name: "b", At: at(0), TimeLimit: time.Second, Answer: "unavailable", SetupTime: 10 * ms},
+			{Name: "c", At: at(0), Refused: true, Answer: "none", TimeLimit: time.Second},
+			{Name: "d", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: 10 * ms, End: "moved"},
 		},
-		Passes: []standin.Pass{
+		Passes: []fake.Attempt{
 			{Name: "a", Server: "s-1", At: at(0), Answer: "busy", Answered: at(100 * ms), Closed: at(900 * ms)},
 			{Name: "a", Server: "s-2", At: at(100 * ms), Closed: at(600 * ms)},
-			{Name: "a", Server: "s-3", At: at(600 * ms), Answer: "up", End: "broken", Ended: at(5 * time.Second), Closed: at(5 * time.Second), Held: 1050 * ms},
+			{Name: "a", Server: "s-3", At: at(600 * ms), Answer: "up", End: "broken", Ended: at(5 * time.Second), Closed: at(5 * time.Second), MaxHeld: 1050 * ms},
 			{Name: "d", Server: "s-4", At: at(10*time.Second + 550*ms), Answer: "up", End: "gone", Closed: at(12 * time.Second)},
 		},
-		Told: []standin.Told{{At: at(-time.Second), Server: "s-4", Phase: "ready"}, {At: at(10 * time.Second), Server: "s-4", Phase: "draining"}},
+		Told: []fake.EndpointChange{{At: at(-time.Second), Endpoint: "s-4", State: "ready"}, {At: at(10 * time.Second), Endpoint: "s-4", State: "draining"}},
 	}
 }
 
@@ -43,26 +43,26 @@
 		t.Fatalf("a sound history breaks %v", found)
 	}
 	restart := func(h *History, n int, after time.Duration) {
-		h.Told = append(h.Told, standin.Told{At: at(20 * time.Second), Server: "s-9", Phase: standin.Killed}, standin.Told{At: at(30 * time.Second), Server: "s-9", Phase: "ready"})
+		h.Told = append(h.Told, fake.EndpointChange{At: at(20 * time.Second), Endpoint: "s-9", State: fake.Killed}, fake.EndpointChange{At: at(30 * time.Second), Endpoint: "s-9", State: "ready"})
 		for i := range n {
 			came := at(30*time.Second + after + time.Duration(i)*ms)
-			h.Passes = append(h.Passes, standin.Pass{Name: fmt.Sprint("cold ", i), Server: "s-9", At: came, Closed: came.Add(ms)})
+			h.Passes = append(h.Passes, fake.Attempt{Name: fmt.Sprint("cold ", i), Server: "s-9", At: came, Closed: came.Add(ms)})
 		}
 	}
 	for name, c := range map[string]struct {
 		change func(*History)
 		rule   Rule
 	}{
-		"late by a microsecond":     {func(h *History) { h.Visits[0].Took += time.Microsecond }, Answered},
-		"none":                      {func(h *History) { h.Visits[1].Answer, h.Visits[1].Took = "none", time.Second }, Answered},
+		"late by a microsecond":     {func(h *History) { h.Visits[0].SetupTime += time.Microsecond }, Answered},
+		"none":                      {func(h *History) { h.Visits[1].Answer, h.Visits[1].SetupTime = "none", time.Second }, Answered},
 		"a second answer":           {func(h *History) { h.Visits[1].More = 1 }, Answered},
 		"two out by a microsecond":  {func(h *History) { h.Passes[2].At = at(550*ms - time.Microsecond) }, Once},
 		"two out, one for good":     {func(h *History) { h.Passes[1].Closed = time.Time{} }, Once},
 		"to a draining server":      {func(h *History) { h.Passes[3].At = h.Passes[3].At.Add(time.Microsecond) }, Drained},
-		"to one that is gone":       {func(h *History) { h.Told[1].Phase = "gone"; h.Passes[3].At = at(11 * time.Second) }, Drained},
+		"to one that is gone":       {func(h *History) { h.Told[1].State = "gone"; h.Passes[3].At = at(11 * time.Second) }, Drained},
 		"cut off":                   {func(h *History) { h.Passes[2].End = "gone" }, Kept},
-		"held back down":            {func(h *History) { h.Visits[0].Held += time.Microsecond }, Prompt},
-		"held back up":              {func(h *History) { h.Passes[2].Held += time.Microsecond }, Prompt},
+		"held back down":            {func(h *History) { h.Visits[0].MaxHeld += time.Microsecond }, Prompt},
+		"held back up":              {func(h *History) { h.Passes[2].MaxHeld += time.Microsecond }, Prompt},
 		"garbled down":              {func(h *History) { h.Visits[3].Garbled = 1 }, Whole},
 		"garbled up":                {func(h *History) { h.Passes[3].Garbled = 1 }, Whole},
 		"a cold server pushed over": {func(h *History) { restart(h, 22, 0) }, Cold},
@@ -77,16 +77,16 @@
 	// What keeps the rules by as little.
 	for name, change := range map[string]func(*History){
 		"ready again": func(h *History) {
-			h.Told = append(h.Told, standin.Told{At: at(10540 * ms), Server: "s-4", Phase: "ready"})
+			h.Told = append(h.Told, fake.EndpointChange{At: at(10540 * ms), Endpoint: "s-4", State: "ready"})
 			h.Passes[3].At = at(11 * time.Second)
 		},
 		"as much as a cold server bears": func(h *History) { restart(h, 21, 0) },
 		"more, once it is warm":          func(h *History) { restart(h, 80, 23*time.Second) },
 		"spoiled on purpose": func(h *History) {
-			h.Visits[3].Garbled, h.Spoiled = 1, func(v standin.Visit) bool { return v.Name == "d" }
+			h.Visits[3].Garbled, h.Spoiled = 1, func(v fake.Session) bool { return v.Name == "d" }
 		},
 		"broken on purpose": func(h *History) {
-			h.Passes[2].End, h.Broken = "gone", func(p standin.Pass) bool { return p.Server == "s-3" }
+			h.Passes[2].End, h.Broken = "gone", func(p fake.Attempt) bool { return p.Server == "s-3" }
 		},
 	} {
 		h := sound()
--- a/internal/telemetry/otlp_test.go
+++ b/internal/telemetry/otlp_test.go
@@ -12,8 +12,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/decisionlog"
+	"lockroad/internal/fake"
 	"lockroad/internal/proxy"
-	"lockroad/internal/standin"
 )
 
 // exchange is a transaction that two servers turn away.
@@ -63,7 +63,7 @@
 }
 
 func TestCollectorGetsMetricsAndSpans(t *testing.T) {
-	c := &standin.Collector{}
+	c := &fake.Collector{}
 	server := httptest.NewServer(c)
 	defer server.Close()
 	if err := serve(t, server.URL).Stop(context.Background()); err != nil {
@@ -92,21 +92,21 @@
 	if whole == nil {
 		t.Fatalf("no span of the transaction among %d", len(c.Spans()))
 	}
-	if got := standin.Attribute(whole.Attributes, "answer"); got != "unavailable" {
+	if got := fake.Attribute(whole.Attributes, "answer"); got != "unavailable" {
 		t.Errorf("the transaction's answer is %q", got)
 	}
 	var told []string
 	for _, e := range whole.Events {
-		told = append(told, standin.Attribute(e.Attributes, "verdict")+" "+standin.Attribute(e.Attributes, "reason"))
+		told = append(told, fake.Attribute(e.Attributes, "verdict")+" "+fake.Attribute(e.Attributes, "reason"))
 	}
 	if got, want := strings.Join(told, ", "), "sent drawn, held backoff, sent drawn-again, held backoff, refused no-hope"; got != want ||
-		standin.Attribute(whole.Attributes, "reason") != "no-hope" || standin.Attribute(whole.Attributes, "attempts") != "2" {
+		fake.Attribute(whole.Attributes, "reason") != "no-hope" || fake.Attribute(whole.Attributes, "attempts") != "2" {
 		t.Errorf("the transaction's decisions are told as %s", got)
 	}
 	for _, s := range c.Spans() {
 		if s.Name == "proxy pass" {
 			passes++
-			if string(s.ParentSpanId) != string(whole.SpanId) || standin.Attribute(s.Attributes, "outcome") != "full" || standin.Attribute(s.Attributes, "server") == "" {
+			if string(s.ParentSpanId) != string(whole.SpanId) || fake.Attribute(s.Attributes, "outcome") != "full" || fake.Attribute(s.Attributes, "server") == "" {
 				t.Errorf("a pass came as %v", s)
 			}
 		}
--- a/internal/trouble/random_test.go
+++ b/internal/trouble/random_test.go
@@ -12,9 +12,9 @@
 
 	"pgregory.net/rapid"
 
+	"lockroad/internal/fake"
 	"lockroad/internal/faultproxy"
 	"lockroad/internal/rules"
-	"lockroad/internal/standin"
 )
 
 // found is where a random script that broke a rule is kept.
@@ -63,11 +63,11 @@
 			spoilt[name] = true
 		}
 	}
-	acts, _ := standin.ParseScript(s.Acts, stage.Site.Names())
+	acts, _ := fake.ParseScript(s.Acts, stage.Site.Names())
 	for _, a := range acts {
 		spoilt[a.Server] = spoilt[a.Server] || a.Kind == "restart"
 	}
-	h.Broken = func(p standin.Pass) bool { return spoilt[p.Server] }
+	h.Broken = func(p fake.Attempt) bool { return spoilt[p.Server] }
 	byServer := make(map[string]string)
 	for _, p := range h.Passes {
 		byServer[p.Name] = p.Server
@@ -75,7 +75,7 @@
 	// What a client saw come garbled or late from a spoilt server is the spoiler's.
 	for i := range h.Visits {
 		if v := &h.Visits[i]; spoilt[byServer[v.Name]] {
-			v.Garbled, v.Held = 0, 0
+			v.Garbled, v.MaxHeld = 0, 0
 		}
 	}
 	if spoilt["discovery"] {
--- a/internal/trouble/scene.go
+++ b/internal/trouble/scene.go
@@ -18,10 +18,10 @@
 
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
+	"lockroad/internal/fake"
 	"lockroad/internal/faultproxy"
 	"lockroad/internal/rules"
 	"lockroad/internal/server"
-	"lockroad/internal/standin"
 )
 
 // Scene is what is to be played.
@@ -41,14 +41,14 @@
 }
 
 // Class is that of all clients of a scene.
-var Class = standin.Class{Name: "page-render", Share: 1, GiveUp: 2400 * time.Millisecond}
+var Class = fake.Class{Name: "page-render", Share: 1, TimeLimit: 2400 * time.Millisecond}
 
 // Stage is a scene under way.
 type Stage struct {
 	Scene
-	Site  *standin.Site
+	Site  *fake.Site
 	Proxy *faultproxy.Proxy
-	Class standin.Class
+	Class fake.Class
 
 	mu     sync.Mutex
 	did    []faultproxy.Injection
@@ -66,12 +66,12 @@
 		s.Limits = rules.Usual()
 	}
 	st := &Stage{Scene: s, Class: Class}
-	st.Class.Life = max(s.Life, 100*time.Millisecond)
+	st.Class.MeanLifetime = max(s.Life, 100*time.Millisecond)
 	if err := st.start(ctx); err != nil {
 		_ = st.stop()
 		return rules.History{}, err
 	}
-	acts, err := standin.ParseScript(s.Acts, st.Site.Names())
+	acts, err := fake.ParseScript(s.Acts, st.Site.Names())
 	if err != nil {
 		_ = st.stop()
 		return rules.History{}, fmt.Errorf("acts: %w", err)
@@ -80,7 +80,7 @@
 	defer done()
 	st.Proxy.Restart()
 	acted := make(chan struct{}, len(acts))
-	st.acts.Go(func() { st.Site.Run(coming, acts, func(standin.Act) { acted <- struct{}{} }) })
+	st.acts.Go(func() { st.Site.Run(coming, acts, func(fake.ScriptedAction) { acted <- struct{}{} }) })
 	for _, a := range acts { // a server that hangs from the start does before the first client comes
 		if a.At > 0 {
 			continue
@@ -91,7 +91,7 @@
 		}
 	}
 	if s.Rate > 0 {
-		st.acts.Go(func() { st.Site.Crowd.Run(coming) })
+		st.acts.Go(func() { st.Site.Clients.Run(coming) })
 	}
 	if do != nil {
 		do(ctx, st)
@@ -101,7 +101,7 @@
 	}
 	done()
 	st.acts.Wait()
-	h := rules.History{Visits: st.Site.Ledger.Visits(), Passes: st.Site.Ledger.Passes(), Told: st.Site.Ledger.Told(), Limits: s.Limits}
+	h := rules.History{Visits: st.Site.Log.Sessions(), Passes: st.Site.Log.Attempts(), Told: st.Site.Log.EndpointChanges(), Limits: s.Limits}
 	return h, st.stop()
 }
 
@@ -111,7 +111,7 @@
 	if err != nil {
 		return fmt.Errorf("rules: %w", err)
 	}
-	if st.Site, err = standin.NewSite(st.Servers, st.SetUp, 0, nil); err != nil {
+	if st.Site, err = fake.NewSite(st.Servers, st.SetUp, 0, nil); err != nil {
 		return err
 	}
 	for _, server := range st.Site.Servers {
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := st.Site.Config([]standin.Class{st.Class}, st.Seed+1, 0)
+	text, err := st.Site.Config([]fake.Class{st.Class}, st.Seed+1, 0)
 	if err != nil {
 		return err
 	}
@@ -164,12 +164,12 @@
 	if err != nil {
 		return err
 	}
-	st.Site.Crowd = &standin.Crowd{Ledger: st.Site.Ledger, Line: door, Classes: []standin.Class{st.Class}, Rate: st.Rate, Groups: 30,
-		Talk: 100 * time.Millisecond, Most: 500, Seed: st.Seed}
+	st.Site.Clients = &fake.ClientPool{Log: st.Site.Log, LineAddress: door, Classes: []fake.Class{st.Class}, Rate: st.Rate, Groups: 30,
+		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: st.Seed}
 	if st.Front == "amqp" {
-		st.Site.Crowd.AMQP, st.Site.Crowd.Share = door, 1
+		st.Site.Clients.AMQPAddress, st.Site.Clients.Share = door, 1
 	}
-	st.Site.Crowd.Begin()
+	st.Site.Clients.Prepare()
 	return nil
 }
 
@@ -241,12 +241,12 @@
 
 // Visits has n clients of as many groups come at once, each for a time, and returns what
 // they saw.
-func (st *Stage) Visits(ctx context.Context, n int, stay time.Duration) []standin.Visit {
-	all := make([]standin.Visit, n)
+func (st *Stage) Visits(ctx context.Context, n int, stay time.Duration) []fake.Session {
+	all := make([]fake.Session, n)
 	var here sync.WaitGroup
 	for i := range n {
 		here.Go(func() {
-			all[i] = st.Site.Crowd.One(ctx, st.Front, st.Class, fmt.Sprintf("%x", 100+i), stay)
+			all[i] = st.Site.Clients.RunSession(ctx, st.Front, st.Class, fmt.Sprintf("%x", 100+i), stay)
 		})
 	}
 	here.Wait()
--- a/internal/trouble/trouble_test.go
+++ b/internal/trouble/trouble_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"lockroad/internal/fake"
 	"lockroad/internal/rules"
-	"lockroad/internal/standin"
 )
 
 // row is a known failure, and what a client must get of it and when.
@@ -20,15 +20,15 @@
 	only  string // the one front that has a counterpart; "" both
 	why   string // the other has none
 	// do has clients come; nil: 18 of as many groups at once, for 600 ms each.
-	do func(ctx context.Context, t *testing.T, st *Stage) []standin.Visit
+	do func(ctx context.Context, t *testing.T, st *Stage) []fake.Session
 	// want is the answer that every client must get, and within what time.
 	want   string
 	within time.Duration
 	// served is the least part of a crowd's visits that must be up.
 	served  float64
-	check   func(t *testing.T, st *Stage, all []standin.Visit, h rules.History)
-	spoiled func(standin.Visit) bool
-	broken  func(standin.Pass) bool
+	check   func(t *testing.T, st *Stage, all []fake.Session, h rules.History)
+	spoiled func(fake.Session) bool
+	broken  func(fake.Attempt) bool
 }
 
 const (
@@ -38,33 +38,33 @@
 	busy   = 500 * ms // that a busy machine may make of anything
 )
 
-func anyVisit(standin.Visit) bool { return true }
-func anyPass(standin.Pass) bool   { return true }
+func anyVisit(fake.Session) bool { return true }
+func anyPass(fake.Attempt) bool  { return true }
 
 // group is what a single client comes with whose server the test wants to know.
-func single(stay time.Duration) func(context.Context, *testing.T, *Stage) []standin.Visit {
-	return func(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit { return st.Visits(ctx, 1, stay) }
+func single(stay time.Duration) func(context.Context, *testing.T, *Stage) []fake.Session {
+	return func(ctx context.Context, _ *testing.T, st *Stage) []fake.Session { return st.Visits(ctx, 1, stay) }
 }
 
 // many has 18 clients of as many groups come, which stay for a time.
-func many(stay time.Duration) func(context.Context, *testing.T, *Stage) []standin.Visit {
-	return func(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit { return st.Visits(ctx, 18, stay) }
+func many(stay time.Duration) func(context.Context, *testing.T, *Stage) []fake.Session {
+	return func(ctx context.Context, _ *testing.T, st *Stage) []fake.Session { return st.Visits(ctx, 18, stay) }
 }
 
 // listed has discovery say something, and then clients come.
-func listed(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit {
+func listed(ctx context.Context, _ *testing.T, st *Stage) []fake.Session {
 	for _, name := range st.Site.Names() {
-		st.Site.Discovery.Phase(name, "ready", false)
+		st.Site.Discovery.SetState(name, "ready", false)
 	}
 	return st.Visits(ctx, 18, 600*ms)
 }
 
 // ends checks how the connections that stood came to their end, and when.
-func ends(how string, within time.Duration) func(*testing.T, *Stage, []standin.Visit, rules.History) {
-	return func(t *testing.T, _ *Stage, all []standin.Visit, _ rules.History) {
+func ends(how string, within time.Duration) func(*testing.T, *Stage, []fake.Session, rules.History) {
+	return func(t *testing.T, _ *Stage, all []fake.Session, _ rules.History) {
 		for _, v := range all {
-			if !slices.Contains(strings.Split(how, "|"), v.End) || v.Stood > within+busy {
-				t.Errorf("%s ended %q after %v; want %s within %v", v.Name, v.End, v.Stood, how, within)
+			if !slices.Contains(strings.Split(how, "|"), v.End) || v.Established > within+busy {
+				t.Errorf("%s ended %q after %v; want %s within %v", v.Name, v.End, v.Established, how, within)
 			}
 		}
 	}
@@ -91,9 +91,9 @@
 	{name: "a garbled answer", scene: Scene{Rules: `(rule a (route s-1) (direction down) (garble flip 3))`}, want: "up", within: 2 * second, broken: anyPass},
 	{name: "a garbled first line to a server", scene: Scene{Rules: `(rule a (route s-1) (direction up) (garble flip 5))`}, want: "up", within: 2 * second, broken: anyPass},
 	{name: "a garbled opening of a client", scene: Scene{Rules: `(rule a (route door) (direction up) (garble flip 4))`}, do: single(second), spoiled: anyVisit,
-		check: func(t *testing.T, _ *Stage, all []standin.Visit, h rules.History) {
-			if v := all[0]; v.Answer == "up" || v.Answer == "unavailable" || v.Took > 3*second || len(h.Passes) > 0 {
-				t.Errorf("it got %s after %v, and servers saw %d passes", v.Answer, v.Took, len(h.Passes))
+		check: func(t *testing.T, _ *Stage, all []fake.Session, h rules.History) {
+			if v := all[0]; v.Answer == "up" || v.Answer == "unavailable" || v.SetupTime > 3*second || len(h.Passes) > 0 {
+				t.Errorf("it got %s after %v, and servers saw %d passes", v.Answer, v.SetupTime, len(h.Passes))
 			}
 		}},
 	{name: "garbled in the middle", scene: Scene{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (direction down) (after-bytes 300) (garble flip 6))`}, do: many(2500 * ms), want: "up", within: second,
@@ -112,7 +112,7 @@
 	{name: "a server vanishes under its connections", do: single(9 * second),
 		scene: Scene{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (at 1s) (for 9s) (vanish))`}, want: "up", within: second, broken: anyPass, check: ends("moved", 8*second)},
 	{name: "a client drops while its pass is out", scene: Scene{Servers: 1, For: 2 * second, Acts: `(at 0s (hang s-1 9s))`, Rules: `(rule a (route door) (at 500ms) (for 200ms) (cut rst))`}, do: single(second),
-		spoiled: anyVisit, check: func(t *testing.T, _ *Stage, all []standin.Visit, h rules.History) {
+		spoiled: anyVisit, check: func(t *testing.T, _ *Stage, all []fake.Session, h rules.History) {
 			if len(h.Passes) != 1 || all[0].Answer != "none" {
 				t.Fatalf("the client got %s, of %d passes", all[0].Answer, len(h.Passes))
 			}
@@ -125,10 +125,10 @@
 	// Servers and clients in number.
 	{name: "one of six hangs for 6 s under load", scene: Scene{Rate: 6, For: 8 * second, Life: 2 * second, Acts: `(at 1s (hang s-1 6s))`}, served: 0.8},
 	{name: "half of the clients drop and come again", scene: Scene{Rate: 6, For: 6 * second, Life: 3 * second, Acts: `(at 3s (drop 50))`}, served: 0.9,
-		check: func(t *testing.T, _ *Stage, all []standin.Visit, _ rules.History) {
+		check: func(t *testing.T, _ *Stage, all []fake.Session, _ rules.History) {
 			again := 0
 			for _, v := range all {
-				if v.Again && v.Answer == "up" {
+				if v.Returning && v.Answer == "up" {
 					again++
 				}
 			}
@@ -138,7 +138,7 @@
 		}},
 	{name: "a server restarts and is cold", scene: Scene{Rate: 10, For: 7 * second, Life: second, Acts: `(at 2s (restart s-1 1s))`,
 		Limits: rules.Limits{Late: 50 * ms, Drain: 550 * ms, Held: 1050 * ms, ColdFor: 5 * second, ColdShare: 0.2, Tip: 3, TipAfter: second, Capacity: 10. / six}}, served: 0.8,
-		broken: func(p standin.Pass) bool { return p.Server == "s-1" }},
+		broken: func(p fake.Attempt) bool { return p.Server == "s-1" }},
 	{name: "a server drains while the list is 4 s behind", scene: Scene{Rate: 6, For: 7 * second, Life: 2 * second, Acts: `(at 1s (drain s-1))`,
 		Rules: `(rule a (route discovery) (direction down) (latency 4s))`, Limits: late(4 * second)}, served: 0.85},
 
@@ -148,7 +148,7 @@
 	{name: "discovery sends half an object, again and again", scene: Scene{Rules: `(rule a (route discovery) (direction down) (after-bytes 150) (cut fin))`}, do: listed, want: "up", within: second},
 	{name: "discovery's words are garbled", scene: Scene{Rules: `(rule a (route discovery) (direction down) (after-bytes 150) (garble flip 30))`}, do: listed, want: "up", within: second},
 	{name: "discovery goes back in revision", scene: Scene{}, want: "up", within: second,
-		do: func(ctx context.Context, _ *testing.T, st *Stage) []standin.Visit {
+		do: func(ctx context.Context, _ *testing.T, st *Stage) []fake.Session {
 			st.Site.Discovery.Rewind()
 			st.Proxy.Cut("discovery")
 			return st.Visits(ctx, 18, 600*ms)
@@ -208,7 +208,7 @@
 	s.Limits.Late, s.Limits.Held = s.Limits.Late+busy, s.Limits.Held+busy
 	ctx, cancel := context.WithTimeout(context.Background(), 30*second)
 	defer cancel()
-	var all []standin.Visit
+	var all []fake.Session
 	var stage *Stage
 	h, err := Play(ctx, s, func(ctx context.Context, st *Stage) {
 		stage = st
@@ -232,8 +232,8 @@
 		t.Errorf("rules are broken\n%s", b.String())
 	}
 	for _, v := range all {
-		if r.want != "" && (v.Answer != r.want || v.Took > r.within+busy) {
-			t.Errorf("%s of group %s got %s after %v; want %s within %v", v.Name, v.Group, v.Answer, v.Took, r.want, r.within)
+		if r.want != "" && (v.Answer != r.want || v.SetupTime > r.within+busy) {
+			t.Errorf("%s of group %s got %s after %v; want %s within %v", v.Name, v.Group, v.Answer, v.SetupTime, r.want, r.within)
 		}
 	}
 	if r.served > 0 {
