--- a/cmd/lockroad/screen_test.go
+++ b/cmd/lockroad/screen_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/creack/pty"
 
-	"lockroad/internal/rules"
+	"lockroad/internal/invariants"
 	"lockroad/internal/steps"
 )
 
@@ -40,7 +40,7 @@
 	if n := s.passesAt("s-1", ordered.Add(550*time.Millisecond)); n > 0 {
 		t.Errorf("%d passes came to s-1", n)
 	}
-	for _, b := range rules.Judge(rules.History{Visits: s.site.Log.Sessions(), Passes: s.site.Log.Attempts(), Told: s.site.Log.EndpointChanges(), Limits: rules.Usual()}) {
+	for _, b := range invariants.Check(invariants.History{Sessions: s.site.Log.Sessions(), Attempts: s.site.Log.Attempts(), EndpointChanges: s.site.Log.EndpointChanges(), Limits: invariants.DefaultLimits()}) {
 		t.Error(b)
 	}
 }
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"lockroad/internal/fake"
-	"lockroad/internal/rules"
+	"lockroad/internal/invariants"
 	"lockroad/internal/server"
 	"lockroad/internal/steps"
 )
@@ -128,7 +128,7 @@
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
 	}
-	for _, b := range rules.Judge(rules.History{Visits: s.site.Log.Sessions(), Passes: s.site.Log.Attempts(), Limits: rules.Usual(),
+	for _, b := range invariants.Check(invariants.History{Sessions: s.site.Log.Sessions(), Attempts: s.site.Log.Attempts(), Limits: invariants.DefaultLimits(),
 		Broken: func(p fake.Attempt) bool { return p.Server == "s-1" }, Spoiled: func(v fake.Session) bool { return v.End == "broken" }}) {
 		t.Error(b)
 	}
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"lockroad/internal/fake"
-	"lockroad/internal/rules"
+	"lockroad/internal/invariants"
 	"lockroad/internal/steps"
 )
 
@@ -252,8 +252,8 @@
 	s.t.Helper()
 	s.left()
 	visits := s.site.Log.Sessions()
-	for _, b := range rules.Judge(rules.History{Visits: visits, Passes: s.site.Log.Attempts(), Told: s.site.Log.EndpointChanges(), Limits: rules.Usual()}) {
-		if b.Rule != rules.Answered || door == 0 {
+	for _, b := range invariants.Check(invariants.History{Sessions: visits, Attempts: s.site.Log.Attempts(), EndpointChanges: s.site.Log.EndpointChanges(), Limits: invariants.DefaultLimits()}) {
+		if b.Rule != invariants.Answered || door == 0 {
 			s.t.Error(b)
 		}
 	}
--- a/internal/rules/rules.go
+++ b/internal/invariants/rules.go
@@ -1,7 +1,7 @@
 // Package rules judges, from what stand-in clients, servers and discovery saw, whether
 // a relay kept the operators' rules. It knows nothing of the relay's own counters and
 // records, and does no I/O: a history goes in, and what broke a rule comes out.
-package rules
+package invariants
 
 import (
 	"cmp"
@@ -38,18 +38,18 @@
 	Capacity  float64       // set-ups a second that a warm server can do; 0: not judged
 }
 
-// Usual are the limits of the platform's pages, each time 50 ms longer.
-func Usual() Limits {
+// DefaultLimits are the limits of the platform's pages, each time 50 ms longer.
+func DefaultLimits() Limits {
 	return Limits{Late: 50 * time.Millisecond, Drain: 550 * time.Millisecond, Held: 1050 * time.Millisecond,
 		ColdFor: 23 * time.Second, ColdShare: 0.12, Tip: 3, TipAfter: 3 * time.Second}
 }
 
 // History is what there is to judge.
 type History struct {
-	Visits []fake.Session
-	Passes []fake.Attempt
-	Told   []fake.EndpointChange
-	Limits Limits
+	Sessions        []fake.Session
+	Attempts        []fake.Attempt
+	EndpointChanges []fake.EndpointChange
+	Limits          Limits
 	// Spoiled tells whether what a client saw is not the relay's doing, as something
 	// between the two was spoilt on purpose. nil: of none.
 	Spoiled func(fake.Session) bool
@@ -58,24 +58,24 @@
 	Broken func(fake.Attempt) bool
 }
 
-// Breach is a rule that was broken.
-type Breach struct {
+// Violation is a rule that was broken.
+type Violation struct {
 	Rule Rule
 	At   time.Time
 	What string
 }
 
 // String says what.
-func (b Breach) String() string { return fmt.Sprintf("%s: %s", b.Rule, b.What) }
+func (b Violation) String() string { return fmt.Sprintf("%s: %s", b.Rule, b.What) }
 
-// Judge returns all that broke a rule, in order of time.
-func Judge(h History) []Breach {
+// Check returns all that broke a rule, in order of time.
+func Check(h History) []Violation {
 	j := &judge{History: h}
 	j.byName = make(map[string][]fake.Attempt)
-	for _, p := range h.Passes {
+	for _, p := range h.Attempts {
 		j.byName[p.Name] = append(j.byName[p.Name], p)
 	}
-	for _, v := range h.Visits {
+	for _, v := range h.Sessions {
 		if h.Spoiled == nil || !h.Spoiled(v) {
 			j.visit(v)
 		}
@@ -85,18 +85,18 @@
 	}
 	j.drains()
 	j.cold()
-	slices.SortStableFunc(j.found, func(x, y Breach) int { return cmp.Or(x.At.Compare(y.At), cmp.Compare(x.What, y.What)) })
+	slices.SortStableFunc(j.found, func(x, y Violation) int { return cmp.Or(x.At.Compare(y.At), cmp.Compare(x.What, y.What)) })
 	return j.found
 }
 
 type judge struct {
 	History
 	byName map[string][]fake.Attempt
-	found  []Breach
+	found  []Violation
 }
 
 func (j *judge) add(r Rule, at time.Time, format string, args ...any) {
-	j.found = append(j.found, Breach{r, at, fmt.Sprintf(format, args...)})
+	j.found = append(j.found, Violation{r, at, fmt.Sprintf(format, args...)})
 }
 
 // visit judges what one client saw.
@@ -157,7 +157,7 @@
 func (j *judge) drains() {
 	type span struct{ from, to time.Time }
 	out := make(map[string][]span)
-	told := slices.Clone(j.Told)
+	told := slices.Clone(j.EndpointChanges)
 	slices.SortStableFunc(told, func(x, y fake.EndpointChange) int { return x.At.Compare(y.At) })
 	for _, t := range told {
 		spans := out[t.Endpoint]
@@ -170,7 +170,7 @@
 			out[t.Endpoint] = append(spans, span{from: t.At})
 		}
 	}
-	for _, p := range j.Passes {
+	for _, p := range j.Attempts {
 		for _, s := range out[p.Server] {
 			if p.At.After(s.from.Add(j.Limits.Drain)) && (s.to.IsZero() || p.At.Before(s.to)) {
 				j.add(Drained, p.At, "%s came to %s %v after its drain was told", p.Name, p.Server, p.At.Sub(s.from))
@@ -187,7 +187,7 @@
 		return
 	}
 	down := make(map[string]bool)
-	for _, t := range j.Told {
+	for _, t := range j.EndpointChanges {
 		if t.State == fake.Killed {
 			down[t.Endpoint] = true
 		}
@@ -196,7 +196,7 @@
 		}
 		down[t.Endpoint] = false
 		var came []time.Time
-		for _, p := range j.Passes {
+		for _, p := range j.Attempts {
 			if age := p.At.Sub(t.At); p.Server == t.Endpoint && age >= -l.TipAfter && age < l.ColdFor {
 				came = append(came, p.At)
 			}
--- /dev/null
+++ b/internal/invariants/rules_test.go
@@ -0,0 +1,97 @@
+package invariants
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"lockroad/internal/fake"
+)
+
+const ms = time.Millisecond
+
+var noon = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+
+func at(after time.Duration) time.Time { return noon.Add(after) }
+
+// sound is a history that keeps all rules, each by the smallest amount.
+func sound() History {
+	l := DefaultLimits()
+	l.Capacity = 10
+	return History{
+		Limits: l,
+		Sessions: []fake.Session{
+			{Name: "a", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: time.Second + 50*ms, End: "broken", MaxHeld: 1050 * ms},
+			{Name: "b", At: at(0), TimeLimit: time.Second, Answer: "unavailable", SetupTime: 10 * ms},
+			{Name: "c", At: at(0), Refused: true, Answer: "none", TimeLimit: time.Second},
+			{Name: "d", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: 10 * ms, End: "moved"},
+		},
+		Attempts: []fake.Attempt{
+			{Name: "a", Server: "s-1", At: at(0), Answer: "busy", Answered: at(100 * ms), Closed: at(900 * ms)},
+			{Name: "a", Server: "s-2", At: at(100 * ms), Closed: at(600 * ms)},
+			{Name: "a", Server: "s-3", At: at(600 * ms), Answer: "up", End: "broken", Ended: at(5 * time.Second), Closed: at(5 * time.Second), MaxHeld: 1050 * ms},
+			{Name: "d", Server: "s-4", At: at(10*time.Second + 550*ms), Answer: "up", End: "gone", Closed: at(12 * time.Second)},
+		},
+		EndpointChanges: []fake.EndpointChange{{At: at(-time.Second), Endpoint: "s-4", State: "ready"}, {At: at(10 * time.Second), Endpoint: "s-4", State: "draining"}},
+	}
+}
+
+// Histories that break each rule by the smallest amount.
+func TestEachRuleIsBrokenByTheSmallestAmount(t *testing.T) {
+	if found := Check(sound()); len(found) > 0 {
+		t.Fatalf("a sound history breaks %v", found)
+	}
+	restart := func(h *History, n int, after time.Duration) {
+		h.EndpointChanges = append(h.EndpointChanges, fake.EndpointChange{At: at(20 * time.Second), Endpoint: "s-9", State: fake.Killed}, fake.EndpointChange{At: at(30 * time.Second), Endpoint: "s-9", State: "ready"})
+		for i := range n {
+			came := at(30*time.Second + after + time.Duration(i)*ms)
+			h.Attempts = append(h.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Server: "s-9", At: came, Closed: came.Add(ms)})
+		}
+	}
+	for name, c := range map[string]struct {
+		change func(*History)
+		rule   Rule
+	}{
+		"late by a microsecond":     {func(h *History) { h.Sessions[0].SetupTime += time.Microsecond }, Answered},
+		"none":                      {func(h *History) { h.Sessions[1].Answer, h.Sessions[1].SetupTime = "none", time.Second }, Answered},
+		"a second answer":           {func(h *History) { h.Sessions[1].More = 1 }, Answered},
+		"two out by a microsecond":  {func(h *History) { h.Attempts[2].At = at(550*ms - time.Microsecond) }, Once},
+		"two out, one for good":     {func(h *History) { h.Attempts[1].Closed = time.Time{} }, Once},
+		"to a draining server":      {func(h *History) { h.Attempts[3].At = h.Attempts[3].At.Add(time.Microsecond) }, Drained},
+		"to one that is gone":       {func(h *History) { h.EndpointChanges[1].State = "gone"; h.Attempts[3].At = at(11 * time.Second) }, Drained},
+		"cut off":                   {func(h *History) { h.Attempts[2].End = "gone" }, Kept},
+		"held back down":            {func(h *History) { h.Sessions[0].MaxHeld += time.Microsecond }, Prompt},
+		"held back up":              {func(h *History) { h.Attempts[2].MaxHeld += time.Microsecond }, Prompt},
+		"garbled down":              {func(h *History) { h.Sessions[3].Garbled = 1 }, Whole},
+		"garbled up":                {func(h *History) { h.Attempts[3].Garbled = 1 }, Whole},
+		"a cold server pushed over": {func(h *History) { restart(h, 22, 0) }, Cold},
+	} {
+		h := sound()
+		c.change(&h)
+		found := Check(h)
+		if len(found) != 1 || found[0].Rule != c.rule || !strings.Contains(found[0].String(), string(c.rule)) {
+			t.Errorf("%s: found %v, want one breach of %q", name, found, c.rule)
+		}
+	}
+	// What keeps the rules by as little.
+	for name, change := range map[string]func(*History){
+		"ready again": func(h *History) {
+			h.EndpointChanges = append(h.EndpointChanges, fake.EndpointChange{At: at(10540 * ms), Endpoint: "s-4", State: "ready"})
+			h.Attempts[3].At = at(11 * time.Second)
+		},
+		"as much as a cold server bears": func(h *History) { restart(h, 21, 0) },
+		"more, once it is warm":          func(h *History) { restart(h, 80, 23*time.Second) },
+		"spoiled on purpose": func(h *History) {
+			h.Sessions[3].Garbled, h.Spoiled = 1, func(v fake.Session) bool { return v.Name == "d" }
+		},
+		"broken on purpose": func(h *History) {
+			h.Attempts[2].End, h.Broken = "gone", func(p fake.Attempt) bool { return p.Server == "s-3" }
+		},
+	} {
+		h := sound()
+		if change(&h); len(Check(h)) > 0 {
+			t.Errorf("%s: found %v", name, Check(h))
+		}
+	}
+}
--- a/internal/trouble/random_test.go
+++ b/internal/trouble/random_test.go
@@ -14,7 +14,7 @@
 
 	"lockroad/internal/fake"
 	"lockroad/internal/faultproxy"
-	"lockroad/internal/rules"
+	"lockroad/internal/invariants"
 )
 
 // found is where a random script that broke a rule is kept.
@@ -69,12 +69,12 @@
 	}
 	h.Broken = func(p fake.Attempt) bool { return spoilt[p.Server] }
 	byServer := make(map[string]string)
-	for _, p := range h.Passes {
+	for _, p := range h.Attempts {
 		byServer[p.Name] = p.Server
 	}
 	// What a client saw come garbled or late from a spoilt server is the spoiler's.
-	for i := range h.Visits {
-		if v := &h.Visits[i]; spoilt[byServer[v.Name]] {
+	for i := range h.Sessions {
+		if v := &h.Sessions[i]; spoilt[byServer[v.Name]] {
 			v.Garbled, v.MaxHeld = 0, 0
 		}
 	}
@@ -82,7 +82,7 @@
 		h.Limits.Drain = time.Hour // nobody knows when it was told
 	}
 	h.Limits.Late, h.Limits.Held = h.Limits.Late+busy, h.Limits.Held+busy
-	all := rules.Judge(h)
+	all := invariants.Check(h)
 	if len(all) == 0 {
 		return ""
 	}
--- a/internal/trouble/scene.go
+++ b/internal/trouble/scene.go
@@ -20,7 +20,7 @@
 	"lockroad/internal/discovery"
 	"lockroad/internal/fake"
 	"lockroad/internal/faultproxy"
-	"lockroad/internal/rules"
+	"lockroad/internal/invariants"
 	"lockroad/internal/server"
 )
 
@@ -33,11 +33,11 @@
 	Plain   bool   // servers speak AMQP without the security layer
 	Shared  int    // transactions of AMQP over one connection to a server; 0: each has its own
 	Seed    uint64
-	SetUp   time.Duration // that a set-up takes a server
-	Rate    float64       // of the crowd: new clients a second; 0: none
-	For     time.Duration // for which it comes, and the acts go on
-	Life    time.Duration // of a connection of the crowd, on average
-	Limits  rules.Limits  // zero: the usual
+	SetUp   time.Duration     // that a set-up takes a server
+	Rate    float64           // of the crowd: new clients a second; 0: none
+	For     time.Duration     // for which it comes, and the acts go on
+	Life    time.Duration     // of a connection of the crowd, on average
+	Limits  invariants.Limits // zero: the usual
 }
 
 // Class is that of all clients of a scene.
@@ -61,20 +61,20 @@
 
 // Play plays a scene: do is called once the relay is ready, and may have clients come;
 // the crowd and the acts go on beside it. It returns all that there is to judge.
-func Play(ctx context.Context, s Scene, do func(context.Context, *Stage)) (rules.History, error) {
-	if s.Limits == (rules.Limits{}) {
-		s.Limits = rules.Usual()
+func Play(ctx context.Context, s Scene, do func(context.Context, *Stage)) (invariants.History, error) {
+	if s.Limits == (invariants.Limits{}) {
+		s.Limits = invariants.DefaultLimits()
 	}
 	st := &Stage{Scene: s, Class: Class}
 	st.Class.MeanLifetime = max(s.Life, 100*time.Millisecond)
 	if err := st.start(ctx); err != nil {
 		_ = st.stop()
-		return rules.History{}, err
+		return invariants.History{}, err
 	}
 	acts, err := fake.ParseScript(s.Acts, st.Site.Names())
 	if err != nil {
 		_ = st.stop()
-		return rules.History{}, fmt.Errorf("acts: %w", err)
+		return invariants.History{}, fmt.Errorf("acts: %w", err)
 	}
 	coming, done := context.WithTimeout(ctx, s.For)
 	defer done()
@@ -101,7 +101,7 @@
 	}
 	done()
 	st.acts.Wait()
-	h := rules.History{Visits: st.Site.Log.Sessions(), Passes: st.Site.Log.Attempts(), Told: st.Site.Log.EndpointChanges(), Limits: s.Limits}
+	h := invariants.History{Sessions: st.Site.Log.Sessions(), Attempts: st.Site.Log.Attempts(), EndpointChanges: st.Site.Log.EndpointChanges(), Limits: s.Limits}
 	return h, st.stop()
 }
 
@@ -277,7 +277,7 @@
 }
 
 // Tell writes what was done and what was broken, for a person.
-func Tell(w io.Writer, did []faultproxy.Injection, broken []rules.Breach) {
+func Tell(w io.Writer, did []faultproxy.Injection, broken []invariants.Violation) {
 	for _, d := range did {
 		fmt.Fprintf(w, "%10v  %s: %s on %s, connection %d %s, byte %d\n", d.At.Round(time.Millisecond), d.Rule, d.Kind, d.Route, d.Conn, d.Direction, d.Offset)
 	}
--- a/internal/trouble/trouble_test.go
+++ b/internal/trouble/trouble_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockroad/internal/fake"
-	"lockroad/internal/rules"
+	"lockroad/internal/invariants"
 )
 
 // row is a known failure, and what a client must get of it and when.
@@ -26,7 +26,7 @@
 	within time.Duration
 	// served is the least part of a crowd's visits that must be up.
 	served  float64
-	check   func(t *testing.T, st *Stage, all []fake.Session, h rules.History)
+	check   func(t *testing.T, st *Stage, all []fake.Session, h invariants.History)
 	spoiled func(fake.Session) bool
 	broken  func(fake.Attempt) bool
 }
@@ -60,8 +60,8 @@
 }
 
 // ends checks how the connections that stood came to their end, and when.
-func ends(how string, within time.Duration) func(*testing.T, *Stage, []fake.Session, rules.History) {
-	return func(t *testing.T, _ *Stage, all []fake.Session, _ rules.History) {
+func ends(how string, within time.Duration) func(*testing.T, *Stage, []fake.Session, invariants.History) {
+	return func(t *testing.T, _ *Stage, all []fake.Session, _ invariants.History) {
 		for _, v := range all {
 			if !slices.Contains(strings.Split(how, "|"), v.End) || v.Established > within+busy {
 				t.Errorf("%s ended %q after %v; want %s within %v", v.Name, v.End, v.Established, how, within)
@@ -91,9 +91,9 @@
 	{name: "a garbled answer", scene: Scene{Rules: `(rule a (route s-1) (direction down) (garble flip 3))`}, want: "up", within: 2 * second, broken: anyPass},
 	{name: "a garbled first line to a server", scene: Scene{Rules: `(rule a (route s-1) (direction up) (garble flip 5))`}, want: "up", within: 2 * second, broken: anyPass},
 	{name: "a garbled opening of a client", scene: Scene{Rules: `(rule a (route door) (direction up) (garble flip 4))`}, do: single(second), spoiled: anyVisit,
-		check: func(t *testing.T, _ *Stage, all []fake.Session, h rules.History) {
-			if v := all[0]; v.Answer == "up" || v.Answer == "unavailable" || v.SetupTime > 3*second || len(h.Passes) > 0 {
-				t.Errorf("it got %s after %v, and servers saw %d passes", v.Answer, v.SetupTime, len(h.Passes))
+		check: func(t *testing.T, _ *Stage, all []fake.Session, h invariants.History) {
+			if v := all[0]; v.Answer == "up" || v.Answer == "unavailable" || v.SetupTime > 3*second || len(h.Attempts) > 0 {
+				t.Errorf("it got %s after %v, and servers saw %d passes", v.Answer, v.SetupTime, len(h.Attempts))
 			}
 		}},
 	{name: "garbled in the middle", scene: Scene{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (direction down) (after-bytes 300) (garble flip 6))`}, do: many(2500 * ms), want: "up", within: second,
@@ -112,11 +112,11 @@
 	{name: "a server vanishes under its connections", do: single(9 * second),
 		scene: Scene{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (at 1s) (for 9s) (vanish))`}, want: "up", within: second, broken: anyPass, check: ends("moved", 8*second)},
 	{name: "a client drops while its pass is out", scene: Scene{Servers: 1, For: 2 * second, Acts: `(at 0s (hang s-1 9s))`, Rules: `(rule a (route door) (at 500ms) (for 200ms) (cut rst))`}, do: single(second),
-		spoiled: anyVisit, check: func(t *testing.T, _ *Stage, all []fake.Session, h rules.History) {
-			if len(h.Passes) != 1 || all[0].Answer != "none" {
-				t.Fatalf("the client got %s, of %d passes", all[0].Answer, len(h.Passes))
+		spoiled: anyVisit, check: func(t *testing.T, _ *Stage, all []fake.Session, h invariants.History) {
+			if len(h.Attempts) != 1 || all[0].Answer != "none" {
+				t.Fatalf("the client got %s, of %d passes", all[0].Answer, len(h.Attempts))
 			}
-			if p := h.Passes[0]; p.Closed.IsZero() || p.Closed.Sub(p.At) > 1200*ms {
+			if p := h.Attempts[0]; p.Closed.IsZero() || p.Closed.Sub(p.At) > 1200*ms {
 				t.Errorf("the pass was out for %v", p.Closed.Sub(p.At))
 			}
 		}},
@@ -125,7 +125,7 @@
 	// Servers and clients in number.
 	{name: "one of six hangs for 6 s under load", scene: Scene{Rate: 6, For: 8 * second, Life: 2 * second, Acts: `(at 1s (hang s-1 6s))`}, served: 0.8},
 	{name: "half of the clients drop and come again", scene: Scene{Rate: 6, For: 6 * second, Life: 3 * second, Acts: `(at 3s (drop 50))`}, served: 0.9,
-		check: func(t *testing.T, _ *Stage, all []fake.Session, _ rules.History) {
+		check: func(t *testing.T, _ *Stage, all []fake.Session, _ invariants.History) {
 			again := 0
 			for _, v := range all {
 				if v.Returning && v.Answer == "up" {
@@ -137,7 +137,7 @@
 			}
 		}},
 	{name: "a server restarts and is cold", scene: Scene{Rate: 10, For: 7 * second, Life: second, Acts: `(at 2s (restart s-1 1s))`,
-		Limits: rules.Limits{Late: 50 * ms, Drain: 550 * ms, Held: 1050 * ms, ColdFor: 5 * second, ColdShare: 0.2, Tip: 3, TipAfter: second, Capacity: 10. / six}}, served: 0.8,
+		Limits: invariants.Limits{Late: 50 * ms, Drain: 550 * ms, Held: 1050 * ms, ColdFor: 5 * second, ColdShare: 0.2, Tip: 3, TipAfter: second, Capacity: 10. / six}}, served: 0.8,
 		broken: func(p fake.Attempt) bool { return p.Server == "s-1" }},
 	{name: "a server drains while the list is 4 s behind", scene: Scene{Rate: 6, For: 7 * second, Life: 2 * second, Acts: `(at 1s (drain s-1))`,
 		Rules: `(rule a (route discovery) (direction down) (latency 4s))`, Limits: late(4 * second)}, served: 0.85},
@@ -161,8 +161,8 @@
 }
 
 // late are the usual limits where the list is told so much later than discovery knows.
-func late(by time.Duration) rules.Limits {
-	l := rules.Usual()
+func late(by time.Duration) invariants.Limits {
+	l := invariants.DefaultLimits()
 	l.Drain += by
 	return l
 }
@@ -202,8 +202,8 @@
 	}
 	// What is judged here is what happens, on a machine that may have other things to do;
 	// the 50 ms of the rule are the judge's own tests' and the bench's.
-	if s.Limits == (rules.Limits{}) {
-		s.Limits = rules.Usual()
+	if s.Limits == (invariants.Limits{}) {
+		s.Limits = invariants.DefaultLimits()
 	}
 	s.Limits.Late, s.Limits.Held = s.Limits.Late+busy, s.Limits.Held+busy
 	ctx, cancel := context.WithTimeout(context.Background(), 30*second)
@@ -223,10 +223,10 @@
 		t.Fatal(err)
 	}
 	if s.Rate > 0 {
-		all = h.Visits
+		all = h.Sessions
 	}
 	h.Spoiled, h.Broken = r.spoiled, r.broken
-	if broken := rules.Judge(h); len(broken) > 0 {
+	if broken := invariants.Check(h); len(broken) > 0 {
 		var b bytes.Buffer
 		Tell(&b, stage.Did(), broken)
 		t.Errorf("rules are broken\n%s", b.String())
