--- a/Makefile
+++ b/Makefile
@@ -43,12 +43,12 @@
 	bin/lockroad demo --for 5m --rate 10 --asks 500 --seed 1
 
 # trouble plays every known failure; trouble-long plays random scripts for CHECKS scenes
-# of some 3 s, and keeps the least that breaks a rule in internal/trouble/testdata.
+# of some 3 s, and keeps the least that breaks a rule in internal/faulttest/testdata.
 trouble:
-	go test -count=1 -parallel 16 ./internal/trouble
+	go test -count=1 -parallel 16 ./internal/faulttest
 
 trouble-long:
-	LOCKROAD_TROUBLE=1 go test ./internal/trouble -count=1 -timeout 60m -run TestRandomScripts -rapid.checks=$(CHECKS) -rapid.nofailfile
+	LOCKROAD_TROUBLE=1 go test ./internal/faulttest -count=1 -timeout 60m -run TestRandomScripts -rapid.checks=$(CHECKS) -rapid.nofailfile
 
 # rehearse plays the commonest troubles against builds of the program, and tells how long
 # clients wait: make rehearse BEFORE=/path/to/an/older/lockroad
--- a/internal/trouble/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -1,4 +1,4 @@
-package trouble
+package faulttest
 
 import (
 	"bytes"
@@ -21,16 +21,16 @@
 const found = "testdata/found.lisp"
 
 // text writes a scene as scene reads it.
-func text(s Scene) string {
+func text(s Scenario) string {
 	front := s.Front
 	if s.Shared > 0 {
 		front = "shared"
 	}
-	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, s.Servers, s.Seed, s.Rules, s.Acts)
+	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, s.Servers, s.Seed, s.Rules, s.Actions)
 }
 
 // scene reads a scene of the corpus.
-func scene(text string) (s Scene, err error) {
+func scene(text string) (s Scenario, err error) {
 	head, rest, _ := strings.Cut(text, "\n")
 	if _, err := fmt.Sscanf(head, "; front %s servers %d seed %d", &s.Front, &s.Servers, &s.Seed); err != nil {
 		return s, fmt.Errorf("the head %q: %w", head, err)
@@ -38,22 +38,22 @@
 	if s.Front == "shared" { // connections to servers, by AMQP
 		s.Front, s.Shared = "amqp", 4
 	}
-	s.Rules, s.Acts, _ = strings.Cut(rest, "; acts\n")
-	s.Rate, s.For, s.Life, s.SetUp = 15, 2500*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
+	s.Rules, s.Actions, _ = strings.Cut(rest, "; acts\n")
+	s.Rate, s.Duration, s.MeanLifetime, s.SetupTime = 15, 2500*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
 	return s, nil
 }
 
 // broken plays a scene and returns what broke a rule. What goes wrong on a server that
 // is spoilt is not the relay's doing; the answers are, whatever happens.
-func broken(t interface{ Fatal(...any) }, s Scene) string {
+func broken(t interface{ Fatal(...any) }, s Scenario) string {
 	list, err := faultproxy.ParseRules(s.Rules)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	var stage *Stage
-	h, err := Play(ctx, s, func(_ context.Context, st *Stage) { stage = st })
+	var stage *Environment
+	h, err := Run(ctx, s, func(_ context.Context, st *Environment) { stage = st })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 			spoilt[name] = true
 		}
 	}
-	acts, _ := fake.ParseScript(s.Acts, stage.Site.Names())
+	acts, _ := fake.ParseScript(s.Actions, stage.Site.Names())
 	for _, a := range acts {
 		spoilt[a.Server] = spoilt[a.Server] || a.Kind == "restart"
 	}
@@ -87,7 +87,7 @@
 		return ""
 	}
 	var b bytes.Buffer
-	Tell(&b, stage.Did(), all)
+	Report(&b, stage.Injections(), all)
 	return b.String()
 }
 
@@ -116,7 +116,7 @@
 }
 
 // draw makes a random scene of a small farm.
-func draw(rt *rapid.T) Scene {
+func draw(rt *rapid.T) Scenario {
 	n := rapid.IntRange(2, 4).Draw(rt, "servers")
 	server := rapid.Map(rapid.IntRange(1, n), func(i int) string { return fmt.Sprintf("s-%d", i) })
 	ms := func(what string, most int) string { return fmt.Sprintf("%dms", rapid.IntRange(1, most).Draw(rt, what)) }
@@ -145,8 +145,8 @@
 			fmt.Sprintf("(break %s %s)", s, ms("for", 1500)), fmt.Sprintf("(drain %s)", s), fmt.Sprintf("(restart %s %s)", s, ms("for", 900)),
 			fmt.Sprintf("(drop %d)", rapid.IntRange(1, 100).Draw(rt, "percent"))}).Draw(rt, "act")))
 	}
-	s, err := scene(text(Scene{Front: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: n, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
-		Rules: strings.Join(list, "\n"), Acts: strings.Join(acts, "\n")}))
+	s, err := scene(text(Scenario{Front: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: n, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
+		Rules: strings.Join(list, "\n"), Actions: strings.Join(acts, "\n")}))
 	if err != nil {
 		rt.Fatal(err)
 	}
--- a/internal/trouble/scene.go
+++ b/internal/faulttest/scene.go
@@ -1,7 +1,7 @@
 // Package trouble plays scenes: a whole relay among stand-ins, with a fault injector
 // between it and each of them, and a judge of the operators' rules at the end. Its tests
 // reproduce every known failure through both fronts.
-package trouble
+package faulttest
 
 import (
 	"context"
@@ -24,28 +24,28 @@
 	"lockroad/internal/server"
 )
 
-// Scene is what is to be played.
-type Scene struct {
-	Front   string // line or amqp: that clients and servers speak
-	Servers int
-	Rules   string // of the fault injector: routes door, discovery, and each server by its name
-	Acts    string // of the stand-ins
-	Plain   bool   // servers speak AMQP without the security layer
-	Shared  int    // transactions of AMQP over one connection to a server; 0: each has its own
-	Seed    uint64
-	SetUp   time.Duration     // that a set-up takes a server
-	Rate    float64           // of the crowd: new clients a second; 0: none
-	For     time.Duration     // for which it comes, and the acts go on
-	Life    time.Duration     // of a connection of the crowd, on average
-	Limits  invariants.Limits // zero: the usual
+// Scenario is what is to be played.
+type Scenario struct {
+	Front        string // line or amqp: that clients and servers speak
+	Servers      int
+	Rules        string // of the fault injector: routes door, discovery, and each server by its name
+	Actions      string // of the stand-ins
+	Plain        bool   // servers speak AMQP without the security layer
+	Shared       int    // transactions of AMQP over one connection to a server; 0: each has its own
+	Seed         uint64
+	SetupTime    time.Duration     // that a set-up takes a server
+	Rate         float64           // of the crowd: new clients a second; 0: none
+	Duration     time.Duration     // for which it comes, and the acts go on
+	MeanLifetime time.Duration     // of a connection of the crowd, on average
+	Limits       invariants.Limits // zero: the usual
 }
 
 // Class is that of all clients of a scene.
 var Class = fake.Class{Name: "page-render", Share: 1, TimeLimit: 2400 * time.Millisecond}
 
-// Stage is a scene under way.
-type Stage struct {
-	Scene
+// Environment is a scene under way.
+type Environment struct {
+	Scenario
 	Site  *fake.Site
 	Proxy *faultproxy.Proxy
 	Class fake.Class
@@ -59,24 +59,24 @@
 	acts   sync.WaitGroup
 }
 
-// Play plays a scene: do is called once the relay is ready, and may have clients come;
+// Run plays a scene: do is called once the relay is ready, and may have clients come;
 // the crowd and the acts go on beside it. It returns all that there is to judge.
-func Play(ctx context.Context, s Scene, do func(context.Context, *Stage)) (invariants.History, error) {
+func Run(ctx context.Context, s Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
 	if s.Limits == (invariants.Limits{}) {
 		s.Limits = invariants.DefaultLimits()
 	}
-	st := &Stage{Scene: s, Class: Class}
-	st.Class.MeanLifetime = max(s.Life, 100*time.Millisecond)
+	st := &Environment{Scenario: s, Class: Class}
+	st.Class.MeanLifetime = max(s.MeanLifetime, 100*time.Millisecond)
 	if err := st.start(ctx); err != nil {
 		_ = st.stop()
 		return invariants.History{}, err
 	}
-	acts, err := fake.ParseScript(s.Acts, st.Site.Names())
+	acts, err := fake.ParseScript(s.Actions, st.Site.Names())
 	if err != nil {
 		_ = st.stop()
 		return invariants.History{}, fmt.Errorf("acts: %w", err)
 	}
-	coming, done := context.WithTimeout(ctx, s.For)
+	coming, done := context.WithTimeout(ctx, s.Duration)
 	defer done()
 	st.Proxy.Restart()
 	acted := make(chan struct{}, len(acts))
@@ -106,12 +106,12 @@
 }
 
 // start builds the site, the proxy's routes, and the relay between them.
-func (st *Stage) start(ctx context.Context) error {
+func (st *Environment) start(ctx context.Context) error {
 	list, err := faultproxy.ParseRules(st.Rules)
 	if err != nil {
 		return fmt.Errorf("rules: %w", err)
 	}
-	if st.Site, err = fake.NewSite(st.Servers, st.SetUp, 0, nil); err != nil {
+	if st.Site, err = fake.NewSite(st.Servers, st.SetupTime, 0, nil); err != nil {
 		return err
 	}
 	for _, server := range st.Site.Servers {
@@ -175,7 +175,7 @@
 
 // routes puts a route before each server, and has discovery list those. All servers
 // speak AMQP on one port, so each route has an address of its own.
-func (st *Stage) routes() error {
+func (st *Environment) routes() error {
 	port := "0"
 	opened := st.Site.AMQPPort
 	for i, server := range st.Site.Servers {
@@ -201,7 +201,7 @@
 }
 
 // front waits until the relay answers at its console, and returns where its front is.
-func (st *Stage) front() (string, error) {
+func (st *Environment) front() (string, error) {
 	for late := time.Now().Add(10 * time.Second); time.Now().Before(late); {
 		select {
 		case err := <-st.ended:
@@ -224,7 +224,7 @@
 }
 
 // Command has the relay run a command of its console.
-func (st *Stage) Command(command string) (string, error) {
+func (st *Environment) Command(command string) (string, error) {
 	var out, errs strings.Builder
 	if code := console.Run(st.socket, command, nil, &out, &errs); code != console.ExitOK {
 		return "", errors.New(errs.String())
@@ -232,16 +232,16 @@
 	return out.String(), nil
 }
 
-// Did are the faults that were done.
-func (st *Stage) Did() []faultproxy.Injection {
+// Injections are the faults that were done.
+func (st *Environment) Injections() []faultproxy.Injection {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.did[:len(st.did):len(st.did)]
 }
 
-// Visits has n clients of as many groups come at once, each for a time, and returns what
+// RunSessions has n clients of as many groups come at once, each for a time, and returns what
 // they saw.
-func (st *Stage) Visits(ctx context.Context, n int, stay time.Duration) []fake.Session {
+func (st *Environment) RunSessions(ctx context.Context, n int, stay time.Duration) []fake.Session {
 	all := make([]fake.Session, n)
 	var here sync.WaitGroup
 	for i := range n {
@@ -254,7 +254,7 @@
 }
 
 // stop ends the relay and all around it.
-func (st *Stage) stop() error {
+func (st *Environment) stop() error {
 	var err error
 	if st.cancel != nil {
 		st.cancel()
@@ -276,8 +276,8 @@
 	return err
 }
 
-// Tell writes what was done and what was broken, for a person.
-func Tell(w io.Writer, did []faultproxy.Injection, broken []invariants.Violation) {
+// Report writes what was done and what was broken, for a person.
+func Report(w io.Writer, did []faultproxy.Injection, broken []invariants.Violation) {
 	for _, d := range did {
 		fmt.Fprintf(w, "%10v  %s: %s on %s, connection %d %s, byte %d\n", d.At.Round(time.Millisecond), d.Rule, d.Kind, d.Route, d.Conn, d.Direction, d.Offset)
 	}
