--- a/Makefile
+++ b/Makefile
@@ -17,7 +17,7 @@
 
 # random tries CHECKS random runs of steps that no earlier run tried. CI's are the same every time.
 random:
-	RAPID_SEED=0 go test -count=1 ./balancer ./internal/faultproxy ./internal/hotrestart ./internal/model ./internal/connpool ./internal/decisionlog ./internal/frontend/amqp -rapid.checks=$(CHECKS)
+	RAPID_SEED=0 go test -count=1 ./balancer ./internal/faultproxy ./internal/hotrestart ./internal/simulation ./internal/connpool ./internal/decisionlog ./internal/frontend/amqp -rapid.checks=$(CHECKS)
 
 race:
 	go test -race ./...
--- a/cmd/locklab/main.go
+++ b/cmd/locklab/main.go
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kong"
 
 	"lockroad/internal/lab"
-	"lockroad/internal/model"
+	"lockroad/internal/simulation"
 )
 
 const (
@@ -230,6 +230,6 @@
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", f, e.Name, len(e.Scenes), len(e.Policies), len(e.Runs()), len(e.Claims))
 	}
 	t.Flush()
-	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(model.Parameters(), " VALUE) ("), strings.Join(lab.Metrics, " "))
+	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.Parameters(), " VALUE) ("), strings.Join(lab.Metrics, " "))
 	return nil
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -9,15 +9,15 @@
 	"strconv"
 	"strings"
 
-	"lockroad/internal/model"
 	"lockroad/internal/sexp"
+	"lockroad/internal/simulation"
 )
 
 // Experiment is what an experiment file says.
 type Experiment struct {
 	Name     string
-	World    model.World
-	Policies []model.Policy
+	World    simulation.World
+	Policies []simulation.Policy
 	Scenes   []Scene
 	Axes     []Axis
 	Seeds    []uint64
@@ -28,7 +28,7 @@
 // Scene is what happens in a run.
 type Scene struct {
 	Name string
-	Acts []model.Act
+	Acts []simulation.ScriptedAction
 }
 
 // Axis is a parameter with the values that are tried.
@@ -78,7 +78,7 @@
 	if head != "experiment" || len(args) < 1 {
 		return nil, n.Errorf("expected (experiment NAME ...)")
 	}
-	e := &Experiment{World: model.Galway(), Source: source}
+	e := &Experiment{World: simulation.ReferenceWorld(), Source: source}
 	if e.Name, err = args[0].Value(); err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		}
 	}
 	if len(e.Policies) == 0 {
-		e.Policies = model.Policies[:1]
+		e.Policies = simulation.Policies[:1]
 	}
 	if len(e.Scenes) == 0 {
 		e.Scenes = []Scene{{Name: "calm"}}
@@ -101,7 +101,7 @@
 			return nil, n.Errorf("the claim %s is of a scene that is not there", c)
 		}
 		for _, p := range []string{c.Policy, c.Against} {
-			if p != "" && !slices.ContainsFunc(e.Policies, func(x model.Policy) bool { return x.Name == p }) {
+			if p != "" && !slices.ContainsFunc(e.Policies, func(x simulation.Policy) bool { return x.Name == p }) {
 				return nil, n.Errorf("the claim %s is of policy %s, which is not tried", c, p)
 			}
 		}
@@ -148,10 +148,10 @@
 			if err != nil {
 				return err
 			}
-			p, ok := model.FindPolicy(name)
+			p, ok := simulation.FindPolicy(name)
 			if !ok {
 				var known []string
-				for _, p := range model.Policies {
+				for _, p := range simulation.Policies {
 					known = append(known, p.Name)
 				}
 				return a.Errorf("there is no policy %q; expected one of %s", name, strings.Join(known, ", "))
@@ -167,7 +167,7 @@
 			return err
 		}
 		for _, a := range args[1:] {
-			act, err := model.ParseAct(a)
+			act, err := simulation.ParseScriptedAction(a)
 			if err != nil {
 				return err
 			}
@@ -262,7 +262,7 @@
 // Cell is a scene with a choice of the matrix.
 type Cell struct {
 	Scene  Scene
-	World  model.World
+	World  simulation.World
 	Values []string // of the axes, in their order
 	axes   []Axis
 }
@@ -300,7 +300,7 @@
 // Run is one run: a cell, a policy and a seed.
 type Run struct {
 	Cell   Cell
-	Policy model.Policy
+	Policy simulation.Policy
 	Seed   uint64
 }
 
--- a/internal/lab/golden_test.go
+++ b/internal/lab/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 
 	"lockroad/internal/golden"
-	"lockroad/internal/model"
+	"lockroad/internal/simulation"
 )
 
 // fixedResults have a figure of its own in every column.
@@ -38,10 +38,10 @@
 
 // The columns stand for the fields of a result that they have stood for.
 func TestFiguresOfAResultAreStable(t *testing.T) {
-	r := &model.Result{G: 1, Service: 2, Worst10: 3, Attempts: 4, Refused: 50, GaveUp: 60, Moves: 70, Silent: 80, Broken: 90, Crossed: 100, Late: 11, Tipped: 12,
+	r := &simulation.Result{G: 1, Service: 2, Worst10: 3, Attempts: 4, Refused: 50, GaveUp: 60, Moves: 70, Silent: 80, Broken: 90, Crossed: 100, Late: 11, Tipped: 12,
 		Spread: 13, GroupsPer: 14, Recovery: 15, Clients: 10, Standing: 16, Probes: 170, FoundIn: 18, Alarms: 19, Events: 20, Took: 21}
-	for i, c := range model.Galway().Classes {
-		r.Classes = append(r.Classes, model.ClassResult{Name: c.Name, Service: 30 + float64(i), InAim: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
+	for i, c := range simulation.ReferenceWorld().Classes {
+		r.Classes = append(r.Classes, simulation.ClassResult{Name: c.Name, Service: 30 + float64(i), InAim: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
 	}
 	var b strings.Builder
 	for i, v := range figures(r) {
@@ -53,8 +53,8 @@
 // The words that experiments are written in.
 func TestExperimentVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "metrics: %s\nparameters: %s\n", strings.Join(Metrics, " "), strings.Join(model.Parameters(), " "))
-	for _, p := range model.Policies {
+	fmt.Fprintf(&b, "metrics: %s\nparameters: %s\n", strings.Join(Metrics, " "), strings.Join(simulation.Parameters(), " "))
+	for _, p := range simulation.Policies {
 		fmt.Fprintf(&b, "policy %s\n", p.Name)
 	}
 	for _, act := range []string{"(hang 1 1s)", "(slow 1 2 1s)", "(drain 1)", "(restart 1 1s)", "(add 1)", "(drop 10)", "(list-behind 1s 2s)", "(relay-restart 1 1s)", "(surge 2 1s)", "(explode)"} {
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/model"
+	"lockroad/internal/simulation"
 )
 
 const small = `(experiment "small"
@@ -120,10 +120,10 @@
 
 // Each class's service stands in its own column, and they are those of the run.
 func TestServiceIsToldByClass(t *testing.T) {
-	w := model.Galway()
+	w := simulation.ReferenceWorld()
 	w.For = 5 * time.Second
-	p, _ := model.FindPolicy("module")
-	r := model.New(w, nil, p, 3).Run(nil)
+	p, _ := simulation.FindPolicy("module")
+	r := simulation.New(w, nil, p, 3).Run(nil)
 	row := Row{Figures: figures(r)}
 	if len(row.Figures) != len(Metrics) || len(r.Classes) != 4 {
 		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Figures), len(Metrics), len(r.Classes))
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"lockroad/internal/model"
+	"lockroad/internal/simulation"
 )
 
 // Plots are the kinds of plots.
@@ -72,10 +72,10 @@
 	if kind != "recovery" && kind != "service" {
 		policies = policies[:1]
 	}
-	var marks []model.Mark
+	var marks []simulation.Annotation
 	top := 1.0
 	for i, policy := range policies {
-		result := model.New(c.World, slices.Clone(c.Scene.Acts), policy, e.Seeds[0]).Run(nil)
+		result := simulation.New(c.World, slices.Clone(c.Scene.Acts), policy, e.Seeds[0]).Run(nil)
 		marks = result.Marks
 		from := 0.0
 		if kind == "recovery" && len(marks) > 0 {
--- a/internal/lab/results.go
+++ b/internal/lab/results.go
@@ -15,7 +15,7 @@
 	"sync"
 	"text/tabwriter"
 
-	"lockroad/internal/model"
+	"lockroad/internal/simulation"
 )
 
 // Metrics are the figures of a run, in the order of their columns: at the end the service
@@ -25,14 +25,14 @@
 
 // byClass are the metrics of the classes, in their order.
 func byClass() (names []string) {
-	for _, c := range model.Galway().Classes { // no experiment has others
+	for _, c := range simulation.ReferenceWorld().Classes { // no experiment has others
 		names = append(names, c.Name, c.Name+"-in-aim")
 	}
 	return names
 }
 
 // figures are the metrics of a result; refused to crossed are per client.
-func figures(r *model.Result) []float64 {
+func figures(r *simulation.Result) []float64 {
 	per := func(n int) float64 { return float64(n) / float64(max(1, r.Clients)) }
 	worst, p50, p99 := 1.0, 0.0, 0.0
 	for _, c := range r.Classes {
@@ -173,7 +173,7 @@
 	for range max(1, workers) {
 		all.Go(func() {
 			for r := range next {
-				result := model.New(r.Cell.World, slices.Clone(r.Cell.Scene.Acts), r.Policy, r.Seed).Run(nil)
+				result := simulation.New(r.Cell.World, slices.Clone(r.Cell.Scene.Acts), r.Policy, r.Seed).Run(nil)
 				row := Row{Where: r.Cell.Where(), Policy: r.Policy.Name, Seed: r.Seed, Figures: figures(result)}
 				mu.Lock()
 				have.Rows = append(have.Rows, row)
--- a/internal/model/account.go
+++ b/internal/simulation/account.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"math"
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Mark is something that happened, for plots.
-type Mark struct {
+// Annotation is something that happened, for plots.
+type Annotation struct {
 	At   time.Duration // since the start
 	What string
 }
@@ -53,8 +53,8 @@
 	Took      float64       `json:"took_s"`
 	Standing  int           `json:"standing"` // at the end
 
-	Seconds []Second `json:"-"`
-	Marks   []Mark   `json:"-"`
+	Seconds []Second     `json:"-"`
+	Marks   []Annotation `json:"-"`
 }
 
 // Second is a second of a run.
@@ -77,7 +77,7 @@
 	inAim       []int
 	stood       []int
 	setUps      []*hdrhistogram.Histogram
-	marks       []Mark
+	marks       []Annotation
 
 	seconds  []Second
 	now      Second
@@ -217,7 +217,7 @@
 
 // recovery is how long after the first mark service is at 95% of what it was in the 5 s
 // before it, for 3 s on end; 0 if it never fell below.
-func recovery(seconds []Second, marks []Mark) float64 {
+func recovery(seconds []Second, marks []Annotation) float64 {
 	if len(marks) == 0 {
 		return 0
 	}
--- a/internal/model/model_test.go
+++ b/internal/simulation/model_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -17,15 +17,15 @@
 func act(t interface {
 	Helper()
 	Fatal(...any)
-}, text string) []Act {
+}, text string) []ScriptedAction {
 	t.Helper()
 	nodes, err := sexp.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var acts []Act
+	var acts []ScriptedAction
 	for _, n := range nodes {
-		a, err := ParseAct(n)
+		a, err := ParseScriptedAction(n)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	acts := act(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
 	for _, p := range Policies {
 		run := func(seed uint64) *Result {
-			r := New(Galway(), acts, p, seed).Run(nil)
+			r := New(ReferenceWorld(), acts, p, seed).Run(nil)
 			r.Took = 0
 			return r
 		}
@@ -126,7 +126,7 @@
 // the rule.
 func TestRandomDaysStayWhole(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := Galway()
+		w := ReferenceWorld()
 		w.Servers, w.Relays, w.For = rapid.IntRange(1, 20).Draw(rt, "servers"), rapid.IntRange(1, 5).Draw(rt, "relays"), 12*time.Second
 		w.Rate, w.Standing = float64(rapid.IntRange(0, 20).Draw(rt, "rate")), rapid.IntRange(0, 200).Draw(rt, "standing")
 		w.Life = time.Duration(rapid.IntRange(1, 30).Draw(rt, "life")) * time.Second
@@ -170,7 +170,7 @@
 func TestModelBehavesAsThePagesSay(t *testing.T) {
 	mean := func(acts, p string, change func(*World)) (service, attempts float64, r *Result) {
 		for seed := range uint64(5) {
-			w := Galway()
+			w := ReferenceWorld()
 			if change != nil {
 				change(&w)
 			}
@@ -209,7 +209,7 @@
 // stays whole.
 func TestProbedRelaysFindOut(t *testing.T) {
 	day := func(probed bool, loss float64, acts string) *Result {
-		w := Galway()
+		w := ReferenceWorld()
 		w.Probed, w.ProbeLoss = probed, loss
 		if err := w.Validate(); err != nil {
 			t.Fatal(err)
@@ -242,7 +242,7 @@
 // The baselines keep their published rules.
 func TestBaselinesChooseAsTheyShould(t *testing.T) {
 	ask := func(name string, n int, group uint64) map[balancer.EndpointID]int {
-		s := New(Galway(), nil, policy(name), 1)
+		s := New(ReferenceWorld(), nil, policy(name), 1)
 		got := make(map[balancer.EndpointID]int)
 		for i := range n {
 			id := balancer.RequestID(9000 + i)
@@ -278,13 +278,13 @@
 		"for 0s": func(w *World) { w.For = 0 }, "no classes": func(w *World) { w.Classes = nil }, "groups 0": func(w *World) { w.Groups = 0 },
 		"cold-share 2": func(w *World) { w.ColdShare = 2 }, "swing 1": func(w *World) { w.Swing = 1 }, "zones 0": func(w *World) { w.Zones = 0 },
 	} {
-		w := Galway()
+		w := ReferenceWorld()
 		change(&w)
 		if err := w.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
 		}
 	}
-	w := Galway()
+	w := ReferenceWorld()
 	if err := w.Validate(); err != nil {
 		t.Error(err)
 	}
@@ -294,7 +294,7 @@
 	} {
 		nodes, err := sexp.Parse(text)
 		if err == nil {
-			_, err = ParseAct(nodes[0])
+			_, err = ParseScriptedAction(nodes[0])
 		}
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %s", text, err, want)
@@ -314,7 +314,7 @@
 	}{{1, 4}, {10, 16}, {154, 64}} {
 		b.Run(fmt.Sprintf("servers=%d", int(13*size.by)), func(b *testing.B) {
 			for range b.N {
-				w := Galway().Scaled(size.by, size.relays)
+				w := ReferenceWorld().Scaled(size.by, size.relays)
 				w.For = 20 * time.Second
 				r := New(w, nil, policy("module"), 1).Run(nil)
 				b.ReportMetric(w.For.Seconds()/r.Took, "times-real")
--- a/internal/model/policies.go
+++ b/internal/simulation/policies.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"cmp"
--- a/internal/model/right_test.go
+++ b/internal/simulation/right_test.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 // queueWorld is a world with one server and one relay that is nothing but a queue of
 // set-ups: no loads, no delays, no retries.
 func queueWorld(cores int, perSecond float64, setUp time.Duration) World {
-	w := Galway()
+	w := ReferenceWorld()
 	w.Servers, w.Relays, w.Zones, w.Standing, w.Slow = 1, 1, 1, 0, 0
 	w.Rate, w.Swing, w.For = perSecond, 0, 400*time.Second
 	w.Speed, w.PerCore, w.Cores, w.GroupCost = [2]float64{1, 1}, 1e9, cores, 0
@@ -54,7 +54,7 @@
 // A message at a server takes its time over what is left of the server: S/(1-rho), as in
 // a queue that shares its server (M/G/1-PS), whatever the distribution of the work.
 func TestMessagesTakeAsLongAsInMG1PS(t *testing.T) {
-	w := Galway()
+	w := ReferenceWorld()
 	s := New(w, nil, policy("random"), 1)
 	for _, v := range s.servers {
 		for _, rho := range []float64{0, 0.3, 0.6, 0.9} {
@@ -70,7 +70,7 @@
 // M/G/infinity. Their number is Poisson with mean arrivals times life, whatever the
 // distribution of lives; and Little's law holds: mean number is rate times mean stay.
 func TestStandingConnectionsKeepLittlesLaw(t *testing.T) {
-	w := Galway()
+	w := ReferenceWorld()
 	w.For, w.Standing, w.Swing, w.Servers = 600*time.Second, 0, 0, 60
 	s := New(w, nil, policy("oracle"), 5)
 	r := s.Run(nil)
@@ -88,7 +88,7 @@
 // Every client that came has left, or is there: visits end once.
 func TestEachVisitEndsOnce(t *testing.T) {
 	for _, p := range Policies {
-		s := New(Galway(), act(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
+		s := New(ReferenceWorld(), act(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
 		s.Run(nil)
 		there := 0
 		for i := range s.clients {
@@ -107,7 +107,7 @@
 }
 
 // digest is a hash of all events of a run, in order.
-func digest(w World, acts []Act, p Policy, seed uint64) uint64 {
+func digest(w World, acts []ScriptedAction, p Policy, seed uint64) uint64 {
 	s := New(w, acts, p, seed)
 	h := fnv.New64a()
 	for len(s.events) > 0 {
@@ -125,7 +125,7 @@
 func TestSameSeedSameDigestOfAllEvents(t *testing.T) {
 	for _, p := range Policies {
 		acts := act(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
-		if x, y := digest(Galway(), acts, p, 7), digest(Galway(), acts, p, 7); x != y {
+		if x, y := digest(ReferenceWorld(), acts, p, 7), digest(ReferenceWorld(), acts, p, 7); x != y {
 			t.Errorf("%s: %x, and again %x", p.Name, x, y)
 		}
 	}
@@ -136,7 +136,7 @@
 func TestPoliciesComeInTheirOrder(t *testing.T) {
 	g := func(name string) (sum float64) {
 		for seed := range uint64(12) {
-			sum += New(Galway(), nil, policy(name), seed).Run(nil).G / 12
+			sum += New(ReferenceWorld(), nil, policy(name), seed).Run(nil).G / 12
 		}
 		return sum
 	}
--- a/internal/model/scenes.go
+++ b/internal/simulation/scenes.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 	"lockroad/internal/sexp"
 )
 
-// Act is something that happens to a world.
-type Act struct {
+// ScriptedAction is something that happens to a world.
+type ScriptedAction struct {
 	At     time.Duration
 	Kind   string // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
 	Count  int    // of servers, or relays, that it happens to; they are drawn
@@ -24,7 +24,7 @@
 }
 
 // String writes the act as it is read.
-func (a Act) String() string {
+func (a ScriptedAction) String() string {
 	switch a.Kind {
 	case "hang":
 		return fmt.Sprintf("(at %v (hang %d %v))", a.At, a.Count, a.For)
@@ -50,10 +50,10 @@
 	"hang": "N T", "slow": "N X T", "drain": "N", "restart": "N T", "drop": "P", "list-behind": "D T", "relay-restart": "N T", "surge": "X T", "add": "N",
 }
 
-// ParseAct reads (at TIME (ACT ...)): of the servers that are drawn, hang N TIME, slow N
+// ParseScriptedAction reads (at TIME (ACT ...)): of the servers that are drawn, hang N TIME, slow N
 // FACTOR TIME, drain N, restart N TIME, add N; relay-restart N TIME; of the clients, drop
 // PERCENT, surge FACTOR TIME; and list-behind BY TIME. Errors name line and column.
-func ParseAct(n *sexp.Node) (a Act, err error) {
+func ParseScriptedAction(n *sexp.Node) (a ScriptedAction, err error) {
 	head, args, err := n.Head()
 	if err != nil {
 		return a, err
@@ -116,8 +116,8 @@
 }
 
 // perform begins an act.
-func (s *Sim) perform(a Act) {
-	s.account.marks = append(s.account.marks, Mark{s.now - base, a.String()})
+func (s *Sim) perform(a ScriptedAction) {
+	s.account.marks = append(s.account.marks, Annotation{s.now - base, a.String()})
 	later := func(x int, kind eventKind) { s.after(a.For, event{kind: kind, x: uint32(x)}) }
 	switch a.Kind {
 	case "hang":
@@ -160,13 +160,13 @@
 		}
 	case "list-behind":
 		s.late += time.Duration(a.Factor)
-		s.acts = append(s.acts, Act{Kind: "list-again", Factor: a.Factor})
+		s.acts = append(s.acts, ScriptedAction{Kind: "list-again", Factor: a.Factor})
 		s.after(a.For, event{kind: evScene, x: uint32(len(s.acts) - 1)})
 	case "list-again":
 		s.late -= time.Duration(a.Factor)
 	case "surge":
 		s.Rate *= a.Factor
-		s.acts = append(s.acts, Act{Kind: "surge-over", Factor: a.Factor})
+		s.acts = append(s.acts, ScriptedAction{Kind: "surge-over", Factor: a.Factor})
 		s.after(a.For, event{kind: evScene, x: uint32(len(s.acts) - 1)})
 	case "surge-over":
 		s.Rate /= a.Factor
--- a/internal/model/sim.go
+++ b/internal/simulation/sim.go
@@ -1,4 +1,4 @@
-package model
+package simulation
 
 import (
 	"math"
@@ -185,7 +185,7 @@
 	free    []uint32
 	servers []*server
 	relays  []*relay
-	acts    []Act
+	acts    []ScriptedAction
 	make    func(s *Sim, relay int) Decider
 	late    time.Duration // that the list is behind besides
 	account account
@@ -205,7 +205,7 @@
 
 // New returns a world at its start, with what happens in it. The world has been
 // validated.
-func New(w World, acts []Act, p Policy, seed uint64) *Sim {
+func New(w World, acts []ScriptedAction, p Policy, seed uint64) *Sim {
 	s := &Sim{World: w, now: base - warmUp, rng: rand.New(rand.NewPCG(seed, 1)), acts: acts, make: p.Make, present: make([]int, len(w.Classes)), end: base + w.For}
 	s.account.start(s)
 	for _, c := range w.Classes {
--- a/internal/model/world.go
+++ b/internal/simulation/world.go
@@ -5,7 +5,7 @@
 //
 // It is a discrete-event simulation, deterministic by its seed. It is written from the
 // operators' public pages: what is not told there is a parameter of a World.
-package model
+package simulation
 
 import (
 	"errors"
@@ -90,9 +90,9 @@
 	MovePrice float64 // points of service lost if each client is moved once, of 1
 }
 
-// Galway is the operators' deployment as their pages have it: 13 servers, 4 relays in 4
+// ReferenceWorld is the operators' deployment as their pages have it: 13 servers, 4 relays in 4
 // halls, some 2.2 new connections a second.
-func Galway() World {
+func ReferenceWorld() World {
 	ms := time.Millisecond
 	return World{
 		Servers: 13, Relays: 4, Zones: 4, Rate: 2.2, Swing: 0.28, Period: 25 * time.Second, For: 50 * time.Second, Standing: 80,
