--- a/cmd/locklab/main.go
+++ b/cmd/simulate/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"lockroad/internal/lab"
+	"lockroad/internal/experiment"
 	"lockroad/internal/simulation"
 )
 
@@ -63,12 +63,12 @@
 	return 0
 }
 
-func read(path string) (*lab.Experiment, error) {
+func read(path string) (*experiment.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	e, err := lab.Parse(string(text))
+	e, err := experiment.Parse(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -111,7 +111,7 @@
 		workers = runtime.GOMAXPROCS(0)
 	}
 	last := time.Now()
-	r, err := lab.Do(e, out, workers, func(done, all int) {
+	r, err := experiment.Execute(e, out, workers, func(done, all int) {
 		if !c.Quiet && (time.Since(last) > time.Second || done == all) {
 			last = time.Now()
 			fmt.Fprintf(s.errs, "%d of %d runs\n", done, all)
@@ -147,7 +147,7 @@
 
 // Run tells them.
 func (c *reportCommand) Run(s streams) error {
-	r, err := lab.Read(c.Results)
+	r, err := experiment.Read(c.Results)
 	if err != nil {
 		return err
 	}
@@ -166,18 +166,18 @@
 
 // Run compares them.
 func (c *compareCommand) Run(s streams) error {
-	a, err := lab.Read(c.A)
+	a, err := experiment.Read(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := lab.Read(c.B)
+	b, err := experiment.Read(c.B)
 	if err != nil {
 		return err
 	}
 	if len(c.Metrics) == 0 {
 		c.Metrics = usual
 	}
-	return lab.Compare(s.out, a, b, c.Metrics)
+	return experiment.Compare(s.out, a, b, c.Metrics)
 }
 
 // plotCommand draws.
@@ -191,21 +191,21 @@
 // Run draws it.
 func (c *plotCommand) Run(_ streams) error {
 	if c.Kind == "size" {
-		r, err := lab.Read(c.From)
+		r, err := experiment.Read(c.From)
 		if err != nil {
 			return err
 		}
-		e, err := lab.Parse(r.Source)
+		e, err := experiment.Parse(r.Source)
 		if err != nil {
 			return err
 		}
-		return lab.Plot(e, r, c.Kind, "", c.Out)
+		return experiment.Plot(e, r, c.Kind, "", c.Out)
 	}
 	e, err := read(c.From)
 	if err != nil {
 		return err
 	}
-	return lab.Plot(e, nil, c.Kind, c.Scene, c.Out)
+	return experiment.Plot(e, nil, c.Kind, c.Scene, c.Out)
 }
 
 // listCommand lists experiments.
@@ -230,6 +230,6 @@
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", f, e.Name, len(e.Scenes), len(e.Policies), len(e.Runs()), len(e.Claims))
 	}
 	t.Flush()
-	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.Parameters(), " VALUE) ("), strings.Join(lab.Metrics, " "))
+	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.Parameters(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
 	return nil
 }
--- a/internal/lab/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,7 +1,7 @@
 // Package lab runs experiments on the model: a world, scenes, policies, a matrix of
 // parameters, seeds, and claims to check. Runs go in parallel, go on after a cut, and
 // leave a file of results that has their exact inputs.
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -18,15 +18,15 @@
 	Name     string
 	World    simulation.World
 	Policies []simulation.Policy
-	Scenes   []Scene
+	Scenes   []Scenario
 	Axes     []Axis
 	Seeds    []uint64
 	Claims   []Claim
 	Source   string // as it was read
 }
 
-// Scene is what happens in a run.
-type Scene struct {
+// Scenario is what happens in a run.
+type Scenario struct {
 	Name string
 	Acts []simulation.ScriptedAction
 }
@@ -91,13 +91,13 @@
 		e.Policies = simulation.Policies[:1]
 	}
 	if len(e.Scenes) == 0 {
-		e.Scenes = []Scene{{Name: "calm"}}
+		e.Scenes = []Scenario{{Name: "calm"}}
 	}
 	if len(e.Seeds) == 0 {
 		e.seeds(10)
 	}
 	for _, c := range e.Claims {
-		if c.Scene != "" && !slices.ContainsFunc(e.Scenes, func(s Scene) bool { return s.Name == c.Scene }) {
+		if c.Scene != "" && !slices.ContainsFunc(e.Scenes, func(s Scenario) bool { return s.Name == c.Scene }) {
 			return nil, n.Errorf("the claim %s is of a scene that is not there", c)
 		}
 		for _, p := range []string{c.Policy, c.Against} {
@@ -162,7 +162,7 @@
 		if len(args) == 0 {
 			return n.Errorf("a scene wants a name")
 		}
-		s := Scene{}
+		s := Scenario{}
 		if s.Name, err = args[0].Value(); err != nil {
 			return err
 		}
@@ -261,7 +261,7 @@
 
 // Cell is a scene with a choice of the matrix.
 type Cell struct {
-	Scene  Scene
+	Scene  Scenario
 	World  simulation.World
 	Values []string // of the axes, in their order
 	axes   []Axis
--- a/internal/lab/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -75,7 +75,7 @@
 	e := experiment(t, small)
 	folder := t.TempDir()
 	whole := filepath.Join(folder, "whole.csv")
-	r, err := Do(e, whole, 4, nil)
+	r, err := Execute(e, whole, 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		ran := 0
-		again, err := Do(e, path, 3, func(int, int) { ran++ })
+		again, err := Execute(e, path, 3, func(int, int) { ran++ })
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
@@ -113,7 +113,7 @@
 			t.Errorf("cut at %d: the file holds %v, %v", cut, kept, err)
 		}
 	}
-	if _, err := Do(experiment(t, strings.Replace(small, "(rate 3)", "(rate 4)", 1)), whole, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
+	if _, err := Execute(experiment(t, strings.Replace(small, "(rate 3)", "(rate 4)", 1)), whole, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
 		t.Errorf("results of another experiment: %v", err)
 	}
 }
@@ -138,12 +138,12 @@
 func TestComparisonIsPaired(t *testing.T) {
 	e := experiment(t, small)
 	folder := t.TempDir()
-	a, err := Do(e, filepath.Join(folder, "a.csv"), 4, nil)
+	a, err := Execute(e, filepath.Join(folder, "a.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	slower := experiment(t, strings.Replace(small, "(for 8s)", "(for 8s) (cross 200ms)", 1))
-	b, err := Do(slower, filepath.Join(folder, "b.csv"), 4, nil)
+	b, err := Execute(slower, filepath.Join(folder, "b.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,7 +169,7 @@
 
 func TestPlotsAreDrawn(t *testing.T) {
 	e := experiment(t, small)
-	r, err := Do(e, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
+	r, err := Execute(e, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/plot.go
+++ b/internal/experiment/plot.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/results.go
+++ b/internal/experiment/results.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bytes"
@@ -125,10 +125,10 @@
 	}
 }
 
-// Do carries an experiment out and appends to a file of results what is not there yet,
+// Execute carries an experiment out and appends to a file of results what is not there yet,
 // workers runs at a time. progress is told how many are done. A file of another
 // experiment is refused.
-func Do(e *Experiment, path string, workers int, progress func(done, all int)) (*Results, error) {
+func Execute(e *Experiment, path string, workers int, progress func(done, all int)) (*Results, error) {
 	have := &Results{Source: e.Source}
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
