--- a/cmd/wirehost/main.go
+++ b/cmd/sim-adapter/main.go
@@ -10,7 +10,7 @@
 	"os"
 
 	"lockroad/balancer"
-	"lockroad/internal/wire"
+	"lockroad/internal/simprotocol"
 )
 
 func main() {
@@ -22,9 +22,9 @@
 
 // serve answers batches until the input ends.
 func serve(r io.Reader, w io.Writer) error {
-	in := wire.NewReader(bufio.NewReaderSize(r, 1<<16))
+	in := simprotocol.NewReader(bufio.NewReaderSize(r, 1<<16))
 	instances := make(map[uint32]*balancer.Balancer)
-	var reply wire.Reply
+	var reply simprotocol.Reply
 	for {
 		batch, err := in.Next()
 		if errors.Is(err, io.EOF) {
@@ -44,7 +44,7 @@
 }
 
 // answer hands the records of a batch to their instances.
-func answer(batch *wire.Batch, instances map[uint32]*balancer.Balancer, reply *wire.Reply) error {
+func answer(batch *simprotocol.Batch, instances map[uint32]*balancer.Balancer, reply *simprotocol.Reply) error {
 	for {
 		rec, err := batch.Next()
 		if errors.Is(err, io.EOF) {
@@ -54,9 +54,9 @@
 			return err
 		}
 		switch body := rec.Body.(type) {
-		case wire.Attach:
+		case simprotocol.Attach:
 			instances[rec.Instance] = balancer.New(body.Settings, body.Seed)
-		case wire.Retire:
+		case simprotocol.Retire:
 			delete(instances, rec.Instance)
 		case balancer.Event:
 			b := instances[rec.Instance]
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -12,7 +12,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/discovery"
-	"lockroad/internal/wire"
+	"lockroad/internal/simprotocol"
 )
 
 // Config is what a relay is told at its start.
@@ -88,7 +88,7 @@
 	if raw.Admin != "" {
 		f.address("admin_addr", raw.Admin)
 	}
-	set, err := wire.ParseSettings(raw.Settings)
+	set, err := simprotocol.ParseSettings(raw.Settings)
 	if err != nil {
 		f.settings(err)
 		return nil
@@ -104,7 +104,7 @@
 		return nil
 	}
 	// On sockets an unavailable answer always has room for when to come back.
-	if set.MaxRetryAfter, err = wire.Span(names.Limits.MaxRetryAfterUs); err != nil {
+	if set.MaxRetryAfter, err = simprotocol.Span(names.Limits.MaxRetryAfterUs); err != nil {
 		f.add("settings.Limits.MaxRetryAfterUs", "%v", err)
 		return nil
 	}
@@ -135,7 +135,7 @@
 
 // settings adds what is wrong with the settings, each under its own key.
 func (f *finder) settings(err error) {
-	var keys wire.KeyErrors
+	var keys simprotocol.KeyErrors
 	if !errors.As(err, &keys) {
 		f.add("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
 	}
--- a/internal/wire/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,6 +1,6 @@
 // Package wire speaks the simulator's wire for many relays at once: it reads
 // batches of events, and writes the replies. It decides nothing.
-package wire
+package simprotocol
 
 import (
 	"bytes"
--- a/internal/wire/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"encoding/json"
