--- a/balancer/encoding_test.go
+++ b/balancer/encoding_test.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"lockroad/balancer"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // wholeMemory is a Memory with every field set.
@@ -36,10 +36,10 @@
 
 // What a balancer has learnt goes to a relay's next process as JSON.
 func TestMemoryKeepsItsJSONEncoding(t *testing.T) {
-	steps.Complete(t, wholeMemory())
-	steps.GoldenJSON(t, "testdata/memory.json", wholeMemory())
-	steps.GoldenJSON(t, "testdata/memory-zero.json", balancer.Snapshot{})
-	steps.GoldenJSON(t, "testdata/memory-zero-elements.json", balancer.Snapshot{
+	testutil.Complete(t, wholeMemory())
+	testutil.GoldenJSON(t, "testdata/memory.json", wholeMemory())
+	testutil.GoldenJSON(t, "testdata/memory-zero.json", balancer.Snapshot{})
+	testutil.GoldenJSON(t, "testdata/memory-zero-elements.json", balancer.Snapshot{
 		Endpoints: make([]balancer.EndpointSnapshot, 1), Routes: make([]balancer.RouteSnapshot, 1)})
 }
 
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		var decoded balancer.Snapshot
-		if err := cbor.Unmarshal(steps.Golden(t, path, body), &decoded); err != nil {
+		if err := cbor.Unmarshal(testutil.Golden(t, path, body), &decoded); err != nil {
 			t.Fatalf("%s: %v", path, err)
 		}
 		if !reflect.DeepEqual(decoded, memory) {
@@ -62,5 +62,5 @@
 
 // A field that has no name in its tags would change both encodings when it is renamed.
 func TestMemoryFieldsAreTagged(t *testing.T) {
-	steps.Tagged(t, []string{"json", "cbor"}, balancer.Snapshot{})
+	testutil.Tagged(t, []string{"json", "cbor"}, balancer.Snapshot{})
 }
--- a/cmd/lockroad/builds_test.go
+++ b/cmd/lockroad/builds_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"lockroad/internal/fake"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // olderBuild names the environment variable that has the path of an older build; without it the upgrades
@@ -113,13 +113,13 @@
 		p := s.start(operator)
 		p.ready()
 		s.crowdOf(60, short, 3)
-		steps.Until(t, "few come", func() bool { return len(s.site.Log.Sessions()) > 60 })
+		testutil.Until(t, "few come", func() bool { return len(s.site.Log.Sessions()) > 60 })
 		s.left()
 		before := s.routes(time.Time{})
 		next := s.handOver(p, to, operator, socket, "no order")
 		upgraded := time.Now()
 		s.crowdOf(60, short, 4)
-		steps.Until(t, "few come again", func() bool { return len(s.site.Log.Sessions()) > 120 })
+		testutil.Until(t, "few come again", func() bool { return len(s.site.Log.Sessions()) > 120 })
 		s.left()
 		same, other := 0, 0
 		for group, server := range s.routes(upgraded) {
--- a/cmd/lockroad/figures_test.go
+++ b/cmd/lockroad/figures_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"lockroad/internal/fake"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // opens begins a transaction and returns its connection, and the first line of the answer; "" if
@@ -51,7 +51,7 @@
 		{"a client that goes before its answer", func() {
 			all(fake.ModeHang)
 			c, _ := s.opens("a1", "page", false)
-			steps.Until(t, "it is not taken", func() bool { return p.figures()["active"] == 1 && len(s.site.Log.Attempts()) == 1 })
+			testutil.Until(t, "it is not taken", func() bool { return p.figures()["active"] == 1 && len(s.site.Log.Attempts()) == 1 })
 			c.Close()
 		}, nil},
 		{"one that is served and leaves", func() {
@@ -94,7 +94,7 @@
 		{"the same, once the class has come by SIGHUP", func() {
 			s.write(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
 			_ = p.Process.Signal(syscall.SIGHUP)
-			steps.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 1 })
+			testutil.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 1 })
 			c, _ := s.opens("f1", "extra", true)
 			c.CloseWrite()
 			_, _ = io.Copy(io.Discard, c)
@@ -103,7 +103,7 @@
 			c, _ := s.opens("g1", "extra", true)
 			s.write(serviceClasses)
 			_ = p.Process.Signal(syscall.SIGHUP)
-			steps.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
+			testutil.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
 			if n := p.figures()["active"]; n != 1 {
 				t.Errorf("active is %d", n)
 			}
@@ -125,7 +125,7 @@
 	} {
 		before, tries := p.figures(), len(s.site.Log.Attempts())
 		c.do()
-		steps.Until(t, c.name+": it is still active", func() bool { return p.figures()["active"] == 0 })
+		testutil.Until(t, c.name+": it is still active", func() bool { return p.figures()["active"] == 0 })
 		after := p.figures()
 		for _, pool := range []string{"pool_size", "pool_ejected", "active"} {
 			delete(after, pool)
--- a/cmd/lockroad/keep_test.go
+++ b/cmd/lockroad/keep_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"lockroad/internal/fake"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // kept is a service whose relay has a console, and a store.
@@ -36,7 +36,7 @@
 	p = s.start(env)
 	p.ready()
 	s.crowd(60)
-	steps.Until(t, "no pass comes to s-1", func() bool { return s.passesAt("s-1", time.Time{}) > 3 })
+	testutil.Until(t, "no pass comes to s-1", func() bool { return s.passesAt("s-1", time.Time{}) > 3 })
 	return s, p, socket, env
 }
 
@@ -44,7 +44,7 @@
 func says(t *testing.T, socket, words string, want ...string) string {
 	t.Helper()
 	var out, errs string
-	steps.Until(t, "the console does not answer", func() bool {
+	testutil.Until(t, "the console does not answer", func() bool {
 		var code int
 		code, out, errs = command(append([]string{"console", "--socket", socket}, strings.Fields(words)...)...)
 		return code != 3
@@ -79,7 +79,7 @@
 	ordered := time.Now()
 	says(t, socket, "orders", "s-1", `"new strings"`)
 	says(t, socket, "farm", "draining, as ordered")
-	steps.Until(t, "someone is left at s-1", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1     0 ") })
+	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1     0 ") })
 	s.left()
 	p.kill()
 	p = s.start(env)
@@ -102,10 +102,10 @@
 	if n := s.passesAt("s-1", ordered.Add(50*time.Millisecond)); n > 0 {
 		t.Errorf("%d passes came to s-1 after the order", n)
 	}
-	steps.Until(t, "the new process has no store", func() bool { return strings.Contains(says(t, socket, "store"), "all is well") })
+	testutil.Until(t, "the new process has no store", func() bool { return strings.Contains(says(t, socket, "store"), "all is well") })
 	says(t, socket, "undrain s-1", "as the list has it again", "outlasts a restart")
 	again := time.Now()
-	steps.Until(t, "no pass comes to s-1 again", func() bool { return s.passesAt("s-1", again) > 0 })
+	testutil.Until(t, "no pass comes to s-1 again", func() bool { return s.passesAt("s-1", again) > 0 })
 	s.left()
 	next.kill()
 	last := s.start(env)
@@ -144,7 +144,7 @@
 	says(t, socket, "store", "nothing is kept", "0000000000000001.log is damaged at byte 0")
 	says(t, socket, "drain s-2 for 300ms", "s-2 drains", "does not outlast a restart")
 	says(t, socket, "orders", "s-2")
-	steps.Until(t, "the order does not expire", func() bool { return strings.Contains(says(t, socket, "orders"), "no order") })
+	testutil.Until(t, "the order does not expire", func() bool { return strings.Contains(says(t, socket, "orders"), "no order") })
 	p.leave()
 }
 
@@ -156,7 +156,7 @@
 	p := s.start(env)
 	p.ready()
 	s.crowdOf(60, []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}, 3)
-	steps.Until(t, "nothing is learnt", func() bool {
+	testutil.Until(t, "nothing is learnt", func() bool {
 		return strings.Contains(strings.Join(strings.Fields(says(t, socket, "store")), " "), "learnt 1 kept")
 	})
 	s.left()
@@ -175,7 +175,7 @@
 	p.ready()
 	killed := time.Now()
 	s.crowdOf(60, []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}, 4)
-	steps.Until(t, "nobody comes", func() bool { return len(s.site.Log.Sessions()) > len(group)+40 })
+	testutil.Until(t, "nobody comes", func() bool { return len(s.site.Log.Sessions()) > len(group)+40 })
 	s.left()
 	same, other := 0, 0
 	for _, v := range s.site.Log.Sessions() {
@@ -215,7 +215,7 @@
 		t.Fatalf("the client got %s", v.Answer)
 	}
 	before := says(t, socket, "why "+v.Name, "unavailable", "s-1")
-	steps.Until(t, "it is not kept", func() bool {
+	testutil.Until(t, "it is not kept", func() bool {
 		return strings.Contains(strings.Join(strings.Fields(says(t, socket, "store")), " "), "decisions 1 kept")
 	})
 	p.kill()
--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // Told to restart at the console, the relay moves everyone and asks its supervisor for another
@@ -33,7 +33,7 @@
 	p = s.start(env, "LOCKROAD_SUPERVISED=1") // as the supervisor does
 	p.ready()
 	again := time.Now()
-	steps.Until(t, "nobody comes again", func() bool { return s.passesAt("s-1", again) > 0 })
+	testutil.Until(t, "nobody comes again", func() bool { return s.passesAt("s-1", again) > 0 })
 	says(t, socket, "drain", "stops after the last") // and a stop is none
 	if err := <-p.ended; err != nil {
 		t.Errorf("a stop ends with %v", err)
@@ -68,13 +68,13 @@
 	last := time.Now()
 	says(t, socket, "drain s-1 because of the other", "this replaces the order of")
 	says(t, socket, "farm", "draining, as ordered")
-	steps.Until(t, "someone is left at s-1", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1     0 ") })
+	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1     0 ") })
 	pause()
 	if n := s.passesAt("s-1", last.Add(550*time.Millisecond)); n > 0 {
 		t.Errorf("%d passes came to s-1 after the last order", n)
 	}
 	says(t, socket, "undrain s-1", "as the list has it again")
 	again := time.Now()
-	steps.Until(t, "no pass comes to s-1 again", func() bool { return s.passesAt("s-1", again) > 0 })
+	testutil.Until(t, "no pass comes to s-1 again", func() bool { return s.passesAt("s-1", again) > 0 })
 	p.leave()
 }
--- a/cmd/lockroad/screen_test.go
+++ b/cmd/lockroad/screen_test.go
@@ -12,7 +12,7 @@
 	"github.com/creack/pty"
 
 	"lockroad/internal/invariants"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // A session on a pseudo-terminal of 80 by 24 drains a server, and is killed right after the yes: the drain goes on, nothing
@@ -26,15 +26,15 @@
 	one.types("d")
 	one.shows("Drain s-1?")
 	one.types("y")
-	steps.Until(t, "nothing is ordered", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1") })
+	testutil.Until(t, "nothing is ordered", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1") })
 	ordered := time.Now()
 	_ = one.Process.Kill()
 	next := session(t, socket)
 	next.shows("as ordered")
-	steps.Until(t, "someone is left at s-1", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1     0 ") })
+	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(says(t, socket, "orders"), "s-1     0 ") })
 	pause()
 	next.types("q")
-	steps.Until(t, "the session does not end", next.over)
+	testutil.Until(t, "the session does not end", next.over)
 	s.left()
 	p.leave()
 	if n := s.passesAt("s-1", ordered.Add(550*time.Millisecond)); n > 0 {
@@ -92,7 +92,7 @@
 // shows waits until the terminal was sent a text.
 func (c *tty) shows(text string) {
 	c.t.Helper()
-	steps.Until(c.t, "the terminal does not show "+text, func() bool {
+	testutil.Until(c.t, "the terminal does not show "+text, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return strings.Contains(c.seen.String(), text)
--- a/cmd/lockroad/secure_test.go
+++ b/cmd/lockroad/secure_test.go
@@ -14,7 +14,7 @@
 
 	amqp10 "github.com/Azure/go-amqp"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // The whole way of an operator: a password set at the command line, the file checked, the relay started over TLS, a
@@ -22,7 +22,7 @@
 func TestUsersAndKeysAtSIGHUP(t *testing.T) {
 	t.Parallel()
 	s := newService(t)
-	a := steps.NewAuthority(t)
+	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", 10*24*time.Hour)
 	users, operator, address := filepath.Join(s.folder, "users"), filepath.Join(s.folder, "operator.toml"), free(t)
 	passwd := func(user, password string) {
@@ -80,7 +80,7 @@
 	passwd("bob", "bob's")
 	a.Pair("relay", 20*24*time.Hour)
 	_ = p.Process.Signal(syscall.SIGHUP)
-	steps.Until(t, "the new user is not taken", func() bool {
+	testutil.Until(t, "the new user is not taken", func() bool {
 		_, _, err := open("bob", "bob's")
 		return err == nil
 	})
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	_ = p.Process.Signal(syscall.SIGHUP)
-	steps.Until(t, "the second file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
+	testutil.Until(t, "the second file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
 	if _, _, err := open("bob", "bob's"); err != nil {
 		t.Errorf("a broken file has shut bob out: %v", err)
 	}
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/fake"
 	"lockroad/internal/invariants"
 	"lockroad/internal/server"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 var siteClasses = []fake.Class{
@@ -66,7 +66,7 @@
 			t.Log(log.String())
 		}
 	})
-	steps.Until(t, "no start", func() bool { return pongs(s.listen) })
+	testutil.Until(t, "no start", func() bool { return pongs(s.listen) })
 	s.come(&fake.ClientPool{Classes: siteClasses, Rate: 60, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 100, Seed: 5})
 	served := func() int {
 		n := 0
@@ -77,19 +77,19 @@
 		}
 		return n
 	}
-	steps.Until(t, "nobody is served", func() bool { return served() > 0 })
+	testutil.Until(t, "nobody is served", func() bool { return served() > 0 })
 	t.Logf("from nothing to the first client served: %v", time.Since(began).Round(time.Millisecond))
 
 	dead := s.site.Servers[0]
 	dead.Stop()
 	says(t, socket, "health", "SERVER")
-	steps.Until(t, "a dead server is up", func() bool { return strings.Contains(says(t, socket, "health"), "down") })
+	testutil.Until(t, "a dead server is up", func() bool { return strings.Contains(says(t, socket, "health"), "down") })
 	if err := dead.Start(dead.Address(), ""); err != nil {
 		t.Fatal(err)
 	}
-	steps.Until(t, "a server that is back is down", func() bool { return !strings.Contains(says(t, socket, "health"), "down") })
+	testutil.Until(t, "a server that is back is down", func() bool { return !strings.Contains(says(t, socket, "health"), "down") })
 	back := time.Now()
-	steps.Until(t, "nobody comes to it", func() bool { return s.passesAt("s-1", back) > 0 })
+	testutil.Until(t, "nobody comes to it", func() bool { return s.passesAt("s-1", back) > 0 })
 
 	gone := s.site.Servers[1]
 	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+gone.Address()+"\"\nsize = 1.0                   # against the others\n", "", 1)
@@ -109,9 +109,9 @@
 		t.Fatal(err)
 	}
 	_ = cmd.Process.Signal(syscall.SIGHUP)
-	steps.Until(t, "the server is still there", func() bool { return strings.Contains(says(t, socket, "farm"), "draining") })
+	testutil.Until(t, "the server is still there", func() bool { return strings.Contains(says(t, socket, "farm"), "draining") })
 	reloaded := time.Now().Add(550 * time.Millisecond)
-	steps.Until(t, "someone is left there", func() bool {
+	testutil.Until(t, "someone is left there", func() bool {
 		return time.Now().After(reloaded) && !strings.Contains(says(t, socket, "transactions"), "s-2")
 	})
 	pause()
@@ -187,14 +187,14 @@
 		go func() {
 			ended <- server.Run(context.Background(), server.RunOptions{Shutdown: leave, ConfigPath: file, Site: site}, site.Config, site.Operator, slog.New(slog.DiscardHandler))
 		}()
-		steps.Until(t, "no start", func() bool { return pongs(s.listen) })
+		testutil.Until(t, "no start", func() bool { return pongs(s.listen) })
 		flood := &fake.ClientPool{Log: s.site.Log, LineAddress: s.listen, SourceAddress: "127.0.0.9", Classes: siteClasses[:1], Rate: 300, Groups: 9, MessageInterval: 100 * time.Millisecond, MaxClients: 200, Seed: 1}
 		flood.Classes = []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 30 * time.Second}}
 		flood.Prepare()
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); flood.Run(ctx) }()
-		steps.Until(t, "the flood does not fill the box", func() bool {
+		testutil.Until(t, "the flood does not fill the box", func() bool {
 			up, away := 0, 0
 			for _, v := range s.site.Log.Sessions() {
 				switch v.Answer {
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -19,7 +19,7 @@
 
 	"lockroad/internal/fake"
 	"lockroad/internal/invariants"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 var serviceClasses = []fake.Class{
@@ -294,7 +294,7 @@
 	pause()
 	p.lives()
 	s.kept(0, 0)
-	steps.Until(t, "a transaction is left", func() bool { return p.figures()["active"] == 0 })
+	testutil.Until(t, "a transaction is left", func() bool { return p.figures()["active"] == 0 })
 }
 
 // SIGHUP comes to both processes while one takes over from the other.
@@ -394,7 +394,7 @@
 	next := s.start("LOCKROAD_OPERATOR=" + operator)
 	next.ready()
 	p.leave()
-	steps.Until(t, "the console is away", func() bool {
+	testutil.Until(t, "the console is away", func() bool {
 		code, out, _ := command("console", "--socket", socket, "fronts")
 		return code == 0 && strings.Contains(out, amqp) && strings.Contains(out, s.listen)
 	})
--- a/internal/auth/secure_test.go
+++ b/internal/auth/secure_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 func plain(user, password string) []byte { return []byte("\x00" + user + "\x00" + password) }
@@ -99,7 +99,7 @@
 
 // What makes no sense is refused at the start, with the file or the key at fault.
 func TestSettingsAreChecked(t *testing.T) {
-	a := steps.NewAuthority(t)
+	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", time.Hour)
 	other, _ := a.Pair("other", time.Hour)
 	for what, s := range map[string]Settings{
@@ -123,7 +123,7 @@
 
 // Mechanisms go by what a peer has shown, classes by grants.
 func TestWhoMayWhat(t *testing.T) {
-	a := steps.NewAuthority(t)
+	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", 20*24*time.Hour)
 	users := filepath.Join(t.TempDir(), "users")
 	if err := SetPassword(users, "ann", "x", false); err != nil {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -19,7 +19,7 @@
 	"lockroad/internal/explain"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // start opens a console on a relay with something to show, and returns its
@@ -237,7 +237,7 @@
 	for _, c := range all[10:] {
 		c.Close()
 	}
-	steps.Until(t, "there is no room again", func() bool {
+	testutil.Until(t, "there is no room again", func() bool {
 		code, _, _ := run("", socket, "status")
 		return code == ExitOK
 	})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -18,7 +18,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/proxy"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 func newCore() *proxy.Proxy {
@@ -278,7 +278,7 @@
 		_, _ = io.Copy(io.Discard, &chunked{r: bufio.NewReader(bytes.NewReader(body))})
 		_, _ = readHead(bufio.NewReader(bytes.NewReader(body)))
 		var wire strings.Builder
-		from := steps.New(cuts)
+		from := testutil.New(cuts)
 		for part, rest := from.Cut(body); part != nil; part, rest = from.Cut(rest) {
 			wire.WriteString(chunk(string(part)))
 		}
@@ -369,7 +369,7 @@
 			k, _ := watching(t, agent.address, c.ask)
 			h, _ := agent.next("0")
 			h.answer(list(7, true, member("s-1", "ready"), member("s-2", "ready")))
-			steps.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
+			testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
 			began := time.Now() // it says nothing from now on
 			if c.part != "" {
 				io.WriteString(h, chunk(c.part))
@@ -377,7 +377,7 @@
 			agent.next("7") // and the next one not even that it is there
 			h, _ = agent.next("7")
 			h.answer(list(9, false, member("s-1", "draining")))
-			steps.Until(t, "the drain is there", func() bool { return farmOf(k) == "s-1=draining s-2=ready" })
+			testutil.Until(t, "the drain is there", func() bool { return farmOf(k) == "s-1=draining s-2=ready" })
 			if took := time.Since(began); took > 6*time.Second {
 				t.Errorf("a drain is known %v after the watch fell silent", took)
 			}
@@ -392,7 +392,7 @@
 	k, _ := watching(t, agent.address, false)
 	h, _ := agent.next("0")
 	h.answer(list(7, true, member("s-1", "ready")))
-	steps.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
+	testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
 	for range 8 {
 		h.Conn.(*net.TCPConn).SetLinger(0)
 		h.Close()
@@ -410,15 +410,15 @@
 	k, w := watching(t, before.address, false)
 	old, _ := before.next("0")
 	old.answer(list(7, true, member("s-1", "ready"), member("s-2", "ready")), list(8, false, member("s-1", "draining"))[:50])
-	steps.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
+	testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
 	w.SetAddress(after.address)
 	h, _ := after.next("0")
 	h.answer(list(9, true, member("s-1", "draining"), member("s-2", "draining")))
-	steps.Until(t, "the new agent's list is there", func() bool { return farmOf(k) == "s-1=draining s-2=draining" })
+	testutil.Until(t, "the new agent's list is there", func() bool { return farmOf(k) == "s-1=draining s-2=draining" })
 	io.WriteString(old, chunk(list(8, false, member("s-1", "ready"), member("s-2", "ready"))))
 	// Nor do changes that newer ones have overtaken on one watch.
 	io.WriteString(h, chunk(list(8, false, member("s-1", "ready")))+chunk(list(10, false, member("s-3", "ready"))))
-	steps.Until(t, "the newest change is there", func() bool { return strings.HasSuffix(farmOf(k), "s-3=ready") })
+	testutil.Until(t, "the newest change is there", func() bool { return strings.HasSuffix(farmOf(k), "s-3=ready") })
 	if got := farmOf(k); got != "s-1=draining s-2=draining s-3=ready" {
 		t.Errorf("the farm is %s", got)
 	}
@@ -433,13 +433,13 @@
 	old, _ := before.next("0")
 	old.answer(list(50, true, member("s-1", "ready"), member("s-2", "ready"), member("s-3", "ready"), member("s-4", "ready"), member("s-5", "ready")))
 	io.WriteString(old, chunk(list(51, false, member("s-1", "draining"), member("s-2", "draining"), member("s-3", "draining"), member("s-4", "gone"))))
-	steps.Until(t, "the drains are told", func() bool { return farmOf(k) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
+	testutil.Until(t, "the drains are told", func() bool { return farmOf(k) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
 	passes, _ := k.Endpoints.Find(k.Endpoints.ID("s-1"))
 	w.SetAddress(after.address)
 	h, _ := after.next("0")
 	again := strings.Replace(member("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
 	h.answer(list(48, true, member("s-1", "ready"), member("s-2", "ready"), again, member("s-4", "ready"), member("s-5", "draining"), member("s-6", "ready")))
-	steps.Until(t, "the new agent's list is there", func() bool { return strings.HasSuffix(farmOf(k), "s-6=ready") })
+	testutil.Until(t, "the new agent's list is there", func() bool { return strings.HasSuffix(farmOf(k), "s-6=ready") })
 	if got := farmOf(k); got != "s-1=draining s-2=draining s-3=ready s-4=gone s-5=draining s-6=ready" {
 		t.Errorf("the farm is %s", got)
 	}
@@ -447,7 +447,7 @@
 		t.Error("a pass would go to a server that drains")
 	}
 	io.WriteString(h, chunk(list(52, false, member("s-2", "ready"))))
-	steps.Until(t, "a newer list has it ready", func() bool { return strings.Contains(farmOf(k), "s-2=ready") })
+	testutil.Until(t, "a newer list has it ready", func() bool { return strings.Contains(farmOf(k), "s-2=ready") })
 	began := time.Now()
 	go func() { // a sound watch says something
 		for sound := h; ; time.Sleep(time.Second) {
@@ -461,7 +461,7 @@
 		t.Errorf("the list is asked for anew after %v", took)
 	}
 	h.answer(list(49, true, member("s-1", "ready"), member("s-2", "ready"), member("s-4", "ready")))
-	steps.Until(t, "what the agent still says is so", func() bool {
+	testutil.Until(t, "what the agent still says is so", func() bool {
 		return farmOf(k) == "s-1=ready s-2=ready s-3=gone s-4=ready s-5=gone s-6=gone"
 	})
 }
@@ -488,10 +488,10 @@
 	k, w := watching(t, agent.address, false)
 	h, _ := agent.next("0")
 	h.answer(list(7, true, member("s-1", "ready")))
-	steps.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
+	testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
 	w.SetAddress(agent.address)
 	io.WriteString(h, chunk(list(8, false, member("s-1", "draining"))))
-	steps.Until(t, "the watch still tells", func() bool { return farmOf(k) == "s-1=draining" })
+	testutil.Until(t, "the watch still tells", func() bool { return farmOf(k) == "s-1=draining" })
 	if n := len(agent.watches); n != 0 {
 		t.Errorf("%d more watches were opened", n)
 	}
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -16,7 +16,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/connpool"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // A connection that transactions share, and whose server stops reading: whoever writes on it waits for the one before.
@@ -154,7 +154,7 @@
 		}
 	}()
 	held := 0 // looks in a row at which somebody was writing
-	steps.Until(t, "the connection is blocked", func() bool {
+	testutil.Until(t, "the connection is blocked", func() bool {
 		m := muxOf(f)
 		if held++; m.conn.mu.TryLock() {
 			held = 0
@@ -191,13 +191,13 @@
 			flood(t, f, first)
 			second := dialRaw(t, r.address).begin()
 			second.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
-			steps.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
+			testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 			switch c {
 			case "the client leaves":
 				second.write(3, perf{codeDetach, list{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
 				second.until(codeDetach, 2, condInvalid, 3*time.Second)
-				steps.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
+				testutil.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
 				d.let()
 			case "the server drains":
 				r.list(balancer.StateDraining, 0)
@@ -237,7 +237,7 @@
 	// Its group's route leads to the first server, as the first link's does.
 	props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(3000), symbol(propGroup), text(linkProperties()[propGroup])}
 	second.attach(1, props)
-	steps.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
+	testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
 	began := time.Now()
 	second.want(codeAttach, 0, "")
@@ -251,7 +251,7 @@
 	d.let()
 	_ = first.Close(t.Context())
 	second.Close()
-	steps.Until(t, "both are over", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "both are over", func() bool { return r.core.Requests.Len() == 0 })
 	d.sawTheFirstAlone(t, r)
 }
 
@@ -294,7 +294,7 @@
 			break
 		}
 	}
-	steps.Until(t, "the transaction is over", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "the transaction is over", func() bool { return r.core.Requests.Len() == 0 })
 }
 
 // A pass that is given up, or a transaction that ends, closes its session at once, while a word of its server may be in
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -17,7 +17,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/connpool"
 	"lockroad/internal/listener"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // The instants in which something ends, through both fronts. The peers of these tests wait for one another, so
@@ -87,7 +87,7 @@
 		await(t, "the first comes to a server", g.came)
 		r.core.MigrateAll(over)
 		began := r.core.Clock.Now()
-		steps.Until(t, "its turn is over", func() bool { return r.core.Clock.Now()-began > over*2/3 })
+		testutil.Until(t, "its turn is over", func() bool { return r.core.Clock.Now()-began > over*2/3 })
 		close(g.open)
 		up := r.core.Clock.Now()
 		if s := await(t, "the end", late); s != (seen{"up", false, "moved"}) {
@@ -225,13 +225,13 @@
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
 				waits := result(ctx, r, w, time.Minute)
-				steps.Until(t, "its pass goes out", func() bool {
+				testutil.Until(t, "its pass goes out", func() bool {
 					all := r.core.Requests.List()
 					return len(all) == 1 && all[0].Attempts == 1
 				})
 				c.do(r, leave)
 				if c.name == "the client leaves" {
-					steps.Until(t, "the relay has seen it leave", func() bool { return r.core.Requests.Len() == 0 })
+					testutil.Until(t, "the relay has seen it leave", func() bool { return r.core.Requests.Len() == 0 })
 				}
 				f.let(t, w, r.script)
 				await(t, "the client's end", waits)
@@ -259,9 +259,9 @@
 		defer leave()
 		began := r.core.Clock.Now()
 		waits := result(ctx, r, w, giveUp)
-		steps.Until(t, "the connection is late", func() bool { return r.core.Clock.Now()-began > late })
+		testutil.Until(t, "the connection is late", func() bool { return r.core.Clock.Now()-began > late })
 		f.let(t, w, r.script)
-		steps.Until(t, "it is up", func() bool { return r.core.Counters.Established.Load() == 1 })
+		testutil.Until(t, "it is up", func() bool { return r.core.Counters.Established.Load() == 1 })
 		if r.script.mu.Lock(); r.script.waits <= 0 || r.script.waits > giveUp-late {
 			t.Errorf("the server is told to answer within %v", r.script.waits)
 		}
@@ -300,11 +300,11 @@
 		await(t, "the first comes to its server", g.came)
 		r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
 		close(g.open) // it breaks
-		steps.Until(t, "the repeat is out", func() bool {
+		testutil.Until(t, "the repeat is out", func() bool {
 			all := r.core.Requests.List()
 			return len(all) == 1 && all[0].Attempts == 2
 		})
-		steps.Until(t, "the first is forgotten", func() bool { return r.core.Clock.Now() > began+2*memory })
+		testutil.Until(t, "the first is forgotten", func() bool { return r.core.Clock.Now() > began+2*memory })
 		f.let(t, w, r.script)
 		if s := await(t, "its answer", waits); s.answer != "failed" {
 			t.Errorf("the client is told %q", s.answer)
@@ -351,15 +351,15 @@
 					// It is cold, and another has just had what it bears.
 					r.list(balancer.StateReady, r.core.Clock.Now()-18*time.Second)
 					result(first, r, w, time.Minute)
-					steps.Until(t, "the first stands", func() bool { return r.core.Counters.Established.Load() == 1 })
+					testutil.Until(t, "the first stands", func() bool { return r.core.Counters.Established.Load() == 1 })
 					stands = 1
 				}
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
 				waits := result(ctx, r, w, time.Minute)
-				steps.Until(t, "it waits", func() bool { return c.waits(t, r) })
+				testutil.Until(t, "it waits", func() bool { return c.waits(t, r) })
 				leave()
-				steps.Until(t, "it is forgotten", func() bool { return r.core.Requests.Len() == stands })
+				testutil.Until(t, "it is forgotten", func() bool { return r.core.Requests.Len() == stands })
 				await(t, "its client's end", waits)
 				begin()
 				if r.script.mu.Lock(); r.script.taken != c.want {
@@ -399,7 +399,7 @@
 			if err := first.Close(ctx); err != nil {
 				t.Fatal(err)
 			}
-			steps.Until(t, "the first has ended", func() bool { return r.core.Requests.Len() == 0 })
+			testutil.Until(t, "the first has ended", func() bool { return r.core.Requests.Len() == 0 })
 			_, err := session.NewSender(ctx, "there", &client10.SenderOptions{Name: "second", Properties: linkProperties()})
 			var end *client10.Error
 			if c.cond == "" && err != nil || c.cond != "" && (!errors.As(err, &end) || end.Condition != client10.ErrCond(c.cond)) {
@@ -425,14 +425,14 @@
 	r.list(balancer.StateReady, 0)
 	c := dialRaw(t, r.address).begin()
 	c.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
-	steps.Until(t, "its pass goes out", func() bool {
+	testutil.Until(t, "its pass goes out", func() bool {
 		all := r.core.Requests.List()
 		return len(all) == 1 && all[0].Attempts == 1
 	})
 	c.write(5, perf{codeAttach, list{"a link", uint32(1), false}}, nil) // on a channel without a session
 	c.want(codeClose, 0, condFraming)
 	told := time.Now() // and it stays: a client that lingers is waited for
-	steps.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
 	if took := time.Since(told); took > listener.LingerTimeout/2 {
 		t.Errorf("its link is let go %v after its connection's end", took)
 	}
@@ -455,7 +455,7 @@
 	if err := peer.write(0, perf{codeBegin, list{nil, uint32(0), uint32(100), uint32(100)}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	steps.Unread(t, tcp, headSize)
+	testutil.Unread(t, tcp, headSize)
 	(&client{conn: newConn(tcp), tcp: tcp}).showOut()
 	f, err := peer.read(frameAMQP, serverWait)
 	if cond, _ := f.condition(0); err != nil || f.code != codeClose || cond != condLimit {
--- a/internal/frontend/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -18,7 +18,7 @@
 	"lockroad/internal/auth"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // wireOf is AMQP with a front that is prepared, and servers that speak TLS if theirs is given.
@@ -83,7 +83,7 @@
 // it may not do it is told in the standard's words. Keys that are replaced are those of the next connection, and
 // what stands goes on.
 func TestSecuredFromEndToEnd(t *testing.T) {
-	a := steps.NewAuthority(t)
+	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", time.Hour)
 	serverCert, serverKey := a.Pair("server", time.Hour)
 	serverPair, err := tls.LoadX509KeyPair(serverCert, serverKey)
@@ -171,7 +171,7 @@
 
 // A client that begins TLS and never comes to its point goes within the time for an opening, and one that sends nothing of it too.
 func TestHandshakeIsBounded(t *testing.T) {
-	a := steps.NewAuthority(t)
+	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", time.Hour)
 	gate, err := auth.New(auth.Settings{Cert: cert, Key: key})
 	if err != nil {
@@ -276,7 +276,7 @@
 // BenchmarkGreeting is the time from a dial to a link that is open and closed again, by how a client comes in.
 // Compare within one run: the first is the base.
 func BenchmarkGreeting(b *testing.B) {
-	a := steps.NewAuthority(b)
+	a := testutil.NewAuthority(b)
 	cert, key := a.Pair("relay", time.Hour)
 	users := filepath.Join(b.TempDir(), "users")
 	if err := auth.SetPassword(users, "ann", "ann's", false); err != nil {
--- a/internal/frontend/amqp/trunks_test.go
+++ b/internal/frontend/amqp/trunks_test.go
@@ -15,7 +15,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/connpool"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // shares is a stand-in of a server that takes any number of sessions on a connection, and counts both.
@@ -114,7 +114,7 @@
 	for _, one := range all {
 		_ = one.Close(t.Context())
 	}
-	steps.Until(t, "a transaction is left", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "a transaction is left", func() bool { return r.core.Requests.Len() == 0 })
 	for i := range 3 {
 		one := attach(t, c, fmt.Sprint("again ", i))
 		say(t, one)
@@ -123,7 +123,7 @@
 	if n := s.conns.Load(); n != 3 {
 		t.Errorf("transactions one after another make %d connections of 3", n)
 	}
-	steps.Until(t, "connections stay", func() bool { return descriptorsTo(r.names[0]) == 0 })
+	testutil.Until(t, "connections stay", func() bool { return descriptorsTo(r.names[0]) == 0 })
 	say(t, attach(t, c, "late"))
 }
 
@@ -166,7 +166,7 @@
 	if err := all[3].Send(ctx, client10.NewMessage([]byte("n")), nil); err == nil {
 		t.Error("the fourth's connection has broken, and it goes on")
 	}
-	steps.Until(t, "the fourth is still there", func() bool { return r.core.Requests.Len() == 3 })
+	testutil.Until(t, "the fourth is still there", func() bool { return r.core.Requests.Len() == 3 })
 }
 
 // Many come and go at once: each is answered, and in the end nothing is left of any.
@@ -191,7 +191,7 @@
 		})
 	}
 	all.Wait()
-	steps.Until(t, "something is left", func() bool {
+	testutil.Until(t, "something is left", func() bool {
 		return r.core.Requests.Len() == 0 && descriptorsTo(r.names[0]) == 0 && runtime.NumGoroutine() <= before+2
 	})
 	if s.most.Load() > 5 {
@@ -212,7 +212,7 @@
 	if _, err := c.NewSender(ctx, "there", &client10.SenderOptions{Name: "two", Properties: linkProperties()}); err == nil {
 		t.Error("a server that drains got another")
 	}
-	steps.Until(t, "the connection stays, though its clients were moved", func() bool { return descriptorsTo(r.names[0]) == 0 })
+	testutil.Until(t, "the connection stays, though its clients were moved", func() bool { return descriptorsTo(r.names[0]) == 0 })
 }
 
 // BenchmarkSetUp is the time from a link's attach to its answer, with a connection to the server for each and with shared
--- a/internal/frontend/line/carry_test.go
+++ b/internal/frontend/line/carry_test.go
@@ -14,7 +14,7 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/proxy"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // heir is another process's front for what a site hands over: the same sockets by
@@ -69,7 +69,7 @@
 		client.want(echo[:cut])
 		to, give := s.heir()
 		s.core.HandOffAll(give, time.Millisecond)
-		steps.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 && s.core.Requests.Len() == 0 })
+		testutil.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 && s.core.Requests.Len() == 0 })
 		client.say(said[cut:] + said)
 		server.want(said[cut:] + said)
 		server.say(echo[cut:] + echo + "half")
@@ -117,7 +117,7 @@
 	}
 	client.Close()
 	server.Close()
-	steps.Until(t, "it has not ended", func() bool { return to.core.Requests.Len() == 0 })
+	testutil.Until(t, "it has not ended", func() bool { return to.core.Requests.Len() == 0 })
 }
 
 // Ends are passed on alike after it, and so is what comes in one piece with them.
@@ -126,7 +126,7 @@
 	client, server := s.open()
 	to, give := s.heir()
 	s.core.HandOffAll(give, time.Millisecond)
-	steps.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
+	testutil.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
 	client.say("a\r\nb\r\n")
 	client.CloseWrite()
 	server.want("a\r\nb\r\n")
@@ -135,7 +135,7 @@
 	server.Close()
 	client.want("BYE\r\n")
 	client.wantEnd(false)
-	steps.Until(t, "it is not over", func() bool { return to.core.Requests.Len() == 0 })
+	testutil.Until(t, "it is not over", func() bool { return to.core.Requests.Len() == 0 })
 }
 
 // Who can't be handed over is moved, as ever: nobody takes it, or its end is under way.
@@ -205,6 +205,6 @@
 		client.Close()
 		server.wantEnd(false)
 		server.Close()
-		steps.Until(t, "it is not over", func() bool { return s.core.Requests.Len() == 0 })
+		testutil.Until(t, "it is not over", func() bool { return s.core.Requests.Len() == 0 })
 	}
 }
--- a/internal/frontend/line/client_test.go
+++ b/internal/frontend/line/client_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // pair returns the two ends of a connection over loopback.
@@ -42,7 +42,7 @@
 			return
 		}
 		near, far := pair(t)
-		c, from := newClient(near), steps.New(choices)
+		c, from := newClient(near), testutil.New(choices)
 		var want strings.Builder // the model: what the client is to see
 		const open, moving, over = 0, 1, 2
 		state, ended := open, make(chan struct{})
--- a/internal/frontend/line/encoding_test.go
+++ b/internal/frontend/line/encoding_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // wholeParked is what goes over beside a connection's sockets, with every field set.
@@ -16,16 +16,16 @@
 
 func TestConnectionStateKeepsItsEncoding(t *testing.T) {
 	whole := wholeParked()
-	steps.Complete(t, whole)
-	steps.GoldenJSON(t, "testdata/connection.json", whole)
-	steps.GoldenJSON(t, "testdata/connection-zero.json", parked{})
+	testutil.Complete(t, whole)
+	testutil.GoldenJSON(t, "testdata/connection.json", whole)
+	testutil.GoldenJSON(t, "testdata/connection-zero.json", parked{})
 }
 
 func TestHeartbeatKeepsItsEncoding(t *testing.T) {
 	whole := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTime: 7}
-	steps.Complete(t, whole)
-	steps.GoldenJSON(t, "testdata/heartbeat.json", whole)
-	steps.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
+	testutil.Complete(t, whole)
+	testutil.GoldenJSON(t, "testdata/heartbeat.json", whole)
+	testutil.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
 }
 
 // What a front hands over of a connection that is in the middle of a line on both sides is the golden file's, and a front
@@ -56,11 +56,11 @@
 	}, time.Millisecond)
 	select {
 	case text := <-encoded:
-		golden <- steps.Golden(t, "testdata/established.json", text)
+		golden <- testutil.Golden(t, "testdata/established.json", text)
 	case <-time.After(5 * time.Second):
 		t.Fatal("it is not handed over")
 	}
-	steps.Until(t, "it is not taken up", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
+	testutil.Until(t, "it is not taken up", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
 	client.say("ord\r\n")
 	server.want("ord\r\n")
 	server.say("rd\r\nhalf")
@@ -72,6 +72,6 @@
 }
 
 func TestHandedOverFieldsAreTagged(t *testing.T) {
-	steps.Tagged(t, []string{"json"}, parked{})
-	steps.Tagged(t, []string{"json"}, ReportTiming{})
+	testutil.Tagged(t, []string{"json"}, parked{})
+	testutil.Tagged(t, []string{"json"}, ReportTiming{})
 }
--- a/internal/frontend/line/front_test.go
+++ b/internal/frontend/line/front_test.go
@@ -16,7 +16,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // site is a front with one application server, whose end the test holds.
@@ -186,7 +186,7 @@
 	client.want("half a li")
 	s.core.MigrateAll(time.Millisecond)
 	began := s.core.Clock.Now()
-	steps.Until(t, "half a second is over", func() bool { return s.core.Clock.Now()-began > 500*time.Millisecond })
+	testutil.Until(t, "half a second is over", func() bool { return s.core.Clock.Now()-began > 500*time.Millisecond })
 	server.say("ne\r\n")
 	client.want("ne\r\nMOVE\r\n")
 	client.wantEnd(false)
@@ -237,7 +237,7 @@
 	door := s.peer(s.server.Accept()) // nobody reads there
 	opening := fmt.Sprintf(first, 4000)
 	client.say(opening)
-	steps.Unread(t, door.TCPConn, len(opening))
+	testutil.Unread(t, door.TCPConn, len(opening))
 	showOut(door.TCPConn)
 	client.want("BUSY\r\n")
 	client.wantEnd(false)
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 const sample = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
@@ -96,7 +96,7 @@
 			}
 			rest = rest[i+1:]
 		}
-		s, from := splitter{}, steps.New(cuts)
+		s, from := splitter{}, testutil.New(cuts)
 		for rest := stream; len(rest) > 0; {
 			var part []byte
 			part, rest = from.Cut(rest)
--- a/internal/frontend/line/reader_test.go
+++ b/internal/frontend/line/reader_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // rest takes all that comes until the end.
@@ -85,7 +85,7 @@
 		here, there := pair(t)
 		r := newReader(here)
 		go func() {
-			s := steps.New(choices)
+			s := testutil.New(choices)
 			for left := text; len(left) > 0; {
 				var part []byte
 				part, left = s.Cut(left)
@@ -94,7 +94,7 @@
 			there.CloseWrite()
 		}()
 		var got []byte
-		s := steps.New(choices)
+		s := testutil.New(choices)
 		for {
 			var b []byte
 			var err error
--- a/internal/hotrestart/encoding_test.go
+++ b/internal/hotrestart/encoding_test.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // frames are a Unix socket's two ends, on which the bytes of messages are read and written as they are.
@@ -55,7 +55,7 @@
 	if err != nil || len(sent) < headSize {
 		t.Fatalf("%s: %d bytes were sent, %v", path, len(sent), err)
 	}
-	golden := steps.Golden(t, path, frame(sent[:headSize], sent[headSize:]))
+	golden := testutil.Golden(t, path, frame(sent[:headSize], sent[headSize:]))
 
 	digits, text, _ := bytes.Cut(golden, []byte("\n"))
 	head, err := hex.DecodeString(string(digits))
@@ -105,7 +105,7 @@
 
 func TestHelloKeepsItsEncoding(t *testing.T) {
 	whole := hello{Format: 1, PID: 4711}
-	steps.Complete(t, whole)
+	testutil.Complete(t, whole)
 	keepsFrame(t, "testdata/hello.frame", kindHello, whole)
 }
 
@@ -121,7 +121,7 @@
 		Clock: 1234567890 * time.Nanosecond, ClockStart: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC),
 		ListenerNames: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
 	}
-	steps.Complete(t, whole)
+	testutil.Complete(t, whole)
 	keepsFrame(t, "testdata/offer.frame", kindOffer, whole, listeners(t, 2)...)
 	keepsFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
 }
@@ -136,7 +136,7 @@
 
 func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
 	whole := standing{Number: 42, What: json.RawMessage(`{"Front":"line"}`)}
-	steps.Complete(t, whole)
+	testutil.Complete(t, whole)
 	near, far := pair(t)
 	keepsFrame(t, "testdata/established.frame", kindStanding, whole, near.(*net.TCPConn), far.(*net.TCPConn))
 }
@@ -148,11 +148,11 @@
 
 // Both processes look for each other at the same path.
 func TestSocketPathIsUnchanged(t *testing.T) {
-	steps.Golden(t, "testdata/path.txt", []byte(SocketPath("/run/x", "n0", "127.0.0.1:7000")))
+	testutil.Golden(t, "testdata/path.txt", []byte(SocketPath("/run/x", "n0", "127.0.0.1:7000")))
 }
 
 func TestMessageFieldsAreTagged(t *testing.T) {
 	for _, message := range []any{hello{}, Offer{}, standing{}} {
-		steps.Tagged(t, []string{"json"}, message)
+		testutil.Tagged(t, []string{"json"}, message)
 	}
 }
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // giver is a relay with one door.
@@ -66,7 +66,7 @@
 		}
 		l.Close()
 	})
-	steps.Until(t, "there is no meeting place", func() bool { _, err := os.Stat(h.path); return err == nil })
+	testutil.Until(t, "there is no meeting place", func() bool { _, err := os.Stat(h.path); return err == nil })
 	return h, g
 }
 
@@ -74,7 +74,7 @@
 func guest(t *testing.T, h *Predecessor) *Successor {
 	t.Helper()
 	var g *Successor
-	steps.Until(t, "no offer is made", func() (ok bool) {
+	testutil.Until(t, "no offer is made", func() (ok bool) {
 		var err error
 		g, err = Connect(h.path)
 		return err == nil
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	g.Close()
-	steps.Until(t, "the old process does not go on", func() bool { return old.given.Load() == 0 })
+	testutil.Until(t, "the old process does not go on", func() bool { return old.given.Load() == 0 })
 	g = guest(t, h)
 	if err := g.TakeOver(); err != nil {
 		t.Fatal(err)
@@ -194,7 +194,7 @@
 	h.BeginShutdown()
 	g.Close()
 	near, _ := pair(t)
-	steps.Until(t, "it is still given", func() bool { return h.HandOff("x", near.(syscall.Conn)) != nil })
+	testutil.Until(t, "it is still given", func() bool { return h.HandOff("x", near.(syscall.Conn)) != nil })
 }
 
 // An old process that is killed before it gives its place, or after, leaves the new one
--- a/internal/listener/hall_test.go
+++ b/internal/listener/hall_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // A crowd that says nothing makes room for who comes after it, the longest first,
@@ -56,7 +56,7 @@
 				out   bool // shown out, or left
 			}
 			var all []*model
-			for s := steps.New(data); s.More(); {
+			for s := testutil.New(data); s.More(); {
 				step := s.Pick(4)
 				if step == 0 || len(all) == 0 {
 					m := &model{}
--- a/internal/proxy/core_test.go
+++ b/internal/proxy/core_test.go
@@ -11,7 +11,7 @@
 	"lockroad/balancer"
 	"lockroad/internal/assert"
 	"lockroad/internal/registry"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 const ms = time.Millisecond
@@ -350,7 +350,7 @@
 		if len(data) > 200 {
 			return
 		}
-		s := steps.New(data)
+		s := testutil.New(data)
 		var mu sync.Mutex
 		acts := func() act {
 			mu.Lock()
--- a/internal/proxy/encoding_test.go
+++ b/internal/proxy/encoding_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // wholeStanding is an established connection as one process tells the next of it, with every field set.
@@ -18,11 +18,11 @@
 }
 
 func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
-	steps.Complete(t, wholeStanding())
-	steps.GoldenJSON(t, "testdata/established.json", wholeStanding())
-	steps.GoldenJSON(t, "testdata/established-zero.json", EstablishedRequest{FrontendState: json.RawMessage("{}")})
+	testutil.Complete(t, wholeStanding())
+	testutil.GoldenJSON(t, "testdata/established.json", wholeStanding())
+	testutil.GoldenJSON(t, "testdata/established-zero.json", EstablishedRequest{FrontendState: json.RawMessage("{}")})
 }
 
 func TestEstablishedConnectionFieldsAreTagged(t *testing.T) {
-	steps.Tagged(t, []string{"json"}, EstablishedRequest{})
+	testutil.Tagged(t, []string{"json"}, EstablishedRequest{})
 }
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -9,7 +9,7 @@
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/persistence"
 	"lockroad/internal/registry"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // wholeState is what a new process is given to begin with, with every field set.
@@ -43,10 +43,10 @@
 }
 
 func TestStateKeepsItsEncoding(t *testing.T) {
-	steps.Complete(t, wholeState())
-	steps.GoldenJSON(t, "testdata/state.json", wholeState())
-	steps.GoldenJSON(t, "testdata/state-zero.json", state{})
-	steps.GoldenJSON(t, "testdata/state-zero-elements.json", state{
+	testutil.Complete(t, wholeState())
+	testutil.GoldenJSON(t, "testdata/state.json", wholeState())
+	testutil.GoldenJSON(t, "testdata/state-zero.json", state{})
+	testutil.GoldenJSON(t, "testdata/state-zero-elements.json", state{
 		List:   discovery.List{Members: make([]discovery.Member, 1)},
 		Names:  map[balancer.EndpointID]string{0: ""},
 		Beats:  map[balancer.EndpointID]line.ReportTiming{0: {}},
@@ -56,5 +56,5 @@
 }
 
 func TestStateFieldsAreTagged(t *testing.T) {
-	steps.Tagged(t, []string{"json"}, state{})
+	testutil.Tagged(t, []string{"json"}, state{})
 }
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -19,8 +19,8 @@
 	"lockroad/internal/discovery"
 	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
-	"lockroad/internal/steps"
 	"lockroad/internal/store"
+	"lockroad/internal/testutil"
 )
 
 // Farms far above those of today: nothing may be cut off in silence at a thousand servers.
@@ -135,7 +135,7 @@
 			w := &discovery.Watcher{Proxy: k, Address: discoveryOf(t, c.text, 1000), Zones: []string{"a"}, RetainList: true}
 			go func() { _ = w.Run(ctx); close(done) }()
 			go func() { _ = k.Run(ctx) }()
-			steps.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Endpoints.CountByState()[c.phase] == int64(n) })
+			testutil.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Endpoints.CountByState()[c.phase] == int64(n) })
 			cancel()
 			<-done
 			if l, _ := w.List(); len(l.Members) != n {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -14,7 +14,7 @@
 
 	"lockroad/internal/discovery"
 	"lockroad/internal/proxy"
-	"lockroad/internal/steps"
+	"lockroad/internal/testutil"
 )
 
 // figure asks a relay's second address for one figure; -1 if it doesn't tell it.
@@ -91,7 +91,7 @@
 		write(t, file, text)
 		reload <- syscall.SIGHUP
 		n++
-		steps.Until(t, "it was not counted: "+want, func() bool { return figure(t, admin, "config_rejected_total") == n })
+		testutil.Until(t, "it was not counted: "+want, func() bool { return figure(t, admin, "config_rejected_total") == n })
 		if log.count(want) == 0 {
 			t.Errorf("nothing is said of %q for\n%s", want, text)
 		}
@@ -142,7 +142,7 @@
 		class := fmt.Sprintf("class-%d", i)
 		write(t, file, strings.Replace(text, `"page"`, `"`+class+`"`, 1))
 		reload <- syscall.SIGHUP
-		steps.Until(t, "not taken", func() bool { return figure(t, admin, "config_applied_total") == i+1 })
+		testutil.Until(t, "not taken", func() bool { return figure(t, admin, "config_applied_total") == i+1 })
 		if got := answer(t, address, class); got != "UP" {
 			t.Errorf("a client of %s is told %s", class, got)
 		}
@@ -153,7 +153,7 @@
 	for name, want := range map[string]int{
 		`ok_total{kind="page"}`: 1, `ok_total{kind="class-1"}`: 1, `errors_total{kind="class-0"}`: 0, "tries_total": 4, "active": 4, "pool_size": 1,
 	} {
-		steps.Until(t, fmt.Sprintf("%s is not %d but %d", name, want, figure(t, admin, name)), func() bool { return figure(t, admin, name) == want })
+		testutil.Until(t, fmt.Sprintf("%s is not %d but %d", name, want, figure(t, admin, name)), func() bool { return figure(t, admin, name) == want })
 	}
 	if stays.Buffered() > 0 {
 		t.Error("who was up has been told something")
--- a/internal/steps/golden.go
+++ b/internal/testutil/golden.go
@@ -1,4 +1,4 @@
-package steps
+package testutil
 
 import (
 	"bytes"
--- a/internal/steps/steps.go
+++ b/internal/testutil/steps.go
@@ -1,6 +1,6 @@
 // Package steps turns the bytes of a fuzzer into random steps, for tests that
 // check what they do against a model, and waits for what tests wait for. Equal bytes give equal steps.
-package steps
+package testutil
 
 import (
 	"net"
