--- a/Makefile
+++ b/Makefile
@@ -58,7 +58,7 @@
 
 # lab compares the module with the textbooks' policies on the model of the farm.
 lab: build
-	mkdir -p found && bin/locklab run experiments/baselines.lisp -o found/baselines.csv
+	mkdir -p found && bin/simulate run experiments/baselines.lisp -o found/baselines.csv
 
 # make run CONFIG=config.json starts one relay.
 run: build
--- a/cmd/faultproxy/golden_test.go
+++ b/cmd/faultproxy/golden_test.go
@@ -10,7 +10,7 @@
 
 // All commands, arguments and flags, as scripts give them.
 func TestCommandLineIsStable(t *testing.T) {
-	parser, err := kong.New(&commands{}, kong.Name("lockfault"))
+	parser, err := kong.New(&commands{}, kong.Name("faultproxy"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -1,5 +1,5 @@
-// Command lockfault sits between sockets and spoils what passes, as a script or a
-// person has it, to rehearse outages. `lockfault --help` lists its commands.
+// Command faultproxy sits between sockets and spoils what passes, as a script or a
+// person has it, to rehearse outages. `faultproxy --help` lists its commands.
 package main
 
 import (
@@ -49,20 +49,20 @@
 			code = int(e)
 		}
 	}()
-	parser, err := kong.New(&commands{}, kong.Name("lockfault"),
+	parser, err := kong.New(&commands{}, kong.Name("faultproxy"),
 		kong.Description("Sits between sockets and delays, cuts, half-closes and garbles what passes."),
 		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(ended(code)) }), kong.Bind(s))
 	if err != nil {
-		fmt.Fprintf(s.errs, "lockfault: %v\n", err)
+		fmt.Fprintf(s.errs, "faultproxy: %v\n", err)
 		return exitFailed
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(s.errs, "lockfault: %v\ntry lockfault --help\n", err)
+		fmt.Fprintf(s.errs, "faultproxy: %v\ntry faultproxy --help\n", err)
 		return exitUsage
 	}
 	if err := parsed.Run(); err != nil {
-		fmt.Fprintf(s.errs, "lockfault: %v\n", err)
+		fmt.Fprintf(s.errs, "faultproxy: %v\n", err)
 		return exitFailed
 	}
 	return 0
@@ -83,9 +83,9 @@
 	return `What it did is told on standard output, a JSON object a line, with times in microseconds.
 
 Examples:
-  lockfault --route hall=127.0.0.1:4000,127.0.0.1:3000 --script evening.lisp
-  lockfault --route a=127.0.0.1:4001,127.0.0.1:3001 --route b=127.0.0.1:4002,127.0.0.1:3002 --socket /tmp/fault.sock
-  lockfault tell /tmp/fault.sock '(add (rule hang (route a) (for 8s) (stall)))'`
+  faultproxy --route hall=127.0.0.1:4000,127.0.0.1:3000 --script evening.lisp
+  faultproxy --route a=127.0.0.1:4001,127.0.0.1:3001 --route b=127.0.0.1:4002,127.0.0.1:3002 --socket /tmp/fault.sock
+  faultproxy tell /tmp/fault.sock '(add (rule hang (route a) (for 8s) (stall)))'`
 }
 
 // Run runs until it is interrupted, its input ends, or its time is up.
@@ -198,7 +198,7 @@
 // tellCommand has one that runs carry out a command.
 type tellCommand struct {
 	Socket  string   `arg:"" help:"Where it takes commands."`
-	Command []string `arg:"" help:"Such as '(trigger hang)'; lockfault forms lists them."`
+	Command []string `arg:"" help:"Such as '(trigger hang)'; faultproxy forms lists them."`
 }
 
 // Run asks and prints the answer.
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -30,7 +30,7 @@
 	}{
 		"--help": {0, "forms"}, "forms": {0, "(vanish)"}, "check " + bad: {1, bad + ": line 2, column 3: there is no form"},
 		"--odd": {2, "unknown flag --odd"}, "run": {2, "--route"}, "--route odd": {1, "is no NAME=LISTEN,TARGET"},
-		"tell " + bad + "x (status)": {1, "no lockfault answers"},
+		"tell " + bad + "x (status)": {1, "no faultproxy answers"},
 	} {
 		code, out, errs := command(strings.Fields(args)...)
 		if code != want.code || !strings.Contains(out+errs, want.text) {
--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -304,15 +304,15 @@
 	return c.run("why "+q.Line(), s)
 }
 
-// labCommand hands over to locklab, which stands beside this program: plots bring fonts
+// labCommand hands over to simulate, which stands beside this program: plots bring fonts
 // that a relay should not carry.
 type labCommand struct {
-	Args []string `arg:"" optional:"" passthrough:"" help:"run, report, compare, plot or list; locklab --help tells more."`
+	Args []string `arg:"" optional:"" passthrough:"" help:"run, report, compare, plot or list; simulate --help tells more."`
 }
 
-// Run runs locklab.
+// Run runs simulate.
 func (c *labCommand) Run(s streams) error {
-	name := "locklab"
+	name := "simulate"
 	if self, err := os.Executable(); err == nil {
 		beside := filepath.Join(filepath.Dir(self), name)
 		if _, err := os.Stat(beside); err == nil {
--- a/cmd/lockroad/main.go
+++ b/cmd/lockroad/main.go
@@ -41,7 +41,7 @@
 	Passwd     passwdCommand             `cmd:"" help:"Set or take out a user's password, for clients that speak AMQP."`
 	Store      storeCommand              `cmd:"" help:"Look after what a relay keeps on disk."`
 	Demo       demoCommand               `cmd:"" help:"Show a relay at work among stand-ins, on loopback."`
-	Lab        labCommand                `cmd:"" help:"Run experiments on the model of the farm (the program locklab)."`
+	Lab        labCommand                `cmd:"" help:"Run experiments on the model of the farm (the program simulate)."`
 	Completion kongcompletion.Completion `cmd:"" help:"Print what sets up completion in a shell (bash, zsh or fish)."`
 }
 
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -64,7 +64,7 @@
 		{"why --socket x --where (pinned) 7", 2, nil, []string{"exclude each other"}},
 		{"why --socket " + nobody + " 7", 3, nil, []string{"no relay answers"}},
 		{"console -socket " + nobody + " why --json 7", 3, nil, []string{"no relay answers at " + nobody}},
-		{"lab list", 1, nil, []string{"locklab"}}, // it does not stand beside the test
+		{"lab list", 1, nil, []string{"simulate"}}, // it does not stand beside the test
 		{"demo --rate 0", 2, nil, []string{"a rate of 0"}},
 		{"", 1, nil, []string{"PROXY_CONFIG names no configuration"}},
 		{"run --operator " + bad, 1, nil, []string{bad + ":2: amqp.listen"}},
--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost hosts many instances of the balancer on the simulator's
+// Command sim-adapter hosts many instances of the balancer on the simulator's
 // wire: batches of events on standard input, replies on standard output.
 package main
 
@@ -15,7 +15,7 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintf(os.Stderr, "wirehost: %v\n", err)
+		fmt.Fprintf(os.Stderr, "sim-adapter: %v\n", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -1,4 +1,4 @@
-// Command locklab runs experiments on the model of the farm: `lockroad lab` is the same.
+// Command simulate runs experiments on the model of the farm: `lockroad lab` is the same.
 // It is a program of its own as plots bring fonts that a relay should not carry.
 package main
 
@@ -44,20 +44,20 @@
 			code = int(e)
 		}
 	}()
-	parser, err := kong.New(&commands{}, kong.Name("locklab"),
+	parser, err := kong.New(&commands{}, kong.Name("simulate"),
 		kong.Description("Runs experiments on the model of the farm, with the relay's own decision module in each of its relays."),
 		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(ended(code)) }), kong.Bind(s))
 	if err != nil {
-		fmt.Fprintf(s.errs, "locklab: %v\n", err)
+		fmt.Fprintf(s.errs, "simulate: %v\n", err)
 		return exitFailed
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(s.errs, "locklab: %v\ntry locklab --help\n", err)
+		fmt.Fprintf(s.errs, "simulate: %v\ntry simulate --help\n", err)
 		return exitUsage
 	}
 	if err := parsed.Run(); err != nil {
-		fmt.Fprintf(s.errs, "locklab: %v\n", err)
+		fmt.Fprintf(s.errs, "simulate: %v\n", err)
 		return exitFailed
 	}
 	return 0
@@ -89,8 +89,8 @@
 // Help has examples.
 func (*runCommand) Help() string {
 	return `Examples:
-  locklab run experiments/baselines.lisp
-  locklab run experiments/size.lisp -o size.csv && locklab plot size size.csv -o size.svg
+  simulate run experiments/baselines.lisp
+  simulate run experiments/size.lisp -o size.csv && simulate plot size size.csv -o size.svg
 
 It ends with 1 if the results do not bear out a claim. A run that was cut goes on where
 it was: results are kept as they come.`
--- a/experiments/fleet.lisp
+++ b/experiments/fleet.lisp
@@ -1,6 +1,6 @@
 ; Eighty relays that share nothing before 60 servers: a scene for each cause that was mended
 ; (docs/design/fleet.md). Built on the module before a mend and after it, the two are
-; compared by the same seeds: locklab compare.
+; compared by the same seeds: simulate compare.
 (experiment "fleet"
   (world (servers 60) (relays 80) (rate 10) (standing 370) (groups 55) (for 40s))
   (policies module)
--- a/experiments/warm.lisp
+++ b/experiments/warm.lisp
@@ -1,5 +1,5 @@
 ; What it is worth that a relay which restarts goes on with what it had learnt. Carried out as it is and with (warm 1),
-; the two are compared by the same seeds: locklab compare.
+; the two are compared by the same seeds: simulate compare.
 (experiment "warm"
   (world (for 50s) (warm 0))
   (policies module)
--- a/experiments/without.sh
+++ b/experiments/without.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# without.sh EXPERIMENT CONSTANT=VALUE...: what a part of the module is worth. It builds locklab from a copy of
+# without.sh EXPERIMENT CONSTANT=VALUE...: what a part of the module is worth. It builds simulate from a copy of
 # the tree in which constants of balance/balance.go are set otherwise, carries the experiment out with that and with
 # the module as it is, by the same seeds, and compares the two. The tree itself is not touched. Example:
 #   experiments/without.sh experiments/parts.lisp easeFor=0
@@ -17,8 +17,8 @@
 	grep -q "^	$name *= " "$policy" || { echo "without.sh: balance.go has no constant $name" >&2; exit 2; }
 	sed -i "s|^\(	$name *= \)[^/]*|\1${change#*=} |" "$policy"
 done
-(cd "$root" && go build -o "$copy/as-it-is" ./cmd/locklab)
-(cd "$copy" && go build -o without ./cmd/locklab)
+(cd "$root" && go build -o "$copy/as-it-is" ./cmd/simulate)
+(cd "$copy" && go build -o without ./cmd/simulate)
 "$copy/as-it-is" run "$experiment" -o "$copy/as-it-is.csv" >/dev/null
 "$copy/without" run "$experiment" -o "$copy/without.csv" >/dev/null
 echo "without: $*"
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -24,7 +24,7 @@
 	d := &Server{Ready: func() bool { return ready }, Metrics: &metrics.Set{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
-	all.Go(func() { d.Serve(ctx, l) })
+	all.Go(func() { _ = d.Serve(ctx, l) })
 	defer func() { cancel(); all.Wait() }()
 	var b strings.Builder
 	for _, call := range []string{"GET /-/ready", "HEAD /-/ready", "GET /-/metrics", "POST /-/metrics", "GET /", "ready", "GET /-/ready"} {
@@ -42,7 +42,7 @@
 			t.Fatal(err)
 		}
 		body, err := io.ReadAll(answer.Body)
-		answer.Body.Close()
+		_ = answer.Body.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/auth/secure.go
+++ b/internal/auth/secure.go
@@ -1,4 +1,4 @@
-// Package secure says who a peer is and what it may open: certificates for TLS, passwords of users,
+// Package auth says who a peer is and what it may open: certificates for TLS, passwords of users,
 // and grants of classes. What it reads from files is one immutable value, which Reload replaces whole
 // or not at all; connections that stand go on with what they began under.
 package auth
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,4 +1,4 @@
-// Package pool decides over which connections to application servers transactions go, where several may
+// Package connpool decides over which connections to application servers transactions go, where several may
 // share one. It does no I/O: whoever embeds it
 //
 //  1. asks Take for each transaction, and brings a connection up where that says so;
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -71,7 +71,7 @@
 		}, 1, proxy.NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
-		all.Go(func() { k.Run(ctx) })
+		all.Go(func() { _ = k.Run(ctx) })
 		defer func() { cancel(); all.Wait() }()
 		var servers []balancer.Endpoint
 		var addresses []string
@@ -111,7 +111,7 @@
 		do(&Server{
 			Name: "n3", Proxy: k, Frontends: []Frontend{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
 			Explainer: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {}, Persistence: &fixedKeeper{since: time.Now()},
-			Reload: func(_ context.Context, dry bool) ([]string, error) {
+			Reload: func(_ context.Context, _ bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
 			Health: func() ([]healthcheck.EndpointHealth, bool) {
--- a/internal/decisionlog/record.go
+++ b/internal/decisionlog/record.go
@@ -1,4 +1,4 @@
-// Package record keeps why each recent transaction went where it went, within a
+// Package decisionlog keeps why each recent transaction went where it went, within a
 // fixed number of bytes.
 //
 // The turn loop and the goroutines of transactions write; what they write is a few
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package lab runs experiments on the model: a world, scenes, policies, a matrix of
+// Package experiment runs experiments on the model: a world, scenes, policies, a matrix of
 // parameters, seeds, and claims to check. Runs go in parallel, go on after a cut, and
 // leave a file of results that has their exact inputs.
 package experiment
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -1,4 +1,4 @@
-// Package why answers, from a record, why a transaction went to a given application
+// Package explain answers, from a record, why a transaction went to a given application
 // server or got the answer that it got: in words, as JSON, or as counts. It asks in
 // S-expressions and reads only; nothing that it does can hold the relay up.
 package explain
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -1,4 +1,4 @@
-// Package standin plays the parties that a relay has around it, for tests and for
+// Package fake plays the parties that a relay has around it, for tests and for
 // `lockroad demo`: application servers, discovery, clients and a collector of
 // telemetry, over both wires, as a script has it. All of it is on loopback addresses.
 //
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -157,7 +157,7 @@
 func SendCommand(socket, command string) ([]Message, error) {
 	c, err := net.DialTimeout("unix", socket, 5*time.Second)
 	if err != nil {
-		return nil, fmt.Errorf("no lockfault answers at %s: %w", socket, err)
+		return nil, fmt.Errorf("no faultproxy answers at %s: %w", socket, err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(5 * time.Second))
--- a/internal/faultproxy/script.go
+++ b/internal/faultproxy/script.go
@@ -1,4 +1,4 @@
-// Package fault sits between sockets and spoils what passes, as a script has it: it
+// Package faultproxy sits between sockets and spoils what passes, as a script has it: it
 // delays, cuts, half-closes, garbles, splits, swallows, stalls, refuses and vanishes, on
 // command or by trigger. Equal seeds, scripts and bytes bring equal faults.
 //
@@ -301,7 +301,7 @@
 func (p *ruleParser) fault(n *sexp.Node, kind Kind, args []*sexp.Node) (err error) {
 	form, ok := faultForms[kind]
 	if !ok {
-		return n.List.Items[0].Errorf("there is no form %q; lockfault forms lists those there are", kind)
+		return n.List.Items[0].Errorf("there is no form %q; faultproxy forms lists those there are", kind)
 	}
 	f := Fault{Kind: kind}
 	if form.modes != nil {
--- a/internal/faulttest/scene.go
+++ b/internal/faulttest/scene.go
@@ -1,4 +1,4 @@
-// Package trouble plays scenes: a whole relay among stand-ins, with a fault injector
+// Package faulttest plays scenes: a whole relay among stand-ins, with a fault injector
 // between it and each of them, and a judge of the operators' rules at the end. Its tests
 // reproduce every known failure through both fronts.
 package faulttest
--- a/internal/healthcheck/members.go
+++ b/internal/healthcheck/members.go
@@ -1,4 +1,4 @@
-// Package members tells which servers of a list are up, where nothing else does: by probes within a budget, and
+// Package healthcheck tells which servers of a list are up, where nothing else does: by probes within a budget, and
 // by what becomes of the passes that are sent to them. It does no I/O: whoever embeds it
 //
 //  1. carries out the probes that Due names, and tells each one's outcome with Probed, within Timeout;
--- a/internal/healthcheck/prober/probe.go
+++ b/internal/healthcheck/prober/probe.go
@@ -1,4 +1,4 @@
-// Package probe finds out which application servers of a list are up, where no discovery tells: it carries out
+// Package prober finds out which application servers of a list are up, where no discovery tells: it carries out
 // the probes that internal/healthcheck asks for, and lists servers by what that holds of them.
 package prober
 
--- a/internal/hotrestart/encoding_test.go
+++ b/internal/hotrestart/encoding_test.go
@@ -27,7 +27,7 @@
 	}
 	end := func(fd int) channel {
 		f := os.NewFile(uintptr(fd), "end")
-		defer f.Close()
+		defer func() { _ = f.Close() }()
 		c, err := net.FileConn(f)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -1,4 +1,4 @@
-// Package handover has a new process of a relay take over from the one that runs: its
+// Package hotrestart has a new process of a relay take over from the one that runs: its
 // door, what it has learnt, and the connections that stand.
 //
 // What each of the two may do is decided by Old and New, which do no I/O. Host and Guest
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -1,4 +1,4 @@
-// Package rules judges, from what stand-in clients, servers and discovery saw, whether
+// Package invariants judges, from what stand-in clients, servers and discovery saw, whether
 // a relay kept the operators' rules. It knows nothing of the relay's own counters and
 // records, and does no I/O: a history goes in, and what broke a rule comes out.
 package invariants
--- a/internal/listener/spoken.go
+++ b/internal/listener/spoken.go
@@ -1,4 +1,4 @@
-// Package spoken holds what the fronts share; each wire has a package below it.
+// Package listener holds what the fronts share; each wire has a package below it.
 package listener
 
 import (
--- a/internal/logging/logs.go
+++ b/internal/logging/logs.go
@@ -1,4 +1,4 @@
-// Package logs sets the relay's log up: levelled, structured lines in one of three
+// Package logging sets the relay's log up: levelled, structured lines in one of three
 // forms, within bounds. Of each kind of line some a second are written and the rest
 // counted, so that a flood of bad clients costs little and hides nothing else. Lines
 // are written by a goroutine of their own: who reads them slowly, or not at all, holds
--- a/internal/metrics/figures.go
+++ b/internal/metrics/figures.go
@@ -1,4 +1,4 @@
-// Package figures holds what the second address tells of the relay: counters, each added
+// Package metrics holds what the second address tells of the relay: counters, each added
 // to at the one event that it counts, and the text that they are written in. Nothing here
 // waits: adding and reading are atomic, and who reads stops nobody.
 package metrics
--- a/internal/persistence/keep.go
+++ b/internal/persistence/keep.go
@@ -1,4 +1,4 @@
-// Package keep names what a relay keeps over a restart, and what of it is believed at which age. It decides
+// Package persistence names what a relay keeps over a restart, and what of it is believed at which age. It decides
 // and does no I/O: the store below it does.
 package persistence
 
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -1,4 +1,4 @@
-// Package core carries a transaction from its arrival to its final answer and,
+// Package proxy carries a transaction from its arrival to its final answer and,
 // once it stands, to its end. It knows no wire: fronts hand it transactions, and
 // carry out passes and answers for it.
 package proxy
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -1,4 +1,4 @@
-// Package limits keeps one client address, or one class, from taking what all need. It decides and does no I/O: a
+// Package quota keeps one client address, or one class, from taking what all need. It decides and does no I/O: a
 // front asks Take before it seats a transaction and calls what it returns once that has ended. Who is turned away gets
 // the unavailable answer, with when to come again from the module.
 package quota
--- a/internal/registry/farm.go
+++ b/internal/registry/farm.go
@@ -1,4 +1,4 @@
-// Package memory holds what the relay keeps: the farm, the transactions that
+// Package registry holds what the relay keeps: the farm, the transactions that
 // are open, and the counters.
 package registry
 
--- a/internal/server/config.go
+++ b/internal/server/config.go
@@ -1,4 +1,4 @@
-// Package lifecycle starts the relay, tells when it is ready, and has it leave
+// Package server starts the relay, tells when it is ready, and has it leave
 // in good order.
 package server
 
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -232,7 +232,7 @@
 	if report.TornTail != nil || len(report.Damaged) > 0 || len(report.Replaced) > 0 {
 		t.Fatalf("%s is not whole: %+v", dir, report)
 	}
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
--- a/internal/simprotocol/frame.go
+++ b/internal/simprotocol/frame.go
@@ -1,4 +1,4 @@
-// Package wire speaks the simulator's wire for many relays at once: it reads
+// Package simprotocol speaks the simulator's wire for many relays at once: it reads
 // batches of events, and writes the replies. It decides nothing.
 package simprotocol
 
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -37,7 +37,7 @@
 	if err := json.Unmarshal(good, &tree); err != nil {
 		t.Fatal(err)
 	}
-	golden.EachKey(tree, func(path string, value any, set func(any), remove, restore func()) {
+	golden.EachKey(tree, func(path string, _ any, set func(any), remove, restore func()) {
 		remove()
 		fmt.Fprintf(&b, "%s missing: %s\n", path, outcome(tree))
 		restore()
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-// Package model is a model of what the relay balances: clients, application servers,
+// Package simulation is a model of what the relay balances: clients, application servers,
 // halls, discovery and any number of relays, in virtual time, with the very module that
 // decides in the program deciding in each of its relays. It tries designs at sizes that
 // sockets don't reach.
--- a/internal/telemetry/otlp.go
+++ b/internal/telemetry/otlp.go
@@ -1,4 +1,4 @@
-// Package otlp sends the relay's metrics, and a span for each transaction with
+// Package telemetry sends the relay's metrics, and a span for each transaction with
 // its passes, to a collector: OTLP over HTTP by the OpenTelemetry SDK. What the
 // collector doesn't take in time is dropped.
 package telemetry
--- a/internal/testutil/steps.go
+++ b/internal/testutil/steps.go
@@ -1,4 +1,4 @@
-// Package steps turns the bytes of a fuzzer into random steps, for tests that
+// Package testutil turns the bytes of a fuzzer into random steps, for tests that
 // check what they do against a model, and waits for what tests wait for. Equal bytes give equal steps.
 package testutil
 
--- a/internal/tui/screen.go
+++ b/internal/tui/screen.go
@@ -1,4 +1,4 @@
-// Package screen is the console that fills a terminal: a relay's servers, transactions, refusals and orders, looked at
+// Package tui is the console that fills a terminal: a relay's servers, transactions, refusals and orders, looked at
 // anew every second through its console's socket, with draining a key away. It holds nothing of its own: a screen that is
 // killed leaves what it has asked for to the relay.
 package tui
