--- a/balancer/api.go
+++ b/balancer/api.go
@@ -1,4 +1,4 @@
-// Package balance decides where a relay sends long-lived connections.
+// Package balancer decides where a relay sends long-lived connections.
 //
 // A Balancer is a deterministic state machine. The relay that embeds it hands
 // every event to Handle together with its clock and carries out the actions
--- a/balancer/balance.go
+++ b/balancer/balance.go
@@ -301,7 +301,8 @@
 	if ev.Status == StatusTimeout {
 		b.setups.cutOff(ev.Endpoint, b.now-q.sentAt, b.now)
 	}
-	q.mayRun = q.mayRun || ev.Status != StatusFull && ev.Status != StatusConnectFailed && ev.Status != StatusNotSent
+	q.mayRun = q.mayRun ||
+		ev.Status != StatusFull && ev.Status != StatusConnectFailed && ev.Status != StatusNotSent
 	q.at = nil
 	b.window.out--
 	b.retry(q)
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -54,7 +54,7 @@
 				for i := range b.N {
 					now += 5 * time.Millisecond
 					t := NewRequestHandle(RequestOptions{Group: benchGroup(how, i), Deadline: now + 2*time.Second})
-					f.Pick(gone, t)
+					_, _ = f.Pick(gone, t)
 					f.Tick(now)
 					next(t, ActionAttempt)
 					f.Report(AttemptEstablished{Handle: t, SetupTime: 20 * time.Millisecond})
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -285,7 +285,7 @@
 		ticket := NewRequestHandle(ask)
 		p.tickets[w[0]] = ticket
 		p.order = append(p.order, w[0])
-		p.facade.Pick(p.gone, ticket)
+		_, _ = p.facade.Pick(p.gone, ticket)
 		return []string{"time left " + nanos(ticket.TimeLeft(now))}
 	case "advice":
 		wait := inTurn(p, now, p.facade.RetryAfter)
