--- a/balancer/module_test.go
+++ b/balancer/module_test.go
@@ -2,31 +2,73 @@
 
 import (
 	"os"
+	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 )
 
-// Its users read the module aloud: it has to stay short.
+// policyFiles hold the decisions, and the records that only they use: the policy files of deploy/balancer.toml.
+var policyFiles = []string{
+	"admission.go", "attempt.go", "balancer.go", "concurrency.go", "draining.go", "draw.go", "endpointlist.go",
+	"outlier.go", "retry.go", "selection.go", "slowstart.go", "weights.go",
+}
+
+// The decision module has to stay short enough to be read as a whole: lines and files are limited, and so is the code
+// of all decisions together. doc.go tells where to look for what.
 func TestModuleIsShort(t *testing.T) {
-	text, err := os.ReadFile("balance.go")
+	const (
+		maxColumns     = 110 // of a line, with tabs of four
+		maxFileLines   = 250 // that are not blank
+		maxPolicyLines = 750 // of code in all policy files, neither blank nor comment
+	)
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	doc, err := os.ReadFile("doc.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := 0
-	for i, line := range strings.Split(string(text), "\n") {
-		if strings.TrimSpace(line) != "" {
-			n++
+	policyLines, policySeen := 0, 0
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") {
+			continue
+		}
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines, code := 0, 0
+		for i, line := range strings.Split(string(text), "\n") {
+			trimmed := strings.TrimSpace(line)
+			if trimmed != "" {
+				lines++
+			}
+			if trimmed != "" && !strings.HasPrefix(trimmed, "//") {
+				code++
+			}
+			if w := len([]rune(strings.ReplaceAll(line, "\t", "    "))); w > maxColumns {
+				t.Errorf("%s:%d has %d columns, at most %d are allowed", file, i+1, w, maxColumns)
+			}
+		}
+		if lines > maxFileLines {
+			t.Errorf("%s has %d lines that are not blank, at most %d are allowed", file, lines, maxFileLines)
+		}
+		if slices.Contains(policyFiles, file) {
+			policySeen++
+			policyLines += code
 		}
-		if w := len([]rune(strings.ReplaceAll(line, "\t", "    "))); w > 110 {
-			t.Errorf("line %d has %d columns, at most 110 are allowed", i+1, w)
+		if file != "doc.go" && !strings.Contains(string(doc), file) {
+			t.Errorf("doc.go doesn't name %s", file)
 		}
 	}
-	if n > 640 {
-		t.Errorf("balance.go has %d lines that are not blank, at most 640 are allowed", n)
+	if policySeen != len(policyFiles) {
+		t.Errorf("%d of the %d policy files are there", policySeen, len(policyFiles))
 	}
-	if head := strings.Join(strings.Split(string(text), "\n")[:5], "\n"); !strings.Contains(head, "api.go") {
-		t.Error("the top of balance.go doesn't name api.go")
+	if policyLines > maxPolicyLines {
+		t.Errorf("the policy files have %d lines of code, at most %d are allowed", policyLines, maxPolicyLines)
 	}
 }
 
--- a/balancer/memory.go
+++ b/balancer/snapshot.go
@@ -6,22 +6,18 @@
 	"time"
 )
 
-// This file holds what a Balancer has learnt in a form that another of the same relay
-// can take over: the one of a process that takes its place. Nothing is decided here. Times
-// are on the clock that the two have in common.
-
 // routesKept bounds the routes that are taken over; those confirmed last come first.
 const routesKept = 4096
 
 // Snapshot is what a Balancer has learnt.
 type Snapshot struct {
-	Salt              uint64             `json:"Salt" cbor:"Salt"` // turns that come by chance stay where they are
+	Salt              uint64             `json:"Salt" cbor:"Salt"` // turns stay where they are
 	Endpoints         []EndpointSnapshot `json:"Servers" cbor:"Servers"`
 	Routes            []RouteSnapshot    `json:"Routes" cbor:"Routes"`
 	RecentSetups      CounterSnapshot    `json:"Recent" cbor:"Recent"` // set-ups that warm servers took
-	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // requests that servers were looked for
+	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // requests
 	SetupsPerSize     float64            `json:"PerSize" cbor:"PerSize"`
-	MeanLoad          float64            `json:"Load" cbor:"Load"` // mean told load of a connection, over Loads of them
+	MeanLoad          float64            `json:"Load" cbor:"Load"` // of a connection, as told
 	LoadSamples       float64            `json:"Loads" cbor:"Loads"`
 	ConcurrencyWindow float64            `json:"Window" cbor:"Window"` // set-ups that may be under way
 }
@@ -57,23 +53,12 @@
 	CountedFrom time.Duration `json:"From" cbor:"From"`
 }
 
-func (f *fading) memory() CounterSnapshot { return CounterSnapshot{f.count, f.since, f.from} }
-
-func (f *fading) restore(m CounterSnapshot) {
-	f.count, f.since, f.from = m.Count, m.UpdatedAt, m.CountedFrom
-}
-
-// Restore takes over what another has learnt, for those who drive a Balancer without a Facade.
-func (b *Balancer) Restore(now time.Duration, m Snapshot) {
-	b.now = now
-	b.restoreSnapshot(m)
-}
-
 // Snapshot returns what the Balancer has learnt.
 func (b *Balancer) Snapshot() Snapshot {
 	m := Snapshot{
 		Salt: b.salt, RecentSetups: b.fleet.recent.memory(), ArrivalRate: b.pace.memory(),
-		SetupsPerSize: b.fleet.perSize, MeanLoad: b.fleet.load, LoadSamples: b.fleet.loads, ConcurrencyWindow: b.window.size,
+		SetupsPerSize: b.fleet.perSize, MeanLoad: b.fleet.load,
+		LoadSamples: b.fleet.loads, ConcurrencyWindow: b.window.size,
 	}
 	for _, s := range b.fleet.servers {
 		m.Endpoints = append(m.Endpoints, EndpointSnapshot{
@@ -91,6 +76,12 @@
 	return m
 }
 
+// Restore takes over what another has learnt, for those who drive a Balancer without a Facade.
+func (b *Balancer) Restore(now time.Duration, m Snapshot) {
+	b.now = now
+	b.restoreSnapshot(m)
+}
+
 // restoreSnapshot takes over what another has learnt, of the servers that are listed. What was
 // learnt of a server before its last start is left aside.
 func (b *Balancer) restoreSnapshot(m Snapshot) {
@@ -138,38 +129,8 @@
 	}
 }
 
-// EndpointView is what a Balancer holds of a server, for those who look on.
-type EndpointView struct {
-	Endpoint EndpointID
-	Delay    time.Duration // of a message there, as last heard; 0: nothing was heard lately
-	Load     float64       // of this relay's connections there, in mean connections
-	Avoided  string        // why nothing new goes there now; "" if it may
-}
+func (f *fading) memory() CounterSnapshot { return CounterSnapshot{f.count, f.since, f.from} }
 
-// views tells what is held of each server that is listed.
-func (b *Balancer) views() (all []EndpointView) {
-	for _, s := range b.fleet.servers {
-		if s.State == StateGone {
-			continue
-		}
-		v := EndpointView{Endpoint: s.ID, Load: s.load}
-		if s.delayAt > 0 && b.now < s.delayAt+viewLife {
-			v.Delay = s.delay
-		}
-		if b.now < s.avoidedUntil() {
-			switch {
-			case s.State == StateDraining:
-				v.Avoided = "drains"
-			case s.awayAt > 0 && b.now < s.awayAt+awayFor:
-				v.Avoided = "sends away"
-			default:
-				v.Avoided = "slow or full"
-			}
-		}
-		all = append(all, v)
-	}
-	return all
+func (f *fading) restore(m CounterSnapshot) {
+	f.count, f.since, f.from = m.Count, m.UpdatedAt, m.CountedFrom
 }
-
-// viewLife is how long a delay is told after it was heard.
-const viewLife = 10 * time.Second
--- /dev/null
+++ b/balancer/timerheap.go
@@ -0,0 +1,30 @@
+package balancer
+
+import (
+	"cmp"
+	"time"
+)
+
+type alarm struct {
+	at    time.Duration
+	token uint32
+}
+
+// timerHeap holds the timers that are set, the first due on top.
+type timerHeap []alarm
+
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].token, h[j].token)) < 0
+}
+
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(alarm)) }
+
+func (h *timerHeap) Pop() any {
+	last := (*h)[len(*h)-1]
+	*h = (*h)[:len(*h)-1]
+	return last
+}
