--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,111 +5,108 @@
 	"time"
 )
 
-const (
-	holdFor = 100 * time.Millisecond // a request that no server may take looks again after this
-)
+// holdInterval is how long a request that no endpoint may take at present is held before it tries
+// again. Shorter costs more draws while all wait, longer leaves a free endpoint idle.
+const holdInterval = 100 * time.Millisecond
 
-func (b *Balancer) arrived(ev Request) {
-	q := b.begin(ev)
-	// Rule 1: a timer of the request's own answers it a little ahead of the
-	// client's patience, whatever it then waits for.
-	left := max(0, ev.TimeLeft-2*b.set.MinTick)
-	q.giveUp = b.now + left
-	b.wake(q, left)
-	b.advance(q)
+// handleRequest admits a request. A timer of its own answers it a little ahead of its client's deadline,
+// whatever it waits for by then.
+func (b *Balancer) handleRequest(event Request) {
+	request := b.addRequest(event)
+	timeLeft := max(0, event.TimeLeft-2*b.settings.MinTick)
+	request.deadline = b.now + timeLeft
+	b.setRequestTimer(request, timeLeft)
+	b.advance(request)
 }
 
-func (b *Balancer) resumed(ev Resumed) {
-	q := b.begin(ev.Request)
-	q.at, q.attempts = b.fleet.find(ev.Endpoint), 1
-	b.stand(q)
-	b.sendAway(q.at)
+// handleResumed admits a connection that was established before the Balancer started.
+func (b *Balancer) handleResumed(event Resumed) {
+	request := b.addRequest(event.Request)
+	request.endpoint, request.attempts = b.endpoints.find(event.Endpoint), 1
+	b.establish(request)
+	b.migrateDraining(request.endpoint)
 }
 
-// advance sends a request that has no attempt out, or lets it wait.
-func (b *Balancer) advance(q *request) {
-	q.waiting = false
-	if !b.mayTry(q, b.now) {
-		b.end(q, b.spent(q, b.now))
+// advance sends the next attempt of a request that has none in flight, or queues, holds or answers it.
+func (b *Balancer) advance(request *requestRecord) {
+	request.waiting = false
+	if !b.attemptAllowed(request, b.now) {
+		b.answer(request, b.stopReason(request, b.now))
 		return
 	}
-	if b.window.full() {
-		b.note(VerdictHeld, ReasonWindowFull, q, nil, 0)
-		b.window.queue = append(b.window.queue, q)
+	if b.concurrency.full() {
+		b.observeDecision(VerdictHeld, ReasonWindowFull, request, nil, 0)
+		b.concurrency.queue = append(b.concurrency.queue, request)
 		return
 	}
-	s, why := b.pick(q)
-	if s == nil && !b.hope(q) {
-		b.end(q, ReasonNoViableEndpoint)
+	endpoint, reason := b.selectEndpoint(request)
+	if endpoint == nil && !b.hasViableEndpoint(request) {
+		b.answer(request, ReasonNoViableEndpoint)
 		return
 	}
-	if s == nil || b.mustWait(s) {
-		b.rest(q, holdFor, b.held(s), s)
+	if endpoint == nil || b.mustHold(endpoint) {
+		b.holdRequest(request, holdInterval, b.holdReason(endpoint), endpoint)
 		return
 	}
-	if !q.mayRun {
-		q.ranZone, q.ranCell, q.ranSince = s.Zone, s.Cell, b.now
-	}
-	q.attempts++
-	wait := b.patience(q)
-	b.note(VerdictSent, why, q, s, wait)
-	q.at, q.sentAt = s, b.now
-	b.window.out++
-	s.lastSent = b.now
-	b.do(SendAttempt{Request: q.ID, Endpoint: s.ID, Timeout: wait, NotAfter: q.known()})
+	b.sendAttempt(request, endpoint, reason)
 }
 
-// release sends what waited for the window.
-func (b *Balancer) release() {
-	for w := &b.window; len(w.queue) > 0 && !w.full(); {
-		q := w.queue[0]
-		w.queue = w.queue[1:]
-		if !q.over {
-			b.advance(q)
+// releaseQueued advances the requests that wait for the concurrency window, while it has room.
+func (b *Balancer) releaseQueued() {
+	for window := &b.concurrency; len(window.queue) > 0 && !window.full(); {
+		request := window.queue[0]
+		window.queue = window.queue[1:]
+		if !request.done {
+			b.advance(request)
 		}
 	}
 }
 
-// hope tells whether waiting can still find a request a server: one that is ready
-// and not yet tried. A request without hope is answered at once.
-func (b *Balancer) hope(q *request) bool {
-	return slices.ContainsFunc(b.fleet.servers, func(s *server) bool {
-		return s.State == StateReady && q.mayUse(s) && !slices.Contains(q.tried, s.ID)
+// hasViableEndpoint reports whether waiting can still find the request an endpoint: one that is ready,
+// within its scope and not yet tried. A request without one is answered at once.
+func (b *Balancer) hasViableEndpoint(request *requestRecord) bool {
+	return slices.ContainsFunc(b.endpoints.sorted, func(endpoint *endpointRecord) bool {
+		return endpoint.State == StateReady && request.withinScope(endpoint) &&
+			!slices.Contains(request.triedEndpoints, endpoint.ID)
 	})
 }
 
-func (b *Balancer) rest(q *request, wait time.Duration, why Reason, s *server) {
-	b.note(VerdictHeld, why, q, s, wait)
-	q.waiting, q.notBefore = true, b.now+wait
-	if q.notBefore < q.giveUp {
-		b.wake(q, wait)
+// holdRequest keeps a request waiting. endpoint is the one that it waits for, if any.
+func (b *Balancer) holdRequest(
+	request *requestRecord, wait time.Duration, reason Reason, endpoint *endpointRecord,
+) {
+	b.observeDecision(VerdictHeld, reason, request, endpoint, wait)
+	request.waiting, request.notBefore = true, b.now+wait
+	if request.notBefore < request.deadline {
+		b.setRequestTimer(request, wait)
 	}
 }
 
-// end gives the final answer. A refusal says that trying again is harmless.
-func (b *Balancer) end(q *request, why Reason) {
-	ran := q.mayRun || q.at != nil
-	if !ran || q.class.Effect == Idempotent || q.class.Effect == Deduplicated && q.class.Scope == ScopeAll {
-		wait := b.comeBack(q)
-		b.note(VerdictRejected, why, q, q.at, wait)
-		b.do(Reject{Request: q.ID, RetryAfter: wait})
+// answer gives the final answer. It is a rejection only where another request of the same content is
+// harmless: a rejection says so to the client.
+func (b *Balancer) answer(request *requestRecord, reason Reason) {
+	mayHaveRun := request.mayHaveRun || request.endpoint != nil
+	if !mayHaveRun || request.class.repeatableAnywhere() {
+		wait := b.retryAfter(request)
+		b.observeDecision(VerdictRejected, reason, request, request.endpoint, wait)
+		b.emit(Reject{Request: request.ID, RetryAfter: wait})
 	} else {
-		b.note(VerdictFailed, why, q, q.at, 0)
-		b.do(Fail{Request: q.ID})
+		b.observeDecision(VerdictFailed, reason, request, request.endpoint, 0)
+		b.emit(Fail{Request: request.ID})
 	}
-	b.forget(q)
+	b.removeRequest(request)
 }
 
-// comeBack is the advice that a refusal carries, and guards against clients that come back to servers as full
-// as they were: when the first of the ready servers is no longer held slow, after the backoff of the attempts
-// made; the longest where none is ready.
-func (b *Balancer) comeBack(q *request) time.Duration {
-	soonest := b.set.MaxRetryAfter
-	for _, s := range b.fleet.servers {
-		if s.State == StateReady {
-			wait := backoffBase << min(q.attempts, 8)
-			if s.slowAt(b.now) {
-				wait = max(wait, s.delayAt+slowLife-b.now)
+// retryAfter is when a rejected client should try again: when the first of the ready endpoints is no
+// longer slow, but not before the backoff of the attempts made, and MaxRetryAfter where none is ready.
+// It guards against clients that return to endpoints which are still full.
+func (b *Balancer) retryAfter(request *requestRecord) time.Duration {
+	soonest := b.settings.MaxRetryAfter
+	for _, endpoint := range b.endpoints.sorted {
+		if endpoint.State == StateReady {
+			wait := retryBackoffBase << min(request.attempts, maxBackoffDoublings)
+			if endpoint.isSlow(b.now) {
+				wait = max(wait, endpoint.delayAt+slowDuration-b.now)
 			}
 			soonest = min(soonest, wait)
 		}
@@ -117,8 +114,9 @@
 	return soonest
 }
 
-// RetryAfter is when a client should come again that the relay has no place for.
+// RetryAfter returns when a client should try again that the relay has rejected on its own, such as for
+// its limit of connections.
 func (b *Balancer) RetryAfter(now time.Duration) time.Duration {
 	b.now = now
-	return b.comeBack(&request{})
+	return b.retryAfter(&requestRecord{})
 }
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -6,96 +6,117 @@
 )
 
 const (
-	setupGuess = 4 * backoffBase // that set-ups take where none was seen
+	// defaultSetupTime is the time that a set-up is taken to need where none was seen lately.
+	defaultSetupTime = 4 * retryBackoffBase
 )
 
-func (b *Balancer) stands(ev Established) {
-	q := b.requests[ev.Request]
-	if q == nil || q.at == nil || q.up {
+// sendAttempt sends the request's next attempt to an endpoint.
+func (b *Balancer) sendAttempt(request *requestRecord, endpoint *endpointRecord, reason Reason) {
+	if !request.mayHaveRun {
+		request.runZone, request.runCell, request.mayHaveRunSince = endpoint.Zone, endpoint.Cell, b.now
+	}
+	request.attempts++
+	timeout := b.attemptTimeout(request)
+	b.observeDecision(VerdictSent, reason, request, endpoint, timeout)
+	request.endpoint, request.attemptSentAt = endpoint, b.now
+	b.concurrency.inFlight++
+	endpoint.lastAttemptAt = b.now
+	b.emit(SendAttempt{
+		Request: request.ID, Endpoint: endpoint.ID, Timeout: timeout, NotAfter: request.deduplicatedUntil(),
+	})
+}
+
+// attemptTimeout is the time-out of the attempt that is about to be sent. While another may follow, it
+// leaves time for that one. None follows where a time-out may not be repeated. Where set-ups take as
+// long as half of the time left, a repeat would only begin anew with less time and on more load.
+func (b *Balancer) attemptTimeout(request *requestRecord) time.Duration {
+	timeLeft := request.deadline - b.now
+	if request.attempts >= request.settings.MaxAttempts || b.sharedCauseActive() ||
+		request.class.Effect == AtMostOnce ||
+		timeLeft/2 <= cmp.Or(b.setupTime.current(b.now), defaultSetupTime) {
+		return timeLeft
+	}
+	return max(timeLeft/2, min(timeLeft, b.settings.ConnectTimeout+holdInterval))
+}
+
+// handleEstablished handles an attempt whose connection is established.
+func (b *Balancer) handleEstablished(event Established) {
+	request := b.requests[event.Request]
+	if request == nil || request.endpoint == nil || request.established {
 		return
 	}
-	s := q.at
-	s.stoodAt = b.now
-	s.raise(b.now)
-	b.setups.stood(ev.SetupTime, b.now)
-	if !q.Returning && b.warmth(s) >= 1 {
-		b.fleet.recent.add(b.now)
+	endpoint := request.endpoint
+	endpoint.establishedAt = b.now
+	endpoint.raiseWeight(b.now)
+	b.setupTime.observeEstablished(event.SetupTime, b.now)
+	if !request.Returning && b.warmth(endpoint) >= 1 {
+		b.endpoints.recentSetups.increment(b.now)
 	}
-	b.window.out--
-	if ev.SetupTime <= q.class.LatencyObjective {
-		b.window.size = min(windowMax, b.window.size+1/b.window.size)
+	b.concurrency.inFlight--
+	if event.SetupTime <= request.class.LatencyObjective {
+		b.concurrency.raise()
 	}
-	b.stand(q)
-	b.sendAway(s) // it may have begun to drain while it had no one to send away
+	b.establish(request)
+	b.migrateDraining(endpoint) // it may have begun to drain while it had no connection to migrate
 }
 
-// stand books a connection that is up and writes its group's route.
-func (b *Balancer) stand(q *request) {
-	q.up = true
-	if q.at != nil {
-		b.routes.put(q.key(), q.at.ID, b.now+cacheLife)
-		b.fleet.book(q)
+// establish books a connection that is established and caches its route.
+func (b *Balancer) establish(request *requestRecord) {
+	request.established = true
+	if request.endpoint != nil {
+		b.routes.put(request.routeKey(), request.endpoint.ID, b.now+routeLifetime)
+		b.endpoints.bookConnection(request)
 	}
 }
 
-func (b *Balancer) ended(ev Outcome) {
-	q := b.requests[ev.Request]
-	if q == nil || q.at == nil && !ev.Final && !q.up {
+// handleOutcome handles the end of an attempt, or of the connection that it became.
+func (b *Balancer) handleOutcome(event Outcome) {
+	request := b.requests[event.Request]
+	if request == nil || request.endpoint == nil && !event.Final && !request.established {
 		return
 	}
-	switch s := q.at; ev.Status {
+	switch endpoint := request.endpoint; event.Status {
 	case StatusOK, StatusCancelled, StatusNotSent:
 	case StatusRedirected:
-		// The server knows before the list that it drains. It guards against placing
-		// clients where they come from, to be sent away again, until the list comes.
-		if s != nil {
-			s.awayAt = b.now
-			b.routes.clear(q.key(), s.ID)
+		// The endpoint knows before the list that it drains. This guards against placing
+		// clients where they come from, to be redirected again, until the list is updated.
+		if endpoint != nil {
+			endpoint.redirectedAt = b.now
+			b.routes.invalidate(request.routeKey(), endpoint.ID)
 		}
 	default:
-		b.failed(q, ev.Status)
+		b.recordFailure(request, event.Status)
 	}
-	if q.up || ev.Final {
-		b.forget(q)
+	if request.established || event.Final {
+		b.removeRequest(request)
 		return
 	}
-	if ev.Status == StatusTimeout {
-		b.setups.cutOff(ev.Endpoint, b.now-q.sentAt, b.now)
+	if event.Status == StatusTimeout {
+		b.setupTime.observeTimeout(event.Endpoint, b.now-request.attemptSentAt, b.now)
 	}
-	q.mayRun = q.mayRun ||
-		ev.Status != StatusFull && ev.Status != StatusConnectFailed && ev.Status != StatusNotSent
-	q.at = nil
-	b.window.out--
-	b.retry(q)
+	request.mayHaveRun = request.mayHaveRun ||
+		event.Status != StatusFull && event.Status != StatusConnectFailed && event.Status != StatusNotSent
+	request.endpoint = nil
+	b.concurrency.inFlight--
+	b.scheduleRetry(request)
 }
 
-// failed answers the failure of an attempt, or of the connection it became: the
-// route was wrong, and the server loses weight.
-func (b *Balancer) failed(q *request, why AttemptStatus) {
-	s := q.at
-	if s == nil {
+// recordFailure invalidates the route of a request whose attempt or connection has failed, and lowers
+// the endpoint's weight, unless the failure has a cause that many endpoints share.
+func (b *Balancer) recordFailure(request *requestRecord, status AttemptStatus) {
+	endpoint := request.endpoint
+	if endpoint == nil {
 		return
 	}
-	if !q.up && (why == StatusError || why == StatusTimeout) && b.sharedCause(s) {
+	mayBeShared := !request.established && (status == StatusError || status == StatusTimeout)
+	if mayBeShared && b.detectSharedCause(endpoint) {
 		return
 	}
-	b.routes.clear(q.key(), s.ID)
-	q.tried = append(q.tried, s.ID)
-	s.cut(weightCut, b.now)
-	if why == StatusFull { // it turns away what it can't bear: requests wait as for a slow one
-		s.lastSlow, s.delayAt = b.now, b.now
-		b.strange(s)
-	}
-}
-
-// patience is the time-out of the attempt that goes out: while another may follow, it leaves
-// time for it. None follows where a time-out may not be repeated; and where set-ups take as long
-// as half of what is left, one cut off there only begins anew, with less time and on more load.
-func (b *Balancer) patience(q *request) time.Duration {
-	left := q.giveUp - b.now
-	if q.attempts >= q.set.MaxAttempts || b.shared() ||
-		q.class.Effect == AtMostOnce || left/2 <= cmp.Or(b.setups.usual(b.now), setupGuess) {
-		return left
+	b.routes.invalidate(request.routeKey(), endpoint.ID)
+	request.triedEndpoints = append(request.triedEndpoints, endpoint.ID)
+	endpoint.cutWeight(weightCutFactor, b.now)
+	if status == StatusFull { // it rejects what it can't bear: requests are held as for a slow one
+		endpoint.lastSlowAt, endpoint.delayAt = b.now, b.now
+		b.trackOutlier(endpoint)
 	}
-	return max(left/2, min(left, b.set.ConnectTimeout+holdFor))
 }
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -7,113 +7,129 @@
 	"time"
 )
 
-// Balancer decides for one relay. It is not safe for concurrent use.
+// Balancer decides for one relay. It is not safe for concurrent use; see the package's contract.
 type Balancer struct {
-	set      *Settings     // in force
-	aim      time.Duration // shortest wanted time of a message; 0 if not known
-	rng      *rand.Rand
-	now      time.Duration
-	out      []Action
-	requests map[RequestID]*request
-	timers   map[uint32]*request // a nil request: the list's timer
-	leaving  map[uint32]*server  // timers of servers that drain
-	token    uint32
-	routes   routes
-	fleet    fleet
-	window   window
-	list     listReader
-	salt     uint64  // sets this relay apart from others
-	part     float64 // of the budget of cold servers that is this process's
-	pace     fading  // requests that servers were looked for, by this relay
-	setups   setups  // how long they take
-	seen     observer
+	settings         *Settings     // in force
+	messageObjective time.Duration // the shortest of all classes; 0 if none has one
+	rng              *rand.Rand    // the order of its draws is part of the behaviour
+	now              time.Duration // of the event being handled
+	actions          []Action      // of the event being handled; its room is used again
+	requests         map[RequestID]*requestRecord
+	requestTimers    map[uint32]*requestRecord  // by token; a nil request: the timer of the list
+	drainTimers      map[uint32]*endpointRecord // by token: endpoints that drain
+	lastToken        uint32
+	routes           routeCache
+	endpoints        endpointTable
+	concurrency      concurrencyWindow
+	listPoll         listPoller
+	salt             uint64          // tells this relay's hashes from those of other relays
+	slowStartShare   float64         // of the relay's slow-start budget, that is this process's: 0 to 1
+	arrivalRate      decayingCounter // requests of this relay that an endpoint was drawn for
+	setupTime        setupTimeEstimate
+	recorder         decisionRecorder
 }
 
-// New returns a Balancer that has just started. Equal settings, seeds and
-// events give equal actions.
-func New(s Settings, seed uint64) *Balancer {
+// New returns a Balancer that has just started. The settings pass Settings.Validate. Equal settings,
+// seeds and events give equal actions.
+func New(settings Settings, seed uint64) *Balancer {
 	return &Balancer{
-		set:      &s,
-		aim:      s.shortestAim(),
-		part:     1,
-		salt:     rand.NewPCG(seed, 1).Uint64(),
-		rng:      rand.New(rand.NewPCG(seed, 0)),
-		requests: make(map[RequestID]*request),
-		timers:   make(map[uint32]*request),
-		leaving:  make(map[uint32]*server),
-		routes:   routes{size: cacheSize, at: make(map[uint64]int)},
-		fleet:    fleet{recent: fading{over: rateMemory}},
-		pace:     fading{over: paceMemory},
-		window:   window{size: windowMax, sharedUntil: math.MinInt64},
-		list:     listReader{readAt: math.MinInt64},
+		settings:         &settings,
+		messageObjective: settings.shortestMessageObjective(),
+		slowStartShare:   1,
+		salt:             rand.NewPCG(seed, 1).Uint64(),
+		rng:              rand.New(rand.NewPCG(seed, 0)),
+		requests:         make(map[RequestID]*requestRecord),
+		requestTimers:    make(map[uint32]*requestRecord),
+		drainTimers:      make(map[uint32]*endpointRecord),
+		routes:           routeCache{capacity: routeCacheCapacity, index: make(map[uint64]int)},
+		endpoints:        endpointTable{recentSetups: decayingCounter{timeConstant: setupRateTimeConstant}},
+		arrivalRate:      decayingCounter{timeConstant: arrivalRateTimeConstant},
+		concurrency:      concurrencyWindow{limit: maxConcurrency, sharedCauseUntil: math.MinInt64},
+		listPoll:         listPoller{readAt: math.MinInt64},
 	}
 }
 
-// Handle takes an event at the relay's clock and returns what to do, in order.
+// Handle takes an event at a time of the relay's clock and returns the actions to carry out, in order.
 // The slice is valid until the next call.
-func (b *Balancer) Handle(now time.Duration, ev Event) []Action {
-	b.now, b.out, b.fleet.summed, b.pace.from = now, b.out[:0], false, cmp.Or(b.pace.from, now)
-	switch ev := ev.(type) {
+func (b *Balancer) Handle(now time.Duration, event Event) []Action {
+	b.now, b.actions = now, b.actions[:0]
+	b.endpoints.eventTotalsValid = false
+	b.arrivalRate.countedFrom = cmp.Or(b.arrivalRate.countedFrom, now)
+	b.dispatch(event)
+	b.releaseQueued()
+	return b.actions
+}
+
+func (b *Balancer) dispatch(event Event) {
+	switch event := event.(type) {
 	case EndpointList:
-		b.listArrived(ev)
+		b.handleList(event)
 	case SettingsChanged:
-		b.retune(ev.Settings)
+		b.handleSettings(event.Settings)
 	case Request:
-		b.arrived(ev)
+		b.handleRequest(event)
 	case Resumed:
-		b.resumed(ev)
+		b.handleResumed(event)
 	case Established:
-		b.stands(ev)
+		b.handleEstablished(event)
 	case Outcome:
-		b.ended(ev)
+		b.handleOutcome(event)
 	case AnswerRequired:
-		if q := b.requests[ev.Request]; q != nil && !q.up {
-			b.end(q, ReasonShutdown)
+		if request := b.requests[event.Request]; request != nil && !request.established {
+			b.answer(request, ReasonShutdown)
 		}
 	case ClientLeft:
-		b.forget(b.requests[ev.Request])
+		b.removeRequest(b.requests[event.Request])
 	case ConnectionLoad:
-		if q := b.requests[ev.Request]; q != nil && q.up {
-			b.fleet.weigh(q, ev.Load)
+		if request := b.requests[event.Request]; request != nil && request.established {
+			b.endpoints.recordLoad(request, event.Load)
 		}
 	case EndpointDelay:
-		if s := b.fleet.find(ev.Endpoint); s != nil {
-			b.delayed(s, ev.Delay)
+		if endpoint := b.endpoints.find(event.Endpoint); endpoint != nil {
+			b.observeDelay(endpoint, event.Delay)
 		}
 	case Timer:
-		b.timerFired(ev.Token)
+		b.handleTimer(event.Token)
 	}
-	b.release()
-	return b.out
 }
 
-func (b *Balancer) timerFired(token uint32) {
-	q, ok := b.timers[token]
-	s := b.leaving[token]
-	delete(b.timers, token)
-	delete(b.leaving, token)
+// handleTimer handles a timer of a draining endpoint, of the list or of a request. Timers are never
+// cancelled, so it first finds out whether this one still means anything.
+func (b *Balancer) handleTimer(token uint32) {
+	request, ok := b.requestTimers[token]
+	endpoint := b.drainTimers[token]
+	delete(b.requestTimers, token)
+	delete(b.drainTimers, token)
 	switch {
-	case s != nil:
-		s.sending = false
-		b.sendAway(s)
+	case endpoint != nil:
+		endpoint.migrating = false
+		b.migrateDraining(endpoint)
 	case !ok:
-	case q == nil && (b.list.out || b.list.fails > 0):
-		b.watch()
-	case q == nil || q.over || q.up:
-	case b.now >= q.giveUp:
-		b.end(q, ReasonDeadlineExceeded)
-	case q.waiting && b.now < q.listUntil:
-		b.wake(q, q.listUntil-b.now)
-	case q.waiting && b.now >= q.notBefore:
-		b.advance(q)
+	case request == nil && (b.listPoll.requested || b.listPoll.failures > 0):
+		b.pollList()
+	case request == nil || request.done || request.established:
+	case b.now >= request.deadline:
+		b.answer(request, ReasonDeadlineExceeded)
+	case request.waiting && b.now < request.listDeadline:
+		b.setRequestTimer(request, request.listDeadline-b.now)
+	case request.waiting && b.now >= request.notBefore:
+		b.advance(request)
 	}
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+// emit appends an action to those that Handle returns.
+func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
+
+// setRequestTimer sets a timer of a request, or of the endpoint list where request is nil.
+func (b *Balancer) setRequestTimer(request *requestRecord, after time.Duration) {
+	b.lastToken++
+	b.requestTimers[b.lastToken] = request
+	b.emit(SetTimer{Token: b.lastToken, After: after})
+}
 
-// wake asks for a timer of a request, or of the list where q is nil.
-func (b *Balancer) wake(q *request, after time.Duration) {
-	b.token++
-	b.timers[b.token] = q
-	b.do(SetTimer{Token: b.token, After: after})
+// setDrainTimer sets the timer of an endpoint's next step of migration.
+func (b *Balancer) setDrainTimer(endpoint *endpointRecord, after time.Duration) {
+	b.lastToken++
+	b.drainTimers[b.lastToken] = endpoint
+	b.emit(SetTimer{Token: b.lastToken, After: after})
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// benchFleets are the numbers of servers that benchmarks run with. A draw works otherwise from 64 servers on.
-var benchFleets = []int{5, 60, 1000, 5000}
+// benchEndpointCounts are the numbers of servers that benchmarks run with. A draw works otherwise from 64 servers on.
+var benchEndpointCounts = []int{5, 60, 1000, 5000}
 
-// benchStanding is how many connections stand a server while a benchmark runs.
-const benchStanding = 4
+// benchConnectionsPerEndpoint is how many connections stand a server while a benchmark runs.
+const benchConnectionsPerEndpoint = 4
 
 // BenchmarkSetUp is a request from its arrival over the attempt sent and the connection up to its end: of a group whose
 // route is cached, of one that is drawn for, and of none.
 func BenchmarkSetUp(b *testing.B) {
-	for _, n := range benchFleets {
+	for _, n := range benchEndpointCounts {
 		for _, how := range []string{"cached", "drawn", "alone"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
-				m, id := benchBalancer(n)
+				balancer, id := benchBalancer(n)
 				now := 2 * time.Hour
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					id++
 					now += 5 * time.Millisecond
-					setUpOnce(b, m, now, Request{ID: id, Group: benchGroup(how, i), TimeLeft: 2 * time.Second})
+					runRequest(b, balancer, now, Request{ID: id, Group: benchGroup(how, i), TimeLeft: 2 * time.Second})
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkFacadeSetUp is the same through Pick, Report and Tick.
-func BenchmarkFacadeSetUp(b *testing.B) {
-	for _, n := range benchFleets {
+// BenchmarkLoopSetUp is the same through Pick, Report and Tick.
+func BenchmarkLoopSetUp(b *testing.B) {
+	for _, n := range benchEndpointCounts {
 		for _, how := range []string{"cached", "drawn"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
 				f := NewLoop(testSettings(), 1)
-				f.Report(EndpointUpdate{Kind: ListFull, Endpoints: ready(n)})
+				f.Report(EndpointUpdate{Kind: ListFull, Endpoints: readyEndpoints(n)})
 				f.Tick(time.Hour)
 				now := time.Hour
 				gone, cancel := context.WithCancel(context.Background())
@@ -81,37 +81,37 @@
 
 // benchBalancer returns a Balancer of n servers with connections that stand, and the last request's number.
 func benchBalancer(n int) (*Balancer, RequestID) {
-	m := New(testSettings(), 1)
-	m.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: ready(n)})
+	balancer := New(testSettings(), 1)
+	balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
 	id := RequestID(0)
-	for i := range benchStanding * n {
+	for i := range benchConnectionsPerEndpoint * n {
 		id++
 		now := time.Hour + time.Duration(i)*time.Millisecond
-		for _, a := range m.Handle(now, Request{ID: id, Group: uint64(id) + 1000, TimeLeft: 2 * time.Second}) {
+		for _, a := range balancer.Handle(now, Request{ID: id, Group: uint64(id) + 1000, TimeLeft: 2 * time.Second}) {
 			if s, sent := a.(SendAttempt); sent {
-				m.Handle(now, Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * time.Millisecond})
+				balancer.Handle(now, Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * time.Millisecond})
 			}
 		}
 	}
-	return m, id
+	return balancer, id
 }
 
-// setUpOnce plays a request from its arrival to its end, and the timer that was set for it.
-func setUpOnce(b *testing.B, m *Balancer, now time.Duration, q Request) {
-	var to EndpointID
+// runRequest plays a request from its arrival to its end, and the timer that was set for it.
+func runRequest(b *testing.B, balancer *Balancer, now time.Duration, q Request) {
+	var endpoint EndpointID
 	var token uint32
-	for _, a := range m.Handle(now, q) {
+	for _, a := range balancer.Handle(now, q) {
 		switch a := a.(type) {
 		case SendAttempt:
-			to = a.Endpoint
+			endpoint = a.Endpoint
 		case SetTimer:
 			token = a.Token
 		}
 	}
-	if to == 0 {
+	if endpoint == 0 {
 		b.Fatalf("request %d was not sent", q.ID)
 	}
-	m.Handle(now, Established{Request: q.ID, Endpoint: to, SetupTime: 20 * time.Millisecond})
-	m.Handle(now, Outcome{Request: q.ID, Endpoint: to, Status: StatusOK, Final: true})
-	m.Handle(now, Timer{Token: token})
+	balancer.Handle(now, Established{Request: q.ID, Endpoint: endpoint, SetupTime: 20 * time.Millisecond})
+	balancer.Handle(now, Outcome{Request: q.ID, Endpoint: endpoint, Status: StatusOK, Final: true})
+	balancer.Handle(now, Timer{Token: token})
 }
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -1,49 +1,65 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	windowMax   = 64.0                   // set-ups under way
-	windowCut   = 0.7                    // kept when set-ups fail on many servers at once
-	windowPause = 200 * time.Millisecond // least time between two such cuts
-	sharedSpan  = 2 * time.Second        // failures on many servers within it have one cause
+	// maxConcurrency bounds the set-ups in flight from one relay.
+	maxConcurrency = 64.0
+
+	// concurrencyCutFactor is the share of the limit that is kept when set-ups fail on many endpoints.
+	concurrencyCutFactor = 0.7
+
+	// concurrencyCutInterval is the least time between two such cuts.
+	concurrencyCutInterval = 200 * time.Millisecond
+
+	// sharedCauseSpan is the time within which failures on many endpoints are taken to have one cause,
+	// and for which that is taken to last.
+	sharedCauseSpan = 2 * time.Second
 )
 
-// window limits the set-ups under way, as the controller limits a server.
-type window struct {
-	size        float64
-	out         int
-	cutAt       time.Duration
-	sharedUntil time.Duration
-	queue       []*request
+// concurrencyWindow limits the set-ups in flight. It grows by about one per round of set-ups that meet
+// their objective, and is cut when set-ups fail on many endpoints at once.
+type concurrencyWindow struct {
+	limit            float64 // from 1 to maxConcurrency
+	inFlight         int
+	cutAt            time.Duration
+	sharedCauseUntil time.Duration
+	queue            []*requestRecord // that wait for room, in order of arrival
 }
 
-func (w *window) full() bool { return w.out >= int(w.size) }
-
-// shared tells whether set-ups lately failed on many servers at once.
-func (b *Balancer) shared() bool { return b.now < b.window.sharedUntil }
-
-// sharedCause guards against blaming servers for what they share, such as a slow session store, and against
-// retries that feed it: once set-ups fail on as many servers as accept them, fewer are under way at a time,
-// and weights and routes stay.
-func (b *Balancer) sharedCause(s *server) bool {
-	s.failedAt = b.now
-	good, bad := 0, 0
-	for _, s := range b.fleet.servers {
-		if s.failedAt > s.stoodAt && s.failedAt > b.now-sharedSpan {
-			bad++
-		} else if s.stoodAt > b.now-sharedSpan {
-			good++
-		}
+// full reports whether no further set-up may be sent.
+func (w *concurrencyWindow) full() bool { return w.inFlight >= int(w.limit) }
+
+// raise raises the limit after a set-up that met its objective.
+func (w *concurrencyWindow) raise() { w.limit = min(maxConcurrency, w.limit+1/w.limit) }
+
+// cut lowers the limit, unless it was cut just now.
+func (w *concurrencyWindow) cut(now time.Duration) {
+	if now >= w.cutAt+concurrencyCutInterval {
+		w.cutAt, w.limit = now, max(1, min(w.limit, float64(w.inFlight))*concurrencyCutFactor)
 	}
-	w := &b.window
-	if bad >= 2 && bad >= good {
-		w.sharedUntil = b.now + sharedSpan
-		if b.now >= w.cutAt+windowPause {
-			w.cutAt, w.size = b.now, max(1, min(w.size, float64(w.out))*windowCut)
+}
+
+// sharedCauseActive reports whether set-ups lately failed on many endpoints at once.
+func (b *Balancer) sharedCauseActive() bool { return b.now < b.concurrency.sharedCauseUntil }
+
+// detectSharedCause takes in a set-up that failed at an endpoint, and reports whether the failures have a
+// cause that endpoints share, such as a slow session store. It guards against blaming endpoints for that,
+// and against retries that add to it: once set-ups fail on as many endpoints as accept them, fewer are in
+// flight at a time, and weights and routes stay.
+func (b *Balancer) detectSharedCause(endpoint *endpointRecord) bool {
+	endpoint.failedAt = b.now
+	accepting, failing := 0, 0
+	for _, endpoint := range b.endpoints.sorted {
+		if endpoint.failedAt > endpoint.establishedAt && endpoint.failedAt > b.now-sharedCauseSpan {
+			failing++
+		} else if endpoint.establishedAt > b.now-sharedCauseSpan {
+			accepting++
 		}
 	}
-	return b.shared()
+	if failing >= 2 && failing >= accepting {
+		b.concurrency.sharedCauseUntil = b.now + sharedCauseSpan
+		b.concurrency.cut(b.now)
+	}
+	return b.sharedCauseActive()
 }
--- a/balancer/decay.go
+++ b/balancer/decay.go
@@ -5,23 +5,26 @@
 	"time"
 )
 
-// fading is a count in which what is past fades.
-type fading struct {
-	over  time.Duration
-	count float64
-	since time.Duration
-	from  time.Duration // counted from then on, where that is asked; 0 if nothing was yet
+// decayingCounter counts events, each of which counts less exponentially with its age.
+type decayingCounter struct {
+	timeConstant time.Duration // the age at which an event counts 1/e
+	count        float64       // as of updatedAt
+	updatedAt    time.Duration
+	countedFrom  time.Duration // when counting began, for countWithin; 0 if it has not
 }
 
-func (f *fading) at(now time.Duration) float64 {
-	return f.count * math.Exp(-float64(now-f.since)/float64(f.over))
+// valueAt returns the count at a time.
+func (c *decayingCounter) valueAt(now time.Duration) float64 {
+	return c.count * math.Exp(-float64(now-c.updatedAt)/float64(c.timeConstant))
 }
 
-// within is how many of them fall within a time, in the mean since from. Without its
-// correction a count that has just begun is far too low.
-func (f *fading) within(now, span time.Duration) float64 {
-	seen := 1 - math.Exp(-float64(max(now-f.from, span))/float64(f.over))
-	return f.at(now) / seen * float64(span) / float64(f.over)
+// countWithin returns how many events fall within a span of time, on average since counting began. It
+// corrects for how much of the past was observed: without that a count which has just begun is far too
+// low.
+func (c *decayingCounter) countWithin(now, span time.Duration) float64 {
+	observedShare := 1 - math.Exp(-float64(max(now-c.countedFrom, span))/float64(c.timeConstant))
+	return c.valueAt(now) / observedShare * float64(span) / float64(c.timeConstant)
 }
 
-func (f *fading) add(now time.Duration) { f.count, f.since = f.at(now)+1, now }
+// increment counts an event.
+func (c *decayingCounter) increment(now time.Duration) { c.count, c.updatedAt = c.valueAt(now)+1, now }
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -6,34 +6,42 @@
 )
 
 const (
-	awayFor    = 10 * time.Second       // a server that sends clients away drains; the list says so by then
-	leaveEvery = 250 * time.Millisecond // a server that drains loses a part of its connections
-	leavePart  = 0.15                   // this often: this part of those it has;
-	leaveWait  = 2 * time.Second        // of many relays each waits for the server's own word so long,
-	leaveBy    = 4 * time.Second        // and is rid of all by then
+	// redirectedDuration is how long an endpoint that redirects its clients is avoided: by then the
+	// list says that it drains.
+	redirectedDuration = 10 * time.Second
+
+	// migrationInterval is the time between two steps in which a draining endpoint loses connections.
+	migrationInterval = 250 * time.Millisecond
+
+	// migrationShare is the share of its connections that migrates in a step, where relays are few.
+	migrationShare = 0.15
+
+	// migrationGrace is how long each of many relays waits for the endpoint to redirect its clients
+	// itself.
+	migrationGrace = 2 * time.Second
+
+	// migrationDeadline is the time by which many relays have migrated all connections, counted as
+	// migrationGrace is from when the list first said that the endpoint drains.
+	migrationDeadline = 4 * time.Second
 )
 
-// sendAway guards against clients that are cut off when their draining server stops. They
-// move a part at a time, lest those who take them in are swamped; of many relays, by chance.
-func (b *Balancer) sendAway(s *server) {
-	if s == nil || s.sending || s.State != StateDraining || len(s.conns) == 0 {
+// migrateDraining migrates a share of a draining endpoint's connections and sets a timer for the next
+// step. It guards against clients that are cut off when the endpoint stops. They migrate in steps, lest
+// the endpoints that take them in are flooded; of many relays each picks its number by chance.
+func (b *Balancer) migrateDraining(endpoint *endpointRecord) {
+	if endpoint == nil || endpoint.migrating || endpoint.State != StateDraining ||
+		len(endpoint.connections) == 0 {
 		return
 	}
-	s.sending = true
-	n, after := int(math.Ceil(float64(len(s.conns))*leavePart)), leaveEvery
-	if wait := s.drainAt + leaveWait - b.now; b.many() && wait > 0 {
-		n, after = 0, wait
-	} else if b.many() {
-		left := s.drainAt + leaveBy - b.now
-		n = int(float64(len(s.conns))*float64(leaveEvery)/float64(max(left, leaveEvery)) + b.rng.Float64())
+	endpoint.migrating = true
+	connections := float64(len(endpoint.connections))
+	count, delay := int(math.Ceil(connections*migrationShare)), migrationInterval
+	if wait := endpoint.drainingSince + migrationGrace - b.now; b.manyRelays() && wait > 0 {
+		count, delay = 0, wait
+	} else if b.manyRelays() {
+		timeLeft := max(endpoint.drainingSince+migrationDeadline-b.now, migrationInterval)
+		count = int(connections*float64(migrationInterval)/float64(timeLeft) + b.rng.Float64())
 	}
-	b.relieve(s, n, ReasonEndpointDraining)
-	b.again(s, after)
-}
-
-// again asks for a timer of a server that drains.
-func (b *Balancer) again(s *server, after time.Duration) {
-	b.token++
-	b.leaving[b.token] = s
-	b.do(SetTimer{Token: b.token, After: after})
+	b.migrateConnections(endpoint, count, ReasonEndpointDraining)
+	b.setDrainTimer(endpoint, delay)
 }
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -1,41 +1,46 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
-// draw draws a server at random by weight: the least of exponential draws, each at the rate of its weight,
-// falls on each in proportion to its weight. While few are slow the draw passes them over: waiting for one
-// while others are free guards against nothing. It does where many are slow, as a crowd that moves on then
-// makes the next slow.
-func (b *Balancer) draw(q *request) *server {
-	load, size, _, slow := b.totals()
-	b.paced(q)
-	if s := b.coldTurn(q); s != nil {
-		return s
+// drawEndpoint draws an endpoint at random by weight, or none where no endpoint may take the request. Of
+// exponential variates, each at the rate of an endpoint's weight, the least falls on each endpoint in
+// proportion to its weight.
+//
+// While few endpoints are slow the draw passes over them: waiting for one while others are free guards
+// against nothing. It includes them where many are slow, as requests that all move on make the next
+// endpoint slow.
+func (b *Balancer) drawEndpoint(request *requestRecord) *endpointRecord {
+	totals := b.totals()
+	meanLoad := totals.meanLoad()
+	passOverSlow := totals.slowSize < slowAvoidanceShare*totals.size
+	passOverRecovering := totals.slowSize < recoveryAvoidanceShare*totals.size
+	b.countArrival(request)
+	if endpoint := b.slowStartCandidate(request); endpoint != nil {
+		return endpoint
 	}
-	var best *server
+	var best *endpointRecord
 	least := math.Inf(1)
-	near := b.sift(q.key(), load/size) // of a large fleet most can't be the least
-	for s := range near.servers {
-		if !b.usable(q, s) || slow < slowPart*size && s.slowAt(b.now) ||
-			slow < easePart*size && b.mustWait(s) {
+	filter := b.prepareFilter(request.routeKey(), meanLoad)
+	for endpoint := range filter.promising {
+		if !b.eligible(request, endpoint) || passOverSlow && endpoint.isSlow(b.now) ||
+			passOverRecovering && b.mustHold(endpoint) {
 			continue
 		}
-		if d := b.chance(q.key(), s) / b.drawWeight(s, load/size); d < least {
-			best, least = s, d
-			near.found(d)
+		weight := b.drawWeight(endpoint, meanLoad)
+		if cost := b.exponentialVariate(request.routeKey(), endpoint) / weight; cost < least {
+			best, least = endpoint, cost
+			filter.raiseFloor(cost)
 		}
 	}
 	return best
 }
 
-// chance is a draw from the exponential distribution. Where there is a key, it
-// is the source of the randomness: relays that share nothing then draw alike,
-// and a group isn't paid for by a server for each relay.
-func (b *Balancer) chance(key uint64, s *server) float64 {
-	if key == 0 {
+// exponentialVariate draws from the exponential distribution of rate 1. Where there is a route key, a
+// hash of it is the source of randomness: relays that share nothing then draw alike, and a group isn't
+// paid for by an endpoint for each relay.
+func (b *Balancer) exponentialVariate(routeKey uint64, endpoint *endpointRecord) float64 {
+	if routeKey == 0 {
 		return b.rng.ExpFloat64()
 	}
-	return -math.Log(uniform(key, s.ID))
+	return -math.Log(uniform(routeKey, endpoint.ID))
 }
--- a/balancer/drawfilter.go
+++ b/balancer/drawfilter.go
@@ -1,98 +1,105 @@
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
-// sieve spares a draw from a large fleet the servers that can't be its least: with a
-// key, chance comes from a hash, and no weight is more than bound.
-type sieve struct {
-	all   []*server
-	key   uint64
-	salts []uint64 // of all, if it sifts
-	near  []likely // those with a hash over guess
-	guess uint64
-	floor uint64 // a smaller hash is too far off
-	first int    // the place of the best chance: it is looked at first
-	bound float64
+// drawFilter spares a draw from a large table the endpoints that can't have the least cost: with a route
+// key the variate comes from a hash, and no weight is above maxDrawWeight. It changes no result.
+type drawFilter struct {
+	endpoints      []*endpointRecord
+	routeKey       uint64
+	idHashes       []uint64        // of all endpoints; nil: the filter passes them all
+	candidates     []drawCandidate // those with a hash of at least candidateFloor
+	candidateFloor uint64
+	hashFloor      uint64 // an endpoint with a smaller hash can't have the least cost
+	bestIndex      int    // of the endpoint with the largest hash: it is looked at first
+	maxDrawWeight  float64
 }
 
-// likely is a server that may well be the least.
-type likely struct {
-	hash uint64
-	at   int
+// drawCandidate is an endpoint that may well have the least cost.
+type drawCandidate struct {
+	hash  uint64
+	index int // in the filter's endpoints
 }
 
-// guessed is how many servers of a fleet a draw is held to need to look at. Where it needs more, the
-// others are hashed once more.
-const guessed = 64
+// expectedCandidates is how many endpoints of a large table a draw is expected to have to look at. Where
+// it needs more, the others are hashed once more.
+const expectedCandidates = 64
 
-// sift prepares a draw for a key.
-func (b *Balancer) sift(key uint64, meanLoad float64) *sieve {
-	f := &b.fleet
-	v := &f.sieve
-	*v = sieve{all: f.servers, near: v.near[:0]}
-	if len(f.servers) < largeFleet || key == 0 || !(meanLoad > 0) {
-		return v
+// prepareFilter prepares the table's filter for a draw. It filters only where the table is large and
+// there are a route key and some load.
+func (b *Balancer) prepareFilter(routeKey uint64, meanLoad float64) *drawFilter {
+	table := &b.endpoints
+	filter := &table.filter
+	*filter = drawFilter{endpoints: table.sorted, candidates: filter.candidates[:0]}
+	if len(table.sorted) < largeTableSize || routeKey == 0 || !(meanLoad > 0) {
+		return filter
 	}
-	if !f.sure {
-		f.survey()
+	if !table.totalsValid {
+		table.recomputeTotals()
 	}
-	v.bound = weightCeil * f.biggest / math.Pow(1+1/f.biggest/meanLoad, crowding)
-	if b.set.CrossZoneCost > 0 {
-		v.bound *= ownZone
+	largest := table.largestSize
+	filter.maxDrawWeight = maxWeight * largest / math.Pow(1+1/largest/meanLoad, loadExponent)
+	if b.settings.CrossZoneCost > 0 {
+		filter.maxDrawWeight *= localZoneFactor
 	}
-	v.key, v.salts = key, f.salts
-	v.guess = math.MaxUint64 - math.MaxUint64/uint64(len(f.servers))*guessed
-	best, guess := uint64(0), v.guess
-	for i, salt := range v.salts {
-		h := stir(key ^ salt)
-		if h < guess && h <= best {
+	filter.routeKey, filter.idHashes = routeKey, table.idHashes
+	filter.candidateFloor = math.MaxUint64 - math.MaxUint64/uint64(len(table.sorted))*expectedCandidates
+	filter.findCandidates()
+	return filter
+}
+
+// findCandidates hashes all endpoints once, and keeps the best and those above the candidate floor.
+func (f *drawFilter) findCandidates() {
+	best, candidateFloor, routeKey := uint64(0), f.candidateFloor, f.routeKey
+	for i, idHash := range f.idHashes {
+		hash := mixBits(routeKey ^ idHash)
+		if hash < candidateFloor && hash <= best {
 			continue
 		}
-		if h > best {
-			best, v.first = h, i
+		if hash > best {
+			best, f.bestIndex = hash, i
 		}
-		if h >= guess {
-			v.near = append(v.near, likely{h, i})
+		if hash >= candidateFloor {
+			f.candidates = append(f.candidates, drawCandidate{hash, i})
 		}
 	}
-	return v
 }
 
-// servers yields the servers that may be the least, the one with the best chance first.
-func (v *sieve) servers(yield func(*server) bool) {
-	if v.salts == nil {
-		for _, s := range v.all {
-			if !yield(s) {
+// promising yields the endpoints that may have the least cost, the one with the largest hash first.
+func (f *drawFilter) promising(yield func(*endpointRecord) bool) {
+	if f.idHashes == nil {
+		for _, endpoint := range f.endpoints {
+			if !yield(endpoint) {
 				return
 			}
 		}
 		return
 	}
-	if !yield(v.all[v.first]) {
+	if !yield(f.endpoints[f.bestIndex]) {
 		return
 	}
-	for _, n := range v.near {
-		if n.hash >= v.floor && n.at != v.first && !yield(v.all[n.at]) {
+	for _, candidate := range f.candidates {
+		if candidate.hash >= f.hashFloor && candidate.index != f.bestIndex &&
+			!yield(f.endpoints[candidate.index]) {
 			return
 		}
 	}
-	if v.floor >= v.guess {
+	if f.hashFloor >= f.candidateFloor {
 		return
 	}
-	for i, salt := range v.salts {
-		if h := stir(v.key ^ salt); h >= v.floor && h < v.guess && i != v.first && !yield(v.all[i]) {
+	for i, idHash := range f.idHashes {
+		hash := mixBits(f.routeKey ^ idHash)
+		if hash >= f.hashFloor && hash < f.candidateFloor && i != f.bestIndex && !yield(f.endpoints[i]) {
 			return
 		}
 	}
 }
 
-// found raises the floor to what is needed to come under the least so far.
-func (v *sieve) found(least float64) {
-	if v.salts != nil {
-		// -log(u)/bound has to be under least; a little is left for rounding.
-		u := math.Exp(-least * v.bound * (1 + 1e-9))
-		v.floor = uint64(max(0, u*(1<<53)-2)) << 11
+// raiseFloor raises the floor to the hash that it takes to come below the least cost so far.
+func (f *drawFilter) raiseFloor(least float64) {
+	if f.idHashes != nil {
+		// -log(u)/maxDrawWeight has to be below least; a little is left for rounding.
+		u := math.Exp(-least * f.maxDrawWeight * (1 + 1e-9))
+		f.hashFloor = uint64(max(0, u*(1<<53)-2)) << 11
 	}
 }
--- a/balancer/encoding_test.go
+++ b/balancer/encoding_test.go
@@ -11,8 +11,8 @@
 	"lockroad/internal/testutil"
 )
 
-// wholeMemory is a Memory with every field set.
-func wholeMemory() balancer.Snapshot {
+// completeSnapshot is a Memory with every field set.
+func completeSnapshot() balancer.Snapshot {
 	return balancer.Snapshot{
 		Salt: 0xfedcba9876543210,
 		Endpoints: []balancer.EndpointSnapshot{
@@ -35,17 +35,17 @@
 }
 
 // What a balancer has learnt goes to a relay's next process as JSON.
-func TestMemoryKeepsItsJSONEncoding(t *testing.T) {
-	testutil.Complete(t, wholeMemory())
-	testutil.GoldenJSON(t, "testdata/memory.json", wholeMemory())
+func TestSnapshotKeepsItsJSONEncoding(t *testing.T) {
+	testutil.Complete(t, completeSnapshot())
+	testutil.GoldenJSON(t, "testdata/memory.json", completeSnapshot())
 	testutil.GoldenJSON(t, "testdata/memory-zero.json", balancer.Snapshot{})
 	testutil.GoldenJSON(t, "testdata/memory-zero-elements.json", balancer.Snapshot{
 		Endpoints: make([]balancer.EndpointSnapshot, 1), Routes: make([]balancer.RouteSnapshot, 1)})
 }
 
 // It goes to the store as CBOR.
-func TestMemoryKeepsItsCBOREncoding(t *testing.T) {
-	for path, memory := range map[string]balancer.Snapshot{"testdata/memory.cbor": wholeMemory(), "testdata/memory-zero.cbor": {}} {
+func TestSnapshotKeepsItsCBOREncoding(t *testing.T) {
+	for path, memory := range map[string]balancer.Snapshot{"testdata/memory.cbor": completeSnapshot(), "testdata/memory-zero.cbor": {}} {
 		body, err := cbor.Marshal(memory)
 		if err != nil {
 			t.Fatal(err)
@@ -61,6 +61,6 @@
 }
 
 // A field that has no name in its tags would change both encodings when it is renamed.
-func TestMemoryFieldsAreTagged(t *testing.T) {
+func TestSnapshotFieldsAreTagged(t *testing.T) {
 	testutil.Tagged(t, []string{"json", "cbor"}, balancer.Snapshot{})
 }
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -1,84 +1,88 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	groupCost = 2.0 // what a server pays for a group, in mean connections
-	loadMost  = 20  // one connection counts as this many mean ones at the most
+	// groupCost is what an endpoint pays for having a group at all, in mean connections. Higher keeps
+	// groups on fewer endpoints.
+	groupCost = 2.0
+
+	// maxConnectionLoad bounds the load of one connection, in mean connections.
+	maxConnectionLoad = 20
+
+	// meanLoadSamples is over how many reports at most the mean load of a connection is taken.
+	meanLoadSamples = 200
+
+	// minRelativeSize stands in for a registered size that is smaller or missing.
+	minRelativeSize = 1e-3
 )
 
-type server struct {
+// endpointRecord is what a Balancer keeps of an endpoint. Times are 0 for what never happened.
+type endpointRecord struct {
 	Endpoint
-	weight   float64 // the controller's, as of weighed
-	weighed  time.Duration
-	conns    []*request
-	groups   map[uint64]int // connections of each
-	load     float64        // of conns, in mean connections
-	lastSent time.Duration
-	stoodAt  time.Duration // a set-up last stood
-	failedAt time.Duration // a set-up last failed as a shared cause makes it fail
-	lastSlow time.Duration // messages were slow, or it was full; 0 if never
-	delay    time.Duration // of a message, as of delayAt
-	delayAt  time.Duration
-	relieved time.Duration
-	sending  bool          // it drains, and its connections are being sent away
-	drainAt  time.Duration // it was told to drain, if it is sending
-	awayAt   time.Duration // it last sent a client away itself; 0 if never
-	fleet    *fleet        // once it was surveyed
-	odd      bool          // it is among the fleet's odd ones
-}
+	weight      float64 // the controller's, as of weightSetAt
+	weightSetAt time.Duration
+
+	connections        []*requestRecord
+	connectionsByGroup map[uint64]int // number of connections, by route key
+	load               float64        // of connections, in mean connections
 
-func (s *server) size() float64 { return max(s.Weight, 1e-3) }
+	lastAttemptAt time.Duration
+	establishedAt time.Duration // a connection was last established
+	failedAt      time.Duration // a set-up last failed in a way that a shared cause makes it fail
+	lastSlowAt    time.Duration // messages were slow, or it was full
+	delay         time.Duration // of a message, as of delayAt
+	delayAt       time.Duration
+	relievedAt    time.Duration // the last step of load relief
 
-// demand is what this relay's connections and their groups ask of the server.
-func (s *server) demand() float64 { return s.load + groupCost*float64(len(s.groups)) }
+	migrating     bool          // it drains, and a timer for the next step of migration is set
+	drainingSince time.Duration // if it is migrating: when the list said that it drains
+	redirectedAt  time.Duration // it last redirected a client
 
-func (s *server) add(q *request) {
-	defer s.changes(s.demand())
-	q.slot, q.load = len(s.conns), 1
-	s.conns = append(s.conns, q)
-	s.groups[q.key()]++
-	s.load += q.load
+	table   *endpointTable // once its totals included this endpoint
+	outlier bool           // it is among the table's outliers
 }
 
-func (s *server) remove(q *request) {
-	defer s.changes(s.demand())
-	last := s.conns[len(s.conns)-1]
-	s.conns[q.slot], last.slot = last, q.slot
-	s.conns = s.conns[:len(s.conns)-1]
-	if s.groups[q.key()]--; s.groups[q.key()] == 0 {
-		delete(s.groups, q.key())
-	}
-	if s.load -= q.load; len(s.conns) == 0 {
-		s.load = 0 // what rounding leaves is no load: draws compare loads with their mean
-	}
+// relativeSize is the endpoint's registered size, above 0.
+func (e *endpointRecord) relativeSize() float64 { return max(e.Weight, minRelativeSize) }
+
+// demand is what this relay's connections and their groups ask of the endpoint, in mean connections.
+func (e *endpointRecord) demand() float64 {
+	return e.load + groupCost*float64(len(e.connectionsByGroup))
 }
 
-// changes keeps the fleet's load true over a change of a server's.
-func (s *server) changes(before float64) {
-	if s.fleet != nil && s.State == StateReady {
-		s.fleet.load0 += s.demand() - before
-	}
+// isRedirecting reports whether the endpoint lately redirected a client.
+func (e *endpointRecord) isRedirecting(now time.Duration) bool {
+	return e.redirectedAt > 0 && now < e.redirectedAt+redirectedDuration
 }
 
-// book adds a connection to its server, with the load expected of it if known.
-func (f *fleet) book(q *request) {
-	q.at.add(q)
-	if q.ExpectedLoad > 0 {
-		f.weigh(q, q.ExpectedLoad)
+// addConnection books a connection, with the load of a mean one.
+func (e *endpointRecord) addConnection(request *requestRecord) {
+	defer e.adjustReadyLoad(e.demand())
+	request.connectionIndex, request.load = len(e.connections), 1
+	e.connections = append(e.connections, request)
+	e.connectionsByGroup[request.routeKey()]++
+	e.load += request.load
+}
+
+// removeConnection removes a connection from the books.
+func (e *endpointRecord) removeConnection(request *requestRecord) {
+	defer e.adjustReadyLoad(e.demand())
+	last := e.connections[len(e.connections)-1]
+	e.connections[request.connectionIndex], last.connectionIndex = last, request.connectionIndex
+	e.connections = e.connections[:len(e.connections)-1]
+	group := request.routeKey()
+	if e.connectionsByGroup[group]--; e.connectionsByGroup[group] == 0 {
+		delete(e.connectionsByGroup, group)
+	}
+	if e.load -= request.load; len(e.connections) == 0 {
+		e.load = 0 // what rounding leaves is no load: draws compare loads with their mean
 	}
 }
 
-// weigh books the told load of a connection.
-func (f *fleet) weigh(q *request, load float64) {
-	f.loads++
-	f.load += (load - f.load) / min(200, f.loads)
-	if q.at != nil && f.load > 0 {
-		load = min(loadMost, load/f.load)
-		defer q.at.changes(q.at.demand())
-		q.at.load += load - q.load
-		q.load = load
+// adjustReadyLoad keeps the table's load valid over a change of this endpoint's demand.
+func (e *endpointRecord) adjustReadyLoad(before float64) {
+	if e.table != nil && e.State == StateReady {
+		e.table.readyLoad += e.demand() - before
 	}
 }
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -1,77 +1,89 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	listPatience = time.Second            // longest wait for a list that was asked for
-	listPause    = 500 * time.Millisecond // a list read less than this ago is fresh
+	// listTimeout is how long retries wait for a list that was asked for. After it the call may be
+	// repeated.
+	listTimeout = time.Second
+
+	// listFreshness is the age up to which a list is fresh enough for a retry. The first wait after a
+	// failed call is as long; it doubles with each further failure.
+	listFreshness = 500 * time.Millisecond
+
+	// maxListBackoffDoublings bounds that wait.
+	maxListBackoffDoublings = 8
 )
 
-// listReader keeps the list up to date where it must be asked for.
-type listReader struct {
-	out     bool // a call is out, since outAt
-	outAt   time.Duration
-	readAt  time.Duration // when an answer last came
-	fails   uint          // calls since then
-	waiting []*request    // retries that want it
+// listPoller keeps the endpoint list up to date where it comes only when asked for.
+type listPoller struct {
+	requested   bool // a call is in flight, since requestedAt
+	requestedAt time.Duration
+	readAt      time.Duration    // of the last answer
+	failures    uint             // calls that failed since then
+	waiting     []*requestRecord // retries that want a fresh list
 }
 
-// watch asks for the list and its changes. A timer guards against an answer
-// that is lost, and against asking too seldom for rule 3.
-func (b *Balancer) watch() {
-	if l := &b.list; b.set.PollList && (!l.out || b.now >= l.outAt+listPatience) {
-		l.out, l.outAt = true, b.now
-		b.do(WatchEndpoints{})
-		b.wake(nil, max(b.set.PollInterval/2, listPatience))
+// pollList asks for the list and its changes, unless a call is in flight. A timer guards against an answer
+// that is lost, and against asking less often than the settings demand.
+func (b *Balancer) pollList() {
+	poll := &b.listPoll
+	if b.settings.PollList && (!poll.requested || b.now >= poll.requestedAt+listTimeout) {
+		poll.requested, poll.requestedAt = true, b.now
+		b.emit(WatchEndpoints{})
+		b.setRequestTimer(nil, max(b.settings.PollInterval/2, listTimeout))
 	}
 }
 
-func (b *Balancer) listArrived(ev EndpointList) {
-	l := &b.list
-	l.out = false
-	switch ev.Kind {
+// handleList handles an update of the endpoint list or a failed call for it, and advances the retries that
+// waited for it.
+func (b *Balancer) handleList(event EndpointList) {
+	poll := &b.listPoll
+	poll.requested = false
+	switch event.Kind {
 	case ListFailed:
-		b.wake(nil, min(listPause<<min(l.fails, 8), b.set.PollInterval/2))
-		l.fails++
+		backoff := listFreshness << min(poll.failures, maxListBackoffDoublings)
+		b.setRequestTimer(nil, min(backoff, b.settings.PollInterval/2))
+		poll.failures++
 	case ListCached:
-		b.fleet.replace(ev.Endpoints)
-		b.watch() // it may be stale
+		b.endpoints.replaceAll(event.Endpoints)
+		b.pollList() // it may be stale
 	case ListFull:
-		b.fleet.replace(ev.Endpoints)
-		l.fails, l.readAt = 0, b.now
+		b.endpoints.replaceAll(event.Endpoints)
+		poll.failures, poll.readAt = 0, b.now
 	case ListDelta:
-		l.fails, l.readAt = 0, b.now
+		poll.failures, poll.readAt = 0, b.now
 	}
-	for _, line := range ev.Endpoints {
-		b.update(line)
+	for _, listed := range event.Endpoints {
+		b.updateEndpoint(listed)
 	}
-	waiting := l.waiting
-	l.waiting = nil
-	for _, q := range waiting {
-		q.listUntil = 0
-		if q.waiting && !q.over && b.now >= q.notBefore {
-			b.advance(q)
+	waiting := poll.waiting
+	poll.waiting = nil
+	for _, request := range waiting {
+		request.listDeadline = 0
+		if request.waiting && !request.done && b.now >= request.notBefore {
+			b.advance(request)
 		}
 	}
 }
 
-// update takes a line of the list. A server that has restarted begins anew.
-func (b *Balancer) update(line Endpoint) {
-	s := b.fleet.find(line.ID)
+// updateEndpoint takes in one line of the list. An endpoint that has restarted gets its initial weight.
+func (b *Balancer) updateEndpoint(listed Endpoint) {
+	endpoint := b.endpoints.find(listed.ID)
 	switch {
-	case s == nil && line.State == StateGone:
-	case s == nil:
-		b.fleet.insert(&server{Endpoint: line, weight: weightStart, weighed: b.now}, b.now)
+	case endpoint == nil && listed.State == StateGone:
+	case endpoint == nil:
+		endpoint = &endpointRecord{Endpoint: listed, weight: initialWeight, weightSetAt: b.now}
+		b.endpoints.insert(endpoint, b.now)
 	default:
-		if line.StartedAt > s.StartedAt {
-			s.weight, s.weighed, s.lastSlow, s.awayAt = weightStart, b.now, 0, 0
+		if listed.StartedAt > endpoint.StartedAt {
+			endpoint.weight, endpoint.weightSetAt = initialWeight, b.now
+			endpoint.lastSlowAt, endpoint.redirectedAt = 0, 0
 		}
-		s.Endpoint, b.fleet.sure = line, false
-		if !s.sending {
-			s.drainAt = b.now
-			b.sendAway(s)
+		endpoint.Endpoint, b.endpoints.totalsValid = listed, false
+		if !endpoint.migrating {
+			endpoint.drainingSince = b.now
+			b.migrateDraining(endpoint)
 		}
 	}
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -7,161 +7,201 @@
 	"time"
 )
 
-// fleet holds the servers in order of their IDs.
-type fleet struct {
-	servers []*server
-	recent  fading  // new connections that warm servers took
-	load    float64 // mean told load of a connection
-	loads   float64 // told so far
-
-	marks
-
-	load0   float64   // of the ready servers together
-	size0   float64   // and their size
-	biggest float64   // the largest of them
-	odd     []*server // those that may be cold, or have been slow: all others are neither
-	salts   []uint64  // of their hashes, in the same order
-	sieve   sieve     // of the draw at hand
+const (
+	// goneRetention is how long an endpoint that is gone is kept after the last attempt at it.
+	goneRetention = time.Minute
+
+	// largeTableSize is the number of endpoints from which it pays to keep totals up to date. Sums kept
+	// that way differ in their last digits from those added up anew; a smaller table has no need of it.
+	largeTableSize = 64
+
+	// loadRoundingError, in mean connections, is what rounding may leave of the load of a table that
+	// has none.
+	loadRoundingError = 1e-9
+)
+
+// endpointTable holds the records of all endpoints, and totals over them.
+type endpointTable struct {
+	sorted       []*endpointRecord // by ID
+	recentSetups decayingCounter   // new connections that warm endpoints took
+	meanLoad     float64           // of a connection, in seconds of work a second; 0 if none was reported
+	loadSamples  float64           // reports of a load so far
+
+	derivedState
+
+	readyLoad   float64           // of the ready endpoints together, in mean connections
+	readySize   float64           // of the ready endpoints together
+	largestSize float64           // of a ready endpoint
+	outliers    []*endpointRecord // those that may be warming up or have been slow; no other endpoint is
+	idHashes    []uint64          // of sorted, in the same order
+	filter      drawFilter        // of the draw being made
 }
 
-// marks are what is worked out while a decision is made. Only decisions may change
-// them: who looks on puts them back, so that all comes as it would have without.
-type marks struct {
-	perSize float64    // new connections a second and size, while there were warm servers
-	sums    [4]float64 // totals as of the event at hand
-	summed  bool
-	sure    bool // the fleet's accounts are true; a list makes them untrue
+// derivedState is what is worked out while a decision is made. Only decisions may change it: observing
+// puts it back, so that decisions are the same with an observer and without.
+type derivedState struct {
+	setupsPerSize    float64     // new connections a second and size, when warm endpoints were last seen
+	eventTotals      tableTotals // as of the event being handled, if eventTotalsValid
+	eventTotalsValid bool
+	totalsValid      bool // of the table: readyLoad and what follows it; an update of the list ends it
 }
 
-func (f *fleet) search(id EndpointID) (int, bool) {
-	return slices.BinarySearchFunc(f.servers, id, func(s *server, id EndpointID) int {
-		return cmp.Compare(s.ID, id)
+// tableTotals are sums over the ready endpoints.
+type tableTotals struct {
+	load     float64 // that this relay has placed, in mean connections
+	size     float64
+	warmSize float64 // of endpoints that are warm
+	slowSize float64 // of endpoints that are slow
+}
+
+// meanLoad is the load by size; NaN if there is no ready endpoint.
+func (t tableTotals) meanLoad() float64 { return t.load / t.size }
+
+func (t *endpointTable) search(id EndpointID) (int, bool) {
+	return slices.BinarySearchFunc(t.sorted, id, func(endpoint *endpointRecord, id EndpointID) int {
+		return cmp.Compare(endpoint.ID, id)
 	})
 }
 
-func (f *fleet) find(id EndpointID) *server {
-	if i, ok := f.search(id); ok {
-		return f.servers[i]
+// find returns the record of an endpoint; nil if there is none.
+func (t *endpointTable) find(id EndpointID) *endpointRecord {
+	if i, ok := t.search(id); ok {
+		return t.sorted[i]
 	}
 	return nil
 }
 
-// goneLife is how long a server that is gone is kept after anything was last sent to it.
-const goneLife = time.Minute
-
-// insert adds a server. Those that are long gone make room: changes alone may come for as long as the
-// relay runs, and only a whole list drops what it leaves out.
-func (f *fleet) insert(s *server, now time.Duration) {
-	f.sure = false
-	f.servers = slices.DeleteFunc(f.servers, func(s *server) bool {
-		return s.State == StateGone && len(s.conns) == 0 &&
-			now > max(s.lastSent, s.stoodAt, s.failedAt)+goneLife
+// insert adds an endpoint. Those that are long gone make room: deltas alone may come for as long as the
+// relay runs, and only a full list drops what it leaves out.
+func (t *endpointTable) insert(endpoint *endpointRecord, now time.Duration) {
+	t.totalsValid = false
+	t.sorted = slices.DeleteFunc(t.sorted, func(endpoint *endpointRecord) bool {
+		return endpoint.State == StateGone && len(endpoint.connections) == 0 &&
+			now > max(endpoint.lastAttemptAt, endpoint.establishedAt, endpoint.failedAt)+goneRetention
 	})
-	s.groups = make(map[uint64]int)
-	i, _ := f.search(s.ID)
-	f.servers = slices.Insert(f.servers, i, s)
+	endpoint.connectionsByGroup = make(map[uint64]int)
+	i, _ := t.search(endpoint.ID)
+	t.sorted = slices.Insert(t.sorted, i, endpoint)
 }
 
-// replace marks the servers that a whole list leaves out as gone, and drops
-// those that nothing refers to any more.
-func (f *fleet) replace(list []Endpoint) {
-	f.sure = false
-	named := make(map[EndpointID]bool, len(list))
-	for _, line := range list {
-		named[line.ID] = true
+// replaceAll marks the endpoints that a full list leaves out as gone, and drops those without connections.
+func (t *endpointTable) replaceAll(list []Endpoint) {
+	t.totalsValid = false
+	listedIDs := make(map[EndpointID]bool, len(list))
+	for _, listed := range list {
+		listedIDs[listed.ID] = true
 	}
-	f.servers = slices.DeleteFunc(f.servers, func(s *server) bool {
-		if !named[s.ID] {
-			s.State = StateGone
+	t.sorted = slices.DeleteFunc(t.sorted, func(endpoint *endpointRecord) bool {
+		if !listedIDs[endpoint.ID] {
+			endpoint.State = StateGone
 		}
-		return s.State == StateGone && len(s.conns) == 0
+		return endpoint.State == StateGone && len(endpoint.connections) == 0
 	})
 }
 
-// cold yields the ready servers that have started within a time.
-func (f *fleet) cold(now, within time.Duration) iter.Seq[*server] {
-	servers := f.servers
-	if len(servers) >= largeFleet && f.sure {
-		servers = f.odd
+// warmingUp yields the ready endpoints that started within a time.
+func (t *endpointTable) warmingUp(now, within time.Duration) iter.Seq[*endpointRecord] {
+	endpoints := t.sorted
+	if len(endpoints) >= largeTableSize && t.totalsValid {
+		endpoints = t.outliers
 	}
-	return func(yield func(*server) bool) {
-		for _, s := range servers {
-			if s.State == StateReady && s.StartedAt > 0 && now < s.StartedAt+within && !yield(s) {
+	return func(yield func(*endpointRecord) bool) {
+		for _, endpoint := range endpoints {
+			if endpoint.State == StateReady && endpoint.StartedAt > 0 && now < endpoint.StartedAt+within &&
+				!yield(endpoint) {
 				return
 			}
 		}
 	}
 }
 
-// largeFleet is how many servers a fleet has for which it pays to keep accounts of it.
-// Sums that are kept differ from those added up anew in their last digits; a smaller
-// fleet has no need of that.
-const largeFleet = 64
-
-// leastLoad, in mean connections, is what rounding may leave of the load of a fleet that has none.
-const leastLoad = 1e-9
-
-// totals adds up the ready servers: what this relay has placed on them, their
-// size, and the size of those that are warm and of those that are slow. It does
-// so once an event; of a large fleet only the odd servers are looked at.
-func (b *Balancer) totals() (load, size, warm, slow float64) {
-	f := &b.fleet
-	if f.summed {
-		return f.sums[0], f.sums[1], f.sums[2], f.sums[3]
+// bookConnection books a connection at its endpoint, with its expected load if that is known.
+func (t *endpointTable) bookConnection(request *requestRecord) {
+	request.endpoint.addConnection(request)
+	if request.ExpectedLoad > 0 {
+		t.recordLoad(request, request.ExpectedLoad)
 	}
-	if len(f.servers) >= largeFleet {
-		load, size, warm, slow = b.kept()
-	} else {
-		load, size, warm, slow = b.added(f.servers)
+}
+
+// recordLoad books the load reported of a connection, in seconds of work a second.
+func (t *endpointTable) recordLoad(request *requestRecord, load float64) {
+	t.loadSamples++
+	t.meanLoad += (load - t.meanLoad) / min(meanLoadSamples, t.loadSamples)
+	if request.endpoint != nil && t.meanLoad > 0 {
+		load = min(maxConnectionLoad, load/t.meanLoad)
+		defer request.endpoint.adjustReadyLoad(request.endpoint.demand())
+		request.endpoint.load += load - request.load
+		request.load = load
 	}
-	f.sums, f.summed = [4]float64{load, size, warm, slow}, true
-	return load, size, warm, slow
 }
 
-// added adds up servers one by one.
-func (b *Balancer) added(servers []*server) (load, size, warm, slow float64) {
-	for _, s := range servers {
-		if s.State == StateReady {
-			load += s.demand()
-			size += s.size()
-			if b.warmth(s) >= 1 {
-				warm += s.size()
+// totals returns the sums over the ready endpoints. They are worked out once an event; of a large table
+// only the outliers are looked at.
+func (b *Balancer) totals() tableTotals {
+	table := &b.endpoints
+	if !table.eventTotalsValid {
+		if len(table.sorted) >= largeTableSize {
+			table.eventTotals = b.cachedTotals()
+		} else {
+			table.eventTotals = b.sumTotals(table.sorted)
+		}
+		table.eventTotalsValid = true
+	}
+	return table.eventTotals
+}
+
+// sumTotals adds up endpoints one by one.
+func (b *Balancer) sumTotals(endpoints []*endpointRecord) (totals tableTotals) {
+	for _, endpoint := range endpoints {
+		if endpoint.State == StateReady {
+			totals.load += endpoint.demand()
+			totals.size += endpoint.relativeSize()
+			if b.warmth(endpoint) >= 1 {
+				totals.warmSize += endpoint.relativeSize()
 			}
-			if s.slowAt(b.now) {
-				slow += s.size()
+			if endpoint.isSlow(b.now) {
+				totals.slowSize += endpoint.relativeSize()
 			}
 		}
 	}
-	return load, size, warm, slow
+	return totals
 }
 
-// kept are the totals from the fleet's accounts.
-func (b *Balancer) kept() (load, size, warm, slow float64) {
-	f := &b.fleet
-	if !f.sure {
-		f.survey()
+// cachedTotals returns the totals that the table keeps, and sums over the outliers for the rest: all other
+// endpoints are warm and not slow.
+func (b *Balancer) cachedTotals() tableTotals {
+	table := &b.endpoints
+	if !table.totalsValid {
+		table.recomputeTotals()
 	}
-	_, odd, warm, slow := b.added(f.odd)
-	if load = f.load0; load < leastLoad {
+	outliers := b.sumTotals(table.outliers)
+	load := table.readyLoad
+	if load < loadRoundingError {
 		load = 0
 	}
-	return load, f.size0, f.size0 - odd + warm, slow
+	return tableTotals{
+		load:     load,
+		size:     table.readySize,
+		warmSize: table.readySize - outliers.size + outliers.warmSize,
+		slowSize: outliers.slowSize,
+	}
 }
 
-// survey goes through the whole fleet, after a list.
-func (f *fleet) survey() {
-	f.sure, f.load0, f.size0, f.biggest, f.odd = true, 0, 0, 0, f.odd[:0]
-	f.salts = f.salts[:0]
-	for _, s := range f.servers {
-		s.fleet, s.odd = f, s.StartedAt > 0 || s.lastSlow > 0
-		f.salts = append(f.salts, salted(s.ID))
-		if s.State == StateReady {
-			f.load0 += s.demand()
-			f.size0 += s.size()
-			f.biggest = max(f.biggest, s.size())
+// recomputeTotals goes through the whole table, after an update of the list.
+func (t *endpointTable) recomputeTotals() {
+	t.totalsValid = true
+	t.readyLoad, t.readySize, t.largestSize = 0, 0, 0
+	t.outliers, t.idHashes = t.outliers[:0], t.idHashes[:0]
+	for _, endpoint := range t.sorted {
+		endpoint.table, endpoint.outlier = t, endpoint.StartedAt > 0 || endpoint.lastSlowAt > 0
+		t.idHashes = append(t.idHashes, hashEndpointID(endpoint.ID))
+		if endpoint.State == StateReady {
+			t.readyLoad += endpoint.demand()
+			t.readySize += endpoint.relativeSize()
+			t.largestSize = max(t.largestSize, endpoint.relativeSize())
 		}
-		if s.odd {
-			f.odd = append(f.odd, s)
+		if endpoint.outlier {
+			t.outliers = append(t.outliers, endpoint)
 		}
 	}
 }
--- a/balancer/endpointview.go
+++ b/balancer/endpointview.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// viewLife is how long a delay is told after it was heard.
-const viewLife = 10 * time.Second
+// delayViewDuration is how long a delay is shown after it was reported.
+const delayViewDuration = 10 * time.Second
 
-// EndpointView is what a Balancer holds of a server, for those who look on.
+// EndpointView is what a Balancer knows of an endpoint, for operators.
 type EndpointView struct {
 	Endpoint EndpointID
-	Delay    time.Duration // of a message there, as last heard; 0: nothing was heard lately
+	Delay    time.Duration // of a message there, as last reported; 0: none was reported lately
 	Load     float64       // of this relay's connections there, in mean connections
-	Avoided  string        // why nothing new goes there now; "" if it may
+	Avoided  string        // why nothing new is sent there now; "" if it may be
 }
 
-// views tells what is held of each server that is listed.
-func (b *Balancer) views() (all []EndpointView) {
-	for _, s := range b.fleet.servers {
-		if s.State == StateGone {
+// endpointViews returns a view of each endpoint that is listed.
+func (b *Balancer) endpointViews() (views []EndpointView) {
+	for _, endpoint := range b.endpoints.sorted {
+		if endpoint.State == StateGone {
 			continue
 		}
-		v := EndpointView{Endpoint: s.ID, Load: s.load}
-		if s.delayAt > 0 && b.now < s.delayAt+viewLife {
-			v.Delay = s.delay
+		view := EndpointView{Endpoint: endpoint.ID, Load: endpoint.load}
+		if endpoint.delayAt > 0 && b.now < endpoint.delayAt+delayViewDuration {
+			view.Delay = endpoint.delay
 		}
-		if b.now < s.avoidedUntil() {
+		if b.now < endpoint.avoidedUntil() {
 			switch {
-			case s.State == StateDraining:
-				v.Avoided = "drains"
-			case s.awayAt > 0 && b.now < s.awayAt+awayFor:
-				v.Avoided = "sends away"
+			case endpoint.State == StateDraining:
+				view.Avoided = "drains"
+			case endpoint.isRedirecting(b.now):
+				view.Avoided = "sends away"
 			default:
-				v.Avoided = "slow or full"
+				view.Avoided = "slow or full"
 			}
 		}
-		all = append(all, v)
+		views = append(views, view)
 	}
-	return all
+	return views
 }
 
-// avoidedUntil is the time until which nothing new is placed on a server because of what
-// was heard of it; 0 if it is not avoided.
-func (s *server) avoidedUntil() (until time.Duration) {
+// avoidedUntil is the time until which nothing new is sent to the endpoint, because of what was observed
+// of it; 0 if it is not avoided.
+func (e *endpointRecord) avoidedUntil() (until time.Duration) {
 	switch {
-	case s.State == StateDraining:
+	case e.State == StateDraining:
 		return math.MaxInt64
-	case s.awayAt > 0:
-		until = s.awayAt + awayFor
+	case e.redirectedAt > 0:
+		until = e.redirectedAt + redirectedDuration
 	}
-	if s.lastSlow > 0 && s.lastSlow == s.delayAt {
-		until = max(until, s.delayAt+slowLife)
+	if e.lastSlowAt > 0 && e.lastSlowAt == e.delayAt {
+		until = max(until, e.delayAt+slowDuration)
 	}
 	return until
 }
 
-// avoided tells how many servers are listed and until when each is avoided that is so
-// now, in the room given.
-func (b *Balancer) avoided(room []time.Duration) (listed int, until []time.Duration) {
-	until = room[:0]
-	for _, s := range b.fleet.servers {
-		if s.State == StateGone {
+// avoidedEndpoints returns how many endpoints are listed and, for each that is avoided now, until when.
+// It appends the latter to buffer[:0].
+func (b *Balancer) avoidedEndpoints(buffer []time.Duration) (listed int, until []time.Duration) {
+	until = buffer[:0]
+	for _, endpoint := range b.endpoints.sorted {
+		if endpoint.State == StateGone {
 			continue
 		}
 		listed++
-		if at := s.avoidedUntil(); b.now < at {
+		if at := endpoint.avoidedUntil(); b.now < at {
 			until = append(until, at)
 		}
 	}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -1,56 +1,54 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
-// EndpointID names a server. A server that restarts keeps its ID.
+// EndpointID identifies an endpoint. One that restarts keeps its ID.
 type EndpointID uint32
 
-// RequestID names a request. An ID is never used twice.
+// RequestID identifies a request. An ID is never used twice.
 type RequestID uint32
 
-// EndpointState is what the server list says of a server.
+// EndpointState is what the endpoint list says of an endpoint.
 type EndpointState uint8
 
-// The states of a server in the server list.
+// The states of an endpoint.
 const (
 	StateGone     EndpointState = iota // no longer in the list
 	StateReady                         // takes requests
-	StateDraining                      // finishes what it has and takes nothing new
+	StateDraining                      // completes what it has and takes nothing new
 )
 
-// Endpoint is one line of the server list.
+// Endpoint is one line of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
 	State     EndpointState
 	Zone      int
 	Cell      int
-	Weight    float64       // its registered size against that of others
-	StartedAt time.Duration // time of its last start; 0 if long ago
+	Weight    float64       // its registered size, relative to that of others
+	StartedAt time.Duration // its last start, on the relay's clock; 0 if long ago
 }
 
-// Event is something that happened: one of the types below.
+// Event is something that happened: one of the types in this file with an event method.
 type Event interface{ event() }
 
-// ListKind tells how a server list is to be read.
+// ListKind is what an EndpointList holds.
 type ListKind uint8
 
-// The kinds of server list.
+// The kinds of endpoint list.
 const (
-	ListFailed ListKind = iota // a call for the list failed; the old one holds
-	ListFull                   // all servers; those missing are gone
-	ListCached                 // all servers as last seen before a restart
+	ListFailed ListKind = iota // nothing: a call for the list failed, and the old one holds
+	ListFull                   // all endpoints; those missing are gone
+	ListCached                 // all endpoints as last seen before a restart; it may be stale
 	ListDelta                  // changes only
 )
 
-// EndpointList is news of the servers.
+// EndpointList is an update of the endpoint list.
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
 }
 
-// SettingsChanged says that other settings are in force, for all that begins from now on.
+// SettingsChanged puts other settings in force, for requests that arrive from now on.
 type SettingsChanged struct{ Settings *Settings }
 
 // Request is a client asking for a connection.
@@ -59,20 +57,20 @@
 	Class        int
 	Item         uint64        // what it is about; 0 if nothing
 	Group        uint64        // the group it shares work with; 0 if none
-	TimeLeft     time.Duration // time until the client gives up
-	ExpectedLoad float64       // expected load, in seconds of work a second; 0 if unknown
-	Returning    bool          // the client is back after a break or a move
+	TimeLeft     time.Duration // until the client's deadline
+	ExpectedLoad float64       // in seconds of work a second; 0 if unknown
+	Returning    bool          // the client is back after a break or a migration
 
-	Settings *Settings // that it began under, and that Class is of; nil: those in force
+	Settings *Settings // those that it arrived under, and that Class is of; nil: those in force
 }
 
-// Resumed is a connection already open when the relay starts.
+// Resumed is a connection that was established before the relay's process started.
 type Resumed struct {
 	Request  Request
 	Endpoint EndpointID
 }
 
-// Established says that the connection of an attempt is up.
+// Established means that the connection of an attempt is established.
 type Established struct {
 	Request   RequestID
 	Endpoint  EndpointID
@@ -82,48 +80,48 @@
 // AttemptStatus is how an attempt ended.
 type AttemptStatus uint8
 
-// The results of an attempt.
+// The outcomes of an attempt.
 const (
 	StatusOK            AttemptStatus = iota
-	StatusError                       // the server answered with an error
-	StatusFull                        // turned away unseen
+	StatusError                       // the endpoint answered with an error
+	StatusFull                        // the endpoint rejected it unseen
 	StatusTimeout                     // no answer in time
 	StatusConnectFailed               // no connection could be made
 	StatusReset                       // the connection broke
-	StatusCancelled                   // called off, or the client left
+	StatusCancelled                   // cancelled, or the client left
 	StatusNotSent                     // never sent
-	StatusRedirected                  // its server drains, and has sent the client away
+	StatusRedirected                  // the endpoint drains, and has redirected the client
 )
 
-// Outcome is the end of an attempt.
+// Outcome is the end of an attempt, or of the connection that it became.
 type Outcome struct {
 	Request  RequestID
 	Endpoint EndpointID
 	Status   AttemptStatus
-	Final    bool // the request is over
+	Final    bool // the request has ended
 }
 
-// AnswerRequired says that a request gets its final answer now, if it is not up: its relay leaves.
+// AnswerRequired demands the final answer to a request that is not established: its relay shuts down.
 type AnswerRequired struct{ Request RequestID }
 
-// ClientLeft says that a request is over because its client went away.
+// ClientLeft ends a request: its client disconnected.
 type ClientLeft struct{ Request RequestID }
 
-// ConnectionLoad tells the load of an open connection, in seconds of work a second.
+// ConnectionLoad reports the load of an established connection, in seconds of work a second.
 type ConnectionLoad struct {
 	Request  RequestID
 	Endpoint EndpointID
 	Load     float64
 }
 
-// EndpointDelay tells how long a message takes at a server.
+// EndpointDelay reports how long a message takes at an endpoint.
 type EndpointDelay struct {
 	Request  RequestID
 	Endpoint EndpointID
 	Delay    time.Duration
 }
 
-// Timer is a timer that SetTimer set.
+// Timer means that a timer which SetTimer set is due.
 type Timer struct{ Token uint32 }
 
 func (EndpointList) event() {}
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -6,198 +6,241 @@
 	"time"
 )
 
-// observer holds what a Balancer needs to tell of its decisions.
-type observer struct {
-	tell    func(RequestID, *Decision)
-	d       Decision
-	room    [MaxConsidered]ConsideredEndpoint
-	nearest [MaxConsidered]near
+// decisionRecorder is what a Balancer needs to tell an observer of its decisions. Its room is used again,
+// so that observing allocates nothing.
+type decisionRecorder struct {
+	notify   func(RequestID, *Decision) // nil: nobody observes
+	decision Decision
+	buffer   [MaxConsidered]ConsideredEndpoint
+	nearest  [MaxConsidered]rankedEndpoint
 }
 
-// near is a server that a request could go to, or could but for its bars.
-type near struct {
-	s    *server
-	pull float64
-	cost float64 // the draw's: the least is chosen
+// rankedEndpoint is an endpoint that a request could be sent to, or could but for its exclusions.
+type rankedEndpoint struct {
+	endpoint *endpointRecord
+	weight   float64 // in the draw; 0 if it is not ready
+	cost     float64 // in the draw, where the least is chosen; chosenCost or cachedCost of those two
 }
 
-// Observe has a function told of every decision from now on. It is called within
-// Handle, and must neither block nor keep the decision.
-func (b *Balancer) Observe(tell func(RequestID, *Decision)) { b.seen.tell = tell }
+// The costs that put the chosen endpoint first, and next the one whose cached route was passed over.
+var chosenCost, cachedCost = math.Inf(-1), -math.MaxFloat64
 
-// note tells what is decided for a request. s is the server that it goes to, that
-// it stands at, or that it waits for, if any.
-func (b *Balancer) note(v Verdict, why Reason, q *request, s *server, wait time.Duration) {
-	o := &b.seen
-	if o.tell == nil {
+// Observe makes the Balancer call a function with every decision from now on. The function is called
+// within Handle. It must not block, call the Balancer or keep the decision, which is used again.
+func (b *Balancer) Observe(notify func(RequestID, *Decision)) { b.recorder.notify = notify }
+
+// observeDecision tells the observer, if there is one, what was decided for a request. endpoint is the one
+// that the request is sent to, is established at, or waits for, if any. It leaves the state that decisions
+// go by as it was.
+func (b *Balancer) observeDecision(
+	verdict Verdict, reason Reason, request *requestRecord, endpoint *endpointRecord, wait time.Duration,
+) {
+	recorder := &b.recorder
+	if recorder.notify == nil {
 		return
 	}
-	before := b.fleet.marks
-	o.d = Decision{
-		At: b.now, Verdict: v, Reason: why, Attempt: q.attempts, Wait: wait, TimeLeft: max(0, q.giveUp-b.now),
-		ListAge: -1, Considered: o.room[:0], Preferred: -1,
-	}
-	if s != nil && (v == VerdictSent || v == VerdictMigrated) {
-		o.d.Endpoint = s.ID
-	}
-	b.believe(q, s)
-	b.fleet.marks = before
-	o.tell(q.ID, &o.d)
+	saved := b.endpoints.derivedState
+	recorder.decision = Decision{
+		At:         b.now,
+		Verdict:    verdict,
+		Reason:     reason,
+		Attempt:    request.attempts,
+		Wait:       wait,
+		TimeLeft:   max(0, request.deadline-b.now),
+		ListAge:    -1,
+		Considered: recorder.buffer[:0],
+		Preferred:  -1,
+	}
+	if endpoint != nil && (verdict == VerdictSent || verdict == VerdictMigrated) {
+		recorder.decision.Endpoint = endpoint.ID
+	}
+	b.fillConsidered(request, endpoint)
+	b.endpoints.derivedState = saved
+	recorder.notify(request.ID, &recorder.decision)
 }
 
-// believe fills in what is held of the chosen server and of those that came nearest.
-func (b *Balancer) believe(q *request, chosen *server) {
-	o := &b.seen
-	b.fleet.summed = false
-	load, size, _, slow := b.totals()
-	if size > 0 {
-		o.d.SlowShare = slow / size
-	}
-	pulls, found := 0.0, 0
-	cached, routed := b.routes.get(q.key(), b.now)
-	routed = routed && o.d.Reason >= ReasonRouteGone && o.d.Reason <= ReasonRouteWarmingUp
-	for _, s := range b.fleet.servers {
-		n := near{s: s, cost: math.Inf(1)}
-		if s.State == StateReady {
-			o.d.ReadyEndpoints++
-			n.pull = b.drawWeight(s, load/size)
-			pulls += n.pull
-			n.cost = 1 / n.pull
-			if key := q.key(); key != 0 {
-				n.cost = b.chance(key, s) / n.pull
-			}
-		}
+// fillConsidered fills in what is known of the chosen endpoint and of those that came nearest.
+func (b *Balancer) fillConsidered(request *requestRecord, chosen *endpointRecord) {
+	recorder := &b.recorder
+	decision := &recorder.decision
+	b.endpoints.eventTotalsValid = false
+	totals := b.totals()
+	meanLoad := totals.meanLoad()
+	if totals.size > 0 {
+		decision.SlowShare = totals.slowSize / totals.size
+	}
+	cached, passedOver := b.routes.get(request.routeKey(), b.now)
+	passedOver = passedOver && decision.Reason >= ReasonRouteGone && decision.Reason <= ReasonRouteWarmingUp
+	totalWeight, found := 0.0, 0
+	for _, endpoint := range b.endpoints.sorted {
+		ranked := b.rank(request, endpoint, meanLoad)
+		totalWeight += ranked.weight
 		switch {
-		case s == chosen: // it comes first
-			n.cost = math.Inf(-1)
-		case routed && s.ID == cached: // and then the one that it would have gone to
-			n.cost = -math.MaxFloat64
-		case s.State != StateReady || o.d.Verdict == VerdictMigrated:
-			continue
-		}
-		if found < MaxConsidered {
-			found++
-		} else if n.cost >= o.nearest[found-1].cost {
+		case endpoint == chosen:
+			ranked.cost = chosenCost
+		case passedOver && endpoint.ID == cached:
+			ranked.cost = cachedCost
+		case endpoint.State != StateReady || decision.Verdict == VerdictMigrated:
 			continue
 		}
-		at := found - 1
-		for ; at > 0 && o.nearest[at-1].cost > n.cost; at-- {
-			o.nearest[at] = o.nearest[at-1]
-		}
-		o.nearest[at] = n
-	}
-	for _, n := range o.nearest[:found] {
-		s := n.s
-		f := ConsideredEndpoint{
-			Endpoint: s.ID, State: s.State, Exclusions: b.bars(q, s),
-			Weight: s.weightAt(b.now), Warmth: b.warmth(s),
-			Load: s.demand(), Delay: s.delay, DelayAge: -1,
-		}
-		if s.delayAt > 0 {
-			f.DelayAge = b.now - s.delayAt
-		}
-		if pulls > 0 {
-			f.Probability = n.pull / pulls
-		}
-		o.d.Considered = append(o.d.Considered, f)
+		found = recorder.insertNearest(ranked, found)
 	}
-	b.instead(q, chosen, load/size, routed)
+	for _, ranked := range recorder.nearest[:found] {
+		decision.Considered = append(decision.Considered, b.describe(request, ranked, totalWeight))
+	}
+	b.setPreferred(request, chosen, meanLoad, passedOver)
+}
+
+// rank works out an endpoint's weight and cost in the draw. Without a route key the cost is chance; it is
+// then taken at its mean, as drawing again would change later draws.
+func (b *Balancer) rank(request *requestRecord, endpoint *endpointRecord, meanLoad float64) rankedEndpoint {
+	ranked := rankedEndpoint{endpoint: endpoint, cost: math.Inf(1)}
+	if endpoint.State != StateReady {
+		return ranked
+	}
+	b.recorder.decision.ReadyEndpoints++
+	ranked.weight = b.drawWeight(endpoint, meanLoad)
+	ranked.cost = 1 / ranked.weight
+	if routeKey := request.routeKey(); routeKey != 0 {
+		ranked.cost = b.exponentialVariate(routeKey, endpoint) / ranked.weight
+	}
+	return ranked
+}
+
+// insertNearest inserts an endpoint into the found nearest ones, by cost, and returns their new number.
+func (r *decisionRecorder) insertNearest(ranked rankedEndpoint, found int) int {
+	if found < MaxConsidered {
+		found++
+	} else if ranked.cost >= r.nearest[found-1].cost {
+		return found
+	}
+	position := found - 1
+	for ; position > 0 && r.nearest[position-1].cost > ranked.cost; position-- {
+		r.nearest[position] = r.nearest[position-1]
+	}
+	r.nearest[position] = ranked
+	return found
 }
 
-// instead names the server that would have been chosen but for its bars: the cached
-// one where that was passed over; else, where there is a key and so no chance in the
-// draw, the nearest that is barred and nearer than the one chosen, if any.
-func (b *Balancer) instead(q *request, chosen *server, meanLoad float64, routed bool) {
-	d := &b.seen.d
+// describe returns what is known of an endpoint. totalWeight is the sum of all weights in the draw.
+func (b *Balancer) describe(
+	request *requestRecord, ranked rankedEndpoint, totalWeight float64,
+) ConsideredEndpoint {
+	endpoint := ranked.endpoint
+	considered := ConsideredEndpoint{
+		Endpoint:   endpoint.ID,
+		State:      endpoint.State,
+		Exclusions: b.exclusions(request, endpoint),
+		Weight:     endpoint.currentWeight(b.now),
+		Warmth:     b.warmth(endpoint),
+		Load:       endpoint.demand(),
+		Delay:      endpoint.delay,
+		DelayAge:   -1,
+	}
+	if endpoint.delayAt > 0 {
+		considered.DelayAge = b.now - endpoint.delayAt
+	}
+	if totalWeight > 0 {
+		considered.Probability = ranked.weight / totalWeight
+	}
+	return considered
+}
+
+// setPreferred names the endpoint that would have been chosen but for its exclusions: the cached one where
+// that was passed over; else, where there is a route key and so no chance in the draw, the nearest that is
+// excluded and nearer than the chosen one, if any.
+func (b *Balancer) setPreferred(
+	request *requestRecord, chosen *endpointRecord, meanLoad float64, passedOver bool,
+) {
+	decision := &b.recorder.decision
 	switch {
-	case d.Verdict == VerdictMigrated || d.Reason == ReasonCachedRoute ||
-		d.Reason == ReasonWindowFull || d.Reason == ReasonBackoff:
+	case decision.Verdict == VerdictMigrated || decision.Reason == ReasonCachedRoute ||
+		decision.Reason == ReasonWindowFull || decision.Reason == ReasonBackoff:
 		return
-	case q.key() == 0 && chosen != nil: // and its own draw is not to be made again
+	case request.routeKey() == 0 && chosen != nil: // its draw is not to be made again
 		return
 	}
 	least := math.Inf(1)
 	if chosen != nil && chosen.State == StateReady {
-		least = b.chance(q.key(), chosen) / b.drawWeight(chosen, meanLoad)
+		least = b.exponentialVariate(request.routeKey(), chosen) / b.drawWeight(chosen, meanLoad)
 	}
-	for i, f := range d.Considered {
-		n := b.seen.nearest[i]
-		if n.s == chosen || f.Exclusions&^ExcludedAtCapacity == 0 && !(routed && n.cost == -math.MaxFloat64) {
-			continue
-		}
-		if n.cost < least {
-			d.Preferred = i
+	for i, considered := range decision.Considered {
+		ranked := b.recorder.nearest[i]
+		excluded := considered.Exclusions&^ExcludedAtCapacity != 0 || passedOver && ranked.cost == cachedCost
+		if ranked.endpoint != chosen && excluded && ranked.cost < least {
+			decision.Preferred = i
 			return
 		}
 	}
 }
 
-// bars tells what keeps a server from being sent a request.
-func (b *Balancer) bars(q *request, s *server) (up Exclusions) {
-	set := func(bar Exclusions, is bool) {
-		if is {
-			up |= bar
+// exclusions returns what keeps an endpoint from being sent a request.
+func (b *Balancer) exclusions(request *requestRecord, endpoint *endpointRecord) (excluded Exclusions) {
+	exclude := func(exclusion Exclusions, applies bool) {
+		if applies {
+			excluded |= exclusion
 		}
 	}
-	set(ExcludedDraining, s.State != StateReady || s.awayAt > 0 && b.now < s.awayAt+awayFor)
-	set(ExcludedTried, slices.Contains(q.tried, s.ID))
-	set(ExcludedScope, !q.mayUse(s))
-	set(ExcludedWarmingUp, s.State == StateReady && !b.coldAllows(q, s))
-	set(ExcludedSlow, s.slowAt(b.now))
-	set(ExcludedRecovering, !s.slowAt(b.now) && b.mustWait(s))
-	set(ExcludedAtCapacity, b.spare(s) <= spareFull)
-	return up
+	exclude(ExcludedDraining, endpoint.State != StateReady || endpoint.isRedirecting(b.now))
+	exclude(ExcludedTried, slices.Contains(request.triedEndpoints, endpoint.ID))
+	exclude(ExcludedScope, !request.withinScope(endpoint))
+	exclude(ExcludedWarmingUp, endpoint.State == StateReady && !b.slowStartAllows(request, endpoint))
+	exclude(ExcludedSlow, endpoint.isSlow(b.now))
+	exclude(ExcludedRecovering, !endpoint.isSlow(b.now) && b.mustHold(endpoint))
+	exclude(ExcludedAtCapacity, b.headroom(endpoint) <= fullHeadroom)
+	return excluded
 }
 
-// passedOver tells why a request is not sent to the server cached for its group.
-func (b *Balancer) passedOver(q *request, s *server) Reason {
-	if b.seen.tell == nil {
+// cachedRouteReason returns why a request is not sent to the endpoint cached for its group, which is nil
+// if it is no longer known. It works that out only for an observer.
+func (b *Balancer) cachedRouteReason(request *requestRecord, endpoint *endpointRecord) Reason {
+	if b.recorder.notify == nil {
 		return ReasonWeightedDraw
 	}
-	before := b.fleet.marks
-	defer func() { b.fleet.marks = before }()
-	if s == nil {
+	saved := b.endpoints.derivedState
+	defer func() { b.endpoints.derivedState = saved }()
+	if endpoint == nil {
 		return ReasonRouteGone
 	}
-	b.fleet.summed = false
-	switch up := b.bars(q, s); {
-	case up&(ExcludedDraining|ExcludedTried|ExcludedScope) != 0:
+	b.endpoints.eventTotalsValid = false
+	switch excluded := b.exclusions(request, endpoint); {
+	case excluded&(ExcludedDraining|ExcludedTried|ExcludedScope) != 0:
 		return ReasonRouteGone
-	case up&ExcludedSlow != 0:
+	case excluded&ExcludedSlow != 0:
 		return ReasonRouteSlow
-	case up&ExcludedRecovering != 0:
+	case excluded&ExcludedRecovering != 0:
 		return ReasonRouteRecovering
-	case up&ExcludedWarmingUp != 0:
+	case excluded&ExcludedWarmingUp != 0:
 		return ReasonRouteWarmingUp
 	}
 	return ReasonRouteAtCapacity
 }
 
-// drawn is the reason of a draw that no cached route came before.
-func (q *request) drawn() Reason {
-	if q.attempts > 0 {
+// drawReason is the reason of a draw before which no cached route was passed over.
+func (r *requestRecord) drawReason() Reason {
+	if r.attempts > 0 {
 		return ReasonRedrawn
 	}
 	return ReasonWeightedDraw
 }
 
-// held tells why a request that could be sent to s, if to any, is not.
-func (b *Balancer) held(s *server) Reason {
+// holdReason returns why a request that fell on an endpoint, if on any, is held.
+func (b *Balancer) holdReason(endpoint *endpointRecord) Reason {
 	switch {
-	case s == nil:
+	case endpoint == nil:
 		return ReasonNoneEligible
-	case s.slowAt(b.now):
+	case endpoint.isSlow(b.now):
 		return ReasonEndpointSlow
 	}
 	return ReasonEndpointRecovering
 }
 
-// spent tells why no further attempt is allowed at a time.
-func (b *Balancer) spent(q *request, at time.Duration) Reason {
+// stopReason returns why no further attempt is allowed at a time.
+func (b *Balancer) stopReason(request *requestRecord, at time.Duration) Reason {
 	switch {
-	case q.attempts >= q.set.MaxAttempts:
+	case request.attempts >= request.settings.MaxAttempts:
 		return ReasonAttemptsExhausted
-	case at >= q.giveUp:
+	case at >= request.deadline:
 		return ReasonDeadlineExceeded
 	}
 	return ReasonNotRepeatable
--- a/balancer/facade_test.go
+++ b/balancer/facade_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// driven is a Facade whose turns the test takes.
-type driven struct {
+// drivenLoop is a Facade whose turns the test takes.
+type drivenLoop struct {
 	*Loop
 	t   *testing.T
 	now time.Duration
 }
 
-func newDriven(t *testing.T, servers int) *driven {
+func newDrivenLoop(t *testing.T, servers int) *drivenLoop {
 	t.Helper()
-	d := &driven{NewLoop(testSettings(), 1), t, time.Hour}
-	d.Report(EndpointUpdate{Kind: ListCached, Endpoints: ready(servers)})
-	d.turn(0)
-	return d
+	loop := &drivenLoop{NewLoop(testSettings(), 1), t, time.Hour}
+	loop.Report(EndpointUpdate{Kind: ListCached, Endpoints: readyEndpoints(servers)})
+	loop.advance(0)
+	return loop
 }
 
-// turn lets time go by, with every timer's turn on its way, and takes one more.
-func (d *driven) turn(after time.Duration) {
+// advance lets time go by, with every timer's turn on its way, and takes one more.
+func (d *drivenLoop) advance(after time.Duration) {
 	until := d.now + after
 	for {
 		next, ok := d.Tick(d.now)
@@ -36,16 +36,16 @@
 	d.Tick(d.now)
 }
 
-// ask hands in a transaction.
-func (d *driven) ask() *RequestHandle {
+// submit hands in a transaction.
+func (d *drivenLoop) submit() *RequestHandle {
 	t := NewRequestHandle(RequestOptions{Group: 7, Deadline: d.now + 2*time.Second})
-	t.begun = true // Pick would block before the turn
-	d.post(t)
-	d.turn(0)
+	t.submitted = true // Pick would block before the turn
+	d.enqueue(t)
+	d.advance(0)
 	return t
 }
 
-func (d *driven) want(t *RequestHandle, kind ActionKind) RequestAction {
+func (d *drivenLoop) wantAction(t *RequestHandle, kind ActionKind) RequestAction {
 	d.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -56,7 +56,7 @@
 	return s
 }
 
-func (d *driven) wantNone(t *RequestHandle) {
+func (d *drivenLoop) wantNoAction(t *RequestHandle) {
 	d.t.Helper()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	why := errors.New("no step")
@@ -66,73 +66,73 @@
 	}
 }
 
-func TestTransactionIsTriedAgainUntilItStands(t *testing.T) {
-	d := newDriven(t, 2)
-	q := d.ask()
-	first := d.want(q, ActionAttempt)
-	d.wantNone(q)
-	d.Report(AttemptEnded{Handle: q, Status: StatusConnectFailed})
-	d.turn(0)
-	d.wantNone(q) // it backs off
-	d.turn(backoffBase)
-	if second := d.want(q, ActionAttempt); second.Endpoint == first.Endpoint {
+func TestRequestIsRetriedUntilEstablished(t *testing.T) {
+	loop := newDrivenLoop(t, 2)
+	handle := loop.submit()
+	first := loop.wantAction(handle, ActionAttempt)
+	loop.wantNoAction(handle)
+	loop.Report(AttemptEnded{Handle: handle, Status: StatusConnectFailed})
+	loop.advance(0)
+	loop.wantNoAction(handle) // it backs off
+	loop.advance(retryBackoffBase)
+	if second := loop.wantAction(handle, ActionAttempt); second.Endpoint == first.Endpoint {
 		t.Error("the second pass goes where the first has failed")
 	}
-	d.Report(AttemptEstablished{Handle: q, SetupTime: 5 * ms})
-	d.turn(0)
-	d.want(q, ActionEstablished)
-	d.Report(AttemptEnded{Handle: q, Status: StatusOK})
-	d.turn(0)
-	d.want(q, ActionClosed)
-	if len(d.tickets) != 0 {
-		t.Errorf("%d tickets are kept", len(d.tickets))
+	loop.Report(AttemptEstablished{Handle: handle, SetupTime: 5 * ms})
+	loop.advance(0)
+	loop.wantAction(handle, ActionEstablished)
+	loop.Report(AttemptEnded{Handle: handle, Status: StatusOK})
+	loop.advance(0)
+	loop.wantAction(handle, ActionClosed)
+	if len(loop.handles) != 0 {
+		t.Errorf("%d tickets are kept", len(loop.handles))
 	}
 }
 
-func TestAnswerComesWhileAPassIsOut(t *testing.T) {
-	d := newDriven(t, 1)
-	q := d.ask()
-	d.want(q, ActionAttempt)
-	d.turn(2 * time.Second)
-	d.want(q, ActionReject)
+func TestDeadlineAnswersWhileAnAttemptIsInFlight(t *testing.T) {
+	loop := newDrivenLoop(t, 1)
+	handle := loop.submit()
+	loop.wantAction(handle, ActionAttempt)
+	loop.advance(2 * time.Second)
+	loop.wantAction(handle, ActionReject)
 	// The pass that stands after that comes too late.
-	d.Report(AttemptEstablished{Handle: q})
-	d.Report(AttemptEnded{Handle: q, Status: StatusCancelled})
-	d.turn(0)
-	d.wantNone(q)
+	loop.Report(AttemptEstablished{Handle: handle})
+	loop.Report(AttemptEnded{Handle: handle, Status: StatusCancelled})
+	loop.advance(0)
+	loop.wantNoAction(handle)
 }
 
-func TestSlowServersConnectionsAreMoved(t *testing.T) {
-	d := newDriven(t, 1)
-	q := NewRequestHandle(RequestOptions{Group: 7, Established: true, Endpoint: 1})
-	q.begun = true
-	d.post(q)
-	d.turn(0)
-	d.want(q, ActionEstablished)
+func TestConnectionsOfASlowEndpointMigrate(t *testing.T) {
+	loop := newDrivenLoop(t, 1)
+	handle := NewRequestHandle(RequestOptions{Group: 7, Established: true, Endpoint: 1})
+	handle.submitted = true
+	loop.enqueue(handle)
+	loop.advance(0)
+	loop.wantAction(handle, ActionEstablished)
 	for range 4 {
-		d.Report(LoadReport{Handle: q, Load: 0.1})
-		d.Report(DelayReport{Endpoint: 1, Delay: 3 * time.Second})
-		d.turn(time.Second)
+		loop.Report(LoadReport{Handle: handle, Load: 0.1})
+		loop.Report(DelayReport{Endpoint: 1, Delay: 3 * time.Second})
+		loop.advance(time.Second)
 	}
-	d.want(q, ActionMigrate)
+	loop.wantAction(handle, ActionMigrate)
 }
 
-func TestClientThatLeavesGetsNothingMore(t *testing.T) {
-	d := newDriven(t, 2)
-	q := d.ask()
-	d.want(q, ActionAttempt)
-	d.Report(ClientDisconnected{Handle: q})
-	d.Report(AttemptEnded{Handle: q, Status: StatusCancelled})
-	d.turn(3 * time.Second)
-	d.want(q, ActionClosed)
-	d.wantNone(q)
+func TestDisconnectedClientGetsNoFurtherAction(t *testing.T) {
+	loop := newDrivenLoop(t, 2)
+	handle := loop.submit()
+	loop.wantAction(handle, ActionAttempt)
+	loop.Report(ClientDisconnected{Handle: handle})
+	loop.Report(AttemptEnded{Handle: handle, Status: StatusCancelled})
+	loop.advance(3 * time.Second)
+	loop.wantAction(handle, ActionClosed)
+	loop.wantNoAction(handle)
 }
 
 // Who reports after the last turn must not wait for one.
-func TestReportsAfterTheEndAreLetGo(t *testing.T) {
-	d := newDriven(t, 1)
-	d.Close()
-	for range mailboxSize + 1 {
-		d.Report(DelayReport{Endpoint: 1})
+func TestReportAfterCloseDoesNotBlock(t *testing.T) {
+	loop := newDrivenLoop(t, 1)
+	loop.Close()
+	for range mailboxCapacity + 1 {
+		loop.Report(DelayReport{Endpoint: 1})
 	}
 }
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -1,59 +1,65 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
-// RequestOptions is what a client asks for.
+// RequestOptions describe a request to a Loop.
 type RequestOptions struct {
-	Class        int
-	Item         uint64
-	Group        uint64
+	Class        int           // index into the classes of Settings
+	Item         uint64        // what the request is about; 0 if nothing
+	Group        uint64        // the group that it shares work with; 0 if none
 	Deadline     time.Duration // on the clock that Tick is given
 	ExpectedLoad float64       // in seconds of work a second; 0 if unknown
-	Returning    bool          // the client is back after a break or a move
-	Settings     *Settings     // that it began under, and that Class is of; nil: those in force
-	Endpoint     EndpointID    // the server that already has it open, if Open
-	Established  bool
+	Returning    bool          // the client is back after a break or a migration
+	Settings     *Settings     // those that it arrived under, and that Class is of; nil: those in force
+	Endpoint     EndpointID    // where its connection is established, if Established
+	Established  bool          // its connection was established by a former process
 
 	Observer DecisionObserver // is told what is decided for it; nil: nobody is
 }
 
-// ActionKind says what is to be done next for a transaction.
+// ActionKind is what is to be done next for a request.
 type ActionKind uint8
 
-// The kinds of step.
+// The kinds of action. Those that are final are the last action of their request.
 const (
-	ActionAttempt     ActionKind = iota // begin a proxy pass to Server
-	ActionEstablished                   // the pass is accepted: it is the client's
-	ActionMigrate                       // send the client away politely; final
+	ActionAttempt     ActionKind = iota // begin an attempt at Endpoint
+	ActionEstablished                   // the attempt is established: its connection is the client's
+	ActionMigrate                       // make the client reconnect elsewhere; final
 	ActionClosed                        // the connection has ended; final
-	ActionReject                        // answer: unavailable, come back after Wait; final
+	ActionReject                        // answer: rejected, retry after Wait; final
 	ActionFail                          // answer: failed; final
 )
 
-// RequestAction is one thing to do for a transaction.
+// RequestAction is one thing to do for a request.
 type RequestAction struct {
 	Kind     ActionKind
 	Endpoint EndpointID
-	Wait     time.Duration // the pass's time-out, or when to come back; 0 if there is none
-	NotAfter time.Duration // on the clock that Tick is given: a pass is not sent later; 0: at any time
+	Wait     time.Duration // of an attempt its time-out, of a rejection its retry-after; 0 if there is none
+	NotAfter time.Duration // the attempt is not sent later, on the clock that Tick is given; 0: at any time
 }
 
-// RequestHandle stands for one transaction at a Facade.
+// actionsBuffered is the room for actions that nobody has taken yet: an attempt, its establishment and a
+// final action fit without a reader.
+const actionsBuffered = 8
+
+// RequestHandle stands for one request at a Loop. One goroutine calls Pick with it.
 type RequestHandle struct {
-	ask   RequestOptions
-	begun bool // only its own goroutine looks
-	id    RequestID
-	at    EndpointID         // of the pass that is out
-	steps chan RequestAction // a pass, its acceptance and a final step fit without a reader
-	over  bool
+	options   RequestOptions
+	submitted bool // only the goroutine that calls Pick uses it
+	actions   chan RequestAction
+
+	// Only the goroutine that calls Tick uses these.
+	id       RequestID
+	endpoint EndpointID // of the attempt in flight or of the connection
+	done     bool
 }
 
-// NewRequestHandle returns the ticket of a transaction that has come in.
-func NewRequestHandle(ask RequestOptions) *RequestHandle {
-	return &RequestHandle{ask: ask, steps: make(chan RequestAction, 8)}
+// NewRequestHandle returns the handle of a request that has arrived.
+func NewRequestHandle(options RequestOptions) *RequestHandle {
+	return &RequestHandle{options: options, actions: make(chan RequestAction, actionsBuffered)}
 }
 
-// TimeLeft returns how long its client will still wait at a time.
-func (t *RequestHandle) TimeLeft(now time.Duration) time.Duration { return max(0, t.ask.Deadline-now) }
+// TimeLeft returns how long the client still waits at a time, on the clock that Tick is given.
+func (h *RequestHandle) TimeLeft(now time.Duration) time.Duration {
+	return max(0, h.options.Deadline-now)
+}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -25,45 +25,45 @@
 	}
 }
 
-// relay drives a Balancer as the code that embeds it would.
-type relay struct {
-	t      *testing.T
-	b      *Balancer
-	now    time.Duration
-	timers []pending
-	log    []Action // all but timers
-	next   RequestID
+// testRelay drives a Balancer as the code that embeds it would.
+type testRelay struct {
+	t        *testing.T
+	balancer *Balancer
+	now      time.Duration
+	timers   []pendingTimer
+	actions  []Action // all but timers
+	lastID   RequestID
 }
 
-type pending struct {
+type pendingTimer struct {
 	at    time.Duration
 	token uint32
 }
 
-func newRelay(t *testing.T, s Settings, servers ...Endpoint) *relay {
+func newTestRelay(t *testing.T, settings Settings, endpoints ...Endpoint) *testRelay {
 	t.Helper()
-	if err := s.Validate(); err != nil {
+	if err := settings.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{t: t, b: New(s, 1), now: time.Hour}
-	r.do(EndpointList{Kind: ListCached, Endpoints: servers})
-	return r
+	relay := &testRelay{t: t, balancer: New(settings, 1), now: time.Hour}
+	relay.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
+	return relay
 }
 
-// fleetOf returns as many relays as the settings name, each of a seed of its own.
-func fleetOf(t *testing.T, s Settings, servers ...Endpoint) []*relay {
+// newTestRelays returns as many relays as the settings name, each of a seed of its own.
+func newTestRelays(t *testing.T, settings Settings, endpoints ...Endpoint) []*testRelay {
 	t.Helper()
-	relays := make([]*relay, s.Relays)
+	relays := make([]*testRelay, settings.Relays)
 	for i := range relays {
-		relays[i] = newRelay(t, s)
-		relays[i].b = New(s, uint64(i)<<32+7)
-		relays[i].do(EndpointList{Kind: ListCached, Endpoints: servers})
+		relays[i] = newTestRelay(t, settings)
+		relays[i].balancer = New(settings, uint64(i)<<32+7)
+		relays[i].handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
 	}
 	return relays
 }
 
-// ready returns n ready servers of equal size, numbered from 1.
-func ready(n int) []Endpoint {
+// readyEndpoints returns n ready servers of equal size, numbered from 1.
+func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
 		list[i] = Endpoint{ID: EndpointID(i + 1), State: StateReady, Weight: 1}
@@ -71,24 +71,24 @@
 	return list
 }
 
-// do hands an event to the Balancer and returns what it did, timers aside.
-func (r *relay) do(ev Event) []Action {
-	var done []Action
-	for _, a := range r.b.Handle(r.now, ev) {
+// handle hands an event to the Balancer and returns what it did, timers aside.
+func (r *testRelay) handle(ev Event) []Action {
+	var actions []Action
+	for _, a := range r.balancer.Handle(r.now, ev) {
 		if set, ok := a.(SetTimer); ok {
-			r.timers = append(r.timers, pending{r.now + set.After, set.Token})
+			r.timers = append(r.timers, pendingTimer{r.now + set.After, set.Token})
 		} else {
-			done = append(done, a)
+			actions = append(actions, a)
 		}
 	}
-	r.log = append(r.log, done...)
-	return done
+	r.actions = append(r.actions, actions...)
+	return actions
 }
 
-// pass lets time go by and returns what was done meanwhile.
-func (r *relay) pass(d time.Duration) []Action {
+// advance lets time go by and returns what was done meanwhile.
+func (r *testRelay) advance(d time.Duration) []Action {
 	until := r.now + d
-	var done []Action
+	var actions []Action
 	for {
 		i := -1
 		for j, p := range r.timers {
@@ -102,46 +102,46 @@
 		p := r.timers[i]
 		r.timers = slices.Delete(r.timers, i, i+1)
 		r.now = max(r.now, p.at)
-		done = append(done, r.do(Timer{Token: p.token})...)
+		actions = append(actions, r.handle(Timer{Token: p.token})...)
 	}
 	r.now = until
-	return done
+	return actions
 }
 
-// ask hands over a request of a group and returns its ID and what was done.
-func (r *relay) ask(group uint64) (RequestID, []Action) {
-	r.next++
-	return r.next, r.do(Request{ID: r.next, Group: group, TimeLeft: 2 * time.Second})
+// request hands over a request of a group and returns its ID and what was done.
+func (r *testRelay) request(group uint64) (RequestID, []Action) {
+	r.lastID++
+	return r.lastID, r.handle(Request{ID: r.lastID, Group: group, TimeLeft: 2 * time.Second})
 }
 
-// open sets a connection of a group up and returns its ID and server.
-func (r *relay) open(group uint64) (RequestID, EndpointID) {
+// connect sets a connection of a group up and returns its ID and server.
+func (r *testRelay) connect(group uint64) (RequestID, EndpointID) {
 	r.t.Helper()
-	id, done := r.ask(group)
-	to := r.sent(done, id)
-	r.do(Established{Request: id, Endpoint: to, SetupTime: 10 * ms})
-	return id, to
+	id, actions := r.request(group)
+	endpoint := r.wantSent(actions, id)
+	r.handle(Established{Request: id, Endpoint: endpoint, SetupTime: 10 * ms})
+	return id, endpoint
 }
 
-// sent returns the server that the only action sends a request to.
-func (r *relay) sent(done []Action, id RequestID) EndpointID {
+// wantSent returns the server that the only action sends a request to.
+func (r *testRelay) wantSent(actions []Action, id RequestID) EndpointID {
 	r.t.Helper()
-	if len(done) == 1 {
-		if s, ok := done[0].(SendAttempt); ok && s.Request == id {
+	if len(actions) == 1 {
+		if s, ok := actions[0].(SendAttempt); ok && s.Request == id {
 			return s.Endpoint
 		}
 	}
-	r.t.Fatalf("want request %d sent, got %v", id, done)
+	r.t.Fatalf("want request %d sent, got %v", id, actions)
 	return 0
 }
 
-func (r *relay) fail(id RequestID, to EndpointID, why AttemptStatus) []Action {
-	return r.do(Outcome{Request: id, Endpoint: to, Status: why})
+func (r *testRelay) fail(id RequestID, endpoint EndpointID, status AttemptStatus) []Action {
+	return r.handle(Outcome{Request: id, Endpoint: endpoint, Status: status})
 }
 
-func count[T Action](done []Action) int {
+func countActions[T Action](actions []Action) int {
 	n := 0
-	for _, a := range done {
+	for _, a := range actions {
 		if _, ok := a.(T); ok {
 			n++
 		}
--- a/balancer/herd_test.go
+++ b/balancer/herd_test.go
@@ -9,30 +9,30 @@
 // eight answers nothing and a session store that all share has set-ups take 400 ms. Whoever sees that late still
 // serves every class: 400 ms are within each one's time. The class of the least time had its first attempt given up
 // after half of 600 ms, and no time for a second: it was served to nobody.
-func TestEveryClassOfAHerdIsServed(t *testing.T) {
+func TestEveryClassIsServedWhenSetupsAreSlow(t *testing.T) {
 	const (
 		took    = 400 * ms
 		relays  = 40
 		servers = 24
 		rounds  = 8 // requests of each relay, one a second
 	)
-	s := testSettings()
-	s.Relays, s.MaxAttempts = relays, 5
-	s.Classes = []Class{
+	settings := testSettings()
+	settings.Relays, settings.MaxAttempts = relays, 5
+	settings.Classes = []Class{
 		{Name: "patient", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 100 * ms},
 		{Name: "short of time", LatencyObjective: 500 * ms, Deadline: 600 * ms, MessageLatencyObjective: 60 * ms},
 		{Name: "once", LatencyObjective: 500 * ms, Deadline: 700 * ms, MessageLatencyObjective: 60 * ms, Effect: AtMostOnce},
 	}
-	asked, served := make([]int, len(s.Classes)), make([]int, len(s.Classes))
-	for i, r := range fleetOf(t, s, ready(servers)...) {
+	asked, served := make([]int, len(settings.Classes)), make([]int, len(settings.Classes))
+	for i, relay := range newTestRelays(t, settings, readyEndpoints(servers)...) {
 		for round := range rounds {
-			class := (i + round) % len(s.Classes)
+			class := (i + round) % len(settings.Classes)
 			asked[class]++
-			left := s.Classes[class].Deadline
-			id, began := RequestID(round+1), r.now
-			done := r.do(Request{ID: id, Group: uint64(i*rounds + round + 1), Class: class, TimeLeft: left})
-			for len(done) > 0 {
-				send, ok := done[0].(SendAttempt)
+			left := settings.Classes[class].Deadline
+			id, began := RequestID(round+1), relay.now
+			actions := relay.handle(Request{ID: id, Group: uint64(i*rounds + round + 1), Class: class, TimeLeft: left})
+			for len(actions) > 0 {
+				send, ok := actions[0].(SendAttempt)
 				if !ok {
 					break // refused or failed
 				}
@@ -41,24 +41,24 @@
 				if !up {
 					wait = send.Timeout
 				}
-				r.now += wait // its own timers come later: the outcome is there first
+				relay.now += wait // its own timers come later: the outcome is there first
 				if up {
-					r.do(Established{Request: id, Endpoint: send.Endpoint, SetupTime: took})
+					relay.handle(Established{Request: id, Endpoint: send.Endpoint, SetupTime: took})
 					served[class]++
 					break
 				}
-				done = r.do(Outcome{Request: id, Endpoint: send.Endpoint, Status: StatusTimeout})
-				for len(done) == 0 && r.now < began+left {
-					done = r.pass(ms)
+				actions = relay.handle(Outcome{Request: id, Endpoint: send.Endpoint, Status: StatusTimeout})
+				for len(actions) == 0 && relay.now < began+left {
+					actions = relay.advance(ms)
 				}
 			}
-			if late := r.now - began; late > left+s.MinTick {
+			if late := relay.now - began; late > left+settings.MinTick {
 				t.Errorf("relay %d answers after %v of %v", i, late, left)
 			}
-			r.pass(max(0, began+time.Second-r.now))
+			relay.advance(max(0, began+time.Second-relay.now))
 		}
 	}
-	for class, c := range s.Classes {
+	for class, c := range settings.Classes {
 		if 2*served[class] < asked[class] {
 			t.Errorf("of class %q %d of %d are served", c.Name, served[class], asked[class])
 		}
@@ -66,34 +66,34 @@
 }
 
 // Where a time-out may not be repeated nothing follows it: the attempt gets all the time there is.
-func TestAnAttemptThatMayNotBeRepeatedGetsAllTheTime(t *testing.T) {
-	s := testSettings()
-	s.Classes[0].Effect = AtMostOnce
-	r := newRelay(t, s, ready(3)...)
-	_, done := r.ask(1)
-	if send, ok := done[0].(SendAttempt); !ok || send.Timeout < 1900*ms {
-		t.Errorf("of 2 s the attempt gets %v", done)
+func TestNonRepeatableAttemptGetsTheWholeDeadline(t *testing.T) {
+	settings := testSettings()
+	settings.Classes[0].Effect = AtMostOnce
+	relay := newTestRelay(t, settings, readyEndpoints(3)...)
+	_, actions := relay.request(1)
+	if send, ok := actions[0].(SendAttempt); !ok || send.Timeout < 1900*ms {
+		t.Errorf("of 2 s the attempt gets %v", actions)
 	}
 }
 
 // What is known of set-ups grows with one that is slow or cut off, halves with each quick one, and passes.
-func TestSetUpsAreKnownForAWhile(t *testing.T) {
-	var u setups
-	u.cutOff(1, 300*ms, time.Hour)
-	u.cutOff(1, 300*ms, time.Hour)
-	if got := u.usual(time.Hour); got != 0 {
+func TestSetupTimeEstimateGrowsHalvesAndExpires(t *testing.T) {
+	var u setupTimeEstimate
+	u.observeTimeout(1, 300*ms, time.Hour)
+	u.observeTimeout(1, 300*ms, time.Hour)
+	if got := u.current(time.Hour); got != 0 {
 		t.Errorf("one server hangs, and it is %v", got)
 	}
-	u.cutOff(2, 200*ms, time.Hour)
-	u.stood(20*ms, time.Hour)
-	if got := u.usual(time.Hour); got != 160*ms {
+	u.observeTimeout(2, 200*ms, time.Hour)
+	u.observeEstablished(20*ms, time.Hour)
+	if got := u.current(time.Hour); got != 160*ms {
 		t.Errorf("after two servers cut off at 300 ms and a set-up of 20 ms it is %v", got)
 	}
-	u.stood(400*ms, time.Hour)
-	if got := u.usual(time.Hour); got != 400*ms {
+	u.observeEstablished(400*ms, time.Hour)
+	if got := u.current(time.Hour); got != 400*ms {
 		t.Errorf("after one of 400 ms it is %v", got)
 	}
-	if got := u.usual(time.Hour + setupLife); got != 0 {
+	if got := u.current(time.Hour + setupTimeValidity); got != 0 {
 		t.Errorf("half a minute later it is %v", got)
 	}
 }
--- a/balancer/loop.go
+++ b/balancer/loop.go
@@ -10,230 +10,256 @@
 	"lockroad/internal/assert"
 )
 
-// mailboxSize bounds what waits for a turn; who reports more than that waits.
-const mailboxSize = 4096
+// mailboxCapacity bounds what waits for a Tick. Whoever reports more than that waits.
+const mailboxCapacity = 4096
 
-// Loop drives one Balancer.
+// Loop drives one Balancer for code that talks to a network. Pick waits for the next thing to do for a
+// request, Report hands in what has happened, Tick makes time go on. Nothing is decided here. See the
+// package's contract for which goroutine calls what.
 type Loop struct {
-	b       *Balancer
-	mailbox chan any // a *Ticket that begins, a question, or News
+	mailbox chan any // a *RequestHandle that was submitted, a query, or a LoopEvent
 	wakeup  chan struct{}
-	tickets map[RequestID]*RequestHandle
-	timers  timerHeap
-	lastID  RequestID
-	now     time.Duration
 
-	surveyed bool                 // who looks at the pool has it published with each turn
-	pool     atomic.Pointer[pool] // nil before the first
-	room     []time.Duration
+	// Only the goroutine that calls Tick uses these.
+	balancer        *Balancer
+	handles         map[RequestID]*RequestHandle // of requests that have not ended
+	timers          timerHeap
+	lastID          RequestID
+	now             time.Duration // of this Tick
+	countsPublished bool          // counts are published with each Tick
+	avoidedBuffer   []time.Duration
+	revision        uint64        // of the endpoint list
+	listedAt        time.Duration // when the list was last updated; negative before the first list
 
-	revision uint64
-	listedAt time.Duration // negative before the first list
+	counts atomic.Pointer[endpointCounts] // nil before the first
 
-	stop sync.Once
-	done chan struct{}
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
-// NewLoop returns a Facade of a Balancer that has just started. Its servers
-// come without being asked for.
-func NewLoop(s Settings, seed uint64) *Loop {
-	s.PollList = false
+// NewLoop returns a Loop of a Balancer that has just started. Updates of the endpoint list are reported to
+// it without being asked for: Settings.PollList is ignored.
+func NewLoop(settings Settings, seed uint64) *Loop {
+	settings.PollList = false
 	return &Loop{
-		b:       New(s, seed),
-		mailbox: make(chan any, mailboxSize),
-		wakeup:  make(chan struct{}, 1),
-		tickets: make(map[RequestID]*RequestHandle),
-		done:    make(chan struct{}),
-
+		mailbox:  make(chan any, mailboxCapacity),
+		wakeup:   make(chan struct{}, 1),
+		balancer: New(settings, seed),
+		handles:  make(map[RequestID]*RequestHandle),
 		listedAt: -1,
+		closed:   make(chan struct{}),
 	}
 }
 
-// Observe has the witnesses of transactions told of decisions. It is called before
-// the first turn.
-func (f *Loop) Observe() { f.b.Observe(f.tell) }
+// Observe makes the Loop tell the observers of requests of each decision. It is called before the first
+// Tick.
+func (l *Loop) Observe() { l.balancer.Observe(l.notifyObserver) }
 
-// PublishCounts has Pool told of. It is called before the first turn.
-func (f *Loop) PublishCounts() { f.surveyed = true }
+// PublishCounts makes the Loop publish what EndpointCounts returns. It is called before the first Tick.
+func (l *Loop) PublishCounts() { l.countsPublished = true }
 
-// Pick blocks until there is something to do for a transaction, and says what.
-// It fails only when ctx ends first.
-func (f *Loop) Pick(ctx context.Context, t *RequestHandle) (RequestAction, error) {
-	if !t.begun {
-		t.begun = true
-		f.post(t)
+// Pick blocks until there is something to do for a request, and returns it. It fails only if ctx ends
+// first, with its cause; an action that is there already comes before that. The first call submits the
+// request. All calls for a request come from one goroutine.
+func (l *Loop) Pick(ctx context.Context, handle *RequestHandle) (RequestAction, error) {
+	if !handle.submitted {
+		handle.submitted = true
+		l.enqueue(handle)
 	}
 	select {
-	case s := <-t.steps:
-		return s, nil
+	case action := <-handle.actions:
+		return action, nil
 	default:
 	}
 	select {
-	case s := <-t.steps:
-		return s, nil
+	case action := <-handle.actions:
+		return action, nil
 	case <-ctx.Done():
 		return RequestAction{}, context.Cause(ctx)
 	}
 }
 
-// Report tells what has happened. It takes effect in the next turn.
-func (f *Loop) Report(n LoopEvent) { f.post(n) }
+// Report hands in what has happened. It takes effect in the next Tick. Any goroutine may call it; it
+// blocks while the mailbox is full, until a Tick or Close.
+func (l *Loop) Report(event LoopEvent) { l.enqueue(event) }
 
-// Pending yields a value when there is mail for a turn.
-func (f *Loop) Pending() <-chan struct{} { return f.wakeup }
+// Pending yields a value when something waits for a Tick.
+func (l *Loop) Pending() <-chan struct{} { return l.wakeup }
 
-// Close lets those go who report after the last turn.
-func (f *Loop) Close() { f.stop.Do(func() { close(f.done) }) }
+// Close releases whoever reports or waits for an answer after the last Tick. It may be called again.
+func (l *Loop) Close() { l.closeOnce.Do(func() { close(l.closed) }) }
 
-// Tick does one turn at the clock: it takes the mail that waits, runs the timers
-// that are due and wakes those for whom there is something to do. It returns the
-// time of the next timer, and false where there is none.
-func (f *Loop) Tick(now time.Duration) (time.Duration, bool) {
-	f.now = now
-	for n := len(f.mailbox); n > 0; n-- {
-		f.open(<-f.mailbox)
+// Tick brings the Balancer up to a time of the clock, which never goes back: it handles what was submitted
+// and reported before, then the timers that are due, and hands out the actions. It returns the time of the
+// next timer, and false if there is none. One goroutine makes all calls.
+func (l *Loop) Tick(now time.Duration) (time.Duration, bool) {
+	l.now = now
+	for pending := len(l.mailbox); pending > 0; pending-- {
+		l.deliver(<-l.mailbox)
 	}
-	for len(f.timers) > 0 && f.timers[0].at <= now {
-		due := heap.Pop(&f.timers).(alarm)
-		f.handle(Timer{Token: due.token})
+	for len(l.timers) > 0 && l.timers[0].at <= now {
+		timer := heap.Pop(&l.timers).(timerEntry)
+		l.handleEvent(Timer{Token: timer.token})
 	}
-	if f.surveyed {
-		f.publish()
+	if l.countsPublished {
+		l.publishCounts()
 	}
-	if len(f.timers) == 0 {
+	if len(l.timers) == 0 {
 		return 0, false
 	}
-	return f.timers[0].at, true
+	return l.timers[0].at, true
 }
 
-func (f *Loop) post(what any) {
+// enqueue puts a message into the mailbox and wakes the goroutine that calls Tick.
+func (l *Loop) enqueue(message any) {
 	select {
-	case f.mailbox <- what:
-	case <-f.done:
+	case l.mailbox <- message:
+	case <-l.closed:
 		return
 	}
 	select {
-	case f.wakeup <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// open takes one letter. News of a transaction that is over is left aside: the
-// final step and the news have crossed.
-func (f *Loop) open(mail any) {
-	switch m := mail.(type) {
+// deliver handles one message of the mailbox. Events of a request that has ended are left aside: they
+// have crossed with its final action.
+func (l *Loop) deliver(message any) {
+	switch message := message.(type) {
 	case *RequestHandle:
-		f.begin(m)
-	case question:
-		m()
+		l.beginRequest(message)
+	case query:
+		message()
 	case RestoreSnapshot:
-		f.b.restoreSnapshot(m.Snapshot)
+		l.balancer.restoreSnapshot(message.Snapshot)
 	case SlowStartBudget:
-		f.b.part = m.Share
+		l.balancer.slowStartShare = message.Share
 	case AttemptEstablished:
-		if t := m.Handle; !t.over {
-			// First: the module may have it move at once.
-			f.wake(t, RequestAction{Kind: ActionEstablished, Endpoint: t.at})
-			f.handle(Established{Request: t.id, Endpoint: t.at, SetupTime: m.SetupTime})
+		if handle := message.Handle; !handle.done {
+			// This comes first: the Balancer may migrate it at once.
+			l.sendAction(handle, RequestAction{Kind: ActionEstablished, Endpoint: handle.endpoint})
+			l.handleEvent(Established{
+				Request: handle.id, Endpoint: handle.endpoint, SetupTime: message.SetupTime,
+			})
 		}
 	case AttemptEnded:
-		if t := m.Handle; !t.over {
-			up := f.b.standing(t.id)
-			f.handle(Outcome{Request: t.id, Endpoint: t.at, Status: m.Status, Final: up})
-			if up {
-				f.finish(t, RequestAction{Kind: ActionClosed})
-			}
+		if handle := message.Handle; !handle.done {
+			l.endAttempt(handle, message.Status)
 		}
 	case RequireAnswer:
-		if t := m.Handle; !t.over {
-			f.handle(AnswerRequired{Request: t.id})
+		if handle := message.Handle; !handle.done {
+			l.handleEvent(AnswerRequired{Request: handle.id})
 		}
 	case ClientDisconnected:
-		if t := m.Handle; !t.over && t.id != 0 {
-			f.handle(ClientLeft{Request: t.id})
-			f.finish(t, RequestAction{Kind: ActionClosed})
+		if handle := message.Handle; !handle.done && handle.id != 0 {
+			l.handleEvent(ClientLeft{Request: handle.id})
+			l.finishRequest(handle, RequestAction{Kind: ActionClosed})
 		}
 	case LoadReport:
-		if t := m.Handle; !t.over {
-			f.handle(ConnectionLoad{Request: t.id, Endpoint: t.at, Load: m.Load})
+		if handle := message.Handle; !handle.done {
+			l.handleEvent(ConnectionLoad{Request: handle.id, Endpoint: handle.endpoint, Load: message.Load})
 		}
 	case DelayReport:
-		f.handle(EndpointDelay{Endpoint: m.Endpoint, Delay: m.Delay})
+		l.handleEvent(EndpointDelay{Endpoint: message.Endpoint, Delay: message.Delay})
 	case UpdateSettings:
-		s := *m.Settings
-		s.PollList = false
-		f.handle(SettingsChanged{&s})
+		settings := *message.Settings
+		settings.PollList = false
+		l.handleEvent(SettingsChanged{&settings})
 	case EndpointUpdate:
-		f.revision, f.listedAt = m.Revision, f.now
-		f.handle(EndpointList{Kind: m.Kind, Endpoints: m.Endpoints})
+		l.revision, l.listedAt = message.Revision, l.now
+		l.handleEvent(EndpointList{Kind: message.Kind, Endpoints: message.Endpoints})
+	}
+}
+
+// endAttempt handles the end of an attempt, or of the connection that it became.
+func (l *Loop) endAttempt(handle *RequestHandle, status AttemptStatus) {
+	established := l.balancer.isEstablished(handle.id)
+	l.handleEvent(Outcome{
+		Request: handle.id, Endpoint: handle.endpoint, Status: status, Final: established,
+	})
+	if established {
+		l.finishRequest(handle, RequestAction{Kind: ActionClosed})
 	}
 }
 
-func (f *Loop) begin(t *RequestHandle) {
-	f.lastID++
-	t.id = f.lastID
-	f.tickets[t.id] = t
-	q := Request{
-		ID: t.id, Class: t.ask.Class, Item: t.ask.Item, Group: t.ask.Group,
-		TimeLeft: max(0, t.ask.Deadline-f.now), ExpectedLoad: t.ask.ExpectedLoad,
-		Returning: t.ask.Returning, Settings: t.ask.Settings,
-	}
-	if t.ask.Established {
-		t.at = t.ask.Endpoint
-		// First: the module may have it move at once.
-		f.wake(t, RequestAction{Kind: ActionEstablished, Endpoint: t.at})
-		f.handle(Resumed{Request: q, Endpoint: t.at})
+// beginRequest hands a request that was submitted to the Balancer, under an ID of its own.
+func (l *Loop) beginRequest(handle *RequestHandle) {
+	l.lastID++
+	handle.id = l.lastID
+	l.handles[handle.id] = handle
+	options := &handle.options
+	request := Request{
+		ID:           handle.id,
+		Class:        options.Class,
+		Item:         options.Item,
+		Group:        options.Group,
+		TimeLeft:     handle.TimeLeft(l.now),
+		ExpectedLoad: options.ExpectedLoad,
+		Returning:    options.Returning,
+		Settings:     options.Settings,
+	}
+	if options.Established {
+		handle.endpoint = options.Endpoint
+		// This comes first: the Balancer may migrate it at once.
+		l.sendAction(handle, RequestAction{Kind: ActionEstablished, Endpoint: handle.endpoint})
+		l.handleEvent(Resumed{Request: request, Endpoint: handle.endpoint})
 		return
 	}
-	f.handle(q)
+	l.handleEvent(request)
 }
 
-// handle has the Balancer take an event, and hands out what it wants done.
-func (f *Loop) handle(ev Event) {
-	for _, a := range f.b.Handle(f.now, ev) {
-		switch a := a.(type) {
+// handleEvent hands an event to the Balancer, and hands out the actions that come back.
+func (l *Loop) handleEvent(event Event) {
+	for _, action := range l.balancer.Handle(l.now, event) {
+		switch action := action.(type) {
 		case SendAttempt:
-			t := f.tickets[a.Request]
-			t.at = a.Endpoint
-			f.wake(t, RequestAction{
-				Kind: ActionAttempt, Endpoint: a.Endpoint, Wait: a.Timeout, NotAfter: a.NotAfter,
+			handle := l.handles[action.Request]
+			handle.endpoint = action.Endpoint
+			l.sendAction(handle, RequestAction{
+				Kind:     ActionAttempt,
+				Endpoint: action.Endpoint,
+				Wait:     action.Timeout,
+				NotAfter: action.NotAfter,
 			})
 		case Reject:
-			f.finish(f.tickets[a.Request], RequestAction{Kind: ActionReject, Wait: a.RetryAfter})
+			handle := l.handles[action.Request]
+			l.finishRequest(handle, RequestAction{Kind: ActionReject, Wait: action.RetryAfter})
 		case Fail:
-			f.finish(f.tickets[a.Request], RequestAction{Kind: ActionFail})
+			l.finishRequest(l.handles[action.Request], RequestAction{Kind: ActionFail})
 		case Migrate:
-			f.finish(f.tickets[a.Request], RequestAction{Kind: ActionMigrate})
+			l.finishRequest(l.handles[action.Request], RequestAction{Kind: ActionMigrate})
 		case SetTimer:
-			heap.Push(&f.timers, alarm{f.now + a.After, a.Token})
+			heap.Push(&l.timers, timerEntry{l.now + action.After, action.Token})
 		}
 	}
 }
 
-func (f *Loop) finish(t *RequestHandle, s RequestAction) {
-	t.over = true
-	delete(f.tickets, t.id)
-	f.wake(t, s)
+// finishRequest sends a request its final action.
+func (l *Loop) finishRequest(handle *RequestHandle, action RequestAction) {
+	handle.done = true
+	delete(l.handles, handle.id)
+	l.sendAction(handle, action)
 }
 
-// wake never blocks the turn: a ticket is told at most a pass, its acceptance
-// and a final step before its reader has to look.
-func (f *Loop) wake(t *RequestHandle, s RequestAction) {
+// sendAction sends a handle an action. It never blocks: at most an attempt, its establishment and a final
+// action come before Pick has to be called.
+func (l *Loop) sendAction(handle *RequestHandle, action RequestAction) {
 	select {
-	case t.steps <- s:
+	case handle.actions <- action:
 	default:
-		assert.That(false, "a ticket's steps are read as they come")
+		assert.That(false, "the actions of a request handle are picked as they come")
 	}
 }
 
-// tell tells the witness of a transaction of a decision on it.
-func (f *Loop) tell(id RequestID, d *Decision) {
-	t := f.tickets[id]
-	if t == nil || t.ask.Observer == nil {
+// notifyObserver tells the observer of a request, if it has one, of a decision on it.
+func (l *Loop) notifyObserver(id RequestID, decision *Decision) {
+	handle := l.handles[id]
+	if handle == nil || handle.options.Observer == nil {
 		return
 	}
-	if d.Revision = f.revision; f.listedAt >= 0 {
-		d.ListAge = f.now - f.listedAt
+	if decision.Revision = l.revision; l.listedAt >= 0 {
+		decision.ListAge = l.now - l.listedAt
 	}
-	t.ask.Observer.Decided(d)
+	handle.options.Observer.Decided(decision)
 }
--- a/balancer/loopevents.go
+++ b/balancer/loopevents.go
@@ -1,57 +1,55 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
-// LoopEvent is something that has happened: one of the types below.
+// LoopEvent is something that is reported to a Loop: one of the types below.
 type LoopEvent interface{ loopEvent() }
 
-// AttemptEstablished says that the pass of a transaction was accepted.
+// AttemptEstablished reports that the attempt of a request is established.
 type AttemptEstablished struct {
 	Handle    *RequestHandle
 	SetupTime time.Duration
 }
 
-// AttemptEnded says how the pass, or the connection it became, has ended.
+// AttemptEnded reports how an attempt, or the connection that it became, has ended.
 type AttemptEnded struct {
 	Handle *RequestHandle
 	Status AttemptStatus
 }
 
-// RequireAnswer asks for the final answer to a transaction that is not up: the relay leaves.
+// RequireAnswer demands the final answer to a request that is not established: the relay shuts down.
 type RequireAnswer struct{ Handle *RequestHandle }
 
-// ClientDisconnected says that the client has gone, and its pass with it.
+// ClientDisconnected reports that a client has disconnected, which ends its request.
 type ClientDisconnected struct{ Handle *RequestHandle }
 
-// LoadReport tells the load of an open connection, in seconds of work a second.
+// LoadReport reports the load of an established connection, in seconds of work a second.
 type LoadReport struct {
 	Handle *RequestHandle
 	Load   float64
 }
 
-// DelayReport tells how long a message takes at a server.
+// DelayReport reports how long a message takes at an endpoint.
 type DelayReport struct {
 	Endpoint EndpointID
 	Delay    time.Duration
 }
 
-// EndpointUpdate is news of the servers.
+// EndpointUpdate is an update of the endpoint list.
 type EndpointUpdate struct {
 	Kind      ListKind
 	Endpoints []Endpoint
-	Revision  uint64 // of the list, for those who are told of decisions; 0 if not known
+	Revision  uint64 // of the list, for observers of decisions; 0 if not known
 }
 
-// UpdateSettings says that other settings are in force.
+// UpdateSettings puts other settings in force, for requests that arrive from now on. PollList is ignored.
 type UpdateSettings struct{ Settings *Settings }
 
-// RestoreSnapshot has the module take over what another process's has learnt.
+// RestoreSnapshot restores what the Balancer of the relay's former process has observed.
 type RestoreSnapshot struct{ Snapshot Snapshot }
 
-// SlowStartBudget tells what part of the relay's budget for cold servers is this process's: all of
-// it, or none while another process of the relay spends it.
+// SlowStartBudget sets the share, from 0 to 1, of the relay's slow-start budget that this process may spend:
+// none while another process of the relay spends it.
 type SlowStartBudget struct{ Share float64 }
 
 func (RestoreSnapshot) loopEvent() {}
--- a/balancer/loopqueries.go
+++ b/balancer/loopqueries.go
@@ -6,69 +6,71 @@
 	"time"
 )
 
-// pool is the farm as the module saw it at the end of a turn.
-type pool struct {
-	listed  int
-	avoided []time.Duration // until then, of each server that is
+// endpointCounts is what EndpointCounts goes by: the table of endpoints at the end of a Tick.
+type endpointCounts struct {
+	listed       int
+	avoidedUntil []time.Duration // of each endpoint that was avoided
 }
 
-// EndpointCounts tells how many servers are listed and how many of them the module avoids at a
-// time. It waits for no turn.
-func (f *Loop) EndpointCounts(now time.Duration) (listed, avoided int) {
-	p := f.pool.Load()
-	if p == nil {
+// EndpointCounts returns how many endpoints are listed and how many of them are avoided at a time. It
+// waits for no Tick, and any goroutine may call it. Without PublishCounts both are 0.
+func (l *Loop) EndpointCounts(now time.Duration) (listed, avoided int) {
+	counts := l.counts.Load()
+	if counts == nil {
 		return 0, 0
 	}
-	for _, until := range p.avoided {
+	for _, until := range counts.avoidedUntil {
 		if now < until {
 			avoided++
 		}
 	}
-	return p.listed, avoided
+	return counts.listed, avoided
 }
 
-// publish has Pool tell of the farm as it is now.
-func (f *Loop) publish() {
-	listed, avoided := f.b.avoided(f.room)
-	f.room = avoided
-	if old := f.pool.Load(); old == nil || old.listed != listed || !slices.Equal(old.avoided, avoided) {
-		f.pool.Store(&pool{listed, slices.Clone(avoided)})
+// publishCounts updates what EndpointCounts goes by. It allocates only if something has changed.
+func (l *Loop) publishCounts() {
+	listed, avoided := l.balancer.avoidedEndpoints(l.avoidedBuffer)
+	l.avoidedBuffer = avoided
+	old := l.counts.Load()
+	if old == nil || old.listed != listed || !slices.Equal(old.avoidedUntil, avoided) {
+		l.counts.Store(&endpointCounts{listed, slices.Clone(avoided)})
 	}
 }
 
-// question is asked of the Balancer in a turn; no ticket stands for it.
-type question func()
+// query is asked of the Balancer in a Tick; it belongs to no request.
+type query func()
 
-// asked puts a question and waits for the answer. It fails if ctx or the turns end first.
-func asked[T any](ctx context.Context, f *Loop, of func(*Balancer) T) (T, error) {
-	answer := make(chan T, 1)
-	f.post(question(func() { answer <- of(f.b) }))
+// queryBalancer asks the Balancer and waits for the Tick that answers. It fails if ctx ends or the Loop is
+// closed first.
+func queryBalancer[T any](ctx context.Context, l *Loop, ask func(*Balancer) T) (T, error) {
+	answers := make(chan T, 1)
+	l.enqueue(query(func() { answers <- ask(l.balancer) }))
 	var none T
 	select {
-	case a := <-answer:
-		return a, nil
+	case answer := <-answers:
+		return answer, nil
 	case <-ctx.Done():
 		return none, context.Cause(ctx)
-	case <-f.done:
+	case <-l.closed:
 		return none, context.Canceled
 	}
 }
 
-// RetryAfter returns when a client should come again that there is no place for; 0 if
-// ctx or the turns end first.
-func (f *Loop) RetryAfter(ctx context.Context) time.Duration {
-	wait, _ := asked(ctx, f, func(b *Balancer) time.Duration { return b.RetryAfter(f.now) })
+// RetryAfter returns when a client should try again that the relay has rejected on its own; 0 if ctx ends
+// or the Loop is closed first.
+func (l *Loop) RetryAfter(ctx context.Context) time.Duration {
+	wait, _ := queryBalancer(ctx, l, func(b *Balancer) time.Duration { return b.RetryAfter(l.now) })
 	return wait
 }
 
-// Snapshot returns what the module has learnt, for another process to take over. It
-// fails if ctx or the turns end first.
-func (f *Loop) Snapshot(ctx context.Context) (Snapshot, error) {
-	return asked(ctx, f, (*Balancer).Snapshot)
+// Snapshot returns what the Balancer has observed, for another process to restore. It fails if ctx ends or
+// the Loop is closed first.
+func (l *Loop) Snapshot(ctx context.Context) (Snapshot, error) {
+	return queryBalancer(ctx, l, (*Balancer).Snapshot)
 }
 
-// EndpointViews tells what the module holds of each server that is listed. It fails if ctx or the turns
-// end first.
-func (f *Loop) EndpointViews(ctx context.Context) ([]EndpointView, error) {
-	return asked(ctx, f, (*Balancer).views)
+// EndpointViews returns what the Balancer knows of each endpoint that is listed. It fails if ctx ends or the
+// Loop is closed first.
+func (l *Loop) EndpointViews(ctx context.Context) ([]EndpointView, error) {
+	return queryBalancer(ctx, l, (*Balancer).endpointViews)
 }
--- a/balancer/many_test.go
+++ b/balancer/many_test.go
@@ -5,116 +5,116 @@
 	"time"
 )
 
-// farm answers what a fleet of relays sends, and keeps the account of each request.
-type farm struct {
-	t      *testing.T
-	relays []*relay
-	seats  map[EndpointID]int // free; a server without any turns away
-	hung   map[EndpointID]bool
+// fleetSimulation answers what a fleet of relays sends, and keeps the account of each request.
+type fleetSimulation struct {
+	t         *testing.T
+	relays    []*testRelay
+	freeSlots map[EndpointID]int // free; a server without any turns away
+	hung      map[EndpointID]bool
 
-	asked map[key]*visit
-	late  map[time.Duration][]func() // outcomes to come, by time
+	requests  map[requestKey]*requestLog
+	scheduled map[time.Duration][]func() // outcomes to come, by time
 }
 
-type key struct {
+type requestKey struct {
 	relay int
 	id    RequestID
 }
 
-type visit struct {
-	at, answered time.Duration
-	out          bool
-	up           bool
-	tried        []EndpointID
-	back         time.Duration
+type requestLog struct {
+	arrivedAt, answeredAt time.Duration
+	inFlight              bool
+	established           bool
+	attempts              []EndpointID
+	retryAfter            time.Duration
 }
 
-func newFarm(t *testing.T, s Settings, servers, seats int) *farm {
-	f := &farm{t: t, relays: fleetOf(t, s, ready(servers)...), seats: map[EndpointID]int{}, hung: map[EndpointID]bool{}, asked: map[key]*visit{}, late: map[time.Duration][]func(){}}
+func newFleetSimulation(t *testing.T, settings Settings, servers, seats int) *fleetSimulation {
+	fleet := &fleetSimulation{t: t, relays: newTestRelays(t, settings, readyEndpoints(servers)...), freeSlots: map[EndpointID]int{}, hung: map[EndpointID]bool{}, requests: map[requestKey]*requestLog{}, scheduled: map[time.Duration][]func(){}}
 	for i := range servers {
-		f.seats[EndpointID(i+1)] = seats
+		fleet.freeSlots[EndpointID(i+1)] = seats
 	}
-	return f
+	return fleet
 }
 
-// take carries out what a relay does.
-func (f *farm) take(i int, done []Action) {
-	r := f.relays[i]
-	for _, a := range done {
+// carryOut carries out what a relay does.
+func (f *fleetSimulation) carryOut(i int, actions []Action) {
+	relay := f.relays[i]
+	for _, a := range actions {
 		switch a := a.(type) {
 		case SendAttempt:
-			v := f.asked[key{i, a.Request}]
-			if v.out || v.up || v.answered > 0 {
-				f.t.Errorf("relay %d: request %d is sent while %+v", i, a.Request, v)
+			log := f.requests[requestKey{i, a.Request}]
+			if log.inFlight || log.established || log.answeredAt > 0 {
+				f.t.Errorf("relay %d: request %d is sent while %+v", i, a.Request, log)
 			}
-			v.out = true
-			v.tried = append(v.tried, a.Endpoint)
+			log.inFlight = true
+			log.attempts = append(log.attempts, a.Endpoint)
 			end := func(ev Event) {
-				v.out = false
-				f.take(i, r.do(ev))
+				log.inFlight = false
+				f.carryOut(i, relay.handle(ev))
 			}
 			switch {
 			case f.hung[a.Endpoint]:
-				at := r.now + a.Timeout
-				f.late[at.Truncate(10*ms)] = append(f.late[at.Truncate(10*ms)], func() {
+				at := relay.now + a.Timeout
+				f.scheduled[at.Truncate(10*ms)] = append(f.scheduled[at.Truncate(10*ms)], func() {
 					end(Outcome{Request: a.Request, Endpoint: a.Endpoint, Status: StatusTimeout})
 				})
-			case f.seats[a.Endpoint] == 0:
+			case f.freeSlots[a.Endpoint] == 0:
 				end(Outcome{Request: a.Request, Endpoint: a.Endpoint, Status: StatusFull})
 			default:
-				f.seats[a.Endpoint]--
-				v.up, v.answered = true, r.now
+				f.freeSlots[a.Endpoint]--
+				log.established, log.answeredAt = true, relay.now
 				end(Established{Request: a.Request, Endpoint: a.Endpoint, SetupTime: ms})
 			}
 		case Reject:
-			v := f.asked[key{i, a.Request}]
-			if v.answered > 0 || v.out {
-				f.t.Errorf("relay %d: request %d is refused while %+v", i, a.Request, v)
+			log := f.requests[requestKey{i, a.Request}]
+			if log.answeredAt > 0 || log.inFlight {
+				f.t.Errorf("relay %d: request %d is refused while %+v", i, a.Request, log)
 			}
-			v.answered, v.back = r.now, a.RetryAfter
+			log.answeredAt, log.retryAfter = relay.now, a.RetryAfter
 		case Fail:
 			f.t.Errorf("request %d fails, which may be repeated", a.Request)
 		}
 	}
 }
 
-// ask has a client come to a relay.
-func (f *farm) ask(i int, group uint64) {
-	r := f.relays[i]
-	r.next++
-	f.asked[key{i, r.next}] = &visit{at: r.now}
-	f.take(i, r.do(Request{ID: r.next, Group: group, TimeLeft: 2 * time.Second}))
+// request has a client come to a relay.
+func (f *fleetSimulation) request(i int, group uint64) {
+	relay := f.relays[i]
+	relay.lastID++
+	f.requests[requestKey{i, relay.lastID}] = &requestLog{arrivedAt: relay.now}
+	f.carryOut(i, relay.handle(Request{ID: relay.lastID, Group: group, TimeLeft: 2 * time.Second}))
 }
 
-// pass lets time go by for all relays.
-func (f *farm) pass(d time.Duration) {
+// advance lets time go by for all relays.
+func (f *fleetSimulation) advance(d time.Duration) {
 	for range d / (10 * ms) {
-		for i, r := range f.relays {
-			f.take(i, r.pass(10*ms))
+		for i, relay := range f.relays {
+			f.carryOut(i, relay.advance(10*ms))
 		}
 		now := f.relays[0].now
-		for _, end := range f.late[now] {
+		for _, end := range f.scheduled[now] {
 			end()
 		}
-		delete(f.late, now)
+		delete(f.scheduled, now)
 	}
 }
 
-// answered checks that each request has one answer in time, and returns how many are up.
-func (f *farm) answered() (up, tries int) {
+// checkAnswered checks that each request has one answer in time, and returns how many are up.
+func (f *fleetSimulation) checkAnswered() (up, tries int) {
 	f.t.Helper()
-	for k, v := range f.asked {
-		if v.answered == 0 || v.answered > v.at+2*time.Second {
-			f.t.Errorf("relay %d: request %d was answered at %v: %+v", k.relay, k.id, v.answered-v.at, v)
+	for key, log := range f.requests {
+		if log.answeredAt == 0 || log.answeredAt > log.arrivedAt+2*time.Second {
+			f.t.Errorf("relay %d: request %d was answered at %v: %+v", key.relay, key.id, log.answeredAt-log.arrivedAt, log)
 		}
-		for i, id := range v.tried {
-			for _, other := range v.tried[:i] {
+		for i, id := range log.attempts {
+			for _, other := range log.attempts[:i] {
 				if id == other {
-					f.t.Errorf("request %d came to server %d twice", k.id, id)
+					f.t.Errorf("request %d came to server %d twice", key.id, id)
 				}
 			}
 		}
-		if tries += len(v.tried); v.up {
+		if tries += len(log.attempts); log.established {
 			up++
 		}
 	}
@@ -124,46 +124,46 @@
 // More clients come back at once, to eighty relays that know nothing of each other, than
 // all servers have seats for: each is answered in time, no seat stays empty, and who finds
 // none is told to stay away for a while.
-func TestMoreClientsThanTheFleetCanSeat(t *testing.T) {
-	s := testSettings()
-	s.Relays, s.MaxAttempts, s.MaxRetryAfter = 80, 5, 2*time.Second
-	f := newFarm(t, s, 6, 20)
+func TestMoreRequestsThanTheFleetHasCapacityFor(t *testing.T) {
+	settings := testSettings()
+	settings.Relays, settings.MaxAttempts, settings.MaxRetryAfter = 80, 5, 2*time.Second
+	fleet := newFleetSimulation(t, settings, 6, 20)
 	for i := range 300 {
-		f.ask(i*37%80, uint64(1+i%40))
+		fleet.request(i*37%80, uint64(1+i%40))
 		if i%3 == 0 {
-			f.pass(10 * ms)
+			fleet.advance(10 * ms)
 		}
 	}
-	f.pass(3 * time.Second)
-	up, tries := f.answered()
+	fleet.advance(3 * time.Second)
+	up, tries := fleet.checkAnswered()
 	if up != 120 {
 		t.Errorf("%d of 120 seats are taken", up)
 	}
-	if tries > 300*s.MaxAttempts {
+	if tries > 300*settings.MaxAttempts {
 		t.Errorf("%d attempts", tries)
 	}
-	for k, v := range f.asked {
-		if !v.up && (v.back < backoffBase || v.back > s.MaxRetryAfter) {
-			t.Errorf("request %d is told to come again after %v", k.id, v.back)
+	for key, log := range fleet.requests {
+		if !log.established && (log.retryAfter < retryBackoffBase || log.retryAfter > settings.MaxRetryAfter) {
+			t.Errorf("request %d is told to come again after %v", key.id, log.retryAfter)
 		}
 	}
 }
 
 // A server that takes requests and answers none, and that no relay has met before: each
 // request is still served in time, by another, and none tries it twice.
-func TestHungServerThatNoRelayHasMet(t *testing.T) {
-	s := testSettings()
-	s.Relays = 80
-	f := newFarm(t, s, 6, 1000)
-	f.hung[3] = true
+func TestHungEndpointCostsEachRequestAtMostOneAttempt(t *testing.T) {
+	settings := testSettings()
+	settings.Relays = 80
+	fleet := newFleetSimulation(t, settings, 6, 1000)
+	fleet.hung[3] = true
 	for i := range 160 {
-		f.ask(i%80, uint64(1+i))
+		fleet.request(i%80, uint64(1+i))
 		if i%4 == 0 {
-			f.pass(10 * ms)
+			fleet.advance(10 * ms)
 		}
 	}
-	f.pass(3 * time.Second)
-	up, tries := f.answered()
+	fleet.advance(3 * time.Second)
+	up, tries := fleet.checkAnswered()
 	if up != 160 {
 		t.Errorf("%d of 160 are up", up)
 	}
--- a/balancer/memory_test.go
+++ b/balancer/memory_test.go
@@ -6,106 +6,108 @@
 	"time"
 )
 
-// heir is a relay's next process: it has what the one before has learnt, as JSON brings it,
+// successor is a relay's next process: it has what the one before has learnt, as JSON brings it,
 // and goes on at its clock.
-func (r *relay) heir(seed uint64, servers ...Endpoint) *relay {
+func (r *testRelay) successor(seed uint64, endpoints ...Endpoint) *testRelay {
 	r.t.Helper()
-	text, err := json.Marshal(r.b.Snapshot())
+	text, err := json.Marshal(r.balancer.Snapshot())
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	var m Snapshot
-	if err := json.Unmarshal(text, &m); err != nil {
+	var snapshot Snapshot
+	if err := json.Unmarshal(text, &snapshot); err != nil {
 		r.t.Fatal(err)
 	}
-	n := newRelay(r.t, testSettings())
-	n.b, n.now = New(testSettings(), seed), r.now
-	n.do(EndpointList{Kind: ListCached, Endpoints: servers})
-	n.b.restoreSnapshot(m)
+	n := newTestRelay(r.t, testSettings())
+	n.balancer, n.now = New(testSettings(), seed), r.now
+	n.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
+	n.balancer.restoreSnapshot(snapshot)
 	return n
 }
 
 // The next process sends a group where it is, keeps off a slow server, and blames a server
 // for what it was blamed for.
-func TestNextProcessKnowsWhatWasLearnt(t *testing.T) {
-	servers := ready(6)
-	r := newRelay(t, testSettings(), servers...)
-	_, at := r.open(7)
-	id, done := r.ask(8)
-	bad := r.sent(done, id)
-	r.fail(id, bad, StatusFull)
-	r.pass(time.Second)
-	n := r.heir(99, servers...)
-	if id, done := n.ask(7); n.sent(done, id) != at {
+func TestRestoreKeepsRoutesWeightsAndSlowEndpoints(t *testing.T) {
+	endpoints := readyEndpoints(6)
+	relay := newTestRelay(t, testSettings(), endpoints...)
+	_, at := relay.connect(7)
+	id, actions := relay.request(8)
+	bad := relay.wantSent(actions, id)
+	relay.fail(id, bad, StatusFull)
+	relay.advance(time.Second)
+	n := relay.successor(99, endpoints...)
+	if id, actions := n.request(7); n.wantSent(actions, id) != at {
 		t.Error("a group's route is forgotten")
 	}
-	if n.b.salt != r.b.salt {
+	if n.balancer.salt != relay.balancer.salt {
 		t.Error("its turns come by another chance")
 	}
-	old, fresh := r.b.fleet.find(bad), n.b.fleet.find(bad)
-	if fresh.weightAt(n.now) != old.weightAt(r.now) || !fresh.slowAt(n.now) {
+	old, fresh := relay.balancer.endpoints.find(bad), n.balancer.endpoints.find(bad)
+	if fresh.currentWeight(n.now) != old.currentWeight(relay.now) || !fresh.isSlow(n.now) {
 		t.Errorf("what a server was blamed for is forgotten: %+v", fresh)
 	}
-	listed, avoided := n.b.avoided(nil)
+	listed, avoided := n.balancer.avoidedEndpoints(nil)
 	if listed != 6 || len(avoided) != 1 {
 		t.Errorf("of %d servers %d are avoided", listed, len(avoided))
 	}
 
 	// Of a server that has started again meanwhile nothing is known.
-	for i := range servers {
-		if servers[i].ID == bad {
-			servers[i].StartedAt = r.now
+	for i := range endpoints {
+		if endpoints[i].ID == bad {
+			endpoints[i].StartedAt = relay.now
 		}
 	}
-	if n := r.heir(99, servers...); n.b.fleet.find(bad).slowAt(n.now) {
+	if n := relay.successor(99, endpoints...); n.balancer.endpoints.find(bad).isSlow(n.now) {
 		t.Error("what was learnt before a server's start still counts")
 	}
 }
 
 // Of the budget for cold servers what one process has spent the next does not spend again,
 // and a process whose part is none sends them nothing.
-func TestBudgetOfColdServersIsSpentOnce(t *testing.T) {
-	cold := func(r *relay) []Endpoint { return []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: r.now}} }
-	r := newRelay(t, testSettings())
-	servers := cold(r)
-	r.do(EndpointList{Kind: ListFull, Endpoints: servers})
-	sent := func(r *relay, until time.Duration) (n int) {
-		for end := r.now + until; r.now < end; {
-			id, done := r.ask(0)
-			done = append(done, r.pass(10*ms)...)
-			if n += count[SendAttempt](done); count[SendAttempt](done) > 0 {
-				r.do(Established{Request: id, Endpoint: 1, SetupTime: ms})
+func TestSlowStartBudgetIsSpentOnceAcrossProcesses(t *testing.T) {
+	cold := func(relay *testRelay) []Endpoint {
+		return []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}
+	}
+	relay := newTestRelay(t, testSettings())
+	endpoints := cold(relay)
+	relay.handle(EndpointList{Kind: ListFull, Endpoints: endpoints})
+	sent := func(relay *testRelay, until time.Duration) (n int) {
+		for end := relay.now + until; relay.now < end; {
+			id, actions := relay.request(0)
+			actions = append(actions, relay.advance(10*ms)...)
+			if n += countActions[SendAttempt](actions); countActions[SendAttempt](actions) > 0 {
+				relay.handle(Established{Request: id, Endpoint: 1, SetupTime: ms})
 			}
 		}
 		return n
 	}
 	var alone, both int
 	for alone == 0 { // until its turn comes
-		alone = sent(r, 200*ms)
-		if r.now > time.Hour+20*time.Second {
+		alone = sent(relay, 200*ms)
+		if relay.now > time.Hour+20*time.Second {
 			t.Fatal("no turn comes")
 		}
 	}
-	n := r.heir(5, servers...)
-	n.do(EndpointList{Kind: ListFull, Endpoints: servers})
-	alone, both = sent(r, 400*ms), sent(n, 400*ms)
+	n := relay.successor(5, endpoints...)
+	n.handle(EndpointList{Kind: ListFull, Endpoints: endpoints})
+	alone, both = sent(relay, 400*ms), sent(n, 400*ms)
 	if both > alone+1 {
 		t.Errorf("the next process sends %d where the same one sends %d", both, alone)
 	}
-	r.b.part = 0
-	if n := sent(r, 5*time.Second); n != 0 {
+	relay.balancer.slowStartShare = 0
+	if n := sent(relay, 5*time.Second); n != 0 {
 		t.Errorf("without a part of the budget %d were sent", n)
 	}
 }
 
 // Connections that come to a process with a server that drains are sent away as the rest.
-func TestConnectionsTakenUpLeaveADrainingServer(t *testing.T) {
-	r := newRelay(t, testSettings(), Endpoint{ID: 1, State: StateDraining, Weight: 1}, Endpoint{ID: 2, State: StateReady, Weight: 1})
+func TestResumedConnectionsMigrateFromADrainingEndpoint(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), Endpoint{ID: 1, State: StateDraining, Weight: 1}, Endpoint{ID: 2, State: StateReady, Weight: 1})
 	var moved int
 	for i := range 10 {
-		moved += count[Migrate](r.do(Resumed{Request: Request{ID: RequestID(100 + i), Group: uint64(i)}, Endpoint: 1}))
+		moved += countActions[Migrate](relay.handle(Resumed{Request: Request{ID: RequestID(100 + i), Group: uint64(i)}, Endpoint: 1}))
 	}
-	if moved += count[Migrate](r.pass(leaveBy)); moved != 10 {
+	if moved += countActions[Migrate](relay.advance(migrationDeadline)); moved != 10 {
 		t.Errorf("of 10 clients %d were sent away", moved)
 	}
 }
--- a/balancer/module_test.go
+++ b/balancer/module_test.go
@@ -72,54 +72,54 @@
 	}
 }
 
-func TestSettingsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestValidateRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"no classes":       func(s *Settings) { s.Classes = nil },
-		"no deadline":      func(s *Settings) { s.Classes[0].Deadline = 0 },
-		"no memory":        func(s *Settings) { s.Classes[0].Effect = Deduplicated },
-		"no relays":        func(s *Settings) { s.Relays = 0 },
-		"no attempts":      func(s *Settings) { s.MaxAttempts = 0 },
-		"no cold share":    func(s *Settings) { s.InitialCapacity = 0 },
-		"large cold share": func(s *Settings) { s.InitialCapacity = 2 },
-		"no tip":           func(s *Settings) { s.OverloadWindow = 0 },
-		"negative":         func(s *Settings) { s.MinTick = -1 },
-		"ask never":        func(s *Settings) { s.PollList, s.PollInterval = true, 0 },
+		"no classes":       func(settings *Settings) { settings.Classes = nil },
+		"no deadline":      func(settings *Settings) { settings.Classes[0].Deadline = 0 },
+		"no memory":        func(settings *Settings) { settings.Classes[0].Effect = Deduplicated },
+		"no relays":        func(settings *Settings) { settings.Relays = 0 },
+		"no attempts":      func(settings *Settings) { settings.MaxAttempts = 0 },
+		"no cold share":    func(settings *Settings) { settings.InitialCapacity = 0 },
+		"large cold share": func(settings *Settings) { settings.InitialCapacity = 2 },
+		"no tip":           func(settings *Settings) { settings.OverloadWindow = 0 },
+		"negative":         func(settings *Settings) { settings.MinTick = -1 },
+		"ask never":        func(settings *Settings) { settings.PollList, settings.PollInterval = true, 0 },
 	} {
-		s := testSettings()
-		spoil(&s)
-		if err := s.Validate(); err == nil || !strings.HasPrefix(err.Error(), "settings: ") {
+		settings := testSettings()
+		spoil(&settings)
+		if err := settings.Validate(); err == nil || !strings.HasPrefix(err.Error(), "settings: ") {
 			t.Errorf("%s: error is %v", name, err)
 		}
 	}
-	s := testSettings()
-	if err := s.Validate(); err != nil {
+	settings := testSettings()
+	if err := settings.Validate(); err != nil {
 		t.Errorf("settings that make sense: %v", err)
 	}
 }
 
 // Instances share nothing: one beside another acts as it would alone.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	script := func(r *relay, other *relay) []Action {
+	script := func(relay *testRelay, other *testRelay) []Action {
 		for key := range uint64(300) {
-			id, done := r.ask(key % 13)
+			id, actions := relay.request(key % 13)
 			if other != nil {
-				other.ask(key)
-				other.pass(7 * ms)
+				other.request(key)
+				other.advance(7 * ms)
 			}
-			for _, a := range done {
+			for _, a := range actions {
 				if s, ok := a.(SendAttempt); ok && key%3 == 0 {
-					r.fail(id, s.Endpoint, AttemptStatus(1+key%5))
+					relay.fail(id, s.Endpoint, AttemptStatus(1+key%5))
 				} else if ok {
-					r.do(Established{Request: id, Endpoint: s.Endpoint})
-					r.do(EndpointDelay{Request: id, Endpoint: s.Endpoint, Delay: time.Duration(key*10) * ms})
+					relay.handle(Established{Request: id, Endpoint: s.Endpoint})
+					relay.handle(EndpointDelay{Request: id, Endpoint: s.Endpoint, Delay: time.Duration(key*10) * ms})
 				}
 			}
-			r.pass(30 * ms)
+			relay.advance(30 * ms)
 		}
-		return r.log
+		return relay.actions
 	}
-	alone := script(newRelay(t, testSettings(), ready(9)...), nil)
-	beside := script(newRelay(t, testSettings(), ready(9)...), newRelay(t, testSettings(), ready(9)...))
+	alone := script(newTestRelay(t, testSettings(), readyEndpoints(9)...), nil)
+	beside := script(newTestRelay(t, testSettings(), readyEndpoints(9)...), newTestRelay(t, testSettings(), readyEndpoints(9)...))
 	if len(alone) < 300 {
 		t.Fatalf("only %d actions", len(alone))
 	}
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,78 +7,118 @@
 )
 
 const (
-	cutPause = 900 * time.Millisecond // least time between two reliefs of a slow server
-	slowLife = 3 * time.Second        // a server is slow for this long after the last note
-	slowPart = 0.3                    // while less of the fleet is slow, draws pass over slow servers,
-	easePart = 0.1                    // and while less is, over those that are eased into work
-	easeFor  = 10 * time.Second       // a server that was slow is eased into work for this long,
-	easeGap  = 200 * time.Millisecond // by one set-up in this from all relays together
-	drainIn  = 3 * time.Second        // work piled up on a slow server should be gone by then
-	keepMin  = 0.2                    // part of its connections that a slow server keeps at one time
+	// reliefInterval is the least time between two steps of load relief at an endpoint: the effect of
+	// one shows in its delays before the next.
+	reliefInterval = 900 * time.Millisecond
+
+	// slowDuration is how long an endpoint counts as slow after the last report of a delay.
+	slowDuration = 3 * time.Second
+
+	// slowAvoidanceShare is the share of the fleet's size below which slow endpoints are passed over in
+	// the draw. Where more of it is slow, requests are held for them.
+	slowAvoidanceShare = 0.3
+
+	// recoveryAvoidanceShare is the slow share of the fleet's size below which the draw passes over
+	// endpoints that are recovering and have no slot for this relay.
+	recoveryAvoidanceShare = 0.1
+
+	// recoveryDuration is the length of the recovery ramp: for this long after it was slow, an endpoint
+	// takes one set-up per recoveryInterval, from all relays together.
+	recoveryDuration = 10 * time.Second
+	recoveryInterval = 200 * time.Millisecond
+
+	// backlogDrainTime is the time in which the work queued at a slow endpoint should be done. Shorter
+	// migrates more of its connections.
+	backlogDrainTime = 3 * time.Second
+
+	// minKeptShare is the share of its connections that an endpoint keeps in a step of load relief.
+	minKeptShare = 0.2
 )
 
-// delayed guards against a server that slows but accepts, and so keeps its groups. Messages slower than
-// wanted are a failure: weight is cut, and so many connections leave that what is piled up can be worked off
-// in time. It grows as the load exceeds what the server does, so two notes tell by how much. Parts of a
-// connection leave by chance, lest many relays all let go of their one.
-func (b *Balancer) delayed(s *server, delay time.Duration) {
-	growth := delay.Seconds() // in seconds a second, from nothing a second ago
-	if since := b.now - s.delayAt; s.delay > 0 && since > 0 && since < slowLife {
-		growth = float64(delay-s.delay) / float64(since)
-	}
-	s.delay, s.delayAt = delay, b.now
-	if b.aim == 0 || delay <= b.aim {
+// observeDelay takes in how long a message takes at an endpoint. It guards against an endpoint that slows
+// but accepts, and so keeps its groups. Delays above the objective count as a failure: the weight is cut,
+// and so many connections migrate that the backlog can be worked off in time.
+func (b *Balancer) observeDelay(endpoint *endpointRecord, delay time.Duration) {
+	growth := b.delayGrowth(endpoint, delay)
+	endpoint.delay, endpoint.delayAt = delay, b.now
+	if b.messageObjective == 0 || delay <= b.messageObjective {
 		return
 	}
-	s.lastSlow = b.now
-	b.strange(s)
-	if b.now < s.relieved+cutPause {
+	endpoint.lastSlowAt = b.now
+	b.trackOutlier(endpoint)
+	if b.now < endpoint.relievedAt+reliefInterval {
 		return
 	}
-	keep := (1 - float64(delay)/float64(drainIn)) / max(0.1, 1+growth)
-	if keep >= 1 {
+	keptShare := (1 - float64(delay)/float64(backlogDrainTime)) / max(0.1, 1+growth)
+	if keptShare >= 1 {
 		return
 	}
-	s.relieved = b.now
-	keep = max(keepMin, keep)
-	s.cut(keep, b.now)
-	b.relieve(s, int(float64(len(s.conns))*(1-keep)+b.rng.Float64()), ReasonLoadRelief)
+	endpoint.relievedAt = b.now
+	b.shedLoad(endpoint, max(minKeptShare, keptShare))
 }
 
-// mustWait guards against set-ups that keep slow servers slow: requests wait
-// while a server is slow or full, and lest they then come all at once, it is
-// eased into work. A group whose cached server is so is drawn anew first.
-func (b *Balancer) mustWait(s *server) bool {
-	return s.slowAt(b.now) || s.lastSlow > 0 && b.now < s.lastSlow+easeFor &&
-		!b.turn(s, b.part*b.set.OverloadWindow.Seconds()/easeGap.Seconds()/float64(b.set.Relays))
+// delayGrowth is by how many seconds a second the delay grows: by that much the load exceeds what the
+// endpoint does. Without a recent report it is taken to have grown from nothing within a second.
+func (b *Balancer) delayGrowth(endpoint *endpointRecord, delay time.Duration) float64 {
+	if elapsed := b.now - endpoint.delayAt; endpoint.delay > 0 && elapsed > 0 && elapsed < slowDuration {
+		return float64(delay-endpoint.delay) / float64(elapsed)
+	}
+	return delay.Seconds()
+}
+
+// shedLoad cuts a slow endpoint's weight and its connections to a share. Fractions of a connection
+// migrate by chance, lest many relays all migrate their only one.
+func (b *Balancer) shedLoad(endpoint *endpointRecord, keptShare float64) {
+	endpoint.cutWeight(keptShare, b.now)
+	count := int(float64(len(endpoint.connections))*(1-keptShare) + b.rng.Float64())
+	b.migrateConnections(endpoint, count, ReasonLoadRelief)
+}
+
+// mustHold reports whether requests are held rather than sent to an endpoint, as it is slow or full, or is
+// recovering and has no slot for this relay. It guards against set-ups that keep slow endpoints slow, and
+// against requests that were held all arriving at once. A group whose cached endpoint is so is drawn anew
+// first.
+func (b *Balancer) mustHold(endpoint *endpointRecord) bool {
+	if endpoint.isSlow(b.now) {
+		return true
+	}
+	if endpoint.lastSlowAt <= 0 || b.now >= endpoint.lastSlowAt+recoveryDuration {
+		return false
+	}
+	setups := b.slowStartShare * b.settings.OverloadWindow.Seconds() / recoveryInterval.Seconds() /
+		float64(b.settings.Relays)
+	return !b.hasSlot(endpoint, setups)
 }
 
-// relieve moves n of a server's connections away: small groups first and whole,
-// as a group left in part is paid for twice; then a part of a large one, which
-// has outgrown its server. Cleared routes let their groups grow elsewhere.
-func (b *Balancer) relieve(s *server, n int, why Reason) {
-	conns := slices.Clone(s.conns)
-	rank := func(q *request) float64 {
-		return float64(s.groups[q.key()]/b.set.Relays) + uniform(q.key(), s.ID)
+// migrateConnections migrates count of an endpoint's connections: small groups first and completely, as a
+// group on two endpoints is paid for twice; then a part of a large group, which has outgrown its endpoint.
+// Their routes are invalidated, so the groups grow elsewhere.
+func (b *Balancer) migrateConnections(endpoint *endpointRecord, count int, reason Reason) {
+	connections := slices.Clone(endpoint.connections)
+	rank := func(request *requestRecord) float64 {
+		groupSize := endpoint.connectionsByGroup[request.routeKey()]
+		return float64(groupSize/b.settings.Relays) + uniform(request.routeKey(), endpoint.ID)
 	}
-	slices.SortStableFunc(conns, func(x, y *request) int { return cmp.Compare(rank(x), rank(y)) })
-	for _, q := range conns[:n] {
-		b.routes.clear(q.key(), s.ID)
-		b.note(VerdictMigrated, why, q, s, 0)
-		b.do(Migrate{Request: q.ID})
-		b.forget(q)
+	slices.SortStableFunc(connections, func(first, second *requestRecord) int {
+		return cmp.Compare(rank(first), rank(second))
+	})
+	for _, request := range connections[:count] {
+		b.routes.invalidate(request.routeKey(), endpoint.ID)
+		b.observeDecision(VerdictMigrated, reason, request, endpoint, 0)
+		b.emit(Migrate{Request: request.ID})
+		b.removeRequest(request)
 	}
 }
 
-// slowAt tells whether the server was slow or full when last heard of.
-func (s *server) slowAt(now time.Duration) bool {
-	return s.lastSlow > 0 && s.lastSlow == s.delayAt && now < s.delayAt+slowLife
+// isSlow reports whether the endpoint was slow or full when last heard of, and that was lately.
+func (e *endpointRecord) isSlow(now time.Duration) bool {
+	return e.lastSlowAt > 0 && e.lastSlowAt == e.delayAt && now < e.delayAt+slowDuration
 }
 
-// strange enters a server among the odd ones, as it is slow now.
-func (b *Balancer) strange(s *server) {
-	if f := &b.fleet; f.sure && !s.odd {
-		s.odd = true
-		f.odd = append(f.odd, s)
+// trackOutlier adds an endpoint that is slow now to the table's outliers.
+func (b *Balancer) trackOutlier(endpoint *endpointRecord) {
+	if table := &b.endpoints; table.totalsValid && !endpoint.outlier {
+		endpoint.outlier = true
+		table.outliers = append(table.outliers, endpoint)
 	}
 }
--- a/balancer/path_test.go
+++ b/balancer/path_test.go
@@ -9,22 +9,22 @@
 // setupFailures are the ways in which an attempt fails before it stands.
 var setupFailures = []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset}
 
-func TestConnectionFollowsItsGroup(t *testing.T) {
-	r := newRelay(t, testSettings(), ready(8)...)
-	_, home := r.open(7)
+func TestRouteCacheKeepsAGroupOnItsEndpoint(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(8)...)
+	_, home := relay.connect(7)
 	for range 10 {
-		if _, to := r.open(7); to != home {
-			t.Fatalf("group went to %d, then to %d", home, to)
+		if _, endpoint := relay.connect(7); endpoint != home {
+			t.Fatalf("group went to %d, then to %d", home, endpoint)
 		}
 	}
 }
 
-func TestRouteWithoutGroupIsTheItems(t *testing.T) {
-	r := newRelay(t, testSettings(), ready(8)...)
+func TestRouteKeyIsTheItemWithoutAGroup(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(8)...)
 	item := func(id RequestID) EndpointID {
-		to := r.sent(r.do(Request{ID: id, Item: 9, TimeLeft: time.Second}), id)
-		r.do(Established{Request: id, Endpoint: to})
-		return to
+		endpoint := relay.wantSent(relay.handle(Request{ID: id, Item: 9, TimeLeft: time.Second}), id)
+		relay.handle(Established{Request: id, Endpoint: endpoint})
+		return endpoint
 	}
 	if a, b := item(1), item(2); a != b {
 		t.Errorf("one item went to %d and %d", a, b)
@@ -32,81 +32,81 @@
 }
 
 func TestEachFailureInvalidatesTheRoute(t *testing.T) {
-	for _, why := range setupFailures {
-		t.Run(fmt.Sprint(why), func(t *testing.T) {
-			r := newRelay(t, testSettings(), ready(4)...)
-			_, home := r.open(7)
-			id, done := r.ask(7)
-			if to := r.sent(done, id); to != home {
-				t.Fatalf("sent to %d, cached is %d", to, home)
+	for _, status := range setupFailures {
+		t.Run(fmt.Sprint(status), func(t *testing.T) {
+			relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
+			_, home := relay.connect(7)
+			id, actions := relay.request(7)
+			if endpoint := relay.wantSent(actions, id); endpoint != home {
+				t.Fatalf("sent to %d, cached is %d", endpoint, home)
 			}
-			r.fail(id, home, why)
-			if to, ok := r.b.routes.get(7, r.now); ok {
-				t.Errorf("route to %d outlived the failure", to)
+			relay.fail(id, home, status)
+			if endpoint, ok := relay.balancer.routes.get(7, relay.now); ok {
+				t.Errorf("route to %d outlived the failure", endpoint)
 			}
 		})
 	}
 }
 
-func TestEachFailureCutsTheWeight(t *testing.T) {
-	for _, why := range setupFailures {
-		r := newRelay(t, testSettings(), ready(4)...)
-		r.pass(cutPause)
-		id, done := r.ask(7)
-		to := r.sent(done, id)
-		before := r.b.fleet.find(to).weightAt(r.now)
-		r.fail(id, to, why)
-		if after := r.b.fleet.find(to).weightAt(r.now); after >= before {
-			t.Errorf("status %d: weight went from %v to %v", why, before, after)
+func TestEachFailureLowersTheWeight(t *testing.T) {
+	for _, status := range setupFailures {
+		relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
+		relay.advance(reliefInterval)
+		id, actions := relay.request(7)
+		endpoint := relay.wantSent(actions, id)
+		before := relay.balancer.endpoints.find(endpoint).currentWeight(relay.now)
+		relay.fail(id, endpoint, status)
+		if after := relay.balancer.endpoints.find(endpoint).currentWeight(relay.now); after >= before {
+			t.Errorf("status %d: weight went from %v to %v", status, before, after)
 		}
 	}
 }
 
-func TestRetryBacksOffAndGoesElsewhere(t *testing.T) {
-	s := testSettings()
-	s.MaxAttempts = 4
-	r := newRelay(t, s, ready(4)...)
-	r.open(7)
-	r.next++
-	id := r.next
-	to := r.sent(r.do(Request{ID: id, Group: 7, TimeLeft: 10 * time.Second}), id)
-	tried := map[EndpointID]bool{to: true}
+func TestRetryBacksOffAndAvoidsTriedEndpoints(t *testing.T) {
+	settings := testSettings()
+	settings.MaxAttempts = 4
+	relay := newTestRelay(t, settings, readyEndpoints(4)...)
+	relay.connect(7)
+	relay.lastID++
+	id := relay.lastID
+	endpoint := relay.wantSent(relay.handle(Request{ID: id, Group: 7, TimeLeft: 10 * time.Second}), id)
+	tried := map[EndpointID]bool{endpoint: true}
 	for _, wait := range []time.Duration{100 * ms, 200 * ms, 400 * ms} {
-		wantActions(t, r.fail(id, to, StatusFull))
-		wantActions(t, r.pass(wait-1))
-		to = r.sent(r.pass(1), id)
-		if tried[to] {
-			t.Fatalf("server %d was tried twice", to)
+		wantActions(t, relay.fail(id, endpoint, StatusFull))
+		wantActions(t, relay.advance(wait-1))
+		endpoint = relay.wantSent(relay.advance(1), id)
+		if tried[endpoint] {
+			t.Fatalf("server %d was tried twice", endpoint)
 		}
-		tried[to] = true
+		tried[endpoint] = true
 	}
-	wantActions(t, r.fail(id, to, StatusFull), Reject{Request: id})
+	wantActions(t, relay.fail(id, endpoint, StatusFull), Reject{Request: id})
 }
 
-func TestStandingWritesAndResetClearsTheRoute(t *testing.T) {
-	r := newRelay(t, testSettings(), ready(4)...)
-	id, to := r.open(7)
-	if got, ok := r.b.routes.get(7, r.now); !ok || got != to {
-		t.Fatalf("route is %d, %v; want %d", got, ok, to)
-	}
-	r.do(Outcome{Request: id, Endpoint: to, Status: StatusReset, Final: true})
-	if _, ok := r.b.routes.get(7, r.now); ok {
+func TestEstablishedWritesAndResetInvalidatesTheRoute(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
+	id, endpoint := relay.connect(7)
+	if got, ok := relay.balancer.routes.get(7, relay.now); !ok || got != endpoint {
+		t.Fatalf("route is %d, %v; want %d", got, ok, endpoint)
+	}
+	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusReset, Final: true})
+	if _, ok := relay.balancer.routes.get(7, relay.now); ok {
 		t.Error("route outlived the reset of its connection")
 	}
-	id, to = r.open(7)
-	r.do(Outcome{Request: id, Endpoint: to, Status: StatusOK, Final: true})
-	if _, ok := r.b.routes.get(7, r.now); !ok {
+	id, endpoint = relay.connect(7)
+	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusOK, Final: true})
+	if _, ok := relay.balancer.routes.get(7, relay.now); !ok {
 		t.Error("a connection's ordinary end cleared its route")
 	}
 }
 
 func TestRouteCacheIsBoundedAndExpires(t *testing.T) {
-	r := routes{size: 3, at: make(map[uint64]int)}
+	r := routeCache{capacity: 3, index: make(map[uint64]int)}
 	for key := uint64(1); key <= 5; key++ {
 		r.put(key, EndpointID(key), time.Second)
 	}
-	if len(r.ring) != 3 || len(r.at) != 3 {
-		t.Errorf("%d entries and %d keys in a cache of 3", len(r.ring), len(r.at))
+	if len(r.ring) != 3 || len(r.index) != 3 {
+		t.Errorf("%d entries and %d keys in a cache of 3", len(r.ring), len(r.index))
 	}
 	for key, want := range map[uint64]bool{1: false, 2: false, 3: true, 4: true, 5: true} {
 		if _, ok := r.get(key, 0); ok != want {
@@ -122,13 +122,13 @@
 	}
 }
 
-func TestDrawIsByWeight(t *testing.T) {
-	servers := ready(2)
-	servers[0].Weight = 3
-	r := newRelay(t, testSettings(), servers...)
+func TestDrawIsProportionalToWeight(t *testing.T) {
+	endpoints := readyEndpoints(2)
+	endpoints[0].Weight = 3
+	relay := newTestRelay(t, testSettings(), endpoints...)
 	n := 0
 	for key := range uint64(4000) {
-		if r.b.draw(&request{Request: Request{Group: key + 1}}).ID == 1 {
+		if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}).ID == 1 {
 			n++
 		}
 	}
@@ -139,14 +139,14 @@
 
 // Relays that share nothing must agree on where a group goes, or each of their
 // servers pays for it.
-func TestRelaysDrawAlikeForAGroup(t *testing.T) {
+func TestRelaysDrawTheSameEndpointForAGroup(t *testing.T) {
 	a, b := New(testSettings(), 1), New(testSettings(), 2)
 	for _, x := range []*Balancer{a, b} {
-		x.Handle(0, EndpointList{Kind: ListCached, Endpoints: ready(12)})
+		x.Handle(0, EndpointList{Kind: ListCached, Endpoints: readyEndpoints(12)})
 	}
 	for key := uint64(1); key < 100; key++ {
-		q := &request{Request: Request{Group: key}}
-		if s, o := a.draw(q), b.draw(q); s.ID != o.ID {
+		q := &requestRecord{Request: Request{Group: key}}
+		if s, o := a.drawEndpoint(q), b.drawEndpoint(q); s.ID != o.ID {
 			t.Fatalf("group %d: drawn to %d and to %d", key, s.ID, o.ID)
 		}
 	}
@@ -154,22 +154,22 @@
 
 // Many relays of four zones draw nearly alike: what each prefers of its own zone made a
 // group be paid for by a server in every zone.
-func TestZonesOfManyRelaysDoNotSplitGroups(t *testing.T) {
-	s := testSettings()
-	s.CrossZoneCost = 0.03
-	servers := ready(12)
-	for i := range servers {
-		servers[i].Zone = i % 4
+func TestLocalZonePreferenceOfManyRelaysDoesNotSplitGroups(t *testing.T) {
+	settings := testSettings()
+	settings.CrossZoneCost = 0.03
+	endpoints := readyEndpoints(12)
+	for i := range endpoints {
+		endpoints[i].Zone = i % 4
 	}
 	spread := func(relays int) (mean float64) {
 		const groups = 50
 		for group := range uint64(groups) {
 			used := map[EndpointID]bool{}
-			for s.Zone = range 4 {
-				s.Relays = relays
-				r := newRelay(t, s, servers...)
-				_, to := r.open(1 + group)
-				used[to] = true
+			for settings.Zone = range 4 {
+				settings.Relays = relays
+				relay := newTestRelay(t, settings, endpoints...)
+				_, endpoint := relay.connect(1 + group)
+				used[endpoint] = true
 			}
 			mean += float64(len(used)) / groups
 		}
@@ -180,38 +180,38 @@
 	}
 }
 
-func TestControllerStaysBetweenFloorAndCeiling(t *testing.T) {
-	s := &server{weight: weightStart}
+func TestWeightStaysBetweenMinimumAndMaximum(t *testing.T) {
+	s := &endpointRecord{weight: initialWeight}
 	for range 100 {
-		s.cut(weightCut, 0)
+		s.cutWeight(weightCutFactor, 0)
 	}
-	if s.weight != weightFloor {
+	if s.weight != minWeight {
 		t.Errorf("weight after many cuts is %v, want the floor", s.weight)
 	}
-	if w := s.weightAt(weightBack); w <= weightStart {
+	if w := s.currentWeight(weightRecoveryTime); w <= initialWeight {
 		t.Errorf("a server at the floor that sees no set-up is still at %v", w)
 	}
 	for range 100 {
-		s.raise(0)
+		s.raiseWeight(0)
 	}
-	if s.weight != weightCeil {
+	if s.weight != maxWeight {
 		t.Errorf("weight after many raises is %v, want the ceiling", s.weight)
 	}
 }
 
-func TestOwnZoneIsPreferredWhereCrossingCosts(t *testing.T) {
+func TestLocalZoneIsPreferredWhereCrossingCosts(t *testing.T) {
 	for _, test := range []struct {
 		cost     float64
 		min, max int
 	}{{0, 400, 600}, {0.06, 700, 900}} {
-		s := testSettings()
-		s.CrossZoneCost = test.cost
-		servers := ready(2)
-		servers[1].Zone = 1
-		r := newRelay(t, s, servers...)
+		settings := testSettings()
+		settings.CrossZoneCost = test.cost
+		endpoints := readyEndpoints(2)
+		endpoints[1].Zone = 1
+		relay := newTestRelay(t, settings, endpoints...)
 		n := 0
 		for key := range uint64(1000) {
-			if r.b.draw(&request{Request: Request{Group: key + 1}}).ID == 1 {
+			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}).ID == 1 {
 				n++
 			}
 		}
