--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -17,24 +17,24 @@
 // This file makes the sequences that replay_test.go replays, and runs with -record only. It simulates clients and servers
 // in a few words: enough to answer what the module asks for, and to have it meet every kind of trouble.
 
-// scenario is what one recorded file holds.
-type scenario struct {
-	name     string
-	servers  int
-	inputs   int
-	every    int // inputs a digest; 0: the answers are written in full
-	settings []string
-	observed bool
-	facade   bool
-	rate     float64       // requests a second
-	disaster time.Duration // between two disasters, in the mean; 0: 9 s
+// replayScenario is what one recorded file holds.
+type replayScenario struct {
+	name        string
+	servers     int
+	inputs      int
+	digestEvery int // inputs a digest; 0: the answers are written in full
+	settings    []string
+	observed    bool
+	throughLoop bool
+	rate        float64       // requests a second
+	outageEvery time.Duration // between two disasters, in the mean; 0: 9 s
 }
 
 // common are settings that all scenarios share, but for those they give themselves.
 const common = "attempts=3 tick=5000000 connect=200000000 retryafter=4000000000 coldshare=0.2 coldfor=20000000000 " +
 	"tipmultiple=3 tipafter=1500000000 askevery=10000000000 "
 
-var scenarios = []scenario{
+var scenarios = []replayScenario{
 	{name: "five-servers-in-full", servers: 5, inputs: 3000, rate: 25, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=2 zone=0 ask=false crosszone=0 tellsload=false tellsdelay=true",
@@ -42,33 +42,33 @@
 	{name: "decisions-in-full", servers: 6, inputs: 1300, rate: 30, observed: true, settings: []string{
 		"relays=8 zone=1 ask=true crosszone=0.5 tellsload=true tellsdelay=true",
 	}},
-	{name: "lists-asked-for", servers: 12, inputs: 8000, every: 50, rate: 30, observed: true, settings: []string{
+	{name: "lists-asked-for", servers: 12, inputs: 8000, digestEvery: 50, rate: 30, observed: true, settings: []string{
 		"relays=8 zone=1 ask=true crosszone=0.5 tellsload=true tellsdelay=true",
 		"relays=9 zone=1 ask=true crosszone=0 tellsload=true tellsdelay=false",
 	}},
-	{name: "sixty-servers", servers: 60, inputs: 8000, every: 50, rate: 45, settings: []string{
+	{name: "sixty-servers", servers: 60, inputs: 8000, digestEvery: 50, rate: 45, settings: []string{
 		"relays=9 zone=1 ask=false crosszone=0.3 tellsload=true tellsdelay=true",
 		"relays=8 zone=2 ask=false crosszone=0 tellsload=false tellsdelay=false",
 	}},
-	{name: "large-fleet", servers: 230, inputs: 7500, every: 50, rate: 80, settings: []string{
+	{name: "large-fleet", servers: 230, inputs: 7500, digestEvery: 50, rate: 80, settings: []string{
 		"relays=300 zone=2 ask=false crosszone=0.3 tellsload=true tellsdelay=true",
 		"relays=1 zone=2 ask=false crosszone=0 tellsload=true tellsdelay=true",
 	}},
-	{name: "large-fleet-observed", servers: 90, inputs: 6000, every: 50, rate: 70, observed: true, settings: []string{
+	{name: "large-fleet-observed", servers: 90, inputs: 6000, digestEvery: 50, rate: 70, observed: true, settings: []string{
 		"relays=8 zone=0 ask=true crosszone=0 tellsload=true tellsdelay=true",
 	}},
-	{name: "crowd", servers: 20, inputs: 6000, every: 50, rate: 500, observed: true, disaster: 1500 * time.Millisecond, settings: []string{
+	{name: "crowd", servers: 20, inputs: 6000, digestEvery: 50, rate: 500, observed: true, outageEvery: 1500 * time.Millisecond, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 	}},
-	{name: "restarts-seen-by-many", servers: 20, inputs: 6000, every: 50, rate: 8, settings: []string{
+	{name: "restarts-seen-by-many", servers: 20, inputs: 6000, digestEvery: 50, rate: 8, settings: []string{
 		"relays=300 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=40 zone=1 ask=false crosszone=0.2 tellsload=true tellsdelay=true",
 	}},
-	{name: "facade", servers: 9, inputs: 5000, every: 50, rate: 40, facade: true, settings: []string{
+	{name: "facade", servers: 9, inputs: 5000, digestEvery: 50, rate: 40, throughLoop: true, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=9 zone=1 ask=false crosszone=0.4 tellsload=true tellsdelay=true",
 	}},
-	{name: "few-requests-of-one-relay", servers: 20, inputs: 5000, every: 50, rate: 2, settings: []string{
+	{name: "few-requests-of-one-relay", servers: 20, inputs: 5000, digestEvery: 50, rate: 2, settings: []string{
 		"relays=9 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=30 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 	}},
@@ -87,8 +87,8 @@
 		t.Fatal(err)
 	}
 	for i, s := range scenarios {
-		r := &recorder{t: t, scenario: s, player: newPlayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
-			now: time.Hour, open: make(map[string]*client), started: make(map[int]time.Duration)}
+		r := &scenarioRecorder{t: t, replayScenario: s, player: newReplayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
+			now: time.Hour, clients: make(map[string]*recordedClient), started: make(map[int]time.Duration)}
 		r.run()
 		name := filepath.Join(replayFolder, s.name+".txt")
 		if err := os.WriteFile(name, []byte(r.text.String()), 0o644); err != nil {
@@ -98,97 +98,97 @@
 	}
 }
 
-// recorder simulates what is around the module and writes down what passes between them.
-type recorder struct {
+// scenarioRecorder simulates what is around the module and writes down what passes between them.
+type scenarioRecorder struct {
 	t *testing.T
-	scenario
-	player *player
+	replayScenario
+	player *replayer
 	rng    *rand.Rand
 	text   strings.Builder
 	block  []string
 	inputs int
 
-	now     time.Duration
-	due     dueHeap
-	dues    int
-	open    map[string]*client
-	last    int
-	current int // settings in force
-	servers []serverRecorded
-	started map[int]time.Duration
-	saved   bool
+	now             time.Duration
+	schedule        stepHeap
+	scheduled       int
+	clients         map[string]*recordedClient
+	lastClient      int
+	settingsInForce int // settings in force
+	servers         []recordedEndpoint
+	started         map[int]time.Duration
+	saved           bool
 }
 
-type serverRecorded struct {
-	state  string // as listed
-	health string // well, slow, full, broken, dead, leaving
-	born   time.Duration
+type recordedEndpoint struct {
+	state     string // as listed
+	health    string // well, slow, full, broken, dead, leaving
+	startedAt time.Duration
 }
 
-type client struct {
-	name    string
-	at      int
-	attempt int // grows with each; 0 before the first
-	up      bool
-	group   int
-	giveUp  time.Duration
+type recordedClient struct {
+	name        string
+	endpoint    int
+	attempt     int // grows with each; 0 before the first
+	established bool
+	group       int
+	deadline    time.Duration
 }
 
-type dueRecorded struct {
+type scheduledStep struct {
 	at  time.Duration
 	nth int
 	do  func()
 }
 
-type dueHeap []dueRecorded
+type stepHeap []scheduledStep
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
+func (h stepHeap) Len() int { return len(h) }
+func (h stepHeap) Less(i, j int) bool {
 	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].nth, h[j].nth)) < 0
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(dueRecorded)) }
-func (h *dueHeap) Pop() any {
+func (h stepHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *stepHeap) Push(x any)   { *h = append(*h, x.(scheduledStep)) }
+func (h *stepHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-func (r *recorder) after(d time.Duration, do func()) {
-	r.dues++
-	heap.Push(&r.due, dueRecorded{r.now + d, r.dues, do})
+func (r *scenarioRecorder) after(d time.Duration, do func()) {
+	r.scheduled++
+	heap.Push(&r.schedule, scheduledStep{r.now + d, r.scheduled, do})
 }
 
-// each does something again and again, at times that vary around a period.
-func (r *recorder) each(period time.Duration, do func()) {
-	r.after(r.vary(period), func() { do(); r.each(period, do) })
+// every does something again and again, at times that vary around a period.
+func (r *scenarioRecorder) every(period time.Duration, do func()) {
+	r.after(r.jitter(period), func() { do(); r.every(period, do) })
 }
 
-func (r *recorder) vary(d time.Duration) time.Duration {
+func (r *scenarioRecorder) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + r.rng.Float64()) * float64(d)).Truncate(time.Microsecond)
 }
 
-func (r *recorder) chance(of float64) bool { return r.rng.Float64() < of }
+func (r *scenarioRecorder) chance(of float64) bool { return r.rng.Float64() < of }
 
 // write plays an input and writes it down with what it brought; it returns the latter.
-func (r *recorder) write(line string) []string {
-	out := slices.Clone(r.player.play(r.t, line))
+func (r *scenarioRecorder) write(line string) []string {
+	out := slices.Clone(r.player.replay(r.t, line))
 	r.inputs++
 	fmt.Fprintln(&r.text, line)
-	if r.every == 0 {
+	if r.digestEvery == 0 {
 		for _, o := range out {
 			fmt.Fprintln(&r.text, ">", o)
 		}
 		return out
 	}
 	r.block = append(append(r.block, line), out...)
-	if r.inputs%r.every == 0 {
+	if r.inputs%r.digestEvery == 0 {
 		r.seal()
 	}
 	return out
 }
 
-func (r *recorder) seal() {
+func (r *scenarioRecorder) seal() {
 	if len(r.block) > 0 {
 		fmt.Fprintln(&r.text, "%", digest(r.block))
 		r.block = r.block[:0]
@@ -196,7 +196,7 @@
 }
 
 // input writes an input of now, and does what it brought.
-func (r *recorder) input(format string, args ...any) {
+func (r *scenarioRecorder) input(format string, args ...any) {
 	for _, o := range r.write(fmt.Sprintf("%d ", int64(r.now)) + fmt.Sprintf(format, args...)) {
 		r.answer(strings.Fields(o))
 	}
@@ -208,16 +208,16 @@
 }
 
 // answer does what an action or a step wants.
-func (r *recorder) answer(w []string) {
+func (r *scenarioRecorder) answer(w []string) {
 	switch w[0] {
 	case "send":
-		r.attempt(r.open[w[1]], number(w[2]), time.Duration(number(w[3])))
+		r.attempt(r.clients[w[1]], number(w[2]), time.Duration(number(w[3])))
 	case "refuse", "fail", "move":
-		r.finish(r.open[w[1]])
+		r.finish(r.clients[w[1]])
 	case "timer":
 		r.after(time.Duration(number(w[2])), func() { r.input("timer %s", w[1]) })
 	case "watch":
-		r.after(r.vary(40*time.Millisecond), func() {
+		r.after(r.jitter(40*time.Millisecond), func() {
 			switch {
 			case r.chance(0.2):
 				r.input("list failed")
@@ -228,44 +228,44 @@
 			}
 		})
 	case "step":
-		c := r.open[w[1]]
-		if c == nil {
+		client := r.clients[w[1]]
+		if client == nil {
 			return // the step and the client that left have crossed
 		}
 		switch w[2] {
 		case "pass":
-			r.attempt(c, number(w[3]), time.Duration(number(w[4])))
+			r.attempt(client, number(w[3]), time.Duration(number(w[4])))
 		case "unavailable", "failed", "move", "over":
-			r.finish(c)
+			r.finish(client)
 		}
 	}
 }
 
 // finish has a client go, and some come back.
-func (r *recorder) finish(c *client) {
-	if c == nil || r.open[c.name] != c {
+func (r *scenarioRecorder) finish(client *recordedClient) {
+	if client == nil || r.clients[client.name] != client {
 		return
 	}
-	delete(r.open, c.name)
+	delete(r.clients, client.name)
 	if r.chance(0.3) {
-		r.after(r.vary(400*time.Millisecond), func() { r.ask(c.group, true) })
+		r.after(r.jitter(400*time.Millisecond), func() { r.request(client.group, true) })
 	}
 }
 
-func (r *recorder) still(c *client, attempt int) bool {
-	return r.open[c.name] == c && c.attempt == attempt
+func (r *scenarioRecorder) current(client *recordedClient, attempt int) bool {
+	return r.clients[client.name] == client && client.attempt == attempt
 }
 
 // attempt simulates an attempt at a server.
-func (r *recorder) attempt(c *client, server int, patience time.Duration) {
-	c.at = server
-	c.attempt++
-	nth := c.attempt
-	takes, how := r.vary(30*time.Millisecond), "up"
+func (r *scenarioRecorder) attempt(client *recordedClient, server int, patience time.Duration) {
+	client.endpoint = server
+	client.attempt++
+	nth := client.attempt
+	takes, how := r.jitter(30*time.Millisecond), "up"
 	health := r.servers[server-1].health
 	switch {
 	case health == "slow":
-		takes = r.vary(900 * time.Millisecond)
+		takes = r.jitter(900 * time.Millisecond)
 	case health == "full" && r.chance(0.8):
 		how = "full"
 	case health == "broken" && r.chance(0.8):
@@ -279,97 +279,97 @@
 	}
 	if patience > 0 && takes >= patience {
 		takes, how = patience, "timeout"
-	} else if left := c.giveUp - r.now; takes >= left+50*time.Millisecond {
+	} else if left := client.deadline - r.now; takes >= left+50*time.Millisecond {
 		takes, how = max(0, left)+50*time.Millisecond, "left"
 	}
 	r.after(takes, func() {
-		if !r.still(c, nth) || c.up {
+		if !r.current(client, nth) || client.established {
 			return
 		}
 		switch how {
 		case "up":
-			r.stands(c, takes)
+			r.establish(client, takes)
 		case "left":
-			r.leave(c)
+			r.leave(client)
 		default:
-			r.ended(c, how, false)
+			r.ended(client, how, false)
 		}
 	})
 }
 
-func (r *recorder) stands(c *client, took time.Duration) {
-	c.up = true
-	nth := c.attempt
-	if r.facade {
-		r.input("stands %s %d", c.name, int64(took))
+func (r *scenarioRecorder) establish(client *recordedClient, took time.Duration) {
+	client.established = true
+	nth := client.attempt
+	if r.throughLoop {
+		r.input("stands %s %d", client.name, int64(took))
 	} else {
-		r.input("standing %s %d %d", c.name, c.at, int64(took))
+		r.input("standing %s %d %d", client.name, client.endpoint, int64(took))
 	}
 	if r.chance(0.3) {
-		r.after(r.vary(300*time.Millisecond), func() {
-			if r.still(c, nth) {
-				r.load(c)
+		r.after(r.jitter(300*time.Millisecond), func() {
+			if r.current(client, nth) {
+				r.load(client)
 			}
 		})
 	}
-	r.after(r.vary(time.Duration(1+8*r.rng.ExpFloat64())*time.Second), func() {
-		if !r.still(c, nth) {
+	r.after(r.jitter(time.Duration(1+8*r.rng.ExpFloat64())*time.Second), func() {
+		if !r.current(client, nth) {
 			return
 		}
 		if r.chance(0.2) {
-			r.leave(c)
+			r.leave(client)
 			return
 		}
 		how := "ok"
 		if r.chance(0.1) {
 			how = []string{"reset", "error", "away", "timeout"}[r.rng.IntN(4)]
 		}
-		if r.servers[c.at-1].health == "leaving" {
+		if r.servers[client.endpoint-1].health == "leaving" {
 			how = "away"
 		}
-		r.ended(c, how, true)
+		r.ended(client, how, true)
 	})
 }
 
-func (r *recorder) load(c *client) {
-	load := digits(0.01 * r.rng.ExpFloat64())
-	if r.facade {
-		r.input("load %s %s", c.name, load)
+func (r *scenarioRecorder) load(client *recordedClient) {
+	load := formatFloat(0.01 * r.rng.ExpFloat64())
+	if r.throughLoop {
+		r.input("load %s %s", client.name, load)
 		return
 	}
-	r.input("load %s %d %s", c.name, c.at, load)
+	r.input("load %s %d %s", client.name, client.endpoint, load)
 }
 
-func (r *recorder) ended(c *client, how string, over bool) {
+func (r *scenarioRecorder) ended(client *recordedClient, how string, over bool) {
 	if over {
-		defer r.finish(c)
-	} else if c.attempt > 0 {
-		c.attempt++ // nothing more of this attempt counts
+		defer r.finish(client)
+	} else if client.attempt > 0 {
+		client.attempt++ // nothing more of this attempt counts
 	}
-	if r.facade {
-		r.input("ended %s %s", c.name, how)
+	if r.throughLoop {
+		r.input("ended %s %s", client.name, how)
 		return
 	}
-	r.input("outcome %s %d %s %t", c.name, c.at, how, over)
+	r.input("outcome %s %d %s %t", client.name, client.endpoint, how, over)
 }
 
-func (r *recorder) leave(c *client) {
-	defer r.finish(c)
-	r.input("left %s", c.name)
+func (r *scenarioRecorder) leave(client *recordedClient) {
+	defer r.finish(client)
+	r.input("left %s", client.name)
 }
 
-// ask has a client come.
-func (r *recorder) ask(group int, back bool) {
-	r.last++
-	deadline := time.Duration(1+r.rng.IntN(3))*time.Second + r.vary(100*time.Millisecond)
-	c := &client{name: strconv.Itoa(r.last), group: group, giveUp: r.now + deadline}
-	r.open[c.name] = c
+// request has a client come.
+func (r *scenarioRecorder) request(group int, back bool) {
+	r.lastClient++
+	deadline := time.Duration(1+r.rng.IntN(3))*time.Second + r.jitter(100*time.Millisecond)
+	client := &recordedClient{name: strconv.Itoa(r.lastClient), group: group, deadline: r.now + deadline}
+	r.clients[client.name] = client
 	item, load, under := 0, "0", "-"
 	if r.chance(0.3) {
 		item = 1 + r.rng.IntN(40)
 	}
 	if r.chance(0.3) {
-		load = digits(0.01 * r.rng.ExpFloat64())
+		load = formatFloat(0.01 * r.rng.ExpFloat64())
 	}
 	if r.chance(0.1) {
 		under = strconv.Itoa(r.rng.IntN(len(r.settings)))
@@ -381,23 +381,23 @@
 	resumed := r.chance(0.03)
 	at := 1 + r.rng.IntN(len(r.servers))
 	if resumed {
-		c.up, c.at = true, at
-		nth := c.attempt
-		r.after(r.vary(5*time.Second), func() {
-			if r.still(c, nth) {
-				r.ended(c, "ok", true)
+		client.established, client.endpoint = true, at
+		nth := client.attempt
+		r.after(r.jitter(5*time.Second), func() {
+			if r.current(client, nth) {
+				r.ended(client, "ok", true)
 			}
 		})
 	}
-	if r.facade {
+	if r.throughLoop {
 		open := "-"
 		if resumed {
 			open = strconv.Itoa(at)
 		}
-		r.input("pick %s %d %d %d %d %s %t %s %s", c.name, class, item, group, int64(c.giveUp), load, back, under, open)
+		r.input("pick %s %d %d %d %d %s %t %s %s", client.name, class, item, group, int64(client.deadline), load, back, under, open)
 		return
 	}
-	request := fmt.Sprintf("%s %d %d %d %d %s %t %s", c.name, class, item, group, int64(deadline), load, back, under)
+	request := fmt.Sprintf("%s %d %d %d %d %s %t %s", client.name, class, item, group, int64(deadline), load, back, under)
 	if resumed {
 		r.input("resumed %d %s", at, request)
 	} else {
@@ -406,31 +406,31 @@
 }
 
 // listed writes n servers as a list does, from the first given.
-func (r *recorder) listed(first, n int) string {
+func (r *scenarioRecorder) listed(first, n int) string {
 	var text strings.Builder
 	for i := first; i < first+n; i++ {
 		s := r.servers[i]
-		weight := digits([]float64{1, 1, 2, 0.5, 1.3}[i%5])
-		fmt.Fprintf(&text, " %d:%s:%d:%d:%s:%d", i+1, s.state, i%3, i%6, weight, int64(s.born))
+		weight := formatFloat([]float64{1, 1, 2, 0.5, 1.3}[i%5])
+		fmt.Fprintf(&text, " %d:%s:%d:%d:%s:%d", i+1, s.state, i%3, i%6, weight, int64(s.startedAt))
 	}
 	return text.String()
 }
 
-func (r *recorder) list(kind string, first, n int) {
-	if r.facade {
+func (r *scenarioRecorder) list(kind string, first, n int) {
+	if r.throughLoop {
 		r.input("farm %s %d%s", kind, r.inputs, r.listed(first, n))
 		return
 	}
 	r.input("list %s%s", kind, r.listed(first, n))
 }
 
-// trouble changes the health of a server, and tells of it as a list would, a little later.
-func (r *recorder) trouble() {
+// disturb changes the health of a server, and tells of it as a list would, a little later.
+func (r *scenarioRecorder) disturb() {
 	i := r.rng.IntN(len(r.servers))
 	s := &r.servers[i]
-	heal := func(after time.Duration) { r.after(r.vary(after), func() { r.servers[i].health = "well" }) }
+	heal := func(after time.Duration) { r.after(r.jitter(after), func() { r.servers[i].health = "well" }) }
 	tell := func(after time.Duration, state string) {
-		r.after(r.vary(after), func() {
+		r.after(r.jitter(after), func() {
 			s := &r.servers[i]
 			if s.state = state; state == "ready" {
 				s.health = "well"
@@ -452,42 +452,42 @@
 		s.health = "leaving"
 		tell(500*time.Millisecond, "draining")
 		tell(6*time.Second, "gone")
-		r.after(9*time.Second, func() { r.servers[i].born = r.now })
+		r.after(9*time.Second, func() { r.servers[i].startedAt = r.now })
 		tell(19*time.Second, "ready")
 	default: // it dies and starts again
 		s.health = "dead"
 		tell(time.Second, "gone")
-		r.after(3*time.Second, func() { r.servers[i].born = r.now })
+		r.after(3*time.Second, func() { r.servers[i].startedAt = r.now })
 		tell(7*time.Second, "ready")
 	}
 }
 
-// strike makes a third of the servers slow, broken or dead at once.
-func (r *recorder) strike() {
+// outage makes a third of the servers slow, broken or dead at once.
+func (r *scenarioRecorder) outage() {
 	how := []string{"slow", "broken", "dead", "full", "slow"}[r.rng.IntN(5)]
 	for i := range r.servers {
 		if i%3 == 1 || how == "slow" && i%2 == 0 {
 			r.servers[i].health = how
 		}
 	}
-	r.after(r.vary(2500*time.Millisecond), func() {
+	r.after(r.jitter(2500*time.Millisecond), func() {
 		for i := range r.servers {
 			r.servers[i].health = "well"
 		}
 	})
 }
 
-func (r *recorder) delays() {
+func (r *scenarioRecorder) delays() {
 	for range 1 + len(r.servers)/20 {
 		i := r.rng.IntN(len(r.servers))
-		delay := r.vary(20 * time.Millisecond)
+		delay := r.jitter(20 * time.Millisecond)
 		switch r.servers[i].health {
 		case "slow":
-			delay = r.vary(500 * time.Millisecond)
+			delay = r.jitter(500 * time.Millisecond)
 		case "full":
-			delay = r.vary(90 * time.Millisecond)
+			delay = r.jitter(90 * time.Millisecond)
 		}
-		if r.facade {
+		if r.throughLoop {
 			r.input("delay %d %d", i+1, int64(delay))
 		} else {
 			r.input("delay 0 %d %d", i+1, int64(delay))
@@ -495,12 +495,12 @@
 	}
 }
 
-// handOver takes a snapshot, and has another take it over.
-func (r *recorder) handOver() {
-	if r.facade {
+// restart takes a snapshot, and has another take it over.
+func (r *scenarioRecorder) restart() {
+	if r.throughLoop {
 		r.input("snapshot")
 		r.input("restore")
-		r.input("budget %s", digits([]float64{0, 0.5, 1}[r.rng.IntN(3)]))
+		r.input("budget %s", formatFloat([]float64{0, 0.5, 1}[r.rng.IntN(3)]))
 		return
 	}
 	r.input("views")
@@ -512,93 +512,93 @@
 	}
 	r.saved = true
 	r.input("renumber 3")
-	open := r.open
-	r.open, r.due = make(map[string]*client), nil
-	r.input("start %d 5", r.current)
+	open := r.clients
+	r.clients, r.schedule = make(map[string]*recordedClient), nil
+	r.input("start %d 5", r.settingsInForce)
 	if r.observed {
 		r.input("observe")
 	}
 	r.list("cached", 0, len(r.servers))
 	r.input("restore")
 	names := make([]string, 0, len(open))
-	for name, c := range open {
-		if c.up {
+	for name, client := range open {
+		if client.established {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		c := open[name]
-		r.open[name] = c
-		r.input("resumed %d %s 0 0 %d 1000000000 0 false -", c.at, name, c.group)
-		nth := c.attempt
-		r.after(r.vary(4*time.Second), func() {
-			if r.still(c, nth) {
-				r.ended(c, "ok", true)
+		client := open[name]
+		r.clients[name] = client
+		r.input("resumed %d %s 0 0 %d 1000000000 0 false -", client.endpoint, name, client.group)
+		nth := client.attempt
+		r.after(r.jitter(4*time.Second), func() {
+			if r.current(client, nth) {
+				r.ended(client, "ok", true)
 			}
 		})
 	}
 	for i := range r.servers { // what was to change them is forgotten with what was due
 		r.servers[i].health, r.servers[i].state = "well", "ready"
 	}
-	r.around()
+	r.startBackground()
 }
 
-// around sets off what happens again and again.
-func (r *recorder) around() {
+// startBackground sets off what happens again and again.
+func (r *scenarioRecorder) startBackground() {
 	groups := 3 * len(r.servers)
-	r.each(time.Duration(float64(time.Second)/r.rate), func() {
+	r.every(time.Duration(float64(time.Second)/r.rate), func() {
 		group := 0
 		if r.chance(0.7) {
 			group = 1 + r.rng.IntN(groups)
 		}
-		r.ask(group, r.chance(0.1))
+		r.request(group, r.chance(0.1))
 	})
-	r.each(60*time.Millisecond*time.Duration(1+r.scenario.servers/60), r.delays)
-	r.each(3*time.Second/time.Duration(1+len(r.servers)/20), r.trouble)
-	r.each(cmp.Or(r.scenario.disaster, 9*time.Second), r.strike)
-	r.each(11*time.Second, func() { r.list("full", 0, len(r.servers)) })
-	r.each(14*time.Second, func() { r.list("failed", 0, 0) })
-	r.each(4*time.Second, func() {
-		r.current = r.rng.IntN(len(r.settings))
-		if r.facade {
-			r.input("retune %d", r.current)
+	r.every(60*time.Millisecond*time.Duration(1+r.replayScenario.servers/60), r.delays)
+	r.every(3*time.Second/time.Duration(1+len(r.servers)/20), r.disturb)
+	r.every(cmp.Or(r.replayScenario.outageEvery, 9*time.Second), r.outage)
+	r.every(11*time.Second, func() { r.list("full", 0, len(r.servers)) })
+	r.every(14*time.Second, func() { r.list("failed", 0, 0) })
+	r.every(4*time.Second, func() {
+		r.settingsInForce = r.rng.IntN(len(r.settings))
+		if r.throughLoop {
+			r.input("retune %d", r.settingsInForce)
 		} else {
-			r.input("retuned %d", r.current)
+			r.input("retuned %d", r.settingsInForce)
 		}
 	})
-	r.each(2*time.Second, func() { // a client of any kind leaves, or its relay does
-		names := make([]string, 0, len(r.open))
-		for name := range r.open {
+	r.every(2*time.Second, func() { // a client of any kind leaves, or its relay does
+		names := make([]string, 0, len(r.clients))
+		for name := range r.clients {
 			names = append(names, name)
 		}
 		if slices.Sort(names); len(names) == 0 {
 			return
 		}
-		c := r.open[names[r.rng.IntN(len(names))]]
+		client := r.clients[names[r.rng.IntN(len(names))]]
 		if r.chance(0.5) {
-			r.leave(c)
+			r.leave(client)
 			return
 		}
 		word := "dismissed"
-		if r.facade {
+		if r.throughLoop {
 			word = "dismiss"
 		}
-		r.input("%s %s", word, c.name)
+		r.input("%s %s", word, client.name)
 	})
-	if r.scenario.disaster > 0 { // what it does to the window shows in snapshots first
-		r.each(300*time.Millisecond, func() { r.input("snapshot") })
+	if r.replayScenario.outageEvery > 0 { // what it does to the window shows in snapshots first
+		r.every(300*time.Millisecond, func() { r.input("snapshot") })
 	}
-	if r.facade {
-		r.each(10*time.Millisecond, func() { r.input("tick") })
-		r.each(3*time.Second, func() { r.input("pool"); r.input("views"); r.input("advice") })
+	if r.throughLoop {
+		r.every(10*time.Millisecond, func() { r.input("tick") })
+		r.every(3*time.Second, func() { r.input("pool"); r.input("views"); r.input("advice") })
 	}
 }
 
-func (r *recorder) run() {
+func (r *scenarioRecorder) run() {
 	fmt.Fprintf(&r.text, "# recorded by TestReplayGivesTheSameActions -record\n")
-	if r.every > 0 {
-		fmt.Fprintf(&r.text, "digest %d\n", r.every)
+	if r.digestEvery > 0 {
+		fmt.Fprintf(&r.text, "digest %d\n", r.digestEvery)
 	}
 	for i, s := range r.settings {
 		r.write(fmt.Sprintf("settings %d %s%s", i, common, s))
@@ -607,10 +607,10 @@
 		}
 		r.write(fmt.Sprintf("tenant %d acme", i))
 	}
-	for range r.scenario.servers {
-		r.servers = append(r.servers, serverRecorded{state: "ready", health: "well"})
+	for range r.replayScenario.servers {
+		r.servers = append(r.servers, recordedEndpoint{state: "ready", health: "well"})
 	}
-	if r.facade {
+	if r.throughLoop {
 		r.input("facade 0 3")
 	} else {
 		r.input("start 0 3")
@@ -620,19 +620,19 @@
 		r.input("request 1000000 0 0 0 1000000000 0 false -") // before any list
 	}
 	r.list("full", 0, len(r.servers))
-	r.around()
-	for r.inputs < r.scenario.inputs {
-		d := heap.Pop(&r.due).(dueRecorded)
+	r.startBackground()
+	for r.inputs < r.replayScenario.inputs {
+		d := heap.Pop(&r.schedule).(scheduledStep)
 		r.now = max(r.now, d.at)
 		d.do()
-		if !r.saved && !r.facade && r.inputs > r.scenario.inputs/2 || r.facade && r.inputs%1000 == 0 {
-			r.handOver()
+		if !r.saved && !r.throughLoop && r.inputs > r.replayScenario.inputs/2 || r.throughLoop && r.inputs%1000 == 0 {
+			r.restart()
 		}
 	}
-	if r.facade {
+	if r.throughLoop {
 		r.input("close")
 	} else {
-		r.handOver()
+		r.restart()
 	}
 	r.seal()
 }
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPlayer()
+	replayer := newReplayer()
 	var input string
 	var answer []string // of the input, or of all inputs since the last digest
 	inputs, next, digested := 0, 0, false
@@ -97,7 +97,7 @@
 			} else {
 				answer = append(answer, line)
 			}
-			answer = append(answer, p.play(t, line)...)
+			answer = append(answer, replayer.replay(t, line)...)
 		}
 	}
 	if err := lines.Err(); err != nil {
@@ -121,105 +121,107 @@
 	return fmt.Sprintf("%x", h.Sum(nil))
 }
 
-// player plays inputs to a Balancer, or to a Facade once a file has asked for one.
-type player struct {
-	settings map[string]*Settings
-	b        *Balancer
-	snapshot Snapshot
-	told     []string // decisions of the input at hand
-
-	facade  *Loop
-	tickets map[string]*RequestHandle
-	order   []string // of the tickets that are open
-	gone    context.Context
+// replayer plays inputs to a Balancer, or to a Facade once a file has asked for one.
+type replayer struct {
+	settings  map[string]*Settings
+	balancer  *Balancer
+	snapshot  Snapshot
+	decisions []string // decisions of the input at hand
+
+	loop        *Loop
+	handles     map[string]*RequestHandle
+	openHandles []string // of the tickets that are open
+	canceled    context.Context
 }
 
-func newPlayer() *player {
+func newReplayer() *replayer {
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
-	return &player{settings: make(map[string]*Settings), tickets: make(map[string]*RequestHandle), gone: gone}
+	return &replayer{settings: make(map[string]*Settings), handles: make(map[string]*RequestHandle), canceled: gone}
 }
 
-// play plays one input and returns what it brought.
-func (p *player) play(t *testing.T, line string) []string {
+// replay plays one input and returns what it brought.
+func (r *replayer) replay(t *testing.T, line string) []string {
 	w := strings.Fields(line)
-	p.told = p.told[:0]
+	r.decisions = r.decisions[:0]
 	switch w[0] {
 	case "settings":
-		p.settings[w[1]] = parseSettings(t, w[2:])
+		r.settings[w[1]] = parseSettings(t, w[2:])
 		return nil
 	case "class":
-		s := p.settings[w[1]]
-		s.Classes = append(s.Classes, parseClass(t, w[2:]))
+		settings := r.settings[w[1]]
+		settings.Classes = append(settings.Classes, parseClass(t, w[2:]))
 		return nil
 	case "tenant":
-		s := p.settings[w[1]]
-		s.Tenants = append(s.Tenants, w[2])
+		settings := r.settings[w[1]]
+		settings.Tenants = append(settings.Tenants, w[2])
 		return nil
 	}
-	now := span(t, w[0])
-	if p.facade != nil || w[1] == "facade" {
-		return p.playFacade(t, now, w[1], w[2:])
+	now := parseDuration(t, w[0])
+	if r.loop != nil || w[1] == "facade" {
+		return r.replayLoop(t, now, w[1], w[2:])
 	}
-	return p.playBalancer(t, now, w[1], w[2:])
+	return r.replayBalancer(t, now, w[1], w[2:])
 }
 
-func (p *player) playBalancer(t *testing.T, now time.Duration, word string, w []string) []string {
+func (r *replayer) replayBalancer(t *testing.T, now time.Duration, word string, w []string) []string {
 	switch word {
 	case "start": // settings, seed
-		s := p.settings[w[0]]
-		if err := s.Validate(); err != nil {
+		settings := r.settings[w[0]]
+		if err := settings.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		p.b = New(*s, whole(t, w[1]))
+		r.balancer = New(*settings, parseUint(t, w[1]))
 		return nil
 	case "observe":
-		p.b.Observe(func(id RequestID, d *Decision) { p.told = append(p.told, formatDecision(id, d)...) })
+		r.balancer.Observe(func(id RequestID, decision *Decision) {
+			r.decisions = append(r.decisions, formatDecision(id, decision)...)
+		})
 		return nil
 	case "snapshot":
-		p.snapshot = p.b.Snapshot()
-		return formatSnapshot(&p.snapshot)
+		r.snapshot = r.balancer.Snapshot()
+		return formatSnapshot(&r.snapshot)
 	case "renumber": // a server that is left out; all others become themselves
-		left := EndpointID(whole(t, w[0]))
-		p.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != left })
-		return formatSnapshot(&p.snapshot)
+		left := EndpointID(parseUint(t, w[0]))
+		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != left })
+		return formatSnapshot(&r.snapshot)
 	case "restore":
-		p.b.Restore(now, p.snapshot)
+		r.balancer.Restore(now, r.snapshot)
 		return nil
 	case "advice":
-		return []string{"advice " + nanos(p.b.RetryAfter(now))}
+		return []string{"advice " + formatDuration(r.balancer.RetryAfter(now))}
 	case "views":
-		return formatViews(p.b.views())
+		return formatViews(r.balancer.endpointViews())
 	case "avoided":
-		listed, until := p.b.avoided(nil)
+		listed, until := r.balancer.avoidedEndpoints(nil)
 		text := fmt.Sprintf("avoided %d", listed)
 		for _, at := range until {
-			text += " " + nanos(at)
+			text += " " + formatDuration(at)
 		}
 		return []string{text}
 	}
 	var out []string
-	for _, a := range p.b.Handle(now, p.parseEvent(t, word, w)) {
+	for _, a := range r.balancer.Handle(now, r.parseEvent(t, word, w)) {
 		out = append(out, formatAction(t, a))
 	}
-	return append(out, p.told...)
+	return append(out, r.decisions...)
 }
 
 // parseEvent reads an event of the Balancer.
-func (p *player) parseEvent(t *testing.T, word string, w []string) Event {
-	request := func(i int) RequestID { return RequestID(whole(t, w[i])) }
-	server := func(i int) EndpointID { return EndpointID(whole(t, w[i])) }
+func (r *replayer) parseEvent(t *testing.T, word string, w []string) Event {
+	request := func(i int) RequestID { return RequestID(parseUint(t, w[i])) }
+	server := func(i int) EndpointID { return EndpointID(parseUint(t, w[i])) }
 	switch word {
 	case "list": // kind, servers
-		return EndpointList{Kind: parseListKind(t, w[0]), Endpoints: parseServers(t, w[1:])}
+		return EndpointList{Kind: parseListKind(t, w[0]), Endpoints: parseEndpoints(t, w[1:])}
 	case "retuned":
-		return SettingsChanged{Settings: p.settings[w[0]]}
+		return SettingsChanged{Settings: r.settings[w[0]]}
 	case "request":
-		return p.parseRequest(t, w)
+		return r.parseRequest(t, w)
 	case "resumed": // server, request
-		return Resumed{Endpoint: server(0), Request: p.parseRequest(t, w[1:])}
+		return Resumed{Endpoint: server(0), Request: r.parseRequest(t, w[1:])}
 	case "standing": // request, server, time it took
-		return Established{Request: request(0), Endpoint: server(1), SetupTime: span(t, w[2])}
+		return Established{Request: request(0), Endpoint: server(1), SetupTime: parseDuration(t, w[2])}
 	case "outcome": // request, server, status, over
 		return Outcome{Request: request(0), Endpoint: server(1), Status: parseStatus(t, w[2]), Final: parseBool(t, w[3])}
 	case "dismissed":
@@ -227,21 +229,21 @@
 	case "left":
 		return ClientLeft{Request: request(0)}
 	case "load": // request, server, load
-		return ConnectionLoad{Request: request(0), Endpoint: server(1), Load: decimal(t, w[2])}
+		return ConnectionLoad{Request: request(0), Endpoint: server(1), Load: parseFloat(t, w[2])}
 	case "delay": // request, server, delay
-		return EndpointDelay{Request: request(0), Endpoint: server(1), Delay: span(t, w[2])}
+		return EndpointDelay{Request: request(0), Endpoint: server(1), Delay: parseDuration(t, w[2])}
 	case "timer":
-		return Timer{Token: uint32(whole(t, w[0]))}
+		return Timer{Token: uint32(parseUint(t, w[0]))}
 	}
 	t.Fatalf("no such input: %s", word)
 	return nil
 }
 
 // parseRequest reads: request, class, item, group, time left, load, comes back, settings or "-".
-func (p *player) parseRequest(t *testing.T, w []string) Request {
+func (r *replayer) parseRequest(t *testing.T, w []string) Request {
 	return Request{
-		ID: RequestID(whole(t, w[0])), Class: int(whole(t, w[1])), Item: whole(t, w[2]), Group: whole(t, w[3]),
-		TimeLeft: span(t, w[4]), ExpectedLoad: decimal(t, w[5]), Returning: parseBool(t, w[6]), Settings: p.settings[w[7]],
+		ID: RequestID(parseUint(t, w[0])), Class: int(parseUint(t, w[1])), Item: parseUint(t, w[2]), Group: parseUint(t, w[3]),
+		TimeLeft: parseDuration(t, w[4]), ExpectedLoad: parseFloat(t, w[5]), Returning: parseBool(t, w[6]), Settings: r.settings[w[7]],
 	}
 }
 
@@ -264,88 +266,88 @@
 	return ""
 }
 
-// playFacade plays an input to the Facade. Requests go by names of their own there, and steps come with a tick.
-func (p *player) playFacade(t *testing.T, now time.Duration, word string, w []string) []string {
+// replayLoop plays an input to the Facade. Requests go by names of their own there, and steps come with a tick.
+func (r *replayer) replayLoop(t *testing.T, now time.Duration, word string, w []string) []string {
 	switch word {
 	case "facade": // settings, seed
-		p.facade = NewLoop(*p.settings[w[0]], whole(t, w[1]))
-		p.facade.Observe()
-		p.facade.PublishCounts()
+		r.loop = NewLoop(*r.settings[w[0]], parseUint(t, w[1]))
+		r.loop.Observe()
+		r.loop.PublishCounts()
 		return nil
 	case "tick":
-		return p.tick(now)
+		return r.tick(now)
 	case "pick": // name, class, item, group, give up at, load, comes back, settings, open at server or "-"
 		ask := RequestOptions{
-			Class: int(whole(t, w[1])), Item: whole(t, w[2]), Group: whole(t, w[3]), Deadline: span(t, w[4]),
-			ExpectedLoad: decimal(t, w[5]), Returning: parseBool(t, w[6]), Settings: p.settings[w[7]], Observer: tellNamed{p, w[0]},
+			Class: int(parseUint(t, w[1])), Item: parseUint(t, w[2]), Group: parseUint(t, w[3]), Deadline: parseDuration(t, w[4]),
+			ExpectedLoad: parseFloat(t, w[5]), Returning: parseBool(t, w[6]), Settings: r.settings[w[7]], Observer: namedObserver{r, w[0]},
 		}
 		if w[8] != "-" {
-			ask.Established, ask.Endpoint = true, EndpointID(whole(t, w[8]))
+			ask.Established, ask.Endpoint = true, EndpointID(parseUint(t, w[8]))
 		}
 		ticket := NewRequestHandle(ask)
-		p.tickets[w[0]] = ticket
-		p.order = append(p.order, w[0])
-		_, _ = p.facade.Pick(p.gone, ticket)
-		return []string{"time left " + nanos(ticket.TimeLeft(now))}
+		r.handles[w[0]] = ticket
+		r.openHandles = append(r.openHandles, w[0])
+		r.loop.Pick(r.canceled, ticket)
+		return []string{"time left " + formatDuration(ticket.TimeLeft(now))}
 	case "advice":
-		wait := inTurn(p, now, p.facade.RetryAfter)
-		return append([]string{"advice " + nanos(wait)}, p.told...)
+		wait := duringTick(r, now, r.loop.RetryAfter)
+		return append([]string{"advice " + formatDuration(wait)}, r.decisions...)
 	case "views":
-		views := inTurn(p, now, func(ctx context.Context) []EndpointView { v, _ := p.facade.EndpointViews(ctx); return v })
-		return append(formatViews(views), p.told...)
+		views := duringTick(r, now, func(ctx context.Context) []EndpointView { v, _ := r.loop.EndpointViews(ctx); return v })
+		return append(formatViews(views), r.decisions...)
 	case "snapshot":
-		p.snapshot = inTurn(p, now, func(ctx context.Context) Snapshot { m, _ := p.facade.Snapshot(ctx); return m })
-		return append(formatSnapshot(&p.snapshot), p.told...)
+		r.snapshot = duringTick(r, now, func(ctx context.Context) Snapshot { snapshot, _ := r.loop.Snapshot(ctx); return snapshot })
+		return append(formatSnapshot(&r.snapshot), r.decisions...)
 	case "pool":
-		listed, avoided := p.facade.EndpointCounts(now)
+		listed, avoided := r.loop.EndpointCounts(now)
 		return []string{fmt.Sprintf("pool %d %d", listed, avoided)}
 	case "close":
-		p.facade.Close()
-		wait := p.facade.RetryAfter(context.Background())
-		_, err := p.facade.EndpointViews(p.gone)
+		r.loop.Close()
+		wait := r.loop.RetryAfter(context.Background())
+		_, err := r.loop.EndpointViews(r.canceled)
 		return []string{fmt.Sprintf("closed %d %t", int64(wait), err != nil)}
 	}
-	p.facade.Report(p.parseNews(t, word, w))
+	r.loop.Report(r.parseLoopEvent(t, word, w))
 	return nil
 }
 
-// parseNews reads what is reported to the Facade.
-func (p *player) parseNews(t *testing.T, word string, w []string) LoopEvent {
+// parseLoopEvent reads what is reported to the Facade.
+func (r *replayer) parseLoopEvent(t *testing.T, word string, w []string) LoopEvent {
 	switch word {
 	case "stands": // name, time it took
-		return AttemptEstablished{Handle: p.tickets[w[0]], SetupTime: span(t, w[1])}
+		return AttemptEstablished{Handle: r.handles[w[0]], SetupTime: parseDuration(t, w[1])}
 	case "ended": // name, status
-		return AttemptEnded{Handle: p.tickets[w[0]], Status: parseStatus(t, w[1])}
+		return AttemptEnded{Handle: r.handles[w[0]], Status: parseStatus(t, w[1])}
 	case "dismiss":
-		return RequireAnswer{Handle: p.tickets[w[0]]}
+		return RequireAnswer{Handle: r.handles[w[0]]}
 	case "left":
-		return ClientDisconnected{Handle: p.tickets[w[0]]}
+		return ClientDisconnected{Handle: r.handles[w[0]]}
 	case "load": // name, load
-		return LoadReport{Handle: p.tickets[w[0]], Load: decimal(t, w[1])}
+		return LoadReport{Handle: r.handles[w[0]], Load: parseFloat(t, w[1])}
 	case "delay": // server, delay
-		return DelayReport{Endpoint: EndpointID(whole(t, w[0])), Delay: span(t, w[1])}
+		return DelayReport{Endpoint: EndpointID(parseUint(t, w[0])), Delay: parseDuration(t, w[1])}
 	case "farm": // kind, revision, servers
-		return EndpointUpdate{Kind: parseListKind(t, w[0]), Revision: whole(t, w[1]), Endpoints: parseServers(t, w[2:])}
+		return EndpointUpdate{Kind: parseListKind(t, w[0]), Revision: parseUint(t, w[1]), Endpoints: parseEndpoints(t, w[2:])}
 	case "retune":
-		return UpdateSettings{Settings: p.settings[w[0]]}
+		return UpdateSettings{Settings: r.settings[w[0]]}
 	case "restore":
-		return RestoreSnapshot{Snapshot: p.snapshot}
+		return RestoreSnapshot{Snapshot: r.snapshot}
 	case "budget":
-		return SlowStartBudget{Share: decimal(t, w[0])}
+		return SlowStartBudget{Share: parseFloat(t, w[0])}
 	}
 	t.Fatalf("no such input: %s", word)
 	return nil
 }
 
 // tick does a turn and returns the time of the next timer, what was decided and the steps of all that are open.
-func (p *player) tick(now time.Duration) []string {
-	at, set := p.facade.Tick(now)
-	out := append([]string{fmt.Sprintf("next %d %t", int64(at), set)}, p.told...)
+func (r *replayer) tick(now time.Duration) []string {
+	at, set := r.loop.Tick(now)
+	out := append([]string{fmt.Sprintf("next %d %t", int64(at), set)}, r.decisions...)
 	var open []string
-	for _, name := range p.order {
+	for _, name := range r.openHandles {
 		over := false
 		for {
-			step, err := p.facade.Pick(p.gone, p.tickets[name])
+			step, err := r.loop.Pick(r.canceled, r.handles[name])
 			if err != nil {
 				break
 			}
@@ -360,60 +362,60 @@
 			open = append(open, name)
 		}
 	}
-	p.order = open
+	r.openHandles = open
 	return out
 }
 
-// inTurn asks what only a turn can answer, and does the turn.
-func inTurn[T any](p *player, now time.Duration, ask func(context.Context) T) T {
+// duringTick asks what only a turn can answer, and does the turn.
+func duringTick[T any](replayer *replayer, now time.Duration, ask func(context.Context) T) T {
 	select {
-	case <-p.facade.Pending():
+	case <-replayer.loop.Pending():
 	default:
 	}
 	answer := make(chan T, 1)
 	go func() { answer <- ask(context.Background()) }()
-	<-p.facade.Pending()
-	p.facade.Tick(now)
+	<-replayer.loop.Pending()
+	replayer.loop.Tick(now)
 	return <-answer
 }
 
-// tellNamed notes what is decided for a request of the Facade.
-type tellNamed struct {
-	p    *player
-	name string
+// namedObserver notes what is decided for a request of the Facade.
+type namedObserver struct {
+	replayer *replayer
+	name     string
 }
 
-func (n tellNamed) Decided(d *Decision) {
-	for _, line := range formatDecision(0, d) {
-		n.p.told = append(n.p.told, n.name+" "+line)
+func (n namedObserver) Decided(decision *Decision) {
+	for _, line := range formatDecision(0, decision) {
+		n.replayer.decisions = append(n.replayer.decisions, n.name+" "+line)
 	}
 }
 
 // formatDecision writes a decision as one line and each belief as one more.
-func formatDecision(id RequestID, d *Decision) []string {
+func formatDecision(id RequestID, decision *Decision) []string {
 	out := []string{fmt.Sprintf("decided %d %s %s at=%d attempt=%d server=%d wait=%d left=%d ready=%d slow=%s revision=%d age=%d instead=%d",
-		id, d.Verdict, d.Reason, int64(d.At), d.Attempt, d.Endpoint, int64(d.Wait), int64(d.TimeLeft), d.ReadyEndpoints, digits(d.SlowShare),
-		d.Revision, int64(d.ListAge), d.Preferred)}
-	for _, f := range d.Considered {
+		id, decision.Verdict, decision.Reason, int64(decision.At), decision.Attempt, decision.Endpoint, int64(decision.Wait), int64(decision.TimeLeft), decision.ReadyEndpoints, formatFloat(decision.SlowShare),
+		decision.Revision, int64(decision.ListAge), decision.Preferred)}
+	for _, f := range decision.Considered {
 		out = append(out, fmt.Sprintf("believed %d %s %s %s %s %s %s %d %d", f.Endpoint, formatState(f.State),
-			strings.Join(append([]string{"bars"}, f.Exclusions.Names()...), ","), digits(f.Weight), digits(f.Warmth), digits(f.Load),
-			digits(f.Probability), int64(f.Delay), int64(f.DelayAge)))
+			strings.Join(append([]string{"bars"}, f.Exclusions.Names()...), ","), formatFloat(f.Weight), formatFloat(f.Warmth), formatFloat(f.Load),
+			formatFloat(f.Probability), int64(f.Delay), int64(f.DelayAge)))
 	}
 	return out
 }
 
-func formatSnapshot(m *Snapshot) []string {
+func formatSnapshot(snapshot *Snapshot) []string {
 	count := func(c CounterSnapshot) string {
-		return fmt.Sprintf("%s,%d,%d", digits(c.Count), int64(c.UpdatedAt), int64(c.CountedFrom))
+		return fmt.Sprintf("%s,%d,%d", formatFloat(c.Count), int64(c.UpdatedAt), int64(c.CountedFrom))
 	}
-	out := []string{fmt.Sprintf("snapshot salt=%d recent=%s pace=%s persize=%s load=%s loads=%s window=%s", m.Salt,
-		count(m.RecentSetups), count(m.ArrivalRate), digits(m.SetupsPerSize), digits(m.MeanLoad), digits(m.LoadSamples), digits(m.ConcurrencyWindow))}
-	for _, s := range m.Endpoints {
-		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", s.ID, digits(s.Weight), int64(s.WeightSetAt),
+	out := []string{fmt.Sprintf("snapshot salt=%d recent=%s pace=%s persize=%s load=%s loads=%s window=%s", snapshot.Salt,
+		count(snapshot.RecentSetups), count(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyWindow))}
+	for _, s := range snapshot.Endpoints {
+		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", s.ID, formatFloat(s.Weight), int64(s.WeightSetAt),
 			int64(s.LastAttemptAt), int64(s.EstablishedAt), int64(s.FailedAt), int64(s.SlowAt), int64(s.Delay), int64(s.DelayAt),
 			int64(s.RelievedAt), int64(s.DrainingSince), int64(s.RedirectedAt), int64(s.StartedAt)))
 	}
-	for _, r := range m.Routes {
+	for _, r := range snapshot.Routes {
 		out = append(out, fmt.Sprintf("route %d %d %d", r.Key, r.Endpoint, int64(r.ExpiresAt)))
 	}
 	return out
@@ -422,7 +424,7 @@
 func formatViews(views []EndpointView) []string {
 	var out []string
 	for _, v := range views {
-		out = append(out, fmt.Sprintf("view %d %d %s %q", v.Endpoint, int64(v.Delay), digits(v.Load), v.Avoided))
+		out = append(out, fmt.Sprintf("view %d %d %s %q", v.Endpoint, int64(v.Delay), formatFloat(v.Load), v.Avoided))
 	}
 	return out
 }
@@ -440,7 +442,7 @@
 	}
 )
 
-func meaning[T any](t *testing.T, words map[string]T, word string) T {
+func lookUp[T any](t *testing.T, words map[string]T, word string) T {
 	t.Helper()
 	m, ok := words[word]
 	if !ok {
@@ -449,8 +451,8 @@
 	return m
 }
 
-func parseListKind(t *testing.T, word string) ListKind    { return meaning(t, listWords, word) }
-func parseStatus(t *testing.T, word string) AttemptStatus { return meaning(t, statusWords, word) }
+func parseListKind(t *testing.T, word string) ListKind    { return lookUp(t, listWords, word) }
+func parseStatus(t *testing.T, word string) AttemptStatus { return lookUp(t, statusWords, word) }
 
 func formatState(s EndpointState) string {
 	for word, state := range stateWords {
@@ -461,21 +463,21 @@
 	return "unknown"
 }
 
-// parseServers reads servers as number:state:zone:cell:weight:time of start.
-func parseServers(t *testing.T, words []string) []Endpoint {
+// parseEndpoints reads servers as number:state:zone:cell:weight:time of start.
+func parseEndpoints(t *testing.T, words []string) []Endpoint {
 	var list []Endpoint
 	for _, word := range words {
 		w := strings.Split(word, ":")
 		list = append(list, Endpoint{
-			ID: EndpointID(whole(t, w[0])), State: meaning(t, stateWords, w[1]), Zone: int(whole(t, w[2])),
-			Cell: int(whole(t, w[3])), Weight: decimal(t, w[4]), StartedAt: span(t, w[5]),
+			ID: EndpointID(parseUint(t, w[0])), State: lookUp(t, stateWords, w[1]), Zone: int(parseUint(t, w[2])),
+			Cell: int(parseUint(t, w[3])), Weight: parseFloat(t, w[4]), StartedAt: parseDuration(t, w[5]),
 		})
 	}
 	return list
 }
 
-// pairs reads key=value words.
-func pairs(t *testing.T, words []string) map[string]string {
+// parsePairs reads key=value words.
+func parsePairs(t *testing.T, words []string) map[string]string {
 	m := make(map[string]string)
 	for _, word := range words {
 		key, value, ok := strings.Cut(word, "=")
@@ -488,25 +490,25 @@
 }
 
 func parseSettings(t *testing.T, words []string) *Settings {
-	m := pairs(t, words)
+	m := parsePairs(t, words)
 	return &Settings{
-		Relays: int(whole(t, m["relays"])), Zone: int(whole(t, m["zone"])), PollList: parseBool(t, m["ask"]),
-		PollInterval: span(t, m["askevery"]), MaxAttempts: int(whole(t, m["attempts"])), MinTick: span(t, m["tick"]),
-		ConnectTimeout: span(t, m["connect"]), MaxRetryAfter: span(t, m["retryafter"]), InitialCapacity: decimal(t, m["coldshare"]),
-		SlowStartDuration: span(t, m["coldfor"]), OverloadMultiple: decimal(t, m["tipmultiple"]), OverloadWindow: span(t, m["tipafter"]),
-		CrossZoneCost: decimal(t, m["crosszone"]), ReportsLoad: parseBool(t, m["tellsload"]), ReportsDelay: parseBool(t, m["tellsdelay"]),
+		Relays: int(parseUint(t, m["relays"])), Zone: int(parseUint(t, m["zone"])), PollList: parseBool(t, m["ask"]),
+		PollInterval: parseDuration(t, m["askevery"]), MaxAttempts: int(parseUint(t, m["attempts"])), MinTick: parseDuration(t, m["tick"]),
+		ConnectTimeout: parseDuration(t, m["connect"]), MaxRetryAfter: parseDuration(t, m["retryafter"]), InitialCapacity: parseFloat(t, m["coldshare"]),
+		SlowStartDuration: parseDuration(t, m["coldfor"]), OverloadMultiple: parseFloat(t, m["tipmultiple"]), OverloadWindow: parseDuration(t, m["tipafter"]),
+		CrossZoneCost: parseFloat(t, m["crosszone"]), ReportsLoad: parseBool(t, m["tellsload"]), ReportsDelay: parseBool(t, m["tellsdelay"]),
 	}
 }
 
 func parseClass(t *testing.T, words []string) Class {
-	m := pairs(t, words)
+	m := parsePairs(t, words)
 	return Class{
-		Name: m["name"], LatencyObjective: span(t, m["aim"]), Deadline: span(t, m["deadline"]), Effect: meaning(t, effectWords, m["effect"]),
-		Scope: meaning(t, scopeWords, m["scope"]), DeduplicationWindow: span(t, m["memory"]), MessageLatencyObjective: span(t, m["messageaim"]),
+		Name: m["name"], LatencyObjective: parseDuration(t, m["aim"]), Deadline: parseDuration(t, m["deadline"]), Effect: lookUp(t, effectWords, m["effect"]),
+		Scope: lookUp(t, scopeWords, m["scope"]), DeduplicationWindow: parseDuration(t, m["memory"]), MessageLatencyObjective: parseDuration(t, m["messageaim"]),
 	}
 }
 
-func span(t *testing.T, word string) time.Duration {
+func parseDuration(t *testing.T, word string) time.Duration {
 	t.Helper()
 	n, err := strconv.ParseInt(word, 10, 64)
 	if err != nil {
@@ -515,7 +517,7 @@
 	return time.Duration(n)
 }
 
-func whole(t *testing.T, word string) uint64 {
+func parseUint(t *testing.T, word string) uint64 {
 	t.Helper()
 	n, err := strconv.ParseUint(word, 10, 64)
 	if err != nil {
@@ -524,7 +526,7 @@
 	return n
 }
 
-func decimal(t *testing.T, word string) float64 {
+func parseFloat(t *testing.T, word string) float64 {
 	t.Helper()
 	n, err := strconv.ParseFloat(word, 64)
 	if err != nil {
@@ -542,5 +544,5 @@
 	return is
 }
 
-func nanos(d time.Duration) string { return strconv.FormatInt(int64(d), 10) }
-func digits(number float64) string { return strconv.FormatFloat(number, 'g', -1, 64) }
+func formatDuration(d time.Duration) string { return strconv.FormatInt(int64(d), 10) }
+func formatFloat(number float64) string     { return strconv.FormatFloat(number, 'g', -1, 64) }
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,57 +5,63 @@
 	"time"
 )
 
-type request struct {
+// requestRecord is what a Balancer keeps of a request, from its arrival to the end of its connection.
+type requestRecord struct {
 	Request
-	set       *Settings     // that it began under
-	class     *Class        // of them
-	giveUp    time.Duration // answered by then
-	attempts  int
-	tried     []EndpointID
-	at        *server // where its attempt is out or its connection stands
-	up        bool    // the connection stands
-	over      bool
-	waiting   bool // for notBefore and for the list
-	notBefore time.Duration
-	listUntil time.Duration // waits for a list until then
-	sentAt    time.Duration // its last attempt
-	load      float64       // booked at its server
-	slot      int           // its place among the server's connections
-	span      time.Duration // in which it was last counted in the pace; 0 if never
-
-	mayRun   bool // an attempt may have run, sent at ranSince to a server of ranZone and ranCell
-	ranSince time.Duration
-	ranZone  int
-	ranCell  int
+	settings       *Settings     // in force when it arrived, and until it ends
+	class          *Class        // of those settings
+	deadline       time.Duration // it is answered by then
+	attempts       int           // sent so far
+	triedEndpoints []EndpointID  // those that have failed it
+
+	endpoint        *endpointRecord // of the attempt in flight or of the connection; nil if there is none
+	attemptSentAt   time.Duration   // the last one
+	established     bool
+	load            float64 // booked at its endpoint, in mean connections
+	connectionIndex int     // in the endpoint's connections
+
+	done         bool
+	waiting      bool          // it is held until notBefore, and for a list until listDeadline
+	notBefore    time.Duration // when its next attempt may leave
+	listDeadline time.Duration
+	arrivalSpan  time.Duration // number of the overload window in which it was last counted; 0 if never
+
+	// An attempt may have run, sent at mayHaveRunSince to an endpoint of runZone and runCell.
+	mayHaveRun      bool
+	mayHaveRunSince time.Duration
+	runZone         int
+	runCell         int
 }
 
-// key is what routes are cached by.
-func (q *request) key() uint64 { return cmp.Or(q.Group, q.Item) }
+// routeKey is the key that the request's route is cached by: its group, or its item where it has no
+// group; 0 if it has neither.
+func (r *requestRecord) routeKey() uint64 { return cmp.Or(r.Group, r.Item) }
 
-// begin enters a request, under the settings that it keeps.
-func (b *Balancer) begin(ev Request) *request {
-	q := &request{Request: ev, set: cmp.Or(ev.Settings, b.set)}
-	q.class = q.set.class(ev.Class)
-	b.requests[q.ID] = q
-	return q
+// addRequest adds the record of a request, with the settings that it keeps to its end.
+func (b *Balancer) addRequest(event Request) *requestRecord {
+	request := &requestRecord{Request: event, settings: cmp.Or(event.Settings, b.settings)}
+	request.class = request.settings.classAt(event.Class)
+	b.requests[request.ID] = request
+	return request
 }
 
-// forget drops a request that is over, with its connection or attempt. There may be none.
-func (b *Balancer) forget(q *request) {
-	if q == nil {
+// removeRequest drops a request that has ended, with its connection or the attempt in flight. The
+// request may be nil.
+func (b *Balancer) removeRequest(request *requestRecord) {
+	if request == nil {
 		return
 	}
-	q.over = true
-	if q.at != nil && q.up {
-		q.at.remove(q)
-	} else if q.at != nil {
-		b.window.out--
+	request.done = true
+	if request.endpoint != nil && request.established {
+		request.endpoint.removeConnection(request)
+	} else if request.endpoint != nil {
+		b.concurrency.inFlight--
 	}
-	delete(b.requests, q.ID)
+	delete(b.requests, request.ID)
 }
 
-// standing tells whether a request's connection is up.
-func (b *Balancer) standing(id RequestID) bool {
-	q := b.requests[id]
-	return q != nil && q.up
+// isEstablished reports whether a request's connection is established.
+func (b *Balancer) isEstablished(id RequestID) bool {
+	request := b.requests[id]
+	return request != nil && request.established
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,52 +1,66 @@
 package balancer
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	backoffBase = 100 * time.Millisecond // wait before the second attempt, doubled for each further one
-	onTheWay    = 50 * time.Millisecond  // that what is sent may take to arrive
+	// retryBackoffBase is the wait before a request's second attempt. It doubles for each further one,
+	// so that retries thin out while the cause of the failure lasts.
+	retryBackoffBase = 100 * time.Millisecond
+
+	// maxBackoffDoublings bounds the backoff that the retry-after of a rejection goes by.
+	maxBackoffDoublings = 8
+
+	// deliveryAllowance is the time that an attempt may take to arrive. A repeat which relies on the
+	// endpoint's deduplication leaves that much earlier than the deduplication ends.
+	deliveryAllowance = 50 * time.Millisecond
 )
 
-// retry lets a request wait for its backoff and, where lists are asked for, for a list.
-func (b *Balancer) retry(q *request) {
-	wait := backoffBase << (q.attempts - 1)
-	if !b.mayTry(q, b.now+wait) {
-		b.end(q, b.spent(q, b.now+wait))
+// scheduleRetry holds a request for its backoff and, where lists are polled, for a fresh list; it
+// answers a request that may not be retried.
+func (b *Balancer) scheduleRetry(request *requestRecord) {
+	wait := retryBackoffBase << (request.attempts - 1)
+	if !b.attemptAllowed(request, b.now+wait) {
+		b.answer(request, b.stopReason(request, b.now+wait))
 		return
 	}
-	if b.set.PollList && b.now >= b.list.readAt+listPause {
+	if b.settings.PollList && b.now >= b.listPoll.readAt+listFreshness {
 		// After a zone is lost every retry wants the list: they share one call, and
-		// go on with the list they have when it isn't answered.
-		q.listUntil = b.now + listPatience
-		b.list.waiting = append(b.list.waiting, q)
-		b.watch()
+		// go on with the list that they have if it isn't answered.
+		request.listDeadline = b.now + listTimeout
+		b.listPoll.waiting = append(b.listPoll.waiting, request)
+		b.pollList()
 	}
-	b.rest(q, wait, ReasonBackoff, nil)
+	b.holdRequest(request, wait, ReasonBackoff, nil)
 }
 
-// mayTry tells whether another attempt is allowed at a time: rule 1 wants time
-// left, rule 2 that a repeat is harmless.
-func (b *Balancer) mayTry(q *request, at time.Duration) bool {
-	return q.attempts < q.set.MaxAttempts && at < q.giveUp &&
-		(!q.mayRun || q.class.Effect == Idempotent || at < q.known())
+// attemptAllowed reports whether the request may have another attempt at a time: it has attempts and
+// time left, and if it may have run, a repeat is harmless.
+func (b *Balancer) attemptAllowed(request *requestRecord, at time.Duration) bool {
+	return request.attempts < request.settings.MaxAttempts && at < request.deadline &&
+		(!request.mayHaveRun || request.class.Effect == Idempotent || at < request.deduplicatedUntil())
 }
 
-// known is until when its servers drop a repeat of what may have run, with time for it to arrive;
-// 0 where none does. It is looked at again when the repeat goes out: a connection comes up late.
-func (q *request) known() time.Duration {
-	if !q.mayRun || q.class.Effect != Deduplicated {
+// deduplicatedUntil is the time until which a repeat of what may have run may leave, because endpoints
+// within the request's scope still drop it; 0 where none does. The embedder looks at it again when it
+// sends the repeat: a connection may come up late.
+func (r *requestRecord) deduplicatedUntil() time.Duration {
+	if !r.mayHaveRun || r.class.Effect != Deduplicated {
 		return 0
 	}
-	return max(1, q.ranSince+q.class.DeduplicationWindow-onTheWay)
+	return max(1, r.mayHaveRunSince+r.class.DeduplicationWindow-deliveryAllowance)
 }
 
-// mayUse tells whether rule 2 allows a server for the next attempt: a repeat of
-// what may have run stays among the servers that drop repeats.
-func (q *request) mayUse(s *server) bool {
-	if !q.mayRun || q.class.Effect == Idempotent || q.class.Scope == ScopeAll {
+// withinScope reports whether the request's next attempt may go to the endpoint: a repeat of what may
+// have run stays among the endpoints that drop each other's repeats.
+func (r *requestRecord) withinScope(endpoint *endpointRecord) bool {
+	if !r.mayHaveRun || r.class.Effect == Idempotent || r.class.Scope == ScopeAll {
 		return true
 	}
-	return s.Zone == q.ranZone && (q.class.Scope == ScopeZone || s.Cell == q.ranCell)
+	return endpoint.Zone == r.runZone && (r.class.Scope == ScopeZone || endpoint.Cell == r.runCell)
+}
+
+// repeatableAnywhere reports whether a client may repeat a request of the class at any endpoint, even
+// if it has run.
+func (c *Class) repeatableAnywhere() bool {
+	return c.Effect == Idempotent || c.Effect == Deduplicated && c.Scope == ScopeAll
 }
--- a/balancer/retune_test.go
+++ b/balancer/retune_test.go
@@ -7,44 +7,44 @@
 
 // Other settings hold for what begins from then on; what is under way keeps its class and
 // its attempts.
-func TestRequestKeepsTheSettingsItBeganUnder(t *testing.T) {
+func TestRequestKeepsTheSettingsItArrivedUnder(t *testing.T) {
 	old := testSettings()
-	r := newRelay(t, old, ready(4)...)
-	id, done := r.ask(7)
-	first := r.sent(done, id)
+	relay := newTestRelay(t, old, readyEndpoints(4)...)
+	id, actions := relay.request(7)
+	first := relay.wantSent(actions, id)
 
 	next := testSettings()
 	next.MaxAttempts = 1
 	next.Classes = []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce, MessageLatencyObjective: 40 * ms}}
-	r.do(SettingsChanged{&next})
-	if r.b.aim != 40*ms {
-		t.Errorf("the aim of a message is %v", r.b.aim)
+	relay.handle(SettingsChanged{&next})
+	if relay.balancer.messageObjective != 40*ms {
+		t.Errorf("the aim of a message is %v", relay.balancer.messageObjective)
 	}
 
 	// May be repeated, up to three attempts: as it began.
-	r.fail(id, first, StatusReset)
-	second := r.sent(r.pass(backoffBase), id)
-	r.fail(id, second, StatusReset)
-	third := r.sent(r.pass(2*backoffBase), id)
-	if done := r.fail(id, third, StatusReset); count[Reject](done) != 1 {
-		t.Errorf("after three attempts: %v", done)
+	relay.fail(id, first, StatusReset)
+	second := relay.wantSent(relay.advance(retryBackoffBase), id)
+	relay.fail(id, second, StatusReset)
+	third := relay.wantSent(relay.advance(2*retryBackoffBase), id)
+	if actions := relay.fail(id, third, StatusReset); countActions[Reject](actions) != 1 {
+		t.Errorf("after three attempts: %v", actions)
 	}
 
 	// Must not be repeated, and has one attempt.
-	id, done = r.ask(8)
-	if done := r.fail(id, r.sent(done, id), StatusReset); count[Fail](done) != 1 {
-		t.Errorf("after what may have run: %v", done)
+	id, actions = relay.request(8)
+	if actions := relay.fail(id, relay.wantSent(actions, id), StatusReset); countActions[Fail](actions) != 1 {
+		t.Errorf("after what may have run: %v", actions)
 	}
-	id, done = r.ask(9)
-	if done := r.fail(id, r.sent(done, id), StatusConnectFailed); count[Reject](done) != 1 {
-		t.Errorf("after its one attempt: %v", done)
+	id, actions = relay.request(9)
+	if actions := relay.fail(id, relay.wantSent(actions, id), StatusConnectFailed); countActions[Reject](actions) != 1 {
+		t.Errorf("after its one attempt: %v", actions)
 	}
 
 	// One that began under the old settings and comes to its turn after the new ones.
-	r.next++
-	late := r.do(Request{ID: r.next, Group: 10, TimeLeft: 2 * time.Second, Settings: &old})
-	to := r.sent(late, r.next)
-	if done := r.fail(r.next, to, StatusReset); count[Fail]([]Action(done)) != 0 {
-		t.Errorf("under the old settings it may be repeated: %v", done)
+	relay.lastID++
+	late := relay.handle(Request{ID: relay.lastID, Group: 10, TimeLeft: 2 * time.Second, Settings: &old})
+	endpoint := relay.wantSent(late, relay.lastID)
+	if actions := relay.fail(relay.lastID, endpoint, StatusReset); countActions[Fail]([]Action(actions)) != 0 {
+		t.Errorf("under the old settings it may be repeated: %v", actions)
 	}
 }
--- a/balancer/routecache.go
+++ b/balancer/routecache.go
@@ -6,51 +6,57 @@
 )
 
 const (
-	cacheSize = 1 << 14         // routes held
-	cacheLife = 2 * time.Minute // a route not confirmed for this long is forgotten
+	// routeCacheCapacity bounds the routes that are cached. When it is reached the oldest entry makes
+	// room, and its group is drawn anew.
+	routeCacheCapacity = 1 << 14
+
+	// routeLifetime is how long a route is valid after a connection was last established by it.
+	routeLifetime = 2 * time.Minute
 )
 
-// routes is a bounded cache of the servers of groups; the oldest entry goes first.
-type routes struct {
-	size int
-	at   map[uint64]int // place in ring
-	ring []route
-	next int
+// routeCache caches the endpoint of each group. It is bounded: the oldest entry goes first.
+type routeCache struct {
+	capacity int
+	index    map[uint64]int // in ring, by route key
+	ring     []cachedRoute
+	next     int // index of the oldest entry, once the ring is full
 }
 
-type route struct {
-	key    uint64
-	server EndpointID
-	until  time.Duration
+type cachedRoute struct {
+	key       uint64
+	endpoint  EndpointID
+	expiresAt time.Duration
 }
 
-func (r *routes) get(key uint64, now time.Duration) (EndpointID, bool) {
-	i, ok := r.at[key]
-	if !ok || now >= r.ring[i].until {
+// get returns the endpoint cached for a key, if there is one that has not expired.
+func (c *routeCache) get(key uint64, now time.Duration) (EndpointID, bool) {
+	i, ok := c.index[key]
+	if !ok || now >= c.ring[i].expiresAt {
 		return 0, false
 	}
-	return r.ring[i].server, true
+	return c.ring[i].endpoint, true
 }
 
-func (r *routes) put(key uint64, id EndpointID, until time.Duration) {
+// put caches the endpoint of a key. The key 0 stands for no key, and is not cached.
+func (c *routeCache) put(key uint64, endpoint EndpointID, expiresAt time.Duration) {
 	if key == 0 {
 		return
 	}
-	i, ok := r.at[key]
-	if !ok && len(r.ring) < r.size {
-		i = len(r.ring)
-		r.ring = append(r.ring, route{})
+	i, ok := c.index[key]
+	if !ok && len(c.ring) < c.capacity {
+		i = len(c.ring)
+		c.ring = append(c.ring, cachedRoute{})
 	} else if !ok {
-		i, r.next = r.next, (r.next+1)%r.size
-		delete(r.at, r.ring[i].key)
+		i, c.next = c.next, (c.next+1)%c.capacity
+		delete(c.index, c.ring[i].key)
 	}
-	r.at[key] = i
-	r.ring[i] = route{key, id, until}
+	c.index[key] = i
+	c.ring[i] = cachedRoute{key, endpoint, expiresAt}
 }
 
-// clear forgets the route of a group if it leads to the server.
-func (r *routes) clear(key uint64, id EndpointID) {
-	if i, ok := r.at[key]; ok && r.ring[i].server == id {
-		r.ring[i].until = math.MinInt64
+// invalidate drops the route of a key if it leads to the endpoint.
+func (c *routeCache) invalidate(key uint64, endpoint EndpointID) {
+	if i, ok := c.index[key]; ok && c.ring[i].endpoint == endpoint {
+		c.ring[i].expiresAt = math.MinInt64
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -6,54 +6,74 @@
 )
 
 const (
-	ownZone    = 4.0 // by which servers of the own zone are preferred where crossing has a price
-	fewRelays  = 8   // more share nothing and see little each; they prefer their own zone less
-	crowding   = 4.0 // power of the draw's weight falling with what is already placed
-	spareFull  = 0.5 // a cached server with less of the wanted time to spare counts as full
-	spareLeast = 0.1
+	// localZoneFactor is how much more the draw weighs endpoints of the relay's own zone, where
+	// connections that cross zones have a cost.
+	localZoneFactor = 4.0
+
+	// maxFewRelays is how many relays count as few. More than that share nothing and see little each.
+	// They prefer their own zone less, lest relays of different zones split a group among endpoints.
+	maxFewRelays = 8
+
+	// loadExponent is the power with which an endpoint's weight falls with the load placed on it.
+	// Higher spreads connections more evenly, lower keeps more groups together.
+	loadExponent = 4.0
+
+	// fullHeadroom is the headroom up to which a cached endpoint counts as at capacity: its group is
+	// drawn anew before messages there become slow.
+	fullHeadroom = 0.5
+
+	// minHeadroom keeps an endpoint in the draw whose messages take nearly their objective.
+	minHeadroom = 0.1
 )
 
-// pick chooses the server of the next attempt, or none, and tells why.
-func (b *Balancer) pick(q *request) (*server, Reason) {
-	why := q.drawn()
-	if id, ok := b.routes.get(q.key(), b.now); ok && q.attempts == 0 {
-		s := b.fleet.find(id)
-		if s != nil && b.usable(q, s) && !b.mustWait(s) && b.spare(s) > spareFull {
-			return s, ReasonCachedRoute
+// selectEndpoint selects the endpoint of the request's next attempt, or none, and returns the reason.
+// The first attempt goes by the cached route, where its endpoint takes requests.
+func (b *Balancer) selectEndpoint(request *requestRecord) (*endpointRecord, Reason) {
+	reason := request.drawReason()
+	if id, ok := b.routes.get(request.routeKey(), b.now); ok && request.attempts == 0 {
+		endpoint := b.endpoints.find(id)
+		if endpoint != nil && b.eligible(request, endpoint) &&
+			!b.mustHold(endpoint) && b.headroom(endpoint) > fullHeadroom {
+			return endpoint, ReasonCachedRoute
 		}
-		why = b.passedOver(q, s)
+		reason = b.cachedRouteReason(request, endpoint)
 	}
-	return b.draw(q), why
+	return b.drawEndpoint(request), reason
 }
 
-// usable tells whether a server may be sent a request at all.
-func (b *Balancer) usable(q *request, s *server) bool {
-	return s.State == StateReady && (s.awayAt == 0 || b.now >= s.awayAt+awayFor) && q.mayUse(s) &&
-		!slices.Contains(q.tried, s.ID) && b.coldAllows(q, s)
+// eligible reports whether the request may be sent to the endpoint at all.
+func (b *Balancer) eligible(request *requestRecord, endpoint *endpointRecord) bool {
+	return endpoint.State == StateReady &&
+		(endpoint.redirectedAt == 0 || b.now >= endpoint.redirectedAt+redirectedDuration) &&
+		request.withinScope(endpoint) && !slices.Contains(request.triedEndpoints, endpoint.ID) &&
+		b.slowStartAllows(request, endpoint)
 }
 
-// drawWeight is the controller's weight by size, warmth, zone and load. The load
-// guards against placing by set-ups alone, blind to what already stands.
-func (b *Balancer) drawWeight(s *server, meanLoad float64) float64 {
-	w := s.weightAt(b.now) * s.size() * b.warmth(s) * b.spare(s)
-	if b.set.CrossZoneCost > 0 && s.Zone == b.set.Zone {
-		w *= 1 + (ownZone-1)*min(1, fewRelays/float64(b.set.Relays))
+// drawWeight is the endpoint's weight in the draw: the controller's weight by size, warmth, headroom,
+// zone and load. The load guards against placing by set-ups alone, blind to established connections.
+// meanLoad is the load of a ready endpoint by size; not above 0 if there is none.
+func (b *Balancer) drawWeight(endpoint *endpointRecord, meanLoad float64) float64 {
+	warmth := b.warmth(endpoint)
+	weight := endpoint.currentWeight(b.now) * endpoint.relativeSize() * warmth * b.headroom(endpoint)
+	if b.settings.CrossZoneCost > 0 && endpoint.Zone == b.settings.Zone {
+		weight *= 1 + (localZoneFactor-1)*min(1, maxFewRelays/float64(b.settings.Relays))
 	}
 	if meanLoad > 0 {
-		w /= math.Pow(1+(s.demand()+1)/s.size()/b.warmth(s)/meanLoad, crowding)
+		weight /= math.Pow(1+(endpoint.demand()+1)/endpoint.relativeSize()/warmth/meanLoad, loadExponent)
 	}
-	return w
+	return weight
 }
 
-// spare is the part of their wanted time that messages at a server leave. It
-// guards against filling servers until they are slow, as delays grow before. For
-// those that are, requests wait: their crowd must not move on to the next.
-func (b *Balancer) spare(s *server) float64 {
-	if b.aim == 0 || s.delay > b.aim || b.now >= s.delayAt+slowLife {
+// headroom is the share of their latency objective that messages at the endpoint leave. It guards
+// against filling an endpoint until it is slow, as delays grow before that. It is 1 for an endpoint
+// that is already slow: requests are held for it, lest all of them move on to the next.
+func (b *Balancer) headroom(endpoint *endpointRecord) float64 {
+	objective := b.messageObjective
+	if objective == 0 || endpoint.delay > objective || b.now >= endpoint.delayAt+slowDuration {
 		return 1
 	}
-	return max(spareLeast, 1-float64(s.delay)/float64(b.aim))
+	return max(minHeadroom, 1-float64(endpoint.delay)/float64(objective))
 }
 
-// many tells whether there are so many relays that each sees little.
-func (b *Balancer) many() bool { return b.set.Relays > fewRelays }
+// manyRelays reports whether there are so many relays that each sees little of the fleet.
+func (b *Balancer) manyRelays() bool { return b.settings.Relays > maxFewRelays }
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,62 +7,66 @@
 	"time"
 )
 
-// Effect says what sending a request of a class more than once does.
+// Effect is what sending a request of a class more than once does.
 type Effect uint8
 
 // The effects of sending a request more than once.
 const (
-	Idempotent   Effect = iota // safe to repeat anywhere
+	Idempotent   Effect = iota // safe to repeat at any endpoint
 	Deduplicated               // repeats are dropped within a scope, for a while
 	AtMostOnce                 // unsafe to repeat
 )
 
-// Scope is the set of servers that drop each other's repeats of a request.
+// Scope is the set of endpoints that drop each other's repeats of a request.
 type Scope uint8
 
 // The scopes of deduplication.
 const (
-	ScopeAll  Scope = iota // every server
-	ScopeZone              // the servers of one zone
-	ScopeCell              // the servers of one cell
+	ScopeAll  Scope = iota // all endpoints
+	ScopeZone              // the endpoints of one zone
+	ScopeCell              // the endpoints of one cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Name                    string        // as clients call it; "" where they use its number
-	LatencyObjective        time.Duration // wanted time to set a connection up
-	Deadline                time.Duration // time a client waits over all its tries
+	Name                    string        // as clients call it; "" where they use its index
+	LatencyObjective        time.Duration // of a set-up; slower ones don't raise the concurrency limit
+	Deadline                time.Duration // how long a client waits, over all attempts
 	Effect                  Effect
-	Scope                   Scope         // for Deduplicated
-	DeduplicationWindow     time.Duration // for Deduplicated: how long repeats are known
-	MessageLatencyObjective time.Duration // wanted time of a message on an open connection; 0 if unknown
+	Scope                   Scope         // if Deduplicated
+	DeduplicationWindow     time.Duration // if Deduplicated: how long endpoints drop repeats
+	MessageLatencyObjective time.Duration // of a message on an established connection; 0 if unknown
 }
 
-// Settings is what a relay is told. Nobody changes one: other settings are another
-// value, and a request keeps to its end those that it began under.
+// Settings are what a relay knows of its deployment. Nobody changes a Settings value: other settings are
+// another value, and a request keeps to its end those that it arrived under.
 type Settings struct {
-	Classes []Class
+	Classes []Class  // at least one
 	Tenants []string // whose requests are told apart; none: requests have no tenant
-	Relays  int      // relays that share the servers, this one included
-	Zone    int      // zone of this relay
+	Relays  int      // that share the endpoints, this one included; each sends that share of slow starts
+	Zone    int      // of this relay
 
-	PollList       bool          // the server list comes only when asked for
-	PollInterval   time.Duration // with Ask: how often it must be asked for without a subscription
-	MaxAttempts    int           // attempts a request may have
+	PollList     bool          // the endpoint list comes only when asked for
+	PollInterval time.Duration // with PollList: how often to ask at least, without a subscription
+
+	MaxAttempts    int           // of a request; more serve more requests in trouble, and add to its load
 	MinTick        time.Duration // shortest time between two events at different times
-	ConnectTimeout time.Duration // a connection not made by then has failed
+	ConnectTimeout time.Duration // a connection that is not made by then has failed
 
-	MaxRetryAfter time.Duration // longest advice to clients that they follow; 0 if refusals carry none
+	MaxRetryAfter time.Duration // longest retry-after that clients heed; 0 if rejections carry none
 
-	InitialCapacity   float64       // part of its capacity that a started server has at once
-	SlowStartDuration time.Duration // time by which a started server is warm
-	OverloadMultiple  float64       // a cold server sent more than this multiple of its capacity
-	OverloadWindow    time.Duration // for this long falls over
+	// An endpoint that has started has InitialCapacity of its capacity at once, above 0 and up to 1, and
+	// all of it after SlowStartDuration. Sent more than OverloadMultiple of its capacity for
+	// OverloadWindow, it falls over. A longer window or a lower multiple make slow starts slower.
+	InitialCapacity   float64
+	SlowStartDuration time.Duration
+	OverloadMultiple  float64
+	OverloadWindow    time.Duration
 
-	CrossZoneCost float64 // price of every connection crossing zones
+	CrossZoneCost float64 // of each connection that crosses zones; 0: zones don't matter
 
-	// What servers tell of open connections: their loads, and how long a message takes.
-	// Wires that have one word for both need to know.
+	// What endpoints report of established connections: their loads, and how long a message takes.
+	// A protocol that has one word for both needs to know.
 	ReportsLoad, ReportsDelay bool
 }
 
@@ -95,34 +99,36 @@
 	return nil
 }
 
-// ClassIndex returns the number of a class by its name; -1 if there is none.
+// ClassIndex returns the index of a class by its name; -1 if there is none.
 func (s *Settings) ClassIndex(class string) int {
 	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == class })
 }
 
-// AcceptsTenant tells whether a request may be of a tenant: one of those named, where any is.
+// AcceptsTenant reports whether a request may be of a tenant: one of Tenants, where there are any.
 func (s *Settings) AcceptsTenant(tenant string) bool {
 	return len(s.Tenants) == 0 || slices.Contains(s.Tenants, tenant)
 }
 
-// class guards against a class the settings don't name: it is held unsafe.
-func (s *Settings) class(i int) *Class {
+// classAt returns a class by its index. A class that the settings don't have is taken as unsafe to repeat.
+func (s *Settings) classAt(i int) *Class {
 	if i < 0 || i >= len(s.Classes) {
 		return &Class{Effect: AtMostOnce}
 	}
 	return &s.Classes[i]
 }
 
-// shortestAim is the shortest wanted time of a message; 0 if none is known.
-func (s *Settings) shortestAim() time.Duration {
-	var aim time.Duration
+// shortestMessageObjective is the shortest latency objective of a message in any class; 0 if none has one.
+func (s *Settings) shortestMessageObjective() time.Duration {
+	var objective time.Duration
 	for _, c := range s.Classes {
-		if c.MessageLatencyObjective > 0 && (aim == 0 || c.MessageLatencyObjective < aim) {
-			aim = c.MessageLatencyObjective
+		if c.MessageLatencyObjective > 0 && (objective == 0 || c.MessageLatencyObjective < objective) {
+			objective = c.MessageLatencyObjective
 		}
 	}
-	return aim
+	return objective
 }
 
-// retune puts other settings in force.
-func (b *Balancer) retune(s *Settings) { b.set, b.aim = s, s.shortestAim() }
+// handleSettings puts other settings in force.
+func (b *Balancer) handleSettings(settings *Settings) {
+	b.settings, b.messageObjective = settings, settings.shortestMessageObjective()
+}
--- a/balancer/setuptime.go
+++ b/balancer/setuptime.go
@@ -1,39 +1,39 @@
 package balancer
 
-import (
-	"time"
+import "time"
+
+const (
+	// setupTimeValidity is how long an estimate holds: what slows all set-ups passes within it.
+	setupTimeValidity = 30 * time.Second
 )
 
-// setups is how long set-ups take now, as far as a relay that may see few of them can tell.
-type setups struct {
-	took time.Duration
-	at   time.Duration // it was last heard of
+// setupTimeEstimate is how long set-ups take now, as far as a relay can tell that may see few of them.
+type setupTimeEstimate struct {
+	estimate  time.Duration
+	updatedAt time.Duration
 
-	cut time.Duration // one was given up after this, at the server by, and none has stood since; 0: none was
-	by  EndpointID
+	timedOutAfter    time.Duration // of an attempt since which none was established; 0 if there is none
+	timedOutEndpoint EndpointID    // of that attempt
 }
 
-// setupLife is how long that holds: what slows all set-ups passes within it.
-const setupLife = 30 * time.Second
-
-// usual is the time that a set-up takes; 0 if none was seen lately.
-func (u *setups) usual(now time.Duration) time.Duration {
-	if now >= u.at+setupLife {
+// current is the time that a set-up takes; 0 if none was seen lately.
+func (e *setupTimeEstimate) current(now time.Duration) time.Duration {
+	if now >= e.updatedAt+setupTimeValidity {
 		return 0
 	}
-	return u.took
+	return e.estimate
 }
 
-// stood notes a set-up that stands. A quick one halves what a slow one has left behind.
-func (u *setups) stood(took, now time.Duration) {
-	u.took, u.at, u.cut = max(took, (u.usual(now)+took)/2), now, 0
+// observeEstablished takes in a set-up that succeeded. A quick one halves what a slow one has left.
+func (e *setupTimeEstimate) observeEstablished(took, now time.Duration) {
+	e.estimate, e.updatedAt, e.timedOutAfter = max(took, (e.current(now)+took)/2), now, 0
 }
 
-// cutOff notes one that was given up after a time. One server may hang; where a second keeps a set-up as
-// long, with none that stood between them, it is what they take at the least.
-func (u *setups) cutOff(at EndpointID, after, now time.Duration) {
-	if u.cut > 0 && u.by != at {
-		u.took, u.at = max(u.cut, after, u.usual(now)), now
+// observeTimeout takes in a set-up that timed out. A single endpoint may hang. Where a second one takes
+// as long, and nothing was established between them, set-ups take at least that time.
+func (e *setupTimeEstimate) observeTimeout(endpoint EndpointID, after, now time.Duration) {
+	if e.timedOutAfter > 0 && e.timedOutEndpoint != endpoint {
+		e.estimate, e.updatedAt = max(e.timedOutAfter, after, e.current(now)), now
 	}
-	u.cut, u.by = max(after, u.cut), at
+	e.timedOutAfter, e.timedOutEndpoint = max(after, e.timedOutAfter), endpoint
 }
--- a/balancer/sieve_test.go
+++ b/balancer/sieve_test.go
@@ -9,20 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// plainDraw is the draw as it is without a sieve and without accounts: every server is
+// fullDraw is the draw as it is without a sieve and without accounts: every server is
 // looked at, and all sums are made anew.
-func (b *Balancer) plainDraw(q *request) *server {
-	load, size, _, slow := b.added(b.fleet.servers)
-	if s := b.coldTurn(q); s != nil {
+func (b *Balancer) fullDraw(q *requestRecord) *endpointRecord {
+	totals := b.sumTotals(b.endpoints.sorted)
+	load, size, slow := totals.load, totals.size, totals.slowSize
+	if s := b.slowStartCandidate(q); s != nil {
 		return s
 	}
-	var best *server
+	var best *endpointRecord
 	least := math.Inf(1)
-	for _, s := range b.fleet.servers {
-		if !b.usable(q, s) || slow < slowPart*size && s.slowAt(b.now) || slow < easePart*size && b.mustWait(s) {
+	for _, s := range b.endpoints.sorted {
+		if !b.eligible(q, s) || slow < slowAvoidanceShare*size && s.isSlow(b.now) || slow < recoveryAvoidanceShare*size && b.mustHold(s) {
 			continue
 		}
-		if d := b.chance(q.key(), s) / b.drawWeight(s, load/size); d < least {
+		if d := b.exponentialVariate(q.routeKey(), s) / b.drawWeight(s, load/size); d < least {
 			best, least = s, d
 		}
 	}
@@ -32,22 +33,22 @@
 // The accounts of a large fleet, and the servers that a draw passes over unseen, change
 // no decision: by random steps, each draw falls where one that looks at every server
 // does, and the sums are those added up anew.
-func TestLargeFleetIsDrawnFromAsASmallOne(t *testing.T) {
+func TestFilteredDrawEqualsFullDraw(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		set := testSettings()
-		set.Relays = rapid.IntRange(1, 8).Draw(rt, "relays")
-		set.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
-		n := rapid.IntRange(largeFleet, 3*largeFleet).Draw(rt, "servers")
-		list := ready(n)
+		settings := testSettings()
+		settings.Relays = rapid.IntRange(1, 8).Draw(rt, "relays")
+		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
+		n := rapid.IntRange(largeTableSize, 3*largeTableSize).Draw(rt, "servers")
+		list := readyEndpoints(n)
 		for i := range list {
 			list[i].Zone = i % 3
 			list[i].Weight = 1 + float64(i%4)/2
 		}
-		r := newRelay(t, set, list...)
+		relay := newTestRelay(t, settings, list...)
 		server := rapid.Map(rapid.IntRange(1, n), func(i int) EndpointID { return EndpointID(i) })
 		out, up := make(map[RequestID]EndpointID), make(map[RequestID]EndpointID)
-		take := func(done []Action) {
-			for _, a := range done {
+		take := func(actions []Action) {
+			for _, a := range actions {
 				switch a := a.(type) {
 				case SendAttempt:
 					out[a.Request] = a.Endpoint
@@ -60,62 +61,64 @@
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"": func(rt *rapid.T) {
-				r.b.now, r.b.fleet.summed = r.now, false
-				l, z, w, s := r.b.totals()
-				l0, z0, w0, s0 := r.b.added(r.b.fleet.servers)
-				for i, d := range [][2]float64{{l, l0}, {z, z0}, {w, w0}, {s, s0}} {
+				relay.balancer.now, relay.balancer.endpoints.eventTotalsValid = relay.now, false
+				kept := relay.balancer.totals()
+				summed := relay.balancer.sumTotals(relay.balancer.endpoints.sorted)
+				for i, d := range [][2]float64{
+					{kept.load, summed.load}, {kept.size, summed.size}, {kept.warmSize, summed.warmSize}, {kept.slowSize, summed.slowSize},
+				} {
 					if math.Abs(d[0]-d[1]) > 1e-6*(1+d[1]) {
 						rt.Fatalf("sum %d is kept as %v, added up %v", i, d[0], d[1])
 					}
 				}
 				for key := range uint64(4) {
-					q := &request{Request: Request{Group: 1 + key*7919 + uint64(r.next)}, class: &set.Classes[0], giveUp: r.now + time.Second}
-					r.b.fleet.summed = false
-					if got, want := r.b.draw(q), r.b.plainDraw(q); got != want {
+					q := &requestRecord{Request: Request{Group: 1 + key*7919 + uint64(relay.lastID)}, class: &settings.Classes[0], deadline: relay.now + time.Second}
+					relay.balancer.endpoints.eventTotalsValid = false
+					if got, want := relay.balancer.drawEndpoint(q), relay.balancer.fullDraw(q); got != want {
 						rt.Fatalf("group %d is drawn to %v, looking at all it is %v", q.Group, got, want)
 					}
 				}
 			},
 			"ask": func(rt *rapid.T) {
 				for range rapid.IntRange(1, 20).Draw(rt, "n") {
-					r.next++
-					take(r.do(Request{ID: r.next, Group: rapid.Uint64Range(1, 500).Draw(rt, "group"), TimeLeft: 2 * time.Second}))
+					relay.lastID++
+					take(relay.handle(Request{ID: relay.lastID, Group: rapid.Uint64Range(1, 500).Draw(rt, "group"), TimeLeft: 2 * time.Second}))
 				}
 			},
 			"stand": func(_ *rapid.T) {
 				for id, s := range out {
 					delete(out, id)
 					up[id] = s
-					take(r.do(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
-					take(r.do(ConnectionLoad{Request: id, Endpoint: s, Load: 0.01 + float64(id%7)/20}))
+					take(relay.handle(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
+					take(relay.handle(ConnectionLoad{Request: id, Endpoint: s, Load: 0.01 + float64(id%7)/20}))
 				}
 			},
 			"fail": func(_ *rapid.T) {
 				for id, s := range out {
 					delete(out, id)
-					take(r.do(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(1 + id%5)}))
+					take(relay.handle(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(1 + id%5)}))
 				}
 			},
 			"end": func(_ *rapid.T) {
 				for id, s := range up {
 					if delete(up, id); id%2 == 0 {
-						take(r.do(Outcome{Request: id, Endpoint: s, Status: StatusOK, Final: true}))
+						take(relay.handle(Outcome{Request: id, Endpoint: s, Status: StatusOK, Final: true}))
 					}
 				}
 			},
 			"slow": func(rt *rapid.T) {
 				for range rapid.IntRange(1, n/2).Draw(rt, "n") {
-					take(r.do(EndpointDelay{Endpoint: server.Draw(rt, "server"), Delay: time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * ms}))
+					take(relay.handle(EndpointDelay{Endpoint: server.Draw(rt, "server"), Delay: time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * ms}))
 				}
 			},
 			"list": func(rt *rapid.T) {
-				line := Endpoint{ID: server.Draw(rt, "server"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
+				listed := Endpoint{ID: server.Draw(rt, "server"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
-					line.StartedAt = r.now
+					listed.StartedAt = relay.now
 				}
-				take(r.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}}))
+				take(relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 			},
-			"pass": func(rt *rapid.T) { take(r.pass(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * ms)) },
+			"pass": func(rt *rapid.T) { take(relay.advance(time.Duration(rapid.IntRange(1, 4000).Draw(rt, "ms")) * ms)) },
 		})
 	})
 }
@@ -126,25 +129,25 @@
 	for _, n := range []int{5, 12, 60, 100, 1000, 5000} {
 		for _, how := range []string{"looking at all", "as it is"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
-				m := New(testSettings(), 1)
-				m.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: ready(n)})
+				balancer := New(testSettings(), 1)
+				balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
 				for i := range 6 * n { // what stands on them differs
 					id := RequestID(i + 1)
-					for _, a := range m.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), TimeLeft: 2 * time.Second}) {
+					for _, a := range balancer.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), TimeLeft: 2 * time.Second}) {
 						if s, ok := a.(SendAttempt); ok {
-							m.Handle(time.Hour+time.Duration(i)*ms, Established{Request: id, Endpoint: s.Endpoint})
+							balancer.Handle(time.Hour+time.Duration(i)*ms, Established{Request: id, Endpoint: s.Endpoint})
 						}
 					}
 				}
-				q := &request{class: &m.set.Classes[0]}
+				q := &requestRecord{class: &balancer.settings.Classes[0]}
 				b.ResetTimer()
 				for i := range b.N {
 					q.Group = uint64(i) + 1<<40
-					m.fleet.summed = false
+					balancer.endpoints.eventTotalsValid = false
 					if how == "as it is" {
-						m.draw(q)
+						balancer.drawEndpoint(q)
 					} else {
-						m.plainDraw(q)
+						balancer.fullDraw(q)
 					}
 				}
 			})
@@ -154,14 +157,14 @@
 
 // After the last connection nothing is left of the load, not even what rounding leaves: by a mean of next to nothing,
 // servers that had one counted as crowded beyond measure.
-func TestNothingIsLeftOfTheLoadOfAnEmptyFleet(t *testing.T) {
-	r := newRelay(t, testSettings(), ready(3)...)
+func TestNoLoadRemainsAfterTheLastConnection(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
 	var up []RequestID
 	for id := RequestID(1); id <= 30; id++ {
-		for _, a := range r.do(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
+		for _, a := range relay.handle(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
 			if s, sent := a.(SendAttempt); sent {
-				r.do(Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * ms})
-				r.do(ConnectionLoad{Request: id, Endpoint: s.Endpoint, Load: 0.1 * float64(id)})
+				relay.handle(Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * ms})
+				relay.handle(ConnectionLoad{Request: id, Endpoint: s.Endpoint, Load: 0.1 * float64(id)})
 				up = append(up, id)
 			}
 		}
@@ -170,12 +173,12 @@
 		t.Fatalf("%d connections stand", len(up))
 	}
 	for _, id := range up {
-		r.do(Outcome{Request: id, Status: StatusOK, Final: true})
+		relay.handle(Outcome{Request: id, Status: StatusOK, Final: true})
 	}
-	if load, _, _, _ := r.b.totals(); load != 0 {
+	if load := relay.balancer.totals().load; load != 0 {
 		t.Errorf("the kept load is %v", load)
 	}
-	for _, s := range r.b.fleet.servers {
+	for _, s := range relay.balancer.endpoints.sorted {
 		if s.demand() != 0 {
 			t.Errorf("server %d has a demand of %v", s.ID, s.demand())
 		}
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,23 +6,25 @@
 	"time"
 )
 
-// routesKept bounds the routes that are taken over; those confirmed last come first.
-const routesKept = 4096
+// maxSnapshotRoutes bounds the routes in a snapshot. Those confirmed last come first.
+const maxSnapshotRoutes = 4096
 
-// Snapshot is what a Balancer has learnt.
+// Snapshot is what a Balancer has observed, in a form that the Balancer of the same relay's next process
+// restores. Times are on the clock that the two have in common. The names in the tags are those of the
+// stored form, which other versions read.
 type Snapshot struct {
-	Salt              uint64             `json:"Salt" cbor:"Salt"` // turns stay where they are
+	Salt              uint64             `json:"Salt" cbor:"Salt"` // slots stay where they are
 	Endpoints         []EndpointSnapshot `json:"Servers" cbor:"Servers"`
 	Routes            []RouteSnapshot    `json:"Routes" cbor:"Routes"`
-	RecentSetups      CounterSnapshot    `json:"Recent" cbor:"Recent"` // set-ups that warm servers took
-	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // requests
+	RecentSetups      CounterSnapshot    `json:"Recent" cbor:"Recent"` // connections that warm endpoints took
+	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // requests that were drawn for
 	SetupsPerSize     float64            `json:"PerSize" cbor:"PerSize"`
-	MeanLoad          float64            `json:"Load" cbor:"Load"` // of a connection, as told
+	MeanLoad          float64            `json:"Load" cbor:"Load"` // of a connection
 	LoadSamples       float64            `json:"Loads" cbor:"Loads"`
-	ConcurrencyWindow float64            `json:"Window" cbor:"Window"` // set-ups that may be under way
+	ConcurrencyWindow float64            `json:"Window" cbor:"Window"` // set-ups that may be in flight
 }
 
-// EndpointSnapshot is what was learnt of a server.
+// EndpointSnapshot is what was observed of an endpoint. Times are 0 for what never happened.
 type EndpointSnapshot struct {
 	ID            EndpointID    `json:"ID" cbor:"ID"`
 	Weight        float64       `json:"Weight" cbor:"Weight"`
@@ -39,98 +41,133 @@
 	StartedAt     time.Duration `json:"LastBorn" cbor:"LastBorn"`
 }
 
-// RouteSnapshot is the route of a group.
+// RouteSnapshot is a cached route.
 type RouteSnapshot struct {
 	Key       uint64        `json:"Key" cbor:"Key"`
 	Endpoint  EndpointID    `json:"Server" cbor:"Server"`
 	ExpiresAt time.Duration `json:"Until" cbor:"Until"`
 }
 
-// CounterSnapshot is a count in which what is past fades.
+// CounterSnapshot is the state of an exponentially decaying counter.
 type CounterSnapshot struct {
 	Count       float64       `json:"Count" cbor:"Count"`
 	UpdatedAt   time.Duration `json:"Since" cbor:"Since"`
 	CountedFrom time.Duration `json:"From" cbor:"From"`
 }
 
-// Snapshot returns what the Balancer has learnt.
+// Snapshot returns what the Balancer has observed, for another process to restore.
 func (b *Balancer) Snapshot() Snapshot {
-	m := Snapshot{
-		Salt: b.salt, RecentSetups: b.fleet.recent.memory(), ArrivalRate: b.pace.memory(),
-		SetupsPerSize: b.fleet.perSize, MeanLoad: b.fleet.load,
-		LoadSamples: b.fleet.loads, ConcurrencyWindow: b.window.size,
+	snapshot := Snapshot{
+		Salt:              b.salt,
+		RecentSetups:      b.endpoints.recentSetups.snapshot(),
+		ArrivalRate:       b.arrivalRate.snapshot(),
+		SetupsPerSize:     b.endpoints.setupsPerSize,
+		MeanLoad:          b.endpoints.meanLoad,
+		LoadSamples:       b.endpoints.loadSamples,
+		ConcurrencyWindow: b.concurrency.limit,
 	}
-	for _, s := range b.fleet.servers {
-		m.Endpoints = append(m.Endpoints, EndpointSnapshot{
-			s.ID, s.weight, s.weighed, s.lastSent, s.stoodAt, s.failedAt, s.lastSlow, s.delay, s.delayAt,
-			s.relieved, s.drainAt, s.awayAt, s.StartedAt,
-		})
+	for _, endpoint := range b.endpoints.sorted {
+		snapshot.Endpoints = append(snapshot.Endpoints, endpoint.snapshot())
 	}
-	for _, r := range b.routes.ring {
-		if b.now < r.until {
-			m.Routes = append(m.Routes, RouteSnapshot{r.key, r.server, r.until})
+	for _, route := range b.routes.ring {
+		if b.now < route.expiresAt {
+			snapshot.Routes = append(snapshot.Routes, RouteSnapshot{
+				Key: route.key, Endpoint: route.endpoint, ExpiresAt: route.expiresAt,
+			})
 		}
 	}
-	slices.SortFunc(m.Routes, func(x, y RouteSnapshot) int { return cmp.Compare(y.ExpiresAt, x.ExpiresAt) })
-	m.Routes = m.Routes[:min(len(m.Routes), routesKept)]
-	return m
+	slices.SortFunc(snapshot.Routes, func(first, second RouteSnapshot) int {
+		return cmp.Compare(second.ExpiresAt, first.ExpiresAt)
+	})
+	snapshot.Routes = snapshot.Routes[:min(len(snapshot.Routes), maxSnapshotRoutes)]
+	return snapshot
 }
 
-// Restore takes over what another has learnt, for those who drive a Balancer without a Facade.
-func (b *Balancer) Restore(now time.Duration, m Snapshot) {
+// Restore restores what another Balancer has observed of the endpoints that are listed. It is for those
+// who drive a Balancer without a Loop.
+func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	b.now = now
-	b.restoreSnapshot(m)
+	b.restoreSnapshot(snapshot)
 }
 
-// restoreSnapshot takes over what another has learnt, of the servers that are listed. What was
-// learnt of a server before its last start is left aside.
-func (b *Balancer) restoreSnapshot(m Snapshot) {
-	b.salt = m.Salt
-	b.fleet.recent.restore(m.RecentSetups)
-	b.pace.restore(m.ArrivalRate)
-	b.fleet.perSize, b.fleet.load, b.fleet.loads = m.SetupsPerSize, m.MeanLoad, m.LoadSamples
-	b.window.size = min(windowMax, max(1, m.ConcurrencyWindow))
-	for _, k := range m.Endpoints {
-		s := b.fleet.find(k.ID)
-		if s == nil || s.StartedAt > k.StartedAt {
+// restoreSnapshot restores a snapshot at the time b.now. What was observed of an endpoint before its last
+// start is left aside.
+func (b *Balancer) restoreSnapshot(snapshot Snapshot) {
+	b.salt = snapshot.Salt
+	b.endpoints.recentSetups.restore(snapshot.RecentSetups)
+	b.arrivalRate.restore(snapshot.ArrivalRate)
+	b.endpoints.setupsPerSize = snapshot.SetupsPerSize
+	b.endpoints.meanLoad, b.endpoints.loadSamples = snapshot.MeanLoad, snapshot.LoadSamples
+	b.concurrency.limit = min(maxConcurrency, max(1, snapshot.ConcurrencyWindow))
+	for _, saved := range snapshot.Endpoints {
+		endpoint := b.endpoints.find(saved.ID)
+		if endpoint == nil || endpoint.StartedAt > saved.StartedAt {
 			continue
 		}
-		s.weight, s.weighed = min(weightCeil, max(weightFloor, k.Weight)), k.WeightSetAt
-		s.lastSent, s.stoodAt, s.failedAt = k.LastAttemptAt, k.EstablishedAt, k.FailedAt
-		s.lastSlow, s.delay, s.delayAt = k.SlowAt, k.Delay, k.DelayAt
-		s.relieved, s.drainAt, s.awayAt = k.RelievedAt, k.DrainingSince, k.RedirectedAt
+		endpoint.restore(saved)
 	}
-	b.fleet.sure = false
-	for _, r := range slices.Backward(m.Routes) { // those confirmed last stay longest
-		if b.fleet.find(r.Endpoint) != nil && b.now < r.ExpiresAt {
-			b.routes.put(r.Key, r.Endpoint, r.ExpiresAt)
+	b.endpoints.totalsValid = false
+	for _, route := range slices.Backward(snapshot.Routes) { // those confirmed last stay longest
+		if b.endpoints.find(route.Endpoint) != nil && b.now < route.ExpiresAt {
+			b.routes.put(route.Key, route.Endpoint, route.ExpiresAt)
 		}
 	}
 }
 
-// Renumber gives servers the numbers that they have here; those without one are left out.
-func (m *Snapshot) Renumber(number func(EndpointID) (EndpointID, bool)) {
-	known := func(id *EndpointID) bool {
-		n, ok := number(*id)
-		*id = n
+// Renumber gives endpoints the IDs that they have in this process; those without one are left out.
+func (s *Snapshot) Renumber(number func(EndpointID) (EndpointID, bool)) {
+	renumber := func(id *EndpointID) bool {
+		newID, ok := number(*id)
+		*id = newID
 		return ok
 	}
-	servers, routes := m.Endpoints, m.Routes
-	m.Endpoints, m.Routes = nil, nil
-	for _, s := range servers {
-		if known(&s.ID) {
-			m.Endpoints = append(m.Endpoints, s)
+	endpoints, routes := s.Endpoints, s.Routes
+	s.Endpoints, s.Routes = nil, nil
+	for _, endpoint := range endpoints {
+		if renumber(&endpoint.ID) {
+			s.Endpoints = append(s.Endpoints, endpoint)
 		}
 	}
-	for _, r := range routes {
-		if known(&r.Endpoint) {
-			m.Routes = append(m.Routes, r)
+	for _, route := range routes {
+		if renumber(&route.Endpoint) {
+			s.Routes = append(s.Routes, route)
 		}
 	}
 }
 
-func (f *fading) memory() CounterSnapshot { return CounterSnapshot{f.count, f.since, f.from} }
+func (e *endpointRecord) snapshot() EndpointSnapshot {
+	return EndpointSnapshot{
+		ID:            e.ID,
+		Weight:        e.weight,
+		WeightSetAt:   e.weightSetAt,
+		LastAttemptAt: e.lastAttemptAt,
+		EstablishedAt: e.establishedAt,
+		FailedAt:      e.failedAt,
+		SlowAt:        e.lastSlowAt,
+		Delay:         e.delay,
+		DelayAt:       e.delayAt,
+		RelievedAt:    e.relievedAt,
+		DrainingSince: e.drainingSince,
+		RedirectedAt:  e.redirectedAt,
+		StartedAt:     e.StartedAt,
+	}
+}
+
+func (e *endpointRecord) restore(saved EndpointSnapshot) {
+	e.weight, e.weightSetAt = min(maxWeight, max(minWeight, saved.Weight)), saved.WeightSetAt
+	e.lastAttemptAt = saved.LastAttemptAt
+	e.establishedAt = saved.EstablishedAt
+	e.failedAt = saved.FailedAt
+	e.lastSlowAt, e.delay, e.delayAt = saved.SlowAt, saved.Delay, saved.DelayAt
+	e.relievedAt = saved.RelievedAt
+	e.drainingSince = saved.DrainingSince
+	e.redirectedAt = saved.RedirectedAt
+}
+
+func (c *decayingCounter) snapshot() CounterSnapshot {
+	return CounterSnapshot{Count: c.count, UpdatedAt: c.updatedAt, CountedFrom: c.countedFrom}
+}
 
-func (f *fading) restore(m CounterSnapshot) {
-	f.count, f.since, f.from = m.Count, m.UpdatedAt, m.CountedFrom
+func (c *decayingCounter) restore(snapshot CounterSnapshot) {
+	c.count, c.updatedAt, c.countedFrom = snapshot.Count, snapshot.UpdatedAt, snapshot.CountedFrom
 }
--- a/balancer/timerheap.go
+++ b/balancer/timerheap.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-type alarm struct {
+// timerEntry is a timer that a Balancer has set.
+type timerEntry struct {
 	at    time.Duration
 	token uint32
 }
 
-// timerHeap holds the timers that are set, the first due on top.
-type timerHeap []alarm
+// timerHeap holds the timers that are set, the next one on top; of equal times the one set first. It
+// implements heap.Interface.
+type timerHeap []timerEntry
 
 func (h timerHeap) Len() int { return len(h) }
 
@@ -21,7 +23,7 @@
 
 func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(alarm)) }
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timerEntry)) }
 
 func (h *timerHeap) Pop() any {
 	last := (*h)[len(*h)-1]
--- a/balancer/why_test.go
+++ b/balancer/why_test.go
@@ -10,185 +10,187 @@
 	"pgregory.net/rapid"
 )
 
-// watched is a relay whose decisions are kept.
-type watched struct {
-	*relay
-	told []Decision
-	of   []RequestID
+// observedRelay is a relay whose decisions are kept.
+type observedRelay struct {
+	*testRelay
+	decisions  []Decision
+	requestIDs []RequestID
 }
 
-func newWatched(t *testing.T, s Settings, servers ...Endpoint) *watched {
-	w := &watched{relay: newRelay(t, s, servers...)}
-	w.b.Observe(func(id RequestID, d *Decision) {
-		kept := *d
-		kept.Considered = slices.Clone(d.Considered)
-		w.told, w.of = append(w.told, kept), append(w.of, id)
+func newObservedRelay(t *testing.T, settings Settings, endpoints ...Endpoint) *observedRelay {
+	relay := &observedRelay{testRelay: newTestRelay(t, settings, endpoints...)}
+	relay.balancer.Observe(func(id RequestID, decision *Decision) {
+		kept := *decision
+		kept.Considered = slices.Clone(decision.Considered)
+		relay.decisions, relay.requestIDs = append(relay.decisions, kept), append(relay.requestIDs, id)
 	})
-	return w
+	return relay
 }
 
-// last returns the last decision, which has to be as wanted.
-func (w *watched) last(v Verdict, why Reason) Decision {
+// wantLast returns the last decision, which has to be as wanted.
+func (w *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
 	w.t.Helper()
-	if len(w.told) == 0 {
-		w.t.Fatalf("nothing was told, want %v: %v", v, why)
+	if len(w.decisions) == 0 {
+		w.t.Fatalf("nothing was told, want %v: %v", verdict, reason)
 	}
-	d := w.told[len(w.told)-1]
-	if d.Verdict != v || d.Reason != why {
-		w.t.Fatalf("told %v: %v, want %v: %v", d.Verdict, d.Reason, v, why)
+	decision := w.decisions[len(w.decisions)-1]
+	if decision.Verdict != verdict || decision.Reason != reason {
+		w.t.Fatalf("told %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
 	}
-	return d
+	return decision
 }
 
-// slow has a server be slow from now on.
-func (w *watched) slow(id EndpointID) { w.do(EndpointDelay{Endpoint: id, Delay: 3 * time.Second}) }
+// makeSlow has a server be slow from now on.
+func (w *observedRelay) makeSlow(id EndpointID) {
+	w.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
+}
 
-func TestEveryReasonIsTold(t *testing.T) {
+func TestEveryReasonIsObserved(t *testing.T) {
 	const group = 7
 	t.Run("a cached route, and what passes it over", func(t *testing.T) {
-		w := newWatched(t, testSettings(), ready(4)...)
-		id, home := w.open(group)
-		if d := w.last(VerdictSent, ReasonWeightedDraw); d.Endpoint != home || d.Attempt != 1 || len(d.Considered) != MaxConsidered || d.ReadyEndpoints != 4 {
-			t.Errorf("told %+v", d)
+		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
+		id, home := relay.connect(group)
+		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != home || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
+			t.Errorf("told %+v", decision)
 		}
-		w.open(group)
-		if d := w.last(VerdictSent, ReasonCachedRoute); d.Endpoint != home || d.Considered[0].Endpoint != home || d.Considered[0].Load <= 0 || d.Preferred != -1 {
-			t.Errorf("told %+v", d)
+		relay.connect(group)
+		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.Preferred != -1 {
+			t.Errorf("told %+v", decision)
 		}
-		w.do(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
-		w.slow(home)
-		w.last(VerdictMigrated, ReasonLoadRelief)
+		relay.handle(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
+		relay.makeSlow(home)
+		relay.wantLast(VerdictMigrated, ReasonLoadRelief)
 		// A group that has lost its route is drawn past the slow server, and told so.
-		w.do(Established{})
-		w.b.routes.put(group, home, w.now+time.Minute)
-		w.ask(group)
-		d := w.last(VerdictSent, ReasonRouteSlow)
-		if d.Endpoint == home || d.Preferred < 0 || d.Considered[d.Preferred].Endpoint != home || d.Considered[d.Preferred].Exclusions&ExcludedSlow == 0 ||
-			d.Considered[d.Preferred].Delay != 3*time.Second || d.Considered[d.Preferred].DelayAge != 0 || d.SlowShare != 0.25 {
-			t.Errorf("told %+v", d)
+		relay.handle(Established{})
+		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.request(group)
+		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
+		if decision.Endpoint == home || decision.Preferred < 0 || decision.Considered[decision.Preferred].Endpoint != home || decision.Considered[decision.Preferred].Exclusions&ExcludedSlow == 0 ||
+			decision.Considered[decision.Preferred].Delay != 3*time.Second || decision.Considered[decision.Preferred].DelayAge != 0 || decision.SlowShare != 0.25 {
+			t.Errorf("told %+v", decision)
 		}
-		w.pass(slowLife + ms)
-		w.b.fleet.find(home).lastSent = w.now // its turn is past
-		w.b.routes.put(group, home, w.now+time.Minute)
-		w.ask(group)
-		w.last(VerdictSent, ReasonRouteRecovering)
-		w.pass(easeFor)
-		w.do(EndpointDelay{Endpoint: home, Delay: 60 * ms})
-		w.b.routes.put(group, home, w.now+time.Minute)
-		w.ask(group)
-		w.last(VerdictSent, ReasonRouteAtCapacity)
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
-		w.b.routes.put(group, home, w.now+time.Minute)
-		w.ask(group)
-		w.last(VerdictSent, ReasonRouteGone)
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Weight: 1, StartedAt: w.now}}})
-		w.b.fleet.find(home).lastSent = w.now
-		w.b.routes.put(group, home, w.now+time.Minute)
-		w.ask(group)
-		w.last(VerdictSent, ReasonRouteWarmingUp)
+		relay.advance(slowDuration + ms)
+		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // its turn is past
+		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.request(group)
+		relay.wantLast(VerdictSent, ReasonRouteRecovering)
+		relay.advance(recoveryDuration)
+		relay.handle(EndpointDelay{Endpoint: home, Delay: 60 * ms})
+		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.request(group)
+		relay.wantLast(VerdictSent, ReasonRouteAtCapacity)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
+		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.request(group)
+		relay.wantLast(VerdictSent, ReasonRouteGone)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Weight: 1, StartedAt: relay.now}}})
+		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now
+		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.request(group)
+		relay.wantLast(VerdictSent, ReasonRouteWarmingUp)
 	})
 	t.Run("tried again until its tries are used up", func(t *testing.T) {
-		w := newWatched(t, testSettings(), ready(4)...)
-		id, done := w.ask(group)
+		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
+		id, actions := relay.request(group)
 		var tried []EndpointID
 		for attempt := 1; ; attempt++ {
-			s := done[0].(SendAttempt)
+			s := actions[0].(SendAttempt)
 			tried = append(tried, s.Endpoint)
-			w.fail(id, s.Endpoint, StatusReset)
-			if attempt == w.b.set.MaxAttempts {
+			relay.fail(id, s.Endpoint, StatusReset)
+			if attempt == relay.balancer.settings.MaxAttempts {
 				break
 			}
-			if d := w.last(VerdictHeld, ReasonBackoff); d.Wait != backoffBase<<(attempt-1) || d.Attempt != attempt {
-				t.Errorf("told %+v", d)
+			if decision := relay.wantLast(VerdictHeld, ReasonBackoff); decision.Wait != retryBackoffBase<<(attempt-1) || decision.Attempt != attempt {
+				t.Errorf("told %+v", decision)
 			}
-			done = w.pass(backoffBase << (attempt - 1))
-			d := w.last(VerdictSent, ReasonRedrawn)
-			if d.Attempt != attempt+1 || slices.Contains(tried, d.Endpoint) {
-				t.Errorf("tried %v, then told %+v", tried, d)
+			actions = relay.advance(retryBackoffBase << (attempt - 1))
+			decision := relay.wantLast(VerdictSent, ReasonRedrawn)
+			if decision.Attempt != attempt+1 || slices.Contains(tried, decision.Endpoint) {
+				t.Errorf("tried %v, then told %+v", tried, decision)
 			}
-			for _, f := range d.Considered {
+			for _, f := range decision.Considered {
 				if f.Exclusions&ExcludedTried != 0 != slices.Contains(tried, f.Endpoint) {
 					t.Errorf("tried %v, told of %+v", tried, f)
 				}
 			}
 		}
-		w.last(VerdictRejected, ReasonAttemptsExhausted)
+		relay.wantLast(VerdictRejected, ReasonAttemptsExhausted)
 	})
 	t.Run("held and given up", func(t *testing.T) {
-		w := newWatched(t, testSettings(), ready(1)...)
-		w.slow(1)
-		w.ask(group)
-		if d := w.last(VerdictHeld, ReasonEndpointSlow); d.Considered[0].Endpoint != 1 || d.Wait != holdFor {
-			t.Errorf("told %+v", d)
+		relay := newObservedRelay(t, testSettings(), readyEndpoints(1)...)
+		relay.makeSlow(1)
+		relay.request(group)
+		if decision := relay.wantLast(VerdictHeld, ReasonEndpointSlow); decision.Considered[0].Endpoint != 1 || decision.Wait != holdInterval {
+			t.Errorf("told %+v", decision)
 		}
 		for range 20 {
-			w.slow(1)
-			w.pass(100 * ms)
+			relay.makeSlow(1)
+			relay.advance(100 * ms)
 		}
-		if d := w.last(VerdictRejected, ReasonDeadlineExceeded); d.TimeLeft != 0 {
-			t.Errorf("told %+v", d)
+		if decision := relay.wantLast(VerdictRejected, ReasonDeadlineExceeded); decision.TimeLeft != 0 {
+			t.Errorf("told %+v", decision)
 		}
-		w.pass(slowLife)
-		w.b.fleet.find(1).lastSent = w.now
-		w.ask(group)
-		w.last(VerdictHeld, ReasonNoneEligible) // it is eased into work, and few are slow
+		relay.advance(slowDuration)
+		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
+		relay.request(group)
+		relay.wantLast(VerdictHeld, ReasonNoneEligible) // it is eased into work, and few are slow
 		// Where many are slow a request waits for the one that it falls on.
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Weight: 1}}})
-		w.slow(2)
-		for other := uint64(1); w.told[len(w.told)-1].Reason != ReasonEndpointRecovering && other < 99; other++ {
-			w.ask(group + other)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Weight: 1}}})
+		relay.makeSlow(2)
+		for other := uint64(1); relay.decisions[len(relay.decisions)-1].Reason != ReasonEndpointRecovering && other < 99; other++ {
+			relay.request(group + other)
 		}
-		w.last(VerdictHeld, ReasonEndpointRecovering)
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateGone}}})
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
-		w.ask(group)
-		if d := w.last(VerdictRejected, ReasonNoViableEndpoint); d.ReadyEndpoints != 0 {
-			t.Errorf("told %+v", d)
+		relay.wantLast(VerdictHeld, ReasonEndpointRecovering)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateGone}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
+		relay.request(group)
+		if decision := relay.wantLast(VerdictRejected, ReasonNoViableEndpoint); decision.ReadyEndpoints != 0 {
+			t.Errorf("told %+v", decision)
 		}
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: w.now}}})
-		w.b.fleet.find(1).lastSent = w.now
-		w.ask(group)
-		w.last(VerdictHeld, ReasonNoneEligible)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}})
+		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
+		relay.request(group)
+		relay.wantLast(VerdictHeld, ReasonNoneEligible)
 	})
 	t.Run("the window, a repeat that must not be, a drain", func(t *testing.T) {
-		s := testSettings()
-		s.Classes[0].Effect = AtMostOnce
-		w := newWatched(t, s, ready(2)...)
-		w.b.window.size = 1
-		first, done := w.ask(group)
-		w.ask(group + 1)
-		w.last(VerdictHeld, ReasonWindowFull)
-		w.fail(first, done[0].(SendAttempt).Endpoint, StatusReset)
-		if i := slices.Index(w.of, first); w.told[i].Verdict != VerdictSent || w.of[len(w.of)-1] == first {
+		settings := testSettings()
+		settings.Classes[0].Effect = AtMostOnce
+		relay := newObservedRelay(t, settings, readyEndpoints(2)...)
+		relay.balancer.concurrency.limit = 1
+		first, actions := relay.request(group)
+		relay.request(group + 1)
+		relay.wantLast(VerdictHeld, ReasonWindowFull)
+		relay.fail(first, actions[0].(SendAttempt).Endpoint, StatusReset)
+		if i := slices.Index(relay.requestIDs, first); relay.decisions[i].Verdict != VerdictSent || relay.requestIDs[len(relay.requestIDs)-1] == first {
 			t.Error("the second was not sent once the window opened")
 		}
-		i := len(w.told) - 2
-		if d := w.told[i]; w.of[i] != first || d.Verdict != VerdictFailed || d.Reason != ReasonNotRepeatable {
-			t.Errorf("told %+v", d)
+		i := len(relay.decisions) - 2
+		if decision := relay.decisions[i]; relay.requestIDs[i] != first || decision.Verdict != VerdictFailed || decision.Reason != ReasonNotRepeatable {
+			t.Errorf("told %+v", decision)
 		}
-		w.b.window.size = 9
-		_, home := w.open(group + 2)
-		w.do(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
-		if d := w.last(VerdictMigrated, ReasonEndpointDraining); d.Endpoint != home || d.Considered[0].State != StateDraining {
-			t.Errorf("told %+v", d)
+		relay.balancer.concurrency.limit = 9
+		_, home := relay.connect(group + 2)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
+		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != home || decision.Considered[0].State != StateDraining {
+			t.Errorf("told %+v", decision)
 		}
 	})
 }
 
 // Whoever looks on must not change what is decided: the same events bring the same
 // actions with a witness and without, and each action on a request is told once.
-func TestWitnessChangesNothing(t *testing.T) {
+func TestObservingChangesNoDecision(t *testing.T) {
 	reached := make(map[Reason]bool)
 	rapid.Check(t, func(rt *rapid.T) {
-		set := testSettings()
-		set.Relays = rapid.IntRange(1, 4).Draw(rt, "relays")
-		set.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
-		set.Classes[0].Effect = Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
-		set.Classes[0].DeduplicationWindow = time.Second
-		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeFleet, largeFleet+9)).Draw(rt, "servers")
-		blind, seen := newRelay(t, set, ready(n)...), newWatched(t, set, ready(n)...)
+		settings := testSettings()
+		settings.Relays = rapid.IntRange(1, 4).Draw(rt, "relays")
+		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
+		settings.Classes[0].Effect = Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
+		settings.Classes[0].DeduplicationWindow = time.Second
+		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
+		blind, seen := newTestRelay(t, settings, readyEndpoints(n)...), newObservedRelay(t, settings, readyEndpoints(n)...)
 		both := func(ev Event) []Action {
-			want, got := blind.do(ev), seen.do(ev)
+			want, got := blind.handle(ev), seen.handle(ev)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
 				rt.Fatalf("%T %+v: %v without a witness, %v with one", ev, ev, want, got)
 			}
@@ -197,10 +199,10 @@
 		out := make(map[RequestID]EndpointID)
 		up := make(map[RequestID]EndpointID)
 		var next RequestID
-		from := len(seen.told)
-		account := func(done []Action) {
+		from := len(seen.decisions)
+		account := func(actions []Action) {
 			var want []string
-			for _, a := range done {
+			for _, a := range actions {
 				switch a := a.(type) {
 				case SendAttempt:
 					out[a.Request] = a.Endpoint
@@ -217,20 +219,20 @@
 				}
 			}
 			var got []string
-			for i := from; i < len(seen.told); i++ {
-				d := seen.told[i]
-				reached[d.Reason] = true
-				if d.Verdict != VerdictHeld {
-					got = append(got, fmt.Sprint(seen.of[i], d.Verdict, d.Endpoint, d.Wait))
+			for i := from; i < len(seen.decisions); i++ {
+				decision := seen.decisions[i]
+				reached[decision.Reason] = true
+				if decision.Verdict != VerdictHeld {
+					got = append(got, fmt.Sprint(seen.requestIDs[i], decision.Verdict, decision.Endpoint, decision.Wait))
 				}
 			}
-			from = len(seen.told)
+			from = len(seen.decisions)
 			if !slices.Equal(want, got) {
 				rt.Fatalf("the actions are %v, told was %v", want, got)
 			}
 		}
 		pass := func(d time.Duration) {
-			want, got := blind.pass(d), seen.pass(d)
+			want, got := blind.advance(d), seen.advance(d)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
 				rt.Fatalf("%v later: %v without a witness, %v with one", d, want, got)
 			}
@@ -280,16 +282,16 @@
 				account(both(EndpointDelay{Endpoint: server.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
 			},
 			"list": func(rt *rapid.T) {
-				line := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: 1, Zone: 0}
+				listed := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
-					line.StartedAt = seen.now
+					listed.StartedAt = seen.now
 				}
-				account(both(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{line}}))
+				account(both(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 			},
 			"pass": func(rt *rapid.T) { pass(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * ms) },
 		})
 	})
-	for r := ReasonCachedRoute; r < reasons; r++ {
+	for r := ReasonCachedRoute; r < reasonCount; r++ {
 		if !reached[r] {
 			t.Logf("no random run came to %v", r)
 		}
@@ -300,17 +302,17 @@
 	for _, n := range []int{13, 200} {
 		for _, told := range []bool{false, true} {
 			b.Run(fmt.Sprintf("servers=%d/told=%v", n, told), func(b *testing.B) {
-				m := New(testSettings(), 1)
-				m.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: ready(n)})
+				balancer := New(testSettings(), 1)
+				balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
 				if told {
-					m.Observe(func(RequestID, *Decision) {})
+					balancer.Observe(func(RequestID, *Decision) {})
 				}
 				b.ReportAllocs()
 				for i := range b.N {
 					now := time.Hour + time.Duration(i)*time.Millisecond
 					id := RequestID(i + 1)
-					m.Handle(now, Request{ID: id, Group: uint64(i%64) + 1, TimeLeft: 2 * time.Second})
-					m.Handle(now, ClientLeft{Request: id})
+					balancer.Handle(now, Request{ID: id, Group: uint64(i%64) + 1, TimeLeft: 2 * time.Second})
+					balancer.Handle(now, ClientLeft{Request: id})
 				}
 			})
 		}
