--- a/balancer/sieve_test.go
+++ b/balancer/drawfilter_test.go
@@ -154,33 +154,3 @@
 		}
 	}
 }
-
-// After the last connection nothing is left of the load, not even what rounding leaves: by a mean of next to nothing,
-// servers that had one counted as crowded beyond measure.
-func TestNoLoadRemainsAfterTheLastConnection(t *testing.T) {
-	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
-	var up []RequestID
-	for id := RequestID(1); id <= 30; id++ {
-		for _, a := range relay.handle(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
-			if s, sent := a.(SendAttempt); sent {
-				relay.handle(Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * ms})
-				relay.handle(ConnectionLoad{Request: id, Endpoint: s.Endpoint, Load: 0.1 * float64(id)})
-				up = append(up, id)
-			}
-		}
-	}
-	if len(up) < 10 {
-		t.Fatalf("%d connections stand", len(up))
-	}
-	for _, id := range up {
-		relay.handle(Outcome{Request: id, Status: StatusOK, Final: true})
-	}
-	if load := relay.balancer.totals().load; load != 0 {
-		t.Errorf("the kept load is %v", load)
-	}
-	for _, s := range relay.balancer.endpoints.sorted {
-		if s.demand() != 0 {
-			t.Errorf("server %d has a demand of %v", s.ID, s.demand())
-		}
-	}
-}
--- /dev/null
+++ b/balancer/endpoints_test.go
@@ -0,0 +1,79 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestReportedLoadsAreBooked(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(2)...)
+	heavy, endpoint := relay.connect(1)
+	light, other := relay.connect(2)
+	for range 20 {
+		relay.handle(ConnectionLoad{Request: light, Endpoint: other, Load: 0.01})
+	}
+	relay.handle(ConnectionLoad{Request: heavy, Endpoint: endpoint, Load: 0.1})
+	q, p := relay.balancer.requests[heavy], relay.balancer.requests[light]
+	if q.load <= 2*p.load {
+		t.Errorf("a connection of ten times the load is booked as %v beside %v", q.load, p.load)
+	}
+}
+
+// Load that is told with a request counts before the first note.
+func TestExpectedLoadIsBookedWhenEstablished(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
+	var light, heavy RequestID
+	for key := range uint64(40) {
+		light, _ = relay.connect(key + 1)
+		relay.handle(ConnectionLoad{Request: light, Load: 1})
+	}
+	heavy, relay.lastID = relay.lastID+1, relay.lastID+1
+	endpoint := relay.wantSent(relay.handle(Request{ID: heavy, Group: 1000, TimeLeft: time.Second, ExpectedLoad: 5}), heavy)
+	relay.handle(Established{Request: heavy, Endpoint: endpoint, SetupTime: ms})
+	if l, h := relay.balancer.requests[light].load, relay.balancer.requests[heavy].load; h < 4*l {
+		t.Errorf("booked loads %v and %v, want the second about five times the first", l, h)
+	}
+}
+
+// After the last connection nothing is left of the load, not even what rounding leaves: by a mean of next to nothing,
+// servers that had one counted as crowded beyond measure.
+func TestNoLoadRemainsAfterTheLastConnection(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
+	var up []RequestID
+	for id := RequestID(1); id <= 30; id++ {
+		for _, a := range relay.handle(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
+			if s, sent := a.(SendAttempt); sent {
+				relay.handle(Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * ms})
+				relay.handle(ConnectionLoad{Request: id, Endpoint: s.Endpoint, Load: 0.1 * float64(id)})
+				up = append(up, id)
+			}
+		}
+	}
+	if len(up) < 10 {
+		t.Fatalf("%d connections stand", len(up))
+	}
+	for _, id := range up {
+		relay.handle(Outcome{Request: id, Status: StatusOK, Final: true})
+	}
+	if load := relay.balancer.totals().load; load != 0 {
+		t.Errorf("the kept load is %v", load)
+	}
+	for _, s := range relay.balancer.endpoints.sorted {
+		if s.demand() != 0 {
+			t.Errorf("server %d has a demand of %v", s.ID, s.demand())
+		}
+	}
+}
+
+// Servers come and go by changes alone, for as long as the relay runs: those that are gone make room.
+func TestGoneEndpointsAreRemovedFromTheTable(t *testing.T) {
+	b := New(testSettings(), 1)
+	now := time.Duration(0)
+	for id := EndpointID(1); id < 3000; id++ {
+		now += time.Second
+		b.Handle(now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: id, State: StateReady, Weight: 1}, {ID: id - 1, State: StateGone}}})
+	}
+	if n := len(b.endpoints.sorted); n > 3 {
+		t.Errorf("%d servers are kept, of which one is there", n)
+	}
+}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -123,6 +123,15 @@
 	return id, endpoint
 }
 
+// connectMany sets up n connections of a group and returns their server.
+func (r *testRelay) connectMany(group uint64, n int) EndpointID {
+	var endpoint EndpointID
+	for range n {
+		_, endpoint = r.connect(group)
+	}
+	return endpoint
+}
+
 // wantSent returns the server that the only action sends a request to.
 func (r *testRelay) wantSent(actions []Action, id RequestID) EndpointID {
 	r.t.Helper()
--- /dev/null
+++ b/balancer/retry_test.go
@@ -0,0 +1,101 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRetryBacksOffAndAvoidsTriedEndpoints(t *testing.T) {
+	settings := testSettings()
+	settings.MaxAttempts = 4
+	relay := newTestRelay(t, settings, readyEndpoints(4)...)
+	relay.connect(7)
+	relay.lastID++
+	id := relay.lastID
+	endpoint := relay.wantSent(relay.handle(Request{ID: id, Group: 7, TimeLeft: 10 * time.Second}), id)
+	tried := map[EndpointID]bool{endpoint: true}
+	for _, wait := range []time.Duration{100 * ms, 200 * ms, 400 * ms} {
+		wantActions(t, relay.fail(id, endpoint, StatusFull))
+		wantActions(t, relay.advance(wait-1))
+		endpoint = relay.wantSent(relay.advance(1), id)
+		if tried[endpoint] {
+			t.Fatalf("server %d was tried twice", endpoint)
+		}
+		tried[endpoint] = true
+	}
+	wantActions(t, relay.fail(id, endpoint, StatusFull), Reject{Request: id})
+}
+
+func TestBackoffPastTheDeadlineRejectsTheRequest(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
+	endpoint := relay.wantSent(relay.handle(Request{ID: 1, TimeLeft: 90 * ms}), 1)
+	wantActions(t, relay.fail(1, endpoint, StatusFull), Reject{Request: 1})
+}
+
+// Rule 2: what may follow an attempt, by class and by how it ended.
+func TestRetryStaysWithinDeduplicationScope(t *testing.T) {
+	endpoints := []Endpoint{
+		{ID: 1, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
+		{ID: 2, State: StateReady, Weight: 1, Zone: 0, Cell: 1},
+		{ID: 3, State: StateReady, Weight: 1, Zone: 1, Cell: 2},
+		{ID: 4, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
+		{ID: 5, State: StateReady, Weight: 1, Zone: 1, Cell: 2},
+	}
+	zone := map[EndpointID]int{1: 0, 2: 0, 3: 1, 4: 0, 5: 1}
+	cell := map[EndpointID]int{1: 0, 2: 1, 3: 2, 4: 0, 5: 2}
+	ran := map[AttemptStatus]bool{StatusError: true, StatusTimeout: true, StatusReset: true, StatusCancelled: true}
+	for _, class := range []Class{
+		{Effect: Idempotent},
+		{Effect: Deduplicated, Scope: ScopeAll, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, Scope: ScopeZone, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, Scope: ScopeCell, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, Scope: ScopeAll, DeduplicationWindow: 50 * ms},
+		{Effect: AtMostOnce},
+	} {
+		for _, status := range []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent} {
+			for key := uint64(1); key < 20; key++ {
+				settings := testSettings()
+				class.Deadline = 2 * time.Second
+				settings.Classes = []Class{class}
+				relay := newTestRelay(t, settings, endpoints...)
+				id, actions := relay.request(key)
+				first := relay.wantSent(actions, id)
+				actions = append(relay.fail(id, first, status), relay.advance(150*ms)...)
+				mayRepeat := !ran[status] || class.Effect == Idempotent ||
+					class.Effect == Deduplicated && class.DeduplicationWindow > 100*ms
+				mayRefuse := !ran[status] || class.Effect == Idempotent ||
+					class.Effect == Deduplicated && class.Scope == ScopeAll
+				for _, a := range actions {
+					switch a := a.(type) {
+					case SendAttempt:
+						if !mayRepeat {
+							t.Errorf("%+v after %d: sent again", class, status)
+						}
+						scoped := ran[status] && class.Effect == Deduplicated
+						if scoped && class.Scope == ScopeZone && zone[a.Endpoint] != zone[first] ||
+							scoped && class.Scope == ScopeCell && cell[a.Endpoint] != cell[first] {
+							t.Errorf("%+v after %d: %d then %d", class, status, first, a.Endpoint)
+						}
+					case Reject:
+						if !mayRefuse {
+							t.Errorf("%+v after %d: refused", class, status)
+						}
+					case Fail:
+						if mayRefuse {
+							t.Errorf("%+v after %d: failed though a refusal is true", class, status)
+						}
+					}
+				}
+				if mayRepeat && class.Scope == ScopeAll && countActions[SendAttempt](actions) != 1 {
+					t.Errorf("%+v after %d: not sent again", class, status)
+				}
+			}
+		}
+	}
+}
+
+func TestUnknownClassIsNotRepeated(t *testing.T) {
+	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
+	endpoint := relay.wantSent(relay.handle(Request{ID: 1, Class: 9, TimeLeft: time.Second}), 1)
+	wantActions(t, relay.fail(1, endpoint, StatusError), Fail{Request: 1})
+}
