--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Rule 1: whatever a request waits for, it is answered in time and once.
+// Whatever a request waits for, it is answered once and within its deadline.
 func TestEveryRequestIsAnsweredWithinItsDeadline(t *testing.T) {
 	for name, endpoints := range map[string][]Endpoint{
-		"no server":     nil,
+		"no endpoint":   nil,
 		"none ready":    {{ID: 1, State: StateDraining, Weight: 1}},
 		"one, silent":   readyEndpoints(1),
 		"several":       readyEndpoints(3),
@@ -39,7 +39,7 @@
 	wantActions(t, relay.fail(1, endpoint, StatusFull))
 	wantActions(t, relay.handle(Timer{Token: 999}))
 	if len(relay.balancer.requests) != 0 || relay.balancer.concurrency.inFlight != 0 {
-		t.Errorf("%d requests held, %d attempts counted", len(relay.balancer.requests), relay.balancer.concurrency.inFlight)
+		t.Errorf("%d requests kept, %d attempts in flight", len(relay.balancer.requests), relay.balancer.concurrency.inFlight)
 	}
 }
 
@@ -51,14 +51,14 @@
 	second, actions := relay.request(2)
 	wantActions(t, actions)
 	relay.request(3)
-	actions = relay.handle(Established{Request: first, Endpoint: endpoint, SetupTime: time.Second}) // late: the window stays
+	actions = relay.handle(Established{Request: first, Endpoint: endpoint, SetupTime: time.Second}) // it misses its objective: the limit stays
 	relay.wantSent(actions, second)
 	if n := countActions[Reject](relay.advance(2 * time.Second)); n != 2 {
-		t.Errorf("%d of the 2 that waited were answered", n)
+		t.Errorf("%d of the 2 that were queued were answered", n)
 	}
 }
 
-// Who can't be served by anyone is told so at once, and when to come again.
+// A request that no endpoint can take is rejected at once, with a retry-after.
 func TestRequestWithoutViableEndpointIsRejectedAtOnce(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 1500 * ms
@@ -66,7 +66,7 @@
 	id, actions := relay.request(7)
 	relay.fail(id, relay.wantSent(actions, id), StatusFull)
 	actions = relay.advance(retryBackoffBase)
-	if countActions[SendAttempt](actions) == 0 { // the draw may hold it back while it is eased in
+	if countActions[SendAttempt](actions) == 0 { // it may be held while the endpoint is recovering
 		actions = relay.advance(recoveryDuration)
 	}
 	second := relay.wantSent(actions, id)
@@ -74,8 +74,7 @@
 	wantActions(t, relay.advance(2*retryBackoffBase), Reject{Request: id, RetryAfter: 1500 * ms})
 }
 
-// A client that is refused must not come back at once to servers as full as
-// they were.
+// A rejected client must not return at once to endpoints that are still full.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 1500 * ms
@@ -84,7 +83,7 @@
 	wantActions(t, append(actions, relay.advance(2*time.Second)...), Reject{Request: id, RetryAfter: 1500 * ms})
 }
 
-// The advice is when the first server held slow takes work again.
+// The retry-after is when the first of the slow endpoints takes requests again.
 func TestRetryAfterIsWhenASlowEndpointTakesRequestsAgain(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 10 * time.Second
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// benchEndpointCounts are the numbers of servers that benchmarks run with. A draw works otherwise from 64 servers on.
+// benchEndpointCounts are the numbers of endpoints that benchmarks run with. From 64 on a draw uses a filter.
 var benchEndpointCounts = []int{5, 60, 1000, 5000}
 
-// benchConnectionsPerEndpoint is how many connections stand a server while a benchmark runs.
+// benchConnectionsPerEndpoint is how many connections are established per endpoint while a benchmark runs.
 const benchConnectionsPerEndpoint = 4
 
-// BenchmarkSetUp is a request from its arrival over the attempt sent and the connection up to its end: of a group whose
-// route is cached, of one that is drawn for, and of none.
+// BenchmarkSetUp is a request from its arrival to the end of its connection: of a group whose route is cached, of one
+// that is drawn for, and of no group.
 func BenchmarkSetUp(b *testing.B) {
 	for _, n := range benchEndpointCounts {
 		for _, how := range []string{"cached", "drawn", "alone"} {
@@ -79,7 +79,7 @@
 	return 0
 }
 
-// benchBalancer returns a Balancer of n servers with connections that stand, and the last request's number.
+// benchBalancer returns a Balancer of n endpoints with established connections, and the last request's number.
 func benchBalancer(n int) (*Balancer, RequestID) {
 	balancer := New(testSettings(), 1)
 	balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// failSetups has set-ups of several groups fail on n of 6 servers while the others accept.
+// failSetups makes set-ups of several groups fail at n of 6 endpoints while the others accept.
 func failSetups(relay *testRelay, n int, status AttemptStatus) {
 	for key := range uint64(60) {
 		id, actions := relay.request(key + 1)
@@ -23,7 +23,7 @@
 	}
 }
 
-// One cause on many servers is none of theirs, and retries must not feed it.
+// No endpoint is blamed for a cause that many share, and retries must not add to it.
 func TestSharedCauseKeepsWeightsAndLimitsConcurrency(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -33,7 +33,7 @@
 	}{
 		{"all time out", 6, StatusTimeout, true},
 		{"all answer with errors", 6, StatusError, true},
-		{"one server", 1, StatusError, false},
+		{"one endpoint", 1, StatusError, false},
 		{"all unreachable", 6, StatusConnectFailed, false},
 	} {
 		relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
@@ -42,7 +42,7 @@
 			t.Errorf("%s: shared is %v", test.name, !test.shared)
 		}
 		if limited := relay.balancer.concurrency.limit < maxConcurrency/2; limited != test.shared {
-			t.Errorf("%s: window is %v", test.name, relay.balancer.concurrency.limit)
+			t.Errorf("%s: the limit is %v", test.name, relay.balancer.concurrency.limit)
 		}
 		blamed := 0
 		for _, s := range relay.balancer.endpoints.sorted {
@@ -50,11 +50,11 @@
 				blamed++
 			}
 		}
-		if test.shared && blamed > 1 { // one may be, before a second one fails
-			t.Errorf("%s: %d servers lost weight", test.name, blamed)
+		if test.shared && blamed > 1 { // one may, before a second one fails
+			t.Errorf("%s: %d endpoints lost weight", test.name, blamed)
 		}
 		if !test.shared && blamed == 0 {
-			t.Errorf("%s: no server lost weight", test.name)
+			t.Errorf("%s: no endpoint lost weight", test.name)
 		}
 	}
 }
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// Rule 3: neither first tries, cached routes nor timers go to a server that
-// drains or is gone.
+// Neither first attempts, cached routes nor retries go to an endpoint that drains or is gone.
 func TestNoAttemptGoesToADrainingOrGoneEndpoint(t *testing.T) {
 	for name, list := range map[string]EndpointList{
 		"draining":   {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}},
@@ -19,7 +18,7 @@
 		relay.connect(7)
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: readyEndpoints(2)[1:]})
 		var ids []RequestID
-		for key := range uint64(20) { // some wait for a backoff when the news comes
+		for key := range uint64(20) { // some are held for their backoff when the list is updated
 			id, actions := relay.request(key + 7)
 			ids = append(ids, id)
 			relay.fail(id, relay.wantSent(actions, id), StatusConnectFailed)
@@ -40,7 +39,7 @@
 	}
 }
 
-// A client has to be told to move before its server leaves; but not all at once.
+// Clients have to migrate before their endpoint stops, but not all at once.
 func TestDrainingMigratesConnectionsInSteps(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(2)...)
 	for i := range 20 {
@@ -50,18 +49,17 @@
 	listed := Endpoint{ID: 1, State: StateDraining, Weight: 1}
 	first := countActions[Migrate](relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 	if first == 0 || first > 5 {
-		t.Errorf("%d of 20 clients were moved at once", first)
+		t.Errorf("%d of 20 connections migrated at once", first)
 	}
 	if again := countActions[Migrate](relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}})); again != 0 {
-		t.Errorf("%d more were moved as the list came again", again)
+		t.Errorf("%d more migrated as the list was repeated", again)
 	}
 	if countActions[Migrate](relay.advance(4*time.Second)) != 20-first || len(relay.balancer.drainTimers) != 0 {
-		t.Errorf("%d clients are left on a server that drains", 20-countActions[Migrate](relay.actions))
+		t.Errorf("%d connections are left at an endpoint that drains", 20-countActions[Migrate](relay.actions))
 	}
 }
 
-// Eighty relays with a connection each all moved it in the instant in which they were told,
-// onto servers that had just started.
+// Eighty relays with a connection each must not all migrate it in the instant of the update of the list.
 func TestManyRelaysMigrateFromADrainingEndpointInTime(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 80
@@ -77,17 +75,16 @@
 			n += countActions[Migrate](relay.advance(250 * ms))
 		}
 		if moved += n; n > 24 || at < 2*time.Second && n > 0 {
-			t.Errorf("%d move in the 250 ms before %v", n, at)
+			t.Errorf("%d migrate in the 250 ms before %v", n, at)
 		}
 	}
 	if moved != settings.Relays {
-		t.Errorf("%d of %d have moved after 4.25 s", moved, settings.Relays)
+		t.Errorf("%d of %d have migrated after 4.25 s", moved, settings.Relays)
 	}
 }
 
-// A server that sends its client away drains, though the list says so seconds
-// later. Clients were placed there again and again meanwhile, each time to be sent
-// away at once.
+// An endpoint that redirects a client drains, though the list says so seconds later. Clients placed there
+// meanwhile would be redirected again at once.
 func TestRedirectingEndpointGetsNoNewRequests(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(2)...)
 	id, endpoint := relay.connect(7)
@@ -95,11 +92,11 @@
 	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusRedirected, Final: true})
 	for key := range uint64(30) {
 		if _, next := relay.connect(key + 1); next == endpoint {
-			t.Fatalf("group %d goes to the server that sends its clients away", key+1)
+			t.Fatalf("group %d is sent to the endpoint that redirects its clients", key+1)
 		}
 	}
 	listed := readyEndpoints(2)[endpoint-1]
-	listed.StartedAt = relay.now - testSettings().SlowStartDuration // it has started anew, and is warm
+	listed.StartedAt = relay.now - testSettings().SlowStartDuration // it has restarted, and is warm
 	relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}})
 	back := 0
 	for key := range uint64(60) {
@@ -108,6 +105,6 @@
 		}
 	}
 	if back == 0 {
-		t.Error("nothing goes to the server after its restart")
+		t.Error("nothing is sent to the endpoint after its restart")
 	}
 }
--- a/balancer/drawfilter_test.go
+++ b/balancer/drawfilter_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// fullDraw is the draw as it is without a sieve and without accounts: every server is
-// looked at, and all sums are made anew.
+// fullDraw is drawEndpoint without a filter and without totals that are kept: it looks at every endpoint, and
+// adds up all sums anew.
 func (b *Balancer) fullDraw(q *requestRecord) *endpointRecord {
 	totals := b.sumTotals(b.endpoints.sorted)
 	load, size, slow := totals.load, totals.size, totals.slowSize
@@ -30,9 +30,8 @@
 	return best
 }
 
-// The accounts of a large fleet, and the servers that a draw passes over unseen, change
-// no decision: by random steps, each draw falls where one that looks at every server
-// does, and the sums are those added up anew.
+// The totals kept of a large table and the filter change no decision: over random steps each draw falls on
+// the endpoint that a full draw falls on, and the totals equal those added up anew.
 func TestFilteredDrawEqualsFullDraw(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
@@ -68,14 +67,14 @@
 					{kept.load, summed.load}, {kept.size, summed.size}, {kept.warmSize, summed.warmSize}, {kept.slowSize, summed.slowSize},
 				} {
 					if math.Abs(d[0]-d[1]) > 1e-6*(1+d[1]) {
-						rt.Fatalf("sum %d is kept as %v, added up %v", i, d[0], d[1])
+						rt.Fatalf("total %d is kept as %v, added up as %v", i, d[0], d[1])
 					}
 				}
 				for key := range uint64(4) {
 					q := &requestRecord{Request: Request{Group: 1 + key*7919 + uint64(relay.lastID)}, class: &settings.Classes[0], deadline: relay.now + time.Second}
 					relay.balancer.endpoints.eventTotalsValid = false
 					if got, want := relay.balancer.drawEndpoint(q), relay.balancer.fullDraw(q); got != want {
-						rt.Fatalf("group %d is drawn to %v, looking at all it is %v", q.Group, got, want)
+						rt.Fatalf("group %d is drawn to %v, by a full draw to %v", q.Group, got, want)
 					}
 				}
 			},
@@ -123,15 +122,14 @@
 	})
 }
 
-// BenchmarkDraw is a draw of a group without a route, by the fleet's size; told is with a
-// witness that looks on.
+// BenchmarkDraw is a draw for a group without a route, by the number of endpoints, with a full draw beside it.
 func BenchmarkDraw(b *testing.B) {
 	for _, n := range []int{5, 12, 60, 100, 1000, 5000} {
 		for _, how := range []string{"looking at all", "as it is"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
 				balancer := New(testSettings(), 1)
 				balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
-				for i := range 6 * n { // what stands on them differs
+				for i := range 6 * n { // their loads differ
 					id := RequestID(i + 1)
 					for _, a := range balancer.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), TimeLeft: 2 * time.Second}) {
 						if s, ok := a.(SendAttempt); ok {
--- a/balancer/encoding_test.go
+++ b/balancer/encoding_test.go
@@ -11,7 +11,7 @@
 	"lockroad/internal/testutil"
 )
 
-// completeSnapshot is a Memory with every field set.
+// completeSnapshot is a Snapshot with every field set.
 func completeSnapshot() balancer.Snapshot {
 	return balancer.Snapshot{
 		Salt: 0xfedcba9876543210,
@@ -34,7 +34,7 @@
 	}
 }
 
-// What a balancer has learnt goes to a relay's next process as JSON.
+// A snapshot goes to a relay's next process as JSON.
 func TestSnapshotKeepsItsJSONEncoding(t *testing.T) {
 	testutil.Complete(t, completeSnapshot())
 	testutil.GoldenJSON(t, "testdata/memory.json", completeSnapshot())
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -10,7 +10,7 @@
 	settings.PollList = true
 	relay := newTestRelay(t, settings, readyEndpoints(4)...)
 	if n := countActions[WatchEndpoints](relay.actions); n != 1 {
-		t.Fatalf("%d calls for the list at the start, want 1", n)
+		t.Fatalf("%d requests for the list at the start, want 1", n)
 	}
 	relay.handle(EndpointList{Kind: ListFull, Endpoints: readyEndpoints(4)})
 	return relay
@@ -45,7 +45,7 @@
 			relay.handle(EndpointList{Kind: ListFailed})
 		}
 		if n := countActions[SendAttempt](relay.advance(1500 * ms)); n != 1 {
-			t.Errorf("lost %v: %d attempts followed", lost, n)
+			t.Errorf("answer lost %v: %d attempts followed", lost, n)
 		}
 	}
 }
@@ -62,14 +62,14 @@
 		t.Errorf("10 retries made %d calls, want 1", n)
 	}
 	if n := countActions[SendAttempt](relay.handle(EndpointList{Kind: ListDelta})); n != 0 {
-		t.Errorf("%d attempts left before their backoff", n)
+		t.Errorf("%d attempts were sent before their backoff", n)
 	}
 	if n := countActions[SendAttempt](relay.advance(retryBackoffBase)); n != 10 {
-		t.Errorf("%d of 10 retries left", n)
+		t.Errorf("%d of 10 retries were sent", n)
 	}
 }
 
-// Rule 3 wants the list asked for again after a failure, and in time.
+// After a failed call the list is asked for again within the time that the settings demand.
 func TestListIsPolledUntilAnswered(t *testing.T) {
 	settings := testSettings()
 	settings.PollList = true
@@ -91,6 +91,6 @@
 	calls = countActions[WatchEndpoints](relay.actions)
 	relay.advance(time.Minute)
 	if n := countActions[WatchEndpoints](relay.actions) - calls; n != 0 {
-		t.Errorf("%d calls while the subscription stands", n)
+		t.Errorf("%d calls while the subscription holds", n)
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// Load that is told with a request counts before the first note.
+// The expected load of a request counts before any report of its load.
 func TestExpectedLoadIsBookedWhenEstablished(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	var light, heavy RequestID
@@ -35,8 +35,8 @@
 	}
 }
 
-// After the last connection nothing is left of the load, not even what rounding leaves: by a mean of next to nothing,
-// servers that had one counted as crowded beyond measure.
+// After the last connection no load remains, not even what rounding leaves: against a mean of nearly nothing, an
+// endpoint with a connection would count as overloaded.
 func TestNoLoadRemainsAfterTheLastConnection(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
 	var up []RequestID
@@ -50,22 +50,22 @@
 		}
 	}
 	if len(up) < 10 {
-		t.Fatalf("%d connections stand", len(up))
+		t.Fatalf("%d connections are established", len(up))
 	}
 	for _, id := range up {
 		relay.handle(Outcome{Request: id, Status: StatusOK, Final: true})
 	}
 	if load := relay.balancer.totals().load; load != 0 {
-		t.Errorf("the kept load is %v", load)
+		t.Errorf("the load is %v", load)
 	}
 	for _, s := range relay.balancer.endpoints.sorted {
 		if s.demand() != 0 {
-			t.Errorf("server %d has a demand of %v", s.ID, s.demand())
+			t.Errorf("endpoint %d has a demand of %v", s.ID, s.demand())
 		}
 	}
 }
 
-// Servers come and go by changes alone, for as long as the relay runs: those that are gone make room.
+// Endpoints may come and go by deltas alone for as long as the relay runs: those that are gone are removed.
 func TestGoneEndpointsAreRemovedFromTheTable(t *testing.T) {
 	b := New(testSettings(), 1)
 	now := time.Duration(0)
@@ -74,6 +74,6 @@
 		b.Handle(now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: id, State: StateReady, Weight: 1}, {ID: id - 1, State: StateGone}}})
 	}
 	if n := len(b.endpoints.sorted); n > 3 {
-		t.Errorf("%d servers are kept, of which one is there", n)
+		t.Errorf("%d endpoints are kept, of which one is listed", n)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,7 @@
 	"lockroad/balancer"
 )
 
-// A relay hands events over with its clock and carries out what comes back.
+// A relay hands in events with the time of its clock and carries out the actions that come back.
 func Example() {
 	settings := balancer.Settings{
 		Classes:           []balancer.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// observedRelay is a relay whose decisions are kept.
+// observedRelay is a relay whose decisions are recorded.
 type observedRelay struct {
 	*testRelay
 	decisions  []Decision
@@ -31,46 +31,46 @@
 func (w *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
 	w.t.Helper()
 	if len(w.decisions) == 0 {
-		w.t.Fatalf("nothing was told, want %v: %v", verdict, reason)
+		w.t.Fatalf("nothing was observed, want %v: %v", verdict, reason)
 	}
 	decision := w.decisions[len(w.decisions)-1]
 	if decision.Verdict != verdict || decision.Reason != reason {
-		w.t.Fatalf("told %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
+		w.t.Fatalf("observed %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
 	}
 	return decision
 }
 
-// makeSlow has a server be slow from now on.
+// makeSlow makes an endpoint slow from now on.
 func (w *observedRelay) makeSlow(id EndpointID) {
 	w.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
 }
 
 func TestEveryReasonIsObserved(t *testing.T) {
 	const group = 7
-	t.Run("a cached route, and what passes it over", func(t *testing.T) {
+	t.Run("a cached route, and what it is passed over for", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
 		id, home := relay.connect(group)
 		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != home || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		relay.connect(group)
 		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.Preferred != -1 {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		relay.handle(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
 		relay.makeSlow(home)
 		relay.wantLast(VerdictMigrated, ReasonLoadRelief)
-		// A group that has lost its route is drawn past the slow server, and told so.
+		// A group whose route was invalidated is drawn anew past the slow endpoint.
 		relay.handle(Established{})
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
 		if decision.Endpoint == home || decision.Preferred < 0 || decision.Considered[decision.Preferred].Endpoint != home || decision.Considered[decision.Preferred].Exclusions&ExcludedSlow == 0 ||
 			decision.Considered[decision.Preferred].Delay != 3*time.Second || decision.Considered[decision.Preferred].DelayAge != 0 || decision.SlowShare != 0.25 {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		relay.advance(slowDuration + ms)
-		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // its turn is past
+		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // its slot is used
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteRecovering)
@@ -89,7 +89,7 @@
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteWarmingUp)
 	})
-	t.Run("tried again until its tries are used up", func(t *testing.T) {
+	t.Run("retried until its attempts are exhausted", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
 		id, actions := relay.request(group)
 		var tried []EndpointID
@@ -101,40 +101,40 @@
 				break
 			}
 			if decision := relay.wantLast(VerdictHeld, ReasonBackoff); decision.Wait != retryBackoffBase<<(attempt-1) || decision.Attempt != attempt {
-				t.Errorf("told %+v", decision)
+				t.Errorf("observed %+v", decision)
 			}
 			actions = relay.advance(retryBackoffBase << (attempt - 1))
 			decision := relay.wantLast(VerdictSent, ReasonRedrawn)
 			if decision.Attempt != attempt+1 || slices.Contains(tried, decision.Endpoint) {
-				t.Errorf("tried %v, then told %+v", tried, decision)
+				t.Errorf("tried %v, then observed %+v", tried, decision)
 			}
 			for _, f := range decision.Considered {
 				if f.Exclusions&ExcludedTried != 0 != slices.Contains(tried, f.Endpoint) {
-					t.Errorf("tried %v, told of %+v", tried, f)
+					t.Errorf("tried %v, observed %+v", tried, f)
 				}
 			}
 		}
 		relay.wantLast(VerdictRejected, ReasonAttemptsExhausted)
 	})
-	t.Run("held and given up", func(t *testing.T) {
+	t.Run("held until its deadline", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(1)...)
 		relay.makeSlow(1)
 		relay.request(group)
 		if decision := relay.wantLast(VerdictHeld, ReasonEndpointSlow); decision.Considered[0].Endpoint != 1 || decision.Wait != holdInterval {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		for range 20 {
 			relay.makeSlow(1)
 			relay.advance(100 * ms)
 		}
 		if decision := relay.wantLast(VerdictRejected, ReasonDeadlineExceeded); decision.TimeLeft != 0 {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		relay.advance(slowDuration)
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
 		relay.request(group)
-		relay.wantLast(VerdictHeld, ReasonNoneEligible) // it is eased into work, and few are slow
-		// Where many are slow a request waits for the one that it falls on.
+		relay.wantLast(VerdictHeld, ReasonNoneEligible) // it is recovering, and few are slow
+		// Where many are slow a request is held for the one that it falls on.
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Weight: 1}}})
 		relay.makeSlow(2)
 		for other := uint64(1); relay.decisions[len(relay.decisions)-1].Reason != ReasonEndpointRecovering && other < 99; other++ {
@@ -145,14 +145,14 @@
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
 		relay.request(group)
 		if decision := relay.wantLast(VerdictRejected, ReasonNoViableEndpoint); decision.ReadyEndpoints != 0 {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}})
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
 		relay.request(group)
 		relay.wantLast(VerdictHeld, ReasonNoneEligible)
 	})
-	t.Run("the window, a repeat that must not be, a drain", func(t *testing.T) {
+	t.Run("the concurrency window, a request that is not repeatable, a drain", func(t *testing.T) {
 		settings := testSettings()
 		settings.Classes[0].Effect = AtMostOnce
 		relay := newObservedRelay(t, settings, readyEndpoints(2)...)
@@ -162,23 +162,23 @@
 		relay.wantLast(VerdictHeld, ReasonWindowFull)
 		relay.fail(first, actions[0].(SendAttempt).Endpoint, StatusReset)
 		if i := slices.Index(relay.requestIDs, first); relay.decisions[i].Verdict != VerdictSent || relay.requestIDs[len(relay.requestIDs)-1] == first {
-			t.Error("the second was not sent once the window opened")
+			t.Error("the second was not sent once the window had room")
 		}
 		i := len(relay.decisions) - 2
 		if decision := relay.decisions[i]; relay.requestIDs[i] != first || decision.Verdict != VerdictFailed || decision.Reason != ReasonNotRepeatable {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 		relay.balancer.concurrency.limit = 9
 		_, home := relay.connect(group + 2)
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
 		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != home || decision.Considered[0].State != StateDraining {
-			t.Errorf("told %+v", decision)
+			t.Errorf("observed %+v", decision)
 		}
 	})
 }
 
-// Whoever looks on must not change what is decided: the same events bring the same
-// actions with a witness and without, and each action on a request is told once.
+// Observing must not change what is decided: the same events bring the same actions with an observer and
+// without, and each action on a request is observed once.
 func TestObservingChangesNoDecision(t *testing.T) {
 	reached := make(map[Reason]bool)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -192,7 +192,7 @@
 		both := func(ev Event) []Action {
 			want, got := blind.handle(ev), seen.handle(ev)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
-				rt.Fatalf("%T %+v: %v without a witness, %v with one", ev, ev, want, got)
+				rt.Fatalf("%T %+v: %v without an observer, %v with one", ev, ev, want, got)
 			}
 			return got
 		}
@@ -228,13 +228,13 @@
 			}
 			from = len(seen.decisions)
 			if !slices.Equal(want, got) {
-				rt.Fatalf("the actions are %v, told was %v", want, got)
+				rt.Fatalf("the actions are %v, observed was %v", want, got)
 			}
 		}
 		pass := func(d time.Duration) {
 			want, got := blind.advance(d), seen.advance(d)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
-				rt.Fatalf("%v later: %v without a witness, %v with one", d, want, got)
+				rt.Fatalf("%v later: %v without an observer, %v with one", d, want, got)
 			}
 			account(got)
 		}
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// fleetSimulation answers what a fleet of relays sends, and keeps the account of each request.
+// fleetSimulation plays the endpoints of a fleet of relays, and keeps a log of each request.
 type fleetSimulation struct {
 	t         *testing.T
 	relays    []*testRelay
-	freeSlots map[EndpointID]int // free; a server without any turns away
+	freeSlots map[EndpointID]int // an endpoint without any rejects attempts
 	hung      map[EndpointID]bool
 
 	requests  map[requestKey]*requestLog
-	scheduled map[time.Duration][]func() // outcomes to come, by time
+	scheduled map[time.Duration][]func() // outcomes, by their time
 }
 
 type requestKey struct {
@@ -69,7 +69,7 @@
 		case Reject:
 			log := f.requests[requestKey{i, a.Request}]
 			if log.answeredAt > 0 || log.inFlight {
-				f.t.Errorf("relay %d: request %d is refused while %+v", i, a.Request, log)
+				f.t.Errorf("relay %d: request %d is rejected while %+v", i, a.Request, log)
 			}
 			log.answeredAt, log.retryAfter = relay.now, a.RetryAfter
 		case Fail:
@@ -78,7 +78,7 @@
 	}
 }
 
-// request has a client come to a relay.
+// request sends a request of a client to a relay.
 func (f *fleetSimulation) request(i int, group uint64) {
 	relay := f.relays[i]
 	relay.lastID++
@@ -86,7 +86,7 @@
 	f.carryOut(i, relay.handle(Request{ID: relay.lastID, Group: group, TimeLeft: 2 * time.Second}))
 }
 
-// advance lets time go by for all relays.
+// advance lets time pass for all relays.
 func (f *fleetSimulation) advance(d time.Duration) {
 	for range d / (10 * ms) {
 		for i, relay := range f.relays {
@@ -100,7 +100,8 @@
 	}
 }
 
-// checkAnswered checks that each request has one answer in time, and returns how many are up.
+// checkAnswered checks that each request has one answer in time, and returns how many are established and
+// how many attempts there were.
 func (f *fleetSimulation) checkAnswered() (up, tries int) {
 	f.t.Helper()
 	for key, log := range f.requests {
@@ -110,7 +111,7 @@
 		for i, id := range log.attempts {
 			for _, other := range log.attempts[:i] {
 				if id == other {
-					f.t.Errorf("request %d came to server %d twice", key.id, id)
+					f.t.Errorf("request %d was sent to endpoint %d twice", key.id, id)
 				}
 			}
 		}
@@ -121,9 +122,8 @@
 	return up, tries
 }
 
-// More clients come back at once, to eighty relays that know nothing of each other, than
-// all servers have seats for: each is answered in time, no seat stays empty, and who finds
-// none is told to stay away for a while.
+// More clients return at once, to eighty relays that know nothing of each other, than the endpoints have
+// slots for: each is answered in time, no slot stays free, and each rejection carries a retry-after.
 func TestMoreRequestsThanTheFleetHasCapacityFor(t *testing.T) {
 	settings := testSettings()
 	settings.Relays, settings.MaxAttempts, settings.MaxRetryAfter = 80, 5, 2*time.Second
@@ -137,20 +137,20 @@
 	fleet.advance(3 * time.Second)
 	up, tries := fleet.checkAnswered()
 	if up != 120 {
-		t.Errorf("%d of 120 seats are taken", up)
+		t.Errorf("%d of 120 slots are taken", up)
 	}
 	if tries > 300*settings.MaxAttempts {
 		t.Errorf("%d attempts", tries)
 	}
 	for key, log := range fleet.requests {
 		if !log.established && (log.retryAfter < retryBackoffBase || log.retryAfter > settings.MaxRetryAfter) {
-			t.Errorf("request %d is told to come again after %v", key.id, log.retryAfter)
+			t.Errorf("request %d has a retry-after of %v", key.id, log.retryAfter)
 		}
 	}
 }
 
-// A server that takes requests and answers none, and that no relay has met before: each
-// request is still served in time, by another, and none tries it twice.
+// An endpoint accepts requests and answers none, and no relay has seen that before: each request is still
+// served in time by another, and none is sent to it twice.
 func TestHungEndpointCostsEachRequestAtMostOneAttempt(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 80
@@ -165,9 +165,9 @@
 	fleet.advance(3 * time.Second)
 	up, tries := fleet.checkAnswered()
 	if up != 160 {
-		t.Errorf("%d of 160 are up", up)
+		t.Errorf("%d of 160 are established", up)
 	}
 	if extra := tries - 160; extra < 10 || extra > 60 {
-		t.Errorf("%d attempts were lost on the hung server, a sixth of 160 would be 27", extra)
+		t.Errorf("%d attempts were lost on the hung endpoint, a sixth of 160 would be 27", extra)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// testRelay drives a Balancer as the code that embeds it would.
+// testRelay drives a Balancer as the code that embeds it does.
 type testRelay struct {
 	t        *testing.T
 	balancer *Balancer
@@ -50,7 +50,7 @@
 	return relay
 }
 
-// newTestRelays returns as many relays as the settings name, each of a seed of its own.
+// newTestRelays returns as many relays as the settings name, each with a seed of its own.
 func newTestRelays(t *testing.T, settings Settings, endpoints ...Endpoint) []*testRelay {
 	t.Helper()
 	relays := make([]*testRelay, settings.Relays)
@@ -62,7 +62,7 @@
 	return relays
 }
 
-// readyEndpoints returns n ready servers of equal size, numbered from 1.
+// readyEndpoints returns n ready endpoints of equal size, numbered from 1.
 func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -71,7 +71,7 @@
 	return list
 }
 
-// handle hands an event to the Balancer and returns what it did, timers aside.
+// handle hands an event to the Balancer, sets the timers that it wants, and returns its other actions.
 func (r *testRelay) handle(ev Event) []Action {
 	var actions []Action
 	for _, a := range r.balancer.Handle(r.now, ev) {
@@ -85,7 +85,7 @@
 	return actions
 }
 
-// advance lets time go by and returns what was done meanwhile.
+// advance lets time pass and returns the actions that timers brought meanwhile.
 func (r *testRelay) advance(d time.Duration) []Action {
 	until := r.now + d
 	var actions []Action
@@ -108,13 +108,13 @@
 	return actions
 }
 
-// request hands over a request of a group and returns its ID and what was done.
+// request hands in a request of a group and returns its ID and the actions.
 func (r *testRelay) request(group uint64) (RequestID, []Action) {
 	r.lastID++
 	return r.lastID, r.handle(Request{ID: r.lastID, Group: group, TimeLeft: 2 * time.Second})
 }
 
-// connect sets a connection of a group up and returns its ID and server.
+// connect establishes a connection of a group and returns its ID and endpoint.
 func (r *testRelay) connect(group uint64) (RequestID, EndpointID) {
 	r.t.Helper()
 	id, actions := r.request(group)
@@ -123,7 +123,7 @@
 	return id, endpoint
 }
 
-// connectMany sets up n connections of a group and returns their server.
+// connectMany establishes n connections of a group and returns the endpoint of the last.
 func (r *testRelay) connectMany(group uint64, n int) EndpointID {
 	var endpoint EndpointID
 	for range n {
@@ -132,7 +132,7 @@
 	return endpoint
 }
 
-// wantSent returns the server that the only action sends a request to.
+// wantSent returns the endpoint that the only action sends the request to.
 func (r *testRelay) wantSent(actions []Action, id RequestID) EndpointID {
 	r.t.Helper()
 	if len(actions) == 1 {
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,23 +7,29 @@
 	"time"
 )
 
-// TestInvariantsHoldOverRandomEvents plays random legal events and checks all four
-// rules, and that what the Balancer counts stays true.
+// TestInvariantsHoldOverRandomEvents plays random legal events and checks that
+//
+//  1. each request is answered once and within its deadline,
+//  2. what may have run is repeated and rejected only where that is harmless,
+//  3. nothing is sent to an endpoint that the list says is draining or gone,
+//  4. an endpoint that is warming up gets no more than it can bear,
+//
+// and that what the Balancer counts stays true.
 func TestInvariantsHoldOverRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		newRandomScenario(t, seed).run(1500)
 	}
 }
 
-// randomScenario is a random but legal world around a Balancer.
+// randomScenario is a random but legal environment of a Balancer.
 type randomScenario struct {
 	*testRelay
 	rng               *rand.Rand
 	settings          Settings
 	listed            []Endpoint
-	unavailableSince  map[EndpointID]time.Duration // told draining or gone since
+	unavailableSince  map[EndpointID]time.Duration // listed as draining or gone since
 	requests          map[RequestID]*scenarioRequest
-	attempts          []scenarioAttempt // attempts out or connections up
+	attempts          []scenarioAttempt // in flight or established
 	slowStartAttempts map[EndpointID][]time.Duration
 }
 
@@ -84,7 +90,7 @@
 		}
 	}
 	if out != s.balancer.concurrency.inFlight || out != 0 {
-		s.t.Errorf("%d attempts out, %d counted", out, s.balancer.concurrency.inFlight)
+		s.t.Errorf("%d attempts are in flight, %d are counted", out, s.balancer.concurrency.inFlight)
 	}
 	for _, endpoint := range s.balancer.endpoints.sorted {
 		n, load := 0, 0.0
@@ -95,12 +101,12 @@
 			n += g
 		}
 		if n != len(endpoint.connections) || load-endpoint.load > 1e-6 || endpoint.load-load > 1e-6 {
-			s.t.Errorf("server %d: %d connections, %d in groups, load %v booked as %v", endpoint.ID, len(endpoint.connections), n, load, endpoint.load)
+			s.t.Errorf("endpoint %d: %d connections, %d in groups, load %v booked as %v", endpoint.ID, len(endpoint.connections), n, load, endpoint.load)
 		}
 	}
 }
 
-// elapse lets time pass timer by timer, checking on the way.
+// elapse lets time pass in small steps, and checks on the way.
 func (s *randomScenario) elapse(d time.Duration) []Action {
 	for end := s.now + d; s.now < end; {
 		s.check(s.advance(min(5*ms, end-s.now)))
@@ -149,7 +155,7 @@
 	return ids
 }
 
-// endAttempt brings an attempt forward: it stands, or ends.
+// endAttempt establishes or ends an attempt.
 func (s *randomScenario) endAttempt(i int) {
 	attempt := s.attempts[i]
 	request := s.requests[attempt.request]
@@ -173,7 +179,7 @@
 	s.check(s.handle(Outcome{Request: attempt.request, Endpoint: attempt.endpoint.ID, Status: status, Final: over}))
 }
 
-// changeList changes the list: servers drain, go, come back cold or are left out.
+// changeList updates the list: endpoints drain, go, restart or are left out.
 func (s *randomScenario) changeList() {
 	if s.rng.IntN(4) == 0 {
 		s.check(s.handle(EndpointList{Kind: ListFailed}))
@@ -202,7 +208,7 @@
 	s.check(s.handle(list))
 }
 
-// check holds actions against the rules.
+// check checks actions against the invariants.
 func (s *randomScenario) check(actions []Action) {
 	s.t.Helper()
 	for _, a := range actions {
@@ -214,14 +220,14 @@
 			for i := range request.attempts {
 				if class := s.settings.Classes[request.Class]; (request.attempts[i].mayHaveRun || request.inFlight > 0) && class.Effect != Idempotent &&
 					!(class.Effect == Deduplicated && class.Scope == ScopeAll) {
-					s.t.Fatalf("rule 2: request %d of class %d refused though it may have run", request.ID, request.Class)
+					s.t.Fatalf("invariant 2: request %d of class %d rejected though it may have run", request.ID, request.Class)
 				}
 			}
 		case Fail:
 			s.checkAnswer(a.Request)
 		case Migrate:
 			if request := s.requests[a.Request]; request == nil || !request.established {
-				s.t.Fatalf("request %d moved, but it isn't up", a.Request)
+				s.t.Fatalf("request %d migrated, but it isn't established", a.Request)
 			}
 			delete(s.requests, a.Request)
 			s.attempts = slices.DeleteFunc(s.attempts, func(attempt scenarioAttempt) bool { return attempt.request == a.Request })
@@ -233,10 +239,10 @@
 	s.t.Helper()
 	request := s.requests[id]
 	if request == nil || request.established {
-		s.t.Fatalf("rule 1: request %d answered, but not owed an answer", id)
+		s.t.Fatalf("invariant 1: request %d answered, though it needs no answer", id)
 	}
 	if s.now > request.arrivedAt+request.TimeLeft+20*ms {
-		s.t.Fatalf("rule 1: request %d answered %v after its client left", id, s.now-request.arrivedAt-request.TimeLeft)
+		s.t.Fatalf("invariant 1: request %d answered %v after its deadline", id, s.now-request.arrivedAt-request.TimeLeft)
 	}
 	delete(s.requests, id)
 	return request
@@ -246,7 +252,7 @@
 	s.t.Helper()
 	request := s.requests[a.Request]
 	if request == nil || request.established || request.inFlight > 0 {
-		s.t.Fatalf("rule 1: attempt for request %d, which is over or has one out", a.Request)
+		s.t.Fatalf("invariant 1: attempt for request %d, which has ended or has one in flight", a.Request)
 	}
 	if len(request.attempts) >= s.settings.MaxAttempts {
 		s.t.Fatalf("request %d has more than %d attempts", a.Request, s.settings.MaxAttempts)
@@ -263,14 +269,14 @@
 			s.now > attempt.sentAt+class.DeduplicationWindow,
 			class.Scope == ScopeZone && to.Zone != attempt.endpoint.Zone,
 			class.Scope == ScopeCell && to.Cell != attempt.endpoint.Cell:
-			s.t.Fatalf("rule 2: request %d of class %d sent again", request.ID, request.Class)
+			s.t.Fatalf("invariant 2: request %d of class %d sent again", request.ID, request.Class)
 		}
 	}
 	if since, ok := s.unavailableSince[to.ID]; ok && s.now > since+time.Second {
-		s.t.Fatalf("rule 3: sent to %d, told draining or gone %v ago", to.ID, s.now-since)
+		s.t.Fatalf("invariant 3: sent to %d, listed as draining or gone %v ago", to.ID, s.now-since)
 	}
 	if to.StartedAt > 0 && s.now < to.StartedAt+s.settings.SlowStartDuration {
-		// No more than the share of one relay in what a window may hold, or one.
+		// No more than one relay's share of what an overload window may hold, or one.
 		sent := append(s.slowStartAttempts[to.ID], s.now)
 		s.slowStartAttempts[to.ID] = sent
 		n := 0
@@ -282,7 +288,7 @@
 		age := float64(s.now-to.StartedAt) / float64(s.settings.SlowStartDuration)
 		share := s.settings.InitialCapacity + (1-s.settings.InitialCapacity)*age
 		if most := 1 + 10*share*s.settings.OverloadMultiple*s.settings.OverloadWindow.Seconds(); float64(n) > most {
-			s.t.Fatalf("rule 4: cold server %d sent %d in a window, %v at most", to.ID, n, most)
+			s.t.Fatalf("invariant 4: endpoint %d, which is warming up, was sent %d in a window, %v at most", to.ID, n, most)
 		}
 	}
 	request.inFlight++
--- a/balancer/loop_test.go
+++ b/balancer/loop_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// drivenLoop is a Facade whose turns the test takes.
+// drivenLoop is a Loop that the test ticks.
 type drivenLoop struct {
 	*Loop
 	t   *testing.T
@@ -22,7 +22,7 @@
 	return loop
 }
 
-// advance lets time go by, with every timer's turn on its way, and takes one more.
+// advance lets time pass, ticks at every timer that is due meanwhile, and once more at the end.
 func (d *drivenLoop) advance(after time.Duration) {
 	until := d.now + after
 	for {
@@ -36,10 +36,10 @@
 	d.Tick(d.now)
 }
 
-// submit hands in a transaction.
+// submit submits a request.
 func (d *drivenLoop) submit() *RequestHandle {
 	t := NewRequestHandle(RequestOptions{Group: 7, Deadline: d.now + 2*time.Second})
-	t.submitted = true // Pick would block before the turn
+	t.submitted = true // Pick would block before the Tick
 	d.enqueue(t)
 	d.advance(0)
 	return t
@@ -51,7 +51,7 @@
 	cancel()
 	s, err := d.Pick(ctx, t)
 	if err != nil || s.Kind != kind {
-		d.t.Fatalf("got step %+v, %v, want kind %d", s, err, kind)
+		d.t.Fatalf("got action %+v, %v, want kind %d", s, err, kind)
 	}
 	return s
 }
@@ -59,10 +59,10 @@
 func (d *drivenLoop) wantNoAction(t *RequestHandle) {
 	d.t.Helper()
 	ctx, cancel := context.WithCancelCause(context.Background())
-	why := errors.New("no step")
+	why := errors.New("no action")
 	cancel(why)
 	if s, err := d.Pick(ctx, t); !errors.Is(err, why) {
-		d.t.Fatalf("got step %+v, %v, want none", s, err)
+		d.t.Fatalf("got action %+v, %v, want none", s, err)
 	}
 }
 
@@ -76,7 +76,7 @@
 	loop.wantNoAction(handle) // it backs off
 	loop.advance(retryBackoffBase)
 	if second := loop.wantAction(handle, ActionAttempt); second.Endpoint == first.Endpoint {
-		t.Error("the second pass goes where the first has failed")
+		t.Error("the second attempt goes where the first has failed")
 	}
 	loop.Report(AttemptEstablished{Handle: handle, SetupTime: 5 * ms})
 	loop.advance(0)
@@ -85,7 +85,7 @@
 	loop.advance(0)
 	loop.wantAction(handle, ActionClosed)
 	if len(loop.handles) != 0 {
-		t.Errorf("%d tickets are kept", len(loop.handles))
+		t.Errorf("%d handles are kept", len(loop.handles))
 	}
 }
 
@@ -95,7 +95,7 @@
 	loop.wantAction(handle, ActionAttempt)
 	loop.advance(2 * time.Second)
 	loop.wantAction(handle, ActionReject)
-	// The pass that stands after that comes too late.
+	// An attempt that is established after that comes too late.
 	loop.Report(AttemptEstablished{Handle: handle})
 	loop.Report(AttemptEnded{Handle: handle, Status: StatusCancelled})
 	loop.advance(0)
@@ -128,7 +128,7 @@
 	loop.wantNoAction(handle)
 }
 
-// Who reports after the last turn must not wait for one.
+// Whoever reports after the last Tick must not wait for another.
 func TestReportAfterCloseDoesNotBlock(t *testing.T) {
 	loop := newDrivenLoop(t, 1)
 	loop.Close()
--- a/balancer/module_test.go
+++ b/balancer/module_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// Instances share nothing: one beside another acts as it would alone.
+// Balancers share nothing: equal events give equal actions, with another one beside it or without.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	script := func(relay *testRelay, other *testRelay) []Action {
 		for key := range uint64(300) {
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A server that slows but accepts must not keep its groups.
+// An endpoint that slows but accepts must not keep its groups.
 func TestSlowEndpointLosesWeightRoutesAndConnections(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 	id, endpoint := relay.connect(7)
@@ -16,13 +16,13 @@
 	relay.advance(time.Second)
 	moved := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 500 * ms}))
 	if moved == 0 || moved == 20 {
-		t.Fatalf("%d of 20 connections moved, want a part", moved)
+		t.Fatalf("%d of 20 connections migrated, want some of them", moved)
 	}
 	if after := s.currentWeight(relay.now); after >= before {
 		t.Errorf("weight went from %v to %v", before, after)
 	}
 	if _, next := relay.connect(7); next == endpoint {
-		t.Error("the group still grows on the slow server")
+		t.Error("the group still grows on the slow endpoint")
 	}
 }
 
@@ -32,10 +32,10 @@
 		before, delay time.Duration
 		min, max      int
 	}{
-		{"worked off fast enough", 2000 * ms, 1000 * ms, 0, 0},
+		{"backlog drains in time", 2000 * ms, 1000 * ms, 0, 0},
 		{"steady and short", 150 * ms, 150 * ms, 1, 2},
 		{"growing", 100 * ms, 800 * ms, 9, 12},
-		{"full to the brim", 2900 * ms, 2900 * ms, 15, 16},
+		{"backlog at its limit", 2900 * ms, 2900 * ms, 15, 16},
 	} {
 		relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 		id, endpoint := relay.connect(7)
@@ -45,12 +45,12 @@
 		relay.advance(time.Second)
 		n := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: test.delay}))
 		if n < test.min || n > test.max {
-			t.Errorf("%s: %d of 20 moved, want %d to %d", test.name, n, test.min, test.max)
+			t.Errorf("%s: %d of 20 migrated, want %d to %d", test.name, n, test.min, test.max)
 		}
 	}
 }
 
-// A group left in part is paid for by two servers.
+// A group on two endpoints is paid for by both.
 func TestLoadReliefMigratesSmallGroupsFirst(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	big, _ := relay.connect(1)
@@ -63,12 +63,11 @@
 		t.Error("the small group stayed")
 	}
 	if n := relay.balancer.endpoints.find(1).connectionsByGroup[1]; n != 9 || relay.balancer.requests[big] == nil && n == 10 {
-		t.Errorf("%d of the big group stayed, want 9", n)
+		t.Errorf("%d of the large group stayed, want 9", n)
 	}
 }
 
-// Many relays with one connection each must neither empty a slow server nor
-// leave it as it is.
+// Many relays with one connection each must neither empty a slow endpoint nor leave it as it is.
 func TestLoadReliefByManyRelaysKeepsSomeConnections(t *testing.T) {
 	moved := 0
 	for seed := range uint64(200) {
@@ -82,18 +81,18 @@
 		moved += countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 600 * ms}))
 	}
 	if moved < 20 || moved > 70 {
-		t.Errorf("%d of 200 relays moved their connection, want about 40", moved)
+		t.Errorf("%d of 200 relays migrated their connection, want about 40", moved)
 	}
 }
 
-// With all servers slow, relief sheds: who is moved waits until a server isn't.
+// With all endpoints slow, load is shed: migrated clients are held until an endpoint is no longer slow.
 func TestLoadReliefShedsWhenAllEndpointsAreSlow(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	up, endpoint := relay.connect(7)
 	relay.connectMany(7, 19)
 	moved := countActions[Migrate](relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second}))
 	if moved < 5 || moved > 18 {
-		t.Fatalf("%d of 20 moved", moved)
+		t.Fatalf("%d of 20 migrated", moved)
 	}
 	for range moved {
 		_, actions := relay.request(7)
@@ -102,11 +101,11 @@
 	relay.advance(ms)
 	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: 10 * ms})
 	if n := countActions[SendAttempt](relay.advance(2 * time.Second)); n < 2 {
-		t.Errorf("%d of %d sent once the server was no longer slow", n, moved)
+		t.Errorf("%d of %d sent once the endpoint was no longer slow", n, moved)
 	}
 }
 
-// Set-ups and moves among slow servers are what keeps them slow.
+// Set-ups at slow endpoints, and migrations among them, keep them slow.
 func TestRequestsAreHeldWhileTheSelectedEndpointIsSlow(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	up, endpoint := relay.connect(7)
@@ -119,17 +118,17 @@
 	relay.handle(Established{Request: id, Endpoint: endpoint, SetupTime: ms})
 	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
 	late, _ := relay.request(7)
-	for range 4 { // notes keep coming; the one that waits is answered all the same
+	for range 4 { // delays are reported again and again; the held request is answered all the same
 		relay.advance(475 * ms)
 		relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
 	}
 	relay.advance(100 * ms)
 	if countActions[Reject](relay.actions) != 1 || relay.balancer.requests[late] != nil {
-		t.Errorf("the request that waited has no answer: %v", relay.actions)
+		t.Errorf("the request that was held has no answer: %v", relay.actions)
 	}
 }
 
-// A server that turns set-ups away fast looks empty.
+// An endpoint that rejects set-ups quickly would look empty.
 func TestRequestsAreHeldWhileTheEndpointIsFull(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	id, actions := relay.request(7)
@@ -138,11 +137,11 @@
 	wantActions(t, actions)
 	relay.advance(1500 * ms)
 	if n := countActions[SendAttempt](relay.actions); n != 1 {
-		t.Errorf("%d attempts at a server that was full", n)
+		t.Errorf("%d attempts at an endpoint that was full", n)
 	}
 }
 
-// Those that waited for a slow server must not come all at once.
+// Requests that were held for a slow endpoint must not all arrive at once.
 func TestRecoveryRampLimitsSetupsAfterSlowness(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 2
--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// This file makes the sequences that replay_test.go replays, and runs with -record only. It simulates clients and servers
-// in a few words: enough to answer what the module asks for, and to have it meet every kind of trouble.
+// This file makes the sequences that replay_test.go replays, and runs with -record only. It simulates clients and endpoints
+// in a few words: enough to answer what the Balancer asks for, and to bring about every kind of failure.
 
 // replayScenario is what one recorded file holds.
 type replayScenario struct {
@@ -27,7 +27,7 @@
 	observed    bool
 	throughLoop bool
 	rate        float64       // requests a second
-	outageEvery time.Duration // between two disasters, in the mean; 0: 9 s
+	outageEvery time.Duration // between two outages, on average; 0: 9 s
 }
 
 // common are settings that all scenarios share, but for those they give themselves.
@@ -98,7 +98,7 @@
 	}
 }
 
-// scenarioRecorder simulates what is around the module and writes down what passes between them.
+// scenarioRecorder simulates the environment of a Balancer or Loop and writes down what passes between them.
 type scenarioRecorder struct {
 	t *testing.T
 	replayScenario
@@ -241,7 +241,7 @@
 	}
 }
 
-// finish has a client go, and some come back.
+// finish ends a request of a client; some clients return.
 func (r *scenarioRecorder) finish(client *recordedClient) {
 	if client == nil || r.clients[client.name] != client {
 		return
@@ -256,7 +256,7 @@
 	return r.clients[client.name] == client && client.attempt == attempt
 }
 
-// attempt simulates an attempt at a server.
+// attempt simulates an attempt at an endpoint.
 func (r *scenarioRecorder) attempt(client *recordedClient, server int, patience time.Duration) {
 	client.endpoint = server
 	client.attempt++
@@ -344,7 +344,7 @@
 	if over {
 		defer r.finish(client)
 	} else if client.attempt > 0 {
-		client.attempt++ // nothing more of this attempt counts
+		client.attempt++ // what is scheduled for this attempt no longer counts
 	}
 	if r.throughLoop {
 		r.input("ended %s %s", client.name, how)
@@ -358,7 +358,7 @@
 	r.input("left %s", client.name)
 }
 
-// request has a client come.
+// request sends a request of a client.
 func (r *scenarioRecorder) request(group int, back bool) {
 	r.lastClient++
 	deadline := time.Duration(1+r.rng.IntN(3))*time.Second + r.jitter(100*time.Millisecond)
@@ -405,7 +405,7 @@
 	}
 }
 
-// listed writes n servers as a list does, from the first given.
+// listed writes n endpoints as a list does, from the first given.
 func (r *scenarioRecorder) listed(first, n int) string {
 	var text strings.Builder
 	for i := first; i < first+n; i++ {
@@ -424,7 +424,7 @@
 	r.input("list %s%s", kind, r.listed(first, n))
 }
 
-// disturb changes the health of a server, and tells of it as a list would, a little later.
+// disturb changes the health of an endpoint, and updates the list a little later.
 func (r *scenarioRecorder) disturb() {
 	i := r.rng.IntN(len(r.servers))
 	s := &r.servers[i]
@@ -448,13 +448,13 @@
 	case 2:
 		s.health = "broken"
 		heal(3 * time.Second)
-	case 3: // it drains, leaves and comes back
+	case 3: // it drains, stops and restarts
 		s.health = "leaving"
 		tell(500*time.Millisecond, "draining")
 		tell(6*time.Second, "gone")
 		r.after(9*time.Second, func() { r.servers[i].startedAt = r.now })
 		tell(19*time.Second, "ready")
-	default: // it dies and starts again
+	default: // it crashes and restarts
 		s.health = "dead"
 		tell(time.Second, "gone")
 		r.after(3*time.Second, func() { r.servers[i].startedAt = r.now })
@@ -462,7 +462,7 @@
 	}
 }
 
-// outage makes a third of the servers slow, broken or dead at once.
+// outage makes a third of the endpoints slow, broken or dead at once.
 func (r *scenarioRecorder) outage() {
 	how := []string{"slow", "broken", "dead", "full", "slow"}[r.rng.IntN(5)]
 	for i := range r.servers {
@@ -495,7 +495,7 @@
 	}
 }
 
-// restart takes a snapshot, and has another take it over.
+// restart takes a snapshot, and makes another Balancer restore it.
 func (r *scenarioRecorder) restart() {
 	if r.throughLoop {
 		r.input("snapshot")
@@ -538,13 +538,13 @@
 			}
 		})
 	}
-	for i := range r.servers { // what was to change them is forgotten with what was due
+	for i := range r.servers { // what was scheduled to change them is dropped
 		r.servers[i].health, r.servers[i].state = "well", "ready"
 	}
 	r.startBackground()
 }
 
-// startBackground sets off what happens again and again.
+// startBackground schedules what happens again and again.
 func (r *scenarioRecorder) startBackground() {
 	groups := 3 * len(r.servers)
 	r.every(time.Duration(float64(time.Second)/r.rate), func() {
@@ -567,7 +567,7 @@
 			r.input("retuned %d", r.settingsInForce)
 		}
 	})
-	r.every(2*time.Second, func() { // a client of any kind leaves, or its relay does
+	r.every(2*time.Second, func() { // a client disconnects, or its relay shuts down
 		names := make([]string, 0, len(r.clients))
 		for name := range r.clients {
 			names = append(names, name)
@@ -586,7 +586,7 @@
 		}
 		r.input("%s %s", word, client.name)
 	})
-	if r.replayScenario.outageEvery > 0 { // what it does to the window shows in snapshots first
+	if r.replayScenario.outageEvery > 0 { // its effect on the concurrency limit shows in snapshots first
 		r.every(300*time.Millisecond, func() { r.input("snapshot") })
 	}
 	if r.throughLoop {
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// The files in testdata/replay hold sequences of events and what the module answered when they were recorded.
+// The files in testdata/replay hold sequences of events and the actions that they brought when they were recorded.
 // Replaying them shows that a change of the code's shape left every decision as it was, down to the order of random
 // draws and the last digit of each number.
 //
@@ -121,16 +121,16 @@
 	return fmt.Sprintf("%x", h.Sum(nil))
 }
 
-// replayer plays inputs to a Balancer, or to a Facade once a file has asked for one.
+// replayer plays inputs to a Balancer, or to a Loop once a file has asked for one.
 type replayer struct {
 	settings  map[string]*Settings
 	balancer  *Balancer
 	snapshot  Snapshot
-	decisions []string // decisions of the input at hand
+	decisions []string // of the input being played
 
 	loop        *Loop
 	handles     map[string]*RequestHandle
-	openHandles []string // of the tickets that are open
+	openHandles []string // of requests that have not ended
 	canceled    context.Context
 }
 
@@ -181,7 +181,7 @@
 	case "snapshot":
 		r.snapshot = r.balancer.Snapshot()
 		return formatSnapshot(&r.snapshot)
-	case "renumber": // a server that is left out; all others become themselves
+	case "renumber": // an endpoint that is left out; all others keep their IDs
 		left := EndpointID(parseUint(t, w[0]))
 		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != left })
 		return formatSnapshot(&r.snapshot)
@@ -266,7 +266,7 @@
 	return ""
 }
 
-// replayLoop plays an input to the Facade. Requests go by names of their own there, and steps come with a tick.
+// replayLoop plays an input to the Loop. Requests go by names of their own there, and actions come with a tick.
 func (r *replayer) replayLoop(t *testing.T, now time.Duration, word string, w []string) []string {
 	switch word {
 	case "facade": // settings, seed
@@ -311,7 +311,7 @@
 	return nil
 }
 
-// parseLoopEvent reads what is reported to the Facade.
+// parseLoopEvent reads what is reported to the Loop.
 func (r *replayer) parseLoopEvent(t *testing.T, word string, w []string) LoopEvent {
 	switch word {
 	case "stands": // name, time it took
@@ -339,7 +339,7 @@
 	return nil
 }
 
-// tick does a turn and returns the time of the next timer, what was decided and the steps of all that are open.
+// tick ticks and returns the time of the next timer, the decisions, and the actions of all requests that are open.
 func (r *replayer) tick(now time.Duration) []string {
 	at, set := r.loop.Tick(now)
 	out := append([]string{fmt.Sprintf("next %d %t", int64(at), set)}, r.decisions...)
@@ -366,7 +366,7 @@
 	return out
 }
 
-// duringTick asks what only a turn can answer, and does the turn.
+// duringTick asks what only a Tick can answer, and ticks.
 func duringTick[T any](replayer *replayer, now time.Duration, ask func(context.Context) T) T {
 	select {
 	case <-replayer.loop.Pending():
@@ -379,7 +379,7 @@
 	return <-answer
 }
 
-// namedObserver notes what is decided for a request of the Facade.
+// namedObserver records the decisions on a request of the Loop.
 type namedObserver struct {
 	replayer *replayer
 	name     string
@@ -391,7 +391,7 @@
 	}
 }
 
-// formatDecision writes a decision as one line and each belief as one more.
+// formatDecision writes a decision as one line and each considered endpoint as one more.
 func formatDecision(id RequestID, decision *Decision) []string {
 	out := []string{fmt.Sprintf("decided %d %s %s at=%d attempt=%d server=%d wait=%d left=%d ready=%d slow=%s revision=%d age=%d instead=%d",
 		id, decision.Verdict, decision.Reason, int64(decision.At), decision.Attempt, decision.Endpoint, int64(decision.Wait), int64(decision.TimeLeft), decision.ReadyEndpoints, formatFloat(decision.SlowShare),
@@ -429,7 +429,7 @@
 	return out
 }
 
-// The words of the files for what Go counts.
+// The words of the files for enumerated values.
 
 var (
 	effectWords = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
@@ -463,7 +463,7 @@
 	return "unknown"
 }
 
-// parseEndpoints reads servers as number:state:zone:cell:weight:time of start.
+// parseEndpoints reads endpoints as number:state:zone:cell:weight:time of start.
 func parseEndpoints(t *testing.T, words []string) []Endpoint {
 	var list []Endpoint
 	for _, word := range words {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -19,7 +19,7 @@
 		wantActions(t, relay.advance(wait-1))
 		endpoint = relay.wantSent(relay.advance(1), id)
 		if tried[endpoint] {
-			t.Fatalf("server %d was tried twice", endpoint)
+			t.Fatalf("endpoint %d was tried twice", endpoint)
 		}
 		tried[endpoint] = true
 	}
@@ -32,7 +32,7 @@
 	wantActions(t, relay.fail(1, endpoint, StatusFull), Reject{Request: 1})
 }
 
-// Rule 2: what may follow an attempt, by class and by how it ended.
+// What may follow an attempt, by the class of the request and by the outcome of the attempt.
 func TestRetryStaysWithinDeduplicationScope(t *testing.T) {
 	endpoints := []Endpoint{
 		{ID: 1, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
@@ -63,7 +63,7 @@
 				actions = append(relay.fail(id, first, status), relay.advance(150*ms)...)
 				mayRepeat := !ran[status] || class.Effect == Idempotent ||
 					class.Effect == Deduplicated && class.DeduplicationWindow > 100*ms
-				mayRefuse := !ran[status] || class.Effect == Idempotent ||
+				mayReject := !ran[status] || class.Effect == Idempotent ||
 					class.Effect == Deduplicated && class.Scope == ScopeAll
 				for _, a := range actions {
 					switch a := a.(type) {
@@ -77,12 +77,12 @@
 							t.Errorf("%+v after %d: %d then %d", class, status, first, a.Endpoint)
 						}
 					case Reject:
-						if !mayRefuse {
-							t.Errorf("%+v after %d: refused", class, status)
+						if !mayReject {
+							t.Errorf("%+v after %d: rejected", class, status)
 						}
 					case Fail:
-						if mayRefuse {
-							t.Errorf("%+v after %d: failed though a refusal is true", class, status)
+						if mayReject {
+							t.Errorf("%+v after %d: failed though a rejection is true", class, status)
 						}
 					}
 				}
--- a/balancer/routecache_test.go
+++ b/balancer/routecache_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// setupFailures are the ways in which an attempt fails before it stands.
+// setupFailures are the outcomes of attempts that were not established.
 var setupFailures = []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset}
 
 func TestEachFailureInvalidatesTheRoute(t *testing.T) {
@@ -39,7 +39,7 @@
 	id, endpoint = relay.connect(7)
 	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusOK, Final: true})
 	if _, ok := relay.balancer.routes.get(7, relay.now); !ok {
-		t.Error("a connection's ordinary end cleared its route")
+		t.Error("a connection's ordinary end invalidated its route")
 	}
 }
 
@@ -53,11 +53,11 @@
 	}
 	for key, want := range map[uint64]bool{1: false, 2: false, 3: true, 4: true, 5: true} {
 		if _, ok := r.get(key, 0); ok != want {
-			t.Errorf("key %d held: %v, want %v", key, ok, want)
+			t.Errorf("key %d cached: %v, want %v", key, ok, want)
 		}
 	}
 	if _, ok := r.get(5, time.Second); ok {
-		t.Error("an entry outlived its time")
+		t.Error("an entry outlived its expiry")
 	}
 	r.put(0, 1, time.Second)
 	if _, ok := r.get(0, 0); ok {
@@ -70,11 +70,11 @@
 	relay.handle(Resumed{Request: Request{ID: 900, Group: 7}, Endpoint: 4})
 	relay.handle(Resumed{Request: Request{ID: 901, Group: 8}, Endpoint: 77}) // not on the stale list
 	if _, endpoint := relay.connect(7); endpoint != 4 {
-		t.Errorf("group went to %d, its connection is at 4", endpoint)
+		t.Errorf("the group was sent to %d, its connection is at 4", endpoint)
 	}
 	relay.handle(Outcome{Request: 900, Endpoint: 4, Status: StatusReset, Final: true})
 	relay.handle(Outcome{Request: 901, Endpoint: 77, Status: StatusReset, Final: true})
 	if n := len(relay.balancer.requests); n != 1 {
-		t.Errorf("%d connections held, want 1", n)
+		t.Errorf("%d connections kept, want 1", n)
 	}
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -10,7 +10,7 @@
 	_, home := relay.connect(7)
 	for range 10 {
 		if _, endpoint := relay.connect(7); endpoint != home {
-			t.Fatalf("group went to %d, then to %d", home, endpoint)
+			t.Fatalf("the group was sent to %d, then to %d", home, endpoint)
 		}
 	}
 }
@@ -23,7 +23,7 @@
 		return endpoint
 	}
 	if a, b := item(1), item(2); a != b {
-		t.Errorf("one item went to %d and %d", a, b)
+		t.Errorf("one item was sent to %d and %d", a, b)
 	}
 }
 
@@ -38,12 +38,11 @@
 		}
 	}
 	if n < 2850 || n > 3150 {
-		t.Errorf("a server of three times the size drew %d of 4000, want about 3000", n)
+		t.Errorf("an endpoint of three times the size drew %d of 4000, want about 3000", n)
 	}
 }
 
-// Relays that share nothing must agree on where a group goes, or each of their
-// servers pays for it.
+// Relays that share nothing must agree on the endpoint of a group, or several endpoints pay for it.
 func TestRelaysDrawTheSameEndpointForAGroup(t *testing.T) {
 	a, b := New(testSettings(), 1), New(testSettings(), 2)
 	for _, x := range []*Balancer{a, b} {
@@ -57,17 +56,16 @@
 	}
 }
 
-// The packets of an open connection may reach another relay in mid-flow, as a
-// request of its group.
+// The packets of an established connection may reach another relay, as a request of its group.
 func TestRelaysAgreeOnTheEndpointOfAGroup(t *testing.T) {
 	a, b := newTestRelay(t, testSettings(), readyEndpoints(6)...), newTestRelay(t, testSettings(), readyEndpoints(6)...)
 	_, endpoint := a.connect(7)
 	if got := b.wantSent(b.handle(Request{ID: 1, Group: 7, TimeLeft: time.Second}), 1); got != endpoint {
-		t.Errorf("the connection stands at %d, another relay sent it to %d", endpoint, got)
+		t.Errorf("the connection is established at %d, another relay sent it to %d", endpoint, got)
 	}
 }
 
-// Draws by set-ups alone don't see what already stands.
+// A draw by set-ups alone would not see the connections that are established.
 func TestDrawAvoidsLoadedEndpoints(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	endpoint := relay.connectMany(7, 30)
@@ -78,7 +76,7 @@
 		}
 	}
 	if n > 50 {
-		t.Errorf("the one crowded server of four drew %d of 1000", n)
+		t.Errorf("the one loaded endpoint of four drew %d of 1000", n)
 	}
 }
 
@@ -99,13 +97,13 @@
 			}
 		}
 		if n < test.min || n > test.max {
-			t.Errorf("cost %v: own zone drew %d of 1000, want %d to %d", test.cost, n, test.min, test.max)
+			t.Errorf("cost %v: the local zone drew %d of 1000, want %d to %d", test.cost, n, test.min, test.max)
 		}
 	}
 }
 
-// Many relays of four zones draw nearly alike: what each prefers of its own zone made a
-// group be paid for by a server in every zone.
+// Many relays of four zones draw nearly alike: a full preference for the local zone would put each group
+// on an endpoint in every zone.
 func TestLocalZonePreferenceOfManyRelaysDoesNotSplitGroups(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.03
@@ -128,11 +126,11 @@
 		return mean
 	}
 	if few, many := spread(4), spread(80); few < 2 || many > 1.5 {
-		t.Errorf("a group is on %.2f servers behind 4 relays, on %.2f behind 80; more than 2 and less than 1.5 are wanted", few, many)
+		t.Errorf("a group is on %.2f endpoints behind 4 relays, on %.2f behind 80; more than 2 and less than 1.5 are wanted", few, many)
 	}
 }
 
-// A cached server that is slow must not hold its group up while others are fine.
+// A cached endpoint that is slow must not delay its group while other endpoints are not.
 func TestGroupOfASlowEndpointIsRedrawn(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	_, endpoint := relay.connect(7)
@@ -141,12 +139,11 @@
 	s.cutWeight(0, relay.now)
 	id, actions := relay.request(7)
 	if next := relay.wantSent(actions, id); next == endpoint {
-		t.Error("sent to the slow server")
+		t.Error("sent to the slow endpoint")
 	}
 }
 
-// Delays grow before they are too long: a group must not go on filling a server
-// until it is slow.
+// Delays grow before they miss the objective: a group must not fill its endpoint until that is slow.
 func TestGroupIsRedrawnBeforeItsEndpointIsSlow(t *testing.T) {
 	for _, test := range []struct {
 		delay     time.Duration
@@ -167,9 +164,8 @@
 	}
 }
 
-// Where many servers are slow their crowds wait: if they moved on, they would
-// topple the next. Where one is, waiting for it helps nobody, and clients whose
-// server is slow were held until they gave up while others were free.
+// Where many endpoints are slow, requests are held for them: if all moved on, they would overload the
+// next endpoint. Where one is slow, holding helps nobody while others are free.
 func TestDrawAvoidsSlowEndpointsOnlyWhileFewAreSlow(t *testing.T) {
 	for name, c := range map[string]struct{ slow, least, most int }{
 		"one of six":   {1, 0, 0},
@@ -194,7 +190,7 @@
 			}
 		}
 		if stay < c.least || stay > c.most {
-			t.Errorf("%s slow: %d of 40 groups wait for their server, want %d to %d", name, stay, c.least, c.most)
+			t.Errorf("%s slow: %d of 40 groups are held for their endpoint, want %d to %d", name, stay, c.least, c.most)
 		}
 	}
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -8,16 +8,16 @@
 
 func TestValidateRejectsInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
-		"no classes":       func(settings *Settings) { settings.Classes = nil },
-		"no deadline":      func(settings *Settings) { settings.Classes[0].Deadline = 0 },
-		"no memory":        func(settings *Settings) { settings.Classes[0].Effect = Deduplicated },
-		"no relays":        func(settings *Settings) { settings.Relays = 0 },
-		"no attempts":      func(settings *Settings) { settings.MaxAttempts = 0 },
-		"no cold share":    func(settings *Settings) { settings.InitialCapacity = 0 },
-		"large cold share": func(settings *Settings) { settings.InitialCapacity = 2 },
-		"no tip":           func(settings *Settings) { settings.OverloadWindow = 0 },
-		"negative":         func(settings *Settings) { settings.MinTick = -1 },
-		"ask never":        func(settings *Settings) { settings.PollList, settings.PollInterval = true, 0 },
+		"no classes":              func(settings *Settings) { settings.Classes = nil },
+		"no deadline":             func(settings *Settings) { settings.Classes[0].Deadline = 0 },
+		"no deduplication window": func(settings *Settings) { settings.Classes[0].Effect = Deduplicated },
+		"no relays":               func(settings *Settings) { settings.Relays = 0 },
+		"no attempts":             func(settings *Settings) { settings.MaxAttempts = 0 },
+		"no initial capacity":     func(settings *Settings) { settings.InitialCapacity = 0 },
+		"large initial capacity":  func(settings *Settings) { settings.InitialCapacity = 2 },
+		"no overload window":      func(settings *Settings) { settings.OverloadWindow = 0 },
+		"negative":                func(settings *Settings) { settings.MinTick = -1 },
+		"no poll interval":        func(settings *Settings) { settings.PollList, settings.PollInterval = true, 0 },
 	} {
 		settings := testSettings()
 		spoil(&settings)
@@ -27,12 +27,12 @@
 	}
 	settings := testSettings()
 	if err := settings.Validate(); err != nil {
-		t.Errorf("settings that make sense: %v", err)
+		t.Errorf("valid settings: %v", err)
 	}
 }
 
-// Other settings hold for what begins from then on; what is under way keeps its class and
-// its attempts.
+// Other settings hold for requests that arrive from then on. A request in progress keeps its class and its
+// number of attempts.
 func TestRequestKeepsTheSettingsItArrivedUnder(t *testing.T) {
 	old := testSettings()
 	relay := newTestRelay(t, old, readyEndpoints(4)...)
@@ -44,10 +44,10 @@
 	next.Classes = []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce, MessageLatencyObjective: 40 * ms}}
 	relay.handle(SettingsChanged{&next})
 	if relay.balancer.messageObjective != 40*ms {
-		t.Errorf("the aim of a message is %v", relay.balancer.messageObjective)
+		t.Errorf("the objective of a message is %v", relay.balancer.messageObjective)
 	}
 
-	// May be repeated, up to three attempts: as it began.
+	// It may be repeated, up to three attempts: as when it arrived.
 	relay.fail(id, first, StatusReset)
 	second := relay.wantSent(relay.advance(retryBackoffBase), id)
 	relay.fail(id, second, StatusReset)
@@ -56,7 +56,7 @@
 		t.Errorf("after three attempts: %v", actions)
 	}
 
-	// Must not be repeated, and has one attempt.
+	// It must not be repeated, and has one attempt.
 	id, actions = relay.request(8)
 	if actions := relay.fail(id, relay.wantSent(actions, id), StatusReset); countActions[Fail](actions) != 1 {
 		t.Errorf("after what may have run: %v", actions)
@@ -66,7 +66,7 @@
 		t.Errorf("after its one attempt: %v", actions)
 	}
 
-	// One that began under the old settings and comes to its turn after the new ones.
+	// It arrived under the old settings, and is handed in after the new ones.
 	relay.lastID++
 	late := relay.handle(Request{ID: relay.lastID, Group: 10, TimeLeft: 2 * time.Second, Settings: &old})
 	endpoint := relay.wantSent(late, relay.lastID)
--- a/balancer/setuptime_test.go
+++ b/balancer/setuptime_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// A crowd comes back to relays that have just started, with no list but the one of their start, while one server in
-// eight answers nothing and a session store that all share has set-ups take 400 ms. Whoever sees that late still
-// serves every class: 400 ms are within each one's time. The class of the least time had its first attempt given up
-// after half of 600 ms, and no time for a second: it was served to nobody.
+// Many clients return to relays that have just started, with no list but the one of their start, while one endpoint in
+// eight is hung and a session store that all share makes set-ups take 400 ms. That is within the deadline of every
+// class, so each is served: an attempt timeout of half the deadline would leave the class of 600 ms unserved.
 func TestEveryClassIsServedWhenSetupsAreSlow(t *testing.T) {
 	const (
 		took    = 400 * ms
@@ -34,14 +33,14 @@
 			for len(actions) > 0 {
 				send, ok := actions[0].(SendAttempt)
 				if !ok {
-					break // refused or failed
+					break // rejected or failed
 				}
 				wait := took
 				up := send.Endpoint%8 != 0 && send.Timeout >= took
 				if !up {
 					wait = send.Timeout
 				}
-				relay.now += wait // its own timers come later: the outcome is there first
+				relay.now += wait // the outcome comes before timers that are due
 				if up {
 					relay.handle(Established{Request: id, Endpoint: send.Endpoint, SetupTime: took})
 					served[class]++
@@ -53,19 +52,19 @@
 				}
 			}
 			if late := relay.now - began; late > left+settings.MinTick {
-				t.Errorf("relay %d answers after %v of %v", i, late, left)
+				t.Errorf("relay %d answered after %v of %v", i, late, left)
 			}
 			relay.advance(max(0, began+time.Second-relay.now))
 		}
 	}
 	for class, c := range settings.Classes {
 		if 2*served[class] < asked[class] {
-			t.Errorf("of class %q %d of %d are served", c.Name, served[class], asked[class])
+			t.Errorf("of class %q %d of %d were served", c.Name, served[class], asked[class])
 		}
 	}
 }
 
-// Where a time-out may not be repeated nothing follows it: the attempt gets all the time there is.
+// Where a time-out may not be repeated no attempt follows it: the first gets all the time left.
 func TestNonRepeatableAttemptGetsTheWholeDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].Effect = AtMostOnce
@@ -76,24 +75,24 @@
 	}
 }
 
-// What is known of set-ups grows with one that is slow or cut off, halves with each quick one, and passes.
+// The estimate grows with a set-up that is slow or times out, halves with each quick one, and expires.
 func TestSetupTimeEstimateGrowsHalvesAndExpires(t *testing.T) {
 	var u setupTimeEstimate
 	u.observeTimeout(1, 300*ms, time.Hour)
 	u.observeTimeout(1, 300*ms, time.Hour)
 	if got := u.current(time.Hour); got != 0 {
-		t.Errorf("one server hangs, and it is %v", got)
+		t.Errorf("one endpoint hangs, and the estimate is %v", got)
 	}
 	u.observeTimeout(2, 200*ms, time.Hour)
 	u.observeEstablished(20*ms, time.Hour)
 	if got := u.current(time.Hour); got != 160*ms {
-		t.Errorf("after two servers cut off at 300 ms and a set-up of 20 ms it is %v", got)
+		t.Errorf("after time-outs of 300 ms at two endpoints and a set-up of 20 ms the estimate is %v", got)
 	}
 	u.observeEstablished(400*ms, time.Hour)
 	if got := u.current(time.Hour); got != 400*ms {
-		t.Errorf("after one of 400 ms it is %v", got)
+		t.Errorf("after one of 400 ms the estimate is %v", got)
 	}
 	if got := u.current(time.Hour + setupTimeValidity); got != 0 {
-		t.Errorf("half a minute later it is %v", got)
+		t.Errorf("half a minute later the estimate is %v", got)
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Rule 4: a cold server gets its share of what warm servers are seen to bear,
-// rejected set-ups counted, and a server that restarts is cold anew.
+// An endpoint that is warming up gets its share of what warm endpoints are seen to bear, rejected set-ups
+// counted, and an endpoint that restarts is warming up again.
 func TestSlowStartLimitsSetupsAtARestartedEndpoint(t *testing.T) {
 	settings := testSettings()
 	endpoints := readyEndpoints(10)
@@ -41,8 +41,8 @@
 	for _, reject := range []bool{false, true} {
 		endpoints[0].StartedAt = relay.now
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: endpoints[:1]})
-		// Each server bears two new connections a second of the twenty: a cold one
-		// can take 3 x 0.2 x 2 x 1.5 = 1.8 in any window at first.
+		// Each endpoint bears two new connections a second of the twenty: one that is
+		// warming up can take 3 x 0.2 x 2 x 1.5 = 1.8 in any window at first.
 		early, most := arrive(3*time.Second, reject)
 		if early > 3 || most > 2 {
 			t.Errorf("rejecting %v: %d sent in 3 s, %d within a window", reject, early, most)
@@ -67,7 +67,7 @@
 		for _, a := range append(actions, relay.advance(50*ms)...) {
 			if endpoint, ok := a.(SendAttempt); ok {
 				if gap := relay.now - last[endpoint.Endpoint]; last[endpoint.Endpoint] > 0 && gap < 1500*ms {
-					t.Fatalf("server %d sent to twice within %v", endpoint.Endpoint, gap)
+					t.Fatalf("endpoint %d was sent two attempts within %v", endpoint.Endpoint, gap)
 				}
 				last[endpoint.Endpoint] = relay.now
 				relay.handle(Established{Request: endpoint.Request, Endpoint: endpoint.Endpoint})
@@ -75,17 +75,17 @@
 		}
 	}
 	if len(last) != 4 {
-		t.Errorf("%d of 4 cold servers ever used", len(last))
+		t.Errorf("%d of 4 endpoints that are warming up were ever used", len(last))
 	}
 }
 
-// Many relays that watch a server start, each with a request for it all the
-// time, must not send to it at the same age.
+// Many relays that see an endpoint start, each always with a request for it, must not all send one at the
+// same age of it.
 func TestSlowStartBudgetIsSharedByManyRelays(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 100
 	relays := newTestRelays(t, settings, Endpoint{ID: 1, State: StateReady, Weight: 1, StartedAt: time.Hour})
-	sent := map[time.Duration]int{} // by span
+	sent := map[time.Duration]int{} // by overload window
 	total := 0
 	for range 150 {
 		for _, relay := range relays {
@@ -96,8 +96,8 @@
 		}
 	}
 	for span, n := range sent {
-		if n > 14 { // coldLeast on average, of a server that is warm
-			t.Errorf("%d sent within span %d, at most about six are wanted", n, span)
+		if n > 14 { // minWarmSetups on average, of a warm endpoint
+			t.Errorf("%d sent within window %d, at most about six are wanted", n, span)
 		}
 	}
 	if total < 2 {
@@ -105,15 +105,15 @@
 	}
 }
 
-// Many relays with few requests each fill a server that has started, and no one of them
-// as much as it could bear: turns by time went by unused, and the server stayed empty.
+// Many relays with few requests each use an endpoint that is warming up. Slots by time alone would go
+// unused, and leave it empty.
 func TestSlowStartBudgetIsUsedByRelaysWithFewRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 80
 	endpoints := readyEndpoints(5)
 	endpoints[0].StartedAt = time.Hour
 	relays := newTestRelays(t, settings, endpoints...)
-	var sent []time.Duration // to the cold server
+	var sent []time.Duration // to the endpoint that is warming up
 	for i := range 400 {     // twenty requests a second, each at another relay
 		relay := relays[i*37%settings.Relays]
 		relay.advance(time.Hour + time.Duration(i)*50*ms - relay.now)
@@ -126,16 +126,15 @@
 	}
 	// It may be sent 6 in 1.5 s when it is warm, and on average 0.6 of that.
 	if len(sent) < 16 || len(sent) > 56 {
-		t.Errorf("%d were sent to the cold server in 20 s, about 40 are wanted", len(sent))
+		t.Errorf("%d were sent to the endpoint that is warming up in 20 s, about 40 are wanted", len(sent))
 	}
 	if n := len(sent); n > 0 && sent[n/2] < time.Hour+8*time.Second {
 		t.Errorf("half of %d were sent within %v of its start", n, sent[n/2]-time.Hour)
 	}
 }
 
-// Most servers are new at once, and more clients come back within two seconds than in a
-// minute before: what relays know of their usual requests must not have them all sent to
-// the servers that have just started.
+// Most endpoints restart at once, and more clients return within two seconds than in the minute before:
+// the usual arrival rate must not let relays send all of them to the endpoints that are warming up.
 func TestRequestBurstDoesNotOverloadRestartedEndpoints(t *testing.T) {
 	settings := testSettings()
 	settings.Relays, settings.OverloadWindow, settings.InitialCapacity = 80, 3*time.Second, 0.12
@@ -161,7 +160,7 @@
 		endpoints[i].StartedAt = relays[0].now
 	}
 	for _, relay := range relays {
-		relay.advance(2 * time.Second) // that the list is behind
+		relay.advance(2 * time.Second) // the delay of the list
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: endpoints})
 	}
 	clear(sent)
@@ -169,13 +168,13 @@
 	cold := 0
 	for id, at := range sent {
 		if cold += len(at); id <= 8 && len(at) > 5 {
-			t.Errorf("new server %d was sent %d within 2 s", id, len(at))
+			t.Errorf("restarted endpoint %d was sent %d within 2 s", id, len(at))
 		}
 		if id > 8 {
 			cold -= len(at)
 		}
 	}
 	if cold < 4 || cold > 24 {
-		t.Errorf("the eight new servers were sent %d of 120, some 16 are wanted", cold)
+		t.Errorf("the eight restarted endpoints were sent %d of 120, some 16 are wanted", cold)
 	}
 }
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// successor is a relay's next process: it has what the one before has learnt, as JSON brings it,
-// and goes on at its clock.
+// successor is a relay's next process: it restores the snapshot of the one before, decoded from JSON, and
+// goes on at its clock.
 func (r *testRelay) successor(seed uint64, endpoints ...Endpoint) *testRelay {
 	r.t.Helper()
 	text, err := json.Marshal(r.balancer.Snapshot())
@@ -25,8 +25,8 @@
 	return n
 }
 
-// The next process sends a group where it is, keeps off a slow server, and blames a server
-// for what it was blamed for.
+// The next process sends a group where its connections are, avoids a slow endpoint, and goes on with the
+// weights.
 func TestRestoreKeepsRoutesWeightsAndSlowEndpoints(t *testing.T) {
 	endpoints := readyEndpoints(6)
 	relay := newTestRelay(t, testSettings(), endpoints...)
@@ -37,33 +37,33 @@
 	relay.advance(time.Second)
 	n := relay.successor(99, endpoints...)
 	if id, actions := n.request(7); n.wantSent(actions, id) != at {
-		t.Error("a group's route is forgotten")
+		t.Error("a group's route is lost")
 	}
 	if n.balancer.salt != relay.balancer.salt {
-		t.Error("its turns come by another chance")
+		t.Error("its salt is another")
 	}
 	old, fresh := relay.balancer.endpoints.find(bad), n.balancer.endpoints.find(bad)
 	if fresh.currentWeight(n.now) != old.currentWeight(relay.now) || !fresh.isSlow(n.now) {
-		t.Errorf("what a server was blamed for is forgotten: %+v", fresh)
+		t.Errorf("the weight or slowness of an endpoint is lost: %+v", fresh)
 	}
 	listed, avoided := n.balancer.avoidedEndpoints(nil)
 	if listed != 6 || len(avoided) != 1 {
-		t.Errorf("of %d servers %d are avoided", listed, len(avoided))
+		t.Errorf("of %d endpoints %d are avoided", listed, len(avoided))
 	}
 
-	// Of a server that has started again meanwhile nothing is known.
+	// Of an endpoint that has restarted meanwhile nothing is restored.
 	for i := range endpoints {
 		if endpoints[i].ID == bad {
 			endpoints[i].StartedAt = relay.now
 		}
 	}
 	if n := relay.successor(99, endpoints...); n.balancer.endpoints.find(bad).isSlow(n.now) {
-		t.Error("what was learnt before a server's start still counts")
+		t.Error("what was observed before an endpoint's start is restored")
 	}
 }
 
-// Of the budget for cold servers what one process has spent the next does not spend again,
-// and a process whose part is none sends them nothing.
+// The next process does not spend again what one has spent of the slow-start budget, and a process without
+// a share of it sends nothing to endpoints that are warming up.
 func TestSlowStartBudgetIsSpentOnceAcrossProcesses(t *testing.T) {
 	cold := func(relay *testRelay) []Endpoint {
 		return []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}
@@ -82,10 +82,10 @@
 		return n
 	}
 	var alone, both int
-	for alone == 0 { // until its turn comes
+	for alone == 0 { // until it has a slot
 		alone = sent(relay, 200*ms)
 		if relay.now > time.Hour+20*time.Second {
-			t.Fatal("no turn comes")
+			t.Fatal("it never has a slot")
 		}
 	}
 	n := relay.successor(5, endpoints...)
@@ -96,11 +96,11 @@
 	}
 	relay.balancer.slowStartShare = 0
 	if n := sent(relay, 5*time.Second); n != 0 {
-		t.Errorf("without a part of the budget %d were sent", n)
+		t.Errorf("without a share of the budget %d were sent", n)
 	}
 }
 
-// Connections that come to a process with a server that drains are sent away as the rest.
+// Connections resumed at an endpoint that drains migrate as others do.
 func TestResumedConnectionsMigrateFromADrainingEndpoint(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), Endpoint{ID: 1, State: StateDraining, Weight: 1}, Endpoint{ID: 2, State: StateReady, Weight: 1})
 	var moved int
@@ -108,6 +108,6 @@
 		moved += countActions[Migrate](relay.handle(Resumed{Request: Request{ID: RequestID(100 + i), Group: uint64(i)}, Endpoint: 1}))
 	}
 	if moved += countActions[Migrate](relay.advance(migrationDeadline)); moved != 10 {
-		t.Errorf("of 10 clients %d were sent away", moved)
+		t.Errorf("of 10 clients %d have migrated", moved)
 	}
 }
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -24,16 +24,16 @@
 		s.cutWeight(weightCutFactor, 0)
 	}
 	if s.weight != minWeight {
-		t.Errorf("weight after many cuts is %v, want the floor", s.weight)
+		t.Errorf("weight after many cuts is %v, want the minimum", s.weight)
 	}
 	if w := s.currentWeight(weightRecoveryTime); w <= initialWeight {
-		t.Errorf("a server at the floor that sees no set-up is still at %v", w)
+		t.Errorf("an endpoint at the minimum without attempts is still at %v", w)
 	}
 	for range 100 {
 		s.raiseWeight(0)
 	}
 	if s.weight != maxWeight {
-		t.Errorf("weight after many raises is %v, want the ceiling", s.weight)
+		t.Errorf("weight after many raises is %v, want the maximum", s.weight)
 	}
 }
 
