--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -38,31 +38,33 @@
 	for _, n := range benchEndpointCounts {
 		for _, how := range []string{"cached", "drawn"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
-				f := NewLoop(testSettings(), 1)
-				f.Report(EndpointUpdate{Kind: ListFull, Endpoints: readyEndpoints(n)})
-				f.Tick(time.Hour)
+				loop := NewLoop(testSettings(), 1)
+				loop.Report(EndpointUpdate{Kind: ListFull, Endpoints: readyEndpoints(n)})
+				loop.Tick(time.Hour)
 				now := time.Hour
 				gone, cancel := context.WithCancel(context.Background())
 				cancel()
-				next := func(t *RequestHandle, want ActionKind) {
-					if s, err := f.Pick(gone, t); err != nil || s.Kind != want {
-						b.Fatalf("step %v, %v; want kind %d", s, err, want)
+				next := func(handle *RequestHandle, want ActionKind) {
+					if action, err := loop.Pick(gone, handle); err != nil || action.Kind != want {
+						b.Fatalf("step %v, %v; want kind %d", action, err, want)
 					}
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					now += 5 * time.Millisecond
-					t := NewRequestHandle(RequestOptions{Group: benchGroup(how, i), Deadline: now + 2*time.Second})
-					_, _ = f.Pick(gone, t)
-					f.Tick(now)
-					next(t, ActionAttempt)
-					f.Report(AttemptEstablished{Handle: t, SetupTime: 20 * time.Millisecond})
-					f.Tick(now)
-					next(t, ActionEstablished)
-					f.Report(AttemptEnded{Handle: t, Status: StatusOK})
-					f.Tick(now)
-					next(t, ActionClosed)
+					handle := NewRequestHandle(RequestOptions{Group: benchGroup(how, i), Deadline: now + 2*time.Second})
+					if action, err := loop.Pick(gone, handle); err == nil {
+						b.Fatalf("action %v before a Tick", action)
+					}
+					loop.Tick(now)
+					next(handle, ActionAttempt)
+					loop.Report(AttemptEstablished{Handle: handle, SetupTime: 20 * time.Millisecond})
+					loop.Tick(now)
+					next(handle, ActionEstablished)
+					loop.Report(AttemptEnded{Handle: handle, Status: StatusOK})
+					loop.Tick(now)
+					next(handle, ActionClosed)
 				}
 			})
 		}
@@ -87,9 +89,9 @@
 	for i := range benchConnectionsPerEndpoint * n {
 		id++
 		now := time.Hour + time.Duration(i)*time.Millisecond
-		for _, a := range balancer.Handle(now, Request{ID: id, Group: uint64(id) + 1000, TimeLeft: 2 * time.Second}) {
-			if s, sent := a.(SendAttempt); sent {
-				balancer.Handle(now, Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * time.Millisecond})
+		for _, action := range balancer.Handle(now, Request{ID: id, Group: uint64(id) + 1000, TimeLeft: 2 * time.Second}) {
+			if attempt, sent := action.(SendAttempt); sent {
+				balancer.Handle(now, Established{Request: id, Endpoint: attempt.Endpoint, SetupTime: 20 * time.Millisecond})
 			}
 		}
 	}
@@ -97,21 +99,21 @@
 }
 
 // runRequest plays a request from its arrival to its end, and the timer that was set for it.
-func runRequest(b *testing.B, balancer *Balancer, now time.Duration, q Request) {
+func runRequest(b *testing.B, balancer *Balancer, now time.Duration, request Request) {
 	var endpoint EndpointID
 	var token uint32
-	for _, a := range balancer.Handle(now, q) {
-		switch a := a.(type) {
+	for _, action := range balancer.Handle(now, request) {
+		switch action := action.(type) {
 		case SendAttempt:
-			endpoint = a.Endpoint
+			endpoint = action.Endpoint
 		case SetTimer:
-			token = a.Token
+			token = action.Token
 		}
 	}
 	if endpoint == 0 {
-		b.Fatalf("request %d was not sent", q.ID)
+		b.Fatalf("request %d was not sent", request.ID)
 	}
-	balancer.Handle(now, Established{Request: q.ID, Endpoint: endpoint, SetupTime: 20 * time.Millisecond})
-	balancer.Handle(now, Outcome{Request: q.ID, Endpoint: endpoint, Status: StatusOK, Final: true})
+	balancer.Handle(now, Established{Request: request.ID, Endpoint: endpoint, SetupTime: 20 * time.Millisecond})
+	balancer.Handle(now, Outcome{Request: request.ID, Endpoint: endpoint, Status: StatusOK, Final: true})
 	balancer.Handle(now, Timer{Token: token})
 }
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -8,15 +8,15 @@
 func failSetups(relay *testRelay, n int, status AttemptStatus) {
 	for key := range uint64(60) {
 		id, actions := relay.request(key + 1)
-		for _, a := range actions {
-			s, ok := a.(SendAttempt)
+		for _, action := range actions {
+			attempt, ok := action.(SendAttempt)
 			switch {
 			case !ok:
-			case int(s.Endpoint) <= n:
-				relay.fail(id, s.Endpoint, status)
+			case int(attempt.Endpoint) <= n:
+				relay.fail(id, attempt.Endpoint, status)
 			default:
-				relay.handle(Established{Request: id, Endpoint: s.Endpoint, SetupTime: ms})
-				relay.handle(Outcome{Request: id, Endpoint: s.Endpoint, Status: StatusOK, Final: true})
+				relay.handle(Established{Request: id, Endpoint: attempt.Endpoint, SetupTime: ms})
+				relay.handle(Outcome{Request: id, Endpoint: attempt.Endpoint, Status: StatusOK, Final: true})
 			}
 		}
 		relay.advance(20 * ms)
@@ -45,8 +45,8 @@
 			t.Errorf("%s: the limit is %v", test.name, relay.balancer.concurrency.limit)
 		}
 		blamed := 0
-		for _, s := range relay.balancer.endpoints.sorted {
-			if s.currentWeight(relay.now) < initialWeight {
+		for _, state := range relay.balancer.endpoints.sorted {
+			if state.currentWeight(relay.now) < initialWeight {
 				blamed++
 			}
 		}
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -28,12 +28,12 @@
 			relay.request(7)
 		}
 		relay.advance(time.Second)
-		for _, a := range relay.actions[slices.IndexFunc(relay.actions, func(a Action) bool {
-			endpoint, ok := a.(SendAttempt)
-			return ok && endpoint.Request > ids[len(ids)-1]
+		for _, action := range relay.actions[slices.IndexFunc(relay.actions, func(action Action) bool {
+			attempt, ok := action.(SendAttempt)
+			return ok && attempt.Request > ids[len(ids)-1]
 		}):] {
-			if endpoint, ok := a.(SendAttempt); ok && endpoint.Endpoint == 1 {
-				t.Errorf("%s: request %d sent to it", name, endpoint.Request)
+			if attempt, ok := action.(SendAttempt); ok && attempt.Endpoint == 1 {
+				t.Errorf("%s: request %d sent to it", name, attempt.Request)
 			}
 		}
 	}
--- a/balancer/drawfilter_test.go
+++ b/balancer/drawfilter_test.go
@@ -11,20 +11,20 @@
 
 // fullDraw is drawEndpoint without a filter and without totals that are kept: it looks at every endpoint, and
 // adds up all sums anew.
-func (b *Balancer) fullDraw(q *requestRecord) *endpointRecord {
+func (b *Balancer) fullDraw(request *requestRecord) *endpointRecord {
 	totals := b.sumTotals(b.endpoints.sorted)
 	load, size, slow := totals.load, totals.size, totals.slowSize
-	if s := b.slowStartCandidate(q); s != nil {
-		return s
+	if state := b.slowStartCandidate(request); state != nil {
+		return state
 	}
 	var best *endpointRecord
 	least := math.Inf(1)
-	for _, s := range b.endpoints.sorted {
-		if !b.eligible(q, s) || slow < slowAvoidanceShare*size && s.isSlow(b.now) || slow < recoveryAvoidanceShare*size && b.mustHold(s) {
+	for _, state := range b.endpoints.sorted {
+		if !b.eligible(request, state) || slow < slowAvoidanceShare*size && state.isSlow(b.now) || slow < recoveryAvoidanceShare*size && b.mustHold(state) {
 			continue
 		}
-		if d := b.exponentialVariate(q.routeKey(), s) / b.drawWeight(s, load/size); d < least {
-			best, least = s, d
+		if d := b.exponentialVariate(request.routeKey(), state) / b.drawWeight(state, load/size); d < least {
+			best, least = state, d
 		}
 	}
 	return best
@@ -45,16 +45,16 @@
 		}
 		relay := newTestRelay(t, settings, list...)
 		server := rapid.Map(rapid.IntRange(1, n), func(i int) EndpointID { return EndpointID(i) })
-		out, up := make(map[RequestID]EndpointID), make(map[RequestID]EndpointID)
+		inFlight, established := make(map[RequestID]EndpointID), make(map[RequestID]EndpointID)
 		take := func(actions []Action) {
-			for _, a := range actions {
-				switch a := a.(type) {
+			for _, action := range actions {
+				switch action := action.(type) {
 				case SendAttempt:
-					out[a.Request] = a.Endpoint
+					inFlight[action.Request] = action.Endpoint
 				case Reject:
-					delete(out, a.Request)
+					delete(inFlight, action.Request)
 				case Migrate:
-					delete(up, a.Request)
+					delete(established, action.Request)
 				}
 			}
 		}
@@ -71,10 +71,10 @@
 					}
 				}
 				for key := range uint64(4) {
-					q := &requestRecord{Request: Request{Group: 1 + key*7919 + uint64(relay.lastID)}, class: &settings.Classes[0], deadline: relay.now + time.Second}
+					request := &requestRecord{Request: Request{Group: 1 + key*7919 + uint64(relay.lastID)}, class: &settings.Classes[0], deadline: relay.now + time.Second}
 					relay.balancer.endpoints.eventTotalsValid = false
-					if got, want := relay.balancer.drawEndpoint(q), relay.balancer.fullDraw(q); got != want {
-						rt.Fatalf("group %d is drawn to %v, by a full draw to %v", q.Group, got, want)
+					if got, want := relay.balancer.drawEndpoint(request), relay.balancer.fullDraw(request); got != want {
+						rt.Fatalf("group %d is drawn to %v, by a full draw to %v", request.Group, got, want)
 					}
 				}
 			},
@@ -85,22 +85,22 @@
 				}
 			},
 			"stand": func(_ *rapid.T) {
-				for id, s := range out {
-					delete(out, id)
-					up[id] = s
+				for id, s := range inFlight {
+					delete(inFlight, id)
+					established[id] = s
 					take(relay.handle(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
 					take(relay.handle(ConnectionLoad{Request: id, Endpoint: s, Load: 0.01 + float64(id%7)/20}))
 				}
 			},
 			"fail": func(_ *rapid.T) {
-				for id, s := range out {
-					delete(out, id)
+				for id, s := range inFlight {
+					delete(inFlight, id)
 					take(relay.handle(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(1 + id%5)}))
 				}
 			},
 			"end": func(_ *rapid.T) {
-				for id, s := range up {
-					if delete(up, id); id%2 == 0 {
+				for id, s := range established {
+					if delete(established, id); id%2 == 0 {
 						take(relay.handle(Outcome{Request: id, Endpoint: s, Status: StatusOK, Final: true}))
 					}
 				}
@@ -131,21 +131,21 @@
 				balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
 				for i := range 6 * n { // their loads differ
 					id := RequestID(i + 1)
-					for _, a := range balancer.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), TimeLeft: 2 * time.Second}) {
-						if s, ok := a.(SendAttempt); ok {
-							balancer.Handle(time.Hour+time.Duration(i)*ms, Established{Request: id, Endpoint: s.Endpoint})
+					for _, action := range balancer.Handle(time.Hour+time.Duration(i)*ms, Request{ID: id, Group: uint64(i + 1), TimeLeft: 2 * time.Second}) {
+						if attempt, ok := action.(SendAttempt); ok {
+							balancer.Handle(time.Hour+time.Duration(i)*ms, Established{Request: id, Endpoint: attempt.Endpoint})
 						}
 					}
 				}
-				q := &requestRecord{class: &balancer.settings.Classes[0]}
+				request := &requestRecord{class: &balancer.settings.Classes[0]}
 				b.ResetTimer()
 				for i := range b.N {
-					q.Group = uint64(i) + 1<<40
+					request.Group = uint64(i) + 1<<40
 					balancer.endpoints.eventTotalsValid = false
 					if how == "as it is" {
-						balancer.drawEndpoint(q)
+						balancer.drawEndpoint(request)
 					} else {
-						balancer.fullDraw(q)
+						balancer.fullDraw(request)
 					}
 				}
 			})
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -13,9 +13,9 @@
 		relay.handle(ConnectionLoad{Request: light, Endpoint: other, Load: 0.01})
 	}
 	relay.handle(ConnectionLoad{Request: heavy, Endpoint: endpoint, Load: 0.1})
-	q, p := relay.balancer.requests[heavy], relay.balancer.requests[light]
-	if q.load <= 2*p.load {
-		t.Errorf("a connection of ten times the load is booked as %v beside %v", q.load, p.load)
+	heavyRequest, lightRequest := relay.balancer.requests[heavy], relay.balancer.requests[light]
+	if heavyRequest.load <= 2*lightRequest.load {
+		t.Errorf("a connection of ten times the load is booked as %v beside %v", heavyRequest.load, lightRequest.load)
 	}
 }
 
@@ -41,10 +41,10 @@
 	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
 	var up []RequestID
 	for id := RequestID(1); id <= 30; id++ {
-		for _, a := range relay.handle(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
-			if s, sent := a.(SendAttempt); sent {
-				relay.handle(Established{Request: id, Endpoint: s.Endpoint, SetupTime: 20 * ms})
-				relay.handle(ConnectionLoad{Request: id, Endpoint: s.Endpoint, Load: 0.1 * float64(id)})
+		for _, action := range relay.handle(Request{ID: id, Group: uint64(id), TimeLeft: time.Second}) {
+			if attempt, sent := action.(SendAttempt); sent {
+				relay.handle(Established{Request: id, Endpoint: attempt.Endpoint, SetupTime: 20 * ms})
+				relay.handle(ConnectionLoad{Request: id, Endpoint: attempt.Endpoint, Load: 0.1 * float64(id)})
 				up = append(up, id)
 			}
 		}
@@ -58,9 +58,9 @@
 	if load := relay.balancer.totals().load; load != 0 {
 		t.Errorf("the load is %v", load)
 	}
-	for _, s := range relay.balancer.endpoints.sorted {
-		if s.demand() != 0 {
-			t.Errorf("endpoint %d has a demand of %v", s.ID, s.demand())
+	for _, state := range relay.balancer.endpoints.sorted {
+		if state.demand() != 0 {
+			t.Errorf("endpoint %d has a demand of %v", state.ID, state.demand())
 		}
 	}
 }
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -94,9 +94,9 @@
 		id, actions := relay.request(group)
 		var tried []EndpointID
 		for attempt := 1; ; attempt++ {
-			s := actions[0].(SendAttempt)
-			tried = append(tried, s.Endpoint)
-			relay.fail(id, s.Endpoint, StatusReset)
+			sent := actions[0].(SendAttempt)
+			tried = append(tried, sent.Endpoint)
+			relay.fail(id, sent.Endpoint, StatusReset)
 			if attempt == relay.balancer.settings.MaxAttempts {
 				break
 			}
@@ -108,9 +108,9 @@
 			if decision.Attempt != attempt+1 || slices.Contains(tried, decision.Endpoint) {
 				t.Errorf("tried %v, then observed %+v", tried, decision)
 			}
-			for _, f := range decision.Considered {
-				if f.Exclusions&ExcludedTried != 0 != slices.Contains(tried, f.Endpoint) {
-					t.Errorf("tried %v, observed %+v", tried, f)
+			for _, considered := range decision.Considered {
+				if considered.Exclusions&ExcludedTried != 0 != slices.Contains(tried, considered.Endpoint) {
+					t.Errorf("tried %v, observed %+v", tried, considered)
 				}
 			}
 		}
@@ -188,51 +188,51 @@
 		settings.Classes[0].Effect = Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		settings.Classes[0].DeduplicationWindow = time.Second
 		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
-		blind, seen := newTestRelay(t, settings, readyEndpoints(n)...), newObservedRelay(t, settings, readyEndpoints(n)...)
-		both := func(ev Event) []Action {
-			want, got := blind.handle(ev), seen.handle(ev)
+		unobserved, observed := newTestRelay(t, settings, readyEndpoints(n)...), newObservedRelay(t, settings, readyEndpoints(n)...)
+		both := func(event Event) []Action {
+			want, got := unobserved.handle(event), observed.handle(event)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
-				rt.Fatalf("%T %+v: %v without an observer, %v with one", ev, ev, want, got)
+				rt.Fatalf("%T %+v: %v without an observer, %v with one", event, event, want, got)
 			}
 			return got
 		}
-		out := make(map[RequestID]EndpointID)
-		up := make(map[RequestID]EndpointID)
+		inFlight := make(map[RequestID]EndpointID)
+		established := make(map[RequestID]EndpointID)
 		var next RequestID
-		from := len(seen.decisions)
+		from := len(observed.decisions)
 		account := func(actions []Action) {
 			var want []string
-			for _, a := range actions {
-				switch a := a.(type) {
+			for _, action := range actions {
+				switch action := action.(type) {
 				case SendAttempt:
-					out[a.Request] = a.Endpoint
-					want = append(want, fmt.Sprint(a.Request, VerdictSent, a.Endpoint, a.Timeout))
+					inFlight[action.Request] = action.Endpoint
+					want = append(want, fmt.Sprint(action.Request, VerdictSent, action.Endpoint, action.Timeout))
 				case Reject:
-					delete(out, a.Request)
-					want = append(want, fmt.Sprint(a.Request, VerdictRejected, 0, a.RetryAfter))
+					delete(inFlight, action.Request)
+					want = append(want, fmt.Sprint(action.Request, VerdictRejected, 0, action.RetryAfter))
 				case Fail:
-					delete(out, a.Request)
-					want = append(want, fmt.Sprint(a.Request, VerdictFailed, 0, time.Duration(0)))
+					delete(inFlight, action.Request)
+					want = append(want, fmt.Sprint(action.Request, VerdictFailed, 0, time.Duration(0)))
 				case Migrate:
-					want = append(want, fmt.Sprint(a.Request, VerdictMigrated, up[a.Request], time.Duration(0)))
-					delete(up, a.Request)
+					want = append(want, fmt.Sprint(action.Request, VerdictMigrated, established[action.Request], time.Duration(0)))
+					delete(established, action.Request)
 				}
 			}
 			var got []string
-			for i := from; i < len(seen.decisions); i++ {
-				decision := seen.decisions[i]
+			for i := from; i < len(observed.decisions); i++ {
+				decision := observed.decisions[i]
 				reached[decision.Reason] = true
 				if decision.Verdict != VerdictHeld {
-					got = append(got, fmt.Sprint(seen.requestIDs[i], decision.Verdict, decision.Endpoint, decision.Wait))
+					got = append(got, fmt.Sprint(observed.requestIDs[i], decision.Verdict, decision.Endpoint, decision.Wait))
 				}
 			}
-			from = len(seen.decisions)
+			from = len(observed.decisions)
 			if !slices.Equal(want, got) {
 				rt.Fatalf("the actions are %v, observed was %v", want, got)
 			}
 		}
 		pass := func(d time.Duration) {
-			want, got := blind.advance(d), seen.advance(d)
+			want, got := unobserved.advance(d), observed.advance(d)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
 				rt.Fatalf("%v later: %v without an observer, %v with one", d, want, got)
 			}
@@ -260,21 +260,21 @@
 				}))
 			},
 			"stand": func(_ *rapid.T) {
-				if id, s, ok := pick(out, "stands"); ok {
-					delete(out, id)
-					up[id] = s
+				if id, s, ok := pick(inFlight, "stands"); ok {
+					delete(inFlight, id)
+					established[id] = s
 					account(both(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
 				}
 			},
 			"fail": func(rt *rapid.T) {
-				if id, s, ok := pick(out, "fails"); ok {
-					delete(out, id)
+				if id, s, ok := pick(inFlight, "fails"); ok {
+					delete(inFlight, id)
 					account(both(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(rapid.IntRange(1, 8).Draw(rt, "status"))}))
 				}
 			},
 			"end": func(rt *rapid.T) {
-				if id, s, ok := pick(up, "ends"); ok {
-					delete(up, id)
+				if id, s, ok := pick(established, "ends"); ok {
+					delete(established, id)
 					account(both(Outcome{Request: id, Endpoint: s, Status: []AttemptStatus{StatusOK, StatusReset, StatusRedirected}[rapid.IntRange(0, 2).Draw(rt, "end")], Final: true}))
 				}
 			},
@@ -284,7 +284,7 @@
 			"list": func(rt *rapid.T) {
 				listed := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
-					listed.StartedAt = seen.now
+					listed.StartedAt = observed.now
 				}
 				account(both(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 			},
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -40,40 +40,40 @@
 // carryOut carries out what a relay does.
 func (f *fleetSimulation) carryOut(i int, actions []Action) {
 	relay := f.relays[i]
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case SendAttempt:
-			log := f.requests[requestKey{i, a.Request}]
+			log := f.requests[requestKey{i, action.Request}]
 			if log.inFlight || log.established || log.answeredAt > 0 {
-				f.t.Errorf("relay %d: request %d is sent while %+v", i, a.Request, log)
+				f.t.Errorf("relay %d: request %d is sent while %+v", i, action.Request, log)
 			}
 			log.inFlight = true
-			log.attempts = append(log.attempts, a.Endpoint)
-			end := func(ev Event) {
+			log.attempts = append(log.attempts, action.Endpoint)
+			end := func(event Event) {
 				log.inFlight = false
-				f.carryOut(i, relay.handle(ev))
+				f.carryOut(i, relay.handle(event))
 			}
 			switch {
-			case f.hung[a.Endpoint]:
-				at := relay.now + a.Timeout
+			case f.hung[action.Endpoint]:
+				at := relay.now + action.Timeout
 				f.scheduled[at.Truncate(10*ms)] = append(f.scheduled[at.Truncate(10*ms)], func() {
-					end(Outcome{Request: a.Request, Endpoint: a.Endpoint, Status: StatusTimeout})
+					end(Outcome{Request: action.Request, Endpoint: action.Endpoint, Status: StatusTimeout})
 				})
-			case f.freeSlots[a.Endpoint] == 0:
-				end(Outcome{Request: a.Request, Endpoint: a.Endpoint, Status: StatusFull})
+			case f.freeSlots[action.Endpoint] == 0:
+				end(Outcome{Request: action.Request, Endpoint: action.Endpoint, Status: StatusFull})
 			default:
-				f.freeSlots[a.Endpoint]--
+				f.freeSlots[action.Endpoint]--
 				log.established, log.answeredAt = true, relay.now
-				end(Established{Request: a.Request, Endpoint: a.Endpoint, SetupTime: ms})
+				end(Established{Request: action.Request, Endpoint: action.Endpoint, SetupTime: ms})
 			}
 		case Reject:
-			log := f.requests[requestKey{i, a.Request}]
+			log := f.requests[requestKey{i, action.Request}]
 			if log.answeredAt > 0 || log.inFlight {
-				f.t.Errorf("relay %d: request %d is rejected while %+v", i, a.Request, log)
+				f.t.Errorf("relay %d: request %d is rejected while %+v", i, action.Request, log)
 			}
-			log.answeredAt, log.retryAfter = relay.now, a.RetryAfter
+			log.answeredAt, log.retryAfter = relay.now, action.RetryAfter
 		case Fail:
-			f.t.Errorf("request %d fails, which may be repeated", a.Request)
+			f.t.Errorf("request %d fails, which may be repeated", action.Request)
 		}
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -72,13 +72,13 @@
 }
 
 // handle hands an event to the Balancer, sets the timers that it wants, and returns its other actions.
-func (r *testRelay) handle(ev Event) []Action {
+func (r *testRelay) handle(event Event) []Action {
 	var actions []Action
-	for _, a := range r.balancer.Handle(r.now, ev) {
-		if set, ok := a.(SetTimer); ok {
+	for _, action := range r.balancer.Handle(r.now, event) {
+		if set, ok := action.(SetTimer); ok {
 			r.timers = append(r.timers, pendingTimer{r.now + set.After, set.Token})
 		} else {
-			actions = append(actions, a)
+			actions = append(actions, action)
 		}
 	}
 	r.actions = append(r.actions, actions...)
@@ -136,8 +136,8 @@
 func (r *testRelay) wantSent(actions []Action, id RequestID) EndpointID {
 	r.t.Helper()
 	if len(actions) == 1 {
-		if s, ok := actions[0].(SendAttempt); ok && s.Request == id {
-			return s.Endpoint
+		if attempt, ok := actions[0].(SendAttempt); ok && attempt.Request == id {
+			return attempt.Endpoint
 		}
 	}
 	r.t.Fatalf("want request %d sent, got %v", id, actions)
@@ -150,8 +150,8 @@
 
 func countActions[T Action](actions []Action) int {
 	n := 0
-	for _, a := range actions {
-		if _, ok := a.(T); ok {
+	for _, action := range actions {
+		if _, ok := action.(T); ok {
 			n++
 		}
 	}
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -84,8 +84,8 @@
 		}
 	}
 	out := 0
-	for _, q := range s.balancer.requests {
-		if q.endpoint != nil && !q.established {
+	for _, request := range s.balancer.requests {
+		if request.endpoint != nil && !request.established {
 			out++
 		}
 	}
@@ -211,12 +211,12 @@
 // check checks actions against the invariants.
 func (s *randomScenario) check(actions []Action) {
 	s.t.Helper()
-	for _, a := range actions {
-		switch a := a.(type) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case SendAttempt:
-			s.checkAttempt(a)
+			s.checkAttempt(action)
 		case Reject:
-			request := s.checkAnswer(a.Request)
+			request := s.checkAnswer(action.Request)
 			for i := range request.attempts {
 				if class := s.settings.Classes[request.Class]; (request.attempts[i].mayHaveRun || request.inFlight > 0) && class.Effect != Idempotent &&
 					!(class.Effect == Deduplicated && class.Scope == ScopeAll) {
@@ -224,13 +224,13 @@
 				}
 			}
 		case Fail:
-			s.checkAnswer(a.Request)
+			s.checkAnswer(action.Request)
 		case Migrate:
-			if request := s.requests[a.Request]; request == nil || !request.established {
-				s.t.Fatalf("request %d migrated, but it isn't established", a.Request)
+			if request := s.requests[action.Request]; request == nil || !request.established {
+				s.t.Fatalf("request %d migrated, but it isn't established", action.Request)
 			}
-			delete(s.requests, a.Request)
-			s.attempts = slices.DeleteFunc(s.attempts, func(attempt scenarioAttempt) bool { return attempt.request == a.Request })
+			delete(s.requests, action.Request)
+			s.attempts = slices.DeleteFunc(s.attempts, func(attempt scenarioAttempt) bool { return attempt.request == action.Request })
 		}
 	}
 }
@@ -248,16 +248,16 @@
 	return request
 }
 
-func (s *randomScenario) checkAttempt(a SendAttempt) {
+func (s *randomScenario) checkAttempt(action SendAttempt) {
 	s.t.Helper()
-	request := s.requests[a.Request]
+	request := s.requests[action.Request]
 	if request == nil || request.established || request.inFlight > 0 {
-		s.t.Fatalf("invariant 1: attempt for request %d, which has ended or has one in flight", a.Request)
+		s.t.Fatalf("invariant 1: attempt for request %d, which has ended or has one in flight", action.Request)
 	}
 	if len(request.attempts) >= s.settings.MaxAttempts {
-		s.t.Fatalf("request %d has more than %d attempts", a.Request, s.settings.MaxAttempts)
+		s.t.Fatalf("request %d has more than %d attempts", action.Request, s.settings.MaxAttempts)
 	}
-	i := slices.IndexFunc(s.listed, func(endpoint Endpoint) bool { return endpoint.ID == a.Endpoint })
+	i := slices.IndexFunc(s.listed, func(endpoint Endpoint) bool { return endpoint.ID == action.Endpoint })
 	to := s.listed[i]
 	class := s.settings.Classes[request.Class]
 	for _, attempt := range request.attempts {
--- a/balancer/loop_test.go
+++ b/balancer/loop_test.go
@@ -38,31 +38,31 @@
 
 // submit submits a request.
 func (d *drivenLoop) submit() *RequestHandle {
-	t := NewRequestHandle(RequestOptions{Group: 7, Deadline: d.now + 2*time.Second})
-	t.submitted = true // Pick would block before the Tick
-	d.enqueue(t)
+	handle := NewRequestHandle(RequestOptions{Group: 7, Deadline: d.now + 2*time.Second})
+	handle.submitted = true // Pick would block before the Tick
+	d.enqueue(handle)
 	d.advance(0)
-	return t
+	return handle
 }
 
-func (d *drivenLoop) wantAction(t *RequestHandle, kind ActionKind) RequestAction {
+func (d *drivenLoop) wantAction(handle *RequestHandle, kind ActionKind) RequestAction {
 	d.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	s, err := d.Pick(ctx, t)
-	if err != nil || s.Kind != kind {
-		d.t.Fatalf("got action %+v, %v, want kind %d", s, err, kind)
+	action, err := d.Pick(ctx, handle)
+	if err != nil || action.Kind != kind {
+		d.t.Fatalf("got action %+v, %v, want kind %d", action, err, kind)
 	}
-	return s
+	return action
 }
 
-func (d *drivenLoop) wantNoAction(t *RequestHandle) {
+func (d *drivenLoop) wantNoAction(handle *RequestHandle) {
 	d.t.Helper()
 	ctx, cancel := context.WithCancelCause(context.Background())
 	why := errors.New("no action")
 	cancel(why)
-	if s, err := d.Pick(ctx, t); !errors.Is(err, why) {
-		d.t.Fatalf("got action %+v, %v, want none", s, err)
+	if action, err := d.Pick(ctx, handle); !errors.Is(err, why) {
+		d.t.Fatalf("got action %+v, %v, want none", action, err)
 	}
 }
 
--- a/balancer/module_test.go
+++ b/balancer/module_test.go
@@ -81,12 +81,12 @@
 				other.request(key)
 				other.advance(7 * ms)
 			}
-			for _, a := range actions {
-				if s, ok := a.(SendAttempt); ok && key%3 == 0 {
-					relay.fail(id, s.Endpoint, AttemptStatus(1+key%5))
+			for _, action := range actions {
+				if attempt, ok := action.(SendAttempt); ok && key%3 == 0 {
+					relay.fail(id, attempt.Endpoint, AttemptStatus(1+key%5))
 				} else if ok {
-					relay.handle(Established{Request: id, Endpoint: s.Endpoint})
-					relay.handle(EndpointDelay{Request: id, Endpoint: s.Endpoint, Delay: time.Duration(key*10) * ms})
+					relay.handle(Established{Request: id, Endpoint: attempt.Endpoint})
+					relay.handle(EndpointDelay{Request: id, Endpoint: attempt.Endpoint, Delay: time.Duration(key*10) * ms})
 				}
 			}
 			relay.advance(30 * ms)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -10,15 +10,15 @@
 	relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 	id, endpoint := relay.connect(7)
 	relay.connectMany(7, 19)
-	s := relay.balancer.endpoints.find(endpoint)
-	before := s.currentWeight(relay.now)
+	state := relay.balancer.endpoints.find(endpoint)
+	before := state.currentWeight(relay.now)
 	wantActions(t, relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 90 * ms}))
 	relay.advance(time.Second)
 	moved := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 500 * ms}))
 	if moved == 0 || moved == 20 {
 		t.Fatalf("%d of 20 connections migrated, want some of them", moved)
 	}
-	if after := s.currentWeight(relay.now); after >= before {
+	if after := state.currentWeight(relay.now); after >= before {
 		t.Errorf("weight went from %v to %v", before, after)
 	}
 	if _, next := relay.connect(7); next == endpoint {
@@ -40,8 +40,8 @@
 		relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 		id, endpoint := relay.connect(7)
 		relay.connectMany(7, 19)
-		s := relay.balancer.endpoints.find(endpoint)
-		s.delay, s.delayAt = test.before, relay.now
+		state := relay.balancer.endpoints.find(endpoint)
+		state.delay, state.delayAt = test.before, relay.now
 		relay.advance(time.Second)
 		n := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: test.delay}))
 		if n < test.min || n > test.max {
@@ -75,8 +75,8 @@
 		relay.balancer = New(testSettings(), seed)
 		relay.handle(EndpointList{Kind: ListCached, Endpoints: readyEndpoints(6)})
 		id, endpoint := relay.connect(7)
-		s := relay.balancer.endpoints.find(endpoint)
-		s.delay, s.delayAt = 600*ms, relay.now
+		state := relay.balancer.endpoints.find(endpoint)
+		state.delay, state.delayAt = 600*ms, relay.now
 		relay.advance(time.Second)
 		moved += countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 600 * ms}))
 	}
--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -208,14 +208,14 @@
 }
 
 // answer does what an action or a step wants.
-func (r *scenarioRecorder) answer(w []string) {
-	switch w[0] {
+func (r *scenarioRecorder) answer(words []string) {
+	switch words[0] {
 	case "send":
-		r.attempt(r.clients[w[1]], number(w[2]), time.Duration(number(w[3])))
+		r.attempt(r.clients[words[1]], number(words[2]), time.Duration(number(words[3])))
 	case "refuse", "fail", "move":
-		r.finish(r.clients[w[1]])
+		r.finish(r.clients[words[1]])
 	case "timer":
-		r.after(time.Duration(number(w[2])), func() { r.input("timer %s", w[1]) })
+		r.after(time.Duration(number(words[2])), func() { r.input("timer %s", words[1]) })
 	case "watch":
 		r.after(r.jitter(40*time.Millisecond), func() {
 			switch {
@@ -228,13 +228,13 @@
 			}
 		})
 	case "step":
-		client := r.clients[w[1]]
+		client := r.clients[words[1]]
 		if client == nil {
 			return // the step and the client that left have crossed
 		}
-		switch w[2] {
+		switch words[2] {
 		case "pass":
-			r.attempt(client, number(w[3]), time.Duration(number(w[4])))
+			r.attempt(client, number(words[3]), time.Duration(number(words[4])))
 		case "unavailable", "failed", "move", "over":
 			r.finish(client)
 		}
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -113,12 +113,12 @@
 }
 
 func digest(lines []string) string {
-	h := fnv.New128a()
+	hash := fnv.New128a()
 	for _, line := range lines {
-		h.Write([]byte(line))
-		h.Write([]byte{'\n'})
+		hash.Write([]byte(line))
+		hash.Write([]byte{'\n'})
 	}
-	return fmt.Sprintf("%x", h.Sum(nil))
+	return fmt.Sprintf("%x", hash.Sum(nil))
 }
 
 // replayer plays inputs to a Balancer, or to a Loop once a file has asked for one.
@@ -142,36 +142,36 @@
 
 // replay plays one input and returns what it brought.
 func (r *replayer) replay(t *testing.T, line string) []string {
-	w := strings.Fields(line)
+	args := strings.Fields(line)
 	r.decisions = r.decisions[:0]
-	switch w[0] {
+	switch args[0] {
 	case "settings":
-		r.settings[w[1]] = parseSettings(t, w[2:])
+		r.settings[args[1]] = parseSettings(t, args[2:])
 		return nil
 	case "class":
-		settings := r.settings[w[1]]
-		settings.Classes = append(settings.Classes, parseClass(t, w[2:]))
+		settings := r.settings[args[1]]
+		settings.Classes = append(settings.Classes, parseClass(t, args[2:]))
 		return nil
 	case "tenant":
-		settings := r.settings[w[1]]
-		settings.Tenants = append(settings.Tenants, w[2])
+		settings := r.settings[args[1]]
+		settings.Tenants = append(settings.Tenants, args[2])
 		return nil
 	}
-	now := parseDuration(t, w[0])
-	if r.loop != nil || w[1] == "facade" {
-		return r.replayLoop(t, now, w[1], w[2:])
+	now := parseDuration(t, args[0])
+	if r.loop != nil || args[1] == "facade" {
+		return r.replayLoop(t, now, args[1], args[2:])
 	}
-	return r.replayBalancer(t, now, w[1], w[2:])
+	return r.replayBalancer(t, now, args[1], args[2:])
 }
 
-func (r *replayer) replayBalancer(t *testing.T, now time.Duration, word string, w []string) []string {
+func (r *replayer) replayBalancer(t *testing.T, now time.Duration, word string, args []string) []string {
 	switch word {
 	case "start": // settings, seed
-		settings := r.settings[w[0]]
+		settings := r.settings[args[0]]
 		if err := settings.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		r.balancer = New(*settings, parseUint(t, w[1]))
+		r.balancer = New(*settings, parseUint(t, args[1]))
 		return nil
 	case "observe":
 		r.balancer.Observe(func(id RequestID, decision *Decision) {
@@ -182,7 +182,7 @@
 		r.snapshot = r.balancer.Snapshot()
 		return formatSnapshot(&r.snapshot)
 	case "renumber": // an endpoint that is left out; all others keep their IDs
-		left := EndpointID(parseUint(t, w[0]))
+		left := EndpointID(parseUint(t, args[0]))
 		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != left })
 		return formatSnapshot(&r.snapshot)
 	case "restore":
@@ -201,94 +201,96 @@
 		return []string{text}
 	}
 	var out []string
-	for _, a := range r.balancer.Handle(now, r.parseEvent(t, word, w)) {
-		out = append(out, formatAction(t, a))
+	for _, action := range r.balancer.Handle(now, r.parseEvent(t, word, args)) {
+		out = append(out, formatAction(t, action))
 	}
 	return append(out, r.decisions...)
 }
 
 // parseEvent reads an event of the Balancer.
-func (r *replayer) parseEvent(t *testing.T, word string, w []string) Event {
-	request := func(i int) RequestID { return RequestID(parseUint(t, w[i])) }
-	server := func(i int) EndpointID { return EndpointID(parseUint(t, w[i])) }
+func (r *replayer) parseEvent(t *testing.T, word string, args []string) Event {
+	request := func(i int) RequestID { return RequestID(parseUint(t, args[i])) }
+	server := func(i int) EndpointID { return EndpointID(parseUint(t, args[i])) }
 	switch word {
 	case "list": // kind, servers
-		return EndpointList{Kind: parseListKind(t, w[0]), Endpoints: parseEndpoints(t, w[1:])}
+		return EndpointList{Kind: parseListKind(t, args[0]), Endpoints: parseEndpoints(t, args[1:])}
 	case "retuned":
-		return SettingsChanged{Settings: r.settings[w[0]]}
+		return SettingsChanged{Settings: r.settings[args[0]]}
 	case "request":
-		return r.parseRequest(t, w)
+		return r.parseRequest(t, args)
 	case "resumed": // server, request
-		return Resumed{Endpoint: server(0), Request: r.parseRequest(t, w[1:])}
+		return Resumed{Endpoint: server(0), Request: r.parseRequest(t, args[1:])}
 	case "standing": // request, server, time it took
-		return Established{Request: request(0), Endpoint: server(1), SetupTime: parseDuration(t, w[2])}
+		return Established{Request: request(0), Endpoint: server(1), SetupTime: parseDuration(t, args[2])}
 	case "outcome": // request, server, status, over
-		return Outcome{Request: request(0), Endpoint: server(1), Status: parseStatus(t, w[2]), Final: parseBool(t, w[3])}
+		return Outcome{Request: request(0), Endpoint: server(1), Status: parseStatus(t, args[2]), Final: parseBool(t, args[3])}
 	case "dismissed":
 		return AnswerRequired{Request: request(0)}
 	case "left":
 		return ClientLeft{Request: request(0)}
 	case "load": // request, server, load
-		return ConnectionLoad{Request: request(0), Endpoint: server(1), Load: parseFloat(t, w[2])}
+		return ConnectionLoad{Request: request(0), Endpoint: server(1), Load: parseFloat(t, args[2])}
 	case "delay": // request, server, delay
-		return EndpointDelay{Request: request(0), Endpoint: server(1), Delay: parseDuration(t, w[2])}
+		return EndpointDelay{Request: request(0), Endpoint: server(1), Delay: parseDuration(t, args[2])}
 	case "timer":
-		return Timer{Token: uint32(parseUint(t, w[0]))}
+		return Timer{Token: uint32(parseUint(t, args[0]))}
 	}
 	t.Fatalf("no such input: %s", word)
 	return nil
 }
 
 // parseRequest reads: request, class, item, group, time left, load, comes back, settings or "-".
-func (r *replayer) parseRequest(t *testing.T, w []string) Request {
+func (r *replayer) parseRequest(t *testing.T, args []string) Request {
 	return Request{
-		ID: RequestID(parseUint(t, w[0])), Class: int(parseUint(t, w[1])), Item: parseUint(t, w[2]), Group: parseUint(t, w[3]),
-		TimeLeft: parseDuration(t, w[4]), ExpectedLoad: parseFloat(t, w[5]), Returning: parseBool(t, w[6]), Settings: r.settings[w[7]],
+		ID: RequestID(parseUint(t, args[0])), Class: int(parseUint(t, args[1])), Item: parseUint(t, args[2]), Group: parseUint(t, args[3]),
+		TimeLeft: parseDuration(t, args[4]), ExpectedLoad: parseFloat(t, args[5]), Returning: parseBool(t, args[6]), Settings: r.settings[args[7]],
 	}
 }
 
-func formatAction(t *testing.T, a Action) string {
-	switch a := a.(type) {
+func formatAction(t *testing.T, action Action) string {
+	switch action := action.(type) {
 	case SendAttempt:
-		return fmt.Sprintf("send %d %d %d %d", a.Request, a.Endpoint, int64(a.Timeout), int64(a.NotAfter))
+		return fmt.Sprintf("send %d %d %d %d", action.Request, action.Endpoint, int64(action.Timeout), int64(action.NotAfter))
 	case Reject:
-		return fmt.Sprintf("refuse %d %d", a.Request, int64(a.RetryAfter))
+		return fmt.Sprintf("refuse %d %d", action.Request, int64(action.RetryAfter))
 	case Fail:
-		return fmt.Sprintf("fail %d", a.Request)
+		return fmt.Sprintf("fail %d", action.Request)
 	case Migrate:
-		return fmt.Sprintf("move %d", a.Request)
+		return fmt.Sprintf("move %d", action.Request)
 	case SetTimer:
-		return fmt.Sprintf("timer %d %d", a.Token, int64(a.After))
+		return fmt.Sprintf("timer %d %d", action.Token, int64(action.After))
 	case WatchEndpoints:
 		return "watch"
 	}
-	t.Fatalf("no such action: %T", a)
+	t.Fatalf("no such action: %T", action)
 	return ""
 }
 
 // replayLoop plays an input to the Loop. Requests go by names of their own there, and actions come with a tick.
-func (r *replayer) replayLoop(t *testing.T, now time.Duration, word string, w []string) []string {
+func (r *replayer) replayLoop(t *testing.T, now time.Duration, word string, args []string) []string {
 	switch word {
 	case "facade": // settings, seed
-		r.loop = NewLoop(*r.settings[w[0]], parseUint(t, w[1]))
+		r.loop = NewLoop(*r.settings[args[0]], parseUint(t, args[1]))
 		r.loop.Observe()
 		r.loop.PublishCounts()
 		return nil
 	case "tick":
 		return r.tick(now)
 	case "pick": // name, class, item, group, give up at, load, comes back, settings, open at server or "-"
-		ask := RequestOptions{
-			Class: int(parseUint(t, w[1])), Item: parseUint(t, w[2]), Group: parseUint(t, w[3]), Deadline: parseDuration(t, w[4]),
-			ExpectedLoad: parseFloat(t, w[5]), Returning: parseBool(t, w[6]), Settings: r.settings[w[7]], Observer: namedObserver{r, w[0]},
+		options := RequestOptions{
+			Class: int(parseUint(t, args[1])), Item: parseUint(t, args[2]), Group: parseUint(t, args[3]), Deadline: parseDuration(t, args[4]),
+			ExpectedLoad: parseFloat(t, args[5]), Returning: parseBool(t, args[6]), Settings: r.settings[args[7]], Observer: namedObserver{r, args[0]},
 		}
-		if w[8] != "-" {
-			ask.Established, ask.Endpoint = true, EndpointID(parseUint(t, w[8]))
+		if args[8] != "-" {
+			options.Established, options.Endpoint = true, EndpointID(parseUint(t, args[8]))
 		}
-		ticket := NewRequestHandle(ask)
-		r.handles[w[0]] = ticket
-		r.openHandles = append(r.openHandles, w[0])
-		r.loop.Pick(r.canceled, ticket)
-		return []string{"time left " + formatDuration(ticket.TimeLeft(now))}
+		handle := NewRequestHandle(options)
+		r.handles[args[0]] = handle
+		r.openHandles = append(r.openHandles, args[0])
+		if action, err := r.loop.Pick(r.canceled, handle); err == nil {
+			t.Fatalf("action %v before a Tick", action)
+		}
+		return []string{"time left " + formatDuration(handle.TimeLeft(now))}
 	case "advice":
 		wait := duringTick(r, now, r.loop.RetryAfter)
 		return append([]string{"advice " + formatDuration(wait)}, r.decisions...)
@@ -307,33 +309,33 @@
 		_, err := r.loop.EndpointViews(r.canceled)
 		return []string{fmt.Sprintf("closed %d %t", int64(wait), err != nil)}
 	}
-	r.loop.Report(r.parseLoopEvent(t, word, w))
+	r.loop.Report(r.parseLoopEvent(t, word, args))
 	return nil
 }
 
 // parseLoopEvent reads what is reported to the Loop.
-func (r *replayer) parseLoopEvent(t *testing.T, word string, w []string) LoopEvent {
+func (r *replayer) parseLoopEvent(t *testing.T, word string, args []string) LoopEvent {
 	switch word {
 	case "stands": // name, time it took
-		return AttemptEstablished{Handle: r.handles[w[0]], SetupTime: parseDuration(t, w[1])}
+		return AttemptEstablished{Handle: r.handles[args[0]], SetupTime: parseDuration(t, args[1])}
 	case "ended": // name, status
-		return AttemptEnded{Handle: r.handles[w[0]], Status: parseStatus(t, w[1])}
+		return AttemptEnded{Handle: r.handles[args[0]], Status: parseStatus(t, args[1])}
 	case "dismiss":
-		return RequireAnswer{Handle: r.handles[w[0]]}
+		return RequireAnswer{Handle: r.handles[args[0]]}
 	case "left":
-		return ClientDisconnected{Handle: r.handles[w[0]]}
+		return ClientDisconnected{Handle: r.handles[args[0]]}
 	case "load": // name, load
-		return LoadReport{Handle: r.handles[w[0]], Load: parseFloat(t, w[1])}
+		return LoadReport{Handle: r.handles[args[0]], Load: parseFloat(t, args[1])}
 	case "delay": // server, delay
-		return DelayReport{Endpoint: EndpointID(parseUint(t, w[0])), Delay: parseDuration(t, w[1])}
+		return DelayReport{Endpoint: EndpointID(parseUint(t, args[0])), Delay: parseDuration(t, args[1])}
 	case "farm": // kind, revision, servers
-		return EndpointUpdate{Kind: parseListKind(t, w[0]), Revision: parseUint(t, w[1]), Endpoints: parseEndpoints(t, w[2:])}
+		return EndpointUpdate{Kind: parseListKind(t, args[0]), Revision: parseUint(t, args[1]), Endpoints: parseEndpoints(t, args[2:])}
 	case "retune":
-		return UpdateSettings{Settings: r.settings[w[0]]}
+		return UpdateSettings{Settings: r.settings[args[0]]}
 	case "restore":
 		return RestoreSnapshot{Snapshot: r.snapshot}
 	case "budget":
-		return SlowStartBudget{Share: parseFloat(t, w[0])}
+		return SlowStartBudget{Share: parseFloat(t, args[0])}
 	}
 	t.Fatalf("no such input: %s", word)
 	return nil
@@ -347,16 +349,16 @@
 	for _, name := range r.openHandles {
 		over := false
 		for {
-			step, err := r.loop.Pick(r.canceled, r.handles[name])
+			action, err := r.loop.Pick(r.canceled, r.handles[name])
 			if err != nil {
 				break
 			}
 			word := [...]string{
 				ActionAttempt: "pass", ActionEstablished: "up", ActionMigrate: "move", ActionClosed: "over",
 				ActionReject: "unavailable", ActionFail: "failed",
-			}[step.Kind]
-			over = over || step.Kind != ActionAttempt && step.Kind != ActionEstablished
-			out = append(out, fmt.Sprintf("step %s %s %d %d %d", name, word, step.Endpoint, int64(step.Wait), int64(step.NotAfter)))
+			}[action.Kind]
+			over = over || action.Kind != ActionAttempt && action.Kind != ActionEstablished
+			out = append(out, fmt.Sprintf("step %s %s %d %d %d", name, word, action.Endpoint, int64(action.Wait), int64(action.NotAfter)))
 		}
 		if !over {
 			open = append(open, name)
@@ -396,10 +398,10 @@
 	out := []string{fmt.Sprintf("decided %d %s %s at=%d attempt=%d server=%d wait=%d left=%d ready=%d slow=%s revision=%d age=%d instead=%d",
 		id, decision.Verdict, decision.Reason, int64(decision.At), decision.Attempt, decision.Endpoint, int64(decision.Wait), int64(decision.TimeLeft), decision.ReadyEndpoints, formatFloat(decision.SlowShare),
 		decision.Revision, int64(decision.ListAge), decision.Preferred)}
-	for _, f := range decision.Considered {
-		out = append(out, fmt.Sprintf("believed %d %s %s %s %s %s %s %d %d", f.Endpoint, formatState(f.State),
-			strings.Join(append([]string{"bars"}, f.Exclusions.Names()...), ","), formatFloat(f.Weight), formatFloat(f.Warmth), formatFloat(f.Load),
-			formatFloat(f.Probability), int64(f.Delay), int64(f.DelayAge)))
+	for _, considered := range decision.Considered {
+		out = append(out, fmt.Sprintf("believed %d %s %s %s %s %s %s %d %d", considered.Endpoint, formatState(considered.State),
+			strings.Join(append([]string{"bars"}, considered.Exclusions.Names()...), ","), formatFloat(considered.Weight), formatFloat(considered.Warmth), formatFloat(considered.Load),
+			formatFloat(considered.Probability), int64(considered.Delay), int64(considered.DelayAge)))
 	}
 	return out
 }
@@ -423,8 +425,8 @@
 
 func formatViews(views []EndpointView) []string {
 	var out []string
-	for _, v := range views {
-		out = append(out, fmt.Sprintf("view %d %d %s %q", v.Endpoint, int64(v.Delay), formatFloat(v.Load), v.Avoided))
+	for _, view := range views {
+		out = append(out, fmt.Sprintf("view %d %d %s %q", view.Endpoint, int64(view.Delay), formatFloat(view.Load), view.Avoided))
 	}
 	return out
 }
@@ -467,10 +469,10 @@
 func parseEndpoints(t *testing.T, words []string) []Endpoint {
 	var list []Endpoint
 	for _, word := range words {
-		w := strings.Split(word, ":")
+		args := strings.Split(word, ":")
 		list = append(list, Endpoint{
-			ID: EndpointID(parseUint(t, w[0])), State: lookUp(t, stateWords, w[1]), Zone: int(parseUint(t, w[2])),
-			Cell: int(parseUint(t, w[3])), Weight: parseFloat(t, w[4]), StartedAt: parseDuration(t, w[5]),
+			ID: EndpointID(parseUint(t, args[0])), State: lookUp(t, stateWords, args[1]), Zone: int(parseUint(t, args[2])),
+			Cell: int(parseUint(t, args[3])), Weight: parseFloat(t, args[4]), StartedAt: parseDuration(t, args[5]),
 		})
 	}
 	return list
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -65,16 +65,16 @@
 					class.Effect == Deduplicated && class.DeduplicationWindow > 100*ms
 				mayReject := !ran[status] || class.Effect == Idempotent ||
 					class.Effect == Deduplicated && class.Scope == ScopeAll
-				for _, a := range actions {
-					switch a := a.(type) {
+				for _, action := range actions {
+					switch action := action.(type) {
 					case SendAttempt:
 						if !mayRepeat {
 							t.Errorf("%+v after %d: sent again", class, status)
 						}
 						scoped := ran[status] && class.Effect == Deduplicated
-						if scoped && class.Scope == ScopeZone && zone[a.Endpoint] != zone[first] ||
-							scoped && class.Scope == ScopeCell && cell[a.Endpoint] != cell[first] {
-							t.Errorf("%+v after %d: %d then %d", class, status, first, a.Endpoint)
+						if scoped && class.Scope == ScopeZone && zone[action.Endpoint] != zone[first] ||
+							scoped && class.Scope == ScopeCell && cell[action.Endpoint] != cell[first] {
+							t.Errorf("%+v after %d: %d then %d", class, status, first, action.Endpoint)
 						}
 					case Reject:
 						if !mayReject {
--- a/balancer/routecache_test.go
+++ b/balancer/routecache_test.go
@@ -44,23 +44,23 @@
 }
 
 func TestRouteCacheIsBoundedAndExpires(t *testing.T) {
-	r := routeCache{capacity: 3, index: make(map[uint64]int)}
+	cache := routeCache{capacity: 3, index: make(map[uint64]int)}
 	for key := uint64(1); key <= 5; key++ {
-		r.put(key, EndpointID(key), time.Second)
+		cache.put(key, EndpointID(key), time.Second)
 	}
-	if len(r.ring) != 3 || len(r.index) != 3 {
-		t.Errorf("%d entries and %d keys in a cache of 3", len(r.ring), len(r.index))
+	if len(cache.ring) != 3 || len(cache.index) != 3 {
+		t.Errorf("%d entries and %d keys in a cache of 3", len(cache.ring), len(cache.index))
 	}
 	for key, want := range map[uint64]bool{1: false, 2: false, 3: true, 4: true, 5: true} {
-		if _, ok := r.get(key, 0); ok != want {
+		if _, ok := cache.get(key, 0); ok != want {
 			t.Errorf("key %d cached: %v, want %v", key, ok, want)
 		}
 	}
-	if _, ok := r.get(5, time.Second); ok {
+	if _, ok := cache.get(5, time.Second); ok {
 		t.Error("an entry outlived its expiry")
 	}
-	r.put(0, 1, time.Second)
-	if _, ok := r.get(0, 0); ok {
+	cache.put(0, 1, time.Second)
+	if _, ok := cache.get(0, 0); ok {
 		t.Error("requests without a key share a route")
 	}
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -49,9 +49,9 @@
 		x.Handle(0, EndpointList{Kind: ListCached, Endpoints: readyEndpoints(12)})
 	}
 	for key := uint64(1); key < 100; key++ {
-		q := &requestRecord{Request: Request{Group: key}}
-		if s, o := a.drawEndpoint(q), b.drawEndpoint(q); s.ID != o.ID {
-			t.Fatalf("group %d: drawn to %d and to %d", key, s.ID, o.ID)
+		request := &requestRecord{Request: Request{Group: key}}
+		if state, o := a.drawEndpoint(request), b.drawEndpoint(request); state.ID != o.ID {
+			t.Fatalf("group %d: drawn to %d and to %d", key, state.ID, o.ID)
 		}
 	}
 }
@@ -134,9 +134,9 @@
 func TestGroupOfASlowEndpointIsRedrawn(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	_, endpoint := relay.connect(7)
-	s := relay.balancer.endpoints.find(endpoint)
-	s.lastSlowAt, s.delayAt = relay.now, relay.now
-	s.cutWeight(0, relay.now)
+	state := relay.balancer.endpoints.find(endpoint)
+	state.lastSlowAt, state.delayAt = relay.now, relay.now
+	state.cutWeight(0, relay.now)
 	id, actions := relay.request(7)
 	if next := relay.wantSent(actions, id); next == endpoint {
 		t.Error("sent to the slow endpoint")
@@ -178,14 +178,14 @@
 				relay.connect(other + 100)
 			}
 			id, endpoint := relay.connect(key + 1)
-			s := relay.balancer.endpoints.find(endpoint)
-			s.delay, s.delayAt = 400*ms, relay.now
+			state := relay.balancer.endpoints.find(endpoint)
+			state.delay, state.delayAt = 400*ms, relay.now
 			relay.advance(time.Second)
 			for i := range EndpointID(c.slow - 1) {
 				relay.handle(EndpointDelay{Endpoint: (endpoint+i)%6 + 1, Delay: 150 * ms})
 			}
 			relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 150 * ms})
-			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}) == s {
+			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}) == state {
 				stay++
 			}
 		}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -64,13 +64,13 @@
 	last := map[EndpointID]time.Duration{}
 	for range 390 {
 		_, actions := relay.request(uint64(relay.lastID))
-		for _, a := range append(actions, relay.advance(50*ms)...) {
-			if endpoint, ok := a.(SendAttempt); ok {
-				if gap := relay.now - last[endpoint.Endpoint]; last[endpoint.Endpoint] > 0 && gap < 1500*ms {
-					t.Fatalf("endpoint %d was sent two attempts within %v", endpoint.Endpoint, gap)
+		for _, action := range append(actions, relay.advance(50*ms)...) {
+			if attempt, ok := action.(SendAttempt); ok {
+				if gap := relay.now - last[attempt.Endpoint]; last[attempt.Endpoint] > 0 && gap < 1500*ms {
+					t.Fatalf("endpoint %d was sent two attempts within %v", attempt.Endpoint, gap)
 				}
-				last[endpoint.Endpoint] = relay.now
-				relay.handle(Established{Request: endpoint.Request, Endpoint: endpoint.Endpoint})
+				last[attempt.Endpoint] = relay.now
+				relay.handle(Established{Request: attempt.Request, Endpoint: attempt.Endpoint})
 			}
 		}
 	}
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -18,11 +18,11 @@
 	if err := json.Unmarshal(text, &snapshot); err != nil {
 		r.t.Fatal(err)
 	}
-	n := newTestRelay(r.t, testSettings())
-	n.balancer, n.now = New(testSettings(), seed), r.now
-	n.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
-	n.balancer.restoreSnapshot(snapshot)
-	return n
+	next := newTestRelay(r.t, testSettings())
+	next.balancer, next.now = New(testSettings(), seed), r.now
+	next.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
+	next.balancer.restoreSnapshot(snapshot)
+	return next
 }
 
 // The next process sends a group where its connections are, avoids a slow endpoint, and goes on with the
@@ -35,18 +35,18 @@
 	bad := relay.wantSent(actions, id)
 	relay.fail(id, bad, StatusFull)
 	relay.advance(time.Second)
-	n := relay.successor(99, endpoints...)
-	if id, actions := n.request(7); n.wantSent(actions, id) != at {
+	next := relay.successor(99, endpoints...)
+	if id, actions := next.request(7); next.wantSent(actions, id) != at {
 		t.Error("a group's route is lost")
 	}
-	if n.balancer.salt != relay.balancer.salt {
+	if next.balancer.salt != relay.balancer.salt {
 		t.Error("its salt is another")
 	}
-	old, fresh := relay.balancer.endpoints.find(bad), n.balancer.endpoints.find(bad)
-	if fresh.currentWeight(n.now) != old.currentWeight(relay.now) || !fresh.isSlow(n.now) {
+	old, fresh := relay.balancer.endpoints.find(bad), next.balancer.endpoints.find(bad)
+	if fresh.currentWeight(next.now) != old.currentWeight(relay.now) || !fresh.isSlow(next.now) {
 		t.Errorf("the weight or slowness of an endpoint is lost: %+v", fresh)
 	}
-	listed, avoided := n.balancer.avoidedEndpoints(nil)
+	listed, avoided := next.balancer.avoidedEndpoints(nil)
 	if listed != 6 || len(avoided) != 1 {
 		t.Errorf("of %d endpoints %d are avoided", listed, len(avoided))
 	}
@@ -57,7 +57,7 @@
 			endpoints[i].StartedAt = relay.now
 		}
 	}
-	if n := relay.successor(99, endpoints...); n.balancer.endpoints.find(bad).isSlow(n.now) {
+	if next := relay.successor(99, endpoints...); next.balancer.endpoints.find(bad).isSlow(next.now) {
 		t.Error("what was observed before an endpoint's start is restored")
 	}
 }
@@ -88,9 +88,9 @@
 			t.Fatal("it never has a slot")
 		}
 	}
-	n := relay.successor(5, endpoints...)
-	n.handle(EndpointList{Kind: ListFull, Endpoints: endpoints})
-	alone, both = sent(relay, 400*ms), sent(n, 400*ms)
+	next := relay.successor(5, endpoints...)
+	next.handle(EndpointList{Kind: ListFull, Endpoints: endpoints})
+	alone, both = sent(relay, 400*ms), sent(next, 400*ms)
 	if both > alone+1 {
 		t.Errorf("the next process sends %d where the same one sends %d", both, alone)
 	}
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -19,31 +19,31 @@
 }
 
 func TestWeightStaysBetweenMinimumAndMaximum(t *testing.T) {
-	s := &endpointRecord{weight: initialWeight}
+	state := &endpointRecord{weight: initialWeight}
 	for range 100 {
-		s.cutWeight(weightCutFactor, 0)
+		state.cutWeight(weightCutFactor, 0)
 	}
-	if s.weight != minWeight {
-		t.Errorf("weight after many cuts is %v, want the minimum", s.weight)
+	if state.weight != minWeight {
+		t.Errorf("weight after many cuts is %v, want the minimum", state.weight)
 	}
-	if w := s.currentWeight(weightRecoveryTime); w <= initialWeight {
+	if w := state.currentWeight(weightRecoveryTime); w <= initialWeight {
 		t.Errorf("an endpoint at the minimum without attempts is still at %v", w)
 	}
 	for range 100 {
-		s.raiseWeight(0)
+		state.raiseWeight(0)
 	}
-	if s.weight != maxWeight {
-		t.Errorf("weight after many raises is %v, want the maximum", s.weight)
+	if state.weight != maxWeight {
+		t.Errorf("weight after many raises is %v, want the maximum", state.weight)
 	}
 }
 
 func TestRestartResetsWeightAndSlowness(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
-	s := relay.balancer.endpoints.find(1)
-	s.cutWeight(0, relay.now)
-	s.lastSlowAt, s.delayAt = relay.now, relay.now
+	state := relay.balancer.endpoints.find(1)
+	state.cutWeight(0, relay.now)
+	state.lastSlowAt, state.delayAt = relay.now, relay.now
 	relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}})
-	if s.currentWeight(relay.now) != initialWeight || s.isSlow(relay.now) || relay.balancer.warmth(s) != relay.balancer.settings.InitialCapacity {
-		t.Errorf("weight %v, slow %v, warmth %v", s.currentWeight(relay.now), s.lastSlowAt, relay.balancer.warmth(s))
+	if state.currentWeight(relay.now) != initialWeight || state.isSlow(relay.now) || relay.balancer.warmth(state) != relay.balancer.settings.InitialCapacity {
+		t.Errorf("weight %v, slow %v, warmth %v", state.currentWeight(relay.now), state.lastSlowAt, relay.balancer.warmth(state))
 	}
 }
