--- /dev/null
+++ b/internal/proxy/clock_test.go
@@ -0,0 +1,24 @@
+package proxy
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestUnixTimesAreConvertedToClockTimes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		clock := NewClock()
+		time.Sleep(time.Minute)
+		started := time.Now().Add(-10 * time.Second).UnixMilli()
+		if got := clock.AtUnixMilli(started); got < clock.Now()-10*time.Second-ms || got > clock.Now()-10*time.Second+ms {
+			t.Errorf("a start 10 s ago is at %v, now is %v", got, clock.Now())
+		}
+		if got := clock.AtUnixMilli(0); got != 0 {
+			t.Errorf("long ago is at %v", got)
+		}
+		if now := clock.Now(); now%time.Microsecond != 0 {
+			t.Errorf("the clock shows %v", now)
+		}
+	})
+}
--- a/internal/proxy/encoding_test.go
+++ b/internal/proxy/encoding_test.go
@@ -8,8 +8,8 @@
 	"lockroad/internal/testutil"
 )
 
-// wholeStanding is an established connection as one process tells the next of it, with every field set.
-func wholeStanding() EstablishedRequest {
+// completeEstablishedRequest returns an established request as one process sends it to the next, with every field set.
+func completeEstablishedRequest() EstablishedRequest {
 	return EstablishedRequest{
 		Front: "line", Name: "9b1f03aa5c7e2d41", Class: "page", Tenant: "cedar", Endpoint: "s-5be2a07c",
 		Item: 0xfedcba9876543210, Group: 0x123456789abcdef1, Load: 0.0078125, Returning: true, UnansweredSince: 1234567890 * time.Nanosecond,
@@ -17,12 +17,12 @@
 	}
 }
 
-func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
-	testutil.Complete(t, wholeStanding())
-	testutil.GoldenJSON(t, "testdata/established.json", wholeStanding())
+func TestEstablishedRequestEncodingIsStable(t *testing.T) {
+	testutil.Complete(t, completeEstablishedRequest())
+	testutil.GoldenJSON(t, "testdata/established.json", completeEstablishedRequest())
 	testutil.GoldenJSON(t, "testdata/established-zero.json", EstablishedRequest{FrontendState: json.RawMessage("{}")})
 }
 
-func TestEstablishedConnectionFieldsAreTagged(t *testing.T) {
+func TestEstablishedRequestFieldsAreTagged(t *testing.T) {
 	testutil.Tagged(t, []string{"json"}, EstablishedRequest{})
 }
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -7,95 +7,104 @@
 	"lockroad/internal/registry"
 )
 
-// EndCause is why a transaction ended as it did where the module did not decide it.
+// EndCause is why a request ended as it did, where the balancer did not decide it.
 type EndCause uint8
 
 // The causes of an end.
 const (
-	CauseDecided          EndCause = iota // the module, the client or the server ended it
-	CauseConnectionLimit                  // the front had no seat for it
-	CauseShutdown                         // the relay stops
-	CauseNotOpen                          // it was said to be open at a server where it was not
-	CauseHeartbeatTimeout                 // its server went silent
-	CauseQuotaExceeded                    // its client's address, or its class, has as much as may be
-	causes
+	CauseDecided          EndCause = iota // the balancer, the client or the endpoint ended it
+	CauseConnectionLimit                  // the frontend had no admission slot for it
+	CauseShutdown                         // the relay shuts down
+	CauseNotOpen                          // it was said to be open at an endpoint where it was not
+	CauseHeartbeatTimeout                 // its endpoint sent nothing within the heartbeat timeout
+	CauseQuotaExceeded                    // its client's address, or its class, is at its quota
+	causeCount
 )
 
 // CauseNames are the names of the causes, in the order of their numbers.
-var CauseNames = [causes]string{"decided", "no-seat", "relay-leaves", "not-open", "no-echo", "over-limit"}
+var CauseNames = [causeCount]string{"decided", "no-seat", "relay-leaves", "not-open", "no-echo", "over-limit"}
 
-// String is the name of a cause.
+// String returns the name of a cause.
 func (c EndCause) String() string {
-	if c >= causes {
+	if c >= causeCount {
 		return "unknown"
 	}
 	return CauseNames[c]
 }
 
-// Result is how a transaction ended.
+// Result is how a request ended.
 type Result struct {
 	End        registry.End
 	Cause      EndCause
-	RetryAfter time.Duration          // told with the unavailable answer; 0 if nothing was
-	Status     balancer.AttemptStatus // of one that stood: how its connection ended
+	RetryAfter time.Duration          // that its client was rejected with; 0 if none
+	Status     balancer.AttemptStatus // how its connection ended, if it was established
 }
 
-// Observer is told of every transaction, those that no seat is free for included.
-// Nothing that it does may block for long.
+// Observer observes all requests, rejected ones included. Its method is called from each
+// request's goroutine and must not block for long.
 type Observer interface {
-	Began(number uint64, ask Request) RequestObserver
+	Began(number uint64, request Request) RequestObserver
 }
 
-// RequestObserver follows one transaction. Its own steps are told one at a time; decisions come
-// in the turn that decides, beside them, and must not be held up.
+// RequestObserver observes one request. Its own methods are called one at a time;
+// Decided is called in the balancer's turn, possibly at the same time as another, and
+// must not block.
 type RequestObserver interface {
 	balancer.DecisionObserver
-	// Pass notes that a proxy pass begins; what it returns notes how it ended, or
-	// with balancer.StatusOK that it was accepted.
-	AttemptStarted(server balancer.EndpointID) func(how balancer.AttemptStatus)
+	// AttemptStarted notes that an attempt starts. What it returns notes how the attempt
+	// ended, or with balancer.StatusOK that it was established.
+	AttemptStarted(endpoint balancer.EndpointID) func(status balancer.AttemptStatus)
+	// Established notes that the balancer has the request established.
 	Established()
+	// Ended notes the request's end. Nothing is called after it.
 	Ended(Result)
 }
 
+// Observe adds an observer of the requests to come. It is called before Run.
+func (p *Proxy) Observe(observer Observer) {
+	p.observers = append(p.observers, observer)
+	p.loop.Observe()
+}
+
 type observers []Observer
 
-func (o observers) began(number uint64, ask Request) traces {
-	var all traces
-	for _, one := range o {
-		all = append(all, one.Began(number, ask))
+func (all observers) begin(number uint64, request Request) requestObservers {
+	var begun requestObservers
+	for _, observer := range all {
+		begun = append(begun, observer.Began(number, request))
 	}
-	return all
+	return begun
 }
 
-// traces are the traces of one transaction.
-type traces []RequestObserver
+// requestObservers are the observers of one request, as one.
+type requestObservers []RequestObserver
 
-func (t traces) Decided(d *balancer.Decision) {
-	for _, one := range t {
-		one.Decided(d)
+func (all requestObservers) Decided(decision *balancer.Decision) {
+	for _, observer := range all {
+		observer.Decided(decision)
 	}
 }
 
-func (t traces) AttemptStarted(server balancer.EndpointID) func(balancer.AttemptStatus) {
-	ended := make([]func(balancer.AttemptStatus), len(t))
-	for i, one := range t {
-		ended[i] = one.AttemptStarted(server)
+func (all requestObservers) AttemptStarted(endpoint balancer.EndpointID) func(balancer.AttemptStatus) {
+	ended := make([]func(balancer.AttemptStatus), len(all))
+	for i, observer := range all {
+		ended[i] = observer.AttemptStarted(endpoint)
 	}
-	return func(how balancer.AttemptStatus) {
+	return func(status balancer.AttemptStatus) {
 		for _, end := range ended {
-			end(how)
+			end(status)
 		}
 	}
 }
 
-func (t traces) Established() {
-	for _, one := range t {
-		one.Established()
+func (all requestObservers) Established() {
+	for _, observer := range all {
+		observer.Established()
 	}
 }
 
-func (t traces) Ended(f Result) {
-	for _, one := range t {
-		one.Ended(f)
+func (all requestObservers) Ended(result Result) {
+	for _, observer := range all {
+		observer.Ended(result)
 	}
 }
--- /dev/null
+++ b/internal/proxy/snapshot.go
@@ -0,0 +1,37 @@
+package proxy
+
+import (
+	"context"
+
+	"lockroad/balancer"
+)
+
+// Snapshot returns what the balancer has learned, for another process to restore. It
+// fails if ctx ends first.
+func (p *Proxy) Snapshot(ctx context.Context) (balancer.Snapshot, error) {
+	return p.loop.Snapshot(ctx)
+}
+
+// Restore makes the balancer take over another process's snapshot. The endpoint list
+// that the snapshot refers to has been handed in before.
+func (p *Proxy) Restore(snapshot balancer.Snapshot) {
+	p.loop.Report(balancer.RestoreSnapshot{Snapshot: snapshot})
+}
+
+// EndpointViews returns the balancer's view of each endpoint, or nil if ctx ends first.
+func (p *Proxy) EndpointViews(ctx context.Context) map[balancer.EndpointID]balancer.EndpointView {
+	all, err := p.loop.EndpointViews(ctx)
+	if err != nil {
+		return nil
+	}
+	views := make(map[balancer.EndpointID]balancer.EndpointView, len(all))
+	for _, view := range all {
+		views[view.Endpoint] = view
+	}
+	return views
+}
+
+// SetSlowStartShare sets this process's share, 0 to 1, of the relay's slow-start budget.
+func (p *Proxy) SetSlowStartShare(share float64) {
+	p.loop.Report(balancer.SlowStartBudget{Share: share})
+}
