--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -21,7 +21,7 @@
 	}
 	release, reason, ok := p.Quota.Acquire(p.Clock.Now(), host, request.Class)
 	if !ok {
-		p.Log.Debug("a client is over a limit", "address", host, "class", request.Class, "limit", reason)
+		p.Log.Debug("client over quota", "address", host, "class", request.Class, "limit", reason)
 	}
 	return release, ok
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -105,7 +105,7 @@
 		select {
 		case <-r.current.ended:
 		default:
-			assert.That(false, "one pass is out at a time")
+			assert.That(false, "at most one attempt is in progress")
 			r.current.stop()
 		}
 	}
@@ -140,7 +140,7 @@
 	observeEnd := r.observers.AttemptStarted(attempt.Endpoint.ID)
 	conn, status := r.downstream.Attempt(ctx, attempt)
 	observeEnd(status)
-	assert.That((conn != nil) == (status == balancer.StatusOK), "a pass gives a link exactly when it is up")
+	assert.That((conn != nil) == (status == balancer.StatusOK), "an attempt returns a connection exactly when it is established")
 	return conn, status
 }
 
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -97,7 +97,7 @@
 	}
 	downstream.Resolve(err == nil)
 	if err != nil {
-		r.proxy.Log.Warn("a connection is not handed over, and moved", "error", err)
+		r.proxy.Log.Warn("connection handoff failed, migrating client", "error", err)
 	}
 	return err == nil
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -123,5 +123,5 @@
 // ProtocolError counts and logs a client that violates its frontend's protocol.
 func (p *Proxy) ProtocolError(front, what string) {
 	p.Counters.ProtocolErrors.Add(1)
-	p.Log.Warn("a client says what makes no sense", "front", front, "what", what)
+	p.Log.Warn("protocol error", "front", front, "what", what)
 }
