--- a/internal/registry/counters.go
+++ b/internal/registry/counters.go
@@ -6,63 +6,67 @@
 	"lockroad/balancer"
 )
 
-// End is how a transaction came to its end.
+// End is how a request ended.
 type End uint8
 
-// The ends of a transaction.
+// The ends of a request.
 const (
-	EndClosed           End = iota // it stood, and one side has ended it
-	EndRejected                    // the unavailable answer
-	EndFailed                      // the failed answer
+	EndClosed           End = iota // it was established, and one side has closed it
+	EndRejected                    // its client was told to retry later
+	EndFailed                      // its client was told that it has failed
 	EndClientLeft                  // its client left before its answer
-	EndMigrated                    // its client was sent away politely
-	EndHeartbeatTimeout            // its server went silent; its client was sent away
-	EndHandedOff                   // it stands, and another process carries it on
-	ends
+	EndMigrated                    // its client was migrated
+	EndHeartbeatTimeout            // its endpoint sent nothing within the heartbeat timeout; its client was migrated
+	EndHandedOff                   // it is established, and another process carries it on
+	endKinds
 )
 
 // EndNames are the names of the ends, in the order of their numbers.
 var EndNames = []string{"ended", "unavailable", "failed", "client_left", "moved", "silent", "handed_over"}
 
+// String returns the name of an end.
 func (e End) String() string {
-	if e >= ends {
+	if e >= endKinds {
 		return "unknown"
 	}
 	return EndNames[e]
 }
 
-// Counters counts what has happened since the start.
-type Counters struct {
-	Requests       atomic.Int64 // taken
-	Established    atomic.Int64 // accepted by an application server
-	ProtocolErrors atomic.Int64 // openings that made no sense
-	ends           [ends]atomic.Int64
-	passes         [9]atomic.Int64
-}
+// attemptStatuses is how many values balancer.AttemptStatus has.
+const attemptStatuses = 9
 
-// StatusNames are the outcomes of a pass, in the order of their numbers.
+// StatusNames are the names of the statuses of an attempt, in the order of their numbers.
 var StatusNames = []string{"ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled", "moot", "sent_away"}
 
-// CountAttempt counts the end of a pass.
-func (c *Counters) CountAttempt(how balancer.AttemptStatus) { c.passes[how].Add(1) }
+// Counters counts what has happened since the process began.
+type Counters struct {
+	Requests       atomic.Int64 // entered into the registry
+	Established    atomic.Int64 // accepted by an endpoint
+	ProtocolErrors atomic.Int64 // by clients
+	ends           [endKinds]atomic.Int64
+	attempts       [attemptStatuses]atomic.Int64
+}
+
+// CountAttempt counts the end of an attempt.
+func (c *Counters) CountAttempt(status balancer.AttemptStatus) { c.attempts[status].Add(1) }
 
-// Attempts returns how many passes have ended in a way.
-func (c *Counters) Attempts(how balancer.AttemptStatus) int64 { return c.passes[how].Load() }
+// Attempts returns how many attempts have ended with a status.
+func (c *Counters) Attempts(status balancer.AttemptStatus) int64 { return c.attempts[status].Load() }
 
-// CountEnd counts the end of a transaction.
-func (c *Counters) CountEnd(e End) { c.ends[e].Add(1) }
+// CountEnd counts the end of a request.
+func (c *Counters) CountEnd(end End) { c.ends[end].Add(1) }
 
-// EndCount is how many transactions came to one kind of end.
+// EndCount is how many requests ended in one way.
 type EndCount struct {
 	Name  string
 	Count int64
 }
 
-// Ends returns how many transactions came to each kind of end.
+// Ends returns how many requests ended in each way, in the order of the ends.
 func (c *Counters) Ends() []EndCount {
-	var out []EndCount
-	for e := range ends {
-		out = append(out, EndCount{e.String(), c.ends[e].Load()})
+	var counts []EndCount
+	for end := range endKinds {
+		counts = append(counts, EndCount{Name: end.String(), Count: c.ends[end].Load()})
 	}
-	return out
+	return counts
 }
--- /dev/null
+++ b/internal/registry/requests.go
@@ -0,0 +1,177 @@
+package registry
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"sync"
+	"time"
+
+	"lockroad/balancer"
+)
+
+// Stage is how far a request has come.
+type Stage uint8
+
+// The stages of a request, in their order.
+const (
+	StageWaiting     Stage = iota // for the balancer's decision
+	StageAttempting               // an attempt is in progress
+	StageEstablished              // it is established at an endpoint
+)
+
+// String returns the name of a stage, as operators read it.
+func (s Stage) String() string { return [...]string{"waiting", "out", "open"}[s] }
+
+// Request is an open request.
+type Request struct {
+	Number   uint64 // unique in the process
+	Front    string // the frontend's name
+	Name     string // as the client calls it; "" if it has none
+	Class    string
+	Since    time.Duration // on the proxy's clock
+	Stage    Stage
+	Endpoint balancer.EndpointID // of the last attempt
+	Attempts int
+}
+
+func (r *Request) requestName() RequestName { return RequestName{Front: r.Front, Name: r.Name} }
+
+// RequestName is what a request is called outside. A process sends the names of its open
+// requests to the next as JSON.
+type RequestName struct {
+	Front string `json:"Front"`
+	Name  string `json:"Name"`
+}
+
+// Requests holds the open requests. It is safe for concurrent use.
+type Requests struct {
+	mu         sync.Mutex // guards what follows
+	lastNumber uint64
+	byNumber   map[uint64]*Request
+	names      map[RequestName]struct{} // of open requests that have a name
+	reserved   map[RequestName]struct{} // names of requests that are open in another process of this relay
+}
+
+// NewRequests returns an empty table.
+func NewRequests() *Requests {
+	return &Requests{
+		byNumber: make(map[uint64]*Request),
+		names:    make(map[RequestName]struct{}),
+	}
+}
+
+// Add enters a request and returns its number. It fails if another of that frontend and
+// name is open, here or in another process of this relay.
+func (r *Requests) Add(request Request) (number uint64, ok bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	name := request.requestName()
+	_, open := r.names[name]
+	if _, reserved := r.reserved[name]; open || reserved {
+		return 0, false
+	}
+	if name.Name != "" {
+		r.names[name] = struct{}{}
+	}
+	r.lastNumber++
+	request.Number = r.lastNumber
+	r.byNumber[request.Number] = &request
+	return request.Number, true
+}
+
+// Reserve reserves the names of requests that are open in another process of this relay,
+// until Adopt or Release.
+func (r *Requests) Reserve(names []RequestName) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.reserved = make(map[RequestName]struct{}, len(names))
+	for _, name := range names {
+		r.reserved[name] = struct{}{}
+	}
+}
+
+// Release gives up all reserved names, as the other process has ended.
+func (r *Requests) Release() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.reserved = nil
+}
+
+// Adopt enters a request that comes from another process. It fails as Add does.
+func (r *Requests) Adopt(request Request) (number uint64, ok bool) {
+	r.mu.Lock()
+	delete(r.reserved, request.requestName())
+	r.mu.Unlock()
+	return r.Add(request)
+}
+
+// Names returns the names of the open requests that have one, in no order.
+func (r *Requests) Names() []RequestName {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Collect(maps.Keys(r.names))
+}
+
+// Number assigns a number to a request that is never entered.
+func (r *Requests) Number() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastNumber++
+	return r.lastNumber
+}
+
+// Set sets the stage and endpoint of a request, and counts its attempts. A request that
+// has ended is ignored.
+func (r *Requests) Set(number uint64, stage Stage, endpoint balancer.EndpointID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	request := r.byNumber[number]
+	if request == nil {
+		return
+	}
+	if stage == StageAttempting {
+		request.Attempts++
+	}
+	request.Stage, request.Endpoint = stage, endpoint
+}
+
+// Remove removes a request that has ended. A second call does nothing.
+func (r *Requests) Remove(number uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if request := r.byNumber[number]; request != nil {
+		delete(r.names, request.requestName())
+		delete(r.byNumber, number)
+	}
+}
+
+// CountByStage returns how many requests are at each stage.
+func (r *Requests) CountByStage() [3]int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var counts [3]int64
+	for _, request := range r.byNumber {
+		counts[request.Stage]++
+	}
+	return counts
+}
+
+// Len returns how many requests are open.
+func (r *Requests) Len() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.byNumber)
+}
+
+// List returns the open requests in the order in which they were entered.
+func (r *Requests) List() []Request {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	list := make([]Request, 0, len(r.byNumber))
+	for _, request := range r.byNumber {
+		list = append(list, *request)
+	}
+	slices.SortFunc(list, func(a, b Request) int { return cmp.Compare(a.Number, b.Number) })
+	return list
+}
