--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -129,9 +129,9 @@
 	}
 	p.panicMode = panicMode
 	if panicMode {
-		p.Proxy.Log.Error("most servers seem to be down: this box is doubted before them, and all are listed as up")
+		p.Proxy.Log.Error("health check panic mode started, listing all endpoints as up")
 	} else {
-		p.Proxy.Log.Info("servers are listed as they are found again")
+		p.Proxy.Log.Info("health check panic mode ended")
 	}
 }
 
