--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -24,7 +24,6 @@
 	ReasonRate
 	ReasonPerClass
 	ReasonFairShare
-	reasonCount
 )
 
 // String describes a reason to operators.
@@ -45,7 +44,6 @@
 	activeByClass   map[string]int
 	activeRequests  int
 	activeAddresses int // that have an active request
-	rejections      [reasonCount]uint64
 }
 
 // addressUsage is what a client address uses: its active requests, and a token bucket.
@@ -80,7 +78,6 @@
 	defer l.mu.Unlock()
 	usage := l.usage(now, address)
 	if reason, exceeded := l.exceeded(usage, class); exceeded {
-		l.rejections[reason]++
 		return nil, reason, false
 	}
 	if l.settings.Rate > 0 {
@@ -168,10 +165,3 @@
 		l.activeAddresses--
 	}
 }
-
-// Rejections returns how many requests were rejected for a reason.
-func (l *Limiter) Rejections(reason Reason) uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rejections[reason]
-}
