--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -6,23 +6,23 @@
 	"lockroad/internal/golden"
 )
 
-// The page of the second address, with a figure of its own in every line.
+// The page of the second address, with a value of its own in every line.
 func TestMetricsPageIsStable(t *testing.T) {
-	f := &Set{EndpointCounts: func() (listed, avoided int) { return 11, 12 }}
-	f.SetClasses([]string{"page", "a \"b\" \\ c\nd"})
+	set := &Set{EndpointCounts: func() (listed, avoided int) { return 11, 12 }}
+	set.SetClasses([]string{"page", "a \"b\" \\ c\nd"})
 	for range 2 {
-		f.Class("page").CountEstablished()
+		set.Class("page").CountEstablished()
 	}
 	for range 3 {
-		f.Class("page").CountRejected()
+		set.Class("page").CountRejected()
 	}
 	for range 4 {
-		f.Class("page").CountFailed()
+		set.Class("page").CountFailed()
 	}
-	f.Attempts.Add(7)
-	f.ActiveRequests.Add(8)
-	f.ReloadsApplied.Add(9)
-	f.ReloadsRejected.Add(10)
-	golden.Compare(t, "metrics.txt", text(f))
-	golden.Compare(t, "metrics-at-start.txt", text(&Set{}))
+	set.Attempts.Add(7)
+	set.ActiveRequests.Add(8)
+	set.ReloadsApplied.Add(9)
+	set.ReloadsRejected.Add(10)
+	golden.Compare(t, "metrics.txt", metricsText(set))
+	golden.Compare(t, "metrics-at-start.txt", metricsText(&Set{}))
 }
