--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -15,25 +15,25 @@
 )
 
 // What is answered at each path of the second address: status, type and text.
-func TestSecondAddressIsStable(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestAnswersAreStable(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ready := false
-	d := &Server{Ready: func() bool { return ready }, Metrics: &metrics.Set{}}
+	server := &Server{Ready: func() bool { return ready }, Metrics: &metrics.Set{}}
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() { _ = d.Serve(ctx, l) })
-	defer func() { cancel(); all.Wait() }()
-	var b strings.Builder
-	for _, call := range []string{"GET /-/ready", "HEAD /-/ready", "GET /-/metrics", "POST /-/metrics", "GET /", "ready", "GET /-/ready"} {
-		if call == "ready" {
+	var running sync.WaitGroup
+	running.Go(func() { _ = server.Serve(ctx, listener) })
+	defer func() { cancel(); running.Wait() }()
+	var transcript strings.Builder
+	for _, step := range []string{"GET /-/ready", "HEAD /-/ready", "GET /-/metrics", "POST /-/metrics", "GET /", "ready", "GET /-/ready"} {
+		if step == "ready" {
 			ready = true
 			continue
 		}
-		method, path, _ := strings.Cut(call, " ")
-		request, err := http.NewRequest(method, "http://"+l.Addr().String()+path, nil)
+		method, path, _ := strings.Cut(step, " ")
+		request, err := http.NewRequest(method, "http://"+listener.Addr().String()+path, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&b, "> %s\n%s\n%s\n%s\n", call, answer.Status, answer.Header.Get("Content-Type"), body)
+		fmt.Fprintf(&transcript, "> %s\n%s\n%s\n%s\n", step, answer.Status, answer.Header.Get("Content-Type"), body)
 	}
-	golden.Compare(t, "answers.txt", b.String())
+	golden.Compare(t, "answers.txt", transcript.String())
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin answers at the relay's second address: whether it takes clients, and its
-// figures. It looks at what is kept without waiting for anyone, so that it answers in
-// time however busy the relay is.
+// Package admin serves the relay's second address over HTTP: whether the process takes
+// clients, and its metrics. It reads what is held without waiting for anything, so that
+// it answers in time however busy the relay is.
 package admin
 
 import (
@@ -10,96 +10,52 @@
 	"log"
 	"net"
 	"net/http"
-	"slices"
-	"sync"
 	"time"
 )
 
 const (
-	// MaxCallers bounds the callers at a time, and so the descriptors that they take. Who has
-	// held a place longest without finishing its call makes room for the next.
-	MaxCallers = 16
-
-	headFor  = 2 * time.Second // a caller may take this long to say what it wants,
-	headMost = 4 << 10         // in so many bytes, and some that net/http adds,
-	writeFor = 2 * time.Second // and this long to read the answer
+	readTimeout    = 2 * time.Second // for a request
+	writeTimeout   = 2 * time.Second // for reading the answer, after readTimeout
+	maxHeaderBytes = 4 << 10         // of a request, to which net/http adds some
 )
 
-// Server is what callers are told. Neither call may wait for anyone.
+// Server answers the requests at the second address. Its fields are set before Serve;
+// what they call must not block.
 type Server struct {
-	Ready   func() bool // the process takes clients
+	Ready   func() bool // whether the process takes clients
 	Metrics io.WriterTo
 }
 
-func (d *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	if !d.Ready() {
-		http.Error(w, "not ready", http.StatusServiceUnavailable)
-		return
-	}
-	io.WriteString(w, "ready\n")
-}
-
-func (d *Server) metrics(w http.ResponseWriter, _ *http.Request) {
-	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	_, _ = d.Metrics.WriteTo(w) // if this fails, the caller has gone
-}
-
-// Serve answers callers until ctx ends, and closes the listener.
-func (d *Server) Serve(ctx context.Context, l net.Listener) error {
+// Serve answers requests, one a connection, until ctx ends, and closes the listener. It
+// returns nil if it has ended because ctx has.
+func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/ready", d.ready)
-	mux.HandleFunc("GET /-/metrics", d.metrics)
-	s := &http.Server{
-		Handler: mux, ReadTimeout: headFor, WriteTimeout: headFor + writeFor, MaxHeaderBytes: headMost,
-		ErrorLog: log.New(io.Discard, "", 0), // bad callers would fill the log
+	mux.HandleFunc("GET /-/ready", s.serveReady)
+	mux.HandleFunc("GET /-/metrics", s.serveMetrics)
+	httpServer := &http.Server{
+		Handler:        mux,
+		ReadTimeout:    readTimeout,
+		WriteTimeout:   readTimeout + writeTimeout,
+		MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog:       log.New(io.Discard, "", 0), // faulty clients would fill the log
 	}
-	s.SetKeepAlivesEnabled(false) // a call to a connection
-	defer context.AfterFunc(ctx, func() { _ = s.Close() })()
-	if err := s.Serve(&room{Listener: l}); !errors.Is(err, http.ErrServerClosed) {
+	httpServer.SetKeepAlivesEnabled(false)
+	defer context.AfterFunc(ctx, func() { _ = httpServer.Close() })()
+	if err := httpServer.Serve(&evictingListener{Listener: listener}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// room is a listener that holds so many callers' connections and no more.
-type room struct {
-	net.Listener
-	mu  sync.Mutex
-	all []*caller // the one that came first first
-}
-
-type caller struct {
-	net.Conn
-	room *room
-}
-
-// Accept takes the next caller in, and shows out whom there is no more room for.
-func (r *room) Accept() (net.Conn, error) {
-	conn, err := r.Listener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	c := &caller{conn, r}
-	r.mu.Lock()
-	var first *caller
-	if len(r.all) == MaxCallers {
-		first = r.all[0]
-		r.all = slices.Delete(r.all, 0, 1)
-	}
-	r.all = append(r.all, c)
-	r.mu.Unlock()
-	if first != nil {
-		first.Conn.Close()
+func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
+	if !s.Ready() {
+		http.Error(w, "not ready", http.StatusServiceUnavailable)
+		return
 	}
-	return c, nil
+	io.WriteString(w, "ready\n")
 }
 
-// Close ends a caller's connection, and gives its place back.
-func (c *caller) Close() error {
-	c.room.mu.Lock()
-	if i := slices.Index(c.room.all, c); i >= 0 {
-		c.room.all = slices.Delete(c.room.all, i, i+1)
-	}
-	c.room.mu.Unlock()
-	return c.Conn.Close()
+func (s *Server) serveMetrics(w http.ResponseWriter, _ *http.Request) {
+	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
+	_, _ = s.Metrics.WriteTo(w) // it fails only if the client has gone
 }
