--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -1,18 +1,19 @@
-// Package assert checks what must hold. A build with the tag debug panics on
-// what does not; a release build counts it and goes on.
+// Package assert checks invariants. A build with the tag debug panics on a violation; a
+// release build counts it and goes on.
 package assert
 
 import "sync/atomic"
 
-var broken atomic.Int64
+var violations atomic.Int64
 
-// That checks that ok holds; what says in a few words what must hold.
-func That(ok bool, what string) {
-	if !ok {
-		broken.Add(1)
-		fail(what)
+// That checks that an invariant holds; invariant describes it in a few words. Any
+// goroutine may call it.
+func That(holds bool, invariant string) {
+	if !holds {
+		violations.Add(1)
+		fail(invariant)
 	}
 }
 
-// Broken counts what did not hold since the start.
-func Broken() int64 { return broken.Load() }
+// Broken returns how many violations there were since the process began.
+func Broken() int64 { return violations.Load() }
--- a/internal/assert/assert_test.go
+++ b/internal/assert/assert_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-func TestBrokenInvariantIsCountedAndPanicsInDebugBuilds(t *testing.T) {
+func TestViolationIsCountedAndPanicsInDebugBuilds(t *testing.T) {
 	before := Broken()
 	That(true, "nothing")
 	if Broken() != before {
-		t.Fatal("what holds was counted as broken")
+		t.Fatal("an invariant that holds was counted as violated")
 	}
 	func() {
 		defer func() {
@@ -17,6 +17,6 @@
 		That(false, "a test's invariant")
 	}()
 	if Broken() != before+1 {
-		t.Errorf("counted %d broken invariants, want 1", Broken()-before)
+		t.Errorf("counted %d violations, want 1", Broken()-before)
 	}
 }
--- a/internal/assert/debug.go
+++ b/internal/assert/debug.go
@@ -2,7 +2,7 @@
 
 package assert
 
-// Debug tells whether this build panics on a broken invariant.
+// Debug reports whether this build panics on a violation.
 const Debug = true
 
-func fail(what string) { panic("must hold: " + what) }
+func fail(invariant string) { panic("must hold: " + invariant) }
--- a/internal/assert/release.go
+++ b/internal/assert/release.go
@@ -2,7 +2,7 @@
 
 package assert
 
-// Debug tells whether this build panics on a broken invariant.
+// Debug reports whether this build panics on a violation.
 const Debug = false
 
 func fail(string) {}
