--- a/internal/proxy/handoff_test.go
+++ b/internal/proxy/handoff_test.go
@@ -17,15 +17,15 @@
 	pausedAt time.Duration
 }
 
-func (downstream *unpausable) Pause() (any, []syscall.Conn, bool) {
-	downstream.mu.Lock()
-	downstream.pausedAt = downstream.proxy.Clock.Now()
-	downstream.mu.Unlock()
+func (d *unpausable) Pause() (any, []syscall.Conn, bool) {
+	d.mu.Lock()
+	d.pausedAt = d.proxy.Clock.Now()
+	d.mu.Unlock()
 	time.Sleep(300 * time.Millisecond)
 	return nil, nil, false
 }
 
-func (downstream *unpausable) Resolve(handed bool) bool { return handed }
+func (d *unpausable) Resolve(handed bool) bool { return handed }
 
 // A connection that can't be handed off is paused for less than a second until its client is migrated: a side's end is to
 // be passed on within that. With a turn before the pause and another before the migration it took 1.6 s.
@@ -34,7 +34,7 @@
 		var downstreams []*unpausable
 		var running sync.WaitGroup
 		for range 20 {
-			downstream := &unpausable{fakeDownstream: fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusOK, lifetime: time.Minute})}}
+			downstream := &unpausable{fakeDownstream: fakeDownstream{t: t, proxy: proxy, nextAction: establish(time.Minute)}}
 			downstreams = append(downstreams, downstream)
 			name := string(rune('a' + len(downstreams)))
 			running.Go(func() {
@@ -46,7 +46,7 @@
 		running.Wait()
 		var pauses []time.Duration
 		for i, downstream := range downstreams {
-			if !slices.Contains(downstream.answers, "move") {
+			if !slices.Contains(downstream.answers, "migrated") {
 				t.Errorf("%d was notified of %v", i, downstream.answers)
 				continue
 			}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -14,6 +14,7 @@
 
 const ms = time.Millisecond
 
+// settings returns settings of one class, whose clients wait for a second.
 func settings() balancer.Settings {
 	return balancer.Settings{
 		Classes: []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
@@ -22,8 +23,8 @@
 	}
 }
 
-// runProxy runs a proxy with n endpoints on a fake clock, and checks at the end that nothing is left of its requests.
-func runProxy(t *testing.T, n int, run func(proxy *Proxy, setState func(index int, state balancer.EndpointState))) {
+// runProxy runs a proxy with some endpoints on a fake clock, and checks at the end that nothing is left of its requests.
+func runProxy(t *testing.T, endpoints int, run func(proxy *Proxy, setState func(index int, state balancer.EndpointState))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		proxy := New(settings(), 1, NewClock())
@@ -33,18 +34,18 @@
 		endpoint := func(i int, state balancer.EndpointState) balancer.Endpoint {
 			return balancer.Endpoint{ID: proxy.Endpoints.ID(fmt.Sprintf("s-%d", i)), State: state, Weight: 1}
 		}
-		for i := range n {
+		for i := range endpoints {
 			proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{endpoint(i, balancer.StateReady)}, []string{"address"})
 		}
 		run(proxy, func(index int, state balancer.EndpointState) {
 			proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{endpoint(index, state)}, []string{"address"})
 		})
 		synctest.Wait()
-		if n := proxy.Requests.Len(); n != 0 {
-			t.Errorf("%d requests are still open", n)
+		if open := proxy.Requests.Len(); open != 0 {
+			t.Errorf("%d requests are still open", open)
 		}
-		if n := assert.Broken(); n != 0 {
-			t.Errorf("%d invariants are broken", n)
+		if violations := assert.Broken(); violations != 0 {
+			t.Errorf("%d invariants are violated", violations)
 		}
 		cancel()
 		synctest.Wait()
@@ -66,36 +67,37 @@
 	nextAction func() scriptedAction
 
 	mu         sync.Mutex
-	inFlight   int // attempts in progress
-	answers    []string
+	inFlight   int           // attempts in progress
+	answers    []string      // what the client was notified of
 	answeredAt time.Duration // time of the last answer
 }
 
+// fakeUpstreamConn is the connection that an attempt has established.
 type fakeUpstreamConn struct{ scriptedAction }
 
 func (fakeUpstreamConn) Close() {}
 
-func (downstream *fakeDownstream) Attempt(ctx context.Context, attempt Attempt) (UpstreamConn, balancer.AttemptStatus) {
-	downstream.mu.Lock()
-	if downstream.inFlight++; downstream.inFlight > 1 {
-		downstream.t.Error("two attempts are in progress at once")
+func (d *fakeDownstream) Attempt(ctx context.Context, attempt Attempt) (UpstreamConn, balancer.AttemptStatus) {
+	d.mu.Lock()
+	if d.inFlight++; d.inFlight > 1 {
+		d.t.Error("two attempts are in progress at once")
 	}
-	if len(downstream.answers) > 0 {
-		downstream.t.Errorf("an attempt starts after the answer %v", downstream.answers)
+	if len(d.answers) > 0 {
+		d.t.Errorf("an attempt starts after the answer %v", d.answers)
 	}
-	downstream.mu.Unlock()
+	d.mu.Unlock()
 	defer func() {
-		downstream.mu.Lock()
-		downstream.inFlight--
-		downstream.mu.Unlock()
+		d.mu.Lock()
+		d.inFlight--
+		d.mu.Unlock()
 	}()
 	if attempt.Timeout <= 0 {
-		downstream.t.Errorf("an attempt has a timeout of %v", attempt.Timeout)
+		d.t.Errorf("an attempt has a timeout of %v", attempt.Timeout)
 	}
 	if !attempt.StillPermitted(ctx) {
 		return nil, balancer.StatusNotSent
 	}
-	action := downstream.nextAction()
+	action := d.nextAction()
 	select {
 	case <-time.After(action.after):
 		if action.status == balancer.StatusOK {
@@ -110,8 +112,8 @@
 	}
 }
 
-func (downstream *fakeDownstream) Pipe(ctx context.Context, conn UpstreamConn, heartbeat *Heartbeat) balancer.AttemptStatus {
-	downstream.answer("up")
+func (d *fakeDownstream) Pipe(ctx context.Context, conn UpstreamConn, heartbeat *Heartbeat) balancer.AttemptStatus {
+	d.answer("established")
 	heartbeat.Established()
 	action := conn.(fakeUpstreamConn)
 	end := time.After(action.lifetime)
@@ -132,24 +134,30 @@
 	}
 }
 
-func (downstream *fakeDownstream) answer(what string) {
-	downstream.mu.Lock()
-	defer downstream.mu.Unlock()
-	downstream.answers = append(downstream.answers, what)
-	downstream.answeredAt = downstream.proxy.Clock.Now()
+// answer notes what the client is notified of.
+func (d *fakeDownstream) answer(what string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.answers = append(d.answers, what)
+	d.answeredAt = d.proxy.Clock.Now()
 }
 
-func (downstream *fakeDownstream) BadRequest(string) { downstream.answer("bad") }
+func (d *fakeDownstream) BadRequest(string) { d.answer("bad request") }
 
-func (downstream *fakeDownstream) Reject(time.Duration) { downstream.answer("unavailable") }
+func (d *fakeDownstream) Reject(time.Duration) { d.answer("rejected") }
 
-func (downstream *fakeDownstream) Fail() { downstream.answer("failed") }
+func (d *fakeDownstream) Fail() { d.answer("failed") }
 
-func (downstream *fakeDownstream) Migrate() bool { downstream.answer("move"); return true }
+func (d *fakeDownstream) Migrate() bool { d.answer("migrated"); return true }
 
 // serve serves a request and returns once it has ended.
-func (downstream *fakeDownstream) serve(ctx context.Context, wait time.Duration) {
-	downstream.proxy.Serve(ctx, Request{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: downstream.proxy.Clock.Now() + wait}}, downstream)
+func (d *fakeDownstream) serve(ctx context.Context, wait time.Duration) {
+	d.proxy.Serve(ctx, Request{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: d.proxy.Clock.Now() + wait}}, d)
+}
+
+// establish returns actions that all establish a connection of the same lifetime.
+func establish(lifetime time.Duration) func() scriptedAction {
+	return always(scriptedAction{status: balancer.StatusOK, lifetime: lifetime})
 }
 
 func always(action scriptedAction) func() scriptedAction {
@@ -158,15 +166,15 @@
 
 // check holds what the client was notified of against the model: an answer in time, and
 // after it is established nothing but a migration.
-func (downstream *fakeDownstream) check(deadline time.Duration, left bool) {
-	switch n := len(downstream.answers); {
+func (d *fakeDownstream) check(deadline time.Duration, left bool) {
+	switch n := len(d.answers); {
 	case n == 0 && left:
 	case n == 0:
-		downstream.t.Error("no answer")
-	case n == 1 && downstream.answeredAt > deadline:
-		downstream.t.Errorf("answered %v after the deadline", downstream.answeredAt-deadline)
-	case n == 2 && downstream.answers[0] == "up" && downstream.answers[1] == "move":
+		d.t.Error("no answer")
+	case n == 1 && d.answeredAt > deadline:
+		d.t.Errorf("answered %v after the deadline", d.answeredAt-deadline)
+	case n == 2 && d.answers[0] == "established" && d.answers[1] == "migrated":
 	case n > 1:
-		downstream.t.Errorf("the client was notified of %v", downstream.answers)
+		d.t.Errorf("the client was notified of %v", d.answers)
 	}
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -15,7 +15,7 @@
 		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusOK, lifetime: time.Minute, mute: true})}
 		started := proxy.Clock.Now()
 		downstream.serve(context.Background(), time.Second)
-		if took := proxy.Clock.Now() - started; took > 7*time.Second || len(downstream.answers) != 2 || downstream.answers[1] != "move" {
+		if took := proxy.Clock.Now() - started; took > 7*time.Second || len(downstream.answers) != 2 || downstream.answers[1] != "migrated" {
 			t.Errorf("after %v the client was notified of %v", took, downstream.answers)
 		}
 	})
@@ -30,7 +30,7 @@
 		// The registry knows at once, the balancer with its next turn.
 		proxy.Endpoints.Update(proxy.Endpoints.ID("s-0"), "", balancer.StateDraining)
 		downstream.serve(context.Background(), time.Second)
-		if len(downstream.answers) != 1 || downstream.answers[0] != "unavailable" {
+		if len(downstream.answers) != 1 || downstream.answers[0] != "rejected" {
 			t.Errorf("the client was notified of %v", downstream.answers)
 		}
 	})
@@ -47,25 +47,25 @@
 		if len(data) > 200 {
 			return
 		}
-		s := testutil.New(data)
+		script := testutil.New(data)
 		var mu sync.Mutex
 		nextAction := func() scriptedAction {
 			mu.Lock()
 			defer mu.Unlock()
 			return scriptedAction{
-				status: []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusConnectFailed, balancer.StatusReset}[s.Pick(5)],
-				after:  time.Duration(s.Pick(8)) * 90 * ms, lifetime: time.Duration(s.Pick(9)) * time.Second, mute: s.Pick(4) == 1,
+				status: []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusConnectFailed, balancer.StatusReset}[script.Pick(5)],
+				after:  time.Duration(script.Pick(8)) * 90 * ms, lifetime: time.Duration(script.Pick(9)) * time.Second, mute: script.Pick(4) == 1,
 			}
 		}
 		pick := func(n int) int {
 			mu.Lock()
 			defer mu.Unlock()
-			return s.Pick(n)
+			return script.Pick(n)
 		}
 		hasMore := func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return s.More()
+			return script.More()
 		}
 		runProxy(t, 3, func(proxy *Proxy, setState func(int, balancer.EndpointState)) {
 			var running sync.WaitGroup
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -14,27 +14,27 @@
 func TestResumedRequestUsesItsEndpointOnly(t *testing.T) {
 	runProxy(t, 3, func(proxy *Proxy, setState func(int, balancer.EndpointState)) {
 		setState(2, balancer.StateDraining)
-		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusOK, lifetime: 3 * time.Second})}
+		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: establish(3 * time.Second)}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			proxy.Serve(context.Background(), Request{EndpointName: "s-1", RequestOptions: balancer.RequestOptions{Established: true}}, downstream)
 		}()
 		synctest.Wait()
-		if running := proxy.Requests.List(); len(running) != 1 || running[0].Endpoint != proxy.Endpoints.ID("s-1") || running[0].Stage != registry.StageEstablished {
-			t.Errorf("open: %+v", running)
+		if open := proxy.Requests.List(); len(open) != 1 || open[0].Endpoint != proxy.Endpoints.ID("s-1") || open[0].Stage != registry.StageEstablished {
+			t.Errorf("open: %+v", open)
 		}
 		<-done
 		time.AfterFunc(time.Second, func() { setState(4, balancer.StateReady) }) // the list comes late
 		lateDownstream := &fakeDownstream{t: t, proxy: proxy}
 		lateDownstream.nextAction = func() scriptedAction {
-			lateDownstream.nextAction = always(scriptedAction{status: balancer.StatusOK})
+			lateDownstream.nextAction = establish(0)
 			return scriptedAction{status: balancer.StatusConnectFailed}
 		}
 		proxy.Serve(context.Background(), Request{EndpointName: "s-4", RequestOptions: balancer.RequestOptions{Established: true}}, lateDownstream)
 		unknownDownstream := &fakeDownstream{t: t, proxy: proxy}
 		proxy.Serve(context.Background(), Request{EndpointName: "s-9", RequestOptions: balancer.RequestOptions{Established: true}}, unknownDownstream)
-		if got := fmt.Sprint(downstream.answers, lateDownstream.answers, unknownDownstream.answers); got != "[up] [up] [unavailable]" {
+		if got := fmt.Sprint(downstream.answers, lateDownstream.answers, unknownDownstream.answers); got != "[established] [established] [rejected]" {
 			t.Errorf("the clients were notified of %v", got)
 		}
 	})
@@ -49,12 +49,12 @@
 			downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusError})}
 			started := proxy.Clock.Now()
 			proxy.Serve(context.Background(), Request{EndpointName: name, RequestOptions: balancer.RequestOptions{Established: true}}, downstream)
-			if took := proxy.Clock.Now() - started; took > 3*time.Second || fmt.Sprint(downstream.answers) != "[unavailable]" {
+			if took := proxy.Clock.Now() - started; took > 3*time.Second || fmt.Sprint(downstream.answers) != "[rejected]" {
 				t.Errorf("at %s: after %v the client was notified of %v", name, took, downstream.answers)
 			}
 		}
-		if n := len(proxy.Endpoints.List()); n != before {
-			t.Errorf("the registry has grown from %d to %d", before, n)
+		if after := len(proxy.Endpoints.List()); after != before {
+			t.Errorf("the registry has grown from %d to %d", before, after)
 		}
 	})
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -17,22 +17,22 @@
 	migrated chan struct{} // closed as the client is notified
 }
 
-func (downstream *crossingDownstream) Pipe(_ context.Context, _ UpstreamConn, heartbeat *Heartbeat) balancer.AttemptStatus {
+func (d *crossingDownstream) Pipe(_ context.Context, _ UpstreamConn, heartbeat *Heartbeat) balancer.AttemptStatus {
 	heartbeat.Established()
-	<-downstream.migrated
+	<-d.migrated
 	return balancer.StatusOK
 }
 
-func (downstream *crossingDownstream) Migrate() bool {
-	close(downstream.migrated)
+func (d *crossingDownstream) Migrate() bool {
+	close(d.migrated)
 	time.Sleep(ms) // of the fake clock: the attempt has ended by then
-	return downstream.fakeDownstream.Migrate()
+	return d.fakeDownstream.Migrate()
 }
 
 // What counts is what the client was notified of: an endpoint's end that crosses with the turn to depart is no end by the endpoint.
 func TestEndpointEndDuringMigrationCountsAsMigrated(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
-		downstream := &crossingDownstream{fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusOK})}, make(chan struct{})}
+		downstream := &crossingDownstream{fakeDownstream{t: t, proxy: proxy, nextAction: establish(0)}, make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -41,9 +41,9 @@
 		synctest.Wait()
 		proxy.MigrateAll(ms)
 		<-ended
-		for _, e := range proxy.Counters.Ends() {
-			if want := map[string]int64{"moved": 1}[e.Name]; e.Count != want {
-				t.Errorf("%s: %d", e.Name, e.Count)
+		for _, end := range proxy.Counters.Ends() {
+			if want := map[string]int64{"moved": 1}[end.Name]; end.Count != want {
+				t.Errorf("%s: %d", end.Name, end.Count)
 			}
 		}
 	})
@@ -54,9 +54,9 @@
 func TestMigrationFollowsEstablishedNotification(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
 		proxy.MigrateAll(time.Millisecond)
-		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusOK, lifetime: time.Minute})}
+		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: establish(time.Minute)}
 		downstream.serve(context.Background(), time.Second)
-		if fmt.Sprint(downstream.answers) != "[up move]" {
+		if fmt.Sprint(downstream.answers) != "[established migrated]" {
 			t.Errorf("the client was notified of %v", downstream.answers)
 		}
 	})
@@ -65,32 +65,32 @@
 // Clients that all migrate at once would swamp the relays that take them in.
 func TestMigrationsAreSpreadOverWindow(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
-		const n, over = 40, 800 * ms
+		const clients, over = 40, 800 * ms
 		var running sync.WaitGroup
-		moved := make(chan time.Duration, n)
-		for range n {
+		migratedAt := make(chan time.Duration, clients)
+		for range clients {
 			running.Go(func() {
-				downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusOK, lifetime: time.Minute})}
+				downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: establish(time.Minute)}
 				downstream.serve(context.Background(), time.Second)
-				moved <- downstream.answeredAt
+				migratedAt <- downstream.answeredAt
 			})
 		}
 		synctest.Wait()
 		started := proxy.Clock.Now()
 		proxy.MigrateAll(over)
 		running.Wait()
-		close(moved)
+		close(migratedAt)
 		var quarters [4]int
-		for name := range moved {
-			if after := name - started; after > over {
+		for at := range migratedAt {
+			if after := at - started; after > over {
 				t.Fatalf("a client migrates after %v", after)
 			} else {
 				quarters[min(3, 4*after/over)]++
 			}
 		}
 		for i, got := range quarters {
-			if got < n/8 || got > n/2 {
-				t.Errorf("%d of %d migrate in quarter %d", got, n, i+1)
+			if got < clients/8 || got > clients/2 {
+				t.Errorf("%d of %d migrate in quarter %d", got, clients, i+1)
 			}
 		}
 	})
@@ -103,7 +103,7 @@
 		started := proxy.Clock.Now()
 		time.AfterFunc(200*ms, proxy.RejectPending)
 		downstream.serve(context.Background(), time.Second)
-		if took := proxy.Clock.Now() - started; took != 200*ms || fmt.Sprint(downstream.answers) != "[unavailable]" {
+		if took := proxy.Clock.Now() - started; took != 200*ms || fmt.Sprint(downstream.answers) != "[rejected]" {
 			t.Errorf("after %v the client was notified of %v", took, downstream.answers)
 		}
 	})
@@ -116,7 +116,7 @@
 		started := proxy.Clock.Now()
 		time.AfterFunc(200*ms, proxy.RejectPending)
 		proxy.Serve(context.Background(), Request{Front: "fake", EndpointName: "s-0", RequestOptions: balancer.RequestOptions{Deadline: started + time.Second, Established: true}}, downstream)
-		if took := proxy.Clock.Now() - started; took != 200*ms || fmt.Sprint(downstream.answers) != "[unavailable]" {
+		if took := proxy.Clock.Now() - started; took != 200*ms || fmt.Sprint(downstream.answers) != "[rejected]" {
 			t.Errorf("after %v the client was notified of %v", took, downstream.answers)
 		}
 	})
