--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -7,16 +7,6 @@
 	"lockroad/balancer"
 )
 
-// Request is a client's request as a frontend hands it over.
-type Request struct {
-	balancer.RequestOptions
-	Front        string // the frontend's name
-	Name         string // as the client calls it; no two open requests of a frontend share one
-	Class        string
-	Tenant       string // by its name in the settings; "" where they name none
-	EndpointName string // the endpoint that already has the request open, if Established
-}
-
 // UpstreamConn is the connection to the endpoint of an established request.
 type UpstreamConn interface {
 	// Close closes the connection at once, whatever is in progress.
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,6 +10,16 @@
 	"lockroad/internal/registry"
 )
 
+// Request is a client's request as a frontend hands it over.
+type Request struct {
+	balancer.RequestOptions
+	Front        string // the frontend's name
+	Name         string // as the client calls it; no two open requests of a frontend share one
+	Class        string
+	Tenant       string // by its name in the settings; "" where they name none
+	EndpointName string // the endpoint that already has the request open, if Established
+}
+
 // Serve serves a request in the calling goroutine, and returns once its client is
 // answered and, if it was established, its connection has ended. It ends early when ctx
 // does, which says that the client has left.
