--- a/internal/healthcheck/tracker_test.go
+++ b/internal/healthcheck/tracker_test.go
@@ -88,77 +88,117 @@
 	}
 }
 
+// probedEndpoints are endpoints that die and come back, and what their tracker has made of that.
+type probedEndpoints struct {
+	t        *rapid.T
+	settings Settings
+	tracker  *Tracker
+	names    []string
+	dead     map[string]time.Duration // since then
+	probes   map[string][]time.Duration
+	listed   map[string]State
+}
+
+func newProbedEndpoints(t *rapid.T) *probedEndpoints {
+	settings := DefaultSettings()
+	settings.Fall = rapid.IntRange(1, 4).Draw(t, "fall")
+	settings.Rise = rapid.IntRange(1, 4).Draw(t, "rise")
+	names := make([]string, rapid.IntRange(1, 8).Draw(t, "servers"))
+	p := &probedEndpoints{
+		t:        t,
+		settings: settings,
+		names:    names,
+		dead:     make(map[string]time.Duration),
+		probes:   make(map[string][]time.Duration),
+		listed:   make(map[string]State),
+	}
+	for i := range names {
+		names[i] = fmt.Sprintf("s-%d", i)
+		p.listed[names[i]] = StateDown // until it is reported
+	}
+	p.tracker = New(settings, names, 0)
+	return p
+}
+
+// step makes a random endpoint die or come back, or ends an attempt at it, or replaces the list.
+func (p *probedEndpoints) step(now time.Duration) {
+	name := rapid.SampledFrom(p.names).Draw(p.t, "name")
+	_, isDead := p.dead[name]
+	switch rapid.IntRange(0, 4).Draw(p.t, "step") {
+	case 0:
+		if !isDead && rapid.Bool().Draw(p.t, "dies") {
+			p.dead[name] = now
+		} else if isDead {
+			delete(p.dead, name)
+		}
+	case 1:
+		p.tracker.AttemptEnded(now, name, !isDead, "reset")
+	case 2:
+		p.tracker.Replace(p.names, now)
+	}
+}
+
+// probe carries out the probes that are due at a time, and returns when to call it again.
+func (p *probedEndpoints) probe(now time.Duration) (next time.Duration) {
+	due, next := p.tracker.Due(now)
+	for _, name := range due {
+		_, isDead := p.dead[name]
+		p.tracker.ProbeEnded(now, name, !isDead, "refused")
+		p.probes[name] = append(p.probes[name], now)
+	}
+	for _, change := range p.tracker.Changes() {
+		p.listed[change.Name] = change.State
+	}
+	return next
+}
+
+// checkState checks that an endpoint is probed, and is down and listed as it should be.
+func (p *probedEndpoints) checkState(now time.Duration, name string) {
+	since, isDead := p.dead[name]
+	probes := p.probes[name]
+	down := p.tracker.find(name).state == StateDown
+	if !isDead && p.tracker.find(name).consecutiveFailures > 0 && !down && len(probes) > 0 && now-probes[len(probes)-1] > 3*p.settings.Interval {
+		p.t.Fatalf("%s goes without a probe", name)
+	}
+	if isDead && now-since > time.Duration(p.settings.Fall+1)*p.settings.Interval && !down {
+		p.t.Fatalf("%s is dead for %v and not down", name, now-since)
+	}
+	if p.listed[name] == StateDown && !down {
+		p.t.Fatalf("%s is listed as down and is not", name)
+	}
+	if down && p.listed[name] == StateUp && !p.tracker.PanicMode() {
+		p.t.Fatalf("%s is down, and listed as up outside panic mode", name)
+	}
+}
+
+// checkBudget checks that no endpoint was probed five times within an interval.
+func (p *probedEndpoints) checkBudget() {
+	for name, times := range p.probes {
+		for i := 4; i < len(times); i++ {
+			if times[i]-times[i-4] < p.settings.Interval {
+				p.t.Fatalf("%s is probed at %v: five times within %v", name, times[i-4:i+1], p.settings.Interval)
+			}
+		}
+	}
+}
+
 // Whatever comes: no endpoint is probed more often than its share allows, none goes without a probe, one that is alive throughout is
 // never listed as down, and one that is dead is after the time that the settings say, unless most are.
 func TestTrackerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := DefaultSettings()
-		settings.Fall = rapid.IntRange(1, 4).Draw(t, "fall")
-		settings.Rise = rapid.IntRange(1, 4).Draw(t, "rise")
-		count := rapid.IntRange(1, 8).Draw(t, "servers")
-		names := make([]string, count)
-		for i := range names {
-			names[i] = fmt.Sprintf("s-%d", i)
-		}
-		tracker := New(settings, names, 0)
-		dead := make(map[string]time.Duration) // since then
-		probes := make(map[string][]time.Duration)
-		listed := make(map[string]State)
-		for _, name := range names {
-			listed[name] = StateDown // until it is reported
-		}
+		endpoints := newProbedEndpoints(t)
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			name := rapid.SampledFrom(names).Draw(t, "name")
-			switch rapid.IntRange(0, 4).Draw(t, "step") {
-			case 0:
-				if _, isDead := dead[name]; !isDead && rapid.Bool().Draw(t, "dies") {
-					dead[name] = now
-				} else if isDead {
-					delete(dead, name)
-				}
-			case 1:
-				_, isDead := dead[name]
-				tracker.AttemptEnded(now, name, !isDead, "reset")
-			case 2:
-				tracker.Replace(names, now)
+			endpoints.step(now)
+			end := now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond
+			for now <= end {
+				now = min(endpoints.probe(now), end+1)
 			}
-			for end := now + time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond; now <= end; {
-				dueNames, next := tracker.Due(now)
-				for _, endpointName := range dueNames {
-					_, isDead := dead[endpointName]
-					tracker.ProbeEnded(now, endpointName, !isDead, "refused")
-					probes[endpointName] = append(probes[endpointName], now)
-				}
-				for _, change := range tracker.Changes() {
-					listed[change.Name] = change.State
-				}
-				now = min(next, end+1)
-			}
-			for _, endpointName := range names {
-				since, isDead := dead[endpointName]
-				down := tracker.find(endpointName).state == StateDown
-				if !isDead && tracker.find(endpointName).consecutiveFailures > 0 && !down && len(probes[endpointName]) > 0 && now-probes[endpointName][len(probes[endpointName])-1] > 3*settings.Interval {
-					t.Fatalf("%s goes without a probe", endpointName)
-				}
-				if isDead && now-since > time.Duration(settings.Fall+1)*settings.Interval && !down {
-					t.Fatalf("%s is dead for %v and not down", endpointName, now-since)
-				}
-				if listed[endpointName] == StateDown && !down {
-					t.Fatalf("%s is listed as down and is not", endpointName)
-				}
-				if down && listed[endpointName] == StateUp && !tracker.PanicMode() {
-					t.Fatalf("%s is down, and listed as up outside panic mode", endpointName)
-				}
-			}
-		}
-		for endpointName, times := range probes {
-			for i := 4; i < len(times); i++ {
-				if times[i]-times[i-4] < settings.Interval {
-					t.Fatalf("%s is probed at %v: five times within %v", endpointName, times[i-4:i+1], settings.Interval)
-				}
+			for _, name := range endpoints.names {
+				endpoints.checkState(now, name)
 			}
 		}
+		endpoints.checkBudget()
 	})
 }
 
