--- /dev/null
+++ b/internal/decisionlog/blockpool_test.go
@@ -0,0 +1,144 @@
+package decisionlog
+
+import (
+	"errors"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"lockroad/balancer"
+	"lockroad/internal/proxy"
+	"lockroad/internal/registry"
+)
+
+// checkPool checks that every block is in exactly one place, and that the counts are right.
+func checkPool(t interface{ Fatalf(string, ...any) }, pool *blockPool) {
+	places := make([]int, pool.blockCount)
+	for block := pool.firstFree; block != noBlock; block = pool.newer[block] {
+		places[block]++
+		if tag := tagOf(pool.load(block, 0)); tag != tagFree {
+			t.Fatalf("block %d is free and has tag %d", block, tag)
+		}
+	}
+	for category := range categoryCount {
+		chains, blocks, previous := 0, 0, noBlock
+		for head := pool.oldest[category]; head != noBlock; head = pool.newer[head] {
+			chains++
+			link := pool.load(head, 0)
+			if pool.older[head] != previous || categoryOf(link) != category || tagOf(link) != tagHead || pool.sequences[head]&1 != 0 {
+				t.Fatalf("chain %d in category %d is not linked as it should be", head, category)
+			}
+			previous = head
+			for block := head; block != noBlock; block = nextOf(pool.load(block, 0)) {
+				places[block]++
+				blocks++
+				if nextOf(pool.load(block, 0)) == noBlock && pool.lastBlock[head] != block {
+					t.Fatalf("the last block of chain %d is %d, not %d", head, pool.lastBlock[head], block)
+				}
+			}
+		}
+		if chains != int(pool.entryCount[category].Load()) || blocks != int(pool.blocksInUse[category].Load()) || pool.newest[category] != previous {
+			t.Fatalf("category %d counts %d chains of %d blocks, and has %d of %d",
+				category, pool.entryCount[category].Load(), pool.blocksInUse[category].Load(), chains, blocks)
+		}
+	}
+	for block, count := range places {
+		if count != 1 {
+			t.Fatalf("block %d is in %d places", block, count)
+		}
+	}
+}
+
+// Whatever is recorded, the pool stays consistent, and each entry is complete, or has only its end,
+// or is said to be evicted. The memory is so small that all of it is reused often.
+func TestRandomEventsLeavePoolConsistent(t *testing.T) {
+	rapid.Check(t, func(rt *rapid.T) {
+		log := newTestLog(t, MinBytes)
+		log.pool = newBlockPool(bytesPerBlock * rapid.IntRange(4, 60).Draw(rt, "blocks"))
+		type expected struct {
+			proxy.RequestObserver
+			events int // since its start or its last eviction
+			ended  bool
+			held   balancer.Reason // of the last event, if that is a hold
+		}
+		all := make(map[uint64]*expected)
+		var last uint64
+		pick := func() (uint64, *expected) {
+			if last == 0 {
+				return 0, nil
+			}
+			n := rapid.Uint64Range(max(1, last-min(last-1, 12)), last).Draw(rt, "number")
+			return n, all[n]
+		}
+		rt.Repeat(map[string]func(*rapid.T){
+			"": func(rt *rapid.T) {
+				checkPool(rt, log.pool)
+				for n, state := range all {
+					entry, err := log.Number(n)
+					switch {
+					case errors.Is(err, ErrEvicted):
+					case err != nil:
+						rt.Fatalf("%d: %v", n, err)
+					case entry.Name != testRequest(n).Name || entry.Item != n:
+						rt.Fatalf("%d is read as %+v", n, entry)
+					case !entry.HeadEvicted && !entry.EventsOmitted && len(entry.Events) != state.events:
+						rt.Fatalf("%d has %d events, read are %d: %+v", n, state.events, len(entry.Events), entry.Events)
+					case entry.HeadEvicted && len(entry.Events) > state.events:
+						rt.Fatalf("%d has %d events, read are %d", n, state.events, len(entry.Events))
+					}
+				}
+			},
+			"begin": func(_ *rapid.T) {
+				last++
+				all[last] = &expected{RequestObserver: log.Began(last, testRequest(last))}
+			},
+			"decide": func(rt *rapid.T) {
+				_, state := pick()
+				if state == nil || state.ended {
+					return
+				}
+				reason := balancer.Reason(rapid.IntRange(int(balancer.ReasonNoneEligible), int(balancer.ReasonEndpointRecovering)).Draw(rt, "why"))
+				if rapid.Bool().Draw(rt, "held") {
+					state.Decided(testDecision(balancer.VerdictHeld, reason, 1, 2))
+					if state.held != reason {
+						state.events++
+					}
+					state.held = reason
+					return
+				}
+				state.Decided(testDecision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 2))
+				state.events++
+				state.held = 0
+			},
+			"pass": func(rt *rapid.T) {
+				if _, state := pick(); state != nil && !state.ended {
+					state.AttemptStarted(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "how")))
+					state.events += 2
+					state.held = 0
+				}
+			},
+			"up": func(_ *rapid.T) {
+				if _, state := pick(); state != nil && !state.ended {
+					state.Established()
+					state.events++
+					state.held = 0
+				}
+			},
+			"end": func(rt *rapid.T) {
+				if _, state := pick(); state != nil && !state.ended {
+					state.Ended(proxy.Result{End: registry.End(rapid.IntRange(0, 5).Draw(rt, "end"))})
+					state.events++
+					state.ended = true
+				}
+			},
+			"pin": func(rt *rapid.T) {
+				if n, state := pick(); state != nil {
+					err := log.Pin(n, rapid.Bool().Draw(rt, "on"))
+					if err != nil && !errors.Is(err, ErrEvicted) && !errors.Is(err, ErrPinLimit) {
+						rt.Fatalf("pin %d: %v", n, err)
+					}
+				}
+			},
+		})
+	})
+}
