--- /dev/null
+++ b/internal/explain/balancer_test.go
@@ -0,0 +1,216 @@
+package explain
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
+	"lockroad/internal/proxy"
+	"lockroad/internal/registry"
+)
+
+// scriptedFrontend is the frontend's side of a request whose attempts end with given statuses.
+type scriptedFrontend struct {
+	statuses  []balancer.AttemptStatus
+	attempts  []string // endpoint and outcome of each attempt
+	endpoints *registry.Endpoints
+}
+
+type fakeUpstream struct{}
+
+func (fakeUpstream) Close() {}
+
+func (f *scriptedFrontend) Attempt(_ context.Context, attempt proxy.Attempt) (proxy.UpstreamConn, balancer.AttemptStatus) {
+	status := balancer.StatusOK
+	if n := len(f.attempts); n < len(f.statuses) {
+		status = f.statuses[n]
+	}
+	if status == balancer.StatusTimeout {
+		time.Sleep(attempt.Timeout)
+	} else {
+		time.Sleep(20 * time.Millisecond)
+	}
+	f.attempts = append(f.attempts, f.endpoints.Name(attempt.Endpoint.ID)+" "+registry.StatusNames[status])
+	if status == balancer.StatusOK {
+		return fakeUpstream{}, status
+	}
+	return nil, status
+}
+
+func (*scriptedFrontend) Pipe(ctx context.Context, _ proxy.UpstreamConn, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
+	heartbeat.Established()
+	select {
+	case <-time.After(time.Second):
+		return balancer.StatusOK
+	case <-ctx.Done():
+		return balancer.StatusCancelled
+	}
+}
+func (*scriptedFrontend) BadRequest(string)    {}
+func (*scriptedFrontend) Reject(time.Duration) {}
+func (*scriptedFrontend) Fail()                {}
+func (*scriptedFrontend) Migrate() bool        { return true }
+
+// The proxy's own decisions, end to end: a request that fails at three endpoints, the third of
+// which is full; the next requests of its group; then an endpoint that drains.
+func TestBalancerDecisionsAreExplained(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		relay := proxy.New(balancer.Settings{
+			Classes: []balancer.Class{{LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second}}, Relays: 1, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
+			ConnectTimeout: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
+		}, 1, proxy.NewClock())
+		log, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
+		if err != nil {
+			t.Fatal(err)
+		}
+		relay.Observe(log)
+		explainer := &Explainer{Log: log, Names: relay.Endpoints}
+		var list []balancer.Endpoint
+		for i := range 3 {
+			list = append(list, balancer.Endpoint{ID: relay.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
+		}
+		relay.SetRevision(17)
+		relay.UpdateEndpoints(balancer.ListFull, list, []string{"a", "b", "c"})
+		ctx, cancel := context.WithCancel(context.Background())
+		var running sync.WaitGroup
+		running.Go(func() { _ = relay.Run(ctx) })
+		serve := func(statuses ...balancer.AttemptStatus) (*scriptedFrontend, *Explanation) {
+			frontend := &scriptedFrontend{statuses: statuses, endpoints: relay.Endpoints}
+			relay.Serve(ctx, proxy.Request{Front: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: relay.Clock.Now() + 4*time.Second}}, frontend)
+			synctest.Wait()
+			entries, err := log.Name("a")
+			if err != nil {
+				t.Fatal(err)
+			}
+			return frontend, explainer.Explain(entries[0])
+		}
+		check := func(frontend *scriptedFrontend, explanation *Explanation, reasons, answer string) {
+			t.Helper()
+			var attempts, decisions []string
+			for _, event := range explanation.Events {
+				if event.What == "outcome" {
+					attempts = append(attempts, event.Endpoint+" "+event.Outcome)
+				}
+				if event.Reason != "" {
+					decisions = append(decisions, event.What+" "+event.Reason)
+				}
+			}
+			if fmt.Sprint(attempts) != fmt.Sprint(frontend.attempts) || strings.Join(decisions, ", ") != reasons || explanation.Result != answer || explanation.Events[0].Revision != 17 {
+				t.Errorf("explained %v, %s, %s; seen %v; want %s, %s", attempts, strings.Join(decisions, ", "), explanation.Result, frontend.attempts, reasons, answer)
+			}
+		}
+		frontend, explanation := serve(balancer.StatusTimeout, balancer.StatusReset, balancer.StatusFull)
+		check(frontend, explanation, "sent drawn, held backoff, sent drawn-again, held backoff, sent drawn-again, refused out-of-tries", "unavailable")
+		if len(frontend.attempts) != 3 || explanation.RetryAfterMS == 0 {
+			t.Errorf("seen %v, to retry after %v ms", frontend.attempts, explanation.RetryAfterMS)
+		}
+		time.Sleep(15 * time.Second) // until the endpoint that was full no longer recovers
+		first, explanation := serve()
+		check(first, explanation, "sent drawn", "ended")
+		frontend, explanation = serve()
+		check(frontend, explanation, "sent cached-route", "ended")
+		cachedEndpoint := frontend.attempts[0][:3]
+		for i := range list {
+			if relay.Endpoints.Name(list[i].ID) == cachedEndpoint {
+				list[i].State = balancer.StateDraining
+			}
+		}
+		relay.SetRevision(18)
+		relay.UpdateEndpoints(balancer.ListDelta, list, []string{"a", "b", "c"})
+		frontend, explanation = serve()
+		if explanation.Events[0].Reason != "route-gone" || explanation.Events[0].Revision != 18 || strings.HasPrefix(frontend.attempts[0], cachedEndpoint) || !strings.Contains(explanation.Events[0].Text, "as "+cachedEndpoint+", where its group is, takes nothing new") {
+			t.Errorf("explained %+v; seen %v", explanation.Events[0], frontend.attempts)
+		}
+		cancel()
+		running.Wait()
+	})
+}
+
+// BenchmarkBalancerDuringQueries makes 2,000 decisions a second with a full log, and reports the
+// p50 and p99 of their latency while another goroutine counts all entries in a loop, and their
+// ratio to those without it.
+func BenchmarkBalancerDuringQueries(b *testing.B) {
+	var baseline [2]float64
+	for _, asked := range []bool{false, true} {
+		b.Run(fmt.Sprintf("asked=%v", asked), func(b *testing.B) {
+			clock := proxy.NewClock()
+			log, err := decisionlog.New(decisionlog.DefaultBytes, clock)
+			if err != nil {
+				b.Fatal(err)
+			}
+			endpoints := registry.NewEndpoints()
+			var list []balancer.Endpoint
+			for i := range 13 {
+				list = append(list, balancer.Endpoint{ID: endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
+			}
+			module := balancer.New(balancer.Settings{
+				Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 4, MaxAttempts: 5, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
+			}, 1)
+			module.Handle(clock.Now(), balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
+			var observer proxy.RequestObserver
+			module.Observe(func(_ balancer.RequestID, decision *balancer.Decision) { observer.Decided(decision) })
+			number := uint64(0)
+			serveOne := func() {
+				number++
+				observer = log.Began(number, proxy.Request{Front: "line", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: clock.Now() + time.Second}})
+				id, now := balancer.RequestID(number), clock.Now()
+				module.Handle(now, balancer.Request{ID: id, Group: number % 64, TimeLeft: time.Second})
+				module.Handle(now, balancer.ClientLeft{Request: id})
+				observer.Ended(proxy.Result{End: registry.EndClosed})
+			}
+			for range 20_000 {
+				serveOne()
+			}
+			stop := make(chan struct{})
+			var reader sync.WaitGroup
+			if asked {
+				explainer := &Explainer{Log: log, Names: endpoints}
+				reader.Go(func() {
+					for {
+						select {
+						case <-stop:
+							return
+						default:
+						}
+						if err := explainer.Answer(Query{By: []string{"server", "reason"}}, &strings.Builder{}); err != nil {
+							b.Error(err)
+							return
+						}
+					}
+				})
+			}
+			latencies := hdrhistogram.New(1, time.Second.Nanoseconds(), 3)
+			b.ResetTimer()
+			tick := time.NewTicker(time.Millisecond)
+			defer tick.Stop()
+			for range b.N {
+				<-tick.C
+				for range 2 {
+					began := time.Now()
+					serveOne()
+					latencies.RecordValue(time.Since(began).Nanoseconds())
+				}
+			}
+			b.StopTimer()
+			close(stop)
+			reader.Wait()
+			for i, quantile := range []float64{50, 99} {
+				value := float64(latencies.ValueAtQuantile(quantile))
+				b.ReportMetric(value, fmt.Sprintf("p%v-ns", quantile))
+				if !asked {
+					baseline[i] = value
+				} else if baseline[i] > 0 {
+					b.ReportMetric(value/baseline[i], fmt.Sprintf("p%v-ratio", quantile))
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/explain/explainer.go
@@ -0,0 +1,152 @@
+package explain
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"lockroad/balancer"
+	"lockroad/internal/decisionlog"
+	"lockroad/internal/proxy"
+	"lockroad/internal/registry"
+)
+
+// EndpointNames maps the identifiers of endpoints to their names and back.
+type EndpointNames interface {
+	Name(balancer.EndpointID) string
+	Lookup(name string) (balancer.EndpointID, bool)
+}
+
+// Explainer explains the entries of a decision log. Its methods may be called from any
+// goroutine.
+type Explainer struct {
+	Log     *decisionlog.Log
+	Names   EndpointNames
+	Archive Archive // of explanations that outlast a restart; nil: there is none
+}
+
+// Explain returns the explanation of an entry, with the requests that its client made before
+// and after it.
+func (e *Explainer) Explain(entry *decisionlog.Entry) *Explanation {
+	explanation := e.explainAlone(entry)
+	before, after := e.related(entry)
+	if before != nil {
+		explanation.Before = &RelatedRequest{
+			Number: before.Number, By: relationOf(before, entry), Answer: before.ResultName(),
+			Text: fmt.Sprintf("its client came back from %d (%s), %s, %s before",
+				before.Number, relationText(before, entry), e.resultClause(before), formatDuration(entry.StartedAt-before.LastEventAt())),
+		}
+	}
+	if after != nil {
+		explanation.After = &RelatedRequest{
+			Number: after.Number, By: relationOf(entry, after), Answer: after.ResultName(),
+			Text: fmt.Sprintf("its client came again %s later as %d (%s), %s",
+				formatDuration(after.StartedAt-entry.LastEventAt()), after.Number, relationText(entry, after), e.resultClause(after)),
+		}
+	}
+	return explanation
+}
+
+// explainAlone returns the explanation of an entry without related requests.
+func (e *Explainer) explainAlone(entry *decisionlog.Entry) *Explanation {
+	clock := e.Log.Clock()
+	explanation := &Explanation{
+		Number:        entry.Number,
+		Front:         entry.Front,
+		Name:          entry.Name,
+		NameCut:       entry.NameCut,
+		Class:         entry.Class,
+		Tenant:        entry.Tenant,
+		Group:         formatKey(entry.Group),
+		Flow:          formatKey(entry.Item),
+		ReceivedAt:    clock.Wall(entry.StartedAt),
+		TimeLimitMS:   milliseconds(entry.TimeLimit),
+		Load:          entry.Load * 1e6,
+		Returning:     entry.Returning,
+		Pinned:        entry.Pinned,
+		Notable:       entry.Notable,
+		HeadEvicted:   entry.HeadEvicted,
+		EventsOmitted: entry.EventsOmitted,
+		Result:        entry.ResultName(),
+		age:           clock.Now() - entry.StartedAt,
+	}
+	if result, ended := entry.Result(); ended {
+		explanation.RetryAfterMS = milliseconds(result.RetryAfter)
+		if result.Cause != proxy.CauseDecided {
+			explanation.Cause = result.Cause.String()
+		}
+	}
+	var establishedAt time.Duration
+	for i := range entry.Events {
+		event := &entry.Events[i]
+		if event.Kind == decisionlog.EventEstablished {
+			establishedAt = event.At
+		}
+		explanation.Events = append(explanation.Events, e.explainEvent(entry, event, establishedAt))
+	}
+	return explanation
+}
+
+// explainEvent explains one event. establishedAt is when the request was established, 0 if it
+// wasn't.
+func (e *Explainer) explainEvent(entry *decisionlog.Entry, event *decisionlog.Event, establishedAt time.Duration) Event {
+	out := Event{AfterMS: milliseconds(event.At - entry.StartedAt)}
+	switch event.Kind {
+	case decisionlog.EventDecision:
+		e.explainDecision(&out, event)
+	case decisionlog.EventAttemptStarted:
+		out.What, out.Endpoint = "pass", e.Names.Name(event.Endpoint)
+		out.Text = "connects to " + out.Endpoint
+	case decisionlog.EventAttemptEnded:
+		out.What, out.Endpoint, out.Outcome = "outcome", e.Names.Name(event.Endpoint), registry.StatusNames[event.Status]
+		out.Text = out.Endpoint + " " + attemptStatusTexts[event.Status]
+	case decisionlog.EventEstablished:
+		out.What, out.Text = "up", "the client is told that it is up"
+	case decisionlog.EventEnded:
+		out.What = "end"
+		out.WaitMS = milliseconds(event.Result.RetryAfter)
+		out.Text = resultText(event.Result)
+		if establishedAt > 0 {
+			out.Text += fmt.Sprintf(", after %s", formatDuration(event.At-establishedAt))
+		}
+	}
+	return out
+}
+
+// formatKey writes the key of a flow or group, "" if there is none.
+func formatKey(key uint64) string {
+	if key == 0 {
+		return ""
+	}
+	return fmt.Sprintf("%016x", key)
+}
+
+// milliseconds returns a duration in milliseconds, to the microsecond.
+func milliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
+
+// optionalMilliseconds returns nil for an age that is not known, which is negative.
+func optionalMilliseconds(age time.Duration) *float64 {
+	if age < 0 {
+		return nil
+	}
+	ms := milliseconds(age)
+	return &ms
+}
+
+// roundFraction rounds a number to four places.
+func roundFraction(x float64) float64 { return math.Round(x*1e4) / 1e4 }
+
+// formatDuration writes a duration for people.
+func formatDuration(duration time.Duration) string {
+	switch {
+	case duration < 0:
+		return "-" + formatDuration(-duration)
+	case duration < 10*time.Millisecond:
+		return fmt.Sprintf("%.1f ms", milliseconds(duration))
+	case duration < time.Second:
+		return fmt.Sprintf("%.0f ms", milliseconds(duration))
+	case duration < time.Minute:
+		return fmt.Sprintf("%.1f s", duration.Seconds())
+	}
+	return duration.Round(time.Second).String()
+}
--- /dev/null
+++ b/internal/explain/format.go
@@ -0,0 +1,111 @@
+package explain
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"io"
+	"time"
+)
+
+// Write writes an explanation in words: a head, then a line for each event.
+func (x *Explanation) Write(out io.Writer) {
+	x.writeHead(out)
+	if x.Before != nil {
+		fmt.Fprintf(out, "  %s\n", x.Before.Text)
+	}
+	if x.HeadEvicted {
+		fmt.Fprintln(out, "  its first steps are no longer kept")
+	}
+	x.writeEvents(out)
+	if x.EventsOmitted {
+		fmt.Fprintln(out, "  it had more steps than are kept of one")
+	}
+	switch x.Result {
+	case "waiting":
+		fmt.Fprintln(out, "  it still waits for its answer")
+	case "up":
+		fmt.Fprintln(out, "  it stands")
+	}
+	if x.After != nil {
+		fmt.Fprintf(out, "  %s\n", x.After.Text)
+	}
+}
+
+func (x *Explanation) writeHead(out io.Writer) {
+	ellipsis := ""
+	if x.NameCut {
+		ellipsis = "..."
+	}
+	fmt.Fprintf(out, "transaction %d, front %s, name %s%s, class %s", x.Number, x.Front, cmp.Or(x.Name, "-"), ellipsis, x.Class)
+	if x.Tenant != "" {
+		fmt.Fprintf(out, ", tenant %s", x.Tenant)
+	}
+	if x.Group != "" {
+		fmt.Fprintf(out, ", group %s", x.Group)
+	}
+	if x.Flow != "" {
+		fmt.Fprintf(out, ", flow %s", x.Flow)
+	}
+	fmt.Fprintf(out, "\n  came at %s, %s ago; its client waits %s",
+		x.ReceivedAt.Format("15:04:05.000"), formatDuration(x.age), formatDuration(fromMilliseconds(x.TimeLimitMS)))
+	if x.Returning {
+		fmt.Fprint(out, "; back after a move or a break")
+	}
+	if x.Pinned {
+		fmt.Fprint(out, "; pinned")
+	}
+	fmt.Fprintln(out)
+}
+
+// writeEvents writes a line for each event. The revision of the endpoint list is written
+// only where it changes.
+func (x *Explanation) writeEvents(out io.Writer) {
+	var written uint64
+	for i := range x.Events {
+		event := &x.Events[i]
+		text := event.Text
+		if event.Revision != 0 && event.Revision != written {
+			text += " [" + listText(event) + "]"
+			written = event.Revision
+		}
+		fmt.Fprintf(out, "  %10s  %s\n", "+"+formatDuration(fromMilliseconds(event.AfterMS)), text)
+	}
+}
+
+// listText says which endpoint list a decision went by.
+func listText(event *Event) string {
+	text := fmt.Sprintf("list of revision %d", event.Revision)
+	if event.ListAgeMS != nil {
+		text += fmt.Sprintf(", %s old", formatDuration(fromMilliseconds(*event.ListAgeMS)))
+	}
+	return text
+}
+
+func fromMilliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// WriteJSON writes explanations, one JSON object a line.
+func WriteJSON(out io.Writer, explanations []*Explanation) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetEscapeHTML(false)
+	for _, explanation := range explanations {
+		if err := encoder.Encode(explanation); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// writeExplanations writes explanations in the form that a query asks for.
+func writeExplanations(out io.Writer, query Query, explanations []*Explanation) error {
+	if query.JSON {
+		return WriteJSON(out, explanations)
+	}
+	for i, explanation := range explanations {
+		if i > 0 {
+			fmt.Fprintln(out)
+		}
+		explanation.Write(out)
+	}
+	return nil
+}
