--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -14,76 +14,86 @@
 // Exit codes of the console.
 const (
 	ExitOK          = 0
-	ExitRejected    = 1 // the relay has turned the command down
+	ExitRejected    = 1 // the relay rejected the command
 	ExitUsage       = 2 // the console was called wrongly
 	ExitUnreachable = 3 // no relay answers
 )
 
-var errRefused = errors.New("refused")
+const (
+	prompt      = "lockroad> "
+	clearScreen = "\x1b[H\x1b[2J"
+)
+
+// rejectedError says that the relay rejected a command.
+type rejectedError struct{ text string }
+
+// Error returns the relay's text, with its newline.
+func (e *rejectedError) Error() string { return e.text }
 
-// Run has the relay that listens at a socket run a command, or, without one, those
-// that come in, one a line. It returns the exit code.
+// Run sends a command to the relay that listens at a socket, or, without one, the commands that
+// are read from in, one a line. It writes the answers to out and errors to errs, and returns the
+// exit code.
 func Run(socket, command string, in io.Reader, out, errs io.Writer) int {
-	c, err := net.DialTimeout("unix", socket, answerMost)
+	conn, err := net.DialTimeout("unix", socket, answerTimeout)
 	if err != nil {
 		fmt.Fprintf(errs, "lockroad: no relay answers at %s: %v\n", socket, err)
 		return ExitUnreachable
 	}
-	defer c.Close()
-	s := &session{conn: c, r: bufio.NewReader(c), out: out, errs: errs}
+	defer conn.Close()
+	session := &clientSession{conn: conn, reader: bufio.NewReader(conn), out: out, errs: errs}
 	if command != "" {
-		return s.run(command)
+		return session.runCommand(command)
 	}
-	return s.loop(in)
+	return session.runLines(in)
 }
 
-// Watch has the relay run a command again and again, until ctx ends. It goes on while the
-// relay is away, as over a restart, but not from a first time without one. On a terminal each
-// answer takes the place of the last.
-func Watch(ctx context.Context, socket, command string, every time.Duration, terminal bool, out, errs io.Writer) int {
+// Watch runs a command again and again, until ctx ends, and returns the exit code. It goes on
+// while the relay is unreachable, as during a restart, unless that is so the first time. On a
+// terminal each answer replaces the last.
+func Watch(ctx context.Context, socket, command string, interval time.Duration, terminal bool, out, errs io.Writer) int {
 	for first := true; ; first = false {
-		var answer, wrong strings.Builder
-		code := Run(socket, command, strings.NewReader(""), &answer, &wrong)
+		var answer, failure strings.Builder
+		code := Run(socket, command, strings.NewReader(""), &answer, &failure)
 		if code == ExitRejected || code != ExitOK && first {
-			io.WriteString(errs, wrong.String())
+			io.WriteString(errs, failure.String())
 			return code
 		}
-		switch {
-		case terminal:
-			fmt.Fprintf(out, "\x1b[H\x1b[2J%s  %s, every %s\n\n%s%s", time.Now().Format(time.TimeOnly), command, every, answer.String(), wrong.String())
-		default:
-			io.WriteString(errs, wrong.String())
-			if _, err := io.WriteString(out, answer.String()); err != nil { // who read it has gone
+		if terminal {
+			now := time.Now().Format(time.TimeOnly)
+			fmt.Fprintf(out, "%s%s  %s, every %s\n\n%s%s", clearScreen, now, command, interval, answer.String(), failure.String())
+		} else {
+			io.WriteString(errs, failure.String())
+			if _, err := io.WriteString(out, answer.String()); err != nil { // whoever reads it has gone
 				return ExitOK
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return ExitOK
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// session is a console's talk with a relay.
-type session struct {
+// clientSession is a client's connection to a relay. It is for one goroutine.
+type clientSession struct {
 	conn      net.Conn
-	r         *bufio.Reader
+	reader    *bufio.Reader // of conn
 	out, errs io.Writer
 }
 
-// loop runs the commands that come in, until they end or say quit. Its code is
-// that of the last.
-func (s *session) loop(in io.Reader) int {
+// runLines runs the commands that are read from in, until they end or say quit. It returns the
+// exit code of the last.
+func (s *clientSession) runLines(in io.Reader) int {
 	code := ExitOK
 	lines := bufio.NewScanner(in)
-	for fmt.Fprint(s.out, "lockroad> "); lines.Scan(); fmt.Fprint(s.out, "lockroad> ") {
-		switch text := strings.TrimSpace(lines.Text()); text {
+	for fmt.Fprint(s.out, prompt); lines.Scan(); fmt.Fprint(s.out, prompt) {
+		switch command := strings.TrimSpace(lines.Text()); command {
 		case "":
 		case "quit", "exit":
 			return code
 		default:
-			if code = s.run(text); code == ExitUnreachable {
+			if code = s.runCommand(command); code == ExitUnreachable {
 				return code
 			}
 		}
@@ -92,12 +102,13 @@
 	return code
 }
 
-// run has the relay run a command and prints the answer.
-func (s *session) run(text string) int {
-	answer, err := s.ask(text)
+// runCommand runs a command, writes the answer, and returns the exit code.
+func (s *clientSession) runCommand(command string) int {
+	answer, err := s.send(command)
+	var rejected *rejectedError
 	switch {
-	case errors.Is(err, errRefused):
-		fmt.Fprintf(s.errs, "lockroad: %s", answer)
+	case errors.As(err, &rejected):
+		fmt.Fprintf(s.errs, "lockroad: %s", rejected.text)
 		return ExitRejected
 	case err != nil:
 		fmt.Fprintf(s.errs, "lockroad: the relay no longer answers: %v\n", err)
@@ -107,26 +118,28 @@
 	return ExitOK
 }
 
-func (s *session) ask(text string) (string, error) {
-	s.conn.SetDeadline(time.Now().Add(answerMost))
-	if _, err := fmt.Fprintf(s.conn, "%s\n", strings.ReplaceAll(text, "\n", " ")); err != nil {
+// send sends a command and returns the answer. The error is a *rejectedError if the relay
+// rejected the command, and otherwise says that the connection is of no more use.
+func (s *clientSession) send(command string) (string, error) {
+	s.conn.SetDeadline(time.Now().Add(answerTimeout))
+	if _, err := fmt.Fprintf(s.conn, "%s\n", strings.ReplaceAll(command, "\n", " ")); err != nil {
 		return "", err
 	}
-	var verdict string
-	var size int
-	head, err := s.r.ReadString('\n')
+	head, err := s.reader.ReadString('\n')
 	if err != nil {
 		return "", err
 	}
+	var verdict answerVerdict
+	var size int
 	if _, err := fmt.Sscanf(head, "%s %d", &verdict, &size); err != nil || size < 0 {
 		return "", fmt.Errorf("the answer begins with %q", head)
 	}
-	answer := make([]byte, size)
-	if _, err := io.ReadFull(s.r, answer); err != nil {
+	text := make([]byte, size)
+	if _, err := io.ReadFull(s.reader, text); err != nil {
 		return "", err
 	}
-	if verdict != "ok" {
-		return string(answer), errRefused
+	if verdict != verdictOK {
+		return "", &rejectedError{text: string(text)}
 	}
-	return string(answer), nil
+	return string(text), nil
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -22,42 +22,42 @@
 	"lockroad/internal/testutil"
 )
 
-// start opens a console on a relay with something to show, and returns its
-// socket and how often it was told to drain.
-func start(t *testing.T) (socket string, drained func() int) {
+// startServer serves the console of a relay with something in most answers. It returns the socket, and
+// a function that counts the calls of Drain.
+func startServer(t *testing.T) (socket string, drained func() int) {
 	t.Helper()
-	k := proxy.New(balancer.Settings{
+	relay := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 	}, 1, proxy.NewClock())
-	id := k.Endpoints.ID("s-5be2a07c")
-	k.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
-	n, _ := k.Requests.Add(registry.Request{Front: "line", Name: "9b1f03aa", Class: "page", Since: k.Clock.Now()})
-	k.Requests.Set(n, registry.StageEstablished, id)
-	k.Counters.CountEnd(registry.EndMigrated)
-	k.Counters.CountAttempt(balancer.StatusTimeout)
-	r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
+	id := relay.Endpoints.ID("s-5be2a07c")
+	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
+	n, _ := relay.Requests.Add(registry.Request{Front: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
+	relay.Requests.Set(n, registry.StageEstablished, id)
+	relay.Counters.CountEnd(registry.EndMigrated)
+	relay.Counters.CountAttempt(balancer.StatusTimeout)
+	log, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tr := r.Began(1, proxy.Request{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
-	tr.AttemptStarted(id)(balancer.StatusFull)
-	tr.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
+	observer := log.Began(1, proxy.Request{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
+	observer.AttemptStarted(id)(balancer.StatusFull)
+	observer.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
 	drains := 0
-	d := &Server{Name: "n3", Proxy: k, Frontends: []Frontend{{"line", "10.0.0.4:3000"}}, Explainer: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {
+	server := &Server{Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}}, Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Drain: func() {
 		mu.Lock()
 		defer mu.Unlock()
 		drains++
 	}, Log: func(most int) []string { return []string{"first\n", "second\n", "third\n"}[3-min(3, most):] }, Restart: func() error { return nil }}
 	socket = filepath.Join(t.TempDir(), "console")
-	l, err := Listen(socket)
+	listener, err := Listen(socket)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { _ = d.Serve(ctx, l) })
-	done.Go(func() { _ = k.Run(ctx) })
+	done.Go(func() { _ = server.Serve(ctx, listener) })
+	done.Go(func() { _ = relay.Run(ctx) })
 	t.Cleanup(func() { cancel(); done.Wait() })
 	return socket, func() int {
 		mu.Lock()
@@ -66,14 +66,14 @@
 	}
 }
 
-func run(in, socket, command string) (code int, out, errs string) {
+func runConsole(in, socket, command string) (code int, out, errs string) {
 	var o, e strings.Builder
 	code = Run(socket, command, strings.NewReader(in), &o, &e)
 	return code, o.String(), e.String()
 }
 
 func TestCommandsAreAnswered(t *testing.T) {
-	socket, drained := start(t)
+	socket, drained := startServer(t)
 	for command, want := range map[string][]string{
 		"status":       {"relay", "n3", "moved", "passes timeout", "broken invariants"},
 		"farm":         {"s-5be2a07c", "10.1.0.18:3000", "draining"},
@@ -93,7 +93,7 @@
 		`why (server "s-5be2a07c")`:            {"transaction 1,"},
 		"why --by answer,outcome (class page)": {"unavailable"},
 	} {
-		code, out, errs := run("", socket, command)
+		code, out, errs := runConsole("", socket, command)
 		for _, word := range want {
 			if code != ExitOK || errs != "" || !strings.Contains(out, word) {
 				t.Errorf("%s: code %d, errors %q, no %q in\n%s", command, code, errs, word, out)
@@ -105,9 +105,9 @@
 	}
 }
 
-func TestCodesTellWhatWentWrong(t *testing.T) {
-	socket, drained := start(t)
-	for name, c := range map[string]struct {
+func TestRejectedCommandsAndExitCodes(t *testing.T) {
+	socket, drained := startServer(t)
+	for name, connection := range map[string]struct {
 		socket, command string
 		code            int
 		errs            string
@@ -122,8 +122,8 @@
 		"odd help":            {socket, "help me", ExitRejected, "there is more to tell of why only"},
 		"nobody there":        {socket + "x", "status", ExitUnreachable, "no relay answers"},
 	} {
-		code, out, errs := run("", c.socket, c.command)
-		if code != c.code || !strings.Contains(errs, c.errs) || out != "" {
+		code, out, errs := runConsole("", connection.socket, connection.command)
+		if code != connection.code || !strings.Contains(errs, connection.errs) || out != "" {
 			t.Errorf("%s: code %d, out %q, errors %q", name, code, out, errs)
 		}
 	}
@@ -132,45 +132,44 @@
 	}
 }
 
-func TestConsoleReadsCommands(t *testing.T) {
-	socket, _ := start(t)
-	code, out, errs := run("fronts\n\nodd\nfarm\nquit\nstatus\n", socket, "")
+func TestRunReadsCommands(t *testing.T) {
+	socket, _ := startServer(t)
+	code, out, errs := runConsole("fronts\n\nodd\nfarm\nquit\nstatus\n", socket, "")
 	if code != ExitOK || !strings.Contains(out, "10.0.0.4:3000") || !strings.Contains(out, "s-5be2a07c") ||
 		strings.Contains(out, "passes") || !strings.Contains(errs, `unknown command "odd"`) {
 		t.Errorf("code %d, errors %q, out\n%s", code, errs, out)
 	}
 }
 
-// A relay that was killed leaves its socket behind; one that runs keeps it.
-func TestSocketIsTakenOverFromTheDeadOnly(t *testing.T) {
-	socket, _ := start(t)
+// A relay that was killed leaves its socket behind, which is replaced; that of a running one is not.
+func TestListenReplacesOnlyStaleSocket(t *testing.T) {
+	socket, _ := startServer(t)
 	if _, err := Listen(socket); err == nil {
 		t.Error("a socket that answers was taken over")
 	}
 	stale := filepath.Join(t.TempDir(), "stale")
-	l, err := net.Listen("unix", stale)
+	listener, err := net.Listen("unix", stale)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false)
-	l.Close()
-	if l, err = Listen(stale); err != nil {
+	listener.(*net.UnixListener).SetUnlinkOnClose(false)
+	listener.Close()
+	if listener, err = Listen(stale); err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
+	listener.Close()
 }
 
-// Every command that tells of something tells it as JSON too, an object a line, with the
-// figures as figures.
+// Every command that reports something does so as JSON too, an object a line, with numbers as numbers.
 func TestAnswersAsJSON(t *testing.T) {
-	socket, _ := start(t)
+	socket, _ := startServer(t)
 	for command, want := range map[string]map[string]any{
 		"status": {"relay": "n3", "open": 1.0, "passes_timeout": 1.0}, "farm": {"server": "s-5be2a07c", "phase": "draining"},
 		"servers": {"transactions": 1.0, "avoided": "drains", "delay": nil}, "transactions": {"name": "9b1f03aa", "stage": "open", "passes": 0.0},
 		"fronts": {"front": "line"}, "record": {"kind": "under-way", "kept": 0.0}, "health": {"note": "discovery tells which servers are up; farm has them"},
 		"orders": {"note": "no order is in force"}, "store": {"note": "nothing is kept on disk"}, "log": {"note": "first"},
 	} {
-		code, out, errs := run("", socket, command+" --json")
+		code, out, errs := runConsole("", socket, command+" --json")
 		if code != ExitOK || errs != "" {
 			t.Errorf("%s: code %d, %s", command, code, errs)
 		}
@@ -188,14 +187,14 @@
 	}
 }
 
-// Names come from clients: none of them moves the terminal, and JSON stays JSON.
+// Names come from clients: none of them controls the terminal, and JSON stays valid.
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
-	d := &Server{Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
-	d.Proxy.Requests.Add(registry.Request{Front: "line", Name: evil, Class: evil})
+	server := &Server{Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+	server.Proxy.Requests.Add(registry.Request{Front: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
-		_, answer := d.answer(context.Background(), command, "me")
-		head, body, _ := strings.Cut(frame("ok", answer), "\n")
+		_, answer := server.execute(context.Background(), command, "me")
+		head, body, _ := strings.Cut(frameAnswer("ok", answer), "\n")
 		if strings.ContainsAny(body, "\x1b\u202e\u009b") || !strings.Contains(body, "b") || head != fmt.Sprintf("ok %d", len(body)) {
 			t.Errorf("%s: %q, %q", command, head, body)
 		}
@@ -205,86 +204,86 @@
 	}
 }
 
-// Twenty consoles are answered, though one of them never reads; those beyond as many as may be
-// are told so, and there is room again once some have gone.
-func TestManyConsoles(t *testing.T) {
-	socket, _ := start(t)
-	deaf, err := net.Dial("unix", socket)
+// MaxSessions are answered, though one of them never reads. One more is rejected, and accepted once
+// others have ended.
+func TestSessionsAreLimited(t *testing.T) {
+	socket, _ := startServer(t)
+	stalled, err := net.Dial("unix", socket)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer deaf.Close()
-	deaf.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-	for err == nil { // until the desk waits for it
-		_, err = io.WriteString(deaf, "help why\n")
+	defer stalled.Close()
+	stalled.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
+	for err == nil { // until the server waits for it to read
+		_, err = io.WriteString(stalled, "help why\n")
 	}
-	var all []net.Conn
-	for len(all) < MaxSessions-1 {
-		c, err := net.Dial("unix", socket)
+	var connections []net.Conn
+	for len(connections) < MaxSessions-1 {
+		connection, err := net.Dial("unix", socket)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		all = append(all, c)
-		s := &session{conn: c, r: bufio.NewReader(c)}
-		if _, err := s.ask("status"); err != nil {
-			t.Fatalf("console %d: %v", len(all), err)
+		defer connection.Close()
+		connections = append(connections, connection)
+		s := &clientSession{conn: connection, reader: bufio.NewReader(connection)}
+		if _, err := s.send("status"); err != nil {
+			t.Fatalf("console %d: %v", len(connections), err)
 		}
 	}
-	if code, _, errs := run("", socket, "status"); code == ExitOK || !strings.Contains(errs, "as many as may be") && code != ExitUnreachable {
+	if code, _, errs := runConsole("", socket, "status"); code == ExitOK || !strings.Contains(errs, "as many as may be") && code != ExitUnreachable {
 		t.Errorf("one too many: code %d, %s", code, errs)
 	}
-	for _, c := range all[10:] {
-		c.Close()
+	for _, connection := range connections[10:] {
+		connection.Close()
 	}
 	testutil.Until(t, "there is no room again", func() bool {
-		code, _, _ := run("", socket, "status")
+		code, _, _ := runConsole("", socket, "status")
 		return code == ExitOK
 	})
 }
 
-// lame fails to accept at first, as a relay that is out of descriptors does.
-type lame struct {
+// flakyListener fails to accept at first, as in a process that is out of file descriptors.
+type flakyListener struct {
 	net.Listener
-	left int
+	failuresLeft int
 }
 
-func (l *lame) Accept() (net.Conn, error) {
-	if l.left--; l.left >= 0 {
+func (listener *flakyListener) Accept() (net.Conn, error) {
+	if listener.failuresLeft--; listener.failuresLeft >= 0 {
 		return nil, syscall.EMFILE
 	}
-	return l.Listener.Accept()
+	return listener.Listener.Accept()
 }
 
-// A console that looks on goes on while the relay is away; a relay that is out of descriptors
-// answers once it has some.
-func TestWatchGoesOnOverARestart(t *testing.T) {
-	d := &Server{Name: "n1", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+// Watch goes on while the relay is unreachable; a relay that is out of file descriptors answers once it
+// has some.
+func TestWatchContinuesOverRestart(t *testing.T) {
+	server := &Server{Name: "n1", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
 	socket := filepath.Join(t.TempDir(), "console")
 	if code := Watch(t.Context(), socket, "status", time.Millisecond, false, io.Discard, io.Discard); code != ExitUnreachable {
 		t.Errorf("code %d of a relay that was never there", code)
 	}
 	serve := func(name string) (stop func()) {
-		l, err := Listen(socket)
+		listener, err := Listen(socket)
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		var done sync.WaitGroup
-		desk := *d
-		desk.Name = name
-		done.Go(func() { _ = desk.Serve(ctx, &lame{l, 2}) })
+		server := *server
+		server.Name = name
+		done.Go(func() { _ = server.Serve(ctx, &flakyListener{listener, 2}) })
 		return func() { cancel(); done.Wait() }
 	}
 	stop := serve("before")
-	r, w := io.Pipe()
+	log, w := io.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
 	var watch sync.WaitGroup
 	watch.Go(func() { Watch(ctx, socket, "status --json", time.Millisecond, false, w, io.Discard) })
 	defer watch.Wait()
-	defer func() { _ = r.Close() }()
+	defer func() { _ = log.Close() }()
 	defer cancel()
-	lines := bufio.NewScanner(r)
+	lines := bufio.NewScanner(log)
 	until := func(name string) {
 		t.Helper()
 		for lines.Scan() {
--- /dev/null
+++ b/internal/console/decisions.go
@@ -0,0 +1,87 @@
+package console
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"strconv"
+	"time"
+
+	"lockroad/internal/decisionlog"
+	"lockroad/internal/explain"
+)
+
+// This file has the commands about the decision log.
+
+var errNoDecisionLog = errors.New("no decisions are kept: the operator's file has why.bytes = 0")
+
+// why answers a query about decisions.
+func why(_ context.Context, s *Server, call call, out io.Writer) error {
+	if s.Explainer == nil {
+		return errNoDecisionLog
+	}
+	query, err := explain.ParseLine(call.args)
+	if err != nil {
+		return err
+	}
+	return s.Explainer.Answer(query, out)
+}
+
+// pin keeps the entry of a request, and archives it where there is an archive.
+func pin(_ context.Context, s *Server, call call, out io.Writer) error {
+	number, err := s.setPinned(call.args, true)
+	if err != nil {
+		return err
+	}
+	if s.Persistence != nil {
+		s.Persistence.Pinned(number)
+	}
+	fmt.Fprintf(out, "transaction %d is pinned\n", number)
+	return nil
+}
+
+// unpin lets an entry be evicted again.
+func unpin(_ context.Context, s *Server, call call, out io.Writer) error {
+	number, err := s.setPinned(call.args, false)
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "transaction %d is no longer pinned\n", number)
+	return nil
+}
+
+// setPinned pins or unpins the entry of a request's number, which it returns.
+func (s *Server) setPinned(text string, pinned bool) (number uint64, err error) {
+	if s.Explainer == nil {
+		return 0, errNoDecisionLog
+	}
+	number, err = strconv.ParseUint(text, 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%q is no transaction's number; why tells it", text)
+	}
+	return number, s.Explainer.Log.Pin(number, pinned)
+}
+
+// decisionLogStats shows what the decision log holds.
+func decisionLogStats(ctx context.Context, s *Server, call call, out io.Writer) error {
+	if s.Explainer == nil {
+		return errNoDecisionLog
+	}
+	return report((*Server).writeDecisionLogStats)(ctx, s, call, out)
+}
+
+func (s *Server) writeDecisionLogStats(out io.Writer) {
+	stats := s.Explainer.Log.Stats()
+	writeTable(out, []string{"KIND", "KEPT", "SHARE", "NO LONGER KEPT"}, func(row rowFunc) {
+		for _, category := range decisionlog.CategoryNames {
+			share := 100 * float64(stats.BlocksInUse[category]) / float64(stats.Blocks)
+			row(category, stats.Entries[category], fmt.Sprintf("%.1f%%", share), stats.Dropped[category])
+		}
+	})
+	fmt.Fprintf(out, "%d bytes, all set aside at the start; %d steps found no room\n", stats.Bytes, stats.EventsLost)
+	if stats.Horizon > 0 {
+		reach := (s.Proxy.Clock.Now() - stats.Horizon).Round(time.Second)
+		fmt.Fprintf(out, "all that came within the last %s are kept\n", reach)
+	}
+}
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -21,37 +21,37 @@
 	"lockroad/internal/store"
 )
 
-// fixedKeeper has two orders in force and a store with every figure set.
-type fixedKeeper struct {
-	since   time.Time
-	failing error
+// fakePersistence has two drain directives in force and a store with every figure set.
+type fakePersistence struct {
+	since     time.Time
+	lastError error
 }
 
-func (k *fixedKeeper) order() persistence.DrainDirective {
-	return persistence.DrainDirective{Endpoint: "s-1", By: "ada", Reason: "disk swap", Since: k.since, Until: k.since.Add(2 * time.Hour)}
+func (relay *fakePersistence) directive() persistence.DrainDirective {
+	return persistence.DrainDirective{Endpoint: "s-1", By: "ada", Reason: "disk swap", Since: relay.since, Until: relay.since.Add(2 * time.Hour)}
 }
 
-func (k *fixedKeeper) Drain(context.Context, persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error) {
-	replaced := k.order()
+func (relay *fakePersistence) Drain(context.Context, persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error) {
+	replaced := relay.directive()
 	return &replaced, nil, nil
 }
 
-func (k *fixedKeeper) Undrain(context.Context, string, string) (was persistence.DrainDirective, kept, err error) {
-	return k.order(), errors.New("no room"), nil
+func (relay *fakePersistence) Undrain(context.Context, string, string) (was persistence.DrainDirective, kept, err error) {
+	return relay.directive(), errors.New("no room"), nil
 }
 
-func (k *fixedKeeper) DrainDirectives() []persistence.DrainDirective {
-	return []persistence.DrainDirective{k.order(), {Endpoint: "s-2", By: "bob", Since: k.since}}
+func (relay *fakePersistence) DrainDirectives() []persistence.DrainDirective {
+	return []persistence.DrainDirective{relay.directive(), {Endpoint: "s-2", By: "bob", Since: relay.since}}
 }
 
-func (k *fixedKeeper) Stats() (store.Stats, error) {
+func (relay *fakePersistence) Stats() (store.Stats, error) {
 	return store.Stats{
 		Records: map[string]int{"farm": 3, "order": 2}, Dropped: map[string]uint64{"farm": 1, "order": 4},
-		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, Waiting: 17, LastError: k.failing, Retained: 18 * time.Minute,
+		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, Waiting: 17, LastError: relay.lastError, Retained: 18 * time.Minute,
 	}, nil
 }
 
-func (*fixedKeeper) Pinned(uint64) {}
+func (*fakePersistence) Pinned(uint64) {}
 
 // useUTC has times of day written in UTC, whatever the machine's zone.
 func useUTC(t *testing.T) {
@@ -60,57 +60,57 @@
 	t.Cleanup(func() { time.Local = local })
 }
 
-// withFixedRelay calls do with the desk of a relay whose clock stands still and that has
+// withFixedServer calls do with the server of a relay whose clock stands still and that has
 // something in every field of every answer.
-func withFixedRelay(t *testing.T, do func(d *Server)) {
+func withFixedServer(t *testing.T, do func(server *Server)) {
 	t.Helper()
 	useUTC(t)
 	synctest.Test(t, func(t *testing.T) {
-		k := proxy.New(balancer.Settings{
+		relay := proxy.New(balancer.Settings{
 			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 		}, 1, proxy.NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
-		all.Go(func() { _ = k.Run(ctx) })
+		all.Go(func() { _ = relay.Run(ctx) })
 		defer func() { cancel(); all.Wait() }()
 		var servers []balancer.Endpoint
 		var addresses []string
 		for i, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateReady, balancer.StateDraining} {
-			servers = append(servers, balancer.Endpoint{ID: k.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
+			servers = append(servers, balancer.Endpoint{ID: relay.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
 			addresses = append(addresses, fmt.Sprintf("10.1.0.%d:3000", i+1))
 		}
-		k.UpdateEndpoints(balancer.ListFull, servers, addresses)
-		k.SetDrain("s-2", true)
+		relay.UpdateEndpoints(balancer.ListFull, servers, addresses)
+		relay.SetDrain("s-2", true)
 		for i, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
-			n, _ := k.Requests.Add(registry.Request{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: k.Clock.Now()})
+			n, _ := relay.Requests.Add(registry.Request{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: relay.Clock.Now()})
 			if stage != registry.StageWaiting {
-				k.Requests.Set(n, stage, servers[i].ID)
+				relay.Requests.Set(n, stage, servers[i].ID)
 			}
 		}
-		k.Counters.Requests.Add(41)
-		k.Counters.ProtocolErrors.Add(42)
+		relay.Counters.Requests.Add(41)
+		relay.Counters.ProtocolErrors.Add(42)
 		for end := range registry.EndNames {
 			for range end + 1 {
-				k.Counters.CountEnd(registry.End(end))
+				relay.Counters.CountEnd(registry.End(end))
 			}
 		}
 		for status := range registry.StatusNames {
 			for range status + 1 {
-				k.Counters.CountAttempt(balancer.AttemptStatus(status))
+				relay.Counters.CountAttempt(balancer.AttemptStatus(status))
 			}
 		}
-		r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
+		log, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
 		if err != nil {
 			t.Fatal(err)
 		}
-		trace := r.Began(1, proxy.Request{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}})
+		trace := log.Began(1, proxy.Request{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
 		trace.AttemptStarted(servers[0].ID)(balancer.StatusFull)
 		trace.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 		time.Sleep(1234 * time.Millisecond)
 		synctest.Wait()
 		do(&Server{
-			Name: "n3", Proxy: k, Frontends: []Frontend{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
-			Explainer: &explain.Explainer{Log: r, Names: k.Endpoints}, Drain: func() {}, Persistence: &fixedKeeper{since: time.Now()},
+			Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
+			Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Drain: func() {}, Persistence: &fakePersistence{since: time.Now()},
 			Reload: func(_ context.Context, _ bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
@@ -126,10 +126,10 @@
 }
 
 // transcript is each command with its verdict and answer.
-func transcript(d *Server, texts ...string) string {
+func transcript(server *Server, texts ...string) string {
 	var b strings.Builder
 	for _, text := range texts {
-		verdict, answer := d.answer(context.Background(), text, "ada")
+		verdict, answer := server.execute(context.Background(), text, "ada")
 		fmt.Fprintf(&b, "> %s\n%s\n%s\n", text, verdict, answer)
 	}
 	return b.String()
@@ -137,26 +137,26 @@
 
 // Every command that takes --json, as a program reads it.
 func TestCommandsJSONIsStable(t *testing.T) {
-	withFixedRelay(t, func(d *Server) {
+	withFixedServer(t, func(server *Server) {
 		for _, c := range commands {
-			if c.forms {
-				golden.Compare(t, c.name+".jsonl", transcript(d, c.name+" --json"))
+			if c.supportsJSON {
+				golden.Compare(t, c.name+".jsonl", transcript(server, c.name+" --json"))
 			}
 		}
-		golden.Compare(t, "why.jsonl", transcript(d, "why --json 1", `why --json --where (answer "unavailable")`, "why --json --by class,answer,reason"))
+		golden.Compare(t, "why.jsonl", transcript(server, "why --json 1", `why --json --where (answer "unavailable")`, "why --json --by class,answer,reason"))
 	})
 }
 
 // Every command's text, and what changes the relay.
 func TestCommandsTextIsStable(t *testing.T) {
-	withFixedRelay(t, func(d *Server) {
+	withFixedServer(t, func(server *Server) {
 		for _, c := range commands {
-			if c.forms {
-				golden.Compare(t, c.name+".txt", transcript(d, c.name))
+			if c.supportsJSON {
+				golden.Compare(t, c.name+".txt", transcript(server, c.name))
 			}
 		}
-		golden.Compare(t, "help.txt", transcript(d, "help", "help why"))
-		golden.Compare(t, "actions.txt", transcript(d, "why 1", "why --by class,answer", "pin 1", "unpin 1", "drain", "drain s-1 for 90m because it is hot",
+		golden.Compare(t, "help.txt", transcript(server, "help", "help why"))
+		golden.Compare(t, "actions.txt", transcript(server, "why 1", "why --by class,answer", "pin 1", "unpin 1", "drain", "drain s-1 for 90m because it is hot",
 			"drain s-1 until", "undrain s-1", "undrain", "restart", "reload", "reload --dry-run", "reload now", "status farm", "explode"))
 	})
 }
@@ -164,10 +164,10 @@
 // What the commands answer where there is nothing to tell, or no way to.
 func TestEmptyAnswersAreStable(t *testing.T) {
 	useUTC(t)
-	d := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Persistence: &fixedKeeper{failing: errors.New("disk full")}}
-	failing := transcript(d, "store", "store --json")
-	d.Persistence = nil
-	golden.Compare(t, "empty.txt", failing+transcript(d, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
+	server := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Persistence: &fakePersistence{lastError: errors.New("disk full")}}
+	failing := transcript(server, "store", "store --json")
+	server.Persistence = nil
+	golden.Compare(t, "empty.txt", failing+transcript(server, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
 		"record", "why 1", "pin 1", "drain s-1", "undrain s-1", "restart", "reload", "log"))
 }
 
--- /dev/null
+++ b/internal/console/status.go
@@ -0,0 +1,147 @@
+package console
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"math"
+	"time"
+
+	"lockroad/balancer"
+	"lockroad/internal/assert"
+	"lockroad/internal/healthcheck"
+	"lockroad/internal/registry"
+)
+
+// This file has the commands that show the state of the relay, its endpoints and requests.
+
+// viewTimeout bounds the wait for the turn of the proxy's event loop in which the balancer
+// returns its view of the endpoints.
+const viewTimeout = time.Second
+
+// status shows the counters since the start.
+func (s *Server) status(out io.Writer) {
+	counters := s.Proxy.Counters
+	writeTable(out, nil, func(row rowFunc) {
+		row("relay", s.Name)
+		row("transactions", counters.Requests.Load())
+		for stage, count := range s.Proxy.Requests.CountByStage() {
+			row("  "+registry.Stage(stage).String(), count)
+		}
+		for _, end := range counters.Ends() {
+			row(end.Name, end.Count)
+		}
+		for status, name := range registry.StatusNames {
+			row("passes "+name, counters.Attempts(balancer.AttemptStatus(status)))
+		}
+		row("bad openings", counters.ProtocolErrors.Load())
+		row("broken invariants", assert.Broken())
+	})
+}
+
+// endpointList shows the endpoint list.
+func (s *Server) endpointList(out io.Writer) {
+	writeTable(out, []string{"SERVER", "ADDRESS", "PHASE"}, func(row rowFunc) {
+		for _, endpoint := range s.Proxy.Endpoints.List() {
+			row(endpoint.Name, endpoint.Address, s.stateText(endpoint))
+		}
+	})
+}
+
+// endpoints shows the endpoints that are not gone, or that still have requests, with the
+// balancer's view of them.
+func endpoints(ctx context.Context, s *Server, _ call, out io.Writer) error {
+	requests := s.requestsByEndpoint()
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
+	defer cancel()
+	views := s.Proxy.EndpointViews(ctx)
+	head := []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}
+	writeTable(out, head, func(row rowFunc) {
+		for _, endpoint := range s.Proxy.Endpoints.List() {
+			if endpoint.State == balancer.StateGone && requests[endpoint.Name] == 0 {
+				continue
+			}
+			var delay, load, avoided any // nil: not known
+			if view, known := views[endpoint.ID]; known {
+				if view.Delay > 0 {
+					delay = view.Delay.Round(100 * time.Microsecond)
+				}
+				load = math.Round(view.Load*10) / 10
+				if view.Avoided != "" {
+					avoided = view.Avoided
+				}
+			}
+			row(endpoint.Name, s.stateText(endpoint), requests[endpoint.Name], delay, load, avoided, endpoint.Address)
+		}
+	})
+	return nil
+}
+
+// stateText returns an endpoint's state, and whether a drain directive is the cause of it.
+func (s *Server) stateText(endpoint registry.Endpoint) string {
+	if endpoint.State == balancer.StateDraining && s.Proxy.DrainDirected(endpoint.Name) {
+		return registry.StateName(endpoint.State) + ", as ordered"
+	}
+	return registry.StateName(endpoint.State)
+}
+
+// requestsByEndpoint counts the requests at each endpoint, with those of attempts in progress.
+func (s *Server) requestsByEndpoint() map[string]int {
+	counts := make(map[string]int)
+	for _, request := range s.Proxy.Requests.List() {
+		if request.Stage != registry.StageWaiting {
+			counts[s.Proxy.Endpoints.Name(request.Endpoint)]++
+		}
+	}
+	return counts
+}
+
+// requests shows the requests in progress.
+func (s *Server) requests(out io.Writer) {
+	names := make(map[balancer.EndpointID]string)
+	for _, endpoint := range s.Proxy.Endpoints.List() {
+		names[endpoint.ID] = endpoint.Name
+	}
+	now := s.Proxy.Clock.Now()
+	head := []string{"NUMBER", "FRONT", "NAME", "CLASS", "STAGE", "SERVER", "PASSES", "AGE"}
+	writeTable(out, head, func(row rowFunc) {
+		for _, request := range s.Proxy.Requests.List() {
+			var endpoint any // nil: none yet
+			if request.Stage != registry.StageWaiting {
+				endpoint = names[request.Endpoint]
+			}
+			age := (now - request.Since).Round(time.Millisecond)
+			row(request.Number, request.Front, request.Name, request.Class, request.Stage, endpoint, request.Attempts, age)
+		}
+	})
+}
+
+// frontends shows the frontends.
+func (s *Server) frontends(out io.Writer) {
+	writeTable(out, []string{"FRONT", "LISTENS"}, func(row rowFunc) {
+		for _, frontend := range s.Frontends {
+			row(frontend.Name, frontend.Listen)
+		}
+	})
+}
+
+// health shows the health of the endpoints.
+func (s *Server) health(out io.Writer) {
+	if s.Health == nil {
+		fmt.Fprintln(out, "discovery tells which servers are up; farm has them")
+		return
+	}
+	endpoints, doubts := s.Health()
+	if doubts {
+		fmt.Fprintln(out, "most seem to be down: this box is doubted first, and all are listed as up")
+	}
+	writeTable(out, []string{"SERVER", "STATE", "FOR", "FAILED IN A ROW", "WHY"}, func(row rowFunc) {
+		for _, endpoint := range endpoints {
+			state, since := "up", any(nil)
+			if endpoint.State == healthcheck.StateDown {
+				state, since = "down", endpoint.Since.Round(time.Second)
+			}
+			row(endpoint.Name, state, since, endpoint.ConsecutiveFailures, endpoint.Reason)
+		}
+	})
+}
