--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestErrorsSayWhereAndWhat(t *testing.T) {
+func TestErrorsHavePositionAndMessage(t *testing.T) {
 	for source, want := range map[string]string{
 		"":                         "line 1, column 1: nothing is there",
 		"(a":                       "line 1, column 1: a list that is not closed",
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestNodesAreWhatTheyWereWrittenAs(t *testing.T) {
+func TestNodesAreReadAsWritten(t *testing.T) {
 	const source = `(and (class "live \"preview\"") ; a comment (
 		(passes >= 2) (since 1.5s) 7 é)`
 	n, err := ParseOne(source)
@@ -53,7 +53,7 @@
 		second(rest[0].Value()), second(rest[4].Whole()), second(rest[4].Duration()), third(rest[3].Head()), second(rest[0].Duration()),
 	} {
 		if bad == nil || !strings.HasPrefix(bad.Error(), "line ") {
-			t.Errorf("an odd value gives %v", bad)
+			t.Errorf("an invalid value gives %v", bad)
 		}
 	}
 }
@@ -70,8 +70,8 @@
 		all, err := Parse(source)
 		if err != nil {
 			var at *Error
-			if !errors.As(err, &at) || at.Line < 1 || at.Column < 0 || at.What == "" {
-				t.Errorf("%q: %v says not where", source, err)
+			if !errors.As(err, &at) || at.Line < 1 || at.Column < 0 || at.Message == "" {
+				t.Errorf("%q: %v has no position", source, err)
 			}
 			return
 		}
