--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -60,7 +60,7 @@
 	t.Cleanup(func() { time.Local = local })
 }
 
-// withFixedServer calls do with the server of a relay whose clock stands still and that has
+// withFixedServer calls do with the server of a relay whose clock is fixed and that has
 // something in every field of every answer.
 func withFixedServer(t *testing.T, do func(server *Server)) {
 	t.Helper()
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -15,31 +15,31 @@
 	"lockroad/internal/registry"
 )
 
-// fullEntry has every field set that an account tells of.
-func fullEntry(began time.Duration) *decisionlog.Entry {
+// fullEntry has every field set that an explanation has.
+func fullEntry(startedAt time.Duration) *decisionlog.Entry {
 	decision := balancer.Decision{
-		At: began, Verdict: balancer.VerdictSent, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: 1, Wait: 1500 * time.Microsecond, TimeLeft: 2 * time.Second,
+		At: startedAt, Verdict: balancer.VerdictSent, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: 1, Wait: 1500 * time.Microsecond, TimeLeft: 2 * time.Second,
 		ReadyEndpoints: 3, SlowShare: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, Preferred: 1,
 		Considered: []balancer.ConsideredEndpoint{consideredEndpoint(1, 0), consideredEndpoint(2, balancer.ExcludedSlow|balancer.ExcludedDraining)},
 	}
 	return &decisionlog.Entry{
-		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, StartedAt: began,
+		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, StartedAt: startedAt,
 		TimeLimit: 2 * time.Second, Load: 0.00025, Returning: true, HeadEvicted: true, EventsOmitted: true, Notable: true, Pinned: true, Ended: true,
 		Events: []decisionlog.Event{
-			{Kind: decisionlog.EventDecision, At: began, Decision: decision, Repeats: 5},
-			{Kind: decisionlog.EventAttemptStarted, At: began + time.Millisecond, Endpoint: 1},
-			{Kind: decisionlog.EventAttemptEnded, At: began + 20*time.Millisecond, Endpoint: 1, Status: balancer.StatusOK},
-			{Kind: decisionlog.EventEstablished, At: began + 21*time.Millisecond},
-			{Kind: decisionlog.EventEnded, At: began + 3*time.Second, Result: proxy.Result{
+			{Kind: decisionlog.EventDecision, At: startedAt, Decision: decision, Repeats: 5},
+			{Kind: decisionlog.EventAttemptStarted, At: startedAt + time.Millisecond, Endpoint: 1},
+			{Kind: decisionlog.EventAttemptEnded, At: startedAt + 20*time.Millisecond, Endpoint: 1, Status: balancer.StatusOK},
+			{Kind: decisionlog.EventEstablished, At: startedAt + 21*time.Millisecond},
+			{Kind: decisionlog.EventEnded, At: startedAt + 3*time.Second, Result: proxy.Result{
 				End: registry.EndRejected, Cause: proxy.CauseConnectionLimit, RetryAfter: 800 * time.Millisecond, Status: balancer.StatusReset}},
 		},
 	}
 }
 
-// fixedTime takes the place of the time of day in an account.
+// fixedTime takes the place of the time of day in an explanation.
 var fixedTime = time.Date(2024, 5, 6, 7, 8, 9, 123456789, time.UTC)
 
-// fullExplanation is what is told of it, with links.
+// fullExplanation is its explanation, with related requests.
 func fullExplanation(env *environment) *Explanation {
 	time.Sleep(5 * time.Second)
 	explanation := env.explainer.explainAlone(fullEntry(env.startedAt))
@@ -56,70 +56,70 @@
 			of := reflect.ValueOf(v)
 			for i := range of.NumField() {
 				field := of.Type().Field(i)
-				// A decision sets all but the outcome, which is a pass's.
+				// A decision sets all but the outcome, which is of an attempt.
 				if field.IsExported() && of.Field(i).IsZero() && field.Tag.Get("json") != "after_ms" && field.Tag.Get("json") != "outcome,omitempty" {
 					t.Errorf("%s: the field %s is not set, so its form is not compared", name, field.Tag.Get("json"))
 				}
 			}
 		}
-		var b strings.Builder
-		if err := WriteJSON(&b, []*Explanation{explanation, {ReceivedAt: fixedTime}}); err != nil {
+		var text strings.Builder
+		if err := WriteJSON(&text, []*Explanation{explanation, {ReceivedAt: fixedTime}}); err != nil {
 			t.Fatal(err)
 		}
-		golden.Compare(t, "account.jsonl", b.String())
+		golden.Compare(t, "account.jsonl", text.String())
 	})
 }
 
 func TestAccountTextIsStable(t *testing.T) {
 	withEnvironment(t, func(env *environment) {
-		var b strings.Builder
-		fullExplanation(env).Write(&b)
-		golden.Compare(t, "account.txt", b.String())
+		var text strings.Builder
+		fullExplanation(env).Write(&text)
+		golden.Compare(t, "account.txt", text.String())
 	})
 }
 
-// Every decision, bar, outcome and end as an account tells it, in words and as JSON.
+// Every decision, exclusion, outcome and end, in words.
 func TestStepsAreStable(t *testing.T) {
 	withEnvironment(t, func(env *environment) {
-		transaction := fullEntry(env.startedAt)
-		var b strings.Builder
-		tell := func(event decisionlog.Event) {
-			step := env.explainer.explainEvent(transaction, &event, 0)
-			fmt.Fprintf(&b, "%s|%s|%s|%s\n", step.What, step.Reason, step.Outcome, step.Text)
+		entry := fullEntry(env.startedAt)
+		var text strings.Builder
+		writeEvent := func(event decisionlog.Event) {
+			explained := env.explainer.explainEvent(entry, &event, 0)
+			fmt.Fprintf(&text, "%s|%s|%s|%s\n", explained.What, explained.Reason, explained.Outcome, explained.Text)
 		}
 		for verdict := range balancer.VerdictNames {
 			for reason := range balancer.ReasonNames {
-				event := transaction.Events[0]
+				event := entry.Events[0]
 				event.Decision.Verdict, event.Decision.Reason = balancer.Verdict(verdict), balancer.Reason(reason)
-				tell(event)
+				writeEvent(event)
 			}
 		}
 		for status := range registry.StatusNames {
-			tell(decisionlog.Event{Kind: decisionlog.EventAttemptEnded, At: env.startedAt, Endpoint: 2, Status: balancer.AttemptStatus(status)})
+			writeEvent(decisionlog.Event{Kind: decisionlog.EventAttemptEnded, At: env.startedAt, Endpoint: 2, Status: balancer.AttemptStatus(status)})
 		}
 		for end := range registry.EndNames {
 			for cause := range proxy.CauseNames {
 				for status := range registry.StatusNames {
-					tell(decisionlog.Event{Kind: decisionlog.EventEnded, At: env.startedAt, Result: proxy.Result{
+					writeEvent(decisionlog.Event{Kind: decisionlog.EventEnded, At: env.startedAt, Result: proxy.Result{
 						End: registry.End(end), Cause: proxy.EndCause(cause), Status: balancer.AttemptStatus(status), RetryAfter: time.Second}})
 				}
 			}
 		}
 		for bar, name := range balancer.ExclusionNames {
-			fmt.Fprintf(&b, "bar|%s|%s\n", name, exclusionsText(1<<bar))
+			fmt.Fprintf(&text, "bar|%s|%s\n", name, exclusionsText(1<<bar))
 		}
-		golden.Compare(t, "steps.txt", b.String())
+		golden.Compare(t, "steps.txt", text.String())
 	})
 }
 
 // What queries and counts are written in, and the closed sets of their words.
 func TestQueryVocabularyIsStable(t *testing.T) {
-	var b strings.Builder
-	b.WriteString(Help())
+	var text strings.Builder
+	text.WriteString(Help())
 	for _, f := range filterFields {
-		fmt.Fprintf(&b, "field %s\n", f.name)
+		fmt.Fprintf(&text, "field %s\n", f.name)
 	}
-	list := func(of string, words []string) { fmt.Fprintf(&b, "%s: %s\n", of, strings.Join(words, " ")) }
+	list := func(of string, words []string) { fmt.Fprintf(&text, "%s: %s\n", of, strings.Join(words, " ")) }
 	list("facets", countFields)
 	list("answers", resultNames)
 	list("ends", registry.EndNames)
@@ -137,17 +137,17 @@
 	slices.Sort(compared)
 	list("operators", compared)
 	for _, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateDraining, balancer.StateGone} {
-		fmt.Fprintf(&b, "state: %s\n", registry.StateName(state))
+		fmt.Fprintf(&text, "state: %s\n", registry.StateName(state))
 	}
 	for _, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
-		fmt.Fprintf(&b, "stage: %s\n", stage)
+		fmt.Fprintf(&text, "stage: %s\n", stage)
 	}
-	golden.Compare(t, "vocabulary.txt", b.String())
+	golden.Compare(t, "vocabulary.txt", text.String())
 }
 
 // Words written for each constant: a name that moves to another constant shows here.
 func TestConstantsKeepTheirWords(t *testing.T) {
-	var b strings.Builder
+	var text strings.Builder
 	for _, c := range []fmt.Stringer{
 		registry.EndClosed, registry.EndRejected, registry.EndFailed, registry.EndClientLeft, registry.EndMigrated, registry.EndHeartbeatTimeout, registry.EndHandedOff,
 		proxy.CauseDecided, proxy.CauseConnectionLimit, proxy.CauseShutdown, proxy.CauseNotOpen, proxy.CauseHeartbeatTimeout, proxy.CauseQuotaExceeded,
@@ -156,30 +156,30 @@
 		balancer.ReasonWeightedDraw, balancer.ReasonWindowFull, balancer.ReasonNoneEligible, balancer.ReasonEndpointSlow, balancer.ReasonEndpointRecovering, balancer.ReasonBackoff, balancer.ReasonNoViableEndpoint,
 		balancer.ReasonDeadlineExceeded, balancer.ReasonAttemptsExhausted, balancer.ReasonNotRepeatable, balancer.ReasonLoadRelief, balancer.ReasonEndpointDraining, balancer.ReasonShutdown,
 	} {
-		fmt.Fprintf(&b, "%d %s\n", reflect.ValueOf(c).Uint(), c)
+		fmt.Fprintf(&text, "%d %s\n", reflect.ValueOf(c).Uint(), c)
 	}
-	for _, how := range []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusCancelled, balancer.StatusNotSent, balancer.StatusRedirected} {
-		fmt.Fprintf(&b, "%d %s\n", how, registry.StatusNames[how])
+	for _, status := range []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusCancelled, balancer.StatusNotSent, balancer.StatusRedirected} {
+		fmt.Fprintf(&text, "%d %s\n", status, registry.StatusNames[status])
 	}
-	golden.Compare(t, "constants.txt", b.String())
+	golden.Compare(t, "constants.txt", text.String())
 }
 
 // Answers to questions: by query, by counts, in words and as JSON.
 func TestAnswersAreStable(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // times of day are told in the machine's zone
+	time.Local = time.UTC // times of day are written in the zone of the machine
 	defer func() { time.Local = local }()
 	withEnvironment(t, func(env *environment) {
 		env.recordRejected()
 		env.beginRequest("page", func(explanation *proxy.Request) { explanation.Tenant = "acme" }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit})
-		var b strings.Builder
+		var text strings.Builder
 		for _, line := range []string{
 			"--by " + strings.Join(countFields, ","), "--json --by " + strings.Join(countFields, ","), "--by class (class \"page\")", "--json --by reason (class \"live-preview\")",
 			"(class \"none\")", "--by colour", "(colour red)", "(answer lost)", "--odd", "99", "nobody",
 		} {
-			fmt.Fprintf(&b, "> %s\n%s\n", line, env.answer(line))
+			fmt.Fprintf(&text, "> %s\n%s\n", line, env.answer(line))
 		}
-		golden.Compare(t, "answers.txt", b.String())
+		golden.Compare(t, "answers.txt", text.String())
 		golden.Compare(t, "refused.jsonl", env.answer(`--json --where (answer "unavailable")`))
 	})
 }
