--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"os"
 	"strings"
 	"sync"
 	"testing"
@@ -53,18 +54,17 @@
 
 func (*fakePersistence) Pinned(uint64) {}
 
-// useUTC has times of day written in UTC, whatever the machine's zone.
-func useUTC(t *testing.T) {
-	local := time.Local
+// TestMain makes all tests of the package write times of day in UTC, whatever the machine's zone. It is set before the first
+// test, as sessions of an earlier one may still be ending when the next test begins.
+func TestMain(m *testing.M) {
 	time.Local = time.UTC
-	t.Cleanup(func() { time.Local = local })
+	os.Exit(m.Run())
 }
 
 // withFixedServer calls do with the server of a relay whose clock is fixed and that has
 // something in every field of every answer.
 func withFixedServer(t *testing.T, do func(server *Server)) {
 	t.Helper()
-	useUTC(t)
 	synctest.Test(t, func(t *testing.T) {
 		relay := proxy.New(balancer.Settings{
 			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
@@ -163,7 +163,6 @@
 
 // What the commands answer where there is nothing to tell, or no way to.
 func TestEmptyAnswersAreStable(t *testing.T) {
-	useUTC(t)
 	server := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Persistence: &fakePersistence{lastError: errors.New("disk full")}}
 	failing := transcript(server, "store", "store --json")
 	server.Persistence = nil
