--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -17,6 +17,7 @@
 	tea "github.com/charmbracelet/bubbletea"
 	"github.com/charmbracelet/x/term"
 
+	"lockroad/internal/config"
 	"lockroad/internal/console"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/demo"
@@ -58,15 +59,15 @@
 
 // Run runs the relay until it is told to leave.
 func (c *runCommand) Run(s streams) error {
-	var site *server.Site
-	var o *server.Operator
+	var site *config.Site
+	var o *config.Operator
 	var bad error
 	if c.Site != "" {
-		if site, bad = server.ReadSite(c.Site); bad == nil {
+		if site, bad = config.ReadSite(c.Site); bad == nil {
 			o = site.Operator
 		}
 	} else {
-		o, bad = server.ReadOperator(c.Operator)
+		o, bad = config.ReadOperator(c.Operator)
 	}
 	options := logging.Options{Level: c.LogLevel, Format: c.LogForm}
 	if bad == nil {
@@ -95,20 +96,20 @@
 	return nil
 }
 
-func (c *runCommand) run(site *server.Site, o *server.Operator, log *logging.Logger, checkOnly bool) error {
+func (c *runCommand) run(site *config.Site, o *config.Operator, log *logging.Logger, checkOnly bool) error {
 	if c.Site != "" && checkOnly {
 		return nil
 	}
 	if c.Config == "" && c.Site == "" {
 		return errors.New("PROXY_CONFIG names no configuration, and neither does --config")
 	}
-	var config *server.Config
+	var platform *config.Config
 	file := c.Config
 	if site != nil {
-		config, file = site.Config, c.Site
+		platform, file = site.Config, c.Site
 	} else {
 		var err error
-		if config, err = server.ReadConfig(c.Config); err != nil || checkOnly {
+		if platform, err = config.ReadConfig(c.Config); err != nil || checkOnly {
 			return err
 		}
 	}
@@ -116,7 +117,7 @@
 		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
 			return fmt.Errorf("PROXY_ADMIN_ADDR: %q is no host:port: %w", c.Admin, err)
 		}
-		config.Admin = c.Admin
+		platform.Admin = c.Admin
 	}
 	terms := make(chan os.Signal, 1)
 	signal.Notify(terms, syscall.SIGTERM, os.Interrupt)
@@ -129,7 +130,7 @@
 		Shutdown: leave, Reload: hangups, ConfigPath: file, Site: site, LogTail: log.Tail,
 		Supervised: os.Getenv("INVOCATION_ID") != "" || os.Getenv("LOCKROAD_SUPERVISED") != "",
 	}
-	return server.Run(context.Background(), words, config, o, log.Logger)
+	return server.Run(context.Background(), words, platform, o, log.Logger)
 }
 
 // checkCommand tells what is wrong with files.
@@ -152,7 +153,7 @@
 func (c *checkCommand) Run(s streams) error {
 	code := exitOK
 	for _, file := range c.Files {
-		what, err := server.Check(file)
+		what, err := config.Check(file)
 		if err != nil {
 			fmt.Fprintln(s.errs, err)
 			code = exitFailed
--- a/cmd/lockroad/init.go
+++ b/cmd/lockroad/init.go
@@ -10,7 +10,7 @@
 	"path/filepath"
 	"strings"
 
-	"lockroad/internal/server"
+	"lockroad/internal/config"
 )
 
 // initCommand writes a site's file.
@@ -73,10 +73,10 @@
 			return fmt.Errorf("%q is no host:port: %w", address, err)
 		}
 	}
-	if err := server.WriteSite(c.File, server.RenderSite(c.Name, c.Listen, c.Socket, list)); err != nil {
+	if err := config.WriteSite(c.File, config.RenderSite(c.Name, c.Listen, c.Socket, list)); err != nil {
 		return err
 	}
-	if _, err := server.ReadSite(c.File); err != nil {
+	if _, err := config.ReadSite(c.File); err != nil {
 		return errors.Join(err, os.Remove(c.File))
 	}
 	fmt.Fprintf(s.out, "%s is written. Start: lockroad run --site %s\nLook: lockroad console --socket %s health\n", c.File, c.File, c.Socket)
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"lockroad/internal/config"
 	"lockroad/internal/fake"
 	"lockroad/internal/invariants"
 	"lockroad/internal/server"
@@ -171,7 +172,7 @@
 			servers = append(servers, one.Address())
 		}
 		file := filepath.Join(s.folder, "site.toml")
-		text := server.RenderSite("box", s.listen, filepath.Join(s.folder, "sock"), servers)
+		text := config.RenderSite("box", s.listen, filepath.Join(s.folder, "sock"), servers)
 		text = strings.Replace(text, "sockets = 4096", "sockets = 64", 1)
 		if !fair {
 			text = strings.Replace(text, "fair = true", "fair = false", 1)
@@ -179,7 +180,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		site, err := server.ReadSite(file)
+		site, err := config.ReadSite(file)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/server/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package server starts the relay, tells when it is ready, and has it leave
-// in good order.
-package server
+// Package config reads, validates and compares the files that a relay runs by: the platform's configuration (JSON), a small
+// site's file and an operator's file (TOML). No running relay is needed for it.
+package config
 
 import (
 	"encoding/json"
@@ -46,6 +46,26 @@
 // Problems.
 func ParseConfig(text []byte) (*Config, error) { return parseConfig("configuration", text, nil) }
 
+// ReadReplacement reads the configuration that is to take the place of the one with the text inForce. It has to have all
+// the keys that inForce has.
+func ReadReplacement(path string, inForce []byte) (*Config, error) {
+	text, err := readWhole(path)
+	if err != nil {
+		return nil, err
+	}
+	return parseConfig(path, text, inForce)
+}
+
+// Text returns the text that the configuration was read from, for a comparison with another.
+func (c *Config) Text() []byte { return c.text }
+
+// NeedsRestart reports whether the configuration differs from the one that the relay was started with in what only a start
+// takes: name, listen address, second address and limits.
+func (c *Config) NeedsRestart(started *Config) bool {
+	return c.Listen != started.Listen || c.Name != started.Name || c.Sockets != started.Sockets || c.MemoryMB != started.MemoryMB ||
+		c.Cores != started.Cores || c.fileAdmin != started.fileAdmin
+}
+
 // parseConfig reads a configuration; inForce is the text of the one whose place it is to
 // take, if any.
 func parseConfig(path string, text, inForce []byte) (*Config, error) {
--- /dev/null
+++ b/internal/config/config_test.go
@@ -0,0 +1,151 @@
+package config
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"lockroad/internal/config/configtest"
+	"lockroad/internal/decisionlog"
+)
+
+func TestConfigIsRead(t *testing.T) {
+	c, err := ParseConfig([]byte(configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.ClassIndex("page") != 0 ||
+		c.Zones[1] != "b" || c.Known.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
+		t.Errorf("read as %+v", c)
+	}
+	for _, text := range []string{"", "{}", strings.Replace(configtest.Text("", "d:1", "x"), `"name":"n3",`, "", 1),
+		strings.Replace(configtest.Text("l:1", "d:1", "x"), "8c1f", "zz", 1), strings.Replace(configtest.Text("l:1", "d:1", "x"), "TryLimit", "Odd", 1)} {
+		if c, err := ParseConfig([]byte(text)); err == nil {
+			t.Errorf("%q was read as %+v", text, c)
+		}
+	}
+}
+
+func TestOperatorsFile(t *testing.T) {
+	if o, err := ReadOperator(""); err != nil || !reflect.DeepEqual(*o, Operator{}) || o.DecisionLogBytes() != 0 {
+		t.Errorf("without a file: %+v, %v", o, err)
+	}
+	o, err := ReadOperator("../../deploy/operator.toml")
+	if err != nil || o.AMQP.Listen == "" || o.Console.Socket == "" || o.OTLP.Endpoint != "" {
+		t.Errorf("the file that ships: %+v, %v", o, err)
+	}
+	if o.DecisionLogBytes() != decisionlog.DefaultBytes {
+		t.Errorf("a console without a record of %d bytes", o.DecisionLogBytes())
+	}
+	for text, want := range map[string]string{
+		"[amqp]\nlisten = \"nowhere\"":            `:2: amqp.listen: "nowhere" is no host:port`,
+		"[amqp]\nlisten = \"a:b\"":                `:2: amqp.listen: port "b" is no number`,
+		"[amqp]\nserver_port = 70000\nlinks = -1": ":2: amqp.server_port: 70000 is no port\nFILE:3: amqp.links: -1 is negative",
+		"[odd]\nx = 1\n[amqp]\nlsten = \"a:1\"":   ":1: odd: there is no such key\nFILE:4: amqp.lsten: there is no such key",
+		"\n[otlp]\nendpoint = \"collector:4318\"": `:3: otlp.endpoint: "collector:4318" is no http or https URL`,
+		"[why]\nbytes = 4096":                     ":2: why.bytes: 4096 is neither 0",
+		"[why]\nbytes = \"much\"":                 ":2: why.bytes: ",
+		"[log]\nlevel = \"loud\"\nform = \"xml\"": ":2: log.level: \"loud\" is no level; expected one of debug, info, warn, error\nFILE:3: log.form: ",
+		"[amqp]\nshared = -1":                     ":2: amqp.shared: -1 is not within",
+		"[amqp.tls]\ncert = \"x\"":                ":2: amqp.tls.cert: a certificate wants its key",
+		"[amqp.tls]\ncert = \"x\"\nkey = \"y\"":   ":2: amqp.tls.cert: x and y: open x: no such file",
+		"[amqp.sasl]\nusers = \"x\"":              ":2: amqp.sasl.users: passwords would come in the clear",
+		"[amqp.sasl]\n\nanonymous = false":        ":3: amqp.sasl.anonymous: nobody could come",
+		"[amqp.servers_tls]\nname = \"x\"":        ":1: amqp.servers_tls.ca: is missing",
+		"[[amqp.grant]]\nuser = \"x\"":            ":1: amqp.grant: the 1. one wants a user and classes",
+		"[[amqp.place]]\ngive_up = \"1s\"":        ":1: amqp.place[0].class: is missing",
+		"[[amqp.place]]\ngive_up = \"soon\"":      ":2: amqp.place.give_up: ",
+		"# a comment\n\nnot toml":                 ":3: ",
+	} {
+		path := filepath.Join(t.TempDir(), "operator.toml")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		o, err := ReadOperator(path)
+		if err == nil || !strings.HasPrefix(err.Error(), path+strings.ReplaceAll(want, "FILE", path)) {
+			t.Errorf("%q was read as %+v, %v, want %s", text, o, err, want)
+		}
+		if _, again := Check(path); again == nil || again.Error() != err.Error() {
+			t.Errorf("%q: checked as %v, read as %v", text, again, err)
+		}
+	}
+}
+
+// All that is wrong with a configuration is told at once, with line and key.
+func TestConfigurationIsCheckedWhole(t *testing.T) {
+	good := configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")
+	path := filepath.Join(t.TempDir(), "config.json")
+	check := func(text string) string {
+		t.Helper()
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		what, err := Check(path)
+		if what != "platform's configuration" {
+			t.Errorf("taken for a %s", what)
+		}
+		if err == nil {
+			return ""
+		}
+		return strings.ReplaceAll(err.Error(), path, "FILE")
+	}
+	if got := check(good); got != "" {
+		t.Errorf("a sound one: %s", got)
+	}
+	bad := strings.NewReplacer("8c1f", "zz", "127.0.0.1:8500", "nowhere", `"TryLimit": 5`, `"TryLimit": "five"`, "idempotent", "sometimes", `"Zone": 1`, `"Zon": 1`).Replace(good)
+	want := []string{
+		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is no hexadecimal number of 64 bits`,
+		`FILE:1: discovery: "nowhere" is no host:port: address nowhere: missing port in address`,
+		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
+	}
+	got := strings.Split(check(bad), "\n")
+	for i, w := range want {
+		if len(got) != len(want) || !slices.ContainsFunc(got, func(g string) bool { return strings.HasPrefix(g, w) }) {
+			t.Errorf("got %q, want %q (%d)", got, w, i)
+		}
+	}
+	if got := check(strings.Replace(good, `"MaxRetryAfterUs": 2000000`, `"MaxRetryAfterUs": -2000000`, 1)); got != "FILE:8: settings.Limits.MaxRetryAfterUs: is a time of -2e+06 microseconds, which is out of range" {
+		t.Errorf("a time that is none: %s", got)
+	}
+	if got := check(good[:200]); !strings.HasPrefix(got, "FILE:") || !strings.Contains(got, "unexpected end") {
+		t.Errorf("half a file: %s", got)
+	}
+}
+
+// A file that is written anew while it is read is read again.
+func TestFileReplacedWhileItIsRead(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "config.json")
+	old, replacement := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
+	if err := os.WriteFile(file, old, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	stop, stopped := make(chan struct{}), make(chan struct{})
+	go func() {
+		defer close(stopped)
+		for i := 0; ; i++ {
+			select {
+			case <-stop:
+				return
+			default:
+			}
+			next := file + ".next"
+			_ = os.WriteFile(next, [][]byte{old, replacement}[i%2], 0o600)
+			_ = os.Rename(next, file)
+		}
+	}()
+	defer func() { close(stop); <-stopped }()
+	for range 50 {
+		text, err := readWhole(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !bytes.Equal(text, old) && !bytes.Equal(text, replacement) {
+			t.Fatalf("%d bytes of two files", len(text))
+		}
+	}
+}
--- a/internal/server/operator.go
+++ b/internal/config/operator.go
@@ -1,4 +1,4 @@
-package server
+package config
 
 import (
 	"cmp"
@@ -70,24 +70,24 @@
 	sharedIdle = span(10 * time.Second)
 )
 
-// pool is how transactions share connections to servers.
-func (a *AMQP) pool() connpool.Settings {
+// PoolSettings returns how transactions share connections to servers.
+func (a *AMQP) PoolSettings() connpool.Settings {
 	return connpool.Settings{MaxSessions: a.Shared, IdleTimeout: time.Duration(cmp.Or(a.SharedIdle, sharedIdle))}
 }
 
-// security is how clients of the front are let in.
-func (a *AMQP) security() auth.Settings {
+// AuthSettings returns how clients of the front are let in.
+func (a *AMQP) AuthSettings() auth.Settings {
 	return auth.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
 		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, ClearPlain: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
-// upstream is how servers are spoken to.
-func (a *AMQP) upstream() auth.Upstream {
+// UpstreamSettings returns how servers are spoken to.
+func (a *AMQP) UpstreamSettings() auth.Upstream {
 	return auth.Upstream{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
 }
 
-// places are the rules, ready for use. Errors name the rule and its key.
-func (a *AMQP) places() (all []amqp.Placement, err error) {
+// CompiledPlacements returns the rules, ready for use. Errors name the rule and its key.
+func (a *AMQP) CompiledPlacements() (all []amqp.Placement, err error) {
 	for i, one := range a.Placements {
 		p := amqp.Placement{Address: one.Address, Container: one.Container, Class: one.Class, Timeout: time.Duration(one.GiveUp), Group: one.Group}
 		if bad := p.Compile(); bad != nil {
@@ -128,8 +128,8 @@
 	MB  int    `toml:"mb"`  // of its files, about; 0: 64
 }
 
-// record is how many bytes the record of decisions has.
-func (o *Operator) record() int {
+// DecisionLogBytes returns how many bytes of memory the record of decisions has.
+func (o *Operator) DecisionLogBytes() int {
 	switch {
 	case o.Why.Bytes != nil:
 		return *o.Why.Bytes
@@ -182,14 +182,14 @@
 		f.add("amqp.shared", "%d is not within 0 and %d", n, sharedMost)
 	}
 	// Files are looked at as well: a check that leaves out what a start would trip over is none.
-	_, err1 := auth.New(o.AMQP.security())
-	_, err2 := auth.NewEndpointTLS(o.AMQP.upstream())
+	_, err1 := auth.New(o.AMQP.AuthSettings())
+	_, err2 := auth.NewEndpointTLS(o.AMQP.UpstreamSettings())
 	for _, err := range []error{err1, err2} {
 		if wrong := (auth.KeyError{}); errors.As(err, &wrong) {
 			f.add("amqp."+wrong.Key, "%v", wrong)
 		}
 	}
-	if _, err := o.AMQP.places(); err != nil {
+	if _, err := o.AMQP.CompiledPlacements(); err != nil {
 		for line := range strings.Lines(err.Error()) {
 			key, what, _ := strings.Cut(strings.TrimSpace(line), ": ")
 			f.add(key, "%s", what)
@@ -212,3 +212,21 @@
 		f.add("log.form", "%v", err)
 	}
 }
+
+// check tells what is wrong with the operator's words on the store.
+func (s *Store) check(f *finder) {
+	if s.MB < 0 || s.MB > 1<<20 {
+		f.add("store.mb", "%d is not within 0, for the usual, and %d", s.MB, 1<<20)
+	}
+	if s.Dir == "" {
+		if s.MB != 0 {
+			f.add("store.dir", "it is missing: without a folder nothing is kept")
+		}
+		return
+	}
+	if info, err := os.Stat(s.Dir); err != nil {
+		f.add("store.dir", "%v", err)
+	} else if !info.IsDir() {
+		f.add("store.dir", "%s is no folder", s.Dir)
+	}
+}
--- a/internal/server/problems.go
+++ b/internal/config/problems.go
@@ -1,4 +1,4 @@
-package server
+package config
 
 import (
 	"bytes"
--- a/internal/server/site.go
+++ b/internal/config/site.go
@@ -1,11 +1,10 @@
-package server
+package config
 
 import (
 	"bytes"
 	"cmp"
 	"errors"
 	"fmt"
-	"maps"
 	"net"
 	"os"
 	"slices"
@@ -183,8 +182,8 @@
 	return s, nil
 }
 
-// limits are those of a relay with so many seats.
-func (s *Site) limits(seats int) quota.Settings {
+// QuotaSettings returns the limits of a relay with so many seats.
+func (s *Site) QuotaSettings(seats int) quota.Settings {
 	set := s.Quota
 	if s.FairShare {
 		set.Fair = seats
@@ -259,68 +258,6 @@
 	return true
 }
 
-// flatten writes each value of a tree under its whole key. Of a list of tables each goes by its name or address.
-func flatten(into map[string]string, path string, v any) {
-	switch v := v.(type) {
-	case map[string]any:
-		for key, x := range v {
-			flatten(into, strings.TrimPrefix(path+"."+key, "."), x)
-		}
-	case []any:
-		for i, x := range v {
-			name := any(i)
-			if table, is := x.(map[string]any); is {
-				for _, key := range []string{"address", "id", "name", "Name"} {
-					if table[key] != nil {
-						name = table[key]
-					}
-				}
-			}
-			flatten(into, fmt.Sprintf("%s[%v]", path, name), x)
-		}
-	default:
-		into[path] = fmt.Sprint(v)
-	}
-}
-
-// live are the keys of a site's file that a reload puts in force; all others want a restart.
-func live(key string) bool {
-	if slices.Contains([]string{"limits.per_address", "limits.rate", "limits.burst", "limits.fair"}, key) {
-		return true
-	}
-	return strings.HasPrefix(key, "server[") || strings.HasPrefix(key, "class[") || key == "limits.attempts" || strings.HasPrefix(key, "health.") && key != "health.probe"
-}
-
-// differences are what another file changes, a line each; those that are not live want a restart.
-func differences(before, after map[string]string, live func(key string) bool) (all []string) {
-	keys := slices.Collect(maps.Keys(before))
-	for key := range after {
-		if _, had := before[key]; !had {
-			keys = append(keys, key)
-		}
-	}
-	slices.Sort(keys)
-	for _, key := range keys {
-		was, had := before[key]
-		is, has := after[key]
-		if had && has && was == is {
-			continue
-		}
-		line := fmt.Sprintf("%s: %q becomes %q", key, was, is)
-		switch {
-		case !had:
-			line = fmt.Sprintf("%s: %q is new", key, is)
-		case !has:
-			line = fmt.Sprintf("%s: %q goes", key, was)
-		}
-		if !live(key) {
-			line += " (with the next start only)"
-		}
-		all = append(all, line)
-	}
-	return all
-}
-
 // RenderSite is a site's file to begin with.
 func RenderSite(name, listen, socket string, servers []string) string {
 	var b strings.Builder
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -26,6 +26,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	spanpb "go.opentelemetry.io/proto/otlp/trace/v1"
 
+	"lockroad/internal/config"
 	"lockroad/internal/console"
 	"lockroad/internal/explain"
 	"lockroad/internal/fake"
@@ -192,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	config, err := server.ParseConfig(text)
+	platform, err := config.ParseConfig(text)
 	if err != nil {
 		return err
 	}
@@ -203,15 +204,15 @@
 	d.collector = &fake.Collector{}
 	d.telemetry = &http.Server{Handler: d.collector, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = d.telemetry.Serve(l) }()
-	operator := &server.Operator{
-		AMQP:    server.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
-		Console: server.Console{Socket: d.socket},
-		OTLP:    server.OTLP{Endpoint: "http://" + l.Addr().String()},
-		Why:     server.Why{Bytes: &d.Bytes},
+	operator := &config.Operator{
+		AMQP:    config.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
+		Console: config.Console{Socket: d.socket},
+		OTLP:    config.OTLP{Endpoint: "http://" + l.Addr().String()},
+		Why:     config.Why{Bytes: &d.Bytes},
 	}
 	ctx, d.cancel = context.WithCancel(ctx)
 	d.ended = make(chan error, 1)
-	go func() { d.ended <- server.Run(ctx, server.RunOptions{}, config, operator, d.Log) }()
+	go func() { d.ended <- server.Run(ctx, server.RunOptions{}, platform, operator, d.Log) }()
 	for late := time.Now().Add(10 * time.Second); ; {
 		if d.fronts, err = d.listens(); err == nil {
 			break
--- a/internal/faulttest/scene.go
+++ b/internal/faulttest/scene.go
@@ -16,6 +16,7 @@
 	"sync"
 	"time"
 
+	"lockroad/internal/config"
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
 	"lockroad/internal/fake"
@@ -141,20 +142,20 @@
 	if err != nil {
 		return err
 	}
-	config, err := server.ParseConfig(text)
+	platform, err := config.ParseConfig(text)
 	if err != nil {
 		return err
 	}
-	config.Discovery = at
+	platform.Discovery = at
 	if st.folder, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
 		return err
 	}
 	st.socket = filepath.Join(st.folder, "console")
-	o := &server.Operator{Console: server.Console{Socket: st.socket}, AMQP: server.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, Shared: st.Shared}}
+	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, Shared: st.Shared}}
 	ctx, st.cancel = context.WithCancel(ctx)
 	st.ended = make(chan error, 1)
 	go func() {
-		st.ended <- server.Run(ctx, server.RunOptions{}, config, o, slog.New(slog.DiscardHandler))
+		st.ended <- server.Run(ctx, server.RunOptions{}, platform, o, slog.New(slog.DiscardHandler))
 	}()
 	front, err := st.front()
 	if err != nil {
--- a/internal/server/keep.go
+++ b/internal/server/keep.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
 	"slices"
 	"strings"
 	"sync"
@@ -12,6 +11,7 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/config"
 	"lockroad/internal/explain"
 	"lockroad/internal/persistence"
 	"lockroad/internal/proxy"
@@ -53,7 +53,7 @@
 func (k *keeper) wait() { k.off = errNotYet }
 
 // open opens the store, if one is wanted and it is not the old process's still.
-func (k *keeper) open(o Store) {
+func (k *keeper) open(o config.Store) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o.Dir == "" {
@@ -277,7 +277,7 @@
 
 // run lets orders expire and keeps what is learnt, until ctx ends. A process that has taken over
 // opens the store once the old one has let go of it.
-func (k *keeper) run(ctx context.Context, o Store) error {
+func (k *keeper) run(ctx context.Context, o config.Store) error {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	late := o.Dir != "" && k.r.guest != nil
@@ -307,7 +307,7 @@
 }
 
 // openLate opens the store that an old process has just let go of, or is about to.
-func (k *keeper) openLate(ctx context.Context, o Store) {
+func (k *keeper) openLate(ctx context.Context, o config.Store) {
 	letGo(ctx, func() bool {
 		lock, err := store.Dir(o.Dir).Lock()
 		if err == nil {
@@ -397,21 +397,3 @@
 		k.store, k.off = nil, store.ErrClosed
 	}
 }
-
-// check tells what is wrong with the operator's words on the store.
-func (s *Store) check(f *finder) {
-	if s.MB < 0 || s.MB > 1<<20 {
-		f.add("store.mb", "%d is not within 0, for the usual, and %d", s.MB, 1<<20)
-	}
-	if s.Dir == "" {
-		if s.MB != 0 {
-			f.add("store.dir", "it is missing: without a folder nothing is kept")
-		}
-		return
-	}
-	if info, err := os.Stat(s.Dir); err != nil {
-		f.add("store.dir", "%v", err)
-	} else if !info.IsDir() {
-		f.add("store.dir", "%s is no folder", s.Dir)
-	}
-}
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -15,6 +15,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/config"
+	"lockroad/internal/config/configtest"
 	"lockroad/internal/console"
 	"lockroad/internal/discovery"
 	"lockroad/internal/persistence"
@@ -68,7 +70,7 @@
 func TestManyServersInTheFirstConfiguration(t *testing.T) {
 	for _, n := range manyServers {
 		var fields map[string]any
-		if err := json.Unmarshal([]byte(configText("127.0.0.1:3000", "127.0.0.1:8500", "x")), &fields); err != nil {
+		if err := json.Unmarshal([]byte(configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")), &fields); err != nil {
 			t.Fatal(err)
 		}
 		fields["known"] = listOf(n)
@@ -77,7 +79,7 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := ReadConfig(file); err != nil || len(c.Known.Members) != n {
+		if c, err := config.ReadConfig(file); err != nil || len(c.Known.Members) != n {
 			t.Errorf("%d servers: %d are read, %v", n, len(c.Known.Members), err)
 		}
 	}
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"bytes"
 	"fmt"
 	"io"
 	"log/slog"
@@ -12,6 +11,8 @@
 	"syscall"
 	"testing"
 
+	"lockroad/internal/config"
+	"lockroad/internal/config/configtest"
 	"lockroad/internal/discovery"
 	"lockroad/internal/proxy"
 	"lockroad/internal/testutil"
@@ -53,7 +54,7 @@
 // Each of these files is turned down whole, counted, and told of with its key.
 func TestBrokenConfigurationsChangeNothing(t *testing.T) {
 	agent := listen(t)
-	good := configText("127.0.0.1:0", agent.Addr().String(), "x")
+	good := configtest.Text("127.0.0.1:0", agent.Addr().String(), "x")
 	added := strings.Replace(good, `[{"AimUs"`, `[{"Name": "extra", "AimUs": 900000, "DeadlineUs": 2000000, "Semantics": "at_most_once"}, {"AimUs"`, 1)
 	with := func(old, replacement string) string {
 		if !strings.Contains(added, old) {
@@ -85,7 +86,7 @@
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
 	var log lines
 	admin := freeAddress(t)
-	address, _ := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &Operator{}, &log)
+	address, _ := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, &log)
 	n := 0
 	for text, want := range broken {
 		write(t, file, text)
@@ -116,16 +117,16 @@
 
 // A second address that is malformed or taken ends the start, and the error names the key.
 func TestSecondAddressIsChecked(t *testing.T) {
-	text := strings.Replace(configText("127.0.0.1:0", "127.0.0.1:1", "x"), `"name"`, `"admin_addr": "nowhere", "name"`, 1)
-	if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), `:1: admin_addr: "nowhere" is no host:port`) {
+	text := strings.Replace(configtest.Text("127.0.0.1:0", "127.0.0.1:1", "x"), `"name"`, `"admin_addr": "nowhere", "name"`, 1)
+	if _, err := config.ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), `:1: admin_addr: "nowhere" is no host:port`) {
 		t.Errorf("malformed: %v", err)
 	}
 	taken := listen(t).Addr().String()
-	c, err := ParseConfig([]byte(strings.Replace(text, "nowhere", taken, 1)))
+	c, err := config.ParseConfig([]byte(strings.Replace(text, "nowhere", taken, 1)))
 	if err != nil || c.Admin != taken {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if err := Run(t.Context(), RunOptions{}, c, &Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
+	if err := Run(t.Context(), RunOptions{}, c, &config.Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
 		t.Errorf("taken: %v", err)
 	}
 }
@@ -135,9 +136,9 @@
 	agent := listen(t)
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal, 1)
 	admin := freeAddress(t)
-	address, done := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &Operator{}, io.Discard)
+	address, done := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, io.Discard)
 	stays := open(t, address)
-	text := configText("127.0.0.1:0", agent.Addr().String(), "x")
+	text := configtest.Text("127.0.0.1:0", agent.Addr().String(), "x")
 	for i := range 3 {
 		class := fmt.Sprintf("class-%d", i)
 		write(t, file, strings.Replace(text, `"page"`, `"`+class+`"`, 1))
@@ -165,42 +166,11 @@
 	}
 }
 
-// A file that is written anew while it is read is read again.
-func TestFileReplacedWhileItIsRead(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "config.json")
-	old, replacement := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
-	write(t, file, string(old))
-	stop, stopped := make(chan struct{}), make(chan struct{})
-	go func() {
-		defer close(stopped)
-		for i := 0; ; i++ {
-			select {
-			case <-stop:
-				return
-			default:
-			}
-			next := file + ".next"
-			_ = os.WriteFile(next, [][]byte{old, replacement}[i%2], 0o600)
-			_ = os.Rename(next, file)
-		}
-	}()
-	defer func() { close(stop); <-stopped }()
-	for range 50 {
-		text, err := readWhole(file)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !bytes.Equal(text, old) && !bytes.Equal(text, replacement) {
-			t.Fatalf("%d bytes of two files", len(text))
-		}
-	}
-}
-
 // A configuration that names the localities in another order moves no server to another zone, and the relay stays in its own.
 func TestLocalitiesMayComeInAnotherOrder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	good := configText("127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1")
-	c, err := ParseConfig([]byte(good))
+	good := configtest.Text("127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1")
+	c, err := config.ParseConfig([]byte(good))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/run.go
+++ b/internal/server/run.go
@@ -1,3 +1,5 @@
+// Package server starts the relay, tells when it is ready, and has it leave
+// in good order.
 package server
 
 import (
@@ -18,6 +20,7 @@
 	"lockroad/internal/admin"
 	"lockroad/internal/assert"
 	"lockroad/internal/auth"
+	"lockroad/internal/config"
 	"lockroad/internal/console"
 	"lockroad/internal/decisionlog"
 	"lockroad/internal/discovery"
@@ -82,7 +85,7 @@
 	Shutdown   <-chan struct{}         // closed once it is to leave
 	Reload     <-chan os.Signal        // a value each time the configuration's file has been replaced
 	ConfigPath string                  // the configuration's, or the site's
-	Site       *Site                   // that the configuration is of; nil: the platform's, with a discovery
+	Site       *config.Site            // that the configuration is of; nil: the platform's, with a discovery
 	LogTail    func(most int) []string // the last lines of the log; nil: none are kept
 	// Supervised says that whoever started the relay starts it again after ErrRestart.
 	Supervised bool
@@ -93,7 +96,7 @@
 
 // relay is a relay that has been started.
 type relay struct {
-	config  *Config
+	config  *config.Config
 	core    *proxy.Proxy
 	log     *slog.Logger
 	watcher *discovery.Watcher
@@ -121,7 +124,7 @@
 
 // Run runs a relay until it is told to leave, by the platform or at the console,
 // and everyone has been moved, or until ctx ends.
-func Run(ctx context.Context, words RunOptions, c *Config, o *Operator, log *slog.Logger) error {
+func Run(ctx context.Context, words RunOptions, c *config.Config, o *config.Operator, log *slog.Logger) error {
 	if c.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
 	}
@@ -191,7 +194,7 @@
 		return err
 	}
 	if s := words.Site; s != nil { // nobody has been let in yet
-		r.core.Quota = quota.New(s.limits(r.seats))
+		r.core.Quota = quota.New(s.QuotaSettings(r.seats))
 	}
 	r.unused()
 	defer r.close()
@@ -277,9 +280,9 @@
 
 // observe has transactions logged and, if the operator wants it, their decisions kept.
 // The record comes first, as telemetry reads of it what has ended.
-func (r *relay) observe(o *Operator) error {
+func (r *relay) observe(o *config.Operator) error {
 	r.core.Log = r.log
-	if n := o.record(); n > 0 {
+	if n := o.DecisionLogBytes(); n > 0 {
 		var err error
 		if r.record, err = decisionlog.New(n, r.core.Clock); err != nil {
 			return err
@@ -296,7 +299,7 @@
 }
 
 // open opens the fronts' listeners.
-func (r *relay) open(o *Operator) error {
+func (r *relay) open(o *config.Operator) error {
 	c := r.config
 	seats, waiting := 4096, 1024
 	if c.Sockets > 0 {
@@ -330,15 +333,15 @@
 	}
 	hall = &listener.ConnLimiter{Slots: links, MaxIdle: waiting}
 	r.halls = append(r.halls, hall)
-	front := &amqp.Frontend{Proxy: r.core, EndpointPort: o.AMQP.EndpointPort, Limiter: hall, Pool: o.AMQP.pool()}
+	front := &amqp.Frontend{Proxy: r.core, EndpointPort: o.AMQP.EndpointPort, Limiter: hall, Pool: o.AMQP.PoolSettings()}
 	var err error
-	if front.Placements, err = o.AMQP.places(); err != nil {
+	if front.Placements, err = o.AMQP.CompiledPlacements(); err != nil {
 		return err
 	}
-	if r.keys.gate, err = auth.New(o.AMQP.security()); err != nil {
+	if r.keys.gate, err = auth.New(o.AMQP.AuthSettings()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
-	if r.keys.servers, err = auth.NewEndpointTLS(o.AMQP.upstream()); err != nil {
+	if r.keys.servers, err = auth.NewEndpointTLS(o.AMQP.UpstreamSettings()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
 	front.Authenticator, front.EndpointTLS = r.keys.gate, r.keys.servers
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -10,9 +10,7 @@
 	"net"
 	"os"
 	"path/filepath"
-	"reflect"
 	"regexp"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -22,126 +20,11 @@
 
 	"github.com/Azure/go-amqp"
 
+	"lockroad/internal/config"
+	"lockroad/internal/config/configtest"
 	"lockroad/internal/console"
-	"lockroad/internal/decisionlog"
 )
 
-const settingsText = `{
-	"Classes": [{"AimUs": 800000, "DeadlineUs": 1500000, "KeyScope": "all", "Name": "page", "Semantics": "idempotent"}],
-	"Discovery": "push", "Localities": ["a", "b"], "NInstances": 3, "QuantumUs": 2000, "Zone": 1,
-	"Guarantees": {"ColdUs": 23000000, "FallUs": 3000000, "StartCapacity": 0.12, "TipMultiple": 3.0},
-	"Limits": {"ConnectTimeoutUs": 500000, "MaxRetryAfterUs": 2000000, "RetryAfter": false, "TryLimit": 5}}`
-
-func configText(listen, discovery, server string) string {
-	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
-		"known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":%q,"locality":"a","flavor":"m","cell":1,
-		"phase":"ready","size":1.0,"up_since_ms":0}]},"settings":%s}`, listen, discovery, server, settingsText)
-}
-
-func TestConfigIsRead(t *testing.T) {
-	c, err := ParseConfig([]byte(configText("127.0.0.1:3000", "127.0.0.1:8500", "x")))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.ClassIndex("page") != 0 ||
-		c.Zones[1] != "b" || c.Known.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
-		t.Errorf("read as %+v", c)
-	}
-	for _, text := range []string{"", "{}", strings.Replace(configText("", "d:1", "x"), `"name":"n3",`, "", 1),
-		strings.Replace(configText("l:1", "d:1", "x"), "8c1f", "zz", 1), strings.Replace(configText("l:1", "d:1", "x"), "TryLimit", "Odd", 1)} {
-		if c, err := ParseConfig([]byte(text)); err == nil {
-			t.Errorf("%q was read as %+v", text, c)
-		}
-	}
-}
-
-func TestOperatorsFile(t *testing.T) {
-	if o, err := ReadOperator(""); err != nil || !reflect.DeepEqual(*o, Operator{}) || o.record() != 0 {
-		t.Errorf("without a file: %+v, %v", o, err)
-	}
-	o, err := ReadOperator("../../deploy/operator.toml")
-	if err != nil || o.AMQP.Listen == "" || o.Console.Socket == "" || o.OTLP.Endpoint != "" {
-		t.Errorf("the file that ships: %+v, %v", o, err)
-	}
-	if o.record() != decisionlog.DefaultBytes {
-		t.Errorf("a console without a record of %d bytes", o.record())
-	}
-	for text, want := range map[string]string{
-		"[amqp]\nlisten = \"nowhere\"":            `:2: amqp.listen: "nowhere" is no host:port`,
-		"[amqp]\nlisten = \"a:b\"":                `:2: amqp.listen: port "b" is no number`,
-		"[amqp]\nserver_port = 70000\nlinks = -1": ":2: amqp.server_port: 70000 is no port\nFILE:3: amqp.links: -1 is negative",
-		"[odd]\nx = 1\n[amqp]\nlsten = \"a:1\"":   ":1: odd: there is no such key\nFILE:4: amqp.lsten: there is no such key",
-		"\n[otlp]\nendpoint = \"collector:4318\"": `:3: otlp.endpoint: "collector:4318" is no http or https URL`,
-		"[why]\nbytes = 4096":                     ":2: why.bytes: 4096 is neither 0",
-		"[why]\nbytes = \"much\"":                 ":2: why.bytes: ",
-		"[log]\nlevel = \"loud\"\nform = \"xml\"": ":2: log.level: \"loud\" is no level; expected one of debug, info, warn, error\nFILE:3: log.form: ",
-		"[amqp]\nshared = -1":                     ":2: amqp.shared: -1 is not within",
-		"[amqp.tls]\ncert = \"x\"":                ":2: amqp.tls.cert: a certificate wants its key",
-		"[amqp.tls]\ncert = \"x\"\nkey = \"y\"":   ":2: amqp.tls.cert: x and y: open x: no such file",
-		"[amqp.sasl]\nusers = \"x\"":              ":2: amqp.sasl.users: passwords would come in the clear",
-		"[amqp.sasl]\n\nanonymous = false":        ":3: amqp.sasl.anonymous: nobody could come",
-		"[amqp.servers_tls]\nname = \"x\"":        ":1: amqp.servers_tls.ca: is missing",
-		"[[amqp.grant]]\nuser = \"x\"":            ":1: amqp.grant: the 1. one wants a user and classes",
-		"[[amqp.place]]\ngive_up = \"1s\"":        ":1: amqp.place[0].class: is missing",
-		"[[amqp.place]]\ngive_up = \"soon\"":      ":2: amqp.place.give_up: ",
-		"# a comment\n\nnot toml":                 ":3: ",
-	} {
-		path := filepath.Join(t.TempDir(), "operator.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		o, err := ReadOperator(path)
-		if err == nil || !strings.HasPrefix(err.Error(), path+strings.ReplaceAll(want, "FILE", path)) {
-			t.Errorf("%q was read as %+v, %v, want %s", text, o, err, want)
-		}
-		if _, again := Check(path); again == nil || again.Error() != err.Error() {
-			t.Errorf("%q: checked as %v, read as %v", text, again, err)
-		}
-	}
-}
-
-// All that is wrong with a configuration is told at once, with line and key.
-func TestConfigurationIsCheckedWhole(t *testing.T) {
-	good := configText("127.0.0.1:3000", "127.0.0.1:8500", "x")
-	path := filepath.Join(t.TempDir(), "config.json")
-	check := func(text string) string {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		what, err := Check(path)
-		if what != "platform's configuration" {
-			t.Errorf("taken for a %s", what)
-		}
-		if err == nil {
-			return ""
-		}
-		return strings.ReplaceAll(err.Error(), path, "FILE")
-	}
-	if got := check(good); got != "" {
-		t.Errorf("a sound one: %s", got)
-	}
-	bad := strings.NewReplacer("8c1f", "zz", "127.0.0.1:8500", "nowhere", `"TryLimit": 5`, `"TryLimit": "five"`, "idempotent", "sometimes", `"Zone": 1`, `"Zon": 1`).Replace(good)
-	want := []string{
-		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is no hexadecimal number of 64 bits`,
-		`FILE:1: discovery: "nowhere" is no host:port: address nowhere: missing port in address`,
-		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
-	}
-	got := strings.Split(check(bad), "\n")
-	for i, w := range want {
-		if len(got) != len(want) || !slices.ContainsFunc(got, func(g string) bool { return strings.HasPrefix(g, w) }) {
-			t.Errorf("got %q, want %q (%d)", got, w, i)
-		}
-	}
-	if got := check(strings.Replace(good, `"MaxRetryAfterUs": 2000000`, `"MaxRetryAfterUs": -2000000`, 1)); got != "FILE:8: settings.Limits.MaxRetryAfterUs: is a time of -2e+06 microseconds, which is out of range" {
-		t.Errorf("a time that is none: %s", got)
-	}
-	if got := check(good[:200]); !strings.HasPrefix(got, "FILE:") || !strings.Contains(got, "unexpected end") {
-		t.Errorf("half a file: %s", got)
-	}
-}
-
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -201,7 +84,7 @@
 
 // start runs a relay with a server that takes everyone. It returns where its line
 // front listens, and its end.
-func start(t *testing.T, words RunOptions, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+func start(t *testing.T, words RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	return startAt(t, "", words, discovery, o, log)
 }
@@ -219,7 +102,7 @@
 }
 
 // startAt is the same, with a second address.
-func startAt(t *testing.T, admin string, words RunOptions, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+func startAt(t *testing.T, admin string, words RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	server := listen(t)
 	go accepts(t, server, "UP 1\r\n")
@@ -227,15 +110,15 @@
 }
 
 // startOn is the same, with a server of the test's own.
-func startOn(t *testing.T, admin string, words RunOptions, discovery, server net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+func startOn(t *testing.T, admin string, words RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startFrom(t, configText("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, words, o, log)
+	return startFrom(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, words, o, log)
 }
 
 // startFrom is the same, with a configuration of the test's own.
-func startFrom(t *testing.T, config, admin string, words RunOptions, o *Operator, log io.Writer) (address string, done <-chan error) {
+func startFrom(t *testing.T, text, admin string, words RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	c, err := ParseConfig([]byte(config))
+	c, err := config.ParseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +152,7 @@
 // others, everyone is told to move, and the relay ends well before SIGKILL.
 func TestRelayLeavesInGoodOrder(t *testing.T) {
 	drain := make(chan struct{})
-	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), &Operator{AMQP: AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
+	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), &config.Operator{AMQP: config.AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
 	clients := []*bufio.Reader{open(t, address)}
 	told := time.Now()
 	close(drain)
@@ -286,10 +169,10 @@
 // one of lines that has said nothing to come again.
 func TestIdleClientsAreToldOfTheEndThoughItComesSoon(t *testing.T) {
 	drain := make(chan struct{})
-	config := strings.Replace(configText("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
+	text := strings.Replace(configtest.Text("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
 	free := listen(t)
 	free.Close()
-	address, done := startFrom(t, config, "", RunOptions{Shutdown: drain}, &Operator{AMQP: AMQP{Listen: free.Addr().String()}}, io.Discard)
+	address, done := startFrom(t, text, "", RunOptions{Shutdown: drain}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
 	idle, err := amqp.Dial(t.Context(), "amqp://"+free.Addr().String(), &amqp.ConnOptions{SASLType: amqp.SASLTypeAnonymous()})
 	if err != nil {
 		t.Fatal(err)
@@ -337,7 +220,7 @@
 		}
 	}()
 	drain := make(chan struct{})
-	address, done := startOn(t, "", RunOptions{Shutdown: drain}, agent, server, &Operator{}, io.Discard)
+	address, done := startOn(t, "", RunOptions{Shutdown: drain}, agent, server, &config.Operator{}, io.Discard)
 	say := func(text string) *bufio.Reader {
 		t.Helper()
 		c, err := net.Dial("tcp", address)
@@ -372,7 +255,7 @@
 // A relay that leaves while it is asked answers whole or not at all, and leaves in time.
 func TestRelayLeavesWhileItIsAsked(t *testing.T) {
 	drain := make(chan struct{})
-	o := &Operator{}
+	o := &config.Operator{}
 	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
 	for range 3 {
 		open(t, address)
@@ -409,7 +292,7 @@
 	t.Cleanup(func() { firstList = usual })
 	agent, other := listen(t), listen(t)
 	go accepts(t, other, "UP 2\r\n")
-	address, _ := start(t, RunOptions{}, agent, &Operator{}, io.Discard)
+	address, _ := start(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
 	_, _, conn := heldWatch(t, agent)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -464,7 +347,7 @@
 	}
 	agents := []net.Listener{listen(t), listen(t), listen(t)}
 	var log lines
-	o := &Operator{}
+	o := &config.Operator{}
 	address, done := start(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
 	asked, old := watch(t, agents[0])
 	if asked != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
@@ -485,8 +368,8 @@
 	}
 	for _, next := range agents[1:] {
 		unreadable("{half a fi")
-		unreadable(configText("127.0.0.1:0", "no address", "x"))
-		replace(configText("127.0.0.1:0", next.Addr().String(), "x"))
+		unreadable(configtest.Text("127.0.0.1:0", "no address", "x"))
+		replace(configtest.Text("127.0.0.1:0", next.Addr().String(), "x"))
 		if _, err := io.Copy(io.Discard, old); err != nil {
 			t.Errorf("the watch at the old address ended with %v", err)
 		}
