--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -13,15 +13,15 @@
 )
 
 // wholeState is what a new process is given to begin with, with every field set.
-func wholeState() state {
+func wholeState() handoffState {
 	ms := time.Millisecond
-	return state{
+	return handoffState{
 		Agent: "127.0.0.1:9000",
 		List: discovery.List{Revision: 41, Complete: true, Members: []discovery.Member{{
 			ID: "s-5be2a07c", HostPort: "127.0.0.1:8001", Locality: "east", Flavor: "large", Cell: 3, Phase: "draining", Size: 1.5, UpSince: 1786000000123,
 		}}},
 		Names: map[balancer.EndpointID]string{0x5be2a07c: "s-5be2a07c", 9: "an odd name"},
-		Memory: balancer.Snapshot{
+		Snapshot: balancer.Snapshot{
 			Salt: 0xfedcba9876543210,
 			Endpoints: []balancer.EndpointSnapshot{{
 				ID: 0x5be2a07c, Weight: 1.25, WeightSetAt: 1001 * ms, LastAttemptAt: 1002 * ms, EstablishedAt: 1003 * ms, FailedAt: 1004 * ms, SlowAt: 1005 * ms,
@@ -32,10 +32,10 @@
 			ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * ms, CountedFrom: 5002 * ms},
 			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
 		},
-		Beats: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTime: 7}},
-		Open:  []registry.RequestName{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
-		Seats: []int{17, 4},
-		Orders: []persistence.DrainDirective{{
+		ReportTimings: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTime: 7}},
+		OpenRequests:  []registry.RequestName{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
+		SlotsInUse:    []int{17, 4},
+		DrainDirectives: []persistence.DrainDirective{{
 			Endpoint: "s-1", By: "uid 1000", Reason: "new strings",
 			Since: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC), Until: time.Date(2026, 7, 8, 10, 10, 11, 0, time.UTC),
 		}},
@@ -45,16 +45,16 @@
 func TestStateKeepsItsEncoding(t *testing.T) {
 	testutil.Complete(t, wholeState())
 	testutil.GoldenJSON(t, "testdata/state.json", wholeState())
-	testutil.GoldenJSON(t, "testdata/state-zero.json", state{})
-	testutil.GoldenJSON(t, "testdata/state-zero-elements.json", state{
-		List:   discovery.List{Members: make([]discovery.Member, 1)},
-		Names:  map[balancer.EndpointID]string{0: ""},
-		Beats:  map[balancer.EndpointID]line.ReportTiming{0: {}},
-		Open:   make([]registry.RequestName, 1),
-		Orders: make([]persistence.DrainDirective, 1),
+	testutil.GoldenJSON(t, "testdata/state-zero.json", handoffState{})
+	testutil.GoldenJSON(t, "testdata/state-zero-elements.json", handoffState{
+		List:            discovery.List{Members: make([]discovery.Member, 1)},
+		Names:           map[balancer.EndpointID]string{0: ""},
+		ReportTimings:   map[balancer.EndpointID]line.ReportTiming{0: {}},
+		OpenRequests:    make([]registry.RequestName, 1),
+		DrainDirectives: make([]persistence.DrainDirective, 1),
 	})
 }
 
 func TestStateFieldsAreTagged(t *testing.T) {
-	testutil.Tagged(t, []string{"json"}, state{})
+	testutil.Tagged(t, []string{"json"}, handoffState{})
 }
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -160,7 +160,7 @@
 		for i, m := range known.List.Members {
 			known.Names[balancer.EndpointID(i+1)] = m.ID
 		}
-		if err := learnt(s).Commit(t.Context(), learntKey, known); err != nil {
+		if err := snapshotTable(s).Commit(t.Context(), snapshotKey, known); err != nil {
 			t.Errorf("%d servers: what is learnt is not kept: %v", n, err)
 		}
 		orders := &store.Table[persistence.DrainDirective]{Store: s, Kind: persistence.KindDrainDirectives, Version: 1}
@@ -178,7 +178,7 @@
 		if s, _, err = store.Open(store.Dir(dir), store.Options{Kinds: persistence.Kinds()}); err != nil {
 			t.Fatal(err)
 		}
-		got, _, ok, err := learnt(s).Get(learntKey)
+		got, _, ok, err := snapshotTable(s).Get(snapshotKey)
 		if !ok || err != nil || len(got.List.Members) != n || len(got.Balancer.Endpoints) != n || len(got.Balancer.Routes) != 4096 {
 			t.Errorf("%d servers: %v, %v, %d, %d and %d are read back", n, ok, err, len(got.List.Members), len(got.Balancer.Endpoints), len(got.Balancer.Routes))
 		}
@@ -216,7 +216,7 @@
 // What is handed over of a large farm fits into one message.
 func TestManyServersAreHandedOver(t *testing.T) {
 	for _, n := range manyServers {
-		text, err := json.Marshal(state{List: listOf(n), Memory: learntOf(n)})
+		text, err := json.Marshal(handoffState{List: listOf(n), Snapshot: learntOf(n)})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -6,78 +6,78 @@
 	"lockroad/internal/config"
 )
 
-// reloadAsk is a reload that someone asks for at the console.
-type reloadAsk struct {
-	dry    bool              // only tell what it would change
-	answer chan reloadAnswer // nil: nobody waits for one
+// reloadRequest is a reload that someone asks for at the console.
+type reloadRequest struct {
+	dryRun bool              // only tell what it would change
+	result chan reloadResult // nil: nobody waits for one
 }
 
-type reloadAnswer struct {
+type reloadResult struct {
 	changes []string
 	err     error
 }
 
-// askReload has the file taken, as SIGHUP has, or with dry tells what that would change.
-func (r *relay) askReload(ctx context.Context, dry bool) ([]string, error) {
-	ask := reloadAsk{dry, make(chan reloadAnswer, 1)}
+// requestReload has the file taken, as SIGHUP has, or with dry tells what that would change.
+func (r *relay) requestReload(ctx context.Context, dry bool) ([]string, error) {
+	ask := reloadRequest{dry, make(chan reloadResult, 1)}
 	select {
-	case r.reloads <- ask:
+	case r.reloadRequests <- ask:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	select {
-	case a := <-ask.answer:
+	case a := <-ask.result:
 		return a.changes, a.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// reload takes a new configuration each time the file has been replaced: its settings and
+// runReloads takes a new configuration each time the file has been replaced: its settings and
 // the address of discovery, or a site's servers. One that can't be read, or has anything wrong with it,
 // changes nothing.
-func (r *relay) reload(ctx context.Context, words RunOptions) error {
-	take := r.platform(words)
-	if words.Site != nil {
-		take = r.site(words)
+func (r *relay) runReloads(ctx context.Context, options RunOptions) error {
+	take := r.platformReloader(options)
+	if options.Site != nil {
+		take = r.siteReloader(options)
 	}
 	for {
-		ask := reloadAsk{}
+		ask := reloadRequest{}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-words.Reload:
-		case ask = <-r.reloads:
+		case <-options.Reload:
+		case ask = <-r.reloadRequests:
 		}
 		changes, err := take(ask)
-		if !ask.dry {
-			r.keys.reload(r.log)
+		if !ask.dryRun {
+			r.credentials.reload(r.log)
 		}
 		switch {
-		case err != nil && !ask.dry:
-			r.core.Metrics.ReloadsRejected.Add(1)
+		case err != nil && !ask.dryRun:
+			r.proxy.Metrics.ReloadsRejected.Add(1)
 			r.log.Error("the configuration stays as it was", "error", err)
-		case !ask.dry:
-			r.core.Metrics.ReloadsApplied.Add(1)
+		case !ask.dryRun:
+			r.proxy.Metrics.ReloadsApplied.Add(1)
 		}
-		if ask.answer != nil {
-			ask.answer <- reloadAnswer{changes, err}
+		if ask.result != nil {
+			ask.result <- reloadResult{changes, err}
 		}
 	}
 }
 
-// platform takes the platform's configuration. It tells what it changes, where someone wants to know.
-func (r *relay) platform(words RunOptions) func(reloadAsk) ([]string, error) {
+// platformReloader takes the platform's configuration. It tells what it changes, where someone wants to know.
+func (r *relay) platformReloader(options RunOptions) func(reloadRequest) ([]string, error) {
 	inForce, fixed := r.config.Text(), r.config
-	return func(ask reloadAsk) (changes []string, err error) {
-		c, err := config.ReadReplacement(words.ConfigPath, inForce)
+	return func(ask reloadRequest) (changes []string, err error) {
+		c, err := config.ReadReplacement(options.ConfigPath, inForce)
 		if err != nil {
 			return nil, err
 		}
-		if ask.answer != nil { // under load, at SIGHUP, nobody reads it
+		if ask.result != nil { // under load, at SIGHUP, nobody reads it
 			changes = config.Differences(inForce, c.Text())
 		}
-		if ask.dry {
+		if ask.dryRun {
 			return changes, nil
 		}
 		if c.NeedsRestart(fixed) {
@@ -87,29 +87,29 @@
 			c.Settings.Zone = r.watcher.ZoneNumber(c.Zones[zone])
 		}
 		inForce = c.Text()
-		r.core.UpdateSettings(&c.Settings)
+		r.proxy.UpdateSettings(&c.Settings)
 		r.watcher.SetAddress(c.Discovery)
 		r.log.Info("configuration taken", "discovery", c.Discovery, "classes", len(c.Settings.Classes), "attempts", c.Settings.MaxAttempts)
 		return changes, nil
 	}
 }
 
-// site takes a site's file. It tells what it changes.
-func (r *relay) site(words RunOptions) func(reloadAsk) ([]string, error) {
-	inForce := words.Site
-	return func(ask reloadAsk) ([]string, error) {
-		next, err := config.ReadSite(words.ConfigPath)
+// siteReloader takes a site's file. It tells what it changes.
+func (r *relay) siteReloader(options RunOptions) func(reloadRequest) ([]string, error) {
+	inForce := options.Site
+	return func(ask reloadRequest) ([]string, error) {
+		next, err := config.ReadSite(options.ConfigPath)
 		if err != nil {
 			return nil, err
 		}
 		changes := inForce.Differences(next)
-		if ask.dry {
+		if ask.dryRun {
 			return changes, nil
 		}
 		inForce = next
-		r.core.UpdateSettings(&next.Config.Settings)
+		r.proxy.UpdateSettings(&next.Config.Settings)
 		r.prober.Replace(next.Health, next.Servers)
-		r.core.Quota.UpdateSettings(next.QuotaSettings(r.seats))
+		r.proxy.Quota.UpdateSettings(next.QuotaSettings(r.slots))
 		for _, change := range changes {
 			r.log.Info("the site's file", "change", change)
 		}
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -42,8 +42,8 @@
 		var out strings.Builder
 		if console.Run(socket, "fronts", nil, &out, io.Discard) == console.ExitOK {
 			for text := range strings.Lines(out.String()) {
-				if words := strings.Fields(text); words[0] == "line" {
-					return words[1]
+				if options := strings.Fields(text); options[0] == "line" {
+					return options[1]
 				}
 			}
 		}
@@ -84,9 +84,9 @@
 
 // start runs a relay with a server that takes everyone. It returns where its line
 // front listens, and its end.
-func start(t *testing.T, words RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func start(t *testing.T, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startAt(t, "", words, discovery, o, log)
+	return startAt(t, "", options, discovery, o, log)
 }
 
 // accepts answers whoever comes to a server, and keeps them until the test's end.
@@ -102,21 +102,21 @@
 }
 
 // startAt is the same, with a second address.
-func startAt(t *testing.T, admin string, words RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startAt(t *testing.T, admin string, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	server := listen(t)
 	go accepts(t, server, "UP 1\r\n")
-	return startOn(t, admin, words, discovery, server, o, log)
+	return startOn(t, admin, options, discovery, server, o, log)
 }
 
 // startOn is the same, with a server of the test's own.
-func startOn(t *testing.T, admin string, words RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startOn(t *testing.T, admin string, options RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startFrom(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, words, o, log)
+	return startFrom(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
 }
 
 // startFrom is the same, with a configuration of the test's own.
-func startFrom(t *testing.T, text, admin string, words RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startFrom(t *testing.T, text, admin string, options RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	c, err := config.ParseConfig([]byte(text))
 	if err != nil {
@@ -130,7 +130,7 @@
 	o.Console.Socket = filepath.Join(t.TempDir(), "console")
 	go func() {
 		defer close(over)
-		end <- Run(ctx, words, c, o, slog.New(slog.NewTextHandler(log, nil)))
+		end <- Run(ctx, options, c, o, slog.New(slog.NewTextHandler(log, nil)))
 	}()
 	return lineFront(t, o.Console.Socket), end
 }
@@ -287,9 +287,9 @@
 // What discovery's agent has counts as told from a process's first moment, and the list from before the start may be
 // older: a client that comes before the agent has answered is placed by what it answers.
 func TestClientsArePlacedByTheListOfNow(t *testing.T) {
-	usual := firstList
-	firstList = time.Minute // the agent waits for the client here
-	t.Cleanup(func() { firstList = usual })
+	usual := firstListTimeout
+	firstListTimeout = time.Minute // the agent waits for the client here
+	t.Cleanup(func() { firstListTimeout = usual })
 	agent, other := listen(t), listen(t)
 	go accepts(t, other, "UP 2\r\n")
 	address, _ := start(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -215,11 +215,11 @@
 }
 
 func tablesOf(s *store.Store) storedTables {
-	k := &keeper{store: s}
+	k := &persistentState{store: s}
 	return storedTables{
-		orders:    k.table(),
-		learnt:    learnt(s),
-		decisions: (&shelf{k: k}).table(),
+		orders:    k.directiveTable(),
+		learnt:    snapshotTable(s),
+		decisions: (&archive{persistence: k}).table(),
 	}
 }
 
@@ -261,8 +261,8 @@
 		encoded(t, encoder.orders, sparseKey, storedAt(2), persistence.DrainDirective{}),
 		encoded(t, encoder.orders, withdrawn, storedAt(3), persistence.DrainDirective{Endpoint: withdrawn}),
 		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Deleted: true},
-		encoded(t, encoder.learnt, learntKey, storedAt(5), persistence.RelaySnapshot{}),
-		encoded(t, encoder.learnt, learntKey, storedAt(6), fullKnown()),
+		encoded(t, encoder.learnt, snapshotKey, storedAt(5), persistence.RelaySnapshot{}),
+		encoded(t, encoder.learnt, snapshotKey, storedAt(6), fullKnown()),
 		encoded(t, encoder.learnt, sparseKey, storedAt(7), persistence.RelaySnapshot{}),
 		encoded(t, encoder.decisions, accountKey, storedAt(8), fullAccount()),
 		encoded(t, encoder.decisions, sparseKey, storedAt(9), sparseAccount()),
@@ -376,7 +376,7 @@
 				{sparseKey, storedAt(2), persistence.DrainDirective{}},
 			})
 			requireRecords(t, tables.learnt, []storedRecord[persistence.RelaySnapshot]{
-				{learntKey, storedAt(6), fullKnown()},
+				{snapshotKey, storedAt(6), fullKnown()},
 				{sparseKey, storedAt(7), persistence.RelaySnapshot{}},
 			})
 			requireRecords(t, tables.decisions, []storedRecord[explain.Explanation]{
