--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -6,10 +6,10 @@
 	"lockroad/internal/config"
 )
 
-// reloadRequest is a reload that someone asks for at the console.
+// reloadRequest is a reload that is asked for at the console. The zero value is one by SIGHUP.
 type reloadRequest struct {
-	dryRun bool              // only tell what it would change
-	result chan reloadResult // nil: nobody waits for one
+	dryRun bool              // only report what it would change
+	result chan reloadResult // has room for one; nil: nobody waits for it
 }
 
 type reloadResult struct {
@@ -17,103 +17,112 @@
 	err     error
 }
 
-// requestReload has the file taken, as SIGHUP has, or with dry tells what that would change.
-func (r *relay) requestReload(ctx context.Context, dry bool) ([]string, error) {
-	ask := reloadRequest{dry, make(chan reloadResult, 1)}
+// reloader puts a configuration file in force, or only reads it at a dry run, and returns what it changes, a line each. After
+// an error nothing has changed. Only the goroutine of runReloads calls it.
+type reloader func(request reloadRequest) (changes []string, err error)
+
+// requestReload reloads the configuration, as SIGHUP does, or with dryRun reports what that would change. It waits for the
+// result or the end of ctx, and may be called by any goroutine.
+func (r *relay) requestReload(ctx context.Context, dryRun bool) ([]string, error) {
+	request := reloadRequest{dryRun: dryRun, result: make(chan reloadResult, 1)}
 	select {
-	case r.reloadRequests <- ask:
+	case r.reloadRequests <- request:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	select {
-	case a := <-ask.result:
-		return a.changes, a.err
+	case result := <-request.result:
+		return result.changes, result.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// runReloads takes a new configuration each time the file has been replaced: its settings and
-// the address of discovery, or a site's servers. One that can't be read, or has anything wrong with it,
-// changes nothing.
-func (r *relay) runReloads(ctx context.Context, options RunOptions) error {
-	take := r.platformReloader(options)
-	if options.Site != nil {
-		take = r.siteReloader(options)
+// runReloads reloads each time that the file has been replaced or the console asks, until ctx ends: the settings and the address
+// of discovery, or a site's servers, and the files of credentials. A configuration that can't be read, or has anything wrong
+// with it, changes nothing.
+func (r *relay) runReloads(ctx context.Context) error {
+	reload := r.platformReloader()
+	if r.options.Site != nil {
+		reload = r.siteReloader()
 	}
 	for {
-		ask := reloadRequest{}
+		request := reloadRequest{}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-options.Reload:
-		case ask = <-r.reloadRequests:
+		case <-r.options.Reload:
+		case request = <-r.reloadRequests:
 		}
-		changes, err := take(ask)
-		if !ask.dryRun {
+		changes, err := reload(request)
+		if !request.dryRun {
 			r.credentials.reload(r.log)
+			r.countReload(err)
 		}
-		switch {
-		case err != nil && !ask.dryRun:
-			r.proxy.Metrics.ReloadsRejected.Add(1)
-			r.log.Error("the configuration stays as it was", "error", err)
-		case !ask.dryRun:
-			r.proxy.Metrics.ReloadsApplied.Add(1)
-		}
-		if ask.result != nil {
-			ask.result <- reloadResult{changes, err}
+		if request.result != nil {
+			request.result <- reloadResult{changes: changes, err: err}
 		}
 	}
 }
 
-// platformReloader takes the platform's configuration. It tells what it changes, where someone wants to know.
-func (r *relay) platformReloader(options RunOptions) func(reloadRequest) ([]string, error) {
-	inForce, fixed := r.config.Text(), r.config
-	return func(ask reloadRequest) (changes []string, err error) {
-		c, err := config.ReadReplacement(options.ConfigPath, inForce)
+func (r *relay) countReload(err error) {
+	if err != nil {
+		r.proxy.Metrics.ReloadsRejected.Add(1)
+		r.log.Error("the configuration stays as it was", "error", err)
+		return
+	}
+	r.proxy.Metrics.ReloadsApplied.Add(1)
+}
+
+// platformReloader reloads the platform's configuration.
+func (r *relay) platformReloader() reloader {
+	started, inForce := r.config, r.config.Text()
+	return func(request reloadRequest) (changes []string, err error) {
+		next, err := config.ReadReplacement(r.options.ConfigPath, inForce)
 		if err != nil {
 			return nil, err
 		}
-		if ask.result != nil { // under load, at SIGHUP, nobody reads it
-			changes = config.Differences(inForce, c.Text())
+		if request.result != nil { // at SIGHUP, which may come under load, nobody reads it
+			changes = config.Differences(inForce, next.Text())
 		}
-		if ask.dryRun {
+		if request.dryRun {
 			return changes, nil
 		}
-		if c.NeedsRestart(fixed) {
+		if next.NeedsRestart(started) {
 			r.log.Warn("name, addresses but discovery's, and limits take effect with the next start only")
 		}
-		if zone := c.Settings.Zone; zone >= 0 && zone < len(c.Zones) { // servers keep the numbers that their localities have here
-			c.Settings.Zone = r.watcher.ZoneNumber(c.Zones[zone])
+		if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) { // endpoints keep the numbers that their zones have here
+			next.Settings.Zone = r.watcher.ZoneNumber(next.Zones[zone])
 		}
-		inForce = c.Text()
-		r.proxy.UpdateSettings(&c.Settings)
-		r.watcher.SetAddress(c.Discovery)
-		r.log.Info("configuration taken", "discovery", c.Discovery, "classes", len(c.Settings.Classes), "attempts", c.Settings.MaxAttempts)
+		inForce = next.Text()
+		r.proxy.UpdateSettings(&next.Settings)
+		r.watcher.SetAddress(next.Discovery)
+		r.log.Info("configuration taken", "discovery", next.Discovery, "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
 		return changes, nil
 	}
 }
 
-// siteReloader takes a site's file. It tells what it changes.
-func (r *relay) siteReloader(options RunOptions) func(reloadRequest) ([]string, error) {
-	inForce := options.Site
-	return func(ask reloadRequest) ([]string, error) {
-		next, err := config.ReadSite(options.ConfigPath)
+// siteReloader reloads a site's file.
+func (r *relay) siteReloader() reloader {
+	inForce := r.options.Site
+	return func(request reloadRequest) ([]string, error) {
+		next, err := config.ReadSite(r.options.ConfigPath)
 		if err != nil {
 			return nil, err
 		}
 		changes := inForce.Differences(next)
-		if ask.dryRun {
+		if request.dryRun {
 			return changes, nil
 		}
 		inForce = next
-		r.proxy.UpdateSettings(&next.Config.Settings)
+		settings := &next.Config.Settings
+		r.proxy.UpdateSettings(settings)
 		r.prober.Replace(next.Health, next.Servers)
 		r.proxy.Quota.UpdateSettings(next.QuotaSettings(r.slots))
 		for _, change := range changes {
 			r.log.Info("the site's file", "change", change)
 		}
-		r.log.Info("configuration taken", "servers", len(next.Servers), "classes", len(next.Config.Settings.Classes), "attempts", next.Config.Settings.MaxAttempts)
+		r.log.Info("configuration taken", "servers", len(next.Servers), "classes", len(settings.Classes), "attempts", settings.MaxAttempts)
 		return changes, nil
 	}
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -175,8 +175,8 @@
 		t.Fatal(err)
 	}
 	k := proxy.New(c.Settings, 1, proxy.NewClock())
-	r := &relay{config: c, proxy: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: k, Address: c.Discovery, Zones: c.Zones}}
-	take := r.platformReloader(RunOptions{ConfigPath: file})
+	r := &relay{options: RunOptions{ConfigPath: file}, config: c, proxy: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: k, Address: c.Discovery, Zones: c.Zones}}
+	reload := r.platformReloader()
 	for _, next := range []struct {
 		localities string
 		zone, want int
@@ -185,7 +185,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := take(reloadRequest{}); err != nil {
+		if _, err := reload(reloadRequest{}); err != nil {
 			t.Fatal(err)
 		}
 		if got := k.Settings().Zone; got != next.want {
