--- a/cmd/lockroad/commands.go
+++ b/cmd/lockroad/commands.go
@@ -89,7 +89,7 @@
 	}
 	if err != nil {
 		for line := range strings.Lines(err.Error()) {
-			log.Error("the relay ends", "error", strings.TrimSpace(line))
+			log.Error("relay failed", "error", strings.TrimSpace(line))
 		}
 		return exit(exitFailed)
 	}
--- a/cmd/lockroad/keep_test.go
+++ b/cmd/lockroad/keep_test.go
@@ -193,7 +193,7 @@
 	if same == 0 || other > same/10 {
 		t.Errorf("%d came to the server of their document, %d to another", same, other)
 	}
-	if p.leave(); !strings.Contains(p.log.String(), "what was learnt before is taken up") {
+	if p.leave(); !strings.Contains(p.log.String(), "snapshot restored") {
 		t.Error("nothing was taken up")
 	}
 }
--- a/cmd/lockroad/secure_test.go
+++ b/cmd/lockroad/secure_test.go
@@ -99,7 +99,7 @@
 		t.Errorf("a broken file has shut bob out: %v", err)
 	}
 	p.leave()
-	for _, want := range []string{"expires soon", "days=9", "days=19", "a file of keys or users stays as it was", users + ":1: "} {
+	for _, want := range []string{"expires soon", "days=9", "days=19", "credentials reload rejected", users + ":1: "} {
 		if !strings.Contains(p.log.String(), want) {
 			t.Errorf("the log does not say %q", want)
 		}
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -43,7 +43,7 @@
 	close(a.pending)
 	<-a.done
 	if n := a.dropped.Load(); n > 0 {
-		a.persistence.relay.log.Warn("accounts of decisions were not kept for lack of room", "count", n)
+		a.persistence.relay.log.Warn("explanations dropped, archive queue full", "count", n)
 	}
 }
 
--- a/internal/server/credentials.go
+++ b/internal/server/credentials.go
@@ -23,7 +23,7 @@
 // reload reads all files anew. Connections that are established go on with what they began under.
 func (c *credentials) reload(log *slog.Logger) {
 	if err := errors.Join(c.authenticator.Reload(), c.endpointTLS.Reload()); err != nil {
-		log.Error("a file of keys or users stays as it was", "error", err)
+		log.Error("credentials reload rejected", "error", err)
 		return
 	}
 	c.reportExpiry(log, time.Now())
@@ -36,9 +36,9 @@
 	switch {
 	case !ok || left > expiryWarningPeriod:
 	case left <= 0:
-		log.Error("the certificate of AMQP's front has expired", "at", expires.UTC().Format(time.RFC3339))
+		log.Error("AMQP certificate expired", "at", expires.UTC().Format(time.RFC3339))
 	default:
-		log.Warn("the certificate of AMQP's front expires soon", "at", expires.UTC().Format(time.RFC3339), "days", int(left/(24*time.Hour)))
+		log.Warn("AMQP certificate expires soon", "at", expires.UTC().Format(time.RFC3339), "days", int(left/(24*time.Hour)))
 	}
 }
 
--- a/internal/server/draindirectives.go
+++ b/internal/server/draindirectives.go
@@ -33,7 +33,7 @@
 		return true
 	})
 	if err != nil {
-		p.relay.log.Error("an order that was kept can't be read", "error", err)
+		p.relay.log.Error("stored drain directive unreadable", "error", err)
 	}
 	return all
 }
@@ -64,7 +64,7 @@
 		}
 		p.directives[directive.Endpoint] = directive
 		p.proxy.SetDrain(directive.Endpoint, true)
-		p.relay.log.Info("a server drains as ordered", "server", directive.Endpoint, "who", directive.By, "since", directive.Since, "why", directive.Reason)
+		p.relay.log.Info("drain directive restored", "server", directive.Endpoint, "who", directive.By, "since", directive.Since, "why", directive.Reason)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 	p.directives[directive.Endpoint] = directive
 	p.proxy.SetDrain(directive.Endpoint, true) // at once, whatever the disk does
-	p.relay.log.Warn("a server is ordered to drain", "server", directive.Endpoint, "who", directive.By, "until", directive.Until, "why", directive.Reason)
+	p.relay.log.Warn("drain directive set", "server", directive.Endpoint, "who", directive.By, "until", directive.Until, "why", directive.Reason)
 	kept = p.commit(ctx, func(ctx context.Context) error { return p.directiveTable().Commit(ctx, directive.Endpoint, directive) })
 	return was, kept, nil
 }
@@ -95,7 +95,7 @@
 	if !inForce {
 		return was, nil, fmt.Errorf("no order has %q drain; orders lists those in force", endpoint)
 	}
-	p.relay.log.Warn("an order to drain is withdrawn", "server", endpoint, "who", by)
+	p.relay.log.Warn("drain directive withdrawn", "server", endpoint, "who", by)
 	return was, p.removeDirective(ctx, endpoint), nil
 }
 
@@ -119,9 +119,9 @@
 		if !directive.Expired(now) {
 			continue
 		}
-		p.relay.log.Info("an order to drain has expired", "server", endpoint, "who", directive.By)
+		p.relay.log.Info("drain directive expired", "server", endpoint, "who", directive.By)
 		if err := p.removeDirective(ctx, endpoint); err != nil && p.store != nil {
-			p.relay.log.Error("an order that has expired is still kept", "server", endpoint, "error", err)
+			p.relay.log.Error("expired drain directive not removed from store", "server", endpoint, "error", err)
 		}
 	}
 }
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -54,7 +54,7 @@
 	successor, err := hotrestart.Connect(path)
 	if err != nil {
 		if _, statErr := os.Stat(path); statErr == nil {
-			r.log.Info("no process is there to take over from", "error", err)
+			r.log.Info("no predecessor to take over from", "error", err)
 		}
 		close(r.predecessorGone)
 		return
@@ -82,7 +82,7 @@
 		if err == nil {
 			return
 		}
-		r.log.Warn("what the old process knows is of no use", "error", err)
+		r.log.Warn("predecessor state unusable", "error", err)
 		*r.inherited = handoffState{}
 	}
 	if saved.usable {
@@ -95,7 +95,7 @@
 		return
 	}
 	if err := r.watcher.Seed(r.config.Known); err != nil {
-		r.log.Warn("the list from before the start is of no use", "error", err)
+		r.log.Warn("configured endpoint list unusable", "error", err)
 	}
 }
 
@@ -123,7 +123,7 @@
 		return false
 	}
 	if err := r.watcher.Resume(saved.List, saved.Agent); err != nil {
-		r.log.Warn("the list that was kept is of no use", "error", err)
+		r.log.Warn("stored endpoint list unusable", "error", err)
 		return false
 	}
 	return true
@@ -134,7 +134,7 @@
 	r.inherited.Names = saved.Names
 	saved.Balancer.Renumber(r.localEndpoint)
 	r.proxy.Restore(saved.Balancer)
-	r.log.Info("what was learnt before is taken up", "age", saved.age.Round(time.Millisecond), "servers", len(saved.Balancer.Endpoints), "routes", len(saved.Balancer.Routes))
+	r.log.Info("snapshot restored", "age", saved.age.Round(time.Millisecond), "servers", len(saved.Balancer.Endpoints), "routes", len(saved.Balancer.Routes))
 }
 
 // localEndpoint returns the number in this process of an endpoint that has the number old in the inherited snapshot.
@@ -199,7 +199,7 @@
 		r.releasePredecessor()
 		return err
 	}
-	r.log.Info("this process has taken over", "transactions there", len(r.inherited.OpenRequests))
+	r.log.Info("took over from predecessor", "transactions there", len(r.inherited.OpenRequests))
 	go func() {
 		defer r.releasePredecessor()
 		r.asSuccessor.Adopt(ctx, func(what json.RawMessage, sockets []net.Conn) (func(), error) {
--- a/internal/server/persistentstate.go
+++ b/internal/server/persistentstate.go
@@ -54,13 +54,13 @@
 	opened, report, err := store.Open(store.Dir(settings.Dir), options)
 	if err != nil {
 		p.storeErr = err
-		p.relay.log.Error("nothing is kept: the relay runs on without its store", "folder", settings.Dir, "error", err)
+		p.relay.log.Error("store unavailable, running without it", "folder", settings.Dir, "error", err)
 		return
 	}
 	p.store, p.storeErr = opened, nil
-	p.relay.log.Info("what is kept was read", "folder", settings.Dir, "records", report.Records, "commits", report.Commits, "took", report.Duration)
+	p.relay.log.Info("store opened", "folder", settings.Dir, "records", report.Records, "commits", report.Commits, "took", report.Duration)
 	if tail := report.TornTail; tail != nil {
-		p.relay.log.Warn("the store's end was torn by a crash: what was not committed is gone", "file", tail.File, "byte", tail.Offset, "bytes", tail.Bytes)
+		p.relay.log.Warn("store tail torn by a crash, uncommitted records lost", "file", tail.File, "byte", tail.Offset, "bytes", tail.Bytes)
 	}
 }
 
@@ -113,7 +113,7 @@
 	defer p.mu.Unlock()
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
-			p.relay.log.Error("the last was not kept", "error", err)
+			p.relay.log.Error("store close failed", "error", err)
 		}
 		p.store, p.storeErr = nil, store.ErrClosed
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -68,7 +68,7 @@
 func (r *relay) countReload(err error) {
 	if err != nil {
 		r.proxy.Metrics.ReloadsRejected.Add(1)
-		r.log.Error("the configuration stays as it was", "error", err)
+		r.log.Error("configuration reload rejected", "error", err)
 		return
 	}
 	r.proxy.Metrics.ReloadsApplied.Add(1)
@@ -89,7 +89,7 @@
 			return changes, nil
 		}
 		if next.NeedsRestart(started) {
-			r.log.Warn("name, addresses but discovery's, and limits take effect with the next start only")
+			r.log.Warn("changed name, addresses or limits need a restart")
 		}
 		if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) { // endpoints keep the numbers that their zones have here
 			next.Settings.Zone = r.watcher.ZoneNumber(next.Zones[zone])
@@ -97,7 +97,7 @@
 		inForce = next.Text()
 		r.proxy.UpdateSettings(&next.Settings)
 		r.watcher.SetAddress(next.Discovery)
-		r.log.Info("configuration taken", "discovery", next.Discovery, "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
+		r.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
 		return changes, nil
 	}
 }
@@ -120,9 +120,9 @@
 		r.prober.Replace(next.Health, next.Servers)
 		r.proxy.Quota.UpdateSettings(next.QuotaSettings(r.slots))
 		for _, change := range changes {
-			r.log.Info("the site's file", "change", change)
+			r.log.Info("site setting changed", "change", change)
 		}
-		r.log.Info("configuration taken", "servers", len(next.Servers), "classes", len(settings.Classes), "attempts", settings.MaxAttempts)
+		r.log.Info("configuration reloaded", "servers", len(next.Servers), "classes", len(settings.Classes), "attempts", settings.MaxAttempts)
 		return changes, nil
 	}
 }
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -360,7 +360,7 @@
 		replace(text)
 		bad++
 		// The file may be replaced again only once it has been read.
-		for late := time.Now().Add(10 * time.Second); log.count("the configuration stays as it was") != bad; {
+		for late := time.Now().Add(10 * time.Second); log.count("configuration reload rejected") != bad; {
 			if time.Now().After(late) {
 				t.Fatalf("%q was not logged", text)
 			}
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -86,7 +86,7 @@
 	if l == nil {
 		var err error
 		if l, err = r.listenConsoleAfterPredecessor(ctx, r.operator.Console.Socket); err != nil {
-			r.log.Error("there is no console", "error", err)
+			r.log.Error("console unavailable", "error", err)
 		}
 		if l == nil {
 			return nil
@@ -99,7 +99,7 @@
 func (r *relay) serveAdmin(ctx context.Context) error {
 	server := &admin.Server{Ready: r.ready.Load, Metrics: r.proxy.Metrics}
 	if err := server.Serve(ctx, r.admin); err != nil {
-		r.log.Error("the second address answers no more", "error", err)
+		r.log.Error("admin server failed", "error", err)
 	}
 	return nil
 }
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -67,7 +67,7 @@
 	r.shuttingDown.Store(true)
 	r.ready.Store(false)
 	requestedAt, killAfter := time.Now(), timeUntilKill(r.proxy.Settings())
-	r.log.Info("leaving", "transactions", r.proxy.Requests.Len())
+	r.log.Info("shutting down", "transactions", r.proxy.Requests.Len())
 	hasSuccessor := r.asPredecessor != nil && r.asPredecessor.BeginShutdown()
 	ctx, cancel := context.WithTimeout(ctx, killAfter-exitLead)
 	defer cancel()
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -61,7 +61,7 @@
 func (p *persistentState) loadSnapshot() savedSnapshot {
 	snapshot, _, found, err := snapshotTable(p.store).Get(snapshotKey)
 	if err != nil {
-		p.relay.log.Warn("what was learnt before can't be read", "error", err)
+		p.relay.log.Warn("stored snapshot unreadable", "error", err)
 	}
 	saved := savedSnapshot{RelaySnapshot: snapshot}
 	if found {
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -148,7 +148,7 @@
 		flushContext, cancel := context.WithTimeout(context.Background(), telemetryFlushTimeout)
 		defer cancel()
 		if err := exporter.Stop(flushContext); err != nil {
-			r.log.Warn("the last telemetry is lost", "error", err)
+			r.log.Warn("final telemetry export failed", "error", err)
 		}
 	}, nil
 }
@@ -170,7 +170,7 @@
 // successor can take over from this process. Listeners are open, and settings and the endpoint list are there.
 func (r *relay) becomeReady(ctx context.Context, group *errgroup.Group) {
 	if err := r.takeOver(ctx); err != nil {
-		r.log.Warn("the old process is gone or strange: this one goes on alone", "error", err)
+		r.log.Warn("takeover failed, continuing alone", "error", err)
 	}
 	r.ready.Store(true)
 	if r.asPredecessor != nil {
