--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,13 +29,13 @@
 	Settings  balancer.Settings
 	Zones     []string
 
-	text      []byte // that it was read from
-	fileAdmin string // what that said of the second address
+	text        []byte // that it was read from
+	adminInFile string // what that said of the second address
 }
 
 // ReadConfig reads the configuration from the file that the platform names.
 func ReadConfig(path string) (*Config, error) {
-	text, err := readWhole(path)
+	text, err := readStable(path)
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 // ReadReplacement reads the configuration that is to take the place of the one with the text inForce. It has to have all
 // the keys that inForce has.
 func ReadReplacement(path string, inForce []byte) (*Config, error) {
-	text, err := readWhole(path)
+	text, err := readStable(path)
 	if err != nil {
 		return nil, err
 	}
@@ -63,23 +63,23 @@
 // takes: name, listen address, second address and limits.
 func (c *Config) NeedsRestart(started *Config) bool {
 	return c.Listen != started.Listen || c.Name != started.Name || c.Sockets != started.Sockets || c.MemoryMB != started.MemoryMB ||
-		c.Cores != started.Cores || c.fileAdmin != started.fileAdmin
+		c.Cores != started.Cores || c.adminInFile != started.adminInFile
 }
 
 // parseConfig reads a configuration; inForce is the text of the one whose place it is to
 // take, if any.
 func parseConfig(path string, text, inForce []byte) (*Config, error) {
-	f := &finder{file: path, lines: jsonLines(text)}
-	c := f.config(text)
-	f.shorter(text, inForce)
-	if err := f.found.err(); err != nil {
+	f := &validator{file: path, lines: jsonLines(text)}
+	c := f.platformConfig(text)
+	f.requireKeysOf(text, inForce)
+	if err := f.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// config reads a configuration and collects all that is wrong with it.
-func (f *finder) config(text []byte) *Config {
+// platformConfig reads a configuration and collects all that is wrong with it.
+func (f *validator) platformConfig(text []byte) *Config {
 	// Keys are found whatever their case; errors tell them as the tags have them.
 	var raw struct {
 		Name      string `json:"Name"`
@@ -96,21 +96,21 @@
 		Settings json.RawMessage `json:"Settings"`
 	}
 	if err := json.Unmarshal(text, &raw); err != nil {
-		f.jsonError(text, err)
+		f.addJSONError(text, err)
 		return nil
 	}
 	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
 	if err != nil {
 		f.add("seed", "%q is no hexadecimal number of 64 bits", raw.Seed)
 	}
-	f.address("listen", raw.Listen)
-	f.address("discovery", raw.Discovery)
+	f.checkAddress("listen", raw.Listen)
+	f.checkAddress("discovery", raw.Discovery)
 	if raw.Admin != "" {
-		f.address("admin_addr", raw.Admin)
+		f.checkAddress("admin_addr", raw.Admin)
 	}
 	set, err := simprotocol.ParseSettings(raw.Settings)
 	if err != nil {
-		f.settings(err)
+		f.addSettingsErrors(err)
 		return nil
 	}
 	var names struct {
@@ -131,7 +131,7 @@
 	c := &Config{
 		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Admin: raw.Admin, Seed: seed,
 		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
-		Known: raw.Known, Settings: set, Zones: names.Localities, text: text, fileAdmin: raw.Admin,
+		Known: raw.Known, Settings: set, Zones: names.Localities, text: text, adminInFile: raw.Admin,
 	}
 	for i, class := range set.Classes {
 		switch at := fmt.Sprintf("settings.Classes[%d].Name", i); {
@@ -144,8 +144,8 @@
 	return c
 }
 
-// address adds what is wrong with a host:port, and returns the port where it is one.
-func (f *finder) address(key, text string) (port string, ok bool) {
+// checkAddress adds what is wrong with a host:port, and returns the port where it is one.
+func (f *validator) checkAddress(key, text string) (port string, ok bool) {
 	_, port, err := net.SplitHostPort(text)
 	if err != nil {
 		f.add(key, "%q is no host:port: %v", text, err)
@@ -153,8 +153,8 @@
 	return port, err == nil
 }
 
-// settings adds what is wrong with the settings, each under its own key.
-func (f *finder) settings(err error) {
+// addSettingsErrors adds what is wrong with the settings, each under its own key.
+func (f *validator) addSettingsErrors(err error) {
 	var keys simprotocol.KeyErrors
 	if !errors.As(err, &keys) {
 		f.add("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -140,7 +140,7 @@
 	}()
 	defer func() { close(stop); <-stopped }()
 	for range 50 {
-		text, err := readWhole(file)
+		text, err := readStable(file)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/differences.go
+++ b/internal/config/differences.go
@@ -21,7 +21,9 @@
 }
 
 // Differences returns what another site's file changes against this one, a line each.
-func (s *Site) Differences(next *Site) []string { return differences(s.flat, next.flat, live) }
+func (s *Site) Differences(next *Site) []string {
+	return differences(s.values, next.values, takesEffectAtReload)
+}
 
 // flatten writes each value of a tree under its whole key. Of a list of tables each goes by its name or address.
 func flatten(into map[string]string, path string, v any) {
@@ -47,8 +49,8 @@
 	}
 }
 
-// live are the keys of a site's file that a reload puts in force; all others want a restart.
-func live(key string) bool {
+// takesEffectAtReload are the keys of a site's file that a reload puts in force; all others want a restart.
+func takesEffectAtReload(key string) bool {
 	if slices.Contains([]string{"limits.per_address", "limits.rate", "limits.burst", "limits.fair"}, key) {
 		return true
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -105,7 +105,7 @@
 		}
 	default:
 		kind := of.Kind().String()
-		if of == reflect.TypeFor[span]() {
+		if of == reflect.TypeFor[duration]() {
 			kind = "time"
 		}
 		fmt.Fprintf(b, "%s %s\n", strings.TrimPrefix(path, "."), kind)
@@ -127,7 +127,7 @@
 	read := func(text []byte) (*Site, error) {
 		s, err := parseSite("FILE", text)
 		if err == nil {
-			s.Config.Seed, s.Config.text, s.flat = 0, nil, nil
+			s.Config.Seed, s.Config.text, s.values = 0, nil, nil
 		}
 		return s, err
 	}
@@ -172,6 +172,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "site-changes.txt", strings.Join(differences(nil, s.flat, live), "\n")+"\n")
+	golden.Compare(t, "site-changes.txt", strings.Join(differences(nil, s.values, takesEffectAtReload), "\n")+"\n")
 	golden.Compare(t, "init.toml", RenderSite("music-room", "0.0.0.0:3000", "/run/console.sock", []string{"10.0.0.5:4000", "10.0.0.6:4000"}))
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -36,8 +36,8 @@
 
 	// Shared is how many transactions go over one connection to a server at the most; 0: each has one of its own. More save
 	// descriptors and set-ups; the end of a connection is that of all on it.
-	Shared     int  `toml:"shared"`
-	SharedIdle span `toml:"shared_idle"` // such a connection without any is kept for so long; empty: 10 s
+	Shared     int      `toml:"shared"`
+	SharedIdle duration `toml:"shared_idle"` // such a connection without any is kept for so long; empty: 10 s
 
 	TLS struct {
 		Cert     string `toml:"cert"`      // PEM files of the front's certificate and its key; empty: no TLS
@@ -57,22 +57,22 @@
 		Name string `toml:"name"` // that their certificates have to be for; empty: their host
 	} `toml:"servers_tls"`
 	Placements []struct { // what links want whose attach does not say it; the first that fits holds
-		Address   string `toml:"address"`   // * stands for any text; empty: any
-		Container string `toml:"container"` // the same
-		Class     string `toml:"class"`
-		GiveUp    span   `toml:"give_up"` // empty: as long as the class waits
-		Group     string `toml:"group"`   // address, container, link or property:NAME; empty: none
+		Address   string   `toml:"address"`   // * stands for any text; empty: any
+		Container string   `toml:"container"` // the same
+		Class     string   `toml:"class"`
+		GiveUp    duration `toml:"give_up"` // empty: as long as the class waits
+		Group     string   `toml:"group"`   // address, container, link or property:NAME; empty: none
 	} `toml:"place"`
 }
 
 const (
-	sharedMost = 4096
-	sharedIdle = span(10 * time.Second)
+	maxSharedSessions = 4096
+	defaultSharedIdle = duration(10 * time.Second)
 )
 
 // PoolSettings returns how transactions share connections to servers.
 func (a *AMQP) PoolSettings() connpool.Settings {
-	return connpool.Settings{MaxSessions: a.Shared, IdleTimeout: time.Duration(cmp.Or(a.SharedIdle, sharedIdle))}
+	return connpool.Settings{MaxSessions: a.Shared, IdleTimeout: time.Duration(cmp.Or(a.SharedIdle, defaultSharedIdle))}
 }
 
 // AuthSettings returns how clients of the front are let in.
@@ -154,20 +154,20 @@
 
 func parseOperator(path string, text []byte) (*Operator, error) {
 	o := &Operator{}
-	f := &finder{file: path, lines: tomlLines(text)}
-	if !f.toml(text, o) {
-		return nil, f.found.err()
+	f := &validator{file: path, lines: tomlLines(text)}
+	if !f.decodeTOML(text, o) {
+		return nil, f.problems.errOrNil()
 	}
 	o.check(f)
-	if err := f.found.err(); err != nil {
+	if err := f.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return o, nil
 }
 
-func (o *Operator) check(f *finder) {
+func (o *Operator) check(f *validator) {
 	if o.AMQP.Listen != "" {
-		port, ok := f.address("amqp.listen", o.AMQP.Listen)
+		port, ok := f.checkAddress("amqp.listen", o.AMQP.Listen)
 		if _, err := strconv.ParseUint(port, 10, 16); ok && err != nil {
 			f.add("amqp.listen", "port %q is no number up to 65535", port)
 		}
@@ -178,8 +178,8 @@
 	if n := o.AMQP.MaxLinks; n < 0 {
 		f.add("amqp.links", "%d is negative", n)
 	}
-	if n := o.AMQP.Shared; n < 0 || n > sharedMost {
-		f.add("amqp.shared", "%d is not within 0 and %d", n, sharedMost)
+	if n := o.AMQP.Shared; n < 0 || n > maxSharedSessions {
+		f.add("amqp.shared", "%d is not within 0 and %d", n, maxSharedSessions)
 	}
 	// Files are looked at as well: a check that leaves out what a start would trip over is none.
 	_, err1 := auth.New(o.AMQP.AuthSettings())
@@ -214,7 +214,7 @@
 }
 
 // check tells what is wrong with the operator's words on the store.
-func (s *Store) check(f *finder) {
+func (s *Store) check(f *validator) {
 	if s.MB < 0 || s.MB > 1<<20 {
 		f.add("store.mb", "%d is not within 0, for the usual, and %d", s.MB, 1<<20)
 	}
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -46,8 +46,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// err is nil where there is none, and else all, by line.
-func (all Problems) err() error {
+// errOrNil is nil where there is none, and else all, by line.
+func (all Problems) errOrNil() error {
 	if len(all) == 0 {
 		return nil
 	}
@@ -55,15 +55,15 @@
 	return all
 }
 
-// finder collects problems of a file, and knows the lines of its keys.
-type finder struct {
-	file  string
-	lines map[string]int // by keys in lower case
-	found Problems
+// validator collects problems of a file, and knows the lines of its keys.
+type validator struct {
+	file     string
+	lines    map[string]int // by keys in lower case
+	problems Problems
 }
 
 // add adds a problem of a key. Of one that is missing the line is that of what it is missing in.
-func (f *finder) add(key, format string, args ...any) {
+func (f *validator) add(key, format string, args ...any) {
 	in := strings.ToLower(key)
 	for f.lines[in] == 0 && strings.ContainsAny(in, ".[") {
 		in = in[:strings.LastIndexAny(in, ".[")]
@@ -71,8 +71,8 @@
 	f.addAt(f.lines[in], key, fmt.Sprintf(format, args...))
 }
 
-func (f *finder) addAt(line int, key, what string) {
-	f.found = append(f.found, &Problem{File: f.file, Line: line, Key: key, What: what})
+func (f *validator) addAt(line int, key, what string) {
+	f.problems = append(f.problems, &Problem{File: f.file, Line: line, Key: key, What: what})
 }
 
 // Check reads a platform's configuration, which is JSON, a site's file, or else an operator's file,
@@ -165,8 +165,8 @@
 	return lines
 }
 
-// jsonError tells what is wrong with a text that can't be read as JSON.
-func (f *finder) jsonError(text []byte, err error) {
+// addJSONError tells what is wrong with a text that can't be read as JSON.
+func (f *validator) addJSONError(text []byte, err error) {
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	offset := func(n int64) int { return 1 + bytes.Count(text[:min(max(n, 0), int64(len(text)))], []byte{'\n'}) }
--- a/internal/config/read.go
+++ b/internal/config/read.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	rereads    = 5                     // of a file that is replaced while it is read
-	rereadWait = 10 * time.Millisecond // between two
+	maxRereads  = 5                     // of a file that is replaced while it is read
+	rereadDelay = 10 * time.Millisecond // between two
 )
 
-// readWhole reads a file as it stands. It guards against one that is written anew while
+// readStable reads a file as it stands. It guards against one that is written anew while
 // it is read: what is read then is part of the one and part of the other.
-func readWhole(path string) ([]byte, error) {
+func readStable(path string) ([]byte, error) {
 	for i := 0; ; i++ {
 		before, err1 := os.Stat(path)
 		text, err2 := os.ReadFile(path)
@@ -26,36 +26,36 @@
 			return nil, fmt.Errorf("configuration: %w", err)
 		}
 		same := os.SameFile(before, after) && before.ModTime().Equal(after.ModTime()) && after.Size() == int64(len(text))
-		if same || i == rereads {
+		if same || i == maxRereads {
 			return text, nil
 		}
-		time.Sleep(rereadWait)
+		time.Sleep(rereadDelay)
 	}
 }
 
-// shorter adds the keys that the file in force has and this one lacks.
-func (f *finder) shorter(text, inForce []byte) {
+// requireKeysOf adds the keys that the file in force has and this one lacks.
+func (f *validator) requireKeysOf(text, inForce []byte) {
 	var before, now map[string]any
 	if json.Unmarshal(inForce, &before) == nil && json.Unmarshal(text, &now) == nil {
-		f.lacks("", before, now)
+		f.addMissingKeys("", before, now)
 	}
 }
 
-// lacks adds the keys that an object had and has no more. It looks at objects within
+// addMissingKeys adds the keys that an object had and has no more. It looks at objects within
 // objects, not at those in lists: a class or a server that is left out is no missing key.
-func (f *finder) lacks(path string, before, now map[string]any) {
+func (f *validator) addMissingKeys(path string, before, now map[string]any) {
 	for _, key := range slices.Sorted(maps.Keys(before)) {
 		at := path + key
 		value, has := now[key]
 		if !has {
-			if !slices.ContainsFunc(f.found, func(p *Problem) bool { return p.Key == at }) {
+			if !slices.ContainsFunc(f.problems, func(p *Problem) bool { return p.Key == at }) {
 				f.add(at, "is missing; the file in force has it")
 			}
 			continue
 		}
 		if old, is := before[key].(map[string]any); is {
 			if object, is := value.(map[string]any); is {
-				f.lacks(at+".", old, object)
+				f.addMissingKeys(at+".", old, object)
 			}
 		}
 	}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -30,19 +30,19 @@
 	Quota     quota.Settings
 	FairShare bool // seats that run short are shared out
 
-	flat map[string]string // every key with its value, for the difference to another
+	values map[string]string // every key with its value, for the difference to another
 }
 
-// span is a time as a person writes it, such as 90s or 800ms.
-type span time.Duration
+// duration is a time as a person writes it, such as 90s or 800ms.
+type duration time.Duration
 
 // UnmarshalText reads a time.
-func (s *span) UnmarshalText(text []byte) error {
+func (s *duration) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil || d < 0 {
 		return fmt.Errorf("%q is no time, such as 800ms or 4s", text)
 	}
-	*s = span(d)
+	*s = duration(d)
 	return nil
 }
 
@@ -59,12 +59,12 @@
 		Size    float64 `toml:"size"`
 	} `toml:"server"`
 	Class []struct {
-		Name    string `toml:"name"`
-		SetUp   span   `toml:"set_up_within"`
-		GiveUp  span   `toml:"give_up_after"`
-		Message span   `toml:"message_within"`
-		Effect  string `toml:"effect"`
-		Most    int    `toml:"most"` // transactions at a time; 0: any number
+		Name    string   `toml:"name"`
+		SetUp   duration `toml:"set_up_within"`
+		GiveUp  duration `toml:"give_up_after"`
+		Message duration `toml:"message_within"`
+		Effect  string   `toml:"effect"`
+		Most    int      `toml:"most"` // transactions at a time; 0: any number
 	} `toml:"class"`
 	Limits struct {
 		Cores    float64 `toml:"cores"`
@@ -78,28 +78,28 @@
 		Fair       bool    `toml:"fair"`        // seats that run short are shared out among addresses
 	} `toml:"limits"`
 	Health struct {
-		Probe   string  `toml:"probe"`
-		Every   span    `toml:"every"`
-		Timeout span    `toml:"timeout"`
-		Rise    int     `toml:"rise"`
-		Fall    int     `toml:"fall"`
-		Share   float64 `toml:"share"`
-		Panic   float64 `toml:"panic"`
+		Probe   string   `toml:"probe"`
+		Every   duration `toml:"every"`
+		Timeout duration `toml:"timeout"`
+		Rise    int      `toml:"rise"`
+		Fall    int      `toml:"fall"`
+		Share   float64  `toml:"share"`
+		Panic   float64  `toml:"panic"`
 	} `toml:"health"`
 }
 
 // What a site's file leaves out.
 const (
-	siteSetUp    = 800 * time.Millisecond
-	siteGiveUp   = 4800 * time.Millisecond
-	siteAttempts = 5
-	siteMemory   = 128
-	siteSockets  = 4096
+	defaultLatencyObjective = 800 * time.Millisecond
+	defaultDeadline         = 4800 * time.Millisecond
+	defaultMaxAttempts      = 5
+	defaultMemoryMB         = 128
+	defaultSockets          = 4096
 )
 
 // ReadSite reads a site's file. An error is Problems, or that of reading it.
 func ReadSite(path string) (*Site, error) {
-	text, err := readWhole(path)
+	text, err := readStable(path)
 	if err != nil {
 		return nil, err
 	}
@@ -107,27 +107,27 @@
 }
 
 func parseSite(path string, text []byte) (*Site, error) {
-	f := &finder{file: path, lines: tomlLines(text)}
+	f := &validator{file: path, lines: tomlLines(text)}
 	var raw siteFile
 	var tree map[string]any
-	if !f.toml(text, &raw) {
-		return nil, f.found.err()
+	if !f.decodeTOML(text, &raw) {
+		return nil, f.problems.errOrNil()
 	}
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		f.addAt(0, "", err.Error())
 	}
 	raw.Operator.check(f)
-	s := &Site{Operator: &raw.Operator, Ping: true, flat: make(map[string]string)}
-	flatten(s.flat, "", tree)
+	s := &Site{Operator: &raw.Operator, Ping: true, values: make(map[string]string)}
+	flatten(s.values, "", tree)
 	if raw.Name == "" {
 		f.add("name", "is missing")
 	}
-	f.address("listen", raw.Listen)
+	f.checkAddress("listen", raw.Listen)
 	if raw.Admin != "" {
-		f.address("admin_addr", raw.Admin)
+		f.checkAddress("admin_addr", raw.Admin)
 	}
-	c := &Config{Name: raw.Name, Listen: raw.Listen, Admin: raw.Admin, fileAdmin: raw.Admin, Cores: raw.Limits.Cores, text: text,
-		MemoryMB: cmp.Or(raw.Limits.MemoryMB, siteMemory), Sockets: cmp.Or(raw.Limits.Sockets, siteSockets), Seed: uint64(time.Now().UnixNano())}
+	c := &Config{Name: raw.Name, Listen: raw.Listen, Admin: raw.Admin, adminInFile: raw.Admin, Cores: raw.Limits.Cores, text: text,
+		MemoryMB: cmp.Or(raw.Limits.MemoryMB, defaultMemoryMB), Sockets: cmp.Or(raw.Limits.Sockets, defaultSockets), Seed: uint64(time.Now().UnixNano())}
 	if raw.Limits.Cores < 0 || raw.Limits.MemoryMB < 0 || raw.Limits.Sockets < 0 || raw.Limits.Attempts < 0 {
 		f.add("limits", "a limit is negative")
 	}
@@ -176,7 +176,7 @@
 	if err := s.Quota.Validate(); err != nil {
 		f.add("limits", "%v", err)
 	}
-	if err := f.found.err(); err != nil {
+	if err := f.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return s, nil
@@ -191,9 +191,9 @@
 	return set
 }
 
-func (f *finder) siteSettings(raw *siteFile) balancer.Settings {
+func (f *validator) siteSettings(raw *siteFile) balancer.Settings {
 	set := balancer.Settings{
-		Relays: 1, MinTick: 2 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond, MaxRetryAfter: 2 * time.Second, MaxAttempts: cmp.Or(raw.Limits.Attempts, siteAttempts),
+		Relays: 1, MinTick: 2 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond, MaxRetryAfter: 2 * time.Second, MaxAttempts: cmp.Or(raw.Limits.Attempts, defaultMaxAttempts),
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, CrossZoneCost: 0.03, ReportsLoad: true, ReportsDelay: true,
 	}
 	if len(raw.Class) == 0 {
@@ -202,7 +202,7 @@
 	effects := map[string]balancer.Effect{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
 	for i, one := range raw.Class {
 		at := fmt.Sprintf("class[%d].", i)
-		class := balancer.Class{Name: one.Name, LatencyObjective: time.Duration(cmp.Or(one.SetUp, span(siteSetUp))), Deadline: time.Duration(cmp.Or(one.GiveUp, span(siteGiveUp))), MessageLatencyObjective: time.Duration(one.Message)}
+		class := balancer.Class{Name: one.Name, LatencyObjective: time.Duration(cmp.Or(one.SetUp, duration(defaultLatencyObjective))), Deadline: time.Duration(cmp.Or(one.GiveUp, duration(defaultDeadline))), MessageLatencyObjective: time.Duration(one.Message)}
 		effect, ok := effects[one.Effect]
 		switch {
 		case one.Name == "":
@@ -218,9 +218,9 @@
 	return set
 }
 
-func (f *finder) siteHealth(raw *siteFile, s *Site) healthcheck.Settings {
+func (f *validator) siteHealth(raw *siteFile, s *Site) healthcheck.Settings {
 	u, h := healthcheck.DefaultSettings(), raw.Health
-	u.Interval, u.Timeout = time.Duration(cmp.Or(h.Every, span(u.Interval))), time.Duration(cmp.Or(h.Timeout, span(u.Timeout)))
+	u.Interval, u.Timeout = time.Duration(cmp.Or(h.Every, duration(u.Interval))), time.Duration(cmp.Or(h.Timeout, duration(u.Timeout)))
 	u.Rise, u.Fall = cmp.Or(h.Rise, u.Rise), cmp.Or(h.Fall, u.Fall)
 	u.MaxLoadShare, u.PanicThreshold = cmp.Or(h.Share, u.MaxLoadShare), cmp.Or(h.Panic, u.PanicThreshold)
 	if err := u.Validate(); err != nil {
@@ -236,8 +236,8 @@
 	return u
 }
 
-// toml reads a file that has to have known keys alone, and tells whether it can be read on.
-func (f *finder) toml(text []byte, into any) bool {
+// decodeTOML reads a file that has to have known keys alone, and tells whether it can be read on.
+func (f *validator) decodeTOML(text []byte, into any) bool {
 	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
 	var odd *toml.StrictMissingError
 	var bad *toml.DecodeError
