--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,50 +4,41 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
-	"net"
 	"strconv"
-	"strings"
 
 	"lockroad/balancer"
 	"lockroad/internal/discovery"
 	"lockroad/internal/simprotocol"
 )
 
-// Config is what a relay is told at its start.
+// Config is what a relay is started with by its platform.
 type Config struct {
 	Name      string
-	Listen    string
-	Discovery string
-	Admin     string // the second address; "": there is none
-	Seed      uint64
+	Listen    string // host:port of the line frontend
+	Discovery string // host:port of the discovery agent
+	Admin     string // host:port of the second address; "": there is none
+	Seed      uint64 // of the balancer's random numbers
 	Cores     float64
 	MemoryMB  int64
-	Sockets   int
-	Known     discovery.List
+	Sockets   int            // descriptors that the process may have; 0: no limit
+	Known     discovery.List // the endpoint list from before the start
 	Settings  balancer.Settings
-	Zones     []string
+	Zones     []string // names of the zones, by number
 
 	text        []byte // that it was read from
 	adminInFile string // what that said of the second address
 }
 
-// ReadConfig reads the configuration from the file that the platform names.
-func ReadConfig(path string) (*Config, error) {
-	text, err := readStable(path)
-	if err != nil {
-		return nil, err
-	}
-	return parseConfig(path, text, nil)
-}
+// ReadConfig reads and validates the configuration that the platform has written to path. The error is Problems, or that of
+// reading the file.
+func ReadConfig(path string) (*Config, error) { return ReadReplacement(path, nil) }
 
-// ParseConfig reads the configuration that the platform hands out. An error is
-// Problems.
+// ParseConfig is ReadConfig of a text. The error is Problems.
 func ParseConfig(text []byte) (*Config, error) { return parseConfig("configuration", text, nil) }
 
-// ReadReplacement reads the configuration that is to take the place of the one with the text inForce. It has to have all
-// the keys that inForce has.
+// ReadReplacement is ReadConfig of a configuration that is to take the place of the one with the text inForce, if that is not
+// nil: it has to have all the keys that inForce has.
 func ReadReplacement(path string, inForce []byte) (*Config, error) {
 	text, err := readStable(path)
 	if err != nil {
@@ -56,7 +47,7 @@
 	return parseConfig(path, text, inForce)
 }
 
-// Text returns the text that the configuration was read from, for a comparison with another.
+// Text returns the text that the configuration was read from, for a comparison with another. The caller doesn't change it.
 func (c *Config) Text() []byte { return c.text }
 
 // NeedsRestart reports whether the configuration differs from the one that the relay was started with in what only a start
@@ -66,100 +57,106 @@
 		c.Cores != started.Cores || c.adminInFile != started.adminInFile
 }
 
-// parseConfig reads a configuration; inForce is the text of the one whose place it is to
-// take, if any.
+// parseConfig decodes and validates a configuration. inForce is the text of the one whose place it is to take, if any.
 func parseConfig(path string, text, inForce []byte) (*Config, error) {
-	f := &validator{file: path, lines: jsonLines(text)}
-	c := f.platformConfig(text)
-	f.requireKeysOf(text, inForce)
-	if err := f.problems.errOrNil(); err != nil {
+	v := &validator{file: path, lines: jsonLines(text)}
+	c := v.platformConfig(text)
+	v.requireKeysOf(text, inForce)
+	if err := v.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// platformConfig reads a configuration and collects all that is wrong with it.
-func (f *validator) platformConfig(text []byte) *Config {
-	// Keys are found whatever their case; errors tell them as the tags have them.
-	var raw struct {
-		Name      string `json:"Name"`
-		Listen    string `json:"Listen"`
-		Discovery string `json:"Discovery"`
-		Seed      string `json:"Seed"`
-		Admin     string `json:"admin_addr"`
-		Limits    struct {
-			Cores    float64 `json:"cores"`
-			MemoryMB int64   `json:"memory_mb"`
-			Sockets  int     `json:"sockets"`
-		} `json:"Limits"`
-		Known    discovery.List  `json:"Known"`
-		Settings json.RawMessage `json:"Settings"`
-	}
-	if err := json.Unmarshal(text, &raw); err != nil {
-		f.addJSONError(text, err)
+// platformFile is the configuration as the platform writes it. Keys are found whatever their case; errors have them as the tags
+// have. It is an alias as errors of its decoder, which operators read, print the type.
+type platformFile = struct {
+	Name      string `json:"Name"`
+	Listen    string `json:"Listen"`
+	Discovery string `json:"Discovery"`
+	Seed      string `json:"Seed"`
+	Admin     string `json:"admin_addr"`
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int64   `json:"memory_mb"`
+		Sockets  int     `json:"sockets"`
+	} `json:"Limits"`
+	Known    discovery.List  `json:"Known"`
+	Settings json.RawMessage `json:"Settings"`
+}
+
+// platformConfig decodes a configuration and adds all that is wrong with it. It returns nil after a problem that leaves nothing
+// to go on with.
+func (v *validator) platformConfig(text []byte) *Config {
+	var file platformFile
+	if err := json.Unmarshal(text, &file); err != nil {
+		v.addJSONError(text, err)
 		return nil
 	}
-	seed, err := strconv.ParseUint(raw.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		f.add("seed", "%q is no hexadecimal number of 64 bits", raw.Seed)
+		v.add("seed", "%q is no hexadecimal number of 64 bits", file.Seed)
 	}
-	f.checkAddress("listen", raw.Listen)
-	f.checkAddress("discovery", raw.Discovery)
-	if raw.Admin != "" {
-		f.checkAddress("admin_addr", raw.Admin)
+	v.checkAddress("listen", file.Listen)
+	v.checkAddress("discovery", file.Discovery)
+	if file.Admin != "" {
+		v.checkAddress("admin_addr", file.Admin)
 	}
-	set, err := simprotocol.ParseSettings(raw.Settings)
-	if err != nil {
-		f.addSettingsErrors(err)
+	settings, zones, ok := v.platformSettings(file.Settings)
+	if !ok {
 		return nil
 	}
+	v.checkClassNames(&settings)
+	return &Config{
+		Name:        file.Name,
+		Listen:      file.Listen,
+		Discovery:   file.Discovery,
+		Admin:       file.Admin,
+		Seed:        seed,
+		Cores:       file.Limits.Cores,
+		MemoryMB:    file.Limits.MemoryMB,
+		Sockets:     file.Limits.Sockets,
+		Known:       file.Known,
+		Settings:    settings,
+		Zones:       zones,
+		text:        text,
+		adminInFile: file.Admin,
+	}
+}
+
+// platformSettings decodes the balancer's settings and the names of the zones. It reports whether they can be gone on with.
+func (v *validator) platformSettings(text json.RawMessage) (settings balancer.Settings, zones []string, ok bool) {
+	settings, err := simprotocol.ParseSettings(text)
+	if err != nil {
+		v.addSettingsErrors(err)
+		return settings, nil, false
+	}
 	var names struct {
 		Localities []string `json:"Localities"`
 		Limits     struct {
 			MaxRetryAfterUs float64 `json:"MaxRetryAfterUs"`
 		} `json:"Limits"`
 	}
-	if err := json.Unmarshal(raw.Settings, &names); err != nil {
-		f.add("settings", "%v", err)
-		return nil
-	}
-	// On sockets an unavailable answer always has room for when to come back.
-	if set.MaxRetryAfter, err = simprotocol.Span(names.Limits.MaxRetryAfterUs); err != nil {
-		f.add("settings.Limits.MaxRetryAfterUs", "%v", err)
-		return nil
-	}
-	c := &Config{
-		Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Admin: raw.Admin, Seed: seed,
-		Cores: raw.Limits.Cores, MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets,
-		Known: raw.Known, Settings: set, Zones: names.Localities, text: text, adminInFile: raw.Admin,
-	}
-	for i, class := range set.Classes {
-		switch at := fmt.Sprintf("settings.Classes[%d].Name", i); {
-		case class.Name == "":
-			f.add(at, "is missing")
-		case set.ClassIndex(class.Name) != i:
-			f.add(at, "%q is the name of another class too", class.Name)
-		}
+	if err := json.Unmarshal(text, &names); err != nil {
+		v.add("settings", "%v", err)
+		return settings, nil, false
 	}
-	return c
-}
-
-// checkAddress adds what is wrong with a host:port, and returns the port where it is one.
-func (f *validator) checkAddress(key, text string) (port string, ok bool) {
-	_, port, err := net.SplitHostPort(text)
-	if err != nil {
-		f.add(key, "%q is no host:port: %v", text, err)
+	// On sockets a rejection always has room for the retry-after, whether or not the settings say so.
+	if settings.MaxRetryAfter, err = simprotocol.Span(names.Limits.MaxRetryAfterUs); err != nil {
+		v.add("settings.Limits.MaxRetryAfterUs", "%v", err)
+		return settings, nil, false
 	}
-	return port, err == nil
+	return settings, names.Localities, true
 }
 
-// addSettingsErrors adds what is wrong with the settings, each under its own key.
-func (f *validator) addSettingsErrors(err error) {
-	var keys simprotocol.KeyErrors
-	if !errors.As(err, &keys) {
-		f.add("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
-	}
-	for _, e := range keys {
-		f.add("settings."+e.Key, "%s", e.What)
+// checkClassNames adds classes without a name, or with that of one before them.
+func (v *validator) checkClassNames(settings *balancer.Settings) {
+	for i, class := range settings.Classes {
+		switch key := fmt.Sprintf("settings.Classes[%d].Name", i); {
+		case class.Name == "":
+			v.add(key, "is missing")
+		case settings.ClassIndex(class.Name) != i:
+			v.add(key, "%q is the name of another class too", class.Name)
+		}
 	}
 }
--- a/internal/config/differences.go
+++ b/internal/config/differences.go
@@ -8,57 +8,72 @@
 	"strings"
 )
 
-// Differences returns what a platform's configuration changes against another, a line each; it compares the texts that the two were
-// read from. It returns nothing where one of them is no JSON.
+// Differences returns what a platform's configuration changes against another, a line each, in the order of their keys. It
+// compares the texts that the two were read from, and returns nothing where one of them is no JSON.
 func Differences(before, after []byte) []string {
 	var treeBefore, treeAfter any
-	was, is := make(map[string]string), make(map[string]string)
+	valuesBefore, valuesAfter := make(map[string]string), make(map[string]string)
 	if json.Unmarshal(before, &treeBefore) == nil && json.Unmarshal(after, &treeAfter) == nil {
-		flatten(was, "", treeBefore)
-		flatten(is, "", treeAfter)
+		flatten(valuesBefore, "", treeBefore)
+		flatten(valuesAfter, "", treeAfter)
 	}
-	return differences(was, is, func(key string) bool { return key == "discovery" || strings.HasPrefix(key, "settings.") })
+	return differences(valuesBefore, valuesAfter, platformReloads)
 }
 
-// Differences returns what another site's file changes against this one, a line each.
+// Differences returns what another site's file changes against this one, a line each, in the order of their keys.
 func (s *Site) Differences(next *Site) []string {
-	return differences(s.values, next.values, takesEffectAtReload)
+	return differences(s.values, next.values, siteReloads)
 }
 
-// flatten writes each value of a tree under its whole key. Of a list of tables each goes by its name or address.
-func flatten(into map[string]string, path string, v any) {
-	switch v := v.(type) {
+// platformReloads reports whether a reload puts a key of the platform's configuration in force; all others need a restart.
+func platformReloads(key string) bool {
+	return key == "discovery" || strings.HasPrefix(key, "settings.")
+}
+
+// siteReloads reports whether a reload puts a key of a site's file in force; all others need a restart.
+func siteReloads(key string) bool {
+	switch key {
+	case "limits.attempts", "limits.per_address", "limits.rate", "limits.burst", "limits.fair":
+		return true
+	case "health.probe":
+		return false
+	}
+	return strings.HasPrefix(key, "server[") || strings.HasPrefix(key, "class[") || strings.HasPrefix(key, "health.")
+}
+
+// flatten adds each value of a decoded file to values, by its whole key. An element of a list of tables goes by its name or
+// address, not its index, so that one which is taken out changes no other.
+func flatten(values map[string]string, path string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		for key, x := range v {
-			flatten(into, strings.TrimPrefix(path+"."+key, "."), x)
+		for key, field := range value {
+			flatten(values, strings.TrimPrefix(path+"."+key, "."), field)
 		}
 	case []any:
-		for i, x := range v {
-			name := any(i)
-			if table, is := x.(map[string]any); is {
-				for _, key := range []string{"address", "id", "name", "Name"} {
-					if table[key] != nil {
-						name = table[key]
-					}
-				}
-			}
-			flatten(into, fmt.Sprintf("%s[%v]", path, name), x)
+		for i, element := range value {
+			flatten(values, fmt.Sprintf("%s[%v]", path, elementName(i, element)), element)
 		}
 	default:
-		into[path] = fmt.Sprint(v)
+		values[path] = fmt.Sprint(value)
 	}
 }
 
-// takesEffectAtReload are the keys of a site's file that a reload puts in force; all others want a restart.
-func takesEffectAtReload(key string) bool {
-	if slices.Contains([]string{"limits.per_address", "limits.rate", "limits.burst", "limits.fair"}, key) {
-		return true
+// elementName returns what an element of a list goes by: the last of the keys below that it has, or its index.
+func elementName(index int, element any) any {
+	name := any(index)
+	if table, isTable := element.(map[string]any); isTable {
+		for _, key := range []string{"address", "id", "name", "Name"} {
+			if table[key] != nil {
+				name = table[key]
+			}
+		}
 	}
-	return strings.HasPrefix(key, "server[") || strings.HasPrefix(key, "class[") || key == "limits.attempts" || strings.HasPrefix(key, "health.") && key != "health.probe"
+	return name
 }
 
-// differences are what another file changes, a line each; those that are not live want a restart.
-func differences(before, after map[string]string, live func(key string) bool) (all []string) {
+// differences returns a line for each key whose value differs, or that one of the two lacks. reloads reports whether a reload
+// puts a key in force.
+func differences(before, after map[string]string, reloads func(key string) bool) (lines []string) {
 	keys := slices.Collect(maps.Keys(before))
 	for key := range after {
 		if _, had := before[key]; !had {
@@ -79,10 +94,10 @@
 		case !has:
 			line = fmt.Sprintf("%s: %q goes", key, was)
 		}
-		if !live(key) {
+		if !reloads(key) {
 			line += " (with the next start only)"
 		}
-		all = append(all, line)
+		lines = append(lines, line)
 	}
-	return all
+	return lines
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -172,6 +172,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "site-changes.txt", strings.Join(differences(nil, s.values, takesEffectAtReload), "\n")+"\n")
+	golden.Compare(t, "site-changes.txt", strings.Join(differences(nil, s.values, siteReloads), "\n")+"\n")
 	golden.Compare(t, "init.toml", RenderSite("music-room", "0.0.0.0:3000", "/run/console.sock", []string{"10.0.0.5:4000", "10.0.0.6:4000"}))
 }
--- /dev/null
+++ b/internal/config/keylines.go
@@ -0,0 +1,98 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2/unstable"
+)
+
+// tomlLines returns the lines of a TOML file's keys, in lower case, as far as it can be read.
+func tomlLines(text []byte) map[string]int {
+	lines := make(map[string]int)
+	tableCounts := make(map[string]int) // of each array of tables
+	var parser unstable.Parser
+	parser.Reset(text)
+	section := ""
+	for parser.NextExpression() {
+		expression := parser.Expression()
+		key, line := tomlKey(&parser, expression)
+		switch expression.Kind {
+		case unstable.Table:
+			section = key + "."
+			lines[key] = line
+		case unstable.ArrayTable:
+			if _, known := lines[key]; !known {
+				lines[key] = line
+			}
+			section = fmt.Sprintf("%s[%d].", key, tableCounts[key])
+			tableCounts[key]++
+		case unstable.KeyValue:
+			lines[section+key] = line
+		}
+	}
+	return lines
+}
+
+// tomlKey returns the dotted key of an expression in lower case, and its line.
+func tomlKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
+	var parts []string
+	for it := expression.Key(); it.Next(); {
+		node := it.Node()
+		parts = append(parts, string(node.Data))
+		if line == 0 {
+			line = parser.Shape(node.Raw).Start.Line
+		}
+	}
+	return strings.ToLower(strings.Join(parts, ".")), line
+}
+
+// jsonLines returns the lines of a JSON text's keys, in lower case, as far as it can be read.
+func jsonLines(text []byte) map[string]int {
+	w := jsonWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: make(map[string]int)}
+	_ = w.walk("") // lines of what comes before a syntax error are known all the same
+	return w.lines
+}
+
+// jsonWalker notes the line of each value of a JSON text.
+type jsonWalker struct {
+	text    []byte
+	decoder *json.Decoder
+	lines   map[string]int // by path in lower case
+}
+
+// walk notes the lines of the value at path, which is next, and of what it holds.
+func (w *jsonWalker) walk(path string) error {
+	token, err := w.decoder.Token()
+	if err != nil {
+		return err
+	}
+	w.lines[strings.ToLower(path)] = lineAt(w.text, w.decoder.InputOffset())
+	open, isDelim := token.(json.Delim)
+	if !isDelim {
+		return nil
+	}
+	for i := 0; w.decoder.More(); i++ {
+		next := fmt.Sprintf("%s[%d]", path, i)
+		if open == '{' {
+			key, err := w.decoder.Token()
+			if err != nil {
+				return err
+			}
+			next = strings.TrimPrefix(fmt.Sprintf("%s.%v", path, key), ".")
+		}
+		if err := w.walk(next); err != nil {
+			return err
+		}
+	}
+	_, err = w.decoder.Token() // the closing delimiter
+	return err
+}
+
+// lineAt returns the line, from 1, of an offset in a text, which may lie beyond either end.
+func lineAt(text []byte, offset int64) int {
+	offset = min(max(offset, 0), int64(len(text)))
+	return 1 + bytes.Count(text[:offset], []byte{'\n'})
+}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -17,8 +17,7 @@
 	"lockroad/internal/logging"
 )
 
-// Operator is what a site's operator sets beside the platform's configuration.
-// What it leaves out is off.
+// Operator has the settings that are the operator's, beside the platform's configuration. The zero value turns everything off.
 type Operator struct {
 	AMQP    AMQP    `toml:"amqp"`
 	OTLP    OTLP    `toml:"otlp"`
@@ -28,20 +27,20 @@
 	Store   Store   `toml:"store"`
 }
 
-// AMQP sets up the front for clients that speak AMQP 1.0.
+// AMQP has the settings of the frontend for clients that speak AMQP 1.0.
 type AMQP struct {
-	Listen       string `toml:"listen"`      // host:port; empty: the front is off
-	EndpointPort int    `toml:"server_port"` // where application servers speak AMQP; 0: as discovery says
+	Listen       string `toml:"listen"`      // host:port; empty: the frontend is off
+	EndpointPort int    `toml:"server_port"` // where endpoints speak AMQP; 0: as discovery says
 	MaxLinks     int    `toml:"links"`       // at a time; 0: as many as the limits leave
 
-	// Shared is how many transactions go over one connection to a server at the most; 0: each has one of its own. More save
-	// descriptors and set-ups; the end of a connection is that of all on it.
+	// Shared is how many requests share one connection to an endpoint at the most; 0: each has one of its own. A higher number
+	// saves descriptors and set-ups; the end of a connection is that of all requests on it.
 	Shared     int      `toml:"shared"`
-	SharedIdle duration `toml:"shared_idle"` // such a connection without any is kept for so long; empty: 10 s
+	SharedIdle duration `toml:"shared_idle"` // such a connection without a request is closed after this; empty: 10 s
 
 	TLS struct {
-		Cert     string `toml:"cert"`      // PEM files of the front's certificate and its key; empty: no TLS
-		Key      string `toml:"key"`       // both are read anew at SIGHUP, as all files named here
+		Cert     string `toml:"cert"`      // PEM files of the frontend's certificate and its key; empty: no TLS
+		Key      string `toml:"key"`       // both are reloaded at SIGHUP, as all files named here
 		ClientCA string `toml:"client_ca"` // PEM file of who signs the certificates that clients may show
 	} `toml:"tls"`
 	SASL struct {
@@ -51,16 +50,16 @@
 	} `toml:"sasl"`
 	Grants      []auth.Grant `toml:"grant"` // which classes users may open; none: all may open all
 	EndpointTLS struct {
-		CA   string `toml:"ca"`   // PEM file of who signs servers' certificates; empty: no TLS to servers
+		CA   string `toml:"ca"`   // PEM file of who signs endpoints' certificates; empty: no TLS to endpoints
 		Cert string `toml:"cert"` // PEM files that the relay shows them; empty: none
 		Key  string `toml:"key"`
 		Name string `toml:"name"` // that their certificates have to be for; empty: their host
 	} `toml:"servers_tls"`
-	Placements []struct { // what links want whose attach does not say it; the first that fits holds
+	Placements []struct { // of links whose attach has no class; the first that matches is taken
 		Address   string   `toml:"address"`   // * stands for any text; empty: any
 		Container string   `toml:"container"` // the same
 		Class     string   `toml:"class"`
-		GiveUp    duration `toml:"give_up"` // empty: as long as the class waits
+		GiveUp    duration `toml:"give_up"` // empty: the deadline of the class
 		Group     string   `toml:"group"`   // address, container, link or property:NAME; empty: none
 	} `toml:"place"`
 }
@@ -70,65 +69,65 @@
 	defaultSharedIdle = duration(10 * time.Second)
 )
 
-// PoolSettings returns how transactions share connections to servers.
+// PoolSettings returns how requests share connections to endpoints.
 func (a *AMQP) PoolSettings() connpool.Settings {
 	return connpool.Settings{MaxSessions: a.Shared, IdleTimeout: time.Duration(cmp.Or(a.SharedIdle, defaultSharedIdle))}
 }
 
-// AuthSettings returns how clients of the front are let in.
+// AuthSettings returns how clients of the frontend are authenticated and authorized.
 func (a *AMQP) AuthSettings() auth.Settings {
 	return auth.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
 		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, ClearPlain: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
-// UpstreamSettings returns how servers are spoken to.
+// UpstreamSettings returns how connections to endpoints are secured.
 func (a *AMQP) UpstreamSettings() auth.Upstream {
 	return auth.Upstream{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
 }
 
-// CompiledPlacements returns the rules, ready for use. Errors name the rule and its key.
+// CompiledPlacements returns the placement rules, ready for use. The error joins one for each rule that is malformed, which
+// names the rule and its key.
 func (a *AMQP) CompiledPlacements() (all []amqp.Placement, err error) {
 	for i, one := range a.Placements {
-		p := amqp.Placement{Address: one.Address, Container: one.Container, Class: one.Class, Timeout: time.Duration(one.GiveUp), Group: one.Group}
-		if bad := p.Compile(); bad != nil {
-			err = errors.Join(err, fmt.Errorf("amqp.place[%d].%w", i, bad))
+		placement := amqp.Placement{Address: one.Address, Container: one.Container, Class: one.Class, Timeout: time.Duration(one.GiveUp), Group: one.Group}
+		if compileErr := placement.Compile(); compileErr != nil {
+			err = errors.Join(err, fmt.Errorf("amqp.place[%d].%w", i, compileErr))
 		}
-		all = append(all, p)
+		all = append(all, placement)
 	}
 	return all, err
 }
 
-// OTLP sets up where telemetry goes.
+// OTLP has the settings of the export of telemetry.
 type OTLP struct {
 	Endpoint string `toml:"endpoint"` // URL of the collector; empty: telemetry is off
 }
 
-// Console sets up the terminal console.
+// Console has the settings of the console.
 type Console struct {
 	Socket string `toml:"socket"` // path of a Unix socket; empty: the console is off
 }
 
-// Why sets up the record of decisions.
+// Why has the settings of the decision log.
 type Why struct {
-	// Bytes of memory, all set aside at the start. 2 MB reach back over some 4,000
-	// transactions. 0: none are kept. Not set: the usual where a console or telemetry can
-	// ask, else none.
+	// Bytes is the memory of the decision log, all of it allocated at the start: 2 MB have some 4,000 requests. 0: no decisions are
+	// recorded. nil: decisionlog.DefaultBytes where a console or telemetry can read them, else 0.
 	Bytes *int `toml:"bytes"`
 }
 
-// Log sets up the log.
+// Log has the settings of the log.
 type Log struct {
 	Level  string `toml:"level"` // debug, info, warn or error; empty: info
 	Format string `toml:"form"`  // text, logfmt or json; empty: logfmt
 }
 
-// Store sets up what outlasts a restart.
+// Store has the settings of what outlasts a restart.
 type Store struct {
-	Dir string `toml:"dir"` // a folder of the relay's own; empty: nothing is kept
-	MB  int    `toml:"mb"`  // of its files, about; 0: 64
+	Dir string `toml:"dir"` // a folder of the relay's own; empty: nothing is stored
+	MB  int    `toml:"mb"`  // that its files take, about; 0: 64
 }
 
-// DecisionLogBytes returns how many bytes of memory the record of decisions has.
+// DecisionLogBytes returns the memory of the decision log in bytes; 0: there is none.
 func (o *Operator) DecisionLogBytes() int {
 	switch {
 	case o.Why.Bytes != nil:
@@ -139,7 +138,7 @@
 	return 0
 }
 
-// ReadOperator reads an operator's file. An empty path stands for none. An error is
+// ReadOperator reads and validates an operator's file. An empty path stands for none, and the zero Operator. The error is
 // Problems, or that of reading the file.
 func ReadOperator(path string) (*Operator, error) {
 	if path == "" {
@@ -154,79 +153,83 @@
 
 func parseOperator(path string, text []byte) (*Operator, error) {
 	o := &Operator{}
-	f := &validator{file: path, lines: tomlLines(text)}
-	if !f.decodeTOML(text, o) {
-		return nil, f.problems.errOrNil()
+	v := &validator{file: path, lines: tomlLines(text)}
+	if !v.decodeTOML(text, o) {
+		return nil, v.problems.errOrNil()
 	}
-	o.check(f)
-	if err := f.problems.errOrNil(); err != nil {
+	o.check(v)
+	if err := v.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return o, nil
 }
 
-func (o *Operator) check(f *validator) {
-	if o.AMQP.Listen != "" {
-		port, ok := f.checkAddress("amqp.listen", o.AMQP.Listen)
-		if _, err := strconv.ParseUint(port, 10, 16); ok && err != nil {
-			f.add("amqp.listen", "port %q is no number up to 65535", port)
+// check adds all that is wrong with the operator's settings. Files that they name are looked at as well: a check that leaves out
+// what a start would fail at is none.
+func (o *Operator) check(v *validator) {
+	o.AMQP.check(v)
+	if o.OTLP.Endpoint != "" {
+		u, err := url.Parse(o.OTLP.Endpoint)
+		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
+			v.add("otlp.endpoint", "%q is no http or https URL", o.OTLP.Endpoint)
 		}
 	}
-	if n := o.AMQP.EndpointPort; n < 0 || n > 65535 {
-		f.add("amqp.server_port", "%d is no port", n)
+	if n := o.Why.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
+		v.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
 	}
-	if n := o.AMQP.MaxLinks; n < 0 {
-		f.add("amqp.links", "%d is negative", n)
+	o.Store.check(v)
+	if err := logging.CheckLevel(o.Log.Level); err != nil {
+		v.add("log.level", "%v", err)
 	}
-	if n := o.AMQP.Shared; n < 0 || n > maxSharedSessions {
-		f.add("amqp.shared", "%d is not within 0 and %d", n, maxSharedSessions)
+	if err := logging.CheckFormat(o.Log.Format); err != nil {
+		v.add("log.form", "%v", err)
 	}
-	// Files are looked at as well: a check that leaves out what a start would trip over is none.
-	_, err1 := auth.New(o.AMQP.AuthSettings())
-	_, err2 := auth.NewEndpointTLS(o.AMQP.UpstreamSettings())
-	for _, err := range []error{err1, err2} {
-		if wrong := (auth.KeyError{}); errors.As(err, &wrong) {
-			f.add("amqp."+wrong.Key, "%v", wrong)
+}
+
+func (a *AMQP) check(v *validator) {
+	if a.Listen != "" {
+		port, ok := v.checkAddress("amqp.listen", a.Listen)
+		if _, err := strconv.ParseUint(port, 10, 16); ok && err != nil {
+			v.add("amqp.listen", "port %q is no number up to 65535", port)
 		}
 	}
-	if _, err := o.AMQP.CompiledPlacements(); err != nil {
-		for line := range strings.Lines(err.Error()) {
-			key, what, _ := strings.Cut(strings.TrimSpace(line), ": ")
-			f.add(key, "%s", what)
-		}
+	if n := a.EndpointPort; n < 0 || n > 65535 {
+		v.add("amqp.server_port", "%d is no port", n)
 	}
-	if o.OTLP.Endpoint != "" {
-		u, err := url.Parse(o.OTLP.Endpoint)
-		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			f.add("otlp.endpoint", "%q is no http or https URL", o.OTLP.Endpoint)
-		}
+	if n := a.MaxLinks; n < 0 {
+		v.add("amqp.links", "%d is negative", n)
 	}
-	if n := o.Why.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
-		f.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
+	if n := a.Shared; n < 0 || n > maxSharedSessions {
+		v.add("amqp.shared", "%d is not within 0 and %d", n, maxSharedSessions)
 	}
-	o.Store.check(f)
-	if err := logging.CheckLevel(o.Log.Level); err != nil {
-		f.add("log.level", "%v", err)
+	_, authErr := auth.New(a.AuthSettings())
+	_, tlsErr := auth.NewEndpointTLS(a.UpstreamSettings())
+	for _, err := range []error{authErr, tlsErr} {
+		if keyError := (auth.KeyError{}); errors.As(err, &keyError) {
+			v.add("amqp."+keyError.Key, "%v", keyError)
+		}
 	}
-	if err := logging.CheckFormat(o.Log.Format); err != nil {
-		f.add("log.form", "%v", err)
+	if _, err := a.CompiledPlacements(); err != nil {
+		for line := range strings.Lines(err.Error()) {
+			key, what, _ := strings.Cut(strings.TrimSpace(line), ": ")
+			v.add(key, "%s", what)
+		}
 	}
 }
 
-// check tells what is wrong with the operator's words on the store.
-func (s *Store) check(f *validator) {
+func (s *Store) check(v *validator) {
 	if s.MB < 0 || s.MB > 1<<20 {
-		f.add("store.mb", "%d is not within 0, for the usual, and %d", s.MB, 1<<20)
+		v.add("store.mb", "%d is not within 0, for the usual, and %d", s.MB, 1<<20)
 	}
 	if s.Dir == "" {
 		if s.MB != 0 {
-			f.add("store.dir", "it is missing: without a folder nothing is kept")
+			v.add("store.dir", "it is missing: without a folder nothing is kept")
 		}
 		return
 	}
 	if info, err := os.Stat(s.Dir); err != nil {
-		f.add("store.dir", "%v", err)
+		v.add("store.dir", "%v", err)
 	} else if !info.IsDir() {
-		f.add("store.dir", "%s is no folder", s.Dir)
+		v.add("store.dir", "%s is no folder", s.Dir)
 	}
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -1,12 +1,9 @@
 package config
 
 import (
-	"bytes"
 	"cmp"
-	"errors"
 	"fmt"
 	"net"
-	"os"
 	"slices"
 	"strings"
 	"time"
@@ -19,33 +16,34 @@
 	"lockroad/internal/quota"
 )
 
-// Site is all that a small site has in one file: a relay's configuration, its servers, and the operator's settings. It
-// needs no platform and no discovery.
+// Site is all that a small site has in one file: a relay's configuration, its endpoints, and the operator's settings. It
+// needs no platform and no discovery agent.
 type Site struct {
 	Config    *Config
 	Operator  *Operator
 	Servers   []prober.Endpoint
 	Health    healthcheck.Settings
-	Ping      bool
-	Quota     quota.Settings
-	FairShare bool // seats that run short are shared out
+	Ping      bool           // endpoints are probed with PING, not by a connection alone
+	Quota     quota.Settings // without Fair, which QuotaSettings sets
+	FairShare bool           // admission slots that run short are shared out among client addresses
 
-	values map[string]string // every key with its value, for the difference to another
+	values map[string]string // every key of the file with its value, for the difference to another
 }
 
 // duration is a time as a person writes it, such as 90s or 800ms.
 type duration time.Duration
 
-// UnmarshalText reads a time.
-func (s *duration) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	if err != nil || d < 0 {
+// UnmarshalText parses a time that is not negative.
+func (d *duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	if err != nil || parsed < 0 {
 		return fmt.Errorf("%q is no time, such as 800ms or 4s", text)
 	}
-	*s = duration(d)
+	*d = duration(parsed)
 	return nil
 }
 
+// siteFile is a site's file as it is written. Errors of its decoder, which operators read, print the type's and fields' names.
 type siteFile struct {
 	Operator
 	Name   string `toml:"name"`
@@ -64,7 +62,7 @@
 		GiveUp  duration `toml:"give_up_after"`
 		Message duration `toml:"message_within"`
 		Effect  string   `toml:"effect"`
-		Most    int      `toml:"most"` // transactions at a time; 0: any number
+		Most    int      `toml:"most"` // requests at a time; 0: any number
 	} `toml:"class"`
 	Limits struct {
 		Cores    float64 `toml:"cores"`
@@ -72,10 +70,10 @@
 		Sockets  int     `toml:"sockets"`
 		Attempts int     `toml:"attempts"`
 
-		PerAddress int     `toml:"per_address"` // transactions of a client address at a time; 0: any number
-		Rate       float64 `toml:"rate"`        // that an address may begin a second; 0: any number
-		Burst      int     `toml:"burst"`       // and at once after a while of silence
-		Fair       bool    `toml:"fair"`        // seats that run short are shared out among addresses
+		PerAddress int     `toml:"per_address"` // requests of a client address at a time; 0: any number
+		Rate       float64 `toml:"rate"`        // of requests that an address may begin a second; 0: any number
+		Burst      int     `toml:"burst"`       // of requests that it may begin at once
+		Fair       bool    `toml:"fair"`        // admission slots that run short are shared out among addresses
 	} `toml:"limits"`
 	Health struct {
 		Probe   string   `toml:"probe"`
@@ -88,7 +86,7 @@
 	} `toml:"health"`
 }
 
-// What a site's file leaves out.
+// Defaults of what a site's file leaves out.
 const (
 	defaultLatencyObjective = 800 * time.Millisecond
 	defaultDeadline         = 4800 * time.Millisecond
@@ -97,7 +95,10 @@
 	defaultSockets          = 4096
 )
 
-// ReadSite reads a site's file. An error is Problems, or that of reading it.
+// minSockets is the least number of descriptors that leaves room for clients.
+const minSockets = 64
+
+// ReadSite reads and validates a site's file. The error is Problems, or that of reading the file.
 func ReadSite(path string) (*Site, error) {
 	text, err := readStable(path)
 	if err != nil {
@@ -106,206 +107,187 @@
 	return parseSite(path, text)
 }
 
+// parseSite decodes and validates a site's file. Problems of a line come in the order of the steps.
 func parseSite(path string, text []byte) (*Site, error) {
-	f := &validator{file: path, lines: tomlLines(text)}
-	var raw siteFile
+	v := &validator{file: path, lines: tomlLines(text)}
+	var file siteFile
 	var tree map[string]any
-	if !f.decodeTOML(text, &raw) {
-		return nil, f.problems.errOrNil()
+	if !v.decodeTOML(text, &file) {
+		return nil, v.problems.errOrNil()
 	}
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		f.addAt(0, "", err.Error())
+		v.addAt(0, "", err.Error())
+	}
+	file.Operator.check(v)
+	site := &Site{Operator: &file.Operator, values: make(map[string]string)}
+	flatten(site.values, "", tree)
+	site.Config = v.siteConfig(&file, text)
+	site.Servers = v.siteEndpoints(&file, site.Config)
+	site.Config.Settings = v.siteSettings(&file)
+	site.Health = v.siteHealth(&file)
+	site.Ping = v.sitePing(&file)
+	site.Quota, site.FairShare = v.siteQuota(&file), file.Limits.Fair
+	if err := v.problems.errOrNil(); err != nil {
+		return nil, err
 	}
-	raw.Operator.check(f)
-	s := &Site{Operator: &raw.Operator, Ping: true, values: make(map[string]string)}
-	flatten(s.values, "", tree)
-	if raw.Name == "" {
-		f.add("name", "is missing")
+	return site, nil
+}
+
+// siteConfig returns the relay's configuration but for its settings, and with the zone of the relay alone.
+func (v *validator) siteConfig(file *siteFile, text []byte) *Config {
+	if file.Name == "" {
+		v.add("name", "is missing")
 	}
-	f.checkAddress("listen", raw.Listen)
-	if raw.Admin != "" {
-		f.checkAddress("admin_addr", raw.Admin)
+	v.checkAddress("listen", file.Listen)
+	if file.Admin != "" {
+		v.checkAddress("admin_addr", file.Admin)
 	}
-	c := &Config{Name: raw.Name, Listen: raw.Listen, Admin: raw.Admin, adminInFile: raw.Admin, Cores: raw.Limits.Cores, text: text,
-		MemoryMB: cmp.Or(raw.Limits.MemoryMB, defaultMemoryMB), Sockets: cmp.Or(raw.Limits.Sockets, defaultSockets), Seed: uint64(time.Now().UnixNano())}
-	if raw.Limits.Cores < 0 || raw.Limits.MemoryMB < 0 || raw.Limits.Sockets < 0 || raw.Limits.Attempts < 0 {
-		f.add("limits", "a limit is negative")
+	limits := &file.Limits
+	if limits.Cores < 0 || limits.MemoryMB < 0 || limits.Sockets < 0 || limits.Attempts < 0 {
+		v.add("limits", "a limit is negative")
 	}
-	if n := raw.Limits.Sockets; n > 0 && n < 64 {
-		f.add("limits.sockets", "%d is less than 64", n)
+	if n := limits.Sockets; n > 0 && n < minSockets {
+		v.add("limits.sockets", "%d is less than %d", n, minSockets)
 	}
-	c.Zones = []string{raw.Hall}
-	zone := func(hall string) int {
-		if i := slices.Index(c.Zones, hall); i >= 0 || hall == "" {
-			return max(0, i)
-		}
-		c.Zones = append(c.Zones, hall)
-		return len(c.Zones) - 1
+	return &Config{
+		Name:        file.Name,
+		Listen:      file.Listen,
+		Admin:       file.Admin,
+		adminInFile: file.Admin,
+		Cores:       limits.Cores,
+		MemoryMB:    cmp.Or(limits.MemoryMB, defaultMemoryMB),
+		Sockets:     cmp.Or(limits.Sockets, defaultSockets),
+		Seed:        uint64(time.Now().UnixNano()),
+		Zones:       []string{file.Hall},
+		text:        text,
 	}
-	if len(raw.Server) == 0 {
-		f.add("server", "is missing: there is no server to send anyone to")
+}
+
+// siteEndpoints returns the endpoints that the file lists, and adds their zones to the configuration's.
+func (v *validator) siteEndpoints(file *siteFile, c *Config) (endpoints []prober.Endpoint) {
+	if len(file.Server) == 0 {
+		v.add("server", "is missing: there is no server to send anyone to")
 	}
-	for i, one := range raw.Server {
+	for i, one := range file.Server {
 		at := fmt.Sprintf("server[%d].", i)
 		name := cmp.Or(one.Name, one.Address)
 		if _, _, err := net.SplitHostPort(one.Address); err != nil {
-			f.add(at+"address", "%q is no host:port: %v", one.Address, err)
+			v.add(at+"address", "%q is no host:port: %v", one.Address, err)
 		}
-		if slices.ContainsFunc(s.Servers, func(x prober.Endpoint) bool { return x.Name == name }) {
-			f.add(at+"name", "%q is the name of another server too", name)
+		if slices.ContainsFunc(endpoints, func(other prober.Endpoint) bool { return other.Name == name }) {
+			v.add(at+"name", "%q is the name of another server too", name)
 		}
 		if strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' }) {
-			f.add(at+"name", "%q has a blank or worse in it", name)
+			v.add(at+"name", "%q has a blank or worse in it", name)
 		}
 		if one.Size < 0 {
-			f.add(at+"size", "%v is negative", one.Size)
+			v.add(at+"size", "%v is negative", one.Size)
 		}
-		s.Servers = append(s.Servers, prober.Endpoint{Name: name, Address: one.Address, Zone: zone(one.Hall), Size: cmp.Or(one.Size, 1)})
+		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: one.Address, Zone: c.siteZone(one.Hall), Size: cmp.Or(one.Size, 1)})
 	}
-	c.Settings = f.siteSettings(&raw)
-	s.Config = c
-	s.Health = f.siteHealth(&raw, s)
-	s.Quota, s.FairShare = quota.Settings{PerAddress: raw.Limits.PerAddress, Rate: raw.Limits.Rate, Burst: raw.Limits.Burst, PerClass: make(map[string]int)}, raw.Limits.Fair
-	for i, one := range raw.Class {
-		if one.Most < 0 {
-			f.add(fmt.Sprintf("class[%d].most", i), "%d is negative", one.Most)
-		} else if one.Most > 0 {
-			s.Quota.PerClass[one.Name] = one.Most
-		}
+	return endpoints
+}
+
+// siteZone returns the number of a hall, which becomes a zone if it isn't one yet. An endpoint without a hall is in the relay's.
+func (c *Config) siteZone(hall string) int {
+	if i := slices.Index(c.Zones, hall); i >= 0 || hall == "" {
+		return max(0, i)
 	}
-	if err := s.Quota.Validate(); err != nil {
-		f.add("limits", "%v", err)
+	c.Zones = append(c.Zones, hall)
+	return len(c.Zones) - 1
+}
+
+// siteQuota returns the limits of requests by address and class.
+func (v *validator) siteQuota(file *siteFile) quota.Settings {
+	settings := quota.Settings{PerAddress: file.Limits.PerAddress, Rate: file.Limits.Rate, Burst: file.Limits.Burst, PerClass: make(map[string]int)}
+	for i, class := range file.Class {
+		if class.Most < 0 {
+			v.add(fmt.Sprintf("class[%d].most", i), "%d is negative", class.Most)
+		} else if class.Most > 0 {
+			settings.PerClass[class.Name] = class.Most
+		}
 	}
-	if err := f.problems.errOrNil(); err != nil {
-		return nil, err
+	if err := settings.Validate(); err != nil {
+		v.add("limits", "%v", err)
 	}
-	return s, nil
+	return settings
 }
 
-// QuotaSettings returns the limits of a relay with so many seats.
-func (s *Site) QuotaSettings(seats int) quota.Settings {
-	set := s.Quota
+// QuotaSettings returns the limits of requests by address and class, for a relay with so many admission slots.
+func (s *Site) QuotaSettings(slots int) quota.Settings {
+	settings := s.Quota
 	if s.FairShare {
-		set.Fair = seats
+		settings.Fair = slots
 	}
-	return set
+	return settings
 }
 
-func (f *validator) siteSettings(raw *siteFile) balancer.Settings {
-	set := balancer.Settings{
-		Relays: 1, MinTick: 2 * time.Millisecond, ConnectTimeout: 500 * time.Millisecond, MaxRetryAfter: 2 * time.Second, MaxAttempts: cmp.Or(raw.Limits.Attempts, defaultMaxAttempts),
-		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second, CrossZoneCost: 0.03, ReportsLoad: true, ReportsDelay: true,
+// siteSettings returns the balancer's settings. Those that a site's file has no key for suit a single relay before a few
+// endpoints.
+func (v *validator) siteSettings(file *siteFile) balancer.Settings {
+	settings := balancer.Settings{
+		Relays:            1,
+		MinTick:           2 * time.Millisecond,
+		ConnectTimeout:    500 * time.Millisecond,
+		MaxRetryAfter:     2 * time.Second,
+		MaxAttempts:       cmp.Or(file.Limits.Attempts, defaultMaxAttempts),
+		InitialCapacity:   0.2,
+		SlowStartDuration: 20 * time.Second,
+		OverloadMultiple:  3,
+		OverloadWindow:    3 * time.Second,
+		CrossZoneCost:     0.03,
+		ReportsLoad:       true,
+		ReportsDelay:      true,
 	}
-	if len(raw.Class) == 0 {
-		f.add("class", "is missing: clients name one")
+	if len(file.Class) == 0 {
+		v.add("class", "is missing: clients name one")
 	}
 	effects := map[string]balancer.Effect{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
-	for i, one := range raw.Class {
+	for i, one := range file.Class {
 		at := fmt.Sprintf("class[%d].", i)
-		class := balancer.Class{Name: one.Name, LatencyObjective: time.Duration(cmp.Or(one.SetUp, duration(defaultLatencyObjective))), Deadline: time.Duration(cmp.Or(one.GiveUp, duration(defaultDeadline))), MessageLatencyObjective: time.Duration(one.Message)}
 		effect, ok := effects[one.Effect]
 		switch {
 		case one.Name == "":
-			f.add(at+"name", "is missing")
-		case set.ClassIndex(one.Name) >= 0:
-			f.add(at+"name", "%q is the name of another class too", one.Name)
+			v.add(at+"name", "is missing")
+		case settings.ClassIndex(one.Name) >= 0:
+			v.add(at+"name", "%q is the name of another class too", one.Name)
 		case !ok:
-			f.add(at+"effect", "%q is neither idempotent nor at_most_once", one.Effect)
+			v.add(at+"effect", "%q is neither idempotent nor at_most_once", one.Effect)
 		}
-		class.Effect = effect
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, balancer.Class{
+			Name:                    one.Name,
+			LatencyObjective:        time.Duration(cmp.Or(one.SetUp, duration(defaultLatencyObjective))),
+			Deadline:                time.Duration(cmp.Or(one.GiveUp, duration(defaultDeadline))),
+			MessageLatencyObjective: time.Duration(one.Message),
+			Effect:                  effect,
+		})
 	}
-	return set
+	return settings
 }
 
-func (f *validator) siteHealth(raw *siteFile, s *Site) healthcheck.Settings {
-	u, h := healthcheck.DefaultSettings(), raw.Health
-	u.Interval, u.Timeout = time.Duration(cmp.Or(h.Every, duration(u.Interval))), time.Duration(cmp.Or(h.Timeout, duration(u.Timeout)))
-	u.Rise, u.Fall = cmp.Or(h.Rise, u.Rise), cmp.Or(h.Fall, u.Fall)
-	u.MaxLoadShare, u.PanicThreshold = cmp.Or(h.Share, u.MaxLoadShare), cmp.Or(h.Panic, u.PanicThreshold)
-	if err := u.Validate(); err != nil {
-		f.add("health", "%v", err)
+// siteHealth returns the settings of health checks: the defaults with what the file has.
+func (v *validator) siteHealth(file *siteFile) healthcheck.Settings {
+	settings, health := healthcheck.DefaultSettings(), &file.Health
+	settings.Interval = time.Duration(cmp.Or(health.Every, duration(settings.Interval)))
+	settings.Timeout = time.Duration(cmp.Or(health.Timeout, duration(settings.Timeout)))
+	settings.Rise = cmp.Or(health.Rise, settings.Rise)
+	settings.Fall = cmp.Or(health.Fall, settings.Fall)
+	settings.MaxLoadShare = cmp.Or(health.Share, settings.MaxLoadShare)
+	settings.PanicThreshold = cmp.Or(health.Panic, settings.PanicThreshold)
+	if err := settings.Validate(); err != nil {
+		v.add("health", "%v", err)
 	}
-	switch h.Probe {
-	case "", "ping":
-	case "connect":
-		s.Ping = false
-	default:
-		f.add("health.probe", "%q is neither ping nor connect", h.Probe)
-	}
-	return u
+	return settings
 }
 
-// decodeTOML reads a file that has to have known keys alone, and tells whether it can be read on.
-func (f *validator) decodeTOML(text []byte, into any) bool {
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
-	var odd *toml.StrictMissingError
-	var bad *toml.DecodeError
-	switch {
-	case errors.As(err, &odd):
-		for _, e := range odd.Errors {
-			line, _ := e.Position()
-			f.addAt(line, strings.Join(e.Key(), "."), "there is no such key")
-		}
-	case errors.As(err, &bad):
-		line, _ := bad.Position()
-		f.addAt(line, strings.Join(bad.Key(), "."), strings.TrimPrefix(bad.Error(), "toml: "))
-		return false // what follows it has not been read
-	case err != nil:
-		f.addAt(0, "", err.Error())
+// sitePing reports whether endpoints are probed with PING, not by a connection alone.
+func (v *validator) sitePing(file *siteFile) bool {
+	switch file.Health.Probe {
+	case "", "ping":
+		return true
+	case "connect":
 		return false
 	}
+	v.add("health.probe", "%q is neither ping nor connect", file.Health.Probe)
 	return true
 }
-
-// RenderSite is a site's file to begin with.
-func RenderSite(name, listen, socket string, servers []string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "# A relay of a small site. `lockroad check` tells all that is wrong with this file; a reload takes servers,\n# classes, attempts and health, whole or not at all.\nname = %q\nlisten = %q\n", name, listen)
-	for i, address := range servers {
-		fmt.Fprintf(&b, "\n[[server]]\nname = \"s-%d\"\naddress = %q\nsize = 1.0                   # against the others\n", i+1, address)
-	}
-	b.WriteString(`
-# What clients ask for by name. Those that are turned away first are worth least.
-[[class]]
-name = "page"
-set_up_within = "800ms"
-give_up_after = "4800ms"
-message_within = "100ms"
-
-[[class]]
-name = "live"
-set_up_within = "500ms"
-give_up_after = "2s"
-message_within = "60ms"
-
-[limits]
-memory_mb = 128
-sockets = 4096
-attempts = 5
-per_address = 0              # transactions of one client address at a time; 0: any number
-rate = 0.0                   # that one address may begin a second; 0: any number
-fair = true                  # seats that run short are shared out among addresses
-
-# Servers are found to be up by probes, and down by probes and by what becomes of their passes.
-[health]
-probe = "ping"               # or connect, where servers know no PING
-every = "2s"
-timeout = "1s"
-rise = 2                     # in a row, until one that was down is up
-fall = 3                     # in a row, until one that was up is down
-panic = 0.5                  # where more are down, this box is doubted first
-`)
-	fmt.Fprintf(&b, "\n[console]\nsocket = %q\n\n[log]\nlevel = \"info\"\nform = \"text\"\n", socket)
-	return b.String()
-}
-
-// WriteSite writes a site's file where there is none.
-func WriteSite(path, text string) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
-	if err != nil {
-		return err
-	}
-	_, err = f.WriteString(text)
-	return errors.Join(err, f.Close())
-}
