--- a/cmd/lockroad/init.go
+++ b/cmd/lockroad/init.go
@@ -33,14 +33,14 @@
 It ends with 1 if the file is there already, or what is said makes no sense.`
 }
 
-// Run asks for what is missing, and writes the file.
-func (c *initCommand) Run(s streams) error {
-	in := bufio.NewReader(s.in)
+// Run asks for what no flag gives, and writes the file. One that is not valid is removed again.
+func (c *initCommand) Run(std streams) error {
+	in := bufio.NewReader(std.in)
 	ask := func(value *string, question, usual string) error {
 		if *value != "" {
 			return nil
 		}
-		fmt.Fprintf(s.out, "%s [%s]: ", question, usual)
+		fmt.Fprintf(std.out, "%s [%s]: ", question, usual)
 		text, err := in.ReadString('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
@@ -79,6 +79,6 @@
 	if _, err := config.ReadSite(c.File); err != nil {
 		return errors.Join(err, os.Remove(c.File))
 	}
-	fmt.Fprintf(s.out, "%s is written. Start: lockroad run --site %s\nLook: lockroad console --socket %s health\n", c.File, c.File, c.Socket)
+	fmt.Fprintf(std.out, "%s is written. Start: lockroad run --site %s\nLook: lockroad console --socket %s health\n", c.File, c.File, c.Socket)
 	return nil
 }
--- a/cmd/lockroad/main.go
+++ b/cmd/lockroad/main.go
@@ -1,6 +1,5 @@
-// Command lockroad is the relay: it places clients' connections on application
-// servers and carries them. Its other commands check files, talk to a relay that runs,
-// ask it why it decided as it did, and show one at work among stand-ins.
+// Command lockroad is the relay: it places clients' connections on endpoints and forwards their traffic. Its other commands
+// validate files, talk to a relay that runs, ask it for explanations of its decisions, and show one at work among fakes.
 package main
 
 import (
@@ -19,13 +18,13 @@
 	"lockroad/internal/console"
 )
 
-// Exit codes. Those of the console's commands are the console's.
+// Exit codes. Supervisors and scripts go by them.
 const (
-	exitOK     = console.ExitOK
-	exitFailed = 1
-	exitUsage  = console.ExitUsage
-	// exitRestart asks the supervisor to start the relay again: it is EX_TEMPFAIL, which
-	// nothing else here uses.
+	exitOK          = console.ExitOK
+	exitFailed      = 1                       // the relay can't start, or what was asked for can't be done or is not in order
+	exitUsage       = console.ExitUsage       // the command line is malformed
+	exitUnreachable = console.ExitUnreachable // no relay answers
+	// exitRestart asks the supervisor to start the relay again. It is EX_TEMPFAIL, which no other failure has here.
 	exitRestart = 75
 )
 
@@ -45,35 +44,35 @@
 	Completion kongcompletion.Completion `cmd:"" help:"Print what sets up completion in a shell (bash, zsh or fish)."`
 }
 
-// streams are what a command reads and writes.
+// streams are the standard streams of a command.
 type streams struct {
-	in        io.Reader
-	out, errs io.Writer
+	in       io.Reader
+	out, err io.Writer
 }
 
-// exit is an error that a command has told of already, with the exit code.
-type exit int
+// exitError ends a command with its exit code. What went wrong has been printed.
+type exitError int
 
-func (e exit) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
+func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// hangups gets SIGHUP, which says that the configuration has been replaced, from the first moment on: its default would end
-// a relay that has just been started.
-var hangups = make(chan os.Signal, 1)
+// reloadSignals gets SIGHUP, which says that the configuration has been replaced, from the first moment on: its default action
+// would end a relay that has just been started.
+var reloadSignals = make(chan os.Signal, 1)
 
 func main() {
-	signal.Notify(hangups, syscall.SIGHUP)
-	os.Exit(call(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr}))
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	os.Exit(execute(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr}))
 }
 
-// ended carries the exit code out of the parser, which ends the program on --help.
-type ended int
+// parserExit is the panic that brings the exit code out of the parser, which ends the program at --help.
+type parserExit int
 
-// call runs a command line and returns the exit code.
-func call(args []string, s streams) (code int) {
+// execute runs a command line and returns the exit code.
+func execute(args []string, s streams) (code int) {
 	defer func() {
 		switch e := recover().(type) {
 		case nil:
-		case ended:
+		case parserExit:
 			code = int(e)
 		default:
 			panic(e)
@@ -82,34 +81,34 @@
 	var c commands
 	parser, err := kong.New(&c, kong.Name("lockroad"),
 		kong.Description("A relay for long-lived connections: it places each on an application server, carries it to its end, and moves clients before their server leaves."),
-		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(ended(code)) }),
+		kong.Writers(s.out, s.err), kong.Exit(func(code int) { panic(parserExit(code)) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Vars{"version": version()}, kong.Bind(s))
 	if err != nil {
-		fmt.Fprintf(s.errs, "lockroad: %v\n", err)
+		fmt.Fprintf(s.err, "lockroad: %v\n", err)
 		return exitFailed
 	}
 	kongcompletion.Register(parser)
-	parsed, err := parser.Parse(doubled(args))
+	parsed, err := parser.Parse(acceptSingleDashSocket(args))
 	if err != nil {
-		fmt.Fprintf(s.errs, "lockroad: %v\ntry lockroad --help\n", err)
+		fmt.Fprintf(s.err, "lockroad: %v\ntry lockroad --help\n", err)
 		return exitUsage
 	}
 	if word, _, _ := strings.Cut(parsed.Command(), " "); word != "run" {
 		signal.Reset(syscall.SIGHUP) // it ends with its terminal
 	}
 	if err := parsed.Run(); err != nil {
-		var told exit
+		var told exitError
 		if errors.As(err, &told) {
 			return int(told)
 		}
-		fmt.Fprintf(s.errs, "lockroad: %v\n", err)
+		fmt.Fprintf(s.err, "lockroad: %v\n", err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// doubled lets -socket stand for --socket, as it was written in the first releases.
-func doubled(args []string) []string {
+// acceptSingleDashSocket turns -socket into --socket, as the first releases had it.
+func acceptSingleDashSocket(args []string) []string {
 	out := make([]string, len(args))
 	for i, a := range args {
 		if a == "-socket" || strings.HasPrefix(a, "-socket=") {
@@ -120,7 +119,7 @@
 	return out
 }
 
-// version tells the version, as far as the build knows it.
+// version returns the version, as far as the build knows it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -25,7 +25,7 @@
 // command runs a command line in this process.
 func command(args ...string) (code int, out, errs string) {
 	var o, e strings.Builder
-	code = call(args, streams{strings.NewReader(""), &o, &e})
+	code = execute(args, streams{strings.NewReader(""), &o, &e})
 	return code, o.String(), e.String()
 }
 
--- a/cmd/lockroad/passwd.go
+++ b/cmd/lockroad/passwd.go
@@ -13,7 +13,7 @@
 	"lockroad/internal/auth"
 )
 
-// passwdCommand keeps the file of users.
+// passwdCommand changes the file of users.
 type passwdCommand struct {
 	File   string `arg:"" help:"The file that amqp.sasl.users names; it is made if it is not there."`
 	User   string `arg:"" help:"Who is to come in by the password."`
@@ -30,30 +30,30 @@
   lockroad passwd --remove /etc/lockroad/users ann`
 }
 
-// Run sets the password.
-func (c *passwdCommand) Run(s streams) error {
+// Run sets or removes the password.
+func (c *passwdCommand) Run(std streams) error {
 	password := ""
 	if !c.Remove {
 		var err error
-		if password, err = readPassword(s); err != nil {
+		if password, err = readPassword(std); err != nil {
 			return err
 		}
 	}
 	if err := auth.SetPassword(c.File, c.User, password, c.Remove); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%s is written; a relay that runs takes it at SIGHUP\n", c.File)
+	fmt.Fprintf(std.out, "%s is written; a relay that runs takes it at SIGHUP\n", c.File)
 	return nil
 }
 
-// readPassword reads a password, unseen and twice at a terminal.
-func readPassword(s streams) (string, error) {
-	if f, ok := s.in.(*os.File); ok && isTerminal(f) {
+// readPassword reads a password: twice and without an echo at a terminal, else a line of standard input.
+func readPassword(std streams) (string, error) {
+	if f, ok := std.in.(*os.File); ok && isTerminal(f) {
 		var typed [2]string
 		for i, prompt := range []string{"password: ", "again: "} {
-			fmt.Fprint(s.errs, prompt)
+			fmt.Fprint(std.err, prompt)
 			text, err := term.ReadPassword(f.Fd())
-			fmt.Fprintln(s.errs)
+			fmt.Fprintln(std.err)
 			if err != nil {
 				return "", err
 			}
@@ -64,7 +64,7 @@
 		}
 		return typed[0], nil
 	}
-	line, err := bufio.NewReader(s.in).ReadString('\n')
+	line, err := bufio.NewReader(std.in).ReadString('\n')
 	if err != nil && !errors.Is(err, io.EOF) {
 		return "", err
 	}
--- a/cmd/lockroad/secure_test.go
+++ b/cmd/lockroad/secure_test.go
@@ -28,7 +28,7 @@
 	passwd := func(user, password string) {
 		t.Helper()
 		var out, errs strings.Builder
-		if code := call([]string{"passwd", users, user}, streams{strings.NewReader(password + "\n"), &out, &errs}); code != 0 {
+		if code := execute([]string{"passwd", users, user}, streams{strings.NewReader(password + "\n"), &out, &errs}); code != 0 {
 			t.Fatal(code, out.String(), errs.String())
 		}
 	}
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -138,7 +138,7 @@
 func TestInitAsks(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "site.toml")
 	var out, errs strings.Builder
-	code := call([]string{"init", file}, streams{strings.NewReader("room\n\n127.0.0.1:4000, 127.0.0.1:4001\n\n"), &out, &errs})
+	code := execute([]string{"init", file}, streams{strings.NewReader("room\n\n127.0.0.1:4000, 127.0.0.1:4001\n\n"), &out, &errs})
 	text, _ := os.ReadFile(file)
 	if code != 0 || !strings.Contains(string(text), `name = "room"`) || strings.Count(string(text), "[[server]]") != 2 || !strings.Contains(string(text), "0.0.0.0:3000") {
 		t.Errorf("%d %s%s\n%s", code, out.String(), errs.String(), text)
--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -12,14 +12,14 @@
 	"lockroad/internal/store"
 )
 
-// storeCommand looks after the folder that a relay keeps things in.
+// storeCommand has the commands for the folder of a relay's store.
 type storeCommand struct {
-	Check   storeCheck   `cmd:"" help:"Read all of it and tell what is wrong."`
-	Stats   storeStats   `cmd:"" help:"Tell what it holds."`
-	Dump    storeDump    `cmd:"" help:"Write its records, a line of JSON each."`
-	Compact storeCompact `cmd:"" help:"Leave nothing in its files that was removed or let go."`
-	Erase   storeErase   `cmd:"" help:"Erase what is kept of a client, by its name or its flow's key."`
-	Repair  storeRepair  `cmd:"" help:"Keep what can be read of one that is damaged, and lose the rest."`
+	Check   storeCheckCommand   `cmd:"" help:"Read all of it and tell what is wrong."`
+	Stats   storeStatsCommand   `cmd:"" help:"Tell what it holds."`
+	Dump    storeDumpCommand    `cmd:"" help:"Write its records, a line of JSON each."`
+	Compact storeCompactCommand `cmd:"" help:"Leave nothing in its files that was removed or let go."`
+	Erase   storeEraseCommand   `cmd:"" help:"Erase what is kept of a client, by its name or its flow's key."`
+	Repair  storeRepairCommand  `cmd:"" help:"Keep what can be read of one that is damaged, and lose the rest."`
 }
 
 // Help has examples.
@@ -33,99 +33,99 @@
 They end with 0 if all is well, and with 1 if something is damaged or can't be done.`
 }
 
-// folder is a store's.
-type folder struct {
+// storeFolder is the argument that all commands of a store have.
+type storeFolder struct {
 	Dir string `arg:"" type:"existingdir" help:"The store's folder, [store] dir in the operator's file."`
 }
 
-func (f folder) fs() store.FS { return store.Dir(f.Dir) }
+func (f storeFolder) fs() store.FS { return store.Dir(f.Dir) }
 
-// tell writes what was found, and returns the exit code's error.
-func tell(w io.Writer, r store.Report) error {
-	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them wanted; read in %v\n", r.Records, r.Commits, r.Files, r.Bytes, r.LiveBytes, r.Duration.Round(time.Microsecond))
-	if t := r.TornTail; t != nil {
+// printReport prints what was found. It returns exitFailed as an error if anything is damaged.
+func printReport(w io.Writer, report store.Report) error {
+	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them wanted; read in %v\n", report.Records, report.Commits, report.Files, report.Bytes, report.LiveBytes, report.Duration.Round(time.Microsecond))
+	if t := report.TornTail; t != nil {
 		fmt.Fprintf(w, "%s ends in %d bytes from byte %d on that a crash tore: nothing in them was committed to last\n", t.File, t.Bytes, t.Offset)
 	}
-	for _, name := range r.Replaced {
+	for _, name := range report.Replaced {
 		fmt.Fprintf(w, "%s is left over from a merge, and goes at the next start\n", name)
 	}
-	for _, d := range r.Damaged {
+	for _, d := range report.Damaged {
 		fmt.Fprintln(w, d)
 	}
-	if len(r.Damaged) > 0 {
-		return exit(exitFailed)
+	if len(report.Damaged) > 0 {
+		return exitError(exitFailed)
 	}
 	return nil
 }
 
-type storeCheck struct{ folder }
+type storeCheckCommand struct{ storeFolder }
 
-// Run checks.
-func (c *storeCheck) Run(s streams) error {
-	r, err := store.Check(c.fs(), persistence.Kinds())
+// Run reads all of the store and prints what is wrong.
+func (c *storeCheckCommand) Run(std streams) error {
+	report, err := store.Check(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
-	return tell(s.out, r)
+	return printReport(std.out, report)
 }
 
-type storeStats struct{ folder }
+type storeStatsCommand struct{ storeFolder }
 
-// Run tells how many records there are of each kind.
-func (c *storeStats) Run(s streams) error {
-	r, kinds, err := store.Count(c.fs(), persistence.Kinds())
+// Run prints how many records there are of each kind.
+func (c *storeStatsCommand) Run(std streams) error {
+	report, kinds, err := store.Count(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
 	for _, k := range kinds {
-		fmt.Fprintf(s.out, "%-10s %6d records, %8d bytes, since %s\n", k.Name, k.Records, k.Bytes, k.Oldest.Local().Format("2006-01-02 15:04:05"))
+		fmt.Fprintf(std.out, "%-10s %6d records, %8d bytes, since %s\n", k.Name, k.Records, k.Bytes, k.Oldest.Local().Format("2006-01-02 15:04:05"))
 	}
-	return tell(s.out, r)
+	return printReport(std.out, report)
 }
 
-type storeDump struct {
-	folder
+type storeDumpCommand struct {
+	storeFolder
 	Kind string `placeholder:"KIND" help:"Only those of one kind: orders, learnt or decisions."`
 }
 
-// Run writes records.
-func (c *storeDump) Run(s streams) error {
-	return store.Dump(c.fs(), persistence.Kinds(), c.Kind, s.out)
+// Run prints records as JSON.
+func (c *storeDumpCommand) Run(std streams) error {
+	return store.Dump(c.fs(), persistence.Kinds(), c.Kind, std.out)
 }
 
-type storeCompact struct{ folder }
+type storeCompactCommand struct{ storeFolder }
 
-// Run merges.
-func (c *storeCompact) Run(s streams) error {
+// Run merges the store's files.
+func (c *storeCompactCommand) Run(std streams) error {
 	before, after, err := store.Compact(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%d bytes before, %d after\n", before.Bytes, after.Bytes)
-	return tell(s.out, after)
+	fmt.Fprintf(std.out, "%d bytes before, %d after\n", before.Bytes, after.Bytes)
+	return printReport(std.out, after)
 }
 
-type storeRepair struct{ folder }
+type storeRepairCommand struct{ storeFolder }
 
-// Run repairs.
-func (c *storeRepair) Run(s streams) error {
+// Run keeps what can be read.
+func (c *storeRepairCommand) Run(std streams) error {
 	before, after, err := store.Repair(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(s.out, "before:")
-	_ = tell(s.out, before) // the verdict is that of what is there now
-	fmt.Fprintln(s.out, "now:")
-	return tell(s.out, after)
+	fmt.Fprintln(std.out, "before:")
+	_ = printReport(std.out, before) // the verdict is that of what is there now
+	fmt.Fprintln(std.out, "now:")
+	return printReport(std.out, after)
 }
 
-type storeErase struct {
-	folder
+type storeEraseCommand struct {
+	storeFolder
 	Of string `arg:"" help:"The name that a client gave a transaction, or the key of its flow."`
 }
 
-// Run removes a client's decisions, also from what the files hold and no longer want.
-func (c *storeErase) Run(s streams) error {
+// Run removes the explanations of a client's requests, and merges the files so that no removed record is left in them.
+func (c *storeEraseCommand) Run(std streams) error {
 	kept, _, err := store.Open(c.fs(), store.Options{Kinds: persistence.Kinds()})
 	if err != nil {
 		return err
@@ -144,6 +144,6 @@
 	if err = errors.Join(err, kept.Compact(), kept.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintf(s.out, "%d accounts are erased; what was learnt holds no names of clients\n", len(keys))
+	fmt.Fprintf(std.out, "%d accounts are erased; what was learnt holds no names of clients\n", len(keys))
 	return nil
 }
