--- a/cmd/lockroad/secure_test.go
+++ b/cmd/lockroad/credentials_test.go
@@ -19,12 +19,12 @@
 
 // The whole way of an operator: a password set at the command line, the file checked, the relay started over TLS, a
 // user added and a key replaced at SIGHUP, a certificate that expires soon told of in the log. What stands is not lost.
-func TestUsersAndKeysAtSIGHUP(t *testing.T) {
+func TestCredentialsReloadAtSIGHUP(t *testing.T) {
 	t.Parallel()
-	s := newService(t)
+	cluster := newCluster(t)
 	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", 10*24*time.Hour)
-	users, operator, address := filepath.Join(s.folder, "users"), filepath.Join(s.folder, "operator.toml"), free(t)
+	users, operator, address := filepath.Join(cluster.dir, "users"), filepath.Join(cluster.dir, "operator.toml"), freeAddress(t)
 	passwd := func(user, password string) {
 		t.Helper()
 		var out, errs strings.Builder
@@ -34,15 +34,15 @@
 	}
 	passwd("ann", "ann's")
 	text := fmt.Sprintf("[amqp]\nlisten = %q\nserver_port = %d\n[amqp.tls]\ncert = %q\nkey = %q\n[amqp.sasl]\nusers = %q\nanonymous = false\n[[amqp.place]]\naddress = \"scores/*\"\nclass = \"page\"\n",
-		address, s.site.AMQPPort, cert, key, users)
+		address, cluster.site.AMQPPort, cert, key, users)
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, errs := command("check", operator); code != 0 || !strings.Contains(out, "a sound operator's file") {
+	if code, out, errs := runCommandLine("check", operator); code != 0 || !strings.Contains(out, "a sound operator's file") {
 		t.Fatal(code, out, errs)
 	}
-	p := s.start("LOCKROAD_OPERATOR=" + operator)
-	p.ready()
+	p := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
+	p.awaitReady()
 	ca, _ := os.ReadFile(a.CA)
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(ca)
@@ -94,11 +94,11 @@
 		t.Fatal(err)
 	}
 	_ = p.Process.Signal(syscall.SIGHUP)
-	testutil.Until(t, "the second file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
+	testutil.Until(t, "the second file is not taken", func() bool { return p.metrics()["config_applied_total"] == 2 })
 	if _, _, err := open("bob", "bob's"); err != nil {
 		t.Errorf("a broken file has shut bob out: %v", err)
 	}
-	p.leave()
+	p.shutDown()
 	for _, want := range []string{"expires soon", "days=9", "days=19", "credentials reload rejected", users + ":1: "} {
 		if !strings.Contains(p.log.String(), want) {
 			t.Errorf("the log does not say %q", want)
--- a/cmd/lockroad/lines_test.go
+++ b/cmd/lockroad/lines_test.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// aBuild is a build of the program to measure.
-type aBuild struct{ name, program string }
+// build is a build of the program to measure.
+type build struct{ name, program string }
 
-// builds are those that LOCKROAD_REHEARSE names, NAME=PATH each.
-func builds() (all []aBuild) {
+// builds returns those that LOCKROAD_REHEARSE names, NAME=PATH each.
+func builds() (all []build) {
 	for _, one := range strings.Fields(os.Getenv("LOCKROAD_REHEARSE")) {
 		name, program, _ := strings.Cut(one, "=")
-		all = append(all, aBuild{name, program})
+		all = append(all, build{name, program})
 	}
 	return all
 }
 
-// TestMeasureLines tells what standing connections of the line front cost a relay that is a process of its own: memory when they are
+// TestMeasureLines prints what established connections of the line frontend cost a relay that is a process of its own: memory when they are
 // silent, and once each has said something. It measures and judges nothing:
 //
 //	LOCKROAD_LINES=2000 go test -run MeasureLines -v ./cmd/lockroad
@@ -33,21 +33,21 @@
 	}
 	these := builds()
 	if len(these) == 0 {
-		these = []aBuild{{name: "this"}}
+		these = []build{{name: "this"}}
 	}
 	for _, build := range these {
-		s := newService(t)
-		s.program = build.program
-		for _, one := range s.site.Servers {
+		cluster := newCluster(t)
+		cluster.program = build.program
+		for _, one := range cluster.site.Servers {
 			one.MaxConns, one.SetupTime = 10*lines, 0
 		}
-		p := s.start()
-		p.ready()
-		base := p.memory()
+		p := cluster.startProcess()
+		p.awaitReady()
+		base := p.residentKB()
 		var all []net.Conn
 		began := time.Now()
 		for i := range lines {
-			c, answer := s.opens(fmt.Sprintf("%016x", i), "live", true)
+			c, answer := cluster.openRequest(fmt.Sprintf("%016x", i), "live", true)
 			if len(answer) < 2 || answer[:2] != "UP" {
 				t.Fatalf("connection %d is told %q", i, answer)
 			}
@@ -56,7 +56,7 @@
 		}
 		took := time.Since(began)
 		time.Sleep(time.Second) // what is looked at is what stays
-		silent := p.memory()
+		silent := p.residentKB()
 		began = time.Now()
 		for range 3 {
 			for _, c := range all {
@@ -74,7 +74,7 @@
 		}
 		echoes := time.Since(began)
 		fmt.Printf("%-10s %d connections: %.1f KB each silent, %.1f KB after notes; %.0f set-ups and %.0f echoes a second\n", build.name, lines, float64(silent-base)/float64(lines),
-			float64(p.memory()-base)/float64(lines), float64(lines)/took.Seconds(), 3*float64(lines)/echoes.Seconds())
+			float64(p.residentKB()-base)/float64(lines), float64(lines)/took.Seconds(), 3*float64(lines)/echoes.Seconds())
 		for _, c := range all {
 			c.Close()
 		}
--- a/cmd/lockroad/links_test.go
+++ b/cmd/lockroad/links_test.go
@@ -14,8 +14,8 @@
 	amqp10 "github.com/Azure/go-amqp"
 )
 
-// TestMeasureLinks tells what links of AMQP cost a relay that is a process of its own: memory, descriptors and the time of a
-// set-up, with a connection to the server for each and with shared ones. It measures and judges nothing:
+// TestMeasureLinks prints what links of AMQP cost a relay that is a process of its own: memory, descriptors and the time of a
+// set-up, with a connection to the endpoint for each and with shared ones. It measures and judges nothing:
 //
 //	LOCKROAD_LINKS=1000 go test -run MeasureLinks -v ./cmd/lockroad
 func TestMeasureLinks(t *testing.T) {
@@ -24,17 +24,17 @@
 		t.Skip("LOCKROAD_LINKS names no number")
 	}
 	for _, shared := range []int{0, 64, 0, 64} {
-		s := newService(t)
-		operator, address := filepath.Join(s.folder, "operator.toml"), free(t)
-		if err := os.WriteFile(operator, fmt.Appendf(nil, "[amqp]\nlisten = %q\nserver_port = %d\nshared = %d\n", address, s.site.AMQPPort, shared), 0o600); err != nil {
+		cluster := newCluster(t)
+		operator, address := filepath.Join(cluster.dir, "operator.toml"), freeAddress(t)
+		if err := os.WriteFile(operator, fmt.Appendf(nil, "[amqp]\nlisten = %q\nserver_port = %d\nshared = %d\n", address, cluster.site.AMQPPort, shared), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for _, one := range s.site.Servers {
+		for _, one := range cluster.site.Servers {
 			one.MaxConns, one.SetupTime = 10*links, 0
 		}
-		p := s.start("LOCKROAD_OPERATOR=" + operator)
-		p.ready()
-		base := p.memory()
+		p := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
+		p.awaitReady()
+		base := p.residentKB()
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		var session *amqp10.Session
 		var took []time.Duration
@@ -58,18 +58,18 @@
 		}
 		slices.Sort(took)
 		fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Process.Pid))
-		fmt.Printf("shared by %2d: %.1f KB a link, %d descriptors, set-up median %v, 99%% %v\n", shared, float64(p.memory()-base)/float64(links), len(fds),
+		fmt.Printf("shared by %2d: %.1f KB a link, %d descriptors, set-up median %v, 99%% %v\n", shared, float64(p.residentKB()-base)/float64(links), len(fds),
 			took[len(took)/2].Round(time.Microsecond), took[len(took)*99/100].Round(time.Microsecond))
 		cancel()
 		p.kill()
 	}
 }
 
-// memory is what a process holds, in KB.
-func (p *process) memory() (kb int) {
+// residentKB returns the resident memory of a process in KB.
+func (p *process) residentKB() (kb int) {
 	f, err := os.Open(fmt.Sprintf("/proc/%d/status", p.Process.Pid))
 	if err != nil {
-		p.s.t.Fatal(err)
+		p.cluster.t.Fatal(err)
 	}
 	defer func() { _ = f.Close() }()
 	for lines := bufio.NewScanner(f); lines.Scan(); {
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// The test's own binary stands for the program when it is told to.
+// TestMain runs the program in place of the tests if the environment says so: the test's own binary stands for it.
 func TestMain(m *testing.M) {
 	if os.Getenv("LOCKROAD_TEST_PROGRAM") != "" {
 		main()
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// command runs a command line in this process.
-func command(args ...string) (code int, out, errs string) {
+// runCommandLine runs a command line in this process.
+func runCommandLine(args ...string) (code int, out, errs string) {
 	var o, e strings.Builder
 	code = execute(args, streams{strings.NewReader(""), &o, &e})
 	return code, o.String(), e.String()
@@ -69,7 +69,7 @@
 		{"", 1, nil, []string{"PROXY_CONFIG names no configuration"}},
 		{"run --operator " + bad, 1, nil, []string{bad + ":2: amqp.listen"}},
 	} {
-		code, out, errs := command(strings.Fields(c.args)...)
+		code, out, errs := runCommandLine(strings.Fields(c.args)...)
 		if code != c.code {
 			t.Errorf("%s: code %d, want %d\n%s%s", c.args, code, c.code, out, errs)
 		}
@@ -86,8 +86,8 @@
 	}
 }
 
-// agent is a stand-in of discovery's agent, which says nothing.
-func agent(t *testing.T) *net.TCPListener {
+// listenDiscovery returns a fake discovery agent, which answers nothing.
+func listenDiscovery(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,8 +97,8 @@
 	return l.(*net.TCPListener)
 }
 
-// asked waits for a watch to be opened.
-func asked(t *testing.T, l *net.TCPListener) net.Conn {
+// acceptWatch waits for a watch to be opened.
+func acceptWatch(t *testing.T, l *net.TCPListener) net.Conn {
 	t.Helper()
 	l.SetDeadline(time.Now().Add(10 * time.Second))
 	c, err := l.Accept()
@@ -113,8 +113,7 @@
 	return c
 }
 
-// SIGHUP ended the program by Go's default. It has to take up the configuration
-// anew, and SIGTERM still has to end it in good order.
+// SIGHUP would end the program by Go's default. It reloads the configuration, and SIGTERM still ends the program in good order.
 func TestProgramOutlivesSIGHUP(t *testing.T) {
 	t.Run("while it runs", func(t *testing.T) { outlivesSIGHUP(t, false) })
 	t.Run("as it starts", func(t *testing.T) { outlivesSIGHUP(t, true) })
@@ -139,7 +138,7 @@
 			t.Fatal(err)
 		}
 	}
-	first, second := agent(t), agent(t)
+	first, second := listenDiscovery(t), listenDiscovery(t)
 	write(first)
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "LOCKROAD_TEST_PROGRAM=1", "PROXY_CONFIG="+file)
@@ -164,10 +163,10 @@
 		_ = cmd.Process.Signal(syscall.SIGHUP)
 		_ = reads.Close()
 	}
-	asked(t, first)
+	acceptWatch(t, first)
 	write(second)
 	_ = cmd.Process.Signal(syscall.SIGHUP)
-	asked(t, second)
+	acceptWatch(t, second)
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-ended:
--- a/cmd/lockroad/figures_test.go
+++ b/cmd/lockroad/metrics_test.go
@@ -13,15 +13,15 @@
 	"lockroad/internal/testutil"
 )
 
-// opens begins a transaction and returns its connection, and the first line of the answer; "" if
-// it does not wait for one.
-func (s *service) opens(name, class string, wait bool) (*net.TCPConn, string) {
-	s.t.Helper()
-	c, err := net.Dial("tcp", s.listen)
+// openRequest opens a request at the line frontend. It returns its connection, and the first line of the answer, or "" if it does
+// not wait for one.
+func (cluster *testCluster) openRequest(name, class string, wait bool) (*net.TCPConn, string) {
+	cluster.t.Helper()
+	c, err := net.Dial("tcp", cluster.listen)
 	if err != nil {
-		s.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { c.Close() })
+	cluster.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	fmt.Fprintf(c, "OPEN %s 1 c=%s,d=900\r\n", name, class)
 	if !wait {
@@ -31,15 +31,14 @@
 	return c.(*net.TCPConn), answer
 }
 
-// Each case has one event and what it may add to the figures; what the servers saw says how many tries
-// there were.
+// Each case has one event and what it may add to the metrics; the endpoints' log says how many attempts there were.
 func TestFiguresCountTheEvent(t *testing.T) {
 	t.Parallel()
-	s := newService(t)
-	p := s.start()
-	p.ready()
+	cluster := newCluster(t)
+	p := cluster.startProcess()
+	p.awaitReady()
 	all := func(m fake.ServerMode) {
-		for _, one := range s.site.Servers {
+		for _, one := range cluster.site.Servers {
 			one.Set(m, 0)
 		}
 	}
@@ -50,35 +49,35 @@
 	}{
 		{"a client that goes before its answer", func() {
 			all(fake.ModeHang)
-			c, _ := s.opens("a1", "page", false)
-			testutil.Until(t, "it is not taken", func() bool { return p.figures()["active"] == 1 && len(s.site.Log.Attempts()) == 1 })
+			c, _ := cluster.openRequest("a1", "page", false)
+			testutil.Until(t, "it is not taken", func() bool { return p.metrics()["active"] == 1 && len(cluster.site.Log.Attempts()) == 1 })
 			c.Close()
 		}, nil},
 		{"one that is served and leaves", func() {
 			all(fake.ModeAccept)
-			c, answer := s.opens("b1", "page", true)
-			if p.figures()["active"] != 1 {
-				t.Errorf("%q, and active is %d", answer, p.figures()["active"])
+			c, answer := cluster.openRequest("b1", "page", true)
+			if p.metrics()["active"] != 1 {
+				t.Errorf("%q, and active is %d", answer, p.metrics()["active"])
 			}
 			c.CloseWrite()
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`ok_total{kind="page"}`: 1}},
 		{"one that is moved, and comes again", func() {
-			c, _ := s.opens("c1", "live", true)
-			for _, one := range s.site.Servers {
-				if one.Name == s.site.Log.Attempts()[len(s.site.Log.Attempts())-1].Server {
+			c, _ := cluster.openRequest("c1", "live", true)
+			for _, one := range cluster.site.Servers {
+				if one.Name == cluster.site.Log.Attempts()[len(cluster.site.Log.Attempts())-1].Server {
 					one.Drain()
 				}
 			}
 			if text, _ := io.ReadAll(c); len(text) == 0 {
 				t.Error("it is not told to move")
 			}
-			again, _ := s.opens("c2", "live", true)
+			again, _ := cluster.openRequest("c2", "live", true)
 			again.CloseWrite()
 			_, _ = io.Copy(io.Discard, again)
 		}, map[string]int{`ok_total{kind="live"}`: 2}},
 		{"one that says what it wants twice over", func() {
-			c, err := net.Dial("tcp", s.listen)
+			c, err := net.Dial("tcp", cluster.listen)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -88,23 +87,23 @@
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`errors_total{kind="page"}`: 1}},
 		{"one without a class that there is", func() {
-			c, _ := s.opens("e1", "extra", true)
+			c, _ := cluster.openRequest("e1", "extra", true)
 			_, _ = io.Copy(io.Discard, c)
 		}, nil},
 		{"the same, once the class has come by SIGHUP", func() {
-			s.write(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
+			cluster.writeConfig(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
 			_ = p.Process.Signal(syscall.SIGHUP)
-			testutil.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 1 })
-			c, _ := s.opens("f1", "extra", true)
+			testutil.Until(t, "the file is not taken", func() bool { return p.metrics()["config_applied_total"] == 1 })
+			c, _ := cluster.openRequest("f1", "extra", true)
 			c.CloseWrite()
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`ok_total{kind="extra"}`: 1, "config_applied_total": 1}},
 		{"one that stands as its class goes, and ends then", func() {
-			c, _ := s.opens("g1", "extra", true)
-			s.write(serviceClasses)
+			c, _ := cluster.openRequest("g1", "extra", true)
+			cluster.writeConfig(serviceClasses)
 			_ = p.Process.Signal(syscall.SIGHUP)
-			testutil.Until(t, "the file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
-			if n := p.figures()["active"]; n != 1 {
+			testutil.Until(t, "the file is not taken", func() bool { return p.metrics()["config_applied_total"] == 2 })
+			if n := p.metrics()["active"]; n != 1 {
 				t.Errorf("active is %d", n)
 			}
 			c.CloseWrite()
@@ -112,33 +111,33 @@
 		}, map[string]int{`ok_total{kind="extra"}`: 1, "config_applied_total": 1}},
 		{"servers that break what comes", func() {
 			all(fake.ModeBreak)
-			c, _ := s.opens("h1", "page", true)
+			c, _ := cluster.openRequest("h1", "page", true)
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`shed_total{kind="page"}`: 1}},
 		{"servers that can't be reached: no try is written", func() {
-			for _, one := range s.site.Servers {
+			for _, one := range cluster.site.Servers {
 				one.Stop()
 			}
-			c, _ := s.opens("i1", "page", true)
+			c, _ := cluster.openRequest("i1", "page", true)
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`shed_total{kind="page"}`: 1}},
 	} {
-		before, tries := p.figures(), len(s.site.Log.Attempts())
+		before, tries := p.metrics(), len(cluster.site.Log.Attempts())
 		c.do()
-		testutil.Until(t, c.name+": it is still active", func() bool { return p.figures()["active"] == 0 })
-		after := p.figures()
+		testutil.Until(t, c.name+": it is still active", func() bool { return p.metrics()["active"] == 0 })
+		after := p.metrics()
 		for _, pool := range []string{"pool_size", "pool_ejected", "active"} {
 			delete(after, pool)
 		}
 		for name, n := range after {
 			want := c.want[name]
 			if name == "tries_total" {
-				want = len(s.site.Log.Attempts()) - tries
+				want = len(cluster.site.Log.Attempts()) - tries
 			}
 			if n-before[name] != want {
 				t.Errorf("%s: %s grows by %d, want %d", c.name, name, n-before[name], want)
 			}
 		}
 	}
-	p.lives()
+	p.requireRunning()
 }
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -13,8 +13,8 @@
 	"lockroad/internal/fake"
 )
 
-// TestRehearse plays the three commonest troubles against builds of the program and tells how
-// long clients wait until they are served again. It measures and judges nothing:
+// TestRehearse plays the three commonest faults against builds of the program and prints how long clients wait until they are
+// served again. It measures and judges nothing:
 //
 //	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run Rehearse -v ./cmd/lockroad
 func TestRehearse(t *testing.T) {
@@ -42,91 +42,90 @@
 	}
 }
 
-// env is what a relay is started with, by its number: with a store of its own, if the service is to be warm.
-func (s *service) env(relay int) []string {
-	if !s.warm {
+// relayEnv returns the environment of a relay, by its number: with a store of its own, if the cluster's relays have one.
+func (cluster *testCluster) relayEnv(relay int) []string {
+	if !cluster.withStore {
 		return nil
 	}
-	folder := filepath.Join(s.folder, fmt.Sprintf("kept-%d", relay))
+	folder := filepath.Join(cluster.dir, fmt.Sprintf("kept-%d", relay))
 	if err := os.MkdirAll(folder, 0o700); err != nil {
-		s.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	operator := folder + ".toml"
 	if err := os.WriteFile(operator, fmt.Appendf(nil, "[store]\ndir = %q\n", folder), 0o600); err != nil {
-		s.t.Fatal(err)
+		cluster.t.Fatal(err)
 	}
 	return []string{"LOCKROAD_OPERATOR=" + operator}
 }
 
-// farmOf starts relays of a build behind a spreader, as processes.
-func farmOf(t *testing.T, s *service, classes []fake.Class, relays int) (front *spreader, doors []string, running []*process) {
-	front, doors, running = newSpreader(t), make([]string, relays), make([]*process, relays)
-	for i := range doors {
-		doors[i] = free(t)
-		s.listen = doors[i]
-		s.writeFor(classes, relays, i)
-		running[i] = s.start(s.env(i)...)
-		front.add(t, doors[i])
+// startRelays starts several relays behind a balancer. addresses are those of their line frontends.
+func startRelays(t *testing.T, cluster *testCluster, classes []fake.Class, relays int) (front *roundRobin, addresses []string, running []*process) {
+	front, addresses, running = newRoundRobin(t), make([]string, relays), make([]*process, relays)
+	for i := range addresses {
+		addresses[i] = freeAddress(t)
+		cluster.listen = addresses[i]
+		cluster.writeConfigFor(classes, relays, i)
+		running[i] = cluster.startProcess(cluster.relayEnv(i)...)
+		front.add(t, addresses[i])
 	}
-	s.listen = front.Addr().String()
-	return front, doors, running
+	cluster.listen = front.Addr().String()
+	return front, addresses, running
 }
 
-// restart restarts the relays one after another.
-func restart(t *testing.T, s *service, classes []fake.Class, front *spreader, doors []string, running []*process) {
+// restartRelays restarts the relays one after another.
+func restartRelays(t *testing.T, cluster *testCluster, classes []fake.Class, front *roundRobin, addresses []string, running []*process) {
 	for i, p := range running {
-		p.leave()
-		noticed := time.AfterFunc(noticeAfter, func() { front.drop(doors[i]) })
-		s.listen = doors[i]
-		s.writeFor(classes, len(running), i)
-		running[i] = s.start(s.env(i)...)
-		front.add(t, doors[i])
+		p.shutDown()
+		noticed := time.AfterFunc(failureDetectionTime, func() { front.drop(addresses[i]) })
+		cluster.listen = addresses[i]
+		cluster.writeConfigFor(classes, len(running), i)
+		running[i] = cluster.startProcess(cluster.relayEnv(i)...)
+		front.add(t, addresses[i])
 		noticed.Stop()
 	}
 }
 
-// rehearse plays one trouble. It returns how long the clients waited that it has cost their
-// connection, or that came within 10 s of it, how many were not served by the end, and how
-// many were moved.
+// rehearse plays one fault. It returns how long the clients waited that have lost their connection by it, or that came within 10 s
+// of it, how many were not served by the end, and how many were migrated.
 func rehearse(t *testing.T, program, trouble string, seed uint64) (waits []time.Duration, unserved, moves int) {
-	s := newServiceOf(t, 6, nil)
-	s.program = program
+	cluster := newClusterOf(t, 6, nil)
+	cluster.program = program
 	relays := 1
 	if strings.HasPrefix(trouble, "four") {
 		relays = 4
 	}
-	front, doors, running := farmOf(t, s, serviceClasses, relays)
+	front, addresses, running := startRelays(t, cluster, serviceClasses, relays)
 	classes := slices.Clone(serviceClasses)
 	for i := range classes {
 		classes[i].MeanLifetime = 30 * time.Second
 	}
-	s.crowdOf(10, classes, seed+1)
+	cluster.startClientsOf(10, classes, seed+1)
 	time.Sleep(6 * time.Second)
 	began := time.Now()
-	bad := s.site.Servers[int(seed)%6]
+	bad := cluster.site.Servers[int(seed)%6]
 	switch {
 	case strings.Contains(trouble, "hangs"):
 		bad.Set(fake.ModeHang, 0)
 		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
 	case strings.Contains(trouble, "gone"):
 		bad.Stop()
-		time.AfterFunc(9*time.Second, func() { s.site.Discovery.SetState(bad.Name, "gone", false) })
+		time.AfterFunc(9*time.Second, func() { cluster.site.Discovery.SetState(bad.Name, "gone", false) })
 	case strings.Contains(trouble, "drop"):
-		s.site.Clients.Drop(0.53)
+		cluster.site.Clients.Drop(0.53)
 	default:
-		restart(t, s, serviceClasses, front, doors, running)
+		restartRelays(t, cluster, serviceClasses, front, addresses, running)
 	}
 	time.Sleep(time.Until(began.Add(12 * time.Second)))
-	s.left()
+	cluster.stopClients()
 	for _, p := range running {
 		p.kill()
 	}
 	at := make(map[string]bool) // transactions at the bad server
-	for _, pass := range s.site.Log.Attempts() {
+	for _, pass := range cluster.site.Log.Attempts() {
 		at[pass.Name] = at[pass.Name] || pass.Server == bad.Name && pass.Answer == "up"
 	}
 	flows := make(map[string][]fake.Session)
-	for _, v := range s.site.Log.Sessions() {
+	for _, v := range cluster.site.Log.Sessions() {
 		flows[v.Flow] = append(flows[v.Flow], v)
 	}
 	for _, visits := range flows {
@@ -157,21 +156,21 @@
 	return waits, unserved, moves
 }
 
-// The operators' classes, with what they ask of a server: 82 ms of work a second on average.
-var weighty = []fake.Class{
+// weightedClasses are the operators' classes, with what they ask of an endpoint: 82 ms of work a second on average.
+var weightedClasses = []fake.Class{
 	{Name: "page-render", Share: 0.35, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 20 * time.Second},
 	{Name: "part-extract", Share: 0.30, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 40 * time.Second, LatencyObjective: 50 * time.Millisecond},
 	{Name: "live-preview", Share: 0.27, TimeLimit: 2 * time.Second, MeanLifetime: 40 * time.Second, LatencyObjective: 60 * time.Millisecond},
 	{Name: "print-export", Share: 0.08, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 13 * time.Second},
 }
 
-var worth = map[string]float64{"page-render": 5, "part-extract": 2, "live-preview": 1, "print-export": 5}
+var classWeights = map[string]float64{"page-render": 5, "part-extract": 2, "live-preview": 1, "print-export": 5}
 
-const noteEvery = 250 * time.Millisecond
+const messageInterval = 250 * time.Millisecond
 
-// TestRehearseWorth plays the bench's weakest days with servers that have a capacity, and tells what part of the
-// worth asked for was served and where the rest went: at the server in trouble, at others, or on
-// the way to a server. It measures and judges nothing:
+// TestRehearseWorth plays the bench's weakest scenarios with endpoints that have a capacity, and prints what part of the weight
+// asked for was served and where the rest was lost: at the faulty endpoint, at others, or on the way to one. It measures and judges
+// nothing:
 //
 //	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run RehearseWorth -v ./cmd/lockroad
 //
@@ -190,11 +189,11 @@
 		for _, build := range builds {
 			t.Run(trouble+"/"+build.name, func(t *testing.T) {
 				t.Parallel()
-				var all []lost
+				var all []lostWeight
 				for seed := range uint64(runs) {
 					all = append(all, rehearseWorth(t, build.program, trouble, seed, strings.HasPrefix(build.name, "warm")))
 				}
-				slices.SortFunc(all, func(x, y lost) int { return cmp.Compare(x.served, y.served) })
+				slices.SortFunc(all, func(x, y lostWeight) int { return cmp.Compare(x.served, y.served) })
 				for _, l := range all {
 					fmt.Printf("%-26s %-8s served %.3f  lost at the one in trouble %.3f, at others %.3f, on the way %.3f  moves %d of %d\n", trouble, build.name, l.served, l.there, l.others, l.way, l.moves, l.clients)
 				}
@@ -203,50 +202,50 @@
 	}
 }
 
-// lost tells where the worth asked for went, in parts of it.
-type lost struct {
+// lostWeight is where the weight asked for was served or lost, in parts of it.
+type lostWeight struct {
 	served, there, others, way float64
 	moves, clients             int
 }
 
-func rehearseWorth(t *testing.T, program, trouble string, seed uint64, warm bool) (l lost) {
+func rehearseWorth(t *testing.T, program, trouble string, seed uint64, warm bool) (l lostWeight) {
 	bears := fake.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, ReportOver: 17 * time.Millisecond,
 		Classes: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
-	s := newServiceOf(t, 6, func(one *fake.Server) {
+	cluster := newClusterOf(t, 6, func(one *fake.Server) {
 		one.Capacity, one.ExtraListeners, one.Load = bears, make([]string, 3), 0
 		if one.Name == "s-3" || one.Name == "s-5" { // a third are slow machines
 			one.Capacity.Work = 1200 * time.Millisecond
 		}
 	})
-	s.program, s.patience, s.warm = program, 3700*time.Millisecond, warm
-	front, doors, running := farmOf(t, s, weighty, 4)
-	s.come(&fake.ClientPool{Classes: weighty, Rate: 9, Groups: 12, MessageInterval: noteEvery, MaxClients: 150, Seed: seed + 1})
+	cluster.program, cluster.killAfter, cluster.withStore = program, 3700*time.Millisecond, warm
+	front, addresses, running := startRelays(t, cluster, weightedClasses, 4)
+	cluster.runClients(&fake.ClientPool{Classes: weightedClasses, Rate: 9, Groups: 12, MessageInterval: messageInterval, MaxClients: 150, Seed: seed + 1})
 	time.Sleep(4 * time.Second) // 36 clients that stand, which fill the farm to 0.6 with their groups
-	s.site.Clients.SetRate(1.3)
+	cluster.site.Clients.SetRate(1.3)
 	time.Sleep(4 * time.Second)
 	began := time.Now()
-	bad := s.site.Servers[int(seed)%6]
+	bad := cluster.site.Servers[int(seed)%6]
 	switch trouble {
 	case "one of six hangs for 6 s":
 		bad.Set(fake.ModeHang, 0)
 		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
 	case "the relays restart":
-		restart(t, s, weighty, front, doors, running)
+		restartRelays(t, cluster, weightedClasses, front, addresses, running)
 	case "one restarts and is cold":
 		bad.Stop()
 		time.AfterFunc(2*time.Second, func() {
 			_ = bad.Start(bad.Address(), "")
-			time.AfterFunc(time.Second, func() { s.site.SetState(bad.Name, "ready", true) })
+			time.AfterFunc(time.Second, func() { cluster.site.SetState(bad.Name, "ready", true) })
 		})
 	}
 	time.Sleep(time.Until(began.Add(15 * time.Second)))
 	over := time.Now()
-	s.left()
+	cluster.stopClients()
 	for _, p := range running {
 		p.kill()
 	}
 	at := make(map[string]string)
-	for _, pass := range s.site.Log.Attempts() {
+	for _, pass := range cluster.site.Log.Attempts() {
 		if pass.Answer == "up" {
 			at[pass.Name] = pass.Server
 		}
@@ -254,7 +253,7 @@
 	asked := 0.0
 	came, left := make(map[string]fake.Session), make(map[string]time.Time)
 	stood := make(map[string]time.Duration)
-	for _, v := range s.site.Log.Sessions() {
+	for _, v := range cluster.site.Log.Sessions() {
 		if first, ok := came[v.Flow]; !ok || v.At.Before(first.At) {
 			came[v.Flow] = v
 		}
@@ -269,9 +268,9 @@
 			l.moves++
 		}
 		stood[v.Flow] += v.Established
-		w := worth[v.Class]
-		l.served += w * float64(v.Echoes-v.Late) * noteEvery.Seconds()
-		bare := w * float64(v.Late+v.Missed) * noteEvery.Seconds()
+		w := classWeights[v.Class]
+		l.served += w * float64(v.Echoes-v.Late) * messageInterval.Seconds()
+		bare := w * float64(v.Late+v.Missed) * messageInterval.Seconds()
 		if at[v.Name] == bad.Name {
 			l.there += bare
 		} else {
@@ -280,33 +279,33 @@
 	}
 	for flow, first := range came {
 		wanted := min(left[flow].Sub(first.At), over.Sub(first.At))
-		asked += worth[first.Class] * wanted.Seconds()
-		l.way += worth[first.Class] * max(0, wanted-stood[flow]).Seconds()
+		asked += classWeights[first.Class] * wanted.Seconds()
+		l.way += classWeights[first.Class] * max(0, wanted-stood[flow]).Seconds()
 	}
 	l.clients = len(came)
 	l.served, l.there, l.others, l.way = l.served/asked, l.there/asked, l.others/asked, l.way/asked
 	return l
 }
 
-// TestRehearseStore tells what a store adds to a client's wait: the same openings by turns through a relay that has one and
-// one that has not, first such that nothing of them is kept, then such that all are, as all servers are full. It
-// measures and judges nothing.
+// TestRehearseStore prints what a store adds to a client's wait: the same requests by turns through a relay that has one and one that
+// has not, first such that nothing of them is saved, then such that all are, as all endpoints are full. It measures and judges
+// nothing.
 func TestRehearseStore(t *testing.T) {
 	if os.Getenv("LOCKROAD_REHEARSE") == "" {
 		t.Skip("LOCKROAD_REHEARSE names no builds")
 	}
-	s, _, env := kept(t)
-	second := newService(t)
-	bare := filepath.Join(s.folder, "bare.toml")
+	cluster, _, env := newClusterWithStore(t)
+	second := newCluster(t)
+	bare := filepath.Join(cluster.dir, "bare.toml")
 	if err := os.WriteFile(bare, []byte("[why]\nbytes = 2097152\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	with, without := s.start(env), second.start("LOCKROAD_OPERATOR="+bare)
-	with.ready()
-	without.ready()
+	with, without := cluster.startProcess(env), second.startProcess("LOCKROAD_OPERATOR="+bare)
+	with.awaitReady()
+	without.awaitReady()
 	for _, mode := range []fake.ServerMode{fake.ModeAccept, fake.ModeBusy} {
 		var waits [2][]time.Duration
-		for i, one := range []*service{s, second} {
+		for i, one := range []*testCluster{cluster, second} {
 			for _, server := range one.site.Servers {
 				server.SetupTime = 0
 				server.Set(mode, 0)
@@ -319,7 +318,7 @@
 			n = 40 // each takes its three tries and their pauses
 		}
 		for range n {
-			for i, one := range []*service{s, second} {
+			for i, one := range []*testCluster{cluster, second} {
 				v := one.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
 				waits[i] = append(waits[i], v.SetupTime)
 			}
@@ -336,6 +335,6 @@
 			fmt.Printf("%-8s %4d openings each: quantile %.2f with a store %v, without %v, ratio %.2f\n", mode, n, q, a, b, r)
 		}
 	}
-	with.leave()
-	without.leave()
+	with.shutDown()
+	without.shutDown()
 }
--- a/cmd/lockroad/spread_test.go
+++ b/cmd/lockroad/roundrobin_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// noticeAfter is how long a spreader takes to notice that a relay has died.
-const noticeAfter = 2 * time.Second
+// failureDetectionTime is how long the balancer before the relays takes to notice that one has died.
+const failureDetectionTime = 2 * time.Second
 
-// spreader is the layer before several relays: it hands clients out among them in turn, adds
-// one once it answers PING, and notices only later that one has died.
-type spreader struct {
+// roundRobin is the balancer before several relays: it assigns clients to them in turn, adds one once it answers PING, and notices
+// only later that one has died.
+type roundRobin struct {
 	*net.TCPListener
 	mu     sync.Mutex
 	relays []string
@@ -22,30 +22,30 @@
 	all    sync.WaitGroup
 }
 
-func newSpreader(t *testing.T) *spreader {
+func newRoundRobin(t *testing.T) *roundRobin {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &spreader{TCPListener: l.(*net.TCPListener)}
+	s := &roundRobin{TCPListener: l.(*net.TCPListener)}
 	s.all.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			s.all.Go(func() { s.carry(c.(*net.TCPConn)) })
+			s.all.Go(func() { s.forward(c.(*net.TCPConn)) })
 		}
 	})
 	t.Cleanup(func() { l.Close(); s.all.Wait() })
 	return s
 }
 
-// add waits until a relay answers PING, and hands clients out to it from then on.
-func (s *spreader) add(t *testing.T, relay string) {
+// add waits until a relay answers PING, and assigns clients to it from then on.
+func (s *roundRobin) add(t *testing.T, relay string) {
 	t.Helper()
-	for late := time.Now().Add(6 * time.Second); !pongs(relay); time.Sleep(5 * time.Millisecond) {
+	for late := time.Now().Add(6 * time.Second); !answersPing(relay); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Error("a relay does not start")
 			return
@@ -58,13 +58,13 @@
 	}
 }
 
-func (s *spreader) drop(relay string) {
+func (s *roundRobin) drop(relay string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.relays = slices.DeleteFunc(s.relays, func(r string) bool { return r == relay })
 }
 
-func pongs(relay string) bool {
+func answersPing(relay string) bool {
 	c, err := net.Dial("tcp", relay)
 	if err != nil {
 		return false
@@ -77,8 +77,8 @@
 	return err == nil && string(b) == "PONG\r\n"
 }
 
-// carry passes a client's bytes to a relay and back, and the end of either side.
-func (s *spreader) carry(client *net.TCPConn) {
+// forward copies a client's bytes to a relay and back, and the end of either side.
+func (s *roundRobin) forward(client *net.TCPConn) {
 	defer client.Close()
 	s.mu.Lock()
 	if len(s.relays) == 0 {
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -23,24 +23,24 @@
 	{Name: "live", Share: 0.3, TimeLimit: 2 * time.Second, MeanLifetime: time.Second},
 }
 
-// From nothing to a client that is served by two commands; then a server dies and comes back, the file is reloaded with another
-// list, and a broken one is turned down. Nothing of it breaks a rule.
+// From nothing to a client that is served by two commands; then an endpoint dies and comes back, the file is reloaded with another
+// list, and a broken one is rejected. Nothing of it violates an invariant.
 func TestSiteFromNothing(t *testing.T) {
 	t.Parallel()
-	s := newServiceOf(t, 3, func(one *fake.Server) { one.Probes = true })
-	file, socket := filepath.Join(s.folder, "site.toml"), filepath.Join(s.folder, "sock")
-	args := []string{"init", file, "--name", "music-room", "--listen", s.listen, "--socket", socket}
-	for _, one := range s.site.Servers {
+	cluster := newClusterOf(t, 3, func(one *fake.Server) { one.Probes = true })
+	file, socket := filepath.Join(cluster.dir, "site.toml"), filepath.Join(cluster.dir, "sock")
+	args := []string{"init", file, "--name", "music-room", "--listen", cluster.listen, "--socket", socket}
+	for _, one := range cluster.site.Servers {
 		args = append(args, "--server", one.Address())
 	}
 	began := time.Now()
-	if code, out, errs := command(args...); code != 0 {
+	if code, out, errs := runCommandLine(args...); code != 0 {
 		t.Fatalf("%d %s%s", code, out, errs)
 	}
-	if code, _, errs := command(args...); code != 1 || !strings.Contains(errs, "exists") {
+	if code, _, errs := runCommandLine(args...); code != 1 || !strings.Contains(errs, "exists") {
 		t.Errorf("a second time: %d %s", code, errs)
 	}
-	if code, out, errs := command("check", file); code != 0 || !strings.Contains(out, "a sound site's file") {
+	if code, out, errs := runCommandLine("check", file); code != 0 || !strings.Contains(out, "a sound site's file") {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
 	quick := strings.NewReplacer(`every = "2s"`, `every = "200ms"`, `timeout = "1s"`, `timeout = "200ms"`)
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "run", "--site", file)
-	cmd.Env = append(os.Environ(), "LOCKROAD_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0", "LOCKROAD_OPERATOR=", "PROXY_CONFIG=", "PROXY_ADMIN_ADDR=", "TMPDIR="+s.folder)
+	cmd.Env = append(os.Environ(), "LOCKROAD_TEST_PROGRAM=1", "GORACE=atexit_sleep_ms=0", "LOCKROAD_OPERATOR=", "PROXY_CONFIG=", "PROXY_ADMIN_ADDR=", "TMPDIR="+cluster.dir)
 	var log strings.Builder
 	cmd.Stderr = &log
 	if err := cmd.Start(); err != nil {
@@ -67,11 +67,11 @@
 			t.Log(log.String())
 		}
 	})
-	testutil.Until(t, "no start", func() bool { return pongs(s.listen) })
-	s.come(&fake.ClientPool{Classes: siteClasses, Rate: 60, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 100, Seed: 5})
+	testutil.Until(t, "no start", func() bool { return answersPing(cluster.listen) })
+	cluster.runClients(&fake.ClientPool{Classes: siteClasses, Rate: 60, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 100, Seed: 5})
 	served := func() int {
 		n := 0
-		for _, v := range s.site.Log.Sessions() {
+		for _, v := range cluster.site.Log.Sessions() {
 			if v.Answer == "up" {
 				n++
 			}
@@ -81,45 +81,45 @@
 	testutil.Until(t, "nobody is served", func() bool { return served() > 0 })
 	t.Logf("from nothing to the first client served: %v", time.Since(began).Round(time.Millisecond))
 
-	dead := s.site.Servers[0]
+	dead := cluster.site.Servers[0]
 	dead.Stop()
-	says(t, socket, "health", "SERVER")
-	testutil.Until(t, "a dead server is up", func() bool { return strings.Contains(says(t, socket, "health"), "down") })
+	runConsole(t, socket, "health", "SERVER")
+	testutil.Until(t, "a dead server is up", func() bool { return strings.Contains(runConsole(t, socket, "health"), "down") })
 	if err := dead.Start(dead.Address(), ""); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "a server that is back is down", func() bool { return !strings.Contains(says(t, socket, "health"), "down") })
+	testutil.Until(t, "a server that is back is down", func() bool { return !strings.Contains(runConsole(t, socket, "health"), "down") })
 	back := time.Now()
-	testutil.Until(t, "nobody comes to it", func() bool { return s.passesAt("s-1", back) > 0 })
+	testutil.Until(t, "nobody comes to it", func() bool { return cluster.attemptsAt("s-1", back) > 0 })
 
-	gone := s.site.Servers[1]
+	gone := cluster.site.Servers[1]
 	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+gone.Address()+"\"\nsize = 1.0                   # against the others\n", "", 1)
 	without = strings.Replace(without, "attempts = 5", "attempts = 4", 1)
 	if err := os.WriteFile(file, []byte(without), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	says(t, socket, "reload --dry-run", `server[s-2].name: "s-2" goes`, `limits.attempts: "5" becomes "4"`)
-	if says(t, socket, "farm"); s.passesAt("s-2", back) == 0 {
+	runConsole(t, socket, "reload --dry-run", `server[s-2].name: "s-2" goes`, `limits.attempts: "5" becomes "4"`)
+	if runConsole(t, socket, "farm"); cluster.attemptsAt("s-2", back) == 0 {
 		t.Error("a dry run took the server out")
 	}
 	if err := os.WriteFile(file, []byte(without+"\n[[class]]\nname = \"page\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	says(t, socket, "reload", file, "is the name of another class too")
+	runConsole(t, socket, "reload", file, "is the name of another class too")
 	if err := os.WriteFile(file, []byte(without), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_ = cmd.Process.Signal(syscall.SIGHUP)
-	testutil.Until(t, "the server is still there", func() bool { return strings.Contains(says(t, socket, "farm"), "draining") })
+	testutil.Until(t, "the server is still there", func() bool { return strings.Contains(runConsole(t, socket, "farm"), "draining") })
 	reloaded := time.Now().Add(550 * time.Millisecond)
 	testutil.Until(t, "someone is left there", func() bool {
-		return time.Now().After(reloaded) && !strings.Contains(says(t, socket, "transactions"), "s-2")
+		return time.Now().After(reloaded) && !strings.Contains(runConsole(t, socket, "transactions"), "s-2")
 	})
-	pause()
-	if n := s.passesAt("s-2", reloaded); n > 0 {
+	letClientsRun()
+	if n := cluster.attemptsAt("s-2", reloaded); n > 0 {
 		t.Errorf("%d passes come to a server that the file no longer names", n)
 	}
-	s.left()
+	cluster.stopClients()
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-ended:
@@ -129,7 +129,7 @@
 	case <-time.After(5 * time.Second):
 		t.Error("it does not end")
 	}
-	for _, b := range invariants.Check(invariants.History{Sessions: s.site.Log.Sessions(), Attempts: s.site.Log.Attempts(), Limits: invariants.DefaultLimits(),
+	for _, b := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), Limits: invariants.DefaultLimits(),
 		Broken: func(p fake.Attempt) bool { return p.Server == "s-1" }, Spoiled: func(v fake.Session) bool { return v.End == "broken" }}) {
 		t.Error(b)
 	}
@@ -147,13 +147,13 @@
 	if err := os.WriteFile(bad, []byte("name = \"x\"\nlisten = \"nowhere\"\n[[server]]\naddress = \"a:1\"\n[[server]]\naddress = \"b\"\nsize = -1.0\n[[class]]\nname = \"p\"\ngive_up_after = \"soon\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, errs := command("check", bad); code != 1 || !strings.Contains(errs, bad+":10: class.give_up_after") {
+	if code, _, errs := runCommandLine("check", bad); code != 1 || !strings.Contains(errs, bad+":10: class.give_up_after") {
 		t.Errorf("%d %s", code, errs)
 	}
 	if err := os.WriteFile(bad, []byte("name = \"x\"\nlisten = \"nowhere\"\n[[server]]\naddress = \"a:1\"\n[[server]]\naddress = \"b\"\nsize = -1.0\n[health]\nevery = \"50ms\"\ntimeout = \"40ms\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	code, _, told := command("check", bad)
+	code, _, told := runCommandLine("check", bad)
 	for _, want := range []string{":2: listen: ", ":6: server[1].address: ", ":7: server[1].size: ", ":8: health: ", "class: is missing"} {
 		if code != 1 || !strings.Contains(told, want) {
 			t.Errorf("%d: no %q in\n%s", code, want, told)
@@ -161,18 +161,18 @@
 	}
 }
 
-// One classroom floods a box of 24 seats, and another comes as always. Where seats are shared out fairly the other is
-// served; where they are not it is turned away.
-func TestFloodOfOneAddress(t *testing.T) {
+// One classroom floods a relay of 24 admission slots, and another comes as always. Where slots are shared out fairly the other is
+// served; where they are not it is rejected.
+func TestFairShareUnderFloodOfOneAddress(t *testing.T) {
 	t.Parallel()
 	for _, fair := range []bool{true, false} {
-		s := newServiceOf(t, 2, func(one *fake.Server) { one.Probes = true })
+		cluster := newClusterOf(t, 2, func(one *fake.Server) { one.Probes = true })
 		var servers []string
-		for _, one := range s.site.Servers {
+		for _, one := range cluster.site.Servers {
 			servers = append(servers, one.Address())
 		}
-		file := filepath.Join(s.folder, "site.toml")
-		text := config.RenderSite("box", s.listen, filepath.Join(s.folder, "sock"), servers)
+		file := filepath.Join(cluster.dir, "site.toml")
+		text := config.RenderSite("box", cluster.listen, filepath.Join(cluster.dir, "sock"), servers)
 		text = strings.Replace(text, "sockets = 4096", "sockets = 64", 1)
 		if !fair {
 			text = strings.Replace(text, "fair = true", "fair = false", 1)
@@ -188,8 +188,8 @@
 		go func() {
 			ended <- server.Run(context.Background(), server.RunOptions{Shutdown: leave, ConfigPath: file, Site: site}, site.Config, site.Operator, slog.New(slog.DiscardHandler))
 		}()
-		testutil.Until(t, "no start", func() bool { return pongs(s.listen) })
-		flood := &fake.ClientPool{Log: s.site.Log, LineAddress: s.listen, SourceAddress: "127.0.0.9", Classes: siteClasses[:1], Rate: 300, Groups: 9, MessageInterval: 100 * time.Millisecond, MaxClients: 200, Seed: 1}
+		testutil.Until(t, "no start", func() bool { return answersPing(cluster.listen) })
+		flood := &fake.ClientPool{Log: cluster.site.Log, LineAddress: cluster.listen, SourceAddress: "127.0.0.9", Classes: siteClasses[:1], Rate: 300, Groups: 9, MessageInterval: 100 * time.Millisecond, MaxClients: 200, Seed: 1}
 		flood.Classes = []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 30 * time.Second}}
 		flood.Prepare()
 		ctx, stop := context.WithCancel(t.Context())
@@ -197,7 +197,7 @@
 		go func() { defer close(done); flood.Run(ctx) }()
 		testutil.Until(t, "the flood does not fill the box", func() bool {
 			up, away := 0, 0
-			for _, v := range s.site.Log.Sessions() {
+			for _, v := range cluster.site.Log.Sessions() {
 				switch v.Answer {
 				case "up":
 					up++
@@ -207,7 +207,7 @@
 			}
 			return up >= 15 && away > 20
 		})
-		other := &fake.ClientPool{Log: s.site.Log, LineAddress: s.listen, SourceAddress: "127.0.0.8", MaxClients: 50, Seed: 2}
+		other := &fake.ClientPool{Log: cluster.site.Log, LineAddress: cluster.listen, SourceAddress: "127.0.0.8", MaxClients: 50, Seed: 2}
 		other.Prepare()
 		served := 0
 		for range 20 {
