--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/decisionlog"
 )
 
-func TestConfigIsRead(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")))
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestOperatorsFile(t *testing.T) {
+func TestReadOperator(t *testing.T) {
 	if o, err := ReadOperator(""); err != nil || !reflect.DeepEqual(*o, Operator{}) || o.DecisionLogBytes() != 0 {
 		t.Errorf("without a file: %+v, %v", o, err)
 	}
@@ -76,8 +76,8 @@
 	}
 }
 
-// All that is wrong with a configuration is told at once, with line and key.
-func TestConfigurationIsCheckedWhole(t *testing.T) {
+// All that is wrong with a configuration is reported at once, with line and key.
+func TestCheckReportsAllProblems(t *testing.T) {
 	good := configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")
 	path := filepath.Join(t.TempDir(), "config.json")
 	check := func(text string) string {
@@ -118,7 +118,7 @@
 }
 
 // A file that is written anew while it is read is read again.
-func TestFileReplacedWhileItIsRead(t *testing.T) {
+func TestReadStableWhileFileIsReplaced(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	old, replacement := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
 	if err := os.WriteFile(file, old, 0o600); err != nil {
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,8 +12,7 @@
 	"lockroad/internal/golden"
 )
 
-// The keys of the platform's configuration: what is told where one is missing or of another
-// type. A key that is read under another name shows here as one that changes nothing.
+// The keys of the platform's configuration: the problems where one is missing or of another type. A key that is read under another name shows here as one that changes nothing.
 func TestConfigurationKeysAreStable(t *testing.T) {
 	good := golden.Read(t, "config.json")
 	read := func(text []byte) (*Config, error) {
@@ -62,7 +61,7 @@
 }
 
 // A configuration that takes another's place has to have all of its keys.
-func TestShorterConfigurationIsToldOf(t *testing.T) {
+func TestReplacementRequiresKeysOfFormer(t *testing.T) {
 	good := golden.Read(t, "config.json")
 	var tree any
 	if err := json.Unmarshal(good, &tree); err != nil {
@@ -166,7 +165,7 @@
 	}
 }
 
-// What a reload tells of each key of a site's file, and the file that init writes.
+// The differences that a reload reports for each key of a site's file, and the file that init writes.
 func TestSiteTextsAreStable(t *testing.T) {
 	s, err := parseSite("FILE", golden.Read(t, "site.toml"))
 	if err != nil {
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -12,8 +12,8 @@
 	"lockroad/internal/testutil"
 )
 
-// wholeState is what a new process is given to begin with, with every field set.
-func wholeState() handoffState {
+// completeState is what a successor begins with, with every field set.
+func completeState() handoffState {
 	ms := time.Millisecond
 	return handoffState{
 		Agent: "127.0.0.1:9000",
@@ -43,8 +43,8 @@
 }
 
 func TestStateKeepsItsEncoding(t *testing.T) {
-	testutil.Complete(t, wholeState())
-	testutil.GoldenJSON(t, "testdata/state.json", wholeState())
+	testutil.Complete(t, completeState())
+	testutil.GoldenJSON(t, "testdata/state.json", completeState())
 	testutil.GoldenJSON(t, "testdata/state-zero.json", handoffState{})
 	testutil.GoldenJSON(t, "testdata/state-zero-elements.json", handoffState{
 		List:            discovery.List{Members: make([]discovery.Member, 1)},
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -25,8 +25,8 @@
 	"lockroad/internal/testutil"
 )
 
-// Farms far above those of today: nothing may be cut off in silence at a thousand servers.
-var manyServers = []int{1024, 2000}
+// endpointCounts are far above those of today: nothing may be cut off in silence at a thousand endpoints.
+var endpointCounts = []int{1024, 2000}
 
 func listOf(n int) discovery.List {
 	l := discovery.List{Revision: 41, Complete: true}
@@ -39,8 +39,8 @@
 	return l
 }
 
-// knowing is a core with a list of n servers, and the watcher that took it.
-func knowing(t testing.TB, n int) (*proxy.Proxy, *discovery.Watcher) {
+// proxyWithList returns a proxy with a list of n endpoints, and the watcher that has applied it.
+func proxyWithList(t testing.TB, n int) (*proxy.Proxy, *discovery.Watcher) {
 	t.Helper()
 	k := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 350, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
@@ -53,8 +53,8 @@
 	return k, w
 }
 
-// learntOf is what a relay has learnt of n servers, with all routes that are kept.
-func learntOf(n int) balancer.Snapshot {
+// snapshotOf returns a snapshot with n endpoints and all the routes that are cached.
+func snapshotOf(n int) balancer.Snapshot {
 	var m balancer.Snapshot
 	for i := range n {
 		at := time.Duration(i) * time.Second
@@ -68,7 +68,7 @@
 }
 
 func TestManyServersInTheFirstConfiguration(t *testing.T) {
-	for _, n := range manyServers {
+	for _, n := range endpointCounts {
 		var fields map[string]any
 		if err := json.Unmarshal([]byte(configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")), &fields); err != nil {
 			t.Fatal(err)
@@ -85,8 +85,8 @@
 	}
 }
 
-// discoveryOf answers a watch with a text, in chunks of some bytes.
-func discoveryOf(t *testing.T, text []byte, chunk int) string {
+// serveDiscovery answers a watch with a text, in chunks of some bytes.
+func serveDiscovery(t *testing.T, text []byte, chunk int) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -110,7 +110,7 @@
 }
 
 func TestManyServersFromDiscovery(t *testing.T) {
-	for _, n := range manyServers {
+	for _, n := range endpointCounts {
 		whole, _ := json.Marshal(listOf(n))
 		indented, _ := json.MarshalIndent(listOf(n), "", "    ")
 		var pieces, drains bytes.Buffer
@@ -131,10 +131,10 @@
 			"whole": {whole, balancer.StateReady}, "indented": {indented, balancer.StateReady}, "pieces": {pieces.Bytes(), balancer.StateReady},
 			"changes": {append(append(whole, '\n'), drains.Bytes()...), balancer.StateDraining},
 		} {
-			k, _ := knowing(t, 0)
+			k, _ := proxyWithList(t, 0)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			w := &discovery.Watcher{Proxy: k, Address: discoveryOf(t, c.text, 1000), Zones: []string{"a"}, RetainList: true}
+			w := &discovery.Watcher{Proxy: k, Address: serveDiscovery(t, c.text, 1000), Zones: []string{"a"}, RetainList: true}
 			go func() { _ = w.Run(ctx); close(done) }()
 			go func() { _ = k.Run(ctx) }()
 			testutil.Until(t, fmt.Sprintf("%d servers, %s: not all are there", n, name), func() bool { return k.Endpoints.CountByState()[c.phase] == int64(n) })
@@ -147,16 +147,16 @@
 	}
 }
 
-// What is learnt of a farm goes into one record, and orders are one a server. Past a megabyte the one was dropped in
-// silence, and of the others all but the last thousand.
+// A snapshot is one record, and drain directives are one an endpoint. Past a megabyte the one was dropped in silence, and of the
+// others all but the last thousand.
 func TestManyServersOutlastARestart(t *testing.T) {
-	for _, n := range manyServers {
+	for _, n := range endpointCounts {
 		dir := t.TempDir()
 		s, _, err := store.Open(store.Dir(dir), store.Options{Kinds: persistence.Kinds()})
 		if err != nil {
 			t.Fatal(err)
 		}
-		known := persistence.RelaySnapshot{Name: "n1", TakenAt: time.Now(), List: listOf(n), Names: map[balancer.EndpointID]string{}, Balancer: learntOf(n)}
+		known := persistence.RelaySnapshot{Name: "n1", TakenAt: time.Now(), List: listOf(n), Names: map[balancer.EndpointID]string{}, Balancer: snapshotOf(n)}
 		for i, m := range known.List.Members {
 			known.Names[balancer.EndpointID(i+1)] = m.ID
 		}
@@ -190,8 +190,8 @@
 }
 
 func TestManyServersAtTheConsole(t *testing.T) {
-	for _, n := range manyServers {
-		k, _ := knowing(t, n)
+	for _, n := range endpointCounts {
+		k, _ := proxyWithList(t, n)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = k.Run(ctx) }()
@@ -213,10 +213,10 @@
 	}
 }
 
-// What is handed over of a large farm fits into one message.
+// The state that is handed over for a large endpoint list fits into one message.
 func TestManyServersAreHandedOver(t *testing.T) {
-	for _, n := range manyServers {
-		text, err := json.Marshal(handoffState{List: listOf(n), Snapshot: learntOf(n)})
+	for _, n := range endpointCounts {
+		text, err := json.Marshal(handoffState{List: listOf(n), Snapshot: snapshotOf(n)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -226,7 +226,7 @@
 	}
 }
 
-// What a relay takes for a farm's list, beside what it takes for none. The platform's limits are some 70 MB.
+// The memory that a relay takes for an endpoint list, beside what it takes for none. The platform's limits are some 70 MB.
 func TestMemoryByServers(t *testing.T) {
 	heap := func() uint64 {
 		runtime.GC()
@@ -236,7 +236,7 @@
 	}
 	for _, n := range []int{12, 90, 500, 1024, 2000} {
 		before := heap()
-		k, w := knowing(t, n)
+		k, w := proxyWithList(t, n)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { _ = k.Run(ctx); close(done) }()
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -18,8 +18,8 @@
 	"lockroad/internal/testutil"
 )
 
-// figure asks a relay's second address for one figure; -1 if it doesn't tell it.
-func figure(t *testing.T, address, name string) int {
+// metric returns one metric at a relay's second address; -1 if it isn't there.
+func metric(t *testing.T, address, name string) int {
 	t.Helper()
 	answer, err := http.Get("http://" + address + "/-/metrics")
 	if err != nil {
@@ -36,14 +36,14 @@
 	return -1
 }
 
-// answer is the first word that a client of a class is told.
-func answer(t *testing.T, address, class string) string {
+// firstWord returns the first word of the answer to a client of a class.
+func firstWord(t *testing.T, address, class string) string {
 	t.Helper()
-	text, _ := ask(t, address, class)
+	text, _ := requestClass(t, address, class)
 	return strings.Fields(text)[0]
 }
 
-// freeAddress is one that nobody listens at.
+// freeAddress returns one that nobody listens at.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
@@ -51,8 +51,8 @@
 	return l.Addr().String()
 }
 
-// Each of these files is turned down whole, counted, and told of with its key.
-func TestBrokenConfigurationsChangeNothing(t *testing.T) {
+// Each of these files is rejected, counted, and logged with its key.
+func TestRejectedReloadChangesNothing(t *testing.T) {
 	agent := listen(t)
 	good := configtest.Text("127.0.0.1:0", agent.Addr().String(), "x")
 	added := strings.Replace(good, `[{"AimUs"`, `[{"Name": "extra", "AimUs": 900000, "DeadlineUs": 2000000, "Semantics": "at_most_once"}, {"AimUs"`, 1)
@@ -84,31 +84,31 @@
 		with(`"idempotent"`, `"sometimes"`):                   "settings.Classes[1].Semantics: has the unknown word",
 	}
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
-	var log lines
+	var log logBuffer
 	admin := freeAddress(t)
-	address, _ := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, &log)
+	address, _ := startRelayWithAdmin(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, &log)
 	n := 0
 	for text, want := range broken {
-		write(t, file, text)
+		writeFile(t, file, text)
 		reload <- syscall.SIGHUP
 		n++
-		testutil.Until(t, "it was not counted: "+want, func() bool { return figure(t, admin, "config_rejected_total") == n })
+		testutil.Until(t, "it was not counted: "+want, func() bool { return metric(t, admin, "config_rejected_total") == n })
 		if log.count(want) == 0 {
 			t.Errorf("nothing is said of %q for\n%s", want, text)
 		}
-		if got := answer(t, address, "extra"); got != "ERR" {
+		if got := firstWord(t, address, "extra"); got != "ERR" {
 			t.Errorf("%s: a client of the class in it is told %s", want, got)
 		}
-		if got := answer(t, address, "page"); got != "UP" {
+		if got := firstWord(t, address, "page"); got != "UP" {
 			t.Errorf("%s: a client of the class in force is told %s", want, got)
 		}
 	}
-	if got := figure(t, admin, "config_applied_total"); got != 0 {
+	if got := metric(t, admin, "config_applied_total"); got != 0 {
 		t.Errorf("%d files were taken", got)
 	}
 }
 
-func write(t *testing.T, file, text string) {
+func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -131,30 +131,30 @@
 	}
 }
 
-// Classes come and go under load; who is up stays, and is counted in its own class.
-func TestClassesComeAndGoAtReload(t *testing.T) {
+// Classes are added and removed under load; who is established stays, and is counted in its own class.
+func TestReloadAddsAndRemovesClasses(t *testing.T) {
 	agent := listen(t)
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal, 1)
 	admin := freeAddress(t)
-	address, done := startAt(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, io.Discard)
-	stays := open(t, address)
+	address, done := startRelayWithAdmin(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, io.Discard)
+	stays := openRequest(t, address)
 	text := configtest.Text("127.0.0.1:0", agent.Addr().String(), "x")
 	for i := range 3 {
 		class := fmt.Sprintf("class-%d", i)
-		write(t, file, strings.Replace(text, `"page"`, `"`+class+`"`, 1))
+		writeFile(t, file, strings.Replace(text, `"page"`, `"`+class+`"`, 1))
 		reload <- syscall.SIGHUP
-		testutil.Until(t, "not taken", func() bool { return figure(t, admin, "config_applied_total") == i+1 })
-		if got := answer(t, address, class); got != "UP" {
+		testutil.Until(t, "not taken", func() bool { return metric(t, admin, "config_applied_total") == i+1 })
+		if got := firstWord(t, address, class); got != "UP" {
 			t.Errorf("a client of %s is told %s", class, got)
 		}
-		if got := answer(t, address, "page"); got != "ERR" {
+		if got := firstWord(t, address, "page"); got != "ERR" {
 			t.Errorf("a client of the class that was dropped is told %s", got)
 		}
 	}
 	for name, want := range map[string]int{
 		`ok_total{kind="page"}`: 1, `ok_total{kind="class-1"}`: 1, `errors_total{kind="class-0"}`: 0, "tries_total": 4, "active": 4, "pool_size": 1,
 	} {
-		testutil.Until(t, fmt.Sprintf("%s is not %d but %d", name, want, figure(t, admin, name)), func() bool { return figure(t, admin, name) == want })
+		testutil.Until(t, fmt.Sprintf("%s is not %d but %d", name, want, metric(t, admin, name)), func() bool { return metric(t, admin, name) == want })
 	}
 	if stays.Buffered() > 0 {
 		t.Error("who was up has been told something")
@@ -166,7 +166,7 @@
 	}
 }
 
-// A configuration that names the localities in another order moves no server to another zone, and the relay stays in its own.
+// A configuration that names the localities in another order moves no endpoint to another zone, and the relay stays in its own.
 func TestLocalitiesMayComeInAnotherOrder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	good := configtest.Text("127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1")
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -35,8 +35,8 @@
 	return l
 }
 
-// lineFront asks a relay's console where its line front listens.
-func lineFront(t *testing.T, socket string) string {
+// lineFrontendAddress asks a relay's console where its line frontend listens.
+func lineFrontendAddress(t *testing.T, socket string) string {
 	t.Helper()
 	for late := time.Now().Add(10 * time.Second); time.Now().Before(late); { // until it has started
 		var out strings.Builder
@@ -52,20 +52,20 @@
 	return ""
 }
 
-var opened atomic.Uint64 // connections, whose names have to differ
+var requestCount atomic.Uint64 // connections, whose names have to differ
 
-// open opens a connection through the relay and returns its reader after UP.
-func open(t *testing.T, address string) *bufio.Reader {
+// openRequest opens a request through the relay and returns its connection's reader after UP.
+func openRequest(t *testing.T, address string) *bufio.Reader {
 	t.Helper()
-	text, r := ask(t, address, "page")
+	text, r := requestClass(t, address, "page")
 	if text != "UP 1\r\n" {
 		t.Fatalf("answered %q", text)
 	}
 	return r
 }
 
-// ask opens a connection of a class and returns the line that answers it, and the reader.
-func ask(t *testing.T, address, class string) (string, *bufio.Reader) {
+// requestClass opens a request of a class and returns the line that answers it, and the connection's reader.
+func requestClass(t *testing.T, address, class string) (string, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "OPEN %016x 2 c=%s,d=1500\r\n", opened.Add(1), class)
+	fmt.Fprintf(c, "OPEN %016x 2 c=%s,d=1500\r\n", requestCount.Add(1), class)
 	r := bufio.NewReader(c)
 	text, err := r.ReadString('\n')
 	if err != nil {
@@ -82,15 +82,14 @@
 	return text, r
 }
 
-// start runs a relay with a server that takes everyone. It returns where its line
-// front listens, and its end.
-func start(t *testing.T, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+// startRelay runs a relay with an endpoint that accepts everyone. It returns where its line frontend listens, and what Run returns.
+func startRelay(t *testing.T, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startAt(t, "", options, discovery, o, log)
+	return startRelayWithAdmin(t, "", options, discovery, o, log)
 }
 
-// accepts answers whoever comes to a server, and keeps them until the test's end.
-func accepts(t *testing.T, server net.Listener, answer string) {
+// serveEndpoint answers each connection to an endpoint, and holds it until the test's end.
+func serveEndpoint(t *testing.T, server net.Listener, answer string) {
 	for {
 		c, err := server.Accept()
 		if err != nil {
@@ -101,22 +100,22 @@
 	}
 }
 
-// startAt is the same, with a second address.
-func startAt(t *testing.T, admin string, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithAdmin is the same, with a second address.
+func startRelayWithAdmin(t *testing.T, admin string, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	server := listen(t)
-	go accepts(t, server, "UP 1\r\n")
-	return startOn(t, admin, options, discovery, server, o, log)
+	go serveEndpoint(t, server, "UP 1\r\n")
+	return startRelayWithEndpoint(t, admin, options, discovery, server, o, log)
 }
 
-// startOn is the same, with a server of the test's own.
-func startOn(t *testing.T, admin string, options RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithEndpoint is the same, with an endpoint of the test's own.
+func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startFrom(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
+	return startRelayWithConfig(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
 }
 
-// startFrom is the same, with a configuration of the test's own.
-func startFrom(t *testing.T, text, admin string, options RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithConfig is the same, with a configuration of the test's own.
+func startRelayWithConfig(t *testing.T, text, admin string, options RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	c, err := config.ParseConfig([]byte(text))
 	if err != nil {
@@ -132,11 +131,11 @@
 		defer close(over)
 		end <- Run(ctx, options, c, o, slog.New(slog.NewTextHandler(log, nil)))
 	}()
-	return lineFront(t, o.Console.Socket), end
+	return lineFrontendAddress(t, o.Console.Socket), end
 }
 
-// endsWithin waits for the relay's end, which has to come before SIGKILL does.
-func endsWithin(t *testing.T, done <-chan error, told time.Time, most time.Duration) {
+// requireEndWithin waits for the relay's end, which has to come before SIGKILL does.
+func requireEndWithin(t *testing.T, done <-chan error, told time.Time, most time.Duration) {
 	t.Helper()
 	select {
 	case err := <-done:
@@ -148,31 +147,31 @@
 	}
 }
 
-// At a planned restart clients still come for a moment: they are served as the
-// others, everyone is told to move, and the relay ends well before SIGKILL.
+// At a planned restart clients still come for a moment: they are served as the others, everyone is migrated, and the relay ends
+// well before SIGKILL.
 func TestRelayLeavesInGoodOrder(t *testing.T) {
 	drain := make(chan struct{})
-	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), &config.Operator{AMQP: config.AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
-	clients := []*bufio.Reader{open(t, address)}
+	address, done := startRelay(t, RunOptions{Shutdown: drain}, listen(t), &config.Operator{AMQP: config.AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
+	clients := []*bufio.Reader{openRequest(t, address)}
 	told := time.Now()
 	close(drain)
-	clients = append(clients, open(t, address)) // the front has not noticed yet
+	clients = append(clients, openRequest(t, address)) // the front has not noticed yet
 	for i, r := range clients {
 		if rest, err := io.ReadAll(r); string(rest) != "MOVE\r\n" || err != nil {
 			t.Errorf("client %d was told %q, %v", i, rest, err)
 		}
 	}
-	endsWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
 }
 
 // Where deadlines are short SIGKILL comes soon: a client of AMQP without a link is told that its connection is closed, and
-// one of lines that has said nothing to come again.
+// one of lines that has sent nothing is rejected.
 func TestIdleClientsAreToldOfTheEndThoughItComesSoon(t *testing.T) {
 	drain := make(chan struct{})
 	text := strings.Replace(configtest.Text("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
 	free := listen(t)
 	free.Close()
-	address, done := startFrom(t, text, "", RunOptions{Shutdown: drain}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
+	address, done := startRelayWithConfig(t, text, "", RunOptions{Shutdown: drain}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
 	idle, err := amqp.Dial(t.Context(), "amqp://"+free.Addr().String(), &amqp.ConnOptions{SASLType: amqp.SASLTypeAnonymous()})
 	if err != nil {
 		t.Fatal(err)
@@ -198,11 +197,11 @@
 	if rest, err := io.ReadAll(rests); string(rest) != "BUSY\r\n" || err != nil {
 		t.Errorf("the client of lines was told %q, %v", rest, err)
 	}
-	endsWithin(t, done, told, 900*time.Millisecond) // the class's 0.2 s and 0.7
+	requireEndWithin(t, done, told, 900*time.Millisecond) // the class's 0.2 s and 0.7
 }
 
-// A relay that leaves while its servers hang: who is at one of them, who comes after the word to leave, and who is in the
-// middle of an opening all get one answer, and the relay ends in time.
+// A relay that shuts down while its endpoints hang: who is at one of them, who comes after the request to shut down, and who is in
+// the middle of an opening all get one answer, and the relay ends in time.
 func TestEveryoneIsAnsweredThoughServersHang(t *testing.T) {
 	agent, server := listen(t), listen(t)
 	came := make(chan struct{}, 8)
@@ -220,7 +219,7 @@
 		}
 	}()
 	drain := make(chan struct{})
-	address, done := startOn(t, "", RunOptions{Shutdown: drain}, agent, server, &config.Operator{}, io.Discard)
+	address, done := startRelayWithEndpoint(t, "", RunOptions{Shutdown: drain}, agent, server, &config.Operator{}, io.Discard)
 	say := func(text string) *bufio.Reader {
 		t.Helper()
 		c, err := net.Dial("tcp", address)
@@ -232,7 +231,7 @@
 		io.WriteString(c, text)
 		return bufio.NewReader(c)
 	}
-	opening := func() string { return fmt.Sprintf("OPEN %016x 2 c=page,d=1500\r\n", opened.Add(1)) }
+	opening := func() string { return fmt.Sprintf("OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1)) }
 	clients := []*bufio.Reader{say(opening()), say(opening())}
 	for range clients {
 		<-came
@@ -249,16 +248,16 @@
 			t.Errorf("client %d was told %q, %v", i, rest, err)
 		}
 	}
-	endsWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
 }
 
-// A relay that leaves while it is asked answers whole or not at all, and leaves in time.
-func TestRelayLeavesWhileItIsAsked(t *testing.T) {
+// A relay that shuts down while its console is queried answers completely or not at all, and ends in time.
+func TestShutdownDuringConsoleQueries(t *testing.T) {
 	drain := make(chan struct{})
 	o := &config.Operator{}
-	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
+	address, done := startRelay(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
 	for range 3 {
-		open(t, address)
+		openRequest(t, address)
 	}
 	asked := make(chan int)
 	go func() {
@@ -278,29 +277,29 @@
 	}()
 	told := time.Now()
 	close(drain)
-	endsWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
 	if n := <-asked; n == 0 {
 		t.Error("no question was answered")
 	}
 }
 
-// What discovery's agent has counts as told from a process's first moment, and the list from before the start may be
-// older: a client that comes before the agent has answered is placed by what it answers.
+// What discovery's agent has counts as notified from a process's first moment, and the list from before the start may be older: a
+// client that comes before the agent has answered is placed by what it answers.
 func TestClientsArePlacedByTheListOfNow(t *testing.T) {
 	usual := firstListTimeout
 	firstListTimeout = time.Minute // the agent waits for the client here
 	t.Cleanup(func() { firstListTimeout = usual })
 	agent, other := listen(t), listen(t)
-	go accepts(t, other, "UP 2\r\n")
-	address, _ := start(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
-	_, _, conn := heldWatch(t, agent)
+	go serveEndpoint(t, other, "UP 2\r\n")
+	address, _ := startRelay(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
+	_, _, conn := acceptHeldWatch(t, agent)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "OPEN %016x 2 c=page,d=1500\r\n", opened.Add(1))
+	fmt.Fprintf(c, "OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1))
 	list := fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"s-1","phase":"draining","size":1},{"id":"s-2","host_port":%q,"phase":"ready","size":1}]}`, other.Addr())
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
 	if text, err := bufio.NewReader(c).ReadString('\n'); text != "UP 2\r\n" {
@@ -308,15 +307,14 @@
 	}
 }
 
-// watch waits for a relay to open a watch, and returns what it asks and the
-// connection.
-func watch(t *testing.T, l net.Listener) (string, *bufio.Reader) {
+// acceptWatch waits for a relay to open a watch, and returns its request line and the connection's reader.
+func acceptWatch(t *testing.T, l net.Listener) (string, *bufio.Reader) {
 	t.Helper()
-	text, r, _ := heldWatch(t, l)
+	text, r, _ := acceptHeldWatch(t, l)
 	return text, r
 }
 
-func heldWatch(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
+func acceptHeldWatch(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
 	t.Helper()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	c, err := l.Accept()
@@ -333,9 +331,8 @@
 	return strings.TrimSpace(text), r, c
 }
 
-// A new configuration under load: the watch goes over to the new address at once
-// and asks for the list whole, clients stay where they are and new ones are still
-// served by the old list. A file that makes no sense changes nothing.
+// A reload under load: the watch goes over to the new address at once and asks for the complete list, clients stay where they are
+// and new ones are still placed by the old list. A malformed file changes nothing.
 func TestNewConfigurationMovesTheWatchOnly(t *testing.T) {
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
 	replace := func(text string) {
@@ -346,14 +343,14 @@
 		reload <- syscall.SIGHUP
 	}
 	agents := []net.Listener{listen(t), listen(t), listen(t)}
-	var log lines
+	var log logBuffer
 	o := &config.Operator{}
-	address, done := start(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
-	asked, old := watch(t, agents[0])
+	address, done := startRelay(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
+	asked, old := acceptWatch(t, agents[0])
 	if asked != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
 		t.Errorf("asked %q", asked)
 	}
-	clients := []*bufio.Reader{open(t, address)}
+	clients := []*bufio.Reader{openRequest(t, address)}
 	bad := 0
 	unreadable := func(text string) {
 		t.Helper()
@@ -373,11 +370,11 @@
 		if _, err := io.Copy(io.Discard, old); err != nil {
 			t.Errorf("the watch at the old address ended with %v", err)
 		}
-		asked, old = watch(t, next)
+		asked, old = acceptWatch(t, next)
 		if asked != "GET /discovery/hosts?watch=1&from=0 HTTP/1.1" {
 			t.Errorf("asked %q", asked)
 		}
-		clients = append(clients, open(t, address))
+		clients = append(clients, openRequest(t, address))
 	}
 	var held strings.Builder
 	console.Run(o.Console.Socket, "transactions", nil, &held, io.Discard)
@@ -391,19 +388,19 @@
 	}
 }
 
-// lines is a log that a test reads.
-type lines struct {
+// logBuffer is a log that a test reads.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) count(what string) int {
+func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -25,14 +25,14 @@
 
 	// What follows is so long before SIGKILL. Together with migrationDuration the migration begins 1.9 s before it.
 
-	// lastMigrationLead: the last client is told to move. It has to come in elsewhere before its connection ends here.
+	// lastMigrationLead: the last client is told to move, 0.2 s before the listeners close.
 	lastMigrationLead = 1100 * time.Millisecond
-	// closeListenersLead: no more clients are admitted; one that is gets an answer at rejectPendingLead at the latest.
+	// closeListenersLead: the listeners close. Who waits in their queues is admitted first, and has 0.1 s until rejectPendingLead.
 	closeListenersLead = 900 * time.Millisecond
-	// rejectPendingLead: requests that still wait for an endpoint are rejected, so that their clients have time to come again
-	// elsewhere.
+	// rejectPendingLead: each request that still waits for an endpoint gets the one answer that its class allows. A client that is
+	// in the middle of its opening has 0.2 s more.
 	rejectPendingLead = 800 * time.Millisecond
-	// exitLead: whatever is left ends with the process, which needs the rest for its last telemetry and the store.
+	// exitLead: the services end, and what is deferred in Run has the rest of the time.
 	exitLead = 150 * time.Millisecond
 )
 
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -45,7 +45,7 @@
 // fullOrder, fullKnown and fullAccount have every field set, each to a value of its own.
 // Maps have one entry: the order of more is not fixed when they are encoded.
 
-func fullOrder() persistence.DrainDirective {
+func completeDirective() persistence.DrainDirective {
 	return persistence.DrainDirective{
 		Endpoint: "server-1",
 		By:       "operator-2",
@@ -55,7 +55,7 @@
 	}
 }
 
-func fullKnown() persistence.RelaySnapshot {
+func completeSnapshot() persistence.RelaySnapshot {
 	return persistence.RelaySnapshot{
 		Name:       "relay-1",
 		Clock:      1002 * time.Millisecond,
@@ -137,7 +137,7 @@
 	}
 }
 
-func fullAccount() explain.Explanation {
+func completeExplanation() explain.Explanation {
 	return explain.Explanation{
 		Number:        2001,
 		Front:         "front-2002",
@@ -195,8 +195,8 @@
 	}
 }
 
-// sparseAccount has what may be left out left out, at every depth.
-func sparseAccount() explain.Explanation {
+// sparseExplanation has what may be left out left out, at every depth.
+func sparseExplanation() explain.Explanation {
 	return explain.Explanation{Events: []explain.Event{{Considered: []explain.ConsideredEndpoint{{}}}, {}}, Before: &explain.RelatedRequest{}}
 }
 
@@ -257,15 +257,15 @@
 	encoder := tablesOf(openStored(t, t.TempDir()))
 	target := openStored(t, dir)
 	for _, change := range []store.Change{
-		encoded(t, encoder.orders, "server-1", storedAt(1), fullOrder()),
+		encoded(t, encoder.orders, "server-1", storedAt(1), completeDirective()),
 		encoded(t, encoder.orders, sparseKey, storedAt(2), persistence.DrainDirective{}),
 		encoded(t, encoder.orders, withdrawn, storedAt(3), persistence.DrainDirective{Endpoint: withdrawn}),
 		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Deleted: true},
 		encoded(t, encoder.learnt, snapshotKey, storedAt(5), persistence.RelaySnapshot{}),
-		encoded(t, encoder.learnt, snapshotKey, storedAt(6), fullKnown()),
+		encoded(t, encoder.learnt, snapshotKey, storedAt(6), completeSnapshot()),
 		encoded(t, encoder.learnt, sparseKey, storedAt(7), persistence.RelaySnapshot{}),
-		encoded(t, encoder.decisions, accountKey, storedAt(8), fullAccount()),
-		encoded(t, encoder.decisions, sparseKey, storedAt(9), sparseAccount()),
+		encoded(t, encoder.decisions, accountKey, storedAt(8), completeExplanation()),
+		encoded(t, encoder.decisions, sparseKey, storedAt(9), sparseExplanation()),
 	} {
 		// One by one, so that each frame says the same of the commits before it.
 		if err := target.Commit(context.Background(), change); err != nil {
@@ -372,16 +372,16 @@
 			}
 			tables := tablesOf(openStored(t, dir))
 			requireRecords(t, tables.orders, []storedRecord[persistence.DrainDirective]{
-				{"server-1", storedAt(1), fullOrder()},
+				{"server-1", storedAt(1), completeDirective()},
 				{sparseKey, storedAt(2), persistence.DrainDirective{}},
 			})
 			requireRecords(t, tables.learnt, []storedRecord[persistence.RelaySnapshot]{
-				{snapshotKey, storedAt(6), fullKnown()},
+				{snapshotKey, storedAt(6), completeSnapshot()},
 				{sparseKey, storedAt(7), persistence.RelaySnapshot{}},
 			})
 			requireRecords(t, tables.decisions, []storedRecord[explain.Explanation]{
-				{accountKey, storedAt(8), fullAccount()},
-				{sparseKey, storedAt(9), sparseAccount()},
+				{accountKey, storedAt(8), completeExplanation()},
+				{sparseKey, storedAt(9), sparseExplanation()},
 			})
 		})
 	}
@@ -442,7 +442,7 @@
 // The golden records leave no field at zero and give no two the same value: a field that is added has to be
 // added to them, and two that are exchanged are seen.
 func TestStoredGoldenSetsEveryField(t *testing.T) {
-	for _, root := range []any{fullOrder(), fullKnown(), fullAccount()} {
+	for _, root := range []any{completeDirective(), completeSnapshot(), completeExplanation()} {
 		seen := make(map[any]string)
 		requireFull(t, reflect.ValueOf(root), reflect.TypeOf(root).String(), seen)
 	}
