--- a/cmd/lockroad/builds_test.go
+++ b/cmd/lockroad/builds_test.go
@@ -30,17 +30,17 @@
 	}
 }
 
-// upgrade starts a process of another build, which takes over from p, and shuts p down. It requires words in the new one's list of
+// upgrade starts a process of another build, which takes over from relay, and shuts relay down. It requires words in the new one's list of
 // drain directives.
-func (cluster *testCluster) upgrade(p *process, program, operator, socket string, orders ...string) (next *process) {
+func (cluster *testCluster) upgrade(relay *process, program, operator, socket string, orders ...string) (next *process) {
 	cluster.t.Helper()
 	cluster.program = program
 	next = cluster.startProcess(operator)
 	next.awaitReady()
-	if p.isReady() {
+	if relay.isReady() {
 		cluster.t.Error("the old process says that it takes clients")
 	}
-	p.shutDown()
+	relay.shutDown()
 	runConsole(cluster.t, socket, "orders", orders...)
 	next.requireRunning()
 	return next
@@ -73,14 +73,14 @@
 	betweenBuilds(t, func(t *testing.T, from, to string) {
 		cluster, operator, socket := newClusterWithConsole(t)
 		cluster.program = from
-		p := cluster.startProcess(operator)
-		p.awaitReady()
+		relay := cluster.startProcess(operator)
+		relay.awaitReady()
 		runConsole(t, socket, "drain s-1 for 1h because new strings", "s-1 drains")
 		ordered := time.Now()
 		cluster.startClientsOf(60, patientClasses, 11)
 		letClientsRun()
-		stood := p.metrics()["active"]
-		next := cluster.upgrade(p, to, operator, socket, "s-1", `"new strings"`)
+		stood := relay.metrics()["active"]
+		next := cluster.upgrade(relay, to, operator, socket, "s-1", `"new strings"`)
 		if has := next.metrics()["active"]; stood == 0 || has < stood/4 { // half of them are of AMQP, which are moved
 			t.Errorf("of %d transactions the new process has %d", stood, has)
 		}
@@ -88,17 +88,17 @@
 		next.requireRunning()
 		cluster.checkClients(1000, 0)
 		line := 0
-		for _, v := range cluster.site.Log.Sessions() {
-			if v.Frontend != "line" {
+		for _, session := range cluster.site.Log.Sessions() {
+			if session.Frontend != "line" {
 				continue
 			}
 			line++
-			if v.End == "moved" {
-				t.Errorf("%s was moved, though its connection can be handed over", v.Name)
+			if session.End == "moved" {
+				t.Errorf("%s was moved, though its connection can be handed over", session.Name)
 			}
 		}
 		if n := cluster.attemptsAt("s-1", ordered.Add(50*time.Millisecond)); n > 0 || line < 10 {
-			t.Errorf("%d passes came to s-1 after the order; %d clients came by lines", n, line)
+			t.Errorf("%d attempts came to s-1 after the order; %d clients came by lines", n, line)
 		}
 		next.shutDown()
 	})
@@ -110,13 +110,13 @@
 	betweenBuilds(t, func(t *testing.T, from, to string) {
 		cluster, operator, socket := newClusterWithConsole(t)
 		cluster.amqpAddress, cluster.program = "", from
-		p := cluster.startProcess(operator)
-		p.awaitReady()
+		relay := cluster.startProcess(operator)
+		relay.awaitReady()
 		cluster.startClientsOf(60, short, 3)
 		testutil.Until(t, "few come", func() bool { return len(cluster.site.Log.Sessions()) > 60 })
 		cluster.stopClients()
 		before := cluster.routes(time.Time{})
-		next := cluster.upgrade(p, to, operator, socket, "no order")
+		next := cluster.upgrade(relay, to, operator, socket, "no order")
 		upgraded := time.Now()
 		cluster.startClientsOf(60, short, 4)
 		testutil.Until(t, "few come again", func() bool { return len(cluster.site.Log.Sessions()) > 120 })
@@ -141,12 +141,12 @@
 // routes returns the endpoints of documents, by the last attempts since a time.
 func (cluster *testCluster) routes(since time.Time) map[string]string {
 	group, at := make(map[string]string), make(map[string]string)
-	for _, v := range cluster.site.Log.Sessions() {
-		group[v.Name] = v.Group
+	for _, session := range cluster.site.Log.Sessions() {
+		group[session.Name] = session.Group
 	}
-	for _, pass := range cluster.site.Log.Attempts() {
-		if pass.Answer == "up" && pass.At.After(since) {
-			at[group[pass.Name]] = pass.Server
+	for _, attempt := range cluster.site.Log.Attempts() {
+		if attempt.Answer == "up" && attempt.At.After(since) {
+			at[group[attempt.Name]] = attempt.Server
 		}
 	}
 	return at
--- a/cmd/lockroad/credentials_test.go
+++ b/cmd/lockroad/credentials_test.go
@@ -41,8 +41,8 @@
 	if code, out, errs := runCommandLine("check", operator); code != 0 || !strings.Contains(out, "a sound operator's file") {
 		t.Fatal(code, out, errs)
 	}
-	p := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
-	p.awaitReady()
+	relay := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
+	relay.awaitReady()
 	ca, _ := os.ReadFile(a.CA)
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(ca)
@@ -79,7 +79,7 @@
 	}
 	passwd("bob", "bob's")
 	a.Pair("relay", 20*24*time.Hour)
-	_ = p.Process.Signal(syscall.SIGHUP)
+	_ = relay.Process.Signal(syscall.SIGHUP)
 	testutil.Until(t, "the new user is not taken", func() bool {
 		_, _, err := open("bob", "bob's")
 		return err == nil
@@ -93,14 +93,14 @@
 	if err := os.WriteFile(users, []byte("odd\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.Process.Signal(syscall.SIGHUP)
-	testutil.Until(t, "the second file is not taken", func() bool { return p.metrics()["config_applied_total"] == 2 })
+	_ = relay.Process.Signal(syscall.SIGHUP)
+	testutil.Until(t, "the second file is not taken", func() bool { return relay.metrics()["config_applied_total"] == 2 })
 	if _, _, err := open("bob", "bob's"); err != nil {
 		t.Errorf("a broken file has shut bob out: %v", err)
 	}
-	p.shutDown()
+	relay.shutDown()
 	for _, want := range []string{"expires soon", "days=9", "days=19", "credentials reload rejected", users + ":1: "} {
-		if !strings.Contains(p.log.String(), want) {
+		if !strings.Contains(relay.log.String(), want) {
 			t.Errorf("the log does not say %q", want)
 		}
 	}
--- a/cmd/lockroad/fullscreen_test.go
+++ b/cmd/lockroad/fullscreen_test.go
@@ -19,7 +19,7 @@
 // nothing new reaches the endpoint, everyone there is migrated and nothing is lost; the next session shows it.
 func TestSessionDrains(t *testing.T) {
 	t.Parallel()
-	cluster, p, socket, _ := newLoadedClusterWithStore(t)
+	cluster, relay, socket, _ := newLoadedClusterWithStore(t)
 	one := startConsoleSession(t, socket)
 	one.awaitText("[1 servers]")
 	one.awaitText("> s-1")
@@ -36,9 +36,9 @@
 	next.typeKeys("q")
 	testutil.Until(t, "the session does not end", next.hasEnded)
 	cluster.stopClients()
-	p.shutDown()
+	relay.shutDown()
 	if n := cluster.attemptsAt("s-1", ordered.Add(550*time.Millisecond)); n > 0 {
-		t.Errorf("%d passes came to s-1", n)
+		t.Errorf("%d attempts came to s-1", n)
 	}
 	for _, b := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), EndpointChanges: cluster.site.Log.EndpointChanges(), Limits: invariants.DefaultLimits()}) {
 		t.Error(b)
--- a/cmd/lockroad/lines_test.go
+++ b/cmd/lockroad/lines_test.go
@@ -41,9 +41,9 @@
 		for _, one := range cluster.site.Servers {
 			one.MaxConns, one.SetupTime = 10*lines, 0
 		}
-		p := cluster.startProcess()
-		p.awaitReady()
-		base := p.residentKB()
+		relay := cluster.startProcess()
+		relay.awaitReady()
+		base := relay.residentKB()
 		var all []net.Conn
 		began := time.Now()
 		for i := range lines {
@@ -56,7 +56,7 @@
 		}
 		took := time.Since(began)
 		time.Sleep(time.Second) // what is looked at is what stays
-		silent := p.residentKB()
+		silent := relay.residentKB()
 		began = time.Now()
 		for range 3 {
 			for _, c := range all {
@@ -74,10 +74,10 @@
 		}
 		echoes := time.Since(began)
 		fmt.Printf("%-10s %d connections: %.1f KB each silent, %.1f KB after notes; %.0f set-ups and %.0f echoes a second\n", build.name, lines, float64(silent-base)/float64(lines),
-			float64(p.residentKB()-base)/float64(lines), float64(lines)/took.Seconds(), 3*float64(lines)/echoes.Seconds())
+			float64(relay.residentKB()-base)/float64(lines), float64(lines)/took.Seconds(), 3*float64(lines)/echoes.Seconds())
 		for _, c := range all {
 			c.Close()
 		}
-		p.kill()
+		relay.kill()
 	}
 }
--- a/cmd/lockroad/metrics_test.go
+++ b/cmd/lockroad/metrics_test.go
@@ -35,8 +35,8 @@
 func TestFiguresCountTheEvent(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t)
-	p := cluster.startProcess()
-	p.awaitReady()
+	relay := cluster.startProcess()
+	relay.awaitReady()
 	all := func(m fake.ServerMode) {
 		for _, one := range cluster.site.Servers {
 			one.Set(m, 0)
@@ -50,14 +50,14 @@
 		{"a client that goes before its answer", func() {
 			all(fake.ModeHang)
 			c, _ := cluster.openRequest("a1", "page", false)
-			testutil.Until(t, "it is not taken", func() bool { return p.metrics()["active"] == 1 && len(cluster.site.Log.Attempts()) == 1 })
+			testutil.Until(t, "it is not taken", func() bool { return relay.metrics()["active"] == 1 && len(cluster.site.Log.Attempts()) == 1 })
 			c.Close()
 		}, nil},
 		{"one that is served and leaves", func() {
 			all(fake.ModeAccept)
 			c, answer := cluster.openRequest("b1", "page", true)
-			if p.metrics()["active"] != 1 {
-				t.Errorf("%q, and active is %d", answer, p.metrics()["active"])
+			if relay.metrics()["active"] != 1 {
+				t.Errorf("%q, and active is %d", answer, relay.metrics()["active"])
 			}
 			c.CloseWrite()
 			_, _ = io.Copy(io.Discard, c)
@@ -92,8 +92,8 @@
 		}, nil},
 		{"the same, once the class has come by SIGHUP", func() {
 			cluster.writeConfig(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
-			_ = p.Process.Signal(syscall.SIGHUP)
-			testutil.Until(t, "the file is not taken", func() bool { return p.metrics()["config_applied_total"] == 1 })
+			_ = relay.Process.Signal(syscall.SIGHUP)
+			testutil.Until(t, "the file is not taken", func() bool { return relay.metrics()["config_applied_total"] == 1 })
 			c, _ := cluster.openRequest("f1", "extra", true)
 			c.CloseWrite()
 			_, _ = io.Copy(io.Discard, c)
@@ -101,9 +101,9 @@
 		{"one that stands as its class goes, and ends then", func() {
 			c, _ := cluster.openRequest("g1", "extra", true)
 			cluster.writeConfig(serviceClasses)
-			_ = p.Process.Signal(syscall.SIGHUP)
-			testutil.Until(t, "the file is not taken", func() bool { return p.metrics()["config_applied_total"] == 2 })
-			if n := p.metrics()["active"]; n != 1 {
+			_ = relay.Process.Signal(syscall.SIGHUP)
+			testutil.Until(t, "the file is not taken", func() bool { return relay.metrics()["config_applied_total"] == 2 })
+			if n := relay.metrics()["active"]; n != 1 {
 				t.Errorf("active is %d", n)
 			}
 			c.CloseWrite()
@@ -122,10 +122,10 @@
 			_, _ = io.Copy(io.Discard, c)
 		}, map[string]int{`shed_total{kind="page"}`: 1}},
 	} {
-		before, tries := p.metrics(), len(cluster.site.Log.Attempts())
+		before, tries := relay.metrics(), len(cluster.site.Log.Attempts())
 		c.do()
-		testutil.Until(t, c.name+": it is still active", func() bool { return p.metrics()["active"] == 0 })
-		after := p.metrics()
+		testutil.Until(t, c.name+": it is still active", func() bool { return relay.metrics()["active"] == 0 })
+		after := relay.metrics()
 		for _, pool := range []string{"pool_size", "pool_ejected", "active"} {
 			delete(after, pool)
 		}
@@ -139,5 +139,5 @@
 			}
 		}
 	}
-	p.requireRunning()
+	relay.requireRunning()
 }
--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -30,14 +30,14 @@
 }
 
 // newLoadedClusterWithStore returns one with a relay that clients come to, once s-1 has had some attempts.
-func newLoadedClusterWithStore(t *testing.T) (cluster *testCluster, p *process, socket, env string) {
+func newLoadedClusterWithStore(t *testing.T) (cluster *testCluster, relay *process, socket, env string) {
 	t.Helper()
 	cluster, socket, env = newClusterWithStore(t)
-	p = cluster.startProcess(env)
-	p.awaitReady()
+	relay = cluster.startProcess(env)
+	relay.awaitReady()
 	cluster.startClients(60)
-	testutil.Until(t, "no pass comes to s-1", func() bool { return cluster.attemptsAt("s-1", time.Time{}) > 3 })
-	return cluster, p, socket, env
+	testutil.Until(t, "no attempt comes to s-1", func() bool { return cluster.attemptsAt("s-1", time.Time{}) > 3 })
+	return cluster, relay, socket, env
 }
 
 // runConsole runs a command at a relay's console, once that answers, and requires words in its output.
@@ -59,8 +59,8 @@
 
 // attemptsAt returns how many attempts an endpoint had since a time.
 func (cluster *testCluster) attemptsAt(server string, since time.Time) (n int) {
-	for _, p := range cluster.site.Log.Attempts() {
-		if p.Server == server && p.At.After(since) {
+	for _, attempt := range cluster.site.Log.Attempts() {
+		if attempt.Server == server && attempt.At.After(since) {
 			n++
 		}
 	}
@@ -71,7 +71,7 @@
 // the endpoint, everyone established there is migrated, and the list that calls the endpoint ready changes nothing.
 func TestDrainDirectiveSurvivesKillAndUpgrade(t *testing.T) {
 	t.Parallel()
-	cluster, p, socket, env := newLoadedClusterWithStore(t)
+	cluster, relay, socket, env := newLoadedClusterWithStore(t)
 	runConsole(t, socket, "drain s-9", `no server "s-9" is listed`)
 	runConsole(t, socket, "drain s-1 for ever", "expected a time above 0")
 	runConsole(t, socket, "undrain s-1", "no order")
@@ -81,9 +81,9 @@
 	runConsole(t, socket, "farm", "draining, as ordered")
 	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1     0 ") })
 	cluster.stopClients()
-	p.kill()
-	p = cluster.startProcess(env)
-	p.awaitReady()
+	relay.kill()
+	relay = cluster.startProcess(env)
+	relay.awaitReady()
 	cluster.startClients(60)
 	letClientsRun()
 	runConsole(t, socket, "orders", `"new strings"`)
@@ -93,19 +93,19 @@
 	// The old process still answers here: what it is told now the new one has to go by, too.
 	runConsole(t, socket, "drain s-2 because of a flood", "outlasts a restart")
 	letClientsRun()
-	p.shutDown()
+	relay.shutDown()
 	if out := runConsole(t, socket, "orders", `"new strings"`, `"of a flood"`); !strings.Contains(out, "s-2") {
 		t.Errorf("of two orders the new process has\n%s", out)
 	}
 	runConsole(t, socket, "undrain s-2", "outlasts a restart")
 	letClientsRun()
 	if n := cluster.attemptsAt("s-1", ordered.Add(50*time.Millisecond)); n > 0 {
-		t.Errorf("%d passes came to s-1 after the order", n)
+		t.Errorf("%d attempts came to s-1 after the order", n)
 	}
 	testutil.Until(t, "the new process has no store", func() bool { return strings.Contains(runConsole(t, socket, "store"), "all is well") })
 	runConsole(t, socket, "undrain s-1", "as the list has it again", "outlasts a restart")
 	again := time.Now()
-	testutil.Until(t, "no pass comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
+	testutil.Until(t, "no attempt comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
 	cluster.stopClients()
 	next.kill()
 	last := cluster.startProcess(env)
@@ -125,11 +125,11 @@
 	if err := os.WriteFile(lock, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := cluster.startProcess(env)
-	if err := <-p.exited; err == nil || !strings.Contains(p.log.String(), "store.dir") {
-		t.Errorf("a file for a folder: %v, %s", err, p.log.String())
+	relay := cluster.startProcess(env)
+	if err := <-relay.exited; err == nil || !strings.Contains(relay.log.String(), "store.dir") {
+		t.Errorf("a file for a folder: %v, %s", err, relay.log.String())
 	}
-	p.exited <- nil
+	relay.exited <- nil
 	if err := os.Remove(lock); err != nil {
 		t.Fatal(err)
 	}
@@ -139,13 +139,13 @@
 	if err := os.WriteFile(filepath.Join(lock, "0000000000000001.log"), []byte("this is no file of a store, by far"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p = cluster.startProcess(env)
-	p.awaitReady()
+	relay = cluster.startProcess(env)
+	relay.awaitReady()
 	runConsole(t, socket, "store", "nothing is kept", "0000000000000001.log is damaged at byte 0")
 	runConsole(t, socket, "drain s-2 for 300ms", "s-2 drains", "does not outlast a restart")
 	runConsole(t, socket, "orders", "s-2")
 	testutil.Until(t, "the order does not expire", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "no order") })
-	p.shutDown()
+	relay.shutDown()
 }
 
 // A relay that was killed and comes back soon goes on with the routes that it had: documents stay at one endpoint each. One that
@@ -153,8 +153,8 @@
 func TestRoutesSurviveKill(t *testing.T) {
 	t.Parallel()
 	cluster, socket, env := newClusterWithStore(t)
-	p := cluster.startProcess(env)
-	p.awaitReady()
+	relay := cluster.startProcess(env)
+	relay.awaitReady()
 	cluster.startClientsOf(60, []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}, 3)
 	testutil.Until(t, "nothing is learnt", func() bool {
 		return strings.Contains(strings.Join(strings.Fields(runConsole(t, socket, "store")), " "), "learnt 1 kept")
@@ -162,28 +162,28 @@
 	cluster.stopClients()
 	before := make(map[string]string) // where each document was last
 	group := make(map[string]string)
-	for _, v := range cluster.site.Log.Sessions() {
-		group[v.Name] = v.Group
+	for _, session := range cluster.site.Log.Sessions() {
+		group[session.Name] = session.Group
 	}
-	for _, pass := range cluster.site.Log.Attempts() {
-		if pass.Answer == "up" {
-			before[group[pass.Name]] = pass.Server
+	for _, attempt := range cluster.site.Log.Attempts() {
+		if attempt.Answer == "up" {
+			before[group[attempt.Name]] = attempt.Server
 		}
 	}
-	p.kill()
-	p = cluster.startProcess(env)
-	p.awaitReady()
+	relay.kill()
+	relay = cluster.startProcess(env)
+	relay.awaitReady()
 	killed := time.Now()
 	cluster.startClientsOf(60, []fake.Class{{Name: "page", Share: 1, TimeLimit: time.Second, MeanLifetime: 50 * time.Millisecond}}, 4)
 	testutil.Until(t, "nobody comes", func() bool { return len(cluster.site.Log.Sessions()) > len(group)+40 })
 	cluster.stopClients()
 	same, other := 0, 0
-	for _, v := range cluster.site.Log.Sessions() {
-		group[v.Name] = v.Group
+	for _, session := range cluster.site.Log.Sessions() {
+		group[session.Name] = session.Group
 	}
-	for _, pass := range cluster.site.Log.Attempts() {
-		if was, ok := before[group[pass.Name]]; ok && pass.At.After(killed) {
-			if was == pass.Server {
+	for _, attempt := range cluster.site.Log.Attempts() {
+		if was, ok := before[group[attempt.Name]]; ok && attempt.At.After(killed) {
+			if was == attempt.Server {
 				same++
 			} else {
 				other++
@@ -193,7 +193,7 @@
 	if same == 0 || other > same/10 {
 		t.Errorf("%d came to the server of their document, %d to another", same, other)
 	}
-	if p.shutDown(); !strings.Contains(p.log.String(), "snapshot restored") {
+	if relay.shutDown(); !strings.Contains(relay.log.String(), "snapshot restored") {
 		t.Error("nothing was taken up")
 	}
 }
@@ -206,39 +206,39 @@
 	for _, one := range cluster.site.Servers {
 		one.Set(fake.ModeBusy, 0)
 	}
-	p := cluster.startProcess(env)
-	p.awaitReady()
+	relay := cluster.startProcess(env)
+	relay.awaitReady()
 	cluster.site.Clients = &fake.ClientPool{Log: cluster.site.Log, LineAddress: cluster.listen, MaxClients: 5, Seed: 9}
 	cluster.site.Clients.Prepare()
-	v := cluster.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "77", 0)
-	if v.Answer != "unavailable" {
-		t.Fatalf("the client got %s", v.Answer)
+	session := cluster.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "77", 0)
+	if session.Answer != "unavailable" {
+		t.Fatalf("the client got %s", session.Answer)
 	}
-	before := runConsole(t, socket, "why "+v.Name, "unavailable", "s-1")
+	before := runConsole(t, socket, "why "+session.Name, "unavailable", "s-1")
 	testutil.Until(t, "it is not kept", func() bool {
 		return strings.Contains(strings.Join(strings.Fields(runConsole(t, socket, "store")), " "), "decisions 1 kept")
 	})
-	p.kill()
-	p = cluster.startProcess(env)
-	p.awaitReady()
-	after := runConsole(t, socket, "why "+v.Name)
+	relay.kill()
+	relay = cluster.startProcess(env)
+	relay.awaitReady()
+	after := runConsole(t, socket, "why "+session.Name)
 	cut := func(text string) string { _, rest, _ := strings.Cut(text, "its client waits"); return rest } // before that it says how long ago
 	if cut(after) == "" || cut(before) != cut(after) {
 		t.Errorf("before:\n%s\nafter:\n%s", before, after)
 	}
-	runConsole(t, socket, "why --json "+v.Flow, v.Name)
+	runConsole(t, socket, "why --json "+session.Flow, session.Name)
 	runConsole(t, socket, "why nobody", "has not come")
-	p.shutDown()
+	relay.shutDown()
 	folder := filepath.Join(cluster.dir, "kept")
-	if code, out, errs := runCommandLine("store", "dump", folder, "--kind", "decisions"); code != 0 || !strings.Contains(out, v.Name) {
+	if code, out, errs := runCommandLine("store", "dump", folder, "--kind", "decisions"); code != 0 || !strings.Contains(out, session.Name) {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
-	if code, out, errs := runCommandLine("store", "erase", folder, v.Flow); code != 0 || !strings.Contains(out, "1 accounts are erased") {
+	if code, out, errs := runCommandLine("store", "erase", folder, session.Flow); code != 0 || !strings.Contains(out, "1 accounts are erased") {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
 	for _, file := range files {
-		if text, _ := os.ReadFile(file); strings.Contains(string(text), v.Name) {
+		if text, _ := os.ReadFile(file); strings.Contains(string(text), session.Name) {
 			t.Errorf("%s still has the client's name", file)
 		}
 	}
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -121,30 +121,30 @@
 		p.kill()
 	}
 	at := make(map[string]bool) // transactions at the bad server
-	for _, pass := range cluster.site.Log.Attempts() {
-		at[pass.Name] = at[pass.Name] || pass.Server == bad.Name && pass.Answer == "up"
+	for _, attempt := range cluster.site.Log.Attempts() {
+		at[attempt.Name] = at[attempt.Name] || attempt.Server == bad.Name && attempt.Answer == "up"
 	}
 	flows := make(map[string][]fake.Session)
-	for _, v := range cluster.site.Log.Sessions() {
-		flows[v.Flow] = append(flows[v.Flow], v)
+	for _, session := range cluster.site.Log.Sessions() {
+		flows[session.Flow] = append(flows[session.Flow], session)
 	}
 	for _, visits := range flows {
 		slices.SortFunc(visits, func(x, y fake.Session) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
 		since := visits[0].At // not served since then
-		for _, v := range visits {
-			if v.End == "moved" && v.At.Add(v.SetupTime+v.Established).After(began) {
+		for _, session := range visits {
+			if session.End == "moved" && session.At.Add(session.SetupTime+session.Established).After(began) {
 				moves++
 			}
-			if v.Answer != "up" {
+			if session.Answer != "up" {
 				continue
 			}
-			up := v.At.Add(v.SetupTime)
+			up := session.At.Add(session.SetupTime)
 			if since.After(began) {
 				waits = append(waits, up.Sub(since))
 			}
 			since = time.Time{}
-			if end := up.Add(v.Established); v.End != "left" && v.End != "bye" {
-				if since = end; strings.Contains(trouble, "hangs") && at[v.Name] && up.Before(began) && end.After(began) {
+			if end := up.Add(session.Established); session.End != "left" && session.End != "bye" {
+				if since = end; strings.Contains(trouble, "hangs") && at[session.Name] && up.Before(began) && end.After(began) {
 					since = began.Add(time.Nanosecond) // it stood at a server that answered nothing
 				}
 			}
@@ -245,33 +245,33 @@
 		p.kill()
 	}
 	at := make(map[string]string)
-	for _, pass := range cluster.site.Log.Attempts() {
-		if pass.Answer == "up" {
-			at[pass.Name] = pass.Server
+	for _, attempt := range cluster.site.Log.Attempts() {
+		if attempt.Answer == "up" {
+			at[attempt.Name] = attempt.Server
 		}
 	}
 	asked := 0.0
 	came, left := make(map[string]fake.Session), make(map[string]time.Time)
 	stood := make(map[string]time.Duration)
-	for _, v := range cluster.site.Log.Sessions() {
-		if first, ok := came[v.Flow]; !ok || v.At.Before(first.At) {
-			came[v.Flow] = v
+	for _, session := range cluster.site.Log.Sessions() {
+		if first, ok := came[session.Flow]; !ok || session.At.Before(first.At) {
+			came[session.Flow] = session
 		}
-		end := v.At.Add(v.SetupTime + v.Established)
-		if v.End != "left" {
+		end := session.At.Add(session.SetupTime + session.Established)
+		if session.End != "left" {
 			end = over // it wants more
 		}
-		if left[v.Flow].Before(end) {
-			left[v.Flow] = end
+		if left[session.Flow].Before(end) {
+			left[session.Flow] = end
 		}
-		if v.End == "moved" {
+		if session.End == "moved" {
 			l.moves++
 		}
-		stood[v.Flow] += v.Established
-		w := classWeights[v.Class]
-		l.served += w * float64(v.Echoes-v.Late) * messageInterval.Seconds()
-		bare := w * float64(v.Late+v.Missed) * messageInterval.Seconds()
-		if at[v.Name] == bad.Name {
+		stood[session.Flow] += session.Established
+		w := classWeights[session.Class]
+		l.served += w * float64(session.Echoes-session.Late) * messageInterval.Seconds()
+		bare := w * float64(session.Late+session.Missed) * messageInterval.Seconds()
+		if at[session.Name] == bad.Name {
 			l.there += bare
 		} else {
 			l.others += bare
@@ -319,8 +319,8 @@
 		}
 		for range n {
 			for i, one := range []*testCluster{cluster, second} {
-				v := one.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
-				waits[i] = append(waits[i], v.SetupTime)
+				session := one.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
+				waits[i] = append(waits[i], session.SetupTime)
 			}
 		}
 		for i := range waits {
--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -15,34 +15,34 @@
 // One that nobody would start again runs on.
 func TestRestartFromTheConsole(t *testing.T) {
 	t.Parallel()
-	cluster, p, socket, env := newLoadedClusterWithStore(t)
+	cluster, relay, socket, env := newLoadedClusterWithStore(t)
 	runConsole(t, socket, "restart", "nobody would start the relay again")
-	p.requireRunning()
-	p.shutDown()
-	p = cluster.startProcess(env, "LOCKROAD_SUPERVISED=1")
-	p.awaitReady()
+	relay.requireRunning()
+	relay.shutDown()
+	relay = cluster.startProcess(env, "LOCKROAD_SUPERVISED=1")
+	relay.awaitReady()
 	letClientsRun()
 	runConsole(t, socket, "log", "ready")
 	asked := time.Now()
 	runConsole(t, socket, "restart", "starts again after the last")
-	err := <-p.exited
-	p.exited <- nil
+	err := <-relay.exited
+	relay.exited <- nil
 	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitRestart || time.Since(asked) > cluster.killAfter {
 		t.Fatalf("it ended with %v after %v", err, time.Since(asked))
 	}
-	p = cluster.startProcess(env, "LOCKROAD_SUPERVISED=1") // as the supervisor does
-	p.awaitReady()
+	relay = cluster.startProcess(env, "LOCKROAD_SUPERVISED=1") // as the supervisor does
+	relay.awaitReady()
 	again := time.Now()
 	testutil.Until(t, "nobody comes again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
 	runConsole(t, socket, "drain", "stops after the last") // and a stop is none
-	if err := <-p.exited; err != nil {
+	if err := <-relay.exited; err != nil {
 		t.Errorf("a stop ends with %v", err)
 	}
-	p.exited <- nil
+	relay.exited <- nil
 	cluster.stopClients()
-	for _, v := range cluster.site.Log.Sessions() {
-		if v.Answer == "up" && v.End == "broken" {
-			t.Errorf("%s was cut off", v.Name)
+	for _, session := range cluster.site.Log.Sessions() {
+		if session.Answer == "up" && session.End == "broken" {
+			t.Errorf("%s was cut off", session.Name)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 // one is in force.
 func TestConflictingDrainDirectives(t *testing.T) {
 	t.Parallel()
-	cluster, p, socket, _ := newLoadedClusterWithStore(t)
+	cluster, relay, socket, _ := newLoadedClusterWithStore(t)
 	var both sync.WaitGroup
 	for _, words := range []string{"drain s-1 because one says so", "undrain s-1"} {
 		both.Go(func() {
@@ -71,10 +71,10 @@
 	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1     0 ") })
 	letClientsRun()
 	if n := cluster.attemptsAt("s-1", last.Add(550*time.Millisecond)); n > 0 {
-		t.Errorf("%d passes came to s-1 after the last order", n)
+		t.Errorf("%d attempts came to s-1 after the last order", n)
 	}
 	runConsole(t, socket, "undrain s-1", "as the list has it again")
 	again := time.Now()
-	testutil.Until(t, "no pass comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
-	p.shutDown()
+	testutil.Until(t, "no attempt comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
+	relay.shutDown()
 }
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -71,8 +71,8 @@
 	cluster.runClients(&fake.ClientPool{Classes: siteClasses, Rate: 60, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 100, Seed: 5})
 	served := func() int {
 		n := 0
-		for _, v := range cluster.site.Log.Sessions() {
-			if v.Answer == "up" {
+		for _, session := range cluster.site.Log.Sessions() {
+			if session.Answer == "up" {
 				n++
 			}
 		}
@@ -117,7 +117,7 @@
 	})
 	letClientsRun()
 	if n := cluster.attemptsAt("s-2", reloaded); n > 0 {
-		t.Errorf("%d passes come to a server that the file no longer names", n)
+		t.Errorf("%d attempts come to a server that the file no longer names", n)
 	}
 	cluster.stopClients()
 	_ = cmd.Process.Signal(syscall.SIGTERM)
@@ -130,7 +130,7 @@
 		t.Error("it does not end")
 	}
 	for _, b := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), Limits: invariants.DefaultLimits(),
-		Broken: func(p fake.Attempt) bool { return p.Server == "s-1" }, Spoiled: func(v fake.Session) bool { return v.End == "broken" }}) {
+		Broken: func(p fake.Attempt) bool { return p.Server == "s-1" }, Spoiled: func(session fake.Session) bool { return session.End == "broken" }}) {
 		t.Error(b)
 	}
 }
@@ -197,8 +197,8 @@
 		go func() { defer close(done); flood.Run(ctx) }()
 		testutil.Until(t, "the flood does not fill the box", func() bool {
 			up, away := 0, 0
-			for _, v := range cluster.site.Log.Sessions() {
-				switch v.Answer {
+			for _, session := range cluster.site.Log.Sessions() {
+				switch session.Answer {
 				case "up":
 					up++
 				case "unavailable":
@@ -211,7 +211,7 @@
 		other.Prepare()
 		served := 0
 		for range 20 {
-			if v := other.RunSession(ctx, "line", siteClasses[0], "5", 20*time.Millisecond); v.Answer == "up" {
+			if session := other.RunSession(ctx, "line", siteClasses[0], "5", 20*time.Millisecond); session.Answer == "up" {
 				served++
 			}
 		}
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -19,37 +19,37 @@
 // listener, and the new processes go on with what was established.
 func TestUpgradeUnderLoad(t *testing.T) {
 	t.Parallel()
-	cluster, p := newLoadedCluster(t)
+	cluster, relay := newLoadedCluster(t)
 	for range 2 {
 		next := cluster.startProcess()
 		next.awaitReady()
-		if p.isReady() {
+		if relay.isReady() {
 			t.Error("the old process says that it takes clients")
 		}
-		stood := p.metrics()["active"]
-		p.shutDown()
+		stood := relay.metrics()["active"]
+		relay.shutDown()
 		if has := next.metrics()["active"]; has < stood/2 {
 			t.Errorf("of %d transactions the new process has %d", stood, has)
 		}
-		p = next
+		relay = next
 	}
 	letClientsRun()
-	p.requireRunning()
+	relay.requireRunning()
 	cluster.checkClients(0, 0)
-	testutil.Until(t, "a transaction is left", func() bool { return p.metrics()["active"] == 0 })
+	testutil.Until(t, "a transaction is left", func() bool { return relay.metrics()["active"] == 0 })
 }
 
 // SIGHUP comes to both processes while one takes over from the other.
 func TestReloadDuringUpgrade(t *testing.T) {
 	t.Parallel()
-	cluster, p := newLoadedCluster(t)
+	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
 	next.awaitReady()
 	cluster.writeConfig(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, serviceClasses...))
-	for _, one := range []*process{p, next} {
+	for _, one := range []*process{relay, next} {
 		_ = one.Process.Signal(syscall.SIGHUP)
 	}
-	p.shutDown()
+	relay.shutDown()
 	letClientsRun()
 	next.requireRunning()
 	if n := next.metrics()["config_applied_total"]; n != 1 {
@@ -62,28 +62,28 @@
 // never gets ready.
 func TestUpgradeWhenSuccessorFails(t *testing.T) {
 	t.Parallel()
-	cluster, p := newLoadedCluster(t)
+	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
 	next.awaitReady()
 	// It may have taken clients of its own by now, which die with it: none come meanwhile.
 	cluster.stopClients()
 	next.kill()
-	for late := time.Now().Add(5 * time.Second); !p.isReady(); time.Sleep(5 * time.Millisecond) {
+	for late := time.Now().Add(5 * time.Second); !relay.isReady(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(late) {
 			t.Fatal("the old process does not go on")
 		}
 	}
 	cluster.startClients(60)
-	never := cluster.startProcess("PROXY_ADMIN_ADDR=" + p.admin) // taken: it can't start
+	never := cluster.startProcess("PROXY_ADMIN_ADDR=" + relay.admin) // taken: it can't start
 	if err := <-never.exited; err == nil || !strings.Contains(never.log.String(), "admin_addr") {
 		t.Errorf("ended with %v: %s", err, never.log.String())
 	}
 	never.exited <- nil
 	letClientsRun()
-	p.requireRunning()
+	relay.requireRunning()
 	third := cluster.startProcess() // and the next version can still come
 	third.awaitReady()
-	p.shutDown()
+	relay.shutDown()
 	cluster.checkClients(0, 0)
 }
 
@@ -91,9 +91,9 @@
 func TestStartAfterPredecessorWasKilled(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t)
-	p := cluster.startProcess()
-	p.awaitReady()
-	p.kill()
+	relay := cluster.startProcess()
+	relay.awaitReady()
+	relay.kill()
 	next := cluster.startProcess()
 	next.awaitReady()
 	cluster.startClients(60)
@@ -108,10 +108,10 @@
 // queue before it closes.
 func TestUpgradeWithoutHotRestartSocket(t *testing.T) {
 	t.Parallel()
-	cluster, p := newLoadedCluster(t, "TMPDIR=")
+	cluster, relay := newLoadedCluster(t, "TMPDIR=")
 	next := cluster.startProcess("TMPDIR=" + filepath.Join(cluster.dir, "not there"))
 	next.awaitReady()
-	p.shutDown()
+	relay.shutDown()
 	letClientsRun()
 	next.requireRunning()
 	cluster.checkClients(1000, 2) // two an upgrade are free
@@ -128,14 +128,14 @@
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
-	p.awaitReady()
+	relay := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
+	relay.awaitReady()
 	cluster.amqpAddress = amqp
 	cluster.startClients(60)
 	letClientsRun()
 	next := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
 	next.awaitReady()
-	p.shutDown()
+	relay.shutDown()
 	testutil.Until(t, "the console is away", func() bool {
 		code, out, _ := runCommandLine("console", "--socket", socket, "fronts")
 		return code == 0 && strings.Contains(out, amqp) && strings.Contains(out, cluster.listen)
@@ -144,11 +144,11 @@
 	next.requireRunning()
 	cluster.checkClients(1000, 0)
 	moved := 0
-	for _, v := range cluster.site.Log.Sessions() {
-		if v.End == "moved" {
+	for _, session := range cluster.site.Log.Sessions() {
+		if session.End == "moved" {
 			moved++
-			if v.Frontend == "line" {
-				t.Errorf("%s was moved, though its connection can be handed over", v.Name)
+			if session.Frontend == "line" {
+				t.Errorf("%s was moved, though its connection can be handed over", session.Name)
 			}
 		}
 	}
@@ -161,8 +161,8 @@
 func TestFiguresAreWhatOthersCount(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t)
-	p := cluster.startProcess()
-	p.awaitReady()
+	relay := cluster.startProcess()
+	relay.awaitReady()
 	cluster.startClients(80)
 	for _, mode := range []fake.ServerMode{fake.ModeBusy, fake.ModeHang, fake.ModeError, fake.ModeBreak, fake.ModeAccept} {
 		for _, server := range cluster.site.Servers[:2] {
@@ -191,8 +191,8 @@
 	for _, c := range serviceClasses {
 		for figure, answer := range map[string]string{"ok": "up", "shed": "unavailable", "errors": "failed"} {
 			n := 0
-			for _, v := range cluster.site.Log.Sessions() {
-				if v.Class == c.Name && v.Answer == answer {
+			for _, session := range cluster.site.Log.Sessions() {
+				if session.Class == c.Name && session.Answer == answer {
 					n++
 				}
 			}
@@ -200,7 +200,7 @@
 		}
 	}
 	want[`errors_total{kind="page"}`] += 5
-	got := p.metrics()
+	got := relay.metrics()
 	for name, n := range want {
 		if got[name] != n {
 			t.Errorf("%s is told as %d, and others count %d", name, got[name], n)
