--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -75,30 +75,30 @@
 	go c.beat(time.Second, stop) // it lives all the while
 	sessions := make(map[uint16]*session)
 	for {
-		f, err := c.read(frameAMQP, time.Minute)
+		f, err := c.read(TypeAMQP, time.Minute)
 		d.mu.Lock()
 		if err != nil {
 			d.err = err
 			d.mu.Unlock()
 			return
 		}
-		switch f.code {
-		case codeOpen:
-			c.opened(f.perf)
-			c.write(0, open("dam").with(3, uint16(7)), nil)
-		case codeBegin:
+		switch f.Code {
+		case CodeOpen:
+			c.opened(f.Performative)
+			c.write(0, open("dam").With(3, uint16(7)), nil)
+		case CodeBegin:
 			d.begun++
-			s := newSession(c, f.channel)
-			_ = s.begun(f.perf)
-			sessions[f.channel] = s
-			c.write(f.channel, s.begin(f.channel).with(2, d.window), nil)
-		case codeAttach:
-			d.attached = append(d.attached, text(f.field(0)))
-			s := sessions[f.channel]
-			s.write(f.channel, f.perf.with(2, !f.flag(2)).with(9, nil).with(13, nil), nil)
-			s.write(f.channel, perf{codeFlow, list{uint32(0), d.window, uint32(0), uint32(windowMost), f.field(1), uint32(0), uint32(50000)}}, nil)
-		case codeTransfer:
-			if !bytes.Contains(f.payload, damPage) {
+			s := newSession(c, f.Channel)
+			_ = s.begun(f.Performative)
+			sessions[f.Channel] = s
+			c.write(f.Channel, s.begin(f.Channel).With(2, d.window), nil)
+		case CodeAttach:
+			d.attached = append(d.attached, AsString(f.Field(0)))
+			s := sessions[f.Channel]
+			s.write(f.Channel, f.Performative.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+			s.write(f.Channel, Performative{CodeFlow, List{uint32(0), d.window, uint32(0), uint32(windowMost), f.Field(1), uint32(0), uint32(50000)}}, nil)
+		case CodeTransfer:
+			if !bytes.Contains(f.Payload, damPage) {
 				d.err = errors.New("a delivery is not what its client has sent")
 			}
 		}
@@ -190,20 +190,20 @@
 			r, f, first := damRig(t, d)
 			flood(t, f, first)
 			second := dialRaw(t, r.address).begin()
-			second.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
+			second.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(60000)})
 			testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 			switch c {
 			case "the client leaves":
-				second.write(3, perf{codeDetach, list{uint32(1), true}}, nil)
+				second.write(3, Performative{CodeDetach, List{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
-				second.until(codeDetach, 2, condInvalid, 3*time.Second)
+				second.until(CodeDetach, 2, CondInvalidField, 3*time.Second)
 				testutil.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
 				d.let()
 			case "the server drains":
 				r.list(balancer.StateDraining, 0)
 				d.let()
-				second.want(codeAttach, 0, "")
-				second.want(codeDetach, 2, condLimit)
+				second.want(CodeAttach, 0, "")
+				second.want(CodeDetach, 2, CondResourceLimitExceeded)
 			case "the relay ends":
 				began := time.Now()
 				r.end()
@@ -235,13 +235,13 @@
 	served.Go(func() { serveAll(t, l, wire{server: other.serve}, r.script) })
 	second := dialRaw(t, r.address).begin()
 	// Its group's route leads to the first server, as the first link's does.
-	props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(3000), symbol(propGroup), text(linkProperties()[propGroup])}
+	props := Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(3000), Symbol(propGroup), AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
 	testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
 	began := time.Now()
-	second.want(codeAttach, 0, "")
-	second.want(codeFlow, 0, "")
+	second.want(CodeAttach, 0, "")
+	second.want(CodeFlow, 0, "")
 	if took := time.Since(began); took > 2800*time.Millisecond {
 		t.Errorf("it is up after %v", took)
 	}
@@ -262,11 +262,11 @@
 	d := newDam(t, 2, 10000)
 	r, f, first := damRig(t, d)
 	second := dialRaw(t, r.address).begin()
-	second.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
-	second.want(codeAttach, 0, "")
-	second.want(codeFlow, 0, "")
+	second.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(60000)})
+	second.want(CodeAttach, 0, "")
+	second.want(CodeFlow, 0, "")
 	flood(t, f, first)
-	second.until(codeDetach, 2, condForced, 2*writeMost)
+	second.until(CodeDetach, 2, CondConnectionForced, 2*writeMost)
 	d.let()
 	<-d.over
 	if !errors.Is(d.err, io.EOF) && !errors.Is(d.err, io.ErrUnexpectedEOF) && !errors.Is(d.err, syscall.ECONNRESET) {
@@ -288,7 +288,7 @@
 	var end *client10.LinkError
 	for err := error(nil); ; {
 		if err = first.Send(ctx, client10.NewMessage(damPage), nil); err != nil {
-			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != condDetachForced {
+			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != CondDetachForced {
 				t.Fatalf("its client is told %v", err)
 			}
 			break
@@ -306,18 +306,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	attach := perf{codeAttach, list{"second", uint32(0), false}}
+	attach := Performative{CodeAttach, List{"second", uint32(0), false}}
 	if err := u.sendFirst(t.Context(), u.lane.begins, u.begin(nil), attach); err != nil {
 		t.Fatal(err)
 	}
-	var f frame
-	for f.code != codeFlow {
+	var f Frame
+	for f.Code != CodeFlow {
 		if f, err = u.next(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	u.Close()
-	u.flowed(f.perf)
+	u.flowed(f.Performative)
 	if err := u.await(); !errors.Is(err, errQuit) {
 		t.Errorf("a transfer of a session that has ended: %v", err)
 	}
--- a/internal/frontend/amqp/both_test.go
+++ b/internal/frontend/amqp/both_test.go
@@ -131,7 +131,7 @@
 	{name: "amqp", front: func(k *proxy.Proxy, seats int) server {
 		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 	}, server: amqpServer, open: amqpOpen, hasty: amqpHasty,
-		slow: []string{string(headerAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(headerAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
+		slow: []string{string(ProtocolHeaderAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(ProtocolHeaderAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
 }
 
 func lineServer(t testing.TB, c *net.TCPConn, s *script) {
@@ -224,12 +224,12 @@
 
 func amqpHasty(t *testing.T, address string) string {
 	c := dialRaw(t, address).begin()
-	c.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(1200)})
+	c.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(1200)})
 	for i := range uint32(200) {
-		c.write(3, perf{codeTransfer, list{uint32(1), i, []byte("t")}}, nil)
+		c.write(3, Performative{CodeTransfer, List{uint32(1), i, []byte("t")}}, nil)
 	}
-	c.want(codeAttach, 0, "")
-	c.want(codeDetach, 2, condTransferLimit)
+	c.want(CodeAttach, 0, "")
+	c.want(CodeDetach, 2, CondTransferLimitExceeded)
 	return "failed"
 }
 
@@ -243,37 +243,37 @@
 	if err != nil {
 		return nil, false
 	}
-	if h != headerSASL {
+	if h != ProtocolHeaderSASL {
 		t.Errorf("a server was greeted with %q", h)
 	}
-	c.header(headerSASL)
-	want, offered := "ANONYMOUS", array{symbol("ANONYMOUS")}
+	c.header(ProtocolHeaderSASL)
+	want, offered := "ANONYMOUS", Array{Symbol("ANONYMOUS")}
 	if _, is := tcp.(*tls.Conn); is { // to which the relay has shown a certificate
-		want, offered = "EXTERNAL", array{symbol("EXTERNAL"), symbol("ANONYMOUS")}
+		want, offered = "EXTERNAL", Array{Symbol("EXTERNAL"), Symbol("ANONYMOUS")}
 	}
-	c.sasl(perf{codeMechanisms, list{offered}})
-	f, err := c.read(frameSASL, serverWait)
+	c.sasl(Performative{CodeSASLMechanisms, List{offered}})
+	f, err := c.read(TypeSASL, serverWait)
 	if err != nil {
 		return nil, false // the relay may give a pass up at any time, as of a client that has gone
 	}
-	if f.code != codeInit || text(f.field(0)) != want {
+	if f.Code != CodeSASLInit || AsString(f.Field(0)) != want {
 		t.Errorf("a server got %v for an init", f)
 		return nil, false
 	}
-	c.sasl(perf{codeOutcome, list{uint8(0)}})
+	c.sasl(Performative{CodeSASLOutcome, List{uint8(0)}})
 	_, _ = c.readHeader(serverWait)
-	c.header(headerAMQP)
+	c.header(ProtocolHeaderAMQP)
 	return c, true
 }
 
 // opened answers the frames that open a stand-in's connection and its session.
-func opened(c *conn, s *session, f frame) {
-	switch f.code {
-	case codeOpen:
-		c.opened(f.perf)
+func opened(c *conn, s *session, f Frame) {
+	switch f.Code {
+	case CodeOpen:
+		c.opened(f.Performative)
 		c.write(0, open("server"), nil)
-	case codeBegin:
-		_ = s.begun(f.perf)
+	case CodeBegin:
+		_ = s.begun(f.Performative)
 		c.write(0, s.begin(uint16(0)), nil)
 	}
 }
@@ -288,61 +288,61 @@
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.read(frameAMQP, serverWait)
+		f, err := c.read(TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
-		switch f.code {
-		case codeOpen, codeBegin:
+		switch f.Code {
+		case CodeOpen, CodeBegin:
 			opened(c, session, f)
-		case codeAttach:
-			if !amqpAttached(t, c, session, f.perf, s) {
+		case CodeAttach:
+			if !amqpAttached(t, c, session, f.Performative, s) {
 				return
 			}
-		case codeTransfer:
-			if f.flag(5) {
+		case CodeTransfer:
+			if f.Bool(5) {
 				continue
 			}
-			c.write(0, perf{codeDisposition, list{true, f.field(1), nil, true, described{uint64(0x24), list{}}}}, nil)
-		case codeDetach:
-			c.write(0, perf{codeDetach, list{uint32(0), true}}, nil)
-		case codeClose:
+			c.write(0, Performative{CodeDisposition, List{true, f.Field(1), nil, true, Described{uint64(0x24), List{}}}}, nil)
+		case CodeDetach:
+			c.write(0, Performative{CodeDetach, List{uint32(0), true}}, nil)
+		case CodeClose:
 			return
 		}
 	}
 }
 
 // amqpAttached tells whether the connection goes on.
-func amqpAttached(t testing.TB, c *conn, session *session, p perf, s *script) bool {
-	props, _ := p.field(13).(mapping)
-	ms, _ := whole(props.get(propGiveUp))
+func amqpAttached(t testing.TB, c *conn, session *session, p Performative, s *script) bool {
+	props, _ := p.Field(13).(Map)
+	ms, _ := AsUint64(props.Get(propGiveUp))
 	s.told(time.Duration(ms) * time.Millisecond)
 	act := s.next(t, c.LocalAddr())
-	reply := p.with(1, uint32(0)).with(2, !p.flag(2)).with(9, nil).with(13, nil)
+	reply := p.With(1, uint32(0)).With(2, !p.Bool(2)).With(9, nil).With(13, nil)
 	end := func(cond string) bool {
 		var e any
 		if cond != "" {
-			e = errorOf(cond, "as the case has it", nil)
+			e = NewErrorValue(cond, "as the case has it", nil)
 		}
-		c.write(0, perf{codeDetach, list{uint32(0), true, e}}, nil)
+		c.write(0, Performative{CodeDetach, List{uint32(0), true, e}}, nil)
 		return true
 	}
 	up := func() {
 		s.answered()
 		c.write(0, reply, nil)
-		session.flow(perf{codeFlow, list{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
+		session.flow(Performative{CodeFlow, List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
 	}
 	switch act {
 	case accept:
 		up()
 	case busy:
 		s.answered()
-		c.write(0, reply.with(6, nil), nil)
-		return end(condLimit)
+		c.write(0, reply.With(6, nil), nil)
+		return end(CondResourceLimitExceeded)
 	case fault1:
 		s.answered()
-		c.write(0, reply.with(6, nil), nil)
-		return end(condInternal)
+		c.write(0, reply.With(6, nil), nil)
+		return end(CondInternalError)
 	case hang, noCredit:
 		if act == noCredit {
 			c.write(0, reply, nil)
@@ -359,7 +359,7 @@
 		return end("")
 	case sendAway:
 		up()
-		return end(condDetachForced)
+		return end(CondDetachForced)
 	case dies:
 		up()
 		c.socket.(*net.TCPConn).SetLinger(0)
@@ -385,7 +385,7 @@
 	switch {
 	case err != nil && !errors.As(err, &end):
 		return "lost", false, nil
-	case err != nil && end.Condition == client10.ErrCond(condLimit):
+	case err != nil && end.Condition == client10.ErrCond(CondResourceLimitExceeded):
 		_, told := end.Info[infoBack]
 		return "unavailable", told, nil
 	case err != nil:
@@ -398,11 +398,11 @@
 			switch {
 			case err == nil:
 				continue
-			case !errors.As(err, &gone) || gone.RemoteErr != nil && gone.RemoteErr.Condition == client10.ErrCond(condForced):
+			case !errors.As(err, &gone) || gone.RemoteErr != nil && gone.RemoteErr.Condition == client10.ErrCond(CondConnectionForced):
 				return "broken"
 			case gone.RemoteErr == nil:
 				return "ended"
-			case gone.RemoteErr.Condition == client10.ErrCond(condDetachForced):
+			case gone.RemoteErr.Condition == client10.ErrCond(CondDetachForced):
 				return "moved"
 			}
 			return gone.Error()
--- a/internal/frontend/amqp/codec.go
+++ b/internal/frontend/amqp/codec.go
@@ -12,53 +12,53 @@
 // The types of AMQP that Go has no name for. The rest are bool, the sized
 // integers and floats, string, []byte for binary, and nil for null.
 type (
-	symbol    string
-	timestamp int64
-	char      uint32
-	uuid      [16]byte
-	decimal   struct { // passed on, never looked at
-		code byte
-		raw  string
-	}
-	list  []any
-	array []any // elements of one type
-	// mapping holds keys and values in turn, in the order in which they came.
-	mapping   []any
-	described struct{ descriptor, value any }
+	Symbol    string
+	Timestamp int64
+	Char      uint32
+	UUID      [16]byte
+	Decimal   struct { // passed on, never looked at
+		constructor byte
+		raw         string
+	}
+	List  []any
+	Array []any // elements of one type
+	// Map holds keys and values in turn, in the order in which they came.
+	Map       []any
+	Described struct{ Descriptor, Value any }
 )
 
 const (
-	maxDepth = 32   // of values within values
-	maxBare  = 4096 // elements of an array that take no room themselves
+	maxNesting       = 32   // of values within values
+	maxEmptyElements = 4096 // elements of an array that take no room themselves
 )
 
-var errDecode = errors.New("the bytes are no value of AMQP")
+var ErrDecode = errors.New("the bytes are no value of AMQP")
 
-// get returns the value of a key; keys are symbols or strings.
-func (m mapping) get(key string) any {
+// Get returns the value of a key; keys are symbols or strings.
+func (m Map) Get(key string) any {
 	for i := 0; i+1 < len(m); i += 2 {
-		if text(m[i]) == key {
+		if AsString(m[i]) == key {
 			return m[i+1]
 		}
 	}
 	return nil
 }
 
-// with returns a copy in which a key has a value.
-func (m mapping) with(key string, value any) mapping {
-	out := make(mapping, 0, len(m)+2)
+// With returns a copy in which a key has a value.
+func (m Map) With(key string, value any) Map {
+	out := make(Map, 0, len(m)+2)
 	for i := 0; i+1 < len(m); i += 2 {
-		if text(m[i]) != key {
+		if AsString(m[i]) != key {
 			out = append(out, m[i], m[i+1])
 		}
 	}
-	return append(out, symbol(key), value)
+	return append(out, Symbol(key), value)
 }
 
-// text returns what a symbol or a string says.
-func text(v any) string {
+// AsString returns what a symbol or a string says.
+func AsString(v any) string {
 	switch v := v.(type) {
-	case symbol:
+	case Symbol:
 		return string(v)
 	case string:
 		return v
@@ -66,8 +66,8 @@
 	return ""
 }
 
-// whole returns an integer of any width that is not negative.
-func whole(v any) (uint64, bool) {
+// AsUint64 returns an integer of any width that is not negative.
+func AsUint64(v any) (uint64, bool) {
 	switch v := v.(type) {
 	case uint8:
 		return uint64(v), true
@@ -97,15 +97,15 @@
 
 func (d *decoder) take(n uint64) ([]byte, error) {
 	if n > uint64(len(d.rest)) {
-		return nil, errDecode
+		return nil, ErrDecode
 	}
 	b := d.rest[:n]
 	d.rest = d.rest[n:]
 	return b, nil
 }
 
-// number reads an unsigned integer of so many bytes.
-func (d *decoder) number(width uint64) (uint64, error) {
+// uint reads an unsigned integer of so many bytes.
+func (d *decoder) uint(width uint64) (uint64, error) {
 	b, err := d.take(width)
 	if err != nil {
 		return 0, err
@@ -117,32 +117,32 @@
 	return n, nil
 }
 
-func (d *decoder) value() (any, error) {
-	if d.depth++; d.depth > maxDepth {
-		return nil, errDecode
+func (d *decoder) decodeValue() (any, error) {
+	if d.depth++; d.depth > maxNesting {
+		return nil, ErrDecode
 	}
 	defer func() { d.depth-- }()
-	code, err := d.number(1)
+	code, err := d.uint(1)
 	if err != nil {
 		return nil, err
 	}
 	if code == 0 {
-		return d.described()
+		return d.decodeDescribed()
 	}
-	return d.primitive(byte(code))
+	return d.decodePrimitive(byte(code))
 }
 
-func (d *decoder) described() (any, error) {
-	descriptor, err := d.value()
+func (d *decoder) decodeDescribed() (any, error) {
+	descriptor, err := d.decodeValue()
 	if err != nil {
 		return nil, err
 	}
-	v, err := d.value()
-	return described{descriptor, v}, err
+	v, err := d.decodeValue()
+	return Described{descriptor, v}, err
 }
 
-// primitive reads what follows a constructor.
-func (d *decoder) primitive(code byte) (any, error) {
+// decodePrimitive reads what follows a constructor.
+func (d *decoder) decodePrimitive(code byte) (any, error) {
 	switch code {
 	case 0x40:
 		return nil, nil
@@ -155,29 +155,29 @@
 	case 0x44:
 		return uint64(0), nil
 	case 0x45:
-		return list{}, nil
+		return List{}, nil
 	}
 	// The upper half of a code tells how wide what follows is.
 	switch code >> 4 {
 	case 0x5, 0x6, 0x7, 0x8:
-		n, err := d.number(1 << (code>>4 - 5))
+		n, err := d.uint(1 << (code>>4 - 5))
 		if err != nil {
 			return nil, err
 		}
-		return fixed(code, n)
+		return decodeFixedWidth(code, n)
 	case 0x9:
 		b, err := d.take(16)
 		if err != nil {
 			return nil, err
 		}
 		if code == 0x98 {
-			return uuid(b), nil
+			return UUID(b), nil
 		}
 		if code == 0x94 {
-			return decimal{code, string(b)}, nil
+			return Decimal{code, string(b)}, nil
 		}
 	case 0xa, 0xb:
-		n, err := d.number(1 + 3*uint64(code>>4&1))
+		n, err := d.uint(1 + 3*uint64(code>>4&1))
 		if err != nil {
 			return nil, err
 		}
@@ -191,18 +191,18 @@
 		case 0x1:
 			return string(b), nil
 		case 0x3:
-			return symbol(b), nil
+			return Symbol(b), nil
 		}
 	case 0xc, 0xd:
-		return d.compound(code, 1+3*uint64(code>>4&1))
+		return d.decodeCompound(code, 1+3*uint64(code>>4&1))
 	case 0xe, 0xf:
-		return d.array(code, 1+3*uint64(code>>4&1))
+		return d.decodeArray(code, 1+3*uint64(code>>4&1))
 	}
-	return nil, fmt.Errorf("%w: constructor %#x", errDecode, code)
+	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
 
-// fixed gives the bits of a value of fixed width their type.
-func fixed(code byte, n uint64) (any, error) {
+// decodeFixedWidth gives the bits of a value of fixed width their type.
+func decodeFixedWidth(code byte, n uint64) (any, error) {
 	switch code {
 	case 0x50:
 		return uint8(n), nil
@@ -227,25 +227,25 @@
 	case 0x72:
 		return math.Float32frombits(uint32(n)), nil
 	case 0x73:
-		return char(n), nil
+		return Char(n), nil
 	case 0x74:
-		return decimal{code, string(binary.BigEndian.AppendUint32(nil, uint32(n)))}, nil
+		return Decimal{code, string(binary.BigEndian.AppendUint32(nil, uint32(n)))}, nil
 	case 0x81:
 		return int64(n), nil
 	case 0x82:
 		return math.Float64frombits(n), nil
 	case 0x83:
-		return timestamp(n), nil
+		return Timestamp(n), nil
 	case 0x84:
-		return decimal{code, string(binary.BigEndian.AppendUint64(nil, n))}, nil
+		return Decimal{code, string(binary.BigEndian.AppendUint64(nil, n))}, nil
 	}
-	return nil, fmt.Errorf("%w: constructor %#x", errDecode, code)
+	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
 
-// body reads the size and the count that open a compound value or an array, and
+// openCompound reads the size and the count that open a compound value or an array, and
 // returns a decoder of its inside.
-func (d *decoder) body(width uint64) (*decoder, uint64, error) {
-	size, err := d.number(width)
+func (d *decoder) openCompound(width uint64) (*decoder, uint64, error) {
+	size, err := d.uint(width)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -254,71 +254,71 @@
 		return nil, 0, err
 	}
 	in := &decoder{rest: b, depth: d.depth}
-	count, err := in.number(width)
+	count, err := in.uint(width)
 	return in, count, err
 }
 
-func (d *decoder) compound(code byte, width uint64) (any, error) {
-	in, count, err := d.body(width)
+func (d *decoder) decodeCompound(code byte, width uint64) (any, error) {
+	in, count, err := d.openCompound(width)
 	if err != nil || count > uint64(len(in.rest)) { // every element takes a byte at least
-		return nil, errDecode
+		return nil, ErrDecode
 	}
 	vs := make([]any, count)
 	for i := range vs {
-		if vs[i], err = in.value(); err != nil {
+		if vs[i], err = in.decodeValue(); err != nil {
 			return nil, err
 		}
 	}
 	switch {
 	case len(in.rest) > 0:
 	case code&0xf == 0x0:
-		return list(vs), nil
+		return List(vs), nil
 	case code&0xf == 0x1 && count%2 == 0:
-		return mapping(vs), nil
+		return Map(vs), nil
 	}
-	return nil, errDecode
+	return nil, ErrDecode
 }
 
-func (d *decoder) array(code byte, width uint64) (any, error) {
-	in, count, err := d.body(width)
-	if err != nil || code&0xf != 0 || count > uint64(len(in.rest))+maxBare {
-		return nil, errDecode
+func (d *decoder) decodeArray(code byte, width uint64) (any, error) {
+	in, count, err := d.openCompound(width)
+	if err != nil || code&0xf != 0 || count > uint64(len(in.rest))+maxEmptyElements {
+		return nil, ErrDecode
 	}
 	if len(in.rest) == 0 && count == 0 {
-		return array{}, nil
+		return Array{}, nil
 	}
-	constructor, err := in.number(1)
+	constructor, err := in.uint(1)
 	if err != nil {
 		return nil, err
 	}
 	var descriptor any
 	if constructor == 0 {
-		if descriptor, err = in.value(); err != nil {
+		if descriptor, err = in.decodeValue(); err != nil {
 			return nil, err
 		}
-		if constructor, err = in.number(1); err != nil || constructor == 0 {
-			return nil, errDecode
+		if constructor, err = in.uint(1); err != nil || constructor == 0 {
+			return nil, ErrDecode
 		}
 	}
-	vs := make(array, 0, min(count, 64))
+	vs := make(Array, 0, min(count, 64))
 	for range count {
-		v, err := in.primitive(byte(constructor))
+		v, err := in.decodePrimitive(byte(constructor))
 		if err != nil {
 			return nil, err
 		}
 		if descriptor != nil {
-			v = described{descriptor, v}
+			v = Described{descriptor, v}
 		}
 		vs = append(vs, v)
 	}
 	if len(in.rest) > 0 {
-		return nil, errDecode
+		return nil, ErrDecode
 	}
 	return vs, nil
 }
 
-// encode appends a value.
-func encode(b []byte, v any) []byte {
+// Append appends a value.
+func Append(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
 		return append(b, 0x40)
@@ -327,27 +327,27 @@
 			return append(b, 0x41)
 		}
 		return append(b, 0x42)
-	case list:
+	case List:
 		if len(v) == 0 {
 			return append(b, 0x45)
 		}
-		return compound(b, 0xd0, v)
-	case mapping:
-		return compound(b, 0xd1, v)
-	case array:
-		return encodeArray(b, v)
-	case described:
-		return encode(encode(append(b, 0), v.descriptor), v.value)
-	}
-	if short, ok := compact(b, v); ok {
+		return appendCompound(b, 0xd0, v)
+	case Map:
+		return appendCompound(b, 0xd1, v)
+	case Array:
+		return appendArray(b, v)
+	case Described:
+		return Append(Append(append(b, 0), v.Descriptor), v.Value)
+	}
+	if short, ok := appendCompact(b, v); ok {
 		return short
 	}
-	return bare(append(b, wide(v)), v)
+	return appendBody(append(b, constructorOf(v)), v)
 }
 
-// compact appends a value in its short form, where it has one: some peers read
+// appendCompact appends a value in its short form, where it has one: some peers read
 // the codes of performatives in no other.
-func compact(b []byte, v any) ([]byte, bool) {
+func appendCompact(b []byte, v any) ([]byte, bool) {
 	sized := func(code byte, s string) ([]byte, bool) {
 		if len(s) > 255 {
 			return b, false
@@ -363,14 +363,14 @@
 		return sized(0xa0, string(v))
 	case string:
 		return sized(0xa1, v)
-	case symbol:
+	case Symbol:
 		return sized(0xa3, string(v))
 	}
 	return b, false
 }
 
-// wide returns the constructor of the widest form of a value.
-func wide(v any) byte {
+// constructorOf returns the constructor of the widest form of a value.
+func constructorOf(v any) byte {
 	switch v := v.(type) {
 	case nil:
 		return 0x40
@@ -390,7 +390,7 @@
 		return 0x71
 	case float32:
 		return 0x72
-	case char:
+	case Char:
 		return 0x73
 	case uint64:
 		return 0x80
@@ -398,30 +398,30 @@
 		return 0x81
 	case float64:
 		return 0x82
-	case timestamp:
+	case Timestamp:
 		return 0x83
-	case decimal:
-		return v.code
-	case uuid:
+	case Decimal:
+		return v.constructor
+	case UUID:
 		return 0x98
 	case []byte:
 		return 0xb0
 	case string:
 		return 0xb1
-	case symbol:
+	case Symbol:
 		return 0xb3
-	case list:
+	case List:
 		return 0xd0
-	case mapping:
+	case Map:
 		return 0xd1
-	case array:
+	case Array:
 		return 0xf0
 	}
 	panic(fmt.Sprintf("amqp: no form for a %T", v)) // values come from decode or from this package
 }
 
-// bare appends a value without its constructor, in its widest form.
-func bare(b []byte, v any) []byte {
+// appendBody appends a value without its constructor, in its widest form.
+func appendBody(b []byte, v any) []byte {
 	be := binary.BigEndian
 	sized := func(s string) []byte { return append(be.AppendUint32(b, uint32(len(s))), s...) }
 	switch v := v.(type) {
@@ -444,7 +444,7 @@
 		return be.AppendUint32(b, uint32(v))
 	case float32:
 		return be.AppendUint32(b, math.Float32bits(v))
-	case char:
+	case Char:
 		return be.AppendUint32(b, uint32(v))
 	case uint64:
 		return be.AppendUint64(b, v)
@@ -452,35 +452,35 @@
 		return be.AppendUint64(b, uint64(v))
 	case float64:
 		return be.AppendUint64(b, math.Float64bits(v))
-	case timestamp:
+	case Timestamp:
 		return be.AppendUint64(b, uint64(v))
-	case decimal:
+	case Decimal:
 		return append(b, v.raw...)
-	case uuid:
+	case UUID:
 		return append(b, v[:]...)
 	case []byte:
 		return sized(string(v))
 	case string:
 		return sized(v)
-	case symbol:
+	case Symbol:
 		return sized(string(v))
 	}
 	return b
 }
 
-// compound appends a list or a map.
-func compound(b []byte, code byte, vs []any) []byte {
+// appendCompound appends a list or a map.
+func appendCompound(b []byte, code byte, vs []any) []byte {
 	b = append(b, code)
 	at := len(b)
 	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(vs)))
 	for _, v := range vs {
-		b = encode(b, v)
+		b = Append(b, v)
 	}
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
 	return b
 }
 
-func encodeArray(b []byte, vs array) []byte {
+func appendArray(b []byte, vs Array) []byte {
 	b = append(b, 0xf0)
 	at := len(b)
 	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(vs)))
@@ -488,31 +488,31 @@
 		b = append(b, 0x40)
 	}
 	for i, v := range vs {
-		d, is := v.(described)
+		d, is := v.(Described)
 		if is {
-			v = d.value
+			v = d.Value
 		}
 		if i == 0 {
 			if is {
-				b = encode(append(b, 0), d.descriptor)
+				b = Append(append(b, 0), d.Descriptor)
 			}
-			b = append(b, wide(v))
+			b = append(b, constructorOf(v))
 		}
-		b = bareIn(b, v)
+		b = appendElement(b, v)
 	}
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
 	return b
 }
 
-// bareIn appends an element of an array.
-func bareIn(b []byte, v any) []byte {
+// appendElement appends an element of an array.
+func appendElement(b []byte, v any) []byte {
 	switch v := v.(type) {
-	case list:
-		return append(b, compound(nil, 0xd0, v)[1:]...)
-	case mapping:
-		return append(b, compound(nil, 0xd1, v)[1:]...)
-	case array:
-		return append(b, encodeArray(nil, v)[1:]...)
-	}
-	return bare(b, v)
+	case List:
+		return append(b, appendCompound(nil, 0xd0, v)[1:]...)
+	case Map:
+		return append(b, appendCompound(nil, 0xd1, v)[1:]...)
+	case Array:
+		return append(b, appendArray(nil, v)[1:]...)
+	}
+	return appendBody(b, v)
 }
--- a/internal/frontend/amqp/codec_test.go
+++ b/internal/frontend/amqp/codec_test.go
@@ -24,26 +24,26 @@
 	"\x55\xfd":                             int64(-3),
 	"\x72\x3f\x80\x00\x00":                 float32(1),
 	"\x82\x3f\xf0\x00\x00\x00\x00\x00\x00": float64(1),
-	"\x83\x00\x00\x00\x00\x00\x00\x00\x05": timestamp(5),
+	"\x83\x00\x00\x00\x00\x00\x00\x00\x05": Timestamp(5),
 	"\xa0\x02ab":                           []byte("ab"),
 	"\xa1\x02ab":                           "ab",
-	"\xb3\x00\x00\x00\x02ab":               symbol("ab"),
-	"\x45":                                 list{},
-	"\xc0\x03\x02\x41\x40":                 list{true, nil},
-	"\xc1\x05\x02\xa3\x01a\x42":            mapping{symbol("a"), false},
-	"\xe0\x06\x02\xa3\x01a\x01b":           array{symbol("a"), symbol("b")},
-	"\x00\x53\x24\x45":                     described{uint64(0x24), list{}},
+	"\xb3\x00\x00\x00\x02ab":               Symbol("ab"),
+	"\x45":                                 List{},
+	"\xc0\x03\x02\x41\x40":                 List{true, nil},
+	"\xc1\x05\x02\xa3\x01a\x42":            Map{Symbol("a"), false},
+	"\xe0\x06\x02\xa3\x01a\x01b":           Array{Symbol("a"), Symbol("b")},
+	"\x00\x53\x24\x45":                     Described{uint64(0x24), List{}},
 }
 
 func TestValuesAreReadAndWritten(t *testing.T) {
 	for text, want := range encodings {
 		d := decoder{rest: []byte(text)}
-		got, err := d.value()
+		got, err := d.decodeValue()
 		if err != nil || len(d.rest) > 0 || !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: got %#v, %v, want %#v", text, got, err, want)
 		}
-		d = decoder{rest: encode(nil, want)}
-		if again, err := d.value(); err != nil || !reflect.DeepEqual(again, want) {
+		d = decoder{rest: Append(nil, want)}
+		if again, err := d.decodeValue(); err != nil || !reflect.DeepEqual(again, want) {
 			t.Errorf("%#v comes back as %#v, %v", want, again, err)
 		}
 	}
@@ -56,7 +56,7 @@
 		"\x00", "\x00\x53\x10", "\xe0\x03\x02\x70\x00", string(bytes.Repeat([]byte{0, 0x40}, 40)),
 	} {
 		d := decoder{rest: []byte(text)}
-		if v, err := d.value(); err == nil {
+		if v, err := d.decodeValue(); err == nil {
 			t.Errorf("%q was read as %#v", text, v)
 		}
 	}
@@ -68,22 +68,22 @@
 	for text := range encodings {
 		f.Add([]byte("\x02\x00\x00\x00" + text))
 	}
-	f.Add(appendFrame(nil, frameAMQP, 1, open("x"), []byte("payload"))[4:])
-	f.Add(appendFrame(nil, frameAMQP, 1, perf{codeClose, list{errorOf(condLimit, "why", mapping{symbol("a"), uint32(1)})}}, nil)[4:])
+	f.Add(AppendFrame(nil, TypeAMQP, 1, open("x"), []byte("payload"))[4:])
+	f.Add(AppendFrame(nil, TypeAMQP, 1, Performative{CodeClose, List{NewErrorValue(CondResourceLimitExceeded, "why", Map{Symbol("a"), uint32(1)})}}, nil)[4:])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) < 4 || len(b) > ourMost {
+		if len(b) < 4 || len(b) > MaxFrameSize {
 			return
 		}
-		first, err := parseFrame(b)
-		if err != nil || first.empty {
+		first, err := ParseFrame(b)
+		if err != nil || first.Empty {
 			return
 		}
-		again, err := parseFrame(appendFrame(nil, frameAMQP, first.channel, first.perf, first.payload)[4:])
+		again, err := ParseFrame(AppendFrame(nil, TypeAMQP, first.Channel, first.Performative, first.Payload)[4:])
 		if err != nil {
 			t.Fatalf("what was read can't be read again: %v", err)
 		}
-		one, two := encode(nil, first.fields), encode(nil, again.fields)
-		if first.code != again.code || !bytes.Equal(one, two) || !bytes.Equal(first.payload, again.payload) {
+		one, two := Append(nil, first.Fields), Append(nil, again.Fields)
+		if first.Code != again.Code || !bytes.Equal(one, two) || !bytes.Equal(first.Payload, again.Payload) {
 			t.Errorf("%#v came back as %#v", first, again)
 		}
 	})
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -36,11 +36,11 @@
 // seenAt records what the front says to a server, which accepts links with some credit.
 type seenAt struct {
 	mu     sync.Mutex
-	frames []frame
-	open   perf // that it says itself; zero: the usual
+	frames []Frame
+	open   Performative // that it says itself; zero: the usual
 	window uint32
 	credit uint32
-	reply  func(c *conn, s *session, f frame) bool // more that it does; true: nothing else is done
+	reply  func(c *conn, s *session, f Frame) bool // more that it does; true: nothing else is done
 }
 
 func (s *seenAt) serve(t testing.TB, tcp *net.TCPConn, _ *script) {
@@ -50,7 +50,7 @@
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.read(frameAMQP, serverWait)
+		f, err := c.read(TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
@@ -60,43 +60,43 @@
 		if s.reply != nil && s.reply(c, session, f) {
 			continue
 		}
-		switch f.code {
-		case codeOpen:
-			c.opened(f.perf)
+		switch f.Code {
+		case CodeOpen:
+			c.opened(f.Performative)
 			o := open("server")
-			if s.open.code != 0 {
+			if s.open.Code != 0 {
 				o = s.open
 			}
 			c.write(0, o, nil)
-		case codeBegin:
-			_ = session.begun(f.perf)
+		case CodeBegin:
+			_ = session.begun(f.Performative)
 			b := session.begin(uint16(0))
 			if s.window > 0 {
-				b = b.with(2, s.window)
+				b = b.With(2, s.window)
 			}
 			c.write(0, b, nil)
-		case codeAttach:
-			c.write(0, f.with(1, uint32(0)).with(2, !f.flag(2)).with(9, nil).with(13, nil), nil)
-			if !f.flag(2) {
-				c.write(0, perf{codeFlow, list{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
+		case CodeAttach:
+			c.write(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+			if !f.Bool(2) {
+				c.write(0, Performative{CodeFlow, List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
 			}
-		case codeTransfer:
-			if !f.flag(5) && !f.flag(4) && !f.flag(9) {
-				c.write(0, perf{codeDisposition, list{true, f.field(1), nil, true, described{uint64(0x24), list{}}}}, nil)
+		case CodeTransfer:
+			if !f.Bool(5) && !f.Bool(4) && !f.Bool(9) {
+				c.write(0, Performative{CodeDisposition, List{true, f.Field(1), nil, true, Described{uint64(0x24), List{}}}}, nil)
 			}
-		case codeDetach:
-			c.write(0, perf{codeDetach, list{uint32(0), true}}, nil)
+		case CodeDetach:
+			c.write(0, Performative{CodeDetach, List{uint32(0), true}}, nil)
 		}
 	}
 }
 
 // of waits until a server was told a performative, and returns all of those so far.
-func (s *seenAt) of(code uint64, least int) (all []frame, err error) {
+func (s *seenAt) of(code uint64, least int) (all []Frame, err error) {
 	for late := time.Now().Add(3 * time.Second); ; time.Sleep(time.Millisecond) { // a poll with a bound
 		s.mu.Lock()
 		all = nil
 		for _, f := range s.frames {
-			if !f.empty && f.code == code {
+			if !f.Empty && f.Code == code {
 				all = append(all, f)
 			}
 		}
@@ -118,35 +118,35 @@
 	return dialRaw(t, newRig(t, w, 1, nil).address)
 }
 
-var rawProps = mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(900)}
+var rawProps = Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(900)}
 
 // link attaches a link that is to send or to receive, and waits until it is up.
-func (c *raw) link(sends bool, fields ...func(perf) perf) (perf, error) {
-	p := perf{codeAttach, list{"a link", uint32(1), !sends, nil, nil, described{uint64(0x28), list{"here"}}, described{uint64(0x29), list{"there"}}, nil, nil, nil, nil, nil, nil, rawProps}}
+func (c *raw) link(sends bool, fields ...func(Performative) Performative) (Performative, error) {
+	p := Performative{CodeAttach, List{"a link", uint32(1), !sends, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, nil, nil, nil, nil, rawProps}}
 	if sends {
-		p = p.with(9, uint32(0))
+		p = p.With(9, uint32(0))
 	}
 	for _, set := range fields {
 		p = set(p)
 	}
 	c.write(3, p, nil)
 	f, err := c.frame()
-	if err != nil || f.code != codeAttach {
-		return f.perf, fmt.Errorf("an attach is answered with %#x, %v", f.code, err)
+	if err != nil || f.Code != CodeAttach {
+		return f.Performative, fmt.Errorf("an attach is answered with %#x, %v", f.Code, err)
 	}
-	reply := f.perf
+	reply := f.Performative
 	if sends {
-		if f, err = c.frame(); err != nil || f.code != codeFlow {
-			return reply, fmt.Errorf("no credit follows the attach: %#x, %v", f.code, err)
+		if f, err = c.frame(); err != nil || f.Code != CodeFlow {
+			return reply, fmt.Errorf("no credit follows the attach: %#x, %v", f.Code, err)
 		}
 	}
 	return reply, nil
 }
 
 // frame waits for a frame with a body.
-func (c *raw) frame() (frame, error) {
+func (c *raw) frame() (Frame, error) {
 	for {
-		if f, err := c.read(frameAMQP, 3*time.Second); err != nil || !f.empty {
+		if f, err := c.read(TypeAMQP, 3*time.Second); err != nil || !f.Empty {
 			return f, err
 		}
 	}
@@ -174,14 +174,14 @@
 	if err != nil {
 		return err
 	}
-	if got, _ := f.condition(at); f.code != code || got != cond {
-		return fmt.Errorf("told %#x with %q, want %#x with %q", f.code, got, code, cond)
+	if got, _ := f.Condition(at); f.Code != code || got != cond {
+		return fmt.Errorf("told %#x with %q, want %#x with %q", f.Code, got, code, cond)
 	}
 	return nil
 }
 
 func (c *raw) send(id uint32, settled bool, more, aborted bool, payload []byte) {
-	c.write(3, perf{codeTransfer, list{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+	c.write(3, Performative{CodeTransfer, List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 }
 
 func same(what string, got, want any) error {
@@ -196,7 +196,7 @@
 	return func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
 		_, _ = c.Write(text)
-		return c.told(codeClose, 0, cond)
+		return c.told(CodeClose, 0, cond)
 	}
 }
 
@@ -211,27 +211,27 @@
 		_, _ = tcp.Write([]byte("AMQP\x00\x00\x09\x01"))
 		tcp.SetReadDeadline(time.Now().Add(3 * time.Second))
 		got, err := io.ReadAll(tcp)
-		return errors.Join(err, same("answer", got, headerAMQP[:]))
+		return errors.Join(err, same("answer", got, ProtocolHeaderAMQP[:]))
 	}},
 	{"2.3.1", "client", "an extended frame header is passed over", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		b := appendFrame(nil, frameAMQP, 3, perf{codeBegin, list{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		b := AppendFrame(nil, TypeAMQP, 3, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		long := append([]byte{0, 0, 0, byte(len(b) + 4), 3, 0, 0, 3, 1, 2, 3, 4}, b[8:]...)
 		_, _ = c.Write(long)
-		return c.told(codeBegin, 0, "")
+		return c.told(CodeBegin, 0, "")
 	}},
-	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, condFraming)},
-	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, condFraming)},
-	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, condDecode)},
+	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, CondFramingError)},
+	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, CondFramingError)},
+	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, CondDecodeError)},
 	{"2.4.1", "client", "the open tells a container, and limits that the standard allows", func(t *testing.T) error {
-		c, err := hello(t, headerAMQP)
+		c, err := hello(t, ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
 		c.write(0, open("raw"), nil)
-		f, err := c.read(frameAMQP, time.Second)
-		if err != nil || f.code != codeOpen || text(f.field(0)) == "" || f.number(2, 0) < leastMost || f.number(4, 0) == 0 {
-			return fmt.Errorf("the open is %v, %v", f.perf, err)
+		f, err := c.read(TypeAMQP, time.Second)
+		if err != nil || f.Code != CodeOpen || AsString(f.Field(0)) == "" || f.Uint32(2, 0) < MinMaxFrameSize || f.Uint32(4, 0) == 0 {
+			return fmt.Errorf("the open is %v, %v", f.Performative, err)
 		}
 		return nil
 	}},
@@ -243,48 +243,48 @@
 			return err
 		}
 		defer tcp.Close()
-		b := append([]byte{}, headerAMQP[:]...)
-		b = appendFrame(b, frameAMQP, 0, open("raw"), nil)
-		b = appendFrame(b, frameAMQP, 3, perf{codeBegin, list{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-		b = appendFrame(b, frameAMQP, 3, perf{codeAttach, list{"a link", uint32(1), false, nil, nil, described{uint64(0x28), list{"here"}}, described{uint64(0x29), list{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		b := append([]byte{}, ProtocolHeaderAMQP[:]...)
+		b = AppendFrame(b, TypeAMQP, 0, open("raw"), nil)
+		b = AppendFrame(b, TypeAMQP, 3, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		b = AppendFrame(b, TypeAMQP, 3, Performative{CodeAttach, List{"a link", uint32(1), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = tcp.Write(b)
 		c := &raw{newConn(tcp.(*net.TCPConn)), t}
 		_, _ = c.readHeader(time.Second)
-		return errors.Join(c.told(codeOpen, 9, ""), c.told(codeBegin, 9, ""), c.told(codeAttach, 9, ""), c.told(codeFlow, 99, ""))
+		return errors.Join(c.told(CodeOpen, 9, ""), c.told(CodeBegin, 9, ""), c.told(CodeAttach, 9, ""), c.told(CodeFlow, 99, ""))
 	}},
 	{"2.4.3", "client", "a close is answered with a close", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(0, perf{codeClose, nil}, nil)
-		return c.told(codeClose, 0, "")
+		c.write(0, Performative{CodeClose, nil}, nil)
+		return c.told(CodeClose, 0, "")
 	}},
 	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
-		c, err := hello(t, headerAMQP)
+		c, err := hello(t, ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
-		c.write(0, open("idle").with(4, uint32(600)), nil)
+		c.write(0, open("idle").With(4, uint32(600)), nil)
 		for beats := 0; beats < 3; {
-			f, err := c.read(frameAMQP, 600*time.Millisecond)
+			f, err := c.read(TypeAMQP, 600*time.Millisecond)
 			if err != nil {
 				return err
 			}
-			if f.empty {
+			if f.Empty {
 				beats++
-				c.write(0, perf{}, nil)
+				c.write(0, Performative{}, nil)
 			}
 		}
 		return nil
 	}},
 	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(3, perf{codeBegin, list{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		c.write(3, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		f, err := c.frame()
-		return errors.Join(err, same("remote-channel", f.number(0, 99), uint32(3)))
+		return errors.Join(err, same("remote-channel", f.Uint32(0, 99), uint32(3)))
 	}},
 	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.write(3, perf{codeEnd, nil}, nil)
-		if err := c.told(codeEnd, 0, ""); err != nil {
+		c.write(3, Performative{CodeEnd, nil}, nil)
+		if err := c.told(CodeEnd, 0, ""); err != nil {
 			return err
 		}
 		c.begin()
@@ -292,10 +292,10 @@
 	}},
 	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.write(3, perf{codeFlow, list{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
+		c.write(3, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
 		f, err := c.frame()
-		if err != nil || f.code != codeFlow || f.must(0, 1, 2, 3) != nil {
-			return fmt.Errorf("echoed %#x %v, %v", f.code, f.fields, err)
+		if err != nil || f.Code != CodeFlow || f.RequireUint32(0, 1, 2, 3) != nil {
+			return fmt.Errorf("echoed %#x %v, %v", f.Code, f.Fields, err)
 		}
 		return nil
 	}},
@@ -308,7 +308,7 @@
 		if _, err := c.link(true); err != nil {
 			return err
 		}
-		big := bytes.Repeat([]byte("n"), ourMost/2)
+		big := bytes.Repeat([]byte("n"), MaxFrameSize/2)
 		for i := range uint32(3 * windowMost) {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
 			c.send(i, true, false, false, big)
@@ -318,15 +318,15 @@
 			if err != nil {
 				return err
 			}
-			if cond, _ := f.condition(0); f.code == codeEnd {
-				return same("condition", cond, condWindow)
+			if cond, _ := f.Condition(0); f.Code == CodeEnd {
+				return same("condition", cond, CondWindowViolation)
 			}
 		}
 	}},
 	{"2.6.2", "client", "a handle without a link ends the session", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
 		c.send(0, false, false, false, nil)
-		return c.told(codeEnd, 0, condUnattached)
+		return c.told(CodeEnd, 0, CondUnattachedHandle)
 	}},
 	{"2.6.2", "client", "a handle that is in use ends the session", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
@@ -334,20 +334,20 @@
 			return err
 		}
 		c.attach(1, rawProps)
-		return c.told(codeEnd, 0, condHandleInUse)
+		return c.told(CodeEnd, 0, CondHandleInUse)
 	}},
 	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
 		reply, err := rawAt(t, &seenAt{}).begin().link(true)
-		return errors.Join(err, same("name", text(reply.field(0)), "a link"), same("role", reply.field(2), true), same("handle", reply.number(1, 99), uint32(1)))
+		return errors.Join(err, same("name", AsString(reply.Field(0)), "a link"), same("role", reply.Field(2), true), same("handle", reply.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
 		c.attach(1, nil)
 		f, err := c.frame()
-		if err != nil || f.code != codeAttach || f.field(6) != nil {
-			return fmt.Errorf("told %#x with the target %v, %v", f.code, f.field(6), err)
+		if err != nil || f.Code != CodeAttach || f.Field(6) != nil {
+			return fmt.Errorf("told %#x with the target %v, %v", f.Code, f.Field(6), err)
 		}
-		return c.told(codeDetach, 2, condInvalid)
+		return c.told(CodeDetach, 2, CondInvalidField)
 	}},
 	{"2.6.5", "client", "a detach is answered with a detach, and the handle and the name are free again", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
@@ -355,8 +355,8 @@
 			if _, err := c.link(true); err != nil {
 				return err
 			}
-			c.write(3, perf{codeDetach, list{uint32(1), true}}, nil)
-			if err := c.told(codeDetach, 2, ""); err != nil {
+			c.write(3, Performative{CodeDetach, List{uint32(1), true}}, nil)
+			if err := c.told(CodeDetach, 2, ""); err != nil {
 				return err
 			}
 		}
@@ -364,10 +364,10 @@
 	}},
 	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
 		grants := rawAt(t, &seenAt{credit: 7}).begin()
-		grants.write(3, perf{codeAttach, list{"a link", uint32(1), false, nil, nil, described{uint64(0x28), list{"here"}}, described{uint64(0x29), list{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		grants.write(3, Performative{CodeAttach, List{"a link", uint32(1), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = grants.frame()
 		granted, err := grants.frame()
-		if err := errors.Join(err, same("granted", granted.number(6, 0), uint32(7))); err != nil {
+		if err := errors.Join(err, same("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
 			return err
 		}
 		s := &seenAt{}
@@ -375,13 +375,13 @@
 		if _, err := c.link(false); err != nil {
 			return err
 		}
-		c.write(3, perf{codeFlow, list{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
-		flows, err := s.of(codeFlow, 1)
+		c.write(3, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
+		flows, err := s.of(CodeFlow, 1)
 		if err != nil {
 			return err
 		}
 		f := flows[len(flows)-1]
-		return errors.Join(same("credit", f.number(6, 0), uint32(5)), same("drain", f.flag(8), true), same("echo", f.flag(9), true))
+		return errors.Join(same("credit", f.Uint32(6, 0), uint32(5)), same("drain", f.Bool(8), true), same("echo", f.Bool(9), true))
 	}},
 	{"2.6.12", "client", "a delivery in several transfers reaches the server as one", func(t *testing.T) error {
 		s := &seenAt{}
@@ -392,14 +392,14 @@
 		c.send(0, false, true, false, []byte("a"))
 		c.send(0, false, true, false, []byte("b"))
 		c.send(0, false, false, false, []byte("c"))
-		if err := c.told(codeDisposition, 99, ""); err != nil {
+		if err := c.told(CodeDisposition, 99, ""); err != nil {
 			return err
 		}
-		all, err := s.of(codeTransfer, 3)
+		all, err := s.of(CodeTransfer, 3)
 		whole := ""
 		for _, f := range all {
-			whole += string(f.payload)
-			err = errors.Join(err, same("delivery", f.number(1, 99), uint32(0)))
+			whole += string(f.Payload)
+			err = errors.Join(err, same("delivery", f.Uint32(1, 99), uint32(0)))
 		}
 		return errors.Join(err, same("payload", whole, "abc"))
 	}},
@@ -412,33 +412,33 @@
 		c.send(0, false, true, false, []byte("a"))
 		c.send(0, false, false, true, nil)
 		c.send(1, false, false, false, []byte("b"))
-		all, err := s.of(codeTransfer, 3)
+		all, err := s.of(CodeTransfer, 3)
 		if err != nil {
 			return err
 		}
-		return errors.Join(same("aborted", all[1].flag(9), true), same("next", string(all[2].payload), "b"), c.told(codeDisposition, 99, ""))
+		return errors.Join(same("aborted", all[1].Bool(9), true), same("next", string(all[2].Payload), "b"), c.told(CodeDisposition, 99, ""))
 	}},
 	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(channelMost+1, perf{codeBegin, list{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-		return c.told(codeClose, 0, condFraming)
+		c.write(channelMost+1, Performative{CodeBegin, List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+		return c.told(CodeClose, 0, CondFramingError)
 	}},
 	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
 		c.attach(handleMost+1, rawProps)
-		return c.told(codeClose, 0, condFraming)
+		return c.told(CodeClose, 0, CondFramingError)
 	}},
 	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
 		s := &seenAt{}
-		reply, err := rawAt(t, s).begin().link(true, func(p perf) perf { return p.with(3, uint8(1)).with(4, uint8(1)) })
+		reply, err := rawAt(t, s).begin().link(true, func(p Performative) Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
 		if err != nil {
 			return err
 		}
-		all, err := s.of(codeAttach, 1)
+		all, err := s.of(CodeAttach, 1)
 		if err != nil {
 			return err
 		}
-		return errors.Join(same("snd-settle-mode", all[0].field(3), uint8(1)), same("rcv-settle-mode", all[0].field(4), uint8(1)), same("the server's", reply.field(4), uint8(1)))
+		return errors.Join(same("snd-settle-mode", all[0].Field(3), uint8(1)), same("rcv-settle-mode", all[0].Field(4), uint8(1)), same("the server's", reply.Field(4), uint8(1)))
 	}},
 	{"2.7.5", "client", "a settled delivery is settled at the server, and nothing is said of it", func(t *testing.T) error {
 		s := &seenAt{}
@@ -452,16 +452,16 @@
 		if err != nil {
 			return err
 		}
-		all, err := s.of(codeTransfer, 2)
-		return errors.Join(err, same("settled", all[0].flag(4), true), same("disposition of", f.number(1, 99), uint32(1)))
+		all, err := s.of(CodeTransfer, 2)
+		return errors.Join(err, same("settled", all[0].Bool(4), true), same("disposition of", f.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
-		s := &seenAt{reply: func(c *conn, _ *session, f frame) bool {
-			if f.code != codeFlow || f.field(4) == nil {
+		s := &seenAt{reply: func(c *conn, _ *session, f Frame) bool {
+			if f.Code != CodeFlow || f.Field(4) == nil {
 				return false
 			}
 			for i := range uint32(3) {
-				c.write(0, perf{codeTransfer, list{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
+				c.write(0, Performative{CodeTransfer, List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
 			}
 			return true
 		}}
@@ -469,22 +469,22 @@
 		if _, err := c.link(false); err != nil {
 			return err
 		}
-		c.write(3, perf{codeFlow, list{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
+		c.write(3, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
 		for range 3 {
-			if err := c.told(codeTransfer, 99, ""); err != nil {
+			if err := c.told(CodeTransfer, 99, ""); err != nil {
 				return err
 			}
 		}
-		c.write(3, perf{codeDisposition, list{true, uint32(0), uint32(2), true, described{uint64(0x24), list{}}}}, nil)
+		c.write(3, Performative{CodeDisposition, List{true, uint32(0), uint32(2), true, Described{uint64(0x24), List{}}}}, nil)
 		var settled []uint32
 		for len(settled) < 3 {
-			all, err := s.of(codeDisposition, 1)
+			all, err := s.of(CodeDisposition, 1)
 			if err != nil {
 				return err
 			}
 			settled = nil
 			for _, f := range all {
-				for id := f.number(1, 0); id <= f.number(2, f.number(1, 0)); id++ {
+				for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
 					settled = append(settled, id)
 				}
 			}
@@ -497,23 +497,23 @@
 		if _, err := c.link(true); err != nil {
 			return err
 		}
-		message := encode(encode(nil, described{uint64(0x72), mapping{symbol("x-opt-odd"), int64(-3)}}), described{uint64(0x75), []byte("body")})
+		message := Append(Append(nil, Described{uint64(0x72), Map{Symbol("x-opt-odd"), int64(-3)}}), Described{uint64(0x75), []byte("body")})
 		message = append(message, 0, 0x80, 0, 0, 0, 0, 0, 0, 0, 0x78, 0xd1, 0, 0, 0, 4, 0, 0, 0, 0) // a footer in its widest form
 		c.send(0, false, false, false, message)
-		all, err := s.of(codeTransfer, 1)
+		all, err := s.of(CodeTransfer, 1)
 		if err != nil {
 			return err
 		}
-		return same("message", all[0].payload, message)
+		return same("message", all[0].Payload, message)
 	}},
 	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
-		outcomes := []any{described{uint64(0x24), list{}}, described{uint64(0x25), list{errorOf("amqp:not-found", "no such score", nil)}}, described{uint64(0x26), list{}},
-			described{uint64(0x27), list{true, false, mapping{symbol("why"), "x"}}}}
-		s := &seenAt{reply: func(c *conn, _ *session, f frame) bool {
-			if f.code == codeTransfer {
-				c.write(0, perf{codeDisposition, list{true, f.field(1), nil, true, outcomes[f.number(1, 0)]}}, nil)
+		outcomes := []any{Described{uint64(0x24), List{}}, Described{uint64(0x25), List{NewErrorValue("amqp:not-found", "no such score", nil)}}, Described{uint64(0x26), List{}},
+			Described{uint64(0x27), List{true, false, Map{Symbol("why"), "x"}}}}
+		s := &seenAt{reply: func(c *conn, _ *session, f Frame) bool {
+			if f.Code == CodeTransfer {
+				c.write(0, Performative{CodeDisposition, List{true, f.Field(1), nil, true, outcomes[f.Uint32(1, 0)]}}, nil)
 			}
-			return f.code == codeTransfer
+			return f.Code == CodeTransfer
 		}}
 		c := rawAt(t, s).begin()
 		if _, err := c.link(true); err != nil {
@@ -522,7 +522,7 @@
 		for i, want := range outcomes {
 			c.send(uint32(i), false, false, false, []byte("m"))
 			f, err := c.frame()
-			if err := errors.Join(err, same("outcome", f.field(4), want), same("settled", f.flag(3), true)); err != nil {
+			if err := errors.Join(err, same("outcome", f.Field(4), want), same("settled", f.Bool(3), true)); err != nil {
 				return err
 			}
 		}
@@ -530,67 +530,67 @@
 	}},
 	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
 		s := &seenAt{}
-		source := described{uint64(0x28), list{nil, uint32(2), symbol("never"), uint32(60), true, mapping{symbol("lifetime-policy"), described{uint64(0x2b), list{}}}, symbol("copy"),
-			mapping{symbol("sel"), described{symbol("apache.org:selector-filter:string"), "a = 1"}}, nil, array{symbol("amqp:accepted:list")}, array{symbol("queue")}}}
-		if _, err := rawAt(t, s).begin().link(false, func(p perf) perf { return p.with(5, source) }); err != nil {
+		source := Described{uint64(0x28), List{nil, uint32(2), Symbol("never"), uint32(60), true, Map{Symbol("lifetime-policy"), Described{uint64(0x2b), List{}}}, Symbol("copy"),
+			Map{Symbol("sel"), Described{Symbol("apache.org:selector-filter:string"), "a = 1"}}, nil, Array{Symbol("amqp:accepted:list")}, Array{Symbol("queue")}}}
+		if _, err := rawAt(t, s).begin().link(false, func(p Performative) Performative { return p.With(5, source) }); err != nil {
 			return err
 		}
-		all, err := s.of(codeAttach, 1)
+		all, err := s.of(CodeAttach, 1)
 		if err != nil {
 			return err
 		}
-		return same("source", all[0].field(5), source)
+		return same("source", all[0].Field(5), source)
 	}},
 	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
-		c, err := hello(t, headerSASL)
+		c, err := hello(t, ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		f, err := c.read(frameSASL, time.Second)
-		if err != nil || f.code != codeMechanisms || !offers(f.field(0), "ANONYMOUS") {
-			return fmt.Errorf("mechanisms %v, %v", f.perf, err)
+		f, err := c.read(TypeSASL, time.Second)
+		if err != nil || f.Code != CodeSASLMechanisms || !offers(f.Field(0), "ANONYMOUS") {
+			return fmt.Errorf("mechanisms %v, %v", f.Performative, err)
 		}
-		c.sasl(perf{codeInit, list{symbol("ANONYMOUS")}})
-		f, err = c.read(frameSASL, time.Second)
-		if err := errors.Join(err, same("outcome", f.number(0, 99), uint32(0))); err != nil {
+		c.sasl(Performative{CodeSASLInit, List{Symbol("ANONYMOUS")}})
+		f, err = c.read(TypeSASL, time.Second)
+		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(0))); err != nil {
 			return err
 		}
-		c.header(headerAMQP)
+		c.header(ProtocolHeaderAMQP)
 		h, err := c.readHeader(time.Second)
-		return errors.Join(err, same("header", h, headerAMQP))
+		return errors.Join(err, same("header", h, ProtocolHeaderAMQP))
 	}},
 	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
-		c, err := hello(t, headerSASL)
+		c, err := hello(t, ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		_, _ = c.read(frameSASL, time.Second)
-		c.sasl(perf{codeInit, list{symbol("PLAIN"), []byte("\x00a\x00b")}})
-		f, err := c.read(frameSASL, time.Second)
-		if err := errors.Join(err, same("outcome", f.number(0, 99), uint32(1))); err != nil {
+		_, _ = c.read(TypeSASL, time.Second)
+		c.sasl(Performative{CodeSASLInit, List{Symbol("PLAIN"), []byte("\x00a\x00b")}})
+		f, err := c.read(TypeSASL, time.Second)
+		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(1))); err != nil {
 			return err
 		}
-		if _, err := c.read(frameSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := c.read(TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("the connection goes on: %v", err)
 		}
 		return nil
 	}},
 
 	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
-		s := &seenAt{open: open("server").with(2, uint32(leastMost))}
+		s := &seenAt{open: open("server").With(2, uint32(MinMaxFrameSize))}
 		c := rawAt(t, s).begin()
 		if _, err := c.link(true); err != nil {
 			return err
 		}
 		body := bytes.Repeat([]byte("n"), 2000)
 		c.send(0, false, false, false, body)
-		all, err := s.of(codeTransfer, 4)
+		all, err := s.of(CodeTransfer, 4)
 		whole := []byte{}
 		for i, f := range all {
-			if len(appendFrame(nil, frameAMQP, 0, f.perf, f.payload)) > leastMost {
-				err = errors.Join(err, fmt.Errorf("frame %d has %d bytes of payload", i, len(f.payload)))
+			if len(AppendFrame(nil, TypeAMQP, 0, f.Performative, f.Payload)) > MinMaxFrameSize {
+				err = errors.Join(err, fmt.Errorf("frame %d has %d bytes of payload", i, len(f.Payload)))
 			}
-			whole = append(whole, f.payload...)
+			whole = append(whole, f.Payload...)
 		}
 		return errors.Join(err, same("whole", len(whole), len(body)))
 	}},
@@ -603,14 +603,14 @@
 		defer s.mu.Unlock()
 		var codes []uint64
 		for _, f := range s.frames {
-			if !f.empty {
-				codes = append(codes, f.code)
+			if !f.Empty {
+				codes = append(codes, f.Code)
 			}
 		}
-		return errors.Join(same("order", codes[:3], []uint64{codeOpen, codeBegin, codeAttach}), same("channel", s.frames[1].channel, uint16(0)), same("handle", s.frames[2].number(1, 99), uint32(0)))
+		return errors.Join(same("order", codes[:3], []uint64{CodeOpen, CodeBegin, CodeAttach}), same("channel", s.frames[1].Channel, uint16(0)), same("handle", s.frames[2].Uint32(1, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
-		s := &seenAt{open: open("server").with(4, uint32(200))}
+		s := &seenAt{open: open("server").With(4, uint32(200))}
 		if _, err := rawAt(t, s).begin().link(true); err != nil {
 			return err
 		}
@@ -619,7 +619,7 @@
 		defer s.mu.Unlock()
 		beats := 0
 		for _, f := range s.frames {
-			if f.empty {
+			if f.Empty {
 				beats++
 			}
 		}
@@ -637,11 +637,11 @@
 		for i := range uint32(6) {
 			c.send(i, true, false, false, []byte("m"))
 		}
-		if _, err := s.of(codeTransfer, 2); err != nil {
+		if _, err := s.of(CodeTransfer, 2); err != nil {
 			return err
 		}
 		time.Sleep(200 * time.Millisecond) // what is looked at is that nothing more comes
-		all, err := s.of(codeTransfer, 2)
+		all, err := s.of(CodeTransfer, 2)
 		return errors.Join(err, same("transfers", len(all), 2))
 	}},
 	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
@@ -657,22 +657,22 @@
 			conns++
 			mu.Unlock()
 			for {
-				f, err := c.read(frameAMQP, serverWait)
+				f, err := c.read(TypeAMQP, serverWait)
 				if err != nil {
 					return
 				}
 				mu.Lock()
-				most = max(most, f.channel)
+				most = max(most, f.Channel)
 				mu.Unlock()
-				switch f.code {
-				case codeOpen:
-					c.opened(f.perf)
-					c.write(0, open("server").with(3, uint16(1)), nil)
-				case codeBegin:
-					c.write(f.channel, newSession(c, f.channel).begin(f.channel), nil)
-				case codeAttach:
-					c.write(f.channel, f.with(2, !f.flag(2)).with(9, nil).with(13, nil), nil)
-					c.write(f.channel, perf{codeFlow, list{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
+				switch f.Code {
+				case CodeOpen:
+					c.opened(f.Performative)
+					c.write(0, open("server").With(3, uint16(1)), nil)
+				case CodeBegin:
+					c.write(f.Channel, newSession(c, f.Channel).begin(f.Channel), nil)
+				case CodeAttach:
+					c.write(f.Channel, f.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+					c.write(f.Channel, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
 				}
 			}
 		}
--- a/internal/frontend/amqp/frame.go
+++ b/internal/frontend/amqp/frame.go
@@ -13,45 +13,45 @@
 
 // The performatives and other described types that the relay looks at.
 const (
-	codeOpen        = 0x10
-	codeBegin       = 0x11
-	codeAttach      = 0x12
-	codeFlow        = 0x13
-	codeTransfer    = 0x14
-	codeDisposition = 0x15
-	codeDetach      = 0x16
-	codeEnd         = 0x17
-	codeClose       = 0x18
-	codeError       = 0x1d
-	codeMechanisms  = 0x40
-	codeInit        = 0x41
-	codeOutcome     = 0x44
+	CodeOpen           = 0x10
+	CodeBegin          = 0x11
+	CodeAttach         = 0x12
+	CodeFlow           = 0x13
+	CodeTransfer       = 0x14
+	CodeDisposition    = 0x15
+	CodeDetach         = 0x16
+	CodeEnd            = 0x17
+	CodeClose          = 0x18
+	CodeError          = 0x1d
+	CodeSASLMechanisms = 0x40
+	CodeSASLInit       = 0x41
+	CodeSASLOutcome    = 0x44
 )
 
 // Conditions of the standard.
 const (
-	condInternal      = "amqp:internal-error"
-	condDecode        = "amqp:decode-error"
-	condLimit         = "amqp:resource-limit-exceeded"
-	condNotAllowed    = "amqp:not-allowed"
-	condInvalid       = "amqp:invalid-field"
-	condForced        = "amqp:connection:forced"
-	condFraming       = "amqp:connection:framing-error"
-	condWindow        = "amqp:session:window-violation"
-	condHandleInUse   = "amqp:session:handle-in-use"
-	condUnattached    = "amqp:session:unattached-handle"
-	condDetachForced  = "amqp:link:detach-forced"
-	condTransferLimit = "amqp:link:transfer-limit-exceeded"
-	condUnauthorized  = "amqp:unauthorized-access"
+	CondInternalError         = "amqp:internal-error"
+	CondDecodeError           = "amqp:decode-error"
+	CondResourceLimitExceeded = "amqp:resource-limit-exceeded"
+	CondNotAllowed            = "amqp:not-allowed"
+	CondInvalidField          = "amqp:invalid-field"
+	CondConnectionForced      = "amqp:connection:forced"
+	CondFramingError          = "amqp:connection:framing-error"
+	CondWindowViolation       = "amqp:session:window-violation"
+	CondHandleInUse           = "amqp:session:handle-in-use"
+	CondUnattachedHandle      = "amqp:session:unattached-handle"
+	CondDetachForced          = "amqp:link:detach-forced"
+	CondTransferLimitExceeded = "amqp:link:transfer-limit-exceeded"
+	CondUnauthorizedAccess    = "amqp:unauthorized-access"
 )
 
 const (
-	frameAMQP = 0
-	frameSASL = 1
+	TypeAMQP = 0
+	TypeSASL = 1
 
-	headSize  = 8
-	leastMost = 512     // a peer takes frames of this size at the least
-	ourMost   = 8 << 10 // frames larger than this are refused
+	HeaderSize      = 8
+	MinMaxFrameSize = 512     // a peer takes frames of this size at the least
+	MaxFrameSize    = 8 << 10 // frames larger than this are refused
 
 	idleTold  = 15 * time.Second // the peer is told this much
 	idleMost  = 30 * time.Second // and given this much
@@ -59,131 +59,131 @@
 )
 
 var (
-	headerAMQP = [8]byte{'A', 'M', 'Q', 'P', 0, 1, 0, 0}
-	headerSASL = [8]byte{'A', 'M', 'Q', 'P', 3, 1, 0, 0}
+	ProtocolHeaderAMQP = [8]byte{'A', 'M', 'Q', 'P', 0, 1, 0, 0}
+	ProtocolHeaderSASL = [8]byte{'A', 'M', 'Q', 'P', 3, 1, 0, 0}
 )
 
-// fault is an error with the standard's condition for it.
-type fault struct{ cond, text string }
+// ConditionError is an error with the standard's condition for it.
+type ConditionError struct{ Condition, Description string }
 
-func (f fault) Error() string { return f.cond + ": " + f.text }
+func (f ConditionError) Error() string { return f.Condition + ": " + f.Description }
 
-// perf is a performative: its code and its fields, in order. Fields that the
+// Performative is a performative: its code and its fields, in order. Fields that the
 // relay doesn't look at pass as they came.
-type perf struct {
-	code   uint64
-	fields list
+type Performative struct {
+	Code   uint64
+	Fields List
 }
 
-func (p perf) field(i int) any {
-	if i < len(p.fields) {
-		return p.fields[i]
+func (p Performative) Field(i int) any {
+	if i < len(p.Fields) {
+		return p.Fields[i]
 	}
 	return nil
 }
 
-// number returns an integer field, or what stands for it if it is absent.
-func (p perf) number(i int, absent uint32) uint32 {
-	if n, ok := whole(p.field(i)); ok && n <= 1<<32-1 {
+// Uint32 returns an integer field, or what stands for it if it is absent.
+func (p Performative) Uint32(i int, absent uint32) uint32 {
+	if n, ok := AsUint64(p.Field(i)); ok && n <= 1<<32-1 {
 		return uint32(n)
 	}
 	return absent
 }
 
-func (p perf) flag(i int) bool { is, _ := p.field(i).(bool); return is }
+func (p Performative) Bool(i int) bool { is, _ := p.Field(i).(bool); return is }
 
-// with returns a copy with a field set.
-func (p perf) with(i int, v any) perf {
-	fields := make(list, max(len(p.fields), i+1))
-	copy(fields, p.fields)
+// With returns a copy with a field set.
+func (p Performative) With(i int, v any) Performative {
+	fields := make(List, max(len(p.Fields), i+1))
+	copy(fields, p.Fields)
 	fields[i] = v
-	return perf{p.code, fields}
+	return Performative{p.Code, fields}
 }
 
-// must checks that fields hold integers where something is needed of them.
-func (p perf) must(fields ...int) error {
+// RequireUint32 checks that fields hold integers where something is needed of them.
+func (p Performative) RequireUint32(fields ...int) error {
 	for _, i := range fields {
-		if n, ok := whole(p.field(i)); !ok || n > 1<<32-1 {
-			return fault{condInvalid, fmt.Sprintf("field %d of performative %#x has to be a number", i, p.code)}
+		if n, ok := AsUint64(p.Field(i)); !ok || n > 1<<32-1 {
+			return ConditionError{CondInvalidField, fmt.Sprintf("field %d of performative %#x has to be a number", i, p.Code)}
 		}
 	}
 	return nil
 }
 
-// condition returns the error that a detach, end or close carries at a field.
-func (p perf) condition(i int) (cond string, info mapping) {
-	d, ok := p.field(i).(described)
+// Condition returns the error that a detach, end or close carries at a field.
+func (p Performative) Condition(i int) (cond string, info Map) {
+	d, ok := p.Field(i).(Described)
 	if !ok {
 		return "", nil
 	}
-	e, _ := d.value.(list)
+	e, _ := d.Value.(List)
 	if len(e) == 0 {
 		return "", nil
 	}
 	if len(e) > 2 {
-		info, _ = e[2].(mapping)
+		info, _ = e[2].(Map)
 	}
-	return text(e[0]), info
+	return AsString(e[0]), info
 }
 
-// errorOf is the standard's error of a condition.
-func errorOf(cond, why string, info mapping) any {
+// NewErrorValue is the standard's error of a condition.
+func NewErrorValue(cond, why string, info Map) any {
 	if cond == "" {
 		return nil
 	}
-	e := list{symbol(cond), why}
+	e := List{Symbol(cond), why}
 	if info != nil {
 		e = append(e, info)
 	}
-	return described{uint64(codeError), e}
+	return Described{uint64(CodeError), e}
 }
 
-// frame is one frame. A frame without a body only shows that the peer lives.
-type frame struct {
-	channel uint16
-	empty   bool
-	perf
-	payload []byte
+// Frame is one frame. A frame without a body only shows that the peer lives.
+type Frame struct {
+	Channel uint16
+	Empty   bool
+	Performative
+	Payload []byte
 }
 
-// parseFrame reads a frame's inside, from the data offset on.
-func parseFrame(b []byte) (frame, error) {
-	var f frame
+// ParseFrame reads a frame's inside, from the data offset on.
+func ParseFrame(b []byte) (Frame, error) {
+	var f Frame
 	doff := int(b[0]) * 4
-	if doff < headSize || doff-4 > len(b) {
-		return f, fault{condFraming, "the data offset is out of range"}
+	if doff < HeaderSize || doff-4 > len(b) {
+		return f, ConditionError{CondFramingError, "the data offset is out of range"}
 	}
-	f.channel = binary.BigEndian.Uint16(b[2:])
+	f.Channel = binary.BigEndian.Uint16(b[2:])
 	if b = b[doff-4:]; len(b) == 0 {
-		f.empty = true
+		f.Empty = true
 		return f, nil
 	}
 	d := decoder{rest: b}
-	v, err := d.value()
+	v, err := d.decodeValue()
 	if err != nil {
-		return f, fault{condDecode, err.Error()}
+		return f, ConditionError{CondDecodeError, err.Error()}
 	}
-	is, ok := v.(described)
+	is, ok := v.(Described)
 	if ok {
-		f.code, ok = whole(is.descriptor)
-		ok = ok && f.code != 0 // which would pass for a frame without a body
+		f.Code, ok = AsUint64(is.Descriptor)
+		ok = ok && f.Code != 0 // which would pass for a frame without a body
 	}
 	if ok {
-		f.fields, ok = is.value.(list)
+		f.Fields, ok = is.Value.(List)
 	}
 	if !ok {
-		return f, fault{condDecode, "the frame holds no performative"}
+		return f, ConditionError{CondDecodeError, "the frame holds no performative"}
 	}
-	f.payload = d.rest
+	f.Payload = d.rest
 	return f, nil
 }
 
-// appendFrame appends a whole frame.
-func appendFrame(b []byte, kind byte, channel uint16, p perf, payload []byte) []byte {
+// AppendFrame appends a whole frame.
+func AppendFrame(b []byte, kind byte, channel uint16, p Performative, payload []byte) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, 2, kind, byte(channel>>8), byte(channel))
-	if p.code != 0 {
-		b = encode(b, described{p.code, p.fields})
+	if p.Code != 0 {
+		b = Append(b, Described{p.Code, p.Fields})
 	}
 	b = append(b, payload...)
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at))
@@ -210,7 +210,7 @@
 }
 
 func newConn(c socket) *conn {
-	return &conn{socket: c, r: bufio.NewReaderSize(c, 4<<10), mu: make(turn, 1), most: leastMost}
+	return &conn{socket: c, r: bufio.NewReaderSize(c, 4<<10), mu: make(turn, 1), most: MinMaxFrameSize}
 }
 
 // turn is a lock that can be waited for within a time: who writes keeps it for as long as the peer does not read.
@@ -249,24 +249,24 @@
 }
 
 // read waits for the next frame, for so long at the most.
-func (c *conn) read(kind byte, wait time.Duration) (frame, error) {
+func (c *conn) read(kind byte, wait time.Duration) (Frame, error) {
 	c.within(wait)
 	var head [4]byte
 	if _, err := io.ReadFull(c.r, head[:]); err != nil {
-		return frame{}, err
+		return Frame{}, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size < headSize || size > ourMost {
-		return frame{}, fault{condFraming, fmt.Sprintf("a frame of %d bytes is out of range", size)}
+	if size < HeaderSize || size > MaxFrameSize {
+		return Frame{}, ConditionError{CondFramingError, fmt.Sprintf("a frame of %d bytes is out of range", size)}
 	}
 	b := make([]byte, size-4)
 	if _, err := io.ReadFull(c.r, b); err != nil {
-		return frame{}, err
+		return Frame{}, err
 	}
 	if b[1] != kind {
-		return frame{}, fault{condFraming, fmt.Sprintf("a frame of type %d has no place here", b[1])}
+		return Frame{}, ConditionError{CondFramingError, fmt.Sprintf("a frame of type %d has no place here", b[1])}
 	}
-	return parseFrame(b)
+	return ParseFrame(b)
 }
 
 var (
@@ -275,24 +275,24 @@
 )
 
 // write sends a frame in one piece; nothing goes out after a close.
-func (c *conn) write(channel uint16, p perf, payload []byte) error {
+func (c *conn) write(channel uint16, p Performative, payload []byte) error {
 	return c.send(channel, p, payload, nil)
 }
 
 // send is write for a session that others go on beside: nothing of it may go out after its end. shut is whether that has;
 // it is guarded by the connection's lock. nil: the session's end is none of the connection's business.
-func (c *conn) send(channel uint16, p perf, payload []byte, shut *bool) error {
+func (c *conn) send(channel uint16, p Performative, payload []byte, shut *bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.quit || shut != nil && *shut {
 		return errQuit
 	}
 	if shut != nil {
-		*shut = p.code == codeEnd
+		*shut = p.Code == CodeEnd
 	}
-	c.quit = p.code == codeClose
+	c.quit = p.Code == CodeClose
 	c.buf = c.buf[:0]
-	c.buf = appendFrame(c.buf, frameAMQP, channel, p, payload)
+	c.buf = AppendFrame(c.buf, TypeAMQP, channel, p, payload)
 	return c.flush()
 }
 
@@ -314,10 +314,10 @@
 }
 
 // room returns how much payload a frame to the peer holds beside a performative.
-func (c *conn) room(p perf) int {
+func (c *conn) room(p Performative) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.most - len(appendFrame(nil, frameAMQP, 0, p, nil))
+	return c.most - len(AppendFrame(nil, TypeAMQP, 0, p, nil))
 }
 
 // header writes a protocol header.
@@ -336,24 +336,24 @@
 }
 
 // sasl writes a frame of the security layer.
-func (c *conn) sasl(p perf) error {
+func (c *conn) sasl(p Performative) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.buf = appendFrame(c.buf[:0], frameSASL, 0, p, nil)
+	c.buf = AppendFrame(c.buf[:0], TypeSASL, 0, p, nil)
 	return c.flush()
 }
 
 // opened takes what the peer's open says of itself.
-func (c *conn) opened(p perf) (idle time.Duration) {
+func (c *conn) opened(p Performative) (idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = int(min(ourMost, max(leastMost, p.number(2, 1<<32-1))))
-	return time.Duration(p.number(4, 0)) * time.Millisecond
+	c.most = int(min(MaxFrameSize, max(MinMaxFrameSize, p.Uint32(2, 1<<32-1))))
+	return time.Duration(p.Uint32(4, 0)) * time.Millisecond
 }
 
 // open is the relay's own open.
-func open(name string) perf {
-	return perf{codeOpen, list{name, nil, uint32(ourMost), uint16(channelMost), uint32(idleTold.Milliseconds())}}
+func open(name string) Performative {
+	return Performative{CodeOpen, List{name, nil, uint32(MaxFrameSize), uint16(channelMost), uint32(idleTold.Milliseconds())}}
 }
 
 // beat sends empty frames, often enough for the peer's idle time-out, until
@@ -373,7 +373,7 @@
 			c.mu.Lock()
 			quiet := time.Since(c.sent) >= every
 			c.mu.Unlock()
-			if quiet && c.write(0, perf{}, nil) != nil {
+			if quiet && c.write(0, Performative{}, nil) != nil {
 				return
 			}
 		}
--- a/internal/frontend/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -80,9 +80,9 @@
 	if err == nil {
 		err = c.run()
 	}
-	if bad := (fault{}); errors.As(err, &bad) {
-		f.Proxy.ProtocolError("amqp", bad.text)
-		c.write(0, perf{codeClose, list{errorOf(bad.cond, bad.text, nil)}}, nil)
+	if bad := (ConditionError{}); errors.As(err, &bad) {
+		f.Proxy.ProtocolError("amqp", bad.Description)
+		c.write(0, Performative{CodeClose, List{NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
 		s.lost()
@@ -128,8 +128,8 @@
 func (c *client) showOut() {
 	if c.mu.TryLock() {
 		c.quit = true
-		c.buf = appendFrame(c.buf[:0], frameAMQP, 0,
-			perf{codeClose, list{errorOf(condLimit, "the relay needs the room", nil)}}, nil)
+		c.buf = AppendFrame(c.buf[:0], TypeAMQP, 0,
+			Performative{CodeClose, List{NewErrorValue(CondResourceLimitExceeded, "the relay needs the room", nil)}}, nil)
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
 		_, _ = c.Write(c.buf) // the close follows either way
 		c.mu.Unlock()
@@ -143,7 +143,7 @@
 	c.until = c.guest.IdleSince.Add(helloWait)
 	if err := c.greet(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return fault{condLimit, "the connection has not been opened in time"}
+			return ConditionError{CondResourceLimitExceeded, "the connection has not been opened in time"}
 		}
 		return err
 	}
@@ -152,15 +152,15 @@
 	go c.leave()
 	idle := cmp.Or(c.front.IdleTimeout, idleMost)
 	for {
-		f, err := c.read(frameAMQP, idle)
+		f, err := c.read(TypeAMQP, idle)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return fault{condLimit, "nothing has come for the time of the idle time-out"}
+			return ConditionError{CondResourceLimitExceeded, "nothing has come for the time of the idle time-out"}
 		}
 		if err != nil {
 			return err
 		}
-		if f.code == codeClose {
-			c.write(0, perf{codeClose, nil}, nil)
+		if f.Code == CodeClose {
+			c.write(0, Performative{CodeClose, nil}, nil)
 			return nil
 		}
 		if err := c.take(f); err != nil {
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	if h == headerSASL {
+	if h == ProtocolHeaderSASL {
 		if err := c.authenticate(); err != nil {
 			return err
 		}
@@ -183,24 +183,24 @@
 			return err
 		}
 	} else if !c.front.Authenticator.Bare() {
-		c.header(headerSASL) // which the standard has for an answer, and the end
+		c.header(ProtocolHeaderSASL) // which the standard has for an answer, and the end
 		return errors.New("the client comes without the security layer, and has to say who it is")
 	}
-	if err := c.header(headerAMQP); err != nil {
+	if err := c.header(ProtocolHeaderAMQP); err != nil {
 		return err
 	}
-	if h != headerAMQP {
+	if h != ProtocolHeaderAMQP {
 		return errors.New("the client speaks another protocol") // it has been told ours
 	}
-	f, err := c.read(frameAMQP, helloWait)
+	f, err := c.read(TypeAMQP, helloWait)
 	if err != nil {
 		return err
 	}
-	if f.code != codeOpen {
-		return fault{condNotAllowed, "a connection begins with an open"}
+	if f.Code != CodeOpen {
+		return ConditionError{CondNotAllowed, "a connection begins with an open"}
 	}
-	c.name = text(f.field(0))
-	idle := c.opened(f.perf)
+	c.name = AsString(f.Field(0))
+	idle := c.opened(f.Performative)
 	if err := c.write(0, open("lockroad"), nil); err != nil {
 		return err
 	}
@@ -210,33 +210,33 @@
 
 // authenticate has the client say who it is, by one of the mechanisms that there are for it.
 func (c *client) authenticate() error {
-	if err := c.header(headerSASL); err != nil {
+	if err := c.header(ProtocolHeaderSASL); err != nil {
 		return err
 	}
 	gate := c.front.Authenticator
-	var names array
+	var names Array
 	for _, name := range gate.Mechanisms(c.tls) {
-		names = append(names, symbol(name))
+		names = append(names, Symbol(name))
 	}
-	if err := c.sasl(perf{codeMechanisms, list{names}}); err != nil {
+	if err := c.sasl(Performative{CodeSASLMechanisms, List{names}}); err != nil {
 		return err
 	}
-	f, err := c.read(frameSASL, helloWait)
+	f, err := c.read(TypeSASL, helloWait)
 	if err != nil {
 		return err
 	}
-	response, _ := f.field(1).([]byte)
+	response, _ := f.Field(1).([]byte)
 	user, ok := "", false
-	if f.code == codeInit {
-		user, ok = gate.Authenticate(text(f.field(0)), response, c.tls)
+	if f.Code == CodeSASLInit {
+		user, ok = gate.Authenticate(AsString(f.Field(0)), response, c.tls)
 	}
 	if !ok {
-		c.sasl(perf{codeOutcome, list{uint8(1)}})
+		c.sasl(Performative{CodeSASLOutcome, List{uint8(1)}})
 		c.front.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
 		return errors.New("the client does not say who it is, or is not")
 	}
 	c.user = user
-	return c.sasl(perf{codeOutcome, list{uint8(0)}})
+	return c.sasl(Performative{CodeSASLOutcome, List{uint8(0)}})
 }
 
 // leave closes the connection once its links have been moved, or answered: links still come until then.
@@ -251,47 +251,47 @@
 		return
 	case <-time.After(leaveWait):
 	}
-	c.write(0, perf{codeClose, list{errorOf(condForced, "the relay is leaving", nil)}}, nil)
+	c.write(0, Performative{CodeClose, List{NewErrorValue(CondConnectionForced, "the relay is leaving", nil)}}, nil)
 	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(byeWait))
 }
 
 // take handles a frame other than a close.
-func (c *client) take(f frame) error {
-	if f.empty {
+func (c *client) take(f Frame) error {
+	if f.Empty {
 		return nil
 	}
-	s := c.sessions[f.channel]
-	if f.code == codeBegin {
-		if f.channel > channelMost { // section 2.7.1 has the connection closed
-			return fault{condFraming, fmt.Sprintf("channel %d is over the most", f.channel)}
+	s := c.sessions[f.Channel]
+	if f.Code == CodeBegin {
+		if f.Channel > channelMost { // section 2.7.1 has the connection closed
+			return ConditionError{CondFramingError, fmt.Sprintf("channel %d is over the most", f.Channel)}
 		}
 		if s != nil {
-			return fault{condNotAllowed, fmt.Sprintf("channel %d has a session", f.channel)}
+			return ConditionError{CondNotAllowed, fmt.Sprintf("channel %d has a session", f.Channel)}
 		}
-		s = &clientSession{session: newSession(c.conn, f.channel), client: c, links: make(map[uint32]*link)}
+		s = &clientSession{session: newSession(c.conn, f.Channel), client: c, links: make(map[uint32]*link)}
 		s.shut = new(bool) // its links may have words left when it has ended
-		if err := s.begun(f.perf); err != nil {
+		if err := s.begun(f.Performative); err != nil {
 			return err
 		}
-		c.sessions[f.channel] = s
-		return s.write(f.channel, s.begin(f.channel), nil)
+		c.sessions[f.Channel] = s
+		return s.write(f.Channel, s.begin(f.Channel), nil)
 	}
 	if s == nil {
-		return fault{condFraming, fmt.Sprintf("channel %d has no session", f.channel)}
+		return ConditionError{CondFramingError, fmt.Sprintf("channel %d has no session", f.Channel)}
 	}
 	if s.dead {
-		if f.code == codeEnd {
-			delete(c.sessions, f.channel)
+		if f.Code == CodeEnd {
+			delete(c.sessions, f.Channel)
 		}
 		return nil
 	}
 	err := s.take(f)
 	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
-	if bad := (fault{}); errors.As(err, &bad) && bad.cond != condFraming {
-		c.front.Proxy.ProtocolError("amqp", bad.text)
+	if bad := (ConditionError{}); errors.As(err, &bad) && bad.Condition != CondFramingError {
+		c.front.Proxy.ProtocolError("amqp", bad.Description)
 		s.dead = true
-		err := s.write(f.channel, perf{codeEnd, list{errorOf(bad.cond, bad.text, nil)}}, nil)
+		err := s.write(f.Channel, Performative{CodeEnd, List{NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 		s.lost()
 		return err
 	}
@@ -314,80 +314,80 @@
 	}
 }
 
-func (s *clientSession) take(f frame) error {
-	switch f.code {
-	case codeAttach:
-		return s.attach(f.perf)
-	case codeFlow:
-		if err := f.must(1, 2, 3); err != nil {
+func (s *clientSession) take(f Frame) error {
+	switch f.Code {
+	case CodeAttach:
+		return s.attach(f.Performative)
+	case CodeFlow:
+		if err := f.RequireUint32(1, 2, 3); err != nil {
 			return err
 		}
-		s.flowed(f.perf)
-		if f.field(4) == nil {
-			if f.flag(9) {
-				return s.flow(perf{codeFlow, nil})
+		s.flowed(f.Performative)
+		if f.Field(4) == nil {
+			if f.Bool(9) {
+				return s.flow(Performative{CodeFlow, nil})
 			}
 			return nil
 		}
-	case codeTransfer:
+	case CodeTransfer:
 		if err := s.took(true); err != nil {
 			return err
 		}
-	case codeDisposition:
-		if err := f.must(1); err != nil {
+	case CodeDisposition:
+		if err := f.RequireUint32(1); err != nil {
 			return err
 		}
 		for _, l := range s.links {
-			l.disposed(f.perf)
+			l.disposed(f.Performative)
 		}
 		return nil
-	case codeEnd:
+	case CodeEnd:
 		delete(s.client.sessions, s.channel)
-		err := s.write(s.channel, perf{codeEnd, nil}, nil)
+		err := s.write(s.channel, Performative{CodeEnd, nil}, nil)
 		s.lost()
 		return err
-	case codeDetach:
+	case CodeDetach:
 	default:
-		return fault{condNotAllowed, fmt.Sprintf("performative %#x has no place here", f.code)}
+		return ConditionError{CondNotAllowed, fmt.Sprintf("performative %#x has no place here", f.Code)}
 	}
 	at := 0
-	if f.code == codeFlow {
+	if f.Code == CodeFlow {
 		at = 4
 	}
-	if err := f.must(at); err != nil {
+	if err := f.RequireUint32(at); err != nil {
 		return err
 	}
-	handle := f.number(at, 0)
+	handle := f.Uint32(at, 0)
 	l := s.links[handle]
 	if l == nil {
-		return fault{condUnattached, fmt.Sprintf("handle %d has no link", handle)}
+		return ConditionError{CondUnattachedHandle, fmt.Sprintf("handle %d has no link", handle)}
 	}
-	switch f.code {
-	case codeFlow:
-		return l.flowed(f.perf)
-	case codeTransfer:
+	switch f.Code {
+	case CodeFlow:
+		return l.flowed(f.Performative)
+	case CodeTransfer:
 		return l.transferred(f)
 	}
 	delete(s.links, handle)
-	l.clientDetached(f.perf)
+	l.clientDetached(f.Performative)
 	return nil
 }
 
 // attach begins a transaction.
-func (s *clientSession) attach(p perf) error {
-	if err := p.must(1); err != nil {
+func (s *clientSession) attach(p Performative) error {
+	if err := p.RequireUint32(1); err != nil {
 		return err
 	}
-	name, named := p.field(0).(string)
-	role, told := p.field(2).(bool)
-	handle := p.number(1, 0)
+	name, named := p.Field(0).(string)
+	role, told := p.Field(2).(bool)
+	handle := p.Uint32(1, 0)
 	switch {
 	case !named || !told:
-		return fault{condInvalid, "an attach has to tell its name and role"}
+		return ConditionError{CondInvalidField, "an attach has to tell its name and role"}
 	case handle > handleMost: // section 2.7.2 has the connection closed
-		return fault{condFraming, fmt.Sprintf("handle %d is over the most", handle)}
+		return ConditionError{CondFramingError, fmt.Sprintf("handle %d is over the most", handle)}
 	case s.links[handle] != nil:
-		return fault{condHandleInUse, fmt.Sprintf("handle %d has a link", handle)}
+		return ConditionError{CondHandleInUse, fmt.Sprintf("handle %d has a link", handle)}
 	}
 	front := s.client.front
 	l := &link{
@@ -400,24 +400,24 @@
 	l.attach = p
 	if err != nil {
 		front.Proxy.ProtocolError("amqp", err.Error())
-		s.refuse(l, condInvalid, err.Error(), nil)
+		s.refuse(l, CondInvalidField, err.Error(), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	if !front.Authenticator.Authorized(s.client.user, ask.Class) {
 		front.Proxy.ProtocolError("amqp", "a client may not open a class")
-		s.refuse(l, condUnauthorized, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
+		s.refuse(l, CondUnauthorizedAccess, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	release, ok := front.Proxy.Admit(s.client.conn.RemoteAddr(), ask)
 	if !ok {
-		s.refuse(l, condLimit, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
+		s.refuse(l, CondResourceLimitExceeded, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
 		return nil
 	}
 	if !s.client.guest.Acquire() {
 		release()
-		s.refuse(l, condLimit, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
+		s.refuse(l, CondResourceLimitExceeded, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
 		return nil
 	}
 	ctx, left := context.WithCancel(s.client.ctx)
@@ -435,22 +435,22 @@
 // refuse answers an attach that never becomes a transaction. What is kept of it,
 // until the client detaches, is next to nothing: refused links could else be had
 // by the hundred at 8 KiB each.
-func (s *clientSession) refuse(l *link, cond, why string, info mapping) {
+func (s *clientSession) refuse(l *link, cond, why string, info Map) {
 	l.detach(cond, why, info)
 	s.links[l.handle] = &link{front: l.front, session: l.session, handle: l.handle, sends: l.sends, ids: l.ids, detached: true}
 }
 
 // ask reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Frontend) ask(p perf, container, name string) (proxy.Request, perf, error) {
-	props, _ := p.field(13).(mapping)
+func (f *Frontend) ask(p Performative, container, name string) (proxy.Request, Performative, error) {
+	props, _ := p.Field(13).(Map)
 	address := addressOf(p)
 	rule := f.place(address, container)
-	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: text(props.get(propClass)), Tenant: text(props.get(propTenant))}
+	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: AsString(props.Get(propClass)), Tenant: AsString(props.Get(propTenant))}
 	ask.Settings = f.Proxy.Settings()
 	if ask.Class == "" && rule != nil {
 		ask.Class = rule.Class
-		props = props.with(propClass, ask.Class)
+		props = props.With(propClass, ask.Class)
 	}
 	if ask.RequestOptions.Class = ask.Settings.ClassIndex(ask.Class); ask.Class == "" {
 		return ask, p, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
@@ -461,24 +461,24 @@
 		return ask, p, fmt.Errorf("%q is no known tenant; the property %q names one", ask.Tenant, propTenant)
 	}
 	var give time.Duration
-	switch wait, ok := whole(props.get(propGiveUp)); {
+	switch wait, ok := AsUint64(props.Get(propGiveUp)); {
 	case ok && wait <= 1<<31:
 		give = time.Duration(wait) * time.Millisecond
-	case props.get(propGiveUp) != nil || rule == nil:
+	case props.Get(propGiveUp) != nil || rule == nil:
 		return ask, p, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propGiveUp)
 	default:
 		give = cmp.Or(rule.Timeout, ask.Settings.Classes[ask.RequestOptions.Class].Deadline)
 	}
 	ask.Deadline = f.Proxy.Clock.Now() + give
-	if ask.Group = keyOf(props.get(propGroup)); ask.Group == 0 && rule != nil {
+	if ask.Group = keyOf(props.Get(propGroup)); ask.Group == 0 && rule != nil {
 		if ask.Group = rule.group(p, address, container); ask.Group != 0 {
-			props = props.with(propGroup, strconv.FormatUint(ask.Group, 16))
+			props = props.With(propGroup, strconv.FormatUint(ask.Group, 16))
 		}
 	}
-	ask.Item = keyOf(props.get(propItem))
-	ask.Returning, _ = props.get(propAgain).(bool)
-	if us, ok := figure(props.get(propLoad)); ok {
+	ask.Item = keyOf(props.Get(propItem))
+	ask.Returning, _ = props.Get(propAgain).(bool)
+	if us, ok := figure(props.Get(propLoad)); ok {
 		ask.ExpectedLoad = us / 1e6
 	}
-	return ask, p.with(13, props), nil
+	return ask, p.With(13, props), nil
 }
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -23,8 +23,8 @@
 	session *session // the client's
 	handle  uint32
 	name    string
-	attach  perf // the client's
-	sends   bool // deliveries go from the client to the server
+	attach  Performative // the client's
+	sends   bool         // deliveries go from the client to the server
 	left    func()
 	ids     *deliveries
 	credits credits
@@ -33,19 +33,19 @@
 	out      *outbox   // what the client has for the server
 	up       *upstream // the server, once it is the client's
 	pulse    *proxy.Heartbeat
-	credit   *perf // what the client has granted so far
-	attached bool  // the client has been answered
-	detached bool  // the client has been told of the end
-	gone     bool  // the client has ended its side
+	credit   *Performative // what the client has granted so far
+	attached bool          // the client has been answered
+	detached bool          // the client has been told of the end
+	gone     bool          // the client has ended its side
 }
 
 // keyOf is the number of a group or an item: a hexadecimal word as it is,
 // anything else by its hash.
 func keyOf(v any) uint64 {
-	if n, ok := whole(v); ok {
+	if n, ok := AsUint64(v); ok {
 		return n
 	}
-	word := text(v)
+	word := AsString(v)
 	if word == "" {
 		return 0
 	}
@@ -62,7 +62,7 @@
 	x, ok := v.(float64)
 	if !ok {
 		var n uint64
-		n, ok = whole(v)
+		n, ok = AsUint64(v)
 		x = float64(n)
 	}
 	return x, ok && x >= 0 && x < 1e12
@@ -84,15 +84,15 @@
 	if gone {
 		return balancer.StatusCancelled
 	}
-	if l.session.write(l.session.channel, u.attach.with(0, l.name).with(1, l.handle), nil) != nil {
+	if l.session.write(l.session.channel, u.attach.With(0, l.name).With(1, l.handle), nil) != nil {
 		return balancer.StatusCancelled
 	}
 	pulse.Established()
 	if u.credit != nil {
-		l.down(frame{perf: *u.credit})
+		l.down(Frame{Performative: *u.credit})
 	}
 	if credit != nil {
-		l.out.put(parcel{perf: credit.with(4, uint32(0)), flow: true})
+		l.out.put(parcel{Performative: credit.With(4, uint32(0)), flow: true})
 	}
 	return l.downstream(ctx, u, pulse)
 }
@@ -113,11 +113,11 @@
 			pulse.TimedOut()
 			return balancer.StatusReset
 		case err != nil:
-			l.detach(condForced, "the application server is lost", nil)
+			l.detach(CondConnectionForced, "the application server is lost", nil)
 			return balancer.StatusReset
-		case f.empty:
+		case f.Empty:
 			continue
-		case f.code == codeDetach, f.code == codeEnd, f.code == codeClose:
+		case f.Code == CodeDetach, f.Code == CodeEnd, f.Code == CodeClose:
 			return l.serverEnds(u, f, gone)
 		}
 		if !l.down(f) {
@@ -127,23 +127,23 @@
 }
 
 // serverEnds passes on the end that a server has set to the link.
-func (l *link) serverEnds(u *upstream, f frame, gone bool) balancer.AttemptStatus {
+func (l *link) serverEnds(u *upstream, f Frame, gone bool) balancer.AttemptStatus {
 	at := 0
-	if f.code == codeDetach {
+	if f.Code == CodeDetach {
 		at = 2
-		u.write(u.channel, perf{codeDetach, list{uint32(0), true}}, nil)
+		u.write(u.channel, Performative{CodeDetach, List{uint32(0), true}}, nil)
 		if u.lane == nil {
-			u.write(0, perf{codeClose, nil}, nil)
+			u.write(0, Performative{CodeClose, nil}, nil)
 		}
 	}
-	cond, info := f.condition(at)
+	cond, info := f.Condition(at)
 	if !gone {
 		l.detach(cond, "the application server has ended the link", info)
 	}
 	switch {
-	case cond == "" && f.code == codeDetach:
+	case cond == "" && f.Code == CodeDetach:
 		return balancer.StatusOK
-	case cond == condDetachForced:
+	case cond == CondDetachForced:
 		return balancer.StatusRedirected // it drains, whatever the list says
 	case gone:
 		return balancer.StatusCancelled
@@ -153,36 +153,36 @@
 
 // down passes a frame of the server to the client. It tells whether the client
 // is still there.
-func (l *link) down(f frame) bool {
+func (l *link) down(f Frame) bool {
 	s := l.session
-	switch f.code {
-	case codeFlow:
-		if err := l.up.flowTaken(f.perf); err != nil || f.field(4) == nil {
+	switch f.Code {
+	case CodeFlow:
+		if err := l.up.flowTaken(f.Performative); err != nil || f.Field(4) == nil {
 			return true
 		}
-		if props, ok := f.field(10).(mapping); ok {
-			if us, ok := figure(props.get(propLoad)); ok {
+		if props, ok := f.Field(10).(Map); ok {
+			if us, ok := figure(props.Get(propLoad)); ok {
 				l.pulse.ReportLoad(us / 1e6)
 			}
 		}
-		p := f.perf
+		p := f.Performative
 		if l.sends {
 			p = l.credits.granted(p)
 		}
-		return s.flow(p.with(4, l.handle)) == nil
-	case codeTransfer:
+		return s.flow(p.With(4, l.handle)) == nil
+	case CodeTransfer:
 		if l.sends || l.up.took(false) != nil {
 			return true // out of turn: left aside
 		}
 		l.pulse.EndpointSent()
-		p, err := l.ids.carry(f.perf, s)
+		p, err := l.ids.carry(f.Performative, s)
 		if err != nil {
 			return true
 		}
-		return s.transfer(p.with(0, l.handle), f.payload) == nil
-	case codeDisposition:
+		return s.transfer(p.With(0, l.handle), f.Payload) == nil
+	case CodeDisposition:
 		l.pulse.EndpointSent()
-		for _, p := range l.ids.translate(f.perf, l.sends) {
+		for _, p := range l.ids.translate(f.Performative, l.sends) {
 			if s.write(s.channel, p, nil) != nil {
 				return false
 			}
@@ -192,13 +192,13 @@
 }
 
 // flowTaken takes the session's part of a flow.
-func (s *session) flowTaken(p perf) error {
-	if err := p.must(1, 2, 3); err != nil {
+func (s *session) flowTaken(p Performative) error {
+	if err := p.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
 	s.flowed(p)
-	if p.field(4) == nil && p.flag(9) {
-		return s.flow(perf{codeFlow, nil})
+	if p.Field(4) == nil && p.Bool(9) {
+		return s.flow(Performative{CodeFlow, nil})
 	}
 	return nil
 }
@@ -217,26 +217,26 @@
 // and more than there is room for, loses the link.
 func (l *link) put(o *outbox, p parcel) {
 	if !o.put(p) {
-		l.detach(condLimit, "the application server takes nothing, and too much waits for it", nil)
+		l.detach(CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
 		l.left()
 	}
 }
 
 // flowed passes the client's credit on. Before the link is up it is kept.
-func (l *link) flowed(p perf) error {
+func (l *link) flowed(p Performative) error {
 	l.mu.Lock()
 	if l.up == nil {
 		l.credit = &p
 	}
 	l.mu.Unlock()
 	if o, _ := l.joined(); o != nil {
-		l.put(o, parcel{perf: p.with(4, uint32(0)), flow: true})
+		l.put(o, parcel{Performative: p.With(4, uint32(0)), flow: true})
 	}
 	return nil
 }
 
 // transferred passes a delivery of the client on, or a part of one.
-func (l *link) transferred(f frame) error {
+func (l *link) transferred(f Frame) error {
 	o, pulse := l.joined()
 	sent := false
 	defer func() {
@@ -249,23 +249,23 @@
 	l.mu.Unlock()
 	switch {
 	case !l.sends:
-		return fault{condNotAllowed, "a receiver sends no transfers"}
+		return ConditionError{CondNotAllowed, "a receiver sends no transfers"}
 	case early: // nothing has granted credit yet
-		l.detach(condTransferLimit, "a transfer without credit", nil)
+		l.detach(CondTransferLimitExceeded, "a transfer without credit", nil)
 		l.left()
 		return nil
 	case o == nil:
 		return nil // the end and the transfer have crossed
 	}
-	p, err := l.ids.carry(f.perf, o.up.session)
+	p, err := l.ids.carry(f.Performative, o.up.session)
 	if err != nil {
 		return err
 	}
-	if !f.flag(5) && !f.flag(4) {
+	if !f.Bool(5) && !f.Bool(4) {
 		pulse.ClientSent()
 	}
-	next := parcel{perf: p.with(0, uint32(0)), payload: f.payload, transfer: true}
-	if !f.flag(5) {
+	next := parcel{Performative: p.With(0, uint32(0)), payload: f.Payload, transfer: true}
+	if !f.Bool(5) {
 		next.sent = l.passed
 	}
 	sent = true
@@ -277,23 +277,23 @@
 // credit that it has for more.
 func (l *link) passed() {
 	if p, more := l.credits.sent(); more {
-		l.session.flow(p.with(4, l.handle)) // if this fails, the client's reader sees why
+		l.session.flow(p.With(4, l.handle)) // if this fails, the client's reader sees why
 	}
 }
 
 // disposed passes on what the client says of deliveries, if they are this link's.
-func (l *link) disposed(p perf) {
+func (l *link) disposed(p Performative) {
 	// A receiver speaks of what came to it, a sender of what it has sent.
-	if o, _ := l.joined(); o != nil && p.flag(0) != l.sends {
+	if o, _ := l.joined(); o != nil && p.Bool(0) != l.sends {
 		for _, q := range l.ids.translate(p, !l.sends) {
-			l.put(o, parcel{perf: q})
+			l.put(o, parcel{Performative: q})
 		}
 	}
 }
 
 // clientDetached takes the client's detach. Before the link is up, the client has
 // left; after that, the detach is the server's to answer.
-func (l *link) clientDetached(p perf) {
+func (l *link) clientDetached(p Performative) {
 	l.mu.Lock()
 	l.gone = true
 	u, o, told := l.up, l.out, l.detached
@@ -303,7 +303,7 @@
 	case u == nil:
 		l.left()
 	default:
-		l.put(o, parcel{perf: p.with(0, uint32(0))})
+		l.put(o, parcel{Performative: p.With(0, uint32(0))})
 		u.last(byeWait)
 	}
 }
@@ -326,7 +326,7 @@
 func (l *link) finish() { l.detach("", "", nil) }
 
 // detach tells the client of the end, once: it tells whether this was the first. It needs no credit.
-func (l *link) detach(cond, why string, info mapping) bool {
+func (l *link) detach(cond, why string, info Map) bool {
 	l.mu.Lock()
 	if l.detached {
 		l.mu.Unlock()
@@ -337,38 +337,38 @@
 	l.mu.Unlock()
 	s := l.session
 	if !answered { // the standard wants an attach first, without what the relay would own
-		p := perf{codeAttach, list{l.name, l.handle, l.sends, nil, nil, l.attach.field(5), l.attach.field(6)}}
+		p := Performative{CodeAttach, List{l.name, l.handle, l.sends, nil, nil, l.attach.Field(5), l.attach.Field(6)}}
 		if l.sends {
-			p = p.with(6, nil)
+			p = p.With(6, nil)
 		} else {
-			p = p.with(5, nil).with(9, uint32(0))
+			p = p.With(5, nil).With(9, uint32(0))
 		}
 		if s.write(s.channel, p, nil) != nil {
 			return true
 		}
 	}
-	s.write(s.channel, perf{codeDetach, list{l.handle, true, errorOf(cond, why, info)}}, nil)
+	s.write(s.channel, Performative{CodeDetach, List{l.handle, true, NewErrorValue(cond, why, info)}}, nil)
 	return true
 }
 
 // BadRequest answers what makes no sense.
-func (l *link) BadRequest(why string) { l.detach(condNotAllowed, why, nil) }
+func (l *link) BadRequest(why string) { l.detach(CondNotAllowed, why, nil) }
 
 // Reject answers that trying again is harmless.
 func (l *link) Reject(comeBack time.Duration) {
-	l.detach(condLimit, "no application server takes it", comeBackInfo(comeBack))
+	l.detach(CondResourceLimitExceeded, "no application server takes it", comeBackInfo(comeBack))
 }
 
 // comeBackInfo says when to come again, if that is known.
-func comeBackInfo(wait time.Duration) (info mapping) {
+func comeBackInfo(wait time.Duration) (info Map) {
 	if wait >= time.Millisecond {
-		info = info.with(infoBack, uint32(wait.Milliseconds()))
+		info = info.With(infoBack, uint32(wait.Milliseconds()))
 	}
 	return info
 }
 
 // Fail answers what promises nothing.
-func (l *link) Fail() { l.detach(condInternal, "the transaction has failed", nil) }
+func (l *link) Fail() { l.detach(CondInternalError, "the transaction has failed", nil) }
 
 // Migrate sends the client away politely: between two deliveries, if the one that
 // is under way ends in time.
@@ -377,5 +377,5 @@
 	case <-l.ids.whole():
 	case <-time.After(moveFor):
 	}
-	return l.detach(condDetachForced, "the client is to come again", nil)
+	return l.detach(CondDetachForced, "the client is to come again", nil)
 }
--- a/internal/frontend/amqp/mux.go
+++ b/internal/frontend/amqp/mux.go
@@ -34,7 +34,7 @@
 	once sync.Once
 
 	mu    sync.Mutex
-	queue []frame
+	queue []Frame
 	in    int  // transfers among them
 	told  bool // the peer has heard of it, or is about to
 	ended bool // from here
@@ -88,30 +88,30 @@
 
 func (m *mux) reads(silent time.Duration) error {
 	for {
-		f, err := m.read(frameAMQP, silent)
+		f, err := m.read(TypeAMQP, silent)
 		if err != nil {
 			return err
 		}
 		switch {
-		case f.empty:
+		case f.Empty:
 			continue
-		case f.code == codeClose:
-			m.write(0, perf{codeClose, nil}, nil)
+		case f.Code == CodeClose:
+			m.write(0, Performative{CodeClose, nil}, nil)
 			m.each(func(l *lane) { l.put(f) })
 			return errPeerCloses
-		case f.code == codeBegin:
+		case f.Code == CodeBegin:
 			if err := m.begun(f); err != nil {
 				return m.faulty(err)
 			}
 			continue
 		}
 		m.mu.Lock()
-		l := m.theirs[f.channel]
+		l := m.theirs[f.Channel]
 		m.mu.Unlock()
 		if l == nil {
-			return m.faulty(fault{condFraming, fmt.Sprintf("channel %d has no session", f.channel)})
+			return m.faulty(ConditionError{CondFramingError, fmt.Sprintf("channel %d has no session", f.Channel)})
 		}
-		if f.code == codeEnd {
+		if f.Code == CodeEnd {
 			m.leave(l, f)
 			continue
 		}
@@ -121,8 +121,8 @@
 
 // faulty tells the peer what is wrong with it.
 func (m *mux) faulty(err error) error {
-	if bad := (fault{}); errors.As(err, &bad) {
-		m.write(0, perf{codeClose, list{errorOf(bad.cond, bad.text, nil)}}, nil)
+	if bad := (ConditionError{}); errors.As(err, &bad) {
+		m.write(0, Performative{CodeClose, List{NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 	}
 	return err
 }
@@ -140,35 +140,35 @@
 }
 
 // begun takes a begin of the peer: the answer to one from here, or, where it may, one of its own.
-func (m *mux) begun(f frame) error {
+func (m *mux) begun(f Frame) error {
 	m.mu.Lock()
-	if m.theirs[f.channel] != nil {
+	if m.theirs[f.Channel] != nil {
 		m.mu.Unlock()
-		return fault{condNotAllowed, fmt.Sprintf("channel %d has a session", f.channel)}
+		return ConditionError{CondNotAllowed, fmt.Sprintf("channel %d has a session", f.Channel)}
 	}
-	if f.field(0) != nil {
-		l := m.ours[uint16(f.number(0, 0))]
+	if f.Field(0) != nil {
+		l := m.ours[uint16(f.Uint32(0, 0))]
 		if l != nil {
-			m.theirs[f.channel] = l
+			m.theirs[f.Channel] = l
 		}
 		m.mu.Unlock()
 		if l == nil {
-			return fault{condFraming, fmt.Sprintf("channel %d answers a session that is not there", f.channel)}
+			return ConditionError{CondFramingError, fmt.Sprintf("channel %d answers a session that is not there", f.Channel)}
 		}
-		return l.begun(f.perf)
+		return l.begun(f.Performative)
 	}
-	if m.begins == nil || f.channel >= sessionsMost || m.ours[f.channel] != nil {
+	if m.begins == nil || f.Channel >= sessionsMost || m.ours[f.Channel] != nil {
 		m.mu.Unlock()
-		return fault{condNotAllowed, fmt.Sprintf("channel %d can't begin a session", f.channel)}
+		return ConditionError{CondNotAllowed, fmt.Sprintf("channel %d can't begin a session", f.Channel)}
 	}
-	l := m.newLane(f.channel, func() {})
+	l := m.newLane(f.Channel, func() {})
 	l.told = true
-	m.ours[f.channel], m.theirs[f.channel] = l, l
+	m.ours[f.Channel], m.theirs[f.Channel] = l, l
 	m.mu.Unlock()
-	if err := l.begun(f.perf); err != nil {
+	if err := l.begun(f.Performative); err != nil {
 		return err
 	}
-	if err := l.write(f.channel, l.begin(f.channel), nil); err != nil {
+	if err := l.write(f.Channel, l.begin(f.Channel), nil); err != nil {
 		return err
 	}
 	m.begins(l)
@@ -176,7 +176,7 @@
 }
 
 // leave takes the peer's end of a session. Its channels are free again once it was ended from here, too.
-func (m *mux) leave(l *lane, f frame) {
+func (m *mux) leave(l *lane, f Frame) {
 	l.put(f)
 	l.ends(nil)
 	l.settle() // what has come is still to be read
@@ -198,9 +198,9 @@
 }
 
 // put takes a frame of the peer for whoever reads the lane.
-func (l *lane) put(f frame) {
+func (l *lane) put(f Frame) {
 	l.mu.Lock()
-	transfer := f.code == codeTransfer
+	transfer := f.Code == CodeTransfer
 	over := transfer && l.in >= windowMost || len(l.queue)-l.in >= wordsMost
 	if !l.ended && !over {
 		l.queue = append(l.queue, f)
@@ -211,7 +211,7 @@
 	ended := l.ended
 	l.mu.Unlock()
 	if over && !ended {
-		l.ends(fault{condWindow, "more than the session's window takes"})
+		l.ends(ConditionError{CondWindowViolation, "more than the session's window takes"})
 		l.close()
 		return
 	}
@@ -246,7 +246,7 @@
 
 // next waits for the next frame. It fails at the end of the session or of the connection, and with
 // os.ErrDeadlineExceeded once the wait, if it is over 0, or the bound is over.
-func (l *lane) next(wait time.Duration) (frame, error) {
+func (l *lane) next(wait time.Duration) (Frame, error) {
 	var by time.Time
 	if wait > 0 {
 		by = time.Now().Add(wait)
@@ -255,9 +255,9 @@
 		l.mu.Lock()
 		if len(l.queue) > 0 {
 			f := l.queue[0]
-			l.queue[0] = frame{}
+			l.queue[0] = Frame{}
 			l.queue = l.queue[1:]
-			if f.code == codeTransfer {
+			if f.Code == CodeTransfer {
 				l.in--
 			}
 			l.mu.Unlock()
@@ -269,7 +269,7 @@
 			if err == nil {
 				err = errQuit
 			}
-			return frame{}, err
+			return Frame{}, err
 		}
 		if !by.IsZero() && (late.IsZero() || by.Before(late)) {
 			late = by
@@ -280,7 +280,7 @@
 		}
 		left := time.Until(late)
 		if left <= 0 {
-			return frame{}, os.ErrDeadlineExceeded
+			return Frame{}, os.ErrDeadlineExceeded
 		}
 		timer := time.NewTimer(left)
 		select {
@@ -327,7 +327,7 @@
 	l.mu.Unlock()
 	if first {
 		l.session.end()
-		l.write(l.channel, perf{codeEnd, nil}, nil) // if this fails, so does the connection's reader
+		l.write(l.channel, Performative{CodeEnd, nil}, nil) // if this fails, so does the connection's reader
 		l.wake()
 	}
 	l.mu.Lock()
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -36,7 +36,7 @@
 
 // parcel is one thing for a server.
 type parcel struct {
-	perf
+	Performative
 	payload  []byte
 	transfer bool
 	flow     bool
@@ -109,15 +109,15 @@
 		var err error
 		switch {
 		case p.transfer:
-			err = o.up.transfer(p.perf, p.payload)
+			err = o.up.transfer(p.Performative, p.payload)
 			o.session.freed(1)
 			if err == nil && p.sent != nil {
 				p.sent()
 			}
 		case p.flow:
-			err = o.up.flow(p.perf)
+			err = o.up.flow(p.Performative)
 		default:
-			err = o.up.write(o.up.channel, p.perf, nil)
+			err = o.up.write(o.up.channel, p.Performative, nil)
 		}
 		if errors.Is(err, errWindow) {
 			o.stuck() // the other direction may go on: deliveries would be taken for a server that never gets them
@@ -148,25 +148,25 @@
 type credits struct {
 	mu     sync.Mutex
 	known  bool
-	count  uint32 // deliveries that the server has been sent, by the client's count
-	limit  uint32 // delivery count up to which the server takes deliveries
-	told   uint32 // and the client has been told
-	latest perf   // the server's last flow
+	count  uint32       // deliveries that the server has been sent, by the client's count
+	limit  uint32       // delivery count up to which the server takes deliveries
+	told   uint32       // and the client has been told
+	latest Performative // the server's last flow
 }
 
 // granted takes a flow of the server and returns what the client is told. One that
 // wants the credit used up, or speaks of no credit, is passed as it is.
-func (c *credits) granted(p perf) perf {
+func (c *credits) granted(p Performative) Performative {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p.field(6) == nil || p.flag(8) {
+	if p.Field(6) == nil || p.Bool(8) {
 		return p
 	}
-	from := p.number(5, 0)
+	from := p.Uint32(5, 0)
 	if !c.known {
 		c.known, c.count = true, from
 	}
-	c.latest, c.limit = p, from+p.number(6, 0)
+	c.latest, c.limit = p, from+p.Uint32(6, 0)
 	c.told = c.limit
 	if most := c.count + ahead; int32(c.limit-most) > 0 {
 		c.told = most
@@ -174,21 +174,21 @@
 	if int32(c.told-from) < 0 {
 		c.told = from
 	}
-	return p.with(6, c.told-from)
+	return p.With(6, c.told-from)
 }
 
 // sent counts a delivery that the server has been sent. It returns a flow for the client
 // once enough have been that more may follow.
-func (c *credits) sent() (perf, bool) {
+func (c *credits) sent() (Performative, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
 	if !c.known || c.told == c.limit || int32(c.count+ahead-c.told) < ahead/2 {
-		return perf{}, false
+		return Performative{}, false
 	}
 	c.told = c.limit
 	if most := c.count + ahead; int32(c.limit-most) > 0 {
 		c.told = most
 	}
-	return c.latest.with(5, c.count).with(6, c.told-c.count), true
+	return c.latest.With(5, c.count).With(6, c.told-c.count), true
 }
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -34,7 +34,7 @@
 	Name       string         // of the link, of PeerAttached
 	Sends      bool           // the relay's side sends, of PeerAttached
 	Properties map[string]any // of PeerAttached: strings, numbers and truths
-	attach     perf
+	attach     Performative
 }
 
 // PeerKind is the kind of a PeerEvent.
@@ -58,11 +58,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if h == headerSASL && plain {
-		c.header(headerAMQP)
+	if h == ProtocolHeaderSASL && plain {
+		c.header(ProtocolHeaderAMQP)
 		return nil, errors.New("the relay began with the security layer")
 	}
-	if h == headerSASL {
+	if h == ProtocolHeaderSASL {
 		if err := acceptSASL(c, wait); err != nil {
 			return nil, err
 		}
@@ -70,18 +70,18 @@
 			return nil, err
 		}
 	}
-	if h != headerAMQP {
+	if h != ProtocolHeaderAMQP {
 		return nil, fmt.Errorf("a server was greeted with %q", h)
 	}
-	if err := c.header(headerAMQP); err != nil {
+	if err := c.header(ProtocolHeaderAMQP); err != nil {
 		return nil, err
 	}
-	f, err := c.read(frameAMQP, wait)
+	f, err := c.read(TypeAMQP, wait)
 	if err != nil {
 		return nil, err
 	}
-	if f.code != codeOpen {
-		return nil, fmt.Errorf("a server was told %#x for an open", f.code)
+	if f.Code != CodeOpen {
+		return nil, fmt.Errorf("a server was told %#x for an open", f.Code)
 	}
 	p := &PeerConn{mux: newMux(c), wait: wait, stop: make(chan struct{}), sessions: make(chan *Peer, sessionsMost), ended: make(chan struct{})}
 	p.mux.begins = func(l *lane) {
@@ -91,8 +91,8 @@
 			l.close()
 		}
 	}
-	idle := c.opened(f.perf)
-	c.write(0, open("server").with(3, uint16(sessionsMost-1)), nil) // if this fails, the next read sees why
+	idle := c.opened(f.Performative)
+	c.write(0, open("server").With(3, uint16(sessionsMost-1)), nil) // if this fails, the next read sees why
 	go c.beat(idle, p.stop)
 	go func() {
 		p.mux.run(wait)
@@ -138,20 +138,20 @@
 }
 
 func acceptSASL(p *conn, wait time.Duration) error {
-	if err := p.header(headerSASL); err != nil {
+	if err := p.header(ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	if err := p.sasl(perf{codeMechanisms, list{array{symbol("ANONYMOUS")}}}); err != nil {
+	if err := p.sasl(Performative{CodeSASLMechanisms, List{Array{Symbol("ANONYMOUS")}}}); err != nil {
 		return err
 	}
-	f, err := p.read(frameSASL, wait)
+	f, err := p.read(TypeSASL, wait)
 	if err != nil {
 		return err
 	}
-	if f.code != codeInit {
-		return fmt.Errorf("a server was told %#x for an init", f.code)
+	if f.Code != CodeSASLInit {
+		return fmt.Errorf("a server was told %#x for an init", f.Code)
 	}
-	return p.sasl(perf{codeOutcome, list{uint8(0)}})
+	return p.sasl(Performative{CodeSASLOutcome, List{uint8(0)}})
 }
 
 // errClosed says that the relay has ended the session, or closed the connection, in good order.
@@ -166,7 +166,7 @@
 // DiscardInput takes what comes for the session and says nothing, until its end.
 func (p *Peer) DiscardInput() {
 	for {
-		if f, err := p.next(0); err != nil || f.code == codeEnd {
+		if f, err := p.next(0); err != nil || f.Code == CodeEnd {
 			return
 		}
 	}
@@ -180,35 +180,35 @@
 		if err != nil {
 			return PeerEvent{}, err
 		}
-		switch f.code {
-		case codeAttach:
-			e := PeerEvent{Kind: PeerAttached, Handle: f.number(1, 0), Name: text(f.field(0)), Sends: !f.flag(2),
-				Properties: make(map[string]any), attach: f.perf}
-			props, _ := f.field(13).(mapping)
+		switch f.Code {
+		case CodeAttach:
+			e := PeerEvent{Kind: PeerAttached, Handle: f.Uint32(1, 0), Name: AsString(f.Field(0)), Sends: !f.Bool(2),
+				Properties: make(map[string]any), attach: f.Performative}
+			props, _ := f.Field(13).(Map)
 			for i := 0; i+1 < len(props); i += 2 {
-				e.Properties[text(props[i])] = props[i+1]
+				e.Properties[AsString(props[i])] = props[i+1]
 			}
 			return e, nil
-		case codeFlow:
-			_ = p.flowTaken(f.perf) // a stand-in overlooks a bad flow
-		case codeTransfer:
+		case CodeFlow:
+			_ = p.flowTaken(f.Performative) // a stand-in overlooks a bad flow
+		case CodeTransfer:
 			if err := p.took(false); err != nil {
 				return PeerEvent{}, err
 			}
-			handle := f.number(0, 0)
-			whole := append(p.payload[handle], f.payload...)
+			handle := f.Uint32(0, 0)
+			whole := append(p.payload[handle], f.Payload...)
 			if len(whole) > peerMost {
 				return PeerEvent{}, errors.New("a message is longer than a stand-in reads")
 			}
-			if f.flag(5) {
+			if f.Bool(5) {
 				p.payload[handle] = whole
 				continue
 			}
 			delete(p.payload, handle)
-			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.number(1, 0), Settled: f.flag(4), Payload: dataOf(whole)}, nil
-		case codeDetach:
-			return PeerEvent{Kind: PeerDetached, Handle: f.number(0, 0)}, nil
-		case codeEnd, codeClose:
+			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.Uint32(1, 0), Settled: f.Bool(4), Payload: dataOf(whole)}, nil
+		case CodeDetach:
+			return PeerEvent{Kind: PeerDetached, Handle: f.Uint32(0, 0)}, nil
+		case CodeEnd, CodeClose:
 			return PeerEvent{}, errClosed
 		}
 	}
@@ -233,21 +233,21 @@
 
 // Attach answers an attach, and grants credit if the relay's side is to send.
 func (p *Peer) Attach(e PeerEvent, credit uint32) error {
-	reply := e.attach.with(1, e.Handle).with(2, !e.attach.flag(2)).with(9, nil).with(13, nil)
+	reply := e.attach.With(1, e.Handle).With(2, !e.attach.Bool(2)).With(9, nil).With(13, nil)
 	if err := p.write(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
-	return p.flow(perf{codeFlow, list{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
+	return p.flow(Performative{CodeFlow, List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
 }
 
 // Credit grants credit anew: so many deliveries from a delivery count on.
 func (p *Peer) Credit(handle, count, credit uint32) error {
-	return p.flow(perf{codeFlow, list{nil, nil, nil, nil, handle, count, credit}})
+	return p.flow(Performative{CodeFlow, List{nil, nil, nil, nil, handle, count, credit}})
 }
 
 // RejectAttach answers an attach with an end at once, by a condition of the standard.
 func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
-	reply := e.attach.with(1, e.Handle).with(2, !e.attach.flag(2)).with(6, nil).with(9, nil).with(13, nil)
+	reply := e.attach.With(1, e.Handle).With(2, !e.attach.Bool(2)).With(6, nil).With(9, nil).With(13, nil)
 	if err := p.write(p.channel, reply, nil); err != nil {
 		return err
 	}
@@ -258,22 +258,22 @@
 func (p *Peer) Detach(handle uint32, condition string) error {
 	var e any
 	if condition != "" {
-		e = errorOf(condition, "as the script has it", nil)
+		e = NewErrorValue(condition, "as the script has it", nil)
 	}
-	return p.write(p.channel, perf{codeDetach, list{handle, true, e}}, nil)
+	return p.write(p.channel, Performative{CodeDetach, List{handle, true, e}}, nil)
 }
 
 // Settle accepts a delivery.
 func (p *Peer) Settle(delivery uint32) error {
-	return p.write(p.channel, perf{codeDisposition, list{true, delivery, nil, true, described{uint64(0x24), list{}}}}, nil)
+	return p.write(p.channel, Performative{CodeDisposition, List{true, delivery, nil, true, Described{uint64(0x24), List{}}}}, nil)
 }
 
 // WholeNumber reads a property that is a whole number.
-func WholeNumber(v any) (uint64, bool) { return whole(v) }
+func WholeNumber(v any) (uint64, bool) { return AsUint64(v) }
 
 // Conditions that a server ends links with.
 const (
-	ConditionResourceLimit = condLimit
-	ConditionInternalError = condInternal
-	ConditionDetachForced  = condDetachForced
+	ConditionResourceLimit = CondResourceLimitExceeded
+	ConditionInternalError = CondInternalError
+	ConditionDetachForced  = CondDetachForced
 )
--- a/internal/frontend/amqp/place.go
+++ b/internal/frontend/amqp/place.go
@@ -50,17 +50,17 @@
 
 // addressOf is the address that a client's attach names for the other end: its target's if it is to send,
 // its source's if it is to receive (part 3, sections 3.5.3 and 3.5.4).
-func addressOf(attach perf) string {
+func addressOf(attach Performative) string {
 	at := 6
-	if attach.flag(2) {
+	if attach.Bool(2) {
 		at = 5
 	}
-	d, _ := attach.field(at).(described)
-	fields, _ := d.value.(list)
+	d, _ := attach.Field(at).(Described)
+	fields, _ := d.Value.(List)
 	if len(fields) == 0 {
 		return ""
 	}
-	return text(fields[0])
+	return AsString(fields[0])
 }
 
 // place finds the rule for an attach; nil if none fits.
@@ -75,7 +75,7 @@
 }
 
 // group is what a link shares work by, under a rule.
-func (p *Placement) group(attach perf, address, container string) uint64 {
+func (p *Placement) group(attach Performative, address, container string) uint64 {
 	switch p.Group {
 	case "":
 		return 0
@@ -84,8 +84,8 @@
 	case "container":
 		return keyOf(container)
 	case "link":
-		return keyOf(text(attach.field(0)))
+		return keyOf(AsString(attach.Field(0)))
 	}
-	props, _ := attach.field(13).(mapping)
-	return keyOf(props.get(strings.TrimPrefix(p.Group, propertyOf)))
+	props, _ := attach.Field(13).(Map)
+	return keyOf(props.Get(strings.TrimPrefix(p.Group, propertyOf)))
 }
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -20,7 +20,7 @@
 	if len(payload) > 0 {
 		code += uint64(payload[0] % 4) // accepted, rejected, released, modified
 	}
-	return described{code, list{}}
+	return Described{code, List{}}
 }
 
 // judgesWait is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
@@ -40,29 +40,29 @@
 			count := uint32(0)
 			for {
 				f, err := p.next(judgesWait)
-				if err != nil || f.code == codeEnd {
+				if err != nil || f.Code == CodeEnd {
 					return
 				}
-				switch f.code {
-				case codeAttach:
-					p.Attach(PeerEvent{Handle: f.number(1, 0), attach: f.perf}, 20)
-				case codeTransfer:
+				switch f.Code {
+				case CodeAttach:
+					p.Attach(PeerEvent{Handle: f.Uint32(1, 0), attach: f.Performative}, 20)
+				case CodeTransfer:
 					_ = p.took(false)
-					part = append(part, f.payload...)
-					if f.flag(5) && !f.flag(9) {
+					part = append(part, f.Payload...)
+					if f.Bool(5) && !f.Bool(9) {
 						continue
 					}
-					if !f.flag(9) && !f.flag(4) {
-						p.write(p.channel, perf{codeDisposition, list{true, f.field(1), nil, true, verdictOf(part)}}, nil)
+					if !f.Bool(9) && !f.Bool(4) {
+						p.write(p.channel, Performative{CodeDisposition, List{true, f.Field(1), nil, true, verdictOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
-						p.Credit(f.number(0, 0), count, 20)
+						p.Credit(f.Uint32(0, 0), count, 20)
 					}
-				case codeFlow:
-					_ = p.flowTaken(f.perf)
-				case codeDetach:
-					p.Detach(f.number(0, 0), "")
+				case CodeFlow:
+					_ = p.flowTaken(f.Performative)
+				case CodeDetach:
+					p.Detach(f.Uint32(0, 0), "")
 				}
 			}
 		}()
@@ -106,32 +106,32 @@
 			if err != nil {
 				rt.Fatalf("%v; still to come %v", err, want)
 			}
-			switch f.code {
-			case codeAttach:
-				links[f.number(1, 0)].up = true
-			case codeFlow:
-				if f.field(4) != nil {
-					links[f.number(4, 0)].credit = f.number(5, 0) + f.number(6, 0)
+			switch f.Code {
+			case CodeAttach:
+				links[f.Uint32(1, 0)].up = true
+			case CodeFlow:
+				if f.Field(4) != nil {
+					links[f.Uint32(4, 0)].credit = f.Uint32(5, 0) + f.Uint32(6, 0)
 				}
-			case codeDisposition:
-				for id := f.number(1, 0); id <= f.number(2, f.number(1, 0)); id++ {
+			case CodeDisposition:
+				for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
 					outcome, waits := want[id]
-					if !waits || !f.flag(3) || fmt.Sprint(f.field(4)) != fmt.Sprint(outcome) {
-						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, f.fields, waits, outcome)
+					if !waits || !f.Bool(3) || fmt.Sprint(f.Field(4)) != fmt.Sprint(outcome) {
+						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, f.Fields, waits, outcome)
 					}
 					delete(want, id)
 				}
-			case codeDetach:
-				switch cond, _ := f.condition(2); cond {
+			case CodeDetach:
+				switch cond, _ := f.Condition(2); cond {
 				case "":
-				case condLimit, condForced: // no connection came up in time, or none was heard of: the machine has other things to do
+				case CondResourceLimitExceeded, CondConnectionForced: // no connection came up in time, or none was heard of: the machine has other things to do
 					rt.SkipNow()
 				default:
-					rt.Fatalf("link %d is detached as %s", f.number(0, 0), cond)
+					rt.Fatalf("link %d is detached as %s", f.Uint32(0, 0), cond)
 				}
-				links[f.number(0, 0)] = known{}
+				links[f.Uint32(0, 0)] = known{}
 			default:
-				rt.Fatalf("told %#x %v", f.code, f.fields)
+				rt.Fatalf("told %#x %v", f.Code, f.Fields)
 			}
 		}
 	}
@@ -143,7 +143,7 @@
 			next++
 		}
 		l.coming = more && !aborted
-		c.write(3, perf{codeTransfer, list{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+		c.write(3, Performative{CodeTransfer, List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 		if l.coming {
 			return
 		}
@@ -178,14 +178,14 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := some(func(l known) bool { return !l.up })
-			c.write(3, perf{codeAttach, list{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, described{uint64(0x28), list{"here"}}, described{uint64(0x29), list{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+			c.write(3, Performative{CodeAttach, List{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 			hear(func() bool { return links[i].up && links[i].credit > 0 })
 		},
 		"send": func(rt *rapid.T) {
 			transfer(some(ready), rapid.Bool().Draw(rt, "settled"), false, false, payload())
 		},
 		"send a lot": func(*rapid.T) {
-			transfer(some(ready), false, false, false, bytes.Repeat([]byte{byte(next)}, 3*ourMost/4))
+			transfer(some(ready), false, false, false, bytes.Repeat([]byte{byte(next)}, 3*MaxFrameSize/4))
 		},
 		"begin a piece": func(*rapid.T) {
 			if anyComing() { // deliveries of a session are numbered as they begin, so pieces of two may cross: the standard allows it
@@ -200,7 +200,7 @@
 		"detach": func(*rapid.T) {
 			i := some(func(l known) bool { return l.up && !l.coming })
 			hear(func() bool { return len(want) == 0 }) // an outcome that crosses a detach is the sender's no more
-			c.write(3, perf{codeDetach, list{uint32(i), true}}, nil)
+			c.write(3, Performative{CodeDetach, List{uint32(i), true}}, nil)
 			hear(func() bool { return !links[i].up })
 		},
 	})
@@ -210,16 +210,16 @@
 		}
 	}
 	hear(func() bool { return len(want) == 0 })
-	c.write(0, perf{codeClose, nil}, nil)
+	c.write(0, Performative{CodeClose, nil}, nil)
 }
 
 // FuzzClient sends a front whatever bytes after a sound beginning, and it never falls over: the next client is greeted.
 func FuzzClient(f *testing.F) {
-	begin := appendFrame(nil, frameAMQP, 0, perf{codeBegin, list{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-	attach := appendFrame(nil, frameAMQP, 0, perf{codeAttach, list{"a", uint32(0), false, nil, nil, described{uint64(0x28), list{"h"}}, described{uint64(0x29), list{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
-	send := appendFrame(nil, frameAMQP, 0, perf{codeTransfer, list{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
-	settle := appendFrame(nil, frameAMQP, 0, perf{codeDisposition, list{false, uint32(0), uint32(1 << 31), true}}, nil)
-	end := appendFrame(nil, frameAMQP, 0, perf{codeEnd, nil}, nil)
+	begin := AppendFrame(nil, TypeAMQP, 0, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+	attach := AppendFrame(nil, TypeAMQP, 0, Performative{CodeAttach, List{"a", uint32(0), false, nil, nil, Described{uint64(0x28), List{"h"}}, Described{uint64(0x29), List{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+	send := AppendFrame(nil, TypeAMQP, 0, Performative{CodeTransfer, List{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
+	settle := AppendFrame(nil, TypeAMQP, 0, Performative{CodeDisposition, List{false, uint32(0), uint32(1 << 31), true}}, nil)
+	end := AppendFrame(nil, TypeAMQP, 0, Performative{CodeEnd, nil}, nil)
 	f.Add(bytes.Join([][]byte{begin, attach, send, settle, end, begin}, nil))
 	f.Add(bytes.Join([][]byte{begin, settle, attach, attach}, nil))
 	f.Add([]byte{0, 0, 0, 8, 2, 0, 0, 0})
@@ -230,7 +230,7 @@
 		c := dialRaw(t, r.address)
 		_, _ = c.Write(text)
 		for { // until it has nothing more to say to that
-			if _, err := c.read(frameAMQP, 5*time.Millisecond); err != nil {
+			if _, err := c.read(TypeAMQP, 5*time.Millisecond); err != nil {
 				break
 			}
 		}
--- a/internal/frontend/amqp/server.go
+++ b/internal/frontend/amqp/server.go
@@ -44,8 +44,8 @@
 	sessions int           // that the connection is to have at the most; 0: as any other
 	channels uint16        // highest channel that the server takes
 	idle     time.Duration // that it wants to hear something within
-	attach   perf          // the server's
-	credit   *perf
+	attach   Performative  // the server's
+	credit   *Performative
 	stop     chan struct{}
 	shows    bool     // the relay has shown a certificate
 	tcp      net.Conn // below TLS, if that is there: its end waits for nobody
@@ -63,11 +63,11 @@
 
 // next waits for the server's next frame, for so long at the most; 0: as long as the server gives a sign of life, which on a
 // shared connection its reader sees to.
-func (u *upstream) next(wait time.Duration) (frame, error) {
+func (u *upstream) next(wait time.Duration) (Frame, error) {
 	if u.lane != nil {
 		return u.lane.next(wait)
 	}
-	return u.read(frameAMQP, cmp.Or(wait, serverSilent))
+	return u.read(TypeAMQP, cmp.Or(wait, serverSilent))
 }
 
 // last has the server say what it still has to say within a time.
@@ -114,13 +114,13 @@
 		return err
 	}
 	for {
-		f, err := u.read(frameAMQP, bound)
+		f, err := u.read(TypeAMQP, bound)
 		switch {
 		case err != nil:
 			return err
-		case f.empty:
-		case f.code == codeBegin:
-			return u.begun(f.perf)
+		case f.Empty:
+		case f.Code == CodeBegin:
+			return u.begun(f.Performative)
 		default:
 			return errGreeting
 		}
@@ -186,28 +186,28 @@
 
 // secure passes the security layer.
 func (u *upstream) secure(bound time.Duration) error {
-	if err := u.header(headerSASL); err != nil {
+	if err := u.header(ProtocolHeaderSASL); err != nil {
 		return err
 	}
 	switch h, err := u.readHeader(bound); {
-	case err == nil && h == headerAMQP:
+	case err == nil && h == ProtocolHeaderAMQP:
 		return errOtherLayer
-	case err != nil || h != headerSASL:
+	case err != nil || h != ProtocolHeaderSASL:
 		return errors.Join(err, errGreeting)
 	}
-	f, err := u.read(frameSASL, bound)
-	if err != nil || f.code != codeMechanisms {
+	f, err := u.read(TypeSASL, bound)
+	if err != nil || f.Code != CodeSASLMechanisms {
 		return errors.Join(err, errGreeting)
 	}
-	begin := perf{codeInit, list{symbol(auth.Anonymous), []byte("lockroad")}}
-	if u.shows && offers(f.field(0), auth.External) {
-		begin = perf{codeInit, list{symbol(auth.External), []byte{}}}
+	begin := Performative{CodeSASLInit, List{Symbol(auth.Anonymous), []byte("lockroad")}}
+	if u.shows && offers(f.Field(0), auth.External) {
+		begin = Performative{CodeSASLInit, List{Symbol(auth.External), []byte{}}}
 	}
 	if err := u.sasl(begin); err != nil {
 		return err
 	}
-	f, err = u.read(frameSASL, bound)
-	if err != nil || f.code != codeOutcome || f.number(0, 1) != 0 {
+	f, err = u.read(TypeSASL, bound)
+	if err != nil || f.Code != CodeSASLOutcome || f.Uint32(0, 1) != 0 {
 		return errors.Join(err, errGreeting)
 	}
 	return nil
@@ -215,11 +215,11 @@
 
 // offers tells whether a peer's mechanisms, which are one or an array, have one among them.
 func offers(mechanisms any, name string) bool {
-	all, ok := mechanisms.(array)
+	all, ok := mechanisms.(Array)
 	if !ok {
-		all = array{mechanisms}
+		all = Array{mechanisms}
 	}
-	return slices.ContainsFunc(all, func(v any) bool { return text(v) == name })
+	return slices.ContainsFunc(all, func(v any) bool { return AsString(v) == name })
 }
 
 func (u *upstream) greet(bound time.Duration, plain bool) error {
@@ -228,28 +228,28 @@
 			return err
 		}
 	}
-	if err := u.header(headerAMQP); err != nil {
+	if err := u.header(ProtocolHeaderAMQP); err != nil {
 		return err
 	}
 	switch h, err := u.readHeader(bound); {
-	case err == nil && plain && h == headerSASL:
+	case err == nil && plain && h == ProtocolHeaderSASL:
 		return errOtherLayer
-	case err != nil || h != headerAMQP:
+	case err != nil || h != ProtocolHeaderAMQP:
 		return errors.Join(err, errGreeting)
 	}
-	ours := open("lockroad").with(4, uint32(serverIdle.Milliseconds()))
+	ours := open("lockroad").With(4, uint32(serverIdle.Milliseconds()))
 	if u.sessions > 0 {
-		ours = ours.with(3, uint16(u.sessions-1))
+		ours = ours.With(3, uint16(u.sessions-1))
 	}
 	if err := u.write(0, ours, nil); err != nil {
 		return err
 	}
-	f, err := u.read(frameAMQP, bound)
-	if err != nil || f.code != codeOpen {
+	f, err := u.read(TypeAMQP, bound)
+	if err != nil || f.Code != CodeOpen {
 		return errors.Join(err, errGreeting)
 	}
-	u.idle = u.conn.opened(f.perf)
-	u.channels = uint16(min(f.number(3, math.MaxUint16), math.MaxUint16))
+	u.idle = u.conn.opened(f.Performative)
+	u.channels = uint16(min(f.Uint32(3, math.MaxUint16), math.MaxUint16))
 	return nil
 }
 
@@ -279,12 +279,12 @@
 
 // ask returns what came of the attach at a server.
 func (l *link) ask(ctx context.Context, u *upstream, out proxy.Attempt) balancer.AttemptStatus {
-	props, _ := l.attach.field(13).(mapping)
-	p := l.attach.with(1, uint32(0)).with(13, props.with(propGiveUp, uint32(max(1, out.TimeLeft(ctx).Milliseconds()))))
-	frames := []perf{p}
+	props, _ := l.attach.Field(13).(Map)
+	p := l.attach.With(1, uint32(0)).With(13, props.With(propGiveUp, uint32(max(1, out.TimeLeft(ctx).Milliseconds()))))
+	frames := []Performative{p}
 	may := func() bool { return out.StillPermitted(ctx) }
 	if u.lane != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
-		frames = []perf{u.begin(nil), p}
+		frames = []Performative{u.begin(nil), p}
 		may = func() bool { return out.StillPermitted(ctx) && u.lane.begins() }
 	}
 	switch err := u.sendFirst(ctx, may, frames...); {
@@ -303,31 +303,31 @@
 			return listener.BrokenStatus(ctx, balancer.StatusReset)
 		}
 		switch {
-		case f.empty:
-		case f.code == codeAttach:
-			u.attach = f.perf
-		case f.code == codeFlow:
-			u.flowed(f.perf)
-			if f.number(6, 0) > 0 {
-				u.credit = &f.perf
+		case f.Empty:
+		case f.Code == CodeAttach:
+			u.attach = f.Performative
+		case f.Code == CodeFlow:
+			u.flowed(f.Performative)
+			if f.Uint32(6, 0) > 0 {
+				u.credit = &f.Performative
 			}
-		case f.code == codeDetach:
-			return refused(f.perf, 2)
-		case f.code == codeEnd, f.code == codeClose:
-			return refused(f.perf, 0)
+		case f.Code == CodeDetach:
+			return refused(f.Performative, 2)
+		case f.Code == CodeEnd, f.Code == CodeClose:
+			return refused(f.Performative, 0)
 		default:
 			return balancer.StatusError
 		}
 		// An attach without the terminus that the server owns announces a refusal.
-		if !l.sends && u.attach.field(5) != nil || l.sends && u.attach.field(6) != nil && u.credit != nil {
+		if !l.sends && u.attach.Field(5) != nil || l.sends && u.attach.Field(6) != nil && u.credit != nil {
 			return balancer.StatusOK
 		}
 	}
 }
 
 // refused is the outcome of a pass that a server has turned down.
-func refused(p perf, at int) balancer.AttemptStatus {
-	if cond, _ := p.condition(at); cond == condLimit {
+func refused(p Performative, at int) balancer.AttemptStatus {
+	if cond, _ := p.Condition(at); cond == CondResourceLimitExceeded {
 		return balancer.StatusFull
 	}
 	return balancer.StatusError
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -37,13 +37,13 @@
 }
 
 // write sends a frame of the session.
-func (s *session) write(channel uint16, p perf, payload []byte) error {
+func (s *session) write(channel uint16, p Performative, payload []byte) error {
 	return s.conn.send(channel, p, payload, s.shut)
 }
 
 // sendFirst sends the frames that begin something of the session, in one piece. It waits for others who write on the connection,
 // no longer than ctx; may is asked just before anything goes out.
-func (s *session) sendFirst(ctx context.Context, may func() bool, frames ...perf) error {
+func (s *session) sendFirst(ctx context.Context, may func() bool, frames ...Performative) error {
 	c := s.conn
 	if !c.mu.lockWithin(ctx) {
 		return ctx.Err()
@@ -57,36 +57,36 @@
 	}
 	c.buf = c.buf[:0]
 	for _, p := range frames {
-		c.buf = appendFrame(c.buf, frameAMQP, s.channel, p, nil)
+		c.buf = AppendFrame(c.buf, TypeAMQP, s.channel, p, nil)
 	}
 	return c.flush()
 }
 
 // begin is the relay's begin; remote is the channel it answers, or nil.
-func (s *session) begin(remote any) perf {
-	return perf{codeBegin, list{remote, s.out, uint32(windowMost), uint32(windowMost), uint32(handleMost)}}
+func (s *session) begin(remote any) Performative {
+	return Performative{CodeBegin, List{remote, s.out, uint32(windowMost), uint32(windowMost), uint32(handleMost)}}
 }
 
 // begun takes the peer's begin.
-func (s *session) begun(p perf) error {
-	if err := p.must(1, 2, 3); err != nil {
+func (s *session) begun(p Performative) error {
+	if err := p.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.in, s.window = p.number(1, 0), p.number(2, 0)
+	s.in, s.window = p.Uint32(1, 0), p.Uint32(2, 0)
 	return nil
 }
 
 // flowed takes the session's part of a flow of the peer.
-func (s *session) flowed(p perf) {
+func (s *session) flowed(p Performative) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.over { // it was ended while the flow was in hand
 		return
 	}
 	// What the peer still takes counts from the transfers that it has seen.
-	s.window = p.number(0, 0) + p.number(1, 0) - s.out
+	s.window = p.Uint32(0, 0) + p.Uint32(1, 0) - s.out
 	if int32(s.window) < 0 {
 		s.window = 0
 	}
@@ -141,8 +141,8 @@
 }
 
 // transfer sends a transfer in as many frames as the peer wants.
-func (s *session) transfer(p perf, payload []byte) error {
-	room := s.room(p.with(5, true))
+func (s *session) transfer(p Performative, payload []byte) error {
+	room := s.room(p.With(5, true))
 	for {
 		if err := s.await(); err != nil {
 			return err
@@ -150,7 +150,7 @@
 		if len(payload) <= room {
 			return s.write(s.channel, p, payload)
 		}
-		if err := s.write(s.channel, p.with(5, true), payload[:room]); err != nil {
+		if err := s.write(s.channel, p.With(5, true), payload[:room]); err != nil {
 			return err
 		}
 		payload = payload[room:]
@@ -163,7 +163,7 @@
 	s.mu.Lock()
 	if s.left == 0 {
 		s.mu.Unlock()
-		return fault{condWindow, "more transfers than the window takes"}
+		return ConditionError{CondWindowViolation, "more transfers than the window takes"}
 	}
 	s.in++
 	s.left--
@@ -173,7 +173,7 @@
 	again := s.narrow()
 	s.mu.Unlock()
 	if again {
-		return s.flow(perf{codeFlow, nil})
+		return s.flow(Performative{CodeFlow, nil})
 	}
 	return nil
 }
@@ -191,15 +191,15 @@
 	again := n > 0 && !s.over && s.narrow() && windowMost-s.waiting-s.left >= windowMost/8
 	s.mu.Unlock()
 	if again {
-		s.flow(perf{codeFlow, nil}) // if this fails, the reader sees why
+		s.flow(Performative{CodeFlow, nil}) // if this fails, the reader sees why
 	}
 }
 
 // flow sends a flow: the session's part is the relay's own, the rest as given.
-func (s *session) flow(p perf) error {
+func (s *session) flow(p Performative) error {
 	s.mu.Lock()
 	s.left = windowMost - min(s.waiting, windowMost)
-	p = p.with(0, s.in).with(1, s.left).with(2, s.out).with(3, uint32(windowMost))
+	p = p.With(0, s.in).With(1, s.left).With(2, s.out).With(3, uint32(windowMost))
 	s.mu.Unlock()
 	return s.write(s.channel, p, nil)
 }
@@ -221,32 +221,32 @@
 }
 
 // carry gives a transfer the number that it has in the session it goes to.
-func (d *deliveries) carry(p perf, to *session) (perf, error) {
+func (d *deliveries) carry(p Performative, to *session) (Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.coming {
-		if err := p.must(1); err != nil {
+		if err := p.RequireUint32(1); err != nil {
 			return p, err
 		}
-		d.now = p.number(1, 0)
+		d.now = p.Uint32(1, 0)
 		if _, known := d.far[d.now]; known || len(d.far) >= unsettled {
-			return p, fault{condLimit, "too many deliveries are unsettled, or one has a number twice"}
+			return p, ConditionError{CondResourceLimitExceeded, "too many deliveries are unsettled, or one has a number twice"}
 		}
 		d.there = to.number()
 		d.far[d.now], d.near[d.there] = d.there, d.now
 	}
-	d.coming = p.flag(5) && !p.flag(9)
+	d.coming = p.Bool(5) && !p.Bool(9)
 	if !d.coming {
 		for _, done := range d.waits {
 			close(done)
 		}
 		d.waits = nil
 	}
-	if !d.coming && (p.flag(4) || p.flag(9)) {
+	if !d.coming && (p.Bool(4) || p.Bool(9)) {
 		delete(d.far, d.now)
 		delete(d.near, d.there)
 	}
-	return p.with(1, d.there), nil
+	return p.With(1, d.there), nil
 }
 
 // whole returns a channel that is closed once no delivery is in part.
@@ -264,19 +264,19 @@
 
 // translate turns a disposition into those of the other session. back says that
 // it comes from where the deliveries go to.
-func (d *deliveries) translate(p perf, back bool) []perf {
+func (d *deliveries) translate(p Performative, back bool) []Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from, to := d.far, d.near
 	if back {
 		from, to = d.near, d.far
 	}
-	first := p.number(1, 0)
-	span := p.number(2, first) - first
-	var out []perf
+	first := p.Uint32(1, 0)
+	span := p.Uint32(2, first) - first
+	var out []Performative
 	pass := func(here, there uint32) {
-		out = append(out, p.with(1, there).with(2, there))
-		if p.flag(3) {
+		out = append(out, p.With(1, there).With(2, there))
+		if p.Bool(3) {
 			delete(from, here)
 			delete(to, there)
 		}
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -21,16 +21,16 @@
 	}
 	s := newSession(c, 0)
 	for {
-		f, err := c.read(frameAMQP, serverWait)
+		f, err := c.read(TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
-		if f.code != codeAttach {
+		if f.Code != CodeAttach {
 			opened(c, s, f)
 			continue
 		}
-		c.write(0, f.with(1, uint32(0)).with(2, !f.flag(2)).with(9, nil).with(13, nil), nil)
-		s.flow(perf{codeFlow, list{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
+		c.write(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+		s.flow(Performative{CodeFlow, List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
 		return
 	}
--- a/internal/frontend/amqp/trunks.go
+++ b/internal/frontend/amqp/trunks.go
@@ -166,7 +166,7 @@
 
 // leave closes a trunk in good order, without waiting for the server for long.
 func (tr *trunk) leave() {
-	tr.mux.write(0, perf{codeClose, nil}, nil)
+	tr.mux.write(0, Performative{CodeClose, nil}, nil)
 	_ = tr.mux.CloseWrite()
 	select {
 	case <-tr.stop:
