--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
 	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzChunks$$' -fuzztime $(FUZZTIME) ./internal/discovery
-	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
+	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp/framing
 	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime $(FUZZTIME) ./internal/sexp
 
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -16,6 +16,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/testutil"
 )
 
@@ -75,7 +77,7 @@
 	go c.beat(time.Second, stop) // it lives all the while
 	sessions := make(map[uint16]*session)
 	for {
-		f, err := c.read(TypeAMQP, time.Minute)
+		f, err := c.read(framing.TypeAMQP, time.Minute)
 		d.mu.Lock()
 		if err != nil {
 			d.err = err
@@ -83,21 +85,21 @@
 			return
 		}
 		switch f.Code {
-		case CodeOpen:
+		case framing.CodeOpen:
 			c.opened(f.Performative)
 			c.write(0, open("dam").With(3, uint16(7)), nil)
-		case CodeBegin:
+		case framing.CodeBegin:
 			d.begun++
 			s := newSession(c, f.Channel)
 			_ = s.begun(f.Performative)
 			sessions[f.Channel] = s
 			c.write(f.Channel, s.begin(f.Channel).With(2, d.window), nil)
-		case CodeAttach:
-			d.attached = append(d.attached, AsString(f.Field(0)))
+		case framing.CodeAttach:
+			d.attached = append(d.attached, codec.AsString(f.Field(0)))
 			s := sessions[f.Channel]
 			s.write(f.Channel, f.Performative.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-			s.write(f.Channel, Performative{CodeFlow, List{uint32(0), d.window, uint32(0), uint32(windowMost), f.Field(1), uint32(0), uint32(50000)}}, nil)
-		case CodeTransfer:
+			s.write(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), d.window, uint32(0), uint32(windowMost), f.Field(1), uint32(0), uint32(50000)}}, nil)
+		case framing.CodeTransfer:
 			if !bytes.Contains(f.Payload, damPage) {
 				d.err = errors.New("a delivery is not what its client has sent")
 			}
@@ -190,20 +192,20 @@
 			r, f, first := damRig(t, d)
 			flood(t, f, first)
 			second := dialRaw(t, r.address).begin()
-			second.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(60000)})
+			second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(60000)})
 			testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 			switch c {
 			case "the client leaves":
-				second.write(3, Performative{CodeDetach, List{uint32(1), true}}, nil)
+				second.write(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
-				second.until(CodeDetach, 2, CondInvalidField, 3*time.Second)
+				second.until(framing.CodeDetach, 2, framing.CondInvalidField, 3*time.Second)
 				testutil.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
 				d.let()
 			case "the server drains":
 				r.list(balancer.StateDraining, 0)
 				d.let()
-				second.want(CodeAttach, 0, "")
-				second.want(CodeDetach, 2, CondResourceLimitExceeded)
+				second.want(framing.CodeAttach, 0, "")
+				second.want(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
 			case "the relay ends":
 				began := time.Now()
 				r.end()
@@ -235,13 +237,13 @@
 	served.Go(func() { serveAll(t, l, wire{server: other.serve}, r.script) })
 	second := dialRaw(t, r.address).begin()
 	// Its group's route leads to the first server, as the first link's does.
-	props := Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(3000), Symbol(propGroup), AsString(linkProperties()[propGroup])}
+	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
 	testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
 	began := time.Now()
-	second.want(CodeAttach, 0, "")
-	second.want(CodeFlow, 0, "")
+	second.want(framing.CodeAttach, 0, "")
+	second.want(framing.CodeFlow, 0, "")
 	if took := time.Since(began); took > 2800*time.Millisecond {
 		t.Errorf("it is up after %v", took)
 	}
@@ -262,11 +264,11 @@
 	d := newDam(t, 2, 10000)
 	r, f, first := damRig(t, d)
 	second := dialRaw(t, r.address).begin()
-	second.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(60000)})
-	second.want(CodeAttach, 0, "")
-	second.want(CodeFlow, 0, "")
+	second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(60000)})
+	second.want(framing.CodeAttach, 0, "")
+	second.want(framing.CodeFlow, 0, "")
 	flood(t, f, first)
-	second.until(CodeDetach, 2, CondConnectionForced, 2*writeMost)
+	second.until(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeMost)
 	d.let()
 	<-d.over
 	if !errors.Is(d.err, io.EOF) && !errors.Is(d.err, io.ErrUnexpectedEOF) && !errors.Is(d.err, syscall.ECONNRESET) {
@@ -288,7 +290,7 @@
 	var end *client10.LinkError
 	for err := error(nil); ; {
 		if err = first.Send(ctx, client10.NewMessage(damPage), nil); err != nil {
-			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != CondDetachForced {
+			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != framing.CondDetachForced {
 				t.Fatalf("its client is told %v", err)
 			}
 			break
@@ -306,12 +308,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	attach := Performative{CodeAttach, List{"second", uint32(0), false}}
+	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"second", uint32(0), false}}
 	if err := u.sendFirst(t.Context(), u.lane.begins, u.begin(nil), attach); err != nil {
 		t.Fatal(err)
 	}
-	var f Frame
-	for f.Code != CodeFlow {
+	var f framing.Frame
+	for f.Code != framing.CodeFlow {
 		if f, err = u.next(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/frontend/amqp/both_test.go
+++ b/internal/frontend/amqp/both_test.go
@@ -19,6 +19,8 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/frontend/line"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
@@ -131,7 +133,7 @@
 	{name: "amqp", front: func(k *proxy.Proxy, seats int) server {
 		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 	}, server: amqpServer, open: amqpOpen, hasty: amqpHasty,
-		slow: []string{string(ProtocolHeaderAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(ProtocolHeaderAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
+		slow: []string{string(framing.ProtocolHeaderAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(framing.ProtocolHeaderAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
 }
 
 func lineServer(t testing.TB, c *net.TCPConn, s *script) {
@@ -224,12 +226,12 @@
 
 func amqpHasty(t *testing.T, address string) string {
 	c := dialRaw(t, address).begin()
-	c.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(1200)})
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(1200)})
 	for i := range uint32(200) {
-		c.write(3, Performative{CodeTransfer, List{uint32(1), i, []byte("t")}}, nil)
+		c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), i, []byte("t")}}, nil)
 	}
-	c.want(CodeAttach, 0, "")
-	c.want(CodeDetach, 2, CondTransferLimitExceeded)
+	c.want(framing.CodeAttach, 0, "")
+	c.want(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
 	return "failed"
 }
 
@@ -243,36 +245,36 @@
 	if err != nil {
 		return nil, false
 	}
-	if h != ProtocolHeaderSASL {
+	if h != framing.ProtocolHeaderSASL {
 		t.Errorf("a server was greeted with %q", h)
 	}
-	c.header(ProtocolHeaderSASL)
-	want, offered := "ANONYMOUS", Array{Symbol("ANONYMOUS")}
+	c.header(framing.ProtocolHeaderSASL)
+	want, offered := "ANONYMOUS", codec.Array{codec.Symbol("ANONYMOUS")}
 	if _, is := tcp.(*tls.Conn); is { // to which the relay has shown a certificate
-		want, offered = "EXTERNAL", Array{Symbol("EXTERNAL"), Symbol("ANONYMOUS")}
+		want, offered = "EXTERNAL", codec.Array{codec.Symbol("EXTERNAL"), codec.Symbol("ANONYMOUS")}
 	}
-	c.sasl(Performative{CodeSASLMechanisms, List{offered}})
-	f, err := c.read(TypeSASL, serverWait)
+	c.sasl(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
+	f, err := c.read(framing.TypeSASL, serverWait)
 	if err != nil {
 		return nil, false // the relay may give a pass up at any time, as of a client that has gone
 	}
-	if f.Code != CodeSASLInit || AsString(f.Field(0)) != want {
+	if f.Code != framing.CodeSASLInit || codec.AsString(f.Field(0)) != want {
 		t.Errorf("a server got %v for an init", f)
 		return nil, false
 	}
-	c.sasl(Performative{CodeSASLOutcome, List{uint8(0)}})
+	c.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 	_, _ = c.readHeader(serverWait)
-	c.header(ProtocolHeaderAMQP)
+	c.header(framing.ProtocolHeaderAMQP)
 	return c, true
 }
 
 // opened answers the frames that open a stand-in's connection and its session.
-func opened(c *conn, s *session, f Frame) {
+func opened(c *conn, s *session, f framing.Frame) {
 	switch f.Code {
-	case CodeOpen:
+	case framing.CodeOpen:
 		c.opened(f.Performative)
 		c.write(0, open("server"), nil)
-	case CodeBegin:
+	case framing.CodeBegin:
 		_ = s.begun(f.Performative)
 		c.write(0, s.begin(uint16(0)), nil)
 	}
@@ -288,49 +290,49 @@
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.read(TypeAMQP, serverWait)
+		f, err := c.read(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
 		switch f.Code {
-		case CodeOpen, CodeBegin:
+		case framing.CodeOpen, framing.CodeBegin:
 			opened(c, session, f)
-		case CodeAttach:
+		case framing.CodeAttach:
 			if !amqpAttached(t, c, session, f.Performative, s) {
 				return
 			}
-		case CodeTransfer:
+		case framing.CodeTransfer:
 			if f.Bool(5) {
 				continue
 			}
-			c.write(0, Performative{CodeDisposition, List{true, f.Field(1), nil, true, Described{uint64(0x24), List{}}}}, nil)
-		case CodeDetach:
-			c.write(0, Performative{CodeDetach, List{uint32(0), true}}, nil)
-		case CodeClose:
+			c.write(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+		case framing.CodeDetach:
+			c.write(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
+		case framing.CodeClose:
 			return
 		}
 	}
 }
 
 // amqpAttached tells whether the connection goes on.
-func amqpAttached(t testing.TB, c *conn, session *session, p Performative, s *script) bool {
-	props, _ := p.Field(13).(Map)
-	ms, _ := AsUint64(props.Get(propGiveUp))
+func amqpAttached(t testing.TB, c *conn, session *session, p framing.Performative, s *script) bool {
+	props, _ := p.Field(13).(codec.Map)
+	ms, _ := codec.AsUint64(props.Get(propGiveUp))
 	s.told(time.Duration(ms) * time.Millisecond)
 	act := s.next(t, c.LocalAddr())
 	reply := p.With(1, uint32(0)).With(2, !p.Bool(2)).With(9, nil).With(13, nil)
 	end := func(cond string) bool {
 		var e any
 		if cond != "" {
-			e = NewErrorValue(cond, "as the case has it", nil)
+			e = framing.NewErrorValue(cond, "as the case has it", nil)
 		}
-		c.write(0, Performative{CodeDetach, List{uint32(0), true, e}}, nil)
+		c.write(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true, e}}, nil)
 		return true
 	}
 	up := func() {
 		s.answered()
 		c.write(0, reply, nil)
-		session.flow(Performative{CodeFlow, List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
+		session.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
 	}
 	switch act {
 	case accept:
@@ -338,11 +340,11 @@
 	case busy:
 		s.answered()
 		c.write(0, reply.With(6, nil), nil)
-		return end(CondResourceLimitExceeded)
+		return end(framing.CondResourceLimitExceeded)
 	case fault1:
 		s.answered()
 		c.write(0, reply.With(6, nil), nil)
-		return end(CondInternalError)
+		return end(framing.CondInternalError)
 	case hang, noCredit:
 		if act == noCredit {
 			c.write(0, reply, nil)
@@ -359,7 +361,7 @@
 		return end("")
 	case sendAway:
 		up()
-		return end(CondDetachForced)
+		return end(framing.CondDetachForced)
 	case dies:
 		up()
 		c.socket.(*net.TCPConn).SetLinger(0)
@@ -385,7 +387,7 @@
 	switch {
 	case err != nil && !errors.As(err, &end):
 		return "lost", false, nil
-	case err != nil && end.Condition == client10.ErrCond(CondResourceLimitExceeded):
+	case err != nil && end.Condition == client10.ErrCond(framing.CondResourceLimitExceeded):
 		_, told := end.Info[infoBack]
 		return "unavailable", told, nil
 	case err != nil:
@@ -398,11 +400,11 @@
 			switch {
 			case err == nil:
 				continue
-			case !errors.As(err, &gone) || gone.RemoteErr != nil && gone.RemoteErr.Condition == client10.ErrCond(CondConnectionForced):
+			case !errors.As(err, &gone) || gone.RemoteErr != nil && gone.RemoteErr.Condition == client10.ErrCond(framing.CondConnectionForced):
 				return "broken"
 			case gone.RemoteErr == nil:
 				return "ended"
-			case gone.RemoteErr.Condition == client10.ErrCond(CondDetachForced):
+			case gone.RemoteErr.Condition == client10.ErrCond(framing.CondDetachForced):
 				return "moved"
 			}
 			return gone.Error()
--- a/internal/frontend/amqp/codec.go
+++ b/internal/frontend/amqp/codec/codec.go
@@ -1,6 +1,6 @@
 // Package amqp speaks AMQP 1.0 with clients and application servers. A client's
 // link is one transaction; the frames of one that is up pass both ways.
-package amqp
+package codec
 
 import (
 	"encoding/binary"
@@ -89,6 +89,14 @@
 	return 0, false
 }
 
+// Decode reads one value off the front of data and returns what follows it. Its errors wrap ErrDecode. Values of
+// variable width are copied: the result keeps no reference to data.
+func Decode(data []byte) (value any, rest []byte, err error) {
+	d := decoder{rest: data}
+	value, err = d.decodeValue()
+	return value, d.rest, err
+}
+
 // decoder takes values off the front of some bytes.
 type decoder struct {
 	rest  []byte
--- a/internal/frontend/amqp/codec_test.go
+++ b/internal/frontend/amqp/codec/codec_test.go
@@ -1,4 +1,4 @@
-package amqp
+package codec
 
 import (
 	"bytes"
@@ -61,30 +61,3 @@
 		}
 	}
 }
-
-// Whatever comes in, reading it doesn't panic, and what was read once is read
-// again the same after it was written.
-func FuzzFrame(f *testing.F) {
-	for text := range encodings {
-		f.Add([]byte("\x02\x00\x00\x00" + text))
-	}
-	f.Add(AppendFrame(nil, TypeAMQP, 1, open("x"), []byte("payload"))[4:])
-	f.Add(AppendFrame(nil, TypeAMQP, 1, Performative{CodeClose, List{NewErrorValue(CondResourceLimitExceeded, "why", Map{Symbol("a"), uint32(1)})}}, nil)[4:])
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if len(b) < 4 || len(b) > MaxFrameSize {
-			return
-		}
-		first, err := ParseFrame(b)
-		if err != nil || first.Empty {
-			return
-		}
-		again, err := ParseFrame(AppendFrame(nil, TypeAMQP, first.Channel, first.Performative, first.Payload)[4:])
-		if err != nil {
-			t.Fatalf("what was read can't be read again: %v", err)
-		}
-		one, two := Append(nil, first.Fields), Append(nil, again.Fields)
-		if first.Code != again.Code || !bytes.Equal(one, two) || !bytes.Equal(first.Payload, again.Payload) {
-			t.Errorf("%#v came back as %#v", first, again)
-		}
-	})
-}
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -19,6 +19,8 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 var update = flag.Bool("update", false, "write docs/amqp-conformance.md anew")
@@ -36,11 +38,11 @@
 // seenAt records what the front says to a server, which accepts links with some credit.
 type seenAt struct {
 	mu     sync.Mutex
-	frames []Frame
-	open   Performative // that it says itself; zero: the usual
+	frames []framing.Frame
+	open   framing.Performative // that it says itself; zero: the usual
 	window uint32
 	credit uint32
-	reply  func(c *conn, s *session, f Frame) bool // more that it does; true: nothing else is done
+	reply  func(c *conn, s *session, f framing.Frame) bool // more that it does; true: nothing else is done
 }
 
 func (s *seenAt) serve(t testing.TB, tcp *net.TCPConn, _ *script) {
@@ -50,7 +52,7 @@
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.read(TypeAMQP, serverWait)
+		f, err := c.read(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
@@ -61,37 +63,37 @@
 			continue
 		}
 		switch f.Code {
-		case CodeOpen:
+		case framing.CodeOpen:
 			c.opened(f.Performative)
 			o := open("server")
 			if s.open.Code != 0 {
 				o = s.open
 			}
 			c.write(0, o, nil)
-		case CodeBegin:
+		case framing.CodeBegin:
 			_ = session.begun(f.Performative)
 			b := session.begin(uint16(0))
 			if s.window > 0 {
 				b = b.With(2, s.window)
 			}
 			c.write(0, b, nil)
-		case CodeAttach:
+		case framing.CodeAttach:
 			c.write(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
 			if !f.Bool(2) {
-				c.write(0, Performative{CodeFlow, List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
+				c.write(0, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
 			}
-		case CodeTransfer:
+		case framing.CodeTransfer:
 			if !f.Bool(5) && !f.Bool(4) && !f.Bool(9) {
-				c.write(0, Performative{CodeDisposition, List{true, f.Field(1), nil, true, Described{uint64(0x24), List{}}}}, nil)
+				c.write(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 			}
-		case CodeDetach:
-			c.write(0, Performative{CodeDetach, List{uint32(0), true}}, nil)
+		case framing.CodeDetach:
+			c.write(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		}
 	}
 }
 
 // of waits until a server was told a performative, and returns all of those so far.
-func (s *seenAt) of(code uint64, least int) (all []Frame, err error) {
+func (s *seenAt) of(code uint64, least int) (all []framing.Frame, err error) {
 	for late := time.Now().Add(3 * time.Second); ; time.Sleep(time.Millisecond) { // a poll with a bound
 		s.mu.Lock()
 		all = nil
@@ -118,11 +120,11 @@
 	return dialRaw(t, newRig(t, w, 1, nil).address)
 }
 
-var rawProps = Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(900)}
+var rawProps = codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(900)}
 
 // link attaches a link that is to send or to receive, and waits until it is up.
-func (c *raw) link(sends bool, fields ...func(Performative) Performative) (Performative, error) {
-	p := Performative{CodeAttach, List{"a link", uint32(1), !sends, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, nil, nil, nil, nil, rawProps}}
+func (c *raw) link(sends bool, fields ...func(framing.Performative) framing.Performative) (framing.Performative, error) {
+	p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), !sends, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, nil, nil, nil, nil, rawProps}}
 	if sends {
 		p = p.With(9, uint32(0))
 	}
@@ -131,12 +133,12 @@
 	}
 	c.write(3, p, nil)
 	f, err := c.frame()
-	if err != nil || f.Code != CodeAttach {
+	if err != nil || f.Code != framing.CodeAttach {
 		return f.Performative, fmt.Errorf("an attach is answered with %#x, %v", f.Code, err)
 	}
 	reply := f.Performative
 	if sends {
-		if f, err = c.frame(); err != nil || f.Code != CodeFlow {
+		if f, err = c.frame(); err != nil || f.Code != framing.CodeFlow {
 			return reply, fmt.Errorf("no credit follows the attach: %#x, %v", f.Code, err)
 		}
 	}
@@ -144,9 +146,9 @@
 }
 
 // frame waits for a frame with a body.
-func (c *raw) frame() (Frame, error) {
+func (c *raw) frame() (framing.Frame, error) {
 	for {
-		if f, err := c.read(TypeAMQP, 3*time.Second); err != nil || !f.Empty {
+		if f, err := c.read(framing.TypeAMQP, 3*time.Second); err != nil || !f.Empty {
 			return f, err
 		}
 	}
@@ -181,7 +183,7 @@
 }
 
 func (c *raw) send(id uint32, settled bool, more, aborted bool, payload []byte) {
-	c.write(3, Performative{CodeTransfer, List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+	c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 }
 
 func same(what string, got, want any) error {
@@ -196,7 +198,7 @@
 	return func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
 		_, _ = c.Write(text)
-		return c.told(CodeClose, 0, cond)
+		return c.told(framing.CodeClose, 0, cond)
 	}
 }
 
@@ -211,26 +213,26 @@
 		_, _ = tcp.Write([]byte("AMQP\x00\x00\x09\x01"))
 		tcp.SetReadDeadline(time.Now().Add(3 * time.Second))
 		got, err := io.ReadAll(tcp)
-		return errors.Join(err, same("answer", got, ProtocolHeaderAMQP[:]))
+		return errors.Join(err, same("answer", got, framing.ProtocolHeaderAMQP[:]))
 	}},
 	{"2.3.1", "client", "an extended frame header is passed over", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		b := AppendFrame(nil, TypeAMQP, 3, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		b := framing.AppendFrame(nil, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		long := append([]byte{0, 0, 0, byte(len(b) + 4), 3, 0, 0, 3, 1, 2, 3, 4}, b[8:]...)
 		_, _ = c.Write(long)
-		return c.told(CodeBegin, 0, "")
+		return c.told(framing.CodeBegin, 0, "")
 	}},
-	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, CondFramingError)},
-	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, CondFramingError)},
-	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, CondDecodeError)},
+	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, framing.CondFramingError)},
+	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, framing.CondFramingError)},
+	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, framing.CondDecodeError)},
 	{"2.4.1", "client", "the open tells a container, and limits that the standard allows", func(t *testing.T) error {
-		c, err := hello(t, ProtocolHeaderAMQP)
+		c, err := hello(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
 		c.write(0, open("raw"), nil)
-		f, err := c.read(TypeAMQP, time.Second)
-		if err != nil || f.Code != CodeOpen || AsString(f.Field(0)) == "" || f.Uint32(2, 0) < MinMaxFrameSize || f.Uint32(4, 0) == 0 {
+		f, err := c.read(framing.TypeAMQP, time.Second)
+		if err != nil || f.Code != framing.CodeOpen || codec.AsString(f.Field(0)) == "" || f.Uint32(2, 0) < framing.MinMaxFrameSize || f.Uint32(4, 0) == 0 {
 			return fmt.Errorf("the open is %v, %v", f.Performative, err)
 		}
 		return nil
@@ -243,48 +245,48 @@
 			return err
 		}
 		defer tcp.Close()
-		b := append([]byte{}, ProtocolHeaderAMQP[:]...)
-		b = AppendFrame(b, TypeAMQP, 0, open("raw"), nil)
-		b = AppendFrame(b, TypeAMQP, 3, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-		b = AppendFrame(b, TypeAMQP, 3, Performative{CodeAttach, List{"a link", uint32(1), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		b := append([]byte{}, framing.ProtocolHeaderAMQP[:]...)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 0, open("raw"), nil)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = tcp.Write(b)
 		c := &raw{newConn(tcp.(*net.TCPConn)), t}
 		_, _ = c.readHeader(time.Second)
-		return errors.Join(c.told(CodeOpen, 9, ""), c.told(CodeBegin, 9, ""), c.told(CodeAttach, 9, ""), c.told(CodeFlow, 99, ""))
+		return errors.Join(c.told(framing.CodeOpen, 9, ""), c.told(framing.CodeBegin, 9, ""), c.told(framing.CodeAttach, 9, ""), c.told(framing.CodeFlow, 99, ""))
 	}},
 	{"2.4.3", "client", "a close is answered with a close", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(0, Performative{CodeClose, nil}, nil)
-		return c.told(CodeClose, 0, "")
+		c.write(0, framing.Performative{Code: framing.CodeClose}, nil)
+		return c.told(framing.CodeClose, 0, "")
 	}},
 	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
-		c, err := hello(t, ProtocolHeaderAMQP)
+		c, err := hello(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
 		c.write(0, open("idle").With(4, uint32(600)), nil)
 		for beats := 0; beats < 3; {
-			f, err := c.read(TypeAMQP, 600*time.Millisecond)
+			f, err := c.read(framing.TypeAMQP, 600*time.Millisecond)
 			if err != nil {
 				return err
 			}
 			if f.Empty {
 				beats++
-				c.write(0, Performative{}, nil)
+				c.write(0, framing.Performative{}, nil)
 			}
 		}
 		return nil
 	}},
 	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(3, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		c.write(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		f, err := c.frame()
 		return errors.Join(err, same("remote-channel", f.Uint32(0, 99), uint32(3)))
 	}},
 	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.write(3, Performative{CodeEnd, nil}, nil)
-		if err := c.told(CodeEnd, 0, ""); err != nil {
+		c.write(3, framing.Performative{Code: framing.CodeEnd}, nil)
+		if err := c.told(framing.CodeEnd, 0, ""); err != nil {
 			return err
 		}
 		c.begin()
@@ -292,9 +294,9 @@
 	}},
 	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.write(3, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
+		c.write(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
 		f, err := c.frame()
-		if err != nil || f.Code != CodeFlow || f.RequireUint32(0, 1, 2, 3) != nil {
+		if err != nil || f.Code != framing.CodeFlow || f.RequireUint32(0, 1, 2, 3) != nil {
 			return fmt.Errorf("echoed %#x %v, %v", f.Code, f.Fields, err)
 		}
 		return nil
@@ -308,7 +310,7 @@
 		if _, err := c.link(true); err != nil {
 			return err
 		}
-		big := bytes.Repeat([]byte("n"), MaxFrameSize/2)
+		big := bytes.Repeat([]byte("n"), framing.MaxFrameSize/2)
 		for i := range uint32(3 * windowMost) {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
 			c.send(i, true, false, false, big)
@@ -318,15 +320,15 @@
 			if err != nil {
 				return err
 			}
-			if cond, _ := f.Condition(0); f.Code == CodeEnd {
-				return same("condition", cond, CondWindowViolation)
+			if cond, _ := f.Condition(0); f.Code == framing.CodeEnd {
+				return same("condition", cond, framing.CondWindowViolation)
 			}
 		}
 	}},
 	{"2.6.2", "client", "a handle without a link ends the session", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
 		c.send(0, false, false, false, nil)
-		return c.told(CodeEnd, 0, CondUnattachedHandle)
+		return c.told(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 	}},
 	{"2.6.2", "client", "a handle that is in use ends the session", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
@@ -334,20 +336,20 @@
 			return err
 		}
 		c.attach(1, rawProps)
-		return c.told(CodeEnd, 0, CondHandleInUse)
+		return c.told(framing.CodeEnd, 0, framing.CondHandleInUse)
 	}},
 	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
 		reply, err := rawAt(t, &seenAt{}).begin().link(true)
-		return errors.Join(err, same("name", AsString(reply.Field(0)), "a link"), same("role", reply.Field(2), true), same("handle", reply.Uint32(1, 99), uint32(1)))
+		return errors.Join(err, same("name", codec.AsString(reply.Field(0)), "a link"), same("role", reply.Field(2), true), same("handle", reply.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
 		c.attach(1, nil)
 		f, err := c.frame()
-		if err != nil || f.Code != CodeAttach || f.Field(6) != nil {
+		if err != nil || f.Code != framing.CodeAttach || f.Field(6) != nil {
 			return fmt.Errorf("told %#x with the target %v, %v", f.Code, f.Field(6), err)
 		}
-		return c.told(CodeDetach, 2, CondInvalidField)
+		return c.told(framing.CodeDetach, 2, framing.CondInvalidField)
 	}},
 	{"2.6.5", "client", "a detach is answered with a detach, and the handle and the name are free again", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
@@ -355,8 +357,8 @@
 			if _, err := c.link(true); err != nil {
 				return err
 			}
-			c.write(3, Performative{CodeDetach, List{uint32(1), true}}, nil)
-			if err := c.told(CodeDetach, 2, ""); err != nil {
+			c.write(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
+			if err := c.told(framing.CodeDetach, 2, ""); err != nil {
 				return err
 			}
 		}
@@ -364,7 +366,7 @@
 	}},
 	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
 		grants := rawAt(t, &seenAt{credit: 7}).begin()
-		grants.write(3, Performative{CodeAttach, List{"a link", uint32(1), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		grants.write(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = grants.frame()
 		granted, err := grants.frame()
 		if err := errors.Join(err, same("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
@@ -375,8 +377,8 @@
 		if _, err := c.link(false); err != nil {
 			return err
 		}
-		c.write(3, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
-		flows, err := s.of(CodeFlow, 1)
+		c.write(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
+		flows, err := s.of(framing.CodeFlow, 1)
 		if err != nil {
 			return err
 		}
@@ -392,10 +394,10 @@
 		c.send(0, false, true, false, []byte("a"))
 		c.send(0, false, true, false, []byte("b"))
 		c.send(0, false, false, false, []byte("c"))
-		if err := c.told(CodeDisposition, 99, ""); err != nil {
+		if err := c.told(framing.CodeDisposition, 99, ""); err != nil {
 			return err
 		}
-		all, err := s.of(CodeTransfer, 3)
+		all, err := s.of(framing.CodeTransfer, 3)
 		whole := ""
 		for _, f := range all {
 			whole += string(f.Payload)
@@ -412,29 +414,29 @@
 		c.send(0, false, true, false, []byte("a"))
 		c.send(0, false, false, true, nil)
 		c.send(1, false, false, false, []byte("b"))
-		all, err := s.of(CodeTransfer, 3)
+		all, err := s.of(framing.CodeTransfer, 3)
 		if err != nil {
 			return err
 		}
-		return errors.Join(same("aborted", all[1].Bool(9), true), same("next", string(all[2].Payload), "b"), c.told(CodeDisposition, 99, ""))
+		return errors.Join(same("aborted", all[1].Bool(9), true), same("next", string(all[2].Payload), "b"), c.told(framing.CodeDisposition, 99, ""))
 	}},
 	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(channelMost+1, Performative{CodeBegin, List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-		return c.told(CodeClose, 0, CondFramingError)
+		c.write(channelMost+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+		return c.told(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
 		c.attach(handleMost+1, rawProps)
-		return c.told(CodeClose, 0, CondFramingError)
+		return c.told(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
 		s := &seenAt{}
-		reply, err := rawAt(t, s).begin().link(true, func(p Performative) Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
+		reply, err := rawAt(t, s).begin().link(true, func(p framing.Performative) framing.Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
 		if err != nil {
 			return err
 		}
-		all, err := s.of(CodeAttach, 1)
+		all, err := s.of(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
@@ -452,16 +454,16 @@
 		if err != nil {
 			return err
 		}
-		all, err := s.of(CodeTransfer, 2)
+		all, err := s.of(framing.CodeTransfer, 2)
 		return errors.Join(err, same("settled", all[0].Bool(4), true), same("disposition of", f.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
-		s := &seenAt{reply: func(c *conn, _ *session, f Frame) bool {
-			if f.Code != CodeFlow || f.Field(4) == nil {
+		s := &seenAt{reply: func(c *conn, _ *session, f framing.Frame) bool {
+			if f.Code != framing.CodeFlow || f.Field(4) == nil {
 				return false
 			}
 			for i := range uint32(3) {
-				c.write(0, Performative{CodeTransfer, List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
+				c.write(0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
 			}
 			return true
 		}}
@@ -469,16 +471,16 @@
 		if _, err := c.link(false); err != nil {
 			return err
 		}
-		c.write(3, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
+		c.write(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
 		for range 3 {
-			if err := c.told(CodeTransfer, 99, ""); err != nil {
+			if err := c.told(framing.CodeTransfer, 99, ""); err != nil {
 				return err
 			}
 		}
-		c.write(3, Performative{CodeDisposition, List{true, uint32(0), uint32(2), true, Described{uint64(0x24), List{}}}}, nil)
+		c.write(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 		var settled []uint32
 		for len(settled) < 3 {
-			all, err := s.of(CodeDisposition, 1)
+			all, err := s.of(framing.CodeDisposition, 1)
 			if err != nil {
 				return err
 			}
@@ -497,23 +499,23 @@
 		if _, err := c.link(true); err != nil {
 			return err
 		}
-		message := Append(Append(nil, Described{uint64(0x72), Map{Symbol("x-opt-odd"), int64(-3)}}), Described{uint64(0x75), []byte("body")})
+		message := codec.Append(codec.Append(nil, codec.Described{Descriptor: uint64(0x72), Value: codec.Map{codec.Symbol("x-opt-odd"), int64(-3)}}), codec.Described{Descriptor: uint64(0x75), Value: []byte("body")})
 		message = append(message, 0, 0x80, 0, 0, 0, 0, 0, 0, 0, 0x78, 0xd1, 0, 0, 0, 4, 0, 0, 0, 0) // a footer in its widest form
 		c.send(0, false, false, false, message)
-		all, err := s.of(CodeTransfer, 1)
+		all, err := s.of(framing.CodeTransfer, 1)
 		if err != nil {
 			return err
 		}
 		return same("message", all[0].Payload, message)
 	}},
 	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
-		outcomes := []any{Described{uint64(0x24), List{}}, Described{uint64(0x25), List{NewErrorValue("amqp:not-found", "no such score", nil)}}, Described{uint64(0x26), List{}},
-			Described{uint64(0x27), List{true, false, Map{Symbol("why"), "x"}}}}
-		s := &seenAt{reply: func(c *conn, _ *session, f Frame) bool {
-			if f.Code == CodeTransfer {
-				c.write(0, Performative{CodeDisposition, List{true, f.Field(1), nil, true, outcomes[f.Uint32(1, 0)]}}, nil)
+		outcomes := []any{codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}, codec.Described{Descriptor: uint64(0x25), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(0x26), Value: codec.List{}},
+			codec.Described{Descriptor: uint64(0x27), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
+		s := &seenAt{reply: func(c *conn, _ *session, f framing.Frame) bool {
+			if f.Code == framing.CodeTransfer {
+				c.write(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, outcomes[f.Uint32(1, 0)]}}, nil)
 			}
-			return f.Code == CodeTransfer
+			return f.Code == framing.CodeTransfer
 		}}
 		c := rawAt(t, s).begin()
 		if _, err := c.link(true); err != nil {
@@ -530,64 +532,64 @@
 	}},
 	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
 		s := &seenAt{}
-		source := Described{uint64(0x28), List{nil, uint32(2), Symbol("never"), uint32(60), true, Map{Symbol("lifetime-policy"), Described{uint64(0x2b), List{}}}, Symbol("copy"),
-			Map{Symbol("sel"), Described{Symbol("apache.org:selector-filter:string"), "a = 1"}}, nil, Array{Symbol("amqp:accepted:list")}, Array{Symbol("queue")}}}
-		if _, err := rawAt(t, s).begin().link(false, func(p Performative) Performative { return p.With(5, source) }); err != nil {
+		source := codec.Described{Descriptor: uint64(0x28), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
+			codec.Map{codec.Symbol("sel"), codec.Described{Descriptor: codec.Symbol("apache.org:selector-filter:string"), Value: "a = 1"}}, nil, codec.Array{codec.Symbol("amqp:accepted:list")}, codec.Array{codec.Symbol("queue")}}}
+		if _, err := rawAt(t, s).begin().link(false, func(p framing.Performative) framing.Performative { return p.With(5, source) }); err != nil {
 			return err
 		}
-		all, err := s.of(CodeAttach, 1)
+		all, err := s.of(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
 		return same("source", all[0].Field(5), source)
 	}},
 	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
-		c, err := hello(t, ProtocolHeaderSASL)
+		c, err := hello(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		f, err := c.read(TypeSASL, time.Second)
-		if err != nil || f.Code != CodeSASLMechanisms || !offers(f.Field(0), "ANONYMOUS") {
+		f, err := c.read(framing.TypeSASL, time.Second)
+		if err != nil || f.Code != framing.CodeSASLMechanisms || !offers(f.Field(0), "ANONYMOUS") {
 			return fmt.Errorf("mechanisms %v, %v", f.Performative, err)
 		}
-		c.sasl(Performative{CodeSASLInit, List{Symbol("ANONYMOUS")}})
-		f, err = c.read(TypeSASL, time.Second)
+		c.sasl(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
+		f, err = c.read(framing.TypeSASL, time.Second)
 		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(0))); err != nil {
 			return err
 		}
-		c.header(ProtocolHeaderAMQP)
+		c.header(framing.ProtocolHeaderAMQP)
 		h, err := c.readHeader(time.Second)
-		return errors.Join(err, same("header", h, ProtocolHeaderAMQP))
+		return errors.Join(err, same("header", h, framing.ProtocolHeaderAMQP))
 	}},
 	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
-		c, err := hello(t, ProtocolHeaderSASL)
+		c, err := hello(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		_, _ = c.read(TypeSASL, time.Second)
-		c.sasl(Performative{CodeSASLInit, List{Symbol("PLAIN"), []byte("\x00a\x00b")}})
-		f, err := c.read(TypeSASL, time.Second)
+		_, _ = c.read(framing.TypeSASL, time.Second)
+		c.sasl(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
+		f, err := c.read(framing.TypeSASL, time.Second)
 		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(1))); err != nil {
 			return err
 		}
-		if _, err := c.read(TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := c.read(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("the connection goes on: %v", err)
 		}
 		return nil
 	}},
 
 	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
-		s := &seenAt{open: open("server").With(2, uint32(MinMaxFrameSize))}
+		s := &seenAt{open: open("server").With(2, uint32(framing.MinMaxFrameSize))}
 		c := rawAt(t, s).begin()
 		if _, err := c.link(true); err != nil {
 			return err
 		}
 		body := bytes.Repeat([]byte("n"), 2000)
 		c.send(0, false, false, false, body)
-		all, err := s.of(CodeTransfer, 4)
+		all, err := s.of(framing.CodeTransfer, 4)
 		whole := []byte{}
 		for i, f := range all {
-			if len(AppendFrame(nil, TypeAMQP, 0, f.Performative, f.Payload)) > MinMaxFrameSize {
+			if len(framing.AppendFrame(nil, framing.TypeAMQP, 0, f.Performative, f.Payload)) > framing.MinMaxFrameSize {
 				err = errors.Join(err, fmt.Errorf("frame %d has %d bytes of payload", i, len(f.Payload)))
 			}
 			whole = append(whole, f.Payload...)
@@ -607,7 +609,7 @@
 				codes = append(codes, f.Code)
 			}
 		}
-		return errors.Join(same("order", codes[:3], []uint64{CodeOpen, CodeBegin, CodeAttach}), same("channel", s.frames[1].Channel, uint16(0)), same("handle", s.frames[2].Uint32(1, 99), uint32(0)))
+		return errors.Join(same("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), same("channel", s.frames[1].Channel, uint16(0)), same("handle", s.frames[2].Uint32(1, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
 		s := &seenAt{open: open("server").With(4, uint32(200))}
@@ -637,11 +639,11 @@
 		for i := range uint32(6) {
 			c.send(i, true, false, false, []byte("m"))
 		}
-		if _, err := s.of(CodeTransfer, 2); err != nil {
+		if _, err := s.of(framing.CodeTransfer, 2); err != nil {
 			return err
 		}
 		time.Sleep(200 * time.Millisecond) // what is looked at is that nothing more comes
-		all, err := s.of(CodeTransfer, 2)
+		all, err := s.of(framing.CodeTransfer, 2)
 		return errors.Join(err, same("transfers", len(all), 2))
 	}},
 	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
@@ -657,7 +659,7 @@
 			conns++
 			mu.Unlock()
 			for {
-				f, err := c.read(TypeAMQP, serverWait)
+				f, err := c.read(framing.TypeAMQP, serverWait)
 				if err != nil {
 					return
 				}
@@ -665,14 +667,14 @@
 				most = max(most, f.Channel)
 				mu.Unlock()
 				switch f.Code {
-				case CodeOpen:
+				case framing.CodeOpen:
 					c.opened(f.Performative)
 					c.write(0, open("server").With(3, uint16(1)), nil)
-				case CodeBegin:
+				case framing.CodeBegin:
 					c.write(f.Channel, newSession(c, f.Channel).begin(f.Channel), nil)
-				case CodeAttach:
+				case framing.CodeAttach:
 					c.write(f.Channel, f.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-					c.write(f.Channel, Performative{CodeFlow, List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
+					c.write(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
 				}
 			}
 		}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -16,6 +16,8 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/testutil"
 )
@@ -383,7 +385,7 @@
 		effect   balancer.Effect
 		sessions int64 // that servers have seen in all
 		cond     string
-	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, CondInternalError}} {
+	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, framing.CondInternalError}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			// The first link comes and goes; the second's attach is read, and its connection closed.
@@ -424,13 +426,13 @@
 	r.names = []string{f.Addr().String()}
 	r.list(balancer.StateReady, 0)
 	c := dialRaw(t, r.address).begin()
-	c.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(60000)})
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(60000)})
 	testutil.Until(t, "its pass goes out", func() bool {
 		all := r.core.Requests.List()
 		return len(all) == 1 && all[0].Attempts == 1
 	})
-	c.write(5, Performative{CodeAttach, List{"a link", uint32(1), false}}, nil) // on a channel without a session
-	c.want(CodeClose, 0, CondFramingError)
+	c.write(5, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false}}, nil) // on a channel without a session
+	c.want(framing.CodeClose, 0, framing.CondFramingError)
 	told := time.Now() // and it stays: a client that lingers is waited for
 	testutil.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
 	if took := time.Since(told); took > listener.LingerTimeout/2 {
@@ -452,16 +454,16 @@
 		t.Fatal(err)
 	}
 	peer, tcp := newConn(there.(*net.TCPConn)), here.(*net.TCPConn)
-	if err := peer.write(0, Performative{CodeBegin, List{nil, uint32(0), uint32(100), uint32(100)}}, nil); err != nil {
+	if err := peer.write(0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Unread(t, tcp, HeaderSize)
+	testutil.Unread(t, tcp, framing.HeaderSize)
 	(&client{conn: newConn(tcp), tcp: tcp}).showOut()
-	f, err := peer.read(TypeAMQP, serverWait)
-	if cond, _ := f.Condition(0); err != nil || f.Code != CodeClose || cond != CondResourceLimitExceeded {
+	f, err := peer.read(framing.TypeAMQP, serverWait)
+	if cond, _ := f.Condition(0); err != nil || f.Code != framing.CodeClose || cond != framing.CondResourceLimitExceeded {
 		t.Errorf("it is told %#x, %q, %v", f.Code, cond, err)
 	}
-	if _, err := peer.read(TypeAMQP, serverWait); !errors.Is(err, io.EOF) {
+	if _, err := peer.read(framing.TypeAMQP, serverWait); !errors.Is(err, io.EOF) {
 		t.Errorf("its connection ends with %v", err)
 	}
 }
--- a/internal/frontend/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -15,6 +15,8 @@
 
 	"lockroad/internal/auth"
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 )
@@ -80,9 +82,9 @@
 	if err == nil {
 		err = c.run()
 	}
-	if bad := (ConditionError{}); errors.As(err, &bad) {
+	if bad := (framing.ConditionError{}); errors.As(err, &bad) {
 		f.Proxy.ProtocolError("amqp", bad.Description)
-		c.write(0, Performative{CodeClose, List{NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+		c.write(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
 		s.lost()
@@ -128,8 +130,8 @@
 func (c *client) showOut() {
 	if c.mu.TryLock() {
 		c.quit = true
-		c.buf = AppendFrame(c.buf[:0], TypeAMQP, 0,
-			Performative{CodeClose, List{NewErrorValue(CondResourceLimitExceeded, "the relay needs the room", nil)}}, nil)
+		c.buf = framing.AppendFrame(c.buf[:0], framing.TypeAMQP, 0,
+			framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondResourceLimitExceeded, "the relay needs the room", nil)}}, nil)
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
 		_, _ = c.Write(c.buf) // the close follows either way
 		c.mu.Unlock()
@@ -143,7 +145,7 @@
 	c.until = c.guest.IdleSince.Add(helloWait)
 	if err := c.greet(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return ConditionError{CondResourceLimitExceeded, "the connection has not been opened in time"}
+			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "the connection has not been opened in time"}
 		}
 		return err
 	}
@@ -152,15 +154,15 @@
 	go c.leave()
 	idle := cmp.Or(c.front.IdleTimeout, idleMost)
 	for {
-		f, err := c.read(TypeAMQP, idle)
+		f, err := c.read(framing.TypeAMQP, idle)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return ConditionError{CondResourceLimitExceeded, "nothing has come for the time of the idle time-out"}
+			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "nothing has come for the time of the idle time-out"}
 		}
 		if err != nil {
 			return err
 		}
-		if f.Code == CodeClose {
-			c.write(0, Performative{CodeClose, nil}, nil)
+		if f.Code == framing.CodeClose {
+			c.write(0, framing.Performative{Code: framing.CodeClose}, nil)
 			return nil
 		}
 		if err := c.take(f); err != nil {
@@ -175,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	if h == ProtocolHeaderSASL {
+	if h == framing.ProtocolHeaderSASL {
 		if err := c.authenticate(); err != nil {
 			return err
 		}
@@ -183,23 +185,23 @@
 			return err
 		}
 	} else if !c.front.Authenticator.Bare() {
-		c.header(ProtocolHeaderSASL) // which the standard has for an answer, and the end
+		c.header(framing.ProtocolHeaderSASL) // which the standard has for an answer, and the end
 		return errors.New("the client comes without the security layer, and has to say who it is")
 	}
-	if err := c.header(ProtocolHeaderAMQP); err != nil {
+	if err := c.header(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
-	if h != ProtocolHeaderAMQP {
+	if h != framing.ProtocolHeaderAMQP {
 		return errors.New("the client speaks another protocol") // it has been told ours
 	}
-	f, err := c.read(TypeAMQP, helloWait)
+	f, err := c.read(framing.TypeAMQP, helloWait)
 	if err != nil {
 		return err
 	}
-	if f.Code != CodeOpen {
-		return ConditionError{CondNotAllowed, "a connection begins with an open"}
+	if f.Code != framing.CodeOpen {
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a connection begins with an open"}
 	}
-	c.name = AsString(f.Field(0))
+	c.name = codec.AsString(f.Field(0))
 	idle := c.opened(f.Performative)
 	if err := c.write(0, open("lockroad"), nil); err != nil {
 		return err
@@ -210,33 +212,33 @@
 
 // authenticate has the client say who it is, by one of the mechanisms that there are for it.
 func (c *client) authenticate() error {
-	if err := c.header(ProtocolHeaderSASL); err != nil {
+	if err := c.header(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
 	gate := c.front.Authenticator
-	var names Array
+	var names codec.Array
 	for _, name := range gate.Mechanisms(c.tls) {
-		names = append(names, Symbol(name))
+		names = append(names, codec.Symbol(name))
 	}
-	if err := c.sasl(Performative{CodeSASLMechanisms, List{names}}); err != nil {
+	if err := c.sasl(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{names}}); err != nil {
 		return err
 	}
-	f, err := c.read(TypeSASL, helloWait)
+	f, err := c.read(framing.TypeSASL, helloWait)
 	if err != nil {
 		return err
 	}
 	response, _ := f.Field(1).([]byte)
 	user, ok := "", false
-	if f.Code == CodeSASLInit {
-		user, ok = gate.Authenticate(AsString(f.Field(0)), response, c.tls)
+	if f.Code == framing.CodeSASLInit {
+		user, ok = gate.Authenticate(codec.AsString(f.Field(0)), response, c.tls)
 	}
 	if !ok {
-		c.sasl(Performative{CodeSASLOutcome, List{uint8(1)}})
+		c.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
 		c.front.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
 		return errors.New("the client does not say who it is, or is not")
 	}
 	c.user = user
-	return c.sasl(Performative{CodeSASLOutcome, List{uint8(0)}})
+	return c.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
 // leave closes the connection once its links have been moved, or answered: links still come until then.
@@ -251,23 +253,23 @@
 		return
 	case <-time.After(leaveWait):
 	}
-	c.write(0, Performative{CodeClose, List{NewErrorValue(CondConnectionForced, "the relay is leaving", nil)}}, nil)
+	c.write(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondConnectionForced, "the relay is leaving", nil)}}, nil)
 	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(byeWait))
 }
 
 // take handles a frame other than a close.
-func (c *client) take(f Frame) error {
+func (c *client) take(f framing.Frame) error {
 	if f.Empty {
 		return nil
 	}
 	s := c.sessions[f.Channel]
-	if f.Code == CodeBegin {
+	if f.Code == framing.CodeBegin {
 		if f.Channel > channelMost { // section 2.7.1 has the connection closed
-			return ConditionError{CondFramingError, fmt.Sprintf("channel %d is over the most", f.Channel)}
+			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d is over the most", f.Channel)}
 		}
 		if s != nil {
-			return ConditionError{CondNotAllowed, fmt.Sprintf("channel %d has a session", f.Channel)}
+			return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", f.Channel)}
 		}
 		s = &clientSession{session: newSession(c.conn, f.Channel), client: c, links: make(map[uint32]*link)}
 		s.shut = new(bool) // its links may have words left when it has ended
@@ -278,20 +280,20 @@
 		return s.write(f.Channel, s.begin(f.Channel), nil)
 	}
 	if s == nil {
-		return ConditionError{CondFramingError, fmt.Sprintf("channel %d has no session", f.Channel)}
+		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", f.Channel)}
 	}
 	if s.dead {
-		if f.Code == CodeEnd {
+		if f.Code == framing.CodeEnd {
 			delete(c.sessions, f.Channel)
 		}
 		return nil
 	}
 	err := s.take(f)
 	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
-	if bad := (ConditionError{}); errors.As(err, &bad) && bad.Condition != CondFramingError {
+	if bad := (framing.ConditionError{}); errors.As(err, &bad) && bad.Condition != framing.CondFramingError {
 		c.front.Proxy.ProtocolError("amqp", bad.Description)
 		s.dead = true
-		err := s.write(f.Channel, Performative{CodeEnd, List{NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+		err := s.write(f.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 		s.lost()
 		return err
 	}
@@ -314,26 +316,26 @@
 	}
 }
 
-func (s *clientSession) take(f Frame) error {
+func (s *clientSession) take(f framing.Frame) error {
 	switch f.Code {
-	case CodeAttach:
+	case framing.CodeAttach:
 		return s.attach(f.Performative)
-	case CodeFlow:
+	case framing.CodeFlow:
 		if err := f.RequireUint32(1, 2, 3); err != nil {
 			return err
 		}
 		s.flowed(f.Performative)
 		if f.Field(4) == nil {
 			if f.Bool(9) {
-				return s.flow(Performative{CodeFlow, nil})
+				return s.flow(framing.Performative{Code: framing.CodeFlow})
 			}
 			return nil
 		}
-	case CodeTransfer:
+	case framing.CodeTransfer:
 		if err := s.took(true); err != nil {
 			return err
 		}
-	case CodeDisposition:
+	case framing.CodeDisposition:
 		if err := f.RequireUint32(1); err != nil {
 			return err
 		}
@@ -341,17 +343,17 @@
 			l.disposed(f.Performative)
 		}
 		return nil
-	case CodeEnd:
+	case framing.CodeEnd:
 		delete(s.client.sessions, s.channel)
-		err := s.write(s.channel, Performative{CodeEnd, nil}, nil)
+		err := s.write(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
 		s.lost()
 		return err
-	case CodeDetach:
+	case framing.CodeDetach:
 	default:
-		return ConditionError{CondNotAllowed, fmt.Sprintf("performative %#x has no place here", f.Code)}
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("performative %#x has no place here", f.Code)}
 	}
 	at := 0
-	if f.Code == CodeFlow {
+	if f.Code == framing.CodeFlow {
 		at = 4
 	}
 	if err := f.RequireUint32(at); err != nil {
@@ -360,12 +362,12 @@
 	handle := f.Uint32(at, 0)
 	l := s.links[handle]
 	if l == nil {
-		return ConditionError{CondUnattachedHandle, fmt.Sprintf("handle %d has no link", handle)}
+		return framing.ConditionError{Condition: framing.CondUnattachedHandle, Description: fmt.Sprintf("handle %d has no link", handle)}
 	}
 	switch f.Code {
-	case CodeFlow:
+	case framing.CodeFlow:
 		return l.flowed(f.Performative)
-	case CodeTransfer:
+	case framing.CodeTransfer:
 		return l.transferred(f)
 	}
 	delete(s.links, handle)
@@ -374,7 +376,7 @@
 }
 
 // attach begins a transaction.
-func (s *clientSession) attach(p Performative) error {
+func (s *clientSession) attach(p framing.Performative) error {
 	if err := p.RequireUint32(1); err != nil {
 		return err
 	}
@@ -383,11 +385,11 @@
 	handle := p.Uint32(1, 0)
 	switch {
 	case !named || !told:
-		return ConditionError{CondInvalidField, "an attach has to tell its name and role"}
+		return framing.ConditionError{Condition: framing.CondInvalidField, Description: "an attach has to tell its name and role"}
 	case handle > handleMost: // section 2.7.2 has the connection closed
-		return ConditionError{CondFramingError, fmt.Sprintf("handle %d is over the most", handle)}
+		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("handle %d is over the most", handle)}
 	case s.links[handle] != nil:
-		return ConditionError{CondHandleInUse, fmt.Sprintf("handle %d has a link", handle)}
+		return framing.ConditionError{Condition: framing.CondHandleInUse, Description: fmt.Sprintf("handle %d has a link", handle)}
 	}
 	front := s.client.front
 	l := &link{
@@ -400,24 +402,24 @@
 	l.attach = p
 	if err != nil {
 		front.Proxy.ProtocolError("amqp", err.Error())
-		s.refuse(l, CondInvalidField, err.Error(), nil)
+		s.refuse(l, framing.CondInvalidField, err.Error(), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	if !front.Authenticator.Authorized(s.client.user, ask.Class) {
 		front.Proxy.ProtocolError("amqp", "a client may not open a class")
-		s.refuse(l, CondUnauthorizedAccess, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
+		s.refuse(l, framing.CondUnauthorizedAccess, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	release, ok := front.Proxy.Admit(s.client.conn.RemoteAddr(), ask)
 	if !ok {
-		s.refuse(l, CondResourceLimitExceeded, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
+		s.refuse(l, framing.CondResourceLimitExceeded, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
 		return nil
 	}
 	if !s.client.guest.Acquire() {
 		release()
-		s.refuse(l, CondResourceLimitExceeded, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
+		s.refuse(l, framing.CondResourceLimitExceeded, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
 		return nil
 	}
 	ctx, left := context.WithCancel(s.client.ctx)
@@ -435,18 +437,18 @@
 // refuse answers an attach that never becomes a transaction. What is kept of it,
 // until the client detaches, is next to nothing: refused links could else be had
 // by the hundred at 8 KiB each.
-func (s *clientSession) refuse(l *link, cond, why string, info Map) {
+func (s *clientSession) refuse(l *link, cond, why string, info codec.Map) {
 	l.detach(cond, why, info)
 	s.links[l.handle] = &link{front: l.front, session: l.session, handle: l.handle, sends: l.sends, ids: l.ids, detached: true}
 }
 
 // ask reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Frontend) ask(p Performative, container, name string) (proxy.Request, Performative, error) {
-	props, _ := p.Field(13).(Map)
+func (f *Frontend) ask(p framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
+	props, _ := p.Field(13).(codec.Map)
 	address := addressOf(p)
 	rule := f.place(address, container)
-	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: AsString(props.Get(propClass)), Tenant: AsString(props.Get(propTenant))}
+	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: codec.AsString(props.Get(propClass)), Tenant: codec.AsString(props.Get(propTenant))}
 	ask.Settings = f.Proxy.Settings()
 	if ask.Class == "" && rule != nil {
 		ask.Class = rule.Class
@@ -461,7 +463,7 @@
 		return ask, p, fmt.Errorf("%q is no known tenant; the property %q names one", ask.Tenant, propTenant)
 	}
 	var give time.Duration
-	switch wait, ok := AsUint64(props.Get(propGiveUp)); {
+	switch wait, ok := codec.AsUint64(props.Get(propGiveUp)); {
 	case ok && wait <= 1<<31:
 		give = time.Duration(wait) * time.Millisecond
 	case props.Get(propGiveUp) != nil || rule == nil:
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"lockroad/balancer"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 )
@@ -23,8 +25,8 @@
 	session *session // the client's
 	handle  uint32
 	name    string
-	attach  Performative // the client's
-	sends   bool         // deliveries go from the client to the server
+	attach  framing.Performative // the client's
+	sends   bool                 // deliveries go from the client to the server
 	left    func()
 	ids     *deliveries
 	credits credits
@@ -33,19 +35,19 @@
 	out      *outbox   // what the client has for the server
 	up       *upstream // the server, once it is the client's
 	pulse    *proxy.Heartbeat
-	credit   *Performative // what the client has granted so far
-	attached bool          // the client has been answered
-	detached bool          // the client has been told of the end
-	gone     bool          // the client has ended its side
+	credit   *framing.Performative // what the client has granted so far
+	attached bool                  // the client has been answered
+	detached bool                  // the client has been told of the end
+	gone     bool                  // the client has ended its side
 }
 
 // keyOf is the number of a group or an item: a hexadecimal word as it is,
 // anything else by its hash.
 func keyOf(v any) uint64 {
-	if n, ok := AsUint64(v); ok {
+	if n, ok := codec.AsUint64(v); ok {
 		return n
 	}
-	word := AsString(v)
+	word := codec.AsString(v)
 	if word == "" {
 		return 0
 	}
@@ -62,7 +64,7 @@
 	x, ok := v.(float64)
 	if !ok {
 		var n uint64
-		n, ok = AsUint64(v)
+		n, ok = codec.AsUint64(v)
 		x = float64(n)
 	}
 	return x, ok && x >= 0 && x < 1e12
@@ -89,7 +91,7 @@
 	}
 	pulse.Established()
 	if u.credit != nil {
-		l.down(Frame{Performative: *u.credit})
+		l.down(framing.Frame{Performative: *u.credit})
 	}
 	if credit != nil {
 		l.out.put(parcel{Performative: credit.With(4, uint32(0)), flow: true})
@@ -113,11 +115,11 @@
 			pulse.TimedOut()
 			return balancer.StatusReset
 		case err != nil:
-			l.detach(CondConnectionForced, "the application server is lost", nil)
+			l.detach(framing.CondConnectionForced, "the application server is lost", nil)
 			return balancer.StatusReset
 		case f.Empty:
 			continue
-		case f.Code == CodeDetach, f.Code == CodeEnd, f.Code == CodeClose:
+		case f.Code == framing.CodeDetach, f.Code == framing.CodeEnd, f.Code == framing.CodeClose:
 			return l.serverEnds(u, f, gone)
 		}
 		if !l.down(f) {
@@ -127,13 +129,13 @@
 }
 
 // serverEnds passes on the end that a server has set to the link.
-func (l *link) serverEnds(u *upstream, f Frame, gone bool) balancer.AttemptStatus {
+func (l *link) serverEnds(u *upstream, f framing.Frame, gone bool) balancer.AttemptStatus {
 	at := 0
-	if f.Code == CodeDetach {
+	if f.Code == framing.CodeDetach {
 		at = 2
-		u.write(u.channel, Performative{CodeDetach, List{uint32(0), true}}, nil)
+		u.write(u.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		if u.lane == nil {
-			u.write(0, Performative{CodeClose, nil}, nil)
+			u.write(0, framing.Performative{Code: framing.CodeClose}, nil)
 		}
 	}
 	cond, info := f.Condition(at)
@@ -141,9 +143,9 @@
 		l.detach(cond, "the application server has ended the link", info)
 	}
 	switch {
-	case cond == "" && f.Code == CodeDetach:
+	case cond == "" && f.Code == framing.CodeDetach:
 		return balancer.StatusOK
-	case cond == CondDetachForced:
+	case cond == framing.CondDetachForced:
 		return balancer.StatusRedirected // it drains, whatever the list says
 	case gone:
 		return balancer.StatusCancelled
@@ -153,14 +155,14 @@
 
 // down passes a frame of the server to the client. It tells whether the client
 // is still there.
-func (l *link) down(f Frame) bool {
+func (l *link) down(f framing.Frame) bool {
 	s := l.session
 	switch f.Code {
-	case CodeFlow:
+	case framing.CodeFlow:
 		if err := l.up.flowTaken(f.Performative); err != nil || f.Field(4) == nil {
 			return true
 		}
-		if props, ok := f.Field(10).(Map); ok {
+		if props, ok := f.Field(10).(codec.Map); ok {
 			if us, ok := figure(props.Get(propLoad)); ok {
 				l.pulse.ReportLoad(us / 1e6)
 			}
@@ -170,7 +172,7 @@
 			p = l.credits.granted(p)
 		}
 		return s.flow(p.With(4, l.handle)) == nil
-	case CodeTransfer:
+	case framing.CodeTransfer:
 		if l.sends || l.up.took(false) != nil {
 			return true // out of turn: left aside
 		}
@@ -180,7 +182,7 @@
 			return true
 		}
 		return s.transfer(p.With(0, l.handle), f.Payload) == nil
-	case CodeDisposition:
+	case framing.CodeDisposition:
 		l.pulse.EndpointSent()
 		for _, p := range l.ids.translate(f.Performative, l.sends) {
 			if s.write(s.channel, p, nil) != nil {
@@ -192,13 +194,13 @@
 }
 
 // flowTaken takes the session's part of a flow.
-func (s *session) flowTaken(p Performative) error {
+func (s *session) flowTaken(p framing.Performative) error {
 	if err := p.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
 	s.flowed(p)
 	if p.Field(4) == nil && p.Bool(9) {
-		return s.flow(Performative{CodeFlow, nil})
+		return s.flow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
 }
@@ -217,13 +219,13 @@
 // and more than there is room for, loses the link.
 func (l *link) put(o *outbox, p parcel) {
 	if !o.put(p) {
-		l.detach(CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
+		l.detach(framing.CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
 		l.left()
 	}
 }
 
 // flowed passes the client's credit on. Before the link is up it is kept.
-func (l *link) flowed(p Performative) error {
+func (l *link) flowed(p framing.Performative) error {
 	l.mu.Lock()
 	if l.up == nil {
 		l.credit = &p
@@ -236,7 +238,7 @@
 }
 
 // transferred passes a delivery of the client on, or a part of one.
-func (l *link) transferred(f Frame) error {
+func (l *link) transferred(f framing.Frame) error {
 	o, pulse := l.joined()
 	sent := false
 	defer func() {
@@ -249,9 +251,9 @@
 	l.mu.Unlock()
 	switch {
 	case !l.sends:
-		return ConditionError{CondNotAllowed, "a receiver sends no transfers"}
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a receiver sends no transfers"}
 	case early: // nothing has granted credit yet
-		l.detach(CondTransferLimitExceeded, "a transfer without credit", nil)
+		l.detach(framing.CondTransferLimitExceeded, "a transfer without credit", nil)
 		l.left()
 		return nil
 	case o == nil:
@@ -282,7 +284,7 @@
 }
 
 // disposed passes on what the client says of deliveries, if they are this link's.
-func (l *link) disposed(p Performative) {
+func (l *link) disposed(p framing.Performative) {
 	// A receiver speaks of what came to it, a sender of what it has sent.
 	if o, _ := l.joined(); o != nil && p.Bool(0) != l.sends {
 		for _, q := range l.ids.translate(p, !l.sends) {
@@ -293,7 +295,7 @@
 
 // clientDetached takes the client's detach. Before the link is up, the client has
 // left; after that, the detach is the server's to answer.
-func (l *link) clientDetached(p Performative) {
+func (l *link) clientDetached(p framing.Performative) {
 	l.mu.Lock()
 	l.gone = true
 	u, o, told := l.up, l.out, l.detached
@@ -326,7 +328,7 @@
 func (l *link) finish() { l.detach("", "", nil) }
 
 // detach tells the client of the end, once: it tells whether this was the first. It needs no credit.
-func (l *link) detach(cond, why string, info Map) bool {
+func (l *link) detach(cond, why string, info codec.Map) bool {
 	l.mu.Lock()
 	if l.detached {
 		l.mu.Unlock()
@@ -337,7 +339,7 @@
 	l.mu.Unlock()
 	s := l.session
 	if !answered { // the standard wants an attach first, without what the relay would own
-		p := Performative{CodeAttach, List{l.name, l.handle, l.sends, nil, nil, l.attach.Field(5), l.attach.Field(6)}}
+		p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{l.name, l.handle, l.sends, nil, nil, l.attach.Field(5), l.attach.Field(6)}}
 		if l.sends {
 			p = p.With(6, nil)
 		} else {
@@ -347,20 +349,20 @@
 			return true
 		}
 	}
-	s.write(s.channel, Performative{CodeDetach, List{l.handle, true, NewErrorValue(cond, why, info)}}, nil)
+	s.write(s.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{l.handle, true, framing.NewErrorValue(cond, why, info)}}, nil)
 	return true
 }
 
 // BadRequest answers what makes no sense.
-func (l *link) BadRequest(why string) { l.detach(CondNotAllowed, why, nil) }
+func (l *link) BadRequest(why string) { l.detach(framing.CondNotAllowed, why, nil) }
 
 // Reject answers that trying again is harmless.
 func (l *link) Reject(comeBack time.Duration) {
-	l.detach(CondResourceLimitExceeded, "no application server takes it", comeBackInfo(comeBack))
+	l.detach(framing.CondResourceLimitExceeded, "no application server takes it", comeBackInfo(comeBack))
 }
 
 // comeBackInfo says when to come again, if that is known.
-func comeBackInfo(wait time.Duration) (info Map) {
+func comeBackInfo(wait time.Duration) (info codec.Map) {
 	if wait >= time.Millisecond {
 		info = info.With(infoBack, uint32(wait.Milliseconds()))
 	}
@@ -368,7 +370,7 @@
 }
 
 // Fail answers what promises nothing.
-func (l *link) Fail() { l.detach(CondInternalError, "the transaction has failed", nil) }
+func (l *link) Fail() { l.detach(framing.CondInternalError, "the transaction has failed", nil) }
 
 // Migrate sends the client away politely: between two deliveries, if the one that
 // is under way ends in time.
@@ -377,5 +379,5 @@
 	case <-l.ids.whole():
 	case <-time.After(moveFor):
 	}
-	return l.detach(CondDetachForced, "the client is to come again", nil)
+	return l.detach(framing.CondDetachForced, "the client is to come again", nil)
 }
--- a/internal/frontend/amqp/mux.go
+++ b/internal/frontend/amqp/mux.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"os"
 	"sync"
 	"time"
@@ -34,7 +36,7 @@
 	once sync.Once
 
 	mu    sync.Mutex
-	queue []Frame
+	queue []framing.Frame
 	in    int  // transfers among them
 	told  bool // the peer has heard of it, or is about to
 	ended bool // from here
@@ -88,18 +90,18 @@
 
 func (m *mux) reads(silent time.Duration) error {
 	for {
-		f, err := m.read(TypeAMQP, silent)
+		f, err := m.read(framing.TypeAMQP, silent)
 		if err != nil {
 			return err
 		}
 		switch {
 		case f.Empty:
 			continue
-		case f.Code == CodeClose:
-			m.write(0, Performative{CodeClose, nil}, nil)
+		case f.Code == framing.CodeClose:
+			m.write(0, framing.Performative{Code: framing.CodeClose}, nil)
 			m.each(func(l *lane) { l.put(f) })
 			return errPeerCloses
-		case f.Code == CodeBegin:
+		case f.Code == framing.CodeBegin:
 			if err := m.begun(f); err != nil {
 				return m.faulty(err)
 			}
@@ -109,9 +111,9 @@
 		l := m.theirs[f.Channel]
 		m.mu.Unlock()
 		if l == nil {
-			return m.faulty(ConditionError{CondFramingError, fmt.Sprintf("channel %d has no session", f.Channel)})
+			return m.faulty(framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", f.Channel)})
 		}
-		if f.Code == CodeEnd {
+		if f.Code == framing.CodeEnd {
 			m.leave(l, f)
 			continue
 		}
@@ -121,8 +123,8 @@
 
 // faulty tells the peer what is wrong with it.
 func (m *mux) faulty(err error) error {
-	if bad := (ConditionError{}); errors.As(err, &bad) {
-		m.write(0, Performative{CodeClose, List{NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+	if bad := (framing.ConditionError{}); errors.As(err, &bad) {
+		m.write(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 	}
 	return err
 }
@@ -140,11 +142,11 @@
 }
 
 // begun takes a begin of the peer: the answer to one from here, or, where it may, one of its own.
-func (m *mux) begun(f Frame) error {
+func (m *mux) begun(f framing.Frame) error {
 	m.mu.Lock()
 	if m.theirs[f.Channel] != nil {
 		m.mu.Unlock()
-		return ConditionError{CondNotAllowed, fmt.Sprintf("channel %d has a session", f.Channel)}
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", f.Channel)}
 	}
 	if f.Field(0) != nil {
 		l := m.ours[uint16(f.Uint32(0, 0))]
@@ -153,13 +155,13 @@
 		}
 		m.mu.Unlock()
 		if l == nil {
-			return ConditionError{CondFramingError, fmt.Sprintf("channel %d answers a session that is not there", f.Channel)}
+			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d answers a session that is not there", f.Channel)}
 		}
 		return l.begun(f.Performative)
 	}
 	if m.begins == nil || f.Channel >= sessionsMost || m.ours[f.Channel] != nil {
 		m.mu.Unlock()
-		return ConditionError{CondNotAllowed, fmt.Sprintf("channel %d can't begin a session", f.Channel)}
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d can't begin a session", f.Channel)}
 	}
 	l := m.newLane(f.Channel, func() {})
 	l.told = true
@@ -176,7 +178,7 @@
 }
 
 // leave takes the peer's end of a session. Its channels are free again once it was ended from here, too.
-func (m *mux) leave(l *lane, f Frame) {
+func (m *mux) leave(l *lane, f framing.Frame) {
 	l.put(f)
 	l.ends(nil)
 	l.settle() // what has come is still to be read
@@ -198,9 +200,9 @@
 }
 
 // put takes a frame of the peer for whoever reads the lane.
-func (l *lane) put(f Frame) {
+func (l *lane) put(f framing.Frame) {
 	l.mu.Lock()
-	transfer := f.Code == CodeTransfer
+	transfer := f.Code == framing.CodeTransfer
 	over := transfer && l.in >= windowMost || len(l.queue)-l.in >= wordsMost
 	if !l.ended && !over {
 		l.queue = append(l.queue, f)
@@ -211,7 +213,7 @@
 	ended := l.ended
 	l.mu.Unlock()
 	if over && !ended {
-		l.ends(ConditionError{CondWindowViolation, "more than the session's window takes"})
+		l.ends(framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more than the session's window takes"})
 		l.close()
 		return
 	}
@@ -246,7 +248,7 @@
 
 // next waits for the next frame. It fails at the end of the session or of the connection, and with
 // os.ErrDeadlineExceeded once the wait, if it is over 0, or the bound is over.
-func (l *lane) next(wait time.Duration) (Frame, error) {
+func (l *lane) next(wait time.Duration) (framing.Frame, error) {
 	var by time.Time
 	if wait > 0 {
 		by = time.Now().Add(wait)
@@ -255,9 +257,9 @@
 		l.mu.Lock()
 		if len(l.queue) > 0 {
 			f := l.queue[0]
-			l.queue[0] = Frame{}
+			l.queue[0] = framing.Frame{}
 			l.queue = l.queue[1:]
-			if f.Code == CodeTransfer {
+			if f.Code == framing.CodeTransfer {
 				l.in--
 			}
 			l.mu.Unlock()
@@ -269,7 +271,7 @@
 			if err == nil {
 				err = errQuit
 			}
-			return Frame{}, err
+			return framing.Frame{}, err
 		}
 		if !by.IsZero() && (late.IsZero() || by.Before(late)) {
 			late = by
@@ -280,7 +282,7 @@
 		}
 		left := time.Until(late)
 		if left <= 0 {
-			return Frame{}, os.ErrDeadlineExceeded
+			return framing.Frame{}, os.ErrDeadlineExceeded
 		}
 		timer := time.NewTimer(left)
 		select {
@@ -327,7 +329,7 @@
 	l.mu.Unlock()
 	if first {
 		l.session.end()
-		l.write(l.channel, Performative{CodeEnd, nil}, nil) // if this fails, so does the connection's reader
+		l.write(l.channel, framing.Performative{Code: framing.CodeEnd}, nil) // if this fails, so does the connection's reader
 		l.wake()
 	}
 	l.mu.Lock()
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"lockroad/internal/frontend/amqp/framing"
 	"sync"
 )
 
@@ -36,7 +37,7 @@
 
 // parcel is one thing for a server.
 type parcel struct {
-	Performative
+	framing.Performative
 	payload  []byte
 	transfer bool
 	flow     bool
@@ -148,15 +149,15 @@
 type credits struct {
 	mu     sync.Mutex
 	known  bool
-	count  uint32       // deliveries that the server has been sent, by the client's count
-	limit  uint32       // delivery count up to which the server takes deliveries
-	told   uint32       // and the client has been told
-	latest Performative // the server's last flow
+	count  uint32               // deliveries that the server has been sent, by the client's count
+	limit  uint32               // delivery count up to which the server takes deliveries
+	told   uint32               // and the client has been told
+	latest framing.Performative // the server's last flow
 }
 
 // granted takes a flow of the server and returns what the client is told. One that
 // wants the credit used up, or speaks of no credit, is passed as it is.
-func (c *credits) granted(p Performative) Performative {
+func (c *credits) granted(p framing.Performative) framing.Performative {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p.Field(6) == nil || p.Bool(8) {
@@ -179,12 +180,12 @@
 
 // sent counts a delivery that the server has been sent. It returns a flow for the client
 // once enough have been that more may follow.
-func (c *credits) sent() (Performative, bool) {
+func (c *credits) sent() (framing.Performative, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.count++
 	if !c.known || c.told == c.limit || int32(c.count+ahead-c.told) < ahead/2 {
-		return Performative{}, false
+		return framing.Performative{}, false
 	}
 	c.told = c.limit
 	if most := c.count + ahead; int32(c.limit-most) > 0 {
--- a/internal/frontend/amqp/passing_test.go
+++ b/internal/frontend/amqp/passing_test.go
@@ -12,6 +12,8 @@
 
 	client10 "github.com/Azure/go-amqp"
 
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 )
@@ -50,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, size := range []int{0, 10, 900, 5000, 3 * MaxFrameSize} {
+	for _, size := range []int{0, 10, 900, 5000, 3 * framing.MaxFrameSize} {
 		if err := sender.Send(ctx, client10.NewMessage(bytes.Repeat([]byte("n"), size)), nil); err != nil {
 			t.Fatalf("a message of %d bytes: %v", size, err)
 		}
@@ -111,25 +113,25 @@
 	session := newSession(c, 0)
 	sent := 0
 	for {
-		f, err := c.read(TypeAMQP, serverWait)
+		f, err := c.read(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
 		switch f.Code {
-		case CodeOpen, CodeBegin:
+		case framing.CodeOpen, framing.CodeBegin:
 			opened(c, session, f)
-		case CodeAttach:
+		case framing.CodeAttach:
 			c.write(0, f.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
-		case CodeDisposition:
+		case framing.CodeDisposition:
 			for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
 				settled <- id
 			}
-		case CodeFlow:
+		case framing.CodeFlow:
 			session.flowed(f.Performative)
 			for most := int(f.Uint32(5, 0) + f.Uint32(6, 0)); sent < min(pages, most); sent++ {
-				body := Append(nil, Described{uint64(0x75), page(sent)})
+				body := codec.Append(nil, codec.Described{Descriptor: uint64(0x75), Value: page(sent)})
 				tag := binary.BigEndian.AppendUint32(nil, uint32(sent))
-				p := Performative{CodeTransfer, List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
+				p := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
 				if err := session.transfer(p, body); err != nil {
 					t.Errorf("page %d: %v", sent, err)
 				}
@@ -152,31 +154,31 @@
 	}
 	t.Cleanup(func() { tcp.Close() })
 	c := &raw{newConn(tcp.(*net.TCPConn)), t}
-	c.header(ProtocolHeaderAMQP)
-	if h, err := c.readHeader(time.Second); err != nil || h != ProtocolHeaderAMQP {
+	c.header(framing.ProtocolHeaderAMQP)
+	if h, err := c.readHeader(time.Second); err != nil || h != framing.ProtocolHeaderAMQP {
 		t.Fatalf("the front answers %q, %v", h, err)
 	}
 	c.write(0, open("raw"), nil)
-	c.want(CodeOpen, 0, "")
+	c.want(framing.CodeOpen, 0, "")
 	return c
 }
 
 func (c *raw) begin() *raw {
-	c.write(3, Performative{CodeBegin, List{nil, uint32(0), uint32(100), uint32(100)}}, nil)
-	c.want(CodeBegin, 0, "")
+	c.write(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil)
+	c.want(framing.CodeBegin, 0, "")
 	return c
 }
 
-func (c *raw) attach(handle uint32, props Map) {
-	c.write(3, Performative{CodeAttach, List{"a link", handle, false, nil, nil,
-		Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, props}}, nil)
+func (c *raw) attach(handle uint32, props codec.Map) {
+	c.write(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", handle, false, nil, nil,
+		codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, props}}, nil)
 }
 
 // want waits for a performative with a condition at a field.
-func (c *raw) want(code uint64, at int, cond string) Frame {
+func (c *raw) want(code uint64, at int, cond string) framing.Frame {
 	c.t.Helper()
 	for {
-		f, err := c.read(TypeAMQP, 3*time.Second)
+		f, err := c.read(framing.TypeAMQP, 3*time.Second)
 		if err != nil {
 			c.t.Fatalf("waiting for %#x: %v", code, err)
 		}
@@ -195,7 +197,7 @@
 func (c *raw) until(code uint64, at int, cond string, each time.Duration) {
 	c.t.Helper()
 	for {
-		f, err := c.read(TypeAMQP, each)
+		f, err := c.read(framing.TypeAMQP, each)
 		if err != nil {
 			c.t.Fatalf("waiting for %#x with %q: %v", code, cond, err)
 		}
@@ -206,54 +208,54 @@
 }
 
 func TestWrongFramesGetTheStandardsConditions(t *testing.T) {
-	props := Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(400)}
+	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(400)}
 	for name, c := range map[string]struct {
 		acts []behaviour
 		do   func(c *raw)
 	}{
 		"a frame that is too large": {nil, func(c *raw) {
 			_, _ = c.Write([]byte{0, 1, 0, 0, 2, 0, 0, 0})
-			c.want(CodeClose, 0, CondFramingError)
+			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a frame that is too small": {nil, func(c *raw) {
 			_, _ = c.Write([]byte{0, 0, 0, 7, 2, 0, 0})
-			c.want(CodeClose, 0, CondFramingError)
+			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a data offset out of range": {nil, func(c *raw) {
 			_, _ = c.Write([]byte{0, 0, 0, 8, 9, 0, 0, 0})
-			c.want(CodeClose, 0, CondFramingError)
+			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a value that makes no sense": {nil, func(c *raw) {
 			_, _ = c.Write([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13})
-			c.want(CodeClose, 0, CondDecodeError)
+			c.want(framing.CodeClose, 0, framing.CondDecodeError)
 		}},
 		"a channel without a session": {nil, func(c *raw) {
-			c.write(9, Performative{CodeFlow, List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
-			c.want(CodeClose, 0, CondFramingError)
+			c.write(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
+			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a channel over the most": {nil, func(c *raw) {
-			c.write(channelMost+1, Performative{CodeBegin, List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-			c.want(CodeClose, 0, CondFramingError)
+			c.write(channelMost+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a handle without a link": {nil, func(c *raw) {
-			c.begin().write(3, Performative{CodeTransfer, List{uint32(5), uint32(0), []byte("t")}}, nil)
-			c.want(CodeEnd, 0, CondUnattachedHandle)
+			c.begin().write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
+			c.want(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 		}},
 		"a handle that is in use": {[]behaviour{hang}, func(c *raw) {
 			c.begin().attach(1, props)
 			c.attach(1, props)
-			c.want(CodeEnd, 0, CondHandleInUse)
+			c.want(framing.CodeEnd, 0, framing.CondHandleInUse)
 		}},
 		"an attach without its properties": {nil, func(c *raw) {
 			c.begin().attach(1, nil)
-			c.want(CodeAttach, 0, "")
-			c.want(CodeDetach, 2, CondInvalidField)
+			c.want(framing.CodeAttach, 0, "")
+			c.want(framing.CodeDetach, 2, framing.CondInvalidField)
 		}},
 		"a transfer without credit": {[]behaviour{hang}, func(c *raw) {
 			c.begin().attach(1, props)
-			c.write(3, Performative{CodeTransfer, List{uint32(1), uint32(0), []byte("t")}}, nil)
-			c.want(CodeAttach, 0, "")
-			c.want(CodeDetach, 2, CondTransferLimitExceeded)
+			c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
+			c.want(framing.CodeAttach, 0, "")
+			c.want(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -270,17 +272,17 @@
 		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}, IdleTimeout: 100 * time.Millisecond}
 	}
 	r := newRig(t, w, 1, nil)
-	dialRaw(t, r.address).want(CodeClose, 0, CondResourceLimitExceeded)
+	dialRaw(t, r.address).want(framing.CodeClose, 0, framing.CondResourceLimitExceeded)
 }
 
 // A refusal needs no credit, and comes while the give-up time still runs.
 func TestFinalAnswerNeedsNoCredit(t *testing.T) {
 	r := newRig(t, wires[1], 1, []behaviour{noCredit})
 	c := dialRaw(t, r.address).begin()
-	c.attach(1, Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(400)})
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(400)})
 	began := time.Now()
-	c.want(CodeAttach, 0, "")
-	c.want(CodeDetach, 2, CondResourceLimitExceeded)
+	c.want(framing.CodeAttach, 0, "")
+	c.want(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
 	if took := time.Since(began); took > 1400*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
@@ -296,11 +298,11 @@
 	}
 	defer tcp.Close()
 	c := newConn(tcp.(*net.TCPConn))
-	c.header(ProtocolHeaderAMQP)
+	c.header(framing.ProtocolHeaderAMQP)
 	_, _ = c.readHeader(time.Second)
 	c.write(0, open("idle").With(4, uint32(90)), nil)
 	for beats := 0; beats < 3; {
-		f, err := c.read(TypeAMQP, 90*time.Millisecond)
+		f, err := c.read(framing.TypeAMQP, 90*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -320,7 +322,7 @@
 	// More than the relay reads of it at once: a close over the rest would be a reset.
 	io.WriteString(c, "GET / HTTP/1.1\r\n"+strings.Repeat("Accept: all that there is\r\n", 1000)+"\r\n")
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	if got, err := io.ReadAll(c); string(got) != string(ProtocolHeaderAMQP[:]) || err != nil {
+	if got, err := io.ReadAll(c); string(got) != string(framing.ProtocolHeaderAMQP[:]) || err != nil {
 		t.Errorf("the front answers %q, %v", got, err)
 	}
 }
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"time"
 )
 
@@ -34,7 +36,7 @@
 	Name       string         // of the link, of PeerAttached
 	Sends      bool           // the relay's side sends, of PeerAttached
 	Properties map[string]any // of PeerAttached: strings, numbers and truths
-	attach     Performative
+	attach     framing.Performative
 }
 
 // PeerKind is the kind of a PeerEvent.
@@ -58,11 +60,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if h == ProtocolHeaderSASL && plain {
-		c.header(ProtocolHeaderAMQP)
+	if h == framing.ProtocolHeaderSASL && plain {
+		c.header(framing.ProtocolHeaderAMQP)
 		return nil, errors.New("the relay began with the security layer")
 	}
-	if h == ProtocolHeaderSASL {
+	if h == framing.ProtocolHeaderSASL {
 		if err := acceptSASL(c, wait); err != nil {
 			return nil, err
 		}
@@ -70,17 +72,17 @@
 			return nil, err
 		}
 	}
-	if h != ProtocolHeaderAMQP {
+	if h != framing.ProtocolHeaderAMQP {
 		return nil, fmt.Errorf("a server was greeted with %q", h)
 	}
-	if err := c.header(ProtocolHeaderAMQP); err != nil {
+	if err := c.header(framing.ProtocolHeaderAMQP); err != nil {
 		return nil, err
 	}
-	f, err := c.read(TypeAMQP, wait)
+	f, err := c.read(framing.TypeAMQP, wait)
 	if err != nil {
 		return nil, err
 	}
-	if f.Code != CodeOpen {
+	if f.Code != framing.CodeOpen {
 		return nil, fmt.Errorf("a server was told %#x for an open", f.Code)
 	}
 	p := &PeerConn{mux: newMux(c), wait: wait, stop: make(chan struct{}), sessions: make(chan *Peer, sessionsMost), ended: make(chan struct{})}
@@ -138,20 +140,20 @@
 }
 
 func acceptSASL(p *conn, wait time.Duration) error {
-	if err := p.header(ProtocolHeaderSASL); err != nil {
+	if err := p.header(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	if err := p.sasl(Performative{CodeSASLMechanisms, List{Array{Symbol("ANONYMOUS")}}}); err != nil {
+	if err := p.sasl(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
 		return err
 	}
-	f, err := p.read(TypeSASL, wait)
+	f, err := p.read(framing.TypeSASL, wait)
 	if err != nil {
 		return err
 	}
-	if f.Code != CodeSASLInit {
+	if f.Code != framing.CodeSASLInit {
 		return fmt.Errorf("a server was told %#x for an init", f.Code)
 	}
-	return p.sasl(Performative{CodeSASLOutcome, List{uint8(0)}})
+	return p.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
 // errClosed says that the relay has ended the session, or closed the connection, in good order.
@@ -166,7 +168,7 @@
 // DiscardInput takes what comes for the session and says nothing, until its end.
 func (p *Peer) DiscardInput() {
 	for {
-		if f, err := p.next(0); err != nil || f.Code == CodeEnd {
+		if f, err := p.next(0); err != nil || f.Code == framing.CodeEnd {
 			return
 		}
 	}
@@ -181,17 +183,17 @@
 			return PeerEvent{}, err
 		}
 		switch f.Code {
-		case CodeAttach:
-			e := PeerEvent{Kind: PeerAttached, Handle: f.Uint32(1, 0), Name: AsString(f.Field(0)), Sends: !f.Bool(2),
+		case framing.CodeAttach:
+			e := PeerEvent{Kind: PeerAttached, Handle: f.Uint32(1, 0), Name: codec.AsString(f.Field(0)), Sends: !f.Bool(2),
 				Properties: make(map[string]any), attach: f.Performative}
-			props, _ := f.Field(13).(Map)
+			props, _ := f.Field(13).(codec.Map)
 			for i := 0; i+1 < len(props); i += 2 {
-				e.Properties[AsString(props[i])] = props[i+1]
+				e.Properties[codec.AsString(props[i])] = props[i+1]
 			}
 			return e, nil
-		case CodeFlow:
+		case framing.CodeFlow:
 			_ = p.flowTaken(f.Performative) // a stand-in overlooks a bad flow
-		case CodeTransfer:
+		case framing.CodeTransfer:
 			if err := p.took(false); err != nil {
 				return PeerEvent{}, err
 			}
@@ -206,9 +208,9 @@
 			}
 			delete(p.payload, handle)
 			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.Uint32(1, 0), Settled: f.Bool(4), Payload: dataOf(whole)}, nil
-		case CodeDetach:
+		case framing.CodeDetach:
 			return PeerEvent{Kind: PeerDetached, Handle: f.Uint32(0, 0)}, nil
-		case CodeEnd, CodeClose:
+		case framing.CodeEnd, framing.CodeClose:
 			return PeerEvent{}, errClosed
 		}
 	}
@@ -237,12 +239,12 @@
 	if err := p.write(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
-	return p.flow(Performative{CodeFlow, List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
+	return p.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
 }
 
 // Credit grants credit anew: so many deliveries from a delivery count on.
 func (p *Peer) Credit(handle, count, credit uint32) error {
-	return p.flow(Performative{CodeFlow, List{nil, nil, nil, nil, handle, count, credit}})
+	return p.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
 }
 
 // RejectAttach answers an attach with an end at once, by a condition of the standard.
@@ -258,22 +260,22 @@
 func (p *Peer) Detach(handle uint32, condition string) error {
 	var e any
 	if condition != "" {
-		e = NewErrorValue(condition, "as the script has it", nil)
+		e = framing.NewErrorValue(condition, "as the script has it", nil)
 	}
-	return p.write(p.channel, Performative{CodeDetach, List{handle, true, e}}, nil)
+	return p.write(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, e}}, nil)
 }
 
 // Settle accepts a delivery.
 func (p *Peer) Settle(delivery uint32) error {
-	return p.write(p.channel, Performative{CodeDisposition, List{true, delivery, nil, true, Described{uint64(0x24), List{}}}}, nil)
+	return p.write(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, delivery, nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 }
 
 // WholeNumber reads a property that is a whole number.
-func WholeNumber(v any) (uint64, bool) { return AsUint64(v) }
+func WholeNumber(v any) (uint64, bool) { return codec.AsUint64(v) }
 
 // Conditions that a server ends links with.
 const (
-	ConditionResourceLimit = CondResourceLimitExceeded
-	ConditionInternalError = CondInternalError
-	ConditionDetachForced  = CondDetachForced
+	ConditionResourceLimit = framing.CondResourceLimitExceeded
+	ConditionInternalError = framing.CondInternalError
+	ConditionDetachForced  = framing.CondDetachForced
 )
--- a/internal/frontend/amqp/place.go
+++ b/internal/frontend/amqp/place.go
@@ -3,6 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"regexp"
 	"slices"
 	"strings"
@@ -50,17 +52,17 @@
 
 // addressOf is the address that a client's attach names for the other end: its target's if it is to send,
 // its source's if it is to receive (part 3, sections 3.5.3 and 3.5.4).
-func addressOf(attach Performative) string {
+func addressOf(attach framing.Performative) string {
 	at := 6
 	if attach.Bool(2) {
 		at = 5
 	}
-	d, _ := attach.Field(at).(Described)
-	fields, _ := d.Value.(List)
+	d, _ := attach.Field(at).(codec.Described)
+	fields, _ := d.Value.(codec.List)
 	if len(fields) == 0 {
 		return ""
 	}
-	return AsString(fields[0])
+	return codec.AsString(fields[0])
 }
 
 // place finds the rule for an attach; nil if none fits.
@@ -75,7 +77,7 @@
 }
 
 // group is what a link shares work by, under a rule.
-func (p *Placement) group(attach Performative, address, container string) uint64 {
+func (p *Placement) group(attach framing.Performative, address, container string) uint64 {
 	switch p.Group {
 	case "":
 		return 0
@@ -84,8 +86,8 @@
 	case "container":
 		return keyOf(container)
 	case "link":
-		return keyOf(AsString(attach.Field(0)))
+		return keyOf(codec.AsString(attach.Field(0)))
 	}
-	props, _ := attach.Field(13).(Map)
+	props, _ := attach.Field(13).(codec.Map)
 	return keyOf(props.Get(strings.TrimPrefix(p.Group, propertyOf)))
 }
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -12,6 +12,8 @@
 	"pgregory.net/rapid"
 
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 // verdictOf is the outcome that the stand-in gives a delivery, by its first byte.
@@ -20,7 +22,7 @@
 	if len(payload) > 0 {
 		code += uint64(payload[0] % 4) // accepted, rejected, released, modified
 	}
-	return Described{code, List{}}
+	return codec.Described{Descriptor: code, Value: codec.List{}}
 }
 
 // judgesWait is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
@@ -40,28 +42,28 @@
 			count := uint32(0)
 			for {
 				f, err := p.next(judgesWait)
-				if err != nil || f.Code == CodeEnd {
+				if err != nil || f.Code == framing.CodeEnd {
 					return
 				}
 				switch f.Code {
-				case CodeAttach:
+				case framing.CodeAttach:
 					p.Attach(PeerEvent{Handle: f.Uint32(1, 0), attach: f.Performative}, 20)
-				case CodeTransfer:
+				case framing.CodeTransfer:
 					_ = p.took(false)
 					part = append(part, f.Payload...)
 					if f.Bool(5) && !f.Bool(9) {
 						continue
 					}
 					if !f.Bool(9) && !f.Bool(4) {
-						p.write(p.channel, Performative{CodeDisposition, List{true, f.Field(1), nil, true, verdictOf(part)}}, nil)
+						p.write(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, verdictOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
 						p.Credit(f.Uint32(0, 0), count, 20)
 					}
-				case CodeFlow:
+				case framing.CodeFlow:
 					_ = p.flowTaken(f.Performative)
-				case CodeDetach:
+				case framing.CodeDetach:
 					p.Detach(f.Uint32(0, 0), "")
 				}
 			}
@@ -107,13 +109,13 @@
 				rt.Fatalf("%v; still to come %v", err, want)
 			}
 			switch f.Code {
-			case CodeAttach:
+			case framing.CodeAttach:
 				links[f.Uint32(1, 0)].up = true
-			case CodeFlow:
+			case framing.CodeFlow:
 				if f.Field(4) != nil {
 					links[f.Uint32(4, 0)].credit = f.Uint32(5, 0) + f.Uint32(6, 0)
 				}
-			case CodeDisposition:
+			case framing.CodeDisposition:
 				for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
 					outcome, waits := want[id]
 					if !waits || !f.Bool(3) || fmt.Sprint(f.Field(4)) != fmt.Sprint(outcome) {
@@ -121,10 +123,10 @@
 					}
 					delete(want, id)
 				}
-			case CodeDetach:
+			case framing.CodeDetach:
 				switch cond, _ := f.Condition(2); cond {
 				case "":
-				case CondResourceLimitExceeded, CondConnectionForced: // no connection came up in time, or none was heard of: the machine has other things to do
+				case framing.CondResourceLimitExceeded, framing.CondConnectionForced: // no connection came up in time, or none was heard of: the machine has other things to do
 					rt.SkipNow()
 				default:
 					rt.Fatalf("link %d is detached as %s", f.Uint32(0, 0), cond)
@@ -143,7 +145,7 @@
 			next++
 		}
 		l.coming = more && !aborted
-		c.write(3, Performative{CodeTransfer, List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+		c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 		if l.coming {
 			return
 		}
@@ -178,14 +180,14 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := some(func(l known) bool { return !l.up })
-			c.write(3, Performative{CodeAttach, List{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+			c.write(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 			hear(func() bool { return links[i].up && links[i].credit > 0 })
 		},
 		"send": func(rt *rapid.T) {
 			transfer(some(ready), rapid.Bool().Draw(rt, "settled"), false, false, payload())
 		},
 		"send a lot": func(*rapid.T) {
-			transfer(some(ready), false, false, false, bytes.Repeat([]byte{byte(next)}, 3*MaxFrameSize/4))
+			transfer(some(ready), false, false, false, bytes.Repeat([]byte{byte(next)}, 3*framing.MaxFrameSize/4))
 		},
 		"begin a piece": func(*rapid.T) {
 			if anyComing() { // deliveries of a session are numbered as they begin, so pieces of two may cross: the standard allows it
@@ -200,7 +202,7 @@
 		"detach": func(*rapid.T) {
 			i := some(func(l known) bool { return l.up && !l.coming })
 			hear(func() bool { return len(want) == 0 }) // an outcome that crosses a detach is the sender's no more
-			c.write(3, Performative{CodeDetach, List{uint32(i), true}}, nil)
+			c.write(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(i), true}}, nil)
 			hear(func() bool { return !links[i].up })
 		},
 	})
@@ -210,16 +212,16 @@
 		}
 	}
 	hear(func() bool { return len(want) == 0 })
-	c.write(0, Performative{CodeClose, nil}, nil)
+	c.write(0, framing.Performative{Code: framing.CodeClose}, nil)
 }
 
 // FuzzClient sends a front whatever bytes after a sound beginning, and it never falls over: the next client is greeted.
 func FuzzClient(f *testing.F) {
-	begin := AppendFrame(nil, TypeAMQP, 0, Performative{CodeBegin, List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-	attach := AppendFrame(nil, TypeAMQP, 0, Performative{CodeAttach, List{"a", uint32(0), false, nil, nil, Described{uint64(0x28), List{"h"}}, Described{uint64(0x29), List{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
-	send := AppendFrame(nil, TypeAMQP, 0, Performative{CodeTransfer, List{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
-	settle := AppendFrame(nil, TypeAMQP, 0, Performative{CodeDisposition, List{false, uint32(0), uint32(1 << 31), true}}, nil)
-	end := AppendFrame(nil, TypeAMQP, 0, Performative{CodeEnd, nil}, nil)
+	begin := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+	attach := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"h"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+	send := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
+	settle := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{false, uint32(0), uint32(1 << 31), true}}, nil)
+	end := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeEnd}, nil)
 	f.Add(bytes.Join([][]byte{begin, attach, send, settle, end, begin}, nil))
 	f.Add(bytes.Join([][]byte{begin, settle, attach, attach}, nil))
 	f.Add([]byte{0, 0, 0, 8, 2, 0, 0, 0})
@@ -230,7 +232,7 @@
 		c := dialRaw(t, r.address)
 		_, _ = c.Write(text)
 		for { // until it has nothing more to say to that
-			if _, err := c.read(TypeAMQP, 5*time.Millisecond); err != nil {
+			if _, err := c.read(framing.TypeAMQP, 5*time.Millisecond); err != nil {
 				break
 			}
 		}
--- a/internal/frontend/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -16,6 +16,8 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/internal/auth"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 	"lockroad/internal/testutil"
@@ -128,7 +130,7 @@
 	}
 	defer func() { _ = desk.Close() }()
 	var refused *client10.Error
-	if err := opens(desk, "there", linkProperties()); !errors.As(err, &refused) || refused.Condition != CondUnauthorizedAccess || !strings.Contains(refused.Description, `"desk" may not open the class "page"`) {
+	if err := opens(desk, "there", linkProperties()); !errors.As(err, &refused) || refused.Condition != framing.CondUnauthorizedAccess || !strings.Contains(refused.Description, `"desk" may not open the class "page"`) {
 		t.Errorf("desk is told %v", err)
 	}
 	for what, c := range map[string]struct {
@@ -178,7 +180,7 @@
 		t.Fatal(err)
 	}
 	r := newRig(t, wireOf(func(f *Frontend) { f.Authenticator = gate }, nil), 1, nil)
-	for _, text := range []string{"", "\x16\x03\x01\x02", string(ProtocolHeaderAMQP[:])} {
+	for _, text := range []string{"", "\x16\x03\x01\x02", string(framing.ProtocolHeaderAMQP[:])} {
 		c, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
@@ -202,23 +204,23 @@
 		}
 	}
 	f := &Frontend{Proxy: newRig(t, wires[1], 1, nil).core, Placements: places}
-	attach := func(address string, props Map) Performative {
-		return Performative{CodeAttach, List{"a link", uint32(0), false, nil, nil, Described{uint64(0x28), List{"here"}}, Described{uint64(0x29), List{address}}, nil, nil, uint32(0), nil, nil, nil, props}}
+	attach := func(address string, props codec.Map) framing.Performative {
+		return framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{address}}, nil, nil, uint32(0), nil, nil, nil, props}}
 	}
 	for _, c := range []struct {
 		address, container string
-		props              Map
+		props              codec.Map
 		class, wrong       string
 		give               time.Duration
 		group              uint64
 	}{
 		{"scores/12", "x", nil, "page", "", 900 * time.Millisecond, keyOf("scores/12")},
-		{"scores/12", "x", Map{Symbol(propGroup), "ab", Symbol(propGiveUp), uint32(300)}, "page", "", 300 * time.Millisecond, 0xab},
+		{"scores/12", "x", codec.Map{codec.Symbol(propGroup), "ab", codec.Symbol(propGiveUp), uint32(300)}, "page", "", 300 * time.Millisecond, 0xab},
 		{"other", "desk-3", nil, "page", "", patience, 0},
 		{"scores/1/preview", "x", nil, "", `"none" is no known class`, 0, 0},
 		{"other", "x", nil, "", `no class is told: there is neither the property "class" nor a rule for the address "other" of the container "x"`, 0, 0},
-		{"other", "x", Map{Symbol(propClass), "page"}, "", `"give-up-ms"`, 0, 0},
-		{"scores/12", "x", Map{Symbol(propGiveUp), "soon"}, "", `"give-up-ms"`, 0, 0},
+		{"other", "x", codec.Map{codec.Symbol(propClass), "page"}, "", `"give-up-ms"`, 0, 0},
+		{"scores/12", "x", codec.Map{codec.Symbol(propGiveUp), "soon"}, "", `"give-up-ms"`, 0, 0},
 	} {
 		now := f.Proxy.Clock.Now()
 		ask, told, err := f.ask(attach(c.address, c.props), c.container, "a link")
@@ -228,9 +230,9 @@
 			}
 			continue
 		}
-		props, _ := told.Field(13).(Map)
+		props, _ := told.Field(13).(codec.Map)
 		if err != nil || ask.Class != c.class || ask.Group != c.group || (ask.Deadline-now).Round(50*time.Millisecond) != c.give ||
-			AsString(props.Get(propClass)) != c.class || keyOf(props.Get(propGroup)) != c.group {
+			codec.AsString(props.Get(propClass)) != c.class || keyOf(props.Get(propGroup)) != c.group {
 			t.Errorf("%s of %s: %+v, %v, %v", c.address, c.container, ask, props, err)
 		}
 	}
@@ -262,11 +264,11 @@
 	r.core.UpdateSettings(&terms)
 	f := &Frontend{Proxy: r.core}
 	for tenant, wrong := range map[any]string{nil: `"" is no known tenant`, "other": `"other" is no known tenant`, "cedar": ""} {
-		props := Map{Symbol(propClass), "page", Symbol(propGiveUp), uint32(300)}
+		props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(300)}
 		if tenant != nil {
-			props = append(props, Symbol(propTenant), tenant)
+			props = append(props, codec.Symbol(propTenant), tenant)
 		}
-		ask, _, err := f.ask(Performative{CodeAttach, List{"a link", uint32(0), false, nil, nil, nil, nil, nil, nil, uint32(0), nil, nil, nil, props}}, "x", "a link")
+		ask, _, err := f.ask(framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, nil, nil, nil, nil, uint32(0), nil, nil, nil, props}}, "x", "a link")
 		if wrong == "" && (err != nil || ask.Tenant != tenant) || wrong != "" && (err == nil || !strings.Contains(err.Error(), wrong)) {
 			t.Errorf("tenant %v: %+v, %v", tenant, ask, err)
 		}
--- a/internal/frontend/amqp/server.go
+++ b/internal/frontend/amqp/server.go
@@ -15,6 +15,8 @@
 	"lockroad/balancer"
 	"lockroad/internal/auth"
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
 	"lockroad/internal/registry"
@@ -41,11 +43,11 @@
 	lane     *lane       // of a shared connection; nil: it has its own
 	shared   connpool.ID // that connection
 	trunks   *trunks
-	sessions int           // that the connection is to have at the most; 0: as any other
-	channels uint16        // highest channel that the server takes
-	idle     time.Duration // that it wants to hear something within
-	attach   Performative  // the server's
-	credit   *Performative
+	sessions int                  // that the connection is to have at the most; 0: as any other
+	channels uint16               // highest channel that the server takes
+	idle     time.Duration        // that it wants to hear something within
+	attach   framing.Performative // the server's
+	credit   *framing.Performative
 	stop     chan struct{}
 	shows    bool     // the relay has shown a certificate
 	tcp      net.Conn // below TLS, if that is there: its end waits for nobody
@@ -63,11 +65,11 @@
 
 // next waits for the server's next frame, for so long at the most; 0: as long as the server gives a sign of life, which on a
 // shared connection its reader sees to.
-func (u *upstream) next(wait time.Duration) (Frame, error) {
+func (u *upstream) next(wait time.Duration) (framing.Frame, error) {
 	if u.lane != nil {
 		return u.lane.next(wait)
 	}
-	return u.read(TypeAMQP, cmp.Or(wait, serverSilent))
+	return u.read(framing.TypeAMQP, cmp.Or(wait, serverSilent))
 }
 
 // last has the server say what it still has to say within a time.
@@ -114,12 +116,12 @@
 		return err
 	}
 	for {
-		f, err := u.read(TypeAMQP, bound)
+		f, err := u.read(framing.TypeAMQP, bound)
 		switch {
 		case err != nil:
 			return err
 		case f.Empty:
-		case f.Code == CodeBegin:
+		case f.Code == framing.CodeBegin:
 			return u.begun(f.Performative)
 		default:
 			return errGreeting
@@ -186,28 +188,28 @@
 
 // secure passes the security layer.
 func (u *upstream) secure(bound time.Duration) error {
-	if err := u.header(ProtocolHeaderSASL); err != nil {
+	if err := u.header(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
 	switch h, err := u.readHeader(bound); {
-	case err == nil && h == ProtocolHeaderAMQP:
+	case err == nil && h == framing.ProtocolHeaderAMQP:
 		return errOtherLayer
-	case err != nil || h != ProtocolHeaderSASL:
+	case err != nil || h != framing.ProtocolHeaderSASL:
 		return errors.Join(err, errGreeting)
 	}
-	f, err := u.read(TypeSASL, bound)
-	if err != nil || f.Code != CodeSASLMechanisms {
+	f, err := u.read(framing.TypeSASL, bound)
+	if err != nil || f.Code != framing.CodeSASLMechanisms {
 		return errors.Join(err, errGreeting)
 	}
-	begin := Performative{CodeSASLInit, List{Symbol(auth.Anonymous), []byte("lockroad")}}
+	begin := framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.Anonymous), []byte("lockroad")}}
 	if u.shows && offers(f.Field(0), auth.External) {
-		begin = Performative{CodeSASLInit, List{Symbol(auth.External), []byte{}}}
+		begin = framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.External), []byte{}}}
 	}
 	if err := u.sasl(begin); err != nil {
 		return err
 	}
-	f, err = u.read(TypeSASL, bound)
-	if err != nil || f.Code != CodeSASLOutcome || f.Uint32(0, 1) != 0 {
+	f, err = u.read(framing.TypeSASL, bound)
+	if err != nil || f.Code != framing.CodeSASLOutcome || f.Uint32(0, 1) != 0 {
 		return errors.Join(err, errGreeting)
 	}
 	return nil
@@ -215,11 +217,11 @@
 
 // offers tells whether a peer's mechanisms, which are one or an array, have one among them.
 func offers(mechanisms any, name string) bool {
-	all, ok := mechanisms.(Array)
+	all, ok := mechanisms.(codec.Array)
 	if !ok {
-		all = Array{mechanisms}
+		all = codec.Array{mechanisms}
 	}
-	return slices.ContainsFunc(all, func(v any) bool { return AsString(v) == name })
+	return slices.ContainsFunc(all, func(v any) bool { return codec.AsString(v) == name })
 }
 
 func (u *upstream) greet(bound time.Duration, plain bool) error {
@@ -228,13 +230,13 @@
 			return err
 		}
 	}
-	if err := u.header(ProtocolHeaderAMQP); err != nil {
+	if err := u.header(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
 	switch h, err := u.readHeader(bound); {
-	case err == nil && plain && h == ProtocolHeaderSASL:
+	case err == nil && plain && h == framing.ProtocolHeaderSASL:
 		return errOtherLayer
-	case err != nil || h != ProtocolHeaderAMQP:
+	case err != nil || h != framing.ProtocolHeaderAMQP:
 		return errors.Join(err, errGreeting)
 	}
 	ours := open("lockroad").With(4, uint32(serverIdle.Milliseconds()))
@@ -244,8 +246,8 @@
 	if err := u.write(0, ours, nil); err != nil {
 		return err
 	}
-	f, err := u.read(TypeAMQP, bound)
-	if err != nil || f.Code != CodeOpen {
+	f, err := u.read(framing.TypeAMQP, bound)
+	if err != nil || f.Code != framing.CodeOpen {
 		return errors.Join(err, errGreeting)
 	}
 	u.idle = u.conn.opened(f.Performative)
@@ -279,12 +281,12 @@
 
 // ask returns what came of the attach at a server.
 func (l *link) ask(ctx context.Context, u *upstream, out proxy.Attempt) balancer.AttemptStatus {
-	props, _ := l.attach.Field(13).(Map)
+	props, _ := l.attach.Field(13).(codec.Map)
 	p := l.attach.With(1, uint32(0)).With(13, props.With(propGiveUp, uint32(max(1, out.TimeLeft(ctx).Milliseconds()))))
-	frames := []Performative{p}
+	frames := []framing.Performative{p}
 	may := func() bool { return out.StillPermitted(ctx) }
 	if u.lane != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
-		frames = []Performative{u.begin(nil), p}
+		frames = []framing.Performative{u.begin(nil), p}
 		may = func() bool { return out.StillPermitted(ctx) && u.lane.begins() }
 	}
 	switch err := u.sendFirst(ctx, may, frames...); {
@@ -304,16 +306,16 @@
 		}
 		switch {
 		case f.Empty:
-		case f.Code == CodeAttach:
+		case f.Code == framing.CodeAttach:
 			u.attach = f.Performative
-		case f.Code == CodeFlow:
+		case f.Code == framing.CodeFlow:
 			u.flowed(f.Performative)
 			if f.Uint32(6, 0) > 0 {
 				u.credit = &f.Performative
 			}
-		case f.Code == CodeDetach:
+		case f.Code == framing.CodeDetach:
 			return refused(f.Performative, 2)
-		case f.Code == CodeEnd, f.Code == CodeClose:
+		case f.Code == framing.CodeEnd, f.Code == framing.CodeClose:
 			return refused(f.Performative, 0)
 		default:
 			return balancer.StatusError
@@ -326,8 +328,8 @@
 }
 
 // refused is the outcome of a pass that a server has turned down.
-func refused(p Performative, at int) balancer.AttemptStatus {
-	if cond, _ := p.Condition(at); cond == CondResourceLimitExceeded {
+func refused(p framing.Performative, at int) balancer.AttemptStatus {
+	if cond, _ := p.Condition(at); cond == framing.CondResourceLimitExceeded {
 		return balancer.StatusFull
 	}
 	return balancer.StatusError
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"errors"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"sync"
 	"time"
 )
@@ -37,13 +39,13 @@
 }
 
 // write sends a frame of the session.
-func (s *session) write(channel uint16, p Performative, payload []byte) error {
+func (s *session) write(channel uint16, p framing.Performative, payload []byte) error {
 	return s.conn.send(channel, p, payload, s.shut)
 }
 
 // sendFirst sends the frames that begin something of the session, in one piece. It waits for others who write on the connection,
 // no longer than ctx; may is asked just before anything goes out.
-func (s *session) sendFirst(ctx context.Context, may func() bool, frames ...Performative) error {
+func (s *session) sendFirst(ctx context.Context, may func() bool, frames ...framing.Performative) error {
 	c := s.conn
 	if !c.mu.lockWithin(ctx) {
 		return ctx.Err()
@@ -57,18 +59,18 @@
 	}
 	c.buf = c.buf[:0]
 	for _, p := range frames {
-		c.buf = AppendFrame(c.buf, TypeAMQP, s.channel, p, nil)
+		c.buf = framing.AppendFrame(c.buf, framing.TypeAMQP, s.channel, p, nil)
 	}
 	return c.flush()
 }
 
 // begin is the relay's begin; remote is the channel it answers, or nil.
-func (s *session) begin(remote any) Performative {
-	return Performative{CodeBegin, List{remote, s.out, uint32(windowMost), uint32(windowMost), uint32(handleMost)}}
+func (s *session) begin(remote any) framing.Performative {
+	return framing.Performative{Code: framing.CodeBegin, Fields: codec.List{remote, s.out, uint32(windowMost), uint32(windowMost), uint32(handleMost)}}
 }
 
 // begun takes the peer's begin.
-func (s *session) begun(p Performative) error {
+func (s *session) begun(p framing.Performative) error {
 	if err := p.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
@@ -79,7 +81,7 @@
 }
 
 // flowed takes the session's part of a flow of the peer.
-func (s *session) flowed(p Performative) {
+func (s *session) flowed(p framing.Performative) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.over { // it was ended while the flow was in hand
@@ -141,7 +143,7 @@
 }
 
 // transfer sends a transfer in as many frames as the peer wants.
-func (s *session) transfer(p Performative, payload []byte) error {
+func (s *session) transfer(p framing.Performative, payload []byte) error {
 	room := s.room(p.With(5, true))
 	for {
 		if err := s.await(); err != nil {
@@ -163,7 +165,7 @@
 	s.mu.Lock()
 	if s.left == 0 {
 		s.mu.Unlock()
-		return ConditionError{CondWindowViolation, "more transfers than the window takes"}
+		return framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more transfers than the window takes"}
 	}
 	s.in++
 	s.left--
@@ -173,7 +175,7 @@
 	again := s.narrow()
 	s.mu.Unlock()
 	if again {
-		return s.flow(Performative{CodeFlow, nil})
+		return s.flow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
 }
@@ -191,12 +193,12 @@
 	again := n > 0 && !s.over && s.narrow() && windowMost-s.waiting-s.left >= windowMost/8
 	s.mu.Unlock()
 	if again {
-		s.flow(Performative{CodeFlow, nil}) // if this fails, the reader sees why
+		s.flow(framing.Performative{Code: framing.CodeFlow}) // if this fails, the reader sees why
 	}
 }
 
 // flow sends a flow: the session's part is the relay's own, the rest as given.
-func (s *session) flow(p Performative) error {
+func (s *session) flow(p framing.Performative) error {
 	s.mu.Lock()
 	s.left = windowMost - min(s.waiting, windowMost)
 	p = p.With(0, s.in).With(1, s.left).With(2, s.out).With(3, uint32(windowMost))
@@ -221,7 +223,7 @@
 }
 
 // carry gives a transfer the number that it has in the session it goes to.
-func (d *deliveries) carry(p Performative, to *session) (Performative, error) {
+func (d *deliveries) carry(p framing.Performative, to *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.coming {
@@ -230,7 +232,7 @@
 		}
 		d.now = p.Uint32(1, 0)
 		if _, known := d.far[d.now]; known || len(d.far) >= unsettled {
-			return p, ConditionError{CondResourceLimitExceeded, "too many deliveries are unsettled, or one has a number twice"}
+			return p, framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "too many deliveries are unsettled, or one has a number twice"}
 		}
 		d.there = to.number()
 		d.far[d.now], d.near[d.there] = d.there, d.now
@@ -264,7 +266,7 @@
 
 // translate turns a disposition into those of the other session. back says that
 // it comes from where the deliveries go to.
-func (d *deliveries) translate(p Performative, back bool) []Performative {
+func (d *deliveries) translate(p framing.Performative, back bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from, to := d.far, d.near
@@ -273,7 +275,7 @@
 	}
 	first := p.Uint32(1, 0)
 	span := p.Uint32(2, first) - first
-	var out []Performative
+	var out []framing.Performative
 	pass := func(here, there uint32) {
 		out = append(out, p.With(1, there).With(2, there))
 		if p.Bool(3) {
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -11,6 +11,8 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 // stalls answers the attach with a lot of credit, and then reads nothing more.
@@ -21,16 +23,16 @@
 	}
 	s := newSession(c, 0)
 	for {
-		f, err := c.read(TypeAMQP, serverWait)
+		f, err := c.read(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
-		if f.Code != CodeAttach {
+		if f.Code != framing.CodeAttach {
 			opened(c, s, f)
 			continue
 		}
 		c.write(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-		s.flow(Performative{CodeFlow, List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
+		s.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
 		return
 	}
--- a/internal/frontend/amqp/trunks.go
+++ b/internal/frontend/amqp/trunks.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/registry"
 )
 
@@ -166,7 +167,7 @@
 
 // leave closes a trunk in good order, without waiting for the server for long.
 func (tr *trunk) leave() {
-	tr.mux.write(0, Performative{CodeClose, nil}, nil)
+	tr.mux.write(0, framing.Performative{Code: framing.CodeClose}, nil)
 	_ = tr.mux.CloseWrite()
 	select {
 	case <-tr.stop:
