--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -74,10 +74,10 @@
 	}
 	stop := make(chan struct{})
 	defer close(stop)
-	go c.beat(time.Second, stop) // it lives all the while
+	go c.sendHeartbeats(time.Second, stop) // it lives all the while
 	sessions := make(map[uint16]*session)
 	for {
-		f, err := c.read(framing.TypeAMQP, time.Minute)
+		f, err := c.readFrame(framing.TypeAMQP, time.Minute)
 		d.mu.Lock()
 		if err != nil {
 			d.err = err
@@ -86,19 +86,19 @@
 		}
 		switch f.Code {
 		case framing.CodeOpen:
-			c.opened(f.Performative)
-			c.write(0, open("dam").With(3, uint16(7)), nil)
+			c.applyOpen(f.Performative)
+			c.writeFrame(0, newOpen("dam").With(3, uint16(7)), nil)
 		case framing.CodeBegin:
 			d.begun++
 			s := newSession(c, f.Channel)
-			_ = s.begun(f.Performative)
+			_ = s.applyBegin(f.Performative)
 			sessions[f.Channel] = s
-			c.write(f.Channel, s.begin(f.Channel).With(2, d.window), nil)
+			c.writeFrame(f.Channel, s.newBegin(f.Channel).With(2, d.window), nil)
 		case framing.CodeAttach:
 			d.attached = append(d.attached, codec.AsString(f.Field(0)))
 			s := sessions[f.Channel]
-			s.write(f.Channel, f.Performative.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-			s.write(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), d.window, uint32(0), uint32(windowMost), f.Field(1), uint32(0), uint32(50000)}}, nil)
+			s.writeFrame(f.Channel, f.Performative.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+			s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), d.window, uint32(0), uint32(sessionWindow), f.Field(1), uint32(0), uint32(50000)}}, nil)
 		case framing.CodeTransfer:
 			if !bytes.Contains(f.Payload, damPage) {
 				d.err = errors.New("a delivery is not what its client has sent")
@@ -158,28 +158,28 @@
 	held := 0 // looks in a row at which somebody was writing
 	testutil.Until(t, "the connection is blocked", func() bool {
 		m := muxOf(f)
-		if held++; m.conn.mu.TryLock() {
+		if held++; m.connection.mu.TryLock() {
 			held = 0
-			m.conn.mu.Unlock()
+			m.connection.mu.Unlock()
 		}
 		return held > 100
 	})
 }
 
 // muxOf is the one shared connection.
-func muxOf(f *Frontend) *mux {
-	f.trunks.mu.Lock()
-	defer f.trunks.mu.Unlock()
-	for _, tr := range f.trunks.open {
-		return tr.mux
+func muxOf(f *Frontend) *multiplexer {
+	f.sharedConnections.mu.Lock()
+	defer f.sharedConnections.mu.Unlock()
+	for _, tr := range f.sharedConnections.connections {
+		return tr.multiplexer
 	}
 	return nil
 }
 
-func (m *mux) lanes() int {
+func (m *multiplexer) lanes() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.ours)
+	return len(m.localChannels)
 }
 
 // An attach waits for a connection on which another transaction is being written, to a server that does not read. Its client
@@ -192,11 +192,11 @@
 			r, f, first := damRig(t, d)
 			flood(t, f, first)
 			second := dialRaw(t, r.address).begin()
-			second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(60000)})
+			second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
 			testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 			switch c {
 			case "the client leaves":
-				second.write(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
+				second.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
 				second.until(framing.CodeDetach, 2, framing.CondInvalidField, 3*time.Second)
 				testutil.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
@@ -237,7 +237,7 @@
 	served.Go(func() { serveAll(t, l, wire{server: other.serve}, r.script) })
 	second := dialRaw(t, r.address).begin()
 	// Its group's route leads to the first server, as the first link's does.
-	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
+	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
 	testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
 	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
@@ -264,11 +264,11 @@
 	d := newDam(t, 2, 10000)
 	r, f, first := damRig(t, d)
 	second := dialRaw(t, r.address).begin()
-	second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(60000)})
+	second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
 	second.want(framing.CodeAttach, 0, "")
 	second.want(framing.CodeFlow, 0, "")
 	flood(t, f, first)
-	second.until(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeMost)
+	second.until(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeTimeout)
 	d.let()
 	<-d.over
 	if !errors.Is(d.err, io.EOF) && !errors.Is(d.err, io.ErrUnexpectedEOF) && !errors.Is(d.err, syscall.ECONNRESET) {
@@ -285,7 +285,7 @@
 	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*writeMost)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*writeTimeout)
 	defer cancel()
 	var end *client10.LinkError
 	for err := error(nil); ; {
@@ -304,23 +304,23 @@
 func TestAFlowInHandAsItsSessionEndsChangesNothing(t *testing.T) {
 	d := newDam(t, 3, 100)
 	r, front, first := damRig(t, d)
-	u, err := front.reach(t.Context(), r.core.Endpoints.List()[0], d.Addr().String(), 5*time.Second)
+	u, err := front.connect(t.Context(), r.core.Endpoints.List()[0], d.Addr().String(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"second", uint32(0), false}}
-	if err := u.sendFirst(t.Context(), u.lane.begins, u.begin(nil), attach); err != nil {
+	if err := u.writeInitial(t.Context(), u.sharedSession.announce, u.newBegin(nil), attach); err != nil {
 		t.Fatal(err)
 	}
 	var f framing.Frame
 	for f.Code != framing.CodeFlow {
-		if f, err = u.next(5 * time.Second); err != nil {
+		if f, err = u.nextFrame(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	u.Close()
-	u.flowed(f.Performative)
-	if err := u.await(); !errors.Is(err, errQuit) {
+	u.applyFlow(f.Performative)
+	if err := u.awaitWindow(); !errors.Is(err, errConnectionClosing) {
 		t.Errorf("a transfer of a session that has ended: %v", err)
 	}
 	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
--- a/internal/frontend/amqp/both_test.go
+++ b/internal/frontend/amqp/both_test.go
@@ -226,9 +226,9 @@
 
 func amqpHasty(t *testing.T, address string) string {
 	c := dialRaw(t, address).begin()
-	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(1200)})
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(1200)})
 	for i := range uint32(200) {
-		c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), i, []byte("t")}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), i, []byte("t")}}, nil)
 	}
 	c.want(framing.CodeAttach, 0, "")
 	c.want(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
@@ -239,22 +239,22 @@
 
 // greetClient is a stand-in's half of the greeting, as the standard has it, up to
 // the opens.
-func greetClient(t testing.TB, tcp socket) (*conn, bool) {
-	c := newConn(tcp)
-	h, err := c.readHeader(serverWait)
+func greetClient(t testing.TB, tcp streamConn) (*connection, bool) {
+	c := newConnection(tcp)
+	h, err := c.readProtocolHeader(serverWait)
 	if err != nil {
 		return nil, false
 	}
 	if h != framing.ProtocolHeaderSASL {
 		t.Errorf("a server was greeted with %q", h)
 	}
-	c.header(framing.ProtocolHeaderSASL)
+	c.writeProtocolHeader(framing.ProtocolHeaderSASL)
 	want, offered := "ANONYMOUS", codec.Array{codec.Symbol("ANONYMOUS")}
 	if _, is := tcp.(*tls.Conn); is { // to which the relay has shown a certificate
 		want, offered = "EXTERNAL", codec.Array{codec.Symbol("EXTERNAL"), codec.Symbol("ANONYMOUS")}
 	}
-	c.sasl(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
-	f, err := c.read(framing.TypeSASL, serverWait)
+	c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
+	f, err := c.readFrame(framing.TypeSASL, serverWait)
 	if err != nil {
 		return nil, false // the relay may give a pass up at any time, as of a client that has gone
 	}
@@ -262,35 +262,35 @@
 		t.Errorf("a server got %v for an init", f)
 		return nil, false
 	}
-	c.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
-	_, _ = c.readHeader(serverWait)
-	c.header(framing.ProtocolHeaderAMQP)
+	c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+	_, _ = c.readProtocolHeader(serverWait)
+	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
 	return c, true
 }
 
 // opened answers the frames that open a stand-in's connection and its session.
-func opened(c *conn, s *session, f framing.Frame) {
+func opened(c *connection, s *session, f framing.Frame) {
 	switch f.Code {
 	case framing.CodeOpen:
-		c.opened(f.Performative)
-		c.write(0, open("server"), nil)
+		c.applyOpen(f.Performative)
+		c.writeFrame(0, newOpen("server"), nil)
 	case framing.CodeBegin:
-		_ = s.begun(f.Performative)
-		c.write(0, s.begin(uint16(0)), nil)
+		_ = s.applyBegin(f.Performative)
+		c.writeFrame(0, s.newBegin(uint16(0)), nil)
 	}
 }
 
 // amqpServer does as the script says.
 func amqpServer(t testing.TB, tcp *net.TCPConn, s *script) { amqpServerOver(t, tcp, s) }
 
-func amqpServerOver(t testing.TB, over socket, s *script) {
+func amqpServerOver(t testing.TB, over streamConn, s *script) {
 	c, ok := greetClient(t, over)
 	if !ok {
 		return
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.read(framing.TypeAMQP, serverWait)
+		f, err := c.readFrame(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
@@ -305,9 +305,9 @@
 			if f.Bool(5) {
 				continue
 			}
-			c.write(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+			c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 		case framing.CodeDetach:
-			c.write(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
+			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		case framing.CodeClose:
 			return
 		}
@@ -315,9 +315,9 @@
 }
 
 // amqpAttached tells whether the connection goes on.
-func amqpAttached(t testing.TB, c *conn, session *session, p framing.Performative, s *script) bool {
+func amqpAttached(t testing.TB, c *connection, session *session, p framing.Performative, s *script) bool {
 	props, _ := p.Field(13).(codec.Map)
-	ms, _ := codec.AsUint64(props.Get(propGiveUp))
+	ms, _ := codec.AsUint64(props.Get(propDeadline))
 	s.told(time.Duration(ms) * time.Millisecond)
 	act := s.next(t, c.LocalAddr())
 	reply := p.With(1, uint32(0)).With(2, !p.Bool(2)).With(9, nil).With(13, nil)
@@ -326,35 +326,35 @@
 		if cond != "" {
 			e = framing.NewErrorValue(cond, "as the case has it", nil)
 		}
-		c.write(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true, e}}, nil)
+		c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true, e}}, nil)
 		return true
 	}
 	up := func() {
 		s.answered()
-		c.write(0, reply, nil)
-		session.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
+		c.writeFrame(0, reply, nil)
+		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
 	}
 	switch act {
 	case accept:
 		up()
 	case busy:
 		s.answered()
-		c.write(0, reply.With(6, nil), nil)
+		c.writeFrame(0, reply.With(6, nil), nil)
 		return end(framing.CondResourceLimitExceeded)
 	case fault1:
 		s.answered()
-		c.write(0, reply.With(6, nil), nil)
+		c.writeFrame(0, reply.With(6, nil), nil)
 		return end(framing.CondInternalError)
 	case hang, noCredit:
 		if act == noCredit {
-			c.write(0, reply, nil)
+			c.writeFrame(0, reply, nil)
 		}
-		_, _ = io.Copy(io.Discard, c.r)
+		_, _ = io.Copy(io.Discard, c.reader)
 		s.answered()
 		return false
 	case breaks:
 		s.answered()
-		c.socket.(*net.TCPConn).SetLinger(0)
+		c.streamConn.(*net.TCPConn).SetLinger(0)
 		return false
 	case bye:
 		up()
@@ -364,7 +364,7 @@
 		return end(framing.CondDetachForced)
 	case dies:
 		up()
-		c.socket.(*net.TCPConn).SetLinger(0)
+		c.streamConn.(*net.TCPConn).SetLinger(0)
 		return false
 	}
 	return true
@@ -381,14 +381,14 @@
 		return "lost", false, nil
 	}
 	sender, err := session.NewSender(ctx, "score", &client10.SenderOptions{Name: "a link", Properties: map[string]any{
-		propClass: "page", propGiveUp: uint32(giveUp.Milliseconds()), propGroup: "5c0f6e1a2b3d4c59",
+		propClass: "page", propDeadline: uint32(giveUp.Milliseconds()), propGroup: "5c0f6e1a2b3d4c59",
 	}})
 	var end *client10.Error
 	switch {
 	case err != nil && !errors.As(err, &end):
 		return "lost", false, nil
 	case err != nil && end.Condition == client10.ErrCond(framing.CondResourceLimitExceeded):
-		_, told := end.Info[infoBack]
+		_, told := end.Info[infoRetryAfter]
 		return "unavailable", told, nil
 	case err != nil:
 		return "failed", false, nil
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -42,7 +42,7 @@
 	open   framing.Performative // that it says itself; zero: the usual
 	window uint32
 	credit uint32
-	reply  func(c *conn, s *session, f framing.Frame) bool // more that it does; true: nothing else is done
+	reply  func(c *connection, s *session, f framing.Frame) bool // more that it does; true: nothing else is done
 }
 
 func (s *seenAt) serve(t testing.TB, tcp *net.TCPConn, _ *script) {
@@ -52,7 +52,7 @@
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.read(framing.TypeAMQP, serverWait)
+		f, err := c.readFrame(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
@@ -64,30 +64,30 @@
 		}
 		switch f.Code {
 		case framing.CodeOpen:
-			c.opened(f.Performative)
-			o := open("server")
+			c.applyOpen(f.Performative)
+			o := newOpen("server")
 			if s.open.Code != 0 {
 				o = s.open
 			}
-			c.write(0, o, nil)
+			c.writeFrame(0, o, nil)
 		case framing.CodeBegin:
-			_ = session.begun(f.Performative)
-			b := session.begin(uint16(0))
+			_ = session.applyBegin(f.Performative)
+			b := session.newBegin(uint16(0))
 			if s.window > 0 {
 				b = b.With(2, s.window)
 			}
-			c.write(0, b, nil)
+			c.writeFrame(0, b, nil)
 		case framing.CodeAttach:
-			c.write(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+			c.writeFrame(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
 			if !f.Bool(2) {
-				c.write(0, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
+				c.writeFrame(0, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
 			}
 		case framing.CodeTransfer:
 			if !f.Bool(5) && !f.Bool(4) && !f.Bool(9) {
-				c.write(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 			}
 		case framing.CodeDetach:
-			c.write(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
+			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	return dialRaw(t, newRig(t, w, 1, nil).address)
 }
 
-var rawProps = codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(900)}
+var rawProps = codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(900)}
 
 // link attaches a link that is to send or to receive, and waits until it is up.
 func (c *raw) link(sends bool, fields ...func(framing.Performative) framing.Performative) (framing.Performative, error) {
@@ -131,7 +131,7 @@
 	for _, set := range fields {
 		p = set(p)
 	}
-	c.write(3, p, nil)
+	c.writeFrame(3, p, nil)
 	f, err := c.frame()
 	if err != nil || f.Code != framing.CodeAttach {
 		return f.Performative, fmt.Errorf("an attach is answered with %#x, %v", f.Code, err)
@@ -148,14 +148,14 @@
 // frame waits for a frame with a body.
 func (c *raw) frame() (framing.Frame, error) {
 	for {
-		if f, err := c.read(framing.TypeAMQP, 3*time.Second); err != nil || !f.Empty {
+		if f, err := c.readFrame(framing.TypeAMQP, 3*time.Second); err != nil || !f.Empty {
 			return f, err
 		}
 	}
 }
 
 // hello dials a front, and exchanges a header with it.
-func hello(t *testing.T, h [8]byte) (*conn, error) {
+func hello(t *testing.T, h [8]byte) (*connection, error) {
 	t.Helper()
 	w := wires[1]
 	w.server = (&seenAt{}).serve
@@ -164,9 +164,9 @@
 		return nil, err
 	}
 	t.Cleanup(func() { tcp.Close() })
-	c := newConn(tcp.(*net.TCPConn))
-	c.header(h)
-	got, err := c.readHeader(time.Second)
+	c := newConnection(tcp.(*net.TCPConn))
+	c.writeProtocolHeader(h)
+	got, err := c.readProtocolHeader(time.Second)
 	return c, errors.Join(err, same("header", got, h))
 }
 
@@ -183,7 +183,7 @@
 }
 
 func (c *raw) send(id uint32, settled bool, more, aborted bool, payload []byte) {
-	c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+	c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 }
 
 func same(what string, got, want any) error {
@@ -230,8 +230,8 @@
 		if err != nil {
 			return err
 		}
-		c.write(0, open("raw"), nil)
-		f, err := c.read(framing.TypeAMQP, time.Second)
+		c.writeFrame(0, newOpen("raw"), nil)
+		f, err := c.readFrame(framing.TypeAMQP, time.Second)
 		if err != nil || f.Code != framing.CodeOpen || codec.AsString(f.Field(0)) == "" || f.Uint32(2, 0) < framing.MinMaxFrameSize || f.Uint32(4, 0) == 0 {
 			return fmt.Errorf("the open is %v, %v", f.Performative, err)
 		}
@@ -246,17 +246,17 @@
 		}
 		defer tcp.Close()
 		b := append([]byte{}, framing.ProtocolHeaderAMQP[:]...)
-		b = framing.AppendFrame(b, framing.TypeAMQP, 0, open("raw"), nil)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 0, newOpen("raw"), nil)
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = tcp.Write(b)
-		c := &raw{newConn(tcp.(*net.TCPConn)), t}
-		_, _ = c.readHeader(time.Second)
+		c := &raw{newConnection(tcp.(*net.TCPConn)), t}
+		_, _ = c.readProtocolHeader(time.Second)
 		return errors.Join(c.told(framing.CodeOpen, 9, ""), c.told(framing.CodeBegin, 9, ""), c.told(framing.CodeAttach, 9, ""), c.told(framing.CodeFlow, 99, ""))
 	}},
 	{"2.4.3", "client", "a close is answered with a close", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(0, framing.Performative{Code: framing.CodeClose}, nil)
+		c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 		return c.told(framing.CodeClose, 0, "")
 	}},
 	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
@@ -264,28 +264,28 @@
 		if err != nil {
 			return err
 		}
-		c.write(0, open("idle").With(4, uint32(600)), nil)
+		c.writeFrame(0, newOpen("idle").With(4, uint32(600)), nil)
 		for beats := 0; beats < 3; {
-			f, err := c.read(framing.TypeAMQP, 600*time.Millisecond)
+			f, err := c.readFrame(framing.TypeAMQP, 600*time.Millisecond)
 			if err != nil {
 				return err
 			}
 			if f.Empty {
 				beats++
-				c.write(0, framing.Performative{}, nil)
+				c.writeFrame(0, framing.Performative{}, nil)
 			}
 		}
 		return nil
 	}},
 	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		f, err := c.frame()
 		return errors.Join(err, same("remote-channel", f.Uint32(0, 99), uint32(3)))
 	}},
 	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.write(3, framing.Performative{Code: framing.CodeEnd}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeEnd}, nil)
 		if err := c.told(framing.CodeEnd, 0, ""); err != nil {
 			return err
 		}
@@ -294,7 +294,7 @@
 	}},
 	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.write(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
 		f, err := c.frame()
 		if err != nil || f.Code != framing.CodeFlow || f.RequireUint32(0, 1, 2, 3) != nil {
 			return fmt.Errorf("echoed %#x %v, %v", f.Code, f.Fields, err)
@@ -311,7 +311,7 @@
 			return err
 		}
 		big := bytes.Repeat([]byte("n"), framing.MaxFrameSize/2)
-		for i := range uint32(3 * windowMost) {
+		for i := range uint32(3 * sessionWindow) {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
 			c.send(i, true, false, false, big)
 		}
@@ -357,7 +357,7 @@
 			if _, err := c.link(true); err != nil {
 				return err
 			}
-			c.write(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
+			c.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
 			if err := c.told(framing.CodeDetach, 2, ""); err != nil {
 				return err
 			}
@@ -366,7 +366,7 @@
 	}},
 	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
 		grants := rawAt(t, &seenAt{credit: 7}).begin()
-		grants.write(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		grants.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = grants.frame()
 		granted, err := grants.frame()
 		if err := errors.Join(err, same("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
@@ -377,7 +377,7 @@
 		if _, err := c.link(false); err != nil {
 			return err
 		}
-		c.write(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
 		flows, err := s.of(framing.CodeFlow, 1)
 		if err != nil {
 			return err
@@ -422,12 +422,12 @@
 	}},
 	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{})
-		c.write(channelMost+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+		c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
 		return c.told(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
 		c := rawAt(t, &seenAt{}).begin()
-		c.attach(handleMost+1, rawProps)
+		c.attach(maxHandle+1, rawProps)
 		return c.told(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
@@ -458,12 +458,12 @@
 		return errors.Join(err, same("settled", all[0].Bool(4), true), same("disposition of", f.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
-		s := &seenAt{reply: func(c *conn, _ *session, f framing.Frame) bool {
+		s := &seenAt{reply: func(c *connection, _ *session, f framing.Frame) bool {
 			if f.Code != framing.CodeFlow || f.Field(4) == nil {
 				return false
 			}
 			for i := range uint32(3) {
-				c.write(0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
+				c.writeFrame(0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
 			}
 			return true
 		}}
@@ -471,13 +471,13 @@
 		if _, err := c.link(false); err != nil {
 			return err
 		}
-		c.write(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
 		for range 3 {
 			if err := c.told(framing.CodeTransfer, 99, ""); err != nil {
 				return err
 			}
 		}
-		c.write(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 		var settled []uint32
 		for len(settled) < 3 {
 			all, err := s.of(framing.CodeDisposition, 1)
@@ -511,9 +511,9 @@
 	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
 		outcomes := []any{codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}, codec.Described{Descriptor: uint64(0x25), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(0x26), Value: codec.List{}},
 			codec.Described{Descriptor: uint64(0x27), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
-		s := &seenAt{reply: func(c *conn, _ *session, f framing.Frame) bool {
+		s := &seenAt{reply: func(c *connection, _ *session, f framing.Frame) bool {
 			if f.Code == framing.CodeTransfer {
-				c.write(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, outcomes[f.Uint32(1, 0)]}}, nil)
+				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, outcomes[f.Uint32(1, 0)]}}, nil)
 			}
 			return f.Code == framing.CodeTransfer
 		}}
@@ -548,17 +548,17 @@
 		if err != nil {
 			return err
 		}
-		f, err := c.read(framing.TypeSASL, time.Second)
-		if err != nil || f.Code != framing.CodeSASLMechanisms || !offers(f.Field(0), "ANONYMOUS") {
+		f, err := c.readFrame(framing.TypeSASL, time.Second)
+		if err != nil || f.Code != framing.CodeSASLMechanisms || !offersMechanism(f.Field(0), "ANONYMOUS") {
 			return fmt.Errorf("mechanisms %v, %v", f.Performative, err)
 		}
-		c.sasl(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
-		f, err = c.read(framing.TypeSASL, time.Second)
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
+		f, err = c.readFrame(framing.TypeSASL, time.Second)
 		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(0))); err != nil {
 			return err
 		}
-		c.header(framing.ProtocolHeaderAMQP)
-		h, err := c.readHeader(time.Second)
+		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+		h, err := c.readProtocolHeader(time.Second)
 		return errors.Join(err, same("header", h, framing.ProtocolHeaderAMQP))
 	}},
 	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
@@ -566,20 +566,20 @@
 		if err != nil {
 			return err
 		}
-		_, _ = c.read(framing.TypeSASL, time.Second)
-		c.sasl(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
-		f, err := c.read(framing.TypeSASL, time.Second)
+		_, _ = c.readFrame(framing.TypeSASL, time.Second)
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
+		f, err := c.readFrame(framing.TypeSASL, time.Second)
 		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(1))); err != nil {
 			return err
 		}
-		if _, err := c.read(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := c.readFrame(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("the connection goes on: %v", err)
 		}
 		return nil
 	}},
 
 	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
-		s := &seenAt{open: open("server").With(2, uint32(framing.MinMaxFrameSize))}
+		s := &seenAt{open: newOpen("server").With(2, uint32(framing.MinMaxFrameSize))}
 		c := rawAt(t, s).begin()
 		if _, err := c.link(true); err != nil {
 			return err
@@ -612,7 +612,7 @@
 		return errors.Join(same("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), same("channel", s.frames[1].Channel, uint16(0)), same("handle", s.frames[2].Uint32(1, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
-		s := &seenAt{open: open("server").With(4, uint32(200))}
+		s := &seenAt{open: newOpen("server").With(4, uint32(200))}
 		if _, err := rawAt(t, s).begin().link(true); err != nil {
 			return err
 		}
@@ -659,7 +659,7 @@
 			conns++
 			mu.Unlock()
 			for {
-				f, err := c.read(framing.TypeAMQP, serverWait)
+				f, err := c.readFrame(framing.TypeAMQP, serverWait)
 				if err != nil {
 					return
 				}
@@ -668,13 +668,13 @@
 				mu.Unlock()
 				switch f.Code {
 				case framing.CodeOpen:
-					c.opened(f.Performative)
-					c.write(0, open("server").With(3, uint16(1)), nil)
+					c.applyOpen(f.Performative)
+					c.writeFrame(0, newOpen("server").With(3, uint16(1)), nil)
 				case framing.CodeBegin:
-					c.write(f.Channel, newSession(c, f.Channel).begin(f.Channel), nil)
+					c.writeFrame(f.Channel, newSession(c, f.Channel).newBegin(f.Channel), nil)
 				case framing.CodeAttach:
-					c.write(f.Channel, f.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-					c.write(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
+					c.writeFrame(f.Channel, f.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+					c.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
 				}
 			}
 		}
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	idleTold  = 15 * time.Second // the peer is told this much
-	idleMost  = 30 * time.Second // and given this much
-	writeMost = 5 * time.Second  // a peer that takes nothing for this long is gone
+	advertisedIdleTimeout = 15 * time.Second // the peer is told this much
+	clientIdleTimeout     = 30 * time.Second // and given this much
+	writeTimeout          = 5 * time.Second  // a peer that takes nothing for this long is gone
 )
 
-// socket is a connection of TCP, or of TLS over it.
-type socket interface {
+// streamConn is a connection of TCP, or of TLS over it.
+type streamConn interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// conn is a connection that speaks in frames, to either side.
-type conn struct {
-	socket
-	r     *bufio.Reader
-	until time.Time // by when all that is read has to be there; none if zero
+// connection is a connection that speaks in frames, to either side.
+type connection struct {
+	streamConn
+	reader       *bufio.Reader
+	openDeadline time.Time // by when all that is read has to be there; none if zero
 
-	mu   turn
-	most int // the peer's largest frame
-	buf  []byte
-	sent time.Time
-	quit bool // nothing may follow a close, or a frame that went out in part
+	mu               timedMutex
+	peerMaxFrameSize int // the peer's largest frame
+	writeBuffer      []byte
+	lastWrite        time.Time
+	writesClosed     bool // nothing may follow a close, or a frame that went out in part
 }
 
-func newConn(c socket) *conn {
-	return &conn{socket: c, r: bufio.NewReaderSize(c, 4<<10), mu: make(turn, 1), most: framing.MinMaxFrameSize}
+func newConnection(c streamConn) *connection {
+	return &connection{streamConn: c, reader: bufio.NewReaderSize(c, 4<<10), mu: make(timedMutex, 1), peerMaxFrameSize: framing.MinMaxFrameSize}
 }
 
-// turn is a lock that can be waited for within a time: who writes keeps it for as long as the peer does not read.
-type turn chan struct{}
+// timedMutex is a lock that can be waited for within a time: who writes keeps it for as long as the peer does not read.
+type timedMutex chan struct{}
 
-func (t turn) Lock()   { t <- struct{}{} }
-func (t turn) Unlock() { <-t }
+func (t timedMutex) Lock()   { t <- struct{}{} }
+func (t timedMutex) Unlock() { <-t }
 
-func (t turn) TryLock() bool {
+func (t timedMutex) TryLock() bool {
 	select {
 	case t <- struct{}{}:
 		return true
@@ -57,8 +57,8 @@
 	}
 }
 
-// lockWithin takes the lock unless ctx ends first.
-func (t turn) lockWithin(ctx context.Context) bool {
+// LockContext takes the lock unless ctx ends first.
+func (t timedMutex) LockContext(ctx context.Context) bool {
 	select {
 	case t <- struct{}{}:
 		return true
@@ -67,21 +67,21 @@
 	}
 }
 
-// within bounds the next read. Whatever comes meanwhile, a greeting as a whole
+// limitNextRead bounds the next read. Whatever comes meanwhile, a greeting as a whole
 // has its own bound.
-func (c *conn) within(wait time.Duration) {
+func (c *connection) limitNextRead(wait time.Duration) {
 	by := time.Now().Add(wait)
-	if !c.until.IsZero() && c.until.Before(by) {
-		by = c.until
+	if !c.openDeadline.IsZero() && c.openDeadline.Before(by) {
+		by = c.openDeadline
 	}
 	c.SetReadDeadline(by)
 }
 
-// read waits for the next frame, for so long at the most.
-func (c *conn) read(kind byte, wait time.Duration) (framing.Frame, error) {
-	c.within(wait)
+// readFrame waits for the next frame, for so long at the most.
+func (c *connection) readFrame(kind byte, wait time.Duration) (framing.Frame, error) {
+	c.limitNextRead(wait)
 	var head [4]byte
-	if _, err := io.ReadFull(c.r, head[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
 		return framing.Frame{}, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
@@ -89,7 +89,7 @@
 		return framing.Frame{}, framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("a frame of %d bytes is out of range", size)}
 	}
 	b := make([]byte, size-4)
-	if _, err := io.ReadFull(c.r, b); err != nil {
+	if _, err := io.ReadFull(c.reader, b); err != nil {
 		return framing.Frame{}, err
 	}
 	if b[1] != kind {
@@ -99,41 +99,41 @@
 }
 
 var (
-	errQuit = errors.New("the connection is closing")
-	errMoot = errors.New("it is not to be sent any more")
+	errConnectionClosing = errors.New("the connection is closing")
+	errNoLongerPermitted = errors.New("it is not to be sent any more")
 )
 
-// write sends a frame in one piece; nothing goes out after a close.
-func (c *conn) write(channel uint16, p framing.Performative, payload []byte) error {
-	return c.send(channel, p, payload, nil)
+// writeFrame sends a frame in one piece; nothing goes out after a close.
+func (c *connection) writeFrame(channel uint16, p framing.Performative, payload []byte) error {
+	return c.writeUnlessEnded(channel, p, payload, nil)
 }
 
-// send is write for a session that others go on beside: nothing of it may go out after its end. shut is whether that has;
+// writeUnlessEnded is write for a session that others go on beside: nothing of it may go out after its end. shut is whether that has;
 // it is guarded by the connection's lock. nil: the session's end is none of the connection's business.
-func (c *conn) send(channel uint16, p framing.Performative, payload []byte, shut *bool) error {
+func (c *connection) writeUnlessEnded(channel uint16, p framing.Performative, payload []byte, shut *bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.quit || shut != nil && *shut {
-		return errQuit
+	if c.writesClosed || shut != nil && *shut {
+		return errConnectionClosing
 	}
 	if shut != nil {
 		*shut = p.Code == framing.CodeEnd
 	}
-	c.quit = p.Code == framing.CodeClose
-	c.buf = c.buf[:0]
-	c.buf = framing.AppendFrame(c.buf, framing.TypeAMQP, channel, p, payload)
+	c.writesClosed = p.Code == framing.CodeClose
+	c.writeBuffer = c.writeBuffer[:0]
+	c.writeBuffer = framing.AppendFrame(c.writeBuffer, framing.TypeAMQP, channel, p, payload)
 	return c.flush()
 }
 
 // flush writes what is in the buffer; the caller holds the lock. A failure ends the connection: after a frame that
 // went out in part, the next would be read as its rest, and the reader is to see that its peer is gone.
-func (c *conn) flush() error {
-	c.sent = time.Now()
-	c.SetWriteDeadline(c.sent.Add(writeMost))
-	_, err := c.Write(c.buf)
+func (c *connection) flush() error {
+	c.lastWrite = time.Now()
+	c.SetWriteDeadline(c.lastWrite.Add(writeTimeout))
+	_, err := c.Write(c.writeBuffer)
 	if err != nil {
-		c.quit = true
-		if over, ok := c.socket.(interface{ NetConn() net.Conn }); ok {
+		c.writesClosed = true
+		if over, ok := c.streamConn.(interface{ NetConn() net.Conn }); ok {
 			over.NetConn().Close() // closing TLS says a last word, which waits as this one did
 		} else {
 			c.Close()
@@ -142,52 +142,52 @@
 	return err
 }
 
-// room returns how much payload a frame to the peer holds beside a performative.
-func (c *conn) room(p framing.Performative) int {
+// maxPayload returns how much payload a frame to the peer holds beside a performative.
+func (c *connection) maxPayload(p framing.Performative) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.most - len(framing.AppendFrame(nil, framing.TypeAMQP, 0, p, nil))
+	return c.peerMaxFrameSize - len(framing.AppendFrame(nil, framing.TypeAMQP, 0, p, nil))
 }
 
-// header writes a protocol header.
-func (c *conn) header(h [8]byte) error {
+// writeProtocolHeader writes a protocol header.
+func (c *connection) writeProtocolHeader(h [8]byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.buf = append(c.buf[:0], h[:]...)
+	c.writeBuffer = append(c.writeBuffer[:0], h[:]...)
 	return c.flush()
 }
 
-// readHeader waits for a protocol header.
-func (c *conn) readHeader(wait time.Duration) (h [8]byte, err error) {
-	c.within(wait)
-	_, err = io.ReadFull(c.r, h[:])
+// readProtocolHeader waits for a protocol header.
+func (c *connection) readProtocolHeader(wait time.Duration) (h [8]byte, err error) {
+	c.limitNextRead(wait)
+	_, err = io.ReadFull(c.reader, h[:])
 	return h, err
 }
 
-// sasl writes a frame of the security layer.
-func (c *conn) sasl(p framing.Performative) error {
+// writeSASL writes a frame of the security layer.
+func (c *connection) writeSASL(p framing.Performative) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.buf = framing.AppendFrame(c.buf[:0], framing.TypeSASL, 0, p, nil)
+	c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeSASL, 0, p, nil)
 	return c.flush()
 }
 
-// opened takes what the peer's open says of itself.
-func (c *conn) opened(p framing.Performative) (idle time.Duration) {
+// applyOpen takes what the peer's open says of itself.
+func (c *connection) applyOpen(p framing.Performative) (idle time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.most = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, p.Uint32(2, 1<<32-1))))
+	c.peerMaxFrameSize = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, p.Uint32(2, 1<<32-1))))
 	return time.Duration(p.Uint32(4, 0)) * time.Millisecond
 }
 
-// open is the relay's own open.
-func open(name string) framing.Performative {
-	return framing.Performative{Code: framing.CodeOpen, Fields: codec.List{name, nil, uint32(framing.MaxFrameSize), uint16(channelMost), uint32(idleTold.Milliseconds())}}
+// newOpen is the relay's own open.
+func newOpen(name string) framing.Performative {
+	return framing.Performative{Code: framing.CodeOpen, Fields: codec.List{name, nil, uint32(framing.MaxFrameSize), uint16(maxChannel), uint32(advertisedIdleTimeout.Milliseconds())}}
 }
 
-// beat sends empty frames, often enough for the peer's idle time-out, until
+// sendHeartbeats sends empty frames, often enough for the peer's idle time-out, until
 // stop is closed.
-func (c *conn) beat(idle time.Duration, stop <-chan struct{}) {
+func (c *connection) sendHeartbeats(idle time.Duration, stop <-chan struct{}) {
 	if idle <= 0 {
 		return
 	}
@@ -200,9 +200,9 @@
 			return
 		case <-tick.C:
 			c.mu.Lock()
-			quiet := time.Since(c.sent) >= every
+			quiet := time.Since(c.lastWrite) >= every
 			c.mu.Unlock()
-			if quiet && c.write(0, framing.Performative{}, nil) != nil {
+			if quiet && c.writeFrame(0, framing.Performative{}, nil) != nil {
 				return
 			}
 		}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -426,12 +426,12 @@
 	r.names = []string{f.Addr().String()}
 	r.list(balancer.StateReady, 0)
 	c := dialRaw(t, r.address).begin()
-	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(60000)})
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
 	testutil.Until(t, "its pass goes out", func() bool {
 		all := r.core.Requests.List()
 		return len(all) == 1 && all[0].Attempts == 1
 	})
-	c.write(5, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false}}, nil) // on a channel without a session
+	c.writeFrame(5, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false}}, nil) // on a channel without a session
 	c.want(framing.CodeClose, 0, framing.CondFramingError)
 	told := time.Now() // and it stays: a client that lingers is waited for
 	testutil.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
@@ -453,17 +453,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer, tcp := newConn(there.(*net.TCPConn)), here.(*net.TCPConn)
-	if err := peer.write(0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil); err != nil {
+	peer, tcp := newConnection(there.(*net.TCPConn)), here.(*net.TCPConn)
+	if err := peer.writeFrame(0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	testutil.Unread(t, tcp, framing.HeaderSize)
-	(&client{conn: newConn(tcp), tcp: tcp}).showOut()
-	f, err := peer.read(framing.TypeAMQP, serverWait)
+	(&clientConnection{connection: newConnection(tcp), tcp: tcp}).evict()
+	f, err := peer.readFrame(framing.TypeAMQP, serverWait)
 	if cond, _ := f.Condition(0); err != nil || f.Code != framing.CodeClose || cond != framing.CondResourceLimitExceeded {
 		t.Errorf("it is told %#x, %q, %v", f.Code, cond, err)
 	}
-	if _, err := peer.read(framing.TypeAMQP, serverWait); !errors.Is(err, io.EOF) {
+	if _, err := peer.readFrame(framing.TypeAMQP, serverWait); !errors.Is(err, io.EOF) {
 		t.Errorf("its connection ends with %v", err)
 	}
 }
--- a/internal/frontend/amqp/front.go
+++ b/internal/frontend/amqp/front.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	helloWait = listener.OpeningTimeout // a client may take this long to open, all in all
-	leaveWait = 200 * time.Millisecond  // a connection whose links are moved or answered has this long once the relay ends
-	byeWait   = time.Second             // a peer may take this long to answer a close
+	openTimeout   = listener.OpeningTimeout // a client may take this long to open, all in all
+	shutdownGrace = 200 * time.Millisecond  // a connection whose links are moved or answered has this long once the relay ends
+	closeTimeout  = time.Second             // a peer may take this long to answer a close
 )
 
 // Frontend is where clients that speak AMQP come in.
@@ -40,121 +40,121 @@
 	Pool          connpool.Settings   // connections to servers that transactions share; zero: each has its own
 	Placements    []Placement         // what links want whose attach does not say it; each is compiled
 
-	plain  sync.Map // addresses of servers that speak without the security layer
-	trunks *trunks  // nil: no connections are shared
+	endpointsWithoutSASL sync.Map           // addresses of servers that speak without the security layer
+	sharedConnections    *sharedConnections // nil: no connections are shared
 }
 
 // Serve takes clients until the listener is closed, and then sees those through
 // that it has.
 func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	if f.Pool.MaxSessions > 0 {
-		f.trunks = newTrunks(f, f.Pool)
-		defer f.trunks.close()
-		defer context.AfterFunc(ctx, f.trunks.close)() // at the relay's end nobody waits for a server that does not read
+		f.sharedConnections = newSharedConnections(f, f.Pool)
+		defer f.sharedConnections.close()
+		defer context.AfterFunc(ctx, f.sharedConnections.close)() // at the relay's end nobody waits for a server that does not read
 	}
-	return listener.Serve(ctx, l, f.Limiter, f.client)
+	return listener.Serve(ctx, l, f.Limiter, f.serveClient)
 }
 
-// client is a client's connection.
-type client struct {
-	*conn
-	front    *Frontend
-	guest    *listener.Admission
-	ctx      context.Context
-	links    sync.WaitGroup
-	sessions map[uint16]*clientSession
-	stop     chan struct{}
-	name     string // of its container
-	user     string // who it is
-	tcp      *net.TCPConn
-	tls      *tls.ConnectionState // nil: it came without
+// clientConnection is a client's connection.
+type clientConnection struct {
+	*connection
+	frontend    *Frontend
+	admission   *listener.Admission
+	ctx         context.Context
+	activeLinks sync.WaitGroup
+	sessions    map[uint16]*clientSession
+	done        chan struct{}
+	containerID string // of its container
+	user        string // who it is
+	tcp         *net.TCPConn
+	tlsState    *tls.ConnectionState // nil: it came without
 }
 
-// client sees one connection through.
-func (f *Frontend) client(ctx context.Context, tcp *net.TCPConn, g *listener.Admission) {
+// serveClient sees one connection through.
+func (f *Frontend) serveClient(ctx context.Context, tcp *net.TCPConn, g *listener.Admission) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &client{
-		conn: newConn(tcp), front: f, guest: g, ctx: ctx, tcp: tcp,
-		sessions: make(map[uint16]*clientSession), stop: make(chan struct{}), user: auth.AnonymousUser,
+	c := &clientConnection{
+		connection: newConnection(tcp), frontend: f, admission: g, ctx: ctx, tcp: tcp,
+		sessions: make(map[uint16]*clientSession), done: make(chan struct{}), user: auth.AnonymousUser,
 	}
 	closed := context.AfterFunc(ctx, func() { tcp.Close() })
-	err := c.secures()
+	err := c.handshakeTLS()
 	if err == nil {
-		err = c.run()
+		err = c.serve()
 	}
 	if bad := (framing.ConditionError{}); errors.As(err, &bad) {
 		f.Proxy.ProtocolError("amqp", bad.Description)
-		c.write(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+		c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
-		s.lost()
+		s.disconnect()
 	}
 	c.linger()
-	c.links.Wait()
-	close(c.stop)
+	c.activeLinks.Wait()
+	close(c.done)
 	closed()
 	cancel()
 	tcp.Close()
 }
 
-// secures brings TLS up, where it is to be. A client that shows nothing of it has as long as for
+// handshakeTLS brings TLS up, where it is to be. A client that shows nothing of it has as long as for
 // the greeting, of which this is a part.
-func (c *client) secures() error {
-	config := c.front.Authenticator.TLS()
+func (c *clientConnection) handshakeTLS() error {
+	config := c.frontend.Authenticator.TLS()
 	if config == nil {
 		return nil
 	}
-	ctx, done := context.WithDeadline(c.ctx, c.guest.IdleSince.Add(helloWait))
+	ctx, done := context.WithDeadline(c.ctx, c.admission.IdleSince.Add(openTimeout))
 	defer done()
 	secured := tls.Server(c.tcp, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		c.front.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
+		c.frontend.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
 		return err // which is no fault: there is nobody to tell it to in the standard's words
 	}
 	state := secured.ConnectionState()
-	c.tls = &state
-	c.conn = newConn(secured)
+	c.tlsState = &state
+	c.connection = newConnection(secured)
 	return nil
 }
 
 // linger lets the client read the last that it was told before the connection ends: closing with
 // words of the client unread would reset it. One that has left is not waited for.
-func (c *client) linger() {
+func (c *clientConnection) linger() {
 	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
-	_, _ = io.CopyN(io.Discard, c.r, listener.LingerMaxBytes)
+	_, _ = io.CopyN(io.Discard, c.reader, listener.LingerMaxBytes)
 }
 
-// showOut closes a connection without links to make room for another. It never
+// evict closes a connection without links to make room for another. It never
 // waits for who is writing on it.
-func (c *client) showOut() {
+func (c *clientConnection) evict() {
 	if c.mu.TryLock() {
-		c.quit = true
-		c.buf = framing.AppendFrame(c.buf[:0], framing.TypeAMQP, 0,
+		c.writesClosed = true
+		c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeAMQP, 0,
 			framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondResourceLimitExceeded, "the relay needs the room", nil)}}, nil)
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
-		_, _ = c.Write(c.buf) // the close follows either way
+		_, _ = c.Write(c.writeBuffer) // the close follows either way
 		c.mu.Unlock()
 	}
 	listener.Discard(c.tcp)
 	c.tcp.Close()
 }
 
-// run greets the client and takes its frames, until its connection ends.
-func (c *client) run() error {
-	c.until = c.guest.IdleSince.Add(helloWait)
-	if err := c.greet(); err != nil {
+// serve greets the client and takes its frames, until its connection ends.
+func (c *clientConnection) serve() error {
+	c.openDeadline = c.admission.IdleSince.Add(openTimeout)
+	if err := c.negotiate(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "the connection has not been opened in time"}
 		}
 		return err
 	}
-	c.until = time.Time{}
-	c.guest.OnEvict(c.showOut)
-	go c.leave()
-	idle := cmp.Or(c.front.IdleTimeout, idleMost)
+	c.openDeadline = time.Time{}
+	c.admission.OnEvict(c.evict)
+	go c.closeOnShutdown()
+	idle := cmp.Or(c.frontend.IdleTimeout, clientIdleTimeout)
 	for {
-		f, err := c.read(framing.TypeAMQP, idle)
+		f, err := c.readFrame(framing.TypeAMQP, idle)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "nothing has come for the time of the idle time-out"}
 		}
@@ -162,18 +162,18 @@
 			return err
 		}
 		if f.Code == framing.CodeClose {
-			c.write(0, framing.Performative{Code: framing.CodeClose}, nil)
+			c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 			return nil
 		}
-		if err := c.take(f); err != nil {
+		if err := c.handleFrame(f); err != nil {
 			return err
 		}
 	}
 }
 
-// greet exchanges headers, the security layer's frames and the opens.
-func (c *client) greet() error {
-	h, err := c.readHeader(helloWait)
+// negotiate exchanges headers, the security layer's frames and the opens.
+func (c *clientConnection) negotiate() error {
+	h, err := c.readProtocolHeader(openTimeout)
 	if err != nil {
 		return err
 	}
@@ -181,120 +181,120 @@
 		if err := c.authenticate(); err != nil {
 			return err
 		}
-		if h, err = c.readHeader(helloWait); err != nil {
+		if h, err = c.readProtocolHeader(openTimeout); err != nil {
 			return err
 		}
-	} else if !c.front.Authenticator.Bare() {
-		c.header(framing.ProtocolHeaderSASL) // which the standard has for an answer, and the end
+	} else if !c.frontend.Authenticator.Bare() {
+		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // which the standard has for an answer, and the end
 		return errors.New("the client comes without the security layer, and has to say who it is")
 	}
-	if err := c.header(framing.ProtocolHeaderAMQP); err != nil {
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
 	if h != framing.ProtocolHeaderAMQP {
 		return errors.New("the client speaks another protocol") // it has been told ours
 	}
-	f, err := c.read(framing.TypeAMQP, helloWait)
+	f, err := c.readFrame(framing.TypeAMQP, openTimeout)
 	if err != nil {
 		return err
 	}
 	if f.Code != framing.CodeOpen {
 		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a connection begins with an open"}
 	}
-	c.name = codec.AsString(f.Field(0))
-	idle := c.opened(f.Performative)
-	if err := c.write(0, open("lockroad"), nil); err != nil {
+	c.containerID = codec.AsString(f.Field(0))
+	idle := c.applyOpen(f.Performative)
+	if err := c.writeFrame(0, newOpen("lockroad"), nil); err != nil {
 		return err
 	}
-	go c.beat(idle, c.stop)
+	go c.sendHeartbeats(idle, c.done)
 	return nil
 }
 
 // authenticate has the client say who it is, by one of the mechanisms that there are for it.
-func (c *client) authenticate() error {
-	if err := c.header(framing.ProtocolHeaderSASL); err != nil {
+func (c *clientConnection) authenticate() error {
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	gate := c.front.Authenticator
+	gate := c.frontend.Authenticator
 	var names codec.Array
-	for _, name := range gate.Mechanisms(c.tls) {
+	for _, name := range gate.Mechanisms(c.tlsState) {
 		names = append(names, codec.Symbol(name))
 	}
-	if err := c.sasl(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{names}}); err != nil {
+	if err := c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{names}}); err != nil {
 		return err
 	}
-	f, err := c.read(framing.TypeSASL, helloWait)
+	f, err := c.readFrame(framing.TypeSASL, openTimeout)
 	if err != nil {
 		return err
 	}
 	response, _ := f.Field(1).([]byte)
 	user, ok := "", false
 	if f.Code == framing.CodeSASLInit {
-		user, ok = gate.Authenticate(codec.AsString(f.Field(0)), response, c.tls)
+		user, ok = gate.Authenticate(codec.AsString(f.Field(0)), response, c.tlsState)
 	}
 	if !ok {
-		c.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
-		c.front.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
+		c.frontend.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
 		return errors.New("the client does not say who it is, or is not")
 	}
 	c.user = user
-	return c.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+	return c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// leave closes the connection once its links have been moved, or answered: links still come until then.
-func (c *client) leave() {
+// closeOnShutdown closes the connection once its links have been moved, or answered: links still come until then.
+func (c *clientConnection) closeOnShutdown() {
 	select {
-	case <-c.stop:
+	case <-c.done:
 		return
-	case <-c.front.Proxy.Closing().Done():
+	case <-c.frontend.Proxy.Closing().Done():
 	}
 	select {
-	case <-c.stop:
+	case <-c.done:
 		return
-	case <-time.After(leaveWait):
+	case <-time.After(shutdownGrace):
 	}
-	c.write(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondConnectionForced, "the relay is leaving", nil)}}, nil)
+	c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondConnectionForced, "the relay is leaving", nil)}}, nil)
 	_ = c.CloseWrite()
-	c.SetReadDeadline(time.Now().Add(byeWait))
+	c.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// take handles a frame other than a close.
-func (c *client) take(f framing.Frame) error {
+// handleFrame handles a frame other than a close.
+func (c *clientConnection) handleFrame(f framing.Frame) error {
 	if f.Empty {
 		return nil
 	}
 	s := c.sessions[f.Channel]
 	if f.Code == framing.CodeBegin {
-		if f.Channel > channelMost { // section 2.7.1 has the connection closed
+		if f.Channel > maxChannel { // section 2.7.1 has the connection closed
 			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d is over the most", f.Channel)}
 		}
 		if s != nil {
 			return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", f.Channel)}
 		}
-		s = &clientSession{session: newSession(c.conn, f.Channel), client: c, links: make(map[uint32]*link)}
-		s.shut = new(bool) // its links may have words left when it has ended
-		if err := s.begun(f.Performative); err != nil {
+		s = &clientSession{session: newSession(c.connection, f.Channel), client: c, links: make(map[uint32]*link)}
+		s.endWritten = new(bool) // its links may have words left when it has ended
+		if err := s.applyBegin(f.Performative); err != nil {
 			return err
 		}
 		c.sessions[f.Channel] = s
-		return s.write(f.Channel, s.begin(f.Channel), nil)
+		return s.writeFrame(f.Channel, s.newBegin(f.Channel), nil)
 	}
 	if s == nil {
 		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", f.Channel)}
 	}
-	if s.dead {
+	if s.endedLocally {
 		if f.Code == framing.CodeEnd {
 			delete(c.sessions, f.Channel)
 		}
 		return nil
 	}
-	err := s.take(f)
+	err := s.handleFrame(f)
 	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
 	if bad := (framing.ConditionError{}); errors.As(err, &bad) && bad.Condition != framing.CondFramingError {
-		c.front.Proxy.ProtocolError("amqp", bad.Description)
-		s.dead = true
-		err := s.write(f.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
-		s.lost()
+		c.frontend.Proxy.ProtocolError("amqp", bad.Description)
+		s.endedLocally = true
+		err := s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+		s.disconnect()
 		return err
 	}
 	return err
@@ -303,36 +303,36 @@
 // clientSession is a session of a client, with its links by their handles.
 type clientSession struct {
 	*session
-	client *client
-	links  map[uint32]*link
-	dead   bool // it has been ended from here
+	client       *clientConnection
+	links        map[uint32]*link
+	endedLocally bool // it has been ended from here
 }
 
-// lost tells all links that their client is gone.
-func (s *clientSession) lost() {
-	s.end()
+// disconnect tells all links that their client is gone.
+func (s *clientSession) disconnect() {
+	s.markEnded()
 	for _, l := range s.links {
-		l.clientLost()
+		l.handleDisconnect()
 	}
 }
 
-func (s *clientSession) take(f framing.Frame) error {
+func (s *clientSession) handleFrame(f framing.Frame) error {
 	switch f.Code {
 	case framing.CodeAttach:
-		return s.attach(f.Performative)
+		return s.handleAttach(f.Performative)
 	case framing.CodeFlow:
 		if err := f.RequireUint32(1, 2, 3); err != nil {
 			return err
 		}
-		s.flowed(f.Performative)
+		s.applyFlow(f.Performative)
 		if f.Field(4) == nil {
 			if f.Bool(9) {
-				return s.flow(framing.Performative{Code: framing.CodeFlow})
+				return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 			}
 			return nil
 		}
 	case framing.CodeTransfer:
-		if err := s.took(true); err != nil {
+		if err := s.receiveTransfer(true); err != nil {
 			return err
 		}
 	case framing.CodeDisposition:
@@ -340,13 +340,13 @@
 			return err
 		}
 		for _, l := range s.links {
-			l.disposed(f.Performative)
+			l.handleDisposition(f.Performative)
 		}
 		return nil
 	case framing.CodeEnd:
 		delete(s.client.sessions, s.channel)
-		err := s.write(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
-		s.lost()
+		err := s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
+		s.disconnect()
 		return err
 	case framing.CodeDetach:
 	default:
@@ -366,17 +366,17 @@
 	}
 	switch f.Code {
 	case framing.CodeFlow:
-		return l.flowed(f.Performative)
+		return l.handleFlow(f.Performative)
 	case framing.CodeTransfer:
-		return l.transferred(f)
+		return l.handleTransfer(f)
 	}
 	delete(s.links, handle)
-	l.clientDetached(f.Performative)
+	l.handleDetach(f.Performative)
 	return nil
 }
 
-// attach begins a transaction.
-func (s *clientSession) attach(p framing.Performative) error {
+// handleAttach begins a transaction.
+func (s *clientSession) handleAttach(p framing.Performative) error {
 	if err := p.RequireUint32(1); err != nil {
 		return err
 	}
@@ -386,46 +386,46 @@
 	switch {
 	case !named || !told:
 		return framing.ConditionError{Condition: framing.CondInvalidField, Description: "an attach has to tell its name and role"}
-	case handle > handleMost: // section 2.7.2 has the connection closed
+	case handle > maxHandle: // section 2.7.2 has the connection closed
 		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("handle %d is over the most", handle)}
 	case s.links[handle] != nil:
 		return framing.ConditionError{Condition: framing.CondHandleInUse, Description: fmt.Sprintf("handle %d has a link", handle)}
 	}
-	front := s.client.front
+	front := s.client.frontend
 	l := &link{
-		front: front, session: s.session, handle: handle, name: name,
-		attach: p, sends: !role, ids: newDeliveries(),
+		frontend: front, session: s.session, handle: handle, name: name,
+		attach: p, clientSends: !role, deliveries: newDeliveryMap(),
 	}
 	s.links[handle] = l
 	// A link's name is unique between two containers.
-	ask, p, err := front.ask(p, s.client.name, name)
+	ask, p, err := front.parseRequest(p, s.client.containerID, name)
 	l.attach = p
 	if err != nil {
 		front.Proxy.ProtocolError("amqp", err.Error())
-		s.refuse(l, framing.CondInvalidField, err.Error(), nil)
+		s.rejectAttach(l, framing.CondInvalidField, err.Error(), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
 	if !front.Authenticator.Authorized(s.client.user, ask.Class) {
 		front.Proxy.ProtocolError("amqp", "a client may not open a class")
-		s.refuse(l, framing.CondUnauthorizedAccess, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
+		s.rejectAttach(l, framing.CondUnauthorizedAccess, fmt.Sprintf("%q may not open the class %q", s.client.user, ask.Class), nil)
 		front.Proxy.Metrics.Class(ask.Class).CountFailed()
 		return nil
 	}
-	release, ok := front.Proxy.Admit(s.client.conn.RemoteAddr(), ask)
+	release, ok := front.Proxy.Admit(s.client.connection.RemoteAddr(), ask)
 	if !ok {
-		s.refuse(l, framing.CondResourceLimitExceeded, "its address or class has as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
+		s.rejectAttach(l, framing.CondResourceLimitExceeded, "its address or class has as many links as it may", retryAfterInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseQuotaExceeded)))
 		return nil
 	}
-	if !s.client.guest.Acquire() {
+	if !s.client.admission.Acquire() {
 		release()
-		s.refuse(l, framing.CondResourceLimitExceeded, "the relay holds as many links as it may", comeBackInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
+		s.rejectAttach(l, framing.CondResourceLimitExceeded, "the relay holds as many links as it may", retryAfterInfo(front.Proxy.Reject(s.client.ctx, ask, proxy.CauseConnectionLimit)))
 		return nil
 	}
 	ctx, left := context.WithCancel(s.client.ctx)
-	l.left = left
-	s.client.links.Go(func() {
-		defer s.client.guest.Release()
+	l.cancel = left
+	s.client.activeLinks.Go(func() {
+		defer s.client.admission.Release()
 		defer release()
 		defer left()
 		front.Proxy.Serve(ctx, ask, l)
@@ -434,20 +434,20 @@
 	return nil
 }
 
-// refuse answers an attach that never becomes a transaction. What is kept of it,
+// rejectAttach answers an attach that never becomes a transaction. What is kept of it,
 // until the client detaches, is next to nothing: refused links could else be had
 // by the hundred at 8 KiB each.
-func (s *clientSession) refuse(l *link, cond, why string, info codec.Map) {
+func (s *clientSession) rejectAttach(l *link, cond, why string, info codec.Map) {
 	l.detach(cond, why, info)
-	s.links[l.handle] = &link{front: l.front, session: l.session, handle: l.handle, sends: l.sends, ids: l.ids, detached: true}
+	s.links[l.handle] = &link{frontend: l.frontend, session: l.session, handle: l.handle, clientSends: l.clientSends, deliveries: l.deliveries, detachSent: true}
 }
 
-// ask reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
+// parseRequest reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Frontend) ask(p framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
+func (f *Frontend) parseRequest(p framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
 	props, _ := p.Field(13).(codec.Map)
-	address := addressOf(p)
-	rule := f.place(address, container)
+	address := terminusAddress(p)
+	rule := f.findPlacement(address, container)
 	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: codec.AsString(props.Get(propClass)), Tenant: codec.AsString(props.Get(propTenant))}
 	ask.Settings = f.Proxy.Settings()
 	if ask.Class == "" && rule != nil {
@@ -463,23 +463,23 @@
 		return ask, p, fmt.Errorf("%q is no known tenant; the property %q names one", ask.Tenant, propTenant)
 	}
 	var give time.Duration
-	switch wait, ok := codec.AsUint64(props.Get(propGiveUp)); {
+	switch wait, ok := codec.AsUint64(props.Get(propDeadline)); {
 	case ok && wait <= 1<<31:
 		give = time.Duration(wait) * time.Millisecond
-	case props.Get(propGiveUp) != nil || rule == nil:
-		return ask, p, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propGiveUp)
+	case props.Get(propDeadline) != nil || rule == nil:
+		return ask, p, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
 	default:
 		give = cmp.Or(rule.Timeout, ask.Settings.Classes[ask.RequestOptions.Class].Deadline)
 	}
 	ask.Deadline = f.Proxy.Clock.Now() + give
-	if ask.Group = keyOf(props.Get(propGroup)); ask.Group == 0 && rule != nil {
-		if ask.Group = rule.group(p, address, container); ask.Group != 0 {
+	if ask.Group = hashKey(props.Get(propGroup)); ask.Group == 0 && rule != nil {
+		if ask.Group = rule.groupKey(p, address, container); ask.Group != 0 {
 			props = props.With(propGroup, strconv.FormatUint(ask.Group, 16))
 		}
 	}
-	ask.Item = keyOf(props.Get(propItem))
-	ask.Returning, _ = props.Get(propAgain).(bool)
-	if us, ok := figure(props.Get(propLoad)); ok {
+	ask.Item = hashKey(props.Get(propItem))
+	ask.Returning, _ = props.Get(propReturning).(bool)
+	if us, ok := parseLoad(props.Get(propLoad)); ok {
 		ask.ExpectedLoad = us / 1e6
 	}
 	return ask, p.With(13, props), nil
--- a/internal/frontend/amqp/passing_test.go
+++ b/internal/frontend/amqp/passing_test.go
@@ -38,7 +38,7 @@
 }
 
 func linkProperties() map[string]any {
-	return map[string]any{propClass: "page", propGiveUp: uint32(2000), propGroup: "ab"}
+	return map[string]any{propClass: "page", propDeadline: uint32(2000), propGroup: "ab"}
 }
 
 // What a client sends comes out at the server as it was, in frames of any size,
@@ -113,7 +113,7 @@
 	session := newSession(c, 0)
 	sent := 0
 	for {
-		f, err := c.read(framing.TypeAMQP, serverWait)
+		f, err := c.readFrame(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
@@ -121,18 +121,18 @@
 		case framing.CodeOpen, framing.CodeBegin:
 			opened(c, session, f)
 		case framing.CodeAttach:
-			c.write(0, f.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
+			c.writeFrame(0, f.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
 		case framing.CodeDisposition:
 			for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
 				settled <- id
 			}
 		case framing.CodeFlow:
-			session.flowed(f.Performative)
+			session.applyFlow(f.Performative)
 			for most := int(f.Uint32(5, 0) + f.Uint32(6, 0)); sent < min(pages, most); sent++ {
 				body := codec.Append(nil, codec.Described{Descriptor: uint64(0x75), Value: page(sent)})
 				tag := binary.BigEndian.AppendUint32(nil, uint32(sent))
 				p := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
-				if err := session.transfer(p, body); err != nil {
+				if err := session.sendTransfer(p, body); err != nil {
 					t.Errorf("page %d: %v", sent, err)
 				}
 			}
@@ -142,7 +142,7 @@
 
 // raw is a client that says what no library would.
 type raw struct {
-	*conn
+	*connection
 	t testing.TB
 }
 
@@ -153,24 +153,24 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { tcp.Close() })
-	c := &raw{newConn(tcp.(*net.TCPConn)), t}
-	c.header(framing.ProtocolHeaderAMQP)
-	if h, err := c.readHeader(time.Second); err != nil || h != framing.ProtocolHeaderAMQP {
+	c := &raw{newConnection(tcp.(*net.TCPConn)), t}
+	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	if h, err := c.readProtocolHeader(time.Second); err != nil || h != framing.ProtocolHeaderAMQP {
 		t.Fatalf("the front answers %q, %v", h, err)
 	}
-	c.write(0, open("raw"), nil)
+	c.writeFrame(0, newOpen("raw"), nil)
 	c.want(framing.CodeOpen, 0, "")
 	return c
 }
 
 func (c *raw) begin() *raw {
-	c.write(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil)
+	c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil)
 	c.want(framing.CodeBegin, 0, "")
 	return c
 }
 
 func (c *raw) attach(handle uint32, props codec.Map) {
-	c.write(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", handle, false, nil, nil,
+	c.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", handle, false, nil, nil,
 		codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, props}}, nil)
 }
 
@@ -178,7 +178,7 @@
 func (c *raw) want(code uint64, at int, cond string) framing.Frame {
 	c.t.Helper()
 	for {
-		f, err := c.read(framing.TypeAMQP, 3*time.Second)
+		f, err := c.readFrame(framing.TypeAMQP, 3*time.Second)
 		if err != nil {
 			c.t.Fatalf("waiting for %#x: %v", code, err)
 		}
@@ -197,7 +197,7 @@
 func (c *raw) until(code uint64, at int, cond string, each time.Duration) {
 	c.t.Helper()
 	for {
-		f, err := c.read(framing.TypeAMQP, each)
+		f, err := c.readFrame(framing.TypeAMQP, each)
 		if err != nil {
 			c.t.Fatalf("waiting for %#x with %q: %v", code, cond, err)
 		}
@@ -208,7 +208,7 @@
 }
 
 func TestWrongFramesGetTheStandardsConditions(t *testing.T) {
-	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(400)}
+	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)}
 	for name, c := range map[string]struct {
 		acts []behaviour
 		do   func(c *raw)
@@ -230,15 +230,15 @@
 			c.want(framing.CodeClose, 0, framing.CondDecodeError)
 		}},
 		"a channel without a session": {nil, func(c *raw) {
-			c.write(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
+			c.writeFrame(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
 			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a channel over the most": {nil, func(c *raw) {
-			c.write(channelMost+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+			c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
 			c.want(framing.CodeClose, 0, framing.CondFramingError)
 		}},
 		"a handle without a link": {nil, func(c *raw) {
-			c.begin().write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
+			c.begin().writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
 			c.want(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 		}},
 		"a handle that is in use": {[]behaviour{hang}, func(c *raw) {
@@ -253,7 +253,7 @@
 		}},
 		"a transfer without credit": {[]behaviour{hang}, func(c *raw) {
 			c.begin().attach(1, props)
-			c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
+			c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
 			c.want(framing.CodeAttach, 0, "")
 			c.want(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
 		}},
@@ -279,7 +279,7 @@
 func TestFinalAnswerNeedsNoCredit(t *testing.T) {
 	r := newRig(t, wires[1], 1, []behaviour{noCredit})
 	c := dialRaw(t, r.address).begin()
-	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(400)})
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)})
 	began := time.Now()
 	c.want(framing.CodeAttach, 0, "")
 	c.want(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
@@ -297,12 +297,12 @@
 		t.Fatal(err)
 	}
 	defer tcp.Close()
-	c := newConn(tcp.(*net.TCPConn))
-	c.header(framing.ProtocolHeaderAMQP)
-	_, _ = c.readHeader(time.Second)
-	c.write(0, open("idle").With(4, uint32(90)), nil)
+	c := newConnection(tcp.(*net.TCPConn))
+	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	_, _ = c.readProtocolHeader(time.Second)
+	c.writeFrame(0, newOpen("idle").With(4, uint32(90)), nil)
 	for beats := 0; beats < 3; {
-		f, err := c.read(framing.TypeAMQP, 90*time.Millisecond)
+		f, err := c.readFrame(framing.TypeAMQP, 90*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -11,18 +11,18 @@
 // PeerConn is an application server's end of a connection of the relay's, for stand-ins: the greeting as the
 // standard has it (part 2, section 2.4; part 5, section 5.3), and the sessions that the relay begins.
 type PeerConn struct {
-	mux      *mux
-	wait     time.Duration
-	stop     chan struct{}
-	sessions chan *Peer
-	ended    chan struct{}
+	multiplexer *multiplexer
+	readTimeout time.Duration
+	done        chan struct{}
+	sessions    chan *Peer
+	ended       chan struct{}
 }
 
 // Peer is one session of a PeerConn, and the links that are attached to it. One goroutine uses it.
 type Peer struct {
-	*lane
-	conn    *PeerConn
-	payload map[uint32][]byte // of deliveries that have come in part, by their links
+	*sharedSession
+	conn            *PeerConn
+	partialPayloads map[uint32][]byte // of deliveries that have come in part, by their links
 }
 
 // PeerEvent is what a Peer is told: a link is attached, a delivery has come whole, or
@@ -49,55 +49,55 @@
 	PeerDetached                  // the other side has detached a link
 )
 
-// sessionsMost is how many sessions a stand-in takes on a connection.
-const sessionsMost = 256
+// maxPeerSessions is how many sessions a stand-in takes on a connection.
+const maxPeerSessions = 256
 
 // AcceptPeerConn greets a relay that has connected, up to the open. wait bounds each read, here and later. plain
 // refuses the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
-func AcceptPeerConn(tcp socket, wait time.Duration, plain bool) (*PeerConn, error) {
-	c := newConn(tcp)
-	h, err := c.readHeader(wait)
+func AcceptPeerConn(tcp streamConn, wait time.Duration, plain bool) (*PeerConn, error) {
+	c := newConnection(tcp)
+	h, err := c.readProtocolHeader(wait)
 	if err != nil {
 		return nil, err
 	}
 	if h == framing.ProtocolHeaderSASL && plain {
-		c.header(framing.ProtocolHeaderAMQP)
+		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
 		return nil, errors.New("the relay began with the security layer")
 	}
 	if h == framing.ProtocolHeaderSASL {
 		if err := acceptSASL(c, wait); err != nil {
 			return nil, err
 		}
-		if h, err = c.readHeader(wait); err != nil {
+		if h, err = c.readProtocolHeader(wait); err != nil {
 			return nil, err
 		}
 	}
 	if h != framing.ProtocolHeaderAMQP {
 		return nil, fmt.Errorf("a server was greeted with %q", h)
 	}
-	if err := c.header(framing.ProtocolHeaderAMQP); err != nil {
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return nil, err
 	}
-	f, err := c.read(framing.TypeAMQP, wait)
+	f, err := c.readFrame(framing.TypeAMQP, wait)
 	if err != nil {
 		return nil, err
 	}
 	if f.Code != framing.CodeOpen {
 		return nil, fmt.Errorf("a server was told %#x for an open", f.Code)
 	}
-	p := &PeerConn{mux: newMux(c), wait: wait, stop: make(chan struct{}), sessions: make(chan *Peer, sessionsMost), ended: make(chan struct{})}
-	p.mux.begins = func(l *lane) {
+	p := &PeerConn{multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}), sessions: make(chan *Peer, maxPeerSessions), ended: make(chan struct{})}
+	p.multiplexer.onSession = func(l *sharedSession) {
 		select {
-		case p.sessions <- &Peer{lane: l, conn: p, payload: make(map[uint32][]byte)}:
+		case p.sessions <- &Peer{sharedSession: l, conn: p, partialPayloads: make(map[uint32][]byte)}:
 		default: // more wait to be taken than a stand-in takes in all
-			l.close()
+			l.endLocally()
 		}
 	}
-	idle := c.opened(f.Performative)
-	c.write(0, open("server").With(3, uint16(sessionsMost-1)), nil) // if this fails, the next read sees why
-	go c.beat(idle, p.stop)
+	idle := c.applyOpen(f.Performative)
+	c.writeFrame(0, newOpen("server").With(3, uint16(maxPeerSessions-1)), nil) // if this fails, the next read sees why
+	go c.sendHeartbeats(idle, p.done)
 	go func() {
-		p.mux.run(wait)
+		p.multiplexer.serve(wait)
 		close(p.ended)
 	}()
 	return p, nil
@@ -120,13 +120,13 @@
 
 // Close ends the connection at once.
 func (p *PeerConn) Close() {
-	close(p.stop)
-	p.mux.Close()
+	close(p.done)
+	p.multiplexer.Close()
 	<-p.ended
 }
 
 // AcceptPeer greets a relay that has connected, up to the first session.
-func AcceptPeer(tcp socket, wait time.Duration, plain bool) (*Peer, error) {
+func AcceptPeer(tcp streamConn, wait time.Duration, plain bool) (*Peer, error) {
 	c, err := AcceptPeerConn(tcp, wait, plain)
 	if err != nil {
 		return nil, err
@@ -134,41 +134,41 @@
 	p := c.Session()
 	if p == nil {
 		c.Close()
-		return nil, c.mux.err
+		return nil, c.multiplexer.err
 	}
 	return p, nil
 }
 
-func acceptSASL(p *conn, wait time.Duration) error {
-	if err := p.header(framing.ProtocolHeaderSASL); err != nil {
+func acceptSASL(p *connection, wait time.Duration) error {
+	if err := p.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	if err := p.sasl(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
+	if err := p.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
 		return err
 	}
-	f, err := p.read(framing.TypeSASL, wait)
+	f, err := p.readFrame(framing.TypeSASL, wait)
 	if err != nil {
 		return err
 	}
 	if f.Code != framing.CodeSASLInit {
 		return fmt.Errorf("a server was told %#x for an init", f.Code)
 	}
-	return p.sasl(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+	return p.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// errClosed says that the relay has ended the session, or closed the connection, in good order.
-var errClosed = errors.New("the relay has ended the session")
+// errPeerSessionEnded says that the relay has ended the session, or closed the connection, in good order.
+var errPeerSessionEnded = errors.New("the relay has ended the session")
 
 // Close ends the connection at once.
 func (p *Peer) Close() { p.conn.Close() }
 
 // End ends the session.
-func (p *Peer) End() { p.lane.close() }
+func (p *Peer) End() { p.sharedSession.endLocally() }
 
 // DiscardInput takes what comes for the session and says nothing, until its end.
 func (p *Peer) DiscardInput() {
 	for {
-		if f, err := p.next(0); err != nil || f.Code == framing.CodeEnd {
+		if f, err := p.nextFrame(0); err != nil || f.Code == framing.CodeEnd {
 			return
 		}
 	}
@@ -178,7 +178,7 @@
 // the relay has ended it.
 func (p *Peer) Next() (PeerEvent, error) {
 	for {
-		f, err := p.next(p.conn.wait)
+		f, err := p.nextFrame(p.conn.readTimeout)
 		if err != nil {
 			return PeerEvent{}, err
 		}
@@ -192,35 +192,35 @@
 			}
 			return e, nil
 		case framing.CodeFlow:
-			_ = p.flowTaken(f.Performative) // a stand-in overlooks a bad flow
+			_ = p.handleFlow(f.Performative) // a stand-in overlooks a bad flow
 		case framing.CodeTransfer:
-			if err := p.took(false); err != nil {
+			if err := p.receiveTransfer(false); err != nil {
 				return PeerEvent{}, err
 			}
 			handle := f.Uint32(0, 0)
-			whole := append(p.payload[handle], f.Payload...)
-			if len(whole) > peerMost {
+			whole := append(p.partialPayloads[handle], f.Payload...)
+			if len(whole) > maxPeerMessageSize {
 				return PeerEvent{}, errors.New("a message is longer than a stand-in reads")
 			}
 			if f.Bool(5) {
-				p.payload[handle] = whole
+				p.partialPayloads[handle] = whole
 				continue
 			}
-			delete(p.payload, handle)
-			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.Uint32(1, 0), Settled: f.Bool(4), Payload: dataOf(whole)}, nil
+			delete(p.partialPayloads, handle)
+			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.Uint32(1, 0), Settled: f.Bool(4), Payload: dataSection(whole)}, nil
 		case framing.CodeDetach:
 			return PeerEvent{Kind: PeerDetached, Handle: f.Uint32(0, 0)}, nil
 		case framing.CodeEnd, framing.CodeClose:
-			return PeerEvent{}, errClosed
+			return PeerEvent{}, errPeerSessionEnded
 		}
 	}
 }
 
-const peerMost = 4 << 20 // bytes of a message
+const maxPeerMessageSize = 4 << 20 // bytes of a message
 
-// dataOf is the data section of a message that has nothing else (part 3, section 3.2.6);
+// dataSection is the data section of a message that has nothing else (part 3, section 3.2.6);
 // nil of any other.
-func dataOf(message []byte) []byte {
+func dataSection(message []byte) []byte {
 	if len(message) < 5 || message[0] != 0 || message[1] != 0x53 || message[2] != 0x75 {
 		return nil
 	}
@@ -236,21 +236,21 @@
 // Attach answers an attach, and grants credit if the relay's side is to send.
 func (p *Peer) Attach(e PeerEvent, credit uint32) error {
 	reply := e.attach.With(1, e.Handle).With(2, !e.attach.Bool(2)).With(9, nil).With(13, nil)
-	if err := p.write(p.channel, reply, nil); err != nil || credit == 0 {
+	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
-	return p.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
+	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
 }
 
 // Credit grants credit anew: so many deliveries from a delivery count on.
 func (p *Peer) Credit(handle, count, credit uint32) error {
-	return p.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
+	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
 }
 
 // RejectAttach answers an attach with an end at once, by a condition of the standard.
 func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
 	reply := e.attach.With(1, e.Handle).With(2, !e.attach.Bool(2)).With(6, nil).With(9, nil).With(13, nil)
-	if err := p.write(p.channel, reply, nil); err != nil {
+	if err := p.writeFrame(p.channel, reply, nil); err != nil {
 		return err
 	}
 	return p.Detach(e.Handle, condition)
@@ -262,12 +262,12 @@
 	if condition != "" {
 		e = framing.NewErrorValue(condition, "as the script has it", nil)
 	}
-	return p.write(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, e}}, nil)
+	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, e}}, nil)
 }
 
 // Settle accepts a delivery.
 func (p *Peer) Settle(delivery uint32) error {
-	return p.write(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, delivery, nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, delivery, nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 }
 
 // WholeNumber reads a property that is a whole number.
--- a/internal/frontend/amqp/place.go
+++ b/internal/frontend/amqp/place.go
@@ -22,10 +22,10 @@
 	// "property:NAME" for one of the attach's properties; empty: nothing.
 	Group string
 
-	address, container *regexp.Regexp
+	addressPattern, containerPattern *regexp.Regexp
 }
 
-const propertyOf = "property:"
+const propertyGroupPrefix = "property:"
 
 // Compile checks a rule and makes it ready. Its errors name the key.
 func (p *Placement) Compile() error {
@@ -35,24 +35,24 @@
 	if p.Timeout < 0 {
 		return fmt.Errorf("give_up: %v is negative", p.Timeout)
 	}
-	if name, is := strings.CutPrefix(p.Group, propertyOf); !slices.Contains([]string{"", "address", "container", "link"}, p.Group) && (!is || name == "") {
+	if name, is := strings.CutPrefix(p.Group, propertyGroupPrefix); !slices.Contains([]string{"", "address", "container", "link"}, p.Group) && (!is || name == "") {
 		return fmt.Errorf("group: %q is neither address, container, link nor property:NAME", p.Group)
 	}
-	p.address, p.container = pattern(p.Address), pattern(p.Container)
+	p.addressPattern, p.containerPattern = compilePattern(p.Address), compilePattern(p.Container)
 	return nil
 }
 
-// pattern is what a text with * in it fits; nil: everything.
-func pattern(text string) *regexp.Regexp {
+// compilePattern is what a text with * in it fits; nil: everything.
+func compilePattern(text string) *regexp.Regexp {
 	if text == "" {
 		return nil
 	}
 	return regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(text), `\*`, "(?s:.*)") + "$")
 }
 
-// addressOf is the address that a client's attach names for the other end: its target's if it is to send,
+// terminusAddress is the address that a client's attach names for the other end: its target's if it is to send,
 // its source's if it is to receive (part 3, sections 3.5.3 and 3.5.4).
-func addressOf(attach framing.Performative) string {
+func terminusAddress(attach framing.Performative) string {
 	at := 6
 	if attach.Bool(2) {
 		at = 5
@@ -65,29 +65,29 @@
 	return codec.AsString(fields[0])
 }
 
-// place finds the rule for an attach; nil if none fits.
-func (f *Frontend) place(address, container string) *Placement {
+// findPlacement finds the rule for an attach; nil if none fits.
+func (f *Frontend) findPlacement(address, container string) *Placement {
 	for i := range f.Placements {
 		p := &f.Placements[i]
-		if (p.address == nil || p.address.MatchString(address)) && (p.container == nil || p.container.MatchString(container)) {
+		if (p.addressPattern == nil || p.addressPattern.MatchString(address)) && (p.containerPattern == nil || p.containerPattern.MatchString(container)) {
 			return p
 		}
 	}
 	return nil
 }
 
-// group is what a link shares work by, under a rule.
-func (p *Placement) group(attach framing.Performative, address, container string) uint64 {
+// groupKey is what a link shares work by, under a rule.
+func (p *Placement) groupKey(attach framing.Performative, address, container string) uint64 {
 	switch p.Group {
 	case "":
 		return 0
 	case "address":
-		return keyOf(address)
+		return hashKey(address)
 	case "container":
-		return keyOf(container)
+		return hashKey(container)
 	case "link":
-		return keyOf(codec.AsString(attach.Field(0)))
+		return hashKey(codec.AsString(attach.Field(0)))
 	}
 	props, _ := attach.Field(13).(codec.Map)
-	return keyOf(props.Get(strings.TrimPrefix(p.Group, propertyOf)))
+	return hashKey(props.Get(strings.TrimPrefix(p.Group, propertyGroupPrefix)))
 }
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -41,7 +41,7 @@
 			part := []byte(nil)
 			count := uint32(0)
 			for {
-				f, err := p.next(judgesWait)
+				f, err := p.nextFrame(judgesWait)
 				if err != nil || f.Code == framing.CodeEnd {
 					return
 				}
@@ -49,20 +49,20 @@
 				case framing.CodeAttach:
 					p.Attach(PeerEvent{Handle: f.Uint32(1, 0), attach: f.Performative}, 20)
 				case framing.CodeTransfer:
-					_ = p.took(false)
+					_ = p.receiveTransfer(false)
 					part = append(part, f.Payload...)
 					if f.Bool(5) && !f.Bool(9) {
 						continue
 					}
 					if !f.Bool(9) && !f.Bool(4) {
-						p.write(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, verdictOf(part)}}, nil)
+						p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, verdictOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
 						p.Credit(f.Uint32(0, 0), count, 20)
 					}
 				case framing.CodeFlow:
-					_ = p.flowTaken(f.Performative)
+					_ = p.handleFlow(f.Performative)
 				case framing.CodeDetach:
 					p.Detach(f.Uint32(0, 0), "")
 				}
@@ -145,7 +145,7 @@
 			next++
 		}
 		l.coming = more && !aborted
-		c.write(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 		if l.coming {
 			return
 		}
@@ -180,7 +180,7 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := some(func(l known) bool { return !l.up })
-			c.write(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+			c.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 			hear(func() bool { return links[i].up && links[i].credit > 0 })
 		},
 		"send": func(rt *rapid.T) {
@@ -202,7 +202,7 @@
 		"detach": func(*rapid.T) {
 			i := some(func(l known) bool { return l.up && !l.coming })
 			hear(func() bool { return len(want) == 0 }) // an outcome that crosses a detach is the sender's no more
-			c.write(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(i), true}}, nil)
+			c.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(i), true}}, nil)
 			hear(func() bool { return !links[i].up })
 		},
 	})
@@ -212,7 +212,7 @@
 		}
 	}
 	hear(func() bool { return len(want) == 0 })
-	c.write(0, framing.Performative{Code: framing.CodeClose}, nil)
+	c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 }
 
 // FuzzClient sends a front whatever bytes after a sound beginning, and it never falls over: the next client is greeted.
@@ -232,11 +232,11 @@
 		c := dialRaw(t, r.address)
 		_, _ = c.Write(text)
 		for { // until it has nothing more to say to that
-			if _, err := c.read(framing.TypeAMQP, 5*time.Millisecond); err != nil {
+			if _, err := c.readFrame(framing.TypeAMQP, 5*time.Millisecond); err != nil {
 				break
 			}
 		}
-		c.socket.(*net.TCPConn).SetLinger(0) // ports would run out
+		c.streamConn.(*net.TCPConn).SetLinger(0) // ports would run out
 		c.Close()
 	})
 }
--- a/internal/frontend/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -187,7 +187,7 @@
 		}
 		defer c.Close()
 		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(helloWait + time.Second))
+		c.SetReadDeadline(time.Now().Add(openTimeout + time.Second))
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%q: it is still there", text)
 		}
@@ -214,16 +214,16 @@
 		give               time.Duration
 		group              uint64
 	}{
-		{"scores/12", "x", nil, "page", "", 900 * time.Millisecond, keyOf("scores/12")},
-		{"scores/12", "x", codec.Map{codec.Symbol(propGroup), "ab", codec.Symbol(propGiveUp), uint32(300)}, "page", "", 300 * time.Millisecond, 0xab},
+		{"scores/12", "x", nil, "page", "", 900 * time.Millisecond, hashKey("scores/12")},
+		{"scores/12", "x", codec.Map{codec.Symbol(propGroup), "ab", codec.Symbol(propDeadline), uint32(300)}, "page", "", 300 * time.Millisecond, 0xab},
 		{"other", "desk-3", nil, "page", "", patience, 0},
 		{"scores/1/preview", "x", nil, "", `"none" is no known class`, 0, 0},
 		{"other", "x", nil, "", `no class is told: there is neither the property "class" nor a rule for the address "other" of the container "x"`, 0, 0},
 		{"other", "x", codec.Map{codec.Symbol(propClass), "page"}, "", `"give-up-ms"`, 0, 0},
-		{"scores/12", "x", codec.Map{codec.Symbol(propGiveUp), "soon"}, "", `"give-up-ms"`, 0, 0},
+		{"scores/12", "x", codec.Map{codec.Symbol(propDeadline), "soon"}, "", `"give-up-ms"`, 0, 0},
 	} {
 		now := f.Proxy.Clock.Now()
-		ask, told, err := f.ask(attach(c.address, c.props), c.container, "a link")
+		ask, told, err := f.parseRequest(attach(c.address, c.props), c.container, "a link")
 		if c.wrong != "" {
 			if err == nil || !strings.Contains(err.Error(), c.wrong) {
 				t.Errorf("%s of %s: %v", c.address, c.container, err)
@@ -232,7 +232,7 @@
 		}
 		props, _ := told.Field(13).(codec.Map)
 		if err != nil || ask.Class != c.class || ask.Group != c.group || (ask.Deadline-now).Round(50*time.Millisecond) != c.give ||
-			codec.AsString(props.Get(propClass)) != c.class || keyOf(props.Get(propGroup)) != c.group {
+			codec.AsString(props.Get(propClass)) != c.class || hashKey(props.Get(propGroup)) != c.group {
 			t.Errorf("%s of %s: %+v, %v, %v", c.address, c.container, ask, props, err)
 		}
 	}
@@ -264,11 +264,11 @@
 	r.core.UpdateSettings(&terms)
 	f := &Frontend{Proxy: r.core}
 	for tenant, wrong := range map[any]string{nil: `"" is no known tenant`, "other": `"other" is no known tenant`, "cedar": ""} {
-		props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propGiveUp), uint32(300)}
+		props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(300)}
 		if tenant != nil {
 			props = append(props, codec.Symbol(propTenant), tenant)
 		}
-		ask, _, err := f.ask(framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, nil, nil, nil, nil, uint32(0), nil, nil, nil, props}}, "x", "a link")
+		ask, _, err := f.parseRequest(framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, nil, nil, nil, nil, uint32(0), nil, nil, nil, props}}, "x", "a link")
 		if wrong == "" && (err != nil || ask.Tenant != tenant) || wrong != "" && (err == nil || !strings.Contains(err.Error(), wrong)) {
 			t.Errorf("tenant %v: %+v, %v", tenant, ask, err)
 		}
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -10,118 +10,118 @@
 )
 
 const (
-	channelMost = 7    // sessions of a connection, less one
-	handleMost  = 63   // links of a session, less one
-	windowMost  = 256  // transfers that may come in, or wait for where they go
-	unsettled   = 4096 // deliveries of a link that may be unsettled at a time
+	maxChannel             = 7    // sessions of a connection, less one
+	maxHandle              = 63   // links of a session, less one
+	sessionWindow          = 256  // transfers that may come in, or wait for where they go
+	maxUnsettledDeliveries = 4096 // deliveries of a link that may be unsettled at a time
 )
 
 // session is the relay's end of a session with a client or a server. Reads are
 // one goroutine's; any goroutine may write.
 type session struct {
-	*conn
-	channel uint16
-	shut    *bool // of a session beside others: its end has gone out; guarded by the connection
+	*connection
+	channel    uint16
+	endWritten *bool // of a session beside others: its end has gone out; guarded by the connection
 
-	mu       sync.Mutex
-	opened   chan struct{} // closed and renewed when the peer's window opens
-	over     bool
-	out      uint32 // number of our next transfer
-	window   uint32 // transfers that the peer still takes
-	in       uint32 // number of the peer's next transfer
-	left     uint32 // transfers that we still take
-	waiting  uint32 // that came in and have not gone on yet
-	delivery uint32 // number of our next delivery
+	mu                   sync.Mutex
+	windowOpened         chan struct{} // closed and renewed when the peer's window opens
+	ended                bool
+	nextOutgoingID       uint32 // number of our next transfer
+	remoteIncomingWindow uint32 // transfers that the peer still takes
+	nextIncomingID       uint32 // number of the peer's next transfer
+	incomingWindow       uint32 // transfers that we still take
+	pendingTransfers     uint32 // that came in and have not gone on yet
+	nextDeliveryID       uint32 // number of our next delivery
 }
 
-func newSession(c *conn, channel uint16) *session {
-	return &session{conn: c, channel: channel, opened: make(chan struct{}), left: windowMost}
+func newSession(c *connection, channel uint16) *session {
+	return &session{connection: c, channel: channel, windowOpened: make(chan struct{}), incomingWindow: sessionWindow}
 }
 
-// write sends a frame of the session.
-func (s *session) write(channel uint16, p framing.Performative, payload []byte) error {
-	return s.conn.send(channel, p, payload, s.shut)
+// writeFrame sends a frame of the session.
+func (s *session) writeFrame(channel uint16, p framing.Performative, payload []byte) error {
+	return s.connection.writeUnlessEnded(channel, p, payload, s.endWritten)
 }
 
-// sendFirst sends the frames that begin something of the session, in one piece. It waits for others who write on the connection,
+// writeInitial sends the frames that begin something of the session, in one piece. It waits for others who write on the connection,
 // no longer than ctx; may is asked just before anything goes out.
-func (s *session) sendFirst(ctx context.Context, may func() bool, frames ...framing.Performative) error {
-	c := s.conn
-	if !c.mu.lockWithin(ctx) {
+func (s *session) writeInitial(ctx context.Context, may func() bool, frames ...framing.Performative) error {
+	c := s.connection
+	if !c.mu.LockContext(ctx) {
 		return ctx.Err()
 	}
 	defer c.mu.Unlock()
-	if c.quit {
-		return errQuit
+	if c.writesClosed {
+		return errConnectionClosing
 	}
 	if !may() {
-		return errMoot
+		return errNoLongerPermitted
 	}
-	c.buf = c.buf[:0]
+	c.writeBuffer = c.writeBuffer[:0]
 	for _, p := range frames {
-		c.buf = framing.AppendFrame(c.buf, framing.TypeAMQP, s.channel, p, nil)
+		c.writeBuffer = framing.AppendFrame(c.writeBuffer, framing.TypeAMQP, s.channel, p, nil)
 	}
 	return c.flush()
 }
 
-// begin is the relay's begin; remote is the channel it answers, or nil.
-func (s *session) begin(remote any) framing.Performative {
-	return framing.Performative{Code: framing.CodeBegin, Fields: codec.List{remote, s.out, uint32(windowMost), uint32(windowMost), uint32(handleMost)}}
+// newBegin is the relay's begin; remote is the channel it answers, or nil.
+func (s *session) newBegin(remote any) framing.Performative {
+	return framing.Performative{Code: framing.CodeBegin, Fields: codec.List{remote, s.nextOutgoingID, uint32(sessionWindow), uint32(sessionWindow), uint32(maxHandle)}}
 }
 
-// begun takes the peer's begin.
-func (s *session) begun(p framing.Performative) error {
+// applyBegin takes the peer's begin.
+func (s *session) applyBegin(p framing.Performative) error {
 	if err := p.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.in, s.window = p.Uint32(1, 0), p.Uint32(2, 0)
+	s.nextIncomingID, s.remoteIncomingWindow = p.Uint32(1, 0), p.Uint32(2, 0)
 	return nil
 }
 
-// flowed takes the session's part of a flow of the peer.
-func (s *session) flowed(p framing.Performative) {
+// applyFlow takes the session's part of a flow of the peer.
+func (s *session) applyFlow(p framing.Performative) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over { // it was ended while the flow was in hand
+	if s.ended { // it was ended while the flow was in hand
 		return
 	}
 	// What the peer still takes counts from the transfers that it has seen.
-	s.window = p.Uint32(0, 0) + p.Uint32(1, 0) - s.out
-	if int32(s.window) < 0 {
-		s.window = 0
+	s.remoteIncomingWindow = p.Uint32(0, 0) + p.Uint32(1, 0) - s.nextOutgoingID
+	if int32(s.remoteIncomingWindow) < 0 {
+		s.remoteIncomingWindow = 0
 	}
-	close(s.opened)
-	s.opened = make(chan struct{})
+	close(s.windowOpened)
+	s.windowOpened = make(chan struct{})
 }
 
-// end lets those go who wait for the window.
-func (s *session) end() {
+// markEnded lets those go who wait for the window.
+func (s *session) markEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over {
-		s.over = true
-		close(s.opened)
+	if !s.ended {
+		s.ended = true
+		close(s.windowOpened)
 	}
 }
 
-var errWindow = errors.New("the peer's window stays shut")
+var errWindowClosed = errors.New("the peer's window stays shut")
 
-// await waits until the peer takes another transfer.
-func (s *session) await() error {
-	late := time.NewTimer(writeMost)
+// awaitWindow waits until the peer takes another transfer.
+func (s *session) awaitWindow() error {
+	late := time.NewTimer(writeTimeout)
 	defer late.Stop()
 	for {
 		s.mu.Lock()
-		opened := s.opened
-		if s.over {
+		opened := s.windowOpened
+		if s.ended {
 			s.mu.Unlock()
-			return errQuit
+			return errConnectionClosing
 		}
-		if s.window > 0 {
-			s.window--
-			s.out++
+		if s.remoteIncomingWindow > 0 {
+			s.remoteIncomingWindow--
+			s.nextOutgoingID++
 			s.mu.Unlock()
 			return nil
 		}
@@ -129,149 +129,149 @@
 		select {
 		case <-opened:
 		case <-late.C:
-			return errWindow
+			return errWindowClosed
 		}
 	}
 }
 
-// number gives out the number of the next delivery.
-func (s *session) number() uint32 {
+// takeDeliveryID gives out the number of the next delivery.
+func (s *session) takeDeliveryID() uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delivery++
-	return s.delivery - 1
+	s.nextDeliveryID++
+	return s.nextDeliveryID - 1
 }
 
-// transfer sends a transfer in as many frames as the peer wants.
-func (s *session) transfer(p framing.Performative, payload []byte) error {
-	room := s.room(p.With(5, true))
+// sendTransfer sends a transfer in as many frames as the peer wants.
+func (s *session) sendTransfer(p framing.Performative, payload []byte) error {
+	room := s.maxPayload(p.With(5, true))
 	for {
-		if err := s.await(); err != nil {
+		if err := s.awaitWindow(); err != nil {
 			return err
 		}
 		if len(payload) <= room {
-			return s.write(s.channel, p, payload)
+			return s.writeFrame(s.channel, p, payload)
 		}
-		if err := s.write(s.channel, p.With(5, true), payload[:room]); err != nil {
+		if err := s.writeFrame(s.channel, p.With(5, true), payload[:room]); err != nil {
 			return err
 		}
 		payload = payload[room:]
 	}
 }
 
-// took counts a transfer that came in, and opens the window again in time. One that
+// receiveTransfer counts a transfer that came in, and opens the window again in time. One that
 // waits before it goes on is to be freed.
-func (s *session) took(waits bool) error {
+func (s *session) receiveTransfer(waits bool) error {
 	s.mu.Lock()
-	if s.left == 0 {
+	if s.incomingWindow == 0 {
 		s.mu.Unlock()
 		return framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more transfers than the window takes"}
 	}
-	s.in++
-	s.left--
+	s.nextIncomingID++
+	s.incomingWindow--
 	if waits {
-		s.waiting++
+		s.pendingTransfers++
 	}
-	again := s.narrow()
+	again := s.needsWindowUpdate()
 	s.mu.Unlock()
 	if again {
-		return s.flow(framing.Performative{Code: framing.CodeFlow})
+		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
 }
 
-// narrow tells whether the window is to be opened again: less than half of what it may
+// needsWindowUpdate tells whether the window is to be opened again: less than half of what it may
 // be is left. The caller holds the lock.
-func (s *session) narrow() bool {
-	return s.left <= (windowMost-min(s.waiting, windowMost))/2 && s.left < windowMost-s.waiting
+func (s *session) needsWindowUpdate() bool {
+	return s.incomingWindow <= (sessionWindow-min(s.pendingTransfers, sessionWindow))/2 && s.incomingWindow < sessionWindow-s.pendingTransfers
 }
 
-// freed counts transfers that waited and have gone on.
-func (s *session) freed(n int) {
+// releaseTransfers counts transfers that waited and have gone on.
+func (s *session) releaseTransfers(n int) {
 	s.mu.Lock()
-	s.waiting -= uint32(n)
-	again := n > 0 && !s.over && s.narrow() && windowMost-s.waiting-s.left >= windowMost/8
+	s.pendingTransfers -= uint32(n)
+	again := n > 0 && !s.ended && s.needsWindowUpdate() && sessionWindow-s.pendingTransfers-s.incomingWindow >= sessionWindow/8
 	s.mu.Unlock()
 	if again {
-		s.flow(framing.Performative{Code: framing.CodeFlow}) // if this fails, the reader sees why
+		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // if this fails, the reader sees why
 	}
 }
 
-// flow sends a flow: the session's part is the relay's own, the rest as given.
-func (s *session) flow(p framing.Performative) error {
+// sendFlow sends a flow: the session's part is the relay's own, the rest as given.
+func (s *session) sendFlow(p framing.Performative) error {
 	s.mu.Lock()
-	s.left = windowMost - min(s.waiting, windowMost)
-	p = p.With(0, s.in).With(1, s.left).With(2, s.out).With(3, uint32(windowMost))
+	s.incomingWindow = sessionWindow - min(s.pendingTransfers, sessionWindow)
+	p = p.With(0, s.nextIncomingID).With(1, s.incomingWindow).With(2, s.nextOutgoingID).With(3, uint32(sessionWindow))
 	s.mu.Unlock()
-	return s.write(s.channel, p, nil)
+	return s.writeFrame(s.channel, p, nil)
 }
 
-// deliveries maps the numbers of a link's unsettled deliveries between the two
+// deliveryMap maps the numbers of a link's unsettled deliveries between the two
 // sessions that it passes through.
-type deliveries struct {
-	mu     sync.Mutex
-	far    map[uint32]uint32 // by their number where they come from
-	near   map[uint32]uint32 // and the other way round
-	now    uint32            // the far number of the one that is coming in,
-	there  uint32            // and its near one
-	coming bool
-	waits  []chan struct{} // to be closed once it is whole
+type deliveryMap struct {
+	mu                  sync.Mutex
+	destinationBySource map[uint32]uint32 // by their number where they come from
+	sourceByDestination map[uint32]uint32 // and the other way round
+	currentSource       uint32            // the far number of the one that is coming in,
+	currentDestination  uint32            // and its near one
+	partial             bool
+	boundaryWaiters     []chan struct{} // to be closed once it is whole
 }
 
-func newDeliveries() *deliveries {
-	return &deliveries{far: make(map[uint32]uint32), near: make(map[uint32]uint32)}
+func newDeliveryMap() *deliveryMap {
+	return &deliveryMap{destinationBySource: make(map[uint32]uint32), sourceByDestination: make(map[uint32]uint32)}
 }
 
-// carry gives a transfer the number that it has in the session it goes to.
-func (d *deliveries) carry(p framing.Performative, to *session) (framing.Performative, error) {
+// translateTransfer gives a transfer the number that it has in the session it goes to.
+func (d *deliveryMap) translateTransfer(p framing.Performative, to *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.coming {
+	if !d.partial {
 		if err := p.RequireUint32(1); err != nil {
 			return p, err
 		}
-		d.now = p.Uint32(1, 0)
-		if _, known := d.far[d.now]; known || len(d.far) >= unsettled {
+		d.currentSource = p.Uint32(1, 0)
+		if _, known := d.destinationBySource[d.currentSource]; known || len(d.destinationBySource) >= maxUnsettledDeliveries {
 			return p, framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "too many deliveries are unsettled, or one has a number twice"}
 		}
-		d.there = to.number()
-		d.far[d.now], d.near[d.there] = d.there, d.now
+		d.currentDestination = to.takeDeliveryID()
+		d.destinationBySource[d.currentSource], d.sourceByDestination[d.currentDestination] = d.currentDestination, d.currentSource
 	}
-	d.coming = p.Bool(5) && !p.Bool(9)
-	if !d.coming {
-		for _, done := range d.waits {
+	d.partial = p.Bool(5) && !p.Bool(9)
+	if !d.partial {
+		for _, done := range d.boundaryWaiters {
 			close(done)
 		}
-		d.waits = nil
+		d.boundaryWaiters = nil
 	}
-	if !d.coming && (p.Bool(4) || p.Bool(9)) {
-		delete(d.far, d.now)
-		delete(d.near, d.there)
+	if !d.partial && (p.Bool(4) || p.Bool(9)) {
+		delete(d.destinationBySource, d.currentSource)
+		delete(d.sourceByDestination, d.currentDestination)
 	}
-	return p.With(1, d.there), nil
+	return p.With(1, d.currentDestination), nil
 }
 
-// whole returns a channel that is closed once no delivery is in part.
-func (d *deliveries) whole() <-chan struct{} {
+// boundary returns a channel that is closed once no delivery is in part.
+func (d *deliveryMap) boundary() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	done := make(chan struct{})
-	if d.coming {
-		d.waits = append(d.waits, done)
+	if d.partial {
+		d.boundaryWaiters = append(d.boundaryWaiters, done)
 	} else {
 		close(done)
 	}
 	return done
 }
 
-// translate turns a disposition into those of the other session. back says that
+// translateDisposition turns a disposition into those of the other session. back says that
 // it comes from where the deliveries go to.
-func (d *deliveries) translate(p framing.Performative, back bool) []framing.Performative {
+func (d *deliveryMap) translateDisposition(p framing.Performative, back bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	from, to := d.far, d.near
+	from, to := d.destinationBySource, d.sourceByDestination
 	if back {
-		from, to = d.near, d.far
+		from, to = d.sourceByDestination, d.destinationBySource
 	}
 	first := p.Uint32(1, 0)
 	span := p.Uint32(2, first) - first
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -23,7 +23,7 @@
 	}
 	s := newSession(c, 0)
 	for {
-		f, err := c.read(framing.TypeAMQP, serverWait)
+		f, err := c.readFrame(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
@@ -31,8 +31,8 @@
 			opened(c, s, f)
 			continue
 		}
-		c.write(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-		s.flow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
+		c.writeFrame(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+		s.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 func props(group string) map[string]any {
-	return map[string]any{propClass: "page", propGiveUp: uint32(2000), propGroup: group}
+	return map[string]any{propClass: "page", propDeadline: uint32(2000), propGroup: group}
 }
 
 // One server that stops reading must not delay the other links of the same client
@@ -175,7 +175,7 @@
 		t.Errorf("a delivery on the healthy link took %v", worst)
 	}
 	stop()
-	if n := <-flood; n < ahead/2 {
+	if n := <-flood; n < maxDeliveriesAhead/2 {
 		t.Errorf("only %d deliveries were taken for the stalled server", n)
 	}
 }
