--- /dev/null
+++ b/internal/frontend/amqp/clientconn.go
@@ -0,0 +1,236 @@
+package amqp
+
+import (
+	"cmp"
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/listener"
+)
+
+// clientConnection is a client's connection.
+type clientConnection struct {
+	*connection
+	frontend    *Frontend
+	admission   *listener.Admission
+	ctx         context.Context
+	activeLinks sync.WaitGroup
+	sessions    map[uint16]*clientSession
+	done        chan struct{}
+	containerID string // of its container
+	user        string // who it is
+	tcp         *net.TCPConn
+	tlsState    *tls.ConnectionState // nil: it came without
+}
+
+// handshakeTLS brings TLS up, where it is to be. A client that shows nothing of it has as long as for
+// the greeting, of which this is a part.
+func (c *clientConnection) handshakeTLS() error {
+	config := c.frontend.Authenticator.TLS()
+	if config == nil {
+		return nil
+	}
+	ctx, done := context.WithDeadline(c.ctx, c.admission.IdleSince.Add(openTimeout))
+	defer done()
+	secured := tls.Server(c.tcp, config)
+	if err := secured.HandshakeContext(ctx); err != nil {
+		c.frontend.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
+		return err // which is no fault: there is nobody to tell it to in the standard's words
+	}
+	state := secured.ConnectionState()
+	c.tlsState = &state
+	c.connection = newConnection(secured)
+	return nil
+}
+
+// linger lets the client read the last that it was told before the connection ends: closing with
+// words of the client unread would reset it. One that has left is not waited for.
+func (c *clientConnection) linger() {
+	_ = c.CloseWrite()
+	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
+	_, _ = io.CopyN(io.Discard, c.reader, listener.LingerMaxBytes)
+}
+
+// evict closes a connection without links to make room for another. It never
+// waits for who is writing on it.
+func (c *clientConnection) evict() {
+	if c.mu.TryLock() {
+		c.writesClosed = true
+		c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeAMQP, 0,
+			framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondResourceLimitExceeded, "the relay needs the room", nil)}}, nil)
+		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
+		_, _ = c.Write(c.writeBuffer) // the close follows either way
+		c.mu.Unlock()
+	}
+	listener.Discard(c.tcp)
+	c.tcp.Close()
+}
+
+// serve greets the client and takes its frames, until its connection ends.
+func (c *clientConnection) serve() error {
+	c.openDeadline = c.admission.IdleSince.Add(openTimeout)
+	if err := c.negotiate(); err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "the connection has not been opened in time"}
+		}
+		return err
+	}
+	c.openDeadline = time.Time{}
+	c.admission.OnEvict(c.evict)
+	go c.closeOnShutdown()
+	idle := cmp.Or(c.frontend.IdleTimeout, clientIdleTimeout)
+	for {
+		f, err := c.readFrame(framing.TypeAMQP, idle)
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "nothing has come for the time of the idle time-out"}
+		}
+		if err != nil {
+			return err
+		}
+		if f.Code == framing.CodeClose {
+			c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+			return nil
+		}
+		if err := c.handleFrame(f); err != nil {
+			return err
+		}
+	}
+}
+
+// negotiate exchanges headers, the security layer's frames and the opens.
+func (c *clientConnection) negotiate() error {
+	h, err := c.readProtocolHeader(openTimeout)
+	if err != nil {
+		return err
+	}
+	if h == framing.ProtocolHeaderSASL {
+		if err := c.authenticate(); err != nil {
+			return err
+		}
+		if h, err = c.readProtocolHeader(openTimeout); err != nil {
+			return err
+		}
+	} else if !c.frontend.Authenticator.Bare() {
+		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // which the standard has for an answer, and the end
+		return errors.New("the client comes without the security layer, and has to say who it is")
+	}
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
+		return err
+	}
+	if h != framing.ProtocolHeaderAMQP {
+		return errors.New("the client speaks another protocol") // it has been told ours
+	}
+	f, err := c.readFrame(framing.TypeAMQP, openTimeout)
+	if err != nil {
+		return err
+	}
+	if f.Code != framing.CodeOpen {
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a connection begins with an open"}
+	}
+	c.containerID = codec.AsString(f.Field(0))
+	idle := c.applyOpen(f.Performative)
+	if err := c.writeFrame(0, newOpen("lockroad"), nil); err != nil {
+		return err
+	}
+	go c.sendHeartbeats(idle, c.done)
+	return nil
+}
+
+// authenticate has the client say who it is, by one of the mechanisms that there are for it.
+func (c *clientConnection) authenticate() error {
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
+		return err
+	}
+	gate := c.frontend.Authenticator
+	var names codec.Array
+	for _, name := range gate.Mechanisms(c.tlsState) {
+		names = append(names, codec.Symbol(name))
+	}
+	if err := c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{names}}); err != nil {
+		return err
+	}
+	f, err := c.readFrame(framing.TypeSASL, openTimeout)
+	if err != nil {
+		return err
+	}
+	response, _ := f.Field(1).([]byte)
+	user, ok := "", false
+	if f.Code == framing.CodeSASLInit {
+		user, ok = gate.Authenticate(codec.AsString(f.Field(0)), response, c.tlsState)
+	}
+	if !ok {
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
+		c.frontend.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
+		return errors.New("the client does not say who it is, or is not")
+	}
+	c.user = user
+	return c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+}
+
+// closeOnShutdown closes the connection once its links have been moved, or answered: links still come until then.
+func (c *clientConnection) closeOnShutdown() {
+	select {
+	case <-c.done:
+		return
+	case <-c.frontend.Proxy.Closing().Done():
+	}
+	select {
+	case <-c.done:
+		return
+	case <-time.After(shutdownGrace):
+	}
+	c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondConnectionForced, "the relay is leaving", nil)}}, nil)
+	_ = c.CloseWrite()
+	c.SetReadDeadline(time.Now().Add(closeTimeout))
+}
+
+// handleFrame handles a frame other than a close.
+func (c *clientConnection) handleFrame(f framing.Frame) error {
+	if f.Empty {
+		return nil
+	}
+	s := c.sessions[f.Channel]
+	if f.Code == framing.CodeBegin {
+		if f.Channel > maxChannel { // section 2.7.1 has the connection closed
+			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d is over the most", f.Channel)}
+		}
+		if s != nil {
+			return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", f.Channel)}
+		}
+		s = &clientSession{session: newSession(c.connection, f.Channel), client: c, links: make(map[uint32]*link)}
+		s.endWritten = new(bool) // its links may have words left when it has ended
+		if err := s.applyBegin(f.Performative); err != nil {
+			return err
+		}
+		c.sessions[f.Channel] = s
+		return s.writeFrame(f.Channel, s.newBegin(f.Channel), nil)
+	}
+	if s == nil {
+		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", f.Channel)}
+	}
+	if s.endedLocally {
+		if f.Code == framing.CodeEnd {
+			delete(c.sessions, f.Channel)
+		}
+		return nil
+	}
+	err := s.handleFrame(f)
+	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
+	if bad := (framing.ConditionError{}); errors.As(err, &bad) && bad.Condition != framing.CondFramingError {
+		c.frontend.Proxy.ProtocolError("amqp", bad.Description)
+		s.endedLocally = true
+		err := s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+		s.disconnect()
+		return err
+	}
+	return err
+}
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -2,15 +2,15 @@
 
 import (
 	"bufio"
-	"context"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
-	"lockroad/internal/frontend/amqp/codec"
-	"lockroad/internal/frontend/amqp/framing"
 	"net"
 	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 const (
@@ -42,30 +42,10 @@
 	return &connection{streamConn: c, reader: bufio.NewReaderSize(c, 4<<10), mu: make(timedMutex, 1), peerMaxFrameSize: framing.MinMaxFrameSize}
 }
 
-// timedMutex is a lock that can be waited for within a time: who writes keeps it for as long as the peer does not read.
-type timedMutex chan struct{}
-
-func (t timedMutex) Lock()   { t <- struct{}{} }
-func (t timedMutex) Unlock() { <-t }
-
-func (t timedMutex) TryLock() bool {
-	select {
-	case t <- struct{}{}:
-		return true
-	default:
-		return false
-	}
-}
-
-// LockContext takes the lock unless ctx ends first.
-func (t timedMutex) LockContext(ctx context.Context) bool {
-	select {
-	case t <- struct{}{}:
-		return true
-	case <-ctx.Done():
-		return false
-	}
-}
+var (
+	errConnectionClosing = errors.New("the connection is closing")
+	errNoLongerPermitted = errors.New("it is not to be sent any more")
+)
 
 // limitNextRead bounds the next read. Whatever comes meanwhile, a greeting as a whole
 // has its own bound.
@@ -98,11 +78,6 @@
 	return framing.ParseFrame(b)
 }
 
-var (
-	errConnectionClosing = errors.New("the connection is closing")
-	errNoLongerPermitted = errors.New("it is not to be sent any more")
-)
-
 // writeFrame sends a frame in one piece; nothing goes out after a close.
 func (c *connection) writeFrame(channel uint16, p framing.Performative, payload []byte) error {
 	return c.writeUnlessEnded(channel, p, payload, nil)
--- /dev/null
+++ b/internal/frontend/amqp/dial.go
@@ -0,0 +1,141 @@
+package amqp
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"math"
+	"net"
+	"slices"
+	"time"
+
+	"lockroad/internal/auth"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+var (
+	errNegotiation = errors.New("the server's greeting makes no sense")
+	// errSASLMismatch says that the server wants to begin with the other header: without
+	// the security layer, or with it.
+	errSASLMismatch = errors.New("the server begins with another layer")
+)
+
+// dial opens a connection to a server up to where a session can begin. All of
+// that is bounded as a connection's set-up: nothing has run by then. A server that
+// speaks without the security layer says so to the header of that layer (part 2,
+// section 2.2), and closes: it is dialled again without, and so from then on.
+func (f *Frontend) dial(ctx context.Context, address string, bound time.Duration) (*upstream, error) {
+	ctx, cancel := context.WithTimeout(ctx, bound)
+	defer cancel()
+	_, plain := f.endpointsWithoutSASL.Load(address)
+	u, err := f.dialOnce(ctx, address, bound, plain)
+	if errors.Is(err, errSASLMismatch) {
+		if plain = !plain; plain {
+			f.endpointsWithoutSASL.Store(address, true)
+		} else {
+			f.endpointsWithoutSASL.Delete(address)
+		}
+		u, err = f.dialOnce(ctx, address, bound, plain)
+	}
+	return u, err
+}
+
+func (f *Frontend) dialOnce(ctx context.Context, address string, bound time.Duration, plain bool) (*upstream, error) {
+	d := net.Dialer{KeepAlive: -1}
+	tcp, err := d.DialContext(ctx, "tcp", address)
+	if err != nil {
+		return nil, err
+	}
+	over := streamConn(tcp.(*net.TCPConn))
+	host, _, _ := net.SplitHostPort(address)
+	shows := false // the relay shows a certificate
+	if config := f.EndpointTLS.For(host); config != nil {
+		secured := tls.Client(tcp, config)
+		if err := secured.HandshakeContext(ctx); err != nil {
+			tcp.Close()
+			return nil, err
+		}
+		over, shows = secured, len(config.Certificates) > 0
+	}
+	u := &upstream{session: newSession(newConnection(over), 0), done: make(chan struct{}), tcp: tcp, hasClientCertificate: shows, maxSessions: f.Pool.MaxSessions}
+	cut := context.AfterFunc(ctx, func() { tcp.Close() })
+	err = u.negotiate(bound, plain)
+	if !cut() {
+		err = errors.Join(err, ctx.Err())
+	}
+	if err != nil {
+		u.Close()
+		return nil, err
+	}
+	return u, nil
+}
+
+func (u *upstream) negotiate(bound time.Duration, plain bool) error {
+	if !plain {
+		if err := u.authenticate(bound); err != nil {
+			return err
+		}
+	}
+	if err := u.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
+		return err
+	}
+	switch h, err := u.readProtocolHeader(bound); {
+	case err == nil && plain && h == framing.ProtocolHeaderSASL:
+		return errSASLMismatch
+	case err != nil || h != framing.ProtocolHeaderAMQP:
+		return errors.Join(err, errNegotiation)
+	}
+	ours := newOpen("lockroad").With(4, uint32(advertisedEndpointIdleTimeout.Milliseconds()))
+	if u.maxSessions > 0 {
+		ours = ours.With(3, uint16(u.maxSessions-1))
+	}
+	if err := u.writeFrame(0, ours, nil); err != nil {
+		return err
+	}
+	f, err := u.readFrame(framing.TypeAMQP, bound)
+	if err != nil || f.Code != framing.CodeOpen {
+		return errors.Join(err, errNegotiation)
+	}
+	u.peerIdleTimeout = u.connection.applyOpen(f.Performative)
+	u.peerMaxChannel = uint16(min(f.Uint32(3, math.MaxUint16), math.MaxUint16))
+	return nil
+}
+
+// authenticate passes the security layer.
+func (u *upstream) authenticate(bound time.Duration) error {
+	if err := u.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
+		return err
+	}
+	switch h, err := u.readProtocolHeader(bound); {
+	case err == nil && h == framing.ProtocolHeaderAMQP:
+		return errSASLMismatch
+	case err != nil || h != framing.ProtocolHeaderSASL:
+		return errors.Join(err, errNegotiation)
+	}
+	f, err := u.readFrame(framing.TypeSASL, bound)
+	if err != nil || f.Code != framing.CodeSASLMechanisms {
+		return errors.Join(err, errNegotiation)
+	}
+	begin := framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.Anonymous), []byte("lockroad")}}
+	if u.hasClientCertificate && offersMechanism(f.Field(0), auth.External) {
+		begin = framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.External), []byte{}}}
+	}
+	if err := u.writeSASL(begin); err != nil {
+		return err
+	}
+	f, err = u.readFrame(framing.TypeSASL, bound)
+	if err != nil || f.Code != framing.CodeSASLOutcome || f.Uint32(0, 1) != 0 {
+		return errors.Join(err, errNegotiation)
+	}
+	return nil
+}
+
+// offersMechanism tells whether a peer's mechanisms, which are one or an array, have one among them.
+func offersMechanism(mechanisms any, name string) bool {
+	all, ok := mechanisms.(codec.Array)
+	if !ok {
+		all = codec.Array{mechanisms}
+	}
+	return slices.ContainsFunc(all, func(v any) bool { return codec.AsString(v) == name })
+}
--- /dev/null
+++ b/internal/frontend/amqp/framing/condition.go
@@ -0,0 +1,60 @@
+package framing
+
+import (
+	"lockroad/internal/frontend/amqp/codec"
+)
+
+// Error conditions of the standard.
+const (
+	CondInternalError         = "amqp:internal-error"
+	CondDecodeError           = "amqp:decode-error"
+	CondResourceLimitExceeded = "amqp:resource-limit-exceeded"
+	CondNotAllowed            = "amqp:not-allowed"
+	CondInvalidField          = "amqp:invalid-field"
+	CondConnectionForced      = "amqp:connection:forced"
+	CondFramingError          = "amqp:connection:framing-error"
+	CondWindowViolation       = "amqp:session:window-violation"
+	CondHandleInUse           = "amqp:session:handle-in-use"
+	CondUnattachedHandle      = "amqp:session:unattached-handle"
+	CondDetachForced          = "amqp:link:detach-forced"
+	CondTransferLimitExceeded = "amqp:link:transfer-limit-exceeded"
+	CondUnauthorizedAccess    = "amqp:unauthorized-access"
+)
+
+// ConditionError is an error that the peer is told: one of the standard's conditions, and a description for people.
+type ConditionError struct {
+	Condition   string
+	Description string
+}
+
+// Error returns the condition and the description.
+func (e ConditionError) Error() string { return e.Condition + ": " + e.Description }
+
+// Condition returns the error condition and its info that a detach, end or close carries at a field; "" if there is none.
+func (p Performative) Condition(i int) (cond string, info codec.Map) {
+	described, ok := p.Field(i).(codec.Described)
+	if !ok {
+		return "", nil
+	}
+	fields, _ := described.Value.(codec.List)
+	if len(fields) == 0 {
+		return "", nil
+	}
+	if len(fields) > 2 {
+		info, _ = fields[2].(codec.Map)
+	}
+	return codec.AsString(fields[0]), info
+}
+
+// NewErrorValue returns the standard's error type (section 2.8.14) for the field of a detach, end or close; nil, which is
+// no error, if the condition is empty.
+func NewErrorValue(condition, description string, info codec.Map) any {
+	if condition == "" {
+		return nil
+	}
+	fields := codec.List{codec.Symbol(condition), description}
+	if info != nil {
+		fields = append(fields, info)
+	}
+	return codec.Described{Descriptor: uint64(CodeError), Value: fields}
+}
--- /dev/null
+++ b/internal/frontend/amqp/framing/performative.go
@@ -0,0 +1,73 @@
+// Package framing reads and writes the frames of AMQP 1.0 and the performatives in them (part 2 of the standard), and
+// names the standard's error conditions. It does no I/O; all functions may be called from any goroutine.
+package framing
+
+import (
+	"fmt"
+
+	"lockroad/internal/frontend/amqp/codec"
+)
+
+// Descriptor codes of the performatives and other described types that the relay interprets.
+const (
+	CodeOpen           = 0x10
+	CodeBegin          = 0x11
+	CodeAttach         = 0x12
+	CodeFlow           = 0x13
+	CodeTransfer       = 0x14
+	CodeDisposition    = 0x15
+	CodeDetach         = 0x16
+	CodeEnd            = 0x17
+	CodeClose          = 0x18
+	CodeError          = 0x1d
+	CodeSASLMechanisms = 0x40
+	CodeSASLInit       = 0x41
+	CodeSASLOutcome    = 0x44
+)
+
+// Performative is one operation of the protocol: its descriptor code and its fields, in the order of the standard.
+// Fields that the relay does not interpret are passed on as they came. The zero value is the absence of one.
+type Performative struct {
+	Code   uint64
+	Fields codec.List
+}
+
+// Field returns a field by its index, and nil for one that is null or absent.
+func (p Performative) Field(i int) any {
+	if i < len(p.Fields) {
+		return p.Fields[i]
+	}
+	return nil
+}
+
+// Uint32 returns an integer field, or absent where it is null, absent, not an integer or does not fit.
+func (p Performative) Uint32(i int, absent uint32) uint32 {
+	if n, ok := codec.AsUint64(p.Field(i)); ok && n <= 1<<32-1 {
+		return uint32(n)
+	}
+	return absent
+}
+
+// Bool returns a boolean field, and false where it is null, absent or no boolean.
+func (p Performative) Bool(i int) bool {
+	value, _ := p.Field(i).(bool)
+	return value
+}
+
+// With returns a copy with one field set; the receiver and its fields are unchanged.
+func (p Performative) With(i int, v any) Performative {
+	fields := make(codec.List, max(len(p.Fields), i+1))
+	copy(fields, p.Fields)
+	fields[i] = v
+	return Performative{p.Code, fields}
+}
+
+// RequireUint32 checks that mandatory fields hold integers of at most 32 bits. Its error is a ConditionError.
+func (p Performative) RequireUint32(fields ...int) error {
+	for _, i := range fields {
+		if n, ok := codec.AsUint64(p.Field(i)); !ok || n > 1<<32-1 {
+			return ConditionError{CondInvalidField, fmt.Sprintf("field %d of performative %#x has to be a number", i, p.Code)}
+		}
+	}
+	return nil
+}
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"lockroad/internal/frontend/amqp/framing"
 	"sync"
+
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 const (
@@ -143,53 +144,3 @@
 	o.queue = nil
 	o.session.releaseTransfers(n)
 }
-
-// creditLimiter is the credit that a link's client has: that of its server, but no more than
-// ahead of what the server has been sent.
-type creditLimiter struct {
-	mu            sync.Mutex
-	initialized   bool
-	deliveryCount uint32               // deliveries that the server has been sent, by the client's count
-	endpointLimit uint32               // delivery count up to which the server takes deliveries
-	clientLimit   uint32               // and the client has been told
-	lastFlow      framing.Performative // the server's last flow
-}
-
-// limitFlow takes a flow of the server and returns what the client is told. One that
-// wants the credit used up, or speaks of no credit, is passed as it is.
-func (c *creditLimiter) limitFlow(p framing.Performative) framing.Performative {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if p.Field(6) == nil || p.Bool(8) {
-		return p
-	}
-	from := p.Uint32(5, 0)
-	if !c.initialized {
-		c.initialized, c.deliveryCount = true, from
-	}
-	c.lastFlow, c.endpointLimit = p, from+p.Uint32(6, 0)
-	c.clientLimit = c.endpointLimit
-	if most := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-most) > 0 {
-		c.clientLimit = most
-	}
-	if int32(c.clientLimit-from) < 0 {
-		c.clientLimit = from
-	}
-	return p.With(6, c.clientLimit-from)
-}
-
-// deliverySent counts a delivery that the server has been sent. It returns a flow for the client
-// once enough have been that more may follow.
-func (c *creditLimiter) deliverySent() (framing.Performative, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.deliveryCount++
-	if !c.initialized || c.clientLimit == c.endpointLimit || int32(c.deliveryCount+maxDeliveriesAhead-c.clientLimit) < maxDeliveriesAhead/2 {
-		return framing.Performative{}, false
-	}
-	c.clientLimit = c.endpointLimit
-	if most := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-most) > 0 {
-		c.clientLimit = most
-	}
-	return c.lastFlow.With(5, c.deliveryCount).With(6, c.clientLimit-c.deliveryCount), true
-}
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"fmt"
+	"time"
+
 	"lockroad/internal/frontend/amqp/codec"
 	"lockroad/internal/frontend/amqp/framing"
-	"time"
 )
 
 // PeerConn is an application server's end of a connection of the relay's, for stand-ins: the greeting as the
--- a/internal/frontend/amqp/place.go
+++ b/internal/frontend/amqp/placement.go
@@ -3,12 +3,13 @@
 import (
 	"errors"
 	"fmt"
-	"lockroad/internal/frontend/amqp/codec"
-	"lockroad/internal/frontend/amqp/framing"
 	"regexp"
 	"slices"
 	"strings"
 	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 // Placement says what a client's link wants where its attach does not: clients that know nothing of the
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"errors"
-	"lockroad/internal/frontend/amqp/codec"
-	"lockroad/internal/frontend/amqp/framing"
 	"sync"
 	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 const (
@@ -96,6 +97,18 @@
 	s.windowOpened = make(chan struct{})
 }
 
+// handleFlow takes the session's part of a flow.
+func (s *session) handleFlow(p framing.Performative) error {
+	if err := p.RequireUint32(1, 2, 3); err != nil {
+		return err
+	}
+	s.applyFlow(p)
+	if p.Field(4) == nil && p.Bool(9) {
+		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
+	}
+	return nil
+}
+
 // markEnded lets those go who wait for the window.
 func (s *session) markEnded() {
 	s.mu.Lock()
@@ -205,96 +218,3 @@
 	s.mu.Unlock()
 	return s.writeFrame(s.channel, p, nil)
 }
-
-// deliveryMap maps the numbers of a link's unsettled deliveries between the two
-// sessions that it passes through.
-type deliveryMap struct {
-	mu                  sync.Mutex
-	destinationBySource map[uint32]uint32 // by their number where they come from
-	sourceByDestination map[uint32]uint32 // and the other way round
-	currentSource       uint32            // the far number of the one that is coming in,
-	currentDestination  uint32            // and its near one
-	partial             bool
-	boundaryWaiters     []chan struct{} // to be closed once it is whole
-}
-
-func newDeliveryMap() *deliveryMap {
-	return &deliveryMap{destinationBySource: make(map[uint32]uint32), sourceByDestination: make(map[uint32]uint32)}
-}
-
-// translateTransfer gives a transfer the number that it has in the session it goes to.
-func (d *deliveryMap) translateTransfer(p framing.Performative, to *session) (framing.Performative, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.partial {
-		if err := p.RequireUint32(1); err != nil {
-			return p, err
-		}
-		d.currentSource = p.Uint32(1, 0)
-		if _, known := d.destinationBySource[d.currentSource]; known || len(d.destinationBySource) >= maxUnsettledDeliveries {
-			return p, framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "too many deliveries are unsettled, or one has a number twice"}
-		}
-		d.currentDestination = to.takeDeliveryID()
-		d.destinationBySource[d.currentSource], d.sourceByDestination[d.currentDestination] = d.currentDestination, d.currentSource
-	}
-	d.partial = p.Bool(5) && !p.Bool(9)
-	if !d.partial {
-		for _, done := range d.boundaryWaiters {
-			close(done)
-		}
-		d.boundaryWaiters = nil
-	}
-	if !d.partial && (p.Bool(4) || p.Bool(9)) {
-		delete(d.destinationBySource, d.currentSource)
-		delete(d.sourceByDestination, d.currentDestination)
-	}
-	return p.With(1, d.currentDestination), nil
-}
-
-// boundary returns a channel that is closed once no delivery is in part.
-func (d *deliveryMap) boundary() <-chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	done := make(chan struct{})
-	if d.partial {
-		d.boundaryWaiters = append(d.boundaryWaiters, done)
-	} else {
-		close(done)
-	}
-	return done
-}
-
-// translateDisposition turns a disposition into those of the other session. back says that
-// it comes from where the deliveries go to.
-func (d *deliveryMap) translateDisposition(p framing.Performative, back bool) []framing.Performative {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	from, to := d.destinationBySource, d.sourceByDestination
-	if back {
-		from, to = d.sourceByDestination, d.destinationBySource
-	}
-	first := p.Uint32(1, 0)
-	span := p.Uint32(2, first) - first
-	var out []framing.Performative
-	pass := func(here, there uint32) {
-		out = append(out, p.With(1, there).With(2, there))
-		if p.Bool(3) {
-			delete(from, here)
-			delete(to, there)
-		}
-	}
-	if span < uint32(len(from)) {
-		for i := uint32(0); i <= span; i++ {
-			if there, ok := from[first+i]; ok {
-				pass(first+i, there)
-			}
-		}
-		return out
-	}
-	for here, there := range from {
-		if here-first <= span {
-			pass(here, there)
-		}
-	}
-	return out
-}
