--- a/internal/frontend/amqp/attempt.go
+++ b/internal/frontend/amqp/attempt.go
@@ -17,39 +17,39 @@
 
 // Attempt attaches the client's link at a server, and waits for its attach and, if
 // the client is to send, for credit.
-func (l *link) Attempt(ctx context.Context, out proxy.Attempt) (up proxy.UpstreamConn, how balancer.AttemptStatus) {
-	address := out.Endpoint.Address
+func (l *link) Attempt(ctx context.Context, attempt proxy.Attempt) (conn proxy.UpstreamConn, status balancer.AttemptStatus) {
+	address := attempt.Endpoint.Address
 	if host, _, err := net.SplitHostPort(address); err == nil && l.frontend.EndpointPort != 0 {
 		address = net.JoinHostPort(host, strconv.Itoa(l.frontend.EndpointPort))
 	}
-	u, err := l.frontend.connect(ctx, out.Endpoint, address, min(cmp.Or(l.frontend.Proxy.Settings().ConnectTimeout, out.Timeout), out.Timeout))
+	upstreamConn, err := l.frontend.connect(ctx, attempt.Endpoint, address, min(cmp.Or(l.frontend.Proxy.Settings().ConnectTimeout, attempt.Timeout), attempt.Timeout))
 	if err != nil {
 		return nil, listener.NotSentStatus(ctx)
 	}
-	stop := context.AfterFunc(ctx, u.Close)
-	how = l.attachUpstream(ctx, u, out)
-	if !stop() && how == balancer.StatusOK {
-		how = listener.BrokenStatus(ctx, balancer.StatusReset)
+	stop := context.AfterFunc(ctx, upstreamConn.Close)
+	status = l.attachUpstream(ctx, upstreamConn, attempt)
+	if !stop() && status == balancer.StatusOK {
+		status = listener.BrokenStatus(ctx, balancer.StatusReset)
 	}
-	if how != balancer.StatusOK {
-		close(u.done)
-		u.Close()
-		return nil, how
+	if status != balancer.StatusOK {
+		close(upstreamConn.done)
+		upstreamConn.Close()
+		return nil, status
 	}
-	return u, how
+	return upstreamConn, status
 }
 
 // attachUpstream returns what came of the attach at a server.
-func (l *link) attachUpstream(ctx context.Context, u *upstream, out proxy.Attempt) balancer.AttemptStatus {
-	props, _ := l.attach.Field(13).(codec.Map)
-	p := l.attach.With(1, uint32(0)).With(13, props.With(propDeadline, uint32(max(1, out.TimeLeft(ctx).Milliseconds()))))
-	frames := []framing.Performative{p}
-	may := func() bool { return out.StillPermitted(ctx) }
-	if u.sharedSession != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
-		frames = []framing.Performative{u.newBegin(nil), p}
-		may = func() bool { return out.StillPermitted(ctx) && u.sharedSession.announce() }
+func (l *link) attachUpstream(ctx context.Context, upstreamConn *upstream, attempt proxy.Attempt) balancer.AttemptStatus {
+	properties, _ := l.attach.Field(13).(codec.Map)
+	performative := l.attach.With(1, uint32(0)).With(13, properties.With(propDeadline, uint32(max(1, attempt.TimeLeft(ctx).Milliseconds()))))
+	frames := []framing.Performative{performative}
+	permitted := func() bool { return attempt.StillPermitted(ctx) }
+	if upstreamConn.sharedSession != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
+		frames = []framing.Performative{upstreamConn.newBegin(nil), performative}
+		permitted = func() bool { return attempt.StillPermitted(ctx) && upstreamConn.sharedSession.announce() }
 	}
-	switch err := u.writeInitial(ctx, may, frames...); {
+	switch err := upstreamConn.writeInitial(ctx, permitted, frames...); {
 	case errors.Is(err, errNoLongerPermitted):
 		return balancer.StatusNotSent
 	case err != nil:
@@ -57,7 +57,7 @@
 	}
 	l.frontend.Proxy.Metrics.Attempts.Add(1)
 	for {
-		f, err := u.nextFrame(out.Timeout)
+		frame, err := upstreamConn.nextFrame(attempt.Timeout)
 		if err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return balancer.StatusTimeout
@@ -65,31 +65,31 @@
 			return listener.BrokenStatus(ctx, balancer.StatusReset)
 		}
 		switch {
-		case f.Empty:
-		case f.Code == framing.CodeAttach:
-			u.attach = f.Performative
-		case f.Code == framing.CodeFlow:
-			u.applyFlow(f.Performative)
-			if f.Uint32(6, 0) > 0 {
-				u.creditFlow = &f.Performative
+		case frame.Empty:
+		case frame.Code == framing.CodeAttach:
+			upstreamConn.attach = frame.Performative
+		case frame.Code == framing.CodeFlow:
+			upstreamConn.applyFlow(frame.Performative)
+			if frame.Uint32(6, 0) > 0 {
+				upstreamConn.creditFlow = &frame.Performative
 			}
-		case f.Code == framing.CodeDetach:
-			return rejectionStatus(f.Performative, 2)
-		case f.Code == framing.CodeEnd, f.Code == framing.CodeClose:
-			return rejectionStatus(f.Performative, 0)
+		case frame.Code == framing.CodeDetach:
+			return rejectionStatus(frame.Performative, 2)
+		case frame.Code == framing.CodeEnd, frame.Code == framing.CodeClose:
+			return rejectionStatus(frame.Performative, 0)
 		default:
 			return balancer.StatusError
 		}
 		// An attach without the terminus that the server owns announces a refusal.
-		if !l.clientSends && u.attach.Field(5) != nil || l.clientSends && u.attach.Field(6) != nil && u.creditFlow != nil {
+		if !l.clientSends && upstreamConn.attach.Field(5) != nil || l.clientSends && upstreamConn.attach.Field(6) != nil && upstreamConn.creditFlow != nil {
 			return balancer.StatusOK
 		}
 	}
 }
 
 // rejectionStatus is the outcome of a pass that a server has turned down.
-func rejectionStatus(p framing.Performative, at int) balancer.AttemptStatus {
-	if cond, _ := p.Condition(at); cond == framing.CondResourceLimitExceeded {
+func rejectionStatus(performative framing.Performative, at int) balancer.AttemptStatus {
+	if cond, _ := performative.Condition(at); cond == framing.CondResourceLimitExceeded {
 		return balancer.StatusFull
 	}
 	return balancer.StatusError
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -24,24 +24,24 @@
 // A connection that transactions share, and whose server stops reading: whoever writes on it waits for the one before.
 // (The line front has a connection for each transaction, which is new as the opening is written.)
 
-// dam is an application server that reads up to so many attaches, and then nothing until it is let.
-type dam struct {
+// blockedEndpoint is an application server that reads up to so many attaches, and then nothing until it is let.
+type blockedEndpoint struct {
 	net.Listener
-	attaches int
-	window   uint32 // transfers that it takes in a session
-	let      func()
-	may      chan struct{} // closed by let
-	over     chan struct{} // closed once its one connection has ended
+	maxAttaches int
+	window      uint32 // transfers that it takes in a session
+	unblock     func()
+	unblocked   chan struct{} // closed by let
+	done        chan struct{} // closed once its one connection has ended
 
-	mu       sync.Mutex
-	attached []string // links, by name
-	begun    int      // sessions
-	err      error    // what is wrong with what came, or how it ended
+	mu        sync.Mutex
+	linkNames []string // links, by name
+	sessions  int      // sessions
+	err       error    // what is wrong with what came, or how it ended
 }
 
-var damPage = bytes.Repeat([]byte("a page "), 1000)
+var blockingPayload = bytes.Repeat([]byte("a page "), 1000)
 
-func newDam(t *testing.T, attaches int, window uint32) *dam {
+func newBlockedEndpoint(t *testing.T, attaches int, window uint32) *blockedEndpoint {
 	t.Helper()
 	little := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -54,21 +54,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &dam{Listener: l, attaches: attaches, window: window, may: make(chan struct{}), over: make(chan struct{})}
-	d.let = sync.OnceFunc(func() { close(d.may) })
-	go d.serve(t)
-	t.Cleanup(func() { d.let(); d.Close(); <-d.over })
-	return d
+	endpoint := &blockedEndpoint{Listener: l, maxAttaches: attaches, window: window, unblocked: make(chan struct{}), done: make(chan struct{})}
+	endpoint.unblock = sync.OnceFunc(func() { close(endpoint.unblocked) })
+	go endpoint.serve(t)
+	t.Cleanup(func() { endpoint.unblock(); endpoint.Close(); <-endpoint.done })
+	return endpoint
 }
 
-func (d *dam) serve(t *testing.T) {
-	defer close(d.over)
-	tcp, err := d.Accept()
+func (endpoint *blockedEndpoint) serve(t *testing.T) {
+	defer close(endpoint.done)
+	tcp, err := endpoint.Accept()
 	if err != nil {
 		return
 	}
 	defer tcp.Close()
-	c, ok := greetClient(t, tcp.(*net.TCPConn))
+	c, ok := negotiateAsEndpoint(t, tcp.(*net.TCPConn))
 	if !ok {
 		return
 	}
@@ -78,10 +78,10 @@
 	sessions := make(map[uint16]*session)
 	for {
 		f, err := c.readFrame(framing.TypeAMQP, time.Minute)
-		d.mu.Lock()
+		endpoint.mu.Lock()
 		if err != nil {
-			d.err = err
-			d.mu.Unlock()
+			endpoint.err = err
+			endpoint.mu.Unlock()
 			return
 		}
 		switch f.Code {
@@ -89,61 +89,61 @@
 			c.applyOpen(f.Performative)
 			c.writeFrame(0, newOpen("dam").With(3, uint16(7)), nil)
 		case framing.CodeBegin:
-			d.begun++
+			endpoint.sessions++
 			s := newSession(c, f.Channel)
 			_ = s.applyBegin(f.Performative)
 			sessions[f.Channel] = s
-			c.writeFrame(f.Channel, s.newBegin(f.Channel).With(2, d.window), nil)
+			c.writeFrame(f.Channel, s.newBegin(f.Channel).With(2, endpoint.window), nil)
 		case framing.CodeAttach:
-			d.attached = append(d.attached, codec.AsString(f.Field(0)))
+			endpoint.linkNames = append(endpoint.linkNames, codec.AsString(f.Field(0)))
 			s := sessions[f.Channel]
 			s.writeFrame(f.Channel, f.Performative.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-			s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), d.window, uint32(0), uint32(sessionWindow), f.Field(1), uint32(0), uint32(50000)}}, nil)
+			s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), endpoint.window, uint32(0), uint32(sessionWindow), f.Field(1), uint32(0), uint32(50000)}}, nil)
 		case framing.CodeTransfer:
-			if !bytes.Contains(f.Payload, damPage) {
-				d.err = errors.New("a delivery is not what its client has sent")
+			if !bytes.Contains(f.Payload, blockingPayload) {
+				endpoint.err = errors.New("a delivery is not what its client has sent")
 			}
 		}
-		n := len(d.attached)
-		d.mu.Unlock()
-		if n == d.attaches {
-			<-d.may
+		n := len(endpoint.linkNames)
+		endpoint.mu.Unlock()
+		if n == endpoint.maxAttaches {
+			<-endpoint.unblocked
 		}
 	}
 }
 
-// sawTheFirstAlone ends the relay, and checks that nothing has come to the server but its first link.
-func (d *dam) sawTheFirstAlone(t *testing.T, r *rig) {
+// checkOnlyFirstArrived ends the relay, and checks that nothing has come to the server but its first link.
+func (endpoint *blockedEndpoint) checkOnlyFirstArrived(t *testing.T, relay *testRelay) {
 	t.Helper()
-	r.end()
-	<-d.over
-	if d.begun != 1 || !slices.Equal(d.attached, []string{"first"}) {
-		t.Errorf("the server has seen %d sessions, and the links %q", d.begun, d.attached)
+	relay.shutdown()
+	<-endpoint.done
+	if endpoint.sessions != 1 || !slices.Equal(endpoint.linkNames, []string{"first"}) {
+		t.Errorf("the server has seen %d sessions, and the links %q", endpoint.sessions, endpoint.linkNames)
 	}
 }
 
-// damRig is a relay whose transactions share connections to such a server, and a client that has one.
-func damRig(t *testing.T, d *dam) (*rig, *Frontend, *client10.Sender) {
+// newRelayToBlockedEndpoint is a relay whose transactions share connections to such a server, and a client that has one.
+func newRelayToBlockedEndpoint(t *testing.T, endpoint *blockedEndpoint) (*testRelay, *Frontend, *client10.Sender) {
 	t.Helper()
 	var front *Frontend
-	r := newRig(t, wireOf(func(f *Frontend) {
+	relay := newTestRelay(t, amqpProtocol(func(f *Frontend) {
 		f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute}
 		front = f
 	}, nil), 1, nil)
-	r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
-	r.names = []string{d.Addr().String()}
-	r.list(balancer.StateReady, 0)
-	first, err := clientOf(t, r).NewSender(t.Context(), "there", &client10.SenderOptions{
+	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
+	relay.endpointAddresses = []string{endpoint.Addr().String()}
+	relay.setEndpointState(balancer.StateReady, 0)
+	first, err := clientOf(t, relay).NewSender(t.Context(), "there", &client10.SenderOptions{
 		Name: "first", Properties: linkProperties(), SettlementMode: client10.SenderSettleModeSettled.Ptr(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, front, first
+	return relay, front, first
 }
 
-// flood sends deliveries until the connection to the server is blocked.
-func flood(t *testing.T, f *Frontend, link *client10.Sender) {
+// blockConnection sends deliveries until the connection to the server is blocked.
+func blockConnection(t *testing.T, f *Frontend, link *client10.Sender) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -152,12 +152,12 @@
 		defer close(ended)
 		var err error
 		for err == nil {
-			err = link.Send(ctx, client10.NewMessage(damPage), nil)
+			err = link.Send(ctx, client10.NewMessage(blockingPayload), nil)
 		}
 	}()
 	held := 0 // looks in a row at which somebody was writing
 	testutil.Until(t, "the connection is blocked", func() bool {
-		m := muxOf(f)
+		m := onlyMultiplexer(f)
 		if held++; m.connection.mu.TryLock() {
 			held = 0
 			m.connection.mu.Unlock()
@@ -166,17 +166,17 @@
 	})
 }
 
-// muxOf is the one shared connection.
-func muxOf(f *Frontend) *multiplexer {
+// onlyMultiplexer is the one shared connection.
+func onlyMultiplexer(f *Frontend) *multiplexer {
 	f.sharedConnections.mu.Lock()
 	defer f.sharedConnections.mu.Unlock()
-	for _, tr := range f.sharedConnections.connections {
-		return tr.multiplexer
+	for _, conn := range f.sharedConnections.connections {
+		return conn.multiplexer
 	}
 	return nil
 }
 
-func (m *multiplexer) lanes() int {
+func (m *multiplexer) sessionCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.localChannels)
@@ -188,34 +188,34 @@
 	for _, c := range []string{"the client leaves", "the server drains", "the relay ends"} {
 		t.Run(c, func(t *testing.T) {
 			t.Parallel()
-			d := newDam(t, 1, 10000)
-			r, f, first := damRig(t, d)
-			flood(t, f, first)
-			second := dialRaw(t, r.address).begin()
+			endpoint := newBlockedEndpoint(t, 1, 10000)
+			relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
+			blockConnection(t, f, first)
+			second := dialRaw(t, relay.address).begin()
 			second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
-			testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
+			testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(f).sessionCount() == 2 })
 			switch c {
 			case "the client leaves":
 				second.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
-				second.until(framing.CodeDetach, 2, framing.CondInvalidField, 3*time.Second)
-				testutil.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
-				d.let()
+				second.expectEventually(framing.CodeDetach, 2, framing.CondInvalidField, 3*time.Second)
+				testutil.Until(t, "the second's pass is over", func() bool { return relay.proxy.Counters.Attempts(balancer.StatusNotSent) == 1 })
+				endpoint.unblock()
 			case "the server drains":
-				r.list(balancer.StateDraining, 0)
-				d.let()
-				second.want(framing.CodeAttach, 0, "")
-				second.want(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
+				relay.setEndpointState(balancer.StateDraining, 0)
+				endpoint.unblock()
+				second.expect(framing.CodeAttach, 0, "")
+				second.expect(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
 			case "the relay ends":
 				began := time.Now()
-				r.end()
+				relay.shutdown()
 				if took := time.Since(began); took > 2*time.Second {
 					t.Errorf("the front's end takes %v", took)
 				}
-				d.let()
+				endpoint.unblock()
 			}
 			_ = first.Close(t.Context())
-			d.sawTheFirstAlone(t, r)
+			endpoint.checkOnlyFirstArrived(t, relay)
 		})
 	}
 }
@@ -224,55 +224,55 @@
 // and the one that reads again hears nothing of it.
 func TestAPassThatWaitsForItsTurnIsGivenUpInTime(t *testing.T) {
 	t.Parallel()
-	d := newDam(t, 1, 10000)
-	r, f, first := damRig(t, d)
-	r.retune(func(s *balancer.Settings) { s.ConnectTimeout = 400 * time.Millisecond })
-	flood(t, f, first)
+	endpoint := newBlockedEndpoint(t, 1, 10000)
+	relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
+	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout = 400 * time.Millisecond })
+	blockConnection(t, f, first)
 	l := listen(t)
 	defer l.Close()
-	other := &shares{}
+	other := &sharedEndpoint{}
 	var served sync.WaitGroup
 	defer served.Wait()
 	defer l.Close()
-	served.Go(func() { serveAll(t, l, wire{server: other.serve}, r.script) })
-	second := dialRaw(t, r.address).begin()
+	served.Go(func() { serveAll(t, l, frontendProtocol{serveEndpoint: other.serve}, relay.scenario) })
+	second := dialRaw(t, relay.address).begin()
 	// Its group's route leads to the first server, as the first link's does.
 	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
-	testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
-	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
+	testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(f).sessionCount() == 2 })
+	relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
 	began := time.Now()
-	second.want(framing.CodeAttach, 0, "")
-	second.want(framing.CodeFlow, 0, "")
+	second.expect(framing.CodeAttach, 0, "")
+	second.expect(framing.CodeFlow, 0, "")
 	if took := time.Since(began); took > 2800*time.Millisecond {
 		t.Errorf("it is up after %v", took)
 	}
 	if n := other.sessions.Load(); n != 1 {
 		t.Errorf("the other server has seen %d sessions", n)
 	}
-	d.let()
+	endpoint.unblock()
 	_ = first.Close(t.Context())
 	second.Close()
-	testutil.Until(t, "both are over", func() bool { return r.core.Requests.Len() == 0 })
-	d.sawTheFirstAlone(t, r)
+	testutil.Until(t, "both are over", func() bool { return relay.proxy.Requests.Len() == 0 })
+	endpoint.checkOnlyFirstArrived(t, relay)
 }
 
 // A frame that went out in part is the last on its connection: the next would be read as its rest, by a server that
 // delivers it. All who share the connection are told that their server is lost.
 func TestNothingFollowsAFrameThatWentOutInPart(t *testing.T) {
 	t.Parallel()
-	d := newDam(t, 2, 10000)
-	r, f, first := damRig(t, d)
-	second := dialRaw(t, r.address).begin()
+	endpoint := newBlockedEndpoint(t, 2, 10000)
+	relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
+	second := dialRaw(t, relay.address).begin()
 	second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
-	second.want(framing.CodeAttach, 0, "")
-	second.want(framing.CodeFlow, 0, "")
-	flood(t, f, first)
-	second.until(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeTimeout)
-	d.let()
-	<-d.over
-	if !errors.Is(d.err, io.EOF) && !errors.Is(d.err, io.ErrUnexpectedEOF) && !errors.Is(d.err, syscall.ECONNRESET) {
-		t.Errorf("after the part of a frame the server reads: %v", d.err)
+	second.expect(framing.CodeAttach, 0, "")
+	second.expect(framing.CodeFlow, 0, "")
+	blockConnection(t, f, first)
+	second.expectEventually(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeTimeout)
+	endpoint.unblock()
+	<-endpoint.done
+	if !errors.Is(endpoint.err, io.EOF) && !errors.Is(endpoint.err, io.ErrUnexpectedEOF) && !errors.Is(endpoint.err, syscall.ECONNRESET) {
+		t.Errorf("after the part of a frame the server reads: %v", endpoint.err)
 	}
 }
 
@@ -280,31 +280,31 @@
 // sending to a server that got nothing of it.
 func TestAServerWhoseWindowStaysShutIsLeft(t *testing.T) {
 	t.Parallel()
-	d := newDam(t, 1000, 1)
-	r, _, first := damRig(t, d)
-	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
+	endpoint := newBlockedEndpoint(t, 1000, 1)
+	relay, _, first := newRelayToBlockedEndpoint(t, endpoint)
+	if err := first.Send(t.Context(), client10.NewMessage(blockingPayload), nil); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*writeTimeout)
 	defer cancel()
 	var end *client10.LinkError
 	for err := error(nil); ; {
-		if err = first.Send(ctx, client10.NewMessage(damPage), nil); err != nil {
+		if err = first.Send(ctx, client10.NewMessage(blockingPayload), nil); err != nil {
 			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != framing.CondDetachForced {
 				t.Fatalf("its client is told %v", err)
 			}
 			break
 		}
 	}
-	testutil.Until(t, "the transaction is over", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "the transaction is over", func() bool { return relay.proxy.Requests.Len() == 0 })
 }
 
 // A pass that is given up, or a transaction that ends, closes its session at once, while a word of its server may be in
 // hand already: a flow that is taken after that opens no window, and ends no relay.
 func TestAFlowInHandAsItsSessionEndsChangesNothing(t *testing.T) {
-	d := newDam(t, 3, 100)
-	r, front, first := damRig(t, d)
-	u, err := front.connect(t.Context(), r.core.Endpoints.List()[0], d.Addr().String(), 5*time.Second)
+	endpoint := newBlockedEndpoint(t, 3, 100)
+	relay, front, first := newRelayToBlockedEndpoint(t, endpoint)
+	u, err := front.connect(t.Context(), relay.proxy.Endpoints.List()[0], endpoint.Addr().String(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,7 +323,7 @@
 	if err := u.awaitWindow(); !errors.Is(err, errConnectionClosing) {
 		t.Errorf("a transfer of a session that has ended: %v", err)
 	}
-	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
+	if err := first.Send(t.Context(), client10.NewMessage(blockingPayload), nil); err != nil {
 		t.Errorf("a transaction beside it: %v", err)
 	}
 }
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -89,18 +89,18 @@
 	go c.closeOnShutdown()
 	idle := cmp.Or(c.frontend.IdleTimeout, clientIdleTimeout)
 	for {
-		f, err := c.readFrame(framing.TypeAMQP, idle)
+		frame, err := c.readFrame(framing.TypeAMQP, idle)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "nothing has come for the time of the idle time-out"}
 		}
 		if err != nil {
 			return err
 		}
-		if f.Code == framing.CodeClose {
+		if frame.Code == framing.CodeClose {
 			c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 			return nil
 		}
-		if err := c.handleFrame(f); err != nil {
+		if err := c.handleFrame(frame); err != nil {
 			return err
 		}
 	}
@@ -108,15 +108,15 @@
 
 // negotiate exchanges headers, the security layer's frames and the opens.
 func (c *clientConnection) negotiate() error {
-	h, err := c.readProtocolHeader(openTimeout)
+	header, err := c.readProtocolHeader(openTimeout)
 	if err != nil {
 		return err
 	}
-	if h == framing.ProtocolHeaderSASL {
+	if header == framing.ProtocolHeaderSASL {
 		if err := c.authenticate(); err != nil {
 			return err
 		}
-		if h, err = c.readProtocolHeader(openTimeout); err != nil {
+		if header, err = c.readProtocolHeader(openTimeout); err != nil {
 			return err
 		}
 	} else if !c.frontend.Authenticator.Bare() {
@@ -126,18 +126,18 @@
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
-	if h != framing.ProtocolHeaderAMQP {
+	if header != framing.ProtocolHeaderAMQP {
 		return errors.New("the client speaks another protocol") // it has been told ours
 	}
-	f, err := c.readFrame(framing.TypeAMQP, openTimeout)
+	frame, err := c.readFrame(framing.TypeAMQP, openTimeout)
 	if err != nil {
 		return err
 	}
-	if f.Code != framing.CodeOpen {
+	if frame.Code != framing.CodeOpen {
 		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a connection begins with an open"}
 	}
-	c.containerID = codec.AsString(f.Field(0))
-	idle := c.applyOpen(f.Performative)
+	c.containerID = codec.AsString(frame.Field(0))
+	idle := c.applyOpen(frame.Performative)
 	if err := c.writeFrame(0, newOpen("lockroad"), nil); err != nil {
 		return err
 	}
@@ -150,22 +150,22 @@
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	gate := c.frontend.Authenticator
+	authenticator := c.frontend.Authenticator
 	var names codec.Array
-	for _, name := range gate.Mechanisms(c.tlsState) {
+	for _, name := range authenticator.Mechanisms(c.tlsState) {
 		names = append(names, codec.Symbol(name))
 	}
 	if err := c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{names}}); err != nil {
 		return err
 	}
-	f, err := c.readFrame(framing.TypeSASL, openTimeout)
+	frame, err := c.readFrame(framing.TypeSASL, openTimeout)
 	if err != nil {
 		return err
 	}
-	response, _ := f.Field(1).([]byte)
+	response, _ := frame.Field(1).([]byte)
 	user, ok := "", false
-	if f.Code == framing.CodeSASLInit {
-		user, ok = gate.Authenticate(codec.AsString(f.Field(0)), response, c.tlsState)
+	if frame.Code == framing.CodeSASLInit {
+		user, ok = authenticator.Authenticate(codec.AsString(frame.Field(0)), response, c.tlsState)
 	}
 	if !ok {
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
@@ -194,41 +194,41 @@
 }
 
 // handleFrame handles a frame other than a close.
-func (c *clientConnection) handleFrame(f framing.Frame) error {
-	if f.Empty {
+func (c *clientConnection) handleFrame(frame framing.Frame) error {
+	if frame.Empty {
 		return nil
 	}
-	s := c.sessions[f.Channel]
-	if f.Code == framing.CodeBegin {
-		if f.Channel > maxChannel { // section 2.7.1 has the connection closed
-			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d is over the most", f.Channel)}
+	s := c.sessions[frame.Channel]
+	if frame.Code == framing.CodeBegin {
+		if frame.Channel > maxChannel { // section 2.7.1 has the connection closed
+			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d is over the most", frame.Channel)}
 		}
 		if s != nil {
-			return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", f.Channel)}
+			return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", frame.Channel)}
 		}
-		s = &clientSession{session: newSession(c.connection, f.Channel), client: c, links: make(map[uint32]*link)}
+		s = &clientSession{session: newSession(c.connection, frame.Channel), client: c, links: make(map[uint32]*link)}
 		s.endWritten = new(bool) // its links may have words left when it has ended
-		if err := s.applyBegin(f.Performative); err != nil {
+		if err := s.applyBegin(frame.Performative); err != nil {
 			return err
 		}
-		c.sessions[f.Channel] = s
-		return s.writeFrame(f.Channel, s.newBegin(f.Channel), nil)
+		c.sessions[frame.Channel] = s
+		return s.writeFrame(frame.Channel, s.newBegin(frame.Channel), nil)
 	}
 	if s == nil {
-		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", f.Channel)}
+		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", frame.Channel)}
 	}
 	if s.endedLocally {
-		if f.Code == framing.CodeEnd {
-			delete(c.sessions, f.Channel)
+		if frame.Code == framing.CodeEnd {
+			delete(c.sessions, frame.Channel)
 		}
 		return nil
 	}
-	err := s.handleFrame(f)
+	err := s.handleFrame(frame)
 	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
-	if bad := (framing.ConditionError{}); errors.As(err, &bad) && bad.Condition != framing.CondFramingError {
-		c.frontend.Proxy.ProtocolError("amqp", bad.Description)
+	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) && conditionErr.Condition != framing.CondFramingError {
+		c.frontend.Proxy.ProtocolError("amqp", conditionErr.Description)
 		s.endedLocally = true
-		err := s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+		err := s.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(conditionErr.Condition, conditionErr.Description, nil)}}, nil)
 		s.disconnect()
 		return err
 	}
--- a/internal/frontend/amqp/codec/decode.go
+++ b/internal/frontend/amqp/codec/decode.go
@@ -41,8 +41,8 @@
 		return 0, err
 	}
 	var n uint64
-	for _, x := range b {
-		n = n<<8 | uint64(x)
+	for _, octet := range b {
+		n = n<<8 | uint64(octet)
 	}
 	return n, nil
 }
@@ -183,66 +183,66 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	in := &decoder{rest: b, depth: d.depth}
-	count, err := in.uint(width)
-	return in, count, err
+	inner := &decoder{rest: b, depth: d.depth}
+	count, err := inner.uint(width)
+	return inner, count, err
 }
 
 func (d *decoder) decodeCompound(code byte, width uint64) (any, error) {
-	in, count, err := d.openCompound(width)
-	if err != nil || count > uint64(len(in.rest)) { // every element takes a byte at least
+	inner, count, err := d.openCompound(width)
+	if err != nil || count > uint64(len(inner.rest)) { // every element takes a byte at least
 		return nil, ErrDecode
 	}
-	vs := make([]any, count)
-	for i := range vs {
-		if vs[i], err = in.decodeValue(); err != nil {
+	elements := make([]any, count)
+	for i := range elements {
+		if elements[i], err = inner.decodeValue(); err != nil {
 			return nil, err
 		}
 	}
 	switch {
-	case len(in.rest) > 0:
+	case len(inner.rest) > 0:
 	case code&0xf == 0x0:
-		return List(vs), nil
+		return List(elements), nil
 	case code&0xf == 0x1 && count%2 == 0:
-		return Map(vs), nil
+		return Map(elements), nil
 	}
 	return nil, ErrDecode
 }
 
 func (d *decoder) decodeArray(code byte, width uint64) (any, error) {
-	in, count, err := d.openCompound(width)
-	if err != nil || code&0xf != 0 || count > uint64(len(in.rest))+maxEmptyElements {
+	inner, count, err := d.openCompound(width)
+	if err != nil || code&0xf != 0 || count > uint64(len(inner.rest))+maxEmptyElements {
 		return nil, ErrDecode
 	}
-	if len(in.rest) == 0 && count == 0 {
+	if len(inner.rest) == 0 && count == 0 {
 		return Array{}, nil
 	}
-	constructor, err := in.uint(1)
+	constructor, err := inner.uint(1)
 	if err != nil {
 		return nil, err
 	}
 	var descriptor any
 	if constructor == 0 {
-		if descriptor, err = in.decodeValue(); err != nil {
+		if descriptor, err = inner.decodeValue(); err != nil {
 			return nil, err
 		}
-		if constructor, err = in.uint(1); err != nil || constructor == 0 {
+		if constructor, err = inner.uint(1); err != nil || constructor == 0 {
 			return nil, ErrDecode
 		}
 	}
-	vs := make(Array, 0, min(count, 64))
+	elements := make(Array, 0, min(count, 64))
 	for range count {
-		v, err := in.decodePrimitive(byte(constructor))
+		v, err := inner.decodePrimitive(byte(constructor))
 		if err != nil {
 			return nil, err
 		}
 		if descriptor != nil {
 			v = Described{descriptor, v}
 		}
-		vs = append(vs, v)
+		elements = append(elements, v)
 	}
-	if len(in.rest) > 0 {
+	if len(inner.rest) > 0 {
 		return nil, ErrDecode
 	}
-	return vs, nil
+	return elements, nil
 }
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -35,56 +35,56 @@
 	check   func(t *testing.T) error
 }
 
-// seenAt records what the front says to a server, which accepts links with some credit.
-type seenAt struct {
+// recordingEndpoint records what the front says to a server, which accepts links with some credit.
+type recordingEndpoint struct {
 	mu     sync.Mutex
 	frames []framing.Frame
 	open   framing.Performative // that it says itself; zero: the usual
 	window uint32
 	credit uint32
-	reply  func(c *connection, s *session, f framing.Frame) bool // more that it does; true: nothing else is done
+	reply  func(c *connection, s *session, frame framing.Frame) bool // more that it does; true: nothing else is done
 }
 
-func (s *seenAt) serve(t testing.TB, tcp *net.TCPConn, _ *script) {
-	c, ok := greetClient(t, tcp)
+func (s *recordingEndpoint) serve(t testing.TB, tcp *net.TCPConn, _ *scenario) {
+	c, ok := negotiateAsEndpoint(t, tcp)
 	if !ok {
 		return
 	}
 	session := newSession(c, 0)
 	for {
-		f, err := c.readFrame(framing.TypeAMQP, serverWait)
+		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
 		s.mu.Lock()
-		s.frames = append(s.frames, f)
+		s.frames = append(s.frames, frame)
 		s.mu.Unlock()
-		if s.reply != nil && s.reply(c, session, f) {
+		if s.reply != nil && s.reply(c, session, frame) {
 			continue
 		}
-		switch f.Code {
+		switch frame.Code {
 		case framing.CodeOpen:
-			c.applyOpen(f.Performative)
+			c.applyOpen(frame.Performative)
 			o := newOpen("server")
 			if s.open.Code != 0 {
 				o = s.open
 			}
 			c.writeFrame(0, o, nil)
 		case framing.CodeBegin:
-			_ = session.applyBegin(f.Performative)
+			_ = session.applyBegin(frame.Performative)
 			b := session.newBegin(uint16(0))
 			if s.window > 0 {
 				b = b.With(2, s.window)
 			}
 			c.writeFrame(0, b, nil)
 		case framing.CodeAttach:
-			c.writeFrame(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-			if !f.Bool(2) {
+			c.writeFrame(0, frame.With(1, uint32(0)).With(2, !frame.Bool(2)).With(9, nil).With(13, nil), nil)
+			if !frame.Bool(2) {
 				c.writeFrame(0, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
 			}
 		case framing.CodeTransfer:
-			if !f.Bool(5) && !f.Bool(4) && !f.Bool(9) {
-				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+			if !frame.Bool(5) && !frame.Bool(4) && !frame.Bool(9) {
+				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 			}
 		case framing.CodeDetach:
 			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
@@ -92,14 +92,14 @@
 	}
 }
 
-// of waits until a server was told a performative, and returns all of those so far.
-func (s *seenAt) of(code uint64, least int) (all []framing.Frame, err error) {
+// waitFor waits until a server was told a performative, and returns all of those so far.
+func (s *recordingEndpoint) waitFor(code uint64, least int) (all []framing.Frame, err error) {
 	for late := time.Now().Add(3 * time.Second); ; time.Sleep(time.Millisecond) { // a poll with a bound
 		s.mu.Lock()
 		all = nil
-		for _, f := range s.frames {
-			if !f.Empty && f.Code == code {
-				all = append(all, f)
+		for _, frame := range s.frames {
+			if !frame.Empty && frame.Code == code {
+				all = append(all, frame)
 			}
 		}
 		s.mu.Unlock()
@@ -112,18 +112,18 @@
 	}
 }
 
-// rawAt is a raw client at a relay whose server records.
-func rawAt(t *testing.T, s *seenAt) *raw {
+// dialRawTo is a raw client at a relay whose server records.
+func dialRawTo(t *testing.T, s *recordingEndpoint) *rawClient {
 	t.Helper()
-	w := wires[1]
-	w.server = s.serve
-	return dialRaw(t, newRig(t, w, 1, nil).address)
+	protocol := protocols[1]
+	protocol.serveEndpoint = s.serve
+	return dialRaw(t, newTestRelay(t, protocol, 1, nil).address)
 }
 
 var rawProps = codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(900)}
 
-// link attaches a link that is to send or to receive, and waits until it is up.
-func (c *raw) link(sends bool, fields ...func(framing.Performative) framing.Performative) (framing.Performative, error) {
+// attachAndWait attaches a link that is to send or to receive, and waits until it is up.
+func (c *rawClient) attachAndWait(sends bool, fields ...func(framing.Performative) framing.Performative) (framing.Performative, error) {
 	p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), !sends, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, nil, nil, nil, nil, rawProps}}
 	if sends {
 		p = p.With(9, uint32(0))
@@ -132,61 +132,61 @@
 		p = set(p)
 	}
 	c.writeFrame(3, p, nil)
-	f, err := c.frame()
-	if err != nil || f.Code != framing.CodeAttach {
-		return f.Performative, fmt.Errorf("an attach is answered with %#x, %v", f.Code, err)
+	frame, err := c.nextFrame()
+	if err != nil || frame.Code != framing.CodeAttach {
+		return frame.Performative, fmt.Errorf("an attach is answered with %#x, %v", frame.Code, err)
 	}
-	reply := f.Performative
+	reply := frame.Performative
 	if sends {
-		if f, err = c.frame(); err != nil || f.Code != framing.CodeFlow {
-			return reply, fmt.Errorf("no credit follows the attach: %#x, %v", f.Code, err)
+		if frame, err = c.nextFrame(); err != nil || frame.Code != framing.CodeFlow {
+			return reply, fmt.Errorf("no credit follows the attach: %#x, %v", frame.Code, err)
 		}
 	}
 	return reply, nil
 }
 
-// frame waits for a frame with a body.
-func (c *raw) frame() (framing.Frame, error) {
+// nextFrame waits for a frame with a body.
+func (c *rawClient) nextFrame() (framing.Frame, error) {
 	for {
-		if f, err := c.readFrame(framing.TypeAMQP, 3*time.Second); err != nil || !f.Empty {
-			return f, err
+		if frame, err := c.readFrame(framing.TypeAMQP, 3*time.Second); err != nil || !frame.Empty {
+			return frame, err
 		}
 	}
 }
 
-// hello dials a front, and exchanges a header with it.
-func hello(t *testing.T, h [8]byte) (*connection, error) {
+// dialAndExchangeHeader dials a front, and exchanges a header with it.
+func dialAndExchangeHeader(t *testing.T, header [8]byte) (*connection, error) {
 	t.Helper()
-	w := wires[1]
-	w.server = (&seenAt{}).serve
-	tcp, err := net.Dial("tcp", newRig(t, w, 1, nil).address)
+	protocol := protocols[1]
+	protocol.serveEndpoint = (&recordingEndpoint{}).serve
+	tcp, err := net.Dial("tcp", newTestRelay(t, protocol, 1, nil).address)
 	if err != nil {
 		return nil, err
 	}
 	t.Cleanup(func() { tcp.Close() })
 	c := newConnection(tcp.(*net.TCPConn))
-	c.writeProtocolHeader(h)
+	c.writeProtocolHeader(header)
 	got, err := c.readProtocolHeader(time.Second)
-	return c, errors.Join(err, same("header", got, h))
+	return c, errors.Join(err, checkEqual("header", got, header))
 }
 
-// told waits for a performative with a condition.
-func (c *raw) told(code uint64, at int, cond string) error {
-	f, err := c.frame()
+// checkNext waits for a performative with a condition.
+func (c *rawClient) checkNext(code uint64, at int, cond string) error {
+	frame, err := c.nextFrame()
 	if err != nil {
 		return err
 	}
-	if got, _ := f.Condition(at); f.Code != code || got != cond {
-		return fmt.Errorf("told %#x with %q, want %#x with %q", f.Code, got, code, cond)
+	if got, _ := frame.Condition(at); frame.Code != code || got != cond {
+		return fmt.Errorf("told %#x with %q, want %#x with %q", frame.Code, got, code, cond)
 	}
 	return nil
 }
 
-func (c *raw) send(id uint32, settled bool, more, aborted bool, payload []byte) {
+func (c *rawClient) sendTransfer(id uint32, settled bool, more, aborted bool, payload []byte) {
 	c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 }
 
-func same(what string, got, want any) error {
+func checkEqual(what string, got, want any) error {
 	if !reflect.DeepEqual(got, want) {
 		return fmt.Errorf("%s: %v, want %v", what, got, want)
 	}
@@ -196,16 +196,16 @@
 // answersTo are bytes that a client sends, and the close that it gets.
 func closedAfter(text []byte, cond string) func(*testing.T) error {
 	return func(t *testing.T) error {
-		c := rawAt(t, &seenAt{})
+		c := dialRawTo(t, &recordingEndpoint{})
 		_, _ = c.Write(text)
-		return c.told(framing.CodeClose, 0, cond)
+		return c.checkNext(framing.CodeClose, 0, cond)
 	}
 }
 
 var requirements = []requirement{
-	{"2.2", "client", "a header that it speaks is answered with the same", func(t *testing.T) error { rawAt(t, &seenAt{}); return nil }},
+	{"2.2", "client", "a header that it speaks is answered with the same", func(t *testing.T) error { dialRawTo(t, &recordingEndpoint{}); return nil }},
 	{"2.2", "client", "any other is answered with one that it speaks, and the connection is closed", func(t *testing.T) error {
-		tcp, err := net.Dial("tcp", newRig(t, wires[1], 1, nil).address)
+		tcp, err := net.Dial("tcp", newTestRelay(t, protocols[1], 1, nil).address)
 		if err != nil {
 			return err
 		}
@@ -213,34 +213,34 @@
 		_, _ = tcp.Write([]byte("AMQP\x00\x00\x09\x01"))
 		tcp.SetReadDeadline(time.Now().Add(3 * time.Second))
 		got, err := io.ReadAll(tcp)
-		return errors.Join(err, same("answer", got, framing.ProtocolHeaderAMQP[:]))
+		return errors.Join(err, checkEqual("answer", got, framing.ProtocolHeaderAMQP[:]))
 	}},
 	{"2.3.1", "client", "an extended frame header is passed over", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{})
+		c := dialRawTo(t, &recordingEndpoint{})
 		b := framing.AppendFrame(nil, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		long := append([]byte{0, 0, 0, byte(len(b) + 4), 3, 0, 0, 3, 1, 2, 3, 4}, b[8:]...)
 		_, _ = c.Write(long)
-		return c.told(framing.CodeBegin, 0, "")
+		return c.checkNext(framing.CodeBegin, 0, "")
 	}},
 	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, framing.CondFramingError)},
 	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, framing.CondFramingError)},
 	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, framing.CondDecodeError)},
 	{"2.4.1", "client", "the open tells a container, and limits that the standard allows", func(t *testing.T) error {
-		c, err := hello(t, framing.ProtocolHeaderAMQP)
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
 		c.writeFrame(0, newOpen("raw"), nil)
-		f, err := c.readFrame(framing.TypeAMQP, time.Second)
-		if err != nil || f.Code != framing.CodeOpen || codec.AsString(f.Field(0)) == "" || f.Uint32(2, 0) < framing.MinMaxFrameSize || f.Uint32(4, 0) == 0 {
-			return fmt.Errorf("the open is %v, %v", f.Performative, err)
+		frame, err := c.readFrame(framing.TypeAMQP, time.Second)
+		if err != nil || frame.Code != framing.CodeOpen || codec.AsString(frame.Field(0)) == "" || frame.Uint32(2, 0) < framing.MinMaxFrameSize || frame.Uint32(4, 0) == 0 {
+			return fmt.Errorf("the open is %v, %v", frame.Performative, err)
 		}
 		return nil
 	}},
 	{"2.4.1", "client", "open, begin and attach may come in one piece, and are answered in order", func(t *testing.T) error {
-		w := wires[1]
-		w.server = (&seenAt{}).serve
-		tcp, err := net.Dial("tcp", newRig(t, w, 1, nil).address)
+		protocol := protocols[1]
+		protocol.serveEndpoint = (&recordingEndpoint{}).serve
+		tcp, err := net.Dial("tcp", newTestRelay(t, protocol, 1, nil).address)
 		if err != nil {
 			return err
 		}
@@ -250,27 +250,27 @@
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 		_, _ = tcp.Write(b)
-		c := &raw{newConnection(tcp.(*net.TCPConn)), t}
+		c := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
 		_, _ = c.readProtocolHeader(time.Second)
-		return errors.Join(c.told(framing.CodeOpen, 9, ""), c.told(framing.CodeBegin, 9, ""), c.told(framing.CodeAttach, 9, ""), c.told(framing.CodeFlow, 99, ""))
+		return errors.Join(c.checkNext(framing.CodeOpen, 9, ""), c.checkNext(framing.CodeBegin, 9, ""), c.checkNext(framing.CodeAttach, 9, ""), c.checkNext(framing.CodeFlow, 99, ""))
 	}},
 	{"2.4.3", "client", "a close is answered with a close", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{})
+		c := dialRawTo(t, &recordingEndpoint{})
 		c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
-		return c.told(framing.CodeClose, 0, "")
+		return c.checkNext(framing.CodeClose, 0, "")
 	}},
 	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
-		c, err := hello(t, framing.ProtocolHeaderAMQP)
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
 		c.writeFrame(0, newOpen("idle").With(4, uint32(600)), nil)
 		for beats := 0; beats < 3; {
-			f, err := c.readFrame(framing.TypeAMQP, 600*time.Millisecond)
+			frame, err := c.readFrame(framing.TypeAMQP, 600*time.Millisecond)
 			if err != nil {
 				return err
 			}
-			if f.Empty {
+			if frame.Empty {
 				beats++
 				c.writeFrame(0, framing.Performative{}, nil)
 			}
@@ -278,188 +278,188 @@
 		return nil
 	}},
 	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{})
+		c := dialRawTo(t, &recordingEndpoint{})
 		c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-		f, err := c.frame()
-		return errors.Join(err, same("remote-channel", f.Uint32(0, 99), uint32(3)))
+		frame, err := c.nextFrame()
+		return errors.Join(err, checkEqual("remote-channel", frame.Uint32(0, 99), uint32(3)))
 	}},
 	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		c.writeFrame(3, framing.Performative{Code: framing.CodeEnd}, nil)
-		if err := c.told(framing.CodeEnd, 0, ""); err != nil {
+		if err := c.checkNext(framing.CodeEnd, 0, ""); err != nil {
 			return err
 		}
 		c.begin()
 		return nil
 	}},
 	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
-		f, err := c.frame()
-		if err != nil || f.Code != framing.CodeFlow || f.RequireUint32(0, 1, 2, 3) != nil {
-			return fmt.Errorf("echoed %#x %v, %v", f.Code, f.Fields, err)
+		frame, err := c.nextFrame()
+		if err != nil || frame.Code != framing.CodeFlow || frame.RequireUint32(0, 1, 2, 3) != nil {
+			return fmt.Errorf("echoed %#x %v, %v", frame.Code, frame.Fields, err)
 		}
 		return nil
 	}},
 	{"2.5.6", "client", "transfers beyond the session's window end it as a window violation", func(t *testing.T) error {
 		release := make(chan struct{})
 		defer close(release)
-		w := wires[1]
-		w.server = func(t testing.TB, tcp *net.TCPConn, _ *script) { stalls(t, tcp, release) }
-		c := dialRaw(t, newRig(t, w, 1, nil).address).begin()
-		if _, err := c.link(true); err != nil {
+		protocol := protocols[1]
+		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) { stallAfterAttach(t, tcp, release) }
+		c := dialRaw(t, newTestRelay(t, protocol, 1, nil).address).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
 		big := bytes.Repeat([]byte("n"), framing.MaxFrameSize/2)
 		for i := range uint32(3 * sessionWindow) {
 			c.SetWriteDeadline(time.Now().Add(time.Second))
-			c.send(i, true, false, false, big)
+			c.sendTransfer(i, true, false, false, big)
 		}
 		for {
-			f, err := c.frame()
+			frame, err := c.nextFrame()
 			if err != nil {
 				return err
 			}
-			if cond, _ := f.Condition(0); f.Code == framing.CodeEnd {
-				return same("condition", cond, framing.CondWindowViolation)
+			if cond, _ := frame.Condition(0); frame.Code == framing.CodeEnd {
+				return checkEqual("condition", cond, framing.CondWindowViolation)
 			}
 		}
 	}},
 	{"2.6.2", "client", "a handle without a link ends the session", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
-		c.send(0, false, false, false, nil)
-		return c.told(framing.CodeEnd, 0, framing.CondUnattachedHandle)
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		c.sendTransfer(0, false, false, false, nil)
+		return c.checkNext(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 	}},
 	{"2.6.2", "client", "a handle that is in use ends the session", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
-		if _, err := c.link(true); err != nil {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
 		c.attach(1, rawProps)
-		return c.told(framing.CodeEnd, 0, framing.CondHandleInUse)
+		return c.checkNext(framing.CodeEnd, 0, framing.CondHandleInUse)
 	}},
 	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
-		reply, err := rawAt(t, &seenAt{}).begin().link(true)
-		return errors.Join(err, same("name", codec.AsString(reply.Field(0)), "a link"), same("role", reply.Field(2), true), same("handle", reply.Uint32(1, 99), uint32(1)))
+		reply, err := dialRawTo(t, &recordingEndpoint{}).begin().attachAndWait(true)
+		return errors.Join(err, checkEqual("name", codec.AsString(reply.Field(0)), "a link"), checkEqual("role", reply.Field(2), true), checkEqual("handle", reply.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		c.attach(1, nil)
-		f, err := c.frame()
-		if err != nil || f.Code != framing.CodeAttach || f.Field(6) != nil {
-			return fmt.Errorf("told %#x with the target %v, %v", f.Code, f.Field(6), err)
+		frame, err := c.nextFrame()
+		if err != nil || frame.Code != framing.CodeAttach || frame.Field(6) != nil {
+			return fmt.Errorf("told %#x with the target %v, %v", frame.Code, frame.Field(6), err)
 		}
-		return c.told(framing.CodeDetach, 2, framing.CondInvalidField)
+		return c.checkNext(framing.CodeDetach, 2, framing.CondInvalidField)
 	}},
 	{"2.6.5", "client", "a detach is answered with a detach, and the handle and the name are free again", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		for range 2 {
-			if _, err := c.link(true); err != nil {
+			if _, err := c.attachAndWait(true); err != nil {
 				return err
 			}
 			c.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
-			if err := c.told(framing.CodeDetach, 2, ""); err != nil {
+			if err := c.checkNext(framing.CodeDetach, 2, ""); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
-		grants := rawAt(t, &seenAt{credit: 7}).begin()
+		grants := dialRawTo(t, &recordingEndpoint{credit: 7}).begin()
 		grants.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
-		_, _ = grants.frame()
-		granted, err := grants.frame()
-		if err := errors.Join(err, same("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
+		_, _ = grants.nextFrame()
+		granted, err := grants.nextFrame()
+		if err := errors.Join(err, checkEqual("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
 			return err
 		}
-		s := &seenAt{}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(false); err != nil {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(false); err != nil {
 			return err
 		}
 		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
-		flows, err := s.of(framing.CodeFlow, 1)
+		flows, err := s.waitFor(framing.CodeFlow, 1)
 		if err != nil {
 			return err
 		}
-		f := flows[len(flows)-1]
-		return errors.Join(same("credit", f.Uint32(6, 0), uint32(5)), same("drain", f.Bool(8), true), same("echo", f.Bool(9), true))
+		frame := flows[len(flows)-1]
+		return errors.Join(checkEqual("credit", frame.Uint32(6, 0), uint32(5)), checkEqual("drain", frame.Bool(8), true), checkEqual("echo", frame.Bool(9), true))
 	}},
 	{"2.6.12", "client", "a delivery in several transfers reaches the server as one", func(t *testing.T) error {
-		s := &seenAt{}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
-		c.send(0, false, true, false, []byte("a"))
-		c.send(0, false, true, false, []byte("b"))
-		c.send(0, false, false, false, []byte("c"))
-		if err := c.told(framing.CodeDisposition, 99, ""); err != nil {
+		c.sendTransfer(0, false, true, false, []byte("a"))
+		c.sendTransfer(0, false, true, false, []byte("b"))
+		c.sendTransfer(0, false, false, false, []byte("c"))
+		if err := c.checkNext(framing.CodeDisposition, 99, ""); err != nil {
 			return err
 		}
-		all, err := s.of(framing.CodeTransfer, 3)
+		all, err := s.waitFor(framing.CodeTransfer, 3)
 		whole := ""
-		for _, f := range all {
-			whole += string(f.Payload)
-			err = errors.Join(err, same("delivery", f.Uint32(1, 99), uint32(0)))
+		for _, frame := range all {
+			whole += string(frame.Payload)
+			err = errors.Join(err, checkEqual("delivery", frame.Uint32(1, 99), uint32(0)))
 		}
-		return errors.Join(err, same("payload", whole, "abc"))
+		return errors.Join(err, checkEqual("payload", whole, "abc"))
 	}},
 	{"2.6.14", "client", "a delivery that is aborted is aborted at the server, and the next one passes", func(t *testing.T) error {
-		s := &seenAt{}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
-		c.send(0, false, true, false, []byte("a"))
-		c.send(0, false, false, true, nil)
-		c.send(1, false, false, false, []byte("b"))
-		all, err := s.of(framing.CodeTransfer, 3)
+		c.sendTransfer(0, false, true, false, []byte("a"))
+		c.sendTransfer(0, false, false, true, nil)
+		c.sendTransfer(1, false, false, false, []byte("b"))
+		all, err := s.waitFor(framing.CodeTransfer, 3)
 		if err != nil {
 			return err
 		}
-		return errors.Join(same("aborted", all[1].Bool(9), true), same("next", string(all[2].Payload), "b"), c.told(framing.CodeDisposition, 99, ""))
+		return errors.Join(checkEqual("aborted", all[1].Bool(9), true), checkEqual("next", string(all[2].Payload), "b"), c.checkNext(framing.CodeDisposition, 99, ""))
 	}},
 	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{})
+		c := dialRawTo(t, &recordingEndpoint{})
 		c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-		return c.told(framing.CodeClose, 0, framing.CondFramingError)
+		return c.checkNext(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
-		c := rawAt(t, &seenAt{}).begin()
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		c.attach(maxHandle+1, rawProps)
-		return c.told(framing.CodeClose, 0, framing.CondFramingError)
+		return c.checkNext(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
-		s := &seenAt{}
-		reply, err := rawAt(t, s).begin().link(true, func(p framing.Performative) framing.Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
+		s := &recordingEndpoint{}
+		reply, err := dialRawTo(t, s).begin().attachAndWait(true, func(p framing.Performative) framing.Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
 		if err != nil {
 			return err
 		}
-		all, err := s.of(framing.CodeAttach, 1)
+		all, err := s.waitFor(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
-		return errors.Join(same("snd-settle-mode", all[0].Field(3), uint8(1)), same("rcv-settle-mode", all[0].Field(4), uint8(1)), same("the server's", reply.Field(4), uint8(1)))
+		return errors.Join(checkEqual("snd-settle-mode", all[0].Field(3), uint8(1)), checkEqual("rcv-settle-mode", all[0].Field(4), uint8(1)), checkEqual("the server's", reply.Field(4), uint8(1)))
 	}},
 	{"2.7.5", "client", "a settled delivery is settled at the server, and nothing is said of it", func(t *testing.T) error {
-		s := &seenAt{}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
-		c.send(0, true, false, false, []byte("a"))
-		c.send(1, false, false, false, []byte("b"))
-		f, err := c.frame() // of the second alone
+		c.sendTransfer(0, true, false, false, []byte("a"))
+		c.sendTransfer(1, false, false, false, []byte("b"))
+		frame, err := c.nextFrame() // of the second alone
 		if err != nil {
 			return err
 		}
-		all, err := s.of(framing.CodeTransfer, 2)
-		return errors.Join(err, same("settled", all[0].Bool(4), true), same("disposition of", f.Uint32(1, 99), uint32(1)))
+		all, err := s.waitFor(framing.CodeTransfer, 2)
+		return errors.Join(err, checkEqual("settled", all[0].Bool(4), true), checkEqual("disposition of", frame.Uint32(1, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
-		s := &seenAt{reply: func(c *connection, _ *session, f framing.Frame) bool {
-			if f.Code != framing.CodeFlow || f.Field(4) == nil {
+		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
+			if frame.Code != framing.CodeFlow || frame.Field(4) == nil {
 				return false
 			}
 			for i := range uint32(3) {
@@ -467,109 +467,109 @@
 			}
 			return true
 		}}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(false); err != nil {
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(false); err != nil {
 			return err
 		}
 		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
 		for range 3 {
-			if err := c.told(framing.CodeTransfer, 99, ""); err != nil {
+			if err := c.checkNext(framing.CodeTransfer, 99, ""); err != nil {
 				return err
 			}
 		}
 		c.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 		var settled []uint32
 		for len(settled) < 3 {
-			all, err := s.of(framing.CodeDisposition, 1)
+			all, err := s.waitFor(framing.CodeDisposition, 1)
 			if err != nil {
 				return err
 			}
 			settled = nil
-			for _, f := range all {
-				for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
+			for _, frame := range all {
+				for id := frame.Uint32(1, 0); id <= frame.Uint32(2, frame.Uint32(1, 0)); id++ {
 					settled = append(settled, id)
 				}
 			}
 		}
-		return same("settled", settled, []uint32{0, 1, 2})
+		return checkEqual("settled", settled, []uint32{0, 1, 2})
 	}},
 	{"3.2", "client", "a message passes byte for byte, annotations and all", func(t *testing.T) error {
-		s := &seenAt{}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
 		message := codec.Append(codec.Append(nil, codec.Described{Descriptor: uint64(0x72), Value: codec.Map{codec.Symbol("x-opt-odd"), int64(-3)}}), codec.Described{Descriptor: uint64(0x75), Value: []byte("body")})
 		message = append(message, 0, 0x80, 0, 0, 0, 0, 0, 0, 0, 0x78, 0xd1, 0, 0, 0, 4, 0, 0, 0, 0) // a footer in its widest form
-		c.send(0, false, false, false, message)
-		all, err := s.of(framing.CodeTransfer, 1)
+		c.sendTransfer(0, false, false, false, message)
+		all, err := s.waitFor(framing.CodeTransfer, 1)
 		if err != nil {
 			return err
 		}
-		return same("message", all[0].Payload, message)
+		return checkEqual("message", all[0].Payload, message)
 	}},
 	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
 		outcomes := []any{codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}, codec.Described{Descriptor: uint64(0x25), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(0x26), Value: codec.List{}},
 			codec.Described{Descriptor: uint64(0x27), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
-		s := &seenAt{reply: func(c *connection, _ *session, f framing.Frame) bool {
-			if f.Code == framing.CodeTransfer {
-				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, outcomes[f.Uint32(1, 0)]}}, nil)
+		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
+			if frame.Code == framing.CodeTransfer {
+				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, outcomes[frame.Uint32(1, 0)]}}, nil)
 			}
-			return f.Code == framing.CodeTransfer
+			return frame.Code == framing.CodeTransfer
 		}}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
 		for i, want := range outcomes {
-			c.send(uint32(i), false, false, false, []byte("m"))
-			f, err := c.frame()
-			if err := errors.Join(err, same("outcome", f.Field(4), want), same("settled", f.Bool(3), true)); err != nil {
+			c.sendTransfer(uint32(i), false, false, false, []byte("m"))
+			frame, err := c.nextFrame()
+			if err := errors.Join(err, checkEqual("outcome", frame.Field(4), want), checkEqual("settled", frame.Bool(3), true)); err != nil {
 				return err
 			}
 		}
 		return nil
 	}},
 	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
-		s := &seenAt{}
+		s := &recordingEndpoint{}
 		source := codec.Described{Descriptor: uint64(0x28), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
 			codec.Map{codec.Symbol("sel"), codec.Described{Descriptor: codec.Symbol("apache.org:selector-filter:string"), Value: "a = 1"}}, nil, codec.Array{codec.Symbol("amqp:accepted:list")}, codec.Array{codec.Symbol("queue")}}}
-		if _, err := rawAt(t, s).begin().link(false, func(p framing.Performative) framing.Performative { return p.With(5, source) }); err != nil {
+		if _, err := dialRawTo(t, s).begin().attachAndWait(false, func(p framing.Performative) framing.Performative { return p.With(5, source) }); err != nil {
 			return err
 		}
-		all, err := s.of(framing.CodeAttach, 1)
+		all, err := s.waitFor(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
-		return same("source", all[0].Field(5), source)
+		return checkEqual("source", all[0].Field(5), source)
 	}},
 	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
-		c, err := hello(t, framing.ProtocolHeaderSASL)
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		f, err := c.readFrame(framing.TypeSASL, time.Second)
-		if err != nil || f.Code != framing.CodeSASLMechanisms || !offersMechanism(f.Field(0), "ANONYMOUS") {
-			return fmt.Errorf("mechanisms %v, %v", f.Performative, err)
+		frame, err := c.readFrame(framing.TypeSASL, time.Second)
+		if err != nil || frame.Code != framing.CodeSASLMechanisms || !offersMechanism(frame.Field(0), "ANONYMOUS") {
+			return fmt.Errorf("mechanisms %v, %v", frame.Performative, err)
 		}
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
-		f, err = c.readFrame(framing.TypeSASL, time.Second)
-		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(0))); err != nil {
+		frame, err = c.readFrame(framing.TypeSASL, time.Second)
+		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(0, 99), uint32(0))); err != nil {
 			return err
 		}
 		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-		h, err := c.readProtocolHeader(time.Second)
-		return errors.Join(err, same("header", h, framing.ProtocolHeaderAMQP))
+		header, err := c.readProtocolHeader(time.Second)
+		return errors.Join(err, checkEqual("header", header, framing.ProtocolHeaderAMQP))
 	}},
 	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
-		c, err := hello(t, framing.ProtocolHeaderSASL)
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
 		_, _ = c.readFrame(framing.TypeSASL, time.Second)
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
-		f, err := c.readFrame(framing.TypeSASL, time.Second)
-		if err := errors.Join(err, same("outcome", f.Uint32(0, 99), uint32(1))); err != nil {
+		frame, err := c.readFrame(framing.TypeSASL, time.Second)
+		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(0, 99), uint32(1))); err != nil {
 			return err
 		}
 		if _, err := c.readFrame(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
@@ -579,49 +579,49 @@
 	}},
 
 	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
-		s := &seenAt{open: newOpen("server").With(2, uint32(framing.MinMaxFrameSize))}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		s := &recordingEndpoint{open: newOpen("server").With(2, uint32(framing.MinMaxFrameSize))}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
 		body := bytes.Repeat([]byte("n"), 2000)
-		c.send(0, false, false, false, body)
-		all, err := s.of(framing.CodeTransfer, 4)
+		c.sendTransfer(0, false, false, false, body)
+		all, err := s.waitFor(framing.CodeTransfer, 4)
 		whole := []byte{}
-		for i, f := range all {
-			if len(framing.AppendFrame(nil, framing.TypeAMQP, 0, f.Performative, f.Payload)) > framing.MinMaxFrameSize {
-				err = errors.Join(err, fmt.Errorf("frame %d has %d bytes of payload", i, len(f.Payload)))
+		for i, frame := range all {
+			if len(framing.AppendFrame(nil, framing.TypeAMQP, 0, frame.Performative, frame.Payload)) > framing.MinMaxFrameSize {
+				err = errors.Join(err, fmt.Errorf("frame %d has %d bytes of payload", i, len(frame.Payload)))
 			}
-			whole = append(whole, f.Payload...)
+			whole = append(whole, frame.Payload...)
 		}
-		return errors.Join(err, same("whole", len(whole), len(body)))
+		return errors.Join(err, checkEqual("whole", len(whole), len(body)))
 	}},
 	{"2.4.1", "server", "open, begin and attach come in this order, on a channel and a handle that every server takes", func(t *testing.T) error {
-		s := &seenAt{}
-		if _, err := rawAt(t, s).begin().link(true); err != nil {
+		s := &recordingEndpoint{}
+		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
 			return err
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		var codes []uint64
-		for _, f := range s.frames {
-			if !f.Empty {
-				codes = append(codes, f.Code)
+		for _, frame := range s.frames {
+			if !frame.Empty {
+				codes = append(codes, frame.Code)
 			}
 		}
-		return errors.Join(same("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), same("channel", s.frames[1].Channel, uint16(0)), same("handle", s.frames[2].Uint32(1, 99), uint32(0)))
+		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", s.frames[1].Channel, uint16(0)), checkEqual("handle", s.frames[2].Uint32(1, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
-		s := &seenAt{open: newOpen("server").With(4, uint32(200))}
-		if _, err := rawAt(t, s).begin().link(true); err != nil {
+		s := &recordingEndpoint{open: newOpen("server").With(4, uint32(200))}
+		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
 			return err
 		}
 		time.Sleep(700 * time.Millisecond) // what is looked at is what comes in a time
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		beats := 0
-		for _, f := range s.frames {
-			if f.Empty {
+		for _, frame := range s.frames {
+			if frame.Empty {
 				beats++
 			}
 		}
@@ -631,27 +631,27 @@
 		return nil
 	}},
 	{"2.5.6", "server", "no more transfers go out than the server's window takes", func(t *testing.T) error {
-		s := &seenAt{window: 2}
-		c := rawAt(t, s).begin()
-		if _, err := c.link(true); err != nil {
+		s := &recordingEndpoint{window: 2}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
 			return err
 		}
 		for i := range uint32(6) {
-			c.send(i, true, false, false, []byte("m"))
+			c.sendTransfer(i, true, false, false, []byte("m"))
 		}
-		if _, err := s.of(framing.CodeTransfer, 2); err != nil {
+		if _, err := s.waitFor(framing.CodeTransfer, 2); err != nil {
 			return err
 		}
 		time.Sleep(200 * time.Millisecond) // what is looked at is that nothing more comes
-		all, err := s.of(framing.CodeTransfer, 2)
-		return errors.Join(err, same("transfers", len(all), 2))
+		all, err := s.waitFor(framing.CodeTransfer, 2)
+		return errors.Join(err, checkEqual("transfers", len(all), 2))
 	}},
 	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
 		var mu sync.Mutex
 		most, conns := uint16(0), 0
-		w := wireOf(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute} }, nil)
-		w.server = func(t testing.TB, tcp *net.TCPConn, _ *script) {
-			c, ok := greetClient(t, tcp)
+		protocol := amqpProtocol(func(frame *Frontend) { frame.Pool = connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute} }, nil)
+		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) {
+			c, ok := negotiateAsEndpoint(t, tcp)
 			if !ok {
 				return
 			}
@@ -659,37 +659,37 @@
 			conns++
 			mu.Unlock()
 			for {
-				f, err := c.readFrame(framing.TypeAMQP, serverWait)
+				frame, err := c.readFrame(framing.TypeAMQP, serverWait)
 				if err != nil {
 					return
 				}
 				mu.Lock()
-				most = max(most, f.Channel)
+				most = max(most, frame.Channel)
 				mu.Unlock()
-				switch f.Code {
+				switch frame.Code {
 				case framing.CodeOpen:
-					c.applyOpen(f.Performative)
+					c.applyOpen(frame.Performative)
 					c.writeFrame(0, newOpen("server").With(3, uint16(1)), nil)
 				case framing.CodeBegin:
-					c.writeFrame(f.Channel, newSession(c, f.Channel).newBegin(f.Channel), nil)
+					c.writeFrame(frame.Channel, newSession(c, frame.Channel).newBegin(frame.Channel), nil)
 				case framing.CodeAttach:
-					c.writeFrame(f.Channel, f.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-					c.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
+					c.writeFrame(frame.Channel, frame.With(2, !frame.Bool(2)).With(9, nil).With(13, nil), nil)
+					c.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
 				}
 			}
 		}
-		r := newRig(t, w, 1, nil)
+		r := newTestRelay(t, protocol, 1, nil)
 		session := clientOf(t, r)
 		for i := range 5 {
 			attach(t, session, fmt.Sprint(i))
 		}
 		mu.Lock()
 		defer mu.Unlock()
-		return errors.Join(same("channel", most, uint16(1)), same("connections", conns, 3))
+		return errors.Join(checkEqual("channel", most, uint16(1)), checkEqual("connections", conns, 3))
 	}},
 
 	{"2.6, 3.4", "library", "go-amqp sends in each settlement mode, and is told each outcome", func(t *testing.T) error {
-		session := clientOf(t, newRig(t, wires[1], 1, nil))
+		session := clientOf(t, newTestRelay(t, protocols[1], 1, nil))
 		for _, mode := range []client10.SenderSettleMode{client10.SenderSettleModeSettled, client10.SenderSettleModeUnsettled, client10.SenderSettleModeMixed} {
 			sender, err := session.NewSender(t.Context(), "there", &client10.SenderOptions{Properties: linkProperties(), SettlementMode: mode.Ptr()})
 			if err != nil {
@@ -702,7 +702,7 @@
 		return nil
 	}},
 	{"2.4 to 2.6", "library", "go-amqp opens and closes connections, sessions and links in any order", func(t *testing.T) error {
-		r := newRig(t, wires[1], 1, nil)
+		r := newTestRelay(t, protocols[1], 1, nil)
 		for i := range 4 {
 			c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
 			if err != nil {
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -50,53 +50,53 @@
 // limitNextRead bounds the next read. Whatever comes meanwhile, a greeting as a whole
 // has its own bound.
 func (c *connection) limitNextRead(wait time.Duration) {
-	by := time.Now().Add(wait)
-	if !c.openDeadline.IsZero() && c.openDeadline.Before(by) {
-		by = c.openDeadline
+	deadline := time.Now().Add(wait)
+	if !c.openDeadline.IsZero() && c.openDeadline.Before(deadline) {
+		deadline = c.openDeadline
 	}
-	c.SetReadDeadline(by)
+	c.SetReadDeadline(deadline)
 }
 
 // readFrame waits for the next frame, for so long at the most.
 func (c *connection) readFrame(kind byte, wait time.Duration) (framing.Frame, error) {
 	c.limitNextRead(wait)
-	var head [4]byte
-	if _, err := io.ReadFull(c.reader, head[:]); err != nil {
+	var sizePrefix [4]byte
+	if _, err := io.ReadFull(c.reader, sizePrefix[:]); err != nil {
 		return framing.Frame{}, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
+	size := binary.BigEndian.Uint32(sizePrefix[:])
 	if size < framing.HeaderSize || size > framing.MaxFrameSize {
 		return framing.Frame{}, framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("a frame of %d bytes is out of range", size)}
 	}
-	b := make([]byte, size-4)
-	if _, err := io.ReadFull(c.reader, b); err != nil {
+	body := make([]byte, size-4)
+	if _, err := io.ReadFull(c.reader, body); err != nil {
 		return framing.Frame{}, err
 	}
-	if b[1] != kind {
-		return framing.Frame{}, framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("a frame of type %d has no place here", b[1])}
+	if body[1] != kind {
+		return framing.Frame{}, framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("a frame of type %d has no place here", body[1])}
 	}
-	return framing.ParseFrame(b)
+	return framing.ParseFrame(body)
 }
 
 // writeFrame sends a frame in one piece; nothing goes out after a close.
-func (c *connection) writeFrame(channel uint16, p framing.Performative, payload []byte) error {
-	return c.writeUnlessEnded(channel, p, payload, nil)
+func (c *connection) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
+	return c.writeUnlessEnded(channel, performative, payload, nil)
 }
 
 // writeUnlessEnded is write for a session that others go on beside: nothing of it may go out after its end. shut is whether that has;
 // it is guarded by the connection's lock. nil: the session's end is none of the connection's business.
-func (c *connection) writeUnlessEnded(channel uint16, p framing.Performative, payload []byte, shut *bool) error {
+func (c *connection) writeUnlessEnded(channel uint16, performative framing.Performative, payload []byte, ended *bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writesClosed || shut != nil && *shut {
+	if c.writesClosed || ended != nil && *ended {
 		return errConnectionClosing
 	}
-	if shut != nil {
-		*shut = p.Code == framing.CodeEnd
+	if ended != nil {
+		*ended = performative.Code == framing.CodeEnd
 	}
-	c.writesClosed = p.Code == framing.CodeClose
+	c.writesClosed = performative.Code == framing.CodeClose
 	c.writeBuffer = c.writeBuffer[:0]
-	c.writeBuffer = framing.AppendFrame(c.writeBuffer, framing.TypeAMQP, channel, p, payload)
+	c.writeBuffer = framing.AppendFrame(c.writeBuffer, framing.TypeAMQP, channel, performative, payload)
 	return c.flush()
 }
 
@@ -118,41 +118,41 @@
 }
 
 // maxPayload returns how much payload a frame to the peer holds beside a performative.
-func (c *connection) maxPayload(p framing.Performative) int {
+func (c *connection) maxPayload(performative framing.Performative) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.peerMaxFrameSize - len(framing.AppendFrame(nil, framing.TypeAMQP, 0, p, nil))
+	return c.peerMaxFrameSize - len(framing.AppendFrame(nil, framing.TypeAMQP, 0, performative, nil))
 }
 
 // writeProtocolHeader writes a protocol header.
-func (c *connection) writeProtocolHeader(h [8]byte) error {
+func (c *connection) writeProtocolHeader(header [8]byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writeBuffer = append(c.writeBuffer[:0], h[:]...)
+	c.writeBuffer = append(c.writeBuffer[:0], header[:]...)
 	return c.flush()
 }
 
 // readProtocolHeader waits for a protocol header.
-func (c *connection) readProtocolHeader(wait time.Duration) (h [8]byte, err error) {
+func (c *connection) readProtocolHeader(wait time.Duration) (header [8]byte, err error) {
 	c.limitNextRead(wait)
-	_, err = io.ReadFull(c.reader, h[:])
-	return h, err
+	_, err = io.ReadFull(c.reader, header[:])
+	return header, err
 }
 
 // writeSASL writes a frame of the security layer.
-func (c *connection) writeSASL(p framing.Performative) error {
+func (c *connection) writeSASL(performative framing.Performative) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeSASL, 0, p, nil)
+	c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeSASL, 0, performative, nil)
 	return c.flush()
 }
 
 // applyOpen takes what the peer's open says of itself.
-func (c *connection) applyOpen(p framing.Performative) (idle time.Duration) {
+func (c *connection) applyOpen(performative framing.Performative) (idleTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peerMaxFrameSize = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, p.Uint32(2, 1<<32-1))))
-	return time.Duration(p.Uint32(4, 0)) * time.Millisecond
+	c.peerMaxFrameSize = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, performative.Uint32(2, 1<<32-1))))
+	return time.Duration(performative.Uint32(4, 0)) * time.Millisecond
 }
 
 // newOpen is the relay's own open.
@@ -162,20 +162,20 @@
 
 // sendHeartbeats sends empty frames, often enough for the peer's idle time-out, until
 // stop is closed.
-func (c *connection) sendHeartbeats(idle time.Duration, stop <-chan struct{}) {
-	if idle <= 0 {
+func (c *connection) sendHeartbeats(idleTimeout time.Duration, stop <-chan struct{}) {
+	if idleTimeout <= 0 {
 		return
 	}
-	every := max(idle/3, 10*time.Millisecond)
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+	interval := max(idleTimeout/3, 10*time.Millisecond)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			c.mu.Lock()
-			quiet := time.Since(c.lastWrite) >= every
+			quiet := time.Since(c.lastWrite) >= interval
 			c.mu.Unlock()
 			if quiet && c.writeFrame(0, framing.Performative{}, nil) != nil {
 				return
--- a/internal/frontend/amqp/creditlimiter.go
+++ b/internal/frontend/amqp/creditlimiter.go
@@ -19,25 +19,25 @@
 
 // limitFlow takes a flow of the server and returns what the client is told. One that
 // wants the credit used up, or speaks of no credit, is passed as it is.
-func (c *creditLimiter) limitFlow(p framing.Performative) framing.Performative {
+func (c *creditLimiter) limitFlow(flow framing.Performative) framing.Performative {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p.Field(6) == nil || p.Bool(8) {
-		return p
+	if flow.Field(6) == nil || flow.Bool(8) {
+		return flow
 	}
-	from := p.Uint32(5, 0)
+	deliveryCount := flow.Uint32(5, 0)
 	if !c.initialized {
-		c.initialized, c.deliveryCount = true, from
+		c.initialized, c.deliveryCount = true, deliveryCount
 	}
-	c.lastFlow, c.endpointLimit = p, from+p.Uint32(6, 0)
+	c.lastFlow, c.endpointLimit = flow, deliveryCount+flow.Uint32(6, 0)
 	c.clientLimit = c.endpointLimit
-	if most := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-most) > 0 {
-		c.clientLimit = most
+	if aheadLimit := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-aheadLimit) > 0 {
+		c.clientLimit = aheadLimit
 	}
-	if int32(c.clientLimit-from) < 0 {
-		c.clientLimit = from
+	if int32(c.clientLimit-deliveryCount) < 0 {
+		c.clientLimit = deliveryCount
 	}
-	return p.With(6, c.clientLimit-from)
+	return flow.With(6, c.clientLimit-deliveryCount)
 }
 
 // deliverySent counts a delivery that the server has been sent. It returns a flow for the client
@@ -50,8 +50,8 @@
 		return framing.Performative{}, false
 	}
 	c.clientLimit = c.endpointLimit
-	if most := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-most) > 0 {
-		c.clientLimit = most
+	if aheadLimit := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-aheadLimit) > 0 {
+		c.clientLimit = aheadLimit
 	}
 	return c.lastFlow.With(5, c.deliveryCount).With(6, c.clientLimit-c.deliveryCount), true
 }
--- a/internal/frontend/amqp/deliverymap.go
+++ b/internal/frontend/amqp/deliverymap.go
@@ -23,32 +23,32 @@
 }
 
 // translateTransfer gives a transfer the number that it has in the session it goes to.
-func (d *deliveryMap) translateTransfer(p framing.Performative, to *session) (framing.Performative, error) {
+func (d *deliveryMap) translateTransfer(performative framing.Performative, to *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.partial {
-		if err := p.RequireUint32(1); err != nil {
-			return p, err
+		if err := performative.RequireUint32(1); err != nil {
+			return performative, err
 		}
-		d.currentSource = p.Uint32(1, 0)
+		d.currentSource = performative.Uint32(1, 0)
 		if _, known := d.destinationBySource[d.currentSource]; known || len(d.destinationBySource) >= maxUnsettledDeliveries {
-			return p, framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "too many deliveries are unsettled, or one has a number twice"}
+			return performative, framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "too many deliveries are unsettled, or one has a number twice"}
 		}
 		d.currentDestination = to.takeDeliveryID()
 		d.destinationBySource[d.currentSource], d.sourceByDestination[d.currentDestination] = d.currentDestination, d.currentSource
 	}
-	d.partial = p.Bool(5) && !p.Bool(9)
+	d.partial = performative.Bool(5) && !performative.Bool(9)
 	if !d.partial {
 		for _, done := range d.boundaryWaiters {
 			close(done)
 		}
 		d.boundaryWaiters = nil
 	}
-	if !d.partial && (p.Bool(4) || p.Bool(9)) {
+	if !d.partial && (performative.Bool(4) || performative.Bool(9)) {
 		delete(d.destinationBySource, d.currentSource)
 		delete(d.sourceByDestination, d.currentDestination)
 	}
-	return p.With(1, d.currentDestination), nil
+	return performative.With(1, d.currentDestination), nil
 }
 
 // boundary returns a channel that is closed once no delivery is in part.
@@ -66,35 +66,35 @@
 
 // translateDisposition turns a disposition into those of the other session. back says that
 // it comes from where the deliveries go to.
-func (d *deliveryMap) translateDisposition(p framing.Performative, back bool) []framing.Performative {
+func (d *deliveryMap) translateDisposition(performative framing.Performative, fromDestination bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from, to := d.destinationBySource, d.sourceByDestination
-	if back {
+	if fromDestination {
 		from, to = d.sourceByDestination, d.destinationBySource
 	}
-	first := p.Uint32(1, 0)
-	span := p.Uint32(2, first) - first
-	var out []framing.Performative
+	first := performative.Uint32(1, 0)
+	span := performative.Uint32(2, first) - first
+	var translated []framing.Performative
 	pass := func(here, there uint32) {
-		out = append(out, p.With(1, there).With(2, there))
-		if p.Bool(3) {
+		translated = append(translated, performative.With(1, there).With(2, there))
+		if performative.Bool(3) {
 			delete(from, here)
 			delete(to, there)
 		}
 	}
 	if span < uint32(len(from)) {
-		for i := uint32(0); i <= span; i++ {
-			if there, ok := from[first+i]; ok {
-				pass(first+i, there)
+		for offset := uint32(0); offset <= span; offset++ {
+			if there, ok := from[first+offset]; ok {
+				pass(first+offset, there)
 			}
 		}
-		return out
+		return translated
 	}
 	for here, there := range from {
 		if here-first <= span {
 			pass(here, there)
 		}
 	}
-	return out
+	return translated
 }
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -25,43 +25,43 @@
 // that is bounded as a connection's set-up: nothing has run by then. A server that
 // speaks without the security layer says so to the header of that layer (part 2,
 // section 2.2), and closes: it is dialled again without, and so from then on.
-func (f *Frontend) dial(ctx context.Context, address string, bound time.Duration) (*upstream, error) {
-	ctx, cancel := context.WithTimeout(ctx, bound)
+func (f *Frontend) dial(ctx context.Context, address string, timeout time.Duration) (*upstream, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, plain := f.endpointsWithoutSASL.Load(address)
-	u, err := f.dialOnce(ctx, address, bound, plain)
+	_, withoutSASL := f.endpointsWithoutSASL.Load(address)
+	u, err := f.dialOnce(ctx, address, timeout, withoutSASL)
 	if errors.Is(err, errSASLMismatch) {
-		if plain = !plain; plain {
+		if withoutSASL = !withoutSASL; withoutSASL {
 			f.endpointsWithoutSASL.Store(address, true)
 		} else {
 			f.endpointsWithoutSASL.Delete(address)
 		}
-		u, err = f.dialOnce(ctx, address, bound, plain)
+		u, err = f.dialOnce(ctx, address, timeout, withoutSASL)
 	}
 	return u, err
 }
 
-func (f *Frontend) dialOnce(ctx context.Context, address string, bound time.Duration, plain bool) (*upstream, error) {
-	d := net.Dialer{KeepAlive: -1}
-	tcp, err := d.DialContext(ctx, "tcp", address)
+func (f *Frontend) dialOnce(ctx context.Context, address string, timeout time.Duration, withoutSASL bool) (*upstream, error) {
+	dialer := net.Dialer{KeepAlive: -1}
+	tcp, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	over := streamConn(tcp.(*net.TCPConn))
+	conn := streamConn(tcp.(*net.TCPConn))
 	host, _, _ := net.SplitHostPort(address)
-	shows := false // the relay shows a certificate
+	hasClientCertificate := false // the relay shows a certificate
 	if config := f.EndpointTLS.For(host); config != nil {
 		secured := tls.Client(tcp, config)
 		if err := secured.HandshakeContext(ctx); err != nil {
 			tcp.Close()
 			return nil, err
 		}
-		over, shows = secured, len(config.Certificates) > 0
+		conn, hasClientCertificate = secured, len(config.Certificates) > 0
 	}
-	u := &upstream{session: newSession(newConnection(over), 0), done: make(chan struct{}), tcp: tcp, hasClientCertificate: shows, maxSessions: f.Pool.MaxSessions}
-	cut := context.AfterFunc(ctx, func() { tcp.Close() })
-	err = u.negotiate(bound, plain)
-	if !cut() {
+	u := &upstream{session: newSession(newConnection(conn), 0), done: make(chan struct{}), tcp: tcp, hasClientCertificate: hasClientCertificate, maxSessions: f.Pool.MaxSessions}
+	stopClose := context.AfterFunc(ctx, func() { tcp.Close() })
+	err = u.negotiate(timeout, withoutSASL)
+	if !stopClose() {
 		err = errors.Join(err, ctx.Err())
 	}
 	if err != nil {
@@ -71,29 +71,29 @@
 	return u, nil
 }
 
-func (u *upstream) negotiate(bound time.Duration, plain bool) error {
-	if !plain {
-		if err := u.authenticate(bound); err != nil {
+func (u *upstream) negotiate(timeout time.Duration, withoutSASL bool) error {
+	if !withoutSASL {
+		if err := u.authenticate(timeout); err != nil {
 			return err
 		}
 	}
 	if err := u.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
-	switch h, err := u.readProtocolHeader(bound); {
-	case err == nil && plain && h == framing.ProtocolHeaderSASL:
+	switch header, err := u.readProtocolHeader(timeout); {
+	case err == nil && withoutSASL && header == framing.ProtocolHeaderSASL:
 		return errSASLMismatch
-	case err != nil || h != framing.ProtocolHeaderAMQP:
+	case err != nil || header != framing.ProtocolHeaderAMQP:
 		return errors.Join(err, errNegotiation)
 	}
-	ours := newOpen("lockroad").With(4, uint32(advertisedEndpointIdleTimeout.Milliseconds()))
+	open := newOpen("lockroad").With(4, uint32(advertisedEndpointIdleTimeout.Milliseconds()))
 	if u.maxSessions > 0 {
-		ours = ours.With(3, uint16(u.maxSessions-1))
+		open = open.With(3, uint16(u.maxSessions-1))
 	}
-	if err := u.writeFrame(0, ours, nil); err != nil {
+	if err := u.writeFrame(0, open, nil); err != nil {
 		return err
 	}
-	f, err := u.readFrame(framing.TypeAMQP, bound)
+	f, err := u.readFrame(framing.TypeAMQP, timeout)
 	if err != nil || f.Code != framing.CodeOpen {
 		return errors.Join(err, errNegotiation)
 	}
@@ -103,17 +103,17 @@
 }
 
 // authenticate passes the security layer.
-func (u *upstream) authenticate(bound time.Duration) error {
+func (u *upstream) authenticate(timeout time.Duration) error {
 	if err := u.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	switch h, err := u.readProtocolHeader(bound); {
-	case err == nil && h == framing.ProtocolHeaderAMQP:
+	switch header, err := u.readProtocolHeader(timeout); {
+	case err == nil && header == framing.ProtocolHeaderAMQP:
 		return errSASLMismatch
-	case err != nil || h != framing.ProtocolHeaderSASL:
+	case err != nil || header != framing.ProtocolHeaderSASL:
 		return errors.Join(err, errNegotiation)
 	}
-	f, err := u.readFrame(framing.TypeSASL, bound)
+	f, err := u.readFrame(framing.TypeSASL, timeout)
 	if err != nil || f.Code != framing.CodeSASLMechanisms {
 		return errors.Join(err, errNegotiation)
 	}
@@ -124,7 +124,7 @@
 	if err := u.writeSASL(begin); err != nil {
 		return err
 	}
-	f, err = u.readFrame(framing.TypeSASL, bound)
+	f, err = u.readFrame(framing.TypeSASL, timeout)
 	if err != nil || f.Code != framing.CodeSASLOutcome || f.Uint32(0, 1) != 0 {
 		return errors.Join(err, errNegotiation)
 	}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -25,27 +25,27 @@
 // The instants in which something ends, through both fronts. The peers of these tests wait for one another, so
 // that the bad order comes about every time.
 
-// gate is a server's answer that the test holds: the stand-in says that a transaction has come, and waits.
-type gate struct {
-	came chan struct{}
-	open chan struct{}
+// answerGate is a server's answer that the test holds: the stand-in says that a transaction has come, and waits.
+type answerGate struct {
+	arrived chan struct{}
+	release chan struct{}
 }
 
-func newGate() *gate { return &gate{make(chan struct{}, 8), make(chan struct{})} }
+func newAnswerGate() *answerGate { return &answerGate{make(chan struct{}, 8), make(chan struct{})} }
 
-// hold is what a server does with each transaction that comes.
-func (g *gate) hold() {
-	g.came <- struct{}{}
-	<-g.open
+// wait is what a server does with each transaction that comes.
+func (gate *answerGate) wait() {
+	gate.arrived <- struct{}{}
+	<-gate.release
 }
 
-// result is what became of a transaction, once that is known.
-func result(ctx context.Context, r *rig, w wire, giveUp time.Duration) <-chan seen {
-	name := r.name()
-	out := make(chan seen, 1)
+// startRequest is what became of a transaction, once that is known.
+func startRequest(ctx context.Context, relay *testRelay, protocol frontendProtocol, timeout time.Duration) <-chan requestResult {
+	name := relay.nextName()
+	out := make(chan requestResult, 1)
 	go func() {
-		answer, advice, hold := w.open(ctx, r.address, name, giveUp)
-		s := seen{answer: answer, advice: advice}
+		answer, advice, hold := protocol.open(ctx, relay.address, name, timeout)
+		s := requestResult{answer: answer, retryAfter: advice}
 		if hold != nil {
 			s.end = hold()
 		}
@@ -54,7 +54,7 @@
 	return out
 }
 
-func await[T any](t *testing.T, what string, from <-chan T) (v T) {
+func receiveWithin[T any](t *testing.T, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
@@ -64,14 +64,14 @@
 	return v
 }
 
-// each runs a test through both fronts, and through AMQP with connections that transactions share.
-func each(t *testing.T, do func(t *testing.T, w wire)) {
-	shared := wireOf(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Second} }, nil)
+// forEachProtocol runs a test through both fronts, and through AMQP with connections that transactions share.
+func forEachProtocol(t *testing.T, do func(t *testing.T, protocol frontendProtocol)) {
+	shared := amqpProtocol(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Second} }, nil)
 	shared.name = "amqp, shared"
-	for _, w := range append(slices.Clip(wires), shared) {
-		t.Run(w.name, func(t *testing.T) {
+	for _, protocol := range append(slices.Clip(protocols), shared) {
+		t.Run(protocol.name, func(t *testing.T) {
 			t.Parallel()
-			do(t, w)
+			do(t, protocol)
 		})
 	}
 }
@@ -79,23 +79,23 @@
 // A connection that comes up while everyone moves has its turn counted from when they began. Counted from when it came
 // up, its turn was after the relay's end: brink, roll+term, seed 310850927754, request 61bbdf2b was cut off without MOVE.
 func TestWhoComesUpAfterItsTurnMovesAtOnce(t *testing.T) {
-	each(t, func(t *testing.T, w wire) {
+	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const over = 3 * time.Second
-		g := newGate()
-		r := newRig(t, w, 1, nil)
-		r.script.hold = g.hold
-		r.retune(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
-		late := result(context.Background(), r, w, time.Minute) // its turn is at 0.62 of the time
-		await(t, "the first comes to a server", g.came)
-		r.core.MigrateAll(over)
-		began := r.core.Clock.Now()
-		testutil.Until(t, "its turn is over", func() bool { return r.core.Clock.Now()-began > over*2/3 })
-		close(g.open)
-		up := r.core.Clock.Now()
-		if s := await(t, "the end", late); s != (seen{"up", false, "moved"}) {
+		gate := newAnswerGate()
+		relay := newTestRelay(t, protocol, 1, nil)
+		relay.scenario.beforeAnswer = gate.wait
+		relay.updateSettings(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
+		late := startRequest(context.Background(), relay, protocol, time.Minute) // its turn is at 0.62 of the time
+		receiveWithin(t, "the first comes to a server", gate.arrived)
+		relay.proxy.MigrateAll(over)
+		began := relay.proxy.Clock.Now()
+		testutil.Until(t, "its turn is over", func() bool { return relay.proxy.Clock.Now()-began > over*2/3 })
+		close(gate.release)
+		up := relay.proxy.Clock.Now()
+		if s := receiveWithin(t, "the end", late); s != (requestResult{"up", false, "moved"}) {
 			t.Errorf("who comes up late is %+v", s)
 		}
-		if took := r.core.Clock.Now() - up; took > over/2 {
+		if took := relay.proxy.Clock.Now() - up; took > over/2 {
 			t.Errorf("who comes up after its turn is moved %v later", took)
 		}
 	})
@@ -104,16 +104,16 @@
 // A server begins to drain while a transaction is at it, and then accepts: its client is moved like those that stood there.
 // The drain found none to move, and nobody looked again: the client was cut off as the server stopped.
 func TestWhoIsAcceptedByAServerThatDrainsMoves(t *testing.T) {
-	each(t, func(t *testing.T, w wire) {
-		g := newGate()
-		r := newRig(t, w, 1, nil)
-		r.script.hold = g.hold
-		r.retune(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
-		late := result(context.Background(), r, w, time.Minute)
-		await(t, "it comes to a server", g.came)
-		r.list(balancer.StateDraining, 0) // the module's mail keeps its order
-		close(g.open)
-		if s := await(t, "its end", late); s != (seen{"up", false, "moved"}) {
+	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
+		gate := newAnswerGate()
+		relay := newTestRelay(t, protocol, 1, nil)
+		relay.scenario.beforeAnswer = gate.wait
+		relay.updateSettings(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
+		late := startRequest(context.Background(), relay, protocol, time.Minute)
+		receiveWithin(t, "it comes to a server", gate.arrived)
+		relay.setEndpointState(balancer.StateDraining, 0) // the module's mail keeps its order
+		close(gate.release)
+		if s := receiveWithin(t, "its end", late); s != (requestResult{"up", false, "moved"}) {
 			t.Errorf("who is accepted late is %+v", s)
 		}
 	})
@@ -133,19 +133,19 @@
 		{"deduplicated in a cell", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			each(t, func(t *testing.T, w wire) {
-				g := newGate()
-				defer close(g.open)
-				r := newRig(t, w, 1, nil)
-				r.script.hold = g.hold
-				r.retune(func(s *balancer.Settings) {
+			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
+				gate := newAnswerGate()
+				defer close(gate.release)
+				relay := newTestRelay(t, protocol, 1, nil)
+				relay.scenario.beforeAnswer = gate.wait
+				relay.updateSettings(func(s *balancer.Settings) {
 					s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].DeduplicationWindow = c.class.Effect, c.class.Scope, c.class.DeduplicationWindow
 					s.Classes[0].Deadline = time.Minute
 				})
-				waits := result(context.Background(), r, w, time.Minute)
-				await(t, "it comes to a server", g.came)
-				r.core.RejectPending()
-				if s := await(t, "its answer", waits); s.answer != c.want {
+				waits := startRequest(context.Background(), relay, protocol, time.Minute)
+				receiveWithin(t, "it comes to a server", gate.arrived)
+				relay.proxy.RejectPending()
+				if s := receiveWithin(t, "its answer", waits); s.answer != c.want {
 					t.Errorf("the client is told %q, want %q", s.answer, c.want)
 				}
 			})
@@ -153,23 +153,23 @@
 	}
 }
 
-// retune puts other settings in force.
-func (r *rig) retune(change func(*balancer.Settings)) {
-	s := *r.core.Settings()
+// updateSettings puts other settings in force.
+func (relay *testRelay) updateSettings(change func(*balancer.Settings)) {
+	s := *relay.proxy.Settings()
 	s.Classes = append([]balancer.Class(nil), s.Classes...)
 	change(&s)
-	r.core.UpdateSettings(&s)
+	relay.proxy.UpdateSettings(&s)
 }
 
-// full is a listener on loopback whose queue is full: who dials it waits for as long as the test wants.
-type full struct {
+// fullListener is a listener on loopback whose queue is full: who dials it waits for as long as the test wants.
+type fullListener struct {
 	net.Listener
-	fill   []net.Conn
+	queued []net.Conn
 	served sync.WaitGroup
 }
 
-// fullListener returns a listener that takes nobody in until let.
-func fullListener(t *testing.T) *full {
+// newFullListener returns a listener that takes nobody in until let.
+func newFullListener(t *testing.T) *fullListener {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -187,10 +187,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &full{Listener: l}
+	f := &fullListener{Listener: l}
 	t.Cleanup(func() {
 		f.Close()
-		for _, c := range f.fill {
+		for _, c := range f.queued {
 			c.Close()
 		}
 		f.served.Wait()
@@ -200,7 +200,7 @@
 		if err != nil {
 			return f
 		}
-		if f.fill = append(f.fill, c); len(f.fill) > 16 {
+		if f.queued = append(f.queued, c); len(f.queued) > 16 {
 			t.Fatal("the queue does not fill")
 		}
 	}
@@ -211,34 +211,34 @@
 func TestNothingIsSentOnAConnectionThatComesUpTooLate(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(r *rig, leave func())
+		do   func(relay *testRelay, leave func())
 	}{
-		{"the client leaves", func(_ *rig, leave func()) { leave() }},
-		{"the server drains", func(r *rig, _ func()) { r.list(balancer.StateDraining, 0) }},
-		{"the server is gone", func(r *rig, _ func()) { r.list(balancer.StateGone, 0) }},
+		{"the client leaves", func(_ *testRelay, leave func()) { leave() }},
+		{"the server drains", func(relay *testRelay, _ func()) { relay.setEndpointState(balancer.StateDraining, 0) }},
+		{"the server is gone", func(relay *testRelay, _ func()) { relay.setEndpointState(balancer.StateGone, 0) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			each(t, func(t *testing.T, w wire) {
-				f := fullListener(t)
-				r := newRig(t, w, 1, nil)
-				r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
-				r.names = []string{f.Addr().String()}
-				r.list(balancer.StateReady, 0)
+			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
+				f := newFullListener(t)
+				relay := newTestRelay(t, protocol, 1, nil)
+				relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
+				relay.endpointAddresses = []string{f.Addr().String()}
+				relay.setEndpointState(balancer.StateReady, 0)
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
-				waits := result(ctx, r, w, time.Minute)
+				waits := startRequest(ctx, relay, protocol, time.Minute)
 				testutil.Until(t, "its pass goes out", func() bool {
-					all := r.core.Requests.List()
+					all := relay.proxy.Requests.List()
 					return len(all) == 1 && all[0].Attempts == 1
 				})
-				c.do(r, leave)
+				c.do(relay, leave)
 				if c.name == "the client leaves" {
-					testutil.Until(t, "the relay has seen it leave", func() bool { return r.core.Requests.Len() == 0 })
+					testutil.Until(t, "the relay has seen it leave", func() bool { return relay.proxy.Requests.Len() == 0 })
 				}
-				f.let(t, w, r.script)
-				await(t, "the client's end", waits)
-				if v := r.settled(t); v.taken != 0 {
-					t.Errorf("%d transactions came to the server", v.taken)
+				f.acceptAndServe(t, protocol, relay.scenario)
+				receiveWithin(t, "the client's end", waits)
+				if v := relay.waitIdle(t); v.received != 0 {
+					t.Errorf("%d transactions came to the server", v.received)
 				}
 			})
 		})
@@ -248,71 +248,71 @@
 // A server is told how long the relay still waits, not how long it would have had the connection come up at once: it works
 // on for a client that has its answer by then.
 func TestAServerIsToldWhatIsLeftOfTheWait(t *testing.T) {
-	each(t, func(t *testing.T, w wire) {
+	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const giveUp, late = 4 * time.Second, 600 * time.Millisecond
-		f := fullListener(t)
-		r := newRig(t, w, 1, nil)
-		r.retune(func(s *balancer.Settings) {
+		f := newFullListener(t)
+		relay := newTestRelay(t, protocol, 1, nil)
+		relay.updateSettings(func(s *balancer.Settings) {
 			s.ConnectTimeout, s.Classes[0].Deadline, s.MaxAttempts = time.Minute, time.Minute, 1
 		})
-		r.names = []string{f.Addr().String()}
-		r.list(balancer.StateReady, 0)
+		relay.endpointAddresses = []string{f.Addr().String()}
+		relay.setEndpointState(balancer.StateReady, 0)
 		ctx, leave := context.WithCancel(context.Background())
 		defer leave()
-		began := r.core.Clock.Now()
-		waits := result(ctx, r, w, giveUp)
-		testutil.Until(t, "the connection is late", func() bool { return r.core.Clock.Now()-began > late })
-		f.let(t, w, r.script)
-		testutil.Until(t, "it is up", func() bool { return r.core.Counters.Established.Load() == 1 })
-		if r.script.mu.Lock(); r.script.waits <= 0 || r.script.waits > giveUp-late {
-			t.Errorf("the server is told to answer within %v", r.script.waits)
+		began := relay.proxy.Clock.Now()
+		waits := startRequest(ctx, relay, protocol, giveUp)
+		testutil.Until(t, "the connection is late", func() bool { return relay.proxy.Clock.Now()-began > late })
+		f.acceptAndServe(t, protocol, relay.scenario)
+		testutil.Until(t, "it is up", func() bool { return relay.proxy.Counters.Established.Load() == 1 })
+		if relay.scenario.mu.Lock(); relay.scenario.lastTimeout <= 0 || relay.scenario.lastTimeout > giveUp-late {
+			t.Errorf("the server is told to answer within %v", relay.scenario.lastTimeout)
 		}
-		r.script.mu.Unlock()
+		relay.scenario.mu.Unlock()
 		leave()
-		await(t, "the client's end", waits)
+		receiveWithin(t, "the client's end", waits)
 	})
 }
 
-// let takes in who waits, and serves from then on.
-func (f *full) let(t *testing.T, w wire, s *script) {
-	for range f.fill {
+// acceptAndServe takes in who waits, and serves from then on.
+func (f *fullListener) acceptAndServe(t *testing.T, protocol frontendProtocol, s *scenario) {
+	for range f.queued {
 		c, err := f.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Close()
 	}
-	f.served.Go(func() { serveAll(t, f.Listener, w, s) })
+	f.served.Go(func() { serveAll(t, f.Listener, protocol, s) })
 }
 
 // A repeat whose connection comes up late is not sent where its servers have forgotten the first by then: it would run
 // anew. Its client is told what its class allows.
 func TestARepeatGoesOutOnlyWhileItsServersKnowTheFirst(t *testing.T) {
-	each(t, func(t *testing.T, w wire) {
+	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const memory = 1200 * time.Millisecond
-		f, g := fullListener(t), newGate()
-		r := newRig(t, w, 1, []behaviour{breaks})
-		r.script.hold = g.hold
-		r.retune(func(s *balancer.Settings) {
+		f, gate := newFullListener(t), newAnswerGate()
+		relay := newTestRelay(t, protocol, 1, []endpointAction{actionReset})
+		relay.scenario.beforeAnswer = gate.wait
+		relay.updateSettings(func(s *balancer.Settings) {
 			s.ConnectTimeout = time.Minute
 			s.Classes[0].Deadline, s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
 		})
-		began := r.core.Clock.Now()
-		waits := result(context.Background(), r, w, time.Minute)
-		await(t, "the first comes to its server", g.came)
-		r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
-		close(g.open) // it breaks
+		began := relay.proxy.Clock.Now()
+		waits := startRequest(context.Background(), relay, protocol, time.Minute)
+		receiveWithin(t, "the first comes to its server", gate.arrived)
+		relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
+		close(gate.release) // it breaks
 		testutil.Until(t, "the repeat is out", func() bool {
-			all := r.core.Requests.List()
+			all := relay.proxy.Requests.List()
 			return len(all) == 1 && all[0].Attempts == 2
 		})
-		testutil.Until(t, "the first is forgotten", func() bool { return r.core.Clock.Now() > began+2*memory })
-		f.let(t, w, r.script)
-		if s := await(t, "its answer", waits); s.answer != "failed" {
+		testutil.Until(t, "the first is forgotten", func() bool { return relay.proxy.Clock.Now() > began+2*memory })
+		f.acceptAndServe(t, protocol, relay.scenario)
+		if s := receiveWithin(t, "its answer", waits); s.answer != "failed" {
 			t.Errorf("the client is told %q", s.answer)
 		}
-		if v := r.settled(t); v.taken != 1 {
-			t.Errorf("it came to servers %d times", v.taken)
+		if v := relay.waitIdle(t); v.received != 1 {
+			t.Errorf("it came to servers %d times", v.received)
 		}
 	})
 }
@@ -323,26 +323,26 @@
 	for _, c := range []struct {
 		name    string
 		servers int
-		acts    []behaviour
-		waits   func(t *testing.T, r *rig) bool // whether it has come to where it is to wait
-		want    int                             // transactions that have come to servers by then
+		acts    []endpointAction
+		waits   func(t *testing.T, relay *testRelay) bool // whether it has come to where it is to wait
+		want    int                                       // transactions that have come to servers by then
 	}{
-		{"for a turn", 1, nil, func(_ *testing.T, r *rig) bool { return r.core.Requests.Len() == 1 }, 0},
+		{"for a turn", 1, nil, func(_ *testing.T, relay *testRelay) bool { return relay.proxy.Requests.Len() == 1 }, 0},
 		// The last wait takes 1.6 s.
-		{"for its backoff", 7, []behaviour{breaks, breaks, breaks, breaks, breaks}, func(_ *testing.T, r *rig) bool {
-			return r.core.Counters.Attempts(balancer.StatusReset) == 5
+		{"for its backoff", 7, []endpointAction{actionReset, actionReset, actionReset, actionReset, actionReset}, func(_ *testing.T, relay *testRelay) bool {
+			return relay.proxy.Counters.Attempts(balancer.StatusReset) == 5
 		}, 5},
-		{"for a server that takes nothing now", 1, []behaviour{accept}, func(_ *testing.T, r *rig) bool {
-			return r.core.Requests.Len() == 2
+		{"for a server that takes nothing now", 1, []endpointAction{actionAccept}, func(_ *testing.T, relay *testRelay) bool {
+			return relay.proxy.Requests.Len() == 2
 		}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			each(t, func(t *testing.T, w wire) {
+			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 				turns := make(chan struct{})
-				r := newLateRig(t, w, c.servers, c.acts, 64, turns)
+				relay := newDelayedTestRelay(t, protocol, c.servers, c.acts, 64, turns)
 				begin := sync.OnceFunc(func() { close(turns) })
 				defer begin()
-				r.retune(func(s *balancer.Settings) { s.MaxAttempts, s.Classes[0].Deadline = 9, time.Minute })
+				relay.updateSettings(func(s *balancer.Settings) { s.MaxAttempts, s.Classes[0].Deadline = 9, time.Minute })
 				stands := 0
 				if c.name != "for a turn" {
 					begin()
@@ -351,26 +351,26 @@
 				defer end()
 				if c.name == "for a server that takes nothing now" {
 					// It is cold, and another has just had what it bears.
-					r.list(balancer.StateReady, r.core.Clock.Now()-18*time.Second)
-					result(first, r, w, time.Minute)
-					testutil.Until(t, "the first stands", func() bool { return r.core.Counters.Established.Load() == 1 })
+					relay.setEndpointState(balancer.StateReady, relay.proxy.Clock.Now()-18*time.Second)
+					startRequest(first, relay, protocol, time.Minute)
+					testutil.Until(t, "the first stands", func() bool { return relay.proxy.Counters.Established.Load() == 1 })
 					stands = 1
 				}
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
-				waits := result(ctx, r, w, time.Minute)
-				testutil.Until(t, "it waits", func() bool { return c.waits(t, r) })
+				waits := startRequest(ctx, relay, protocol, time.Minute)
+				testutil.Until(t, "it waits", func() bool { return c.waits(t, relay) })
 				leave()
-				testutil.Until(t, "it is forgotten", func() bool { return r.core.Requests.Len() == stands })
-				await(t, "its client's end", waits)
+				testutil.Until(t, "it is forgotten", func() bool { return relay.proxy.Requests.Len() == stands })
+				receiveWithin(t, "its client's end", waits)
 				begin()
-				if r.script.mu.Lock(); r.script.taken != c.want {
-					t.Errorf("%d transactions came to servers, want %d", r.script.taken, c.want)
+				if relay.scenario.mu.Lock(); relay.scenario.received != c.want {
+					t.Errorf("%d transactions came to servers, want %d", relay.scenario.received, c.want)
 				}
-				r.script.mu.Unlock()
+				relay.scenario.mu.Unlock()
 				end()
-				if v := r.settled(t); v.taken != c.want {
-					t.Errorf("%d transactions came to servers after it had left, want %d", v.taken, c.want)
+				if v := relay.waitIdle(t); v.received != c.want {
+					t.Errorf("%d transactions came to servers after it had left, want %d", v.received, c.want)
 				}
 			})
 		})
@@ -389,19 +389,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			// The first link comes and goes; the second's attach is read, and its connection closed.
-			s := &shares{attaching: func(_, session int64) bool { return session != 2 }}
-			w := wireOf(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute} }, nil)
-			w.server = s.serve
-			r := newRig(t, w, 2, nil)
-			r.retune(func(s *balancer.Settings) { s.Classes[0].Effect, s.Classes[0].Deadline = c.effect, time.Minute })
-			session := clientOf(t, r)
+			s := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 2 }}
+			protocol := amqpProtocol(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute} }, nil)
+			protocol.serveEndpoint = s.serve
+			relay := newTestRelay(t, protocol, 2, nil)
+			relay.updateSettings(func(s *balancer.Settings) { s.Classes[0].Effect, s.Classes[0].Deadline = c.effect, time.Minute })
+			session := clientOf(t, relay)
 			first := attach(t, session, "first")
 			ctx, cancel := context.WithTimeout(context.Background(), serverWait)
 			defer cancel()
 			if err := first.Close(ctx); err != nil {
 				t.Fatal(err)
 			}
-			testutil.Until(t, "the first has ended", func() bool { return r.core.Requests.Len() == 0 })
+			testutil.Until(t, "the first has ended", func() bool { return relay.proxy.Requests.Len() == 0 })
 			_, err := session.NewSender(ctx, "there", &client10.SenderOptions{Name: "second", Properties: linkProperties()})
 			var end *client10.Error
 			if c.cond == "" && err != nil || c.cond != "" && (!errors.As(err, &end) || end.Condition != client10.ErrCond(c.cond)) {
@@ -410,7 +410,7 @@
 			if got := s.sessions.Load(); got != c.sessions {
 				t.Errorf("servers have seen %d sessions, want %d", got, c.sessions)
 			}
-			if n := r.core.Counters.Attempts(balancer.StatusReset); n != 1 {
+			if n := relay.proxy.Counters.Attempts(balancer.StatusReset); n != 1 {
 				t.Errorf("%d passes were reset", n)
 			}
 		})
@@ -420,21 +420,21 @@
 // A client whose connection is ended for what it says has its links let go first, not once it has read why: what waits for a
 // server must not go there meanwhile.
 func TestAFaultyClientsLinksAreLetGoAtOnce(t *testing.T) {
-	f := fullListener(t)
-	r := newRig(t, wires[1], 1, nil)
-	r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
-	r.names = []string{f.Addr().String()}
-	r.list(balancer.StateReady, 0)
-	c := dialRaw(t, r.address).begin()
+	f := newFullListener(t)
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
+	relay.endpointAddresses = []string{f.Addr().String()}
+	relay.setEndpointState(balancer.StateReady, 0)
+	c := dialRaw(t, relay.address).begin()
 	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
 	testutil.Until(t, "its pass goes out", func() bool {
-		all := r.core.Requests.List()
+		all := relay.proxy.Requests.List()
 		return len(all) == 1 && all[0].Attempts == 1
 	})
 	c.writeFrame(5, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false}}, nil) // on a channel without a session
-	c.want(framing.CodeClose, 0, framing.CondFramingError)
+	c.expect(framing.CodeClose, 0, framing.CondFramingError)
 	told := time.Now() // and it stays: a client that lingers is waited for
-	testutil.Until(t, "its link is let go", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "its link is let go", func() bool { return relay.proxy.Requests.Len() == 0 })
 	if took := time.Since(told); took > listener.LingerTimeout/2 {
 		t.Errorf("its link is let go %v after its connection's end", took)
 	}
--- a/internal/frontend/amqp/frontend.go
+++ b/internal/frontend/amqp/frontend.go
@@ -50,20 +50,20 @@
 }
 
 // serveClient sees one connection through.
-func (f *Frontend) serveClient(ctx context.Context, tcp *net.TCPConn, g *listener.Admission) {
+func (f *Frontend) serveClient(ctx context.Context, tcp *net.TCPConn, admission *listener.Admission) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &clientConnection{
-		connection: newConnection(tcp), frontend: f, admission: g, ctx: ctx, tcp: tcp,
+		connection: newConnection(tcp), frontend: f, admission: admission, ctx: ctx, tcp: tcp,
 		sessions: make(map[uint16]*clientSession), done: make(chan struct{}), user: auth.AnonymousUser,
 	}
-	closed := context.AfterFunc(ctx, func() { tcp.Close() })
+	stopClose := context.AfterFunc(ctx, func() { tcp.Close() })
 	err := c.handshakeTLS()
 	if err == nil {
 		err = c.serve()
 	}
-	if bad := (framing.ConditionError{}); errors.As(err, &bad) {
-		f.Proxy.ProtocolError("amqp", bad.Description)
-		c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
+		f.Proxy.ProtocolError("amqp", conditionErr.Description)
+		c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(conditionErr.Condition, conditionErr.Description, nil)}}, nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
 		s.disconnect()
@@ -71,7 +71,7 @@
 	c.linger()
 	c.activeLinks.Wait()
 	close(c.done)
-	closed()
+	stopClose()
 	cancel()
 	tcp.Close()
 }
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -46,8 +46,8 @@
 
 // enqueue has something sent to the server. A client that says more than its server takes,
 // and more than there is room for, loses the link.
-func (l *link) enqueue(o *outbox, p outboxItem) {
-	if !o.enqueue(p) {
+func (l *link) enqueue(pending *outbox, p outboxItem) {
+	if !pending.enqueue(p) {
 		l.detach(framing.CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
 		l.cancel()
 	}
@@ -60,15 +60,15 @@
 		l.clientFlow = &p
 	}
 	l.mu.Unlock()
-	if o, _ := l.activeOutbox(); o != nil {
-		l.enqueue(o, outboxItem{Performative: p.With(4, uint32(0)), isFlow: true})
+	if pending, _ := l.activeOutbox(); pending != nil {
+		l.enqueue(pending, outboxItem{Performative: p.With(4, uint32(0)), isFlow: true})
 	}
 	return nil
 }
 
 // handleTransfer passes a delivery of the client on, or a part of one.
-func (l *link) handleTransfer(f framing.Frame) error {
-	o, pulse := l.activeOutbox()
+func (l *link) handleTransfer(frame framing.Frame) error {
+	pending, heartbeat := l.activeOutbox()
 	sent := false
 	defer func() {
 		if !sent {
@@ -85,22 +85,22 @@
 		l.detach(framing.CondTransferLimitExceeded, "a transfer without credit", nil)
 		l.cancel()
 		return nil
-	case o == nil:
+	case pending == nil:
 		return nil // the end and the transfer have crossed
 	}
-	p, err := l.deliveries.translateTransfer(f.Performative, o.up.session)
+	p, err := l.deliveries.translateTransfer(frame.Performative, pending.upstreamConn.session)
 	if err != nil {
 		return err
 	}
-	if !f.Bool(5) && !f.Bool(4) {
-		pulse.ClientSent()
+	if !frame.Bool(5) && !frame.Bool(4) {
+		heartbeat.ClientSent()
 	}
-	next := outboxItem{Performative: p.With(0, uint32(0)), payload: f.Payload, isTransfer: true}
-	if !f.Bool(5) {
+	next := outboxItem{Performative: p.With(0, uint32(0)), payload: frame.Payload, isTransfer: true}
+	if !frame.Bool(5) {
 		next.onSent = l.deliverySent
 	}
 	sent = true
-	l.enqueue(o, next)
+	l.enqueue(pending, next)
 	return nil
 }
 
@@ -115,9 +115,9 @@
 // handleDisposition passes on what the client says of deliveries, if they are this link's.
 func (l *link) handleDisposition(p framing.Performative) {
 	// A receiver speaks of what came to it, a sender of what it has sent.
-	if o, _ := l.activeOutbox(); o != nil && p.Bool(0) != l.clientSends {
+	if pending, _ := l.activeOutbox(); pending != nil && p.Bool(0) != l.clientSends {
 		for _, q := range l.deliveries.translateDisposition(p, !l.clientSends) {
-			l.enqueue(o, outboxItem{Performative: q})
+			l.enqueue(pending, outboxItem{Performative: q})
 		}
 	}
 }
@@ -127,15 +127,15 @@
 func (l *link) handleDetach(p framing.Performative) {
 	l.mu.Lock()
 	l.clientGone = true
-	u, o, told := l.upstream, l.outbox, l.detachSent
+	upstreamConn, pending, detachSent := l.upstream, l.outbox, l.detachSent
 	l.mu.Unlock()
 	switch {
-	case told:
-	case u == nil:
+	case detachSent:
+	case upstreamConn == nil:
 		l.cancel()
 	default:
-		l.enqueue(o, outboxItem{Performative: p.With(0, uint32(0))})
-		u.limitRemaining(closeTimeout)
+		l.enqueue(pending, outboxItem{Performative: p.With(0, uint32(0))})
+		upstreamConn.limitRemaining(closeTimeout)
 	}
 }
 
@@ -143,13 +143,13 @@
 func (l *link) handleDisconnect() {
 	l.mu.Lock()
 	l.clientGone = true
-	u := l.upstream
+	upstreamConn := l.upstream
 	l.mu.Unlock()
 	if l.cancel != nil {
 		l.cancel()
 	}
-	if u != nil {
-		u.Close()
+	if upstreamConn != nil {
+		upstreamConn.Close()
 	}
 }
 
@@ -157,7 +157,7 @@
 func (l *link) finish() { l.detach("", "", nil) }
 
 // detach tells the client of the end, once: it tells whether this was the first. It needs no credit.
-func (l *link) detach(cond, why string, info codec.Map) bool {
+func (l *link) detach(condition, description string, info codec.Map) bool {
 	l.mu.Lock()
 	if l.detachSent {
 		l.mu.Unlock()
@@ -166,7 +166,7 @@
 	l.detachSent = true
 	answered := l.attachSent
 	l.mu.Unlock()
-	s := l.session
+	downstream := l.session
 	if !answered { // the standard wants an attach first, without what the relay would own
 		p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{l.name, l.handle, l.clientSends, nil, nil, l.attach.Field(5), l.attach.Field(6)}}
 		if l.clientSends {
@@ -174,20 +174,20 @@
 		} else {
 			p = p.With(5, nil).With(9, uint32(0))
 		}
-		if s.writeFrame(s.channel, p, nil) != nil {
+		if downstream.writeFrame(downstream.channel, p, nil) != nil {
 			return true
 		}
 	}
-	s.writeFrame(s.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{l.handle, true, framing.NewErrorValue(cond, why, info)}}, nil)
+	downstream.writeFrame(downstream.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{l.handle, true, framing.NewErrorValue(condition, description, info)}}, nil)
 	return true
 }
 
 // BadRequest answers what makes no sense.
-func (l *link) BadRequest(why string) { l.detach(framing.CondNotAllowed, why, nil) }
+func (l *link) BadRequest(description string) { l.detach(framing.CondNotAllowed, description, nil) }
 
 // Reject answers that trying again is harmless.
-func (l *link) Reject(comeBack time.Duration) {
-	l.detach(framing.CondResourceLimitExceeded, "no application server takes it", retryAfterInfo(comeBack))
+func (l *link) Reject(retryAfter time.Duration) {
+	l.detach(framing.CondResourceLimitExceeded, "no application server takes it", retryAfterInfo(retryAfter))
 }
 
 // Fail answers what promises nothing.
--- a/internal/frontend/amqp/multiplexer.go
+++ b/internal/frontend/amqp/multiplexer.go
@@ -24,29 +24,29 @@
 	err            error                     // why nothing more comes; nil while something may
 }
 
-func newMultiplexer(c *connection) *multiplexer {
-	return &multiplexer{connection: c, localChannels: make(map[uint16]*sharedSession), remoteChannels: make(map[uint16]*sharedSession)}
+func newMultiplexer(conn *connection) *multiplexer {
+	return &multiplexer{connection: conn, localChannels: make(map[uint16]*sharedSession), remoteChannels: make(map[uint16]*sharedSession)}
 }
 
-func (m *multiplexer) newSession(channel uint16, free func()) *sharedSession {
-	l := &sharedSession{session: newSession(m.connection, channel), multiplexer: m, onRelease: free, changed: make(chan struct{}, 1)}
-	l.endWritten = new(bool)
-	return l
+func (m *multiplexer) newSession(channel uint16, onRelease func()) *sharedSession {
+	shared := &sharedSession{session: newSession(m.connection, channel), multiplexer: m, onRelease: onRelease, changed: make(chan struct{}, 1)}
+	shared.endWritten = new(bool)
+	return shared
 }
 
 // openSession opens a lane on the lowest channel that is free, up to the most that the peer takes. It returns nil where none
 // is, and an error where the connection has come to its end.
-func (m *multiplexer) openSession(most uint16, free func()) (*sharedSession, error) {
+func (m *multiplexer) openSession(highestChannel uint16, onRelease func()) (*sharedSession, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.err != nil {
 		return nil, m.err
 	}
-	for i := range int(most) + 1 {
+	for i := range int(highestChannel) + 1 {
 		if channel := uint16(i); m.localChannels[channel] == nil {
-			l := m.newSession(channel, free)
-			m.localChannels[channel] = l
-			return l, nil
+			shared := m.newSession(channel, onRelease)
+			m.localChannels[channel] = shared
+			return shared, nil
 		}
 	}
 	return nil, nil
@@ -54,128 +54,128 @@
 
 // serve reads until the connection's end, and tells all lanes of it. A peer that says nothing for a time is dead; 0: it may be
 // silent for ever.
-func (m *multiplexer) serve(silent time.Duration) {
-	err := m.readFrames(silent)
+func (m *multiplexer) serve(silenceTimeout time.Duration) {
+	err := m.readFrames(silenceTimeout)
 	m.mu.Lock()
 	m.err = err
-	all := m.localChannels
+	sessions := m.localChannels
 	m.localChannels, m.remoteChannels = nil, nil
 	m.mu.Unlock()
-	for _, l := range all {
-		l.endRemotely(err)
+	for _, shared := range sessions {
+		shared.endRemotely(err)
 	}
 }
 
 // errPeerClosed says that the peer has closed the connection in good order.
 var errPeerClosed = errors.New("the peer has closed the connection")
 
-func (m *multiplexer) readFrames(silent time.Duration) error {
+func (m *multiplexer) readFrames(silenceTimeout time.Duration) error {
 	for {
-		f, err := m.readFrame(framing.TypeAMQP, silent)
+		frame, err := m.readFrame(framing.TypeAMQP, silenceTimeout)
 		if err != nil {
 			return err
 		}
 		switch {
-		case f.Empty:
+		case frame.Empty:
 			continue
-		case f.Code == framing.CodeClose:
+		case frame.Code == framing.CodeClose:
 			m.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
-			m.forEachSession(func(l *sharedSession) { l.enqueue(f) })
+			m.forEachSession(func(shared *sharedSession) { shared.enqueue(frame) })
 			return errPeerClosed
-		case f.Code == framing.CodeBegin:
-			if err := m.handleBegin(f); err != nil {
+		case frame.Code == framing.CodeBegin:
+			if err := m.handleBegin(frame); err != nil {
 				return m.closeWithError(err)
 			}
 			continue
 		}
 		m.mu.Lock()
-		l := m.remoteChannels[f.Channel]
+		shared := m.remoteChannels[frame.Channel]
 		m.mu.Unlock()
-		if l == nil {
-			return m.closeWithError(framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", f.Channel)})
+		if shared == nil {
+			return m.closeWithError(framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", frame.Channel)})
 		}
-		if f.Code == framing.CodeEnd {
-			m.handleEnd(l, f)
+		if frame.Code == framing.CodeEnd {
+			m.handleEnd(shared, frame)
 			continue
 		}
-		l.enqueue(f)
+		shared.enqueue(frame)
 	}
 }
 
 // closeWithError tells the peer what is wrong with it.
 func (m *multiplexer) closeWithError(err error) error {
-	if bad := (framing.ConditionError{}); errors.As(err, &bad) {
-		m.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(bad.Condition, bad.Description, nil)}}, nil)
+	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
+		m.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(conditionErr.Condition, conditionErr.Description, nil)}}, nil)
 	}
 	return err
 }
 
-func (m *multiplexer) forEachSession(do func(*sharedSession)) {
+func (m *multiplexer) forEachSession(visit func(*sharedSession)) {
 	m.mu.Lock()
-	all := make([]*sharedSession, 0, len(m.localChannels))
-	for _, l := range m.localChannels {
-		all = append(all, l)
+	sessions := make([]*sharedSession, 0, len(m.localChannels))
+	for _, shared := range m.localChannels {
+		sessions = append(sessions, shared)
 	}
 	m.mu.Unlock()
-	for _, l := range all {
-		do(l)
+	for _, shared := range sessions {
+		visit(shared)
 	}
 }
 
 // handleBegin takes a begin of the peer: the answer to one from here, or, where it may, one of its own.
-func (m *multiplexer) handleBegin(f framing.Frame) error {
+func (m *multiplexer) handleBegin(frame framing.Frame) error {
 	m.mu.Lock()
-	if m.remoteChannels[f.Channel] != nil {
+	if m.remoteChannels[frame.Channel] != nil {
 		m.mu.Unlock()
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", f.Channel)}
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", frame.Channel)}
 	}
-	if f.Field(0) != nil {
-		l := m.localChannels[uint16(f.Uint32(0, 0))]
-		if l != nil {
-			m.remoteChannels[f.Channel] = l
+	if frame.Field(0) != nil {
+		shared := m.localChannels[uint16(frame.Uint32(0, 0))]
+		if shared != nil {
+			m.remoteChannels[frame.Channel] = shared
 		}
 		m.mu.Unlock()
-		if l == nil {
-			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d answers a session that is not there", f.Channel)}
+		if shared == nil {
+			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d answers a session that is not there", frame.Channel)}
 		}
-		return l.applyBegin(f.Performative)
+		return shared.applyBegin(frame.Performative)
 	}
-	if m.onSession == nil || f.Channel >= maxPeerSessions || m.localChannels[f.Channel] != nil {
+	if m.onSession == nil || frame.Channel >= maxPeerSessions || m.localChannels[frame.Channel] != nil {
 		m.mu.Unlock()
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d can't begin a session", f.Channel)}
+		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d can't begin a session", frame.Channel)}
 	}
-	l := m.newSession(f.Channel, func() {})
-	l.announced = true
-	m.localChannels[f.Channel], m.remoteChannels[f.Channel] = l, l
+	shared := m.newSession(frame.Channel, func() {})
+	shared.announced = true
+	m.localChannels[frame.Channel], m.remoteChannels[frame.Channel] = shared, shared
 	m.mu.Unlock()
-	if err := l.applyBegin(f.Performative); err != nil {
+	if err := shared.applyBegin(frame.Performative); err != nil {
 		return err
 	}
-	if err := l.writeFrame(f.Channel, l.newBegin(f.Channel), nil); err != nil {
+	if err := shared.writeFrame(frame.Channel, shared.newBegin(frame.Channel), nil); err != nil {
 		return err
 	}
-	m.onSession(l)
+	m.onSession(shared)
 	return nil
 }
 
 // handleEnd takes the peer's end of a session. Its channels are free again once it was ended from here, too.
-func (m *multiplexer) handleEnd(l *sharedSession, f framing.Frame) {
-	l.enqueue(f)
-	l.endRemotely(nil)
-	l.sendEnd() // what has come is still to be read
+func (m *multiplexer) handleEnd(shared *sharedSession, frame framing.Frame) {
+	shared.enqueue(frame)
+	shared.endRemotely(nil)
+	shared.sendEnd() // what has come is still to be read
 }
 
 // releaseChannels frees the channels of a lane that both sides have ended.
-func (m *multiplexer) releaseChannels(l *sharedSession) {
-	l.releaseOnce.Do(func() {
+func (m *multiplexer) releaseChannels(shared *sharedSession) {
+	shared.releaseOnce.Do(func() {
 		m.mu.Lock()
-		delete(m.localChannels, l.channel)
-		for channel, x := range m.remoteChannels {
-			if x == l {
+		delete(m.localChannels, shared.channel)
+		for channel, candidate := range m.remoteChannels {
+			if candidate == shared {
 				delete(m.remoteChannels, channel)
 			}
 		}
 		m.mu.Unlock()
-		l.onRelease()
+		shared.onRelease()
 	})
 }
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -25,9 +25,9 @@
 // again only as they leave (windowMost frames of ourMost bytes for all links of a
 // session), the rest by wordsMost.
 type outbox struct {
-	session *session // the client's
-	up      *upstream
-	onStall func() // told that the server has taken no transfer for long, and nothing more goes to it
+	session      *session // the client's
+	upstreamConn *upstream
+	onStall      func() // told that the server has taken no transfer for long, and nothing more goes to it
 
 	mu                   sync.Mutex
 	queue                []outboxItem
@@ -45,23 +45,23 @@
 	onSent     func() // called after a transfer that ends a delivery has been sent
 }
 
-func newOutbox(s *session, u *upstream, stuck func()) *outbox {
-	return &outbox{session: s, up: u, onStall: stuck, changed: make(chan struct{}, 1)}
+func newOutbox(s *session, upstreamConn *upstream, onStall func()) *outbox {
+	return &outbox{session: s, upstreamConn: upstreamConn, onStall: onStall, changed: make(chan struct{}, 1)}
 }
 
 // enqueue takes something for the server. It fails where there is no room for it.
-func (o *outbox) enqueue(p outboxItem) bool {
+func (o *outbox) enqueue(item outboxItem) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed {
-		if p.isTransfer {
+		if item.isTransfer {
 			o.session.releaseTransfers(1)
 		}
 		return true // the end has crossed it
 	}
-	if !p.isTransfer {
-		if n := len(o.queue); p.isFlow && n > 0 && o.queue[n-1].isFlow {
-			o.queue[n-1] = p
+	if !item.isTransfer {
+		if transfers := len(o.queue); item.isFlow && transfers > 0 && o.queue[transfers-1].isFlow {
+			o.queue[transfers-1] = item
 			return true
 		}
 		if o.pendingControlFrames >= maxPendingControlFrames {
@@ -69,7 +69,7 @@
 		}
 		o.pendingControlFrames++
 	}
-	o.queue = append(o.queue, p)
+	o.queue = append(o.queue, item)
 	select {
 	case o.changed <- struct{}{}:
 	default:
@@ -84,42 +84,42 @@
 	if len(o.queue) == 0 {
 		return outboxItem{}, false
 	}
-	p := o.queue[0]
+	item := o.queue[0]
 	o.queue[0] = outboxItem{}
 	if o.queue = o.queue[1:]; len(o.queue) == 0 {
 		o.queue = nil
 	}
-	if !p.isTransfer {
+	if !item.isTransfer {
 		o.pendingControlFrames--
 	}
-	return p, true
+	return item, true
 }
 
 // run sends what is put in until the server's side stops.
 func (o *outbox) run() {
 	defer o.close()
 	for {
-		p, found := o.dequeue()
+		item, found := o.dequeue()
 		if !found {
 			select {
 			case <-o.changed:
-			case <-o.up.done:
+			case <-o.upstreamConn.done:
 				return
 			}
 			continue
 		}
 		var err error
 		switch {
-		case p.isTransfer:
-			err = o.up.sendTransfer(p.Performative, p.payload)
+		case item.isTransfer:
+			err = o.upstreamConn.sendTransfer(item.Performative, item.payload)
 			o.session.releaseTransfers(1)
-			if err == nil && p.onSent != nil {
-				p.onSent()
+			if err == nil && item.onSent != nil {
+				item.onSent()
 			}
-		case p.isFlow:
-			err = o.up.sendFlow(p.Performative)
+		case item.isFlow:
+			err = o.upstreamConn.sendFlow(item.Performative)
 		default:
-			err = o.up.writeFrame(o.up.channel, p.Performative, nil)
+			err = o.upstreamConn.writeFrame(o.upstreamConn.channel, item.Performative, nil)
 		}
 		if errors.Is(err, errWindowClosed) {
 			o.onStall() // the other direction may go on: deliveries would be taken for a server that never gets them
@@ -135,12 +135,12 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.closed = true
-	n := 0
-	for _, p := range o.queue {
-		if p.isTransfer {
-			n++
+	transfers := 0
+	for _, item := range o.queue {
+		if item.isTransfer {
+			transfers++
 		}
 	}
 	o.queue = nil
-	o.session.releaseTransfers(n)
+	o.session.releaseTransfers(transfers)
 }
--- a/internal/frontend/amqp/passing_test.go
+++ b/internal/frontend/amqp/passing_test.go
@@ -44,8 +44,8 @@
 // What a client sends comes out at the server as it was, in frames of any size,
 // and what the server says of it comes back.
 func TestDeliveriesPassUp(t *testing.T) {
-	r := newRig(t, wires[1], 1, nil)
-	session := dialFront(t, r.address)
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	session := dialFront(t, relay.address)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	sender, err := session.NewSender(ctx, "score", &client10.SenderOptions{Properties: linkProperties()})
@@ -60,7 +60,7 @@
 	if err := sender.Close(ctx); err != nil {
 		t.Error(err)
 	}
-	r.settled(t)
+	relay.waitIdle(t)
 }
 
 // A server's pages come out at the client as they were, under the client's
@@ -68,10 +68,10 @@
 func TestDeliveriesPassDown(t *testing.T) {
 	const pages = 30
 	settled := make(chan uint32, pages)
-	w := wires[1]
-	w.server = func(t testing.TB, tcp *net.TCPConn, _ *script) { pageServer(t, tcp, pages, settled) }
-	r := newRig(t, w, 1, nil)
-	session := dialFront(t, r.address)
+	protocol := protocols[1]
+	protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) { pageServer(t, tcp, pages, settled) }
+	relay := newTestRelay(t, protocol, 1, nil)
+	session := dialFront(t, relay.address)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	receiver, err := session.NewReceiver(ctx, "pages", &client10.ReceiverOptions{Properties: linkProperties(), Credit: 4})
@@ -106,29 +106,29 @@
 
 // pageServer sends pages as far as the client's credit goes.
 func pageServer(t testing.TB, tcp *net.TCPConn, pages int, settled chan<- uint32) {
-	c, ok := greetClient(t, tcp)
+	c, ok := negotiateAsEndpoint(t, tcp)
 	if !ok {
 		return
 	}
 	session := newSession(c, 0)
 	sent := 0
 	for {
-		f, err := c.readFrame(framing.TypeAMQP, serverWait)
+		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
 		if err != nil {
 			return
 		}
-		switch f.Code {
+		switch frame.Code {
 		case framing.CodeOpen, framing.CodeBegin:
-			opened(c, session, f)
+			answerOpenOrBegin(c, session, frame)
 		case framing.CodeAttach:
-			c.writeFrame(0, f.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
+			c.writeFrame(0, frame.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
 		case framing.CodeDisposition:
-			for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
+			for id := frame.Uint32(1, 0); id <= frame.Uint32(2, frame.Uint32(1, 0)); id++ {
 				settled <- id
 			}
 		case framing.CodeFlow:
-			session.applyFlow(f.Performative)
-			for most := int(f.Uint32(5, 0) + f.Uint32(6, 0)); sent < min(pages, most); sent++ {
+			session.applyFlow(frame.Performative)
+			for most := int(frame.Uint32(5, 0) + frame.Uint32(6, 0)); sent < min(pages, most); sent++ {
 				body := codec.Append(nil, codec.Described{Descriptor: uint64(0x75), Value: page(sent)})
 				tag := binary.BigEndian.AppendUint32(nil, uint32(sent))
 				p := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
@@ -140,68 +140,68 @@
 	}
 }
 
-// raw is a client that says what no library would.
-type raw struct {
+// rawClient is a client that says what no library would.
+type rawClient struct {
 	*connection
 	t testing.TB
 }
 
-func dialRaw(t testing.TB, address string) *raw {
+func dialRaw(t testing.TB, address string) *rawClient {
 	t.Helper()
 	tcp, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { tcp.Close() })
-	c := &raw{newConnection(tcp.(*net.TCPConn)), t}
+	c := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
 	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-	if h, err := c.readProtocolHeader(time.Second); err != nil || h != framing.ProtocolHeaderAMQP {
-		t.Fatalf("the front answers %q, %v", h, err)
+	if header, err := c.readProtocolHeader(time.Second); err != nil || header != framing.ProtocolHeaderAMQP {
+		t.Fatalf("the front answers %q, %v", header, err)
 	}
 	c.writeFrame(0, newOpen("raw"), nil)
-	c.want(framing.CodeOpen, 0, "")
+	c.expect(framing.CodeOpen, 0, "")
 	return c
 }
 
-func (c *raw) begin() *raw {
+func (c *rawClient) begin() *rawClient {
 	c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil)
-	c.want(framing.CodeBegin, 0, "")
+	c.expect(framing.CodeBegin, 0, "")
 	return c
 }
 
-func (c *raw) attach(handle uint32, props codec.Map) {
+func (c *rawClient) attach(handle uint32, props codec.Map) {
 	c.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", handle, false, nil, nil,
 		codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, props}}, nil)
 }
 
-// want waits for a performative with a condition at a field.
-func (c *raw) want(code uint64, at int, cond string) framing.Frame {
+// expect waits for a performative with a condition at a field.
+func (c *rawClient) expect(code uint64, at int, cond string) framing.Frame {
 	c.t.Helper()
 	for {
-		f, err := c.readFrame(framing.TypeAMQP, 3*time.Second)
+		frame, err := c.readFrame(framing.TypeAMQP, 3*time.Second)
 		if err != nil {
 			c.t.Fatalf("waiting for %#x: %v", code, err)
 		}
-		if f.Empty {
+		if frame.Empty {
 			continue
 		}
-		got, _ := f.Condition(at)
-		if f.Code != code || got != cond {
-			c.t.Fatalf("got %#x with %q, want %#x with %q", f.Code, got, code, cond)
+		got, _ := frame.Condition(at)
+		if frame.Code != code || got != cond {
+			c.t.Fatalf("got %#x with %q, want %#x with %q", frame.Code, got, code, cond)
 		}
-		return f
+		return frame
 	}
 }
 
-// until passes over what comes before a performative with a condition at a field.
-func (c *raw) until(code uint64, at int, cond string, each time.Duration) {
+// expectEventually passes over what comes before a performative with a condition at a field.
+func (c *rawClient) expectEventually(code uint64, at int, cond string, each time.Duration) {
 	c.t.Helper()
 	for {
-		f, err := c.readFrame(framing.TypeAMQP, each)
+		frame, err := c.readFrame(framing.TypeAMQP, each)
 		if err != nil {
 			c.t.Fatalf("waiting for %#x with %q: %v", code, cond, err)
 		}
-		if got, _ := f.Condition(at); f.Code == code && got == cond {
+		if got, _ := frame.Condition(at); frame.Code == code && got == cond {
 			return
 		}
 	}
@@ -210,89 +210,89 @@
 func TestWrongFramesGetTheStandardsConditions(t *testing.T) {
 	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)}
 	for name, c := range map[string]struct {
-		acts []behaviour
-		do   func(c *raw)
+		acts []endpointAction
+		do   func(c *rawClient)
 	}{
-		"a frame that is too large": {nil, func(c *raw) {
+		"a frame that is too large": {nil, func(c *rawClient) {
 			_, _ = c.Write([]byte{0, 1, 0, 0, 2, 0, 0, 0})
-			c.want(framing.CodeClose, 0, framing.CondFramingError)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a frame that is too small": {nil, func(c *raw) {
+		"a frame that is too small": {nil, func(c *rawClient) {
 			_, _ = c.Write([]byte{0, 0, 0, 7, 2, 0, 0})
-			c.want(framing.CodeClose, 0, framing.CondFramingError)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a data offset out of range": {nil, func(c *raw) {
+		"a data offset out of range": {nil, func(c *rawClient) {
 			_, _ = c.Write([]byte{0, 0, 0, 8, 9, 0, 0, 0})
-			c.want(framing.CodeClose, 0, framing.CondFramingError)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a value that makes no sense": {nil, func(c *raw) {
+		"a value that makes no sense": {nil, func(c *rawClient) {
 			_, _ = c.Write([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13})
-			c.want(framing.CodeClose, 0, framing.CondDecodeError)
+			c.expect(framing.CodeClose, 0, framing.CondDecodeError)
 		}},
-		"a channel without a session": {nil, func(c *raw) {
+		"a channel without a session": {nil, func(c *rawClient) {
 			c.writeFrame(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
-			c.want(framing.CodeClose, 0, framing.CondFramingError)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a channel over the most": {nil, func(c *raw) {
+		"a channel over the most": {nil, func(c *rawClient) {
 			c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-			c.want(framing.CodeClose, 0, framing.CondFramingError)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a handle without a link": {nil, func(c *raw) {
+		"a handle without a link": {nil, func(c *rawClient) {
 			c.begin().writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
-			c.want(framing.CodeEnd, 0, framing.CondUnattachedHandle)
+			c.expect(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 		}},
-		"a handle that is in use": {[]behaviour{hang}, func(c *raw) {
+		"a handle that is in use": {[]endpointAction{actionHang}, func(c *rawClient) {
 			c.begin().attach(1, props)
 			c.attach(1, props)
-			c.want(framing.CodeEnd, 0, framing.CondHandleInUse)
+			c.expect(framing.CodeEnd, 0, framing.CondHandleInUse)
 		}},
-		"an attach without its properties": {nil, func(c *raw) {
+		"an attach without its properties": {nil, func(c *rawClient) {
 			c.begin().attach(1, nil)
-			c.want(framing.CodeAttach, 0, "")
-			c.want(framing.CodeDetach, 2, framing.CondInvalidField)
+			c.expect(framing.CodeAttach, 0, "")
+			c.expect(framing.CodeDetach, 2, framing.CondInvalidField)
 		}},
-		"a transfer without credit": {[]behaviour{hang}, func(c *raw) {
+		"a transfer without credit": {[]endpointAction{actionHang}, func(c *rawClient) {
 			c.begin().attach(1, props)
 			c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
-			c.want(framing.CodeAttach, 0, "")
-			c.want(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
+			c.expect(framing.CodeAttach, 0, "")
+			c.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, wires[1], 1, c.acts)
-			c.do(dialRaw(t, r.address))
-			r.settled(t)
+			relay := newTestRelay(t, protocols[1], 1, c.acts)
+			c.do(dialRaw(t, relay.address))
+			relay.waitIdle(t)
 		})
 	}
 }
 
 func TestSilentClientIsClosed(t *testing.T) {
-	w := wires[1]
-	w.front = func(k *proxy.Proxy, seats int) server {
+	protocol := protocols[1]
+	protocol.newFrontend = func(k *proxy.Proxy, seats int) frontendServer {
 		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}, IdleTimeout: 100 * time.Millisecond}
 	}
-	r := newRig(t, w, 1, nil)
-	dialRaw(t, r.address).want(framing.CodeClose, 0, framing.CondResourceLimitExceeded)
+	relay := newTestRelay(t, protocol, 1, nil)
+	dialRaw(t, relay.address).expect(framing.CodeClose, 0, framing.CondResourceLimitExceeded)
 }
 
 // A refusal needs no credit, and comes while the give-up time still runs.
 func TestFinalAnswerNeedsNoCredit(t *testing.T) {
-	r := newRig(t, wires[1], 1, []behaviour{noCredit})
-	c := dialRaw(t, r.address).begin()
+	relay := newTestRelay(t, protocols[1], 1, []endpointAction{actionNoCredit})
+	c := dialRaw(t, relay.address).begin()
 	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)})
 	began := time.Now()
-	c.want(framing.CodeAttach, 0, "")
-	c.want(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
+	c.expect(framing.CodeAttach, 0, "")
+	c.expect(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
 	if took := time.Since(began); took > 1400*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
-	r.settled(t)
+	relay.waitIdle(t)
 }
 
 // The relay's heartbeat keeps within the idle time-out that a peer asks for.
 func TestIdlePeerIsKeptAlive(t *testing.T) {
-	r := newRig(t, wires[1], 1, nil)
-	tcp, err := net.Dial("tcp", r.address)
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	tcp, err := net.Dial("tcp", relay.address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,19 +302,19 @@
 	_, _ = c.readProtocolHeader(time.Second)
 	c.writeFrame(0, newOpen("idle").With(4, uint32(90)), nil)
 	for beats := 0; beats < 3; {
-		f, err := c.readFrame(framing.TypeAMQP, 90*time.Millisecond)
+		frame, err := c.readFrame(framing.TypeAMQP, 90*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if f.Empty {
+		if frame.Empty {
 			beats++
 		}
 	}
 }
 
 func TestOtherProtocolsAreToldOurs(t *testing.T) {
-	r := newRig(t, wires[1], 1, nil)
-	c, err := net.Dial("tcp", r.address)
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	c, err := net.Dial("tcp", relay.address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -57,44 +57,44 @@
 // refuses the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
 func AcceptPeerConn(tcp streamConn, wait time.Duration, plain bool) (*PeerConn, error) {
 	c := newConnection(tcp)
-	h, err := c.readProtocolHeader(wait)
+	header, err := c.readProtocolHeader(wait)
 	if err != nil {
 		return nil, err
 	}
-	if h == framing.ProtocolHeaderSASL && plain {
+	if header == framing.ProtocolHeaderSASL && plain {
 		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
 		return nil, errors.New("the relay began with the security layer")
 	}
-	if h == framing.ProtocolHeaderSASL {
+	if header == framing.ProtocolHeaderSASL {
 		if err := acceptSASL(c, wait); err != nil {
 			return nil, err
 		}
-		if h, err = c.readProtocolHeader(wait); err != nil {
+		if header, err = c.readProtocolHeader(wait); err != nil {
 			return nil, err
 		}
 	}
-	if h != framing.ProtocolHeaderAMQP {
-		return nil, fmt.Errorf("a server was greeted with %q", h)
+	if header != framing.ProtocolHeaderAMQP {
+		return nil, fmt.Errorf("a server was greeted with %q", header)
 	}
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return nil, err
 	}
-	f, err := c.readFrame(framing.TypeAMQP, wait)
+	frame, err := c.readFrame(framing.TypeAMQP, wait)
 	if err != nil {
 		return nil, err
 	}
-	if f.Code != framing.CodeOpen {
-		return nil, fmt.Errorf("a server was told %#x for an open", f.Code)
+	if frame.Code != framing.CodeOpen {
+		return nil, fmt.Errorf("a server was told %#x for an open", frame.Code)
 	}
 	p := &PeerConn{multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}), sessions: make(chan *Peer, maxPeerSessions), ended: make(chan struct{})}
-	p.multiplexer.onSession = func(l *sharedSession) {
+	p.multiplexer.onSession = func(shared *sharedSession) {
 		select {
-		case p.sessions <- &Peer{sharedSession: l, conn: p, partialPayloads: make(map[uint32][]byte)}:
+		case p.sessions <- &Peer{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
 		default: // more wait to be taken than a stand-in takes in all
-			l.endLocally()
+			shared.endLocally()
 		}
 	}
-	idle := c.applyOpen(f.Performative)
+	idle := c.applyOpen(frame.Performative)
 	c.writeFrame(0, newOpen("server").With(3, uint16(maxPeerSessions-1)), nil) // if this fails, the next read sees why
 	go c.sendHeartbeats(idle, p.done)
 	go func() {
@@ -147,12 +147,12 @@
 	if err := p.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
 		return err
 	}
-	f, err := p.readFrame(framing.TypeSASL, wait)
+	frame, err := p.readFrame(framing.TypeSASL, wait)
 	if err != nil {
 		return err
 	}
-	if f.Code != framing.CodeSASLInit {
-		return fmt.Errorf("a server was told %#x for an init", f.Code)
+	if frame.Code != framing.CodeSASLInit {
+		return fmt.Errorf("a server was told %#x for an init", frame.Code)
 	}
 	return p.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
@@ -169,7 +169,7 @@
 // DiscardInput takes what comes for the session and says nothing, until its end.
 func (p *Peer) DiscardInput() {
 	for {
-		if f, err := p.nextFrame(0); err != nil || f.Code == framing.CodeEnd {
+		if frame, err := p.nextFrame(0); err != nil || frame.Code == framing.CodeEnd {
 			return
 		}
 	}
@@ -179,38 +179,38 @@
 // the relay has ended it.
 func (p *Peer) Next() (PeerEvent, error) {
 	for {
-		f, err := p.nextFrame(p.conn.readTimeout)
+		frame, err := p.nextFrame(p.conn.readTimeout)
 		if err != nil {
 			return PeerEvent{}, err
 		}
-		switch f.Code {
+		switch frame.Code {
 		case framing.CodeAttach:
-			e := PeerEvent{Kind: PeerAttached, Handle: f.Uint32(1, 0), Name: codec.AsString(f.Field(0)), Sends: !f.Bool(2),
-				Properties: make(map[string]any), attach: f.Performative}
-			props, _ := f.Field(13).(codec.Map)
-			for i := 0; i+1 < len(props); i += 2 {
-				e.Properties[codec.AsString(props[i])] = props[i+1]
+			e := PeerEvent{Kind: PeerAttached, Handle: frame.Uint32(1, 0), Name: codec.AsString(frame.Field(0)), Sends: !frame.Bool(2),
+				Properties: make(map[string]any), attach: frame.Performative}
+			properties, _ := frame.Field(13).(codec.Map)
+			for i := 0; i+1 < len(properties); i += 2 {
+				e.Properties[codec.AsString(properties[i])] = properties[i+1]
 			}
 			return e, nil
 		case framing.CodeFlow:
-			_ = p.handleFlow(f.Performative) // a stand-in overlooks a bad flow
+			_ = p.handleFlow(frame.Performative) // a stand-in overlooks a bad flow
 		case framing.CodeTransfer:
 			if err := p.receiveTransfer(false); err != nil {
 				return PeerEvent{}, err
 			}
-			handle := f.Uint32(0, 0)
-			whole := append(p.partialPayloads[handle], f.Payload...)
+			handle := frame.Uint32(0, 0)
+			whole := append(p.partialPayloads[handle], frame.Payload...)
 			if len(whole) > maxPeerMessageSize {
 				return PeerEvent{}, errors.New("a message is longer than a stand-in reads")
 			}
-			if f.Bool(5) {
+			if frame.Bool(5) {
 				p.partialPayloads[handle] = whole
 				continue
 			}
 			delete(p.partialPayloads, handle)
-			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.Uint32(1, 0), Settled: f.Bool(4), Payload: dataSection(whole)}, nil
+			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: frame.Uint32(1, 0), Settled: frame.Bool(4), Payload: dataSection(whole)}, nil
 		case framing.CodeDetach:
-			return PeerEvent{Kind: PeerDetached, Handle: f.Uint32(0, 0)}, nil
+			return PeerEvent{Kind: PeerDetached, Handle: frame.Uint32(0, 0)}, nil
 		case framing.CodeEnd, framing.CodeClose:
 			return PeerEvent{}, errPeerSessionEnded
 		}
--- a/internal/frontend/amqp/placement.go
+++ b/internal/frontend/amqp/placement.go
@@ -36,7 +36,7 @@
 	if p.Timeout < 0 {
 		return fmt.Errorf("give_up: %v is negative", p.Timeout)
 	}
-	if name, is := strings.CutPrefix(p.Group, propertyGroupPrefix); !slices.Contains([]string{"", "address", "container", "link"}, p.Group) && (!is || name == "") {
+	if name, isProperty := strings.CutPrefix(p.Group, propertyGroupPrefix); !slices.Contains([]string{"", "address", "container", "link"}, p.Group) && (!isProperty || name == "") {
 		return fmt.Errorf("group: %q is neither address, container, link nor property:NAME", p.Group)
 	}
 	p.addressPattern, p.containerPattern = compilePattern(p.Address), compilePattern(p.Container)
@@ -54,12 +54,12 @@
 // terminusAddress is the address that a client's attach names for the other end: its target's if it is to send,
 // its source's if it is to receive (part 3, sections 3.5.3 and 3.5.4).
 func terminusAddress(attach framing.Performative) string {
-	at := 6
+	field := 6
 	if attach.Bool(2) {
-		at = 5
+		field = 5
 	}
-	d, _ := attach.Field(at).(codec.Described)
-	fields, _ := d.Value.(codec.List)
+	terminus, _ := attach.Field(field).(codec.Described)
+	fields, _ := terminus.Value.(codec.List)
 	if len(fields) == 0 {
 		return ""
 	}
@@ -89,6 +89,6 @@
 	case "link":
 		return hashKey(codec.AsString(attach.Field(0)))
 	}
-	props, _ := attach.Field(13).(codec.Map)
-	return hashKey(props.Get(strings.TrimPrefix(p.Group, propertyGroupPrefix)))
+	properties, _ := attach.Field(13).(codec.Map)
+	return hashKey(properties.Get(strings.TrimPrefix(p.Group, propertyGroupPrefix)))
 }
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -16,8 +16,8 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// verdictOf is the outcome that the stand-in gives a delivery, by its first byte.
-func verdictOf(payload []byte) any {
+// outcomeOf is the outcome that the stand-in gives a delivery, by its first byte.
+func outcomeOf(payload []byte) any {
 	code := uint64(0x24)
 	if len(payload) > 0 {
 		code += uint64(payload[0] % 4) // accepted, rejected, released, modified
@@ -25,12 +25,12 @@
 	return codec.Described{Descriptor: code, Value: codec.List{}}
 }
 
-// judgesWait is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
-const judgesWait = time.Minute
+// settlingReadTimeout is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
+const settlingReadTimeout = time.Minute
 
-// judges is a server that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
-func judges(_ testing.TB, tcp *net.TCPConn, _ *script) {
-	c, err := AcceptPeerConn(tcp, judgesWait, false)
+// serveSettling is a server that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
+func serveSettling(_ testing.TB, tcp *net.TCPConn, _ *scenario) {
+	c, err := AcceptPeerConn(tcp, settlingReadTimeout, false)
 	if err != nil {
 		return
 	}
@@ -41,7 +41,7 @@
 			part := []byte(nil)
 			count := uint32(0)
 			for {
-				f, err := p.nextFrame(judgesWait)
+				f, err := p.nextFrame(settlingReadTimeout)
 				if err != nil || f.Code == framing.CodeEnd {
 					return
 				}
@@ -55,7 +55,7 @@
 						continue
 					}
 					if !f.Bool(9) && !f.Bool(4) {
-						p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, verdictOf(part)}}, nil)
+						p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, outcomeOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
@@ -76,10 +76,10 @@
 func TestRandomDeliveriesAreSettledOnce(t *testing.T) {
 	for _, set := range []connpool.Settings{{}, {MaxSessions: 3, IdleTimeout: time.Minute}} {
 		t.Run(fmt.Sprintf("%d sessions", set.MaxSessions), func(t *testing.T) {
-			w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
-			w.server = judges
-			r := newRig(t, w, 1, nil)
-			rapid.Check(t, func(rt *rapid.T) { randomDeliveries(t, rt, r.address) })
+			protocol := amqpProtocol(func(f *Frontend) { f.Pool = set }, nil)
+			protocol.serveEndpoint = serveSettling
+			relay := newTestRelay(t, protocol, 1, nil)
+			rapid.Check(t, func(rt *rapid.T) { randomDeliveries(t, rt, relay.address) })
 		})
 	}
 }
@@ -104,7 +104,7 @@
 	// hear takes what has come, until done says so or nothing is awaited.
 	hear := func(done func() bool) {
 		for !done() {
-			f, err := c.frame()
+			f, err := c.nextFrame()
 			if err != nil {
 				rt.Fatalf("%v; still to come %v", err, want)
 			}
@@ -150,7 +150,7 @@
 			return
 		}
 		if !settled && !aborted {
-			want[l.delivery] = verdictOf(l.part)
+			want[l.delivery] = outcomeOf(l.part)
 		}
 		l.count++
 		l.part = nil
@@ -225,11 +225,11 @@
 	f.Add(bytes.Join([][]byte{begin, attach, send, settle, end, begin}, nil))
 	f.Add(bytes.Join([][]byte{begin, settle, attach, attach}, nil))
 	f.Add([]byte{0, 0, 0, 8, 2, 0, 0, 0})
-	w := wires[1]
-	w.server = judges
-	r := newRig(f, w, 1, nil)
+	protocol := protocols[1]
+	protocol.serveEndpoint = serveSettling
+	relay := newTestRelay(f, protocol, 1, nil)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := dialRaw(t, r.address)
+		c := dialRaw(t, relay.address)
 		_, _ = c.Write(text)
 		for { // until it has nothing more to say to that
 			if _, err := c.readFrame(framing.TypeAMQP, 5*time.Millisecond); err != nil {
@@ -247,8 +247,8 @@
 	for _, size := range []int{64, 1 << 10, 64 << 10} {
 		if size < 4<<10 { // a line has no more
 			b.Run(fmt.Sprintf("line, %d bytes", size), func(b *testing.B) {
-				r := newRig(b, wires[0], 1, nil)
-				tcp, err := net.Dial("tcp", r.address)
+				relay := newTestRelay(b, protocols[0], 1, nil)
+				tcp, err := net.Dial("tcp", relay.address)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -273,10 +273,10 @@
 			})
 		}
 		b.Run(fmt.Sprintf("amqp, %d bytes", size), func(b *testing.B) {
-			w := wires[1]
-			w.server = judges
-			r := newRig(b, w, 1, nil)
-			session := clientOf(b, r)
+			protocol := protocols[1]
+			protocol.serveEndpoint = serveSettling
+			relay := newTestRelay(b, protocol, 1, nil)
+			session := clientOf(b, relay)
 			sender := attach(b, session, "a link")
 			message := bytes.Repeat([]byte{3}, size) // a message's section says so: accepted
 			b.SetBytes(int64(size))
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -26,74 +26,74 @@
 
 // parseRequest reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Frontend) parseRequest(p framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
-	props, _ := p.Field(13).(codec.Map)
-	address := terminusAddress(p)
-	rule := f.findPlacement(address, container)
-	ask := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: codec.AsString(props.Get(propClass)), Tenant: codec.AsString(props.Get(propTenant))}
-	ask.Settings = f.Proxy.Settings()
-	if ask.Class == "" && rule != nil {
-		ask.Class = rule.Class
-		props = props.With(propClass, ask.Class)
+func (f *Frontend) parseRequest(performative framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
+	properties, _ := performative.Field(13).(codec.Map)
+	address := terminusAddress(performative)
+	placement := f.findPlacement(address, container)
+	request := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: codec.AsString(properties.Get(propClass)), Tenant: codec.AsString(properties.Get(propTenant))}
+	request.Settings = f.Proxy.Settings()
+	if request.Class == "" && placement != nil {
+		request.Class = placement.Class
+		properties = properties.With(propClass, request.Class)
 	}
-	if ask.RequestOptions.Class = ask.Settings.ClassIndex(ask.Class); ask.Class == "" {
-		return ask, p, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
-	} else if ask.RequestOptions.Class < 0 {
-		return ask, p, fmt.Errorf("%q is no known class", ask.Class)
+	if request.RequestOptions.Class = request.Settings.ClassIndex(request.Class); request.Class == "" {
+		return request, performative, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
+	} else if request.RequestOptions.Class < 0 {
+		return request, performative, fmt.Errorf("%q is no known class", request.Class)
 	}
-	if !ask.Settings.AcceptsTenant(ask.Tenant) {
-		return ask, p, fmt.Errorf("%q is no known tenant; the property %q names one", ask.Tenant, propTenant)
+	if !request.Settings.AcceptsTenant(request.Tenant) {
+		return request, performative, fmt.Errorf("%q is no known tenant; the property %q names one", request.Tenant, propTenant)
 	}
-	var give time.Duration
-	switch wait, ok := codec.AsUint64(props.Get(propDeadline)); {
+	var timeout time.Duration
+	switch wait, ok := codec.AsUint64(properties.Get(propDeadline)); {
 	case ok && wait <= 1<<31:
-		give = time.Duration(wait) * time.Millisecond
-	case props.Get(propDeadline) != nil || rule == nil:
-		return ask, p, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
+		timeout = time.Duration(wait) * time.Millisecond
+	case properties.Get(propDeadline) != nil || placement == nil:
+		return request, performative, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
 	default:
-		give = cmp.Or(rule.Timeout, ask.Settings.Classes[ask.RequestOptions.Class].Deadline)
+		timeout = cmp.Or(placement.Timeout, request.Settings.Classes[request.RequestOptions.Class].Deadline)
 	}
-	ask.Deadline = f.Proxy.Clock.Now() + give
-	if ask.Group = hashKey(props.Get(propGroup)); ask.Group == 0 && rule != nil {
-		if ask.Group = rule.groupKey(p, address, container); ask.Group != 0 {
-			props = props.With(propGroup, strconv.FormatUint(ask.Group, 16))
+	request.Deadline = f.Proxy.Clock.Now() + timeout
+	if request.Group = hashKey(properties.Get(propGroup)); request.Group == 0 && placement != nil {
+		if request.Group = placement.groupKey(performative, address, container); request.Group != 0 {
+			properties = properties.With(propGroup, strconv.FormatUint(request.Group, 16))
 		}
 	}
-	ask.Item = hashKey(props.Get(propItem))
-	ask.Returning, _ = props.Get(propReturning).(bool)
-	if us, ok := parseLoad(props.Get(propLoad)); ok {
-		ask.ExpectedLoad = us / 1e6
+	request.Item = hashKey(properties.Get(propItem))
+	request.Returning, _ = properties.Get(propReturning).(bool)
+	if microseconds, ok := parseLoad(properties.Get(propLoad)); ok {
+		request.ExpectedLoad = microseconds / 1e6
 	}
-	return ask, p.With(13, props), nil
+	return request, performative.With(13, properties), nil
 }
 
 // hashKey is the number of a group or an item: a hexadecimal word as it is,
 // anything else by its hash.
-func hashKey(v any) uint64 {
-	if n, ok := codec.AsUint64(v); ok {
-		return n
+func hashKey(value any) uint64 {
+	if number, ok := codec.AsUint64(value); ok {
+		return number
 	}
-	word := codec.AsString(v)
+	word := codec.AsString(value)
 	if word == "" {
 		return 0
 	}
-	if n, err := strconv.ParseUint(word, 16, 64); err == nil {
-		return n
+	if number, err := strconv.ParseUint(word, 16, 64); err == nil {
+		return number
 	}
-	h := fnv.New64a()
-	h.Write([]byte(word))
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write([]byte(word))
+	return hash.Sum64()
 }
 
 // parseLoad returns a number of any kind that a load can have.
-func parseLoad(v any) (float64, bool) {
-	x, ok := v.(float64)
+func parseLoad(value any) (float64, bool) {
+	load, ok := value.(float64)
 	if !ok {
-		var n uint64
-		n, ok = codec.AsUint64(v)
-		x = float64(n)
+		var number uint64
+		number, ok = codec.AsUint64(value)
+		load = float64(number)
 	}
-	return x, ok && x >= 0 && x < 1e12
+	return load, ok && load >= 0 && load < 1e12
 }
 
 // retryAfterInfo says when to come again, if that is known.
--- a/internal/frontend/amqp/secure_test.go
+++ b/internal/frontend/amqp/secure_test.go
@@ -23,23 +23,23 @@
 	"lockroad/internal/testutil"
 )
 
-// wireOf is AMQP with a front that is prepared, and servers that speak TLS if theirs is given.
-func wireOf(prepare func(*Frontend), servers *tls.Config) wire {
-	w := wires[1]
-	w.front = func(k *proxy.Proxy, seats int) server {
+// amqpProtocol is AMQP with a front that is prepared, and servers that speak TLS if theirs is given.
+func amqpProtocol(prepare func(*Frontend), servers *tls.Config) frontendProtocol {
+	protocol := protocols[1]
+	protocol.newFrontend = func(k *proxy.Proxy, seats int) frontendServer {
 		f := &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 		prepare(f)
 		return f
 	}
 	if servers != nil {
-		w.server = func(t testing.TB, tcp *net.TCPConn, s *script) {
+		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, s *scenario) {
 			secured := tls.Server(tcp, servers)
 			if secured.Handshake() == nil {
-				amqpServerOver(t, secured, s)
+				serveAMQPEndpointOn(t, secured, s)
 			}
 		}
 	}
-	return w
+	return protocol
 }
 
 // dialSecured dials a front as a client of a library does.
@@ -53,8 +53,8 @@
 	return client10.Dial(ctx, scheme+address, &client10.ConnOptions{SASLType: as, TLSConfig: config})
 }
 
-// opens opens a link with properties, sends a message and closes it; it returns what it is told.
-func opens(c *client10.Conn, target string, props map[string]any) error {
+// attachTo opens a link with properties, sends a message and closes it; it returns what it is told.
+func attachTo(c *client10.Conn, target string, props map[string]any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	session, err := c.NewSession(ctx, nil)
@@ -71,7 +71,7 @@
 	return sender.Close(ctx)
 }
 
-func trusted(t *testing.T, file string) *x509.CertPool {
+func certPool(t *testing.T, file string) *x509.CertPool {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	p := x509.NewCertPool()
@@ -105,16 +105,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := wireOf(func(f *Frontend) { f.Authenticator, f.EndpointTLS = gate, up }, &tls.Config{Certificates: []tls.Certificate{serverPair}, ClientCAs: trusted(t, a.CA), ClientAuth: tls.RequireAndVerifyClientCert})
-	r := newRig(t, w, 2, nil)
-	trusts := &tls.Config{RootCAs: trusted(t, a.CA), ServerName: "127.0.0.1"}
+	protocol := amqpProtocol(func(f *Frontend) { f.Authenticator, f.EndpointTLS = gate, up }, &tls.Config{Certificates: []tls.Certificate{serverPair}, ClientCAs: certPool(t, a.CA), ClientAuth: tls.RequireAndVerifyClientCert})
+	relay := newTestRelay(t, protocol, 2, nil)
+	trusts := &tls.Config{RootCAs: certPool(t, a.CA), ServerName: "127.0.0.1"}
 
-	ann, err := dialSecured(r.address, trusts, client10.SASLTypePlain("ann", "ann's"))
+	ann, err := dialSecured(relay.address, trusts, client10.SASLTypePlain("ann", "ann's"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ann.Close() }()
-	if err := opens(ann, "there", linkProperties()); err != nil {
+	if err := attachTo(ann, "there", linkProperties()); err != nil {
 		t.Error(err)
 	}
 	deskCert, deskKey := a.Pair("desk", time.Hour)
@@ -124,13 +124,13 @@
 	}
 	shows := trusts.Clone()
 	shows.Certificates = []tls.Certificate{pair}
-	desk, err := dialSecured(r.address, shows, client10.SASLTypeExternal(""))
+	desk, err := dialSecured(relay.address, shows, client10.SASLTypeExternal(""))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = desk.Close() }()
 	var refused *client10.Error
-	if err := opens(desk, "there", linkProperties()); !errors.As(err, &refused) || refused.Condition != framing.CondUnauthorizedAccess || !strings.Contains(refused.Description, `"desk" may not open the class "page"`) {
+	if err := attachTo(desk, "there", linkProperties()); !errors.As(err, &refused) || refused.Condition != framing.CondUnauthorizedAccess || !strings.Contains(refused.Description, `"desk" may not open the class "page"`) {
 		t.Errorf("desk is told %v", err)
 	}
 	for what, c := range map[string]struct {
@@ -142,7 +142,7 @@
 		"no security layer": {trusts, nil}, "who trusts another": {&tls.Config{RootCAs: x509.NewCertPool()}, client10.SASLTypePlain("ann", "ann's")},
 		"an old TLS": {&tls.Config{RootCAs: trusts.RootCAs, ServerName: "127.0.0.1", MaxVersion: tls.VersionTLS11}, client10.SASLTypePlain("ann", "ann's")},
 	} {
-		if c, err := dialSecured(r.address, c.config, c.as); err == nil {
+		if c, err := dialSecured(relay.address, c.config, c.as); err == nil {
 			_ = c.Close()
 			t.Errorf("%s comes in", what)
 		}
@@ -151,7 +151,7 @@
 	var seen *x509.Certificate
 	old.VerifyConnection = func(c tls.ConnectionState) error { seen = c.PeerCertificates[0]; return nil }
 	serial := func() string {
-		c, err := dialSecured(r.address, old, client10.SASLTypePlain("ann", "ann's"))
+		c, err := dialSecured(relay.address, old, client10.SASLTypePlain("ann", "ann's"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -166,7 +166,7 @@
 	if serial() == before {
 		t.Error("a new connection has the old certificate")
 	}
-	if err := opens(ann, "there", linkProperties()); err != nil {
+	if err := attachTo(ann, "there", linkProperties()); err != nil {
 		t.Errorf("what stands over the old one: %v", err)
 	}
 }
@@ -179,9 +179,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := newRig(t, wireOf(func(f *Frontend) { f.Authenticator = gate }, nil), 1, nil)
+	relay := newTestRelay(t, amqpProtocol(func(f *Frontend) { f.Authenticator = gate }, nil), 1, nil)
 	for _, text := range []string{"", "\x16\x03\x01\x02", string(framing.ProtocolHeaderAMQP[:])} {
-		c, err := net.Dial("tcp", r.address)
+		c, err := net.Dial("tcp", relay.address)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -203,7 +203,7 @@
 			t.Fatal(err)
 		}
 	}
-	f := &Frontend{Proxy: newRig(t, wires[1], 1, nil).core, Placements: places}
+	f := &Frontend{Proxy: newTestRelay(t, protocols[1], 1, nil).proxy, Placements: places}
 	attach := func(address string, props codec.Map) framing.Performative {
 		return framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{address}}, nil, nil, uint32(0), nil, nil, nil, props}}
 	}
@@ -216,7 +216,7 @@
 	}{
 		{"scores/12", "x", nil, "page", "", 900 * time.Millisecond, hashKey("scores/12")},
 		{"scores/12", "x", codec.Map{codec.Symbol(propGroup), "ab", codec.Symbol(propDeadline), uint32(300)}, "page", "", 300 * time.Millisecond, 0xab},
-		{"other", "desk-3", nil, "page", "", patience, 0},
+		{"other", "desk-3", nil, "page", "", clientTimeout, 0},
 		{"scores/1/preview", "x", nil, "", `"none" is no known class`, 0, 0},
 		{"other", "x", nil, "", `no class is told: there is neither the property "class" nor a rule for the address "other" of the container "x"`, 0, 0},
 		{"other", "x", codec.Map{codec.Symbol(propClass), "page"}, "", `"give-up-ms"`, 0, 0},
@@ -241,28 +241,28 @@
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	w := wireOf(func(f *Frontend) { f.Placements = places }, nil)
-	r := newRig(t, w, 1, nil)
-	c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
+	protocol := amqpProtocol(func(f *Frontend) { f.Placements = places }, nil)
+	relay := newTestRelay(t, protocol, 1, nil)
+	c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = c.Close() }()
-	if err := opens(c, "scores/7", nil); err != nil {
+	if err := attachTo(c, "scores/7", nil); err != nil {
 		t.Errorf("a plain client: %v", err)
 	}
-	if err := opens(c, "elsewhere", nil); err == nil || !strings.Contains(err.Error(), "no class is told") {
+	if err := attachTo(c, "elsewhere", nil); err == nil || !strings.Contains(err.Error(), "no class is told") {
 		t.Errorf("one that no rule fits: %v", err)
 	}
 }
 
 // Where the settings name tenants an attach has to name one of them, as an opening on the line does.
 func TestAttachesNameATenant(t *testing.T) {
-	r := newRig(t, wires[1], 1, nil)
-	terms := *r.core.Settings()
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	terms := *relay.proxy.Settings()
 	terms.Tenants = []string{"fraser", "cedar"}
-	r.core.UpdateSettings(&terms)
-	f := &Frontend{Proxy: r.core}
+	relay.proxy.UpdateSettings(&terms)
+	f := &Frontend{Proxy: relay.proxy}
 	for tenant, wrong := range map[any]string{nil: `"" is no known tenant`, "other": `"other" is no known tenant`, "cedar": ""} {
 		props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(300)}
 		if tenant != nil {
@@ -302,13 +302,13 @@
 		{"tls, a password known again", gate, trusts, client10.SASLTypePlain("ann", "ann's")},
 	} {
 		b.Run(way.name, func(b *testing.B) {
-			r := newRig(b, wireOf(func(f *Frontend) { f.Authenticator = way.gate }, nil), 1, nil)
+			relay := newTestRelay(b, amqpProtocol(func(f *Frontend) { f.Authenticator = way.gate }, nil), 1, nil)
 			for b.Loop() {
-				c, err := dialSecured(r.address, way.config, way.as)
+				c, err := dialSecured(relay.address, way.config, way.as)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := opens(c, "there", linkProperties()); err != nil {
+				if err := attachTo(c, "there", linkProperties()); err != nil {
 					b.Fatal(err)
 				}
 				_ = c.Close()
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -35,34 +35,34 @@
 	nextDeliveryID       uint32 // number of our next delivery
 }
 
-func newSession(c *connection, channel uint16) *session {
-	return &session{connection: c, channel: channel, windowOpened: make(chan struct{}), incomingWindow: sessionWindow}
+func newSession(conn *connection, channel uint16) *session {
+	return &session{connection: conn, channel: channel, windowOpened: make(chan struct{}), incomingWindow: sessionWindow}
 }
 
 // writeFrame sends a frame of the session.
-func (s *session) writeFrame(channel uint16, p framing.Performative, payload []byte) error {
-	return s.connection.writeUnlessEnded(channel, p, payload, s.endWritten)
+func (s *session) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
+	return s.connection.writeUnlessEnded(channel, performative, payload, s.endWritten)
 }
 
 // writeInitial sends the frames that begin something of the session, in one piece. It waits for others who write on the connection,
 // no longer than ctx; may is asked just before anything goes out.
-func (s *session) writeInitial(ctx context.Context, may func() bool, frames ...framing.Performative) error {
-	c := s.connection
-	if !c.mu.LockContext(ctx) {
+func (s *session) writeInitial(ctx context.Context, permitted func() bool, frames ...framing.Performative) error {
+	conn := s.connection
+	if !conn.mu.LockContext(ctx) {
 		return ctx.Err()
 	}
-	defer c.mu.Unlock()
-	if c.writesClosed {
+	defer conn.mu.Unlock()
+	if conn.writesClosed {
 		return errConnectionClosing
 	}
-	if !may() {
+	if !permitted() {
 		return errNoLongerPermitted
 	}
-	c.writeBuffer = c.writeBuffer[:0]
-	for _, p := range frames {
-		c.writeBuffer = framing.AppendFrame(c.writeBuffer, framing.TypeAMQP, s.channel, p, nil)
+	conn.writeBuffer = conn.writeBuffer[:0]
+	for _, performative := range frames {
+		conn.writeBuffer = framing.AppendFrame(conn.writeBuffer, framing.TypeAMQP, s.channel, performative, nil)
 	}
-	return c.flush()
+	return conn.flush()
 }
 
 // newBegin is the relay's begin; remote is the channel it answers, or nil.
@@ -71,25 +71,25 @@
 }
 
 // applyBegin takes the peer's begin.
-func (s *session) applyBegin(p framing.Performative) error {
-	if err := p.RequireUint32(1, 2, 3); err != nil {
+func (s *session) applyBegin(performative framing.Performative) error {
+	if err := performative.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nextIncomingID, s.remoteIncomingWindow = p.Uint32(1, 0), p.Uint32(2, 0)
+	s.nextIncomingID, s.remoteIncomingWindow = performative.Uint32(1, 0), performative.Uint32(2, 0)
 	return nil
 }
 
 // applyFlow takes the session's part of a flow of the peer.
-func (s *session) applyFlow(p framing.Performative) {
+func (s *session) applyFlow(performative framing.Performative) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ended { // it was ended while the flow was in hand
 		return
 	}
 	// What the peer still takes counts from the transfers that it has seen.
-	s.remoteIncomingWindow = p.Uint32(0, 0) + p.Uint32(1, 0) - s.nextOutgoingID
+	s.remoteIncomingWindow = performative.Uint32(0, 0) + performative.Uint32(1, 0) - s.nextOutgoingID
 	if int32(s.remoteIncomingWindow) < 0 {
 		s.remoteIncomingWindow = 0
 	}
@@ -98,12 +98,12 @@
 }
 
 // handleFlow takes the session's part of a flow.
-func (s *session) handleFlow(p framing.Performative) error {
-	if err := p.RequireUint32(1, 2, 3); err != nil {
+func (s *session) handleFlow(performative framing.Performative) error {
+	if err := performative.RequireUint32(1, 2, 3); err != nil {
 		return err
 	}
-	s.applyFlow(p)
-	if p.Field(4) == nil && p.Bool(9) {
+	s.applyFlow(performative)
+	if performative.Field(4) == nil && performative.Bool(9) {
 		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
@@ -123,8 +123,8 @@
 
 // awaitWindow waits until the peer takes another transfer.
 func (s *session) awaitWindow() error {
-	late := time.NewTimer(writeTimeout)
-	defer late.Stop()
+	timer := time.NewTimer(writeTimeout)
+	defer timer.Stop()
 	for {
 		s.mu.Lock()
 		opened := s.windowOpened
@@ -141,7 +141,7 @@
 		s.mu.Unlock()
 		select {
 		case <-opened:
-		case <-late.C:
+		case <-timer.C:
 			return errWindowClosed
 		}
 	}
@@ -156,16 +156,16 @@
 }
 
 // sendTransfer sends a transfer in as many frames as the peer wants.
-func (s *session) sendTransfer(p framing.Performative, payload []byte) error {
-	room := s.maxPayload(p.With(5, true))
+func (s *session) sendTransfer(performative framing.Performative, payload []byte) error {
+	room := s.maxPayload(performative.With(5, true))
 	for {
 		if err := s.awaitWindow(); err != nil {
 			return err
 		}
 		if len(payload) <= room {
-			return s.writeFrame(s.channel, p, payload)
+			return s.writeFrame(s.channel, performative, payload)
 		}
-		if err := s.writeFrame(s.channel, p.With(5, true), payload[:room]); err != nil {
+		if err := s.writeFrame(s.channel, performative.With(5, true), payload[:room]); err != nil {
 			return err
 		}
 		payload = payload[room:]
@@ -174,7 +174,7 @@
 
 // receiveTransfer counts a transfer that came in, and opens the window again in time. One that
 // waits before it goes on is to be freed.
-func (s *session) receiveTransfer(waits bool) error {
+func (s *session) receiveTransfer(pending bool) error {
 	s.mu.Lock()
 	if s.incomingWindow == 0 {
 		s.mu.Unlock()
@@ -182,12 +182,12 @@
 	}
 	s.nextIncomingID++
 	s.incomingWindow--
-	if waits {
+	if pending {
 		s.pendingTransfers++
 	}
-	again := s.needsWindowUpdate()
+	reopen := s.needsWindowUpdate()
 	s.mu.Unlock()
-	if again {
+	if reopen {
 		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
@@ -203,18 +203,18 @@
 func (s *session) releaseTransfers(n int) {
 	s.mu.Lock()
 	s.pendingTransfers -= uint32(n)
-	again := n > 0 && !s.ended && s.needsWindowUpdate() && sessionWindow-s.pendingTransfers-s.incomingWindow >= sessionWindow/8
+	reopen := n > 0 && !s.ended && s.needsWindowUpdate() && sessionWindow-s.pendingTransfers-s.incomingWindow >= sessionWindow/8
 	s.mu.Unlock()
-	if again {
+	if reopen {
 		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // if this fails, the reader sees why
 	}
 }
 
 // sendFlow sends a flow: the session's part is the relay's own, the rest as given.
-func (s *session) sendFlow(p framing.Performative) error {
+func (s *session) sendFlow(performative framing.Performative) error {
 	s.mu.Lock()
 	s.incomingWindow = sessionWindow - min(s.pendingTransfers, sessionWindow)
-	p = p.With(0, s.nextIncomingID).With(1, s.incomingWindow).With(2, s.nextOutgoingID).With(3, uint32(sessionWindow))
+	performative = performative.With(0, s.nextIncomingID).With(1, s.incomingWindow).With(2, s.nextOutgoingID).With(3, uint32(sessionWindow))
 	s.mu.Unlock()
-	return s.writeFrame(s.channel, p, nil)
+	return s.writeFrame(s.channel, performative, nil)
 }
--- a/internal/frontend/amqp/sharedconn.go
+++ b/internal/frontend/amqp/sharedconn.go
@@ -45,39 +45,39 @@
 }
 
 // openSession opens a session at a server, on a connection that others share or that is brought up for it.
-func (t *sharedConnections) openSession(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*sharedSession, connpool.ID, error) {
+func (s *sharedConnections) openSession(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*sharedSession, connpool.ID, error) {
 	for {
-		t.mu.Lock()
-		if t.closed {
-			t.mu.Unlock()
+		s.mu.Lock()
+		if s.closed {
+			s.mu.Unlock()
 			return nil, 0, errConnectionClosing
 		}
-		id, dial := t.pool.Take(address)
-		tr := t.connections[id]
+		id, dial := s.pool.Take(address)
+		conn := s.connections[id]
 		if dial {
-			tr = &sharedConnection{id: id, address: address, ready: make(chan struct{}), done: make(chan struct{})}
-			t.connections[id] = tr
-			go t.connect(tr, to, bound)
+			conn = &sharedConnection{id: id, address: address, ready: make(chan struct{}), done: make(chan struct{})}
+			s.connections[id] = conn
+			go s.connect(conn, endpoint, timeout)
 		}
-		t.mu.Unlock()
+		s.mu.Unlock()
 		select {
-		case <-tr.ready:
+		case <-conn.ready:
 		case <-ctx.Done():
-			t.release(tr)
+			s.release(conn)
 			return nil, 0, ctx.Err()
 		}
-		if tr.err != nil {
-			t.release(tr)
-			return nil, 0, tr.err
+		if conn.err != nil {
+			s.release(conn)
+			return nil, 0, conn.err
 		}
-		l, err := tr.multiplexer.openSession(tr.peerMaxChannel, func() { t.release(tr) })
-		if l != nil {
-			return l, id, nil
+		shared, err := conn.multiplexer.openSession(conn.peerMaxChannel, func() { s.release(conn) })
+		if shared != nil {
+			return shared, id, nil
 		}
-		t.release(tr)
+		s.release(conn)
 		if err != nil { // it has come to its end meanwhile: another is chosen once the pool knows
 			select {
-			case <-tr.done:
+			case <-conn.done:
 			case <-ctx.Done():
 				return nil, 0, ctx.Err()
 			}
@@ -86,119 +86,119 @@
 }
 
 // release gives a place on a trunk back.
-func (t *sharedConnections) release(tr *sharedConnection) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.pool.Done(t.frontend.Proxy.Clock.Now(), tr.id)
-	t.closeIdle()
+func (s *sharedConnections) release(conn *sharedConnection) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pool.Done(s.frontend.Proxy.Clock.Now(), conn.id)
+	s.closeIdle()
 }
 
 // connect dials a server. What comes of it is every waiting transaction's.
-func (t *sharedConnections) connect(tr *sharedConnection, to registry.Endpoint, bound time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
-	u, err := t.frontend.dial(ctx, tr.address, bound)
+func (s *sharedConnections) connect(conn *sharedConnection, endpoint registry.Endpoint, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	dialed, err := s.frontend.dial(ctx, conn.address, timeout)
 	cancel()
-	t.mu.Lock()
+	s.mu.Lock()
 	if err == nil {
-		tr.multiplexer, tr.tcp, tr.peerMaxChannel = newMultiplexer(u.connection), u.tcp, min(u.peerMaxChannel, uint16(t.frontend.Pool.MaxSessions-1))
+		conn.multiplexer, conn.tcp, conn.peerMaxChannel = newMultiplexer(dialed.connection), dialed.tcp, min(dialed.peerMaxChannel, uint16(s.frontend.Pool.MaxSessions-1))
 	}
-	if tr.err = err; err == nil && t.closed {
-		tr.err = errConnectionClosing
-		u.tcp.Close()
+	if conn.err = err; err == nil && s.closed {
+		conn.err = errConnectionClosing
+		dialed.tcp.Close()
 	}
-	if tr.err != nil {
-		t.remove(tr)
-		close(tr.ready)
-		t.mu.Unlock()
+	if conn.err != nil {
+		s.remove(conn)
+		close(conn.ready)
+		s.mu.Unlock()
 		return
 	}
-	t.pool.Opened(tr.id, int(tr.peerMaxChannel)+1)
-	close(tr.ready)
-	t.mu.Unlock()
-	go u.sendHeartbeats(u.peerIdleTimeout, tr.done)
-	if to.Draining != nil {
+	s.pool.Opened(conn.id, int(conn.peerMaxChannel)+1)
+	close(conn.ready)
+	s.mu.Unlock()
+	go dialed.sendHeartbeats(dialed.peerIdleTimeout, conn.done)
+	if endpoint.Draining != nil {
 		go func() {
 			select {
-			case <-tr.done:
-			case <-to.Draining: // its clients are moved; the connection goes with the last
-				t.mu.Lock()
-				t.pool.Shut(tr.id)
-				t.closeIdle()
-				t.mu.Unlock()
+			case <-conn.done:
+			case <-endpoint.Draining: // its clients are moved; the connection goes with the last
+				s.mu.Lock()
+				s.pool.Shut(conn.id)
+				s.closeIdle()
+				s.mu.Unlock()
 			}
 		}()
 	}
-	tr.multiplexer.serve(endpointSilenceTimeout)
-	tr.tcp.Close()
-	t.mu.Lock()
-	t.remove(tr)
-	t.mu.Unlock()
+	conn.multiplexer.serve(endpointSilenceTimeout)
+	conn.tcp.Close()
+	s.mu.Lock()
+	s.remove(conn)
+	s.mu.Unlock()
 }
 
 // remove forgets a trunk that is gone. The caller holds the lock.
-func (t *sharedConnections) remove(tr *sharedConnection) {
-	t.pool.Lost(tr.id)
-	delete(t.connections, tr.id)
-	close(tr.done)
+func (s *sharedConnections) remove(conn *sharedConnection) {
+	s.pool.Lost(conn.id)
+	delete(s.connections, conn.id)
+	close(conn.done)
 }
 
 // closeIdle closes the trunks that have idled long enough, and looks again when the next ones have. The caller holds the lock.
-func (t *sharedConnections) closeIdle() {
-	now := t.frontend.Proxy.Clock.Now()
-	out, next := t.pool.Idle(now)
+func (s *sharedConnections) closeIdle() {
+	now := s.frontend.Proxy.Clock.Now()
+	out, next := s.pool.Idle(now)
 	for _, id := range out {
-		if tr := t.connections[id]; !tr.closing {
-			tr.closing = true
-			go tr.closeGracefully()
+		if conn := s.connections[id]; !conn.closing {
+			conn.closing = true
+			go conn.closeGracefully()
 		}
 	}
-	if t.idleTimer != nil {
-		t.idleTimer.Stop()
-		t.idleTimer = nil
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
+		s.idleTimer = nil
 	}
-	if next > 0 && !t.closed {
-		t.idleTimer = time.AfterFunc(next-now, func() {
-			t.mu.Lock()
-			defer t.mu.Unlock()
-			t.closeIdle()
+	if next > 0 && !s.closed {
+		s.idleTimer = time.AfterFunc(next-now, func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.closeIdle()
 		})
 	}
 }
 
 // closeGracefully closes a trunk in good order, without waiting for the server for long.
-func (tr *sharedConnection) closeGracefully() {
-	tr.multiplexer.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
-	_ = tr.multiplexer.CloseWrite()
+func (conn *sharedConnection) closeGracefully() {
+	conn.multiplexer.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+	_ = conn.multiplexer.CloseWrite()
 	select {
-	case <-tr.done:
+	case <-conn.done:
 	case <-time.After(closeTimeout):
 	}
-	tr.tcp.Close()
+	conn.tcp.Close()
 }
 
 // close closes all trunks: the front has seen its clients through.
-func (t *sharedConnections) close() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.closed = true
-	t.closeIdle()
-	for _, tr := range t.connections {
-		if tr.tcp != nil {
-			tr.tcp.Close()
+func (s *sharedConnections) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	s.closeIdle()
+	for _, conn := range s.connections {
+		if conn.tcp != nil {
+			conn.tcp.Close()
 		}
 	}
 }
 
 // endSession ends a session from here, and shuts its trunk if the server does not let go of it.
-func (t *sharedConnections) endSession(id connpool.ID, l *sharedSession) {
-	if l.endLocally() {
+func (s *sharedConnections) endSession(id connpool.ID, shared *sharedSession) {
+	if shared.endLocally() {
 		return
 	}
 	time.AfterFunc(sessionEndTimeout, func() {
-		if !l.isEndedRemotely() {
-			t.mu.Lock()
-			defer t.mu.Unlock()
-			t.pool.Shut(id)
+		if !shared.isEndedRemotely() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.pool.Shut(id)
 		}
 	})
 }
