--- a/internal/frontend/amqp/sharedsession.go
+++ b/internal/frontend/amqp/sharedsession.go
@@ -28,93 +28,93 @@
 }
 
 // enqueue takes a frame of the peer for whoever reads the lane.
-func (l *sharedSession) enqueue(f framing.Frame) {
-	l.mu.Lock()
-	transfer := f.Code == framing.CodeTransfer
-	over := transfer && l.queuedTransfers >= sessionWindow || len(l.queue)-l.queuedTransfers >= maxPendingControlFrames
-	if !l.endedLocally && !over {
-		l.queue = append(l.queue, f)
+func (s *sharedSession) enqueue(frame framing.Frame) {
+	s.mu.Lock()
+	transfer := frame.Code == framing.CodeTransfer
+	overflow := transfer && s.queuedTransfers >= sessionWindow || len(s.queue)-s.queuedTransfers >= maxPendingControlFrames
+	if !s.endedLocally && !overflow {
+		s.queue = append(s.queue, frame)
 		if transfer {
-			l.queuedTransfers++
+			s.queuedTransfers++
 		}
 	}
-	ended := l.endedLocally
-	l.mu.Unlock()
-	if over && !ended {
-		l.endRemotely(framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more than the session's window takes"})
-		l.endLocally()
+	ended := s.endedLocally
+	s.mu.Unlock()
+	if overflow && !ended {
+		s.endRemotely(framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more than the session's window takes"})
+		s.endLocally()
 		return
 	}
-	l.notify()
+	s.notify()
 }
 
-func (l *sharedSession) notify() {
+func (s *sharedSession) notify() {
 	select {
-	case l.changed <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
 // endRemotely notes that nothing more comes; what has come is still to be read.
-func (l *sharedSession) endRemotely(err error) {
-	l.mu.Lock()
-	if !l.endedRemotely {
-		l.endedRemotely, l.err = true, err
+func (s *sharedSession) endRemotely(err error) {
+	s.mu.Lock()
+	if !s.endedRemotely {
+		s.endedRemotely, s.err = true, err
 	}
-	l.mu.Unlock()
-	l.session.markEnded()
-	l.notify()
+	s.mu.Unlock()
+	s.session.markEnded()
+	s.notify()
 }
 
 // setDeadline has nothing waited for after a time.
-func (l *sharedSession) setDeadline(late time.Time) {
-	l.mu.Lock()
-	l.deadline = late
-	l.mu.Unlock()
-	l.notify()
+func (s *sharedSession) setDeadline(deadline time.Time) {
+	s.mu.Lock()
+	s.deadline = deadline
+	s.mu.Unlock()
+	s.notify()
 }
 
 // nextFrame waits for the next frame. It fails at the end of the session or of the connection, and with
 // os.ErrDeadlineExceeded once the wait, if it is over 0, or the bound is over.
-func (l *sharedSession) nextFrame(wait time.Duration) (framing.Frame, error) {
-	var by time.Time
+func (s *sharedSession) nextFrame(wait time.Duration) (framing.Frame, error) {
+	var waitUntil time.Time
 	if wait > 0 {
-		by = time.Now().Add(wait)
+		waitUntil = time.Now().Add(wait)
 	}
 	for {
-		l.mu.Lock()
-		if len(l.queue) > 0 {
-			f := l.queue[0]
-			l.queue[0] = framing.Frame{}
-			l.queue = l.queue[1:]
-			if f.Code == framing.CodeTransfer {
-				l.queuedTransfers--
+		s.mu.Lock()
+		if len(s.queue) > 0 {
+			frame := s.queue[0]
+			s.queue[0] = framing.Frame{}
+			s.queue = s.queue[1:]
+			if frame.Code == framing.CodeTransfer {
+				s.queuedTransfers--
 			}
-			l.mu.Unlock()
-			return f, nil
+			s.mu.Unlock()
+			return frame, nil
 		}
-		done, err, late := l.endedRemotely || l.endedLocally, l.err, l.deadline
-		l.mu.Unlock()
+		done, err, deadline := s.endedRemotely || s.endedLocally, s.err, s.deadline
+		s.mu.Unlock()
 		if done {
 			if err == nil {
 				err = errConnectionClosing
 			}
 			return framing.Frame{}, err
 		}
-		if !by.IsZero() && (late.IsZero() || by.Before(late)) {
-			late = by
+		if !waitUntil.IsZero() && (deadline.IsZero() || waitUntil.Before(deadline)) {
+			deadline = waitUntil
 		}
-		if late.IsZero() {
-			<-l.changed
+		if deadline.IsZero() {
+			<-s.changed
 			continue
 		}
-		left := time.Until(late)
+		left := time.Until(deadline)
 		if left <= 0 {
 			return framing.Frame{}, os.ErrDeadlineExceeded
 		}
 		timer := time.NewTimer(left)
 		select {
-		case <-l.changed:
+		case <-s.changed:
 		case <-timer.C:
 		}
 		timer.Stop()
@@ -123,48 +123,48 @@
 
 // endLocally ends the session from here. What the peer still says of it is left aside. It tells whether the peer has ended it
 // as well.
-func (l *sharedSession) endLocally() bool {
-	l.mu.Lock()
-	l.queue, l.queuedTransfers = nil, 0
-	l.mu.Unlock()
-	l.sendEnd()
-	return l.isEndedRemotely()
+func (s *sharedSession) endLocally() bool {
+	s.mu.Lock()
+	s.queue, s.queuedTransfers = nil, 0
+	s.mu.Unlock()
+	s.sendEnd()
+	return s.isEndedRemotely()
 }
 
-func (l *sharedSession) isEndedRemotely() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.endedRemotely
+func (s *sharedSession) isEndedRemotely() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.endedRemotely
 }
 
 // announce tells whether the session may begin: it does, unless it was ended before.
-func (l *sharedSession) announce() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.announced = !l.endedLocally
-	return l.announced
+func (s *sharedSession) announce() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.announced = !s.endedLocally
+	return s.announced
 }
 
 // sendEnd says the end from here, once; with the peer's the channels are free again. The peer is told nothing of a session of
 // which it has heard nothing.
-func (l *sharedSession) sendEnd() {
-	l.mu.Lock()
-	first := !l.endedLocally
-	l.endedLocally = true
-	if !l.announced {
-		first, l.endSent, l.endedRemotely = false, true, true
+func (s *sharedSession) sendEnd() {
+	s.mu.Lock()
+	first := !s.endedLocally
+	s.endedLocally = true
+	if !s.announced {
+		first, s.endSent, s.endedRemotely = false, true, true
 	}
-	l.mu.Unlock()
+	s.mu.Unlock()
 	if first {
-		l.session.markEnded()
-		l.writeFrame(l.channel, framing.Performative{Code: framing.CodeEnd}, nil) // if this fails, so does the connection's reader
-		l.notify()
+		s.session.markEnded()
+		s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil) // if this fails, so does the connection's reader
+		s.notify()
 	}
-	l.mu.Lock()
-	l.endSent = l.endSent || first
-	over := l.endSent && l.endedRemotely
-	l.mu.Unlock()
-	if over {
-		l.multiplexer.releaseChannels(l)
+	s.mu.Lock()
+	s.endSent = s.endSent || first
+	overflow := s.endSent && s.endedRemotely
+	s.mu.Unlock()
+	if overflow {
+		s.multiplexer.releaseChannels(s)
 	}
 }
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -15,9 +15,9 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// stalls answers the attach with a lot of credit, and then reads nothing more.
-func stalls(t testing.TB, tcp *net.TCPConn, release <-chan struct{}) {
-	c, ok := greetClient(t, tcp)
+// stallAfterAttach answers the attach with a lot of credit, and then reads nothing more.
+func stallAfterAttach(t testing.TB, tcp *net.TCPConn, release <-chan struct{}) {
+	c, ok := negotiateAsEndpoint(t, tcp)
 	if !ok {
 		return
 	}
@@ -28,7 +28,7 @@
 			return
 		}
 		if f.Code != framing.CodeAttach {
-			opened(c, s, f)
+			answerOpenOrBegin(c, s, f)
 			continue
 		}
 		c.writeFrame(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
@@ -38,18 +38,18 @@
 	}
 }
 
-// settles takes every delivery.
-func settles(tcp *net.TCPConn) {
+// settleAll takes every delivery.
+func settleAll(tcp *net.TCPConn) {
 	p, err := AcceptPeer(tcp, serverWait, false)
 	if err != nil {
 		return
 	}
 	defer p.Close()
-	settlesAt(p, 20, func() bool { return true })
+	settleSession(p, 20, func() bool { return true })
 }
 
-// settlesAt takes every delivery of a session until its end, or until an attach is not to be taken.
-func settlesAt(p *Peer, credit uint32, attaching func() bool) {
+// settleSession takes every delivery of a session until its end, or until an attach is not to be taken.
+func settleSession(p *Peer, credit uint32, attaching func() bool) {
 	for n := uint32(0); ; {
 		e, err := p.Next()
 		switch {
@@ -70,19 +70,19 @@
 	}
 }
 
-// stallRig has a relay with two servers, of which one reads nothing after an attach. It
+// newRelayWithStalledEndpoint has a relay with two servers, of which one reads nothing after an attach. It
 // returns the relay's address, and the groups that lead to the two.
-func stallRig(t *testing.T) (address, stalled, sound string) {
+func newRelayWithStalledEndpoint(t *testing.T) (address, stalled, sound string) {
 	t.Helper()
-	r := newRig(t, wires[1], 0, nil)
+	relay := newTestRelay(t, protocols[1], 0, nil)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	which := make(chan string, 64)
 	serve := func(name string, do func(*net.TCPConn)) {
 		l := listen(t)
 		t.Cleanup(func() { l.Close() })
-		id := r.core.Endpoints.ID(name)
-		r.farm, r.names = append(r.farm, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(r.names, l.Addr().String())
+		id := relay.proxy.Endpoints.ID(name)
+		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(relay.endpointAddresses, l.Addr().String())
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -94,13 +94,13 @@
 			}
 		}()
 	}
-	serve("s-1", func(c *net.TCPConn) { stalls(t, c, release) })
-	serve("s-2", settles)
-	r.core.UpdateEndpoints(balancer.ListFull, r.farm, r.names)
+	serve("s-1", func(c *net.TCPConn) { stallAfterAttach(t, c, release) })
+	serve("s-2", settleAll)
+	relay.proxy.UpdateEndpoints(balancer.ListFull, relay.endpoints, relay.endpointAddresses)
 	for i := 0; stalled == "" || sound == ""; i++ { // which groups are drawn to which server
 		group := fmt.Sprintf("%x", 1000+i)
 		ctx, leave := context.WithTimeout(context.Background(), serverWait)
-		c, err := client10.Dial(ctx, "amqp://"+r.address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "probe " + group})
+		c, err := client10.Dial(ctx, "amqp://"+relay.address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "probe " + group})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 		_ = c.Close()
 		leave()
 	}
-	return r.address, stalled, sound
+	return relay.address, stalled, sound
 }
 
 func props(group string) map[string]any {
@@ -131,7 +131,7 @@
 // connection: reads of the connection once waited for the full window of the one, and
 // a delivery on the healthy link took 4.3 s.
 func TestServerThatStopsReadingDelaysNoOtherLink(t *testing.T) {
-	address, stalled, sound := stallRig(t)
+	address, stalled, sound := newRelayWithStalledEndpoint(t)
 	ctx, leave := context.WithTimeout(context.Background(), 20*time.Second)
 	defer leave()
 	c, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "two links"})
--- a/internal/frontend/amqp/trunks_test.go
+++ b/internal/frontend/amqp/trunks_test.go
@@ -18,30 +18,30 @@
 	"lockroad/internal/testutil"
 )
 
-// shares is a stand-in of a server that takes any number of sessions on a connection, and counts both.
-type shares struct {
-	conns, sessions, most atomic.Int64 // most: channels in use on one connection at a time
-	attaching             func(conn, session int64) bool
+// sharedEndpoint is a stand-in of a server that takes any number of sessions on a connection, and counts both.
+type sharedEndpoint struct {
+	connections, sessions, maxSessions atomic.Int64 // most: channels in use on one connection at a time
+	acceptAttach                       func(conn, session int64) bool
 }
 
-func (s *shares) serve(_ testing.TB, tcp *net.TCPConn, _ *script) {
+func (s *sharedEndpoint) serve(_ testing.TB, tcp *net.TCPConn, _ *scenario) {
 	c, err := AcceptPeerConn(tcp, serverWait, false)
 	if err != nil {
 		return
 	}
-	number := s.conns.Add(1)
+	number := s.connections.Add(1)
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer c.Close()
 	for p := c.Session(); p != nil; p = c.Session() {
 		n := s.sessions.Add(1)
-		if now := int64(p.channel) + 1; now > s.most.Load() { // the lowest that is free is taken
-			s.most.Store(now)
+		if now := int64(p.channel) + 1; now > s.maxSessions.Load() { // the lowest that is free is taken
+			s.maxSessions.Store(now)
 		}
 		all.Go(func() {
 			defer p.End()
-			settlesAt(p, 50, func() bool {
-				if s.attaching == nil || s.attaching(number, n) {
+			settleSession(p, 50, func() bool {
+				if s.acceptAttach == nil || s.acceptAttach(number, n) {
 					return true
 				}
 				tcp.Close()
@@ -51,18 +51,18 @@
 	}
 }
 
-// sharedRig is a relay whose transactions share connections to one server.
-func sharedRig(t testing.TB, s *shares, set connpool.Settings) *rig {
+// newSharedTestRelay is a relay whose transactions share connections to one server.
+func newSharedTestRelay(t testing.TB, s *sharedEndpoint, set connpool.Settings) *testRelay {
 	t.Helper()
-	w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
-	w.server = s.serve
-	return newSeatedRig(t, w, 1, nil, 2000)
+	protocol := amqpProtocol(func(f *Frontend) { f.Pool = set }, nil)
+	protocol.serveEndpoint = s.serve
+	return newTestRelayWithSlots(t, protocol, 1, nil, 2000)
 }
 
 // clientOf is a session of an independent client.
-func clientOf(t testing.TB, r *rig) *client10.Session {
+func clientOf(t testing.TB, relay *testRelay) *client10.Session {
 	t.Helper()
-	c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
+	c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	return sender
 }
 
-func say(t testing.TB, sender *client10.Sender) {
+func sendOne(t testing.TB, sender *client10.Sender) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -98,33 +98,33 @@
 // Seven transactions go over as few connections as the settings and the server allow, one after another over the
 // same; a connection without any is closed in its time.
 func TestTransactionsShareConnections(t *testing.T) {
-	s := &shares{}
-	r := sharedRig(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: 300 * time.Millisecond})
-	c := clientOf(t, r)
+	s := &sharedEndpoint{}
+	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: 300 * time.Millisecond})
+	c := clientOf(t, relay)
 	var all []*client10.Sender
 	for i := range 7 {
 		all = append(all, attach(t, c, fmt.Sprint("link ", i)))
 	}
 	for _, one := range all {
-		say(t, one)
+		sendOne(t, one)
 	}
-	if n, most := s.conns.Load(), s.most.Load(); n != 3 || most != 3 {
+	if n, most := s.connections.Load(), s.maxSessions.Load(); n != 3 || most != 3 {
 		t.Errorf("%d connections, of which one had %d sessions", n, most)
 	}
 	for _, one := range all {
 		_ = one.Close(t.Context())
 	}
-	testutil.Until(t, "a transaction is left", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "a transaction is left", func() bool { return relay.proxy.Requests.Len() == 0 })
 	for i := range 3 {
 		one := attach(t, c, fmt.Sprint("again ", i))
-		say(t, one)
+		sendOne(t, one)
 		_ = one.Close(t.Context())
 	}
-	if n := s.conns.Load(); n != 3 {
+	if n := s.connections.Load(); n != 3 {
 		t.Errorf("transactions one after another make %d connections of 3", n)
 	}
-	testutil.Until(t, "connections stay", func() bool { return descriptorsTo(r.names[0]) == 0 })
-	say(t, attach(t, c, "late"))
+	testutil.Until(t, "connections stay", func() bool { return descriptorsTo(relay.endpointAddresses[0]) == 0 })
+	sendOne(t, attach(t, c, "late"))
 }
 
 // descriptorsTo counts this process's connections whose other end is an address, by the system's own table.
@@ -148,9 +148,9 @@
 // A connection that breaks ends each of its transactions cleanly, and none of another connection's; those that were on
 // their way are tried elsewhere or answered.
 func TestOneConnectionsEndIsItsOwn(t *testing.T) {
-	s := &shares{attaching: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
-	r := sharedRig(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: time.Minute})
-	c := clientOf(t, r)
+	s := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
+	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: time.Minute})
+	c := clientOf(t, relay)
 	var all []*client10.Sender
 	for i := range 4 {
 		all = append(all, attach(t, c, fmt.Sprint("link ", i)))
@@ -161,30 +161,30 @@
 		t.Logf("the fifth is told %v", err) // there is but one server, which it has tried
 	}
 	for _, one := range all[:3] {
-		say(t, one)
+		sendOne(t, one)
 	}
 	if err := all[3].Send(ctx, client10.NewMessage([]byte("n")), nil); err == nil {
 		t.Error("the fourth's connection has broken, and it goes on")
 	}
-	testutil.Until(t, "the fourth is still there", func() bool { return r.core.Requests.Len() == 3 })
+	testutil.Until(t, "the fourth is still there", func() bool { return relay.proxy.Requests.Len() == 3 })
 }
 
 // Many come and go at once: each is answered, and in the end nothing is left of any.
 func TestSharedConnectionsUnderLoad(t *testing.T) {
-	s := &shares{}
-	r := sharedRig(t, s, connpool.Settings{MaxSessions: 5, IdleTimeout: 100 * time.Millisecond})
+	s := &sharedEndpoint{}
+	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 5, IdleTimeout: 100 * time.Millisecond})
 	before := runtime.NumGoroutine()
 	var all sync.WaitGroup
 	for i := range 40 {
 		all.Go(func() {
-			c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
+			c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 			if err != nil {
 				t.Error(err)
 				return
 			}
 			defer func() { _ = c.Close() }()
 			for range 1 + i%4 {
-				if err := opens(c, "there", linkProperties()); err != nil {
+				if err := attachTo(c, "there", linkProperties()); err != nil {
 					t.Errorf("client %d: %v", i, err)
 				}
 			}
@@ -192,27 +192,27 @@
 	}
 	all.Wait()
 	testutil.Until(t, "something is left", func() bool {
-		return r.core.Requests.Len() == 0 && descriptorsTo(r.names[0]) == 0 && runtime.NumGoroutine() <= before+2
+		return relay.proxy.Requests.Len() == 0 && descriptorsTo(relay.endpointAddresses[0]) == 0 && runtime.NumGoroutine() <= before+2
 	})
-	if s.most.Load() > 5 {
-		t.Errorf("%d sessions on one connection", s.most.Load())
+	if s.maxSessions.Load() > 5 {
+		t.Errorf("%d sessions on one connection", s.maxSessions.Load())
 	}
 }
 
 // A server that drains gets nothing new over the connection that it has, which goes with its last transaction.
 func TestDrainedServersConnectionEmpties(t *testing.T) {
-	s := &shares{}
-	r := sharedRig(t, s, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
-	c := clientOf(t, r)
+	s := &sharedEndpoint{}
+	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
+	c := clientOf(t, relay)
 	attach(t, c, "one")
-	r.farm[0].State = balancer.StateDraining
-	r.core.UpdateEndpoints(balancer.ListDelta, r.farm, r.names)
+	relay.endpoints[0].State = balancer.StateDraining
+	relay.proxy.UpdateEndpoints(balancer.ListDelta, relay.endpoints, relay.endpointAddresses)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if _, err := c.NewSender(ctx, "there", &client10.SenderOptions{Name: "two", Properties: linkProperties()}); err == nil {
 		t.Error("a server that drains got another")
 	}
-	testutil.Until(t, "the connection stays, though its clients were moved", func() bool { return descriptorsTo(r.names[0]) == 0 })
+	testutil.Until(t, "the connection stays, though its clients were moved", func() bool { return descriptorsTo(relay.endpointAddresses[0]) == 0 })
 }
 
 // BenchmarkSetUp is the time from a link's attach to its answer, with a connection to the server for each and with shared
@@ -223,8 +223,8 @@
 		set  connpool.Settings
 	}{{"a connection each", connpool.Settings{}}, {"shared by 64", connpool.Settings{MaxSessions: 64, IdleTimeout: time.Minute}}} {
 		b.Run(way.name, func(b *testing.B) {
-			r := sharedRig(b, &shares{}, way.set)
-			session := clientOf(b, r)
+			relay := newSharedTestRelay(b, &sharedEndpoint{}, way.set)
+			session := clientOf(b, relay)
 			n := 0
 			for b.Loop() {
 				n++
--- a/internal/frontend/amqp/upstream.go
+++ b/internal/frontend/amqp/upstream.go
@@ -64,24 +64,24 @@
 }
 
 // connect opens a connection to a server, with a session on it; on a shared one the session begins as the attach goes out.
-func (f *Frontend) connect(ctx context.Context, to registry.Endpoint, address string, bound time.Duration) (*upstream, error) {
+func (f *Frontend) connect(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*upstream, error) {
 	if f.sharedConnections != nil {
-		l, id, err := f.sharedConnections.openSession(ctx, to, address, bound)
+		shared, connectionID, err := f.sharedConnections.openSession(ctx, endpoint, address, timeout)
 		if err != nil {
 			return nil, err
 		}
-		return &upstream{session: l.session, sharedSession: l, connectionID: id, sharedConnections: f.sharedConnections, done: make(chan struct{})}, nil
+		return &upstream{session: shared.session, sharedSession: shared, connectionID: connectionID, sharedConnections: f.sharedConnections, done: make(chan struct{})}, nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	u, err := f.dial(ctx, address, bound)
+	u, err := f.dial(ctx, address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	cut := context.AfterFunc(ctx, func() { u.tcp.Close() })
+	stopClose := context.AfterFunc(ctx, func() { u.tcp.Close() })
 	go u.sendHeartbeats(u.peerIdleTimeout, u.done)
-	err = u.beginSession(bound)
-	if !cut() {
+	err = u.beginSession(timeout)
+	if !stopClose() {
 		err = errors.Join(err, ctx.Err())
 	}
 	if err != nil {
@@ -93,12 +93,12 @@
 }
 
 // beginSession begins the one session of a connection.
-func (u *upstream) beginSession(bound time.Duration) error {
+func (u *upstream) beginSession(timeout time.Duration) error {
 	if err := u.writeFrame(0, u.newBegin(nil), nil); err != nil {
 		return err
 	}
 	for {
-		f, err := u.readFrame(framing.TypeAMQP, bound)
+		f, err := u.readFrame(framing.TypeAMQP, timeout)
 		switch {
 		case err != nil:
 			return err
