--- a/internal/frontend/amqp/attempt.go
+++ b/internal/frontend/amqp/attempt.go
@@ -41,8 +41,9 @@
 
 // attachUpstream returns what came of the attach at a server.
 func (l *link) attachUpstream(ctx context.Context, upstreamConn *upstream, attempt proxy.Attempt) balancer.AttemptStatus {
-	properties, _ := l.attach.Field(13).(codec.Map)
-	performative := l.attach.With(1, uint32(0)).With(13, properties.With(propDeadline, uint32(max(1, attempt.TimeLeft(ctx).Milliseconds()))))
+	properties, _ := l.attach.Field(framing.AttachProperties).(codec.Map)
+	properties = properties.With(propDeadline, uint32(max(1, attempt.TimeLeft(ctx).Milliseconds())))
+	performative := l.attach.With(framing.AttachHandle, uint32(0)).With(framing.AttachProperties, properties)
 	frames := []framing.Performative{performative}
 	permitted := func() bool { return attempt.StillPermitted(ctx) }
 	if upstreamConn.sharedSession != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
@@ -70,26 +71,28 @@
 			upstreamConn.attach = frame.Performative
 		case frame.Code == framing.CodeFlow:
 			upstreamConn.applyFlow(frame.Performative)
-			if frame.Uint32(6, 0) > 0 {
+			if frame.Uint32(framing.FlowLinkCredit, 0) > 0 {
 				upstreamConn.creditFlow = &frame.Performative
 			}
 		case frame.Code == framing.CodeDetach:
-			return rejectionStatus(frame.Performative, 2)
-		case frame.Code == framing.CodeEnd, frame.Code == framing.CodeClose:
-			return rejectionStatus(frame.Performative, 0)
+			return rejectionStatus(frame.Performative, framing.DetachError)
+		case frame.Code == framing.CodeEnd:
+			return rejectionStatus(frame.Performative, framing.EndError)
+		case frame.Code == framing.CodeClose:
+			return rejectionStatus(frame.Performative, framing.CloseError)
 		default:
 			return balancer.StatusError
 		}
 		// An attach without the terminus that the server owns announces a refusal.
-		if !l.clientSends && upstreamConn.attach.Field(5) != nil || l.clientSends && upstreamConn.attach.Field(6) != nil && upstreamConn.creditFlow != nil {
+		if !l.clientSends && upstreamConn.attach.Field(framing.AttachSource) != nil || l.clientSends && upstreamConn.attach.Field(framing.AttachTarget) != nil && upstreamConn.creditFlow != nil {
 			return balancer.StatusOK
 		}
 	}
 }
 
 // rejectionStatus is the outcome of a pass that a server has turned down.
-func rejectionStatus(performative framing.Performative, at int) balancer.AttemptStatus {
-	if cond, _ := performative.Condition(at); cond == framing.CondResourceLimitExceeded {
+func rejectionStatus(performative framing.Performative, errorField int) balancer.AttemptStatus {
+	if condition, _ := performative.Condition(errorField); condition == framing.CondResourceLimitExceeded {
 		return balancer.StatusFull
 	}
 	return balancer.StatusError
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -5,7 +5,6 @@
 	"context"
 	"crypto/tls"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"os"
@@ -66,7 +65,7 @@
 	if c.mu.TryLock() {
 		c.writesClosed = true
 		c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeAMQP, 0,
-			framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondResourceLimitExceeded, "the relay needs the room", nil)}}, nil)
+			framing.NewClose(framing.Errorf(framing.CondResourceLimitExceeded, "the relay needs the room")), nil)
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
 		_, _ = c.Write(c.writeBuffer) // the close follows either way
 		c.mu.Unlock()
@@ -80,7 +79,7 @@
 	c.openDeadline = c.admission.IdleSince.Add(openTimeout)
 	if err := c.negotiate(); err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "the connection has not been opened in time"}
+			return framing.Errorf(framing.CondResourceLimitExceeded, "the connection has not been opened in time")
 		}
 		return err
 	}
@@ -91,7 +90,7 @@
 	for {
 		frame, err := c.readFrame(framing.TypeAMQP, idle)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "nothing has come for the time of the idle time-out"}
+			return framing.Errorf(framing.CondResourceLimitExceeded, "nothing has come for the time of the idle time-out")
 		}
 		if err != nil {
 			return err
@@ -134,9 +133,9 @@
 		return err
 	}
 	if frame.Code != framing.CodeOpen {
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a connection begins with an open"}
+		return framing.Errorf(framing.CondNotAllowed, "a connection begins with an open")
 	}
-	c.containerID = codec.AsString(frame.Field(0))
+	c.containerID = codec.AsString(frame.Field(framing.OpenContainerID))
 	idle := c.applyOpen(frame.Performative)
 	if err := c.writeFrame(0, newOpen("lockroad"), nil); err != nil {
 		return err
@@ -162,10 +161,10 @@
 	if err != nil {
 		return err
 	}
-	response, _ := frame.Field(1).([]byte)
+	response, _ := frame.Field(framing.SASLInitInitialResponse).([]byte)
 	user, ok := "", false
 	if frame.Code == framing.CodeSASLInit {
-		user, ok = authenticator.Authenticate(codec.AsString(frame.Field(0)), response, c.tlsState)
+		user, ok = authenticator.Authenticate(codec.AsString(frame.Field(framing.SASLInitMechanism)), response, c.tlsState)
 	}
 	if !ok {
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
@@ -188,34 +187,22 @@
 		return
 	case <-time.After(shutdownGrace):
 	}
-	c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(framing.CondConnectionForced, "the relay is leaving", nil)}}, nil)
+	c.writeFrame(0, framing.NewClose(framing.Errorf(framing.CondConnectionForced, "the relay is leaving")), nil)
 	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// handleFrame handles a frame other than a close.
+// handleFrame handles a frame other than a close. Its errors end the connection.
 func (c *clientConnection) handleFrame(frame framing.Frame) error {
 	if frame.Empty {
 		return nil
 	}
-	s := c.sessions[frame.Channel]
 	if frame.Code == framing.CodeBegin {
-		if frame.Channel > maxChannel { // section 2.7.1 has the connection closed
-			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d is over the most", frame.Channel)}
-		}
-		if s != nil {
-			return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", frame.Channel)}
-		}
-		s = &clientSession{session: newSession(c.connection, frame.Channel), client: c, links: make(map[uint32]*link)}
-		s.endWritten = new(bool) // its links may have words left when it has ended
-		if err := s.applyBegin(frame.Performative); err != nil {
-			return err
-		}
-		c.sessions[frame.Channel] = s
-		return s.writeFrame(frame.Channel, s.newBegin(frame.Channel), nil)
+		return c.handleBegin(frame)
 	}
+	s := c.sessions[frame.Channel]
 	if s == nil {
-		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", frame.Channel)}
+		return framing.Errorf(framing.CondFramingError, "channel %d has no session", frame.Channel)
 	}
 	if s.endedLocally {
 		if frame.Code == framing.CodeEnd {
@@ -224,13 +211,30 @@
 		return nil
 	}
 	err := s.handleFrame(frame)
-	// What is wrong within a session ends that session only, but for what the standard calls framing errors.
-	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) && conditionErr.Condition != framing.CondFramingError {
+	// An error within a session ends that session only, except what the standard calls a framing error.
+	conditionErr := framing.ConditionError{}
+	if errors.As(err, &conditionErr) && conditionErr.Condition != framing.CondFramingError {
 		c.frontend.Proxy.ProtocolError("amqp", conditionErr.Description)
 		s.endedLocally = true
-		err := s.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeEnd, Fields: codec.List{framing.NewErrorValue(conditionErr.Condition, conditionErr.Description, nil)}}, nil)
+		err = s.writeFrame(frame.Channel, framing.NewEnd(conditionErr), nil)
 		s.disconnect()
-		return err
 	}
 	return err
 }
+
+// handleBegin begins a session.
+func (c *clientConnection) handleBegin(begin framing.Frame) error {
+	if begin.Channel > maxChannel { // section 2.7.1 has the connection closed
+		return framing.Errorf(framing.CondFramingError, "channel %d is over the most", begin.Channel)
+	}
+	if c.sessions[begin.Channel] != nil {
+		return framing.Errorf(framing.CondNotAllowed, "channel %d has a session", begin.Channel)
+	}
+	s := &clientSession{session: newSession(c.connection, begin.Channel), client: c, links: make(map[uint32]*link)}
+	s.endWritten = new(bool) // its links may still send when it has ended
+	if err := s.applyBegin(begin.Performative); err != nil {
+		return err
+	}
+	c.sessions[begin.Channel] = s
+	return s.writeFrame(begin.Channel, s.newBegin(begin.Channel), nil)
+}
--- a/internal/frontend/amqp/clientsession.go
+++ b/internal/frontend/amqp/clientsession.go
@@ -2,22 +2,22 @@
 
 import (
 	"context"
-	"fmt"
 
 	"lockroad/internal/frontend/amqp/codec"
 	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/proxy"
 )
 
-// clientSession is a session of a client, with its links by their handles.
+// clientSession is one session of a client, with its links by their handles. The goroutine that reads the client's
+// connection calls its methods.
 type clientSession struct {
 	*session
 	client       *clientConnection
 	links        map[uint32]*link
-	endedLocally bool // it has been ended from here
+	endedLocally bool // the relay has ended it; what the client still sends on it is ignored
 }
 
-// disconnect tells all links that their client is gone.
+// disconnect ends the session, and tells all its links that their client is gone.
 func (s *clientSession) disconnect() {
 	s.markEnded()
 	for _, l := range s.links {
@@ -25,53 +25,73 @@
 	}
 }
 
+// handleFrame handles one frame of the session. A ConditionError ends the session, or the connection if it is a framing
+// error; any other error is of the connection.
 func (s *clientSession) handleFrame(frame framing.Frame) error {
 	switch frame.Code {
 	case framing.CodeAttach:
 		return s.handleAttach(frame.Performative)
 	case framing.CodeFlow:
-		if err := frame.RequireUint32(1, 2, 3); err != nil {
-			return err
-		}
-		s.applyFlow(frame.Performative)
-		if frame.Field(4) == nil {
-			if frame.Bool(9) {
-				return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
-			}
-			return nil
-		}
+		return s.handleFlowFrame(frame)
 	case framing.CodeTransfer:
 		if err := s.receiveTransfer(true); err != nil {
 			return err
 		}
+		return s.handleLinkFrame(frame, framing.TransferHandle)
 	case framing.CodeDisposition:
-		if err := frame.RequireUint32(1); err != nil {
-			return err
-		}
-		for _, l := range s.links {
-			l.handleDisposition(frame.Performative)
-		}
-		return nil
+		return s.handleDisposition(frame.Performative)
+	case framing.CodeDetach:
+		return s.handleLinkFrame(frame, framing.DetachHandle)
 	case framing.CodeEnd:
-		delete(s.client.sessions, s.channel)
-		err := s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
-		s.disconnect()
+		return s.handleEnd()
+	}
+	return framing.Errorf(framing.CondNotAllowed, "performative %#x has no place here", frame.Code)
+}
+
+// handleFlowFrame applies the session's part of a flow, and hands the rest, if there is one, to the link.
+func (s *clientSession) handleFlowFrame(frame framing.Frame) error {
+	err := frame.RequireUint32(framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow)
+	if err != nil {
 		return err
-	case framing.CodeDetach:
-	default:
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("performative %#x has no place here", frame.Code)}
 	}
-	at := 0
-	if frame.Code == framing.CodeFlow {
-		at = 4
+	s.applyFlow(frame.Performative)
+	if frame.Field(framing.FlowHandle) != nil {
+		return s.handleLinkFrame(frame, framing.FlowHandle)
+	}
+	if frame.Bool(framing.FlowEcho) {
+		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
-	if err := frame.RequireUint32(at); err != nil {
+	return nil
+}
+
+// handleDisposition hands a disposition to all links: each knows which deliveries are its own.
+func (s *clientSession) handleDisposition(disposition framing.Performative) error {
+	if err := disposition.RequireUint32(framing.DispositionFirst); err != nil {
 		return err
 	}
-	handle := frame.Uint32(at, 0)
+	for _, l := range s.links {
+		l.handleDisposition(disposition)
+	}
+	return nil
+}
+
+// handleEnd answers the client's end.
+func (s *clientSession) handleEnd() error {
+	delete(s.client.sessions, s.channel)
+	err := s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
+	s.disconnect()
+	return err
+}
+
+// handleLinkFrame hands a flow, a transfer or a detach to the link that its handle names.
+func (s *clientSession) handleLinkFrame(frame framing.Frame, handleField int) error {
+	if err := frame.RequireUint32(handleField); err != nil {
+		return err
+	}
+	handle := frame.Uint32(handleField, 0)
 	l := s.links[handle]
 	if l == nil {
-		return framing.ConditionError{Condition: framing.CondUnattachedHandle, Description: fmt.Sprintf("handle %d has no link", handle)}
+		return framing.Errorf(framing.CondUnattachedHandle, "handle %d has no link", handle)
 	}
 	switch frame.Code {
 	case framing.CodeFlow:
@@ -84,69 +104,104 @@
 	return nil
 }
 
-// handleAttach begins a transaction.
-func (s *clientSession) handleAttach(performative framing.Performative) error {
-	if err := performative.RequireUint32(1); err != nil {
+// handleAttach begins a request, or answers the attach with a detach.
+func (s *clientSession) handleAttach(attach framing.Performative) error {
+	l, err := s.newLink(attach)
+	if err != nil {
 		return err
 	}
-	name, hasName := performative.Field(0).(string)
-	role, hasRole := performative.Field(2).(bool)
-	handle := performative.Uint32(1, 0)
-	switch {
-	case !hasName || !hasRole:
-		return framing.ConditionError{Condition: framing.CondInvalidField, Description: "an attach has to tell its name and role"}
-	case handle > maxHandle: // section 2.7.2 has the connection closed
-		return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("handle %d is over the most", handle)}
-	case s.links[handle] != nil:
-		return framing.ConditionError{Condition: framing.CondHandleInUse, Description: fmt.Sprintf("handle %d has a link", handle)}
-	}
+	s.links[l.handle] = l
 	frontend := s.client.frontend
-	l := &link{
-		frontend: frontend, session: s.session, handle: handle, name: name,
-		attach: performative, clientSends: !role, deliveries: newDeliveryMap(),
-	}
-	s.links[handle] = l
-	// A link's name is unique between two containers.
-	request, performative, err := frontend.parseRequest(performative, s.client.containerID, name)
-	l.attach = performative
+	request, attach, err := frontend.parseRequest(attach, s.client.containerID, l.name)
+	l.attach = attach
 	if err != nil {
-		frontend.Proxy.ProtocolError("amqp", err.Error())
-		s.rejectAttach(l, framing.CondInvalidField, err.Error(), nil)
-		frontend.Proxy.Metrics.Class(request.Class).CountFailed()
+		s.rejectFaulty(l, request.Class, err.Error(), framing.ConditionError{
+			Condition: framing.CondInvalidField, Description: err.Error(),
+		})
 		return nil
 	}
 	if !frontend.Authenticator.Authorized(s.client.user, request.Class) {
-		frontend.Proxy.ProtocolError("amqp", "a client may not open a class")
-		s.rejectAttach(l, framing.CondUnauthorizedAccess, fmt.Sprintf("%q may not open the class %q", s.client.user, request.Class), nil)
-		frontend.Proxy.Metrics.Class(request.Class).CountFailed()
+		s.rejectFaulty(l, request.Class, "a client may not open a class", framing.Errorf(
+			framing.CondUnauthorizedAccess, "%q may not open the class %q", s.client.user, request.Class,
+		))
 		return nil
 	}
-	release, ok := frontend.Proxy.Admit(s.client.connection.RemoteAddr(), request)
+	if release, ok := s.admit(l, request); ok {
+		s.serveLink(l, request, release)
+	}
+	return nil
+}
+
+// newLink checks an attach and returns its link. Its errors end the session, or the connection.
+func (s *clientSession) newLink(attach framing.Performative) (*link, error) {
+	if err := attach.RequireUint32(framing.AttachHandle); err != nil {
+		return nil, err
+	}
+	name, hasName := attach.Field(framing.AttachName).(string)
+	isReceiver, hasRole := attach.Field(framing.AttachRole).(bool)
+	handle := attach.Uint32(framing.AttachHandle, 0)
+	switch {
+	case !hasName || !hasRole:
+		return nil, framing.Errorf(framing.CondInvalidField, "an attach has to tell its name and role")
+	case handle > maxHandle: // section 2.7.2 has the connection closed
+		return nil, framing.Errorf(framing.CondFramingError, "handle %d is over the most", handle)
+	case s.links[handle] != nil:
+		return nil, framing.Errorf(framing.CondHandleInUse, "handle %d has a link", handle)
+	}
+	return &link{
+		frontend: s.client.frontend, session: s.session, handle: handle, name: name,
+		attach: attach, clientSends: !isReceiver, deliveries: newDeliveryMap(),
+	}, nil
+}
+
+// admit takes a place for a link's request in the quotas and in the connection limiter. It returns what gives back the
+// place in the quotas; or it rejects the attach, and reports false.
+func (s *clientSession) admit(l *link, request proxy.Request) (release func(), ok bool) {
+	release, ok = s.client.frontend.Proxy.Admit(s.client.connection.RemoteAddr(), request)
 	if !ok {
-		s.rejectAttach(l, framing.CondResourceLimitExceeded, "its address or class has as many links as it may", retryAfterInfo(frontend.Proxy.Reject(s.client.ctx, request, proxy.CauseQuotaExceeded)))
-		return nil
+		s.rejectOverLimit(l, request, proxy.CauseQuotaExceeded, "its address or class has as many links as it may")
+		return nil, false
 	}
 	if !s.client.admission.Acquire() {
 		release()
-		s.rejectAttach(l, framing.CondResourceLimitExceeded, "the relay holds as many links as it may", retryAfterInfo(frontend.Proxy.Reject(s.client.ctx, request, proxy.CauseConnectionLimit)))
-		return nil
+		s.rejectOverLimit(l, request, proxy.CauseConnectionLimit, "the relay holds as many links as it may")
+		return nil, false
 	}
+	return release, true
+}
+
+// serveLink starts the goroutine that serves a link's request until its end. The client's connection waits for it.
+func (s *clientSession) serveLink(l *link, request proxy.Request, release func()) {
 	ctx, cancel := context.WithCancel(s.client.ctx)
 	l.cancel = cancel
 	s.client.activeLinks.Go(func() {
 		defer s.client.admission.Release()
 		defer release()
 		defer cancel()
-		frontend.Proxy.Serve(ctx, request, l)
+		s.client.frontend.Proxy.Serve(ctx, request, l)
 		l.finish()
 	})
-	return nil
 }
 
-// rejectAttach answers an attach that never becomes a transaction. What is kept of it,
-// until the client detaches, is next to nothing: refused links could else be had
-// by the hundred at 8 KiB each.
-func (s *clientSession) rejectAttach(l *link, condition, description string, info codec.Map) {
-	l.detach(condition, description, info)
-	s.links[l.handle] = &link{frontend: l.frontend, session: l.session, handle: l.handle, clientSends: l.clientSends, deliveries: l.deliveries, detachSent: true}
+// rejectFaulty rejects an attach that is wrong or not allowed, and counts it. event is for the log.
+func (s *clientSession) rejectFaulty(l *link, class, event string, err framing.ConditionError) {
+	s.client.frontend.Proxy.ProtocolError("amqp", event)
+	s.rejectAttach(l, err, nil)
+	s.client.frontend.Proxy.Metrics.Class(class).CountFailed()
+}
+
+// rejectOverLimit rejects an attach for which there is no room now.
+func (s *clientSession) rejectOverLimit(l *link, request proxy.Request, cause proxy.EndCause, description string) {
+	retryAfter := s.client.frontend.Proxy.Reject(s.client.ctx, request, cause)
+	s.rejectAttach(l, framing.Errorf(framing.CondResourceLimitExceeded, "%s", description), retryAfterInfo(retryAfter))
+}
+
+// rejectAttach answers an attach that never becomes a request. What is retained of the link until the client detaches
+// it is next to nothing: otherwise a client could make the relay hold hundreds of rejected attaches of 8 KiB each.
+func (s *clientSession) rejectAttach(l *link, err framing.ConditionError, info codec.Map) {
+	l.detach(err.Condition, err.Description, info)
+	s.links[l.handle] = &link{
+		frontend: l.frontend, session: l.session, handle: l.handle,
+		clientSends: l.clientSends, deliveries: l.deliveries, detachSent: true,
+	}
 }
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"time"
@@ -66,14 +65,14 @@
 	}
 	size := binary.BigEndian.Uint32(sizePrefix[:])
 	if size < framing.HeaderSize || size > framing.MaxFrameSize {
-		return framing.Frame{}, framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("a frame of %d bytes is out of range", size)}
+		return framing.Frame{}, framing.Errorf(framing.CondFramingError, "a frame of %d bytes is out of range", size)
 	}
 	body := make([]byte, size-4)
 	if _, err := io.ReadFull(c.reader, body); err != nil {
 		return framing.Frame{}, err
 	}
 	if body[1] != kind {
-		return framing.Frame{}, framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("a frame of type %d has no place here", body[1])}
+		return framing.Frame{}, framing.Errorf(framing.CondFramingError, "a frame of type %d has no place here", body[1])
 	}
 	return framing.ParseFrame(body)
 }
@@ -151,8 +150,8 @@
 func (c *connection) applyOpen(performative framing.Performative) (idleTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peerMaxFrameSize = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, performative.Uint32(2, 1<<32-1))))
-	return time.Duration(performative.Uint32(4, 0)) * time.Millisecond
+	c.peerMaxFrameSize = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, performative.Uint32(framing.OpenMaxFrameSize, 1<<32-1))))
+	return time.Duration(performative.Uint32(framing.OpenIdleTimeout, 0)) * time.Millisecond
 }
 
 // newOpen is the relay's own open.
--- a/internal/frontend/amqp/creditlimiter.go
+++ b/internal/frontend/amqp/creditlimiter.go
@@ -22,14 +22,14 @@
 func (c *creditLimiter) limitFlow(flow framing.Performative) framing.Performative {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if flow.Field(6) == nil || flow.Bool(8) {
+	if flow.Field(framing.FlowLinkCredit) == nil || flow.Bool(framing.FlowDrain) {
 		return flow
 	}
-	deliveryCount := flow.Uint32(5, 0)
+	deliveryCount := flow.Uint32(framing.FlowDeliveryCount, 0)
 	if !c.initialized {
 		c.initialized, c.deliveryCount = true, deliveryCount
 	}
-	c.lastFlow, c.endpointLimit = flow, deliveryCount+flow.Uint32(6, 0)
+	c.lastFlow, c.endpointLimit = flow, deliveryCount+flow.Uint32(framing.FlowLinkCredit, 0)
 	c.clientLimit = c.endpointLimit
 	if aheadLimit := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-aheadLimit) > 0 {
 		c.clientLimit = aheadLimit
@@ -37,7 +37,7 @@
 	if int32(c.clientLimit-deliveryCount) < 0 {
 		c.clientLimit = deliveryCount
 	}
-	return flow.With(6, c.clientLimit-deliveryCount)
+	return flow.With(framing.FlowLinkCredit, c.clientLimit-deliveryCount)
 }
 
 // deliverySent counts a delivery that the server has been sent. It returns a flow for the client
@@ -53,5 +53,5 @@
 	if aheadLimit := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-aheadLimit) > 0 {
 		c.clientLimit = aheadLimit
 	}
-	return c.lastFlow.With(5, c.deliveryCount).With(6, c.clientLimit-c.deliveryCount), true
+	return c.lastFlow.With(framing.FlowDeliveryCount, c.deliveryCount).With(framing.FlowLinkCredit, c.clientLimit-c.deliveryCount), true
 }
--- a/internal/frontend/amqp/deliverymap.go
+++ b/internal/frontend/amqp/deliverymap.go
@@ -23,32 +23,32 @@
 }
 
 // translateTransfer gives a transfer the number that it has in the session it goes to.
-func (d *deliveryMap) translateTransfer(performative framing.Performative, to *session) (framing.Performative, error) {
+func (d *deliveryMap) translateTransfer(transfer framing.Performative, to *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.partial {
-		if err := performative.RequireUint32(1); err != nil {
-			return performative, err
+		if err := transfer.RequireUint32(framing.TransferDeliveryID); err != nil {
+			return transfer, err
 		}
-		d.currentSource = performative.Uint32(1, 0)
+		d.currentSource = transfer.Uint32(framing.TransferDeliveryID, 0)
 		if _, known := d.destinationBySource[d.currentSource]; known || len(d.destinationBySource) >= maxUnsettledDeliveries {
-			return performative, framing.ConditionError{Condition: framing.CondResourceLimitExceeded, Description: "too many deliveries are unsettled, or one has a number twice"}
+			return transfer, framing.Errorf(framing.CondResourceLimitExceeded, "too many deliveries are unsettled, or one has a number twice")
 		}
 		d.currentDestination = to.takeDeliveryID()
 		d.destinationBySource[d.currentSource], d.sourceByDestination[d.currentDestination] = d.currentDestination, d.currentSource
 	}
-	d.partial = performative.Bool(5) && !performative.Bool(9)
+	d.partial = transfer.Bool(framing.TransferMore) && !transfer.Bool(framing.TransferAborted)
 	if !d.partial {
 		for _, done := range d.boundaryWaiters {
 			close(done)
 		}
 		d.boundaryWaiters = nil
 	}
-	if !d.partial && (performative.Bool(4) || performative.Bool(9)) {
+	if !d.partial && (transfer.Bool(framing.TransferSettled) || transfer.Bool(framing.TransferAborted)) {
 		delete(d.destinationBySource, d.currentSource)
 		delete(d.sourceByDestination, d.currentDestination)
 	}
-	return performative.With(1, d.currentDestination), nil
+	return transfer.With(framing.TransferDeliveryID, d.currentDestination), nil
 }
 
 // boundary returns a channel that is closed once no delivery is in part.
@@ -66,19 +66,19 @@
 
 // translateDisposition turns a disposition into those of the other session. back says that
 // it comes from where the deliveries go to.
-func (d *deliveryMap) translateDisposition(performative framing.Performative, fromDestination bool) []framing.Performative {
+func (d *deliveryMap) translateDisposition(disposition framing.Performative, fromDestination bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	from, to := d.destinationBySource, d.sourceByDestination
 	if fromDestination {
 		from, to = d.sourceByDestination, d.destinationBySource
 	}
-	first := performative.Uint32(1, 0)
-	span := performative.Uint32(2, first) - first
+	first := disposition.Uint32(framing.DispositionFirst, 0)
+	span := disposition.Uint32(framing.DispositionLast, first) - first
 	var translated []framing.Performative
 	pass := func(here, there uint32) {
-		translated = append(translated, performative.With(1, there).With(2, there))
-		if performative.Bool(3) {
+		translated = append(translated, disposition.With(framing.DispositionFirst, there).With(framing.DispositionLast, there))
+		if disposition.Bool(framing.DispositionSettled) {
 			delete(from, here)
 			delete(to, there)
 		}
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -86,9 +86,9 @@
 	case err != nil || header != framing.ProtocolHeaderAMQP:
 		return errors.Join(err, errNegotiation)
 	}
-	open := newOpen("lockroad").With(4, uint32(advertisedEndpointIdleTimeout.Milliseconds()))
+	open := newOpen("lockroad").With(framing.OpenIdleTimeout, uint32(advertisedEndpointIdleTimeout.Milliseconds()))
 	if u.maxSessions > 0 {
-		open = open.With(3, uint16(u.maxSessions-1))
+		open = open.With(framing.OpenChannelMax, uint16(u.maxSessions-1))
 	}
 	if err := u.writeFrame(0, open, nil); err != nil {
 		return err
@@ -98,7 +98,7 @@
 		return errors.Join(err, errNegotiation)
 	}
 	u.peerIdleTimeout = u.connection.applyOpen(f.Performative)
-	u.peerMaxChannel = uint16(min(f.Uint32(3, math.MaxUint16), math.MaxUint16))
+	u.peerMaxChannel = uint16(min(f.Uint32(framing.OpenChannelMax, math.MaxUint16), math.MaxUint16))
 	return nil
 }
 
@@ -118,14 +118,14 @@
 		return errors.Join(err, errNegotiation)
 	}
 	begin := framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.Anonymous), []byte("lockroad")}}
-	if u.hasClientCertificate && offersMechanism(f.Field(0), auth.External) {
+	if u.hasClientCertificate && offersMechanism(f.Field(framing.SASLMechanismsOffered), auth.External) {
 		begin = framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.External), []byte{}}}
 	}
 	if err := u.writeSASL(begin); err != nil {
 		return err
 	}
 	f, err = u.readFrame(framing.TypeSASL, timeout)
-	if err != nil || f.Code != framing.CodeSASLOutcome || f.Uint32(0, 1) != 0 {
+	if err != nil || f.Code != framing.CodeSASLOutcome || f.Uint32(framing.SASLOutcomeCode, 1) != 0 {
 		return errors.Join(err, errNegotiation)
 	}
 	return nil
--- a/internal/frontend/amqp/framing/condition.go
+++ b/internal/frontend/amqp/framing/condition.go
@@ -1,6 +1,8 @@
 package framing
 
 import (
+	"fmt"
+
 	"lockroad/internal/frontend/amqp/codec"
 )
 
@@ -58,3 +60,18 @@
 	}
 	return codec.Described{Descriptor: uint64(CodeError), Value: fields}
 }
+
+// Errorf returns a ConditionError whose description is formatted as by fmt.Sprintf.
+func Errorf(condition, format string, args ...any) ConditionError {
+	return ConditionError{Condition: condition, Description: fmt.Sprintf(format, args...)}
+}
+
+// NewClose returns a close that tells the peer of an error.
+func NewClose(err ConditionError) Performative {
+	return Performative{Code: CodeClose, Fields: codec.List{NewErrorValue(err.Condition, err.Description, nil)}}
+}
+
+// NewEnd returns an end that tells the peer of an error.
+func NewEnd(err ConditionError) Performative {
+	return Performative{Code: CodeEnd, Fields: codec.List{NewErrorValue(err.Condition, err.Description, nil)}}
+}
--- a/internal/frontend/amqp/framing/frame.go
+++ b/internal/frontend/amqp/framing/frame.go
@@ -39,7 +39,7 @@
 	var f Frame
 	dataOffset := int(b[0]) * 4
 	if dataOffset < HeaderSize || dataOffset-4 > len(b) {
-		return f, ConditionError{CondFramingError, "the data offset is out of range"}
+		return f, Errorf(CondFramingError, "the data offset is out of range")
 	}
 	f.Channel = binary.BigEndian.Uint16(b[2:])
 	if b = b[dataOffset-4:]; len(b) == 0 {
@@ -48,7 +48,7 @@
 	}
 	v, rest, err := codec.Decode(b)
 	if err != nil {
-		return f, ConditionError{CondDecodeError, err.Error()}
+		return f, ConditionError{Condition: CondDecodeError, Description: err.Error()}
 	}
 	described, ok := v.(codec.Described)
 	if ok {
@@ -59,7 +59,7 @@
 		f.Fields, ok = described.Value.(codec.List)
 	}
 	if !ok {
-		return f, ConditionError{CondDecodeError, "the frame holds no performative"}
+		return f, Errorf(CondDecodeError, "the frame holds no performative")
 	}
 	f.Payload = rest
 	return f, nil
--- a/internal/frontend/amqp/framing/frame_test.go
+++ b/internal/frontend/amqp/framing/frame_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"bytes"
-	"lockroad/internal/frontend/amqp/codec"
 	"testing"
+
+	"lockroad/internal/frontend/amqp/codec"
 )
 
 // valueSeeds are encodings of the standard's tables: the keys of the codec's test table.
--- a/internal/frontend/amqp/framing/performative.go
+++ b/internal/frontend/amqp/framing/performative.go
@@ -3,8 +3,6 @@
 package framing
 
 import (
-	"fmt"
-
 	"lockroad/internal/frontend/amqp/codec"
 )
 
@@ -66,7 +64,7 @@
 func (p Performative) RequireUint32(fields ...int) error {
 	for _, i := range fields {
 		if n, ok := codec.AsUint64(p.Field(i)); !ok || n > 1<<32-1 {
-			return ConditionError{CondInvalidField, fmt.Sprintf("field %d of performative %#x has to be a number", i, p.Code)}
+			return Errorf(CondInvalidField, "field %d of performative %#x has to be a number", i, p.Code)
 		}
 	}
 	return nil
--- a/internal/frontend/amqp/frontend.go
+++ b/internal/frontend/amqp/frontend.go
@@ -9,7 +9,6 @@
 
 	"lockroad/internal/auth"
 	"lockroad/internal/connpool"
-	"lockroad/internal/frontend/amqp/codec"
 	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/listener"
 	"lockroad/internal/proxy"
@@ -63,7 +62,7 @@
 	}
 	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
 		f.Proxy.ProtocolError("amqp", conditionErr.Description)
-		c.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(conditionErr.Condition, conditionErr.Description, nil)}}, nil)
+		c.writeFrame(0, framing.NewClose(conditionErr), nil)
 	}
 	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
 		s.disconnect()
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -61,7 +61,7 @@
 	}
 	l.mu.Unlock()
 	if pending, _ := l.activeOutbox(); pending != nil {
-		l.enqueue(pending, outboxItem{Performative: p.With(4, uint32(0)), isFlow: true})
+		l.enqueue(pending, outboxItem{Performative: p.With(framing.FlowHandle, uint32(0)), isFlow: true})
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	l.mu.Unlock()
 	switch {
 	case !l.clientSends:
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: "a receiver sends no transfers"}
+		return framing.Errorf(framing.CondNotAllowed, "a receiver sends no transfers")
 	case early: // nothing has granted credit yet
 		l.detach(framing.CondTransferLimitExceeded, "a transfer without credit", nil)
 		l.cancel()
@@ -92,11 +92,11 @@
 	if err != nil {
 		return err
 	}
-	if !frame.Bool(5) && !frame.Bool(4) {
+	if !frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferSettled) {
 		heartbeat.ClientSent()
 	}
-	next := outboxItem{Performative: p.With(0, uint32(0)), payload: frame.Payload, isTransfer: true}
-	if !frame.Bool(5) {
+	next := outboxItem{Performative: p.With(framing.TransferHandle, uint32(0)), payload: frame.Payload, isTransfer: true}
+	if !frame.Bool(framing.TransferMore) {
 		next.onSent = l.deliverySent
 	}
 	sent = true
@@ -108,14 +108,14 @@
 // credit that it has for more.
 func (l *link) deliverySent() {
 	if p, more := l.creditLimiter.deliverySent(); more {
-		l.session.sendFlow(p.With(4, l.handle)) // if this fails, the client's reader sees why
+		l.session.sendFlow(p.With(framing.FlowHandle, l.handle)) // if this fails, the client's reader sees why
 	}
 }
 
 // handleDisposition passes on what the client says of deliveries, if they are this link's.
 func (l *link) handleDisposition(p framing.Performative) {
 	// A receiver speaks of what came to it, a sender of what it has sent.
-	if pending, _ := l.activeOutbox(); pending != nil && p.Bool(0) != l.clientSends {
+	if pending, _ := l.activeOutbox(); pending != nil && p.Bool(framing.DispositionRole) != l.clientSends {
 		for _, q := range l.deliveries.translateDisposition(p, !l.clientSends) {
 			l.enqueue(pending, outboxItem{Performative: q})
 		}
@@ -134,7 +134,7 @@
 	case upstreamConn == nil:
 		l.cancel()
 	default:
-		l.enqueue(pending, outboxItem{Performative: p.With(0, uint32(0))})
+		l.enqueue(pending, outboxItem{Performative: p.With(framing.DetachHandle, uint32(0))})
 		upstreamConn.limitRemaining(closeTimeout)
 	}
 }
@@ -168,11 +168,11 @@
 	l.mu.Unlock()
 	downstream := l.session
 	if !answered { // the standard wants an attach first, without what the relay would own
-		p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{l.name, l.handle, l.clientSends, nil, nil, l.attach.Field(5), l.attach.Field(6)}}
+		p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{l.name, l.handle, l.clientSends, nil, nil, l.attach.Field(framing.AttachSource), l.attach.Field(framing.AttachTarget)}}
 		if l.clientSends {
-			p = p.With(6, nil)
+			p = p.With(framing.AttachTarget, nil)
 		} else {
-			p = p.With(5, nil).With(9, uint32(0))
+			p = p.With(framing.AttachSource, nil).With(framing.AttachInitialDeliveryCount, uint32(0))
 		}
 		if downstream.writeFrame(downstream.channel, p, nil) != nil {
 			return true
--- a/internal/frontend/amqp/multiplexer.go
+++ b/internal/frontend/amqp/multiplexer.go
@@ -2,11 +2,9 @@
 
 import (
 	"errors"
-	"fmt"
 	"sync"
 	"time"
 
-	"lockroad/internal/frontend/amqp/codec"
 	"lockroad/internal/frontend/amqp/framing"
 )
 
@@ -92,7 +90,7 @@
 		shared := m.remoteChannels[frame.Channel]
 		m.mu.Unlock()
 		if shared == nil {
-			return m.closeWithError(framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d has no session", frame.Channel)})
+			return m.closeWithError(framing.Errorf(framing.CondFramingError, "channel %d has no session", frame.Channel))
 		}
 		if frame.Code == framing.CodeEnd {
 			m.handleEnd(shared, frame)
@@ -105,7 +103,7 @@
 // closeWithError tells the peer what is wrong with it.
 func (m *multiplexer) closeWithError(err error) error {
 	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
-		m.writeFrame(0, framing.Performative{Code: framing.CodeClose, Fields: codec.List{framing.NewErrorValue(conditionErr.Condition, conditionErr.Description, nil)}}, nil)
+		m.writeFrame(0, framing.NewClose(conditionErr), nil)
 	}
 	return err
 }
@@ -127,22 +125,22 @@
 	m.mu.Lock()
 	if m.remoteChannels[frame.Channel] != nil {
 		m.mu.Unlock()
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d has a session", frame.Channel)}
+		return framing.Errorf(framing.CondNotAllowed, "channel %d has a session", frame.Channel)
 	}
-	if frame.Field(0) != nil {
-		shared := m.localChannels[uint16(frame.Uint32(0, 0))]
+	if frame.Field(framing.BeginRemoteChannel) != nil {
+		shared := m.localChannels[uint16(frame.Uint32(framing.BeginRemoteChannel, 0))]
 		if shared != nil {
 			m.remoteChannels[frame.Channel] = shared
 		}
 		m.mu.Unlock()
 		if shared == nil {
-			return framing.ConditionError{Condition: framing.CondFramingError, Description: fmt.Sprintf("channel %d answers a session that is not there", frame.Channel)}
+			return framing.Errorf(framing.CondFramingError, "channel %d answers a session that is not there", frame.Channel)
 		}
 		return shared.applyBegin(frame.Performative)
 	}
 	if m.onSession == nil || frame.Channel >= maxPeerSessions || m.localChannels[frame.Channel] != nil {
 		m.mu.Unlock()
-		return framing.ConditionError{Condition: framing.CondNotAllowed, Description: fmt.Sprintf("channel %d can't begin a session", frame.Channel)}
+		return framing.Errorf(framing.CondNotAllowed, "channel %d can't begin a session", frame.Channel)
 	}
 	shared := m.newSession(frame.Channel, func() {})
 	shared.announced = true
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -95,7 +95,7 @@
 		}
 	}
 	idle := c.applyOpen(frame.Performative)
-	c.writeFrame(0, newOpen("server").With(3, uint16(maxPeerSessions-1)), nil) // if this fails, the next read sees why
+	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil) // if this fails, the next read sees why
 	go c.sendHeartbeats(idle, p.done)
 	go func() {
 		p.multiplexer.serve(wait)
@@ -185,9 +185,9 @@
 		}
 		switch frame.Code {
 		case framing.CodeAttach:
-			e := PeerEvent{Kind: PeerAttached, Handle: frame.Uint32(1, 0), Name: codec.AsString(frame.Field(0)), Sends: !frame.Bool(2),
+			e := PeerEvent{Kind: PeerAttached, Handle: frame.Uint32(framing.AttachHandle, 0), Name: codec.AsString(frame.Field(framing.AttachName)), Sends: !frame.Bool(framing.AttachRole),
 				Properties: make(map[string]any), attach: frame.Performative}
-			properties, _ := frame.Field(13).(codec.Map)
+			properties, _ := frame.Field(framing.AttachProperties).(codec.Map)
 			for i := 0; i+1 < len(properties); i += 2 {
 				e.Properties[codec.AsString(properties[i])] = properties[i+1]
 			}
@@ -198,19 +198,19 @@
 			if err := p.receiveTransfer(false); err != nil {
 				return PeerEvent{}, err
 			}
-			handle := frame.Uint32(0, 0)
+			handle := frame.Uint32(framing.TransferHandle, 0)
 			whole := append(p.partialPayloads[handle], frame.Payload...)
 			if len(whole) > maxPeerMessageSize {
 				return PeerEvent{}, errors.New("a message is longer than a stand-in reads")
 			}
-			if frame.Bool(5) {
+			if frame.Bool(framing.TransferMore) {
 				p.partialPayloads[handle] = whole
 				continue
 			}
 			delete(p.partialPayloads, handle)
-			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: frame.Uint32(1, 0), Settled: frame.Bool(4), Payload: dataSection(whole)}, nil
+			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: frame.Uint32(framing.TransferDeliveryID, 0), Settled: frame.Bool(framing.TransferSettled), Payload: dataSection(whole)}, nil
 		case framing.CodeDetach:
-			return PeerEvent{Kind: PeerDetached, Handle: frame.Uint32(0, 0)}, nil
+			return PeerEvent{Kind: PeerDetached, Handle: frame.Uint32(framing.DetachHandle, 0)}, nil
 		case framing.CodeEnd, framing.CodeClose:
 			return PeerEvent{}, errPeerSessionEnded
 		}
@@ -236,13 +236,21 @@
 
 // Attach answers an attach, and grants credit if the relay's side is to send.
 func (p *Peer) Attach(e PeerEvent, credit uint32) error {
-	reply := e.attach.With(1, e.Handle).With(2, !e.attach.Bool(2)).With(9, nil).With(13, nil)
+	reply := attachReply(e)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
 	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
 }
 
+// attachReply is the answer to an attach: the same in the other role, without what the initiator alone says.
+func attachReply(e PeerEvent) framing.Performative {
+	return e.attach.With(framing.AttachHandle, e.Handle).
+		With(framing.AttachRole, !e.attach.Bool(framing.AttachRole)).
+		With(framing.AttachInitialDeliveryCount, nil).
+		With(framing.AttachProperties, nil)
+}
+
 // Credit grants credit anew: so many deliveries from a delivery count on.
 func (p *Peer) Credit(handle, count, credit uint32) error {
 	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
@@ -250,7 +258,7 @@
 
 // RejectAttach answers an attach with an end at once, by a condition of the standard.
 func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
-	reply := e.attach.With(1, e.Handle).With(2, !e.attach.Bool(2)).With(6, nil).With(9, nil).With(13, nil)
+	reply := attachReply(e).With(framing.AttachTarget, nil)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil {
 		return err
 	}
--- a/internal/frontend/amqp/pipe.go
+++ b/internal/frontend/amqp/pipe.go
@@ -28,7 +28,7 @@
 	if clientGone {
 		return balancer.StatusCancelled
 	}
-	if l.session.writeFrame(l.session.channel, upstreamConn.attach.With(0, l.name).With(1, l.handle), nil) != nil {
+	if l.session.writeFrame(l.session.channel, upstreamConn.attach.With(framing.AttachName, l.name).With(framing.AttachHandle, l.handle), nil) != nil {
 		return balancer.StatusCancelled
 	}
 	heartbeat.Established()
@@ -36,7 +36,7 @@
 		l.forwardToClient(framing.Frame{Performative: *upstreamConn.creditFlow})
 	}
 	if clientFlow != nil {
-		l.outbox.enqueue(outboxItem{Performative: clientFlow.With(4, uint32(0)), isFlow: true})
+		l.outbox.enqueue(outboxItem{Performative: clientFlow.With(framing.FlowHandle, uint32(0)), isFlow: true})
 	}
 	return l.pipeDownstream(ctx, upstreamConn, heartbeat)
 }
@@ -72,15 +72,15 @@
 
 // endpointEnded passes on the end that a server has set to the link.
 func (l *link) endpointEnded(upstreamConn *upstream, frame framing.Frame, clientGone bool) balancer.AttemptStatus {
-	at := 0
+	errorField := framing.EndError // a close has it at the same index
 	if frame.Code == framing.CodeDetach {
-		at = 2
+		errorField = framing.DetachError
 		upstreamConn.writeFrame(upstreamConn.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		if upstreamConn.sharedSession == nil {
 			upstreamConn.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 		}
 	}
-	condition, info := frame.Condition(at)
+	condition, info := frame.Condition(errorField)
 	if !clientGone {
 		l.detach(condition, "the application server has ended the link", info)
 	}
@@ -101,10 +101,10 @@
 	downstream := l.session
 	switch frame.Code {
 	case framing.CodeFlow:
-		if err := l.upstream.handleFlow(frame.Performative); err != nil || frame.Field(4) == nil {
+		if err := l.upstream.handleFlow(frame.Performative); err != nil || frame.Field(framing.FlowHandle) == nil {
 			return true
 		}
-		if properties, ok := frame.Field(10).(codec.Map); ok {
+		if properties, ok := frame.Field(framing.FlowProperties).(codec.Map); ok {
 			if microseconds, ok := parseLoad(properties.Get(propLoad)); ok {
 				l.heartbeat.ReportLoad(microseconds / 1e6)
 			}
@@ -113,7 +113,7 @@
 		if l.clientSends {
 			performative = l.creditLimiter.limitFlow(performative)
 		}
-		return downstream.sendFlow(performative.With(4, l.handle)) == nil
+		return downstream.sendFlow(performative.With(framing.FlowHandle, l.handle)) == nil
 	case framing.CodeTransfer:
 		if l.clientSends || l.upstream.receiveTransfer(false) != nil {
 			return true // out of turn: left aside
@@ -123,7 +123,7 @@
 		if err != nil {
 			return true
 		}
-		return downstream.sendTransfer(performative.With(0, l.handle), frame.Payload) == nil
+		return downstream.sendTransfer(performative.With(framing.TransferHandle, l.handle), frame.Payload) == nil
 	case framing.CodeDisposition:
 		l.heartbeat.EndpointSent()
 		for _, performative := range l.deliveries.translateDisposition(frame.Performative, l.clientSends) {
--- a/internal/frontend/amqp/placement.go
+++ b/internal/frontend/amqp/placement.go
@@ -54,9 +54,9 @@
 // terminusAddress is the address that a client's attach names for the other end: its target's if it is to send,
 // its source's if it is to receive (part 3, sections 3.5.3 and 3.5.4).
 func terminusAddress(attach framing.Performative) string {
-	field := 6
-	if attach.Bool(2) {
-		field = 5
+	field := framing.AttachTarget
+	if attach.Bool(framing.AttachRole) {
+		field = framing.AttachSource
 	}
 	terminus, _ := attach.Field(field).(codec.Described)
 	fields, _ := terminus.Value.(codec.List)
@@ -87,8 +87,8 @@
 	case "container":
 		return hashKey(container)
 	case "link":
-		return hashKey(codec.AsString(attach.Field(0)))
+		return hashKey(codec.AsString(attach.Field(framing.AttachName)))
 	}
-	properties, _ := attach.Field(13).(codec.Map)
+	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
 	return hashKey(properties.Get(strings.TrimPrefix(p.Group, propertyGroupPrefix)))
 }
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -27,7 +27,7 @@
 // parseRequest reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
 // rule has added, for the application server. Its error names what is missing, for the client.
 func (f *Frontend) parseRequest(performative framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
-	properties, _ := performative.Field(13).(codec.Map)
+	properties, _ := performative.Field(framing.AttachProperties).(codec.Map)
 	address := terminusAddress(performative)
 	placement := f.findPlacement(address, container)
 	request := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: codec.AsString(properties.Get(propClass)), Tenant: codec.AsString(properties.Get(propTenant))}
@@ -64,7 +64,7 @@
 	if microseconds, ok := parseLoad(properties.Get(propLoad)); ok {
 		request.ExpectedLoad = microseconds / 1e6
 	}
-	return request, performative.With(13, properties), nil
+	return request, performative.With(framing.AttachProperties, properties), nil
 }
 
 // hashKey is the number of a group or an item: a hexadecimal word as it is,
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -72,12 +72,12 @@
 
 // applyBegin takes the peer's begin.
 func (s *session) applyBegin(performative framing.Performative) error {
-	if err := performative.RequireUint32(1, 2, 3); err != nil {
+	if err := performative.RequireUint32(framing.BeginNextOutgoingID, framing.BeginIncomingWindow, framing.BeginOutgoingWindow); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nextIncomingID, s.remoteIncomingWindow = performative.Uint32(1, 0), performative.Uint32(2, 0)
+	s.nextIncomingID, s.remoteIncomingWindow = performative.Uint32(framing.BeginNextOutgoingID, 0), performative.Uint32(framing.BeginIncomingWindow, 0)
 	return nil
 }
 
@@ -89,7 +89,7 @@
 		return
 	}
 	// What the peer still takes counts from the transfers that it has seen.
-	s.remoteIncomingWindow = performative.Uint32(0, 0) + performative.Uint32(1, 0) - s.nextOutgoingID
+	s.remoteIncomingWindow = performative.Uint32(framing.FlowNextIncomingID, 0) + performative.Uint32(framing.FlowIncomingWindow, 0) - s.nextOutgoingID
 	if int32(s.remoteIncomingWindow) < 0 {
 		s.remoteIncomingWindow = 0
 	}
@@ -99,11 +99,11 @@
 
 // handleFlow takes the session's part of a flow.
 func (s *session) handleFlow(performative framing.Performative) error {
-	if err := performative.RequireUint32(1, 2, 3); err != nil {
+	if err := performative.RequireUint32(framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow); err != nil {
 		return err
 	}
 	s.applyFlow(performative)
-	if performative.Field(4) == nil && performative.Bool(9) {
+	if performative.Field(framing.FlowHandle) == nil && performative.Bool(framing.FlowEcho) {
 		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
@@ -157,7 +157,7 @@
 
 // sendTransfer sends a transfer in as many frames as the peer wants.
 func (s *session) sendTransfer(performative framing.Performative, payload []byte) error {
-	room := s.maxPayload(performative.With(5, true))
+	room := s.maxPayload(performative.With(framing.TransferMore, true))
 	for {
 		if err := s.awaitWindow(); err != nil {
 			return err
@@ -165,7 +165,7 @@
 		if len(payload) <= room {
 			return s.writeFrame(s.channel, performative, payload)
 		}
-		if err := s.writeFrame(s.channel, performative.With(5, true), payload[:room]); err != nil {
+		if err := s.writeFrame(s.channel, performative.With(framing.TransferMore, true), payload[:room]); err != nil {
 			return err
 		}
 		payload = payload[room:]
@@ -178,7 +178,7 @@
 	s.mu.Lock()
 	if s.incomingWindow == 0 {
 		s.mu.Unlock()
-		return framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more transfers than the window takes"}
+		return framing.Errorf(framing.CondWindowViolation, "more transfers than the window takes")
 	}
 	s.nextIncomingID++
 	s.incomingWindow--
@@ -211,10 +211,13 @@
 }
 
 // sendFlow sends a flow: the session's part is the relay's own, the rest as given.
-func (s *session) sendFlow(performative framing.Performative) error {
+func (s *session) sendFlow(flow framing.Performative) error {
 	s.mu.Lock()
 	s.incomingWindow = sessionWindow - min(s.pendingTransfers, sessionWindow)
-	performative = performative.With(0, s.nextIncomingID).With(1, s.incomingWindow).With(2, s.nextOutgoingID).With(3, uint32(sessionWindow))
+	flow = flow.With(framing.FlowNextIncomingID, s.nextIncomingID).
+		With(framing.FlowIncomingWindow, s.incomingWindow).
+		With(framing.FlowNextOutgoingID, s.nextOutgoingID).
+		With(framing.FlowOutgoingWindow, uint32(sessionWindow))
 	s.mu.Unlock()
-	return s.writeFrame(s.channel, performative, nil)
+	return s.writeFrame(s.channel, flow, nil)
 }
--- a/internal/frontend/amqp/sharedsession.go
+++ b/internal/frontend/amqp/sharedsession.go
@@ -41,7 +41,7 @@
 	ended := s.endedLocally
 	s.mu.Unlock()
 	if overflow && !ended {
-		s.endRemotely(framing.ConditionError{Condition: framing.CondWindowViolation, Description: "more than the session's window takes"})
+		s.endRemotely(framing.Errorf(framing.CondWindowViolation, "more than the session's window takes"))
 		s.endLocally()
 		return
 	}
