--- a/internal/frontend/amqp/attempt.go
+++ b/internal/frontend/amqp/attempt.go
@@ -7,6 +7,7 @@
 	"net"
 	"os"
 	"strconv"
+	"time"
 
 	"lockroad/balancer"
 	"lockroad/internal/frontend/amqp/codec"
@@ -15,14 +16,15 @@
 	"lockroad/internal/proxy"
 )
 
-// Attempt attaches the client's link at a server, and waits for its attach and, if
-// the client is to send, for credit.
+// Attempt attaches the client's link at an endpoint, and waits for the endpoint's attach and, if the client is the
+// sender, for credit. On any status but StatusOK the upstream connection is closed and the result is nil.
 func (l *link) Attempt(ctx context.Context, attempt proxy.Attempt) (conn proxy.UpstreamConn, status balancer.AttemptStatus) {
 	address := attempt.Endpoint.Address
 	if host, _, err := net.SplitHostPort(address); err == nil && l.frontend.EndpointPort != 0 {
 		address = net.JoinHostPort(host, strconv.Itoa(l.frontend.EndpointPort))
 	}
-	upstreamConn, err := l.frontend.connect(ctx, attempt.Endpoint, address, min(cmp.Or(l.frontend.Proxy.Settings().ConnectTimeout, attempt.Timeout), attempt.Timeout))
+	timeout := min(cmp.Or(l.frontend.Proxy.Settings().ConnectTimeout, attempt.Timeout), attempt.Timeout)
+	upstreamConn, err := l.frontend.connect(ctx, attempt.Endpoint, address, timeout)
 	if err != nil {
 		return nil, listener.NotSentStatus(ctx)
 	}
@@ -39,7 +41,7 @@
 	return upstreamConn, status
 }
 
-// attachUpstream returns what came of the attach at a server.
+// attachUpstream sends the attach to an endpoint and returns what came of it.
 func (l *link) attachUpstream(ctx context.Context, upstreamConn *upstream, attempt proxy.Attempt) balancer.AttemptStatus {
 	properties, _ := l.attach.Field(framing.AttachProperties).(codec.Map)
 	properties = properties.With(propDeadline, uint32(max(1, attempt.TimeLeft(ctx).Milliseconds())))
@@ -54,11 +56,16 @@
 	case errors.Is(err, errNoLongerPermitted):
 		return balancer.StatusNotSent
 	case err != nil:
-		return listener.NotSentStatus(ctx) // of a frame that is not whole nothing runs
+		return listener.NotSentStatus(ctx) // an endpoint acts on complete frames only
 	}
 	l.frontend.Proxy.Metrics.Attempts.Add(1)
+	return l.awaitAttach(ctx, upstreamConn, attempt.Timeout)
+}
+
+// awaitAttach waits until the endpoint has established the link or rejected it.
+func (l *link) awaitAttach(ctx context.Context, upstreamConn *upstream, timeout time.Duration) balancer.AttemptStatus {
 	for {
-		frame, err := upstreamConn.nextFrame(attempt.Timeout)
+		frame, err := upstreamConn.nextFrame(timeout)
 		if err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return balancer.StatusTimeout
@@ -83,14 +90,22 @@
 		default:
 			return balancer.StatusError
 		}
-		// An attach without the terminus that the server owns announces a refusal.
-		if !l.clientSends && upstreamConn.attach.Field(framing.AttachSource) != nil || l.clientSends && upstreamConn.attach.Field(framing.AttachTarget) != nil && upstreamConn.creditFlow != nil {
+		if l.isEstablished(upstreamConn) {
 			return balancer.StatusOK
 		}
 	}
 }
 
-// rejectionStatus is the outcome of a pass that a server has turned down.
+// isEstablished reports whether the endpoint has accepted the link. An attach without the terminus that the endpoint
+// owns does not: it announces a detach (section 2.6.3).
+func (l *link) isEstablished(upstreamConn *upstream) bool {
+	if l.clientSends {
+		return upstreamConn.attach.Field(framing.AttachTarget) != nil && upstreamConn.creditFlow != nil
+	}
+	return upstreamConn.attach.Field(framing.AttachSource) != nil
+}
+
+// rejectionStatus is the status of an attempt that the endpoint has rejected with an error at a field.
 func rejectionStatus(performative framing.Performative, errorField int) balancer.AttemptStatus {
 	if condition, _ := performative.Condition(errorField); condition == framing.CondResourceLimitExceeded {
 		return balancer.StatusFull
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -16,7 +16,8 @@
 	"lockroad/internal/listener"
 )
 
-// clientConnection is a client's connection.
+// clientConnection is one connection of a client. The goroutine of Frontend.serveClient reads it and owns its fields; its
+// links run in goroutines of their own, which it waits for.
 type clientConnection struct {
 	*connection
 	frontend    *Frontend
@@ -24,15 +25,15 @@
 	ctx         context.Context
 	activeLinks sync.WaitGroup
 	sessions    map[uint16]*clientSession
-	done        chan struct{}
-	containerID string // of its container
-	user        string // who it is
+	done        chan struct{} // closed once all links have ended
+	containerID string        // of the client's open
+	user        string        // as authenticated; auth.AnonymousUser otherwise
 	tcp         *net.TCPConn
-	tlsState    *tls.ConnectionState // nil: it came without
+	tlsState    *tls.ConnectionState // nil: without TLS
 }
 
-// handshakeTLS brings TLS up, where it is to be. A client that shows nothing of it has as long as for
-// the greeting, of which this is a part.
+// handshakeTLS completes the TLS handshake, where TLS is configured. It is part of the connection's opening, and shares
+// its deadline.
 func (c *clientConnection) handshakeTLS() error {
 	config := c.frontend.Authenticator.TLS()
 	if config == nil {
@@ -43,7 +44,7 @@
 	secured := tls.Server(c.tcp, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
 		c.frontend.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
-		return err // which is no fault: there is nobody to tell it to in the standard's words
+		return err // not a ConditionError: without TLS there is nobody to send it to
 	}
 	state := secured.ConnectionState()
 	c.tlsState = &state
@@ -51,16 +52,16 @@
 	return nil
 }
 
-// linger lets the client read the last that it was told before the connection ends: closing with
-// words of the client unread would reset it. One that has left is not waited for.
+// linger lets the client read the last frames before the connection is closed: a close with unread input would reset
+// the connection. It does not wait for a client that has left.
 func (c *clientConnection) linger() {
 	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
 	_, _ = io.CopyN(io.Discard, c.reader, listener.LingerMaxBytes)
 }
 
-// evict closes a connection without links to make room for another. It never
-// waits for who is writing on it.
+// evict closes a connection without links to make room for another. The connection limiter calls it; it never waits for
+// a goroutine that is writing.
 func (c *clientConnection) evict() {
 	if c.mu.TryLock() {
 		c.writesClosed = true
@@ -74,7 +75,7 @@
 	c.tcp.Close()
 }
 
-// serve greets the client and takes its frames, until its connection ends.
+// serve opens the connection and handles its frames until it ends. A ConditionError is to be sent to the client.
 func (c *clientConnection) serve() error {
 	c.openDeadline = c.admission.IdleSince.Add(openTimeout)
 	if err := c.negotiate(); err != nil {
@@ -105,7 +106,7 @@
 	}
 }
 
-// negotiate exchanges headers, the security layer's frames and the opens.
+// negotiate exchanges the protocol headers, the frames of the security layer, and the opens.
 func (c *clientConnection) negotiate() error {
 	header, err := c.readProtocolHeader(openTimeout)
 	if err != nil {
@@ -119,14 +120,14 @@
 			return err
 		}
 	} else if !c.frontend.Authenticator.Bare() {
-		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // which the standard has for an answer, and the end
+		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // the answer of section 5.3.2; the connection ends with it
 		return errors.New("the client comes without the security layer, and has to say who it is")
 	}
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
 	if header != framing.ProtocolHeaderAMQP {
-		return errors.New("the client speaks another protocol") // it has been told ours
+		return errors.New("the client speaks another protocol") // it has been sent ours
 	}
 	frame, err := c.readFrame(framing.TypeAMQP, openTimeout)
 	if err != nil {
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// authenticate has the client say who it is, by one of the mechanisms that there are for it.
+// authenticate passes the security layer: the client authenticates by one of the offered mechanisms.
 func (c *clientConnection) authenticate() error {
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
@@ -175,7 +176,8 @@
 	return c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// closeOnShutdown closes the connection once its links have been moved, or answered: links still come until then.
+// closeOnShutdown closes the connection a grace period after the relay began to shut down: its links have been migrated
+// or answered by then, and clients may still attach until then. It runs in a goroutine of its own until the connection ends.
 func (c *clientConnection) closeOnShutdown() {
 	select {
 	case <-c.done:
--- a/internal/frontend/amqp/codec/decode.go
+++ b/internal/frontend/amqp/codec/decode.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	maxNesting       = 32   // of values within values
-	maxEmptyElements = 4096 // elements of an array that take no room themselves
+	maxNesting       = 32   // depth of values within values
+	maxEmptyElements = 4096 // elements of an array whose encoding takes no bytes, such as nulls
 )
 
 // Decode reads one value off the front of data and returns what follows it. Its errors wrap ErrDecode. Values of
@@ -19,34 +19,36 @@
 	return value, d.rest, err
 }
 
-// decoder takes values off the front of some bytes.
+// decoder reads values off the front of rest. depth is the nesting of the value that it is in.
 type decoder struct {
 	rest  []byte
 	depth int
 }
 
+// take cuts n bytes off the front.
 func (d *decoder) take(n uint64) ([]byte, error) {
 	if n > uint64(len(d.rest)) {
 		return nil, ErrDecode
 	}
-	b := d.rest[:n]
+	taken := d.rest[:n]
 	d.rest = d.rest[n:]
-	return b, nil
+	return taken, nil
 }
 
-// uint reads an unsigned integer of so many bytes.
+// uint reads a big-endian unsigned integer of width bytes, at most 8.
 func (d *decoder) uint(width uint64) (uint64, error) {
-	b, err := d.take(width)
+	octets, err := d.take(width)
 	if err != nil {
 		return 0, err
 	}
 	var n uint64
-	for _, octet := range b {
+	for _, octet := range octets {
 		n = n<<8 | uint64(octet)
 	}
 	return n, nil
 }
 
+// decodeValue reads a value with its constructor.
 func (d *decoder) decodeValue() (any, error) {
 	if d.depth++; d.depth > maxNesting {
 		return nil, ErrDecode
@@ -56,38 +58,39 @@
 	if err != nil {
 		return nil, err
 	}
-	if code == 0 {
+	if code == constructorDescribed {
 		return d.decodeDescribed()
 	}
 	return d.decodePrimitive(byte(code))
 }
 
+// decodeDescribed reads what follows the constructor of a described value: the descriptor and the value.
 func (d *decoder) decodeDescribed() (any, error) {
 	descriptor, err := d.decodeValue()
 	if err != nil {
 		return nil, err
 	}
-	v, err := d.decodeValue()
-	return Described{descriptor, v}, err
+	value, err := d.decodeValue()
+	return Described{Descriptor: descriptor, Value: value}, err
 }
 
 // decodePrimitive reads what follows a constructor.
 func (d *decoder) decodePrimitive(code byte) (any, error) {
 	switch code {
-	case 0x40:
+	case constructorNull:
 		return nil, nil
-	case 0x41:
+	case constructorTrue:
 		return true, nil
-	case 0x42:
+	case constructorFalse:
 		return false, nil
-	case 0x43:
+	case constructorUint0:
 		return uint32(0), nil
-	case 0x44:
+	case constructorUlong0:
 		return uint64(0), nil
-	case 0x45:
+	case constructorList0:
 		return List{}, nil
 	}
-	// The upper half of a code tells how wide what follows is.
+	// The upper half of a constructor is the width category (section 1.2).
 	switch code >> 4 {
 	case 0x5, 0x6, 0x7, 0x8:
 		n, err := d.uint(1 << (code>>4 - 5))
@@ -100,10 +103,10 @@
 		if err != nil {
 			return nil, err
 		}
-		if code == 0x98 {
+		if code == constructorUUID {
 			return UUID(b), nil
 		}
-		if code == 0x94 {
+		if code == constructorDecimal128 {
 			return Decimal{code, string(b)}, nil
 		}
 	case 0xa, 0xb:
@@ -131,49 +134,49 @@
 	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
 
-// decodeFixedWidth gives the bits of a value of fixed width their type.
+// decodeFixedWidth converts the bits of a value of fixed width, of 1 to 8 bytes, to its type.
 func decodeFixedWidth(code byte, n uint64) (any, error) {
 	switch code {
-	case 0x50:
+	case constructorUbyte:
 		return uint8(n), nil
-	case 0x51:
+	case constructorByte:
 		return int8(n), nil
-	case 0x52, 0x70:
+	case constructorSmallUint, constructorUint:
 		return uint32(n), nil
-	case 0x53, 0x80:
+	case constructorSmallUlong, constructorUlong:
 		return n, nil
-	case 0x54:
+	case constructorSmallInt:
 		return int32(int8(n)), nil
-	case 0x55:
+	case constructorSmallLong:
 		return int64(int8(n)), nil
-	case 0x56:
+	case constructorBoolean:
 		return n == 1, nil
-	case 0x60:
+	case constructorUshort:
 		return uint16(n), nil
-	case 0x61:
+	case constructorShort:
 		return int16(n), nil
-	case 0x71:
+	case constructorInt:
 		return int32(n), nil
-	case 0x72:
+	case constructorFloat:
 		return math.Float32frombits(uint32(n)), nil
-	case 0x73:
+	case constructorChar:
 		return Char(n), nil
-	case 0x74:
+	case constructorDecimal32:
 		return Decimal{code, string(binary.BigEndian.AppendUint32(nil, uint32(n)))}, nil
-	case 0x81:
+	case constructorLong:
 		return int64(n), nil
-	case 0x82:
+	case constructorDouble:
 		return math.Float64frombits(n), nil
-	case 0x83:
+	case constructorTimestamp:
 		return Timestamp(n), nil
-	case 0x84:
+	case constructorDecimal64:
 		return Decimal{code, string(binary.BigEndian.AppendUint64(nil, n))}, nil
 	}
 	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
 
-// openCompound reads the size and the count that open a compound value or an array, and
-// returns a decoder of its inside.
+// openCompound reads the size and the count at the front of a compound value or an array, each of width bytes. It
+// returns a decoder of the elements, and the count.
 func (d *decoder) openCompound(width uint64) (*decoder, uint64, error) {
 	size, err := d.uint(width)
 	if err != nil {
@@ -188,6 +191,7 @@
 	return inner, count, err
 }
 
+// decodeCompound reads what follows the constructor of a list or a map.
 func (d *decoder) decodeCompound(code byte, width uint64) (any, error) {
 	inner, count, err := d.openCompound(width)
 	if err != nil || count > uint64(len(inner.rest)) { // every element takes a byte at least
@@ -209,6 +213,7 @@
 	return nil, ErrDecode
 }
 
+// decodeArray reads what follows the constructor of an array.
 func (d *decoder) decodeArray(code byte, width uint64) (any, error) {
 	inner, count, err := d.openCompound(width)
 	if err != nil || code&0xf != 0 || count > uint64(len(inner.rest))+maxEmptyElements {
@@ -222,24 +227,24 @@
 		return nil, err
 	}
 	var descriptor any
-	if constructor == 0 {
+	if constructor == constructorDescribed {
 		if descriptor, err = inner.decodeValue(); err != nil {
 			return nil, err
 		}
-		if constructor, err = inner.uint(1); err != nil || constructor == 0 {
+		if constructor, err = inner.uint(1); err != nil || constructor == constructorDescribed {
 			return nil, ErrDecode
 		}
 	}
 	elements := make(Array, 0, min(count, 64))
 	for range count {
-		v, err := inner.decodePrimitive(byte(constructor))
+		element, err := inner.decodePrimitive(byte(constructor))
 		if err != nil {
 			return nil, err
 		}
 		if descriptor != nil {
-			v = Described{descriptor, v}
+			element = Described{Descriptor: descriptor, Value: element}
 		}
-		elements = append(elements, v)
+		elements = append(elements, element)
 	}
 	if len(inner.rest) > 0 {
 		return nil, ErrDecode
--- a/internal/frontend/amqp/codec/encode.go
+++ b/internal/frontend/amqp/codec/encode.go
@@ -11,23 +11,23 @@
 func Append(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
-		return append(b, 0x40)
+		return append(b, constructorNull)
 	case bool:
 		if v {
-			return append(b, 0x41)
+			return append(b, constructorTrue)
 		}
-		return append(b, 0x42)
+		return append(b, constructorFalse)
 	case List:
 		if len(v) == 0 {
-			return append(b, 0x45)
+			return append(b, constructorList0)
 		}
-		return appendCompound(b, 0xd0, v)
+		return appendCompound(b, constructorList32, v)
 	case Map:
-		return appendCompound(b, 0xd1, v)
+		return appendCompound(b, constructorMap32, v)
 	case Array:
 		return appendArray(b, v)
 	case Described:
-		return Append(Append(append(b, 0), v.Descriptor), v.Value)
+		return Append(Append(append(b, constructorDescribed), v.Descriptor), v.Value)
 	}
 	if short, ok := appendCompact(b, v); ok {
 		return short
@@ -35,8 +35,8 @@
 	return appendBody(append(b, constructorOf(v)), v)
 }
 
-// appendCompact appends a value in its short form, where it has one: some peers read
-// the codes of performatives in no other.
+// appendCompact appends a value in its compact form. It reports false, and its slice is to be dropped, if the value has
+// none. The compact form is not just shorter: some peers read the codes of performatives in no other.
 func appendCompact(b []byte, v any) ([]byte, bool) {
 	sized := func(code byte, s string) ([]byte, bool) {
 		if len(s) > 255 {
@@ -46,74 +46,74 @@
 	}
 	switch v := v.(type) {
 	case uint32:
-		return append(b, 0x52, byte(v)), v < 256
+		return append(b, constructorSmallUint, byte(v)), v < 256
 	case uint64:
-		return append(b, 0x53, byte(v)), v < 256
+		return append(b, constructorSmallUlong, byte(v)), v < 256
 	case []byte:
-		return sized(0xa0, string(v))
+		return sized(constructorBinary8, string(v))
 	case string:
-		return sized(0xa1, v)
+		return sized(constructorString8, v)
 	case Symbol:
-		return sized(0xa3, string(v))
+		return sized(constructorSymbol8, string(v))
 	}
 	return b, false
 }
 
-// constructorOf returns the constructor of the widest form of a value.
+// constructorOf returns the constructor of the widest encoding of a value.
 func constructorOf(v any) byte {
 	switch v := v.(type) {
 	case nil:
-		return 0x40
+		return constructorNull
 	case bool:
-		return 0x56
+		return constructorBoolean
 	case uint8:
-		return 0x50
+		return constructorUbyte
 	case int8:
-		return 0x51
+		return constructorByte
 	case uint16:
-		return 0x60
+		return constructorUshort
 	case int16:
-		return 0x61
+		return constructorShort
 	case uint32:
-		return 0x70
+		return constructorUint
 	case int32:
-		return 0x71
+		return constructorInt
 	case float32:
-		return 0x72
+		return constructorFloat
 	case Char:
-		return 0x73
+		return constructorChar
 	case uint64:
-		return 0x80
+		return constructorUlong
 	case int64:
-		return 0x81
+		return constructorLong
 	case float64:
-		return 0x82
+		return constructorDouble
 	case Timestamp:
-		return 0x83
+		return constructorTimestamp
 	case Decimal:
 		return v.constructor
 	case UUID:
-		return 0x98
+		return constructorUUID
 	case []byte:
-		return 0xb0
+		return constructorBinary32
 	case string:
-		return 0xb1
+		return constructorString32
 	case Symbol:
-		return 0xb3
+		return constructorSymbol32
 	case List:
-		return 0xd0
+		return constructorList32
 	case Map:
-		return 0xd1
+		return constructorMap32
 	case Array:
-		return 0xf0
+		return constructorArray32
 	}
-	panic(fmt.Sprintf("amqp: no form for a %T", v)) // values come from decode or from this package
+	panic(fmt.Sprintf("amqp: no form for a %T", v)) // values come from Decode or from the relay itself
 }
 
-// appendBody appends a value without its constructor, in its widest form.
+// appendBody appends a value without its constructor, in its widest encoding.
 func appendBody(b []byte, v any) []byte {
-	be := binary.BigEndian
-	sized := func(s string) []byte { return append(be.AppendUint32(b, uint32(len(s))), s...) }
+	bigEndian := binary.BigEndian
+	sized := func(s string) []byte { return append(bigEndian.AppendUint32(b, uint32(len(s))), s...) }
 	switch v := v.(type) {
 	case bool:
 		if v {
@@ -125,25 +125,25 @@
 	case int8:
 		return append(b, byte(v))
 	case uint16:
-		return be.AppendUint16(b, v)
+		return bigEndian.AppendUint16(b, v)
 	case int16:
-		return be.AppendUint16(b, uint16(v))
+		return bigEndian.AppendUint16(b, uint16(v))
 	case uint32:
-		return be.AppendUint32(b, v)
+		return bigEndian.AppendUint32(b, v)
 	case int32:
-		return be.AppendUint32(b, uint32(v))
+		return bigEndian.AppendUint32(b, uint32(v))
 	case float32:
-		return be.AppendUint32(b, math.Float32bits(v))
+		return bigEndian.AppendUint32(b, math.Float32bits(v))
 	case Char:
-		return be.AppendUint32(b, uint32(v))
+		return bigEndian.AppendUint32(b, uint32(v))
 	case uint64:
-		return be.AppendUint64(b, v)
+		return bigEndian.AppendUint64(b, v)
 	case int64:
-		return be.AppendUint64(b, uint64(v))
+		return bigEndian.AppendUint64(b, uint64(v))
 	case float64:
-		return be.AppendUint64(b, math.Float64bits(v))
+		return bigEndian.AppendUint64(b, math.Float64bits(v))
 	case Timestamp:
-		return be.AppendUint64(b, uint64(v))
+		return bigEndian.AppendUint64(b, uint64(v))
 	case Decimal:
 		return append(b, v.raw...)
 	case UUID:
@@ -158,49 +158,50 @@
 	return b
 }
 
-// appendCompound appends a list or a map.
-func appendCompound(b []byte, code byte, vs []any) []byte {
+// appendCompound appends a list or a map, in the encoding of a constructor with 32 bits of size.
+func appendCompound(b []byte, code byte, elements []any) []byte {
 	b = append(b, code)
-	at := len(b)
-	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(vs)))
-	for _, v := range vs {
+	sizeOffset := len(b)
+	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(elements)))
+	for _, v := range elements {
 		b = Append(b, v)
 	}
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
+	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset-4))
 	return b
 }
 
-func appendArray(b []byte, vs Array) []byte {
-	b = append(b, 0xf0)
-	at := len(b)
-	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(vs)))
-	if len(vs) == 0 {
-		b = append(b, 0x40)
+// appendArray appends an array. All its elements are of the first one's type.
+func appendArray(b []byte, elements Array) []byte {
+	b = append(b, constructorArray32)
+	sizeOffset := len(b)
+	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(elements)))
+	if len(elements) == 0 {
+		b = append(b, constructorNull)
 	}
-	for i, v := range vs {
-		d, is := v.(Described)
-		if is {
-			v = d.Value
+	for i, v := range elements {
+		described, isDescribed := v.(Described)
+		if isDescribed {
+			v = described.Value
 		}
 		if i == 0 {
-			if is {
-				b = Append(append(b, 0), d.Descriptor)
+			if isDescribed {
+				b = Append(append(b, constructorDescribed), described.Descriptor)
 			}
 			b = append(b, constructorOf(v))
 		}
 		b = appendElement(b, v)
 	}
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
+	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset-4))
 	return b
 }
 
-// appendElement appends an element of an array.
+// appendElement appends an element of an array, which has no constructor of its own.
 func appendElement(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case List:
-		return append(b, appendCompound(nil, 0xd0, v)[1:]...)
+		return append(b, appendCompound(nil, constructorList32, v)[1:]...)
 	case Map:
-		return append(b, appendCompound(nil, 0xd1, v)[1:]...)
+		return append(b, appendCompound(nil, constructorMap32, v)[1:]...)
 	case Array:
 		return append(b, appendArray(nil, v)[1:]...)
 	}
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	advertisedIdleTimeout = 15 * time.Second // the peer is told this much
-	clientIdleTimeout     = 30 * time.Second // and given this much
-	writeTimeout          = 5 * time.Second  // a peer that takes nothing for this long is gone
+	advertisedIdleTimeout = 15 * time.Second // idle time-out in the relay's open to a client
+	clientIdleTimeout     = 30 * time.Second // actual one: twice what is advertised, as section 2.4.5 recommends
+	writeTimeout          = 5 * time.Second  // a peer that accepts nothing for this long is treated as gone
 )
 
-// streamConn is a connection of TCP, or of TLS over it.
+// streamConn is a TCP connection, or TLS over one.
 type streamConn interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// connection is a connection that speaks in frames, to either side.
+// connection sends and receives frames, to either side. One goroutine reads; any goroutine may write.
 type connection struct {
 	streamConn
 	reader       *bufio.Reader
-	openDeadline time.Time // by when all that is read has to be there; none if zero
+	openDeadline time.Time // of all reads while the connection opens; zero: none
 
-	mu               timedMutex
-	peerMaxFrameSize int // the peer's largest frame
+	mu               timedMutex // guards the fields below, and is held while writing
+	peerMaxFrameSize int        // in bytes
 	writeBuffer      []byte
 	lastWrite        time.Time
-	writesClosed     bool // nothing may follow a close, or a frame that went out in part
+	writesClosed     bool // nothing may follow a close, or a frame that was written in part
 }
 
 func newConnection(c streamConn) *connection {
 	return &connection{streamConn: c, reader: bufio.NewReaderSize(c, 4<<10), mu: make(timedMutex, 1), peerMaxFrameSize: framing.MinMaxFrameSize}
 }
 
+// errNoLongerPermitted says that the request was withdrawn before its frames were written: nothing was sent.
 var (
 	errConnectionClosing = errors.New("the connection is closing")
 	errNoLongerPermitted = errors.New("it is not to be sent any more")
 )
 
-// limitNextRead bounds the next read. Whatever comes meanwhile, a greeting as a whole
-// has its own bound.
+// limitNextRead sets the deadline of the next read: wait from now, but no later than the deadline of the opening.
 func (c *connection) limitNextRead(wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	if !c.openDeadline.IsZero() && c.openDeadline.Before(deadline) {
@@ -56,8 +56,8 @@
 	c.SetReadDeadline(deadline)
 }
 
-// readFrame waits for the next frame, for so long at the most.
-func (c *connection) readFrame(kind byte, wait time.Duration) (framing.Frame, error) {
+// readFrame waits at most wait for the next frame, which has to be of a type. A ConditionError is to be sent to the peer.
+func (c *connection) readFrame(frameType byte, wait time.Duration) (framing.Frame, error) {
 	c.limitNextRead(wait)
 	var sizePrefix [4]byte
 	if _, err := io.ReadFull(c.reader, sizePrefix[:]); err != nil {
@@ -71,19 +71,19 @@
 	if _, err := io.ReadFull(c.reader, body); err != nil {
 		return framing.Frame{}, err
 	}
-	if body[1] != kind {
+	if body[1] != frameType {
 		return framing.Frame{}, framing.Errorf(framing.CondFramingError, "a frame of type %d has no place here", body[1])
 	}
 	return framing.ParseFrame(body)
 }
 
-// writeFrame sends a frame in one piece; nothing goes out after a close.
+// writeFrame sends a frame in one piece; nothing is sent after a close.
 func (c *connection) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
 	return c.writeUnlessEnded(channel, performative, payload, nil)
 }
 
-// writeUnlessEnded is write for a session that others go on beside: nothing of it may go out after its end. shut is whether that has;
-// it is guarded by the connection's lock. nil: the session's end is none of the connection's business.
+// writeUnlessEnded is writeFrame for a session that shares the connection with others: nothing of it may be sent after its
+// end. ended says whether the end has been sent; the connection's lock guards it. nil: the end needs no tracking.
 func (c *connection) writeUnlessEnded(channel uint16, performative framing.Performative, payload []byte, ended *bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,16 +99,16 @@
 	return c.flush()
 }
 
-// flush writes what is in the buffer; the caller holds the lock. A failure ends the connection: after a frame that
-// went out in part, the next would be read as its rest, and the reader is to see that its peer is gone.
+// flush writes the buffer; the caller holds the lock. A failure closes the connection: after a frame that was written in
+// part, the peer would read the next as its rest, and the connection's reader has to see that the peer is gone.
 func (c *connection) flush() error {
 	c.lastWrite = time.Now()
 	c.SetWriteDeadline(c.lastWrite.Add(writeTimeout))
 	_, err := c.Write(c.writeBuffer)
 	if err != nil {
 		c.writesClosed = true
-		if over, ok := c.streamConn.(interface{ NetConn() net.Conn }); ok {
-			over.NetConn().Close() // closing TLS says a last word, which waits as this one did
+		if tlsConn, ok := c.streamConn.(interface{ NetConn() net.Conn }); ok {
+			tlsConn.NetConn().Close() // closing TLS would send an alert, and block as this write did
 		} else {
 			c.Close()
 		}
@@ -116,7 +116,7 @@
 	return err
 }
 
-// maxPayload returns how much payload a frame to the peer holds beside a performative.
+// maxPayload returns how many bytes of payload fit into a frame to the peer beside a performative.
 func (c *connection) maxPayload(performative framing.Performative) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,7 +138,7 @@
 	return header, err
 }
 
-// writeSASL writes a frame of the security layer.
+// writeSASL sends a frame of the security layer.
 func (c *connection) writeSASL(performative framing.Performative) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +146,7 @@
 	return c.flush()
 }
 
-// applyOpen takes what the peer's open says of itself.
+// applyOpen applies the limits in the peer's open. It returns the peer's idle time-out; 0: none.
 func (c *connection) applyOpen(performative framing.Performative) (idleTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -154,13 +154,15 @@
 	return time.Duration(performative.Uint32(framing.OpenIdleTimeout, 0)) * time.Millisecond
 }
 
-// newOpen is the relay's own open.
-func newOpen(name string) framing.Performative {
-	return framing.Performative{Code: framing.CodeOpen, Fields: codec.List{name, nil, uint32(framing.MaxFrameSize), uint16(maxChannel), uint32(advertisedIdleTimeout.Milliseconds())}}
+// newOpen returns the relay's open.
+func newOpen(containerID string) framing.Performative {
+	idleTimeout := uint32(advertisedIdleTimeout.Milliseconds())
+	return framing.Performative{Code: framing.CodeOpen, Fields: codec.List{
+		containerID, nil, uint32(framing.MaxFrameSize), uint16(maxChannel), idleTimeout,
+	}}
 }
 
-// sendHeartbeats sends empty frames, often enough for the peer's idle time-out, until
-// stop is closed.
+// sendHeartbeats sends empty frames, three in the peer's idle time-out unless other frames are sent, until stop is closed.
 func (c *connection) sendHeartbeats(idleTimeout time.Duration, stop <-chan struct{}) {
 	if idleTimeout <= 0 {
 		return
--- a/internal/frontend/amqp/creditlimiter.go
+++ b/internal/frontend/amqp/creditlimiter.go
@@ -6,19 +6,19 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// creditLimiter is the credit that a link's client has: that of its server, but no more than
-// ahead of what the server has been sent.
+// creditLimiter limits the link credit that a sending client gets: that of its endpoint, but at most maxDeliveriesAhead
+// deliveries beyond those that the endpoint has been sent.
 type creditLimiter struct {
 	mu            sync.Mutex
 	initialized   bool
-	deliveryCount uint32               // deliveries that the server has been sent, by the client's count
-	endpointLimit uint32               // delivery count up to which the server takes deliveries
-	clientLimit   uint32               // and the client has been told
-	lastFlow      framing.Performative // the server's last flow
+	deliveryCount uint32               // deliveries that the endpoint has been sent, by the client's delivery-count
+	endpointLimit uint32               // delivery-count up to which the endpoint has granted credit
+	clientLimit   uint32               // delivery-count up to which the client has been granted credit
+	lastFlow      framing.Performative // of the endpoint
 }
 
-// limitFlow takes a flow of the server and returns what the client is told. One that
-// wants the credit used up, or speaks of no credit, is passed as it is.
+// limitFlow takes a flow of the endpoint and returns the one for the client. A flow that drains the link, or grants no
+// credit, is returned as it is.
 func (c *creditLimiter) limitFlow(flow framing.Performative) framing.Performative {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,8 @@
 	return flow.With(framing.FlowLinkCredit, c.clientLimit-deliveryCount)
 }
 
-// deliverySent counts a delivery that the server has been sent. It returns a flow for the client
-// once enough have been that more may follow.
+// deliverySent counts a delivery that the endpoint has been sent. It returns a flow for the client, and true, once half of
+// what the client may send ahead can be granted anew.
 func (c *creditLimiter) deliverySent() (framing.Performative, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/amqp/deliverymap.go
+++ b/internal/frontend/amqp/deliverymap.go
@@ -6,23 +6,24 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// deliveryMap maps the numbers of a link's unsettled deliveries between the two
-// sessions that it passes through.
+// deliveryMap maps the ids of a link's unsettled deliveries between its two sessions: the source, on which transfers
+// arrive, and the destination, on which they are sent on.
 type deliveryMap struct {
 	mu                  sync.Mutex
-	destinationBySource map[uint32]uint32 // by their number where they come from
-	sourceByDestination map[uint32]uint32 // and the other way round
-	currentSource       uint32            // the far number of the one that is coming in,
-	currentDestination  uint32            // and its near one
-	partial             bool
-	boundaryWaiters     []chan struct{} // to be closed once it is whole
+	destinationBySource map[uint32]uint32 // delivery ids
+	sourceByDestination map[uint32]uint32 // the inverse
+	currentSource       uint32            // of the delivery whose transfers are arriving
+	currentDestination  uint32            // of the same
+	partial             bool              // more transfers of that delivery are to come
+	boundaryWaiters     []chan struct{}   // closed once no delivery is partial
 }
 
 func newDeliveryMap() *deliveryMap {
 	return &deliveryMap{destinationBySource: make(map[uint32]uint32), sourceByDestination: make(map[uint32]uint32)}
 }
 
-// translateTransfer gives a transfer the number that it has in the session it goes to.
+// translateTransfer returns a transfer with its delivery id in the destination session. A ConditionError is to be sent to
+// the source.
 func (d *deliveryMap) translateTransfer(transfer framing.Performative, to *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -51,7 +52,7 @@
 	return transfer.With(framing.TransferDeliveryID, d.currentDestination), nil
 }
 
-// boundary returns a channel that is closed once no delivery is in part.
+// boundary returns a channel that is closed once no delivery is partial.
 func (d *deliveryMap) boundary() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,8 +65,8 @@
 	return done
 }
 
-// translateDisposition turns a disposition into those of the other session. back says that
-// it comes from where the deliveries go to.
+// translateDisposition turns a disposition into those of the other session, one for each delivery of the link that it
+// names; settled deliveries are forgotten. fromDestination: it comes from the destination of the deliveries.
 func (d *deliveryMap) translateDisposition(disposition framing.Performative, fromDestination bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -15,16 +15,15 @@
 )
 
 var (
+	// errNegotiation says that the endpoint's opening breaks the standard.
 	errNegotiation = errors.New("the server's greeting makes no sense")
-	// errSASLMismatch says that the server wants to begin with the other header: without
-	// the security layer, or with it.
+	// errSASLMismatch says that the endpoint expects the other protocol header: without the security layer, or with it.
 	errSASLMismatch = errors.New("the server begins with another layer")
 )
 
-// dial opens a connection to a server up to where a session can begin. All of
-// that is bounded as a connection's set-up: nothing has run by then. A server that
-// speaks without the security layer says so to the header of that layer (part 2,
-// section 2.2), and closes: it is dialled again without, and so from then on.
+// dial opens a connection to an endpoint, up to where a session can begin, within a timeout: nothing of a request has been
+// sent by then. An endpoint that does not use the security layer answers its header with the other one (section 2.2) and
+// closes the connection: it is dialled again without the layer, which is remembered for its address.
 func (f *Frontend) dial(ctx context.Context, address string, timeout time.Duration) (*upstream, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -41,6 +40,7 @@
 	return u, err
 }
 
+// dialOnce is one try of dial. It fails with errSASLMismatch if the other protocol header is expected.
 func (f *Frontend) dialOnce(ctx context.Context, address string, timeout time.Duration, withoutSASL bool) (*upstream, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	tcp, err := dialer.DialContext(ctx, "tcp", address)
@@ -49,7 +49,7 @@
 	}
 	conn := streamConn(tcp.(*net.TCPConn))
 	host, _, _ := net.SplitHostPort(address)
-	hasClientCertificate := false // the relay shows a certificate
+	hasClientCertificate := false
 	if config := f.EndpointTLS.For(host); config != nil {
 		secured := tls.Client(tcp, config)
 		if err := secured.HandshakeContext(ctx); err != nil {
@@ -58,7 +58,10 @@
 		}
 		conn, hasClientCertificate = secured, len(config.Certificates) > 0
 	}
-	u := &upstream{session: newSession(newConnection(conn), 0), done: make(chan struct{}), tcp: tcp, hasClientCertificate: hasClientCertificate, maxSessions: f.Pool.MaxSessions}
+	u := &upstream{
+		session: newSession(newConnection(conn), 0), done: make(chan struct{}), tcp: tcp,
+		hasClientCertificate: hasClientCertificate, maxSessions: f.Pool.MaxSessions,
+	}
 	stopClose := context.AfterFunc(ctx, func() { tcp.Close() })
 	err = u.negotiate(timeout, withoutSASL)
 	if !stopClose() {
@@ -71,6 +74,7 @@
 	return u, nil
 }
 
+// negotiate exchanges the protocol headers, the frames of the security layer, and the opens. timeout bounds each read.
 func (u *upstream) negotiate(timeout time.Duration, withoutSASL bool) error {
 	if !withoutSASL {
 		if err := u.authenticate(timeout); err != nil {
@@ -102,7 +106,8 @@
 	return nil
 }
 
-// authenticate passes the security layer.
+// authenticate passes the security layer: by the relay's certificate if it has shown one and the endpoint offers that,
+// and anonymously otherwise.
 func (u *upstream) authenticate(timeout time.Duration) error {
 	if err := u.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
@@ -131,11 +136,11 @@
 	return nil
 }
 
-// offersMechanism tells whether a peer's mechanisms, which are one or an array, have one among them.
+// offersMechanism reports whether a mechanism is among those offered, which are one symbol or an array of them.
 func offersMechanism(mechanisms any, name string) bool {
 	all, ok := mechanisms.(codec.Array)
 	if !ok {
 		all = codec.Array{mechanisms}
 	}
-	return slices.ContainsFunc(all, func(v any) bool { return codec.AsString(v) == name })
+	return slices.ContainsFunc(all, func(mechanism any) bool { return codec.AsString(mechanism) == name })
 }
--- a/internal/frontend/amqp/framing/frame.go
+++ b/internal/frontend/amqp/framing/frame.go
@@ -12,6 +12,9 @@
 	TypeSASL = 1
 )
 
+// minDataOffset is the data offset of a frame without an extended header, in words of four bytes.
+const minDataOffset = 2
+
 // Sizes of frames, in bytes.
 const (
 	HeaderSize      = 8       // of a frame's fixed header
@@ -46,11 +49,11 @@
 		f.Empty = true
 		return f, nil
 	}
-	v, rest, err := codec.Decode(b)
+	value, rest, err := codec.Decode(b)
 	if err != nil {
 		return f, ConditionError{Condition: CondDecodeError, Description: err.Error()}
 	}
-	described, ok := v.(codec.Described)
+	described, ok := value.(codec.Described)
 	if ok {
 		f.Code, ok = codec.AsUint64(described.Descriptor)
 		ok = ok && f.Code != 0 // which would pass for a frame without a body
@@ -65,15 +68,15 @@
 	return f, nil
 }
 
-// AppendFrame appends a frame of a type (TypeAMQP or TypeSASL) to dst, and returns the extended slice. A performative
+// AppendFrame appends a frame of a type (TypeAMQP or TypeSASL) to b, and returns the extended slice. A performative
 // with code 0 is left out, which makes a frame without a body.
-func AppendFrame(b []byte, kind byte, channel uint16, p Performative, payload []byte) []byte {
-	at := len(b)
-	b = append(b, 0, 0, 0, 0, 2, kind, byte(channel>>8), byte(channel))
+func AppendFrame(b []byte, frameType byte, channel uint16, p Performative, payload []byte) []byte {
+	sizeOffset := len(b)
+	b = append(b, 0, 0, 0, 0, minDataOffset, frameType, byte(channel>>8), byte(channel))
 	if p.Code != 0 {
 		b = codec.Append(b, codec.Described{Descriptor: p.Code, Value: p.Fields})
 	}
 	b = append(b, payload...)
-	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at))
+	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset))
 	return b
 }
--- a/internal/frontend/amqp/frontend.go
+++ b/internal/frontend/amqp/frontend.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	openTimeout   = listener.OpeningTimeout // a client may take this long to open, all in all
-	shutdownGrace = 200 * time.Millisecond  // a connection whose links are moved or answered has this long once the relay ends
-	closeTimeout  = time.Second             // a peer may take this long to answer a close
+	openTimeout   = listener.OpeningTimeout // from a client's connecting to its open
+	shutdownGrace = 200 * time.Millisecond  // from the relay's shutdown to the close of a client's connection
+	closeTimeout  = time.Second             // for a peer's answer to a close or a detach
 )
 
-// Frontend is where clients that speak AMQP come in.
+// Frontend accepts clients that speak AMQP 1.0. Its exported fields are set before Serve is called, and not changed after.
 type Frontend struct {
 	Proxy   *proxy.Proxy
-	Limiter *listener.ConnLimiter // its seats are for links, its room for connections without
-	// ServerPort is where application servers speak AMQP; 0: as discovery says.
+	Limiter *listener.ConnLimiter // slots are for links, idle places for connections without
+	// EndpointPort is the port on which endpoints speak AMQP; 0: that of their address in the endpoint list.
 	EndpointPort int
-	IdleTimeout  time.Duration // a client that is silent for this long goes; 0: the usual
+	IdleTimeout  time.Duration // a client that is silent for this long is closed; 0: 30 s
 
-	Authenticator *auth.Authenticator // says who clients are and what they may open; nil: everyone everything
-	EndpointTLS   *auth.EndpointTLS   // how connections to application servers are secured; nil: they are not
-	Pool          connpool.Settings   // connections to servers that transactions share; zero: each has its own
-	Placements    []Placement         // what links want whose attach does not say it; each is compiled
+	Authenticator *auth.Authenticator // authenticates clients and authorizes classes; nil: all may open all
+	EndpointTLS   *auth.EndpointTLS   // of connections to endpoints; nil: plain TCP
+	Pool          connpool.Settings   // of connections to endpoints that requests share; zero: each request has its own
+	Placements    []Placement         // rules for links whose attach lacks properties; each compiled
 
-	endpointsWithoutSASL sync.Map           // addresses of servers that speak without the security layer
+	endpointsWithoutSASL sync.Map           // keys are addresses
 	sharedConnections    *sharedConnections // nil: no connections are shared
 }
 
-// Serve takes clients until the listener is closed, and then sees those through
-// that it has.
+// Serve accepts clients until the listener is closed, and returns when the last of them has ended. ctx ends the
+// connections at once.
 func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	if f.Pool.MaxSessions > 0 {
 		f.sharedConnections = newSharedConnections(f, f.Pool)
 		defer f.sharedConnections.close()
-		defer context.AfterFunc(ctx, f.sharedConnections.close)() // at the relay's end nobody waits for a server that does not read
+		defer context.AfterFunc(ctx, f.sharedConnections.close)() // at shutdown nothing waits for an endpoint that does not read
 	}
 	return listener.Serve(ctx, l, f.Limiter, f.serveClient)
 }
 
-// serveClient sees one connection through.
+// serveClient serves one connection until its end. The listener calls it in a goroutine for each.
 func (f *Frontend) serveClient(ctx context.Context, tcp *net.TCPConn, admission *listener.Admission) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &clientConnection{
@@ -64,7 +64,7 @@
 		f.Proxy.ProtocolError("amqp", conditionErr.Description)
 		c.writeFrame(0, framing.NewClose(conditionErr), nil)
 	}
-	for _, s := range c.sessions { // ahead of the wait: nothing of them is to go to a server any more
+	for _, s := range c.sessions { // before the wait: endpoints are to be sent nothing more of them
 		s.disconnect()
 	}
 	c.linger()
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -9,32 +9,34 @@
 	"lockroad/internal/proxy"
 )
 
-// migrateTimeout bounds the wait for the rest of a delivery before its link is moved.
+// migrateTimeout bounds the wait for the rest of a delivery before its link is migrated.
 const migrateTimeout = 300 * time.Millisecond
 
-// link is one transaction of a client.
+// link is a link of a client, which is one request. It implements the proxy's downstream: the goroutine of
+// clientSession.serveLink calls Attempt, Pipe, Reject and Fail, the reader of the client's connection calls the handle
+// methods.
 type link struct {
 	frontend      *Frontend
-	session       *session // the client's
+	session       *session // of the client
 	handle        uint32
 	name          string
-	attach        framing.Performative // the client's
-	clientSends   bool                 // deliveries go from the client to the server
-	cancel        func()
+	attach        framing.Performative // of the client
+	clientSends   bool                 // the client is the sender
+	cancel        func()               // ends the request; nil if it never began
 	deliveries    *deliveryMap
 	creditLimiter creditLimiter
 
 	mu         sync.Mutex
-	outbox     *outbox   // what the client has for the server
-	upstream   *upstream // the server, once it is the client's
+	outbox     *outbox   // to the endpoint; nil until the link is established
+	upstream   *upstream // nil until the link is established
 	heartbeat  *proxy.Heartbeat
-	clientFlow *framing.Performative // what the client has granted so far
-	attachSent bool                  // the client has been answered
-	detachSent bool                  // the client has been told of the end
-	clientGone bool                  // the client has ended its side
+	clientFlow *framing.Performative // the last, until the link is established
+	attachSent bool                  // the client's attach has been answered
+	detachSent bool                  // the client has been sent the end
+	clientGone bool                  // the client has detached, or its connection has ended
 }
 
-// activeOutbox returns what goes to the server while frames pass.
+// activeOutbox returns the outbox while neither side has ended the link; nil otherwise, and before it is established.
 func (l *link) activeOutbox() (*outbox, *proxy.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,29 +46,28 @@
 	return l.outbox, l.heartbeat
 }
 
-// enqueue has something sent to the server. A client that says more than its server takes,
-// and more than there is room for, loses the link.
-func (l *link) enqueue(pending *outbox, p outboxItem) {
-	if !pending.enqueue(p) {
+// enqueue has an item sent to the endpoint. If the outbox is full, the link is detached.
+func (l *link) enqueue(pending *outbox, item outboxItem) {
+	if !pending.enqueue(item) {
 		l.detach(framing.CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
 		l.cancel()
 	}
 }
 
-// handleFlow passes the client's credit on. Before the link is up it is kept.
-func (l *link) handleFlow(p framing.Performative) error {
+// handleFlow forwards a flow of the client, or retains it until the link is established.
+func (l *link) handleFlow(flow framing.Performative) error {
 	l.mu.Lock()
 	if l.upstream == nil {
-		l.clientFlow = &p
+		l.clientFlow = &flow
 	}
 	l.mu.Unlock()
 	if pending, _ := l.activeOutbox(); pending != nil {
-		l.enqueue(pending, outboxItem{Performative: p.With(framing.FlowHandle, uint32(0)), isFlow: true})
+		l.enqueue(pending, outboxItem{Performative: flow.With(framing.FlowHandle, uint32(0)), isFlow: true})
 	}
 	return nil
 }
 
-// handleTransfer passes a delivery of the client on, or a part of one.
+// handleTransfer forwards a transfer of the client. A ConditionError ends the client's session.
 func (l *link) handleTransfer(frame framing.Frame) error {
 	pending, heartbeat := l.activeOutbox()
 	sent := false
@@ -86,16 +87,16 @@
 		l.cancel()
 		return nil
 	case pending == nil:
-		return nil // the end and the transfer have crossed
+		return nil // the transfer has crossed the end
 	}
-	p, err := l.deliveries.translateTransfer(frame.Performative, pending.upstreamConn.session)
+	transfer, err := l.deliveries.translateTransfer(frame.Performative, pending.upstreamConn.session)
 	if err != nil {
 		return err
 	}
 	if !frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferSettled) {
 		heartbeat.ClientSent()
 	}
-	next := outboxItem{Performative: p.With(framing.TransferHandle, uint32(0)), payload: frame.Payload, isTransfer: true}
+	next := outboxItem{Performative: transfer.With(framing.TransferHandle, uint32(0)), payload: frame.Payload, isTransfer: true}
 	if !frame.Bool(framing.TransferMore) {
 		next.onSent = l.deliverySent
 	}
@@ -104,27 +105,26 @@
 	return nil
 }
 
-// deliverySent counts a delivery that the server has been sent, and has the client told of
-// credit that it has for more.
+// deliverySent counts a delivery that the endpoint has been sent, and grants the client more credit in time.
 func (l *link) deliverySent() {
-	if p, more := l.creditLimiter.deliverySent(); more {
-		l.session.sendFlow(p.With(framing.FlowHandle, l.handle)) // if this fails, the client's reader sees why
+	if flow, more := l.creditLimiter.deliverySent(); more {
+		l.session.sendFlow(flow.With(framing.FlowHandle, l.handle)) // on failure the reader of the client's connection sees why
 	}
 }
 
-// handleDisposition passes on what the client says of deliveries, if they are this link's.
-func (l *link) handleDisposition(p framing.Performative) {
-	// A receiver speaks of what came to it, a sender of what it has sent.
-	if pending, _ := l.activeOutbox(); pending != nil && p.Bool(framing.DispositionRole) != l.clientSends {
-		for _, q := range l.deliveries.translateDisposition(p, !l.clientSends) {
-			l.enqueue(pending, outboxItem{Performative: q})
+// handleDisposition forwards a disposition of the client, as far as it names deliveries of this link.
+func (l *link) handleDisposition(disposition framing.Performative) {
+	// A receiver settles what it has received, a sender what it has sent.
+	if pending, _ := l.activeOutbox(); pending != nil && disposition.Bool(framing.DispositionRole) != l.clientSends {
+		for _, translated := range l.deliveries.translateDisposition(disposition, !l.clientSends) {
+			l.enqueue(pending, outboxItem{Performative: translated})
 		}
 	}
 }
 
-// handleDetach takes the client's detach. Before the link is up, the client has
-// left; after that, the detach is the server's to answer.
-func (l *link) handleDetach(p framing.Performative) {
+// handleDetach handles the client's detach. Before the link is established it cancels the request; after that the
+// endpoint answers the detach, within closeTimeout.
+func (l *link) handleDetach(detach framing.Performative) {
 	l.mu.Lock()
 	l.clientGone = true
 	upstreamConn, pending, detachSent := l.upstream, l.outbox, l.detachSent
@@ -134,12 +134,12 @@
 	case upstreamConn == nil:
 		l.cancel()
 	default:
-		l.enqueue(pending, outboxItem{Performative: p.With(framing.DetachHandle, uint32(0))})
+		l.enqueue(pending, outboxItem{Performative: detach.With(framing.DetachHandle, uint32(0))})
 		upstreamConn.limitRemaining(closeTimeout)
 	}
 }
 
-// handleDisconnect ends the server's side as the client's has ended.
+// handleDisconnect ends the request and the endpoint's side, as the client's side has ended.
 func (l *link) handleDisconnect() {
 	l.mu.Lock()
 	l.clientGone = true
@@ -153,10 +153,11 @@
 	}
 }
 
-// finish answers a client that has detached while its link was open.
+// finish answers a client that has detached while its link was established.
 func (l *link) finish() { l.detach("", "", nil) }
 
-// detach tells the client of the end, once: it tells whether this was the first. It needs no credit.
+// detach sends the client a detach, once: it reports whether this was the first. Without a condition it is a normal end.
+// It needs no credit.
 func (l *link) detach(condition, description string, info codec.Map) bool {
 	l.mu.Lock()
 	if l.detachSent {
@@ -167,34 +168,41 @@
 	answered := l.attachSent
 	l.mu.Unlock()
 	downstream := l.session
-	if !answered { // the standard wants an attach first, without what the relay would own
-		p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{l.name, l.handle, l.clientSends, nil, nil, l.attach.Field(framing.AttachSource), l.attach.Field(framing.AttachTarget)}}
-		if l.clientSends {
-			p = p.With(framing.AttachTarget, nil)
-		} else {
-			p = p.With(framing.AttachSource, nil).With(framing.AttachInitialDeliveryCount, uint32(0))
-		}
-		if downstream.writeFrame(downstream.channel, p, nil) != nil {
-			return true
-		}
+	if !answered && downstream.writeFrame(downstream.channel, l.rejectingAttach(), nil) != nil {
+		return true
 	}
-	downstream.writeFrame(downstream.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{l.handle, true, framing.NewErrorValue(condition, description, info)}}, nil)
+	errorValue := framing.NewErrorValue(condition, description, info)
+	detach := framing.Performative{Code: framing.CodeDetach, Fields: codec.List{l.handle, true, errorValue}}
+	downstream.writeFrame(downstream.channel, detach, nil)
 	return true
 }
 
-// BadRequest answers what makes no sense.
+// rejectingAttach is the attach that precedes the detach of a rejected link (section 2.6.3): it lacks the terminus that
+// the relay's side would own.
+func (l *link) rejectingAttach() framing.Performative {
+	source, target := l.attach.Field(framing.AttachSource), l.attach.Field(framing.AttachTarget)
+	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{
+		l.name, l.handle, l.clientSends, nil, nil, source, target,
+	}}
+	if l.clientSends {
+		return attach.With(framing.AttachTarget, nil)
+	}
+	return attach.With(framing.AttachSource, nil).With(framing.AttachInitialDeliveryCount, uint32(0))
+}
+
+// BadRequest detaches the link as invalid.
 func (l *link) BadRequest(description string) { l.detach(framing.CondNotAllowed, description, nil) }
 
-// Reject answers that trying again is harmless.
+// Reject detaches the link, whose request has not run: the client may retry, after retryAfter if that is known.
 func (l *link) Reject(retryAfter time.Duration) {
 	l.detach(framing.CondResourceLimitExceeded, "no application server takes it", retryAfterInfo(retryAfter))
 }
 
-// Fail answers what promises nothing.
+// Fail detaches the link, whose request may have run.
 func (l *link) Fail() { l.detach(framing.CondInternalError, "the transaction has failed", nil) }
 
-// Migrate sends the client away politely: between two deliveries, if the one that
-// is under way ends in time.
+// Migrate detaches the link so that the client attaches again elsewhere: between two deliveries, if the current one ends
+// within migrateTimeout. It reports whether the link had not been detached before.
 func (l *link) Migrate() bool {
 	select {
 	case <-l.deliveries.boundary():
--- a/internal/frontend/amqp/multiplexer.go
+++ b/internal/frontend/amqp/multiplexer.go
@@ -8,32 +8,35 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// multiplexer is a connection that several sessions share, each on a lane of its own. One goroutine reads it, and never
-// waits for a lane: what has come for one and was not taken yet is bounded by its session's window, and a
-// peer that sends more than that loses the session.
+// multiplexer is a connection that several sessions share. One goroutine, in serve, reads it, and never waits for a
+// session: the frames that a session has not read yet are bounded by its window, and a peer that sends more loses the
+// session.
 type multiplexer struct {
 	*connection
-	// begins is handed a session that the peer begins. nil: it may begin none.
+	// onSession is called with each session that the peer begins. nil: it may begin none.
 	onSession func(*sharedSession)
 
 	mu             sync.Mutex
-	localChannels  map[uint16]*sharedSession // by the channel that is spoken on here
-	remoteChannels map[uint16]*sharedSession // by the peer's
-	err            error                     // why nothing more comes; nil while something may
+	localChannels  map[uint16]*sharedSession // by the channel of the frames that are sent
+	remoteChannels map[uint16]*sharedSession // by the channel of the frames that are received
+	err            error                     // why reading ended; nil while it goes on
 }
 
 func newMultiplexer(conn *connection) *multiplexer {
 	return &multiplexer{connection: conn, localChannels: make(map[uint16]*sharedSession), remoteChannels: make(map[uint16]*sharedSession)}
 }
 
+// newSession returns a session on a channel, which the caller registers.
 func (m *multiplexer) newSession(channel uint16, onRelease func()) *sharedSession {
-	shared := &sharedSession{session: newSession(m.connection, channel), multiplexer: m, onRelease: onRelease, changed: make(chan struct{}, 1)}
+	shared := &sharedSession{
+		session: newSession(m.connection, channel), multiplexer: m, onRelease: onRelease, changed: make(chan struct{}, 1),
+	}
 	shared.endWritten = new(bool)
 	return shared
 }
 
-// openSession opens a lane on the lowest channel that is free, up to the most that the peer takes. It returns nil where none
-// is, and an error where the connection has come to its end.
+// openSession opens a session on the lowest free channel up to the highest that the peer accepts. onRelease is called once
+// the channel is free again. It returns nil where none is free, and an error where the connection has ended.
 func (m *multiplexer) openSession(highestChannel uint16, onRelease func()) (*sharedSession, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,8 +53,7 @@
 	return nil, nil
 }
 
-// serve reads until the connection's end, and tells all lanes of it. A peer that says nothing for a time is dead; 0: it may be
-// silent for ever.
+// serve reads until the connection's end, and ends all sessions. A peer that is silent for silenceTimeout is taken for dead.
 func (m *multiplexer) serve(silenceTimeout time.Duration) {
 	err := m.readFrames(silenceTimeout)
 	m.mu.Lock()
@@ -64,9 +66,10 @@
 	}
 }
 
-// errPeerClosed says that the peer has closed the connection in good order.
+// errPeerClosed says that the peer has closed the connection with a close.
 var errPeerClosed = errors.New("the peer has closed the connection")
 
+// readFrames hands the peer's frames to their sessions until the connection ends. Its error says why.
 func (m *multiplexer) readFrames(silenceTimeout time.Duration) error {
 	for {
 		frame, err := m.readFrame(framing.TypeAMQP, silenceTimeout)
@@ -100,7 +103,7 @@
 	}
 }
 
-// closeWithError tells the peer what is wrong with it.
+// closeWithError closes the connection with a ConditionError, and does nothing for other errors. It returns err.
 func (m *multiplexer) closeWithError(err error) error {
 	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
 		m.writeFrame(0, framing.NewClose(conditionErr), nil)
@@ -108,6 +111,7 @@
 	return err
 }
 
+// forEachSession calls visit for each session, without holding the lock.
 func (m *multiplexer) forEachSession(visit func(*sharedSession)) {
 	m.mu.Lock()
 	sessions := make([]*sharedSession, 0, len(m.localChannels))
@@ -120,7 +124,7 @@
 	}
 }
 
-// handleBegin takes a begin of the peer: the answer to one from here, or, where it may, one of its own.
+// handleBegin handles a begin of the peer: the answer to one of the relay, or, where the peer may, one of its own.
 func (m *multiplexer) handleBegin(frame framing.Frame) error {
 	m.mu.Lock()
 	if m.remoteChannels[frame.Channel] != nil {
@@ -156,14 +160,14 @@
 	return nil
 }
 
-// handleEnd takes the peer's end of a session. Its channels are free again once it was ended from here, too.
+// handleEnd handles the peer's end of a session, and answers it.
 func (m *multiplexer) handleEnd(shared *sharedSession, frame framing.Frame) {
 	shared.enqueue(frame)
 	shared.endRemotely(nil)
-	shared.sendEnd() // what has come is still to be read
+	shared.sendEnd() // what has been received is still to be read
 }
 
-// releaseChannels frees the channels of a lane that both sides have ended.
+// releaseChannels frees the channels of a session that both sides have ended.
 func (m *multiplexer) releaseChannels(shared *sharedSession) {
 	shared.releaseOnce.Do(func() {
 		m.mu.Lock()
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -8,48 +8,46 @@
 )
 
 const (
-	// maxDeliveriesAhead is how many deliveries a client may send on a link beyond those that its
-	// server has been sent, whatever credit the server grants: a part of the session's
-	// window, so that a server which stops reading leaves the rest to other links.
+	// maxDeliveriesAhead is how many deliveries a client may send on a link beyond those that the endpoint has been sent,
+	// whatever credit the endpoint grants: a part of the session's window, so that an endpoint that stops reading leaves
+	// the rest to other links.
 	maxDeliveriesAhead = sessionWindow / 2
-	// maxPendingControlFrames is how many flows, dispositions and detaches of a client may wait for a
-	// server. Flows are one, as each says all that the last did.
+	// maxPendingControlFrames is how many flows, dispositions and detaches of a client may wait for an endpoint.
+	// Consecutive flows count as one, as each replaces the last.
 	maxPendingControlFrames = maxUnsettledDeliveries + 16
 )
 
-// outbox holds what a client's link has for its server, and one goroutine sends it. It
-// guards against a server that stops reading: the goroutine that reads the client's
-// connection never waits for it, and other links of the connection go on.
+// outbox queues what a client's link sends to its endpoint; one goroutine, in run, sends it. The goroutine that reads the
+// client's connection so never waits for an endpoint that stops reading, and other links of the connection go on.
 //
-// Its room is bounded: transfers by the window of the client's session, which is opened
-// again only as they leave (windowMost frames of ourMost bytes for all links of a
-// session), the rest by wordsMost.
+// The queue is bounded: transfers by the window of the client's session, which is reopened only as they are sent
+// (sessionWindow frames of framing.MaxFrameSize bytes for all links of a session), the rest by maxPendingControlFrames.
 type outbox struct {
-	session      *session // the client's
+	session      *session // of the client
 	upstreamConn *upstream
-	onStall      func() // told that the server has taken no transfer for long, and nothing more goes to it
+	onStall      func() // called when the endpoint has accepted no transfer for writeTimeout; nothing more is sent to it
 
 	mu                   sync.Mutex
 	queue                []outboxItem
-	pendingControlFrames int // that are no transfers
+	pendingControlFrames int // items in the queue that are no transfers
 	closed               bool
-	changed              chan struct{} // a value when something has been put in
+	changed              chan struct{} // has a value when an item has been added
 }
 
-// outboxItem is one thing for a server.
+// outboxItem is a frame for an endpoint.
 type outboxItem struct {
 	framing.Performative
 	payload    []byte
 	isTransfer bool
 	isFlow     bool
-	onSent     func() // called after a transfer that ends a delivery has been sent
+	onSent     func() // called after the last transfer of a delivery has been sent; nil: not called
 }
 
 func newOutbox(s *session, upstreamConn *upstream, onStall func()) *outbox {
 	return &outbox{session: s, upstreamConn: upstreamConn, onStall: onStall, changed: make(chan struct{}, 1)}
 }
 
-// enqueue takes something for the server. It fails where there is no room for it.
+// enqueue adds an item. It reports false where there is no room. After the end the item is dropped.
 func (o *outbox) enqueue(item outboxItem) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -57,11 +55,11 @@
 		if item.isTransfer {
 			o.session.releaseTransfers(1)
 		}
-		return true // the end has crossed it
+		return true // it has crossed the end
 	}
 	if !item.isTransfer {
-		if transfers := len(o.queue); item.isFlow && transfers > 0 && o.queue[transfers-1].isFlow {
-			o.queue[transfers-1] = item
+		if last := len(o.queue) - 1; item.isFlow && last >= 0 && o.queue[last].isFlow {
+			o.queue[last] = item
 			return true
 		}
 		if o.pendingControlFrames >= maxPendingControlFrames {
@@ -77,7 +75,7 @@
 	return true
 }
 
-// dequeue takes out the next thing.
+// dequeue removes the next item. It reports false if there is none.
 func (o *outbox) dequeue() (outboxItem, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -95,7 +93,7 @@
 	return item, true
 }
 
-// run sends what is put in until the server's side stops.
+// run sends items until the endpoint's side ends or a write fails. Pipe starts it in a goroutine.
 func (o *outbox) run() {
 	defer o.close()
 	for {
@@ -122,15 +120,15 @@
 			err = o.upstreamConn.writeFrame(o.upstreamConn.channel, item.Performative, nil)
 		}
 		if errors.Is(err, errWindowClosed) {
-			o.onStall() // the other direction may go on: deliveries would be taken for a server that never gets them
+			o.onStall() // the other direction may still work, and the link would accept deliveries that never arrive
 		}
 		if err != nil {
-			return // else the other direction sees why
+			return // the reader of the endpoint's connection sees why
 		}
 	}
 }
 
-// close lets go of what waits.
+// close drops the queue, and gives its transfers' places in the client's window back.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -9,25 +9,24 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// PeerConn is an application server's end of a connection of the relay's, for stand-ins: the greeting as the
-// standard has it (part 2, section 2.4; part 5, section 5.3), and the sessions that the relay begins.
+// PeerConn is an endpoint's end of a connection that the relay has opened, for fake servers: the opening (section 2.4; part
+// 5, section 5.3), and the sessions that the relay begins.
 type PeerConn struct {
 	multiplexer *multiplexer
 	readTimeout time.Duration
-	done        chan struct{}
-	sessions    chan *Peer
-	ended       chan struct{}
+	done        chan struct{} // closed by Close
+	sessions    chan *Peer    // begun by the relay, and not yet returned by Session
+	ended       chan struct{} // closed once the reader has ended
 }
 
-// Peer is one session of a PeerConn, and the links that are attached to it. One goroutine uses it.
+// Peer is one session of a PeerConn, and the links that are attached to it. Its methods are for one goroutine.
 type Peer struct {
 	*sharedSession
 	conn            *PeerConn
-	partialPayloads map[uint32][]byte // of deliveries that have come in part, by their links
+	partialPayloads map[uint32][]byte // of partial deliveries, by link handle
 }
 
-// PeerEvent is what a Peer is told: a link is attached, a delivery has come whole, or
-// a link is detached.
+// PeerEvent is an event of a Peer: a link is attached, a delivery is complete, or a link is detached.
 type PeerEvent struct {
 	Kind       PeerKind
 	Handle     uint32
@@ -36,7 +35,7 @@
 	Payload    []byte         // of PeerDelivered: the message's data section, where it is one
 	Name       string         // of the link, of PeerAttached
 	Sends      bool           // the relay's side sends, of PeerAttached
-	Properties map[string]any // of PeerAttached: strings, numbers and truths
+	Properties map[string]any // of PeerAttached: strings, numbers and booleans
 	attach     framing.Performative
 }
 
@@ -46,15 +45,15 @@
 // The kinds of PeerEvent.
 const (
 	PeerAttached  PeerKind = iota // the other side has attached a link
-	PeerDelivered                 // the other side has sent a whole delivery
+	PeerDelivered                 // the other side has sent a complete delivery
 	PeerDetached                  // the other side has detached a link
 )
 
-// maxPeerSessions is how many sessions a stand-in takes on a connection.
+// maxPeerSessions is how many sessions a fake server accepts on a connection.
 const maxPeerSessions = 256
 
-// AcceptPeerConn greets a relay that has connected, up to the open. wait bounds each read, here and later. plain
-// refuses the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
+// AcceptPeerConn opens the connection of a relay that has connected. wait bounds each read, here and later. plain rejects
+// the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
 func AcceptPeerConn(tcp streamConn, wait time.Duration, plain bool) (*PeerConn, error) {
 	c := newConnection(tcp)
 	header, err := c.readProtocolHeader(wait)
@@ -86,16 +85,19 @@
 	if frame.Code != framing.CodeOpen {
 		return nil, fmt.Errorf("a server was told %#x for an open", frame.Code)
 	}
-	p := &PeerConn{multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}), sessions: make(chan *Peer, maxPeerSessions), ended: make(chan struct{})}
+	p := &PeerConn{
+		multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}),
+		sessions: make(chan *Peer, maxPeerSessions), ended: make(chan struct{}),
+	}
 	p.multiplexer.onSession = func(shared *sharedSession) {
 		select {
 		case p.sessions <- &Peer{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
-		default: // more wait to be taken than a stand-in takes in all
+		default: // more sessions than a fake server accepts in all
 			shared.endLocally()
 		}
 	}
 	idle := c.applyOpen(frame.Performative)
-	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil) // if this fails, the next read sees why
+	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil) // on failure the next read sees why
 	go c.sendHeartbeats(idle, p.done)
 	go func() {
 		p.multiplexer.serve(wait)
@@ -104,7 +106,7 @@
 	return p, nil
 }
 
-// Session waits for the next session that the relay begins; nil: none comes any more.
+// Session waits for the next session that the relay begins; nil: the connection has ended.
 func (p *PeerConn) Session() *Peer {
 	select {
 	case s := <-p.sessions:
@@ -126,7 +128,7 @@
 	<-p.ended
 }
 
-// AcceptPeer greets a relay that has connected, up to the first session.
+// AcceptPeer opens the connection of a relay as AcceptPeerConn does, and waits for the first session.
 func AcceptPeer(tcp streamConn, wait time.Duration, plain bool) (*Peer, error) {
 	c, err := AcceptPeerConn(tcp, wait, plain)
 	if err != nil {
@@ -140,24 +142,25 @@
 	return p, nil
 }
 
-func acceptSASL(p *connection, wait time.Duration) error {
-	if err := p.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
+// acceptSASL passes the security layer: the relay authenticates anonymously.
+func acceptSASL(conn *connection, wait time.Duration) error {
+	if err := conn.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	if err := p.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
+	if err := conn.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
 		return err
 	}
-	frame, err := p.readFrame(framing.TypeSASL, wait)
+	frame, err := conn.readFrame(framing.TypeSASL, wait)
 	if err != nil {
 		return err
 	}
 	if frame.Code != framing.CodeSASLInit {
 		return fmt.Errorf("a server was told %#x for an init", frame.Code)
 	}
-	return p.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+	return conn.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// errPeerSessionEnded says that the relay has ended the session, or closed the connection, in good order.
+// errPeerSessionEnded says that the relay has sent an end or a close.
 var errPeerSessionEnded = errors.New("the relay has ended the session")
 
 // Close ends the connection at once.
@@ -166,7 +169,7 @@
 // End ends the session.
 func (p *Peer) End() { p.sharedSession.endLocally() }
 
-// DiscardInput takes what comes for the session and says nothing, until its end.
+// DiscardInput reads and ignores the session's frames until its end.
 func (p *Peer) DiscardInput() {
 	for {
 		if frame, err := p.nextFrame(0); err != nil || frame.Code == framing.CodeEnd {
@@ -175,8 +178,7 @@
 	}
 }
 
-// Next waits for the next event. Its errors are those of the connection, or say that
-// the relay has ended it.
+// Next waits for the next event. Its errors are those of the connection, or say that the relay has ended the session.
 func (p *Peer) Next() (PeerEvent, error) {
 	for {
 		frame, err := p.nextFrame(p.conn.readTimeout)
@@ -193,7 +195,7 @@
 			}
 			return e, nil
 		case framing.CodeFlow:
-			_ = p.handleFlow(frame.Performative) // a stand-in overlooks a bad flow
+			_ = p.handleFlow(frame.Performative) // a fake server ignores a bad flow
 		case framing.CodeTransfer:
 			if err := p.receiveTransfer(false); err != nil {
 				return PeerEvent{}, err
@@ -217,10 +219,10 @@
 	}
 }
 
-const maxPeerMessageSize = 4 << 20 // bytes of a message
+// maxPeerMessageSize is the longest message that a fake server reads, in bytes.
+const maxPeerMessageSize = 4 << 20
 
-// dataSection is the data section of a message that has nothing else (part 3, section 3.2.6);
-// nil of any other.
+// dataSection returns the contents of a message that is one data section (section 3.2.6); nil of any other.
 func dataSection(message []byte) []byte {
 	if len(message) < 5 || message[0] != 0 || message[1] != 0x53 || message[2] != 0x75 {
 		return nil
@@ -251,12 +253,12 @@
 		With(framing.AttachProperties, nil)
 }
 
-// Credit grants credit anew: so many deliveries from a delivery count on.
+// Credit grants credit for credit deliveries from the delivery-count count on.
 func (p *Peer) Credit(handle, count, credit uint32) error {
 	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
 }
 
-// RejectAttach answers an attach with an end at once, by a condition of the standard.
+// RejectAttach answers an attach and detaches the link at once, with a condition of the standard.
 func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
 	reply := attachReply(e).With(framing.AttachTarget, nil)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil {
@@ -265,24 +267,21 @@
 	return p.Detach(e.Handle, condition)
 }
 
-// Detach ends a link, with a condition if one is given.
+// Detach detaches a link, with an error if the condition is not empty.
 func (p *Peer) Detach(handle uint32, condition string) error {
-	var e any
-	if condition != "" {
-		e = framing.NewErrorValue(condition, "as the script has it", nil)
-	}
-	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, e}}, nil)
+	errorValue := framing.NewErrorValue(condition, "as the script has it", nil)
+	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, errorValue}}, nil)
 }
 
-// Settle accepts a delivery.
+// Settle accepts and settles a delivery.
 func (p *Peer) Settle(delivery uint32) error {
 	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, delivery, nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
 }
 
-// WholeNumber reads a property that is a whole number.
+// WholeNumber returns a property that is an integer and not negative; it reports false for any other.
 func WholeNumber(v any) (uint64, bool) { return codec.AsUint64(v) }
 
-// Conditions that a server ends links with.
+// Conditions with which a server detaches links.
 const (
 	ConditionResourceLimit = framing.CondResourceLimitExceeded
 	ConditionInternalError = framing.CondInternalError
--- a/internal/frontend/amqp/pipe.go
+++ b/internal/frontend/amqp/pipe.go
@@ -12,8 +12,7 @@
 	"lockroad/internal/proxy"
 )
 
-// Pipe answers the client's attach with the server's and passes frames on, both
-// ways, until the connection has ended.
+// Pipe answers the client's attach with the endpoint's, and forwards frames both ways until the link has ended.
 func (l *link) Pipe(ctx context.Context, conn proxy.UpstreamConn, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
 	upstreamConn := conn.(*upstream)
 	defer close(upstreamConn.done)
@@ -41,7 +40,7 @@
 	return l.pipeDownstream(ctx, upstreamConn, heartbeat)
 }
 
-// pipeDownstream passes on what the server says until its end.
+// pipeDownstream forwards the endpoint's frames to the client until the link has ended.
 func (l *link) pipeDownstream(ctx context.Context, upstreamConn *upstream, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
 	for {
 		frame, err := upstreamConn.nextFrame(0)
@@ -49,7 +48,7 @@
 		clientGone := l.clientGone
 		l.mu.Unlock()
 		switch {
-		case ctx.Err() != nil: // moved or silent: the client is still to be told
+		case ctx.Err() != nil: // migrated or timed out: the caller detaches the client
 			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
 		case err != nil && clientGone:
 			return balancer.StatusCancelled
@@ -70,7 +69,7 @@
 	}
 }
 
-// endpointEnded passes on the end that a server has set to the link.
+// endpointEnded handles the endpoint's detach, end or close: it detaches the client's link, unless the client has left.
 func (l *link) endpointEnded(upstreamConn *upstream, frame framing.Frame, clientGone bool) balancer.AttemptStatus {
 	errorField := framing.EndError // a close has it at the same index
 	if frame.Code == framing.CodeDetach {
@@ -88,15 +87,14 @@
 	case condition == "" && frame.Code == framing.CodeDetach:
 		return balancer.StatusOK
 	case condition == framing.CondDetachForced:
-		return balancer.StatusRedirected // it drains, whatever the list says
+		return balancer.StatusRedirected // it drains, whatever the endpoint list says
 	case clientGone:
 		return balancer.StatusCancelled
 	}
 	return balancer.StatusReset
 }
 
-// forwardToClient passes a frame of the server to the client. It tells whether the client
-// is still there.
+// forwardToClient forwards a frame of the endpoint. It reports false if the client's connection has failed.
 func (l *link) forwardToClient(frame framing.Frame) bool {
 	downstream := l.session
 	switch frame.Code {
@@ -116,7 +114,7 @@
 		return downstream.sendFlow(performative.With(framing.FlowHandle, l.handle)) == nil
 	case framing.CodeTransfer:
 		if l.clientSends || l.upstream.receiveTransfer(false) != nil {
-			return true // out of turn: left aside
+			return true // not allowed on this link: ignored
 		}
 		l.heartbeat.EndpointSent()
 		performative, err := l.deliveries.translateTransfer(frame.Performative, downstream)
--- a/internal/frontend/amqp/placement.go
+++ b/internal/frontend/amqp/placement.go
@@ -12,15 +12,15 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// Placement says what a client's link wants where its attach does not: clients that know nothing of the
-// relay name an address only. The first rule that fits holds.
+// Placement is a rule for links whose attach lacks the relay's properties: clients that know nothing of the relay name an
+// address only. The first rule that matches applies.
 type Placement struct {
-	Address   string        // of the link's other end; "*" stands for any text, and empty for any address
-	Container string        // that the client calls itself; the same
-	Class     string        // that its link is of
-	Timeout   time.Duration // that it waits; 0: as long as its class does
-	// Group is what the link shares work by: "address", "container", "link" for its name, or
-	// "property:NAME" for one of the attach's properties; empty: nothing.
+	Address   string        // pattern of the link's remote address; "*" matches any text, empty any address
+	Container string        // pattern of the client's container id; likewise
+	Class     string        // of the request
+	Timeout   time.Duration // of the request; 0: the deadline of its class
+	// Group says by what requests are grouped: "address", "container", "link" for the link's name, or "property:NAME" for
+	// one of the attach's properties; empty: not grouped.
 	Group string
 
 	addressPattern, containerPattern *regexp.Regexp
@@ -28,7 +28,7 @@
 
 const propertyGroupPrefix = "property:"
 
-// Compile checks a rule and makes it ready. Its errors name the key.
+// Compile validates the rule and compiles its patterns, before it is used. Its errors name the key in the settings.
 func (p *Placement) Compile() error {
 	if p.Class == "" {
 		return errors.New("class: is missing")
@@ -36,23 +36,25 @@
 	if p.Timeout < 0 {
 		return fmt.Errorf("give_up: %v is negative", p.Timeout)
 	}
-	if name, isProperty := strings.CutPrefix(p.Group, propertyGroupPrefix); !slices.Contains([]string{"", "address", "container", "link"}, p.Group) && (!isProperty || name == "") {
+	property, isProperty := strings.CutPrefix(p.Group, propertyGroupPrefix)
+	isKeyword := slices.Contains([]string{"", "address", "container", "link"}, p.Group)
+	if !isKeyword && (!isProperty || property == "") {
 		return fmt.Errorf("group: %q is neither address, container, link nor property:NAME", p.Group)
 	}
 	p.addressPattern, p.containerPattern = compilePattern(p.Address), compilePattern(p.Container)
 	return nil
 }
 
-// compilePattern is what a text with * in it fits; nil: everything.
-func compilePattern(text string) *regexp.Regexp {
-	if text == "" {
+// compilePattern returns the expression that a pattern with * in it stands for; nil: it matches everything.
+func compilePattern(pattern string) *regexp.Regexp {
+	if pattern == "" {
 		return nil
 	}
-	return regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(text), `\*`, "(?s:.*)") + "$")
+	return regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(pattern), `\*`, "(?s:.*)") + "$")
 }
 
-// terminusAddress is the address that a client's attach names for the other end: its target's if it is to send,
-// its source's if it is to receive (part 3, sections 3.5.3 and 3.5.4).
+// terminusAddress returns the address that a client's attach names for the remote end: the target's if the client sends,
+// the source's if it receives (sections 3.5.3 and 3.5.4).
 func terminusAddress(attach framing.Performative) string {
 	field := framing.AttachTarget
 	if attach.Bool(framing.AttachRole) {
@@ -66,18 +68,20 @@
 	return codec.AsString(fields[0])
 }
 
-// findPlacement finds the rule for an attach; nil if none fits.
+// findPlacement returns the first rule that matches an attach; nil if none does.
 func (f *Frontend) findPlacement(address, container string) *Placement {
 	for i := range f.Placements {
 		p := &f.Placements[i]
-		if (p.addressPattern == nil || p.addressPattern.MatchString(address)) && (p.containerPattern == nil || p.containerPattern.MatchString(container)) {
+		addressMatches := p.addressPattern == nil || p.addressPattern.MatchString(address)
+		containerMatches := p.containerPattern == nil || p.containerPattern.MatchString(container)
+		if addressMatches && containerMatches {
 			return p
 		}
 	}
 	return nil
 }
 
-// groupKey is what a link shares work by, under a rule.
+// groupKey returns the group of a link under the rule; 0: none.
 func (p *Placement) groupKey(attach framing.Performative, address, container string) uint64 {
 	switch p.Group {
 	case "":
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -12,50 +12,64 @@
 	"lockroad/internal/proxy"
 )
 
-// Properties of an attach that describe the request, and of an error's info.
+// Properties of an attach, and of a flow's and an error's info, that clients, endpoints and the relay exchange.
 const (
 	propClass      = "class"
 	propTenant     = "tenant"
-	propDeadline   = "give-up-ms"
+	propDeadline   = "give-up-ms" // milliseconds that the client waits
 	propGroup      = "group"
 	propItem       = "item"
 	propLoad       = "load-us" // microseconds of work a second
 	propReturning  = "again"
-	infoRetryAfter = "come-back-ms"
+	infoRetryAfter = "come-back-ms" // milliseconds, in the info of a rejection
 )
 
-// parseRequest reads what the attach says of the transaction, or else the rule for it. It returns the attach with what the
-// rule has added, for the application server. Its error names what is missing, for the client.
-func (f *Frontend) parseRequest(performative framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
-	properties, _ := performative.Field(framing.AttachProperties).(codec.Map)
-	address := terminusAddress(performative)
+// Limits of properties.
+const (
+	maxDeadlineMilliseconds = 1 << 31
+	maxLoad                 = 1e12 // microseconds of work a second
+)
+
+// parseRequest reads the request from the properties of an attach, or from the placement rule that matches it. It returns
+// the attach with the properties that the rule has added, for the endpoint. Its error is for the client, and names what is
+// missing; the request then holds what was read so far.
+func (f *Frontend) parseRequest(attach framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
+	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
+	address := terminusAddress(attach)
 	placement := f.findPlacement(address, container)
-	request := proxy.Request{Front: "amqp", Name: container + "/" + name, Class: codec.AsString(properties.Get(propClass)), Tenant: codec.AsString(properties.Get(propTenant))}
+	request := proxy.Request{
+		Front:  "amqp",
+		Name:   container + "/" + name, // a link's name is unique between two containers
+		Class:  codec.AsString(properties.Get(propClass)),
+		Tenant: codec.AsString(properties.Get(propTenant)),
+	}
 	request.Settings = f.Proxy.Settings()
 	if request.Class == "" && placement != nil {
 		request.Class = placement.Class
 		properties = properties.With(propClass, request.Class)
 	}
-	if request.RequestOptions.Class = request.Settings.ClassIndex(request.Class); request.Class == "" {
-		return request, performative, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
-	} else if request.RequestOptions.Class < 0 {
-		return request, performative, fmt.Errorf("%q is no known class", request.Class)
+	request.RequestOptions.Class = request.Settings.ClassIndex(request.Class)
+	if request.Class == "" {
+		return request, attach, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
+	}
+	if request.RequestOptions.Class < 0 {
+		return request, attach, fmt.Errorf("%q is no known class", request.Class)
 	}
 	if !request.Settings.AcceptsTenant(request.Tenant) {
-		return request, performative, fmt.Errorf("%q is no known tenant; the property %q names one", request.Tenant, propTenant)
+		return request, attach, fmt.Errorf("%q is no known tenant; the property %q names one", request.Tenant, propTenant)
 	}
 	var timeout time.Duration
-	switch wait, ok := codec.AsUint64(properties.Get(propDeadline)); {
-	case ok && wait <= 1<<31:
-		timeout = time.Duration(wait) * time.Millisecond
+	switch milliseconds, ok := codec.AsUint64(properties.Get(propDeadline)); {
+	case ok && milliseconds <= maxDeadlineMilliseconds:
+		timeout = time.Duration(milliseconds) * time.Millisecond
 	case properties.Get(propDeadline) != nil || placement == nil:
-		return request, performative, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
+		return request, attach, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
 	default:
 		timeout = cmp.Or(placement.Timeout, request.Settings.Classes[request.RequestOptions.Class].Deadline)
 	}
 	request.Deadline = f.Proxy.Clock.Now() + timeout
 	if request.Group = hashKey(properties.Get(propGroup)); request.Group == 0 && placement != nil {
-		if request.Group = placement.groupKey(performative, address, container); request.Group != 0 {
+		if request.Group = placement.groupKey(attach, address, container); request.Group != 0 {
 			properties = properties.With(propGroup, strconv.FormatUint(request.Group, 16))
 		}
 	}
@@ -64,11 +78,11 @@
 	if microseconds, ok := parseLoad(properties.Get(propLoad)); ok {
 		request.ExpectedLoad = microseconds / 1e6
 	}
-	return request, performative.With(framing.AttachProperties, properties), nil
+	return request, attach.With(framing.AttachProperties, properties), nil
 }
 
-// hashKey is the number of a group or an item: a hexadecimal word as it is,
-// anything else by its hash.
+// hashKey returns the key of a group or an item: an integer or a hexadecimal number as it is, any other text by its hash;
+// 0 for none.
 func hashKey(value any) uint64 {
 	if number, ok := codec.AsUint64(value); ok {
 		return number
@@ -85,7 +99,7 @@
 	return hash.Sum64()
 }
 
-// parseLoad returns a number of any kind that a load can have.
+// parseLoad returns a load in microseconds of work a second. It reports false for what is no number or out of range.
 func parseLoad(value any) (float64, bool) {
 	load, ok := value.(float64)
 	if !ok {
@@ -93,10 +107,11 @@
 		number, ok = codec.AsUint64(value)
 		load = float64(number)
 	}
-	return load, ok && load >= 0 && load < 1e12
+	return load, ok && load >= 0 && load < maxLoad
 }
 
-// retryAfterInfo says when to come again, if that is known.
+// retryAfterInfo returns the info of a rejection that says when to retry; nil if the wait is under a millisecond, which
+// means that it is not known.
 func retryAfterInfo(wait time.Duration) (info codec.Map) {
 	if wait >= time.Millisecond {
 		info = info.With(infoRetryAfter, uint32(wait.Milliseconds()))
--- a/internal/frontend/amqp/sharedconn.go
+++ b/internal/frontend/amqp/sharedconn.go
@@ -11,40 +11,41 @@
 	"lockroad/internal/registry"
 )
 
-// sessionEndTimeout is how long a server may take to let go of a session that was ended. Its connection takes nothing new
-// after that: a server that has lost count of sessions would run out of them.
+// sessionEndTimeout is how long an endpoint may take to answer the end of a session. After that its connection gets no new
+// sessions: an endpoint that loses track of sessions would run out of them.
 const sessionEndTimeout = 5 * time.Second
 
-// sharedConnections are the connections to servers that transactions share. Which one a transaction takes is the pool's decision; here
-// they are brought up, read, and closed.
+// sharedConnections are the connections to endpoints that requests share. The pool decides which connection a request
+// takes; this type opens, reads and closes them.
 type sharedConnections struct {
 	frontend *Frontend
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below, and err, multiplexer, tcp and closing of the connections
 	pool        *connpool.Pool
 	connections map[connpool.ID]*sharedConnection
-	idleTimer   *time.Timer // for those that idle
+	idleTimer   *time.Timer // of the next connection that will have idled long enough; nil: none
 	closed      bool
 }
 
-// sharedConnection is one of them. It is usable once ready is closed without an error.
+// sharedConnection is one connection to an endpoint. The goroutine of connect opens and reads it.
 type sharedConnection struct {
 	id             connpool.ID
 	address        string
-	ready          chan struct{}
+	ready          chan struct{} // closed once it is established, or has failed with err
 	err            error
 	multiplexer    *multiplexer
 	tcp            net.Conn
-	peerMaxChannel uint16 // channel number that the server takes
-	closing        bool   // it is being closed
-	done           chan struct{}
+	peerMaxChannel uint16        // highest channel that the endpoint accepts, and the pool uses
+	closing        bool          // closeGracefully has been started
+	done           chan struct{} // closed once it has ended
 }
 
-func newSharedConnections(f *Frontend, s connpool.Settings) *sharedConnections {
-	return &sharedConnections{frontend: f, pool: connpool.New(s), connections: make(map[connpool.ID]*sharedConnection)}
+func newSharedConnections(frontend *Frontend, settings connpool.Settings) *sharedConnections {
+	return &sharedConnections{frontend: frontend, pool: connpool.New(settings), connections: make(map[connpool.ID]*sharedConnection)}
 }
 
-// openSession opens a session at a server, on a connection that others share or that is brought up for it.
+// openSession returns a session to an endpoint, on an established connection or on one that is opened for it within a
+// timeout. The session's begin is the caller's to send.
 func (s *sharedConnections) openSession(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*sharedSession, connpool.ID, error) {
 	for {
 		s.mu.Lock()
@@ -75,17 +76,17 @@
 			return shared, id, nil
 		}
 		s.release(conn)
-		if err != nil { // it has come to its end meanwhile: another is chosen once the pool knows
+		if err != nil { // the connection has ended meanwhile: take another once the pool knows
 			select {
 			case <-conn.done:
 			case <-ctx.Done():
 				return nil, 0, ctx.Err()
 			}
-		} // else more waited for it than the server takes
+		} // otherwise more requests waited for it than the endpoint accepts sessions
 	}
 }
 
-// release gives a place on a trunk back.
+// release gives the place of a session on a connection back to the pool.
 func (s *sharedConnections) release(conn *sharedConnection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,14 +94,16 @@
 	s.closeIdle()
 }
 
-// connect dials a server. What comes of it is every waiting transaction's.
+// connect dials an endpoint for all requests that wait for the connection, and then reads it until its end.
 func (s *sharedConnections) connect(conn *sharedConnection, endpoint registry.Endpoint, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	dialed, err := s.frontend.dial(ctx, conn.address, timeout)
 	cancel()
 	s.mu.Lock()
 	if err == nil {
-		conn.multiplexer, conn.tcp, conn.peerMaxChannel = newMultiplexer(dialed.connection), dialed.tcp, min(dialed.peerMaxChannel, uint16(s.frontend.Pool.MaxSessions-1))
+		conn.multiplexer = newMultiplexer(dialed.connection)
+		conn.tcp = dialed.tcp
+		conn.peerMaxChannel = min(dialed.peerMaxChannel, uint16(s.frontend.Pool.MaxSessions-1))
 	}
 	if conn.err = err; err == nil && s.closed {
 		conn.err = errConnectionClosing
@@ -117,16 +120,7 @@
 	s.mu.Unlock()
 	go dialed.sendHeartbeats(dialed.peerIdleTimeout, conn.done)
 	if endpoint.Draining != nil {
-		go func() {
-			select {
-			case <-conn.done:
-			case <-endpoint.Draining: // its clients are moved; the connection goes with the last
-				s.mu.Lock()
-				s.pool.Shut(conn.id)
-				s.closeIdle()
-				s.mu.Unlock()
-			}
-		}()
+		go s.shutWhenDraining(conn, endpoint.Draining)
 	}
 	conn.multiplexer.serve(endpointSilenceTimeout)
 	conn.tcp.Close()
@@ -135,18 +129,31 @@
 	s.mu.Unlock()
 }
 
-// remove forgets a trunk that is gone. The caller holds the lock.
+// shutWhenDraining gives a connection no new sessions once its endpoint drains: its clients are migrated, and it is closed
+// after the last. It runs in a goroutine of its own until the connection ends.
+func (s *sharedConnections) shutWhenDraining(conn *sharedConnection, draining <-chan struct{}) {
+	select {
+	case <-conn.done:
+	case <-draining:
+		s.mu.Lock()
+		s.pool.Shut(conn.id)
+		s.closeIdle()
+		s.mu.Unlock()
+	}
+}
+
+// remove forgets a connection that has ended or failed. The caller holds the lock.
 func (s *sharedConnections) remove(conn *sharedConnection) {
 	s.pool.Lost(conn.id)
 	delete(s.connections, conn.id)
 	close(conn.done)
 }
 
-// closeIdle closes the trunks that have idled long enough, and looks again when the next ones have. The caller holds the lock.
+// closeIdle closes the connections that have idled long enough, and sets the timer for the next. The caller holds the lock.
 func (s *sharedConnections) closeIdle() {
 	now := s.frontend.Proxy.Clock.Now()
-	out, next := s.pool.Idle(now)
-	for _, id := range out {
+	idle, next := s.pool.Idle(now)
+	for _, id := range idle {
 		if conn := s.connections[id]; !conn.closing {
 			conn.closing = true
 			go conn.closeGracefully()
@@ -165,18 +172,18 @@
 	}
 }
 
-// closeGracefully closes a trunk in good order, without waiting for the server for long.
-func (conn *sharedConnection) closeGracefully() {
-	conn.multiplexer.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
-	_ = conn.multiplexer.CloseWrite()
+// closeGracefully sends a close and waits for the endpoint's, at most closeTimeout. It runs in a goroutine of its own.
+func (c *sharedConnection) closeGracefully() {
+	c.multiplexer.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+	_ = c.multiplexer.CloseWrite()
 	select {
-	case <-conn.done:
+	case <-c.done:
 	case <-time.After(closeTimeout):
 	}
-	conn.tcp.Close()
+	c.tcp.Close()
 }
 
-// close closes all trunks: the front has seen its clients through.
+// close closes all connections at once; no session can be opened after that.
 func (s *sharedConnections) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,7 +196,7 @@
 	}
 }
 
-// endSession ends a session from here, and shuts its trunk if the server does not let go of it.
+// endSession ends a session, and gives its connection no new ones if the endpoint does not answer the end in time.
 func (s *sharedConnections) endSession(id connpool.ID, shared *sharedSession) {
 	if shared.endLocally() {
 		return
--- a/internal/frontend/amqp/sharedsession.go
+++ b/internal/frontend/amqp/sharedsession.go
@@ -8,26 +8,27 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// sharedSession is one session of a connection that others share.
+// sharedSession is one session of a multiplexer. The multiplexer's goroutine adds frames to its queue, and the goroutine of
+// its link reads them.
 type sharedSession struct {
 	*session
 	multiplexer *multiplexer
-	onRelease   func() // called once both sides have ended it
+	onRelease   func() // called once, when both sides have ended it
 	releaseOnce sync.Once
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards the fields below
 	queue           []framing.Frame
-	queuedTransfers int  // transfers among them
-	announced       bool // the peer has heard of it, or is about to
-	endedLocally    bool // from here
-	endSent         bool // and the peer has been sent that: before it has, the channel can't begin again
-	endedRemotely   bool // from the peer, or the connection is at its end
-	err             error
-	deadline        time.Time     // nothing is waited for after it; zero: for ever
-	changed         chan struct{} // a value when something has changed
+	queuedTransfers int           // transfers in the queue
+	announced       bool          // its begin has been sent, or is about to be
+	endedLocally    bool          // by the relay
+	endSent         bool          // the relay's end has been sent: before that the channel can't be used again
+	endedRemotely   bool          // by the peer, or by the end of the connection
+	err             error         // why it ended remotely; nil: by an end
+	deadline        time.Time     // of all reads; zero: none
+	changed         chan struct{} // has a value when any of the above has changed
 }
 
-// enqueue takes a frame of the peer for whoever reads the lane.
+// enqueue adds a frame of the peer. A peer that sends more than the window allows loses the session.
 func (s *sharedSession) enqueue(frame framing.Frame) {
 	s.mu.Lock()
 	transfer := frame.Code == framing.CodeTransfer
@@ -48,6 +49,7 @@
 	s.notify()
 }
 
+// notify wakes up nextFrame.
 func (s *sharedSession) notify() {
 	select {
 	case s.changed <- struct{}{}:
@@ -55,7 +57,7 @@
 	}
 }
 
-// endRemotely notes that nothing more comes; what has come is still to be read.
+// endRemotely notes that the peer sends nothing more; the queue can still be read.
 func (s *sharedSession) endRemotely(err error) {
 	s.mu.Lock()
 	if !s.endedRemotely {
@@ -66,7 +68,7 @@
 	s.notify()
 }
 
-// setDeadline has nothing waited for after a time.
+// setDeadline sets the deadline of nextFrame, also of one that is waiting.
 func (s *sharedSession) setDeadline(deadline time.Time) {
 	s.mu.Lock()
 	s.deadline = deadline
@@ -75,7 +77,7 @@
 }
 
 // nextFrame waits for the next frame. It fails at the end of the session or of the connection, and with
-// os.ErrDeadlineExceeded once the wait, if it is over 0, or the bound is over.
+// os.ErrDeadlineExceeded after wait, if that is over 0, or at the deadline.
 func (s *sharedSession) nextFrame(wait time.Duration) (framing.Frame, error) {
 	var waitUntil time.Time
 	if wait > 0 {
@@ -121,8 +123,8 @@
 	}
 }
 
-// endLocally ends the session from here. What the peer still says of it is left aside. It tells whether the peer has ended it
-// as well.
+// endLocally ends the session and drops its queue; what the peer still sends is ignored. It reports whether the peer has
+// ended the session as well.
 func (s *sharedSession) endLocally() bool {
 	s.mu.Lock()
 	s.queue, s.queuedTransfers = nil, 0
@@ -131,13 +133,14 @@
 	return s.isEndedRemotely()
 }
 
+// isEndedRemotely reports whether the peer has ended the session.
 func (s *sharedSession) isEndedRemotely() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endedRemotely
 }
 
-// announce tells whether the session may begin: it does, unless it was ended before.
+// announce is called before the begin is sent, and reports whether it may be: the session has not been ended meanwhile.
 func (s *sharedSession) announce() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +148,8 @@
 	return s.announced
 }
 
-// sendEnd says the end from here, once; with the peer's the channels are free again. The peer is told nothing of a session of
-// which it has heard nothing.
+// sendEnd sends the relay's end, once, and releases the channels if the peer has ended the session as well. A session
+// whose begin was never sent has no end to send.
 func (s *sharedSession) sendEnd() {
 	s.mu.Lock()
 	first := !s.endedLocally
@@ -157,14 +160,14 @@
 	s.mu.Unlock()
 	if first {
 		s.session.markEnded()
-		s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil) // if this fails, so does the connection's reader
+		s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil) // on failure the connection's reader fails, too
 		s.notify()
 	}
 	s.mu.Lock()
 	s.endSent = s.endSent || first
-	overflow := s.endSent && s.endedRemotely
+	complete := s.endSent && s.endedRemotely
 	s.mu.Unlock()
-	if overflow {
+	if complete {
 		s.multiplexer.releaseChannels(s)
 	}
 }
--- a/internal/frontend/amqp/timedmutex.go
+++ b/internal/frontend/amqp/timedmutex.go
@@ -4,13 +4,17 @@
 	"context"
 )
 
-// timedMutex is a lock that can be waited for within a time: who writes keeps it for as long as the peer does not read.
+// timedMutex is a mutex that can be waited for until a context ends: a writer holds it for as long as the peer does not
+// read. It is made with a capacity of one.
 type timedMutex chan struct{}
 
+// Lock waits for the mutex and locks it.
 func (t timedMutex) Lock() { t <- struct{}{} }
 
+// Unlock unlocks the mutex.
 func (t timedMutex) Unlock() { <-t }
 
+// TryLock locks the mutex if it is free, and reports whether it did.
 func (t timedMutex) TryLock() bool {
 	select {
 	case t <- struct{}{}:
@@ -20,7 +24,7 @@
 	}
 }
 
-// LockContext takes the lock unless ctx ends first.
+// LockContext waits for the mutex and locks it, and reports true; or false if ctx has ended first.
 func (t timedMutex) LockContext(ctx context.Context) bool {
 	select {
 	case t <- struct{}{}:
--- a/internal/frontend/amqp/upstream.go
+++ b/internal/frontend/amqp/upstream.go
@@ -12,30 +12,30 @@
 	"lockroad/internal/registry"
 )
 
-// Idle time-outs towards application servers.
+// Idle time-outs towards endpoints.
 const (
-	advertisedEndpointIdleTimeout = 2 * time.Second // an application server is told this much
-	endpointSilenceTimeout        = 6 * time.Second // and is dead after this much
+	advertisedEndpointIdleTimeout = 2 * time.Second // in the relay's open
+	endpointSilenceTimeout        = 6 * time.Second // after which an endpoint is taken for dead
 )
 
-// upstream is an application server's side of a transaction: one session with one link, on a connection of
-// its own or on one that others share.
+// upstream is the endpoint's side of a request: one session with one link, on a connection of its own or on one that
+// requests share. Where it has its own, the goroutine of the link reads it.
 type upstream struct {
 	*session
-	sharedSession        *sharedSession // of a shared connection; nil: it has its own
-	connectionID         connpool.ID    // that connection
+	sharedSession        *sharedSession // on a shared connection; nil: it has its own
+	connectionID         connpool.ID    // of the shared connection
 	sharedConnections    *sharedConnections
-	maxSessions          int                  // that the connection is to have at the most; 0: as any other
-	peerMaxChannel       uint16               // highest channel that the server takes
-	peerIdleTimeout      time.Duration        // that it wants to hear something within
-	attach               framing.Performative // the server's
-	creditFlow           *framing.Performative
-	done                 chan struct{}
-	hasClientCertificate bool     // the relay has shown a certificate
-	tcp                  net.Conn // below TLS, if that is there: its end waits for nobody
+	maxSessions          int                   // for the channel-max of the relay's open; 0: maxChannel
+	peerMaxChannel       uint16                // highest channel that the endpoint accepts
+	peerIdleTimeout      time.Duration         // idle time-out in the endpoint's open; 0: none
+	attach               framing.Performative  // the endpoint's
+	creditFlow           *framing.Performative // the endpoint's first flow with credit; nil: none yet
+	done                 chan struct{}         // closed at the end of the attempt or the pipe
+	hasClientCertificate bool                  // the relay has shown a certificate
+	tcp                  net.Conn              // below TLS, if there is TLS: closing it never blocks
 }
 
-// Close ends the connection at once.
+// Close ends the session at once, and its connection if that is its own. Any goroutine may call it, also repeatedly.
 func (u *upstream) Close() {
 	if u.sharedSession != nil {
 		u.sharedConnections.endSession(u.connectionID, u.sharedSession)
@@ -45,8 +45,8 @@
 	u.tcp.Close()
 }
 
-// nextFrame waits for the server's next frame, for so long at the most; 0: as long as the server gives a sign of life, which on a
-// shared connection its reader sees to.
+// nextFrame waits at most wait for the endpoint's next frame; 0: until the endpoint has been silent for
+// endpointSilenceTimeout, which on a shared connection its reader checks.
 func (u *upstream) nextFrame(wait time.Duration) (framing.Frame, error) {
 	if u.sharedSession != nil {
 		return u.sharedSession.nextFrame(wait)
@@ -54,7 +54,7 @@
 	return u.readFrame(framing.TypeAMQP, cmp.Or(wait, endpointSilenceTimeout))
 }
 
-// limitRemaining has the server say what it still has to say within a time.
+// limitRemaining sets a deadline for all that the endpoint still sends.
 func (u *upstream) limitRemaining(wait time.Duration) {
 	if u.sharedSession != nil {
 		u.sharedSession.setDeadline(time.Now().Add(wait))
@@ -63,14 +63,18 @@
 	u.SetReadDeadline(time.Now().Add(wait))
 }
 
-// connect opens a connection to a server, with a session on it; on a shared one the session begins as the attach goes out.
+// connect opens a connection to an endpoint with a session on it, within a timeout. On a shared connection the begin is
+// sent together with the attach.
 func (f *Frontend) connect(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*upstream, error) {
 	if f.sharedConnections != nil {
 		shared, connectionID, err := f.sharedConnections.openSession(ctx, endpoint, address, timeout)
 		if err != nil {
 			return nil, err
 		}
-		return &upstream{session: shared.session, sharedSession: shared, connectionID: connectionID, sharedConnections: f.sharedConnections, done: make(chan struct{})}, nil
+		return &upstream{
+			session: shared.session, sharedSession: shared, connectionID: connectionID,
+			sharedConnections: f.sharedConnections, done: make(chan struct{}),
+		}, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -92,7 +96,7 @@
 	return u, nil
 }
 
-// beginSession begins the one session of a connection.
+// beginSession begins the only session of a connection, and waits for the endpoint's begin.
 func (u *upstream) beginSession(timeout time.Duration) error {
 	if err := u.writeFrame(0, u.newBegin(nil), nil); err != nil {
 		return err
