--- /dev/null
+++ b/internal/frontend/amqp/amqppeers_test.go
@@ -0,0 +1,202 @@
+package amqp
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	client10 "github.com/Azure/go-amqp"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// negotiateAsEndpoint is a stand-in's half of the greeting, as the standard has it, up to
+// the opens.
+func negotiateAsEndpoint(t testing.TB, tcp streamConn) (*connection, bool) {
+	c := newConnection(tcp)
+	header, err := c.readProtocolHeader(serverWait)
+	if err != nil {
+		return nil, false
+	}
+	if header != framing.ProtocolHeaderSASL {
+		t.Errorf("a server was greeted with %q", header)
+	}
+	c.writeProtocolHeader(framing.ProtocolHeaderSASL)
+	want, offered := "ANONYMOUS", codec.Array{codec.Symbol("ANONYMOUS")}
+	if _, is := tcp.(*tls.Conn); is { // to which the relay has shown a certificate
+		want, offered = "EXTERNAL", codec.Array{codec.Symbol("EXTERNAL"), codec.Symbol("ANONYMOUS")}
+	}
+	c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
+	frame, err := c.readFrame(framing.TypeSASL, serverWait)
+	if err != nil {
+		return nil, false // the relay may give a pass up at any time, as of a client that has gone
+	}
+	if frame.Code != framing.CodeSASLInit || codec.AsString(frame.Field(0)) != want {
+		t.Errorf("a server got %v for an init", frame)
+		return nil, false
+	}
+	c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+	_, _ = c.readProtocolHeader(serverWait)
+	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	return c, true
+}
+
+// answerOpenOrBegin answers the frames that open a stand-in's connection and its session.
+func answerOpenOrBegin(c *connection, s *session, frame framing.Frame) {
+	switch frame.Code {
+	case framing.CodeOpen:
+		c.applyOpen(frame.Performative)
+		c.writeFrame(0, newOpen("server"), nil)
+	case framing.CodeBegin:
+		_ = s.applyBegin(frame.Performative)
+		c.writeFrame(0, s.newBegin(uint16(0)), nil)
+	}
+}
+
+// serveAMQPEndpoint does as the script says.
+func serveAMQPEndpoint(t testing.TB, tcp *net.TCPConn, s *scenario) { serveAMQPEndpointOn(t, tcp, s) }
+
+func serveAMQPEndpointOn(t testing.TB, over streamConn, s *scenario) {
+	c, ok := negotiateAsEndpoint(t, over)
+	if !ok {
+		return
+	}
+	session := newSession(c, 0)
+	for {
+		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
+		if err != nil {
+			return
+		}
+		switch frame.Code {
+		case framing.CodeOpen, framing.CodeBegin:
+			answerOpenOrBegin(c, session, frame)
+		case framing.CodeAttach:
+			if !answerAttach(t, c, session, frame.Performative, s) {
+				return
+			}
+		case framing.CodeTransfer:
+			if frame.Bool(5) {
+				continue
+			}
+			c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+		case framing.CodeDetach:
+			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
+		case framing.CodeClose:
+			return
+		}
+	}
+}
+
+// answerAttach tells whether the connection goes on.
+func answerAttach(t testing.TB, c *connection, session *session, p framing.Performative, s *scenario) bool {
+	props, _ := p.Field(13).(codec.Map)
+	ms, _ := codec.AsUint64(props.Get(propDeadline))
+	s.recordTimeout(time.Duration(ms) * time.Millisecond)
+	act := s.next(t, c.LocalAddr())
+	reply := p.With(1, uint32(0)).With(2, !p.Bool(2)).With(9, nil).With(13, nil)
+	end := func(cond string) bool {
+		var e any
+		if cond != "" {
+			e = framing.NewErrorValue(cond, "as the case has it", nil)
+		}
+		c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true, e}}, nil)
+		return true
+	}
+	up := func() {
+		s.answered()
+		c.writeFrame(0, reply, nil)
+		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
+	}
+	switch act {
+	case actionAccept:
+		up()
+	case actionRejectFull:
+		s.answered()
+		c.writeFrame(0, reply.With(6, nil), nil)
+		return end(framing.CondResourceLimitExceeded)
+	case actionFail:
+		s.answered()
+		c.writeFrame(0, reply.With(6, nil), nil)
+		return end(framing.CondInternalError)
+	case actionHang, actionNoCredit:
+		if act == actionNoCredit {
+			c.writeFrame(0, reply, nil)
+		}
+		_, _ = io.Copy(io.Discard, c.reader)
+		s.answered()
+		return false
+	case actionReset:
+		s.answered()
+		c.streamConn.(*net.TCPConn).SetLinger(0)
+		return false
+	case actionAcceptAndDetach:
+		up()
+		return end("")
+	case actionAcceptAndRedirect:
+		up()
+		return end(framing.CondDetachForced)
+	case actionAcceptAndReset:
+		up()
+		c.streamConn.(*net.TCPConn).SetLinger(0)
+		return false
+	}
+	return true
+}
+
+func openAMQP(ctx context.Context, address, name string, timeout time.Duration) (string, bool, func() string) {
+	c, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: name})
+	if err != nil {
+		return "lost", false, nil
+	}
+	context.AfterFunc(ctx, func() { _ = c.Close() })
+	session, err := c.NewSession(ctx, nil)
+	if err != nil {
+		return "lost", false, nil
+	}
+	sender, err := session.NewSender(ctx, "score", &client10.SenderOptions{Name: "a link", Properties: map[string]any{
+		propClass: "page", propDeadline: uint32(timeout.Milliseconds()), propGroup: "5c0f6e1a2b3d4c59",
+	}})
+	var end *client10.Error
+	switch {
+	case err != nil && !errors.As(err, &end):
+		return "lost", false, nil
+	case err != nil && end.Condition == client10.ErrCond(framing.CondResourceLimitExceeded):
+		_, told := end.Info[infoRetryAfter]
+		return "unavailable", told, nil
+	case err != nil:
+		return "failed", false, nil
+	}
+	return "up", false, func() string {
+		for {
+			err := sender.Send(context.Background(), client10.NewMessage([]byte("a note")), nil)
+			var gone *client10.LinkError
+			switch {
+			case err == nil:
+				continue
+			case !errors.As(err, &gone) || gone.RemoteErr != nil && gone.RemoteErr.Condition == client10.ErrCond(framing.CondConnectionForced):
+				return "broken"
+			case gone.RemoteErr == nil:
+				return "ended"
+			case gone.RemoteErr.Condition == client10.ErrCond(framing.CondDetachForced):
+				return "moved"
+			}
+			return gone.Error()
+		}
+	}
+}
+
+func openAndSendAMQP(t *testing.T, address string) string {
+	c := dialRaw(t, address).begin()
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(1200)})
+	for i := range uint32(200) {
+		c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), i, []byte("t")}}, nil)
+	}
+	c.expect(framing.CodeAttach, 0, "")
+	c.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
+	return "failed"
+}
--- /dev/null
+++ b/internal/frontend/amqp/conformance_client_test.go
@@ -0,0 +1,393 @@
+package amqp
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"testing"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// clientRequirements are checked by raw clients of the frontend.
+var clientRequirements = []requirement{
+	{"2.2", "client", "a header that it speaks is answered with the same", func(t *testing.T) error { dialRawTo(t, &recordingEndpoint{}); return nil }},
+	{"2.2", "client", "any other is answered with one that it speaks, and the connection is closed", func(t *testing.T) error {
+		tcp, err := net.Dial("tcp", newTestRelay(t, protocols[1], 1, nil).address)
+		if err != nil {
+			return err
+		}
+		defer tcp.Close()
+		_, _ = tcp.Write([]byte("AMQP\x00\x00\x09\x01"))
+		tcp.SetReadDeadline(time.Now().Add(3 * time.Second))
+		got, err := io.ReadAll(tcp)
+		return errors.Join(err, checkEqual("answer", got, framing.ProtocolHeaderAMQP[:]))
+	}},
+	{"2.3.1", "client", "an extended frame header is passed over", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{})
+		b := framing.AppendFrame(nil, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		long := append([]byte{0, 0, 0, byte(len(b) + 4), 3, 0, 0, 3, 1, 2, 3, 4}, b[8:]...)
+		_, _ = c.Write(long)
+		return c.checkNext(framing.CodeBegin, 0, "")
+	}},
+	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, framing.CondFramingError)},
+	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, framing.CondFramingError)},
+	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, framing.CondDecodeError)},
+	{"2.4.1", "client", "the open tells a container, and limits that the standard allows", func(t *testing.T) error {
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
+		if err != nil {
+			return err
+		}
+		c.writeFrame(0, newOpen("raw"), nil)
+		frame, err := c.readFrame(framing.TypeAMQP, time.Second)
+		if err != nil || frame.Code != framing.CodeOpen || codec.AsString(frame.Field(0)) == "" || frame.Uint32(2, 0) < framing.MinMaxFrameSize || frame.Uint32(4, 0) == 0 {
+			return fmt.Errorf("the open is %v, %v", frame.Performative, err)
+		}
+		return nil
+	}},
+	{"2.4.1", "client", "open, begin and attach may come in one piece, and are answered in order", func(t *testing.T) error {
+		protocol := protocols[1]
+		protocol.serveEndpoint = (&recordingEndpoint{}).serve
+		tcp, err := net.Dial("tcp", newTestRelay(t, protocol, 1, nil).address)
+		if err != nil {
+			return err
+		}
+		defer tcp.Close()
+		b := append([]byte{}, framing.ProtocolHeaderAMQP[:]...)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 0, newOpen("raw"), nil)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		_, _ = tcp.Write(b)
+		c := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
+		_, _ = c.readProtocolHeader(time.Second)
+		return errors.Join(c.checkNext(framing.CodeOpen, 9, ""), c.checkNext(framing.CodeBegin, 9, ""), c.checkNext(framing.CodeAttach, 9, ""), c.checkNext(framing.CodeFlow, 99, ""))
+	}},
+	{"2.4.3", "client", "a close is answered with a close", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{})
+		c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+		return c.checkNext(framing.CodeClose, 0, "")
+	}},
+	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
+		if err != nil {
+			return err
+		}
+		c.writeFrame(0, newOpen("idle").With(4, uint32(600)), nil)
+		for beats := 0; beats < 3; {
+			frame, err := c.readFrame(framing.TypeAMQP, 600*time.Millisecond)
+			if err != nil {
+				return err
+			}
+			if frame.Empty {
+				beats++
+				c.writeFrame(0, framing.Performative{}, nil)
+			}
+		}
+		return nil
+	}},
+	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{})
+		c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		frame, err := c.nextFrame()
+		return errors.Join(err, checkEqual("remote-channel", frame.Uint32(0, 99), uint32(3)))
+	}},
+	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		c.writeFrame(3, framing.Performative{Code: framing.CodeEnd}, nil)
+		if err := c.checkNext(framing.CodeEnd, 0, ""); err != nil {
+			return err
+		}
+		c.begin()
+		return nil
+	}},
+	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
+		frame, err := c.nextFrame()
+		if err != nil || frame.Code != framing.CodeFlow || frame.RequireUint32(0, 1, 2, 3) != nil {
+			return fmt.Errorf("echoed %#x %v, %v", frame.Code, frame.Fields, err)
+		}
+		return nil
+	}},
+	{"2.5.6", "client", "transfers beyond the session's window end it as a window violation", func(t *testing.T) error {
+		release := make(chan struct{})
+		defer close(release)
+		protocol := protocols[1]
+		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) { stallAfterAttach(t, tcp, release) }
+		c := dialRaw(t, newTestRelay(t, protocol, 1, nil).address).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		big := bytes.Repeat([]byte("n"), framing.MaxFrameSize/2)
+		for i := range uint32(3 * sessionWindow) {
+			c.SetWriteDeadline(time.Now().Add(time.Second))
+			c.sendTransfer(i, true, false, false, big)
+		}
+		for {
+			frame, err := c.nextFrame()
+			if err != nil {
+				return err
+			}
+			if cond, _ := frame.Condition(0); frame.Code == framing.CodeEnd {
+				return checkEqual("condition", cond, framing.CondWindowViolation)
+			}
+		}
+	}},
+	{"2.6.2", "client", "a handle without a link ends the session", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		c.sendTransfer(0, false, false, false, nil)
+		return c.checkNext(framing.CodeEnd, 0, framing.CondUnattachedHandle)
+	}},
+	{"2.6.2", "client", "a handle that is in use ends the session", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		c.attach(1, rawProps)
+		return c.checkNext(framing.CodeEnd, 0, framing.CondHandleInUse)
+	}},
+	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
+		reply, err := dialRawTo(t, &recordingEndpoint{}).begin().attachAndWait(true)
+		return errors.Join(err, checkEqual("name", codec.AsString(reply.Field(0)), "a link"), checkEqual("role", reply.Field(2), true), checkEqual("handle", reply.Uint32(1, 99), uint32(1)))
+	}},
+	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		c.attach(1, nil)
+		frame, err := c.nextFrame()
+		if err != nil || frame.Code != framing.CodeAttach || frame.Field(6) != nil {
+			return fmt.Errorf("told %#x with the target %v, %v", frame.Code, frame.Field(6), err)
+		}
+		return c.checkNext(framing.CodeDetach, 2, framing.CondInvalidField)
+	}},
+	{"2.6.5", "client", "a detach is answered with a detach, and the handle and the name are free again", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		for range 2 {
+			if _, err := c.attachAndWait(true); err != nil {
+				return err
+			}
+			c.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
+			if err := c.checkNext(framing.CodeDetach, 2, ""); err != nil {
+				return err
+			}
+		}
+		return nil
+	}},
+	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
+		grants := dialRawTo(t, &recordingEndpoint{credit: 7}).begin()
+		grants.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		_, _ = grants.nextFrame()
+		granted, err := grants.nextFrame()
+		if err := errors.Join(err, checkEqual("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
+			return err
+		}
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(false); err != nil {
+			return err
+		}
+		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
+		flows, err := s.waitFor(framing.CodeFlow, 1)
+		if err != nil {
+			return err
+		}
+		frame := flows[len(flows)-1]
+		return errors.Join(checkEqual("credit", frame.Uint32(6, 0), uint32(5)), checkEqual("drain", frame.Bool(8), true), checkEqual("echo", frame.Bool(9), true))
+	}},
+	{"2.6.12", "client", "a delivery in several transfers reaches the server as one", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		c.sendTransfer(0, false, true, false, []byte("a"))
+		c.sendTransfer(0, false, true, false, []byte("b"))
+		c.sendTransfer(0, false, false, false, []byte("c"))
+		if err := c.checkNext(framing.CodeDisposition, 99, ""); err != nil {
+			return err
+		}
+		all, err := s.waitFor(framing.CodeTransfer, 3)
+		whole := ""
+		for _, frame := range all {
+			whole += string(frame.Payload)
+			err = errors.Join(err, checkEqual("delivery", frame.Uint32(1, 99), uint32(0)))
+		}
+		return errors.Join(err, checkEqual("payload", whole, "abc"))
+	}},
+	{"2.6.14", "client", "a delivery that is aborted is aborted at the server, and the next one passes", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		c.sendTransfer(0, false, true, false, []byte("a"))
+		c.sendTransfer(0, false, false, true, nil)
+		c.sendTransfer(1, false, false, false, []byte("b"))
+		all, err := s.waitFor(framing.CodeTransfer, 3)
+		if err != nil {
+			return err
+		}
+		return errors.Join(checkEqual("aborted", all[1].Bool(9), true), checkEqual("next", string(all[2].Payload), "b"), c.checkNext(framing.CodeDisposition, 99, ""))
+	}},
+	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{})
+		c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+		return c.checkNext(framing.CodeClose, 0, framing.CondFramingError)
+	}},
+	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
+		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		c.attach(maxHandle+1, rawProps)
+		return c.checkNext(framing.CodeClose, 0, framing.CondFramingError)
+	}},
+	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		reply, err := dialRawTo(t, s).begin().attachAndWait(true, func(p framing.Performative) framing.Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
+		if err != nil {
+			return err
+		}
+		all, err := s.waitFor(framing.CodeAttach, 1)
+		if err != nil {
+			return err
+		}
+		return errors.Join(checkEqual("snd-settle-mode", all[0].Field(3), uint8(1)), checkEqual("rcv-settle-mode", all[0].Field(4), uint8(1)), checkEqual("the server's", reply.Field(4), uint8(1)))
+	}},
+	{"2.7.5", "client", "a settled delivery is settled at the server, and nothing is said of it", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		c.sendTransfer(0, true, false, false, []byte("a"))
+		c.sendTransfer(1, false, false, false, []byte("b"))
+		frame, err := c.nextFrame() // of the second alone
+		if err != nil {
+			return err
+		}
+		all, err := s.waitFor(framing.CodeTransfer, 2)
+		return errors.Join(err, checkEqual("settled", all[0].Bool(4), true), checkEqual("disposition of", frame.Uint32(1, 99), uint32(1)))
+	}},
+	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
+		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
+			if frame.Code != framing.CodeFlow || frame.Field(4) == nil {
+				return false
+			}
+			for i := range uint32(3) {
+				c.writeFrame(0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
+			}
+			return true
+		}}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(false); err != nil {
+			return err
+		}
+		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
+		for range 3 {
+			if err := c.checkNext(framing.CodeTransfer, 99, ""); err != nil {
+				return err
+			}
+		}
+		c.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+		var settled []uint32
+		for len(settled) < 3 {
+			all, err := s.waitFor(framing.CodeDisposition, 1)
+			if err != nil {
+				return err
+			}
+			settled = nil
+			for _, frame := range all {
+				for id := frame.Uint32(1, 0); id <= frame.Uint32(2, frame.Uint32(1, 0)); id++ {
+					settled = append(settled, id)
+				}
+			}
+		}
+		return checkEqual("settled", settled, []uint32{0, 1, 2})
+	}},
+	{"3.2", "client", "a message passes byte for byte, annotations and all", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		message := codec.Append(codec.Append(nil, codec.Described{Descriptor: uint64(0x72), Value: codec.Map{codec.Symbol("x-opt-odd"), int64(-3)}}), codec.Described{Descriptor: uint64(0x75), Value: []byte("body")})
+		message = append(message, 0, 0x80, 0, 0, 0, 0, 0, 0, 0, 0x78, 0xd1, 0, 0, 0, 4, 0, 0, 0, 0) // a footer in its widest form
+		c.sendTransfer(0, false, false, false, message)
+		all, err := s.waitFor(framing.CodeTransfer, 1)
+		if err != nil {
+			return err
+		}
+		return checkEqual("message", all[0].Payload, message)
+	}},
+	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
+		outcomes := []any{codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}, codec.Described{Descriptor: uint64(0x25), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(0x26), Value: codec.List{}},
+			codec.Described{Descriptor: uint64(0x27), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
+		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
+			if frame.Code == framing.CodeTransfer {
+				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, outcomes[frame.Uint32(1, 0)]}}, nil)
+			}
+			return frame.Code == framing.CodeTransfer
+		}}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		for i, want := range outcomes {
+			c.sendTransfer(uint32(i), false, false, false, []byte("m"))
+			frame, err := c.nextFrame()
+			if err := errors.Join(err, checkEqual("outcome", frame.Field(4), want), checkEqual("settled", frame.Bool(3), true)); err != nil {
+				return err
+			}
+		}
+		return nil
+	}},
+	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		source := codec.Described{Descriptor: uint64(0x28), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
+			codec.Map{codec.Symbol("sel"), codec.Described{Descriptor: codec.Symbol("apache.org:selector-filter:string"), Value: "a = 1"}}, nil, codec.Array{codec.Symbol("amqp:accepted:list")}, codec.Array{codec.Symbol("queue")}}}
+		if _, err := dialRawTo(t, s).begin().attachAndWait(false, func(p framing.Performative) framing.Performative { return p.With(5, source) }); err != nil {
+			return err
+		}
+		all, err := s.waitFor(framing.CodeAttach, 1)
+		if err != nil {
+			return err
+		}
+		return checkEqual("source", all[0].Field(5), source)
+	}},
+	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
+		if err != nil {
+			return err
+		}
+		frame, err := c.readFrame(framing.TypeSASL, time.Second)
+		if err != nil || frame.Code != framing.CodeSASLMechanisms || !offersMechanism(frame.Field(0), "ANONYMOUS") {
+			return fmt.Errorf("mechanisms %v, %v", frame.Performative, err)
+		}
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
+		frame, err = c.readFrame(framing.TypeSASL, time.Second)
+		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(0, 99), uint32(0))); err != nil {
+			return err
+		}
+		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+		header, err := c.readProtocolHeader(time.Second)
+		return errors.Join(err, checkEqual("header", header, framing.ProtocolHeaderAMQP))
+	}},
+	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
+		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
+		if err != nil {
+			return err
+		}
+		_, _ = c.readFrame(framing.TypeSASL, time.Second)
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
+		frame, err := c.readFrame(framing.TypeSASL, time.Second)
+		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(0, 99), uint32(1))); err != nil {
+			return err
+		}
+		if _, err := c.readFrame(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+			return fmt.Errorf("the connection goes on: %v", err)
+		}
+		return nil
+	}},
+}
--- /dev/null
+++ b/internal/frontend/amqp/conformance_endpoint_test.go
@@ -0,0 +1,174 @@
+package amqp
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	client10 "github.com/Azure/go-amqp"
+
+	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// endpointRequirements are checked by endpoints that record what the frontend sends.
+var endpointRequirements = []requirement{
+	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
+		s := &recordingEndpoint{open: newOpen("server").With(2, uint32(framing.MinMaxFrameSize))}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		body := bytes.Repeat([]byte("n"), 2000)
+		c.sendTransfer(0, false, false, false, body)
+		all, err := s.waitFor(framing.CodeTransfer, 4)
+		whole := []byte{}
+		for i, frame := range all {
+			if len(framing.AppendFrame(nil, framing.TypeAMQP, 0, frame.Performative, frame.Payload)) > framing.MinMaxFrameSize {
+				err = errors.Join(err, fmt.Errorf("frame %d has %d bytes of payload", i, len(frame.Payload)))
+			}
+			whole = append(whole, frame.Payload...)
+		}
+		return errors.Join(err, checkEqual("whole", len(whole), len(body)))
+	}},
+	{"2.4.1", "server", "open, begin and attach come in this order, on a channel and a handle that every server takes", func(t *testing.T) error {
+		s := &recordingEndpoint{}
+		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
+			return err
+		}
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		var codes []uint64
+		for _, frame := range s.frames {
+			if !frame.Empty {
+				codes = append(codes, frame.Code)
+			}
+		}
+		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", s.frames[1].Channel, uint16(0)), checkEqual("handle", s.frames[2].Uint32(1, 99), uint32(0)))
+	}},
+	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
+		s := &recordingEndpoint{open: newOpen("server").With(4, uint32(200))}
+		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
+			return err
+		}
+		time.Sleep(700 * time.Millisecond) // what is looked at is what comes in a time
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		beats := 0
+		for _, frame := range s.frames {
+			if frame.Empty {
+				beats++
+			}
+		}
+		if beats < 3 {
+			return fmt.Errorf("%d in 700 ms, where one is due every 200", beats)
+		}
+		return nil
+	}},
+	{"2.5.6", "server", "no more transfers go out than the server's window takes", func(t *testing.T) error {
+		s := &recordingEndpoint{window: 2}
+		c := dialRawTo(t, s).begin()
+		if _, err := c.attachAndWait(true); err != nil {
+			return err
+		}
+		for i := range uint32(6) {
+			c.sendTransfer(i, true, false, false, []byte("m"))
+		}
+		if _, err := s.waitFor(framing.CodeTransfer, 2); err != nil {
+			return err
+		}
+		time.Sleep(200 * time.Millisecond) // what is looked at is that nothing more comes
+		all, err := s.waitFor(framing.CodeTransfer, 2)
+		return errors.Join(err, checkEqual("transfers", len(all), 2))
+	}},
+	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
+		var mu sync.Mutex
+		most, conns := uint16(0), 0
+		protocol := amqpProtocol(func(frame *Frontend) { frame.Pool = connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute} }, nil)
+		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) {
+			c, ok := negotiateAsEndpoint(t, tcp)
+			if !ok {
+				return
+			}
+			mu.Lock()
+			conns++
+			mu.Unlock()
+			for {
+				frame, err := c.readFrame(framing.TypeAMQP, serverWait)
+				if err != nil {
+					return
+				}
+				mu.Lock()
+				most = max(most, frame.Channel)
+				mu.Unlock()
+				switch frame.Code {
+				case framing.CodeOpen:
+					c.applyOpen(frame.Performative)
+					c.writeFrame(0, newOpen("server").With(3, uint16(1)), nil)
+				case framing.CodeBegin:
+					c.writeFrame(frame.Channel, newSession(c, frame.Channel).newBegin(frame.Channel), nil)
+				case framing.CodeAttach:
+					c.writeFrame(frame.Channel, frame.With(2, !frame.Bool(2)).With(9, nil).With(13, nil), nil)
+					c.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
+				}
+			}
+		}
+		r := newTestRelay(t, protocol, 1, nil)
+		session := clientOf(t, r)
+		for i := range 5 {
+			attach(t, session, fmt.Sprint(i))
+		}
+		mu.Lock()
+		defer mu.Unlock()
+		return errors.Join(checkEqual("channel", most, uint16(1)), checkEqual("connections", conns, 3))
+	}},
+}
+
+// libraryRequirements are checked with github.com/Azure/go-amqp as the client.
+var libraryRequirements = []requirement{
+	{"2.6, 3.4", "library", "go-amqp sends in each settlement mode, and is told each outcome", func(t *testing.T) error {
+		session := clientOf(t, newTestRelay(t, protocols[1], 1, nil))
+		for _, mode := range []client10.SenderSettleMode{client10.SenderSettleModeSettled, client10.SenderSettleModeUnsettled, client10.SenderSettleModeMixed} {
+			sender, err := session.NewSender(t.Context(), "there", &client10.SenderOptions{Properties: linkProperties(), SettlementMode: mode.Ptr()})
+			if err != nil {
+				return err
+			}
+			if err := errors.Join(sender.Send(t.Context(), client10.NewMessage([]byte("m")), nil), sender.Close(t.Context())); err != nil {
+				return err
+			}
+		}
+		return nil
+	}},
+	{"2.4 to 2.6", "library", "go-amqp opens and closes connections, sessions and links in any order", func(t *testing.T) error {
+		r := newTestRelay(t, protocols[1], 1, nil)
+		for i := range 4 {
+			c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
+			if err != nil {
+				return err
+			}
+			session, err := c.NewSession(t.Context(), nil)
+			if err != nil {
+				return err
+			}
+			sender := attach(t, session, fmt.Sprint(i))
+			ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
+			if i%2 == 0 {
+				err = sender.Close(ctx)
+			}
+			if i/2 == 0 {
+				err = errors.Join(err, session.Close(ctx))
+			}
+			cancel()
+			if err := errors.Join(err, c.Close()); err != nil {
+				return err
+			}
+		}
+		return nil
+	}},
+}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -5,10 +5,8 @@
 	"errors"
 	"io"
 	"net"
-	"os"
 	"slices"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
@@ -153,59 +151,6 @@
 	}
 }
 
-// updateSettings puts other settings in force.
-func (relay *testRelay) updateSettings(change func(*balancer.Settings)) {
-	s := *relay.proxy.Settings()
-	s.Classes = append([]balancer.Class(nil), s.Classes...)
-	change(&s)
-	relay.proxy.UpdateSettings(&s)
-}
-
-// fullListener is a listener on loopback whose queue is full: who dials it waits for as long as the test wants.
-type fullListener struct {
-	net.Listener
-	queued []net.Conn
-	served sync.WaitGroup
-}
-
-// newFullListener returns a listener that takes nobody in until let.
-func newFullListener(t *testing.T) *fullListener {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	file := os.NewFile(uintptr(fd), "a listener")
-	defer func() { _ = file.Close() }()
-	l, err := net.FileListener(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	f := &fullListener{Listener: l}
-	t.Cleanup(func() {
-		f.Close()
-		for _, c := range f.queued {
-			c.Close()
-		}
-		f.served.Wait()
-	})
-	for { // until one does not come up
-		c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
-		if err != nil {
-			return f
-		}
-		if f.queued = append(f.queued, c); len(f.queued) > 16 {
-			t.Fatal("the queue does not fill")
-		}
-	}
-}
-
 // A client that leaves while a connection to its server comes up: nothing of it is sent once the connection is there.
 // The same for a server that begins to drain meanwhile, and a repeat that its server would run anew by then.
 func TestNothingIsSentOnAConnectionThatComesUpTooLate(t *testing.T) {
@@ -273,18 +218,6 @@
 	})
 }
 
-// acceptAndServe takes in who waits, and serves from then on.
-func (f *fullListener) acceptAndServe(t *testing.T, protocol frontendProtocol, s *scenario) {
-	for range f.queued {
-		c, err := f.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.Close()
-	}
-	f.served.Go(func() { serveAll(t, f.Listener, protocol, s) })
-}
-
 // A repeat whose connection comes up late is not sent where its servers have forgotten the first by then: it would run
 // anew. Its client is told what its class allows.
 func TestARepeatGoesOutOnlyWhileItsServersKnowTheFirst(t *testing.T) {
--- /dev/null
+++ b/internal/frontend/amqp/forwarding_test.go
@@ -0,0 +1,114 @@
+package amqp
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"net"
+	"testing"
+	"time"
+
+	client10 "github.com/Azure/go-amqp"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// What a client sends comes out at the server as it was, in frames of any size,
+// and what the server says of it comes back.
+func TestDeliveriesPassUp(t *testing.T) {
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	session := dialFront(t, relay.address)
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	sender, err := session.NewSender(ctx, "score", &client10.SenderOptions{Properties: linkProperties()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, size := range []int{0, 10, 900, 5000, 3 * framing.MaxFrameSize} {
+		if err := sender.Send(ctx, client10.NewMessage(bytes.Repeat([]byte("n"), size)), nil); err != nil {
+			t.Fatalf("a message of %d bytes: %v", size, err)
+		}
+	}
+	if err := sender.Close(ctx); err != nil {
+		t.Error(err)
+	}
+	relay.waitIdle(t)
+}
+
+// A server's pages come out at the client as they were, under the client's
+// credit; the client's word on them comes back to the server.
+func TestDeliveriesPassDown(t *testing.T) {
+	const pages = 30
+	settled := make(chan uint32, pages)
+	protocol := protocols[1]
+	protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) { pageServer(t, tcp, pages, settled) }
+	relay := newTestRelay(t, protocol, 1, nil)
+	session := dialFront(t, relay.address)
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
+	receiver, err := session.NewReceiver(ctx, "pages", &client10.ReceiverOptions{Properties: linkProperties(), Credit: 4})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range pages {
+		m, err := receiver.Receive(ctx, nil)
+		if err != nil {
+			t.Fatalf("page %d: %v", i, err)
+		}
+		if got := m.GetData(); !bytes.Equal(got, page(i)) {
+			t.Fatalf("page %d has %d bytes, want %d", i, len(got), len(page(i)))
+		}
+		if err := receiver.AcceptMessage(ctx, m); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i := range pages {
+		select {
+		case id := <-settled:
+			if id != uint32(i) {
+				t.Errorf("delivery %d was settled, want %d", id, i)
+			}
+		case <-ctx.Done():
+			t.Fatalf("%d pages were settled, want %d", i, pages)
+		}
+	}
+}
+
+func page(i int) []byte { return bytes.Repeat([]byte{byte(i)}, i*i*20) }
+
+// pageServer sends pages as far as the client's credit goes.
+func pageServer(t testing.TB, tcp *net.TCPConn, pages int, settled chan<- uint32) {
+	c, ok := negotiateAsEndpoint(t, tcp)
+	if !ok {
+		return
+	}
+	session := newSession(c, 0)
+	sent := 0
+	for {
+		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
+		if err != nil {
+			return
+		}
+		switch frame.Code {
+		case framing.CodeOpen, framing.CodeBegin:
+			answerOpenOrBegin(c, session, frame)
+		case framing.CodeAttach:
+			c.writeFrame(0, frame.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
+		case framing.CodeDisposition:
+			for id := frame.Uint32(1, 0); id <= frame.Uint32(2, frame.Uint32(1, 0)); id++ {
+				settled <- id
+			}
+		case framing.CodeFlow:
+			session.applyFlow(frame.Performative)
+			for most := int(frame.Uint32(5, 0) + frame.Uint32(6, 0)); sent < min(pages, most); sent++ {
+				body := codec.Append(nil, codec.Described{Descriptor: uint64(0x75), Value: page(sent)})
+				tag := binary.BigEndian.AppendUint32(nil, uint32(sent))
+				p := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
+				if err := session.sendTransfer(p, body); err != nil {
+					t.Errorf("page %d: %v", sent, err)
+				}
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/frontend/amqp/protocolerrors_test.go
@@ -0,0 +1,134 @@
+package amqp
+
+import (
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/listener"
+	"lockroad/internal/proxy"
+)
+
+func TestWrongFramesGetTheStandardsConditions(t *testing.T) {
+	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)}
+	for name, c := range map[string]struct {
+		acts []endpointAction
+		do   func(c *rawClient)
+	}{
+		"a frame that is too large": {nil, func(c *rawClient) {
+			_, _ = c.Write([]byte{0, 1, 0, 0, 2, 0, 0, 0})
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		}},
+		"a frame that is too small": {nil, func(c *rawClient) {
+			_, _ = c.Write([]byte{0, 0, 0, 7, 2, 0, 0})
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		}},
+		"a data offset out of range": {nil, func(c *rawClient) {
+			_, _ = c.Write([]byte{0, 0, 0, 8, 9, 0, 0, 0})
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		}},
+		"a value that makes no sense": {nil, func(c *rawClient) {
+			_, _ = c.Write([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13})
+			c.expect(framing.CodeClose, 0, framing.CondDecodeError)
+		}},
+		"a channel without a session": {nil, func(c *rawClient) {
+			c.writeFrame(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		}},
+		"a channel over the most": {nil, func(c *rawClient) {
+			c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		}},
+		"a handle without a link": {nil, func(c *rawClient) {
+			c.begin().writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
+			c.expect(framing.CodeEnd, 0, framing.CondUnattachedHandle)
+		}},
+		"a handle that is in use": {[]endpointAction{actionHang}, func(c *rawClient) {
+			c.begin().attach(1, props)
+			c.attach(1, props)
+			c.expect(framing.CodeEnd, 0, framing.CondHandleInUse)
+		}},
+		"an attach without its properties": {nil, func(c *rawClient) {
+			c.begin().attach(1, nil)
+			c.expect(framing.CodeAttach, 0, "")
+			c.expect(framing.CodeDetach, 2, framing.CondInvalidField)
+		}},
+		"a transfer without credit": {[]endpointAction{actionHang}, func(c *rawClient) {
+			c.begin().attach(1, props)
+			c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
+			c.expect(framing.CodeAttach, 0, "")
+			c.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			relay := newTestRelay(t, protocols[1], 1, c.acts)
+			c.do(dialRaw(t, relay.address))
+			relay.waitIdle(t)
+		})
+	}
+}
+
+func TestSilentClientIsClosed(t *testing.T) {
+	protocol := protocols[1]
+	protocol.newFrontend = func(k *proxy.Proxy, seats int) frontendServer {
+		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}, IdleTimeout: 100 * time.Millisecond}
+	}
+	relay := newTestRelay(t, protocol, 1, nil)
+	dialRaw(t, relay.address).expect(framing.CodeClose, 0, framing.CondResourceLimitExceeded)
+}
+
+// A refusal needs no credit, and comes while the give-up time still runs.
+func TestFinalAnswerNeedsNoCredit(t *testing.T) {
+	relay := newTestRelay(t, protocols[1], 1, []endpointAction{actionNoCredit})
+	c := dialRaw(t, relay.address).begin()
+	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)})
+	began := time.Now()
+	c.expect(framing.CodeAttach, 0, "")
+	c.expect(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
+	if took := time.Since(began); took > 1400*time.Millisecond {
+		t.Errorf("answered after %v", took)
+	}
+	relay.waitIdle(t)
+}
+
+// The relay's heartbeat keeps within the idle time-out that a peer asks for.
+func TestIdlePeerIsKeptAlive(t *testing.T) {
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	tcp, err := net.Dial("tcp", relay.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer tcp.Close()
+	c := newConnection(tcp.(*net.TCPConn))
+	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	_, _ = c.readProtocolHeader(time.Second)
+	c.writeFrame(0, newOpen("idle").With(4, uint32(90)), nil)
+	for beats := 0; beats < 3; {
+		frame, err := c.readFrame(framing.TypeAMQP, 90*time.Millisecond)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if frame.Empty {
+			beats++
+		}
+	}
+}
+
+func TestOtherProtocolsAreToldOurs(t *testing.T) {
+	relay := newTestRelay(t, protocols[1], 1, nil)
+	c, err := net.Dial("tcp", relay.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	// More than the relay reads of it at once: a close over the rest would be a reset.
+	io.WriteString(c, "GET / HTTP/1.1\r\n"+strings.Repeat("Accept: all that there is\r\n", 1000)+"\r\n")
+	c.SetReadDeadline(time.Now().Add(3 * time.Second))
+	if got, err := io.ReadAll(c); string(got) != string(framing.ProtocolHeaderAMQP[:]) || err != nil {
+		t.Errorf("the front answers %q, %v", got, err)
+	}
+}
--- a/internal/frontend/amqp/trunks_test.go
+++ b/internal/frontend/amqp/sharedconn_test.go
@@ -59,42 +59,6 @@
 	return newTestRelayWithSlots(t, protocol, 1, nil, 2000)
 }
 
-// clientOf is a session of an independent client.
-func clientOf(t testing.TB, relay *testRelay) *client10.Session {
-	t.Helper()
-	c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = c.Close() })
-	session, err := c.NewSession(context.Background(), nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return session
-}
-
-// attach opens a link and leaves it open.
-func attach(t testing.TB, session *client10.Session, name string) *client10.Sender {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	defer cancel()
-	sender, err := session.NewSender(ctx, "there", &client10.SenderOptions{Name: name, Properties: linkProperties()})
-	if err != nil {
-		t.Fatal(err)
-	}
-	return sender
-}
-
-func sendOne(t testing.TB, sender *client10.Sender) {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-	defer cancel()
-	if err := sender.Send(ctx, client10.NewMessage([]byte("n")), nil); err != nil {
-		t.Error(err)
-	}
-}
-
 // Seven transactions go over as few connections as the settings and the server allow, one after another over the
 // same; a connection without any is closed in its time.
 func TestTransactionsShareConnections(t *testing.T) {
