--- a/internal/frontend/amqp/amqppeers_test.go
+++ b/internal/frontend/amqp/amqppeers_test.go
@@ -15,7 +15,7 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// negotiateAsEndpoint is a stand-in's half of the greeting, as the standard has it, up to
+// negotiateAsEndpoint is a fake endpoint's half of the opening, as the standard has it, up to
 // the opens.
 func negotiateAsEndpoint(t testing.TB, tcp streamConn) (*connection, bool) {
 	c := newConnection(tcp)
@@ -34,9 +34,9 @@
 	c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
 	frame, err := c.readFrame(framing.TypeSASL, serverWait)
 	if err != nil {
-		return nil, false // the relay may give a pass up at any time, as of a client that has gone
+		return nil, false // the relay may give an attempt up at any time, as when its client has left
 	}
-	if frame.Code != framing.CodeSASLInit || codec.AsString(frame.Field(0)) != want {
+	if frame.Code != framing.CodeSASLInit || codec.AsString(frame.Field(framing.SASLInitMechanism)) != want {
 		t.Errorf("a server got %v for an init", frame)
 		return nil, false
 	}
@@ -46,7 +46,7 @@
 	return c, true
 }
 
-// answerOpenOrBegin answers the frames that open a stand-in's connection and its session.
+// answerOpenOrBegin answers the frames that open a fake endpoint's connection and its session.
 func answerOpenOrBegin(c *connection, s *session, frame framing.Frame) {
 	switch frame.Code {
 	case framing.CodeOpen:
@@ -80,10 +80,10 @@
 				return
 			}
 		case framing.CodeTransfer:
-			if frame.Bool(5) {
+			if frame.Bool(framing.TransferMore) {
 				continue
 			}
-			c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+			c.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
 		case framing.CodeDetach:
 			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		case framing.CodeClose:
@@ -92,13 +92,13 @@
 	}
 }
 
-// answerAttach tells whether the connection goes on.
+// answerAttach reports whether the connection goes on.
 func answerAttach(t testing.TB, c *connection, session *session, p framing.Performative, s *scenario) bool {
-	props, _ := p.Field(13).(codec.Map)
+	props, _ := p.Field(framing.AttachProperties).(codec.Map)
 	ms, _ := codec.AsUint64(props.Get(propDeadline))
 	s.recordTimeout(time.Duration(ms) * time.Millisecond)
 	act := s.next(t, c.LocalAddr())
-	reply := p.With(1, uint32(0)).With(2, !p.Bool(2)).With(9, nil).With(13, nil)
+	reply := attachReply(p, 0)
 	end := func(cond string) bool {
 		var e any
 		if cond != "" {
@@ -117,11 +117,11 @@
 		up()
 	case actionRejectFull:
 		s.answered()
-		c.writeFrame(0, reply.With(6, nil), nil)
+		c.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
 		return end(framing.CondResourceLimitExceeded)
 	case actionFail:
 		s.answered()
-		c.writeFrame(0, reply.With(6, nil), nil)
+		c.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
 		return end(framing.CondInternalError)
 	case actionHang, actionNoCredit:
 		if act == actionNoCredit {
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -21,10 +21,10 @@
 	"lockroad/internal/testutil"
 )
 
-// A connection that transactions share, and whose server stops reading: whoever writes on it waits for the one before.
-// (The line front has a connection for each transaction, which is new as the opening is written.)
+// A connection that requests share, and whose endpoint stops reading: whoever writes on it waits for the one before.
+// (The line frontend has a connection for each request, which is new as the opening is written.)
 
-// blockedEndpoint is an application server that reads up to so many attaches, and then nothing until it is let.
+// blockedEndpoint is an endpoint that reads up to so many attaches, and then nothing until unblock is called.
 type blockedEndpoint struct {
 	net.Listener
 	maxAttaches int
@@ -87,18 +87,18 @@
 		switch f.Code {
 		case framing.CodeOpen:
 			c.applyOpen(f.Performative)
-			c.writeFrame(0, newOpen("dam").With(3, uint16(7)), nil)
+			c.writeFrame(0, newOpen("dam").With(framing.OpenChannelMax, uint16(7)), nil)
 		case framing.CodeBegin:
 			endpoint.sessions++
 			s := newSession(c, f.Channel)
 			_ = s.applyBegin(f.Performative)
 			sessions[f.Channel] = s
-			c.writeFrame(f.Channel, s.newBegin(f.Channel).With(2, endpoint.window), nil)
+			c.writeFrame(f.Channel, s.newBegin(f.Channel).With(framing.BeginIncomingWindow, endpoint.window), nil)
 		case framing.CodeAttach:
-			endpoint.linkNames = append(endpoint.linkNames, codec.AsString(f.Field(0)))
+			endpoint.linkNames = append(endpoint.linkNames, codec.AsString(f.Field(framing.AttachName)))
 			s := sessions[f.Channel]
-			s.writeFrame(f.Channel, f.Performative.With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
-			s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), endpoint.window, uint32(0), uint32(sessionWindow), f.Field(1), uint32(0), uint32(50000)}}, nil)
+			s.writeFrame(f.Channel, f.Performative.With(framing.AttachRole, !f.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
+			s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), endpoint.window, uint32(0), uint32(sessionWindow), f.Field(framing.AttachHandle), uint32(0), uint32(50000)}}, nil)
 		case framing.CodeTransfer:
 			if !bytes.Contains(f.Payload, blockingPayload) {
 				endpoint.err = errors.New("a delivery is not what its client has sent")
@@ -112,7 +112,7 @@
 	}
 }
 
-// checkOnlyFirstArrived ends the relay, and checks that nothing has come to the server but its first link.
+// checkOnlyFirstArrived ends the relay, and checks that nothing has come to the endpoint but its first link.
 func (endpoint *blockedEndpoint) checkOnlyFirstArrived(t *testing.T, relay *testRelay) {
 	t.Helper()
 	relay.shutdown()
@@ -122,7 +122,7 @@
 	}
 }
 
-// newRelayToBlockedEndpoint is a relay whose transactions share connections to such a server, and a client that has one.
+// newRelayToBlockedEndpoint is a relay whose requests share connections to such an endpoint, and a client that has one.
 func newRelayToBlockedEndpoint(t *testing.T, endpoint *blockedEndpoint) (*testRelay, *Frontend, *client10.Sender) {
 	t.Helper()
 	var front *Frontend
@@ -142,7 +142,7 @@
 	return relay, front, first
 }
 
-// blockConnection sends deliveries until the connection to the server is blocked.
+// blockConnection sends deliveries until the connection to the endpoint is blocked.
 func blockConnection(t *testing.T, f *Frontend, link *client10.Sender) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -182,8 +182,8 @@
 	return len(m.localChannels)
 }
 
-// An attach waits for a connection on which another transaction is being written, to a server that does not read. Its client
-// leaves, its server drains, or the relay ends: nothing of it is sent once the server reads again, and nobody waits for that.
+// An attach waits for a connection on which another request is being written, to an endpoint that does not read. Its client
+// leaves, its endpoint drains, or the relay ends: nothing of it is sent once the endpoint reads again, and nobody waits for that.
 func TestNothingIsSentOnceItsTurnOnASharedConnectionComesTooLate(t *testing.T) {
 	for _, c := range []string{"the client leaves", "the server drains", "the relay ends"} {
 		t.Run(c, func(t *testing.T) {
@@ -220,7 +220,7 @@
 	}
 }
 
-// A pass that waits for its turn on such a connection is given up at its time like any other: its client goes to another server,
+// An attempt that waits for its turn on such a connection is given up at its time like any other: its client goes to another endpoint,
 // and the one that reads again hears nothing of it.
 func TestAPassThatWaitsForItsTurnIsGivenUpInTime(t *testing.T) {
 	t.Parallel()
@@ -236,7 +236,7 @@
 	defer l.Close()
 	served.Go(func() { serveAll(t, l, frontendProtocol{serveEndpoint: other.serve}, relay.scenario) })
 	second := dialRaw(t, relay.address).begin()
-	// Its group's route leads to the first server, as the first link's does.
+	// Its group's route leads to the first endpoint, as the first link's does.
 	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
 	testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(f).sessionCount() == 2 })
@@ -257,8 +257,8 @@
 	endpoint.checkOnlyFirstArrived(t, relay)
 }
 
-// A frame that went out in part is the last on its connection: the next would be read as its rest, by a server that
-// delivers it. All who share the connection are told that their server is lost.
+// A frame that went out in part is the last on its connection: the next would be read as its rest, by an endpoint that
+// delivers it. All who share the connection are told that their endpoint is lost.
 func TestNothingFollowsAFrameThatWentOutInPart(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 2, 10000)
@@ -276,8 +276,8 @@
 	}
 }
 
-// A server that lives and takes no transfer for long is silent as far as its client goes: the client is moved. It went on
-// sending to a server that got nothing of it.
+// An endpoint that lives and takes no transfer for long is silent as far as its client goes: the client is moved. It went on
+// sending to an endpoint that got nothing of it.
 func TestAServerWhoseWindowStaysShutIsLeft(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 1000, 1)
@@ -299,7 +299,7 @@
 	testutil.Until(t, "the transaction is over", func() bool { return relay.proxy.Requests.Len() == 0 })
 }
 
-// A pass that is given up, or a transaction that ends, closes its session at once, while a word of its server may be in
+// An attempt that is given up, or a request that ends, closes its session at once, while a word of its endpoint may be in
 // hand already: a flow that is taken after that opens no window, and ends no relay.
 func TestAFlowInHandAsItsSessionEndsChangesNothing(t *testing.T) {
 	endpoint := newBlockedEndpoint(t, 3, 100)
--- a/internal/frontend/amqp/conformance_client_test.go
+++ b/internal/frontend/amqp/conformance_client_test.go
@@ -45,7 +45,7 @@
 		}
 		c.writeFrame(0, newOpen("raw"), nil)
 		frame, err := c.readFrame(framing.TypeAMQP, time.Second)
-		if err != nil || frame.Code != framing.CodeOpen || codec.AsString(frame.Field(0)) == "" || frame.Uint32(2, 0) < framing.MinMaxFrameSize || frame.Uint32(4, 0) == 0 {
+		if err != nil || frame.Code != framing.CodeOpen || codec.AsString(frame.Field(framing.OpenContainerID)) == "" || frame.Uint32(framing.OpenMaxFrameSize, 0) < framing.MinMaxFrameSize || frame.Uint32(framing.OpenIdleTimeout, 0) == 0 {
 			return fmt.Errorf("the open is %v, %v", frame.Performative, err)
 		}
 		return nil
@@ -61,7 +61,7 @@
 		b := append([]byte{}, framing.ProtocolHeaderAMQP[:]...)
 		b = framing.AppendFrame(b, framing.TypeAMQP, 0, newOpen("raw"), nil)
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		b = framing.AppendFrame(b, framing.TypeAMQP, 3, senderAttach("a link", 1, rawProps), nil)
 		_, _ = tcp.Write(b)
 		c := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
 		_, _ = c.readProtocolHeader(time.Second)
@@ -77,7 +77,7 @@
 		if err != nil {
 			return err
 		}
-		c.writeFrame(0, newOpen("idle").With(4, uint32(600)), nil)
+		c.writeFrame(0, newOpen("idle").With(framing.OpenIdleTimeout, uint32(600)), nil)
 		for beats := 0; beats < 3; {
 			frame, err := c.readFrame(framing.TypeAMQP, 600*time.Millisecond)
 			if err != nil {
@@ -94,7 +94,7 @@
 		c := dialRawTo(t, &recordingEndpoint{})
 		c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		frame, err := c.nextFrame()
-		return errors.Join(err, checkEqual("remote-channel", frame.Uint32(0, 99), uint32(3)))
+		return errors.Join(err, checkEqual("remote-channel", frame.Uint32(framing.BeginRemoteChannel, 99), uint32(3)))
 	}},
 	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
 		c := dialRawTo(t, &recordingEndpoint{}).begin()
@@ -109,7 +109,7 @@
 		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
 		frame, err := c.nextFrame()
-		if err != nil || frame.Code != framing.CodeFlow || frame.RequireUint32(0, 1, 2, 3) != nil {
+		if err != nil || frame.Code != framing.CodeFlow || frame.RequireUint32(framing.FlowNextIncomingID, framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow) != nil {
 			return fmt.Errorf("echoed %#x %v, %v", frame.Code, frame.Fields, err)
 		}
 		return nil
@@ -133,7 +133,7 @@
 			if err != nil {
 				return err
 			}
-			if cond, _ := frame.Condition(0); frame.Code == framing.CodeEnd {
+			if cond, _ := frame.Condition(framing.EndError); frame.Code == framing.CodeEnd {
 				return checkEqual("condition", cond, framing.CondWindowViolation)
 			}
 		}
@@ -153,14 +153,14 @@
 	}},
 	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
 		reply, err := dialRawTo(t, &recordingEndpoint{}).begin().attachAndWait(true)
-		return errors.Join(err, checkEqual("name", codec.AsString(reply.Field(0)), "a link"), checkEqual("role", reply.Field(2), true), checkEqual("handle", reply.Uint32(1, 99), uint32(1)))
+		return errors.Join(err, checkEqual("name", codec.AsString(reply.Field(framing.AttachName)), "a link"), checkEqual("role", reply.Field(framing.AttachRole), true), checkEqual("handle", reply.Uint32(framing.AttachHandle, 99), uint32(1)))
 	}},
 	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
 		c := dialRawTo(t, &recordingEndpoint{}).begin()
 		c.attach(1, nil)
 		frame, err := c.nextFrame()
-		if err != nil || frame.Code != framing.CodeAttach || frame.Field(6) != nil {
-			return fmt.Errorf("told %#x with the target %v, %v", frame.Code, frame.Field(6), err)
+		if err != nil || frame.Code != framing.CodeAttach || frame.Field(framing.AttachTarget) != nil {
+			return fmt.Errorf("told %#x with the target %v, %v", frame.Code, frame.Field(framing.AttachTarget), err)
 		}
 		return c.checkNext(framing.CodeDetach, 2, framing.CondInvalidField)
 	}},
@@ -179,10 +179,10 @@
 	}},
 	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
 		grants := dialRawTo(t, &recordingEndpoint{credit: 7}).begin()
-		grants.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+		grants.writeFrame(3, senderAttach("a link", 1, rawProps), nil)
 		_, _ = grants.nextFrame()
 		granted, err := grants.nextFrame()
-		if err := errors.Join(err, checkEqual("granted", granted.Uint32(6, 0), uint32(7))); err != nil {
+		if err := errors.Join(err, checkEqual("granted", granted.Uint32(framing.FlowLinkCredit, 0), uint32(7))); err != nil {
 			return err
 		}
 		s := &recordingEndpoint{}
@@ -196,7 +196,7 @@
 			return err
 		}
 		frame := flows[len(flows)-1]
-		return errors.Join(checkEqual("credit", frame.Uint32(6, 0), uint32(5)), checkEqual("drain", frame.Bool(8), true), checkEqual("echo", frame.Bool(9), true))
+		return errors.Join(checkEqual("credit", frame.Uint32(framing.FlowLinkCredit, 0), uint32(5)), checkEqual("drain", frame.Bool(framing.FlowDrain), true), checkEqual("echo", frame.Bool(framing.FlowEcho), true))
 	}},
 	{"2.6.12", "client", "a delivery in several transfers reaches the server as one", func(t *testing.T) error {
 		s := &recordingEndpoint{}
@@ -214,7 +214,7 @@
 		whole := ""
 		for _, frame := range all {
 			whole += string(frame.Payload)
-			err = errors.Join(err, checkEqual("delivery", frame.Uint32(1, 99), uint32(0)))
+			err = errors.Join(err, checkEqual("delivery", frame.Uint32(framing.DispositionFirst, 99), uint32(0)))
 		}
 		return errors.Join(err, checkEqual("payload", whole, "abc"))
 	}},
@@ -231,7 +231,7 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(checkEqual("aborted", all[1].Bool(9), true), checkEqual("next", string(all[2].Payload), "b"), c.checkNext(framing.CodeDisposition, 99, ""))
+		return errors.Join(checkEqual("aborted", all[1].Bool(framing.TransferAborted), true), checkEqual("next", string(all[2].Payload), "b"), c.checkNext(framing.CodeDisposition, 99, ""))
 	}},
 	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
 		c := dialRawTo(t, &recordingEndpoint{})
@@ -245,7 +245,9 @@
 	}},
 	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
 		s := &recordingEndpoint{}
-		reply, err := dialRawTo(t, s).begin().attachAndWait(true, func(p framing.Performative) framing.Performative { return p.With(3, uint8(1)).With(4, uint8(1)) })
+		reply, err := dialRawTo(t, s).begin().attachAndWait(true, func(p framing.Performative) framing.Performative {
+			return p.With(framing.AttachSndSettleMode, uint8(1)).With(framing.AttachRcvSettleMode, uint8(1))
+		})
 		if err != nil {
 			return err
 		}
@@ -253,7 +255,7 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(checkEqual("snd-settle-mode", all[0].Field(3), uint8(1)), checkEqual("rcv-settle-mode", all[0].Field(4), uint8(1)), checkEqual("the server's", reply.Field(4), uint8(1)))
+		return errors.Join(checkEqual("snd-settle-mode", all[0].Field(framing.AttachSndSettleMode), uint8(1)), checkEqual("rcv-settle-mode", all[0].Field(framing.AttachRcvSettleMode), uint8(1)), checkEqual("the server's", reply.Field(framing.AttachRcvSettleMode), uint8(1)))
 	}},
 	{"2.7.5", "client", "a settled delivery is settled at the server, and nothing is said of it", func(t *testing.T) error {
 		s := &recordingEndpoint{}
@@ -268,11 +270,11 @@
 			return err
 		}
 		all, err := s.waitFor(framing.CodeTransfer, 2)
-		return errors.Join(err, checkEqual("settled", all[0].Bool(4), true), checkEqual("disposition of", frame.Uint32(1, 99), uint32(1)))
+		return errors.Join(err, checkEqual("settled", all[0].Bool(framing.TransferSettled), true), checkEqual("disposition of", frame.Uint32(framing.DispositionFirst, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
 		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
-			if frame.Code != framing.CodeFlow || frame.Field(4) == nil {
+			if frame.Code != framing.CodeFlow || frame.Field(framing.FlowHandle) == nil {
 				return false
 			}
 			for i := range uint32(3) {
@@ -290,7 +292,7 @@
 				return err
 			}
 		}
-		c.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+		c.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}}}, nil)
 		var settled []uint32
 		for len(settled) < 3 {
 			all, err := s.waitFor(framing.CodeDisposition, 1)
@@ -299,7 +301,7 @@
 			}
 			settled = nil
 			for _, frame := range all {
-				for id := frame.Uint32(1, 0); id <= frame.Uint32(2, frame.Uint32(1, 0)); id++ {
+				for id := frame.Uint32(framing.DispositionFirst, 0); id <= frame.Uint32(framing.DispositionLast, frame.Uint32(framing.DispositionFirst, 0)); id++ {
 					settled = append(settled, id)
 				}
 			}
@@ -322,11 +324,11 @@
 		return checkEqual("message", all[0].Payload, message)
 	}},
 	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
-		outcomes := []any{codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}, codec.Described{Descriptor: uint64(0x25), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(0x26), Value: codec.List{}},
-			codec.Described{Descriptor: uint64(0x27), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
+		outcomes := []any{codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}, codec.Described{Descriptor: uint64(framing.CodeRejected), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(framing.CodeReleased), Value: codec.List{}},
+			codec.Described{Descriptor: uint64(framing.CodeModified), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
 		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
 			if frame.Code == framing.CodeTransfer {
-				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, outcomes[frame.Uint32(1, 0)]}}, nil)
+				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(framing.TransferDeliveryID), nil, true, outcomes[frame.Uint32(framing.TransferDeliveryID, 0)]}}, nil)
 			}
 			return frame.Code == framing.CodeTransfer
 		}}
@@ -337,7 +339,7 @@
 		for i, want := range outcomes {
 			c.sendTransfer(uint32(i), false, false, false, []byte("m"))
 			frame, err := c.nextFrame()
-			if err := errors.Join(err, checkEqual("outcome", frame.Field(4), want), checkEqual("settled", frame.Bool(3), true)); err != nil {
+			if err := errors.Join(err, checkEqual("outcome", frame.Field(framing.DispositionState), want), checkEqual("settled", frame.Bool(framing.DispositionSettled), true)); err != nil {
 				return err
 			}
 		}
@@ -345,16 +347,16 @@
 	}},
 	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
 		s := &recordingEndpoint{}
-		source := codec.Described{Descriptor: uint64(0x28), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
+		source := codec.Described{Descriptor: uint64(framing.CodeSource), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
 			codec.Map{codec.Symbol("sel"), codec.Described{Descriptor: codec.Symbol("apache.org:selector-filter:string"), Value: "a = 1"}}, nil, codec.Array{codec.Symbol("amqp:accepted:list")}, codec.Array{codec.Symbol("queue")}}}
-		if _, err := dialRawTo(t, s).begin().attachAndWait(false, func(p framing.Performative) framing.Performative { return p.With(5, source) }); err != nil {
+		if _, err := dialRawTo(t, s).begin().attachAndWait(false, func(p framing.Performative) framing.Performative { return p.With(framing.AttachSource, source) }); err != nil {
 			return err
 		}
 		all, err := s.waitFor(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
-		return checkEqual("source", all[0].Field(5), source)
+		return checkEqual("source", all[0].Field(framing.AttachSource), source)
 	}},
 	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
 		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
@@ -362,12 +364,12 @@
 			return err
 		}
 		frame, err := c.readFrame(framing.TypeSASL, time.Second)
-		if err != nil || frame.Code != framing.CodeSASLMechanisms || !offersMechanism(frame.Field(0), "ANONYMOUS") {
+		if err != nil || frame.Code != framing.CodeSASLMechanisms || !offersMechanism(frame.Field(framing.SASLMechanismsOffered), "ANONYMOUS") {
 			return fmt.Errorf("mechanisms %v, %v", frame.Performative, err)
 		}
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
 		frame, err = c.readFrame(framing.TypeSASL, time.Second)
-		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(0, 99), uint32(0))); err != nil {
+		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(framing.SASLOutcomeCode, 99), uint32(0))); err != nil {
 			return err
 		}
 		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
@@ -382,7 +384,7 @@
 		_, _ = c.readFrame(framing.TypeSASL, time.Second)
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
 		frame, err := c.readFrame(framing.TypeSASL, time.Second)
-		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(0, 99), uint32(1))); err != nil {
+		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(framing.SASLOutcomeCode, 99), uint32(1))); err != nil {
 			return err
 		}
 		if _, err := c.readFrame(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
--- a/internal/frontend/amqp/conformance_endpoint_test.go
+++ b/internal/frontend/amqp/conformance_endpoint_test.go
@@ -20,7 +20,7 @@
 // endpointRequirements are checked by endpoints that record what the frontend sends.
 var endpointRequirements = []requirement{
 	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
-		s := &recordingEndpoint{open: newOpen("server").With(2, uint32(framing.MinMaxFrameSize))}
+		s := &recordingEndpoint{open: newOpen("server").With(framing.OpenMaxFrameSize, uint32(framing.MinMaxFrameSize))}
 		c := dialRawTo(t, s).begin()
 		if _, err := c.attachAndWait(true); err != nil {
 			return err
@@ -50,10 +50,10 @@
 				codes = append(codes, frame.Code)
 			}
 		}
-		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", s.frames[1].Channel, uint16(0)), checkEqual("handle", s.frames[2].Uint32(1, 99), uint32(0)))
+		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", s.frames[1].Channel, uint16(0)), checkEqual("handle", s.frames[2].Uint32(framing.AttachHandle, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
-		s := &recordingEndpoint{open: newOpen("server").With(4, uint32(200))}
+		s := &recordingEndpoint{open: newOpen("server").With(framing.OpenIdleTimeout, uint32(200))}
 		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
 			return err
 		}
@@ -110,11 +110,11 @@
 				switch frame.Code {
 				case framing.CodeOpen:
 					c.applyOpen(frame.Performative)
-					c.writeFrame(0, newOpen("server").With(3, uint16(1)), nil)
+					c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(1)), nil)
 				case framing.CodeBegin:
 					c.writeFrame(frame.Channel, newSession(c, frame.Channel).newBegin(frame.Channel), nil)
 				case framing.CodeAttach:
-					c.writeFrame(frame.Channel, frame.With(2, !frame.Bool(2)).With(9, nil).With(13, nil), nil)
+					c.writeFrame(frame.Channel, frame.With(framing.AttachRole, !frame.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
 					c.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
 				}
 			}
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -30,7 +30,7 @@
 	check   func(t *testing.T) error
 }
 
-// recordingEndpoint records what the front says to a server, which accepts links with some credit.
+// recordingEndpoint records what the frontend says to an endpoint, which accepts links with some credit.
 type recordingEndpoint struct {
 	mu     sync.Mutex
 	frames []framing.Frame
@@ -69,17 +69,17 @@
 			_ = session.applyBegin(frame.Performative)
 			b := session.newBegin(uint16(0))
 			if s.window > 0 {
-				b = b.With(2, s.window)
+				b = b.With(framing.BeginIncomingWindow, s.window)
 			}
 			c.writeFrame(0, b, nil)
 		case framing.CodeAttach:
-			c.writeFrame(0, frame.With(1, uint32(0)).With(2, !frame.Bool(2)).With(9, nil).With(13, nil), nil)
-			if !frame.Bool(2) {
+			c.writeFrame(0, attachReply(frame.Performative, 0), nil)
+			if !frame.Bool(framing.AttachRole) {
 				c.writeFrame(0, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), cmp.Or(s.window, 100), uint32(0), uint32(100), uint32(0), uint32(0), cmp.Or(s.credit, 100)}}, nil)
 			}
 		case framing.CodeTransfer:
-			if !frame.Bool(5) && !frame.Bool(4) && !frame.Bool(9) {
-				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(1), nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+			if !frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferSettled) && !frame.Bool(framing.TransferAborted) {
+				c.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
 			}
 		case framing.CodeDetach:
 			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
@@ -87,7 +87,7 @@
 	}
 }
 
-// waitFor waits until a server was told a performative, and returns all of those so far.
+// waitFor waits until an endpoint was told a performative, and returns all of those so far.
 func (s *recordingEndpoint) waitFor(code uint64, least int) (all []framing.Frame, err error) {
 	for late := time.Now().Add(3 * time.Second); ; time.Sleep(time.Millisecond) { // a poll with a bound
 		s.mu.Lock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// dialRawTo is a raw client at a relay whose server records.
+// dialRawTo is a raw client at a relay whose endpoint records.
 func dialRawTo(t *testing.T, s *recordingEndpoint) *rawClient {
 	t.Helper()
 	protocol := protocols[1]
@@ -115,7 +115,7 @@
 	return dialRaw(t, newTestRelay(t, protocol, 1, nil).address)
 }
 
-// dialAndExchangeHeader dials a front, and exchanges a header with it.
+// dialAndExchangeHeader dials a frontend, and exchanges a header with it.
 func dialAndExchangeHeader(t *testing.T, header [8]byte) (*connection, error) {
 	t.Helper()
 	protocol := protocols[1]
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -20,10 +20,10 @@
 	"lockroad/internal/testutil"
 )
 
-// The instants in which something ends, through both fronts. The peers of these tests wait for one another, so
+// The instants in which something ends, through both frontends. The peers of these tests wait for one another, so
 // that the bad order comes about every time.
 
-// answerGate is a server's answer that the test holds: the stand-in says that a transaction has come, and waits.
+// answerGate holds an endpoint's answers: the fake endpoint reports that a request has arrived, and waits.
 type answerGate struct {
 	arrived chan struct{}
 	release chan struct{}
@@ -31,13 +31,13 @@
 
 func newAnswerGate() *answerGate { return &answerGate{make(chan struct{}, 8), make(chan struct{})} }
 
-// wait is what a server does with each transaction that comes.
+// wait is called by an endpoint for each request that arrives.
 func (gate *answerGate) wait() {
 	gate.arrived <- struct{}{}
 	<-gate.release
 }
 
-// startRequest is what became of a transaction, once that is known.
+// startRequest starts a request; its result is sent once it is known.
 func startRequest(ctx context.Context, relay *testRelay, protocol frontendProtocol, timeout time.Duration) <-chan requestResult {
 	name := relay.nextName()
 	out := make(chan requestResult, 1)
@@ -62,7 +62,7 @@
 	return v
 }
 
-// forEachProtocol runs a test through both fronts, and through AMQP with connections that transactions share.
+// forEachProtocol runs a test through both frontends, and through AMQP with connections that requests share.
 func forEachProtocol(t *testing.T, do func(t *testing.T, protocol frontendProtocol)) {
 	shared := amqpProtocol(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Second} }, nil)
 	shared.name = "amqp, shared"
@@ -99,8 +99,8 @@
 	})
 }
 
-// A server begins to drain while a transaction is at it, and then accepts: its client is moved like those that stood there.
-// The drain found none to move, and nobody looked again: the client was cut off as the server stopped.
+// An endpoint begins to drain while a request is at it, and then accepts: its client is moved like those that stood there.
+// The drain found none to move, and nobody looked again: the client was cut off as the endpoint stopped.
 func TestWhoIsAcceptedByAServerThatDrainsMoves(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		gate := newAnswerGate()
@@ -117,7 +117,7 @@
 	})
 }
 
-// A relay that leaves answers who waits. What it may say depends on whether the pass that is out may have run: where a
+// A relay that leaves answers who waits. What it may say depends on whether the attempt that is out may have run: where a
 // repeat is not harmless, the unavailable answer would have it run twice.
 func TestWhoWaitsIsAnsweredByItsClass(t *testing.T) {
 	for _, c := range []struct {
@@ -151,8 +151,8 @@
 	}
 }
 
-// A client that leaves while a connection to its server comes up: nothing of it is sent once the connection is there.
-// The same for a server that begins to drain meanwhile, and a repeat that its server would run anew by then.
+// A client that leaves while a connection to its endpoint comes up: nothing of it is sent once the connection is there.
+// The same for an endpoint that begins to drain meanwhile, and a repeat that its endpoint would run anew by then.
 func TestNothingIsSentOnAConnectionThatComesUpTooLate(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -190,7 +190,7 @@
 	}
 }
 
-// A server is told how long the relay still waits, not how long it would have had the connection come up at once: it works
+// An endpoint is told how long the relay still waits, not how long it would have had the connection come up at once: it works
 // on for a client that has its answer by then.
 func TestAServerIsToldWhatIsLeftOfTheWait(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
@@ -218,7 +218,7 @@
 	})
 }
 
-// A repeat whose connection comes up late is not sent where its servers have forgotten the first by then: it would run
+// A repeat whose connection comes up late is not sent where its endpoints have forgotten the first by then: it would run
 // anew. Its client is told what its class allows.
 func TestARepeatGoesOutOnlyWhileItsServersKnowTheFirst(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
@@ -258,7 +258,7 @@
 		servers int
 		acts    []endpointAction
 		waits   func(t *testing.T, relay *testRelay) bool // whether it has come to where it is to wait
-		want    int                                       // transactions that have come to servers by then
+		want    int                                       // requests that have come to endpoints by then
 	}{
 		{"for a turn", 1, nil, func(_ *testing.T, relay *testRelay) bool { return relay.proxy.Requests.Len() == 1 }, 0},
 		// The last wait takes 1.6 s.
@@ -310,13 +310,13 @@
 	}
 }
 
-// A shared connection that has idled is closed by its server just as the next attach comes: that may have run. It is
+// A shared connection that has idled is closed by its endpoint just as the next attach comes: that may have run. It is
 // repeated where a repeat is harmless, on another connection, and fails where it is not.
 func TestASharedConnectionThatIsClosedUnderAnAttach(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		effect   balancer.Effect
-		sessions int64 // that servers have seen in all
+		sessions int64 // that endpoints have seen in all
 		cond     string
 	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, framing.CondInternalError}} {
 		t.Run(c.name, func(t *testing.T) {
@@ -351,7 +351,7 @@
 }
 
 // A client whose connection is ended for what it says has its links let go first, not once it has read why: what waits for a
-// server must not go there meanwhile.
+// endpoint must not go there meanwhile.
 func TestAFaultyClientsLinksAreLetGoAtOnce(t *testing.T) {
 	f := newFullListener(t)
 	relay := newTestRelay(t, protocols[1], 1, nil)
@@ -393,7 +393,7 @@
 	testutil.Unread(t, tcp, framing.HeaderSize)
 	(&clientConnection{connection: newConnection(tcp), tcp: tcp}).evict()
 	f, err := peer.readFrame(framing.TypeAMQP, serverWait)
-	if cond, _ := f.Condition(0); err != nil || f.Code != framing.CodeClose || cond != framing.CondResourceLimitExceeded {
+	if cond, _ := f.Condition(framing.CloseError); err != nil || f.Code != framing.CodeClose || cond != framing.CondResourceLimitExceeded {
 		t.Errorf("it is told %#x, %q, %v", f.Code, cond, err)
 	}
 	if _, err := peer.readFrame(framing.TypeAMQP, serverWait); !errors.Is(err, io.EOF) {
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -20,37 +20,37 @@
 	"lockroad/internal/registry"
 )
 
-// The same cases run through both fronts, with stand-ins for clients and
-// application servers on both sides of each, and have to end alike.
+// The same cases run through both frontends, with fake peers for clients and
+// endpoints on both sides of each, and have to end alike.
 
-// endpointAction is what a stand-in of an application server does with a transaction.
+// endpointAction is what a fake endpoint does with a request.
 type endpointAction int
 
 const (
 	actionAccept            endpointAction = iota
-	actionRejectFull                       // turns it away
+	actionRejectFull                       // rejects it as full
 	actionFail                             // answers with an error
-	actionHang                             // takes it and says nothing
-	actionReset                            // takes it and breaks the connection
-	actionNoCredit                         // attaches it and grants no credit; a line has no such thing and hangs
-	actionAcceptAndDetach                  // accepts it and ends it at once
-	actionAcceptAndRedirect                // accepts it and sends the client away at once
-	actionAcceptAndReset                   // accepts it and breaks the connection
+	actionHang                             // accepts nothing and sends nothing
+	actionReset                            // resets the connection before an answer
+	actionNoCredit                         // attaches it and grants no credit; the line protocol has no credit, and hangs
+	actionAcceptAndDetach                  // accepts it and detaches it at once
+	actionAcceptAndRedirect                // accepts it and redirects the client at once
+	actionAcceptAndReset                   // accepts it and resets the connection
 )
 
-// scenario is what the servers of a case do with one transaction after another,
+// scenario is what the endpoints of a case do with one request after another,
 // whichever of them it comes to. After its end they accept.
 type scenario struct {
 	mu              sync.Mutex
 	actions         []endpointAction
 	received        int
-	pending         int // transactions that are at a server and unanswered
+	pending         int // requests that are at an endpoint and unanswered
 	maxPending      int // of them at a time
 	ended           chan struct{}
-	lastAddress     string        // the address that the last transaction came to
+	lastAddress     string        // the address that the last request came to
 	excludedAddress string        // none may come to this one
 	lastTimeout     time.Duration // that the last was told the relay waits
-	beforeAnswer    func()        // what a server waits for before it does anything; nil: nothing. Set before the first comes
+	beforeAnswer    func()        // what an endpoint waits for before it does anything; nil: nothing. Set before the first comes
 }
 
 func (s *scenario) next(t testing.TB, at net.Addr) endpointAction {
@@ -76,7 +76,7 @@
 	return s.actions[s.received-1]
 }
 
-// recordTimeout notes how long a server was told that the relay waits.
+// recordTimeout notes how long an endpoint was told that the relay waits.
 func (s *scenario) recordTimeout(wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,31 +89,30 @@
 	s.pending--
 }
 
-// requestResult is how a transaction went at the client.
+// requestResult is the result of a request as its client sees it.
 type requestResult struct {
 	answer     string // up, unavailable, failed or lost
-	retryAfter bool   // it was told when to come back
-	end        string // of a transaction that was up: ended, moved or broken
+	retryAfter bool   // the rejection said when to retry
+	end        string // of a request that was up: ended, moved or broken
 }
 
-// frontendServer is a front.
+// frontendServer is a frontend of either protocol.
 type frontendServer interface {
 	Serve(context.Context, net.Listener) error
 }
 
-// frontendProtocol is one of the two ways to speak.
+// frontendProtocol is one of the relay's two protocols, with its peers.
 type frontendProtocol struct {
 	name        string
 	newFrontend func(k *proxy.Proxy, seats int) frontendServer
-	// server answers one connection to an application server.
+	// serveEndpoint serves one connection of a fake endpoint.
 	serveEndpoint func(t testing.TB, c *net.TCPConn, s *scenario)
-	// open begins a transaction of a name and waits for its answer; the client
+	// open begins a request of a name and waits for its answer; the client
 	// leaves with ctx. hold waits for the end of one that is up.
 	open func(ctx context.Context, address, name string, timeout time.Duration) (answer string, advice bool, hold func() string)
-	// hasty begins a transaction, goes on at once as if it were up, and returns
-	// the answer.
+	// openAndSend begins a request, sends at once as if it were established, and returns the answer.
 	openAndSend func(t *testing.T, address string) string
-	// slow and endless are what clients send that never come to their point.
+	// slowPieces and endless are what clients send that never complete their opening.
 	slowPieces []string
 	endless    string
 }
@@ -129,7 +128,7 @@
 		slowPieces: []string{string(framing.ProtocolHeaderAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(framing.ProtocolHeaderAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
 }
 
-// amqpProtocol is AMQP with a front that is prepared, and servers that speak TLS if theirs is given.
+// amqpProtocol is AMQP with a frontend that is prepared, and endpoints that speak TLS if theirs is given.
 func amqpProtocol(prepare func(*Frontend), servers *tls.Config) frontendProtocol {
 	protocol := protocols[1]
 	protocol.newFrontend = func(k *proxy.Proxy, seats int) frontendServer {
@@ -151,23 +150,23 @@
 // caseResult is how a case went.
 type caseResult struct {
 	results  []requestResult
-	attempts string // outcomes of passes, as counted
-	received int    // transactions that came to a server
+	attempts string // outcomes of attempts, as counted
+	received int    // requests that came to an endpoint
 }
 
 const clientTimeout = 1200 * time.Millisecond
 
 const serverWait = 5 * time.Second
 
-// testRelay is a core with one front and a farm of stand-ins.
+// testRelay is a proxy with one frontend and a list of fake peers.
 type testRelay struct {
 	proxy             *proxy.Proxy
 	scenario          *scenario
 	address           string
 	endpoints         []balancer.Endpoint
 	endpointAddresses []string
-	lastName          atomic.Uint64 // of transactions, handed out
-	shutdown          func()        // ends the relay and its servers, and waits for both
+	lastName          atomic.Uint64 // of requests, handed out
+	shutdown          func()        // ends the relay and its endpoints, and waits for both
 }
 
 func newTestRelay(t testing.TB, protocol frontendProtocol, servers int, acts []endpointAction) *testRelay {
@@ -181,7 +180,7 @@
 	return newDelayedTestRelay(t, protocol, servers, acts, seats, now)
 }
 
-// newDelayedTestRelay is one that takes no turn before it is told to.
+// newDelayedTestRelay is a relay whose event loop starts only when turns is closed.
 func newDelayedTestRelay(t testing.TB, protocol frontendProtocol, servers int, acts []endpointAction, seats int, turns <-chan struct{}) *testRelay {
 	t.Helper()
 	set := balancer.Settings{
@@ -231,7 +230,7 @@
 	return l
 }
 
-// serveAll answers a stand-in's connections until its listener is closed, and
+// serveAll answers a fake endpoint's connections until its listener is closed, and
 // then ends them.
 func serveAll(t testing.TB, l net.Listener, protocol frontendProtocol, s *scenario) {
 	var all sync.WaitGroup
@@ -264,11 +263,11 @@
 	}
 }
 
-// setEndpointState changes the phase of all servers.
-func (relay *testRelay) setEndpointState(phase balancer.EndpointState, born time.Duration) {
-	relay.endpoints = slices.Clone(relay.endpoints) // what was handed over is the core's
+// setEndpointState changes the state of all endpoints.
+func (relay *testRelay) setEndpointState(state balancer.EndpointState, startedAt time.Duration) {
+	relay.endpoints = slices.Clone(relay.endpoints) // what was handed over is the proxy's
 	for i := range relay.endpoints {
-		relay.endpoints[i].State, relay.endpoints[i].StartedAt = phase, born
+		relay.endpoints[i].State, relay.endpoints[i].StartedAt = state, startedAt
 	}
 	relay.proxy.UpdateEndpoints(balancer.ListDelta, relay.endpoints, relay.endpointAddresses)
 }
@@ -281,7 +280,7 @@
 	relay.proxy.UpdateSettings(&s)
 }
 
-// waitIdle waits until no transaction is under way and returns the verdict.
+// waitIdle waits until no request is in progress and returns the result.
 func (relay *testRelay) waitIdle(t *testing.T, all ...requestResult) caseResult {
 	t.Helper()
 	for late := time.Now().Add(5 * time.Second); relay.proxy.Requests.Len() > 0; {
@@ -304,10 +303,10 @@
 	return caseResult{results: all, attempts: strings.Join(passes, " "), received: relay.scenario.received}
 }
 
-// nextName is one that no transaction has had.
+// nextName returns a name that no request has had.
 func (relay *testRelay) nextName() string { return fmt.Sprintf("%016x", relay.lastName.Add(1)) }
 
-// runRequest sees a single transaction through. Its client stays to the end if it is up.
+// runRequest runs one request. Its client stays until the end if the request is established.
 func runRequest(t *testing.T, relay *testRelay, protocol frontendProtocol, timeout time.Duration, meanwhile func()) requestResult {
 	t.Helper()
 	return runNamedRequest(t, relay, protocol, relay.nextName(), timeout, meanwhile)
--- a/internal/frontend/amqp/forwarding_test.go
+++ b/internal/frontend/amqp/forwarding_test.go
@@ -14,8 +14,8 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// What a client sends comes out at the server as it was, in frames of any size,
-// and what the server says of it comes back.
+// What a client sends comes out at the endpoint as it was, in frames of any size,
+// and what the endpoint says of it comes back.
 func TestDeliveriesPassUp(t *testing.T) {
 	relay := newTestRelay(t, protocols[1], 1, nil)
 	session := dialFront(t, relay.address)
@@ -36,8 +36,8 @@
 	relay.waitIdle(t)
 }
 
-// A server's pages come out at the client as they were, under the client's
-// credit; the client's word on them comes back to the server.
+// An endpoint's pages come out at the client as they were, under the client's
+// credit; the client's word on them comes back to the endpoint.
 func TestDeliveriesPassDown(t *testing.T) {
 	const pages = 30
 	settled := make(chan uint32, pages)
@@ -94,14 +94,14 @@
 		case framing.CodeOpen, framing.CodeBegin:
 			answerOpenOrBegin(c, session, frame)
 		case framing.CodeAttach:
-			c.writeFrame(0, frame.Performative.With(1, uint32(0)).With(2, false).With(9, uint32(0)).With(13, nil), nil)
+			c.writeFrame(0, frame.Performative.With(framing.AttachHandle, uint32(0)).With(framing.AttachRole, false).With(framing.AttachInitialDeliveryCount, uint32(0)).With(framing.AttachProperties, nil), nil)
 		case framing.CodeDisposition:
-			for id := frame.Uint32(1, 0); id <= frame.Uint32(2, frame.Uint32(1, 0)); id++ {
+			for id := frame.Uint32(framing.DispositionFirst, 0); id <= frame.Uint32(framing.DispositionLast, frame.Uint32(framing.DispositionFirst, 0)); id++ {
 				settled <- id
 			}
 		case framing.CodeFlow:
 			session.applyFlow(frame.Performative)
-			for most := int(frame.Uint32(5, 0) + frame.Uint32(6, 0)); sent < min(pages, most); sent++ {
+			for most := int(frame.Uint32(framing.FlowDeliveryCount, 0) + frame.Uint32(framing.FlowLinkCredit, 0)); sent < min(pages, most); sent++ {
 				body := codec.Append(nil, codec.Described{Descriptor: uint64(0x75), Value: page(sent)})
 				tag := binary.BigEndian.AppendUint32(nil, uint32(sent))
 				p := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
--- a/internal/frontend/amqp/framing/fields.go
+++ b/internal/frontend/amqp/framing/fields.go
@@ -21,6 +21,8 @@
 	AttachName                 = 0
 	AttachHandle               = 1
 	AttachRole                 = 2 // true: receiver
+	AttachSndSettleMode        = 3
+	AttachRcvSettleMode        = 4
 	AttachSource               = 5
 	AttachTarget               = 6
 	AttachInitialDeliveryCount = 9
--- a/internal/frontend/amqp/framing/performative.go
+++ b/internal/frontend/amqp/framing/performative.go
@@ -18,6 +18,12 @@
 	CodeEnd            = 0x17
 	CodeClose          = 0x18
 	CodeError          = 0x1d
+	CodeAccepted       = 0x24 // delivery states
+	CodeRejected       = 0x25
+	CodeReleased       = 0x26
+	CodeModified       = 0x27
+	CodeSource         = 0x28 // termini
+	CodeTarget         = 0x29
 	CodeSASLMechanisms = 0x40
 	CodeSASLInit       = 0x41
 	CodeSASLOutcome    = 0x44
--- a/internal/frontend/amqp/frontends_test.go
+++ b/internal/frontend/amqp/frontends_test.go
@@ -73,14 +73,14 @@
 				return relay.waitIdle(t, runRequest(t, relay, protocol, clientTimeout, nil))
 			},
 			caseResult{[]requestResult{{"unavailable", true, ""}}, "", 0}},
-		// Passed on, it would be turned down by one server after another, each of
+		// Passed on, it would be turned down by one endpoint after another, each of
 		// them blamed for it.
 		{"the name of another's open transaction", 2, []endpointAction{actionAccept, actionFail, actionFail}, sameName,
 			caseResult{[]requestResult{{"failed", false, ""}, {"up", false, "moved"}}, "cancelled=1", 1}},
 		{"a client that doesn't wait for its answer", 1, []endpointAction{actionHang},
 			func(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
 				v := relay.waitIdle(t, requestResult{answer: protocol.openAndSend(t, relay.address)})
-				return caseResult{results: v.results} // a pass may have gone out, or not
+				return caseResult{results: v.results} // an attempt may have gone out, or not
 			},
 			caseResult{[]requestResult{{"failed", false, ""}}, "", 0}},
 		{"no seat is free", 1, []endpointAction{actionAccept},
@@ -133,7 +133,7 @@
 	}
 }
 
-// clientLeaves has the client go while the server says nothing: the pass is
+// clientLeaves has the client go while the endpoint says nothing: the attempt is
 // closed with it.
 func clientLeaves(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
 	ctx, leave := context.WithCancel(context.Background())
@@ -169,7 +169,7 @@
 }
 
 // sendSlowly dials and says something, a piece at a time, and more to the end. It
-// returns how long the front bears that.
+// returns how long the frontend bears that.
 func sendSlowly(t *testing.T, address string, pieces []string, more string, every time.Duration) time.Duration {
 	began := time.Now()
 	c, err := net.Dial("tcp", address)
@@ -236,7 +236,7 @@
 	return relay.waitIdle(t, s)
 }
 
-// clientsAtWarmingEndpoint has four clients ask at once for a server that has just
+// clientsAtWarmingEndpoint has four clients ask at once for an endpoint that has just
 // started. Within the time that could push it over it takes one of them.
 func clientsAtWarmingEndpoint(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
 	relay.setEndpointState(balancer.StateReady, relay.proxy.Clock.Now()-18*time.Second)
--- a/internal/frontend/amqp/libraryclient_test.go
+++ b/internal/frontend/amqp/libraryclient_test.go
@@ -9,7 +9,7 @@
 	client10 "github.com/Azure/go-amqp"
 )
 
-// dialFront opens a session of an independent client at a front.
+// dialFront opens a session of an independent client at a frontend.
 func dialFront(t *testing.T, address string) *client10.Session {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -28,7 +28,7 @@
 	return session
 }
 
-// dialSecured dials a front as a client of a library does.
+// dialSecured dials a frontend as a client of a library does.
 func dialSecured(address string, config *tls.Config, as client10.SASLType) (*client10.Conn, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -238,7 +238,7 @@
 
 // Attach answers an attach, and grants credit if the relay's side is to send.
 func (p *Peer) Attach(e PeerEvent, credit uint32) error {
-	reply := attachReply(e)
+	reply := attachReply(e.attach, e.Handle)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
@@ -246,9 +246,9 @@
 }
 
 // attachReply is the answer to an attach: the same in the other role, without what the initiator alone says.
-func attachReply(e PeerEvent) framing.Performative {
-	return e.attach.With(framing.AttachHandle, e.Handle).
-		With(framing.AttachRole, !e.attach.Bool(framing.AttachRole)).
+func attachReply(attach framing.Performative, handle uint32) framing.Performative {
+	return attach.With(framing.AttachHandle, handle).
+		With(framing.AttachRole, !attach.Bool(framing.AttachRole)).
 		With(framing.AttachInitialDeliveryCount, nil).
 		With(framing.AttachProperties, nil)
 }
@@ -260,7 +260,7 @@
 
 // RejectAttach answers an attach and detaches the link at once, with a condition of the standard.
 func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
-	reply := attachReply(e).With(framing.AttachTarget, nil)
+	reply := attachReply(e.attach, e.Handle).With(framing.AttachTarget, nil)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil {
 		return err
 	}
@@ -275,7 +275,13 @@
 
 // Settle accepts and settles a delivery.
 func (p *Peer) Settle(delivery uint32) error {
-	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, delivery, nil, true, codec.Described{Descriptor: uint64(0x24), Value: codec.List{}}}}, nil)
+	return p.writeFrame(p.channel, acceptingDisposition(delivery), nil)
+}
+
+// acceptingDisposition is a receiver's disposition that accepts and settles a delivery.
+func acceptingDisposition(deliveryID any) framing.Performative {
+	accepted := codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}
+	return framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, deliveryID, nil, true, accepted}}
 }
 
 // WholeNumber returns a property that is an integer and not negative; it reports false for any other.
--- a/internal/frontend/amqp/placement_test.go
+++ b/internal/frontend/amqp/placement_test.go
@@ -11,7 +11,7 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// A client that names an address only is placed by the rule for it, and its server is told what the rule
+// A client that names an address only is placed by the rule for it, and its endpoint is told what the rule
 // has added. Where no rule fits, the refusal names what is missing.
 func TestPlainClientsArePlacedByRules(t *testing.T) {
 	places := []Placement{{Address: "scores/*/preview", Class: "none"}, {Address: "scores/*", Class: "page", Timeout: 900 * time.Millisecond, Group: "address"}, {Container: "desk-*", Class: "page"}}
@@ -22,7 +22,7 @@
 	}
 	f := &Frontend{Proxy: newTestRelay(t, protocols[1], 1, nil).proxy, Placements: places}
 	attach := func(address string, props codec.Map) framing.Performative {
-		return framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{address}}, nil, nil, uint32(0), nil, nil, nil, props}}
+		return senderAttach("a link", 0, props).With(framing.AttachTarget, terminus(framing.CodeTarget, address))
 	}
 	for _, c := range []struct {
 		address, container string
@@ -47,7 +47,7 @@
 			}
 			continue
 		}
-		props, _ := told.Field(13).(codec.Map)
+		props, _ := told.Field(framing.AttachProperties).(codec.Map)
 		if err != nil || ask.Class != c.class || ask.Group != c.group || (ask.Deadline-now).Round(50*time.Millisecond) != c.give ||
 			codec.AsString(props.Get(propClass)) != c.class || hashKey(props.Get(propGroup)) != c.group {
 			t.Errorf("%s of %s: %+v, %v, %v", c.address, c.container, ask, props, err)
--- a/internal/frontend/amqp/protocolerrors_test.go
+++ b/internal/frontend/amqp/protocolerrors_test.go
@@ -106,7 +106,7 @@
 	c := newConnection(tcp.(*net.TCPConn))
 	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
 	_, _ = c.readProtocolHeader(time.Second)
-	c.writeFrame(0, newOpen("idle").With(4, uint32(90)), nil)
+	c.writeFrame(0, newOpen("idle").With(framing.OpenIdleTimeout, uint32(90)), nil)
 	for beats := 0; beats < 3; {
 		frame, err := c.readFrame(framing.TypeAMQP, 90*time.Millisecond)
 		if err != nil {
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -16,9 +16,9 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// outcomeOf is the outcome that the stand-in gives a delivery, by its first byte.
+// outcomeOf is the outcome that the fake endpoint gives a delivery, by its first byte.
 func outcomeOf(payload []byte) any {
-	code := uint64(0x24)
+	code := uint64(framing.CodeAccepted)
 	if len(payload) > 0 {
 		code += uint64(payload[0] % 4) // accepted, rejected, released, modified
 	}
@@ -28,7 +28,7 @@
 // settlingReadTimeout is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
 const settlingReadTimeout = time.Minute
 
-// serveSettling is a server that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
+// serveSettling is an endpoint that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
 func serveSettling(_ testing.TB, tcp *net.TCPConn, _ *scenario) {
 	c, err := AcceptPeerConn(tcp, settlingReadTimeout, false)
 	if err != nil {
@@ -47,24 +47,24 @@
 				}
 				switch f.Code {
 				case framing.CodeAttach:
-					p.Attach(PeerEvent{Handle: f.Uint32(1, 0), attach: f.Performative}, 20)
+					p.Attach(PeerEvent{Handle: f.Uint32(framing.AttachHandle, 0), attach: f.Performative}, 20)
 				case framing.CodeTransfer:
 					_ = p.receiveTransfer(false)
 					part = append(part, f.Payload...)
-					if f.Bool(5) && !f.Bool(9) {
+					if f.Bool(framing.TransferMore) && !f.Bool(framing.TransferAborted) {
 						continue
 					}
-					if !f.Bool(9) && !f.Bool(4) {
-						p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(1), nil, true, outcomeOf(part)}}, nil)
+					if !f.Bool(framing.TransferAborted) && !f.Bool(framing.TransferSettled) {
+						p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(framing.TransferDeliveryID), nil, true, outcomeOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
-						p.Credit(f.Uint32(0, 0), count, 20)
+						p.Credit(f.Uint32(framing.TransferHandle, 0), count, 20)
 					}
 				case framing.CodeFlow:
 					_ = p.handleFlow(f.Performative)
 				case framing.CodeDetach:
-					p.Detach(f.Uint32(0, 0), "")
+					p.Detach(f.Uint32(framing.DetachHandle, 0), "")
 				}
 			}
 		}()
@@ -72,7 +72,7 @@
 }
 
 // A client that attaches, sends in pieces, aborts, settles beforehand and detaches in any order, over any number of links, gets
-// the outcome of each delivery that wants one once, as its server gave it, and of no other; the session and the connection stay.
+// the outcome of each delivery that wants one once, as its endpoint gave it, and of no other; the session and the connection stay.
 func TestRandomDeliveriesAreSettledOnce(t *testing.T) {
 	for _, set := range []connpool.Settings{{}, {MaxSessions: 3, IdleTimeout: time.Minute}} {
 		t.Run(fmt.Sprintf("%d sessions", set.MaxSessions), func(t *testing.T) {
@@ -110,28 +110,28 @@
 			}
 			switch f.Code {
 			case framing.CodeAttach:
-				links[f.Uint32(1, 0)].up = true
+				links[f.Uint32(framing.AttachHandle, 0)].up = true
 			case framing.CodeFlow:
-				if f.Field(4) != nil {
-					links[f.Uint32(4, 0)].credit = f.Uint32(5, 0) + f.Uint32(6, 0)
+				if f.Field(framing.FlowHandle) != nil {
+					links[f.Uint32(framing.FlowHandle, 0)].credit = f.Uint32(framing.FlowDeliveryCount, 0) + f.Uint32(framing.FlowLinkCredit, 0)
 				}
 			case framing.CodeDisposition:
-				for id := f.Uint32(1, 0); id <= f.Uint32(2, f.Uint32(1, 0)); id++ {
+				for id := f.Uint32(framing.DispositionFirst, 0); id <= f.Uint32(framing.DispositionLast, f.Uint32(framing.DispositionFirst, 0)); id++ {
 					outcome, waits := want[id]
-					if !waits || !f.Bool(3) || fmt.Sprint(f.Field(4)) != fmt.Sprint(outcome) {
+					if !waits || !f.Bool(framing.DispositionSettled) || fmt.Sprint(f.Field(framing.DispositionState)) != fmt.Sprint(outcome) {
 						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, f.Fields, waits, outcome)
 					}
 					delete(want, id)
 				}
 			case framing.CodeDetach:
-				switch cond, _ := f.Condition(2); cond {
+				switch cond, _ := f.Condition(framing.DetachError); cond {
 				case "":
 				case framing.CondResourceLimitExceeded, framing.CondConnectionForced: // no connection came up in time, or none was heard of: the machine has other things to do
 					rt.SkipNow()
 				default:
-					rt.Fatalf("link %d is detached as %s", f.Uint32(0, 0), cond)
+					rt.Fatalf("link %d is detached as %s", f.Uint32(framing.DetachHandle, 0), cond)
 				}
-				links[f.Uint32(0, 0)] = known{}
+				links[f.Uint32(framing.DetachHandle, 0)] = known{}
 			default:
 				rt.Fatalf("told %#x %v", f.Code, f.Fields)
 			}
@@ -180,7 +180,7 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := some(func(l known) bool { return !l.up })
-			c.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+			c.writeFrame(3, senderAttach(fmt.Sprint("link ", randomNames.Add(1)), uint32(i), rawProps), nil)
 			hear(func() bool { return links[i].up && links[i].credit > 0 })
 		},
 		"send": func(rt *rapid.T) {
@@ -215,10 +215,10 @@
 	c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 }
 
-// FuzzClient sends a front whatever bytes after a sound beginning, and it never falls over: the next client is greeted.
+// FuzzClient sends a frontend whatever bytes after a sound beginning, and it never falls over: the next client is accepted.
 func FuzzClient(f *testing.F) {
 	begin := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-	attach := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"h"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+	attach := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(framing.CodeSource), Value: codec.List{"h"}}, codec.Described{Descriptor: uint64(framing.CodeTarget), Value: codec.List{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
 	send := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
 	settle := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{false, uint32(0), uint32(1 << 31), true}}, nil)
 	end := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeEnd}, nil)
@@ -241,7 +241,7 @@
 	})
 }
 
-// BenchmarkRoundTrip is a note and its echo by the line front, and a message and its settlement by AMQP, through a relay on
+// BenchmarkRoundTrip is a note and its echo by the line frontend, and a message and its settlement by AMQP, through a relay on
 // loopback. Compare within one run.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, size := range []int{64, 1 << 10, 64 << 10} {
--- a/internal/frontend/amqp/rawclient_test.go
+++ b/internal/frontend/amqp/rawclient_test.go
@@ -40,8 +40,7 @@
 }
 
 func (c *rawClient) attach(handle uint32, props codec.Map) {
-	c.writeFrame(3, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", handle, false, nil, nil,
-		codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, uint32(0), nil, nil, nil, props}}, nil)
+	c.writeFrame(3, senderAttach("a link", handle, props), nil)
 }
 
 // expect waits for a performative with a condition at a field.
@@ -81,9 +80,9 @@
 
 // attachAndWait attaches a link that is to send or to receive, and waits until it is up.
 func (c *rawClient) attachAndWait(sends bool, fields ...func(framing.Performative) framing.Performative) (framing.Performative, error) {
-	p := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), !sends, nil, nil, codec.Described{Descriptor: uint64(0x28), Value: codec.List{"here"}}, codec.Described{Descriptor: uint64(0x29), Value: codec.List{"there"}}, nil, nil, nil, nil, nil, nil, rawProps}}
+	p := senderAttach("a link", 1, rawProps).With(framing.AttachRole, !sends).With(framing.AttachInitialDeliveryCount, nil)
 	if sends {
-		p = p.With(9, uint32(0))
+		p = p.With(framing.AttachInitialDeliveryCount, uint32(0))
 	}
 	for _, set := range fields {
 		p = set(p)
@@ -126,3 +125,16 @@
 func (c *rawClient) sendTransfer(id uint32, settled bool, more, aborted bool, payload []byte) {
 	c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), id, []byte{byte(id)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 }
+
+// terminus is a source or a target with an address.
+func terminus(code uint64, address string) codec.Described {
+	return codec.Described{Descriptor: code, Value: codec.List{address}}
+}
+
+// senderAttach is the attach of a link on which the client sends.
+func senderAttach(name string, handle uint32, properties codec.Map) framing.Performative {
+	return framing.Performative{Code: framing.CodeAttach, Fields: codec.List{
+		name, handle, false, nil, nil,
+		terminus(framing.CodeSource, "here"), terminus(framing.CodeTarget, "there"), nil, nil, uint32(0), nil, nil, nil, properties,
+	}}
+}
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -29,7 +29,7 @@
 	return p
 }
 
-// An independent client comes over TLS as a user, by a certificate, or as nobody, on to servers over TLS; what
+// An independent client comes over TLS as a user, by a certificate, or as nobody, on to endpoints over TLS; what
 // it may not do it is told in the standard's words. Keys that are replaced are those of the next connection, and
 // what stands goes on.
 func TestSecuredFromEndToEnd(t *testing.T) {
--- a/internal/frontend/amqp/sharedconn_test.go
+++ b/internal/frontend/amqp/sharedconn_test.go
@@ -18,7 +18,7 @@
 	"lockroad/internal/testutil"
 )
 
-// sharedEndpoint is a stand-in of a server that takes any number of sessions on a connection, and counts both.
+// sharedEndpoint is a fake endpoint that takes any number of sessions on a connection, and counts both.
 type sharedEndpoint struct {
 	connections, sessions, maxSessions atomic.Int64 // most: channels in use on one connection at a time
 	acceptAttach                       func(conn, session int64) bool
@@ -51,7 +51,7 @@
 	}
 }
 
-// newSharedTestRelay is a relay whose transactions share connections to one server.
+// newSharedTestRelay is a relay whose requests share connections to one endpoint.
 func newSharedTestRelay(t testing.TB, s *sharedEndpoint, set connpool.Settings) *testRelay {
 	t.Helper()
 	protocol := amqpProtocol(func(f *Frontend) { f.Pool = set }, nil)
@@ -59,7 +59,7 @@
 	return newTestRelayWithSlots(t, protocol, 1, nil, 2000)
 }
 
-// Seven transactions go over as few connections as the settings and the server allow, one after another over the
+// Seven requests go over as few connections as the settings and the endpoint allow, one after another over the
 // same; a connection without any is closed in its time.
 func TestTransactionsShareConnections(t *testing.T) {
 	s := &sharedEndpoint{}
@@ -109,7 +109,7 @@
 	return n
 }
 
-// A connection that breaks ends each of its transactions cleanly, and none of another connection's; those that were on
+// A connection that breaks ends each of its requests cleanly, and none of another connection's; those that were on
 // their way are tried elsewhere or answered.
 func TestOneConnectionsEndIsItsOwn(t *testing.T) {
 	s := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
@@ -163,7 +163,7 @@
 	}
 }
 
-// A server that drains gets nothing new over the connection that it has, which goes with its last transaction.
+// An endpoint that drains gets nothing new over the connection that it has, which goes with its last request.
 func TestDrainedServersConnectionEmpties(t *testing.T) {
 	s := &sharedEndpoint{}
 	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
@@ -179,7 +179,7 @@
 	testutil.Until(t, "the connection stays, though its clients were moved", func() bool { return descriptorsTo(relay.endpointAddresses[0]) == 0 })
 }
 
-// BenchmarkSetUp is the time from a link's attach to its answer, with a connection to the server for each and with shared
+// BenchmarkSetUp is the time from a link's attach to its answer, with a connection to the endpoint for each and with shared
 // ones. Compare within one run.
 func BenchmarkSetUp(b *testing.B) {
 	for _, way := range []struct {
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -31,7 +31,7 @@
 			answerOpenOrBegin(c, s, f)
 			continue
 		}
-		c.writeFrame(0, f.With(1, uint32(0)).With(2, !f.Bool(2)).With(9, nil).With(13, nil), nil)
+		c.writeFrame(0, attachReply(f.Performative, 0), nil)
 		s.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
 		return
@@ -70,7 +70,7 @@
 	}
 }
 
-// newRelayWithStalledEndpoint has a relay with two servers, of which one reads nothing after an attach. It
+// newRelayWithStalledEndpoint has a relay with two endpoints, of which one reads nothing after an attach. It
 // returns the relay's address, and the groups that lead to the two.
 func newRelayWithStalledEndpoint(t *testing.T) (address, stalled, sound string) {
 	t.Helper()
@@ -127,7 +127,7 @@
 	return map[string]any{propClass: "page", propDeadline: uint32(2000), propGroup: group}
 }
 
-// One server that stops reading must not delay the other links of the same client
+// One endpoint that stops reading must not delay the other links of the same client
 // connection: reads of the connection once waited for the full window of the one, and
 // a delivery on the healthy link took 4.3 s.
 func TestServerThatStopsReadingDelaysNoOtherLink(t *testing.T) {
