--- a/internal/frontend/amqp/amqppeers_test.go
+++ b/internal/frontend/amqp/amqppeers_test.go
@@ -58,38 +58,44 @@
 	}
 }
 
-// serveAMQPEndpoint does as the script says.
-func serveAMQPEndpoint(t testing.TB, tcp *net.TCPConn, s *scenario) { serveAMQPEndpointOn(t, tcp, s) }
-
-func serveAMQPEndpointOn(t testing.TB, over streamConn, s *scenario) {
-	c, ok := negotiateAsEndpoint(t, over)
+// serveFrames is a fake endpoint with one session. It calls handle with each frame of the relay, until that reports false or the
+// connection ends.
+func serveFrames(t testing.TB, tcp streamConn, handle func(c *connection, session *session, frame framing.Frame) bool) {
+	c, ok := negotiateAsEndpoint(t, tcp)
 	if !ok {
 		return
 	}
 	session := newSession(c, 0)
 	for {
 		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
-		if err != nil {
+		if err != nil || !handle(c, session, frame) {
 			return
 		}
+	}
+}
+
+// serveAMQPEndpoint is a fake endpoint that does as the scenario says.
+func serveAMQPEndpoint(t testing.TB, tcp *net.TCPConn, s *scenario) { serveAMQPEndpointOn(t, tcp, s) }
+
+// serveAMQPEndpointOn is serveAMQPEndpoint on a connection that may be TLS.
+func serveAMQPEndpointOn(t testing.TB, over streamConn, s *scenario) {
+	serveFrames(t, over, func(c *connection, session *session, frame framing.Frame) bool {
 		switch frame.Code {
 		case framing.CodeOpen, framing.CodeBegin:
 			answerOpenOrBegin(c, session, frame)
 		case framing.CodeAttach:
-			if !answerAttach(t, c, session, frame.Performative, s) {
-				return
-			}
+			return answerAttach(t, c, session, frame.Performative, s)
 		case framing.CodeTransfer:
-			if frame.Bool(framing.TransferMore) {
-				continue
+			if !frame.Bool(framing.TransferMore) {
+				c.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
 			}
-			c.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
 		case framing.CodeDetach:
 			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		case framing.CodeClose:
-			return
+			return false
 		}
-	}
+		return true
+	})
 }
 
 // answerAttach reports whether the connection goes on.
--- a/internal/frontend/amqp/conformance_test.go
+++ b/internal/frontend/amqp/conformance_test.go
@@ -41,37 +41,28 @@
 }
 
 func (s *recordingEndpoint) serve(t testing.TB, tcp *net.TCPConn, _ *scenario) {
-	c, ok := negotiateAsEndpoint(t, tcp)
-	if !ok {
-		return
-	}
-	session := newSession(c, 0)
-	for {
-		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
-		if err != nil {
-			return
-		}
+	serveFrames(t, tcp, func(c *connection, session *session, frame framing.Frame) bool {
 		s.mu.Lock()
 		s.frames = append(s.frames, frame)
 		s.mu.Unlock()
 		if s.reply != nil && s.reply(c, session, frame) {
-			continue
+			return true
 		}
 		switch frame.Code {
 		case framing.CodeOpen:
 			c.applyOpen(frame.Performative)
-			o := newOpen("server")
+			open := newOpen("server")
 			if s.open.Code != 0 {
-				o = s.open
+				open = s.open
 			}
-			c.writeFrame(0, o, nil)
+			c.writeFrame(0, open, nil)
 		case framing.CodeBegin:
 			_ = session.applyBegin(frame.Performative)
-			b := session.newBegin(uint16(0))
+			begin := session.newBegin(uint16(0))
 			if s.window > 0 {
-				b = b.With(framing.BeginIncomingWindow, s.window)
+				begin = begin.With(framing.BeginIncomingWindow, s.window)
 			}
-			c.writeFrame(0, b, nil)
+			c.writeFrame(0, begin, nil)
 		case framing.CodeAttach:
 			c.writeFrame(0, attachReply(frame.Performative, 0), nil)
 			if !frame.Bool(framing.AttachRole) {
@@ -84,7 +75,8 @@
 		case framing.CodeDetach:
 			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		}
-	}
+		return true
+	})
 }
 
 // waitFor waits until an endpoint was told a performative, and returns all of those so far.
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -37,8 +37,14 @@
 	writesClosed     bool // nothing may follow a close, or a frame that was written in part
 }
 
-func newConnection(c streamConn) *connection {
-	return &connection{streamConn: c, reader: bufio.NewReaderSize(c, 4<<10), mu: make(timedMutex, 1), peerMaxFrameSize: framing.MinMaxFrameSize}
+// readBufferSize is the size of a connection's read buffer, in bytes.
+const readBufferSize = 4 << 10
+
+func newConnection(conn streamConn) *connection {
+	return &connection{
+		streamConn: conn, reader: bufio.NewReaderSize(conn, readBufferSize),
+		mu: make(timedMutex, 1), peerMaxFrameSize: framing.MinMaxFrameSize,
+	}
 }
 
 // errNoLongerPermitted says that the request was withdrawn before its frames were written: nothing was sent.
--- a/internal/frontend/amqp/creditlimiter.go
+++ b/internal/frontend/amqp/creditlimiter.go
@@ -30,16 +30,23 @@
 		c.initialized, c.deliveryCount = true, deliveryCount
 	}
 	c.lastFlow, c.endpointLimit = flow, deliveryCount+flow.Uint32(framing.FlowLinkCredit, 0)
-	c.clientLimit = c.endpointLimit
-	if aheadLimit := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-aheadLimit) > 0 {
-		c.clientLimit = aheadLimit
-	}
+	c.clientLimit = c.nextClientLimit()
 	if int32(c.clientLimit-deliveryCount) < 0 {
 		c.clientLimit = deliveryCount
 	}
 	return flow.With(framing.FlowLinkCredit, c.clientLimit-deliveryCount)
 }
 
+// nextClientLimit returns the delivery-count up to which the client may be granted credit now. The caller holds the lock.
+// Delivery-counts wrap around (RFC 1982): they are compared by their difference.
+func (c *creditLimiter) nextClientLimit() uint32 {
+	aheadLimit := c.deliveryCount + maxDeliveriesAhead
+	if int32(c.endpointLimit-aheadLimit) > 0 {
+		return aheadLimit
+	}
+	return c.endpointLimit
+}
+
 // deliverySent counts a delivery that the endpoint has been sent. It returns a flow for the client, and true, once half of
 // what the client may send ahead can be granted anew.
 func (c *creditLimiter) deliverySent() (framing.Performative, bool) {
@@ -49,9 +56,6 @@
 	if !c.initialized || c.clientLimit == c.endpointLimit || int32(c.deliveryCount+maxDeliveriesAhead-c.clientLimit) < maxDeliveriesAhead/2 {
 		return framing.Performative{}, false
 	}
-	c.clientLimit = c.endpointLimit
-	if aheadLimit := c.deliveryCount + maxDeliveriesAhead; int32(c.endpointLimit-aheadLimit) > 0 {
-		c.clientLimit = aheadLimit
-	}
+	c.clientLimit = c.nextClientLimit()
 	return c.lastFlow.With(framing.FlowDeliveryCount, c.deliveryCount).With(framing.FlowLinkCredit, c.clientLimit-c.deliveryCount), true
 }
--- a/internal/frontend/amqp/deliverymap.go
+++ b/internal/frontend/amqp/deliverymap.go
@@ -24,7 +24,7 @@
 
 // translateTransfer returns a transfer with its delivery id in the destination session. A ConditionError is to be sent to
 // the source.
-func (d *deliveryMap) translateTransfer(transfer framing.Performative, to *session) (framing.Performative, error) {
+func (d *deliveryMap) translateTransfer(transfer framing.Performative, destination *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.partial {
@@ -35,7 +35,7 @@
 		if _, known := d.destinationBySource[d.currentSource]; known || len(d.destinationBySource) >= maxUnsettledDeliveries {
 			return transfer, framing.Errorf(framing.CondResourceLimitExceeded, "too many deliveries are unsettled, or one has a number twice")
 		}
-		d.currentDestination = to.takeDeliveryID()
+		d.currentDestination = destination.takeDeliveryID()
 		d.destinationBySource[d.currentSource], d.sourceByDestination[d.currentDestination] = d.currentDestination, d.currentSource
 	}
 	d.partial = transfer.Bool(framing.TransferMore) && !transfer.Bool(framing.TransferAborted)
@@ -70,31 +70,31 @@
 func (d *deliveryMap) translateDisposition(disposition framing.Performative, fromDestination bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	from, to := d.destinationBySource, d.sourceByDestination
+	named, inverse := d.destinationBySource, d.sourceByDestination
 	if fromDestination {
-		from, to = d.sourceByDestination, d.destinationBySource
+		named, inverse = d.sourceByDestination, d.destinationBySource
 	}
 	first := disposition.Uint32(framing.DispositionFirst, 0)
 	span := disposition.Uint32(framing.DispositionLast, first) - first
 	var translated []framing.Performative
-	pass := func(here, there uint32) {
-		translated = append(translated, disposition.With(framing.DispositionFirst, there).With(framing.DispositionLast, there))
+	translate := func(id, otherID uint32) {
+		translated = append(translated, disposition.With(framing.DispositionFirst, otherID).With(framing.DispositionLast, otherID))
 		if disposition.Bool(framing.DispositionSettled) {
-			delete(from, here)
-			delete(to, there)
+			delete(named, id)
+			delete(inverse, otherID)
 		}
 	}
-	if span < uint32(len(from)) {
+	if span < uint32(len(named)) {
 		for offset := uint32(0); offset <= span; offset++ {
-			if there, ok := from[first+offset]; ok {
-				pass(first+offset, there)
+			if otherID, ok := named[first+offset]; ok {
+				translate(first+offset, otherID)
 			}
 		}
 		return translated
 	}
-	for here, there := range from {
-		if here-first <= span {
-			pass(here, there)
+	for id, otherID := range named {
+		if id-first <= span {
+			translate(id, otherID)
 		}
 	}
 	return translated
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -97,12 +97,12 @@
 	if err := u.writeFrame(0, open, nil); err != nil {
 		return err
 	}
-	f, err := u.readFrame(framing.TypeAMQP, timeout)
-	if err != nil || f.Code != framing.CodeOpen {
+	frame, err := u.readFrame(framing.TypeAMQP, timeout)
+	if err != nil || frame.Code != framing.CodeOpen {
 		return errors.Join(err, errNegotiation)
 	}
-	u.peerIdleTimeout = u.connection.applyOpen(f.Performative)
-	u.peerMaxChannel = uint16(min(f.Uint32(framing.OpenChannelMax, math.MaxUint16), math.MaxUint16))
+	u.peerIdleTimeout = u.connection.applyOpen(frame.Performative)
+	u.peerMaxChannel = uint16(min(frame.Uint32(framing.OpenChannelMax, math.MaxUint16), math.MaxUint16))
 	return nil
 }
 
@@ -118,19 +118,19 @@
 	case err != nil || header != framing.ProtocolHeaderSASL:
 		return errors.Join(err, errNegotiation)
 	}
-	f, err := u.readFrame(framing.TypeSASL, timeout)
-	if err != nil || f.Code != framing.CodeSASLMechanisms {
+	frame, err := u.readFrame(framing.TypeSASL, timeout)
+	if err != nil || frame.Code != framing.CodeSASLMechanisms {
 		return errors.Join(err, errNegotiation)
 	}
 	begin := framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.Anonymous), []byte("lockroad")}}
-	if u.hasClientCertificate && offersMechanism(f.Field(framing.SASLMechanismsOffered), auth.External) {
+	if u.hasClientCertificate && offersMechanism(frame.Field(framing.SASLMechanismsOffered), auth.External) {
 		begin = framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.External), []byte{}}}
 	}
 	if err := u.writeSASL(begin); err != nil {
 		return err
 	}
-	f, err = u.readFrame(framing.TypeSASL, timeout)
-	if err != nil || f.Code != framing.CodeSASLOutcome || f.Uint32(framing.SASLOutcomeCode, 1) != 0 {
+	frame, err = u.readFrame(framing.TypeSASL, timeout)
+	if err != nil || frame.Code != framing.CodeSASLOutcome || frame.Uint32(framing.SASLOutcomeCode, 1) != 0 {
 		return errors.Join(err, errNegotiation)
 	}
 	return nil
--- a/internal/frontend/amqp/forwarding_test.go
+++ b/internal/frontend/amqp/forwarding_test.go
@@ -79,17 +79,8 @@
 
 // pageServer sends pages as far as the client's credit goes.
 func pageServer(t testing.TB, tcp *net.TCPConn, pages int, settled chan<- uint32) {
-	c, ok := negotiateAsEndpoint(t, tcp)
-	if !ok {
-		return
-	}
-	session := newSession(c, 0)
 	sent := 0
-	for {
-		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
-		if err != nil {
-			return
-		}
+	serveFrames(t, tcp, func(c *connection, session *session, frame framing.Frame) bool {
 		switch frame.Code {
 		case framing.CodeOpen, framing.CodeBegin:
 			answerOpenOrBegin(c, session, frame)
@@ -110,5 +101,6 @@
 				}
 			}
 		}
-	}
+		return true
+	})
 }
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -43,8 +43,8 @@
 	onSent     func() // called after the last transfer of a delivery has been sent; nil: not called
 }
 
-func newOutbox(s *session, upstreamConn *upstream, onStall func()) *outbox {
-	return &outbox{session: s, upstreamConn: upstreamConn, onStall: onStall, changed: make(chan struct{}, 1)}
+func newOutbox(downstream *session, upstreamConn *upstream, onStall func()) *outbox {
+	return &outbox{session: downstream, upstreamConn: upstreamConn, onStall: onStall, changed: make(chan struct{}, 1)}
 }
 
 // enqueue adds an item. It reports false where there is no room. After the end the item is dropped.
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -17,25 +17,16 @@
 
 // stallAfterAttach answers the attach with a lot of credit, and then reads nothing more.
 func stallAfterAttach(t testing.TB, tcp *net.TCPConn, release <-chan struct{}) {
-	c, ok := negotiateAsEndpoint(t, tcp)
-	if !ok {
-		return
-	}
-	s := newSession(c, 0)
-	for {
-		f, err := c.readFrame(framing.TypeAMQP, serverWait)
-		if err != nil {
-			return
+	serveFrames(t, tcp, func(c *connection, session *session, frame framing.Frame) bool {
+		if frame.Code != framing.CodeAttach {
+			answerOpenOrBegin(c, session, frame)
+			return true
 		}
-		if f.Code != framing.CodeAttach {
-			answerOpenOrBegin(c, s, f)
-			continue
-		}
-		c.writeFrame(0, attachReply(f.Performative, 0), nil)
-		s.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
+		c.writeFrame(0, attachReply(frame.Performative, 0), nil)
+		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
-		return
-	}
+		return false
+	})
 }
 
 // settleAll takes every delivery.
--- a/internal/frontend/amqp/upstream.go
+++ b/internal/frontend/amqp/upstream.go
@@ -102,13 +102,13 @@
 		return err
 	}
 	for {
-		f, err := u.readFrame(framing.TypeAMQP, timeout)
+		frame, err := u.readFrame(framing.TypeAMQP, timeout)
 		switch {
 		case err != nil:
 			return err
-		case f.Empty:
-		case f.Code == framing.CodeBegin:
-			return u.applyBegin(f.Performative)
+		case frame.Empty:
+		case frame.Code == framing.CodeBegin:
+			return u.applyBegin(frame.Performative)
 		default:
 			return errNegotiation
 		}
