--- a/internal/frontend/amqp/multiplexer.go
+++ b/internal/frontend/amqp/multiplexer.go
@@ -23,7 +23,11 @@
 }
 
 func newMultiplexer(conn *connection) *multiplexer {
-	return &multiplexer{connection: conn, localChannels: make(map[uint16]*sharedSession), remoteChannels: make(map[uint16]*sharedSession)}
+	return &multiplexer{
+		connection:     conn,
+		localChannels:  make(map[uint16]*sharedSession),
+		remoteChannels: make(map[uint16]*sharedSession),
+	}
 }
 
 // newSession returns a session on a channel, which the caller registers.
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -56,26 +56,7 @@
 // the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
 func AcceptPeerConn(tcp streamConn, wait time.Duration, plain bool) (*PeerConn, error) {
 	c := newConnection(tcp)
-	header, err := c.readProtocolHeader(wait)
-	if err != nil {
-		return nil, err
-	}
-	if header == framing.ProtocolHeaderSASL && plain {
-		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-		return nil, errors.New("the relay began with the security layer")
-	}
-	if header == framing.ProtocolHeaderSASL {
-		if err := acceptSASL(c, wait); err != nil {
-			return nil, err
-		}
-		if header, err = c.readProtocolHeader(wait); err != nil {
-			return nil, err
-		}
-	}
-	if header != framing.ProtocolHeaderAMQP {
-		return nil, fmt.Errorf("a server was greeted with %q", header)
-	}
-	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
+	if err := acceptProtocolHeaders(c, wait, plain); err != nil {
 		return nil, err
 	}
 	frame, err := c.readFrame(framing.TypeAMQP, wait)
@@ -106,6 +87,30 @@
 	return p, nil
 }
 
+// acceptProtocolHeaders passes the protocol headers, and the security layer between them unless plain rejects it.
+func acceptProtocolHeaders(conn *connection, wait time.Duration, plain bool) error {
+	header, err := conn.readProtocolHeader(wait)
+	if err != nil {
+		return err
+	}
+	if header == framing.ProtocolHeaderSASL && plain {
+		conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+		return errors.New("the relay began with the security layer")
+	}
+	if header == framing.ProtocolHeaderSASL {
+		if err := acceptSASL(conn, wait); err != nil {
+			return err
+		}
+		if header, err = conn.readProtocolHeader(wait); err != nil {
+			return err
+		}
+	}
+	if header != framing.ProtocolHeaderAMQP {
+		return fmt.Errorf("a server was greeted with %q", header)
+	}
+	return conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+}
+
 // Session waits for the next session that the relay begins; nil: the connection has ended.
 func (p *PeerConn) Session() *Peer {
 	select {
@@ -147,7 +152,8 @@
 	if err := conn.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	if err := conn.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{codec.Array{codec.Symbol("ANONYMOUS")}}}); err != nil {
+	mechanisms := codec.Array{codec.Symbol("ANONYMOUS")}
+	if err := conn.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{mechanisms}}); err != nil {
 		return err
 	}
 	frame, err := conn.readFrame(framing.TypeSASL, wait)
@@ -187,30 +193,14 @@
 		}
 		switch frame.Code {
 		case framing.CodeAttach:
-			e := PeerEvent{Kind: PeerAttached, Handle: frame.Uint32(framing.AttachHandle, 0), Name: codec.AsString(frame.Field(framing.AttachName)), Sends: !frame.Bool(framing.AttachRole),
-				Properties: make(map[string]any), attach: frame.Performative}
-			properties, _ := frame.Field(framing.AttachProperties).(codec.Map)
-			for i := 0; i+1 < len(properties); i += 2 {
-				e.Properties[codec.AsString(properties[i])] = properties[i+1]
-			}
-			return e, nil
+			return attachedEvent(frame.Performative), nil
 		case framing.CodeFlow:
 			_ = p.handleFlow(frame.Performative) // a fake server ignores a bad flow
 		case framing.CodeTransfer:
-			if err := p.receiveTransfer(false); err != nil {
-				return PeerEvent{}, err
-			}
-			handle := frame.Uint32(framing.TransferHandle, 0)
-			whole := append(p.partialPayloads[handle], frame.Payload...)
-			if len(whole) > maxPeerMessageSize {
-				return PeerEvent{}, errors.New("a message is longer than a stand-in reads")
-			}
-			if frame.Bool(framing.TransferMore) {
-				p.partialPayloads[handle] = whole
-				continue
+			event, complete, err := p.receiveDelivery(frame)
+			if err != nil || complete {
+				return event, err
 			}
-			delete(p.partialPayloads, handle)
-			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: frame.Uint32(framing.TransferDeliveryID, 0), Settled: frame.Bool(framing.TransferSettled), Payload: dataSection(whole)}, nil
 		case framing.CodeDetach:
 			return PeerEvent{Kind: PeerDetached, Handle: frame.Uint32(framing.DetachHandle, 0)}, nil
 		case framing.CodeEnd, framing.CodeClose:
@@ -219,6 +209,47 @@
 	}
 }
 
+// attachedEvent is the event of the relay's attach.
+func attachedEvent(attach framing.Performative) PeerEvent {
+	event := PeerEvent{
+		Kind:       PeerAttached,
+		Handle:     attach.Uint32(framing.AttachHandle, 0),
+		Name:       codec.AsString(attach.Field(framing.AttachName)),
+		Sends:      !attach.Bool(framing.AttachRole),
+		Properties: make(map[string]any),
+		attach:     attach,
+	}
+	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
+	for i := 0; i+1 < len(properties); i += 2 {
+		event.Properties[codec.AsString(properties[i])] = properties[i+1]
+	}
+	return event
+}
+
+// receiveDelivery adds a transfer to its delivery. It returns the event, and true, once the delivery is complete.
+func (p *Peer) receiveDelivery(transfer framing.Frame) (event PeerEvent, complete bool, err error) {
+	if err := p.receiveTransfer(false); err != nil {
+		return PeerEvent{}, false, err
+	}
+	handle := transfer.Uint32(framing.TransferHandle, 0)
+	payload := append(p.partialPayloads[handle], transfer.Payload...)
+	if len(payload) > maxPeerMessageSize {
+		return PeerEvent{}, false, errors.New("a message is longer than a stand-in reads")
+	}
+	if transfer.Bool(framing.TransferMore) {
+		p.partialPayloads[handle] = payload
+		return PeerEvent{}, false, nil
+	}
+	delete(p.partialPayloads, handle)
+	return PeerEvent{
+		Kind:     PeerDelivered,
+		Handle:   handle,
+		Delivery: transfer.Uint32(framing.TransferDeliveryID, 0),
+		Settled:  transfer.Bool(framing.TransferSettled),
+		Payload:  dataSection(payload),
+	}, true, nil
+}
+
 // maxPeerMessageSize is the longest message that a fake server reads, in bytes.
 const maxPeerMessageSize = 4 << 20
 
@@ -242,7 +273,7 @@
 	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
-	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
+	return p.Credit(e.Handle, 0, credit)
 }
 
 // attachReply is the answer to an attach: the same in the other role, without what the initiator alone says.
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -58,14 +58,10 @@
 	if !request.Settings.AcceptsTenant(request.Tenant) {
 		return request, attach, fmt.Errorf("%q is no known tenant; the property %q names one", request.Tenant, propTenant)
 	}
-	var timeout time.Duration
-	switch milliseconds, ok := codec.AsUint64(properties.Get(propDeadline)); {
-	case ok && milliseconds <= maxDeadlineMilliseconds:
-		timeout = time.Duration(milliseconds) * time.Millisecond
-	case properties.Get(propDeadline) != nil || placement == nil:
-		return request, attach, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
-	default:
-		timeout = cmp.Or(placement.Timeout, request.Settings.Classes[request.RequestOptions.Class].Deadline)
+	classDeadline := request.Settings.Classes[request.RequestOptions.Class].Deadline
+	timeout, err := requestTimeout(properties, placement, classDeadline)
+	if err != nil {
+		return request, attach, err
 	}
 	request.Deadline = f.Proxy.Clock.Now() + timeout
 	if request.Group = hashKey(properties.Get(propGroup)); request.Group == 0 && placement != nil {
@@ -81,6 +77,20 @@
 	return request, attach.With(framing.AttachProperties, properties), nil
 }
 
+// requestTimeout reads how long a client waits: the property, or else what the placement rule or the class says. placement
+// may be nil; the property then is mandatory.
+func requestTimeout(properties codec.Map, placement *Placement, classDeadline time.Duration) (time.Duration, error) {
+	value := properties.Get(propDeadline)
+	milliseconds, ok := codec.AsUint64(value)
+	if ok && milliseconds <= maxDeadlineMilliseconds {
+		return time.Duration(milliseconds) * time.Millisecond, nil
+	}
+	if value != nil || placement == nil {
+		return 0, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
+	}
+	return cmp.Or(placement.Timeout, classDeadline), nil
+}
+
 // hashKey returns the key of a group or an item: an integer or a hexadecimal number as it is, any other text by its hash;
 // 0 for none.
 func hashKey(value any) uint64 {
