--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -184,7 +184,7 @@
 
 // An attach waits for a connection on which another request is being written, to an endpoint that does not read. Its client
 // leaves, its endpoint drains, or the relay ends: nothing of it is sent once the endpoint reads again, and nobody waits for that.
-func TestNothingIsSentOnceItsTurnOnASharedConnectionComesTooLate(t *testing.T) {
+func TestNothingIsSentWhenASharedConnectionFreesTooLate(t *testing.T) {
 	for _, c := range []string{"the client leaves", "the server drains", "the relay ends"} {
 		t.Run(c, func(t *testing.T) {
 			t.Parallel()
@@ -222,7 +222,7 @@
 
 // An attempt that waits for its turn on such a connection is given up at its time like any other: its client goes to another endpoint,
 // and the one that reads again hears nothing of it.
-func TestAPassThatWaitsForItsTurnIsGivenUpInTime(t *testing.T) {
+func TestAttemptWaitingForASharedConnectionTimesOut(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 1, 10000)
 	relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
@@ -259,7 +259,7 @@
 
 // A frame that went out in part is the last on its connection: the next would be read as its rest, by an endpoint that
 // delivers it. All who share the connection are told that their endpoint is lost.
-func TestNothingFollowsAFrameThatWentOutInPart(t *testing.T) {
+func TestNothingFollowsAPartiallyWrittenFrame(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 2, 10000)
 	relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
@@ -278,7 +278,7 @@
 
 // An endpoint that lives and takes no transfer for long is silent as far as its client goes: the client is moved. It went on
 // sending to an endpoint that got nothing of it.
-func TestAServerWhoseWindowStaysShutIsLeft(t *testing.T) {
+func TestEndpointWhoseWindowStaysClosedIsLeft(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 1000, 1)
 	relay, _, first := newRelayToBlockedEndpoint(t, endpoint)
@@ -301,7 +301,7 @@
 
 // An attempt that is given up, or a request that ends, closes its session at once, while a word of its endpoint may be in
 // hand already: a flow that is taken after that opens no window, and ends no relay.
-func TestAFlowInHandAsItsSessionEndsChangesNothing(t *testing.T) {
+func TestFlowAfterTheSessionsEndIsIgnored(t *testing.T) {
 	endpoint := newBlockedEndpoint(t, 3, 100)
 	relay, front, first := newRelayToBlockedEndpoint(t, endpoint)
 	u, err := front.connect(t.Context(), relay.proxy.Endpoints.List()[0], endpoint.Addr().String(), 5*time.Second)
--- a/internal/frontend/amqp/codec/codec_test.go
+++ b/internal/frontend/amqp/codec/codec_test.go
@@ -35,7 +35,7 @@
 	"\x00\x53\x24\x45":                     Described{uint64(0x24), List{}},
 }
 
-func TestValuesAreReadAndWritten(t *testing.T) {
+func TestValuesRoundTrip(t *testing.T) {
 	for text, want := range encodings {
 		d := decoder{rest: []byte(text)}
 		got, err := d.decodeValue()
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestMalformedValuesAreRefused(t *testing.T) {
+func TestMalformedValuesAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"", "\x01", "\x70\x00", "\xa1\x05ab", "\xc0\x02\x05\x41", "\xc1\x03\x01\x41",
 		"\xd0\xff\xff\xff\xff\xff\xff\xff\xff", "\xf0\x00\x00\x00\x05\xff\xff\xff\xff\x40",
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -76,7 +76,7 @@
 
 // A connection that comes up while everyone moves has its turn counted from when they began. Counted from when it came
 // up, its turn was after the relay's end: brink, roll+term, seed 310850927754, request 61bbdf2b was cut off without MOVE.
-func TestWhoComesUpAfterItsTurnMovesAtOnce(t *testing.T) {
+func TestRequestEstablishedAfterItsMigrationTimeMigratesAtOnce(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const over = 3 * time.Second
 		gate := newAnswerGate()
@@ -101,7 +101,7 @@
 
 // An endpoint begins to drain while a request is at it, and then accepts: its client is moved like those that stood there.
 // The drain found none to move, and nobody looked again: the client was cut off as the endpoint stopped.
-func TestWhoIsAcceptedByAServerThatDrainsMoves(t *testing.T) {
+func TestRequestAcceptedByADrainingEndpointMigrates(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		gate := newAnswerGate()
 		relay := newTestRelay(t, protocol, 1, nil)
@@ -119,7 +119,7 @@
 
 // A relay that leaves answers who waits. What it may say depends on whether the attempt that is out may have run: where a
 // repeat is not harmless, the unavailable answer would have it run twice.
-func TestWhoWaitsIsAnsweredByItsClass(t *testing.T) {
+func TestShutdownAnswersPendingRequestsByClass(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class balancer.Class
@@ -153,7 +153,7 @@
 
 // A client that leaves while a connection to its endpoint comes up: nothing of it is sent once the connection is there.
 // The same for an endpoint that begins to drain meanwhile, and a repeat that its endpoint would run anew by then.
-func TestNothingIsSentOnAConnectionThatComesUpTooLate(t *testing.T) {
+func TestNothingIsSentOnAConnectionEstablishedTooLate(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(relay *testRelay, leave func())
@@ -192,7 +192,7 @@
 
 // An endpoint is told how long the relay still waits, not how long it would have had the connection come up at once: it works
 // on for a client that has its answer by then.
-func TestAServerIsToldWhatIsLeftOfTheWait(t *testing.T) {
+func TestEndpointIsSentTheRemainingTimeout(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const giveUp, late = 4 * time.Second, 600 * time.Millisecond
 		f := newFullListener(t)
@@ -220,7 +220,7 @@
 
 // A repeat whose connection comes up late is not sent where its endpoints have forgotten the first by then: it would run
 // anew. Its client is told what its class allows.
-func TestARepeatGoesOutOnlyWhileItsServersKnowTheFirst(t *testing.T) {
+func TestRetryStaysWithinTheDeduplicationWindow(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const memory = 1200 * time.Millisecond
 		f, gate := newFullListener(t), newAnswerGate()
@@ -252,7 +252,7 @@
 
 // A client that leaves while its request waits is let go at once, wherever that is, and nothing of it goes out after.
 // (A dial, and the wait for a shared connection, are above.)
-func TestAClientThatLeavesWhileItWaitsIsForgotten(t *testing.T) {
+func TestClientThatLeavesWhilePendingIsForgotten(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		servers int
@@ -312,7 +312,7 @@
 
 // A shared connection that has idled is closed by its endpoint just as the next attach comes: that may have run. It is
 // repeated where a repeat is harmless, on another connection, and fails where it is not.
-func TestASharedConnectionThatIsClosedUnderAnAttach(t *testing.T) {
+func TestSharedConnectionClosedDuringAnAttach(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		effect   balancer.Effect
@@ -352,7 +352,7 @@
 
 // A client whose connection is ended for what it says has its links let go first, not once it has read why: what waits for a
 // endpoint must not go there meanwhile.
-func TestAFaultyClientsLinksAreLetGoAtOnce(t *testing.T) {
+func TestLinksOfAFaultyClientEndAtOnce(t *testing.T) {
 	f := newFullListener(t)
 	relay := newTestRelay(t, protocols[1], 1, nil)
 	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
--- a/internal/frontend/amqp/forwarding_test.go
+++ b/internal/frontend/amqp/forwarding_test.go
@@ -16,7 +16,7 @@
 
 // What a client sends comes out at the endpoint as it was, in frames of any size,
 // and what the endpoint says of it comes back.
-func TestDeliveriesPassUp(t *testing.T) {
+func TestDeliveriesAreForwardedToTheEndpoint(t *testing.T) {
 	relay := newTestRelay(t, protocols[1], 1, nil)
 	session := dialFront(t, relay.address)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -38,7 +38,7 @@
 
 // An endpoint's pages come out at the client as they were, under the client's
 // credit; the client's word on them comes back to the endpoint.
-func TestDeliveriesPassDown(t *testing.T) {
+func TestDeliveriesAreForwardedToTheClient(t *testing.T) {
 	const pages = 30
 	settled := make(chan uint32, pages)
 	protocol := protocols[1]
--- a/internal/frontend/amqp/frontends_test.go
+++ b/internal/frontend/amqp/frontends_test.go
@@ -13,7 +13,7 @@
 	"lockroad/balancer"
 )
 
-func TestBothFrontsGiveTheSameVerdicts(t *testing.T) {
+func TestBothFrontendsGiveTheSameResults(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		servers int
--- a/internal/frontend/amqp/placement_test.go
+++ b/internal/frontend/amqp/placement_test.go
@@ -13,7 +13,7 @@
 
 // A client that names an address only is placed by the rule for it, and its endpoint is told what the rule
 // has added. Where no rule fits, the refusal names what is missing.
-func TestPlainClientsArePlacedByRules(t *testing.T) {
+func TestPlacementRulesApplyToPlainClients(t *testing.T) {
 	places := []Placement{{Address: "scores/*/preview", Class: "none"}, {Address: "scores/*", Class: "page", Timeout: 900 * time.Millisecond, Group: "address"}, {Container: "desk-*", Class: "page"}}
 	for i := range places {
 		if err := places[i].Compile(); err != nil {
--- a/internal/frontend/amqp/protocolerrors_test.go
+++ b/internal/frontend/amqp/protocolerrors_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-func TestOtherProtocolsAreToldOurs(t *testing.T) {
+func TestOtherProtocolsAreAnsweredWithOurHeader(t *testing.T) {
 	relay := newTestRelay(t, protocols[1], 1, nil)
 	c, err := net.Dial("tcp", relay.address)
 	if err != nil {
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -32,7 +32,7 @@
 // An independent client comes over TLS as a user, by a certificate, or as nobody, on to endpoints over TLS; what
 // it may not do it is told in the standard's words. Keys that are replaced are those of the next connection, and
 // what stands goes on.
-func TestSecuredFromEndToEnd(t *testing.T) {
+func TestTLSAndSASLFromEndToEnd(t *testing.T) {
 	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", time.Hour)
 	serverCert, serverKey := a.Pair("server", time.Hour)
--- a/internal/frontend/amqp/sharedconn_test.go
+++ b/internal/frontend/amqp/sharedconn_test.go
@@ -61,7 +61,7 @@
 
 // Seven requests go over as few connections as the settings and the endpoint allow, one after another over the
 // same; a connection without any is closed in its time.
-func TestTransactionsShareConnections(t *testing.T) {
+func TestRequestsShareConnections(t *testing.T) {
 	s := &sharedEndpoint{}
 	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: 300 * time.Millisecond})
 	c := clientOf(t, relay)
@@ -111,7 +111,7 @@
 
 // A connection that breaks ends each of its requests cleanly, and none of another connection's; those that were on
 // their way are tried elsewhere or answered.
-func TestOneConnectionsEndIsItsOwn(t *testing.T) {
+func TestConnectionEndAffectsOnlyItsRequests(t *testing.T) {
 	s := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
 	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: time.Minute})
 	c := clientOf(t, relay)
@@ -164,7 +164,7 @@
 }
 
 // An endpoint that drains gets nothing new over the connection that it has, which goes with its last request.
-func TestDrainedServersConnectionEmpties(t *testing.T) {
+func TestDrainingEndpointsConnectionEmpties(t *testing.T) {
 	s := &sharedEndpoint{}
 	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
 	c := clientOf(t, relay)
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -121,7 +121,7 @@
 // One endpoint that stops reading must not delay the other links of the same client
 // connection: reads of the connection once waited for the full window of the one, and
 // a delivery on the healthy link took 4.3 s.
-func TestServerThatStopsReadingDelaysNoOtherLink(t *testing.T) {
+func TestEndpointThatStopsReadingDelaysNoOtherLink(t *testing.T) {
 	address, stalled, sound := newRelayWithStalledEndpoint(t)
 	ctx, leave := context.WithTimeout(context.Background(), 20*time.Second)
 	defer leave()
