--- a/internal/frontend/amqp/amqppeers_test.go
+++ b/internal/frontend/amqp/amqppeers_test.go
@@ -18,21 +18,21 @@
 // negotiateAsEndpoint is a fake endpoint's half of the opening, as the standard has it, up to
 // the opens.
 func negotiateAsEndpoint(t testing.TB, tcp streamConn) (*connection, bool) {
-	c := newConnection(tcp)
-	header, err := c.readProtocolHeader(serverWait)
+	conn := newConnection(tcp)
+	header, err := conn.readProtocolHeader(serverWait)
 	if err != nil {
 		return nil, false
 	}
 	if header != framing.ProtocolHeaderSASL {
 		t.Errorf("a server was greeted with %q", header)
 	}
-	c.writeProtocolHeader(framing.ProtocolHeaderSASL)
+	conn.writeProtocolHeader(framing.ProtocolHeaderSASL)
 	want, offered := "ANONYMOUS", codec.Array{codec.Symbol("ANONYMOUS")}
 	if _, is := tcp.(*tls.Conn); is { // to which the relay has shown a certificate
 		want, offered = "EXTERNAL", codec.Array{codec.Symbol("EXTERNAL"), codec.Symbol("ANONYMOUS")}
 	}
-	c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
-	frame, err := c.readFrame(framing.TypeSASL, serverWait)
+	conn.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
+	frame, err := conn.readFrame(framing.TypeSASL, serverWait)
 	if err != nil {
 		return nil, false // the relay may give an attempt up at any time, as when its client has left
 	}
@@ -40,35 +40,35 @@
 		t.Errorf("a server got %v for an init", frame)
 		return nil, false
 	}
-	c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
-	_, _ = c.readProtocolHeader(serverWait)
-	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-	return c, true
+	conn.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+	_, _ = conn.readProtocolHeader(serverWait)
+	conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	return conn, true
 }
 
 // answerOpenOrBegin answers the frames that open a fake endpoint's connection and its session.
-func answerOpenOrBegin(c *connection, s *session, frame framing.Frame) {
+func answerOpenOrBegin(conn *connection, s *session, frame framing.Frame) {
 	switch frame.Code {
 	case framing.CodeOpen:
-		c.applyOpen(frame.Performative)
-		c.writeFrame(0, newOpen("server"), nil)
+		conn.applyOpen(frame.Performative)
+		conn.writeFrame(0, newOpen("server"), nil)
 	case framing.CodeBegin:
 		_ = s.applyBegin(frame.Performative)
-		c.writeFrame(0, s.newBegin(uint16(0)), nil)
+		conn.writeFrame(0, s.newBegin(uint16(0)), nil)
 	}
 }
 
 // serveFrames is a fake endpoint with one session. It calls handle with each frame of the relay, until that reports false or the
 // connection ends.
-func serveFrames(t testing.TB, tcp streamConn, handle func(c *connection, session *session, frame framing.Frame) bool) {
-	c, ok := negotiateAsEndpoint(t, tcp)
+func serveFrames(t testing.TB, tcp streamConn, handle func(conn *connection, session *session, frame framing.Frame) bool) {
+	conn, ok := negotiateAsEndpoint(t, tcp)
 	if !ok {
 		return
 	}
-	session := newSession(c, 0)
+	session := newSession(conn, 0)
 	for {
-		frame, err := c.readFrame(framing.TypeAMQP, serverWait)
-		if err != nil || !handle(c, session, frame) {
+		frame, err := conn.readFrame(framing.TypeAMQP, serverWait)
+		if err != nil || !handle(conn, session, frame) {
 			return
 		}
 	}
@@ -79,18 +79,18 @@
 
 // serveAMQPEndpointOn is serveAMQPEndpoint on a connection that may be TLS.
 func serveAMQPEndpointOn(t testing.TB, over streamConn, s *scenario) {
-	serveFrames(t, over, func(c *connection, session *session, frame framing.Frame) bool {
+	serveFrames(t, over, func(conn *connection, session *session, frame framing.Frame) bool {
 		switch frame.Code {
 		case framing.CodeOpen, framing.CodeBegin:
-			answerOpenOrBegin(c, session, frame)
+			answerOpenOrBegin(conn, session, frame)
 		case framing.CodeAttach:
-			return answerAttach(t, c, session, frame.Performative, s)
+			return answerAttach(t, conn, session, frame.Performative, s)
 		case framing.CodeTransfer:
 			if !frame.Bool(framing.TransferMore) {
-				c.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
+				conn.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
 			}
 		case framing.CodeDetach:
-			c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
+			conn.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
 		case framing.CodeClose:
 			return false
 		}
@@ -99,23 +99,23 @@
 }
 
 // answerAttach reports whether the connection goes on.
-func answerAttach(t testing.TB, c *connection, session *session, p framing.Performative, s *scenario) bool {
-	props, _ := p.Field(framing.AttachProperties).(codec.Map)
-	ms, _ := codec.AsUint64(props.Get(propDeadline))
-	s.recordTimeout(time.Duration(ms) * time.Millisecond)
-	act := s.next(t, c.LocalAddr())
-	reply := attachReply(p, 0)
+func answerAttach(t testing.TB, conn *connection, session *session, performative framing.Performative, s *scenario) bool {
+	props, _ := performative.Field(framing.AttachProperties).(codec.Map)
+	milliseconds, _ := codec.AsUint64(props.Get(propDeadline))
+	s.recordTimeout(time.Duration(milliseconds) * time.Millisecond)
+	act := s.next(t, conn.LocalAddr())
+	reply := attachReply(performative, 0)
 	end := func(cond string) bool {
 		var e any
 		if cond != "" {
 			e = framing.NewErrorValue(cond, "as the case has it", nil)
 		}
-		c.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true, e}}, nil)
+		conn.writeFrame(0, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true, e}}, nil)
 		return true
 	}
 	up := func() {
 		s.answered()
-		c.writeFrame(0, reply, nil)
+		conn.writeFrame(0, reply, nil)
 		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
 	}
 	switch act {
@@ -123,22 +123,22 @@
 		up()
 	case actionRejectFull:
 		s.answered()
-		c.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
+		conn.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
 		return end(framing.CondResourceLimitExceeded)
 	case actionFail:
 		s.answered()
-		c.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
+		conn.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
 		return end(framing.CondInternalError)
 	case actionHang, actionNoCredit:
 		if act == actionNoCredit {
-			c.writeFrame(0, reply, nil)
+			conn.writeFrame(0, reply, nil)
 		}
-		_, _ = io.Copy(io.Discard, c.reader)
+		_, _ = io.Copy(io.Discard, conn.reader)
 		s.answered()
 		return false
 	case actionReset:
 		s.answered()
-		c.streamConn.(*net.TCPConn).SetLinger(0)
+		conn.streamConn.(*net.TCPConn).SetLinger(0)
 		return false
 	case actionAcceptAndDetach:
 		up()
@@ -148,19 +148,19 @@
 		return end(framing.CondDetachForced)
 	case actionAcceptAndReset:
 		up()
-		c.streamConn.(*net.TCPConn).SetLinger(0)
+		conn.streamConn.(*net.TCPConn).SetLinger(0)
 		return false
 	}
 	return true
 }
 
 func openAMQP(ctx context.Context, address, name string, timeout time.Duration) (string, bool, func() string) {
-	c, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: name})
+	conn, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: name})
 	if err != nil {
 		return "lost", false, nil
 	}
-	context.AfterFunc(ctx, func() { _ = c.Close() })
-	session, err := c.NewSession(ctx, nil)
+	context.AfterFunc(ctx, func() { _ = conn.Close() })
+	session, err := conn.NewSession(ctx, nil)
 	if err != nil {
 		return "lost", false, nil
 	}
@@ -197,12 +197,12 @@
 }
 
 func openAndSendAMQP(t *testing.T, address string) string {
-	c := dialRaw(t, address).begin()
-	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(1200)})
+	client := dialRaw(t, address).begin()
+	client.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(1200)})
 	for i := range uint32(200) {
-		c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), i, []byte("t")}}, nil)
+		client.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), i, []byte("t")}}, nil)
 	}
-	c.expect(framing.CodeAttach, 0, "")
-	c.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
+	client.expect(framing.CodeAttach, 0, "")
+	client.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
 	return "failed"
 }
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -50,11 +50,11 @@
 		})
 		return errors.Join(err, failed)
 	}}
-	l, err := little.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	netListener, err := little.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoint := &blockedEndpoint{Listener: l, maxAttaches: attaches, window: window, unblocked: make(chan struct{}), done: make(chan struct{})}
+	endpoint := &blockedEndpoint{Listener: netListener, maxAttaches: attaches, window: window, unblocked: make(chan struct{}), done: make(chan struct{})}
 	endpoint.unblock = sync.OnceFunc(func() { close(endpoint.unblocked) })
 	go endpoint.serve(t)
 	t.Cleanup(func() { endpoint.unblock(); endpoint.Close(); <-endpoint.done })
@@ -68,39 +68,39 @@
 		return
 	}
 	defer tcp.Close()
-	c, ok := negotiateAsEndpoint(t, tcp.(*net.TCPConn))
+	conn, ok := negotiateAsEndpoint(t, tcp.(*net.TCPConn))
 	if !ok {
 		return
 	}
 	stop := make(chan struct{})
 	defer close(stop)
-	go c.sendHeartbeats(time.Second, stop) // it lives all the while
+	go conn.sendHeartbeats(time.Second, stop) // it lives all the while
 	sessions := make(map[uint16]*session)
 	for {
-		f, err := c.readFrame(framing.TypeAMQP, time.Minute)
+		frame, err := conn.readFrame(framing.TypeAMQP, time.Minute)
 		endpoint.mu.Lock()
 		if err != nil {
 			endpoint.err = err
 			endpoint.mu.Unlock()
 			return
 		}
-		switch f.Code {
+		switch frame.Code {
 		case framing.CodeOpen:
-			c.applyOpen(f.Performative)
-			c.writeFrame(0, newOpen("dam").With(framing.OpenChannelMax, uint16(7)), nil)
+			conn.applyOpen(frame.Performative)
+			conn.writeFrame(0, newOpen("dam").With(framing.OpenChannelMax, uint16(7)), nil)
 		case framing.CodeBegin:
 			endpoint.sessions++
-			s := newSession(c, f.Channel)
-			_ = s.applyBegin(f.Performative)
-			sessions[f.Channel] = s
-			c.writeFrame(f.Channel, s.newBegin(f.Channel).With(framing.BeginIncomingWindow, endpoint.window), nil)
+			s := newSession(conn, frame.Channel)
+			_ = s.applyBegin(frame.Performative)
+			sessions[frame.Channel] = s
+			conn.writeFrame(frame.Channel, s.newBegin(frame.Channel).With(framing.BeginIncomingWindow, endpoint.window), nil)
 		case framing.CodeAttach:
-			endpoint.linkNames = append(endpoint.linkNames, codec.AsString(f.Field(framing.AttachName)))
-			s := sessions[f.Channel]
-			s.writeFrame(f.Channel, f.Performative.With(framing.AttachRole, !f.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
-			s.writeFrame(f.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), endpoint.window, uint32(0), uint32(sessionWindow), f.Field(framing.AttachHandle), uint32(0), uint32(50000)}}, nil)
+			endpoint.linkNames = append(endpoint.linkNames, codec.AsString(frame.Field(framing.AttachName)))
+			s := sessions[frame.Channel]
+			s.writeFrame(frame.Channel, frame.Performative.With(framing.AttachRole, !frame.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
+			s.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), endpoint.window, uint32(0), uint32(sessionWindow), frame.Field(framing.AttachHandle), uint32(0), uint32(50000)}}, nil)
 		case framing.CodeTransfer:
-			if !bytes.Contains(f.Payload, blockingPayload) {
+			if !bytes.Contains(frame.Payload, blockingPayload) {
 				endpoint.err = errors.New("a delivery is not what its client has sent")
 			}
 		}
@@ -126,11 +126,13 @@
 func newRelayToBlockedEndpoint(t *testing.T, endpoint *blockedEndpoint) (*testRelay, *Frontend, *client10.Sender) {
 	t.Helper()
 	var front *Frontend
-	relay := newTestRelay(t, amqpProtocol(func(f *Frontend) {
-		f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute}
-		front = f
+	relay := newTestRelay(t, amqpProtocol(func(frontend *Frontend) {
+		frontend.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute}
+		front = frontend
 	}, nil), 1, nil)
-	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
+	relay.updateSettings(func(settings *balancer.Settings) {
+		settings.ConnectTimeout, settings.Classes[0].Deadline = time.Minute, time.Minute
+	})
 	relay.endpointAddresses = []string{endpoint.Addr().String()}
 	relay.setEndpointState(balancer.StateReady, 0)
 	first, err := clientOf(t, relay).NewSender(t.Context(), "there", &client10.SenderOptions{
@@ -143,7 +145,7 @@
 }
 
 // blockConnection sends deliveries until the connection to the endpoint is blocked.
-func blockConnection(t *testing.T, f *Frontend, link *client10.Sender) {
+func blockConnection(t *testing.T, frontend *Frontend, link *client10.Sender) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -157,7 +159,7 @@
 	}()
 	held := 0 // looks in a row at which somebody was writing
 	testutil.Until(t, "the connection is blocked", func() bool {
-		m := onlyMultiplexer(f)
+		m := onlyMultiplexer(frontend)
 		if held++; m.connection.mu.TryLock() {
 			held = 0
 			m.connection.mu.Unlock()
@@ -167,10 +169,10 @@
 }
 
 // onlyMultiplexer is the one shared connection.
-func onlyMultiplexer(f *Frontend) *multiplexer {
-	f.sharedConnections.mu.Lock()
-	defer f.sharedConnections.mu.Unlock()
-	for _, conn := range f.sharedConnections.connections {
+func onlyMultiplexer(frontend *Frontend) *multiplexer {
+	frontend.sharedConnections.mu.Lock()
+	defer frontend.sharedConnections.mu.Unlock()
+	for _, conn := range frontend.sharedConnections.connections {
 		return conn.multiplexer
 	}
 	return nil
@@ -189,11 +191,11 @@
 		t.Run(c, func(t *testing.T) {
 			t.Parallel()
 			endpoint := newBlockedEndpoint(t, 1, 10000)
-			relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
-			blockConnection(t, f, first)
+			relay, frontend, first := newRelayToBlockedEndpoint(t, endpoint)
+			blockConnection(t, frontend, first)
 			second := dialRaw(t, relay.address).begin()
 			second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
-			testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(f).sessionCount() == 2 })
+			testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(frontend).sessionCount() == 2 })
 			switch c {
 			case "the client leaves":
 				second.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
@@ -225,22 +227,22 @@
 func TestAttemptWaitingForASharedConnectionTimesOut(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 1, 10000)
-	relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
-	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout = 400 * time.Millisecond })
-	blockConnection(t, f, first)
-	l := listen(t)
-	defer l.Close()
+	relay, frontend, first := newRelayToBlockedEndpoint(t, endpoint)
+	relay.updateSettings(func(settings *balancer.Settings) { settings.ConnectTimeout = 400 * time.Millisecond })
+	blockConnection(t, frontend, first)
+	netListener := listen(t)
+	defer netListener.Close()
 	other := &sharedEndpoint{}
 	var served sync.WaitGroup
 	defer served.Wait()
-	defer l.Close()
-	served.Go(func() { serveAll(t, l, frontendProtocol{serveEndpoint: other.serve}, relay.scenario) })
+	defer netListener.Close()
+	served.Go(func() { serveAll(t, netListener, frontendProtocol{serveEndpoint: other.serve}, relay.scenario) })
 	second := dialRaw(t, relay.address).begin()
 	// Its group's route leads to the first endpoint, as the first link's does.
 	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
-	testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(f).sessionCount() == 2 })
-	relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
+	testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(frontend).sessionCount() == 2 })
+	relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{netListener.Addr().String()})
 	began := time.Now()
 	second.expect(framing.CodeAttach, 0, "")
 	second.expect(framing.CodeFlow, 0, "")
@@ -262,12 +264,12 @@
 func TestNothingFollowsAPartiallyWrittenFrame(t *testing.T) {
 	t.Parallel()
 	endpoint := newBlockedEndpoint(t, 2, 10000)
-	relay, f, first := newRelayToBlockedEndpoint(t, endpoint)
+	relay, frontend, first := newRelayToBlockedEndpoint(t, endpoint)
 	second := dialRaw(t, relay.address).begin()
 	second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
 	second.expect(framing.CodeAttach, 0, "")
 	second.expect(framing.CodeFlow, 0, "")
-	blockConnection(t, f, first)
+	blockConnection(t, frontend, first)
 	second.expectEventually(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeTimeout)
 	endpoint.unblock()
 	<-endpoint.done
@@ -312,14 +314,14 @@
 	if err := u.writeInitial(t.Context(), u.sharedSession.announce, u.newBegin(nil), attach); err != nil {
 		t.Fatal(err)
 	}
-	var f framing.Frame
-	for f.Code != framing.CodeFlow {
-		if f, err = u.nextFrame(5 * time.Second); err != nil {
+	var frame framing.Frame
+	for frame.Code != framing.CodeFlow {
+		if frame, err = u.nextFrame(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	u.Close()
-	u.applyFlow(f.Performative)
+	u.applyFlow(frame.Performative)
 	if err := u.awaitWindow(); !errors.Is(err, errConnectionClosing) {
 		t.Errorf("a transfer of a session that has ended: %v", err)
 	}
--- a/internal/frontend/amqp/conformance_client_test.go
+++ b/internal/frontend/amqp/conformance_client_test.go
@@ -29,22 +29,22 @@
 		return errors.Join(err, checkEqual("answer", got, framing.ProtocolHeaderAMQP[:]))
 	}},
 	{"2.3.1", "client", "an extended frame header is passed over", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{})
+		client := dialRawTo(t, &recordingEndpoint{})
 		b := framing.AppendFrame(nil, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		long := append([]byte{0, 0, 0, byte(len(b) + 4), 3, 0, 0, 3, 1, 2, 3, 4}, b[8:]...)
-		_, _ = c.Write(long)
-		return c.checkNext(framing.CodeBegin, 0, "")
+		_, _ = client.Write(long)
+		return client.checkNext(framing.CodeBegin, 0, "")
 	}},
 	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, framing.CondFramingError)},
 	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, framing.CondFramingError)},
 	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, framing.CondDecodeError)},
 	{"2.4.1", "client", "the open tells a container, and limits that the standard allows", func(t *testing.T) error {
-		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
+		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
-		c.writeFrame(0, newOpen("raw"), nil)
-		frame, err := c.readFrame(framing.TypeAMQP, time.Second)
+		conn.writeFrame(0, newOpen("raw"), nil)
+		frame, err := conn.readFrame(framing.TypeAMQP, time.Second)
 		if err != nil || frame.Code != framing.CodeOpen || codec.AsString(frame.Field(framing.OpenContainerID)) == "" || frame.Uint32(framing.OpenMaxFrameSize, 0) < framing.MinMaxFrameSize || frame.Uint32(framing.OpenIdleTimeout, 0) == 0 {
 			return fmt.Errorf("the open is %v, %v", frame.Performative, err)
 		}
@@ -63,52 +63,52 @@
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		b = framing.AppendFrame(b, framing.TypeAMQP, 3, senderAttach("a link", 1, rawProps), nil)
 		_, _ = tcp.Write(b)
-		c := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
-		_, _ = c.readProtocolHeader(time.Second)
-		return errors.Join(c.checkNext(framing.CodeOpen, 9, ""), c.checkNext(framing.CodeBegin, 9, ""), c.checkNext(framing.CodeAttach, 9, ""), c.checkNext(framing.CodeFlow, 99, ""))
+		client := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
+		_, _ = client.readProtocolHeader(time.Second)
+		return errors.Join(client.checkNext(framing.CodeOpen, 9, ""), client.checkNext(framing.CodeBegin, 9, ""), client.checkNext(framing.CodeAttach, 9, ""), client.checkNext(framing.CodeFlow, 99, ""))
 	}},
 	{"2.4.3", "client", "a close is answered with a close", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{})
-		c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
-		return c.checkNext(framing.CodeClose, 0, "")
+		client := dialRawTo(t, &recordingEndpoint{})
+		client.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+		return client.checkNext(framing.CodeClose, 0, "")
 	}},
 	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
-		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
+		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
 		}
-		c.writeFrame(0, newOpen("idle").With(framing.OpenIdleTimeout, uint32(600)), nil)
+		conn.writeFrame(0, newOpen("idle").With(framing.OpenIdleTimeout, uint32(600)), nil)
 		for beats := 0; beats < 3; {
-			frame, err := c.readFrame(framing.TypeAMQP, 600*time.Millisecond)
+			frame, err := conn.readFrame(framing.TypeAMQP, 600*time.Millisecond)
 			if err != nil {
 				return err
 			}
 			if frame.Empty {
 				beats++
-				c.writeFrame(0, framing.Performative{}, nil)
+				conn.writeFrame(0, framing.Performative{}, nil)
 			}
 		}
 		return nil
 	}},
 	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{})
-		c.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-		frame, err := c.nextFrame()
+		client := dialRawTo(t, &recordingEndpoint{})
+		client.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+		frame, err := client.nextFrame()
 		return errors.Join(err, checkEqual("remote-channel", frame.Uint32(framing.BeginRemoteChannel, 99), uint32(3)))
 	}},
 	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
-		c.writeFrame(3, framing.Performative{Code: framing.CodeEnd}, nil)
-		if err := c.checkNext(framing.CodeEnd, 0, ""); err != nil {
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
+		client.writeFrame(3, framing.Performative{Code: framing.CodeEnd}, nil)
+		if err := client.checkNext(framing.CodeEnd, 0, ""); err != nil {
 			return err
 		}
-		c.begin()
+		client.begin()
 		return nil
 	}},
 	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
-		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
-		frame, err := c.nextFrame()
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
+		client.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
+		frame, err := client.nextFrame()
 		if err != nil || frame.Code != framing.CodeFlow || frame.RequireUint32(framing.FlowNextIncomingID, framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow) != nil {
 			return fmt.Errorf("echoed %#x %v, %v", frame.Code, frame.Fields, err)
 		}
@@ -119,17 +119,17 @@
 		defer close(release)
 		protocol := protocols[1]
 		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) { stallAfterAttach(t, tcp, release) }
-		c := dialRaw(t, newTestRelay(t, protocol, 1, nil).address).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		client := dialRaw(t, newTestRelay(t, protocol, 1, nil).address).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
 		big := bytes.Repeat([]byte("n"), framing.MaxFrameSize/2)
 		for i := range uint32(3 * sessionWindow) {
-			c.SetWriteDeadline(time.Now().Add(time.Second))
-			c.sendTransfer(i, true, false, false, big)
+			client.SetWriteDeadline(time.Now().Add(time.Second))
+			client.sendTransfer(i, true, false, false, big)
 		}
 		for {
-			frame, err := c.nextFrame()
+			frame, err := client.nextFrame()
 			if err != nil {
 				return err
 			}
@@ -139,39 +139,39 @@
 		}
 	}},
 	{"2.6.2", "client", "a handle without a link ends the session", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
-		c.sendTransfer(0, false, false, false, nil)
-		return c.checkNext(framing.CodeEnd, 0, framing.CondUnattachedHandle)
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
+		client.sendTransfer(0, false, false, false, nil)
+		return client.checkNext(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 	}},
 	{"2.6.2", "client", "a handle that is in use ends the session", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
-		c.attach(1, rawProps)
-		return c.checkNext(framing.CodeEnd, 0, framing.CondHandleInUse)
+		client.attach(1, rawProps)
+		return client.checkNext(framing.CodeEnd, 0, framing.CondHandleInUse)
 	}},
 	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
 		reply, err := dialRawTo(t, &recordingEndpoint{}).begin().attachAndWait(true)
 		return errors.Join(err, checkEqual("name", codec.AsString(reply.Field(framing.AttachName)), "a link"), checkEqual("role", reply.Field(framing.AttachRole), true), checkEqual("handle", reply.Uint32(framing.AttachHandle, 99), uint32(1)))
 	}},
 	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
-		c.attach(1, nil)
-		frame, err := c.nextFrame()
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
+		client.attach(1, nil)
+		frame, err := client.nextFrame()
 		if err != nil || frame.Code != framing.CodeAttach || frame.Field(framing.AttachTarget) != nil {
 			return fmt.Errorf("told %#x with the target %v, %v", frame.Code, frame.Field(framing.AttachTarget), err)
 		}
-		return c.checkNext(framing.CodeDetach, 2, framing.CondInvalidField)
+		return client.checkNext(framing.CodeDetach, 2, framing.CondInvalidField)
 	}},
 	{"2.6.5", "client", "a detach is answered with a detach, and the handle and the name are free again", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		for range 2 {
-			if _, err := c.attachAndWait(true); err != nil {
+			if _, err := client.attachAndWait(true); err != nil {
 				return err
 			}
-			c.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
-			if err := c.checkNext(framing.CodeDetach, 2, ""); err != nil {
+			client.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
+			if err := client.checkNext(framing.CodeDetach, 2, ""); err != nil {
 				return err
 			}
 		}
@@ -185,13 +185,13 @@
 		if err := errors.Join(err, checkEqual("granted", granted.Uint32(framing.FlowLinkCredit, 0), uint32(7))); err != nil {
 			return err
 		}
-		s := &recordingEndpoint{}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(false); err != nil {
+		recorder := &recordingEndpoint{}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(false); err != nil {
 			return err
 		}
-		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
-		flows, err := s.waitFor(framing.CodeFlow, 1)
+		client.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(5), nil, true, true}}, nil)
+		flows, err := recorder.waitFor(framing.CodeFlow, 1)
 		if err != nil {
 			return err
 		}
@@ -199,18 +199,18 @@
 		return errors.Join(checkEqual("credit", frame.Uint32(framing.FlowLinkCredit, 0), uint32(5)), checkEqual("drain", frame.Bool(framing.FlowDrain), true), checkEqual("echo", frame.Bool(framing.FlowEcho), true))
 	}},
 	{"2.6.12", "client", "a delivery in several transfers reaches the server as one", func(t *testing.T) error {
-		s := &recordingEndpoint{}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
-		c.sendTransfer(0, false, true, false, []byte("a"))
-		c.sendTransfer(0, false, true, false, []byte("b"))
-		c.sendTransfer(0, false, false, false, []byte("c"))
-		if err := c.checkNext(framing.CodeDisposition, 99, ""); err != nil {
+		client.sendTransfer(0, false, true, false, []byte("a"))
+		client.sendTransfer(0, false, true, false, []byte("b"))
+		client.sendTransfer(0, false, false, false, []byte("c"))
+		if err := client.checkNext(framing.CodeDisposition, 99, ""); err != nil {
 			return err
 		}
-		all, err := s.waitFor(framing.CodeTransfer, 3)
+		all, err := recorder.waitFor(framing.CodeTransfer, 3)
 		whole := ""
 		for _, frame := range all {
 			whole += string(frame.Payload)
@@ -219,83 +219,83 @@
 		return errors.Join(err, checkEqual("payload", whole, "abc"))
 	}},
 	{"2.6.14", "client", "a delivery that is aborted is aborted at the server, and the next one passes", func(t *testing.T) error {
-		s := &recordingEndpoint{}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
-		c.sendTransfer(0, false, true, false, []byte("a"))
-		c.sendTransfer(0, false, false, true, nil)
-		c.sendTransfer(1, false, false, false, []byte("b"))
-		all, err := s.waitFor(framing.CodeTransfer, 3)
+		client.sendTransfer(0, false, true, false, []byte("a"))
+		client.sendTransfer(0, false, false, true, nil)
+		client.sendTransfer(1, false, false, false, []byte("b"))
+		all, err := recorder.waitFor(framing.CodeTransfer, 3)
 		if err != nil {
 			return err
 		}
-		return errors.Join(checkEqual("aborted", all[1].Bool(framing.TransferAborted), true), checkEqual("next", string(all[2].Payload), "b"), c.checkNext(framing.CodeDisposition, 99, ""))
+		return errors.Join(checkEqual("aborted", all[1].Bool(framing.TransferAborted), true), checkEqual("next", string(all[2].Payload), "b"), client.checkNext(framing.CodeDisposition, 99, ""))
 	}},
 	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{})
-		c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-		return c.checkNext(framing.CodeClose, 0, framing.CondFramingError)
+		client := dialRawTo(t, &recordingEndpoint{})
+		client.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+		return client.checkNext(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
-		c := dialRawTo(t, &recordingEndpoint{}).begin()
-		c.attach(maxHandle+1, rawProps)
-		return c.checkNext(framing.CodeClose, 0, framing.CondFramingError)
+		client := dialRawTo(t, &recordingEndpoint{}).begin()
+		client.attach(maxHandle+1, rawProps)
+		return client.checkNext(framing.CodeClose, 0, framing.CondFramingError)
 	}},
 	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
-		s := &recordingEndpoint{}
-		reply, err := dialRawTo(t, s).begin().attachAndWait(true, func(p framing.Performative) framing.Performative {
-			return p.With(framing.AttachSndSettleMode, uint8(1)).With(framing.AttachRcvSettleMode, uint8(1))
+		recorder := &recordingEndpoint{}
+		reply, err := dialRawTo(t, recorder).begin().attachAndWait(true, func(performative framing.Performative) framing.Performative {
+			return performative.With(framing.AttachSndSettleMode, uint8(1)).With(framing.AttachRcvSettleMode, uint8(1))
 		})
 		if err != nil {
 			return err
 		}
-		all, err := s.waitFor(framing.CodeAttach, 1)
+		all, err := recorder.waitFor(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
 		return errors.Join(checkEqual("snd-settle-mode", all[0].Field(framing.AttachSndSettleMode), uint8(1)), checkEqual("rcv-settle-mode", all[0].Field(framing.AttachRcvSettleMode), uint8(1)), checkEqual("the server's", reply.Field(framing.AttachRcvSettleMode), uint8(1)))
 	}},
 	{"2.7.5", "client", "a settled delivery is settled at the server, and nothing is said of it", func(t *testing.T) error {
-		s := &recordingEndpoint{}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
-		c.sendTransfer(0, true, false, false, []byte("a"))
-		c.sendTransfer(1, false, false, false, []byte("b"))
-		frame, err := c.nextFrame() // of the second alone
+		client.sendTransfer(0, true, false, false, []byte("a"))
+		client.sendTransfer(1, false, false, false, []byte("b"))
+		frame, err := client.nextFrame() // of the second alone
 		if err != nil {
 			return err
 		}
-		all, err := s.waitFor(framing.CodeTransfer, 2)
+		all, err := recorder.waitFor(framing.CodeTransfer, 2)
 		return errors.Join(err, checkEqual("settled", all[0].Bool(framing.TransferSettled), true), checkEqual("disposition of", frame.Uint32(framing.DispositionFirst, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
-		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
+		recorder := &recordingEndpoint{reply: func(conn *connection, _ *session, frame framing.Frame) bool {
 			if frame.Code != framing.CodeFlow || frame.Field(framing.FlowHandle) == nil {
 				return false
 			}
 			for i := range uint32(3) {
-				c.writeFrame(0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
+				conn.writeFrame(0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), i, []byte{byte(i)}, uint32(0)}}, []byte("m"))
 			}
 			return true
 		}}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(false); err != nil {
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(false); err != nil {
 			return err
 		}
-		c.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
+		client.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(1), uint32(0), uint32(3)}}, nil)
 		for range 3 {
-			if err := c.checkNext(framing.CodeTransfer, 99, ""); err != nil {
+			if err := client.checkNext(framing.CodeTransfer, 99, ""); err != nil {
 				return err
 			}
 		}
-		c.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}}}, nil)
+		client.writeFrame(3, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, uint32(0), uint32(2), true, codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}}}, nil)
 		var settled []uint32
 		for len(settled) < 3 {
-			all, err := s.waitFor(framing.CodeDisposition, 1)
+			all, err := recorder.waitFor(framing.CodeDisposition, 1)
 			if err != nil {
 				return err
 			}
@@ -309,15 +309,15 @@
 		return checkEqual("settled", settled, []uint32{0, 1, 2})
 	}},
 	{"3.2", "client", "a message passes byte for byte, annotations and all", func(t *testing.T) error {
-		s := &recordingEndpoint{}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
 		message := codec.Append(codec.Append(nil, codec.Described{Descriptor: uint64(0x72), Value: codec.Map{codec.Symbol("x-opt-odd"), int64(-3)}}), codec.Described{Descriptor: uint64(0x75), Value: []byte("body")})
 		message = append(message, 0, 0x80, 0, 0, 0, 0, 0, 0, 0, 0x78, 0xd1, 0, 0, 0, 4, 0, 0, 0, 0) // a footer in its widest form
-		c.sendTransfer(0, false, false, false, message)
-		all, err := s.waitFor(framing.CodeTransfer, 1)
+		client.sendTransfer(0, false, false, false, message)
+		all, err := recorder.waitFor(framing.CodeTransfer, 1)
 		if err != nil {
 			return err
 		}
@@ -326,19 +326,19 @@
 	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
 		outcomes := []any{codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}, codec.Described{Descriptor: uint64(framing.CodeRejected), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(framing.CodeReleased), Value: codec.List{}},
 			codec.Described{Descriptor: uint64(framing.CodeModified), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
-		s := &recordingEndpoint{reply: func(c *connection, _ *session, frame framing.Frame) bool {
+		recorder := &recordingEndpoint{reply: func(conn *connection, _ *session, frame framing.Frame) bool {
 			if frame.Code == framing.CodeTransfer {
-				c.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(framing.TransferDeliveryID), nil, true, outcomes[frame.Uint32(framing.TransferDeliveryID, 0)]}}, nil)
+				conn.writeFrame(0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(framing.TransferDeliveryID), nil, true, outcomes[frame.Uint32(framing.TransferDeliveryID, 0)]}}, nil)
 			}
 			return frame.Code == framing.CodeTransfer
 		}}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
 		for i, want := range outcomes {
-			c.sendTransfer(uint32(i), false, false, false, []byte("m"))
-			frame, err := c.nextFrame()
+			client.sendTransfer(uint32(i), false, false, false, []byte("m"))
+			frame, err := client.nextFrame()
 			if err := errors.Join(err, checkEqual("outcome", frame.Field(framing.DispositionState), want), checkEqual("settled", frame.Bool(framing.DispositionSettled), true)); err != nil {
 				return err
 			}
@@ -346,48 +346,50 @@
 		return nil
 	}},
 	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
-		s := &recordingEndpoint{}
+		recorder := &recordingEndpoint{}
 		source := codec.Described{Descriptor: uint64(framing.CodeSource), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
 			codec.Map{codec.Symbol("sel"), codec.Described{Descriptor: codec.Symbol("apache.org:selector-filter:string"), Value: "a = 1"}}, nil, codec.Array{codec.Symbol("amqp:accepted:list")}, codec.Array{codec.Symbol("queue")}}}
-		if _, err := dialRawTo(t, s).begin().attachAndWait(false, func(p framing.Performative) framing.Performative { return p.With(framing.AttachSource, source) }); err != nil {
+		if _, err := dialRawTo(t, recorder).begin().attachAndWait(false, func(performative framing.Performative) framing.Performative {
+			return performative.With(framing.AttachSource, source)
+		}); err != nil {
 			return err
 		}
-		all, err := s.waitFor(framing.CodeAttach, 1)
+		all, err := recorder.waitFor(framing.CodeAttach, 1)
 		if err != nil {
 			return err
 		}
 		return checkEqual("source", all[0].Field(framing.AttachSource), source)
 	}},
 	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
-		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
+		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		frame, err := c.readFrame(framing.TypeSASL, time.Second)
+		frame, err := conn.readFrame(framing.TypeSASL, time.Second)
 		if err != nil || frame.Code != framing.CodeSASLMechanisms || !offersMechanism(frame.Field(framing.SASLMechanismsOffered), "ANONYMOUS") {
 			return fmt.Errorf("mechanisms %v, %v", frame.Performative, err)
 		}
-		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
-		frame, err = c.readFrame(framing.TypeSASL, time.Second)
+		conn.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("ANONYMOUS")}})
+		frame, err = conn.readFrame(framing.TypeSASL, time.Second)
 		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(framing.SASLOutcomeCode, 99), uint32(0))); err != nil {
 			return err
 		}
-		c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-		header, err := c.readProtocolHeader(time.Second)
+		conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+		header, err := conn.readProtocolHeader(time.Second)
 		return errors.Join(err, checkEqual("header", header, framing.ProtocolHeaderAMQP))
 	}},
 	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
-		c, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
+		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
 		}
-		_, _ = c.readFrame(framing.TypeSASL, time.Second)
-		c.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
-		frame, err := c.readFrame(framing.TypeSASL, time.Second)
+		_, _ = conn.readFrame(framing.TypeSASL, time.Second)
+		conn.writeSASL(framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol("PLAIN"), []byte("\x00a\x00b")}})
+		frame, err := conn.readFrame(framing.TypeSASL, time.Second)
 		if err := errors.Join(err, checkEqual("outcome", frame.Uint32(framing.SASLOutcomeCode, 99), uint32(1))); err != nil {
 			return err
 		}
-		if _, err := c.readFrame(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
+		if _, err := conn.readFrame(framing.TypeSASL, 3*time.Second); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("the connection goes on: %v", err)
 		}
 		return nil
--- a/internal/frontend/amqp/conformance_endpoint_test.go
+++ b/internal/frontend/amqp/conformance_endpoint_test.go
@@ -20,14 +20,14 @@
 // endpointRequirements are checked by endpoints that record what the frontend sends.
 var endpointRequirements = []requirement{
 	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
-		s := &recordingEndpoint{open: newOpen("server").With(framing.OpenMaxFrameSize, uint32(framing.MinMaxFrameSize))}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{open: newOpen("server").With(framing.OpenMaxFrameSize, uint32(framing.MinMaxFrameSize))}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
 		body := bytes.Repeat([]byte("n"), 2000)
-		c.sendTransfer(0, false, false, false, body)
-		all, err := s.waitFor(framing.CodeTransfer, 4)
+		client.sendTransfer(0, false, false, false, body)
+		all, err := recorder.waitFor(framing.CodeTransfer, 4)
 		whole := []byte{}
 		for i, frame := range all {
 			if len(framing.AppendFrame(nil, framing.TypeAMQP, 0, frame.Performative, frame.Payload)) > framing.MinMaxFrameSize {
@@ -38,30 +38,30 @@
 		return errors.Join(err, checkEqual("whole", len(whole), len(body)))
 	}},
 	{"2.4.1", "server", "open, begin and attach come in this order, on a channel and a handle that every server takes", func(t *testing.T) error {
-		s := &recordingEndpoint{}
-		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{}
+		if _, err := dialRawTo(t, recorder).begin().attachAndWait(true); err != nil {
 			return err
 		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		recorder.mu.Lock()
+		defer recorder.mu.Unlock()
 		var codes []uint64
-		for _, frame := range s.frames {
+		for _, frame := range recorder.frames {
 			if !frame.Empty {
 				codes = append(codes, frame.Code)
 			}
 		}
-		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", s.frames[1].Channel, uint16(0)), checkEqual("handle", s.frames[2].Uint32(framing.AttachHandle, 99), uint32(0)))
+		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", recorder.frames[1].Channel, uint16(0)), checkEqual("handle", recorder.frames[2].Uint32(framing.AttachHandle, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
-		s := &recordingEndpoint{open: newOpen("server").With(framing.OpenIdleTimeout, uint32(200))}
-		if _, err := dialRawTo(t, s).begin().attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{open: newOpen("server").With(framing.OpenIdleTimeout, uint32(200))}
+		if _, err := dialRawTo(t, recorder).begin().attachAndWait(true); err != nil {
 			return err
 		}
 		time.Sleep(700 * time.Millisecond) // what is looked at is what comes in a time
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		recorder.mu.Lock()
+		defer recorder.mu.Unlock()
 		beats := 0
-		for _, frame := range s.frames {
+		for _, frame := range recorder.frames {
 			if frame.Empty {
 				beats++
 			}
@@ -72,19 +72,19 @@
 		return nil
 	}},
 	{"2.5.6", "server", "no more transfers go out than the server's window takes", func(t *testing.T) error {
-		s := &recordingEndpoint{window: 2}
-		c := dialRawTo(t, s).begin()
-		if _, err := c.attachAndWait(true); err != nil {
+		recorder := &recordingEndpoint{window: 2}
+		client := dialRawTo(t, recorder).begin()
+		if _, err := client.attachAndWait(true); err != nil {
 			return err
 		}
 		for i := range uint32(6) {
-			c.sendTransfer(i, true, false, false, []byte("m"))
+			client.sendTransfer(i, true, false, false, []byte("m"))
 		}
-		if _, err := s.waitFor(framing.CodeTransfer, 2); err != nil {
+		if _, err := recorder.waitFor(framing.CodeTransfer, 2); err != nil {
 			return err
 		}
 		time.Sleep(200 * time.Millisecond) // what is looked at is that nothing more comes
-		all, err := s.waitFor(framing.CodeTransfer, 2)
+		all, err := recorder.waitFor(framing.CodeTransfer, 2)
 		return errors.Join(err, checkEqual("transfers", len(all), 2))
 	}},
 	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
@@ -92,7 +92,7 @@
 		most, conns := uint16(0), 0
 		protocol := amqpProtocol(func(frame *Frontend) { frame.Pool = connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute} }, nil)
 		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, _ *scenario) {
-			c, ok := negotiateAsEndpoint(t, tcp)
+			conn, ok := negotiateAsEndpoint(t, tcp)
 			if !ok {
 				return
 			}
@@ -100,7 +100,7 @@
 			conns++
 			mu.Unlock()
 			for {
-				frame, err := c.readFrame(framing.TypeAMQP, serverWait)
+				frame, err := conn.readFrame(framing.TypeAMQP, serverWait)
 				if err != nil {
 					return
 				}
@@ -109,18 +109,18 @@
 				mu.Unlock()
 				switch frame.Code {
 				case framing.CodeOpen:
-					c.applyOpen(frame.Performative)
-					c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(1)), nil)
+					conn.applyOpen(frame.Performative)
+					conn.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(1)), nil)
 				case framing.CodeBegin:
-					c.writeFrame(frame.Channel, newSession(c, frame.Channel).newBegin(frame.Channel), nil)
+					conn.writeFrame(frame.Channel, newSession(conn, frame.Channel).newBegin(frame.Channel), nil)
 				case framing.CodeAttach:
-					c.writeFrame(frame.Channel, frame.With(framing.AttachRole, !frame.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
-					c.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
+					conn.writeFrame(frame.Channel, frame.With(framing.AttachRole, !frame.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
+					conn.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), uint32(0), uint32(0), uint32(9)}}, nil)
 				}
 			}
 		}
-		r := newTestRelay(t, protocol, 1, nil)
-		session := clientOf(t, r)
+		relay := newTestRelay(t, protocol, 1, nil)
+		session := clientOf(t, relay)
 		for i := range 5 {
 			attach(t, session, fmt.Sprint(i))
 		}
@@ -146,13 +146,13 @@
 		return nil
 	}},
 	{"2.4 to 2.6", "library", "go-amqp opens and closes connections, sessions and links in any order", func(t *testing.T) error {
-		r := newTestRelay(t, protocols[1], 1, nil)
+		relay := newTestRelay(t, protocols[1], 1, nil)
 		for i := range 4 {
-			c, err := dialSecured(r.address, nil, client10.SASLTypeAnonymous())
+			conn, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 			if err != nil {
 				return err
 			}
-			session, err := c.NewSession(t.Context(), nil)
+			session, err := conn.NewSession(t.Context(), nil)
 			if err != nil {
 				return err
 			}
@@ -165,7 +165,7 @@
 				err = errors.Join(err, session.Close(ctx))
 			}
 			cancel()
-			if err := errors.Join(err, c.Close()); err != nil {
+			if err := errors.Join(err, conn.Close()); err != nil {
 				return err
 			}
 		}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -43,11 +43,11 @@
 	out := make(chan requestResult, 1)
 	go func() {
 		answer, advice, hold := protocol.open(ctx, relay.address, name, timeout)
-		s := requestResult{answer: answer, retryAfter: advice}
+		result := requestResult{answer: answer, retryAfter: advice}
 		if hold != nil {
-			s.end = hold()
+			result.end = hold()
 		}
-		out <- s
+		out <- result
 	}()
 	return out
 }
@@ -64,7 +64,7 @@
 
 // forEachProtocol runs a test through both frontends, and through AMQP with connections that requests share.
 func forEachProtocol(t *testing.T, do func(t *testing.T, protocol frontendProtocol)) {
-	shared := amqpProtocol(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Second} }, nil)
+	shared := amqpProtocol(func(frontend *Frontend) { frontend.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Second} }, nil)
 	shared.name = "amqp, shared"
 	for _, protocol := range append(slices.Clip(protocols), shared) {
 		t.Run(protocol.name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 		gate := newAnswerGate()
 		relay := newTestRelay(t, protocol, 1, nil)
 		relay.scenario.beforeAnswer = gate.wait
-		relay.updateSettings(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
+		relay.updateSettings(func(settings *balancer.Settings) { settings.Classes[0].Deadline = time.Minute })
 		late := startRequest(context.Background(), relay, protocol, time.Minute) // its turn is at 0.62 of the time
 		receiveWithin(t, "the first comes to a server", gate.arrived)
 		relay.proxy.MigrateAll(over)
@@ -90,8 +90,8 @@
 		testutil.Until(t, "its turn is over", func() bool { return relay.proxy.Clock.Now()-began > over*2/3 })
 		close(gate.release)
 		up := relay.proxy.Clock.Now()
-		if s := receiveWithin(t, "the end", late); s != (requestResult{"up", false, "moved"}) {
-			t.Errorf("who comes up late is %+v", s)
+		if result := receiveWithin(t, "the end", late); result != (requestResult{"up", false, "moved"}) {
+			t.Errorf("who comes up late is %+v", result)
 		}
 		if took := relay.proxy.Clock.Now() - up; took > over/2 {
 			t.Errorf("who comes up after its turn is moved %v later", took)
@@ -106,13 +106,13 @@
 		gate := newAnswerGate()
 		relay := newTestRelay(t, protocol, 1, nil)
 		relay.scenario.beforeAnswer = gate.wait
-		relay.updateSettings(func(s *balancer.Settings) { s.Classes[0].Deadline = time.Minute })
+		relay.updateSettings(func(settings *balancer.Settings) { settings.Classes[0].Deadline = time.Minute })
 		late := startRequest(context.Background(), relay, protocol, time.Minute)
 		receiveWithin(t, "it comes to a server", gate.arrived)
 		relay.setEndpointState(balancer.StateDraining, 0) // the module's mail keeps its order
 		close(gate.release)
-		if s := receiveWithin(t, "its end", late); s != (requestResult{"up", false, "moved"}) {
-			t.Errorf("who is accepted late is %+v", s)
+		if result := receiveWithin(t, "its end", late); result != (requestResult{"up", false, "moved"}) {
+			t.Errorf("who is accepted late is %+v", result)
 		}
 	})
 }
@@ -120,7 +120,7 @@
 // A relay that leaves answers who waits. What it may say depends on whether the attempt that is out may have run: where a
 // repeat is not harmless, the unavailable answer would have it run twice.
 func TestShutdownAnswersPendingRequestsByClass(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		class balancer.Class
 		want  string
@@ -130,21 +130,21 @@
 		{"deduplicated by all", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeAll, DeduplicationWindow: time.Minute}, "unavailable"},
 		{"deduplicated in a cell", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 				gate := newAnswerGate()
 				defer close(gate.release)
 				relay := newTestRelay(t, protocol, 1, nil)
 				relay.scenario.beforeAnswer = gate.wait
-				relay.updateSettings(func(s *balancer.Settings) {
-					s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].DeduplicationWindow = c.class.Effect, c.class.Scope, c.class.DeduplicationWindow
-					s.Classes[0].Deadline = time.Minute
+				relay.updateSettings(func(settings *balancer.Settings) {
+					settings.Classes[0].Effect, settings.Classes[0].Scope, settings.Classes[0].DeduplicationWindow = testCase.class.Effect, testCase.class.Scope, testCase.class.DeduplicationWindow
+					settings.Classes[0].Deadline = time.Minute
 				})
 				waits := startRequest(context.Background(), relay, protocol, time.Minute)
 				receiveWithin(t, "it comes to a server", gate.arrived)
 				relay.proxy.RejectPending()
-				if s := receiveWithin(t, "its answer", waits); s.answer != c.want {
-					t.Errorf("the client is told %q, want %q", s.answer, c.want)
+				if result := receiveWithin(t, "its answer", waits); result.answer != testCase.want {
+					t.Errorf("the client is told %q, want %q", result.answer, testCase.want)
 				}
 			})
 		})
@@ -154,7 +154,7 @@
 // A client that leaves while a connection to its endpoint comes up: nothing of it is sent once the connection is there.
 // The same for an endpoint that begins to drain meanwhile, and a repeat that its endpoint would run anew by then.
 func TestNothingIsSentOnAConnectionEstablishedTooLate(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name string
 		do   func(relay *testRelay, leave func())
 	}{
@@ -162,11 +162,13 @@
 		{"the server drains", func(relay *testRelay, _ func()) { relay.setEndpointState(balancer.StateDraining, 0) }},
 		{"the server is gone", func(relay *testRelay, _ func()) { relay.setEndpointState(balancer.StateGone, 0) }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 				f := newFullListener(t)
 				relay := newTestRelay(t, protocol, 1, nil)
-				relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
+				relay.updateSettings(func(settings *balancer.Settings) {
+					settings.ConnectTimeout, settings.Classes[0].Deadline = time.Minute, time.Minute
+				})
 				relay.endpointAddresses = []string{f.Addr().String()}
 				relay.setEndpointState(balancer.StateReady, 0)
 				ctx, leave := context.WithCancel(context.Background())
@@ -176,14 +178,14 @@
 					all := relay.proxy.Requests.List()
 					return len(all) == 1 && all[0].Attempts == 1
 				})
-				c.do(relay, leave)
-				if c.name == "the client leaves" {
+				testCase.do(relay, leave)
+				if testCase.name == "the client leaves" {
 					testutil.Until(t, "the relay has seen it leave", func() bool { return relay.proxy.Requests.Len() == 0 })
 				}
 				f.acceptAndServe(t, protocol, relay.scenario)
 				receiveWithin(t, "the client's end", waits)
-				if v := relay.waitIdle(t); v.received != 0 {
-					t.Errorf("%d transactions came to the server", v.received)
+				if result := relay.waitIdle(t); result.received != 0 {
+					t.Errorf("%d transactions came to the server", result.received)
 				}
 			})
 		})
@@ -197,8 +199,8 @@
 		const giveUp, late = 4 * time.Second, 600 * time.Millisecond
 		f := newFullListener(t)
 		relay := newTestRelay(t, protocol, 1, nil)
-		relay.updateSettings(func(s *balancer.Settings) {
-			s.ConnectTimeout, s.Classes[0].Deadline, s.MaxAttempts = time.Minute, time.Minute, 1
+		relay.updateSettings(func(settings *balancer.Settings) {
+			settings.ConnectTimeout, settings.Classes[0].Deadline, settings.MaxAttempts = time.Minute, time.Minute, 1
 		})
 		relay.endpointAddresses = []string{f.Addr().String()}
 		relay.setEndpointState(balancer.StateReady, 0)
@@ -226,9 +228,9 @@
 		f, gate := newFullListener(t), newAnswerGate()
 		relay := newTestRelay(t, protocol, 1, []endpointAction{actionReset})
 		relay.scenario.beforeAnswer = gate.wait
-		relay.updateSettings(func(s *balancer.Settings) {
-			s.ConnectTimeout = time.Minute
-			s.Classes[0].Deadline, s.Classes[0].Effect, s.Classes[0].Scope, s.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
+		relay.updateSettings(func(settings *balancer.Settings) {
+			settings.ConnectTimeout = time.Minute
+			settings.Classes[0].Deadline, settings.Classes[0].Effect, settings.Classes[0].Scope, settings.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
 		})
 		began := relay.proxy.Clock.Now()
 		waits := startRequest(context.Background(), relay, protocol, time.Minute)
@@ -241,11 +243,11 @@
 		})
 		testutil.Until(t, "the first is forgotten", func() bool { return relay.proxy.Clock.Now() > began+2*memory })
 		f.acceptAndServe(t, protocol, relay.scenario)
-		if s := receiveWithin(t, "its answer", waits); s.answer != "failed" {
-			t.Errorf("the client is told %q", s.answer)
+		if result := receiveWithin(t, "its answer", waits); result.answer != "failed" {
+			t.Errorf("the client is told %q", result.answer)
 		}
-		if v := relay.waitIdle(t); v.received != 1 {
-			t.Errorf("it came to servers %d times", v.received)
+		if result := relay.waitIdle(t); result.received != 1 {
+			t.Errorf("it came to servers %d times", result.received)
 		}
 	})
 }
@@ -253,7 +255,7 @@
 // A client that leaves while its request waits is let go at once, wherever that is, and nothing of it goes out after.
 // (A dial, and the wait for a shared connection, are above.)
 func TestClientThatLeavesWhilePendingIsForgotten(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		servers int
 		acts    []endpointAction
@@ -269,20 +271,20 @@
 			return relay.proxy.Requests.Len() == 2
 		}, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 				turns := make(chan struct{})
-				relay := newDelayedTestRelay(t, protocol, c.servers, c.acts, 64, turns)
+				relay := newDelayedTestRelay(t, protocol, testCase.servers, testCase.acts, 64, turns)
 				begin := sync.OnceFunc(func() { close(turns) })
 				defer begin()
-				relay.updateSettings(func(s *balancer.Settings) { s.MaxAttempts, s.Classes[0].Deadline = 9, time.Minute })
+				relay.updateSettings(func(settings *balancer.Settings) { settings.MaxAttempts, settings.Classes[0].Deadline = 9, time.Minute })
 				stands := 0
-				if c.name != "for a turn" {
+				if testCase.name != "for a turn" {
 					begin()
 				}
 				first, end := context.WithCancel(context.Background())
 				defer end()
-				if c.name == "for a server that takes nothing now" {
+				if testCase.name == "for a server that takes nothing now" {
 					// It is cold, and another has just had what it bears.
 					relay.setEndpointState(balancer.StateReady, relay.proxy.Clock.Now()-18*time.Second)
 					startRequest(first, relay, protocol, time.Minute)
@@ -292,18 +294,18 @@
 				ctx, leave := context.WithCancel(context.Background())
 				defer leave()
 				waits := startRequest(ctx, relay, protocol, time.Minute)
-				testutil.Until(t, "it waits", func() bool { return c.waits(t, relay) })
+				testutil.Until(t, "it waits", func() bool { return testCase.waits(t, relay) })
 				leave()
 				testutil.Until(t, "it is forgotten", func() bool { return relay.proxy.Requests.Len() == stands })
 				receiveWithin(t, "its client's end", waits)
 				begin()
-				if relay.scenario.mu.Lock(); relay.scenario.received != c.want {
-					t.Errorf("%d transactions came to servers, want %d", relay.scenario.received, c.want)
+				if relay.scenario.mu.Lock(); relay.scenario.received != testCase.want {
+					t.Errorf("%d transactions came to servers, want %d", relay.scenario.received, testCase.want)
 				}
 				relay.scenario.mu.Unlock()
 				end()
-				if v := relay.waitIdle(t); v.received != c.want {
-					t.Errorf("%d transactions came to servers after it had left, want %d", v.received, c.want)
+				if result := relay.waitIdle(t); result.received != testCase.want {
+					t.Errorf("%d transactions came to servers after it had left, want %d", result.received, testCase.want)
 				}
 			})
 		})
@@ -313,20 +315,22 @@
 // A shared connection that has idled is closed by its endpoint just as the next attach comes: that may have run. It is
 // repeated where a repeat is harmless, on another connection, and fails where it is not.
 func TestSharedConnectionClosedDuringAnAttach(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name     string
 		effect   balancer.Effect
 		sessions int64 // that endpoints have seen in all
 		cond     string
 	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, framing.CondInternalError}} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
 			// The first link comes and goes; the second's attach is read, and its connection closed.
-			s := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 2 }}
-			protocol := amqpProtocol(func(f *Frontend) { f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute} }, nil)
-			protocol.serveEndpoint = s.serve
+			shared := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 2 }}
+			protocol := amqpProtocol(func(frontend *Frontend) { frontend.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute} }, nil)
+			protocol.serveEndpoint = shared.serve
 			relay := newTestRelay(t, protocol, 2, nil)
-			relay.updateSettings(func(s *balancer.Settings) { s.Classes[0].Effect, s.Classes[0].Deadline = c.effect, time.Minute })
+			relay.updateSettings(func(settings *balancer.Settings) {
+				settings.Classes[0].Effect, settings.Classes[0].Deadline = testCase.effect, time.Minute
+			})
 			session := clientOf(t, relay)
 			first := attach(t, session, "first")
 			ctx, cancel := context.WithTimeout(context.Background(), serverWait)
@@ -337,11 +341,11 @@
 			testutil.Until(t, "the first has ended", func() bool { return relay.proxy.Requests.Len() == 0 })
 			_, err := session.NewSender(ctx, "there", &client10.SenderOptions{Name: "second", Properties: linkProperties()})
 			var end *client10.Error
-			if c.cond == "" && err != nil || c.cond != "" && (!errors.As(err, &end) || end.Condition != client10.ErrCond(c.cond)) {
+			if testCase.cond == "" && err != nil || testCase.cond != "" && (!errors.As(err, &end) || end.Condition != client10.ErrCond(testCase.cond)) {
 				t.Errorf("the second's answer is %v", err)
 			}
-			if got := s.sessions.Load(); got != c.sessions {
-				t.Errorf("servers have seen %d sessions, want %d", got, c.sessions)
+			if got := shared.sessions.Load(); got != testCase.sessions {
+				t.Errorf("servers have seen %d sessions, want %d", got, testCase.sessions)
 			}
 			if n := relay.proxy.Counters.Attempts(balancer.StatusReset); n != 1 {
 				t.Errorf("%d passes were reset", n)
@@ -355,17 +359,19 @@
 func TestLinksOfAFaultyClientEndAtOnce(t *testing.T) {
 	f := newFullListener(t)
 	relay := newTestRelay(t, protocols[1], 1, nil)
-	relay.updateSettings(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
+	relay.updateSettings(func(settings *balancer.Settings) {
+		settings.ConnectTimeout, settings.Classes[0].Deadline = time.Minute, time.Minute
+	})
 	relay.endpointAddresses = []string{f.Addr().String()}
 	relay.setEndpointState(balancer.StateReady, 0)
-	c := dialRaw(t, relay.address).begin()
-	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
+	client := dialRaw(t, relay.address).begin()
+	client.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
 	testutil.Until(t, "its pass goes out", func() bool {
 		all := relay.proxy.Requests.List()
 		return len(all) == 1 && all[0].Attempts == 1
 	})
-	c.writeFrame(5, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false}}, nil) // on a channel without a session
-	c.expect(framing.CodeClose, 0, framing.CondFramingError)
+	client.writeFrame(5, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(1), false}}, nil) // on a channel without a session
+	client.expect(framing.CodeClose, 0, framing.CondFramingError)
 	told := time.Now() // and it stays: a client that lingers is waited for
 	testutil.Until(t, "its link is let go", func() bool { return relay.proxy.Requests.Len() == 0 })
 	if took := time.Since(told); took > listener.LingerTimeout/2 {
@@ -375,14 +381,14 @@
 
 // A client without links that is shown out as it speaks is told so: closing over what has come would reset its connection.
 func TestWhoIsShownOutAsItSpeaksIsTold(t *testing.T) {
-	l := listen(t)
-	defer l.Close()
-	there, err := net.Dial("tcp", l.Addr().String())
+	netListener := listen(t)
+	defer netListener.Close()
+	there, err := net.Dial("tcp", netListener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer there.Close()
-	here, err := l.Accept()
+	here, err := netListener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -392,9 +398,9 @@
 	}
 	testutil.Unread(t, tcp, framing.HeaderSize)
 	(&clientConnection{connection: newConnection(tcp), tcp: tcp}).evict()
-	f, err := peer.readFrame(framing.TypeAMQP, serverWait)
-	if cond, _ := f.Condition(framing.CloseError); err != nil || f.Code != framing.CodeClose || cond != framing.CondResourceLimitExceeded {
-		t.Errorf("it is told %#x, %q, %v", f.Code, cond, err)
+	frame, err := peer.readFrame(framing.TypeAMQP, serverWait)
+	if cond, _ := frame.Condition(framing.CloseError); err != nil || frame.Code != framing.CodeClose || cond != framing.CondResourceLimitExceeded {
+		t.Errorf("it is told %#x, %q, %v", frame.Code, cond, err)
 	}
 	if _, err := peer.readFrame(framing.TypeAMQP, serverWait); !errors.Is(err, io.EOF) {
 		t.Errorf("its connection ends with %v", err)
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -104,9 +104,9 @@
 // frontendProtocol is one of the relay's two protocols, with its peers.
 type frontendProtocol struct {
 	name        string
-	newFrontend func(k *proxy.Proxy, seats int) frontendServer
+	newFrontend func(relayProxy *proxy.Proxy, seats int) frontendServer
 	// serveEndpoint serves one connection of a fake endpoint.
-	serveEndpoint func(t testing.TB, c *net.TCPConn, s *scenario)
+	serveEndpoint func(t testing.TB, conn *net.TCPConn, s *scenario)
 	// open begins a request of a name and waits for its answer; the client
 	// leaves with ctx. hold waits for the end of one that is up.
 	open func(ctx context.Context, address, name string, timeout time.Duration) (answer string, advice bool, hold func() string)
@@ -118,12 +118,12 @@
 }
 
 var protocols = []frontendProtocol{
-	{name: "line", newFrontend: func(k *proxy.Proxy, seats int) frontendServer {
-		return &line.Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
+	{name: "line", newFrontend: func(relayProxy *proxy.Proxy, seats int) frontendServer {
+		return &line.Frontend{Proxy: relayProxy, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 	}, serveEndpoint: serveLineEndpoint, open: openLine, openAndSend: openAndSendLine,
 		slowPieces: []string{"PING\r\n", "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=", "p"}, endless: "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c="},
-	{name: "amqp", newFrontend: func(k *proxy.Proxy, seats int) frontendServer {
-		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
+	{name: "amqp", newFrontend: func(relayProxy *proxy.Proxy, seats int) frontendServer {
+		return &Frontend{Proxy: relayProxy, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
 	}, serveEndpoint: serveAMQPEndpoint, open: openAMQP, openAndSend: openAndSendAMQP,
 		slowPieces: []string{string(framing.ProtocolHeaderAMQP[:]), "\x00\x00\x10\x00\x02\x00\x00\x00", "p"}, endless: string(framing.ProtocolHeaderAMQP[:]) + "\x7f\xff\xff\xff\x02\x00\x00\x00"},
 }
@@ -131,10 +131,10 @@
 // amqpProtocol is AMQP with a frontend that is prepared, and endpoints that speak TLS if theirs is given.
 func amqpProtocol(prepare func(*Frontend), servers *tls.Config) frontendProtocol {
 	protocol := protocols[1]
-	protocol.newFrontend = func(k *proxy.Proxy, seats int) frontendServer {
-		f := &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
-		prepare(f)
-		return f
+	protocol.newFrontend = func(relayProxy *proxy.Proxy, seats int) frontendServer {
+		frontend := &Frontend{Proxy: relayProxy, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}}
+		prepare(frontend)
+		return frontend
 	}
 	if servers != nil {
 		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, s *scenario) {
@@ -196,24 +196,24 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	for i := range servers {
-		l := listen(t)
-		relay.endpointAddresses = append(relay.endpointAddresses, l.Addr().String())
+		netListener := listen(t)
+		relay.endpointAddresses = append(relay.endpointAddresses, netListener.Addr().String())
 		relay.endpoints = append(relay.endpoints, balancer.Endpoint{
 			ID: relay.proxy.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1,
 		})
-		all.Go(func() { serveAll(t, l, protocol, relay.scenario) })
-		context.AfterFunc(ctx, func() { l.Close() })
+		all.Go(func() { serveAll(t, netListener, protocol, relay.scenario) })
+		context.AfterFunc(ctx, func() { netListener.Close() })
 	}
 	relay.proxy.UpdateEndpoints(balancer.ListFull, relay.endpoints, relay.endpointAddresses)
-	l := listen(t)
-	relay.address = l.Addr().String()
+	netListener := listen(t)
+	relay.address = netListener.Addr().String()
 	all.Go(func() {
 		<-turns
 		_ = relay.proxy.Run(ctx)
 	})
-	all.Go(func() { _ = protocol.newFrontend(relay.proxy, seats).Serve(ctx, l) })
+	all.Go(func() { _ = protocol.newFrontend(relay.proxy, seats).Serve(ctx, netListener) })
 	relay.shutdown = sync.OnceFunc(func() {
-		l.Close()
+		netListener.Close()
 		cancel()
 		all.Wait()
 	})
@@ -223,16 +223,16 @@
 
 func listen(t testing.TB) net.Listener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	netListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return netListener
 }
 
 // serveAll answers a fake endpoint's connections until its listener is closed, and
 // then ends them.
-func serveAll(t testing.TB, l net.Listener, protocol frontendProtocol, s *scenario) {
+func serveAll(t testing.TB, netListener net.Listener, protocol frontendProtocol, s *scenario) {
 	var all sync.WaitGroup
 	defer all.Wait()
 	var mu sync.Mutex
@@ -240,21 +240,21 @@
 	defer func() {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, c := range open {
-			c.Close()
+		for _, conn := range open {
+			conn.Close()
 		}
 	}()
 	for {
-		c, err := l.Accept()
+		conn, err := netListener.Accept()
 		if err != nil {
 			return
 		}
 		mu.Lock()
-		open = append(open, c)
+		open = append(open, conn)
 		mu.Unlock()
 		all.Go(func() {
-			protocol.serveEndpoint(t, c.(*net.TCPConn), s)
-			c.Close()
+			protocol.serveEndpoint(t, conn.(*net.TCPConn), s)
+			conn.Close()
 			select {
 			case s.ended <- struct{}{}:
 			default:
@@ -274,10 +274,10 @@
 
 // updateSettings puts other settings in force.
 func (relay *testRelay) updateSettings(change func(*balancer.Settings)) {
-	s := *relay.proxy.Settings()
-	s.Classes = append([]balancer.Class(nil), s.Classes...)
-	change(&s)
-	relay.proxy.UpdateSettings(&s)
+	settings := *relay.proxy.Settings()
+	settings.Classes = append([]balancer.Class(nil), settings.Classes...)
+	change(&settings)
+	relay.proxy.UpdateSettings(&settings)
 }
 
 // waitIdle waits until no request is in progress and returns the result.
@@ -321,12 +321,12 @@
 	if took := time.Since(began); took > timeout+time.Second {
 		t.Errorf("answered after %v, the client gives up after %v", took, timeout)
 	}
-	s := requestResult{answer: answer, retryAfter: advice}
+	result := requestResult{answer: answer, retryAfter: advice}
 	if hold != nil {
 		if meanwhile != nil {
 			meanwhile()
 		}
-		s.end = hold()
+		result.end = hold()
 	}
-	return s
+	return result
 }
--- a/internal/frontend/amqp/forwarding_test.go
+++ b/internal/frontend/amqp/forwarding_test.go
@@ -52,14 +52,14 @@
 		t.Fatal(err)
 	}
 	for i := range pages {
-		m, err := receiver.Receive(ctx, nil)
+		message, err := receiver.Receive(ctx, nil)
 		if err != nil {
 			t.Fatalf("page %d: %v", i, err)
 		}
-		if got := m.GetData(); !bytes.Equal(got, page(i)) {
+		if got := message.GetData(); !bytes.Equal(got, page(i)) {
 			t.Fatalf("page %d has %d bytes, want %d", i, len(got), len(page(i)))
 		}
-		if err := receiver.AcceptMessage(ctx, m); err != nil {
+		if err := receiver.AcceptMessage(ctx, message); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -80,12 +80,12 @@
 // pageServer sends pages as far as the client's credit goes.
 func pageServer(t testing.TB, tcp *net.TCPConn, pages int, settled chan<- uint32) {
 	sent := 0
-	serveFrames(t, tcp, func(c *connection, session *session, frame framing.Frame) bool {
+	serveFrames(t, tcp, func(conn *connection, session *session, frame framing.Frame) bool {
 		switch frame.Code {
 		case framing.CodeOpen, framing.CodeBegin:
-			answerOpenOrBegin(c, session, frame)
+			answerOpenOrBegin(conn, session, frame)
 		case framing.CodeAttach:
-			c.writeFrame(0, frame.Performative.With(framing.AttachHandle, uint32(0)).With(framing.AttachRole, false).With(framing.AttachInitialDeliveryCount, uint32(0)).With(framing.AttachProperties, nil), nil)
+			conn.writeFrame(0, frame.Performative.With(framing.AttachHandle, uint32(0)).With(framing.AttachRole, false).With(framing.AttachInitialDeliveryCount, uint32(0)).With(framing.AttachProperties, nil), nil)
 		case framing.CodeDisposition:
 			for id := frame.Uint32(framing.DispositionFirst, 0); id <= frame.Uint32(framing.DispositionLast, frame.Uint32(framing.DispositionFirst, 0)); id++ {
 				settled <- id
@@ -95,8 +95,8 @@
 			for most := int(frame.Uint32(framing.FlowDeliveryCount, 0) + frame.Uint32(framing.FlowLinkCredit, 0)); sent < min(pages, most); sent++ {
 				body := codec.Append(nil, codec.Described{Descriptor: uint64(0x75), Value: page(sent)})
 				tag := binary.BigEndian.AppendUint32(nil, uint32(sent))
-				p := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
-				if err := session.sendTransfer(p, body); err != nil {
+				performative := framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(sent), tag, uint32(0), false, false}}
+				if err := session.sendTransfer(performative, body); err != nil {
 					t.Errorf("page %d: %v", sent, err)
 				}
 			}
--- a/internal/frontend/amqp/frontends_test.go
+++ b/internal/frontend/amqp/frontends_test.go
@@ -14,7 +14,7 @@
 )
 
 func TestBothFrontendsGiveTheSameResults(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		servers int
 		acts    []endpointAction
@@ -79,8 +79,8 @@
 			caseResult{[]requestResult{{"failed", false, ""}, {"up", false, "moved"}}, "cancelled=1", 1}},
 		{"a client that doesn't wait for its answer", 1, []endpointAction{actionHang},
 			func(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
-				v := relay.waitIdle(t, requestResult{answer: protocol.openAndSend(t, relay.address)})
-				return caseResult{results: v.results} // an attempt may have gone out, or not
+				result := relay.waitIdle(t, requestResult{answer: protocol.openAndSend(t, relay.address)})
+				return caseResult{results: result.results} // an attempt may have gone out, or not
 			},
 			caseResult{[]requestResult{{"failed", false, ""}}, "", 0}},
 		{"no seat is free", 1, []endpointAction{actionAccept},
@@ -108,24 +108,24 @@
 				{"unavailable", true, ""}, {"unavailable", true, ""}, {"unavailable", true, ""}, {"up", false, "ended"},
 			}, "ok=1", 1}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			for _, protocol := range protocols {
 				t.Run(protocol.name, func(t *testing.T) {
 					t.Parallel()
 					seats := 64
-					if c.name == "no seat is free" {
+					if testCase.name == "no seat is free" {
 						seats = 1
 					}
-					relay := newTestRelayWithSlots(t, protocol, c.servers, c.acts, seats)
-					run := c.run
+					relay := newTestRelayWithSlots(t, protocol, testCase.servers, testCase.acts, seats)
+					run := testCase.run
 					if run == nil {
 						run = func(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
 							return relay.waitIdle(t, runRequest(t, relay, protocol, clientTimeout, nil))
 						}
 					}
 					got := run(t, relay, protocol)
-					if !slices.Equal(got.results, c.want.results) || got.attempts != c.want.attempts || got.received != c.want.received {
-						t.Errorf("got  %+v\nwant %+v", got, c.want)
+					if !slices.Equal(got.results, testCase.want.results) || got.attempts != testCase.want.attempts || got.received != testCase.want.received {
+						t.Errorf("got  %+v\nwant %+v", got, testCase.want)
 					}
 				})
 			}
@@ -172,17 +172,17 @@
 // returns how long the frontend bears that.
 func sendSlowly(t *testing.T, address string, pieces []string, more string, every time.Duration) time.Duration {
 	began := time.Now()
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
 		return 0
 	}
-	defer c.Close()
-	c.SetDeadline(began.Add(serverWait))
+	defer conn.Close()
+	conn.SetDeadline(began.Add(serverWait))
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _ = io.Copy(io.Discard, c)
+		_, _ = io.Copy(io.Discard, conn)
 	}()
 	tick := time.NewTicker(max(every, time.Nanosecond))
 	defer tick.Stop()
@@ -193,7 +193,7 @@
 		} else {
 			part = more
 		}
-		if _, err := io.WriteString(c, part); err != nil {
+		if _, err := io.WriteString(conn, part); err != nil {
 			break
 		}
 		most -= len(part)
@@ -228,12 +228,12 @@
 	}
 	// On a busy machine the client's own first word can be late, and its place be
 	// given to another: then it comes again.
-	s := requestResult{}
-	for try := 0; try < 5 && s.answer != "up"; try++ {
-		s = runRequest(t, relay, protocol, clientTimeout, nil)
+	result := requestResult{}
+	for try := 0; try < 5 && result.answer != "up"; try++ {
+		result = runRequest(t, relay, protocol, clientTimeout, nil)
 	}
 	all.Wait()
-	return relay.waitIdle(t, s)
+	return relay.waitIdle(t, result)
 }
 
 // clientsAtWarmingEndpoint has four clients ask at once for an endpoint that has just
--- a/internal/frontend/amqp/fulllistener_test.go
+++ b/internal/frontend/amqp/fulllistener_test.go
@@ -31,24 +31,24 @@
 	}
 	file := os.NewFile(uintptr(fd), "a listener")
 	defer func() { _ = file.Close() }()
-	l, err := net.FileListener(file)
+	netListener, err := net.FileListener(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fullListener{Listener: l}
+	f := &fullListener{Listener: netListener}
 	t.Cleanup(func() {
 		f.Close()
-		for _, c := range f.queued {
-			c.Close()
+		for _, conn := range f.queued {
+			conn.Close()
 		}
 		f.served.Wait()
 	})
 	for { // until one does not come up
-		c, err := net.DialTimeout("tcp", l.Addr().String(), 200*time.Millisecond)
+		conn, err := net.DialTimeout("tcp", netListener.Addr().String(), 200*time.Millisecond)
 		if err != nil {
 			return f
 		}
-		if f.queued = append(f.queued, c); len(f.queued) > 16 {
+		if f.queued = append(f.queued, conn); len(f.queued) > 16 {
 			t.Fatal("the queue does not fill")
 		}
 	}
@@ -57,11 +57,11 @@
 // acceptAndServe takes in who waits, and serves from then on.
 func (f *fullListener) acceptAndServe(t *testing.T, protocol frontendProtocol, s *scenario) {
 	for range f.queued {
-		c, err := f.Accept()
+		conn, err := f.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Close()
+		conn.Close()
 	}
 	f.served.Go(func() { serveAll(t, f.Listener, protocol, s) })
 }
--- a/internal/frontend/amqp/libraryclient_test.go
+++ b/internal/frontend/amqp/libraryclient_test.go
@@ -14,14 +14,14 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	t.Cleanup(cancel)
-	c, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{
+	conn, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{
 		SASLType: client10.SASLTypeAnonymous(), MaxFrameSize: 1024,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	session, err := c.NewSession(ctx, nil)
+	t.Cleanup(func() { _ = conn.Close() })
+	session, err := conn.NewSession(ctx, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,10 +44,10 @@
 }
 
 // attachTo opens a link with properties, sends a message and closes it; it returns what it is told.
-func attachTo(c *client10.Conn, target string, props map[string]any) error {
+func attachTo(conn *client10.Conn, target string, props map[string]any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	session, err := c.NewSession(ctx, nil)
+	session, err := conn.NewSession(ctx, nil)
 	if err != nil {
 		return err
 	}
@@ -64,12 +64,12 @@
 // clientOf is a session of an independent client.
 func clientOf(t testing.TB, relay *testRelay) *client10.Session {
 	t.Helper()
-	c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
+	conn, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() })
-	session, err := c.NewSession(context.Background(), nil)
+	t.Cleanup(func() { _ = conn.Close() })
+	session, err := conn.NewSession(context.Background(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/amqp/linepeers_test.go
+++ b/internal/frontend/amqp/linepeers_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-func serveLineEndpoint(t testing.TB, c *net.TCPConn, s *scenario) {
-	relay := bufio.NewReader(c)
+func serveLineEndpoint(t testing.TB, conn *net.TCPConn, s *scenario) {
+	relay := bufio.NewReader(conn)
 	text, err := relay.ReadString('\n')
 	if err != nil {
 		return
@@ -25,42 +25,42 @@
 	told, _, _ = strings.Cut(told, ",")
 	ms, _ := strconv.Atoi(told)
 	s.recordTimeout(time.Duration(ms) * time.Millisecond)
-	act := s.next(t, c.LocalAddr())
-	up := func(more string) { s.answered(); io.WriteString(c, "UP r1\r\n"+more) }
+	act := s.next(t, conn.LocalAddr())
+	up := func(more string) { s.answered(); io.WriteString(conn, "UP r1\r\n"+more) }
 	switch act {
 	case actionAccept:
 		up("")
-		_, _ = io.Copy(c, relay)
+		_, _ = io.Copy(conn, relay)
 	case actionRejectFull:
 		s.answered()
-		io.WriteString(c, "BUSY\r\n")
+		io.WriteString(conn, "BUSY\r\n")
 	case actionFail:
 		s.answered()
-		io.WriteString(c, "ERR\r\n")
+		io.WriteString(conn, "ERR\r\n")
 	case actionHang, actionNoCredit:
 		_, _ = io.Copy(io.Discard, relay)
 		s.answered()
 	case actionReset:
 		s.answered()
-		c.SetLinger(0)
+		conn.SetLinger(0)
 	case actionAcceptAndDetach:
 		up("BYE\r\n")
 	case actionAcceptAndRedirect:
 		up("MOVE\r\n")
 	case actionAcceptAndReset:
 		up("")
-		c.SetLinger(0)
+		conn.SetLinger(0)
 	}
 }
 
 func openLine(ctx context.Context, address, name string, timeout time.Duration) (string, bool, func() string) {
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return "lost", false, nil
 	}
-	context.AfterFunc(ctx, func() { c.Close() })
-	fmt.Fprintf(c, "OPEN %s 7f3a9c21e0b4d655 c=page,d=%d,g=5c0f6e1a2b3d4c59\r\n", name, timeout.Milliseconds())
-	relay := bufio.NewReader(c)
+	context.AfterFunc(ctx, func() { conn.Close() })
+	fmt.Fprintf(conn, "OPEN %s 7f3a9c21e0b4d655 c=page,d=%d,g=5c0f6e1a2b3d4c59\r\n", name, timeout.Milliseconds())
+	relay := bufio.NewReader(conn)
 	text, err := relay.ReadString('\n')
 	switch word := strings.Fields(text); {
 	case err != nil:
@@ -86,14 +86,14 @@
 }
 
 func openAndSendLine(t *testing.T, address string) string {
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(serverWait))
-	io.WriteString(c, strings.Repeat("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,d=1200\r\n", 200))
-	text, err := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(serverWait))
+	io.WriteString(conn, strings.Repeat("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,d=1200\r\n", 200))
+	text, err := bufio.NewReader(conn).ReadString('\n')
 	if text != "ERR\r\n" {
 		return fmt.Sprintf("%q, %v", text, err)
 	}
--- a/internal/frontend/amqp/placement_test.go
+++ b/internal/frontend/amqp/placement_test.go
@@ -20,11 +20,11 @@
 			t.Fatal(err)
 		}
 	}
-	f := &Frontend{Proxy: newTestRelay(t, protocols[1], 1, nil).proxy, Placements: places}
+	frontend := &Frontend{Proxy: newTestRelay(t, protocols[1], 1, nil).proxy, Placements: places}
 	attach := func(address string, props codec.Map) framing.Performative {
 		return senderAttach("a link", 0, props).With(framing.AttachTarget, terminus(framing.CodeTarget, address))
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		address, container string
 		props              codec.Map
 		class, wrong       string
@@ -39,18 +39,18 @@
 		{"other", "x", codec.Map{codec.Symbol(propClass), "page"}, "", `"give-up-ms"`, 0, 0},
 		{"scores/12", "x", codec.Map{codec.Symbol(propDeadline), "soon"}, "", `"give-up-ms"`, 0, 0},
 	} {
-		now := f.Proxy.Clock.Now()
-		ask, told, err := f.parseRequest(attach(c.address, c.props), c.container, "a link")
-		if c.wrong != "" {
-			if err == nil || !strings.Contains(err.Error(), c.wrong) {
-				t.Errorf("%s of %s: %v", c.address, c.container, err)
+		now := frontend.Proxy.Clock.Now()
+		ask, told, err := frontend.parseRequest(attach(testCase.address, testCase.props), testCase.container, "a link")
+		if testCase.wrong != "" {
+			if err == nil || !strings.Contains(err.Error(), testCase.wrong) {
+				t.Errorf("%s of %s: %v", testCase.address, testCase.container, err)
 			}
 			continue
 		}
 		props, _ := told.Field(framing.AttachProperties).(codec.Map)
-		if err != nil || ask.Class != c.class || ask.Group != c.group || (ask.Deadline-now).Round(50*time.Millisecond) != c.give ||
-			codec.AsString(props.Get(propClass)) != c.class || hashKey(props.Get(propGroup)) != c.group {
-			t.Errorf("%s of %s: %+v, %v, %v", c.address, c.container, ask, props, err)
+		if err != nil || ask.Class != testCase.class || ask.Group != testCase.group || (ask.Deadline-now).Round(50*time.Millisecond) != testCase.give ||
+			codec.AsString(props.Get(propClass)) != testCase.class || hashKey(props.Get(propGroup)) != testCase.group {
+			t.Errorf("%s of %s: %+v, %v, %v", testCase.address, testCase.container, ask, props, err)
 		}
 	}
 	for what, p := range map[string]Placement{"class: is missing": {Address: "x"}, "give_up": {Class: "x", Timeout: -1}, "group": {Class: "x", Group: "property:"}} {
@@ -58,17 +58,17 @@
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	protocol := amqpProtocol(func(f *Frontend) { f.Placements = places }, nil)
+	protocol := amqpProtocol(func(frontend *Frontend) { frontend.Placements = places }, nil)
 	relay := newTestRelay(t, protocol, 1, nil)
-	c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
+	conn, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	if err := attachTo(c, "scores/7", nil); err != nil {
+	defer func() { _ = conn.Close() }()
+	if err := attachTo(conn, "scores/7", nil); err != nil {
 		t.Errorf("a plain client: %v", err)
 	}
-	if err := attachTo(c, "elsewhere", nil); err == nil || !strings.Contains(err.Error(), "no class is told") {
+	if err := attachTo(conn, "elsewhere", nil); err == nil || !strings.Contains(err.Error(), "no class is told") {
 		t.Errorf("one that no rule fits: %v", err)
 	}
 }
@@ -79,13 +79,13 @@
 	terms := *relay.proxy.Settings()
 	terms.Tenants = []string{"fraser", "cedar"}
 	relay.proxy.UpdateSettings(&terms)
-	f := &Frontend{Proxy: relay.proxy}
+	frontend := &Frontend{Proxy: relay.proxy}
 	for tenant, wrong := range map[any]string{nil: `"" is no known tenant`, "other": `"other" is no known tenant`, "cedar": ""} {
 		props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(300)}
 		if tenant != nil {
 			props = append(props, codec.Symbol(propTenant), tenant)
 		}
-		ask, _, err := f.parseRequest(framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, nil, nil, nil, nil, uint32(0), nil, nil, nil, props}}, "x", "a link")
+		ask, _, err := frontend.parseRequest(framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a link", uint32(0), false, nil, nil, nil, nil, nil, nil, uint32(0), nil, nil, nil, props}}, "x", "a link")
 		if wrong == "" && (err != nil || ask.Tenant != tenant) || wrong != "" && (err == nil || !strings.Contains(err.Error(), wrong)) {
 			t.Errorf("tenant %v: %+v, %v", tenant, ask, err)
 		}
--- a/internal/frontend/amqp/protocolerrors_test.go
+++ b/internal/frontend/amqp/protocolerrors_test.go
@@ -15,58 +15,58 @@
 
 func TestWrongFramesGetTheStandardsConditions(t *testing.T) {
 	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)}
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		acts []endpointAction
-		do   func(c *rawClient)
+		do   func(client *rawClient)
 	}{
-		"a frame that is too large": {nil, func(c *rawClient) {
-			_, _ = c.Write([]byte{0, 1, 0, 0, 2, 0, 0, 0})
-			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		"a frame that is too large": {nil, func(client *rawClient) {
+			_, _ = client.Write([]byte{0, 1, 0, 0, 2, 0, 0, 0})
+			client.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a frame that is too small": {nil, func(c *rawClient) {
-			_, _ = c.Write([]byte{0, 0, 0, 7, 2, 0, 0})
-			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		"a frame that is too small": {nil, func(client *rawClient) {
+			_, _ = client.Write([]byte{0, 0, 0, 7, 2, 0, 0})
+			client.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a data offset out of range": {nil, func(c *rawClient) {
-			_, _ = c.Write([]byte{0, 0, 0, 8, 9, 0, 0, 0})
-			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		"a data offset out of range": {nil, func(client *rawClient) {
+			_, _ = client.Write([]byte{0, 0, 0, 8, 9, 0, 0, 0})
+			client.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a value that makes no sense": {nil, func(c *rawClient) {
-			_, _ = c.Write([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13})
-			c.expect(framing.CodeClose, 0, framing.CondDecodeError)
+		"a value that makes no sense": {nil, func(client *rawClient) {
+			_, _ = client.Write([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13})
+			client.expect(framing.CodeClose, 0, framing.CondDecodeError)
 		}},
-		"a channel without a session": {nil, func(c *rawClient) {
-			c.writeFrame(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
-			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		"a channel without a session": {nil, func(client *rawClient) {
+			client.writeFrame(9, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, uint32(1), uint32(1), uint32(1)}}, nil)
+			client.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a channel over the most": {nil, func(c *rawClient) {
-			c.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
-			c.expect(framing.CodeClose, 0, framing.CondFramingError)
+		"a channel over the most": {nil, func(client *rawClient) {
+			client.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
+			client.expect(framing.CodeClose, 0, framing.CondFramingError)
 		}},
-		"a handle without a link": {nil, func(c *rawClient) {
-			c.begin().writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
-			c.expect(framing.CodeEnd, 0, framing.CondUnattachedHandle)
+		"a handle without a link": {nil, func(client *rawClient) {
+			client.begin().writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(5), uint32(0), []byte("t")}}, nil)
+			client.expect(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 		}},
-		"a handle that is in use": {[]endpointAction{actionHang}, func(c *rawClient) {
-			c.begin().attach(1, props)
-			c.attach(1, props)
-			c.expect(framing.CodeEnd, 0, framing.CondHandleInUse)
+		"a handle that is in use": {[]endpointAction{actionHang}, func(client *rawClient) {
+			client.begin().attach(1, props)
+			client.attach(1, props)
+			client.expect(framing.CodeEnd, 0, framing.CondHandleInUse)
 		}},
-		"an attach without its properties": {nil, func(c *rawClient) {
-			c.begin().attach(1, nil)
-			c.expect(framing.CodeAttach, 0, "")
-			c.expect(framing.CodeDetach, 2, framing.CondInvalidField)
+		"an attach without its properties": {nil, func(client *rawClient) {
+			client.begin().attach(1, nil)
+			client.expect(framing.CodeAttach, 0, "")
+			client.expect(framing.CodeDetach, 2, framing.CondInvalidField)
 		}},
-		"a transfer without credit": {[]endpointAction{actionHang}, func(c *rawClient) {
-			c.begin().attach(1, props)
-			c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
-			c.expect(framing.CodeAttach, 0, "")
-			c.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
+		"a transfer without credit": {[]endpointAction{actionHang}, func(client *rawClient) {
+			client.begin().attach(1, props)
+			client.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(1), uint32(0), []byte("t")}}, nil)
+			client.expect(framing.CodeAttach, 0, "")
+			client.expect(framing.CodeDetach, 2, framing.CondTransferLimitExceeded)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			relay := newTestRelay(t, protocols[1], 1, c.acts)
-			c.do(dialRaw(t, relay.address))
+			relay := newTestRelay(t, protocols[1], 1, testCase.acts)
+			testCase.do(dialRaw(t, relay.address))
 			relay.waitIdle(t)
 		})
 	}
@@ -74,8 +74,8 @@
 
 func TestSilentClientIsClosed(t *testing.T) {
 	protocol := protocols[1]
-	protocol.newFrontend = func(k *proxy.Proxy, seats int) frontendServer {
-		return &Frontend{Proxy: k, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}, IdleTimeout: 100 * time.Millisecond}
+	protocol.newFrontend = func(relayProxy *proxy.Proxy, seats int) frontendServer {
+		return &Frontend{Proxy: relayProxy, Limiter: &listener.ConnLimiter{Slots: seats, MaxIdle: 64}, IdleTimeout: 100 * time.Millisecond}
 	}
 	relay := newTestRelay(t, protocol, 1, nil)
 	dialRaw(t, relay.address).expect(framing.CodeClose, 0, framing.CondResourceLimitExceeded)
@@ -84,11 +84,11 @@
 // A refusal needs no credit, and comes while the give-up time still runs.
 func TestFinalAnswerNeedsNoCredit(t *testing.T) {
 	relay := newTestRelay(t, protocols[1], 1, []endpointAction{actionNoCredit})
-	c := dialRaw(t, relay.address).begin()
-	c.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)})
+	client := dialRaw(t, relay.address).begin()
+	client.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)})
 	began := time.Now()
-	c.expect(framing.CodeAttach, 0, "")
-	c.expect(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
+	client.expect(framing.CodeAttach, 0, "")
+	client.expect(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
 	if took := time.Since(began); took > 1400*time.Millisecond {
 		t.Errorf("answered after %v", took)
 	}
@@ -103,12 +103,12 @@
 		t.Fatal(err)
 	}
 	defer tcp.Close()
-	c := newConnection(tcp.(*net.TCPConn))
-	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-	_, _ = c.readProtocolHeader(time.Second)
-	c.writeFrame(0, newOpen("idle").With(framing.OpenIdleTimeout, uint32(90)), nil)
+	conn := newConnection(tcp.(*net.TCPConn))
+	conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	_, _ = conn.readProtocolHeader(time.Second)
+	conn.writeFrame(0, newOpen("idle").With(framing.OpenIdleTimeout, uint32(90)), nil)
 	for beats := 0; beats < 3; {
-		frame, err := c.readFrame(framing.TypeAMQP, 90*time.Millisecond)
+		frame, err := conn.readFrame(framing.TypeAMQP, 90*time.Millisecond)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,15 +120,15 @@
 
 func TestOtherProtocolsAreAnsweredWithOurHeader(t *testing.T) {
 	relay := newTestRelay(t, protocols[1], 1, nil)
-	c, err := net.Dial("tcp", relay.address)
+	conn, err := net.Dial("tcp", relay.address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer conn.Close()
 	// More than the relay reads of it at once: a close over the rest would be a reset.
-	io.WriteString(c, "GET / HTTP/1.1\r\n"+strings.Repeat("Accept: all that there is\r\n", 1000)+"\r\n")
-	c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	if got, err := io.ReadAll(c); string(got) != string(framing.ProtocolHeaderAMQP[:]) || err != nil {
+	io.WriteString(conn, "GET / HTTP/1.1\r\n"+strings.Repeat("Accept: all that there is\r\n", 1000)+"\r\n")
+	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+	if got, err := io.ReadAll(conn); string(got) != string(framing.ProtocolHeaderAMQP[:]) || err != nil {
 		t.Errorf("the front answers %q, %v", got, err)
 	}
 }
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -30,41 +30,41 @@
 
 // serveSettling is an endpoint that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
 func serveSettling(_ testing.TB, tcp *net.TCPConn, _ *scenario) {
-	c, err := AcceptPeerConn(tcp, settlingReadTimeout, false)
+	conn, err := AcceptPeerConn(tcp, settlingReadTimeout, false)
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	for p := c.Session(); p != nil; p = c.Session() {
+	defer conn.Close()
+	for peer := conn.Session(); peer != nil; peer = conn.Session() {
 		go func() {
-			defer p.End()
+			defer peer.End()
 			part := []byte(nil)
 			count := uint32(0)
 			for {
-				f, err := p.nextFrame(settlingReadTimeout)
-				if err != nil || f.Code == framing.CodeEnd {
+				frame, err := peer.nextFrame(settlingReadTimeout)
+				if err != nil || frame.Code == framing.CodeEnd {
 					return
 				}
-				switch f.Code {
+				switch frame.Code {
 				case framing.CodeAttach:
-					p.Attach(PeerEvent{Handle: f.Uint32(framing.AttachHandle, 0), attach: f.Performative}, 20)
+					peer.Attach(PeerEvent{Handle: frame.Uint32(framing.AttachHandle, 0), attach: frame.Performative}, 20)
 				case framing.CodeTransfer:
-					_ = p.receiveTransfer(false)
-					part = append(part, f.Payload...)
-					if f.Bool(framing.TransferMore) && !f.Bool(framing.TransferAborted) {
+					_ = peer.receiveTransfer(false)
+					part = append(part, frame.Payload...)
+					if frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferAborted) {
 						continue
 					}
-					if !f.Bool(framing.TransferAborted) && !f.Bool(framing.TransferSettled) {
-						p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, f.Field(framing.TransferDeliveryID), nil, true, outcomeOf(part)}}, nil)
+					if !frame.Bool(framing.TransferAborted) && !frame.Bool(framing.TransferSettled) {
+						peer.writeFrame(peer.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(framing.TransferDeliveryID), nil, true, outcomeOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
-						p.Credit(f.Uint32(framing.TransferHandle, 0), count, 20)
+						peer.Credit(frame.Uint32(framing.TransferHandle, 0), count, 20)
 					}
 				case framing.CodeFlow:
-					_ = p.handleFlow(f.Performative)
+					_ = peer.handleFlow(frame.Performative)
 				case framing.CodeDetach:
-					p.Detach(f.Uint32(framing.DetachHandle, 0), "")
+					peer.Detach(frame.Uint32(framing.DetachHandle, 0), "")
 				}
 			}
 		}()
@@ -76,7 +76,7 @@
 func TestRandomDeliveriesAreSettledOnce(t *testing.T) {
 	for _, set := range []connpool.Settings{{}, {MaxSessions: 3, IdleTimeout: time.Minute}} {
 		t.Run(fmt.Sprintf("%d sessions", set.MaxSessions), func(t *testing.T) {
-			protocol := amqpProtocol(func(f *Frontend) { f.Pool = set }, nil)
+			protocol := amqpProtocol(func(frontend *Frontend) { frontend.Pool = set }, nil)
 			protocol.serveEndpoint = serveSettling
 			relay := newTestRelay(t, protocol, 1, nil)
 			rapid.Check(t, func(rt *rapid.T) { randomDeliveries(t, rt, relay.address) })
@@ -89,8 +89,8 @@
 var randomNames atomic.Int64 // one that was used may still be open for a moment
 
 func randomDeliveries(t *testing.T, rt *rapid.T, address string) {
-	c := dialRaw(t, address).begin()
-	defer c.Close()
+	client := dialRaw(t, address).begin()
+	defer client.Close()
 	type known struct {
 		up, coming bool
 		credit     uint32 // up to which it may send
@@ -104,36 +104,36 @@
 	// hear takes what has come, until done says so or nothing is awaited.
 	hear := func(done func() bool) {
 		for !done() {
-			f, err := c.nextFrame()
+			frame, err := client.nextFrame()
 			if err != nil {
 				rt.Fatalf("%v; still to come %v", err, want)
 			}
-			switch f.Code {
+			switch frame.Code {
 			case framing.CodeAttach:
-				links[f.Uint32(framing.AttachHandle, 0)].up = true
+				links[frame.Uint32(framing.AttachHandle, 0)].up = true
 			case framing.CodeFlow:
-				if f.Field(framing.FlowHandle) != nil {
-					links[f.Uint32(framing.FlowHandle, 0)].credit = f.Uint32(framing.FlowDeliveryCount, 0) + f.Uint32(framing.FlowLinkCredit, 0)
+				if frame.Field(framing.FlowHandle) != nil {
+					links[frame.Uint32(framing.FlowHandle, 0)].credit = frame.Uint32(framing.FlowDeliveryCount, 0) + frame.Uint32(framing.FlowLinkCredit, 0)
 				}
 			case framing.CodeDisposition:
-				for id := f.Uint32(framing.DispositionFirst, 0); id <= f.Uint32(framing.DispositionLast, f.Uint32(framing.DispositionFirst, 0)); id++ {
+				for id := frame.Uint32(framing.DispositionFirst, 0); id <= frame.Uint32(framing.DispositionLast, frame.Uint32(framing.DispositionFirst, 0)); id++ {
 					outcome, waits := want[id]
-					if !waits || !f.Bool(framing.DispositionSettled) || fmt.Sprint(f.Field(framing.DispositionState)) != fmt.Sprint(outcome) {
-						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, f.Fields, waits, outcome)
+					if !waits || !frame.Bool(framing.DispositionSettled) || fmt.Sprint(frame.Field(framing.DispositionState)) != fmt.Sprint(outcome) {
+						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, frame.Fields, waits, outcome)
 					}
 					delete(want, id)
 				}
 			case framing.CodeDetach:
-				switch cond, _ := f.Condition(framing.DetachError); cond {
+				switch cond, _ := frame.Condition(framing.DetachError); cond {
 				case "":
 				case framing.CondResourceLimitExceeded, framing.CondConnectionForced: // no connection came up in time, or none was heard of: the machine has other things to do
 					rt.SkipNow()
 				default:
-					rt.Fatalf("link %d is detached as %s", f.Uint32(framing.DetachHandle, 0), cond)
+					rt.Fatalf("link %d is detached as %s", frame.Uint32(framing.DetachHandle, 0), cond)
 				}
-				links[f.Uint32(framing.DetachHandle, 0)] = known{}
+				links[frame.Uint32(framing.DetachHandle, 0)] = known{}
 			default:
-				rt.Fatalf("told %#x %v", f.Code, f.Fields)
+				rt.Fatalf("told %#x %v", frame.Code, frame.Fields)
 			}
 		}
 	}
@@ -145,7 +145,7 @@
 			next++
 		}
 		l.coming = more && !aborted
-		c.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+		client.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 		if l.coming {
 			return
 		}
@@ -180,7 +180,7 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := some(func(l known) bool { return !l.up })
-			c.writeFrame(3, senderAttach(fmt.Sprint("link ", randomNames.Add(1)), uint32(i), rawProps), nil)
+			client.writeFrame(3, senderAttach(fmt.Sprint("link ", randomNames.Add(1)), uint32(i), rawProps), nil)
 			hear(func() bool { return links[i].up && links[i].credit > 0 })
 		},
 		"send": func(rt *rapid.T) {
@@ -202,7 +202,7 @@
 		"detach": func(*rapid.T) {
 			i := some(func(l known) bool { return l.up && !l.coming })
 			hear(func() bool { return len(want) == 0 }) // an outcome that crosses a detach is the sender's no more
-			c.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(i), true}}, nil)
+			client.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(i), true}}, nil)
 			hear(func() bool { return !links[i].up })
 		},
 	})
@@ -212,7 +212,7 @@
 		}
 	}
 	hear(func() bool { return len(want) == 0 })
-	c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+	client.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 }
 
 // FuzzClient sends a frontend whatever bytes after a sound beginning, and it never falls over: the next client is accepted.
@@ -229,15 +229,15 @@
 	protocol.serveEndpoint = serveSettling
 	relay := newTestRelay(f, protocol, 1, nil)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := dialRaw(t, relay.address)
-		_, _ = c.Write(text)
+		client := dialRaw(t, relay.address)
+		_, _ = client.Write(text)
 		for { // until it has nothing more to say to that
-			if _, err := c.readFrame(framing.TypeAMQP, 5*time.Millisecond); err != nil {
+			if _, err := client.readFrame(framing.TypeAMQP, 5*time.Millisecond); err != nil {
 				break
 			}
 		}
-		c.streamConn.(*net.TCPConn).SetLinger(0) // ports would run out
-		c.Close()
+		client.streamConn.(*net.TCPConn).SetLinger(0) // ports would run out
+		client.Close()
 	})
 }
 
--- a/internal/frontend/amqp/rawclient_test.go
+++ b/internal/frontend/amqp/rawclient_test.go
@@ -23,14 +23,14 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { tcp.Close() })
-	c := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
-	c.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-	if header, err := c.readProtocolHeader(time.Second); err != nil || header != framing.ProtocolHeaderAMQP {
+	client := &rawClient{newConnection(tcp.(*net.TCPConn)), t}
+	client.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+	if header, err := client.readProtocolHeader(time.Second); err != nil || header != framing.ProtocolHeaderAMQP {
 		t.Fatalf("the front answers %q, %v", header, err)
 	}
-	c.writeFrame(0, newOpen("raw"), nil)
-	c.expect(framing.CodeOpen, 0, "")
-	return c
+	client.writeFrame(0, newOpen("raw"), nil)
+	client.expect(framing.CodeOpen, 0, "")
+	return client
 }
 
 func (c *rawClient) begin() *rawClient {
@@ -80,14 +80,14 @@
 
 // attachAndWait attaches a link that is to send or to receive, and waits until it is up.
 func (c *rawClient) attachAndWait(sends bool, fields ...func(framing.Performative) framing.Performative) (framing.Performative, error) {
-	p := senderAttach("a link", 1, rawProps).With(framing.AttachRole, !sends).With(framing.AttachInitialDeliveryCount, nil)
+	performative := senderAttach("a link", 1, rawProps).With(framing.AttachRole, !sends).With(framing.AttachInitialDeliveryCount, nil)
 	if sends {
-		p = p.With(framing.AttachInitialDeliveryCount, uint32(0))
+		performative = performative.With(framing.AttachInitialDeliveryCount, uint32(0))
 	}
 	for _, set := range fields {
-		p = set(p)
+		performative = set(performative)
 	}
-	c.writeFrame(3, p, nil)
+	c.writeFrame(3, performative, nil)
 	frame, err := c.nextFrame()
 	if err != nil || frame.Code != framing.CodeAttach {
 		return frame.Performative, fmt.Errorf("an attach is answered with %#x, %v", frame.Code, err)
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	protocol := amqpProtocol(func(f *Frontend) { f.Authenticator, f.EndpointTLS = gate, up }, &tls.Config{Certificates: []tls.Certificate{serverPair}, ClientCAs: certPool(t, a.CA), ClientAuth: tls.RequireAndVerifyClientCert})
+	protocol := amqpProtocol(func(frontend *Frontend) { frontend.Authenticator, frontend.EndpointTLS = gate, up }, &tls.Config{Certificates: []tls.Certificate{serverPair}, ClientCAs: certPool(t, a.CA), ClientAuth: tls.RequireAndVerifyClientCert})
 	relay := newTestRelay(t, protocol, 2, nil)
 	trusts := &tls.Config{RootCAs: certPool(t, a.CA), ServerName: "127.0.0.1"}
 
@@ -81,7 +81,7 @@
 	if err := attachTo(desk, "there", linkProperties()); !errors.As(err, &refused) || refused.Condition != framing.CondUnauthorizedAccess || !strings.Contains(refused.Description, `"desk" may not open the class "page"`) {
 		t.Errorf("desk is told %v", err)
 	}
-	for what, c := range map[string]struct {
+	for what, testCase := range map[string]struct {
 		config *tls.Config
 		as     client10.SASLType
 	}{
@@ -90,8 +90,8 @@
 		"no security layer": {trusts, nil}, "who trusts another": {&tls.Config{RootCAs: x509.NewCertPool()}, client10.SASLTypePlain("ann", "ann's")},
 		"an old TLS": {&tls.Config{RootCAs: trusts.RootCAs, ServerName: "127.0.0.1", MaxVersion: tls.VersionTLS11}, client10.SASLTypePlain("ann", "ann's")},
 	} {
-		if c, err := dialSecured(relay.address, c.config, c.as); err == nil {
-			_ = c.Close()
+		if conn, err := dialSecured(relay.address, testCase.config, testCase.as); err == nil {
+			_ = conn.Close()
 			t.Errorf("%s comes in", what)
 		}
 	}
@@ -99,11 +99,11 @@
 	var seen *x509.Certificate
 	old.VerifyConnection = func(c tls.ConnectionState) error { seen = c.PeerCertificates[0]; return nil }
 	serial := func() string {
-		c, err := dialSecured(relay.address, old, client10.SASLTypePlain("ann", "ann's"))
+		conn, err := dialSecured(relay.address, old, client10.SASLTypePlain("ann", "ann's"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = c.Close()
+		_ = conn.Close()
 		return seen.SerialNumber.String()
 	}
 	before := serial()
@@ -127,16 +127,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay := newTestRelay(t, amqpProtocol(func(f *Frontend) { f.Authenticator = gate }, nil), 1, nil)
+	relay := newTestRelay(t, amqpProtocol(func(frontend *Frontend) { frontend.Authenticator = gate }, nil), 1, nil)
 	for _, text := range []string{"", "\x16\x03\x01\x02", string(framing.ProtocolHeaderAMQP[:])} {
-		c, err := net.Dial("tcp", relay.address)
+		conn, err := net.Dial("tcp", relay.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		io.WriteString(c, text)
-		c.SetReadDeadline(time.Now().Add(openTimeout + time.Second))
-		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
+		defer conn.Close()
+		io.WriteString(conn, text)
+		conn.SetReadDeadline(time.Now().Add(openTimeout + time.Second))
+		if _, err := io.ReadAll(conn); errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%q: it is still there", text)
 		}
 	}
@@ -169,16 +169,16 @@
 		{"tls, a password known again", gate, trusts, client10.SASLTypePlain("ann", "ann's")},
 	} {
 		b.Run(way.name, func(b *testing.B) {
-			relay := newTestRelay(b, amqpProtocol(func(f *Frontend) { f.Authenticator = way.gate }, nil), 1, nil)
+			relay := newTestRelay(b, amqpProtocol(func(frontend *Frontend) { frontend.Authenticator = way.gate }, nil), 1, nil)
 			for b.Loop() {
-				c, err := dialSecured(relay.address, way.config, way.as)
+				conn, err := dialSecured(relay.address, way.config, way.as)
 				if err != nil {
 					b.Fatal(err)
 				}
-				if err := attachTo(c, "there", linkProperties()); err != nil {
+				if err := attachTo(conn, "there", linkProperties()); err != nil {
 					b.Fatal(err)
 				}
-				_ = c.Close()
+				_ = conn.Close()
 			}
 		})
 	}
--- a/internal/frontend/amqp/sharedconn_test.go
+++ b/internal/frontend/amqp/sharedconn_test.go
@@ -25,22 +25,22 @@
 }
 
 func (s *sharedEndpoint) serve(_ testing.TB, tcp *net.TCPConn, _ *scenario) {
-	c, err := AcceptPeerConn(tcp, serverWait, false)
+	conn, err := AcceptPeerConn(tcp, serverWait, false)
 	if err != nil {
 		return
 	}
 	number := s.connections.Add(1)
 	var all sync.WaitGroup
 	defer all.Wait()
-	defer c.Close()
-	for p := c.Session(); p != nil; p = c.Session() {
+	defer conn.Close()
+	for peer := conn.Session(); peer != nil; peer = conn.Session() {
 		n := s.sessions.Add(1)
-		if now := int64(p.channel) + 1; now > s.maxSessions.Load() { // the lowest that is free is taken
+		if now := int64(peer.channel) + 1; now > s.maxSessions.Load() { // the lowest that is free is taken
 			s.maxSessions.Store(now)
 		}
 		all.Go(func() {
-			defer p.End()
-			settleSession(p, 50, func() bool {
+			defer peer.End()
+			settleSession(peer, 50, func() bool {
 				if s.acceptAttach == nil || s.acceptAttach(number, n) {
 					return true
 				}
@@ -52,18 +52,18 @@
 }
 
 // newSharedTestRelay is a relay whose requests share connections to one endpoint.
-func newSharedTestRelay(t testing.TB, s *sharedEndpoint, set connpool.Settings) *testRelay {
+func newSharedTestRelay(t testing.TB, shared *sharedEndpoint, set connpool.Settings) *testRelay {
 	t.Helper()
-	protocol := amqpProtocol(func(f *Frontend) { f.Pool = set }, nil)
-	protocol.serveEndpoint = s.serve
+	protocol := amqpProtocol(func(frontend *Frontend) { frontend.Pool = set }, nil)
+	protocol.serveEndpoint = shared.serve
 	return newTestRelayWithSlots(t, protocol, 1, nil, 2000)
 }
 
 // Seven requests go over as few connections as the settings and the endpoint allow, one after another over the
 // same; a connection without any is closed in its time.
 func TestRequestsShareConnections(t *testing.T) {
-	s := &sharedEndpoint{}
-	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: 300 * time.Millisecond})
+	shared := &sharedEndpoint{}
+	relay := newSharedTestRelay(t, shared, connpool.Settings{MaxSessions: 3, IdleTimeout: 300 * time.Millisecond})
 	c := clientOf(t, relay)
 	var all []*client10.Sender
 	for i := range 7 {
@@ -72,7 +72,7 @@
 	for _, one := range all {
 		sendOne(t, one)
 	}
-	if n, most := s.connections.Load(), s.maxSessions.Load(); n != 3 || most != 3 {
+	if n, most := shared.connections.Load(), shared.maxSessions.Load(); n != 3 || most != 3 {
 		t.Errorf("%d connections, of which one had %d sessions", n, most)
 	}
 	for _, one := range all {
@@ -84,7 +84,7 @@
 		sendOne(t, one)
 		_ = one.Close(t.Context())
 	}
-	if n := s.connections.Load(); n != 3 {
+	if n := shared.connections.Load(); n != 3 {
 		t.Errorf("transactions one after another make %d connections of 3", n)
 	}
 	testutil.Until(t, "connections stay", func() bool { return descriptorsTo(relay.endpointAddresses[0]) == 0 })
@@ -112,8 +112,8 @@
 // A connection that breaks ends each of its requests cleanly, and none of another connection's; those that were on
 // their way are tried elsewhere or answered.
 func TestConnectionEndAffectsOnlyItsRequests(t *testing.T) {
-	s := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
-	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 3, IdleTimeout: time.Minute})
+	shared := &sharedEndpoint{acceptAttach: func(_, session int64) bool { return session != 5 }} // the fifth breaks the second connection
+	relay := newSharedTestRelay(t, shared, connpool.Settings{MaxSessions: 3, IdleTimeout: time.Minute})
 	c := clientOf(t, relay)
 	var all []*client10.Sender
 	for i := range 4 {
@@ -135,20 +135,20 @@
 
 // Many come and go at once: each is answered, and in the end nothing is left of any.
 func TestSharedConnectionsUnderLoad(t *testing.T) {
-	s := &sharedEndpoint{}
-	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 5, IdleTimeout: 100 * time.Millisecond})
+	shared := &sharedEndpoint{}
+	relay := newSharedTestRelay(t, shared, connpool.Settings{MaxSessions: 5, IdleTimeout: 100 * time.Millisecond})
 	before := runtime.NumGoroutine()
 	var all sync.WaitGroup
 	for i := range 40 {
 		all.Go(func() {
-			c, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
+			conn, err := dialSecured(relay.address, nil, client10.SASLTypeAnonymous())
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			defer func() { _ = c.Close() }()
+			defer func() { _ = conn.Close() }()
 			for range 1 + i%4 {
-				if err := attachTo(c, "there", linkProperties()); err != nil {
+				if err := attachTo(conn, "there", linkProperties()); err != nil {
 					t.Errorf("client %d: %v", i, err)
 				}
 			}
@@ -158,15 +158,15 @@
 	testutil.Until(t, "something is left", func() bool {
 		return relay.proxy.Requests.Len() == 0 && descriptorsTo(relay.endpointAddresses[0]) == 0 && runtime.NumGoroutine() <= before+2
 	})
-	if s.maxSessions.Load() > 5 {
-		t.Errorf("%d sessions on one connection", s.maxSessions.Load())
+	if shared.maxSessions.Load() > 5 {
+		t.Errorf("%d sessions on one connection", shared.maxSessions.Load())
 	}
 }
 
 // An endpoint that drains gets nothing new over the connection that it has, which goes with its last request.
 func TestDrainingEndpointsConnectionEmpties(t *testing.T) {
-	s := &sharedEndpoint{}
-	relay := newSharedTestRelay(t, s, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
+	shared := &sharedEndpoint{}
+	relay := newSharedTestRelay(t, shared, connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute})
 	c := clientOf(t, relay)
 	attach(t, c, "one")
 	relay.endpoints[0].State = balancer.StateDraining
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -17,12 +17,12 @@
 
 // stallAfterAttach answers the attach with a lot of credit, and then reads nothing more.
 func stallAfterAttach(t testing.TB, tcp *net.TCPConn, release <-chan struct{}) {
-	serveFrames(t, tcp, func(c *connection, session *session, frame framing.Frame) bool {
+	serveFrames(t, tcp, func(conn *connection, session *session, frame framing.Frame) bool {
 		if frame.Code != framing.CodeAttach {
-			answerOpenOrBegin(c, session, frame)
+			answerOpenOrBegin(conn, session, frame)
 			return true
 		}
-		c.writeFrame(0, attachReply(frame.Performative, 0), nil)
+		conn.writeFrame(0, attachReply(frame.Performative, 0), nil)
 		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
 		return false
@@ -31,18 +31,18 @@
 
 // settleAll takes every delivery.
 func settleAll(tcp *net.TCPConn) {
-	p, err := AcceptPeer(tcp, serverWait, false)
+	peer, err := AcceptPeer(tcp, serverWait, false)
 	if err != nil {
 		return
 	}
-	defer p.Close()
-	settleSession(p, 20, func() bool { return true })
+	defer peer.Close()
+	settleSession(peer, 20, func() bool { return true })
 }
 
 // settleSession takes every delivery of a session until its end, or until an attach is not to be taken.
-func settleSession(p *Peer, credit uint32, attaching func() bool) {
+func settleSession(peer *Peer, credit uint32, attaching func() bool) {
 	for n := uint32(0); ; {
-		e, err := p.Next()
+		e, err := peer.Next()
 		switch {
 		case err != nil:
 			return
@@ -50,13 +50,13 @@
 			if !attaching() {
 				return
 			}
-			p.Attach(e, credit)
+			peer.Attach(e, credit)
 		case e.Kind == PeerDelivered:
 			n++
-			_ = p.Settle(e.Delivery)
-			p.Credit(e.Handle, n, credit)
+			_ = peer.Settle(e.Delivery)
+			peer.Credit(e.Handle, n, credit)
 		case e.Kind == PeerDetached:
-			p.Detach(e.Handle, "")
+			peer.Detach(e.Handle, "")
 		}
 	}
 }
@@ -70,32 +70,32 @@
 	t.Cleanup(func() { close(release) })
 	which := make(chan string, 64)
 	serve := func(name string, do func(*net.TCPConn)) {
-		l := listen(t)
-		t.Cleanup(func() { l.Close() })
+		netListener := listen(t)
+		t.Cleanup(func() { netListener.Close() })
 		id := relay.proxy.Endpoints.ID(name)
-		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(relay.endpointAddresses, l.Addr().String())
+		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(relay.endpointAddresses, netListener.Addr().String())
 		go func() {
 			for {
-				c, err := l.Accept()
+				conn, err := netListener.Accept()
 				if err != nil {
 					return
 				}
 				which <- name
-				go func() { defer c.Close(); do(c.(*net.TCPConn)) }()
+				go func() { defer conn.Close(); do(conn.(*net.TCPConn)) }()
 			}
 		}()
 	}
-	serve("s-1", func(c *net.TCPConn) { stallAfterAttach(t, c, release) })
+	serve("s-1", func(conn *net.TCPConn) { stallAfterAttach(t, conn, release) })
 	serve("s-2", settleAll)
 	relay.proxy.UpdateEndpoints(balancer.ListFull, relay.endpoints, relay.endpointAddresses)
 	for i := 0; stalled == "" || sound == ""; i++ { // which groups are drawn to which server
 		group := fmt.Sprintf("%x", 1000+i)
 		ctx, leave := context.WithTimeout(context.Background(), serverWait)
-		c, err := client10.Dial(ctx, "amqp://"+relay.address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "probe " + group})
+		conn, err := client10.Dial(ctx, "amqp://"+relay.address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "probe " + group})
 		if err != nil {
 			t.Fatal(err)
 		}
-		session, err := c.NewSession(ctx, nil)
+		session, err := conn.NewSession(ctx, nil)
 		if err == nil {
 			_, err = session.NewSender(ctx, "score", &client10.SenderOptions{Name: "probe", Properties: props(group)})
 		}
@@ -108,7 +108,7 @@
 		default:
 			sound = group
 		}
-		_ = c.Close()
+		_ = conn.Close()
 		leave()
 	}
 	return relay.address, stalled, sound
@@ -125,12 +125,12 @@
 	address, stalled, sound := newRelayWithStalledEndpoint(t)
 	ctx, leave := context.WithTimeout(context.Background(), 20*time.Second)
 	defer leave()
-	c, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "two links"})
+	conn, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "two links"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	session, err := c.NewSession(ctx, nil)
+	defer func() { _ = conn.Close() }()
+	session, err := conn.NewSession(ctx, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
