--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -24,37 +24,37 @@
 )
 
 const (
-	quietMost  = 2800 * time.Millisecond // a sound watch says something every 2 s
-	answerMost = 6 * time.Second         // a call for a watch is answered by then, or never
-	busyWait   = time.Second             // between two watches where discovery says that it is overbooked, as againWait
-	busyMost   = 8 * time.Second
-	staleFor   = 6 * time.Second // what discovery has to tell has come to every agent by then
-	listMost   = 64 << 20        // bytes of one list: 100,000 servers, indented. Memory is taken as a list comes
+	idleTimeout          = 2800 * time.Millisecond // a sound watch says something every 2 s
+	maxResponseTimeout   = 6 * time.Second         // a call for a watch is answered by then, or never
+	overloadedMinBackoff = time.Second             // between two watches where discovery says that it is overbooked, as againWait
+	overloadedMaxBackoff = 8 * time.Second
+	propagationDelay     = 6 * time.Second // what discovery has to tell has come to every agent by then
+	maxListBytes         = 64 << 20        // bytes of one list: 100,000 servers, indented. Memory is taken as a list comes
 )
 
-// pace is how a watch is opened.
-type pace struct {
-	calls     int           // that may wait for an answer at a time
-	head      time.Duration // one that has waited so long gets another beside it, or where it is alone is given up
-	againWait time.Duration // between two watches, doubled with each that brings nothing,
-	againMost time.Duration // up to this; each wait is drawn between half of it and all
+// watchPolicy is how a watch is opened.
+type watchPolicy struct {
+	maxInFlight int           // that may wait for an answer at a time
+	hedgeDelay  time.Duration // one that has waited so long gets another beside it, or where it is alone is given up
+	minBackoff  time.Duration // between two watches, doubled with each that brings nothing,
+	maxBackoff  time.Duration // up to this; each wait is drawn between half of it and all
 }
 
 var (
 	// An agent on the relay's own machine answers at once and at no cost, and what it has counts as told whether
 	// a watch is open or not: one that does not answer is asked again soon, and after a watch that ends at once.
-	ofAgent = pace{calls: 12, head: 500 * time.Millisecond, againWait: 25 * time.Millisecond, againMost: 200 * time.Millisecond}
+	agentPolicy = watchPolicy{maxInFlight: 12, hedgeDelay: 500 * time.Millisecond, minBackoff: 25 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
 	// A service that all relays ask takes their calls one after another. What a silent watch misses counts as told
 	// 6 s after it fell silent, so the next has to have come up by then.
-	ofService = pace{calls: 1, head: 2200 * time.Millisecond, againWait: 200 * time.Millisecond, againMost: 1600 * time.Millisecond}
+	servicePolicy = watchPolicy{maxInFlight: 1, hedgeDelay: 2200 * time.Millisecond, minBackoff: 200 * time.Millisecond, maxBackoff: 1600 * time.Millisecond}
 )
 
-// pace is the one that the settings in force ask for.
-func (w *Watcher) pace() pace {
+// policy is the one that the settings in force ask for.
+func (w *Watcher) policy() watchPolicy {
 	if w.Proxy.Settings().PollList {
-		return ofService
+		return servicePolicy
 	}
-	return ofAgent
+	return agentPolicy
 }
 
 // List is a list of the farm, or of what has changed in it.
@@ -76,7 +76,7 @@
 	UpSince  int64   `json:"up_since_ms"`
 }
 
-var phases = map[string]balancer.EndpointState{
+var endpointStates = map[string]balancer.EndpointState{
 	"ready": balancer.StateReady, "draining": balancer.StateDraining, "gone": balancer.StateGone,
 }
 
@@ -87,20 +87,20 @@
 	Zones      []string
 	RetainList bool // the list is kept as it came, for List
 	revision   uint64
-	fails      int // watches since one last brought anything
+	failures   int // watches since one last brought anything
 
-	newest uint64          // revision of the newest list, whichever agent told it
-	told   map[string]told // of each server that is listed, or was lately
-	swept  time.Time       // those that are long gone were left out of it then
+	newestRevision uint64                 // revision of the newest list, whichever agent told it
+	lastPhases     map[string]phaseRecord // of each server that is listed, or was lately
+	lastSweep      time.Time              // those that are long gone were left out of it then
 
-	first chan struct{} // closed once a watch has been answered; nil: nobody asked
+	synced chan struct{} // closed once a watch has been answered; nil: nobody asked
 
-	mu     sync.Mutex
-	kept   List
-	next   string             // where the watch is to be opened from now on; "" if where it is
-	whole  bool               // the next watch wants the list whole
-	due    bool               // it will, in a moment
-	cancel context.CancelFunc // ends the watch that is open
+	mu              sync.Mutex
+	retained        List
+	nextAddress     string             // where the watch is to be opened from now on; "" if where it is
+	needsFullList   bool               // the next watch wants the list whole
+	resyncScheduled bool               // it will, in a moment
+	cancelWatch     context.CancelFunc // ends the watch that is open
 }
 
 // SetAddress has the list watched at another address from now on. It guards against
@@ -109,30 +109,30 @@
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if address == w.Address && w.next == "" {
+	if address == w.Address && w.nextAddress == "" {
 		return // a watch that is sound there goes on
 	}
-	w.next = address
-	if w.cancel != nil {
-		w.cancel()
+	w.nextAddress = address
+	if w.cancelWatch != nil {
+		w.cancelWatch()
 	}
 }
 
-// turn returns the context of the next watch, and where it is opened. The list
+// beginWatch returns the context of the next watch, and where it is opened. The list
 // of an agent not watched before is wanted whole: its revisions need not go on
 // from those of the last.
-func (w *Watcher) turn(ctx context.Context) (context.Context, context.CancelFunc) {
+func (w *Watcher) beginWatch(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.next != "" && w.next != w.Address {
-		w.Address, w.whole = w.next, true
+	if w.nextAddress != "" && w.nextAddress != w.Address {
+		w.Address, w.needsFullList = w.nextAddress, true
 	}
-	if w.whole {
+	if w.needsFullList {
 		w.revision = 0
 	}
-	w.next, w.whole = "", false
-	ctx, w.cancel = context.WithCancel(ctx)
-	return ctx, w.cancel
+	w.nextAddress, w.needsFullList = "", false
+	ctx, w.cancelWatch = context.WithCancel(ctx)
+	return ctx, w.cancelWatch
 }
 
 // List returns the farm in discovery's form, as it was last told, and the agent that the
@@ -140,7 +140,7 @@
 func (w *Watcher) List() (l List, agent string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l = w.kept
+	l = w.retained
 	l.Members = slices.Clone(l.Members)
 	return l, w.Address
 }
@@ -148,7 +148,7 @@
 // Resume takes the list that another process of this relay had, and the agent that its
 // revision is of.
 func (w *Watcher) Resume(l List, agent string) error {
-	if err := w.take(l, balancer.ListCached); err != nil {
+	if err := w.apply(l, balancer.ListCached); err != nil {
 		return err
 	}
 	if agent != w.Address {
@@ -169,45 +169,45 @@
 	return len(w.Zones) - 1
 }
 
-// keep takes news into the list that is kept.
-func (w *Watcher) keep(l List, kind balancer.ListKind) {
+// retain takes news into the list that is kept.
+func (w *Watcher) retain(l List, kind balancer.ListKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if kind != balancer.ListDelta {
-		w.kept = l
-		w.kept.Members = slices.Clone(l.Members)
+		w.retained = l
+		w.retained.Members = slices.Clone(l.Members)
 		return
 	}
-	w.kept.Revision, w.kept.Complete = l.Revision, true
-	at := make(map[string]int, len(w.kept.Members)) // lists may have thousands
-	for i, k := range w.kept.Members {
+	w.retained.Revision, w.retained.Complete = l.Revision, true
+	at := make(map[string]int, len(w.retained.Members)) // lists may have thousands
+	for i, k := range w.retained.Members {
 		at[k.ID] = i
 	}
 	for _, m := range l.Members {
 		if i, there := at[m.ID]; there {
-			w.kept.Members[i] = m
+			w.retained.Members[i] = m
 		} else {
-			at[m.ID] = len(w.kept.Members)
-			w.kept.Members = append(w.kept.Members, m)
+			at[m.ID] = len(w.retained.Members)
+			w.retained.Members = append(w.retained.Members, m)
 		}
 	}
-	w.kept.Members = slices.DeleteFunc(w.kept.Members, func(m Member) bool { return m.Phase == "gone" })
+	w.retained.Members = slices.DeleteFunc(w.retained.Members, func(m Member) bool { return m.Phase == "gone" })
 }
 
 // Seed takes the list that the relay had before its start.
-func (w *Watcher) Seed(l List) error { return w.take(l, balancer.ListCached) }
+func (w *Watcher) Seed(l List) error { return w.apply(l, balancer.ListCached) }
 
-var errEmpty = errors.New("discovery: a whole list names no server; the farm stays as it is")
+var errEmptyList = errors.New("discovery: a whole list names no server; the farm stays as it is")
 
-func (w *Watcher) take(l List, kind balancer.ListKind) error {
+func (w *Watcher) apply(l List, kind balancer.ListKind) error {
 	if kind == balancer.ListFull && len(l.Members) == 0 && len(w.Proxy.Endpoints.List()) > 0 {
-		return errEmpty // an agent that has lost its list would have every client turned away
+		return errEmptyList // an agent that has lost its list would have every client turned away
 	}
 	servers := make([]balancer.Endpoint, 0, len(l.Members))
 	addresses := make([]string, 0, len(l.Members))
-	held := w.hold(&l)
+	held := w.holdBack(&l)
 	for _, m := range l.Members {
-		phase, ok := phases[m.Phase]
+		phase, ok := endpointStates[m.Phase]
 		if !ok || m.ID == "" || !(m.Size >= 0 && m.Size < 1e12) {
 			return fmt.Errorf("discovery: member %q in phase %q of size %v makes no sense", m.ID, m.Phase, m.Size)
 		}
@@ -218,31 +218,31 @@
 		addresses = append(addresses, m.HostPort)
 	}
 	if w.revision = l.Revision; w.RetainList {
-		w.keep(l, kind)
+		w.retain(l, kind)
 	}
-	w.fails = 0
+	w.failures = 0
 	w.Proxy.SetRevision(l.Revision)
 	w.Proxy.UpdateEndpoints(kind, servers, addresses)
-	w.note(l, kind, held)
+	w.recordPhases(l, kind, held)
 	return nil
 }
 
-// told is what was last told of a server, and since when that is so.
-type told struct {
+// phaseRecord is what was last told of a server, and since when that is so.
+type phaseRecord struct {
 	phase string
 	since time.Time
 }
 
-// hold leaves servers that were told to drain, or to be gone, as they are where an older list has them ready: the agent
+// holdBack leaves servers that were told to drain, or to be gone, as they are where an older list has them ready: the agent
 // that tells it, as one that has just been moved to, has not heard of it yet. It tells whether there are any. One that
 // has started since is another matter.
-func (w *Watcher) hold(l *List) (held bool) {
-	if l.Revision >= w.newest {
+func (w *Watcher) holdBack(l *List) (held bool) {
+	if l.Revision >= w.newestRevision {
 		return false
 	}
 	for i, m := range l.Members {
-		was, is := w.told[m.ID]
-		if !is || was.phase == "ready" || m.Phase != "ready" || time.Since(was.since) >= staleFor || m.UpSince > was.since.UnixMilli() {
+		was, is := w.lastPhases[m.ID]
+		if !is || was.phase == "ready" || m.Phase != "ready" || time.Since(was.since) >= propagationDelay || m.UpSince > was.since.UnixMilli() {
 			continue
 		}
 		if !held {
@@ -253,27 +253,27 @@
 	return held
 }
 
-// note notes what a list that was taken has told. Where servers were held against an older one, the list is asked for
+// recordPhases notes what a list that was taken has told. Where servers were held against an older one, the list is asked for
 // anew, whole, once every agent has the newer: what it says then is so.
-func (w *Watcher) note(l List, kind balancer.ListKind, held bool) {
+func (w *Watcher) recordPhases(l List, kind balancer.ListKind, held bool) {
 	now := time.Now()
 	is := func(id, phase string) {
-		if w.told[id].phase != phase {
-			w.told[id] = told{phase, now}
+		if w.lastPhases[id].phase != phase {
+			w.lastPhases[id] = phaseRecord{phase, now}
 		}
 	}
-	if w.told == nil {
-		w.told = make(map[string]told)
+	if w.lastPhases == nil {
+		w.lastPhases = make(map[string]phaseRecord)
 	}
-	if w.newest = max(w.newest, l.Revision); kind != balancer.ListDelta {
+	if w.newestRevision = max(w.newestRevision, l.Revision); kind != balancer.ListDelta {
 		if !held {
-			w.newest = l.Revision
+			w.newestRevision = l.Revision
 		}
 		named := make(map[string]bool, len(l.Members))
 		for _, m := range l.Members {
 			named[m.ID] = true
 		}
-		for id := range w.told {
+		for id := range w.lastPhases {
 			if !named[id] {
 				is(id, "gone")
 			}
@@ -282,43 +282,43 @@
 	for _, m := range l.Members {
 		is(m.ID, m.Phase)
 	}
-	if now.Sub(w.swept) >= staleFor {
-		w.swept = now
-		maps.DeleteFunc(w.told, func(_ string, t told) bool { return t.phase == "gone" && now.Sub(t.since) >= staleFor })
+	if now.Sub(w.lastSweep) >= propagationDelay {
+		w.lastSweep = now
+		maps.DeleteFunc(w.lastPhases, func(_ string, t phaseRecord) bool { return t.phase == "gone" && now.Sub(t.since) >= propagationDelay })
 	}
 	if held {
-		w.Proxy.Log.Warn("an older list has servers ready that were told to leave; they are held back", "revision", l.Revision, "newest", w.newest)
-		w.askAnew()
+		w.Proxy.Log.Warn("an older list has servers ready that were told to leave; they are held back", "revision", l.Revision, "newest", w.newestRevision)
+		w.scheduleResync()
 	}
 }
 
-// askAnew has the list asked for anew, whole, in a moment; once, however often it is called until then.
-func (w *Watcher) askAnew() {
+// scheduleResync has the list asked for anew, whole, in a moment; once, however often it is called until then.
+func (w *Watcher) scheduleResync() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.due {
+	if w.resyncScheduled {
 		return
 	}
-	w.due = true
-	time.AfterFunc(staleFor, func() {
+	w.resyncScheduled = true
+	time.AfterFunc(propagationDelay, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.due, w.whole = false, true
-		if w.cancel != nil {
-			w.cancel()
+		w.resyncScheduled, w.needsFullList = false, true
+		if w.cancelWatch != nil {
+			w.cancelWatch()
 		}
 	})
 }
 
-// answered notes that a watch has brought a list.
-func (w *Watcher) answered() {
+// markSynced notes that a watch has brought a list.
+func (w *Watcher) markSynced() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.first != nil {
+	if w.synced != nil {
 		select {
-		case <-w.first:
+		case <-w.synced:
 		default:
-			close(w.first)
+			close(w.synced)
 		}
 	}
 }
@@ -328,43 +328,43 @@
 func (w *Watcher) Synced() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.first == nil {
-		w.first = make(chan struct{})
+	if w.synced == nil {
+		w.synced = make(chan struct{})
 	}
-	return w.first
+	return w.synced
 }
 
 // Run watches until ctx ends. A watch that ends is opened again from the last
 // revision, after a moment, or at once where another address is to be followed.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		turn, done := w.turn(ctx)
-		w.fails++
+		turn, done := w.beginWatch(ctx)
+		w.failures++
 		began := time.Now()
 		err := w.watch(turn)
-		if time.Since(began) > quietMost {
-			w.fails = 0 // it has lived, be it without news
+		if time.Since(began) > idleTimeout {
+			w.failures = 0 // it has lived, be it without news
 		}
 		if turn.Err() == nil {
 			w.Proxy.Log.Warn("the watch of the farm has ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
 		}
 		select {
 		case <-turn.Done():
-		case <-time.After(w.pace().again(w.fails, errors.Is(err, errBusy), w.Proxy.Settings().PollInterval)):
+		case <-time.After(w.policy().backoff(w.failures, errors.Is(err, errOverloaded), w.Proxy.Settings().PollInterval)):
 		}
 		done()
 	}
 	return nil
 }
 
-// again is the wait before a watch is opened after some that brought nothing. It guards
+// backoff is the wait before a watch is opened after some that brought nothing. It guards
 // against many relays that come back to an agent that is down in step, and at once; and
 // where discovery is overbooked, against calls that wait in its queue only to fail there,
 // and take the time of those that would not. Who does not ask for too long (askEvery, where it is told) counts as told.
-func (p pace) again(fails int, busy bool, askEvery time.Duration) time.Duration {
-	least, most := p.againWait, p.againMost
+func (p watchPolicy) backoff(fails int, busy bool, askEvery time.Duration) time.Duration {
+	least, most := p.minBackoff, p.maxBackoff
 	if busy {
-		least, most = busyWait, busyMost
+		least, most = overloadedMinBackoff, overloadedMaxBackoff
 	}
 	if most = min(most, least<<min(fails, 8)); askEvery > 0 {
 		most = min(most, askEvery/2)
@@ -372,27 +372,27 @@
 	return most/2 + rand.N(max(1, most/2))
 }
 
-// call is a watch that has been asked for. Its answer has begun, or err says why it has not.
-type call struct {
-	conn *quiet
+// watchResponse is a watch that has been asked for. Its answer has begun, or err says why it has not.
+type watchResponse struct {
+	conn *idleTimeoutConn
 	body io.Reader
 	err  error
 }
 
-// call asks for a watch.
-func (w *Watcher) call(ctx context.Context, address string, revision uint64, most time.Duration) call {
+// requestWatch asks for a watch.
+func (w *Watcher) requestWatch(ctx context.Context, address string, revision uint64, most time.Duration) watchResponse {
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	var d net.Dialer
 	conn, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return call{err: err}
+		return watchResponse{err: err}
 	}
 	cut := context.AfterFunc(ctx, func() { conn.Close() })
-	c := call{conn: &quiet{conn, most}}
+	c := watchResponse{conn: &idleTimeoutConn{conn, most}}
 	_, c.err = fmt.Fprintf(conn, "GET /discovery/hosts?watch=1&from=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", revision, address)
 	if c.err == nil {
-		c.body, c.err = readHead(bufio.NewReader(c.conn))
+		c.body, c.err = readResponseHead(bufio.NewReader(c.conn))
 	}
 	if !cut() && c.err == nil {
 		c.err = ctx.Err()
@@ -400,26 +400,26 @@
 	if c.err != nil {
 		conn.Close()
 	}
-	c.conn.most = quietMost
+	c.conn.timeout = idleTimeout
 	return c
 }
 
-// open opens a watch. While an agent does not answer it is asked again beside the calls that wait, as it may never
+// openWatch opens a watch. While an agent does not answer it is asked again beside the calls that wait, as it may never
 // answer one that came while it was down, or answer it late: the first that is answered is the watch, the others are
 // closed. A failure of the last that waits is the failure.
-func (w *Watcher) open(ctx context.Context) (call, error) {
+func (w *Watcher) openWatch(ctx context.Context) (watchResponse, error) {
 	ctx, over := context.WithCancel(ctx)
 	defer over()
-	p := w.pace()
-	most := min(answerMost, time.Duration(p.calls)*p.head<<min(8, max(0, w.fails-1)))
-	answers := make(chan call)
+	p := w.policy()
+	most := min(maxResponseTimeout, time.Duration(p.maxInFlight)*p.hedgeDelay<<min(8, max(0, w.failures-1)))
+	answers := make(chan watchResponse)
 	out := 0
 	for {
-		if out < p.calls {
+		if out < p.maxInFlight {
 			out++
 			address, revision := w.Address, w.revision // which are another turn's once one is answered
 			go func() {
-				c := w.call(ctx, address, revision, most)
+				c := w.requestWatch(ctx, address, revision, most)
 				select {
 				case answers <- c:
 				case <-ctx.Done(): // another is the watch
@@ -429,7 +429,7 @@
 				}
 			}()
 		}
-		again := time.NewTimer(p.head)
+		again := time.NewTimer(p.hedgeDelay)
 		for waits := true; waits; {
 			select {
 			case c := <-answers:
@@ -441,7 +441,7 @@
 				waits = false
 			case <-ctx.Done():
 				again.Stop()
-				return call{}, ctx.Err()
+				return watchResponse{}, ctx.Err()
 			}
 		}
 	}
@@ -449,17 +449,17 @@
 
 // watch opens one watch and takes what it brings until it ends.
 func (w *Watcher) watch(ctx context.Context) error {
-	c, err := w.open(ctx)
+	c, err := w.openWatch(ctx)
 	if err != nil {
 		return err
 	}
 	defer c.conn.Close()
 	defer context.AfterFunc(ctx, func() { c.conn.Close() })()
 	// Lists may come indented, over many lines: what ends one is its last brace.
-	whole := &bounded{Reader: c.body}
+	whole := &boundedReader{Reader: c.body}
 	for lists := json.NewDecoder(whole); ; {
 		var l List
-		whole.left = listMost
+		whole.remaining = maxListBytes
 		if err := lists.Decode(&l); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
@@ -471,52 +471,52 @@
 		} else if l.Revision < w.revision {
 			continue // changes that newer ones have overtaken
 		}
-		if err := w.take(l, kind); err != nil {
+		if err := w.apply(l, kind); err != nil {
 			return err
 		}
-		w.answered()
+		w.markSynced()
 	}
 }
 
-// bounded ends a list that would take all memory.
-type bounded struct {
+// boundedReader ends a list that would take all memory.
+type boundedReader struct {
 	io.Reader
-	left int
+	remaining int
 }
 
-func (b *bounded) Read(to []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, fmt.Errorf("discovery: a list is longer than %d bytes; the farm stays as it is", listMost)
+func (b *boundedReader) Read(to []byte) (int, error) {
+	if b.remaining <= 0 {
+		return 0, fmt.Errorf("discovery: a list is longer than %d bytes; the farm stays as it is", maxListBytes)
 	}
-	n, err := b.Reader.Read(to[:min(len(to), b.left)])
-	b.left -= n
+	n, err := b.Reader.Read(to[:min(len(to), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
-// quiet ends a connection that says nothing for too long.
-type quiet struct {
+// idleTimeoutConn ends a connection that says nothing for too long.
+type idleTimeoutConn struct {
 	net.Conn
-	most time.Duration
+	timeout time.Duration
 }
 
-func (q *quiet) Read(b []byte) (int, error) {
-	q.SetReadDeadline(time.Now().Add(q.most))
+func (q *idleTimeoutConn) Read(b []byte) (int, error) {
+	q.SetReadDeadline(time.Now().Add(q.timeout))
 	return q.Conn.Read(b)
 }
 
-var errBusy = errors.New("discovery: the service is overbooked (503)")
+var errOverloaded = errors.New("discovery: the service is overbooked (503)")
 
-var errHead = errors.New("discovery: the answer's head makes no sense")
+var errMalformed = errors.New("discovery: the answer's head makes no sense")
 
-// readHead reads the head of an answer and returns its body.
-func readHead(r *bufio.Reader) (io.Reader, error) {
+// readResponseHead reads the head of an answer and returns its body.
+func readResponseHead(r *bufio.Reader) (io.Reader, error) {
 	status, err := readLine(r)
 	if err != nil {
 		return nil, err
 	}
 	word := strings.SplitN(status, " ", 3)
 	if len(word) > 1 && word[1] == "503" {
-		return nil, errBusy
+		return nil, errOverloaded
 	}
 	if len(word) < 2 || !strings.HasPrefix(word[0], "HTTP/1.") || word[1] != "200" {
 		return nil, fmt.Errorf("discovery: the answer is %q", status)
@@ -532,26 +532,26 @@
 		}
 		name, value, ok := strings.Cut(field, ":")
 		if !ok {
-			return nil, errHead
+			return nil, errMalformed
 		}
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "transfer-encoding":
 			if !strings.EqualFold(value, "chunked") {
-				return nil, errHead
+				return nil, errMalformed
 			}
-			body = &chunked{r: r}
+			body = &chunkedReader{reader: r}
 		case "content-length":
 			n, err := strconv.ParseInt(value, 10, 64)
 			if err != nil || n < 0 {
-				return nil, errHead
+				return nil, errMalformed
 			}
-			if _, is := body.(*chunked); !is {
+			if _, is := body.(*chunkedReader); !is {
 				body = io.LimitReader(r, n)
 			}
 		}
 	}
-	return nil, errHead
+	return nil, errMalformed
 }
 
 // readLine reads a line of the protocol's own, without its end.
@@ -563,53 +563,53 @@
 	return strings.TrimRight(string(text), "\r\n"), nil
 }
 
-// chunked reads a body that comes in chunks.
-type chunked struct {
-	r    *bufio.Reader
-	left int64
-	some bool // a chunk has come, and its end is still to be read
-	err  error
+// chunkedReader reads a body that comes in chunks.
+type chunkedReader struct {
+	reader     *bufio.Reader
+	remaining  int64
+	afterChunk bool // a chunk has come, and its end is still to be read
+	err        error
 }
 
-func (c *chunked) Read(b []byte) (int, error) {
-	for c.left == 0 && c.err == nil {
-		c.left, c.err = c.next()
+func (c *chunkedReader) Read(b []byte) (int, error) {
+	for c.remaining == 0 && c.err == nil {
+		c.remaining, c.err = c.nextChunkSize()
 	}
 	if c.err != nil {
 		return 0, c.err
 	}
-	n, err := c.r.Read(b[:min(int64(len(b)), c.left)])
-	c.left -= int64(n)
-	c.err = cutShort(err)
+	n, err := c.reader.Read(b[:min(int64(len(b)), c.remaining)])
+	c.remaining -= int64(n)
+	c.err = unexpectedEOF(err)
 	return n, c.err
 }
 
-// next reads the head of a chunk.
-func (c *chunked) next() (int64, error) {
-	if c.some {
-		if text, err := readLine(c.r); err != nil || text != "" {
-			return 0, errHead
+// nextChunkSize reads the head of a chunk.
+func (c *chunkedReader) nextChunkSize() (int64, error) {
+	if c.afterChunk {
+		if text, err := readLine(c.reader); err != nil || text != "" {
+			return 0, errMalformed
 		}
 	}
-	text, err := readLine(c.r)
+	text, err := readLine(c.reader)
 	if err != nil {
-		return 0, cutShort(err)
+		return 0, unexpectedEOF(err)
 	}
 	size, _, _ := strings.Cut(text, ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 	if err != nil {
-		return 0, errHead
+		return 0, errMalformed
 	}
 	if n == 0 {
 		return 0, io.EOF
 	}
-	c.some = true
+	c.afterChunk = true
 	return int64(n), nil
 }
 
-// cutShort guards against a connection that breaks within a body, which must not
+// unexpectedEOF guards against a connection that breaks within a body, which must not
 // pass for the body's end.
-func cutShort(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,28 +21,28 @@
 	"lockroad/internal/testutil"
 )
 
-func newCore() *proxy.Proxy {
+func newProxy() *proxy.Proxy {
 	return proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 3,
 		InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 }
 
-func member(id, phase string) string {
+func memberJSON(id, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:1","locality":"b","flavor":"m2","cell":3,"phase":%q,"size":1.5,"up_since_ms":0}`, id, phase)
 }
 
-func list(revision int, complete bool, members ...string) string {
+func listJSON(revision int, complete bool, members ...string) string {
 	return fmt.Sprintf("{\"revision\":%d,\"complete\":%v,\"members\":[%s]}\n", revision, complete, strings.Join(members, ","))
 }
 
-func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func chunkText(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// agent is a stand-in of discovery's agent. Each watch gets the chunks of its turn.
-func agent(t *testing.T, turns ...[]string) (address string, asked <-chan string) {
+// fakeAgent is a stand-in of discovery's agent. Each watch gets the chunks of its turn.
+func fakeAgent(t *testing.T, turns ...[]string) (address string, asked <-chan string) {
 	t.Helper()
 	requests := make(chan string, len(turns)+8)
-	address = asks(t, func(c net.Conn, request string) {
+	address = listenAsAgent(t, func(c net.Conn, request string) {
 		requests <- request
 		if len(turns) == 0 {
 			t.Cleanup(func() { c.Close() })
@@ -50,7 +50,7 @@
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\ntransfer-encoding: Chunked\r\n\r\n")
 		for _, text := range turns[0] {
-			io.WriteString(c, chunk(text))
+			io.WriteString(c, chunkText(text))
 		}
 		turns = turns[1:]
 		c.Close()
@@ -58,8 +58,8 @@
 	return address, requests
 }
 
-// asks listens as discovery's agent does, and gives each call with its first line to call, one after another.
-func asks(t *testing.T, call func(c net.Conn, request string)) (address string) {
+// listenAsAgent listens as discovery's agent does, and gives each call with its first line to call, one after another.
+func listenAsAgent(t *testing.T, call func(c net.Conn, request string)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 }
 
-func farmOf(k *proxy.Proxy) string {
+func statesOf(k *proxy.Proxy) string {
 	var all []string
 	for _, s := range k.Endpoints.List() {
 		all = append(all, s.Name+"="+[]string{"gone", "ready", "draining"}[s.State])
@@ -104,12 +104,12 @@
 
 // A watch that ends is opened again from the last revision, and every list takes
 // effect as it comes.
-func TestWatchIsOpenedAgainFromTheLastRevision(t *testing.T) {
-	address, asked := agent(t,
-		[]string{"\n", list(42, false, member("s-2", "draining")), "\n"},
-		[]string{list(50, true, member("s-2", "ready"))[:30], list(50, true, member("s-2", "ready"))[30:] + "\n" + list(51, false, member("s-3", "ready"))},
+func TestWatchResumesFromLastRevision(t *testing.T) {
+	address, asked := fakeAgent(t,
+		[]string{"\n", listJSON(42, false, memberJSON("s-2", "draining")), "\n"},
+		[]string{listJSON(50, true, memberJSON("s-2", "ready"))[:30], listJSON(50, true, memberJSON("s-2", "ready"))[30:] + "\n" + listJSON(51, false, memberJSON("s-3", "ready"))},
 	)
-	k := newCore()
+	k := newProxy()
 	w := &Watcher{Proxy: k, Address: address, Zones: []string{"a", "b"}}
 	if err := w.Seed(List{Revision: 41, Complete: true, Members: []Member{
 		{ID: "s-1", HostPort: "x", Locality: "a", Phase: "ready", Size: 1}, {ID: "s-2", HostPort: "y", Locality: "b", Phase: "ready", Size: 1},
@@ -137,7 +137,7 @@
 				t.Fatal("a server that drains is not leaving")
 			}
 		case 2:
-			if got := farmOf(k); got != "s-1=gone s-2=ready s-3=ready" {
+			if got := statesOf(k); got != "s-1=gone s-2=ready s-3=ready" {
 				t.Errorf("the farm is %s", got)
 			}
 		}
@@ -148,7 +148,7 @@
 
 // Lists may come indented. One that is read line by line ends the watch, time after time, and the relay goes on
 // with what it knew at its start.
-func TestIndentedListsAreTaken(t *testing.T) {
+func TestIndentedListsAreApplied(t *testing.T) {
 	indent := func(text string) string {
 		var b bytes.Buffer
 		if err := json.Indent(&b, []byte(text), "", "  "); err != nil {
@@ -156,45 +156,45 @@
 		}
 		return b.String()
 	}
-	all := indent(list(7, true, member("s-1", "ready"), member("s-2", "ready")))
-	address, asked := agent(t, []string{"\n", all[:50], all[50:], "\r\n\n", indent(list(8, false, member("s-2", "draining")))}, nil)
-	k := newCore()
+	all := indent(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")))
+	address, asked := fakeAgent(t, []string{"\n", all[:50], all[50:], "\r\n\n", indent(listJSON(8, false, memberJSON("s-2", "draining")))}, nil)
+	k := newProxy()
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
 	done.Go(func() { _ = (&Watcher{Proxy: k, Address: address, Zones: []string{"a", "b"}}).Run(ctx) })
 	defer done.Wait()
 	defer cancel()
 	wantWatches(t, asked, "from=0", "from=8")
-	if got := farmOf(k); got != "s-1=ready s-2=draining" {
+	if got := statesOf(k); got != "s-1=ready s-2=draining" {
 		t.Errorf("the farm is %s", got)
 	}
 }
 
-func TestListsThatMakeNoSenseChangeNothing(t *testing.T) {
-	k := newCore()
+func TestInvalidSeedListsChangeNothing(t *testing.T) {
+	k := newProxy()
 	w := &Watcher{Proxy: k}
 	for _, m := range []Member{{ID: "", Phase: "ready"}, {ID: "s-1", Phase: "odd"}, {ID: "s-1", Phase: "ready", Size: -1}} {
 		if err := w.Seed(List{Members: []Member{m}}); err == nil {
 			t.Errorf("%+v was taken", m)
 		}
 	}
-	if got := farmOf(k); got != "" {
+	if got := statesOf(k); got != "" {
 		t.Errorf("the farm is %s", got)
 	}
 }
 
 // Lists that are empty, cut short, garbled or no lists are told in the log, the farm is
 // kept, and the watch goes on from where it was.
-func TestUselessListsAreToldAndChangeNothing(t *testing.T) {
-	whole := list(7, true, member("s-1", "ready"), member("s-2", "ready"))
+func TestInvalidListsAreLoggedAndChangeNothing(t *testing.T) {
+	whole := listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"))
 	for name, bad := range map[string]string{
-		"empty": list(9, true), "cut short": list(9, true, member("s-1", "ready"))[:60], "garbled": "{\"revision\":\n",
-		"no list": "[1]\n", "odd phase": list(9, false, member("s-1", "odd")),
+		"empty": listJSON(9, true), "cut short": listJSON(9, true, memberJSON("s-1", "ready"))[:60], "garbled": "{\"revision\":\n",
+		"no list": "[1]\n", "odd phase": listJSON(9, false, memberJSON("s-1", "odd")),
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, asked := agent(t, []string{whole, bad}, []string{list(8, false, member("s-2", "draining"))}, nil)
-			k := newCore()
-			log := make(lines, 16)
+			address, asked := fakeAgent(t, []string{whole, bad}, []string{listJSON(8, false, memberJSON("s-2", "draining"))}, nil)
+			k := newProxy()
+			log := make(logLines, 16)
 			k.Log = slog.New(slog.NewTextHandler(log, nil))
 			ctx, cancel := context.WithCancel(t.Context())
 			var done sync.WaitGroup
@@ -205,17 +205,17 @@
 			if text := <-log; !strings.Contains(text, "watch of the farm has ended") {
 				t.Errorf("the log says %q", text)
 			}
-			if got := farmOf(k); got != "s-1=ready s-2=draining" {
+			if got := statesOf(k); got != "s-1=ready s-2=draining" {
 				t.Errorf("the farm is %s", got)
 			}
 		})
 	}
 }
 
-// lines takes what is logged.
-type lines chan string
+// logLines takes what is logged.
+type logLines chan string
 
-func (l lines) Write(b []byte) (int, error) {
+func (l logLines) Write(b []byte) (int, error) {
 	select {
 	case l <- string(b):
 	default:
@@ -223,17 +223,17 @@
 	return len(b), nil
 }
 
-func TestWatchesAreOpenedAgainLessAndLessOften(t *testing.T) {
-	for i, p := range []pace{ofAgent, ofService, ofService} {
+func TestWatchBackoffGrowsWithFailures(t *testing.T) {
+	for i, p := range []watchPolicy{agentPolicy, servicePolicy, servicePolicy} {
 		busy := i == 2
 		seen := map[time.Duration]bool{}
 		for fails := range 12 {
-			most := min(p.againMost, p.againWait<<fails)
+			most := min(p.maxBackoff, p.minBackoff<<fails)
 			if busy {
-				most = min(busyMost, busyWait<<fails)
+				most = min(overloadedMaxBackoff, overloadedMinBackoff<<fails)
 			}
 			for range 50 {
-				wait := p.again(fails, busy, 0)
+				wait := p.backoff(fails, busy, 0)
 				if seen[wait] = true; wait < most/2 || wait > most {
 					t.Fatalf("after %d fails, busy %v, the wait is %v, not within half of %v and all", fails, busy, wait, most)
 				}
@@ -243,27 +243,27 @@
 			t.Errorf("%d waits of 600 differ: relays come back in step", len(seen))
 		}
 	}
-	if wait := ofService.again(12, true, 6*time.Second); wait > 3*time.Second {
+	if wait := servicePolicy.backoff(12, true, 6*time.Second); wait > 3*time.Second {
 		t.Errorf("discovery that is to be asked every 6 s is asked after %v", wait)
 	}
-	_, err := readHead(bufio.NewReader(strings.NewReader("HTTP/1.1 503 Service Unavailable\r\n\r\n")))
-	if !errors.Is(err, errBusy) {
+	_, err := readResponseHead(bufio.NewReader(strings.NewReader("HTTP/1.1 503 Service Unavailable\r\n\r\n")))
+	if !errors.Is(err, errOverloaded) {
 		t.Errorf("an overbooked discovery is told as %v", err)
 	}
 }
 
-func TestAnswersThatMakeNoSense(t *testing.T) {
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	for _, text := range []string{
 		"", "HTTP/1.1 404 Not Found\r\n\r\n", "odd\r\n\r\n", "HTTP/1.1 200 OK\r\nno field\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n" + strings.Repeat("a: b\r\n", 200) + "\r\n",
 	} {
-		if _, err := readHead(bufio.NewReader(strings.NewReader(text))); err == nil {
+		if _, err := readResponseHead(bufio.NewReader(strings.NewReader(text))); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
 	for _, text := range []string{"x\r\nab\r\n", "2\r\nabc\r\n0\r\n", "-1\r\n", "ffffffff\r\n", "5\r\nab"} {
-		if _, err := io.ReadAll(&chunked{r: bufio.NewReader(strings.NewReader(text))}); err == nil {
+		if _, err := io.ReadAll(&chunkedReader{reader: bufio.NewReader(strings.NewReader(text))}); err == nil {
 			t.Errorf("%q was taken", text)
 		}
 	}
@@ -275,46 +275,46 @@
 	f.Add([]byte("{\"revision\":1}\n\n"), []byte{3, 200, 0})
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), []byte{})
 	f.Fuzz(func(t *testing.T, body, cuts []byte) {
-		_, _ = io.Copy(io.Discard, &chunked{r: bufio.NewReader(bytes.NewReader(body))})
-		_, _ = readHead(bufio.NewReader(bytes.NewReader(body)))
+		_, _ = io.Copy(io.Discard, &chunkedReader{reader: bufio.NewReader(bytes.NewReader(body))})
+		_, _ = readResponseHead(bufio.NewReader(bytes.NewReader(body)))
 		var wire strings.Builder
 		from := testutil.New(cuts)
 		for part, rest := from.Cut(body); part != nil; part, rest = from.Cut(rest) {
-			wire.WriteString(chunk(string(part)))
+			wire.WriteString(chunkText(string(part)))
 		}
 		wire.WriteString("0\r\n\r\n")
-		got, err := io.ReadAll(&chunked{r: bufio.NewReader(iotest.OneByteReader(strings.NewReader(wire.String())))})
+		got, err := io.ReadAll(&chunkedReader{reader: bufio.NewReader(iotest.OneByteReader(strings.NewReader(wire.String())))})
 		if err != nil || !bytes.Equal(got, body) {
 			t.Errorf("got %q, %v, want %q", got, errors.Join(err), body)
 		}
 	})
 }
 
-// scripted is an agent whose watches the test holds, one after another.
-type scripted struct {
+// scriptedAgent is an agent whose watches the test holds, one after another.
+type scriptedAgent struct {
 	t       *testing.T
-	watches chan *held
+	watches chan *agentWatch
 	address string
 }
 
-// held is one watch, at the agent's side.
-type held struct {
+// agentWatch is one watch, at the agent's side.
+type agentWatch struct {
 	net.Conn
 	from string
 }
 
-func newScripted(t *testing.T) *scripted {
+func newScriptedAgent(t *testing.T) *scriptedAgent {
 	t.Helper()
-	s := &scripted{t: t, watches: make(chan *held, 64)}
-	s.address = asks(t, func(c net.Conn, request string) {
+	s := &scriptedAgent{t: t, watches: make(chan *agentWatch, 64)}
+	s.address = listenAsAgent(t, func(c net.Conn, request string) {
 		_, from, _ := strings.Cut(strings.TrimSuffix(request, " HTTP/1.1"), "from=")
-		s.watches <- &held{c, from}
+		s.watches <- &agentWatch{c, from}
 	})
 	return s
 }
 
 // next is the watch that is opened next, and how long that took.
-func (s *scripted) next(from string) (*held, time.Duration) {
+func (s *scriptedAgent) next(from string) (*agentWatch, time.Duration) {
 	s.t.Helper()
 	began := time.Now()
 	select {
@@ -332,16 +332,16 @@
 
 const okHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-func (h *held) answer(texts ...string) {
+func (h *agentWatch) answer(texts ...string) {
 	io.WriteString(h, okHead)
 	for _, text := range texts {
-		io.WriteString(h, chunk(text))
+		io.WriteString(h, chunkText(text))
 	}
 }
 
-// watching has a farm watched until the test's end.
-func watching(t *testing.T, address string, ask bool) (*proxy.Proxy, *Watcher) {
-	k := newCore()
+// startWatcher has a farm watched until the test's end.
+func startWatcher(t *testing.T, address string, ask bool) (*proxy.Proxy, *Watcher) {
+	k := newProxy()
 	if ask {
 		s := *k.Settings()
 		s.PollList, s.PollInterval = true, 10*time.Second
@@ -357,27 +357,27 @@
 
 // What a watch that falls silent misses counts as told 6 s later, whether lists are pushed or asked for: by then the
 // next has to have brought it. That one may find nobody who answers, too.
-func TestAWatchThatFallsSilentIsOpenedAnewInTime(t *testing.T) {
+func TestSilentWatchIsReopenedInTime(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		ask  bool
 		part string // of a list, where it falls silent within
-	}{{"pushed", false, ""}, {"asked for", true, ""}, {"within a list", false, list(9, false, member("s-1", "draining"))[:40]}} {
+	}{{"pushed", false, ""}, {"asked for", true, ""}, {"within a list", false, listJSON(9, false, memberJSON("s-1", "draining"))[:40]}} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			agent := newScripted(t)
-			k, _ := watching(t, agent.address, c.ask)
+			agent := newScriptedAgent(t)
+			k, _ := startWatcher(t, agent.address, c.ask)
 			h, _ := agent.next("0")
-			h.answer(list(7, true, member("s-1", "ready"), member("s-2", "ready")))
-			testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
+			h.answer(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")))
+			testutil.Until(t, "the list is there", func() bool { return statesOf(k) == "s-1=ready s-2=ready" })
 			began := time.Now() // it says nothing from now on
 			if c.part != "" {
-				io.WriteString(h, chunk(c.part))
+				io.WriteString(h, chunkText(c.part))
 			}
 			agent.next("7") // and the next one not even that it is there
 			h, _ = agent.next("7")
-			h.answer(list(9, false, member("s-1", "draining")))
-			testutil.Until(t, "the drain is there", func() bool { return farmOf(k) == "s-1=draining s-2=ready" })
+			h.answer(listJSON(9, false, memberJSON("s-1", "draining")))
+			testutil.Until(t, "the drain is there", func() bool { return statesOf(k) == "s-1=draining s-2=ready" })
 			if took := time.Since(began); took > 6*time.Second {
 				t.Errorf("a drain is known %v after the watch fell silent", took)
 			}
@@ -387,12 +387,12 @@
 
 // An agent has what it was sent, whether a watch is open or not, and it counts as told: a watch that breaks is opened
 // again within a part of any grace, however often that was needed before and though nothing had changed.
-func TestAWatchThatBreaksIsOpenedAgainAtOnce(t *testing.T) {
-	agent := newScripted(t)
-	k, _ := watching(t, agent.address, false)
+func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
+	agent := newScriptedAgent(t)
+	k, _ := startWatcher(t, agent.address, false)
 	h, _ := agent.next("0")
-	h.answer(list(7, true, member("s-1", "ready")))
-	testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
+	h.answer(listJSON(7, true, memberJSON("s-1", "ready")))
+	testutil.Until(t, "the list is there", func() bool { return statesOf(k) == "s-1=ready" })
 	for range 8 {
 		h.Conn.(*net.TCPConn).SetLinger(0)
 		h.Close()
@@ -405,71 +405,71 @@
 }
 
 // A list that an old watch, or the agent before, still has to tell never undoes a newer one.
-func TestWhatAnOldWatchStillTellsUndoesNothing(t *testing.T) {
-	before, after := newScripted(t), newScripted(t)
-	k, w := watching(t, before.address, false)
+func TestOldWatchNeverUndoesNewerList(t *testing.T) {
+	before, after := newScriptedAgent(t), newScriptedAgent(t)
+	k, w := startWatcher(t, before.address, false)
 	old, _ := before.next("0")
-	old.answer(list(7, true, member("s-1", "ready"), member("s-2", "ready")), list(8, false, member("s-1", "draining"))[:50])
-	testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready s-2=ready" })
+	old.answer(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")), listJSON(8, false, memberJSON("s-1", "draining"))[:50])
+	testutil.Until(t, "the list is there", func() bool { return statesOf(k) == "s-1=ready s-2=ready" })
 	w.SetAddress(after.address)
 	h, _ := after.next("0")
-	h.answer(list(9, true, member("s-1", "draining"), member("s-2", "draining")))
-	testutil.Until(t, "the new agent's list is there", func() bool { return farmOf(k) == "s-1=draining s-2=draining" })
-	io.WriteString(old, chunk(list(8, false, member("s-1", "ready"), member("s-2", "ready"))))
+	h.answer(listJSON(9, true, memberJSON("s-1", "draining"), memberJSON("s-2", "draining")))
+	testutil.Until(t, "the new agent's list is there", func() bool { return statesOf(k) == "s-1=draining s-2=draining" })
+	io.WriteString(old, chunkText(listJSON(8, false, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"))))
 	// Nor do changes that newer ones have overtaken on one watch.
-	io.WriteString(h, chunk(list(8, false, member("s-1", "ready")))+chunk(list(10, false, member("s-3", "ready"))))
-	testutil.Until(t, "the newest change is there", func() bool { return strings.HasSuffix(farmOf(k), "s-3=ready") })
-	if got := farmOf(k); got != "s-1=draining s-2=draining s-3=ready" {
+	io.WriteString(h, chunkText(listJSON(8, false, memberJSON("s-1", "ready")))+chunkText(listJSON(10, false, memberJSON("s-3", "ready"))))
+	testutil.Until(t, "the newest change is there", func() bool { return strings.HasSuffix(statesOf(k), "s-3=ready") })
+	if got := statesOf(k); got != "s-1=draining s-2=draining s-3=ready" {
 		t.Errorf("the farm is %s", got)
 	}
 }
 
 // A new agent may have an older list than the last one had. Who was told to drain, or is gone, does not come back by it, but
 // by a newer one, by a start since then, or once every agent must have heard.
-func TestAnOlderListOfANewAgentBringsNobodyBack(t *testing.T) {
+func TestOlderListOfNewAgentRestoresNoEndpoint(t *testing.T) {
 	t.Parallel()
-	before, after := newScripted(t), newScripted(t)
-	k, w := watching(t, before.address, false)
+	before, after := newScriptedAgent(t), newScriptedAgent(t)
+	k, w := startWatcher(t, before.address, false)
 	old, _ := before.next("0")
-	old.answer(list(50, true, member("s-1", "ready"), member("s-2", "ready"), member("s-3", "ready"), member("s-4", "ready"), member("s-5", "ready")))
-	io.WriteString(old, chunk(list(51, false, member("s-1", "draining"), member("s-2", "draining"), member("s-3", "draining"), member("s-4", "gone"))))
-	testutil.Until(t, "the drains are told", func() bool { return farmOf(k) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
+	old.answer(listJSON(50, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"), memberJSON("s-3", "ready"), memberJSON("s-4", "ready"), memberJSON("s-5", "ready")))
+	io.WriteString(old, chunkText(listJSON(51, false, memberJSON("s-1", "draining"), memberJSON("s-2", "draining"), memberJSON("s-3", "draining"), memberJSON("s-4", "gone"))))
+	testutil.Until(t, "the drains are told", func() bool { return statesOf(k) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
 	passes, _ := k.Endpoints.Find(k.Endpoints.ID("s-1"))
 	w.SetAddress(after.address)
 	h, _ := after.next("0")
-	again := strings.Replace(member("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
-	h.answer(list(48, true, member("s-1", "ready"), member("s-2", "ready"), again, member("s-4", "ready"), member("s-5", "draining"), member("s-6", "ready")))
-	testutil.Until(t, "the new agent's list is there", func() bool { return strings.HasSuffix(farmOf(k), "s-6=ready") })
-	if got := farmOf(k); got != "s-1=draining s-2=draining s-3=ready s-4=gone s-5=draining s-6=ready" {
+	again := strings.Replace(memberJSON("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
+	h.answer(listJSON(48, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"), again, memberJSON("s-4", "ready"), memberJSON("s-5", "draining"), memberJSON("s-6", "ready")))
+	testutil.Until(t, "the new agent's list is there", func() bool { return strings.HasSuffix(statesOf(k), "s-6=ready") })
+	if got := statesOf(k); got != "s-1=draining s-2=draining s-3=ready s-4=gone s-5=draining s-6=ready" {
 		t.Errorf("the farm is %s", got)
 	}
 	if !passes.IsDraining() {
 		t.Error("a pass would go to a server that drains")
 	}
-	io.WriteString(h, chunk(list(52, false, member("s-2", "ready"))))
-	testutil.Until(t, "a newer list has it ready", func() bool { return strings.Contains(farmOf(k), "s-2=ready") })
+	io.WriteString(h, chunkText(listJSON(52, false, memberJSON("s-2", "ready"))))
+	testutil.Until(t, "a newer list has it ready", func() bool { return strings.Contains(statesOf(k), "s-2=ready") })
 	began := time.Now()
 	go func() { // a sound watch says something
 		for sound := h; ; time.Sleep(time.Second) {
-			if _, err := io.WriteString(sound, chunk("\n")); err != nil {
+			if _, err := io.WriteString(sound, chunkText("\n")); err != nil {
 				return
 			}
 		}
 	}()
 	h, _ = after.next("0") // the list is asked for once more
-	if took := time.Since(began); took < staleFor/2 {
+	if took := time.Since(began); took < propagationDelay/2 {
 		t.Errorf("the list is asked for anew after %v", took)
 	}
-	h.answer(list(49, true, member("s-1", "ready"), member("s-2", "ready"), member("s-4", "ready")))
+	h.answer(listJSON(49, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"), memberJSON("s-4", "ready")))
 	testutil.Until(t, "what the agent still says is so", func() bool {
-		return farmOf(k) == "s-1=ready s-2=ready s-3=gone s-4=ready s-5=gone s-6=gone"
+		return statesOf(k) == "s-1=ready s-2=ready s-3=gone s-4=ready s-5=gone s-6=gone"
 	})
 }
 
 // Servers keep the numbers of their localities, and two that no configuration names are two: a repeat is dropped within
 // one zone alone.
-func TestLocalitiesKeepTheirNumbers(t *testing.T) {
-	k := newCore()
+func TestZoneNumbersAreStable(t *testing.T) {
+	k := newProxy()
 	w := &Watcher{Proxy: k, Zones: []string{"a", "b"}}
 	for i, want := range map[string]int{"a": 0, "b": 1} {
 		if got := w.ZoneNumber(i); got != want {
@@ -483,15 +483,15 @@
 }
 
 // A configuration that leaves discovery where it is leaves the watch alone.
-func TestASoundWatchGoesOnWhereItIsNotMoved(t *testing.T) {
-	agent := newScripted(t)
-	k, w := watching(t, agent.address, false)
+func TestHealthyWatchContinuesAtSameAddress(t *testing.T) {
+	agent := newScriptedAgent(t)
+	k, w := startWatcher(t, agent.address, false)
 	h, _ := agent.next("0")
-	h.answer(list(7, true, member("s-1", "ready")))
-	testutil.Until(t, "the list is there", func() bool { return farmOf(k) == "s-1=ready" })
+	h.answer(listJSON(7, true, memberJSON("s-1", "ready")))
+	testutil.Until(t, "the list is there", func() bool { return statesOf(k) == "s-1=ready" })
 	w.SetAddress(agent.address)
-	io.WriteString(h, chunk(list(8, false, member("s-1", "draining"))))
-	testutil.Until(t, "the watch still tells", func() bool { return farmOf(k) == "s-1=draining" })
+	io.WriteString(h, chunkText(listJSON(8, false, memberJSON("s-1", "draining"))))
+	testutil.Until(t, "the watch still tells", func() bool { return statesOf(k) == "s-1=draining" })
 	if n := len(agent.watches); n != 0 {
 		t.Errorf("%d more watches were opened", n)
 	}
