--- a/internal/discovery/encoding_test.go
+++ b/internal/discovery/list_test.go
@@ -6,13 +6,13 @@
 	"lockroad/internal/testutil"
 )
 
-// The list goes to a relay's next process, and to its store, under the names that discovery gives it.
+// A list is passed to the relay's next process, and stored, under the field names of discovery.
 func TestListKeepsItsEncoding(t *testing.T) {
-	whole := List{Revision: 0xfedcba9876543210, Complete: true, Members: []Member{{
+	complete := List{Revision: 0xfedcba9876543210, Complete: true, Members: []Member{{
 		ID: "s-5be2a07c", HostPort: "127.0.0.1:8001", Locality: "east", Flavor: "large", Cell: 3, Phase: "draining", Size: 1.5, UpSince: 1786000000123,
 	}}}
-	testutil.Complete(t, whole)
-	testutil.GoldenJSON(t, "testdata/list.json", whole)
+	testutil.Complete(t, complete)
+	testutil.GoldenJSON(t, "testdata/list.json", complete)
 	testutil.GoldenJSON(t, "testdata/list-zero.json", List{})
 }
 
