--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -36,7 +36,7 @@
 	w.Proxy.UpdateEndpoints(kind, endpoints, addresses)
 	w.recordPhases(list, kind, heldBack)
 	if heldBack {
-		w.Proxy.Log.Warn("an older list has servers ready that were told to leave; they are held back", "revision", list.Revision, "newest", w.newestRevision)
+		w.Proxy.Log.Warn("older endpoint list partly held back", "revision", list.Revision, "newest", w.newestRevision)
 		w.scheduleResync()
 	}
 	return nil
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -45,7 +45,7 @@
 func (m *Member) state() (balancer.EndpointState, error) {
 	state, known := endpointStates[m.Phase]
 	if !known || m.ID == "" || !(m.Size >= 0 && m.Size < maxMemberSize) {
-		return state, fmt.Errorf("discovery: member %q in phase %q of size %v makes no sense", m.ID, m.Phase, m.Size)
+		return state, fmt.Errorf("discovery: invalid member %q in phase %q of size %v", m.ID, m.Phase, m.Size)
 	}
 	return state, nil
 }
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -17,9 +17,9 @@
 )
 
 var (
-	errOverloaded = errors.New("discovery: the service is overbooked (503)")
-	errMalformed  = errors.New("discovery: the answer's head makes no sense")
-	errEmptyList  = errors.New("discovery: a whole list names no server; the farm stays as it is")
+	errOverloaded = errors.New("discovery: service overloaded (503)")
+	errMalformed  = errors.New("discovery: malformed HTTP response")
+	errEmptyList  = errors.New("discovery: full list names no endpoint; current endpoints retained")
 )
 
 // readResponseHead reads the head of a response and returns its body. It
@@ -55,7 +55,7 @@
 		return errOverloaded
 	}
 	if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") || words[1] != statusOK {
-		return fmt.Errorf("discovery: the answer is %q", line)
+		return fmt.Errorf("discovery: unexpected response %q", line)
 	}
 	return nil
 }
@@ -156,7 +156,7 @@
 
 func (b *boundedReader) Read(buffer []byte) (int, error) {
 	if b.remaining <= 0 {
-		return 0, fmt.Errorf("discovery: a list is longer than %d bytes; the farm stays as it is", maxListBytes)
+		return 0, fmt.Errorf("discovery: list longer than %d bytes; current endpoints retained", maxListBytes)
 	}
 	n, err := b.Reader.Read(buffer[:min(len(buffer), b.remaining)])
 	b.remaining -= n
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -156,7 +156,7 @@
 			w.failures = 0 // it was healthy for a while, be it without news
 		}
 		if watchCtx.Err() == nil {
-			w.Proxy.Log.Warn("the watch of the farm has ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
+			w.Proxy.Log.Warn("discovery watch ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
 		}
 		wait := w.policy().backoff(w.failures, errors.Is(err, errOverloaded), w.Proxy.Settings().PollInterval)
 		select {
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -119,7 +119,7 @@
 			defer done.Wait()
 			defer cancel()
 			expectWatches(t, requested, "from=0", "from=7", "from=8")
-			if text := <-log; !strings.Contains(text, "watch of the farm has ended") {
+			if text := <-log; !strings.Contains(text, "discovery watch ended") {
 				t.Errorf("the log says %q", text)
 			}
 			if got := statesOf(target); got != "s-1=ready s-2=draining" {
