--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -17,28 +17,28 @@
 // A message is its length in four bytes, its kind in one, how many descriptors come with
 // it in one, and a body in JSON.
 const (
-	headSize  = 6
-	bodyMost  = 64 << 20 // a list of 60,000 servers and all routes that are kept; memory is taken by what a body has
-	filesMost = 8
+	headerSize     = 6
+	maxBodyBytes   = 64 << 20 // a list of 60,000 servers and all routes that are kept; memory is taken by what a body has
+	maxDescriptors = 8
 )
 
-// kind is what a message says.
-type kind uint8
+// messageKind is what a message says.
+type messageKind uint8
 
 const (
-	kindHello    kind = 1 + iota // new: who it is
-	kindOffer                    // old: state, with the listening sockets
-	kindRefuse                   // old: why not
-	kindTake                     // new: it is ready to take over
-	kindGo                       // old: it takes nobody in any more
-	kindStanding                 // old: a connection, with its two sockets
-	kindAck                      // new: it is carried on here
-	kindNack                     // new: it is not
+	kindHello      messageKind = 1 + iota // new: who it is
+	kindOffer                             // old: state, with the listening sockets
+	kindReject                            // old: why not
+	kindTakeOver                          // new: it is ready to take over
+	kindPaused                            // old: it takes nobody in any more
+	kindConnection                        // old: a connection, with its two sockets
+	kindAck                               // new: it is carried on here
+	kindNack                              // new: it is not
 )
 
 var (
-	errStrange = errors.New("handover: a message makes no sense")
-	errOther   = errors.New("handover: the peer is another user's")
+	errProtocol  = errors.New("handover: a message makes no sense")
+	errOtherUser = errors.New("handover: the peer is another user's")
 )
 
 // channel is a connection between the two processes.
@@ -55,22 +55,22 @@
 		return err
 	}
 	if cred.Uid != uint32(os.Geteuid()) {
-		return errOther
+		return errOtherUser
 	}
 	return nil
 }
 
 // send writes a message within a time, with the descriptors of some sockets. The peer gets
 // descriptors of its own.
-func (c channel) send(within time.Duration, k kind, body any, sockets ...syscall.Conn) error {
+func (c channel) send(within time.Duration, k messageKind, body any, sockets ...syscall.Conn) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	if len(text) > bodyMost || len(sockets) > filesMost {
+	if len(text) > maxBodyBytes || len(sockets) > maxDescriptors {
 		return fmt.Errorf("handover: %d bytes and %d descriptors are too much", len(text), len(sockets))
 	}
-	message := binary.BigEndian.AppendUint32(make([]byte, 0, headSize+len(text)), uint32(len(text)))
+	message := binary.BigEndian.AppendUint32(make([]byte, 0, headerSize+len(text)), uint32(len(text)))
 	message = append(message, byte(k), byte(len(sockets)))
 	message = append(message, text...)
 	c.SetWriteDeadline(time.Now().Add(within))
@@ -104,22 +104,22 @@
 
 // message is one that has come.
 type message struct {
-	kind  kind
-	body  []byte
-	files []*os.File
+	kind        messageKind
+	body        []byte
+	descriptors []*os.File
 }
 
-// drop closes the descriptors that came with a message.
-func (m *message) drop() {
-	for _, f := range m.files {
+// closeFiles closes the descriptors that came with a message.
+func (m *message) closeFiles() {
+	for _, f := range m.descriptors {
 		_ = f.Close()
 	}
 }
 
-// into reads the body.
-func (m *message) into(v any) error {
+// decode reads the body.
+func (m *message) decode(v any) error {
 	if err := json.Unmarshal(m.body, v); err != nil {
-		return fmt.Errorf("%w: %w", errStrange, err)
+		return fmt.Errorf("%w: %w", errProtocol, err)
 	}
 	return nil
 }
@@ -130,18 +130,18 @@
 	m = &message{}
 	defer func() {
 		if err != nil {
-			m.drop()
+			m.closeFiles()
 			m = nil
 		}
 	}()
-	head := make([]byte, headSize)
-	rights := make([]byte, unix.CmsgSpace(4*filesMost))
+	head := make([]byte, headerSize)
+	rights := make([]byte, unix.CmsgSpace(4*maxDescriptors))
 	// Descriptors come with the first byte of their message.
 	n, oob, _, _, err := c.ReadMsgUnix(head, rights)
 	if err != nil {
 		return m, err
 	}
-	if err := m.take(rights[:oob]); err != nil {
+	if err := m.parseRights(rights[:oob]); err != nil {
 		return m, err
 	}
 	if n == 0 {
@@ -151,16 +151,16 @@
 		return m, err
 	}
 	size := binary.BigEndian.Uint32(head)
-	if m.kind = kind(head[4]); size > bodyMost || int(head[5]) != len(m.files) {
-		return m, errStrange
+	if m.kind = messageKind(head[4]); size > maxBodyBytes || int(head[5]) != len(m.descriptors) {
+		return m, errProtocol
 	}
 	m.body = make([]byte, size)
 	_, err = io.ReadFull(c, m.body)
 	return m, err
 }
 
-// take takes the descriptors out of what came beside a message's first bytes.
-func (m *message) take(rights []byte) error {
+// parseRights takes the descriptors out of what came beside a message's first bytes.
+func (m *message) parseRights(rights []byte) error {
 	all, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
 		return err
@@ -173,21 +173,21 @@
 		for _, fd := range fds {
 			unix.CloseOnExec(fd)
 			_ = unix.SetNonblock(fd, true) // os.NewFile takes a blocking one as well
-			m.files = append(m.files, os.NewFile(uintptr(fd), "handed over"))
+			m.descriptors = append(m.descriptors, os.NewFile(uintptr(fd), "handed over"))
 		}
 	}
 	return nil
 }
 
-// wanted fails if a message is not of a kind.
-func (m *message) wanted(k kind) error {
+// expect fails if a message is not of a kind.
+func (m *message) expect(k messageKind) error {
 	switch m.kind {
 	case k:
 		return nil
-	case kindRefuse:
+	case kindReject:
 		var why string
-		_ = m.into(&why) // the refusal counts, with its reason or without
+		_ = m.decode(&why) // the refusal counts, with its reason or without
 		return fmt.Errorf("handover: refused: %.200s", why)
 	}
-	return errStrange
+	return errProtocol
 }
--- a/internal/hotrestart/encoding_test.go
+++ b/internal/hotrestart/encoding_test.go
@@ -18,8 +18,8 @@
 	"lockroad/internal/testutil"
 )
 
-// frames are a Unix socket's two ends, on which the bytes of messages are read and written as they are.
-func frames(t *testing.T) (near, far channel) {
+// socketPair are a Unix socket's two ends, on which the bytes of messages are read and written as they are.
+func socketPair(t *testing.T) (near, far channel) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -38,31 +38,31 @@
 	return end(fds[0]), end(fds[1])
 }
 
-// frame is the form of a message in a golden file: the head in hexadecimal digits, a line break, and the body.
-func frame(head, body []byte) []byte { return fmt.Appendf(nil, "%x\n%s", head, body) }
+// goldenFrame is the form of a message in a golden file: the head in hexadecimal digits, a line break, and the body.
+func goldenFrame(head, body []byte) []byte { return fmt.Appendf(nil, "%x\n%s", head, body) }
 
-// keepsFrame fails the test if a message is sent in other bytes than its golden file has, or if what is received of
+// checkFrame fails the test if a message is sent in other bytes than its golden file has, or if what is received of
 // these bytes is not the same message.
-func keepsFrame[T any](t *testing.T, path string, k kind, body T, sockets ...syscall.Conn) {
+func checkFrame[T any](t *testing.T, path string, k messageKind, body T, sockets ...syscall.Conn) {
 	t.Helper()
-	near, far := frames(t)
+	near, far := socketPair(t)
 	if err := near.send(time.Second, k, body, sockets...); err != nil {
 		t.Fatal(err)
 	}
 	near.CloseWrite()
 	far.SetReadDeadline(time.Now().Add(time.Second))
 	sent, err := io.ReadAll(far)
-	if err != nil || len(sent) < headSize {
+	if err != nil || len(sent) < headerSize {
 		t.Fatalf("%s: %d bytes were sent, %v", path, len(sent), err)
 	}
-	golden := testutil.Golden(t, path, frame(sent[:headSize], sent[headSize:]))
+	golden := testutil.Golden(t, path, goldenFrame(sent[:headerSize], sent[headerSize:]))
 
 	digits, text, _ := bytes.Cut(golden, []byte("\n"))
 	head, err := hex.DecodeString(string(digits))
 	if err != nil {
 		t.Fatal(err)
 	}
-	near, far = frames(t)
+	near, far = socketPair(t)
 	err = withDescriptors(sockets, nil, func(fds []int) error {
 		var rights []byte
 		if len(fds) > 0 {
@@ -78,19 +78,19 @@
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	defer m.drop()
+	defer m.closeFiles()
 	var decoded T
-	if err := m.into(&decoded); err != nil {
+	if err := m.decode(&decoded); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	if m.kind != k || len(m.files) != len(sockets) || !reflect.DeepEqual(decoded, body) {
+	if m.kind != k || len(m.descriptors) != len(sockets) || !reflect.DeepEqual(decoded, body) {
 		t.Errorf("%s is received as kind %d with %d descriptors and\n%+v, want %d, %d and\n%+v",
-			path, m.kind, len(m.files), decoded, k, len(sockets), body)
+			path, m.kind, len(m.descriptors), decoded, k, len(sockets), body)
 	}
 }
 
-// listeners are the sockets that an offer comes with.
-func listeners(t *testing.T, n int) (all []syscall.Conn) {
+// openListeners are the sockets that an offer comes with.
+func openListeners(t *testing.T, n int) (all []syscall.Conn) {
 	t.Helper()
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,9 +104,9 @@
 }
 
 func TestHelloKeepsItsEncoding(t *testing.T) {
-	whole := hello{Format: 1, PID: 4711}
+	whole := helloMessage{Version: 1, PID: 4711}
 	testutil.Complete(t, whole)
-	keepsFrame(t, "testdata/hello.frame", kindHello, whole)
+	checkFrame(t, "testdata/hello.frame", kindHello, whole)
 }
 
 // A peer of another format is refused: the number may change with the encoding only.
@@ -122,28 +122,30 @@
 		ListenerNames: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
 	}
 	testutil.Complete(t, whole)
-	keepsFrame(t, "testdata/offer.frame", kindOffer, whole, listeners(t, 2)...)
-	keepsFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
+	checkFrame(t, "testdata/offer.frame", kindOffer, whole, openListeners(t, 2)...)
+	checkFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
 }
 
 func TestRefusalKeepsItsEncoding(t *testing.T) {
-	keepsFrame(t, "testdata/refuse.frame", kindRefuse, "format 2 against 1, or another new process is there")
+	checkFrame(t, "testdata/refuse.frame", kindReject, "format 2 against 1, or another new process is there")
 }
 
-func TestTakeKeepsItsEncoding(t *testing.T) { keepsFrame[any](t, "testdata/take.frame", kindTake, nil) }
+func TestTakeKeepsItsEncoding(t *testing.T) {
+	checkFrame[any](t, "testdata/take.frame", kindTakeOver, nil)
+}
 
-func TestGoKeepsItsEncoding(t *testing.T) { keepsFrame[any](t, "testdata/go.frame", kindGo, nil) }
+func TestGoKeepsItsEncoding(t *testing.T) { checkFrame[any](t, "testdata/go.frame", kindPaused, nil) }
 
 func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
-	whole := standing{Number: 42, What: json.RawMessage(`{"Front":"line"}`)}
+	whole := connectionMessage{Number: 42, Payload: json.RawMessage(`{"Front":"line"}`)}
 	testutil.Complete(t, whole)
-	near, far := pair(t)
-	keepsFrame(t, "testdata/established.frame", kindStanding, whole, near.(*net.TCPConn), far.(*net.TCPConn))
+	near, far := connectionPair(t)
+	checkFrame(t, "testdata/established.frame", kindConnection, whole, near.(*net.TCPConn), far.(*net.TCPConn))
 }
 
 func TestAcknowledgementsKeepTheirEncoding(t *testing.T) {
-	keepsFrame(t, "testdata/ack.frame", kindAck, 42)
-	keepsFrame(t, "testdata/nack.frame", kindNack, 43)
+	checkFrame(t, "testdata/ack.frame", kindAck, 42)
+	checkFrame(t, "testdata/nack.frame", kindNack, 43)
 }
 
 // Both processes look for each other at the same path.
@@ -152,7 +154,7 @@
 }
 
 func TestMessageFieldsAreTagged(t *testing.T) {
-	for _, message := range []any{hello{}, Offer{}, standing{}} {
+	for _, message := range []any{helloMessage{}, Offer{}, connectionMessage{}} {
 		testutil.Tagged(t, []string{"json"}, message)
 	}
 }
--- a/internal/hotrestart/guest.go
+++ b/internal/hotrestart/guest.go
@@ -15,56 +15,56 @@
 	Offer     *Offer
 	Listeners []net.Listener // in the order of the offer's names
 
-	mu  sync.Mutex
-	new SuccessorState
-	c   channel
+	mu      sync.Mutex
+	state   SuccessorState
+	channel channel
 }
 
 // Connect asks at the meeting place for an old process's place. Whatever goes wrong, the caller
 // is to start alone.
-func Connect(path string) (*Successor, error) { return ask(path, ProtocolVersion) }
+func Connect(path string) (*Successor, error) { return connect(path, ProtocolVersion) }
 
-func ask(path string, format int) (*Successor, error) {
-	conn, err := net.DialTimeout("unix", path, stepWait)
+func connect(path string, format int) (*Successor, error) {
+	conn, err := net.DialTimeout("unix", path, messageTimeout)
 	if err != nil {
 		return nil, err
 	}
-	g := &Successor{c: channel{conn.(*net.UnixConn)}}
-	if err := g.hear(format); err != nil {
+	g := &Successor{channel: channel{conn.(*net.UnixConn)}}
+	if err := g.receiveOffer(format); err != nil {
 		g.Close()
 		for _, l := range g.Listeners {
 			l.Close()
 		}
 		return nil, err
 	}
-	g.new.Offered()
+	g.state.Offered()
 	return g, nil
 }
 
-// hear says hello and takes the offer.
-func (g *Successor) hear(format int) error {
-	if err := g.c.sameUser(); err != nil {
+// receiveOffer says hello and takes the offer.
+func (g *Successor) receiveOffer(format int) error {
+	if err := g.channel.sameUser(); err != nil {
 		return err
 	}
-	if err := g.c.send(stepWait, kindHello, hello{format, os.Getpid()}); err != nil {
+	if err := g.channel.send(messageTimeout, kindHello, helloMessage{format, os.Getpid()}); err != nil {
 		return err
 	}
-	m, err := g.c.receive(time.Now().Add(stepWait))
+	m, err := g.channel.receive(time.Now().Add(messageTimeout))
 	if err != nil {
 		return err
 	}
-	defer m.drop()
-	if err := m.wanted(kindOffer); err != nil {
+	defer m.closeFiles()
+	if err := m.expect(kindOffer); err != nil {
 		return err
 	}
 	g.Offer = &Offer{}
-	if err := m.into(g.Offer); err != nil {
+	if err := m.decode(g.Offer); err != nil {
 		return err
 	}
-	if len(m.files) != len(g.Offer.ListenerNames) {
-		return errStrange
+	if len(m.descriptors) != len(g.Offer.ListenerNames) {
+		return errProtocol
 	}
-	for _, f := range m.files {
+	for _, f := range m.descriptors {
 		l, err := net.FileListener(f)
 		if err != nil {
 			return err
@@ -78,50 +78,50 @@
 // process is to go on alone with what it has.
 func (g *Successor) TakeOver() error {
 	g.mu.Lock()
-	may := g.new.TakeOver()
+	may := g.state.TakeOver()
 	g.mu.Unlock()
-	err := errStrange
+	err := errProtocol
 	if may {
-		err = g.take()
+		err = g.requestTakeOver()
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err != nil {
-		g.new.PeerLost()
-		g.c.Close() // for the old one to take clients in again, if it is still there
+		g.state.PeerLost()
+		g.channel.Close() // for the old one to take clients in again, if it is still there
 		return err
 	}
-	g.new.PredecessorPaused()
+	g.state.PredecessorPaused()
 	return nil
 }
 
-func (g *Successor) take() error {
-	if err := g.c.send(stepWait, kindTake, nil); err != nil {
+func (g *Successor) requestTakeOver() error {
+	if err := g.channel.send(messageTimeout, kindTakeOver, nil); err != nil {
 		return err
 	}
-	m, err := g.c.receive(time.Now().Add(stepWait))
+	m, err := g.channel.receive(time.Now().Add(messageTimeout))
 	if err != nil {
 		return err
 	}
-	defer m.drop()
-	return m.wanted(kindGo)
+	defer m.closeFiles()
+	return m.expect(kindPaused)
 }
 
 // MayAccept tells whether this process takes clients in.
 func (g *Successor) MayAccept() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.new.MayAccept()
+	return g.state.MayAccept()
 }
 
 // Adopt takes connections until the old process is gone, or ctx ends. For each, prepare
 // returns what carries it on, to be called once the old process knows; what it gets is
 // closed if it fails.
 func (g *Successor) Adopt(ctx context.Context, prepare func(what json.RawMessage, sockets []net.Conn) (carry func(), err error)) {
-	defer context.AfterFunc(ctx, func() { g.c.Close() })()
+	defer context.AfterFunc(ctx, func() { g.channel.Close() })()
 	defer g.Close()
 	for {
-		m, err := g.c.receive(time.Time{})
+		m, err := g.channel.receive(time.Time{})
 		if err != nil {
 			return
 		}
@@ -133,9 +133,9 @@
 
 // adopt takes one connection. It tells whether more may come.
 func (g *Successor) adopt(m *message, prepare func(json.RawMessage, []net.Conn) (func(), error)) bool {
-	defer m.drop() // sockets are made of copies
-	var s standing
-	if m.kind != kindStanding || m.into(&s) != nil {
+	defer m.closeFiles() // sockets are made of copies
+	var s connectionMessage
+	if m.kind != kindConnection || m.decode(&s) != nil {
 		return false
 	}
 	var sockets []net.Conn
@@ -145,7 +145,7 @@
 		}
 	}
 	var failed error
-	for _, f := range m.files {
+	for _, f := range m.descriptors {
 		c, err := net.FileConn(f)
 		if err != nil {
 			failed = errors.Join(failed, err)
@@ -155,13 +155,13 @@
 	}
 	var carry func()
 	if failed == nil {
-		carry, failed = prepare(s.What, sockets)
+		carry, failed = prepare(s.Payload, sockets)
 	}
 	if failed != nil {
 		drop()
-		return g.c.send(stepWait, kindNack, s.Number) == nil
+		return g.channel.send(messageTimeout, kindNack, s.Number) == nil
 	}
-	if g.c.send(stepWait, kindAck, s.Number) != nil {
+	if g.channel.send(messageTimeout, kindAck, s.Number) != nil {
 		drop() // the old process takes it for not adopted
 		return false
 	}
@@ -170,4 +170,4 @@
 }
 
 // Close ends the talk with the old process.
-func (g *Successor) Close() { g.c.Close() }
+func (g *Successor) Close() { g.channel.Close() }
--- a/internal/hotrestart/handover.go
+++ b/internal/hotrestart/handover.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	stepWait = time.Second      // for a peer's answer, and for a message to be written
-	takeWait = 10 * time.Second // a new process may take this long to start, once it has the offer
+	messageTimeout = time.Second      // for a peer's answer, and for a message to be written
+	startupTimeout = 10 * time.Second // a new process may take this long to start, once it has the offer
 )
 
 // SocketPath is where the processes of a relay meet: in the folder that they have in common. It
@@ -32,10 +32,10 @@
 	return filepath.Join(dir, "lockroad-"+strconv.FormatUint(h.Sum64(), 36))
 }
 
-// hello is who a new process is.
-type hello struct {
-	Format int `json:"Format"`
-	PID    int `json:"PID"`
+// helloMessage is who a new process is.
+type helloMessage struct {
+	Version int `json:"Format"`
+	PID     int `json:"PID"`
 }
 
 // Offer is what a new process is given to begin with.
@@ -56,23 +56,23 @@
 
 // Predecessor is the process that runs, as a new one finds it.
 type Predecessor struct {
-	path  string
-	giver Handler
-	log   *slog.Logger
+	path    string
+	handler Handler
+	log     *slog.Logger
 
-	mu      sync.Mutex
-	old     PredecessorState
-	peer    channel
-	answers chan *message // to connections that were given
-	next    int
+	mu               sync.Mutex
+	state            PredecessorState
+	peer             channel
+	acknowledgements chan *message // to connections that were given
+	lastNumber       int
 
-	giving sync.Mutex // one connection is given at a time
-	l      *net.UnixListener
+	handOffMu sync.Mutex // one connection is given at a time
+	listener  *net.UnixListener
 }
 
 // NewPredecessor returns the host of a relay. It does nothing before Serve.
 func NewPredecessor(path string, giver Handler, log *slog.Logger) *Predecessor {
-	return &Predecessor{path: path, giver: giver, log: log}
+	return &Predecessor{path: path, handler: giver, log: log}
 }
 
 // listen opens the meeting place, in the stead of who was there: an old process, or what
@@ -91,8 +91,8 @@
 		return err
 	}
 	h.mu.Lock()
-	old := h.l
-	h.l = l
+	old := h.listener
+	h.listener = l
 	h.mu.Unlock()
 	if old != nil {
 		old.Close()
@@ -110,7 +110,7 @@
 	defer context.AfterFunc(ctx, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.l.Close()
+		h.listener.Close()
 		if h.peer.UnixConn != nil {
 			h.peer.Close()
 		}
@@ -119,15 +119,15 @@
 	defer all.Wait()
 	for {
 		h.mu.Lock()
-		l := h.l
+		l := h.listener
 		h.mu.Unlock()
 		c, err := l.AcceptUnix()
 		h.mu.Lock()
-		moved := l != h.l
+		moved := l != h.listener
 		h.mu.Unlock()
 		switch {
 		case err == nil:
-			all.Go(func() { h.meet(ctx, channel{c}) })
+			all.Go(func() { h.servePeer(ctx, channel{c}) })
 		case ctx.Err() != nil:
 			return nil
 		case moved: // the meeting place was opened anew
@@ -141,78 +141,78 @@
 	}
 }
 
-// meet sees a new process through, from its hello until it is gone.
-func (h *Predecessor) meet(ctx context.Context, c channel) {
+// servePeer sees a new process through, from its hello until it is gone.
+func (h *Predecessor) servePeer(ctx context.Context, c channel) {
 	defer c.Close()
 	if err := c.sameUser(); err != nil {
 		h.log.Warn("a process is turned away", "error", err)
 		return
 	}
-	m, err := c.receive(time.Now().Add(stepWait))
+	m, err := c.receive(time.Now().Add(messageTimeout))
 	if err != nil {
 		return
 	}
-	defer m.drop()
-	var who hello
-	if m.kind != kindHello || m.into(&who) != nil {
-		_ = c.send(stepWait, kindRefuse, "a hello was expected") // the other process may have gone
+	defer m.closeFiles()
+	var who helloMessage
+	if m.kind != kindHello || m.decode(&who) != nil {
+		_ = c.send(messageTimeout, kindReject, "a hello was expected") // the other process may have gone
 		return
 	}
 	h.mu.Lock()
-	accepted := h.old.AcceptPeer(who.Format)
+	accepted := h.state.AcceptPeer(who.Version)
 	if accepted {
-		h.peer, h.answers = c, make(chan *message, 1)
+		h.peer, h.acknowledgements = c, make(chan *message, 1)
 	}
 	h.mu.Unlock()
 	if !accepted {
-		_ = c.send(stepWait, kindRefuse, fmt.Sprintf("format %d against %d, or another new process is there", who.Format, ProtocolVersion))
-		h.log.Warn("a new process is refused", "pid", who.PID, "format", who.Format)
+		_ = c.send(messageTimeout, kindReject, fmt.Sprintf("format %d against %d, or another new process is there", who.Version, ProtocolVersion))
+		h.log.Warn("a new process is refused", "pid", who.PID, "format", who.Version)
 		return
 	}
-	err = h.give(ctx, c)
+	err = h.runHandover(ctx, c)
 	h.mu.Lock()
-	again, leaving := h.old.PeerLost(), h.old.leaving
+	again, leaving := h.state.PeerLost(), h.state.shuttingDown
 	h.peer = channel{}
-	close(h.answers)
+	close(h.acknowledgements)
 	h.mu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
 	h.log.Warn("the new process is gone", "pid", who.PID, "error", err, "leaving", leaving)
 	if again {
-		h.giver.PeerServes(false)
+		h.handler.PeerServes(false)
 		if err := h.listen(); err != nil { // it has taken the meeting place
 			h.log.Warn("a new version will not find this process", "error", err)
 		}
 	}
 }
 
-// give offers this process's place, and returns when the new one is gone.
-func (h *Predecessor) give(ctx context.Context, c channel) error {
-	offer, doors, err := h.giver.Offer(ctx)
+// runHandover offers this process's place, and returns when the new one is gone.
+func (h *Predecessor) runHandover(ctx context.Context, c channel) error {
+	offer, doors, err := h.handler.Offer(ctx)
 	if err != nil {
-		_ = c.send(stepWait, kindRefuse, err.Error())
+		_ = c.send(messageTimeout, kindReject, err.Error())
 		return err
 	}
-	if err := c.send(stepWait, kindOffer, offer, doors...); err != nil {
+	if err := c.send(messageTimeout, kindOffer, offer, doors...); err != nil {
 		return err
 	}
-	m, err := c.receive(time.Now().Add(takeWait))
+	m, err := c.receive(time.Now().Add(startupTimeout))
 	if err != nil {
 		return err
 	}
-	defer m.drop()
-	if err := m.wanted(kindTake); err != nil {
+	defer m.closeFiles()
+	if err := m.expect(kindTakeOver); err != nil {
 		return err
 	}
 	h.mu.Lock()
-	took := h.old.TakenOver()
+	took := h.state.TakenOver()
 	h.mu.Unlock()
 	if !took {
-		return errStrange
+		return errProtocol
 	}
-	h.giver.PeerServes(true)
-	if err := c.send(stepWait, kindGo, nil); err != nil {
+	h.handler.PeerServes(true)
+	if err := c.send(messageTimeout, kindPaused, nil); err != nil {
 		return err
 	}
 	h.log.Info("a new process has taken over")
@@ -221,12 +221,12 @@
 		if err != nil {
 			return err
 		}
-		m.drop()
+		m.closeFiles()
 		if m.kind != kindAck && m.kind != kindNack {
-			return errStrange
+			return errProtocol
 		}
 		select {
-		case h.answers <- m:
+		case h.acknowledgements <- m:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -238,19 +238,19 @@
 func (h *Predecessor) BeginShutdown() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.old.BeginShutdown()
-	return h.old.MayHandOff()
+	h.state.BeginShutdown()
+	return h.state.MayHandOff()
 }
 
 var (
-	errNobody = errors.New("handover: nobody is there to take it")
-	errNot    = errors.New("handover: the new process does not take it")
+	errNoPeer     = errors.New("handover: nobody is there to take it")
+	errNotAdopted = errors.New("handover: the new process does not take it")
 )
 
-// standing is a connection on its way.
-type standing struct {
-	Number int             `json:"Number"`
-	What   json.RawMessage `json:"What"`
+// connectionMessage is a connection on its way.
+type connectionMessage struct {
+	Number  int             `json:"Number"`
+	Payload json.RawMessage `json:"What"`
 }
 
 // HandOff hands a connection over, with its sockets, and waits for the new process's word.
@@ -261,31 +261,31 @@
 	if err != nil {
 		return err
 	}
-	h.giving.Lock()
-	defer h.giving.Unlock()
+	h.handOffMu.Lock()
+	defer h.handOffMu.Unlock()
 	h.mu.Lock()
-	gives, c, answers := h.old.MayHandOff(), h.peer, h.answers
-	h.next++
-	number := h.next
+	gives, c, answers := h.state.MayHandOff(), h.peer, h.acknowledgements
+	h.lastNumber++
+	number := h.lastNumber
 	h.mu.Unlock()
 	if !gives {
-		return errNobody
+		return errNoPeer
 	}
-	if err := c.send(stepWait, kindStanding, standing{number, text}, sockets...); err != nil {
+	if err := c.send(messageTimeout, kindConnection, connectionMessage{number, text}, sockets...); err != nil {
 		c.Close() // of half a message nothing is adopted
 		return err
 	}
-	for late := time.After(stepWait); ; {
+	for late := time.After(messageTimeout); ; {
 		select {
 		case m, ok := <-answers:
 			var about int
 			switch {
 			case !ok:
-				return errNobody
-			case m.into(&about) != nil || about != number:
+				return errNoPeer
+			case m.decode(&about) != nil || about != number:
 				continue
 			case m.kind == kindNack:
-				return errNot
+				return errNotAdopted
 			}
 			return nil
 		case <-late:
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -19,42 +19,42 @@
 	"lockroad/internal/testutil"
 )
 
-// giver is a relay with one door.
-type giver struct {
-	state atomic.Pointer[string] // if not a small one
-	door  *net.TCPListener
-	given atomic.Int32 // how often it was told so, less how often the contrary
-	fail  atomic.Bool
+// fakeHandler is a relay with one door.
+type fakeHandler struct {
+	state      atomic.Pointer[string] // if not a small one
+	listener   *net.TCPListener
+	peerServes atomic.Int32 // how often it was told so, less how often the contrary
+	fails      atomic.Bool
 }
 
-func (g *giver) Offer(context.Context) (*Offer, []syscall.Conn, error) {
+func (g *fakeHandler) Offer(context.Context) (*Offer, []syscall.Conn, error) {
 	var err error
-	if g.fail.Load() {
+	if g.fails.Load() {
 		err = errors.New("no turn comes")
 	}
 	state := `{"x":1}`
 	if s := g.state.Load(); s != nil {
 		state = *s
 	}
-	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{g.door}, err
+	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{g.listener}, err
 }
 
-func (g *giver) PeerServes(given bool) {
+func (g *fakeHandler) PeerServes(given bool) {
 	if given {
-		g.given.Add(1)
+		g.peerServes.Add(1)
 	} else {
-		g.given.Add(-1)
+		g.peerServes.Add(-1)
 	}
 }
 
-// host runs a host and returns where it is met.
-func host(t *testing.T) (*Predecessor, *giver) {
+// startPredecessor runs a host and returns where it is met.
+func startPredecessor(t *testing.T) (*Predecessor, *fakeHandler) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &giver{door: l.(*net.TCPListener)}
+	g := &fakeHandler{listener: l.(*net.TCPListener)}
 	h := NewPredecessor(SocketPath(t.TempDir(), "n0", "a:1"), g, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -70,8 +70,8 @@
 	return h, g
 }
 
-// guest asks until there is an offer: a host notices that a guest is gone a moment later.
-func guest(t *testing.T, h *Predecessor) *Successor {
+// connectSuccessor asks until there is an offer: a host notices that a guest is gone a moment later.
+func connectSuccessor(t *testing.T, h *Predecessor) *Successor {
 	t.Helper()
 	var g *Successor
 	testutil.Until(t, "no offer is made", func() (ok bool) {
@@ -83,8 +83,8 @@
 	return g
 }
 
-// pair is a TCP connection's two ends.
-func pair(t *testing.T) (near, far net.Conn) {
+// connectionPair is a TCP connection's two ends.
+func connectionPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,19 +101,19 @@
 	return near, far
 }
 
-func TestPlaceIsHandedOver(t *testing.T) {
-	h, old := host(t)
-	g := guest(t, h)
+func TestSuccessorTakesOver(t *testing.T) {
+	h, old := startPredecessor(t)
+	g := connectSuccessor(t, h)
 	if g.Offer.Clock != time.Hour || string(g.Offer.State) != `{"x":1}` || len(g.Listeners) != 1 {
 		t.Errorf("offered %+v with %d doors", g.Offer, len(g.Listeners))
 	}
-	if g.MayAccept() || old.given.Load() != 0 {
+	if g.MayAccept() || old.peerServes.Load() != 0 {
 		t.Error("the place is given before it was taken")
 	}
 	if err := g.TakeOver(); err != nil || !g.MayAccept() {
 		t.Fatal(err)
 	}
-	if old.given.Load() != 1 {
+	if old.peerServes.Load() != 1 {
 		t.Error("the old process was not told")
 	}
 	// Who waits in the queue stays in it, though the old process closes its descriptor.
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	defer waits.Close()
-	old.door.Close()
+	old.listener.Close()
 	c, err := g.Listeners[0].Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -132,8 +132,8 @@
 		t.Error("another one was in the queue")
 	}
 
-	near, far := pair(t)
-	if err := h.HandOff("too early", near.(syscall.Conn)); !errors.Is(err, errNobody) {
+	near, far := connectionPair(t)
+	if err := h.HandOff("too early", near.(syscall.Conn)); !errors.Is(err, errNoPeer) {
 		t.Errorf("given before it was told to leave: %v", err)
 	}
 	if !h.BeginShutdown() {
@@ -146,7 +146,7 @@
 		}
 		return func() { adopted <- sockets[0] }, nil
 	})
-	if err := h.HandOff("odd", near.(syscall.Conn)); !errors.Is(err, errNot) {
+	if err := h.HandOff("odd", near.(syscall.Conn)); !errors.Is(err, errNotAdopted) {
 		t.Errorf("what is not adopted: %v", err)
 	}
 	if err := h.HandOff("mine", near.(syscall.Conn)); err != nil {
@@ -164,18 +164,18 @@
 // and the next can come.
 // What a relay of tens of thousands of servers hands over is not turned down for its size.
 func TestLargeOffer(t *testing.T) {
-	h, g := host(t)
+	h, g := startPredecessor(t)
 	state := `"` + strings.Repeat("x", 9<<20) + `"`
 	g.state.Store(&state)
-	if got := guest(t, h); len(got.Offer.State) != len(state) {
+	if got := connectSuccessor(t, h); len(got.Offer.State) != len(state) {
 		t.Errorf("%d bytes of %d are offered", len(got.Offer.State), len(state))
 	}
 }
 
-func TestOldProcessGoesOn(t *testing.T) {
-	h, old := host(t)
-	guest(t, h).Close() // before
-	g := guest(t, h)
+func TestPredecessorResumesWhenSuccessorIsLost(t *testing.T) {
+	h, old := startPredecessor(t)
+	connectSuccessor(t, h).Close() // before
+	g := connectSuccessor(t, h)
 	if err := g.TakeOver(); err != nil {
 		t.Fatal(err)
 	}
@@ -186,23 +186,23 @@
 		t.Fatal(err)
 	}
 	g.Close()
-	testutil.Until(t, "the old process does not go on", func() bool { return old.given.Load() == 0 })
-	g = guest(t, h)
+	testutil.Until(t, "the old process does not go on", func() bool { return old.peerServes.Load() == 0 })
+	g = connectSuccessor(t, h)
 	if err := g.TakeOver(); err != nil {
 		t.Fatal(err)
 	}
 	h.BeginShutdown()
 	g.Close()
-	near, _ := pair(t)
+	near, _ := connectionPair(t)
 	testutil.Until(t, "it is still given", func() bool { return h.HandOff("x", near.(syscall.Conn)) != nil })
 }
 
 // An old process that is killed before it gives its place, or after, leaves the new one
 // with the door: it goes on alone.
-func TestOldProcessIsKilledHalfWay(t *testing.T) {
+func TestSuccessorContinuesWhenPredecessorIsKilled(t *testing.T) {
 	for _, after := range []bool{false, true} {
-		h, _ := host(t)
-		g := guest(t, h)
+		h, _ := startPredecessor(t)
+		g := connectSuccessor(t, h)
 		if after {
 			if err := g.TakeOver(); err != nil {
 				t.Fatal(err)
@@ -222,17 +222,17 @@
 }
 
 // Whatever is wrong with the other side, a new process starts alone, and soon.
-func TestStrangeOldProcesses(t *testing.T) {
+func TestSuccessorStartsAloneBesideInvalidPredecessor(t *testing.T) {
 	if SocketPath("", "n0", "a:1") != "" || SocketPath("d", "n0", "a:1") == SocketPath("d", "n1", "a:1") {
 		t.Error("meeting places")
 	}
-	h, old := host(t)
+	h, old := startPredecessor(t)
 	for _, format := range []int{ProtocolVersion - 1, ProtocolVersion + 1} {
-		if _, err := ask(h.path, format); err == nil || !strings.Contains(err.Error(), "refused") {
+		if _, err := connect(h.path, format); err == nil || !strings.Contains(err.Error(), "refused") {
 			t.Errorf("format %d: %v", format, err)
 		}
 	}
-	old.fail.Store(true)
+	old.fails.Store(true)
 	if _, err := Connect(h.path); err == nil || !strings.Contains(err.Error(), "no turn comes") {
 		t.Errorf("an old process that can't offer: %v", err)
 	}
@@ -250,14 +250,14 @@
 	if _, err := Connect(stale); err == nil {
 		t.Error("a stale socket")
 	}
-	message := func(k kind, files byte, body string) string {
+	message := func(k messageKind, files byte, body string) string {
 		b := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 		return string(append(append(b, byte(k), files), body...))
 	}
 	offer := message(kindOffer, 0, `{"Clock":1,"Doors":[]}`)
 	said := []string{
-		"", "\x00", "\xff\xff\xff\xff\x02\x00", message(kindGo, 0, "null"), message(kindOffer, 1, "{}"), message(kindOffer, 0, "{"),
-		message(kindOffer, 0, `{"Doors":["line"]}`), message(kindRefuse, 0, `"no"`), message(77, 0, "null"),
+		"", "\x00", "\xff\xff\xff\xff\x02\x00", message(kindPaused, 0, "null"), message(kindOffer, 1, "{}"), message(kindOffer, 0, "{"),
+		message(kindOffer, 0, `{"Doors":["line"]}`), message(kindReject, 0, `"no"`), message(77, 0, "null"),
 	}
 	for cut := range offer { // cut off at every byte
 		said = append(said, offer[:cut])
@@ -284,7 +284,7 @@
 }
 
 // Messages come whole whatever pieces they come in, with their descriptors.
-func TestMessagesInPieces(t *testing.T) {
+func TestMessagesAreReadFromPieces(t *testing.T) {
 	var text []byte
 	for cut := 1; ; cut++ {
 		fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
@@ -303,15 +303,15 @@
 			defer c.Close()
 		}
 		if text == nil {
-			near, _ := pair(t)
+			near, _ := connectionPair(t)
 			if err := ends[0].send(time.Second, kindOffer, "with a socket", near.(syscall.Conn)); err != nil {
 				t.Fatal(err)
 			}
 			m, err := ends[1].receive(time.Now().Add(time.Second))
-			if err != nil || m.kind != kindOffer || len(m.files) != 1 {
+			if err != nil || m.kind != kindOffer || len(m.descriptors) != 1 {
 				t.Fatalf("%+v, %v", m, err)
 			}
-			m.drop()
+			m.closeFiles()
 			text = binary.BigEndian.AppendUint32(nil, 6)
 			text = append(append(text, byte(kindAck), 0), "123456"...)
 		}
@@ -324,7 +324,7 @@
 		}()
 		m, err := ends[1].receive(time.Now().Add(time.Second))
 		var n int
-		if err != nil || m.kind != kindAck || m.into(&n) != nil || n != 123456 {
+		if err != nil || m.kind != kindAck || m.decode(&n) != nil || n != 123456 {
 			t.Fatalf("cut at %d: %+v, %v", cut, m, err)
 		}
 	}
--- a/internal/hotrestart/machine.go
+++ b/internal/hotrestart/machine.go
@@ -17,92 +17,92 @@
 
 // PredecessorState decides what the process that runs may do. The zero value is one alone.
 type PredecessorState struct {
-	peer    bool // a new process is there
-	given   bool // and has taken over
-	leaving bool // this process was told to leave
+	hasPeer      bool // a new process is there
+	takenOver    bool // and has taken over
+	shuttingDown bool // this process was told to leave
 }
 
 // AcceptPeer takes a new process that has come. It tells whether it is accepted: one at a time,
 // of the same format.
 func (o *PredecessorState) AcceptPeer(format int) bool {
-	if o.peer || format != ProtocolVersion {
+	if o.hasPeer || format != ProtocolVersion {
 		return false
 	}
-	o.peer = true
+	o.hasPeer = true
 	return true
 }
 
 // TakenOver notes that the new process has taken over. It tells whether it may.
 func (o *PredecessorState) TakenOver() bool {
-	if !o.peer || o.given {
+	if !o.hasPeer || o.takenOver {
 		return false
 	}
-	o.given = true
+	o.takenOver = true
 	return true
 }
 
 // PeerLost notes that the new process is gone, or will hear no more. It tells whether this one
 // takes clients in again: all is as it was before the new one came.
 func (o *PredecessorState) PeerLost() (again bool) {
-	again = o.given
-	o.peer, o.given = false, false
+	again = o.takenOver
+	o.hasPeer, o.takenOver = false, false
 	return again
 }
 
 // BeginShutdown notes that this process was told to leave.
-func (o *PredecessorState) BeginShutdown() { o.leaving = true }
+func (o *PredecessorState) BeginShutdown() { o.shuttingDown = true }
 
 // MayAccept tells whether this process takes clients in, and spends the budget for cold servers.
-func (o *PredecessorState) MayAccept() bool { return !o.given }
+func (o *PredecessorState) MayAccept() bool { return !o.takenOver }
 
 // MayHandOff tells whether connections that stand may be handed over. Not before this process
 // was told to leave: if the new one ends until then, nothing has happened.
-func (o *PredecessorState) MayHandOff() bool { return o.given && o.leaving }
+func (o *PredecessorState) MayHandOff() bool { return o.takenOver && o.shuttingDown }
 
-// stage is how far a new process has come.
-type stage uint8
+// successorPhase is how far a new process has come.
+type successorPhase uint8
 
 const (
-	asking  stage = iota // whether there is an old one
-	offered              // it has offered its place
-	taking               // it was told that its place is taken
-	taken                // it has said go
-	alone                // there is nobody to take over from
+	connecting successorPhase = iota // whether there is an old one
+	offered                          // it has offered its place
+	taking                           // it was told that its place is taken
+	taken                            // it has said go
+	peerLost                         // there is nobody to take over from
 )
 
 // SuccessorState decides what the process that starts may do.
-type SuccessorState struct{ stage stage }
+type SuccessorState struct{ phase successorPhase }
 
 // Offered notes that the old process offers its place.
 func (n *SuccessorState) Offered() {
-	if n.stage == asking {
-		n.stage = offered
+	if n.phase == connecting {
+		n.phase = offered
 	}
 }
 
 // TakeOver notes that the old process is told that its place is taken. It tells whether it may be.
 func (n *SuccessorState) TakeOver() bool {
-	if n.stage != offered {
+	if n.phase != offered {
 		return false
 	}
-	n.stage = taking
+	n.phase = taking
 	return true
 }
 
 // PredecessorPaused notes that the old process takes nobody in any more.
 func (n *SuccessorState) PredecessorPaused() {
-	if n.stage == taking {
-		n.stage = taken
+	if n.phase == taking {
+		n.phase = taken
 	}
 }
 
 // PeerLost notes that the old process is gone, silent or strange: this one goes on alone, with
 // what it has been given by then.
 func (n *SuccessorState) PeerLost() {
-	if n.stage != taken {
-		n.stage = alone
+	if n.phase != taken {
+		n.phase = peerLost
 	}
 }
 
 // MayAccept tells whether this process takes clients in, and spends the budget for cold servers.
-func (n *SuccessorState) MayAccept() bool { return n.stage == taken || n.stage == alone }
+func (n *SuccessorState) MayAccept() bool { return n.phase == taken || n.phase == peerLost }
--- a/internal/hotrestart/machine_test.go
+++ b/internal/hotrestart/machine_test.go
@@ -10,7 +10,7 @@
 // them and lost with either. What must hold whatever comes: while both live and hear each
 // other, no more than one takes clients in; connections are given only to a new process that
 // takes, by an old one that was told to leave; and whoever is left takes clients in.
-func TestTwoProcessesAreOneRelay(t *testing.T) {
+func TestOnlyOneProcessAccepts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var old PredecessorState
 		var fresh *SuccessorState
@@ -28,10 +28,10 @@
 			if hears && oldLives && fresh != nil && format == ProtocolVersion && old.MayAccept() && fresh.MayAccept() {
 				t.Fatal("both take clients in")
 			}
-			if hears && oldLives && old.MayHandOff() && fresh != nil && fresh.stage != taking && fresh.stage != taken {
+			if hears && oldLives && old.MayHandOff() && fresh != nil && fresh.phase != taking && fresh.phase != taken {
 				t.Fatal("connections are given to who does not adopt them")
 			}
-			if oldLives && old.MayHandOff() && !old.leaving {
+			if oldLives && old.MayHandOff() && !old.shuttingDown {
 				t.Fatal("connections are given by who goes on")
 			}
 		}
@@ -89,7 +89,7 @@
 					}
 				}
 			}},
-			{"the new one is ready", func() bool { return fresh != nil && fresh.stage == offered }, func() {
+			{"the new one is ready", func() bool { return fresh != nil && fresh.phase == offered }, func() {
 				if !fresh.TakeOver() {
 					t.Fatal("an offered place can't be taken")
 				}
@@ -131,7 +131,7 @@
 	})
 }
 
-func TestOneNewProcessAtATime(t *testing.T) {
+func TestOneSuccessorAtATime(t *testing.T) {
 	var o PredecessorState
 	if !o.AcceptPeer(ProtocolVersion) || o.AcceptPeer(ProtocolVersion) || !o.TakenOver() || o.TakenOver() || o.MayAccept() || o.MayHandOff() {
 		t.Errorf("%+v", o)
