--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -14,55 +14,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// A message is its length in four bytes, its kind in one, how many descriptors come with
-// it in one, and a body in JSON.
+// A message is its length in four bytes, big-endian, its kind in one, the number
+// of descriptors that come with it in one, and a body in JSON.
 const (
 	headerSize     = 6
-	maxBodyBytes   = 64 << 20 // a list of 60,000 servers and all routes that are kept; memory is taken by what a body has
+	maxBodyBytes   = 64 << 20 // a list of 60,000 endpoints and all cached routes; memory is taken by what a body has
 	maxDescriptors = 8
-)
-
-// messageKind is what a message says.
-type messageKind uint8
-
-const (
-	kindHello      messageKind = 1 + iota // new: who it is
-	kindOffer                             // old: state, with the listening sockets
-	kindReject                            // old: why not
-	kindTakeOver                          // new: it is ready to take over
-	kindPaused                            // old: it takes nobody in any more
-	kindConnection                        // old: a connection, with its two sockets
-	kindAck                               // new: it is carried on here
-	kindNack                              // new: it is not
-)
-
-var (
-	errProtocol  = errors.New("handover: a message makes no sense")
-	errOtherUser = errors.New("handover: the peer is another user's")
+	descriptorSize = 4 // bytes of one in a control message
 )
 
 // channel is a connection between the two processes.
 type channel struct{ *net.UnixConn }
 
-// sameUser fails if the peer is not of this process's own user.
+// sameUser returns errOtherUser if the peer belongs to another user.
 func (c channel) sameUser() error {
-	var cred *unix.Ucred
-	err := withDescriptors([]syscall.Conn{c}, nil, func(fds []int) (err error) {
-		cred, err = unix.GetsockoptUcred(fds[0], unix.SOL_SOCKET, unix.SO_PEERCRED)
+	var credentials *unix.Ucred
+	err := withDescriptors([]syscall.Conn{c}, nil, func(descriptors []int) (err error) {
+		credentials, err = unix.GetsockoptUcred(descriptors[0], unix.SOL_SOCKET, unix.SO_PEERCRED)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	if cred.Uid != uint32(os.Geteuid()) {
+	if credentials.Uid != uint32(os.Geteuid()) {
 		return errOtherUser
 	}
 	return nil
 }
 
-// send writes a message within a time, with the descriptors of some sockets. The peer gets
-// descriptors of its own.
-func (c channel) send(within time.Duration, k messageKind, body any, sockets ...syscall.Conn) error {
+// send writes a message within a timeout, with the descriptors of some sockets.
+// The peer gets duplicates of them.
+func (c channel) send(timeout time.Duration, kind messageKind, body any, sockets ...syscall.Conn) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -70,39 +52,42 @@
 	if len(text) > maxBodyBytes || len(sockets) > maxDescriptors {
 		return fmt.Errorf("handover: %d bytes and %d descriptors are too much", len(text), len(sockets))
 	}
-	message := binary.BigEndian.AppendUint32(make([]byte, 0, headerSize+len(text)), uint32(len(text)))
-	message = append(message, byte(k), byte(len(sockets)))
-	message = append(message, text...)
-	c.SetWriteDeadline(time.Now().Add(within))
-	return withDescriptors(sockets, nil, func(fds []int) error {
+	data := binary.BigEndian.AppendUint32(make([]byte, 0, headerSize+len(text)), uint32(len(text)))
+	data = append(data, byte(kind), byte(len(sockets)))
+	data = append(data, text...)
+	c.SetWriteDeadline(time.Now().Add(timeout))
+	return withDescriptors(sockets, nil, func(descriptors []int) error {
 		var rights []byte
-		if len(fds) > 0 {
-			rights = unix.UnixRights(fds...)
+		if len(descriptors) > 0 {
+			rights = unix.UnixRights(descriptors...)
 		}
-		n, _, err := c.WriteMsgUnix(message, rights, nil)
-		if err == nil && n < len(message) {
-			_, err = c.Write(message[n:])
+		n, _, err := c.WriteMsgUnix(data, rights, nil)
+		if err == nil && n < len(data) {
+			_, err = c.Write(data[n:])
 		}
 		return err
 	})
 }
 
-// withDescriptors calls do with the descriptors of all sockets. They are not taken out of
-// the runtime's hands: File would set a socket that both processes have to blocking mode.
-func withDescriptors(sockets []syscall.Conn, fds []int, do func([]int) error) error {
+// withDescriptors calls use with the descriptors of all sockets, after those
+// given. They are not taken out of the runtime's hands: File would set a socket
+// that both processes have to blocking mode.
+func withDescriptors(sockets []syscall.Conn, descriptors []int, use func([]int) error) error {
 	if len(sockets) == 0 {
-		return do(fds)
+		return use(descriptors)
 	}
 	raw, err := sockets[0].SyscallConn()
 	if err != nil {
 		return err
 	}
-	var done error
-	err = raw.Control(func(fd uintptr) { done = withDescriptors(sockets[1:], append(fds, int(fd)), do) })
-	return errors.Join(err, done)
+	var used error
+	err = raw.Control(func(descriptor uintptr) {
+		used = withDescriptors(sockets[1:], append(descriptors, int(descriptor)), use)
+	})
+	return errors.Join(err, used)
 }
 
-// message is one that has come.
+// message is one that was received.
 type message struct {
 	kind        messageKind
 	body        []byte
@@ -111,83 +96,76 @@
 
 // closeFiles closes the descriptors that came with a message.
 func (m *message) closeFiles() {
-	for _, f := range m.descriptors {
-		_ = f.Close()
+	for _, file := range m.descriptors {
+		_ = file.Close()
 	}
 }
 
-// decode reads the body.
-func (m *message) decode(v any) error {
-	if err := json.Unmarshal(m.body, v); err != nil {
+// decode decodes the body; its error wraps errProtocol.
+func (m *message) decode(target any) error {
+	if err := json.Unmarshal(m.body, target); err != nil {
 		return fmt.Errorf("%w: %w", errProtocol, err)
 	}
 	return nil
 }
 
-// receive reads a message until a time; the zero time waits for as long as it takes.
-func (c channel) receive(until time.Time) (m *message, err error) {
-	c.SetReadDeadline(until)
-	m = &message{}
-	defer func() {
-		if err != nil {
-			m.closeFiles()
-			m = nil
-		}
-	}()
-	head := make([]byte, headerSize)
-	rights := make([]byte, unix.CmsgSpace(4*maxDescriptors))
+// receive reads a message until a deadline; the zero time is none. The caller
+// closes the descriptors of the message.
+func (c channel) receive(deadline time.Time) (*message, error) {
+	c.SetReadDeadline(deadline)
+	m := &message{}
+	if err := m.readFrom(c); err != nil {
+		m.closeFiles()
+		return nil, err
+	}
+	return m, nil
+}
+
+// readFrom reads a message. After an error the descriptors may be there in part.
+func (m *message) readFrom(c channel) error {
+	header := make([]byte, headerSize)
+	rights := make([]byte, unix.CmsgSpace(descriptorSize*maxDescriptors))
 	// Descriptors come with the first byte of their message.
-	n, oob, _, _, err := c.ReadMsgUnix(head, rights)
+	n, rightsSize, _, _, err := c.ReadMsgUnix(header, rights)
 	if err != nil {
-		return m, err
+		return err
 	}
-	if err := m.parseRights(rights[:oob]); err != nil {
-		return m, err
+	if err := m.parseRights(rights[:rightsSize]); err != nil {
+		return err
 	}
 	if n == 0 {
-		return m, net.ErrClosed
+		return net.ErrClosed
 	}
-	if _, err := io.ReadFull(c, head[n:]); err != nil {
-		return m, err
+	if _, err := io.ReadFull(c, header[n:]); err != nil {
+		return err
 	}
-	size := binary.BigEndian.Uint32(head)
-	if m.kind = messageKind(head[4]); size > maxBodyBytes || int(head[5]) != len(m.descriptors) {
-		return m, errProtocol
+	size := binary.BigEndian.Uint32(header)
+	m.kind = messageKind(header[4])
+	if size > maxBodyBytes || int(header[5]) != len(m.descriptors) {
+		return errProtocol
 	}
 	m.body = make([]byte, size)
 	_, err = io.ReadFull(c, m.body)
-	return m, err
+	return err
 }
 
-// parseRights takes the descriptors out of what came beside a message's first bytes.
+// parseRights takes the descriptors out of the control message that came with a
+// message's first byte.
 func (m *message) parseRights(rights []byte) error {
-	all, err := unix.ParseSocketControlMessage(rights)
+	controlMessages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
 		return err
 	}
-	for _, one := range all {
-		fds, err := unix.ParseUnixRights(&one)
+	for _, controlMessage := range controlMessages {
+		descriptors, err := unix.ParseUnixRights(&controlMessage)
 		if err != nil {
 			return err
 		}
-		for _, fd := range fds {
-			unix.CloseOnExec(fd)
-			_ = unix.SetNonblock(fd, true) // os.NewFile takes a blocking one as well
-			m.descriptors = append(m.descriptors, os.NewFile(uintptr(fd), "handed over"))
+		for _, descriptor := range descriptors {
+			unix.CloseOnExec(descriptor)
+			_ = unix.SetNonblock(descriptor, true) // os.NewFile takes a blocking one as well
+			m.descriptors = append(m.descriptors, os.NewFile(uintptr(descriptor), "handed over"))
 		}
 	}
 	return nil
 }
-
-// expect fails if a message is not of a kind.
-func (m *message) expect(k messageKind) error {
-	switch m.kind {
-	case k:
-		return nil
-	case kindReject:
-		var why string
-		_ = m.decode(&why) // the refusal counts, with its reason or without
-		return fmt.Errorf("handover: refused: %.200s", why)
-	}
-	return errProtocol
-}
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -19,82 +19,82 @@
 	"lockroad/internal/testutil"
 )
 
-// fakeHandler is a relay with one door.
+// fakeHandler is a relay with one listener.
 type fakeHandler struct {
-	state      atomic.Pointer[string] // if not a small one
-	listener   *net.TCPListener
-	peerServes atomic.Int32 // how often it was told so, less how often the contrary
-	fails      atomic.Bool
+	state          atomic.Pointer[string] // in place of a small one
+	clientListener *net.TCPListener
+	peerServes     atomic.Int32 // calls with true, less those with false
+	fails          atomic.Bool
 }
 
-func (g *fakeHandler) Offer(context.Context) (*Offer, []syscall.Conn, error) {
+func (h *fakeHandler) Offer(context.Context) (*Offer, []syscall.Conn, error) {
 	var err error
-	if g.fails.Load() {
+	if h.fails.Load() {
 		err = errors.New("no turn comes")
 	}
 	state := `{"x":1}`
-	if s := g.state.Load(); s != nil {
+	if s := h.state.Load(); s != nil {
 		state = *s
 	}
-	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{g.listener}, err
+	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{h.clientListener}, err
 }
 
-func (g *fakeHandler) PeerServes(given bool) {
-	if given {
-		g.peerServes.Add(1)
+func (h *fakeHandler) PeerServes(serves bool) {
+	if serves {
+		h.peerServes.Add(1)
 	} else {
-		g.peerServes.Add(-1)
+		h.peerServes.Add(-1)
 	}
 }
 
-// startPredecessor runs a host and returns where it is met.
+// startPredecessor runs a predecessor until the test's end.
 func startPredecessor(t *testing.T) (*Predecessor, *fakeHandler) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &fakeHandler{listener: l.(*net.TCPListener)}
-	h := NewPredecessor(SocketPath(t.TempDir(), "n0", "a:1"), g, slog.New(slog.DiscardHandler))
+	handler := &fakeHandler{clientListener: listener.(*net.TCPListener)}
+	predecessor := NewPredecessor(SocketPath(t.TempDir(), "n0", "a:1"), handler, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- h.Serve(ctx) }()
+	go func() { done <- predecessor.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-done; err != nil {
 			t.Error(err)
 		}
-		l.Close()
+		listener.Close()
 	})
-	testutil.Until(t, "there is no meeting place", func() bool { _, err := os.Stat(h.path); return err == nil })
-	return h, g
+	testutil.Until(t, "the socket is not opened", func() bool { _, err := os.Stat(predecessor.path); return err == nil })
+	return predecessor, handler
 }
 
-// connectSuccessor asks until there is an offer: a host notices that a guest is gone a moment later.
-func connectSuccessor(t *testing.T, h *Predecessor) *Successor {
+// connectSuccessor connects until there is an offer: a predecessor notices a moment later that the last successor is gone.
+func connectSuccessor(t *testing.T, predecessor *Predecessor) *Successor {
 	t.Helper()
-	var g *Successor
+	var successor *Successor
 	testutil.Until(t, "no offer is made", func() (ok bool) {
 		var err error
-		g, err = Connect(h.path)
+		successor, err = Connect(predecessor.path)
 		return err == nil
 	})
-	t.Cleanup(g.Close)
-	return g
+	t.Cleanup(successor.Close)
+	return successor
 }
 
-// connectionPair is a TCP connection's two ends.
+// connectionPair returns both ends of a TCP connection.
 func connectionPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	if near, err = net.Dial("tcp", l.Addr().String()); err != nil {
+	defer listener.Close()
+	if near, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	if far, err = l.Accept(); err != nil {
+	if far, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { near.Close(); far.Close() })
@@ -102,54 +102,54 @@
 }
 
 func TestSuccessorTakesOver(t *testing.T) {
-	h, old := startPredecessor(t)
-	g := connectSuccessor(t, h)
-	if g.Offer.Clock != time.Hour || string(g.Offer.State) != `{"x":1}` || len(g.Listeners) != 1 {
-		t.Errorf("offered %+v with %d doors", g.Offer, len(g.Listeners))
+	predecessor, handler := startPredecessor(t)
+	successor := connectSuccessor(t, predecessor)
+	if successor.Offer.Clock != time.Hour || string(successor.Offer.State) != `{"x":1}` || len(successor.Listeners) != 1 {
+		t.Errorf("offered %+v with %d listeners", successor.Offer, len(successor.Listeners))
 	}
-	if g.MayAccept() || old.peerServes.Load() != 0 {
-		t.Error("the place is given before it was taken")
+	if successor.MayAccept() || handler.peerServes.Load() != 0 {
+		t.Error("the successor may accept, or the predecessor has paused, before the takeover")
 	}
-	if err := g.TakeOver(); err != nil || !g.MayAccept() {
+	if err := successor.TakeOver(); err != nil || !successor.MayAccept() {
 		t.Fatal(err)
 	}
-	if old.peerServes.Load() != 1 {
-		t.Error("the old process was not told")
+	if handler.peerServes.Load() != 1 {
+		t.Error("the predecessor was not paused")
 	}
-	// Who waits in the queue stays in it, though the old process closes its descriptor.
-	waits, err := net.Dial("tcp", g.Listeners[0].Addr().String())
+	// A connection in the accept queue stays there, though the predecessor closes its descriptor.
+	queued, err := net.Dial("tcp", successor.Listeners[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer waits.Close()
-	old.listener.Close()
-	c, err := g.Listeners[0].Accept()
+	defer queued.Close()
+	handler.clientListener.Close()
+	c, err := successor.Listeners[0].Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	if c.RemoteAddr().String() != waits.LocalAddr().String() {
-		t.Error("another one was in the queue")
+	if c.RemoteAddr().String() != queued.LocalAddr().String() {
+		t.Error("another connection was in the queue")
 	}
 
 	near, far := connectionPair(t)
-	if err := h.HandOff("too early", near.(syscall.Conn)); !errors.Is(err, errNoPeer) {
-		t.Errorf("given before it was told to leave: %v", err)
+	if err := predecessor.HandOff("too early", near.(syscall.Conn)); !errors.Is(err, errNoPeer) {
+		t.Errorf("handed off before the shutdown: %v", err)
 	}
-	if !h.BeginShutdown() {
-		t.Error("nobody is there to give to")
+	if !predecessor.BeginShutdown() {
+		t.Error("connections are not to be handed off at shutdown")
 	}
 	adopted := make(chan net.Conn, 1)
-	go g.Adopt(context.Background(), func(what json.RawMessage, sockets []net.Conn) (func(), error) {
-		if string(what) != `"mine"` || len(sockets) != 1 {
+	go successor.Adopt(context.Background(), func(payload json.RawMessage, sockets []net.Conn) (func(), error) {
+		if string(payload) != `"mine"` || len(sockets) != 1 {
 			return nil, errors.New("not wanted")
 		}
 		return func() { adopted <- sockets[0] }, nil
 	})
-	if err := h.HandOff("odd", near.(syscall.Conn)); !errors.Is(err, errNotAdopted) {
-		t.Errorf("what is not adopted: %v", err)
+	if err := predecessor.HandOff("unwanted", near.(syscall.Conn)); !errors.Is(err, errNotAdopted) {
+		t.Errorf("a connection that is declined: %v", err)
 	}
-	if err := h.HandOff("mine", near.(syscall.Conn)); err != nil {
+	if err := predecessor.HandOff("mine", near.(syscall.Conn)); err != nil {
 		t.Fatal(err)
 	}
 	near.Close()
@@ -160,172 +160,125 @@
 	}
 }
 
-// A new process that goes before or after it has taken over leaves the old one unharmed,
-// and the next can come.
-// What a relay of tens of thousands of servers hands over is not turned down for its size.
+// The offer of a relay with tens of thousands of endpoints is not rejected for its size.
 func TestLargeOffer(t *testing.T) {
-	h, g := startPredecessor(t)
+	predecessor, handler := startPredecessor(t)
 	state := `"` + strings.Repeat("x", 9<<20) + `"`
-	g.state.Store(&state)
-	if got := connectSuccessor(t, h); len(got.Offer.State) != len(state) {
+	handler.state.Store(&state)
+	if got := connectSuccessor(t, predecessor); len(got.Offer.State) != len(state) {
 		t.Errorf("%d bytes of %d are offered", len(got.Offer.State), len(state))
 	}
 }
 
+// A successor that is lost before or after it has taken over leaves the predecessor unharmed,
+// and the next one can connect.
 func TestPredecessorResumesWhenSuccessorIsLost(t *testing.T) {
-	h, old := startPredecessor(t)
-	connectSuccessor(t, h).Close() // before
-	g := connectSuccessor(t, h)
-	if err := g.TakeOver(); err != nil {
+	predecessor, handler := startPredecessor(t)
+	connectSuccessor(t, predecessor).Close() // before the takeover
+	successor := connectSuccessor(t, predecessor)
+	if err := successor.TakeOver(); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Connect(h.path); err == nil || !strings.Contains(err.Error(), "another new process") {
-		t.Errorf("a second one: %v", err)
+	if _, err := Connect(predecessor.path); err == nil || !strings.Contains(err.Error(), "another new process") {
+		t.Errorf("a second successor: %v", err)
 	}
-	if err := os.Remove(h.path); err != nil { // it has opened its own there
+	if err := os.Remove(predecessor.path); err != nil { // the successor has opened its own there
 		t.Fatal(err)
 	}
-	g.Close()
-	testutil.Until(t, "the old process does not go on", func() bool { return old.peerServes.Load() == 0 })
-	g = connectSuccessor(t, h)
-	if err := g.TakeOver(); err != nil {
+	successor.Close()
+	testutil.Until(t, "the predecessor does not resume", func() bool { return handler.peerServes.Load() == 0 })
+	successor = connectSuccessor(t, predecessor)
+	if err := successor.TakeOver(); err != nil {
 		t.Fatal(err)
 	}
-	h.BeginShutdown()
-	g.Close()
+	predecessor.BeginShutdown()
+	successor.Close()
 	near, _ := connectionPair(t)
-	testutil.Until(t, "it is still given", func() bool { return h.HandOff("x", near.(syscall.Conn)) != nil })
+	testutil.Until(t, "connections are still handed off", func() bool { return predecessor.HandOff("x", near.(syscall.Conn)) != nil })
 }
 
-// An old process that is killed before it gives its place, or after, leaves the new one
-// with the door: it goes on alone.
+// A predecessor that is killed before or after the takeover leaves the successor with the
+// listeners: it continues alone.
 func TestSuccessorContinuesWhenPredecessorIsKilled(t *testing.T) {
 	for _, after := range []bool{false, true} {
-		h, _ := startPredecessor(t)
-		g := connectSuccessor(t, h)
+		predecessor, _ := startPredecessor(t)
+		successor := connectSuccessor(t, predecessor)
 		if after {
-			if err := g.TakeOver(); err != nil {
+			if err := successor.TakeOver(); err != nil {
 				t.Fatal(err)
 			}
 		}
-		h.mu.Lock()
-		h.peer.Close()
-		h.mu.Unlock()
-		if !after && g.TakeOver() == nil {
-			t.Error("the place of a process was taken that is gone")
+		predecessor.mu.Lock()
+		predecessor.peer.Close()
+		predecessor.mu.Unlock()
+		if !after && successor.TakeOver() == nil {
+			t.Error("a predecessor that is gone was taken over from")
 		}
-		g.Adopt(context.Background(), nil) // ends at once
-		if !g.MayAccept() || len(g.Listeners) != 1 {
-			t.Error("it takes nobody in")
+		successor.Adopt(context.Background(), nil) // ends at once
+		if !successor.MayAccept() || len(successor.Listeners) != 1 {
+			t.Error("the successor may not accept, or has no listener")
 		}
 	}
 }
 
-// Whatever is wrong with the other side, a new process starts alone, and soon.
+// Whatever is wrong with the predecessor, a new process gets an error, and starts alone.
 func TestSuccessorStartsAloneBesideInvalidPredecessor(t *testing.T) {
 	if SocketPath("", "n0", "a:1") != "" || SocketPath("d", "n0", "a:1") == SocketPath("d", "n1", "a:1") {
-		t.Error("meeting places")
+		t.Error("paths are not distinct, or there is one without a folder")
 	}
-	h, old := startPredecessor(t)
-	for _, format := range []int{ProtocolVersion - 1, ProtocolVersion + 1} {
-		if _, err := connect(h.path, format); err == nil || !strings.Contains(err.Error(), "refused") {
-			t.Errorf("format %d: %v", format, err)
+	predecessor, handler := startPredecessor(t)
+	for _, version := range []int{ProtocolVersion - 1, ProtocolVersion + 1} {
+		if _, err := connect(predecessor.path, version); err == nil || !strings.Contains(err.Error(), "refused") {
+			t.Errorf("version %d: %v", version, err)
 		}
 	}
-	old.fails.Store(true)
-	if _, err := Connect(h.path); err == nil || !strings.Contains(err.Error(), "no turn comes") {
-		t.Errorf("an old process that can't offer: %v", err)
+	handler.fails.Store(true)
+	if _, err := Connect(predecessor.path); err == nil || !strings.Contains(err.Error(), "no turn comes") {
+		t.Errorf("a predecessor that can't offer: %v", err)
 	}
 	dir := t.TempDir()
 	if _, err := Connect(filepath.Join(dir, "none")); err == nil {
-		t.Error("nobody is there")
+		t.Error("connected where no socket is")
 	}
 	stale := filepath.Join(dir, "stale")
-	l, err := net.Listen("unix", stale)
+	listener, err := net.Listen("unix", stale)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.(*net.UnixListener).SetUnlinkOnClose(false)
-	l.Close()
+	listener.(*net.UnixListener).SetUnlinkOnClose(false)
+	listener.Close()
 	if _, err := Connect(stale); err == nil {
-		t.Error("a stale socket")
+		t.Error("connected to a stale socket")
 	}
-	message := func(k messageKind, files byte, body string) string {
+	message := func(kind messageKind, descriptors byte, body string) string {
 		b := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-		return string(append(append(b, byte(k), files), body...))
+		return string(append(append(b, byte(kind), descriptors), body...))
 	}
 	offer := message(kindOffer, 0, `{"Clock":1,"Doors":[]}`)
-	said := []string{
+	responses := []string{
 		"", "\x00", "\xff\xff\xff\xff\x02\x00", message(kindPaused, 0, "null"), message(kindOffer, 1, "{}"), message(kindOffer, 0, "{"),
 		message(kindOffer, 0, `{"Doors":["line"]}`), message(kindReject, 0, `"no"`), message(77, 0, "null"),
 	}
-	for cut := range offer { // cut off at every byte
-		said = append(said, offer[:cut])
+	for cut := range offer { // truncated at every byte
+		responses = append(responses, offer[:cut])
 	}
-	for _, text := range said {
-		at := filepath.Join(t.TempDir(), "s")
-		l, err := net.Listen("unix", at)
+	for _, text := range responses {
+		path := filepath.Join(t.TempDir(), "s")
+		listener, err := net.Listen("unix", path)
 		if err != nil {
 			t.Fatal(err)
 		}
 		go func() {
-			defer l.Close()
-			c, err := l.Accept()
+			defer listener.Close()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			defer c.Close()
 			io.WriteString(c, text)
 		}()
-		if _, err := Connect(at); err == nil {
-			t.Errorf("%q was taken for an offer", text)
-		}
-	}
-}
-
-// Messages come whole whatever pieces they come in, with their descriptors.
-func TestMessagesAreReadFromPieces(t *testing.T) {
-	var text []byte
-	for cut := 1; ; cut++ {
-		fds, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		var ends [2]channel
-		for i, fd := range fds {
-			f := os.NewFile(uintptr(fd), "pair")
-			c, err := net.FileConn(f)
-			if err != nil {
-				t.Fatal(err)
-			}
-			_ = f.Close()
-			ends[i] = channel{c.(*net.UnixConn)}
-			defer c.Close()
-		}
-		if text == nil {
-			near, _ := connectionPair(t)
-			if err := ends[0].send(time.Second, kindOffer, "with a socket", near.(syscall.Conn)); err != nil {
-				t.Fatal(err)
-			}
-			m, err := ends[1].receive(time.Now().Add(time.Second))
-			if err != nil || m.kind != kindOffer || len(m.descriptors) != 1 {
-				t.Fatalf("%+v, %v", m, err)
-			}
-			m.closeFiles()
-			text = binary.BigEndian.AppendUint32(nil, 6)
-			text = append(append(text, byte(kindAck), 0), "123456"...)
-		}
-		if cut == len(text) {
-			return
-		}
-		go func() {
-			_, _ = ends[0].Write(text[:cut])
-			_, _ = ends[0].Write(text[cut:])
-		}()
-		m, err := ends[1].receive(time.Now().Add(time.Second))
-		var n int
-		if err != nil || m.kind != kindAck || m.decode(&n) != nil || n != 123456 {
-			t.Fatalf("cut at %d: %+v, %v", cut, m, err)
+		if _, err := Connect(path); err == nil {
+			t.Errorf("%q was accepted as an offer", text)
 		}
 	}
 }
--- a/internal/hotrestart/encoding_test.go
+++ b/internal/hotrestart/messages_test.go
@@ -43,10 +43,10 @@
 
 // checkFrame fails the test if a message is sent in other bytes than its golden file has, or if what is received of
 // these bytes is not the same message.
-func checkFrame[T any](t *testing.T, path string, k messageKind, body T, sockets ...syscall.Conn) {
+func checkFrame[T any](t *testing.T, path string, kind messageKind, body T, sockets ...syscall.Conn) {
 	t.Helper()
 	near, far := socketPair(t)
-	if err := near.send(time.Second, k, body, sockets...); err != nil {
+	if err := near.send(time.Second, kind, body, sockets...); err != nil {
 		t.Fatal(err)
 	}
 	near.CloseWrite()
@@ -74,18 +74,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := far.receive(time.Now().Add(time.Second))
+	received, err := far.receive(time.Now().Add(time.Second))
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	defer m.closeFiles()
+	defer received.closeFiles()
 	var decoded T
-	if err := m.decode(&decoded); err != nil {
+	if err := received.decode(&decoded); err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	if m.kind != k || len(m.descriptors) != len(sockets) || !reflect.DeepEqual(decoded, body) {
+	if received.kind != kind || len(received.descriptors) != len(sockets) || !reflect.DeepEqual(decoded, body) {
 		t.Errorf("%s is received as kind %d with %d descriptors and\n%+v, want %d, %d and\n%+v",
-			path, m.kind, len(m.descriptors), decoded, k, len(sockets), body)
+			path, received.kind, len(received.descriptors), decoded, kind, len(sockets), body)
 	}
 }
 
@@ -104,25 +104,25 @@
 }
 
 func TestHelloKeepsItsEncoding(t *testing.T) {
-	whole := helloMessage{Version: 1, PID: 4711}
-	testutil.Complete(t, whole)
-	checkFrame(t, "testdata/hello.frame", kindHello, whole)
+	complete := helloMessage{Version: 1, PID: 4711}
+	testutil.Complete(t, complete)
+	checkFrame(t, "testdata/hello.frame", kindHello, complete)
 }
 
-// A peer of another format is refused: the number may change with the encoding only.
+// A peer of another version is rejected: the number may change with the encoding only.
 func TestFormatVersionIsUnchanged(t *testing.T) {
 	if ProtocolVersion != 1 {
-		t.Errorf("the format is %d, and the golden files are of 1", ProtocolVersion)
+		t.Errorf("the version is %d, and the golden files are of 1", ProtocolVersion)
 	}
 }
 
 func TestOfferKeepsItsEncoding(t *testing.T) {
-	whole := &Offer{
+	complete := &Offer{
 		Clock: 1234567890 * time.Nanosecond, ClockStart: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC),
 		ListenerNames: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
 	}
-	testutil.Complete(t, whole)
-	checkFrame(t, "testdata/offer.frame", kindOffer, whole, openListeners(t, 2)...)
+	testutil.Complete(t, complete)
+	checkFrame(t, "testdata/offer.frame", kindOffer, complete, openListeners(t, 2)...)
 	checkFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
 }
 
@@ -137,10 +137,10 @@
 func TestGoKeepsItsEncoding(t *testing.T) { checkFrame[any](t, "testdata/go.frame", kindPaused, nil) }
 
 func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
-	whole := connectionMessage{Number: 42, Payload: json.RawMessage(`{"Front":"line"}`)}
-	testutil.Complete(t, whole)
+	complete := connectionMessage{Number: 42, Payload: json.RawMessage(`{"Front":"line"}`)}
+	testutil.Complete(t, complete)
 	near, far := connectionPair(t)
-	checkFrame(t, "testdata/established.frame", kindConnection, whole, near.(*net.TCPConn), far.(*net.TCPConn))
+	checkFrame(t, "testdata/established.frame", kindConnection, complete, near.(*net.TCPConn), far.(*net.TCPConn))
 }
 
 func TestAcknowledgementsKeepTheirEncoding(t *testing.T) {
