--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -50,7 +50,7 @@
 		return err
 	}
 	if len(text) > maxBodyBytes || len(sockets) > maxDescriptors {
-		return fmt.Errorf("handover: %d bytes and %d descriptors are too much", len(text), len(sockets))
+		return fmt.Errorf("hotrestart: message of %d bytes and %d descriptors too large", len(text), len(sockets))
 	}
 	data := binary.BigEndian.AppendUint32(make([]byte, 0, headerSize+len(text)), uint32(len(text)))
 	data = append(data, byte(kind), byte(len(sockets)))
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -34,10 +34,10 @@
 
 // Errors of the exchange between the two processes.
 var (
-	errProtocol   = errors.New("handover: a message makes no sense")
-	errOtherUser  = errors.New("handover: the peer is another user's")
-	errNoPeer     = errors.New("handover: nobody is there to take it")
-	errNotAdopted = errors.New("handover: the new process does not take it")
+	errProtocol   = errors.New("hotrestart: malformed or unexpected message")
+	errOtherUser  = errors.New("hotrestart: peer belongs to another user")
+	errNoPeer     = errors.New("hotrestart: no successor to hand off to")
+	errNotAdopted = errors.New("hotrestart: successor declined the connection")
 )
 
 // helloMessage says who a successor is.
@@ -69,7 +69,7 @@
 	case kindReject:
 		var reason string
 		_ = m.decode(&reason) // the rejection counts, with its reason or without
-		return fmt.Errorf("handover: refused: %.200s", reason)
+		return fmt.Errorf("hotrestart: refused by the predecessor: %.200s", reason)
 	}
 	return errProtocol
 }
--- a/internal/hotrestart/messages_test.go
+++ b/internal/hotrestart/messages_test.go
@@ -18,7 +18,7 @@
 	"lockroad/internal/testutil"
 )
 
-// socketPair are a Unix socket's two ends, on which the bytes of messages are read and written as they are.
+// socketPair returns both ends of a Unix socket, on which the bytes of messages are read and written as they are.
 func socketPair(t *testing.T) (near, far channel) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -89,7 +89,7 @@
 	}
 }
 
-// openListeners are the sockets that an offer comes with.
+// openListeners returns the sockets that come with an offer.
 func openListeners(t *testing.T, n int) (all []syscall.Conn) {
 	t.Helper()
 	for range n {
@@ -148,7 +148,7 @@
 	checkFrame(t, "testdata/nack.frame", kindNack, 43)
 }
 
-// Both processes look for each other at the same path.
+// Processes of two versions meet at the same path.
 func TestSocketPathIsUnchanged(t *testing.T) {
 	testutil.Golden(t, "testdata/path.txt", []byte(SocketPath("/run/x", "n0", "127.0.0.1:7000")))
 }
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -69,7 +69,7 @@
 // successor that connects.
 func (p *Predecessor) Serve(ctx context.Context) error {
 	if err := p.listen(); err != nil {
-		p.log.Warn("a new version will not find this process", "error", err)
+		p.log.Warn("hot restart socket unavailable", "error", err)
 		return nil
 	}
 	defer context.AfterFunc(ctx, p.closeAll)()
@@ -140,7 +140,7 @@
 func (p *Predecessor) servePeer(ctx context.Context, conn channel) {
 	defer conn.Close()
 	if err := conn.sameUser(); err != nil {
-		p.log.Warn("a process is turned away", "error", err)
+		p.log.Warn("hot restart peer rejected", "error", err)
 		return
 	}
 	hello, accepted := p.acceptPeer(conn)
@@ -152,13 +152,13 @@
 	if ctx.Err() != nil {
 		return
 	}
-	p.log.Warn("the new process is gone", "pid", hello.PID, "error", err, "leaving", shuttingDown)
+	p.log.Warn("hot restart successor lost", "pid", hello.PID, "error", err, "leaving", shuttingDown)
 	if !resume {
 		return
 	}
 	p.handler.PeerServes(false)
 	if err := p.listen(); err != nil { // the successor has opened its own there
-		p.log.Warn("a new version will not find this process", "error", err)
+		p.log.Warn("hot restart socket unavailable", "error", err)
 	}
 }
 
@@ -182,7 +182,7 @@
 	p.mu.Unlock()
 	if !accepted {
 		_ = conn.send(messageTimeout, kindReject, fmt.Sprintf("format %d against %d, or another new process is there", hello.Version, ProtocolVersion))
-		p.log.Warn("a new process is refused", "pid", hello.PID, "format", hello.Version)
+		p.log.Warn("hot restart successor rejected", "pid", hello.PID, "format", hello.Version)
 	}
 	return hello, accepted
 }
@@ -213,7 +213,7 @@
 	if err := conn.send(messageTimeout, kindPaused, nil); err != nil {
 		return err
 	}
-	p.log.Info("a new process has taken over")
+	p.log.Info("hot restart successor took over")
 	return p.receiveAcknowledgements(ctx, conn)
 }
 
@@ -309,7 +309,7 @@
 			return nil
 		case <-timeout:
 			// It may have been adopted, or may yet be: two that serve it would garble it.
-			p.log.Warn("a connection was handed over without a word of it")
+			p.log.Warn("connection handoff not acknowledged")
 			peer.Close() // the next would be paused as long, and be as uncertain: they are migrated
 			return nil
 		}
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -35,7 +35,7 @@
 				t.Fatal("connections are handed off by a predecessor that does not shut down")
 			}
 		}
-		// Each step with when it can come. Only those that can are drawn: a draw among all of them, with
+		// Each step with its precondition. Only steps that can happen are drawn: a draw among all of them, with
 		// those that can't skipped, now and then finds none in the 100 draws it has, which is no finding.
 		steps := []struct {
 			name string
