--- a/Makefile
+++ b/Makefile
@@ -26,7 +26,7 @@
 	.ci/lint
 
 fuzz:
-	go test -run '^$$' -fuzz '^FuzzHall$$' -fuzztime $(FUZZTIME) ./internal/listener
+	go test -run '^$$' -fuzz '^FuzzConnLimiter$$' -fuzztime $(FUZZTIME) ./internal/listener
 	go test -run '^$$' -fuzz '^FuzzRequests$$' -fuzztime $(FUZZTIME) ./internal/proxy
 	go test -run '^$$' -fuzz '^FuzzMoveComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
--- a/internal/listener/door.go
+++ b/internal/listener/door.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	drainFor  = 20 * time.Millisecond  // a door that shuts takes in who waits in its queue for so long,
-	drainMost = 100 * time.Millisecond // and until nobody waits there, but no longer than this
+	drainIdleTimeout = 20 * time.Millisecond  // a door that shuts takes in who waits in its queue for so long,
+	drainTimeout     = 100 * time.Millisecond // and until nobody waits there, but no longer than this
 )
 
 // Listener is a listener that can rest, and that shuts without turning away who has
@@ -22,12 +22,12 @@
 type Listener struct {
 	*net.TCPListener
 
-	mu   sync.Mutex
-	out  sync.Cond     // of mu: the last one inside has come out, or the door rests no more
-	in   int           // who is inside the listener's Accept
-	rest chan struct{} // closed when the door rests no more; nil if it does not
-	shut bool
-	last time.Time // nobody is taken in after it, once the door shuts
+	mu            sync.Mutex
+	acceptsDone   sync.Cond     // of mu: the last one inside has come out, or the door rests no more
+	accepting     int           // who is inside the listener's Accept
+	paused        chan struct{} // closed when the door rests no more; nil if it does not
+	closing       bool
+	drainDeadline time.Time // nobody is taken in after it, once the door shuts
 }
 
 // Listen listens at an address. A shared door can be opened beside another
@@ -54,7 +54,7 @@
 // New is a door of a socket that listens already.
 func New(l *net.TCPListener) *Listener {
 	d := &Listener{TCPListener: l}
-	d.out.L = &d.mu
+	d.acceptsDone.L = &d.mu
 	return d
 }
 
@@ -62,9 +62,9 @@
 func (d *Listener) Accept() (net.Conn, error) {
 	for {
 		d.mu.Lock()
-		rest := d.rest
+		rest := d.paused
 		if rest == nil {
-			d.in++
+			d.accepting++
 		}
 		d.mu.Unlock()
 		if rest != nil {
@@ -73,17 +73,17 @@
 		}
 		c, err := d.TCPListener.Accept()
 		d.mu.Lock()
-		if d.in--; d.in == 0 {
-			d.out.Broadcast()
+		if d.accepting--; d.accepting == 0 {
+			d.acceptsDone.Broadcast()
 		}
-		shut, last := d.shut, d.last
+		shut, last := d.closing, d.drainDeadline
 		d.mu.Unlock()
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return c, err
 		}
 		if shut {
 			if time.Now().Before(last) {
-				if c := d.waiting(); c != nil {
+				if c := d.acceptQueued(); c != nil {
 					return c, nil
 				}
 			}
@@ -99,14 +99,14 @@
 func (d *Listener) Pause() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.rest != nil || d.shut {
+	if d.paused != nil || d.closing {
 		return
 	}
 	rest := make(chan struct{})
-	d.rest = rest
+	d.paused = rest
 	d.SetDeadline(time.Now()) // for Accept to notice
-	for d.in > 0 && d.rest == rest {
-		d.out.Wait()
+	for d.accepting > 0 && d.paused == rest {
+		d.acceptsDone.Wait()
 	}
 }
 
@@ -114,15 +114,15 @@
 func (d *Listener) Resume() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open(time.Time{})
+	d.resume(time.Time{})
 }
 
-func (d *Listener) open(until time.Time) {
+func (d *Listener) resume(until time.Time) {
 	d.SetDeadline(until)
-	if d.rest != nil {
-		close(d.rest)
-		d.rest = nil
-		d.out.Broadcast()
+	if d.paused != nil {
+		close(d.paused)
+		d.paused = nil
+		d.acceptsDone.Broadcast()
 	}
 }
 
@@ -131,21 +131,21 @@
 func (d *Listener) Shutdown() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.shut {
+	if d.closing {
 		return
 	}
-	d.shut = true
-	if d.rest != nil {
+	d.closing = true
+	if d.paused != nil {
 		d.TCPListener.Close()
 	}
-	d.last = time.Now().Add(drainMost)
-	d.open(time.Now().Add(drainFor))
+	d.drainDeadline = time.Now().Add(drainTimeout)
+	d.resume(time.Now().Add(drainIdleTimeout))
 }
 
-// waiting takes who waits in the queue after the time to shut has come; nil: nobody does. It
+// acceptQueued takes who waits in the queue after the time to shut has come; nil: nobody does. It
 // goes by the descriptor: a read past its deadline is not tried, and a goroutine that wakes
 // late finds people in the queue, whom the close would reset.
-func (d *Listener) waiting() net.Conn {
+func (d *Listener) acceptQueued() net.Conn {
 	raw, err := d.SyscallConn()
 	if err != nil {
 		return nil
--- a/internal/listener/hall.go
+++ b/internal/listener/hall.go
@@ -21,7 +21,7 @@
 	// A guest that waits gets this long for its first word to be read before it can
 	// be shown out: a crowd that connects at once would else push out the one among
 	// them whose word is on its way.
-	waitLeast = 50 * time.Millisecond
+	minIdleTime = 50 * time.Millisecond
 )
 
 // ConnLimiter bounds what the clients of a front hold: seats, for those with a
@@ -32,22 +32,22 @@
 	Slots   int
 	MaxIdle int
 
-	mu    sync.Mutex
-	all   sync.WaitGroup // clients that are being seen through
-	over  bool           // none is adopted any more
-	lent  int            // seats that another process of this relay has
-	taken int
-	queue []*Admission  // who waits, the longest first
-	left  chan struct{} // a value when one has made room
+	mu         sync.Mutex
+	clients    sync.WaitGroup // clients that are being seen through
+	closed     bool           // none is adopted any more
+	lentSlots  int            // seats that another process of this relay has
+	slotsInUse int
+	idle       []*Admission  // who waits, the longest first
+	roomFreed  chan struct{} // a value when one has made room
 }
 
 // Admission is a client's connection in a hall. It waits as it comes in.
 type Admission struct {
 	IdleSince time.Time // it has waited from then on
-	hall      *ConnLimiter
-	out       func()
-	seats     int
-	gone      bool
+	limiter   *ConnLimiter
+	evict     func()
+	slots     int
+	closed    bool
 }
 
 // Serve hands the connections that come in to client, each on a goroutine of its
@@ -55,13 +55,13 @@
 // client has been seen through.
 func Serve(ctx context.Context, l net.Listener, h *ConnLimiter, client func(context.Context, *net.TCPConn, *Admission)) error {
 	h.mu.Lock()
-	h.left = make(chan struct{}, 1)
+	h.roomFreed = make(chan struct{}, 1)
 	h.mu.Unlock()
-	defer h.all.Wait()
+	defer h.clients.Wait()
 	defer func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.over = true
+		h.closed = true
 	}()
 	for {
 		c, err := l.Accept()
@@ -77,46 +77,46 @@
 			continue
 		}
 		conn := c.(*net.TCPConn)
-		g := &Admission{hall: h, out: func() { conn.Close() }}
-		if !h.enter(ctx, g) {
+		g := &Admission{limiter: h, evict: func() { conn.Close() }}
+		if !h.admit(ctx, g) {
 			conn.Close()
 			return nil
 		}
-		h.all.Go(func() {
-			defer g.leave()
+		h.clients.Go(func() {
+			defer g.close()
 			client(ctx, conn, g)
 		})
 	}
 }
 
-// enter has a guest wait. While there is no room, who has waited longest is shown
+// admit has a guest wait. While there is no room, who has waited longest is shown
 // out; nobody is before its least time. It fails when ctx ends first.
-func (h *ConnLimiter) enter(ctx context.Context, g *Admission) bool {
+func (h *ConnLimiter) admit(ctx context.Context, g *Admission) bool {
 	for {
 		h.mu.Lock()
 		if ctx.Err() != nil {
 			h.mu.Unlock()
 			return false
 		}
-		if len(h.queue) < max(1, h.MaxIdle) {
+		if len(h.idle) < max(1, h.MaxIdle) {
 			g.IdleSince = time.Now()
-			h.queue = append(h.queue, g)
+			h.idle = append(h.idle, g)
 			h.mu.Unlock()
 			return true
 		}
-		first := h.queue[0]
-		rest := waitLeast - time.Since(first.IdleSince)
+		first := h.idle[0]
+		rest := minIdleTime - time.Since(first.IdleSince)
 		if rest <= 0 {
-			first.gone = true
-			h.queue = h.queue[1:]
-			out := first.out
+			first.closed = true
+			h.idle = h.idle[1:]
+			out := first.evict
 			h.mu.Unlock()
 			out()
 			continue
 		}
 		h.mu.Unlock()
 		select {
-		case <-h.left:
+		case <-h.roomFreed:
 		case <-time.After(rest):
 		case <-ctx.Done():
 			return false
@@ -129,14 +129,14 @@
 func (h *ConnLimiter) LendSlots(seats int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lent = seats
+	h.lentSlots = seats
 }
 
 // SlotsInUse is how many seats are taken.
 func (h *ConnLimiter) SlotsInUse() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.taken
+	return h.slotsInUse
 }
 
 // Adopt gives a client of another process of this relay a seat, in the place of the one
@@ -144,25 +144,25 @@
 func (h *ConnLimiter) Adopt(client func(*Admission)) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.over {
+	if h.closed {
 		return false
 	}
-	h.lent = max(0, h.lent-1)
-	h.taken++
-	g := &Admission{hall: h, seats: 1}
-	h.all.Go(func() {
-		defer g.leave()
+	h.lentSlots = max(0, h.lentSlots-1)
+	h.slotsInUse++
+	g := &Admission{limiter: h, slots: 1}
+	h.clients.Go(func() {
+		defer g.close()
 		client(g)
 	})
 	return true
 }
 
-// drop takes a guest out of those who wait. The caller holds the lock.
-func (h *ConnLimiter) drop(g *Admission) {
-	if i := slices.Index(h.queue, g); i >= 0 {
-		h.queue = slices.Delete(h.queue, i, i+1)
+// removeIdle takes a guest out of those who wait. The caller holds the lock.
+func (h *ConnLimiter) removeIdle(g *Admission) {
+	if i := slices.Index(h.idle, g); i >= 0 {
+		h.idle = slices.Delete(h.idle, i, i+1)
 		select {
-		case h.left <- struct{}{}:
+		case h.roomFreed <- struct{}{}:
 		default:
 		}
 	}
@@ -170,44 +170,44 @@
 
 // OnEvict sets how the guest is told, in no time, to make room.
 func (g *Admission) OnEvict(out func()) {
-	g.hall.mu.Lock()
-	defer g.hall.mu.Unlock()
-	g.out = out
+	g.limiter.mu.Lock()
+	defer g.limiter.mu.Unlock()
+	g.evict = out
 }
 
 // Acquire takes a seat, and the guest waits no more. It fails if none is free, or if
 // the guest has been shown out. A guest may have several seats.
 func (g *Admission) Acquire() bool {
-	h := g.hall
+	h := g.limiter
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if g.gone || h.taken+h.lent >= h.Slots {
+	if g.closed || h.slotsInUse+h.lentSlots >= h.Slots {
 		return false
 	}
-	if h.taken++; g.seats == 0 {
-		h.drop(g)
+	if h.slotsInUse++; g.slots == 0 {
+		h.removeIdle(g)
 	}
-	g.seats++
+	g.slots++
 	return true
 }
 
 // Release gives a seat back. After the last the guest waits again.
 func (g *Admission) Release() {
-	h := g.hall
+	h := g.limiter
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.taken--
-	if g.seats--; g.seats == 0 && !g.gone {
+	h.slotsInUse--
+	if g.slots--; g.slots == 0 && !g.closed {
 		g.IdleSince = time.Now()
-		h.queue = append(h.queue, g)
+		h.idle = append(h.idle, g)
 	}
 }
 
-// leave ends the guest's stay.
-func (g *Admission) leave() {
-	h := g.hall
+// close ends the guest's stay.
+func (g *Admission) close() {
+	h := g.limiter
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g.gone = true
-	h.drop(g)
+	g.closed = true
+	h.removeIdle(g)
 }
--- a/internal/listener/hall_test.go
+++ b/internal/listener/hall_test.go
@@ -12,19 +12,19 @@
 
 // A crowd that says nothing makes room for who comes after it, the longest first,
 // but nobody goes before there was time to read a first word.
-func TestCrowdMakesRoom(t *testing.T) {
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &ConnLimiter{Slots: 1, MaxIdle: 3}
+		limiter := &ConnLimiter{Slots: 1, MaxIdle: 3}
 		var out []int
 		for i := range 10 {
-			g := &Admission{hall: h}
-			g.out = func() {
-				if waited := time.Since(g.IdleSince); waited < waitLeast || waited > 2*waitLeast {
+			admission := &Admission{limiter: limiter}
+			admission.evict = func() {
+				if waited := time.Since(admission.IdleSince); waited < minIdleTime || waited > 2*minIdleTime {
 					t.Errorf("guest %d goes after %v", i, waited)
 				}
 				out = append(out, i)
 			}
-			if !h.enter(context.Background(), g) {
+			if !limiter.admit(context.Background(), admission) {
 				t.Fatal("no room")
 			}
 		}
@@ -33,7 +33,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		if h.enter(ctx, &Admission{hall: h}) {
+		if limiter.admit(ctx, &Admission{limiter: limiter}) {
 			t.Error("room was found though the relay has ended")
 		}
 	})
@@ -41,7 +41,7 @@
 
 // Random steps against a model: who sits keeps the seat, no seat is given twice,
 // and what the hall holds stays within its bounds.
-func FuzzHall(f *testing.F) {
+func FuzzConnLimiter(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 0, 0, 0, 2, 0, 3, 1, 0, 0})
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 1, 3, 1, 4, 1, 4, 2, 4, 0, 0, 3, 4, 1, 1, 1, 2})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -49,57 +49,57 @@
 			return
 		}
 		synctest.Test(t, func(t *testing.T) {
-			h := &ConnLimiter{Slots: 2, MaxIdle: 3}
+			limiter := &ConnLimiter{Slots: 2, MaxIdle: 3}
 			type model struct {
 				*Admission
 				seats int
 				out   bool // shown out, or left
 			}
 			var all []*model
-			for s := testutil.New(data); s.More(); {
-				step := s.Pick(4)
+			for choices := testutil.New(data); choices.More(); {
+				step := choices.Pick(4)
 				if step == 0 || len(all) == 0 {
-					m := &model{}
-					m.Admission = &Admission{hall: h, out: func() { m.out = true }}
-					h.enter(context.Background(), m.Admission)
-					all = append(all, m)
+					client := &model{}
+					client.Admission = &Admission{limiter: limiter, evict: func() { client.out = true }}
+					limiter.admit(context.Background(), client.Admission)
+					all = append(all, client)
 					continue
 				}
-				taken := 0
-				for _, m := range all {
-					taken += m.seats
+				slotsInUse := 0
+				for _, client := range all {
+					slotsInUse += client.seats
 				}
-				switch m := all[s.Pick(len(all))]; step {
+				switch client := all[choices.Pick(len(all))]; step {
 				case 1:
-					if got, want := m.Acquire(), !m.out && taken < h.Slots; got != want {
+					if got, want := client.Acquire(), !client.out && slotsInUse < limiter.Slots; got != want {
 						t.Fatalf("a seat was given: %v, want %v", got, want)
 					} else if got {
-						m.seats++
+						client.seats++
 					}
 				case 2:
-					if m.seats > 0 {
-						m.Release()
-						m.seats--
+					if client.seats > 0 {
+						client.Release()
+						client.seats--
 					}
 				case 3:
-					if m.seats == 0 {
-						m.leave()
-						m.out = true
+					if client.seats == 0 {
+						client.close()
+						client.out = true
 					}
 				}
-				taken = 0
-				held := len(h.queue) // descriptors: one of each guest, one of each seat
-				for _, m := range all {
-					taken += m.seats
-					if m.seats > 0 {
-						held += 1 + m.seats
+				slotsInUse = 0
+				held := len(limiter.idle) // descriptors: one of each guest, one of each seat
+				for _, client := range all {
+					slotsInUse += client.seats
+					if client.seats > 0 {
+						held += 1 + client.seats
 					}
-					if waits := slices.Contains(h.queue, m.Admission); waits != (m.seats == 0 && !m.out) {
-						t.Fatalf("with %d seats, out %v, a guest waits: %v", m.seats, m.out, waits)
+					if idle := slices.Contains(limiter.idle, client.Admission); idle != (client.seats == 0 && !client.out) {
+						t.Fatalf("with %d seats, out %v, a guest waits: %v", client.seats, client.out, idle)
 					}
 				}
-				if h.taken != taken || held > h.MaxIdle+2*h.Slots {
-					t.Fatalf("%d seats are taken, %d held to be, %d descriptors", taken, h.taken, held)
+				if limiter.slotsInUse != slotsInUse || held > limiter.MaxIdle+2*limiter.Slots {
+					t.Fatalf("%d seats are taken, %d held to be, %d descriptors", slotsInUse, limiter.slotsInUse, held)
 				}
 			}
 		})
