--- /dev/null
+++ b/internal/listener/linger.go
@@ -0,0 +1,42 @@
+package listener
+
+import (
+	"net"
+	"syscall"
+	"time"
+)
+
+// Bounds on a connection that is closed after its last answer.
+const (
+	// LingerTimeout is how long a client that was answered may take to read the answer.
+	LingerTimeout = 500 * time.Millisecond
+	// LingerMaxBytes is how many bytes are read from such a client meanwhile.
+	LingerMaxBytes = 256 << 10
+)
+
+// discardBufferSize is how many bytes Discard reads at a time.
+const discardBufferSize = 4 << 10
+
+// Discard reads what has arrived on a connection and was not read, without
+// waiting for more. A close over unread bytes would reset the connection, and
+// lose the answer that was written last. Any goroutine may call it, also while
+// another one reads.
+func Discard(conn *net.TCPConn) {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return
+	}
+	raw.Control(func(descriptor uintptr) { // no Read: another goroutine may be within one
+		var buffer [discardBufferSize]byte
+		for discarded := 0; discarded < LingerMaxBytes; {
+			n, err := syscall.Read(int(descriptor), buffer[:])
+			if err == syscall.EINTR {
+				continue
+			}
+			if err != nil || n <= 0 {
+				return
+			}
+			discarded += n
+		}
+	})
+}
--- a/internal/listener/door_test.go
+++ b/internal/listener/listener_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// dialListener connects to a door and returns the connection.
+// dialListener connects to a listener and returns the connection.
 func dialListener(t *testing.T, listener *Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", listener.Addr().String())
@@ -22,7 +22,7 @@
 	return c
 }
 
-// acceptAll takes in whoever comes until the door is shut.
+// acceptAll accepts and greets every connection until the listener is closed.
 func acceptAll(t *testing.T, listener *Listener) (done chan struct{}) {
 	done = make(chan struct{})
 	go func() {
@@ -49,30 +49,30 @@
 	}
 }
 
-// Closing a listener resets who waits in its queue: of 20 none may be.
+// Closing a listener resets the connections in its accept queue: of 20 none may be reset.
 func TestShutdownAcceptsQueuedConnections(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all []net.Conn
+	var queued []net.Conn
 	for range 20 {
-		all = append(all, dialListener(t, listener))
+		queued = append(queued, dialListener(t, listener))
 	}
 	listener.Shutdown()
 	listener.Shutdown()
-	listener.SetDeadline(time.Unix(1, 0)) // who is to take them in wakes late
+	listener.SetDeadline(time.Unix(1, 0)) // the goroutine that accepts wakes late
 	<-acceptAll(t, listener)
-	for _, c := range all {
+	for _, c := range queued {
 		expectGreeting(t, c)
 	}
 	if c, err := net.Dial("tcp", listener.Addr().String()); err == nil {
 		c.Close()
-		t.Error("the door is still open")
+		t.Error("the listener is still open")
 	}
 }
 
-// Two doors share an address only if both say so, and one that rests takes nobody in.
+// Two listeners share an address only if both are shared, and a paused one accepts nothing.
 func TestListenersShareAnAddressAndPause(t *testing.T) {
 	first, err := Listen("127.0.0.1:0", true)
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	if listener, err := Listen(first.Addr().String(), false); err == nil {
 		listener.Close()
-		t.Error("a door that is not shared was opened beside another")
+		t.Error("a listener that is not shared was opened beside another")
 	}
 	second, err := Listen(first.Addr().String(), true)
 	if err != nil {
@@ -93,18 +93,18 @@
 	queued := dialListener(t, first)
 	queued.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := queued.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Error("a door that rests has taken someone in")
+		t.Error("a paused listener has accepted a connection")
 	}
 	queued.SetDeadline(time.Now().Add(5 * time.Second))
 	first.Resume()
 	expectGreeting(t, queued)
 	first.Pause()
-	first.Shutdown() // at once
+	first.Shutdown() // closes at once
 	<-done
 }
 
-// Whoever comes after a door has been laid to rest is not taken in, however late the one
-// wakes who was about to.
+// A connection that comes after Pause is not accepted, however late a goroutine that was
+// about to accept wakes.
 func TestPausedListenerAcceptsNobody(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", false)
 	if err != nil {
@@ -120,13 +120,13 @@
 				return
 			}
 			if paused.Load() {
-				t.Error("a door that rests has taken someone in")
+				t.Error("a paused listener has accepted a connection")
 			}
 			c.Close()
 		}
 	}()
 	for i := range 2000 {
-		for range i % 7 { // the one at the door is somewhere else each time
+		for range i % 7 { // the accepting goroutine is somewhere else each time
 			runtime.Gosched()
 		}
 		listener.Pause()
@@ -138,7 +138,7 @@
 		runtime.Gosched()
 		paused.Store(false)
 		listener.Resume()
-		_, _ = io.ReadAll(c) // until it has been taken in
+		_, _ = io.ReadAll(c) // until it has been accepted
 		c.Close()
 	}
 	listener.Shutdown()
