--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -25,12 +25,12 @@
 // A plain segment holds all from first on. A merged one holds what was still wanted of first to last, in place of
 // the segments that held them, and ends with a frame without entries that has the number last.
 const (
-	format    = 1
-	magic     = "lockstor"
-	headSize  = 8 + 2 + 2 + 8 + 8 + 4
-	frameHead = 4 + 4 + 8 + 8 + 4
-	mark      = 0x7e53a9c1
-	frameMost = 16 << 20 // bytes of a commit's entries: what is learnt of 20,000 servers. Memory is taken by what one has
+	formatVersion     = 1
+	magic             = "lockstor"
+	segmentHeaderSize = 8 + 2 + 2 + 8 + 8 + 4
+	frameHeaderSize   = 4 + 4 + 8 + 8 + 4
+	frameMark         = 0x7e53a9c1
+	maxFrameBytes     = 16 << 20 // bytes of a commit's entries: what is learnt of 20,000 servers. Memory is taken by what one has
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -44,18 +44,18 @@
 	At      int64 // Unix time in milliseconds
 	Version uint  // of the body's form
 	Body    []byte
-	Gone    bool // there is no such record from here on
+	Deleted bool // there is no such record from here on
 }
 
-type head struct {
+type segmentHeader struct {
 	merged      bool
 	first, last uint64 // last: of a merged segment
 }
 
-func (h head) append(b []byte) []byte {
+func (h segmentHeader) appendTo(b []byte) []byte {
 	from := len(b)
 	b = append(b, magic...)
-	b = binary.LittleEndian.AppendUint16(b, format)
+	b = binary.LittleEndian.AppendUint16(b, formatVersion)
 	m := uint16(0)
 	if h.merged {
 		m = 1
@@ -63,16 +63,16 @@
 	b = binary.LittleEndian.AppendUint16(b, m)
 	b = binary.LittleEndian.AppendUint64(b, h.first)
 	b = binary.LittleEndian.AppendUint64(b, h.last)
-	return append(b, appendSum(b[from:])...)
+	return append(b, checksum(b[from:])...)
 }
 
-func appendSum(b []byte) []byte {
+func checksum(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli))
 }
 
 var (
-	errShort = errors.New("it ends too early")
-	errCRC   = errors.New("its checksum is wrong")
+	errTruncated = errors.New("it ends too early")
+	errChecksum  = errors.New("its checksum is wrong")
 )
 
 // FormatError says that a store is of another format than this program's.
@@ -83,26 +83,26 @@
 
 func (e *FormatError) Error() string {
 	age := "newer"
-	if e.Format < format {
+	if e.Format < formatVersion {
 		age = "older"
 	}
-	return fmt.Sprintf("%s has format %d, %s than this program's %d", e.File, e.Format, age, format)
+	return fmt.Sprintf("%s has format %d, %s than this program's %d", e.File, e.Format, age, formatVersion)
 }
 
-func readHead(file string, b []byte) (head, error) {
-	if len(b) < headSize {
-		return head{}, errShort
+func readSegmentHeader(file string, b []byte) (segmentHeader, error) {
+	if len(b) < segmentHeaderSize {
+		return segmentHeader{}, errTruncated
 	}
 	if string(b[:8]) != magic {
-		return head{}, errors.New("it is no file of a store")
+		return segmentHeader{}, errors.New("it is no file of a store")
 	}
-	if crc32.Checksum(b[:headSize-4], castagnoli) != binary.LittleEndian.Uint32(b[headSize-4:]) {
-		return head{}, errCRC
+	if crc32.Checksum(b[:segmentHeaderSize-4], castagnoli) != binary.LittleEndian.Uint32(b[segmentHeaderSize-4:]) {
+		return segmentHeader{}, errChecksum
 	}
-	if f := binary.LittleEndian.Uint16(b[8:]); f != format {
-		return head{}, &FormatError{file, int(f)}
+	if f := binary.LittleEndian.Uint16(b[8:]); f != formatVersion {
+		return segmentHeader{}, &FormatError{file, int(f)}
 	}
-	return head{binary.LittleEndian.Uint16(b[10:]) == 1, binary.LittleEndian.Uint64(b[12:]), binary.LittleEndian.Uint64(b[20:])}, nil
+	return segmentHeader{binary.LittleEndian.Uint16(b[10:]) == 1, binary.LittleEndian.Uint64(b[12:]), binary.LittleEndian.Uint64(b[20:])}, nil
 }
 
 // appendFrame appends a commit's frame.
@@ -111,20 +111,20 @@
 	if err != nil {
 		return b, err
 	}
-	if len(body) > frameMost {
-		return b, fmt.Errorf("%d bytes are more than a commit may have, %d", len(body), frameMost)
+	if len(body) > maxFrameBytes {
+		return b, fmt.Errorf("%d bytes are more than a commit may have, %d", len(body), maxFrameBytes)
 	}
 	from := len(b)
-	b = binary.LittleEndian.AppendUint32(b, mark)
+	b = binary.LittleEndian.AppendUint32(b, frameMark)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.LittleEndian.AppendUint64(b, number)
 	b = binary.LittleEndian.AppendUint64(b, synced)
-	b = binary.LittleEndian.AppendUint32(b, sum(b[from:], body))
+	b = binary.LittleEndian.AppendUint32(b, frameChecksum(b[from:], body))
 	return append(b, body...), nil
 }
 
-func sum(head, body []byte) uint32 {
-	return crc32.Update(crc32.Checksum(head[:frameHead-4], castagnoli), castagnoli, body)
+func frameChecksum(head, body []byte) uint32 {
+	return crc32.Update(crc32.Checksum(head[:frameHeaderSize-4], castagnoli), castagnoli, body)
 }
 
 // frame is one that was read.
@@ -137,33 +137,33 @@
 
 // readFrame reads the frame that begins a file's part. An error says why there is none.
 func readFrame(b []byte) (f frame, err error) {
-	if len(b) < frameHead {
-		return f, errShort
+	if len(b) < frameHeaderSize {
+		return f, errTruncated
 	}
-	if binary.LittleEndian.Uint32(b) != mark {
+	if binary.LittleEndian.Uint32(b) != frameMark {
 		return f, errors.New("no record begins here")
 	}
 	n := int(binary.LittleEndian.Uint32(b[4:]))
-	if n > frameMost {
+	if n > maxFrameBytes {
 		return f, errors.New("its length makes no sense")
 	}
-	if len(b) < frameHead+n {
-		return f, errShort
+	if len(b) < frameHeaderSize+n {
+		return f, errTruncated
 	}
-	body := b[frameHead : frameHead+n]
-	if sum(b, body) != binary.LittleEndian.Uint32(b[frameHead-4:]) {
-		return f, errCRC
+	body := b[frameHeaderSize : frameHeaderSize+n]
+	if frameChecksum(b, body) != binary.LittleEndian.Uint32(b[frameHeaderSize-4:]) {
+		return f, errChecksum
 	}
 	if err := cbor.Unmarshal(body, &f.entries); err != nil {
 		return f, fmt.Errorf("its entries can't be read: %w", err)
 	}
-	f.number, f.synced, f.size = binary.LittleEndian.Uint64(b[8:]), binary.LittleEndian.Uint64(b[16:]), frameHead+n
+	f.number, f.synced, f.size = binary.LittleEndian.Uint64(b[8:]), binary.LittleEndian.Uint64(b[16:]), frameHeaderSize+n
 	return f, nil
 }
 
 // nextFrame finds the first whole frame after the beginning of a file's part; -1 if there is none.
 func nextFrame(b []byte) int {
-	want := binary.LittleEndian.AppendUint32(nil, mark)
+	want := binary.LittleEndian.AppendUint32(nil, frameMark)
 	for at := 1; ; {
 		i := bytes.Index(b[min(at, len(b)):], want)
 		if i < 0 {
@@ -177,16 +177,16 @@
 	}
 }
 
-// name is a segment's file's.
-func (h head) name() string {
+// fileName is a segment's file's.
+func (h segmentHeader) fileName() string {
 	if h.merged {
 		return fmt.Sprintf("%016x-%016x.log", h.first, h.last)
 	}
 	return fmt.Sprintf("%016x.log", h.first)
 }
 
-// ofName tells what the name of a segment's file says of it.
-func ofName(name string) (h head, ok bool) {
+// parseSegmentName tells what the name of a segment's file says of it.
+func parseSegmentName(name string) (h segmentHeader, ok bool) {
 	text, ok := strings.CutSuffix(name, ".log")
 	if !ok {
 		return h, false
@@ -194,8 +194,8 @@
 	_, last, merged := strings.Cut(text, "-")
 	if h.merged = merged; merged {
 		_, err := fmt.Sscanf(text, "%016x-%016x", &h.first, &h.last)
-		return h, err == nil && last != "" && h.name() == name
+		return h, err == nil && last != "" && h.fileName() == name
 	}
 	_, err := fmt.Sscanf(text, "%016x", &h.first)
-	return h, err == nil && h.name() == name
+	return h, err == nil && h.fileName() == name
 }
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -48,10 +48,10 @@
 	return info.Size(), nil
 }
 
-func (d Dir) at(name string) string { return filepath.Join(string(d), name) }
+func (d Dir) path(name string) string { return filepath.Join(string(d), name) }
 
-func (d Dir) open(name string, flags int) (File, error) {
-	f, err := os.OpenFile(d.at(name), flags, 0o600)
+func (d Dir) openFile(name string, flags int) (File, error) {
+	f, err := os.OpenFile(d.path(name), flags, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -59,18 +59,18 @@
 }
 
 // Open opens a file.
-func (d Dir) Open(name string) (File, error) { return d.open(name, os.O_RDWR) }
+func (d Dir) Open(name string) (File, error) { return d.openFile(name, os.O_RDWR) }
 
 // Create makes a file.
 func (d Dir) Create(name string) (File, error) {
-	return d.open(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
+	return d.openFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 }
 
 // Rename renames a file, over one that may be there.
-func (d Dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove removes a file.
-func (d Dir) Remove(name string) error { return os.Remove(d.at(name)) }
+func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
 // List names the files, in order.
 func (d Dir) List() ([]string, error) {
@@ -97,7 +97,7 @@
 
 // Lock takes the store for this process, until the lock is closed or the process ends.
 func (d Dir) Lock() (io.Closer, error) {
-	f, err := os.OpenFile(d.at("lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(d.path("lock"), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -47,43 +47,43 @@
 
 // segment is one file of the chain.
 type segment struct {
-	head
+	segmentHeader
 	name string
 	file File
 	size int64
 }
 
-// slot is where a record is.
-type slot struct {
+// location is where a record is.
+type location struct {
 	kind, key string
 	at        time.Time
 	version   uint
 	number    uint64
-	seg       *segment
-	off       int64 // of its frame
-	size      int   // of its frame
-	pos       int   // in the frame
-	weight    int64 // of its own bytes, about
-	place     *list.Element
+	segment   *segment
+	offset    int64 // of its frame
+	frameSize int   // of its frame
+	position  int   // in the frame
+	bytes     int64 // of its own bytes, about
+	element   *list.Element
 }
 
-// table holds a kind's records, in the order in which they were last put.
-type table struct {
+// kindTable holds a kind's records, in the order in which they were last put.
+type kindTable struct {
 	Kind
-	keys  map[string]*slot
+	byKey map[string]*location
 	order *list.List
 }
 
-// image is a store as its files have it.
-type image struct {
-	fs       FS
-	kinds    map[string]*table
-	segments []*segment // the last is the one that is appended to, if it is plain
-	next     uint64     // number of the next commit
-	synced   uint64     // commits that were sure to last when the last of them was written
-	bytes    int64
-	live     int64
-	report   Report
+// fileIndex is a store as its files have it.
+type fileIndex struct {
+	folder       FS
+	tables       map[string]*kindTable
+	segments     []*segment // the last is the one that is appended to, if it is plain
+	nextNumber   uint64     // number of the next commit
+	syncedNumber uint64     // commits that were sure to last when the last of them was written
+	totalBytes   int64
+	liveBytes    int64
+	report       Report
 }
 
 // readAll reads a file.
@@ -102,11 +102,11 @@
 
 // load reads the files of a store. With salvage damages are passed over and told of; else
 // the first is the error.
-func load(folder FS, kinds []Kind, salvage bool) (m *image, err error) {
+func load(folder FS, kinds []Kind, salvage bool) (m *fileIndex, err error) {
 	began := time.Now()
-	m = &image{fs: folder, kinds: make(map[string]*table), next: 1}
+	m = &fileIndex{folder: folder, tables: make(map[string]*kindTable), nextNumber: 1}
 	for _, k := range kinds {
-		m.kinds[k.Name] = &table{k, make(map[string]*slot), list.New()}
+		m.tables[k.Name] = &kindTable{k, make(map[string]*location), list.New()}
 	}
 	defer func() {
 		if err != nil {
@@ -118,27 +118,27 @@
 	if err != nil {
 		return m, err
 	}
-	heads := make([]head, 0, len(names))
+	heads := make([]segmentHeader, 0, len(names))
 	for _, name := range names {
-		if h, ok := ofName(name); ok {
+		if h, ok := parseSegmentName(name); ok {
 			heads = append(heads, h)
 		}
 	}
 	// Of those that begin alike the one that stands for most comes first.
-	slices.SortFunc(heads, func(x, y head) int {
+	slices.SortFunc(heads, func(x, y segmentHeader) int {
 		return cmp.Or(cmp.Compare(x.first, y.first), cmp.Compare(y.last, x.last))
 	})
 	covered := uint64(0)
 	for i, h := range heads {
 		if h.first <= covered {
-			m.report.Replaced = append(m.report.Replaced, h.name())
+			m.report.Replaced = append(m.report.Replaced, h.fileName())
 			continue
 		}
 		if h.merged {
 			covered = h.last
 		}
-		lastOne := !slices.ContainsFunc(heads[i+1:], func(x head) bool { return x.first > covered })
-		d, err := m.read(h, lastOne && !h.merged, salvage)
+		lastOne := !slices.ContainsFunc(heads[i+1:], func(x segmentHeader) bool { return x.first > covered })
+		d, err := m.readSegment(h, lastOne && !h.merged, salvage)
 		if err != nil {
 			return m, err
 		}
@@ -146,40 +146,40 @@
 			return m, d[0]
 		}
 	}
-	m.retain(time.Now())
-	for _, t := range m.kinds {
-		m.report.Records += len(t.keys)
+	m.applyRetention(time.Now())
+	for _, t := range m.tables {
+		m.report.Records += len(t.byKey)
 	}
-	m.report.Commits, m.report.Files, m.report.Bytes, m.report.LiveBytes = m.next-1, len(m.segments), m.bytes, m.live
+	m.report.Commits, m.report.Files, m.report.Bytes, m.report.LiveBytes = m.nextNumber-1, len(m.segments), m.totalBytes, m.liveBytes
 	m.report.Duration = time.Since(began)
 	return m, nil
 }
 
-// read reads a segment. What is at the end of the last may be torn.
-func (m *image) read(h head, last, salvage bool) (damages []*Damage, err error) {
-	name := h.name()
-	f, err := m.fs.Open(name)
+// readSegment reads a segment. What is at the end of the last may be torn.
+func (m *fileIndex) readSegment(h segmentHeader, last, salvage bool) (damages []*Damage, err error) {
+	name := h.fileName()
+	f, err := m.folder.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{head: h, name: name, file: f}
+	s := &segment{segmentHeader: h, name: name, file: f}
 	m.segments = append(m.segments, s)
 	b, err := readAll(f)
 	if err != nil {
 		return nil, err
 	}
 	s.size = int64(len(b))
-	m.bytes += s.size
+	m.totalBytes += s.size
 	damage := func(at int, err error) {
 		damages = append(damages, &Damage{name, int64(at), err})
 	}
-	if h.first != m.next {
-		damage(0, fmt.Errorf("the commits from %d to %d are not there", m.next, h.first-1))
+	if h.first != m.nextNumber {
+		damage(0, fmt.Errorf("the commits from %d to %d are not there", m.nextNumber, h.first-1))
 	}
 	// Commits that an earlier file lost are no reason to number later ones anew.
-	m.next = h.first
-	at := headSize
-	inside, err := readHead(name, b)
+	m.nextNumber = h.first
+	at := segmentHeaderSize
+	inside, err := readSegmentHeader(name, b)
 	var other *FormatError
 	switch {
 	case errors.As(err, &other):
@@ -188,9 +188,9 @@
 		err = errors.New("its head is another file's")
 		fallthrough
 	case err != nil:
-		if last && len(b) <= headSize { // its head is synced before anything else is written
+		if last && len(b) <= segmentHeaderSize { // its head is synced before anything else is written
 			m.report.TornTail = &TornTail{name, 0, s.size}
-			m.bytes -= s.size
+			m.totalBytes -= s.size
 			s.size = 0
 			return damages, nil
 		}
@@ -206,21 +206,21 @@
 		case err != nil:
 		case whole:
 			err = errors.New("something follows its end")
-		case h.merged && (f.number < h.first || f.number > h.last), !h.merged && f.number != m.next:
-			err = fmt.Errorf("commit %d is not the one that belongs here, %d", f.number, m.next)
+		case h.merged && (f.number < h.first || f.number > h.last), !h.merged && f.number != m.nextNumber:
+			err = fmt.Errorf("commit %d is not the one that belongs here, %d", f.number, m.nextNumber)
 		}
 		if err == nil {
 			m.apply(s, int64(at), f)
 			whole = h.merged && len(f.entries) == 0
 			at += f.size
 			if !h.merged {
-				m.next, m.synced = f.number+1, max(m.synced, f.synced)
+				m.nextNumber, m.syncedNumber = f.number+1, max(m.syncedNumber, f.synced)
 			}
 			continue
 		}
-		if last && m.torn(b, at) {
+		if last && m.isTornTail(b, at) {
 			m.report.TornTail = &TornTail{name, int64(at), s.size - int64(at)}
-			m.bytes -= s.size - int64(at)
+			m.totalBytes -= s.size - int64(at)
 			s.size = int64(at)
 			return damages, nil
 		}
@@ -230,75 +230,75 @@
 			break
 		}
 		at += n
-		if f, _ := readFrame(b[at:]); !h.merged && f.number > m.next {
-			m.next = f.number
+		if f, _ := readFrame(b[at:]); !h.merged && f.number > m.nextNumber {
+			m.nextNumber = f.number
 		}
 	}
 	if h.merged {
 		if !whole && len(damages) == 0 {
-			damage(len(b), errShort)
+			damage(len(b), errTruncated)
 		}
-		m.next = h.last + 1
+		m.nextNumber = h.last + 1
 	}
 	if !h.merged && !last {
-		m.synced = m.next - 1 // a file is synced before the next is begun
+		m.syncedNumber = m.nextNumber - 1 // a file is synced before the next is begun
 	}
 	return damages, nil
 }
 
-// torn tells whether what can't be read from a place of the last file on may be a tail that a crash tore: whether
+// isTornTail tells whether what can't be read from a place of the last file on may be a tail that a crash tore: whether
 // no later commit says that what should be there was sure to last.
-func (m *image) torn(b []byte, at int) bool {
+func (m *fileIndex) isTornTail(b []byte, at int) bool {
 	for rest := b[at:]; ; {
 		n := nextFrame(rest)
 		if n < 0 {
 			return true
 		}
 		rest = rest[n:]
-		if f, err := readFrame(rest); err == nil && f.synced >= m.next {
+		if f, err := readFrame(rest); err == nil && f.synced >= m.nextNumber {
 			return false
 		}
 	}
 }
 
 // apply enters a commit's records.
-func (m *image) apply(s *segment, off int64, f frame) {
+func (m *fileIndex) apply(s *segment, off int64, f frame) {
 	for i, e := range f.entries {
-		if m.kinds[e.Kind] == nil { // of another version of this program: kept as it is
-			m.kinds[e.Kind] = &table{Kind{Name: e.Kind}, make(map[string]*slot), list.New()}
+		if m.tables[e.Kind] == nil { // of another version of this program: kept as it is
+			m.tables[e.Kind] = &kindTable{Kind{Name: e.Kind}, make(map[string]*location), list.New()}
 		}
-		m.remove(m.kinds[e.Kind].keys[e.Key])
-		if e.Gone {
+		m.remove(m.tables[e.Kind].byKey[e.Key])
+		if e.Deleted {
 			continue
 		}
-		m.enter(&slot{kind: e.Kind, key: e.Key, at: time.UnixMilli(e.At), version: e.Version, number: f.number, seg: s, off: off, size: f.size, pos: i,
-			weight: int64(len(e.Kind) + len(e.Key) + len(e.Body) + 24)})
+		m.insert(&location{kind: e.Kind, key: e.Key, at: time.UnixMilli(e.At), version: e.Version, number: f.number, segment: s, offset: off, frameSize: f.size, position: i,
+			bytes: int64(len(e.Kind) + len(e.Key) + len(e.Body) + 24)})
 	}
 }
 
-func (m *image) enter(s *slot) {
-	t := m.kinds[s.kind]
-	t.keys[s.key] = s
-	s.place = t.order.PushBack(s)
-	m.live += s.weight
+func (m *fileIndex) insert(s *location) {
+	t := m.tables[s.kind]
+	t.byKey[s.key] = s
+	s.element = t.order.PushBack(s)
+	m.liveBytes += s.bytes
 }
 
-func (m *image) remove(s *slot) {
+func (m *fileIndex) remove(s *location) {
 	if s == nil {
 		return
 	}
-	t := m.kinds[s.kind]
-	delete(t.keys, s.key)
-	t.order.Remove(s.place)
-	m.live -= s.weight
+	t := m.tables[s.kind]
+	delete(t.byKey, s.key)
+	t.order.Remove(s.element)
+	m.liveBytes -= s.bytes
 }
 
-// retain lets go of records that are too old or too many, the oldest first.
-func (m *image) retain(now time.Time) {
-	for _, t := range m.kinds {
+// applyRetention lets go of records that are too old or too many, the oldest first.
+func (m *fileIndex) applyRetention(now time.Time) {
+	for _, t := range m.tables {
 		for e := t.order.Front(); e != nil; e = t.order.Front() {
-			s := e.Value.(*slot)
-			if !(t.MaxRecords > 0 && len(t.keys) > t.MaxRecords || t.Retention > 0 && now.Sub(s.at) > t.Retention) {
+			s := e.Value.(*location)
+			if !(t.MaxRecords > 0 && len(t.byKey) > t.MaxRecords || t.Retention > 0 && now.Sub(s.at) > t.Retention) {
 				break
 			}
 			m.remove(s)
@@ -306,37 +306,37 @@
 	}
 }
 
-// body reads a record.
-func (m *image) body(s *slot) (entry, error) {
-	b := make([]byte, s.size)
-	if n, err := s.seg.file.ReadAt(b, s.off); n < len(b) {
-		return entry{}, &Damage{s.seg.name, s.off, err}
+// readEntry reads a record.
+func (m *fileIndex) readEntry(s *location) (entry, error) {
+	b := make([]byte, s.frameSize)
+	if n, err := s.segment.file.ReadAt(b, s.offset); n < len(b) {
+		return entry{}, &Damage{s.segment.name, s.offset, err}
 	}
 	f, err := readFrame(b)
 	if err != nil {
-		return entry{}, &Damage{s.seg.name, s.off, err}
+		return entry{}, &Damage{s.segment.name, s.offset, err}
 	}
-	if s.pos >= len(f.entries) || f.entries[s.pos].Key != s.key || f.entries[s.pos].Kind != s.kind {
-		return entry{}, &Damage{s.seg.name, s.off, errors.New("it is another record")}
+	if s.position >= len(f.entries) || f.entries[s.position].Key != s.key || f.entries[s.position].Kind != s.kind {
+		return entry{}, &Damage{s.segment.name, s.offset, errors.New("it is another record")}
 	}
-	return f.entries[s.pos], nil
+	return f.entries[s.position], nil
 }
 
-// clean removes what a crash left: files that were not finished, and those that another stands for.
-func (m *image) clean() error {
-	names, err := m.fs.List()
+// removeLeftovers removes what a crash left: files that were not finished, and those that another stands for.
+func (m *fileIndex) removeLeftovers() error {
+	names, err := m.folder.List()
 	if err != nil {
 		return err
 	}
 	for _, name := range append(slices.DeleteFunc(names, func(n string) bool { return !strings.HasSuffix(n, ".tmp") }), m.report.Replaced...) {
-		if err := m.fs.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := m.folder.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
 
-func (m *image) close() {
+func (m *fileIndex) close() {
 	for _, s := range m.segments {
 		_ = s.file.Close() // what was written to it was synced
 	}
--- a/internal/store/memfs_test.go
+++ b/internal/store/memfs_test.go
@@ -17,106 +17,106 @@
 // memFS is a folder in memory that loses at a crash what was not synced: of each file any part of what was
 // written since, of the folder the names that changed since.
 type memFS struct {
-	mu      sync.Mutex
-	names   map[string]*memData
-	sure    map[string]*memData // as of the last SyncDir
-	locked  bool
-	steps   int // operations that change something, so far
-	crashAt int // the operation that the machine goes down before; 0: none
-	full    int // the operation from which on the disk is full; 0: none
-	left    int // bytes that the first write to a full disk still takes
-	down    bool
+	mu         sync.Mutex
+	files      map[string]*memFileData
+	synced     map[string]*memFileData // as of the last SyncDir
+	locked     bool
+	operations int // operations that change something, so far
+	crashAt    int // the operation that the machine goes down before; 0: none
+	fullAt     int // the operation from which on the disk is full; 0: none
+	bytesLeft  int // bytes that the first write to a full disk still takes
+	down       bool
 }
 
-type memData struct {
-	b, sure []byte
-	writes  []memWrite // since the last sync
+type memFileData struct {
+	data, synced []byte
+	unsynced     []memWrite // since the last sync
 }
 
 type memWrite struct {
-	at int64
-	b  []byte // nil: cut to at
+	offset int64
+	data   []byte // nil: cut to at
 }
 
 type memFile struct {
-	fs *memFS
-	d  *memData
+	fs   *memFS
+	data *memFileData
 }
 
 func newMemFS() *memFS {
-	return &memFS{names: make(map[string]*memData), sure: make(map[string]*memData)}
+	return &memFS{files: make(map[string]*memFileData), synced: make(map[string]*memFileData)}
 }
 
-// step counts an operation that changes something.
-func (m *memFS) step() error {
-	if m.steps++; m.down || m.crashAt > 0 && m.steps >= m.crashAt {
-		m.down = true
+// countOperation counts an operation that changes something.
+func (folder *memFS) countOperation() error {
+	if folder.operations++; folder.down || folder.crashAt > 0 && folder.operations >= folder.crashAt {
+		folder.down = true
 		return errCrash
 	}
 	return nil
 }
 
-func (m *memFS) isFull() bool { return m.full > 0 && m.steps >= m.full }
+func (folder *memFS) isFull() bool { return folder.fullAt > 0 && folder.operations >= folder.fullAt }
 
-func (m *memFS) Open(name string) (File, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if d := m.names[name]; d != nil {
-		return &memFile{m, d}, nil
+func (folder *memFS) Open(name string) (File, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if d := folder.files[name]; d != nil {
+		return &memFile{folder, d}, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (m *memFS) Create(name string) (File, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) Create(name string) (File, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return nil, err
 	}
-	if m.isFull() {
+	if folder.isFull() {
 		return nil, unix.ENOSPC
 	}
-	m.names[name] = &memData{}
-	return &memFile{m, m.names[name]}, nil
+	folder.files[name] = &memFileData{}
+	return &memFile{folder, folder.files[name]}, nil
 }
 
-func (m *memFS) Rename(from, to string) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) Rename(from, to string) error {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return err
 	}
-	m.names[to] = m.names[from]
-	delete(m.names, from)
+	folder.files[to] = folder.files[from]
+	delete(folder.files, from)
 	return nil
 }
 
-func (m *memFS) Remove(name string) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) Remove(name string) error {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return err
 	}
-	if m.names[name] == nil {
+	if folder.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	delete(m.names, name)
+	delete(folder.files, name)
 	return nil
 }
 
-func (m *memFS) List() ([]string, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return slices.Sorted(maps.Keys(m.names)), nil
+func (folder *memFS) List() ([]string, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	return slices.Sorted(maps.Keys(folder.files)), nil
 }
 
-func (m *memFS) SyncDir() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) SyncDir() error {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return err
 	}
-	m.sure = maps.Clone(m.names)
+	folder.synced = maps.Clone(folder.files)
 	return nil
 }
 
@@ -129,99 +129,99 @@
 	return nil
 }
 
-func (m *memFS) Lock() (io.Closer, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.locked {
+func (folder *memFS) Lock() (io.Closer, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if folder.locked {
 		return nil, ErrLocked
 	}
-	m.locked = true
-	return memLock{m}, nil
+	folder.locked = true
+	return memLock{folder}, nil
 }
 
-// crashed is the folder as it may be found after a crash.
-func (m *memFS) crashed(rng *rand.Rand) *memFS {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// afterCrash is the folder as it may be found after a crash.
+func (folder *memFS) afterCrash(rng *rand.Rand) *memFS {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
 	after := newMemFS()
-	names := maps.Clone(m.sure)
-	for name, d := range m.names { // a name's change may have got there by itself
+	names := maps.Clone(folder.synced)
+	for name, d := range folder.files { // a name's change may have got there by itself
 		if rng.IntN(2) == 0 {
 			names[name] = d
 		}
 	}
-	for name := range m.sure {
-		if m.names[name] == nil && rng.IntN(2) == 0 {
+	for name := range folder.synced {
+		if folder.files[name] == nil && rng.IntN(2) == 0 {
 			delete(names, name)
 		}
 	}
 	for name, d := range names {
-		b := slices.Clone(d.sure)
-		for _, w := range d.writes { // in any order and any part, as the kernel writes back
+		b := slices.Clone(d.synced)
+		for _, w := range d.unsynced { // in any order and any part, as the kernel writes back
 			if rng.IntN(3) > 0 {
-				if w.b != nil {
-					w.b = w.b[:rng.IntN(len(w.b)+1)]
+				if w.data != nil {
+					w.data = w.data[:rng.IntN(len(w.data)+1)]
 				}
-				b = w.on(b)
+				b = w.applyTo(b)
 			}
 		}
-		after.names[name] = &memData{b: b, sure: slices.Clone(b)}
+		after.files[name] = &memFileData{data: b, synced: slices.Clone(b)}
 	}
-	after.sure = maps.Clone(after.names)
+	after.synced = maps.Clone(after.files)
 	return after
 }
 
-// copied is the folder as it stands, with the names and bytes of now.
-func (m *memFS) copied() *memFS {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// clone is the folder as it stands, with the names and bytes of now.
+func (folder *memFS) clone() *memFS {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
 	c := newMemFS()
-	for name, d := range m.names {
-		c.names[name] = &memData{b: slices.Clone(d.b), sure: slices.Clone(d.b)}
+	for name, d := range folder.files {
+		c.files[name] = &memFileData{data: slices.Clone(d.data), synced: slices.Clone(d.data)}
 	}
-	c.sure = maps.Clone(c.names)
+	c.synced = maps.Clone(c.files)
 	return c
 }
 
-func (w memWrite) on(b []byte) []byte {
-	if w.b == nil {
-		if int64(len(b)) > w.at {
-			return b[:w.at]
+func (w memWrite) applyTo(b []byte) []byte {
+	if w.data == nil {
+		if int64(len(b)) > w.offset {
+			return b[:w.offset]
 		}
-		return append(b, make([]byte, w.at-int64(len(b)))...)
+		return append(b, make([]byte, w.offset-int64(len(b)))...)
 	}
-	if need := int(w.at) + len(w.b); need > len(b) {
+	if need := int(w.offset) + len(w.data); need > len(b) {
 		b = append(b, make([]byte, need-len(b))...)
 	}
-	copy(b[w.at:], w.b)
+	copy(b[w.offset:], w.data)
 	return b
 }
 
-func (f *memFile) do(w memWrite) error {
-	if err := f.fs.step(); err != nil {
-		if w.b != nil { // a write may get there in part
-			w.b = w.b[:len(w.b)/2]
-			f.d.writes = append(f.d.writes, w)
+func (f *memFile) change(w memWrite) error {
+	if err := f.fs.countOperation(); err != nil {
+		if w.data != nil { // a write may get there in part
+			w.data = w.data[:len(w.data)/2]
+			f.data.unsynced = append(f.data.unsynced, w)
 		}
 		return err
 	}
 	var full error
-	if w.b != nil && f.fs.isFull() {
-		n := min(f.fs.left, len(w.b))
-		f.fs.left -= n
-		if w.b, full = w.b[:n], unix.ENOSPC; n == 0 {
+	if w.data != nil && f.fs.isFull() {
+		n := min(f.fs.bytesLeft, len(w.data))
+		f.fs.bytesLeft -= n
+		if w.data, full = w.data[:n], unix.ENOSPC; n == 0 {
 			return full
 		}
 	}
-	f.d.b = w.on(f.d.b)
-	f.d.writes = append(f.d.writes, w)
+	f.data.data = w.applyTo(f.data.data)
+	f.data.unsynced = append(f.data.unsynced, w)
 	return full
 }
 
 func (f *memFile) WriteAt(b []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.do(memWrite{at, append([]byte{}, b...)}); err != nil {
+	if err := f.change(memWrite{at, append([]byte{}, b...)}); err != nil {
 		return 0, err
 	}
 	return len(b), nil
@@ -230,16 +230,16 @@
 func (f *memFile) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	return f.do(memWrite{size, nil})
+	return f.change(memWrite{size, nil})
 }
 
 func (f *memFile) ReadAt(b []byte, at int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if at >= int64(len(f.d.b)) {
+	if at >= int64(len(f.data.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.d.b[at:])
+	n := copy(b, f.data.data[at:])
 	if n < len(b) {
 		return n, io.EOF
 	}
@@ -249,16 +249,16 @@
 func (f *memFile) Size() (int64, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	return int64(len(f.d.b)), nil
+	return int64(len(f.data.data)), nil
 }
 
 func (f *memFile) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.step(); err != nil {
+	if err := f.fs.countOperation(); err != nil {
 		return err
 	}
-	f.d.sure, f.d.writes = slices.Clone(f.d.b), nil
+	f.data.synced, f.data.unsynced = slices.Clone(f.data.data), nil
 	return nil
 }
 
--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -15,8 +15,8 @@
 
 // What is done to a store that no process has open: a look at all of it, and its repair.
 
-// offline calls do with a store's files as they stand. Nothing is written.
-func offline(folder FS, kinds []Kind, salvage bool, do func(*image) error) error {
+// inspect calls do with a store's files as they stand. Nothing is written.
+func inspect(folder FS, kinds []Kind, salvage bool, do func(*fileIndex) error) error {
 	lock, err := folder.Lock()
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -32,35 +32,35 @@
 
 // Check reads all of a store and tells all that is wrong with it.
 func Check(folder FS, kinds []Kind) (r Report, err error) {
-	err = offline(folder, kinds, true, func(m *image) error { r = m.report; return nil })
+	err = inspect(folder, kinds, true, func(m *fileIndex) error { r = m.report; return nil })
 	return r, err
 }
 
 // Repair writes what can be read of a store to one new file, in place of all. What was damaged is
 // lost, and records that were put again or removed in what was damaged are as they were before.
 func Repair(folder FS, kinds []Kind) (before, after Report, err error) {
-	err = offline(folder, kinds, true, func(m *image) error {
+	err = inspect(folder, kinds, true, func(m *fileIndex) error {
 		before = m.report
 		if len(before.Damaged) == 0 && before.TornTail == nil && len(before.Replaced) == 0 {
 			return nil
 		}
 		// Its name stands for all that the files there are named for.
-		last := m.next
+		last := m.nextNumber
 		for _, s := range m.segments {
 			last = max(last, s.first, s.last)
 		}
-		if _, _, err := m.rewrite(head{merged: true, first: 1, last: last}); err != nil {
+		if _, _, err := m.writeMerged(segmentHeader{merged: true, first: 1, last: last}); err != nil {
 			return err
 		}
 		for _, s := range m.segments {
-			if err := m.fs.Remove(s.name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			if err := m.folder.Remove(s.name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		}
-		if err := m.clean(); err != nil {
+		if err := m.removeLeftovers(); err != nil {
 			return err
 		}
-		return m.fs.SyncDir()
+		return m.folder.SyncDir()
 	})
 	if err != nil {
 		return before, after, err
@@ -79,13 +79,13 @@
 
 // Count tells what a store holds.
 func Count(folder FS, kinds []Kind) (r Report, all []KindCount, err error) {
-	err = offline(folder, kinds, true, func(m *image) error {
+	err = inspect(folder, kinds, true, func(m *fileIndex) error {
 		r = m.report
-		for name, t := range m.kinds {
-			c := KindCount{Name: name, Records: len(t.keys)}
+		for name, t := range m.tables {
+			c := KindCount{Name: name, Records: len(t.byKey)}
 			for e := t.order.Back(); e != nil; e = e.Prev() {
-				s := e.Value.(*slot)
-				c.Bytes += s.weight
+				s := e.Value.(*location)
+				c.Bytes += s.bytes
 				c.Oldest = s.at
 			}
 			if c.Records > 0 {
@@ -100,8 +100,8 @@
 
 // Dump writes a store's records, a line of JSON each, in the order in which they were put.
 func Dump(folder FS, kinds []Kind, only string, w io.Writer) error {
-	return offline(folder, kinds, true, func(m *image) error {
-		for name := range m.kinds {
+	return inspect(folder, kinds, true, func(m *fileIndex) error {
+		for name := range m.tables {
 			if only != "" && only != name {
 				continue
 			}
@@ -110,7 +110,7 @@
 				var body any = r.Body
 				var v any
 				if cbor.Unmarshal(r.Body, &v) == nil {
-					body = plain(v)
+					body = jsonValue(v)
 				}
 				var line []byte
 				line, failed = json.Marshal(map[string]any{"kind": r.Kind, "key": r.Key, "at": r.At.UTC().Format(time.RFC3339Nano), "version": r.Version, "commit": r.Number, "body": body})
@@ -130,18 +130,18 @@
 	})
 }
 
-// plain has maps by names, as JSON wants them.
-func plain(v any) any {
+// jsonValue has maps by names, as JSON wants them.
+func jsonValue(v any) any {
 	switch v := v.(type) {
 	case map[any]any:
 		m := make(map[string]any, len(v))
 		for key, x := range v {
-			m[fmt.Sprint(key)] = plain(x)
+			m[fmt.Sprint(key)] = jsonValue(x)
 		}
 		return m
 	case []any:
 		for i := range v {
-			v[i] = plain(v[i])
+			v[i] = jsonValue(v[i])
 		}
 	}
 	return v
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -45,13 +45,13 @@
 	// GroupCommitInterval is within what commits of the kind Grouped are made sure to last.
 	GroupCommitInterval = 50 * time.Millisecond
 
-	queueMost   = 1024      // commits that wait for the disk
-	batchMost   = 128 << 10 // bytes that are written at once, about
-	segmentSize = 4 << 20   // a file is not appended to beyond that
-	mergeLeast  = 256 << 10 // files smaller than that in all are not merged
-	retryAfter  = time.Second
-	lastWait    = 2 * time.Second // at the end, for what is queued
-	entryMost   = 64              // bytes that a record takes beside its words and body, at the most
+	maxQueuedCommits = 1024      // commits that wait for the disk
+	maxBatchBytes    = 128 << 10 // bytes that are written at once, about
+	maxSegmentBytes  = 4 << 20   // a file is not appended to beyond that
+	minMergeBytes    = 256 << 10 // files smaller than that in all are not merged
+	diskRetryDelay   = time.Second
+	closeTimeout     = 2 * time.Second // at the end, for what is queued
+	maxEntryOverhead = 64              // bytes that a record takes beside its words and body, at the most
 
 	// DefaultBytes bounds the files of a store, about.
 	DefaultBytes = 64 << 20
@@ -91,14 +91,14 @@
 // commit is what waits to be written.
 type commit struct {
 	changes []Change
-	done    chan error   // nil: nobody waits
-	do      func() error // by the writer, in place of changes
+	result  chan error   // nil: nobody waits
+	task    func() error // by the writer, in place of changes
 }
 
 // size is what the commit takes in a file, at the most.
 func (c *commit) size() (n int) {
 	for _, x := range c.changes {
-		n += len(x.Kind) + len(x.Key) + len(x.Body) + entryMost
+		n += len(x.Kind) + len(x.Key) + len(x.Body) + maxEntryOverhead
 	}
 	return n
 }
@@ -120,30 +120,30 @@
 
 // Store is an open store.
 type Store struct {
-	fs    FS
-	lock  io.Closer
-	most  int64
-	log   *slog.Logger
-	kinds map[string]Kind
-	queue chan *commit
-	stop  chan struct{}
-	ended chan struct{}
-	close sync.Once
-
-	mu      sync.RWMutex // of what follows; files are written without it
-	m       *image
-	failing error
-	dropped map[string]*atomic.Uint64
-	commits uint64
-	syncs   uint64
-	merges  uint64
+	folder    FS
+	lock      io.Closer
+	maxBytes  int64
+	log       *slog.Logger
+	kinds     map[string]Kind
+	queue     chan *commit
+	stopping  chan struct{}
+	stopped   chan struct{}
+	closeOnce sync.Once
+
+	mu        sync.RWMutex // of what follows; files are written without it
+	index     *fileIndex
+	diskError error
+	dropped   map[string]*atomic.Uint64
+	commits   uint64
+	syncs     uint64
+	merges    uint64
 
 	// Of the writer alone.
-	synced  uint64    // commits that are sure to last
-	waiting []*commit // that are to be reported once they are
-	failed  time.Time // the disk last failed
-	broken  bool      // for good: what the disk has is not known
-	buffer  []byte
+	syncedNumber uint64    // commits that are sure to last
+	awaitingSync []*commit // that are to be reported once they are
+	diskFailedAt time.Time // the disk last failed
+	broken       bool      // for good: what the disk has is not known
+	writeBuffer  []byte
 }
 
 // Open opens a store. The report is there whatever the error, as far as it was read.
@@ -157,10 +157,10 @@
 		_ = lock.Close()
 		return nil, Report{}, fmt.Errorf("store: %w", err)
 	}
-	s := &Store{fs: folder, lock: lock, most: o.Bytes, log: o.Log, m: m, kinds: make(map[string]Kind), queue: make(chan *commit, queueMost),
-		stop: make(chan struct{}), ended: make(chan struct{}), dropped: make(map[string]*atomic.Uint64)}
-	if s.most <= 0 {
-		s.most = DefaultBytes
+	s := &Store{folder: folder, lock: lock, maxBytes: o.Bytes, log: o.Log, index: m, kinds: make(map[string]Kind), queue: make(chan *commit, maxQueuedCommits),
+		stopping: make(chan struct{}), stopped: make(chan struct{}), dropped: make(map[string]*atomic.Uint64)}
+	if s.maxBytes <= 0 {
+		s.maxBytes = DefaultBytes
 	}
 	if s.log == nil {
 		s.log = slog.New(slog.DiscardHandler)
@@ -168,25 +168,25 @@
 	for _, k := range o.Kinds {
 		s.kinds[k.Name], s.dropped[k.Name] = k, &atomic.Uint64{}
 	}
-	if err := s.ready(); err != nil {
+	if err := s.prepareAppend(); err != nil {
 		m.close()
 		_ = lock.Close()
 		return nil, m.report, fmt.Errorf("store: %w", err)
 	}
-	go s.run()
+	go s.runWriter()
 	return s, m.report, nil
 }
 
-// ready makes the last file one that can be appended to.
-func (s *Store) ready() error {
-	if err := s.m.clean(); err != nil {
+// prepareAppend makes the last file one that can be appended to.
+func (s *Store) prepareAppend() error {
+	if err := s.index.removeLeftovers(); err != nil {
 		return err
 	}
-	s.synced = s.m.next - 1 // what was read is synced below
-	if n := len(s.m.segments); n > 0 && !s.m.segments[n-1].merged {
-		last := s.m.segments[n-1]
-		if last.size < headSize {
-			if err := s.begin(last); err != nil {
+	s.syncedNumber = s.index.nextNumber - 1 // what was read is synced below
+	if n := len(s.index.segments); n > 0 && !s.index.segments[n-1].merged {
+		last := s.index.segments[n-1]
+		if last.size < segmentHeaderSize {
+			if err := s.writeHeader(last); err != nil {
 				return err
 			}
 		}
@@ -195,39 +195,39 @@
 		}
 		return last.file.Sync()
 	}
-	return s.add()
+	return s.addSegment()
 }
 
-// begin writes a file's head.
-func (s *Store) begin(g *segment) error {
+// writeHeader writes a file's head.
+func (s *Store) writeHeader(g *segment) error {
 	if err := g.file.Truncate(0); err != nil {
 		return err
 	}
-	if _, err := g.file.WriteAt(g.head.append(nil), 0); err != nil {
+	if _, err := g.file.WriteAt(g.segmentHeader.appendTo(nil), 0); err != nil {
 		return err
 	}
 	if err := g.file.Sync(); err != nil {
 		return err
 	}
-	s.m.bytes += headSize - g.size
-	g.size = headSize
-	return s.fs.SyncDir()
+	s.index.totalBytes += segmentHeaderSize - g.size
+	g.size = segmentHeaderSize
+	return s.folder.SyncDir()
 }
 
-// add adds a file to the chain.
-func (s *Store) add() error {
-	g := &segment{head: head{first: s.m.next}}
-	g.name = g.head.name()
+// addSegment adds a file to the chain.
+func (s *Store) addSegment() error {
+	g := &segment{segmentHeader: segmentHeader{first: s.index.nextNumber}}
+	g.name = g.segmentHeader.fileName()
 	var err error
-	if g.file, err = s.fs.Create(g.name); err != nil {
+	if g.file, err = s.folder.Create(g.name); err != nil {
 		return err
 	}
-	if err := s.begin(g); err != nil {
+	if err := s.writeHeader(g); err != nil {
 		_ = g.file.Close()
 		return err
 	}
 	s.mu.Lock()
-	s.m.segments = append(s.m.segments, g)
+	s.index.segments = append(s.index.segments, g)
 	s.mu.Unlock()
 	return nil
 }
@@ -236,47 +236,47 @@
 // for them they are dropped, and counted.
 func (s *Store) Put(changes ...Change) {
 	c := &commit{changes: changes}
-	err := s.offer(c)
+	err := s.enqueue(c)
 	if err == nil {
 		return
 	}
-	s.drop(changes)
+	s.countDropped(changes)
 	if errors.Is(err, ErrTooLarge) { // it would be so the next time too
-		s.log.Warn("a record is too large to be kept", "kind", changes[0].Kind, "bytes", c.size(), "most", frameMost)
+		s.log.Warn("a record is too large to be kept", "kind", changes[0].Kind, "bytes", c.size(), "most", maxFrameBytes)
 	}
 }
 
 // Commit has changes committed together and waits until they are, as their kinds have it.
 func (s *Store) Commit(ctx context.Context, changes ...Change) error {
-	c := &commit{changes: changes, done: make(chan error, 1)}
-	if err := s.offer(c); err != nil {
-		s.drop(changes)
+	c := &commit{changes: changes, result: make(chan error, 1)}
+	if err := s.enqueue(c); err != nil {
+		s.countDropped(changes)
 		return fmt.Errorf("store: %w", err)
 	}
 	select {
-	case err := <-c.done:
+	case err := <-c.result:
 		if err != nil {
 			return fmt.Errorf("store: %w", err)
 		}
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("store: not known to be kept: %w", context.Cause(ctx))
-	case <-s.ended: // it came just as the store was closed
-		return answered(c)
+	case <-s.stopped: // it came just as the store was closed
+		return resultAfterStop(c)
 	}
 }
 
-// answered is what became of a commit that the writer may have left behind at its end.
-func answered(c *commit) error {
+// resultAfterStop is what became of a commit that the writer may have left behind at its end.
+func resultAfterStop(c *commit) error {
 	select {
-	case err := <-c.done:
+	case err := <-c.result:
 		return err
 	default:
 		return fmt.Errorf("store: %w", ErrClosed)
 	}
 }
 
-func (s *Store) offer(c *commit) error {
+func (s *Store) enqueue(c *commit) error {
 	for i, x := range c.changes {
 		if _, ok := s.kinds[x.Kind]; !ok {
 			return fmt.Errorf("there is no kind %q", x.Kind)
@@ -285,11 +285,11 @@
 			c.changes[i].At = time.Now()
 		}
 	}
-	if c.size() > frameMost { // it would fail with all that is written beside it
+	if c.size() > maxFrameBytes { // it would fail with all that is written beside it
 		return ErrTooLarge
 	}
 	select {
-	case <-s.stop:
+	case <-s.stopping:
 		return ErrClosed
 	default:
 	}
@@ -301,24 +301,24 @@
 	}
 }
 
-// ask has the writer do something between two commits.
-func (s *Store) ask(do func() error) error {
-	c := &commit{do: do, done: make(chan error, 1)}
-	if err := s.offer(c); err != nil {
+// runTask has the writer do something between two commits.
+func (s *Store) runTask(do func() error) error {
+	c := &commit{task: do, result: make(chan error, 1)}
+	if err := s.enqueue(c); err != nil {
 		return err
 	}
 	select {
-	case err := <-c.done:
+	case err := <-c.result:
 		return err
-	case <-s.ended:
-		return answered(c)
+	case <-s.stopped:
+		return resultAfterStop(c)
 	}
 }
 
 // Compact merges the files, so that they hold nothing that is no longer wanted.
-func (s *Store) Compact() error { return s.ask(func() error { return s.merge(true) }) }
+func (s *Store) Compact() error { return s.runTask(func() error { return s.merge(true) }) }
 
-func (s *Store) drop(changes []Change) {
+func (s *Store) countDropped(changes []Change) {
 	for _, x := range changes {
 		if n := s.dropped[x.Kind]; n != nil {
 			n.Add(1)
@@ -328,66 +328,66 @@
 
 // Close commits what is queued and closes the store.
 func (s *Store) Close() error {
-	s.close.Do(func() { close(s.stop) })
+	s.closeOnce.Do(func() { close(s.stopping) })
 	select {
-	case <-s.ended:
-	case <-time.After(2 * lastWait): // a disk that hangs: the lock goes with the process
+	case <-s.stopped:
+	case <-time.After(2 * closeTimeout): // a disk that hangs: the lock goes with the process
 		return errors.New("store: the disk does not answer")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.m.close()
+	s.index.close()
 	return s.lock.Close()
 }
 
-// run is the writer: all that waits goes to the disk together. Errors of sync and merge are told to the commits that wait
+// runWriter is the writer: all that waits goes to the disk together. Errors of sync and merge are told to the commits that wait
 // and to the log where they come up, so that nothing is left to be done about them here.
-func (s *Store) run() {
-	defer close(s.ended)
+func (s *Store) runWriter() {
+	defer close(s.stopped)
 	var due <-chan time.Time // commits are to be synced
 	tidy := time.NewTicker(time.Minute)
 	defer tidy.Stop()
 	for {
 		select {
 		case c := <-s.queue:
-			if s.write(s.gather(c)) {
-				_ = s.sync()
+			if s.writeBatch(s.collectBatch(c)) {
+				_ = s.syncSegment()
 				due = nil
-			} else if due == nil && len(s.waiting) > 0 {
+			} else if due == nil && len(s.awaitingSync) > 0 {
 				due = time.After(GroupCommitInterval)
 			}
 		case <-due:
-			_ = s.sync()
+			_ = s.syncSegment()
 			due = nil
 		case <-tidy.C:
 			s.mu.Lock()
-			s.m.retain(time.Now())
+			s.index.applyRetention(time.Now())
 			s.mu.Unlock()
 			_ = s.merge(false)
-		case <-s.stop:
-			for until := time.Now().Add(lastWait); time.Now().Before(until); {
+		case <-s.stopping:
+			for until := time.Now().Add(closeTimeout); time.Now().Before(until); {
 				select {
 				case c := <-s.queue:
-					s.write(s.gather(c))
+					s.writeBatch(s.collectBatch(c))
 					continue
 				default:
 				}
 				break
 			}
-			_ = s.sync()
+			_ = s.syncSegment()
 			// An end that says that all before it is sure to last: what is spoilt later is damage.
-			if !s.broken && s.failed.IsZero() && s.append([][]entry{nil}) == nil {
-				_ = s.sync()
+			if !s.broken && s.diskFailedAt.IsZero() && s.appendFrames([][]entry{nil}) == nil {
+				_ = s.syncSegment()
 			}
 			return
 		}
 	}
 }
 
-// gather takes what waits, up to a size.
-func (s *Store) gather(c *commit) []*commit {
+// collectBatch takes what waits, up to a size.
+func (s *Store) collectBatch(c *commit) []*commit {
 	all := []*commit{c}
-	for size := c.size(); size < batchMost; {
+	for size := c.size(); size < maxBatchBytes; {
 		select {
 		case next := <-s.queue:
 			all = append(all, next)
@@ -399,38 +399,38 @@
 	return all
 }
 
-// write appends commits and reports those that need no sync. It tells whether one wants it at once.
-func (s *Store) write(all []*commit) (atOnce bool) {
+// writeBatch appends commits and reports those that need no sync. It tells whether one wants it at once.
+func (s *Store) writeBatch(all []*commit) (atOnce bool) {
 	fail := func(err error) {
 		for _, c := range all {
-			s.report(c, err)
+			s.complete(c, err)
 		}
 	}
-	if s.broken || !s.failed.IsZero() && time.Since(s.failed) < retryAfter {
-		fail(s.failing)
+	if s.broken || !s.diskFailedAt.IsZero() && time.Since(s.diskFailedAt) < diskRetryDelay {
+		fail(s.diskError)
 		return false
 	}
 	var asks []*commit
 	all = slices.DeleteFunc(all, func(c *commit) bool {
-		if c.do != nil {
+		if c.task != nil {
 			asks = append(asks, c)
 		}
-		return c.do != nil
+		return c.task != nil
 	})
 	defer func() {
 		for _, c := range asks {
-			c.done <- c.do()
+			c.result <- c.task()
 		}
 	}()
 	if len(all) == 0 {
 		return false
 	}
-	s.room()
-	if s.m.live > s.most { // what makes room may come
+	s.mergeIfWasteful()
+	if s.index.liveBytes > s.maxBytes { // what makes room may come
 		all = slices.DeleteFunc(all, func(c *commit) bool {
 			puts := slices.ContainsFunc(c.changes, func(x Change) bool { return !x.Deleted })
 			if puts {
-				s.report(c, ErrNoRoom)
+				s.complete(c, ErrNoRoom)
 			}
 			return puts
 		})
@@ -441,10 +441,10 @@
 	frames := make([][]entry, len(all))
 	for i, c := range all {
 		for _, x := range c.changes {
-			frames[i] = append(frames[i], entry{Kind: x.Kind, Key: x.Key, At: x.At.UnixMilli(), Version: x.Version, Body: x.Body, Gone: x.Deleted})
+			frames[i] = append(frames[i], entry{Kind: x.Kind, Key: x.Key, At: x.At.UnixMilli(), Version: x.Version, Body: x.Body, Deleted: x.Deleted})
 		}
 	}
-	if err := s.append(frames); err != nil {
+	if err := s.appendFrames(frames); err != nil {
 		fail(err)
 		return false
 	}
@@ -454,116 +454,116 @@
 			when = min(when, s.kinds[x.Kind].Sync)
 		}
 		if atOnce = atOnce || when == SyncImmediate; when == SyncBestEffort {
-			s.report(c, nil)
+			s.complete(c, nil)
 		} else {
-			s.waiting = append(s.waiting, c)
+			s.awaitingSync = append(s.awaitingSync, c)
 		}
 	}
 	return atOnce
 }
 
-func (s *Store) report(c *commit, err error) {
+func (s *Store) complete(c *commit, err error) {
 	if err != nil {
-		s.drop(c.changes)
+		s.countDropped(c.changes)
 	}
-	if c.done != nil {
-		c.done <- err
+	if c.result != nil {
+		c.result <- err
 	}
 }
 
-// append appends a frame for each commit to the last file, all or none, and enters them in the index.
-func (s *Store) append(commits [][]entry) error {
-	g := s.m.segments[len(s.m.segments)-1]
-	if g.size > segmentSize || g.merged {
-		if err := s.sync(); err != nil {
+// appendFrames appends a frame for each commit to the last file, all or none, and enters them in the index.
+func (s *Store) appendFrames(commits [][]entry) error {
+	g := s.index.segments[len(s.index.segments)-1]
+	if g.size > maxSegmentBytes || g.merged {
+		if err := s.syncSegment(); err != nil {
 			return err
 		}
-		if err := s.add(); err != nil {
-			return s.fails(err)
+		if err := s.addSegment(); err != nil {
+			return s.diskFailed(err)
 		}
-		g = s.m.segments[len(s.m.segments)-1]
+		g = s.index.segments[len(s.index.segments)-1]
 	}
-	s.buffer = s.buffer[:0]
-	number := s.m.next
+	s.writeBuffer = s.writeBuffer[:0]
+	number := s.index.nextNumber
 	var frames []frame
 	for _, entries := range commits {
-		from := len(s.buffer)
+		from := len(s.writeBuffer)
 		var err error
-		if s.buffer, err = appendFrame(s.buffer, number, s.synced, entries); err != nil {
+		if s.writeBuffer, err = appendFrame(s.writeBuffer, number, s.syncedNumber, entries); err != nil {
 			return err // too large: nothing is wrong with the disk
 		}
-		frames = append(frames, frame{number, s.synced, entries, len(s.buffer) - from})
+		frames = append(frames, frame{number, s.syncedNumber, entries, len(s.writeBuffer) - from})
 		number++
 	}
-	if _, err := g.file.WriteAt(s.buffer, g.size); err != nil {
+	if _, err := g.file.WriteAt(s.writeBuffer, g.size); err != nil {
 		// What was written in part must not be taken for a commit that follows it.
 		if cut := g.file.Truncate(g.size); cut != nil {
-			return s.breaks(errors.Join(err, cut))
+			return s.markBroken(errors.Join(err, cut))
 		}
-		return s.fails(err)
+		return s.diskFailed(err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	off := g.size
 	for _, f := range frames {
-		s.m.apply(g, off, f)
+		s.index.apply(g, off, f)
 		off += int64(f.size)
 	}
-	s.m.next = number
-	s.m.bytes += off - g.size
+	s.index.nextNumber = number
+	s.index.totalBytes += off - g.size
 	g.size = off
 	s.commits += uint64(len(frames))
-	s.m.retain(time.Now())
-	if s.failing != nil {
+	s.index.applyRetention(time.Now())
+	if s.diskError != nil {
 		s.log.Info("the store keeps records again")
 	}
-	s.failing, s.failed = nil, time.Time{}
+	s.diskError, s.diskFailedAt = nil, time.Time{}
 	return nil
 }
 
-// fails notes that the disk failed; commits are tried again after a while.
-func (s *Store) fails(err error) error {
+// diskFailed notes that the disk failed; commits are tried again after a while.
+func (s *Store) diskFailed(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failing == nil {
+	if s.diskError == nil {
 		s.log.Error("the store keeps nothing: the disk fails", "error", err, "full", errors.Is(err, unix.ENOSPC))
 	}
-	s.failing, s.failed = err, time.Now()
+	s.diskError, s.diskFailedAt = err, time.Now()
 	return err
 }
 
-// breaks ends all commits: what the disk has of those that were not synced is not known.
-func (s *Store) breaks(err error) error {
+// markBroken ends all commits: what the disk has of those that were not synced is not known.
+func (s *Store) markBroken(err error) error {
 	s.broken = true
-	return s.fails(err)
+	return s.diskFailed(err)
 }
 
-// sync makes all that was written sure to last, and reports it.
-func (s *Store) sync() (err error) {
-	if !s.broken && s.synced < s.m.next-1 {
-		if err = s.m.segments[len(s.m.segments)-1].file.Sync(); err != nil {
+// syncSegment makes all that was written sure to last, and reports it.
+func (s *Store) syncSegment() (err error) {
+	if !s.broken && s.syncedNumber < s.index.nextNumber-1 {
+		if err = s.index.segments[len(s.index.segments)-1].file.Sync(); err != nil {
 			// The kernel may have let go of what it could not write: a second sync would say
 			// that all is well.
-			err = s.breaks(fmt.Errorf("sync: %w", err))
+			err = s.markBroken(fmt.Errorf("sync: %w", err))
 		} else {
-			s.synced = s.m.next - 1
+			s.syncedNumber = s.index.nextNumber - 1
 			s.mu.Lock()
 			s.syncs++
 			s.mu.Unlock()
 		}
 	} else if s.broken {
-		err = s.failing
+		err = s.diskError
 	}
-	for _, c := range s.waiting {
-		s.report(c, err)
+	for _, c := range s.awaitingSync {
+		s.complete(c, err)
 	}
-	s.waiting = s.waiting[:0]
+	s.awaitingSync = s.awaitingSync[:0]
 	return err
 }
 
-// room merges the files where they hold too much that is no longer wanted. If merge fails, it has said so.
-func (s *Store) room() {
-	if s.m.bytes > mergeLeast && s.m.bytes > 2*s.m.live+segmentSize/8 {
+// mergeIfWasteful merges the files where they hold too much that is no longer wanted. If merge fails, it has said so.
+func (s *Store) mergeIfWasteful() {
+	if s.index.totalBytes > minMergeBytes && s.index.totalBytes > 2*s.index.liveBytes+maxSegmentBytes/8 {
 		_ = s.merge(false)
 	}
 }
@@ -571,81 +571,81 @@
 // merge writes what is still wanted to one file, in place of all. Not wanted are records that were removed, put
 // again, or retained no longer.
 func (s *Store) merge(whatever bool) error {
-	if s.broken || !whatever && (s.m.bytes <= mergeLeast || s.m.bytes <= 2*s.m.live) {
+	if s.broken || !whatever && (s.index.totalBytes <= minMergeBytes || s.index.totalBytes <= 2*s.index.liveBytes) {
 		return nil
 	}
-	if err := s.sync(); err != nil {
+	if err := s.syncSegment(); err != nil {
 		return err
 	}
-	old := s.m.segments
-	h := head{merged: true, first: old[0].first, last: s.m.next - 1}
+	old := s.index.segments
+	h := segmentHeader{merged: true, first: old[0].first, last: s.index.nextNumber - 1}
 	if h.last < h.first {
 		return nil // nothing was ever committed
 	}
-	merged, slots, err := s.m.rewrite(h)
+	merged, slots, err := s.index.writeMerged(h)
 	if err != nil {
 		var d *Damage
 		if errors.As(err, &d) {
-			return s.breaks(err)
+			return s.markBroken(err)
 		}
-		return s.fails(err)
+		return s.diskFailed(err)
 	}
 	s.mu.Lock()
 	for _, to := range slots {
-		to.from.seg, to.from.off, to.from.size, to.from.pos = merged, to.off, to.size, to.pos
+		to.location.segment, to.location.offset, to.location.frameSize, to.location.position = merged, to.offset, to.frameSize, to.position
 	}
-	s.m.segments = []*segment{merged}
-	s.m.bytes = merged.size
+	s.index.segments = []*segment{merged}
+	s.index.totalBytes = merged.size
 	s.merges++
 	s.mu.Unlock()
 	for _, g := range old {
 		_ = g.file.Close()
 		if g.name != merged.name { // one that stays is passed over at the next start
-			_ = s.fs.Remove(g.name)
+			_ = s.folder.Remove(g.name)
 		}
 	}
-	if err := s.add(); err != nil {
-		return s.fails(err)
+	if err := s.addSegment(); err != nil {
+		return s.diskFailed(err)
 	}
 	return nil
 }
 
-// moved is where a record is in a merged file.
-type moved struct {
-	from *slot
-	off  int64
-	size int
-	pos  int
+// relocation is where a record is in a merged file.
+type relocation struct {
+	location  *location
+	offset    int64
+	frameSize int
+	position  int
 }
 
-// rewrite writes all records to a merged file.
-func (m *image) rewrite(h head) (_ *segment, slots []moved, err error) {
-	g := &segment{head: h, name: h.name()}
+// writeMerged writes all records to a merged file.
+func (m *fileIndex) writeMerged(h segmentHeader) (_ *segment, slots []relocation, err error) {
+	g := &segment{segmentHeader: h, name: h.fileName()}
 	temporary := g.name + ".tmp"
-	if g.file, err = m.fs.Create(temporary); err != nil {
+	if g.file, err = m.folder.Create(temporary); err != nil {
 		return nil, nil, err
 	}
 	defer func() {
 		if err != nil {
 			_ = g.file.Close()
-			_ = m.fs.Remove(temporary)
+			_ = m.folder.Remove(temporary)
 		}
 	}()
-	var live []*slot
-	for _, t := range m.kinds {
+	var live []*location
+	for _, t := range m.tables {
 		for e := t.order.Front(); e != nil; e = e.Next() {
-			live = append(live, e.Value.(*slot))
+			live = append(live, e.Value.(*location))
 		}
 	}
-	slices.SortFunc(live, func(x, y *slot) int {
-		return cmp.Or(cmp.Compare(x.number, y.number), cmp.Compare(x.pos, y.pos))
+	slices.SortFunc(live, func(x, y *location) int {
+		return cmp.Or(cmp.Compare(x.number, y.number), cmp.Compare(x.position, y.position))
 	})
 	write := func(b []byte) error {
 		_, err := g.file.WriteAt(b, g.size)
 		g.size += int64(len(b))
 		return err
 	}
-	if err = write(h.append(nil)); err != nil {
+	if err = write(h.appendTo(nil)); err != nil {
 		return nil, nil, err
 	}
 	flush := func(number uint64, entries []entry) error {
@@ -655,7 +655,7 @@
 		}
 		for i := range entries {
 			at := &slots[len(slots)-len(entries)+i]
-			at.off, at.size = g.size, len(b)
+			at.offset, at.frameSize = g.size, len(b)
 		}
 		return write(b)
 	}
@@ -668,11 +668,11 @@
 		var entries []entry
 		for i, s := range live[:n] {
 			var e entry
-			if e, err = m.body(s); err != nil {
+			if e, err = m.readEntry(s); err != nil {
 				return nil, nil, err
 			}
 			entries = append(entries, e)
-			slots = append(slots, moved{from: s, pos: i})
+			slots = append(slots, relocation{location: s, position: i})
 		}
 		if err = flush(live[0].number, entries); err != nil {
 			return nil, nil, err
@@ -685,10 +685,10 @@
 	if err = g.file.Sync(); err != nil {
 		return nil, nil, err
 	}
-	if err = m.fs.Rename(temporary, g.name); err != nil {
+	if err = m.folder.Rename(temporary, g.name); err != nil {
 		return nil, nil, err
 	}
-	if err = m.fs.SyncDir(); err != nil {
+	if err = m.folder.SyncDir(); err != nil {
 		return nil, nil, err
 	}
 	return g, slots, nil
@@ -698,16 +698,16 @@
 func (s *Store) Get(kind, key string) (r Record, ok bool, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	t := s.m.kinds[kind]
-	if t == nil || t.keys[key] == nil {
+	t := s.index.tables[kind]
+	if t == nil || t.byKey[key] == nil {
 		return r, false, nil
 	}
-	r, err = s.m.record(t.keys[key])
+	r, err = s.index.readRecord(t.byKey[key])
 	return r, err == nil, err
 }
 
-func (m *image) record(s *slot) (Record, error) {
-	e, err := m.body(s)
+func (m *fileIndex) readRecord(s *location) (Record, error) {
+	e, err := m.readEntry(s)
 	return Record{Change{Kind: s.kind, Key: s.key, At: s.at, Version: s.version, Body: e.Body}, s.number}, err
 }
 
@@ -716,11 +716,11 @@
 func (s *Store) Each(kind string, newest bool, do func(Record) bool) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.m.each(kind, newest, do)
+	return s.index.each(kind, newest, do)
 }
 
-func (m *image) each(kind string, newest bool, do func(Record) bool) error {
-	t := m.kinds[kind]
+func (m *fileIndex) each(kind string, newest bool, do func(Record) bool) error {
+	t := m.tables[kind]
 	if t == nil {
 		return nil
 	}
@@ -729,7 +729,7 @@
 		at, next = t.order.Back(), (*list.Element).Prev
 	}
 	for ; at != nil; at = next(at) {
-		r, err := m.record(at.Value.(*slot))
+		r, err := m.readRecord(at.Value.(*location))
 		if err != nil {
 			return err
 		}
@@ -745,11 +745,11 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	st := Stats{Records: make(map[string]int), Dropped: make(map[string]uint64), Commits: s.commits, Syncs: s.syncs, Merges: s.merges,
-		Files: len(s.m.segments), Bytes: s.m.bytes, LiveBytes: s.m.live, Waiting: len(s.queue), LastError: s.failing}
-	for name, t := range s.m.kinds {
-		st.Records[name] = len(t.keys)
+		Files: len(s.index.segments), Bytes: s.index.totalBytes, LiveBytes: s.index.liveBytes, Waiting: len(s.queue), LastError: s.diskError}
+	for name, t := range s.index.tables {
+		st.Records[name] = len(t.byKey)
 		if e := t.order.Front(); e != nil {
-			st.Retained = max(st.Retained, time.Since(e.Value.(*slot).at))
+			st.Retained = max(st.Retained, time.Since(e.Value.(*location).at))
 		}
 	}
 	for name, n := range s.dropped {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -18,7 +18,7 @@
 
 var testKinds = []Kind{{Name: "order", Sync: SyncImmediate}, {Name: "note", Sync: SyncGrouped, MaxRecords: 20}, {Name: "state", Sync: SyncBestEffort}}
 
-func open(t testing.TB, folder FS) *Store {
+func openStore(t testing.TB, folder FS) *Store {
 	t.Helper()
 	s, _, err := Open(folder, Options{Kinds: testKinds})
 	if err != nil {
@@ -27,14 +27,16 @@
 	return s
 }
 
-func put(kind, key, body string) Change { return Change{Kind: kind, Key: key, Body: []byte(body)} }
+func putChange(kind, key, body string) Change {
+	return Change{Kind: kind, Key: key, Body: []byte(body)}
+}
 
-// holds is what a store has, by kind and key.
-func (m *image) holds(t testing.TB) map[string]string {
+// contents is what a store has, by kind and key.
+func (index *fileIndex) contents(t testing.TB) map[string]string {
 	t.Helper()
 	all := make(map[string]string)
-	for kind := range m.kinds {
-		if err := m.each(kind, false, func(r Record) bool { all[kind+" "+r.Key] = string(r.Body); return true }); err != nil {
+	for kind := range index.tables {
+		if err := index.each(kind, false, func(r Record) bool { all[kind+" "+r.Key] = string(r.Body); return true }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -48,21 +50,21 @@
 	}
 }
 
-// filled is a folder with a store of n commits, merged after some, and what the store held after each commit.
-func filled(t testing.TB, n, mergeAfter int) (folder *memFS, after []map[string]string) {
+// filledStore is a folder with a store of n commits, merged after some, and what the store held after each commit.
+func filledStore(t testing.TB, n, mergeAfter int) (folder *memFS, after []map[string]string) {
 	folder = newMemFS()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	after = append(after, map[string]string{})
 	for i := range n {
-		c := []Change{put("order", fmt.Sprintf("s-%d", i%4), strings.Repeat("x", i%9)+fmt.Sprint(i)), put("state", "now", fmt.Sprint(i))}
+		change := []Change{putChange("order", fmt.Sprintf("s-%d", i%4), strings.Repeat("x", i%9)+fmt.Sprint(i)), putChange("state", "now", fmt.Sprint(i))}
 		if i%5 == 4 {
-			c[0].Deleted = true
+			change[0].Deleted = true
 		}
-		must(t, s.Commit(context.Background(), c...))
+		must(t, s.Commit(context.Background(), change...))
 		if i == mergeAfter {
-			must(t, s.ask(func() error { return s.merge(true) }))
+			must(t, s.runTask(func() error { return s.merge(true) }))
 		}
-		after = append(after, s.m.holds(t))
+		after = append(after, s.index.contents(t))
 	}
 	must(t, s.Close())
 	return folder, after
@@ -71,18 +73,18 @@
 // A file that is cut at any byte loses what came after the cut, and nothing else: what is read is what the
 // store held after some commit, the last whose bytes are all there. A merged file was whole before the others went: cut, it is
 // damage, and told as such.
-func TestFilesCutAtEveryByte(t *testing.T) {
+func TestTruncationAtEveryByte(t *testing.T) {
 	for _, mergeAfter := range []int{-1, 7} {
-		folder, after := filled(t, 16, mergeAfter)
+		folder, after := filledStore(t, 16, mergeAfter)
 		names, _ := folder.List()
 		for i, name := range names {
-			size := len(folder.names[name].b)
+			size := len(folder.files[name].data)
 			found := 0
 			for cut := 0; cut < size; cut++ {
-				c := folder.copied()
-				c.names[name].b = c.names[name].b[:cut]
-				m, err := load(c, testKinds, false)
-				if h, _ := ofName(name); h.merged || i < len(names)-1 {
+				change := folder.clone()
+				change.files[name].data = change.files[name].data[:cut]
+				index, err := load(change, testKinds, false)
+				if header, _ := parseSegmentName(name); header.merged || i < len(names)-1 {
 					var d *Damage
 					if !errors.As(err, &d) || d.File != name || d.Offset > int64(cut) {
 						t.Fatalf("%s cut at %d: %v", name, cut, err)
@@ -92,17 +94,17 @@
 				if err != nil {
 					t.Fatalf("%s cut at %d: %v", name, cut, err)
 				}
-				n := int(m.report.Commits)
-				if n < found || n > len(after)-1 || fmt.Sprint(m.holds(t)) != fmt.Sprint(after[n]) {
-					t.Fatalf("%s cut at %d has %d commits: %v", name, cut, n, m.holds(t))
+				n := int(index.report.Commits)
+				if n < found || n > len(after)-1 || fmt.Sprint(index.contents(t)) != fmt.Sprint(after[n]) {
+					t.Fatalf("%s cut at %d has %d commits: %v", name, cut, n, index.contents(t))
 				}
 				found = n
-				s := open(t, c) // and it can be gone on with
-				must(t, s.Commit(context.Background(), put("order", "more", "1")))
+				s := openStore(t, change) // and it can be gone on with
+				must(t, s.Commit(context.Background(), putChange("order", "more", "1")))
 				must(t, s.Close())
-				m, err = load(c, testKinds, false)
+				index, err = load(change, testKinds, false)
 				must(t, err)
-				if m.holds(t)["order more"] != "1" {
+				if index.contents(t)["order more"] != "1" {
 					t.Fatalf("%s cut at %d: what came after is not there", name, cut)
 				}
 			}
@@ -116,28 +118,28 @@
 // A byte that is flipped anywhere is never read as data: the store is refused with file and byte, as a closed one
 // says of all that it has that it was sure to last.
 func TestBytesFlippedAtEveryOffset(t *testing.T) {
-	folder, after := filled(t, 12, 5)
+	folder, after := filledStore(t, 12, 5)
 	names, _ := folder.List()
 	for _, name := range names {
-		size := len(folder.names[name].b)
+		size := len(folder.files[name].data)
 		for at := range size {
-			c := folder.copied()
-			c.names[name].b[at] ^= 1 << (at % 8)
-			m, err := load(c, testKinds, false)
+			change := folder.clone()
+			change.files[name].data[at] ^= 1 << (at % 8)
+			index, err := load(change, testKinds, false)
 			var d *Damage
 			switch {
-			case err == nil && m.report.TornTail != nil && m.report.TornTail.File == name && int64(at) >= m.report.TornTail.Offset:
+			case err == nil && index.report.TornTail != nil && index.report.TornTail.File == name && int64(at) >= index.report.TornTail.Offset:
 				// the last frame alone, which says that all before it was sure
-				if fmt.Sprint(m.holds(t)) != fmt.Sprint(after[len(after)-1]) {
-					t.Fatalf("byte %d of %s: %v", at, name, m.holds(t))
+				if fmt.Sprint(index.contents(t)) != fmt.Sprint(after[len(after)-1]) {
+					t.Fatalf("byte %d of %s: %v", at, name, index.contents(t))
 				}
 			case !errors.As(err, &d) || d.File != name || d.Offset > int64(at):
 				t.Fatalf("byte %d of %s: %v", at, name, err)
 			}
-			m, err = load(c, testKinds, true)
+			index, err = load(change, testKinds, true)
 			must(t, err)
-			for key, body := range m.holds(t) {
-				if !slices.ContainsFunc(after, func(h map[string]string) bool { return h[key] == body }) {
+			for key, body := range index.contents(t) {
+				if !slices.ContainsFunc(after, func(header map[string]string) bool { return header[key] == body }) {
 					t.Fatalf("byte %d of %s: %s is read as %q, which it never was", at, name, key, body)
 				}
 			}
@@ -159,31 +161,31 @@
 				for i := range 12 {
 					key := fmt.Sprintf("s-%d", i%3)
 					tried[key] = i
-					if s.Commit(context.Background(), put("order", key, fmt.Sprint(i))) == nil {
+					if s.Commit(context.Background(), putChange("order", key, fmt.Sprint(i))) == nil {
 						sure[key] = i
 					}
-					s.Put(put("state", "now", fmt.Sprint(i)))
+					s.Put(putChange("state", "now", fmt.Sprint(i)))
 					if i == 4 || i == 9 {
-						_ = s.ask(func() error { return s.merge(true) }) // the disk may be down by now
+						_ = s.runTask(func() error { return s.merge(true) }) // the disk may be down by now
 					}
 				}
 				_ = s.Close()
 				ended = !folder.down
 			}
 			rng := rand.New(rand.NewPCG(seed, uint64(crashAt)))
-			after := folder.crashed(rng)
-			m, err := load(after, testKinds, false)
+			after := folder.afterCrash(rng)
+			index, err := load(after, testKinds, false)
 			if err != nil {
 				t.Fatalf("down before operation %d: %v", crashAt, err)
 			}
-			holds := m.holds(t)
+			holds := index.contents(t)
 			for key, i := range sure {
 				if got := holds["order "+key]; got != fmt.Sprint(i) && got != fmt.Sprint(tried[key]) {
 					t.Fatalf("down before operation %d: %s is %q, was committed as %d", crashAt, key, got, i)
 				}
 			}
-			again := open(t, after)
-			must(t, again.Commit(context.Background(), put("order", "more", "1")))
+			again := openStore(t, after)
+			must(t, again.Commit(context.Background(), putChange("order", "more", "1")))
 			must(t, again.Close())
 			if ended {
 				break
@@ -198,34 +200,34 @@
 	synctest.Test(t, func(t *testing.T) {
 		for full := 4; full < 40; full++ {
 			folder := newMemFS()
-			s := open(t, folder)
-			folder.full, folder.left = full, full%50
+			s := openStore(t, folder)
+			folder.fullAt, folder.bytesLeft = full, full%50
 			want := make(map[string]string)
 			failed := 0
 			for i := range 8 {
 				key := fmt.Sprintf("s-%d", i)
-				if err := s.Commit(context.Background(), put("order", key, fmt.Sprint(i))); err == nil {
+				if err := s.Commit(context.Background(), putChange("order", key, fmt.Sprint(i))); err == nil {
 					want["order "+key] = fmt.Sprint(i)
 				} else {
 					failed++
 				}
 				if i == 5 {
-					_ = s.ask(func() error { return s.merge(true) }) // the disk may be down by now
+					_ = s.runTask(func() error { return s.merge(true) }) // the disk may be down by now
 				}
 			}
-			if st := s.Stats(); failed > 0 && (st.LastError == nil || int(st.Dropped["order"]) != failed) {
-				t.Fatalf("full from operation %d: %d failed, told are %+v", full, failed, st)
+			if stats := s.Stats(); failed > 0 && (stats.LastError == nil || int(stats.Dropped["order"]) != failed) {
+				t.Fatalf("full from operation %d: %d failed, told are %+v", full, failed, stats)
 			}
 			folder.mu.Lock()
-			folder.full = 0
+			folder.fullAt = 0
 			folder.mu.Unlock()
-			time.Sleep(2 * retryAfter)
-			must(t, s.Commit(context.Background(), put("order", "more", "1")))
+			time.Sleep(2 * diskRetryDelay)
+			must(t, s.Commit(context.Background(), putChange("order", "more", "1")))
 			want["order more"] = "1"
 			must(t, s.Close())
-			m, err := load(folder, testKinds, false)
+			index, err := load(folder, testKinds, false)
 			must(t, err)
-			if got := m.holds(t); fmt.Sprint(got) != fmt.Sprint(want) {
+			if got := index.contents(t); fmt.Sprint(got) != fmt.Sprint(want) {
 				t.Fatalf("full from operation %d: %v, want %v", full, got, want)
 			}
 		}
@@ -233,36 +235,36 @@
 }
 
 // By random steps, with merges, closes and crashes between them, the store is the map that it should be.
-func TestStoreIsAMap(t *testing.T) {
+func TestStoreBehavesAsMap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		folder := newMemFS()
-		s := open(t, folder)
+		s := openStore(t, folder)
 		model := make(map[string]string)
 		n := 0
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 9).Draw(rt, "step") {
 			case 0:
-				must(t, s.ask(func() error { return s.merge(true) }))
+				must(t, s.runTask(func() error { return s.merge(true) }))
 			case 1:
 				must(t, s.Close())
-				s = open(t, folder)
+				s = openStore(t, folder)
 			case 2: // what was committed at once is there after a crash, whatever else is lost
-				must(t, s.Commit(context.Background(), put("order", "sync", "")))
+				must(t, s.Commit(context.Background(), putChange("order", "sync", "")))
 				model["order sync"] = ""
-				after := folder.crashed(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0)))
+				after := folder.afterCrash(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0)))
 				_ = s.Close()
 				folder = after
-				s = open(t, folder)
+				s = openStore(t, folder)
 			default:
 				n++
-				c := put(rapid.SampledFrom([]string{"order", "state"}).Draw(rt, "kind"), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "key")), strings.Repeat("y", n%70)+fmt.Sprint(n))
-				c.Deleted = rapid.IntRange(0, 3).Draw(rt, "gone") == 0
-				must(t, s.Commit(context.Background(), c))
-				if model[c.Kind+" "+c.Key] = string(c.Body); c.Deleted {
-					delete(model, c.Kind+" "+c.Key)
+				change := putChange(rapid.SampledFrom([]string{"order", "state"}).Draw(rt, "kind"), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "key")), strings.Repeat("y", n%70)+fmt.Sprint(n))
+				change.Deleted = rapid.IntRange(0, 3).Draw(rt, "gone") == 0
+				must(t, s.Commit(context.Background(), change))
+				if model[change.Kind+" "+change.Key] = string(change.Body); change.Deleted {
+					delete(model, change.Kind+" "+change.Key)
 				}
 			}
-			if got := s.m.holds(t); fmt.Sprint(got) != fmt.Sprint(model) {
+			if got := s.index.contents(t); fmt.Sprint(got) != fmt.Sprint(model) {
 				rt.Fatalf("it holds %v, want %v", got, model)
 			}
 		}
@@ -277,53 +279,53 @@
 	s, _, err := Open(folder, Options{Kinds: kinds})
 	must(t, err)
 	for i := range 12 {
-		must(t, s.Commit(context.Background(), put("note", fmt.Sprint(i), ""), Change{Kind: "old", Key: fmt.Sprint(i), At: time.Now().Add(-time.Duration(i) * 20 * time.Minute)}))
+		must(t, s.Commit(context.Background(), putChange("note", fmt.Sprint(i), ""), Change{Kind: "old", Key: fmt.Sprint(i), At: time.Now().Add(-time.Duration(i) * 20 * time.Minute)}))
 	}
-	must(t, s.Commit(context.Background(), put("note", "8", "again")))
-	check := func(m *image) {
+	must(t, s.Commit(context.Background(), putChange("note", "8", "again")))
+	check := func(index *fileIndex) {
 		t.Helper()
 		var keys []string
-		_ = m.each("note", true, func(r Record) bool { keys = append(keys, r.Key); return true })
+		_ = index.each("note", true, func(r Record) bool { keys = append(keys, r.Key); return true })
 		if fmt.Sprint(keys) != "[8 11 10 9 7]" && fmt.Sprint(keys) != "[8 11 10 9]" {
 			t.Errorf("kept are %v", keys)
 		}
 	}
-	check(s.m)
+	check(s.index)
 	must(t, s.Close())
-	m, err := load(folder, kinds, false)
+	index, err := load(folder, kinds, false)
 	must(t, err)
-	check(m)
+	check(index)
 }
 
 // A store that is as full as may be turns away what would be put, and takes what makes room; a commit that is too large
 // fails by itself.
-func TestRoom(t *testing.T) {
+func TestFullStoreRejectsPuts(t *testing.T) {
 	s, _, err := Open(newMemFS(), Options{Kinds: testKinds, Bytes: 1000})
 	must(t, err)
 	defer func() { _ = s.Close() }()
 	ctx := context.Background()
-	if err := s.Commit(ctx, put("order", "huge", strings.Repeat("x", frameMost))); !errors.Is(err, ErrTooLarge) {
+	if err := s.Commit(ctx, putChange("order", "huge", strings.Repeat("x", maxFrameBytes))); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("a huge one: %v", err)
 	}
-	must(t, s.Commit(ctx, put("order", "a", strings.Repeat("x", 1500))))
-	if err := s.Commit(ctx, put("order", "b", "x")); !errors.Is(err, ErrNoRoom) {
+	must(t, s.Commit(ctx, putChange("order", "a", strings.Repeat("x", 1500))))
+	if err := s.Commit(ctx, putChange("order", "b", "x")); !errors.Is(err, ErrNoRoom) {
 		t.Errorf("one too many: %v", err)
 	}
 	must(t, s.Commit(ctx, Change{Kind: "order", Key: "a", Deleted: true}))
-	must(t, s.Commit(ctx, put("order", "b", "x")))
+	must(t, s.Commit(ctx, putChange("order", "b", "x")))
 }
 
 // What waits beyond the queue's room is dropped and counted, and nobody waits for the disk but who asks to.
-func TestPutNeverWaits(t *testing.T) {
+func TestPutNeverBlocks(t *testing.T) {
 	folder := newMemFS()
-	s := open(t, folder)
+	s := openStore(t, folder)
 	folder.mu.Lock() // the disk hangs
-	for i := range 4 * queueMost {
-		s.Put(put("state", fmt.Sprint(i), "x"))
+	for i := range 4 * maxQueuedCommits {
+		s.Put(putChange("state", fmt.Sprint(i), "x"))
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 	defer cancel()
-	if err := s.Commit(ctx, put("order", "a", "b")); err == nil {
+	if err := s.Commit(ctx, putChange("order", "a", "b")); err == nil {
 		t.Error("a commit is reported that the disk does not have")
 	}
 	if n := s.dropped["state"].Load(); n < 90 {
@@ -333,27 +335,27 @@
 	must(t, s.Close())
 }
 
-func TestOpenIsRefused(t *testing.T) {
+func TestOpenRejections(t *testing.T) {
 	folder := Dir(t.TempDir())
 	s, _, err := Open(folder, Options{Kinds: testKinds})
 	must(t, err)
 	if _, _, err := Open(folder, Options{}); !errors.Is(err, ErrLocked) {
 		t.Errorf("a second process: %v", err)
 	}
-	must(t, s.Commit(context.Background(), put("order", "a", "b")))
+	must(t, s.Commit(context.Background(), putChange("order", "a", "b")))
 	must(t, s.Close())
-	if err := s.Commit(context.Background(), put("order", "a", "c")); !errors.Is(err, ErrClosed) {
+	if err := s.Commit(context.Background(), putChange("order", "a", "c")); !errors.Is(err, ErrClosed) {
 		t.Errorf("after its close: %v", err)
 	}
-	for _, other := range []uint16{0, format + 1} {
-		m := newMemFS()
-		h := head{first: 1}
-		b := h.append(nil)
+	for _, other := range []uint16{0, formatVersion + 1} {
+		index := newMemFS()
+		header := segmentHeader{first: 1}
+		b := header.appendTo(nil)
 		b[8] = byte(other)
-		b = append(b[:headSize-4], appendSum(b[:headSize-4])...)
-		m.names[h.name()] = &memData{b: b}
+		b = append(b[:segmentHeaderSize-4], checksum(b[:segmentHeaderSize-4])...)
+		index.files[header.fileName()] = &memFileData{data: b}
 		var f *FormatError
-		if _, _, err := Open(m, Options{}); !errors.As(err, &f) || f.Format != int(other) {
+		if _, _, err := Open(index, Options{}); !errors.As(err, &f) || f.Format != int(other) {
 			t.Errorf("format %d: %v", other, err)
 		}
 	}
@@ -373,30 +375,30 @@
 // What can be read of a damaged store is kept by a repair, which a store that is whole goes on from; a
 // second repair has nothing to do.
 func TestRepair(t *testing.T) {
-	folder, after := filled(t, 12, 5)
+	folder, after := filledStore(t, 12, 5)
 	names, _ := folder.List()
 	whole := after[len(after)-1]
 	for _, name := range names {
-		for at := 0; at < len(folder.names[name].b); at += 13 {
-			c := folder.copied()
-			c.names[name].b[at] ^= 0x40
+		for at := 0; at < len(folder.files[name].data); at += 13 {
+			change := folder.clone()
+			change.files[name].data[at] ^= 0x40
 			if at%2 == 0 {
-				c.names[name].b = c.names[name].b[:at]
+				change.files[name].data = change.files[name].data[:at]
 			}
-			before, now, err := Repair(c, testKinds)
+			before, now, err := Repair(change, testKinds)
 			must(t, err)
 			if len(now.Damaged) > 0 || now.TornTail != nil {
 				t.Fatalf("byte %d of %s: %+v after the repair of %+v", at, name, now, before)
 			}
-			s := open(t, c)
-			for key, body := range s.m.holds(t) {
-				if !slices.ContainsFunc(after, func(h map[string]string) bool { return h[key] == body }) {
+			s := openStore(t, change)
+			for key, body := range s.index.contents(t) {
+				if !slices.ContainsFunc(after, func(header map[string]string) bool { return header[key] == body }) {
 					t.Fatalf("byte %d of %s: %s is %q, which it never was", at, name, key, body)
 				}
 			}
-			must(t, s.Commit(context.Background(), put("order", "more", "1")))
+			must(t, s.Commit(context.Background(), putChange("order", "more", "1")))
 			must(t, s.Close())
-			again, _, err := Repair(c, testKinds)
+			again, _, err := Repair(change, testKinds)
 			if must(t, err); len(again.Damaged) > 0 || again.TornTail != nil {
 				t.Fatalf("byte %d of %s: a second repair finds %+v", at, name, again)
 			}
@@ -412,9 +414,9 @@
 	if now.Bytes >= before.Bytes || len(now.Damaged) > 0 {
 		t.Errorf("%+v before, %+v after", before, now)
 	}
-	m, err := load(folder, testKinds, false)
+	index, err := load(folder, testKinds, false)
 	must(t, err)
-	if got := m.holds(t); fmt.Sprint(got) != fmt.Sprint(whole) {
+	if got := index.contents(t); fmt.Sprint(got) != fmt.Sprint(whole) {
 		t.Errorf("%v, want %v", got, whole)
 	}
 }
@@ -425,8 +427,8 @@
 }
 
 // Records of an older version are read as the new one, of a newer version are passed over and told of.
-func TestTableOfVersions(t *testing.T) {
-	s := open(t, newMemFS())
+func TestTableVersions(t *testing.T) {
+	s := openStore(t, newMemFS())
 	defer func() { _ = s.Close() }()
 	old := &Table[string]{Store: s, Kind: "order", Version: 1}
 	must(t, old.Commit(context.Background(), "a", "Ada"))
@@ -466,19 +468,19 @@
 	for _, kind := range testKinds {
 		for _, many := range []int{1, 64} {
 			b.Run(fmt.Sprintf("%s/callers=%d", [...]string{"at-once", "grouped", "best-effort"}[kind.Sync], many), func(b *testing.B) {
-				s := open(b, Dir(b.TempDir()))
+				s := openStore(b, Dir(b.TempDir()))
 				body := strings.Repeat("x", 300)
 				b.SetParallelism(many)
 				if many == 1 {
 					for i := range b.N {
-						if err := s.Commit(context.Background(), put(kind.Name, fmt.Sprint(i%1000), body)); err != nil {
+						if err := s.Commit(context.Background(), putChange(kind.Name, fmt.Sprint(i%1000), body)); err != nil {
 							b.Fatal(err)
 						}
 					}
 				} else {
 					b.RunParallel(func(p *testing.PB) {
 						for i := 0; p.Next(); i++ {
-							if err := s.Commit(context.Background(), put(kind.Name, fmt.Sprint(i%1000), body)); err != nil {
+							if err := s.Commit(context.Background(), putChange(kind.Name, fmt.Sprint(i%1000), body)); err != nil {
 								b.Error(err)
 								return
 							}
@@ -486,8 +488,8 @@
 					})
 				}
 				b.StopTimer()
-				st := s.Stats()
-				b.ReportMetric(float64(st.Syncs)/float64(b.N), "syncs/op")
+				stats := s.Stats()
+				b.ReportMetric(float64(stats.Syncs)/float64(b.N), "syncs/op")
 				_ = s.Close()
 			})
 		}
@@ -498,21 +500,21 @@
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{100, 10_000, 100_000} {
 		folder := Dir(b.TempDir())
-		s := open(b, folder)
+		s := openStore(b, folder)
 		for i := range n {
-			for s.offer(&commit{changes: []Change{put("state", fmt.Sprint(i), strings.Repeat("x", 300))}}) != nil {
+			for s.enqueue(&commit{changes: []Change{putChange("state", fmt.Sprint(i), strings.Repeat("x", 300))}}) != nil {
 				time.Sleep(time.Millisecond)
 			}
 		}
 		_ = s.Close()
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
 			for range b.N {
-				m, err := load(folder, testKinds, false)
-				if err != nil || m.report.Records != n {
-					b.Fatal(err, m.report)
+				index, err := load(folder, testKinds, false)
+				if err != nil || index.report.Records != n {
+					b.Fatal(err, index.report)
 				}
-				b.ReportMetric(float64(m.bytes)/float64(n), "bytes/record")
-				m.close()
+				b.ReportMetric(float64(index.totalBytes)/float64(n), "bytes/record")
+				index.close()
 			}
 		})
 	}
@@ -522,7 +524,7 @@
 func BenchmarkMerge(b *testing.B) {
 	for _, merges := range []bool{false, true} {
 		b.Run(fmt.Sprintf("merges=%v", merges), func(b *testing.B) {
-			s := open(b, Dir(b.TempDir()))
+			s := openStore(b, Dir(b.TempDir()))
 			defer func() { _ = s.Close() }()
 			body := strings.Repeat("x", 3000)
 			var waits []time.Duration
@@ -532,14 +534,14 @@
 					key %= 50
 				}
 				began := time.Now()
-				must(b, s.Commit(context.Background(), put("order", fmt.Sprint(key), body)))
+				must(b, s.Commit(context.Background(), putChange("order", fmt.Sprint(key), body)))
 				waits = append(waits, time.Since(began))
 			}
 			slices.Sort(waits)
-			st := s.Stats()
+			stats := s.Stats()
 			b.ReportMetric(float64(waits[len(waits)*99/100].Microseconds()), "us-p99")
 			b.ReportMetric(float64(waits[len(waits)-1].Microseconds()), "us-longest")
-			b.ReportMetric(float64(st.Merges), "merges")
+			b.ReportMetric(float64(stats.Merges), "merges")
 		})
 	}
 }
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -17,9 +17,9 @@
 	Upgrade func(version uint, body []byte) (T, error)
 }
 
-// bodies writes times whole: as the usual form has it they are cut to seconds, and a server that started within
+// bodyEncoding writes times whole: as the usual form has it they are cut to seconds, and a server that started within
 // one would pass for one that has started again.
-var bodies = func() cbor.EncMode {
+var bodyEncoding = func() cbor.EncMode {
 	m, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -27,8 +27,8 @@
 	return m
 }()
 
-func (t *Table[T]) change(key string, v T) (Change, error) {
-	body, err := bodies.Marshal(v)
+func (t *Table[T]) encode(key string, v T) (Change, error) {
+	body, err := bodyEncoding.Marshal(v)
 	return Change{Kind: t.Kind, Key: key, Version: t.Version, Body: body}, err
 }
 
@@ -37,9 +37,9 @@
 	if t.Store == nil {
 		return
 	}
-	c, err := t.change(key, v)
+	c, err := t.encode(key, v)
 	if err != nil {
-		t.Store.drop([]Change{{Kind: t.Kind}})
+		t.Store.countDropped([]Change{{Kind: t.Kind}})
 		return
 	}
 	t.Store.Put(c)
@@ -50,7 +50,7 @@
 	if t.Store == nil {
 		return ErrClosed
 	}
-	c, err := t.change(key, v)
+	c, err := t.encode(key, v)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -74,7 +74,7 @@
 	if !ok {
 		return v, at, false, err
 	}
-	v, err = t.read(r)
+	v, err = t.decode(r)
 	return v, r.At, err == nil, err
 }
 
@@ -86,7 +86,7 @@
 	}
 	var odd error
 	err := t.Store.Each(t.Kind, newest, func(r Record) bool {
-		v, err := t.read(r)
+		v, err := t.decode(r)
 		if err != nil {
 			if odd == nil {
 				odd = err
@@ -101,7 +101,7 @@
 	return odd
 }
 
-func (t *Table[T]) read(r Record) (v T, err error) {
+func (t *Table[T]) decode(r Record) (v T, err error) {
 	switch {
 	case r.Version == t.Version:
 		err = cbor.Unmarshal(r.Body, &v)
