--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -10,16 +10,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the folder that a store is in. Names are those of files in it. What is written, made, renamed or
-// removed is sure to outlast a power cut only after Sync of the file, or SyncDir.
+// FS is the folder that a store is in. Names are those of files in it. What is
+// written, created, renamed or removed is known to outlast a power failure only
+// after Sync of the file, or SyncDir. A store calls its methods from one goroutine
+// at a time, but ReadAt of a File from any.
 type FS interface {
-	Open(name string) (File, error)   // to read and write; there has to be such a file
-	Create(name string) (File, error) // empty, whatever was there
-	Rename(from, to string) error
+	Open(name string) (File, error)   // for reading and writing; the file must exist
+	Create(name string) (File, error) // empty; a file of that name is truncated
+	Rename(from, to string) error     // replaces a file that is there
 	Remove(name string) error
-	List() ([]string, error)
+	List() ([]string, error) // names in order
 	SyncDir() error
-	Lock() (io.Closer, error) // ErrLocked if another process has it
+	Lock() (io.Closer, error) // ErrLocked if another process holds the lock
 }
 
 // File is a file of an FS.
@@ -27,7 +29,7 @@
 	io.ReaderAt
 	io.WriterAt
 	io.Closer
-	Size() (int64, error)
+	Size() (int64, error) // in bytes
 	Truncate(size int64) error
 	Sync() error
 }
@@ -35,7 +37,10 @@
 // ErrLocked says that another process has the store open.
 var ErrLocked = errors.New("another process has it open")
 
-// Dir is a folder of the operating system's.
+// lockFile is the name of the file that a process with an open store has locked.
+const lockFile = "lock"
+
+// Dir is the path of a folder of the operating system. It implements FS.
 type Dir string
 
 type osFile struct{ *os.File }
@@ -58,34 +63,34 @@
 	return osFile{f}, nil
 }
 
-// Open opens a file.
+// Open opens an existing file.
 func (d Dir) Open(name string) (File, error) { return d.openFile(name, os.O_RDWR) }
 
-// Create makes a file.
+// Create creates an empty file.
 func (d Dir) Create(name string) (File, error) {
 	return d.openFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 }
 
-// Rename renames a file, over one that may be there.
+// Rename renames a file, and replaces one that is there.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// List names the files, in order.
+// List returns the names of the files, in order.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, e := range entries {
-		names = append(names, e.Name())
+	for _, entry := range entries {
+		names = append(names, entry.Name())
 	}
 	return names, nil
 }
 
-// SyncDir makes files' names outlast a power cut.
+// SyncDir makes the files' names outlast a power failure.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
@@ -95,9 +100,10 @@
 	return f.Sync()
 }
 
-// Lock takes the store for this process, until the lock is closed or the process ends.
+// Lock locks the store for this process, until the lock is closed or the process
+// ends. It returns ErrLocked if another process has done so.
 func (d Dir) Lock() (io.Closer, error) {
-	f, err := os.OpenFile(d.path("lock"), os.O_RDWR|os.O_CREATE, 0o600)
+	f, err := os.OpenFile(d.path(lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"container/list"
 	"errors"
 	"fmt"
 	"io/fs"
@@ -11,11 +10,11 @@
 	"time"
 )
 
-// Damage is a place in a store's file that can't be read and was not torn by a crash: what was sure to
-// last is not there.
+// Damage is the error of a place in a store's file that can't be read and is no
+// torn tail: a commit that was reported is not there.
 type Damage struct {
 	File   string
-	Offset int64
+	Offset int64 // in bytes
 	Err    error
 }
 
@@ -25,320 +24,291 @@
 
 func (d *Damage) Unwrap() error { return d.Err }
 
-// TornTail is the end of the last file as a crash left it: nothing in it was reported committed to last.
+// TornTail is the end of the last file as a crash left it: no commit in it was
+// reported as synced.
 type TornTail struct {
 	File   string
-	Offset int64
+	Offset int64 // in bytes
 	Bytes  int64
 }
 
-// Report tells what opening a store found.
+// Report says what opening a store found.
 type Report struct {
 	Records   int
 	Commits   uint64 // the last one's number
 	Files     int
 	Bytes     int64
-	LiveBytes int64 // of them, of records that are still there; a merge leaves these
+	LiveBytes int64 // of them, of records that are retained; a merge leaves these
 	TornTail  *TornTail
 	Damaged   []*Damage // found by a check, or passed over by a repair
-	Replaced  []string  // files that a merged one stands for, left by a crash
+	Replaced  []string  // files in whose place a merged one is, left by a crash
 	Duration  time.Duration
 }
 
-// segment is one file of the chain.
-type segment struct {
-	segmentHeader
-	name string
-	file File
-	size int64
-}
-
-// location is where a record is.
-type location struct {
-	kind, key string
-	at        time.Time
-	version   uint
-	number    uint64
-	segment   *segment
-	offset    int64 // of its frame
-	frameSize int   // of its frame
-	position  int   // in the frame
-	bytes     int64 // of its own bytes, about
-	element   *list.Element
-}
-
-// kindTable holds a kind's records, in the order in which they were last put.
-type kindTable struct {
-	Kind
-	byKey map[string]*location
-	order *list.List
-}
-
-// fileIndex is a store as its files have it.
-type fileIndex struct {
-	folder       FS
-	tables       map[string]*kindTable
-	segments     []*segment // the last is the one that is appended to, if it is plain
-	nextNumber   uint64     // number of the next commit
-	syncedNumber uint64     // commits that were sure to last when the last of them was written
-	totalBytes   int64
-	liveBytes    int64
-	report       Report
-}
-
 // readAll reads a file.
-func readAll(f File) ([]byte, error) {
-	size, err := f.Size()
+func readAll(file File) ([]byte, error) {
+	size, err := file.Size()
 	if err != nil {
 		return nil, err
 	}
-	b := make([]byte, size)
-	n, err := f.ReadAt(b, 0)
-	if n == len(b) {
-		return b, nil
+	data := make([]byte, size)
+	n, err := file.ReadAt(data, 0)
+	if n == len(data) {
+		return data, nil
 	}
 	return nil, err
 }
 
-// load reads the files of a store. With salvage damages are passed over and told of; else
-// the first is the error.
-func load(folder FS, kinds []Kind, salvage bool) (m *fileIndex, err error) {
-	began := time.Now()
-	m = &fileIndex{folder: folder, tables: make(map[string]*kindTable), nextNumber: 1}
-	for _, k := range kinds {
-		m.tables[k.Name] = &kindTable{k, make(map[string]*location), list.New()}
+// load reads the files of a store. With salvage it passes over damage, which is
+// in the report; otherwise the first *Damage is the error.
+func load(folder FS, kinds []Kind, salvage bool) (*fileIndex, error) {
+	startedAt := time.Now()
+	x := newFileIndex(folder, kinds)
+	if err := x.readSegments(salvage); err != nil {
+		x.close()
+		return nil, err
 	}
-	defer func() {
-		if err != nil {
-			m.close()
-			m = nil
-		}
-	}()
-	names, err := folder.List()
-	if err != nil {
-		return m, err
+	x.applyRetention(time.Now())
+	for _, table := range x.tables {
+		x.report.Records += len(table.byKey)
 	}
-	heads := make([]segmentHeader, 0, len(names))
-	for _, name := range names {
-		if h, ok := parseSegmentName(name); ok {
-			heads = append(heads, h)
-		}
+	x.report.Commits, x.report.Files = x.nextNumber-1, len(x.segments)
+	x.report.Bytes, x.report.LiveBytes = x.totalBytes, x.liveBytes
+	x.report.Duration = time.Since(startedAt)
+	return x, nil
+}
+
+// readSegments reads the segments in order, but those in whose place a merged
+// one is.
+func (x *fileIndex) readSegments(salvage bool) error {
+	headers, err := segmentHeaders(x.folder)
+	if err != nil {
+		return err
 	}
-	// Of those that begin alike the one that stands for most comes first.
-	slices.SortFunc(heads, func(x, y segmentHeader) int {
-		return cmp.Or(cmp.Compare(x.first, y.first), cmp.Compare(y.last, x.last))
-	})
-	covered := uint64(0)
-	for i, h := range heads {
-		if h.first <= covered {
-			m.report.Replaced = append(m.report.Replaced, h.fileName())
+	covered := uint64(0) // the last commit that a merged segment stands for
+	for i, header := range headers {
+		if header.first <= covered {
+			x.report.Replaced = append(x.report.Replaced, header.fileName())
 			continue
 		}
-		if h.merged {
-			covered = h.last
+		if header.merged {
+			covered = header.last
 		}
-		lastOne := !slices.ContainsFunc(heads[i+1:], func(x segmentHeader) bool { return x.first > covered })
-		d, err := m.readSegment(h, lastOne && !h.merged, salvage)
+		last := !slices.ContainsFunc(headers[i+1:], func(later segmentHeader) bool { return later.first > covered })
+		damages, err := x.readSegment(header, last && !header.merged, salvage)
 		if err != nil {
-			return m, err
+			return err
 		}
-		if m.report.Damaged = append(m.report.Damaged, d...); len(d) > 0 && !salvage {
-			return m, d[0]
+		x.report.Damaged = append(x.report.Damaged, damages...)
+		if len(damages) > 0 && !salvage {
+			return damages[0]
 		}
 	}
-	m.applyRetention(time.Now())
-	for _, t := range m.tables {
-		m.report.Records += len(t.byKey)
-	}
-	m.report.Commits, m.report.Files, m.report.Bytes, m.report.LiveBytes = m.nextNumber-1, len(m.segments), m.totalBytes, m.liveBytes
-	m.report.Duration = time.Since(began)
-	return m, nil
+	return nil
 }
 
-// readSegment reads a segment. What is at the end of the last may be torn.
-func (m *fileIndex) readSegment(h segmentHeader, last, salvage bool) (damages []*Damage, err error) {
-	name := h.fileName()
-	f, err := m.folder.Open(name)
+// segmentHeaders returns what the names of a folder's segments say, in the order
+// of the commits. Of those that begin at the same commit, the one that stands for
+// most comes first.
+func segmentHeaders(folder FS) ([]segmentHeader, error) {
+	names, err := folder.List()
 	if err != nil {
 		return nil, err
 	}
-	s := &segment{segmentHeader: h, name: name, file: f}
-	m.segments = append(m.segments, s)
-	b, err := readAll(f)
-	if err != nil {
+	headers := make([]segmentHeader, 0, len(names))
+	for _, name := range names {
+		if header, valid := parseSegmentName(name); valid {
+			headers = append(headers, header)
+		}
+	}
+	slices.SortFunc(headers, func(a, b segmentHeader) int {
+		return cmp.Or(cmp.Compare(a.first, b.first), cmp.Compare(b.last, a.last))
+	})
+	return headers, nil
+}
+
+// segmentReader reads one segment into an index.
+type segmentReader struct {
+	index    *fileIndex
+	segment  *segment
+	data     []byte
+	last     bool // the segment is plain and the last of the chain: its end may be torn
+	salvage  bool // frames after damage are read
+	complete bool // the frame that ends a merged segment was read
+	damages  []*Damage
+}
+
+// readSegment reads a segment, whose end may be torn if it is the last.
+func (x *fileIndex) readSegment(header segmentHeader, last, salvage bool) ([]*Damage, error) {
+	r := &segmentReader{index: x, last: last, salvage: salvage}
+	if err := r.open(header); err != nil {
 		return nil, err
 	}
-	s.size = int64(len(b))
-	m.totalBytes += s.size
-	damage := func(at int, err error) {
-		damages = append(damages, &Damage{name, int64(at), err})
+	if header.first != x.nextNumber {
+		r.addDamage(0, fmt.Errorf("the commits from %d to %d are not there", x.nextNumber, header.first-1))
 	}
-	if h.first != m.nextNumber {
-		damage(0, fmt.Errorf("the commits from %d to %d are not there", m.nextNumber, h.first-1))
+	x.nextNumber = header.first // what an earlier file lost is no reason to number later commits anew
+	start, err := r.readHeader()
+	if err != nil {
+		return r.damages, err
 	}
-	// Commits that an earlier file lost are no reason to number later ones anew.
-	m.nextNumber = h.first
-	at := segmentHeaderSize
-	inside, err := readSegmentHeader(name, b)
-	var other *FormatError
-	switch {
-	case errors.As(err, &other):
-		return damages, err
-	case err == nil && inside != h:
+	r.readFrames(start)
+	r.finish()
+	return r.damages, nil
+}
+
+// open opens the segment, adds it to the index, and reads its bytes.
+func (r *segmentReader) open(header segmentHeader) error {
+	name := header.fileName()
+	file, err := r.index.folder.Open(name)
+	if err != nil {
+		return err
+	}
+	r.segment = &segment{segmentHeader: header, name: name, file: file}
+	r.index.segments = append(r.index.segments, r.segment)
+	if r.data, err = readAll(file); err != nil {
+		return err
+	}
+	r.segment.size = int64(len(r.data))
+	r.index.totalBytes += r.segment.size
+	return nil
+}
+
+func (r *segmentReader) addDamage(offset int, err error) {
+	r.damages = append(r.damages, &Damage{File: r.segment.name, Offset: int64(offset), Err: err})
+}
+
+// readHeader checks the segment's header and returns where its frames start; the
+// end of the file if there are none to be read. Its error is a *FormatError.
+func (r *segmentReader) readHeader() (start int, err error) {
+	header, err := readSegmentHeader(r.segment.name, r.data)
+	var otherFormat *FormatError
+	if errors.As(err, &otherFormat) {
+		return 0, err
+	}
+	if err == nil && header != r.segment.segmentHeader {
 		err = errors.New("its head is another file's")
-		fallthrough
-	case err != nil:
-		if last && len(b) <= segmentHeaderSize { // its head is synced before anything else is written
-			m.report.TornTail = &TornTail{name, 0, s.size}
-			m.totalBytes -= s.size
-			s.size = 0
-			return damages, nil
-		}
-		damage(0, err)
-		if at = min(at, len(b)); nextFrame(b) < 0 {
-			at = len(b)
-		}
 	}
-	whole := false // a merged one has come to its end
-	for at < len(b) {
-		f, err := readFrame(b[at:])
-		switch {
-		case err != nil:
-		case whole:
-			err = errors.New("something follows its end")
-		case h.merged && (f.number < h.first || f.number > h.last), !h.merged && f.number != m.nextNumber:
-			err = fmt.Errorf("commit %d is not the one that belongs here, %d", f.number, m.nextNumber)
-		}
-		if err == nil {
-			m.apply(s, int64(at), f)
-			whole = h.merged && len(f.entries) == 0
-			at += f.size
-			if !h.merged {
-				m.nextNumber, m.syncedNumber = f.number+1, max(m.syncedNumber, f.synced)
-			}
-			continue
-		}
-		if last && m.isTornTail(b, at) {
-			m.report.TornTail = &TornTail{name, int64(at), s.size - int64(at)}
-			m.totalBytes -= s.size - int64(at)
-			s.size = int64(at)
-			return damages, nil
-		}
-		damage(at, err)
-		n := nextFrame(b[at:])
-		if !salvage || n < 0 {
-			break
-		}
-		at += n
-		if f, _ := readFrame(b[at:]); !h.merged && f.number > m.nextNumber {
-			m.nextNumber = f.number
-		}
+	if err == nil {
+		return segmentHeaderSize, nil
 	}
-	if h.merged {
-		if !whole && len(damages) == 0 {
-			damage(len(b), errTruncated)
-		}
-		m.nextNumber = h.last + 1
+	if r.last && len(r.data) <= segmentHeaderSize { // the header is synced before anything else is written
+		r.cutTornTail(0)
+		return len(r.data), nil
 	}
-	if !h.merged && !last {
-		m.syncedNumber = m.nextNumber - 1 // a file is synced before the next is begun
+	r.addDamage(0, err)
+	if nextFrame(r.data) < 0 {
+		return len(r.data), nil
 	}
-	return damages, nil
+	return min(segmentHeaderSize, len(r.data)), nil
 }
 
-// isTornTail tells whether what can't be read from a place of the last file on may be a tail that a crash tore: whether
-// no later commit says that what should be there was sure to last.
-func (m *fileIndex) isTornTail(b []byte, at int) bool {
-	for rest := b[at:]; ; {
-		n := nextFrame(rest)
-		if n < 0 {
-			return true
-		}
-		rest = rest[n:]
-		if f, err := readFrame(rest); err == nil && f.synced >= m.nextNumber {
-			return false
-		}
-	}
+// cutTornTail leaves the file's end from an offset on to be truncated, as a crash
+// left it.
+func (r *segmentReader) cutTornTail(offset int) {
+	bytes := r.segment.size - int64(offset)
+	r.index.report.TornTail = &TornTail{File: r.segment.name, Offset: int64(offset), Bytes: bytes}
+	r.index.totalBytes -= bytes
+	r.segment.size = int64(offset)
+	r.data = r.data[:offset]
 }
 
-// apply enters a commit's records.
-func (m *fileIndex) apply(s *segment, off int64, f frame) {
-	for i, e := range f.entries {
-		if m.tables[e.Kind] == nil { // of another version of this program: kept as it is
-			m.tables[e.Kind] = &kindTable{Kind{Name: e.Kind}, make(map[string]*location), list.New()}
-		}
-		m.remove(m.tables[e.Kind].byKey[e.Key])
-		if e.Deleted {
+// readFrames reads frames from an offset to the end of the file, or to the first
+// damage unless that is passed over.
+func (r *segmentReader) readFrames(offset int) {
+	for offset < len(r.data) {
+		f, err := r.readFrameAt(offset)
+		if err == nil {
+			r.applyFrame(offset, f)
+			offset += f.size
 			continue
 		}
-		m.insert(&location{kind: e.Kind, key: e.Key, at: time.UnixMilli(e.At), version: e.Version, number: f.number, segment: s, offset: off, frameSize: f.size, position: i,
-			bytes: int64(len(e.Kind) + len(e.Key) + len(e.Body) + 24)})
+		if r.last && r.index.isTornTail(r.data, offset) {
+			r.cutTornTail(offset)
+			return
+		}
+		r.addDamage(offset, err)
+		skipped := nextFrame(r.data[offset:])
+		if !r.salvage || skipped < 0 {
+			return
+		}
+		offset += skipped
+		if f, _ := readFrame(r.data[offset:]); !r.segment.merged && f.number > r.index.nextNumber {
+			r.index.nextNumber = f.number
+		}
 	}
 }
 
-func (m *fileIndex) insert(s *location) {
-	t := m.tables[s.kind]
-	t.byKey[s.key] = s
-	s.element = t.order.PushBack(s)
-	m.liveBytes += s.bytes
+// readFrameAt reads a frame, which has to be one that belongs there.
+func (r *segmentReader) readFrameAt(offset int) (frame, error) {
+	f, err := readFrame(r.data[offset:])
+	if err != nil {
+		return f, err
+	}
+	if r.complete {
+		return f, errors.New("something follows its end")
+	}
+	belongs := f.number == r.index.nextNumber
+	if r.segment.merged {
+		belongs = f.number >= r.segment.first && f.number <= r.segment.last
+	}
+	if !belongs {
+		return f, fmt.Errorf("commit %d is not the one that belongs here, %d", f.number, r.index.nextNumber)
+	}
+	return f, nil
 }
 
-func (m *fileIndex) remove(s *location) {
-	if s == nil {
+// applyFrame enters a frame in the index.
+func (r *segmentReader) applyFrame(offset int, f frame) {
+	r.index.apply(r.segment, int64(offset), f)
+	if r.segment.merged {
+		r.complete = len(f.entries) == 0
 		return
 	}
-	t := m.tables[s.kind]
-	delete(t.byKey, s.key)
-	t.order.Remove(s.element)
-	m.liveBytes -= s.bytes
+	r.index.nextNumber, r.index.syncedNumber = f.number+1, max(r.index.syncedNumber, f.synced)
 }
 
-// applyRetention lets go of records that are too old or too many, the oldest first.
-func (m *fileIndex) applyRetention(now time.Time) {
-	for _, t := range m.tables {
-		for e := t.order.Front(); e != nil; e = t.order.Front() {
-			s := e.Value.(*location)
-			if !(t.MaxRecords > 0 && len(t.byKey) > t.MaxRecords || t.Retention > 0 && now.Sub(s.at) > t.Retention) {
-				break
-			}
-			m.remove(s)
+// finish notes what the end of the segment says.
+func (r *segmentReader) finish() {
+	switch {
+	case r.segment.merged:
+		if !r.complete && len(r.damages) == 0 {
+			r.addDamage(len(r.data), errTruncated)
 		}
+		r.index.nextNumber = r.segment.segmentHeader.last + 1
+	case !r.last:
+		r.index.syncedNumber = r.index.nextNumber - 1 // a segment is synced before the next is begun
 	}
 }
 
-// readEntry reads a record.
-func (m *fileIndex) readEntry(s *location) (entry, error) {
-	b := make([]byte, s.frameSize)
-	if n, err := s.segment.file.ReadAt(b, s.offset); n < len(b) {
-		return entry{}, &Damage{s.segment.name, s.offset, err}
-	}
-	f, err := readFrame(b)
-	if err != nil {
-		return entry{}, &Damage{s.segment.name, s.offset, err}
-	}
-	if s.position >= len(f.entries) || f.entries[s.position].Key != s.key || f.entries[s.position].Kind != s.kind {
-		return entry{}, &Damage{s.segment.name, s.offset, errors.New("it is another record")}
+// isTornTail reports whether what can't be read from an offset of the last file
+// on may be a tail that a crash tore: whether no later frame says that what should
+// be there was synced.
+func (x *fileIndex) isTornTail(data []byte, offset int) bool {
+	for rest := data[offset:]; ; {
+		next := nextFrame(rest)
+		if next < 0 {
+			return true
+		}
+		rest = rest[next:]
+		if f, err := readFrame(rest); err == nil && f.synced >= x.nextNumber {
+			return false
+		}
 	}
-	return f.entries[s.position], nil
 }
 
-// removeLeftovers removes what a crash left: files that were not finished, and those that another stands for.
-func (m *fileIndex) removeLeftovers() error {
-	names, err := m.folder.List()
+// removeLeftovers removes what a crash left: files that are not complete, and
+// those in whose place a merged one is.
+func (x *fileIndex) removeLeftovers() error {
+	names, err := x.folder.List()
 	if err != nil {
 		return err
 	}
-	for _, name := range append(slices.DeleteFunc(names, func(n string) bool { return !strings.HasSuffix(n, ".tmp") }), m.report.Replaced...) {
-		if err := m.folder.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	leftovers := slices.DeleteFunc(names, func(name string) bool { return !strings.HasSuffix(name, temporarySuffix) })
+	for _, name := range append(leftovers, x.report.Replaced...) {
+		if err := x.folder.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
 	return nil
 }
-
-func (m *fileIndex) close() {
-	for _, s := range m.segments {
-		_ = s.file.Close() // what was written to it was synced
-	}
-	m.segments = nil
-}
--- a/internal/store/memfs_test.go
+++ b/internal/store/memfs_test.go
@@ -12,32 +12,36 @@
 	"golang.org/x/sys/unix"
 )
 
+// errCrash is what all operations return after the crash.
 var errCrash = errors.New("the machine is down")
 
-// memFS is a folder in memory that loses at a crash what was not synced: of each file any part of what was
-// written since, of the folder the names that changed since.
+// memFS is a folder in memory that loses what was not synced at a crash: of each file any part of what was written
+// since the last sync, of the folder the names that changed since.
 type memFS struct {
-	mu         sync.Mutex
+	mu         sync.Mutex // guards what follows, and the data of all files
 	files      map[string]*memFileData
 	synced     map[string]*memFileData // as of the last SyncDir
 	locked     bool
 	operations int // operations that change something, so far
-	crashAt    int // the operation that the machine goes down before; 0: none
+	crashAt    int // the operation that the machine crashes before; 0: none
 	fullAt     int // the operation from which on the disk is full; 0: none
 	bytesLeft  int // bytes that the first write to a full disk still takes
 	down       bool
 }
 
+// memFileData is the content of a file.
 type memFileData struct {
 	data, synced []byte
 	unsynced     []memWrite // since the last sync
 }
 
+// memWrite is a write or a truncation.
 type memWrite struct {
 	offset int64
-	data   []byte // nil: cut to at
+	data   []byte // nil: truncated to offset
 }
 
+// memFile is an open file.
 type memFile struct {
 	fs   *memFS
 	data *memFileData
@@ -61,8 +65,8 @@
 func (folder *memFS) Open(name string) (File, error) {
 	folder.mu.Lock()
 	defer folder.mu.Unlock()
-	if d := folder.files[name]; d != nil {
-		return &memFile{folder, d}, nil
+	if file := folder.files[name]; file != nil {
+		return &memFile{folder, file}, nil
 	}
 	return nil, fs.ErrNotExist
 }
@@ -120,12 +124,12 @@
 	return nil
 }
 
-type memLock struct{ m *memFS }
+type memLock struct{ folder *memFS }
 
 func (l memLock) Close() error {
-	l.m.mu.Lock()
-	defer l.m.mu.Unlock()
-	l.m.locked = false
+	l.folder.mu.Lock()
+	defer l.folder.mu.Unlock()
+	l.folder.locked = false
 	return nil
 }
 
@@ -139,15 +143,15 @@
 	return memLock{folder}, nil
 }
 
-// afterCrash is the folder as it may be found after a crash.
+// afterCrash returns the folder as it may be found after a crash.
 func (folder *memFS) afterCrash(rng *rand.Rand) *memFS {
 	folder.mu.Lock()
 	defer folder.mu.Unlock()
 	after := newMemFS()
 	names := maps.Clone(folder.synced)
-	for name, d := range folder.files { // a name's change may have got there by itself
+	for name, file := range folder.files { // a change of a name may be on disk without a sync
 		if rng.IntN(2) == 0 {
-			names[name] = d
+			names[name] = file
 		}
 	}
 	for name := range folder.synced {
@@ -155,76 +159,78 @@
 			delete(names, name)
 		}
 	}
-	for name, d := range names {
-		b := slices.Clone(d.synced)
-		for _, w := range d.unsynced { // in any order and any part, as the kernel writes back
+	for name, file := range names {
+		data := slices.Clone(file.synced)
+		for _, write := range file.unsynced { // in any order and any part, as the kernel writes back
 			if rng.IntN(3) > 0 {
-				if w.data != nil {
-					w.data = w.data[:rng.IntN(len(w.data)+1)]
+				if write.data != nil {
+					write.data = write.data[:rng.IntN(len(write.data)+1)]
 				}
-				b = w.applyTo(b)
+				data = write.applyTo(data)
 			}
 		}
-		after.files[name] = &memFileData{data: b, synced: slices.Clone(b)}
+		after.files[name] = &memFileData{data: data, synced: slices.Clone(data)}
 	}
 	after.synced = maps.Clone(after.files)
 	return after
 }
 
-// clone is the folder as it stands, with the names and bytes of now.
+// clone returns a copy of the folder with its current names and bytes, all of them synced.
 func (folder *memFS) clone() *memFS {
 	folder.mu.Lock()
 	defer folder.mu.Unlock()
-	c := newMemFS()
-	for name, d := range folder.files {
-		c.files[name] = &memFileData{data: slices.Clone(d.data), synced: slices.Clone(d.data)}
+	copied := newMemFS()
+	for name, file := range folder.files {
+		copied.files[name] = &memFileData{data: slices.Clone(file.data), synced: slices.Clone(file.data)}
 	}
-	c.synced = maps.Clone(c.files)
-	return c
+	copied.synced = maps.Clone(copied.files)
+	return copied
 }
 
-func (w memWrite) applyTo(b []byte) []byte {
-	if w.data == nil {
-		if int64(len(b)) > w.offset {
-			return b[:w.offset]
+// applyTo returns a file's bytes after the write.
+func (write memWrite) applyTo(data []byte) []byte {
+	if write.data == nil {
+		if int64(len(data)) > write.offset {
+			return data[:write.offset]
 		}
-		return append(b, make([]byte, w.offset-int64(len(b)))...)
+		return append(data, make([]byte, write.offset-int64(len(data)))...)
 	}
-	if need := int(w.offset) + len(w.data); need > len(b) {
-		b = append(b, make([]byte, need-len(b))...)
+	if need := int(write.offset) + len(write.data); need > len(data) {
+		data = append(data, make([]byte, need-len(data))...)
 	}
-	copy(b[w.offset:], w.data)
-	return b
+	copy(data[write.offset:], write.data)
+	return data
 }
 
-func (f *memFile) change(w memWrite) error {
+// change applies a write, which fails in part or as a whole at a crash or on a full disk.
+func (f *memFile) change(write memWrite) error {
 	if err := f.fs.countOperation(); err != nil {
-		if w.data != nil { // a write may get there in part
-			w.data = w.data[:len(w.data)/2]
-			f.data.unsynced = append(f.data.unsynced, w)
+		if write.data != nil { // part of a write may be on disk
+			write.data = write.data[:len(write.data)/2]
+			f.data.unsynced = append(f.data.unsynced, write)
 		}
 		return err
 	}
 	var full error
-	if w.data != nil && f.fs.isFull() {
-		n := min(f.fs.bytesLeft, len(w.data))
+	if write.data != nil && f.fs.isFull() {
+		n := min(f.fs.bytesLeft, len(write.data))
 		f.fs.bytesLeft -= n
-		if w.data, full = w.data[:n], unix.ENOSPC; n == 0 {
+		if write.data, full = write.data[:n], unix.ENOSPC; n == 0 {
 			return full
 		}
 	}
-	f.data.data = w.applyTo(f.data.data)
-	f.data.unsynced = append(f.data.unsynced, w)
+	f.data.data = write.applyTo(f.data.data)
+	f.data.unsynced = append(f.data.unsynced, write)
 	return full
 }
 
-func (f *memFile) WriteAt(b []byte, at int64) (int, error) {
+func (f *memFile) WriteAt(data []byte, offset int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.change(memWrite{at, append([]byte{}, b...)}); err != nil {
+	if err := f.change(memWrite{offset, append([]byte{}, data...)}); err != nil {
 		return 0, err
 	}
-	return len(b), nil
+	return len(data), nil
 }
 
 func (f *memFile) Truncate(size int64) error {
@@ -233,14 +239,14 @@
 	return f.change(memWrite{size, nil})
 }
 
-func (f *memFile) ReadAt(b []byte, at int64) (int, error) {
+func (f *memFile) ReadAt(data []byte, offset int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if at >= int64(len(f.data.data)) {
+	if offset >= int64(len(f.data.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.data.data[at:])
-	if n < len(b) {
+	n := copy(data, f.data.data[offset:])
+	if n < len(data) {
 		return n, io.EOF
 	}
 	return n, nil
--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -13,54 +13,44 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// What is done to a store that no process has open: a look at all of it, and its repair.
-
-// inspect calls do with a store's files as they stand. Nothing is written.
-func inspect(folder FS, kinds []Kind, salvage bool, do func(*fileIndex) error) error {
+// inspect calls use with the index of a store that no process has open. It
+// writes nothing itself.
+func inspect(folder FS, kinds []Kind, use func(*fileIndex) error) error {
 	lock, err := folder.Lock()
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	defer func() { _ = lock.Close() }() // closing releases the lock, whatever it returns
-	m, err := load(folder, kinds, salvage)
+	index, err := load(folder, kinds, true)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	defer m.close()
-	return do(m)
+	defer index.close()
+	return use(index)
 }
 
-// Check reads all of a store and tells all that is wrong with it.
-func Check(folder FS, kinds []Kind) (r Report, err error) {
-	err = inspect(folder, kinds, true, func(m *fileIndex) error { r = m.report; return nil })
-	return r, err
+// Check reads all of a store that no process has open, and reports all damage. It
+// writes nothing. The error wraps ErrLocked or *FormatError where that is the
+// cause.
+func Check(folder FS, kinds []Kind) (report Report, err error) {
+	err = inspect(folder, kinds, func(index *fileIndex) error {
+		report = index.report
+		return nil
+	})
+	return report, err
 }
 
-// Repair writes what can be read of a store to one new file, in place of all. What was damaged is
-// lost, and records that were put again or removed in what was damaged are as they were before.
+// Repair writes what can be read of a store that no process has open to one new
+// file, in place of all. What was damaged is lost, and records that were put
+// again or removed in what was damaged are as they were before. It does nothing
+// to a store without damage.
 func Repair(folder FS, kinds []Kind) (before, after Report, err error) {
-	err = inspect(folder, kinds, true, func(m *fileIndex) error {
-		before = m.report
+	err = inspect(folder, kinds, func(index *fileIndex) error {
+		before = index.report
 		if len(before.Damaged) == 0 && before.TornTail == nil && len(before.Replaced) == 0 {
 			return nil
 		}
-		// Its name stands for all that the files there are named for.
-		last := m.nextNumber
-		for _, s := range m.segments {
-			last = max(last, s.first, s.last)
-		}
-		if _, _, err := m.writeMerged(segmentHeader{merged: true, first: 1, last: last}); err != nil {
-			return err
-		}
-		for _, s := range m.segments {
-			if err := m.folder.Remove(s.name); err != nil && !errors.Is(err, fs.ErrNotExist) {
-				return err
-			}
-		}
-		if err := m.removeLeftovers(); err != nil {
-			return err
-		}
-		return m.folder.SyncDir()
+		return index.replaceAll()
 	})
 	if err != nil {
 		return before, after, err
@@ -69,85 +59,127 @@
 	return before, after, err
 }
 
+// replaceAll merges all records to one segment and removes all other files.
+func (x *fileIndex) replaceAll() error {
+	last := x.nextNumber // the merged segment's name covers all that the files there are named for
+	for _, s := range x.segments {
+		last = max(last, s.first, s.last)
+	}
+	if _, _, err := x.writeMerged(segmentHeader{merged: true, first: 1, last: last}); err != nil {
+		return err
+	}
+	for _, s := range x.segments {
+		if err := x.folder.Remove(s.name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+			return err
+		}
+	}
+	if err := x.removeLeftovers(); err != nil {
+		return err
+	}
+	return x.folder.SyncDir()
+}
+
 // KindCount is what a store holds of a kind.
 type KindCount struct {
 	Name    string
 	Records int
-	Bytes   int64
-	Oldest  time.Time // last put
+	Bytes   int64     // of the records, about
+	Oldest  time.Time // when the record that was not put for longest was put
 }
 
-// Count tells what a store holds.
-func Count(folder FS, kinds []Kind) (r Report, all []KindCount, err error) {
-	err = inspect(folder, kinds, true, func(m *fileIndex) error {
-		r = m.report
-		for name, t := range m.tables {
-			c := KindCount{Name: name, Records: len(t.byKey)}
-			for e := t.order.Back(); e != nil; e = e.Prev() {
-				s := e.Value.(*location)
-				c.Bytes += s.bytes
-				c.Oldest = s.at
-			}
-			if c.Records > 0 {
-				all = append(all, c)
+// Count returns what a store that no process has open holds, by kind in the order
+// of their names.
+func Count(folder FS, kinds []Kind) (report Report, counts []KindCount, err error) {
+	err = inspect(folder, kinds, func(index *fileIndex) error {
+		report = index.report
+		for name, table := range index.tables {
+			if count := table.count(name); count.Records > 0 {
+				counts = append(counts, count)
 			}
 		}
-		slices.SortFunc(all, func(x, y KindCount) int { return strings.Compare(x.Name, y.Name) })
+		slices.SortFunc(counts, func(a, b KindCount) int { return strings.Compare(a.Name, b.Name) })
 		return nil
 	})
-	return r, all, err
+	return report, counts, err
 }
 
-// Dump writes a store's records, a line of JSON each, in the order in which they were put.
-func Dump(folder FS, kinds []Kind, only string, w io.Writer) error {
-	return inspect(folder, kinds, true, func(m *fileIndex) error {
-		for name := range m.tables {
-			if only != "" && only != name {
+// count counts the records of a kind.
+func (t *kindTable) count(name string) KindCount {
+	count := KindCount{Name: name, Records: len(t.byKey)}
+	for element := t.order.Back(); element != nil; element = element.Prev() {
+		record := element.Value.(*location)
+		count.Bytes += record.bytes
+		count.Oldest = record.at
+	}
+	return count
+}
+
+// Dump writes the records of a store that no process has open, a line of JSON
+// each, in the order in which they were put: those of one kind, or of all if
+// onlyKind is "".
+func Dump(folder FS, kinds []Kind, onlyKind string, w io.Writer) error {
+	return inspect(folder, kinds, func(index *fileIndex) error {
+		for name := range index.tables {
+			if onlyKind != "" && onlyKind != name {
 				continue
 			}
-			var failed error
-			err := m.each(name, false, func(r Record) bool {
-				var body any = r.Body
-				var v any
-				if cbor.Unmarshal(r.Body, &v) == nil {
-					body = jsonValue(v)
-				}
-				var line []byte
-				line, failed = json.Marshal(map[string]any{"kind": r.Kind, "key": r.Key, "at": r.At.UTC().Format(time.RFC3339Nano), "version": r.Version, "commit": r.Number, "body": body})
-				if failed == nil {
-					_, failed = fmt.Fprintf(w, "%s\n", line)
-				}
-				return failed == nil
-			})
-			if err != nil {
+			if err := index.dumpKind(name, w); err != nil {
 				return err
 			}
-			if failed != nil {
-				return failed
-			}
 		}
 		return nil
 	})
 }
 
-// jsonValue has maps by names, as JSON wants them.
-func jsonValue(v any) any {
-	switch v := v.(type) {
+// dumpKind writes the records of a kind.
+func (x *fileIndex) dumpKind(kind string, w io.Writer) error {
+	var failed error
+	err := x.each(kind, false, func(record Record) bool {
+		var line []byte
+		line, failed = record.jsonLine()
+		if failed == nil {
+			_, failed = fmt.Fprintf(w, "%s\n", line)
+		}
+		return failed == nil
+	})
+	if err != nil {
+		return err
+	}
+	return failed
+}
+
+// jsonLine returns a record in JSON; a body that is no CBOR is in base64.
+func (r *Record) jsonLine() ([]byte, error) {
+	var body any = r.Body
+	var decoded any
+	if cbor.Unmarshal(r.Body, &decoded) == nil {
+		body = jsonValue(decoded)
+	}
+	return json.Marshal(map[string]any{
+		"kind": r.Kind, "key": r.Key, "at": r.At.UTC().Format(time.RFC3339Nano), "version": r.Version, "commit": r.Number, "body": body,
+	})
+}
+
+// jsonValue returns a decoded value with the keys of its maps as text, as JSON
+// requires.
+func jsonValue(value any) any {
+	switch value := value.(type) {
 	case map[any]any:
-		m := make(map[string]any, len(v))
-		for key, x := range v {
-			m[fmt.Sprint(key)] = jsonValue(x)
+		object := make(map[string]any, len(value))
+		for key, member := range value {
+			object[fmt.Sprint(key)] = jsonValue(member)
 		}
-		return m
+		return object
 	case []any:
-		for i := range v {
-			v[i] = jsonValue(v[i])
+		for i := range value {
+			value[i] = jsonValue(value[i])
 		}
 	}
-	return v
+	return value
 }
 
-// Compact merges a store's files into one, so that nothing that was removed or let go is left in them.
+// Compact merges the files of a store that no process has open into one, so that
+// nothing that was removed or is retained no longer is left in them.
 func Compact(folder FS, kinds []Kind) (before, after Report, err error) {
 	s, before, err := Open(folder, Options{Kinds: kinds})
 	if err != nil {
--- /dev/null
+++ b/internal/store/offline_test.go
@@ -0,0 +1,58 @@
+package store
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// What can be read of a damaged store is retained by a repair, after which the store can be opened and appended to; a
+// second repair has nothing to do.
+func TestRepair(t *testing.T) {
+	folder, states := filledStore(t, 12, 5)
+	names, _ := folder.List()
+	want := states[len(states)-1]
+	for _, name := range names {
+		for offset := 0; offset < len(folder.files[name].data); offset += 13 {
+			damaged := folder.clone()
+			damaged.files[name].data[offset] ^= 0x40
+			if offset%2 == 0 {
+				damaged.files[name].data = damaged.files[name].data[:offset]
+			}
+			before, after, err := Repair(damaged, testKinds)
+			must(t, err)
+			if len(after.Damaged) > 0 || after.TornTail != nil {
+				t.Fatalf("byte %d of %s: %+v after the repair of %+v", offset, name, after, before)
+			}
+			s := openStore(t, damaged)
+			for key, body := range s.index.contents(t) {
+				if !slices.ContainsFunc(states, func(state map[string]string) bool { return state[key] == body }) {
+					t.Fatalf("byte %d of %s: %s is %q, which it never was", offset, name, key, body)
+				}
+			}
+			must(t, s.Commit(context.Background(), putChange("order", "more", "1")))
+			must(t, s.Close())
+			again, _, err := Repair(damaged, testKinds)
+			if must(t, err); len(again.Damaged) > 0 || again.TornTail != nil {
+				t.Fatalf("byte %d of %s: a second repair finds %+v", offset, name, again)
+			}
+		}
+	}
+	var dump strings.Builder
+	must(t, Dump(folder, testKinds, "order", &dump))
+	if n := strings.Count(dump.String(), "\n"); n != 3 && n != 4 {
+		t.Errorf("%d lines:\n%s", n, dump.String())
+	}
+	before, after, err := Compact(folder, testKinds)
+	must(t, err)
+	if after.Bytes >= before.Bytes || len(after.Damaged) > 0 {
+		t.Errorf("%+v before, %+v after", before, after)
+	}
+	index, err := load(folder, testKinds, false)
+	must(t, err)
+	if got := index.contents(t); fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("%v, want %v", got, want)
+	}
+}
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -8,56 +8,59 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Table is a kind of record with a type. Bodies are CBOR, of a version each.
+// Table is a kind of record with a Go type. Bodies are CBOR, each with a version.
+// Its methods may be called from any goroutine.
 type Table[T any] struct {
-	Store   *Store // nil: nothing is kept, and nothing is there
+	Store   *Store // nil: Put does nothing, Commit and Remove fail, and nothing is there
 	Kind    string
-	Version uint
-	// Upgrade reads a body of an older version; nil: there is none.
+	Version uint // of the bodies that are put
+	// Upgrade decodes a body of an older version; nil if there is none.
 	Upgrade func(version uint, body []byte) (T, error)
 }
 
-// bodyEncoding writes times whole: as the usual form has it they are cut to seconds, and a server that started within
-// one would pass for one that has started again.
+// bodyEncoding encodes times with their nanoseconds: the usual form truncates them
+// to seconds, and an endpoint that started within one would pass for one that has
+// restarted.
 var bodyEncoding = func() cbor.EncMode {
-	m, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
+	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
 		panic(err) // the options are constants
 	}
-	return m
+	return mode
 }()
 
-func (t *Table[T]) encode(key string, v T) (Change, error) {
-	body, err := bodyEncoding.Marshal(v)
+// encode returns the change that puts a value.
+func (t *Table[T]) encode(key string, value T) (Change, error) {
+	body, err := bodyEncoding.Marshal(value)
 	return Change{Kind: t.Kind, Key: key, Version: t.Version, Body: body}, err
 }
 
-// Put keeps a record some time soon, as Store.Put does.
-func (t *Table[T]) Put(key string, v T) {
+// Put queues a record, as Store.Put does.
+func (t *Table[T]) Put(key string, value T) {
 	if t.Store == nil {
 		return
 	}
-	c, err := t.encode(key, v)
+	change, err := t.encode(key, value)
 	if err != nil {
 		t.Store.countDropped([]Change{{Kind: t.Kind}})
 		return
 	}
-	t.Store.Put(c)
+	t.Store.Put(change)
 }
 
-// Commit keeps a record, as Store.Commit does.
-func (t *Table[T]) Commit(ctx context.Context, key string, v T) error {
+// Commit commits a record, as Store.Commit does.
+func (t *Table[T]) Commit(ctx context.Context, key string, value T) error {
 	if t.Store == nil {
 		return ErrClosed
 	}
-	c, err := t.encode(key, v)
+	change, err := t.encode(key, value)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	return t.Store.Commit(ctx, c)
+	return t.Store.Commit(ctx, change)
 }
 
-// Remove removes a record for good, as Store.Commit does.
+// Remove commits the removal of a record, as Store.Commit does.
 func (t *Table[T]) Remove(ctx context.Context, key string) error {
 	if t.Store == nil {
 		return ErrClosed
@@ -66,52 +69,55 @@
 }
 
 // Get returns a record and when it was put.
-func (t *Table[T]) Get(key string) (v T, at time.Time, ok bool, err error) {
+func (t *Table[T]) Get(key string) (value T, at time.Time, found bool, err error) {
 	if t.Store == nil {
-		return v, at, false, nil
+		return value, at, false, nil
 	}
-	r, ok, err := t.Store.Get(t.Kind, key)
-	if !ok {
-		return v, at, false, err
+	record, found, err := t.Store.Get(t.Kind, key)
+	if !found {
+		return value, at, false, err
 	}
-	v, err = t.decode(r)
-	return v, r.At, err == nil, err
+	value, err = t.decode(record)
+	return value, record.At, err == nil, err
 }
 
-// Each calls do with all records until it returns false, newest first if so wanted. Those that can't be
-// read, as they are of a newer version, are passed over; the first such error is returned.
-func (t *Table[T]) Each(newest bool, do func(key string, at time.Time, v T) bool) error {
+// Each calls visit with all records until it returns false, in the order in which
+// they were last put, or the newest first. Those that can't be decoded, as they
+// are of a newer version, are passed over; the first such error is returned.
+// visit must not call the store.
+func (t *Table[T]) Each(newestFirst bool, visit func(key string, at time.Time, value T) bool) error {
 	if t.Store == nil {
 		return nil
 	}
-	var odd error
-	err := t.Store.Each(t.Kind, newest, func(r Record) bool {
-		v, err := t.decode(r)
+	var firstDecodeErr error
+	err := t.Store.Each(t.Kind, newestFirst, func(record Record) bool {
+		value, err := t.decode(record)
 		if err != nil {
-			if odd == nil {
-				odd = err
+			if firstDecodeErr == nil {
+				firstDecodeErr = err
 			}
 			return true
 		}
-		return do(r.Key, r.At, v)
+		return visit(record.Key, record.At, value)
 	})
 	if err != nil {
 		return err
 	}
-	return odd
+	return firstDecodeErr
 }
 
-func (t *Table[T]) decode(r Record) (v T, err error) {
+// decode decodes a record's body; its error names the record.
+func (t *Table[T]) decode(record Record) (value T, err error) {
 	switch {
-	case r.Version == t.Version:
-		err = cbor.Unmarshal(r.Body, &v)
-	case r.Version < t.Version && t.Upgrade != nil:
-		v, err = t.Upgrade(r.Version, r.Body)
+	case record.Version == t.Version:
+		err = cbor.Unmarshal(record.Body, &value)
+	case record.Version < t.Version && t.Upgrade != nil:
+		value, err = t.Upgrade(record.Version, record.Body)
 	default:
-		err = fmt.Errorf("it is of version %d, this program's is %d", r.Version, t.Version)
+		err = fmt.Errorf("it is of version %d, this program's is %d", record.Version, t.Version)
 	}
 	if err != nil {
-		err = fmt.Errorf("store: %s %q: %w", r.Kind, r.Key, err)
+		err = fmt.Errorf("store: %s %q: %w", record.Kind, record.Key, err)
 	}
-	return v, err
+	return value, err
 }
