--- a/internal/store/frame.go
+++ b/internal/store/frame.go
@@ -52,7 +52,7 @@
 		return buffer, err
 	}
 	if len(body) > maxFrameBytes {
-		return buffer, fmt.Errorf("%d bytes are more than a commit may have, %d", len(body), maxFrameBytes)
+		return buffer, fmt.Errorf("commit of %d bytes exceeds %d", len(body), maxFrameBytes)
 	}
 	start := len(buffer)
 	buffer = binary.LittleEndian.AppendUint32(buffer, frameMark)
@@ -76,11 +76,11 @@
 		return f, errTruncated
 	}
 	if binary.LittleEndian.Uint32(data) != frameMark {
-		return f, errors.New("no record begins here")
+		return f, errors.New("no frame begins here")
 	}
 	length := int(binary.LittleEndian.Uint32(data[4:]))
 	if length > maxFrameBytes {
-		return f, errors.New("its length makes no sense")
+		return f, errors.New("invalid frame length")
 	}
 	if len(data) < frameHeaderSize+length {
 		return f, errTruncated
@@ -90,7 +90,7 @@
 		return f, errChecksum
 	}
 	if err := cbor.Unmarshal(body, &f.entries); err != nil {
-		return f, fmt.Errorf("its entries can't be read: %w", err)
+		return f, fmt.Errorf("undecodable entries: %w", err)
 	}
 	f.number, f.synced = binary.LittleEndian.Uint64(data[8:]), binary.LittleEndian.Uint64(data[16:])
 	f.size = frameHeaderSize + length
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -125,7 +125,7 @@
 		return entry{}, record.damage(err)
 	}
 	if record.position >= len(f.entries) || f.entries[record.position].Key != record.key || f.entries[record.position].Kind != record.kind {
-		return entry{}, record.damage(errors.New("it is another record"))
+		return entry{}, record.damage(errors.New("frame of another record"))
 	}
 	return f.entries[record.position], nil
 }
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -145,7 +145,7 @@
 		return nil, err
 	}
 	if header.first != x.nextNumber {
-		r.addDamage(0, fmt.Errorf("the commits from %d to %d are not there", x.nextNumber, header.first-1))
+		r.addDamage(0, fmt.Errorf("commits %d to %d are missing", x.nextNumber, header.first-1))
 	}
 	x.nextNumber = header.first // what an earlier file lost is no reason to number later commits anew
 	start, err := r.readHeader()
@@ -187,7 +187,7 @@
 		return 0, err
 	}
 	if err == nil && header != r.segment.segmentHeader {
-		err = errors.New("its head is another file's")
+		err = errors.New("header of another file")
 	}
 	if err == nil {
 		return segmentHeaderSize, nil
@@ -246,14 +246,14 @@
 		return f, err
 	}
 	if r.complete {
-		return f, errors.New("something follows its end")
+		return f, errors.New("data after the last frame")
 	}
 	belongs := f.number == r.index.nextNumber
 	if r.segment.merged {
 		belongs = f.number >= r.segment.first && f.number <= r.segment.last
 	}
 	if !belongs {
-		return f, fmt.Errorf("commit %d is not the one that belongs here, %d", f.number, r.index.nextNumber)
+		return f, fmt.Errorf("commit %d in place of commit %d", f.number, r.index.nextNumber)
 	}
 	return f, nil
 }
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -30,8 +30,8 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	errTruncated = errors.New("it ends too early")
-	errChecksum  = errors.New("its checksum is wrong")
+	errTruncated = errors.New("truncated")
+	errChecksum  = errors.New("checksum mismatch")
 )
 
 // FormatError says that a store is of another format than this program's.
@@ -81,7 +81,7 @@
 		return segmentHeader{}, errTruncated
 	}
 	if string(data[:magicSize]) != magic {
-		return segmentHeader{}, errors.New("it is no file of a store")
+		return segmentHeader{}, errors.New("not a file of a store")
 	}
 	checked := segmentHeaderSize - checksumSize
 	if crc32.Checksum(data[:checked], castagnoli) != binary.LittleEndian.Uint32(data[checked:]) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -201,7 +201,7 @@
 	}
 	s.countDropped(changes)
 	if errors.Is(err, ErrTooLarge) { // it would be so the next time too
-		s.log.Warn("a record is too large to be kept", "kind", changes[0].Kind, "bytes", c.size(), "most", maxFrameBytes)
+		s.log.Warn("record too large for the store", "kind", changes[0].Kind, "bytes", c.size(), "most", maxFrameBytes)
 	}
 }
 
@@ -222,7 +222,7 @@
 		}
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("store: not known to be kept: %w", context.Cause(ctx))
+		return fmt.Errorf("store: commit not confirmed: %w", context.Cause(ctx))
 	case <-s.stopped: // it came just as the store was closed
 		return resultAfterStop(c)
 	}
@@ -243,7 +243,7 @@
 func (s *Store) enqueue(c *commit) error {
 	for i, change := range c.changes {
 		if _, known := s.kinds[change.Kind]; !known {
-			return fmt.Errorf("there is no kind %q", change.Kind)
+			return fmt.Errorf("unknown kind %q", change.Kind)
 		}
 		if change.At.IsZero() {
 			c.changes[i].At = time.Now()
@@ -298,7 +298,7 @@
 	select {
 	case <-s.stopped:
 	case <-time.After(2 * closeTimeout): // a disk that hangs: the lock goes with the process
-		return errors.New("store: the disk does not answer")
+		return errors.New("store: close: disk not responding")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -114,7 +114,7 @@
 	case record.Version < t.Version && t.Upgrade != nil:
 		value, err = t.Upgrade(record.Version, record.Body)
 	default:
-		err = fmt.Errorf("it is of version %d, this program's is %d", record.Version, t.Version)
+		err = fmt.Errorf("record of version %d, this program's is version %d", record.Version, t.Version)
 	}
 	if err != nil {
 		err = fmt.Errorf("store: %s %q: %w", record.Kind, record.Key, err)
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -268,7 +268,7 @@
 	s.commits += uint64(len(frames))
 	s.index.applyRetention(time.Now())
 	if s.diskError != nil {
-		s.log.Info("the store keeps records again")
+		s.log.Info("store writes resumed")
 	}
 	s.diskError, s.diskFailedAt = nil, time.Time{}
 }
@@ -279,7 +279,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.diskError == nil {
-		s.log.Error("the store keeps nothing: the disk fails", "error", err, "full", errors.Is(err, unix.ENOSPC))
+		s.log.Error("store writes failing", "error", err, "full", errors.Is(err, unix.ENOSPC))
 	}
 	s.diskError, s.diskFailedAt = err, time.Now()
 	return err
