--- a/Makefile
+++ b/Makefile
@@ -28,7 +28,7 @@
 fuzz:
 	go test -run '^$$' -fuzz '^FuzzConnLimiter$$' -fuzztime $(FUZZTIME) ./internal/listener
 	go test -run '^$$' -fuzz '^FuzzRequests$$' -fuzztime $(FUZZTIME) ./internal/proxy
-	go test -run '^$$' -fuzz '^FuzzMoveComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
+	go test -run '^$$' -fuzz '^FuzzMigrationComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
--- a/internal/frontend/line/carry_test.go
+++ b/internal/frontend/line/carry_test.go
@@ -17,11 +17,11 @@
 	"lockroad/internal/testutil"
 )
 
-// heir is another process's front for what a site hands over: the same sockets by
+// successor is another process's front for what a site hands over: the same sockets by
 // descriptors of its own, as a Unix socket would bring them.
-func (s *site) heir(observers ...proxy.Observer) (*site, proxy.HandoffFunc) {
-	to := newSite(s.t, 8, observers...)
-	return to, func(what any, sockets ...syscall.Conn) error {
+func (env *environment) successor(observers ...proxy.Observer) (*environment, proxy.HandoffFunc) {
+	next := newEnvironment(env.t, 8, observers...)
+	return next, func(what any, sockets ...syscall.Conn) error {
 		var copies []net.Conn
 		for _, c := range sockets {
 			raw, err := c.SyscallConn()
@@ -34,20 +34,20 @@
 				defer func() { _ = f.Close() }()
 				c, err := net.FileConn(f)
 				if err != nil {
-					s.t.Error(err)
+					env.t.Error(err)
 				}
 				copies = append(copies, c)
 			})
 		}
-		text, err := json.Marshal(what)
+		encoded, err := json.Marshal(what)
 		if err != nil {
 			return err
 		}
-		var st proxy.EstablishedRequest
-		if err := json.Unmarshal(text, &st); err != nil {
+		var established proxy.EstablishedRequest
+		if err := json.Unmarshal(encoded, &established); err != nil {
 			return err
 		}
-		carry, err := to.front.Adopt(context.Background(), &st, copies)
+		carry, err := next.frontend.Adopt(context.Background(), &established, copies)
 		if err != nil {
 			return err
 		}
@@ -58,55 +58,58 @@
 
 // A transaction is handed over with the lines on both sides cut at every byte: not a byte
 // is lost, doubled or held back, and the new process moves it between two lines.
-func TestTransactionIsHandedOverWithinLines(t *testing.T) {
+func TestHandoffInsideALineLosesNoByte(t *testing.T) {
 	const said, echo = "N 7 word\r\n", "M 1 2 word\r\n"
 	for cut := range len(said) {
-		s := newSite(t, 8)
-		client, server := s.open()
-		client.say(said[:cut])
-		server.want(said[:cut])
-		server.say(echo[:cut])
-		client.want(echo[:cut])
-		to, give := s.heir()
-		s.core.HandOffAll(give, time.Millisecond)
-		testutil.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 && s.core.Requests.Len() == 0 })
-		client.say(said[cut:] + said)
-		server.want(said[cut:] + said)
-		server.say(echo[cut:] + echo + "half")
-		client.want(echo[cut:] + echo + "half")
-		to.core.MigrateAll(time.Millisecond)
-		server.say(" a line\r\n")
-		client.want(" a line\r\nMOVE\r\n")
-		client.wantEnd(false)
+		env := newEnvironment(t, 8)
+		client, endpoint := env.establish()
+		client.send(said[:cut])
+		endpoint.expect(said[:cut])
+		endpoint.send(echo[:cut])
+		client.expect(echo[:cut])
+		next, handOff := env.successor()
+		env.proxy.HandOffAll(handOff, time.Millisecond)
+		testutil.Until(t, "it is not handed over", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 && env.proxy.Requests.Len() == 0 })
+		client.send(said[cut:] + said)
+		endpoint.expect(said[cut:] + said)
+		endpoint.send(echo[cut:] + echo + "half")
+		client.expect(echo[cut:] + echo + "half")
+		next.proxy.MigrateAll(time.Millisecond)
+		endpoint.send(" a line\r\n")
+		client.expect(" a line\r\nMOVE\r\n")
+		client.expectEnd(false)
 	}
 }
 
-// asks tells what each transaction that begins has asked for.
-type asks chan proxy.Request
+// requestRecorder tells what each transaction that begins has asked for.
+type requestRecorder chan proxy.Request
 
-func (a asks) Began(_ uint64, ask proxy.Request) proxy.RequestObserver { a <- ask; return mute{} }
+func (a requestRecorder) Began(_ uint64, ask proxy.Request) proxy.RequestObserver {
+	a <- ask
+	return silentObserver{}
+}
 
-// mute is a trace that nobody reads.
-type mute struct{}
+// silentObserver is a trace that nobody reads.
+type silentObserver struct{}
 
-func (mute) Decided(*balancer.Decision) {}
-func (mute) AttemptStarted(balancer.EndpointID) func(balancer.AttemptStatus) {
+func (silentObserver) Decided(*balancer.Decision) {}
+func (silentObserver) AttemptStarted(balancer.EndpointID) func(balancer.AttemptStatus) {
 	return func(balancer.AttemptStatus) {}
 }
-func (mute) Established()       {}
-func (mute) Ended(proxy.Result) {}
+func (silentObserver) Established()       {}
+func (silentObserver) Ended(proxy.Result) {}
 
 // A transaction stays its tenant's: the new process's records, logs and spans tell it as the old one's did.
-func TestATenantIsHandedOver(t *testing.T) {
-	s := newSite(t, 8)
-	client := s.client()
-	client.say("OPEN 9b1f03aa5c7e2d41 2 c=page,t=cedar,d=4000\r\n")
-	server := s.peer(s.server.Accept())
-	server.say("UP x\r\n")
-	client.want("UP x\r\n")
-	seen := make(asks, 1)
-	to, give := s.heir(seen)
-	s.core.HandOffAll(give, time.Millisecond)
+func TestHandoffKeepsTenantAndClass(t *testing.T) {
+	env := newEnvironment(t, 8)
+	client := env.client()
+	client.send("OPEN 9b1f03aa5c7e2d41 2 c=page,t=cedar,d=4000\r\n")
+	endpoint := env.peer(env.endpoint.Accept())
+	endpoint.send("UP x\r\n")
+	client.expect("UP x\r\n")
+	seen := make(requestRecorder, 1)
+	next, handOff := env.successor(seen)
+	env.proxy.HandOffAll(handOff, time.Millisecond)
 	select {
 	case ask := <-seen:
 		if ask.Tenant != "cedar" || ask.Class != "page" {
@@ -116,95 +119,95 @@
 		t.Fatal("it is not handed over")
 	}
 	client.Close()
-	server.Close()
-	testutil.Until(t, "it has not ended", func() bool { return to.core.Requests.Len() == 0 })
+	endpoint.Close()
+	testutil.Until(t, "it has not ended", func() bool { return next.proxy.Requests.Len() == 0 })
 }
 
 // Ends are passed on alike after it, and so is what comes in one piece with them.
-func TestEndsAfterHandingOver(t *testing.T) {
-	s := newSite(t, 8)
-	client, server := s.open()
-	to, give := s.heir()
-	s.core.HandOffAll(give, time.Millisecond)
-	testutil.Until(t, "it is not handed over", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
-	client.say("a\r\nb\r\n")
+func TestHalfCloseIsRelayedAfterHandoff(t *testing.T) {
+	env := newEnvironment(t, 8)
+	client, endpoint := env.establish()
+	next, handOff := env.successor()
+	env.proxy.HandOffAll(handOff, time.Millisecond)
+	testutil.Until(t, "it is not handed over", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 })
+	client.send("a\r\nb\r\n")
 	client.CloseWrite()
-	server.want("a\r\nb\r\n")
-	server.wantEnd(false)
-	server.say("BYE\r\n")
-	server.Close()
-	client.want("BYE\r\n")
-	client.wantEnd(false)
-	testutil.Until(t, "it is not over", func() bool { return to.core.Requests.Len() == 0 })
+	endpoint.expect("a\r\nb\r\n")
+	endpoint.expectEnd(false)
+	endpoint.send("BYE\r\n")
+	endpoint.Close()
+	client.expect("BYE\r\n")
+	client.expectEnd(false)
+	testutil.Until(t, "it is not over", func() bool { return next.proxy.Requests.Len() == 0 })
 }
 
 // Who can't be handed over is moved, as ever: nobody takes it, or its end is under way.
-func TestTransactionThatIsNotTakenIsMoved(t *testing.T) {
-	s := newSite(t, 8)
-	client, _ := s.open()
-	s.core.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
-	client.want("MOVE\r\n")
-	client.wantEnd(false)
+func TestUnacceptedHandoffMigratesTheClient(t *testing.T) {
+	env := newEnvironment(t, 8)
+	client, _ := env.establish()
+	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
+	client.expect("MOVE\r\n")
+	client.expectEnd(false)
 
-	s = newSite(t, 8)
-	client, server := s.open()
+	env = newEnvironment(t, 8)
+	client, endpoint := env.establish()
 	client.CloseWrite()
-	server.wantEnd(false)
-	given := 0
-	s.core.HandOffAll(func(any, ...syscall.Conn) error { given++; return nil }, time.Millisecond)
-	client.want("MOVE\r\n")
-	client.wantEnd(false)
-	if given != 0 {
+	endpoint.expectEnd(false)
+	offered := 0
+	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { offered++; return nil }, time.Millisecond)
+	client.expect("MOVE\r\n")
+	client.expectEnd(false)
+	if offered != 0 {
 		t.Error("a client that had left was handed over")
 	}
 }
 
 // A client that has ended its half as its relay leaves gets its server's last line, and is
 // not moved.
-func TestClientThatLeavesIsNotMoved(t *testing.T) {
-	s := newSite(t, 8)
-	client, server := s.open()
+func TestHalfClosedClientIsNotMigrated(t *testing.T) {
+	env := newEnvironment(t, 8)
+	client, endpoint := env.establish()
 	client.CloseWrite()
-	server.wantEnd(false)
-	other := s.client() // by whose move the relay is seen to leave
-	other.say("OPEN 2 2 c=page,d=4000\r\n")
-	its := s.peer(s.server.Accept())
-	its.say("UP 1\r\n")
-	other.want("UP 1\r\n")
-	s.core.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
-	other.want("MOVE\r\n")
-	server.say("x\r\nBYE\r\n")
-	server.Close()
-	client.want("x\r\nBYE\r\n")
-	client.wantEnd(false)
+	endpoint.expectEnd(false)
+	other := env.client() // by whose move the relay is seen to leave
+	other.send("OPEN 2 2 c=page,d=4000\r\n")
+	otherEndpoint := env.peer(env.endpoint.Accept())
+	otherEndpoint.send("UP 1\r\n")
+	other.expect("UP 1\r\n")
+	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
+	other.expect("MOVE\r\n")
+	endpoint.send("x\r\nBYE\r\n")
+	endpoint.Close()
+	client.expect("x\r\nBYE\r\n")
+	client.expectEnd(false)
 }
 
 // Openings come in pieces of any size.
-func TestOpeningsInPieces(t *testing.T) {
-	s := newSite(t, 64)
+func TestOpeningMayArriveInPieces(t *testing.T) {
+	env := newEnvironment(t, 64)
 	const text = "PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,d=4000\r\n"
 	for cut := 1; cut < len(text); cut++ {
-		client := s.client()
+		client := env.client()
 		_ = client.SetNoDelay(true)
-		client.say(text[:cut])
+		client.send(text[:cut])
 		if cut >= len("PING\r\n") {
-			client.want("PONG\r\n") // the first piece has been read
+			client.expect("PONG\r\n") // the first piece has been read
 		}
-		client.say(text[cut:])
+		client.send(text[cut:])
 		if cut < len("PING\r\n") {
-			client.want("PONG\r\n")
+			client.expect("PONG\r\n")
 		}
-		server := s.peer(s.server.Accept())
-		if _, err := server.r.ReadString('\n'); err != nil {
+		endpoint := env.peer(env.endpoint.Accept())
+		if _, err := endpoint.reader.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
 		for _, b := range []byte("UP 1\r\n") { // and so do answers
-			server.say(string(b))
+			endpoint.send(string(b))
 		}
-		client.want("UP 1\r\n")
+		client.expect("UP 1\r\n")
 		client.Close()
-		server.wantEnd(false)
-		server.Close()
-		testutil.Until(t, "it is not over", func() bool { return s.core.Requests.Len() == 0 })
+		endpoint.expectEnd(false)
+		endpoint.Close()
+		testutil.Until(t, "it is not over", func() bool { return env.proxy.Requests.Len() == 0 })
 	}
 }
--- a/internal/frontend/line/encoding_test.go
+++ b/internal/frontend/line/encoding_test.go
@@ -9,50 +9,50 @@
 	"lockroad/internal/testutil"
 )
 
-// wholeParked is what goes over beside a connection's sockets, with every field set.
-func wholeParked() parked {
-	return parked{Mid: true, Up: part{Text: []byte("N 7 w"), Long: true}, Down: part{Text: []byte("M 1 2 wo"), Long: true}}
+// completeState is what goes over beside a connection's sockets, with every field set.
+func completeState() connectionState {
+	return connectionState{MidLine: true, ToEndpoint: partialLine{Text: []byte("N 7 w"), TooLong: true}, ToClient: partialLine{Text: []byte("M 1 2 wo"), TooLong: true}}
 }
 
 func TestConnectionStateKeepsItsEncoding(t *testing.T) {
-	whole := wholeParked()
-	testutil.Complete(t, whole)
-	testutil.GoldenJSON(t, "testdata/connection.json", whole)
-	testutil.GoldenJSON(t, "testdata/connection-zero.json", parked{})
+	complete := completeState()
+	testutil.Complete(t, complete)
+	testutil.GoldenJSON(t, "testdata/connection.json", complete)
+	testutil.GoldenJSON(t, "testdata/connection-zero.json", connectionState{})
 }
 
 func TestHeartbeatKeepsItsEncoding(t *testing.T) {
-	whole := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTime: 7}
-	testutil.Complete(t, whole)
-	testutil.GoldenJSON(t, "testdata/heartbeat.json", whole)
+	complete := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTime: 7}
+	testutil.Complete(t, complete)
+	testutil.GoldenJSON(t, "testdata/heartbeat.json", complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
 }
 
 // What a front hands over of a connection that is in the middle of a line on both sides is the golden file's, and a front
 // that is given the file's bytes goes on in the middle of both lines.
-func TestEstablishedConnectionIsHandedOverAsEncoded(t *testing.T) {
-	s := newSite(t, 8)
-	client := s.client()
-	client.say("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,t=cedar,g=5c0f6e1a2b3d4c59,h=7812.5,again=1,d=4000\r\n")
-	server := s.peer(s.server.Accept())
-	if _, err := server.r.ReadString('\n'); err != nil {
+func TestHandoffUsesGoldenEncoding(t *testing.T) {
+	env := newEnvironment(t, 8)
+	client := env.client()
+	client.send("OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,t=cedar,g=5c0f6e1a2b3d4c59,h=7812.5,again=1,d=4000\r\n")
+	endpoint := env.peer(env.endpoint.Accept())
+	if _, err := endpoint.reader.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	server.say("UP x\r\n")
-	client.want("UP x\r\n")
-	client.say("N 7 w")
-	server.want("N 7 w")
-	server.say("M 1 2 wo")
-	client.want("M 1 2 wo")
-	to, give := s.heir()
+	endpoint.send("UP x\r\n")
+	client.expect("UP x\r\n")
+	client.send("N 7 w")
+	endpoint.expect("N 7 w")
+	endpoint.send("M 1 2 wo")
+	client.expect("M 1 2 wo")
+	next, handOff := env.successor()
 	encoded, golden := make(chan []byte, 1), make(chan []byte, 1)
-	s.core.HandOffAll(func(what any, sockets ...syscall.Conn) error {
-		text, err := json.Marshal(what)
+	env.proxy.HandOffAll(func(state any, sockets ...syscall.Conn) error {
+		text, err := json.Marshal(state)
 		if err != nil {
 			return err
 		}
 		encoded <- text
-		return give(json.RawMessage(<-golden), sockets...)
+		return handOff(json.RawMessage(<-golden), sockets...)
 	}, time.Millisecond)
 	select {
 	case text := <-encoded:
@@ -60,18 +60,18 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it is not handed over")
 	}
-	testutil.Until(t, "it is not taken up", func() bool { return to.core.Requests.CountByStage()[2] == 1 })
-	client.say("ord\r\n")
-	server.want("ord\r\n")
-	server.say("rd\r\nhalf")
-	client.want("rd\r\nhalf")
-	to.core.MigrateAll(time.Millisecond)
-	server.say(" a line\r\n")
-	client.want(" a line\r\nMOVE\r\n")
-	client.wantEnd(false)
+	testutil.Until(t, "it is not taken up", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 })
+	client.send("ord\r\n")
+	endpoint.expect("ord\r\n")
+	endpoint.send("rd\r\nhalf")
+	client.expect("rd\r\nhalf")
+	next.proxy.MigrateAll(time.Millisecond)
+	endpoint.send(" a line\r\n")
+	client.expect(" a line\r\nMOVE\r\n")
+	client.expectEnd(false)
 }
 
-func TestHandedOverFieldsAreTagged(t *testing.T) {
-	testutil.Tagged(t, []string{"json"}, parked{})
+func TestHandoffFieldsAreTagged(t *testing.T) {
+	testutil.Tagged(t, []string{"json"}, connectionState{})
 	testutil.Tagged(t, []string{"json"}, ReportTiming{})
 }
--- a/internal/frontend/line/notes.go
+++ b/internal/frontend/line/notes.go
@@ -17,26 +17,26 @@
 // taken for loads, delays leave the module blind to slow servers. What does tell is that
 // delays come once a second on the dot from a server, and that their figures are small.
 const (
-	beat      = time.Second
-	beatSlack = 12 * time.Millisecond
-	beatLife  = 30 * time.Second // a beat not heard for this long has to be found again
-	beatRest  = 5 * time.Second  // after which it may have shifted
-	freshFor  = 60 * time.Millisecond
-	sureDelay = 100    // even an idle connection's load is more, in microseconds a second
-	mostDelay = 30_000 // milliseconds
-	growMost  = 1100   // milliseconds that a delay that is a guess can change by from one beat to the next
-	surgeMost = 2000   // milliseconds that a known one can grow by in a second
-	guessMost = 8      // figures of a server that may turn out to be delays
+	reportInterval      = time.Second
+	reportTolerance     = 12 * time.Millisecond
+	timingLifetime      = 30 * time.Second // a beat not heard for this long has to be found again
+	missedReportsLimit  = 5 * time.Second  // after which it may have shifted
+	newConnectionPeriod = 60 * time.Millisecond
+	certainDelayBelow   = 100    // even an idle connection's load is more, in microseconds a second
+	maxDelay            = 30_000 // milliseconds
+	maxGuessChange      = 1100   // milliseconds that a delay that is a guess can change by from one beat to the next
+	maxDelayGrowth      = 2000   // milliseconds that a known one can grow by in a second
+	maxGuesses          = 8      // figures of a server that may turn out to be delays
 )
 
-// notes tells loads from delays.
-type notes struct {
-	mu   sync.Mutex
-	from map[balancer.EndpointID]*beats
+// reportClassifier tells loads from delays.
+type reportClassifier struct {
+	mu         sync.Mutex
+	byEndpoint map[balancer.EndpointID]*endpointReports
 }
 
-// beats is what is known of the times at which a server tells its delay.
-type beats struct {
+// endpointReports is what is known of the times at which a server tells its delay.
+type endpointReports struct {
 	ReportTiming
 	guesses []guess // of the last second
 }
@@ -45,8 +45,8 @@
 // connection's load can be as small as the delay of a slow server, and taken for
 // one has all connections of a sound server moved.
 type guess struct {
-	at     time.Duration
-	figure float64
+	at    time.Duration
+	value float64
 }
 
 // ReportTiming is what is known of the times at which a server tells its delay, for another
@@ -57,80 +57,80 @@
 	OnTime    int           `json:"Count"` // how many have come on the dot
 }
 
-// beatsOf returns what is known of servers.
-func (n *notes) beatsOf() map[balancer.EndpointID]ReportTiming {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	all := make(map[balancer.EndpointID]ReportTiming, len(n.from))
-	for id, b := range n.from {
-		if b.OnTime > 0 {
-			all[id] = b.ReportTiming
+// snapshot returns what is known of servers.
+func (r *reportClassifier) snapshot() map[balancer.EndpointID]ReportTiming {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	all := make(map[balancer.EndpointID]ReportTiming, len(r.byEndpoint))
+	for id, reports := range r.byEndpoint {
+		if reports.OnTime > 0 {
+			all[id] = reports.ReportTiming
 		}
 	}
 	return all
 }
 
-// know takes over what another process knows of a server.
-func (n *notes) know(id balancer.EndpointID, b ReportTiming) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.from == nil {
-		n.from = make(map[balancer.EndpointID]*beats)
+// restore takes over what another process knows of a server.
+func (r *reportClassifier) restore(id balancer.EndpointID, reports ReportTiming) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byEndpoint == nil {
+		r.byEndpoint = make(map[balancer.EndpointID]*endpointReports)
 	}
-	n.from[id] = &beats{ReportTiming: b}
+	r.byEndpoint[id] = &endpointReports{ReportTiming: reports}
 }
 
 // isDelay tells whether the figure of a LOAD line is a delay, by the settings or else by
 // what it looks like.
-func (n *notes) isDelay(terms *balancer.Settings, server balancer.EndpointID, figure float64, now, since time.Duration) bool {
-	if !terms.ReportsDelay || !terms.ReportsLoad {
-		return terms.ReportsDelay
+func (r *reportClassifier) isDelay(settings *balancer.Settings, endpoint balancer.EndpointID, value float64, now, connectionAge time.Duration) bool {
+	if !settings.ReportsDelay || !settings.ReportsLoad {
+		return settings.ReportsDelay
 	}
-	return n.delay(server, figure, now, since)
+	return r.looksLikeDelay(endpoint, value, now, connectionAge)
 }
 
-// delay tells whether the figure of a LOAD line looks like a delay. since is how long the
+// looksLikeDelay tells whether the figure of a LOAD line looks like a delay. since is how long the
 // connection has been up: the first that a server tells of a connection, at once,
 // is its load.
-func (n *notes) delay(server balancer.EndpointID, figure float64, now, since time.Duration) bool {
-	if since < freshFor || figure <= 0 || figure >= mostDelay {
+func (r *reportClassifier) looksLikeDelay(endpoint balancer.EndpointID, value float64, now, connectionAge time.Duration) bool {
+	if connectionAge < newConnectionPeriod || value <= 0 || value >= maxDelay {
 		return false
 	}
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.from == nil {
-		n.from = make(map[balancer.EndpointID]*beats)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byEndpoint == nil {
+		r.byEndpoint = make(map[balancer.EndpointID]*endpointReports)
 	}
-	b := n.from[server]
-	if b == nil || b.OnTime > 0 && now-b.LastAt > beatLife {
-		b = &beats{}
-		n.from[server] = b
+	reports := r.byEndpoint[endpoint]
+	if reports == nil || reports.OnTime > 0 && now-reports.LastAt > timingLifetime {
+		reports = &endpointReports{}
+		r.byEndpoint[endpoint] = reports
 	}
-	gap := now - b.LastAt
+	gap := now - reports.LastAt
 	switch {
 	// A load that falls on the beat by chance passed for a delay of 24 s, and had a
 	// sound server's connections moved: no delay grows that fast.
-	case b.OnTime > 0 && gap >= beat-beatSlack && min(gap%beat, beat-gap%beat) <= beatSlack &&
-		figure <= b.LastDelay+surgeMost*(gap+beatSlack).Seconds():
-	case b.OnTime > 1 && gap < beatRest:
+	case reports.OnTime > 0 && gap >= reportInterval-reportTolerance && min(gap%reportInterval, reportInterval-gap%reportInterval) <= reportTolerance &&
+		value <= reports.LastDelay+maxDelayGrowth*(gap+reportTolerance).Seconds():
+	case reports.OnTime > 1 && gap < missedReportsLimit:
 		return false
-	case figure < sureDelay:
-		b.OnTime = 0
-	case b.follows(figure, now):
+	case value < certainDelayBelow:
+		reports.OnTime = 0
+	case reports.followsGuess(value, now):
 	default:
-		if len(b.guesses) == guessMost {
-			b.guesses = slices.Delete(b.guesses, 0, 1)
+		if len(reports.guesses) == maxGuesses {
+			reports.guesses = slices.Delete(reports.guesses, 0, 1)
 		}
-		b.guesses = append(b.guesses, guess{now, figure})
+		reports.guesses = append(reports.guesses, guess{now, value})
 		return false
 	}
-	b.ReportTiming, b.guesses = ReportTiming{now, figure, b.OnTime + 1}, nil
+	reports.ReportTiming, reports.guesses = ReportTiming{now, value, reports.OnTime + 1}, nil
 	return true
 }
 
-// follows tells whether a figure follows one a second ago, as delays do.
-func (b *beats) follows(figure float64, now time.Duration) bool {
-	return slices.ContainsFunc(b.guesses, func(g guess) bool {
-		return (now-g.at-beat).Abs() <= beatSlack && math.Abs(figure-g.figure) <= growMost
+// followsGuess tells whether a figure follows one a second ago, as delays do.
+func (reports *endpointReports) followsGuess(value float64, now time.Duration) bool {
+	return slices.ContainsFunc(reports.guesses, func(g guess) bool {
+		return (now-g.at-reportInterval).Abs() <= reportTolerance && math.Abs(value-g.value) <= maxGuessChange
 	})
 }
--- a/internal/frontend/line/notes_test.go
+++ b/internal/frontend/line/notes_test.go
@@ -9,7 +9,7 @@
 
 // A day lost a third of its service as delays were booked as loads: the module
 // never heard of the slow server, and none of its connections were moved.
-func TestDelaysAreToldFromLoads(t *testing.T) {
+func TestDelaysAreDistinguishedFromLoads(t *testing.T) {
 	type told struct {
 		at     int // milliseconds
 		up     int // milliseconds since the connection came up
@@ -47,11 +47,11 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var n notes
-			for _, l := range lines {
-				now := time.Hour + time.Duration(l.at)*time.Millisecond
-				if got := n.delay(7, l.figure, now, time.Duration(l.up)*time.Millisecond); got != l.delay {
-					t.Errorf("at %d ms, %v: delay is %v", l.at, l.figure, got)
+			var classifier reportClassifier
+			for _, line := range lines {
+				now := time.Hour + time.Duration(line.at)*time.Millisecond
+				if got := classifier.looksLikeDelay(7, line.figure, now, time.Duration(line.up)*time.Millisecond); got != line.delay {
+					t.Errorf("at %d ms, %v: delay is %v", line.at, line.figure, got)
 				}
 			}
 		})
@@ -59,44 +59,44 @@
 }
 
 // Where the settings say that servers tell but one of the two, nothing is guessed.
-func TestSettingsTellWhatNotesAre(t *testing.T) {
-	for _, c := range []struct {
+func TestSettingsDecideReportKind(t *testing.T) {
+	for _, test := range []struct {
 		load, delay bool
 		figure      float64
 		want        bool
 	}{{true, false, 50, false}, {false, true, 5000, true}, {false, false, 50, false}, {true, true, 50, true}, {true, true, 5000, false}} {
-		n := &notes{}
-		got := n.isDelay(&balancer.Settings{ReportsLoad: c.load, ReportsDelay: c.delay}, 1, c.figure, time.Hour, time.Second)
-		if got != c.want {
-			t.Errorf("%+v: taken for a delay: %v", c, got)
+		classifier := &reportClassifier{}
+		got := classifier.isDelay(&balancer.Settings{ReportsLoad: test.load, ReportsDelay: test.delay}, 1, test.figure, time.Hour, time.Second)
+		if got != test.want {
+			t.Errorf("%+v: taken for a delay: %v", test, got)
 		}
 	}
 }
 
 // A process that goes on with what another knows takes the first delay for one.
-func TestBeatsAreTakenOver(t *testing.T) {
+func TestReportTimingIsRestored(t *testing.T) {
 	both := &balancer.Settings{ReportsLoad: true, ReportsDelay: true}
-	old, next := &notes{}, &notes{}
+	previous, next := &reportClassifier{}, &reportClassifier{}
 	for i := range 3 {
-		old.isDelay(both, 7, 400+float64(i), time.Hour+time.Duration(i)*beat, time.Second)
+		previous.isDelay(both, 7, 400+float64(i), time.Hour+time.Duration(i)*reportInterval, time.Second)
 	}
-	for id, b := range old.beatsOf() {
-		next.know(id, b)
+	for id, timing := range previous.snapshot() {
+		next.restore(id, timing)
 	}
-	if at := time.Hour + 3*beat; !next.isDelay(both, 7, 410, at, time.Second) || (&notes{}).isDelay(both, 7, 410, at, time.Second) {
+	if at := time.Hour + 3*reportInterval; !next.isDelay(both, 7, 410, at, time.Second) || (&reportClassifier{}).isDelay(both, 7, 410, at, time.Second) {
 		t.Error("the beat is not taken over, or goes without saying")
 	}
 }
 
-func TestServersBeatApart(t *testing.T) {
-	var n notes
+func TestReportTimingIsPerEndpoint(t *testing.T) {
+	var classifier reportClassifier
 	at := func(ms int) time.Duration { return time.Hour + time.Duration(ms)*time.Millisecond }
 	for i := range 3 {
-		if !n.delay(1, 50, at(1000*i), time.Second) || !n.delay(2, 50, at(1000*i+400), time.Second) {
+		if !classifier.looksLikeDelay(1, 50, at(1000*i), time.Second) || !classifier.looksLikeDelay(2, 50, at(1000*i+400), time.Second) {
 			t.Fatal("a delay was taken for a load")
 		}
 	}
-	if n.delay(1, 50, at(3400), time.Second) || !n.delay(2, 50, at(3400), time.Second) {
+	if classifier.looksLikeDelay(1, 50, at(3400), time.Second) || !classifier.looksLikeDelay(2, 50, at(3400), time.Second) {
 		t.Error("the beat of one server was held for another's")
 	}
 }
--- a/internal/frontend/line/parse.go
+++ b/internal/frontend/line/parse.go
@@ -10,155 +10,155 @@
 	"time"
 )
 
-// maxLine is the longest line allowed, with its end.
-const maxLine = 4 << 10
+// maxLineBytes is the longest line allowed, with its end.
+const maxLineBytes = 4 << 10
 
 // opening is the first line of a client.
 type opening struct {
-	id, key string
-	class   string
-	tenant  string // whose it is; "" if not told
-	wait    time.Duration
-	group   uint64
-	item    uint64
-	load    float64 // seconds of work a second; 0 if not told
-	back    bool    // moved or broken before
-	at      string  // the server that has it open
+	id, key      string
+	class        string
+	tenant       string // whose it is; "" if not told
+	timeout      time.Duration
+	group        uint64
+	item         uint64
+	load         float64 // seconds of work a second; 0 if not told
+	returning    bool    // moved or broken before
+	endpointName string  // the server that has it open
 
-	head, tail string // the line around the figure of d
+	beforeTimeout, afterTimeout string // the line around the figure of d
 }
 
-var errOpening = errors.New("the opening line makes no sense")
+var errMalformedOpening = errors.New("the opening line makes no sense")
 
 // parseOpening reads an opening line without its end.
 func parseOpening(text string) (opening, error) {
 	words := strings.Split(text, " ")
 	if len(words) != 4 || words[0] != "OPEN" || words[1] == "" {
-		return opening{}, errOpening
+		return opening{}, errMalformedOpening
 	}
-	o := opening{id: words[1], key: words[2]}
+	opened := opening{id: words[1], key: words[2]}
 	var err error
-	if o.item, err = strconv.ParseUint(o.key, 16, 64); err != nil {
-		return opening{}, errOpening
+	if opened.item, err = strconv.ParseUint(opened.key, 16, 64); err != nil {
+		return opening{}, errMalformedOpening
 	}
 	offset := len(text) - len(words[3])
 	for field := range strings.SplitSeq(words[3], ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return opening{}, errOpening
+			return opening{}, errMalformedOpening
 		}
 		switch name {
 		case "c":
-			o.class = value
+			opened.class = value
 		case "t":
-			o.tenant = value
+			opened.tenant = value
 		case "d":
-			ms, bad := strconv.ParseUint(value, 10, 31)
-			if bad != nil || o.head != "" {
-				return opening{}, errOpening
+			milliseconds, timeoutErr := strconv.ParseUint(value, 10, 31)
+			if timeoutErr != nil || opened.beforeTimeout != "" {
+				return opening{}, errMalformedOpening
 			}
-			o.wait = time.Duration(ms) * time.Millisecond
-			o.head, o.tail = text[:offset+2], text[offset+2+len(value):]
+			opened.timeout = time.Duration(milliseconds) * time.Millisecond
+			opened.beforeTimeout, opened.afterTimeout = text[:offset+2], text[offset+2+len(value):]
 		case "g":
-			o.group, err = strconv.ParseUint(value, 16, 64)
+			opened.group, err = strconv.ParseUint(value, 16, 64)
 		case "h":
-			var us float64
-			us, err = strconv.ParseFloat(value, 64)
-			if !(us >= 0 && us < 1e12) {
-				return opening{}, errOpening
+			var microseconds float64
+			microseconds, err = strconv.ParseFloat(value, 64)
+			if !(microseconds >= 0 && microseconds < 1e12) {
+				return opening{}, errMalformedOpening
 			}
-			o.load = us / 1e6
+			opened.load = microseconds / 1e6
 		case "again":
-			o.back = value == "1"
+			opened.returning = value == "1"
 		case "at":
-			o.at = value
+			opened.endpointName = value
 		}
 		if err != nil {
-			return opening{}, errOpening
+			return opening{}, errMalformedOpening
 		}
 		offset += len(field) + 1
 	}
-	if o.class == "" || o.head == "" {
-		return opening{}, errOpening
+	if opened.class == "" || opened.beforeTimeout == "" {
+		return opening{}, errMalformedOpening
 	}
-	return o, nil
+	return opened, nil
 }
 
-// with is the line, with its end, that tells a server how long the relay waits;
+// withTimeout is the line, with its end, that tells a server how long the relay waits;
 // all else is as the client said it.
-func (o opening) with(wait time.Duration) []byte {
-	return append(strconv.AppendInt([]byte(o.head), max(1, wait.Milliseconds()), 10), o.tail+"\r\n"...)
+func (opened opening) withTimeout(timeout time.Duration) []byte {
+	return append(strconv.AppendInt([]byte(opened.beforeTimeout), max(1, timeout.Milliseconds()), 10), opened.afterTimeout+"\r\n"...)
 }
 
-// busy is the unavailable answer, with when to come back if that is known.
-func busy(comeBack time.Duration) string {
-	if comeBack < time.Millisecond {
+// busyLine is the unavailable answer, with when to come back if that is known.
+func busyLine(retryAfter time.Duration) string {
+	if retryAfter < time.Millisecond {
 		return "BUSY\r\n"
 	}
-	return "BUSY " + strconv.FormatInt(comeBack.Milliseconds(), 10) + "\r\n"
+	return "BUSY " + strconv.FormatInt(retryAfter.Milliseconds(), 10) + "\r\n"
 }
 
-// word is what a line of a server means to the relay.
-type word uint8
+// lineKind is what a line of a server means to the relay.
+type lineKind uint8
 
 const (
-	wordOther word = iota
-	wordUp
-	wordBusy
-	wordErr
-	wordBye
-	wordMove
-	wordLoad
+	lineOther lineKind = iota
+	lineUp
+	lineBusy
+	lineErr
+	lineBye
+	lineMove
+	lineLoad
 )
 
-// parseWord reads a line of a server, with or without its end, and the figure
+// parseLine reads a line of a server, with or without its end, and the figure
 // of a LOAD.
-func parseWord(text []byte) (word, float64) {
+func parseLine(text []byte) (lineKind, float64) {
 	text = bytes.TrimRight(text, "\r\n")
 	name, rest, _ := bytes.Cut(text, []byte{' '})
 	switch string(name) {
 	case "UP":
-		return wordUp, 0
+		return lineUp, 0
 	case "BUSY":
-		return wordBusy, 0
+		return lineBusy, 0
 	case "ERR":
-		return wordErr, 0
+		return lineErr, 0
 	case "BYE":
-		return wordBye, 0
+		return lineBye, 0
 	case "MOVE":
-		return wordMove, 0
+		return lineMove, 0
 	case "LOAD":
-		if x, err := strconv.ParseFloat(string(rest), 64); err == nil && x >= 0 && x < 1e12 {
-			return wordLoad, x
+		if value, err := strconv.ParseFloat(string(rest), 64); err == nil && value >= 0 && value < 1e12 {
+			return lineLoad, value
 		}
 	}
-	return wordOther, 0
+	return lineOther, 0
 }
 
-// splitter cuts a stream of bytes into lines as it passes by.
-type splitter struct {
-	part []byte // of the line that has not ended yet; its start if it is too long
-	long bool   // the line is over maxLine
+// lineSplitter cuts a stream of bytes into lines as it passes by.
+type lineSplitter struct {
+	partial []byte // of the line that has not ended yet; its start if it is too long
+	tooLong bool   // the line is over maxLine
 }
 
 // feed takes the next bytes and calls line for each that ends in them, with its
 // end. A line that is too long is passed over.
-func (s *splitter) feed(b []byte, line func([]byte)) {
-	for len(b) > 0 {
-		i := bytes.IndexByte(b, '\n')
-		if i < 0 {
-			s.keep(b)
+func (s *lineSplitter) feed(data []byte, line func([]byte)) {
+	for len(data) > 0 {
+		newline := bytes.IndexByte(data, '\n')
+		if newline < 0 {
+			s.appendPartial(data)
 			return
 		}
-		if s.keep(b[:i+1]); !s.long {
-			line(s.part)
+		if s.appendPartial(data[:newline+1]); !s.tooLong {
+			line(s.partial)
 		}
-		s.part, s.long, b = s.part[:0], false, b[i+1:]
+		s.partial, s.tooLong, data = s.partial[:0], false, data[newline+1:]
 	}
 }
 
-func (s *splitter) keep(b []byte) {
-	if s.long = s.long || len(s.part)+len(b) > maxLine; !s.long {
-		s.part = append(s.part, b...)
+func (s *lineSplitter) appendPartial(data []byte) {
+	if s.tooLong = s.tooLong || len(s.partial)+len(data) > maxLineBytes; !s.tooLong {
+		s.partial = append(s.partial, data...)
 	}
 }
--- a/internal/frontend/line/reader.go
+++ b/internal/frontend/line/reader.go
@@ -9,88 +9,88 @@
 	"syscall"
 )
 
-// buffers are lent to readers while there are bytes in them.
-var buffers = sync.Pool{New: func() any { return new([maxLine]byte) }}
+// bufferPool are lent to readers while there are bytes in them.
+var bufferPool = sync.Pool{New: func() any { return new([maxLineBytes]byte) }}
 
 // reader reads a connection. It holds a buffer only while there are bytes in it: a read that waits, as nearly all do of ten
 // thousand connections that stand, holds none. One goroutine at a time uses it.
 type reader struct {
-	raw      syscall.RawConn
-	buf      *[maxLine]byte // nil while nothing is held
-	from, to int            // what has come and was not taken yet
-	err      error          // raw's own
+	raw        syscall.RawConn
+	buffer     *[maxLineBytes]byte // nil while nothing is held
+	start, end int                 // what has come and was not taken yet
+	rawErr     error               // raw's own
 }
 
 func newReader(c *net.TCPConn) *reader {
 	raw, err := c.SyscallConn()
-	return &reader{raw: raw, err: err}
+	return &reader{raw: raw, rawErr: err}
 }
 
-// letGo gives an empty buffer back.
-func (r *reader) letGo() {
-	if r.buf != nil && r.from == r.to {
-		buffers.Put(r.buf)
-		r.buf, r.from, r.to = nil, 0, 0
+// releaseBuffer gives an empty buffer back.
+func (r *reader) releaseBuffer() {
+	if r.buffer != nil && r.start == r.end {
+		bufferPool.Put(r.buffer)
+		r.buffer, r.start, r.end = nil, 0, 0
 	}
 }
 
 // fill waits for more and appends it to what is there. It fails with bufio.ErrBufferFull where there is no room, and as a read does.
 func (r *reader) fill() error {
-	if r.err != nil {
-		return r.err
+	if r.rawErr != nil {
+		return r.rawErr
 	}
-	if r.from == r.to {
-		r.from, r.to = 0, 0
+	if r.start == r.end {
+		r.start, r.end = 0, 0
 	}
-	if r.buf != nil && r.to == len(r.buf) {
-		if r.from == 0 {
+	if r.buffer != nil && r.end == len(r.buffer) {
+		if r.start == 0 {
 			return bufio.ErrBufferFull
 		}
-		r.to = copy(r.buf[:], r.buf[r.from:r.to])
-		r.from = 0
+		r.end = copy(r.buffer[:], r.buffer[r.start:r.end])
+		r.start = 0
 	}
-	var n int
-	var failed error
+	var count int
+	var readErr error
 	err := r.raw.Read(func(fd uintptr) bool {
-		if r.buf == nil {
-			r.buf = buffers.Get().(*[maxLine]byte)
+		if r.buffer == nil {
+			r.buffer = bufferPool.Get().(*[maxLineBytes]byte)
 		}
 		for {
-			if n, failed = syscall.Read(int(fd), r.buf[r.to:]); failed != syscall.EINTR {
+			if count, readErr = syscall.Read(int(fd), r.buffer[r.end:]); readErr != syscall.EINTR {
 				break
 			}
 		}
-		if failed == syscall.EAGAIN {
-			r.letGo()
+		if readErr == syscall.EAGAIN {
+			r.releaseBuffer()
 			return false
 		}
 		return true
 	})
 	switch {
-	case err == nil && failed == nil && n > 0:
-		r.to += n
+	case err == nil && readErr == nil && count > 0:
+		r.end += count
 		return nil
-	case err == nil && failed == nil:
+	case err == nil && readErr == nil:
 		err = io.EOF
 	case err == nil:
-		err = failed
+		err = readErr
 	}
-	r.letGo()
+	r.releaseBuffer()
 	return err
 }
 
 // line returns the next line with its end, which is good until the next call. It fails with bufio.ErrBufferFull if that is too long, and
 // as a read does.
 func (r *reader) line() ([]byte, error) {
-	for looked := 0; ; {
-		if r.buf != nil {
-			if i := bytes.IndexByte(r.buf[r.from+looked:r.to], '\n'); i >= 0 {
-				text := r.buf[r.from : r.from+looked+i+1]
-				r.from += looked + i + 1
+	for searched := 0; ; {
+		if r.buffer != nil {
+			if newline := bytes.IndexByte(r.buffer[r.start+searched:r.end], '\n'); newline >= 0 {
+				text := r.buffer[r.start : r.start+searched+newline+1]
+				r.start += searched + newline + 1
 				return text, nil
 			}
 		}
-		looked = r.to - r.from
+		searched = r.end - r.start
 		if err := r.fill(); err != nil {
 			return nil, err
 		}
@@ -99,15 +99,15 @@
 
 // next returns all that has come, at least a byte, which is good until the next call.
 func (r *reader) next() ([]byte, error) {
-	if r.from == r.to {
+	if r.start == r.end {
 		if err := r.fill(); err != nil {
 			return nil, err
 		}
 	}
-	b := r.buf[r.from:r.to]
-	r.from = r.to
-	return b, nil
+	data := r.buffer[r.start:r.end]
+	r.start = r.end
+	return data, nil
 }
 
-// Buffered is how many bytes have come and were not taken.
-func (r *reader) Buffered() int { return r.to - r.from }
+// buffered is how many bytes have come and were not taken.
+func (r *reader) buffered() int { return r.end - r.start }
--- a/internal/frontend/line/reader_test.go
+++ b/internal/frontend/line/reader_test.go
@@ -15,11 +15,11 @@
 	"lockroad/internal/testutil"
 )
 
-// rest takes all that comes until the end.
-func rest(r *reader) (all []byte, err error) {
+// readAll takes all that comes until the end.
+func readAll(r *reader) (all []byte, err error) {
 	for {
-		b, err := r.next()
-		if all = append(all, b...); errors.Is(err, io.EOF) {
+		data, err := r.next()
+		if all = append(all, data...); errors.Is(err, io.EOF) {
 			return all, nil
 		}
 		if err != nil {
@@ -29,50 +29,50 @@
 }
 
 // Lines come whole however they were cut, and what follows them with the next call; a reader that waits holds no buffer.
-func TestReaderTakesWhatComes(t *testing.T) {
+func TestReaderReturnsLinesAndRemainder(t *testing.T) {
 	const text = "one\r\ntwo\nthe rest"
 	for cut := range len(text) {
-		here, there := pair(t)
-		r := newReader(here)
+		near, far := connectionPair(t)
+		r := newReader(near)
 		go func() {
-			io.WriteString(there, text[:cut])
-			io.WriteString(there, text[cut:])
-			there.CloseWrite()
+			io.WriteString(far, text[:cut])
+			io.WriteString(far, text[cut:])
+			far.CloseWrite()
 		}()
 		for _, want := range []string{"one\r\n", "two\n"} {
 			if got, err := r.line(); err != nil || string(got) != want {
 				t.Fatalf("cut at %d: %q, %v, want %q", cut, got, err, want)
 			}
 		}
-		if got, err := rest(r); err != nil || string(got) != "the rest" {
+		if got, err := readAll(r); err != nil || string(got) != "the rest" {
 			t.Fatalf("cut at %d: %q, %v", cut, got, err)
 		}
-		if r.buf != nil {
+		if r.buffer != nil {
 			t.Fatalf("cut at %d: a buffer is held at the end", cut)
 		}
 	}
-	here, there := pair(t)
-	r := newReader(here)
-	here.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if _, err := r.next(); !errors.Is(err, os.ErrDeadlineExceeded) || r.buf != nil {
-		t.Errorf("%v, holding %v", err, r.buf != nil)
+	near, far := connectionPair(t)
+	r := newReader(near)
+	near.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+	if _, err := r.next(); !errors.Is(err, os.ErrDeadlineExceeded) || r.buffer != nil {
+		t.Errorf("%v, holding %v", err, r.buffer != nil)
 	}
-	here.SetReadDeadline(time.Time{})
+	near.SetReadDeadline(time.Time{})
 	for range 2 { // what does not end in maxLine is no line, and stays to be taken
-		io.WriteString(there, strings.Repeat("x", maxLine))
-		if _, err := r.line(); !errors.Is(err, bufio.ErrBufferFull) || r.Buffered() != maxLine {
-			t.Errorf("%v, %d buffered", err, r.Buffered())
+		io.WriteString(far, strings.Repeat("x", maxLineBytes))
+		if _, err := r.line(); !errors.Is(err, bufio.ErrBufferFull) || r.buffered() != maxLineBytes {
+			t.Errorf("%v, %d buffered", err, r.buffered())
 		}
-		if b, err := r.next(); err != nil || len(b) != maxLine {
-			t.Errorf("%d bytes, %v", len(b), err)
+		if data, err := r.next(); err != nil || len(data) != maxLineBytes {
+			t.Errorf("%d bytes, %v", len(data), err)
 		}
 	}
-	there.SetLinger(0)
-	there.Close()
+	far.SetLinger(0)
+	far.Close()
 	if _, err := r.next(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a reset is told as %v", err)
 	}
-	here.Close()
+	near.Close()
 	if _, err := r.next(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("a close here is told as %v", err)
 	}
@@ -82,37 +82,37 @@
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("a\nbc\r\nd"), []byte{0, 1, 2, 3, 0, 1, 2})
 	f.Fuzz(func(t *testing.T, text, choices []byte) {
-		here, there := pair(t)
-		r := newReader(here)
+		near, far := connectionPair(t)
+		r := newReader(near)
 		go func() {
-			s := testutil.New(choices)
+			source := testutil.New(choices)
 			for left := text; len(left) > 0; {
 				var part []byte
-				part, left = s.Cut(left)
-				_, _ = there.Write(part)
+				part, left = source.Cut(left)
+				_, _ = far.Write(part)
 			}
-			there.CloseWrite()
+			far.CloseWrite()
 		}()
 		var got []byte
-		s := testutil.New(choices)
+		source := testutil.New(choices)
 		for {
-			var b []byte
+			var data []byte
 			var err error
-			switch s.Pick(2) {
+			switch source.Pick(2) {
 			case 0:
-				b, err = r.line()
+				data, err = r.line()
 				if errors.Is(err, bufio.ErrBufferFull) {
-					b, err = r.next()
+					data, err = r.next()
 				}
 			case 1:
-				b, err = r.next()
+				data, err = r.next()
 			}
-			got = append(got, b...)
+			got = append(got, data...)
 			if err != nil {
 				break
 			}
 		}
-		last, _ := rest(r) // a line that does not end
+		last, _ := readAll(r) // a line that does not end
 		if got = append(got, last...); !bytes.Equal(got, text) {
 			t.Errorf("%q came as %q", text, got)
 		}
