--- a/internal/frontend/line/client_test.go
+++ b/internal/frontend/line/client_test.go
@@ -30,9 +30,9 @@
 	return accepted.(*net.TCPConn), client.(*net.TCPConn)
 }
 
-// A client's connection is open, then moving once it is told to while a line is
-// written in part, then over. Random steps are checked against that: MOVE comes
-// once, between two lines, and nothing comes after it.
+// A client's connection is open, then migrating once it is asked to while a line is partly
+// written, then over. Random steps are checked against that model: MOVE comes once, between
+// two lines, and nothing comes after it.
 func FuzzMigrationComesBetweenLines(f *testing.F) {
 	f.Add([]byte("UP r\r\nM 1 abc\r\n"), []byte{4, 0, 9, 1, 3})
 	f.Add([]byte("UP r\r\nM 1 abc\r\nM 2 def\r\n"), []byte{2, 1, 0, 7, 0, 0})
@@ -55,7 +55,7 @@
 					break
 				}
 				go func() { client.writeLastLine(migrateLine); close(ended) }()
-				for requested := false; !requested; { // until the request to move has come in
+				for requested := false; !requested; { // until the request to migrate has come in
 					client.mu.Lock()
 					requested = client.migrated != nil
 					client.mu.Unlock()
--- a/internal/frontend/line/front_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -19,7 +19,7 @@
 	"lockroad/internal/testutil"
 )
 
-// environment is a front with one application server, whose end the test holds.
+// environment is a frontend with one endpoint, which the test plays.
 type environment struct {
 	t               *testing.T
 	proxy           *proxy.Proxy
@@ -63,7 +63,7 @@
 	return env
 }
 
-// peer is a side of a connection that the test holds.
+// peer is the test's end of a connection.
 type peer struct {
 	*net.TCPConn
 	reader *bufio.Reader
@@ -90,12 +90,12 @@
 	}
 }
 
-// expectEnd waits for the connection's end: by the other side's close, or broken.
-func (p *peer) expectEnd(broken bool) {
+// expectEnd waits for the connection's end: by the other side's close, or by a reset.
+func (p *peer) expectEnd(reset bool) {
 	p.t.Helper()
 	rest, err := io.ReadAll(p.reader)
-	if len(rest) > 0 || broken != errors.Is(err, syscall.ECONNRESET) {
-		p.t.Fatalf("the end came after %q with %v", rest, err)
+	if len(rest) > 0 || reset != errors.Is(err, syscall.ECONNRESET) {
+		p.t.Fatalf("the connection ended after %q with %v", rest, err)
 	}
 }
 
@@ -103,7 +103,7 @@
 
 const openingFormat = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,d=%d,g=5c0f6e1a2b3d4c59,x=y\r\n"
 
-// establish has a client up at the server.
+// establish returns both ends of an established request.
 func (env *environment) establish() (client, endpoint *peer) {
 	env.t.Helper()
 	client = env.client()
@@ -112,7 +112,7 @@
 	text, err := endpoint.reader.ReadString('\n')
 	var milliseconds int
 	if _, scan := fmt.Sscanf(text, openingFormat, &milliseconds); err != nil || scan != nil || milliseconds > 4000 || text != fmt.Sprintf(openingFormat, milliseconds) {
-		env.t.Fatalf("the server was told %q, %v", text, errors.Join(err, scan))
+		env.t.Fatalf("the endpoint was sent %q, %v", text, errors.Join(err, scan))
 	}
 	endpoint.send("UP receipt of 7\r\n")
 	client.expect("UP receipt of 7\r\n")
@@ -127,7 +127,7 @@
 		go endpoint.send(text)
 		client.expect(text)
 	}
-	// Not even half a line is held back.
+	// Not even half a line is delayed.
 	endpoint.send("half a li")
 	client.expect("half a li")
 	endpoint.send("ne\r\nBYE\r\n")
@@ -146,19 +146,19 @@
 		endpoint.Close()
 		client.expectEnd(false)
 	})
-	t.Run("the client breaks", func(t *testing.T) {
+	t.Run("the client resets", func(t *testing.T) {
 		client, endpoint := newEnvironment(t, 8).establish()
 		client.SetLinger(0)
 		client.Close()
 		endpoint.expectEnd(true)
 	})
-	t.Run("the server breaks", func(t *testing.T) {
+	t.Run("the endpoint resets", func(t *testing.T) {
 		client, endpoint := newEnvironment(t, 8).establish()
 		endpoint.SetLinger(0)
 		endpoint.Close()
 		client.expectEnd(true)
 	})
-	t.Run("the server closes", func(t *testing.T) {
+	t.Run("the endpoint closes", func(t *testing.T) {
 		client, endpoint := newEnvironment(t, 8).establish()
 		endpoint.Close()
 		client.expectEnd(false)
@@ -177,7 +177,7 @@
 	endpoint.expectEnd(false)
 }
 
-// A line may come in pieces, with time between them.
+// The rest of a line may come late.
 func TestMigrationWaitsForRestOfLine(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t, 8)
@@ -204,11 +204,11 @@
 		client.expectEnd(false)
 	}
 	if count := env.proxy.Counters.ProtocolErrors.Load(); count != 4 {
-		t.Errorf("%d bad openings were counted, want 4", count)
+		t.Errorf("%d protocol errors were counted, want 4", count)
 	}
 }
 
-// Where the settings name tenants an opening has to name one of them; the server hears of it as the client said it.
+// Where the settings name tenants an opening has to name one of them; the endpoint is sent it as the client wrote it.
 func TestOpeningMustNameConfiguredTenant(t *testing.T) {
 	env := newEnvironment(t, 8)
 	settings := *env.proxy.Settings()
@@ -224,17 +224,17 @@
 	client.send("OPEN 1 2 c=page,t=cedar,d=4000\r\n")
 	endpoint := env.peer(env.endpoint.Accept())
 	if text, err := endpoint.reader.ReadString('\n'); err != nil || !strings.HasPrefix(text, "OPEN 1 2 c=page,t=cedar,d=") {
-		t.Errorf("the server was told %q, %v", text, err)
+		t.Errorf("the endpoint was sent %q, %v", text, err)
 	}
 	endpoint.send("UP x\r\n")
 	client.expect("UP x\r\n")
 }
 
-// A client that is shown out as its opening comes is told so: closing over what has come would reset its connection.
+// A client that is evicted as its opening comes is rejected: closing with the opening unread would reset its connection.
 func TestEvictedClientReadsItsRejection(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client := env.peer(net.Dial("tcp", env.endpoint.Addr().String()))
-	accepted := env.peer(env.endpoint.Accept()) // nobody reads there
+	accepted := env.peer(env.endpoint.Accept()) // which nobody reads
 	opening := fmt.Sprintf(openingFormat, 4000)
 	client.send(opening)
 	testutil.Unread(t, accepted.TCPConn, len(opening))
@@ -249,18 +249,18 @@
 	client.expect("PONG\r\nPONG\r\n")
 }
 
-// Past its seats a relay has to turn clients away, and so that they can read it:
-// closing with their opening unread would reset the connection.
+// Beyond its connection limit a relay rejects clients, and so that they can read it: closing
+// with their opening unread would reset the connection.
 func TestClientsBeyondConnectionLimitAreRejected(t *testing.T) {
 	env := newEnvironment(t, 1)
 	env.establish()
 	client := env.client()
 	client.send("OPEN a1 7f3a9c21e0b4d655 c=page,d=4000\r\n")
-	client.expect("BUSY 100\r\n") // the module's advice where a server takes work
+	client.expect("BUSY 100\r\n") // the balancer's retry-after where an endpoint takes work
 	client.expectEnd(false)
 }
 
-// A client may ask whether the relay is there, but not without end.
+// A client may ask whether the relay is there, but only so often.
 func TestPingsAreBounded(t *testing.T) {
 	client := newEnvironment(t, 8).client()
 	client.send(strings.Repeat("PING\r\n", 300))
@@ -268,30 +268,30 @@
 	client.expectEnd(false)
 }
 
-// A client that writes its opening in pieces while the relay ends is told to come again: closed without a word, what it
-// has said by then would be lost.
+// A client that writes its opening in pieces while the relay shuts down is rejected: closed without an answer, what it
+// has sent by then would be lost.
 func TestPartialOpeningIsRejectedAtShutdown(t *testing.T) {
 	env := newEnvironment(t, 4)
 	c := env.client()
 	c.send("PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21")
-	c.expect("PONG\r\n") // it is being read
+	c.expect("PONG\r\n") // the opening is being read
 	began := time.Now()
 	env.proxy.RejectPending()
 	c.expect("BUSY\r\n")
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("answered after %v", took)
 	}
-	c.send("e0b4d655 c=page,d=1500\r\n") // which is read, lest the answer is lost to a reset
+	c.send("e0b4d655 c=page,d=1500\r\n") // which is read: else a reset could overtake the answer
 	c.CloseWrite()
 	c.expectEnd(false)
-	// Who still comes to the point is answered as one that waits.
+	// A complete opening is rejected like a pending request.
 	c = env.client()
 	c.send(fmt.Sprintf(openingFormat, 4000))
 	c.expect("BUSY\r\n")
 }
 
-// A connection from before the start whose server drains by then is up again, and moves: the module may have it move in the
-// very turn in which it takes it up.
+// A connection from before the start whose endpoint drains by then is established again, and migrates: the balancer may
+// migrate it in the same turn in which it takes it up.
 func TestReturningConnectionMigratesOffDrainingEndpoint(t *testing.T) {
 	env := newEnvironment(t, 8)
 	env.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: env.proxy.Endpoints.ID("s-1"), State: balancer.StateDraining, Weight: 1}},
@@ -300,7 +300,7 @@
 	client.send(strings.Replace(fmt.Sprintf(openingFormat, 4000), "\r\n", ",at=s-1\r\n", 1))
 	endpoint := env.peer(env.endpoint.Accept())
 	if text, err := endpoint.reader.ReadString('\n'); err != nil || !strings.Contains(text, "at=s-1") {
-		t.Fatalf("the server was told %q, %v", text, err)
+		t.Fatalf("the endpoint was sent %q, %v", text, err)
 	}
 	endpoint.send("UP receipt of 7\r\n")
 	client.expect("UP receipt of 7\r\nMOVE\r\n")
--- a/internal/frontend/line/carry.go
+++ b/internal/frontend/line/handoff.go
@@ -6,7 +6,6 @@
 	"errors"
 	"net"
 	"os"
-	"sync"
 	"syscall"
 	"time"
 
@@ -15,72 +14,41 @@
 	"lockroad/internal/proxy"
 )
 
-// This file carries a transaction that stands from one process of a relay to the next:
-// its two sockets, and what of the lines on them is under way.
+// This file hands an established request off from one process of a relay to the next: its
+// two sockets, and the incomplete lines on them.
 
-// pauseTimeout is how long both sides may take to come to a halt between two reads.
+// pauseTimeout is how long both directions may take to pause between two reads.
 const pauseTimeout = 300 * time.Millisecond
 
-// pastDeadline is a deadline that ends a read at once.
+// pastDeadline is a read deadline that ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// direction is one way of a transaction.
-type direction struct {
-	splitter lineSplitter
-	stopOnce sync.Once
-	stopped  chan struct{}
-	paused   bool // at a halt between two reads, with nothing read and not passed on; known once stopped
-}
-
-func newDirection(splitter lineSplitter) *direction {
-	return &direction{splitter: splitter, stopped: make(chan struct{})}
-}
-
-// stop notes that nothing passes on the lane any more, or that it is parked. Only the first
-// call counts.
-func (d *direction) stop(parked bool) {
-	d.stopOnce.Do(func() {
-		d.paused = parked
-		close(d.stopped)
-	})
-}
-
-// waitPaused tells whether the lane comes to a halt before a time.
-func (d *direction) waitPaused(timeout <-chan time.Time) bool {
-	select {
-	case <-d.stopped:
-		return d.paused
-	case <-timeout:
-		return false
-	}
-}
-
-// endedByPause tells whether a read was ended to park the transaction, now or a moment ago: a
-// time-out that was set for that is seen late at times, after it was resumed, and taken for
-// the server's end it had the client's connection broken off.
+// endedByPause reports whether a read was ended to pause the exchange, now or shortly before:
+// the deadline may be seen late, after the exchange has been resumed, and was then taken for
+// the endpoint's end, which reset the client's connection.
 func (x *exchange) endedByPause(err error) bool {
 	return x.pausing.Load() && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Resolve notes whether another process carries the transaction on. Only the first call
-// counts; it tells what that said.
-func (x *exchange) Resolve(handed bool) bool {
+// Resolve records whether another process serves the request from now on. Only the first
+// call counts, and Resolve returns what that said.
+func (x *exchange) Resolve(handedOff bool) bool {
 	x.resolveOnce.Do(func() {
-		x.handedOff = handed
+		x.handedOff = handedOff
 		client := x.client
 		client.mu.Lock()
-		client.lastLineWritten = client.lastLineWritten || handed
+		client.lastLineWritten = client.lastLineWritten || handedOff
 		client.mu.Unlock()
-		if x.pausing.Load() && !handed {
-			client.SetReadDeadline(time.Time{}) // its leave is read again
+		if x.pausing.Load() && !handedOff {
+			client.SetReadDeadline(time.Time{}) // the client's end is read again
 		}
 		close(x.resolved)
 	})
 	return x.handedOff
 }
 
-// drainClient reads what the client still says after its last line, unless it is another
-// process's by then.
+// drainClient discards what the client still sends after its last line, unless another
+// process serves it by then.
 func (x *exchange) drainClient() {
 	if x.pausing.Load() {
 		if <-x.resolved; x.handedOff {
@@ -91,25 +59,34 @@
 	x.client.drain()
 }
 
-// partialLine is a line that has not ended yet.
+// partialLine is the encoded form of a line that has not ended yet.
 type partialLine struct {
 	Text    []byte `json:"Text,omitempty"`
 	TooLong bool   `json:"Long,omitempty"`
 }
 
+// partialLine returns the line that has not ended yet.
+func (s *lineSplitter) partialLine() partialLine {
+	return partialLine{Text: s.partial, TooLong: s.tooLong}
+}
+
+// splitter returns a splitter that goes on within the line.
 func (p partialLine) splitter() lineSplitter {
 	return lineSplitter{partial: p.Text, tooLong: p.TooLong}
 }
 
-// connectionState is what another process needs beside the sockets.
+// connectionState is what the next process needs beside the sockets. Its encoding is part
+// of the messages between two processes: the tags must not change.
 type connectionState struct {
-	MidLine    bool        `json:"Mid"` // a line to the client is written in part
+	MidLine    bool        `json:"Mid"` // a line to the client is partly written
 	ToEndpoint partialLine `json:"Up"`
 	ToClient   partialLine `json:"Down"`
 }
 
-// Pause brings both ways to a halt.
-func (x *exchange) Pause() (wire any, sockets []syscall.Conn, ok bool) {
+// Pause stops both directions between two reads, and returns the state and the sockets that
+// the next process needs: the client's, then the endpoint's. If that fails, the exchange goes
+// on by itself. Nothing is written to the client until Resolve.
+func (x *exchange) Pause() (state any, sockets []syscall.Conn, ok bool) {
 	defer func() {
 		if !ok {
 			x.resumeUpstream()
@@ -125,19 +102,21 @@
 	}
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	if client.lastLineWritten { // its server has said its last line
+	if client.lastLineWritten { // the endpoint has sent its last line
 		return nil, nil, false
 	}
 	client.writeHold = x.resolved
 	return connectionState{
-		MidLine: client.midLine, ToEndpoint: partialLine{x.toEndpoint.splitter.partial, x.toEndpoint.splitter.tooLong}, ToClient: partialLine{x.toClient.splitter.partial, x.toClient.splitter.tooLong},
+		MidLine:    client.midLine,
+		ToEndpoint: x.toEndpoint.splitter.partialLine(),
+		ToClient:   x.toClient.splitter.partialLine(),
 	}, []syscall.Conn{client.TCPConn, x.upstream.TCPConn}, true
 }
 
-// resumeUpstream lets what the server says pass on again. It guards against a client that has just
-// ended its half: its server's last line is on its way, and at a halt it would be moved.
+// resumeUpstream relays the endpoint's data again after a pause that failed. A client that has
+// just ended its half would otherwise be migrated while its endpoint's last line is on its way.
 func (x *exchange) resumeUpstream() {
-	x.client.SetReadDeadline(time.Time{}) // what it says after its last line is read to its end
+	x.client.SetReadDeadline(time.Time{}) // what it sends after its last line is read to its end
 	var deadline time.Time
 	if x.clientEnded.Load() {
 		deadline = time.Now().Add(endpointCloseTimeout)
@@ -146,16 +125,19 @@
 	close(x.resumed)
 }
 
-// ReportTimings returns what is known of the times at which servers tell delays.
+// ReportTimings returns what is known of the times at which endpoints report delays. Any
+// goroutine may call it.
 func (f *Frontend) ReportTimings() map[balancer.EndpointID]ReportTiming { return f.reports.snapshot() }
 
-// RestoreTiming takes over what another process knows of the times at which a server tells delays.
+// RestoreTiming restores what another process knew of the times at which an endpoint reports
+// delays. Any goroutine may call it.
 func (f *Frontend) RestoreTiming(id balancer.EndpointID, timing ReportTiming) {
 	f.reports.restore(id, timing)
 }
 
-// Adopt prepares to carry on a transaction that another process of this relay has handed
-// over. What it returns does so, to its end.
+// Adopt prepares to serve a request that another process of this relay has handed off, with
+// the sockets that Pause returned there. The function that it returns serves the request to
+// its end; the caller runs it on a goroutine of its own.
 func (f *Frontend) Adopt(ctx context.Context, request *proxy.EstablishedRequest, sockets []net.Conn) (serve func(), err error) {
 	var state connectionState
 	if err := json.Unmarshal(request.FrontendState, &state); err != nil {
@@ -165,8 +147,8 @@
 		return nil, errors.New("a transaction has two sockets")
 	}
 	conn, ok := sockets[0].(*net.TCPConn)
-	server, serverOK := sockets[1].(*net.TCPConn)
-	if !ok || !serverOK {
+	endpoint, endpointOK := sockets[1].(*net.TCPConn)
+	if !ok || !endpointOK {
 		return nil, errors.New("the sockets are not TCP's")
 	}
 	client := newClientConn(conn)
@@ -179,14 +161,14 @@
 		Settings: settings, Class: settings.ClassIndex(request.Class), Item: request.Item, Group: request.Group, ExpectedLoad: request.Load, Returning: request.Returning,
 	}}
 	id, _ := f.Proxy.Endpoints.Lookup(request.Endpoint)
-	upstream := newUpstreamConn(server, id)
+	upstream := newUpstreamConn(endpoint, id)
 	return func() {
 		adopted := f.Limiter.Adopt(func(admission *listener.Admission) {
 			defer client.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			f.serveExchange(ctx, x, admission, adoptedRequest, func(ctx context.Context) { f.Proxy.Adopt(ctx, request, adoptedRequest, x, upstream) })
 		})
-		if !adopted { // this process is closing itself
+		if !adopted { // this process is shutting down itself
 			client.writeLastLine(migrateLine)
 			upstream.Close()
 			client.Close()
--- a/internal/frontend/line/carry_test.go
+++ b/internal/frontend/line/handoff_test.go
@@ -17,8 +17,8 @@
 	"lockroad/internal/testutil"
 )
 
-// successor is another process's front for what a site hands over: the same sockets by
-// descriptors of its own, as a Unix socket would bring them.
+// successor is the next process's frontend for what an environment hands off: the same sockets
+// by descriptors of its own, as a Unix socket would bring them.
 func (env *environment) successor(observers ...proxy.Observer) (*environment, proxy.HandoffFunc) {
 	next := newEnvironment(env.t, 8, observers...)
 	return next, func(what any, sockets ...syscall.Conn) error {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A transaction is handed over with the lines on both sides cut at every byte: not a byte
-// is lost, doubled or held back, and the new process moves it between two lines.
+// A request is handed off with the lines in both directions cut at every byte: no byte is
+// lost, doubled or delayed, and the next process migrates it between two lines.
 func TestHandoffInsideALineLosesNoByte(t *testing.T) {
 	const said, echo = "N 7 word\r\n", "M 1 2 word\r\n"
 	for cut := range len(said) {
@@ -69,7 +69,7 @@
 		client.expect(echo[:cut])
 		next, handOff := env.successor()
 		env.proxy.HandOffAll(handOff, time.Millisecond)
-		testutil.Until(t, "it is not handed over", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 && env.proxy.Requests.Len() == 0 })
+		testutil.Until(t, "the request is not handed off", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 && env.proxy.Requests.Len() == 0 })
 		client.send(said[cut:] + said)
 		endpoint.expect(said[cut:] + said)
 		endpoint.send(echo[cut:] + echo + "half")
@@ -81,7 +81,7 @@
 	}
 }
 
-// requestRecorder tells what each transaction that begins has asked for.
+// requestRecorder is an observer that sends on each request that begins.
 type requestRecorder chan proxy.Request
 
 func (a requestRecorder) Began(_ uint64, ask proxy.Request) proxy.RequestObserver {
@@ -89,7 +89,7 @@
 	return silentObserver{}
 }
 
-// silentObserver is a trace that nobody reads.
+// silentObserver is a request observer that does nothing.
 type silentObserver struct{}
 
 func (silentObserver) Decided(*balancer.Decision) {}
@@ -99,7 +99,7 @@
 func (silentObserver) Established()       {}
 func (silentObserver) Ended(proxy.Result) {}
 
-// A transaction stays its tenant's: the new process's records, logs and spans tell it as the old one's did.
+// A request keeps its tenant: the next process's records, logs and spans name the same one.
 func TestHandoffKeepsTenantAndClass(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client := env.client()
@@ -113,23 +113,23 @@
 	select {
 	case ask := <-seen:
 		if ask.Tenant != "cedar" || ask.Class != "page" {
-			t.Errorf("it goes on as %q's, of class %q", ask.Tenant, ask.Class)
+			t.Errorf("it goes on with tenant %q and class %q", ask.Tenant, ask.Class)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("it is not handed over")
+		t.Fatal("the request is not handed off")
 	}
 	client.Close()
 	endpoint.Close()
-	testutil.Until(t, "it has not ended", func() bool { return next.proxy.Requests.Len() == 0 })
+	testutil.Until(t, "the request has not ended", func() bool { return next.proxy.Requests.Len() == 0 })
 }
 
-// Ends are passed on alike after it, and so is what comes in one piece with them.
+// Ends are relayed after a handoff as before it, and so is data that comes in one piece with them.
 func TestHalfCloseIsRelayedAfterHandoff(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, endpoint := env.establish()
 	next, handOff := env.successor()
 	env.proxy.HandOffAll(handOff, time.Millisecond)
-	testutil.Until(t, "it is not handed over", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 })
+	testutil.Until(t, "the request is not handed off", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 })
 	client.send("a\r\nb\r\n")
 	client.CloseWrite()
 	endpoint.expect("a\r\nb\r\n")
@@ -138,10 +138,10 @@
 	endpoint.Close()
 	client.expect("BYE\r\n")
 	client.expectEnd(false)
-	testutil.Until(t, "it is not over", func() bool { return next.proxy.Requests.Len() == 0 })
+	testutil.Until(t, "the request has not ended", func() bool { return next.proxy.Requests.Len() == 0 })
 }
 
-// Who can't be handed over is moved, as ever: nobody takes it, or its end is under way.
+// A request that can't be handed off is migrated: no process takes it, or its end is under way.
 func TestUnacceptedHandoffMigratesTheClient(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, _ := env.establish()
@@ -158,18 +158,18 @@
 	client.expect("MOVE\r\n")
 	client.expectEnd(false)
 	if offered != 0 {
-		t.Error("a client that had left was handed over")
+		t.Error("a client that had left was handed off")
 	}
 }
 
-// A client that has ended its half as its relay leaves gets its server's last line, and is
-// not moved.
+// A client that has ended its half as its relay shuts down gets its endpoint's last line, and
+// is not migrated.
 func TestHalfClosedClientIsNotMigrated(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, endpoint := env.establish()
 	client.CloseWrite()
 	endpoint.expectEnd(false)
-	other := env.client() // by whose move the relay is seen to leave
+	other := env.client() // its migration shows that the relay shuts down
 	other.send("OPEN 2 2 c=page,d=4000\r\n")
 	otherEndpoint := env.peer(env.endpoint.Accept())
 	otherEndpoint.send("UP 1\r\n")
@@ -182,7 +182,7 @@
 	client.expectEnd(false)
 }
 
-// Openings come in pieces of any size.
+// Openings and answers may come in pieces of any size.
 func TestOpeningMayArriveInPieces(t *testing.T) {
 	env := newEnvironment(t, 64)
 	const text = "PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,d=4000\r\n"
@@ -208,6 +208,6 @@
 		client.Close()
 		endpoint.expectEnd(false)
 		endpoint.Close()
-		testutil.Until(t, "it is not over", func() bool { return env.proxy.Requests.Len() == 0 })
+		testutil.Until(t, "the request has not ended", func() bool { return env.proxy.Requests.Len() == 0 })
 	}
 }
--- a/internal/frontend/line/parse.go
+++ b/internal/frontend/line/parse.go
@@ -1,5 +1,3 @@
-// Package line speaks the platform's protocol: lines of text over TCP, between
-// clients and the relay and between the relay and application servers.
 package line
 
 import (
@@ -10,27 +8,34 @@
 	"time"
 )
 
-// maxLineBytes is the longest line allowed, with its end.
+// maxLineBytes is the longest line allowed, including its end.
 const maxLineBytes = 4 << 10
 
-// opening is the first line of a client.
+const (
+	microsecondsPerSecond = 1e6
+	maxReportedValue      = 1e12 // a reported load or delay is below this
+)
+
+// opening is the first line of a client: OPEN, its identifier, its key and a list of fields.
 type opening struct {
-	id, key      string
+	id           string
+	key          string // item in hexadecimal digits
 	class        string
-	tenant       string // whose it is; "" if not told
+	tenant       string // "" if the client names none
 	timeout      time.Duration
 	group        uint64
 	item         uint64
-	load         float64 // seconds of work a second; 0 if not told
-	returning    bool    // moved or broken before
-	endpointName string  // the server that has it open
+	load         float64 // seconds of work per second; 0 if not known
+	returning    bool    // migrated or broken before
+	endpointName string  // the endpoint that has it open; "" if none
 
-	beforeTimeout, afterTimeout string // the line around the figure of d
+	beforeTimeout, afterTimeout string // the line's text around the value of field d
 }
 
+// errMalformedOpening is returned for a line that is not an opening.
 var errMalformedOpening = errors.New("the opening line makes no sense")
 
-// parseOpening reads an opening line without its end.
+// parseOpening parses an opening line without its end. It fails with errMalformedOpening.
 func parseOpening(text string) (opening, error) {
 	words := strings.Split(text, " ")
 	if len(words) != 4 || words[0] != "OPEN" || words[1] == "" {
@@ -64,10 +69,10 @@
 		case "h":
 			var microseconds float64
 			microseconds, err = strconv.ParseFloat(value, 64)
-			if !(microseconds >= 0 && microseconds < 1e12) {
+			if !(microseconds >= 0 && microseconds < maxReportedValue) {
 				return opening{}, errMalformedOpening
 			}
-			opened.load = microseconds / 1e6
+			opened.load = microseconds / microsecondsPerSecond
 		case "again":
 			opened.returning = value == "1"
 		case "at":
@@ -84,13 +89,13 @@
 	return opened, nil
 }
 
-// withTimeout is the line, with its end, that tells a server how long the relay waits;
-// all else is as the client said it.
-func (opened opening) withTimeout(timeout time.Duration) []byte {
-	return append(strconv.AppendInt([]byte(opened.beforeTimeout), max(1, timeout.Milliseconds()), 10), opened.afterTimeout+"\r\n"...)
+// withTimeout returns the line, with its end, that an endpoint is sent: the client's own but
+// for the time that the relay waits, which is at least a millisecond.
+func (o opening) withTimeout(timeout time.Duration) []byte {
+	return append(strconv.AppendInt([]byte(o.beforeTimeout), max(1, timeout.Milliseconds()), 10), o.afterTimeout+"\r\n"...)
 }
 
-// busyLine is the unavailable answer, with when to come back if that is known.
+// busyLine returns the rejection, with the retry-after in milliseconds if it is known.
 func busyLine(retryAfter time.Duration) string {
 	if retryAfter < time.Millisecond {
 		return "BUSY\r\n"
@@ -98,7 +103,7 @@
 	return "BUSY " + strconv.FormatInt(retryAfter.Milliseconds(), 10) + "\r\n"
 }
 
-// lineKind is what a line of a server means to the relay.
+// lineKind is what a line from an endpoint means to the relay.
 type lineKind uint8
 
 const (
@@ -111,8 +116,8 @@
 	lineLoad
 )
 
-// parseLine reads a line of a server, with or without its end, and the figure
-// of a LOAD.
+// parseLine returns the kind of a line from an endpoint, with or without its end, and the
+// value of a LOAD line.
 func parseLine(text []byte) (lineKind, float64) {
 	text = bytes.TrimRight(text, "\r\n")
 	name, rest, _ := bytes.Cut(text, []byte{' '})
@@ -128,21 +133,21 @@
 	case "MOVE":
 		return lineMove, 0
 	case "LOAD":
-		if value, err := strconv.ParseFloat(string(rest), 64); err == nil && value >= 0 && value < 1e12 {
+		if value, err := strconv.ParseFloat(string(rest), 64); err == nil && value >= 0 && value < maxReportedValue {
 			return lineLoad, value
 		}
 	}
 	return lineOther, 0
 }
 
-// lineSplitter cuts a stream of bytes into lines as it passes by.
+// lineSplitter splits a stream into lines as it is relayed.
 type lineSplitter struct {
-	partial []byte // of the line that has not ended yet; its start if it is too long
-	tooLong bool   // the line is over maxLine
+	partial []byte // the line that has not ended yet; its beginning if it is too long
+	tooLong bool   // the line is over maxLineBytes
 }
 
-// feed takes the next bytes and calls line for each that ends in them, with its
-// end. A line that is too long is passed over.
+// feed takes the next bytes of the stream and calls line for each line that ends in them,
+// with its end. The line is valid during the call. Lines that are too long are skipped.
 func (s *lineSplitter) feed(data []byte, line func([]byte)) {
 	for len(data) > 0 {
 		newline := bytes.IndexByte(data, '\n')
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// The platform voids a run in which a server is sent a form that no client sent.
+// The platform voids a run in which an endpoint is sent a form that no client sent.
 func TestOnlyTimeoutIsRewritten(t *testing.T) {
 	for _, tail := range []string{"", ",x=", ",d2=7,=", ",h=1e3,again=1", ",g=0,r=1,at=s-d=9"} {
 		opened, err := parseOpening(sampleOpening + tail)
@@ -58,8 +58,8 @@
 	}
 }
 
-// Whatever comes, reading doesn't panic, and what is passed on differs from what
-// came by the figure of d at the most.
+// Parsing any text doesn't panic, and what is sent on differs from it at most in the value
+// of field d.
 func FuzzOpening(f *testing.F) {
 	f.Add(sampleOpening)
 	f.Add(sampleOpening + ",again=1,h=12500,at=s-5be2a07c")
@@ -74,13 +74,13 @@
 		}
 		value := text[len(opened.beforeTimeout) : len(text)-len(opened.afterTimeout)]
 		if milliseconds, err := strconv.Atoi(value); err != nil || time.Duration(milliseconds)*time.Millisecond != opened.timeout {
-			t.Errorf("%q has %q cut out for a wait of %v", text, value, opened.timeout)
+			t.Errorf("%q has %q cut out for a timeout of %v", text, value, opened.timeout)
 		}
 	})
 }
 
-// However a stream is cut up, the lines in it are the same; those that are too
-// long are passed over.
+// However a stream is cut up, the lines in it are the same; those that are too long are
+// skipped.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("UP x\r\nLOAD 4\r\nBYE\r\n"), []byte{1, 2, 3})
 	f.Add(append(bytes.Repeat([]byte("x"), maxLineBytes+1), "\nM 1\r\nhalf"...), []byte{200, 100, 0, 255})
--- a/internal/frontend/line/reader.go
+++ b/internal/frontend/line/reader.go
@@ -9,16 +9,17 @@
 	"syscall"
 )
 
-// bufferPool are lent to readers while there are bytes in them.
+// bufferPool holds the buffers of readers that have nothing buffered.
 var bufferPool = sync.Pool{New: func() any { return new([maxLineBytes]byte) }}
 
-// reader reads a connection. It holds a buffer only while there are bytes in it: a read that waits, as nearly all do of ten
-// thousand connections that stand, holds none. One goroutine at a time uses it.
+// reader reads a connection. It holds a buffer only while bytes are buffered: a read that
+// waits, as nearly all do with ten thousand established connections, holds none. One
+// goroutine at a time uses it.
 type reader struct {
 	raw        syscall.RawConn
-	buffer     *[maxLineBytes]byte // nil while nothing is held
-	start, end int                 // what has come and was not taken yet
-	rawErr     error               // raw's own
+	buffer     *[maxLineBytes]byte // nil while nothing is buffered
+	start, end int                 // the buffered bytes
+	rawErr     error               // of obtaining raw; every read returns it
 }
 
 func newReader(c *net.TCPConn) *reader {
@@ -26,7 +27,7 @@
 	return &reader{raw: raw, rawErr: err}
 }
 
-// releaseBuffer gives an empty buffer back.
+// releaseBuffer returns an empty buffer to the pool.
 func (r *reader) releaseBuffer() {
 	if r.buffer != nil && r.start == r.end {
 		bufferPool.Put(r.buffer)
@@ -34,7 +35,8 @@
 	}
 }
 
-// fill waits for more and appends it to what is there. It fails with bufio.ErrBufferFull where there is no room, and as a read does.
+// fill waits for more bytes and appends them to the buffer. It fails with bufio.ErrBufferFull
+// if there is no room, and otherwise as a read does.
 func (r *reader) fill() error {
 	if r.rawErr != nil {
 		return r.rawErr
@@ -79,8 +81,8 @@
 	return err
 }
 
-// line returns the next line with its end, which is good until the next call. It fails with bufio.ErrBufferFull if that is too long, and
-// as a read does.
+// line returns the next line with its end, which is valid until the next call. It fails with
+// bufio.ErrBufferFull if the line is longer than maxLineBytes, and otherwise as a read does.
 func (r *reader) line() ([]byte, error) {
 	for searched := 0; ; {
 		if r.buffer != nil {
@@ -97,7 +99,8 @@
 	}
 }
 
-// next returns all that has come, at least a byte, which is good until the next call.
+// next returns all that is buffered, or else what the next read returns: at least a byte,
+// valid until the next call.
 func (r *reader) next() ([]byte, error) {
 	if r.start == r.end {
 		if err := r.fill(); err != nil {
@@ -109,5 +112,5 @@
 	return data, nil
 }
 
-// buffered is how many bytes have come and were not taken.
+// buffered returns the number of bytes that were read from the connection and not returned.
 func (r *reader) buffered() int { return r.end - r.start }
--- a/internal/frontend/line/reader_test.go
+++ b/internal/frontend/line/reader_test.go
@@ -15,7 +15,7 @@
 	"lockroad/internal/testutil"
 )
 
-// readAll takes all that comes until the end.
+// readAll reads until the end.
 func readAll(r *reader) (all []byte, err error) {
 	for {
 		data, err := r.next()
@@ -28,7 +28,7 @@
 	}
 }
 
-// Lines come whole however they were cut, and what follows them with the next call; a reader that waits holds no buffer.
+// Lines are returned complete however they were cut, and what follows them by the next call; a reader that waits holds no buffer.
 func TestReaderReturnsLinesAndRemainder(t *testing.T) {
 	const text = "one\r\ntwo\nthe rest"
 	for cut := range len(text) {
@@ -58,7 +58,7 @@
 		t.Errorf("%v, holding %v", err, r.buffer != nil)
 	}
 	near.SetReadDeadline(time.Time{})
-	for range 2 { // what does not end in maxLine is no line, and stays to be taken
+	for range 2 { // what does not end within maxLineBytes is no line, and stays buffered
 		io.WriteString(far, strings.Repeat("x", maxLineBytes))
 		if _, err := r.line(); !errors.Is(err, bufio.ErrBufferFull) || r.buffered() != maxLineBytes {
 			t.Errorf("%v, %d buffered", err, r.buffered())
@@ -70,15 +70,15 @@
 	far.SetLinger(0)
 	far.Close()
 	if _, err := r.next(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a reset is told as %v", err)
+		t.Errorf("a reset is returned as %v", err)
 	}
 	near.Close()
 	if _, err := r.next(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a close here is told as %v", err)
+		t.Errorf("a close of this end is returned as %v", err)
 	}
 }
 
-// Whatever comes in whatever pieces, and is taken by whichever calls, it is the same bytes in the same order.
+// Whatever comes in whatever pieces, and is read by whichever calls, it is the same bytes in the same order.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("a\nbc\r\nd"), []byte{0, 1, 2, 3, 0, 1, 2})
 	f.Fuzz(func(t *testing.T, text, choices []byte) {
--- a/internal/frontend/line/notes_test.go
+++ b/internal/frontend/line/reports_test.go
@@ -7,42 +7,42 @@
 	"lockroad/balancer"
 )
 
-// A day lost a third of its service as delays were booked as loads: the module
-// never heard of the slow server, and none of its connections were moved.
+// A day lost a third of its service as delays were taken for loads: the balancer did not learn
+// of the slow endpoint, and none of its connections were migrated.
 func TestDelaysAreDistinguishedFromLoads(t *testing.T) {
-	type told struct {
+	type reportedLine struct {
 		at     int // milliseconds
-		up     int // milliseconds since the connection came up
+		age    int // milliseconds since the request was established
 		figure float64
 		delay  bool
 	}
-	for name, lines := range map[string][]told{
-		"a server that slows": {
+	for name, lines := range map[string][]reportedLine{
+		"an endpoint that slows down": {
 			{0, 5, 2116.4, false}, // at once: the load
 			{3470, 3000, 21.572, true}, {4470, 4000, 29.205, true}, {4800, 4000, 59682.3, false},
 			{5470, 5000, 397.448, true}, {6470, 6000, 622.583, true}, {7471, 7000, 1831.61, true},
-			{7990, 7000, 540.2, false}, // light, but off the beat
+			{7990, 7000, 540.2, false}, // light, but not at an interval
 			{9468, 9000, 10.87, true}, {14470, 9000, 17.3, true},
 		},
-		"a server that hangs": {
-			{970, 900, 6214.577, false}, // nothing tells it from a load yet
+		"an endpoint that hangs": {
+			{970, 900, 6214.577, false}, // nothing distinguishes it from a load yet
 			{1970, 900, 6214.577, true}, {2969, 900, 6214.577, true},
 		},
 		"an idle connection": { // seen on a day that lost 5% by it: 466 is a load
 			{0, 900, 466.2, false}, {1100, 900, 70125, false}, {2500, 900, 810.4, false},
 		},
-		"a server that slows all at once": {
+		"an endpoint that slows down all at once": {
 			{0, 900, 48313.2, false}, {300, 900, 410.5, false}, {1302, 900, 702.2, true}, {2301, 900, 980, true},
 			{2700, 900, 620, false}, {3300, 900, 31020.1, false},
 		},
-		"a load on the beat": { // seen: 24137 moved half of a server's connections away
+		"a load at an interval": { // seen: 24137 migrated half of an endpoint's connections
 			{0, 900, 19.9, true}, {980, 900, 24137.428, false}, {1000, 900, 13.8, true}, {2001, 900, 1900.5, true},
 		},
 		"loads only": {
 			{100, 20, 348232.7, false}, {950, 900, 8182.6, false}, {2400, 2300, 1702.5, false},
 			{3900, 3800, 25974.3, false}, {4200, 4100, 0, false},
 		},
-		"a beat that is lost": {
+		"timing that is lost": {
 			{0, 900, 20, true}, {1000, 900, 20, true}, {41300, 900, 30, true}, {42300, 900, 30, true},
 		},
 	} {
@@ -50,7 +50,7 @@
 			var classifier reportClassifier
 			for _, line := range lines {
 				now := time.Hour + time.Duration(line.at)*time.Millisecond
-				if got := classifier.looksLikeDelay(7, line.figure, now, time.Duration(line.up)*time.Millisecond); got != line.delay {
+				if got := classifier.looksLikeDelay(7, line.figure, now, time.Duration(line.age)*time.Millisecond); got != line.delay {
 					t.Errorf("at %d ms, %v: delay is %v", line.at, line.figure, got)
 				}
 			}
@@ -58,7 +58,7 @@
 	}
 }
 
-// Where the settings say that servers tell but one of the two, nothing is guessed.
+// Where the settings say that endpoints report only one of the two, nothing is guessed.
 func TestSettingsDecideReportKind(t *testing.T) {
 	for _, test := range []struct {
 		load, delay bool
@@ -73,7 +73,7 @@
 	}
 }
 
-// A process that goes on with what another knows takes the first delay for one.
+// A process that has restored the timing recognizes the first delay.
 func TestReportTimingIsRestored(t *testing.T) {
 	both := &balancer.Settings{ReportsLoad: true, ReportsDelay: true}
 	previous, next := &reportClassifier{}, &reportClassifier{}
@@ -84,7 +84,7 @@
 		next.restore(id, timing)
 	}
 	if at := time.Hour + 3*reportInterval; !next.isDelay(both, 7, 410, at, time.Second) || (&reportClassifier{}).isDelay(both, 7, 410, at, time.Second) {
-		t.Error("the beat is not taken over, or goes without saying")
+		t.Error("the timing is not restored, or makes no difference")
 	}
 }
 
@@ -97,6 +97,6 @@
 		}
 	}
 	if classifier.looksLikeDelay(1, 50, at(3400), time.Second) || !classifier.looksLikeDelay(2, 50, at(3400), time.Second) {
-		t.Error("the beat of one server was held for another's")
+		t.Error("the timing of one endpoint was taken for another's")
 	}
 }
