--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,11 +1,12 @@
-// Package connpool decides over which connections to application servers transactions go, where several may
-// share one. It does no I/O: whoever embeds it
+// Package connpool decides which connection to an endpoint each request uses, where several
+// requests may share one as sessions. It does no I/O; whoever embeds it
 //
-//  1. asks Take for each transaction, and brings a connection up where that says so;
-//  2. tells what became of it with Opened or Lost, and of each transaction's end with Done;
-//  3. closes the connections that Idle names, at the times that it names, and tells of each with Lost.
+//  1. calls Take for each request, and dials where that says so;
+//  2. reports the result with Opened or Lost, and the end of each request with Done;
+//  3. closes the connections that Idle names, at the times that it names, and reports each with Lost.
 //
-// All times are on one clock that never goes back.
+// All times are on one clock that never goes back. A Pool is not safe for concurrent use: the
+// embedder serializes the calls.
 package connpool
 
 import (
@@ -18,11 +19,14 @@
 
 // Settings bound the connections.
 type Settings struct {
-	MaxSessions int           // transactions over a connection at the most. More save set-ups and descriptors; one connection's end ends as many
-	IdleTimeout time.Duration // a connection without any is kept for so long
+	// MaxSessions is the most requests that share a connection, from 1 to 65535. More save
+	// handshakes and file descriptors, but the end of one connection then ends as many.
+	MaxSessions int
+	// IdleTimeout is how long a connection without sessions is kept open.
+	IdleTimeout time.Duration
 }
 
-// Validate tells what makes no sense.
+// Validate returns an error for the first setting that is out of range.
 func (s Settings) Validate() error {
 	if s.MaxSessions < 1 || s.MaxSessions > math.MaxUint16 {
 		return fmt.Errorf("%d sessions are not within 1 and %d", s.MaxSessions, math.MaxUint16)
@@ -33,133 +37,137 @@
 	return nil
 }
 
-// ID names a connection.
+// ID identifies a connection within its pool. IDs are not reused.
 type ID uint64
 
-type conn struct {
-	id     ID
-	server string
-	most   int // sessions that it takes; until it is open, as many as the settings have
-	used   int
-	open   bool
-	shut   bool          // it takes nothing new
-	since  time.Duration // it has had none
+// connection is what the pool knows of a connection.
+type connection struct {
+	id          ID
+	endpoint    string
+	maxSessions int           // that the endpoint accepts; until it is open, as many as the settings allow
+	sessions    int           // requests that use it or wait for it
+	open        bool          // the handshake is complete
+	closing     bool          // it takes no new requests
+	idleSince   time.Duration // when its last session ended
 }
 
-// Pool holds what is known of the connections. The zero value is none.
+// Pool holds the state of all connections. New returns one; the zero value is not usable.
 type Pool struct {
-	set  Settings
-	last ID
-	all  map[string][]*conn
-	byID map[ID]*conn
+	settings   Settings
+	lastID     ID
+	byEndpoint map[string][]*connection
+	byID       map[ID]*connection
 }
 
 // New returns a pool without connections.
-func New(s Settings) *Pool {
-	return &Pool{set: s, all: make(map[string][]*conn), byID: make(map[ID]*conn)}
+func New(settings Settings) *Pool {
+	return &Pool{settings: settings, byEndpoint: make(map[string][]*connection), byID: make(map[ID]*connection)}
 }
 
-// Take chooses the connection of a transaction to a server: the fullest that has room, so that the others empty
-// and go. dial says that it is a new one, which the caller is to bring up.
-func (p *Pool) Take(server string) (id ID, dial bool) {
-	var best *conn
-	for _, c := range p.all[server] {
-		if c.shut || c.used >= c.most {
+// Take chooses the connection for a request to an endpoint: the fullest that has room, so
+// that the others become idle and are closed. dial reports that it is new: the caller dials.
+func (p *Pool) Take(endpoint string) (id ID, dial bool) {
+	var best *connection
+	for _, conn := range p.byEndpoint[endpoint] {
+		if conn.closing || conn.sessions >= conn.maxSessions {
 			continue
 		}
-		if best == nil || cmp.Or(cmp.Compare(c.order(), best.order()), cmp.Compare(best.id, c.id)) > 0 {
-			best = c
+		if best == nil || cmp.Or(cmp.Compare(conn.preference(), best.preference()), cmp.Compare(best.id, conn.id)) > 0 {
+			best = conn
 		}
 	}
 	if best == nil {
-		p.last++
-		best = &conn{id: p.last, server: server, most: p.set.MaxSessions}
-		p.all[server] = append(p.all[server], best)
+		p.lastID++
+		best = &connection{id: p.lastID, endpoint: endpoint, maxSessions: p.settings.MaxSessions}
+		p.byEndpoint[endpoint] = append(p.byEndpoint[endpoint], best)
 		p.byID[best.id] = best
 		dial = true
 	}
-	best.used++
+	best.sessions++
 	return best.id, dial
 }
 
-// order puts open connections before those that are on their way, and fuller ones first.
-func (c *conn) order() int {
+// preference orders connections: open ones before those being dialled, and fuller ones first.
+func (c *connection) preference() int {
 	if c.open {
-		return c.used + math.MaxUint16
+		return c.sessions + math.MaxUint16
 	}
-	return c.used
+	return c.sessions
 }
 
-// Opened notes that a connection is up, and how many sessions its server takes. It returns how many of the
-// transactions that wait for it find no room: they are to be Done there, and to Take anew.
-func (p *Pool) Opened(id ID, most int) (over int) {
-	c := p.byID[id]
-	if c == nil {
+// Opened records that a connection is open, and how many sessions its endpoint accepts. It
+// returns how many of the requests that wait for it find no room: for each of them the caller
+// calls Done, and then Take again.
+func (p *Pool) Opened(id ID, maxSessions int) (excess int) {
+	conn := p.byID[id]
+	if conn == nil {
 		return 0
 	}
-	c.open, c.most = true, max(1, min(most, p.set.MaxSessions))
-	return max(0, c.used-c.most)
+	conn.open, conn.maxSessions = true, max(1, min(maxSessions, p.settings.MaxSessions))
+	return max(0, conn.sessions-conn.maxSessions)
 }
 
-// Done notes that a transaction is over and its session has come free again.
+// Done records that a request has ended, which frees its session.
 func (p *Pool) Done(now time.Duration, id ID) {
-	if c := p.byID[id]; c != nil && c.used > 0 {
-		if c.used--; c.used == 0 {
-			c.since = now
+	if conn := p.byID[id]; conn != nil && conn.sessions > 0 {
+		if conn.sessions--; conn.sessions == 0 {
+			conn.idleSince = now
 		}
 	}
 }
 
-// Shut has a connection take nothing new, as one whose server has not let go of a session. It closes with its last one.
+// Shut makes a connection take no new requests, as when its endpoint has not released a
+// session. Idle names it once its last session has ended.
 func (p *Pool) Shut(id ID) {
-	if c := p.byID[id]; c != nil {
-		c.shut = true
+	if conn := p.byID[id]; conn != nil {
+		conn.closing = true
 	}
 }
 
-// Leave has all connections of a server that drains take nothing new. Those that come later are not meant.
-func (p *Pool) Leave(server string) {
-	for _, c := range p.all[server] {
-		c.shut = true
+// Leave makes all current connections to a draining endpoint take no new requests. Later
+// connections to it are not affected.
+func (p *Pool) Leave(endpoint string) {
+	for _, conn := range p.byEndpoint[endpoint] {
+		conn.closing = true
 	}
 }
 
-// Lost notes that a connection is closed, or never came up.
+// Lost records that a connection has been closed, or could not be opened.
 func (p *Pool) Lost(id ID) {
-	c := p.byID[id]
-	if c == nil {
+	conn := p.byID[id]
+	if conn == nil {
 		return
 	}
 	delete(p.byID, id)
-	rest := slices.DeleteFunc(p.all[c.server], func(x *conn) bool { return x == c })
-	if p.all[c.server] = rest; len(rest) == 0 {
-		delete(p.all, c.server)
+	remaining := slices.DeleteFunc(p.byEndpoint[conn.endpoint], func(candidate *connection) bool { return candidate == conn })
+	if p.byEndpoint[conn.endpoint] = remaining; len(remaining) == 0 {
+		delete(p.byEndpoint, conn.endpoint)
 	}
 }
 
-// Idle names the connections that are to be closed now, and when to ask again; 0: not before something has changed. A
-// connection that it names takes nothing more.
-func (p *Pool) Idle(now time.Duration) (out []ID, next time.Duration) {
-	for id, c := range p.byID {
-		if !c.open || c.used > 0 {
+// Idle returns the connections to close now, and when to call it next; 0: not before
+// something has changed. A connection that it returns takes no more requests.
+func (p *Pool) Idle(now time.Duration) (idle []ID, next time.Duration) {
+	for id, conn := range p.byID {
+		if !conn.open || conn.sessions > 0 {
 			continue
 		}
-		switch at := c.since + p.set.IdleTimeout; {
-		case c.shut || now >= at:
-			c.shut = true
-			out = append(out, id)
-		case next == 0 || at < next:
-			next = at
+		switch deadline := conn.idleSince + p.settings.IdleTimeout; {
+		case conn.closing || now >= deadline:
+			conn.closing = true
+			idle = append(idle, id)
+		case next == 0 || deadline < next:
+			next = deadline
 		}
 	}
-	slices.Sort(out)
-	return out, next
+	slices.Sort(idle)
+	return idle, next
 }
 
-// Conns is how many connections there are, and Sessions how many transactions they have.
+// Conns returns the number of connections and the number of their sessions.
 func (p *Pool) Conns() (conns, sessions int) {
-	for _, c := range p.byID {
-		sessions += c.used
+	for _, conn := range p.byID {
+		sessions += conn.sessions
 	}
 	return len(p.byID), sessions
 }
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -9,28 +9,28 @@
 	"pgregory.net/rapid"
 )
 
-func TestCheck(t *testing.T) {
-	for want, s := range map[string]Settings{"sessions": {}, "is no time": {MaxSessions: 1, IdleTimeout: -1}, "": {MaxSessions: 1}} {
-		if err := s.Validate(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%+v: %v", s, err)
+func TestSettingsAreValidated(t *testing.T) {
+	for want, settings := range map[string]Settings{"sessions": {}, "is no time": {MaxSessions: 1, IdleTimeout: -1}, "": {MaxSessions: 1}} {
+		if err := settings.Validate(); (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
+			t.Errorf("%+v: %v", settings, err)
 		}
 	}
 }
 
-// A second transaction shares the first one's connection, also while that is on its way; those beyond what the server
-// takes go elsewhere; a connection that is empty goes in its time, and one that leaves with its last.
-func TestLifeOfAConnection(t *testing.T) {
-	p := New(Settings{MaxSessions: 3, IdleTimeout: time.Second})
-	take := func(server string, want ID, dials bool) {
+// A second request shares the first one's connection, also while that is being dialled; those beyond what the endpoint
+// accepts go elsewhere; an idle connection is closed after its timeout, and one that drains with its last session.
+func TestConnectionLifetime(t *testing.T) {
+	pool := New(Settings{MaxSessions: 3, IdleTimeout: time.Second})
+	take := func(endpoint string, want ID, dials bool) {
 		t.Helper()
-		if id, dial := p.Take(server); id != want || dial != dials {
-			t.Errorf("%s: %d, %v, want %d, %v", server, id, dial, want, dials)
+		if id, dial := pool.Take(endpoint); id != want || dial != dials {
+			t.Errorf("%s: %d, %v, want %d, %v", endpoint, id, dial, want, dials)
 		}
 	}
 	idle := func(now time.Duration, next time.Duration, want ...ID) {
 		t.Helper()
-		if out, at := p.Idle(now); !slices.Equal(out, want) || at != next {
-			t.Errorf("%v at %v, want %v at %v", out, at, want, next)
+		if idle, at := pool.Idle(now); !slices.Equal(idle, want) || at != next {
+			t.Errorf("%v at %v, want %v at %v", idle, at, want, next)
 		}
 	}
 	take("a", 1, true)
@@ -38,51 +38,51 @@
 	take("a", 1, false)
 	take("a", 2, true)
 	take("b", 3, true)
-	if over := p.Opened(1, 2); over != 1 {
-		t.Errorf("%d have no room", over)
+	if excess := pool.Opened(1, 2); excess != 1 {
+		t.Errorf("%d have no room", excess)
 	}
-	p.Done(0, 1)
+	pool.Done(0, 1)
 	take("a", 2, false)
-	p.Opened(2, 100)
+	pool.Opened(2, 100)
 	take("a", 2, false) // the fullest, though it is the younger
 	idle(0, 0)
-	p.Done(time.Second, 3)
+	pool.Done(time.Second, 3)
 	idle(time.Second, 0) // it is not open yet
-	p.Opened(3, 8)
+	pool.Opened(3, 8)
 	idle(time.Second, 2*time.Second)
 	idle(2*time.Second, 0, 3)
-	take("b", 4, true) // the third is on its way out
-	p.Lost(3)
-	p.Leave("a")
+	take("b", 4, true) // the third is closing
+	pool.Lost(3)
+	pool.Leave("a")
 	take("a", 5, true)
-	p.Done(3*time.Second, 1)
-	p.Done(3*time.Second, 1)
+	pool.Done(3*time.Second, 1)
+	pool.Done(3*time.Second, 1)
 	idle(3*time.Second, 0, 1)
-	p.Lost(5)
-	p.Done(0, 5)
-	p.Opened(5, 1)
-	if c, n := p.Conns(); c != 3 || n != 4 {
-		t.Errorf("%d connections with %d", c, n)
+	pool.Lost(5)
+	pool.Done(0, 5)
+	pool.Opened(5, 1)
+	if conns, sessions := pool.Conns(); conns != 3 || sessions != 4 {
+		t.Errorf("%d connections with %d", conns, sessions)
 	}
 }
 
-// Whatever happens in whatever order: no connection has more than it may, none that has anything is closed, none that
-// is shut gets anything new, and each transaction is where it was put.
-func TestRandomSteps(t *testing.T) {
+// Whatever happens in whatever order: no connection has more sessions than it may, none that has sessions is closed, none
+// that is closing gets new ones, and each request is where it was put.
+func TestInvariantsHoldInRandomOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{MaxSessions: rapid.IntRange(1, 4).Draw(t, "sessions"), IdleTimeout: time.Second}
-		p := New(set)
-		type known struct {
-			server     string
-			most, used int
-			open, shut bool
+		settings := Settings{MaxSessions: rapid.IntRange(1, 4).Draw(t, "sessions"), IdleTimeout: time.Second}
+		pool := New(settings)
+		type connectionModel struct {
+			endpoint              string
+			maxSessions, sessions int
+			open, closing         bool
 		}
-		all := make(map[ID]*known)
+		models := make(map[ID]*connectionModel)
 		now := time.Duration(0)
-		some := func(fits func(*known) bool) (ID, *known) {
+		pick := func(matches func(*connectionModel) bool) (ID, *connectionModel) {
 			var ids []ID
-			for id, k := range all {
-				if fits(k) {
+			for id, model := range models {
+				if matches(model) {
 					ids = append(ids, id)
 				}
 			}
@@ -90,83 +90,83 @@
 				t.Skip()
 			}
 			id := rapid.SampledFrom(ids).Draw(t, "connection")
-			return id, all[id]
+			return id, models[id]
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				server := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server")
-				id, dial := p.Take(server)
-				k := all[id]
-				if dial != (k == nil) {
+				endpoint := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server")
+				id, dial := pool.Take(endpoint)
+				model := models[id]
+				if dial != (model == nil) {
 					t.Fatalf("%d is new: %v", id, dial)
 				}
 				if dial {
-					for _, x := range all {
-						if x.server == server && !x.shut && x.used < x.most {
-							t.Fatalf("a new connection beside one with room: %+v", x)
+					for _, other := range models {
+						if other.endpoint == endpoint && !other.closing && other.sessions < other.maxSessions {
+							t.Fatalf("a new connection beside one with room: %+v", other)
 						}
 					}
-					k = &known{server: server, most: set.MaxSessions}
-					all[id] = k
+					model = &connectionModel{endpoint: endpoint, maxSessions: settings.MaxSessions}
+					models[id] = model
 				}
-				if k.used++; k.server != server || k.shut || k.used > k.most {
-					t.Fatalf("%d, %+v", id, k)
+				if model.sessions++; model.endpoint != endpoint || model.closing || model.sessions > model.maxSessions {
+					t.Fatalf("%d, %+v", id, model)
 				}
 			},
 			"open": func(t *rapid.T) {
-				id, k := some(func(k *known) bool { return !k.open })
-				most := rapid.IntRange(0, 5).Draw(t, "most")
-				k.open, k.most = true, max(1, min(most, set.MaxSessions))
-				over := p.Opened(id, most)
-				if over != max(0, k.used-k.most) {
-					t.Fatalf("%d over of %+v", over, k)
+				id, model := pick(func(model *connectionModel) bool { return !model.open })
+				maxSessions := rapid.IntRange(0, 5).Draw(t, "most")
+				model.open, model.maxSessions = true, max(1, min(maxSessions, settings.MaxSessions))
+				excess := pool.Opened(id, maxSessions)
+				if excess != max(0, model.sessions-model.maxSessions) {
+					t.Fatalf("%d in excess of %+v", excess, model)
 				}
-				for range over {
-					p.Done(now, id)
-					k.used--
+				for range excess {
+					pool.Done(now, id)
+					model.sessions--
 				}
 			},
 			"done": func(_ *rapid.T) {
-				id, k := some(func(k *known) bool { return k.used > 0 })
-				p.Done(now, id)
-				k.used--
+				id, model := pick(func(model *connectionModel) bool { return model.sessions > 0 })
+				pool.Done(now, id)
+				model.sessions--
 			},
 			"shut": func(_ *rapid.T) {
-				id, k := some(func(*known) bool { return true })
-				p.Shut(id)
-				k.shut = true
+				id, model := pick(func(*connectionModel) bool { return true })
+				pool.Shut(id)
+				model.closing = true
 			},
 			"leave": func(*rapid.T) {
-				p.Leave("a")
-				for _, k := range all {
-					k.shut = k.shut || k.server == "a"
+				pool.Leave("a")
+				for _, model := range models {
+					model.closing = model.closing || model.endpoint == "a"
 				}
 			},
 			"lose": func(_ *rapid.T) {
-				id, _ := some(func(*known) bool { return true })
-				p.Lost(id)
-				delete(all, id)
+				id, _ := pick(func(*connectionModel) bool { return true })
+				pool.Lost(id)
+				delete(models, id)
 			},
 			"idle": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
-				out, next := p.Idle(now)
-				for _, id := range out {
-					if k := all[id]; k.used > 0 || !k.open {
-						t.Fatalf("closed %+v", k)
+				idle, next := pool.Idle(now)
+				for _, id := range idle {
+					if model := models[id]; model.sessions > 0 || !model.open {
+						t.Fatalf("closed %+v", model)
 					}
-					all[id].shut = true
+					models[id].closing = true
 				}
-				if next != 0 && (next <= now || next > now+set.IdleTimeout) {
+				if next != 0 && (next <= now || next > now+settings.IdleTimeout) {
 					t.Fatalf("next %v at %v", next, now)
 				}
 			},
 			"": func(t *rapid.T) {
-				used := 0
-				for _, k := range all {
-					used += k.used
+				want := 0
+				for _, model := range models {
+					want += model.sessions
 				}
-				if c, n := p.Conns(); c != len(all) || n != used {
-					t.Fatalf("%d with %d, want %d with %d", c, n, len(all), used)
+				if conns, sessions := pool.Conns(); conns != len(models) || sessions != want {
+					t.Fatalf("%d with %d, want %d with %d", conns, sessions, len(models), want)
 				}
 			},
 		})
