--- a/internal/auth/secure_test.go
+++ b/internal/auth/auth_test.go
@@ -15,21 +15,21 @@
 
 func plain(user, password string) []byte { return []byte("\x00" + user + "\x00" + password) }
 
-// Users come and go in the file, which is read whole or not at all; who is not there and who has another
-// password fail alike.
-func TestUsers(t *testing.T) {
+// Users are added to and removed from the file, which is read as a whole or not at all; an unknown user and a
+// wrong password fail alike.
+func TestPasswordFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "users")
 	set := func(name, password string, remove bool) error { return SetPassword(file, name, password, remove) }
-	for name, bad := range map[string]error{
+	for name, err := range map[string]error{
 		"no name": set("", "x", false), "a name with a colon": set("a:b", "x", false), "everyone's name": set("*", "x", false),
 		"no password": set("ann", "", false), "who is not there": set("ann", "", true),
 	} {
-		if bad == nil {
-			t.Errorf("%s was taken", name)
+		if err == nil {
+			t.Errorf("%s was accepted", name)
 		}
 	}
-	for _, one := range []string{"ann", "bob", "ann"} { // the second time with another password
-		if err := set(one, one+"'s", false); err != nil {
+	for _, name := range []string{"ann", "bob", "ann"} { // the second time with another password
+		if err := set(name, name+"'s", false); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,12 +40,12 @@
 	if info, err := os.Stat(file); err != nil || info.Mode().Perm() != 0o600 || strings.Count(string(text), "ann:") != 1 {
 		t.Errorf("%v, %s", info.Mode(), text)
 	}
-	g, err := New(Settings{Users: file, ClearPlain: true, NoAnonymous: true})
+	authenticator, err := New(Settings{Users: file, ClearPlain: true, NoAnonymous: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // the second time by what is remembered
-		for _, c := range []struct {
+	for range 2 { // the second time by the cached codes
+		for _, test := range []struct {
 			mechanism string
 			response  []byte
 			ok        bool
@@ -55,19 +55,19 @@
 			{Plain, []byte("bob\x00ann\x00new"), false}, {Plain, []byte("ann"), false}, {Plain, nil, false},
 			{Anonymous, nil, false}, {External, nil, false}, {"SCRAM-SHA-256", nil, false},
 		} {
-			if _, ok := g.Authenticate(c.mechanism, c.response, nil); ok != c.ok {
-				t.Errorf("%s %q: %v", c.mechanism, c.response, ok)
+			if _, ok := authenticator.Authenticate(test.mechanism, test.response, nil); ok != test.ok {
+				t.Errorf("%s %q: %v", test.mechanism, test.response, ok)
 			}
 		}
 	}
 	if err := set("bob", "", true); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Reload(); err != nil {
+	if err := authenticator.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := g.Authenticate(Plain, plain("bob", "bob's"), nil); ok {
-		t.Error("who was taken out still comes in")
+	if _, ok := authenticator.Authenticate(Plain, plain("bob", "bob's"), nil); ok {
+		t.Error("a removed user is still authenticated")
 	}
 	good, _ := os.ReadFile(file)
 	hash := strings.TrimSpace(strings.TrimPrefix(string(good), "ann:"))
@@ -79,7 +79,7 @@
 		if err := os.WriteFile(file, []byte(string(good)+"# a note\n\n"+line+"\n"), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := g.Reload(); err == nil || !strings.Contains(err.Error(), file+":4: ") {
+		if err := authenticator.Reload(); err == nil || !strings.Contains(err.Error(), file+":4: ") {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
@@ -89,74 +89,74 @@
 	if err := os.Chmod(file, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Reload(); err == nil || !strings.Contains(err.Error(), "chmod") {
-		t.Errorf("everyone may read it: %v", err)
+	if err := authenticator.Reload(); err == nil || !strings.Contains(err.Error(), "chmod") {
+		t.Errorf("a file that everyone may read: %v", err)
 	}
-	if _, ok := g.Authenticate(Plain, plain("ann", "new"), nil); !ok {
+	if _, ok := authenticator.Authenticate(Plain, plain("ann", "new"), nil); !ok {
 		t.Error("a broken file has changed something")
 	}
 }
 
-// What makes no sense is refused at the start, with the file or the key at fault.
-func TestSettingsAreChecked(t *testing.T) {
-	a := testutil.NewAuthority(t)
-	cert, key := a.Pair("relay", time.Hour)
-	other, _ := a.Pair("other", time.Hour)
-	for what, s := range map[string]Settings{
-		"wants its key": {Cert: cert}, "its certificate": {Key: key}, "over TLS only": {ClientCA: a.CA}, "nobody could come": {NoAnonymous: true},
+// Settings that make no sense are refused at the start, with the file or the key at fault.
+func TestSettingsAreValidated(t *testing.T) {
+	authority := testutil.NewAuthority(t)
+	cert, key := authority.Pair("relay", time.Hour)
+	other, _ := authority.Pair("other", time.Hour)
+	for what, settings := range map[string]Settings{
+		"wants its key": {Cert: cert}, "its certificate": {Key: key}, "over TLS only": {ClientCA: authority.CA}, "nobody could come": {NoAnonymous: true},
 		"in the clear": {Users: "x"}, "wants a user and classes": {Grants: []Grant{{User: "ann"}}}, "does not match": {Cert: other, Key: key},
 		"no such file": {Cert: cert, Key: key, ClientCA: "/not/there"}, "holds no certificate": {Cert: cert, Key: key, ClientCA: key},
 	} {
-		if _, err := New(s); err == nil || !strings.Contains(err.Error(), what) {
+		if _, err := New(settings); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	for what, u := range map[string]Upstream{"is missing": {Name: "x"}, "wants its key": {CA: a.CA, Cert: cert}, "holds no certificate": {CA: key}} {
-		if _, err := NewEndpointTLS(u); err == nil || !strings.Contains(err.Error(), what) {
+	for what, upstream := range map[string]Upstream{"is missing": {Name: "x"}, "wants its key": {CA: authority.CA, Cert: cert}, "holds no certificate": {CA: key}} {
+		if _, err := NewEndpointTLS(upstream); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	if s, err := NewEndpointTLS(Upstream{}); s != nil || err != nil || s.For("x") != nil || s.Reload() != nil {
-		t.Error("nothing that is set is something")
+	if settings, err := NewEndpointTLS(Upstream{}); settings != nil || err != nil || settings.For("x") != nil || settings.Reload() != nil {
+		t.Error("empty settings are not taken for no TLS")
 	}
 }
 
-// Mechanisms go by what a peer has shown, classes by grants.
-func TestWhoMayWhat(t *testing.T) {
-	a := testutil.NewAuthority(t)
-	cert, key := a.Pair("relay", 20*24*time.Hour)
+// Mechanisms depend on what a peer has shown, classes on grants.
+func TestMechanismsAndGrants(t *testing.T) {
+	authority := testutil.NewAuthority(t)
+	cert, key := authority.Pair("relay", 20*24*time.Hour)
 	users := filepath.Join(t.TempDir(), "users")
 	if err := SetPassword(users, "ann", "x", false); err != nil {
 		t.Fatal(err)
 	}
-	g, err := New(Settings{Cert: cert, Key: key, ClientCA: a.CA, Users: users,
+	authenticator, err := New(Settings{Cert: cert, Key: key, ClientCA: authority.CA, Users: users,
 		Grants: []Grant{{"*", []string{"page"}}, {"ann", []string{"live"}}, {"desk", []string{"live", "print"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	shown := &tls.ConnectionState{VerifiedChains: [][]*x509.Certificate{{{Subject: pkix.Name{CommonName: "desk"}}}}}
-	for want, c := range map[string]*tls.ConnectionState{"ANONYMOUS": nil, "PLAIN ANONYMOUS": {}, "EXTERNAL PLAIN ANONYMOUS": shown} {
-		if got := strings.Join(g.Mechanisms(c), " "); got != want {
+	for want, test := range map[string]*tls.ConnectionState{"ANONYMOUS": nil, "PLAIN ANONYMOUS": {}, "EXTERNAL PLAIN ANONYMOUS": shown} {
+		if got := strings.Join(authenticator.Mechanisms(test), " "); got != want {
 			t.Errorf("%q, want %q", got, want)
 		}
 	}
-	if user, ok := g.Authenticate(External, nil, shown); !ok || user != "desk" {
+	if user, ok := authenticator.Authenticate(External, nil, shown); !ok || user != "desk" {
 		t.Errorf("%q, %v", user, ok)
 	}
-	if _, ok := g.Authenticate(External, []byte("ann"), shown); ok {
+	if _, ok := authenticator.Authenticate(External, []byte("ann"), shown); ok {
 		t.Error("a certificate speaks for another")
 	}
 	for user, classes := range map[string]string{AnonymousUser: "page", "ann": "page live", "desk": "page live print"} {
 		for _, class := range []string{"page", "live", "print"} {
-			if g.Authorized(user, class) != strings.Contains(classes, class) {
-				t.Errorf("%s and %s: %v", user, class, g.Authorized(user, class))
+			if authenticator.Authorized(user, class) != strings.Contains(classes, class) {
+				t.Errorf("%s and %s: %v", user, class, authenticator.Authorized(user, class))
 			}
 		}
 	}
-	if at, ok := g.Expires(); !ok || time.Until(at) > 21*24*time.Hour || time.Until(at) < 19*24*time.Hour {
-		t.Errorf("it expires %v", at)
+	if expires, ok := authenticator.Expires(); !ok || time.Until(expires) > 21*24*time.Hour || time.Until(expires) < 19*24*time.Hour {
+		t.Errorf("the certificate expires %v", expires)
 	}
 	if none := (*Authenticator)(nil); !none.Authorized("x", "y") || none.TLS() != nil || !none.Bare() || none.Reload() != nil {
-		t.Error("without a gate something is kept out")
+		t.Error("a nil authenticator refuses something")
 	}
 }
--- /dev/null
+++ b/internal/auth/certificates.go
@@ -0,0 +1,42 @@
+package auth
+
+import (
+	"crypto/tls"
+	"crypto/x509"
+	"fmt"
+	"os"
+	"time"
+)
+
+// readKeyPair reads a certificate chain and its key, and returns when the first certificate of
+// the chain expires.
+func readKeyPair(certFile, keyFile string) (*tls.Certificate, time.Time, error) {
+	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
+	if err != nil {
+		return nil, time.Time{}, fmt.Errorf("%s and %s: %w", certFile, keyFile, err)
+	}
+	var expires time.Time
+	for _, der := range cert.Certificate {
+		parsed, err := x509.ParseCertificate(der)
+		if err != nil {
+			return nil, time.Time{}, fmt.Errorf("%s: %w", certFile, err)
+		}
+		if expires.IsZero() || parsed.NotAfter.Before(expires) {
+			expires = parsed.NotAfter
+		}
+	}
+	return &cert, expires, nil
+}
+
+// readCertPool reads the certificates of authorities from a PEM file.
+func readCertPool(file string) (*x509.CertPool, error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	pool := x509.NewCertPool()
+	if !pool.AppendCertsFromPEM(text) {
+		return nil, fmt.Errorf("%s holds no certificate", file)
+	}
+	return pool, nil
+}
--- /dev/null
+++ b/internal/auth/endpointtls.go
@@ -0,0 +1,70 @@
+package auth
+
+import (
+	"crypto/tls"
+	"errors"
+	"sync/atomic"
+)
+
+// Upstream says how connections to endpoints are secured. The zero value means no TLS.
+type Upstream struct {
+	CA        string // PEM file of the authorities, one of which has to have signed an endpoint's certificate
+	Cert, Key string // PEM files of the relay's client certificate and its key; empty: none
+	Name      string // server name that certificates have to be for; empty: the endpoint's host
+}
+
+// EndpointTLS is the TLS configuration for connections to endpoints. A nil EndpointTLS means no
+// TLS. Any goroutine may call its methods.
+type EndpointTLS struct {
+	settings Upstream
+	config   atomic.Pointer[tls.Config]
+}
+
+// NewEndpointTLS reads all files. It returns nil for the zero value of upstream, and its errors
+// are of type KeyError.
+func NewEndpointTLS(upstream Upstream) (*EndpointTLS, error) {
+	switch {
+	case upstream == Upstream{}:
+		return nil, nil
+	case upstream.CA == "":
+		return nil, KeyError{Key: "servers_tls.ca", Err: errors.New("is missing: a server's certificate could be anyone's")}
+	case (upstream.Cert == "") != (upstream.Key == ""):
+		return nil, KeyError{Key: "servers_tls.cert", Err: errIncompletePair}
+	}
+	e := &EndpointTLS{settings: upstream}
+	return e, e.Reload()
+}
+
+// Reload reads all files again. After an error what was read before stays in force.
+func (e *EndpointTLS) Reload() error {
+	if e == nil {
+		return nil
+	}
+	pool, err := readCertPool(e.settings.CA)
+	if err != nil {
+		return withKey("servers_tls.ca", err)
+	}
+	config := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
+	if e.settings.Cert != "" {
+		pair, _, err := readKeyPair(e.settings.Cert, e.settings.Key)
+		if err != nil {
+			return withKey("servers_tls.cert", err)
+		}
+		config.Certificates = []tls.Certificate{*pair}
+	}
+	e.config.Store(config)
+	return nil
+}
+
+// For returns the configuration for an endpoint at a host, or nil for no TLS. The caller may
+// change it.
+func (e *EndpointTLS) For(host string) *tls.Config {
+	if e == nil {
+		return nil
+	}
+	config := e.config.Load().Clone()
+	if config.ServerName = e.settings.Name; config.ServerName == "" {
+		config.ServerName = host
+	}
+	return config
+}
