--- a/internal/logging/golden_test.go
+++ b/internal/logging/golden_test.go
@@ -8,21 +8,21 @@
 	"lockroad/internal/golden"
 )
 
-// The three forms of a line of the log.
+// The three formats of a line of the log.
 func TestLineFormsAreStable(t *testing.T) {
 	local := time.Local
 	time.Local = time.UTC // times are written in the machine's zone
 	defer func() { time.Local = local }()
 	synctest.Test(t, func(t *testing.T) {
-		for _, form := range Formats() {
-			var b buffer
-			l := New(Options{Level: "debug", Format: form}, &b)
-			l.With("number", 7).Debug("a word", "text", "two words", "took", 1500*time.Millisecond)
-			l.Info("a word", "share", 0.5, "yes", true)
-			l.Warn("a word")
-			l.Error("a word", "error", "broken")
-			l.Close()
-			golden.Compare(t, "lines-"+form+".txt", b.String())
+		for _, format := range Formats() {
+			var output buffer
+			logger := New(Options{Level: "debug", Format: format}, &output)
+			logger.With("number", 7).Debug("a word", "text", "two words", "took", 1500*time.Millisecond)
+			logger.Info("a word", "share", 0.5, "yes", true)
+			logger.Warn("a word")
+			logger.Error("a word", "error", "broken")
+			logger.Close()
+			golden.Compare(t, "lines-"+format+".txt", output.String())
 		}
 	})
 }
--- /dev/null
+++ b/internal/logging/requests.go
@@ -0,0 +1,108 @@
+package logging
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"lockroad/balancer"
+	"lockroad/internal/proxy"
+	"lockroad/internal/registry"
+)
+
+// RequestObserver is a proxy.Observer that logs what goes wrong with requests: failed
+// attempts, rejections, failures and lost connections. Each line has the request's number,
+// frontend, name, class and last endpoint, and the reason of the last decision. The proxy
+// calls it from the goroutines that serve requests.
+type RequestObserver struct {
+	Log   *slog.Logger
+	Clock proxy.Clock
+	Name  func(balancer.EndpointID) string // returns an endpoint's name; any goroutine calls it
+}
+
+// Began returns the observer of one request.
+func (o *RequestObserver) Began(number uint64, request proxy.Request) proxy.RequestObserver {
+	return &requestLogger{
+		RequestObserver: o,
+		number:          number,
+		front:           request.Front,
+		class:           request.Class,
+		tenant:          request.Tenant,
+		requestName:     request.Name,
+		began:           o.Clock.Now(),
+	}
+}
+
+// requestLogger is the observer of one request. The balancer's goroutine calls Decided, the
+// request's own calls the rest; the atomic fields are what they share.
+type requestLogger struct {
+	*RequestObserver
+	number                    uint64
+	front, class, requestName string
+	tenant                    string // "" if it has none
+	began                     time.Duration
+
+	lastDecision atomic.Uint64 // its reason in the low 8 bits, the attempt above them
+	lastEndpoint atomic.Uint32 // of the last attempt
+	attempted    atomic.Bool   // lastEndpoint is set
+	decided      atomic.Bool   // lastDecision is set
+}
+
+// Decided records the reason of a decision. It neither blocks nor allocates, as the balancer
+// waits for it.
+func (r *requestLogger) Decided(decision *balancer.Decision) {
+	r.decided.Store(true)
+	r.lastDecision.Store(uint64(decision.Reason) | uint64(min(decision.Attempt, 255))<<8)
+}
+
+// log writes a line about the request.
+func (r *requestLogger) log(level slog.Level, message string, more ...any) {
+	endpoint := "-"
+	if r.attempted.Load() {
+		endpoint = r.Name(balancer.EndpointID(r.lastEndpoint.Load()))
+	}
+	attributes := append([]any{"number", r.number, "front", r.front, "name", r.requestName, "class", r.class, "server", endpoint}, more...)
+	if r.tenant != "" {
+		attributes = append(attributes, "tenant", r.tenant)
+	}
+	if r.decided.Load() {
+		decision := r.lastDecision.Load()
+		attributes = append(attributes, "reason", balancer.Reason(decision&0xff).String(), "attempt", decision>>8)
+	}
+	r.Log.Log(context.Background(), level, message, attributes...)
+}
+
+// AttemptStarted returns a function that logs the attempt if it has failed.
+func (r *requestLogger) AttemptStarted(endpoint balancer.EndpointID) func(balancer.AttemptStatus) {
+	r.lastEndpoint.Store(uint32(endpoint))
+	r.attempted.Store(true)
+	began := r.Clock.Now()
+	return func(status balancer.AttemptStatus) {
+		if status != balancer.StatusOK && status != balancer.StatusCancelled {
+			r.log(slog.LevelInfo, "a pass has failed", "outcome", registry.StatusNames[status], "took", r.Clock.Now()-began)
+		}
+	}
+}
+
+// Established logs nothing.
+func (r *requestLogger) Established() {}
+
+// Ended logs a rejection, a failure, a migration or a lost connection.
+func (r *requestLogger) Ended(result proxy.Result) {
+	elapsed := r.Clock.Now() - r.began
+	switch result.End {
+	case registry.EndRejected:
+		r.log(slog.LevelWarn, "a transaction is refused", "cause", result.Cause.String(), "come_back", result.RetryAfter, "took", elapsed)
+	case registry.EndFailed:
+		r.log(slog.LevelWarn, "a transaction has failed", "took", elapsed)
+	case registry.EndHeartbeatTimeout:
+		r.log(slog.LevelWarn, "a server has gone silent", "stood", elapsed)
+	case registry.EndMigrated:
+		r.log(slog.LevelDebug, "a client is moved", "cause", result.Cause.String(), "stood", elapsed)
+	case registry.EndClosed:
+		if result.Status != balancer.StatusOK && result.Status != balancer.StatusCancelled {
+			r.log(slog.LevelInfo, "a connection is lost", "outcome", registry.StatusNames[result.Status], "stood", elapsed)
+		}
+	}
+}
