--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -125,12 +125,12 @@
 	suppressed := l.handler.limiter.takeSuppressed(now)
 	l.handler.mu.Unlock()
 	for _, count := range suppressed {
-		record := slog.NewRecord(now, slog.LevelWarn, "lines are left out", 0)
+		record := slog.NewRecord(now, slog.LevelWarn, "log lines suppressed", 0)
 		record.AddAttrs(slog.String("kind", count.kind), slog.Int("count", count.count))
 		_ = l.handler.Handler.Handle(context.Background(), record)
 	}
 	if dropped := l.writer.dropped.Swap(0); dropped > 0 {
-		record := slog.NewRecord(now, slog.LevelWarn, "lines found no room as the log is read too slowly", 0)
+		record := slog.NewRecord(now, slog.LevelWarn, "log lines dropped", 0)
 		record.AddAttrs(slog.Int64("count", dropped))
 		_ = l.handler.Handler.Handle(context.Background(), record)
 	}
--- a/internal/logging/requests.go
+++ b/internal/logging/requests.go
@@ -80,7 +80,7 @@
 	began := r.Clock.Now()
 	return func(status balancer.AttemptStatus) {
 		if status != balancer.StatusOK && status != balancer.StatusCancelled {
-			r.log(slog.LevelInfo, "a pass has failed", "outcome", registry.StatusNames[status], "took", r.Clock.Now()-began)
+			r.log(slog.LevelInfo, "attempt failed", "outcome", registry.StatusNames[status], "took", r.Clock.Now()-began)
 		}
 	}
 }
@@ -93,16 +93,16 @@
 	elapsed := r.Clock.Now() - r.began
 	switch result.End {
 	case registry.EndRejected:
-		r.log(slog.LevelWarn, "a transaction is refused", "cause", result.Cause.String(), "come_back", result.RetryAfter, "took", elapsed)
+		r.log(slog.LevelWarn, "request rejected", "cause", result.Cause.String(), "come_back", result.RetryAfter, "took", elapsed)
 	case registry.EndFailed:
-		r.log(slog.LevelWarn, "a transaction has failed", "took", elapsed)
+		r.log(slog.LevelWarn, "request failed", "took", elapsed)
 	case registry.EndHeartbeatTimeout:
-		r.log(slog.LevelWarn, "a server has gone silent", "stood", elapsed)
+		r.log(slog.LevelWarn, "heartbeat timeout", "stood", elapsed)
 	case registry.EndMigrated:
-		r.log(slog.LevelDebug, "a client is moved", "cause", result.Cause.String(), "stood", elapsed)
+		r.log(slog.LevelDebug, "client migrated", "cause", result.Cause.String(), "stood", elapsed)
 	case registry.EndClosed:
 		if result.Status != balancer.StatusOK && result.Status != balancer.StatusCancelled {
-			r.log(slog.LevelInfo, "a connection is lost", "outcome", registry.StatusNames[result.Status], "stood", elapsed)
+			r.log(slog.LevelInfo, "connection lost", "outcome", registry.StatusNames[result.Status], "stood", elapsed)
 		}
 	}
 }
