--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -26,29 +26,29 @@
 	"lockroad/internal/registry"
 )
 
-// transcriber is a collector that writes down what it is sent, but for times and ids.
+// transcriber is a collector that records what it is sent as text, without times and ids.
 type transcriber struct {
 	mu    sync.Mutex
 	lines []string
 	errs  []error
 }
 
-func attributes(all []*commonpb.KeyValue) string {
-	var b strings.Builder
-	for _, one := range all {
-		if strings.HasPrefix(one.Key, "telemetry.sdk.") {
+func attributes(export []*commonpb.KeyValue) string {
+	var text strings.Builder
+	for _, attribute := range export {
+		if strings.HasPrefix(attribute.Key, "telemetry.sdk.") {
 			continue // the SDK's own
 		}
-		switch v := one.Value.Value.(type) {
+		switch value := attribute.Value.Value.(type) {
 		case *commonpb.AnyValue_StringValue:
-			fmt.Fprintf(&b, " %s=%q", one.Key, v.StringValue)
+			fmt.Fprintf(&text, " %s=%q", attribute.Key, value.StringValue)
 		case *commonpb.AnyValue_IntValue:
-			fmt.Fprintf(&b, " %s=%d", one.Key, v.IntValue)
+			fmt.Fprintf(&text, " %s=%d", attribute.Key, value.IntValue)
 		default:
-			fmt.Fprintf(&b, " %s=%T", one.Key, v)
+			fmt.Fprintf(&text, " %s=%T", attribute.Key, value)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
 func (c *transcriber) line(format string, args ...any) {
@@ -64,15 +64,15 @@
 }
 
 func (c *transcriber) take(r *http.Request) error {
-	in := io.Reader(r.Body)
+	scope := io.Reader(r.Body)
 	if r.Header.Get("Content-Encoding") == "gzip" {
 		unzipped, err := gzip.NewReader(r.Body)
 		if err != nil {
 			return err
 		}
-		in = unzipped
+		scope = unzipped
 	}
-	body, err := io.ReadAll(in)
+	body, err := io.ReadAll(scope)
 	if err != nil {
 		return err
 	}
@@ -86,48 +86,48 @@
 }
 
 func (c *transcriber) metrics(body []byte) error {
-	var all metricspb.ExportMetricsServiceRequest
-	if err := proto.Unmarshal(body, &all); err != nil {
+	var export metricspb.ExportMetricsServiceRequest
+	if err := proto.Unmarshal(body, &export); err != nil {
 		return err
 	}
-	for _, of := range all.ResourceMetrics {
-		c.line("metrics of resource%s", attributes(of.Resource.Attributes))
-		for _, in := range of.ScopeMetrics {
-			for _, m := range in.Metrics {
-				c.metric(in.Scope.Name, m)
+	for _, resource := range export.ResourceMetrics {
+		c.line("metrics of resource%s", attributes(resource.Resource.Attributes))
+		for _, scope := range resource.ScopeMetrics {
+			for _, metric := range scope.Metrics {
+				c.metric(scope.Scope.Name, metric)
 			}
 		}
 	}
 	return nil
 }
 
-func (c *transcriber) metric(scope string, m *metricpb.Metric) {
+func (c *transcriber) metric(scope string, metric *metricpb.Metric) {
 	var points []*metricpb.NumberDataPoint
 	kind := "gauge"
-	switch data := m.Data.(type) {
+	switch data := metric.Data.(type) {
 	case *metricpb.Metric_Gauge:
 		points = data.Gauge.DataPoints
 	case *metricpb.Metric_Sum:
 		points = data.Sum.DataPoints
 		kind = fmt.Sprintf("sum, monotonic %v, %v", data.Sum.IsMonotonic, data.Sum.AggregationTemporality)
 	}
-	for _, p := range points {
-		c.line("metric %s (%s; scope %s; unit %q; %s)%s: %d", m.Name, kind, scope, m.Unit, m.Description, attributes(p.Attributes), p.GetAsInt())
+	for _, point := range points {
+		c.line("metric %s (%s; scope %s; unit %q; %s)%s: %d", metric.Name, kind, scope, metric.Unit, metric.Description, attributes(point.Attributes), point.GetAsInt())
 	}
 }
 
 func (c *transcriber) spans(body []byte) error {
-	var all tracepb.ExportTraceServiceRequest
-	if err := proto.Unmarshal(body, &all); err != nil {
+	var export tracepb.ExportTraceServiceRequest
+	if err := proto.Unmarshal(body, &export); err != nil {
 		return err
 	}
-	for _, of := range all.ResourceSpans {
-		c.line("spans of resource%s", attributes(of.Resource.Attributes))
-		for _, in := range of.ScopeSpans {
-			for _, s := range in.Spans {
-				c.line("span %s (%v; scope %s; status %v %q; child %v)%s", s.Name, s.Kind, in.Scope.Name, s.Status.GetCode(), s.Status.GetMessage(), len(s.ParentSpanId) > 0, attributes(s.Attributes))
-				for i, e := range s.Events {
-					c.line("span %s event %d %s%s", s.Name, i, e.Name, attributes(e.Attributes))
+	for _, resource := range export.ResourceSpans {
+		c.line("spans of resource%s", attributes(resource.Resource.Attributes))
+		for _, scope := range resource.ScopeSpans {
+			for _, span := range scope.Spans {
+				c.line("span %s (%v; scope %s; status %v %q; child %v)%s", span.Name, span.Kind, scope.Scope.Name, span.Status.GetCode(), span.Status.GetMessage(), len(span.ParentSpanId) > 0, attributes(span.Attributes))
+				for i, event := range span.Events {
+					c.line("span %s event %d %s%s", span.Name, i, event.Name, attributes(event.Attributes))
 				}
 			}
 		}
@@ -140,36 +140,36 @@
 	collector := &transcriber{}
 	server := httptest.NewServer(collector)
 	defer server.Close()
-	k := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
-	first, second := k.Endpoints.ID("s-1"), k.Endpoints.ID("s-2")
-	k.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
+	core := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
+	first, second := core.Endpoints.ID("s-1"), core.Endpoints.ID("s-2")
+	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
 	for end := range registry.EndNames {
 		for range end + 1 {
-			k.Counters.CountEnd(registry.End(end))
+			core.Counters.CountEnd(registry.End(end))
 		}
 	}
 	for status := range registry.StatusNames {
 		for range status + 1 {
-			k.Counters.CountAttempt(balancer.AttemptStatus(status))
+			core.Counters.CountAttempt(balancer.AttemptStatus(status))
 		}
 	}
-	k.Counters.Requests.Add(41)
-	r, err := decisionlog.New(decisionlog.MinBytes, k.Clock)
+	core.Counters.Requests.Add(41)
+	r, err := decisionlog.New(decisionlog.MinBytes, core.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	telemetry, err := Start(context.Background(), server.URL, "n1", time.Hour, k, r)
+	telemetry, err := Start(context.Background(), server.URL, "n1", time.Hour, core, r)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ask := proxy.Request{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: k.Clock.Now() + time.Second}}
-	kept := r.Began(7, ask)
+	request := proxy.Request{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + time.Second}}
+	recorded := r.Began(7, request)
 	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
-		kept.Decided(&balancer.Decision{At: k.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
+		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
 			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
-	kept.AttemptStarted(first)(balancer.StatusOK)
-	traced := (&observer{clock: k.Clock, farm: k.Endpoints, record: r, tracer: telemetry.tracers.Tracer(scope)}).Began(7, ask)
+	recorded.AttemptStarted(first)(balancer.StatusOK)
+	traced := (&tracingObserver{clock: core.Clock, endpoints: core.Endpoints, decisions: r, tracer: telemetry.tracers.Tracer(instrumentationScope)}).Began(7, request)
 	for status := range registry.StatusNames {
 		traced.AttemptStarted(first)(balancer.AttemptStatus(status))
 	}
