--- a/internal/frontend/line/frontend_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -41,11 +41,11 @@
 	env := &environment{t: t, proxy: core, frontend: &Frontend{Proxy: core, Limiter: &listener.ConnLimiter{Slots: slots, MaxIdle: 4}}}
 	var listeners [2]net.Listener
 	for i := range listeners {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		opened, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		listeners[i] = l
+		listeners[i] = opened
 	}
 	env.endpoint, env.frontendAddress = listeners[0], listeners[1].Addr().String()
 	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: core.Endpoints.ID("s-1"), State: balancer.StateReady, Weight: 1}},
@@ -70,23 +70,23 @@
 	t      *testing.T
 }
 
-func (env *environment) peer(c net.Conn, err error) *peer {
+func (env *environment) peer(client net.Conn, err error) *peer {
 	env.t.Helper()
 	if err != nil {
 		env.t.Fatal(err)
 	}
-	env.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return &peer{c.(*net.TCPConn), bufio.NewReader(c), env.t}
+	env.t.Cleanup(func() { client.Close() })
+	client.SetDeadline(time.Now().Add(5 * time.Second))
+	return &peer{client.(*net.TCPConn), bufio.NewReader(client), env.t}
 }
 
 func (p *peer) send(text string) { io.WriteString(p, text) }
 
 func (p *peer) expect(text string) {
 	p.t.Helper()
-	b := make([]byte, len(text))
-	if count, err := io.ReadFull(p.reader, b); err != nil || string(b) != text {
-		p.t.Fatalf("got %q, %v, want %q", b[:count], err, text)
+	data := make([]byte, len(text))
+	if count, err := io.ReadFull(p.reader, data); err != nil || string(data) != text {
+		p.t.Fatalf("got %q, %v, want %q", data[:count], err, text)
 	}
 }
 
@@ -272,22 +272,22 @@
 // has sent by then would be lost.
 func TestPartialOpeningIsRejectedAtShutdown(t *testing.T) {
 	env := newEnvironment(t, 4)
-	c := env.client()
-	c.send("PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21")
-	c.expect("PONG\r\n") // the opening is being read
+	client := env.client()
+	client.send("PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21")
+	client.expect("PONG\r\n") // the opening is being read
 	began := time.Now()
 	env.proxy.RejectPending()
-	c.expect("BUSY\r\n")
+	client.expect("BUSY\r\n")
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("answered after %v", took)
 	}
-	c.send("e0b4d655 c=page,d=1500\r\n") // which is read: else a reset could overtake the answer
-	c.CloseWrite()
-	c.expectEnd(false)
+	client.send("e0b4d655 c=page,d=1500\r\n") // which is read: else a reset could overtake the answer
+	client.CloseWrite()
+	client.expectEnd(false)
 	// A complete opening is rejected like a pending request.
-	c = env.client()
-	c.send(fmt.Sprintf(openingFormat, 4000))
-	c.expect("BUSY\r\n")
+	client = env.client()
+	client.send(fmt.Sprintf(openingFormat, 4000))
+	client.expect("BUSY\r\n")
 }
 
 // A connection from before the start whose endpoint drains by then is established again, and migrates: the balancer may
--- a/internal/frontend/line/handoff_test.go
+++ b/internal/frontend/line/handoff_test.go
@@ -23,20 +23,20 @@
 	next := newEnvironment(env.t, 8, observers...)
 	return next, func(what any, sockets ...syscall.Conn) error {
 		var copies []net.Conn
-		for _, c := range sockets {
-			raw, err := c.SyscallConn()
+		for _, conn := range sockets {
+			raw, err := conn.SyscallConn()
 			if err != nil {
 				return err
 			}
 			raw.Control(func(fd uintptr) {
-				n, _ := unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0)
-				f := os.NewFile(uintptr(n), "copy")
+				duplicate, _ := unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0)
+				f := os.NewFile(uintptr(duplicate), "copy")
 				defer func() { _ = f.Close() }()
-				c, err := net.FileConn(f)
+				conn, err := net.FileConn(f)
 				if err != nil {
 					env.t.Error(err)
 				}
-				copies = append(copies, c)
+				copies = append(copies, conn)
 			})
 		}
 		encoded, err := json.Marshal(what)
@@ -201,8 +201,8 @@
 		if _, err := endpoint.reader.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
-		for _, b := range []byte("UP 1\r\n") { // and so do answers
-			endpoint.send(string(b))
+		for _, char := range []byte("UP 1\r\n") { // and so do answers
+			endpoint.send(string(char))
 		}
 		client.expect("UP 1\r\n")
 		client.Close()
--- a/internal/frontend/line/reader.go
+++ b/internal/frontend/line/reader.go
@@ -22,8 +22,8 @@
 	rawErr     error               // of obtaining raw; every read returns it
 }
 
-func newReader(c *net.TCPConn) *reader {
-	raw, err := c.SyscallConn()
+func newReader(conn *net.TCPConn) *reader {
+	raw, err := conn.SyscallConn()
 	return &reader{raw: raw, rawErr: err}
 }
 
--- a/internal/logging/golden_test.go
+++ b/internal/logging/golden_test.go
@@ -8,7 +8,7 @@
 	"lockroad/internal/golden"
 )
 
-// The three formats of a line of the log.
+// The three forms of a line of the log.
 func TestLineFormsAreStable(t *testing.T) {
 	local := time.Local
 	time.Local = time.UTC // times are written in the machine's zone
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -26,16 +26,16 @@
 	"lockroad/internal/registry"
 )
 
-// transcriber is a collector that records what it is sent as text, without times and ids.
+// transcriber is a collector that writes down what it is sent, but for times and ids.
 type transcriber struct {
 	mu    sync.Mutex
 	lines []string
 	errs  []error
 }
 
-func attributes(export []*commonpb.KeyValue) string {
+func attributes(list []*commonpb.KeyValue) string {
 	var text strings.Builder
-	for _, attribute := range export {
+	for _, attribute := range list {
 		if strings.HasPrefix(attribute.Key, "telemetry.sdk.") {
 			continue // the SDK's own
 		}
@@ -64,15 +64,15 @@
 }
 
 func (c *transcriber) take(r *http.Request) error {
-	scope := io.Reader(r.Body)
+	reader := io.Reader(r.Body)
 	if r.Header.Get("Content-Encoding") == "gzip" {
 		unzipped, err := gzip.NewReader(r.Body)
 		if err != nil {
 			return err
 		}
-		scope = unzipped
+		reader = unzipped
 	}
-	body, err := io.ReadAll(scope)
+	body, err := io.ReadAll(reader)
 	if err != nil {
 		return err
 	}
@@ -154,22 +154,22 @@
 		}
 	}
 	core.Counters.Requests.Add(41)
-	r, err := decisionlog.New(decisionlog.MinBytes, core.Clock)
+	decisions, err := decisionlog.New(decisionlog.MinBytes, core.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	telemetry, err := Start(context.Background(), server.URL, "n1", time.Hour, core, r)
+	telemetry, err := Start(context.Background(), server.URL, "n1", time.Hour, core, decisions)
 	if err != nil {
 		t.Fatal(err)
 	}
 	request := proxy.Request{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + time.Second}}
-	recorded := r.Began(7, request)
+	recorded := decisions.Began(7, request)
 	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
 		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
 			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
 	recorded.AttemptStarted(first)(balancer.StatusOK)
-	traced := (&tracingObserver{clock: core.Clock, endpoints: core.Endpoints, decisions: r, tracer: telemetry.tracers.Tracer(instrumentationScope)}).Began(7, request)
+	traced := (&tracingObserver{clock: core.Clock, endpoints: core.Endpoints, decisions: decisions, tracer: telemetry.tracers.Tracer(instrumentationScope)}).Began(7, request)
 	for status := range registry.StatusNames {
 		traced.AttemptStarted(first)(balancer.AttemptStatus(status))
 	}
