--- a/internal/frontend/line/handoff.go
+++ b/internal/frontend/line/handoff.go
@@ -144,12 +144,12 @@
 		return nil, err
 	}
 	if len(sockets) != 2 {
-		return nil, errors.New("a transaction has two sockets")
+		return nil, errors.New("a handed-off request has two sockets")
 	}
 	conn, ok := sockets[0].(*net.TCPConn)
 	endpoint, endpointOK := sockets[1].(*net.TCPConn)
 	if !ok || !endpointOK {
-		return nil, errors.New("the sockets are not TCP's")
+		return nil, errors.New("the sockets are not TCP connections")
 	}
 	client := newClientConn(conn)
 	client.midLine = state.MidLine
