--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
-// Command sim-adapter hosts many instances of the balancer on the simulator's
-// wire: batches of events on standard input, replies on standard output.
+// Command sim-adapter connects many instances of the balancer to the simulator: it reads
+// batches of events from standard input and writes replies to standard output.
 package main
 
 import (
@@ -20,13 +20,15 @@
 	}
 }
 
+const inputBuffer = 64 << 10 // bytes
+
 // serve answers batches until the input ends.
 func serve(r io.Reader, w io.Writer) error {
-	in := simprotocol.NewReader(bufio.NewReaderSize(r, 1<<16))
+	reader := simprotocol.NewReader(bufio.NewReaderSize(r, inputBuffer))
 	instances := make(map[uint32]*balancer.Balancer)
 	var reply simprotocol.Reply
 	for {
-		batch, err := in.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -34,7 +36,7 @@
 			return fmt.Errorf("reading: %w", err)
 		}
 		reply.Reset()
-		if err := answer(batch, instances, &reply); err != nil {
+		if err := handleBatch(batch, instances, &reply); err != nil {
 			return fmt.Errorf("batch at %v: %w", batch.Clock, err)
 		}
 		if _, err := reply.WriteTo(w); err != nil {
@@ -43,28 +45,29 @@
 	}
 }
 
-// answer hands the records of a batch to their instances.
-func answer(batch *simprotocol.Batch, instances map[uint32]*balancer.Balancer, reply *simprotocol.Reply) error {
+// handleBatch passes the records of a batch to their instances, in order, and adds the
+// actions to the reply.
+func handleBatch(batch *simprotocol.Batch, instances map[uint32]*balancer.Balancer, reply *simprotocol.Reply) error {
 	for {
-		rec, err := batch.Next()
+		record, err := batch.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch body := rec.Body.(type) {
+		switch body := record.Body.(type) {
 		case simprotocol.Attach:
-			instances[rec.Instance] = balancer.New(body.Settings, body.Seed)
+			instances[record.Instance] = balancer.New(body.Settings, body.Seed)
 		case simprotocol.Retire:
-			delete(instances, rec.Instance)
+			delete(instances, record.Instance)
 		case balancer.Event:
-			b := instances[rec.Instance]
-			if b == nil {
-				return fmt.Errorf("instance %d is not attached", rec.Instance)
+			instance := instances[record.Instance]
+			if instance == nil {
+				return fmt.Errorf("instance %d is not attached", record.Instance)
 			}
-			for _, action := range b.Handle(batch.Clock, body) {
-				if err := reply.Add(rec.Instance, action); err != nil {
+			for _, action := range instance.Handle(batch.Clock, body) {
+				if err := reply.Add(record.Instance, action); err != nil {
 					return err
 				}
 			}
--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-const settings = `{"Classes":[{"AimUs":500000,"DeadlineUs":2000000,"Semantics":"idempotent","Worth":1}],
+const settingsJSON = `{"Classes":[{"AimUs":500000,"DeadlineUs":2000000,"Semantics":"idempotent","Worth":1}],
 "Discovery":"push","NInstances":2,"Zone":0,"QuantumUs":5000,
 "Limits":{"ConnectTimeoutUs":250000,"TryLimit":3},
 "Guarantees":{"AnswerSlackUs":20000,"ColdUs":23000000,"DrainGraceUs":1000000,"FallUs":1500000,
 "StartCapacity":0.13,"TipMultiple":3.0}}`
 
-// frame writes values one behind the other as the wire has them.
-func frame(values ...any) []byte {
+// encode writes values one behind the other as the wire has them.
+func encode(values ...any) []byte {
 	var out []byte
 	for _, v := range values {
 		switch v := v.(type) {
@@ -34,34 +34,34 @@
 }
 
 func record(code uint8, fields ...any) []byte {
-	body := frame(fields...)
-	return frame(code, uint32(len(body)), body)
+	body := encode(fields...)
+	return encode(code, uint32(len(body)), body)
 }
 
 func batch(clock uint64, records ...[]byte) []byte {
 	body := slices.Concat(records...)
-	return frame(uint32(len(body)), uint32(len(records)), clock, body)
+	return encode(uint32(len(body)), uint32(len(records)), clock, body)
 }
 
-func attach(i uint32) []byte { return record(1, i, uint64(i)+7, settings) }
+func attach(i uint32) []byte { return record(1, i, uint64(i)+7, settingsJSON) }
 func retire(i uint32) []byte { return record(10, i) }
 
 func request(i, id uint32, group uint64) []byte {
 	return record(3, i, id, uint8(0), uint16(0), uint64(0), uint32(2000000), uint32(0), group, uint16(0))
 }
 
-func list(n int) []byte {
+func endpointList(n int) []byte {
 	var entries []byte
 	for id := range uint32(n) {
-		entries = append(entries, frame(uint16(0), float32(1), uint16(0), uint64(0), id+1, uint8(1), uint16(0))...)
+		entries = append(entries, encode(uint16(0), float32(1), uint16(0), uint64(0), id+1, uint8(1), uint16(0))...)
 	}
 	return record(11, uint16(0), uint32(n), entries)
 }
 
 func topology(i uint32) []byte { return record(2, i, uint8(3), uint64(1), uint16(0)) }
 
-// actions splits replies into the records of each instance.
-func actions(t *testing.T, out []byte) map[uint32][]string {
+// actionsByInstance splits replies into the records of each instance.
+func actionsByInstance(t *testing.T, out []byte) map[uint32][]string {
 	t.Helper()
 	by := make(map[uint32][]string)
 	for len(out) > 0 {
@@ -77,8 +77,8 @@
 	return by
 }
 
-func TestServeAnswersEveryBatchUntilTheEnd(t *testing.T) {
-	in := slices.Concat(batch(1), batch(2, attach(0), list(3), topology(0), request(0, 1, 5)), batch(3))
+func TestServeAnswersEachBatchUntilEOF(t *testing.T) {
+	in := slices.Concat(batch(1), batch(2, attach(0), endpointList(3), topology(0), request(0, 1, 5)), batch(3))
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
@@ -86,15 +86,15 @@
 	if !bytes.HasPrefix(out.Bytes(), make([]byte, 8)) || !bytes.HasSuffix(out.Bytes(), make([]byte, 8)) {
 		t.Error("an empty batch was not answered with an empty reply")
 	}
-	if got := actions(t, out.Bytes())[0]; len(got) != 2 {
+	if got := actionsByInstance(t, out.Bytes())[0]; len(got) != 2 {
 		t.Errorf("%d actions for one request, want its timer and its attempt", len(got))
 	}
 }
 
-func TestInstancesActAsIfAlone(t *testing.T) {
+func TestInstancesAreIndependent(t *testing.T) {
 	day := func(instances ...uint32) map[uint32][]string {
 		in := batch(1000)
-		first := [][]byte{list(7)}
+		first := [][]byte{endpointList(7)}
 		for _, i := range instances {
 			first = append(first, attach(i), topology(i))
 		}
@@ -110,7 +110,7 @@
 		if err := serve(bytes.NewReader(in), &out); err != nil {
 			t.Fatal(err)
 		}
-		return actions(t, out.Bytes())
+		return actionsByInstance(t, out.Bytes())
 	}
 	together := day(0, 1, 2)
 	for i := range uint32(3) {
@@ -121,21 +121,21 @@
 }
 
 // An instance that is retired and attached in one batch knows nothing.
-func TestRetireAndAttachInOneBatch(t *testing.T) {
+func TestRetiredInstanceKeepsNoState(t *testing.T) {
 	in := slices.Concat(
-		batch(1000, attach(0), list(3), topology(0), request(0, 1, 5)),
+		batch(1000, attach(0), endpointList(3), topology(0), request(0, 1, 5)),
 		batch(2000, retire(0), attach(0), topology(0), record(6, uint32(0), uint32(1)),
 			record(7, uint32(0), uint32(1)), request(0, 2, 5)))
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	if got := actions(t, out.Bytes())[0]; len(got) != 4 || got[0] != strings.Replace(got[2], "\x02\x00\x00\x00", "\x01\x00\x00\x00", 1) {
+	if got := actionsByInstance(t, out.Bytes())[0]; len(got) != 4 || got[0] != strings.Replace(got[2], "\x02\x00\x00\x00", "\x01\x00\x00\x00", 1) {
 		t.Errorf("the fresh instance did not begin as the first did: %q", got)
 	}
 }
 
-func TestEventForAnInstanceThatIsNotAttached(t *testing.T) {
+func TestEventForUnknownInstanceIsAnError(t *testing.T) {
 	var out bytes.Buffer
 	err := serve(bytes.NewReader(batch(1, request(4, 1, 5))), &out)
 	if err == nil || !strings.Contains(err.Error(), "instance 4 is not attached") {
@@ -147,7 +147,7 @@
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-func TestReplyThatCannotBeWritten(t *testing.T) {
+func TestWriteErrorIsReturned(t *testing.T) {
 	if err := serve(bytes.NewReader(batch(1)), brokenPipe{}); err == nil {
 		t.Error("a reply was lost in silence")
 	}
@@ -162,7 +162,7 @@
 	os.Exit(m.Run())
 }
 
-func TestCommandEnds(t *testing.T) {
+func TestCommandExit(t *testing.T) {
 	for name, test := range map[string]struct {
 		in   []byte
 		want string // on standard error, in one line; none with exit 0
--- /dev/null
+++ b/internal/simprotocol/cursor.go
@@ -0,0 +1,48 @@
+package simprotocol
+
+import (
+	"encoding/binary"
+	"math"
+	"time"
+
+	"lockroad/balancer"
+)
+
+// A cursor takes fields off the front of a record. Fields beyond the end read as
+// zero and set truncated, so that a decoder may check once, after its last field.
+type cursor struct {
+	unread    []byte
+	truncated bool // a field was asked for that is not there
+}
+
+func (c *cursor) take(n int) []byte {
+	if len(c.unread) < n {
+		c.truncated, c.unread = true, nil
+		return make([]byte, 8)[:min(n, 8)]
+	}
+	b := c.unread[:n]
+	c.unread = c.unread[n:]
+	return b
+}
+
+func (c *cursor) u8() uint8    { return c.take(1)[0] }
+func (c *cursor) u16() uint16  { return binary.LittleEndian.Uint16(c.take(2)) }
+func (c *cursor) u32() uint32  { return binary.LittleEndian.Uint32(c.take(4)) }
+func (c *cursor) u64() uint64  { return binary.LittleEndian.Uint64(c.take(8)) }
+func (c *cursor) f32() float32 { return math.Float32frombits(c.u32()) }
+
+func (c *cursor) duration() time.Duration { return time.Duration(c.u32()) * time.Microsecond }
+
+func (c *cursor) requestID() balancer.RequestID   { return balancer.RequestID(c.u32()) }
+func (c *cursor) endpointID() balancer.EndpointID { return balancer.EndpointID(c.u32()) }
+
+func (c *cursor) bytes(n uint32) []byte {
+	if uint64(n) > uint64(len(c.unread)) {
+		c.truncated, c.unread = true, nil
+		return nil
+	}
+	return c.take(int(n))
+}
+
+// skipFloats skips a list of floats that is preceded by its length.
+func (c *cursor) skipFloats() { c.bytes(4 * uint32(c.u8())) }
--- a/internal/simprotocol/wire_test.go
+++ b/internal/simprotocol/protocol_test.go
@@ -13,7 +13,7 @@
 	"lockroad/balancer"
 )
 
-// Example frames of the wire's description.
+// Example frames of the simulator's description.
 const (
 	emptyBatch = "00000000 00000000 5a5c800000000000"
 	emptyReply = "00000000 00000000"
@@ -36,7 +36,7 @@
 		"0100 0000c03f 0000 20145d0000000000 f211902c 01 0000"
 )
 
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -48,8 +48,8 @@
 // batch frames records, each given in hexadecimal.
 func batch(t testing.TB, records ...string) []byte {
 	t.Helper()
-	body := unhex(t, strings.Join(records, ""))
-	head := unhex(t, emptyBatch)
+	body := decodeHex(t, strings.Join(records, ""))
+	head := decodeHex(t, emptyBatch)
 	head[0], head[1], head[2] = byte(len(body)), byte(len(body)>>8), byte(len(body)>>16)
 	head[4] = byte(len(records))
 	return append(head, body...)
@@ -57,22 +57,22 @@
 
 // readAll reads all records of all batches.
 func readAll(r io.Reader) (records []Record, err error) {
-	rd := NewReader(r)
+	reader := NewReader(r)
 	for {
-		b, err := rd.Next()
+		b, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return records, nil
 		} else if err != nil {
 			return nil, err
 		}
 		for {
-			rec, err := b.Next()
+			record, err := b.Next()
 			if errors.Is(err, io.EOF) {
 				break
 			} else if err != nil {
 				return nil, err
 			}
-			records = append(records, rec)
+			records = append(records, record)
 		}
 	}
 }
@@ -120,22 +120,22 @@
 }
 
 func TestExampleBatchIsDecodedInOrder(t *testing.T) {
-	in := unhex(t, "44000000 03000000 5a5c800000000000"+requestRecord+wakeRecord+
+	in := decodeHex(t, "44000000 03000000 5a5c800000000000"+requestRecord+wakeRecord+
 		"06 08000000 05000000 192b6f0e")
-	rd := NewReader(bytes.NewReader(in))
-	b, err := rd.Next()
+	reader := NewReader(bytes.NewReader(in))
+	b, err := reader.Next()
 	if err != nil || b.Clock != 0x805c5a*time.Microsecond {
 		t.Fatalf("clock %v, error %v", b.Clock, err)
 	}
 	var instances []uint32
 	for {
-		rec, err := b.Next()
+		record, err := b.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
 			t.Fatal(err)
 		}
-		instances = append(instances, rec.Instance)
+		instances = append(instances, record.Instance)
 	}
 	if !reflect.DeepEqual(instances, []uint32{3, 3, 5}) {
 		t.Errorf("instances %v", instances)
@@ -166,7 +166,7 @@
 		if _, err := r.WriteTo(&out); err != nil {
 			t.Fatal(err)
 		}
-		record := unhex(t, test.want)
+		record := decodeHex(t, test.want)
 		want := append([]byte{byte(len(record)), 0, 0, 0, 1, 0, 0, 0}, record...)
 		if !bytes.Equal(out.Bytes(), want) {
 			t.Errorf("%s: got %x, want %x", name, out.Bytes(), want)
@@ -176,16 +176,16 @@
 	r.Reset()
 	var out bytes.Buffer
 	_, _ = r.WriteTo(&out)
-	if !bytes.Equal(out.Bytes(), unhex(t, emptyReply)) {
+	if !bytes.Equal(out.Bytes(), decodeHex(t, emptyReply)) {
 		t.Errorf("empty reply is %x", out.Bytes())
 	}
 	if err := r.Add(3, nil); err == nil {
-		t.Error("an action without a record was passed over in silence")
+		t.Error("an action without a record was ignored")
 	}
 }
 
-// Numbers of lists are used again, even within a batch.
-func TestReusedCatalogNumber(t *testing.T) {
+// Numbers of endpoint lists are used again, even within a batch.
+func TestCatalogNumbersCanBeReused(t *testing.T) {
 	other := strings.Replace(catalogRecord, "074a1203", "99999999", 1)
 	records, err := readAll(bytes.NewReader(batch(t, catalogRecord, topologyRecord, other, topologyRecord)))
 	if err != nil {
@@ -198,19 +198,19 @@
 	}
 }
 
-func TestMalformedInputIsNamed(t *testing.T) {
+func TestMalformedInputIsAnError(t *testing.T) {
 	edit := func(record, old, wanted string) string { return strings.Replace(record, old, wanted, 1) }
 	for name, test := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"half a header":      {unhex(t, emptyBatch)[:9], "header"},
+		"half a header":      {decodeHex(t, emptyBatch)[:9], "header"},
 		"truncated batch":    {batch(t, requestRecord)[:30], "ends after"},
-		"oversized batch":    {unhex(t, "ffffffff 01000000 5a5c800000000000"), "larger than"},
-		"claims much":        {unhex(t, "ffffff3f 01000000 5a5c800000000000 00"), "ends after"},
-		"no clock":           {unhex(t, "00000000 00000000 ffffffffffffffff"), "clock"},
-		"missing record":     {unhex(t, "00000000 01000000 5a5c800000000000"), "still to come"},
-		"bytes left over":    {unhex(t, "01000000 00000000 5a5c800000000000 00"), "follow the last record"},
+		"oversized batch":    {decodeHex(t, "ffffffff 01000000 5a5c800000000000"), "larger than"},
+		"claims much":        {decodeHex(t, "ffffff3f 01000000 5a5c800000000000 00"), "ends after"},
+		"no clock":           {decodeHex(t, "00000000 00000000 ffffffffffffffff"), "clock"},
+		"missing record":     {decodeHex(t, "00000000 01000000 5a5c800000000000"), "still to come"},
+		"bytes left over":    {decodeHex(t, "01000000 00000000 5a5c800000000000 00"), "follow the last record"},
 		"record too long":    {batch(t, edit(wakeRecord, "07 08", "07 09")), "claims 9 bytes"},
 		"unknown code":       {batch(t, edit(wakeRecord, "07", "63")), "unknown code"},
 		"code zero":          {batch(t, edit(wakeRecord, "07", "00")), "unknown code"},
@@ -218,7 +218,7 @@
 		"fields too long":    {batch(t, "0a 05000000 03000000 00"), "follow its fields"},
 		"unknown outcome":    {batch(t, edit(outcomeRecord, "6400", "6500")), "unknown outcome"},
 		"unknown list kind":  {batch(t, catalogRecord, edit(topologyRecord, " 03 29", " 09 29")), "unknown mode"},
-		"list never told":    {batch(t, topologyRecord), "no list"},
+		"unknown list":       {batch(t, topologyRecord), "no list"},
 		"list number":        {batch(t, edit(catalogRecord, "34000000 0000", "34000000 1000")), "not below"},
 		"catalog too short":  {batch(t, "0b 06000000 0000 ffffffff"), "too few"},
 		"server state":       {batch(t, edit(catalogRecord, "074a1203 01", "074a1203 07")), "unknown state"},
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestInputThatEndsWithinABatchIsUnexpected(t *testing.T) {
+func TestInputThatEndsWithinABatchIsAnUnexpectedEOF(t *testing.T) {
 	_, err := readAll(bytes.NewReader(batch(t, requestRecord)[:20]))
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("error is %v", err)
@@ -251,7 +251,7 @@
 func FuzzReader(f *testing.F) {
 	f.Add(batch(f, catalogRecord, topologyRecord, requestRecord, begunRecord, outcomeRecord))
 	f.Add(batch(f, resumedRecord, loadRecord, delayRecord, retireRecord, datagramRecord, probeRecord))
-	f.Add(unhex(f, emptyBatch))
+	f.Add(decodeHex(f, emptyBatch))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		records, err := readAll(bytes.NewReader(in))
 		if err == nil && len(in) > 0 && len(in) < batchHeader {
@@ -263,9 +263,9 @@
 	})
 }
 
-// FuzzSettings looks for settings that are taken though they make no sense.
+// FuzzSettings looks for settings that are accepted though they are not valid.
 func FuzzSettings(f *testing.F) {
-	f.Add([]byte(sample))
+	f.Add([]byte(sampleSettings))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if s, err := ParseSettings(in); err == nil && s.Validate() != nil {
 			t.Errorf("took settings that are not valid: %v", s.Validate())
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -10,7 +10,7 @@
 	"lockroad/balancer"
 )
 
-// Codes of the actions.
+// Codes of the actions, by their names in the simulator's description.
 const (
 	codeRelay        = 1
 	codeSayNo        = 2
@@ -20,62 +20,70 @@
 	codeGoAway       = 13
 )
 
-// maxTimer is the longest time that a timer may be set for.
+// maxTimer is the longest time that a timer may be set for: its microseconds fit the field.
 const maxTimer = 71 * time.Minute
 
-// A Reply collects the actions that answer a batch.
+// A Reply collects the actions that answer a batch. Call Reset before the first Add; it
+// is not safe for concurrent use.
 type Reply struct {
-	buf   []byte
-	count uint32
+	buffer []byte
+	count  uint32
 }
 
 // Reset empties the reply.
 func (r *Reply) Reset() {
-	r.buf = append(r.buf[:0], make([]byte, replyHeader)...)
+	r.buffer = append(r.buffer[:0], make([]byte, replyHeader)...)
 	r.count = 0
 }
 
-// Add appends an action of an instance.
-func (r *Reply) Add(instance uint32, a balancer.Action) error {
-	switch a := a.(type) {
+// Add appends an action of an instance. It fails for actions that the protocol has no record of.
+func (r *Reply) Add(instance uint32, action balancer.Action) error {
+	switch a := action.(type) {
 	case balancer.SendAttempt:
-		r.record(codeRelay, instance, uint32(a.Request), clip(a.Timeout), uint32(a.Endpoint))
+		r.record(codeRelay, instance, uint32(a.Request), clampMicroseconds(a.Timeout), uint32(a.Endpoint))
 	case balancer.Reject:
-		r.record(codeSayNo, instance, uint32(a.Request), clip(a.RetryAfter))
+		r.record(codeSayNo, instance, uint32(a.Request), clampMicroseconds(a.RetryAfter))
 	case balancer.Fail:
 		r.record(codeRespondError, instance, uint32(a.Request))
 	case balancer.Migrate:
 		r.record(codeGoAway, instance, uint32(a.Request))
 	case balancer.SetTimer:
-		r.record(codeWakeAt, instance, clip(min(a.After, maxTimer)), a.Token)
+		r.record(codeWakeAt, instance, clampMicroseconds(min(a.After, maxTimer)), a.Token)
 	case balancer.WatchEndpoints:
-		r.record(codeObserve, instance)
-		r.buf = append(r.buf, 1)
-		binary.LittleEndian.PutUint32(r.buf[len(r.buf)-9:], 5)
+		r.watch(instance)
 	default:
-		return fmt.Errorf("no record for action %T", a)
+		return fmt.Errorf("no record for action %T", action)
 	}
 	return nil
 }
 
 func (r *Reply) record(code uint8, fields ...uint32) {
-	r.buf = append(r.buf, code)
-	r.buf = binary.LittleEndian.AppendUint32(r.buf, uint32(4*len(fields)))
-	for _, f := range fields {
-		r.buf = binary.LittleEndian.AppendUint32(r.buf, f)
+	r.buffer = append(r.buffer, code)
+	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, uint32(4*len(fields)))
+	for _, field := range fields {
+		r.buffer = binary.LittleEndian.AppendUint32(r.buffer, field)
 	}
 	r.count++
 }
 
-// clip gives a time in whole microseconds, within what the field holds.
-func clip(d time.Duration) uint32 {
+// watch adds the one record whose last field is a byte.
+func (r *Reply) watch(instance uint32) {
+	r.buffer = append(r.buffer, codeObserve)
+	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, 5)
+	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, instance)
+	r.buffer = append(r.buffer, 1)
+	r.count++
+}
+
+// clampMicroseconds gives a time in whole microseconds, within what the field holds.
+func clampMicroseconds(d time.Duration) uint32 {
 	return uint32(min(max(d.Microseconds(), 0), math.MaxInt32))
 }
 
 // WriteTo writes the reply in one piece.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
-	binary.LittleEndian.PutUint32(r.buf[0:], uint32(len(r.buf)-replyHeader))
-	binary.LittleEndian.PutUint32(r.buf[4:], r.count)
-	n, err := w.Write(r.buf)
+	binary.LittleEndian.PutUint32(r.buffer[0:], uint32(len(r.buffer)-replyHeader))
+	binary.LittleEndian.PutUint32(r.buffer[4:], r.count)
+	n, err := w.Write(r.buffer)
 	return int64(n), err
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -11,216 +11,235 @@
 )
 
 // object is a JSON object whose keys are looked up one by one, so that a
-// missing one can be named and an unknown one passed over.
+// missing one can be named and an unknown one ignored. Error texts that others read
+// hold the type's name.
 type object map[string]json.RawMessage
 
-// KeyError is something wrong with one of the settings.
+// KeyError is a fault in one of the settings.
 type KeyError struct {
 	Key  string // such as Limits.TryLimit
 	What string
 }
 
-// Error says so.
+// Error returns the key and what is wrong with it.
 func (e *KeyError) Error() string { return e.Key + " " + e.What }
 
-// KeyErrors are all that is wrong with the settings.
+// KeyErrors are all faults of the settings, one for each key at most.
 type KeyErrors []*KeyError
 
-// Error names all of them in one line.
-func (all KeyErrors) Error() string {
-	texts := make([]string, len(all))
-	for i, e := range all {
-		texts[i] = e.Error()
+// Error lists all of them in one line.
+func (errs KeyErrors) Error() string {
+	texts := make([]string, len(errs))
+	for i, err := range errs {
+		texts[i] = err.Error()
 	}
 	return "settings: " + strings.Join(texts, "; ")
 }
 
-// settingsReader keeps what is found wrong, the first thing of each key.
-type settingsReader struct{ errs KeyErrors }
+// settingsReader collects the faults that are found, the first of each key.
+type settingsReader struct{ keyErrors KeyErrors }
 
 func (r *settingsReader) failf(key, format string, args ...any) {
-	if !slices.ContainsFunc(r.errs, func(e *KeyError) bool { return e.Key == key }) {
-		r.errs = append(r.errs, &KeyError{key, fmt.Sprintf(format, args...)})
+	if !slices.ContainsFunc(r.keyErrors, func(e *KeyError) bool { return e.Key == key }) {
+		r.keyErrors = append(r.keyErrors, &KeyError{Key: key, What: fmt.Sprintf(format, args...)})
 	}
 }
 
-// need reads the value of a key that has to be there.
-func need[T any](r *settingsReader, o object, path, key string) T {
-	var v T
-	raw, ok := o[key]
-	if o == nil {
-		return v // it is missing as a whole, and said to be
+// required reads the value of a key that has to be there.
+func required[T any](reader *settingsReader, values object, path, key string) T {
+	var value T
+	if values == nil {
+		return value // the object is missing as a whole, which is reported for its own key
 	}
+	raw, ok := values[key]
 	if !ok || string(raw) == "null" {
-		r.failf(path+key, "is missing")
-	} else if err := json.Unmarshal(raw, &v); err != nil {
-		r.failf(path+key, "can't be read: %v", err)
+		reader.failf(path+key, "is missing")
+	} else if err := json.Unmarshal(raw, &value); err != nil {
+		reader.failf(path+key, "can't be read: %v", err)
 	}
-	return v
+	return value
 }
 
-// maybe reads the value of a key that may be absent.
-func maybe[T any](r *settingsReader, o object, path, key string) T {
-	var v T
-	if raw, ok := o[key]; ok && string(raw) != "null" {
-		return need[T](r, object{key: raw}, path, key)
+// optional reads the value of a key that may be absent.
+func optional[T any](reader *settingsReader, values object, path, key string) T {
+	if raw, ok := values[key]; ok && string(raw) != "null" {
+		return required[T](reader, object{key: raw}, path, key)
 	}
-	return v
+	var zero T
+	return zero
 }
 
-// Span is a time that the settings tell in microseconds.
-func Span(us float64) (time.Duration, error) {
-	if !(us >= 0 && us <= 1e15) {
-		return 0, fmt.Errorf("is a time of %v microseconds, which is out of range", us)
+// maxMicroseconds bounds the times of the settings, of about 31 years.
+const maxMicroseconds = 1e15
+
+// Span converts a time of the settings, in microseconds. Its error reads as the end
+// of a sentence that begins with the key.
+func Span(count float64) (time.Duration, error) {
+	if !(count >= 0 && count <= maxMicroseconds) {
+		return 0, fmt.Errorf("is a time of %v microseconds, which is out of range", count)
 	}
-	return time.Duration(us) * time.Microsecond, nil
+	return time.Duration(count) * time.Microsecond, nil
 }
 
-// span is a Span that is told under a key.
-func (r *settingsReader) span(key string, us float64) time.Duration {
-	t, err := Span(us)
+// duration is Span with the fault reported for a key.
+func (r *settingsReader) duration(key string, count float64) time.Duration {
+	duration, err := Span(count)
 	if err != nil {
 		r.failf(key, "%v", err)
 	}
-	return t
+	return duration
 }
 
-func span(r *settingsReader, o object, path, key string) time.Duration {
-	return r.span(path+key, need[float64](r, o, path, key))
+func requiredDuration(reader *settingsReader, values object, path, key string) time.Duration {
+	return reader.duration(path+key, required[float64](reader, values, path, key))
 }
 
-// over reads a time that has to be over 0.
-func over(r *settingsReader, o object, path, key string) time.Duration {
-	t := span(r, o, path, key)
-	if t <= 0 {
-		r.failf(path+key, "is not over 0")
+// positiveDuration reads a time that has to be over 0.
+func positiveDuration(reader *settingsReader, values object, path, key string) time.Duration {
+	duration := requiredDuration(reader, values, path, key)
+	if duration <= 0 {
+		reader.failf(path+key, "is not over 0")
 	}
-	return t
+	return duration
 }
 
-var effects = map[string]balancer.Effect{
+var effectWords = map[string]balancer.Effect{
 	"idempotent":   balancer.Idempotent,
 	"deduplicated": balancer.Deduplicated,
 	"at_most_once": balancer.AtMostOnce,
 }
 
-var scopes = map[string]balancer.Scope{
+var scopeWords = map[string]balancer.Scope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
 }
 
-func pick[T any](r *settingsReader, from map[string]T, path, word string) T {
-	v, ok := from[word]
+// lookUp returns what a word of the settings stands for.
+func lookUp[T any](reader *settingsReader, words map[string]T, path, word string) T {
+	value, ok := words[word]
 	if !ok {
-		r.failf(path, "has the unknown word %q", word)
+		reader.failf(path, "has the unknown word %q", word)
 	}
-	return v
+	return value
 }
 
-// ParseSettings reads the settings that an instance is given at its start.
-func ParseSettings(info []byte) (balancer.Settings, error) {
-	var o object
-	if err := json.Unmarshal(info, &o); err != nil {
+// ParseSettings reads the settings that an instance is given at its start, as JSON.
+// Its errors are KeyErrors where keys are missing or have values that make no sense.
+func ParseSettings(text []byte) (balancer.Settings, error) {
+	var values object
+	if err := json.Unmarshal(text, &values); err != nil {
 		return balancer.Settings{}, fmt.Errorf("settings are no JSON object: %w", err)
 	}
-	r := &settingsReader{}
-	limits := need[object](r, o, "", "Limits")
-	rules := need[object](r, o, "", "Guarantees")
-	costs := maybe[object](r, o, "", "Costs")
-	facts := maybe[object](r, o, "", "Specifics")
-	s := balancer.Settings{
-		Relays:  need[int](r, o, "", "NInstances"),
-		Zone:    need[int](r, o, "", "Zone"),
-		MinTick: span(r, o, "", "QuantumUs"),
-		PollList: pick(r, map[string]bool{"push": false, "ask": true}, "Discovery",
-			need[string](r, o, "", "Discovery")),
-		MaxAttempts:       need[int](r, limits, "Limits.", "TryLimit"),
-		ConnectTimeout:    span(r, limits, "Limits.", "ConnectTimeoutUs"),
-		InitialCapacity:   need[float64](r, rules, "Guarantees.", "StartCapacity"),
-		SlowStartDuration: span(r, rules, "Guarantees.", "ColdUs"),
-		OverloadMultiple:  need[float64](r, rules, "Guarantees.", "TipMultiple"),
-		OverloadWindow:    over(r, rules, "Guarantees.", "FallUs"),
-		CrossZoneCost:     maybe[float64](r, costs, "Costs.", "CrossZone"),
-	}
-	if maybe[bool](r, limits, "Limits.", "RetryAfter") {
-		s.MaxRetryAfter = span(r, limits, "Limits.", "MaxRetryAfterUs")
-	}
-	if s.PollList {
-		s.PollInterval = over(r, rules, "Guarantees.", "AskEveryUs")
-	}
-	s.ReportsLoad, s.ReportsDelay = tells(r, facts, "TellsLoad"), tells(r, facts, "TellsDelay")
-	if s.CrossZoneCost < 0 {
-		r.failf("Costs.CrossZone", "is %v, which is no price", s.CrossZoneCost)
-	}
-	if s.MaxAttempts < 1 {
-		r.failf("Limits.TryLimit", "is not over 0")
-	}
-	if s.Relays < 1 {
-		r.failf("NInstances", "is not over 0")
-	}
-	if !(s.InitialCapacity > 0 && s.InitialCapacity <= 1) {
-		r.failf("Guarantees.StartCapacity", "is %v, which is not over 0 and up to 1", s.InitialCapacity)
-	}
-	if !(s.OverloadMultiple > 0) {
-		r.failf("Guarantees.TipMultiple", "is not over 0")
-	}
-	s.Tenants = tenants(r, o)
-	s.Classes = classes(r, o, maybe[[]float64](r, facts, "Specifics.", "MessageAimUs"))
-	if len(r.errs) > 0 {
-		return balancer.Settings{}, r.errs
-	}
-	return s, s.Validate()
-}
-
-// tenants reads the names of those whose requests are told apart.
-func tenants(r *settingsReader, o object) (names []string) {
-	for i, c := range maybe[[]object](r, o, "", "Customers") {
+	reader := &settingsReader{}
+	settings, specifics := readSettings(reader, values)
+	checkSettings(reader, settings)
+	settings.Tenants = readTenants(reader, values)
+	settings.Classes = readClasses(reader, values, optional[[]float64](reader, specifics, "Specifics.", "MessageAimUs"))
+	if len(reader.keyErrors) > 0 {
+		return balancer.Settings{}, reader.keyErrors
+	}
+	return settings, settings.Validate()
+}
+
+// readSettings reads all but the tenants and classes.
+func readSettings(reader *settingsReader, values object) (settings balancer.Settings, specifics object) {
+	limits := required[object](reader, values, "", "Limits")
+	guarantees := required[object](reader, values, "", "Guarantees")
+	costs := optional[object](reader, values, "", "Costs")
+	specifics = optional[object](reader, values, "", "Specifics")
+	settings = balancer.Settings{
+		Relays:  required[int](reader, values, "", "NInstances"),
+		Zone:    required[int](reader, values, "", "Zone"),
+		MinTick: requiredDuration(reader, values, "", "QuantumUs"),
+		PollList: lookUp(reader, map[string]bool{"push": false, "ask": true}, "Discovery",
+			required[string](reader, values, "", "Discovery")),
+		MaxAttempts:       required[int](reader, limits, "Limits.", "TryLimit"),
+		ConnectTimeout:    requiredDuration(reader, limits, "Limits.", "ConnectTimeoutUs"),
+		InitialCapacity:   required[float64](reader, guarantees, "Guarantees.", "StartCapacity"),
+		SlowStartDuration: requiredDuration(reader, guarantees, "Guarantees.", "ColdUs"),
+		OverloadMultiple:  required[float64](reader, guarantees, "Guarantees.", "TipMultiple"),
+		OverloadWindow:    positiveDuration(reader, guarantees, "Guarantees.", "FallUs"),
+		CrossZoneCost:     optional[float64](reader, costs, "Costs.", "CrossZone"),
+	}
+	if optional[bool](reader, limits, "Limits.", "RetryAfter") {
+		settings.MaxRetryAfter = requiredDuration(reader, limits, "Limits.", "MaxRetryAfterUs")
+	}
+	if settings.PollList {
+		settings.PollInterval = positiveDuration(reader, guarantees, "Guarantees.", "AskEveryUs")
+	}
+	settings.ReportsLoad, settings.ReportsDelay = reports(reader, specifics, "TellsLoad"), reports(reader, specifics, "TellsDelay")
+	return settings, specifics
+}
+
+// checkSettings reports values that make no sense.
+func checkSettings(reader *settingsReader, settings balancer.Settings) {
+	if settings.CrossZoneCost < 0 {
+		reader.failf("Costs.CrossZone", "is %v, which is no price", settings.CrossZoneCost)
+	}
+	if settings.MaxAttempts < 1 {
+		reader.failf("Limits.TryLimit", "is not over 0")
+	}
+	if settings.Relays < 1 {
+		reader.failf("NInstances", "is not over 0")
+	}
+	if !(settings.InitialCapacity > 0 && settings.InitialCapacity <= 1) {
+		reader.failf("Guarantees.StartCapacity", "is %v, which is not over 0 and up to 1", settings.InitialCapacity)
+	}
+	if !(settings.OverloadMultiple > 0) {
+		reader.failf("Guarantees.TipMultiple", "is not over 0")
+	}
+}
+
+// readTenants reads the names of the tenants, whose requests are counted apart.
+func readTenants(reader *settingsReader, values object) (names []string) {
+	for i, entry := range optional[[]object](reader, values, "", "Customers") {
 		path := fmt.Sprintf("Customers[%d].", i)
-		name := need[string](r, c, path, "Name")
-		switch share := maybe[float64](r, c, path, "Share"); {
+		name := required[string](reader, entry, path, "Name")
+		switch share := optional[float64](reader, entry, path, "Share"); {
 		case share < 0 || share > 1:
-			r.failf(path+"Share", "is %v, which is no part of the whole", share)
+			reader.failf(path+"Share", "is %v, which is no part of the whole", share)
 		case name == "":
-			r.failf(path+"Name", "is empty")
+			reader.failf(path+"Name", "is empty")
 		case slices.Contains(names, name):
-			r.failf(path+"Name", "%q is the name of another tenant too", name)
+			reader.failf(path+"Name", "%q is the name of another tenant too", name)
 		}
 		names = append(names, name)
 	}
 	return names
 }
 
-// tells reads whether servers tell something. Where nothing is said of it, they may.
-func tells(r *settingsReader, facts object, key string) bool {
-	if raw, ok := facts[key]; !ok || string(raw) == "null" {
+// reports reads whether endpoints report something. Where the key is absent, they may.
+func reports(reader *settingsReader, specifics object, key string) bool {
+	if raw, ok := specifics[key]; !ok || string(raw) == "null" {
 		return true
 	}
-	return need[bool](r, facts, "Specifics.", key)
+	return required[bool](reader, specifics, "Specifics.", key)
 }
 
-func classes(r *settingsReader, o object, messageAims []float64) []balancer.Class {
-	var list []balancer.Class
-	given := need[[]object](r, o, "", "Classes")
+// readClasses reads the classes; messageObjectives are those of their messages, in microseconds and in order.
+func readClasses(reader *settingsReader, values object, messageObjectives []float64) []balancer.Class {
+	var classes []balancer.Class
+	given := required[[]object](reader, values, "", "Classes")
 	if len(given) == 0 {
-		r.failf("Classes", "names none")
+		reader.failf("Classes", "names none")
 	}
-	for i, c := range given {
+	for i, entry := range given {
 		path := fmt.Sprintf("Classes[%d].", i)
 		class := balancer.Class{
-			Name:             maybe[string](r, c, path, "Name"),
-			LatencyObjective: span(r, c, path, "AimUs"),
-			Deadline:         over(r, c, path, "DeadlineUs"),
-			Effect:           pick(r, effects, path+"Semantics", need[string](r, c, path, "Semantics")),
+			Name:             optional[string](reader, entry, path, "Name"),
+			LatencyObjective: requiredDuration(reader, entry, path, "AimUs"),
+			Deadline:         positiveDuration(reader, entry, path, "DeadlineUs"),
+			Effect:           lookUp(reader, effectWords, path+"Semantics", required[string](reader, entry, path, "Semantics")),
 		}
 		if class.Effect == balancer.Deduplicated {
-			class.Scope = pick(r, scopes, path+"KeyScope", need[string](r, c, path, "KeyScope"))
-			class.DeduplicationWindow = over(r, c, path, "MemorySpanUs")
+			class.Scope = lookUp(reader, scopeWords, path+"KeyScope", required[string](reader, entry, path, "KeyScope"))
+			class.DeduplicationWindow = positiveDuration(reader, entry, path, "MemorySpanUs")
 		}
-		if i < len(messageAims) {
-			class.MessageLatencyObjective = r.span(fmt.Sprintf("Specifics.MessageAimUs[%d]", i), messageAims[i])
+		if i < len(messageObjectives) {
+			class.MessageLatencyObjective = reader.duration(fmt.Sprintf("Specifics.MessageAimUs[%d]", i), messageObjectives[i])
 		}
-		list = append(list, class)
+		classes = append(classes, class)
 	}
-	return list
+	return classes
 }
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -10,7 +10,7 @@
 	"lockroad/balancer"
 )
 
-const sample = `{
+const sampleSettings = `{
 	"Classes": [
 		{"AimUs": 300000, "DeadlineUs": 1200000, "KeyScope": "all", "LateWorth": 0.0, "MemorySpanUs": 5000000,
 		 "Name": "a", "Semantics": "idempotent", "Stream": true, "Worth": 1.5},
@@ -30,7 +30,7 @@
 }`
 
 func TestSettingsAreRead(t *testing.T) {
-	got, err := ParseSettings([]byte(sample))
+	got, err := ParseSettings([]byte(sampleSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +65,11 @@
 // without returns the sample less one key, given by its path.
 func without(t *testing.T, path ...string) []byte {
 	t.Helper()
-	var o map[string]any
-	if err := json.Unmarshal([]byte(sample), &o); err != nil {
+	var values map[string]any
+	if err := json.Unmarshal([]byte(sampleSettings), &values); err != nil {
 		t.Fatal(err)
 	}
-	at := o
+	at := values
 	for _, key := range path[:len(path)-1] {
 		if list, ok := at[key].([]any); ok {
 			at = list[1].(map[string]any)
@@ -78,14 +78,14 @@
 		}
 	}
 	delete(at, path[len(path)-1])
-	out, err := json.Marshal(o)
+	out, err := json.Marshal(values)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return out
 }
 
-func TestMissingKeysAreNamed(t *testing.T) {
+func TestMissingKeysAreReported(t *testing.T) {
 	for _, path := range [][]string{
 		{"Classes"}, {"Classes", "AimUs"}, {"Classes", "DeadlineUs"}, {"Classes", "Semantics"},
 		{"Classes", "KeyScope"}, {"Classes", "MemorySpanUs"},
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestSettingsThatContradictAreRefused(t *testing.T) {
+func TestUnreadableSettingsAreRejected(t *testing.T) {
 	for name, edit := range map[string][2]string{
 		"unknown effect":    {`"at_most_once"`, `"sometimes"`},
 		"unknown scope":     {`"cell"`, `"galaxy"`},
@@ -116,10 +116,10 @@
 		"no relay":          {`"NInstances": 2`, `"NInstances": 0`},
 		"negative time":     {`"QuantumUs": 5000`, `"QuantumUs": -1`},
 		"no list":           {`"Classes": [`, `"Classes": 7, "x": [`},
-		"no object":         {sample, `[1]`},
-		"no JSON":           {sample, `nonsense`},
+		"no object":         {sampleSettings, `[1]`},
+		"no JSON":           {sampleSettings, `nonsense`},
 	} {
-		_, err := ParseSettings([]byte(strings.Replace(sample, edit[0], edit[1], 1)))
+		_, err := ParseSettings([]byte(strings.Replace(sampleSettings, edit[0], edit[1], 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), "settings") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error is %v", name, err)
 		}
@@ -127,7 +127,7 @@
 }
 
 // What makes no sense is told with the key that it is wrong with, each thing once.
-func TestSenselessSettingsAreToldWithTheirKey(t *testing.T) {
+func TestInvalidSettingsAreReportedWithTheirKey(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"AskEveryUs": 10000000`, `"AskEveryUs": 0`, "settings: Guarantees.AskEveryUs is not over 0"},
 		{`"MemorySpanUs": 6000000`, `"MemorySpanUs": 0`, "settings: Classes[1].MemorySpanUs is not over 0"},
@@ -143,7 +143,7 @@
 		{`"CrossZone": 0.06`, `"CrossZone": -0.06`, "settings: Costs.CrossZone is -0.06, which is no price"},
 		{`100000.0, 50000.0`, `100000.0, -50000.0`, "settings: Specifics.MessageAimUs[1] is a time of -50000 microseconds, which is out of range"},
 	} {
-		text := strings.Replace(sample, c[0], c[1], 1)
+		text := strings.Replace(sampleSettings, c[0], c[1], 1)
 		if _, err := ParseSettings([]byte(text)); err == nil || err.Error() != c[2] {
 			t.Errorf("%s: %v, want %s", c[1], err, c[2])
 		}
