--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -155,7 +155,7 @@
 
 // TestMain lets the test binary stand in for the command.
 func TestMain(m *testing.M) {
-	if os.Getenv("WIREHOST_AS_COMMAND") != "" {
+	if os.Getenv("SIM_ADAPTER_AS_COMMAND") != "" {
 		main()
 		return
 	}
@@ -175,7 +175,7 @@
 		"no JSON":       {batch(1, record(1, uint32(0), uint64(1), `{`)), "no JSON"},
 	} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "WIREHOST_AS_COMMAND=1")
+		cmd.Env = append(os.Environ(), "SIM_ADAPTER_AS_COMMAND=1")
 		cmd.Stdin = bytes.NewReader(test.in)
 		var errout bytes.Buffer
 		cmd.Stderr = &errout
--- a/internal/fake/capacity.go
+++ b/internal/fake/capacity.go
@@ -21,94 +21,94 @@
 	ReportOver time.Duration // relays are told of delays over this, once a second
 }
 
-// crowded is the part of a server's work from which on messages take no longer by the queue's
+// maxUtilization is the part of a server's work from which on messages take no longer by the queue's
 // law: what comes on top piles up.
-const crowded = 0.95
+const maxUtilization = 0.95
 
-// burden is what is asked of a server now. Times are those of its caller.
-type burden struct {
+// workload is what is asked of a server now. Times are those of its caller.
+type workload struct {
 	Capacity
-	born   time.Time // zero: long ago
-	asked  time.Duration
-	groups map[string]int
-	piled  time.Duration // work not done yet, as of since
-	since  time.Time
+	startedAt time.Time // zero: long ago
+	demand    time.Duration
+	groups    map[string]int
+	backlog   time.Duration // work not done yet, as of since
+	updatedAt time.Time
 }
 
-// does is the work a second that the server can do at a time.
-func (b *burden) does(now time.Time) time.Duration {
-	if age := now.Sub(b.born); !b.born.IsZero() && age < b.ColdFor {
+// capacityAt is the work a second that the server can do at a time.
+func (b *workload) capacityAt(now time.Time) time.Duration {
+	if age := now.Sub(b.startedAt); !b.startedAt.IsZero() && age < b.ColdFor {
 		return time.Duration(float64(b.Work) * (b.ColdShare + (1-b.ColdShare)*float64(age)/float64(b.ColdFor)))
 	}
 	return b.Work
 }
 
-// settle works off what is piled up, or piles more up, until a time.
-func (b *burden) settle(now time.Time) {
-	if !b.since.IsZero() {
-		b.piled = max(0, b.piled+time.Duration(now.Sub(b.since).Seconds()*float64(b.asked-b.does(now))))
+// advance works off what is piled up, or piles more up, until a time.
+func (b *workload) advance(now time.Time) {
+	if !b.updatedAt.IsZero() {
+		b.backlog = max(0, b.backlog+time.Duration(now.Sub(b.updatedAt).Seconds()*float64(b.demand-b.capacityAt(now))))
 	}
-	b.since = now
+	b.updatedAt = now
 }
 
 // add books a connection of a class and group that stands from now on.
-func (b *burden) add(now time.Time, class, group string) {
-	b.settle(now)
-	b.asked += b.Classes[class]
+func (b *workload) add(now time.Time, class, group string) {
+	b.advance(now)
+	b.demand += b.Classes[class]
 	if b.groups[group]++; b.groups[group] == 1 {
-		b.asked += b.Group
+		b.demand += b.Group
 	}
 }
 
 // remove takes one off.
-func (b *burden) remove(now time.Time, class, group string) {
-	b.settle(now)
-	b.asked -= b.Classes[class]
+func (b *workload) remove(now time.Time, class, group string) {
+	b.advance(now)
+	b.demand -= b.Classes[class]
 	if b.groups[group]--; b.groups[group] == 0 {
 		delete(b.groups, group)
-		b.asked -= b.Group
+		b.demand -= b.Group
 	}
 }
 
 // delay is what a message takes that comes at a time.
-func (b *burden) delay(now time.Time) time.Duration {
+func (b *workload) delay(now time.Time) time.Duration {
 	if b.Work == 0 {
 		return 0
 	}
-	b.settle(now)
-	does := b.does(now).Seconds()
-	rho := min(crowded, b.asked.Seconds()/does)
-	return time.Duration(float64(b.Message)/(1-rho) + float64(b.piled)/does)
+	b.advance(now)
+	does := b.capacityAt(now).Seconds()
+	rho := min(maxUtilization, b.demand.Seconds()/does)
+	return time.Duration(float64(b.Message)/(1-rho) + float64(b.backlog)/does)
 }
 
-// told are the connections of each door on which a server tells its delay: each relay has a door of its
+// delayReports are the connections of each door on which a server tells its delay: each relay has a door of its
 // own, and is told on one connection.
-type told struct {
-	mu    sync.Mutex
-	doors map[int][]*func(string) error
+type delayReports struct {
+	mu         sync.Mutex
+	byListener map[int][]*func(string) error
 }
 
-func (t *told) add(door int, write *func(string) error) {
+func (t *delayReports) add(door int, write *func(string) error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.doors == nil {
-		t.doors = make(map[int][]*func(string) error)
+	if t.byListener == nil {
+		t.byListener = make(map[int][]*func(string) error)
 	}
-	t.doors[door] = append(t.doors[door], write)
+	t.byListener[door] = append(t.byListener[door], write)
 }
 
-func (t *told) remove(door int, write *func(string) error) {
+func (t *delayReports) remove(door int, write *func(string) error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.doors[door] = slices.DeleteFunc(t.doors[door], func(w *func(string) error) bool { return w == write })
+	t.byListener[door] = slices.DeleteFunc(t.byListener[door], func(w *func(string) error) bool { return w == write })
 }
 
-// first are one connection of each door.
-func (t *told) first() []func(string) error {
+// onePerListener are one connection of each door.
+func (t *delayReports) onePerListener() []func(string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var all []func(string) error
-	for _, door := range t.doors {
+	for _, door := range t.byListener {
 		if len(door) > 0 {
 			all = append(all, *door[0])
 		}
@@ -116,8 +116,8 @@
 	return all
 }
 
-// tells tells each relay once a second what a message takes, while that is long, and once when it no longer is.
-func (s *Server) tells(ctx context.Context) {
+// reportDelays tells each relay once a second what a message takes, while that is long, and once when it no longer is.
+func (s *Server) reportDelays(ctx context.Context) {
 	beat := time.NewTicker(time.Second)
 	defer beat.Stop()
 	for was := false; ; {
@@ -127,11 +127,11 @@
 		case <-beat.C:
 		}
 		s.mu.Lock()
-		delay, silent := s.burden.delay(time.Now()), s.mode == ModeHang
+		delay, silent := s.workload.delay(time.Now()), s.mode == ModeHang
 		s.mu.Unlock()
 		long := delay > s.Capacity.ReportOver
 		if (long || was) && !silent {
-			for _, write := range s.told.first() {
+			for _, write := range s.delayReports.onePerListener() {
 				_ = write(fmt.Sprintf("LOAD %d\r\n", delay.Milliseconds()))
 			}
 		}
--- a/internal/fake/capacity_test.go
+++ b/internal/fake/capacity_test.go
@@ -7,10 +7,10 @@
 
 // A server is asked for more than it does, piles it up, and works it off again; a group is paid for once, and a
 // cold server does less.
-func TestBurden(t *testing.T) {
+func TestWorkloadDelaysMessages(t *testing.T) {
 	const ms = time.Millisecond
 	now := time.Unix(1e9, 0)
-	b := burden{Capacity: Capacity{Work: time.Second, Classes: map[string]time.Duration{"page": 300 * ms}, Group: 200 * ms, Message: 4 * ms, ColdShare: 0.5, ColdFor: 10 * time.Second}, groups: make(map[string]int)}
+	b := workload{Capacity: Capacity{Work: time.Second, Classes: map[string]time.Duration{"page": 300 * ms}, Group: 200 * ms, Message: 4 * ms, ColdShare: 0.5, ColdFor: 10 * time.Second}, groups: make(map[string]int)}
 	want := func(what string, delay time.Duration) {
 		t.Helper()
 		if got := b.delay(now); (got - delay).Abs() > 100*time.Microsecond {
@@ -33,7 +33,7 @@
 	b.remove(now, "page", "a")
 	b.remove(now, "page", "a")
 	want("idle again", 4*ms)
-	b.born = now.Add(-5 * time.Second)
+	b.startedAt = now.Add(-5 * time.Second)
 	b.add(now, "page", "a")
 	want("half warm, which does 0.75", 12*ms)
 }
--- a/internal/fake/client.go
+++ b/internal/fake/client.go
@@ -43,20 +43,20 @@
 	Seed            uint64
 	SourceAddress   string // the address that they come from by line; "": any
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	names uint64
-	here  map[*guest]struct{}
-	all   sync.WaitGroup
+	mu       sync.Mutex
+	rng      *rand.Rand
+	sessions uint64
+	clients  map[*client]struct{}
+	running  sync.WaitGroup
 }
 
-// guest is one client.
-type guest struct {
-	front, flow, group string
-	class              Class
-	rng                *rand.Rand
-	drop               chan struct{} // closed when it is to drop its connection
-	stays              time.Duration // for so long; 0: by chance
+// client is one client.
+type client struct {
+	frontend, flow, group string
+	class                 Class
+	rng                   *rand.Rand
+	drop                  chan struct{} // closed when it is to drop its connection
+	lifetime              time.Duration // for so long; 0: by chance
 }
 
 // Prepare makes the crowd ready for clients to come.
@@ -64,13 +64,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rng = rand.New(rand.NewPCG(c.Seed, 7))
-	c.here = make(map[*guest]struct{})
+	c.clients = make(map[*client]struct{})
 }
 
 // Run has clients come until ctx ends, and then waits until all of them have left. It
 // is called after Begin, once.
 func (c *ClientPool) Run(ctx context.Context) {
-	defer c.all.Wait()
+	defer c.running.Wait()
 	for {
 		c.mu.Lock()
 		wait := time.Duration(c.rng.ExpFloat64() / c.Rate * float64(time.Second))
@@ -80,51 +80,51 @@
 			return
 		case <-time.After(wait):
 		}
-		if g := c.guest(); g != nil {
-			c.all.Go(func() { c.stay(ctx, g) })
+		if client := c.newClient(); client != nil {
+			c.running.Go(func() { c.runClient(ctx, client) })
 		}
 	}
 }
 
-// guest makes a new client, unless there are as many as may be.
-func (c *ClientPool) guest() *guest {
+// newClient makes a new client, unless there are as many as may be.
+func (c *ClientPool) newClient() *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.here) >= c.MaxClients {
+	if len(c.clients) >= c.MaxClients {
 		return nil
 	}
-	g := &guest{front: "line", flow: fmt.Sprintf("%016x", c.rng.Uint64()|1), rng: rand.New(rand.NewPCG(c.rng.Uint64(), 0)), drop: make(chan struct{})}
+	client := &client{frontend: "line", flow: fmt.Sprintf("%016x", c.rng.Uint64()|1), rng: rand.New(rand.NewPCG(c.rng.Uint64(), 0)), drop: make(chan struct{})}
 	if c.AMQPAddress != "" && c.rng.Float64() < c.Share {
-		g.front = "amqp"
+		client.frontend = "amqp"
 	}
 	at := c.rng.Float64()
 	for _, class := range c.Classes {
-		if g.class = class; at < class.Share {
+		if client.class = class; at < class.Share {
 			break
 		}
 		at -= class.Share
 	}
 	// Zipf's law, near enough: the nth group has a share like 1/n.
 	group := int(math.Exp(c.rng.Float64()*math.Log(float64(max(1, c.Groups)+1)))) - 1
-	g.group = fmt.Sprintf("%016x", uint64(group+1)*0x9e3779b97f4a7c15)
-	c.here[g] = struct{}{}
-	return g
+	client.group = fmt.Sprintf("%016x", uint64(group+1)*0x9e3779b97f4a7c15)
+	c.clients[client] = struct{}{}
+	return client
 }
 
 // Drop has a part of the clients that are there drop their connections and come again.
 func (c *ClientPool) Drop(part float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for g := range c.here {
+	for client := range c.clients {
 		if c.rng.Float64() < part {
-			close(g.drop)
-			g.drop = make(chan struct{})
+			close(client.drop)
+			client.drop = make(chan struct{})
 		}
 	}
 }
 
-// usualAim is what clients want a note back within.
-const usualAim = 100 * time.Millisecond
+// defaultObjective is what clients want a note back within.
+const defaultObjective = 100 * time.Millisecond
 
 // SetRate changes how many new clients come a second.
 func (c *ClientPool) SetRate(rate float64) {
@@ -134,43 +134,43 @@
 }
 
 const (
-	retriesMost = 2 // of a client that is turned away
-	// grace is how much longer than its give-up time a client listens, so that what comes
+	maxRetries = 2 // of a client that is turned away
+	// lateAnswerGrace is how much longer than its give-up time a client listens, so that what comes
 	// too late is seen to be late.
-	grace = 700 * time.Millisecond
+	lateAnswerGrace = 700 * time.Millisecond
 )
 
-// stay sees one client through all its visits.
-func (c *ClientPool) stay(ctx context.Context, g *guest) {
+// runClient sees one client through all its visits.
+func (c *ClientPool) runClient(ctx context.Context, client *client) {
 	defer func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		delete(c.here, g)
+		delete(c.clients, client)
 	}()
 	again, retry := false, 0
 	for ctx.Err() == nil {
 		c.mu.Lock()
-		c.names++
-		name := fmt.Sprintf("%08x%08x", uint32(c.Seed), c.names)
-		drop := g.drop
+		c.sessions++
+		name := fmt.Sprintf("%08x%08x", uint32(c.Seed), c.sessions)
+		drop := client.drop
 		c.mu.Unlock()
-		v := c.Log.visit(Session{Frontend: g.front, Name: name, Flow: g.flow, Class: g.class.Name, Group: g.group, TimeLimit: g.class.TimeLimit, Returning: again, Retry: retry, At: time.Now()})
-		visit := c.visitLine
-		if g.front == "amqp" {
-			visit = c.visitAMQP
+		session := c.Log.addSession(Session{Frontend: client.frontend, Name: name, Flow: client.flow, Class: client.class.Name, Group: client.group, TimeLimit: client.class.TimeLimit, Returning: again, Retry: retry, At: time.Now()})
+		visit := c.lineSession
+		if client.frontend == "amqp" {
+			visit = c.amqpSession
 		}
-		end := visit(ctx, g, v, drop)
-		wait := 57*time.Millisecond + time.Duration(g.rng.Float64()*float64(463*time.Millisecond))
+		end := visit(ctx, client, session, drop)
+		wait := 57*time.Millisecond + time.Duration(client.rng.Float64()*float64(463*time.Millisecond))
 		switch end {
 		case "left", "bye":
 			return
 		case "moved", "broken", "dropped":
 			again, retry = true, 0
 		default:
-			if retry++; retry > retriesMost {
+			if retry++; retry > maxRetries {
 				return
 			}
-			c.Log.change(func() { wait = max(wait, v.RetryAfter) })
+			c.Log.update(func() { wait = max(wait, session.RetryAfter) })
 		}
 		select {
 		case <-ctx.Done():
@@ -179,64 +179,64 @@
 	}
 }
 
-// life is how long a client means to stay from now on.
-func (g *guest) life() time.Duration {
-	if g.stays > 0 {
-		return g.stays
+// drawLifetime is how long a client means to stay from now on.
+func (client *client) drawLifetime() time.Duration {
+	if client.lifetime > 0 {
+		return client.lifetime
 	}
-	return time.Duration(g.rng.ExpFloat64() * float64(g.class.MeanLifetime))
+	return time.Duration(client.rng.ExpFloat64() * float64(client.class.MeanLifetime))
 }
 
-func (c *ClientPool) answered(v *Session, what string, back time.Duration) {
-	c.Log.change(func() { v.Answer, v.SetupTime, v.RetryAfter = what, time.Since(v.At), back })
+func (c *ClientPool) recordAnswer(session *Session, what string, back time.Duration) {
+	c.Log.update(func() { session.Answer, session.SetupTime, session.RetryAfter = what, time.Since(session.At), back })
 }
 
-func (c *ClientPool) ended(v *Session, how string) string {
-	c.Log.change(func() { v.End, v.Established = how, time.Since(v.At)-v.SetupTime })
+func (c *ClientPool) recordEnd(session *Session, how string) string {
+	c.Log.update(func() { session.End, session.Established = how, time.Since(session.At)-session.SetupTime })
 	return how
 }
 
-// visitLine is one transaction over the platform's protocol.
-func (c *ClientPool) visitLine(ctx context.Context, g *guest, v *Session, drop <-chan struct{}) string {
-	d := net.Dialer{Timeout: g.class.TimeLimit}
+// lineSession is one transaction over the platform's protocol.
+func (c *ClientPool) lineSession(ctx context.Context, client *client, session *Session, drop <-chan struct{}) string {
+	d := net.Dialer{Timeout: client.class.TimeLimit}
 	if c.SourceAddress != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.SourceAddress)}
 	}
 	conn, err := d.Dial("tcp", c.LineAddress)
 	if err != nil {
-		c.Log.change(func() { v.Refused = true })
-		c.answered(v, "none", 0)
+		c.Log.update(func() { session.Refused = true })
+		c.recordAnswer(session, "none", 0)
 		return "none"
 	}
 	defer conn.Close()
 	back := ""
-	if v.Returning {
+	if session.Returning {
 		back = ",again=1"
 	}
-	c.Log.change(func() { v.At = time.Now() })
-	conn.SetDeadline(v.At.Add(g.class.TimeLimit + grace))
-	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d,g=%s%s\r\n", v.Name, g.flow, g.class.Name, g.class.TimeLimit.Milliseconds(), g.group, back)
+	c.Log.update(func() { session.At = time.Now() })
+	conn.SetDeadline(session.At.Add(client.class.TimeLimit + lateAnswerGrace))
+	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d,g=%s%s\r\n", session.Name, client.flow, client.class.Name, client.class.TimeLimit.Milliseconds(), client.group, back)
 	r := bufio.NewReader(conn)
 	text, err := r.ReadString('\n')
 	word := strings.Fields(text)
 	switch {
 	case err != nil:
-		c.answered(v, "none", 0)
+		c.recordAnswer(session, "none", 0)
 		return "none"
 	case word[0] == "BUSY":
 		var wait int
 		if len(word) > 1 {
 			wait, _ = strconv.Atoi(word[1])
 		}
-		c.answered(v, "unavailable", time.Duration(wait)*time.Millisecond)
-		c.nothingMore(v, conn, r)
+		c.recordAnswer(session, "unavailable", time.Duration(wait)*time.Millisecond)
+		c.countExtra(session, conn, r)
 		return "unavailable"
 	case word[0] != "UP":
-		c.answered(v, "failed", 0)
-		c.nothingMore(v, conn, r)
+		c.recordAnswer(session, "failed", 0)
+		c.countExtra(session, conn, r)
 		return "failed"
 	}
-	c.answered(v, "up", 0)
+	c.recordAnswer(session, "up", 0)
 	conn.SetDeadline(time.Time{})
 	lines := make(chan string, 16)
 	go func() {
@@ -257,24 +257,24 @@
 		for range lines { // until the reader has ended
 		}
 	}()
-	return c.talk(ctx, g, v, drop, lines, func(seq int) error {
-		_, err := io.WriteString(conn, note(seq, v.Name)+"\r\n")
+	return c.converse(ctx, client, session, drop, lines, func(seq int) error {
+		_, err := io.WriteString(conn, note(seq, session.Name)+"\r\n")
 		return err
 	}, func() { conn.(*net.TCPConn).CloseWrite() })
 }
 
-// nothingMore counts what follows an answer that is final.
-func (c *ClientPool) nothingMore(v *Session, conn net.Conn, r io.Reader) {
+// countExtra counts what follows an answer that is final.
+func (c *ClientPool) countExtra(session *Session, conn net.Conn, r io.Reader) {
 	conn.SetDeadline(time.Now().Add(time.Second))
 	if n, _ := io.Copy(io.Discard, r); n > 0 {
-		c.Log.change(func() { v.More++ })
+		c.Log.update(func() { session.More++ })
 	}
 }
 
-// talk says something every so often until an end. What comes back are echoes, and
+// converse says something every so often until an end. What comes back are echoes, and
 // the words that end a transaction.
-func (c *ClientPool) talk(ctx context.Context, g *guest, v *Session, drop <-chan struct{}, lines <-chan string, say func(seq int) error, leave func()) string {
-	life := time.NewTimer(g.life())
+func (c *ClientPool) converse(ctx context.Context, client *client, session *Session, drop <-chan struct{}, lines <-chan string, say func(seq int) error, leave func()) string {
+	life := time.NewTimer(client.drawLifetime())
 	defer life.Stop()
 	beat := time.NewTicker(max(c.MessageInterval, 10*time.Millisecond))
 	defer beat.Stop()
@@ -282,31 +282,31 @@
 	leaving := false
 	var last <-chan time.Time
 	said, heard := 0, 0
-	defer func() { c.Log.change(func() { v.Missed = said - heard }) }()
+	defer func() { c.Log.update(func() { session.Missed = said - heard }) }()
 	for {
 		select {
 		case text, ok := <-lines:
 			switch {
 			case !ok && leaving:
-				return c.ended(v, "left")
+				return c.recordEnd(session, "left")
 			case !ok:
-				return c.ended(v, "bye")
+				return c.recordEnd(session, "bye")
 			case text == "broken":
-				return c.ended(v, "broken")
+				return c.recordEnd(session, "broken")
 			case text == "MOVE\r\n":
-				return c.ended(v, "moved")
+				return c.recordEnd(session, "moved")
 			case text == "BYE\r\n":
 			case strings.HasPrefix(text, "LOAD "):
 			default:
 				heard++
-				c.echo(v, strings.TrimRight(text, "\r\n"), heard, g.class.LatencyObjective)
+				c.checkEcho(session, strings.TrimRight(text, "\r\n"), heard, client.class.LatencyObjective)
 			}
 		case <-beat.C:
 			if !leaving && say(said+1) == nil {
 				said++
 			}
 		case <-drop:
-			return c.ended(v, "dropped")
+			return c.recordEnd(session, "dropped")
 		case <-life.C:
 			leaving, over = true, nil
 			leave()
@@ -316,47 +316,47 @@
 			leave()
 			last = time.After(2 * time.Second)
 		case <-last:
-			return c.ended(v, "left")
+			return c.recordEnd(session, "left")
 		}
 	}
 }
 
-// visitAMQP is one transaction over AMQP 1.0, by a client library that knows nothing
+// amqpSession is one transaction over AMQP 1.0, by a client library that knows nothing
 // of the relay.
-func (c *ClientPool) visitAMQP(ctx context.Context, g *guest, v *Session, drop <-chan struct{}) string {
-	open, cancel := context.WithTimeout(context.Background(), g.class.TimeLimit+grace)
+func (c *ClientPool) amqpSession(ctx context.Context, client *client, session *Session, drop <-chan struct{}) string {
+	open, cancel := context.WithTimeout(context.Background(), client.class.TimeLimit+lateAnswerGrace)
 	defer cancel()
 	conn, err := amqp10.Dial(open, "amqp://"+c.AMQPAddress, &amqp10.ConnOptions{SASLType: amqp10.SASLTypeAnonymous(), ContainerID: "client"})
 	if err != nil {
-		c.answered(v, "none", 0)
+		c.recordAnswer(session, "none", 0)
 		return "none"
 	}
 	defer func() { _ = conn.Close() }()
-	session, err := conn.NewSession(open, nil)
+	amqpSession, err := conn.NewSession(open, nil)
 	if err != nil {
-		c.answered(v, "none", 0)
+		c.recordAnswer(session, "none", 0)
 		return "none"
 	}
 	// It waits from its attach on; what came before is not the transaction's.
-	open, cancel = context.WithTimeout(context.Background(), g.class.TimeLimit+grace)
+	open, cancel = context.WithTimeout(context.Background(), client.class.TimeLimit+lateAnswerGrace)
 	defer cancel()
-	c.Log.change(func() { v.At = time.Now() })
-	props := map[string]any{"class": g.class.Name, "give-up-ms": uint32(g.class.TimeLimit.Milliseconds()), "group": g.group, "item": g.flow, "again": v.Returning}
-	sender, err := session.NewSender(open, "score", &amqp10.SenderOptions{Name: v.Name, Properties: props})
+	c.Log.update(func() { session.At = time.Now() })
+	props := map[string]any{"class": client.class.Name, "give-up-ms": uint32(client.class.TimeLimit.Milliseconds()), "group": client.group, "item": client.flow, "again": session.Returning}
+	sender, err := amqpSession.NewSender(open, "score", &amqp10.SenderOptions{Name: session.Name, Properties: props})
 	var refused *amqp10.Error
 	switch {
 	case err != nil && errors.As(err, &refused) && refused.Condition == "amqp:resource-limit-exceeded":
 		wait, _ := refused.Info["come-back-ms"].(uint32)
-		c.answered(v, "unavailable", time.Duration(wait)*time.Millisecond)
+		c.recordAnswer(session, "unavailable", time.Duration(wait)*time.Millisecond)
 		return "unavailable"
 	case err != nil && errors.As(err, &refused):
-		c.answered(v, "failed", 0)
+		c.recordAnswer(session, "failed", 0)
 		return "failed"
 	case err != nil:
-		c.answered(v, "none", 0)
+		c.recordAnswer(session, "none", 0)
 		return "none"
 	}
-	c.answered(v, "up", 0)
+	c.recordAnswer(session, "up", 0)
 	lines := make(chan string, 16)
 	talking, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -372,7 +372,7 @@
 			}
 			err := sender.Send(talking, amqp10.NewMessage([]byte(text)), nil)
 			said := fmt.Sprintf("M %d %s\r\n", time.Now().UnixMicro(), text) // settled: it came back
-			switch what := endOf(err); {
+			switch what := endWord(err); {
 			case talking.Err() != nil:
 				return
 			case err == nil:
@@ -390,9 +390,9 @@
 		for range lines {
 		}
 	}()
-	return c.talk(ctx, g, v, drop, lines, func(seq int) error {
+	return c.converse(ctx, client, session, drop, lines, func(seq int) error {
 		select {
-		case words <- note(seq, v.Name):
+		case words <- note(seq, session.Name):
 			return nil
 		default:
 			return errors.New("as many notes wait as may")
@@ -405,21 +405,21 @@
 	})
 }
 
-// echo holds what came back against what it should be.
-func (c *ClientPool) echo(v *Session, text string, seq int, aim time.Duration) {
-	var micros int64
-	_, err := fmt.Sscanf(text, "M %d ", &micros)
-	held := time.Since(time.UnixMicro(micros))
+// checkEcho holds what came back against what it should be.
+func (c *ClientPool) checkEcho(session *Session, text string, seq int, objective time.Duration) {
+	var microseconds int64
+	_, err := fmt.Sscanf(text, "M %d ", &microseconds)
+	held := time.Since(time.UnixMicro(microseconds))
 	_, rest, _ := strings.Cut(strings.TrimPrefix(text, "M "), " ")
-	back, ok := readNote(rest, seq, v.Name)
-	c.Log.change(func() {
-		if v.Echoes++; err != nil || !ok {
-			v.Garbled++
+	back, ok := readNote(rest, seq, session.Name)
+	c.Log.update(func() {
+		if session.Echoes++; err != nil || !ok {
+			session.Garbled++
 		} else {
-			v.MaxHeld = max(v.MaxHeld, held)
+			session.MaxHeld = max(session.MaxHeld, held)
 		}
-		if back > cmp.Or(aim, usualAim) {
-			v.Late++
+		if back > cmp.Or(objective, defaultObjective) {
+			session.Late++
 		}
 	})
 }
@@ -428,24 +428,24 @@
 // for a time, or until ctx ends.
 func (c *ClientPool) RunSession(ctx context.Context, front string, class Class, group string, stay time.Duration) Session {
 	c.mu.Lock()
-	c.names++
-	n := c.names
+	c.sessions++
+	n := c.sessions
 	c.mu.Unlock()
 	name := fmt.Sprintf("%08x%08x", uint32(c.Seed), n)
-	g := &guest{front: front, flow: name, group: group, class: class, rng: rand.New(rand.NewPCG(c.Seed, n)), stays: stay}
-	v := c.Log.visit(Session{Frontend: front, Name: name, Flow: name, Class: class.Name, Group: group, TimeLimit: class.TimeLimit, At: time.Now()})
+	client := &client{frontend: front, flow: name, group: group, class: class, rng: rand.New(rand.NewPCG(c.Seed, n)), lifetime: stay}
+	session := c.Log.addSession(Session{Frontend: front, Name: name, Flow: name, Class: class.Name, Group: group, TimeLimit: class.TimeLimit, At: time.Now()})
 	if front == "amqp" {
-		c.visitAMQP(ctx, g, v, nil)
+		c.amqpSession(ctx, client, session, nil)
 	} else {
-		c.visitLine(ctx, g, v, nil)
+		c.lineSession(ctx, client, session, nil)
 	}
 	c.Log.mu.Lock()
 	defer c.Log.mu.Unlock()
-	return *v
+	return *session
 }
 
-// endOf is the word of the platform's protocol for how a link ended.
-func endOf(err error) string {
+// endWord is the word of the platform's protocol for how a link ended.
+func endWord(err error) string {
 	var gone *amqp10.LinkError
 	switch {
 	case err == nil:
--- a/internal/fake/collector.go
+++ b/internal/fake/collector.go
@@ -23,12 +23,12 @@
 	errs   []error
 }
 
-// bodyMost bounds an export.
-const bodyMost = 64 << 20
+// maxBody bounds an export.
+const maxBody = 64 << 20
 
 // ServeHTTP takes one export.
 func (c *Collector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if err := c.take(r); err != nil {
+	if err := c.receive(r); err != nil {
 		c.mu.Lock()
 		c.errs = append(c.errs, err)
 		c.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 }
 
-func (c *Collector) take(r *http.Request) error {
+func (c *Collector) receive(r *http.Request) error {
 	var in io.Reader = r.Body
 	if r.Header.Get("Content-Encoding") == "gzip" {
 		z, err := gzip.NewReader(r.Body)
@@ -45,7 +45,7 @@
 		}
 		in = z
 	}
-	body, err := io.ReadAll(io.LimitReader(in, bodyMost))
+	body, err := io.ReadAll(io.LimitReader(in, maxBody))
 	if err != nil {
 		return err
 	}
@@ -69,14 +69,14 @@
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.metrics(&m)
+		c.storeMetrics(&m)
 	default:
 		return fmt.Errorf("an export to %s", r.URL.Path)
 	}
 	return nil
 }
 
-func (c *Collector) metrics(m *metricspb.ExportMetricsServiceRequest) {
+func (c *Collector) storeMetrics(m *metricspb.ExportMetricsServiceRequest) {
 	if c.counts == nil {
 		c.counts = make(map[string]int64)
 	}
@@ -123,9 +123,9 @@
 func Attribute(all []*commonpb.KeyValue, key string) string {
 	for _, a := range all {
 		if a.Key == key {
-			switch v := a.Value.Value.(type) {
+			switch session := a.Value.Value.(type) {
 			case *commonpb.AnyValue_StringValue:
-				return v.StringValue
+				return session.StringValue
 			default:
 				return fmt.Sprint(a.Value.GetIntValue())
 			}
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -19,13 +19,13 @@
 type Discovery struct {
 	Log *EventLog
 
-	mu      sync.Mutex
-	members map[string]discovery.Member
-	at      map[string]uint64 // revision of each member's last change
-	now     uint64
-	changed chan struct{} // closed and renewed with each change
-	server  *http.Server
-	address string
+	mu        sync.Mutex
+	members   map[string]discovery.Member
+	revisions map[string]uint64 // revision of each member's last change
+	revision  uint64
+	changed   chan struct{} // closed and renewed with each change
+	server    *http.Server
+	address   string
 }
 
 // Start opens the agent at an address.
@@ -35,10 +35,10 @@
 		return fmt.Errorf("stand-in discovery: %w", err)
 	}
 	d.mu.Lock()
-	d.members, d.at, d.changed, d.now = make(map[string]discovery.Member), make(map[string]uint64), make(chan struct{}), 1
+	d.members, d.revisions, d.changed, d.revision = make(map[string]discovery.Member), make(map[string]uint64), make(chan struct{}), 1
 	d.address = l.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /discovery/hosts", d.hosts)
+	mux.HandleFunc("GET /discovery/hosts", d.serveHosts)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	d.server = server
 	d.mu.Unlock()
@@ -60,11 +60,11 @@
 func (d *Discovery) Set(m discovery.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.now++
-	d.members[m.ID], d.at[m.ID] = m, d.now
+	d.revision++
+	d.members[m.ID], d.revisions[m.ID] = m, d.revision
 	close(d.changed)
 	d.changed = make(chan struct{})
-	d.Log.tell(EndpointChange{At: time.Now(), Endpoint: m.ID, State: m.Phase})
+	d.Log.addChange(EndpointChange{At: time.Now(), Endpoint: m.ID, State: m.Phase})
 }
 
 // SetState changes the phase of a member; with born it has just started.
@@ -83,9 +83,9 @@
 func (d *Discovery) Rewind() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.now = 1
-	for id := range d.at {
-		d.at[id] = 1
+	d.revision = 1
+	for id := range d.revisions {
+		d.revisions[id] = 1
 	}
 }
 
@@ -98,9 +98,9 @@
 
 // since is what changed after a revision; the whole list after none.
 func (d *Discovery) since(revision uint64) discovery.List {
-	l := discovery.List{Revision: d.now, Complete: revision == 0}
+	l := discovery.List{Revision: d.revision, Complete: revision == 0}
 	for id, m := range d.members {
-		if d.at[id] > revision && !(l.Complete && m.Phase == "gone") {
+		if d.revisions[id] > revision && !(l.Complete && m.Phase == "gone") {
 			l.Members = append(l.Members, m)
 		}
 	}
@@ -108,16 +108,16 @@
 	return l
 }
 
-// hosts answers a GET: the list, or with watch=1 its changes until the watch ends, and
+// serveHosts answers a GET: the list, or with watch=1 its changes until the watch ends, and
 // an empty line every 2 s.
-func (d *Discovery) hosts(w http.ResponseWriter, r *http.Request) {
+func (d *Discovery) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil && r.URL.Query().Has("from") {
 		http.Error(w, "from is no revision", http.StatusBadRequest)
 		return
 	}
 	d.mu.Lock()
-	if from > d.now { // of another agent
+	if from > d.revision { // of another agent
 		from = 0
 	}
 	l, changed := d.since(from), d.changed
--- a/internal/fake/ledger.go
+++ b/internal/fake/ledger.go
@@ -66,12 +66,12 @@
 // readNote holds a note against what it should be, and returns how long it took.
 func readNote(text string, seq int, name string) (took time.Duration, ok bool) {
 	var n int
-	var micros int64
+	var microseconds int64
 	var of string
-	if _, err := fmt.Sscanf(text, "N %d %d %s", &n, &micros, &of); err != nil {
+	if _, err := fmt.Sscanf(text, "N %d %d %s", &n, &microseconds, &of); err != nil {
 		return 0, false
 	}
-	return time.Since(time.UnixMicro(micros)), n == seq && of == name && text == fmt.Sprintf("N %d %d %s", n, micros, of)
+	return time.Since(time.UnixMicro(microseconds)), n == seq && of == name && text == fmt.Sprintf("N %d %d %s", n, microseconds, of)
 }
 
 // Killed is the phase of a server that was killed, whatever discovery says of it.
@@ -84,45 +84,45 @@
 	State    string
 }
 
-// ledgerMost bounds each list of a ledger; what comes after is counted.
-const ledgerMost = 1 << 20
+// maxEntries bounds each list of a ledger; what comes after is counted.
+const maxEntries = 1 << 20
 
 // EventLog is what the stand-ins saw. It is safe for concurrent use.
 type EventLog struct {
-	mu     sync.Mutex
-	passes []*Attempt
-	visits []*Session
-	told   []*EndpointChange
-	over   int // entries there was no room for
+	mu         sync.Mutex
+	attempts   []*Attempt
+	sessions   []*Session
+	changes    []*EndpointChange
+	overflowed int // entries there was no room for
 }
 
-func (l *EventLog) pass(p Attempt) *Attempt { return enter(l, &l.passes, &p) }
+func (l *EventLog) addAttempt(p Attempt) *Attempt { return appendEntry(l, &l.attempts, &p) }
 
-func (l *EventLog) visit(v Session) *Session { return enter(l, &l.visits, &v) }
+func (l *EventLog) addSession(session Session) *Session { return appendEntry(l, &l.sessions, &session) }
 
-func (l *EventLog) tell(t EndpointChange) { enter(l, &l.told, &t) }
+func (l *EventLog) addChange(t EndpointChange) { appendEntry(l, &l.changes, &t) }
 
-// enter puts an entry at the end of a list, unless that is full, and returns it.
-func enter[T any](l *EventLog, list *[]*T, entry *T) *T {
+// appendEntry puts an entry at the end of a list, unless that is full, and returns it.
+func appendEntry[T any](l *EventLog, list *[]*T, entry *T) *T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(*list) < ledgerMost {
+	if len(*list) < maxEntries {
 		*list = append(*list, entry)
 	} else {
-		l.over++
+		l.overflowed++
 	}
 	return entry
 }
 
-// forget empties the ledger.
-func (l *EventLog) forget() {
+// reset empties the ledger.
+func (l *EventLog) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.passes, l.visits, l.told, l.over = nil, nil, nil, 0
+	l.attempts, l.sessions, l.changes, l.overflowed = nil, nil, nil, 0
 }
 
-// change changes an entry.
-func (l *EventLog) change(do func()) {
+// update changes an entry.
+func (l *EventLog) update(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do()
@@ -130,27 +130,27 @@
 
 // Attempts returns what servers saw, in order of time.
 func (l *EventLog) Attempts() []Attempt {
-	return sorted(l, &l.passes, func(p Attempt) time.Time { return p.At })
+	return sortedByTime(l, &l.attempts, func(p Attempt) time.Time { return p.At })
 }
 
 // Sessions returns what clients saw, in order of time.
 func (l *EventLog) Sessions() []Session {
-	return sorted(l, &l.visits, func(v Session) time.Time { return v.At })
+	return sortedByTime(l, &l.sessions, func(session Session) time.Time { return session.At })
 }
 
 // EndpointChanges returns what discovery told, and kills, in order of time.
 func (l *EventLog) EndpointChanges() []EndpointChange {
-	return sorted(l, &l.told, func(t EndpointChange) time.Time { return t.At })
+	return sortedByTime(l, &l.changes, func(t EndpointChange) time.Time { return t.At })
 }
 
 // Overflowed is how many entries there was no room for.
 func (l *EventLog) Overflowed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.over
+	return l.overflowed
 }
 
-func sorted[T any](l *EventLog, list *[]*T, at func(T) time.Time) []T {
+func sortedByTime[T any](l *EventLog, list *[]*T, at func(T) time.Time) []T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]T, len(*list))
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var acts []ScriptedAction
+	var actions []ScriptedAction
 	for _, n := range nodes {
 		head, args, err := n.Head()
 		if err != nil {
@@ -68,29 +68,29 @@
 		if err != nil {
 			return nil, err
 		}
-		act, err := parseAct(args[1], servers)
+		action, err := parseAction(args[1], servers)
 		if err != nil {
 			return nil, err
 		}
-		act.At = at
-		acts = append(acts, act)
+		action.At = at
+		actions = append(actions, action)
 	}
-	slices.SortStableFunc(acts, func(x, y ScriptedAction) int { return int(x.At - y.At) })
-	return acts, nil
+	slices.SortStableFunc(actions, func(x, y ScriptedAction) int { return int(x.At - y.At) })
+	return actions, nil
 }
 
-// forms are the arguments that acts take.
-var forms = map[string][]string{
+// actionForms are the arguments that acts take.
+var actionForms = map[string][]string{
 	"hang": {"SERVER", "TIME"}, "no-credit": {"SERVER", "TIME"}, "busy": {"SERVER", "TIME"}, "error": {"SERVER", "TIME"}, "break": {"SERVER", "TIME"},
 	"slow": {"SERVER", "DELAY", "TIME"}, "drain": {"SERVER"}, "restart": {"SERVER", "TIME"}, "drop": {"PERCENT"},
 }
 
-func parseAct(n *sexp.Node, servers []string) (a ScriptedAction, err error) {
+func parseAction(n *sexp.Node, servers []string) (a ScriptedAction, err error) {
 	var args []*sexp.Node
 	if a.Kind, args, err = n.Head(); err != nil {
 		return a, err
 	}
-	form, ok := forms[a.Kind]
+	form, ok := actionForms[a.Kind]
 	if !ok {
 		return a, n.Errorf("there is no act %q; expected hang, busy, error, break, no-credit, slow, drain, restart or drop", a.Kind)
 	}
@@ -108,11 +108,11 @@
 		case "DELAY":
 			a.Delay, err = args[i].Duration()
 		case "PERCENT":
-			var v uint64
-			if v, err = args[i].Whole(); err == nil && v > 100 {
-				err = args[i].Errorf("%d is more than 100 in 100", v)
+			var session uint64
+			if session, err = args[i].Whole(); err == nil && session > 100 {
+				err = args[i].Errorf("%d is more than 100 in 100", session)
 			}
-			a.Share = float64(v) / 100
+			a.Share = float64(session) / 100
 		}
 		if err != nil {
 			return a, err
@@ -123,9 +123,9 @@
 
 // Run carries a script out and tells of each act once it has begun, until all are done or
 // ctx ends.
-func (s *Site) Run(ctx context.Context, acts []ScriptedAction, tell func(ScriptedAction)) {
+func (s *Site) Run(ctx context.Context, actions []ScriptedAction, tell func(ScriptedAction)) {
 	began := time.Now()
-	for _, a := range acts {
+	for _, a := range actions {
 		select {
 		case <-ctx.Done():
 			return
@@ -139,7 +139,7 @@
 func (s *Site) perform(ctx context.Context, a ScriptedAction) {
 	server := s.Server(a.Server)
 	later := func(wait time.Duration, do func()) {
-		s.acts.Go(func() {
+		s.pending.Go(func() {
 			select {
 			case <-ctx.Done():
 			case <-time.After(wait):
--- a/internal/fake/script_test.go
+++ b/internal/fake/script_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-func TestScripts(t *testing.T) {
+func TestParseScript(t *testing.T) {
 	servers := []string{"s-1", "s-2"}
-	acts, err := ParseScript(`; an evening
+	actions, err := ParseScript(`; an evening
 (at 2s (drop 30))
 (at 1s (slow s-1 250ms 4s)) (at 1s (restart "s-2" 3s))`, servers)
 	want := []ScriptedAction{{At: time.Second, Kind: "slow", Server: "s-1", Delay: 250 * time.Millisecond, Duration: 4 * time.Second},
 		{At: time.Second, Kind: "restart", Server: "s-2", Duration: 3 * time.Second}, {At: 2 * time.Second, Kind: "drop", Share: 0.3}}
-	if err != nil || fmt.Sprint(acts) != fmt.Sprint(want) {
-		t.Errorf("read as %v, %v", acts, err)
+	if err != nil || fmt.Sprint(actions) != fmt.Sprint(want) {
+		t.Errorf("read as %v, %v", actions, err)
 	}
 	for source, want := range map[string]string{
 		"(at 1s)":                  "line 1, column 1: expected (at TIME (ACT ...))",
@@ -29,8 +29,8 @@
 		"(at 1s (hang s-1 often))": `line 1, column 18: "often" is no time`,
 		"(at 1s drain)":            "line 1, column 8: drain stands where a list is expected",
 	} {
-		if acts, err := ParseScript(source, servers); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v, %v, want %s", source, acts, err, want)
+		if actions, err := ParseScript(source, servers); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%s: %v, %v, want %s", source, actions, err, want)
 		}
 	}
 }
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -42,18 +42,18 @@
 	Capacity       Capacity
 	ExtraListeners []string // further line doors, one for each relay beyond the first
 
-	mu      sync.Mutex
-	address [2]string // of the line and the AMQP listener
-	open    []net.Listener
-	conns   map[net.Conn]context.CancelFunc
-	mode    ServerMode
-	delay   time.Duration // of an echo
-	leaving bool
-	up      int // transactions that stand
-	burden  burden
-	stop    context.CancelFunc // of what goes on while it is up
-	told    told
-	all     sync.WaitGroup
+	mu           sync.Mutex
+	addresses    [2]string // of the line and the AMQP listener
+	listeners    []net.Listener
+	conns        map[net.Conn]context.CancelFunc
+	mode         ServerMode
+	delay        time.Duration // of an echo
+	draining     bool
+	established  int // transactions that stand
+	workload     workload
+	stop         context.CancelFunc // of what goes on while it is up
+	delayReports delayReports
+	running      sync.WaitGroup
 }
 
 // Start opens the server's doors: line at one address and AMQP at another, which may
@@ -61,57 +61,57 @@
 func (s *Server) Start(line, amqp10 string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode, s.delay, s.leaving = ModeAccept, 0, false
+	s.mode, s.delay, s.draining = ModeAccept, 0, false
 	s.conns = make(map[net.Conn]context.CancelFunc)
 	again := s.stop != nil
-	s.burden = burden{Capacity: s.Capacity, groups: make(map[string]int)}
+	s.workload = workload{Capacity: s.Capacity, groups: make(map[string]int)}
 	if again {
-		s.burden.born = time.Now()
+		s.workload.startedAt = time.Now()
 	}
-	s.told.doors = nil
+	s.delayReports.byListener = nil
 	for i, address := range append([]string{line, amqp10}, s.ExtraListeners...) {
 		if address == "" {
 			continue
 		}
 		l, err := net.Listen("tcp", address)
 		if err != nil {
-			for _, l := range s.open {
+			for _, l := range s.listeners {
 				l.Close()
 			}
-			s.open = nil
+			s.listeners = nil
 			return fmt.Errorf("stand-in %s: %w", s.Name, err)
 		}
-		s.open = append(s.open, l)
-		serve := func(ctx context.Context, c *net.TCPConn) { s.line(ctx, c, i) }
+		s.listeners = append(s.listeners, l)
+		serve := func(ctx context.Context, c *net.TCPConn) { s.serveLine(ctx, c, i) }
 		switch i {
 		case 0:
-			s.address[0] = l.Addr().String()
+			s.addresses[0] = l.Addr().String()
 		case 1:
-			s.address[1] = l.Addr().String()
-			serve = s.amqp
+			s.addresses[1] = l.Addr().String()
+			serve = s.serveAMQP
 		default:
 			s.ExtraListeners[i-2] = l.Addr().String()
 		}
-		s.all.Go(func() { s.accept(l, serve) })
+		s.running.Go(func() { s.accept(l, serve) })
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
 	if s.Capacity.Work > 0 {
-		s.all.Go(func() { s.tells(ctx) })
+		s.running.Go(func() { s.reportDelays(ctx) })
 	}
 	return nil
 }
 
 // Address is where the line door is; AMQP where the other is.
-func (s *Server) Address() string { return s.door(0) }
+func (s *Server) Address() string { return s.listenAddress(0) }
 
 // AMQP is where the AMQP door is.
-func (s *Server) AMQP() string { return s.door(1) }
+func (s *Server) AMQP() string { return s.listenAddress(1) }
 
-func (s *Server) door(i int) string {
+func (s *Server) listenAddress(i int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.address[i]
+	return s.addresses[i]
 }
 
 // Set changes what the server does with transactions that come from now on, and how
@@ -127,20 +127,20 @@
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
+	s.draining = true
 }
 
 // Stop kills the server: its connections break, and new ones are refused.
 func (s *Server) Stop() {
-	s.Log.tell(EndpointChange{At: time.Now(), Endpoint: s.Name, State: Killed})
+	s.Log.addChange(EndpointChange{At: time.Now(), Endpoint: s.Name, State: Killed})
 	s.mu.Lock()
 	if s.stop != nil {
 		s.stop()
 	}
-	for _, l := range s.open {
+	for _, l := range s.listeners {
 		l.Close()
 	}
-	s.open = nil
+	s.listeners = nil
 	for c, cancel := range s.conns {
 		cancel()
 		if t, ok := c.(*net.TCPConn); ok {
@@ -149,7 +149,7 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.all.Wait()
+	s.running.Wait()
 }
 
 func (s *Server) accept(l net.Listener, serve func(context.Context, *net.TCPConn)) {
@@ -160,7 +160,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		s.mu.Lock()
-		if s.open == nil { // it was stopped meanwhile
+		if s.listeners == nil { // it was stopped meanwhile
 			s.mu.Unlock()
 			cancel()
 			c.Close()
@@ -168,7 +168,7 @@
 		}
 		s.conns[c] = cancel
 		s.mu.Unlock()
-		s.all.Go(func() {
+		s.running.Go(func() {
 			defer cancel()
 			serve(ctx, c.(*net.TCPConn))
 			c.Close()
@@ -179,15 +179,15 @@
 	}
 }
 
-// verdict is what the server does with one transaction, after the time of a set-up.
-func (s *Server) verdict(ctx context.Context) ServerMode {
+// admit is what the server does with one transaction, after the time of a set-up.
+func (s *Server) admit(ctx context.Context) ServerMode {
 	s.mu.Lock()
 	m, wait := s.mode, s.SetupTime
-	if m == ModeAccept && (s.leaving || s.MaxConns > 0 && s.up >= s.MaxConns) {
+	if m == ModeAccept && (s.draining || s.MaxConns > 0 && s.established >= s.MaxConns) {
 		m = ModeBusy
 	}
 	if m == ModeAccept {
-		s.up++
+		s.established++
 	}
 	s.mu.Unlock()
 	if m == ModeAccept && wait > 0 {
@@ -199,17 +199,17 @@
 	return m
 }
 
-func (s *Server) gone() {
+func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.up--
+	s.established--
 }
 
 // echo waits as long as an answer takes now to what took so long to here. It tells whether there is one.
 func (s *Server) echo(ctx context.Context, took time.Duration) bool {
 	s.mu.Lock()
 	m, delay := s.mode, s.delay
-	if own := s.burden.delay(time.Now()); own > 0 {
+	if own := s.workload.delay(time.Now()); own > 0 {
 		delay += own - took // from when it was said: notes that wait behind one another wait at one time
 	}
 	s.mu.Unlock()
@@ -225,23 +225,23 @@
 	return true
 }
 
-// sendsAway tells whether a connection is to be sent away now: a part of them is,
+// shouldMigrate tells whether a connection is to be sent away now: a part of them is,
 // each time that it is asked of all.
-func (s *Server) sendsAway(seq int) bool {
+func (s *Server) shouldMigrate(seq int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaving && seq%4 == 0
+	return s.draining && seq%4 == 0
 }
 
 const (
-	awayEvery = 100 * time.Millisecond
-	peerQuiet = 30 * time.Second
+	drainInterval = 100 * time.Millisecond
+	readTimeout   = 30 * time.Second
 )
 
-// line serves one connection of the platform's protocol that came to a door.
-func (s *Server) line(ctx context.Context, c *net.TCPConn, door int) {
+// serveLine serves one connection of the platform's protocol that came to a door.
+func (s *Server) serveLine(ctx context.Context, c *net.TCPConn, door int) {
 	r := bufio.NewReader(c)
-	c.SetReadDeadline(time.Now().Add(peerQuiet))
+	c.SetReadDeadline(time.Now().Add(readTimeout))
 	first, err := r.ReadString('\n')
 	if err != nil {
 		return
@@ -271,12 +271,12 @@
 			p.TimeLimit = time.Duration(ms) * time.Millisecond
 		}
 	}
-	pass := s.Log.pass(p)
-	defer s.closed(pass)
+	attempt := s.Log.addAttempt(p)
+	defer s.recordClosed(attempt)
 	answered := func(what string) {
-		s.Log.change(func() { pass.Answer, pass.Answered = what, time.Now() })
+		s.Log.update(func() { attempt.Answer, attempt.Answered = what, time.Now() })
 	}
-	switch s.verdict(ctx) {
+	switch s.admit(ctx) {
 	case ModeHang, ModeNoCredit:
 		_, _ = io.Copy(io.Discard, r)
 		return
@@ -293,7 +293,7 @@
 		c.SetLinger(0)
 		return
 	}
-	defer s.gone()
+	defer s.release()
 	// What came while it was set up: the relay may have gone.
 	if ctx.Err() != nil {
 		return
@@ -308,9 +308,9 @@
 		return err
 	}
 	ended := func(how string) {
-		s.Log.change(func() {
-			if pass.End == "" {
-				pass.End, pass.Ended = how, time.Now()
+		s.Log.update(func() {
+			if attempt.End == "" {
+				attempt.End, attempt.Ended = how, time.Now()
 			}
 		})
 	}
@@ -319,24 +319,24 @@
 		return
 	}
 	if s.Capacity.Work > 0 {
-		s.told.add(door, &write)
-		defer s.told.remove(door, &write)
-		s.bears(p.Class, group, true)
-		defer s.bears(p.Class, group, false)
+		s.delayReports.add(door, &write)
+		defer s.delayReports.remove(door, &write)
+		s.updateWorkload(p.Class, group, true)
+		defer s.updateWorkload(p.Class, group, false)
 	} else if s.Load > 0 {
 		_ = write(fmt.Sprintf("LOAD %d\r\n", s.Load.Microseconds()))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	s.all.Go(func() {
-		s.awaitLeave(ctx, func() {
+	s.running.Go(func() {
+		s.awaitDrain(ctx, func() {
 			ended("away")
 			_ = write("MOVE\r\n")
 			c.CloseWrite()
 		})
 	})
 	for seq := 1; ; seq++ {
-		c.SetReadDeadline(time.Now().Add(peerQuiet))
+		c.SetReadDeadline(time.Now().Add(readTimeout))
 		text, err := r.ReadString('\n')
 		if err != nil {
 			switch {
@@ -350,7 +350,7 @@
 			}
 			return
 		}
-		took := s.heard(pass, text, seq)
+		took := s.checkNote(attempt, text, seq)
 		if s.echo(ctx, took) && write(fmt.Sprintf("M %d %s", time.Now().UnixMicro(), text)) != nil {
 			ended("gone")
 			return
@@ -358,37 +358,37 @@
 	}
 }
 
-// bears books a connection that stands, or takes it off.
-func (s *Server) bears(class, group string, stands bool) {
+// updateWorkload books a connection that stands, or takes it off.
+func (s *Server) updateWorkload(class, group string, stands bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if stands {
-		s.burden.add(time.Now(), class, group)
+		s.workload.add(time.Now(), class, group)
 	} else {
-		s.burden.remove(time.Now(), class, group)
+		s.workload.remove(time.Now(), class, group)
 	}
 }
 
-// heard holds a note of a client against what it should be. It returns how long it took to here.
-func (s *Server) heard(pass *Attempt, text string, seq int) time.Duration {
-	took, ok := readNote(strings.TrimRight(text, "\r\n"), seq, pass.Name)
-	s.Log.change(func() {
-		pass.MaxHeld = max(pass.MaxHeld, took)
+// checkNote holds a note of a client against what it should be. It returns how long it took to here.
+func (s *Server) checkNote(attempt *Attempt, text string, seq int) time.Duration {
+	took, ok := readNote(strings.TrimRight(text, "\r\n"), seq, attempt.Name)
+	s.Log.update(func() {
+		attempt.MaxHeld = max(attempt.MaxHeld, took)
 		if !ok {
-			pass.Garbled++
+			attempt.Garbled++
 		}
 	})
 	return took
 }
 
-// closed notes that a pass's connection is at an end.
-func (s *Server) closed(pass *Attempt) {
-	s.Log.change(func() { pass.Closed = time.Now() })
+// recordClosed notes that a pass's connection is at an end.
+func (s *Server) recordClosed(attempt *Attempt) {
+	s.Log.update(func() { attempt.Closed = time.Now() })
 }
 
-// awaitLeave calls away once a connection is to be sent away, as its server leaves.
-func (s *Server) awaitLeave(ctx context.Context, away func()) {
-	tick := time.NewTicker(awayEvery)
+// awaitDrain calls away once a connection is to be sent away, as its server leaves.
+func (s *Server) awaitDrain(ctx context.Context, away func()) {
+	tick := time.NewTicker(drainInterval)
 	defer tick.Stop()
 	for seq := int(time.Now().UnixNano() / 1000 % 4); ; seq++ {
 		select {
@@ -396,16 +396,16 @@
 			return
 		case <-tick.C:
 		}
-		if s.sendsAway(seq) {
+		if s.shouldMigrate(seq) {
 			away()
 			return
 		}
 	}
 }
 
-// amqp serves one connection of AMQP 1.0, and the sessions on it side by side.
-func (s *Server) amqp(ctx context.Context, c *net.TCPConn) {
-	conn, err := amqp.AcceptPeerConn(c, peerQuiet, s.Plain)
+// serveAMQP serves one connection of AMQP 1.0, and the sessions on it side by side.
+func (s *Server) serveAMQP(ctx context.Context, c *net.TCPConn) {
+	conn, err := amqp.AcceptPeerConn(c, readTimeout, s.Plain)
 	if err != nil {
 		return
 	}
@@ -420,18 +420,18 @@
 		c.Close()
 	}
 	for p := conn.Session(); p != nil; p = conn.Session() {
-		all.Go(func() { s.session(ctx, p, breaks) })
+		all.Go(func() { s.serveSession(ctx, p, breaks) })
 	}
 }
 
-// session serves one session, which is one transaction.
-func (s *Server) session(ctx context.Context, p *amqp.Peer, breaks func()) {
+// serveSession serves one session, which is one transaction.
+func (s *Server) serveSession(ctx context.Context, p *amqp.Peer, breaks func()) {
 	defer p.End()
-	var pass *Attempt
+	var attempt *Attempt
 	ended := func(how string) {
-		s.Log.change(func() {
-			if pass != nil && pass.Answer == "up" && pass.End == "" {
-				pass.End, pass.Ended = how, time.Now()
+		s.Log.update(func() {
+			if attempt != nil && attempt.Answer == "up" && attempt.End == "" {
+				attempt.End, attempt.Ended = how, time.Now()
 			}
 		})
 	}
@@ -450,13 +450,13 @@
 		case amqp.PeerAttached:
 			class, _ := e.Properties["class"].(string)
 			ms, _ := amqp.WholeNumber(e.Properties["give-up-ms"])
-			pass = s.Log.pass(Attempt{Server: s.Name, Frontend: "amqp", Name: e.Name, Class: class, At: time.Now(),
+			attempt = s.Log.addAttempt(Attempt{Server: s.Name, Frontend: "amqp", Name: e.Name, Class: class, At: time.Now(),
 				TimeLimit: time.Duration(ms) * time.Millisecond})
-			defer s.closed(pass)
+			defer s.recordClosed(attempt)
 			answered := func(what string) {
-				s.Log.change(func() { pass.Answer, pass.Answered = what, time.Now() })
+				s.Log.update(func() { attempt.Answer, attempt.Answered = what, time.Now() })
 			}
-			switch s.verdict(ctx) {
+			switch s.admit(ctx) {
 			case ModeNoCredit:
 				p.Attach(e, 0)
 				p.DiscardInput()
@@ -477,7 +477,7 @@
 				breaks()
 				return
 			}
-			defer s.gone()
+			defer s.release()
 			if ctx.Err() != nil {
 				return
 			}
@@ -488,14 +488,14 @@
 			}
 			ctx, cancel := context.WithCancel(ctx)
 			defer cancel()
-			s.all.Go(func() {
-				s.awaitLeave(ctx, func() {
+			s.running.Go(func() {
+				s.awaitDrain(ctx, func() {
 					ended("away")
 					p.Detach(e.Handle, amqp.ConditionDetachForced)
 				})
 			})
 		case amqp.PeerDelivered:
-			took := s.heard(pass, string(e.Payload), int(delivered)+1)
+			took := s.checkNote(attempt, string(e.Payload), int(delivered)+1)
 			delivered++
 			if !s.echo(ctx, took) {
 				continue
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -21,7 +21,7 @@
 	Clients   *ClientPool
 	AMQPPort  int // of all servers
 
-	acts sync.WaitGroup
+	pending sync.WaitGroup
 }
 
 // NewSite starts n servers, named s-1 and so on, and discovery that lists them. Each
@@ -51,7 +51,7 @@
 		if err = s.start(); err == nil {
 			return s, nil
 		}
-		s.Log.forget() // of servers that were never really there
+		s.Log.reset() // of servers that were never really there
 	}
 	s.Discovery.Stop()
 	return nil, err
@@ -121,7 +121,7 @@
 
 // Stop ends all of it; the crowd's Run has to have returned.
 func (s *Site) Stop() {
-	s.acts.Wait()
+	s.pending.Wait()
 	for _, server := range s.Servers {
 		server.Stop()
 	}
@@ -140,7 +140,7 @@
 	for _, c := range classes {
 		list = append(list, object{"Name": c.Name, "AimUs": (c.TimeLimit / 4).Microseconds(), "DeadlineUs": c.TimeLimit.Microseconds(),
 			"KeyScope": "all", "Semantics": "idempotent"})
-		aims = append(aims, cmp.Or(c.LatencyObjective, usualAim).Microseconds())
+		aims = append(aims, cmp.Or(c.LatencyObjective, defaultObjective).Microseconds())
 	}
 	agent := s.Agent(relay)
 	return json.Marshal(object{
