--- a/internal/fake/capacity.go
+++ b/internal/fake/capacity.go
@@ -1,140 +1,88 @@
 package fake
 
-import (
-	"context"
-	"fmt"
-	"slices"
-	"sync"
-	"time"
-)
+import "time"
 
-// Capacity is what a server can do. Messages take longer as the work that is asked of it nears that, as in a
-// queue (S/(1-rho)), and what is asked beyond it piles up. The zero value bears everything at once.
+// Capacity is what a server can do. Messages take longer as the demand nears it, as in a
+// queue (S/(1-rho)), and demand beyond it forms a backlog. The zero value has no bound.
 type Capacity struct {
-	Work    time.Duration            // that it does a second; 0: without bound
-	Classes map[string]time.Duration // work a second of a connection, by class
-	Group   time.Duration            // and of each group that any of them belong to
-	Message time.Duration            // that one takes at an idle server
-	// A server that has just started has this share of it, which grows evenly until it is warm.
+	Work    time.Duration            // done a second; 0: without bound
+	Classes map[string]time.Duration // work a second of each connection, by class
+	Group   time.Duration            // work a second of each group with any connection
+	Message time.Duration            // time that a message takes at an idle server
+	// A server that has just started has this share of Work, which grows linearly for ColdFor.
 	ColdShare  float64
 	ColdFor    time.Duration
-	ReportOver time.Duration // relays are told of delays over this, once a second
+	ReportOver time.Duration // relays are notified of delays over this, once a second
 }
 
-// maxUtilization is the part of a server's work from which on messages take no longer by the queue's
-// law: what comes on top piles up.
+// maxUtilization bounds the utilization that the queue's law is applied to; beyond it the
+// backlog alone delays messages.
 const maxUtilization = 0.95
 
-// workload is what is asked of a server now. Times are those of its caller.
+// workload is what is demanded of a server now. Its callers hold the server's mu, and give
+// the time.
 type workload struct {
 	Capacity
-	startedAt time.Time // zero: long ago
-	demand    time.Duration
-	groups    map[string]int
-	backlog   time.Duration // work not done yet, as of since
+	startedAt time.Time      // zero: long ago
+	demand    time.Duration  // work a second
+	groups    map[string]int // connections by group
+	backlog   time.Duration  // work not done yet, as of updatedAt
 	updatedAt time.Time
 }
 
-// capacityAt is the work a second that the server can do at a time.
-func (b *workload) capacityAt(now time.Time) time.Duration {
-	if age := now.Sub(b.startedAt); !b.startedAt.IsZero() && age < b.ColdFor {
-		return time.Duration(float64(b.Work) * (b.ColdShare + (1-b.ColdShare)*float64(age)/float64(b.ColdFor)))
+// capacityAt returns the work a second that the server can do at a time.
+func (w *workload) capacityAt(now time.Time) time.Duration {
+	if age := now.Sub(w.startedAt); !w.startedAt.IsZero() && age < w.ColdFor {
+		return time.Duration(float64(w.Work) * (w.ColdShare + (1-w.ColdShare)*float64(age)/float64(w.ColdFor)))
 	}
-	return b.Work
+	return w.Work
 }
 
-// advance works off what is piled up, or piles more up, until a time.
-func (b *workload) advance(now time.Time) {
-	if !b.updatedAt.IsZero() {
-		b.backlog = max(0, b.backlog+time.Duration(now.Sub(b.updatedAt).Seconds()*float64(b.demand-b.capacityAt(now))))
+// advance brings the backlog up to a time.
+func (w *workload) advance(now time.Time) {
+	if !w.updatedAt.IsZero() {
+		w.backlog = max(0, w.backlog+time.Duration(now.Sub(w.updatedAt).Seconds()*float64(w.demand-w.capacityAt(now))))
 	}
-	b.updatedAt = now
+	w.updatedAt = now
 }
 
-// add books a connection of a class and group that stands from now on.
-func (b *workload) add(now time.Time, class, group string) {
-	b.advance(now)
-	b.demand += b.Classes[class]
-	if b.groups[group]++; b.groups[group] == 1 {
-		b.demand += b.Group
+// add counts an established connection of a class and group.
+func (w *workload) add(now time.Time, class, group string) {
+	w.advance(now)
+	w.demand += w.Classes[class]
+	if w.groups[group]++; w.groups[group] == 1 {
+		w.demand += w.Group
 	}
 }
 
-// remove takes one off.
-func (b *workload) remove(now time.Time, class, group string) {
-	b.advance(now)
-	b.demand -= b.Classes[class]
-	if b.groups[group]--; b.groups[group] == 0 {
-		delete(b.groups, group)
-		b.demand -= b.Group
+// remove undoes add.
+func (w *workload) remove(now time.Time, class, group string) {
+	w.advance(now)
+	w.demand -= w.Classes[class]
+	if w.groups[group]--; w.groups[group] == 0 {
+		delete(w.groups, group)
+		w.demand -= w.Group
 	}
 }
 
-// delay is what a message takes that comes at a time.
-func (b *workload) delay(now time.Time) time.Duration {
-	if b.Work == 0 {
+// delay returns the time that a message takes which comes at a time.
+func (w *workload) delay(now time.Time) time.Duration {
+	if w.Work == 0 {
 		return 0
 	}
-	b.advance(now)
-	does := b.capacityAt(now).Seconds()
-	rho := min(maxUtilization, b.demand.Seconds()/does)
-	return time.Duration(float64(b.Message)/(1-rho) + float64(b.backlog)/does)
+	w.advance(now)
+	capacity := w.capacityAt(now).Seconds()
+	utilization := min(maxUtilization, w.demand.Seconds()/capacity)
+	return time.Duration(float64(w.Message)/(1-utilization) + float64(w.backlog)/capacity)
 }
 
-// delayReports are the connections of each door on which a server tells its delay: each relay has a door of its
-// own, and is told on one connection.
-type delayReports struct {
-	mu         sync.Mutex
-	byListener map[int][]*func(string) error
-}
-
-func (t *delayReports) add(door int, write *func(string) error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.byListener == nil {
-		t.byListener = make(map[int][]*func(string) error)
-	}
-	t.byListener[door] = append(t.byListener[door], write)
-}
-
-func (t *delayReports) remove(door int, write *func(string) error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.byListener[door] = slices.DeleteFunc(t.byListener[door], func(w *func(string) error) bool { return w == write })
-}
-
-// onePerListener are one connection of each door.
-func (t *delayReports) onePerListener() []func(string) error {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	var all []func(string) error
-	for _, door := range t.byListener {
-		if len(door) > 0 {
-			all = append(all, *door[0])
-		}
-	}
-	return all
-}
-
-// reportDelays tells each relay once a second what a message takes, while that is long, and once when it no longer is.
-func (s *Server) reportDelays(ctx context.Context) {
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
-	for was := false; ; {
-		select {
-		case <-ctx.Done():
-			return
-		case <-beat.C:
-		}
-		s.mu.Lock()
-		delay, silent := s.workload.delay(time.Now()), s.mode == ModeHang
-		s.mu.Unlock()
-		long := delay > s.Capacity.ReportOver
-		if (long || was) && !silent {
-			for _, write := range s.delayReports.onePerListener() {
-				_ = write(fmt.Sprintf("LOAD %d\r\n", delay.Milliseconds()))
-			}
-		}
-		was = long
+// updateWorkload adds an established connection to the server's workload, or removes it.
+func (s *Server) updateWorkload(class, group string, established bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if established {
+		s.workload.add(time.Now(), class, group)
+	} else {
+		s.workload.remove(time.Now(), class, group)
 	}
 }
--- a/internal/fake/collector.go
+++ b/internal/fake/collector.go
@@ -14,19 +14,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Collector is a stand-in of a collector of telemetry: OTLP 1.x over HTTP with
-// protobuf. It is an http.Handler.
+// Collector plays a telemetry collector: OTLP 1.x over HTTP with protobuf. It is an
+// http.Handler, and safe for concurrent use; the zero value is ready.
 type Collector struct {
-	mu     sync.Mutex
+	mu     sync.Mutex // guards the fields below
 	spans  []*spanpb.Span
 	counts map[string]int64
 	errs   []error
 }
 
-// maxBody bounds an export.
+// maxBody bounds an export, in bytes.
 const maxBody = 64 << 20
 
-// ServeHTTP takes one export.
+// ServeHTTP receives one export.
 func (c *Collector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if err := c.receive(r); err != nil {
 		c.mu.Lock()
@@ -37,99 +37,100 @@
 }
 
 func (c *Collector) receive(r *http.Request) error {
-	var in io.Reader = r.Body
+	var input io.Reader = r.Body
 	if r.Header.Get("Content-Encoding") == "gzip" {
-		z, err := gzip.NewReader(r.Body)
+		unzipped, err := gzip.NewReader(r.Body)
 		if err != nil {
 			return err
 		}
-		in = z
+		input = unzipped
 	}
-	body, err := io.ReadAll(io.LimitReader(in, maxBody))
+	body, err := io.ReadAll(io.LimitReader(input, maxBody))
 	if err != nil {
 		return err
 	}
 	switch r.URL.Path {
 	case "/v1/traces":
-		var m tracepb.ExportTraceServiceRequest
-		if err := proto.Unmarshal(body, &m); err != nil {
+		var export tracepb.ExportTraceServiceRequest
+		if err := proto.Unmarshal(body, &export); err != nil {
 			return err
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		for _, of := range m.ResourceSpans {
-			for _, in := range of.ScopeSpans {
-				c.spans = append(c.spans, in.Spans...)
+		for _, resource := range export.ResourceSpans {
+			for _, scope := range resource.ScopeSpans {
+				c.spans = append(c.spans, scope.Spans...)
 			}
 		}
 	case "/v1/metrics":
-		var m metricspb.ExportMetricsServiceRequest
-		if err := proto.Unmarshal(body, &m); err != nil {
+		var export metricspb.ExportMetricsServiceRequest
+		if err := proto.Unmarshal(body, &export); err != nil {
 			return err
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.storeMetrics(&m)
+		c.storeMetrics(&export)
 	default:
 		return fmt.Errorf("an export to %s", r.URL.Path)
 	}
 	return nil
 }
 
-func (c *Collector) storeMetrics(m *metricspb.ExportMetricsServiceRequest) {
+// storeMetrics stores the last value of each data point. The caller holds mu.
+func (c *Collector) storeMetrics(export *metricspb.ExportMetricsServiceRequest) {
 	if c.counts == nil {
 		c.counts = make(map[string]int64)
 	}
-	for _, of := range m.ResourceMetrics {
-		for _, in := range of.ScopeMetrics {
-			for _, one := range in.Metrics {
-				points := one.GetSum().GetDataPoints()
-				points = append(points, one.GetGauge().GetDataPoints()...)
-				for _, p := range points {
-					name := one.Name
-					for _, a := range p.Attributes {
-						name += " " + a.Value.GetStringValue()
+	for _, resource := range export.ResourceMetrics {
+		for _, scope := range resource.ScopeMetrics {
+			for _, metric := range scope.Metrics {
+				points := metric.GetSum().GetDataPoints()
+				points = append(points, metric.GetGauge().GetDataPoints()...)
+				for _, point := range points {
+					name := metric.Name
+					for _, attribute := range point.Attributes {
+						name += " " + attribute.Value.GetStringValue()
 					}
-					c.counts[name] = p.GetAsInt()
+					c.counts[name] = point.GetAsInt()
 				}
 			}
 		}
 	}
 }
 
-// Spans are those that came, in the order in which they did.
+// Spans returns the spans in the order in which they arrived.
 func (c *Collector) Spans() []*spanpb.Span {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.spans[:len(c.spans):len(c.spans)]
 }
 
-// Count is the last value of a metric, by its name and its attributes' values.
-func (c *Collector) Count(name string) (n int64, ok bool) {
+// Count returns the last value of a metric, by its name and its attributes' values, with a
+// space before each.
+func (c *Collector) Count(name string) (count int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, ok = c.counts[name]
-	return n, ok
+	count, ok = c.counts[name]
+	return count, ok
 }
 
-// Errors are what could not be read.
+// Errors returns why exports could not be read.
 func (c *Collector) Errors() []error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.errs[:len(c.errs):len(c.errs)]
 }
 
-// Attribute is the value of a span's attribute, as text; "" if it has none.
-func Attribute(all []*commonpb.KeyValue, key string) string {
-	for _, a := range all {
-		if a.Key == key {
-			switch session := a.Value.Value.(type) {
-			case *commonpb.AnyValue_StringValue:
-				return session.StringValue
-			default:
-				return fmt.Sprint(a.Value.GetIntValue())
-			}
+// Attribute returns the value of a span's attribute, as text; "" if it has none.
+func Attribute(attributes []*commonpb.KeyValue, key string) string {
+	for _, attribute := range attributes {
+		if attribute.Key != key {
+			continue
+		}
+		if text, ok := attribute.Value.Value.(*commonpb.AnyValue_StringValue); ok {
+			return text.StringValue
 		}
+		return fmt.Sprint(attribute.Value.GetIntValue())
 	}
 	return ""
 }
--- /dev/null
+++ b/internal/fake/delayreports.go
@@ -0,0 +1,73 @@
+package fake
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+)
+
+const reportInterval = time.Second
+
+// reportWriter writes a line to a connection. Its pointer is its identity.
+type reportWriter = func(string) error
+
+// delayReports holds the connections of each listener on which a server may report its
+// delay: each relay has a listener of its own, and gets reports on one connection.
+type delayReports struct {
+	mu         sync.Mutex // guards byListener
+	byListener map[int][]*reportWriter
+}
+
+func (r *delayReports) add(listener int, write *reportWriter) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.byListener == nil {
+		r.byListener = make(map[int][]*reportWriter)
+	}
+	r.byListener[listener] = append(r.byListener[listener], write)
+}
+
+func (r *delayReports) remove(listener int, write *reportWriter) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.byListener[listener] = slices.DeleteFunc(r.byListener[listener], func(other *reportWriter) bool { return other == write })
+}
+
+// onePerListener returns the oldest connection of each listener.
+func (r *delayReports) onePerListener() []reportWriter {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var all []reportWriter
+	for _, writers := range r.byListener {
+		if len(writers) > 0 {
+			all = append(all, *writers[0])
+		}
+	}
+	return all
+}
+
+// reportDelays reports to each relay once a second what a message takes, while that is long,
+// and once when it no longer is, until ctx ends.
+func (s *Server) reportDelays(ctx context.Context) {
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
+	for wasLong := false; ; {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		s.mu.Lock()
+		delay, hangs := s.workload.delay(time.Now()), s.mode == ModeHang
+		s.mu.Unlock()
+		long := delay > s.Capacity.ReportOver
+		if (long || wasLong) && !hangs {
+			for _, write := range s.delayReports.onePerListener() {
+				_ = write(fmt.Sprintf("LOAD %d\r\n", delay.Milliseconds()))
+			}
+		}
+		wasLong = long
+	}
+}
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -14,14 +14,14 @@
 	"lockroad/internal/discovery"
 )
 
-// Discovery is a stand-in of discovery's agent: the list whole, and a watch of its
-// changes over HTTP/1.1.
+// Discovery plays discovery's agent over HTTP/1.1: the complete endpoint list, and a watch
+// of its changes. Its methods may be called from any goroutine after Start.
 type Discovery struct {
 	Log *EventLog
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	members   map[string]discovery.Member
-	revisions map[string]uint64 // revision of each member's last change
+	revisions map[string]uint64 // of each member's last change
 	revision  uint64
 	changed   chan struct{} // closed and renewed with each change
 	server    *http.Server
@@ -30,55 +30,56 @@
 
 // Start opens the agent at an address.
 func (d *Discovery) Start(address string) error {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("stand-in discovery: %w", err)
 	}
 	d.mu.Lock()
 	d.members, d.revisions, d.changed, d.revision = make(map[string]discovery.Member), make(map[string]uint64), make(chan struct{}), 1
-	d.address = l.Addr().String()
+	d.address = listener.Addr().String()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", d.serveHosts)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	d.server = server
 	d.mu.Unlock()
-	go func() { _ = server.Serve(l) }() // until Stop
+	go func() { _ = server.Serve(listener) }() // ends with Stop
 	return nil
 }
 
 // Stop ends the agent and its watches.
 func (d *Discovery) Stop() { _ = d.server.Close() }
 
-// Address is where the agent is.
+// Address returns the address that the agent listens on.
 func (d *Discovery) Address() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.address
 }
 
-// Set puts a member on the list, or changes it.
-func (d *Discovery) Set(m discovery.Member) {
+// Set adds a member to the list, or changes it.
+func (d *Discovery) Set(member discovery.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
-	d.members[m.ID], d.revisions[m.ID] = m, d.revision
+	d.members[member.ID], d.revisions[member.ID] = member, d.revision
 	close(d.changed)
 	d.changed = make(chan struct{})
-	d.Log.addChange(EndpointChange{At: time.Now(), Endpoint: m.ID, State: m.Phase})
+	d.Log.addChange(EndpointChange{At: time.Now(), Endpoint: member.ID, State: member.Phase})
 }
 
-// SetState changes the phase of a member; with born it has just started.
-func (d *Discovery) SetState(id, phase string, born bool) {
+// SetState changes the phase of a member; justStarted sets its start to now.
+func (d *Discovery) SetState(id, phase string, justStarted bool) {
 	d.mu.Lock()
-	m := d.members[id]
+	member := d.members[id]
 	d.mu.Unlock()
-	if m.Phase = phase; born {
-		m.UpSince = time.Now().UnixMilli()
+	member.Phase = phase
+	if justStarted {
+		member.UpSince = time.Now().UnixMilli()
 	}
-	d.Set(m)
+	d.Set(member)
 }
 
-// Rewind has revisions begin again from a lower one, as after a loss of discovery's own
+// Rewind makes revisions begin again from a lower one, as after a loss of discovery's own
 // state.
 func (d *Discovery) Rewind() {
 	d.mu.Lock()
@@ -89,27 +90,29 @@
 	}
 }
 
-// List is the list as it stands.
+// List returns the complete list.
 func (d *Discovery) List() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(0)
 }
 
-// since is what changed after a revision; the whole list after none.
+// since returns what changed after a revision; the complete list after 0. The caller holds mu.
 func (d *Discovery) since(revision uint64) discovery.List {
-	l := discovery.List{Revision: d.revision, Complete: revision == 0}
-	for id, m := range d.members {
-		if d.revisions[id] > revision && !(l.Complete && m.Phase == "gone") {
-			l.Members = append(l.Members, m)
+	list := discovery.List{Revision: d.revision, Complete: revision == 0}
+	for id, member := range d.members {
+		if d.revisions[id] > revision && !(list.Complete && member.Phase == "gone") {
+			list.Members = append(list.Members, member)
 		}
 	}
-	slices.SortFunc(l.Members, func(x, y discovery.Member) int { return strings.Compare(x.ID, y.ID) })
-	return l
+	slices.SortFunc(list.Members, func(a, b discovery.Member) int { return strings.Compare(a.ID, b.ID) })
+	return list
 }
 
-// serveHosts answers a GET: the list, or with watch=1 its changes until the watch ends, and
-// an empty line every 2 s.
+// keepAliveInterval is how often a watch gets an empty line where nothing changes.
+const keepAliveInterval = 2 * time.Second
+
+// serveHosts answers a GET: the list, or with watch=1 its changes until the watch ends.
 func (d *Discovery) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil && r.URL.Query().Has("from") {
@@ -120,34 +123,40 @@
 	if from > d.revision { // of another agent
 		from = 0
 	}
-	l, changed := d.since(from), d.changed
+	list, changed := d.since(from), d.changed
 	d.mu.Unlock()
-	e := json.NewEncoder(w)
 	w.Header().Set("Content-Type", "application/json")
-	_ = e.Encode(l) // a caller that has gone is seen below
-	if r.URL.Query().Get("watch") != "1" {
-		return
+	_ = json.NewEncoder(w).Encode(list) // a caller that has gone is noticed by the watch
+	if r.URL.Query().Get("watch") == "1" {
+		d.watch(w, r, list.Revision, changed)
 	}
-	beat := time.NewTicker(2 * time.Second)
-	defer beat.Stop()
-	for flush := http.NewResponseController(w); ; {
-		if flush.Flush() != nil {
+}
+
+// watch writes the changes after a revision, and an empty line at intervals, until the
+// caller has gone. The channel is closed with the first change.
+func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, revision uint64, changed <-chan struct{}) {
+	encoder := json.NewEncoder(w)
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
+	for response := http.NewResponseController(w); ; {
+		if response.Flush() != nil {
 			return
 		}
-		from = l.Revision
 		select {
 		case <-r.Context().Done():
 			return
-		case <-beat.C:
+		case <-keepAlive.C:
 			fmt.Fprint(w, "\n")
 			continue
 		case <-changed:
 		}
 		d.mu.Lock()
-		l, changed = d.since(from), d.changed
-		l.Complete = false
+		list := d.since(revision)
+		changed = d.changed
 		d.mu.Unlock()
-		if e.Encode(l) != nil {
+		list.Complete = false
+		revision = list.Revision
+		if encoder.Encode(list) != nil {
 			return
 		}
 	}
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -9,17 +9,17 @@
 	"lockroad/internal/sexp"
 )
 
-// ScriptedAction is what happens at a time of a script.
+// ScriptedAction is an action of a script, at its time.
 type ScriptedAction struct {
 	At       time.Duration
-	Kind     string // hang, busy, error, break, slow, accept, drain, restart or drop
+	Kind     string // hang, no-credit, busy, error, break, slow, drain, restart or drop
 	Server   string
 	Duration time.Duration // how long it lasts, or of restart how long it is down
 	Delay    time.Duration // of slow: of an echo
 	Share    float64       // of drop: of the clients
 }
 
-// String tells of it in words.
+// String describes the action in a sentence, without its time.
 func (a ScriptedAction) String() string {
 	switch a.Kind {
 	case "hang":
@@ -44,101 +44,113 @@
 	return a.Kind
 }
 
-// ParseScript reads a script: (at TIME (ACT ...)) for each act, where ACT is one of
+// ParseScript reads a script: (at TIME (ACT ...)) for each action, where ACT is one of
 //
 //	(hang SERVER TIME) (busy SERVER TIME) (error SERVER TIME) (break SERVER TIME)
-//	(slow SERVER DELAY TIME) (drain SERVER) (restart SERVER TIME) (drop PERCENT)
+//	(no-credit SERVER TIME) (slow SERVER DELAY TIME) (drain SERVER) (restart SERVER TIME) (drop PERCENT)
 //
-// An error says at which line and column what was expected.
+// The actions are returned in order of time. An error says at which line and column what
+// was expected.
 func ParseScript(source string, servers []string) ([]ScriptedAction, error) {
 	nodes, err := sexp.Parse(source)
 	if err != nil {
 		return nil, err
 	}
 	var actions []ScriptedAction
-	for _, n := range nodes {
-		head, args, err := n.Head()
+	for _, node := range nodes {
+		action, err := parseTimed(node, servers)
 		if err != nil {
 			return nil, err
 		}
-		if head != "at" || len(args) != 2 {
-			return nil, n.Errorf("expected (at TIME (ACT ...))")
-		}
-		at, err := args[0].Duration()
-		if err != nil {
-			return nil, err
-		}
-		action, err := parseAction(args[1], servers)
-		if err != nil {
-			return nil, err
-		}
-		action.At = at
 		actions = append(actions, action)
 	}
-	slices.SortStableFunc(actions, func(x, y ScriptedAction) int { return int(x.At - y.At) })
+	slices.SortStableFunc(actions, func(a, b ScriptedAction) int { return int(a.At - b.At) })
 	return actions, nil
 }
 
-// actionForms are the arguments that acts take.
+// parseTimed reads an action with its time.
+func parseTimed(node *sexp.Node, servers []string) (ScriptedAction, error) {
+	head, args, err := node.Head()
+	if err != nil {
+		return ScriptedAction{}, err
+	}
+	if head != "at" || len(args) != 2 {
+		return ScriptedAction{}, node.Errorf("expected (at TIME (ACT ...))")
+	}
+	at, err := args[0].Duration()
+	if err != nil {
+		return ScriptedAction{}, err
+	}
+	action, err := parseAction(args[1], servers)
+	action.At = at
+	return action, err
+}
+
+// actionForms are the arguments of each kind of action.
 var actionForms = map[string][]string{
 	"hang": {"SERVER", "TIME"}, "no-credit": {"SERVER", "TIME"}, "busy": {"SERVER", "TIME"}, "error": {"SERVER", "TIME"}, "break": {"SERVER", "TIME"},
 	"slow": {"SERVER", "DELAY", "TIME"}, "drain": {"SERVER"}, "restart": {"SERVER", "TIME"}, "drop": {"PERCENT"},
 }
 
-func parseAction(n *sexp.Node, servers []string) (a ScriptedAction, err error) {
+func parseAction(node *sexp.Node, servers []string) (action ScriptedAction, err error) {
 	var args []*sexp.Node
-	if a.Kind, args, err = n.Head(); err != nil {
-		return a, err
+	if action.Kind, args, err = node.Head(); err != nil {
+		return action, err
 	}
-	form, ok := actionForms[a.Kind]
+	form, ok := actionForms[action.Kind]
 	if !ok {
-		return a, n.Errorf("there is no act %q; expected hang, busy, error, break, no-credit, slow, drain, restart or drop", a.Kind)
+		return action, node.Errorf("there is no act %q; expected hang, busy, error, break, no-credit, slow, drain, restart or drop", action.Kind)
 	}
 	if len(args) != len(form) {
-		return a, n.Errorf("%s takes %v, here are %d", a.Kind, form, len(args))
+		return action, node.Errorf("%s takes %v, here are %d", action.Kind, form, len(args))
 	}
-	for i, what := range form {
-		switch what {
-		case "SERVER":
-			if a.Server, err = args[i].Value(); err == nil && !slices.Contains(servers, a.Server) {
-				err = args[i].Errorf("there is no server %q; expected one of %v", a.Server, servers)
-			}
-		case "TIME":
-			a.Duration, err = args[i].Duration()
-		case "DELAY":
-			a.Delay, err = args[i].Duration()
-		case "PERCENT":
-			var session uint64
-			if session, err = args[i].Whole(); err == nil && session > 100 {
-				err = args[i].Errorf("%d is more than 100 in 100", session)
-			}
-			a.Share = float64(session) / 100
+	for i, argument := range form {
+		if err := action.setArgument(argument, args[i], servers); err != nil {
+			return action, err
 		}
-		if err != nil {
-			return a, err
+	}
+	return action, nil
+}
+
+// setArgument sets what an argument of a form says.
+func (a *ScriptedAction) setArgument(argument string, node *sexp.Node, servers []string) (err error) {
+	switch argument {
+	case "SERVER":
+		if a.Server, err = node.Value(); err == nil && !slices.Contains(servers, a.Server) {
+			err = node.Errorf("there is no server %q; expected one of %v", a.Server, servers)
 		}
+	case "TIME":
+		a.Duration, err = node.Duration()
+	case "DELAY":
+		a.Delay, err = node.Duration()
+	case "PERCENT":
+		var percent uint64
+		if percent, err = node.Whole(); err == nil && percent > 100 {
+			err = node.Errorf("%d is more than 100 in 100", percent)
+		}
+		a.Share = float64(percent) / 100
 	}
-	return a, nil
+	return err
 }
 
-// Run carries a script out and tells of each act once it has begun, until all are done or
-// ctx ends.
-func (s *Site) Run(ctx context.Context, actions []ScriptedAction, tell func(ScriptedAction)) {
-	began := time.Now()
-	for _, a := range actions {
+// Run performs a script's actions and calls notify with each once it has begun, until all
+// have begun or ctx ends. Stop waits for the end of those that last.
+func (s *Site) Run(ctx context.Context, actions []ScriptedAction, notify func(ScriptedAction)) {
+	start := time.Now()
+	for _, action := range actions {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Until(began.Add(a.At))):
+		case <-time.After(time.Until(start.Add(action.At))):
 		}
-		s.perform(ctx, a)
-		tell(a)
+		s.perform(ctx, action)
+		notify(action)
 	}
 }
 
-func (s *Site) perform(ctx context.Context, a ScriptedAction) {
-	server := s.Server(a.Server)
-	later := func(wait time.Duration, do func()) {
+func (s *Site) perform(ctx context.Context, action ScriptedAction) {
+	server := s.Server(action.Server)
+	after := func(wait time.Duration, do func()) {
 		s.pending.Go(func() {
 			select {
 			case <-ctx.Done():
@@ -147,24 +159,24 @@
 			do()
 		})
 	}
-	switch a.Kind {
+	switch action.Kind {
 	case "hang", "busy", "error", "break", "no-credit":
-		server.Set(ServerMode(a.Kind), 0)
-		later(a.Duration, func() { server.Set(ModeAccept, 0) })
+		server.Set(ServerMode(action.Kind), 0)
+		after(action.Duration, func() { server.Set(ModeAccept, 0) })
 	case "slow":
-		server.Set(ModeAccept, a.Delay)
-		later(a.Duration, func() { server.Set(ModeAccept, 0) })
+		server.Set(ModeAccept, action.Delay)
+		after(action.Duration, func() { server.Set(ModeAccept, 0) })
 	case "drain":
-		s.SetState(a.Server, "draining", false)
+		s.SetState(action.Server, "draining", false)
 		server.Drain()
 	case "restart":
 		server.Stop()
-		later(a.Duration, func() {
+		after(action.Duration, func() {
 			if server.Start(server.Address(), server.AMQP()) == nil {
-				s.SetState(a.Server, "ready", true)
+				s.SetState(action.Server, "ready", true)
 			}
 		})
 	case "drop":
-		s.Clients.Drop(a.Share)
+		s.Clients.Drop(action.Share)
 	}
 }
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -1,63 +1,65 @@
 package fake
 
 import (
-	"bufio"
 	"context"
-	"errors"
 	"fmt"
-	"io"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
-
-	"lockroad/internal/frontend/amqp"
 )
 
-// ServerMode is what a server does with transactions that come.
+// ServerMode is what a server does with attempts that come.
 type ServerMode string
 
 // The modes of a server.
 const (
 	ModeAccept   ServerMode = "accept"
-	ModeHang     ServerMode = "hang"      // takes them and says nothing
-	ModeNoCredit ServerMode = "no-credit" // attaches links and grants no credit; a line has no such thing and hangs
-	ModeBusy     ServerMode = "busy"      // turns them away
+	ModeHang     ServerMode = "hang"      // accepts them and does not answer
+	ModeNoCredit ServerMode = "no-credit" // attaches links and grants no credit; on the line protocol it hangs
+	ModeBusy     ServerMode = "busy"      // rejects them
 	ModeError    ServerMode = "error"     // answers with an error
-	ModeBreak    ServerMode = "break"     // takes them and breaks the connection
+	ModeBreak    ServerMode = "break"     // accepts them and breaks the connection
 )
 
-// Server is a stand-in of an application server. It speaks both wires.
+// Server plays an application server. It speaks both protocols. Its exported fields are set
+// before Start; its methods may be called from any goroutine.
 type Server struct {
 	Name      string
 	Log       *EventLog
-	SetupTime time.Duration // that a set-up takes
-	MaxConns  int           // connections at a time; more are turned away
-	Load      time.Duration // work a second that it tells of each connection
-	Plain     bool          // it speaks AMQP without the security layer
-	Probes    bool          // it answers PING with PONG
-	// Capacity is what it can do; line connections alone count. With it the server tells delays instead
-	// of loads.
+	SetupTime time.Duration // of each attempt
+	MaxConns  int           // at a time; more are rejected. 0: without bound
+	Load      time.Duration // work a second that it reports of each connection
+	Plain     bool          // AMQP without the security layer
+	Probes    bool          // are answered: PING by PONG
+	// Capacity is what it can do; line connections alone count. With it the server reports
+	// delays instead of loads.
 	Capacity       Capacity
-	ExtraListeners []string // further line doors, one for each relay beyond the first
+	ExtraListeners []string // addresses of further line listeners, one for each relay beyond the first
 
-	mu           sync.Mutex
-	addresses    [2]string // of the line and the AMQP listener
+	mu           sync.Mutex // guards the fields below
+	addresses    [2]string  // of the line and the AMQP listener
 	listeners    []net.Listener
 	conns        map[net.Conn]context.CancelFunc
 	mode         ServerMode
-	delay        time.Duration // of an echo
+	delay        time.Duration // of echoes
 	draining     bool
-	established  int // transactions that stand
+	established  int // attempts that are accepted and not ended
 	workload     workload
-	stop         context.CancelFunc // of what goes on while it is up
+	stop         context.CancelFunc // ends reportDelays; nil before the first Start
 	delayReports delayReports
-	running      sync.WaitGroup
+	running      sync.WaitGroup // all goroutines of the server; Stop waits for them
 }
 
-// Start opens the server's doors: line at one address and AMQP at another, which may
-// be empty. After Stop it can be started again, at the same addresses.
+// Numbers of a server's listeners; those from the third on are its ExtraListeners.
+const (
+	listenerLine = iota
+	listenerAMQP
+	listenersOfOneRelay
+)
+
+// Start opens the server's listeners: line at one address and AMQP at another, which may
+// be empty. After Stop it can be started again, at the same addresses; it then counts
+// as just started.
 func (s *Server) Start(line, amqp10 string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,30 +71,17 @@
 		s.workload.startedAt = time.Now()
 	}
 	s.delayReports.byListener = nil
-	for i, address := range append([]string{line, amqp10}, s.ExtraListeners...) {
+	for number, address := range append([]string{line, amqp10}, s.ExtraListeners...) {
 		if address == "" {
 			continue
 		}
-		l, err := net.Listen("tcp", address)
-		if err != nil {
-			for _, l := range s.listeners {
-				l.Close()
+		if err := s.listen(number, address); err != nil {
+			for _, listener := range s.listeners {
+				listener.Close()
 			}
 			s.listeners = nil
 			return fmt.Errorf("stand-in %s: %w", s.Name, err)
 		}
-		s.listeners = append(s.listeners, l)
-		serve := func(ctx context.Context, c *net.TCPConn) { s.serveLine(ctx, c, i) }
-		switch i {
-		case 0:
-			s.addresses[0] = l.Addr().String()
-		case 1:
-			s.addresses[1] = l.Addr().String()
-			serve = s.serveAMQP
-		default:
-			s.ExtraListeners[i-2] = l.Addr().String()
-		}
-		s.running.Go(func() { s.accept(l, serve) })
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
@@ -102,59 +91,82 @@
 	return nil
 }
 
-// Address is where the line door is; AMQP where the other is.
-func (s *Server) Address() string { return s.listenAddress(0) }
+// listen opens one listener, and notes its address. The caller holds mu.
+func (s *Server) listen(number int, address string) error {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return err
+	}
+	s.listeners = append(s.listeners, listener)
+	serve := func(ctx context.Context, conn *net.TCPConn) { s.serveLine(ctx, conn, number) }
+	switch number {
+	case listenerLine:
+		s.addresses[number] = listener.Addr().String()
+	case listenerAMQP:
+		s.addresses[number] = listener.Addr().String()
+		serve = s.serveAMQP
+	default:
+		s.ExtraListeners[number-listenersOfOneRelay] = listener.Addr().String()
+	}
+	s.running.Go(func() { s.accept(listener, serve) })
+	return nil
+}
+
+// Address returns the address of the line listener.
+func (s *Server) Address() string { return s.listenAddress(listenerLine) }
 
-// AMQP is where the AMQP door is.
-func (s *Server) AMQP() string { return s.listenAddress(1) }
+// AMQP returns the address of the AMQP listener.
+func (s *Server) AMQP() string { return s.listenAddress(listenerAMQP) }
 
-func (s *Server) listenAddress(i int) string {
+func (s *Server) listenAddress(number int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.addresses[i]
+	return s.addresses[number]
 }
 
-// Set changes what the server does with transactions that come from now on, and how
-// long echoes take.
-func (s *Server) Set(m ServerMode, delay time.Duration) {
+// Set changes what the server does with attempts that come from now on, and how long
+// echoes take.
+func (s *Server) Set(mode ServerMode, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mode, s.delay = m, delay
+	s.mode, s.delay = mode, delay
 }
 
-// Drain has the server send its clients away, a part of them every tenth of a second.
-// It takes nothing new.
+// Drain makes the server migrate its clients, a share of them every tenth of a second.
+// It rejects new attempts.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Stop kills the server: its connections break, and new ones are refused.
+// Stop kills the server: its connections break, and new ones are refused. It returns when
+// all goroutines of the server have ended.
 func (s *Server) Stop() {
 	s.Log.addChange(EndpointChange{At: time.Now(), Endpoint: s.Name, State: Killed})
 	s.mu.Lock()
 	if s.stop != nil {
 		s.stop()
 	}
-	for _, l := range s.listeners {
-		l.Close()
+	for _, listener := range s.listeners {
+		listener.Close()
 	}
 	s.listeners = nil
-	for c, cancel := range s.conns {
+	for conn, cancel := range s.conns {
 		cancel()
-		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0)
+		if tcp, ok := conn.(*net.TCPConn); ok {
+			tcp.SetLinger(0)
 		}
-		c.Close()
+		conn.Close()
 	}
 	s.mu.Unlock()
 	s.running.Wait()
 }
 
-func (s *Server) accept(l net.Listener, serve func(context.Context, *net.TCPConn)) {
+// accept serves a listener's connections until it is closed.
+func (s *Server) accept(listener net.Listener, serve func(context.Context, *net.TCPConn)) {
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -163,40 +175,41 @@
 		if s.listeners == nil { // it was stopped meanwhile
 			s.mu.Unlock()
 			cancel()
-			c.Close()
+			conn.Close()
 			continue
 		}
-		s.conns[c] = cancel
+		s.conns[conn] = cancel
 		s.mu.Unlock()
 		s.running.Go(func() {
 			defer cancel()
-			serve(ctx, c.(*net.TCPConn))
-			c.Close()
+			serve(ctx, conn.(*net.TCPConn))
+			conn.Close()
 			s.mu.Lock()
-			delete(s.conns, c)
+			delete(s.conns, conn)
 			s.mu.Unlock()
 		})
 	}
 }
 
-// admit is what the server does with one transaction, after the time of a set-up.
+// admit decides what the server does with one attempt, after the time of its set-up. After
+// ModeAccept the caller calls release once.
 func (s *Server) admit(ctx context.Context) ServerMode {
 	s.mu.Lock()
-	m, wait := s.mode, s.SetupTime
-	if m == ModeAccept && (s.draining || s.MaxConns > 0 && s.established >= s.MaxConns) {
-		m = ModeBusy
+	mode, wait := s.mode, s.SetupTime
+	if mode == ModeAccept && (s.draining || s.MaxConns > 0 && s.established >= s.MaxConns) {
+		mode = ModeBusy
 	}
-	if m == ModeAccept {
+	if mode == ModeAccept {
 		s.established++
 	}
 	s.mu.Unlock()
-	if m == ModeAccept && wait > 0 {
+	if mode == ModeAccept && wait > 0 {
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 		}
 	}
-	return m
+	return mode
 }
 
 func (s *Server) release() {
@@ -205,15 +218,16 @@
 	s.established--
 }
 
-// echo waits as long as an answer takes now to what took so long to here. It tells whether there is one.
-func (s *Server) echo(ctx context.Context, took time.Duration) bool {
+// awaitEcho waits as long as an echo takes now to a message that took so long to arrive. It
+// reports whether there is one.
+func (s *Server) awaitEcho(ctx context.Context, took time.Duration) bool {
 	s.mu.Lock()
-	m, delay := s.mode, s.delay
+	mode, delay := s.mode, s.delay
 	if own := s.workload.delay(time.Now()); own > 0 {
-		delay += own - took // from when it was said: notes that wait behind one another wait at one time
+		delay += own - took // counts from when it was sent: messages that wait behind one another wait at the same time
 	}
 	s.mu.Unlock()
-	if m == ModeHang {
+	if mode == ModeHang {
 		return false
 	}
 	if delay > 0 {
@@ -225,291 +239,35 @@
 	return true
 }
 
-// shouldMigrate tells whether a connection is to be sent away now: a part of them is,
-// each time that it is asked of all.
-func (s *Server) shouldMigrate(seq int) bool {
+// shouldMigrate reports whether a connection is to be migrated now: one in four is, each
+// time that all of them ask.
+func (s *Server) shouldMigrate(sequence int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.draining && seq%4 == 0
+	return s.draining && sequence%drainRounds == 0
 }
 
 const (
 	drainInterval = 100 * time.Millisecond
+	drainRounds   = 4 // until all connections have been migrated
 	readTimeout   = 30 * time.Second
+	writeTimeout  = time.Second
 )
 
-// serveLine serves one connection of the platform's protocol that came to a door.
-func (s *Server) serveLine(ctx context.Context, c *net.TCPConn, door int) {
-	r := bufio.NewReader(c)
-	c.SetReadDeadline(time.Now().Add(readTimeout))
-	first, err := r.ReadString('\n')
-	if err != nil {
-		return
-	}
-	words := strings.Fields(first)
-	if len(words) != 4 || words[0] != "OPEN" {
-		answer := "SYNTAX\r\n"
-		if len(words) == 1 && (words[0] == "PING" || words[0] == "STATS") {
-			answer = "NO\r\n"
-			if s.Probes {
-				answer = "PONG\r\n"
-			}
-		}
-		io.WriteString(c, answer)
-		return
-	}
-	p := Attempt{Server: s.Name, Frontend: "line", Name: words[1], At: time.Now()}
-	group := ""
-	for field := range strings.SplitSeq(words[3], ",") {
-		switch key, value, _ := strings.Cut(field, "="); key {
-		case "c":
-			p.Class = value
-		case "g":
-			group = value
-		case "d":
-			ms, _ := strconv.Atoi(value)
-			p.TimeLimit = time.Duration(ms) * time.Millisecond
-		}
-	}
-	attempt := s.Log.addAttempt(p)
-	defer s.recordClosed(attempt)
-	answered := func(what string) {
-		s.Log.update(func() { attempt.Answer, attempt.Answered = what, time.Now() })
-	}
-	switch s.admit(ctx) {
-	case ModeHang, ModeNoCredit:
-		_, _ = io.Copy(io.Discard, r)
-		return
-	case ModeBusy:
-		answered("busy")
-		io.WriteString(c, "BUSY\r\n")
-		return
-	case ModeError:
-		answered("error")
-		io.WriteString(c, "ERR\r\n")
-		return
-	case ModeBreak:
-		answered("broken")
-		c.SetLinger(0)
-		return
-	}
-	defer s.release()
-	// What came while it was set up: the relay may have gone.
-	if ctx.Err() != nil {
-		return
-	}
-	answered("up")
-	var mu sync.Mutex // of writes
-	write := func(text string) error {
-		mu.Lock()
-		defer mu.Unlock()
-		c.SetWriteDeadline(time.Now().Add(time.Second))
-		_, err := io.WriteString(c, text)
-		return err
-	}
-	ended := func(how string) {
-		s.Log.update(func() {
-			if attempt.End == "" {
-				attempt.End, attempt.Ended = how, time.Now()
-			}
-		})
-	}
-	if write("UP r-"+s.Name+"\r\n") != nil {
-		ended("gone")
-		return
-	}
-	if s.Capacity.Work > 0 {
-		s.delayReports.add(door, &write)
-		defer s.delayReports.remove(door, &write)
-		s.updateWorkload(p.Class, group, true)
-		defer s.updateWorkload(p.Class, group, false)
-	} else if s.Load > 0 {
-		_ = write(fmt.Sprintf("LOAD %d\r\n", s.Load.Microseconds()))
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	s.running.Go(func() {
-		s.awaitDrain(ctx, func() {
-			ended("away")
-			_ = write("MOVE\r\n")
-			c.CloseWrite()
-		})
-	})
-	for seq := 1; ; seq++ {
-		c.SetReadDeadline(time.Now().Add(readTimeout))
-		text, err := r.ReadString('\n')
-		if err != nil {
-			switch {
-			case ctx.Err() != nil:
-				ended("broken")
-			case errors.Is(err, io.EOF):
-				ended("bye")
-				_ = write("BYE\r\n")
-			default:
-				ended("gone")
-			}
-			return
-		}
-		took := s.checkNote(attempt, text, seq)
-		if s.echo(ctx, took) && write(fmt.Sprintf("M %d %s", time.Now().UnixMicro(), text)) != nil {
-			ended("gone")
-			return
-		}
-	}
-}
-
-// updateWorkload books a connection that stands, or takes it off.
-func (s *Server) updateWorkload(class, group string, stands bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if stands {
-		s.workload.add(time.Now(), class, group)
-	} else {
-		s.workload.remove(time.Now(), class, group)
-	}
-}
-
-// checkNote holds a note of a client against what it should be. It returns how long it took to here.
-func (s *Server) checkNote(attempt *Attempt, text string, seq int) time.Duration {
-	took, ok := readNote(strings.TrimRight(text, "\r\n"), seq, attempt.Name)
-	s.Log.update(func() {
-		attempt.MaxHeld = max(attempt.MaxHeld, took)
-		if !ok {
-			attempt.Garbled++
-		}
-	})
-	return took
-}
-
-// recordClosed notes that a pass's connection is at an end.
-func (s *Server) recordClosed(attempt *Attempt) {
-	s.Log.update(func() { attempt.Closed = time.Now() })
-}
-
-// awaitDrain calls away once a connection is to be sent away, as its server leaves.
-func (s *Server) awaitDrain(ctx context.Context, away func()) {
-	tick := time.NewTicker(drainInterval)
-	defer tick.Stop()
-	for seq := int(time.Now().UnixNano() / 1000 % 4); ; seq++ {
+// awaitDrain calls migrate once a connection is to be migrated, as its server drains, or
+// returns when ctx ends.
+func (s *Server) awaitDrain(ctx context.Context, migrate func()) {
+	ticker := time.NewTicker(drainInterval)
+	defer ticker.Stop()
+	for sequence := int(time.Now().UnixNano() / 1000 % drainRounds); ; sequence++ {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		if s.shouldMigrate(seq) {
-			away()
+		if s.shouldMigrate(sequence) {
+			migrate()
 			return
 		}
 	}
 }
-
-// serveAMQP serves one connection of AMQP 1.0, and the sessions on it side by side.
-func (s *Server) serveAMQP(ctx context.Context, c *net.TCPConn) {
-	conn, err := amqp.AcceptPeerConn(c, readTimeout, s.Plain)
-	if err != nil {
-		return
-	}
-	var all sync.WaitGroup
-	defer all.Wait()
-	defer conn.Close()
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	breaks := func() { // and all that share the connection
-		cancel()
-		c.SetLinger(0)
-		c.Close()
-	}
-	for p := conn.Session(); p != nil; p = conn.Session() {
-		all.Go(func() { s.serveSession(ctx, p, breaks) })
-	}
-}
-
-// serveSession serves one session, which is one transaction.
-func (s *Server) serveSession(ctx context.Context, p *amqp.Peer, breaks func()) {
-	defer p.End()
-	var attempt *Attempt
-	ended := func(how string) {
-		s.Log.update(func() {
-			if attempt != nil && attempt.Answer == "up" && attempt.End == "" {
-				attempt.End, attempt.Ended = how, time.Now()
-			}
-		})
-	}
-	var delivered uint32
-	for {
-		e, err := p.Next()
-		if err != nil {
-			if ctx.Err() != nil {
-				ended("broken")
-			} else {
-				ended("gone")
-			}
-			return
-		}
-		switch e.Kind {
-		case amqp.PeerAttached:
-			class, _ := e.Properties["class"].(string)
-			ms, _ := amqp.WholeNumber(e.Properties["give-up-ms"])
-			attempt = s.Log.addAttempt(Attempt{Server: s.Name, Frontend: "amqp", Name: e.Name, Class: class, At: time.Now(),
-				TimeLimit: time.Duration(ms) * time.Millisecond})
-			defer s.recordClosed(attempt)
-			answered := func(what string) {
-				s.Log.update(func() { attempt.Answer, attempt.Answered = what, time.Now() })
-			}
-			switch s.admit(ctx) {
-			case ModeNoCredit:
-				p.Attach(e, 0)
-				p.DiscardInput()
-				return
-			case ModeHang:
-				p.DiscardInput()
-				return
-			case ModeBusy:
-				answered("busy")
-				p.RejectAttach(e, amqp.ConditionResourceLimit)
-				continue
-			case ModeError:
-				answered("error")
-				p.RejectAttach(e, amqp.ConditionInternalError)
-				continue
-			case ModeBreak:
-				answered("broken")
-				breaks()
-				return
-			}
-			defer s.release()
-			if ctx.Err() != nil {
-				return
-			}
-			answered("up")
-			if p.Attach(e, 100) != nil {
-				ended("gone")
-				return
-			}
-			ctx, cancel := context.WithCancel(ctx)
-			defer cancel()
-			s.running.Go(func() {
-				s.awaitDrain(ctx, func() {
-					ended("away")
-					p.Detach(e.Handle, amqp.ConditionDetachForced)
-				})
-			})
-		case amqp.PeerDelivered:
-			took := s.checkNote(attempt, string(e.Payload), int(delivered)+1)
-			delivered++
-			if !s.echo(ctx, took) {
-				continue
-			}
-			if !e.Settled && p.Settle(e.Delivery) != nil {
-				ended("gone")
-				return
-			}
-			if delivered%50 == 0 {
-				p.Credit(e.Handle, delivered, 100)
-			}
-		case amqp.PeerDetached:
-			ended("bye")
-			p.Detach(e.Handle, "")
-		}
-	}
-}
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -12,46 +12,50 @@
 	"lockroad/internal/discovery"
 )
 
-// Site is a farm of stand-ins with its discovery, and the clients that come to it.
+// Site is a set of servers with their discovery, and the clients that use them.
 type Site struct {
 	Log       *EventLog
 	Servers   []*Server
 	Discovery *Discovery
-	Agents    []*Discovery // of the relays beyond the first, where servers have a door for each
+	Agents    []*Discovery // of the relays beyond the first, where servers have a listener for each
 	Clients   *ClientPool
 	AMQPPort  int // of all servers
 
-	pending sync.WaitGroup
+	pending sync.WaitGroup // scripted actions that last; Stop waits for them
 }
 
-// NewSite starts n servers, named s-1 and so on, and discovery that lists them. Each
-// server has a loopback address of its own, as all speak AMQP on one port. What else they are is
-// set by prepare, which may be nil.
-func NewSite(n int, setUp time.Duration, most int, prepare func(*Server)) (*Site, error) {
+// maxStarts bounds the attempts to find a port that is free at all addresses.
+const maxStarts = 20
+
+// NewSite starts n servers, named s-1 and so on, and discovery that lists them. Each server
+// has a loopback address of its own, as all speak AMQP on one port. Their set-ups take
+// setupTime, and each accepts maxConns connections at a time. What else they are is set by
+// prepare, which may be nil.
+func NewSite(n int, setupTime time.Duration, maxConns int, prepare func(*Server)) (*Site, error) {
 	s := &Site{Log: &EventLog{}}
 	s.Discovery = &Discovery{Log: s.Log}
 	if err := s.Discovery.Start("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
 	for i := range n {
-		s.Servers = append(s.Servers, &Server{Name: fmt.Sprintf("s-%d", i+1), Log: s.Log, SetupTime: setUp, MaxConns: most, Load: 5 * time.Millisecond})
+		s.Servers = append(s.Servers, &Server{Name: fmt.Sprintf("s-%d", i+1), Log: s.Log, SetupTime: setupTime, MaxConns: maxConns, Load: 5 * time.Millisecond})
 		if prepare != nil {
 			prepare(s.Servers[i])
 		}
 	}
 	for range s.Servers[0].ExtraListeners {
-		agent := &Discovery{Log: &EventLog{}} // of what the first tells, too
+		agent := &Discovery{Log: &EventLog{}} // of its own: it repeats what the first reports
 		if err := agent.Start("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
 		s.Agents = append(s.Agents, agent)
 	}
 	var err error
-	for range 20 { // a port that is free at the first address may be taken at another
+	for range maxStarts { // a port that is free at the first address may be taken at another
 		if err = s.start(); err == nil {
 			return s, nil
 		}
-		s.Log.reset() // of servers that were never really there
+		s.Log.reset() // the servers of the failed start
 	}
 	s.Discovery.Stop()
 	return nil, err
@@ -61,22 +65,22 @@
 	port := "0"
 	for i, server := range s.Servers {
 		host := fmt.Sprintf("127.0.1.%d", i+1)
-		for door := range server.ExtraListeners {
-			server.ExtraListeners[door] = net.JoinHostPort(host, "0")
+		for number := range server.ExtraListeners {
+			server.ExtraListeners[number] = net.JoinHostPort(host, "0")
 		}
 		if err := server.Start(net.JoinHostPort(host, "0"), net.JoinHostPort(host, port)); err != nil {
-			for _, up := range s.Servers[:i] {
-				up.Stop()
-				up.stop = nil // it has not started yet
+			for _, started := range s.Servers[:i] {
+				started.Stop()
+				started.stop = nil // so that its next start is its first
 			}
 			return err
 		}
 		_, port, _ = net.SplitHostPort(server.AMQP())
-		m := discovery.Member{ID: server.Name, HostPort: server.Address(), Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1}
-		s.Discovery.Set(m)
+		member := discovery.Member{ID: server.Name, HostPort: server.Address(), Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1}
+		s.Discovery.Set(member)
 		for i, agent := range s.Agents {
-			m.HostPort = server.ExtraListeners[i]
-			agent.Set(m)
+			member.HostPort = server.ExtraListeners[i]
+			agent.Set(member)
 		}
 	}
 	var err error
@@ -84,7 +88,7 @@
 	return err
 }
 
-// Agent is the discovery of a relay, by its number.
+// Agent returns the discovery of a relay, by its number from 0 on.
 func (s *Site) Agent(relay int) *Discovery {
 	if relay > 0 && relay <= len(s.Agents) {
 		return s.Agents[relay-1]
@@ -92,34 +96,35 @@
 	return s.Discovery
 }
 
-// SetState has all of discovery tell a server's phase; with born it has just started.
-func (s *Site) SetState(id, phase string, born bool) {
-	s.Discovery.SetState(id, phase, born)
+// SetState changes a server's phase in all of discovery; justStarted sets its start to now.
+func (s *Site) SetState(id, phase string, justStarted bool) {
+	s.Discovery.SetState(id, phase, justStarted)
 	for _, agent := range s.Agents {
-		agent.SetState(id, phase, born)
+		agent.SetState(id, phase, justStarted)
 	}
 }
 
-// Server returns the server of a name.
+// Server returns the server of a name, or nil.
 func (s *Site) Server(name string) *Server {
-	for _, one := range s.Servers {
-		if one.Name == name {
-			return one
+	for _, server := range s.Servers {
+		if server.Name == name {
+			return server
 		}
 	}
 	return nil
 }
 
-// Names are the names of the servers.
+// Names returns the names of the servers, in order.
 func (s *Site) Names() []string {
 	names := make([]string, len(s.Servers))
-	for i, one := range s.Servers {
-		names[i] = one.Name
+	for i, server := range s.Servers {
+		names[i] = server.Name
 	}
 	return names
 }
 
-// Stop ends all of it; the crowd's Run has to have returned.
+// Stop ends the script's actions, servers and discovery; the client pool's Run has to have
+// returned.
 func (s *Site) Stop() {
 	s.pending.Wait()
 	for _, server := range s.Servers {
@@ -131,26 +136,26 @@
 	}
 }
 
-// Config is a platform's configuration for a relay of the site, by its number, with its line front
-// on a free port.
+// Config returns a JSON configuration for a relay of the site, by its number, with its line
+// frontend on a free port.
 func (s *Site) Config(classes []Class, seed uint64, relay int) ([]byte, error) {
 	type object = map[string]any
-	var list []object
-	var aims []int64
-	for _, c := range classes {
-		list = append(list, object{"Name": c.Name, "AimUs": (c.TimeLimit / 4).Microseconds(), "DeadlineUs": c.TimeLimit.Microseconds(),
+	var classObjects []object
+	var messageObjectives []int64 // in microseconds
+	for _, class := range classes {
+		classObjects = append(classObjects, object{"Name": class.Name, "AimUs": (class.TimeLimit / 4).Microseconds(), "DeadlineUs": class.TimeLimit.Microseconds(),
 			"KeyScope": "all", "Semantics": "idempotent"})
-		aims = append(aims, cmp.Or(c.LatencyObjective, defaultObjective).Microseconds())
+		messageObjectives = append(messageObjectives, cmp.Or(class.LatencyObjective, defaultObjective).Microseconds())
 	}
 	agent := s.Agent(relay)
 	return json.Marshal(object{
 		"name": "demo", "listen": "127.0.0.1:0", "discovery": agent.Address(), "seed": fmt.Sprintf("%x", seed),
 		"known": agent.List(),
 		"settings": object{
-			"Classes": list, "Discovery": "push", "Localities": []string{"hall"}, "NInstances": 1, "QuantumUs": 2000, "Zone": 0,
+			"Classes": classObjects, "Discovery": "push", "Localities": []string{"hall"}, "NInstances": 1, "QuantumUs": 2000, "Zone": 0,
 			"Guarantees": object{"ColdUs": 5_000_000, "FallUs": 1_000_000, "StartCapacity": 0.2, "TipMultiple": 3.0},
 			"Limits":     object{"ConnectTimeoutUs": 300_000, "MaxRetryAfterUs": 2_000_000, "RetryAfter": true, "TryLimit": 5},
-			"Specifics":  object{"MessageAimUs": aims, "TellsDelay": s.Servers[0].Capacity.Work > 0, "TellsLoad": s.Servers[0].Capacity.Work == 0},
+			"Specifics":  object{"MessageAimUs": messageObjectives, "TellsDelay": s.Servers[0].Capacity.Work > 0, "TellsLoad": s.Servers[0].Capacity.Work == 0},
 		},
 	})
 }
