--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -63,7 +63,7 @@
 	}
 	switch head {
 	case "trigger":
-		name, err := one(n, args)
+		name, err := oneValue(n, args)
 		if err != nil {
 			return nil, err
 		}
@@ -85,14 +85,14 @@
 	case "clear":
 		name := ""
 		if len(args) > 0 {
-			if name, err = one(n, args); err != nil {
+			if name, err = oneValue(n, args); err != nil {
 				return nil, err
 			}
 		}
 		p.Clear(name)
 		return done()
 	case "cut":
-		name, err := one(n, args)
+		name, err := oneValue(n, args)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/faultproxy/fault_test.go
+++ b/internal/faultproxy/fault_test.go
@@ -18,7 +18,7 @@
 
 const ms = time.Millisecond
 
-func rules(t interface {
+func mustParse(t interface {
 	Helper()
 	Fatal(...any)
 }, script string) []*Rule {
@@ -30,9 +30,9 @@
 	return all
 }
 
-// ops writes what a flow wants done in a line: a write as its time, its bytes and their
+// describe writes what a flow wants done in a line: a write as its time, its bytes and their
 // packet's end.
-func ops(all []Op) string {
+func describe(all []Op) string {
 	var b strings.Builder
 	for _, op := range all {
 		switch op.Kind {
@@ -45,7 +45,7 @@
 	return b.String()
 }
 
-func TestFaultsOfBytes(t *testing.T) {
+func TestByteFaults(t *testing.T) {
 	for _, c := range []struct {
 		script string
 		feeds  []string // a tenth of a second apart
@@ -73,13 +73,13 @@
 		{`(rule a (route r1) (conn 1) (first "a") (direction up) (every 1) (swallow))`, []string{"ab"}, ""},
 	} {
 		var did []Injection
-		f := NewFlow(Location{"r1", 1, Up}, rules(t, c.script), 1, []byte(c.feeds[0]), func(d Injection) { did = append(did, d) })
+		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, c.script), 1, []byte(c.feeds[0]), func(d Injection) { did = append(did, d) })
 		got, now := "", time.Duration(0)
 		for i, b := range c.feeds {
 			now = time.Duration(i) * 100 * ms
-			got += ops(f.Due(now)) + ops(f.Feed(now, []byte(b)))
+			got += describe(f.Due(now)) + describe(f.Feed(now, []byte(b)))
 		}
-		if rest := ops(f.End(now + 100*ms)); rest != "" {
+		if rest := describe(f.End(now + 100*ms)); rest != "" {
 			got += "end " + rest
 		}
 		if got != c.want {
@@ -92,8 +92,8 @@
 }
 
 func TestCommandsAndTimers(t *testing.T) {
-	f := NewFlow(Location{"r", 1, Up}, rules(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
-	feed := func(at time.Duration, b string) string { return ops(f.Feed(at, []byte(b))) }
+	f := NewFlow(Location{"r", 1, Up}, mustParse(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
+	feed := func(at time.Duration, b string) string { return describe(f.Feed(at, []byte(b))) }
 	if got := feed(0, "x"); got != "0s:x|" {
 		t.Errorf("before the command: %q", got)
 	}
@@ -112,7 +112,7 @@
 	if stalled, _ := f.Stalled(2 * time.Second); stalled {
 		t.Error("it is stalled still")
 	}
-	if got := ops(f.Due(5 * time.Second)); got != "5s:rst" {
+	if got := describe(f.Due(5 * time.Second)); got != "5s:rst" {
 		t.Errorf("at its time: %q", got)
 	}
 	if _, found := f.Command("nobody", 0); found {
@@ -122,11 +122,11 @@
 
 // What comes out does not hang on the packets that the bytes came in by; a second run
 // with the same seed does the same, another seed something else.
-func TestEqualBytesBringEqualFaults(t *testing.T) {
+func TestFaultsAreDeterministic(t *testing.T) {
 	text := []byte(strings.Repeat("a line of some length\nb\n", 40))
 	script := `(rule flip (chance 20) (garble flip 3)) (rule insert (at-line 7) (garble insert 4)) (rule drop (after-bytes 200) (garble drop 9)) (rule cut (at-line 70) (cut rst))`
 	run := func(seed uint64, cut func(left int) int) string {
-		f := NewFlow(Location{"r", 3, Down}, rules(t, script), seed, nil, nil)
+		f := NewFlow(Location{"r", 3, Down}, mustParse(t, script), seed, nil, nil)
 		var out bytes.Buffer
 		for b := text; len(b) > 0; {
 			n := cut(len(b))
@@ -158,7 +158,7 @@
 			in = append(append(in, 0, 0, 0, byte(8+len(body)), 2, 0, 0, 0), body...)
 		}
 		in = append(in, rapid.SliceOfN(rapid.Byte(), 0, 5).Draw(rt, "rest")...)
-		f := NewFlow(Location{"r", 1, Up}, rules(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
+		f := NewFlow(Location{"r", 1, Up}, mustParse(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
 		var out []byte
 		take := func(all []Op) {
 			for _, op := range all {
@@ -166,7 +166,7 @@
 			}
 		}
 		swallowed := false
-		f.tell = func(d Injection) { swallowed = swallowed || d.Kind == Swallow }
+		f.notify = func(d Injection) { swallowed = swallowed || d.Kind == Swallow }
 		for b := in; len(b) > 0; {
 			n := rapid.IntRange(1, len(b)).Draw(rt, "n")
 			take(f.Feed(0, b[:n]))
@@ -179,7 +179,7 @@
 	})
 }
 
-func TestBadScriptsSayWhere(t *testing.T) {
+func TestScriptErrorsNameTheirPosition(t *testing.T) {
 	for script, want := range map[string]string{
 		"(rule)":                                   "line 1, column 1: expected (rule NAME FORM ...)",
 		"(rule a (cut))":                           "line 1, column 9: cut wants one of rst, fin",
@@ -206,26 +206,26 @@
 		`(rule a (route x y) (direction down) (conn 1 3) (every 2) (first "OPEN \"x\"") (fraction 12.5) (at 2s) (for 1m0s) (latency 5ms 2ms normal) (cut rst))`,
 		`(rule b (at-performative attach 2) (garble insert 9) (drip 3 10ms))`, `(rule c (chance 5) (bandwidth 900))`,
 	} {
-		r := rules(t, script)
-		if again := rules(t, r[0].String()); fmt.Sprintf("%+v", *again[0]) != fmt.Sprintf("%+v", *r[0]) {
+		r := mustParse(t, script)
+		if again := mustParse(t, r[0].String()); fmt.Sprintf("%+v", *again[0]) != fmt.Sprintf("%+v", *r[0]) {
 			t.Errorf("%s was written as %s", script, r[0])
 		}
 	}
 }
 
-// rig is a proxy before a server that echoes, or does as a test has it.
-type rig struct {
-	t     *testing.T
-	p     *Proxy
-	at    string
-	mu    sync.Mutex
-	did   []Injection
-	taken chan *net.TCPConn // connections at the server, where nobody echoes
+// environment is a proxy before a server that echoes, or does as a test has it.
+type environment struct {
+	t          *testing.T
+	proxy      *Proxy
+	address    string
+	mu         sync.Mutex
+	injections []Injection
+	accepted   chan *net.TCPConn // connections at the server, where nobody echoes
 }
 
-func newRig(t *testing.T, script string, echo bool) *rig {
+func newEnvironment(t *testing.T, script string, echo bool) *environment {
 	t.Helper()
-	r := &rig{t: t, taken: make(chan *net.TCPConn, 16)}
+	r := &environment{t: t, accepted: make(chan *net.TCPConn, 16)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -238,7 +238,7 @@
 				return
 			}
 			if !echo {
-				r.taken <- c.(*net.TCPConn)
+				r.accepted <- c.(*net.TCPConn)
 				continue
 			}
 			all.Go(func() {
@@ -247,22 +247,22 @@
 			})
 		}
 	})
-	r.p = NewProxy(rules(t, script), 1)
-	r.p.OnInjection = func(d Injection) {
+	r.proxy = NewProxy(mustParse(t, script), 1)
+	r.proxy.OnInjection = func(d Injection) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.did = append(r.did, d)
+		r.injections = append(r.injections, d)
 	}
-	if r.at, err = r.p.Open(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
+	if r.address, err = r.proxy.Open(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.p.Close(); l.Close(); all.Wait() })
+	t.Cleanup(func() { r.proxy.Close(); l.Close(); all.Wait() })
 	return r
 }
 
-func (r *rig) dial() *net.TCPConn {
+func (r *environment) dial() *net.TCPConn {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.at)
+	c, err := net.Dial("tcp", r.address)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -271,15 +271,15 @@
 	return c.(*net.TCPConn)
 }
 
-func (r *rig) server() *net.TCPConn {
-	c := <-r.taken
+func (r *environment) server() *net.TCPConn {
+	c := <-r.accepted
 	r.t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(5 * time.Second))
 	return c
 }
 
-// talk says something and returns what comes back until the end, and how it ends.
-func talk(c *net.TCPConn, text string) string {
+// exchange says something and returns what comes back until the end, and how it ends.
+func exchange(c *net.TCPConn, text string) string {
 	io.WriteString(c, text)
 	c.CloseWrite()
 	b, err := io.ReadAll(c)
@@ -294,7 +294,7 @@
 	return string(b)
 }
 
-func TestProxyDoesOnSocketsWhatFlowsSay(t *testing.T) {
+func TestProxyAppliesFlows(t *testing.T) {
 	for script, want := range map[string]string{
 		"": "one\ntwo\n", `(rule a (direction up) (at-line 2) (garble drop 2))`: "one\no\n",
 		`(rule a (direction down) (after-bytes 4) (cut fin))`: "one\n",
@@ -303,24 +303,24 @@
 		`(rule a (first "one") (direction up) (garble duplicate 1))`: "oone\ntwo\n", `(rule a (first "two") (swallow))`: "one\ntwo\n",
 		`(rule a (at 30ms) (for 50ms) (pause))`: "one\ntwo\n",
 	} {
-		if got := talk(newRig(t, script, true).dial(), "one\ntwo\n"); got != want {
+		if got := exchange(newEnvironment(t, script, true).dial(), "one\ntwo\n"); got != want {
 			t.Errorf("%s: got %q, want %q", script, got, want)
 		}
 	}
-	r := newRig(t, `(rule a (direction up) (after-bytes 4) (cut rst))`, true)
-	if got := talk(r.dial(), "one\ntwo\n"); !strings.HasSuffix(got, "[reset]") {
+	r := newEnvironment(t, `(rule a (direction up) (after-bytes 4) (cut rst))`, true)
+	if got := exchange(r.dial(), "one\ntwo\n"); !strings.HasSuffix(got, "[reset]") {
 		t.Errorf("a reset: got %q", got)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.did) != 1 || r.did[0].Kind != Cut || r.did[0].Offset != 4 || r.did[0].Conn != 1 || r.did[0].Rule != "a" {
-		t.Errorf("told %+v", r.did)
+	if len(r.injections) != 1 || r.injections[0].Kind != Cut || r.injections[0].Offset != 4 || r.injections[0].Conn != 1 || r.injections[0].Rule != "a" {
+		t.Errorf("told %+v", r.injections)
 	}
 }
 
 // One direction ends while the other goes on.
-func TestHalfCloseFromTheServer(t *testing.T) {
-	r := newRig(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
+func TestHalfCloseEndsOneDirection(t *testing.T) {
+	r := newEnvironment(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
 	c := r.dial()
 	s := r.server()
 	io.WriteString(s, "abcdef")
@@ -335,8 +335,8 @@
 }
 
 // A stall fills the sender's window: it can write no more until the stall is cleared.
-func TestStallFillsTheWindow(t *testing.T) {
-	r := newRig(t, `(rule a (direction up) (stall))`, false)
+func TestStallBlocksTheSender(t *testing.T) {
+	r := newEnvironment(t, `(rule a (direction up) (stall))`, false)
 	c := r.dial()
 	c.SetDeadline(time.Now().Add(300 * ms))
 	const most = 64 << 20
@@ -344,7 +344,7 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("wrote %d bytes, %v", n, err)
 	}
-	r.p.Clear("a")
+	r.proxy.Clear("a")
 	s := r.server()
 	c.Close()
 	if got, err := io.Copy(io.Discard, s); err != nil || got != int64(n) {
@@ -352,7 +352,7 @@
 	}
 }
 
-func TestDoors(t *testing.T) {
+func TestListenerFaults(t *testing.T) {
 	connects := func(at string) string {
 		c, err := net.DialTimeout("tcp", at, 300*ms)
 		var late net.Error
@@ -375,28 +375,28 @@
 		return "echo"
 	}
 	for kind, want := range map[string]string{"refuse": "refused", "mute": "mute", "queue-full": "never up"} {
-		r := newRig(t, fmt.Sprintf("(rule a (on-command) (%s))", kind), true)
-		if got := connects(r.at); got != "echo" {
+		r := newEnvironment(t, fmt.Sprintf("(rule a (on-command) (%s))", kind), true)
+		if got := connects(r.address); got != "echo" {
 			t.Errorf("%s: before it %s", kind, got)
 		}
-		if err := r.p.Command("a"); err != nil {
+		if err := r.proxy.Command("a"); err != nil {
 			t.Fatal(err)
 		}
-		if got := connects(r.at); got != want {
+		if got := connects(r.address); got != want {
 			t.Errorf("%s: got %s", kind, got)
 		}
-		r.p.Clear("")
-		if got := connects(r.at); got != "echo" {
+		r.proxy.Clear("")
+		if got := connects(r.address); got != "echo" {
 			t.Errorf("%s: after it %s", kind, got)
 		}
 	}
-	r := newRig(t, "(rule a (at 100ms) (for 400ms) (vanish))", true)
+	r := newEnvironment(t, "(rule a (at 100ms) (for 400ms) (vanish))", true)
 	standing := r.dial()
 	io.WriteString(standing, "x")
 	if _, err := io.ReadFull(standing, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Until(time.Now().Add(200*ms - r.p.now())))
+	time.Sleep(time.Until(time.Now().Add(200*ms - r.proxy.now())))
 	io.WriteString(standing, "y")
 	standing.SetDeadline(time.Now().Add(100 * ms))
 	if _, err := standing.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -406,10 +406,10 @@
 	if _, err := standing.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("when it comes back, what stood ends with %v", err)
 	}
-	if got := connects(r.at); got != "echo" {
+	if got := connects(r.address); got != "echo" {
 		t.Errorf("when it is back: %s", got)
 	}
-	if err := r.p.Command("a"); err == nil {
+	if err := r.proxy.Command("a"); err == nil {
 		t.Error("a rule that waits for no command took one")
 	}
 }
--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -20,11 +20,11 @@
 
 // The kinds of operation.
 const (
-	OpWrite OpKind = iota // Data, in a packet of its own, no earlier than At
-	OpHalf                // end this direction, and swallow what still comes
-	OpFIN                 // end the connection
-	OpRST                 // break the connection
-	opLast                // the reader has ended: nothing follows
+	OpWrite     OpKind = iota // Data, in a packet of its own, no earlier than At
+	OpHalfClose               // end this direction, and swallow what still comes
+	OpFIN                     // end the connection
+	OpRST                     // break the connection
+	opLast                    // the reader has ended: nothing follows
 )
 
 // Op is one thing to do, in order. What comes after an end is not done.
@@ -45,36 +45,36 @@
 
 // Flow decides what becomes of the bytes of one direction. One goroutine uses it.
 type Flow struct {
-	where  Location
-	seed   uint64
-	rules  []*live
-	tell   func(Injection)
-	offset uint64        // bytes that have come
-	last   time.Duration // At of the last op: bytes never overtake each other
-	free   time.Duration // when the line is free, of a bandwidth
-	ended  bool
-	sent   bool // something has been sent on
-
-	scan   scanner
-	merged []byte // waits for the next line or frame
-	since  time.Duration
-}
-
-// live is a rule as it stands in a direction.
-type live struct {
+	location   Location
+	seed       uint64
+	rules      []*activeRule
+	notify     func(Injection)
+	offset     uint64        // bytes that have come
+	lastAt     time.Duration // At of the last op: bytes never overtake each other
+	rateFreeAt time.Duration // when the line is free, of a bandwidth
+	ended      bool
+	sent       bool // something has been sent on
+
+	scanner     scanner
+	merged      []byte // waits for the next line or frame
+	mergedSince time.Duration
+}
+
+// activeRule is a rule as it stands in a direction.
+type activeRule struct {
 	*Rule
-	salt  uint64
-	on    bool
-	once  bool // it has been set off, and is not again
-	until time.Duration
-	said  bool   // its fault of bytes has been told
-	seen  uint64 // of its performative
+	salt      uint64
+	active    bool
+	triggered bool // it has been set off, and is not again
+	until     time.Duration
+	reported  bool   // its fault of bytes has been told
+	seen      uint64 // of its performative
 }
 
 const (
-	mergeMost = 40 * time.Millisecond // a line waits this long for the next
-	splitGap  = time.Millisecond      // between packets that must not become one
-	pieceMost = 16 << 10              // bytes of one op
+	mergeTimeout  = 40 * time.Millisecond // a line waits this long for the next
+	splitInterval = time.Millisecond      // between packets that must not become one
+	maxPacket     = 16 << 10              // bytes of one op
 )
 
 // hash mixes words into a number that looks random.
@@ -88,8 +88,8 @@
 	return x
 }
 
-// chance is a number from 0 to 1.
-func chance(words ...uint64) float64 { return float64(hash(words...)>>11) / (1 << 53) }
+// uniform is a number from 0 to 1.
+func uniform(words ...uint64) float64 { return float64(hash(words...)>>11) / (1 << 53) }
 
 func hashText(s string) uint64 {
 	x := uint64(14695981039346656037)
@@ -99,9 +99,9 @@
 	return x
 }
 
-// picks tells whether a rule is about a connection; first is what its connecting side
+// matches tells whether a rule is about a connection; first is what its connecting side
 // has said so far.
-func (r *Rule) picks(w Location, seed uint64, first []byte) bool {
+func (r *Rule) matches(w Location, seed uint64, first []byte) bool {
 	switch {
 	case len(r.Routes) > 0 && !slices.Contains(r.Routes, w.Route),
 		len(r.Conns) > 0 && !slices.Contains(r.Conns, w.Conn),
@@ -109,14 +109,14 @@
 		r.First != "" && !bytes.HasPrefix(first, []byte(r.First)):
 		return false
 	}
-	return r.Fraction >= 1 || chance(seed, hashText(r.Name), hashText(w.Route), w.Conn) < r.Fraction
+	return r.Fraction >= 1 || uniform(seed, hashText(r.Name), hashText(w.Route), w.Conn) < r.Fraction
 }
 
 // NewFlow returns the flow of a direction, with the rules that are about it. first is
 // what the connecting side says first; tell is told of each fault that is done, and may
 // be nil.
 func NewFlow(w Location, rules []*Rule, seed uint64, first []byte, tell func(Injection)) *Flow {
-	f := &Flow{where: w, seed: seed, tell: tell}
+	f := &Flow{location: w, seed: seed, notify: tell}
 	for _, r := range rules {
 		f.Add(r, first)
 	}
@@ -125,12 +125,12 @@
 
 // Add adds a rule, if it is about this direction.
 func (f *Flow) Add(r *Rule, first []byte) {
-	if r.Direction != Both && r.Direction != f.where.Direction || !r.picks(f.where, f.seed, first) || r.Faults[0].Kind.ofDoor() {
+	if r.Direction != Both && r.Direction != f.location.Direction || !r.matches(f.location, f.seed, first) || r.Faults[0].Kind.ofListener() {
 		return
 	}
-	l := &live{Rule: r, salt: hash(f.seed, hashText(r.Name), hashText(f.where.Route), f.where.Conn, uint64(f.where.Direction))}
+	l := &activeRule{Rule: r, salt: hash(f.seed, hashText(r.Name), hashText(f.location.Route), f.location.Conn, uint64(f.location.Direction))}
 	f.rules = append(f.rules, l)
-	f.scan.frames = f.scan.frames || r.Trigger.Kind == AtFrame || r.Trigger.Kind == AtPerformance
+	f.scanner.wantsFrames = f.scanner.wantsFrames || r.Trigger.Kind == AtFrame || r.Trigger.Kind == AtPerformative
 }
 
 // Idle tells whether nothing can happen here unless a rule is added.
@@ -140,7 +140,7 @@
 func (f *Flow) Command(name string, now time.Duration) ([]Op, bool) {
 	for _, l := range f.rules {
 		if l.Name == name && l.Trigger.Kind == OnCommand {
-			return f.setOff(l, now, nil), true
+			return f.trigger(l, now, nil), true
 		}
 	}
 	return nil, false
@@ -148,7 +148,7 @@
 
 // Clear ends a rule, or all of them where no name is given.
 func (f *Flow) Clear(name string) {
-	f.rules = slices.DeleteFunc(f.rules, func(l *live) bool { return name == "" || l.Name == name })
+	f.rules = slices.DeleteFunc(f.rules, func(l *activeRule) bool { return name == "" || l.Name == name })
 }
 
 // Next is the next time at which something happens without a byte: Due has to be
@@ -162,47 +162,47 @@
 	}
 	for _, l := range f.rules {
 		switch {
-		case l.Trigger.Kind == AtTime && !l.once:
+		case l.Trigger.Kind == AtTime && !l.triggered:
 			soon(max(l.Trigger.At, now+1))
-		case l.on && l.until > 0:
+		case l.active && l.until > 0:
 			soon(l.until)
 		}
 	}
 	if len(f.merged) > 0 {
-		soon(max(now+1, f.since+mergeMost))
+		soon(max(now+1, f.mergedSince+mergeTimeout))
 	}
 	return next, found
 }
 
 // Due does what is due by now without a byte.
 func (f *Flow) Due(now time.Duration) []Op {
-	ops := f.begin(now, nil)
-	if len(f.merged) > 0 && now >= f.since+mergeMost {
+	ops := f.advance(now, nil)
+	if len(f.merged) > 0 && now >= f.mergedSince+mergeTimeout {
 		ops = f.flush(ops, now)
 	}
 	return ops
 }
 
-// begin sets off what is due by the clock or from the start, and ends what is over.
-func (f *Flow) begin(now time.Duration, ops []Op) []Op {
+// advance sets off what is due by the clock or from the start, and ends what is over.
+func (f *Flow) advance(now time.Duration, ops []Op) []Op {
 	for _, l := range f.rules {
-		if l.on && l.until > 0 && now >= l.until {
-			l.on = false
+		if l.active && l.until > 0 && now >= l.until {
+			l.active = false
 		}
-		if !l.once && (l.Trigger.Kind == FromStart || l.Trigger.Kind == AtTime && now >= l.Trigger.At) {
-			ops = f.setOff(l, now, ops)
+		if !l.triggered && (l.Trigger.Kind == FromStart || l.Trigger.Kind == AtTime && now >= l.Trigger.At) {
+			ops = f.trigger(l, now, ops)
 		}
 	}
 	return ops
 }
 
-// setOff begins a rule here.
-func (f *Flow) setOff(l *live, now time.Duration, ops []Op) []Op {
+// trigger begins a rule here.
+func (f *Flow) trigger(l *activeRule, now time.Duration, ops []Op) []Op {
 	if l.Trigger.Kind == AtTime && l.For > 0 && now >= l.Trigger.At+l.For {
-		l.once = true // it was over before this connection came
+		l.triggered = true // it was over before this connection came
 		return ops
 	}
-	l.once, l.on, l.said = true, true, false
+	l.triggered, l.active, l.reported = true, true, false
 	if l.For > 0 {
 		l.until = now + l.For
 		if l.Trigger.Kind == AtTime {
@@ -211,26 +211,26 @@
 	}
 	for _, fault := range l.Faults {
 		switch fault.Kind {
-		case Half, Cut:
-			f.did(l, fault.Kind, now)
+		case HalfClose, Cut:
+			f.report(l, fault.Kind, now)
 			ops = f.flush(ops, now)
-			kind := OpHalf
+			kind := OpHalfClose
 			if fault.Kind == Cut {
 				if kind = OpFIN; fault.Mode == "rst" {
 					kind = OpRST
 				}
 			}
 			f.ended = true
-			ops = append(ops, Op{Kind: kind, At: max(now, f.last)})
+			ops = append(ops, Op{Kind: kind, At: max(now, f.lastAt)})
 		case Garble:
-			f.did(l, fault.Kind, now)
-			l.seen = fault.N // bytes that are still to be garbled
+			f.report(l, fault.Kind, now)
+			l.seen = fault.Count // bytes that are still to be garbled
 			if fault.Mode == "insert" {
-				data := make([]byte, min(fault.N, pieceMost))
+				data := make([]byte, min(fault.Count, maxPacket))
 				for i := range data {
 					data[i] = byte(hash(l.salt, f.offset, uint64(i)))
 				}
-				ops = f.pass(data, now, ops)
+				ops = f.forward(data, now, ops)
 				l.seen = 0
 			}
 		}
@@ -238,9 +238,9 @@
 	return ops
 }
 
-func (f *Flow) did(l *live, k Kind, now time.Duration) {
-	if f.tell != nil {
-		f.tell(Injection{Rule: l.Name, Kind: k, Location: f.where, Offset: f.offset, At: now})
+func (f *Flow) report(l *activeRule, k Kind, now time.Duration) {
+	if f.notify != nil {
+		f.notify(Injection{Rule: l.Name, Kind: k, Location: f.location, Offset: f.offset, At: now})
 	}
 }
 
@@ -248,10 +248,10 @@
 // cleared.
 func (f *Flow) Stalled(now time.Duration) (stalled bool, until time.Duration) {
 	for _, l := range f.rules {
-		if l.on && (l.until == 0 || now < l.until) && slices.ContainsFunc(l.Faults, func(x Fault) bool { return x.Kind == Stall }) {
-			if !l.said {
-				l.said = true
-				f.did(l, Stall, now)
+		if l.active && (l.until == 0 || now < l.until) && slices.ContainsFunc(l.Faults, func(x Fault) bool { return x.Kind == Stall }) {
+			if !l.reported {
+				l.reported = true
+				f.report(l, Stall, now)
 			}
 			stalled, until = true, max(until, l.until)
 			if l.until == 0 {
@@ -264,26 +264,26 @@
 
 // Feed takes bytes that have come and returns what is to be done, in order.
 func (f *Flow) Feed(now time.Duration, b []byte) []Op {
-	ops := f.begin(now, nil)
-	if len(f.scan.held) > 0 {
-		b = append(f.scan.held, b...)
-		f.scan.held = nil
+	ops := f.advance(now, nil)
+	if len(f.scanner.held) > 0 {
+		b = append(f.scanner.held, b...)
+		f.scanner.held = nil
 	}
 	for len(b) > 0 && !f.ended {
-		n, mark, more := f.scan.next(b, f.limit())
+		n, mark, more := f.scanner.next(b, f.limit())
 		if more {
-			f.scan.held = slices.Clone(b)
+			f.scanner.held = slices.Clone(b)
 			break
 		}
 		if n > 0 {
-			ops = f.pass(f.spoil(b[:n], now), now, ops)
+			ops = f.forward(f.transform(b[:n], now), now, ops)
 			f.offset += uint64(n)
 			b = b[n:]
 		}
 		if f.ended {
 			break
 		}
-		ops = f.marked(mark, now, ops)
+		ops = f.reach(mark, now, ops)
 	}
 	return ops
 }
@@ -291,9 +291,9 @@
 // End takes the end of what comes: what was held back is let go.
 func (f *Flow) End(now time.Duration) []Op {
 	ops := f.flush(nil, now)
-	if held := f.scan.held; len(held) > 0 {
-		f.scan.held = nil
-		ops = f.send(held, now, ops)
+	if held := f.scanner.held; len(held) > 0 {
+		f.scanner.held = nil
+		ops = f.emit(held, now, ops)
 	}
 	return ops
 }
@@ -302,15 +302,15 @@
 func (f *Flow) limit() uint64 {
 	limit := uint64(math.MaxUint64)
 	for _, l := range f.rules {
-		if l.Trigger.Kind == AfterBytes && !l.once && l.Trigger.N > f.offset {
-			limit = min(limit, l.Trigger.N-f.offset)
+		if l.Trigger.Kind == AfterBytes && !l.triggered && l.Trigger.Count > f.offset {
+			limit = min(limit, l.Trigger.Count-f.offset)
 		}
 	}
 	return limit
 }
 
-// marked sets off what begins at this place.
-func (f *Flow) marked(m mark, now time.Duration, ops []Op) []Op {
+// reach sets off what begins at this place.
+func (f *Flow) reach(m mark, now time.Duration, ops []Op) []Op {
 	for _, l := range f.rules {
 		if f.ended {
 			break
@@ -318,40 +318,40 @@
 		hit := false
 		switch t := l.Trigger; t.Kind {
 		case AfterBytes:
-			hit = !l.once && f.offset >= t.N
+			hit = !l.triggered && f.offset >= t.Count
 		case AtLine:
-			hit = !l.once && m.line && m.lines+1 == t.N
+			hit = !l.triggered && m.line && m.linesBefore+1 == t.Count
 		case AtFrame:
-			hit = !l.once && m.frame && m.frames+1 == t.N
-		case AtPerformance:
-			if m.frame && m.code == t.Code && !l.once {
+			hit = !l.triggered && m.frame && m.framesBefore+1 == t.Count
+		case AtPerformative:
+			if m.frame && m.code == t.Code && !l.triggered {
 				l.seen++
-				if hit = l.seen == t.N; hit {
+				if hit = l.seen == t.Count; hit {
 					l.seen = 0
 				}
 			}
 		case Chance:
-			hit = (m.line || m.frame) && chance(l.salt, m.lines, m.frames) < t.Part
+			hit = (m.line || m.frame) && uniform(l.salt, m.linesBefore, m.framesBefore) < t.Probability
 		}
 		if hit {
-			ops = f.setOff(l, now, ops)
+			ops = f.trigger(l, now, ops)
 		}
 	}
-	if (m.line || m.frame) && len(f.merged) > 0 && f.mergedEnough(m) {
+	if (m.line || m.frame) && len(f.merged) > 0 && f.mergeComplete(m) {
 		ops = f.flush(ops, now)
 	}
 	return ops
 }
 
-// mergedEnough tells whether two lines or frames wait.
-func (f *Flow) mergedEnough(m mark) bool {
-	return bytes.Count(f.merged, []byte{'\n'}) >= 2 || m.frame && m.frames%2 == 0
+// mergeComplete tells whether two lines or frames wait.
+func (f *Flow) mergeComplete(m mark) bool {
+	return bytes.Count(f.merged, []byte{'\n'}) >= 2 || m.frame && m.framesBefore%2 == 0
 }
 
-// has returns the live fault of a kind, if one is done now.
-func (f *Flow) has(k Kind) (*live, Fault, bool) {
+// activeFault returns the live fault of a kind, if one is done now.
+func (f *Flow) activeFault(k Kind) (*activeRule, Fault, bool) {
 	for _, l := range f.rules {
-		if !l.on {
+		if !l.active {
 			continue
 		}
 		for _, fault := range l.Faults {
@@ -363,13 +363,13 @@
 	return nil, Fault{}, false
 }
 
-// spoil swallows and garbles.
-func (f *Flow) spoil(b []byte, now time.Duration) []byte {
-	if l, _, on := f.has(Swallow); on {
-		f.once(l, Swallow, now)
+// transform swallows and garbles.
+func (f *Flow) transform(b []byte, now time.Duration) []byte {
+	if l, _, on := f.activeFault(Swallow); on {
+		f.reportOnce(l, Swallow, now)
 		return nil
 	}
-	l, g, on := f.has(Garble)
+	l, g, on := f.activeFault(Garble)
 	if !on || l.seen == 0 {
 		return slices.Clone(b)
 	}
@@ -387,30 +387,30 @@
 	return append(out, b[n:]...)
 }
 
-// once tells of a fault of bytes the first time that it does something.
-func (f *Flow) once(l *live, k Kind, now time.Duration) {
-	if !l.said {
-		l.said = true
-		f.did(l, k, now)
+// reportOnce tells of a fault of bytes the first time that it does something.
+func (f *Flow) reportOnce(l *activeRule, k Kind, now time.Duration) {
+	if !l.reported {
+		l.reported = true
+		f.report(l, k, now)
 	}
 }
 
-// pass sends bytes on, as late and in such packets as the rules have it.
-func (f *Flow) pass(b []byte, now time.Duration, ops []Op) []Op {
+// forward sends bytes on, as late and in such packets as the rules have it.
+func (f *Flow) forward(b []byte, now time.Duration, ops []Op) []Op {
 	if len(b) == 0 {
 		return ops
 	}
-	if l, _, on := f.has(Merge); on {
-		f.once(l, Merge, now)
+	if l, _, on := f.activeFault(Merge); on {
+		f.reportOnce(l, Merge, now)
 		if len(f.merged) == 0 {
-			f.since = now
+			f.mergedSince = now
 		}
-		if f.merged = append(f.merged, b...); len(f.merged) < pieceMost {
+		if f.merged = append(f.merged, b...); len(f.merged) < maxPacket {
 			return ops
 		}
 		return f.flush(ops, now)
 	}
-	return f.send(b, now, ops)
+	return f.emit(b, now, ops)
 }
 
 // flush lets go of what waits to be merged.
@@ -420,46 +420,46 @@
 	if len(b) == 0 {
 		return ops
 	}
-	return f.send(b, now, ops)
+	return f.emit(b, now, ops)
 }
 
-func (f *Flow) send(b []byte, now time.Duration, ops []Op) []Op {
+func (f *Flow) emit(b []byte, now time.Duration, ops []Op) []Op {
 	at := now
-	if l, _, on := f.has(Pause); on {
-		f.once(l, Pause, now)
+	if l, _, on := f.activeFault(Pause); on {
+		f.reportOnce(l, Pause, now)
 		at = max(at, l.until)
 	}
-	if l, lat, on := f.has(Latency); on {
-		f.once(l, Latency, now)
-		at += lat.D + jitter(lat, chance(l.salt, f.offset), chance(l.salt, f.offset, 1))
+	if l, lat, on := f.activeFault(Latency); on {
+		f.reportOnce(l, Latency, now)
+		at += lat.Delay + jitter(lat, uniform(l.salt, f.offset), uniform(l.salt, f.offset, 1))
 	}
-	size, gap := pieceMost, time.Duration(0)
-	if l, s, on := f.has(Split); on {
-		f.once(l, Split, now)
-		size, gap = int(min(s.N, pieceMost)), splitGap
+	size, gap := maxPacket, time.Duration(0)
+	if l, s, on := f.activeFault(Split); on {
+		f.reportOnce(l, Split, now)
+		size, gap = int(min(s.Count, maxPacket)), splitInterval
 	}
-	if l, d, on := f.has(Drip); on {
-		f.once(l, Drip, now)
-		size, gap = int(min(d.N, uint64(size))), max(gap, d.D)
+	if l, d, on := f.activeFault(Drip); on {
+		f.reportOnce(l, Drip, now)
+		size, gap = int(min(d.Count, uint64(size))), max(gap, d.Delay)
 	}
 	rate := uint64(0)
-	if l, w, on := f.has(Bandwidth); on {
-		f.once(l, Bandwidth, now)
-		rate = w.N
+	if l, w, on := f.activeFault(Bandwidth); on {
+		f.reportOnce(l, Bandwidth, now)
+		rate = w.Count
 		size = min(size, int(max(1, rate/20))) // a twentieth of a second at a time
 	}
 	for first := true; len(b) > 0; first = false {
 		n := min(len(b), size)
-		at = max(at, f.last)
-		if gap > 0 && f.sent && (!first || at < f.last+gap) {
-			at = max(at, f.last+gap)
+		at = max(at, f.lastAt)
+		if gap > 0 && f.sent && (!first || at < f.lastAt+gap) {
+			at = max(at, f.lastAt+gap)
 		}
 		if rate > 0 {
-			at = max(at, f.free)
-			f.free = at + time.Duration(float64(n)/float64(rate)*float64(time.Second))
+			at = max(at, f.rateFreeAt)
+			f.rateFreeAt = at + time.Duration(float64(n)/float64(rate)*float64(time.Second))
 		}
 		ops = append(ops, Op{Kind: OpWrite, At: at, Data: b[:n:n]})
-		f.last, f.sent = at, true
+		f.lastAt, f.sent = at, true
 		b = b[n:]
 	}
 	return ops
@@ -477,34 +477,34 @@
 	case "exponential":
 		j = -math.Log(max(x, 1e-12))
 	}
-	return max(-l.D, time.Duration(j*float64(l.Jitter)))
+	return max(-l.Delay, time.Duration(j*float64(l.Jitter)))
 }
 
 // mark is a place in a stream.
 type mark struct {
-	line, frame   bool   // one begins here
-	lines, frames uint64 // that have ended before it
-	code          byte   // of the frame that begins: its performative's, 0 if not known
+	line, frame               bool   // one begins here
+	linesBefore, framesBefore uint64 // that have ended before it
+	code                      byte   // of the frame that begins: its performative's, 0 if not known
 }
 
 // scanner finds where lines begin or, where rules ask for them, AMQP frames (part 2,
 // section 2.3). To know a frame's performative it holds back the frame's first bytes
 // until they are there.
 type scanner struct {
-	frames  bool
-	started bool
-	lines   uint64
-	count   uint64 // frames that have ended
-	left    uint64 // bytes of the frame, or the protocol header, that are still to pass
-	header  bool   // it is a protocol header
-	held    []byte // of a frame's head, all that has come
+	wantsFrames bool
+	started     bool
+	linesEnded  uint64
+	framesEnded uint64 // frames that have ended
+	remaining   uint64 // bytes of the frame, or the protocol header, that are still to pass
+	inHeader    bool   // it is a protocol header
+	held        []byte // of a frame's head, all that has come
 }
 
 // next returns how many of the bytes come before the next mark, at the most limit, and
 // that mark. Without a byte and a mark it wants more bytes.
 func (s *scanner) next(b []byte, limit uint64) (n int, m mark, more bool) {
 	most := min(uint64(len(b)), limit)
-	if s.frames {
+	if s.wantsFrames {
 		return s.nextFrame(b, most)
 	}
 	if !s.started {
@@ -513,26 +513,26 @@
 	}
 	i := bytes.IndexByte(b[:most], '\n')
 	if i < 0 {
-		return int(most), mark{lines: s.lines}, false
+		return int(most), mark{linesBefore: s.linesEnded}, false
 	}
-	s.lines++
-	return i + 1, mark{line: true, lines: s.lines}, false
+	s.linesEnded++
+	return i + 1, mark{line: true, linesBefore: s.linesEnded}, false
 }
 
 // nextFrame passes the rest of a frame, or looks at the head of the next: its size (4
 // bytes), data offset, type and channel, and where the body begins the constructor of
 // its performative.
 func (s *scanner) nextFrame(b []byte, most uint64) (n int, m mark, more bool) {
-	if s.left > 0 {
-		n := min(s.left, most)
-		if s.left -= n; s.left == 0 && !s.header {
-			s.count++
+	if s.remaining > 0 {
+		n := min(s.remaining, most)
+		if s.remaining -= n; s.remaining == 0 && !s.inHeader {
+			s.framesEnded++
 		}
-		return int(n), mark{frames: s.count}, false
+		return int(n), mark{framesBefore: s.framesEnded}, false
 	}
-	if s.header = bytes.HasPrefix(b, []byte("AMQP")); s.header {
-		s.left = 8
-		return 0, mark{frames: s.count}, false
+	if s.inHeader = bytes.HasPrefix(b, []byte("AMQP")); s.inHeader {
+		s.remaining = 8
+		return 0, mark{framesBefore: s.framesEnded}, false
 	}
 	if len(b) < 5 {
 		return 0, mark{}, true
@@ -546,7 +546,7 @@
 			m.code = b[body+2]
 		}
 	}
-	s.left = max(size, 4)
-	m.frame, m.frames = true, s.count
+	s.remaining = max(size, 4)
+	m.frame, m.framesBefore = true, s.framesEnded
 	return 0, m, false
 }
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -15,7 +15,7 @@
 )
 
 // A fault that was done, and an answer, as a line of JSON with every field set.
-func TestLineJSONIsStable(t *testing.T) {
+func TestMessageJSONIsStable(t *testing.T) {
 	full := Message{At: 1, Fault: Cut, Rule: "r", Route: "a", Conn: 2, Direction: "up", Offset: 3, Listen: "l", Target: "t", Conns: 4, Open: 5,
 		Up: 6, Down: 7, Rules: []string{"r"}, Done: "(status)", Error: "e"}
 	for of, i := reflect.ValueOf(full), 0; i < of.NumField(); i++ {
@@ -36,9 +36,9 @@
 }
 
 // The control socket's commands and their answers.
-func TestCommandsAnswersAreStable(t *testing.T) {
+func TestCommandAnswersAreStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewProxy(rules(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
+		p := NewProxy(mustParse(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
 		defer p.Close()
 		var b strings.Builder
 		err := p.ServeCommands(strings.NewReader(strings.Join([]string{
@@ -56,10 +56,10 @@
 func TestScriptVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(Help() + Commands)
-	for _, kind := range []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, Half, Cut, Refuse, Mute, QueueFull, Vanish} {
-		fmt.Fprintf(&b, "fault %s, of a door: %v\n", kind, kind.ofDoor())
+	for _, kind := range []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut, Refuse, Mute, QueueFull, Vanish} {
+		fmt.Fprintf(&b, "fault %s, of a door: %v\n", kind, kind.ofListener())
 	}
-	for _, kind := range []TriggerKind{FromStart, AtTime, AfterBytes, AtLine, AtFrame, AtPerformance, OnCommand, Chance} {
+	for _, kind := range []TriggerKind{FromStart, AtTime, AfterBytes, AtLine, AtFrame, AtPerformative, OnCommand, Chance} {
 		fmt.Fprintf(&b, "trigger %s\n", kind)
 	}
 	for _, d := range []Direction{Up, Down, Both} {
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -26,71 +26,73 @@
 	Seed        uint64
 	OnInjection func(Injection) // is told of each fault; it must not block. Set before the first route
 
-	mu      sync.Mutex
-	rules   []*Rule
-	began   time.Time
-	shift   atomic.Int64 // of the script's clock, in nanoseconds
-	routes  map[string]*route
-	started map[string]bool // rules that were set off by command
-	closed  bool
-	all     sync.WaitGroup
-	ctx     context.Context
-	cancel  context.CancelFunc
+	mu          sync.Mutex
+	rules       []*Rule
+	startedAt   time.Time
+	clockOffset atomic.Int64 // of the script's clock, in nanoseconds
+	routes      map[string]*route
+	triggered   map[string]bool // rules that were set off by command
+	closed      bool
+	running     sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelFunc
 }
 
 // route is a route that is open.
 type route struct {
 	Route
-	p      *Proxy
-	l      net.Listener
-	conns  map[*pair]struct{}
-	count  uint64
-	shut   int        // rules that have the door shut
-	queue  []net.Conn // that fill the door's queue
-	full   bool
-	mute   int
-	silent atomic.Int32 // rules that have it vanish
+	proxy        *Proxy
+	listener     net.Listener
+	conns        map[*connection]struct{}
+	accepted     uint64
+	refusals     int        // rules that have the door shut
+	queueFillers []net.Conn // that fill the door's queue
+	queueFull    bool
+	mutes        int
+	silences     atomic.Int32 // rules that have it vanish
 
 	passed [2]atomic.Uint64 // bytes, up and down
 }
 
-// pair is one connection through a route.
-type pair struct {
-	r         *route
-	number    uint64
-	near, far *net.TCPConn
-	flows     [2]*stream
-	first     []byte
-	ctx       context.Context
-	cancel    context.CancelFunc
+// connection is one connection through a route.
+type connection struct {
+	route          *route
+	number         uint64
+	client, target *net.TCPConn
+	streams        [2]*stream
+	first          []byte
+	ctx            context.Context
+	cancel         context.CancelFunc
 }
 
 // stream is one direction of a pair as it is carried out.
 type stream struct {
-	order  sync.Mutex // is held from what the flow wants done to the writer's queue
-	mu     sync.Mutex
-	flow   *Flow
-	queue  chan Op
-	gone   chan struct{} // closed once the writer has ended
-	wake   chan struct{} // the rules have changed
-	again  chan struct{} // something may be due by the clock that was not
-	paired *pair
-	from   *net.TCPConn
-	to     *net.TCPConn
+	ordering   sync.Mutex // is held from what the flow wants done to the writer's queue
+	mu         sync.Mutex
+	flow       *Flow
+	queue      chan Op
+	writerDone chan struct{} // closed once the writer has ended
+	wake       chan struct{} // the rules have changed
+	reschedule chan struct{} // something may be due by the clock that was not
+	conn       *connection
+	from       *net.TCPConn
+	to         *net.TCPConn
 }
 
 // NewProxy returns a proxy with the rules of a script, whose clock starts now.
 func NewProxy(rules []*Rule, seed uint64) *Proxy {
-	p := &Proxy{Seed: seed, rules: slices.Clone(rules), began: time.Now(), routes: make(map[string]*route), started: make(map[string]bool)}
+	p := &Proxy{Seed: seed, rules: slices.Clone(rules), startedAt: time.Now(), routes: make(map[string]*route), triggered: make(map[string]bool)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
 	return p
 }
 
 // now is the script's clock.
-func (p *Proxy) now() time.Duration { return time.Since(p.began) - time.Duration(p.shift.Load()) }
+func (p *Proxy) now() time.Duration {
+	return time.Since(p.startedAt) - time.Duration(p.clockOffset.Load())
+}
 
 // Restart starts the script's clock anew. What waits for a time on it waits on.
-func (p *Proxy) Restart() { p.shift.Store(int64(time.Since(p.began))) }
+func (p *Proxy) Restart() { p.clockOffset.Store(int64(time.Since(p.startedAt))) }
 
 // Open opens a route and returns the address of its door.
 func (p *Proxy) Open(to Route) (string, error) {
@@ -99,11 +101,11 @@
 	if p.routes[to.Name] != nil {
 		return "", fmt.Errorf("route %s is open already", to.Name)
 	}
-	r := &route{Route: to, p: p, conns: make(map[*pair]struct{})}
+	r := &route{Route: to, proxy: p, conns: make(map[*connection]struct{})}
 	if err := r.listen(); err != nil {
 		return "", fmt.Errorf("route %s: %w", to.Name, err)
 	}
-	r.Listen = r.l.Addr().String() // it stays the same when the door is opened again
+	r.Listen = r.listener.Addr().String() // it stays the same when the door is opened again
 	p.routes[to.Name] = r
 	for _, rule := range p.rules {
 		p.arm(rule, r)
@@ -117,8 +119,8 @@
 	if err != nil {
 		return err
 	}
-	r.l = l
-	r.p.all.Go(func() { r.accept(l) })
+	r.listener = l
+	r.proxy.running.Go(func() { r.accept(l) })
 	return nil
 }
 
@@ -126,28 +128,28 @@
 	for {
 		c, err := l.Accept()
 		if err != nil {
-			if errors.Is(err, net.ErrClosed) || r.p.ctx.Err() != nil {
+			if errors.Is(err, net.ErrClosed) || r.proxy.ctx.Err() != nil {
 				return
 			}
 			time.Sleep(time.Millisecond) // out of descriptors: it passes
 			continue
 		}
-		r.p.all.Go(func() { r.serve(c.(*net.TCPConn)) })
+		r.proxy.running.Go(func() { r.serve(c.(*net.TCPConn)) })
 	}
 }
 
 // serve sees one connection through.
 func (r *route) serve(near *net.TCPConn) {
-	p := r.p
+	p := r.proxy
 	defer near.Close()
 	ctx, cancel := context.WithCancel(p.ctx)
 	defer cancel()
-	pr := &pair{r: r, near: near, ctx: ctx, cancel: cancel}
+	pr := &connection{route: r, client: near, ctx: ctx, cancel: cancel}
 	p.mu.Lock()
-	r.count++
-	pr.number = r.count
+	r.accepted++
+	pr.number = r.accepted
 	r.conns[pr] = struct{}{}
-	mute := r.mute > 0
+	mute := r.mutes > 0
 	wantsFirst := slices.ContainsFunc(p.rules, func(x *Rule) bool { return x.First != "" })
 	p.mu.Unlock()
 	defer func() {
@@ -170,7 +172,7 @@
 	far := c.(*net.TCPConn)
 	defer far.Close()
 	defer context.AfterFunc(ctx, func() { far.Close() })()
-	pr.far = far
+	pr.target = far
 	var b []byte
 	if wantsFirst {
 		b = make([]byte, 4<<10)
@@ -183,40 +185,40 @@
 	p.mu.Lock()
 	for dir, ends := range [2][2]*net.TCPConn{{near, far}, {far, near}} {
 		w := Location{r.Name, pr.number, Direction(dir)}
-		s := &stream{flow: NewFlow(w, p.rules, p.Seed, pr.first, p.OnInjection), queue: make(chan Op, 256), gone: make(chan struct{}), wake: make(chan struct{}, 1), again: make(chan struct{}, 1), paired: pr, from: ends[0], to: ends[1]}
-		for name := range p.started {
+		s := &stream{flow: NewFlow(w, p.rules, p.Seed, pr.first, p.OnInjection), queue: make(chan Op, 256), writerDone: make(chan struct{}), wake: make(chan struct{}, 1), reschedule: make(chan struct{}, 1), conn: pr, from: ends[0], to: ends[1]}
+		for name := range p.triggered {
 			s.flow.Command(name, p.now())
 		}
-		pr.flows[dir] = s
+		pr.streams[dir] = s
 	}
 	p.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { pr.flows[Up].run(Up, b) })
-	both.Go(func() { pr.flows[Down].run(Down, nil) })
+	both.Go(func() { pr.streams[Up].run(Up, b) })
+	both.Go(func() { pr.streams[Down].run(Down, nil) })
 	both.Wait()
 }
 
-const quietMost = 10 * time.Millisecond // of a direction without rules, before it looks again
+const pollInterval = 10 * time.Millisecond // of a direction without rules, before it looks again
 
 // run carries a direction out: what is read goes through the flow, and what the flow
 // wants done is done in order by a writer beside it.
 func (s *stream) run(dir Direction, first []byte) {
-	p := s.paired.r.p
-	s.paired.r.p.all.Go(s.write)
-	defer func() { <-s.gone }()
-	defer s.give(Op{Kind: opLast})
+	p := s.conn.route.proxy
+	s.conn.route.proxy.running.Go(s.write)
+	defer func() { <-s.writerDone }()
+	defer s.enqueue(Op{Kind: opLast})
 	feed := func(b []byte) bool {
-		s.paired.r.passed[dir].Add(uint64(len(b)))
-		s.order.Lock()
-		defer s.order.Unlock()
+		s.conn.route.passed[dir].Add(uint64(len(b)))
+		s.ordering.Lock()
+		defer s.ordering.Unlock()
 		s.mu.Lock()
 		ops := s.flow.Feed(p.now(), b)
 		timed := !s.flow.Idle()
 		s.mu.Unlock()
 		if timed {
-			signal(s.again)
+			signal(s.reschedule)
 		}
-		return s.give(ops...)
+		return s.enqueue(ops...)
 	}
 	if len(first) > 0 && !feed(first) {
 		return
@@ -224,14 +226,14 @@
 	// A timer of the flow's wakes it where no byte does.
 	ticking := make(chan struct{})
 	defer close(ticking)
-	s.paired.r.p.all.Go(func() { s.tick(ticking) })
-	buf := make([]byte, pieceMost)
+	s.conn.route.proxy.running.Go(func() { s.runTimers(ticking) })
+	buf := make([]byte, maxPacket)
 	for {
 		s.mu.Lock()
 		stalled, until := s.flow.Stalled(p.now())
 		s.mu.Unlock()
-		if stalled || s.paired.r.isSilent() {
-			if !s.rest(until) {
+		if stalled || s.conn.route.isSilent() {
+			if !s.awaitStall(until) {
 				return
 			}
 			continue
@@ -239,8 +241,8 @@
 		n, err := s.from.Read(buf)
 		if n > 0 {
 			// What was read while a stall began waits as well.
-			for s.paired.r.isSilent() {
-				if !s.rest(0) {
+			for s.conn.route.isSilent() {
+				if !s.awaitStall(0) {
 					return
 				}
 			}
@@ -252,43 +254,43 @@
 			s.mu.Lock()
 			ops := s.flow.End(p.now())
 			s.mu.Unlock()
-			end := Op{Kind: OpHalf}
+			end := Op{Kind: OpHalfClose}
 			if !errors.Is(err, io.EOF) {
 				end.Kind = OpRST // it broke, and is broken on
 			}
-			for s.paired.r.isSilent() {
-				if !s.rest(0) {
+			for s.conn.route.isSilent() {
+				if !s.awaitStall(0) {
 					return
 				}
 			}
-			s.give(append(ops, end)...)
+			s.enqueue(append(ops, end)...)
 			return
 		}
 	}
 }
 
-// give hands ops to the writer, in order. It tells whether the connection goes on.
-func (s *stream) give(ops ...Op) bool {
+// enqueue hands ops to the writer, in order. It tells whether the connection goes on.
+func (s *stream) enqueue(ops ...Op) bool {
 	for _, op := range ops {
 		select {
 		case s.queue <- op:
-		case <-s.gone:
+		case <-s.writerDone:
 			return false
-		case <-s.paired.ctx.Done():
+		case <-s.conn.ctx.Done():
 			return false
 		}
 	}
 	return true
 }
 
-// rest waits while a direction is stalled. It tells whether the connection goes on.
-func (s *stream) rest(until time.Duration) bool {
-	wait := quietMost
+// awaitStall waits while a direction is stalled. It tells whether the connection goes on.
+func (s *stream) awaitStall(until time.Duration) bool {
+	wait := pollInterval
 	if until > 0 {
-		wait = min(wait, max(0, until-s.paired.r.p.now()))
+		wait = min(wait, max(0, until-s.conn.route.proxy.now()))
 	}
 	select {
-	case <-s.paired.ctx.Done():
+	case <-s.conn.ctx.Done():
 		return false
 	case <-s.wake:
 	case <-time.After(wait):
@@ -296,9 +298,9 @@
 	return true
 }
 
-// tick has the flow do what is due by the clock.
-func (s *stream) tick(done <-chan struct{}) {
-	p := s.paired.r.p
+// runTimers has the flow do what is due by the clock.
+func (s *stream) runTimers(done <-chan struct{}) {
+	p := s.conn.route.proxy
 	for {
 		s.mu.Lock()
 		now := p.now()
@@ -311,40 +313,40 @@
 		select {
 		case <-done:
 			return
-		case <-s.paired.ctx.Done():
+		case <-s.conn.ctx.Done():
 			return
-		case <-s.again:
+		case <-s.reschedule:
 			continue
 		case <-due:
 		}
-		s.order.Lock()
+		s.ordering.Lock()
 		s.mu.Lock()
 		ops := s.flow.Due(p.now())
 		s.mu.Unlock()
-		s.give(ops...)
-		s.order.Unlock()
+		s.enqueue(ops...)
+		s.ordering.Unlock()
 	}
 }
 
 // write does what the flow wants done, each in its time, until the last.
 func (s *stream) write() {
-	defer close(s.gone)
-	p := s.paired.r.p
+	defer close(s.writerDone)
+	p := s.conn.route.proxy
 	lost := false
 	for {
 		var op Op
 		select {
 		case op = <-s.queue:
-		case <-s.paired.ctx.Done():
+		case <-s.conn.ctx.Done():
 			return
 		}
-		for wait := op.At - p.now(); wait > 0 || s.paired.r.isSilent(); wait = quietMost {
+		for wait := op.At - p.now(); wait > 0 || s.conn.route.isSilent(); wait = pollInterval {
 			select {
 			case <-time.After(wait):
-			case <-s.paired.ctx.Done():
+			case <-s.conn.ctx.Done():
 				return
 			}
-			if !s.paired.r.isSilent() {
+			if !s.conn.route.isSilent() {
 				break
 			}
 		}
@@ -356,29 +358,29 @@
 			if _, err := s.to.Write(op.Data); err != nil {
 				lost = true // the other direction sees why
 			}
-		case op.Kind == OpHalf:
+		case op.Kind == OpHalfClose:
 			s.to.CloseWrite()
 			lost = true
 		case op.Kind == OpFIN:
-			s.paired.cancel()
+			s.conn.cancel()
 			lost = true
 		case op.Kind == OpRST:
-			s.paired.breaks()
+			s.conn.reset()
 			lost = true
 		}
 	}
 }
 
-// breaks resets both sides.
-func (pr *pair) breaks() {
-	pr.near.SetLinger(0)
-	if pr.far != nil {
-		pr.far.SetLinger(0)
+// reset resets both sides.
+func (pr *connection) reset() {
+	pr.client.SetLinger(0)
+	if pr.target != nil {
+		pr.target.SetLinger(0)
 	}
 	pr.cancel()
 }
 
-func (r *route) isSilent() bool { return r.silent.Load() > 0 }
+func (r *route) isSilent() bool { return r.silences.Load() > 0 }
 
 // arm sets a rule's faults of doors to work at a route. The caller holds the lock.
 func (p *Proxy) arm(rule *Rule, r *route) {
@@ -386,32 +388,32 @@
 		return
 	}
 	for _, f := range rule.Faults {
-		if !f.Kind.ofDoor() {
+		if !f.Kind.ofListener() {
 			continue
 		}
 		switch t := rule.Trigger; t.Kind {
 		case FromStart:
-			p.door(rule, f.Kind, r)
+			p.inject(rule, f.Kind, r)
 		case AtTime:
-			p.at(t.At, func() { p.door(rule, f.Kind, r) })
+			p.atScriptTime(t.At, func() { p.inject(rule, f.Kind, r) })
 		}
 	}
 }
 
-// at does something at a time of the script's clock, which may start anew meanwhile.
-func (p *Proxy) at(at time.Duration, do func()) {
-	p.later(at-p.now(), func() {
+// atScriptTime does something at a time of the script's clock, which may start anew meanwhile.
+func (p *Proxy) atScriptTime(at time.Duration, do func()) {
+	p.after(at-p.now(), func() {
 		if p.now() < at {
-			p.at(at, do)
+			p.atScriptTime(at, do)
 			return
 		}
 		do()
 	})
 }
 
-// later does something under the lock after a time, unless the proxy is closed.
-func (p *Proxy) later(wait time.Duration, do func()) {
-	p.all.Go(func() {
+// after does something under the lock after a time, unless the proxy is closed.
+func (p *Proxy) after(wait time.Duration, do func()) {
+	p.running.Go(func() {
 		select {
 		case <-time.After(wait):
 		case <-p.ctx.Done():
@@ -425,60 +427,60 @@
 	})
 }
 
-// door begins a fault of a door, and has it end in its time. The caller holds the lock.
-func (p *Proxy) door(rule *Rule, k Kind, r *route) {
+// inject begins a fault of a door, and has it end in its time. The caller holds the lock.
+func (p *Proxy) inject(rule *Rule, k Kind, r *route) {
 	if p.OnInjection != nil {
 		p.OnInjection(Injection{Rule: rule.Name, Kind: k, Location: Location{Route: r.Name, Direction: Both}, At: p.now()})
 	}
-	r.change(k, 1)
+	r.changeFault(k, 1)
 	if rule.For > 0 {
-		p.later(rule.For, func() { r.change(k, -1) })
+		p.after(rule.For, func() { r.changeFault(k, -1) })
 	}
 }
 
-// change begins or ends a fault of the door. The caller holds the lock.
-func (r *route) change(k Kind, by int) {
+// changeFault begins or ends a fault of the door. The caller holds the lock.
+func (r *route) changeFault(k Kind, by int) {
 	switch k {
 	case Refuse:
-		if r.shut += by; r.shut > 0 && r.l != nil {
-			r.l.Close()
-			r.l = nil
+		if r.refusals += by; r.refusals > 0 && r.listener != nil {
+			r.listener.Close()
+			r.listener = nil
 		}
 	case Mute:
-		r.mute += by
+		r.mutes += by
 	case QueueFull:
-		r.full = by > 0
+		r.queueFull = by > 0
 	case Vanish:
 		if by > 0 {
-			r.silent.Add(1)
+			r.silences.Add(1)
 		}
-		r.full = by > 0 || r.silent.Load() > 1
+		r.queueFull = by > 0 || r.silences.Load() > 1
 	}
 	switch {
-	case r.full && len(r.queue) == 0:
-		r.fill()
-	case !r.full && len(r.queue) > 0:
-		r.drain()
+	case r.queueFull && len(r.queueFillers) == 0:
+		r.fillQueue()
+	case !r.queueFull && len(r.queueFillers) > 0:
+		r.releaseQueue()
 	}
-	if r.shut <= 0 && !r.full && r.l == nil && !r.p.closed {
+	if r.refusals <= 0 && !r.queueFull && r.listener == nil && !r.proxy.closed {
 		_ = r.listen() // if this fails, the door stays shut, as a server's may
 	}
 	if k == Vanish && by < 0 {
-		if !r.full { // it comes back as another, with its door open; what stood hears no more of it
+		if !r.queueFull { // it comes back as another, with its door open; what stood hears no more of it
 			for pr := range r.conns {
-				pr.breaks()
+				pr.reset()
 			}
 		}
-		r.silent.Add(-1)
+		r.silences.Add(-1)
 	}
 }
 
-// fill shuts the door and puts one with the shortest queue in its place, full: what
+// fillQueue shuts the door and puts one with the shortest queue in its place, full: what
 // connects then is neither taken nor refused.
-func (r *route) fill() {
-	if r.l != nil {
-		r.l.Close()
-		r.l = nil
+func (r *route) fillQueue() {
+	if r.listener != nil {
+		r.listener.Close()
+		r.listener = nil
 	}
 	address, err := net.ResolveTCPAddr("tcp", r.Listen)
 	if err != nil {
@@ -495,38 +497,38 @@
 		_ = syscall.Close(fd)
 		return
 	}
-	r.queue = append(r.queue, plug(fd))
+	r.queueFillers = append(r.queueFillers, fullListener(fd))
 	for range 2 { // a queue of none holds one, on Linux
 		if c, err := net.DialTimeout("tcp", r.Listen, 100*time.Millisecond); err == nil {
-			r.queue = append(r.queue, c)
+			r.queueFillers = append(r.queueFillers, c)
 		}
 	}
 }
 
-func (r *route) drain() {
-	for _, c := range slices.Backward(r.queue) {
+func (r *route) releaseQueue() {
+	for _, c := range slices.Backward(r.queueFillers) {
 		c.Close()
 	}
-	r.queue = nil
+	r.queueFillers = nil
 }
 
-// plug is a listening socket that nobody accepts from.
-type plug int
+// fullListener is a listening socket that nobody accepts from.
+type fullListener int
 
-func (p plug) Close() error                   { return syscall.Close(int(p)) }
-func (plug) Read([]byte) (int, error)         { return 0, io.EOF }
-func (plug) Write([]byte) (int, error)        { return 0, io.ErrClosedPipe }
-func (plug) LocalAddr() net.Addr              { return nil }
-func (plug) RemoteAddr() net.Addr             { return nil }
-func (plug) SetDeadline(time.Time) error      { return nil }
-func (plug) SetReadDeadline(time.Time) error  { return nil }
-func (plug) SetWriteDeadline(time.Time) error { return nil }
+func (p fullListener) Close() error                   { return syscall.Close(int(p)) }
+func (fullListener) Read([]byte) (int, error)         { return 0, io.EOF }
+func (fullListener) Write([]byte) (int, error)        { return 0, io.ErrClosedPipe }
+func (fullListener) LocalAddr() net.Addr              { return nil }
+func (fullListener) RemoteAddr() net.Addr             { return nil }
+func (fullListener) SetDeadline(time.Time) error      { return nil }
+func (fullListener) SetReadDeadline(time.Time) error  { return nil }
+func (fullListener) SetWriteDeadline(time.Time) error { return nil }
 
-// each calls do for every direction of every connection. The caller holds the lock.
-func (p *Proxy) each(do func(*stream)) {
+// eachStream calls do for every direction of every connection. The caller holds the lock.
+func (p *Proxy) eachStream(do func(*stream)) {
 	for _, r := range p.routes {
 		for pr := range r.conns {
-			for _, s := range pr.flows {
+			for _, s := range pr.streams {
 				if s != nil {
 					do(s)
 				}
@@ -546,18 +548,18 @@
 		for _, r := range p.routes {
 			p.arm(rule, r)
 		}
-		p.each(func(s *stream) {
+		p.eachStream(func(s *stream) {
 			s.mu.Lock()
-			s.flow.Add(rule, s.paired.first)
+			s.flow.Add(rule, s.conn.first)
 			s.mu.Unlock()
-			s.wakeUp()
+			s.notify()
 		})
 	}
 }
 
-func (s *stream) wakeUp() {
+func (s *stream) notify() {
 	signal(s.wake)
-	signal(s.again)
+	signal(s.reschedule)
 }
 
 func signal(c chan struct{}) {
@@ -580,16 +582,16 @@
 	for _, r := range p.routes {
 		if len(rule.Routes) == 0 || slices.Contains(rule.Routes, r.Name) {
 			for _, f := range rule.Faults {
-				if f.Kind.ofDoor() {
-					p.door(rule, f.Kind, r)
+				if f.Kind.ofListener() {
+					p.inject(rule, f.Kind, r)
 				}
 			}
 		}
 	}
-	if rule.For == 0 && !slices.ContainsFunc(rule.Faults, func(f Fault) bool { return f.Kind == Cut || f.Kind == Half }) {
-		p.started[name] = true
+	if rule.For == 0 && !slices.ContainsFunc(rule.Faults, func(f Fault) bool { return f.Kind == Cut || f.Kind == HalfClose }) {
+		p.triggered[name] = true
 	}
-	p.each(func(s *stream) {
+	p.eachStream(func(s *stream) {
 		s.mu.Lock()
 		ops, _ := s.flow.Command(name, p.now())
 		s.mu.Unlock()
@@ -597,10 +599,10 @@
 			select {
 			case s.queue <- op:
 			default: // full: the writer is behind, and is cut where it stands
-				go s.paired.breaks()
+				go s.conn.reset()
 			}
 		}
-		s.wakeUp()
+		s.notify()
 	})
 	return nil
 }
@@ -622,22 +624,22 @@
 				continue
 			}
 			for _, f := range rule.Faults {
-				if f.Kind.ofDoor() && rule.For == 0 && (rule.Trigger.Kind == FromStart || p.started[rule.Name]) {
-					r.change(f.Kind, -1)
+				if f.Kind.ofListener() && rule.For == 0 && (rule.Trigger.Kind == FromStart || p.triggered[rule.Name]) {
+					r.changeFault(f.Kind, -1)
 				}
 			}
 		}
 	}
 	p.rules = slices.DeleteFunc(p.rules, func(r *Rule) bool { return name == "" || r.Name == name })
 	if name == "" {
-		clear(p.started)
+		clear(p.triggered)
 	}
-	delete(p.started, name)
-	p.each(func(s *stream) {
+	delete(p.triggered, name)
+	p.eachStream(func(s *stream) {
 		s.mu.Lock()
 		s.flow.Clear(name)
 		s.mu.Unlock()
-		s.wakeUp()
+		s.notify()
 	})
 }
 
@@ -656,7 +658,7 @@
 	defer p.mu.Unlock()
 	var all []RouteStatus
 	for _, r := range p.routes {
-		all = append(all, RouteStatus{Route: r.Route, Conns: r.count, Open: len(r.conns), Up: r.passed[Up].Load(), Down: r.passed[Down].Load()})
+		all = append(all, RouteStatus{Route: r.Route, Conns: r.accepted, Open: len(r.conns), Up: r.passed[Up].Load(), Down: r.passed[Down].Load()})
 	}
 	slices.SortFunc(all, func(x, y RouteStatus) int {
 		if x.Name < y.Name {
@@ -677,7 +679,7 @@
 	defer p.mu.Unlock()
 	if r := p.routes[name]; r != nil {
 		for pr := range r.conns {
-			pr.breaks()
+			pr.reset()
 		}
 	}
 }
@@ -688,10 +690,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.routes[name]; r != nil {
-		if r.l != nil {
-			r.l.Close()
+		if r.listener != nil {
+			r.listener.Close()
 		}
-		r.drain()
+		r.releaseQueue()
 		delete(p.routes, name)
 	}
 }
@@ -701,12 +703,12 @@
 	p.mu.Lock()
 	p.closed = true
 	for _, r := range p.routes {
-		if r.l != nil {
-			r.l.Close()
+		if r.listener != nil {
+			r.listener.Close()
 		}
-		r.drain()
+		r.releaseQueue()
 	}
 	p.mu.Unlock()
 	p.cancel()
-	p.all.Wait()
+	p.running.Wait()
 }
--- a/internal/faultproxy/script.go
+++ b/internal/faultproxy/script.go
@@ -40,23 +40,23 @@
 
 // The kinds of trigger.
 const (
-	FromStart     TriggerKind = "start"           // when the connection begins
-	AtTime        TriggerKind = "at"              // at a time of the script's clock
-	AfterBytes    TriggerKind = "after-bytes"     // once so many bytes have passed
-	AtLine        TriggerKind = "at-line"         // where the nth line begins
-	AtFrame       TriggerKind = "at-frame"        // where the nth AMQP frame begins
-	AtPerformance TriggerKind = "at-performative" // where the nth frame of that performative begins
-	OnCommand     TriggerKind = "on-command"      // when it is told to
-	Chance        TriggerKind = "chance"          // at each line or frame, with a probability
+	FromStart      TriggerKind = "start"           // when the connection begins
+	AtTime         TriggerKind = "at"              // at a time of the script's clock
+	AfterBytes     TriggerKind = "after-bytes"     // once so many bytes have passed
+	AtLine         TriggerKind = "at-line"         // where the nth line begins
+	AtFrame        TriggerKind = "at-frame"        // where the nth AMQP frame begins
+	AtPerformative TriggerKind = "at-performative" // where the nth frame of that performative begins
+	OnCommand      TriggerKind = "on-command"      // when it is told to
+	Chance         TriggerKind = "chance"          // at each line or frame, with a probability
 )
 
 // Trigger is when a rule is set off.
 type Trigger struct {
-	Kind TriggerKind
-	N    uint64        // bytes, line, frame, or which of its kind
-	At   time.Duration // since the script's start
-	Part float64       // of Chance
-	Code byte          // of AtPerformance
+	Kind        TriggerKind
+	Count       uint64        // bytes, line, frame, or which of its kind
+	At          time.Duration // since the script's start
+	Probability float64       // of Chance
+	Code        byte          // of AtPerformance
 }
 
 // Kind is what a fault does.
@@ -74,7 +74,7 @@
 	Latency   Kind = "latency"    // D, with jitter of Jitter by Mode: uniform, normal or exponential
 	Bandwidth Kind = "bandwidth"  // N bytes a second
 	Drip      Kind = "drip"       // N bytes every D
-	Half      Kind = "half-close" // this direction ends, the other goes on
+	HalfClose Kind = "half-close" // this direction ends, the other goes on
 	Cut       Kind = "cut"        // Mode: rst or fin; both directions end
 	Refuse    Kind = "refuse"     // the door is shut: connections are refused
 	Mute      Kind = "mute"       // connections are accepted, and nothing follows
@@ -83,17 +83,17 @@
 )
 
 // byteKinds are the faults of bytes and connections; the rest are a door's.
-var byteKinds = []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, Half, Cut}
+var byteKinds = []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut}
 
-// ofDoor tells whether a fault is of a route's door.
-func (k Kind) ofDoor() bool { return !slices.Contains(byteKinds, k) }
+// ofListener tells whether a fault is of a route's door.
+func (k Kind) ofListener() bool { return !slices.Contains(byteKinds, k) }
 
 // Fault is something that is done to bytes, to a connection or to a door.
 type Fault struct {
 	Kind   Kind
 	Mode   string
-	N      uint64
-	D      time.Duration
+	Count  uint64
+	Delay  time.Duration
 	Jitter time.Duration
 }
 
@@ -152,7 +152,7 @@
 	}
 	p := ruleParser{rule: r}
 	for _, a := range args[1:] {
-		if err := p.form(a); err != nil {
+		if err := p.parseForm(a); err != nil {
 			return nil, err
 		}
 	}
@@ -160,7 +160,7 @@
 		return nil, n.Errorf("rule %q does nothing; it wants a fault such as (cut rst)", r.Name)
 	}
 	for _, f := range r.Faults {
-		if k := r.Trigger.Kind; f.Kind.ofDoor() && k != FromStart && k != AtTime && k != OnCommand {
+		if k := r.Trigger.Kind; f.Kind.ofListener() && k != FromStart && k != AtTime && k != OnCommand {
 			return nil, n.Errorf("%s is of a route's door: it goes with at, on-command or no trigger", f.Kind)
 		}
 		if f.Kind == Vanish && r.For == 0 || f.Kind == Pause && r.For == 0 {
@@ -180,7 +180,7 @@
 	modes []string
 	args  string
 }{
-	Swallow: {}, Stall: {}, Pause: {}, Merge: {}, Half: {}, Refuse: {}, Mute: {}, QueueFull: {}, Vanish: {},
+	Swallow: {}, Stall: {}, Pause: {}, Merge: {}, HalfClose: {}, Refuse: {}, Mute: {}, QueueFull: {}, Vanish: {},
 	Garble: {[]string{"flip", "insert", "drop", "duplicate"}, "N"}, Split: {nil, "N"}, Bandwidth: {nil, "N"},
 	Latency: {nil, "D"}, Drip: {nil, "N D"}, Cut: {[]string{"rst", "fin"}, ""},
 }
@@ -199,7 +199,7 @@
 `
 }
 
-func (p *ruleParser) form(n *sexp.Node) error {
+func (p *ruleParser) parseForm(n *sexp.Node) error {
 	head, args, err := n.Head()
 	if err != nil {
 		return err
@@ -218,7 +218,7 @@
 		r.Routes, err = n.Values()
 		return err
 	case "direction":
-		v, err := one(n, args)
+		v, err := oneValue(n, args)
 		if err != nil {
 			return err
 		}
@@ -233,7 +233,7 @@
 			return n.Errorf("conn wants a number")
 		}
 		for _, a := range args {
-			v, err := positive(a)
+			v, err := positiveNumber(a)
 			if err != nil {
 				return err
 			}
@@ -241,29 +241,29 @@
 		}
 		return nil
 	case "every":
-		r.Every, err = number(n, args)
+		r.Every, err = oneNumber(n, args)
 		return err
 	case "first":
-		r.First, err = one(n, args)
+		r.First, err = oneValue(n, args)
 		return err
 	case "fraction":
-		r.Fraction, err = percent(n, args)
+		r.Fraction, err = onePercentage(n, args)
 		return err
 	case "for":
-		r.For, err = duration(n, args)
+		r.For, err = oneDuration(n, args)
 		return err
 	case "at":
-		d, err := duration(n, args)
+		d, err := oneDuration(n, args)
 		if err != nil {
 			return err
 		}
 		return trigger(Trigger{Kind: AtTime, At: d})
 	case "after-bytes", "at-line", "at-frame":
-		v, err := number(n, args)
+		v, err := oneNumber(n, args)
 		if err != nil {
 			return err
 		}
-		return trigger(Trigger{Kind: TriggerKind(head), N: v})
+		return trigger(Trigger{Kind: TriggerKind(head), Count: v})
 	case "at-performative":
 		if len(args) < 1 || len(args) > 2 {
 			return n.Errorf("at-performative wants a name, and may have a number")
@@ -276,9 +276,9 @@
 		if !ok {
 			return args[0].Errorf("the standard has no performative %q", name)
 		}
-		t := Trigger{Kind: AtPerformance, Code: code, N: 1}
+		t := Trigger{Kind: AtPerformative, Code: code, Count: 1}
 		if len(args) == 2 {
-			if t.N, err = positive(args[1]); err != nil {
+			if t.Count, err = positiveNumber(args[1]); err != nil {
 				return err
 			}
 		}
@@ -289,16 +289,16 @@
 		}
 		return trigger(Trigger{Kind: OnCommand})
 	case "chance":
-		part, err := percent(n, args)
+		part, err := onePercentage(n, args)
 		if err != nil {
 			return err
 		}
-		return trigger(Trigger{Kind: Chance, Part: part})
+		return trigger(Trigger{Kind: Chance, Probability: part})
 	}
-	return p.fault(n, Kind(head), args)
+	return p.parseFault(n, Kind(head), args)
 }
 
-func (p *ruleParser) fault(n *sexp.Node, kind Kind, args []*sexp.Node) (err error) {
+func (p *ruleParser) parseFault(n *sexp.Node, kind Kind, args []*sexp.Node) (err error) {
 	form, ok := faultForms[kind]
 	if !ok {
 		return n.List.Items[0].Errorf("there is no form %q; faultproxy forms lists those there are", kind)
@@ -338,9 +338,9 @@
 	}
 	for i, w := range want {
 		if w == "N" {
-			f.N, err = positive(args[i])
+			f.Count, err = positiveNumber(args[i])
 		} else {
-			f.D, err = args[i].Duration()
+			f.Delay, err = args[i].Duration()
 		}
 		if err != nil {
 			return err
@@ -350,14 +350,14 @@
 	return nil
 }
 
-func one(n *sexp.Node, args []*sexp.Node) (string, error) {
+func oneValue(n *sexp.Node, args []*sexp.Node) (string, error) {
 	if len(args) != 1 {
 		return "", n.Errorf("%s wants one value, and has %d", n.List.Items[0], len(args))
 	}
 	return args[0].Value()
 }
 
-func positive(n *sexp.Node) (uint64, error) {
+func positiveNumber(n *sexp.Node) (uint64, error) {
 	v, err := n.Whole()
 	if err == nil && v == 0 {
 		err = n.Errorf("0 is too little; expected 1 or more")
@@ -365,22 +365,22 @@
 	return v, err
 }
 
-func number(n *sexp.Node, args []*sexp.Node) (uint64, error) {
-	if _, err := one(n, args); err != nil {
+func oneNumber(n *sexp.Node, args []*sexp.Node) (uint64, error) {
+	if _, err := oneValue(n, args); err != nil {
 		return 0, err
 	}
-	return positive(args[0])
+	return positiveNumber(args[0])
 }
 
-func duration(n *sexp.Node, args []*sexp.Node) (time.Duration, error) {
-	if _, err := one(n, args); err != nil {
+func oneDuration(n *sexp.Node, args []*sexp.Node) (time.Duration, error) {
+	if _, err := oneValue(n, args); err != nil {
 		return 0, err
 	}
 	return args[0].Duration()
 }
 
-func percent(n *sexp.Node, args []*sexp.Node) (float64, error) {
-	word, err := one(n, args)
+func onePercentage(n *sexp.Node, args []*sexp.Node) (float64, error) {
+	word, err := oneValue(n, args)
 	if err != nil {
 		return 0, err
 	}
@@ -422,17 +422,17 @@
 	case AtTime:
 		fmt.Fprintf(&b, " (at %v)", t.At)
 	case AfterBytes, AtLine, AtFrame:
-		fmt.Fprintf(&b, " (%s %d)", t.Kind, t.N)
-	case AtPerformance:
+		fmt.Fprintf(&b, " (%s %d)", t.Kind, t.Count)
+	case AtPerformative:
 		for name, code := range performatives {
 			if code == t.Code {
-				fmt.Fprintf(&b, " (at-performative %s %d)", name, t.N)
+				fmt.Fprintf(&b, " (at-performative %s %d)", name, t.Count)
 			}
 		}
 	case OnCommand:
 		b.WriteString(" (on-command)")
 	case Chance:
-		fmt.Fprintf(&b, " (chance %v)", 100*t.Part)
+		fmt.Fprintf(&b, " (chance %v)", 100*t.Probability)
 	}
 	if r.For > 0 {
 		fmt.Fprintf(&b, " (for %v)", r.For)
@@ -442,11 +442,11 @@
 		if f.Kind != Latency && f.Mode != "" {
 			b.WriteString(" " + f.Mode)
 		}
-		if f.N > 0 {
-			fmt.Fprintf(&b, " %d", f.N)
+		if f.Count > 0 {
+			fmt.Fprintf(&b, " %d", f.Count)
 		}
 		if f.Kind == Latency || f.Kind == Drip {
-			fmt.Fprintf(&b, " %v", f.D)
+			fmt.Fprintf(&b, " %v", f.Delay)
 		}
 		if f.Jitter > 0 {
 			fmt.Fprintf(&b, " %v %s", f.Jitter, f.Mode)
