--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -1,5 +1,5 @@
-// Command faultproxy sits between sockets and spoils what passes, as a script or a
-// person has it, to rehearse outages. `faultproxy --help` lists its commands.
+// Command faultproxy passes connections on and injects faults, as a script or a person says,
+// to rehearse outages. `faultproxy --help` lists its commands.
 package main
 
 import (
@@ -38,20 +38,21 @@
 	out, errs io.Writer
 }
 
-type ended int
+// exitCode is the panic by which kong ends the program after its help.
+type exitCode int
 
-func main() { os.Exit(call(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr})) }
+func main() { os.Exit(run(os.Args[1:], streams{in: os.Stdin, out: os.Stdout, errs: os.Stderr})) }
 
-// call runs a command line and returns the exit code.
-func call(args []string, s streams) (code int) {
+// run runs a command line and returns the exit code.
+func run(args []string, s streams) (code int) {
 	defer func() {
-		if e, is := recover().(ended); is {
-			code = int(e)
+		if exit, is := recover().(exitCode); is {
+			code = int(exit)
 		}
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("faultproxy"),
 		kong.Description("Sits between sockets and delays, cuts, half-closes and garbles what passes."),
-		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(ended(code)) }), kong.Bind(s))
+		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(s))
 	if err != nil {
 		fmt.Fprintf(s.errs, "faultproxy: %v\n", err)
 		return exitFailed
@@ -78,7 +79,7 @@
 	For      time.Duration `help:"End after this time."`
 }
 
-// Help has examples.
+// Help returns examples.
 func (*runCommand) Help() string {
 	return `What it did is told on standard output, a JSON object a line, with times in microseconds.
 
@@ -90,140 +91,166 @@
 
 // Run runs until it is interrupted, its input ends, or its time is up.
 func (c *runCommand) Run(s streams) error {
-	var rules []*faultproxy.Rule
-	if c.Script != "" {
-		text, err := os.ReadFile(c.Script)
-		if err != nil {
-			return err
-		}
-		if rules, err = faultproxy.ParseRules(string(text)); err != nil {
-			return fmt.Errorf("%s: %w", c.Script, err)
-		}
+	rules, err := c.readScript()
+	if err != nil {
+		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.For > 0 {
-		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, c.For)
-		defer done()
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, c.For)
+		defer cancel()
 	}
 	var commands net.Listener
-	if c.Socket != "" { // before a route is told of: who has read one may command
-		l, err := net.Listen("unix", c.Socket)
-		if err != nil {
+	if c.Socket != "" { // before a route is reported: who has read of one may send commands
+		if commands, err = net.Listen("unix", c.Socket); err != nil {
 			return err
 		}
-		defer l.Close()
-		commands = l
-	}
-	p := faultproxy.NewProxy(rules, c.Seed)
-	defer p.Close()
-	out := &lines{w: s.out, queue: make(chan faultproxy.Message, 1024)}
-	defer out.close()
-	p.OnInjection = func(d faultproxy.Injection) { out.tell(d.Message()) }
-	for _, r := range c.Route {
-		name, rest, ok := strings.Cut(r, "=")
+		defer commands.Close()
+	}
+	proxy := faultproxy.NewProxy(rules, c.Seed)
+	defer proxy.Close()
+	output := &messageWriter{w: s.out, queue: make(chan faultproxy.Message, messageQueue)}
+	defer output.close()
+	proxy.OnInjection = func(injection faultproxy.Injection) { output.enqueue(injection.Message()) }
+	if err := c.openRoutes(proxy, output); err != nil {
+		return err
+	}
+	proxy.Restart()
+	if commands != nil {
+		go func() { _ = proxy.Serve(ctx, commands) }() // ends with ctx
+	}
+	return c.wait(ctx, proxy, s.in, output)
+}
+
+// readScript reads the rules that hold from the start.
+func (c *runCommand) readScript() ([]*faultproxy.Rule, error) {
+	if c.Script == "" {
+		return nil, nil
+	}
+	text, err := os.ReadFile(c.Script)
+	if err != nil {
+		return nil, err
+	}
+	rules, err := faultproxy.ParseRules(string(text))
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", c.Script, err)
+	}
+	return rules, nil
+}
+
+// openRoutes opens the routes, and reports each.
+func (c *runCommand) openRoutes(proxy *faultproxy.Proxy, output *messageWriter) error {
+	for _, route := range c.Route {
+		name, rest, ok := strings.Cut(route, "=")
 		listen, target, both := strings.Cut(rest, ",")
 		if !ok || !both || name == "" {
-			return fmt.Errorf("route %q is no NAME=LISTEN,TARGET", r)
+			return fmt.Errorf("route %q is no NAME=LISTEN,TARGET", route)
 		}
-		at, err := p.Open(faultproxy.Route{Name: name, Listen: listen, Target: target})
+		address, err := proxy.Open(faultproxy.Route{Name: name, Listen: listen, Target: target})
 		if err != nil {
 			return err
 		}
-		out.tell(faultproxy.Message{Route: name, Listen: at, Target: target, Done: "open"})
+		output.enqueue(faultproxy.Message{Route: name, Listen: address, Target: target, Done: "open"})
 	}
-	p.Restart()
-	if commands != nil {
-		go func() { _ = p.Serve(ctx, commands) }()
+	return nil
+}
+
+// wait performs the commands of the input, if it is to, and returns when they or ctx end.
+func (c *runCommand) wait(ctx context.Context, proxy *faultproxy.Proxy, input io.Reader, output io.Writer) error {
+	if !c.Commands {
+		<-ctx.Done()
+		return nil
 	}
-	if c.Commands {
-		ended := make(chan error, 1)
-		go func() { ended <- p.ServeCommands(s.in, out) }()
-		select {
-		case err := <-ended:
-			return err
-		case <-ctx.Done():
-			return nil
-		}
+	ended := make(chan error, 1)
+	go func() { ended <- proxy.ServeCommands(input, output) }() // ends with the input, or the process
+	select {
+	case err := <-ended:
+		return err
+	case <-ctx.Done():
+		return nil
 	}
-	<-ctx.Done()
-	return nil
 }
 
-// lines writes what was done beside those who did it: who reads it slowly holds no
-// connection up. What there is no room for is counted.
-type lines struct {
-	w     io.Writer
-	queue chan faultproxy.Message
-	once  sync.Once
-	all   sync.WaitGroup
-	mu    sync.Mutex
-	lost  int
-}
-
-func (l *lines) tell(one faultproxy.Message) {
-	l.once.Do(func() {
-		l.all.Go(func() {
-			e := json.NewEncoder(l)
-			for one := range l.queue {
-				_ = e.Encode(one) // its reader may have gone
-			}
-		})
-	})
+const messageQueue = 1024
+
+// messageWriter writes messages in a goroutine of its own, so that a slow reader holds no
+// connection up. Messages that find no room in the queue are counted.
+type messageWriter struct {
+	queue   chan faultproxy.Message
+	once    sync.Once // starts the goroutine, which close waits for
+	running sync.WaitGroup
+
+	mu   sync.Mutex // guards the fields below, and keeps messages from mixing with answers
+	w    io.Writer
+	lost int
+}
+
+func (m *messageWriter) enqueue(message faultproxy.Message) {
+	m.once.Do(func() { m.running.Go(m.run) })
 	select {
-	case l.queue <- one:
+	case m.queue <- message:
 	default:
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		l.lost++
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		m.lost++
 	}
 }
 
-// Write keeps lines whole that come from commands as well.
-func (l *lines) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.w.Write(b)
+func (m *messageWriter) run() {
+	encoder := json.NewEncoder(m)
+	for message := range m.queue {
+		_ = encoder.Encode(message) // its reader may have gone
+	}
+}
+
+// Write writes one line; answers to commands are written by it, too.
+func (m *messageWriter) Write(line []byte) (int, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.w.Write(line)
 }
 
-func (l *lines) close() {
-	close(l.queue)
-	l.all.Wait()
-	if l.lost > 0 {
-		_ = json.NewEncoder(l.w).Encode(faultproxy.Message{Error: fmt.Sprintf("%d lines found no room", l.lost)})
+func (m *messageWriter) close() {
+	close(m.queue)
+	m.running.Wait()
+	if m.lost > 0 {
+		_ = json.NewEncoder(m.w).Encode(faultproxy.Message{Error: fmt.Sprintf("%d lines found no room", m.lost)})
 	}
 }
 
-// tellCommand has one that runs carry out a command.
+// tellCommand sends a command to a faultproxy that runs.
 type tellCommand struct {
 	Socket  string   `arg:"" help:"Where it takes commands."`
 	Command []string `arg:"" help:"Such as '(trigger hang)'; faultproxy forms lists them."`
 }
 
-// Run asks and prints the answer.
+// Run sends the command and prints the answer.
 func (c *tellCommand) Run(s streams) error {
 	answer, err := faultproxy.SendCommand(c.Socket, strings.Join(c.Command, " "))
 	if err != nil {
 		return err
 	}
-	e := json.NewEncoder(s.out)
-	for _, l := range answer {
-		if err := e.Encode(l); err != nil {
+	encoder := json.NewEncoder(s.out)
+	for _, message := range answer {
+		if err := encoder.Encode(message); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
+var errUnreadableScripts = errors.New("not all scripts can be read")
+
 // checkCommand reads scripts.
 type checkCommand struct {
 	Files []string `arg:"" name:"file" help:"Scripts of rules."`
 }
 
-// Run tells what is wrong with each.
+// Run reports what is wrong with each.
 func (c *checkCommand) Run(s streams) error {
-	bad := 0
+	unreadable := 0
 	for _, file := range c.Files {
 		text, err := os.ReadFile(file)
 		var rules []*faultproxy.Rule
@@ -231,14 +258,14 @@
 			rules, err = faultproxy.ParseRules(string(text))
 		}
 		if err != nil {
-			bad++
+			unreadable++
 			fmt.Fprintf(s.errs, "%s: %v\n", file, err)
 			continue
 		}
 		fmt.Fprintf(s.out, "%s: %d rules\n", file, len(rules))
 	}
-	if bad > 0 {
-		return errors.New("not all scripts can be read")
+	if unreadable > 0 {
+		return errUnreadableScripts
 	}
 	return nil
 }
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -15,7 +15,7 @@
 
 func command(args ...string) (code int, out, errs string) {
 	var o, e strings.Builder
-	code = call(args, streams{strings.NewReader(""), &o, &e})
+	code = run(args, streams{strings.NewReader(""), &o, &e})
 	return code, o.String(), e.String()
 }
 
@@ -39,8 +39,8 @@
 	}
 }
 
-// From a socket a person has one that runs cut a connection, and is told of it.
-func TestOneThatRunsTakesCommands(t *testing.T) {
+// A person makes a running proxy cut a connection by its socket, and reads of it.
+func TestRunningProxyTakesCommands(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -57,17 +57,17 @@
 	}()
 	socket := filepath.Join(t.TempDir(), "socket")
 	in, stop := io.Pipe()
-	told, out := io.Pipe()
+	messages, out := io.Pipe()
 	ended := make(chan int, 1)
 	go func() {
-		ended <- call([]string{"--route", "r=127.0.0.1:0," + l.Addr().String(), "--socket", socket, "--commands", "--for", "30s"}, streams{in, out, io.Discard})
+		ended <- run([]string{"--route", "r=127.0.0.1:0," + l.Addr().String(), "--socket", socket, "--commands", "--for", "30s"}, streams{in, out, io.Discard})
 		_ = out.Close()
 	}()
-	d := json.NewDecoder(told)
+	decoder := json.NewDecoder(messages)
 	next := func() faultproxy.Message {
 		t.Helper()
 		var one faultproxy.Message
-		if err := d.Decode(&one); err != nil {
+		if err := decoder.Decode(&one); err != nil {
 			t.Fatal(err)
 		}
 		return one
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/sexp"
 )
 
-// Message is a fault that was done, or an answer, as a line of JSON.
+// Message is an injected fault, or an answer to a command, as a line of JSON.
 type Message struct {
 	At        int64    `json:"at_us"` // microseconds on the script's clock
 	Fault     Kind     `json:"fault,omitempty"`
@@ -34,12 +34,15 @@
 	Error     string   `json:"error,omitempty"`
 }
 
-// Message is what is told of a fault.
-func (d Injection) Message() Message {
-	return Message{At: d.At.Microseconds(), Fault: d.Kind, Rule: d.Rule, Route: d.Route, Conn: d.Conn, Direction: d.Direction.String(), Offset: d.Offset}
+// Message returns the message that reports an injection.
+func (i Injection) Message() Message {
+	return Message{
+		At: i.At.Microseconds(), Fault: i.Kind, Rule: i.Rule, Route: i.Route, Conn: i.Conn,
+		Direction: i.Direction.String(), Offset: i.Offset,
+	}
 }
 
-// Commands lists what Do takes.
+// Commands lists the commands of Do, for people.
 const Commands = `(trigger NAME)      sets a rule off that waits for a command
 (add RULE ...)      adds rules; one of a name that is taken takes the other's place
 (clear [NAME])      ends a rule, or all
@@ -47,74 +50,102 @@
 (status)            tells of routes and rules
 `
 
-// Do carries a command out and returns what it answers. An error says what is wrong
-// with the command, with its column where it can't be read.
+// Do performs a command and returns its answer. An error says what is wrong with the
+// command, with its column where it can't be read.
 func (p *Proxy) Do(command string) ([]Message, error) {
-	n, err := sexp.ParseOne(command)
+	node, err := sexp.ParseOne(command)
 	if err != nil {
 		return nil, err
 	}
-	head, args, err := n.Head()
+	head, args, err := node.Head()
 	if err != nil {
 		return nil, err
 	}
-	done := func() ([]Message, error) {
-		return []Message{{At: p.now().Microseconds(), Done: n.String()}}, nil
-	}
 	switch head {
 	case "trigger":
-		name, err := oneValue(n, args)
-		if err != nil {
-			return nil, err
-		}
-		if err := p.Command(name); err != nil {
-			return nil, args[0].Errorf("%v", err)
-		}
-		return done()
+		err = p.doTrigger(node, args)
 	case "add":
-		var all []*Rule
-		for _, a := range args {
-			r, err := parseRule(a)
-			if err != nil {
-				return nil, err
-			}
-			all = append(all, r)
-		}
-		p.Add(all...)
-		return done()
+		err = p.doAdd(args)
 	case "clear":
-		name := ""
-		if len(args) > 0 {
-			if name, err = oneValue(n, args); err != nil {
-				return nil, err
-			}
-		}
-		p.Clear(name)
-		return done()
+		err = p.doClear(node, args)
 	case "cut":
-		name, err := oneValue(n, args)
+		err = p.doCut(node, args)
+	case "status":
+		return p.doStatus(), nil
+	default:
+		return nil, node.List.Items[0].Errorf("there is no command %q; expected trigger, add, clear, cut or status", head)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return []Message{{At: p.now().Microseconds(), Done: node.String()}}, nil
+}
+
+func (p *Proxy) doTrigger(node *sexp.Node, args []*sexp.Node) error {
+	name, err := oneValue(node, args)
+	if err != nil {
+		return err
+	}
+	if err := p.Command(name); err != nil {
+		return args[0].Errorf("%v", err)
+	}
+	return nil
+}
+
+// doAdd adds all rules, or none if one can't be read.
+func (p *Proxy) doAdd(args []*sexp.Node) error {
+	var rules []*Rule
+	for _, argument := range args {
+		rule, err := parseRule(argument)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		p.Cut(name)
-		return done()
-	case "status":
-		routes, rules := p.Status()
-		var all []Message
-		for _, r := range routes {
-			all = append(all, Message{At: p.now().Microseconds(), Route: r.Name, Listen: r.Listen, Target: r.Target, Conns: r.Conns, Open: r.Open, Up: r.Up, Down: r.Down})
+		rules = append(rules, rule)
+	}
+	p.Add(rules...)
+	return nil
+}
+
+func (p *Proxy) doClear(node *sexp.Node, args []*sexp.Node) error {
+	name := ""
+	if len(args) > 0 {
+		var err error
+		if name, err = oneValue(node, args); err != nil {
+			return err
 		}
-		return append(all, Message{At: p.now().Microseconds(), Rules: rules, Done: "(status)"}), nil
 	}
-	return nil, n.List.Items[0].Errorf("there is no command %q; expected trigger, add, clear, cut or status", head)
+	p.Clear(name)
+	return nil
 }
 
-// ServeCommands carries out commands that come in, one a line, and writes what they answer,
-// until the input ends.
+func (p *Proxy) doCut(node *sexp.Node, args []*sexp.Node) error {
+	name, err := oneValue(node, args)
+	if err != nil {
+		return err
+	}
+	p.Cut(name)
+	return nil
+}
+
+// doStatus returns a message for each route, and a last one with the rules.
+func (p *Proxy) doStatus() []Message {
+	routes, rules := p.Status()
+	var answer []Message
+	for _, route := range routes {
+		answer = append(answer, Message{
+			At: p.now().Microseconds(), Route: route.Name, Listen: route.Listen, Target: route.Target,
+			Conns: route.Conns, Open: route.Open, Up: route.Up, Down: route.Down,
+		})
+	}
+	return append(answer, Message{At: p.now().Microseconds(), Rules: rules, Done: "(status)"})
+}
+
+// ServeCommands performs commands that come in, one a line, and writes their answers as lines
+// of JSON, until the input ends.
 func (p *Proxy) ServeCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, sexp.TextMost)
-	e := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for lines.Scan() {
 		command := strings.TrimSpace(lines.Text())
 		if command == "" || command[0] == ';' {
@@ -124,8 +155,8 @@
 		if err != nil {
 			answer = []Message{{At: p.now().Microseconds(), Error: err.Error()}}
 		}
-		for _, l := range answer {
-			if err := e.Encode(l); err != nil {
+		for _, message := range answer {
+			if err := encoder.Encode(message); err != nil {
 				return err
 			}
 		}
@@ -133,11 +164,12 @@
 	return lines.Err()
 }
 
-// Serve carries out the commands that come in at a socket, until ctx ends.
-func (p *Proxy) Serve(ctx context.Context, l net.Listener) error {
-	defer context.AfterFunc(ctx, func() { l.Close() })()
+// Serve performs the commands that come in at a listener, which it closes when ctx ends. The
+// goroutines of its connections end with ctx or their connections.
+func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
+	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
-		c, err := l.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -145,38 +177,41 @@
 			return err
 		}
 		go func() {
-			defer c.Close()
-			defer context.AfterFunc(ctx, func() { c.Close() })()
-			_ = p.ServeCommands(c, c)
+			defer conn.Close()
+			defer context.AfterFunc(ctx, func() { conn.Close() })()
+			_ = p.ServeCommands(conn, conn) // its reader may have gone
 		}()
 	}
 }
 
-// SendCommand has a proxy that serves at a socket carry a command out, and returns its answer.
-// An answer with an error is an error.
+// commandTimeout bounds the connection to a proxy, and its answer.
+const commandTimeout = 5 * time.Second
+
+// SendCommand sends a command to the proxy that serves at a Unix socket, and returns its
+// answer. An answer with an error is an error.
 func SendCommand(socket, command string) ([]Message, error) {
-	c, err := net.DialTimeout("unix", socket, 5*time.Second)
+	conn, err := net.DialTimeout("unix", socket, commandTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("no faultproxy answers at %s: %w", socket, err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	if _, err := fmt.Fprintln(c, strings.ReplaceAll(command, "\n", " ")); err != nil {
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(commandTimeout))
+	if _, err := fmt.Fprintln(conn, strings.ReplaceAll(command, "\n", " ")); err != nil {
 		return nil, err
 	}
-	c.(*net.UnixConn).CloseWrite()
-	var all []Message
-	d := json.NewDecoder(c)
+	conn.(*net.UnixConn).CloseWrite()
+	var answer []Message
+	decoder := json.NewDecoder(conn)
 	for {
-		var l Message
-		switch err := d.Decode(&l); {
-		case errors.Is(err, io.EOF) && len(all) > 0:
-			return all, nil
+		var message Message
+		switch err := decoder.Decode(&message); {
+		case errors.Is(err, io.EOF) && len(answer) > 0:
+			return answer, nil
 		case err != nil:
 			return nil, fmt.Errorf("the answer breaks off: %w", err)
-		case l.Error != "":
-			return nil, errors.New(l.Error)
+		case message.Error != "":
+			return nil, errors.New(message.Error)
 		}
-		all = append(all, l)
+		answer = append(answer, message)
 	}
 }
--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"encoding/binary"
 	"math"
 	"slices"
 	"time"
@@ -15,108 +14,89 @@
 	Direction Direction
 }
 
-// OpKind is what is to be done next.
+// OpKind is what an operation does.
 type OpKind uint8
 
 // The kinds of operation.
 const (
 	OpWrite     OpKind = iota // Data, in a packet of its own, no earlier than At
-	OpHalfClose               // end this direction, and swallow what still comes
+	OpHalfClose               // end this direction, and discard what still comes
 	OpFIN                     // end the connection
-	OpRST                     // break the connection
+	OpRST                     // reset the connection
 	opLast                    // the reader has ended: nothing follows
 )
 
-// Op is one thing to do, in order. What comes after an end is not done.
+// Op is one operation on a direction. Operations are performed in order, and none after an
+// end.
 type Op struct {
 	Kind OpKind
 	At   time.Duration // on the script's clock
 	Data []byte
 }
 
-// Injection tells that a fault was done.
+// Injection reports that a fault was injected.
 type Injection struct {
 	Rule string
 	Kind Kind
 	Location
-	Offset uint64 // bytes of the direction that had come before
-	At     time.Duration
+	Offset uint64        // bytes that the direction had received before
+	At     time.Duration // on the script's clock
 }
 
-// Flow decides what becomes of the bytes of one direction. One goroutine uses it.
+// Flow decides what becomes of the bytes of one direction. It does no I/O and has no clock;
+// one goroutine at a time may use it. Equal rules, seeds, bytes and times give equal
+// operations.
 type Flow struct {
 	location   Location
 	seed       uint64
 	rules      []*activeRule
 	notify     func(Injection)
-	offset     uint64        // bytes that have come
-	lastAt     time.Duration // At of the last op: bytes never overtake each other
-	rateFreeAt time.Duration // when the line is free, of a bandwidth
+	offset     uint64        // bytes received
+	lastAt     time.Duration // At of the last operation: bytes never overtake each other
+	rateFreeAt time.Duration // when the bandwidth lets the next bytes pass
 	ended      bool
-	sent       bool // something has been sent on
+	sent       bool // something has been forwarded
 
 	scanner     scanner
 	merged      []byte // waits for the next line or frame
 	mergedSince time.Duration
 }
 
-// activeRule is a rule as it stands in a direction.
+// activeRule is a rule with its state in a direction.
 type activeRule struct {
 	*Rule
-	salt      uint64
-	active    bool
-	triggered bool // it has been set off, and is not again
-	until     time.Duration
-	reported  bool   // its fault of bytes has been told
-	seen      uint64 // of its performative
+	salt          uint64 // of its random numbers here
+	active        bool
+	triggered     bool          // at least once; only rules of Chance are again
+	until         time.Duration // zero: without end
+	reported      bool          // since it was triggered
+	performatives uint64        // frames of its performative that have begun
+	garbleLeft    uint64        // bytes that are still to be garbled
 }
 
 const (
-	mergeTimeout  = 40 * time.Millisecond // a line waits this long for the next
-	splitInterval = time.Millisecond      // between packets that must not become one
-	maxPacket     = 16 << 10              // bytes of one op
+	mergeTimeout  = 40 * time.Millisecond // that a line or frame waits for the next
+	splitInterval = time.Millisecond      // between packets that must not be merged by the network
+	maxPacket     = 16 << 10              // bytes of one operation
 )
 
-// hash mixes words into a number that looks random.
-func hash(words ...uint64) uint64 {
-	x := uint64(0x9e3779b97f4a7c15)
-	for _, w := range words {
-		x = (x ^ w) * 0xbf58476d1ce4e5b9
-		x = (x ^ x>>27) * 0x94d049bb133111eb
-		x ^= x >> 31
-	}
-	return x
-}
-
-// uniform is a number from 0 to 1.
-func uniform(words ...uint64) float64 { return float64(hash(words...)>>11) / (1 << 53) }
-
-func hashText(s string) uint64 {
-	x := uint64(14695981039346656037)
-	for i := range len(s) {
-		x = (x ^ uint64(s[i])) * 1099511628211
-	}
-	return x
-}
-
-// matches tells whether a rule is about a connection; first is what its connecting side
-// has said so far.
-func (r *Rule) matches(w Location, seed uint64, first []byte) bool {
+// matches reports whether a rule is about a connection; first is what its connecting side
+// has sent so far.
+func (r *Rule) matches(location Location, seed uint64, first []byte) bool {
 	switch {
-	case len(r.Routes) > 0 && !slices.Contains(r.Routes, w.Route),
-		len(r.Conns) > 0 && !slices.Contains(r.Conns, w.Conn),
-		r.Every > 0 && w.Conn%r.Every != 0,
+	case len(r.Routes) > 0 && !slices.Contains(r.Routes, location.Route),
+		len(r.Conns) > 0 && !slices.Contains(r.Conns, location.Conn),
+		r.Every > 0 && location.Conn%r.Every != 0,
 		r.First != "" && !bytes.HasPrefix(first, []byte(r.First)):
 		return false
 	}
-	return r.Fraction >= 1 || uniform(seed, hashText(r.Name), hashText(w.Route), w.Conn) < r.Fraction
+	return r.Fraction >= 1 || uniform(seed, hashText(r.Name), hashText(location.Route), location.Conn) < r.Fraction
 }
 
-// NewFlow returns the flow of a direction, with the rules that are about it. first is
-// what the connecting side says first; tell is told of each fault that is done, and may
-// be nil.
-func NewFlow(w Location, rules []*Rule, seed uint64, first []byte, tell func(Injection)) *Flow {
-	f := &Flow{location: w, seed: seed, notify: tell}
+// NewFlow returns the flow of a direction, with the rules that are about it. first is what
+// the connecting side sends first; notify is called for each injected fault, and may be nil.
+func NewFlow(location Location, rules []*Rule, seed uint64, first []byte, notify func(Injection)) *Flow {
+	f := &Flow{location: location, seed: seed, notify: notify}
 	for _, r := range rules {
 		f.Add(r, first)
 	}
@@ -124,23 +104,24 @@
 }
 
 // Add adds a rule, if it is about this direction.
-func (f *Flow) Add(r *Rule, first []byte) {
-	if r.Direction != Both && r.Direction != f.location.Direction || !r.matches(f.location, f.seed, first) || r.Faults[0].Kind.ofListener() {
+func (f *Flow) Add(added *Rule, first []byte) {
+	if added.Direction != Both && added.Direction != f.location.Direction || !added.matches(f.location, f.seed, first) || added.Faults[0].Kind.ofListener() {
 		return
 	}
-	l := &activeRule{Rule: r, salt: hash(f.seed, hashText(r.Name), hashText(f.location.Route), f.location.Conn, uint64(f.location.Direction))}
-	f.rules = append(f.rules, l)
-	f.scanner.wantsFrames = f.scanner.wantsFrames || r.Trigger.Kind == AtFrame || r.Trigger.Kind == AtPerformative
+	salt := hash(f.seed, hashText(added.Name), hashText(f.location.Route), f.location.Conn, uint64(f.location.Direction))
+	f.rules = append(f.rules, &activeRule{Rule: added, salt: salt})
+	byFrames := added.Trigger.Kind == AtFrame || added.Trigger.Kind == AtPerformative
+	f.scanner.wantsFrames = f.scanner.wantsFrames || byFrames
 }
 
-// Idle tells whether nothing can happen here unless a rule is added.
+// Idle reports whether the flow has no rules.
 func (f *Flow) Idle() bool { return len(f.rules) == 0 }
 
-// Command sets a rule off that waits for it. It tells whether there is one.
+// Command triggers a rule that waits for it. It reports whether there is one.
 func (f *Flow) Command(name string, now time.Duration) ([]Op, bool) {
-	for _, l := range f.rules {
-		if l.Name == name && l.Trigger.Kind == OnCommand {
-			return f.trigger(l, now, nil), true
+	for _, rule := range f.rules {
+		if rule.Name == name && rule.Trigger.Kind == OnCommand {
+			return f.trigger(rule, now, nil), true
 		}
 	}
 	return nil, false
@@ -148,113 +129,127 @@
 
 // Clear ends a rule, or all of them where no name is given.
 func (f *Flow) Clear(name string) {
-	f.rules = slices.DeleteFunc(f.rules, func(l *activeRule) bool { return name == "" || l.Name == name })
+	f.rules = slices.DeleteFunc(f.rules, func(rule *activeRule) bool { return name == "" || rule.Name == name })
 }
 
-// Next is the next time at which something happens without a byte: Due has to be
-// called then. It returns false where there is none.
+// Next returns the next time at which something happens without a byte, when Due has to be
+// called. It returns false where there is none.
 func (f *Flow) Next(now time.Duration) (time.Duration, bool) {
 	next, found := time.Duration(math.MaxInt64), false
-	soon := func(at time.Duration) {
+	consider := func(at time.Duration) {
 		if at > now {
 			next, found = min(next, at), true
 		}
 	}
-	for _, l := range f.rules {
+	for _, rule := range f.rules {
 		switch {
-		case l.Trigger.Kind == AtTime && !l.triggered:
-			soon(max(l.Trigger.At, now+1))
-		case l.active && l.until > 0:
-			soon(l.until)
+		case rule.Trigger.Kind == AtTime && !rule.triggered:
+			consider(max(rule.Trigger.At, now+1))
+		case rule.active && rule.until > 0:
+			consider(rule.until)
 		}
 	}
 	if len(f.merged) > 0 {
-		soon(max(now+1, f.mergedSince+mergeTimeout))
+		consider(max(now+1, f.mergedSince+mergeTimeout))
 	}
 	return next, found
 }
 
-// Due does what is due by now without a byte.
+// Due returns what is to be done by now without a byte.
 func (f *Flow) Due(now time.Duration) []Op {
-	ops := f.advance(now, nil)
+	operations := f.advance(now, nil)
 	if len(f.merged) > 0 && now >= f.mergedSince+mergeTimeout {
-		ops = f.flush(ops, now)
+		operations = f.flush(operations, now)
 	}
-	return ops
+	return operations
 }
 
-// advance sets off what is due by the clock or from the start, and ends what is over.
-func (f *Flow) advance(now time.Duration, ops []Op) []Op {
-	for _, l := range f.rules {
-		if l.active && l.until > 0 && now >= l.until {
-			l.active = false
+// advance triggers what is due by the clock or from the start, and ends what is over.
+func (f *Flow) advance(now time.Duration, operations []Op) []Op {
+	for _, rule := range f.rules {
+		if rule.active && rule.until > 0 && now >= rule.until {
+			rule.active = false
 		}
-		if !l.triggered && (l.Trigger.Kind == FromStart || l.Trigger.Kind == AtTime && now >= l.Trigger.At) {
-			ops = f.trigger(l, now, ops)
+		if !rule.triggered && (rule.Trigger.Kind == FromStart || rule.Trigger.Kind == AtTime && now >= rule.Trigger.At) {
+			operations = f.trigger(rule, now, operations)
 		}
 	}
-	return ops
+	return operations
 }
 
 // trigger begins a rule here.
-func (f *Flow) trigger(l *activeRule, now time.Duration, ops []Op) []Op {
-	if l.Trigger.Kind == AtTime && l.For > 0 && now >= l.Trigger.At+l.For {
-		l.triggered = true // it was over before this connection came
-		return ops
-	}
-	l.triggered, l.active, l.reported = true, true, false
-	if l.For > 0 {
-		l.until = now + l.For
-		if l.Trigger.Kind == AtTime {
-			l.until = l.Trigger.At + l.For
+func (f *Flow) trigger(rule *activeRule, now time.Duration, operations []Op) []Op {
+	if rule.Trigger.Kind == AtTime && rule.For > 0 && now >= rule.Trigger.At+rule.For {
+		rule.triggered = true // it was over before this connection came
+		return operations
+	}
+	rule.triggered, rule.active, rule.reported = true, true, false
+	if rule.For > 0 {
+		rule.until = now + rule.For
+		if rule.Trigger.Kind == AtTime {
+			rule.until = rule.Trigger.At + rule.For
 		}
 	}
-	for _, fault := range l.Faults {
+	for _, fault := range rule.Faults {
 		switch fault.Kind {
 		case HalfClose, Cut:
-			f.report(l, fault.Kind, now)
-			ops = f.flush(ops, now)
-			kind := OpHalfClose
-			if fault.Kind == Cut {
-				if kind = OpFIN; fault.Mode == "rst" {
-					kind = OpRST
-				}
-			}
-			f.ended = true
-			ops = append(ops, Op{Kind: kind, At: max(now, f.lastAt)})
+			operations = f.end(rule, fault, now, operations)
 		case Garble:
-			f.report(l, fault.Kind, now)
-			l.seen = fault.Count // bytes that are still to be garbled
-			if fault.Mode == "insert" {
-				data := make([]byte, min(fault.Count, maxPacket))
-				for i := range data {
-					data[i] = byte(hash(l.salt, f.offset, uint64(i)))
-				}
-				ops = f.forward(data, now, ops)
-				l.seen = 0
-			}
+			operations = f.startGarbling(rule, fault, now, operations)
 		}
 	}
-	return ops
+	return operations
+}
+
+// end ends the direction, or the connection.
+func (f *Flow) end(rule *activeRule, fault Fault, now time.Duration, operations []Op) []Op {
+	f.report(rule, fault.Kind, now)
+	operations = f.flush(operations, now)
+	kind := OpHalfClose
+	switch {
+	case fault.Kind == Cut && fault.Mode == "rst":
+		kind = OpRST
+	case fault.Kind == Cut:
+		kind = OpFIN
+	}
+	f.ended = true
+	return append(operations, Op{Kind: kind, At: max(now, f.lastAt)})
+}
+
+// startGarbling inserts bytes, or notes how many of those to come are garbled.
+func (f *Flow) startGarbling(rule *activeRule, fault Fault, now time.Duration, operations []Op) []Op {
+	f.report(rule, fault.Kind, now)
+	if fault.Mode != "insert" {
+		rule.garbleLeft = fault.Count
+		return operations
+	}
+	// The inserted bytes are forwarded like any others, ungarbled.
+	rule.garbleLeft = 0
+	data := make([]byte, min(fault.Count, maxPacket))
+	for i := range data {
+		data[i] = byte(hash(rule.salt, f.offset, uint64(i)))
+	}
+	return f.forward(data, now, operations)
 }
 
-func (f *Flow) report(l *activeRule, k Kind, now time.Duration) {
+// report notifies of an injected fault.
+func (f *Flow) report(rule *activeRule, kind Kind, now time.Duration) {
 	if f.notify != nil {
-		f.notify(Injection{Rule: l.Name, Kind: k, Location: f.location, Offset: f.offset, At: now})
+		f.notify(Injection{Rule: rule.Name, Kind: kind, Location: f.location, Offset: f.offset, At: now})
 	}
 }
 
-// Stalled tells whether reads are to stop now, and until when; zero is until a rule is
+// Stalled reports whether reads are to stop now, and until when; zero is until a rule is
 // cleared.
 func (f *Flow) Stalled(now time.Duration) (stalled bool, until time.Duration) {
-	for _, l := range f.rules {
-		if l.active && (l.until == 0 || now < l.until) && slices.ContainsFunc(l.Faults, func(x Fault) bool { return x.Kind == Stall }) {
-			if !l.reported {
-				l.reported = true
-				f.report(l, Stall, now)
+	for _, rule := range f.rules {
+		if rule.active && (rule.until == 0 || now < rule.until) && slices.ContainsFunc(rule.Faults, func(fault Fault) bool { return fault.Kind == Stall }) {
+			if !rule.reported {
+				rule.reported = true
+				f.report(rule, Stall, now)
 			}
-			stalled, until = true, max(until, l.until)
-			if l.until == 0 {
+			stalled, until = true, max(until, rule.until)
+			if rule.until == 0 {
 				return true, 0
 			}
 		}
@@ -262,291 +257,96 @@
 	return stalled, until
 }
 
-// Feed takes bytes that have come and returns what is to be done, in order.
-func (f *Flow) Feed(now time.Duration, b []byte) []Op {
-	ops := f.advance(now, nil)
+// Feed takes received bytes and returns what is to be done, in order. It keeps none of them.
+func (f *Flow) Feed(now time.Duration, data []byte) []Op {
+	operations := f.advance(now, nil)
 	if len(f.scanner.held) > 0 {
-		b = append(f.scanner.held, b...)
+		data = append(f.scanner.held, data...)
 		f.scanner.held = nil
 	}
-	for len(b) > 0 && !f.ended {
-		n, mark, more := f.scanner.next(b, f.limit())
+	for len(data) > 0 && !f.ended {
+		n, place, more := f.scanner.next(data, f.limit())
 		if more {
-			f.scanner.held = slices.Clone(b)
+			f.scanner.held = slices.Clone(data)
 			break
 		}
 		if n > 0 {
-			ops = f.forward(f.transform(b[:n], now), now, ops)
+			operations = f.forward(f.transform(data[:n], now), now, operations)
 			f.offset += uint64(n)
-			b = b[n:]
+			data = data[n:]
 		}
 		if f.ended {
 			break
 		}
-		ops = f.reach(mark, now, ops)
+		operations = f.reach(place, now, operations)
 	}
-	return ops
+	return operations
 }
 
-// End takes the end of what comes: what was held back is let go.
+// End takes the end of the input, and returns what was held back.
 func (f *Flow) End(now time.Duration) []Op {
-	ops := f.flush(nil, now)
+	operations := f.flush(nil, now)
 	if held := f.scanner.held; len(held) > 0 {
 		f.scanner.held = nil
-		ops = f.emit(held, now, ops)
+		operations = f.emit(held, now, operations)
 	}
-	return ops
+	return operations
 }
 
-// limit is how many bytes may pass before the next trigger that counts them.
+// limit returns how many bytes may pass before the next trigger that counts them.
 func (f *Flow) limit() uint64 {
 	limit := uint64(math.MaxUint64)
-	for _, l := range f.rules {
-		if l.Trigger.Kind == AfterBytes && !l.triggered && l.Trigger.Count > f.offset {
-			limit = min(limit, l.Trigger.Count-f.offset)
+	for _, rule := range f.rules {
+		if rule.Trigger.Kind == AfterBytes && !rule.triggered && rule.Trigger.Count > f.offset {
+			limit = min(limit, rule.Trigger.Count-f.offset)
 		}
 	}
 	return limit
 }
 
-// reach sets off what begins at this place.
-func (f *Flow) reach(m mark, now time.Duration, ops []Op) []Op {
-	for _, l := range f.rules {
+// reach triggers the rules that begin at a place.
+func (f *Flow) reach(place mark, now time.Duration, operations []Op) []Op {
+	for _, rule := range f.rules {
 		if f.ended {
 			break
 		}
-		hit := false
-		switch t := l.Trigger; t.Kind {
-		case AfterBytes:
-			hit = !l.triggered && f.offset >= t.Count
-		case AtLine:
-			hit = !l.triggered && m.line && m.linesBefore+1 == t.Count
-		case AtFrame:
-			hit = !l.triggered && m.frame && m.framesBefore+1 == t.Count
-		case AtPerformative:
-			if m.frame && m.code == t.Code && !l.triggered {
-				l.seen++
-				if hit = l.seen == t.Count; hit {
-					l.seen = 0
-				}
-			}
-		case Chance:
-			hit = (m.line || m.frame) && uniform(l.salt, m.linesBefore, m.framesBefore) < t.Probability
-		}
-		if hit {
-			ops = f.trigger(l, now, ops)
-		}
-	}
-	if (m.line || m.frame) && len(f.merged) > 0 && f.mergeComplete(m) {
-		ops = f.flush(ops, now)
-	}
-	return ops
-}
-
-// mergeComplete tells whether two lines or frames wait.
-func (f *Flow) mergeComplete(m mark) bool {
-	return bytes.Count(f.merged, []byte{'\n'}) >= 2 || m.frame && m.framesBefore%2 == 0
-}
-
-// activeFault returns the live fault of a kind, if one is done now.
-func (f *Flow) activeFault(k Kind) (*activeRule, Fault, bool) {
-	for _, l := range f.rules {
-		if !l.active {
-			continue
-		}
-		for _, fault := range l.Faults {
-			if fault.Kind == k {
-				return l, fault, true
-			}
-		}
-	}
-	return nil, Fault{}, false
-}
-
-// transform swallows and garbles.
-func (f *Flow) transform(b []byte, now time.Duration) []byte {
-	if l, _, on := f.activeFault(Swallow); on {
-		f.reportOnce(l, Swallow, now)
-		return nil
-	}
-	l, g, on := f.activeFault(Garble)
-	if !on || l.seen == 0 {
-		return slices.Clone(b)
-	}
-	n := min(uint64(len(b)), l.seen)
-	l.seen -= n
-	out := make([]byte, 0, len(b)+int(n))
-	switch g.Mode {
-	case "flip":
-		for i, c := range b[:n] {
-			out = append(out, c^1<<(hash(l.salt, f.offset+uint64(i))%8))
-		}
-	case "duplicate":
-		out = append(append(out, b[:n]...), b[:n]...)
-	}
-	return append(out, b[n:]...)
-}
-
-// reportOnce tells of a fault of bytes the first time that it does something.
-func (f *Flow) reportOnce(l *activeRule, k Kind, now time.Duration) {
-	if !l.reported {
-		l.reported = true
-		f.report(l, k, now)
-	}
-}
-
-// forward sends bytes on, as late and in such packets as the rules have it.
-func (f *Flow) forward(b []byte, now time.Duration, ops []Op) []Op {
-	if len(b) == 0 {
-		return ops
-	}
-	if l, _, on := f.activeFault(Merge); on {
-		f.reportOnce(l, Merge, now)
-		if len(f.merged) == 0 {
-			f.mergedSince = now
-		}
-		if f.merged = append(f.merged, b...); len(f.merged) < maxPacket {
-			return ops
+		if f.beginsAt(rule, place) {
+			operations = f.trigger(rule, now, operations)
 		}
-		return f.flush(ops, now)
 	}
-	return f.emit(b, now, ops)
-}
-
-// flush lets go of what waits to be merged.
-func (f *Flow) flush(ops []Op, now time.Duration) []Op {
-	b := f.merged
-	f.merged = nil
-	if len(b) == 0 {
-		return ops
+	if (place.line || place.frame) && len(f.merged) > 0 && f.mergeComplete(place) {
+		operations = f.flush(operations, now)
 	}
-	return f.emit(b, now, ops)
+	return operations
 }
 
-func (f *Flow) emit(b []byte, now time.Duration, ops []Op) []Op {
-	at := now
-	if l, _, on := f.activeFault(Pause); on {
-		f.reportOnce(l, Pause, now)
-		at = max(at, l.until)
-	}
-	if l, lat, on := f.activeFault(Latency); on {
-		f.reportOnce(l, Latency, now)
-		at += lat.Delay + jitter(lat, uniform(l.salt, f.offset), uniform(l.salt, f.offset, 1))
-	}
-	size, gap := maxPacket, time.Duration(0)
-	if l, s, on := f.activeFault(Split); on {
-		f.reportOnce(l, Split, now)
-		size, gap = int(min(s.Count, maxPacket)), splitInterval
-	}
-	if l, d, on := f.activeFault(Drip); on {
-		f.reportOnce(l, Drip, now)
-		size, gap = int(min(d.Count, uint64(size))), max(gap, d.Delay)
+// beginsAt reports whether a place triggers a rule.
+func (f *Flow) beginsAt(rule *activeRule, place mark) bool {
+	trigger := rule.Trigger
+	if trigger.Kind == Chance {
+		return (place.line || place.frame) && uniform(rule.salt, place.linesBefore, place.framesBefore) < trigger.Probability
 	}
-	rate := uint64(0)
-	if l, w, on := f.activeFault(Bandwidth); on {
-		f.reportOnce(l, Bandwidth, now)
-		rate = w.Count
-		size = min(size, int(max(1, rate/20))) // a twentieth of a second at a time
+	if rule.triggered {
+		return false
 	}
-	for first := true; len(b) > 0; first = false {
-		n := min(len(b), size)
-		at = max(at, f.lastAt)
-		if gap > 0 && f.sent && (!first || at < f.lastAt+gap) {
-			at = max(at, f.lastAt+gap)
-		}
-		if rate > 0 {
-			at = max(at, f.rateFreeAt)
-			f.rateFreeAt = at + time.Duration(float64(n)/float64(rate)*float64(time.Second))
+	switch trigger.Kind {
+	case AfterBytes:
+		return f.offset >= trigger.Count
+	case AtLine:
+		return place.line && place.linesBefore+1 == trigger.Count
+	case AtFrame:
+		return place.frame && place.framesBefore+1 == trigger.Count
+	case AtPerformative:
+		if !place.frame || place.code != trigger.Code {
+			return false
 		}
-		ops = append(ops, Op{Kind: OpWrite, At: at, Data: b[:n:n]})
-		f.lastAt, f.sent = at, true
-		b = b[n:]
+		rule.performatives++
+		return rule.performatives == trigger.Count
 	}
-	return ops
+	return false
 }
 
-// jitter is a random time of a distribution, from two numbers from 0 to 1. It never
-// makes the latency negative.
-func jitter(l Fault, x, y float64) time.Duration {
-	var j float64
-	switch l.Mode {
-	case "uniform":
-		j = 2*x - 1
-	case "normal":
-		j = math.Sqrt(-2*math.Log(max(x, 1e-12))) * math.Cos(2*math.Pi*y)
-	case "exponential":
-		j = -math.Log(max(x, 1e-12))
-	}
-	return max(-l.Delay, time.Duration(j*float64(l.Jitter)))
-}
-
-// mark is a place in a stream.
-type mark struct {
-	line, frame               bool   // one begins here
-	linesBefore, framesBefore uint64 // that have ended before it
-	code                      byte   // of the frame that begins: its performative's, 0 if not known
-}
-
-// scanner finds where lines begin or, where rules ask for them, AMQP frames (part 2,
-// section 2.3). To know a frame's performative it holds back the frame's first bytes
-// until they are there.
-type scanner struct {
-	wantsFrames bool
-	started     bool
-	linesEnded  uint64
-	framesEnded uint64 // frames that have ended
-	remaining   uint64 // bytes of the frame, or the protocol header, that are still to pass
-	inHeader    bool   // it is a protocol header
-	held        []byte // of a frame's head, all that has come
-}
-
-// next returns how many of the bytes come before the next mark, at the most limit, and
-// that mark. Without a byte and a mark it wants more bytes.
-func (s *scanner) next(b []byte, limit uint64) (n int, m mark, more bool) {
-	most := min(uint64(len(b)), limit)
-	if s.wantsFrames {
-		return s.nextFrame(b, most)
-	}
-	if !s.started {
-		s.started = true
-		return 0, mark{line: true}, false
-	}
-	i := bytes.IndexByte(b[:most], '\n')
-	if i < 0 {
-		return int(most), mark{linesBefore: s.linesEnded}, false
-	}
-	s.linesEnded++
-	return i + 1, mark{line: true, linesBefore: s.linesEnded}, false
-}
-
-// nextFrame passes the rest of a frame, or looks at the head of the next: its size (4
-// bytes), data offset, type and channel, and where the body begins the constructor of
-// its performative.
-func (s *scanner) nextFrame(b []byte, most uint64) (n int, m mark, more bool) {
-	if s.remaining > 0 {
-		n := min(s.remaining, most)
-		if s.remaining -= n; s.remaining == 0 && !s.inHeader {
-			s.framesEnded++
-		}
-		return int(n), mark{framesBefore: s.framesEnded}, false
-	}
-	if s.inHeader = bytes.HasPrefix(b, []byte("AMQP")); s.inHeader {
-		s.remaining = 8
-		return 0, mark{framesBefore: s.framesEnded}, false
-	}
-	if len(b) < 5 {
-		return 0, mark{}, true
-	}
-	size, body := uint64(binary.BigEndian.Uint32(b)), 4*int(b[4])
-	if uint64(body)+3 <= size {
-		if len(b) < body+3 {
-			return 0, mark{}, true
-		}
-		if b[body] == 0 && b[body+1] == 0x53 {
-			m.code = b[body+2]
-		}
-	}
-	s.remaining = max(size, 4)
-	m.frame, m.framesBefore = true, s.framesEnded
-	return 0, m, false
+// mergeComplete reports whether two lines or frames wait.
+func (f *Flow) mergeComplete(place mark) bool {
+	return bytes.Count(f.merged, []byte{'\n'}) >= 2 || place.frame && place.framesBefore%2 == 0
 }
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/golden"
 )
 
-// A fault that was done, and an answer, as a line of JSON with every field set.
+// An injected fault, and an answer, as a line of JSON with every field set.
 func TestMessageJSONIsStable(t *testing.T) {
 	full := Message{At: 1, Fault: Cut, Rule: "r", Route: "a", Conn: 2, Direction: "up", Offset: 3, Listen: "l", Target: "t", Conns: 4, Open: 5,
 		Up: 6, Down: 7, Rules: []string{"r"}, Done: "(status)", Error: "e"}
@@ -23,9 +23,9 @@
 			t.Errorf("the field %s is not set, so its form is not compared", of.Type().Field(i).Tag.Get("json"))
 		}
 	}
-	did := Injection{Location: Location{Route: "a", Conn: 2, Direction: Down}, At: 1500 * time.Microsecond, Kind: Garble, Rule: "r", Offset: 3}
+	injection := Injection{Location: Location{Route: "a", Conn: 2, Direction: Down}, At: 1500 * time.Microsecond, Kind: Garble, Rule: "r", Offset: 3}
 	var b strings.Builder
-	for _, one := range []Message{full, {}, did.Message()} {
+	for _, one := range []Message{full, {}, injection.Message()} {
 		text, err := json.Marshal(one)
 		if err != nil {
 			t.Fatal(err)
@@ -52,7 +52,7 @@
 	})
 }
 
-// The words that scripts are written in, and the forms in which rules are told again.
+// The words that scripts are written in, and the forms in which rules are written.
 func TestScriptVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(Help() + Commands)
--- a/internal/faultproxy/fault_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -30,8 +30,7 @@
 	return all
 }
 
-// describe writes what a flow wants done in a line: a write as its time, its bytes and their
-// packet's end.
+// describe writes operations in a line: a write as its time, its bytes and their packet's end.
 func describe(all []Op) string {
 	var b strings.Builder
 	for _, op := range all {
@@ -72,8 +71,8 @@
 		{`(rule a (conn 2) (swallow)) (rule b (direction down) (swallow)) (rule c (route r2) (swallow)) (rule d (every 2) (swallow)) (rule e (first "X") (swallow))`, []string{"ab"}, "0s:ab|"},
 		{`(rule a (route r1) (conn 1) (first "a") (direction up) (every 1) (swallow))`, []string{"ab"}, ""},
 	} {
-		var did []Injection
-		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, c.script), 1, []byte(c.feeds[0]), func(d Injection) { did = append(did, d) })
+		var injections []Injection
+		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, c.script), 1, []byte(c.feeds[0]), func(d Injection) { injections = append(injections, d) })
 		got, now := "", time.Duration(0)
 		for i, b := range c.feeds {
 			now = time.Duration(i) * 100 * ms
@@ -85,8 +84,8 @@
 		if got != c.want {
 			t.Errorf("%s: got %q, want %q", c.script, got, c.want)
 		}
-		if changed := c.want != "0s:"+strings.Join(c.feeds, "|")+"|"; changed != (len(did) > 0) {
-			t.Errorf("%s: told %+v", c.script, did)
+		if changed := c.want != "0s:"+strings.Join(c.feeds, "|")+"|"; changed != (len(injections) > 0) {
+			t.Errorf("%s: told %+v", c.script, injections)
 		}
 	}
 }
@@ -120,8 +119,8 @@
 	}
 }
 
-// What comes out does not hang on the packets that the bytes came in by; a second run
-// with the same seed does the same, another seed something else.
+// The output does not depend on the packets that the input arrives in; a second run with
+// the same seed does the same, another seed something else.
 func TestFaultsAreDeterministic(t *testing.T) {
 	text := []byte(strings.Repeat("a line of some length\nb\n", 40))
 	script := `(rule flip (chance 20) (garble flip 3)) (rule insert (at-line 7) (garble insert 4)) (rule drop (after-bytes 200) (garble drop 9)) (rule cut (at-line 70) (cut rst))`
@@ -213,7 +212,7 @@
 	}
 }
 
-// environment is a proxy before a server that echoes, or does as a test has it.
+// environment is a proxy before a server that echoes, or does as a test says.
 type environment struct {
 	t          *testing.T
 	proxy      *Proxy
@@ -278,7 +277,7 @@
 	return c
 }
 
-// exchange says something and returns what comes back until the end, and how it ends.
+// exchange sends a text and returns what comes back until the end, and how it ends.
 func exchange(c *net.TCPConn, text string) string {
 	io.WriteString(c, text)
 	c.CloseWrite()
