--- a/internal/simulation/account.go
+++ b/internal/simulation/account.go
@@ -67,85 +67,85 @@
 	Moves    int
 }
 
-type account struct {
-	clients, left, visits, passes, failed, refused, gaveUp, moves, silent, broken, crossed, late, tipped int
-
-	probes, found, alarms int
-	foundIn               time.Duration // of those found, in sum
-
-	good, asked []float64 // by class: worth times seconds
-	inAim       []int
-	stood       []int
-	setUps      []*hdrhistogram.Histogram
-	marks       []Annotation
-
-	seconds  []Second
-	now      Second
-	nowGood  float64
-	nowAsked float64
-	rhos     []float64
-	spread   float64
-	spreads  int
-	perGroup float64
-	ticks    int
-	movesAt  int
+type statistics struct {
+	clients, left, requests, attempts, failedAttempts, rejected, gaveUp, migrations, heartbeatTimeouts, broken, crossZone, lateAfterDrain, overloaded int
+
+	probes, detected, falseAlarms int
+	detectionTime                 time.Duration // of those found, in sum
+
+	served, wanted []float64 // by class: worth times seconds
+	inObjective    []int
+	established    []int
+	setupTimes     []*hdrhistogram.Histogram
+	marks          []Annotation
+
+	seconds           []Second
+	current           Second
+	currentServed     float64
+	currentWanted     float64
+	utilizations      []float64
+	spread            float64
+	spreads           int
+	perGroup          float64
+	ticks             int
+	countedMigrations int
 }
 
-func (a *account) start(s *Sim) {
+func (a *statistics) start(s *Sim) {
 	n := len(s.Classes)
-	a.good, a.asked, a.inAim, a.stood = make([]float64, n), make([]float64, n), make([]int, n), make([]int, n)
+	a.served, a.wanted, a.inObjective, a.established = make([]float64, n), make([]float64, n), make([]int, n), make([]int, n)
 	for range n {
-		a.setUps = append(a.setUps, hdrhistogram.New(1, time.Minute.Microseconds(), 2))
+		a.setupTimes = append(a.setupTimes, hdrhistogram.New(1, time.Minute.Microseconds(), 2))
 	}
 }
 
-// stands counts a client that is up.
-func (a *account) stands(s *Sim, c *client) {
-	took := s.now - c.since
-	a.setUps[c.class].RecordValue(max(1, took.Microseconds()))
-	a.stood[c.class]++
+// countEstablished counts a client that is up.
+func (a *statistics) countEstablished(s *Sim, c *client) {
+	took := s.now - c.requestedAt
+	a.setupTimes[c.class].RecordValue(max(1, took.Microseconds()))
+	a.established[c.class]++
 	if took <= s.Classes[c.class].Aim {
-		a.inAim[c.class]++
+		a.inObjective[c.class]++
 	}
 }
 
-// serves counts what a server does in a tick.
-func (a *account) serves(s *Sim, v *server, rho float64, dt time.Duration) {
-	a.rhos = append(a.rhos, rho)
-	for i, n := range v.upBy {
+// countService counts what a server does in a tick.
+func (a *statistics) countService(s *Sim, v *server, rho float64, dt time.Duration) {
+	a.utilizations = append(a.utilizations, rho)
+	for i, n := range v.establishedByClass {
 		if n > 0 && !v.hung && v.delay <= s.Classes[i].MessageAim {
 			worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
-			a.good[i] += worth
-			a.nowGood += worth
+			a.served[i] += worth
+			a.currentServed += worth
 		}
-		a.now.Up += n
+		a.current.Up += n
 	}
 }
 
 // tick ends a tick of all servers.
-func (a *account) tick(s *Sim, dt time.Duration) {
+func (a *statistics) tick(s *Sim, dt time.Duration) {
 	for i, n := range s.present {
 		worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
-		a.asked[i] += worth
-		a.nowAsked += worth
+		a.wanted[i] += worth
+		a.currentWanted += worth
 	}
-	if len(a.rhos) > 0 {
+	if len(a.utilizations) > 0 {
 		mean := 0.0
-		for _, r := range a.rhos {
+		for _, r := range a.utilizations {
 			mean += r
 		}
-		mean /= float64(len(a.rhos))
+		mean /= float64(len(a.utilizations))
 		square := 0.0
-		for _, r := range a.rhos {
+		for _, r := range a.utilizations {
 			square += (r - mean) * (r - mean)
 		}
-		a.spread += math.Sqrt(square / float64(len(a.rhos)))
+		a.spread += math.Sqrt(square / float64(len(a.utilizations)))
 		a.spreads++
-		a.now.Max, a.now.Min, a.now.Mean = max(a.now.Max, slices.Max(a.rhos)), slices.Min(a.rhos), mean
+		a.current.Max, a.current.Min, a.current.Mean = max(a.current.Max, slices.Max(a.utilizations)), slices.Min(a.utilizations), mean
 	}
-	a.rhos = a.rhos[:0]
+	a.utilizations = a.utilizations[:0]
 	if a.ticks++; a.ticks%int(time.Second/dt) != 0 {
-		a.now.Up = 0
+		a.current.Up = 0
 		return
 	}
 	groups, copies := make(map[uint32]bool), 0
@@ -160,13 +160,13 @@
 			a.perGroup = float64(copies) / float64(len(groups))
 		}
 	}
-	a.now.Service, a.now.Asked = 1, a.nowAsked
-	if a.nowAsked > 0 {
-		a.now.Service = min(1, a.nowGood/a.nowAsked)
+	a.current.Service, a.current.Asked = 1, a.currentWanted
+	if a.currentWanted > 0 {
+		a.current.Service = min(1, a.currentServed/a.currentWanted)
 	}
-	a.now.Moves, a.movesAt = a.moves-a.movesAt, a.moves
-	a.seconds = append(a.seconds, a.now)
-	a.now, a.nowGood, a.nowAsked = Second{}, 0, 0
+	a.current.Moves, a.countedMigrations = a.migrations-a.countedMigrations, a.migrations
+	a.seconds = append(a.seconds, a.current)
+	a.current, a.currentServed, a.currentWanted = Second{}, 0, 0
 }
 
 func ratio(x, y float64) float64 {
@@ -177,23 +177,23 @@
 }
 
 // result adds it all up.
-func (a *account) result(s *Sim, took time.Duration) *Result {
+func (a *statistics) result(s *Sim, took time.Duration) *Result {
 	r := &Result{
-		Clients: a.clients, Visits: a.visits, Passes: a.passes, Failed: a.failed, Refused: a.refused, GaveUp: a.gaveUp, Moves: a.moves, Silent: a.silent,
-		Broken: a.broken, Crossed: a.crossed, Late: a.late, Tipped: a.tipped, Events: s.done, Took: took.Seconds(), GroupsPer: a.perGroup,
-		Seconds: a.seconds, Marks: a.marks, Attempts: ratio(float64(a.passes), float64(a.visits)), Spread: ratio(a.spread, float64(a.spreads)),
+		Clients: a.clients, Visits: a.requests, Passes: a.attempts, Failed: a.failedAttempts, Refused: a.rejected, GaveUp: a.gaveUp, Moves: a.migrations, Silent: a.heartbeatTimeouts,
+		Broken: a.broken, Crossed: a.crossZone, Late: a.lateAfterDrain, Tipped: a.overloaded, Events: s.processed, Took: took.Seconds(), GroupsPer: a.perGroup,
+		Seconds: a.seconds, Marks: a.marks, Attempts: ratio(float64(a.attempts), float64(a.requests)), Spread: ratio(a.spread, float64(a.spreads)),
 	}
-	r.Probes, r.Alarms = a.probes, a.alarms
-	if a.found > 0 {
-		r.FoundIn = a.foundIn.Seconds() / float64(a.found)
+	r.Probes, r.Alarms = a.probes, a.falseAlarms
+	if a.detected > 0 {
+		r.FoundIn = a.detectionTime.Seconds() / float64(a.detected)
 	}
 	good, asked, worst := 0.0, 0.0, 1.0
 	for i, c := range s.Classes {
-		good, asked = good+a.good[i], asked+a.asked[i]
-		service := min(1, ratio(a.good[i], a.asked[i]))
+		good, asked = good+a.served[i], asked+a.wanted[i]
+		service := min(1, ratio(a.served[i], a.wanted[i]))
 		worst = min(worst, service)
-		h := a.setUps[i]
-		r.Classes = append(r.Classes, ClassResult{Name: c.Name, Service: service, InAim: ratio(float64(a.inAim[i]), float64(a.stood[i])),
+		h := a.setupTimes[i]
+		r.Classes = append(r.Classes, ClassResult{Name: c.Name, Service: service, InAim: ratio(float64(a.inObjective[i]), float64(a.established[i])),
 			P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000})
 	}
 	r.Service = min(1, ratio(good, asked))
@@ -207,7 +207,7 @@
 			r.Worst10, r.WorstAt = w, float64(i)
 		}
 	}
-	r.G = 0.6*r.Service + 0.05*r.Worst10 + 0.35*worst - s.MovePrice*ratio(float64(a.moves), float64(max(1, a.clients)))
+	r.G = 0.6*r.Service + 0.05*r.Worst10 + 0.35*worst - s.MovePrice*ratio(float64(a.migrations), float64(max(1, a.clients)))
 	r.Recovery = recovery(a.seconds, a.marks)
 	for _, v := range s.servers {
 		r.Standing += len(v.conns)
--- a/internal/simulation/model_test.go
+++ b/internal/simulation/model_test.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/sexp"
 )
 
-func act(t interface {
+func mustParse(t interface {
 	Helper()
 	Fatal(...any)
 }, text string) []ScriptedAction {
@@ -23,15 +23,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var acts []ScriptedAction
+	var actions []ScriptedAction
 	for _, n := range nodes {
 		a, err := ParseScriptedAction(n)
 		if err != nil {
 			t.Fatal(err)
 		}
-		acts = append(acts, a)
+		actions = append(actions, a)
 	}
-	return acts
+	return actions
 }
 
 func policy(name string) Policy {
@@ -42,19 +42,19 @@
 	return p
 }
 
-// short is a result without its seconds.
-func short(r *Result) string {
+// summary is a result without its seconds.
+func summary(r *Result) string {
 	c := *r
 	c.Seconds = nil
 	return fmt.Sprintf("%+v", c)
 }
 
 // The same seed brings the same day, whatever happens in it; another seed another.
-func TestSeedDecidesAll(t *testing.T) {
-	acts := act(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
+func TestSeedDeterminesResult(t *testing.T) {
+	actions := mustParse(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
 	for _, p := range Policies {
 		run := func(seed uint64) *Result {
-			r := New(ReferenceWorld(), acts, p, seed).Run(nil)
+			r := New(ReferenceWorld(), actions, p, seed).Run(nil)
 			r.Took = 0
 			return r
 		}
@@ -66,16 +66,16 @@
 			t.Errorf("%s: another seed brings the same day", p.Name)
 		}
 		if first.Clients < 80 || first.Service < 0.3 || first.Moves+first.Broken == 0 || len(first.Marks) < 9 {
-			t.Errorf("%s: %s", p.Name, short(first))
+			t.Errorf("%s: %s", p.Name, summary(first))
 		}
 	}
 }
 
-// sound checks that what the world holds fits together.
-func (s *Sim) sound() error {
+// checkConsistency checks that what the world holds fits together.
+func (s *Sim) checkConsistency() error {
 	stand, out := 0, make(map[int]int)
 	for i := range s.clients {
-		if c := &s.clients[i]; c.state == waiting && c.server >= 0 {
+		if c := &s.clients[i]; c.state == stateWaiting && c.server >= 0 {
 			out[int(c.server)]++
 		}
 	}
@@ -83,7 +83,7 @@
 		load, groups, by := 0.0, make(map[uint32]int), make([]int, len(s.Classes))
 		for slot, id := range v.conns {
 			c := &s.clients[id]
-			if c.state != up || int(c.server) != i || int(c.slot) != slot {
+			if c.state != stateEstablished || int(c.server) != i || int(c.slot) != slot {
 				return fmt.Errorf("client %d stands at server %d in state %d, place %d of server %d", id, i, c.state, c.slot, c.server)
 			}
 			load += float64(c.load)
@@ -92,11 +92,11 @@
 			stand++
 		}
 		load += s.GroupCost * float64(len(groups))
-		if d := load - v.load; d > 1e-3 || d < -1e-3 || !reflect.DeepEqual(groups, v.groups) || !reflect.DeepEqual(by, v.upBy) {
+		if d := load - v.load; d > 1e-3 || d < -1e-3 || !reflect.DeepEqual(groups, v.groups) || !reflect.DeepEqual(by, v.establishedByClass) {
 			return fmt.Errorf("server %d has load %v and groups %v, counted %v and %v", i, v.load, v.groups, load, groups)
 		}
-		if out[i] != v.out {
-			return fmt.Errorf("server %d counts %d passes, out are %d", i, v.out, out[i])
+		if out[i] != v.attempts {
+			return fmt.Errorf("server %d counts %d passes, out are %d", i, v.attempts, out[i])
 		}
 		if v.down && len(v.conns) > 0 {
 			return fmt.Errorf("server %d is down and has connections", i)
@@ -105,12 +105,12 @@
 	present, ups := make([]int, len(s.Classes)), 0
 	for i := range s.clients {
 		c := &s.clients[i]
-		if c.state != gone {
+		if c.state != stateGone {
 			present[c.class]++
 		}
-		if c.state == up {
+		if c.state == stateEstablished {
 			ups++
-			if r := s.relays[c.relay]; !r.up || r.of[c.id] != uint32(i) {
+			if r := s.relays[c.relay]; !r.up || r.clients[c.request] != uint32(i) {
 				return fmt.Errorf("client %d stands by relay %d, which does not know it", i, c.relay)
 			}
 		}
@@ -124,7 +124,7 @@
 // Whatever happens to it, the world stays whole: no client is in two places, no load is
 // lost, and nothing goes to a server long after its drain was told to a relay that keeps
 // the rule.
-func TestRandomDaysStayWhole(t *testing.T) {
+func TestRandomScenariosStayConsistent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		w := ReferenceWorld()
 		w.Servers, w.Relays, w.For = rapid.IntRange(1, 20).Draw(rt, "servers"), rapid.IntRange(1, 5).Draw(rt, "relays"), 12*time.Second
@@ -136,7 +136,7 @@
 				"(hang 2 3s)", "(slow 2 0.2 4s)", "(drain 1)", "(restart 2 2s)", "(drop 60)", "(relay-restart 1 2s)", "(surge 5 2s)", "(list-behind 3s 4s)", "(add 2)"}).Draw(rt, "act"))
 		}
 		p := rapid.SampledFrom(Policies).Draw(rt, "policy")
-		s := New(w, act(rt, b.String()), p, rapid.Uint64().Draw(rt, "seed"))
+		s := New(w, mustParse(rt, b.String()), p, rapid.Uint64().Draw(rt, "seed"))
 		for i := 0; len(s.events) > 0; i++ {
 			e := s.events.pop()
 			if e.at < s.now {
@@ -148,15 +148,15 @@
 			s.now = e.at
 			s.step(e)
 			if i%50 == 0 {
-				if err := s.sound(); err != nil {
+				if err := s.checkConsistency(); err != nil {
 					rt.Fatalf("%s: %v", p.Name, err)
 				}
 			}
 		}
-		r := s.account.result(s, 0)
+		r := s.statistics.result(s, 0)
 		for _, part := range []float64{r.Service, r.Worst10, r.Classes[0].Service} {
 			if part < 0 || part > 1 {
-				rt.Fatalf("service of %v: %s", part, short(r))
+				rt.Fatalf("service of %v: %s", part, summary(r))
 			}
 		}
 		if p.Name == "module" && r.Late > 0 {
@@ -168,13 +168,13 @@
 // The figures that the pages tell have to come out of the model: calm days are served,
 // and troubles cost what one would expect.
 func TestModelBehavesAsThePagesSay(t *testing.T) {
-	mean := func(acts, p string, change func(*World)) (service, attempts float64, r *Result) {
+	mean := func(actions, p string, change func(*World)) (service, attempts float64, r *Result) {
 		for seed := range uint64(5) {
 			w := ReferenceWorld()
 			if change != nil {
 				change(&w)
 			}
-			r = New(w, act(t, acts), policy(p), seed).Run(nil)
+			r = New(w, mustParse(t, actions), policy(p), seed).Run(nil)
 			service += r.Service / 5
 			attempts += r.Attempts / 5
 		}
@@ -182,7 +182,7 @@
 	}
 	calm, attempts, r := mean("", "module", func(w *World) { w.Rate, w.Standing = 1.5, 55 })
 	if calm < 0.93 || attempts > 1.2 || r.Tipped > 0 || r.Silent > 0 {
-		t.Errorf("a calm day has %.3f of service with %.2f attempts: %s", calm, attempts, short(r))
+		t.Errorf("a calm day has %.3f of service with %.2f attempts: %s", calm, attempts, summary(r))
 	}
 	hung, _, _ := mean("(at 10s (hang 2 15s))", "module", nil)
 	usual, _, _ := mean("", "module", nil)
@@ -208,15 +208,15 @@
 // that dies within three probes or passes; none that is well, unless probes get lost. A day with all of it
 // stays whole.
 func TestProbedRelaysFindOut(t *testing.T) {
-	day := func(probed bool, loss float64, acts string) *Result {
+	day := func(probed bool, loss float64, actions string) *Result {
 		w := ReferenceWorld()
 		w.Probed, w.ProbeLoss = probed, loss
 		if err := w.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		s := New(w, act(t, acts), policy("module"), 5)
+		s := New(w, mustParse(t, actions), policy("module"), 5)
 		r := s.Run(nil)
-		if err := s.sound(); err != nil {
+		if err := s.checkConsistency(); err != nil {
 			t.Error(err)
 		}
 		return r
@@ -226,9 +226,9 @@
 		t.Errorf("a list that is told finds hung servers in %v s, with %d probes", r.FoundIn, r.Probes)
 	}
 	most := (3*healthcheck.DefaultSettings().Interval + healthcheck.DefaultSettings().Timeout).Seconds()
-	for _, acts := range []string{hangs, dies} {
-		if r := day(true, 0, acts); r.FoundIn <= 0 || r.FoundIn > most {
-			t.Errorf("%s: found in %v s, want within %v", acts, r.FoundIn, most)
+	for _, actions := range []string{hangs, dies} {
+		if r := day(true, 0, actions); r.FoundIn <= 0 || r.FoundIn > most {
+			t.Errorf("%s: found in %v s, want within %v", actions, r.FoundIn, most)
 		}
 	}
 	if r := day(true, 0, ""); r.Alarms != 0 || r.Probes < 13*4*20 {
@@ -246,10 +246,10 @@
 		got := make(map[balancer.EndpointID]int)
 		for i := range n {
 			id := balancer.RequestID(9000 + i)
-			for _, a := range s.relays[0].d.Handle(base, balancer.Request{ID: id, Group: group, TimeLeft: time.Second}) {
+			for _, a := range s.relays[0].decider.Handle(startTime, balancer.Request{ID: id, Group: group, TimeLeft: time.Second}) {
 				if send, ok := a.(balancer.SendAttempt); ok {
 					got[send.Endpoint]++
-					s.relays[0].d.Handle(base, balancer.Established{Request: id, Endpoint: send.Endpoint})
+					s.relays[0].decider.Handle(startTime, balancer.Established{Request: id, Endpoint: send.Endpoint})
 				}
 			}
 		}
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -35,71 +35,77 @@
 		return balancer.New(set, s.rng.Uint64())
 	}},
 	{"module-no-notes", func(s *Sim, r int) Decider {
-		return without{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			_, note := ev.(balancer.EndpointDelay)
 			return ev, !note
 		}}
 	}},
 	{"module-no-routes", func(s *Sim, r int) Decider {
-		return without{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
-			if q, ok := ev.(balancer.Request); ok {
-				q.Group, q.Item = 0, 0
-				return q, true
+		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+			if request, ok := ev.(balancer.Request); ok {
+				request.Group, request.Item = 0, 0
+				return request, true
 			}
 			return ev, true
 		}}
 	}},
-	{"random", plain(func(p *simple, _ *asked, from []*known) *known { return from[p.rng.IntN(len(from))] })},
-	{"round-robin", plain(func(p *simple, _ *asked, from []*known) *known {
+	{"random", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+		return candidates[p.rng.IntN(len(candidates))]
+	})},
+	{"round-robin", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
 		p.turn++
-		for _, k := range from {
-			if int(k.ID) > p.turn%p.most {
-				p.turn = int(k.ID) - 1
-				return k
+		for _, endpoint := range candidates {
+			if int(endpoint.ID) > p.turn%p.highestID {
+				p.turn = int(endpoint.ID) - 1
+				return endpoint
 			}
 		}
-		p.turn = int(from[0].ID) - 1
-		return from[0]
+		p.turn = int(candidates[0].ID) - 1
+		return candidates[0]
 	})},
-	{"least-connections", plain(func(_ *simple, _ *asked, from []*known) *known {
-		return slices.MinFunc(from, func(x, y *known) int { return cmp.Compare(x.conns, y.conns) })
+	{"least-connections", baselinePolicy(func(_ *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+		return slices.MinFunc(candidates, func(x, y *knownEndpoint) int { return cmp.Compare(x.conns, y.conns) })
 	})},
-	{"two-choices", plain(func(p *simple, _ *asked, from []*known) *known {
-		x, y := from[p.rng.IntN(len(from))], from[p.rng.IntN(len(from))]
+	{"two-choices", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+		x, y := candidates[p.rng.IntN(len(candidates))], candidates[p.rng.IntN(len(candidates))]
 		if y.conns < x.conns {
 			return y
 		}
 		return x
 	})},
-	{"bounded-hash", plain(func(_ *simple, q *asked, from []*known) *known {
+	{"bounded-hash", baselinePolicy(func(_ *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
 		total := 1
-		for _, k := range from {
-			total += k.conns
+		for _, endpoint := range candidates {
+			total += endpoint.conns
 		}
-		bound := int(math.Ceil(1.25 * float64(total) / float64(len(from))))
-		ranked := slices.Clone(from)
-		slices.SortFunc(ranked, func(x, y *known) int { return cmp.Compare(rendezvous(q.Group, y.ID), rendezvous(q.Group, x.ID)) })
-		for _, k := range ranked {
-			if k.conns < bound {
-				return k
+		bound := int(math.Ceil(1.25 * float64(total) / float64(len(candidates))))
+		ranked := slices.Clone(candidates)
+		slices.SortFunc(ranked, func(x, y *knownEndpoint) int {
+			return cmp.Compare(rendezvous(request.Group, y.ID), rendezvous(request.Group, x.ID))
+		})
+		for _, endpoint := range ranked {
+			if endpoint.conns < bound {
+				return endpoint
 			}
 		}
 		return ranked[0]
 	})},
-	{"oracle", plain(func(p *simple, q *asked, from []*known) *known {
-		group := uint32(q.Group - 1)
-		return slices.MinFunc(from, func(x, y *known) int { return cmp.Compare(p.truth(x, group), p.truth(y, group)) })
+	{"oracle", baselinePolicy(func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+		group := uint32(request.Group - 1)
+		return slices.MinFunc(candidates, func(x, y *knownEndpoint) int {
+			return cmp.Compare(p.trueUtilization(x, group), p.trueUtilization(y, group))
+		})
 	})},
 }
 
-// without is a decider that does not see all there is.
-type without struct {
+// filter is a decider that does not see all there is.
+type filter struct {
 	Decider
 	see func(balancer.Event) (balancer.Event, bool)
 }
 
 // Handle passes on what the decider sees.
-func (w without) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
+func (w filter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	if ev, ok := w.see(ev); ok {
 		return w.Decider.Handle(now, ev)
 	}
@@ -128,183 +134,183 @@
 	return h.Sum64()
 }
 
-// simple is a policy that keeps no more than the list and its own connections. It tries
+// baseline is a policy that keeps no more than the list and its own connections. It tries
 // again past those that failed, backing off as the module does, and sends the clients of
 // a server that drains away.
-type simple struct {
-	s        *Sim
-	rng      *rand.Rand
-	choose   func(p *simple, q *asked, from []*known) *known
-	servers  map[balancer.EndpointID]*known
-	order    []*known
-	asks     map[balancer.RequestID]*asked
-	timers   map[uint32]balancer.RequestID
-	token    uint32
-	turn     int
-	most     int
-	attempts int
-	out      []balancer.Action
-	from     []*known
+type baseline struct {
+	s          *Sim
+	rng        *rand.Rand
+	choose     func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint
+	servers    map[balancer.EndpointID]*knownEndpoint
+	order      []*knownEndpoint
+	requests   map[balancer.RequestID]*pendingRequest
+	timers     map[uint32]balancer.RequestID
+	token      uint32
+	turn       int
+	highestID  int
+	attempts   int
+	actions    []balancer.Action
+	candidates []*knownEndpoint
 }
 
-type known struct {
+type knownEndpoint struct {
 	balancer.Endpoint
-	conns int
-	of    map[balancer.RequestID]bool
+	conns    int
+	requests map[balancer.RequestID]bool
 }
 
-type asked struct {
+type pendingRequest struct {
 	balancer.Request
-	until time.Duration
-	tries int
-	tried []balancer.EndpointID
-	at    *known
-	up    bool
-	timer uint32
+	deadline    time.Duration
+	attempts    int
+	tried       []balancer.EndpointID
+	endpoint    *knownEndpoint
+	established bool
+	timer       uint32
 }
 
-func plain(choose func(*simple, *asked, []*known) *known) func(*Sim, int) Decider {
+func baselinePolicy(choose func(*baseline, *pendingRequest, []*knownEndpoint) *knownEndpoint) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
-		return &simple{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balancer.EndpointID]*known),
-			asks: make(map[balancer.RequestID]*asked), timers: make(map[uint32]balancer.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
+		return &baseline{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balancer.EndpointID]*knownEndpoint),
+			requests: make(map[balancer.RequestID]*pendingRequest), timers: make(map[uint32]balancer.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
 	}
 }
 
-// truth is how full a server really is, against what it can do: what a new connection
+// trueUtilization is how full a server really is, against what it can do: what a new connection
 // would find, with a group that it has not.
-func (p *simple) truth(k *known, group uint32) float64 {
-	v := p.s.servers[k.ID-1]
+func (p *baseline) trueUtilization(endpoint *knownEndpoint, group uint32) float64 {
+	v := p.s.servers[endpoint.ID-1]
 	if v.down || v.hung || v.draining {
 		return math.Inf(1)
 	}
-	capacity := v.cap * v.factor * p.s.warmth(v)
-	if full := (v.load+1+float64(v.out))/capacity + v.backlog.Seconds(); v.groups[group] > 0 && full < groupTo {
+	capacity := v.capacity * v.speedFactor * p.s.slowStartShare(v)
+	if full := (v.load+1+float64(v.attempts))/capacity + v.backlog.Seconds(); v.groups[group] > 0 && full < oracleGroupLimit {
 		return full - 1 // it need not pay for the group again
 	}
-	return (v.load+1+p.s.GroupCost+float64(v.out))/capacity + v.backlog.Seconds()
+	return (v.load+1+p.s.GroupCost+float64(v.attempts))/capacity + v.backlog.Seconds()
 }
 
-// groupTo is how full the oracle makes a server to keep a group together.
-const groupTo = 0.75
+// oracleGroupLimit is how full the oracle makes a server to keep a group together.
+const oracleGroupLimit = 0.75
 
 // Handle takes an event and returns what to do.
-func (p *simple) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
-	p.out = p.out[:0]
+func (p *baseline) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
+	p.actions = p.actions[:0]
 	switch ev := ev.(type) {
 	case balancer.EndpointList:
-		p.listed(ev)
+		p.updateList(ev)
 	case balancer.Request:
-		q := &asked{Request: ev, until: now + ev.TimeLeft - 4*time.Millisecond}
-		p.asks[ev.ID] = q
-		p.wake(q, ev.TimeLeft-4*time.Millisecond)
-		p.try(now, q)
+		request := &pendingRequest{Request: ev, deadline: now + ev.TimeLeft - 4*time.Millisecond}
+		p.requests[ev.ID] = request
+		p.setTimer(request, ev.TimeLeft-4*time.Millisecond)
+		p.attempt(now, request)
 	case balancer.Established:
-		if q := p.asks[ev.Request]; q != nil && q.at != nil {
-			q.up = true
-			q.at.conns++
-			q.at.of[q.ID] = true
+		if request := p.requests[ev.Request]; request != nil && request.endpoint != nil {
+			request.established = true
+			request.endpoint.conns++
+			request.endpoint.requests[request.ID] = true
 		}
 	case balancer.Outcome:
-		q := p.asks[ev.Request]
-		if q == nil {
+		request := p.requests[ev.Request]
+		if request == nil {
 			break
 		}
-		if q.up {
-			p.drop(q)
+		if request.established {
+			p.remove(request)
 			break
 		}
-		if q.at != nil {
-			q.tried = append(q.tried, q.at.ID)
-			q.at = nil
+		if request.endpoint != nil {
+			request.tried = append(request.tried, request.endpoint.ID)
+			request.endpoint = nil
 		}
-		wait := 100 * time.Millisecond << max(0, q.tries-1)
-		if q.tries >= p.attempts || now+wait >= q.until {
-			p.refuse(q)
+		wait := 100 * time.Millisecond << max(0, request.attempts-1)
+		if request.attempts >= p.attempts || now+wait >= request.deadline {
+			p.reject(request)
 			break
 		}
-		p.wake(q, wait)
+		p.setTimer(request, wait)
 	case balancer.ClientLeft:
-		if q := p.asks[ev.Request]; q != nil {
-			p.drop(q)
+		if request := p.requests[ev.Request]; request != nil {
+			p.remove(request)
 		}
 	case balancer.Timer:
 		id, ok := p.timers[ev.Token]
 		delete(p.timers, ev.Token)
-		q := p.asks[id]
+		request := p.requests[id]
 		switch {
-		case !ok || q == nil || q.up:
-		case now >= q.until:
-			p.refuse(q)
-		case q.at == nil && ev.Token == q.timer:
-			p.try(now, q)
+		case !ok || request == nil || request.established:
+		case now >= request.deadline:
+			p.reject(request)
+		case request.endpoint == nil && ev.Token == request.timer:
+			p.attempt(now, request)
 		}
 	}
-	return p.out
+	return p.actions
 }
 
-func (p *simple) wake(q *asked, after time.Duration) {
+func (p *baseline) setTimer(request *pendingRequest, after time.Duration) {
 	p.token++
-	p.timers[p.token] = q.ID
-	q.timer = p.token
-	p.out = append(p.out, balancer.SetTimer{Token: p.token, After: max(0, after)})
+	p.timers[p.token] = request.ID
+	request.timer = p.token
+	p.actions = append(p.actions, balancer.SetTimer{Token: p.token, After: max(0, after)})
 }
 
-func (p *simple) refuse(q *asked) {
-	p.out = append(p.out, balancer.Reject{Request: q.ID, RetryAfter: 100 * time.Millisecond})
-	p.drop(q)
+func (p *baseline) reject(request *pendingRequest) {
+	p.actions = append(p.actions, balancer.Reject{Request: request.ID, RetryAfter: 100 * time.Millisecond})
+	p.remove(request)
 }
 
-func (p *simple) drop(q *asked) {
-	if q.up {
-		q.at.conns--
-		delete(q.at.of, q.ID)
+func (p *baseline) remove(request *pendingRequest) {
+	if request.established {
+		request.endpoint.conns--
+		delete(request.endpoint.requests, request.ID)
 	}
-	delete(p.asks, q.ID)
+	delete(p.requests, request.ID)
 }
 
-// try sends a request, or lets it wait where there is no server.
-func (p *simple) try(now time.Duration, q *asked) {
-	p.from = p.from[:0]
-	for _, k := range p.order {
-		if k.State == balancer.StateReady && !slices.Contains(q.tried, k.ID) {
-			p.from = append(p.from, k)
+// attempt sends a request, or lets it wait where there is no server.
+func (p *baseline) attempt(now time.Duration, request *pendingRequest) {
+	p.candidates = p.candidates[:0]
+	for _, endpoint := range p.order {
+		if endpoint.State == balancer.StateReady && !slices.Contains(request.tried, endpoint.ID) {
+			p.candidates = append(p.candidates, endpoint)
 		}
 	}
-	if len(p.from) == 0 {
-		p.refuse(q)
+	if len(p.candidates) == 0 {
+		p.reject(request)
 		return
 	}
-	q.at = p.choose(p, q, p.from)
-	q.tries++
-	wait := q.until - now
-	if q.tries < p.attempts {
+	request.endpoint = p.choose(p, request, p.candidates)
+	request.attempts++
+	wait := request.deadline - now
+	if request.attempts < p.attempts {
 		wait /= 2
 	}
-	p.out = append(p.out, balancer.SendAttempt{Request: q.ID, Endpoint: q.at.ID, Timeout: wait})
+	p.actions = append(p.actions, balancer.SendAttempt{Request: request.ID, Endpoint: request.endpoint.ID, Timeout: wait})
 }
 
-func (p *simple) listed(l balancer.EndpointList) {
+func (p *baseline) updateList(l balancer.EndpointList) {
 	for _, line := range l.Endpoints {
-		k := p.servers[line.ID]
-		if k == nil {
-			k = &known{Endpoint: line, of: make(map[balancer.RequestID]bool)}
-			p.servers[line.ID] = k
-			p.order = append(p.order, k)
-			slices.SortFunc(p.order, func(x, y *known) int { return cmp.Compare(x.ID, y.ID) })
+		endpoint := p.servers[line.ID]
+		if endpoint == nil {
+			endpoint = &knownEndpoint{Endpoint: line, requests: make(map[balancer.RequestID]bool)}
+			p.servers[line.ID] = endpoint
+			p.order = append(p.order, endpoint)
+			slices.SortFunc(p.order, func(x, y *knownEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		}
-		k.Endpoint = line
-		p.most = max(p.most, int(line.ID))
+		endpoint.Endpoint = line
+		p.highestID = max(p.highestID, int(line.ID))
 		if line.State != balancer.StateDraining {
 			continue
 		}
-		ids := make([]balancer.RequestID, 0, len(k.of))
-		for id := range k.of {
+		ids := make([]balancer.RequestID, 0, len(endpoint.requests))
+		for id := range endpoint.requests {
 			ids = append(ids, id)
 		}
 		slices.Sort(ids)
 		for _, id := range ids {
-			p.out = append(p.out, balancer.Migrate{Request: id})
-			p.drop(p.asks[id])
+			p.actions = append(p.actions, balancer.Migrate{Request: id})
+			p.remove(p.requests[id])
 		}
 	}
 }
--- a/internal/simulation/right_test.go
+++ b/internal/simulation/right_test.go
@@ -35,12 +35,12 @@
 			s := New(w, nil, policy("random"), seed)
 			r := s.Run(nil)
 			for i := range s.Classes {
-				h := s.account.setUps[i]
+				h := s.statistics.setupTimes[i]
 				wait += h.Mean() / 1e6 * float64(h.TotalCount())
 				n += int(h.TotalCount())
 			}
 			if r.Refused > 0 || r.Failed > 0 {
-				t.Fatalf("rho %v: %s", rho, short(r))
+				t.Fatalf("rho %v: %s", rho, summary(r))
 			}
 		}
 		got := wait/float64(n) - setUp.Seconds()
@@ -59,7 +59,7 @@
 	for _, v := range s.servers {
 		for _, rho := range []float64{0, 0.3, 0.6, 0.9} {
 			want := w.Message.Seconds() / v.speed / (1 - rho)
-			if got := s.message(v, rho).Seconds(); math.Abs(got-want) > 1e-6 {
+			if got := s.messageDelay(v, rho).Seconds(); math.Abs(got-want) > 1e-6 {
 				t.Errorf("at load %v a message takes %v s, by the closed form %v", rho, got, want)
 			}
 		}
@@ -88,27 +88,27 @@
 // Every client that came has left, or is there: visits end once.
 func TestEachVisitEndsOnce(t *testing.T) {
 	for _, p := range Policies {
-		s := New(ReferenceWorld(), act(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
+		s := New(ReferenceWorld(), mustParse(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
 		s.Run(nil)
 		there := 0
 		for i := range s.clients {
-			if s.clients[i].state != gone {
+			if s.clients[i].state != stateGone {
 				there++
 			}
 		}
-		left := s.account.left
-		if s.account.clients != there+left {
-			t.Errorf("%s: %d came, %d are there and %d have left", p.Name, s.account.clients, there, left)
+		left := s.statistics.left
+		if s.statistics.clients != there+left {
+			t.Errorf("%s: %d came, %d are there and %d have left", p.Name, s.statistics.clients, there, left)
 		}
-		if err := s.sound(); err != nil {
+		if err := s.checkConsistency(); err != nil {
 			t.Errorf("%s: %v", p.Name, err)
 		}
 	}
 }
 
 // digest is a hash of all events of a run, in order.
-func digest(w World, acts []ScriptedAction, p Policy, seed uint64) uint64 {
-	s := New(w, acts, p, seed)
+func digest(w World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
+	s := New(w, actions, p, seed)
 	h := fnv.New64a()
 	for len(s.events) > 0 {
 		e := s.events.pop()
@@ -116,7 +116,7 @@
 			break
 		}
 		s.now = e.at
-		fmt.Fprintln(h, e.at, e.kind, e.id, e.gen, e.x)
+		fmt.Fprintln(h, e.at, e.kind, e.subject, e.generation, e.value)
 		s.step(e)
 	}
 	return h.Sum64()
@@ -124,8 +124,8 @@
 
 func TestSameSeedSameDigestOfAllEvents(t *testing.T) {
 	for _, p := range Policies {
-		acts := act(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
-		if x, y := digest(ReferenceWorld(), acts, p, 7), digest(ReferenceWorld(), acts, p, 7); x != y {
+		actions := mustParse(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
+		if x, y := digest(ReferenceWorld(), actions, p, 7), digest(ReferenceWorld(), actions, p, 7); x != y {
 			t.Errorf("%s: %x, and again %x", p.Name, x, y)
 		}
 	}
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -14,60 +14,60 @@
 	Handle(now time.Duration, ev balancer.Event) []balancer.Action
 }
 
-// base is what the clock shows at the start: well above the times that matter, as in
+// startTime is what the clock shows at the start: well above the times that matter, as in
 // the program.
-const base = time.Hour
+const startTime = time.Hour
 
-// warmUp is how long before the start those who stand at it come, one after another.
-const warmUp = 10 * time.Second
+// warmUpTime is how long before the start those who stand at it come, one after another.
+const warmUpTime = 10 * time.Second
 
-const tickEvery = 250 * time.Millisecond // servers' loads and the account of service
+const tickInterval = 250 * time.Millisecond // servers' loads and the account of service
 
 type eventKind uint8
 
 const (
-	evArrive   eventKind = iota // the next new client
-	evOpen                      // a client's word reaches its relay
-	evTimer                     // of a relay: token
-	evAtServer                  // a pass reaches its server
-	evResult                    // a server's answer reaches the relay: status
-	evTimeout                   // a relay waits no longer for a pass
-	evGiveUp                    // a client waits no longer
-	evEnd                       // a client leaves for good
-	evBack                      // a client comes again
-	evSilent                    // a relay gives a silent server up
-	evList                      // a line of the list reaches a relay
-	evProbe                     // a relay looks for probes that are due
-	evProbed                    // the outcome of one reaches it
-	evTick
-	evScene
-	evAway // a server that drains sends clients away
-	evStop // a server that drains, or is killed, stops
-	evStart
-	evWake // a relay starts again
+	eventClientArrives    eventKind = iota // the next new client
+	eventRequestArrives                    // a client's word reaches its relay
+	eventTimer                             // of a relay: token
+	eventAttemptArrives                    // a pass reaches its server
+	eventAttemptResult                     // a server's answer reaches the relay: status
+	eventAttemptTimeout                    // a relay waits no longer for a pass
+	eventDeadline                          // a client waits no longer
+	eventLifetimeEnds                      // a client leaves for good
+	eventClientReturns                     // a client comes again
+	eventHeartbeatTimeout                  // a relay gives a silent server up
+	eventListUpdate                        // a line of the list reaches a relay
+	eventProbesDue                         // a relay looks for probes that are due
+	eventProbeResult                       // the outcome of one reaches it
+	eventTick
+	eventScriptedAction
+	eventMigrateClients // a server that drains sends clients away
+	eventServerStops    // a server that drains, or is killed, stops
+	eventServerRecovers
+	eventRelayStarts // a relay starts again
 )
 
 type event struct {
-	at   time.Duration
-	seq  uint64
-	kind eventKind
-	id   uint32 // of a client, relay or server
-	gen  uint32 // of the client's state that it is about, or a token
-	x    uint32 // a status, a server, an act
+	at         time.Duration
+	sequence   uint64
+	kind       eventKind
+	subject    uint32 // of a client, relay or server
+	generation uint32 // of the client's state that it is about, or a token
+	value      uint32 // a status, a server, an act
 }
 
-// queue is a heap of events, the next on top; events of one time in the order in which
+// eventQueue is a heap of events, the next on top; events of one time in the order in which
 // they were made.
-type queue []event
+type eventQueue []event
 
-func (q queue) less(i, j int) bool {
+func (q eventQueue) less(i, j int) bool {
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].seq < q[j].seq
+	return q[i].sequence < q[j].sequence
 }
 
-func (q *queue) push(e event) {
+func (q *eventQueue) push(e event) {
 	*q = append(*q, e)
 	h := *q
 	for i := len(h) - 1; i > 0; {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	h := *q
 	top := h[0]
 	n := len(h) - 1
@@ -107,91 +107,91 @@
 type clientState uint8
 
 const (
-	gone    clientState = iota // its place is free
-	coming                     // on its way to a relay
-	waiting                    // for its answer
-	up
-	away // it comes again by itself
+	stateGone       clientState = iota // its place is free
+	stateConnecting                    // on its way to a relay
+	stateWaiting                       // for its answer
+	stateEstablished
+	stateAway // it comes again by itself
 )
 
 // client is one client, for as long as it wants service.
 type client struct {
-	state  clientState
-	class  uint8
-	again  bool
-	retry  uint8
-	zone   uint8
-	load   float32 // in mean connections, as it is now
-	usual  float32 // as it is on average
-	group  uint32
-	gen    uint32 // grows with each change of state
-	relay  uint32
-	server int32  // where its pass is out or its connection stands; -1 none
-	out    uint32 // grows with each pass
-	slot   int32  // its place among the server's
-	until  time.Duration
-	since  time.Duration // it asked, for this visit
-	first  time.Duration // it first asked
-	id     balancer.RequestID
-	loses  bool // its server has gone silent under it
+	state        clientState
+	class        uint8
+	returning    bool
+	retries      uint8
+	zone         uint8
+	load         float32 // in mean connections, as it is now
+	meanLoad     float32 // as it is on average
+	group        uint32
+	generation   uint32 // grows with each change of state
+	relay        uint32
+	server       int32  // where its pass is out or its connection stands; -1 none
+	attempt      uint32 // grows with each pass
+	slot         int32  // its place among the server's
+	leavesAt     time.Duration
+	requestedAt  time.Duration // it asked, for this visit
+	arrivedAt    time.Duration // it first asked
+	request      balancer.RequestID
+	serverSilent bool // its server has gone silent under it
 }
 
 // server is an application server as it really is.
 type server struct {
-	zone     int
-	speed    float64 // of a core
-	cap      float64 // mean connections, warm
-	born     time.Duration
-	phase    balancer.EndpointState
-	down     bool
-	hung     bool
-	hungAt   time.Duration
-	factor   float64 // of its speed, while it is slow
-	conns    []uint32
-	groups   map[uint32]int
-	load     float64
-	out      int // passes that are out to it
-	backlog  time.Duration
-	delay    time.Duration   // of a message, as of the last tick
-	free     time.Duration   // when the set-ups that wait are done
-	upBy     []int           // clients that stand, by class
-	sent     []time.Duration // set-ups within the time in which a cold one falls over
-	told     []time.Duration // by relay: when its drain was told; 0 if it was not
-	toldSlow []bool          // by relay: its last delay was over the floor
-	draining bool
-	awayAt   time.Duration   // it has taken nothing since then, if it is down or hung
-	heard    map[uint32]bool // by relays that were told so
+	zone               int
+	speed              float64 // of a core
+	capacity           float64 // mean connections, warm
+	startedAt          time.Duration
+	state              balancer.EndpointState
+	down               bool
+	hung               bool
+	hungAt             time.Duration
+	speedFactor        float64 // of its speed, while it is slow
+	conns              []uint32
+	groups             map[uint32]int
+	load               float64
+	attempts           int // passes that are out to it
+	backlog            time.Duration
+	delay              time.Duration   // of a message, as of the last tick
+	setupsDoneAt       time.Duration   // when the set-ups that wait are done
+	establishedByClass []int           // clients that stand, by class
+	recentSetups       []time.Duration // set-ups within the time in which a cold one falls over
+	drainNotifiedAt    []time.Duration // by relay: when its drain was told; 0 if it was not
+	delayReported      []bool          // by relay: its last delay was over the floor
+	draining           bool
+	unavailableSince   time.Duration   // it has taken nothing since then, if it is down or hung
+	notifiedGone       map[uint32]bool // by relays that were told so
 }
 
 // relay is one relay.
 type relay struct {
-	members *healthcheck.Tracker // nil: the list is told to it
-	zone    int
-	d       Decider
-	up      bool
-	life    uint32
-	of      map[balancer.RequestID]uint32
-	next    balancer.RequestID
+	health      *healthcheck.Tracker // nil: the list is told to it
+	zone        int
+	decider     Decider
+	up          bool
+	incarnation uint32
+	clients     map[balancer.RequestID]uint32
+	lastRequest balancer.RequestID
 }
 
 // Sim is a world under way.
 type Sim struct {
 	World
-	now     time.Duration
-	seq     uint64
-	events  queue
-	rng     *rand.Rand
-	clients []client
-	free    []uint32
-	servers []*server
-	relays  []*relay
-	acts    []ScriptedAction
-	make    func(s *Sim, relay int) Decider
-	late    time.Duration // that the list is behind besides
-	account account
-	present []int // clients that want service, by class
-	groups  []float64
-	done    uint64 // events
+	now          time.Duration
+	lastSequence uint64
+	events       eventQueue
+	rng          *rand.Rand
+	clients      []client
+	freeClients  []uint32
+	servers      []*server
+	relays       []*relay
+	actions      []ScriptedAction
+	newDecider   func(s *Sim, relay int) Decider
+	listDelay    time.Duration // that the list is behind besides
+	statistics   statistics
+	present      []int // clients that want service, by class
+	groupWeights []float64
+	processed    uint64 // events
 
 	loadMean, lifeMean float64 // of the classes' factors, by their shares
 	end                time.Duration
@@ -205,9 +205,9 @@
 
 // New returns a world at its start, with what happens in it. The world has been
 // validated.
-func New(w World, acts []ScriptedAction, p Policy, seed uint64) *Sim {
-	s := &Sim{World: w, now: base - warmUp, rng: rand.New(rand.NewPCG(seed, 1)), acts: acts, make: p.Make, present: make([]int, len(w.Classes)), end: base + w.For}
-	s.account.start(s)
+func New(w World, actions []ScriptedAction, p Policy, seed uint64) *Sim {
+	s := &Sim{World: w, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, present: make([]int, len(w.Classes)), end: startTime + w.For}
+	s.statistics.start(s)
 	for _, c := range w.Classes {
 		s.loadMean += c.Share * (c.Load[0] + c.Load[1]) / 2
 		s.lifeMean += c.Share * (c.Life[0] + c.Life[1]) / 2
@@ -215,19 +215,19 @@
 	total := 0.0
 	for i := range w.Groups {
 		total += math.Pow(float64(i+1), -w.GroupSkew)
-		s.groups = append(s.groups, total)
+		s.groupWeights = append(s.groupWeights, total)
 	}
 	for i := range w.Servers {
-		speed := s.between(w.Speed)
+		speed := s.uniform(w.Speed)
 		if math.Floor(float64(i+1)*w.Slow) > math.Floor(float64(i)*w.Slow) {
-			speed = s.between(w.SlowSpeed)
+			speed = s.uniform(w.SlowSpeed)
 		}
 		s.newServer(speed, 0)
 	}
 	// Slow machines are as many as their share has it, and stand anywhere.
 	s.rng.Shuffle(len(s.servers), func(i, j int) {
 		a, b := s.servers[i], s.servers[j]
-		a.speed, b.speed, a.cap, b.cap = b.speed, a.speed, b.cap, a.cap
+		a.speed, b.speed, a.capacity, b.capacity = b.speed, a.speed, b.capacity, a.capacity
 	})
 	for i := range w.Relays {
 		r := &relay{zone: i % w.Zones}
@@ -235,14 +235,14 @@
 		s.startRelay(uint32(i))
 	}
 	for range w.Standing {
-		s.after(time.Duration(s.rng.Float64()*float64(warmUp)*0.8), event{kind: evArrive, x: 1})
+		s.schedule(time.Duration(s.rng.Float64()*float64(warmUpTime)*0.8), event{kind: eventClientArrives, value: 1})
 	}
 	if w.Rate > 0 {
-		s.push(event{at: base, kind: evArrive})
+		s.push(event{at: startTime, kind: eventClientArrives})
 	}
-	s.push(event{at: base - warmUp + tickEvery, kind: evTick})
-	for i, a := range acts {
-		s.push(event{at: base + a.At, kind: evScene, x: uint32(i)})
+	s.push(event{at: startTime - warmUpTime + tickInterval, kind: eventTick})
+	for i, a := range actions {
+		s.push(event{at: startTime + a.At, kind: eventScriptedAction, value: uint32(i)})
 	}
 	return s
 }
@@ -250,25 +250,25 @@
 // newServer adds a server, of the next zone in turn.
 func (s *Sim) newServer(speed float64, born time.Duration) {
 	s.servers = append(s.servers, &server{
-		zone: len(s.servers) % s.Zones, speed: speed, cap: speed * float64(s.Cores) * s.PerCore, phase: balancer.StateReady, factor: 1, born: born,
-		groups: make(map[uint32]int), upBy: make([]int, len(s.Classes)), told: make([]time.Duration, s.Relays), toldSlow: make([]bool, s.Relays), heard: make(map[uint32]bool),
+		zone: len(s.servers) % s.Zones, speed: speed, capacity: speed * float64(s.Cores) * s.PerCore, state: balancer.StateReady, speedFactor: 1, startedAt: born,
+		groups: make(map[uint32]int), establishedByClass: make([]int, len(s.Classes)), drainNotifiedAt: make([]time.Duration, s.Relays), delayReported: make([]bool, s.Relays), notifiedGone: make(map[uint32]bool),
 	})
 }
 
 func (s *Sim) push(e event) {
-	s.seq++
-	e.seq = s.seq
+	s.lastSequence++
+	e.sequence = s.lastSequence
 	s.events.push(e)
 }
 
-func (s *Sim) after(d time.Duration, e event) {
+func (s *Sim) schedule(d time.Duration, e event) {
 	e.at = s.now + d
 	s.push(e)
 }
 
-func (s *Sim) between(x [2]float64) float64 { return x[0] + (x[1]-x[0])*s.rng.Float64() }
+func (s *Sim) uniform(x [2]float64) float64 { return x[0] + (x[1]-x[0])*s.rng.Float64() }
 
-func (s *Sim) span(x [2]time.Duration) time.Duration {
+func (s *Sim) uniformDuration(x [2]time.Duration) time.Duration {
 	return x[0] + time.Duration(s.rng.Float64()*float64(x[1]-x[0]))
 }
 
@@ -282,73 +282,73 @@
 			break
 		}
 		s.now = e.at
-		s.done++
-		if s.done&0xffff == 0 && progress != nil {
-			progress(float64(s.now-base) / float64(s.For))
+		s.processed++
+		if s.processed&0xffff == 0 && progress != nil {
+			progress(float64(s.now-startTime) / float64(s.For))
 		}
 		s.step(e)
 	}
-	return s.account.result(s, time.Since(began))
+	return s.statistics.result(s, time.Since(began))
 }
 
 func (s *Sim) step(e event) {
 	switch e.kind {
-	case evArrive:
+	case eventClientArrives:
 		s.newClient()
-		if e.x == 0 {
-			s.after(time.Duration(s.rng.ExpFloat64()/s.rate()*float64(time.Second)), event{kind: evArrive})
+		if e.value == 0 {
+			s.schedule(time.Duration(s.rng.ExpFloat64()/s.rate()*float64(time.Second)), event{kind: eventClientArrives})
 		}
-	case evOpen:
-		s.opens(e)
-	case evTimer:
-		if r := s.relays[e.id]; r.up && r.life == e.x {
-			s.tell(e.id, balancer.Timer{Token: e.gen})
+	case eventRequestArrives:
+		s.requestArrives(e)
+	case eventTimer:
+		if r := s.relays[e.subject]; r.up && r.incarnation == e.value {
+			s.handle(e.subject, balancer.Timer{Token: e.generation})
 		}
-	case evAtServer:
-		s.atServer(e)
-	case evResult:
-		s.result(e)
-	case evTimeout:
-		if c := &s.clients[e.id]; c.state == waiting && c.out == e.gen && c.server >= 0 {
-			s.passEnds(e.id, balancer.StatusTimeout)
+	case eventAttemptArrives:
+		s.attemptArrives(e)
+	case eventAttemptResult:
+		s.attemptResult(e)
+	case eventAttemptTimeout:
+		if c := &s.clients[e.subject]; c.state == stateWaiting && c.attempt == e.generation && c.server >= 0 {
+			s.attemptFailed(e.subject, balancer.StatusTimeout)
 		}
-	case evGiveUp:
-		if c := &s.clients[e.id]; c.state == waiting && c.gen == e.gen {
-			s.leavesRelay(e.id)
-			s.account.gaveUp++
-			s.comesAgain(e.id, 0)
+	case eventDeadline:
+		if c := &s.clients[e.subject]; c.state == stateWaiting && c.generation == e.generation {
+			s.abandonRequest(e.subject)
+			s.statistics.gaveUp++
+			s.retry(e.subject, 0)
 		}
-	case evEnd:
-		s.ends(e)
-	case evBack:
-		if c := &s.clients[e.id]; c.state == away && c.gen == e.gen {
-			s.visit(e.id)
+	case eventLifetimeEnds:
+		s.lifetimeEnds(e)
+	case eventClientReturns:
+		if c := &s.clients[e.subject]; c.state == stateAway && c.generation == e.generation {
+			s.connect(e.subject)
 		}
-	case evSilent:
-		if c := &s.clients[e.id]; c.state == up && c.gen == e.gen && c.loses {
-			s.account.silent++
-			s.lost(e.id, balancer.StatusReset, s.span(s.Return))
+	case eventHeartbeatTimeout:
+		if c := &s.clients[e.subject]; c.state == stateEstablished && c.generation == e.generation && c.serverSilent {
+			s.statistics.heartbeatTimeouts++
+			s.breakConnection(e.subject, balancer.StatusReset, s.uniformDuration(s.Return))
 		}
-	case evList:
-		s.listed(e)
-	case evProbe:
-		if r := s.relays[e.id]; r.up && r.life == e.gen {
-			s.probes(e.id)
+	case eventListUpdate:
+		s.listUpdate(e)
+	case eventProbesDue:
+		if r := s.relays[e.subject]; r.up && r.incarnation == e.generation {
+			s.sendProbes(e.subject)
 		}
-	case evProbed:
-		s.probed(e)
-	case evTick:
+	case eventProbeResult:
+		s.probeResult(e)
+	case eventTick:
 		s.tick()
-	case evScene:
-		s.perform(s.acts[e.x])
-	case evAway:
-		s.sendsAway(int(e.x))
-	case evStop:
-		s.stops(int(e.x), e.gen == 1)
-	case evStart:
-		s.starts(int(e.x))
-	case evWake:
-		s.startRelay(e.id)
+	case eventScriptedAction:
+		s.perform(s.actions[e.value])
+	case eventMigrateClients:
+		s.migrateClients(int(e.value))
+	case eventServerStops:
+		s.stopServer(int(e.value), e.generation == 1)
+	case eventServerRecovers:
+		s.recoverServer(int(e.value))
+	case eventRelayStarts:
+		s.startRelay(e.subject)
 	}
 }
 
@@ -357,7 +357,7 @@
 	if s.Swing == 0 {
 		return s.Rate
 	}
-	return s.Rate * (1 + s.Swing*math.Sin(2*math.Pi*float64(s.now-base)/float64(s.Period)))
+	return s.Rate * (1 + s.Swing*math.Sin(2*math.Pi*float64(s.now-startTime)/float64(s.Period)))
 }
 
 // Clients.
@@ -365,8 +365,8 @@
 // newClient has a client come for the first time.
 func (s *Sim) newClient() {
 	var id uint32
-	if n := len(s.free); n > 0 {
-		id, s.free = s.free[n-1], s.free[:n-1]
+	if n := len(s.freeClients); n > 0 {
+		id, s.freeClients = s.freeClients[n-1], s.freeClients[:n-1]
 	} else {
 		id = uint32(len(s.clients))
 		s.clients = append(s.clients, client{})
@@ -382,24 +382,24 @@
 		zone = 0
 	}
 	*c = client{
-		class: uint8(class), zone: uint8(zone), load: float32(s.between(k.Load) / s.loadMean), gen: c.gen + 1, out: c.out, server: -1,
-		group: s.group(), first: s.now,
+		class: uint8(class), zone: uint8(zone), load: float32(s.uniform(k.Load) / s.loadMean), generation: c.generation + 1, attempt: c.attempt, server: -1,
+		group: s.drawGroup(), arrivedAt: s.now,
 	}
-	c.usual = c.load
-	c.until = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.Life)*s.between(k.Life)/s.lifeMean)
+	c.meanLoad = c.load
+	c.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.Life)*s.uniform(k.Life)/s.lifeMean)
 	s.present[class]++
-	s.account.clients++
-	s.push(event{at: c.until, kind: evEnd, id: id, gen: c.gen})
-	s.visit(id)
+	s.statistics.clients++
+	s.push(event{at: c.leavesAt, kind: eventLifetimeEnds, subject: id, generation: c.generation})
+	s.connect(id)
 }
 
-// group draws a group by Zipf's law.
-func (s *Sim) group() uint32 {
-	x := s.rng.Float64() * s.groups[len(s.groups)-1]
-	lo, hi := 0, len(s.groups)-1
+// drawGroup draws a group by Zipf's law.
+func (s *Sim) drawGroup() uint32 {
+	x := s.rng.Float64() * s.groupWeights[len(s.groupWeights)-1]
+	lo, hi := 0, len(s.groupWeights)-1
 	for lo < hi {
 		mid := (lo + hi) / 2
-		if s.groups[mid] < x {
+		if s.groupWeights[mid] < x {
 			lo = mid + 1
 		} else {
 			hi = mid
@@ -408,8 +408,8 @@
 	return uint32(lo)
 }
 
-// pickRelay is the front's choice: any relay of the zone that is up, else any.
-func (s *Sim) pickRelay(zone int) (uint32, bool) {
+// chooseRelay is the front's choice: any relay of the zone that is up, else any.
+func (s *Sim) chooseRelay(zone int) (uint32, bool) {
 	found, n := uint32(0), 0
 	for pass := range 2 {
 		for i, r := range s.relays {
@@ -426,107 +426,107 @@
 	return 0, false
 }
 
-// visit has a client go to a relay.
-func (s *Sim) visit(id uint32) {
+// connect has a client go to a relay.
+func (s *Sim) connect(id uint32) {
 	c := &s.clients[id]
-	r, ok := s.pickRelay(int(c.zone))
-	c.state, c.since = coming, s.now
+	r, ok := s.chooseRelay(int(c.zone))
+	c.state, c.requestedAt = stateConnecting, s.now
 	if !ok { // nobody is there: it tries again
-		s.comesAgain(id, 0)
+		s.retry(id, 0)
 		return
 	}
 	c.relay = r
-	s.after(s.span(s.Client), event{kind: evOpen, id: id, gen: c.gen})
+	s.schedule(s.uniformDuration(s.Client), event{kind: eventRequestArrives, subject: id, generation: c.generation})
 }
 
-// opens hands a client's word to its relay.
-func (s *Sim) opens(e event) {
-	c := &s.clients[e.id]
-	if c.state != coming || c.gen != e.gen {
+// requestArrives hands a client's word to its relay.
+func (s *Sim) requestArrives(e event) {
+	c := &s.clients[e.subject]
+	if c.state != stateConnecting || c.generation != e.generation {
 		return
 	}
 	r := s.relays[c.relay]
 	if !r.up {
-		s.comesAgain(e.id, 0)
+		s.retry(e.subject, 0)
 		return
 	}
 	k := &s.Classes[c.class]
-	c.state, c.server = waiting, -1
-	r.next++
-	c.id = r.next
-	r.of[c.id] = e.id
-	s.account.visits++
-	s.push(event{at: c.since + k.GiveUp, kind: evGiveUp, id: e.id, gen: c.gen})
-	s.tell(c.relay, balancer.Request{ID: c.id, Class: int(c.class), Item: uint64(e.id) + 1, Group: uint64(c.group) + 1, TimeLeft: c.since + k.GiveUp - s.now, Returning: c.again})
+	c.state, c.server = stateWaiting, -1
+	r.lastRequest++
+	c.request = r.lastRequest
+	r.clients[c.request] = e.subject
+	s.statistics.requests++
+	s.push(event{at: c.requestedAt + k.GiveUp, kind: eventDeadline, subject: e.subject, generation: c.generation})
+	s.handle(c.relay, balancer.Request{ID: c.request, Class: int(c.class), Item: uint64(e.subject) + 1, Group: uint64(c.group) + 1, TimeLeft: c.requestedAt + k.GiveUp - s.now, Returning: c.returning})
 }
 
-// comesAgain has a client that got nothing come again after a while, if it still wants
+// retry has a client that got nothing come again after a while, if it still wants
 // to: told when, most keep to it.
-func (s *Sim) comesAgain(id uint32, told time.Duration) {
+func (s *Sim) retry(id uint32, told time.Duration) {
 	c := &s.clients[id]
-	c.gen++
-	s.push(event{at: c.until, kind: evEnd, id: id, gen: c.gen})
-	c.state, c.server = away, -1
-	if c.retry++; int(c.retry) > s.Retries {
-		c.state = away // it has given up, and is counted as wanting service until its end
+	c.generation++
+	s.push(event{at: c.leavesAt, kind: eventLifetimeEnds, subject: id, generation: c.generation})
+	c.state, c.server = stateAway, -1
+	if c.retries++; int(c.retries) > s.Retries {
+		c.state = stateAway // it has given up, and is counted as wanting service until its end
 		return
 	}
-	wait := s.span(s.Backoff) << (c.retry - 1)
+	wait := s.uniformDuration(s.Backoff) << (c.retries - 1)
 	if told > 0 && s.rng.Float64() < s.Honour {
 		wait = max(wait, told)
 	}
-	s.after(wait, event{kind: evBack, id: id, gen: c.gen})
+	s.schedule(wait, event{kind: eventClientReturns, subject: id, generation: c.generation})
 }
 
-// returns has a client that was moved or cut off come again.
-func (s *Sim) returns(id uint32, after time.Duration) {
+// returnAfter has a client that was moved or cut off come again.
+func (s *Sim) returnAfter(id uint32, after time.Duration) {
 	c := &s.clients[id]
-	c.gen++
-	c.state, c.server, c.again, c.retry, c.loses = away, -1, true, 0, false
-	s.push(event{at: c.until, kind: evEnd, id: id, gen: c.gen})
-	s.after(after, event{kind: evBack, id: id, gen: c.gen})
+	c.generation++
+	c.state, c.server, c.returning, c.retries, c.serverSilent = stateAway, -1, true, 0, false
+	s.push(event{at: c.leavesAt, kind: eventLifetimeEnds, subject: id, generation: c.generation})
+	s.schedule(after, event{kind: eventClientReturns, subject: id, generation: c.generation})
 }
 
-// ends has a client leave for good.
-func (s *Sim) ends(e event) {
-	c := &s.clients[e.id]
-	if c.gen != e.gen || c.state == gone {
+// lifetimeEnds has a client leave for good.
+func (s *Sim) lifetimeEnds(e event) {
+	c := &s.clients[e.subject]
+	if c.generation != e.generation || c.state == stateGone {
 		return
 	}
 	switch c.state {
-	case waiting:
-		s.leavesRelay(e.id)
-	case up:
-		s.take(e.id)
-		s.forget(e.id, balancer.Outcome{Request: c.id, Endpoint: s.serverID(c.server), Status: balancer.StatusOK, Final: true})
+	case stateWaiting:
+		s.abandonRequest(e.subject)
+	case stateEstablished:
+		s.detach(e.subject)
+		s.endRequest(e.subject, balancer.Outcome{Request: c.request, Endpoint: s.serverID(c.server), Status: balancer.StatusOK, Final: true})
 	}
 	s.present[c.class]--
-	s.account.left++
-	c.state = gone
-	c.gen++
-	s.free = append(s.free, e.id)
+	s.statistics.left++
+	c.state = stateGone
+	c.generation++
+	s.freeClients = append(s.freeClients, e.subject)
 }
 
-// leavesRelay tells a relay that a client which waits has gone.
-func (s *Sim) leavesRelay(id uint32) {
+// abandonRequest tells a relay that a client which waits has gone.
+func (s *Sim) abandonRequest(id uint32) {
 	c := &s.clients[id]
-	s.voids(c)
+	s.cancelAttempt(c)
 	r := s.relays[c.relay]
-	delete(r.of, c.id)
+	delete(r.clients, c.request)
 	c.server = -1
-	s.tell(c.relay, balancer.ClientLeft{Request: c.id})
+	s.handle(c.relay, balancer.ClientLeft{Request: c.request})
 }
 
-// forget tells a relay of the end of a connection that stood.
-func (s *Sim) forget(id uint32, o balancer.Outcome) {
+// endRequest tells a relay of the end of a connection that stood.
+func (s *Sim) endRequest(id uint32, o balancer.Outcome) {
 	c := &s.clients[id]
 	relay := c.relay
-	delete(s.relays[relay].of, c.id)
-	s.tell(relay, o)
+	delete(s.relays[relay].clients, c.request)
+	s.handle(relay, o)
 }
 
-// take takes a client that stands off its server.
-func (s *Sim) take(id uint32) {
+// detach takes a client that stands off its server.
+func (s *Sim) detach(id uint32) {
 	c := &s.clients[id]
 	v := s.servers[c.server]
 	last := v.conns[len(v.conns)-1]
@@ -534,19 +534,19 @@
 	s.clients[last].slot = c.slot
 	v.conns = v.conns[:len(v.conns)-1]
 	v.load -= float64(c.load)
-	v.upBy[c.class]--
+	v.establishedByClass[c.class]--
 	if v.groups[c.group]--; v.groups[c.group] == 0 {
 		delete(v.groups, c.group)
 		v.load -= s.GroupCost
 	}
 }
 
-// lost ends a connection that stood, other than by its client or a move.
-func (s *Sim) lost(id uint32, how balancer.AttemptStatus, back time.Duration) {
+// breakConnection ends a connection that stood, other than by its client or a move.
+func (s *Sim) breakConnection(id uint32, how balancer.AttemptStatus, back time.Duration) {
 	c := &s.clients[id]
-	s.take(id)
-	s.forget(id, balancer.Outcome{Request: c.id, Endpoint: s.serverID(c.server), Status: how, Final: true})
-	s.returns(id, back)
+	s.detach(id)
+	s.endRequest(id, balancer.Outcome{Request: c.request, Endpoint: s.serverID(c.server), Status: how, Final: true})
+	s.returnAfter(id, back)
 }
 
 // Relays.
@@ -556,113 +556,113 @@
 // startRelay starts a relay from nothing but the list.
 func (s *Sim) startRelay(id uint32) {
 	r := s.relays[id]
-	r.up, r.of = true, make(map[balancer.RequestID]uint32)
-	r.life++
-	old, _ := r.d.(*balancer.Balancer)
-	r.d = s.make(s, int(id))
+	r.up, r.clients = true, make(map[balancer.RequestID]uint32)
+	r.incarnation++
+	old, _ := r.decider.(*balancer.Balancer)
+	r.decider = s.newDecider(s, int(id))
 	list := make([]balancer.Endpoint, len(s.servers))
 	for i := range s.servers {
-		if list[i] = s.line(i); s.Probed {
+		if list[i] = s.endpoint(i); s.Probed {
 			list[i].State = balancer.StateReady // as its file has it
 		}
 	}
-	s.tell(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
+	s.handle(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
 	if s.Probed {
-		s.joins(id)
+		s.startHealthChecks(id)
 	}
-	if fresh, ok := r.d.(*balancer.Balancer); ok && old != nil && s.Warm {
+	if fresh, ok := r.decider.(*balancer.Balancer); ok && old != nil && s.Warm {
 		fresh.Restore(s.now, old.Snapshot())
 	}
 }
 
-// line is a server's line of the list.
-func (s *Sim) line(i int) balancer.Endpoint {
+// endpoint is a server's line of the list.
+func (s *Sim) endpoint(i int) balancer.Endpoint {
 	v := s.servers[i]
-	return balancer.Endpoint{ID: s.serverID(int32(i)), State: v.phase, Zone: v.zone, Weight: 1, StartedAt: v.born}
+	return balancer.Endpoint{ID: s.serverID(int32(i)), State: v.state, Zone: v.zone, Weight: 1, StartedAt: v.startedAt}
 }
 
-// tell has a relay take an event, and does what it wants done.
-func (s *Sim) tell(id uint32, ev balancer.Event) {
+// handle has a relay take an event, and does what it wants done.
+func (s *Sim) handle(id uint32, ev balancer.Event) {
 	r := s.relays[id]
 	if !r.up {
 		return
 	}
-	for _, a := range r.d.Handle(s.now, ev) {
+	for _, a := range r.decider.Handle(s.now, ev) {
 		switch a := a.(type) {
 		case balancer.SetTimer:
-			s.after(a.After, event{kind: evTimer, id: id, gen: a.Token, x: r.life})
+			s.schedule(a.After, event{kind: eventTimer, subject: id, generation: a.Token, value: r.incarnation})
 		case balancer.SendAttempt:
-			if c, ok := r.of[a.Request]; ok {
-				s.sends(id, c, int32(a.Endpoint)-1, a.Timeout)
+			if c, ok := r.clients[a.Request]; ok {
+				s.sendAttempt(id, c, int32(a.Endpoint)-1, a.Timeout)
 			}
 		case balancer.Reject:
-			if c, ok := r.of[a.Request]; ok {
-				s.refused(c, a.RetryAfter)
+			if c, ok := r.clients[a.Request]; ok {
+				s.rejected(c, a.RetryAfter)
 			}
 		case balancer.Fail:
-			if c, ok := r.of[a.Request]; ok {
-				s.refused(c, 0)
+			if c, ok := r.clients[a.Request]; ok {
+				s.rejected(c, 0)
 			}
 		case balancer.Migrate:
-			if c, ok := r.of[a.Request]; ok && s.clients[c].state == up {
-				delete(r.of, a.Request)
-				s.take(c)
-				s.account.moves++
-				s.returns(c, s.span(s.Return))
+			if c, ok := r.clients[a.Request]; ok && s.clients[c].state == stateEstablished {
+				delete(r.clients, a.Request)
+				s.detach(c)
+				s.statistics.migrations++
+				s.returnAfter(c, s.uniformDuration(s.Return))
 			}
 		}
 	}
 }
 
-func (s *Sim) refused(id uint32, told time.Duration) {
+func (s *Sim) rejected(id uint32, told time.Duration) {
 	c := &s.clients[id]
-	if c.state != waiting {
+	if c.state != stateWaiting {
 		return
 	}
-	delete(s.relays[c.relay].of, c.id)
-	s.voids(c)
-	s.account.refused++
-	s.comesAgain(id, told)
+	delete(s.relays[c.relay].clients, c.request)
+	s.cancelAttempt(c)
+	s.statistics.rejected++
+	s.retry(id, told)
 }
 
-// hop is a way between a relay and a server.
-func (s *Sim) hop(relay uint32, server int32) time.Duration {
+// networkDelay is a way between a relay and a server.
+func (s *Sim) networkDelay(relay uint32, server int32) time.Duration {
 	if s.relays[relay].zone == s.servers[server].zone {
-		return s.span(s.Same)
+		return s.uniformDuration(s.Same)
 	}
-	return s.span(s.Cross)
+	return s.uniformDuration(s.Cross)
 }
 
-// sends carries a pass out.
-func (s *Sim) sends(relay, id uint32, server int32, wait time.Duration) {
+// sendAttempt carries a pass out.
+func (s *Sim) sendAttempt(relay, id uint32, server int32, wait time.Duration) {
 	c := &s.clients[id]
 	v := s.servers[server]
 	c.server = server
-	c.out++
-	v.out++
-	s.account.passes++
-	if at := v.told[relay]; at > 0 && s.now > at+500*time.Millisecond && v.phase != balancer.StateReady {
-		s.account.late++
+	c.attempt++
+	v.attempts++
+	s.statistics.attempts++
+	if at := v.drainNotifiedAt[relay]; at > 0 && s.now > at+500*time.Millisecond && v.state != balancer.StateReady {
+		s.statistics.lateAfterDrain++
 	}
-	way := s.hop(relay, server)
+	way := s.networkDelay(relay, server)
 	if s.relays[relay].zone != v.zone {
-		s.account.crossed++
+		s.statistics.crossZone++
 	}
 	if wait > 0 {
-		s.after(wait, event{kind: evTimeout, id: id, gen: c.out})
+		s.schedule(wait, event{kind: eventAttemptTimeout, subject: id, generation: c.attempt})
 	}
-	s.after(way, event{kind: evAtServer, id: id, gen: c.out, x: uint32(way)})
+	s.schedule(way, event{kind: eventAttemptArrives, subject: id, generation: c.attempt, value: uint32(way)})
 }
 
-// atServer is a pass that reaches its server.
-func (s *Sim) atServer(e event) {
-	c := &s.clients[e.id]
-	if c.state != waiting || c.out != e.gen || c.server < 0 {
+// attemptArrives is a pass that reaches its server.
+func (s *Sim) attemptArrives(e event) {
+	c := &s.clients[e.subject]
+	if c.state != stateWaiting || c.attempt != e.generation || c.server < 0 {
 		return
 	}
 	v := s.servers[c.server]
 	answer := func(how balancer.AttemptStatus, after time.Duration) {
-		s.after(after+time.Duration(e.x), event{kind: evResult, id: e.id, gen: c.out, x: uint32(how)})
+		s.schedule(after+time.Duration(e.value), event{kind: eventAttemptResult, subject: e.subject, generation: c.attempt, value: uint32(how)})
 	}
 	switch {
 	case v.down:
@@ -671,134 +671,134 @@
 	case v.hung:
 		return // it takes it and says nothing
 	}
-	s.tips(v)
+	s.checkOverload(v)
 	if v.down {
 		answer(balancer.StatusReset, 0)
 		return
 	}
-	capacity := v.cap * v.factor * s.warmth(v)
-	work := time.Duration(float64(s.SetUp) / (v.speed * v.factor * float64(s.Cores) * s.warmth(v)))
-	queued := max(0, v.free-s.now)
+	capacity := v.capacity * v.speedFactor * s.slowStartShare(v)
+	work := time.Duration(float64(s.SetUp) / (v.speed * v.speedFactor * float64(s.Cores) * s.slowStartShare(v)))
+	queued := max(0, v.setupsDoneAt-s.now)
 	if v.draining || float64(len(v.conns)) >= s.ConnsMost*capacity || queued > time.Duration(s.Queue)*work {
 		answer(balancer.StatusFull, 0)
 		return
 	}
-	v.free = max(v.free, s.now) + work
-	answer(balancer.StatusOK, v.free-s.now+v.backlog)
+	v.setupsDoneAt = max(v.setupsDoneAt, s.now) + work
+	answer(balancer.StatusOK, v.setupsDoneAt-s.now+v.backlog)
 }
 
-// tips has a cold server fall over that is sent too much.
-func (s *Sim) tips(v *server) {
-	if s.warmth(v) >= 1 {
-		v.sent = v.sent[:0]
+// checkOverload has a cold server fall over that is sent too much.
+func (s *Sim) checkOverload(v *server) {
+	if s.slowStartShare(v) >= 1 {
+		v.recentSetups = v.recentSetups[:0]
 		return
 	}
 	from := 0
-	for from < len(v.sent) && v.sent[from] <= s.now-s.TipAfter {
+	for from < len(v.recentSetups) && v.recentSetups[from] <= s.now-s.TipAfter {
 		from++
 	}
-	v.sent = append(v.sent[from:], s.now)
-	bears := v.cap * s.warmth(v) / s.Life.Seconds() * s.TipAfter.Seconds()
-	if float64(len(v.sent)) > max(2, s.Tip*bears) {
-		s.account.tipped++
+	v.recentSetups = append(v.recentSetups[from:], s.now)
+	bears := v.capacity * s.slowStartShare(v) / s.Life.Seconds() * s.TipAfter.Seconds()
+	if float64(len(v.recentSetups)) > max(2, s.Tip*bears) {
+		s.statistics.overloaded++
 		for i, one := range s.servers {
 			if one == v {
-				s.stops(i, true)
-				s.after(s.DownFor, event{kind: evStart, x: uint32(i)})
+				s.stopServer(i, true)
+				s.schedule(s.DownFor, event{kind: eventServerRecovers, value: uint32(i)})
 			}
 		}
 	}
 }
 
-func (s *Sim) warmth(v *server) float64 {
-	if v.born == 0 || s.now >= v.born+s.ColdFor {
+func (s *Sim) slowStartShare(v *server) float64 {
+	if v.startedAt == 0 || s.now >= v.startedAt+s.ColdFor {
 		return 1
 	}
-	return s.ColdShare + (1-s.ColdShare)*float64(s.now-v.born)/float64(s.ColdFor)
+	return s.ColdShare + (1-s.ColdShare)*float64(s.now-v.startedAt)/float64(s.ColdFor)
 }
 
-// result is a server's answer that reaches the relay.
-func (s *Sim) result(e event) {
-	c := &s.clients[e.id]
-	if c.state != waiting || c.out != e.gen || c.server < 0 {
+// attemptResult is a server's answer that reaches the relay.
+func (s *Sim) attemptResult(e event) {
+	c := &s.clients[e.subject]
+	if c.state != stateWaiting || c.attempt != e.generation || c.server < 0 {
 		return
 	}
-	if how := balancer.AttemptStatus(e.x); how != balancer.StatusOK {
-		s.passEnds(e.id, how)
+	if how := balancer.AttemptStatus(e.value); how != balancer.StatusOK {
+		s.attemptFailed(e.subject, how)
 		return
 	}
 	v := s.servers[c.server]
 	if v.down {
-		s.passEnds(e.id, balancer.StatusReset)
+		s.attemptFailed(e.subject, balancer.StatusReset)
 		return
 	}
-	s.passed(c.relay, c.server, balancer.StatusOK)
-	if c.state != waiting || c.out != e.gen || c.server < 0 {
+	s.recordAttempt(c.relay, c.server, balancer.StatusOK)
+	if c.state != stateWaiting || c.attempt != e.generation || c.server < 0 {
 		return // what it says of the server has had the module decide otherwise
 	}
-	v.out--
-	c.state, c.retry = up, 0
-	c.gen++
-	s.push(event{at: c.until, kind: evEnd, id: e.id, gen: c.gen})
+	v.attempts--
+	c.state, c.retries = stateEstablished, 0
+	c.generation++
+	s.push(event{at: c.leavesAt, kind: eventLifetimeEnds, subject: e.subject, generation: c.generation})
 	c.slot = int32(len(v.conns))
-	v.conns = append(v.conns, e.id)
+	v.conns = append(v.conns, e.subject)
 	v.load += float64(c.load)
-	v.upBy[c.class]++
+	v.establishedByClass[c.class]++
 	if v.groups[c.group]++; v.groups[c.group] == 1 {
 		v.load += s.GroupCost
 	}
-	s.account.stands(s, c)
+	s.statistics.countEstablished(s, c)
 	if v.hung {
-		s.silences(e.id)
+		s.scheduleHeartbeatTimeout(e.subject)
 	}
-	relay, id := c.relay, c.id
-	s.tell(relay, balancer.Established{Request: id, Endpoint: s.serverID(c.server), SetupTime: s.now - c.since})
-	if c := &s.clients[e.id]; c.state == up && c.id == id && c.relay == relay {
-		s.tell(relay, balancer.ConnectionLoad{Request: id, Endpoint: s.serverID(c.server), Load: float64(c.load) / s.PerCore})
+	relay, id := c.relay, c.request
+	s.handle(relay, balancer.Established{Request: id, Endpoint: s.serverID(c.server), SetupTime: s.now - c.requestedAt})
+	if c := &s.clients[e.subject]; c.state == stateEstablished && c.request == id && c.relay == relay {
+		s.handle(relay, balancer.ConnectionLoad{Request: id, Endpoint: s.serverID(c.server), Load: float64(c.load) / s.PerCore})
 	}
 }
 
-// passEnds tells a relay of the end of a pass that is out.
-func (s *Sim) passEnds(id uint32, how balancer.AttemptStatus) {
+// attemptFailed tells a relay of the end of a pass that is out.
+func (s *Sim) attemptFailed(id uint32, how balancer.AttemptStatus) {
 	c := &s.clients[id]
-	server, of := c.server, c.id
-	s.voids(c)
-	s.account.failed++
-	if s.passed(c.relay, server, how); c.state != waiting || c.id != of || c.server >= 0 {
+	server, of := c.server, c.request
+	s.cancelAttempt(c)
+	s.statistics.failedAttempts++
+	if s.recordAttempt(c.relay, server, how); c.state != stateWaiting || c.request != of || c.server >= 0 {
 		return // what it says of the server has had the module decide otherwise
 	}
-	s.tell(c.relay, balancer.Outcome{Request: c.id, Endpoint: s.serverID(server), Status: how})
+	s.handle(c.relay, balancer.Outcome{Request: c.request, Endpoint: s.serverID(server), Status: how})
 }
 
-// voids ends the pass of a client that waits, if one is out.
-func (s *Sim) voids(c *client) {
+// cancelAttempt ends the pass of a client that waits, if one is out.
+func (s *Sim) cancelAttempt(c *client) {
 	if c.server >= 0 {
-		s.servers[c.server].out--
+		s.servers[c.server].attempts--
 	}
 	c.server = -1
-	c.out++
+	c.attempt++
 }
 
-// silences has a relay give a client's server up in its time.
-func (s *Sim) silences(id uint32) {
+// scheduleHeartbeatTimeout has a relay give a client's server up in its time.
+func (s *Sim) scheduleHeartbeatTimeout(id uint32) {
 	c := &s.clients[id]
-	c.loses = true
-	s.after(time.Duration(s.rng.Float64()*float64(s.Beat))+s.Silence, event{kind: evSilent, id: id, gen: c.gen})
+	c.serverSilent = true
+	s.schedule(time.Duration(s.rng.Float64()*float64(s.Beat))+s.Silence, event{kind: eventHeartbeatTimeout, subject: id, generation: c.generation})
 }
 
-// listed is a line of the list that reaches a relay.
-func (s *Sim) listed(e event) {
-	line := s.line(int(e.x))
-	v := s.servers[e.x]
+// listUpdate is a line of the list that reaches a relay.
+func (s *Sim) listUpdate(e event) {
+	line := s.endpoint(int(e.value))
+	v := s.servers[e.value]
 	if line.State == balancer.StateGone {
-		s.heard(e.id, int(e.x), line.State)
+		s.countDetection(e.subject, int(e.value), line.State)
 	}
-	if line.State != balancer.StateReady && v.told[e.id] == 0 {
-		v.told[e.id] = s.now
+	if line.State != balancer.StateReady && v.drainNotifiedAt[e.subject] == 0 {
+		v.drainNotifiedAt[e.subject] = s.now
 	} else if line.State == balancer.StateReady {
-		v.told[e.id] = 0
+		v.drainNotifiedAt[e.subject] = 0
 	}
-	s.tell(e.id, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{line}})
+	s.handle(e.subject, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{line}})
 }
 
 // publish has the list tell all relays of a server, each in its time.
@@ -807,6 +807,6 @@
 		return
 	}
 	for r := range s.relays {
-		s.after(s.span(s.Notice)+s.late, event{kind: evList, id: uint32(r), x: uint32(i)})
+		s.schedule(s.uniformDuration(s.Notice)+s.listDelay, event{kind: eventListUpdate, subject: uint32(r), value: uint32(i)})
 	}
 }
