--- /dev/null
+++ b/internal/simulation/actions.go
@@ -0,0 +1,216 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"lockroad/balancer"
+	"lockroad/internal/sexp"
+)
+
+// maxServers bounds the servers of an action.
+const maxServers = 5000
+
+// ScriptedAction is an action of a script on a world.
+type ScriptedAction struct {
+	At     time.Duration
+	Kind   string // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
+	Count  int    // of servers, or relays, that it happens to; they are drawn
+	Part   float64
+	For    time.Duration
+	Factor float64
+}
+
+// String writes the action as ParseScriptedAction reads it.
+func (a ScriptedAction) String() string {
+	switch a.Kind {
+	case "hang":
+		return fmt.Sprintf("(at %v (hang %d %v))", a.At, a.Count, a.For)
+	case "slow":
+		return fmt.Sprintf("(at %v (slow %d %v %v))", a.At, a.Count, a.Factor, a.For)
+	case "drain", "add":
+		return fmt.Sprintf("(at %v (%s %d))", a.At, a.Kind, a.Count)
+	case "restart", "relay-restart":
+		return fmt.Sprintf("(at %v (%s %d %v))", a.At, a.Kind, a.Count, a.For)
+	case "drop":
+		return fmt.Sprintf("(at %v (drop %v))", a.At, 100*a.Part)
+	case "list-behind":
+		return fmt.Sprintf("(at %v (list-behind %v %v))", a.At, time.Duration(a.Factor), a.For)
+	case "surge":
+		return fmt.Sprintf("(at %v (surge %v %v))", a.At, a.Factor, a.For)
+	}
+	return a.Kind
+}
+
+// actionForms are the arguments of actions: a number of servers or relays (N), a factor (X), a
+// percentage (P), a time as the factor (D), and how long it lasts (T).
+var actionForms = map[string]string{
+	"hang": "N T", "slow": "N X T", "drain": "N", "restart": "N T", "drop": "P", "list-behind": "D T", "relay-restart": "N T", "surge": "X T", "add": "N",
+}
+
+// ParseScriptedAction reads (at TIME (ACT ...)): of the servers that are drawn, hang N TIME, slow N
+// FACTOR TIME, drain N, restart N TIME, add N; relay-restart N TIME; of the clients, drop
+// PERCENT, surge FACTOR TIME; and list-behind BY TIME. Errors name line and column.
+func ParseScriptedAction(node *sexp.Node) (action ScriptedAction, err error) {
+	head, args, err := node.Head()
+	if err != nil {
+		return action, err
+	}
+	if head != "at" || len(args) != 2 {
+		return action, node.Errorf("expected (at TIME (ACT ...))")
+	}
+	if action.At, err = args[0].Duration(); err != nil {
+		return action, err
+	}
+	node = args[1]
+	if action.Kind, args, err = node.Head(); err != nil {
+		return action, err
+	}
+	form, ok := actionForms[action.Kind]
+	if !ok {
+		return action, node.Errorf("there is no act %q; expected hang, slow, drain, restart, add, relay-restart, drop, surge or list-behind", action.Kind)
+	}
+	kinds := slices.DeleteFunc([]byte(form), func(c byte) bool { return c == ' ' })
+	if len(args) != len(kinds) {
+		return action, node.Errorf("%s wants %d values (%s), and has %d", action.Kind, len(kinds), form, len(args))
+	}
+	for i, kind := range kinds {
+		if err := action.setArgument(kind, args[i]); err != nil {
+			return action, err
+		}
+	}
+	return action, nil
+}
+
+// setArgument sets what an argument of a form says.
+func (a *ScriptedAction) setArgument(kind byte, node *sexp.Node) (err error) {
+	switch kind {
+	case 'N':
+		var count uint64
+		if count, err = node.Whole(); err == nil && (count == 0 || count > maxServers) {
+			err = node.Errorf("%d is not within 1 and 5000", count)
+		}
+		a.Count = int(count)
+	case 'T':
+		a.For, err = node.Duration()
+	case 'D':
+		var delay time.Duration
+		delay, err = node.Duration()
+		a.Factor = float64(delay)
+	case 'X':
+		a.Factor, err = numberWithin(node, 0.01, 100)
+	case 'P':
+		a.Part, err = numberWithin(node, 0, 100)
+		a.Part /= 100
+	}
+	return err
+}
+
+// performers begin the actions of each kind.
+var performers = map[string]func(*Sim, ScriptedAction){
+	"hang":          (*Sim).hangServers,
+	"slow":          (*Sim).slowServers,
+	"drain":         (*Sim).drainServers,
+	"restart":       (*Sim).restartServers,
+	"add":           (*Sim).addServers,
+	"drop":          (*Sim).dropClients,
+	"list-behind":   (*Sim).delayList,
+	"list-again":    func(s *Sim, action ScriptedAction) { s.listDelay -= time.Duration(action.Factor) },
+	"surge":         (*Sim).surge,
+	"surge-over":    func(s *Sim, action ScriptedAction) { s.Rate /= action.Factor },
+	"relay-restart": (*Sim).restartRelays,
+}
+
+// perform begins an action.
+func (s *Sim) perform(action ScriptedAction) {
+	s.statistics.marks = append(s.statistics.marks, Annotation{At: s.now - startTime, What: action.String()})
+	if perform, ok := performers[action.Kind]; ok {
+		perform(s, action)
+	}
+}
+
+// recoverAfter schedules the recovery of a server.
+func (s *Sim) recoverAfter(serverIndex int, after time.Duration) {
+	s.schedule(after, scheduledEvent{kind: eventServerRecovers, value: uint32(serverIndex)})
+}
+
+// performAfter schedules an action that ends another.
+func (s *Sim) performAfter(after time.Duration, action ScriptedAction) {
+	s.actions = append(s.actions, action)
+	s.schedule(after, scheduledEvent{kind: eventScriptedAction, value: uint32(len(s.actions) - 1)})
+}
+
+func (s *Sim) hangServers(action ScriptedAction) {
+	for _, i := range s.drawServers(action.Count) {
+		server := s.servers[i]
+		server.hung, server.hungAt = true, s.now
+		s.markUnavailable(server)
+		for _, client := range server.conns {
+			s.scheduleHeartbeatTimeout(client)
+		}
+		s.recoverAfter(i, action.For)
+	}
+}
+
+func (s *Sim) slowServers(action ScriptedAction) {
+	for _, i := range s.drawServers(action.Count) {
+		s.servers[i].speedFactor = action.Factor
+		s.recoverAfter(i, action.For)
+	}
+}
+
+func (s *Sim) drainServers(action ScriptedAction) {
+	for _, i := range s.drawServers(action.Count) {
+		server := s.servers[i]
+		server.state, server.draining = balancer.StateDraining, true
+		s.publish(i)
+		s.schedule(time.Second, scheduledEvent{kind: eventMigrateClients, value: uint32(i)})
+		s.schedule(s.DrainFor, scheduledEvent{kind: eventServerStops, value: uint32(i)})
+	}
+}
+
+func (s *Sim) restartServers(action ScriptedAction) {
+	for _, i := range s.drawServers(action.Count) {
+		s.stopServer(i, true)
+		s.recoverAfter(i, action.For)
+	}
+}
+
+func (s *Sim) addServers(action ScriptedAction) {
+	for range action.Count {
+		s.addServer()
+	}
+}
+
+// dropReturn is the time after which clients that dropped return.
+var dropReturn = [2]time.Duration{970 * time.Millisecond, 2700 * time.Millisecond}
+
+func (s *Sim) dropClients(action ScriptedAction) {
+	for id := range s.clients {
+		if client := &s.clients[id]; client.state == stateEstablished && s.rng.Float64() < action.Part {
+			s.breakConnection(uint32(id), balancer.StatusCancelled, s.uniformDuration(dropReturn))
+		}
+	}
+}
+
+func (s *Sim) delayList(action ScriptedAction) {
+	s.listDelay += time.Duration(action.Factor)
+	s.performAfter(action.For, ScriptedAction{Kind: "list-again", Factor: action.Factor})
+}
+
+func (s *Sim) surge(action ScriptedAction) {
+	s.Rate *= action.Factor
+	s.performAfter(action.For, ScriptedAction{Kind: "surge-over", Factor: action.Factor})
+}
+
+func (s *Sim) restartRelays(action ScriptedAction) {
+	left := action.Count
+	for _, i := range s.rng.Perm(len(s.relays)) {
+		if left > 0 && s.relays[i].up {
+			left--
+			s.stopRelay(uint32(i))
+			s.schedule(action.For, scheduledEvent{kind: eventRelayStarts, subject: uint32(i)})
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/clients.go
@@ -0,0 +1,225 @@
+package simulation
+
+import (
+	"sort"
+	"time"
+
+	"lockroad/balancer"
+)
+
+// clientState is what a client does now.
+type clientState uint8
+
+const (
+	stateGone       clientState = iota // its index may be used again
+	stateConnecting                    // on its way to a relay
+	stateWaiting                       // for the answer to its request
+	stateEstablished
+	stateAway // it returns by itself, or has given up
+)
+
+// clientModel is one client, for as long as it wants service.
+type clientModel struct {
+	state        clientState
+	class        uint8
+	returning    bool
+	retries      uint8
+	zone         uint8
+	load         float32 // in mean connections, as it is now
+	meanLoad     float32 // as it is on average
+	group        uint32
+	generation   uint32 // grows with each change of state
+	relay        uint32
+	server       int32  // of its attempt or connection; -1: none
+	attempt      uint32 // grows with each attempt, and with its end
+	slot         int32  // its index in the server's conns
+	leavesAt     time.Duration
+	requestedAt  time.Duration // since when it waits, in this session
+	arrivedAt    time.Duration // first of all
+	request      balancer.RequestID
+	serverSilent bool // its server hangs, and its relay will notice
+}
+
+// newClient makes a client arrive for the first time.
+func (s *Sim) newClient() {
+	var id uint32
+	if n := len(s.freeClients); n > 0 {
+		id, s.freeClients = s.freeClients[n-1], s.freeClients[:n-1]
+	} else {
+		id = uint32(len(s.clients))
+		s.clients = append(s.clients, clientModel{})
+	}
+	client := &s.clients[id]
+	classIndex := s.drawClass()
+	class := &s.Classes[classIndex]
+	zone := s.rng.IntN(s.Zones)
+	if s.rng.Float64() < s.Skew {
+		zone = 0
+	}
+	*client = clientModel{
+		class: uint8(classIndex), zone: uint8(zone), load: float32(s.uniform(class.Load) / s.loadMean), generation: client.generation + 1, attempt: client.attempt, server: -1,
+		group: s.drawGroup(), arrivedAt: s.now,
+	}
+	client.meanLoad = client.load
+	client.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.Life)*s.uniform(class.Life)/s.lifeMean)
+	s.present[classIndex]++
+	s.statistics.clients++
+	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
+	s.connect(id)
+}
+
+func (s *Sim) drawClass() int {
+	drawn := 0
+	for x := s.rng.Float64(); drawn < len(s.Classes)-1 && x >= s.Classes[drawn].Share; drawn++ {
+		x -= s.Classes[drawn].Share
+	}
+	return drawn
+}
+
+// drawGroup draws a group by Zipf's law.
+func (s *Sim) drawGroup() uint32 {
+	x := s.rng.Float64() * s.groupWeights[len(s.groupWeights)-1]
+	return uint32(sort.Search(len(s.groupWeights)-1, func(i int) bool { return s.groupWeights[i] >= x }))
+}
+
+// chooseRelay chooses as the balancer before the relays does: any relay of the zone that is
+// up, else any that is up.
+func (s *Sim) chooseRelay(zone int) (uint32, bool) {
+	found, candidates := uint32(0), 0
+	for _, anyZone := range []bool{false, true} {
+		for i, relay := range s.relays {
+			if relay.up && (anyZone || relay.zone == zone) {
+				if candidates++; s.rng.IntN(candidates) == 0 {
+					found = uint32(i)
+				}
+			}
+		}
+		if candidates > 0 {
+			return found, true
+		}
+	}
+	return 0, false
+}
+
+// connect makes a client connect to a relay.
+func (s *Sim) connect(id uint32) {
+	client := &s.clients[id]
+	relay, ok := s.chooseRelay(int(client.zone))
+	client.state, client.requestedAt = stateConnecting, s.now
+	if !ok { // no relay is up
+		s.retry(id, 0)
+		return
+	}
+	client.relay = relay
+	s.schedule(s.uniformDuration(s.Client), scheduledEvent{kind: eventRequestArrives, subject: id, generation: client.generation})
+}
+
+// requestArrives makes a relay handle a client's request.
+func (s *Sim) requestArrives(event scheduledEvent) {
+	client := &s.clients[event.subject]
+	if client.state != stateConnecting || client.generation != event.generation {
+		return
+	}
+	relay := s.relays[client.relay]
+	if !relay.up {
+		s.retry(event.subject, 0)
+		return
+	}
+	class := &s.Classes[client.class]
+	client.state, client.server = stateWaiting, -1
+	relay.lastRequest++
+	client.request = relay.lastRequest
+	relay.clients[client.request] = event.subject
+	s.statistics.requests++
+	s.push(scheduledEvent{at: client.requestedAt + class.GiveUp, kind: eventDeadline, subject: event.subject, generation: client.generation})
+	s.handle(client.relay, balancer.Request{ID: client.request, Class: int(client.class), Item: uint64(event.subject) + 1, Group: uint64(client.group) + 1, TimeLeft: client.requestedAt + class.GiveUp - s.now, Returning: client.returning})
+}
+
+// retry makes a client that was not served return after a while, unless it has done so too
+// often. Most respect a retry-after; 0 is none.
+func (s *Sim) retry(id uint32, retryAfter time.Duration) {
+	client := &s.clients[id]
+	client.generation++
+	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
+	client.state, client.server = stateAway, -1
+	if client.retries++; int(client.retries) > s.Retries {
+		return // it has given up, and is counted as wanting service until its end
+	}
+	wait := s.uniformDuration(s.Backoff) << (client.retries - 1)
+	if retryAfter > 0 && s.rng.Float64() < s.Honour {
+		wait = max(wait, retryAfter)
+	}
+	s.schedule(wait, scheduledEvent{kind: eventClientReturns, subject: id, generation: client.generation})
+}
+
+// returnAfter makes a client that was migrated or cut off return.
+func (s *Sim) returnAfter(id uint32, after time.Duration) {
+	client := &s.clients[id]
+	client.generation++
+	client.state, client.server, client.returning, client.retries, client.serverSilent = stateAway, -1, true, 0, false
+	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
+	s.schedule(after, scheduledEvent{kind: eventClientReturns, subject: id, generation: client.generation})
+}
+
+// lifetimeEnds makes a client leave for good.
+func (s *Sim) lifetimeEnds(event scheduledEvent) {
+	client := &s.clients[event.subject]
+	if client.generation != event.generation || client.state == stateGone {
+		return
+	}
+	switch client.state {
+	case stateWaiting:
+		s.abandonRequest(event.subject)
+	case stateEstablished:
+		s.detach(event.subject)
+		s.endRequest(event.subject, balancer.Outcome{Request: client.request, Endpoint: s.serverID(client.server), Status: balancer.StatusOK, Final: true})
+	}
+	s.present[client.class]--
+	s.statistics.left++
+	client.state = stateGone
+	client.generation++
+	s.freeClients = append(s.freeClients, event.subject)
+}
+
+// abandonRequest notifies a relay that a waiting client has left.
+func (s *Sim) abandonRequest(id uint32) {
+	client := &s.clients[id]
+	s.cancelAttempt(client)
+	relay := s.relays[client.relay]
+	delete(relay.clients, client.request)
+	client.server = -1
+	s.handle(client.relay, balancer.ClientLeft{Request: client.request})
+}
+
+// endRequest notifies a relay of the end of an established connection.
+func (s *Sim) endRequest(id uint32, outcome balancer.Outcome) {
+	client := &s.clients[id]
+	relayIndex := client.relay
+	delete(s.relays[relayIndex].clients, client.request)
+	s.handle(relayIndex, outcome)
+}
+
+// detach removes an established client from its server.
+func (s *Sim) detach(id uint32) {
+	client := &s.clients[id]
+	server := s.servers[client.server]
+	last := server.conns[len(server.conns)-1]
+	server.conns[client.slot] = last
+	s.clients[last].slot = client.slot
+	server.conns = server.conns[:len(server.conns)-1]
+	server.load -= float64(client.load)
+	server.establishedByClass[client.class]--
+	if server.groups[client.group]--; server.groups[client.group] == 0 {
+		delete(server.groups, client.group)
+		server.load -= s.GroupCost
+	}
+}
+
+// breakConnection ends an established connection, other than by its client or its relay. The
+// client returns after a time.
+func (s *Sim) breakConnection(id uint32, status balancer.AttemptStatus, after time.Duration) {
+	client := &s.clients[id]
+	s.detach(id)
+	s.endRequest(id, balancer.Outcome{Request: client.request, Endpoint: s.serverID(client.server), Status: status, Final: true})
+	s.returnAfter(id, after)
+}
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -11,12 +11,12 @@
 	"lockroad/balancer"
 )
 
-// Policies are the module and those that it is compared with, by their published rules:
+// Policies are the balancer and those that it is compared with, by their published rules:
 //
-//   - module: balancer.Balancer, the very decisions of the program.
+//   - module: balancer.Balancer, the decisions of a relay.
 //   - module-no-zones, module-no-notes, module-no-routes: the same without the preference
-//     for servers of the own zone; without word of servers' delays, and so without slow
-//     marks, relief and easing; and with no group, so without cached routes and with a draw
+//     for servers of the own zone; without reports of servers' delays, and so without
+//     outliers, relief and recovery; and with no group, so without cached routes and with a draw
 //     by chance instead of by hash.
 //   - random: any ready server not yet tried.
 //   - round-robin: the ready servers in turn, from a random one on.
@@ -24,7 +24,7 @@
 //   - two-choices: of two at random the one with fewer (Mitzenmacher's power of two).
 //   - bounded-hash: rendezvous hashing by group with bounded loads (Mirrokni and others):
 //     the first by hash that has under 1.25 times the mean of this relay's connections.
-//   - oracle: sees the true state of all servers; the ceiling for placing, as it moves nobody.
+//   - oracle: sees the true state of all servers; the upper bound of placement, as it migrates nobody.
 var Policies = []Policy{
 	{"module", func(s *Sim, r int) Decider {
 		return balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64())
@@ -98,13 +98,13 @@
 	})},
 }
 
-// filter is a decider that does not see all there is.
+// filter is a decider that does not get all events, or not as they are.
 type filter struct {
 	Decider
 	see func(balancer.Event) (balancer.Event, bool)
 }
 
-// Handle passes on what the decider sees.
+// Handle passes on what the decider gets.
 func (w filter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	if ev, ok := w.see(ev); ok {
 		return w.Decider.Handle(now, ev)
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// FindPolicy returns the policy of a name.
+// FindPolicy returns the policy of a name, if there is one.
 func FindPolicy(name string) (Policy, bool) {
 	i := slices.IndexFunc(Policies, func(p Policy) bool { return p.Name == name })
 	if i < 0 {
@@ -134,9 +134,9 @@
 	return h.Sum64()
 }
 
-// baseline is a policy that keeps no more than the list and its own connections. It tries
-// again past those that failed, backing off as the module does, and sends the clients of
-// a server that drains away.
+// baseline is a policy that knows no more than the endpoint list and its own connections. It
+// retries at other servers, backing off as the balancer does, and migrates the clients of a
+// server that drains.
 type baseline struct {
 	s          *Sim
 	rng        *rand.Rand
@@ -176,8 +176,8 @@
 	}
 }
 
-// trueUtilization is how full a server really is, against what it can do: what a new connection
-// would find, with a group that it has not.
+// trueUtilization is the utilization that a server would have with a new connection of a group, by
+// its true state.
 func (p *baseline) trueUtilization(endpoint *knownEndpoint, group uint32) float64 {
 	v := p.s.servers[endpoint.ID-1]
 	if v.down || v.hung || v.draining {
@@ -190,7 +190,7 @@
 	return (v.load+1+p.s.GroupCost+float64(v.attempts))/capacity + v.backlog.Seconds()
 }
 
-// oracleGroupLimit is how full the oracle makes a server to keep a group together.
+// oracleGroupLimit is the utilization up to which the oracle keeps a group together.
 const oracleGroupLimit = 0.75
 
 // Handle takes an event and returns what to do.
@@ -268,7 +268,7 @@
 	delete(p.requests, request.ID)
 }
 
-// attempt sends a request, or lets it wait where there is no server.
+// attempt sends an attempt, or rejects the request where there is no server.
 func (p *baseline) attempt(now time.Duration, request *pendingRequest) {
 	p.candidates = p.candidates[:0]
 	for _, endpoint := range p.order {
--- a/internal/simulation/account.go
+++ b/internal/simulation/result.go
@@ -1,11 +1,7 @@
 package simulation
 
 import (
-	"math"
-	"slices"
 	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
 // Annotation is something that happened, for plots.
@@ -67,108 +63,6 @@
 	Moves    int
 }
 
-type statistics struct {
-	clients, left, requests, attempts, failedAttempts, rejected, gaveUp, migrations, heartbeatTimeouts, broken, crossZone, lateAfterDrain, overloaded int
-
-	probes, detected, falseAlarms int
-	detectionTime                 time.Duration // of those found, in sum
-
-	served, wanted []float64 // by class: worth times seconds
-	inObjective    []int
-	established    []int
-	setupTimes     []*hdrhistogram.Histogram
-	marks          []Annotation
-
-	seconds           []Second
-	current           Second
-	currentServed     float64
-	currentWanted     float64
-	utilizations      []float64
-	spread            float64
-	spreads           int
-	perGroup          float64
-	ticks             int
-	countedMigrations int
-}
-
-func (a *statistics) start(s *Sim) {
-	n := len(s.Classes)
-	a.served, a.wanted, a.inObjective, a.established = make([]float64, n), make([]float64, n), make([]int, n), make([]int, n)
-	for range n {
-		a.setupTimes = append(a.setupTimes, hdrhistogram.New(1, time.Minute.Microseconds(), 2))
-	}
-}
-
-// countEstablished counts a client that is up.
-func (a *statistics) countEstablished(s *Sim, c *client) {
-	took := s.now - c.requestedAt
-	a.setupTimes[c.class].RecordValue(max(1, took.Microseconds()))
-	a.established[c.class]++
-	if took <= s.Classes[c.class].Aim {
-		a.inObjective[c.class]++
-	}
-}
-
-// countService counts what a server does in a tick.
-func (a *statistics) countService(s *Sim, v *server, rho float64, dt time.Duration) {
-	a.utilizations = append(a.utilizations, rho)
-	for i, n := range v.establishedByClass {
-		if n > 0 && !v.hung && v.delay <= s.Classes[i].MessageAim {
-			worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
-			a.served[i] += worth
-			a.currentServed += worth
-		}
-		a.current.Up += n
-	}
-}
-
-// tick ends a tick of all servers.
-func (a *statistics) tick(s *Sim, dt time.Duration) {
-	for i, n := range s.present {
-		worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
-		a.wanted[i] += worth
-		a.currentWanted += worth
-	}
-	if len(a.utilizations) > 0 {
-		mean := 0.0
-		for _, r := range a.utilizations {
-			mean += r
-		}
-		mean /= float64(len(a.utilizations))
-		square := 0.0
-		for _, r := range a.utilizations {
-			square += (r - mean) * (r - mean)
-		}
-		a.spread += math.Sqrt(square / float64(len(a.utilizations)))
-		a.spreads++
-		a.current.Max, a.current.Min, a.current.Mean = max(a.current.Max, slices.Max(a.utilizations)), slices.Min(a.utilizations), mean
-	}
-	a.utilizations = a.utilizations[:0]
-	if a.ticks++; a.ticks%int(time.Second/dt) != 0 {
-		a.current.Up = 0
-		return
-	}
-	groups, copies := make(map[uint32]bool), 0
-	if a.ticks%int(5*time.Second/dt) == 0 {
-		for _, v := range s.servers {
-			copies += len(v.groups)
-			for g := range v.groups {
-				groups[g] = true
-			}
-		}
-		if len(groups) > 0 {
-			a.perGroup = float64(copies) / float64(len(groups))
-		}
-	}
-	a.current.Service, a.current.Asked = 1, a.currentWanted
-	if a.currentWanted > 0 {
-		a.current.Service = min(1, a.currentServed/a.currentWanted)
-	}
-	a.current.Moves, a.countedMigrations = a.migrations-a.countedMigrations, a.migrations
-	a.seconds = append(a.seconds, a.current)
-	a.current, a.currentServed, a.currentWanted = Second{}, 0, 0
-}
-
 func ratio(x, y float64) float64 {
 	if y == 0 {
 		return 1
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,10 +1,9 @@
-// Package simulation is a model of what the relay balances: clients, application servers,
-// halls, discovery and any number of relays, in virtual time, with the very module that
-// decides in the program deciding in each of its relays. It tries designs at sizes that
-// sockets don't reach.
+// Package simulation simulates clients, application servers, zones, discovery and any number
+// of relays, in virtual time; in each relay decides the balancer of the real one. It tries
+// designs at sizes that sockets don't reach.
 //
-// It is a discrete-event simulation, deterministic by its seed. It is written from the
-// operators' public pages: what is not told there is a parameter of a World.
+// It is a discrete-event simulation, deterministic by its seed. It follows the operators'
+// public pages: what they don't say is a parameter of a World.
 package simulation
 
 import (
@@ -20,15 +19,15 @@
 type Class struct {
 	Name       string
 	Share      float64       // of new connections
-	Load       [2]float64    // against the usual: drawn between the two
-	Life       [2]float64    // against the usual
-	Aim        time.Duration // a set-up is wanted within
-	GiveUp     time.Duration // and given up after
-	MessageAim time.Duration // a message is wanted within
+	Load       [2]float64    // against the mean over all classes: drawn between the two
+	Life       [2]float64    // mean lifetime, against that of all classes
+	Aim        time.Duration // latency objective of a set-up
+	GiveUp     time.Duration // deadline of a set-up
+	MessageAim time.Duration // latency objective of a message
 	Worth      float64       // of a second that is well served
 }
 
-// RelaysMost bounds the relays of a world: each is an instance of the module, with the whole list.
+// RelaysMost bounds the relays of a world: each has a balancer with the complete endpoint list.
 const RelaysMost = 4096
 
 // World is what is simulated. Every field has a value in Galway. Classes' loads and
@@ -42,7 +41,7 @@
 	Swing     float64       // the rate goes up and down by this part of it
 	Period    time.Duration // once in this time
 	For       time.Duration // arrivals come for so long, and service is counted
-	Standing  int           // connections that stand at the start
+	Standing  int           // connections that are established at the start
 	Life      time.Duration // of a connection on average
 	Classes   []Class
 	Groups    int     // documents; the nth is as popular as 1/n to the power of GroupSkew
@@ -50,7 +49,7 @@
 	Skew      float64 // of the zones' traffic: 0 all alike, 1 all in the first
 
 	// Servers.
-	PerCore   float64 // usual connections that fill a core of speed 1
+	PerCore   float64 // mean connections that fill a core of speed 1
 	Cores     int
 	Slow      float64       // part of the servers that are slow machines
 	Speed     [2]float64    // of a core of the others
@@ -59,12 +58,12 @@
 	GroupCost float64       // what a server pays for a group, in mean connections
 	ConnsMost float64       // connections that a server holds, against what fills it
 	SetUp     time.Duration // work of a set-up, on a core of speed 1
-	Queue     int           // set-ups that wait at a server; more are turned away
+	Queue     int           // set-ups that wait at a server; more are rejected
 	Message   time.Duration // that a message takes at an idle server
 	ColdShare float64       // of its capacity that a server has when it starts
-	ColdFor   time.Duration // by which it is warm
-	Tip       float64       // a cold server sent this many times what it can do
-	TipAfter  time.Duration // for so long falls over
+	ColdFor   time.Duration // by which it has its full capacity
+	Tip       float64       // a server that warms up and is sent this many times what it can do
+	TipAfter  time.Duration // for so long fails
 	DownFor   time.Duration // and is down for so long
 	DrainFor  time.Duration // a server that drains stops after this time
 
@@ -74,20 +73,20 @@
 	Connect             time.Duration    // a connection not made by then has failed
 
 	// Clients.
-	Retries  int // after an unavailable answer or none
+	Retries  int // after a rejection or no answer
 	Backoff  [2]time.Duration
-	Return   [2]time.Duration // after a move or a break a client is back within
-	Honour   float64          // part of the clients that come back when they are told to
-	Beat     time.Duration    // a client says something this often
-	Silence  time.Duration    // a relay gives a server up that brings nothing back for so long
-	Attempts int              // of a transaction
-	Warm     bool             // relays that restart go on with what they had learnt, as those with a store
+	Return   [2]time.Duration // until a client returns after a migration or a broken connection
+	Honour   float64          // share of the clients that respect a retry-after
+	Beat     time.Duration    // a client sends a message this often
+	Silence  time.Duration    // heartbeat timeout of relays
+	Attempts int              // of a request
+	Warm     bool             // relays that restart restore their last snapshot, as those with a store
 
-	Probed    bool                 // relays find out by probes and passes which servers are up; no list is told
+	Probed    bool                 // relays find out by health checks which servers are up; there is no discovery
 	Probes    healthcheck.Settings // of those
 	ProbeLoss float64              // part of the probes that get lost
 
-	MovePrice float64 // points of service lost if each client is moved once, of 1
+	MovePrice float64 // share of service lost if each client is migrated once
 }
 
 // ReferenceWorld is the operators' deployment as their pages have it: 13 servers, 4 relays in 4
@@ -113,7 +112,7 @@
 	}
 }
 
-// Validate tells all that makes no sense.
+// Validate returns all parameters that are out of range, as one error.
 func (w *World) Validate() error {
 	var all []error
 	bad := func(is bool, format string, args ...any) {
@@ -142,7 +141,7 @@
 	return errors.Join(all...)
 }
 
-// settings are what the module is told in a zone.
+// settings returns the balancer's settings in a zone.
 func (w *World) settings(zone int) balancer.Settings {
 	s := balancer.Settings{
 		Relays: w.Relays, Zone: zone, MaxAttempts: w.Attempts, MinTick: 2 * time.Millisecond, ConnectTimeout: w.Connect, MaxRetryAfter: 2 * time.Second,
