--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -33,20 +33,21 @@
 
 type streams struct{ out, errs io.Writer }
 
-type ended int
+// exitCode is the panic by which kong ends the program after its help.
+type exitCode int
 
-func main() { os.Exit(call(os.Args[1:], streams{os.Stdout, os.Stderr})) }
+func main() { os.Exit(run(os.Args[1:], streams{out: os.Stdout, errs: os.Stderr})) }
 
-// call runs a command line and returns the exit code.
-func call(args []string, s streams) (code int) {
+// run runs a command line and returns the exit code.
+func run(args []string, s streams) (code int) {
 	defer func() {
-		if e, is := recover().(ended); is {
-			code = int(e)
+		if exit, is := recover().(exitCode); is {
+			code = int(exit)
 		}
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("simulate"),
 		kong.Description("Runs experiments on the model of the farm, with the relay's own decision module in each of its relays."),
-		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(ended(code)) }), kong.Bind(s))
+		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(s))
 	if err != nil {
 		fmt.Fprintf(s.errs, "simulate: %v\n", err)
 		return exitFailed
@@ -63,6 +64,7 @@
 	return 0
 }
 
+// read reads an experiment file.
 func read(path string) (*experiment.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -75,9 +77,10 @@
 	return e, nil
 }
 
-var usual = []string{"g", "service", "worst10", "attempts", "moves", "recovery"}
+// defaultMetrics are those that are reported where none are named.
+var defaultMetrics = []string{"g", "service", "worst10", "attempts", "moves", "recovery"}
 
-// runCommand carries an experiment out.
+// runCommand runs an experiment.
 type runCommand struct {
 	Experiment string   `arg:"" help:"The experiment's file."`
 	Out        string   `short:"o" placeholder:"FILE" help:"Results, CSV; by the experiment's name in this folder. What is there is not run again."`
@@ -86,7 +89,7 @@
 	Quiet      bool     `short:"q" help:"Show no progress."`
 }
 
-// Help has examples.
+// Help returns examples.
 func (*runCommand) Help() string {
 	return `Examples:
   simulate run experiments/baselines.lisp
@@ -96,7 +99,7 @@
 it was: results are kept as they come.`
 }
 
-// Run carries it out.
+// Run runs the experiment, reports means and checks the claims.
 func (c *runCommand) Run(s streams) error {
 	e, err := read(c.Experiment)
 	if err != nil {
@@ -121,7 +124,7 @@
 		return err
 	}
 	if len(c.Metrics) == 0 {
-		c.Metrics = usual
+		c.Metrics = defaultMetrics
 	}
 	if err := r.Report(s.out, c.Metrics); err != nil {
 		return err
@@ -152,7 +155,7 @@
 		return err
 	}
 	if len(c.Metrics) == 0 {
-		c.Metrics = usual
+		c.Metrics = defaultMetrics
 	}
 	return r.Report(s.out, c.Metrics)
 }
@@ -175,7 +178,7 @@
 		return err
 	}
 	if len(c.Metrics) == 0 {
-		c.Metrics = usual
+		c.Metrics = defaultMetrics
 	}
 	return experiment.Compare(s.out, a, b, c.Metrics)
 }
--- a/cmd/simulate/main_test.go
+++ b/cmd/simulate/main_test.go
@@ -9,7 +9,7 @@
 
 func command(args ...string) (code int, out, errs string) {
 	var o, e strings.Builder
-	code = call(args, streams{&o, &e})
+	code = run(args, streams{&o, &e})
 	return code, o.String(), e.String()
 }
 
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs experiments on the model: a world, scenes, policies, a matrix of
-// parameters, seeds, and claims to check. Runs go in parallel, go on after a cut, and
-// leave a file of results that has their exact inputs.
+// Package experiment runs experiments on the simulation: a world, scenarios, policies, a
+// matrix of parameters, seeds, and claims to check. Runs are parallel, can be resumed after
+// an interruption, and leave a file of results that holds their exact inputs.
 package experiment
 
 import (
@@ -13,7 +13,7 @@
 	"lockroad/internal/simulation"
 )
 
-// Experiment is what an experiment file says.
+// Experiment is an experiment file, parsed.
 type Experiment struct {
 	Name     string
 	World    simulation.World
@@ -22,10 +22,10 @@
 	Axes     []Axis
 	Seeds    []uint64
 	Claims   []Claim
-	Source   string // as it was read
+	Source   string // the file's text
 }
 
-// Scenario is what happens in a run.
+// Scenario is a script of a run.
 type Scenario struct {
 	Name string
 	Acts []simulation.ScriptedAction
@@ -37,8 +37,8 @@
 	Values []*sexp.Node
 }
 
-// Claim is something that the results are to bear out, in each cell of the matrix and
-// scene, or in one scene.
+// Claim is a statement that the results are checked against, in each cell of the matrix, of
+// all scenes or of one.
 type Claim struct {
 	Metric  string
 	Policy  string
@@ -49,10 +49,14 @@
 	text    string
 }
 
-// String is the claim as it was written.
+// String returns the claim as it was written.
 func (c Claim) String() string { return c.text }
 
-const runsMost = 100_000
+const (
+	maxRuns      = 100_000
+	maxSeeds     = 10_000
+	defaultSeeds = 10
+)
 
 // Parse reads an experiment file:
 //
@@ -64,29 +68,38 @@
 //	  (seeds N)
 //	  (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE]) ...)
 //
-// What is left out: the world is Galway, the policy the module, the scene a calm day,
-// and there are ten seeds. Errors name line and column.
+// The defaults are the reference world, the module as policy, a scene without actions, and
+// ten seeds. Errors name line and column.
 func Parse(source string) (*Experiment, error) {
-	n, err := sexp.ParseOne(source)
+	node, err := sexp.ParseOne(source)
 	if err != nil {
 		return nil, err
 	}
-	head, args, err := n.Head()
+	head, args, err := node.Head()
 	if err != nil {
 		return nil, err
 	}
 	if head != "experiment" || len(args) < 1 {
-		return nil, n.Errorf("expected (experiment NAME ...)")
+		return nil, node.Errorf("expected (experiment NAME ...)")
 	}
 	e := &Experiment{World: simulation.ReferenceWorld(), Source: source}
 	if e.Name, err = args[0].Value(); err != nil {
 		return nil, err
 	}
-	for _, a := range args[1:] {
-		if err := e.form(a); err != nil {
+	for _, form := range args[1:] {
+		if err := e.parseForm(form); err != nil {
 			return nil, err
 		}
 	}
+	e.setDefaults()
+	if err := e.check(node); err != nil {
+		return nil, err
+	}
+	return e, nil
+}
+
+// setDefaults sets what was left out.
+func (e *Experiment) setDefaults() {
 	if len(e.Policies) == 0 {
 		e.Policies = simulation.Policies[:1]
 	}
@@ -94,172 +107,208 @@
 		e.Scenes = []Scenario{{Name: "calm"}}
 	}
 	if len(e.Seeds) == 0 {
-		e.seeds(10)
+		e.setSeeds(defaultSeeds)
 	}
-	for _, c := range e.Claims {
-		if c.Scene != "" && !slices.ContainsFunc(e.Scenes, func(s Scenario) bool { return s.Name == c.Scene }) {
-			return nil, n.Errorf("the claim %s is of a scene that is not there", c)
+}
+
+// check reports what is wrong with an experiment as a whole.
+func (e *Experiment) check(node *sexp.Node) error {
+	for _, claim := range e.Claims {
+		if claim.Scene != "" && !slices.ContainsFunc(e.Scenes, func(scenario Scenario) bool { return scenario.Name == claim.Scene }) {
+			return node.Errorf("the claim %s is of a scene that is not there", claim)
 		}
-		for _, p := range []string{c.Policy, c.Against} {
-			if p != "" && !slices.ContainsFunc(e.Policies, func(x simulation.Policy) bool { return x.Name == p }) {
-				return nil, n.Errorf("the claim %s is of policy %s, which is not tried", c, p)
+		for _, name := range []string{claim.Policy, claim.Against} {
+			if name != "" && !slices.ContainsFunc(e.Policies, func(policy simulation.Policy) bool { return policy.Name == name }) {
+				return node.Errorf("the claim %s is of policy %s, which is not tried", claim, name)
 			}
 		}
 	}
-	if r := e.Runs(); len(r) > runsMost {
-		return nil, n.Errorf("%d runs are more than %d", len(r), runsMost)
+	if runs := e.Runs(); len(runs) > maxRuns {
+		return node.Errorf("%d runs are more than %d", len(runs), maxRuns)
 	}
-	for _, c := range e.Cells() {
-		if err := c.World.Validate(); err != nil {
-			return nil, n.Errorf("with %s: %s", c.Where(), strings.ReplaceAll(err.Error(), "\n", "; "))
+	for _, cell := range e.Cells() {
+		if err := cell.World.Validate(); err != nil {
+			return node.Errorf("with %s: %s", cell.Where(), strings.ReplaceAll(err.Error(), "\n", "; "))
 		}
 	}
-	return e, nil
+	return nil
 }
 
-func (e *Experiment) seeds(n int) {
-	for i := range n {
+// setSeeds sets the seeds from 1 on.
+func (e *Experiment) setSeeds(count int) {
+	e.Seeds = nil
+	for i := range count {
 		e.Seeds = append(e.Seeds, uint64(i+1))
 	}
 }
 
-func (e *Experiment) form(n *sexp.Node) error {
-	head, args, err := n.Head()
+// forms parse the forms of an experiment, by their heads.
+var forms = map[string]func(e *Experiment, node *sexp.Node, args []*sexp.Node) error{
+	"world":    (*Experiment).parseWorld,
+	"policies": (*Experiment).parsePolicies,
+	"scene":    (*Experiment).parseScene,
+	"matrix":   (*Experiment).parseMatrix,
+	"seeds":    (*Experiment).parseSeeds,
+	"claim":    (*Experiment).parseClaim,
+}
+
+func (e *Experiment) parseForm(node *sexp.Node) error {
+	head, args, err := node.Head()
 	if err != nil {
 		return err
 	}
-	switch head {
-	case "world":
-		for _, a := range args {
-			name, values, err := a.Head()
-			if err != nil {
-				return err
-			}
-			if len(values) != 1 {
-				return a.Errorf("%s wants one value", name)
-			}
-			if err := e.World.Set(name, values[0]); err != nil {
-				return err
-			}
-		}
-	case "policies":
-		for _, a := range args {
-			name, err := a.Value()
-			if err != nil {
-				return err
-			}
-			p, ok := simulation.FindPolicy(name)
-			if !ok {
-				var known []string
-				for _, p := range simulation.Policies {
-					known = append(known, p.Name)
-				}
-				return a.Errorf("there is no policy %q; expected one of %s", name, strings.Join(known, ", "))
-			}
-			e.Policies = append(e.Policies, p)
+	parse, ok := forms[head]
+	if !ok {
+		return node.List.Items[0].Errorf("an experiment has no %q; expected world, policies, scene, matrix, seeds or claim", head)
+	}
+	return parse(e, node, args)
+}
+
+func (e *Experiment) parseWorld(_ *sexp.Node, args []*sexp.Node) error {
+	for _, parameter := range args {
+		name, values, err := parameter.Head()
+		if err != nil {
+			return err
 		}
-	case "scene":
-		if len(args) == 0 {
-			return n.Errorf("a scene wants a name")
+		if len(values) != 1 {
+			return parameter.Errorf("%s wants one value", name)
 		}
-		s := Scenario{}
-		if s.Name, err = args[0].Value(); err != nil {
+		if err := e.World.Set(name, values[0]); err != nil {
 			return err
 		}
-		for _, a := range args[1:] {
-			act, err := simulation.ParseScriptedAction(a)
-			if err != nil {
-				return err
-			}
-			s.Acts = append(s.Acts, act)
+	}
+	return nil
+}
+
+func (e *Experiment) parsePolicies(_ *sexp.Node, args []*sexp.Node) error {
+	for _, argument := range args {
+		name, err := argument.Value()
+		if err != nil {
+			return err
 		}
-		e.Scenes = append(e.Scenes, s)
-	case "matrix":
-		for _, a := range args {
-			name, values, err := a.Head()
-			if err != nil {
-				return err
+		policy, ok := simulation.FindPolicy(name)
+		if !ok {
+			var known []string
+			for _, policy := range simulation.Policies {
+				known = append(known, policy.Name)
 			}
-			if len(values) == 0 {
-				return a.Errorf("%s wants values to try", name)
-			}
-			for _, v := range values {
-				w := e.World
-				if err := w.Set(name, v); err != nil {
-					return err
-				}
-			}
-			e.Axes = append(e.Axes, Axis{name, values})
+			return argument.Errorf("there is no policy %q; expected one of %s", name, strings.Join(known, ", "))
 		}
-	case "seeds":
-		if len(args) != 1 {
-			return n.Errorf("seeds wants their number")
+		e.Policies = append(e.Policies, policy)
+	}
+	return nil
+}
+
+func (e *Experiment) parseScene(node *sexp.Node, args []*sexp.Node) (err error) {
+	if len(args) == 0 {
+		return node.Errorf("a scene wants a name")
+	}
+	scenario := Scenario{}
+	if scenario.Name, err = args[0].Value(); err != nil {
+		return err
+	}
+	for _, argument := range args[1:] {
+		action, err := simulation.ParseScriptedAction(argument)
+		if err != nil {
+			return err
 		}
-		v, err := args[0].Whole()
+		scenario.Acts = append(scenario.Acts, action)
+	}
+	e.Scenes = append(e.Scenes, scenario)
+	return nil
+}
+
+func (e *Experiment) parseMatrix(_ *sexp.Node, args []*sexp.Node) error {
+	for _, axis := range args {
+		name, values, err := axis.Head()
 		if err != nil {
 			return err
 		}
-		if v < 1 || v > 10_000 {
-			return args[0].Errorf("%d seeds are not within 1 and 10000", v)
+		if len(values) == 0 {
+			return axis.Errorf("%s wants values to try", name)
 		}
-		e.Seeds = nil
-		e.seeds(int(v))
-	case "claim":
-		return e.claim(n, args)
-	default:
-		return n.List.Items[0].Errorf("an experiment has no %q; expected world, policies, scene, matrix, seeds or claim", head)
+		for _, value := range values {
+			world := e.World
+			if err := world.Set(name, value); err != nil {
+				return err
+			}
+		}
+		e.Axes = append(e.Axes, Axis{Name: name, Values: values})
+	}
+	return nil
+}
+
+func (e *Experiment) parseSeeds(node *sexp.Node, args []*sexp.Node) error {
+	if len(args) != 1 {
+		return node.Errorf("seeds wants their number")
+	}
+	count, err := args[0].Whole()
+	if err != nil {
+		return err
+	}
+	if count < 1 || count > maxSeeds {
+		return args[0].Errorf("%d seeds are not within 1 and 10000", count)
 	}
+	e.setSeeds(int(count))
 	return nil
 }
 
-func (e *Experiment) claim(n *sexp.Node, args []*sexp.Node) (err error) {
+func (e *Experiment) parseClaim(node *sexp.Node, args []*sexp.Node) (err error) {
 	if len(args) < 4 || len(args) > 5 {
-		return n.Errorf("expected (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE])")
+		return node.Errorf("expected (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE])")
 	}
-	c := Claim{text: n.String()}
-	for i, to := range []*string{&c.Metric, &c.Policy, &c.Op} {
-		if *to, err = args[i].Value(); err != nil {
+	claim := Claim{text: node.String()}
+	for i, field := range []*string{&claim.Metric, &claim.Policy, &claim.Op} {
+		if *field, err = args[i].Value(); err != nil {
 			return err
 		}
 	}
-	if !slices.Contains(Metrics, c.Metric) {
-		return args[0].Errorf("there is no metric %q; expected one of %s", c.Metric, strings.Join(Metrics, ", "))
+	if !slices.Contains(Metrics, claim.Metric) {
+		return args[0].Errorf("there is no metric %q; expected one of %s", claim.Metric, strings.Join(Metrics, ", "))
 	}
-	if c.Op != ">=" && c.Op != "<=" {
-		return args[2].Errorf("%q compares nothing here; expected >= or <=", c.Op)
+	if claim.Op != ">=" && claim.Op != "<=" {
+		return args[2].Errorf("%q compares nothing here; expected >= or <=", claim.Op)
+	}
+	if err := claim.parseLimit(args[3]); err != nil {
+		return err
 	}
-	value := args[3]
-	if value.List != nil {
-		var more []*sexp.Node
-		if c.Against, more, err = value.Head(); err != nil {
+	if len(args) == 5 {
+		if claim.Scene, err = args[4].Value(); err != nil {
 			return err
 		}
-		if len(more) > 1 {
-			return value.Errorf("expected (POLICY [VALUE])")
-		}
-		if value = nil; len(more) == 1 {
-			value = more[0]
-		}
 	}
-	if value != nil {
-		word, err := value.Value()
-		if err != nil {
+	e.Claims = append(e.Claims, claim)
+	return nil
+}
+
+// parseLimit reads what the metric is compared with: a value, or a policy and what is added
+// to its mean.
+func (c *Claim) parseLimit(node *sexp.Node) (err error) {
+	value := node
+	if node.List != nil {
+		var added []*sexp.Node
+		if c.Against, added, err = node.Head(); err != nil {
 			return err
 		}
-		if c.Value, err = strconv.ParseFloat(word, 64); err != nil {
-			return value.Errorf("%q is no number", word)
+		if len(added) > 1 {
+			return node.Errorf("expected (POLICY [VALUE])")
 		}
-	}
-	if len(args) == 5 {
-		if c.Scene, err = args[4].Value(); err != nil {
-			return err
+		if len(added) == 0 {
+			return nil
 		}
+		value = added[0]
+	}
+	word, err := value.Value()
+	if err != nil {
+		return err
+	}
+	if c.Value, err = strconv.ParseFloat(word, 64); err != nil {
+		return value.Errorf("%q is no number", word)
 	}
-	e.Claims = append(e.Claims, c)
 	return nil
 }
 
-// Cell is a scene with a choice of the matrix.
+// Cell is a scene with one value of each axis.
 type Cell struct {
 	Scene  Scenario
 	World  simulation.World
@@ -267,7 +316,7 @@
 	axes   []Axis
 }
 
-// Where names the cell.
+// Where returns the cell's name.
 func (c Cell) Where() string {
 	parts := []string{c.Scene.Name}
 	for i, a := range c.axes {
@@ -276,19 +325,19 @@
 	return strings.Join(parts, " ")
 }
 
-// Cells are all of the matrix, scene by scene.
+// Cells returns all cells of the matrix, scene by scene.
 func (e *Experiment) Cells() []Cell {
 	cells := []Cell{}
-	for _, s := range e.Scenes {
-		cells = append(cells, Cell{Scene: s, World: e.World, axes: e.Axes})
+	for _, scenario := range e.Scenes {
+		cells = append(cells, Cell{Scene: scenario, World: e.World, axes: e.Axes})
 	}
-	for _, a := range e.Axes {
+	for _, axis := range e.Axes {
 		var next []Cell
-		for _, c := range cells {
-			for _, v := range a.Values {
-				grown := c
-				grown.Values = append(slices.Clone(c.Values), v.String())
-				_ = grown.World.Set(a.Name, v) // it was tried when it was read
+		for _, cell := range cells {
+			for _, value := range axis.Values {
+				grown := cell
+				grown.Values = append(slices.Clone(cell.Values), value.String())
+				_ = grown.World.Set(axis.Name, value) // it was tried when it was parsed
 				next = append(next, grown)
 			}
 		}
@@ -304,18 +353,18 @@
 	Seed   uint64
 }
 
-// Key names the run in a file of results.
+// Key returns the run's name in a file of results.
 func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Where(), r.Policy.Name, r.Seed) }
 
-// Runs are all runs, in order.
+// Runs returns all runs, in order.
 func (e *Experiment) Runs() []Run {
-	var all []Run
-	for _, c := range e.Cells() {
-		for _, p := range e.Policies {
+	var runs []Run
+	for _, cell := range e.Cells() {
+		for _, policy := range e.Policies {
 			for _, seed := range e.Seeds {
-				all = append(all, Run{c, p, seed})
+				runs = append(runs, Run{Cell: cell, Policy: policy, Seed: seed})
 			}
 		}
 	}
-	return all
+	return runs
 }
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -25,12 +25,12 @@
 // A file of results: the experiment, the columns and the rows.
 func TestResultsCSVIsStable(t *testing.T) {
 	r := fixedResults("module", 0.1)
-	text := head(r.Source)
+	text := fileHead(r.Source)
 	for _, row := range r.Rows {
-		text += string(row.line())
+		text += string(row.csvLine())
 	}
 	golden.Compare(t, "results.csv", text)
-	again, err := parse("results.csv", golden.Read(t, "results.csv"))
+	again, err := parseResults("results.csv", golden.Read(t, "results.csv"))
 	if err != nil || again.Source != r.Source || len(again.Rows) != len(r.Rows) || again.Rows[2].Figure("g") != 0.35 {
 		t.Errorf("read as %+v, %v", again, err)
 	}
@@ -44,7 +44,7 @@
 		r.Classes = append(r.Classes, simulation.ClassResult{Name: c.Name, Service: 30 + float64(i), InAim: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
 	}
 	var b strings.Builder
-	for i, v := range figures(r) {
+	for i, v := range metricsOf(r) {
 		fmt.Fprintf(&b, "%s %v\n", Metrics[i], v)
 	}
 	golden.Compare(t, "figures.txt", b.String())
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -93,7 +93,7 @@
 		}
 		return b.String()
 	}
-	for _, cut := range []int{0, 5, len(head(small)) - 3, len(head(small)) + 9, len(text) / 2, len(text) - 1, len(text)} {
+	for _, cut := range []int{0, 5, len(fileHead(small)) - 3, len(fileHead(small)) + 9, len(text) / 2, len(text) - 1, len(text)} {
 		path := filepath.Join(folder, "cut.csv")
 		if err := os.WriteFile(path, text[:cut], 0o644); err != nil {
 			t.Fatal(err)
@@ -106,7 +106,7 @@
 		if report(again) != report(r) {
 			t.Errorf("cut at %d:\n%s\nwhole:\n%s", cut, report(again), report(r))
 		}
-		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(head(small)) && ran > left+1 {
+		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(fileHead(small)) && ran > left+1 {
 			t.Errorf("cut at %d: %d runs were made again", cut, ran-left)
 		}
 		if kept, err := Read(path); err != nil || len(kept.Rows) != len(e.Runs()) || strings.TrimSpace(kept.Source) != strings.TrimSpace(small) {
@@ -124,7 +124,7 @@
 	w.For = 5 * time.Second
 	p, _ := simulation.FindPolicy("module")
 	r := simulation.New(w, nil, p, 3).Run(nil)
-	row := Row{Figures: figures(r)}
+	row := Row{Figures: metricsOf(r)}
 	if len(row.Figures) != len(Metrics) || len(r.Classes) != 4 {
 		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Figures), len(Metrics), len(r.Classes))
 	}
@@ -161,7 +161,7 @@
 	if err := Compare(&out, a, &Results{}, []string{"g"}); err == nil {
 		t.Error("nothing in common was compared")
 	}
-	m := mean([]float64{1, 2, 3})
+	m := meanOf([]float64{1, 2, 3})
 	if m.Value != 2 || m.Half < 2.48 || m.Half > 2.49 { // 4.303 times 1 over the root of 3
 		t.Errorf("the mean of 1, 2, 3 is %v", m)
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -130,15 +130,15 @@
 	p.X.Label.Text, p.Y.Label.Text = "servers", "seconds a run, and millions of events"
 	for i, policy := range r.policies() {
 		var took, events plotter.XYs
-		for _, where := range r.wheres() {
+		for _, where := range r.cells() {
 			for _, part := range strings.Fields(where) {
 				name, value, _ := strings.Cut(part, "=")
 				servers, err := strconv.ParseFloat(value, 64)
 				if err != nil || name != "servers" && name != "scale" {
 					continue
 				}
-				took = append(took, plotter.XY{X: servers, Y: mean(list(r.of("took", where, policy))).Value})
-				events = append(events, plotter.XY{X: servers, Y: mean(list(r.of("events", where, policy))).Value / 1e6})
+				took = append(took, plotter.XY{X: servers, Y: meanOf(sortedValues(r.bySeed("took", where, policy))).Value})
+				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(r.bySeed("events", where, policy))).Value / 1e6})
 			}
 		}
 		if len(took) == 0 {
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"cmp"
 	"encoding/csv"
 	"errors"
 	"fmt"
@@ -12,27 +11,26 @@
 	"slices"
 	"strconv"
 	"strings"
-	"sync"
 	"text/tabwriter"
 
 	"lockroad/internal/simulation"
 )
 
-// Metrics are the figures of a run, in the order of their columns: at the end the service
-// of each class, such as live-preview, and how many of its set-ups were within its aim.
+// Metrics are the names of a run's figures, in the order of their columns: at the end the
+// service of each class, such as live-preview, and its share of set-ups within its objective.
 var Metrics = append([]string{"g", "service", "worst10", "worst-class", "attempts", "refused", "gave-up", "moves", "silent", "broken", "crossed", "late", "tipped",
-	"spread", "servers-a-group", "recovery", "p50", "p99", "clients", "standing", "probes", "found-in", "false-alarms", "events", "took"}, byClass()...)
+	"spread", "servers-a-group", "recovery", "p50", "p99", "clients", "standing", "probes", "found-in", "false-alarms", "events", "took"}, classMetrics()...)
 
-// byClass are the metrics of the classes, in their order.
-func byClass() (names []string) {
+// classMetrics returns the names of the metrics of the classes, in their order.
+func classMetrics() (names []string) {
 	for _, c := range simulation.ReferenceWorld().Classes { // no experiment has others
 		names = append(names, c.Name, c.Name+"-in-aim")
 	}
 	return names
 }
 
-// figures are the metrics of a result; refused to crossed are per client.
-func figures(r *simulation.Result) []float64 {
+// metricsOf returns the figures of a result; those from refused to crossed are per client.
+func metricsOf(r *simulation.Result) []float64 {
 	per := func(n int) float64 { return float64(n) / float64(max(1, r.Clients)) }
 	worst, p50, p99 := 1.0, 0.0, 0.0
 	for _, c := range r.Classes {
@@ -46,7 +44,7 @@
 	return all
 }
 
-// Row is the figures of one run.
+// Row holds the figures of one run.
 type Row struct {
 	Where   string // of the cell
 	Policy  string
@@ -56,17 +54,17 @@
 
 func (r Row) key() string { return fmt.Sprintf("%s|%s|%d", r.Where, r.Policy, r.Seed) }
 
-// Figure is one of the row's.
+// Figure returns the figure of a metric, which must be one of Metrics.
 func (r Row) Figure(metric string) float64 { return r.Figures[slices.Index(Metrics, metric)] }
 
-// Results are what a file of results holds.
+// Results is a file of results, parsed.
 type Results struct {
 	Source string // of the experiment
 	Rows   []Row
 }
 
-// head is what a file begins with: the experiment, line by line, then the columns.
-func head(source string) string {
+// fileHead returns the head of a file: the experiment, line by line, then the columns.
+func fileHead(source string) string {
 	var b strings.Builder
 	for line := range strings.Lines(strings.TrimRight(source, "\n") + "\n") {
 		b.WriteString("# " + line)
@@ -75,16 +73,16 @@
 	return b.String()
 }
 
-// Read reads a file of results. What a cut left of a last line is left aside.
+// Read reads a file of results. A last line that was cut is ignored.
 func Read(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return parse(path, text)
+	return parseResults(path, text)
 }
 
-func parse(path string, text []byte) (*Results, error) {
+func parseResults(path string, text []byte) (*Results, error) {
 	text = text[:bytes.LastIndexByte(text, '\n')+1]
 	r := &Results{}
 	rest := text
@@ -125,84 +123,7 @@
 	}
 }
 
-// Execute carries an experiment out and appends to a file of results what is not there yet,
-// workers runs at a time. progress is told how many are done. A file of another
-// experiment is refused.
-func Execute(e *Experiment, path string, workers int, progress func(done, all int)) (*Results, error) {
-	have := &Results{Source: e.Source}
-	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = f.Close() }() // each write is looked at, and the next run reads the file again
-	text, err := io.ReadAll(f)
-	if err != nil {
-		return nil, err
-	}
-	whole := text[:bytes.LastIndexByte(text, '\n')+1]
-	if want := head(e.Source); len(whole) < len(want) && strings.HasPrefix(want, string(whole)) {
-		whole = []byte(want) // nothing yet, or cut within the head
-		if _, err := f.WriteAt(whole, 0); err != nil {
-			return nil, err
-		}
-	} else {
-		if have, err = parse(path, whole); err != nil {
-			return nil, err
-		}
-		if strings.TrimSpace(have.Source) != strings.TrimSpace(e.Source) {
-			return nil, fmt.Errorf("%s: holds results of another experiment; name another file", path)
-		}
-	}
-	if err := f.Truncate(int64(len(whole))); err != nil {
-		return nil, err
-	}
-	if _, err := f.Seek(0, io.SeekEnd); err != nil {
-		return nil, err
-	}
-	there := make(map[string]bool)
-	for _, r := range have.Rows {
-		there[r.key()] = true
-	}
-	runs := e.Runs()
-	todo := slices.DeleteFunc(slices.Clone(runs), func(r Run) bool { return there[r.Key()] })
-	var mu sync.Mutex
-	var failed error
-	done := len(runs) - len(todo)
-	next := make(chan Run)
-	var all sync.WaitGroup
-	for range max(1, workers) {
-		all.Go(func() {
-			for r := range next {
-				result := simulation.New(r.Cell.World, slices.Clone(r.Cell.Scene.Acts), r.Policy, r.Seed).Run(nil)
-				row := Row{Where: r.Cell.Where(), Policy: r.Policy.Name, Seed: r.Seed, Figures: figures(result)}
-				mu.Lock()
-				have.Rows = append(have.Rows, row)
-				if _, err := f.Write(row.line()); err != nil && failed == nil {
-					failed = err
-				}
-				done++
-				if progress != nil {
-					progress(done, len(runs))
-				}
-				mu.Unlock()
-			}
-		})
-	}
-	for _, r := range todo {
-		mu.Lock()
-		stop := failed != nil
-		mu.Unlock()
-		if stop {
-			break
-		}
-		next <- r
-	}
-	close(next)
-	all.Wait()
-	return have, failed
-}
-
-func (r Row) line() []byte {
+func (r Row) csvLine() []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
 	cells := []string{r.Where, r.Policy, strconv.FormatUint(r.Seed, 10)}
@@ -214,13 +135,13 @@
 	return b.Bytes()
 }
 
-// Mean is a mean with the half width of its 95% confidence interval.
+// Mean is a mean with the half width of its 95% confidence interval. N is the number of values.
 type Mean struct {
 	Value, Half float64
 	N           int
 }
 
-// String writes both.
+// String returns the mean and, of two values or more, the half width.
 func (m Mean) String() string {
 	if m.N < 2 {
 		return fmt.Sprintf("%.4g", m.Value)
@@ -231,7 +152,7 @@
 // t975 are the 97.5% quantiles of Student's t by degrees of freedom.
 var t975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
-func mean(values []float64) Mean {
+func meanOf(values []float64) Mean {
 	m := Mean{N: len(values)}
 	if m.N == 0 {
 		return m
@@ -253,8 +174,8 @@
 	return m
 }
 
-// of returns the figures of a metric by cell and policy.
-func (r *Results) of(metric, where, policy string) map[uint64]float64 {
+// bySeed returns the figures of a metric in a cell by a policy.
+func (r *Results) bySeed(metric, where, policy string) map[uint64]float64 {
 	values := make(map[uint64]float64)
 	for _, row := range r.Rows {
 		if row.Where == where && row.Policy == policy {
@@ -264,13 +185,15 @@
 	return values
 }
 
-// wheres and policies are those there are, in the order in which they come first.
-func (r *Results) wheres() []string { return distinct(r.Rows, func(x Row) string { return x.Where }) }
+// cells and policies return the names that the rows have, sorted.
+func (r *Results) cells() []string {
+	return distinctValues(r.Rows, func(x Row) string { return x.Where })
+}
 func (r *Results) policies() []string {
-	return distinct(r.Rows, func(x Row) string { return x.Policy })
+	return distinctValues(r.Rows, func(x Row) string { return x.Policy })
 }
 
-func distinct(rows []Row, of func(Row) string) []string {
+func distinctValues(rows []Row, of func(Row) string) []string {
 	var all []string
 	for _, r := range rows {
 		if v := of(r); !slices.Contains(all, v) {
@@ -281,7 +204,7 @@
 	return all
 }
 
-func list(m map[uint64]float64) []float64 {
+func sortedValues(m map[uint64]float64) []float64 {
 	var all []float64
 	for _, v := range m {
 		all = append(all, v)
@@ -299,15 +222,15 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
-	for _, where := range r.wheres() {
+	for _, where := range r.cells() {
 		for _, policy := range r.policies() {
-			n := len(r.of("g", where, policy))
+			n := len(r.bySeed("g", where, policy))
 			if n == 0 {
 				continue
 			}
 			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, n)
 			for _, m := range metrics {
-				fmt.Fprintf(t, "\t%s", mean(list(r.of(m, where, policy))))
+				fmt.Fprintf(t, "\t%s", meanOf(sortedValues(r.bySeed(m, where, policy))))
 			}
 			fmt.Fprintln(t)
 		}
@@ -315,8 +238,8 @@
 	return t.Flush()
 }
 
-// paired returns the mean of the differences of two sets of figures by seed.
-func paired(x, y map[uint64]float64) Mean {
+// pairedDifference returns the mean of the differences of two sets of figures by seed.
+func pairedDifference(x, y map[uint64]float64) Mean {
 	var d []float64
 	for seed, v := range x {
 		if u, ok := y[seed]; ok {
@@ -324,18 +247,18 @@
 		}
 	}
 	slices.Sort(d)
-	return mean(d)
+	return meanOf(d)
 }
 
-// Compare writes what one file's runs have more than another's, paired by the same cell,
-// policy and seed; a star marks what is more than chance.
+// Compare writes the differences of two files of results, paired by cell, policy and seed; a
+// star marks those that are significant at 95%.
 func Compare(w io.Writer, a, b *Results, metrics []string) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
 	pairs := 0
-	for _, where := range a.wheres() {
+	for _, where := range a.cells() {
 		for _, policy := range a.policies() {
-			n := paired(a.of("g", where, policy), b.of("g", where, policy)).N
+			n := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).N
 			if n == 0 {
 				continue
 			}
@@ -345,7 +268,7 @@
 				if !slices.Contains(Metrics, m) {
 					return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
 				}
-				d := paired(a.of(m, where, policy), b.of(m, where, policy))
+				d := pairedDifference(a.bySeed(m, where, policy), b.bySeed(m, where, policy))
 				star := ""
 				if d.N > 1 && math.Abs(d.Value) > d.Half {
 					star = " *"
@@ -361,25 +284,25 @@
 	return t.Flush()
 }
 
-// Check returns the claims of an experiment that its results do not bear out, each with
-// the cells where they don't.
+// Check returns the claims of an experiment that its results contradict, one line for each cell
+// where they do.
 func (r *Results) Check(e *Experiment) []string {
-	var broken []string
+	var contradicted []string
 	for _, c := range e.Claims {
 		for _, cell := range e.Cells() {
 			if c.Scene != "" && cell.Scene.Name != c.Scene {
 				continue
 			}
 			where := cell.Where()
-			got, limit := mean(list(r.of(c.Metric, where, c.Policy))), c.Value
+			got, limit := meanOf(sortedValues(r.bySeed(c.Metric, where, c.Policy))), c.Value
 			if c.Against != "" {
-				limit += mean(list(r.of(c.Metric, where, c.Against))).Value
+				limit += meanOf(sortedValues(r.bySeed(c.Metric, where, c.Against))).Value
 			}
 			if holds := c.Op == ">=" && got.Value >= limit || c.Op == "<=" && got.Value <= limit; !holds || got.N == 0 {
-				broken = append(broken, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", c, where, c.Policy, c.Metric, got, limit))
+				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", c, where, c.Policy, c.Metric, got, limit))
 			}
 		}
 	}
-	slices.SortStableFunc(broken, func(x, y string) int { return cmp.Compare(x, y) })
-	return broken
+	slices.Sort(contradicted)
+	return contradicted
 }
