--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,7 @@
-// Package golden compares what a test has produced with a file under testdata/golden, byte
-// for byte. The files hold forms that other programs read. Only tests import it.
+// Package golden compares a text that a test has produced with a file under testdata/golden,
+// byte for byte. The files hold what people and other programs read: command lines, outputs,
+// error texts, vocabularies. The encodings of stored and sent Go values are checked by Golden
+// and GoldenJSON of internal/testutil. Only tests import it.
 package golden
 
 import (
@@ -9,8 +11,8 @@
 	"testing"
 )
 
-// update has the files written anew. Give it only when a form is changed on purpose, and say
-// in the commit which readers of the form have been told.
+// update makes Compare write the files. Give it only when a text is changed on purpose, and
+// say in the commit which readers of the text have been notified.
 var update = flag.Bool("update", false, "write the golden files anew: only when a form is changed on purpose")
 
 // Compare fails the test unless got equals testdata/golden/name.
@@ -35,7 +37,7 @@
 	}
 }
 
-// Read returns an input that is kept beside the golden files.
+// Read returns an input that is stored beside the golden files.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
--- a/internal/golden/keys.go
+++ b/internal/golden/keys.go
@@ -8,7 +8,7 @@
 )
 
 // EachKey calls visit for each key of a tree of objects and lists, in a fixed order. set gives
-// the key another value, remove takes it out, and restore undoes either.
+// the key another value, remove removes it, and restore undoes either.
 func EachKey(tree any, visit func(path string, value any, set func(any), remove, restore func())) {
 	eachKey(tree, "", visit)
 }
@@ -22,8 +22,8 @@
 			eachKey(value, at+".", visit)
 		}
 	case []any:
-		for i, one := range tree {
-			eachKey(one, fmt.Sprintf("%s[%d].", strings.TrimSuffix(path, "."), i), visit)
+		for i, element := range tree {
+			eachKey(element, fmt.Sprintf("%s[%d].", strings.TrimSuffix(path, "."), i), visit)
 		}
 	}
 }
--- a/internal/testutil/keys.go
+++ b/internal/testutil/authority.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// Authority signs certificates for tests, whose files stand in a folder.
+// Authority signs certificates for tests. Its files are in a directory of the test.
 type Authority struct {
-	CA   string // its own certificate
+	CA   string // file of its own certificate
 	t    testing.TB
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes one in a folder of the test's own.
+// NewAuthority makes an authority with a new key, valid for an hour.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{t: t, dir: t.TempDir()}
@@ -43,8 +43,8 @@
 	return key
 }
 
-func (a *Authority) sign(c *x509.Certificate, key *ecdsa.PublicKey) []byte {
-	der, err := x509.CreateCertificate(rand.Reader, c, a.cert, key, a.key)
+func (a *Authority) sign(certificate *x509.Certificate, key *ecdsa.PublicKey) []byte {
+	der, err := x509.CreateCertificate(rand.Reader, certificate, a.cert, key, a.key)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -59,15 +59,15 @@
 	return path
 }
 
-// Pair makes a certificate for a name, and for 127.0.0.1, that is good for so long, and returns the files of it and
-// of its key. One of the same name takes the last one's place.
-func (a *Authority) Pair(name string, good time.Duration) (cert, key string) {
+// Pair makes a certificate for a name, and for 127.0.0.1, that is valid for so long, and returns the files of it and
+// of its key. A pair replaces the last one of the same name.
+func (a *Authority) Pair(name string, validity time.Duration) (cert, key string) {
 	a.t.Helper()
-	k := a.newKey()
+	newKey := a.newKey()
 	der := a.sign(&x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
-		NotAfter: time.Now().Add(good), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, &k.PublicKey)
-	text, err := x509.MarshalECPrivateKey(k)
+		NotAfter: time.Now().Add(validity), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
+		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, &newKey.PublicKey)
+	text, err := x509.MarshalECPrivateKey(newKey)
 	if err != nil {
 		a.t.Fatal(err)
 	}
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// encodesItself tells whether a type has an encoding of its own, so that names of its fields do not matter.
+// encodesItself reports whether a type has an encoding of its own, so that names of its fields do not matter.
 func encodesItself(t reflect.Type) bool {
 	for _, encoder := range []reflect.Type{reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()} {
 		if t.Implements(encoder) || reflect.PointerTo(t).Implements(encoder) {
--- a/internal/testutil/tagged.go
+++ b/internal/testutil/tagged.go
@@ -7,13 +7,13 @@
 )
 
 // Tagged fails the test at each exported field within a value's type that has no explicit name in one of its
-// tags of the given keys, such as "json": its encoding would change with the field's name. Types that are
-// excepted are not looked into.
+// tags of the given keys, such as "json": its encoding would change with the field's name. Types in except are
+// not checked.
 func Tagged(t testing.TB, keys []string, value any, except ...reflect.Type) {
 	t.Helper()
 	seen := make(map[reflect.Type]bool)
-	for _, one := range except {
-		seen[one] = true
+	for _, excepted := range except {
+		seen[excepted] = true
 	}
 	tagged(t, keys, reflect.TypeOf(value), seen)
 }
