--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -43,11 +43,11 @@
 	return encode(uint32(len(body)), uint32(len(records)), clock, body)
 }
 
-func attach(i uint32) []byte { return record(1, i, uint64(i)+7, settingsJSON) }
-func retire(i uint32) []byte { return record(10, i) }
+func attach(instance uint32) []byte { return record(1, instance, uint64(instance)+7, settingsJSON) }
+func retire(instance uint32) []byte { return record(10, instance) }
 
-func request(i, id uint32, group uint64) []byte {
-	return record(3, i, id, uint8(0), uint16(0), uint64(0), uint32(2000000), uint32(0), group, uint16(0))
+func request(instance, id uint32, group uint64) []byte {
+	return record(3, instance, id, uint8(0), uint16(0), uint64(0), uint32(2000000), uint32(0), group, uint16(0))
 }
 
 func endpointList(n int) []byte {
@@ -58,7 +58,7 @@
 	return record(11, uint16(0), uint32(n), entries)
 }
 
-func topology(i uint32) []byte { return record(2, i, uint8(3), uint64(1), uint16(0)) }
+func topology(instance uint32) []byte { return record(2, instance, uint8(3), uint64(1), uint16(0)) }
 
 // actionsByInstance splits replies into the records of each instance.
 func actionsByInstance(t *testing.T, out []byte) map[uint32][]string {
@@ -69,8 +69,8 @@
 		out = out[8+len(body):]
 		for len(body) > 0 {
 			n := 5 + binary.LittleEndian.Uint32(body[1:])
-			i := binary.LittleEndian.Uint32(body[5:])
-			by[i] = append(by[i], string(body[:n]))
+			instance := binary.LittleEndian.Uint32(body[5:])
+			by[instance] = append(by[instance], string(body[:n]))
 			body = body[n:]
 		}
 	}
@@ -95,14 +95,14 @@
 	day := func(instances ...uint32) map[uint32][]string {
 		in := batch(1000)
 		first := [][]byte{endpointList(7)}
-		for _, i := range instances {
-			first = append(first, attach(i), topology(i))
+		for _, instance := range instances {
+			first = append(first, attach(instance), topology(instance))
 		}
 		in = append(in, batch(2000, first...)...)
 		for id := range uint32(50) {
 			var records [][]byte
-			for _, i := range instances {
-				records = append(records, request(i, id, uint64(id%5)))
+			for _, instance := range instances {
+				records = append(records, request(instance, id, uint64(id%5)))
 			}
 			in = append(in, batch(uint64(3000+id*1000), records...)...)
 		}
@@ -113,9 +113,9 @@
 		return actionsByInstance(t, out.Bytes())
 	}
 	together := day(0, 1, 2)
-	for i := range uint32(3) {
-		if alone := day(i); len(alone[i]) < 100 || !slices.Equal(alone[i], together[i]) {
-			t.Errorf("instance %d acts differently beside others (%d actions alone)", i, len(alone[i]))
+	for instance := range uint32(3) {
+		if alone := day(instance); len(alone[instance]) < 100 || !slices.Equal(alone[instance], together[instance]) {
+			t.Errorf("instance %d acts differently beside others (%d actions alone)", instance, len(alone[instance]))
 		}
 	}
 }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -114,7 +114,7 @@
 		workers = runtime.GOMAXPROCS(0)
 	}
 	last := time.Now()
-	r, err := experiment.Execute(e, out, workers, func(done, all int) {
+	results, err := experiment.Execute(e, out, workers, func(done, all int) {
 		if !c.Quiet && (time.Since(last) > time.Second || done == all) {
 			last = time.Now()
 			fmt.Fprintf(s.errs, "%d of %d runs\n", done, all)
@@ -126,10 +126,10 @@
 	if len(c.Metrics) == 0 {
 		c.Metrics = defaultMetrics
 	}
-	if err := r.Report(s.out, c.Metrics); err != nil {
+	if err := results.Report(s.out, c.Metrics); err != nil {
 		return err
 	}
-	broken := r.Check(e)
+	broken := results.Check(e)
 	for _, b := range broken {
 		fmt.Fprintln(s.out, "not borne out:", b)
 	}
@@ -150,14 +150,14 @@
 
 // Run tells them.
 func (c *reportCommand) Run(s streams) error {
-	r, err := experiment.Read(c.Results)
+	results, err := experiment.Read(c.Results)
 	if err != nil {
 		return err
 	}
 	if len(c.Metrics) == 0 {
 		c.Metrics = defaultMetrics
 	}
-	return r.Report(s.out, c.Metrics)
+	return results.Report(s.out, c.Metrics)
 }
 
 // compareCommand compares two files.
@@ -194,15 +194,15 @@
 // Run draws it.
 func (c *plotCommand) Run(_ streams) error {
 	if c.Kind == "size" {
-		r, err := experiment.Read(c.From)
+		results, err := experiment.Read(c.From)
 		if err != nil {
 			return err
 		}
-		e, err := experiment.Parse(r.Source)
+		e, err := experiment.Parse(results.Source)
 		if err != nil {
 			return err
 		}
-		return experiment.Plot(e, r, c.Kind, "", c.Out)
+		return experiment.Plot(e, results, c.Kind, "", c.Out)
 	}
 	e, err := read(c.From)
 	if err != nil {
--- a/internal/demo/checker.go
+++ b/internal/demo/checker.go
@@ -39,14 +39,14 @@
 // explainedAttempts returns the attempts of the explanation.
 func (c *checker) explainedAttempts() []explainedAttempt {
 	var all []explainedAttempt
-	for _, s := range c.explanation.Events {
-		at := c.explanation.ReceivedAt.Add(time.Duration(s.AfterMS * float64(time.Millisecond)))
-		switch s.What {
+	for _, event := range c.explanation.Events {
+		at := c.explanation.ReceivedAt.Add(time.Duration(event.AfterMS * float64(time.Millisecond)))
+		switch event.What {
 		case "pass":
-			all = append(all, explainedAttempt{server: s.Endpoint, began: at})
+			all = append(all, explainedAttempt{server: event.Endpoint, began: at})
 		case "outcome":
 			if n := len(all); n > 0 {
-				all[n-1].outcome, all[n-1].ended = s.Outcome, at
+				all[n-1].outcome, all[n-1].ended = event.Outcome, at
 			}
 		}
 	}
@@ -90,23 +90,23 @@
 }
 
 // agrees reports whether an attempt ended as its server saw it.
-func (c *checker) agrees(attempt explainedAttempt, s fake.Attempt) bool {
+func (c *checker) agrees(attempt explainedAttempt, event fake.Attempt) bool {
 	want := map[string]string{"ok": "up", "error": "error", "full": "busy", "reset": "broken"}
-	if s.Answer == want[attempt.outcome] && s.Answer != "" {
+	if event.Answer == want[attempt.outcome] && event.Answer != "" {
 		return true
 	}
 	switch attempt.outcome {
 	case "timeout", "cancelled", "":
-		if s.Answer == "" {
+		if event.Answer == "" {
 			return true
 		}
 		// The answer and the time-out, or the client's leaving, have crossed.
-		if attempt.ended.IsZero() || s.Answered.Sub(attempt.ended).Abs() < crossingTime {
+		if attempt.ended.IsZero() || event.Answered.Sub(attempt.ended).Abs() < crossingTime {
 			c.crossings++
 			return true
 		}
 	case "reset", "connect_failed":
-		if s.Answer == "" || s.Answer == "up" {
+		if event.Answer == "" || event.Answer == "up" {
 			return c.wasKilledNear(attempt)
 		}
 	}
@@ -123,7 +123,7 @@
 // checkAnswer compares the final answer with what the client got.
 func (c *checker) checkAnswer() {
 	explanation, session := c.explanation, c.session
-	stood := slices.ContainsFunc(explanation.Events, func(s explain.Event) bool { return s.What == "up" })
+	stood := slices.ContainsFunc(explanation.Events, func(event explain.Event) bool { return event.What == "up" })
 	last := explanation.Events[len(explanation.Events)-1]
 	switch session.Answer {
 	case "up":
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -15,21 +15,21 @@
 // tells the same.
 func TestExplanationsMatchWhatWasSeen(t *testing.T) {
 	var out strings.Builder
-	o := Options{Servers: 4, Rate: 25, For: 12 * time.Second, Seed: 3, AMQP: 0.4, Bytes: decisionlog.MinBytes, Asks: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
-	if err := o.Check(); err != nil {
+	options := Options{Servers: 4, Rate: 25, For: 12 * time.Second, Seed: 3, AMQP: 0.4, Bytes: decisionlog.MinBytes, Asks: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
+	if err := options.Check(); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	r, err := Run(ctx, o)
+	result, err := Run(ctx, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(r.Bad) > 0 {
-		t.Error(strings.Join(r.Bad, "\n"))
+	if len(result.Bad) > 0 {
+		t.Error(strings.Join(result.Bad, "\n"))
 	}
-	if asked := min(r.Visits, o.Asks); r.Asked != asked || r.Visits < 150 || r.Gone > asked/10 || r.Spans < asked/2 || r.Crossed > asked/10 {
-		t.Errorf("of %d visits %d were asked for, %d gone, %d crossed, %d spans", r.Visits, r.Asked, r.Gone, r.Crossed, r.Spans)
+	if asked := min(result.Visits, options.Asks); result.Asked != asked || result.Visits < 150 || result.Gone > asked/10 || result.Spans < asked/2 || result.Crossed > asked/10 {
+		t.Errorf("of %d visits %d were asked for, %d gone, %d crossed, %d spans", result.Visits, result.Asked, result.Gone, result.Crossed, result.Spans)
 	}
 	for _, want := range []string{"s-1 hangs", "s-2 drains", "s-4 is killed", "30% of the clients drop", "live-preview", "moved off s-2, which drains", "SET-UP"} {
 		if !strings.Contains(out.String(), want) {
@@ -44,17 +44,17 @@
 		t.Error(err)
 	}
 	for _, spoil := range []func(*Options){
-		func(o *Options) { o.Servers = 1 }, func(o *Options) { o.Rate = 0 }, func(o *Options) { o.Rate = 1e9 },
-		func(o *Options) { o.For = time.Millisecond }, func(o *Options) { o.AMQP = 2 },
+		func(options *Options) { options.Servers = 1 }, func(options *Options) { options.Rate = 0 }, func(options *Options) { options.Rate = 1e9 },
+		func(options *Options) { options.For = time.Millisecond }, func(options *Options) { options.AMQP = 2 },
 	} {
-		o := good
-		if spoil(&o); o.Check() == nil {
-			t.Errorf("%+v was taken", o)
+		options := good
+		if spoil(&options); options.Check() == nil {
+			t.Errorf("%+v was taken", options)
 		}
 	}
-	o := good
-	o.Script, o.Out, o.Log = "(at 1s (hang s-9 2s))", &strings.Builder{}, slog.New(slog.DiscardHandler)
-	if _, err := Run(context.Background(), o); err == nil || !strings.Contains(err.Error(), `script: line 1, column 14: there is no server "s-9"`) {
+	options := good
+	options.Script, options.Out, options.Log = "(at 1s (hang s-9 2s))", &strings.Builder{}, slog.New(slog.DiscardHandler)
+	if _, err := Run(context.Background(), options); err == nil || !strings.Contains(err.Error(), `script: line 1, column 14: there is no server "s-9"`) {
 		t.Errorf("a script about nobody: %v", err)
 	}
 }
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -75,20 +75,20 @@
 	e := experiment(t, small)
 	folder := t.TempDir()
 	whole := filepath.Join(folder, "whole.csv")
-	r, err := Execute(e, whole, 4, nil)
+	results, err := Execute(e, whole, 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken := r.Check(e); len(r.Rows) != len(e.Runs()) || len(broken) > 0 {
-		t.Errorf("%d rows, claims broken %v", len(r.Rows), broken)
+	if broken := results.Check(e); len(results.Rows) != len(e.Runs()) || len(broken) > 0 {
+		t.Errorf("%d rows, claims broken %v", len(results.Rows), broken)
 	}
 	text, err := os.ReadFile(whole)
 	if err != nil {
 		t.Fatal(err)
 	}
-	report := func(r *Results) string {
+	report := func(results *Results) string {
 		var b bytes.Buffer
-		if err := r.Report(&b, []string{"g", "events", "moves", "p99"}); err != nil {
+		if err := results.Report(&b, []string{"g", "events", "moves", "p99"}); err != nil {
 			t.Fatal(err)
 		}
 		return b.String()
@@ -103,8 +103,8 @@
 		if err != nil {
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
-		if report(again) != report(r) {
-			t.Errorf("cut at %d:\n%s\nwhole:\n%s", cut, report(again), report(r))
+		if report(again) != report(results) {
+			t.Errorf("cut at %d:\n%s\nwhole:\n%s", cut, report(again), report(results))
 		}
 		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(fileHead(small)) && ran > left+1 {
 			t.Errorf("cut at %d: %d runs were made again", cut, ran-left)
@@ -123,12 +123,12 @@
 	w := simulation.ReferenceWorld()
 	w.For = 5 * time.Second
 	p, _ := simulation.FindPolicy("module")
-	r := simulation.New(w, nil, p, 3).Run(nil)
-	row := Row{Figures: metricsOf(r)}
-	if len(row.Figures) != len(Metrics) || len(r.Classes) != 4 {
-		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Figures), len(Metrics), len(r.Classes))
+	results := simulation.New(w, nil, p, 3).Run(nil)
+	row := Row{Figures: metricsOf(results)}
+	if len(row.Figures) != len(Metrics) || len(results.Classes) != 4 {
+		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Figures), len(Metrics), len(results.Classes))
 	}
-	for _, c := range r.Classes {
+	for _, c := range results.Classes {
 		if row.Figure(c.Name) != c.Service || row.Figure(c.Name+"-in-aim") != c.InAim || c.Service <= 0 {
 			t.Errorf("%s: %v, %v for %+v", c.Name, row.Figure(c.Name), row.Figure(c.Name+"-in-aim"), c)
 		}
@@ -169,14 +169,14 @@
 
 func TestPlotsAreDrawn(t *testing.T) {
 	e := experiment(t, small)
-	r, err := Execute(e, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
+	results, err := Execute(e, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range Plots {
 		for _, ending := range []string{".svg", ".png"} {
 			path := filepath.Join(t.TempDir(), kind+ending)
-			if err := Plot(e, r, kind, "hang", path); err != nil {
+			if err := Plot(e, results, kind, "hang", path); err != nil {
 				t.Errorf("%s%s: %v", kind, ending, err)
 			}
 			if b, err := os.ReadFile(path); err != nil || len(b) < 2000 {
@@ -185,7 +185,7 @@
 		}
 	}
 	for _, c := range [][3]string{{"load", "hang", "x.pdf"}, {"load", "storm", "x.svg"}, {"joy", "hang", "x.svg"}} {
-		if err := Plot(e, r, c[0], c[1], filepath.Join(t.TempDir(), c[2])); err == nil {
+		if err := Plot(e, results, c[0], c[1], filepath.Join(t.TempDir(), c[2])); err == nil {
 			t.Errorf("%v was drawn", c)
 		}
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -26,11 +26,11 @@
 	if !strings.HasSuffix(path, ".svg") && !strings.HasSuffix(path, ".png") {
 		return fmt.Errorf("%s: expected a name that ends in .svg or .png", path)
 	}
-	p := plot.New()
-	p.Title.Text = e.Name + ", " + kind
-	p.X.Label.Text = "seconds"
-	p.Legend.Top = true
-	p.Add(plotter.NewGrid())
+	point := plot.New()
+	point.Title.Text = e.Name + ", " + kind
+	point.X.Label.Text = "seconds"
+	point.Legend.Top = true
+	point.Add(plotter.NewGrid())
 	var err error
 	switch kind {
 	case "load", "service", "recovery":
@@ -41,33 +41,33 @@
 				return fmt.Errorf("there is no scene %q", scene)
 			}
 		}
-		p.Title.Text += ", " + cells[i].Where()
-		err = overTime(p, e, cells[i], kind)
+		point.Title.Text += ", " + cells[i].Where()
+		err = overTime(point, e, cells[i], kind)
 	case "size":
-		err = bySize(p, r)
+		err = bySize(point, r)
 	default:
 		return fmt.Errorf("there is no plot %q; expected one of %s", kind, strings.Join(Plots, ", "))
 	}
 	if err != nil {
 		return err
 	}
-	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, path)
+	return point.Save(18*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
 // line adds a line to a plot.
-func line(p *plot.Plot, name string, i int, points plotter.XYs) error {
+func line(point *plot.Plot, name string, i int, points plotter.XYs) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
 	l.Color, l.Width = plotutil.Color(i), vg.Points(1.5)
 	l.Dashes = plotutil.Dashes(i / 7)
-	p.Add(l)
-	p.Legend.Add(name, l)
+	point.Add(l)
+	point.Legend.Add(name, l)
 	return nil
 }
 
-func overTime(p *plot.Plot, e *Experiment, c Cell, kind string) error {
+func overTime(point *plot.Plot, e *Experiment, c Cell, kind string) error {
 	policies := e.Policies
 	if kind != "recovery" && kind != "service" {
 		policies = policies[:1]
@@ -101,13 +101,13 @@
 			names = []string{"fullest server", "mean", "emptiest server"}
 		}
 		for j, name := range names {
-			if err := line(p, name, i+j, lines[j]); err != nil {
+			if err := line(point, name, i+j, lines[j]); err != nil {
 				return err
 			}
 		}
 	}
-	p.Y.Label.Text = map[bool]string{true: "load against what a server can do", false: "part of the worth asked for"}[kind == "load"]
-	p.Y.Min, p.Y.Max = 0, top*1.05
+	point.Y.Label.Text = map[bool]string{true: "load against what a server can do", false: "part of the worth asked for"}[kind == "load"]
+	point.Y.Min, point.Y.Max = 0, top*1.05
 	for _, m := range marks {
 		at := m.At.Seconds()
 		l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
@@ -115,19 +115,19 @@
 			return err
 		}
 		l.Color, l.Dashes = color.Gray{Y: 110}, []vg.Length{vg.Points(3), vg.Points(3)}
-		p.Add(l)
+		point.Add(l)
 		words, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: at, Y: top * 0.02}}, Labels: []string{" " + m.What}})
 		if err != nil {
 			return err
 		}
-		p.Add(words)
+		point.Add(words)
 	}
 	return nil
 }
 
 // bySize plots what a run costs against the number of its servers.
-func bySize(p *plot.Plot, r *Results) error {
-	p.X.Label.Text, p.Y.Label.Text = "servers", "seconds a run, and millions of events"
+func bySize(point *plot.Plot, r *Results) error {
+	point.X.Label.Text, point.Y.Label.Text = "servers", "seconds a run, and millions of events"
 	for i, policy := range r.policies() {
 		var took, events plotter.XYs
 		for _, where := range r.cells() {
@@ -146,7 +146,7 @@
 		}
 		for j, points := range []plotter.XYs{took, events} {
 			slices.SortFunc(points, func(x, y plotter.XY) int { return int(x.X - y.X) })
-			if err := line(p, policy+[]string{", seconds", ", events"}[j], 2*i+j, points); err != nil {
+			if err := line(point, policy+[]string{", seconds", ", events"}[j], 2*i+j, points); err != nil {
 				return err
 			}
 		}
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -23,23 +23,23 @@
 
 // classMetrics returns the names of the metrics of the classes, in their order.
 func classMetrics() (names []string) {
-	for _, c := range simulation.ReferenceWorld().Classes { // no experiment has others
-		names = append(names, c.Name, c.Name+"-in-aim")
+	for _, claim := range simulation.ReferenceWorld().Classes { // no experiment has others
+		names = append(names, claim.Name, claim.Name+"-in-aim")
 	}
 	return names
 }
 
 // metricsOf returns the figures of a result; those from refused to crossed are per client.
 func metricsOf(r *simulation.Result) []float64 {
-	per := func(n int) float64 { return float64(n) / float64(max(1, r.Clients)) }
+	per := func(count int) float64 { return float64(count) / float64(max(1, r.Clients)) }
 	worst, p50, p99 := 1.0, 0.0, 0.0
-	for _, c := range r.Classes {
-		worst, p50, p99 = min(worst, c.Service), max(p50, c.P50), max(p99, c.P99)
+	for _, claim := range r.Classes {
+		worst, p50, p99 = min(worst, claim.Service), max(p50, claim.P50), max(p99, claim.P99)
 	}
 	all := []float64{r.G, r.Service, r.Worst10, worst, r.Attempts, per(r.Refused), per(r.GaveUp), per(r.Moves), per(r.Silent), per(r.Broken), per(r.Crossed),
 		float64(r.Late), float64(r.Tipped), r.Spread, r.GroupsPer, r.Recovery, p50, p99, float64(r.Clients), float64(r.Standing), per(r.Probes), r.FoundIn, float64(r.Alarms), float64(r.Events), r.Took}
-	for _, c := range r.Classes {
-		all = append(all, c.Service, c.InAim)
+	for _, claim := range r.Classes {
+		all = append(all, claim.Service, claim.InAim)
 	}
 	return all
 }
@@ -94,10 +94,10 @@
 	if r.Source == "" {
 		return nil, fmt.Errorf("%s: no results: the experiment is not at its head", path)
 	}
-	c := csv.NewReader(bytes.NewReader(rest))
-	c.FieldsPerRecord = 3 + len(Metrics)
+	claim := csv.NewReader(bytes.NewReader(rest))
+	claim.FieldsPerRecord = 3 + len(Metrics)
 	for first := true; ; first = false {
-		cells, err := c.Read()
+		cells, err := claim.Read()
 		switch {
 		case errors.Is(err, io.EOF):
 			return r, nil
@@ -113,11 +113,11 @@
 			return nil, fmt.Errorf("%s: seed %q: %w", path, cells[2], err)
 		}
 		for _, cell := range cells[3:] {
-			v, err := strconv.ParseFloat(cell, 64)
+			value, err := strconv.ParseFloat(cell, 64)
 			if err != nil {
 				return nil, fmt.Errorf("%s: figure %q: %w", path, cell, err)
 			}
-			row.Figures = append(row.Figures, v)
+			row.Figures = append(row.Figures, value)
 		}
 		r.Rows = append(r.Rows, row)
 	}
@@ -127,8 +127,8 @@
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
 	cells := []string{r.Where, r.Policy, strconv.FormatUint(r.Seed, 10)}
-	for _, v := range r.Figures {
-		cells = append(cells, strconv.FormatFloat(v, 'g', 7, 64))
+	for _, value := range r.Figures {
+		cells = append(cells, strconv.FormatFloat(value, 'g', 7, 64))
 	}
 	_ = w.Write(cells) // a buffer takes all
 	w.Flush()
@@ -157,12 +157,12 @@
 	if m.N == 0 {
 		return m
 	}
-	for _, v := range values {
-		m.Value += v / float64(m.N)
+	for _, value := range values {
+		m.Value += value / float64(m.N)
 	}
 	square := 0.0
-	for _, v := range values {
-		square += (v - m.Value) * (v - m.Value)
+	for _, value := range values {
+		square += (value - m.Value) * (value - m.Value)
 	}
 	if m.N > 1 {
 		t := 1.96 + 2.4/float64(m.N-1)
@@ -196,8 +196,8 @@
 func distinctValues(rows []Row, of func(Row) string) []string {
 	var all []string
 	for _, r := range rows {
-		if v := of(r); !slices.Contains(all, v) {
-			all = append(all, v)
+		if value := of(r); !slices.Contains(all, value) {
+			all = append(all, value)
 		}
 	}
 	slices.Sort(all)
@@ -206,8 +206,8 @@
 
 func sortedValues(m map[uint64]float64) []float64 {
 	var all []float64
-	for _, v := range m {
-		all = append(all, v)
+	for _, value := range m {
+		all = append(all, value)
 	}
 	slices.Sort(all)
 	return all
@@ -224,11 +224,11 @@
 	fmt.Fprintf(t, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
 	for _, where := range r.cells() {
 		for _, policy := range r.policies() {
-			n := len(r.bySeed("g", where, policy))
-			if n == 0 {
+			count := len(r.bySeed("g", where, policy))
+			if count == 0 {
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, n)
+			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
 			for _, m := range metrics {
 				fmt.Fprintf(t, "\t%s", meanOf(sortedValues(r.bySeed(m, where, policy))))
 			}
@@ -240,14 +240,14 @@
 
 // pairedDifference returns the mean of the differences of two sets of figures by seed.
 func pairedDifference(x, y map[uint64]float64) Mean {
-	var d []float64
-	for seed, v := range x {
+	var difference []float64
+	for seed, value := range x {
 		if u, ok := y[seed]; ok {
-			d = append(d, v-u)
+			difference = append(difference, value-u)
 		}
 	}
-	slices.Sort(d)
-	return meanOf(d)
+	slices.Sort(difference)
+	return meanOf(difference)
 }
 
 // Compare writes the differences of two files of results, paired by cell, policy and seed; a
@@ -258,22 +258,22 @@
 	pairs := 0
 	for _, where := range a.cells() {
 		for _, policy := range a.policies() {
-			n := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).N
-			if n == 0 {
+			count := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).N
+			if count == 0 {
 				continue
 			}
-			pairs += n
-			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, n)
+			pairs += count
+			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
 			for _, m := range metrics {
 				if !slices.Contains(Metrics, m) {
 					return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
 				}
-				d := pairedDifference(a.bySeed(m, where, policy), b.bySeed(m, where, policy))
+				difference := pairedDifference(a.bySeed(m, where, policy), b.bySeed(m, where, policy))
 				star := ""
-				if d.N > 1 && math.Abs(d.Value) > d.Half {
+				if difference.N > 1 && math.Abs(difference.Value) > difference.Half {
 					star = " *"
 				}
-				fmt.Fprintf(t, "\t%+.4g ±%.2g%s", d.Value, d.Half, star)
+				fmt.Fprintf(t, "\t%+.4g ±%.2g%s", difference.Value, difference.Half, star)
 			}
 			fmt.Fprintln(t)
 		}
@@ -288,18 +288,18 @@
 // where they do.
 func (r *Results) Check(e *Experiment) []string {
 	var contradicted []string
-	for _, c := range e.Claims {
+	for _, claim := range e.Claims {
 		for _, cell := range e.Cells() {
-			if c.Scene != "" && cell.Scene.Name != c.Scene {
+			if claim.Scene != "" && cell.Scene.Name != claim.Scene {
 				continue
 			}
 			where := cell.Where()
-			got, limit := meanOf(sortedValues(r.bySeed(c.Metric, where, c.Policy))), c.Value
-			if c.Against != "" {
-				limit += meanOf(sortedValues(r.bySeed(c.Metric, where, c.Against))).Value
+			got, limit := meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Policy))), claim.Value
+			if claim.Against != "" {
+				limit += meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Against))).Value
 			}
-			if holds := c.Op == ">=" && got.Value >= limit || c.Op == "<=" && got.Value <= limit; !holds || got.N == 0 {
-				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", c, where, c.Policy, c.Metric, got, limit))
+			if holds := claim.Op == ">=" && got.Value >= limit || claim.Op == "<=" && got.Value <= limit; !holds || got.N == 0 {
+				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", claim, where, claim.Policy, claim.Metric, got, limit))
 			}
 		}
 	}
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -38,10 +38,10 @@
 // The control socket's commands and their answers.
 func TestCommandAnswersAreStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := NewProxy(mustParse(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
-		defer p.Close()
+		proxy := NewProxy(mustParse(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
+		defer proxy.Close()
 		var b strings.Builder
-		err := p.ServeCommands(strings.NewReader(strings.Join([]string{
+		err := proxy.ServeCommands(strings.NewReader(strings.Join([]string{
 			"; a comment", "(status)", "(trigger a)", "(trigger nobody)", "(add (rule c (at 2s) (for 1s) (latency 5ms 2ms normal)))", "(status)",
 			"(clear c)", "(clear)", "(cut r)", "(status)", "(explode)", "(add (rule d))", "nonsense",
 		}, "\n")), &b)
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestByteFaults(t *testing.T) {
-	for _, c := range []struct {
+	for _, conn := range []struct {
 		script string
 		feeds  []string // a tenth of a second apart
 		want   string
@@ -72,20 +72,20 @@
 		{`(rule a (route r1) (conn 1) (first "a") (direction up) (every 1) (swallow))`, []string{"ab"}, ""},
 	} {
 		var injections []Injection
-		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, c.script), 1, []byte(c.feeds[0]), func(d Injection) { injections = append(injections, d) })
+		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, conn.script), 1, []byte(conn.feeds[0]), func(d Injection) { injections = append(injections, d) })
 		got, now := "", time.Duration(0)
-		for i, b := range c.feeds {
+		for i, b := range conn.feeds {
 			now = time.Duration(i) * 100 * ms
 			got += describe(f.Due(now)) + describe(f.Feed(now, []byte(b)))
 		}
 		if rest := describe(f.End(now + 100*ms)); rest != "" {
 			got += "end " + rest
 		}
-		if got != c.want {
-			t.Errorf("%s: got %q, want %q", c.script, got, c.want)
+		if got != conn.want {
+			t.Errorf("%s: got %q, want %q", conn.script, got, conn.want)
 		}
-		if changed := c.want != "0s:"+strings.Join(c.feeds, "|")+"|"; changed != (len(injections) > 0) {
-			t.Errorf("%s: told %+v", c.script, injections)
+		if changed := conn.want != "0s:"+strings.Join(conn.feeds, "|")+"|"; changed != (len(injections) > 0) {
+			t.Errorf("%s: told %+v", conn.script, injections)
 		}
 	}
 }
@@ -197,17 +197,17 @@
 		"(rule a (stall)) (rule a (stall))":        `line 1, column 18: there are two rules called "a"`,
 		"(rule a (stall 3))":                       "line 1, column 9: stall wants 0 values here, and has 1",
 	} {
-		if r, err := ParseRules(script); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v, %v, want %s", script, r, err, want)
+		if env, err := ParseRules(script); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%s: %v, %v, want %s", script, env, err, want)
 		}
 	}
 	for _, script := range []string{
 		`(rule a (route x y) (direction down) (conn 1 3) (every 2) (first "OPEN \"x\"") (fraction 12.5) (at 2s) (for 1m0s) (latency 5ms 2ms normal) (cut rst))`,
 		`(rule b (at-performative attach 2) (garble insert 9) (drip 3 10ms))`, `(rule c (chance 5) (bandwidth 900))`,
 	} {
-		r := mustParse(t, script)
-		if again := mustParse(t, r[0].String()); fmt.Sprintf("%+v", *again[0]) != fmt.Sprintf("%+v", *r[0]) {
-			t.Errorf("%s was written as %s", script, r[0])
+		env := mustParse(t, script)
+		if again := mustParse(t, env[0].String()); fmt.Sprintf("%+v", *again[0]) != fmt.Sprintf("%+v", *env[0]) {
+			t.Errorf("%s was written as %s", script, env[0])
 		}
 	}
 }
@@ -224,7 +224,7 @@
 
 func newEnvironment(t *testing.T, script string, echo bool) *environment {
 	t.Helper()
-	r := &environment{t: t, accepted: make(chan *net.TCPConn, 16)}
+	env := &environment{t: t, accepted: make(chan *net.TCPConn, 16)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -232,56 +232,56 @@
 	var all sync.WaitGroup
 	all.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
 			if !echo {
-				r.accepted <- c.(*net.TCPConn)
+				env.accepted <- conn.(*net.TCPConn)
 				continue
 			}
 			all.Go(func() {
-				defer c.Close()
-				_, _ = io.Copy(c, c)
+				defer conn.Close()
+				_, _ = io.Copy(conn, conn)
 			})
 		}
 	})
-	r.proxy = NewProxy(mustParse(t, script), 1)
-	r.proxy.OnInjection = func(d Injection) {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		r.injections = append(r.injections, d)
+	env.proxy = NewProxy(mustParse(t, script), 1)
+	env.proxy.OnInjection = func(d Injection) {
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		env.injections = append(env.injections, d)
 	}
-	if r.address, err = r.proxy.Open(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
+	if env.address, err = env.proxy.Open(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.proxy.Close(); l.Close(); all.Wait() })
-	return r
+	t.Cleanup(func() { env.proxy.Close(); l.Close(); all.Wait() })
+	return env
 }
 
-func (r *environment) dial() *net.TCPConn {
-	r.t.Helper()
-	c, err := net.Dial("tcp", r.address)
+func (env *environment) dial() *net.TCPConn {
+	env.t.Helper()
+	conn, err := net.Dial("tcp", env.address)
 	if err != nil {
-		r.t.Fatal(err)
+		env.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c.(*net.TCPConn)
+	env.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return conn.(*net.TCPConn)
 }
 
-func (r *environment) server() *net.TCPConn {
-	c := <-r.accepted
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c
+func (env *environment) server() *net.TCPConn {
+	conn := <-env.accepted
+	env.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return conn
 }
 
 // exchange sends a text and returns what comes back until the end, and how it ends.
-func exchange(c *net.TCPConn, text string) string {
-	io.WriteString(c, text)
-	c.CloseWrite()
-	b, err := io.ReadAll(c)
+func exchange(conn *net.TCPConn, text string) string {
+	io.WriteString(conn, text)
+	conn.CloseWrite()
+	b, err := io.ReadAll(conn)
 	switch {
 	case errors.Is(err, syscall.ECONNRESET):
 		return string(b) + "[reset]"
@@ -306,28 +306,28 @@
 			t.Errorf("%s: got %q, want %q", script, got, want)
 		}
 	}
-	r := newEnvironment(t, `(rule a (direction up) (after-bytes 4) (cut rst))`, true)
-	if got := exchange(r.dial(), "one\ntwo\n"); !strings.HasSuffix(got, "[reset]") {
+	env := newEnvironment(t, `(rule a (direction up) (after-bytes 4) (cut rst))`, true)
+	if got := exchange(env.dial(), "one\ntwo\n"); !strings.HasSuffix(got, "[reset]") {
 		t.Errorf("a reset: got %q", got)
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.injections) != 1 || r.injections[0].Kind != Cut || r.injections[0].Offset != 4 || r.injections[0].Conn != 1 || r.injections[0].Rule != "a" {
-		t.Errorf("told %+v", r.injections)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	if len(env.injections) != 1 || env.injections[0].Kind != Cut || env.injections[0].Offset != 4 || env.injections[0].Conn != 1 || env.injections[0].Rule != "a" {
+		t.Errorf("told %+v", env.injections)
 	}
 }
 
 // One direction ends while the other goes on.
 func TestHalfCloseEndsOneDirection(t *testing.T) {
-	r := newEnvironment(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
-	c := r.dial()
-	s := r.server()
+	env := newEnvironment(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
+	conn := env.dial()
+	s := env.server()
 	io.WriteString(s, "abcdef")
-	if b, err := io.ReadAll(c); string(b) != "abc" || err != nil {
+	if b, err := io.ReadAll(conn); string(b) != "abc" || err != nil {
 		t.Fatalf("the client got %q, %v", b, err)
 	}
-	io.WriteString(c, "still here")
-	c.CloseWrite()
+	io.WriteString(conn, "still here")
+	conn.CloseWrite()
 	if b, err := io.ReadAll(s); string(b) != "still here" || err != nil {
 		t.Errorf("the server got %q, %v", b, err)
 	}
@@ -335,17 +335,17 @@
 
 // A stall fills the sender's window: it can write no more until the stall is cleared.
 func TestStallBlocksTheSender(t *testing.T) {
-	r := newEnvironment(t, `(rule a (direction up) (stall))`, false)
-	c := r.dial()
-	c.SetDeadline(time.Now().Add(300 * ms))
+	env := newEnvironment(t, `(rule a (direction up) (stall))`, false)
+	conn := env.dial()
+	conn.SetDeadline(time.Now().Add(300 * ms))
 	const most = 64 << 20
-	n, err := c.Write(make([]byte, most))
+	n, err := conn.Write(make([]byte, most))
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("wrote %d bytes, %v", n, err)
 	}
-	r.proxy.Clear("a")
-	s := r.server()
-	c.Close()
+	env.proxy.Clear("a")
+	s := env.server()
+	conn.Close()
 	if got, err := io.Copy(io.Discard, s); err != nil || got != int64(n) {
 		t.Errorf("of %d bytes %d came, %v", n, got, err)
 	}
@@ -353,7 +353,7 @@
 
 func TestListenerFaults(t *testing.T) {
 	connects := func(at string) string {
-		c, err := net.DialTimeout("tcp", at, 300*ms)
+		conn, err := net.DialTimeout("tcp", at, 300*ms)
 		var late net.Error
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
@@ -363,10 +363,10 @@
 		case err != nil:
 			return err.Error()
 		}
-		defer c.Close()
-		io.WriteString(c, "x")
-		c.SetDeadline(time.Now().Add(300 * ms))
-		if _, err := io.ReadFull(c, make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
+		defer conn.Close()
+		io.WriteString(conn, "x")
+		conn.SetDeadline(time.Now().Add(300 * ms))
+		if _, err := io.ReadFull(conn, make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
 			return "mute"
 		} else if err != nil {
 			return err.Error()
@@ -374,28 +374,28 @@
 		return "echo"
 	}
 	for kind, want := range map[string]string{"refuse": "refused", "mute": "mute", "queue-full": "never up"} {
-		r := newEnvironment(t, fmt.Sprintf("(rule a (on-command) (%s))", kind), true)
-		if got := connects(r.address); got != "echo" {
+		env := newEnvironment(t, fmt.Sprintf("(rule a (on-command) (%s))", kind), true)
+		if got := connects(env.address); got != "echo" {
 			t.Errorf("%s: before it %s", kind, got)
 		}
-		if err := r.proxy.Command("a"); err != nil {
+		if err := env.proxy.Command("a"); err != nil {
 			t.Fatal(err)
 		}
-		if got := connects(r.address); got != want {
+		if got := connects(env.address); got != want {
 			t.Errorf("%s: got %s", kind, got)
 		}
-		r.proxy.Clear("")
-		if got := connects(r.address); got != "echo" {
+		env.proxy.Clear("")
+		if got := connects(env.address); got != "echo" {
 			t.Errorf("%s: after it %s", kind, got)
 		}
 	}
-	r := newEnvironment(t, "(rule a (at 100ms) (for 400ms) (vanish))", true)
-	standing := r.dial()
+	env := newEnvironment(t, "(rule a (at 100ms) (for 400ms) (vanish))", true)
+	standing := env.dial()
 	io.WriteString(standing, "x")
 	if _, err := io.ReadFull(standing, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Until(time.Now().Add(200*ms - r.proxy.now())))
+	time.Sleep(time.Until(time.Now().Add(200*ms - env.proxy.now())))
 	io.WriteString(standing, "y")
 	standing.SetDeadline(time.Now().Add(100 * ms))
 	if _, err := standing.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -405,10 +405,10 @@
 	if _, err := standing.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("when it comes back, what stood ends with %v", err)
 	}
-	if got := connects(r.address); got != "echo" {
+	if got := connects(env.address); got != "echo" {
 		t.Errorf("when it is back: %s", got)
 	}
-	if err := r.proxy.Command("a"); err == nil {
+	if err := env.proxy.Command("a"); err == nil {
 		t.Error("a rule that waits for no command took one")
 	}
 }
@@ -423,11 +423,11 @@
 	defer l.Close()
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); _, _ = io.Copy(c, c) }()
+			go func() { defer conn.Close(); _, _ = io.Copy(conn, conn) }()
 		}
 	}()
 	p := NewProxy(nil, 1)
@@ -437,16 +437,16 @@
 		b.Fatal(err)
 	}
 	echo := func(b *testing.B, at string, size int) time.Duration {
-		c, err := net.Dial("tcp", at)
+		conn, err := net.Dial("tcp", at)
 		if err != nil {
 			b.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 		out, in := make([]byte, size), make([]byte, size)
 		began := time.Now()
 		for range b.N {
-			go func() { _, _ = c.Write(out) }()
-			if _, err := io.ReadFull(c, in); err != nil {
+			go func() { _, _ = conn.Write(out) }()
+			if _, err := io.ReadFull(conn, in); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -65,9 +65,9 @@
 // checkEnds checks how established sessions ended, and when.
 func checkEnds(how string, within time.Duration) func(*testing.T, *Environment, []fake.Session, invariants.History) {
 	return func(t *testing.T, _ *Environment, all []fake.Session, _ invariants.History) {
-		for _, v := range all {
-			if !slices.Contains(strings.Split(how, "|"), v.End) || v.Established > within+busyMachine {
-				t.Errorf("%s ended %q after %v; want %s within %v", v.Name, v.End, v.Established, how, within)
+		for _, session := range all {
+			if !slices.Contains(strings.Split(how, "|"), session.End) || session.Established > within+busyMachine {
+				t.Errorf("%s ended %q after %v; want %s within %v", session.Name, session.End, session.Established, how, within)
 			}
 		}
 	}
@@ -95,8 +95,8 @@
 	{name: "a garbled first line to a server", scenario: Scenario{Rules: `(rule a (route s-1) (direction up) (garble flip 5))`}, want: "up", within: 2 * second, broken: anyAttempt},
 	{name: "a garbled opening of a client", scenario: Scenario{Rules: `(rule a (route door) (direction up) (garble flip 4))`}, connect: oneSession(second), spoiled: anySession,
 		check: func(t *testing.T, _ *Environment, all []fake.Session, history invariants.History) {
-			if v := all[0]; v.Answer == "up" || v.Answer == "unavailable" || v.SetupTime > 3*second || len(history.Attempts) > 0 {
-				t.Errorf("it got %s after %v, and servers saw %d passes", v.Answer, v.SetupTime, len(history.Attempts))
+			if session := all[0]; session.Answer == "up" || session.Answer == "unavailable" || session.SetupTime > 3*second || len(history.Attempts) > 0 {
+				t.Errorf("it got %s after %v, and servers saw %d passes", session.Answer, session.SetupTime, len(history.Attempts))
 			}
 		}},
 	{name: "garbled in the middle", scenario: Scenario{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (direction down) (after-bytes 300) (garble flip 6))`}, connect: manySessions(2500 * ms), want: "up", within: second,
@@ -119,8 +119,8 @@
 			if len(history.Attempts) != 1 || all[0].Answer != "none" {
 				t.Fatalf("the client got %s, of %d passes", all[0].Answer, len(history.Attempts))
 			}
-			if p := history.Attempts[0]; p.Closed.IsZero() || p.Closed.Sub(p.At) > 1200*ms {
-				t.Errorf("the pass was out for %v", p.Closed.Sub(p.At))
+			if attempt := history.Attempts[0]; attempt.Closed.IsZero() || attempt.Closed.Sub(attempt.At) > 1200*ms {
+				t.Errorf("the pass was out for %v", attempt.Closed.Sub(attempt.At))
 			}
 		}},
 	{name: "moves that cross the client's last line", scenario: Scenario{Servers: 2, Rate: 40, Duration: 3 * second, MeanLifetime: 60 * ms, Actions: `(at 1s (drain s-1))`}, served: 0.85},
@@ -130,8 +130,8 @@
 	{name: "half of the clients drop and come again", scenario: Scenario{Rate: 6, Duration: 6 * second, MeanLifetime: 3 * second, Actions: `(at 3s (drop 50))`}, served: 0.9,
 		check: func(t *testing.T, _ *Environment, all []fake.Session, _ invariants.History) {
 			again := 0
-			for _, v := range all {
-				if v.Returning && v.Answer == "up" {
+			for _, session := range all {
+				if session.Returning && session.Answer == "up" {
 					again++
 				}
 			}
@@ -141,7 +141,7 @@
 		}},
 	{name: "a server restarts and is cold", scenario: Scenario{Rate: 10, Duration: 7 * second, MeanLifetime: second, Actions: `(at 2s (restart s-1 1s))`,
 		Limits: invariants.Limits{Late: 50 * ms, Drain: 550 * ms, Held: 1050 * ms, ColdFor: 5 * second, ColdShare: 0.2, Tip: 3, TipAfter: second, Capacity: 10. / serverCount}}, served: 0.8,
-		broken: func(p fake.Attempt) bool { return p.Server == "s-1" }},
+		broken: func(attempt fake.Attempt) bool { return attempt.Server == "s-1" }},
 	{name: "a server drains while the list is 4 s behind", scenario: Scenario{Rate: 6, Duration: 7 * second, MeanLifetime: 2 * second, Actions: `(at 1s (drain s-1))`,
 		Rules: `(rule a (route discovery) (direction down) (latency 4s))`, Limits: limitsOfLateList(4 * second)}, served: 0.85},
 
@@ -194,38 +194,38 @@
 }
 
 func (r knownFailure) run(t *testing.T, front string, shared int) {
-	s := r.scenario
-	s.Shared = shared
-	s.Front, s.Seed, s.SetupTime = front, 1, 5*ms
-	if s.Servers == 0 {
-		s.Servers = serverCount
+	scenario := r.scenario
+	scenario.Shared = shared
+	scenario.Front, scenario.Seed, scenario.SetupTime = front, 1, 5*ms
+	if scenario.Servers == 0 {
+		scenario.Servers = serverCount
 	}
-	if s.Duration == 0 && s.Actions != "" {
-		s.Duration = 3 * second // acts end with it
+	if scenario.Duration == 0 && scenario.Actions != "" {
+		scenario.Duration = 3 * second // acts end with it
 	}
 	// What is checked here is behaviour, on a machine that may be busy; the 50 ms of the
 	// rules are checked by the tests of invariants and the benchmark.
-	if s.Limits == (invariants.Limits{}) {
-		s.Limits = invariants.DefaultLimits()
+	if scenario.Limits == (invariants.Limits{}) {
+		scenario.Limits = invariants.DefaultLimits()
 	}
-	s.Limits.Late, s.Limits.Held = s.Limits.Late+busyMachine, s.Limits.Held+busyMachine
+	scenario.Limits.Late, scenario.Limits.Held = scenario.Limits.Late+busyMachine, scenario.Limits.Held+busyMachine
 	ctx, cancel := context.WithTimeout(context.Background(), 30*second)
 	defer cancel()
 	var all []fake.Session
 	var env *Environment
-	history, err := Run(ctx, s, func(ctx context.Context, started *Environment) {
+	history, err := Run(ctx, scenario, func(ctx context.Context, started *Environment) {
 		env = started
 		switch {
 		case r.connect != nil:
 			all = r.connect(ctx, t, env)
-		case s.Rate == 0:
+		case scenario.Rate == 0:
 			all = env.RunSessions(ctx, 18, 600*ms)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Rate > 0 {
+	if scenario.Rate > 0 {
 		all = history.Sessions
 	}
 	history.Spoiled, history.Broken = r.spoiled, r.broken
@@ -235,7 +235,7 @@
 		t.Errorf("rules are broken\n%s", b.String())
 	}
 	r.checkAnswers(t, all)
-	if strings.Contains(s.Rules, "(rule") && len(env.Injections()) == 0 {
+	if strings.Contains(scenario.Rules, "(rule") && len(env.Injections()) == 0 {
 		t.Error("no fault was done")
 	}
 	if r.check != nil {
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -21,61 +21,61 @@
 const foundFile = "testdata/found.lisp"
 
 // formatScenario writes a scenario as parseScenario reads it.
-func formatScenario(s Scenario) string {
-	front := s.Front
-	if s.Shared > 0 {
+func formatScenario(scenario Scenario) string {
+	front := scenario.Front
+	if scenario.Shared > 0 {
 		front = "shared"
 	}
-	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, s.Servers, s.Seed, s.Rules, s.Actions)
+	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, scenario.Servers, scenario.Seed, scenario.Rules, scenario.Actions)
 }
 
 // parseScenario reads a scenario of the corpus.
-func parseScenario(text string) (s Scenario, err error) {
+func parseScenario(text string) (scenario Scenario, err error) {
 	head, rest, _ := strings.Cut(text, "\n")
-	if _, err := fmt.Sscanf(head, "; front %s servers %d seed %d", &s.Front, &s.Servers, &s.Seed); err != nil {
-		return s, fmt.Errorf("the head %q: %w", head, err)
+	if _, err := fmt.Sscanf(head, "; front %s servers %d seed %d", &scenario.Front, &scenario.Servers, &scenario.Seed); err != nil {
+		return scenario, fmt.Errorf("the head %q: %w", head, err)
 	}
-	if s.Front == "shared" { // connections to servers, by AMQP
-		s.Front, s.Shared = "amqp", 4
+	if scenario.Front == "shared" { // connections to servers, by AMQP
+		scenario.Front, scenario.Shared = "amqp", 4
 	}
-	s.Rules, s.Actions, _ = strings.Cut(rest, "; acts\n")
-	s.Rate, s.Duration, s.MeanLifetime, s.SetupTime = 15, 2500*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
-	return s, nil
+	scenario.Rules, scenario.Actions, _ = strings.Cut(rest, "; acts\n")
+	scenario.Rate, scenario.Duration, scenario.MeanLifetime, scenario.SetupTime = 15, 2500*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
+	return scenario, nil
 }
 
 // violations runs a scenario and returns the violations of rules, as text. What goes wrong at a server
 // with injected faults is not due to the relay; the answers are, whatever happens.
-func violations(t interface{ Fatal(...any) }, s Scenario) string {
-	list, err := faultproxy.ParseRules(s.Rules)
+func violations(t interface{ Fatal(...any) }, scenario Scenario) string {
+	list, err := faultproxy.ParseRules(scenario.Rules)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
 	var env *Environment
-	history, err := Run(ctx, s, func(_ context.Context, started *Environment) { env = started })
+	history, err := Run(ctx, scenario, func(_ context.Context, started *Environment) { env = started })
 	if err != nil {
 		t.Fatal(err)
 	}
 	faulty := make(map[string]bool)
-	for _, r := range list {
-		for _, name := range r.Routes {
+	for _, rule := range list {
+		for _, name := range rule.Routes {
 			faulty[name] = true
 		}
 	}
-	actions, _ := fake.ParseScript(s.Actions, env.Site.Names())
-	for _, a := range actions {
-		faulty[a.Server] = faulty[a.Server] || a.Kind == "restart"
+	actions, _ := fake.ParseScript(scenario.Actions, env.Site.Names())
+	for _, action := range actions {
+		faulty[action.Server] = faulty[action.Server] || action.Kind == "restart"
 	}
-	history.Broken = func(p fake.Attempt) bool { return faulty[p.Server] }
+	history.Broken = func(attempt fake.Attempt) bool { return faulty[attempt.Server] }
 	byServer := make(map[string]string)
-	for _, p := range history.Attempts {
-		byServer[p.Name] = p.Server
+	for _, attempt := range history.Attempts {
+		byServer[attempt.Name] = attempt.Server
 	}
 	// What a client got garbled or late from a faulty server is due to the fault.
 	for i := range history.Sessions {
-		if v := &history.Sessions[i]; faulty[byServer[v.Name]] {
-			v.Garbled, v.MaxHeld = 0, 0
+		if session := &history.Sessions[i]; faulty[byServer[session.Name]] {
+			session.Garbled, session.MaxHeld = 0, 0
 		}
 	}
 	if faulty["discovery"] {
@@ -104,11 +104,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s, err := parseScenario(string(source))
+			scenario, err := parseScenario(string(source))
 			if err != nil {
 				t.Fatal(err)
 			}
-			if what := violations(t, s); what != "" {
+			if what := violations(t, scenario); what != "" {
 				t.Error(what)
 			}
 		})
@@ -117,8 +117,8 @@
 
 // drawScenario draws a random scenario of a few servers.
 func drawScenario(rt *rapid.T) Scenario {
-	n := rapid.IntRange(2, 4).Draw(rt, "servers")
-	server := rapid.Map(rapid.IntRange(1, n), func(i int) string { return fmt.Sprintf("s-%d", i) })
+	servers := rapid.IntRange(2, 4).Draw(rt, "servers")
+	server := rapid.Map(rapid.IntRange(1, servers), func(i int) string { return fmt.Sprintf("s-%d", i) })
 	ms := func(what string, most int) string { return fmt.Sprintf("%dms", rapid.IntRange(1, most).Draw(rt, what)) }
 	var list, actions []string
 	for i := range rapid.IntRange(0, 3).Draw(rt, "rules") {
@@ -139,18 +139,18 @@
 			rapid.SampledFrom([]string{"up", "down", "both"}).Draw(rt, "direction"), rapid.IntRange(20, 100).Draw(rt, "fraction"), when, ms("for", 1500), what))
 	}
 	for range rapid.IntRange(0, 2).Draw(rt, "acts") {
-		at, s := ms("at", 1800), server.Draw(rt, "server")
+		at, scenario := ms("at", 1800), server.Draw(rt, "server")
 		actions = append(actions, fmt.Sprintf("(at %s %s)", at, rapid.SampledFrom([]string{
-			fmt.Sprintf("(hang %s %s)", s, ms("for", 1500)), fmt.Sprintf("(busy %s %s)", s, ms("for", 1500)), fmt.Sprintf("(error %s %s)", s, ms("for", 1500)),
-			fmt.Sprintf("(break %s %s)", s, ms("for", 1500)), fmt.Sprintf("(drain %s)", s), fmt.Sprintf("(restart %s %s)", s, ms("for", 900)),
+			fmt.Sprintf("(hang %s %s)", scenario, ms("for", 1500)), fmt.Sprintf("(busy %s %s)", scenario, ms("for", 1500)), fmt.Sprintf("(error %s %s)", scenario, ms("for", 1500)),
+			fmt.Sprintf("(break %s %s)", scenario, ms("for", 1500)), fmt.Sprintf("(drain %s)", scenario), fmt.Sprintf("(restart %s %s)", scenario, ms("for", 900)),
 			fmt.Sprintf("(drop %d)", rapid.IntRange(1, 100).Draw(rt, "percent"))}).Draw(rt, "act")))
 	}
-	s, err := parseScenario(formatScenario(Scenario{Front: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: n, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
+	scenario, err := parseScenario(formatScenario(Scenario{Front: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: servers, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
 		Rules: strings.Join(list, "\n"), Actions: strings.Join(actions, "\n")}))
 	if err != nil {
 		rt.Fatal(err)
 	}
-	return s
+	return scenario
 }
 
 // TestRandomScripts runs random scenarios and shrinks one that violates a rule to a least
@@ -160,12 +160,12 @@
 		t.Skip("LOCKROAD_TROUBLE is not set: make trouble-long")
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		s := drawScenario(rt)
-		if what := violations(rt, s); what != "" {
-			if err := os.WriteFile(foundFile, []byte(formatScenario(s)), 0o644); err != nil {
+		scenario := drawScenario(rt)
+		if what := violations(rt, scenario); what != "" {
+			if err := os.WriteFile(foundFile, []byte(formatScenario(scenario)), 0o644); err != nil {
 				t.Fatal(err)
 			}
-			rt.Fatalf("%s\n%s", formatScenario(s), what)
+			rt.Fatalf("%s\n%s", formatScenario(scenario), what)
 		}
 	})
 }
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -17,10 +17,10 @@
 
 // validHistory is a history that keeps all rules, each by the smallest amount.
 func validHistory() History {
-	l := DefaultLimits()
-	l.Capacity = 10
+	limits := DefaultLimits()
+	limits.Capacity = 10
 	return History{
-		Limits: l,
+		Limits: limits,
 		Sessions: []fake.Session{
 			{Name: "a", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: time.Second + 50*ms, End: "broken", MaxHeld: 1050 * ms},
 			{Name: "b", At: at(0), TimeLimit: time.Second, Answer: "unavailable", SetupTime: 10 * ms},
@@ -42,56 +42,61 @@
 	if found := Check(validHistory()); len(found) > 0 {
 		t.Fatalf("a valid history breaks %v", found)
 	}
-	restart := func(h *History, n int, after time.Duration) {
-		h.EndpointChanges = append(h.EndpointChanges, fake.EndpointChange{At: at(20 * time.Second), Endpoint: "s-9", State: fake.Killed}, fake.EndpointChange{At: at(30 * time.Second), Endpoint: "s-9", State: "ready"})
+	restart := func(history *History, n int, after time.Duration) {
+		history.EndpointChanges = append(history.EndpointChanges, fake.EndpointChange{At: at(20 * time.Second), Endpoint: "s-9", State: fake.Killed}, fake.EndpointChange{At: at(30 * time.Second), Endpoint: "s-9", State: "ready"})
 		for i := range n {
 			came := at(30*time.Second + after + time.Duration(i)*ms)
-			h.Attempts = append(h.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Server: "s-9", At: came, Closed: came.Add(ms)})
+			history.Attempts = append(history.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Server: "s-9", At: came, Closed: came.Add(ms)})
 		}
 	}
 	for name, c := range map[string]struct {
 		change func(*History)
 		rule   Rule
 	}{
-		"late by a microsecond":     {func(h *History) { h.Sessions[0].SetupTime += time.Microsecond }, Answered},
-		"none":                      {func(h *History) { h.Sessions[1].Answer, h.Sessions[1].SetupTime = "none", time.Second }, Answered},
-		"a second answer":           {func(h *History) { h.Sessions[1].More = 1 }, Answered},
-		"two out by a microsecond":  {func(h *History) { h.Attempts[2].At = at(550*ms - time.Microsecond) }, Once},
-		"two out, one for good":     {func(h *History) { h.Attempts[1].Closed = time.Time{} }, Once},
-		"to a draining server":      {func(h *History) { h.Attempts[3].At = h.Attempts[3].At.Add(time.Microsecond) }, Drained},
-		"to one that is gone":       {func(h *History) { h.EndpointChanges[1].State = "gone"; h.Attempts[3].At = at(11 * time.Second) }, Drained},
-		"cut off":                   {func(h *History) { h.Attempts[2].End = "gone" }, Migrated},
-		"held back down":            {func(h *History) { h.Sessions[0].MaxHeld += time.Microsecond }, Prompt},
-		"held back up":              {func(h *History) { h.Attempts[2].MaxHeld += time.Microsecond }, Prompt},
-		"garbled down":              {func(h *History) { h.Sessions[3].Garbled = 1 }, Intact},
-		"garbled up":                {func(h *History) { h.Attempts[3].Garbled = 1 }, Intact},
-		"a cold server pushed over": {func(h *History) { restart(h, 22, 0) }, SlowStart},
+		"late by a microsecond": {func(history *History) { history.Sessions[0].SetupTime += time.Microsecond }, Answered},
+		"none": {func(history *History) {
+			history.Sessions[1].Answer, history.Sessions[1].SetupTime = "none", time.Second
+		}, Answered},
+		"a second answer":          {func(history *History) { history.Sessions[1].More = 1 }, Answered},
+		"two out by a microsecond": {func(history *History) { history.Attempts[2].At = at(550*ms - time.Microsecond) }, Once},
+		"two out, one for good":    {func(history *History) { history.Attempts[1].Closed = time.Time{} }, Once},
+		"to a draining server":     {func(history *History) { history.Attempts[3].At = history.Attempts[3].At.Add(time.Microsecond) }, Drained},
+		"to one that is gone": {func(history *History) {
+			history.EndpointChanges[1].State = "gone"
+			history.Attempts[3].At = at(11 * time.Second)
+		}, Drained},
+		"cut off":                   {func(history *History) { history.Attempts[2].End = "gone" }, Migrated},
+		"held back down":            {func(history *History) { history.Sessions[0].MaxHeld += time.Microsecond }, Prompt},
+		"held back up":              {func(history *History) { history.Attempts[2].MaxHeld += time.Microsecond }, Prompt},
+		"garbled down":              {func(history *History) { history.Sessions[3].Garbled = 1 }, Intact},
+		"garbled up":                {func(history *History) { history.Attempts[3].Garbled = 1 }, Intact},
+		"a cold server pushed over": {func(history *History) { restart(history, 22, 0) }, SlowStart},
 	} {
-		h := validHistory()
-		c.change(&h)
-		found := Check(h)
+		history := validHistory()
+		c.change(&history)
+		found := Check(history)
 		if len(found) != 1 || found[0].Rule != c.rule || !strings.Contains(found[0].String(), string(c.rule)) {
 			t.Errorf("%s: found %v, want one breach of %q", name, found, c.rule)
 		}
 	}
 	// What keeps the rules by as little.
 	for name, change := range map[string]func(*History){
-		"ready again": func(h *History) {
-			h.EndpointChanges = append(h.EndpointChanges, fake.EndpointChange{At: at(10540 * ms), Endpoint: "s-4", State: "ready"})
-			h.Attempts[3].At = at(11 * time.Second)
+		"ready again": func(history *History) {
+			history.EndpointChanges = append(history.EndpointChanges, fake.EndpointChange{At: at(10540 * ms), Endpoint: "s-4", State: "ready"})
+			history.Attempts[3].At = at(11 * time.Second)
 		},
-		"as much as a cold server bears": func(h *History) { restart(h, 21, 0) },
-		"more, once it is warm":          func(h *History) { restart(h, 80, 23*time.Second) },
-		"spoiled on purpose": func(h *History) {
-			h.Sessions[3].Garbled, h.Spoiled = 1, func(v fake.Session) bool { return v.Name == "d" }
+		"as much as a cold server bears": func(history *History) { restart(history, 21, 0) },
+		"more, once it is warm":          func(history *History) { restart(history, 80, 23*time.Second) },
+		"spoiled on purpose": func(history *History) {
+			history.Sessions[3].Garbled, history.Spoiled = 1, func(session fake.Session) bool { return session.Name == "d" }
 		},
-		"broken on purpose": func(h *History) {
-			h.Attempts[2].End, h.Broken = "gone", func(p fake.Attempt) bool { return p.Server == "s-3" }
+		"broken on purpose": func(history *History) {
+			history.Attempts[2].End, history.Broken = "gone", func(attempt fake.Attempt) bool { return attempt.Server == "s-3" }
 		},
 	} {
-		h := validHistory()
-		if change(&h); len(Check(h)) > 0 {
-			t.Errorf("%s: found %v", name, Check(h))
+		history := validHistory()
+		if change(&history); len(Check(history)) > 0 {
+			t.Errorf("%s: found %v", name, Check(history))
 		}
 	}
 }
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -30,9 +30,9 @@
 		return balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64())
 	}},
 	{"module-no-zones", func(s *Sim, r int) Decider {
-		set := s.settings(s.relays[r].zone)
-		set.CrossZoneCost = 0
-		return balancer.New(set, s.rng.Uint64())
+		settings := s.settings(s.relays[r].zone)
+		settings.CrossZoneCost = 0
+		return balancer.New(settings, s.rng.Uint64())
 	}},
 	{"module-no-notes", func(s *Sim, r int) Decider {
 		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -82,13 +82,13 @@
 		r.FoundIn = a.detectionTime.Seconds() / float64(a.detected)
 	}
 	good, asked, worst := 0.0, 0.0, 1.0
-	for i, c := range s.Classes {
+	for i, class := range s.Classes {
 		good, asked = good+a.served[i], asked+a.wanted[i]
 		service := min(1, ratio(a.served[i], a.wanted[i]))
 		worst = min(worst, service)
-		h := a.setupTimes[i]
-		r.Classes = append(r.Classes, ClassResult{Name: c.Name, Service: service, InAim: ratio(float64(a.inObjective[i]), float64(a.established[i])),
-			P50: float64(h.ValueAtQuantile(50)) / 1000, P99: float64(h.ValueAtQuantile(99)) / 1000})
+		histogram := a.setupTimes[i]
+		r.Classes = append(r.Classes, ClassResult{Name: class.Name, Service: service, InAim: ratio(float64(a.inObjective[i]), float64(a.established[i])),
+			P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000})
 	}
 	r.Service = min(1, ratio(good, asked))
 	r.Worst10 = 1
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -43,8 +43,8 @@
 }
 
 // summary is a result without its seconds.
-func summary(r *Result) string {
-	c := *r
+func summary(result *Result) string {
+	c := *result
 	c.Seconds = nil
 	return fmt.Sprintf("%+v", c)
 }
@@ -54,9 +54,9 @@
 	actions := mustParse(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
 	for _, p := range Policies {
 		run := func(seed uint64) *Result {
-			r := New(ReferenceWorld(), actions, p, seed).Run(nil)
-			r.Took = 0
-			return r
+			result := New(ReferenceWorld(), actions, p, seed).Run(nil)
+			result.Took = 0
+			return result
 		}
 		first := run(3)
 		if again := run(3); !reflect.DeepEqual(first, again) {
@@ -79,9 +79,9 @@
 			out[int(c.server)]++
 		}
 	}
-	for i, v := range s.servers {
+	for i, server := range s.servers {
 		load, groups, by := 0.0, make(map[uint32]int), make([]int, len(s.Classes))
-		for slot, id := range v.conns {
+		for slot, id := range server.conns {
 			c := &s.clients[id]
 			if c.state != stateEstablished || int(c.server) != i || int(c.slot) != slot {
 				return fmt.Errorf("client %d stands at server %d in state %d, place %d of server %d", id, i, c.state, c.slot, c.server)
@@ -92,13 +92,13 @@
 			stand++
 		}
 		load += s.GroupCost * float64(len(groups))
-		if d := load - v.load; d > 1e-3 || d < -1e-3 || !reflect.DeepEqual(groups, v.groups) || !reflect.DeepEqual(by, v.establishedByClass) {
-			return fmt.Errorf("server %d has load %v and groups %v, counted %v and %v", i, v.load, v.groups, load, groups)
+		if d := load - server.load; d > 1e-3 || d < -1e-3 || !reflect.DeepEqual(groups, server.groups) || !reflect.DeepEqual(by, server.establishedByClass) {
+			return fmt.Errorf("server %d has load %v and groups %v, counted %v and %v", i, server.load, server.groups, load, groups)
 		}
-		if out[i] != v.attempts {
-			return fmt.Errorf("server %d counts %d passes, out are %d", i, v.attempts, out[i])
+		if out[i] != server.attempts {
+			return fmt.Errorf("server %d counts %d passes, out are %d", i, server.attempts, out[i])
 		}
-		if v.down && len(v.conns) > 0 {
+		if server.down && len(server.conns) > 0 {
 			return fmt.Errorf("server %d is down and has connections", i)
 		}
 	}
@@ -110,7 +110,7 @@
 		}
 		if c.state == stateEstablished {
 			ups++
-			if r := s.relays[c.relay]; !r.up || r.clients[c.request] != uint32(i) {
+			if result := s.relays[c.relay]; !result.up || result.clients[c.request] != uint32(i) {
 				return fmt.Errorf("client %d stands by relay %d, which does not know it", i, c.relay)
 			}
 		}
@@ -126,41 +126,41 @@
 // the rule.
 func TestRandomScenariosStayConsistent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := ReferenceWorld()
-		w.Servers, w.Relays, w.For = rapid.IntRange(1, 20).Draw(rt, "servers"), rapid.IntRange(1, 5).Draw(rt, "relays"), 12*time.Second
-		w.Rate, w.Standing = float64(rapid.IntRange(0, 20).Draw(rt, "rate")), rapid.IntRange(0, 200).Draw(rt, "standing")
-		w.Life = time.Duration(rapid.IntRange(1, 30).Draw(rt, "life")) * time.Second
+		world := ReferenceWorld()
+		world.Servers, world.Relays, world.For = rapid.IntRange(1, 20).Draw(rt, "servers"), rapid.IntRange(1, 5).Draw(rt, "relays"), 12*time.Second
+		world.Rate, world.Standing = float64(rapid.IntRange(0, 20).Draw(rt, "rate")), rapid.IntRange(0, 200).Draw(rt, "standing")
+		world.Life = time.Duration(rapid.IntRange(1, 30).Draw(rt, "life")) * time.Second
 		var b strings.Builder
 		for range rapid.IntRange(0, 6).Draw(rt, "acts") {
 			fmt.Fprintf(&b, "(at %dms %s)", rapid.IntRange(0, 12000).Draw(rt, "at"), rapid.SampledFrom([]string{
 				"(hang 2 3s)", "(slow 2 0.2 4s)", "(drain 1)", "(restart 2 2s)", "(drop 60)", "(relay-restart 1 2s)", "(surge 5 2s)", "(list-behind 3s 4s)", "(add 2)"}).Draw(rt, "act"))
 		}
 		p := rapid.SampledFrom(Policies).Draw(rt, "policy")
-		s := New(w, mustParse(rt, b.String()), p, rapid.Uint64().Draw(rt, "seed"))
+		s := New(world, mustParse(rt, b.String()), p, rapid.Uint64().Draw(rt, "seed"))
 		for i := 0; len(s.events) > 0; i++ {
-			e := s.events.pop()
-			if e.at < s.now {
-				rt.Fatalf("time goes back from %v to %v", s.now, e.at)
+			event := s.events.pop()
+			if event.at < s.now {
+				rt.Fatalf("time goes back from %v to %v", s.now, event.at)
 			}
-			if e.at > s.end {
+			if event.at > s.end {
 				break
 			}
-			s.now = e.at
-			s.step(e)
+			s.now = event.at
+			s.step(event)
 			if i%50 == 0 {
 				if err := s.checkConsistency(); err != nil {
 					rt.Fatalf("%s: %v", p.Name, err)
 				}
 			}
 		}
-		r := s.statistics.result(s, 0)
-		for _, part := range []float64{r.Service, r.Worst10, r.Classes[0].Service} {
+		result := s.statistics.result(s, 0)
+		for _, part := range []float64{result.Service, result.Worst10, result.Classes[0].Service} {
 			if part < 0 || part > 1 {
-				rt.Fatalf("service of %v: %s", part, summary(r))
+				rt.Fatalf("service of %v: %s", part, summary(result))
 			}
 		}
-		if p.Name == "module" && r.Late > 0 {
-			rt.Fatalf("%d passes went to servers long after their drain was told", r.Late)
+		if p.Name == "module" && result.Late > 0 {
+			rt.Fatalf("%d passes went to servers long after their drain was told", result.Late)
 		}
 	})
 }
@@ -168,28 +168,28 @@
 // The figures that the pages tell have to come out of the model: calm days are served,
 // and troubles cost what one would expect.
 func TestModelBehavesAsThePagesSay(t *testing.T) {
-	mean := func(actions, p string, change func(*World)) (service, attempts float64, r *Result) {
+	mean := func(actions, p string, change func(*World)) (service, attempts float64, result *Result) {
 		for seed := range uint64(5) {
-			w := ReferenceWorld()
+			world := ReferenceWorld()
 			if change != nil {
-				change(&w)
+				change(&world)
 			}
-			r = New(w, mustParse(t, actions), policy(p), seed).Run(nil)
-			service += r.Service / 5
-			attempts += r.Attempts / 5
+			result = New(world, mustParse(t, actions), policy(p), seed).Run(nil)
+			service += result.Service / 5
+			attempts += result.Attempts / 5
 		}
-		return service, attempts, r
+		return service, attempts, result
 	}
-	calm, attempts, r := mean("", "module", func(w *World) { w.Rate, w.Standing = 1.5, 55 })
-	if calm < 0.93 || attempts > 1.2 || r.Tipped > 0 || r.Silent > 0 {
-		t.Errorf("a calm day has %.3f of service with %.2f attempts: %s", calm, attempts, summary(r))
+	calm, attempts, result := mean("", "module", func(world *World) { world.Rate, world.Standing = 1.5, 55 })
+	if calm < 0.93 || attempts > 1.2 || result.Tipped > 0 || result.Silent > 0 {
+		t.Errorf("a calm day has %.3f of service with %.2f attempts: %s", calm, attempts, summary(result))
 	}
 	hung, _, _ := mean("(at 10s (hang 2 15s))", "module", nil)
 	usual, _, _ := mean("", "module", nil)
 	if hung >= usual {
 		t.Errorf("two hung servers: %.3f, without %.3f", hung, usual)
 	}
-	over, _, _ := mean("", "module", func(w *World) { w.Rate, w.Standing = 8, 300 })
+	over, _, _ := mean("", "module", func(world *World) { world.Rate, world.Standing = 8, 300 })
 	if over > usual-0.1 {
 		t.Errorf("an overload is served %.3f, a usual day %.3f", over, usual)
 	}
@@ -198,9 +198,9 @@
 	if oracle < random {
 		t.Errorf("who sees all serves %.3f, chance %.3f", oracle, random)
 	}
-	cold, _, r := mean("(at 5s (restart 2 2s))", "module", nil)
-	if r.Tipped > 0 || cold < 0.5 {
-		t.Errorf("cold servers fell over %d times; service %.3f", r.Tipped, cold)
+	cold, _, result := mean("(at 5s (restart 2 2s))", "module", nil)
+	if result.Tipped > 0 || cold < 0.5 {
+		t.Errorf("cold servers fell over %d times; service %.3f", result.Tipped, cold)
 	}
 }
 
@@ -209,32 +209,32 @@
 // stays whole.
 func TestProbedRelaysFindOut(t *testing.T) {
 	day := func(probed bool, loss float64, actions string) *Result {
-		w := ReferenceWorld()
-		w.Probed, w.ProbeLoss = probed, loss
-		if err := w.Validate(); err != nil {
+		world := ReferenceWorld()
+		world.Probed, world.ProbeLoss = probed, loss
+		if err := world.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		s := New(w, mustParse(t, actions), policy("module"), 5)
-		r := s.Run(nil)
+		s := New(world, mustParse(t, actions), policy("module"), 5)
+		result := s.Run(nil)
 		if err := s.checkConsistency(); err != nil {
 			t.Error(err)
 		}
-		return r
+		return result
 	}
 	const hangs, dies = "(at 15s (hang 2 12s))", "(at 15s (restart 2 12s))"
-	if r := day(false, 0, hangs); r.FoundIn != 0 || r.Probes != 0 {
-		t.Errorf("a list that is told finds hung servers in %v s, with %d probes", r.FoundIn, r.Probes)
+	if result := day(false, 0, hangs); result.FoundIn != 0 || result.Probes != 0 {
+		t.Errorf("a list that is told finds hung servers in %v s, with %d probes", result.FoundIn, result.Probes)
 	}
 	most := (3*healthcheck.DefaultSettings().Interval + healthcheck.DefaultSettings().Timeout).Seconds()
 	for _, actions := range []string{hangs, dies} {
-		if r := day(true, 0, actions); r.FoundIn <= 0 || r.FoundIn > most {
-			t.Errorf("%s: found in %v s, want within %v", actions, r.FoundIn, most)
+		if result := day(true, 0, actions); result.FoundIn <= 0 || result.FoundIn > most {
+			t.Errorf("%s: found in %v s, want within %v", actions, result.FoundIn, most)
 		}
 	}
-	if r := day(true, 0, ""); r.Alarms != 0 || r.Probes < 13*4*20 {
-		t.Errorf("%d false alarms, %d probes", r.Alarms, r.Probes)
+	if result := day(true, 0, ""); result.Alarms != 0 || result.Probes < 13*4*20 {
+		t.Errorf("%d false alarms, %d probes", result.Alarms, result.Probes)
 	}
-	if r := day(true, 0.4, "(at 10s (add 1)) (at 20s (drain 1)) (at 22s (relay-restart 1 3s))"); r.Alarms == 0 {
+	if result := day(true, 0.4, "(at 10s (add 1)) (at 20s (drain 1)) (at 22s (relay-restart 1 3s))"); result.Alarms == 0 {
 		t.Error("probes that get lost bring no alarm")
 	}
 }
@@ -274,18 +274,18 @@
 
 func TestWorldsThatMakeNoSenseAreRefused(t *testing.T) {
 	for want, change := range map[string]func(*World){
-		"servers 0": func(w *World) { w.Servers = 0 }, "relays 9999": func(w *World) { w.Relays = 9999 }, "rate -1": func(w *World) { w.Rate = -1 },
-		"for 0s": func(w *World) { w.For = 0 }, "no classes": func(w *World) { w.Classes = nil }, "groups 0": func(w *World) { w.Groups = 0 },
-		"cold-share 2": func(w *World) { w.ColdShare = 2 }, "swing 1": func(w *World) { w.Swing = 1 }, "zones 0": func(w *World) { w.Zones = 0 },
+		"servers 0": func(world *World) { world.Servers = 0 }, "relays 9999": func(world *World) { world.Relays = 9999 }, "rate -1": func(world *World) { world.Rate = -1 },
+		"for 0s": func(world *World) { world.For = 0 }, "no classes": func(world *World) { world.Classes = nil }, "groups 0": func(world *World) { world.Groups = 0 },
+		"cold-share 2": func(world *World) { world.ColdShare = 2 }, "swing 1": func(world *World) { world.Swing = 1 }, "zones 0": func(world *World) { world.Zones = 0 },
 	} {
-		w := ReferenceWorld()
-		change(&w)
-		if err := w.Validate(); err == nil || !strings.Contains(err.Error(), want) {
+		world := ReferenceWorld()
+		change(&world)
+		if err := world.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %q, got %v", want, err)
 		}
 	}
-	w := ReferenceWorld()
-	if err := w.Validate(); err != nil {
+	world := ReferenceWorld()
+	if err := world.Validate(); err != nil {
 		t.Error(err)
 	}
 	for text, want := range map[string]string{
@@ -314,12 +314,12 @@
 	}{{1, 4}, {10, 16}, {154, 64}} {
 		b.Run(fmt.Sprintf("servers=%d", int(13*size.by)), func(b *testing.B) {
 			for range b.N {
-				w := ReferenceWorld().Scaled(size.by, size.relays)
-				w.For = 20 * time.Second
-				r := New(w, nil, policy("module"), 1).Run(nil)
-				b.ReportMetric(w.For.Seconds()/r.Took, "times-real")
-				b.ReportMetric(float64(r.Events)/r.Took, "events/s")
-				b.ReportMetric(float64(r.Standing), "standing")
+				world := ReferenceWorld().Scaled(size.by, size.relays)
+				world.For = 20 * time.Second
+				result := New(world, nil, policy("module"), 1).Run(nil)
+				b.ReportMetric(world.For.Seconds()/result.Took, "times-real")
+				b.ReportMetric(float64(result.Events)/result.Took, "events/s")
+				b.ReportMetric(float64(result.Standing), "standing")
 			}
 		})
 	}
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -42,20 +42,20 @@
 }
 
 // countEstablished counts a request that was established.
-func (a *statistics) countEstablished(s *Sim, c *clientModel) {
-	took := s.now - c.requestedAt
-	a.setupTimes[c.class].RecordValue(max(1, took.Microseconds()))
-	a.established[c.class]++
-	if took <= s.Classes[c.class].Aim {
-		a.inObjective[c.class]++
+func (a *statistics) countEstablished(s *Sim, client *clientModel) {
+	took := s.now - client.requestedAt
+	a.setupTimes[client.class].RecordValue(max(1, took.Microseconds()))
+	a.established[client.class]++
+	if took <= s.Classes[client.class].Aim {
+		a.inObjective[client.class]++
 	}
 }
 
 // countService counts what a server does in a tick.
-func (a *statistics) countService(s *Sim, v *serverModel, rho float64, dt time.Duration) {
+func (a *statistics) countService(s *Sim, server *serverModel, rho float64, dt time.Duration) {
 	a.utilizations = append(a.utilizations, rho)
-	for i, n := range v.establishedByClass {
-		if n > 0 && !v.hung && v.delay <= s.Classes[i].MessageAim {
+	for i, n := range server.establishedByClass {
+		if n > 0 && !server.hung && server.delay <= s.Classes[i].MessageAim {
 			worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
 			a.served[i] += worth
 			a.currentServed += worth
@@ -92,9 +92,9 @@
 	}
 	groups, copies := make(map[uint32]bool), 0
 	if a.ticks%int(5*time.Second/dt) == 0 {
-		for _, v := range s.servers {
-			copies += len(v.groups)
-			for g := range v.groups {
+		for _, server := range s.servers {
+			copies += len(server.groups)
+			for g := range server.groups {
 				groups[g] = true
 			}
 		}
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -11,17 +11,17 @@
 // queueWorld is a world with one server and one relay that is nothing but a queue of
 // set-ups: no loads, no delays, no retries.
 func queueWorld(cores int, perSecond float64, setUp time.Duration) World {
-	w := ReferenceWorld()
-	w.Servers, w.Relays, w.Zones, w.Standing, w.Slow = 1, 1, 1, 0, 0
-	w.Rate, w.Swing, w.For = perSecond, 0, 400*time.Second
-	w.Speed, w.PerCore, w.Cores, w.GroupCost = [2]float64{1, 1}, 1e9, cores, 0
-	w.SetUp, w.Queue = setUp, 1_000_000
-	w.Same, w.Cross, w.Client = [2]time.Duration{}, [2]time.Duration{}, [2]time.Duration{}
-	w.Life = time.Hour
-	for i := range w.Classes {
-		w.Classes[i].GiveUp, w.Classes[i].Load = time.Hour, [2]float64{1, 1}
+	world := ReferenceWorld()
+	world.Servers, world.Relays, world.Zones, world.Standing, world.Slow = 1, 1, 1, 0, 0
+	world.Rate, world.Swing, world.For = perSecond, 0, 400*time.Second
+	world.Speed, world.PerCore, world.Cores, world.GroupCost = [2]float64{1, 1}, 1e9, cores, 0
+	world.SetUp, world.Queue = setUp, 1_000_000
+	world.Same, world.Cross, world.Client = [2]time.Duration{}, [2]time.Duration{}, [2]time.Duration{}
+	world.Life = time.Hour
+	for i := range world.Classes {
+		world.Classes[i].GiveUp, world.Classes[i].Load = time.Hour, [2]float64{1, 1}
 	}
-	return w
+	return world
 }
 
 // A server's set-ups are a queue with one line and a fixed time each, M/D/1: the mean
@@ -31,16 +31,16 @@
 		const setUp = 20 * time.Millisecond
 		wait, n := 0.0, 0
 		for seed := range uint64(5) {
-			w := queueWorld(1, rho/setUp.Seconds(), setUp)
-			s := New(w, nil, policy("random"), seed)
-			r := s.Run(nil)
+			world := queueWorld(1, rho/setUp.Seconds(), setUp)
+			s := New(world, nil, policy("random"), seed)
+			result := s.Run(nil)
 			for i := range s.Classes {
 				h := s.statistics.setupTimes[i]
 				wait += h.Mean() / 1e6 * float64(h.TotalCount())
 				n += int(h.TotalCount())
 			}
-			if r.Refused > 0 || r.Failed > 0 {
-				t.Fatalf("rho %v: %s", rho, summary(r))
+			if result.Refused > 0 || result.Failed > 0 {
+				t.Fatalf("rho %v: %s", rho, summary(result))
 			}
 		}
 		got := wait/float64(n) - setUp.Seconds()
@@ -54,12 +54,12 @@
 // A message at a server takes its time over what is left of the server: S/(1-rho), as in
 // a queue that shares its server (M/G/1-PS), whatever the distribution of the work.
 func TestMessagesTakeAsLongAsInMG1PS(t *testing.T) {
-	w := ReferenceWorld()
-	s := New(w, nil, policy("random"), 1)
-	for _, v := range s.servers {
+	world := ReferenceWorld()
+	s := New(world, nil, policy("random"), 1)
+	for _, server := range s.servers {
 		for _, rho := range []float64{0, 0.3, 0.6, 0.9} {
-			want := w.Message.Seconds() / v.speed / (1 - rho)
-			if got := s.messageDelay(v, rho).Seconds(); math.Abs(got-want) > 1e-6 {
+			want := world.Message.Seconds() / server.speed / (1 - rho)
+			if got := s.messageDelay(server, rho).Seconds(); math.Abs(got-want) > 1e-6 {
 				t.Errorf("at load %v a message takes %v s, by the closed form %v", rho, got, want)
 			}
 		}
@@ -70,16 +70,16 @@
 // M/G/infinity. Their number is Poisson with mean arrivals times life, whatever the
 // distribution of lives; and Little's law holds: mean number is rate times mean stay.
 func TestStandingConnectionsKeepLittlesLaw(t *testing.T) {
-	w := ReferenceWorld()
-	w.For, w.Standing, w.Swing, w.Servers = 600*time.Second, 0, 0, 60
-	s := New(w, nil, policy("oracle"), 5)
-	r := s.Run(nil)
+	world := ReferenceWorld()
+	world.For, world.Standing, world.Swing, world.Servers = 600*time.Second, 0, 0, 60
+	s := New(world, nil, policy("oracle"), 5)
+	result := s.Run(nil)
 	mean, square, n := 0.0, 0.0, 0.0
-	for _, x := range r.Seconds[200:] { // five lives after the start
+	for _, x := range result.Seconds[200:] { // five lives after the start
 		mean, square, n = mean+float64(x.Up), square+float64(x.Up)*float64(x.Up), n+1
 	}
 	mean /= n
-	want := w.Rate * w.Life.Seconds()
+	want := world.Rate * world.Life.Seconds()
 	if variance := square/n - mean*mean; math.Abs(mean-want) > 0.12*want || variance < 0.2*want || variance > 3*want {
 		t.Errorf("%.1f stand on average with variance %.1f, by Little's law %.1f", mean, variance, want)
 	}
@@ -107,17 +107,17 @@
 }
 
 // digest is a hash of all events of a run, in order.
-func digest(w World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
-	s := New(w, actions, p, seed)
+func digest(world World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
+	s := New(world, actions, p, seed)
 	h := fnv.New64a()
 	for len(s.events) > 0 {
-		e := s.events.pop()
-		if e.at > s.end {
+		event := s.events.pop()
+		if event.at > s.end {
 			break
 		}
-		s.now = e.at
-		fmt.Fprintln(h, e.at, e.kind, e.subject, e.generation, e.value)
-		s.step(e)
+		s.now = event.at
+		fmt.Fprintln(h, event.at, event.kind, event.subject, event.generation, event.value)
+		s.step(event)
 	}
 	return h.Sum64()
 }
