--- a/internal/simulation/parameters.go
+++ b/internal/simulation/parameters.go
@@ -104,10 +104,10 @@
 func Parameters() []string { return slices.Sorted(maps.Keys(worldParameters)) }
 
 // Set sets a parameter of the world by its name. An error names the value's place.
-func (world *World) Set(name string, value *sexp.Node) error {
+func (w *World) Set(name string, value *sexp.Node) error {
 	set, ok := worldParameters[name]
 	if !ok {
 		return value.Errorf("a world has no %q; expected one of %s", name, strings.Join(Parameters(), ", "))
 	}
-	return set(world, value)
+	return set(w, value)
 }
