--- /dev/null
+++ b/internal/proxy/harness_test.go
@@ -0,0 +1,180 @@
+package proxy
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"lockroad/balancer"
+	"lockroad/internal/assert"
+)
+
+const ms = time.Millisecond
+
+// settings returns settings of one class, whose clients wait for a second.
+func settings() balancer.Settings {
+	return balancer.Settings{
+		Classes: []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
+		Relays:  1, MaxAttempts: 3, MinTick: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
+		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
+	}
+}
+
+// runProxy runs a proxy with some endpoints on a fake clock, and checks at the end that nothing is left of its requests.
+func runProxy(t *testing.T, endpoints int, run func(proxy *Proxy, setState func(index int, state balancer.EndpointState))) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		proxy := New(settings(), 1, NewClock())
+		ctx, cancel := context.WithCancel(context.Background())
+		go func() { _ = proxy.Run(ctx) }()
+		go func() { _ = proxy.MonitorHeartbeats(ctx) }()
+		endpoint := func(i int, state balancer.EndpointState) balancer.Endpoint {
+			return balancer.Endpoint{ID: proxy.Endpoints.ID(fmt.Sprintf("s-%d", i)), State: state, Weight: 1}
+		}
+		for i := range endpoints {
+			proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{endpoint(i, balancer.StateReady)}, []string{"address"})
+		}
+		run(proxy, func(index int, state balancer.EndpointState) {
+			proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{endpoint(index, state)}, []string{"address"})
+		})
+		synctest.Wait()
+		if open := proxy.Requests.Len(); open != 0 {
+			t.Errorf("%d requests are still open", open)
+		}
+		if violations := assert.Broken(); violations != 0 {
+			t.Errorf("%d invariants are violated", violations)
+		}
+		cancel()
+		synctest.Wait()
+	})
+}
+
+// scriptedAction is what an endpoint does with an attempt.
+type scriptedAction struct {
+	status   balancer.AttemptStatus
+	after    time.Duration
+	lifetime time.Duration // once established
+	mute     bool          // it sends nothing once established
+}
+
+// fakeDownstream is a frontend's side of a request, and the model that the proxy is checked by.
+type fakeDownstream struct {
+	t          *testing.T
+	proxy      *Proxy
+	nextAction func() scriptedAction
+
+	mu         sync.Mutex
+	inFlight   int           // attempts in progress
+	answers    []string      // what the client was notified of
+	answeredAt time.Duration // time of the last answer
+}
+
+// fakeUpstreamConn is the connection that an attempt has established.
+type fakeUpstreamConn struct{ scriptedAction }
+
+func (fakeUpstreamConn) Close() {}
+
+func (d *fakeDownstream) Attempt(ctx context.Context, attempt Attempt) (UpstreamConn, balancer.AttemptStatus) {
+	d.mu.Lock()
+	if d.inFlight++; d.inFlight > 1 {
+		d.t.Error("two attempts are in progress at once")
+	}
+	if len(d.answers) > 0 {
+		d.t.Errorf("an attempt starts after the answer %v", d.answers)
+	}
+	d.mu.Unlock()
+	defer func() {
+		d.mu.Lock()
+		d.inFlight--
+		d.mu.Unlock()
+	}()
+	if attempt.Timeout <= 0 {
+		d.t.Errorf("an attempt has a timeout of %v", attempt.Timeout)
+	}
+	if !attempt.StillPermitted(ctx) {
+		return nil, balancer.StatusNotSent
+	}
+	action := d.nextAction()
+	select {
+	case <-time.After(action.after):
+		if action.status == balancer.StatusOK {
+			return fakeUpstreamConn{action}, action.status
+		}
+		return nil, action.status
+	case <-ctx.Done():
+		if ctx.Err() == context.DeadlineExceeded {
+			return nil, balancer.StatusTimeout
+		}
+		return nil, balancer.StatusCancelled
+	}
+}
+
+func (d *fakeDownstream) Pipe(ctx context.Context, conn UpstreamConn, heartbeat *Heartbeat) balancer.AttemptStatus {
+	d.answer("established")
+	heartbeat.Established()
+	action := conn.(fakeUpstreamConn)
+	end := time.After(action.lifetime)
+	tick := time.NewTicker(2 * time.Second)
+	defer tick.Stop()
+	for {
+		select {
+		case <-tick.C:
+			heartbeat.ClientSent()
+			if !action.mute {
+				heartbeat.EndpointSent()
+			}
+		case <-end:
+			return balancer.StatusOK
+		case <-ctx.Done():
+			return balancer.StatusCancelled
+		}
+	}
+}
+
+// answer notes what the client is notified of.
+func (d *fakeDownstream) answer(what string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.answers = append(d.answers, what)
+	d.answeredAt = d.proxy.Clock.Now()
+}
+
+func (d *fakeDownstream) BadRequest(string) { d.answer("bad request") }
+
+func (d *fakeDownstream) Reject(time.Duration) { d.answer("rejected") }
+
+func (d *fakeDownstream) Fail() { d.answer("failed") }
+
+func (d *fakeDownstream) Migrate() bool { d.answer("migrated"); return true }
+
+// serve serves a request and returns once it has ended.
+func (d *fakeDownstream) serve(ctx context.Context, wait time.Duration) {
+	d.proxy.Serve(ctx, Request{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: d.proxy.Clock.Now() + wait}}, d)
+}
+
+// establish returns actions that all establish a connection of the same lifetime.
+func establish(lifetime time.Duration) func() scriptedAction {
+	return always(scriptedAction{status: balancer.StatusOK, lifetime: lifetime})
+}
+
+func always(action scriptedAction) func() scriptedAction {
+	return func() scriptedAction { return action }
+}
+
+// check holds what the client was notified of against the model: an answer in time, and
+// after it is established nothing but a migration.
+func (d *fakeDownstream) check(deadline time.Duration, left bool) {
+	switch n := len(d.answers); {
+	case n == 0 && left:
+	case n == 0:
+		d.t.Error("no answer")
+	case n == 1 && d.answeredAt > deadline:
+		d.t.Errorf("answered %v after the deadline", d.answeredAt-deadline)
+	case n == 2 && d.answers[0] == "established" && d.answers[1] == "migrated":
+	case n > 1:
+		d.t.Errorf("the client was notified of %v", d.answers)
+	}
+}
