--- a/Makefile
+++ b/Makefile
@@ -26,14 +26,14 @@
 	.ci/lint
 
 fuzz:
-	go test -run '^$$' -fuzz '^FuzzHall$$' -fuzztime $(FUZZTIME) ./internal/listener
+	go test -run '^$$' -fuzz '^FuzzConnLimiter$$' -fuzztime $(FUZZTIME) ./internal/listener
 	go test -run '^$$' -fuzz '^FuzzRequests$$' -fuzztime $(FUZZTIME) ./internal/proxy
-	go test -run '^$$' -fuzz '^FuzzMoveComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
+	go test -run '^$$' -fuzz '^FuzzMigrationComesBetweenLines$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzOpening$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzSplitter$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzReader$$' -fuzztime $(FUZZTIME) ./internal/frontend/line
 	go test -run '^$$' -fuzz '^FuzzChunks$$' -fuzztime $(FUZZTIME) ./internal/discovery
-	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
+	go test -run '^$$' -fuzz '^FuzzFrame$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp/framing
 	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime $(FUZZTIME) ./internal/sexp
 
--- a/cmd/lockroad/secure_test.go
+++ b/cmd/lockroad/credentials_test.go
@@ -19,30 +19,30 @@
 
 // The whole way of an operator: a password set at the command line, the file checked, the relay started over TLS, a
 // user added and a key replaced at SIGHUP, a certificate that expires soon told of in the log. What stands is not lost.
-func TestUsersAndKeysAtSIGHUP(t *testing.T) {
+func TestCredentialsReloadAtSIGHUP(t *testing.T) {
 	t.Parallel()
-	s := newService(t)
+	cluster := newCluster(t)
 	a := testutil.NewAuthority(t)
 	cert, key := a.Pair("relay", 10*24*time.Hour)
-	users, operator, address := filepath.Join(s.folder, "users"), filepath.Join(s.folder, "operator.toml"), free(t)
+	users, operator, address := filepath.Join(cluster.dir, "users"), filepath.Join(cluster.dir, "operator.toml"), freeAddress(t)
 	passwd := func(user, password string) {
 		t.Helper()
 		var out, errs strings.Builder
-		if code := call([]string{"passwd", users, user}, streams{strings.NewReader(password + "\n"), &out, &errs}); code != 0 {
+		if code := execute([]string{"passwd", users, user}, streams{strings.NewReader(password + "\n"), &out, &errs}); code != 0 {
 			t.Fatal(code, out.String(), errs.String())
 		}
 	}
 	passwd("ann", "ann's")
 	text := fmt.Sprintf("[amqp]\nlisten = %q\nserver_port = %d\n[amqp.tls]\ncert = %q\nkey = %q\n[amqp.sasl]\nusers = %q\nanonymous = false\n[[amqp.place]]\naddress = \"scores/*\"\nclass = \"page\"\n",
-		address, s.site.AMQPPort, cert, key, users)
+		address, cluster.site.AMQPPort, cert, key, users)
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, out, errs := command("check", operator); code != 0 || !strings.Contains(out, "a sound operator's file") {
+	if code, out, errs := runCommandLine("check", operator); code != 0 || !strings.Contains(out, "a sound operator's file") {
 		t.Fatal(code, out, errs)
 	}
-	p := s.start("LOCKROAD_OPERATOR=" + operator)
-	p.ready()
+	relay := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
+	relay.awaitReady()
 	ca, _ := os.ReadFile(a.CA)
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(ca)
@@ -79,7 +79,7 @@
 	}
 	passwd("bob", "bob's")
 	a.Pair("relay", 20*24*time.Hour)
-	_ = p.Process.Signal(syscall.SIGHUP)
+	_ = relay.Process.Signal(syscall.SIGHUP)
 	testutil.Until(t, "the new user is not taken", func() bool {
 		_, _, err := open("bob", "bob's")
 		return err == nil
@@ -93,14 +93,14 @@
 	if err := os.WriteFile(users, []byte("odd\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.Process.Signal(syscall.SIGHUP)
-	testutil.Until(t, "the second file is not taken", func() bool { return p.figures()["config_applied_total"] == 2 })
+	_ = relay.Process.Signal(syscall.SIGHUP)
+	testutil.Until(t, "the second file is not taken", func() bool { return relay.metrics()["config_applied_total"] == 2 })
 	if _, _, err := open("bob", "bob's"); err != nil {
 		t.Errorf("a broken file has shut bob out: %v", err)
 	}
-	p.leave()
-	for _, want := range []string{"expires soon", "days=9", "days=19", "a file of keys or users stays as it was", users + ":1: "} {
-		if !strings.Contains(p.log.String(), want) {
+	relay.shutDown()
+	for _, want := range []string{"expires soon", "days=9", "days=19", "credentials reload rejected", users + ":1: "} {
+		if !strings.Contains(relay.log.String(), want) {
 			t.Errorf("the log does not say %q", want)
 		}
 	}
--- /dev/null
+++ b/internal/frontend/amqp/attempt.go
@@ -0,0 +1,114 @@
+package amqp
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"net"
+	"os"
+	"strconv"
+	"time"
+
+	"lockroad/balancer"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/listener"
+	"lockroad/internal/proxy"
+)
+
+// Attempt attaches the client's link at an endpoint, and waits for the endpoint's attach and, if the client is the
+// sender, for credit. On any status but StatusOK the upstream connection is closed and the result is nil.
+func (l *link) Attempt(ctx context.Context, attempt proxy.Attempt) (conn proxy.UpstreamConn, status balancer.AttemptStatus) {
+	address := attempt.Endpoint.Address
+	if host, _, err := net.SplitHostPort(address); err == nil && l.frontend.EndpointPort != 0 {
+		address = net.JoinHostPort(host, strconv.Itoa(l.frontend.EndpointPort))
+	}
+	timeout := min(cmp.Or(l.frontend.Proxy.Settings().ConnectTimeout, attempt.Timeout), attempt.Timeout)
+	upstreamConn, err := l.frontend.connect(ctx, attempt.Endpoint, address, timeout)
+	if err != nil {
+		return nil, listener.NotSentStatus(ctx)
+	}
+	stop := context.AfterFunc(ctx, upstreamConn.Close)
+	status = l.attachUpstream(ctx, upstreamConn, attempt)
+	if !stop() && status == balancer.StatusOK {
+		status = listener.BrokenStatus(ctx, balancer.StatusReset)
+	}
+	if status != balancer.StatusOK {
+		close(upstreamConn.done)
+		upstreamConn.Close()
+		return nil, status
+	}
+	return upstreamConn, status
+}
+
+// attachUpstream sends the attach to an endpoint and returns what came of it.
+func (l *link) attachUpstream(ctx context.Context, upstreamConn *upstream, attempt proxy.Attempt) balancer.AttemptStatus {
+	properties, _ := l.attach.Field(framing.AttachProperties).(codec.Map)
+	properties = properties.With(propDeadline, uint32(max(1, attempt.TimeLeft(ctx).Milliseconds())))
+	performative := l.attach.With(framing.AttachHandle, uint32(0)).With(framing.AttachProperties, properties)
+	frames := []framing.Performative{performative}
+	permitted := func() bool { return attempt.StillPermitted(ctx) }
+	if upstreamConn.sharedSession != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
+		frames = []framing.Performative{upstreamConn.newBegin(nil), performative}
+		permitted = func() bool { return attempt.StillPermitted(ctx) && upstreamConn.sharedSession.announce() }
+	}
+	switch err := upstreamConn.writeInitial(ctx, permitted, frames...); {
+	case errors.Is(err, errNoLongerPermitted):
+		return balancer.StatusNotSent
+	case err != nil:
+		return listener.NotSentStatus(ctx) // an endpoint acts on complete frames only
+	}
+	l.frontend.Proxy.Metrics.Attempts.Add(1)
+	return l.awaitAttach(ctx, upstreamConn, attempt.Timeout)
+}
+
+// awaitAttach waits until the endpoint has established the link or rejected it.
+func (l *link) awaitAttach(ctx context.Context, upstreamConn *upstream, timeout time.Duration) balancer.AttemptStatus {
+	for {
+		frame, err := upstreamConn.nextFrame(timeout)
+		if err != nil {
+			if errors.Is(err, os.ErrDeadlineExceeded) {
+				return balancer.StatusTimeout
+			}
+			return listener.BrokenStatus(ctx, balancer.StatusReset)
+		}
+		switch {
+		case frame.Empty:
+		case frame.Code == framing.CodeAttach:
+			upstreamConn.attach = frame.Performative
+		case frame.Code == framing.CodeFlow:
+			upstreamConn.applyFlow(frame.Performative)
+			if frame.Uint32(framing.FlowLinkCredit, 0) > 0 {
+				upstreamConn.creditFlow = &frame.Performative
+			}
+		case frame.Code == framing.CodeDetach:
+			return rejectionStatus(frame.Performative, framing.DetachError)
+		case frame.Code == framing.CodeEnd:
+			return rejectionStatus(frame.Performative, framing.EndError)
+		case frame.Code == framing.CodeClose:
+			return rejectionStatus(frame.Performative, framing.CloseError)
+		default:
+			return balancer.StatusError
+		}
+		if l.isEstablished(upstreamConn) {
+			return balancer.StatusOK
+		}
+	}
+}
+
+// isEstablished reports whether the endpoint has accepted the link. An attach without the terminus that the endpoint
+// owns does not: it announces a detach (section 2.6.3).
+func (l *link) isEstablished(upstreamConn *upstream) bool {
+	if l.clientSends {
+		return upstreamConn.attach.Field(framing.AttachTarget) != nil && upstreamConn.creditFlow != nil
+	}
+	return upstreamConn.attach.Field(framing.AttachSource) != nil
+}
+
+// rejectionStatus is the status of an attempt that the endpoint has rejected with an error at a field.
+func rejectionStatus(performative framing.Performative, errorField int) balancer.AttemptStatus {
+	if condition, _ := performative.Condition(errorField); condition == framing.CondResourceLimitExceeded {
+		return balancer.StatusFull
+	}
+	return balancer.StatusError
+}
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -16,30 +16,32 @@
 
 	"lockroad/balancer"
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/testutil"
 )
 
-// A connection that transactions share, and whose server stops reading: whoever writes on it waits for the one before.
-// (The line front has a connection for each transaction, which is new as the opening is written.)
+// A connection that requests share, and whose endpoint stops reading: whoever writes on it waits for the one before.
+// (The line frontend has a connection for each request, which is new as the opening is written.)
 
-// dam is an application server that reads up to so many attaches, and then nothing until it is let.
-type dam struct {
+// blockedEndpoint is an endpoint that reads up to so many attaches, and then nothing until unblock is called.
+type blockedEndpoint struct {
 	net.Listener
-	attaches int
-	window   uint32 // transfers that it takes in a session
-	let      func()
-	may      chan struct{} // closed by let
-	over     chan struct{} // closed once its one connection has ended
+	maxAttaches int
+	window      uint32 // transfers that it takes in a session
+	unblock     func()
+	unblocked   chan struct{} // closed by let
+	done        chan struct{} // closed once its one connection has ended
 
-	mu       sync.Mutex
-	attached []string // links, by name
-	begun    int      // sessions
-	err      error    // what is wrong with what came, or how it ended
+	mu        sync.Mutex
+	linkNames []string // links, by name
+	sessions  int      // sessions
+	err       error    // what is wrong with what came, or how it ended
 }
 
-var damPage = bytes.Repeat([]byte("a page "), 1000)
+var blockingPayload = bytes.Repeat([]byte("a page "), 1000)
 
-func newDam(t *testing.T, attaches int, window uint32) *dam {
+func newBlockedEndpoint(t *testing.T, attaches int, window uint32) *blockedEndpoint {
 	t.Helper()
 	little := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -48,100 +50,102 @@
 		})
 		return errors.Join(err, failed)
 	}}
-	l, err := little.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	netListener, err := little.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &dam{Listener: l, attaches: attaches, window: window, may: make(chan struct{}), over: make(chan struct{})}
-	d.let = sync.OnceFunc(func() { close(d.may) })
-	go d.serve(t)
-	t.Cleanup(func() { d.let(); d.Close(); <-d.over })
-	return d
+	endpoint := &blockedEndpoint{Listener: netListener, maxAttaches: attaches, window: window, unblocked: make(chan struct{}), done: make(chan struct{})}
+	endpoint.unblock = sync.OnceFunc(func() { close(endpoint.unblocked) })
+	go endpoint.serve(t)
+	t.Cleanup(func() { endpoint.unblock(); endpoint.Close(); <-endpoint.done })
+	return endpoint
 }
 
-func (d *dam) serve(t *testing.T) {
-	defer close(d.over)
-	tcp, err := d.Accept()
+func (endpoint *blockedEndpoint) serve(t *testing.T) {
+	defer close(endpoint.done)
+	tcp, err := endpoint.Accept()
 	if err != nil {
 		return
 	}
 	defer tcp.Close()
-	c, ok := greetClient(t, tcp.(*net.TCPConn))
+	conn, ok := negotiateAsEndpoint(t, tcp.(*net.TCPConn))
 	if !ok {
 		return
 	}
 	stop := make(chan struct{})
 	defer close(stop)
-	go c.beat(time.Second, stop) // it lives all the while
+	go conn.sendHeartbeats(time.Second, stop) // it lives all the while
 	sessions := make(map[uint16]*session)
 	for {
-		f, err := c.read(frameAMQP, time.Minute)
-		d.mu.Lock()
+		frame, err := conn.readFrame(framing.TypeAMQP, time.Minute)
+		endpoint.mu.Lock()
 		if err != nil {
-			d.err = err
-			d.mu.Unlock()
+			endpoint.err = err
+			endpoint.mu.Unlock()
 			return
 		}
-		switch f.code {
-		case codeOpen:
-			c.opened(f.perf)
-			c.write(0, open("dam").with(3, uint16(7)), nil)
-		case codeBegin:
-			d.begun++
-			s := newSession(c, f.channel)
-			_ = s.begun(f.perf)
-			sessions[f.channel] = s
-			c.write(f.channel, s.begin(f.channel).with(2, d.window), nil)
-		case codeAttach:
-			d.attached = append(d.attached, text(f.field(0)))
-			s := sessions[f.channel]
-			s.write(f.channel, f.perf.with(2, !f.flag(2)).with(9, nil).with(13, nil), nil)
-			s.write(f.channel, perf{codeFlow, list{uint32(0), d.window, uint32(0), uint32(windowMost), f.field(1), uint32(0), uint32(50000)}}, nil)
-		case codeTransfer:
-			if !bytes.Contains(f.payload, damPage) {
-				d.err = errors.New("a delivery is not what its client has sent")
+		switch frame.Code {
+		case framing.CodeOpen:
+			conn.applyOpen(frame.Performative)
+			conn.writeFrame(0, newOpen("dam").With(framing.OpenChannelMax, uint16(7)), nil)
+		case framing.CodeBegin:
+			endpoint.sessions++
+			s := newSession(conn, frame.Channel)
+			_ = s.applyBegin(frame.Performative)
+			sessions[frame.Channel] = s
+			conn.writeFrame(frame.Channel, s.newBegin(frame.Channel).With(framing.BeginIncomingWindow, endpoint.window), nil)
+		case framing.CodeAttach:
+			endpoint.linkNames = append(endpoint.linkNames, codec.AsString(frame.Field(framing.AttachName)))
+			s := sessions[frame.Channel]
+			s.writeFrame(frame.Channel, frame.Performative.With(framing.AttachRole, !frame.Bool(framing.AttachRole)).With(framing.AttachInitialDeliveryCount, nil).With(framing.AttachProperties, nil), nil)
+			s.writeFrame(frame.Channel, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), endpoint.window, uint32(0), uint32(sessionWindow), frame.Field(framing.AttachHandle), uint32(0), uint32(50000)}}, nil)
+		case framing.CodeTransfer:
+			if !bytes.Contains(frame.Payload, blockingPayload) {
+				endpoint.err = errors.New("a delivery is not what its client has sent")
 			}
 		}
-		n := len(d.attached)
-		d.mu.Unlock()
-		if n == d.attaches {
-			<-d.may
+		n := len(endpoint.linkNames)
+		endpoint.mu.Unlock()
+		if n == endpoint.maxAttaches {
+			<-endpoint.unblocked
 		}
 	}
 }
 
-// sawTheFirstAlone ends the relay, and checks that nothing has come to the server but its first link.
-func (d *dam) sawTheFirstAlone(t *testing.T, r *rig) {
+// checkOnlyFirstArrived ends the relay, and checks that nothing has come to the endpoint but its first link.
+func (endpoint *blockedEndpoint) checkOnlyFirstArrived(t *testing.T, relay *testRelay) {
 	t.Helper()
-	r.end()
-	<-d.over
-	if d.begun != 1 || !slices.Equal(d.attached, []string{"first"}) {
-		t.Errorf("the server has seen %d sessions, and the links %q", d.begun, d.attached)
+	relay.shutdown()
+	<-endpoint.done
+	if endpoint.sessions != 1 || !slices.Equal(endpoint.linkNames, []string{"first"}) {
+		t.Errorf("the server has seen %d sessions, and the links %q", endpoint.sessions, endpoint.linkNames)
 	}
 }
 
-// damRig is a relay whose transactions share connections to such a server, and a client that has one.
-func damRig(t *testing.T, d *dam) (*rig, *Frontend, *client10.Sender) {
+// newRelayToBlockedEndpoint is a relay whose requests share connections to such an endpoint, and a client that has one.
+func newRelayToBlockedEndpoint(t *testing.T, endpoint *blockedEndpoint) (*testRelay, *Frontend, *client10.Sender) {
 	t.Helper()
 	var front *Frontend
-	r := newRig(t, wireOf(func(f *Frontend) {
-		f.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute}
-		front = f
+	relay := newTestRelay(t, amqpProtocol(func(frontend *Frontend) {
+		frontend.Pool = connpool.Settings{MaxSessions: 4, IdleTimeout: time.Minute}
+		front = frontend
 	}, nil), 1, nil)
-	r.retune(func(s *balancer.Settings) { s.ConnectTimeout, s.Classes[0].Deadline = time.Minute, time.Minute })
-	r.names = []string{d.Addr().String()}
-	r.list(balancer.StateReady, 0)
-	first, err := clientOf(t, r).NewSender(t.Context(), "there", &client10.SenderOptions{
+	relay.updateSettings(func(settings *balancer.Settings) {
+		settings.ConnectTimeout, settings.Classes[0].Deadline = time.Minute, time.Minute
+	})
+	relay.endpointAddresses = []string{endpoint.Addr().String()}
+	relay.setEndpointState(balancer.StateReady, 0)
+	first, err := clientOf(t, relay).NewSender(t.Context(), "there", &client10.SenderOptions{
 		Name: "first", Properties: linkProperties(), SettlementMode: client10.SenderSettleModeSettled.Ptr(),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, front, first
+	return relay, front, first
 }
 
-// flood sends deliveries until the connection to the server is blocked.
-func flood(t *testing.T, f *Frontend, link *client10.Sender) {
+// blockConnection sends deliveries until the connection to the endpoint is blocked.
+func blockConnection(t *testing.T, frontend *Frontend, link *client10.Sender) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -150,178 +154,178 @@
 		defer close(ended)
 		var err error
 		for err == nil {
-			err = link.Send(ctx, client10.NewMessage(damPage), nil)
+			err = link.Send(ctx, client10.NewMessage(blockingPayload), nil)
 		}
 	}()
 	held := 0 // looks in a row at which somebody was writing
 	testutil.Until(t, "the connection is blocked", func() bool {
-		m := muxOf(f)
-		if held++; m.conn.mu.TryLock() {
+		m := onlyMultiplexer(frontend)
+		if held++; m.connection.mu.TryLock() {
 			held = 0
-			m.conn.mu.Unlock()
+			m.connection.mu.Unlock()
 		}
 		return held > 100
 	})
 }
 
-// muxOf is the one shared connection.
-func muxOf(f *Frontend) *mux {
-	f.trunks.mu.Lock()
-	defer f.trunks.mu.Unlock()
-	for _, tr := range f.trunks.open {
-		return tr.mux
+// onlyMultiplexer is the one shared connection.
+func onlyMultiplexer(frontend *Frontend) *multiplexer {
+	frontend.sharedConnections.mu.Lock()
+	defer frontend.sharedConnections.mu.Unlock()
+	for _, conn := range frontend.sharedConnections.connections {
+		return conn.multiplexer
 	}
 	return nil
 }
 
-func (m *mux) lanes() int {
+func (m *multiplexer) sessionCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.ours)
+	return len(m.localChannels)
 }
 
-// An attach waits for a connection on which another transaction is being written, to a server that does not read. Its client
-// leaves, its server drains, or the relay ends: nothing of it is sent once the server reads again, and nobody waits for that.
-func TestNothingIsSentOnceItsTurnOnASharedConnectionComesTooLate(t *testing.T) {
+// An attach waits for a connection on which another request is being written, to an endpoint that does not read. Its client
+// leaves, its endpoint drains, or the relay ends: nothing of it is sent once the endpoint reads again, and nobody waits for that.
+func TestNothingIsSentWhenASharedConnectionFreesTooLate(t *testing.T) {
 	for _, c := range []string{"the client leaves", "the server drains", "the relay ends"} {
 		t.Run(c, func(t *testing.T) {
 			t.Parallel()
-			d := newDam(t, 1, 10000)
-			r, f, first := damRig(t, d)
-			flood(t, f, first)
-			second := dialRaw(t, r.address).begin()
-			second.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
-			testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
+			endpoint := newBlockedEndpoint(t, 1, 10000)
+			relay, frontend, first := newRelayToBlockedEndpoint(t, endpoint)
+			blockConnection(t, frontend, first)
+			second := dialRaw(t, relay.address).begin()
+			second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
+			testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(frontend).sessionCount() == 2 })
 			switch c {
 			case "the client leaves":
-				second.write(3, perf{codeDetach, list{uint32(1), true}}, nil)
+				second.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(1), true}}, nil)
 				second.attach(2, nil) // its answer shows that the detach was taken
-				second.until(codeDetach, 2, condInvalid, 3*time.Second)
-				testutil.Until(t, "the second's pass is over", func() bool { return r.core.Counters.Attempts(balancer.StatusNotSent) == 1 })
-				d.let()
+				second.expectEventually(framing.CodeDetach, 2, framing.CondInvalidField, 3*time.Second)
+				testutil.Until(t, "the second's pass is over", func() bool { return relay.proxy.Counters.Attempts(balancer.StatusNotSent) == 1 })
+				endpoint.unblock()
 			case "the server drains":
-				r.list(balancer.StateDraining, 0)
-				d.let()
-				second.want(codeAttach, 0, "")
-				second.want(codeDetach, 2, condLimit)
+				relay.setEndpointState(balancer.StateDraining, 0)
+				endpoint.unblock()
+				second.expect(framing.CodeAttach, 0, "")
+				second.expect(framing.CodeDetach, 2, framing.CondResourceLimitExceeded)
 			case "the relay ends":
 				began := time.Now()
-				r.end()
+				relay.shutdown()
 				if took := time.Since(began); took > 2*time.Second {
 					t.Errorf("the front's end takes %v", took)
 				}
-				d.let()
+				endpoint.unblock()
 			}
 			_ = first.Close(t.Context())
-			d.sawTheFirstAlone(t, r)
+			endpoint.checkOnlyFirstArrived(t, relay)
 		})
 	}
 }
 
-// A pass that waits for its turn on such a connection is given up at its time like any other: its client goes to another server,
+// An attempt that waits for its turn on such a connection is given up at its time like any other: its client goes to another endpoint,
 // and the one that reads again hears nothing of it.
-func TestAPassThatWaitsForItsTurnIsGivenUpInTime(t *testing.T) {
+func TestAttemptWaitingForASharedConnectionTimesOut(t *testing.T) {
 	t.Parallel()
-	d := newDam(t, 1, 10000)
-	r, f, first := damRig(t, d)
-	r.retune(func(s *balancer.Settings) { s.ConnectTimeout = 400 * time.Millisecond })
-	flood(t, f, first)
-	l := listen(t)
-	defer l.Close()
-	other := &shares{}
+	endpoint := newBlockedEndpoint(t, 1, 10000)
+	relay, frontend, first := newRelayToBlockedEndpoint(t, endpoint)
+	relay.updateSettings(func(settings *balancer.Settings) { settings.ConnectTimeout = 400 * time.Millisecond })
+	blockConnection(t, frontend, first)
+	netListener := listen(t)
+	defer netListener.Close()
+	other := &sharedEndpoint{}
 	var served sync.WaitGroup
 	defer served.Wait()
-	defer l.Close()
-	served.Go(func() { serveAll(t, l, wire{server: other.serve}, r.script) })
-	second := dialRaw(t, r.address).begin()
-	// Its group's route leads to the first server, as the first link's does.
-	props := mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(3000), symbol(propGroup), text(linkProperties()[propGroup])}
+	defer netListener.Close()
+	served.Go(func() { serveAll(t, netListener, frontendProtocol{serveEndpoint: other.serve}, relay.scenario) })
+	second := dialRaw(t, relay.address).begin()
+	// Its group's route leads to the first endpoint, as the first link's does.
+	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
-	testutil.Until(t, "the second waits for its turn", func() bool { return muxOf(f).lanes() == 2 })
-	r.core.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: r.core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{l.Addr().String()})
+	testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(frontend).sessionCount() == 2 })
+	relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{netListener.Addr().String()})
 	began := time.Now()
-	second.want(codeAttach, 0, "")
-	second.want(codeFlow, 0, "")
+	second.expect(framing.CodeAttach, 0, "")
+	second.expect(framing.CodeFlow, 0, "")
 	if took := time.Since(began); took > 2800*time.Millisecond {
 		t.Errorf("it is up after %v", took)
 	}
 	if n := other.sessions.Load(); n != 1 {
 		t.Errorf("the other server has seen %d sessions", n)
 	}
-	d.let()
+	endpoint.unblock()
 	_ = first.Close(t.Context())
 	second.Close()
-	testutil.Until(t, "both are over", func() bool { return r.core.Requests.Len() == 0 })
-	d.sawTheFirstAlone(t, r)
+	testutil.Until(t, "both are over", func() bool { return relay.proxy.Requests.Len() == 0 })
+	endpoint.checkOnlyFirstArrived(t, relay)
 }
 
-// A frame that went out in part is the last on its connection: the next would be read as its rest, by a server that
-// delivers it. All who share the connection are told that their server is lost.
-func TestNothingFollowsAFrameThatWentOutInPart(t *testing.T) {
+// A frame that went out in part is the last on its connection: the next would be read as its rest, by an endpoint that
+// delivers it. All who share the connection are told that their endpoint is lost.
+func TestNothingFollowsAPartiallyWrittenFrame(t *testing.T) {
 	t.Parallel()
-	d := newDam(t, 2, 10000)
-	r, f, first := damRig(t, d)
-	second := dialRaw(t, r.address).begin()
-	second.attach(1, mapping{symbol(propClass), "page", symbol(propGiveUp), uint32(60000)})
-	second.want(codeAttach, 0, "")
-	second.want(codeFlow, 0, "")
-	flood(t, f, first)
-	second.until(codeDetach, 2, condForced, 2*writeMost)
-	d.let()
-	<-d.over
-	if !errors.Is(d.err, io.EOF) && !errors.Is(d.err, io.ErrUnexpectedEOF) && !errors.Is(d.err, syscall.ECONNRESET) {
-		t.Errorf("after the part of a frame the server reads: %v", d.err)
+	endpoint := newBlockedEndpoint(t, 2, 10000)
+	relay, frontend, first := newRelayToBlockedEndpoint(t, endpoint)
+	second := dialRaw(t, relay.address).begin()
+	second.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
+	second.expect(framing.CodeAttach, 0, "")
+	second.expect(framing.CodeFlow, 0, "")
+	blockConnection(t, frontend, first)
+	second.expectEventually(framing.CodeDetach, 2, framing.CondConnectionForced, 2*writeTimeout)
+	endpoint.unblock()
+	<-endpoint.done
+	if !errors.Is(endpoint.err, io.EOF) && !errors.Is(endpoint.err, io.ErrUnexpectedEOF) && !errors.Is(endpoint.err, syscall.ECONNRESET) {
+		t.Errorf("after the part of a frame the server reads: %v", endpoint.err)
 	}
 }
 
-// A server that lives and takes no transfer for long is silent as far as its client goes: the client is moved. It went on
-// sending to a server that got nothing of it.
-func TestAServerWhoseWindowStaysShutIsLeft(t *testing.T) {
+// An endpoint that lives and takes no transfer for long is silent as far as its client goes: the client is moved. It went on
+// sending to an endpoint that got nothing of it.
+func TestEndpointWhoseWindowStaysClosedIsLeft(t *testing.T) {
 	t.Parallel()
-	d := newDam(t, 1000, 1)
-	r, _, first := damRig(t, d)
-	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
+	endpoint := newBlockedEndpoint(t, 1000, 1)
+	relay, _, first := newRelayToBlockedEndpoint(t, endpoint)
+	if err := first.Send(t.Context(), client10.NewMessage(blockingPayload), nil); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*writeMost)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*writeTimeout)
 	defer cancel()
 	var end *client10.LinkError
 	for err := error(nil); ; {
-		if err = first.Send(ctx, client10.NewMessage(damPage), nil); err != nil {
-			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != condDetachForced {
+		if err = first.Send(ctx, client10.NewMessage(blockingPayload), nil); err != nil {
+			if !errors.As(err, &end) || end.RemoteErr == nil || end.RemoteErr.Condition != framing.CondDetachForced {
 				t.Fatalf("its client is told %v", err)
 			}
 			break
 		}
 	}
-	testutil.Until(t, "the transaction is over", func() bool { return r.core.Requests.Len() == 0 })
+	testutil.Until(t, "the transaction is over", func() bool { return relay.proxy.Requests.Len() == 0 })
 }
 
-// A pass that is given up, or a transaction that ends, closes its session at once, while a word of its server may be in
+// An attempt that is given up, or a request that ends, closes its session at once, while a word of its endpoint may be in
 // hand already: a flow that is taken after that opens no window, and ends no relay.
-func TestAFlowInHandAsItsSessionEndsChangesNothing(t *testing.T) {
-	d := newDam(t, 3, 100)
-	r, front, first := damRig(t, d)
-	u, err := front.reach(t.Context(), r.core.Endpoints.List()[0], d.Addr().String(), 5*time.Second)
+func TestFlowAfterTheSessionsEndIsIgnored(t *testing.T) {
+	endpoint := newBlockedEndpoint(t, 3, 100)
+	relay, front, first := newRelayToBlockedEndpoint(t, endpoint)
+	u, err := front.connect(t.Context(), relay.proxy.Endpoints.List()[0], endpoint.Addr().String(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	attach := perf{codeAttach, list{"second", uint32(0), false}}
-	if err := u.sendFirst(t.Context(), u.lane.begins, u.begin(nil), attach); err != nil {
+	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"second", uint32(0), false}}
+	if err := u.writeInitial(t.Context(), u.sharedSession.announce, u.newBegin(nil), attach); err != nil {
 		t.Fatal(err)
 	}
-	var f frame
-	for f.code != codeFlow {
-		if f, err = u.next(5 * time.Second); err != nil {
+	var frame framing.Frame
+	for frame.Code != framing.CodeFlow {
+		if frame, err = u.nextFrame(5 * time.Second); err != nil {
 			t.Fatal(err)
 		}
 	}
 	u.Close()
-	u.flowed(f.perf)
-	if err := u.await(); !errors.Is(err, errQuit) {
+	u.applyFlow(frame.Performative)
+	if err := u.awaitWindow(); !errors.Is(err, errConnectionClosing) {
 		t.Errorf("a transfer of a session that has ended: %v", err)
 	}
-	if err := first.Send(t.Context(), client10.NewMessage(damPage), nil); err != nil {
+	if err := first.Send(t.Context(), client10.NewMessage(blockingPayload), nil); err != nil {
 		t.Errorf("a transaction beside it: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/frontend/amqp/clientconn.go
@@ -0,0 +1,242 @@
+package amqp
+
+import (
+	"cmp"
+	"context"
+	"crypto/tls"
+	"errors"
+	"io"
+	"net"
+	"os"
+	"sync"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/listener"
+)
+
+// clientConnection is one connection of a client. The goroutine of Frontend.serveClient reads it and owns its fields; its
+// links run in goroutines of their own, which it waits for.
+type clientConnection struct {
+	*connection
+	frontend    *Frontend
+	admission   *listener.Admission
+	ctx         context.Context
+	activeLinks sync.WaitGroup
+	sessions    map[uint16]*clientSession
+	done        chan struct{} // closed once all links have ended
+	containerID string        // of the client's open
+	user        string        // as authenticated; auth.AnonymousUser otherwise
+	tcp         *net.TCPConn
+	tlsState    *tls.ConnectionState // nil: without TLS
+}
+
+// handshakeTLS completes the TLS handshake, where TLS is configured. It is part of the connection's opening, and shares
+// its deadline.
+func (c *clientConnection) handshakeTLS() error {
+	config := c.frontend.Authenticator.TLS()
+	if config == nil {
+		return nil
+	}
+	ctx, done := context.WithDeadline(c.ctx, c.admission.IdleSince.Add(openTimeout))
+	defer done()
+	secured := tls.Server(c.tcp, config)
+	if err := secured.HandshakeContext(ctx); err != nil {
+		c.frontend.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
+		return err // not a ConditionError: without TLS there is nobody to send it to
+	}
+	state := secured.ConnectionState()
+	c.tlsState = &state
+	c.connection = newConnection(secured)
+	return nil
+}
+
+// linger lets the client read the last frames before the connection is closed: a close with unread input would reset
+// the connection. It does not wait for a client that has left.
+func (c *clientConnection) linger() {
+	_ = c.CloseWrite()
+	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
+	_, _ = io.CopyN(io.Discard, c.reader, listener.LingerMaxBytes)
+}
+
+// evict closes a connection without links to make room for another. The connection limiter calls it; it never waits for
+// a goroutine that is writing.
+func (c *clientConnection) evict() {
+	if c.mu.TryLock() {
+		c.writesClosed = true
+		c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeAMQP, 0,
+			framing.NewClose(framing.Errorf(framing.CondResourceLimitExceeded, "the relay needs the room")), nil)
+		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
+		_, _ = c.Write(c.writeBuffer) // the close follows either way
+		c.mu.Unlock()
+	}
+	listener.Discard(c.tcp)
+	c.tcp.Close()
+}
+
+// serve opens the connection and handles its frames until it ends. A ConditionError is to be sent to the client.
+func (c *clientConnection) serve() error {
+	c.openDeadline = c.admission.IdleSince.Add(openTimeout)
+	if err := c.negotiate(); err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return framing.Errorf(framing.CondResourceLimitExceeded, "the connection has not been opened in time")
+		}
+		return err
+	}
+	c.openDeadline = time.Time{}
+	c.admission.OnEvict(c.evict)
+	go c.closeOnShutdown()
+	idle := cmp.Or(c.frontend.IdleTimeout, clientIdleTimeout)
+	for {
+		frame, err := c.readFrame(framing.TypeAMQP, idle)
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return framing.Errorf(framing.CondResourceLimitExceeded, "nothing has come for the time of the idle time-out")
+		}
+		if err != nil {
+			return err
+		}
+		if frame.Code == framing.CodeClose {
+			c.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+			return nil
+		}
+		if err := c.handleFrame(frame); err != nil {
+			return err
+		}
+	}
+}
+
+// negotiate exchanges the protocol headers, the frames of the security layer, and the opens.
+func (c *clientConnection) negotiate() error {
+	header, err := c.readProtocolHeader(openTimeout)
+	if err != nil {
+		return err
+	}
+	if header == framing.ProtocolHeaderSASL {
+		if err := c.authenticate(); err != nil {
+			return err
+		}
+		if header, err = c.readProtocolHeader(openTimeout); err != nil {
+			return err
+		}
+	} else if !c.frontend.Authenticator.Bare() {
+		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // the answer of section 5.3.2; the connection ends with it
+		return errors.New("the client comes without the security layer, and has to say who it is")
+	}
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
+		return err
+	}
+	if header != framing.ProtocolHeaderAMQP {
+		return errors.New("the client speaks another protocol") // it has been sent ours
+	}
+	frame, err := c.readFrame(framing.TypeAMQP, openTimeout)
+	if err != nil {
+		return err
+	}
+	if frame.Code != framing.CodeOpen {
+		return framing.Errorf(framing.CondNotAllowed, "a connection begins with an open")
+	}
+	c.containerID = codec.AsString(frame.Field(framing.OpenContainerID))
+	idle := c.applyOpen(frame.Performative)
+	if err := c.writeFrame(0, newOpen("lockroad"), nil); err != nil {
+		return err
+	}
+	go c.sendHeartbeats(idle, c.done)
+	return nil
+}
+
+// authenticate passes the security layer: the client authenticates by one of the offered mechanisms.
+func (c *clientConnection) authenticate() error {
+	if err := c.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
+		return err
+	}
+	authenticator := c.frontend.Authenticator
+	var names codec.Array
+	for _, name := range authenticator.Mechanisms(c.tlsState) {
+		names = append(names, codec.Symbol(name))
+	}
+	if err := c.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{names}}); err != nil {
+		return err
+	}
+	frame, err := c.readFrame(framing.TypeSASL, openTimeout)
+	if err != nil {
+		return err
+	}
+	response, _ := frame.Field(framing.SASLInitInitialResponse).([]byte)
+	user, ok := "", false
+	if frame.Code == framing.CodeSASLInit {
+		user, ok = authenticator.Authenticate(codec.AsString(frame.Field(framing.SASLInitMechanism)), response, c.tlsState)
+	}
+	if !ok {
+		c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
+		c.frontend.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
+		return errors.New("the client does not say who it is, or is not")
+	}
+	c.user = user
+	return c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
+}
+
+// closeOnShutdown closes the connection a grace period after the relay began to shut down: its links have been migrated
+// or answered by then, and clients may still attach until then. It runs in a goroutine of its own until the connection ends.
+func (c *clientConnection) closeOnShutdown() {
+	select {
+	case <-c.done:
+		return
+	case <-c.frontend.Proxy.Closing().Done():
+	}
+	select {
+	case <-c.done:
+		return
+	case <-time.After(shutdownGrace):
+	}
+	c.writeFrame(0, framing.NewClose(framing.Errorf(framing.CondConnectionForced, "the relay is leaving")), nil)
+	_ = c.CloseWrite()
+	c.SetReadDeadline(time.Now().Add(closeTimeout))
+}
+
+// handleFrame handles a frame other than a close. Its errors end the connection.
+func (c *clientConnection) handleFrame(frame framing.Frame) error {
+	if frame.Empty {
+		return nil
+	}
+	if frame.Code == framing.CodeBegin {
+		return c.handleBegin(frame)
+	}
+	s := c.sessions[frame.Channel]
+	if s == nil {
+		return framing.Errorf(framing.CondFramingError, "channel %d has no session", frame.Channel)
+	}
+	if s.endedLocally {
+		if frame.Code == framing.CodeEnd {
+			delete(c.sessions, frame.Channel)
+		}
+		return nil
+	}
+	err := s.handleFrame(frame)
+	// An error within a session ends that session only, except what the standard calls a framing error.
+	conditionErr := framing.ConditionError{}
+	if errors.As(err, &conditionErr) && conditionErr.Condition != framing.CondFramingError {
+		c.frontend.Proxy.ProtocolError("amqp", conditionErr.Description)
+		s.endedLocally = true
+		err = s.writeFrame(frame.Channel, framing.NewEnd(conditionErr), nil)
+		s.disconnect()
+	}
+	return err
+}
+
+// handleBegin begins a session.
+func (c *clientConnection) handleBegin(begin framing.Frame) error {
+	if begin.Channel > maxChannel { // section 2.7.1 has the connection closed
+		return framing.Errorf(framing.CondFramingError, "channel %d is over the most", begin.Channel)
+	}
+	if c.sessions[begin.Channel] != nil {
+		return framing.Errorf(framing.CondNotAllowed, "channel %d has a session", begin.Channel)
+	}
+	s := &clientSession{session: newSession(c.connection, begin.Channel), client: c, links: make(map[uint32]*link)}
+	s.endWritten = new(bool) // its links may still send when it has ended
+	if err := s.applyBegin(begin.Performative); err != nil {
+		return err
+	}
+	c.sessions[begin.Channel] = s
+	return s.writeFrame(begin.Channel, s.newBegin(begin.Channel), nil)
+}
--- /dev/null
+++ b/internal/frontend/amqp/codec/decode.go
@@ -0,0 +1,253 @@
+package codec
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+)
+
+const (
+	maxNesting       = 32   // depth of values within values
+	maxEmptyElements = 4096 // elements of an array whose encoding takes no bytes, such as nulls
+)
+
+// Decode reads one value off the front of data and returns what follows it. Its errors wrap ErrDecode. Values of
+// variable width are copied: the result keeps no reference to data.
+func Decode(data []byte) (value any, rest []byte, err error) {
+	d := decoder{rest: data}
+	value, err = d.decodeValue()
+	return value, d.rest, err
+}
+
+// decoder reads values off the front of rest. depth is the nesting of the value that it is in.
+type decoder struct {
+	rest  []byte
+	depth int
+}
+
+// take cuts n bytes off the front.
+func (d *decoder) take(n uint64) ([]byte, error) {
+	if n > uint64(len(d.rest)) {
+		return nil, ErrDecode
+	}
+	taken := d.rest[:n]
+	d.rest = d.rest[n:]
+	return taken, nil
+}
+
+// uint reads a big-endian unsigned integer of width bytes, at most 8.
+func (d *decoder) uint(width uint64) (uint64, error) {
+	octets, err := d.take(width)
+	if err != nil {
+		return 0, err
+	}
+	var n uint64
+	for _, octet := range octets {
+		n = n<<8 | uint64(octet)
+	}
+	return n, nil
+}
+
+// decodeValue reads a value with its constructor.
+func (d *decoder) decodeValue() (any, error) {
+	if d.depth++; d.depth > maxNesting {
+		return nil, ErrDecode
+	}
+	defer func() { d.depth-- }()
+	code, err := d.uint(1)
+	if err != nil {
+		return nil, err
+	}
+	if code == constructorDescribed {
+		return d.decodeDescribed()
+	}
+	return d.decodePrimitive(byte(code))
+}
+
+// decodeDescribed reads what follows the constructor of a described value: the descriptor and the value.
+func (d *decoder) decodeDescribed() (any, error) {
+	descriptor, err := d.decodeValue()
+	if err != nil {
+		return nil, err
+	}
+	value, err := d.decodeValue()
+	return Described{Descriptor: descriptor, Value: value}, err
+}
+
+// decodePrimitive reads what follows a constructor.
+func (d *decoder) decodePrimitive(code byte) (any, error) {
+	switch code {
+	case constructorNull:
+		return nil, nil
+	case constructorTrue:
+		return true, nil
+	case constructorFalse:
+		return false, nil
+	case constructorUint0:
+		return uint32(0), nil
+	case constructorUlong0:
+		return uint64(0), nil
+	case constructorList0:
+		return List{}, nil
+	}
+	// The upper half of a constructor is the width category (section 1.2).
+	switch code >> 4 {
+	case 0x5, 0x6, 0x7, 0x8:
+		n, err := d.uint(1 << (code>>4 - 5))
+		if err != nil {
+			return nil, err
+		}
+		return decodeFixedWidth(code, n)
+	case 0x9:
+		b, err := d.take(16)
+		if err != nil {
+			return nil, err
+		}
+		if code == constructorUUID {
+			return UUID(b), nil
+		}
+		if code == constructorDecimal128 {
+			return Decimal{code, string(b)}, nil
+		}
+	case 0xa, 0xb:
+		n, err := d.uint(1 + 3*uint64(code>>4&1))
+		if err != nil {
+			return nil, err
+		}
+		b, err := d.take(n)
+		if err != nil {
+			return nil, err
+		}
+		switch code & 0xf {
+		case 0x0:
+			return append([]byte{}, b...), nil
+		case 0x1:
+			return string(b), nil
+		case 0x3:
+			return Symbol(b), nil
+		}
+	case 0xc, 0xd:
+		return d.decodeCompound(code, 1+3*uint64(code>>4&1))
+	case 0xe, 0xf:
+		return d.decodeArray(code, 1+3*uint64(code>>4&1))
+	}
+	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
+}
+
+// decodeFixedWidth converts the bits of a value of fixed width, of 1 to 8 bytes, to its type.
+func decodeFixedWidth(code byte, n uint64) (any, error) {
+	switch code {
+	case constructorUbyte:
+		return uint8(n), nil
+	case constructorByte:
+		return int8(n), nil
+	case constructorSmallUint, constructorUint:
+		return uint32(n), nil
+	case constructorSmallUlong, constructorUlong:
+		return n, nil
+	case constructorSmallInt:
+		return int32(int8(n)), nil
+	case constructorSmallLong:
+		return int64(int8(n)), nil
+	case constructorBoolean:
+		return n == 1, nil
+	case constructorUshort:
+		return uint16(n), nil
+	case constructorShort:
+		return int16(n), nil
+	case constructorInt:
+		return int32(n), nil
+	case constructorFloat:
+		return math.Float32frombits(uint32(n)), nil
+	case constructorChar:
+		return Char(n), nil
+	case constructorDecimal32:
+		return Decimal{code, string(binary.BigEndian.AppendUint32(nil, uint32(n)))}, nil
+	case constructorLong:
+		return int64(n), nil
+	case constructorDouble:
+		return math.Float64frombits(n), nil
+	case constructorTimestamp:
+		return Timestamp(n), nil
+	case constructorDecimal64:
+		return Decimal{code, string(binary.BigEndian.AppendUint64(nil, n))}, nil
+	}
+	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
+}
+
+// openCompound reads the size and the count at the front of a compound value or an array, each of width bytes. It
+// returns a decoder of the elements, and the count.
+func (d *decoder) openCompound(width uint64) (*decoder, uint64, error) {
+	size, err := d.uint(width)
+	if err != nil {
+		return nil, 0, err
+	}
+	b, err := d.take(size)
+	if err != nil {
+		return nil, 0, err
+	}
+	inner := &decoder{rest: b, depth: d.depth}
+	count, err := inner.uint(width)
+	return inner, count, err
+}
+
+// decodeCompound reads what follows the constructor of a list or a map.
+func (d *decoder) decodeCompound(code byte, width uint64) (any, error) {
+	inner, count, err := d.openCompound(width)
+	if err != nil || count > uint64(len(inner.rest)) { // every element takes a byte at least
+		return nil, ErrDecode
+	}
+	elements := make([]any, count)
+	for i := range elements {
+		if elements[i], err = inner.decodeValue(); err != nil {
+			return nil, err
+		}
+	}
+	switch {
+	case len(inner.rest) > 0:
+	case code&0xf == 0x0:
+		return List(elements), nil
+	case code&0xf == 0x1 && count%2 == 0:
+		return Map(elements), nil
+	}
+	return nil, ErrDecode
+}
+
+// decodeArray reads what follows the constructor of an array.
+func (d *decoder) decodeArray(code byte, width uint64) (any, error) {
+	inner, count, err := d.openCompound(width)
+	if err != nil || code&0xf != 0 || count > uint64(len(inner.rest))+maxEmptyElements {
+		return nil, ErrDecode
+	}
+	if len(inner.rest) == 0 && count == 0 {
+		return Array{}, nil
+	}
+	constructor, err := inner.uint(1)
+	if err != nil {
+		return nil, err
+	}
+	var descriptor any
+	if constructor == constructorDescribed {
+		if descriptor, err = inner.decodeValue(); err != nil {
+			return nil, err
+		}
+		if constructor, err = inner.uint(1); err != nil || constructor == constructorDescribed {
+			return nil, ErrDecode
+		}
+	}
+	elements := make(Array, 0, min(count, 64))
+	for range count {
+		element, err := inner.decodePrimitive(byte(constructor))
+		if err != nil {
+			return nil, err
+		}
+		if descriptor != nil {
+			element = Described{Descriptor: descriptor, Value: element}
+		}
+		elements = append(elements, element)
+	}
+	if len(inner.rest) > 0 {
+		return nil, ErrDecode
+	}
+	return elements, nil
+}
--- /dev/null
+++ b/internal/frontend/amqp/codec/encode.go
@@ -0,0 +1,209 @@
+package codec
+
+import (
+	"encoding/binary"
+	"fmt"
+	"math"
+)
+
+// Append appends the encoding of a value, in its most compact form. It panics if the value, or one inside it, is of a
+// type that AMQP has no encoding for.
+func Append(b []byte, v any) []byte {
+	switch v := v.(type) {
+	case nil:
+		return append(b, constructorNull)
+	case bool:
+		if v {
+			return append(b, constructorTrue)
+		}
+		return append(b, constructorFalse)
+	case List:
+		if len(v) == 0 {
+			return append(b, constructorList0)
+		}
+		return appendCompound(b, constructorList32, v)
+	case Map:
+		return appendCompound(b, constructorMap32, v)
+	case Array:
+		return appendArray(b, v)
+	case Described:
+		return Append(Append(append(b, constructorDescribed), v.Descriptor), v.Value)
+	}
+	if short, ok := appendCompact(b, v); ok {
+		return short
+	}
+	return appendBody(append(b, constructorOf(v)), v)
+}
+
+// appendCompact appends a value in its compact form. It reports false, and its slice is to be dropped, if the value has
+// none. The compact form is not just shorter: some peers read the codes of performatives in no other.
+func appendCompact(b []byte, v any) ([]byte, bool) {
+	sized := func(code byte, s string) ([]byte, bool) {
+		if len(s) > 255 {
+			return b, false
+		}
+		return append(append(b, code, byte(len(s))), s...), true
+	}
+	switch v := v.(type) {
+	case uint32:
+		return append(b, constructorSmallUint, byte(v)), v < 256
+	case uint64:
+		return append(b, constructorSmallUlong, byte(v)), v < 256
+	case []byte:
+		return sized(constructorBinary8, string(v))
+	case string:
+		return sized(constructorString8, v)
+	case Symbol:
+		return sized(constructorSymbol8, string(v))
+	}
+	return b, false
+}
+
+// constructorOf returns the constructor of the widest encoding of a value.
+func constructorOf(v any) byte {
+	switch v := v.(type) {
+	case nil:
+		return constructorNull
+	case bool:
+		return constructorBoolean
+	case uint8:
+		return constructorUbyte
+	case int8:
+		return constructorByte
+	case uint16:
+		return constructorUshort
+	case int16:
+		return constructorShort
+	case uint32:
+		return constructorUint
+	case int32:
+		return constructorInt
+	case float32:
+		return constructorFloat
+	case Char:
+		return constructorChar
+	case uint64:
+		return constructorUlong
+	case int64:
+		return constructorLong
+	case float64:
+		return constructorDouble
+	case Timestamp:
+		return constructorTimestamp
+	case Decimal:
+		return v.constructor
+	case UUID:
+		return constructorUUID
+	case []byte:
+		return constructorBinary32
+	case string:
+		return constructorString32
+	case Symbol:
+		return constructorSymbol32
+	case List:
+		return constructorList32
+	case Map:
+		return constructorMap32
+	case Array:
+		return constructorArray32
+	}
+	panic(fmt.Sprintf("amqp: no form for a %T", v)) // values come from Decode or from the relay itself
+}
+
+// appendBody appends a value without its constructor, in its widest encoding.
+func appendBody(b []byte, v any) []byte {
+	bigEndian := binary.BigEndian
+	sized := func(s string) []byte { return append(bigEndian.AppendUint32(b, uint32(len(s))), s...) }
+	switch v := v.(type) {
+	case bool:
+		if v {
+			return append(b, 1)
+		}
+		return append(b, 0)
+	case uint8:
+		return append(b, v)
+	case int8:
+		return append(b, byte(v))
+	case uint16:
+		return bigEndian.AppendUint16(b, v)
+	case int16:
+		return bigEndian.AppendUint16(b, uint16(v))
+	case uint32:
+		return bigEndian.AppendUint32(b, v)
+	case int32:
+		return bigEndian.AppendUint32(b, uint32(v))
+	case float32:
+		return bigEndian.AppendUint32(b, math.Float32bits(v))
+	case Char:
+		return bigEndian.AppendUint32(b, uint32(v))
+	case uint64:
+		return bigEndian.AppendUint64(b, v)
+	case int64:
+		return bigEndian.AppendUint64(b, uint64(v))
+	case float64:
+		return bigEndian.AppendUint64(b, math.Float64bits(v))
+	case Timestamp:
+		return bigEndian.AppendUint64(b, uint64(v))
+	case Decimal:
+		return append(b, v.raw...)
+	case UUID:
+		return append(b, v[:]...)
+	case []byte:
+		return sized(string(v))
+	case string:
+		return sized(v)
+	case Symbol:
+		return sized(string(v))
+	}
+	return b
+}
+
+// appendCompound appends a list or a map, in the encoding of a constructor with 32 bits of size.
+func appendCompound(b []byte, code byte, elements []any) []byte {
+	b = append(b, code)
+	sizeOffset := len(b)
+	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(elements)))
+	for _, v := range elements {
+		b = Append(b, v)
+	}
+	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset-4))
+	return b
+}
+
+// appendArray appends an array. All its elements are of the first one's type.
+func appendArray(b []byte, elements Array) []byte {
+	b = append(b, constructorArray32)
+	sizeOffset := len(b)
+	b = binary.BigEndian.AppendUint32(append(b, 0, 0, 0, 0), uint32(len(elements)))
+	if len(elements) == 0 {
+		b = append(b, constructorNull)
+	}
+	for i, v := range elements {
+		described, isDescribed := v.(Described)
+		if isDescribed {
+			v = described.Value
+		}
+		if i == 0 {
+			if isDescribed {
+				b = Append(append(b, constructorDescribed), described.Descriptor)
+			}
+			b = append(b, constructorOf(v))
+		}
+		b = appendElement(b, v)
+	}
+	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset-4))
+	return b
+}
+
+// appendElement appends an element of an array, which has no constructor of its own.
+func appendElement(b []byte, v any) []byte {
+	switch v := v.(type) {
+	case List:
+		return append(b, appendCompound(nil, constructorList32, v)[1:]...)
+	case Map:
+		return append(b, appendCompound(nil, constructorMap32, v)[1:]...)
+	case Array:
+		return append(b, appendArray(nil, v)[1:]...)
+	}
+	return appendBody(b, v)
+}
--- /dev/null
+++ b/internal/frontend/amqp/connection.go
@@ -0,0 +1,192 @@
+package amqp
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"io"
+	"net"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+const (
+	advertisedIdleTimeout = 15 * time.Second // idle time-out in the relay's open to a client
+	clientIdleTimeout     = 30 * time.Second // actual one: twice what is advertised, as section 2.4.5 recommends
+	writeTimeout          = 5 * time.Second  // a peer that accepts nothing for this long is treated as gone
+)
+
+// streamConn is a TCP connection, or TLS over one.
+type streamConn interface {
+	net.Conn
+	CloseWrite() error
+}
+
+// connection sends and receives frames, to either side. One goroutine reads; any goroutine may write.
+type connection struct {
+	streamConn
+	reader       *bufio.Reader
+	openDeadline time.Time // of all reads while the connection opens; zero: none
+
+	mu               timedMutex // guards the fields below, and is held while writing
+	peerMaxFrameSize int        // in bytes
+	writeBuffer      []byte
+	lastWrite        time.Time
+	writesClosed     bool // nothing may follow a close, or a frame that was written in part
+}
+
+// readBufferSize is the size of a connection's read buffer, in bytes.
+const readBufferSize = 4 << 10
+
+func newConnection(conn streamConn) *connection {
+	return &connection{
+		streamConn: conn, reader: bufio.NewReaderSize(conn, readBufferSize),
+		mu: make(timedMutex, 1), peerMaxFrameSize: framing.MinMaxFrameSize,
+	}
+}
+
+// errNoLongerPermitted says that the request was withdrawn before its frames were written: nothing was sent.
+var (
+	errConnectionClosing = errors.New("the connection is closing")
+	errNoLongerPermitted = errors.New("it is not to be sent any more")
+)
+
+// limitNextRead sets the deadline of the next read: wait from now, but no later than the deadline of the opening.
+func (c *connection) limitNextRead(wait time.Duration) {
+	deadline := time.Now().Add(wait)
+	if !c.openDeadline.IsZero() && c.openDeadline.Before(deadline) {
+		deadline = c.openDeadline
+	}
+	c.SetReadDeadline(deadline)
+}
+
+// readFrame waits at most wait for the next frame, which has to be of a type. A ConditionError is to be sent to the peer.
+func (c *connection) readFrame(frameType byte, wait time.Duration) (framing.Frame, error) {
+	c.limitNextRead(wait)
+	var sizePrefix [4]byte
+	if _, err := io.ReadFull(c.reader, sizePrefix[:]); err != nil {
+		return framing.Frame{}, err
+	}
+	size := binary.BigEndian.Uint32(sizePrefix[:])
+	if size < framing.HeaderSize || size > framing.MaxFrameSize {
+		return framing.Frame{}, framing.Errorf(framing.CondFramingError, "a frame of %d bytes is out of range", size)
+	}
+	body := make([]byte, size-4)
+	if _, err := io.ReadFull(c.reader, body); err != nil {
+		return framing.Frame{}, err
+	}
+	if body[1] != frameType {
+		return framing.Frame{}, framing.Errorf(framing.CondFramingError, "a frame of type %d has no place here", body[1])
+	}
+	return framing.ParseFrame(body)
+}
+
+// writeFrame sends a frame in one piece; nothing is sent after a close.
+func (c *connection) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
+	return c.writeUnlessEnded(channel, performative, payload, nil)
+}
+
+// writeUnlessEnded is writeFrame for a session that shares the connection with others: nothing of it may be sent after its
+// end. ended says whether the end has been sent; the connection's lock guards it. nil: the end needs no tracking.
+func (c *connection) writeUnlessEnded(channel uint16, performative framing.Performative, payload []byte, ended *bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.writesClosed || ended != nil && *ended {
+		return errConnectionClosing
+	}
+	if ended != nil {
+		*ended = performative.Code == framing.CodeEnd
+	}
+	c.writesClosed = performative.Code == framing.CodeClose
+	c.writeBuffer = c.writeBuffer[:0]
+	c.writeBuffer = framing.AppendFrame(c.writeBuffer, framing.TypeAMQP, channel, performative, payload)
+	return c.flush()
+}
+
+// flush writes the buffer; the caller holds the lock. A failure closes the connection: after a frame that was written in
+// part, the peer would read the next as its rest, and the connection's reader has to see that the peer is gone.
+func (c *connection) flush() error {
+	c.lastWrite = time.Now()
+	c.SetWriteDeadline(c.lastWrite.Add(writeTimeout))
+	_, err := c.Write(c.writeBuffer)
+	if err != nil {
+		c.writesClosed = true
+		if tlsConn, ok := c.streamConn.(interface{ NetConn() net.Conn }); ok {
+			tlsConn.NetConn().Close() // closing TLS would send an alert, and block as this write did
+		} else {
+			c.Close()
+		}
+	}
+	return err
+}
+
+// maxPayload returns how many bytes of payload fit into a frame to the peer beside a performative.
+func (c *connection) maxPayload(performative framing.Performative) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.peerMaxFrameSize - len(framing.AppendFrame(nil, framing.TypeAMQP, 0, performative, nil))
+}
+
+// writeProtocolHeader writes a protocol header.
+func (c *connection) writeProtocolHeader(header [8]byte) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.writeBuffer = append(c.writeBuffer[:0], header[:]...)
+	return c.flush()
+}
+
+// readProtocolHeader waits for a protocol header.
+func (c *connection) readProtocolHeader(wait time.Duration) (header [8]byte, err error) {
+	c.limitNextRead(wait)
+	_, err = io.ReadFull(c.reader, header[:])
+	return header, err
+}
+
+// writeSASL sends a frame of the security layer.
+func (c *connection) writeSASL(performative framing.Performative) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeSASL, 0, performative, nil)
+	return c.flush()
+}
+
+// applyOpen applies the limits in the peer's open. It returns the peer's idle time-out; 0: none.
+func (c *connection) applyOpen(performative framing.Performative) (idleTimeout time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.peerMaxFrameSize = int(min(framing.MaxFrameSize, max(framing.MinMaxFrameSize, performative.Uint32(framing.OpenMaxFrameSize, 1<<32-1))))
+	return time.Duration(performative.Uint32(framing.OpenIdleTimeout, 0)) * time.Millisecond
+}
+
+// newOpen returns the relay's open.
+func newOpen(containerID string) framing.Performative {
+	idleTimeout := uint32(advertisedIdleTimeout.Milliseconds())
+	return framing.Performative{Code: framing.CodeOpen, Fields: codec.List{
+		containerID, nil, uint32(framing.MaxFrameSize), uint16(maxChannel), idleTimeout,
+	}}
+}
+
+// sendHeartbeats sends empty frames, three in the peer's idle time-out unless other frames are sent, until stop is closed.
+func (c *connection) sendHeartbeats(idleTimeout time.Duration, stop <-chan struct{}) {
+	if idleTimeout <= 0 {
+		return
+	}
+	interval := max(idleTimeout/3, 10*time.Millisecond)
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
+			c.mu.Lock()
+			quiet := time.Since(c.lastWrite) >= interval
+			c.mu.Unlock()
+			if quiet && c.writeFrame(0, framing.Performative{}, nil) != nil {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/frontend/amqp/deliverymap.go
@@ -0,0 +1,101 @@
+package amqp
+
+import (
+	"sync"
+
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// deliveryMap maps the ids of a link's unsettled deliveries between its two sessions: the source, on which transfers
+// arrive, and the destination, on which they are sent on.
+type deliveryMap struct {
+	mu                  sync.Mutex
+	destinationBySource map[uint32]uint32 // delivery ids
+	sourceByDestination map[uint32]uint32 // the inverse
+	currentSource       uint32            // of the delivery whose transfers are arriving
+	currentDestination  uint32            // of the same
+	partial             bool              // more transfers of that delivery are to come
+	boundaryWaiters     []chan struct{}   // closed once no delivery is partial
+}
+
+func newDeliveryMap() *deliveryMap {
+	return &deliveryMap{destinationBySource: make(map[uint32]uint32), sourceByDestination: make(map[uint32]uint32)}
+}
+
+// translateTransfer returns a transfer with its delivery id in the destination session. A ConditionError is to be sent to
+// the source.
+func (d *deliveryMap) translateTransfer(transfer framing.Performative, destination *session) (framing.Performative, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !d.partial {
+		if err := transfer.RequireUint32(framing.TransferDeliveryID); err != nil {
+			return transfer, err
+		}
+		d.currentSource = transfer.Uint32(framing.TransferDeliveryID, 0)
+		if _, known := d.destinationBySource[d.currentSource]; known || len(d.destinationBySource) >= maxUnsettledDeliveries {
+			return transfer, framing.Errorf(framing.CondResourceLimitExceeded, "too many deliveries are unsettled, or one has a number twice")
+		}
+		d.currentDestination = destination.takeDeliveryID()
+		d.destinationBySource[d.currentSource], d.sourceByDestination[d.currentDestination] = d.currentDestination, d.currentSource
+	}
+	d.partial = transfer.Bool(framing.TransferMore) && !transfer.Bool(framing.TransferAborted)
+	if !d.partial {
+		for _, done := range d.boundaryWaiters {
+			close(done)
+		}
+		d.boundaryWaiters = nil
+	}
+	if !d.partial && (transfer.Bool(framing.TransferSettled) || transfer.Bool(framing.TransferAborted)) {
+		delete(d.destinationBySource, d.currentSource)
+		delete(d.sourceByDestination, d.currentDestination)
+	}
+	return transfer.With(framing.TransferDeliveryID, d.currentDestination), nil
+}
+
+// boundary returns a channel that is closed once no delivery is partial.
+func (d *deliveryMap) boundary() <-chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	done := make(chan struct{})
+	if d.partial {
+		d.boundaryWaiters = append(d.boundaryWaiters, done)
+	} else {
+		close(done)
+	}
+	return done
+}
+
+// translateDisposition turns a disposition into those of the other session, one for each delivery of the link that it
+// names; settled deliveries are forgotten. fromDestination: it comes from the destination of the deliveries.
+func (d *deliveryMap) translateDisposition(disposition framing.Performative, fromDestination bool) []framing.Performative {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	named, inverse := d.destinationBySource, d.sourceByDestination
+	if fromDestination {
+		named, inverse = d.sourceByDestination, d.destinationBySource
+	}
+	first := disposition.Uint32(framing.DispositionFirst, 0)
+	span := disposition.Uint32(framing.DispositionLast, first) - first
+	var translated []framing.Performative
+	translate := func(id, otherID uint32) {
+		translated = append(translated, disposition.With(framing.DispositionFirst, otherID).With(framing.DispositionLast, otherID))
+		if disposition.Bool(framing.DispositionSettled) {
+			delete(named, id)
+			delete(inverse, otherID)
+		}
+	}
+	if span < uint32(len(named)) {
+		for offset := uint32(0); offset <= span; offset++ {
+			if otherID, ok := named[first+offset]; ok {
+				translate(first+offset, otherID)
+			}
+		}
+		return translated
+	}
+	for id, otherID := range named {
+		if id-first <= span {
+			translate(id, otherID)
+		}
+	}
+	return translated
+}
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -1,381 +1,212 @@
 package amqp
 
 import (
-	"context"
-	"errors"
-	"hash/fnv"
-	"os"
-	"strconv"
 	"sync"
 	"time"
 
-	"lockroad/balancer"
-	"lockroad/internal/listener"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 	"lockroad/internal/proxy"
 )
 
-// moveFor bounds the wait for the rest of a delivery before its link is moved.
-const moveFor = 300 * time.Millisecond
+// migrateTimeout bounds the wait for the rest of a delivery before its link is migrated.
+const migrateTimeout = 300 * time.Millisecond
 
-// link is one transaction of a client.
+// link is a link of a client, which is one request. It implements the proxy's downstream: the goroutine of
+// clientSession.serveLink calls Attempt, Pipe, Reject and Fail, the reader of the client's connection calls the handle
+// methods.
 type link struct {
-	front   *Frontend
-	session *session // the client's
-	handle  uint32
-	name    string
-	attach  perf // the client's
-	sends   bool // deliveries go from the client to the server
-	left    func()
-	ids     *deliveries
-	credits credits
-
-	mu       sync.Mutex
-	out      *outbox   // what the client has for the server
-	up       *upstream // the server, once it is the client's
-	pulse    *proxy.Heartbeat
-	credit   *perf // what the client has granted so far
-	attached bool  // the client has been answered
-	detached bool  // the client has been told of the end
-	gone     bool  // the client has ended its side
-}
-
-// keyOf is the number of a group or an item: a hexadecimal word as it is,
-// anything else by its hash.
-func keyOf(v any) uint64 {
-	if n, ok := whole(v); ok {
-		return n
-	}
-	word := text(v)
-	if word == "" {
-		return 0
-	}
-	if n, err := strconv.ParseUint(word, 16, 64); err == nil {
-		return n
-	}
-	h := fnv.New64a()
-	h.Write([]byte(word))
-	return h.Sum64()
-}
-
-// figure returns a number of any kind that a load can have.
-func figure(v any) (float64, bool) {
-	x, ok := v.(float64)
-	if !ok {
-		var n uint64
-		n, ok = whole(v)
-		x = float64(n)
-	}
-	return x, ok && x >= 0 && x < 1e12
-}
-
-// Pipe answers the client's attach with the server's and passes frames on, both
-// ways, until the connection has ended.
-func (l *link) Pipe(ctx context.Context, to proxy.UpstreamConn, pulse *proxy.Heartbeat) balancer.AttemptStatus {
-	u := to.(*upstream)
-	defer close(u.stop)
-	stop := context.AfterFunc(ctx, u.Close)
-	defer stop()
-	l.mu.Lock()
-	l.up, l.pulse, l.attached = u, pulse, true
-	l.out = newOutbox(l.session, u, pulse.TimedOut)
-	go l.out.run()
-	credit, gone := l.credit, l.gone
-	l.mu.Unlock()
-	if gone {
-		return balancer.StatusCancelled
-	}
-	if l.session.write(l.session.channel, u.attach.with(0, l.name).with(1, l.handle), nil) != nil {
-		return balancer.StatusCancelled
-	}
-	pulse.Established()
-	if u.credit != nil {
-		l.down(frame{perf: *u.credit})
-	}
-	if credit != nil {
-		l.out.put(parcel{perf: credit.with(4, uint32(0)), flow: true})
-	}
-	return l.downstream(ctx, u, pulse)
-}
-
-// downstream passes on what the server says until its end.
-func (l *link) downstream(ctx context.Context, u *upstream, pulse *proxy.Heartbeat) balancer.AttemptStatus {
-	for {
-		f, err := u.next(0)
-		l.mu.Lock()
-		gone := l.gone
-		l.mu.Unlock()
-		switch {
-		case ctx.Err() != nil: // moved or silent: the client is still to be told
-			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
-		case err != nil && gone:
-			return balancer.StatusCancelled
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			pulse.TimedOut()
-			return balancer.StatusReset
-		case err != nil:
-			l.detach(condForced, "the application server is lost", nil)
-			return balancer.StatusReset
-		case f.empty:
-			continue
-		case f.code == codeDetach, f.code == codeEnd, f.code == codeClose:
-			return l.serverEnds(u, f, gone)
-		}
-		if !l.down(f) {
-			return balancer.StatusCancelled
-		}
-	}
-}
-
-// serverEnds passes on the end that a server has set to the link.
-func (l *link) serverEnds(u *upstream, f frame, gone bool) balancer.AttemptStatus {
-	at := 0
-	if f.code == codeDetach {
-		at = 2
-		u.write(u.channel, perf{codeDetach, list{uint32(0), true}}, nil)
-		if u.lane == nil {
-			u.write(0, perf{codeClose, nil}, nil)
-		}
-	}
-	cond, info := f.condition(at)
-	if !gone {
-		l.detach(cond, "the application server has ended the link", info)
-	}
-	switch {
-	case cond == "" && f.code == codeDetach:
-		return balancer.StatusOK
-	case cond == condDetachForced:
-		return balancer.StatusRedirected // it drains, whatever the list says
-	case gone:
-		return balancer.StatusCancelled
-	}
-	return balancer.StatusReset
-}
-
-// down passes a frame of the server to the client. It tells whether the client
-// is still there.
-func (l *link) down(f frame) bool {
-	s := l.session
-	switch f.code {
-	case codeFlow:
-		if err := l.up.flowTaken(f.perf); err != nil || f.field(4) == nil {
-			return true
-		}
-		if props, ok := f.field(10).(mapping); ok {
-			if us, ok := figure(props.get(propLoad)); ok {
-				l.pulse.ReportLoad(us / 1e6)
-			}
-		}
-		p := f.perf
-		if l.sends {
-			p = l.credits.granted(p)
-		}
-		return s.flow(p.with(4, l.handle)) == nil
-	case codeTransfer:
-		if l.sends || l.up.took(false) != nil {
-			return true // out of turn: left aside
-		}
-		l.pulse.EndpointSent()
-		p, err := l.ids.carry(f.perf, s)
-		if err != nil {
-			return true
-		}
-		return s.transfer(p.with(0, l.handle), f.payload) == nil
-	case codeDisposition:
-		l.pulse.EndpointSent()
-		for _, p := range l.ids.translate(f.perf, l.sends) {
-			if s.write(s.channel, p, nil) != nil {
-				return false
-			}
-		}
-	}
-	return true
-}
-
-// flowTaken takes the session's part of a flow.
-func (s *session) flowTaken(p perf) error {
-	if err := p.must(1, 2, 3); err != nil {
-		return err
-	}
-	s.flowed(p)
-	if p.field(4) == nil && p.flag(9) {
-		return s.flow(perf{codeFlow, nil})
-	}
-	return nil
-}
-
-// joined returns what goes to the server while frames pass.
-func (l *link) joined() (*outbox, *proxy.Heartbeat) {
+	frontend      *Frontend
+	session       *session // of the client
+	handle        uint32
+	name          string
+	attach        framing.Performative // of the client
+	clientSends   bool                 // the client is the sender
+	cancel        func()               // ends the request; nil if it never began
+	deliveries    *deliveryMap
+	creditLimiter creditLimiter
+
+	mu         sync.Mutex
+	outbox     *outbox   // to the endpoint; nil until the link is established
+	upstream   *upstream // nil until the link is established
+	heartbeat  *proxy.Heartbeat
+	clientFlow *framing.Performative // the last, until the link is established
+	attachSent bool                  // the client's attach has been answered
+	detachSent bool                  // the client has been sent the end
+	clientGone bool                  // the client has detached, or its connection has ended
+}
+
+// activeOutbox returns the outbox while neither side has ended the link; nil otherwise, and before it is established.
+func (l *link) activeOutbox() (*outbox, *proxy.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.detached || l.gone {
+	if l.detachSent || l.clientGone {
 		return nil, nil
 	}
-	return l.out, l.pulse
+	return l.outbox, l.heartbeat
 }
 
-// put has something sent to the server. A client that says more than its server takes,
-// and more than there is room for, loses the link.
-func (l *link) put(o *outbox, p parcel) {
-	if !o.put(p) {
-		l.detach(condLimit, "the application server takes nothing, and too much waits for it", nil)
-		l.left()
+// enqueue has an item sent to the endpoint. If the outbox is full, the link is detached.
+func (l *link) enqueue(pending *outbox, item outboxItem) {
+	if !pending.enqueue(item) {
+		l.detach(framing.CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
+		l.cancel()
 	}
 }
 
-// flowed passes the client's credit on. Before the link is up it is kept.
-func (l *link) flowed(p perf) error {
+// handleFlow forwards a flow of the client, or retains it until the link is established.
+func (l *link) handleFlow(flow framing.Performative) error {
 	l.mu.Lock()
-	if l.up == nil {
-		l.credit = &p
+	if l.upstream == nil {
+		l.clientFlow = &flow
 	}
 	l.mu.Unlock()
-	if o, _ := l.joined(); o != nil {
-		l.put(o, parcel{perf: p.with(4, uint32(0)), flow: true})
+	if pending, _ := l.activeOutbox(); pending != nil {
+		l.enqueue(pending, outboxItem{Performative: flow.With(framing.FlowHandle, uint32(0)), isFlow: true})
 	}
 	return nil
 }
 
-// transferred passes a delivery of the client on, or a part of one.
-func (l *link) transferred(f frame) error {
-	o, pulse := l.joined()
+// handleTransfer forwards a transfer of the client. A ConditionError ends the client's session.
+func (l *link) handleTransfer(frame framing.Frame) error {
+	pending, heartbeat := l.activeOutbox()
 	sent := false
 	defer func() {
 		if !sent {
-			l.session.freed(1)
+			l.session.releaseTransfers(1)
 		}
 	}()
 	l.mu.Lock()
-	early := l.up == nil && !l.detached
+	early := l.upstream == nil && !l.detachSent
 	l.mu.Unlock()
 	switch {
-	case !l.sends:
-		return fault{condNotAllowed, "a receiver sends no transfers"}
+	case !l.clientSends:
+		return framing.Errorf(framing.CondNotAllowed, "a receiver sends no transfers")
 	case early: // nothing has granted credit yet
-		l.detach(condTransferLimit, "a transfer without credit", nil)
-		l.left()
+		l.detach(framing.CondTransferLimitExceeded, "a transfer without credit", nil)
+		l.cancel()
 		return nil
-	case o == nil:
-		return nil // the end and the transfer have crossed
+	case pending == nil:
+		return nil // the transfer has crossed the end
 	}
-	p, err := l.ids.carry(f.perf, o.up.session)
+	transfer, err := l.deliveries.translateTransfer(frame.Performative, pending.upstreamConn.session)
 	if err != nil {
 		return err
 	}
-	if !f.flag(5) && !f.flag(4) {
-		pulse.ClientSent()
+	if !frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferSettled) {
+		heartbeat.ClientSent()
 	}
-	next := parcel{perf: p.with(0, uint32(0)), payload: f.payload, transfer: true}
-	if !f.flag(5) {
-		next.sent = l.passed
+	next := outboxItem{Performative: transfer.With(framing.TransferHandle, uint32(0)), payload: frame.Payload, isTransfer: true}
+	if !frame.Bool(framing.TransferMore) {
+		next.onSent = l.deliverySent
 	}
 	sent = true
-	l.put(o, next)
+	l.enqueue(pending, next)
 	return nil
 }
 
-// passed counts a delivery that the server has been sent, and has the client told of
-// credit that it has for more.
-func (l *link) passed() {
-	if p, more := l.credits.sent(); more {
-		l.session.flow(p.with(4, l.handle)) // if this fails, the client's reader sees why
+// deliverySent counts a delivery that the endpoint has been sent, and grants the client more credit in time.
+func (l *link) deliverySent() {
+	if flow, more := l.creditLimiter.deliverySent(); more {
+		l.session.sendFlow(flow.With(framing.FlowHandle, l.handle)) // on failure the reader of the client's connection sees why
 	}
 }
 
-// disposed passes on what the client says of deliveries, if they are this link's.
-func (l *link) disposed(p perf) {
-	// A receiver speaks of what came to it, a sender of what it has sent.
-	if o, _ := l.joined(); o != nil && p.flag(0) != l.sends {
-		for _, q := range l.ids.translate(p, !l.sends) {
-			l.put(o, parcel{perf: q})
+// handleDisposition forwards a disposition of the client, as far as it names deliveries of this link.
+func (l *link) handleDisposition(disposition framing.Performative) {
+	// A receiver settles what it has received, a sender what it has sent.
+	if pending, _ := l.activeOutbox(); pending != nil && disposition.Bool(framing.DispositionRole) != l.clientSends {
+		for _, translated := range l.deliveries.translateDisposition(disposition, !l.clientSends) {
+			l.enqueue(pending, outboxItem{Performative: translated})
 		}
 	}
 }
 
-// clientDetached takes the client's detach. Before the link is up, the client has
-// left; after that, the detach is the server's to answer.
-func (l *link) clientDetached(p perf) {
+// handleDetach handles the client's detach. Before the link is established it cancels the request; after that the
+// endpoint answers the detach, within closeTimeout.
+func (l *link) handleDetach(detach framing.Performative) {
 	l.mu.Lock()
-	l.gone = true
-	u, o, told := l.up, l.out, l.detached
+	l.clientGone = true
+	upstreamConn, pending, detachSent := l.upstream, l.outbox, l.detachSent
 	l.mu.Unlock()
 	switch {
-	case told:
-	case u == nil:
-		l.left()
+	case detachSent:
+	case upstreamConn == nil:
+		l.cancel()
 	default:
-		l.put(o, parcel{perf: p.with(0, uint32(0))})
-		u.last(byeWait)
+		l.enqueue(pending, outboxItem{Performative: detach.With(framing.DetachHandle, uint32(0))})
+		upstreamConn.limitRemaining(closeTimeout)
 	}
 }
 
-// clientLost ends the server's side as the client's has ended.
-func (l *link) clientLost() {
+// handleDisconnect ends the request and the endpoint's side, as the client's side has ended.
+func (l *link) handleDisconnect() {
 	l.mu.Lock()
-	l.gone = true
-	u := l.up
+	l.clientGone = true
+	upstreamConn := l.upstream
 	l.mu.Unlock()
-	if l.left != nil {
-		l.left()
+	if l.cancel != nil {
+		l.cancel()
 	}
-	if u != nil {
-		u.Close()
+	if upstreamConn != nil {
+		upstreamConn.Close()
 	}
 }
 
-// finish answers a client that has detached while its link was open.
+// finish answers a client that has detached while its link was established.
 func (l *link) finish() { l.detach("", "", nil) }
 
-// detach tells the client of the end, once: it tells whether this was the first. It needs no credit.
-func (l *link) detach(cond, why string, info mapping) bool {
+// detach sends the client a detach, once: it reports whether this was the first. Without a condition it is a normal end.
+// It needs no credit.
+func (l *link) detach(condition, description string, info codec.Map) bool {
 	l.mu.Lock()
-	if l.detached {
+	if l.detachSent {
 		l.mu.Unlock()
 		return false
 	}
-	l.detached = true
-	answered := l.attached
+	l.detachSent = true
+	answered := l.attachSent
 	l.mu.Unlock()
-	s := l.session
-	if !answered { // the standard wants an attach first, without what the relay would own
-		p := perf{codeAttach, list{l.name, l.handle, l.sends, nil, nil, l.attach.field(5), l.attach.field(6)}}
-		if l.sends {
-			p = p.with(6, nil)
-		} else {
-			p = p.with(5, nil).with(9, uint32(0))
-		}
-		if s.write(s.channel, p, nil) != nil {
-			return true
-		}
+	downstream := l.session
+	if !answered && downstream.writeFrame(downstream.channel, l.rejectingAttach(), nil) != nil {
+		return true
 	}
-	s.write(s.channel, perf{codeDetach, list{l.handle, true, errorOf(cond, why, info)}}, nil)
+	errorValue := framing.NewErrorValue(condition, description, info)
+	detach := framing.Performative{Code: framing.CodeDetach, Fields: codec.List{l.handle, true, errorValue}}
+	downstream.writeFrame(downstream.channel, detach, nil)
 	return true
 }
 
-// BadRequest answers what makes no sense.
-func (l *link) BadRequest(why string) { l.detach(condNotAllowed, why, nil) }
-
-// Reject answers that trying again is harmless.
-func (l *link) Reject(comeBack time.Duration) {
-	l.detach(condLimit, "no application server takes it", comeBackInfo(comeBack))
+// rejectingAttach is the attach that precedes the detach of a rejected link (section 2.6.3): it lacks the terminus that
+// the relay's side would own.
+func (l *link) rejectingAttach() framing.Performative {
+	source, target := l.attach.Field(framing.AttachSource), l.attach.Field(framing.AttachTarget)
+	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{
+		l.name, l.handle, l.clientSends, nil, nil, source, target,
+	}}
+	if l.clientSends {
+		return attach.With(framing.AttachTarget, nil)
+	}
+	return attach.With(framing.AttachSource, nil).With(framing.AttachInitialDeliveryCount, uint32(0))
 }
 
-// comeBackInfo says when to come again, if that is known.
-func comeBackInfo(wait time.Duration) (info mapping) {
-	if wait >= time.Millisecond {
-		info = info.with(infoBack, uint32(wait.Milliseconds()))
-	}
-	return info
+// BadRequest detaches the link as invalid.
+func (l *link) BadRequest(description string) { l.detach(framing.CondNotAllowed, description, nil) }
+
+// Reject detaches the link, whose request has not run: the client may retry, after retryAfter if that is known.
+func (l *link) Reject(retryAfter time.Duration) {
+	l.detach(framing.CondResourceLimitExceeded, "no application server takes it", retryAfterInfo(retryAfter))
 }
 
-// Fail answers what promises nothing.
-func (l *link) Fail() { l.detach(condInternal, "the transaction has failed", nil) }
+// Fail detaches the link, whose request may have run.
+func (l *link) Fail() { l.detach(framing.CondInternalError, "the transaction has failed", nil) }
 
-// Migrate sends the client away politely: between two deliveries, if the one that
-// is under way ends in time.
+// Migrate detaches the link so that the client attaches again elsewhere: between two deliveries, if the current one ends
+// within migrateTimeout. It reports whether the link had not been detached before.
 func (l *link) Migrate() bool {
 	select {
-	case <-l.ids.whole():
-	case <-time.After(moveFor):
+	case <-l.deliveries.boundary():
+	case <-time.After(migrateTimeout):
 	}
-	return l.detach(condDetachForced, "the client is to come again", nil)
+	return l.detach(framing.CondDetachForced, "the client is to come again", nil)
 }
--- /dev/null
+++ b/internal/frontend/amqp/multiplexer.go
@@ -0,0 +1,187 @@
+package amqp
+
+import (
+	"errors"
+	"sync"
+	"time"
+
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// multiplexer is a connection that several sessions share. One goroutine, in serve, reads it, and never waits for a
+// session: the frames that a session has not read yet are bounded by its window, and a peer that sends more loses the
+// session.
+type multiplexer struct {
+	*connection
+	// onSession is called with each session that the peer begins. nil: it may begin none.
+	onSession func(*sharedSession)
+
+	mu             sync.Mutex
+	localChannels  map[uint16]*sharedSession // by the channel of the frames that are sent
+	remoteChannels map[uint16]*sharedSession // by the channel of the frames that are received
+	err            error                     // why reading ended; nil while it goes on
+}
+
+func newMultiplexer(conn *connection) *multiplexer {
+	return &multiplexer{
+		connection:     conn,
+		localChannels:  make(map[uint16]*sharedSession),
+		remoteChannels: make(map[uint16]*sharedSession),
+	}
+}
+
+// newSession returns a session on a channel, which the caller registers.
+func (m *multiplexer) newSession(channel uint16, onRelease func()) *sharedSession {
+	shared := &sharedSession{
+		session: newSession(m.connection, channel), multiplexer: m, onRelease: onRelease, changed: make(chan struct{}, 1),
+	}
+	shared.endWritten = new(bool)
+	return shared
+}
+
+// openSession opens a session on the lowest free channel up to the highest that the peer accepts. onRelease is called once
+// the channel is free again. It returns nil where none is free, and an error where the connection has ended.
+func (m *multiplexer) openSession(highestChannel uint16, onRelease func()) (*sharedSession, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.err != nil {
+		return nil, m.err
+	}
+	for i := range int(highestChannel) + 1 {
+		if channel := uint16(i); m.localChannels[channel] == nil {
+			shared := m.newSession(channel, onRelease)
+			m.localChannels[channel] = shared
+			return shared, nil
+		}
+	}
+	return nil, nil
+}
+
+// serve reads until the connection's end, and ends all sessions. A peer that is silent for silenceTimeout is taken for dead.
+func (m *multiplexer) serve(silenceTimeout time.Duration) {
+	err := m.readFrames(silenceTimeout)
+	m.mu.Lock()
+	m.err = err
+	sessions := m.localChannels
+	m.localChannels, m.remoteChannels = nil, nil
+	m.mu.Unlock()
+	for _, shared := range sessions {
+		shared.endRemotely(err)
+	}
+}
+
+// errPeerClosed says that the peer has closed the connection with a close.
+var errPeerClosed = errors.New("the peer has closed the connection")
+
+// readFrames hands the peer's frames to their sessions until the connection ends. Its error says why.
+func (m *multiplexer) readFrames(silenceTimeout time.Duration) error {
+	for {
+		frame, err := m.readFrame(framing.TypeAMQP, silenceTimeout)
+		if err != nil {
+			return err
+		}
+		switch {
+		case frame.Empty:
+			continue
+		case frame.Code == framing.CodeClose:
+			m.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+			m.forEachSession(func(shared *sharedSession) { shared.enqueue(frame) })
+			return errPeerClosed
+		case frame.Code == framing.CodeBegin:
+			if err := m.handleBegin(frame); err != nil {
+				return m.closeWithError(err)
+			}
+			continue
+		}
+		m.mu.Lock()
+		shared := m.remoteChannels[frame.Channel]
+		m.mu.Unlock()
+		if shared == nil {
+			return m.closeWithError(framing.Errorf(framing.CondFramingError, "channel %d has no session", frame.Channel))
+		}
+		if frame.Code == framing.CodeEnd {
+			m.handleEnd(shared, frame)
+			continue
+		}
+		shared.enqueue(frame)
+	}
+}
+
+// closeWithError closes the connection with a ConditionError, and does nothing for other errors. It returns err.
+func (m *multiplexer) closeWithError(err error) error {
+	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
+		m.writeFrame(0, framing.NewClose(conditionErr), nil)
+	}
+	return err
+}
+
+// forEachSession calls visit for each session, without holding the lock.
+func (m *multiplexer) forEachSession(visit func(*sharedSession)) {
+	m.mu.Lock()
+	sessions := make([]*sharedSession, 0, len(m.localChannels))
+	for _, shared := range m.localChannels {
+		sessions = append(sessions, shared)
+	}
+	m.mu.Unlock()
+	for _, shared := range sessions {
+		visit(shared)
+	}
+}
+
+// handleBegin handles a begin of the peer: the answer to one of the relay, or, where the peer may, one of its own.
+func (m *multiplexer) handleBegin(frame framing.Frame) error {
+	m.mu.Lock()
+	if m.remoteChannels[frame.Channel] != nil {
+		m.mu.Unlock()
+		return framing.Errorf(framing.CondNotAllowed, "channel %d has a session", frame.Channel)
+	}
+	if frame.Field(framing.BeginRemoteChannel) != nil {
+		shared := m.localChannels[uint16(frame.Uint32(framing.BeginRemoteChannel, 0))]
+		if shared != nil {
+			m.remoteChannels[frame.Channel] = shared
+		}
+		m.mu.Unlock()
+		if shared == nil {
+			return framing.Errorf(framing.CondFramingError, "channel %d answers a session that is not there", frame.Channel)
+		}
+		return shared.applyBegin(frame.Performative)
+	}
+	if m.onSession == nil || frame.Channel >= maxPeerSessions || m.localChannels[frame.Channel] != nil {
+		m.mu.Unlock()
+		return framing.Errorf(framing.CondNotAllowed, "channel %d can't begin a session", frame.Channel)
+	}
+	shared := m.newSession(frame.Channel, func() {})
+	shared.announced = true
+	m.localChannels[frame.Channel], m.remoteChannels[frame.Channel] = shared, shared
+	m.mu.Unlock()
+	if err := shared.applyBegin(frame.Performative); err != nil {
+		return err
+	}
+	if err := shared.writeFrame(frame.Channel, shared.newBegin(frame.Channel), nil); err != nil {
+		return err
+	}
+	m.onSession(shared)
+	return nil
+}
+
+// handleEnd handles the peer's end of a session, and answers it.
+func (m *multiplexer) handleEnd(shared *sharedSession, frame framing.Frame) {
+	shared.enqueue(frame)
+	shared.endRemotely(nil)
+	shared.sendEnd() // what has been received is still to be read
+}
+
+// releaseChannels frees the channels of a session that both sides have ended.
+func (m *multiplexer) releaseChannels(shared *sharedSession) {
+	shared.releaseOnce.Do(func() {
+		m.mu.Lock()
+		delete(m.localChannels, shared.channel)
+		for channel, candidate := range m.remoteChannels {
+			if candidate == shared {
+				delete(m.remoteChannels, channel)
+			}
+		}
+		m.mu.Unlock()
+		shared.onRelease()
+	})
+}
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -3,192 +3,142 @@
 import (
 	"errors"
 	"sync"
+
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 const (
-	// ahead is how many deliveries a client may send on a link beyond those that its
-	// server has been sent, whatever credit the server grants: a part of the session's
-	// window, so that a server which stops reading leaves the rest to other links.
-	ahead = windowMost / 2
-	// wordsMost is how many flows, dispositions and detaches of a client may wait for a
-	// server. Flows are one, as each says all that the last did.
-	wordsMost = unsettled + 16
+	// maxDeliveriesAhead is how many deliveries a client may send on a link beyond those that the endpoint has been sent,
+	// whatever credit the endpoint grants: a part of the session's window, so that an endpoint that stops reading leaves
+	// the rest to other links.
+	maxDeliveriesAhead = sessionWindow / 2
+	// maxPendingControlFrames is how many flows, dispositions and detaches of a client may wait for an endpoint.
+	// Consecutive flows count as one, as each replaces the last.
+	maxPendingControlFrames = maxUnsettledDeliveries + 16
 )
 
-// outbox holds what a client's link has for its server, and one goroutine sends it. It
-// guards against a server that stops reading: the goroutine that reads the client's
-// connection never waits for it, and other links of the connection go on.
+// outbox queues what a client's link sends to its endpoint; one goroutine, in run, sends it. The goroutine that reads the
+// client's connection so never waits for an endpoint that stops reading, and other links of the connection go on.
 //
-// Its room is bounded: transfers by the window of the client's session, which is opened
-// again only as they leave (windowMost frames of ourMost bytes for all links of a
-// session), the rest by wordsMost.
+// The queue is bounded: transfers by the window of the client's session, which is reopened only as they are sent
+// (sessionWindow frames of framing.MaxFrameSize bytes for all links of a session), the rest by maxPendingControlFrames.
 type outbox struct {
-	session *session // the client's
-	up      *upstream
-	stuck   func() // told that the server has taken no transfer for long, and nothing more goes to it
+	session      *session // of the client
+	upstreamConn *upstream
+	onStall      func() // called when the endpoint has accepted no transfer for writeTimeout; nothing more is sent to it
 
-	mu    sync.Mutex
-	queue []parcel
-	words int // that are no transfers
-	over  bool
-	more  chan struct{} // a value when something has been put in
+	mu                   sync.Mutex
+	queue                []outboxItem
+	pendingControlFrames int // items in the queue that are no transfers
+	closed               bool
+	changed              chan struct{} // has a value when an item has been added
 }
 
-// parcel is one thing for a server.
-type parcel struct {
-	perf
-	payload  []byte
-	transfer bool
-	flow     bool
-	sent     func() // called after a transfer that ends a delivery has been sent
+// outboxItem is a frame for an endpoint.
+type outboxItem struct {
+	framing.Performative
+	payload    []byte
+	isTransfer bool
+	isFlow     bool
+	onSent     func() // called after the last transfer of a delivery has been sent; nil: not called
 }
 
-func newOutbox(s *session, u *upstream, stuck func()) *outbox {
-	return &outbox{session: s, up: u, stuck: stuck, more: make(chan struct{}, 1)}
+func newOutbox(downstream *session, upstreamConn *upstream, onStall func()) *outbox {
+	return &outbox{session: downstream, upstreamConn: upstreamConn, onStall: onStall, changed: make(chan struct{}, 1)}
 }
 
-// put takes something for the server. It fails where there is no room for it.
-func (o *outbox) put(p parcel) bool {
+// enqueue adds an item. It reports false where there is no room. After the end the item is dropped.
+func (o *outbox) enqueue(item outboxItem) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
-		if p.transfer {
-			o.session.freed(1)
+	if o.closed {
+		if item.isTransfer {
+			o.session.releaseTransfers(1)
 		}
-		return true // the end has crossed it
+		return true // it has crossed the end
 	}
-	if !p.transfer {
-		if n := len(o.queue); p.flow && n > 0 && o.queue[n-1].flow {
-			o.queue[n-1] = p
+	if !item.isTransfer {
+		if last := len(o.queue) - 1; item.isFlow && last >= 0 && o.queue[last].isFlow {
+			o.queue[last] = item
 			return true
 		}
-		if o.words >= wordsMost {
+		if o.pendingControlFrames >= maxPendingControlFrames {
 			return false
 		}
-		o.words++
+		o.pendingControlFrames++
 	}
-	o.queue = append(o.queue, p)
+	o.queue = append(o.queue, item)
 	select {
-	case o.more <- struct{}{}:
+	case o.changed <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// take takes out the next thing.
-func (o *outbox) take() (parcel, bool) {
+// dequeue removes the next item. It reports false if there is none.
+func (o *outbox) dequeue() (outboxItem, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.queue) == 0 {
-		return parcel{}, false
+		return outboxItem{}, false
 	}
-	p := o.queue[0]
-	o.queue[0] = parcel{}
+	item := o.queue[0]
+	o.queue[0] = outboxItem{}
 	if o.queue = o.queue[1:]; len(o.queue) == 0 {
 		o.queue = nil
 	}
-	if !p.transfer {
-		o.words--
+	if !item.isTransfer {
+		o.pendingControlFrames--
 	}
-	return p, true
+	return item, true
 }
 
-// run sends what is put in until the server's side stops.
+// run sends items until the endpoint's side ends or a write fails. Pipe starts it in a goroutine.
 func (o *outbox) run() {
 	defer o.close()
 	for {
-		p, found := o.take()
+		item, found := o.dequeue()
 		if !found {
 			select {
-			case <-o.more:
-			case <-o.up.stop:
+			case <-o.changed:
+			case <-o.upstreamConn.done:
 				return
 			}
 			continue
 		}
 		var err error
 		switch {
-		case p.transfer:
-			err = o.up.transfer(p.perf, p.payload)
-			o.session.freed(1)
-			if err == nil && p.sent != nil {
-				p.sent()
+		case item.isTransfer:
+			err = o.upstreamConn.sendTransfer(item.Performative, item.payload)
+			o.session.releaseTransfers(1)
+			if err == nil && item.onSent != nil {
+				item.onSent()
 			}
-		case p.flow:
-			err = o.up.flow(p.perf)
+		case item.isFlow:
+			err = o.upstreamConn.sendFlow(item.Performative)
 		default:
-			err = o.up.write(o.up.channel, p.perf, nil)
+			err = o.upstreamConn.writeFrame(o.upstreamConn.channel, item.Performative, nil)
 		}
-		if errors.Is(err, errWindow) {
-			o.stuck() // the other direction may go on: deliveries would be taken for a server that never gets them
+		if errors.Is(err, errWindowClosed) {
+			o.onStall() // the other direction may still work, and the link would accept deliveries that never arrive
 		}
 		if err != nil {
-			return // else the other direction sees why
+			return // the reader of the endpoint's connection sees why
 		}
 	}
 }
 
-// close lets go of what waits.
+// close drops the queue, and gives its transfers' places in the client's window back.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.over = true
-	n := 0
-	for _, p := range o.queue {
-		if p.transfer {
-			n++
+	o.closed = true
+	transfers := 0
+	for _, item := range o.queue {
+		if item.isTransfer {
+			transfers++
 		}
 	}
 	o.queue = nil
-	o.session.freed(n)
-}
-
-// credits is the credit that a link's client has: that of its server, but no more than
-// ahead of what the server has been sent.
-type credits struct {
-	mu     sync.Mutex
-	known  bool
-	count  uint32 // deliveries that the server has been sent, by the client's count
-	limit  uint32 // delivery count up to which the server takes deliveries
-	told   uint32 // and the client has been told
-	latest perf   // the server's last flow
-}
-
-// granted takes a flow of the server and returns what the client is told. One that
-// wants the credit used up, or speaks of no credit, is passed as it is.
-func (c *credits) granted(p perf) perf {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if p.field(6) == nil || p.flag(8) {
-		return p
-	}
-	from := p.number(5, 0)
-	if !c.known {
-		c.known, c.count = true, from
-	}
-	c.latest, c.limit = p, from+p.number(6, 0)
-	c.told = c.limit
-	if most := c.count + ahead; int32(c.limit-most) > 0 {
-		c.told = most
-	}
-	if int32(c.told-from) < 0 {
-		c.told = from
-	}
-	return p.with(6, c.told-from)
-}
-
-// sent counts a delivery that the server has been sent. It returns a flow for the client
-// once enough have been that more may follow.
-func (c *credits) sent() (perf, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.count++
-	if !c.known || c.told == c.limit || int32(c.count+ahead-c.told) < ahead/2 {
-		return perf{}, false
-	}
-	c.told = c.limit
-	if most := c.count + ahead; int32(c.limit-most) > 0 {
-		c.told = most
-	}
-	return c.latest.with(5, c.count).with(6, c.told-c.count), true
+	o.session.releaseTransfers(transfers)
 }
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -4,27 +4,29 @@
 	"errors"
 	"fmt"
 	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
-// PeerConn is an application server's end of a connection of the relay's, for stand-ins: the greeting as the
-// standard has it (part 2, section 2.4; part 5, section 5.3), and the sessions that the relay begins.
+// PeerConn is an endpoint's end of a connection that the relay has opened, for fake servers: the opening (section 2.4; part
+// 5, section 5.3), and the sessions that the relay begins.
 type PeerConn struct {
-	mux      *mux
-	wait     time.Duration
-	stop     chan struct{}
-	sessions chan *Peer
-	ended    chan struct{}
+	multiplexer *multiplexer
+	readTimeout time.Duration
+	done        chan struct{} // closed by Close
+	sessions    chan *Peer    // begun by the relay, and not yet returned by Session
+	ended       chan struct{} // closed once the reader has ended
 }
 
-// Peer is one session of a PeerConn, and the links that are attached to it. One goroutine uses it.
+// Peer is one session of a PeerConn, and the links that are attached to it. Its methods are for one goroutine.
 type Peer struct {
-	*lane
-	conn    *PeerConn
-	payload map[uint32][]byte // of deliveries that have come in part, by their links
+	*sharedSession
+	conn            *PeerConn
+	partialPayloads map[uint32][]byte // of partial deliveries, by link handle
 }
 
-// PeerEvent is what a Peer is told: a link is attached, a delivery has come whole, or
-// a link is detached.
+// PeerEvent is an event of a Peer: a link is attached, a delivery is complete, or a link is detached.
 type PeerEvent struct {
 	Kind       PeerKind
 	Handle     uint32
@@ -33,8 +35,8 @@
 	Payload    []byte         // of PeerDelivered: the message's data section, where it is one
 	Name       string         // of the link, of PeerAttached
 	Sends      bool           // the relay's side sends, of PeerAttached
-	Properties map[string]any // of PeerAttached: strings, numbers and truths
-	attach     perf
+	Properties map[string]any // of PeerAttached: strings, numbers and booleans
+	attach     framing.Performative
 }
 
 // PeerKind is the kind of a PeerEvent.
@@ -43,65 +45,73 @@
 // The kinds of PeerEvent.
 const (
 	PeerAttached  PeerKind = iota // the other side has attached a link
-	PeerDelivered                 // the other side has sent a whole delivery
+	PeerDelivered                 // the other side has sent a complete delivery
 	PeerDetached                  // the other side has detached a link
 )
 
-// sessionsMost is how many sessions a stand-in takes on a connection.
-const sessionsMost = 256
+// maxPeerSessions is how many sessions a fake server accepts on a connection.
+const maxPeerSessions = 256
 
-// AcceptPeerConn greets a relay that has connected, up to the open. wait bounds each read, here and later. plain
-// refuses the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
-func AcceptPeerConn(tcp socket, wait time.Duration, plain bool) (*PeerConn, error) {
-	c := newConn(tcp)
-	h, err := c.readHeader(wait)
-	if err != nil {
-		return nil, err
-	}
-	if h == headerSASL && plain {
-		c.header(headerAMQP)
-		return nil, errors.New("the relay began with the security layer")
-	}
-	if h == headerSASL {
-		if err := acceptSASL(c, wait); err != nil {
-			return nil, err
-		}
-		if h, err = c.readHeader(wait); err != nil {
-			return nil, err
-		}
-	}
-	if h != headerAMQP {
-		return nil, fmt.Errorf("a server was greeted with %q", h)
-	}
-	if err := c.header(headerAMQP); err != nil {
+// AcceptPeerConn opens the connection of a relay that has connected. wait bounds each read, here and later. plain rejects
+// the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
+func AcceptPeerConn(tcp streamConn, wait time.Duration, plain bool) (*PeerConn, error) {
+	c := newConnection(tcp)
+	if err := acceptProtocolHeaders(c, wait, plain); err != nil {
 		return nil, err
 	}
-	f, err := c.read(frameAMQP, wait)
+	frame, err := c.readFrame(framing.TypeAMQP, wait)
 	if err != nil {
 		return nil, err
 	}
-	if f.code != codeOpen {
-		return nil, fmt.Errorf("a server was told %#x for an open", f.code)
+	if frame.Code != framing.CodeOpen {
+		return nil, fmt.Errorf("a server was told %#x for an open", frame.Code)
+	}
+	p := &PeerConn{
+		multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}),
+		sessions: make(chan *Peer, maxPeerSessions), ended: make(chan struct{}),
 	}
-	p := &PeerConn{mux: newMux(c), wait: wait, stop: make(chan struct{}), sessions: make(chan *Peer, sessionsMost), ended: make(chan struct{})}
-	p.mux.begins = func(l *lane) {
+	p.multiplexer.onSession = func(shared *sharedSession) {
 		select {
-		case p.sessions <- &Peer{lane: l, conn: p, payload: make(map[uint32][]byte)}:
-		default: // more wait to be taken than a stand-in takes in all
-			l.close()
+		case p.sessions <- &Peer{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
+		default: // more sessions than a fake server accepts in all
+			shared.endLocally()
 		}
 	}
-	idle := c.opened(f.perf)
-	c.write(0, open("server").with(3, uint16(sessionsMost-1)), nil) // if this fails, the next read sees why
-	go c.beat(idle, p.stop)
+	idle := c.applyOpen(frame.Performative)
+	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil) // on failure the next read sees why
+	go c.sendHeartbeats(idle, p.done)
 	go func() {
-		p.mux.run(wait)
+		p.multiplexer.serve(wait)
 		close(p.ended)
 	}()
 	return p, nil
 }
 
-// Session waits for the next session that the relay begins; nil: none comes any more.
+// acceptProtocolHeaders passes the protocol headers, and the security layer between them unless plain rejects it.
+func acceptProtocolHeaders(conn *connection, wait time.Duration, plain bool) error {
+	header, err := conn.readProtocolHeader(wait)
+	if err != nil {
+		return err
+	}
+	if header == framing.ProtocolHeaderSASL && plain {
+		conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+		return errors.New("the relay began with the security layer")
+	}
+	if header == framing.ProtocolHeaderSASL {
+		if err := acceptSASL(conn, wait); err != nil {
+			return err
+		}
+		if header, err = conn.readProtocolHeader(wait); err != nil {
+			return err
+		}
+	}
+	if header != framing.ProtocolHeaderAMQP {
+		return fmt.Errorf("a server was greeted with %q", header)
+	}
+	return conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
+}
+
+// Session waits for the next session that the relay begins; nil: the connection has ended.
 func (p *PeerConn) Session() *Peer {
 	select {
 	case s := <-p.sessions:
@@ -118,13 +128,13 @@
 
 // Close ends the connection at once.
 func (p *PeerConn) Close() {
-	close(p.stop)
-	p.mux.Close()
+	close(p.done)
+	p.multiplexer.Close()
 	<-p.ended
 }
 
-// AcceptPeer greets a relay that has connected, up to the first session.
-func AcceptPeer(tcp socket, wait time.Duration, plain bool) (*Peer, error) {
+// AcceptPeer opens the connection of a relay as AcceptPeerConn does, and waits for the first session.
+func AcceptPeer(tcp streamConn, wait time.Duration, plain bool) (*Peer, error) {
 	c, err := AcceptPeerConn(tcp, wait, plain)
 	if err != nil {
 		return nil, err
@@ -132,93 +142,119 @@
 	p := c.Session()
 	if p == nil {
 		c.Close()
-		return nil, c.mux.err
+		return nil, c.multiplexer.err
 	}
 	return p, nil
 }
 
-func acceptSASL(p *conn, wait time.Duration) error {
-	if err := p.header(headerSASL); err != nil {
+// acceptSASL passes the security layer: the relay authenticates anonymously.
+func acceptSASL(conn *connection, wait time.Duration) error {
+	if err := conn.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
 	}
-	if err := p.sasl(perf{codeMechanisms, list{array{symbol("ANONYMOUS")}}}); err != nil {
+	mechanisms := codec.Array{codec.Symbol("ANONYMOUS")}
+	if err := conn.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{mechanisms}}); err != nil {
 		return err
 	}
-	f, err := p.read(frameSASL, wait)
+	frame, err := conn.readFrame(framing.TypeSASL, wait)
 	if err != nil {
 		return err
 	}
-	if f.code != codeInit {
-		return fmt.Errorf("a server was told %#x for an init", f.code)
+	if frame.Code != framing.CodeSASLInit {
+		return fmt.Errorf("a server was told %#x for an init", frame.Code)
 	}
-	return p.sasl(perf{codeOutcome, list{uint8(0)}})
+	return conn.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// errClosed says that the relay has ended the session, or closed the connection, in good order.
-var errClosed = errors.New("the relay has ended the session")
+// errPeerSessionEnded says that the relay has sent an end or a close.
+var errPeerSessionEnded = errors.New("the relay has ended the session")
 
 // Close ends the connection at once.
 func (p *Peer) Close() { p.conn.Close() }
 
 // End ends the session.
-func (p *Peer) End() { p.lane.close() }
+func (p *Peer) End() { p.sharedSession.endLocally() }
 
-// DiscardInput takes what comes for the session and says nothing, until its end.
+// DiscardInput reads and ignores the session's frames until its end.
 func (p *Peer) DiscardInput() {
 	for {
-		if f, err := p.next(0); err != nil || f.code == codeEnd {
+		if frame, err := p.nextFrame(0); err != nil || frame.Code == framing.CodeEnd {
 			return
 		}
 	}
 }
 
-// Next waits for the next event. Its errors are those of the connection, or say that
-// the relay has ended it.
+// Next waits for the next event. Its errors are those of the connection, or say that the relay has ended the session.
 func (p *Peer) Next() (PeerEvent, error) {
 	for {
-		f, err := p.next(p.conn.wait)
+		frame, err := p.nextFrame(p.conn.readTimeout)
 		if err != nil {
 			return PeerEvent{}, err
 		}
-		switch f.code {
-		case codeAttach:
-			e := PeerEvent{Kind: PeerAttached, Handle: f.number(1, 0), Name: text(f.field(0)), Sends: !f.flag(2),
-				Properties: make(map[string]any), attach: f.perf}
-			props, _ := f.field(13).(mapping)
-			for i := 0; i+1 < len(props); i += 2 {
-				e.Properties[text(props[i])] = props[i+1]
-			}
-			return e, nil
-		case codeFlow:
-			_ = p.flowTaken(f.perf) // a stand-in overlooks a bad flow
-		case codeTransfer:
-			if err := p.took(false); err != nil {
-				return PeerEvent{}, err
-			}
-			handle := f.number(0, 0)
-			whole := append(p.payload[handle], f.payload...)
-			if len(whole) > peerMost {
-				return PeerEvent{}, errors.New("a message is longer than a stand-in reads")
+		switch frame.Code {
+		case framing.CodeAttach:
+			return attachedEvent(frame.Performative), nil
+		case framing.CodeFlow:
+			_ = p.handleFlow(frame.Performative) // a fake server ignores a bad flow
+		case framing.CodeTransfer:
+			event, complete, err := p.receiveDelivery(frame)
+			if err != nil || complete {
+				return event, err
 			}
-			if f.flag(5) {
-				p.payload[handle] = whole
-				continue
-			}
-			delete(p.payload, handle)
-			return PeerEvent{Kind: PeerDelivered, Handle: handle, Delivery: f.number(1, 0), Settled: f.flag(4), Payload: dataOf(whole)}, nil
-		case codeDetach:
-			return PeerEvent{Kind: PeerDetached, Handle: f.number(0, 0)}, nil
-		case codeEnd, codeClose:
-			return PeerEvent{}, errClosed
+		case framing.CodeDetach:
+			return PeerEvent{Kind: PeerDetached, Handle: frame.Uint32(framing.DetachHandle, 0)}, nil
+		case framing.CodeEnd, framing.CodeClose:
+			return PeerEvent{}, errPeerSessionEnded
 		}
 	}
 }
 
-const peerMost = 4 << 20 // bytes of a message
+// attachedEvent is the event of the relay's attach.
+func attachedEvent(attach framing.Performative) PeerEvent {
+	event := PeerEvent{
+		Kind:       PeerAttached,
+		Handle:     attach.Uint32(framing.AttachHandle, 0),
+		Name:       codec.AsString(attach.Field(framing.AttachName)),
+		Sends:      !attach.Bool(framing.AttachRole),
+		Properties: make(map[string]any),
+		attach:     attach,
+	}
+	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
+	for i := 0; i+1 < len(properties); i += 2 {
+		event.Properties[codec.AsString(properties[i])] = properties[i+1]
+	}
+	return event
+}
+
+// receiveDelivery adds a transfer to its delivery. It returns the event, and true, once the delivery is complete.
+func (p *Peer) receiveDelivery(transfer framing.Frame) (event PeerEvent, complete bool, err error) {
+	if err := p.receiveTransfer(false); err != nil {
+		return PeerEvent{}, false, err
+	}
+	handle := transfer.Uint32(framing.TransferHandle, 0)
+	payload := append(p.partialPayloads[handle], transfer.Payload...)
+	if len(payload) > maxPeerMessageSize {
+		return PeerEvent{}, false, errors.New("a message is longer than a stand-in reads")
+	}
+	if transfer.Bool(framing.TransferMore) {
+		p.partialPayloads[handle] = payload
+		return PeerEvent{}, false, nil
+	}
+	delete(p.partialPayloads, handle)
+	return PeerEvent{
+		Kind:     PeerDelivered,
+		Handle:   handle,
+		Delivery: transfer.Uint32(framing.TransferDeliveryID, 0),
+		Settled:  transfer.Bool(framing.TransferSettled),
+		Payload:  dataSection(payload),
+	}, true, nil
+}
+
+// maxPeerMessageSize is the longest message that a fake server reads, in bytes.
+const maxPeerMessageSize = 4 << 20
 
-// dataOf is the data section of a message that has nothing else (part 3, section 3.2.6);
-// nil of any other.
-func dataOf(message []byte) []byte {
+// dataSection returns the contents of a message that is one data section (section 3.2.6); nil of any other.
+func dataSection(message []byte) []byte {
 	if len(message) < 5 || message[0] != 0 || message[1] != 0x53 || message[2] != 0x75 {
 		return nil
 	}
@@ -233,47 +269,58 @@
 
 // Attach answers an attach, and grants credit if the relay's side is to send.
 func (p *Peer) Attach(e PeerEvent, credit uint32) error {
-	reply := e.attach.with(1, e.Handle).with(2, !e.attach.flag(2)).with(9, nil).with(13, nil)
-	if err := p.write(p.channel, reply, nil); err != nil || credit == 0 {
+	reply := attachReply(e.attach, e.Handle)
+	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
-	return p.flow(perf{codeFlow, list{nil, nil, nil, nil, e.Handle, uint32(0), credit}})
+	return p.Credit(e.Handle, 0, credit)
 }
 
-// Credit grants credit anew: so many deliveries from a delivery count on.
+// attachReply is the answer to an attach: the same in the other role, without what the initiator alone says.
+func attachReply(attach framing.Performative, handle uint32) framing.Performative {
+	return attach.With(framing.AttachHandle, handle).
+		With(framing.AttachRole, !attach.Bool(framing.AttachRole)).
+		With(framing.AttachInitialDeliveryCount, nil).
+		With(framing.AttachProperties, nil)
+}
+
+// Credit grants credit for credit deliveries from the delivery-count count on.
 func (p *Peer) Credit(handle, count, credit uint32) error {
-	return p.flow(perf{codeFlow, list{nil, nil, nil, nil, handle, count, credit}})
+	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
 }
 
-// RejectAttach answers an attach with an end at once, by a condition of the standard.
+// RejectAttach answers an attach and detaches the link at once, with a condition of the standard.
 func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
-	reply := e.attach.with(1, e.Handle).with(2, !e.attach.flag(2)).with(6, nil).with(9, nil).with(13, nil)
-	if err := p.write(p.channel, reply, nil); err != nil {
+	reply := attachReply(e.attach, e.Handle).With(framing.AttachTarget, nil)
+	if err := p.writeFrame(p.channel, reply, nil); err != nil {
 		return err
 	}
 	return p.Detach(e.Handle, condition)
 }
 
-// Detach ends a link, with a condition if one is given.
+// Detach detaches a link, with an error if the condition is not empty.
 func (p *Peer) Detach(handle uint32, condition string) error {
-	var e any
-	if condition != "" {
-		e = errorOf(condition, "as the script has it", nil)
-	}
-	return p.write(p.channel, perf{codeDetach, list{handle, true, e}}, nil)
+	errorValue := framing.NewErrorValue(condition, "as the script has it", nil)
+	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, errorValue}}, nil)
 }
 
-// Settle accepts a delivery.
+// Settle accepts and settles a delivery.
 func (p *Peer) Settle(delivery uint32) error {
-	return p.write(p.channel, perf{codeDisposition, list{true, delivery, nil, true, described{uint64(0x24), list{}}}}, nil)
+	return p.writeFrame(p.channel, acceptingDisposition(delivery), nil)
+}
+
+// acceptingDisposition is a receiver's disposition that accepts and settles a delivery.
+func acceptingDisposition(deliveryID any) framing.Performative {
+	accepted := codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}
+	return framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, deliveryID, nil, true, accepted}}
 }
 
-// WholeNumber reads a property that is a whole number.
-func WholeNumber(v any) (uint64, bool) { return whole(v) }
+// WholeNumber returns a property that is an integer and not negative; it reports false for any other.
+func WholeNumber(v any) (uint64, bool) { return codec.AsUint64(v) }
 
-// Conditions that a server ends links with.
+// Conditions with which a server detaches links.
 const (
-	ConditionResourceLimit = condLimit
-	ConditionInternalError = condInternal
-	ConditionDetachForced  = condDetachForced
+	ConditionResourceLimit = framing.CondResourceLimitExceeded
+	ConditionInternalError = framing.CondInternalError
+	ConditionDetachForced  = framing.CondDetachForced
 )
--- /dev/null
+++ b/internal/frontend/amqp/pipe.go
@@ -0,0 +1,134 @@
+package amqp
+
+import (
+	"context"
+	"errors"
+	"os"
+
+	"lockroad/balancer"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/listener"
+	"lockroad/internal/proxy"
+)
+
+// Pipe answers the client's attach with the endpoint's, and forwards frames both ways until the link has ended.
+func (l *link) Pipe(ctx context.Context, conn proxy.UpstreamConn, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
+	upstreamConn := conn.(*upstream)
+	defer close(upstreamConn.done)
+	stop := context.AfterFunc(ctx, upstreamConn.Close)
+	defer stop()
+	l.mu.Lock()
+	l.upstream, l.heartbeat, l.attachSent = upstreamConn, heartbeat, true
+	l.outbox = newOutbox(l.session, upstreamConn, heartbeat.TimedOut)
+	go l.outbox.run()
+	clientFlow, clientGone := l.clientFlow, l.clientGone
+	l.mu.Unlock()
+	if clientGone {
+		return balancer.StatusCancelled
+	}
+	if l.session.writeFrame(l.session.channel, upstreamConn.attach.With(framing.AttachName, l.name).With(framing.AttachHandle, l.handle), nil) != nil {
+		return balancer.StatusCancelled
+	}
+	heartbeat.Established()
+	if upstreamConn.creditFlow != nil {
+		l.forwardToClient(framing.Frame{Performative: *upstreamConn.creditFlow})
+	}
+	if clientFlow != nil {
+		l.outbox.enqueue(outboxItem{Performative: clientFlow.With(framing.FlowHandle, uint32(0)), isFlow: true})
+	}
+	return l.pipeDownstream(ctx, upstreamConn, heartbeat)
+}
+
+// pipeDownstream forwards the endpoint's frames to the client until the link has ended.
+func (l *link) pipeDownstream(ctx context.Context, upstreamConn *upstream, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
+	for {
+		frame, err := upstreamConn.nextFrame(0)
+		l.mu.Lock()
+		clientGone := l.clientGone
+		l.mu.Unlock()
+		switch {
+		case ctx.Err() != nil: // migrated or timed out: the caller detaches the client
+			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
+		case err != nil && clientGone:
+			return balancer.StatusCancelled
+		case errors.Is(err, os.ErrDeadlineExceeded):
+			heartbeat.TimedOut()
+			return balancer.StatusReset
+		case err != nil:
+			l.detach(framing.CondConnectionForced, "the application server is lost", nil)
+			return balancer.StatusReset
+		case frame.Empty:
+			continue
+		case frame.Code == framing.CodeDetach, frame.Code == framing.CodeEnd, frame.Code == framing.CodeClose:
+			return l.endpointEnded(upstreamConn, frame, clientGone)
+		}
+		if !l.forwardToClient(frame) {
+			return balancer.StatusCancelled
+		}
+	}
+}
+
+// endpointEnded handles the endpoint's detach, end or close: it detaches the client's link, unless the client has left.
+func (l *link) endpointEnded(upstreamConn *upstream, frame framing.Frame, clientGone bool) balancer.AttemptStatus {
+	errorField := framing.EndError // a close has it at the same index
+	if frame.Code == framing.CodeDetach {
+		errorField = framing.DetachError
+		upstreamConn.writeFrame(upstreamConn.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
+		if upstreamConn.sharedSession == nil {
+			upstreamConn.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+		}
+	}
+	condition, info := frame.Condition(errorField)
+	if !clientGone {
+		l.detach(condition, "the application server has ended the link", info)
+	}
+	switch {
+	case condition == "" && frame.Code == framing.CodeDetach:
+		return balancer.StatusOK
+	case condition == framing.CondDetachForced:
+		return balancer.StatusRedirected // it drains, whatever the endpoint list says
+	case clientGone:
+		return balancer.StatusCancelled
+	}
+	return balancer.StatusReset
+}
+
+// forwardToClient forwards a frame of the endpoint. It reports false if the client's connection has failed.
+func (l *link) forwardToClient(frame framing.Frame) bool {
+	downstream := l.session
+	switch frame.Code {
+	case framing.CodeFlow:
+		if err := l.upstream.handleFlow(frame.Performative); err != nil || frame.Field(framing.FlowHandle) == nil {
+			return true
+		}
+		if properties, ok := frame.Field(framing.FlowProperties).(codec.Map); ok {
+			if microseconds, ok := parseLoad(properties.Get(propLoad)); ok {
+				l.heartbeat.ReportLoad(microseconds / 1e6)
+			}
+		}
+		performative := frame.Performative
+		if l.clientSends {
+			performative = l.creditLimiter.limitFlow(performative)
+		}
+		return downstream.sendFlow(performative.With(framing.FlowHandle, l.handle)) == nil
+	case framing.CodeTransfer:
+		if l.clientSends || l.upstream.receiveTransfer(false) != nil {
+			return true // not allowed on this link: ignored
+		}
+		l.heartbeat.EndpointSent()
+		performative, err := l.deliveries.translateTransfer(frame.Performative, downstream)
+		if err != nil {
+			return true
+		}
+		return downstream.sendTransfer(performative.With(framing.TransferHandle, l.handle), frame.Payload) == nil
+	case framing.CodeDisposition:
+		l.heartbeat.EndpointSent()
+		for _, performative := range l.deliveries.translateDisposition(frame.Performative, l.clientSends) {
+			if downstream.writeFrame(downstream.channel, performative, nil) != nil {
+				return false
+			}
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/frontend/amqp/placement.go
@@ -0,0 +1,98 @@
+package amqp
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"slices"
+	"strings"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+)
+
+// Placement is a rule for links whose attach lacks the relay's properties: clients that know nothing of the relay name an
+// address only. The first rule that matches applies.
+type Placement struct {
+	Address   string        // pattern of the link's remote address; "*" matches any text, empty any address
+	Container string        // pattern of the client's container id; likewise
+	Class     string        // of the request
+	Timeout   time.Duration // of the request; 0: the deadline of its class
+	// Group says by what requests are grouped: "address", "container", "link" for the link's name, or "property:NAME" for
+	// one of the attach's properties; empty: not grouped.
+	Group string
+
+	addressPattern, containerPattern *regexp.Regexp
+}
+
+const propertyGroupPrefix = "property:"
+
+// Compile validates the rule and compiles its patterns, before it is used. Its errors name the key in the settings.
+func (p *Placement) Compile() error {
+	if p.Class == "" {
+		return errors.New("class: is missing")
+	}
+	if p.Timeout < 0 {
+		return fmt.Errorf("give_up: %v is negative", p.Timeout)
+	}
+	property, isProperty := strings.CutPrefix(p.Group, propertyGroupPrefix)
+	isKeyword := slices.Contains([]string{"", "address", "container", "link"}, p.Group)
+	if !isKeyword && (!isProperty || property == "") {
+		return fmt.Errorf("group: %q is neither address, container, link nor property:NAME", p.Group)
+	}
+	p.addressPattern, p.containerPattern = compilePattern(p.Address), compilePattern(p.Container)
+	return nil
+}
+
+// compilePattern returns the expression that a pattern with * in it stands for; nil: it matches everything.
+func compilePattern(pattern string) *regexp.Regexp {
+	if pattern == "" {
+		return nil
+	}
+	return regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(pattern), `\*`, "(?s:.*)") + "$")
+}
+
+// terminusAddress returns the address that a client's attach names for the remote end: the target's if the client sends,
+// the source's if it receives (sections 3.5.3 and 3.5.4).
+func terminusAddress(attach framing.Performative) string {
+	field := framing.AttachTarget
+	if attach.Bool(framing.AttachRole) {
+		field = framing.AttachSource
+	}
+	terminus, _ := attach.Field(field).(codec.Described)
+	fields, _ := terminus.Value.(codec.List)
+	if len(fields) == 0 {
+		return ""
+	}
+	return codec.AsString(fields[0])
+}
+
+// findPlacement returns the first rule that matches an attach; nil if none does.
+func (f *Frontend) findPlacement(address, container string) *Placement {
+	for i := range f.Placements {
+		p := &f.Placements[i]
+		addressMatches := p.addressPattern == nil || p.addressPattern.MatchString(address)
+		containerMatches := p.containerPattern == nil || p.containerPattern.MatchString(container)
+		if addressMatches && containerMatches {
+			return p
+		}
+	}
+	return nil
+}
+
+// groupKey returns the group of a link under the rule; 0: none.
+func (p *Placement) groupKey(attach framing.Performative, address, container string) uint64 {
+	switch p.Group {
+	case "":
+		return 0
+	case "address":
+		return hashKey(address)
+	case "container":
+		return hashKey(container)
+	case "link":
+		return hashKey(codec.AsString(attach.Field(framing.AttachName)))
+	}
+	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
+	return hashKey(properties.Get(strings.TrimPrefix(p.Group, propertyGroupPrefix)))
+}
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -12,57 +12,59 @@
 	"pgregory.net/rapid"
 
 	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
-// verdictOf is the outcome that the stand-in gives a delivery, by its first byte.
-func verdictOf(payload []byte) any {
-	code := uint64(0x24)
+// outcomeOf is the outcome that the fake endpoint gives a delivery, by its first byte.
+func outcomeOf(payload []byte) any {
+	code := uint64(framing.CodeAccepted)
 	if len(payload) > 0 {
 		code += uint64(payload[0] % 4) // accepted, rejected, released, modified
 	}
-	return described{code, list{}}
+	return codec.Described{Descriptor: code, Value: codec.List{}}
 }
 
-// judgesWait is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
-const judgesWait = time.Minute
+// settlingReadTimeout is how long judges waits for a link that says nothing: on a busy machine a run takes a while.
+const settlingReadTimeout = time.Minute
 
-// judges is a server that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
-func judges(_ testing.TB, tcp *net.TCPConn, _ *script) {
-	c, err := AcceptPeerConn(tcp, judgesWait, false)
+// serveSettling is an endpoint that takes deliveries whole and gives each its outcome, in turns: some at once, some several together.
+func serveSettling(_ testing.TB, tcp *net.TCPConn, _ *scenario) {
+	conn, err := AcceptPeerConn(tcp, settlingReadTimeout, false)
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	for p := c.Session(); p != nil; p = c.Session() {
+	defer conn.Close()
+	for peer := conn.Session(); peer != nil; peer = conn.Session() {
 		go func() {
-			defer p.End()
+			defer peer.End()
 			part := []byte(nil)
 			count := uint32(0)
 			for {
-				f, err := p.next(judgesWait)
-				if err != nil || f.code == codeEnd {
+				frame, err := peer.nextFrame(settlingReadTimeout)
+				if err != nil || frame.Code == framing.CodeEnd {
 					return
 				}
-				switch f.code {
-				case codeAttach:
-					p.Attach(PeerEvent{Handle: f.number(1, 0), attach: f.perf}, 20)
-				case codeTransfer:
-					_ = p.took(false)
-					part = append(part, f.payload...)
-					if f.flag(5) && !f.flag(9) {
+				switch frame.Code {
+				case framing.CodeAttach:
+					peer.Attach(PeerEvent{Handle: frame.Uint32(framing.AttachHandle, 0), attach: frame.Performative}, 20)
+				case framing.CodeTransfer:
+					_ = peer.receiveTransfer(false)
+					part = append(part, frame.Payload...)
+					if frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferAborted) {
 						continue
 					}
-					if !f.flag(9) && !f.flag(4) {
-						p.write(p.channel, perf{codeDisposition, list{true, f.field(1), nil, true, verdictOf(part)}}, nil)
+					if !frame.Bool(framing.TransferAborted) && !frame.Bool(framing.TransferSettled) {
+						peer.writeFrame(peer.channel, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, frame.Field(framing.TransferDeliveryID), nil, true, outcomeOf(part)}}, nil)
 					}
 					part = nil
 					if count++; count%10 == 0 {
-						p.Credit(f.number(0, 0), count, 20)
+						peer.Credit(frame.Uint32(framing.TransferHandle, 0), count, 20)
 					}
-				case codeFlow:
-					_ = p.flowTaken(f.perf)
-				case codeDetach:
-					p.Detach(f.number(0, 0), "")
+				case framing.CodeFlow:
+					_ = peer.handleFlow(frame.Performative)
+				case framing.CodeDetach:
+					peer.Detach(frame.Uint32(framing.DetachHandle, 0), "")
 				}
 			}
 		}()
@@ -70,14 +72,14 @@
 }
 
 // A client that attaches, sends in pieces, aborts, settles beforehand and detaches in any order, over any number of links, gets
-// the outcome of each delivery that wants one once, as its server gave it, and of no other; the session and the connection stay.
+// the outcome of each delivery that wants one once, as its endpoint gave it, and of no other; the session and the connection stay.
 func TestRandomDeliveriesAreSettledOnce(t *testing.T) {
 	for _, set := range []connpool.Settings{{}, {MaxSessions: 3, IdleTimeout: time.Minute}} {
 		t.Run(fmt.Sprintf("%d sessions", set.MaxSessions), func(t *testing.T) {
-			w := wireOf(func(f *Frontend) { f.Pool = set }, nil)
-			w.server = judges
-			r := newRig(t, w, 1, nil)
-			rapid.Check(t, func(rt *rapid.T) { randomDeliveries(t, rt, r.address) })
+			protocol := amqpProtocol(func(frontend *Frontend) { frontend.Pool = set }, nil)
+			protocol.serveEndpoint = serveSettling
+			relay := newTestRelay(t, protocol, 1, nil)
+			rapid.Check(t, func(rt *rapid.T) { randomDeliveries(t, rt, relay.address) })
 		})
 	}
 }
@@ -87,8 +89,8 @@
 var randomNames atomic.Int64 // one that was used may still be open for a moment
 
 func randomDeliveries(t *testing.T, rt *rapid.T, address string) {
-	c := dialRaw(t, address).begin()
-	defer c.Close()
+	client := dialRaw(t, address).begin()
+	defer client.Close()
 	type known struct {
 		up, coming bool
 		credit     uint32 // up to which it may send
@@ -102,36 +104,36 @@
 	// hear takes what has come, until done says so or nothing is awaited.
 	hear := func(done func() bool) {
 		for !done() {
-			f, err := c.frame()
+			frame, err := client.nextFrame()
 			if err != nil {
 				rt.Fatalf("%v; still to come %v", err, want)
 			}
-			switch f.code {
-			case codeAttach:
-				links[f.number(1, 0)].up = true
-			case codeFlow:
-				if f.field(4) != nil {
-					links[f.number(4, 0)].credit = f.number(5, 0) + f.number(6, 0)
+			switch frame.Code {
+			case framing.CodeAttach:
+				links[frame.Uint32(framing.AttachHandle, 0)].up = true
+			case framing.CodeFlow:
+				if frame.Field(framing.FlowHandle) != nil {
+					links[frame.Uint32(framing.FlowHandle, 0)].credit = frame.Uint32(framing.FlowDeliveryCount, 0) + frame.Uint32(framing.FlowLinkCredit, 0)
 				}
-			case codeDisposition:
-				for id := f.number(1, 0); id <= f.number(2, f.number(1, 0)); id++ {
+			case framing.CodeDisposition:
+				for id := frame.Uint32(framing.DispositionFirst, 0); id <= frame.Uint32(framing.DispositionLast, frame.Uint32(framing.DispositionFirst, 0)); id++ {
 					outcome, waits := want[id]
-					if !waits || !f.flag(3) || fmt.Sprint(f.field(4)) != fmt.Sprint(outcome) {
-						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, f.fields, waits, outcome)
+					if !waits || !frame.Bool(framing.DispositionSettled) || fmt.Sprint(frame.Field(framing.DispositionState)) != fmt.Sprint(outcome) {
+						rt.Fatalf("delivery %d: told %v, waits %v for %v", id, frame.Fields, waits, outcome)
 					}
 					delete(want, id)
 				}
-			case codeDetach:
-				switch cond, _ := f.condition(2); cond {
+			case framing.CodeDetach:
+				switch cond, _ := frame.Condition(framing.DetachError); cond {
 				case "":
-				case condLimit, condForced: // no connection came up in time, or none was heard of: the machine has other things to do
+				case framing.CondResourceLimitExceeded, framing.CondConnectionForced: // no connection came up in time, or none was heard of: the machine has other things to do
 					rt.SkipNow()
 				default:
-					rt.Fatalf("link %d is detached as %s", f.number(0, 0), cond)
+					rt.Fatalf("link %d is detached as %s", frame.Uint32(framing.DetachHandle, 0), cond)
 				}
-				links[f.number(0, 0)] = known{}
+				links[frame.Uint32(framing.DetachHandle, 0)] = known{}
 			default:
-				rt.Fatalf("told %#x %v", f.code, f.fields)
+				rt.Fatalf("told %#x %v", frame.Code, frame.Fields)
 			}
 		}
 	}
@@ -143,12 +145,12 @@
 			next++
 		}
 		l.coming = more && !aborted
-		c.write(3, perf{codeTransfer, list{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
+		client.writeFrame(3, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(i), l.delivery, []byte{byte(l.delivery)}, uint32(0), settled, more, nil, nil, nil, aborted}}, payload)
 		if l.coming {
 			return
 		}
 		if !settled && !aborted {
-			want[l.delivery] = verdictOf(l.part)
+			want[l.delivery] = outcomeOf(l.part)
 		}
 		l.count++
 		l.part = nil
@@ -178,14 +180,14 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := some(func(l known) bool { return !l.up })
-			c.write(3, perf{codeAttach, list{fmt.Sprint("link ", randomNames.Add(1)), uint32(i), false, nil, nil, described{uint64(0x28), list{"here"}}, described{uint64(0x29), list{"there"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+			client.writeFrame(3, senderAttach(fmt.Sprint("link ", randomNames.Add(1)), uint32(i), rawProps), nil)
 			hear(func() bool { return links[i].up && links[i].credit > 0 })
 		},
 		"send": func(rt *rapid.T) {
 			transfer(some(ready), rapid.Bool().Draw(rt, "settled"), false, false, payload())
 		},
 		"send a lot": func(*rapid.T) {
-			transfer(some(ready), false, false, false, bytes.Repeat([]byte{byte(next)}, 3*ourMost/4))
+			transfer(some(ready), false, false, false, bytes.Repeat([]byte{byte(next)}, 3*framing.MaxFrameSize/4))
 		},
 		"begin a piece": func(*rapid.T) {
 			if anyComing() { // deliveries of a session are numbered as they begin, so pieces of two may cross: the standard allows it
@@ -200,7 +202,7 @@
 		"detach": func(*rapid.T) {
 			i := some(func(l known) bool { return l.up && !l.coming })
 			hear(func() bool { return len(want) == 0 }) // an outcome that crosses a detach is the sender's no more
-			c.write(3, perf{codeDetach, list{uint32(i), true}}, nil)
+			client.writeFrame(3, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(i), true}}, nil)
 			hear(func() bool { return !links[i].up })
 		},
 	})
@@ -210,43 +212,43 @@
 		}
 	}
 	hear(func() bool { return len(want) == 0 })
-	c.write(0, perf{codeClose, nil}, nil)
+	client.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 }
 
-// FuzzClient sends a front whatever bytes after a sound beginning, and it never falls over: the next client is greeted.
+// FuzzClient sends a frontend whatever bytes after a sound beginning, and it never falls over: the next client is accepted.
 func FuzzClient(f *testing.F) {
-	begin := appendFrame(nil, frameAMQP, 0, perf{codeBegin, list{nil, uint32(0), uint32(9), uint32(9)}}, nil)
-	attach := appendFrame(nil, frameAMQP, 0, perf{codeAttach, list{"a", uint32(0), false, nil, nil, described{uint64(0x28), list{"h"}}, described{uint64(0x29), list{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
-	send := appendFrame(nil, frameAMQP, 0, perf{codeTransfer, list{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
-	settle := appendFrame(nil, frameAMQP, 0, perf{codeDisposition, list{false, uint32(0), uint32(1 << 31), true}}, nil)
-	end := appendFrame(nil, frameAMQP, 0, perf{codeEnd, nil}, nil)
+	begin := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
+	attach := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"a", uint32(0), false, nil, nil, codec.Described{Descriptor: uint64(framing.CodeSource), Value: codec.List{"h"}}, codec.Described{Descriptor: uint64(framing.CodeTarget), Value: codec.List{"t"}}, nil, nil, uint32(0), nil, nil, nil, rawProps}}, nil)
+	send := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeTransfer, Fields: codec.List{uint32(0), uint32(0), []byte("t"), uint32(0), true}}, []byte("m"))
+	settle := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{false, uint32(0), uint32(1 << 31), true}}, nil)
+	end := framing.AppendFrame(nil, framing.TypeAMQP, 0, framing.Performative{Code: framing.CodeEnd}, nil)
 	f.Add(bytes.Join([][]byte{begin, attach, send, settle, end, begin}, nil))
 	f.Add(bytes.Join([][]byte{begin, settle, attach, attach}, nil))
 	f.Add([]byte{0, 0, 0, 8, 2, 0, 0, 0})
-	w := wires[1]
-	w.server = judges
-	r := newRig(f, w, 1, nil)
+	protocol := protocols[1]
+	protocol.serveEndpoint = serveSettling
+	relay := newTestRelay(f, protocol, 1, nil)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c := dialRaw(t, r.address)
-		_, _ = c.Write(text)
+		client := dialRaw(t, relay.address)
+		_, _ = client.Write(text)
 		for { // until it has nothing more to say to that
-			if _, err := c.read(frameAMQP, 5*time.Millisecond); err != nil {
+			if _, err := client.readFrame(framing.TypeAMQP, 5*time.Millisecond); err != nil {
 				break
 			}
 		}
-		c.socket.(*net.TCPConn).SetLinger(0) // ports would run out
-		c.Close()
+		client.streamConn.(*net.TCPConn).SetLinger(0) // ports would run out
+		client.Close()
 	})
 }
 
-// BenchmarkRoundTrip is a note and its echo by the line front, and a message and its settlement by AMQP, through a relay on
+// BenchmarkRoundTrip is a note and its echo by the line frontend, and a message and its settlement by AMQP, through a relay on
 // loopback. Compare within one run.
 func BenchmarkRoundTrip(b *testing.B) {
 	for _, size := range []int{64, 1 << 10, 64 << 10} {
 		if size < 4<<10 { // a line has no more
 			b.Run(fmt.Sprintf("line, %d bytes", size), func(b *testing.B) {
-				r := newRig(b, wires[0], 1, nil)
-				tcp, err := net.Dial("tcp", r.address)
+				relay := newTestRelay(b, protocols[0], 1, nil)
+				tcp, err := net.Dial("tcp", relay.address)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -271,10 +273,10 @@
 			})
 		}
 		b.Run(fmt.Sprintf("amqp, %d bytes", size), func(b *testing.B) {
-			w := wires[1]
-			w.server = judges
-			r := newRig(b, w, 1, nil)
-			session := clientOf(b, r)
+			protocol := protocols[1]
+			protocol.serveEndpoint = serveSettling
+			relay := newTestRelay(b, protocol, 1, nil)
+			session := clientOf(b, relay)
 			sender := attach(b, session, "a link")
 			message := bytes.Repeat([]byte{3}, size) // a message's section says so: accepted
 			b.SetBytes(int64(size))
--- /dev/null
+++ b/internal/frontend/amqp/request.go
@@ -0,0 +1,130 @@
+package amqp
+
+import (
+	"cmp"
+	"fmt"
+	"hash/fnv"
+	"strconv"
+	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/proxy"
+)
+
+// Properties of an attach, and of a flow's and an error's info, that clients, endpoints and the relay exchange.
+const (
+	propClass      = "class"
+	propTenant     = "tenant"
+	propDeadline   = "give-up-ms" // milliseconds that the client waits
+	propGroup      = "group"
+	propItem       = "item"
+	propLoad       = "load-us" // microseconds of work a second
+	propReturning  = "again"
+	infoRetryAfter = "come-back-ms" // milliseconds, in the info of a rejection
+)
+
+// Limits of properties.
+const (
+	maxDeadlineMilliseconds = 1 << 31
+	maxLoad                 = 1e12 // microseconds of work a second
+)
+
+// parseRequest reads the request from the properties of an attach, or from the placement rule that matches it. It returns
+// the attach with the properties that the rule has added, for the endpoint. Its error is for the client, and names what is
+// missing; the request then holds what was read so far.
+func (f *Frontend) parseRequest(attach framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
+	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
+	address := terminusAddress(attach)
+	placement := f.findPlacement(address, container)
+	request := proxy.Request{
+		Front:  "amqp",
+		Name:   container + "/" + name, // a link's name is unique between two containers
+		Class:  codec.AsString(properties.Get(propClass)),
+		Tenant: codec.AsString(properties.Get(propTenant)),
+	}
+	request.Settings = f.Proxy.Settings()
+	if request.Class == "" && placement != nil {
+		request.Class = placement.Class
+		properties = properties.With(propClass, request.Class)
+	}
+	request.RequestOptions.Class = request.Settings.ClassIndex(request.Class)
+	if request.Class == "" {
+		return request, attach, fmt.Errorf("no class is told: there is neither the property %q nor a rule for the address %q of the container %q", propClass, address, container)
+	}
+	if request.RequestOptions.Class < 0 {
+		return request, attach, fmt.Errorf("%q is no known class", request.Class)
+	}
+	if !request.Settings.AcceptsTenant(request.Tenant) {
+		return request, attach, fmt.Errorf("%q is no known tenant; the property %q names one", request.Tenant, propTenant)
+	}
+	classDeadline := request.Settings.Classes[request.RequestOptions.Class].Deadline
+	timeout, err := requestTimeout(properties, placement, classDeadline)
+	if err != nil {
+		return request, attach, err
+	}
+	request.Deadline = f.Proxy.Clock.Now() + timeout
+	if request.Group = hashKey(properties.Get(propGroup)); request.Group == 0 && placement != nil {
+		if request.Group = placement.groupKey(attach, address, container); request.Group != 0 {
+			properties = properties.With(propGroup, strconv.FormatUint(request.Group, 16))
+		}
+	}
+	request.Item = hashKey(properties.Get(propItem))
+	request.Returning, _ = properties.Get(propReturning).(bool)
+	if microseconds, ok := parseLoad(properties.Get(propLoad)); ok {
+		request.ExpectedLoad = microseconds / 1e6
+	}
+	return request, attach.With(framing.AttachProperties, properties), nil
+}
+
+// requestTimeout reads how long a client waits: the property, or else what the placement rule or the class says. placement
+// may be nil; the property then is mandatory.
+func requestTimeout(properties codec.Map, placement *Placement, classDeadline time.Duration) (time.Duration, error) {
+	value := properties.Get(propDeadline)
+	milliseconds, ok := codec.AsUint64(value)
+	if ok && milliseconds <= maxDeadlineMilliseconds {
+		return time.Duration(milliseconds) * time.Millisecond, nil
+	}
+	if value != nil || placement == nil {
+		return 0, fmt.Errorf("the property %q has to tell in milliseconds how long the client waits", propDeadline)
+	}
+	return cmp.Or(placement.Timeout, classDeadline), nil
+}
+
+// hashKey returns the key of a group or an item: an integer or a hexadecimal number as it is, any other text by its hash;
+// 0 for none.
+func hashKey(value any) uint64 {
+	if number, ok := codec.AsUint64(value); ok {
+		return number
+	}
+	word := codec.AsString(value)
+	if word == "" {
+		return 0
+	}
+	if number, err := strconv.ParseUint(word, 16, 64); err == nil {
+		return number
+	}
+	hash := fnv.New64a()
+	hash.Write([]byte(word))
+	return hash.Sum64()
+}
+
+// parseLoad returns a load in microseconds of work a second. It reports false for what is no number or out of range.
+func parseLoad(value any) (float64, bool) {
+	load, ok := value.(float64)
+	if !ok {
+		var number uint64
+		number, ok = codec.AsUint64(value)
+		load = float64(number)
+	}
+	return load, ok && load >= 0 && load < maxLoad
+}
+
+// retryAfterInfo returns the info of a rejection that says when to retry; nil if the wait is under a millisecond, which
+// means that it is not known.
+func retryAfterInfo(wait time.Duration) (info codec.Map) {
+	if wait >= time.Millisecond {
+		info = info.With(infoRetryAfter, uint32(wait.Milliseconds()))
+	}
+	return info
+}
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -5,294 +5,231 @@
 	"errors"
 	"sync"
 	"time"
+
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
 const (
-	channelMost = 7    // sessions of a connection, less one
-	handleMost  = 63   // links of a session, less one
-	windowMost  = 256  // transfers that may come in, or wait for where they go
-	unsettled   = 4096 // deliveries of a link that may be unsettled at a time
+	maxChannel             = 7                 // highest channel: a connection has one session more
+	maxHandle              = 63                // highest handle: a session has one link more
+	minWindowGain          = sessionWindow / 8 // least transfers that a flow for released ones reopens
+	sessionWindow          = 256               // transfers that may be received and not yet sent on
+	maxUnsettledDeliveries = 4096              // of a link, at a time
 )
 
-// session is the relay's end of a session with a client or a server. Reads are
-// one goroutine's; any goroutine may write.
+// session is the relay's end of a session with a client or an endpoint (section 2.5.6). One goroutine reads; any goroutine
+// may write.
 type session struct {
-	*conn
-	channel uint16
-	shut    *bool // of a session beside others: its end has gone out; guarded by the connection
+	*connection
+	channel    uint16
+	endWritten *bool // of a session that shares its connection: its end has been sent; the connection's lock guards it
 
-	mu       sync.Mutex
-	opened   chan struct{} // closed and renewed when the peer's window opens
-	over     bool
-	out      uint32 // number of our next transfer
-	window   uint32 // transfers that the peer still takes
-	in       uint32 // number of the peer's next transfer
-	left     uint32 // transfers that we still take
-	waiting  uint32 // that came in and have not gone on yet
-	delivery uint32 // number of our next delivery
+	mu                   sync.Mutex    // guards the fields below
+	windowOpened         chan struct{} // closed and replaced when the remote incoming window changes
+	ended                bool
+	nextOutgoingID       uint32 // transfer id of the next transfer to the peer
+	remoteIncomingWindow uint32 // transfers that the peer still accepts
+	nextIncomingID       uint32 // transfer id of the peer's next transfer
+	incomingWindow       uint32 // transfers that the relay still accepts
+	pendingTransfers     uint32 // transfers received and not yet sent on
+	nextDeliveryID       uint32 // of the next delivery to the peer
 }
 
-func newSession(c *conn, channel uint16) *session {
-	return &session{conn: c, channel: channel, opened: make(chan struct{}), left: windowMost}
+func newSession(conn *connection, channel uint16) *session {
+	return &session{connection: conn, channel: channel, windowOpened: make(chan struct{}), incomingWindow: sessionWindow}
 }
 
-// write sends a frame of the session.
-func (s *session) write(channel uint16, p perf, payload []byte) error {
-	return s.conn.send(channel, p, payload, s.shut)
+// writeFrame sends a frame of the session; nothing is sent after its end.
+func (s *session) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
+	return s.connection.writeUnlessEnded(channel, performative, payload, s.endWritten)
 }
 
-// sendFirst sends the frames that begin something of the session, in one piece. It waits for others who write on the connection,
-// no longer than ctx; may is asked just before anything goes out.
-func (s *session) sendFirst(ctx context.Context, may func() bool, frames ...perf) error {
-	c := s.conn
-	if !c.mu.lockWithin(ctx) {
+// writeInitial sends the first frames of a session or a link, in one piece. It waits for the connection's lock until ctx
+// ends. permitted is called with the lock held, just before anything is written; false: errNoLongerPermitted.
+func (s *session) writeInitial(ctx context.Context, permitted func() bool, frames ...framing.Performative) error {
+	conn := s.connection
+	if !conn.mu.LockContext(ctx) {
 		return ctx.Err()
 	}
-	defer c.mu.Unlock()
-	if c.quit {
-		return errQuit
+	defer conn.mu.Unlock()
+	if conn.writesClosed {
+		return errConnectionClosing
 	}
-	if !may() {
-		return errMoot
+	if !permitted() {
+		return errNoLongerPermitted
 	}
-	c.buf = c.buf[:0]
-	for _, p := range frames {
-		c.buf = appendFrame(c.buf, frameAMQP, s.channel, p, nil)
+	conn.writeBuffer = conn.writeBuffer[:0]
+	for _, performative := range frames {
+		conn.writeBuffer = framing.AppendFrame(conn.writeBuffer, framing.TypeAMQP, s.channel, performative, nil)
 	}
-	return c.flush()
+	return conn.flush()
 }
 
-// begin is the relay's begin; remote is the channel it answers, or nil.
-func (s *session) begin(remote any) perf {
-	return perf{codeBegin, list{remote, s.out, uint32(windowMost), uint32(windowMost), uint32(handleMost)}}
+// newBegin returns the relay's begin. remoteChannel is the channel of the begin that it answers; nil: none.
+func (s *session) newBegin(remoteChannel any) framing.Performative {
+	return framing.Performative{Code: framing.CodeBegin, Fields: codec.List{
+		remoteChannel, s.nextOutgoingID, uint32(sessionWindow), uint32(sessionWindow), uint32(maxHandle),
+	}}
 }
 
-// begun takes the peer's begin.
-func (s *session) begun(p perf) error {
-	if err := p.must(1, 2, 3); err != nil {
+// applyBegin applies the peer's begin. Its error is a ConditionError.
+func (s *session) applyBegin(begin framing.Performative) error {
+	err := begin.RequireUint32(framing.BeginNextOutgoingID, framing.BeginIncomingWindow, framing.BeginOutgoingWindow)
+	if err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.in, s.window = p.number(1, 0), p.number(2, 0)
+	s.nextIncomingID = begin.Uint32(framing.BeginNextOutgoingID, 0)
+	s.remoteIncomingWindow = begin.Uint32(framing.BeginIncomingWindow, 0)
 	return nil
 }
 
-// flowed takes the session's part of a flow of the peer.
-func (s *session) flowed(p perf) {
+// applyFlow applies the session's part of a flow of the peer.
+func (s *session) applyFlow(flow framing.Performative) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over { // it was ended while the flow was in hand
+	if s.ended { // meanwhile, and the channel is closed
 		return
 	}
-	// What the peer still takes counts from the transfers that it has seen.
-	s.window = p.number(0, 0) + p.number(1, 0) - s.out
-	if int32(s.window) < 0 {
-		s.window = 0
+	// The peer's window counts from the transfers that it has received (section 2.5.6).
+	windowEnd := flow.Uint32(framing.FlowNextIncomingID, 0) + flow.Uint32(framing.FlowIncomingWindow, 0)
+	s.remoteIncomingWindow = windowEnd - s.nextOutgoingID
+	if int32(s.remoteIncomingWindow) < 0 {
+		s.remoteIncomingWindow = 0
+	}
+	close(s.windowOpened)
+	s.windowOpened = make(chan struct{})
+}
+
+// handleFlow checks and applies the session's part of a flow, and answers it if it asks for that and is of no link.
+func (s *session) handleFlow(flow framing.Performative) error {
+	err := flow.RequireUint32(framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow)
+	if err != nil {
+		return err
+	}
+	s.applyFlow(flow)
+	if flow.Field(framing.FlowHandle) == nil && flow.Bool(framing.FlowEcho) {
+		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
-	close(s.opened)
-	s.opened = make(chan struct{})
+	return nil
 }
 
-// end lets those go who wait for the window.
-func (s *session) end() {
+// markEnded ends the session for awaitWindow, which then fails.
+func (s *session) markEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.over {
-		s.over = true
-		close(s.opened)
+	if !s.ended {
+		s.ended = true
+		close(s.windowOpened)
 	}
 }
 
-var errWindow = errors.New("the peer's window stays shut")
+// errWindowClosed says that the peer has accepted no transfer for writeTimeout.
+var errWindowClosed = errors.New("the peer's window stays shut")
 
-// await waits until the peer takes another transfer.
-func (s *session) await() error {
-	late := time.NewTimer(writeMost)
-	defer late.Stop()
+// awaitWindow waits until the peer accepts another transfer, and counts that. It fails with errWindowClosed after
+// writeTimeout, and with errConnectionClosing at the session's end.
+func (s *session) awaitWindow() error {
+	timer := time.NewTimer(writeTimeout)
+	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		opened := s.opened
-		if s.over {
+		opened := s.windowOpened
+		if s.ended {
 			s.mu.Unlock()
-			return errQuit
+			return errConnectionClosing
 		}
-		if s.window > 0 {
-			s.window--
-			s.out++
+		if s.remoteIncomingWindow > 0 {
+			s.remoteIncomingWindow--
+			s.nextOutgoingID++
 			s.mu.Unlock()
 			return nil
 		}
 		s.mu.Unlock()
 		select {
 		case <-opened:
-		case <-late.C:
-			return errWindow
+		case <-timer.C:
+			return errWindowClosed
 		}
 	}
 }
 
-// number gives out the number of the next delivery.
-func (s *session) number() uint32 {
+// takeDeliveryID returns the id of the next delivery to the peer.
+func (s *session) takeDeliveryID() uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.delivery++
-	return s.delivery - 1
+	s.nextDeliveryID++
+	return s.nextDeliveryID - 1
 }
 
-// transfer sends a transfer in as many frames as the peer wants.
-func (s *session) transfer(p perf, payload []byte) error {
-	room := s.room(p.with(5, true))
+// sendTransfer sends a transfer, in as many frames as the peer's largest frame requires. It blocks while the peer's window
+// is closed.
+func (s *session) sendTransfer(transfer framing.Performative, payload []byte) error {
+	room := s.maxPayload(transfer.With(framing.TransferMore, true))
 	for {
-		if err := s.await(); err != nil {
+		if err := s.awaitWindow(); err != nil {
 			return err
 		}
 		if len(payload) <= room {
-			return s.write(s.channel, p, payload)
+			return s.writeFrame(s.channel, transfer, payload)
 		}
-		if err := s.write(s.channel, p.with(5, true), payload[:room]); err != nil {
+		if err := s.writeFrame(s.channel, transfer.With(framing.TransferMore, true), payload[:room]); err != nil {
 			return err
 		}
 		payload = payload[room:]
 	}
 }
 
-// took counts a transfer that came in, and opens the window again in time. One that
-// waits before it goes on is to be freed.
-func (s *session) took(waits bool) error {
+// receiveTransfer counts a transfer that has been received, and reopens the window in time. A pending one, which waits to
+// be sent on, keeps its place in the window until releaseTransfers.
+func (s *session) receiveTransfer(pending bool) error {
 	s.mu.Lock()
-	if s.left == 0 {
+	if s.incomingWindow == 0 {
 		s.mu.Unlock()
-		return fault{condWindow, "more transfers than the window takes"}
+		return framing.Errorf(framing.CondWindowViolation, "more transfers than the window takes")
 	}
-	s.in++
-	s.left--
-	if waits {
-		s.waiting++
+	s.nextIncomingID++
+	s.incomingWindow--
+	if pending {
+		s.pendingTransfers++
 	}
-	again := s.narrow()
+	reopen := s.needsWindowUpdate()
 	s.mu.Unlock()
-	if again {
-		return s.flow(perf{codeFlow, nil})
+	if reopen {
+		return s.sendFlow(framing.Performative{Code: framing.CodeFlow})
 	}
 	return nil
 }
 
-// narrow tells whether the window is to be opened again: less than half of what it may
-// be is left. The caller holds the lock.
-func (s *session) narrow() bool {
-	return s.left <= (windowMost-min(s.waiting, windowMost))/2 && s.left < windowMost-s.waiting
+// needsWindowUpdate reports whether the window is to be reopened: at most half of what it could be is left. The caller
+// holds the lock.
+func (s *session) needsWindowUpdate() bool {
+	largest := sessionWindow - min(s.pendingTransfers, sessionWindow)
+	return s.incomingWindow <= largest/2 && s.incomingWindow < sessionWindow-s.pendingTransfers
 }
 
-// freed counts transfers that waited and have gone on.
-func (s *session) freed(n int) {
+// releaseTransfers counts n pending transfers that have been sent on or dropped.
+func (s *session) releaseTransfers(n int) {
 	s.mu.Lock()
-	s.waiting -= uint32(n)
-	again := n > 0 && !s.over && s.narrow() && windowMost-s.waiting-s.left >= windowMost/8
+	s.pendingTransfers -= uint32(n)
+	gain := sessionWindow - s.pendingTransfers - s.incomingWindow
+	reopen := n > 0 && !s.ended && s.needsWindowUpdate() && gain >= minWindowGain
 	s.mu.Unlock()
-	if again {
-		s.flow(perf{codeFlow, nil}) // if this fails, the reader sees why
+	if reopen {
+		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // on failure the reader sees why
 	}
 }
 
-// flow sends a flow: the session's part is the relay's own, the rest as given.
-func (s *session) flow(p perf) error {
+// sendFlow sends a flow with the session's part filled in, which reopens the incoming window.
+func (s *session) sendFlow(flow framing.Performative) error {
 	s.mu.Lock()
-	s.left = windowMost - min(s.waiting, windowMost)
-	p = p.with(0, s.in).with(1, s.left).with(2, s.out).with(3, uint32(windowMost))
+	s.incomingWindow = sessionWindow - min(s.pendingTransfers, sessionWindow)
+	flow = flow.With(framing.FlowNextIncomingID, s.nextIncomingID).
+		With(framing.FlowIncomingWindow, s.incomingWindow).
+		With(framing.FlowNextOutgoingID, s.nextOutgoingID).
+		With(framing.FlowOutgoingWindow, uint32(sessionWindow))
 	s.mu.Unlock()
-	return s.write(s.channel, p, nil)
-}
-
-// deliveries maps the numbers of a link's unsettled deliveries between the two
-// sessions that it passes through.
-type deliveries struct {
-	mu     sync.Mutex
-	far    map[uint32]uint32 // by their number where they come from
-	near   map[uint32]uint32 // and the other way round
-	now    uint32            // the far number of the one that is coming in,
-	there  uint32            // and its near one
-	coming bool
-	waits  []chan struct{} // to be closed once it is whole
-}
-
-func newDeliveries() *deliveries {
-	return &deliveries{far: make(map[uint32]uint32), near: make(map[uint32]uint32)}
-}
-
-// carry gives a transfer the number that it has in the session it goes to.
-func (d *deliveries) carry(p perf, to *session) (perf, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.coming {
-		if err := p.must(1); err != nil {
-			return p, err
-		}
-		d.now = p.number(1, 0)
-		if _, known := d.far[d.now]; known || len(d.far) >= unsettled {
-			return p, fault{condLimit, "too many deliveries are unsettled, or one has a number twice"}
-		}
-		d.there = to.number()
-		d.far[d.now], d.near[d.there] = d.there, d.now
-	}
-	d.coming = p.flag(5) && !p.flag(9)
-	if !d.coming {
-		for _, done := range d.waits {
-			close(done)
-		}
-		d.waits = nil
-	}
-	if !d.coming && (p.flag(4) || p.flag(9)) {
-		delete(d.far, d.now)
-		delete(d.near, d.there)
-	}
-	return p.with(1, d.there), nil
-}
-
-// whole returns a channel that is closed once no delivery is in part.
-func (d *deliveries) whole() <-chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	done := make(chan struct{})
-	if d.coming {
-		d.waits = append(d.waits, done)
-	} else {
-		close(done)
-	}
-	return done
-}
-
-// translate turns a disposition into those of the other session. back says that
-// it comes from where the deliveries go to.
-func (d *deliveries) translate(p perf, back bool) []perf {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	from, to := d.far, d.near
-	if back {
-		from, to = d.near, d.far
-	}
-	first := p.number(1, 0)
-	span := p.number(2, first) - first
-	var out []perf
-	pass := func(here, there uint32) {
-		out = append(out, p.with(1, there).with(2, there))
-		if p.flag(3) {
-			delete(from, here)
-			delete(to, there)
-		}
-	}
-	if span < uint32(len(from)) {
-		for i := uint32(0); i <= span; i++ {
-			if there, ok := from[first+i]; ok {
-				pass(first+i, there)
-			}
-		}
-		return out
-	}
-	for here, there := range from {
-		if here-first <= span {
-			pass(here, there)
-		}
-	}
-	return out
+	return s.writeFrame(s.channel, flow, nil)
 }
--- /dev/null
+++ b/internal/frontend/amqp/sharedconn.go
@@ -0,0 +1,211 @@
+package amqp
+
+import (
+	"context"
+	"net"
+	"sync"
+	"time"
+
+	"lockroad/internal/connpool"
+	"lockroad/internal/frontend/amqp/framing"
+	"lockroad/internal/registry"
+)
+
+// sessionEndTimeout is how long an endpoint may take to answer the end of a session. After that its connection gets no new
+// sessions: an endpoint that loses track of sessions would run out of them.
+const sessionEndTimeout = 5 * time.Second
+
+// sharedConnections are the connections to endpoints that requests share. The pool decides which connection a request
+// takes; this type opens, reads and closes them.
+type sharedConnections struct {
+	frontend *Frontend
+
+	mu          sync.Mutex // guards the fields below, and err, multiplexer, tcp and closing of the connections
+	pool        *connpool.Pool
+	connections map[connpool.ID]*sharedConnection
+	idleTimer   *time.Timer // of the next connection that will have idled long enough; nil: none
+	closed      bool
+}
+
+// sharedConnection is one connection to an endpoint. The goroutine of connect opens and reads it.
+type sharedConnection struct {
+	id             connpool.ID
+	address        string
+	ready          chan struct{} // closed once it is established, or has failed with err
+	err            error
+	multiplexer    *multiplexer
+	tcp            net.Conn
+	peerMaxChannel uint16        // highest channel that the endpoint accepts, and the pool uses
+	closing        bool          // closeGracefully has been started
+	done           chan struct{} // closed once it has ended
+}
+
+func newSharedConnections(frontend *Frontend, settings connpool.Settings) *sharedConnections {
+	return &sharedConnections{frontend: frontend, pool: connpool.New(settings), connections: make(map[connpool.ID]*sharedConnection)}
+}
+
+// openSession returns a session to an endpoint, on an established connection or on one that is opened for it within a
+// timeout. The session's begin is the caller's to send.
+func (s *sharedConnections) openSession(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*sharedSession, connpool.ID, error) {
+	for {
+		s.mu.Lock()
+		if s.closed {
+			s.mu.Unlock()
+			return nil, 0, errConnectionClosing
+		}
+		id, dial := s.pool.Take(address)
+		conn := s.connections[id]
+		if dial {
+			conn = &sharedConnection{id: id, address: address, ready: make(chan struct{}), done: make(chan struct{})}
+			s.connections[id] = conn
+			go s.connect(conn, endpoint, timeout)
+		}
+		s.mu.Unlock()
+		select {
+		case <-conn.ready:
+		case <-ctx.Done():
+			s.release(conn)
+			return nil, 0, ctx.Err()
+		}
+		if conn.err != nil {
+			s.release(conn)
+			return nil, 0, conn.err
+		}
+		shared, err := conn.multiplexer.openSession(conn.peerMaxChannel, func() { s.release(conn) })
+		if shared != nil {
+			return shared, id, nil
+		}
+		s.release(conn)
+		if err != nil { // the connection has ended meanwhile: take another once the pool knows
+			select {
+			case <-conn.done:
+			case <-ctx.Done():
+				return nil, 0, ctx.Err()
+			}
+		} // otherwise more requests waited for it than the endpoint accepts sessions
+	}
+}
+
+// release gives the place of a session on a connection back to the pool.
+func (s *sharedConnections) release(conn *sharedConnection) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pool.Done(s.frontend.Proxy.Clock.Now(), conn.id)
+	s.closeIdle()
+}
+
+// connect dials an endpoint for all requests that wait for the connection, and then reads it until its end.
+func (s *sharedConnections) connect(conn *sharedConnection, endpoint registry.Endpoint, timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	dialed, err := s.frontend.dial(ctx, conn.address, timeout)
+	cancel()
+	s.mu.Lock()
+	if err == nil {
+		conn.multiplexer = newMultiplexer(dialed.connection)
+		conn.tcp = dialed.tcp
+		conn.peerMaxChannel = min(dialed.peerMaxChannel, uint16(s.frontend.Pool.MaxSessions-1))
+	}
+	if conn.err = err; err == nil && s.closed {
+		conn.err = errConnectionClosing
+		dialed.tcp.Close()
+	}
+	if conn.err != nil {
+		s.remove(conn)
+		close(conn.ready)
+		s.mu.Unlock()
+		return
+	}
+	s.pool.Opened(conn.id, int(conn.peerMaxChannel)+1)
+	close(conn.ready)
+	s.mu.Unlock()
+	go dialed.sendHeartbeats(dialed.peerIdleTimeout, conn.done)
+	if endpoint.Draining != nil {
+		go s.shutWhenDraining(conn, endpoint.Draining)
+	}
+	conn.multiplexer.serve(endpointSilenceTimeout)
+	conn.tcp.Close()
+	s.mu.Lock()
+	s.remove(conn)
+	s.mu.Unlock()
+}
+
+// shutWhenDraining gives a connection no new sessions once its endpoint drains: its clients are migrated, and it is closed
+// after the last. It runs in a goroutine of its own until the connection ends.
+func (s *sharedConnections) shutWhenDraining(conn *sharedConnection, draining <-chan struct{}) {
+	select {
+	case <-conn.done:
+	case <-draining:
+		s.mu.Lock()
+		s.pool.Shut(conn.id)
+		s.closeIdle()
+		s.mu.Unlock()
+	}
+}
+
+// remove forgets a connection that has ended or failed. The caller holds the lock.
+func (s *sharedConnections) remove(conn *sharedConnection) {
+	s.pool.Lost(conn.id)
+	delete(s.connections, conn.id)
+	close(conn.done)
+}
+
+// closeIdle closes the connections that have idled long enough, and sets the timer for the next. The caller holds the lock.
+func (s *sharedConnections) closeIdle() {
+	now := s.frontend.Proxy.Clock.Now()
+	idle, next := s.pool.Idle(now)
+	for _, id := range idle {
+		if conn := s.connections[id]; !conn.closing {
+			conn.closing = true
+			go conn.closeGracefully()
+		}
+	}
+	if s.idleTimer != nil {
+		s.idleTimer.Stop()
+		s.idleTimer = nil
+	}
+	if next > 0 && !s.closed {
+		s.idleTimer = time.AfterFunc(next-now, func() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.closeIdle()
+		})
+	}
+}
+
+// closeGracefully sends a close and waits for the endpoint's, at most closeTimeout. It runs in a goroutine of its own.
+func (c *sharedConnection) closeGracefully() {
+	c.multiplexer.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
+	_ = c.multiplexer.CloseWrite()
+	select {
+	case <-c.done:
+	case <-time.After(closeTimeout):
+	}
+	c.tcp.Close()
+}
+
+// close closes all connections at once; no session can be opened after that.
+func (s *sharedConnections) close() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.closed = true
+	s.closeIdle()
+	for _, conn := range s.connections {
+		if conn.tcp != nil {
+			conn.tcp.Close()
+		}
+	}
+}
+
+// endSession ends a session, and gives its connection no new ones if the endpoint does not answer the end in time.
+func (s *sharedConnections) endSession(id connpool.ID, shared *sharedSession) {
+	if shared.endLocally() {
+		return
+	}
+	time.AfterFunc(sessionEndTimeout, func() {
+		if !shared.isEndedRemotely() {
+			s.mu.Lock()
+			defer s.mu.Unlock()
+			s.pool.Shut(id)
+		}
+	})
+}
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -11,45 +11,38 @@
 	client10 "github.com/Azure/go-amqp"
 
 	"lockroad/balancer"
+	"lockroad/internal/frontend/amqp/codec"
+	"lockroad/internal/frontend/amqp/framing"
 )
 
-// stalls answers the attach with a lot of credit, and then reads nothing more.
-func stalls(t testing.TB, tcp *net.TCPConn, release <-chan struct{}) {
-	c, ok := greetClient(t, tcp)
-	if !ok {
-		return
-	}
-	s := newSession(c, 0)
-	for {
-		f, err := c.read(frameAMQP, serverWait)
-		if err != nil {
-			return
+// stallAfterAttach answers the attach with a lot of credit, and then reads nothing more.
+func stallAfterAttach(t testing.TB, tcp *net.TCPConn, release <-chan struct{}) {
+	serveFrames(t, tcp, func(conn *connection, session *session, frame framing.Frame) bool {
+		if frame.Code != framing.CodeAttach {
+			answerOpenOrBegin(conn, session, frame)
+			return true
 		}
-		if f.code != codeAttach {
-			opened(c, s, f)
-			continue
-		}
-		c.write(0, f.with(1, uint32(0)).with(2, !f.flag(2)).with(9, nil).with(13, nil), nil)
-		s.flow(perf{codeFlow, list{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
+		conn.writeFrame(0, attachReply(frame.Performative, 0), nil)
+		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(5000)}})
 		<-release
-		return
-	}
+		return false
+	})
 }
 
-// settles takes every delivery.
-func settles(tcp *net.TCPConn) {
-	p, err := AcceptPeer(tcp, serverWait, false)
+// settleAll takes every delivery.
+func settleAll(tcp *net.TCPConn) {
+	peer, err := AcceptPeer(tcp, serverWait, false)
 	if err != nil {
 		return
 	}
-	defer p.Close()
-	settlesAt(p, 20, func() bool { return true })
+	defer peer.Close()
+	settleSession(peer, 20, func() bool { return true })
 }
 
-// settlesAt takes every delivery of a session until its end, or until an attach is not to be taken.
-func settlesAt(p *Peer, credit uint32, attaching func() bool) {
+// settleSession takes every delivery of a session until its end, or until an attach is not to be taken.
+func settleSession(peer *Peer, credit uint32, attaching func() bool) {
 	for n := uint32(0); ; {
-		e, err := p.Next()
+		e, err := peer.Next()
 		switch {
 		case err != nil:
 			return
@@ -57,52 +50,52 @@
 			if !attaching() {
 				return
 			}
-			p.Attach(e, credit)
+			peer.Attach(e, credit)
 		case e.Kind == PeerDelivered:
 			n++
-			_ = p.Settle(e.Delivery)
-			p.Credit(e.Handle, n, credit)
+			_ = peer.Settle(e.Delivery)
+			peer.Credit(e.Handle, n, credit)
 		case e.Kind == PeerDetached:
-			p.Detach(e.Handle, "")
+			peer.Detach(e.Handle, "")
 		}
 	}
 }
 
-// stallRig has a relay with two servers, of which one reads nothing after an attach. It
+// newRelayWithStalledEndpoint has a relay with two endpoints, of which one reads nothing after an attach. It
 // returns the relay's address, and the groups that lead to the two.
-func stallRig(t *testing.T) (address, stalled, sound string) {
+func newRelayWithStalledEndpoint(t *testing.T) (address, stalled, sound string) {
 	t.Helper()
-	r := newRig(t, wires[1], 0, nil)
+	relay := newTestRelay(t, protocols[1], 0, nil)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
 	which := make(chan string, 64)
 	serve := func(name string, do func(*net.TCPConn)) {
-		l := listen(t)
-		t.Cleanup(func() { l.Close() })
-		id := r.core.Endpoints.ID(name)
-		r.farm, r.names = append(r.farm, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(r.names, l.Addr().String())
+		netListener := listen(t)
+		t.Cleanup(func() { netListener.Close() })
+		id := relay.proxy.Endpoints.ID(name)
+		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(relay.endpointAddresses, netListener.Addr().String())
 		go func() {
 			for {
-				c, err := l.Accept()
+				conn, err := netListener.Accept()
 				if err != nil {
 					return
 				}
 				which <- name
-				go func() { defer c.Close(); do(c.(*net.TCPConn)) }()
+				go func() { defer conn.Close(); do(conn.(*net.TCPConn)) }()
 			}
 		}()
 	}
-	serve("s-1", func(c *net.TCPConn) { stalls(t, c, release) })
-	serve("s-2", settles)
-	r.core.UpdateEndpoints(balancer.ListFull, r.farm, r.names)
+	serve("s-1", func(conn *net.TCPConn) { stallAfterAttach(t, conn, release) })
+	serve("s-2", settleAll)
+	relay.proxy.UpdateEndpoints(balancer.ListFull, relay.endpoints, relay.endpointAddresses)
 	for i := 0; stalled == "" || sound == ""; i++ { // which groups are drawn to which server
 		group := fmt.Sprintf("%x", 1000+i)
 		ctx, leave := context.WithTimeout(context.Background(), serverWait)
-		c, err := client10.Dial(ctx, "amqp://"+r.address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "probe " + group})
+		conn, err := client10.Dial(ctx, "amqp://"+relay.address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "probe " + group})
 		if err != nil {
 			t.Fatal(err)
 		}
-		session, err := c.NewSession(ctx, nil)
+		session, err := conn.NewSession(ctx, nil)
 		if err == nil {
 			_, err = session.NewSender(ctx, "score", &client10.SenderOptions{Name: "probe", Properties: props(group)})
 		}
@@ -115,29 +108,29 @@
 		default:
 			sound = group
 		}
-		_ = c.Close()
+		_ = conn.Close()
 		leave()
 	}
-	return r.address, stalled, sound
+	return relay.address, stalled, sound
 }
 
 func props(group string) map[string]any {
-	return map[string]any{propClass: "page", propGiveUp: uint32(2000), propGroup: group}
+	return map[string]any{propClass: "page", propDeadline: uint32(2000), propGroup: group}
 }
 
-// One server that stops reading must not delay the other links of the same client
+// One endpoint that stops reading must not delay the other links of the same client
 // connection: reads of the connection once waited for the full window of the one, and
 // a delivery on the healthy link took 4.3 s.
-func TestServerThatStopsReadingDelaysNoOtherLink(t *testing.T) {
-	address, stalled, sound := stallRig(t)
+func TestEndpointThatStopsReadingDelaysNoOtherLink(t *testing.T) {
+	address, stalled, sound := newRelayWithStalledEndpoint(t)
 	ctx, leave := context.WithTimeout(context.Background(), 20*time.Second)
 	defer leave()
-	c, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "two links"})
+	conn, err := client10.Dial(ctx, "amqp://"+address, &client10.ConnOptions{SASLType: client10.SASLTypeAnonymous(), ContainerID: "two links"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }()
-	session, err := c.NewSession(ctx, nil)
+	defer func() { _ = conn.Close() }()
+	session, err := conn.NewSession(ctx, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -173,7 +166,7 @@
 		t.Errorf("a delivery on the healthy link took %v", worst)
 	}
 	stop()
-	if n := <-flood; n < ahead/2 {
+	if n := <-flood; n < maxDeliveriesAhead/2 {
 		t.Errorf("only %d deliveries were taken for the stalled server", n)
 	}
 }
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -10,9 +10,7 @@
 	"net"
 	"os"
 	"path/filepath"
-	"reflect"
 	"regexp"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -22,126 +20,11 @@
 
 	"github.com/Azure/go-amqp"
 
+	"lockroad/internal/config"
+	"lockroad/internal/config/configtest"
 	"lockroad/internal/console"
-	"lockroad/internal/decisionlog"
 )
 
-const settingsText = `{
-	"Classes": [{"AimUs": 800000, "DeadlineUs": 1500000, "KeyScope": "all", "Name": "page", "Semantics": "idempotent"}],
-	"Discovery": "push", "Localities": ["a", "b"], "NInstances": 3, "QuantumUs": 2000, "Zone": 1,
-	"Guarantees": {"ColdUs": 23000000, "FallUs": 3000000, "StartCapacity": 0.12, "TipMultiple": 3.0},
-	"Limits": {"ConnectTimeoutUs": 500000, "MaxRetryAfterUs": 2000000, "RetryAfter": false, "TryLimit": 5}}`
-
-func configText(listen, discovery, server string) string {
-	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
-		"known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":%q,"locality":"a","flavor":"m","cell":1,
-		"phase":"ready","size":1.0,"up_since_ms":0}]},"settings":%s}`, listen, discovery, server, settingsText)
-}
-
-func TestConfigIsRead(t *testing.T) {
-	c, err := ParseConfig([]byte(configText("127.0.0.1:3000", "127.0.0.1:8500", "x")))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.ClassIndex("page") != 0 ||
-		c.Zones[1] != "b" || c.Known.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
-		t.Errorf("read as %+v", c)
-	}
-	for _, text := range []string{"", "{}", strings.Replace(configText("", "d:1", "x"), `"name":"n3",`, "", 1),
-		strings.Replace(configText("l:1", "d:1", "x"), "8c1f", "zz", 1), strings.Replace(configText("l:1", "d:1", "x"), "TryLimit", "Odd", 1)} {
-		if c, err := ParseConfig([]byte(text)); err == nil {
-			t.Errorf("%q was read as %+v", text, c)
-		}
-	}
-}
-
-func TestOperatorsFile(t *testing.T) {
-	if o, err := ReadOperator(""); err != nil || !reflect.DeepEqual(*o, Operator{}) || o.record() != 0 {
-		t.Errorf("without a file: %+v, %v", o, err)
-	}
-	o, err := ReadOperator("../../deploy/operator.toml")
-	if err != nil || o.AMQP.Listen == "" || o.Console.Socket == "" || o.OTLP.Endpoint != "" {
-		t.Errorf("the file that ships: %+v, %v", o, err)
-	}
-	if o.record() != decisionlog.DefaultBytes {
-		t.Errorf("a console without a record of %d bytes", o.record())
-	}
-	for text, want := range map[string]string{
-		"[amqp]\nlisten = \"nowhere\"":            `:2: amqp.listen: "nowhere" is no host:port`,
-		"[amqp]\nlisten = \"a:b\"":                `:2: amqp.listen: port "b" is no number`,
-		"[amqp]\nserver_port = 70000\nlinks = -1": ":2: amqp.server_port: 70000 is no port\nFILE:3: amqp.links: -1 is negative",
-		"[odd]\nx = 1\n[amqp]\nlsten = \"a:1\"":   ":1: odd: there is no such key\nFILE:4: amqp.lsten: there is no such key",
-		"\n[otlp]\nendpoint = \"collector:4318\"": `:3: otlp.endpoint: "collector:4318" is no http or https URL`,
-		"[why]\nbytes = 4096":                     ":2: why.bytes: 4096 is neither 0",
-		"[why]\nbytes = \"much\"":                 ":2: why.bytes: ",
-		"[log]\nlevel = \"loud\"\nform = \"xml\"": ":2: log.level: \"loud\" is no level; expected one of debug, info, warn, error\nFILE:3: log.form: ",
-		"[amqp]\nshared = -1":                     ":2: amqp.shared: -1 is not within",
-		"[amqp.tls]\ncert = \"x\"":                ":2: amqp.tls.cert: a certificate wants its key",
-		"[amqp.tls]\ncert = \"x\"\nkey = \"y\"":   ":2: amqp.tls.cert: x and y: open x: no such file",
-		"[amqp.sasl]\nusers = \"x\"":              ":2: amqp.sasl.users: passwords would come in the clear",
-		"[amqp.sasl]\n\nanonymous = false":        ":3: amqp.sasl.anonymous: nobody could come",
-		"[amqp.servers_tls]\nname = \"x\"":        ":1: amqp.servers_tls.ca: is missing",
-		"[[amqp.grant]]\nuser = \"x\"":            ":1: amqp.grant: the 1. one wants a user and classes",
-		"[[amqp.place]]\ngive_up = \"1s\"":        ":1: amqp.place[0].class: is missing",
-		"[[amqp.place]]\ngive_up = \"soon\"":      ":2: amqp.place.give_up: ",
-		"# a comment\n\nnot toml":                 ":3: ",
-	} {
-		path := filepath.Join(t.TempDir(), "operator.toml")
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		o, err := ReadOperator(path)
-		if err == nil || !strings.HasPrefix(err.Error(), path+strings.ReplaceAll(want, "FILE", path)) {
-			t.Errorf("%q was read as %+v, %v, want %s", text, o, err, want)
-		}
-		if _, again := Check(path); again == nil || again.Error() != err.Error() {
-			t.Errorf("%q: checked as %v, read as %v", text, again, err)
-		}
-	}
-}
-
-// All that is wrong with a configuration is told at once, with line and key.
-func TestConfigurationIsCheckedWhole(t *testing.T) {
-	good := configText("127.0.0.1:3000", "127.0.0.1:8500", "x")
-	path := filepath.Join(t.TempDir(), "config.json")
-	check := func(text string) string {
-		t.Helper()
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		what, err := Check(path)
-		if what != "platform's configuration" {
-			t.Errorf("taken for a %s", what)
-		}
-		if err == nil {
-			return ""
-		}
-		return strings.ReplaceAll(err.Error(), path, "FILE")
-	}
-	if got := check(good); got != "" {
-		t.Errorf("a sound one: %s", got)
-	}
-	bad := strings.NewReplacer("8c1f", "zz", "127.0.0.1:8500", "nowhere", `"TryLimit": 5`, `"TryLimit": "five"`, "idempotent", "sometimes", `"Zone": 1`, `"Zon": 1`).Replace(good)
-	want := []string{
-		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is no hexadecimal number of 64 bits`,
-		`FILE:1: discovery: "nowhere" is no host:port: address nowhere: missing port in address`,
-		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
-	}
-	got := strings.Split(check(bad), "\n")
-	for i, w := range want {
-		if len(got) != len(want) || !slices.ContainsFunc(got, func(g string) bool { return strings.HasPrefix(g, w) }) {
-			t.Errorf("got %q, want %q (%d)", got, w, i)
-		}
-	}
-	if got := check(strings.Replace(good, `"MaxRetryAfterUs": 2000000`, `"MaxRetryAfterUs": -2000000`, 1)); got != "FILE:8: settings.Limits.MaxRetryAfterUs: is a time of -2e+06 microseconds, which is out of range" {
-		t.Errorf("a time that is none: %s", got)
-	}
-	if got := check(good[:200]); !strings.HasPrefix(got, "FILE:") || !strings.Contains(got, "unexpected end") {
-		t.Errorf("half a file: %s", got)
-	}
-}
-
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,15 +35,15 @@
 	return l
 }
 
-// lineFront asks a relay's console where its line front listens.
-func lineFront(t *testing.T, socket string) string {
+// lineFrontendAddress asks a relay's console where its line frontend listens.
+func lineFrontendAddress(t *testing.T, socket string) string {
 	t.Helper()
 	for late := time.Now().Add(10 * time.Second); time.Now().Before(late); { // until it has started
 		var out strings.Builder
 		if console.Run(socket, "fronts", nil, &out, io.Discard) == console.ExitOK {
 			for text := range strings.Lines(out.String()) {
-				if words := strings.Fields(text); words[0] == "line" {
-					return words[1]
+				if options := strings.Fields(text); options[0] == "line" {
+					return options[1]
 				}
 			}
 		}
@@ -169,20 +52,20 @@
 	return ""
 }
 
-var opened atomic.Uint64 // connections, whose names have to differ
+var requestCount atomic.Uint64 // connections, whose names have to differ
 
-// open opens a connection through the relay and returns its reader after UP.
-func open(t *testing.T, address string) *bufio.Reader {
+// openRequest opens a request through the relay and returns its connection's reader after UP.
+func openRequest(t *testing.T, address string) *bufio.Reader {
 	t.Helper()
-	text, r := ask(t, address, "page")
+	text, r := requestClass(t, address, "page")
 	if text != "UP 1\r\n" {
 		t.Fatalf("answered %q", text)
 	}
 	return r
 }
 
-// ask opens a connection of a class and returns the line that answers it, and the reader.
-func ask(t *testing.T, address, class string) (string, *bufio.Reader) {
+// requestClass opens a request of a class and returns the line that answers it, and the connection's reader.
+func requestClass(t *testing.T, address, class string) (string, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -190,7 +73,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "OPEN %016x 2 c=%s,d=1500\r\n", opened.Add(1), class)
+	fmt.Fprintf(c, "OPEN %016x 2 c=%s,d=1500\r\n", requestCount.Add(1), class)
 	r := bufio.NewReader(c)
 	text, err := r.ReadString('\n')
 	if err != nil {
@@ -199,15 +82,14 @@
 	return text, r
 }
 
-// start runs a relay with a server that takes everyone. It returns where its line
-// front listens, and its end.
-func start(t *testing.T, words RunOptions, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+// startRelay runs a relay with an endpoint that accepts everyone. It returns where its line frontend listens, and what Run returns.
+func startRelay(t *testing.T, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startAt(t, "", words, discovery, o, log)
+	return startRelayWithAdmin(t, "", options, discovery, o, log)
 }
 
-// accepts answers whoever comes to a server, and keeps them until the test's end.
-func accepts(t *testing.T, server net.Listener, answer string) {
+// serveEndpoint answers each connection to an endpoint, and holds it until the test's end.
+func serveEndpoint(t *testing.T, server net.Listener, answer string) {
 	for {
 		c, err := server.Accept()
 		if err != nil {
@@ -218,24 +100,24 @@
 	}
 }
 
-// startAt is the same, with a second address.
-func startAt(t *testing.T, admin string, words RunOptions, discovery net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithAdmin is the same, with a second address.
+func startRelayWithAdmin(t *testing.T, admin string, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	server := listen(t)
-	go accepts(t, server, "UP 1\r\n")
-	return startOn(t, admin, words, discovery, server, o, log)
+	go serveEndpoint(t, server, "UP 1\r\n")
+	return startRelayWithEndpoint(t, admin, options, discovery, server, o, log)
 }
 
-// startOn is the same, with a server of the test's own.
-func startOn(t *testing.T, admin string, words RunOptions, discovery, server net.Listener, o *Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithEndpoint is the same, with an endpoint of the test's own.
+func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startFrom(t, configText("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, words, o, log)
+	return startRelayWithConfig(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
 }
 
-// startFrom is the same, with a configuration of the test's own.
-func startFrom(t *testing.T, config, admin string, words RunOptions, o *Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithConfig is the same, with a configuration of the test's own.
+func startRelayWithConfig(t *testing.T, text, admin string, options RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	c, err := ParseConfig([]byte(config))
+	c, err := config.ParseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -247,13 +129,13 @@
 	o.Console.Socket = filepath.Join(t.TempDir(), "console")
 	go func() {
 		defer close(over)
-		end <- Run(ctx, words, c, o, slog.New(slog.NewTextHandler(log, nil)))
+		end <- Run(ctx, options, c, o, slog.New(slog.NewTextHandler(log, nil)))
 	}()
-	return lineFront(t, o.Console.Socket), end
+	return lineFrontendAddress(t, o.Console.Socket), end
 }
 
-// endsWithin waits for the relay's end, which has to come before SIGKILL does.
-func endsWithin(t *testing.T, done <-chan error, told time.Time, most time.Duration) {
+// requireEndWithin waits for the relay's end, which has to come before SIGKILL does.
+func requireEndWithin(t *testing.T, done <-chan error, told time.Time, most time.Duration) {
 	t.Helper()
 	select {
 	case err := <-done:
@@ -265,31 +147,31 @@
 	}
 }
 
-// At a planned restart clients still come for a moment: they are served as the
-// others, everyone is told to move, and the relay ends well before SIGKILL.
+// At a planned restart clients still come for a moment: they are served as the others, everyone is migrated, and the relay ends
+// well before SIGKILL.
 func TestRelayLeavesInGoodOrder(t *testing.T) {
 	drain := make(chan struct{})
-	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), &Operator{AMQP: AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
-	clients := []*bufio.Reader{open(t, address)}
+	address, done := startRelay(t, RunOptions{Shutdown: drain}, listen(t), &config.Operator{AMQP: config.AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
+	clients := []*bufio.Reader{openRequest(t, address)}
 	told := time.Now()
 	close(drain)
-	clients = append(clients, open(t, address)) // the front has not noticed yet
+	clients = append(clients, openRequest(t, address)) // the front has not noticed yet
 	for i, r := range clients {
 		if rest, err := io.ReadAll(r); string(rest) != "MOVE\r\n" || err != nil {
 			t.Errorf("client %d was told %q, %v", i, rest, err)
 		}
 	}
-	endsWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
 }
 
 // Where deadlines are short SIGKILL comes soon: a client of AMQP without a link is told that its connection is closed, and
-// one of lines that has said nothing to come again.
+// one of lines that has sent nothing is rejected.
 func TestIdleClientsAreToldOfTheEndThoughItComesSoon(t *testing.T) {
 	drain := make(chan struct{})
-	config := strings.Replace(configText("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
+	text := strings.Replace(configtest.Text("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
 	free := listen(t)
 	free.Close()
-	address, done := startFrom(t, config, "", RunOptions{Shutdown: drain}, &Operator{AMQP: AMQP{Listen: free.Addr().String()}}, io.Discard)
+	address, done := startRelayWithConfig(t, text, "", RunOptions{Shutdown: drain}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
 	idle, err := amqp.Dial(t.Context(), "amqp://"+free.Addr().String(), &amqp.ConnOptions{SASLType: amqp.SASLTypeAnonymous()})
 	if err != nil {
 		t.Fatal(err)
@@ -315,11 +197,11 @@
 	if rest, err := io.ReadAll(rests); string(rest) != "BUSY\r\n" || err != nil {
 		t.Errorf("the client of lines was told %q, %v", rest, err)
 	}
-	endsWithin(t, done, told, 900*time.Millisecond) // the class's 0.2 s and 0.7
+	requireEndWithin(t, done, told, 900*time.Millisecond) // the class's 0.2 s and 0.7
 }
 
-// A relay that leaves while its servers hang: who is at one of them, who comes after the word to leave, and who is in the
-// middle of an opening all get one answer, and the relay ends in time.
+// A relay that shuts down while its endpoints hang: who is at one of them, who comes after the request to shut down, and who is in
+// the middle of an opening all get one answer, and the relay ends in time.
 func TestEveryoneIsAnsweredThoughServersHang(t *testing.T) {
 	agent, server := listen(t), listen(t)
 	came := make(chan struct{}, 8)
@@ -337,7 +219,7 @@
 		}
 	}()
 	drain := make(chan struct{})
-	address, done := startOn(t, "", RunOptions{Shutdown: drain}, agent, server, &Operator{}, io.Discard)
+	address, done := startRelayWithEndpoint(t, "", RunOptions{Shutdown: drain}, agent, server, &config.Operator{}, io.Discard)
 	say := func(text string) *bufio.Reader {
 		t.Helper()
 		c, err := net.Dial("tcp", address)
@@ -349,7 +231,7 @@
 		io.WriteString(c, text)
 		return bufio.NewReader(c)
 	}
-	opening := func() string { return fmt.Sprintf("OPEN %016x 2 c=page,d=1500\r\n", opened.Add(1)) }
+	opening := func() string { return fmt.Sprintf("OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1)) }
 	clients := []*bufio.Reader{say(opening()), say(opening())}
 	for range clients {
 		<-came
@@ -366,16 +248,16 @@
 			t.Errorf("client %d was told %q, %v", i, rest, err)
 		}
 	}
-	endsWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
 }
 
-// A relay that leaves while it is asked answers whole or not at all, and leaves in time.
-func TestRelayLeavesWhileItIsAsked(t *testing.T) {
+// A relay that shuts down while its console is queried answers completely or not at all, and ends in time.
+func TestShutdownDuringConsoleQueries(t *testing.T) {
 	drain := make(chan struct{})
-	o := &Operator{}
-	address, done := start(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
+	o := &config.Operator{}
+	address, done := startRelay(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
 	for range 3 {
-		open(t, address)
+		openRequest(t, address)
 	}
 	asked := make(chan int)
 	go func() {
@@ -395,29 +277,29 @@
 	}()
 	told := time.Now()
 	close(drain)
-	endsWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
 	if n := <-asked; n == 0 {
 		t.Error("no question was answered")
 	}
 }
 
-// What discovery's agent has counts as told from a process's first moment, and the list from before the start may be
-// older: a client that comes before the agent has answered is placed by what it answers.
+// What discovery's agent has counts as notified from a process's first moment, and the list from before the start may be older: a
+// client that comes before the agent has answered is placed by what it answers.
 func TestClientsArePlacedByTheListOfNow(t *testing.T) {
-	usual := firstList
-	firstList = time.Minute // the agent waits for the client here
-	t.Cleanup(func() { firstList = usual })
+	usual := firstListTimeout
+	firstListTimeout = time.Minute // the agent waits for the client here
+	t.Cleanup(func() { firstListTimeout = usual })
 	agent, other := listen(t), listen(t)
-	go accepts(t, other, "UP 2\r\n")
-	address, _ := start(t, RunOptions{}, agent, &Operator{}, io.Discard)
-	_, _, conn := heldWatch(t, agent)
+	go serveEndpoint(t, other, "UP 2\r\n")
+	address, _ := startRelay(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
+	_, _, conn := acceptHeldWatch(t, agent)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "OPEN %016x 2 c=page,d=1500\r\n", opened.Add(1))
+	fmt.Fprintf(c, "OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1))
 	list := fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"s-1","phase":"draining","size":1},{"id":"s-2","host_port":%q,"phase":"ready","size":1}]}`, other.Addr())
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
 	if text, err := bufio.NewReader(c).ReadString('\n'); text != "UP 2\r\n" {
@@ -425,15 +307,14 @@
 	}
 }
 
-// watch waits for a relay to open a watch, and returns what it asks and the
-// connection.
-func watch(t *testing.T, l net.Listener) (string, *bufio.Reader) {
+// acceptWatch waits for a relay to open a watch, and returns its request line and the connection's reader.
+func acceptWatch(t *testing.T, l net.Listener) (string, *bufio.Reader) {
 	t.Helper()
-	text, r, _ := heldWatch(t, l)
+	text, r, _ := acceptHeldWatch(t, l)
 	return text, r
 }
 
-func heldWatch(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
+func acceptHeldWatch(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
 	t.Helper()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	c, err := l.Accept()
@@ -450,9 +331,8 @@
 	return strings.TrimSpace(text), r, c
 }
 
-// A new configuration under load: the watch goes over to the new address at once
-// and asks for the list whole, clients stay where they are and new ones are still
-// served by the old list. A file that makes no sense changes nothing.
+// A reload under load: the watch goes over to the new address at once and asks for the complete list, clients stay where they are
+// and new ones are still placed by the old list. A malformed file changes nothing.
 func TestNewConfigurationMovesTheWatchOnly(t *testing.T) {
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
 	replace := func(text string) {
@@ -463,21 +343,21 @@
 		reload <- syscall.SIGHUP
 	}
 	agents := []net.Listener{listen(t), listen(t), listen(t)}
-	var log lines
-	o := &Operator{}
-	address, done := start(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
-	asked, old := watch(t, agents[0])
+	var log logBuffer
+	o := &config.Operator{}
+	address, done := startRelay(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
+	asked, old := acceptWatch(t, agents[0])
 	if asked != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
 		t.Errorf("asked %q", asked)
 	}
-	clients := []*bufio.Reader{open(t, address)}
+	clients := []*bufio.Reader{openRequest(t, address)}
 	bad := 0
 	unreadable := func(text string) {
 		t.Helper()
 		replace(text)
 		bad++
 		// The file may be replaced again only once it has been read.
-		for late := time.Now().Add(10 * time.Second); log.count("the configuration stays as it was") != bad; {
+		for late := time.Now().Add(10 * time.Second); log.count("configuration reload rejected") != bad; {
 			if time.Now().After(late) {
 				t.Fatalf("%q was not logged", text)
 			}
@@ -485,16 +365,16 @@
 	}
 	for _, next := range agents[1:] {
 		unreadable("{half a fi")
-		unreadable(configText("127.0.0.1:0", "no address", "x"))
-		replace(configText("127.0.0.1:0", next.Addr().String(), "x"))
+		unreadable(configtest.Text("127.0.0.1:0", "no address", "x"))
+		replace(configtest.Text("127.0.0.1:0", next.Addr().String(), "x"))
 		if _, err := io.Copy(io.Discard, old); err != nil {
 			t.Errorf("the watch at the old address ended with %v", err)
 		}
-		asked, old = watch(t, next)
+		asked, old = acceptWatch(t, next)
 		if asked != "GET /discovery/hosts?watch=1&from=0 HTTP/1.1" {
 			t.Errorf("asked %q", asked)
 		}
-		clients = append(clients, open(t, address))
+		clients = append(clients, openRequest(t, address))
 	}
 	var held strings.Builder
 	console.Run(o.Console.Socket, "transactions", nil, &held, io.Discard)
@@ -508,19 +388,19 @@
 	}
 }
 
-// lines is a log that a test reads.
-type lines struct {
+// logBuffer is a log that a test reads.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) count(what string) int {
+func (l *logBuffer) count(what string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Count(l.text.String(), what)
