--- a/internal/store/memfs_test.go
+++ b/internal/store/memfs_test.go
@@ -12,235 +12,241 @@
 	"golang.org/x/sys/unix"
 )
 
+// errCrash is what all operations return after the crash.
 var errCrash = errors.New("the machine is down")
 
-// memFS is a folder in memory that loses at a crash what was not synced: of each file any part of what was
-// written since, of the folder the names that changed since.
+// memFS is a folder in memory that loses what was not synced at a crash: of each file any part of what was written
+// since the last sync, of the folder the names that changed since.
 type memFS struct {
-	mu      sync.Mutex
-	names   map[string]*memData
-	sure    map[string]*memData // as of the last SyncDir
-	locked  bool
-	steps   int // operations that change something, so far
-	crashAt int // the operation that the machine goes down before; 0: none
-	full    int // the operation from which on the disk is full; 0: none
-	left    int // bytes that the first write to a full disk still takes
-	down    bool
+	mu         sync.Mutex // guards what follows, and the data of all files
+	files      map[string]*memFileData
+	synced     map[string]*memFileData // as of the last SyncDir
+	locked     bool
+	operations int // operations that change something, so far
+	crashAt    int // the operation that the machine crashes before; 0: none
+	fullAt     int // the operation from which on the disk is full; 0: none
+	bytesLeft  int // bytes that the first write to a full disk still takes
+	down       bool
 }
 
-type memData struct {
-	b, sure []byte
-	writes  []memWrite // since the last sync
+// memFileData is the content of a file.
+type memFileData struct {
+	data, synced []byte
+	unsynced     []memWrite // since the last sync
 }
 
+// memWrite is a write or a truncation.
 type memWrite struct {
-	at int64
-	b  []byte // nil: cut to at
+	offset int64
+	data   []byte // nil: truncated to offset
 }
 
+// memFile is an open file.
 type memFile struct {
-	fs *memFS
-	d  *memData
+	fs   *memFS
+	data *memFileData
 }
 
 func newMemFS() *memFS {
-	return &memFS{names: make(map[string]*memData), sure: make(map[string]*memData)}
+	return &memFS{files: make(map[string]*memFileData), synced: make(map[string]*memFileData)}
 }
 
-// step counts an operation that changes something.
-func (m *memFS) step() error {
-	if m.steps++; m.down || m.crashAt > 0 && m.steps >= m.crashAt {
-		m.down = true
+// countOperation counts an operation that changes something.
+func (folder *memFS) countOperation() error {
+	if folder.operations++; folder.down || folder.crashAt > 0 && folder.operations >= folder.crashAt {
+		folder.down = true
 		return errCrash
 	}
 	return nil
 }
 
-func (m *memFS) isFull() bool { return m.full > 0 && m.steps >= m.full }
+func (folder *memFS) isFull() bool { return folder.fullAt > 0 && folder.operations >= folder.fullAt }
 
-func (m *memFS) Open(name string) (File, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if d := m.names[name]; d != nil {
-		return &memFile{m, d}, nil
+func (folder *memFS) Open(name string) (File, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if file := folder.files[name]; file != nil {
+		return &memFile{folder, file}, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (m *memFS) Create(name string) (File, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) Create(name string) (File, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return nil, err
 	}
-	if m.isFull() {
+	if folder.isFull() {
 		return nil, unix.ENOSPC
 	}
-	m.names[name] = &memData{}
-	return &memFile{m, m.names[name]}, nil
+	folder.files[name] = &memFileData{}
+	return &memFile{folder, folder.files[name]}, nil
 }
 
-func (m *memFS) Rename(from, to string) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) Rename(from, to string) error {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return err
 	}
-	m.names[to] = m.names[from]
-	delete(m.names, from)
+	folder.files[to] = folder.files[from]
+	delete(folder.files, from)
 	return nil
 }
 
-func (m *memFS) Remove(name string) error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) Remove(name string) error {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return err
 	}
-	if m.names[name] == nil {
+	if folder.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	delete(m.names, name)
+	delete(folder.files, name)
 	return nil
 }
 
-func (m *memFS) List() ([]string, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return slices.Sorted(maps.Keys(m.names)), nil
+func (folder *memFS) List() ([]string, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	return slices.Sorted(maps.Keys(folder.files)), nil
 }
 
-func (m *memFS) SyncDir() error {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if err := m.step(); err != nil {
+func (folder *memFS) SyncDir() error {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if err := folder.countOperation(); err != nil {
 		return err
 	}
-	m.sure = maps.Clone(m.names)
+	folder.synced = maps.Clone(folder.files)
 	return nil
 }
 
-type memLock struct{ m *memFS }
+type memLock struct{ folder *memFS }
 
 func (l memLock) Close() error {
-	l.m.mu.Lock()
-	defer l.m.mu.Unlock()
-	l.m.locked = false
+	l.folder.mu.Lock()
+	defer l.folder.mu.Unlock()
+	l.folder.locked = false
 	return nil
 }
 
-func (m *memFS) Lock() (io.Closer, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.locked {
+func (folder *memFS) Lock() (io.Closer, error) {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	if folder.locked {
 		return nil, ErrLocked
 	}
-	m.locked = true
-	return memLock{m}, nil
+	folder.locked = true
+	return memLock{folder}, nil
 }
 
-// crashed is the folder as it may be found after a crash.
-func (m *memFS) crashed(rng *rand.Rand) *memFS {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// afterCrash returns the folder as it may be found after a crash.
+func (folder *memFS) afterCrash(rng *rand.Rand) *memFS {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
 	after := newMemFS()
-	names := maps.Clone(m.sure)
-	for name, d := range m.names { // a name's change may have got there by itself
+	names := maps.Clone(folder.synced)
+	for name, file := range folder.files { // a change of a name may be on disk without a sync
 		if rng.IntN(2) == 0 {
-			names[name] = d
+			names[name] = file
 		}
 	}
-	for name := range m.sure {
-		if m.names[name] == nil && rng.IntN(2) == 0 {
+	for name := range folder.synced {
+		if folder.files[name] == nil && rng.IntN(2) == 0 {
 			delete(names, name)
 		}
 	}
-	for name, d := range names {
-		b := slices.Clone(d.sure)
-		for _, w := range d.writes { // in any order and any part, as the kernel writes back
+	for name, file := range names {
+		data := slices.Clone(file.synced)
+		for _, write := range file.unsynced { // in any order and any part, as the kernel writes back
 			if rng.IntN(3) > 0 {
-				if w.b != nil {
-					w.b = w.b[:rng.IntN(len(w.b)+1)]
+				if write.data != nil {
+					write.data = write.data[:rng.IntN(len(write.data)+1)]
 				}
-				b = w.on(b)
+				data = write.applyTo(data)
 			}
 		}
-		after.names[name] = &memData{b: b, sure: slices.Clone(b)}
+		after.files[name] = &memFileData{data: data, synced: slices.Clone(data)}
 	}
-	after.sure = maps.Clone(after.names)
+	after.synced = maps.Clone(after.files)
 	return after
 }
 
-// copied is the folder as it stands, with the names and bytes of now.
-func (m *memFS) copied() *memFS {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	c := newMemFS()
-	for name, d := range m.names {
-		c.names[name] = &memData{b: slices.Clone(d.b), sure: slices.Clone(d.b)}
+// clone returns a copy of the folder with its current names and bytes, all of them synced.
+func (folder *memFS) clone() *memFS {
+	folder.mu.Lock()
+	defer folder.mu.Unlock()
+	copied := newMemFS()
+	for name, file := range folder.files {
+		copied.files[name] = &memFileData{data: slices.Clone(file.data), synced: slices.Clone(file.data)}
 	}
-	c.sure = maps.Clone(c.names)
-	return c
+	copied.synced = maps.Clone(copied.files)
+	return copied
 }
 
-func (w memWrite) on(b []byte) []byte {
-	if w.b == nil {
-		if int64(len(b)) > w.at {
-			return b[:w.at]
+// applyTo returns a file's bytes after the write.
+func (write memWrite) applyTo(data []byte) []byte {
+	if write.data == nil {
+		if int64(len(data)) > write.offset {
+			return data[:write.offset]
 		}
-		return append(b, make([]byte, w.at-int64(len(b)))...)
+		return append(data, make([]byte, write.offset-int64(len(data)))...)
 	}
-	if need := int(w.at) + len(w.b); need > len(b) {
-		b = append(b, make([]byte, need-len(b))...)
+	if need := int(write.offset) + len(write.data); need > len(data) {
+		data = append(data, make([]byte, need-len(data))...)
 	}
-	copy(b[w.at:], w.b)
-	return b
+	copy(data[write.offset:], write.data)
+	return data
 }
 
-func (f *memFile) do(w memWrite) error {
-	if err := f.fs.step(); err != nil {
-		if w.b != nil { // a write may get there in part
-			w.b = w.b[:len(w.b)/2]
-			f.d.writes = append(f.d.writes, w)
+// change applies a write, which fails in part or as a whole at a crash or on a full disk.
+func (f *memFile) change(write memWrite) error {
+	if err := f.fs.countOperation(); err != nil {
+		if write.data != nil { // part of a write may be on disk
+			write.data = write.data[:len(write.data)/2]
+			f.data.unsynced = append(f.data.unsynced, write)
 		}
 		return err
 	}
 	var full error
-	if w.b != nil && f.fs.isFull() {
-		n := min(f.fs.left, len(w.b))
-		f.fs.left -= n
-		if w.b, full = w.b[:n], unix.ENOSPC; n == 0 {
+	if write.data != nil && f.fs.isFull() {
+		n := min(f.fs.bytesLeft, len(write.data))
+		f.fs.bytesLeft -= n
+		if write.data, full = write.data[:n], unix.ENOSPC; n == 0 {
 			return full
 		}
 	}
-	f.d.b = w.on(f.d.b)
-	f.d.writes = append(f.d.writes, w)
+	f.data.data = write.applyTo(f.data.data)
+	f.data.unsynced = append(f.data.unsynced, write)
 	return full
 }
 
-func (f *memFile) WriteAt(b []byte, at int64) (int, error) {
+func (f *memFile) WriteAt(data []byte, offset int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.do(memWrite{at, append([]byte{}, b...)}); err != nil {
+	if err := f.change(memWrite{offset, append([]byte{}, data...)}); err != nil {
 		return 0, err
 	}
-	return len(b), nil
+	return len(data), nil
 }
 
 func (f *memFile) Truncate(size int64) error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	return f.do(memWrite{size, nil})
+	return f.change(memWrite{size, nil})
 }
 
-func (f *memFile) ReadAt(b []byte, at int64) (int, error) {
+func (f *memFile) ReadAt(data []byte, offset int64) (int, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if at >= int64(len(f.d.b)) {
+	if offset >= int64(len(f.data.data)) {
 		return 0, io.EOF
 	}
-	n := copy(b, f.d.b[at:])
-	if n < len(b) {
+	n := copy(data, f.data.data[offset:])
+	if n < len(data) {
 		return n, io.EOF
 	}
 	return n, nil
@@ -249,16 +255,16 @@
 func (f *memFile) Size() (int64, error) {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	return int64(len(f.d.b)), nil
+	return int64(len(f.data.data)), nil
 }
 
 func (f *memFile) Sync() error {
 	f.fs.mu.Lock()
 	defer f.fs.mu.Unlock()
-	if err := f.fs.step(); err != nil {
+	if err := f.fs.countOperation(); err != nil {
 		return err
 	}
-	f.d.sure, f.d.writes = slices.Clone(f.d.b), nil
+	f.data.synced, f.data.unsynced = slices.Clone(f.data.data), nil
 	return nil
 }
 
