--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -49,11 +49,11 @@
 	Name   string `toml:"name"`
 	Listen string `toml:"listen"`
 	Admin  string `toml:"admin_addr"`
-	Hall   string `toml:"hall"`
+	Zone   string `toml:"hall"`
 	Server []struct {
 		Name    string  `toml:"name"`
 		Address string  `toml:"address"`
-		Hall    string  `toml:"hall"`
+		Zone    string  `toml:"hall"`
 		Size    float64 `toml:"size"`
 	} `toml:"server"`
 	Class []struct {
@@ -158,7 +158,7 @@
 		MemoryMB:    cmp.Or(limits.MemoryMB, defaultMemoryMB),
 		Sockets:     cmp.Or(limits.Sockets, defaultSockets),
 		Seed:        uint64(time.Now().UnixNano()),
-		Zones:       []string{file.Hall},
+		Zones:       []string{file.Zone},
 		text:        text,
 	}
 }
@@ -183,7 +183,7 @@
 		if one.Size < 0 {
 			v.add(at+"size", "%v is negative", one.Size)
 		}
-		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: one.Address, Zone: c.siteZone(one.Hall), Size: cmp.Or(one.Size, 1)})
+		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: one.Address, Zone: c.siteZone(one.Zone), Size: cmp.Or(one.Size, 1)})
 	}
 	return endpoints
 }
