--- a/cmd/lockroad/builds_test.go
+++ b/cmd/lockroad/builds_test.go
@@ -145,7 +145,7 @@
 	}
 	for _, attempt := range cluster.site.Log.Attempts() {
 		if attempt.Answer == "up" && attempt.At.After(since) {
-			at[group[attempt.Name]] = attempt.Server
+			at[group[attempt.Name]] = attempt.Endpoint
 		}
 	}
 	return at
--- a/cmd/lockroad/metrics_test.go
+++ b/cmd/lockroad/metrics_test.go
@@ -65,7 +65,7 @@
 		{"one that is moved, and comes again", func() {
 			c, _ := cluster.openRequest("c1", "live", true)
 			for _, one := range cluster.site.Servers {
-				if one.Name == cluster.site.Log.Attempts()[len(cluster.site.Log.Attempts())-1].Server {
+				if one.Name == cluster.site.Log.Attempts()[len(cluster.site.Log.Attempts())-1].Endpoint {
 					one.Drain()
 				}
 			}
--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -60,7 +60,7 @@
 // attemptsAt returns how many attempts an endpoint had since a time.
 func (cluster *testCluster) attemptsAt(server string, since time.Time) (n int) {
 	for _, attempt := range cluster.site.Log.Attempts() {
-		if attempt.Server == server && attempt.At.After(since) {
+		if attempt.Endpoint == server && attempt.At.After(since) {
 			n++
 		}
 	}
@@ -167,7 +167,7 @@
 	}
 	for _, attempt := range cluster.site.Log.Attempts() {
 		if attempt.Answer == "up" {
-			before[group[attempt.Name]] = attempt.Server
+			before[group[attempt.Name]] = attempt.Endpoint
 		}
 	}
 	relay.kill()
@@ -183,7 +183,7 @@
 	}
 	for _, attempt := range cluster.site.Log.Attempts() {
 		if was, ok := before[group[attempt.Name]]; ok && attempt.At.After(killed) {
-			if was == attempt.Server {
+			if was == attempt.Endpoint {
 				same++
 			} else {
 				other++
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -122,7 +122,7 @@
 	}
 	at := make(map[string]bool) // transactions at the bad server
 	for _, attempt := range cluster.site.Log.Attempts() {
-		at[attempt.Name] = at[attempt.Name] || attempt.Server == bad.Name && attempt.Answer == "up"
+		at[attempt.Name] = at[attempt.Name] || attempt.Endpoint == bad.Name && attempt.Answer == "up"
 	}
 	flows := make(map[string][]fake.Session)
 	for _, session := range cluster.site.Log.Sessions() {
@@ -247,7 +247,7 @@
 	at := make(map[string]string)
 	for _, attempt := range cluster.site.Log.Attempts() {
 		if attempt.Answer == "up" {
-			at[attempt.Name] = attempt.Server
+			at[attempt.Name] = attempt.Endpoint
 		}
 	}
 	asked := 0.0
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// MaxCallers is the most connections that are open at a time, and so bounds their file
+// MaxConnections is the most connections that are open at a time, and so bounds their file
 // descriptors. The one that has been open longest is closed for the next.
-const MaxCallers = 16
+const MaxConnections = 16
 
 // evictingListener is a listener that holds up to MaxCallers open connections, and closes
 // the oldest to accept one more.
@@ -42,7 +42,7 @@
 func (l *evictingListener) add(conn *trackedConn) (oldest *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.conns) == MaxCallers {
+	if len(l.conns) == MaxConnections {
 		oldest = l.conns[0]
 		l.conns = slices.Delete(l.conns, 0, 1)
 	}
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -89,7 +89,7 @@
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	address := startServer(t, &Server{Ready: func() bool { return true }, Metrics: &metrics.Set{}})
 	var silent []net.Conn
-	for i := range 3 * MaxCallers {
+	for i := range 3 * MaxConnections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
@@ -111,7 +111,7 @@
 			}
 		}
 	}
-	if open > MaxCallers {
+	if open > MaxConnections {
 		t.Errorf("%d silent connections are open", open)
 	}
 }
--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -15,5 +15,5 @@
 	}
 }
 
-// Broken returns how many violations there were since the process began.
-func Broken() int64 { return violations.Load() }
+// Violations returns how many violations there were since the process began.
+func Violations() int64 { return violations.Load() }
--- a/internal/assert/assert_test.go
+++ b/internal/assert/assert_test.go
@@ -3,9 +3,9 @@
 import "testing"
 
 func TestViolationIsCountedAndPanicsInDebugBuilds(t *testing.T) {
-	before := Broken()
+	before := Violations()
 	That(true, "nothing")
-	if Broken() != before {
+	if Violations() != before {
 		t.Fatal("an invariant that holds was counted as violated")
 	}
 	func() {
@@ -16,7 +16,7 @@
 		}()
 		That(false, "a test's invariant")
 	}()
-	if Broken() != before+1 {
-		t.Errorf("counted %d violations, want 1", Broken()-before)
+	if Violations() != before+1 {
+		t.Errorf("counted %d violations, want 1", Violations()-before)
 	}
 }
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -40,7 +40,7 @@
 	if info, err := os.Stat(file); err != nil || info.Mode().Perm() != 0o600 || strings.Count(string(text), "ann:") != 1 {
 		t.Errorf("%v, %s", info.Mode(), text)
 	}
-	authenticator, err := New(Settings{Users: file, ClearPlain: true, NoAnonymous: true})
+	authenticator, err := New(Settings{Users: file, PlainWithoutTLS: true, NoAnonymous: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -97,7 +97,7 @@
 	if subject(state) != "" {
 		names = append(names, External)
 	}
-	if a.settings.Users != "" && (state != nil || a.settings.ClearPlain) {
+	if a.settings.Users != "" && (state != nil || a.settings.PlainWithoutTLS) {
 		names = append(names, Plain)
 	}
 	if !a.settings.NoAnonymous {
--- a/internal/auth/settings.go
+++ b/internal/auth/settings.go
@@ -25,9 +25,9 @@
 	ClientCA  string // PEM file of authorities; a client with a certificate of one of them is its common name by EXTERNAL
 	Users     string // password file, as `lockroad passwd` writes it; empty: no PLAIN
 
-	NoAnonymous bool    // clients have to authenticate
-	ClearPlain  bool    // passwords are accepted without TLS
-	Grants      []Grant // without any, every user may open every class
+	NoAnonymous     bool    // clients have to authenticate
+	PlainWithoutTLS bool    // passwords are accepted without TLS
+	Grants          []Grant // without any, every user may open every class
 }
 
 // Grant says which classes a user may open.
@@ -68,7 +68,7 @@
 		return KeyError{Key: "tls.client_ca", Err: errors.New("clients show certificates over TLS only: cert and key are missing")}
 	case s.NoAnonymous && s.Users == "" && s.ClientCA == "":
 		return KeyError{Key: "sasl.anonymous", Err: errors.New("nobody could come: neither users nor client_ca says who clients are")}
-	case s.Users != "" && s.Cert == "" && !s.ClearPlain:
+	case s.Users != "" && s.Cert == "" && !s.PlainWithoutTLS:
 		return KeyError{Key: "sasl.users", Err: errors.New("passwords would come in the clear: set cert and key, or plain_without_tls")}
 	}
 	for i, grant := range s.Grants {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -19,12 +19,12 @@
 
 // Operator has the settings that are the operator's, beside the platform's configuration. The zero value turns everything off.
 type Operator struct {
-	AMQP    AMQP    `toml:"amqp"`
-	OTLP    OTLP    `toml:"otlp"`
-	Console Console `toml:"console"`
-	Why     Why     `toml:"why"`
-	Log     Log     `toml:"log"`
-	Store   Store   `toml:"store"`
+	AMQP        AMQP        `toml:"amqp"`
+	OTLP        OTLP        `toml:"otlp"`
+	Console     Console     `toml:"console"`
+	DecisionLog DecisionLog `toml:"why"`
+	Log         Log         `toml:"log"`
+	Store       Store       `toml:"store"`
 }
 
 // AMQP has the settings of the frontend for clients that speak AMQP 1.0.
@@ -77,7 +77,7 @@
 // AuthSettings returns how clients of the frontend are authenticated and authorized.
 func (a *AMQP) AuthSettings() auth.Settings {
 	return auth.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
-		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, ClearPlain: a.SASL.PlainWithoutTLS, Grants: a.Grants}
+		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, PlainWithoutTLS: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
 // UpstreamSettings returns how connections to endpoints are secured.
@@ -108,8 +108,8 @@
 	Socket string `toml:"socket"` // path of a Unix socket; empty: the console is off
 }
 
-// Why has the settings of the decision log.
-type Why struct {
+// DecisionLog has the settings of the decision log.
+type DecisionLog struct {
 	// Bytes is the memory of the decision log, all of it allocated at the start: 2 MB have some 4,000 requests. 0: no decisions are
 	// recorded. nil: decisionlog.DefaultBytes where a console or telemetry can read them, else 0.
 	Bytes *int `toml:"bytes"`
@@ -130,8 +130,8 @@
 // DecisionLogBytes returns the memory of the decision log in bytes; 0: there is none.
 func (o *Operator) DecisionLogBytes() int {
 	switch {
-	case o.Why.Bytes != nil:
-		return *o.Why.Bytes
+	case o.DecisionLog.Bytes != nil:
+		return *o.DecisionLog.Bytes
 	case o.Console.Socket != "" || o.OTLP.Endpoint != "":
 		return decisionlog.DefaultBytes
 	}
@@ -174,7 +174,7 @@
 			v.add("otlp.endpoint", "%q is no http or https URL", o.OTLP.Endpoint)
 		}
 	}
-	if n := o.Why.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
+	if n := o.DecisionLog.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
 		v.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
 	}
 	o.Store.check(v)
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -21,7 +21,7 @@
 type Site struct {
 	Config    *Config
 	Operator  *Operator
-	Servers   []prober.Endpoint
+	Endpoints []prober.Endpoint
 	Health    healthcheck.Settings
 	Ping      bool           // endpoints are probed with PING, not by a connection alone
 	Quota     quota.Settings // without Fair, which QuotaSettings sets
@@ -122,7 +122,7 @@
 	site := &Site{Operator: &file.Operator, values: make(map[string]string)}
 	flatten(site.values, "", tree)
 	site.Config = v.siteConfig(&file, text)
-	site.Servers = v.siteEndpoints(&file, site.Config)
+	site.Endpoints = v.siteEndpoints(&file, site.Config)
 	site.Config.Settings = v.siteSettings(&file)
 	site.Health = v.siteHealth(&file)
 	site.Ping = v.sitePing(&file)
@@ -217,7 +217,7 @@
 func (s *Site) QuotaSettings(slots int) quota.Settings {
 	settings := s.Quota
 	if s.FairShare {
-		settings.Fair = slots
+		settings.FairShare = slots
 	}
 	return settings
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -31,7 +31,7 @@
 	}, 1, proxy.NewClock())
 	id := relay.Endpoints.ID("s-5be2a07c")
 	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
-	n, _ := relay.Requests.Add(registry.Request{Front: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
+	n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
 	relay.Requests.Set(n, registry.StageEstablished, id)
 	relay.Counters.CountEnd(registry.EndMigrated)
 	relay.Counters.CountAttempt(balancer.StatusTimeout)
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	observer := log.Began(1, proxy.Request{Front: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
+	observer := log.RequestStarted(1, proxy.Request{Frontend: "line", Class: "page", Name: "9b1f03aa", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
 	observer.AttemptStarted(id)(balancer.StatusFull)
 	observer.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
@@ -191,7 +191,7 @@
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
 	server := &Server{Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
-	server.Proxy.Requests.Add(registry.Request{Front: "line", Name: evil, Class: evil})
+	server.Proxy.Requests.Add(registry.Request{Frontend: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := server.execute(context.Background(), command, "me")
 		head, body, _ := strings.Cut(frameAnswer("ok", answer), "\n")
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -82,7 +82,7 @@
 		relay.UpdateEndpoints(balancer.ListFull, servers, addresses)
 		relay.SetDrain("s-2", true)
 		for i, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
-			n, _ := relay.Requests.Add(registry.Request{Front: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: relay.Clock.Now()})
+			n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: relay.Clock.Now()})
 			if stage != registry.StageWaiting {
 				relay.Requests.Set(n, stage, servers[i].ID)
 			}
@@ -103,7 +103,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		trace := log.Began(1, proxy.Request{Front: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
+		trace := log.RequestStarted(1, proxy.Request{Frontend: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
 		trace.AttemptStarted(servers[0].ID)(balancer.StatusFull)
 		trace.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 		time.Sleep(1234 * time.Millisecond)
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -35,7 +35,7 @@
 			row("passes "+name, counters.Attempts(balancer.AttemptStatus(status)))
 		}
 		row("bad openings", counters.ProtocolErrors.Load())
-		row("broken invariants", assert.Broken())
+		row("broken invariants", assert.Violations())
 	})
 }
 
@@ -111,7 +111,7 @@
 				endpoint = names[request.Endpoint]
 			}
 			age := (now - request.Since).Round(time.Millisecond)
-			row(request.Number, request.Front, request.Name, request.Class, request.Stage, endpoint, request.Attempts, age)
+			row(request.Number, request.Frontend, request.Name, request.Class, request.Stage, endpoint, request.Attempts, age)
 		}
 	})
 }
--- a/internal/decisionlog/blockpool_test.go
+++ b/internal/decisionlog/blockpool_test.go
@@ -79,7 +79,7 @@
 					case errors.Is(err, ErrEvicted):
 					case err != nil:
 						rt.Fatalf("%d: %v", n, err)
-					case entry.Name != testRequest(n).Name || entry.Item != n:
+					case entry.Name != testRequest(n).Name || entry.Flow != n:
 						rt.Fatalf("%d is read as %+v", n, entry)
 					case !entry.HeadEvicted && !entry.EventsOmitted && len(entry.Events) != state.events:
 						rt.Fatalf("%d has %d events, read are %d: %+v", n, state.events, len(entry.Events), entry.Events)
@@ -90,7 +90,7 @@
 			},
 			"begin": func(_ *rapid.T) {
 				last++
-				all[last] = &expected{RequestObserver: log.Began(last, testRequest(last))}
+				all[last] = &expected{RequestObserver: log.RequestStarted(last, testRequest(last))}
 			},
 			"decide": func(rt *rapid.T) {
 				_, state := pick()
--- a/internal/decisionlog/entry.go
+++ b/internal/decisionlog/entry.go
@@ -11,13 +11,13 @@
 // Entry is what the log has of one request: a copy that belongs to the reader.
 type Entry struct {
 	Number        uint64
-	Front         string // name of the frontend
+	Frontend      string // name of the frontend
 	Class         string
 	Tenant        string        // "" if it has none
 	Name          string        // as the client calls it, or the first part of that
 	NameCut       bool          // Name is only the first part
 	Group         uint64        // 0 if none
-	Item          uint64        // 0 if none; with the platform's protocol the key of the flow
+	Flow          uint64        // 0 if none; with the platform's protocol the key of the flow
 	StartedAt     time.Duration // on the proxy's clock
 	TimeLimit     time.Duration // that its client had then
 	Load          float64       // expected, in seconds of work per second; 0 if unknown
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -52,8 +52,8 @@
 // Clock returns the clock that the log's times are read from.
 func (l *Log) Clock() proxy.Clock { return l.clock }
 
-// Began starts the entry of a request and returns the observer that records its events.
-func (l *Log) Began(number uint64, request proxy.Request) proxy.RequestObserver {
+// RequestStarted starts the entry of a request and returns the observer that records its events.
+func (l *Log) RequestStarted(number uint64, request proxy.Request) proxy.RequestObserver {
 	r := &recorder{log: l, number: number, request: request, startedAt: l.clock.Now(), head: noBlock}
 	r.lastHold.block = noBlock
 	l.pool.mu.Lock()
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -29,7 +29,7 @@
 }
 
 func testRequest(number uint64) proxy.Request {
-	return proxy.Request{Front: "line", Class: "page", Name: fmt.Sprintf("%016x", number*0x9e3779b97f4a7c15), RequestOptions: balancer.RequestOptions{
+	return proxy.Request{Frontend: "line", Class: "page", Name: fmt.Sprintf("%016x", number*0x9e3779b97f4a7c15), RequestOptions: balancer.RequestOptions{
 		Group: number % 9, Item: number, Deadline: 2 * time.Hour,
 	}}
 }
@@ -47,7 +47,7 @@
 // recordAttempts records a request whose attempts end with the given statuses; it is established
 // by one that is balancer.StatusOK.
 func recordAttempts(log *Log, number uint64, statuses ...balancer.AttemptStatus) proxy.RequestObserver {
-	t := log.Began(number, testRequest(number))
+	t := log.RequestStarted(number, testRequest(number))
 	for i, status := range statuses {
 		endpoint := balancer.EndpointID(i + 1)
 		t.Decided(testDecision(balancer.VerdictSent, balancer.ReasonWeightedDraw, i+1, endpoint))
@@ -89,7 +89,7 @@
 		}
 		decision.Preferred = rapid.IntRange(-1, len(decision.Considered)-1).Draw(rt, "instead")
 		number++
-		log.Began(number, testRequest(number)).Decided(&decision)
+		log.RequestStarted(number, testRequest(number)).Decided(&decision)
 		entry, err := log.Number(number)
 		if err != nil || len(entry.Events) != 1 || entry.Events[0].At != decision.At || !reflect.DeepEqual(entry.Events[0].Decision, decision) {
 			rt.Fatalf("recorded %+v, read %+v, %v", decision, entry, err)
@@ -100,10 +100,10 @@
 func TestTenantIsKept(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	for i, tenant := range []string{"", "fraser", "cedar"} {
-		observer := log.Began(uint64(i+1), proxy.Request{Front: "line", Name: "a name", Class: "page", Tenant: tenant})
+		observer := log.RequestStarted(uint64(i+1), proxy.Request{Frontend: "line", Name: "a name", Class: "page", Tenant: tenant})
 		observer.Ended(proxy.Result{})
 		entry, err := log.Number(uint64(i + 1))
-		if err != nil || entry.Tenant != tenant || entry.Class != "page" || entry.Front != "line" || entry.Name != "a name" {
+		if err != nil || entry.Tenant != tenant || entry.Class != "page" || entry.Frontend != "line" || entry.Name != "a name" {
 			t.Errorf("read as %+v, %v, want the tenant %q", entry, err, tenant)
 		}
 	}
@@ -112,7 +112,7 @@
 func TestEntryHasAllEvents(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	const long = "a container that has been given a name of some length/and so has the link"
-	observer := log.Began(7, proxy.Request{Front: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
+	observer := log.RequestStarted(7, proxy.Request{Frontend: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
 		Group: 5, Item: 6, Deadline: log.clock.Now() + 2*time.Second, ExpectedLoad: 0.25, Returning: true, Established: true,
 	}})
 	heldDecision := testDecision(balancer.VerdictHeld, balancer.ReasonEndpointSlow, 0, 3)
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if entry.Name != long[:maxNameBytes] || !entry.NameCut || entry.Front != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Item != 6 ||
+	if entry.Name != long[:maxNameBytes] || !entry.NameCut || entry.Frontend != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Flow != 6 ||
 		!entry.Returning || !entry.Resumed || entry.Load != 0.25 || entry.TimeLimit > 2*time.Second || entry.TimeLimit < time.Second || !entry.Notable || entry.HeadEvicted || entry.EventsOmitted {
 		t.Errorf("read %+v", entry)
 	}
@@ -212,7 +212,7 @@
 // The entry of a client that still waits outlives those of requests that have ended.
 func TestPendingEntriesAreEvictedLast(t *testing.T) {
 	log := newTestLog(t, MinBytes)
-	pending := log.Began(1, testRequest(1))
+	pending := log.RequestStarted(1, testRequest(1))
 	for i := uint64(2); i < 10_000; i++ {
 		recordAttempts(log, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
@@ -299,7 +299,7 @@
 		writers.Go(func() {
 			for range 4000 {
 				n := number.Add(1)
-				observer := log.Began(n, testRequest(n))
+				observer := log.RequestStarted(n, testRequest(n))
 				endpoint := balancer.EndpointID(n)
 				for attempt := range int(n % 4) {
 					observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonRedrawn, attempt+1, endpoint))
@@ -314,7 +314,7 @@
 		for !done.Load() {
 			log.Each(func(entry *Entry) bool {
 				seen++
-				if entry.Item != entry.Number || entry.Name != testRequest(entry.Number).Name {
+				if entry.Flow != entry.Number || entry.Name != testRequest(entry.Number).Name {
 					t.Errorf("read a mix of two entries: %+v", entry)
 				}
 				for _, event := range entry.Events {
@@ -342,7 +342,7 @@
 
 func TestWritingDoesNotAllocate(t *testing.T) {
 	log := newTestLog(t, MinBytes)
-	observer := log.Began(1, testRequest(1))
+	observer := log.RequestStarted(1, testRequest(1))
 	decision := testDecision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 3)
 	for i := range uint64(5000) { // until the memory is full
 		recordAttempts(log, i+2, balancer.StatusOK)
@@ -403,7 +403,7 @@
 			for i := range b.N {
 				if i%8 == 0 {
 					b.StopTimer()
-					observer = log.Began(uint64(30_000+i), testRequest(1))
+					observer = log.RequestStarted(uint64(30_000+i), testRequest(1))
 					b.StartTimer()
 				}
 				observer.Decided(decision)
--- a/internal/decisionlog/query.go
+++ b/internal/decisionlog/query.go
@@ -94,7 +94,7 @@
 func (l *Log) Related(to *Entry, visit func(*Entry) bool) {
 	l.each(func(word func(int) uint64) bool {
 		return word(headHash) == to.nameHash ||
-			to.Item != 0 && word(headItem) == to.Item ||
+			to.Flow != 0 && word(headItem) == to.Flow ||
 			to.Group != 0 && word(headGroup) == to.Group
 	}, visit)
 }
--- a/internal/decisionlog/recorder.go
+++ b/internal/decisionlog/recorder.go
@@ -59,7 +59,7 @@
 	}
 	nameLength := min(len(request.Name), maxNameBytes)
 	facts := log.internName(request.Class) |
-		log.internName(request.Front)<<8 |
+		log.internName(request.Frontend)<<8 |
 		flags<<16 |
 		uint64(nameLength)<<32 |
 		log.internName(request.Tenant)<<40
--- a/internal/demo/checker.go
+++ b/internal/demo/checker.go
@@ -41,7 +41,7 @@
 	var all []explainedAttempt
 	for _, event := range c.explanation.Events {
 		at := c.explanation.ReceivedAt.Add(time.Duration(event.AfterMS * float64(time.Millisecond)))
-		switch event.What {
+		switch event.Kind {
 		case "pass":
 			all = append(all, explainedAttempt{server: event.Endpoint, began: at})
 		case "outcome":
@@ -56,7 +56,7 @@
 // check returns what does not match.
 func (c *checker) check() []string {
 	explanation, session := c.explanation, c.session
-	if explanation.Class != session.Class || explanation.Front != session.Frontend || strings.TrimLeft(explanation.Flow, "0") != strings.TrimLeft(session.Flow, "0") || explanation.Returning != session.Returning {
+	if explanation.Class != session.Class || explanation.Frontend != session.Frontend || strings.TrimLeft(explanation.Flow, "0") != strings.TrimLeft(session.Flow, "0") || explanation.Returning != session.Returning {
 		c.mismatchf("the client was %s of %s by %s, again %v", session.Flow, session.Class, session.Frontend, session.Returning)
 	}
 	if explanation.HeadEvicted {
@@ -64,7 +64,7 @@
 	}
 	seen := c.attempts
 	for _, attempt := range c.explainedAttempts() {
-		if len(seen) > 0 && seen[0].Server == attempt.server && c.agrees(attempt, seen[0]) {
+		if len(seen) > 0 && seen[0].Endpoint == attempt.server && c.agrees(attempt, seen[0]) {
 			seen = seen[1:]
 			continue
 		}
@@ -76,14 +76,14 @@
 		default:
 			saw := "nothing"
 			if len(seen) > 0 {
-				saw = fmt.Sprintf("%s at %s", cmp.Or(seen[0].Answer, "no answer"), seen[0].Server)
+				saw = fmt.Sprintf("%s at %s", cmp.Or(seen[0].Answer, "no answer"), seen[0].Endpoint)
 			}
 			c.mismatchf("a pass to %s ended %s, and the servers saw %s", attempt.server, cmp.Or(attempt.outcome, "not at all"), saw)
 			return c.mismatches
 		}
 	}
 	for _, attempt := range seen {
-		c.mismatchf("%s saw a pass that the answer has not (%s)", attempt.Server, cmp.Or(attempt.Answer, "no answer"))
+		c.mismatchf("%s saw a pass that the answer has not (%s)", attempt.Endpoint, cmp.Or(attempt.Answer, "no answer"))
 	}
 	c.checkAnswer()
 	return c.mismatches
@@ -123,7 +123,7 @@
 // checkAnswer compares the final answer with what the client got.
 func (c *checker) checkAnswer() {
 	explanation, session := c.explanation, c.session
-	stood := slices.ContainsFunc(explanation.Events, func(event explain.Event) bool { return event.What == "up" })
+	stood := slices.ContainsFunc(explanation.Events, func(event explain.Event) bool { return event.Kind == "up" })
 	last := explanation.Events[len(explanation.Events)-1]
 	switch session.Answer {
 	case "up":
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -41,9 +41,9 @@
 
 // RateMost and ForMost bound the load of a demonstration on a machine.
 const (
-	RateMost   = 500
-	ForMost    = time.Hour
-	maxClients = 4000 // at a time
+	MaxRate     = 500
+	MaxDuration = time.Hour
+	maxClients  = 4000 // at a time
 )
 
 const (
@@ -56,19 +56,19 @@
 	switch {
 	case options.Servers < 2 || options.Servers > 64:
 		return fmt.Errorf("%d servers are not within 2 and 64", options.Servers)
-	case !(options.Rate > 0 && options.Rate <= RateMost):
-		return fmt.Errorf("a rate of %v is not within 0 and %d", options.Rate, RateMost)
-	case options.For < time.Second || options.For > ForMost:
-		return fmt.Errorf("%v is not within a second and %v", options.For, ForMost)
+	case !(options.Rate > 0 && options.Rate <= MaxRate):
+		return fmt.Errorf("a rate of %v is not within 0 and %d", options.Rate, MaxRate)
+	case options.For < time.Second || options.For > MaxDuration:
+		return fmt.Errorf("%v is not within a second and %v", options.For, MaxDuration)
 	case !(options.AMQP >= 0 && options.AMQP <= 1):
 		return fmt.Errorf("a part of %v is not within 0 and 1", options.AMQP)
 	}
 	return nil
 }
 
-// Usual returns the default script of a demonstration of a length: one server hangs, one is
+// DefaultOptions returns the default script of a demonstration of a length: one server hangs, one is
 // full for a while, one drains, one is killed and restarts, and clients drop.
-func Usual(length time.Duration) string {
+func DefaultOptions(length time.Duration) string {
 	at := func(part float64) time.Duration { return time.Duration(part * float64(length)).Round(time.Millisecond) }
 	return fmt.Sprintf(`; a server takes clients and answers none
 (at %v (hang s-1 %v))
@@ -89,14 +89,14 @@
 
 // Result is the result of a demonstration.
 type Result struct {
-	Visits   int
+	Sessions int
 	Asked    int
 	Gone     int // of those asked for, no longer retained
 	Crossed  int // attempts whose end the two sides saw differently, but at the same time
 	Spans    int // that were compared with explanations
 	Bad      []string
 	Record   string // the console's status of the decision log
-	Passes   int
+	Attempts int
 	ByAnswer map[string]int
 }
 
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	defer site.Stop()
-	actions, err := fake.ParseScript(cmp.Or(options.Script, Usual(options.For)), site.Names())
+	actions, err := fake.ParseScript(cmp.Or(options.Script, DefaultOptions(options.For)), site.Names())
 	if err != nil {
 		return nil, fmt.Errorf("script: %w", err)
 	}
@@ -203,10 +203,10 @@
 	d.telemetry = &http.Server{Handler: d.collector, ReadHeaderTimeout: 5 * time.Second}
 	go func() { _ = d.telemetry.Serve(l) }()
 	operator := &config.Operator{
-		AMQP:    config.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
-		Console: config.Console{Socket: d.socket},
-		OTLP:    config.OTLP{Endpoint: "http://" + l.Addr().String()},
-		Why:     config.Why{Bytes: &d.Bytes},
+		AMQP:        config.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
+		Console:     config.Console{Socket: d.socket},
+		OTLP:        config.OTLP{Endpoint: "http://" + l.Addr().String()},
+		DecisionLog: config.DecisionLog{Bytes: &d.Bytes},
 	}
 	ctx, d.cancel = context.WithCancel(ctx)
 	d.ended = make(chan error, 1)
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -28,8 +28,8 @@
 	if len(result.Bad) > 0 {
 		t.Error(strings.Join(result.Bad, "\n"))
 	}
-	if asked := min(result.Visits, options.Asks); result.Asked != asked || result.Visits < 150 || result.Gone > asked/10 || result.Spans < asked/2 || result.Crossed > asked/10 {
-		t.Errorf("of %d visits %d were asked for, %d gone, %d crossed, %d spans", result.Visits, result.Asked, result.Gone, result.Crossed, result.Spans)
+	if asked := min(result.Sessions, options.Asks); result.Asked != asked || result.Sessions < 150 || result.Gone > asked/10 || result.Spans < asked/2 || result.Crossed > asked/10 {
+		t.Errorf("of %d visits %d were asked for, %d gone, %d crossed, %d spans", result.Sessions, result.Asked, result.Gone, result.Crossed, result.Spans)
 	}
 	for _, want := range []string{"s-1 hangs", "s-2 drains", "s-4 is killed", "30% of the clients drop", "live-preview", "moved off s-2, which drains", "SET-UP"} {
 		if !strings.Contains(out.String(), want) {
--- a/internal/demo/explanations.go
+++ b/internal/demo/explanations.go
@@ -14,9 +14,9 @@
 // clients and servers saw. It returns the explanations by the clients' names of requests.
 func (d *demonstration) checkExplanations() (map[string]*explain.Explanation, error) {
 	sessions := d.site.Log.Sessions()
-	d.result.Visits = len(sessions)
+	d.result.Sessions = len(sessions)
 	attempts := d.site.Log.Attempts()
-	d.result.Passes = len(attempts)
+	d.result.Attempts = len(attempts)
 	byName := make(map[string][]fake.Attempt)
 	for _, attempt := range attempts {
 		byName[attempt.Name] = append(byName[attempt.Name], attempt)
--- a/internal/demo/spans.go
+++ b/internal/demo/spans.go
@@ -47,7 +47,7 @@
 		reason := ""
 		for _, step := range explanation.Events {
 			switch {
-			case step.What == "outcome":
+			case step.Kind == "outcome":
 				fmt.Fprintf(&passes, "%s %s;", step.Endpoint, step.Outcome)
 			case step.Reason != "":
 				reason = step.Reason
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -84,7 +84,7 @@
 		running.Go(func() { _ = relay.Run(ctx) })
 		serve := func(statuses ...balancer.AttemptStatus) (*scriptedFrontend, *Explanation) {
 			frontend := &scriptedFrontend{statuses: statuses, endpoints: relay.Endpoints}
-			relay.Serve(ctx, proxy.Request{Front: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: relay.Clock.Now() + 4*time.Second}}, frontend)
+			relay.Serve(ctx, proxy.Request{Frontend: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: relay.Clock.Now() + 4*time.Second}}, frontend)
 			synctest.Wait()
 			entries, err := log.Name("a")
 			if err != nil {
@@ -96,11 +96,11 @@
 			t.Helper()
 			var attempts, decisions []string
 			for _, event := range explanation.Events {
-				if event.What == "outcome" {
+				if event.Kind == "outcome" {
 					attempts = append(attempts, event.Endpoint+" "+event.Outcome)
 				}
 				if event.Reason != "" {
-					decisions = append(decisions, event.What+" "+event.Reason)
+					decisions = append(decisions, event.Kind+" "+event.Reason)
 				}
 			}
 			if fmt.Sprint(attempts) != fmt.Sprint(frontend.attempts) || strings.Join(decisions, ", ") != reasons || explanation.Result != answer || explanation.Events[0].Revision != 17 {
@@ -160,7 +160,7 @@
 			number := uint64(0)
 			serveOne := func() {
 				number++
-				observer = log.Began(number, proxy.Request{Front: "line", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: clock.Now() + time.Second}})
+				observer = log.RequestStarted(number, proxy.Request{Frontend: "line", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: clock.Now() + time.Second}})
 				id, now := balancer.RequestID(number), clock.Now()
 				module.Handle(now, balancer.Request{ID: id, Group: number % 64, TimeLeft: time.Second})
 				module.Handle(now, balancer.ClientLeft{Request: id})
--- a/internal/explain/counts.go
+++ b/internal/explain/counts.go
@@ -135,7 +135,7 @@
 	case "tenant":
 		return entry.Tenant
 	case "front":
-		return entry.Front
+		return entry.Frontend
 	case "answer":
 		return entry.ResultName()
 	case "cause":
--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -13,7 +13,7 @@
 // explainDecision explains a decision of the balancer: its figures, then its text.
 func (e *Explainer) explainDecision(out *Event, event *decisionlog.Event) {
 	decision := &event.Decision
-	out.What, out.Reason = decision.Verdict.String(), decision.Reason.String()
+	out.Kind, out.Reason = decision.Verdict.String(), decision.Reason.String()
 	out.Attempt, out.Repeats = decision.Attempt, event.Repeats
 	out.WaitMS, out.TimeLeftMS = milliseconds(decision.Wait), milliseconds(decision.TimeLeft)
 	out.ReadyEndpoints, out.SlowShare = decision.ReadyEndpoints, roundFraction(decision.SlowShare)
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -43,13 +43,13 @@
 
 func (e *environment) beginRequest(class string, change func(*proxy.Request)) proxy.RequestObserver {
 	e.lastNumber++
-	request := proxy.Request{Front: "line", Class: class, Name: fmt.Sprintf("%016x", e.lastNumber), RequestOptions: balancer.RequestOptions{
+	request := proxy.Request{Frontend: "line", Class: class, Name: fmt.Sprintf("%016x", e.lastNumber), RequestOptions: balancer.RequestOptions{
 		Group: 0x5c0f, Item: 0x7f00 + e.lastNumber, Deadline: e.log.Clock().Now() + 2*time.Second,
 	}}
 	if change != nil {
 		change(&request)
 	}
-	return e.log.Began(e.lastNumber, request)
+	return e.log.RequestStarted(e.lastNumber, request)
 }
 
 // recordDecision records a decision that considered endpoints, of which the first is selected.
@@ -192,7 +192,7 @@
 			observer.Established()
 			observer.Ended(proxy.Result{End: registry.EndClosed})
 		}
-		env.beginRequest("print", func(request *proxy.Request) { request.Front, request.Returning = "amqp", true }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit}) // 5
+		env.beginRequest("print", func(request *proxy.Request) { request.Frontend, request.Returning = "amqp", true }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit}) // 5
 		if err := env.log.Pin(3, true); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/explain/explainer.go
+++ b/internal/explain/explainer.go
@@ -32,14 +32,14 @@
 	before, after := e.related(entry)
 	if before != nil {
 		explanation.Before = &RelatedRequest{
-			Number: before.Number, By: relationOf(before, entry), Answer: before.ResultName(),
+			Number: before.Number, By: relationOf(before, entry), Result: before.ResultName(),
 			Text: fmt.Sprintf("its client came back from %d (%s), %s, %s before",
 				before.Number, relationText(before, entry), e.resultClause(before), formatDuration(entry.StartedAt-before.LastEventAt())),
 		}
 	}
 	if after != nil {
 		explanation.After = &RelatedRequest{
-			Number: after.Number, By: relationOf(entry, after), Answer: after.ResultName(),
+			Number: after.Number, By: relationOf(entry, after), Result: after.ResultName(),
 			Text: fmt.Sprintf("its client came again %s later as %d (%s), %s",
 				formatDuration(after.StartedAt-entry.LastEventAt()), after.Number, relationText(entry, after), e.resultClause(after)),
 		}
@@ -52,13 +52,13 @@
 	clock := e.Log.Clock()
 	explanation := &Explanation{
 		Number:        entry.Number,
-		Front:         entry.Front,
+		Frontend:      entry.Frontend,
 		Name:          entry.Name,
 		NameCut:       entry.NameCut,
 		Class:         entry.Class,
 		Tenant:        entry.Tenant,
 		Group:         formatKey(entry.Group),
-		Flow:          formatKey(entry.Item),
+		Flow:          formatKey(entry.Flow),
 		ReceivedAt:    clock.Wall(entry.StartedAt),
 		TimeLimitMS:   milliseconds(entry.TimeLimit),
 		Load:          entry.Load * 1e6,
@@ -95,15 +95,15 @@
 	case decisionlog.EventDecision:
 		e.explainDecision(&out, event)
 	case decisionlog.EventAttemptStarted:
-		out.What, out.Endpoint = "pass", e.Names.Name(event.Endpoint)
+		out.Kind, out.Endpoint = "pass", e.Names.Name(event.Endpoint)
 		out.Text = "connects to " + out.Endpoint
 	case decisionlog.EventAttemptEnded:
-		out.What, out.Endpoint, out.Outcome = "outcome", e.Names.Name(event.Endpoint), registry.StatusNames[event.Status]
+		out.Kind, out.Endpoint, out.Outcome = "outcome", e.Names.Name(event.Endpoint), registry.StatusNames[event.Status]
 		out.Text = out.Endpoint + " " + attemptStatusTexts[event.Status]
 	case decisionlog.EventEstablished:
-		out.What, out.Text = "up", "the client is told that it is up"
+		out.Kind, out.Text = "up", "the client is told that it is up"
 	case decisionlog.EventEnded:
-		out.What = "end"
+		out.Kind = "end"
 		out.WaitMS = milliseconds(event.Result.RetryAfter)
 		out.Text = resultText(event.Result)
 		if establishedAt > 0 {
--- a/internal/explain/explanation.go
+++ b/internal/explain/explanation.go
@@ -7,7 +7,7 @@
 // Names of fields that end in MS are times in milliseconds.
 type Explanation struct {
 	Number        uint64          `cbor:"number" json:"number"`
-	Front         string          `cbor:"front" json:"front"`
+	Frontend      string          `cbor:"front" json:"front"`
 	Name          string          `cbor:"name" json:"name"`
 	NameCut       bool            `cbor:"name_cut,omitempty" json:"name_cut,omitempty"`
 	Class         string          `cbor:"class" json:"class"`
@@ -35,7 +35,7 @@
 // Event is one thing that happened to a request.
 type Event struct {
 	AfterMS        float64              `cbor:"after_ms" json:"after_ms"` // since the request was received
-	What           string               `cbor:"what" json:"what"`         // sent, held, refused, failed, moved, pass, outcome, up or end
+	Kind           string               `cbor:"what" json:"what"`         // sent, held, refused, failed, moved, pass, outcome, up or end
 	Reason         string               `cbor:"reason,omitempty" json:"reason,omitempty"`
 	Attempt        int                  `cbor:"attempt,omitempty" json:"attempt,omitempty"`
 	Endpoint       string               `cbor:"server,omitempty" json:"server,omitempty"`
@@ -69,6 +69,6 @@
 type RelatedRequest struct {
 	Number uint64 `cbor:"number" json:"number"`
 	By     string `cbor:"by" json:"by"` // flow, name or group
-	Answer string `cbor:"answer" json:"answer"`
+	Result string `cbor:"answer" json:"answer"`
 	Text   string `cbor:"text" json:"text"`
 }
--- a/internal/explain/fields.go
+++ b/internal/explain/fields.go
@@ -28,11 +28,11 @@
 	filterFields = []filterField{
 		{"number", "N ...", "these numbers", matchWord(func(entry *decisionlog.Entry) string { return strconv.FormatUint(entry.Number, 10) })},
 		{"name", "NAME ...", "as the client calls it", matchWord(func(entry *decisionlog.Entry) string { return entry.Name })},
-		{"flow", "KEY ...", "the flow's key, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Item })},
+		{"flow", "KEY ...", "the flow's key, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Flow })},
 		{"group", "KEY ...", "the group, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Group })},
 		{"class", "CLASS ...", "its class", matchWord(func(entry *decisionlog.Entry) string { return entry.Class })},
 		{"tenant", "TENANT ...", "whose it is", matchWord(func(entry *decisionlog.Entry) string { return entry.Tenant })},
-		{"front", "FRONT ...", "the front that it came by", matchWord(func(entry *decisionlog.Entry) string { return entry.Front })},
+		{"front", "FRONT ...", "the front that it came by", matchWord(func(entry *decisionlog.Entry) string { return entry.Frontend })},
 		{"server", "SERVER ...", "sent to one of these", matchEndpoint},
 		{
 			"answer", "ANSWER ...", "how it ended, or how far it has come: " + strings.Join(resultNames, ", "),
--- a/internal/explain/format.go
+++ b/internal/explain/format.go
@@ -37,7 +37,7 @@
 	if x.NameCut {
 		ellipsis = "..."
 	}
-	fmt.Fprintf(out, "transaction %d, front %s, name %s%s, class %s", x.Number, x.Front, cmp.Or(x.Name, "-"), ellipsis, x.Class)
+	fmt.Fprintf(out, "transaction %d, front %s, name %s%s, class %s", x.Number, x.Frontend, cmp.Or(x.Name, "-"), ellipsis, x.Class)
 	if x.Tenant != "" {
 		fmt.Fprintf(out, ", tenant %s", x.Tenant)
 	}
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -23,7 +23,7 @@
 		Considered: []balancer.ConsideredEndpoint{consideredEndpoint(1, 0), consideredEndpoint(2, balancer.ExcludedSlow|balancer.ExcludedDraining)},
 	}
 	return &decisionlog.Entry{
-		Number: 7, Front: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Item: 0x7f01, StartedAt: startedAt,
+		Number: 7, Frontend: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Flow: 0x7f01, StartedAt: startedAt,
 		TimeLimit: 2 * time.Second, Load: 0.00025, Returning: true, HeadEvicted: true, EventsOmitted: true, Notable: true, Pinned: true, Ended: true,
 		Events: []decisionlog.Event{
 			{Kind: decisionlog.EventDecision, At: startedAt, Decision: decision, Repeats: 5},
@@ -44,8 +44,8 @@
 	time.Sleep(5 * time.Second)
 	explanation := env.explainer.explainAlone(fullEntry(env.startedAt))
 	explanation.ReceivedAt = fixedTime
-	explanation.Before = &RelatedRequest{Number: 6, By: "flow", Answer: "moved", Text: "its client came back from 6"}
-	explanation.After = &RelatedRequest{Number: 8, By: "name", Answer: "up", Text: "its client came again"}
+	explanation.Before = &RelatedRequest{Number: 6, By: "flow", Result: "moved", Text: "its client came back from 6"}
+	explanation.After = &RelatedRequest{Number: 8, By: "name", Result: "up", Text: "its client came again"}
 	return explanation
 }
 
@@ -85,7 +85,7 @@
 		var text strings.Builder
 		writeEvent := func(event decisionlog.Event) {
 			explained := env.explainer.explainEvent(entry, &event, 0)
-			fmt.Fprintf(&text, "%s|%s|%s|%s\n", explained.What, explained.Reason, explained.Outcome, explained.Text)
+			fmt.Fprintf(&text, "%s|%s|%s|%s\n", explained.Kind, explained.Reason, explained.Outcome, explained.Text)
 		}
 		for verdict := range balancer.VerdictNames {
 			for reason := range balancer.ReasonNames {
--- a/internal/explain/related.go
+++ b/internal/explain/related.go
@@ -50,9 +50,9 @@
 // relationOf returns the most certain of what two requests have in common, "" if nothing.
 func relationOf(x, y *decisionlog.Entry) string {
 	switch {
-	case x.Name != "" && x.Name == y.Name && x.Front == y.Front:
+	case x.Name != "" && x.Name == y.Name && x.Frontend == y.Frontend:
 		return "name"
-	case x.Item != 0 && x.Item == y.Item:
+	case x.Flow != 0 && x.Flow == y.Flow:
 		return "flow"
 	case x.Group != 0 && x.Group == y.Group:
 		return "group"
--- a/internal/fake/attemptrecord.go
+++ b/internal/fake/attemptrecord.go
@@ -25,7 +25,7 @@
 }
 
 func (s *Server) newRecord(attempt Attempt) *attemptRecord {
-	attempt.Server = s.Name
+	attempt.Endpoint = s.Name
 	return &attemptRecord{log: s.Log, attempt: s.Log.addAttempt(attempt)}
 }
 
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -8,7 +8,7 @@
 
 // Attempt is what a server saw of one attempt.
 type Attempt struct {
-	Server    string
+	Endpoint  string
 	Frontend  string // line or amqp
 	Name      string // of the request, as its client calls it
 	Class     string
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -144,7 +144,7 @@
 // of JSON, until the input ends.
 func (p *Proxy) ServeCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, sexp.TextMost)
+	lines.Buffer(nil, sexp.MaxTextBytes)
 	encoder := json.NewEncoder(out)
 	for lines.Scan() {
 		command := strings.TrimSpace(lines.Text())
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -141,7 +141,7 @@
 		}},
 	{name: "a server restarts and is cold", scenario: Scenario{Rate: 10, Duration: 7 * second, MeanLifetime: second, Actions: `(at 2s (restart s-1 1s))`,
 		Limits: invariants.Limits{Late: 50 * ms, Drain: 550 * ms, Held: 1050 * ms, ColdFor: 5 * second, ColdShare: 0.2, Tip: 3, TipAfter: second, Capacity: 10. / serverCount}}, served: 0.8,
-		broken: func(attempt fake.Attempt) bool { return attempt.Server == "s-1" }},
+		broken: func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-1" }},
 	{name: "a server drains while the list is 4 s behind", scenario: Scenario{Rate: 6, Duration: 7 * second, MeanLifetime: 2 * second, Actions: `(at 1s (drain s-1))`,
 		Rules: `(rule a (route discovery) (direction down) (latency 4s))`, Limits: limitsOfLateList(4 * second)}, served: 0.85},
 
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -67,10 +67,10 @@
 	for _, action := range actions {
 		faulty[action.Server] = faulty[action.Server] || action.Kind == "restart"
 	}
-	history.Broken = func(attempt fake.Attempt) bool { return faulty[attempt.Server] }
+	history.Broken = func(attempt fake.Attempt) bool { return faulty[attempt.Endpoint] }
 	byServer := make(map[string]string)
 	for _, attempt := range history.Attempts {
-		byServer[attempt.Name] = attempt.Server
+		byServer[attempt.Name] = attempt.Endpoint
 	}
 	// What a client got garbled or late from a faulty server is due to the fault.
 	for i := range history.Sessions {
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -182,7 +182,7 @@
 	select {
 	case <-c.done:
 		return
-	case <-c.frontend.Proxy.Closing().Done():
+	case <-c.frontend.Proxy.RejectingPending().Done():
 	}
 	select {
 	case <-c.done:
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -38,10 +38,10 @@
 	address := terminusAddress(attach)
 	placement := f.findPlacement(address, container)
 	request := proxy.Request{
-		Front:  "amqp",
-		Name:   container + "/" + name, // a link's name is unique between two containers
-		Class:  codec.AsString(properties.Get(propClass)),
-		Tenant: codec.AsString(properties.Get(propTenant)),
+		Frontend: "amqp",
+		Name:     container + "/" + name, // a link's name is unique between two containers
+		Class:    codec.AsString(properties.Get(propClass)),
+		Tenant:   codec.AsString(properties.Get(propTenant)),
 	}
 	request.Settings = f.Proxy.Settings()
 	if request.Class == "" && placement != nil {
--- a/internal/frontend/line/frontend.go
+++ b/internal/frontend/line/frontend.go
@@ -108,7 +108,7 @@
 // reports whether that is prevented; if not, shortened is closed once the deadline is set.
 func (f *Frontend) shortenOpeningAtShutdown(client *clientConn, admission *listener.Admission) (stop func() bool, shortened <-chan struct{}) {
 	done := make(chan struct{})
-	stop = context.AfterFunc(f.Proxy.Closing(), func() {
+	stop = context.AfterFunc(f.Proxy.RejectingPending(), func() {
 		defer close(done)
 		if deadline := time.Now().Add(openingGracePeriod); deadline.Before(admission.IdleSince.Add(listener.OpeningTimeout)) {
 			client.SetReadDeadline(deadline)
@@ -123,7 +123,7 @@
 func (f *Frontend) readOpening(client *clientConn) (line []byte, ok bool) {
 	for pings := 0; ; pings++ {
 		text, err := client.reader.ReadSlice('\n')
-		if errors.Is(err, os.ErrDeadlineExceeded) && f.Proxy.Closing().Err() != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) && f.Proxy.RejectingPending().Err() != nil {
 			client.writeLastLine(busyLine(0))
 			go client.drain()
 			client.finish()
@@ -190,7 +190,7 @@
 // newRequest returns the request that an opening makes. class is the index of its class.
 func (f *Frontend) newRequest(opened opening, settings *balancer.Settings, class int) proxy.Request {
 	return proxy.Request{
-		Front: frontendName, Name: opened.id, Class: opened.class, Tenant: opened.tenant, EndpointName: opened.endpointName,
+		Frontend: frontendName, Name: opened.id, Class: opened.class, Tenant: opened.tenant, EndpointName: opened.endpointName,
 		RequestOptions: balancer.RequestOptions{
 			Settings: settings, Class: class, Item: opened.item, Group: opened.group, ExpectedLoad: opened.load, Returning: opened.returning,
 			Deadline: f.Proxy.Clock.Now() + opened.timeout, Established: opened.endpointName != "",
--- a/internal/frontend/line/handoff.go
+++ b/internal/frontend/line/handoff.go
@@ -157,7 +157,7 @@
 	x.adopted = true
 	x.toEndpoint, x.toClient = newDirection(state.ToEndpoint.splitter()), newDirection(state.ToClient.splitter())
 	settings := f.Proxy.Settings()
-	adoptedRequest := proxy.Request{Front: "line", Name: request.Name, Class: request.Class, Tenant: request.Tenant, RequestOptions: balancer.RequestOptions{
+	adoptedRequest := proxy.Request{Frontend: "line", Name: request.Name, Class: request.Class, Tenant: request.Tenant, RequestOptions: balancer.RequestOptions{
 		Settings: settings, Class: settings.ClassIndex(request.Class), Item: request.Item, Group: request.Group, ExpectedLoad: request.Load, Returning: request.Returning,
 	}}
 	id, _ := f.Proxy.Endpoints.Lookup(request.Endpoint)
--- a/internal/frontend/line/handoff_test.go
+++ b/internal/frontend/line/handoff_test.go
@@ -84,7 +84,7 @@
 // requestRecorder is an observer that sends on each request that begins.
 type requestRecorder chan proxy.Request
 
-func (a requestRecorder) Began(_ uint64, ask proxy.Request) proxy.RequestObserver {
+func (a requestRecorder) RequestStarted(_ uint64, ask proxy.Request) proxy.RequestObserver {
 	a <- ask
 	return silentObserver{}
 }
--- a/internal/healthcheck/prober/probe.go
+++ b/internal/healthcheck/prober/probe.go
@@ -67,8 +67,10 @@
 	return nil
 }
 
-// Began observes a request's attempts. It implements proxy.Observer.
-func (p *Prober) Began(uint64, proxy.Request) proxy.RequestObserver { return attemptObserver{p} }
+// RequestStarted observes a request's attempts. It implements proxy.Observer.
+func (p *Prober) RequestStarted(uint64, proxy.Request) proxy.RequestObserver {
+	return attemptObserver{p}
+}
 
 // attemptObserver reports the outcomes of attempts to the tracker.
 type attemptObserver struct{ *Prober }
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -130,14 +130,14 @@
 // checkAttempt checks what a server saw of a client.
 func (c *checker) checkAttempt(session fake.Session, attempt fake.Attempt) {
 	if attempt.Garbled > 0 {
-		c.add(Intact, attempt.At, "%s got %d lines of %s that were not as sent", attempt.Server, attempt.Garbled, session.Name)
+		c.add(Intact, attempt.At, "%s got %d lines of %s that were not as sent", attempt.Endpoint, attempt.Garbled, session.Name)
 	}
 	if attempt.MaxHeld > c.Limits.Held {
-		c.add(Prompt, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Server, attempt.MaxHeld)
+		c.add(Prompt, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Endpoint, attempt.MaxHeld)
 	}
 	// It was cut off although its server would have gone on.
 	if session.End == "broken" && attempt.Answer == "up" && (attempt.End == "gone" || attempt.End == "bye") {
-		c.add(Migrated, attempt.Ended, "%s was cut off, and %s had not ended it", session.Name, attempt.Server)
+		c.add(Migrated, attempt.Ended, "%s was cut off, and %s had not ended it", session.Name, attempt.Endpoint)
 	}
 }
 
@@ -152,7 +152,7 @@
 		}
 		next := attempts[i+1]
 		if until.IsZero() || next.At.Before(until.Add(-c.Limits.Late)) {
-			c.add(Once, next.At, "%s came to %s while its pass to %s was out", name, next.Server, attempt.Server)
+			c.add(Once, next.At, "%s came to %s while its pass to %s was out", name, next.Endpoint, attempt.Endpoint)
 		}
 	}
 }
@@ -175,9 +175,9 @@
 		}
 	}
 	for _, attempt := range c.Attempts {
-		for _, out := range unavailable[attempt.Server] {
+		for _, out := range unavailable[attempt.Endpoint] {
 			if attempt.At.After(out.from.Add(c.Limits.Drain)) && (out.to.IsZero() || attempt.At.Before(out.to)) {
-				c.add(Drained, attempt.At, "%s came to %s %v after its drain was told", attempt.Name, attempt.Server, attempt.At.Sub(out.from))
+				c.add(Drained, attempt.At, "%s came to %s %v after its drain was told", attempt.Name, attempt.Endpoint, attempt.At.Sub(out.from))
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 	var arrivals []time.Time
 	for _, attempt := range c.Attempts {
 		age := attempt.At.Sub(start.At)
-		if attempt.Server == start.Endpoint && age >= -c.Limits.TipAfter && age < c.Limits.ColdFor {
+		if attempt.Endpoint == start.Endpoint && age >= -c.Limits.TipAfter && age < c.Limits.ColdFor {
 			arrivals = append(arrivals, attempt.At)
 		}
 	}
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -28,10 +28,10 @@
 			{Name: "d", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: 10 * ms, End: "moved"},
 		},
 		Attempts: []fake.Attempt{
-			{Name: "a", Server: "s-1", At: at(0), Answer: "busy", Answered: at(100 * ms), Closed: at(900 * ms)},
-			{Name: "a", Server: "s-2", At: at(100 * ms), Closed: at(600 * ms)},
-			{Name: "a", Server: "s-3", At: at(600 * ms), Answer: "up", End: "broken", Ended: at(5 * time.Second), Closed: at(5 * time.Second), MaxHeld: 1050 * ms},
-			{Name: "d", Server: "s-4", At: at(10*time.Second + 550*ms), Answer: "up", End: "gone", Closed: at(12 * time.Second)},
+			{Name: "a", Endpoint: "s-1", At: at(0), Answer: "busy", Answered: at(100 * ms), Closed: at(900 * ms)},
+			{Name: "a", Endpoint: "s-2", At: at(100 * ms), Closed: at(600 * ms)},
+			{Name: "a", Endpoint: "s-3", At: at(600 * ms), Answer: "up", End: "broken", Ended: at(5 * time.Second), Closed: at(5 * time.Second), MaxHeld: 1050 * ms},
+			{Name: "d", Endpoint: "s-4", At: at(10*time.Second + 550*ms), Answer: "up", End: "gone", Closed: at(12 * time.Second)},
 		},
 		EndpointChanges: []fake.EndpointChange{{At: at(-time.Second), Endpoint: "s-4", State: "ready"}, {At: at(10 * time.Second), Endpoint: "s-4", State: "draining"}},
 	}
@@ -46,7 +46,7 @@
 		history.EndpointChanges = append(history.EndpointChanges, fake.EndpointChange{At: at(20 * time.Second), Endpoint: "s-9", State: fake.Killed}, fake.EndpointChange{At: at(30 * time.Second), Endpoint: "s-9", State: "ready"})
 		for i := range n {
 			came := at(30*time.Second + after + time.Duration(i)*ms)
-			history.Attempts = append(history.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Server: "s-9", At: came, Closed: came.Add(ms)})
+			history.Attempts = append(history.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Endpoint: "s-9", At: came, Closed: came.Add(ms)})
 		}
 	}
 	for name, c := range map[string]struct {
@@ -91,7 +91,7 @@
 			history.Sessions[3].Garbled, history.Spoiled = 1, func(session fake.Session) bool { return session.Name == "d" }
 		},
 		"broken on purpose": func(history *History) {
-			history.Attempts[2].End, history.Broken = "gone", func(attempt fake.Attempt) bool { return attempt.Server == "s-3" }
+			history.Attempts[2].End, history.Broken = "gone", func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-3" }
 		},
 	} {
 		history := validHistory()
--- a/internal/logging/requests.go
+++ b/internal/logging/requests.go
@@ -21,12 +21,12 @@
 	Name  func(balancer.EndpointID) string // returns an endpoint's name; any goroutine calls it
 }
 
-// Began returns the observer of one request.
-func (o *RequestObserver) Began(number uint64, request proxy.Request) proxy.RequestObserver {
+// RequestStarted returns the observer of one request.
+func (o *RequestObserver) RequestStarted(number uint64, request proxy.Request) proxy.RequestObserver {
 	return &requestLogger{
 		RequestObserver: o,
 		number:          number,
-		front:           request.Front,
+		front:           request.Frontend,
 		class:           request.Class,
 		tenant:          request.Tenant,
 		requestName:     request.Name,
--- a/internal/proxy/encoding_test.go
+++ b/internal/proxy/encoding_test.go
@@ -11,7 +11,7 @@
 // completeEstablishedRequest returns an established request as one process sends it to the next, with every field set.
 func completeEstablishedRequest() EstablishedRequest {
 	return EstablishedRequest{
-		Front: "line", Name: "9b1f03aa5c7e2d41", Class: "page", Tenant: "cedar", Endpoint: "s-5be2a07c",
+		Frontend: "line", Name: "9b1f03aa5c7e2d41", Class: "page", Tenant: "cedar", Endpoint: "s-5be2a07c",
 		Item: 0xfedcba9876543210, Group: 0x123456789abcdef1, Load: 0.0078125, Returning: true, UnansweredSince: 1234567890 * time.Nanosecond,
 		FrontendState: json.RawMessage(`{"Mid":true,"Up":{"Text":"TiA3IHc="},"Down":{"Long":true}}`),
 	}
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -16,7 +16,7 @@
 // EstablishedRequest is an established request as one process of a relay hands it to the
 // next. Times are on the clock that the two have in common.
 type EstablishedRequest struct {
-	Front           string          `json:"Front"`
+	Frontend        string          `json:"Front"`
 	Name            string          `json:"Name"`
 	Class           string          `json:"Class"`
 	Tenant          string          `json:"Tenant"` // "" if the settings name none, or from a process that doesn't send it
@@ -52,7 +52,7 @@
 func (p *Proxy) Adopt(ctx context.Context, established *EstablishedRequest, request Request, downstream Downstream, conn UpstreamConn) {
 	request.EndpointName, request.Established = established.Endpoint, true
 	number, ok := p.Requests.Adopt(registry.Request{
-		Front: request.Front, Name: request.Name, Class: request.Class, Since: p.Clock.Now(),
+		Frontend: request.Frontend, Name: request.Name, Class: request.Class, Since: p.Clock.Now(),
 	})
 	if !ok {
 		conn.Close()
@@ -107,7 +107,7 @@
 	heartbeat.mu.Lock()
 	defer heartbeat.mu.Unlock()
 	return &EstablishedRequest{
-		Front:           r.request.Front,
+		Frontend:        r.request.Frontend,
 		Name:            r.request.Name,
 		Class:           r.request.Class,
 		Tenant:          r.request.Tenant,
--- a/internal/proxy/handoff_test.go
+++ b/internal/proxy/handoff_test.go
@@ -38,7 +38,7 @@
 			downstreams = append(downstreams, downstream)
 			name := string(rune('a' + len(downstreams)))
 			running.Go(func() {
-				downstream.proxy.Serve(context.Background(), Request{Front: "fake", Name: name, RequestOptions: balancer.RequestOptions{Deadline: proxy.Clock.Now() + 5*time.Second}}, downstream)
+				downstream.proxy.Serve(context.Background(), Request{Frontend: "fake", Name: name, RequestOptions: balancer.RequestOptions{Deadline: proxy.Clock.Now() + 5*time.Second}}, downstream)
 			})
 			time.Sleep(500 * time.Millisecond) // of the fake clock
 		}
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -44,7 +44,7 @@
 		if open := proxy.Requests.Len(); open != 0 {
 			t.Errorf("%d requests are still open", open)
 		}
-		if violations := assert.Broken(); violations != 0 {
+		if violations := assert.Violations(); violations != 0 {
 			t.Errorf("%d invariants are violated", violations)
 		}
 		cancel()
@@ -152,7 +152,7 @@
 
 // serve serves a request and returns once it has ended.
 func (d *fakeDownstream) serve(ctx context.Context, wait time.Duration) {
-	d.proxy.Serve(ctx, Request{Front: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: d.proxy.Clock.Now() + wait}}, d)
+	d.proxy.Serve(ctx, Request{Frontend: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: d.proxy.Clock.Now() + wait}}, d)
 }
 
 // establish returns actions that all establish a connection of the same lifetime.
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -43,7 +43,7 @@
 // Observer observes all requests, rejected ones included. Its method is called from each
 // request's goroutine and must not block for long.
 type Observer interface {
-	Began(number uint64, request Request) RequestObserver
+	RequestStarted(number uint64, request Request) RequestObserver
 }
 
 // RequestObserver observes one request. Its own methods are called one at a time;
@@ -71,7 +71,7 @@
 func (all observers) begin(number uint64, request Request) requestObservers {
 	var begun requestObservers
 	for _, observer := range all {
-		begun = append(begun, observer.Began(number, request))
+		begun = append(begun, observer.RequestStarted(number, request))
 	}
 	return begun
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -13,7 +13,7 @@
 // Request is a client's request as a frontend hands it over.
 type Request struct {
 	balancer.RequestOptions
-	Front        string // the frontend's name
+	Frontend     string // the frontend's name
 	Name         string // as the client calls it; no two open requests of a frontend share one
 	Class        string
 	Tenant       string // by its name in the settings; "" where they name none
@@ -29,13 +29,13 @@
 		request.Settings = p.Settings()
 	}
 	number, ok := p.Requests.Add(registry.Request{
-		Front: request.Front, Name: request.Name, Class: request.Class, Since: now,
+		Frontend: request.Frontend, Name: request.Name, Class: request.Class, Since: now,
 	})
 	if !ok {
 		// A client uses the name of another's open request. Were it sent on, one endpoint
 		// after another would reject it and be blamed for that, and the route of the
 		// other's group would be dropped.
-		p.ProtocolError(request.Front, "a transaction of this name is open")
+		p.ProtocolError(request.Frontend, "a transaction of this name is open")
 		downstream.BadRequest("a transaction of this name is open")
 		p.Metrics.Class(request.Class).CountFailed()
 		return
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -29,8 +29,8 @@
 // none still waits when the process is killed.
 func (p *Proxy) RejectPending() { p.startRejecting() }
 
-// Closing returns a context that ends once RejectPending was called.
-func (p *Proxy) Closing() context.Context { return p.rejecting }
+// RejectingPending returns a context that ends once RejectPending was called.
+func (p *Proxy) RejectingPending() context.Context { return p.rejecting }
 
 // Migrating returns a channel that is closed once MigrateAll or HandOffAll was called.
 func (p *Proxy) Migrating() <-chan struct{} { return p.migrating.Done() }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -36,7 +36,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			proxy.Serve(context.Background(), Request{Front: "fake", RequestOptions: balancer.RequestOptions{Deadline: proxy.Clock.Now() + time.Second}}, downstream)
+			proxy.Serve(context.Background(), Request{Frontend: "fake", RequestOptions: balancer.RequestOptions{Deadline: proxy.Clock.Now() + time.Second}}, downstream)
 		}()
 		synctest.Wait()
 		proxy.MigrateAll(ms)
@@ -115,7 +115,7 @@
 		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusFull})}
 		started := proxy.Clock.Now()
 		time.AfterFunc(200*ms, proxy.RejectPending)
-		proxy.Serve(context.Background(), Request{Front: "fake", EndpointName: "s-0", RequestOptions: balancer.RequestOptions{Deadline: started + time.Second, Established: true}}, downstream)
+		proxy.Serve(context.Background(), Request{Frontend: "fake", EndpointName: "s-0", RequestOptions: balancer.RequestOptions{Deadline: started + time.Second, Established: true}}, downstream)
 		if took := proxy.Clock.Now() - started; took != 200*ms || fmt.Sprint(downstream.answers) != "[rejected]" {
 			t.Errorf("after %v the client was notified of %v", took, downstream.answers)
 		}
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -26,7 +26,7 @@
 // Request is an open request.
 type Request struct {
 	Number   uint64 // unique in the process
-	Front    string // the frontend's name
+	Frontend string // the frontend's name
 	Name     string // as the client calls it; "" if it has none
 	Class    string
 	Since    time.Duration // on the proxy's clock
@@ -35,13 +35,13 @@
 	Attempts int
 }
 
-func (r *Request) requestName() RequestName { return RequestName{Front: r.Front, Name: r.Name} }
+func (r *Request) requestName() RequestName { return RequestName{Frontend: r.Frontend, Name: r.Name} }
 
 // RequestName is what a request is called outside. A process sends the names of its open
 // requests to the next as JSON.
 type RequestName struct {
-	Front string `json:"Front"`
-	Name  string `json:"Name"`
+	Frontend string `json:"Front"`
+	Name     string `json:"Name"`
 }
 
 // Requests holds the open requests. It is safe for concurrent use.
--- a/internal/registry/requests_test.go
+++ b/internal/registry/requests_test.go
@@ -10,17 +10,17 @@
 func TestReservedNamesAreRefused(t *testing.T) {
 	previous, current := NewRequests(), NewRequests()
 	for _, name := range []string{"a", "b"} {
-		previous.Add(Request{Front: "line", Name: name})
+		previous.Add(Request{Frontend: "line", Name: name})
 	}
 	current.Reserve(previous.Names())
 	add := func(name string) bool {
-		_, ok := current.Add(Request{Front: "line", Name: name})
+		_, ok := current.Add(Request{Frontend: "line", Name: name})
 		return ok
 	}
 	if add("a") || add("b") || !add("c") {
 		t.Error("a name is accepted twice, or one that is free is refused")
 	}
-	if _, ok := current.Adopt(Request{Front: "line", Name: "a"}); !ok || add("a") {
+	if _, ok := current.Adopt(Request{Frontend: "line", Name: "a"}); !ok || add("a") {
 		t.Error("a request that was adopted")
 	}
 	if current.Release(); add("a") || !add("b") {
@@ -46,23 +46,23 @@
 // The name of an open request is refused, at its own frontend only.
 func TestNamesOfOpenRequestsAreRefused(t *testing.T) {
 	requests := NewRequests()
-	first, ok := requests.Add(Request{Front: "line", Name: "one"})
+	first, ok := requests.Add(Request{Frontend: "line", Name: "one"})
 	if !ok {
 		t.Fatal("a free name is refused")
 	}
-	if _, ok := requests.Add(Request{Front: "line", Name: "one"}); ok {
+	if _, ok := requests.Add(Request{Frontend: "line", Name: "one"}); ok {
 		t.Error("two share a name")
 	}
-	if _, ok := requests.Add(Request{Front: "amqp", Name: "one"}); !ok {
+	if _, ok := requests.Add(Request{Frontend: "amqp", Name: "one"}); !ok {
 		t.Error("a name is refused at another frontend")
 	}
 	requests.Remove(first)
 	requests.Remove(first)
-	if _, ok := requests.Add(Request{Front: "line", Name: "one"}); !ok {
+	if _, ok := requests.Add(Request{Frontend: "line", Name: "one"}); !ok {
 		t.Error("the name of a request that has ended is refused")
 	}
 	for range 2 {
-		if _, ok := requests.Add(Request{Front: "line"}); !ok {
+		if _, ok := requests.Add(Request{Frontend: "line"}); !ok {
 			t.Error("requests without a name are held for one")
 		}
 	}
@@ -71,7 +71,7 @@
 // The names of open requests go from one process to the next at an upgrade: the form stays.
 func TestRequestNameEncodingIsStable(t *testing.T) {
 	const form = `{"Front":"front-1","Name":"name-2"}`
-	want := RequestName{Front: "front-1", Name: "name-2"}
+	want := RequestName{Frontend: "front-1", Name: "name-2"}
 	text, err := json.Marshal(want)
 	if err != nil || string(text) != form {
 		t.Errorf("it is written as %s, %v", text, err)
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -72,8 +72,8 @@
 	return a.table().Each(true, func(_ string, _ time.Time, explanation explain.Explanation) bool { return do(&explanation) })
 }
 
-// Began returns an observer that enqueues a request once it has ended.
-func (a *archive) Began(number uint64, _ proxy.Request) proxy.RequestObserver {
+// RequestStarted returns an observer that enqueues a request once it has ended.
+func (a *archive) RequestStarted(number uint64, _ proxy.Request) proxy.RequestObserver {
 	return archivedRequest{archive: a, number: number}
 }
 
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -33,7 +33,7 @@
 			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
 		},
 		ReportTimings: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTime: 7}},
-		OpenRequests:  []registry.RequestName{{Front: "line", Name: "9b1f03aa5c7e2d41"}, {Front: "amqp", Name: "container/name"}},
+		OpenRequests:  []registry.RequestName{{Frontend: "line", Name: "9b1f03aa5c7e2d41"}, {Frontend: "amqp", Name: "container/name"}},
 		SlotsInUse:    []int{17, 4},
 		DrainDirectives: []persistence.DrainDirective{{
 			Endpoint: "s-1", By: "uid 1000", Reason: "new strings",
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -59,7 +59,7 @@
 		limits.lineSlots = max(1, sockets*slotEighths/8)
 		reserved := reservedDescriptors
 		if r.config.Admin != "" {
-			reserved += admin.MaxCallers + 1 // and the one that finds all taken
+			reserved += admin.MaxConnections + 1 // and the one that finds all taken
 		}
 		if r.operator.Console.Socket != "" {
 			reserved += console.MaxSessions
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -117,12 +117,12 @@
 		inForce = next
 		settings := &next.Config.Settings
 		r.proxy.UpdateSettings(settings)
-		r.prober.Replace(next.Health, next.Servers)
+		r.prober.Replace(next.Health, next.Endpoints)
 		r.proxy.Quota.UpdateSettings(next.QuotaSettings(r.slots))
 		for _, change := range changes {
 			r.log.Info("site setting changed", "change", change)
 		}
-		r.log.Info("configuration reloaded", "servers", len(next.Servers), "classes", len(settings.Classes), "attempts", settings.MaxAttempts)
+		r.log.Info("configuration reloaded", "servers", len(next.Endpoints), "classes", len(settings.Classes), "attempts", settings.MaxAttempts)
 		return changes, nil
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -136,7 +136,7 @@
 	}
 	r.becomeReady(ctx, group)
 	err = group.Wait()
-	log.Info("stopped", "transactions", r.proxy.Requests.Len(), "broken_invariants", assert.Broken())
+	log.Info("stopped", "transactions", r.proxy.Requests.Len(), "broken_invariants", assert.Violations())
 	if err == nil && r.restartRequested.Load() {
 		return ErrRestart
 	}
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	if site := r.options.Site; site != nil {
-		r.prober = prober.New(r.proxy, site.Health, site.Servers, site.Ping)
+		r.prober = prober.New(r.proxy, site.Health, site.Endpoints, site.Ping)
 		r.proxy.Observe(r.prober)
 	}
 	return nil
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -140,7 +140,7 @@
 func completeExplanation() explain.Explanation {
 	return explain.Explanation{
 		Number:        2001,
-		Front:         "front-2002",
+		Frontend:      "front-2002",
 		Name:          "name-2003",
 		NameCut:       true,
 		Class:         "class-2004",
@@ -161,7 +161,7 @@
 		Events: []explain.Event{
 			{
 				AfterMS:        2013.5,
-				What:           "what-2014",
+				Kind:           "what-2014",
 				Reason:         "reason-2015",
 				Attempt:        2016,
 				Endpoint:       "server-2017",
@@ -190,8 +190,8 @@
 				Text:      "text-2037",
 			},
 		},
-		Before: &explain.RelatedRequest{Number: 2038, By: "by-2039", Answer: "answer-2040", Text: "text-2041"},
-		After:  &explain.RelatedRequest{Number: 2042, By: "by-2043", Answer: "answer-2044", Text: "text-2045"},
+		Before: &explain.RelatedRequest{Number: 2038, By: "by-2039", Result: "answer-2040", Text: "text-2041"},
+		After:  &explain.RelatedRequest{Number: 2042, By: "by-2043", Result: "answer-2044", Text: "text-2045"},
 	}
 }
 
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// TextMost is how many bytes a text may have.
-	TextMost = 1 << 20
+	// MaxTextBytes is how many bytes a text may have.
+	MaxTextBytes = 1 << 20
 	// MaxDepth is how deep lists may nest.
 	MaxDepth = 64
 )
@@ -56,8 +56,8 @@
 
 // Parse reads all nodes of a text. An error is an *Error.
 func Parse(source string) ([]*Node, error) {
-	if len(source) > TextMost {
-		return nil, textStart.errorf("%d bytes are more than the %d that are read", len(source), TextMost)
+	if len(source) > MaxTextBytes {
+		return nil, textStart.errorf("%d bytes are more than the %d that are read", len(source), MaxTextBytes)
 	}
 	if err := checkNesting(source); err != nil {
 		return nil, err
--- a/internal/simulation/parameters.go
+++ b/internal/simulation/parameters.go
@@ -14,7 +14,7 @@
 // worldParameters are the parameters of a world that an experiment may set, by name.
 var worldParameters = map[string]func(world *World, node *sexp.Node) error{
 	"servers":    wholeNumber(1, 5000, func(world *World, value int) { world.Servers = value }),
-	"relays":     wholeNumber(1, RelaysMost, func(world *World, value int) { world.Relays = value }),
+	"relays":     wholeNumber(1, MaxRelays, func(world *World, value int) { world.Relays = value }),
 	"zones":      wholeNumber(1, 64, func(world *World, value int) { world.Zones = value }),
 	"standing":   wholeNumber(0, 1_000_000, func(world *World, value int) { world.Standing = value }),
 	"groups":     wholeNumber(1, 10_000_000, func(world *World, value int) { world.Groups = value }),
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -27,8 +27,8 @@
 	Worth      float64       // of a second that is well served
 }
 
-// RelaysMost bounds the relays of a world: each has a balancer with the complete endpoint list.
-const RelaysMost = 4096
+// MaxRelays bounds the relays of a world: each has a balancer with the complete endpoint list.
+const MaxRelays = 4096
 
 // World is what is simulated. Every field has a value in Galway. Classes' loads and
 // lives are against each other: the mean over all clients is one usual connection, and
@@ -121,7 +121,7 @@
 		}
 	}
 	bad(w.Servers < 1 || w.Servers > 5000, "servers %d are not within 1 and 5000", w.Servers)
-	bad(w.Relays < 1 || w.Relays > RelaysMost, "relays %d are not within 1 and %d", w.Relays, RelaysMost)
+	bad(w.Relays < 1 || w.Relays > MaxRelays, "relays %d are not within 1 and %d", w.Relays, MaxRelays)
 	bad(w.Zones < 1, "zones %d are fewer than one", w.Zones)
 	bad(!(w.Rate >= 0 && w.Rate <= 1e5), "rate %v is not within 0 and 100000", w.Rate)
 	bad(!(w.Swing >= 0 && w.Swing < 1), "swing %v is not within 0 and 1", w.Swing)
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -162,14 +162,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	request := proxy.Request{Front: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + time.Second}}
-	recorded := decisions.Began(7, request)
+	request := proxy.Request{Frontend: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + time.Second}}
+	recorded := decisions.RequestStarted(7, request)
 	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
 		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
 			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
 	recorded.AttemptStarted(first)(balancer.StatusOK)
-	traced := (&tracingObserver{clock: core.Clock, endpoints: core.Endpoints, decisions: decisions, tracer: telemetry.tracers.Tracer(instrumentationScope)}).Began(7, request)
+	traced := (&tracingObserver{clock: core.Clock, endpoints: core.Endpoints, decisions: decisions, tracer: telemetry.tracers.Tracer(instrumentationScope)}).RequestStarted(7, request)
 	for status := range registry.StatusNames {
 		traced.AttemptStarted(first)(balancer.AttemptStatus(status))
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -51,7 +51,7 @@
 			}
 		}),
 		counter("lockroad.invariants.broken", "invariants that did not hold", func(o metric.Int64Observer) {
-			o.Observe(assert.Broken())
+			o.Observe(assert.Violations())
 		}),
 		gauge("lockroad.connections", "transactions under way, by stage", func(o metric.Int64Observer) {
 			for stage, total := range core.Requests.CountByStage() {
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -21,11 +21,11 @@
 	tracer    trace.Tracer
 }
 
-// Began starts the span of a request.
-func (o *tracingObserver) Began(number uint64, request proxy.Request) proxy.RequestObserver {
+// RequestStarted starts the span of a request.
+func (o *tracingObserver) RequestStarted(number uint64, request proxy.Request) proxy.RequestObserver {
 	ctx, span := o.tracer.Start(context.Background(), "transaction", trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(
-			attribute.String("front", request.Front),
+			attribute.String("front", request.Frontend),
 			attribute.String("class", request.Class),
 			attribute.String("transaction", request.Name),
 			attribute.Int64("number", int64(number)),
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -55,7 +55,7 @@
 	}
 	go func() { _ = core.Run(ctx) }()
 	began := time.Now()
-	core.Serve(ctx, proxy.Request{Front: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + 3*time.Second}}, fullDownstream{})
+	core.Serve(ctx, proxy.Request{Frontend: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + 3*time.Second}}, fullDownstream{})
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("the request took %v: telemetry delays it", took)
 	}
