--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -30,20 +30,7 @@
 	if err := json.Unmarshal(good, &tree); err != nil {
 		t.Fatal(err)
 	}
-	outcome := func() string {
-		text, err := json.Marshal(tree)
-		if err != nil {
-			t.Fatal(err)
-		}
-		got, err := read(text)
-		switch {
-		case err != nil:
-			return strings.ReplaceAll(err.Error(), "\n", "; ")
-		case !reflect.DeepEqual(got, want):
-			return "changes what is read"
-		}
-		return "changes nothing"
-	}
+	outcome := func() string { return readingOutcome(t, json.Marshal, read, &tree, want) }
 	var b strings.Builder
 	golden.EachKey(tree, func(path string, value any, set func(any), remove, restore func()) {
 		remove()
@@ -138,20 +125,7 @@
 	if err := toml.Unmarshal(good, &tree); err != nil {
 		t.Fatal(err)
 	}
-	outcome := func() string {
-		text, err := toml.Marshal(tree)
-		if err != nil {
-			t.Fatal(err)
-		}
-		got, err := read(text)
-		switch {
-		case err != nil:
-			return strings.ReplaceAll(err.Error(), "\n", "; ")
-		case !reflect.DeepEqual(got, want):
-			return "changes what is read"
-		}
-		return "changes nothing"
-	}
+	outcome := func() string { return readingOutcome(t, toml.Marshal, read, &tree, want) }
 	var b strings.Builder
 	golden.EachKey(tree, func(path string, _ any, _ func(any), remove, restore func()) {
 		remove()
@@ -174,3 +148,20 @@
 	golden.Compare(t, "site-changes.txt", strings.Join(differences(nil, s.values, siteReloads), "\n")+"\n")
 	golden.Compare(t, "init.toml", RenderSite("music-room", "0.0.0.0:3000", "/run/console.sock", []string{"10.0.0.5:4000", "10.0.0.6:4000"}))
 }
+
+// readingOutcome writes a tree of keys and values, reads it, and says how that differs from what is read of the complete file.
+func readingOutcome[T any](t *testing.T, marshal func(any) ([]byte, error), read func([]byte) (T, error), tree any, want T) string {
+	t.Helper()
+	text, err := marshal(tree)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := read(text)
+	switch {
+	case err != nil:
+		return strings.ReplaceAll(err.Error(), "\n", "; ")
+	case !reflect.DeepEqual(got, want):
+		return "changes what is read"
+	}
+	return "changes nothing"
+}
