--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -116,7 +116,7 @@
 			},
 			Health: func() ([]healthcheck.EndpointHealth, bool) {
 				return []healthcheck.EndpointHealth{
-					{Name: "s-1", State: healthcheck.StateUp}, {Name: "s-2", State: healthcheck.StateDown, Since: 90 * time.Second, ConsecutiveFailures: 4, Reason: "refused"},
+					{Name: "s-1", State: healthcheck.StateUp}, {Name: "s-2", State: healthcheck.StateDown, DownFor: 90 * time.Second, ConsecutiveFailures: 4, Reason: "refused"},
 				}, true
 			},
 			Log:     func(int) []string { return []string{"first\n", "second\n"} },
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -139,7 +139,7 @@
 		for _, endpoint := range endpoints {
 			state, since := "up", any(nil)
 			if endpoint.State == healthcheck.StateDown {
-				state, since = "down", endpoint.Since.Round(time.Second)
+				state, since = "down", endpoint.DownFor.Round(time.Second)
 			}
 			row(endpoint.Name, state, since, endpoint.ConsecutiveFailures, endpoint.Reason)
 		}
--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -56,8 +56,8 @@
 	return all
 }
 
-// Start lists all endpoints. It is called before the proxy runs.
-func (p *Prober) Start() {
+// PublishInitialList lists all endpoints at the proxy. It must be called before the proxy runs.
+func (p *Prober) PublishInitialList() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.publishChanges()
--- a/internal/healthcheck/settings.go
+++ b/internal/healthcheck/settings.go
@@ -12,12 +12,12 @@
 	Timeout        time.Duration // of a probe; at most Interval
 	Rise           int           // probes in a row that have to succeed until an endpoint that was down is up
 	Fall           int           // probes or attempts in a row that have to fail until an endpoint that was up is down
-	MaxLoadShare   float64       // the most of an endpoint's time that probes may take, at ProbeCost each; over 0, up to 0.1
+	MaxLoadShare   float64       // the most of an endpoint's time that probes may take, at MaxProbeCost each; over 0, up to 0.1
 	PanicThreshold float64       // share of endpoints that may be down; beyond it all are listed as up, see Tracker.PanicMode
 }
 
-// ProbeCost is the most that a probe costs an endpoint, as its operators state.
-const ProbeCost = 950 * time.Microsecond
+// MaxProbeCost is the upper bound on the time that one probe takes of an endpoint.
+const MaxProbeCost = 950 * time.Microsecond
 
 // maxLoadShareLimit bounds Settings.MaxLoadShare.
 const maxLoadShareLimit = 0.1
@@ -40,8 +40,8 @@
 		return fmt.Errorf("a share of %v is not within 0 and 0.1", s.MaxLoadShare)
 	case !(s.PanicThreshold > 0 && s.PanicThreshold <= 1):
 		return fmt.Errorf("panic %v is not within 0 and 1", s.PanicThreshold)
-	case float64(ProbeCost)/float64(s.Interval) > s.MaxLoadShare:
-		shortest := time.Duration(math.Ceil(float64(ProbeCost) / s.MaxLoadShare))
+	case float64(MaxProbeCost)/float64(s.Interval) > s.MaxLoadShare:
+		shortest := time.Duration(math.Ceil(float64(MaxProbeCost) / s.MaxLoadShare))
 		return fmt.Errorf("a probe every %v takes more of a server's time than its share of %v: %v at the least", s.Interval, s.MaxLoadShare, shortest)
 	}
 	return nil
--- a/internal/healthcheck/tracker.go
+++ b/internal/healthcheck/tracker.go
@@ -26,7 +26,7 @@
 type EndpointHealth struct {
 	Name                string
 	State               State
-	Since               time.Duration // how long it has been down; 0 if it is up
+	DownFor             time.Duration // how long it has been down; 0 if it is up
 	ConsecutiveFailures int           // while it is up
 	Reason              string        // it is down; "" if it is up
 }
@@ -206,7 +206,7 @@
 	for _, e := range t.endpoints {
 		health := EndpointHealth{Name: e.name, State: e.state, ConsecutiveFailures: e.consecutiveFailures, Reason: e.reason}
 		if e.state == StateDown {
-			health.Since = now - e.downAt
+			health.DownFor = now - e.downAt
 		}
 		all = append(all, health)
 	}
--- a/internal/healthcheck/tracker_test.go
+++ b/internal/healthcheck/tracker_test.go
@@ -83,7 +83,7 @@
 	if change := tracker.Changes(); len(change) != 0 {
 		t.Errorf("reported is %v", change)
 	}
-	if health := tracker.Health(5 * second); health[0].Reason != "timeout" || health[0].Since < 4*second {
+	if health := tracker.Health(5 * second); health[0].Reason != "timeout" || health[0].DownFor < 4*second {
 		t.Errorf("%+v", health)
 	}
 }
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -75,7 +75,7 @@
 	r.inherited = &handoffState{}
 	defer func() { r.persistence.restoreDirectives(r.inherited.DrainDirectives) }()
 	if r.prober != nil {
-		r.prober.Start()
+		r.prober.PublishInitialList()
 	}
 	if r.asSuccessor != nil {
 		err := r.restoreInherited()
--- a/internal/simulation/healthchecks.go
+++ b/internal/simulation/healthchecks.go
@@ -53,7 +53,7 @@
 		case server.down:
 			ok = 0
 		default:
-			server.setupsDoneAt = max(server.setupsDoneAt, s.now) + healthcheck.ProbeCost/time.Duration(s.Cores)
+			server.setupsDoneAt = max(server.setupsDoneAt, s.now) + healthcheck.MaxProbeCost/time.Duration(s.Cores)
 		}
 		s.schedule(took, scheduledEvent{kind: eventProbeResult, subject: id, value: uint32(serverIndex)<<1 | ok, generation: relay.incarnation})
 	}
