--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -71,7 +71,7 @@
 		_, _ = c.Write(c.writeBuffer) // the close follows either way
 		c.mu.Unlock()
 	}
-	listener.Discard(c.tcp)
+	listener.DiscardUnread(c.tcp)
 	c.tcp.Close()
 }
 
--- a/internal/frontend/line/frontend.go
+++ b/internal/frontend/line/frontend.go
@@ -60,7 +60,7 @@
 func rejectEvicted(conn *net.TCPConn) {
 	conn.SetWriteDeadline(time.Now().Add(evictionWriteTimeout))
 	io.WriteString(conn, busyLine(0))
-	listener.Discard(conn)
+	listener.DiscardUnread(conn)
 	conn.Close()
 }
 
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -23,7 +23,7 @@
 type fakeHandler struct {
 	state          atomic.Pointer[string] // in place of a small one
 	clientListener *net.TCPListener
-	peerServes     atomic.Int32 // calls with true, less those with false
+	pauses         atomic.Int32 // calls of SetPaused with true, less those with false
 	fails          atomic.Bool
 }
 
@@ -39,11 +39,11 @@
 	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{h.clientListener}, err
 }
 
-func (h *fakeHandler) PeerServes(serves bool) {
-	if serves {
-		h.peerServes.Add(1)
+func (h *fakeHandler) SetPaused(paused bool) {
+	if paused {
+		h.pauses.Add(1)
 	} else {
-		h.peerServes.Add(-1)
+		h.pauses.Add(-1)
 	}
 }
 
@@ -107,13 +107,13 @@
 	if successor.Offer.Clock != time.Hour || string(successor.Offer.State) != `{"x":1}` || len(successor.Listeners) != 1 {
 		t.Errorf("offered %+v with %d listeners", successor.Offer, len(successor.Listeners))
 	}
-	if successor.MayAccept() || handler.peerServes.Load() != 0 {
+	if successor.MayAccept() || handler.pauses.Load() != 0 {
 		t.Error("the successor may accept, or the predecessor has paused, before the takeover")
 	}
 	if err := successor.TakeOver(); err != nil || !successor.MayAccept() {
 		t.Fatal(err)
 	}
-	if handler.peerServes.Load() != 1 {
+	if handler.pauses.Load() != 1 {
 		t.Error("the predecessor was not paused")
 	}
 	// A connection in the accept queue stays there, though the predecessor closes its descriptor.
@@ -186,7 +186,7 @@
 		t.Fatal(err)
 	}
 	successor.Close()
-	testutil.Until(t, "the predecessor does not resume", func() bool { return handler.peerServes.Load() == 0 })
+	testutil.Until(t, "the predecessor does not resume", func() bool { return handler.pauses.Load() == 0 })
 	successor = connectSuccessor(t, predecessor)
 	if err := successor.TakeOver(); err != nil {
 		t.Fatal(err)
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -36,9 +36,9 @@
 type Handler interface {
 	// Offer returns what a successor starts with, and the relay's listening sockets.
 	Offer(context.Context) (*Offer, []syscall.Conn, error)
-	// PeerServes makes the relay accept no client and spend no slow-start budget
-	// while another process serves (true), or resume (false).
-	PeerServes(bool)
+	// SetPaused makes the relay stop accepting clients and spending the slow-start
+	// budget while a successor serves (true), or resume both (false).
+	SetPaused(paused bool)
 }
 
 // Predecessor is the process that runs, as a successor finds it.
@@ -156,7 +156,7 @@
 	if !resume {
 		return
 	}
-	p.handler.PeerServes(false)
+	p.handler.SetPaused(false)
 	if err := p.listen(); err != nil { // the successor has opened its own there
 		p.log.Warn("hot restart socket unavailable", "error", err)
 	}
@@ -204,12 +204,12 @@
 		return err
 	}
 	p.mu.Lock()
-	takenOver := p.state.TakenOver()
+	takenOver := p.state.AcceptTakeOver()
 	p.mu.Unlock()
 	if !takenOver {
 		return errProtocol
 	}
-	p.handler.PeerServes(true)
+	p.handler.SetPaused(true)
 	if err := conn.send(messageTimeout, kindPaused, nil); err != nil {
 		return err
 	}
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -18,8 +18,9 @@
 	return true
 }
 
-// TakenOver notes that the successor takes over. It reports whether it may.
-func (p *PredecessorState) TakenOver() bool {
+// AcceptTakeOver records that the connected successor takes over. It returns false
+// without a successor, or if one has taken over already.
+func (p *PredecessorState) AcceptTakeOver() bool {
 	if !p.hasPeer || p.takenOver {
 		return false
 	}
@@ -63,8 +64,8 @@
 // concurrent use.
 type SuccessorState struct{ phase successorPhase }
 
-// Offered notes the predecessor's offer.
-func (s *SuccessorState) Offered() {
+// OfferReceived records that the predecessor's offer has arrived.
+func (s *SuccessorState) OfferReceived() {
 	if s.phase == connecting {
 		s.phase = offered
 	}
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -61,7 +61,7 @@
 						cut()
 					}
 				case "take":
-					if predecessor.TakenOver() {
+					if predecessor.AcceptTakeOver() {
 						toSuccessor = append(toSuccessor, "go")
 					}
 				case "lost":
@@ -79,7 +79,7 @@
 				toSuccessor = toSuccessor[1:]
 				switch what {
 				case "offer":
-					successor.Offered()
+					successor.OfferReceived()
 				case "go":
 					successor.PredecessorPaused()
 				case "lost":
@@ -133,7 +133,7 @@
 
 func TestOneSuccessorAtATime(t *testing.T) {
 	var predecessor PredecessorState
-	if !predecessor.AcceptPeer(ProtocolVersion) || predecessor.AcceptPeer(ProtocolVersion) || !predecessor.TakenOver() || predecessor.TakenOver() || predecessor.MayAccept() || predecessor.MayHandOff() {
+	if !predecessor.AcceptPeer(ProtocolVersion) || predecessor.AcceptPeer(ProtocolVersion) || !predecessor.AcceptTakeOver() || predecessor.AcceptTakeOver() || predecessor.MayAccept() || predecessor.MayHandOff() {
 		t.Errorf("%+v", predecessor)
 	}
 	if predecessor.BeginShutdown(); !predecessor.MayHandOff() {
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -44,7 +44,7 @@
 		}
 		return nil, err
 	}
-	s.state.Offered()
+	s.state.OfferReceived()
 	return s, nil
 }
 
--- a/internal/listener/linger.go
+++ b/internal/listener/linger.go
@@ -14,14 +14,14 @@
 	LingerMaxBytes = 256 << 10
 )
 
-// discardBufferSize is how many bytes Discard reads at a time.
+// discardBufferSize is how many bytes DiscardUnread reads at a time.
 const discardBufferSize = 4 << 10
 
-// Discard reads what has arrived on a connection and was not read, without
-// waiting for more. A close over unread bytes would reset the connection, and
-// lose the answer that was written last. Any goroutine may call it, also while
-// another one reads.
-func Discard(conn *net.TCPConn) {
+// DiscardUnread reads and drops the bytes that have arrived on a connection,
+// without waiting for more. Closing a connection with unread bytes resets it, and
+// the client may lose the last answer. It may be called from any goroutine, also
+// while another one reads.
+func DiscardUnread(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -300,21 +300,21 @@
 	return state, nil
 }
 
-// PeerServes is called by asPredecessor's goroutine. With true a successor admits clients, and this process admits nobody and
+// SetPaused is called by asPredecessor's goroutine. With true a successor admits clients, and this process admits nobody and
 // spends nothing of the slow-start budget; with false it is alone again.
-func (r *relay) PeerServes(serves bool) {
+func (r *relay) SetPaused(paused bool) {
 	slowStartShare, memoryPart := 1.0, wholeProcess
 	for _, f := range r.frontends {
-		if serves {
+		if paused {
 			f.Pause()
 		} else {
 			f.Resume()
 		}
 	}
-	if serves {
+	if paused {
 		slowStartShare, memoryPart = 0, halfProcess
 	}
-	r.ready.Store(!serves && !r.shuttingDown.Load())
+	r.ready.Store(!paused && !r.shuttingDown.Load())
 	r.proxy.SetSlowStartShare(slowStartShare)
 	r.limitMemory(memoryPart)
 }
