--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -8,22 +8,23 @@
 	"lockroad/balancer"
 )
 
-// propagationDelay is how long news may take from discovery to every agent.
+// propagationDelay is how long a change may take from discovery to every agent.
 const propagationDelay = 6 * time.Second
 
-// phaseRecord is the last known phase of an endpoint, and since when it is known.
+// phaseRecord is the last known phase of an endpoint, and when it became known.
 type phaseRecord struct {
 	phase string
 	since time.Time
 }
 
-// apply makes a list take effect, whole or not at all.
+// apply applies a list to the proxy. A list with an invalid member, or a full
+// one without members, is rejected as a whole.
 func (w *Watcher) apply(list List, kind balancer.ListKind) error {
 	if kind == balancer.ListFull && len(list.Members) == 0 && len(w.Proxy.Endpoints.List()) > 0 {
-		return errEmptyList // an agent that has lost its list would have every client rejected
+		return errEmptyList // as from an agent that lost its list: applying it would reject every client
 	}
-	heldBack := w.holdBack(&list)
-	endpoints, addresses, err := w.endpoints(list.Members)
+	overridden := w.keepKnownPhases(&list)
+	endpoints, addresses, err := w.convertMembers(list.Members)
 	if err != nil {
 		return err
 	}
@@ -34,17 +35,17 @@
 	w.failures = 0
 	w.Proxy.SetRevision(list.Revision)
 	w.Proxy.UpdateEndpoints(kind, endpoints, addresses)
-	w.recordPhases(list, kind, heldBack)
-	if heldBack {
-		w.Proxy.Log.Warn("older endpoint list partly held back", "revision", list.Revision, "newest", w.newestRevision)
+	w.recordPhases(list, kind, overridden)
+	if overridden {
+		w.Proxy.Log.Warn("stale endpoint list applied, kept endpoints known as draining or gone", "revision", list.Revision, "newest", w.newestRevision)
 		w.scheduleResync()
 	}
 	return nil
 }
 
-// endpoints converts members to the balancer's form, with their addresses in
-// the same order.
-func (w *Watcher) endpoints(members []Member) ([]balancer.Endpoint, []string, error) {
+// convertMembers converts members to the balancer's endpoints, and returns their
+// addresses in the same order.
+func (w *Watcher) convertMembers(members []Member) ([]balancer.Endpoint, []string, error) {
 	endpoints := make([]balancer.Endpoint, 0, len(members))
 	addresses := make([]string, 0, len(members))
 	for i := range members {
@@ -74,11 +75,12 @@
 	w.retained.Members = slices.Clone(list.Members)
 }
 
-// holdBack keeps endpoints that are known as draining or gone in that phase
-// where an older list has them ready: its agent, as one that the watcher has
-// just moved to, has not heard the newer news yet. An endpoint that has started
-// since is not held back. It reports whether any endpoint was.
-func (w *Watcher) holdBack(list *List) (heldBack bool) {
+// keepKnownPhases replaces phases in a list that is older than the newest one:
+// endpoints known as draining or gone keep that phase where the list has them as
+// ready. An agent that the watcher has just switched to may not know of the
+// change yet. Endpoints that have started since the change are excepted. It
+// reports whether any phase was replaced.
+func (w *Watcher) keepKnownPhases(list *List) (overridden bool) {
 	if list.Revision >= w.newestRevision {
 		return false
 	}
@@ -90,69 +92,69 @@
 		if time.Since(last.since) >= propagationDelay || member.UpSince > last.since.UnixMilli() {
 			continue
 		}
-		if !heldBack {
-			heldBack, list.Members = true, slices.Clone(list.Members) // the caller's list stays as it is
+		if !overridden {
+			overridden, list.Members = true, slices.Clone(list.Members) // the caller's list is not modified
 		}
 		list.Members[i].Phase = last.phase
 	}
-	return heldBack
+	return overridden
 }
 
-// recordPhases records the phases of a list that took effect. An older list
-// that endpoints were held back from does not lower the newest revision.
-func (w *Watcher) recordPhases(list List, kind balancer.ListKind, heldBack bool) {
+// recordPhases records the phases of a list that was applied. A list with
+// overridden phases does not lower the newest revision.
+func (w *Watcher) recordPhases(list List, kind balancer.ListKind, overridden bool) {
 	now := time.Now()
 	if w.lastPhases == nil {
 		w.lastPhases = make(map[string]phaseRecord)
 	}
 	w.newestRevision = max(w.newestRevision, list.Revision)
 	if kind != balancer.ListDelta {
-		if !heldBack {
+		if !overridden {
 			w.newestRevision = list.Revision
 		}
-		w.recordMissingAsGone(list, now)
+		w.recordUnlistedAsGone(list, now)
 	}
 	for _, member := range list.Members {
 		w.recordPhase(member.ID, member.Phase, now)
 	}
-	w.sweepPhases(now)
+	w.forgetGoneEndpoints(now)
 }
 
-// recordPhase records an endpoint's phase; since stays where it is unchanged.
+// recordPhase records an endpoint's phase. The time of an unchanged phase is kept.
 func (w *Watcher) recordPhase(id, phase string, now time.Time) {
 	if w.lastPhases[id].phase != phase {
 		w.lastPhases[id] = phaseRecord{phase, now}
 	}
 }
 
-// recordMissingAsGone records endpoints that a full list does not name as gone.
-func (w *Watcher) recordMissingAsGone(list List, now time.Time) {
-	named := make(map[string]bool, len(list.Members))
+// recordUnlistedAsGone records endpoints that are missing from a full list as gone.
+func (w *Watcher) recordUnlistedAsGone(list List, now time.Time) {
+	listed := make(map[string]bool, len(list.Members))
 	for _, member := range list.Members {
-		named[member.ID] = true
+		listed[member.ID] = true
 	}
 	for id := range w.lastPhases {
-		if !named[id] {
+		if !listed[id] {
 			w.recordPhase(id, phaseGone, now)
 		}
 	}
 }
 
-// sweepPhases forgets endpoints that every agent knows as gone by now, once in
-// a while.
-func (w *Watcher) sweepPhases(now time.Time) {
-	if now.Sub(w.lastSweep) < propagationDelay {
+// forgetGoneEndpoints removes the records of endpoints that every agent knows as
+// gone by now. It does so at most once per propagationDelay.
+func (w *Watcher) forgetGoneEndpoints(now time.Time) {
+	if now.Sub(w.lastCleanup) < propagationDelay {
 		return
 	}
-	w.lastSweep = now
+	w.lastCleanup = now
 	maps.DeleteFunc(w.lastPhases, func(_ string, last phaseRecord) bool {
 		return last.phase == phaseGone && now.Sub(last.since) >= propagationDelay
 	})
 }
 
-// scheduleResync requests the full list again after propagationDelay, once
-// however often it is called until then: what an agent says when it must have
-// heard everything is true.
+// scheduleResync makes the watcher request the full list after propagationDelay,
+// when the agent must have received the changes that its stale list lacked. Calls
+// before then have no further effect.
 func (w *Watcher) scheduleResync() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// Backoff bounds while the service answers 503. They replace those of the policy.
+// Bounds of the backoff after a response with status 503, in place of the policy's.
 const (
 	overloadedMinBackoff = time.Second
 	overloadedMaxBackoff = 8 * time.Second
 )
 
-// maxBackoffDoublings keeps the shift of a backoff from overflowing.
+// maxBackoffDoublings keeps the shift in a backoff from overflowing.
 const maxBackoffDoublings = 8
 
-// watchPolicy says how watches are opened and reopened.
+// watchPolicy holds the timing of watch requests and of reopened watches.
 type watchPolicy struct {
-	maxInFlight int           // watch requests that may wait for a response at the same time
-	hedgeDelay  time.Duration // until another request is sent beside one that waits; one that is alone is given up
-	minBackoff  time.Duration // between two watches, doubled with each that brings nothing
-	maxBackoff  time.Duration // of these; each is drawn between half of it and all
+	maxInFlight int           // limit of watch requests that wait for a response at the same time
+	hedgeDelay  time.Duration // wait for a response until one more request is sent; see responseTimeout
+	minBackoff  time.Duration // between two watches, doubled with each that brings no list
+	maxBackoff  time.Duration // limit of the doubled backoff
 }
 
 var (
-	// An agent on the relay's own machine responds at once and at no cost, and
-	// what it has counts as notified whether a watch is open or not: one that is
-	// silent is asked again soon, and so is one whose watch ends at once.
+	// agentPolicy is for an agent on the relay's own machine, which responds at
+	// once and at little cost. The relay is expected to know every change that its
+	// agent has, so a silent or ended watch is replaced within a fraction of a second.
 	agentPolicy = watchPolicy{maxInFlight: 12, hedgeDelay: 500 * time.Millisecond, minBackoff: 25 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
-	// A service that all relays poll handles their requests one after another.
-	// What a silent watch misses counts as notified 6 s after it fell silent, so
-	// the next watch has to be open by then.
+	// servicePolicy is for a service that all relays poll, and that handles their
+	// requests one after another. The relay is expected to know a change that a
+	// silent watch misses within 6 s of the silence: the next watch must be open by then.
 	servicePolicy = watchPolicy{maxInFlight: 1, hedgeDelay: 2200 * time.Millisecond, minBackoff: 200 * time.Millisecond, maxBackoff: 1600 * time.Millisecond}
 )
 
-// policy returns the one that the settings in force ask for.
+// policy returns the policy for the kind of discovery in the current settings.
 func (w *Watcher) policy() watchPolicy {
 	if w.Proxy.Settings().PollList {
 		return servicePolicy
@@ -41,11 +41,11 @@
 	return agentPolicy
 }
 
-// backoff returns the wait before the next watch after a number of watches that
-// brought nothing. Random waits keep relays from returning in step to an agent
-// that was down. Longer ones to an overloaded service keep requests out of its
-// queue that would only fail there and delay others. A pollInterval above zero
-// bounds the wait: what a relay does not poll for too long counts as notified.
+// backoff returns the wait before the next watch after a number of watches in a
+// row that brought no list: a random time between half the limit and the limit, so
+// that relays do not reconnect in step. The limit is higher for an overloaded
+// service, whose queue would otherwise fill with requests that time out there. A
+// pollInterval above zero caps it at half the interval, so that no poll is missed.
 func (p watchPolicy) backoff(failures int, overloaded bool, pollInterval time.Duration) time.Duration {
 	lowest, highest := p.minBackoff, p.maxBackoff
 	if overloaded {
@@ -58,8 +58,8 @@
 	return limit/2 + rand.N(max(1, limit/2))
 }
 
-// responseTimeout is how long one watch request may wait for its response
-// after a number of watches that brought nothing.
+// responseTimeout returns how long one watch request may wait for its response
+// after a number of watches in a row that brought no list.
 func (p watchPolicy) responseTimeout(failures int) time.Duration {
 	return min(maxResponseTimeout, time.Duration(p.maxInFlight)*p.hedgeDelay<<min(maxBackoffDoublings, max(0, failures-1)))
 }
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -9,30 +9,30 @@
 )
 
 func TestWatchBackoffGrowsWithFailures(t *testing.T) {
-	for i, p := range []watchPolicy{agentPolicy, servicePolicy, servicePolicy} {
-		busy := i == 2
+	for i, policy := range []watchPolicy{agentPolicy, servicePolicy, servicePolicy} {
+		overloaded := i == 2
 		seen := map[time.Duration]bool{}
-		for fails := range 12 {
-			most := min(p.maxBackoff, p.minBackoff<<fails)
-			if busy {
-				most = min(overloadedMaxBackoff, overloadedMinBackoff<<fails)
+		for failures := range 12 {
+			limit := min(policy.maxBackoff, policy.minBackoff<<failures)
+			if overloaded {
+				limit = min(overloadedMaxBackoff, overloadedMinBackoff<<failures)
 			}
 			for range 50 {
-				wait := p.backoff(fails, busy, 0)
-				if seen[wait] = true; wait < most/2 || wait > most {
-					t.Fatalf("after %d failures, overloaded %v, the wait is %v, want between half of %v and all", fails, busy, wait, most)
+				wait := policy.backoff(failures, overloaded, 0)
+				if seen[wait] = true; wait < limit/2 || wait > limit {
+					t.Fatalf("after %d failures, overloaded %v: backoff %v, want between half of %v and all of it", failures, overloaded, wait, limit)
 				}
 			}
 		}
 		if len(seen) < 100 {
-			t.Errorf("%d waits of 600 differ: relays return in step", len(seen))
+			t.Errorf("%d of 600 backoffs are distinct, want at least 100: relays would reconnect in step", len(seen))
 		}
 	}
 	if wait := servicePolicy.backoff(12, true, 6*time.Second); wait > 3*time.Second {
-		t.Errorf("discovery that is polled every 6 s is polled after %v", wait)
+		t.Errorf("backoff with a poll interval of 6 s is %v, want at most 3 s", wait)
 	}
 	_, err := readResponseHead(bufio.NewReader(strings.NewReader("HTTP/1.1 503 Service Unavailable\r\n\r\n")))
 	if !errors.Is(err, errOverloaded) {
-		t.Errorf("an overloaded service is reported as %v", err)
+		t.Errorf("status 503 is reported as %v, want errOverloaded", err)
 	}
 }
--- a/internal/discovery/fakeagent_test.go
+++ b/internal/discovery/fakeagent_test.go
@@ -20,28 +20,29 @@
 
 func chunkText(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// fakeAgent is a fake discovery agent that sends each watch the chunks of its turn. Once all are sent, watches get no response.
+// fakeAgent starts a discovery agent that answers each watch with the next element of responses, chunk by chunk. Later
+// watches get no response. It returns the agent's address, and the request line of each watch.
 func fakeAgent(t *testing.T, responses ...[]string) (address string, requested <-chan string) {
 	t.Helper()
 	requests := make(chan string, len(responses)+8)
-	address = listenAsAgent(t, func(c net.Conn, request string) {
+	address = listenAsAgent(t, func(conn net.Conn, request string) {
 		requests <- request
 		if len(responses) == 0 {
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { conn.Close() })
 			return // no response, as from an agent that is down
 		}
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\ntransfer-encoding: Chunked\r\n\r\n")
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\ntransfer-encoding: Chunked\r\n\r\n")
 		for _, text := range responses[0] {
-			io.WriteString(c, chunkText(text))
+			io.WriteString(conn, chunkText(text))
 		}
 		responses = responses[1:]
-		c.Close()
+		conn.Close()
 	})
 	return address, requests
 }
 
-// listenAsAgent listens as the discovery agent does, and passes each connection with its request line to handle, one after another.
-func listenAsAgent(t *testing.T, handle func(c net.Conn, request string)) (address string) {
+// listenAsAgent listens until the test's end, and calls handle for one connection at a time, with its request line.
+func listenAsAgent(t *testing.T, handle func(conn net.Conn, request string)) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,18 +51,18 @@
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			text, _ := bufio.NewReader(c).ReadString('\n')
-			handle(c, strings.TrimSpace(text))
+			text, _ := bufio.NewReader(conn).ReadString('\n')
+			handle(conn, strings.TrimSpace(text))
 		}
 	}()
 	return l.Addr().String()
 }
 
-// expectWatches waits for watches to be opened, each from its revision.
+// expectWatches waits for watch requests with the given parameters, in this order.
 func expectWatches(t *testing.T, requested <-chan string, from ...string) {
 	t.Helper()
 	for _, want := range from {
@@ -71,12 +72,12 @@
 				t.Fatalf("requested %q, want %s", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("no watch %s", want)
+			t.Fatalf("no watch with %s was requested within 5 s", want)
 		}
 	}
 }
 
-// scriptedAgent is an agent whose watches the test answers, one after another.
+// scriptedAgent is a discovery agent whose watches the test answers one by one.
 type scriptedAgent struct {
 	t       *testing.T
 	watches chan *agentWatch
@@ -86,38 +87,40 @@
 // agentWatch is the agent's side of one watch.
 type agentWatch struct {
 	net.Conn
-	revision string
+	revision string // in its request
 }
 
 func newScriptedAgent(t *testing.T) *scriptedAgent {
 	t.Helper()
-	s := &scriptedAgent{t: t, watches: make(chan *agentWatch, 64)}
-	s.address = listenAsAgent(t, func(c net.Conn, request string) {
+	agent := &scriptedAgent{t: t, watches: make(chan *agentWatch, 64)}
+	agent.address = listenAsAgent(t, func(conn net.Conn, request string) {
 		_, from, _ := strings.Cut(strings.TrimSuffix(request, " HTTP/1.1"), "from=")
-		s.watches <- &agentWatch{c, from}
+		agent.watches <- &agentWatch{conn, from}
 	})
-	return s
+	return agent
 }
 
-// nextWatch returns the watch that is opened next, which must ask from a revision, and how long that took.
-func (s *scriptedAgent) nextWatch(from string) (*agentWatch, time.Duration) {
-	s.t.Helper()
-	began := time.Now()
+// nextWatch waits for the next watch, which must ask for changes from the given revision. It also returns how long it
+// waited.
+func (agent *scriptedAgent) nextWatch(from string) (*agentWatch, time.Duration) {
+	agent.t.Helper()
+	startedAt := time.Now()
 	select {
-	case watch := <-s.watches:
-		s.t.Cleanup(func() { watch.Close() })
+	case watch := <-agent.watches:
+		agent.t.Cleanup(func() { watch.Close() })
 		if watch.revision != from {
-			s.t.Fatalf("a watch from %s, want %s", watch.revision, from)
+			agent.t.Fatalf("got a watch from revision %s, want %s", watch.revision, from)
 		}
-		return watch, time.Since(began)
+		return watch, time.Since(startedAt)
 	case <-time.After(8 * time.Second):
-		s.t.Fatal("no watch was opened")
+		agent.t.Fatal("no watch was opened within 8 s")
 	}
 	return nil, 0
 }
 
 const okHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
+// answer sends the head of a response and one chunk for each text.
 func (watch *agentWatch) answer(texts ...string) {
 	io.WriteString(watch, okHead)
 	for _, text := range texts {
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -8,14 +8,14 @@
 )
 
 // List is an endpoint list as the agent sends it: all endpoints if Complete,
-// or else those that changed since the previous revision.
+// otherwise those that changed since the previous revision.
 type List struct {
 	Revision uint64   `json:"revision"`
 	Complete bool     `json:"complete"`
 	Members  []Member `json:"members"`
 }
 
-// Member is one endpoint of a List, in discovery's own terms.
+// Member is one endpoint of a List, with the fields of the discovery protocol.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -27,25 +27,25 @@
 	UpSince  int64   `json:"up_since_ms"` // Unix time in milliseconds
 }
 
-// Phases of a Member that the watcher compares.
+// Values of Member.Phase that the watcher compares.
 const (
 	phaseReady = "ready"
 	phaseGone  = "gone"
 )
 
-// maxMemberSize bounds the weight that a list may give an endpoint.
+// maxMemberSize is the exclusive upper bound of Member.Size.
 const maxMemberSize = 1e12
 
 var endpointStates = map[string]balancer.EndpointState{
 	phaseReady: balancer.StateReady, "draining": balancer.StateDraining, phaseGone: balancer.StateGone,
 }
 
-// state returns the endpoint state of a valid member, or an error that names
-// the member.
+// state returns the balancer's state for the phase of a member, or an error if
+// the member is invalid.
 func (m *Member) state() (balancer.EndpointState, error) {
 	state, known := endpointStates[m.Phase]
 	if !known || m.ID == "" || !(m.Size >= 0 && m.Size < maxMemberSize) {
-		return state, fmt.Errorf("discovery: invalid member %q in phase %q of size %v", m.ID, m.Phase, m.Size)
+		return state, fmt.Errorf("discovery: invalid member %q: phase %q, size %v", m.ID, m.Phase, m.Size)
 	}
 	return state, nil
 }
@@ -53,7 +53,7 @@
 // merge applies the changes of a delta to a complete list.
 func (l *List) merge(delta List) {
 	l.Revision, l.Complete = delta.Revision, true
-	index := make(map[string]int, len(l.Members)) // a scan for each change would be quadratic over thousands
+	index := make(map[string]int, len(l.Members)) // a linear search for each change would take quadratic time
 	for i, member := range l.Members {
 		index[member.ID] = i
 	}
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	idleTimeout        = 2800 * time.Millisecond // of an open watch: a healthy one sends something every 2 s
-	maxResponseTimeout = 6 * time.Second         // a watch request that has no response by then gets none
+	idleTimeout        = 2800 * time.Millisecond // of an open watch; a healthy agent sends something every 2 s
+	maxResponseTimeout = 6 * time.Second         // upper bound of watchPolicy.responseTimeout
 )
 
-// watchResponse is the outcome of a watch request: an open connection whose
-// response has begun, or err.
+// watchResponse is the outcome of a watch request: a connection with the body of
+// the response, or an error.
 type watchResponse struct {
 	conn *idleTimeoutConn
 	body io.Reader
 	err  error
 }
 
-// openWatch opens a watch. While the agent does not respond, further requests
-// are sent beside those that wait, as it may never answer one that came while
-// it was down, or answer it late: the first response is the watch, the others
-// are closed. The error of the last request that waits is returned.
+// openWatch opens a watch. While the agent does not respond, it sends further
+// (hedged) requests up to the policy's limit, as a request sent while the agent
+// was down may get a late response or none. The first response becomes the watch,
+// and the other requests are cancelled. If all fail, it returns the last error.
 func (w *Watcher) openWatch(ctx context.Context) (watchResponse, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // ends the requests that still wait
+	defer cancel() // ends the requests that still wait for a response
 	policy := w.policy()
 	timeout := policy.responseTimeout(w.failures)
 	responses := make(chan watchResponse)
@@ -57,15 +57,15 @@
 	}
 }
 
-// startRequest requests a watch on a goroutine of its own, which ends with ctx
-// or once its response is received.
+// startRequest sends a watch request on a new goroutine, which ends once its
+// response is received or ctx ends.
 func (w *Watcher) startRequest(ctx context.Context, timeout time.Duration, responses chan<- watchResponse) {
-	address, revision := w.Address, w.revision // both may change once another request is answered
+	address, revision := w.Address, w.revision // both may change while the request is in progress
 	go func() {
 		response := requestWatch(ctx, address, revision, timeout)
 		select {
 		case responses <- response:
-		case <-ctx.Done(): // another response is the watch
+		case <-ctx.Done(): // another response became the watch
 			if response.err == nil {
 				response.conn.Close()
 			}
@@ -73,7 +73,7 @@
 	}()
 }
 
-// requestWatch requests a watch and reads the head of the response.
+// requestWatch sends a watch request and reads the head of the response.
 func requestWatch(ctx context.Context, address string, revision uint64, timeout time.Duration) watchResponse {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	maxListBytes    = 64 << 20 // of one list: 100,000 endpoints, indented. Memory is taken as a list arrives
-	maxHeaderFields = 100
-	statusOK        = "200"
-	statusBusy      = "503"
+	maxListBytes      = 64 << 20 // of one list: enough for 100,000 endpoints in indented JSON
+	maxHeaderFields   = 100
+	statusOK          = "200"
+	statusUnavailable = "503"
 )
 
 var (
@@ -22,13 +22,13 @@
 	errEmptyList  = errors.New("discovery: full list names no endpoint; current endpoints retained")
 )
 
-// readResponseHead reads the head of a response and returns its body. It
-// returns errOverloaded for status 503 and errMalformed for what is no HTTP.
+// readResponseHead reads the head of a response and returns a reader of its body.
+// It returns errOverloaded for status 503 and errMalformed for an invalid header.
 func readResponseHead(reader *bufio.Reader) (io.Reader, error) {
 	if err := readStatus(reader); err != nil {
 		return nil, err
 	}
-	var body io.Reader = reader // until the connection ends, unless a field says otherwise
+	var body io.Reader = reader // ends with the connection, unless a header field delimits it
 	for range maxHeaderFields {
 		field, err := readLine(reader)
 		if err != nil {
@@ -44,24 +44,24 @@
 	return nil, errMalformed
 }
 
-// readStatus reads the status line; any status but 200 is an error.
+// readStatus reads the status line, and returns an error for any status but 200.
 func readStatus(reader *bufio.Reader) error {
 	line, err := readLine(reader)
 	if err != nil {
 		return err
 	}
 	words := strings.SplitN(line, " ", 3)
-	if len(words) > 1 && words[1] == statusBusy {
+	if len(words) > 1 && words[1] == statusUnavailable {
 		return errOverloaded
 	}
 	if len(words) < 2 || !strings.HasPrefix(words[0], "HTTP/1.") || words[1] != statusOK {
-		return fmt.Errorf("discovery: unexpected response %q", line)
+		return fmt.Errorf("discovery: unexpected status line %q", line)
 	}
 	return nil
 }
 
-// applyField returns the body as a header field delimits it. A chunked body
-// takes precedence over a content length.
+// applyField returns the reader of the body after one more header field. Chunked
+// encoding takes precedence over a content length.
 func applyField(field string, reader *bufio.Reader, body io.Reader) (io.Reader, error) {
 	name, value, found := strings.Cut(field, ":")
 	if !found {
@@ -86,7 +86,7 @@
 	return body, nil
 }
 
-// readLine reads a line of the HTTP framing, without its end.
+// readLine reads a line of a header or chunk head, without its line break.
 func readLine(reader *bufio.Reader) (string, error) {
 	line, err := reader.ReadSlice('\n')
 	if err != nil {
@@ -98,8 +98,8 @@
 // chunkedReader reads a body in HTTP's chunked encoding.
 type chunkedReader struct {
 	reader     *bufio.Reader
-	remaining  int64 // bytes of the current chunk
-	afterChunk bool  // a chunk has been read, and the line break after it has not
+	remaining  int64 // unread bytes of the current chunk
+	afterChunk bool  // the line break after a chunk has yet to be read
 	err        error
 }
 
@@ -116,7 +116,7 @@
 	return n, c.err
 }
 
-// nextChunkSize reads the head of a chunk; the last one ends the body with io.EOF.
+// nextChunkSize reads the head of a chunk. It returns io.EOF for the last chunk.
 func (c *chunkedReader) nextChunkSize() (int64, error) {
 	if c.afterChunk {
 		if line, err := readLine(c.reader); err != nil || line != "" {
@@ -139,8 +139,8 @@
 	return int64(size), nil
 }
 
-// unexpectedEOF makes a connection that breaks within a body differ from the
-// body's end.
+// unexpectedEOF turns io.EOF, which stands for the end of the body, into
+// io.ErrUnexpectedEOF for a connection that ends within the body.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -148,7 +148,7 @@
 	return err
 }
 
-// boundedReader fails where a list would take all memory.
+// boundedReader limits the bytes of one list, and so the memory it takes.
 type boundedReader struct {
 	io.Reader
 	remaining int
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -19,18 +19,17 @@
 		"HTTP/1.1 200 OK\r\n" + strings.Repeat("a: b\r\n", 200) + "\r\n",
 	} {
 		if _, err := readResponseHead(bufio.NewReader(strings.NewReader(text))); err == nil {
-			t.Errorf("%q was accepted", text)
+			t.Errorf("the response head %q was accepted", text)
 		}
 	}
 	for _, text := range []string{"x\r\nab\r\n", "2\r\nabc\r\n0\r\n", "-1\r\n", "ffffffff\r\n", "5\r\nab"} {
 		if _, err := io.ReadAll(&chunkedReader{reader: bufio.NewReader(strings.NewReader(text))}); err == nil {
-			t.Errorf("%q was accepted", text)
+			t.Errorf("the chunked body %q was accepted", text)
 		}
 	}
 }
 
-// However a body is cut into chunks, and those into packets, it is read unchanged;
-// and reading ends whatever the input.
+// A chunked body is read unchanged however it is split into chunks and packets, and reading ends for any input.
 func FuzzChunks(f *testing.F) {
 	f.Add([]byte("{\"revision\":1}\n\n"), []byte{3, 200, 0})
 	f.Add([]byte("5\r\nhello\r\n0\r\n\r\n"), []byte{})
@@ -38,8 +37,8 @@
 		_, _ = io.Copy(io.Discard, &chunkedReader{reader: bufio.NewReader(bytes.NewReader(body))})
 		_, _ = readResponseHead(bufio.NewReader(bytes.NewReader(body)))
 		var wire strings.Builder
-		from := testutil.New(cuts)
-		for part, rest := from.Cut(body); part != nil; part, rest = from.Cut(rest) {
+		choices := testutil.New(cuts)
+		for part, rest := choices.Cut(body); part != nil; part, rest = choices.Cut(rest) {
 			wire.WriteString(chunkText(string(part)))
 		}
 		wire.WriteString("0\r\n\r\n")
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -1,10 +1,11 @@
-// Package discovery keeps the proxy's endpoint list up to date from the
-// discovery agent on the relay's own machine, or from a service that all relays
-// poll: HTTP/1.1 with a watch whose response stays open and brings lists.
+// Package discovery keeps the proxy's endpoint list up to date, from the
+// discovery agent on the relay's own machine or from a service that all relays
+// poll. A watch is an HTTP/1.1 request whose response stays open and delivers
+// endpoint lists as they change.
 //
-// One goroutine, in Watcher.Run, opens watches and applies lists. All other
-// methods of Watcher may be called from any goroutine, except Seed and Resume,
-// which belong before Run.
+// Watcher.Run opens watches and applies lists on one goroutine. All other methods
+// of Watcher may be called from any goroutine, except Seed and Resume, which must
+// be called before Run.
 package discovery
 
 import (
@@ -24,30 +25,29 @@
 // Watcher keeps the endpoint list of a proxy up to date.
 type Watcher struct {
 	Proxy      *proxy.Proxy
-	Address    string   // of the agent at the start, "host:port"; SetAddress changes it
-	Zones      []string // localities by zone number; ZoneNumber appends unknown ones
-	RetainList bool     // a copy of the list is retained for List
+	Address    string   // of the agent or service, "host:port"; use SetAddress once Run was called
+	Zones      []string // localities, indexed by zone number; ZoneNumber appends unknown ones
+	RetainList bool     // keep a copy of the list for List
 
 	// Used by the goroutine of Run, and by Seed and Resume before it.
 	revision       uint64
-	failures       int                    // watches since one last brought anything
-	newestRevision uint64                 // of the newest list, whichever agent sent it
-	lastPhases     map[string]phaseRecord // by ID, of endpoints that are listed or were lately
-	lastSweep      time.Time              // when lastPhases was last rid of old entries
+	failures       int                    // watches in a row that brought no list
+	newestRevision uint64                 // of the newest list from any agent
+	lastPhases     map[string]phaseRecord // by endpoint ID; of listed and recently listed endpoints
+	lastCleanup    time.Time              // when old entries of lastPhases were last removed
 
-	mu              sync.Mutex    // guards what follows, Zones, and Address, which Run alone writes
+	mu              sync.Mutex    // guards the fields below, Zones, and Address, which only Run writes
 	synced          chan struct{} // closed once a watch has brought a list; nil until Synced is called
 	retained        List
-	nextAddress     string             // where the next watch is to be opened; "" for no change
+	nextAddress     string             // address for the next watch; "" if unchanged
 	needsFullList   bool               // the next watch starts from revision 0
-	resyncScheduled bool               // a timer will set needsFullList
-	cancelWatch     context.CancelFunc // ends the watch that is open
+	resyncScheduled bool               // a timer is running that sets needsFullList
+	cancelWatch     context.CancelFunc // cancels the current watch
 }
 
-// SetAddress makes the watcher use another address from now on. The current
-// watch ends at once, as its agent may be about to go, and the endpoints stay
-// as they are until the new agent has sent its list. A watch that is open at
-// the same address continues.
+// SetAddress changes the address of the agent. The current watch ends at once,
+// and the endpoints stay unchanged until the new agent sends its list. If the
+// address is the current one, the watch continues.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,9 +60,9 @@
 	}
 }
 
-// beginWatch returns the context of the next watch, after a change of address
-// if one is due. An agent that was not watched before has to send its full
-// list: its revisions need not continue those of the last agent.
+// beginWatch applies a pending change of address, and returns the context of the
+// next watch. A new agent is asked for its full list, as its revisions need not
+// continue those of the previous agent.
 func (w *Watcher) beginWatch(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,8 +77,8 @@
 	return ctx, w.cancelWatch
 }
 
-// List returns a copy of the retained list, and the address of the agent that
-// its revision belongs to. It is empty unless RetainList is set.
+// List returns a copy of the retained list, which is empty unless RetainList is
+// set, and the address of the agent that its revision belongs to.
 func (w *Watcher) List() (list List, agent string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -87,12 +87,13 @@
 	return list, w.Address
 }
 
-// Seed applies the list that the relay had before its start. It must be called
+// Seed applies a list that was saved before the relay's start. It must be called
 // before Run.
 func (w *Watcher) Seed(list List) error { return w.apply(list, balancer.ListCached) }
 
-// Resume applies the list of another process of this relay, whose revision
-// belongs to the given agent. It must be called before Run.
+// Resume applies the list of the relay's previous process, whose revision belongs
+// to the given agent: watches continue from it if the agent is the same. It must
+// be called before Run.
 func (w *Watcher) Resume(list List, agent string) error {
 	if err := w.apply(list, balancer.ListCached); err != nil {
 		return err
@@ -103,10 +104,10 @@
 	return nil
 }
 
-// ZoneNumber returns the number of a locality, which stays the same for the
-// lifetime of the relay, whatever the order of a later configuration. A
-// locality that no configuration has named gets a number of its own: two of
-// them must not pass for one zone, in which duplicates are dropped.
+// ZoneNumber returns the zone number of a locality, which stays the same for the
+// lifetime of the relay. Each locality that is missing from the configuration gets
+// a number of its own: requests are deduplicated per zone, so two localities must
+// not share one.
 func (w *Watcher) ZoneNumber(locality string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -117,9 +118,9 @@
 	return len(w.Zones) - 1
 }
 
-// Synced returns a channel that is closed once a watch has brought a list.
-// Clients that wait for it are not placed by the list from before the start:
-// what the agent has counts as notified from a process's first moment.
+// Synced returns a channel that is closed once a watch has brought a list. Clients
+// should be assigned after that, as the list from before the start may name
+// endpoints that the agent knows as gone or draining.
 func (w *Watcher) Synced() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -143,9 +144,8 @@
 	}
 }
 
-// Run watches until ctx ends, and returns nil then. A watch that ends is
-// reopened from the last revision, after a backoff, or at once where the
-// address has changed.
+// Run watches until ctx ends, and returns nil then. A watch that ends is reopened
+// from the last revision after a backoff, or at once if the address has changed.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		watchCtx, cancel := w.beginWatch(ctx)
@@ -153,7 +153,7 @@
 		startedAt := time.Now()
 		err := w.watch(watchCtx)
 		if time.Since(startedAt) > idleTimeout {
-			w.failures = 0 // it was healthy for a while, be it without news
+			w.failures = 0 // the watch was healthy, even if it brought no list
 		}
 		if watchCtx.Err() == nil {
 			w.Proxy.Log.Warn("discovery watch ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// watch opens one watch and applies the lists that it brings until it ends.
+// watch opens a watch and applies the lists that it delivers until it ends.
 func (w *Watcher) watch(ctx context.Context) error {
 	response, err := w.openWatch(ctx)
 	if err != nil {
@@ -176,7 +176,7 @@
 	}
 	defer response.conn.Close()
 	defer context.AfterFunc(ctx, func() { response.conn.Close() })()
-	// Lists may come indented, over many lines: what ends one is its last brace.
+	// A list may span many lines, so the JSON decoder finds its end.
 	body := &boundedReader{Reader: response.body}
 	for decoder := json.NewDecoder(body); ; {
 		var list List
@@ -190,7 +190,7 @@
 		if list.Complete {
 			kind = balancer.ListFull
 		} else if list.Revision < w.revision {
-			continue // changes that newer ones have overtaken
+			continue // a newer list was applied already
 		}
 		if err := w.apply(list, kind); err != nil {
 			return err
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -24,16 +24,16 @@
 	}, 1, proxy.NewClock())
 }
 
+// statesOf returns the state of each endpoint of a proxy, as in "s-1=ready s-2=gone".
 func statesOf(target *proxy.Proxy) string {
 	var all []string
-	for _, s := range target.Endpoints.List() {
-		all = append(all, s.Name+"="+[]string{"gone", "ready", "draining"}[s.State])
+	for _, endpoint := range target.Endpoints.List() {
+		all = append(all, endpoint.Name+"="+[]string{"gone", "ready", "draining"}[endpoint.State])
 	}
 	return strings.Join(all, " ")
 }
 
-// A watch that ends is reopened from the last revision, and every list takes
-// effect as it arrives.
+// A watch that ends is reopened from the last revision, and each list is applied as it arrives.
 func TestWatchResumesFromLastRevision(t *testing.T) {
 	address, requested := fakeAgent(t,
 		[]string{"\n", listJSON(42, false, memberJSON("s-2", "draining")), "\n"},
@@ -54,21 +54,21 @@
 		select {
 		case got := <-requested:
 			if got != "GET /discovery/hosts?watch=1&"+want+" HTTP/1.1" {
-				t.Errorf("requested %q, want %s", got, want)
+				t.Errorf("watch requested with %q, want %s", got, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("watch %d was not opened", i)
+			t.Fatalf("watch %d was not opened within 5 s", i)
 		}
 		switch i {
-		case 0: // requests about to go to s-2 are notified at once that it drains
+		case 0: // waiters on s-2 are notified as soon as it drains
 			select {
 			case <-known.Draining:
 			case <-time.After(5 * time.Second):
-				t.Fatal("an endpoint that drains is not marked as draining")
+				t.Fatal("s-2 is not marked as draining within 5 s")
 			}
 		case 2:
 			if got := statesOf(target); got != "s-1=gone s-2=ready s-3=ready" {
-				t.Errorf("the endpoints are %s", got)
+				t.Errorf("got endpoints %q", got)
 			}
 		}
 	}
@@ -76,8 +76,7 @@
 	done.Wait()
 }
 
-// Lists may come indented. A reader by lines would end the watch each time, and the relay would stay with the list
-// that it had at its start.
+// A list may be indented JSON. Splitting the body by lines would fail each watch, and leave the initial list in use.
 func TestIndentedListsAreApplied(t *testing.T) {
 	indent := func(text string) string {
 		var b bytes.Buffer
@@ -86,8 +85,8 @@
 		}
 		return b.String()
 	}
-	all := indent(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")))
-	address, requested := fakeAgent(t, []string{"\n", all[:50], all[50:], "\r\n\n", indent(listJSON(8, false, memberJSON("s-2", "draining")))}, nil)
+	full := indent(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")))
+	address, requested := fakeAgent(t, []string{"\n", full[:50], full[50:], "\r\n\n", indent(listJSON(8, false, memberJSON("s-2", "draining")))}, nil)
 	target := newProxy()
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
@@ -96,20 +95,20 @@
 	defer cancel()
 	expectWatches(t, requested, "from=0", "from=8")
 	if got := statesOf(target); got != "s-1=ready s-2=draining" {
-		t.Errorf("the endpoints are %s", got)
+		t.Errorf("got endpoints %q", got)
 	}
 }
 
-// Lists that are empty, truncated, garbled or no lists are logged, the endpoints are retained,
-// and the next watch continues from the last revision.
+// An empty, truncated or malformed list ends the watch with a log line. The endpoints stay unchanged, and the next
+// watch continues from the last revision.
 func TestInvalidListsAreLoggedAndChangeNothing(t *testing.T) {
 	complete := listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"))
-	for name, bad := range map[string]string{
-		"empty": listJSON(9, true), "cut short": listJSON(9, true, memberJSON("s-1", "ready"))[:60], "garbled": "{\"revision\":\n",
-		"no list": "[1]\n", "odd phase": listJSON(9, false, memberJSON("s-1", "odd")),
+	for name, invalid := range map[string]string{
+		"empty": listJSON(9, true), "truncated": listJSON(9, true, memberJSON("s-1", "ready"))[:60], "malformed": "{\"revision\":\n",
+		"not an object": "[1]\n", "unknown phase": listJSON(9, false, memberJSON("s-1", "odd")),
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, requested := fakeAgent(t, []string{complete, bad}, []string{listJSON(8, false, memberJSON("s-2", "draining"))}, nil)
+			address, requested := fakeAgent(t, []string{complete, invalid}, []string{listJSON(8, false, memberJSON("s-2", "draining"))}, nil)
 			target := newProxy()
 			log := make(logLines, 16)
 			target.Log = slog.New(slog.NewTextHandler(log, nil))
@@ -120,16 +119,16 @@
 			defer cancel()
 			expectWatches(t, requested, "from=0", "from=7", "from=8")
 			if text := <-log; !strings.Contains(text, "discovery watch ended") {
-				t.Errorf("the log says %q", text)
+				t.Errorf("logged %q, want \"discovery watch ended\"", text)
 			}
 			if got := statesOf(target); got != "s-1=ready s-2=draining" {
-				t.Errorf("the endpoints are %s", got)
+				t.Errorf("got endpoints %q", got)
 			}
 		})
 	}
 }
 
-// logLines receives each log line; lines beyond its buffer are dropped.
+// logLines is a log writer that sends each line to the channel, and drops lines if the channel is full.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (int, error) {
@@ -140,13 +139,13 @@
 	return len(b), nil
 }
 
-// startWatcher runs a watcher until the test's end; with poll, discovery is a service that is polled.
+// startWatcher runs a watcher until the test's end, of an agent or, with poll, of a service that all relays poll.
 func startWatcher(t *testing.T, address string, poll bool) (*proxy.Proxy, *Watcher) {
 	target := newProxy()
 	if poll {
-		s := *target.Settings()
-		s.PollList, s.PollInterval = true, 10*time.Second
-		target.UpdateSettings(&s)
+		settings := *target.Settings()
+		settings.PollList, settings.PollInterval = true, 10*time.Second
+		target.UpdateSettings(&settings)
 	}
 	w := &Watcher{Proxy: target, Address: address, Zones: []string{"a", "b"}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -156,66 +155,66 @@
 	return target, w
 }
 
-// What a silent watch misses counts as notified 6 s later, whether lists are pushed or polled: by then the next watch
-// has to have brought it, though its first request may go unanswered too.
+// A change that a silent watch misses must be applied within 6 s of the silence, by the next watch, even if the first
+// request for that gets no response.
 func TestSilentWatchIsReopenedInTime(t *testing.T) {
-	for _, c := range []struct {
-		name string
-		ask  bool
-		part string // of a list, where it falls silent within
-	}{{"pushed", false, ""}, {"polled", true, ""}, {"within a list", false, listJSON(9, false, memberJSON("s-1", "draining"))[:40]}} {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range []struct {
+		name    string
+		poll    bool
+		partial string // sent before the silence
+	}{{"pushed", false, ""}, {"polled", true, ""}, {"silent within a list", false, listJSON(9, false, memberJSON("s-1", "draining"))[:40]}} {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			agent := newScriptedAgent(t)
-			target, _ := startWatcher(t, agent.address, c.ask)
+			target, _ := startWatcher(t, agent.address, test.poll)
 			watch, _ := agent.nextWatch("0")
 			watch.answer(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")))
-			testutil.Until(t, "the list is there", func() bool { return statesOf(target) == "s-1=ready s-2=ready" })
-			startedAt := time.Now() // it is silent from now on
-			if c.part != "" {
-				io.WriteString(watch, chunkText(c.part))
+			testutil.Until(t, "the list was not applied", func() bool { return statesOf(target) == "s-1=ready s-2=ready" })
+			startedAt := time.Now() // the watch is silent from now on
+			if test.partial != "" {
+				io.WriteString(watch, chunkText(test.partial))
 			}
 			agent.nextWatch("7") // the first request of the next watch gets no response
 			watch, _ = agent.nextWatch("7")
 			watch.answer(listJSON(9, false, memberJSON("s-1", "draining")))
-			testutil.Until(t, "the drain is there", func() bool { return statesOf(target) == "s-1=draining s-2=ready" })
+			testutil.Until(t, "the drain was not applied", func() bool { return statesOf(target) == "s-1=draining s-2=ready" })
 			if elapsed := time.Since(startedAt); elapsed > 6*time.Second {
-				t.Errorf("a drain took effect %v after the watch fell silent", elapsed)
+				t.Errorf("a drain was applied %v after the watch fell silent, want at most 6 s", elapsed)
 			}
 		})
 	}
 }
 
-// What an agent has counts as notified whether a watch is open or not: a watch that breaks is reopened within a fraction
-// of any grace period, however often that was needed before and though nothing had changed.
+// A watch that is reset is reopened within 700 ms, even after many resets in a row without a change. The relay is
+// expected to know what its agent knows, so a longer gap would delay changes too much.
 func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
 	agent := newScriptedAgent(t)
 	target, _ := startWatcher(t, agent.address, false)
 	watch, _ := agent.nextWatch("0")
 	watch.answer(listJSON(7, true, memberJSON("s-1", "ready")))
-	testutil.Until(t, "the list is there", func() bool { return statesOf(target) == "s-1=ready" })
+	testutil.Until(t, "the list was not applied", func() bool { return statesOf(target) == "s-1=ready" })
 	for range 8 {
 		watch.Conn.(*net.TCPConn).SetLinger(0)
 		watch.Close()
 		var elapsed time.Duration
 		if watch, elapsed = agent.nextWatch("7"); elapsed > 700*time.Millisecond {
-			t.Fatalf("a watch that was reset is reopened after %v", elapsed)
+			t.Fatalf("a reset watch was reopened after %v, want at most 700 ms", elapsed)
 		}
 		watch.answer("\n")
 	}
 }
 
-// A configuration with the same address of discovery leaves the watch open.
-func TestHealthyWatchContinuesAtSameAddress(t *testing.T) {
+// SetAddress with the current address must not interrupt the watch.
+func TestSettingSameAddressKeepsWatch(t *testing.T) {
 	agent := newScriptedAgent(t)
 	target, w := startWatcher(t, agent.address, false)
 	watch, _ := agent.nextWatch("0")
 	watch.answer(listJSON(7, true, memberJSON("s-1", "ready")))
-	testutil.Until(t, "the list is there", func() bool { return statesOf(target) == "s-1=ready" })
+	testutil.Until(t, "the list was not applied", func() bool { return statesOf(target) == "s-1=ready" })
 	w.SetAddress(agent.address)
 	io.WriteString(watch, chunkText(listJSON(8, false, memberJSON("s-1", "draining"))))
-	testutil.Until(t, "the watch still brings changes", func() bool { return statesOf(target) == "s-1=draining" })
+	testutil.Until(t, "a change on the same watch was not applied", func() bool { return statesOf(target) == "s-1=draining" })
 	if n := len(agent.watches); n != 0 {
-		t.Errorf("%d more watches were opened", n)
+		t.Errorf("%d more watches were opened, want none", n)
 	}
 }
