--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -14,20 +14,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// A message is its length in four bytes, big-endian, its kind in one, the number
-// of descriptors that come with it in one, and a body in JSON.
+// A message has a header of six bytes and a body in JSON. The header holds the length
+// of the body in four bytes, big-endian, the kind, and the number of descriptors.
 const (
 	headerSize     = 6
-	maxBodyBytes   = 64 << 20 // a list of 60,000 endpoints and all cached routes; memory is taken by what a body has
+	maxBodyBytes   = 64 << 20 // enough for a list of 60,000 endpoints and all cached routes
 	maxDescriptors = 8
-	descriptorSize = 4 // bytes of one in a control message
+	descriptorSize = 4 // bytes of a descriptor in a control message
 )
 
-// channel is a connection between the two processes.
+// channel is a Unix socket connection between predecessor and successor.
 type channel struct{ *net.UnixConn }
 
-// sameUser returns errOtherUser if the peer belongs to another user.
-func (c channel) sameUser() error {
+// checkPeerUser returns errOtherUser if the peer runs as another user.
+func (c channel) checkPeerUser() error {
 	var credentials *unix.Ucred
 	err := withDescriptors([]syscall.Conn{c}, nil, func(descriptors []int) (err error) {
 		credentials, err = unix.GetsockoptUcred(descriptors[0], unix.SOL_SOCKET, unix.SO_PEERCRED)
@@ -42,15 +42,15 @@
 	return nil
 }
 
-// send writes a message within a timeout, with the descriptors of some sockets.
-// The peer gets duplicates of them.
+// send writes a message within a timeout. The peer receives duplicates of the
+// sockets' descriptors with it.
 func (c channel) send(timeout time.Duration, kind messageKind, body any, sockets ...syscall.Conn) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
 	if len(text) > maxBodyBytes || len(sockets) > maxDescriptors {
-		return fmt.Errorf("hotrestart: message of %d bytes and %d descriptors too large", len(text), len(sockets))
+		return fmt.Errorf("hotrestart: message of %d bytes with %d descriptors exceeds the limits", len(text), len(sockets))
 	}
 	data := binary.BigEndian.AppendUint32(make([]byte, 0, headerSize+len(text)), uint32(len(text)))
 	data = append(data, byte(kind), byte(len(sockets)))
@@ -69,9 +69,9 @@
 	})
 }
 
-// withDescriptors calls use with the descriptors of all sockets, after those
-// given. They are not taken out of the runtime's hands: File would set a socket
-// that both processes have to blocking mode.
+// withDescriptors calls use with the given descriptors and those of all sockets.
+// It accesses them through SyscallConn, as File would set a socket that both
+// processes share to blocking mode.
 func withDescriptors(sockets []syscall.Conn, descriptors []int, use func([]int) error) error {
 	if len(sockets) == 0 {
 		return use(descriptors)
@@ -80,14 +80,14 @@
 	if err != nil {
 		return err
 	}
-	var used error
+	var useErr error
 	err = raw.Control(func(descriptor uintptr) {
-		used = withDescriptors(sockets[1:], append(descriptors, int(descriptor)), use)
+		useErr = withDescriptors(sockets[1:], append(descriptors, int(descriptor)), use)
 	})
-	return errors.Join(err, used)
+	return errors.Join(err, useErr)
 }
 
-// message is one that was received.
+// message is a received message.
 type message struct {
 	kind        messageKind
 	body        []byte
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// receive reads a message until a deadline; the zero time is none. The caller
-// closes the descriptors of the message.
+// receive reads a message until a deadline; the zero time means no deadline. The
+// caller must close the descriptors of the message.
 func (c channel) receive(deadline time.Time) (*message, error) {
 	c.SetReadDeadline(deadline)
 	m := &message{}
@@ -121,11 +121,11 @@
 	return m, nil
 }
 
-// readFrom reads a message. After an error the descriptors may be there in part.
+// readFrom reads a message. It may have received some descriptors if it fails.
 func (m *message) readFrom(c channel) error {
 	header := make([]byte, headerSize)
 	rights := make([]byte, unix.CmsgSpace(descriptorSize*maxDescriptors))
-	// Descriptors come with the first byte of their message.
+	// The kernel delivers the descriptors with the first byte of the message.
 	n, rightsSize, _, _, err := c.ReadMsgUnix(header, rights)
 	if err != nil {
 		return err
@@ -149,8 +149,8 @@
 	return err
 }
 
-// parseRights takes the descriptors out of the control message that came with a
-// message's first byte.
+// parseRights extracts the descriptors from the control messages that came with the
+// first byte of the message.
 func (m *message) parseRights(rights []byte) error {
 	controlMessages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -163,7 +163,7 @@
 		}
 		for _, descriptor := range descriptors {
 			unix.CloseOnExec(descriptor)
-			_ = unix.SetNonblock(descriptor, true) // os.NewFile takes a blocking one as well
+			_ = unix.SetNonblock(descriptor, true) // os.NewFile accepts a blocking descriptor too
 			m.descriptors = append(m.descriptors, os.NewFile(uintptr(descriptor), "handed over"))
 		}
 	}
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,22 +1,26 @@
-// Package hotrestart lets a new process of a relay, the successor, take over
-// from the one that runs, the predecessor: its listening sockets, its state, and
-// its established connections.
+// Package hotrestart lets a new process of a relay, the successor, take over the
+// listening sockets, the state and the established connections of the running
+// one, the predecessor.
 //
-// What each of the two may do is decided by PredecessorState and SuccessorState,
-// which do no I/O. Predecessor and Successor are thin shells around them: a Unix
-// socket, messages with descriptors, and a bound on every wait.
+// PredecessorState and SuccessorState decide what each process may do, without
+// I/O. Predecessor and Successor add the I/O: messages with file descriptors over
+// a Unix socket, with a timeout on each wait.
 //
-// The steps are: the successor connects and says hello; the predecessor offers
-// its state and its listening sockets; the successor, once ready, says that it
-// takes over; the predecessor stops accepting and says so; the successor
-// accepts. When the predecessor shuts down, it hands off its established
-// connections one by one, and each is acknowledged or declined.
+// The steps of a takeover are:
 //
-// Whoever embeds them must
+//  1. The successor connects and sends a hello.
+//  2. The predecessor offers its state and its listening sockets.
+//  3. The successor, once ready, announces that it takes over.
+//  4. The predecessor stops accepting and confirms that.
+//  5. The successor accepts clients.
+//  6. When the predecessor shuts down, it hands off its established connections
+//     one by one, and the successor acknowledges or declines each.
 //
-//  1. accept no client and spend none of the slow-start budget while it may not
-//     (PredecessorState.MayAccept, SuccessorState.MayAccept);
-//  2. hand connections off only through Predecessor.HandOff, and serve one that
-//     was not acknowledged to its end itself;
-//  3. start as if alone whenever Connect returns an error, whatever it is.
+// The caller must
+//
+//  1. accept no client and spend none of the slow-start budget while
+//     PredecessorState.MayAccept or SuccessorState.MayAccept returns false;
+//  2. hand off connections with Predecessor.HandOff only, and continue to serve a
+//     connection for which it returns an error;
+//  3. start without a predecessor if Connect returns an error.
 package hotrestart
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -19,9 +19,9 @@
 	"lockroad/internal/testutil"
 )
 
-// fakeHandler is a relay with one listener.
+// fakeHandler is a Handler with one listener.
 type fakeHandler struct {
-	state          atomic.Pointer[string] // in place of a small one
+	state          atomic.Pointer[string] // offered in place of a short one, if not nil
 	clientListener *net.TCPListener
 	pauses         atomic.Int32 // calls of SetPaused with true, less those with false
 	fails          atomic.Bool
@@ -30,11 +30,11 @@
 func (h *fakeHandler) Offer(context.Context) (*Offer, []syscall.Conn, error) {
 	var err error
 	if h.fails.Load() {
-		err = errors.New("no turn comes")
+		err = errors.New("the offer failed")
 	}
 	state := `{"x":1}`
-	if s := h.state.Load(); s != nil {
-		state = *s
+	if override := h.state.Load(); override != nil {
+		state = *override
 	}
 	return &Offer{Clock: time.Hour, ListenerNames: []string{"line"}, State: json.RawMessage(state)}, []syscall.Conn{h.clientListener}, err
 }
@@ -66,15 +66,16 @@
 		}
 		listener.Close()
 	})
-	testutil.Until(t, "the socket is not opened", func() bool { _, err := os.Stat(predecessor.path); return err == nil })
+	testutil.Until(t, "the predecessor's socket was not opened", func() bool { _, err := os.Stat(predecessor.path); return err == nil })
 	return predecessor, handler
 }
 
-// connectSuccessor connects until there is an offer: a predecessor notices a moment later that the last successor is gone.
+// connectSuccessor connects until an offer is made: the predecessor may not have noticed yet that the previous
+// successor has exited.
 func connectSuccessor(t *testing.T, predecessor *Predecessor) *Successor {
 	t.Helper()
 	var successor *Successor
-	testutil.Until(t, "no offer is made", func() (ok bool) {
+	testutil.Until(t, "no offer was made", func() (ok bool) {
 		var err error
 		successor, err = Connect(predecessor.path)
 		return err == nil
@@ -105,73 +106,72 @@
 	predecessor, handler := startPredecessor(t)
 	successor := connectSuccessor(t, predecessor)
 	if successor.Offer.Clock != time.Hour || string(successor.Offer.State) != `{"x":1}` || len(successor.Listeners) != 1 {
-		t.Errorf("offered %+v with %d listeners", successor.Offer, len(successor.Listeners))
+		t.Errorf("got offer %+v with %d listeners", successor.Offer, len(successor.Listeners))
 	}
 	if successor.MayAccept() || handler.pauses.Load() != 0 {
-		t.Error("the successor may accept, or the predecessor has paused, before the takeover")
+		t.Error("the successor may accept or the predecessor has paused before the takeover")
 	}
 	if err := successor.TakeOver(); err != nil || !successor.MayAccept() {
-		t.Fatal(err)
+		t.Fatalf("takeover failed or the successor may not accept: %v", err)
 	}
 	if handler.pauses.Load() != 1 {
 		t.Error("the predecessor was not paused")
 	}
-	// A connection in the accept queue stays there, though the predecessor closes its descriptor.
+	// A connection in the accept queue is not lost when the predecessor closes its descriptor.
 	queued, err := net.Dial("tcp", successor.Listeners[0].Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer queued.Close()
 	handler.clientListener.Close()
-	c, err := successor.Listeners[0].Accept()
+	conn, err := successor.Listeners[0].Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	if c.RemoteAddr().String() != queued.LocalAddr().String() {
-		t.Error("another connection was in the queue")
+	defer conn.Close()
+	if conn.RemoteAddr().String() != queued.LocalAddr().String() {
+		t.Error("another connection than the queued one was accepted")
 	}
 
 	near, far := connectionPair(t)
 	if err := predecessor.HandOff("too early", near.(syscall.Conn)); !errors.Is(err, errNoPeer) {
-		t.Errorf("handed off before the shutdown: %v", err)
+		t.Errorf("handoff before the shutdown: got %v, want errNoPeer", err)
 	}
 	if !predecessor.BeginShutdown() {
-		t.Error("connections are not to be handed off at shutdown")
+		t.Error("BeginShutdown reports that connections are not to be handed off")
 	}
 	adopted := make(chan net.Conn, 1)
 	go successor.Adopt(context.Background(), func(payload json.RawMessage, sockets []net.Conn) (func(), error) {
-		if string(payload) != `"mine"` || len(sockets) != 1 {
-			return nil, errors.New("not wanted")
+		if string(payload) != `"wanted"` || len(sockets) != 1 {
+			return nil, errors.New("unexpected payload or sockets")
 		}
 		return func() { adopted <- sockets[0] }, nil
 	})
 	if err := predecessor.HandOff("unwanted", near.(syscall.Conn)); !errors.Is(err, errNotAdopted) {
-		t.Errorf("a connection that is declined: %v", err)
+		t.Errorf("handoff of a declined connection: got %v, want errNotAdopted", err)
 	}
-	if err := predecessor.HandOff("mine", near.(syscall.Conn)); err != nil {
+	if err := predecessor.HandOff("wanted", near.(syscall.Conn)); err != nil {
 		t.Fatal(err)
 	}
 	near.Close()
 	io.WriteString(<-adopted, "hello")
-	b := make([]byte, 5)
-	if _, err := io.ReadFull(far, b); err != nil || string(b) != "hello" {
-		t.Errorf("the other end got %q, %v", b, err)
+	received := make([]byte, 5)
+	if _, err := io.ReadFull(far, received); err != nil || string(received) != "hello" {
+		t.Errorf("the client received %q, %v, want hello", received, err)
 	}
 }
 
-// The offer of a relay with tens of thousands of endpoints is not rejected for its size.
+// An offer with tens of thousands of endpoints must not exceed the size limit.
 func TestLargeOffer(t *testing.T) {
 	predecessor, handler := startPredecessor(t)
 	state := `"` + strings.Repeat("x", 9<<20) + `"`
 	handler.state.Store(&state)
-	if got := connectSuccessor(t, predecessor); len(got.Offer.State) != len(state) {
-		t.Errorf("%d bytes of %d are offered", len(got.Offer.State), len(state))
+	if successor := connectSuccessor(t, predecessor); len(successor.Offer.State) != len(state) {
+		t.Errorf("the offered state has %d bytes, want %d", len(successor.Offer.State), len(state))
 	}
 }
 
-// A successor that is lost before or after it has taken over leaves the predecessor unharmed,
-// and the next one can connect.
+// If a successor is lost before or after the takeover, the predecessor resumes and the next successor can connect.
 func TestPredecessorResumesWhenSuccessorIsLost(t *testing.T) {
 	predecessor, handler := startPredecessor(t)
 	connectSuccessor(t, predecessor).Close() // before the takeover
@@ -180,13 +180,13 @@
 		t.Fatal(err)
 	}
 	if _, err := Connect(predecessor.path); err == nil || !strings.Contains(err.Error(), "another new process") {
-		t.Errorf("a second successor: %v", err)
+		t.Errorf("a second successor got %v, want a rejection", err)
 	}
-	if err := os.Remove(predecessor.path); err != nil { // the successor has opened its own there
+	if err := os.Remove(predecessor.path); err != nil { // as if the successor had replaced the socket
 		t.Fatal(err)
 	}
 	successor.Close()
-	testutil.Until(t, "the predecessor does not resume", func() bool { return handler.pauses.Load() == 0 })
+	testutil.Until(t, "the predecessor did not resume", func() bool { return handler.pauses.Load() == 0 })
 	successor = connectSuccessor(t, predecessor)
 	if err := successor.TakeOver(); err != nil {
 		t.Fatal(err)
@@ -194,16 +194,15 @@
 	predecessor.BeginShutdown()
 	successor.Close()
 	near, _ := connectionPair(t)
-	testutil.Until(t, "connections are still handed off", func() bool { return predecessor.HandOff("x", near.(syscall.Conn)) != nil })
+	testutil.Until(t, "handoffs still succeed after the loss of the successor", func() bool { return predecessor.HandOff("x", near.(syscall.Conn)) != nil })
 }
 
-// A predecessor that is killed before or after the takeover leaves the successor with the
-// listeners: it continues alone.
+// If the predecessor is killed before or after the takeover, the successor keeps the listeners and continues alone.
 func TestSuccessorContinuesWhenPredecessorIsKilled(t *testing.T) {
-	for _, after := range []bool{false, true} {
+	for _, afterTakeOver := range []bool{false, true} {
 		predecessor, _ := startPredecessor(t)
 		successor := connectSuccessor(t, predecessor)
-		if after {
+		if afterTakeOver {
 			if err := successor.TakeOver(); err != nil {
 				t.Fatal(err)
 			}
@@ -211,34 +210,34 @@
 		predecessor.mu.Lock()
 		predecessor.peer.Close()
 		predecessor.mu.Unlock()
-		if !after && successor.TakeOver() == nil {
-			t.Error("a predecessor that is gone was taken over from")
+		if !afterTakeOver && successor.TakeOver() == nil {
+			t.Error("TakeOver succeeded without a predecessor")
 		}
 		successor.Adopt(context.Background(), nil) // ends at once
 		if !successor.MayAccept() || len(successor.Listeners) != 1 {
-			t.Error("the successor may not accept, or has no listener")
+			t.Error("the successor may not accept, or lacks its listener")
 		}
 	}
 }
 
-// Whatever is wrong with the predecessor, a new process gets an error, and starts alone.
-func TestSuccessorStartsAloneBesideInvalidPredecessor(t *testing.T) {
+// Connect returns an error for any invalid or missing predecessor, so that the new process starts alone.
+func TestConnectFailsForInvalidPredecessor(t *testing.T) {
 	if SocketPath("", "n0", "a:1") != "" || SocketPath("d", "n0", "a:1") == SocketPath("d", "n1", "a:1") {
-		t.Error("paths are not distinct, or there is one without a folder")
+		t.Error("the socket paths of two relays are equal, or there is a path without a folder")
 	}
 	predecessor, handler := startPredecessor(t)
 	for _, version := range []int{ProtocolVersion - 1, ProtocolVersion + 1} {
-		if _, err := connect(predecessor.path, version); err == nil || !strings.Contains(err.Error(), "refused") {
-			t.Errorf("version %d: %v", version, err)
+		if _, err := connect(predecessor.path, version); err == nil || !strings.Contains(err.Error(), "rejected") {
+			t.Errorf("a successor of version %d got %v, want a rejection", version, err)
 		}
 	}
 	handler.fails.Store(true)
-	if _, err := Connect(predecessor.path); err == nil || !strings.Contains(err.Error(), "no turn comes") {
-		t.Errorf("a predecessor that can't offer: %v", err)
+	if _, err := Connect(predecessor.path); err == nil || !strings.Contains(err.Error(), "the offer failed") {
+		t.Errorf("a predecessor whose offer failed: got %v, want its error", err)
 	}
 	dir := t.TempDir()
 	if _, err := Connect(filepath.Join(dir, "none")); err == nil {
-		t.Error("connected where no socket is")
+		t.Error("connected to a path without a socket")
 	}
 	stale := filepath.Join(dir, "stale")
 	listener, err := net.Listen("unix", stale)
@@ -248,11 +247,11 @@
 	listener.(*net.UnixListener).SetUnlinkOnClose(false)
 	listener.Close()
 	if _, err := Connect(stale); err == nil {
-		t.Error("connected to a stale socket")
+		t.Error("connected to the socket of a process that has exited")
 	}
 	message := func(kind messageKind, descriptors byte, body string) string {
-		b := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
-		return string(append(append(b, byte(kind), descriptors), body...))
+		header := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
+		return string(append(append(header, byte(kind), descriptors), body...))
 	}
 	offer := message(kindOffer, 0, `{"Clock":1,"Doors":[]}`)
 	responses := []string{
@@ -270,12 +269,12 @@
 		}
 		go func() {
 			defer listener.Close()
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			defer c.Close()
-			io.WriteString(c, text)
+			defer conn.Close()
+			io.WriteString(conn, text)
 		}()
 		if _, err := Connect(path); err == nil {
 			t.Errorf("%q was accepted as an offer", text)
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// ProtocolVersion is the version of the messages. A peer of another version is
-// rejected, and starts alone.
+// ProtocolVersion is the version of the messages. A predecessor rejects a successor
+// of another version, which then starts alone.
 const ProtocolVersion = 1
 
-// Bounds on the waits of both processes.
+// Timeouts of both processes.
 const (
-	messageTimeout = time.Second      // for a message to be written, and for the answer to it
-	startupTimeout = 10 * time.Second // for a successor to be ready, once it has the offer
+	messageTimeout = time.Second      // for writing a message, and for receiving its answer
+	startupTimeout = 10 * time.Second // from the offer until the successor is ready to take over
 )
 
-// messageKind is what a message says.
+// messageKind is the type of a message.
 type messageKind uint8
 
-// The numbers go over the wire.
+// Kinds of messages with their numbers on the wire, each with its sender and contents.
 const (
-	kindHello      messageKind = 1 + iota // successor: its version
-	kindOffer                             // predecessor: its state, with the listening sockets
-	kindReject                            // predecessor: why there is no offer
+	kindHello      messageKind = 1 + iota // successor: its protocol version
+	kindOffer                             // predecessor: its state and listening sockets
+	kindReject                            // predecessor: the reason why it makes no offer
 	kindTakeOver                          // successor: it is ready to take over
-	kindPaused                            // predecessor: it accepts no more
-	kindConnection                        // predecessor: a connection, with its sockets
-	kindAck                               // successor: the connection is served here
-	kindNack                              // successor: it is not
+	kindPaused                            // predecessor: it has stopped accepting
+	kindConnection                        // predecessor: an established connection with its sockets
+	kindAck                               // successor: it serves the connection of a number
+	kindNack                              // successor: it declines the connection of a number
 )
 
 // Errors of the exchange between the two processes.
@@ -40,36 +40,36 @@
 	errNotAdopted = errors.New("hotrestart: successor declined the connection")
 )
 
-// helloMessage says who a successor is.
+// helloMessage identifies a successor.
 type helloMessage struct {
 	Version int `json:"Format"`
 	PID     int `json:"PID"`
 }
 
-// Offer is what a successor starts with.
+// Offer is the state that a predecessor passes to its successor.
 type Offer struct {
-	Clock         time.Duration   `json:"Clock"` // reading of the predecessor's clock
+	Clock         time.Duration   `json:"Clock"` // current reading of the predecessor's clock
 	ClockStart    time.Time       `json:"Start"` // when that clock was started
-	ListenerNames []string        `json:"Doors"` // one for each listening socket, in their order
+	ListenerNames []string        `json:"Doors"` // names of the listening sockets, in the order of their descriptors
 	State         json.RawMessage `json:"State"`
 }
 
-// connectionMessage describes a connection that is handed off.
+// connectionMessage describes a connection that is handed off to the successor.
 type connectionMessage struct {
-	Number  int             `json:"Number"` // repeated in the acknowledgement
+	Number  int             `json:"Number"` // identifies the connection in the acknowledgement
 	Payload json.RawMessage `json:"What"`
 }
 
-// expect returns an error unless the message is of a kind. A rejection's error
-// has its reason.
+// expect returns an error unless the message is of a kind. For a rejection, the
+// error contains the predecessor's reason.
 func (m *message) expect(kind messageKind) error {
 	switch m.kind {
 	case kind:
 		return nil
 	case kindReject:
 		var reason string
-		_ = m.decode(&reason) // the rejection counts, with its reason or without
-		return fmt.Errorf("hotrestart: refused by the predecessor: %.200s", reason)
+		_ = m.decode(&reason) // a rejection without a valid reason is still one
+		return fmt.Errorf("hotrestart: predecessor rejected the takeover: %.200s", reason)
 	}
 	return errProtocol
 }
--- a/internal/hotrestart/messages_test.go
+++ b/internal/hotrestart/messages_test.go
@@ -18,7 +18,7 @@
 	"lockroad/internal/testutil"
 )
 
-// socketPair returns both ends of a Unix socket, on which the bytes of messages are read and written as they are.
+// socketPair returns both ends of a Unix socket connection.
 func socketPair(t *testing.T) (near, far channel) {
 	t.Helper()
 	fds, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -26,39 +26,39 @@
 		t.Fatal(err)
 	}
 	end := func(fd int) channel {
-		f := os.NewFile(uintptr(fd), "end")
-		defer func() { _ = f.Close() }()
-		c, err := net.FileConn(f)
+		file := os.NewFile(uintptr(fd), "end")
+		defer func() { _ = file.Close() }()
+		conn, err := net.FileConn(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		return channel{c.(*net.UnixConn)}
+		t.Cleanup(func() { conn.Close() })
+		return channel{conn.(*net.UnixConn)}
 	}
 	return end(fds[0]), end(fds[1])
 }
 
-// goldenFrame is the form of a message in a golden file: the head in hexadecimal digits, a line break, and the body.
-func goldenFrame(head, body []byte) []byte { return fmt.Appendf(nil, "%x\n%s", head, body) }
+// goldenFrame formats a message for a golden file: the header in hexadecimal digits, a line break, and the body.
+func goldenFrame(header, body []byte) []byte { return fmt.Appendf(nil, "%x\n%s", header, body) }
 
-// checkFrame fails the test if a message is sent in other bytes than its golden file has, or if what is received of
-// these bytes is not the same message.
-func checkFrame[T any](t *testing.T, path string, kind messageKind, body T, sockets ...syscall.Conn) {
+// checkFrame checks that a message is sent as the bytes in its golden file, and that it is decoded from these bytes
+// unchanged.
+func checkFrame[T any](t *testing.T, path string, kind messageKind, want T, sockets ...syscall.Conn) {
 	t.Helper()
 	near, far := socketPair(t)
-	if err := near.send(time.Second, kind, body, sockets...); err != nil {
+	if err := near.send(time.Second, kind, want, sockets...); err != nil {
 		t.Fatal(err)
 	}
 	near.CloseWrite()
 	far.SetReadDeadline(time.Now().Add(time.Second))
 	sent, err := io.ReadAll(far)
 	if err != nil || len(sent) < headerSize {
-		t.Fatalf("%s: %d bytes were sent, %v", path, len(sent), err)
+		t.Fatalf("%s: got %d bytes, %v, want a message", path, len(sent), err)
 	}
 	golden := testutil.Golden(t, path, goldenFrame(sent[:headerSize], sent[headerSize:]))
 
-	digits, text, _ := bytes.Cut(golden, []byte("\n"))
-	head, err := hex.DecodeString(string(digits))
+	digits, body, _ := bytes.Cut(golden, []byte("\n"))
+	header, err := hex.DecodeString(string(digits))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 		if len(fds) > 0 {
 			rights = unix.UnixRights(fds...)
 		}
-		_, _, err := near.WriteMsgUnix(append(head, text...), rights, nil)
+		_, _, err := near.WriteMsgUnix(append(header, body...), rights, nil)
 		return err
 	})
 	if err != nil {
@@ -76,29 +76,29 @@
 	}
 	received, err := far.receive(time.Now().Add(time.Second))
 	if err != nil {
-		t.Fatalf("%s: %v", path, err)
+		t.Fatalf("%s: receiving failed: %v", path, err)
 	}
 	defer received.closeFiles()
 	var decoded T
 	if err := received.decode(&decoded); err != nil {
-		t.Fatalf("%s: %v", path, err)
+		t.Fatalf("%s: decoding failed: %v", path, err)
 	}
-	if received.kind != kind || len(received.descriptors) != len(sockets) || !reflect.DeepEqual(decoded, body) {
+	if received.kind != kind || len(received.descriptors) != len(sockets) || !reflect.DeepEqual(decoded, want) {
 		t.Errorf("%s is received as kind %d with %d descriptors and\n%+v, want %d, %d and\n%+v",
-			path, received.kind, len(received.descriptors), decoded, kind, len(sockets), body)
+			path, received.kind, len(received.descriptors), decoded, kind, len(sockets), want)
 	}
 }
 
-// openListeners returns the sockets that come with an offer.
-func openListeners(t *testing.T, n int) (all []syscall.Conn) {
+// openListeners opens TCP listeners for an offer.
+func openListeners(t *testing.T, count int) (all []syscall.Conn) {
 	t.Helper()
-	for range n {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	for range count {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { l.Close() })
-		all = append(all, l.(*net.TCPListener))
+		t.Cleanup(func() { listener.Close() })
+		all = append(all, listener.(*net.TCPListener))
 	}
 	return all
 }
@@ -109,10 +109,10 @@
 	checkFrame(t, "testdata/hello.frame", kindHello, complete)
 }
 
-// A peer of another version is rejected: the number may change with the encoding only.
-func TestFormatVersionIsUnchanged(t *testing.T) {
+// Peers of another version are rejected, so the version may change only together with the encoding.
+func TestProtocolVersionIsUnchanged(t *testing.T) {
 	if ProtocolVersion != 1 {
-		t.Errorf("the version is %d, and the golden files are of 1", ProtocolVersion)
+		t.Errorf("the protocol version is %d, but the golden files are of version 1", ProtocolVersion)
 	}
 }
 
@@ -126,17 +126,19 @@
 	checkFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
 }
 
-func TestRefusalKeepsItsEncoding(t *testing.T) {
+func TestRejectionKeepsItsEncoding(t *testing.T) {
 	checkFrame(t, "testdata/refuse.frame", kindReject, "format 2 against 1, or another new process is there")
 }
 
-func TestTakeKeepsItsEncoding(t *testing.T) {
+func TestTakeOverKeepsItsEncoding(t *testing.T) {
 	checkFrame[any](t, "testdata/take.frame", kindTakeOver, nil)
 }
 
-func TestGoKeepsItsEncoding(t *testing.T) { checkFrame[any](t, "testdata/go.frame", kindPaused, nil) }
+func TestPausedKeepsItsEncoding(t *testing.T) {
+	checkFrame[any](t, "testdata/go.frame", kindPaused, nil)
+}
 
-func TestEstablishedConnectionKeepsItsEncoding(t *testing.T) {
+func TestConnectionKeepsItsEncoding(t *testing.T) {
 	complete := connectionMessage{Number: 42, Payload: json.RawMessage(`{"Front":"line"}`)}
 	testutil.Complete(t, complete)
 	near, far := connectionPair(t)
@@ -148,7 +150,7 @@
 	checkFrame(t, "testdata/nack.frame", kindNack, 43)
 }
 
-// Processes of two versions meet at the same path.
+// Processes of different versions must use the same path.
 func TestSocketPathIsUnchanged(t *testing.T) {
 	testutil.Golden(t, "testdata/path.txt", []byte(SocketPath("/run/x", "n0", "127.0.0.1:7000")))
 }
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// acceptRetryDelay is the wait after an accept that failed, for lack of
-// descriptors as a rule.
+// acceptRetryDelay is the wait after an accept that failed, usually because the
+// process is out of descriptors.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// SocketPath returns the path of the Unix socket at which the processes of a
-// relay meet, in the folder that they have in common; "" if dir is "".
+// SocketPath returns the path of a relay's hot restart socket in a folder, by the
+// relay's name and listen address. It returns "" if dir is "".
 func SocketPath(dir, name, listen string) string {
 	if dir == "" {
 		return ""
@@ -31,42 +31,41 @@
 	return filepath.Join(dir, "lockroad-"+strconv.FormatUint(hash.Sum64(), 36))
 }
 
-// Handler is the relay of the predecessor. Its methods are called from a
-// goroutine of Predecessor.Serve.
+// Handler is implemented by the predecessor's relay. Its methods are called from
+// goroutines of Predecessor.Serve.
 type Handler interface {
-	// Offer returns what a successor starts with, and the relay's listening sockets.
+	// Offer returns the state for a successor, and the relay's listening sockets.
 	Offer(context.Context) (*Offer, []syscall.Conn, error)
 	// SetPaused makes the relay stop accepting clients and spending the slow-start
 	// budget while a successor serves (true), or resume both (false).
-	SetPaused(paused bool)
+	SetPaused(bool)
 }
 
-// Predecessor is the process that runs, as a successor finds it.
+// Predecessor is the running process's side of a hot restart.
 type Predecessor struct {
 	path    string
 	handler Handler
 	log     *slog.Logger
 
-	mu               sync.Mutex // guards what follows up to handOffMu
+	mu               sync.Mutex // guards the fields up to handOffMu
 	state            PredecessorState
 	peer             channel
-	acknowledgements chan *message // of connections handed off to peer; closed when it is gone
-	lastNumber       int           // of a connection handed off
+	acknowledgements chan *message // of connections handed off to peer; closed once the peer is lost
+	lastNumber       int           // of the last connection handed off
 	listener         *net.UnixListener
 
-	handOffMu sync.Mutex // held while one connection is handed off; taken before mu
+	handOffMu sync.Mutex // held while a connection is handed off; locked before mu
 }
 
-// NewPredecessor returns a predecessor that successors find at a path, which
-// SocketPath returns. It does nothing before Serve.
+// NewPredecessor returns a predecessor whose Serve listens at a path from
+// SocketPath.
 func NewPredecessor(path string, handler Handler, log *slog.Logger) *Predecessor {
 	return &Predecessor{path: path, handler: handler, log: log}
 }
 
-// Serve waits for successors until ctx ends, and returns nil then. Where the
-// socket can't be opened it logs so and returns nil: the next version starts
-// beside this one. It waits for the goroutines that it starts, one for each
-// successor that connects.
+// Serve serves successors until ctx ends, each on a goroutine of its own, and
+// returns nil once all of these have ended. If the socket cannot be opened, it logs
+// that and returns nil: a new process then starts without a takeover.
 func (p *Predecessor) Serve(ctx context.Context) error {
 	if err := p.listen(); err != nil {
 		p.log.Warn("hot restart socket unavailable", "error", err)
@@ -84,7 +83,7 @@
 			peers.Go(func() { p.servePeer(ctx, channel{conn}) })
 		case ctx.Err() != nil:
 			return nil
-		case reopened: // the next accept is at the new listener
+		case reopened: // continue with the new listener
 		default:
 			select {
 			case <-ctx.Done():
@@ -95,11 +94,11 @@
 	}
 }
 
-// listen opens the socket, in the place of one that is there: a predecessor's,
-// or what a killed process has left.
+// listen opens the socket, and replaces an existing one at its path: that of an
+// earlier predecessor, or one that a killed process has left behind.
 func (p *Predecessor) listen() error {
 	temporary := fmt.Sprintf("%s.%d", p.path, os.Getpid())
-	_ = os.Remove(temporary) // if it stays, ListenUnix fails
+	_ = os.Remove(temporary) // ListenUnix reports a failure to remove it
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return err
@@ -107,7 +106,7 @@
 	listener.SetUnlinkOnClose(false)
 	if err := errors.Join(os.Chmod(temporary, 0o600), os.Rename(temporary, p.path)); err != nil {
 		listener.Close()
-		_ = os.Remove(temporary) // the next attempt removes it
+		_ = os.Remove(temporary) // otherwise, the next call of listen removes it
 		return err
 	}
 	p.mu.Lock()
@@ -126,7 +125,7 @@
 	return p.listener
 }
 
-// closeAll ends Serve and the successor's connection.
+// closeAll closes the listener and the successor's connection, which ends Serve.
 func (p *Predecessor) closeAll() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,10 +135,10 @@
 	}
 }
 
-// servePeer serves a successor, from its hello until it is gone.
+// servePeer serves a successor, from its hello until its connection ends.
 func (p *Predecessor) servePeer(ctx context.Context, conn channel) {
 	defer conn.Close()
-	if err := conn.sameUser(); err != nil {
+	if err := conn.checkPeerUser(); err != nil {
 		p.log.Warn("hot restart peer rejected", "error", err)
 		return
 	}
@@ -157,13 +156,13 @@
 		return
 	}
 	p.handler.SetPaused(false)
-	if err := p.listen(); err != nil { // the successor has opened its own there
+	if err := p.listen(); err != nil { // the successor had replaced the socket
 		p.log.Warn("hot restart socket unavailable", "error", err)
 	}
 }
 
-// acceptPeer reads a successor's hello. It reports whether it becomes the peer;
-// one that doesn't is told why.
+// acceptPeer reads a successor's hello, and reports whether the successor becomes
+// the peer. If not, it sends it the reason.
 func (p *Predecessor) acceptPeer(conn channel) (hello helloMessage, accepted bool) {
 	received, err := conn.receive(time.Now().Add(messageTimeout))
 	if err != nil {
@@ -171,7 +170,7 @@
 	}
 	defer received.closeFiles()
 	if received.kind != kindHello || received.decode(&hello) != nil {
-		_ = conn.send(messageTimeout, kindReject, "a hello was expected") // the other process may have gone
+		_ = conn.send(messageTimeout, kindReject, "a hello was expected") // the other process may have exited
 		return hello, false
 	}
 	p.mu.Lock()
@@ -187,8 +186,8 @@
 	return hello, accepted
 }
 
-// peerLost notes that the peer is gone. It reports whether this process resumes
-// accepting, and whether it is shutting down.
+// peerLost records that the peer is lost. It reports whether this process has to
+// resume accepting, and whether it is shutting down.
 func (p *Predecessor) peerLost() (resume, shuttingDown bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,7 +197,7 @@
 	return resume, p.state.shuttingDown
 }
 
-// runHandover offers this process's place, and returns when the successor is gone.
+// runHandover carries out a takeover, and returns once the successor is lost.
 func (p *Predecessor) runHandover(ctx context.Context, conn channel) error {
 	if err := p.offer(ctx, conn); err != nil {
 		return err
@@ -217,11 +216,11 @@
 	return p.receiveAcknowledgements(ctx, conn)
 }
 
-// offer sends the offer, and waits until the successor is ready to take over.
+// offer sends the offer, and waits until the successor announces that it takes over.
 func (p *Predecessor) offer(ctx context.Context, conn channel) error {
 	offer, listeners, err := p.handler.Offer(ctx)
 	if err != nil {
-		_ = conn.send(messageTimeout, kindReject, err.Error()) // the successor may have gone
+		_ = conn.send(messageTimeout, kindReject, err.Error()) // the successor may have exited
 		return err
 	}
 	if err := conn.send(messageTimeout, kindOffer, offer, listeners...); err != nil {
@@ -235,8 +234,8 @@
 	return received.expect(kindTakeOver)
 }
 
-// receiveAcknowledgements passes acknowledgements on to HandOff until the
-// successor is gone or ctx ends.
+// receiveAcknowledgements passes acknowledgements to HandOff until the successor's
+// connection or ctx ends.
 func (p *Predecessor) receiveAcknowledgements(ctx context.Context, conn channel) error {
 	for {
 		received, err := conn.receive(time.Time{})
@@ -255,8 +254,9 @@
 	}
 }
 
-// BeginShutdown notes that this process was ordered to shut down. It reports
-// whether established connections are to be handed off. Any goroutine may call it.
+// BeginShutdown records that this process was ordered to shut down. It reports
+// whether established connections are to be handed off. It may be called from any
+// goroutine.
 func (p *Predecessor) BeginShutdown() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -264,10 +264,11 @@
 	return p.state.MayHandOff()
 }
 
-// HandOff hands a connection off, with its sockets and a payload that describes
-// it, and waits up to a second for the acknowledgement. After nil it is the
-// successor's, and no byte may be read or written here; after an error it is
-// still this process's. Any goroutine may call it; calls take turns.
+// HandOff hands off a connection, with its sockets and a payload that describes it,
+// and waits up to a second for the acknowledgement. If it returns nil, the caller
+// must neither read from nor write to the connection any more; after an error, the
+// caller still owns it. It may be called from any goroutine, and hands off one
+// connection at a time.
 func (p *Predecessor) HandOff(payload any, sockets ...syscall.Conn) error {
 	text, err := json.Marshal(payload)
 	if err != nil {
@@ -284,14 +285,14 @@
 		return errNoPeer
 	}
 	if err := peer.send(messageTimeout, kindConnection, connectionMessage{number, text}, sockets...); err != nil {
-		peer.Close() // of half a message nothing is adopted
+		peer.Close() // the successor ignores an incomplete message
 		return err
 	}
 	return p.awaitAcknowledgement(peer, acknowledgements, number)
 }
 
-// awaitAcknowledgement returns nil if the connection of a number is the
-// successor's, or may be.
+// awaitAcknowledgement waits for the acknowledgement of a connection. It returns nil
+// if the successor owns the connection, or may own it after a timeout.
 func (p *Predecessor) awaitAcknowledgement(peer channel, acknowledgements <-chan *message, number int) error {
 	for timeout := time.After(messageTimeout); ; {
 		select {
@@ -308,9 +309,9 @@
 			}
 			return nil
 		case <-timeout:
-			// It may have been adopted, or may yet be: two that serve it would garble it.
-			p.log.Warn("connection handoff not acknowledged")
-			peer.Close() // the next would be paused as long, and be as uncertain: they are migrated
+			// The successor may still adopt the connection. If both served it, its data would be corrupted.
+			p.log.Warn("hot restart successor did not acknowledge a connection in time, ending the handoff")
+			peer.Close() // so that the remaining connections are migrated, without a timeout for each
 			return nil
 		}
 	}
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -1,15 +1,15 @@
 package hotrestart
 
-// PredecessorState decides what the process that runs may do. The zero value is
-// one without a successor. It is not safe for concurrent use.
+// PredecessorState decides what the running process may do. The zero value has no
+// successor. It is not safe for concurrent use.
 type PredecessorState struct {
 	hasPeer      bool // a successor is connected
-	takenOver    bool // and has taken over
+	takenOver    bool // the successor has taken over
 	shuttingDown bool // this process was ordered to shut down
 }
 
-// AcceptPeer notes a successor that has connected. It reports whether it is
-// accepted: one at a time, of the same protocol version.
+// AcceptPeer accepts a successor that has connected, and reports whether it did:
+// it accepts one at a time, and only of the same protocol version.
 func (p *PredecessorState) AcceptPeer(version int) bool {
 	if p.hasPeer || version != ProtocolVersion {
 		return false
@@ -28,40 +28,39 @@
 	return true
 }
 
-// PeerLost notes that the successor is gone, or can't be reached any more. It
-// reports whether this process resumes accepting: all is as it was before the
-// successor came.
+// PeerLost records that the successor has exited or cannot be reached. It reports
+// whether this process has to resume accepting, as the successor had taken over.
+// Another successor may connect then.
 func (p *PredecessorState) PeerLost() (resume bool) {
 	resume = p.takenOver
 	p.hasPeer, p.takenOver = false, false
 	return resume
 }
 
-// BeginShutdown notes that this process was ordered to shut down.
+// BeginShutdown records that this process was ordered to shut down.
 func (p *PredecessorState) BeginShutdown() { p.shuttingDown = true }
 
 // MayAccept reports whether this process may accept clients, and spend the
 // slow-start budget.
 func (p *PredecessorState) MayAccept() bool { return !p.takenOver }
 
-// MayHandOff reports whether established connections may be handed off. They
-// may not before this process shuts down: if the successor ends until then,
-// nothing has happened.
+// MayHandOff reports whether established connections may be handed off: only at
+// shutdown, so that a successor that exits before then affects no connection.
 func (p *PredecessorState) MayHandOff() bool { return p.takenOver && p.shuttingDown }
 
-// successorPhase is how far a successor has come.
+// successorPhase is the progress of a takeover as the successor knows it.
 type successorPhase uint8
 
 const (
 	connecting successorPhase = iota // no offer yet
-	offered                          // the predecessor has offered its place
-	takingOver                       // the predecessor was notified that its place is taken
-	tookOver                         // the predecessor has paused
-	alone                            // there is no predecessor to take over from
+	offered                          // the predecessor's offer has arrived
+	takingOver                       // the predecessor is being notified of the takeover
+	tookOver                         // the predecessor has confirmed that it accepts no more
+	alone                            // the predecessor was lost before it confirmed
 )
 
-// SuccessorState decides what the process that starts may do. It is not safe for
-// concurrent use.
+// SuccessorState decides what the new process may do. It is not safe for concurrent
+// use.
 type SuccessorState struct{ phase successorPhase }
 
 // OfferReceived records that the predecessor's offer has arrived.
@@ -71,8 +70,8 @@
 	}
 }
 
-// TakeOver notes that the predecessor is about to be notified that its place is
-// taken. It reports whether it may be.
+// TakeOver records that this process is about to notify the predecessor of the
+// takeover. It returns false unless an offer has arrived and was not used yet.
 func (s *SuccessorState) TakeOver() bool {
 	if s.phase != offered {
 		return false
@@ -81,15 +80,15 @@
 	return true
 }
 
-// PredecessorPaused notes that the predecessor accepts no more.
+// PredecessorPaused records that the predecessor has stopped accepting.
 func (s *SuccessorState) PredecessorPaused() {
 	if s.phase == takingOver {
 		s.phase = tookOver
 	}
 }
 
-// PeerLost notes that the predecessor is gone, silent or not understood: this
-// process continues alone, with what it has received by then.
+// PeerLost records that the predecessor has exited, timed out or sent an invalid
+// message. This process continues alone, with what it has received so far.
 func (s *SuccessorState) PeerLost() {
 	if s.phase != tookOver {
 		s.phase = alone
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -6,95 +6,94 @@
 	"pgregory.net/rapid"
 )
 
-// The two processes are driven by random steps, with messages in flight between them that
-// are lost with either. What must hold: while both live and are connected, no more than one
-// accepts; connections are handed off only to a successor that takes over, by a predecessor
-// that shuts down; and a process that is left alone accepts.
+// Runs both state machines through random steps, with messages in flight that are lost with
+// either process. While both are connected, at most one accepts. Connections are handed off
+// only at shutdown, to a successor that takes over. A process that is left alone accepts.
 func TestOnlyOneProcessAccepts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var predecessor PredecessorState
 		var successor *SuccessorState
 		var toPredecessor, toSuccessor []string
-		format := ProtocolVersion
-		connected := false // neither has noticed the loss of the other
-		cut := func() {    // either ends the connection; the other notices later
+		version := ProtocolVersion // the successor's
+		connected := false         // neither process has lost the connection
+		cut := func() {            // ends the connection, which both processes notice later
 			connected = false
 			toPredecessor, toSuccessor = append(toPredecessor, "lost"), append(toSuccessor, "lost")
 		}
 		predecessorLives := true
 		step := 0
-		shutdownStep := rapid.IntRange(0, 40).Draw(t, "leave") // no earlier step than this, lest no predecessor lives for long
+		shutdownStep := rapid.IntRange(0, 40).Draw(t, "shutdown step") // the earliest step with a shutdown
 		checkInvariants := func() {
-			if connected && predecessorLives && successor != nil && format == ProtocolVersion && predecessor.MayAccept() && successor.MayAccept() {
-				t.Fatal("both accept")
+			if connected && predecessorLives && successor != nil && version == ProtocolVersion && predecessor.MayAccept() && successor.MayAccept() {
+				t.Fatal("both processes may accept")
 			}
 			if connected && predecessorLives && predecessor.MayHandOff() && successor != nil && successor.phase != takingOver && successor.phase != tookOver {
-				t.Fatal("connections are handed off to a successor that does not adopt them")
+				t.Fatal("connections may be handed off to a successor that has not taken over")
 			}
 			if predecessorLives && predecessor.MayHandOff() && !predecessor.shuttingDown {
-				t.Fatal("connections are handed off by a predecessor that does not shut down")
+				t.Fatal("connections may be handed off by a predecessor that is not shutting down")
 			}
 		}
-		// Each step with its precondition. Only steps that can happen are drawn: a draw among all of them, with
-		// those that can't skipped, now and then finds none in the 100 draws it has, which is no finding.
+		// Each step with its precondition. Only possible steps are drawn: skipping impossible ones could exhaust
+		// rapid's limit of draws, and fail the test without a fault.
 		steps := []struct {
 			name string
-			can  func() bool
+			can  func() bool // whether the step is possible
 			do   func()
 		}{
 			{"a successor starts", func() bool { return successor == nil && predecessorLives && len(toPredecessor) == 0 }, func() {
 				successor, toSuccessor, connected = &SuccessorState{}, nil, true
-				format = rapid.SampledFrom([]int{ProtocolVersion, ProtocolVersion, ProtocolVersion, ProtocolVersion - 1, ProtocolVersion + 1}).Draw(t, "format")
+				version = rapid.SampledFrom([]int{ProtocolVersion, ProtocolVersion, ProtocolVersion, ProtocolVersion - 1, ProtocolVersion + 1}).Draw(t, "version")
 				toPredecessor = append(toPredecessor, "hello")
 			}},
 			{"the predecessor receives", func() bool { return len(toPredecessor) > 0 && predecessorLives }, func() {
-				what := toPredecessor[0]
+				received := toPredecessor[0]
 				toPredecessor = toPredecessor[1:]
-				switch what {
+				switch received {
 				case "hello":
-					if predecessor.AcceptPeer(format) != (format == ProtocolVersion) {
-						t.Fatalf("format %d: wrongly accepted or rejected", format)
+					if predecessor.AcceptPeer(version) != (version == ProtocolVersion) {
+						t.Fatalf("successor of version %d wrongly accepted or rejected", version)
 					}
-					if format == ProtocolVersion {
+					if version == ProtocolVersion {
 						toSuccessor = append(toSuccessor, "offer")
 					} else {
 						cut()
 					}
-				case "take":
+				case "takeover":
 					if predecessor.AcceptTakeOver() {
-						toSuccessor = append(toSuccessor, "go")
+						toSuccessor = append(toSuccessor, "paused")
 					}
 				case "lost":
 					before := predecessor.MayAccept()
-					if again := predecessor.PeerLost(); again == before {
-						t.Fatal("accepting resumed though it never paused, or did not resume")
+					if resumed := predecessor.PeerLost(); resumed == before {
+						t.Fatal("PeerLost wrongly reports whether to resume accepting")
 					}
 					if !predecessor.MayAccept() || predecessor.MayHandOff() {
-						t.Fatal("the predecessor is alone and does not resume")
+						t.Fatal("after the loss of the successor, the predecessor may not accept or may hand off")
 					}
 				}
 			}},
 			{"the successor receives", func() bool { return len(toSuccessor) > 0 && successor != nil }, func() {
-				what := toSuccessor[0]
+				received := toSuccessor[0]
 				toSuccessor = toSuccessor[1:]
-				switch what {
+				switch received {
 				case "offer":
 					successor.OfferReceived()
-				case "go":
+				case "paused":
 					successor.PredecessorPaused()
 				case "lost":
 					successor.PeerLost()
 					if !successor.MayAccept() {
-						t.Fatal("the successor is alone and does not accept")
+						t.Fatal("after the loss of the predecessor, the successor may not accept")
 					}
 				}
 			}},
 			{"the successor is ready", func() bool { return successor != nil && successor.phase == offered }, func() {
 				if !successor.TakeOver() {
-					t.Fatal("an offered place can not be taken over")
+					t.Fatal("a successor with an offer cannot take over")
 				}
 				if connected {
-					toPredecessor = append(toPredecessor, "take")
+					toPredecessor = append(toPredecessor, "takeover")
 				}
 			}},
 			{"the successor times out", func() bool { return successor != nil && !successor.MayAccept() && connected }, func() {
@@ -113,17 +112,17 @@
 				toPredecessor, toSuccessor = nil, append(toSuccessor, "lost")
 			}},
 		}
-		for n := rapid.IntRange(1, 60).Draw(t, "steps"); step < n; step++ {
-			var can []int
-			for i, s := range steps {
-				if s.can() {
-					can = append(can, i)
+		for count := rapid.IntRange(1, 60).Draw(t, "steps"); step < count; step++ {
+			var possible []int
+			for i, candidate := range steps {
+				if candidate.can() {
+					possible = append(possible, i)
 				}
 			}
-			if len(can) == 0 {
-				return // both were killed
+			if len(possible) == 0 {
+				return // both processes were killed
 			}
-			i := rapid.SampledFrom(can).Draw(t, "step")
+			i := rapid.SampledFrom(possible).Draw(t, "step")
 			t.Log(steps[i].name)
 			steps[i].do()
 			checkInvariants()
@@ -134,12 +133,12 @@
 func TestOneSuccessorAtATime(t *testing.T) {
 	var predecessor PredecessorState
 	if !predecessor.AcceptPeer(ProtocolVersion) || predecessor.AcceptPeer(ProtocolVersion) || !predecessor.AcceptTakeOver() || predecessor.AcceptTakeOver() || predecessor.MayAccept() || predecessor.MayHandOff() {
-		t.Errorf("%+v", predecessor)
+		t.Errorf("a second successor or takeover is accepted, or handoffs before shutdown: %+v", predecessor)
 	}
 	if predecessor.BeginShutdown(); !predecessor.MayHandOff() {
-		t.Error("at shutdown, nothing is handed off")
+		t.Error("connections may not be handed off at shutdown")
 	}
 	if !predecessor.PeerLost() || !predecessor.MayAccept() || predecessor.MayHandOff() || !predecessor.AcceptPeer(ProtocolVersion) {
-		t.Errorf("alone again: %+v", predecessor)
+		t.Errorf("after the loss of the successor: %+v", predecessor)
 	}
 }
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Successor is a new process that has been offered the place of one that runs.
+// Successor is the new process's side of a hot restart.
 type Successor struct {
 	Offer     *Offer
 	Listeners []net.Listener // in the order of Offer.ListenerNames
@@ -22,13 +22,13 @@
 }
 
 // AdoptFunc prepares to serve a connection that the predecessor hands off, and
-// returns what serves it. Its serve is called on a goroutine of its own once the
-// predecessor is notified. After an error, or if the predecessor can't be
-// notified, serve is not called and the sockets are closed.
+// returns a function that serves it. That is called on a new goroutine once the
+// connection is acknowledged. If AdoptFunc returns an error or the acknowledgement
+// cannot be sent, serve is not called and the sockets are closed.
 type AdoptFunc func(payload json.RawMessage, sockets []net.Conn) (serve func(), err error)
 
-// Connect asks for the place of the process that listens at a path, which
-// SocketPath returns. Whatever its error, the caller is to start alone.
+// Connect requests a takeover from the process that listens at a path, which
+// SocketPath returns. After any error, the caller is to start alone.
 func Connect(path string) (*Successor, error) { return connect(path, ProtocolVersion) }
 
 func connect(path string, version int) (*Successor, error) {
@@ -48,9 +48,9 @@
 	return s, nil
 }
 
-// receiveOffer says hello and receives the offer.
+// receiveOffer sends a hello and receives the offer.
 func (s *Successor) receiveOffer(version int) error {
-	if err := s.channel.sameUser(); err != nil {
+	if err := s.channel.checkPeerUser(); err != nil {
 		return err
 	}
 	if err := s.channel.send(messageTimeout, kindHello, helloMessage{version, os.Getpid()}); err != nil {
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	defer received.closeFiles() // listeners have duplicates
+	defer received.closeFiles() // net.FileListener has duplicated them
 	if err := received.expect(kindOffer); err != nil {
 		return err
 	}
@@ -81,9 +81,9 @@
 	return nil
 }
 
-// TakeOver takes the predecessor's place, within two seconds. After an error the
-// predecessor is gone or not understood, and this process is to continue alone
-// with what it has.
+// TakeOver takes over from the predecessor, within two seconds. If it returns an
+// error, the predecessor did not confirm, and this process continues alone with
+// what it has received.
 func (s *Successor) TakeOver() error {
 	s.mu.Lock()
 	permitted := s.state.TakeOver()
@@ -96,15 +96,15 @@
 	defer s.mu.Unlock()
 	if err != nil {
 		s.state.PeerLost()
-		s.channel.Close() // makes the predecessor resume, if it is still there
+		s.channel.Close() // makes the predecessor resume, if it still runs
 		return err
 	}
 	s.state.PredecessorPaused()
 	return nil
 }
 
-// requestTakeOver says that this process takes over, and waits until the
-// predecessor has paused.
+// requestTakeOver announces that this process takes over, and waits until the
+// predecessor confirms that it has paused.
 func (s *Successor) requestTakeOver() error {
 	if err := s.channel.send(messageTimeout, kindTakeOver, nil); err != nil {
 		return err
@@ -117,16 +117,16 @@
 	return received.expect(kindPaused)
 }
 
-// MayAccept reports whether this process may accept clients. Any goroutine may
-// call it.
+// MayAccept reports whether this process may accept clients. It may be called from
+// any goroutine.
 func (s *Successor) MayAccept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.MayAccept()
 }
 
-// Adopt adopts connections until the predecessor is gone, or ctx ends. It calls
-// prepare for one connection at a time.
+// Adopt adopts connections until the predecessor's connection or ctx ends. It
+// calls prepare for one connection at a time.
 func (s *Successor) Adopt(ctx context.Context, prepare AdoptFunc) {
 	defer context.AfterFunc(ctx, func() { s.channel.Close() })()
 	defer s.Close()
@@ -135,16 +135,16 @@
 		if err != nil {
 			return
 		}
-		if !s.adoptOne(received, prepare) {
+		if !s.adoptConnection(received, prepare) {
 			return
 		}
 	}
 }
 
-// adoptOne adopts one connection, and acknowledges or declines it. It reports
-// whether more may come.
-func (s *Successor) adoptOne(received *message, prepare AdoptFunc) bool {
-	defer received.closeFiles() // connections have duplicates
+// adoptConnection adopts one connection, and acknowledges or declines it. It returns
+// false if no further connection can be received.
+func (s *Successor) adoptConnection(received *message, prepare AdoptFunc) bool {
+	defer received.closeFiles() // net.FileConn has duplicated them
 	var connection connectionMessage
 	if received.kind != kindConnection || received.decode(&connection) != nil {
 		return false
@@ -159,20 +159,20 @@
 		return s.channel.send(messageTimeout, kindNack, connection.Number) == nil
 	}
 	if s.channel.send(messageTimeout, kindAck, connection.Number) != nil {
-		closeConnections(sockets) // the predecessor takes it for not adopted
+		closeConnections(sockets) // the predecessor still owns the connection
 		return false
 	}
-	go serve() // owned by prepare's side, which waits for what it serves
+	go serve() // the caller that provides prepare waits for its end
 	return true
 }
 
-// connections returns the connections of a message's descriptors; those that
-// could be made also with an error.
+// connections returns connections from the descriptors of a message. If some fail,
+// it returns the others with an error.
 func (m *message) connections() (sockets []net.Conn, err error) {
 	for _, file := range m.descriptors {
-		socket, failure := net.FileConn(file)
-		if failure != nil {
-			err = errors.Join(err, failure)
+		socket, fileErr := net.FileConn(file)
+		if fileErr != nil {
+			err = errors.Join(err, fileErr)
 			continue
 		}
 		sockets = append(sockets, socket)
@@ -186,5 +186,5 @@
 	}
 }
 
-// Close ends the exchange with the predecessor.
+// Close closes the connection to the predecessor.
 func (s *Successor) Close() { s.channel.Close() }
