--- a/internal/listener/connlimiter.go
+++ b/internal/listener/connlimiter.go
@@ -10,43 +10,40 @@
 )
 
 const (
-	// OpeningTimeout is how long a client may take, from its connection on, to
-	// send its complete opening. Clients that don't are owed an answer or a close
-	// within 3 s.
+	// OpeningTimeout is how long a client may take to send its complete opening
+	// after it has connected. It leaves time to answer or close within 3 s.
 	OpeningTimeout = 2 * time.Second
 
-	// minIdleTime is how long a connection that waits is not evicted, so that its
-	// first bytes can be read: a burst of connections would otherwise evict the
-	// one among them whose opening is on its way.
+	// minIdleTime is how long an idle connection is safe from eviction, so that a
+	// burst of connections does not evict one whose opening is about to arrive.
 	minIdleTime = 50 * time.Millisecond
 
-	// acceptRetryDelay is the wait after an accept that failed.
+	// acceptRetryDelay is the wait after a failed accept.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// ConnLimiter bounds what the clients of a front hold: slots, for connections
-// with a request, and a number of idle connections, which have not sent their
-// opening yet or have been answered. Connections by the hundred that send
-// nothing take no slot, and the one that has been idle longest is evicted for
-// the next. Its methods may be called from any goroutine.
+// ConnLimiter limits the connections of a frontend: those with requests, which use
+// slots, and idle ones, which have not sent their opening yet or have been answered.
+// Idle connections take no slots. If there are too many, the longest idle one is
+// evicted. Its methods may be called from any goroutine.
 type ConnLimiter struct {
-	Slots   int // requests at a time
-	MaxIdle int // idle connections at a time; at least one is permitted
+	Slots   int // limit of concurrent requests
+	MaxIdle int // limit of idle connections; at least one is allowed
 
-	clients sync.WaitGroup // that are being served
+	clients sync.WaitGroup // goroutines that serve clients
 
-	mu         sync.Mutex // guards what follows
-	closed     bool       // nothing is adopted any more
-	lentSlots  int        // that another process of this relay uses
+	mu         sync.Mutex // guards the fields below
+	closed     bool       // Serve is ending, and Adopt fails
+	lentSlots  int        // slots that another process of this relay uses
 	slotsInUse int
-	idle       []*Admission  // the longest idle first
-	roomFreed  chan struct{} // holds a value after one has left idle
+	idle       []*Admission  // ordered by IdleSince, longest idle first
+	roomFreed  chan struct{} // receives a value when an idle connection is removed
 }
 
-// Admission is what one connection holds of a ConnLimiter. It begins idle.
+// Admission is the state of one connection in a ConnLimiter. It is idle at first.
 type Admission struct {
 	// IdleSince is when the connection last became idle. It is written under
-	// limiter.mu, before Serve passes the Admission on and by Release.
+	// limiter.mu, on admission and by Release.
 	IdleSince time.Time
 
 	limiter *ConnLimiter
@@ -54,12 +51,12 @@
 	// Guarded by limiter.mu.
 	evict  func()
 	slots  int
-	closed bool // evicted, or its client has ended
+	closed bool // evicted, or no longer served
 }
 
-// Serve passes each connection of a listener to serveClient, on a goroutine of
-// its own, as the limiter admits it. It returns nil after the listener is closed,
-// or ctx has ended, and every client has been served.
+// Serve accepts connections, and calls serveClient on a new goroutine for each one
+// that the limiter admits. After the listener is closed or ctx has ended, it waits
+// for all clients, and returns nil.
 func Serve(ctx context.Context, l net.Listener, c *ConnLimiter, serveClient func(context.Context, *net.TCPConn, *Admission)) error {
 	c.mu.Lock()
 	c.roomFreed = make(chan struct{}, 1)
@@ -71,7 +68,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // out of descriptors, or a client that left while queued: it passes
+		if err != nil { // such as too many open files, or a client that left the queue
 			select {
 			case <-ctx.Done():
 				return nil
@@ -92,16 +89,15 @@
 	}
 }
 
-// close makes Adopt fail.
+// close makes further calls of Adopt fail.
 func (c *ConnLimiter) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 }
 
-// admit makes a connection idle. While there are too many, the one that has been
-// idle longest is evicted, not before its minIdleTime. It reports false when ctx
-// ends first.
+// admit adds an idle connection. While there are too many, it evicts the longest idle
+// one once that has been idle for minIdleTime. It returns false if ctx ends first.
 func (c *ConnLimiter) admit(ctx context.Context, admission *Admission) bool {
 	for ctx.Err() == nil {
 		admitted, wait := c.tryAdmit(admission)
@@ -121,9 +117,8 @@
 	return false
 }
 
-// tryAdmit makes a connection idle if there is room. If there is none it evicts
-// the connection that has been idle longest, or returns how long that one has
-// to be waited for.
+// tryAdmit adds an idle connection if the limit permits. Otherwise it evicts the
+// longest idle one, or returns how long that one is still safe from eviction.
 func (c *ConnLimiter) tryAdmit(admission *Admission) (admitted bool, wait time.Duration) {
 	c.mu.Lock()
 	if len(c.idle) < max(1, c.MaxIdle) {
@@ -146,24 +141,24 @@
 	return false, 0
 }
 
-// LendSlots leaves a number of slots to another process of this relay, whose
-// clients are still to come here or to end there. 0 makes all available again.
+// LendSlots reserves a number of slots for clients that another process of this relay
+// serves, until they are adopted here or end there. 0 makes all slots available.
 func (c *ConnLimiter) LendSlots(slots int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lentSlots = slots
 }
 
-// SlotsInUse returns how many slots are in use, without those lent.
+// SlotsInUse returns the number of slots in use, without lent ones.
 func (c *ConnLimiter) SlotsInUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.slotsInUse
 }
 
-// Adopt gives a client of another process of this relay a slot, in place of one
-// that is lent to that process, and serves the client on a goroutine that Serve
-// waits for. It reports false, and serves nothing, once Serve is ending.
+// Adopt takes over a client of another process of this relay: it uses one of the lent
+// slots for it, and calls serveClient on a new goroutine, which Serve waits for. Once
+// Serve is ending, it returns false and serves nothing.
 func (c *ConnLimiter) Adopt(serveClient func(*Admission)) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,7 +175,7 @@
 	return true
 }
 
-// removeIdle removes a connection from the idle ones. The caller holds mu.
+// removeIdle removes a connection from the idle ones, if it is there. The caller holds mu.
 func (c *ConnLimiter) removeIdle(admission *Admission) {
 	i := slices.Index(c.idle, admission)
 	if i < 0 {
@@ -193,17 +188,17 @@
 	}
 }
 
-// OnEvict sets what evicts the connection. It must not block, and may be called
-// from any goroutine.
+// OnEvict sets the function that is called to evict the connection. It must not block,
+// and may be called from any goroutine.
 func (a *Admission) OnEvict(evict func()) {
 	a.limiter.mu.Lock()
 	defer a.limiter.mu.Unlock()
 	a.evict = evict
 }
 
-// Acquire takes a slot, with which the connection is not idle. It reports false
-// if no slot is free, or if the connection was evicted. A connection may have
-// several slots.
+// Acquire takes a slot for the connection, which is not idle while it has one. It
+// returns false if no slot is free or the connection was evicted. A connection may
+// have several slots.
 func (a *Admission) Acquire() bool {
 	c := a.limiter
 	c.mu.Lock()
@@ -219,7 +214,7 @@
 	return true
 }
 
-// Release returns a slot. After the last one the connection is idle again.
+// Release releases a slot. The connection is idle again after its last one.
 func (a *Admission) Release() {
 	c := a.limiter
 	c.mu.Lock()
@@ -232,7 +227,7 @@
 	}
 }
 
-// close ends the admission, whose slots have been released by then.
+// close ends the admission. All of its slots must have been released.
 func (a *Admission) close() {
 	c := a.limiter
 	c.mu.Lock()
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -10,8 +10,7 @@
 	"lockroad/internal/testutil"
 )
 
-// Idle connections are evicted for those that come after them, the longest idle first,
-// but none before there was time to read its first bytes.
+// New connections evict idle ones, the longest idle first, but none before minIdleTime has passed.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := &ConnLimiter{Slots: 1, MaxIdle: 3}
@@ -20,27 +19,27 @@
 			admission := &Admission{limiter: limiter}
 			admission.evict = func() {
 				if waited := time.Since(admission.IdleSince); waited < minIdleTime || waited > 2*minIdleTime {
-					t.Errorf("connection %d is evicted after %v", i, waited)
+					t.Errorf("connection %d was evicted after %v", i, waited)
 				}
 				evicted = append(evicted, i)
 			}
 			if !limiter.admit(context.Background(), admission) {
-				t.Fatal("not admitted")
+				t.Fatal("a connection was not admitted")
 			}
 		}
 		if !slices.Equal(evicted, []int{0, 1, 2, 3, 4, 5, 6}) {
-			t.Errorf("evicted: %v", evicted)
+			t.Errorf("evicted connections %v, want 0 to 6 in this order", evicted)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		if limiter.admit(ctx, &Admission{limiter: limiter}) {
-			t.Error("admitted after the context ended")
+			t.Error("a connection was admitted after its context ended")
 		}
 	})
 }
 
-// Random steps against a model: a slot that is in use stays so, no slot is given twice,
-// and what the limiter holds stays within its bounds.
+// Compares random operations with a model: slots stay within the limit, connections are idle exactly while they have no
+// slot, and open descriptors stay bounded.
 func FuzzConnLimiter(f *testing.F) {
 	f.Add([]byte{0, 0, 1, 0, 0, 0, 2, 0, 3, 1, 0, 0})
 	f.Add([]byte{0, 0, 0, 0, 0, 0, 0, 0, 1, 3, 1, 4, 1, 4, 2, 4, 0, 0, 3, 4, 1, 1, 1, 2})
@@ -53,7 +52,7 @@
 			type model struct {
 				*Admission
 				heldSlots int
-				ended     bool // evicted, or ended
+				ended     bool // evicted or closed
 			}
 			var admissions []*model
 			for choices := testutil.New(data); choices.More(); {
@@ -72,7 +71,7 @@
 				switch client := admissions[choices.Pick(len(admissions))]; step {
 				case 1:
 					if got, want := client.Acquire(), !client.ended && slotsInUse < limiter.Slots; got != want {
-						t.Fatalf("a slot was acquired: %v, want %v", got, want)
+						t.Fatalf("Acquire returned %v, want %v", got, want)
 					} else if got {
 						client.heldSlots++
 					}
@@ -88,18 +87,18 @@
 					}
 				}
 				slotsInUse = 0
-				held := len(limiter.idle) // descriptors: one of each connection, one of each slot
+				descriptors := len(limiter.idle) // descriptors: one for each connection, one for each slot
 				for _, client := range admissions {
 					slotsInUse += client.heldSlots
 					if client.heldSlots > 0 {
-						held += 1 + client.heldSlots
+						descriptors += 1 + client.heldSlots
 					}
 					if idle := slices.Contains(limiter.idle, client.Admission); idle != (client.heldSlots == 0 && !client.ended) {
-						t.Fatalf("with %d slots, ended %v, a connection is idle: %v", client.heldSlots, client.ended, idle)
+						t.Fatalf("a connection with %d slots, ended %v, is idle: %v", client.heldSlots, client.ended, idle)
 					}
 				}
-				if limiter.slotsInUse != slotsInUse || held > limiter.MaxIdle+2*limiter.Slots {
-					t.Fatalf("%d slots are in use, %d by the limiter's count, with %d descriptors", slotsInUse, limiter.slotsInUse, held)
+				if limiter.slotsInUse != slotsInUse || descriptors > limiter.MaxIdle+2*limiter.Slots {
+					t.Fatalf("%d slots are in use by the model, %d by the limiter; %d descriptors are held", slotsInUse, limiter.slotsInUse, descriptors)
 				}
 			}
 		})
--- a/internal/listener/linger.go
+++ b/internal/listener/linger.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Bounds on a connection that is closed after its last answer.
+// Limits on a connection that is being closed after its last answer.
 const (
-	// LingerTimeout is how long a client that was answered may take to read the answer.
+	// LingerTimeout is how long a client may take to read its last answer and close.
 	LingerTimeout = 500 * time.Millisecond
-	// LingerMaxBytes is how many bytes are read from such a client meanwhile.
+	// LingerMaxBytes is how many bytes are read from such a client at most.
 	LingerMaxBytes = 256 << 10
 )
 
@@ -26,7 +26,7 @@
 	if err != nil {
 		return
 	}
-	raw.Control(func(descriptor uintptr) { // no Read: another goroutine may be within one
+	raw.Control(func(descriptor uintptr) { // not conn.Read, as another goroutine may be reading
 		var buffer [discardBufferSize]byte
 		for discarded := 0; discarded < LingerMaxBytes; {
 			n, err := syscall.Read(int(descriptor), buffer[:])
--- a/internal/listener/listener.go
+++ b/internal/listener/listener.go
@@ -1,6 +1,6 @@
-// Package listener holds what the fronts share: a TCP listener that can pause
-// and shut down gracefully, a limiter of the connections that a front holds, and
-// the status of attempts that failed. Each protocol has a package of its own.
+// Package listener contains what the frontends of all protocols share: a TCP
+// listener that can pause and shut down gracefully, a limiter of a frontend's
+// connections, and the statuses of failed attempts.
 package listener
 
 import (
@@ -15,30 +15,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds on Shutdown, which accepts connections from the queue until none came
-// for drainIdleTimeout, but no longer than drainTimeout.
+// Limits of Shutdown, which accepts queued connections until none has arrived for
+// drainIdleTimeout, but no longer than drainTimeout.
 const (
 	drainIdleTimeout = 20 * time.Millisecond
 	drainTimeout     = 100 * time.Millisecond
 )
 
-// Listener is a TCP listener that can pause, and that shuts down without
-// resetting connections: closing a listener resets those in its accept queue.
-// Its methods may be called from any goroutine.
+// Listener is a TCP listener that can pause, and that accepts the connections in
+// its accept queue before it shuts down, as closing a listener resets them. Its
+// methods may be called from any goroutine.
 type Listener struct {
 	*net.TCPListener
 
-	mu            sync.Mutex    // guards what follows
-	acceptsDone   sync.Cond     // uses mu: accepting has become 0, or the listener has resumed
-	accepting     int           // calls within TCPListener.Accept
+	mu            sync.Mutex    // guards the fields below
+	acceptsDone   sync.Cond     // signals, with mu, that accepting is 0 or the listener has resumed
+	accepting     int           // number of calls within TCPListener.Accept
 	paused        chan struct{} // closed when the listener resumes; nil if it is not paused
 	closing       bool
-	drainDeadline time.Time // nothing is accepted after it while closing
+	drainDeadline time.Time // end of accepting while closing
 }
 
-// Listen listens at an address. Several processes may listen at the same address
-// if all of them do so with shared, as a new version does beside the one that
-// runs; the system permits it to processes of the same user only.
+// Listen listens at an address. With shared, several processes of the same user may
+// listen at one address if all of them set shared, as two versions do during an
+// upgrade.
 func Listen(address string, shared bool) (*Listener, error) {
 	var config net.ListenConfig
 	if shared {
@@ -53,14 +53,14 @@
 
 // reusePort sets SO_REUSEPORT on a socket.
 func reusePort(_, _ string, raw syscall.RawConn) error {
-	var set error
+	var setErr error
 	err := raw.Control(func(descriptor uintptr) {
-		set = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		setErr = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	return errors.Join(err, set)
+	return errors.Join(err, setErr)
 }
 
-// New returns a Listener of a socket that listens already.
+// New returns a Listener for a socket that already listens.
 func New(tcpListener *net.TCPListener) *Listener {
 	l := &Listener{TCPListener: tcpListener}
 	l.acceptsDone.L = &l.mu
@@ -93,8 +93,8 @@
 	}
 }
 
-// beginAccept counts a call of TCPListener.Accept, or returns what is closed
-// when a paused listener resumes.
+// beginAccept counts a call of TCPListener.Accept. If the listener is paused, it
+// returns a channel instead, which is closed when the listener resumes.
 func (l *Listener) beginAccept() (paused <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// endAccept ends what beginAccept has counted, and returns the state of the
+// endAccept ends a call that beginAccept counted, and returns the state of the
 // shutdown.
 func (l *Listener) endAccept() (closing bool, deadline time.Time) {
 	l.mu.Lock()
@@ -117,10 +117,9 @@
 	return l.closing, l.drainDeadline
 }
 
-// Pause makes the listener accept nothing. Connections wait in the queue, which
-// another process may share. It returns after the last Accept that was under way
-// is out: one that looked at the deadline before it was set would still accept a
-// connection that comes after Pause.
+// Pause makes the listener stop accepting. Connections wait in the accept queue,
+// which another process may share. It waits for calls of TCPListener.Accept in
+// progress, which could otherwise accept a connection after Pause has returned.
 func (l *Listener) Pause() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -129,7 +128,7 @@
 	}
 	paused := make(chan struct{})
 	l.paused = paused
-	l.SetDeadline(time.Now()) // wakes Accept
+	l.SetDeadline(time.Now()) // interrupts TCPListener.Accept
 	for l.accepting > 0 && l.paused == paused {
 		l.acceptsDone.Wait()
 	}
@@ -142,8 +141,8 @@
 	l.resume(time.Time{})
 }
 
-// resume makes the listener accept until a deadline; the zero time is none. The
-// caller holds mu.
+// resume makes the listener accept until a deadline; the zero time means no
+// deadline. The caller holds mu.
 func (l *Listener) resume(deadline time.Time) {
 	l.SetDeadline(deadline)
 	if l.paused != nil {
@@ -153,9 +152,9 @@
 	}
 }
 
-// Shutdown makes Accept close the listener once it has accepted the connections
-// in the queue; one that is paused is closed at once, as its queue is another
-// process's by then. It does not wait, and only the first call counts.
+// Shutdown makes Accept close the listener once it has accepted the connections in
+// the queue. A paused listener is closed at once, as another process accepts from
+// its queue. Shutdown does not wait, and later calls have no effect.
 func (l *Listener) Shutdown() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,10 +169,10 @@
 	l.resume(time.Now().Add(drainIdleTimeout))
 }
 
-// acceptQueued accepts a connection from the queue after the deadline of the
-// socket; nil if there is none. It goes by the descriptor, as the runtime does
-// not try an accept past its deadline: a goroutine that wakes late finds
-// connections in the queue, which the close would reset.
+// acceptQueued accepts a connection from the queue after the socket's deadline, or
+// returns nil if there is none. It uses the descriptor, as the runtime does not
+// accept past the deadline: if Accept is scheduled late, connections that arrived
+// in time may still be in the queue, and closing the listener would reset them.
 func (l *Listener) acceptQueued() net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -187,7 +186,7 @@
 		return nil
 	}
 	file := os.NewFile(uintptr(accepted), "queued connection")
-	defer func() { _ = file.Close() }() // the connection has a duplicate
+	defer func() { _ = file.Close() }() // net.FileConn has duplicated it
 	conn, err := net.FileConn(file)
 	if err != nil {
 		return nil
--- a/internal/listener/listener_test.go
+++ b/internal/listener/listener_test.go
@@ -10,46 +10,46 @@
 	"time"
 )
 
-// dialListener connects to a listener and returns the connection.
+// dialListener connects to a listener, and closes the connection at the test's end.
 func dialListener(t *testing.T, listener *Listener) net.Conn {
 	t.Helper()
-	c, err := net.Dial("tcp", listener.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	return conn
 }
 
-// acceptAll accepts and greets every connection until the listener is closed.
+// acceptAll accepts connections and sends each a greeting, until the listener is closed. Then it closes done.
 func acceptAll(t *testing.T, listener *Listener) (done chan struct{}) {
 	done = make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				if !errors.Is(err, net.ErrClosed) {
 					t.Error(err)
 				}
 				return
 			}
-			io.WriteString(c, "hello\n")
-			c.Close()
+			io.WriteString(conn, "hello\n")
+			conn.Close()
 		}
 	}()
 	return done
 }
 
-func expectGreeting(t *testing.T, c net.Conn) {
+func expectGreeting(t *testing.T, conn net.Conn) {
 	t.Helper()
-	if b, err := io.ReadAll(c); string(b) != "hello\n" {
-		t.Errorf("got %q, %v", b, err)
+	if received, err := io.ReadAll(conn); string(received) != "hello\n" {
+		t.Errorf("received %q, %v, want the greeting", received, err)
 	}
 }
 
-// Closing a listener resets the connections in its accept queue: of 20 none may be reset.
+// Shutdown must accept all queued connections first, as closing the listener would reset them.
 func TestShutdownAcceptsQueuedConnections(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", false)
 	if err != nil {
@@ -61,26 +61,26 @@
 	}
 	listener.Shutdown()
 	listener.Shutdown()
-	listener.SetDeadline(time.Unix(1, 0)) // the goroutine that accepts wakes late
+	listener.SetDeadline(time.Unix(1, 0)) // as if Accept ran only after the deadline
 	<-acceptAll(t, listener)
-	for _, c := range queued {
-		expectGreeting(t, c)
+	for _, conn := range queued {
+		expectGreeting(t, conn)
 	}
-	if c, err := net.Dial("tcp", listener.Addr().String()); err == nil {
-		c.Close()
-		t.Error("the listener is still open")
+	if conn, err := net.Dial("tcp", listener.Addr().String()); err == nil {
+		conn.Close()
+		t.Error("the listener is still open after Shutdown")
 	}
 }
 
-// Two listeners share an address only if both are shared, and a paused one accepts nothing.
-func TestListenersShareAnAddressAndPause(t *testing.T) {
+// Two listeners can share an address only if both set shared. A paused listener accepts nothing until it resumes.
+func TestSharedAddressAndPause(t *testing.T) {
 	first, err := Listen("127.0.0.1:0", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if listener, err := Listen(first.Addr().String(), false); err == nil {
 		listener.Close()
-		t.Error("a listener that is not shared was opened beside another")
+		t.Error("a listener without shared was opened at an address in use")
 	}
 	second, err := Listen(first.Addr().String(), true)
 	if err != nil {
@@ -93,7 +93,7 @@
 	queued := dialListener(t, first)
 	queued.SetDeadline(time.Now().Add(50 * time.Millisecond))
 	if n, err := queued.Read(make([]byte, 1)); n != 0 || err == nil {
-		t.Error("a paused listener has accepted a connection")
+		t.Error("a paused listener accepted a connection")
 	}
 	queued.SetDeadline(time.Now().Add(5 * time.Second))
 	first.Resume()
@@ -103,9 +103,8 @@
 	<-done
 }
 
-// A connection that comes after Pause is not accepted, however late a goroutine that was
-// about to accept wakes.
-func TestPausedListenerAcceptsNobody(t *testing.T) {
+// A connection that arrives after Pause has returned must not be accepted by a call of Accept in progress.
+func TestPauseWaitsForAcceptInProgress(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0", false)
 	if err != nil {
 		t.Fatal(err)
@@ -115,31 +114,31 @@
 	go func() {
 		defer close(done)
 		for {
-			c, err := listener.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			if paused.Load() {
-				t.Error("a paused listener has accepted a connection")
+				t.Error("a paused listener accepted a connection")
 			}
-			c.Close()
+			conn.Close()
 		}
 	}()
 	for i := range 2000 {
-		for range i % 7 { // the accepting goroutine is somewhere else each time
+		for range i % 7 { // varies the progress of the accepting goroutine
 			runtime.Gosched()
 		}
 		listener.Pause()
 		paused.Store(true)
-		c, err := net.Dial("tcp", listener.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		runtime.Gosched()
 		paused.Store(false)
 		listener.Resume()
-		_, _ = io.ReadAll(c) // until it has been accepted
-		c.Close()
+		_, _ = io.ReadAll(conn) // waits until it was accepted and closed
+		conn.Close()
 	}
 	listener.Shutdown()
 	<-done
--- a/internal/listener/status.go
+++ b/internal/listener/status.go
@@ -7,9 +7,9 @@
 	"lockroad/balancer"
 )
 
-// NotSentStatus returns the status of an attempt whose connection was not
-// established, or that was cancelled before anything of it was sent: whatever
-// its endpoint does, it has not run. ctx is the attempt's own.
+// NotSentStatus returns the status of an attempt that ended before any of it was sent,
+// because connecting failed or it was cancelled. The endpoint has not executed it.
+// ctx is the attempt's context.
 func NotSentStatus(ctx context.Context) balancer.AttemptStatus {
 	if ctx.Err() == nil || errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return balancer.StatusConnectFailed
@@ -17,9 +17,9 @@
 	return balancer.StatusNotSent
 }
 
-// BrokenStatus returns the status of an attempt that broke, or that was
-// cancelled: ctx is the attempt's own, with its timeout, and broken the status
-// if neither that nor a cancellation ended it.
+// BrokenStatus returns the status of an attempt that failed after it was sent. ctx is
+// the attempt's context, with its timeout. If neither the timeout nor a cancellation
+// ended the attempt, the status is broken.
 func BrokenStatus(ctx context.Context, broken balancer.AttemptStatus) balancer.AttemptStatus {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/internal/persistence/persistence.go
+++ b/internal/persistence/persistence.go
@@ -1,5 +1,5 @@
-// Package persistence defines the records that a relay saves over a restart, and which part of them is still used at which age.
-// It does no I/O: package store does. The encoding of a record is by the numbers and names in its tags, which stay as they are.
+// Package persistence defines the records that a relay saves across restarts, and up to which age each part of them is
+// used. It does no I/O: package store does. The tags of the records' fields define their encoding and must not change.
 package persistence
 
 import (
@@ -10,7 +10,7 @@
 	"lockroad/internal/store"
 )
 
-// Names of the kinds of records in the store, as its files and the command line have them.
+// Names of the kinds of records, as used in the store's files and on the command line.
 const (
 	KindDrainDirectives = "orders"
 	KindSnapshots       = "learnt"
@@ -18,16 +18,16 @@
 )
 
 const (
-	// MaxDrainDirectives bounds the drain directives that are saved, one an endpoint: far more endpoints than a list has. The
-	// oldest go first, and an endpoint that was to drain would get clients again after a restart.
+	// MaxDrainDirectives is the maximum number of saved drain directives, at most one for each endpoint. It is far above
+	// the number of endpoints, as the store drops the oldest beyond it, and their endpoints would get clients again.
 	MaxDrainDirectives = 1 << 16
-	// MaxDecisions is how many explanations of decisions are saved at the most.
+	// MaxDecisions is the maximum number of saved decisions.
 	MaxDecisions = 2000
-	// DecisionRetention is how long one is saved.
+	// DecisionRetention is how long a decision is saved.
 	DecisionRetention = 14 * 24 * time.Hour
 )
 
-// Kinds returns all kinds of records that a relay saves. Its result is a new slice each time.
+// Kinds returns all kinds of records that a relay saves, as a new slice.
 func Kinds() []store.Kind {
 	return []store.Kind{
 		{Name: KindDrainDirectives, Sync: store.SyncImmediate, MaxRecords: MaxDrainDirectives},
@@ -36,48 +36,48 @@
 	}
 }
 
-// DrainDirective is an operator's order that makes an endpoint drain, whatever the endpoint list says of it.
+// DrainDirective is an operator's order to drain an endpoint, regardless of its phase in the endpoint list.
 type DrainDirective struct {
 	Endpoint string    `cbor:"1,keyasint" json:"server"`
 	By       string    `cbor:"2,keyasint" json:"who"`
 	Reason   string    `cbor:"3,keyasint,omitempty" json:"why,omitempty"`
 	Since    time.Time `cbor:"4,keyasint" json:"since"`
-	Until    time.Time `cbor:"5,keyasint,omitzero" json:"until,omitzero"` // zero: it holds until it is withdrawn
+	Until    time.Time `cbor:"5,keyasint,omitzero" json:"until,omitzero"` // zero: until it is withdrawn
 }
 
-// Expired reports whether a directive has expired.
+// Expired reports whether the directive has expired at a time.
 func (d *DrainDirective) Expired(now time.Time) bool {
 	return !d.Until.IsZero() && !now.Before(d.Until)
 }
 
-// RelaySnapshot is what a relay had learnt at a time: its endpoint list, and the balancer's routes, weights and loads. Times of
-// the latter are those of the proxy's clock.
+// RelaySnapshot is the state of a relay at a time: its endpoint list, and the balancer's routes, weights and loads.
+// Times in Balancer are readings of the proxy's clock.
 type RelaySnapshot struct {
-	Name       string                         `cbor:"1,keyasint"` // the relay's; another's snapshot is of no use
-	Clock      time.Duration                  `cbor:"2,keyasint"` // the proxy's clock showed this at TakenAt
-	ClockStart time.Time                      `cbor:"3,keyasint"` // the wall clock when the proxy's showed zero
+	Name       string                         `cbor:"1,keyasint"` // of the relay; other relays must not use the snapshot
+	Clock      time.Duration                  `cbor:"2,keyasint"` // reading of the proxy's clock at TakenAt
+	ClockStart time.Time                      `cbor:"3,keyasint"` // wall clock time of the proxy clock's zero
 	TakenAt    time.Time                      `cbor:"4,keyasint"`
-	Agent      string                         `cbor:"5,keyasint"` // address of the discovery agent that List is from
+	Agent      string                         `cbor:"5,keyasint"` // address of the discovery agent that sent List
 	List       discovery.List                 `cbor:"6,keyasint"`
-	Names      map[balancer.EndpointID]string `cbor:"7,keyasint"` // of the endpoints in Balancer
+	Names      map[balancer.EndpointID]string `cbor:"7,keyasint"` // names of the endpoints in Balancer
 	Balancer   balancer.Snapshot              `cbor:"8,keyasint"`
 }
 
-// How old a part of a RelaySnapshot may be. Who uses it for too long sends many clients to endpoints that have died meanwhile;
-// who doesn't use it at all sends the clients of each document to an endpoint drawn at random.
+// Maximum ages of the parts of a RelaySnapshot. State that is too old sends clients to endpoints that have failed
+// meanwhile. Without any, each group's clients go to a random endpoint instead of the one that served them before.
 const (
-	// ListMaxAge is for the endpoint list, which is used until discovery sends its own; the one in a platform's file may be as
-	// old.
+	// ListMaxAge applies to the endpoint list, which is used until discovery sends a new one.
 	ListMaxAge = 10 * time.Minute
-	// HealthMaxAge is for weights, loads and what of the slow-start budget is spent. All of them decay by themselves.
+	// HealthMaxAge applies to weights, loads and the spent part of the slow-start budget, which decay over time anyway.
 	HealthMaxAge = time.Minute
-	// RouteMaxAge is for routes, each of which leads everyone of a group to one endpoint: an endpoint that has died in so short a
-	// time rejects the first attempt, and one that hangs costs each group one timeout.
+	// RouteMaxAge applies to routes, each of which sends all clients of a group to one endpoint. If that has failed
+	// meanwhile, the group's first attempt is rejected or times out.
 	RouteMaxAge = 15 * time.Second
 )
 
-// DiscardStale removes from a snapshot what is too old to be used by the relay of that name, and reports whether anything is
-// left. A time that lies ahead, as after a clock was set back, is no age: nothing is used. It changes the snapshot.
+// DiscardStale removes the parts of a snapshot that are too old. It returns the snapshot's age, and whether the relay
+// of that name may use the rest: not if it is another relay's, too old as a whole, or from the future, as after a
+// clock change.
 func (s *RelaySnapshot) DiscardStale(name string, now time.Time) (age time.Duration, ok bool) {
 	age = now.Sub(s.TakenAt)
 	if s.Name != name || age < 0 || age > ListMaxAge {
@@ -89,6 +89,6 @@
 	if age > HealthMaxAge {
 		s.Balancer.Endpoints = nil
 	}
-	// An endpoint that was draining, or gone, stays so until the list says otherwise.
+	// The endpoint list is kept in any case, so that draining and gone endpoints stay so until a new list arrives.
 	return age, true
 }
