--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -52,11 +52,11 @@
 type successorPhase uint8
 
 const (
-	connecting successorPhase = iota // no offer yet
-	offered                          // the predecessor's offer has arrived
-	takingOver                       // the predecessor is being notified of the takeover
-	tookOver                         // the predecessor has confirmed that it accepts no more
-	alone                            // the predecessor was lost before it confirmed
+	phaseConnecting successorPhase = iota // no offer yet
+	phaseOffered                          // the predecessor's offer has arrived
+	phaseTakingOver                       // the predecessor is being notified of the takeover
+	phaseTakenOver                        // the predecessor has confirmed that it accepts no more
+	phaseAlone                            // the predecessor was lost before it confirmed
 )
 
 // SuccessorState decides what the new process may do. It is not safe for concurrent
@@ -65,36 +65,36 @@
 
 // OfferReceived records that the predecessor's offer has arrived.
 func (s *SuccessorState) OfferReceived() {
-	if s.phase == connecting {
-		s.phase = offered
+	if s.phase == phaseConnecting {
+		s.phase = phaseOffered
 	}
 }
 
 // TakeOver records that this process is about to notify the predecessor of the
 // takeover. It returns false unless an offer has arrived and was not used yet.
 func (s *SuccessorState) TakeOver() bool {
-	if s.phase != offered {
+	if s.phase != phaseOffered {
 		return false
 	}
-	s.phase = takingOver
+	s.phase = phaseTakingOver
 	return true
 }
 
 // PredecessorPaused records that the predecessor has stopped accepting.
 func (s *SuccessorState) PredecessorPaused() {
-	if s.phase == takingOver {
-		s.phase = tookOver
+	if s.phase == phaseTakingOver {
+		s.phase = phaseTakenOver
 	}
 }
 
 // PeerLost records that the predecessor has exited, timed out or sent an invalid
 // message. This process continues alone, with what it has received so far.
 func (s *SuccessorState) PeerLost() {
-	if s.phase != tookOver {
-		s.phase = alone
+	if s.phase != phaseTakenOver {
+		s.phase = phaseAlone
 	}
 }
 
 // MayAccept reports whether this process may accept clients, and spend the
 // slow-start budget.
-func (s *SuccessorState) MayAccept() bool { return s.phase == tookOver || s.phase == alone }
+func (s *SuccessorState) MayAccept() bool { return s.phase == phaseTakenOver || s.phase == phaseAlone }
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -27,7 +27,7 @@
 			if connected && predecessorLives && successor != nil && version == ProtocolVersion && predecessor.MayAccept() && successor.MayAccept() {
 				t.Fatal("both processes may accept")
 			}
-			if connected && predecessorLives && predecessor.MayHandOff() && successor != nil && successor.phase != takingOver && successor.phase != tookOver {
+			if connected && predecessorLives && predecessor.MayHandOff() && successor != nil && successor.phase != phaseTakingOver && successor.phase != phaseTakenOver {
 				t.Fatal("connections may be handed off to a successor that has not taken over")
 			}
 			if predecessorLives && predecessor.MayHandOff() && !predecessor.shuttingDown {
@@ -88,7 +88,7 @@
 					}
 				}
 			}},
-			{"the successor is ready", func() bool { return successor != nil && successor.phase == offered }, func() {
+			{"the successor is ready", func() bool { return successor != nil && successor.phase == phaseOffered }, func() {
 				if !successor.TakeOver() {
 					t.Fatal("a successor with an offer cannot take over")
 				}
