--- a/internal/listener/linger.go
+++ b/internal/listener/linger.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Bounds on a connection that is closed after its last answer.
+// Limits on a connection that is being closed after its last answer.
 const (
-	// LingerTimeout is how long a client that was answered may take to read the answer.
+	// LingerTimeout is how long a client may take to read its last answer and close.
 	LingerTimeout = 500 * time.Millisecond
-	// LingerMaxBytes is how many bytes are read from such a client meanwhile.
+	// LingerMaxBytes is how many bytes are read from such a client at most.
 	LingerMaxBytes = 256 << 10
 )
 
-// discardBufferSize is how many bytes Discard reads at a time.
+// discardBufferSize is how many bytes DiscardUnread reads at a time.
 const discardBufferSize = 4 << 10
 
-// Discard reads what has arrived on a connection and was not read, without
-// waiting for more. A close over unread bytes would reset the connection, and
-// lose the answer that was written last. Any goroutine may call it, also while
-// another one reads.
-func Discard(conn *net.TCPConn) {
+// DiscardUnread reads and drops the bytes that have arrived on a connection,
+// without waiting for more. Closing a connection with unread bytes resets it, and
+// the client may lose the last answer. It may be called from any goroutine, also
+// while another one reads.
+func DiscardUnread(conn *net.TCPConn) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return
 	}
-	raw.Control(func(descriptor uintptr) { // no Read: another goroutine may be within one
+	raw.Control(func(descriptor uintptr) { // not conn.Read, as another goroutine may be reading
 		var buffer [discardBufferSize]byte
 		for discarded := 0; discarded < LingerMaxBytes; {
 			n, err := syscall.Read(int(descriptor), buffer[:])
