--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,9 +1,9 @@
 // Package connpool decides which connection to an endpoint each request uses, where several
 // requests may share one as sessions. It does no I/O; whoever embeds it
 //
-//  1. calls Take for each request, and dials where that says so;
-//  2. reports the result with Opened or Lost, and the end of each request with Done;
-//  3. closes the connections that Idle names, at the times that it names, and reports each with Lost.
+//  1. calls Acquire for each request, and dials if it reports that the connection is new;
+//  2. reports the result of the dial with Opened or Closed, and the end of each request with Release;
+//  3. calls ExpireIdle when its next time comes, closes the connections that it returns, and reports each with Closed.
 //
 // All times are on one clock that never goes back. A Pool is not safe for concurrent use: the
 // embedder serializes the calls.
@@ -64,9 +64,9 @@
 	return &Pool{settings: settings, byEndpoint: make(map[string][]*connection), byID: make(map[ID]*connection)}
 }
 
-// Take chooses the connection for a request to an endpoint: the fullest that has room, so
+// Acquire chooses the connection for a request to an endpoint: the fullest that has room, so
 // that the others become idle and are closed. dial reports that it is new: the caller dials.
-func (p *Pool) Take(endpoint string) (id ID, dial bool) {
+func (p *Pool) Acquire(endpoint string) (id ID, dial bool) {
 	var best *connection
 	for _, conn := range p.byEndpoint[endpoint] {
 		if conn.closing || conn.sessions >= conn.maxSessions {
@@ -97,7 +97,7 @@
 
 // Opened records that a connection is open, and how many sessions its endpoint accepts. It
 // returns how many of the requests that wait for it find no room: for each of them the caller
-// calls Done, and then Take again.
+// calls Release, and then Acquire again.
 func (p *Pool) Opened(id ID, maxSessions int) (excess int) {
 	conn := p.byID[id]
 	if conn == nil {
@@ -107,8 +107,8 @@
 	return max(0, conn.sessions-conn.maxSessions)
 }
 
-// Done records that a request has ended, which frees its session.
-func (p *Pool) Done(now time.Duration, id ID) {
+// Release records that a request has ended, which frees its session.
+func (p *Pool) Release(now time.Duration, id ID) {
 	if conn := p.byID[id]; conn != nil && conn.sessions > 0 {
 		if conn.sessions--; conn.sessions == 0 {
 			conn.idleSince = now
@@ -116,24 +116,24 @@
 	}
 }
 
-// Shut makes a connection take no new requests, as when its endpoint has not released a
+// Drain makes a connection take no new requests, as when its endpoint has not released a
 // session. Idle names it once its last session has ended.
-func (p *Pool) Shut(id ID) {
+func (p *Pool) Drain(id ID) {
 	if conn := p.byID[id]; conn != nil {
 		conn.closing = true
 	}
 }
 
-// Leave makes all current connections to a draining endpoint take no new requests. Later
+// DrainEndpoint makes all current connections to a draining endpoint take no new requests. Later
 // connections to it are not affected.
-func (p *Pool) Leave(endpoint string) {
+func (p *Pool) DrainEndpoint(endpoint string) {
 	for _, conn := range p.byEndpoint[endpoint] {
 		conn.closing = true
 	}
 }
 
-// Lost records that a connection has been closed, or could not be opened.
-func (p *Pool) Lost(id ID) {
+// Closed records that a connection has been closed, or could not be opened.
+func (p *Pool) Closed(id ID) {
 	conn := p.byID[id]
 	if conn == nil {
 		return
@@ -145,9 +145,9 @@
 	}
 }
 
-// Idle returns the connections to close now, and when to call it next; 0: not before
+// ExpireIdle returns the connections to close now, and when to call it next; 0: not before
 // something has changed. A connection that it returns takes no more requests.
-func (p *Pool) Idle(now time.Duration) (idle []ID, next time.Duration) {
+func (p *Pool) ExpireIdle(now time.Duration) (idle []ID, next time.Duration) {
 	for id, conn := range p.byID {
 		if !conn.open || conn.sessions > 0 {
 			continue
@@ -164,8 +164,8 @@
 	return idle, next
 }
 
-// Conns returns the number of connections and the number of their sessions.
-func (p *Pool) Conns() (conns, sessions int) {
+// Counts returns the number of connections and the number of their sessions.
+func (p *Pool) Counts() (conns, sessions int) {
 	for _, conn := range p.byID {
 		sessions += conn.sessions
 	}
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -23,13 +23,13 @@
 	pool := New(Settings{MaxSessions: 3, IdleTimeout: time.Second})
 	take := func(endpoint string, want ID, dials bool) {
 		t.Helper()
-		if id, dial := pool.Take(endpoint); id != want || dial != dials {
+		if id, dial := pool.Acquire(endpoint); id != want || dial != dials {
 			t.Errorf("%s: %d, %v, want %d, %v", endpoint, id, dial, want, dials)
 		}
 	}
 	idle := func(now time.Duration, next time.Duration, want ...ID) {
 		t.Helper()
-		if idle, at := pool.Idle(now); !slices.Equal(idle, want) || at != next {
+		if idle, at := pool.ExpireIdle(now); !slices.Equal(idle, want) || at != next {
 			t.Errorf("%v at %v, want %v at %v", idle, at, want, next)
 		}
 	}
@@ -41,27 +41,27 @@
 	if excess := pool.Opened(1, 2); excess != 1 {
 		t.Errorf("%d have no room", excess)
 	}
-	pool.Done(0, 1)
+	pool.Release(0, 1)
 	take("a", 2, false)
 	pool.Opened(2, 100)
 	take("a", 2, false) // the fullest, though it is the younger
 	idle(0, 0)
-	pool.Done(time.Second, 3)
+	pool.Release(time.Second, 3)
 	idle(time.Second, 0) // it is not open yet
 	pool.Opened(3, 8)
 	idle(time.Second, 2*time.Second)
 	idle(2*time.Second, 0, 3)
 	take("b", 4, true) // the third is closing
-	pool.Lost(3)
-	pool.Leave("a")
+	pool.Closed(3)
+	pool.DrainEndpoint("a")
 	take("a", 5, true)
-	pool.Done(3*time.Second, 1)
-	pool.Done(3*time.Second, 1)
+	pool.Release(3*time.Second, 1)
+	pool.Release(3*time.Second, 1)
 	idle(3*time.Second, 0, 1)
-	pool.Lost(5)
-	pool.Done(0, 5)
+	pool.Closed(5)
+	pool.Release(0, 5)
 	pool.Opened(5, 1)
-	if conns, sessions := pool.Conns(); conns != 3 || sessions != 4 {
+	if conns, sessions := pool.Counts(); conns != 3 || sessions != 4 {
 		t.Errorf("%d connections with %d", conns, sessions)
 	}
 }
@@ -95,7 +95,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
 				endpoint := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server")
-				id, dial := pool.Take(endpoint)
+				id, dial := pool.Acquire(endpoint)
 				model := models[id]
 				if dial != (model == nil) {
 					t.Fatalf("%d is new: %v", id, dial)
@@ -122,34 +122,34 @@
 					t.Fatalf("%d in excess of %+v", excess, model)
 				}
 				for range excess {
-					pool.Done(now, id)
+					pool.Release(now, id)
 					model.sessions--
 				}
 			},
 			"done": func(_ *rapid.T) {
 				id, model := pick(func(model *connectionModel) bool { return model.sessions > 0 })
-				pool.Done(now, id)
+				pool.Release(now, id)
 				model.sessions--
 			},
 			"shut": func(_ *rapid.T) {
 				id, model := pick(func(*connectionModel) bool { return true })
-				pool.Shut(id)
+				pool.Drain(id)
 				model.closing = true
 			},
 			"leave": func(*rapid.T) {
-				pool.Leave("a")
+				pool.DrainEndpoint("a")
 				for _, model := range models {
 					model.closing = model.closing || model.endpoint == "a"
 				}
 			},
 			"lose": func(_ *rapid.T) {
 				id, _ := pick(func(*connectionModel) bool { return true })
-				pool.Lost(id)
+				pool.Closed(id)
 				delete(models, id)
 			},
 			"idle": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
-				idle, next := pool.Idle(now)
+				idle, next := pool.ExpireIdle(now)
 				for _, id := range idle {
 					if model := models[id]; model.sessions > 0 || !model.open {
 						t.Fatalf("closed %+v", model)
@@ -165,7 +165,7 @@
 				for _, model := range models {
 					want += model.sessions
 				}
-				if conns, sessions := pool.Conns(); conns != len(models) || sessions != want {
+				if conns, sessions := pool.Counts(); conns != len(models) || sessions != want {
 					t.Fatalf("%d with %d, want %d with %d", conns, sessions, len(models), want)
 				}
 			},
--- a/internal/frontend/amqp/sharedconn.go
+++ b/internal/frontend/amqp/sharedconn.go
@@ -53,7 +53,7 @@
 			s.mu.Unlock()
 			return nil, 0, errConnectionClosing
 		}
-		id, dial := s.pool.Take(address)
+		id, dial := s.pool.Acquire(address)
 		conn := s.connections[id]
 		if dial {
 			conn = &sharedConnection{id: id, address: address, ready: make(chan struct{}), done: make(chan struct{})}
@@ -90,7 +90,7 @@
 func (s *sharedConnections) release(conn *sharedConnection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.pool.Done(s.frontend.Proxy.Clock.Now(), conn.id)
+	s.pool.Release(s.frontend.Proxy.Clock.Now(), conn.id)
 	s.closeIdle()
 }
 
@@ -136,7 +136,7 @@
 	case <-conn.done:
 	case <-draining:
 		s.mu.Lock()
-		s.pool.Shut(conn.id)
+		s.pool.Drain(conn.id)
 		s.closeIdle()
 		s.mu.Unlock()
 	}
@@ -144,7 +144,7 @@
 
 // remove forgets a connection that has ended or failed. The caller holds the lock.
 func (s *sharedConnections) remove(conn *sharedConnection) {
-	s.pool.Lost(conn.id)
+	s.pool.Closed(conn.id)
 	delete(s.connections, conn.id)
 	close(conn.done)
 }
@@ -152,7 +152,7 @@
 // closeIdle closes the connections that have idled long enough, and sets the timer for the next. The caller holds the lock.
 func (s *sharedConnections) closeIdle() {
 	now := s.frontend.Proxy.Clock.Now()
-	idle, next := s.pool.Idle(now)
+	idle, next := s.pool.ExpireIdle(now)
 	for _, id := range idle {
 		if conn := s.connections[id]; !conn.closing {
 			conn.closing = true
@@ -205,7 +205,7 @@
 		if !shared.isEndedRemotely() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.pool.Shut(id)
+			s.pool.Drain(id)
 		}
 	})
 }
