--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -53,7 +53,7 @@
 	oldWatch.answer(listJSON(50, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"), memberJSON("s-3", "ready"), memberJSON("s-4", "ready"), memberJSON("s-5", "ready")))
 	io.WriteString(oldWatch, chunkText(listJSON(51, false, memberJSON("s-1", "draining"), memberJSON("s-2", "draining"), memberJSON("s-3", "draining"), memberJSON("s-4", "gone"))))
 	testutil.Until(t, "the drains are known", func() bool { return statesOf(target) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
-	passes, _ := target.Endpoints.Find(target.Endpoints.ID("s-1"))
+	passes, _ := target.Endpoints.Find(target.Endpoints.AssignID("s-1"))
 	w.SetAddress(after.address)
 	watch, _ := after.nextWatch("0")
 	restarted := strings.Replace(memberJSON("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -46,7 +46,7 @@
 	}}); err != nil {
 		t.Fatal(err)
 	}
-	known, _ := target.Endpoints.Find(target.Endpoints.ID("s-2"))
+	known, _ := target.Endpoints.Find(target.Endpoints.AssignID("s-2"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = w.Run(ctx) })
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -34,7 +34,7 @@
 		}
 		env := &environment{t: t, endpoints: registry.NewEndpoints(), log: log, startedAt: clock.Now()}
 		for i := range 3 {
-			env.endpoints.ID(fmt.Sprintf("s-%d", i+1))
+			env.endpoints.AssignID(fmt.Sprintf("s-%d", i+1))
 		}
 		env.explainer = &Explainer{Log: log, Names: env.endpoints}
 		do(env)
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -72,7 +72,7 @@
 	serve := func(name string, do func(*net.TCPConn)) {
 		netListener := listen(t)
 		t.Cleanup(func() { netListener.Close() })
-		id := relay.proxy.Endpoints.ID(name)
+		id := relay.proxy.Endpoints.AssignID(name)
 		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(relay.endpointAddresses, netListener.Addr().String())
 		go func() {
 			for {
--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -101,7 +101,7 @@
 // publish lists an endpoint at the proxy. It is called with mu held.
 func (p *Prober) publish(endpoint Endpoint, state balancer.EndpointState, startedAt time.Duration) {
 	p.Proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{
-		ID:        p.Proxy.Endpoints.ID(endpoint.Name),
+		ID:        p.Proxy.Endpoints.AssignID(endpoint.Name),
 		State:     state,
 		Zone:      endpoint.Zone,
 		Weight:    endpoint.Size,
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -28,7 +28,7 @@
 			return scriptedAction{}
 		}}
 		// The registry knows at once, the balancer with its next turn.
-		proxy.Endpoints.Update(proxy.Endpoints.ID("s-0"), "", balancer.StateDraining)
+		proxy.Endpoints.Update(proxy.Endpoints.AssignID("s-0"), "", balancer.StateDraining)
 		downstream.serve(context.Background(), time.Second)
 		if len(downstream.answers) != 1 || downstream.answers[0] != "rejected" {
 			t.Errorf("the client was notified of %v", downstream.answers)
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -21,7 +21,7 @@
 			proxy.Serve(context.Background(), Request{EndpointName: "s-1", RequestOptions: balancer.RequestOptions{Established: true}}, downstream)
 		}()
 		synctest.Wait()
-		if open := proxy.Requests.List(); len(open) != 1 || open[0].Endpoint != proxy.Endpoints.ID("s-1") || open[0].Stage != registry.StageEstablished {
+		if open := proxy.Requests.List(); len(open) != 1 || open[0].Endpoint != proxy.Endpoints.AssignID("s-1") || open[0].Stage != registry.StageEstablished {
 			t.Errorf("open: %+v", open)
 		}
 		<-done
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// ID returns the ID of an endpoint, and assigns one if it has none. It is the same at
+// AssignID returns the ID of an endpoint, and assigns one if it has none. It is the same at
 // every relay: the hexadecimal end of the name, or else a hash of it. Two names never
 // share one.
-func (e *Endpoints) ID(name string) balancer.EndpointID {
+func (e *Endpoints) AssignID(name string) balancer.EndpointID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if id, ok := e.idByName[name]; ok {
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -8,21 +8,21 @@
 
 func TestEndpointIDsAreTheSameInEveryRegistry(t *testing.T) {
 	endpoints := NewEndpoints()
-	if id := endpoints.ID("s-5be2a07c"); id != 0x5be2a07c {
+	if id := endpoints.AssignID("s-5be2a07c"); id != 0x5be2a07c {
 		t.Errorf("the ID is %#x", id)
 	}
-	unusualID := endpoints.ID("an odd name")
-	if again := NewEndpoints().ID("an odd name"); again != unusualID || endpoints.ID("an odd name") != unusualID {
+	unusualID := endpoints.AssignID("an odd name")
+	if again := NewEndpoints().AssignID("an odd name"); again != unusualID || endpoints.AssignID("an odd name") != unusualID {
 		t.Error("a name without a number has two IDs")
 	}
-	if endpoints.ID("x-5be2a07c") == endpoints.ID("s-5be2a07c") {
+	if endpoints.AssignID("x-5be2a07c") == endpoints.AssignID("s-5be2a07c") {
 		t.Error("two names share an ID")
 	}
 }
 
 func TestDrainingIsSignalledOnceAndResetByRestart(t *testing.T) {
 	endpoints := NewEndpoints()
-	id := endpoints.ID("s-1")
+	id := endpoints.AssignID("s-1")
 	if _, ok := endpoints.Find(id); ok {
 		t.Error("an endpoint was found that no list has named")
 	}
@@ -41,7 +41,7 @@
 	if after, _ := endpoints.Find(id); after.IsDraining() || after.Address != "a:2" || !before.IsDraining() {
 		t.Error("an endpoint that is ready again is draining, or a holder of the old one isn't notified")
 	}
-	newcomer := endpoints.ID("s-2")
+	newcomer := endpoints.AssignID("s-2")
 	endpoints.Update(newcomer, "b:1", balancer.StateDraining)
 	if endpoint, ok := endpoints.Find(newcomer); !ok || !endpoint.IsDraining() {
 		t.Error("an endpoint that was first listed as draining is not draining")
@@ -51,9 +51,9 @@
 func TestCompleteListRemovesUnlistedEndpoints(t *testing.T) {
 	endpoints := NewEndpoints()
 	for _, name := range []string{"s-1", "s-2", "s-3"} {
-		endpoints.Update(endpoints.ID(name), "a", balancer.StateReady)
+		endpoints.Update(endpoints.AssignID(name), "a", balancer.StateReady)
 	}
-	endpoints.RetainOnly([]balancer.Endpoint{{ID: endpoints.ID("s-2")}})
+	endpoints.RetainOnly([]balancer.Endpoint{{ID: endpoints.AssignID("s-2")}})
 	if counts := endpoints.CountByState(); counts != [3]int64{2, 1, 0} {
 		t.Errorf("gone, ready, draining: %v", counts)
 	}
