--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -32,7 +32,7 @@
 	id := relay.Endpoints.AssignID("s-5be2a07c")
 	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
 	n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
-	relay.Requests.Set(n, registry.StageEstablished, id)
+	relay.Requests.SetStage(n, registry.StageEstablished, id)
 	relay.Counters.CountEnd(registry.EndMigrated)
 	relay.Counters.CountAttempt(balancer.StatusTimeout)
 	log, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -84,7 +84,7 @@
 		for i, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
 			n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: relay.Clock.Now()})
 			if stage != registry.StageWaiting {
-				relay.Requests.Set(n, stage, servers[i].ID)
+				relay.Requests.SetStage(n, stage, servers[i].ID)
 			}
 		}
 		relay.Counters.Requests.Add(41)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -87,7 +87,7 @@
 		if !ok {
 			return balancer.StatusNotSent
 		}
-		r.proxy.Requests.Set(r.number, registry.StageAttempting, endpoint.ID)
+		r.proxy.Requests.SetStage(r.number, registry.StageAttempting, endpoint.ID)
 		started := r.proxy.Clock.Now()
 		conn, status := r.connect(ctx, Attempt{Endpoint: endpoint, Timeout: action.Wait, NotAfter: action.NotAfter})
 		if status != balancer.StatusOK {
@@ -154,7 +154,7 @@
 		return balancer.StatusCancelled
 	}
 	r.proxy.Counters.Established.Add(1)
-	r.proxy.Requests.Set(r.number, registry.StageEstablished, endpoint.ID)
+	r.proxy.Requests.SetStage(r.number, registry.StageEstablished, endpoint.ID)
 	heartbeat := r.proxy.heartbeats.add(r.newHeartbeat(a, endpoint))
 	defer r.proxy.heartbeats.remove(heartbeat)
 	a.connEnded, a.handoffDone, a.departed = make(chan struct{}), make(chan struct{}), make(chan struct{})
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -34,7 +34,7 @@
 	for {
 		id, named := r.proxy.Endpoints.Lookup(r.request.EndpointName)
 		if endpoint, ok := r.proxy.Endpoints.Find(id); named && ok {
-			r.proxy.Requests.Set(r.number, registry.StageAttempting, endpoint.ID)
+			r.proxy.Requests.SetStage(r.number, registry.StageAttempting, endpoint.ID)
 			conn, status := r.connect(ctx, Attempt{Endpoint: endpoint, Timeout: resumeTimeout, Resume: true})
 			if status != balancer.StatusError {
 				unknown.Stop() // it may yet succeed
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -113,17 +113,17 @@
 	return slices.Collect(maps.Keys(r.names))
 }
 
-// Number assigns a number to a request that is never entered.
-func (r *Requests) Number() uint64 {
+// NextNumber assigns a number to a request that is never entered.
+func (r *Requests) NextNumber() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastNumber++
 	return r.lastNumber
 }
 
-// Set sets the stage and endpoint of a request, and counts its attempts. A request that
+// SetStage sets the stage and endpoint of a request, and counts its attempts. A request that
 // has ended is ignored.
-func (r *Requests) Set(number uint64, stage Stage, endpoint balancer.EndpointID) {
+func (r *Requests) SetStage(number uint64, stage Stage, endpoint balancer.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	request := r.byNumber[number]
