--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -217,7 +217,7 @@
 func (s *Site) QuotaSettings(slots int) quota.Settings {
 	settings := s.Quota
 	if s.FairShare {
-		settings.FairShare = slots
+		settings.FairShareSlots = slots
 	}
 	return settings
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -102,7 +102,7 @@
 		return ReasonPerAddress, true
 	case s.PerClass[class] > 0 && l.activeByClass[class] >= s.PerClass[class]:
 		return ReasonPerClass, true
-	case s.FairShare > 0 && float64(l.activeRequests) >= scarcityThreshold*float64(s.FairShare) && usage.active >= l.fairShare():
+	case s.FairShareSlots > 0 && float64(l.activeRequests) >= scarcityThreshold*float64(s.FairShareSlots) && usage.active >= l.fairShare():
 		return ReasonFairShare, true
 	case s.Rate > 0 && usage.tokens < 1:
 		return ReasonRate, true
@@ -113,7 +113,7 @@
 // fairShare returns how many active requests an address may have while admission slots
 // run short: as many as each of the active addresses and one yet to come, and always one.
 // Without the one to come a single address would take every slot, and the next find none.
-func (l *Limiter) fairShare() int { return max(1, l.settings.FairShare/(l.activeAddresses+1)) }
+func (l *Limiter) fairShare() int { return max(1, l.settings.FairShareSlots/(l.activeAddresses+1)) }
 
 // usage returns the usage of an address, with its tokens as of now. It is called with mu
 // held.
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -30,7 +30,7 @@
 // A flood by one address leaves the others their fair share: once admission slots run short it gets no more than they, and
 // a new address gets one.
 func TestOneAddressLeavesFairShares(t *testing.T) {
-	limiter := New(Settings{FairShare: 100})
+	limiter := New(Settings{FairShareSlots: 100})
 	held := 0
 	for range 1000 {
 		if _, _, ok := limiter.Acquire(0, "flood", "page"); ok {
@@ -40,7 +40,7 @@
 	if held != 80 {
 		t.Fatalf("alone it has %d", held) // the rest is for addresses yet to come
 	}
-	limiter = New(Settings{FairShare: 100})
+	limiter = New(Settings{FairShareSlots: 100})
 	counts := make(map[string]int)
 	for i := range 2000 {
 		for n := range 50 {
@@ -65,7 +65,7 @@
 // Whatever comes: no limit is exceeded, what is released can be acquired again, and in the end nothing is active.
 func TestLimiterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{PerAddress: rapid.IntRange(0, 4).Draw(t, "per address"), FairShare: rapid.IntRange(0, 12).Draw(t, "fair"), PerClass: map[string]int{"page": rapid.IntRange(1, 6).Draw(t, "per class")}}
+		settings := Settings{PerAddress: rapid.IntRange(0, 4).Draw(t, "per address"), FairShareSlots: rapid.IntRange(0, 12).Draw(t, "fair"), PerClass: map[string]int{"page": rapid.IntRange(1, 6).Draw(t, "per class")}}
 		limiter := New(settings)
 		type activeRequest struct {
 			address, class string
--- a/internal/quota/settings_test.go
+++ b/internal/quota/settings_test.go
@@ -8,7 +8,7 @@
 			t.Errorf("%+v is accepted", invalid)
 		}
 	}
-	if err := (&Settings{PerAddress: 4, Rate: 2, Burst: 8, FairShare: 100}).Validate(); err != nil {
+	if err := (&Settings{PerAddress: 4, Rate: 2, Burst: 8, FairShareSlots: 100}).Validate(); err != nil {
 		t.Error(err)
 	}
 }
