--- a/internal/frontend/amqp/pipe.go
+++ b/internal/frontend/amqp/pipe.go
@@ -20,7 +20,7 @@
 	defer stop()
 	l.mu.Lock()
 	l.upstream, l.heartbeat, l.attachSent = upstreamConn, heartbeat, true
-	l.outbox = newOutbox(l.session, upstreamConn, heartbeat.TimedOut)
+	l.outbox = newOutbox(l.session, upstreamConn, heartbeat.ReportTimeout)
 	go l.outbox.run()
 	clientFlow, clientGone := l.clientFlow, l.clientGone
 	l.mu.Unlock()
@@ -53,7 +53,7 @@
 		case err != nil && clientGone:
 			return balancer.StatusCancelled
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			heartbeat.TimedOut()
+			heartbeat.ReportTimeout()
 			return balancer.StatusReset
 		case err != nil:
 			l.detach(framing.CondConnectionForced, "the application server is lost", nil)
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TimedOut notes that the endpoint has not even sent a heartbeat of its own, and ends
+// ReportTimeout notes that the endpoint has not even sent a heartbeat of its own, and ends
 // the connection.
-func (h *Heartbeat) TimedOut() { h.onTimeout() }
+func (h *Heartbeat) ReportTimeout() { h.onTimeout() }
 
 // ReportLoad notes the load, in seconds of work a second, that the endpoint reports of
 // the connection.
