--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -150,7 +150,7 @@
 	var text strings.Builder
 	for _, c := range []fmt.Stringer{
 		registry.EndClosed, registry.EndRejected, registry.EndFailed, registry.EndClientLeft, registry.EndMigrated, registry.EndHeartbeatTimeout, registry.EndHandedOff,
-		proxy.CauseDecided, proxy.CauseConnectionLimit, proxy.CauseShutdown, proxy.CauseNotOpen, proxy.CauseHeartbeatTimeout, proxy.CauseQuotaExceeded,
+		proxy.CauseDecided, proxy.CauseConnectionLimit, proxy.CauseShutdown, proxy.CauseResumeFailed, proxy.CauseHeartbeatTimeout, proxy.CauseQuotaExceeded,
 		balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated,
 		balancer.ReasonCachedRoute, balancer.ReasonRouteGone, balancer.ReasonRouteSlow, balancer.ReasonRouteRecovering, balancer.ReasonRouteAtCapacity, balancer.ReasonRouteWarmingUp, balancer.ReasonRedrawn,
 		balancer.ReasonWeightedDraw, balancer.ReasonWindowFull, balancer.ReasonNoneEligible, balancer.ReasonEndpointSlow, balancer.ReasonEndpointRecovering, balancer.ReasonBackoff, balancer.ReasonNoViableEndpoint,
--- a/internal/explain/result.go
+++ b/internal/explain/result.go
@@ -56,7 +56,7 @@
 		return "gets the unavailable answer at the door: its address or its class has as much as may be" + retryAfter
 	case proxy.CauseShutdown:
 		return "gets the unavailable answer: the relay is leaving"
-	case proxy.CauseNotOpen:
+	case proxy.CauseResumeFailed:
 		return "gets the unavailable answer: it was not open at the server that its client named"
 	}
 	return "gets the unavailable answer" + retryAfter
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -15,7 +15,7 @@
 	CauseDecided          EndCause = iota // the balancer, the client or the endpoint ended it
 	CauseConnectionLimit                  // the frontend had no admission slot for it
 	CauseShutdown                         // the relay shuts down
-	CauseNotOpen                          // it was said to be open at an endpoint where it was not
+	CauseResumeFailed                     // an open request could not be resumed at its endpoint
 	CauseHeartbeatTimeout                 // its endpoint sent nothing within the heartbeat timeout
 	CauseQuotaExceeded                    // its client's address, or its class, is at its quota
 	causeCount
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -105,7 +105,7 @@
 	r.ctx = ctx
 	if r.request.Established && !establish(r) {
 		r.reject(0)
-		return Result{End: registry.EndRejected, Cause: CauseNotOpen}
+		return Result{End: registry.EndRejected, Cause: CauseResumeFailed}
 	}
 	waitCtx, stopWaiting := context.WithCancel(ctx)
 	defer stopWaiting()
