--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -33,7 +33,7 @@
 	retryAfter = p.loop.RetryAfter(ctx)
 	p.Metrics.Class(request.Class).CountRejected()
 	if len(p.observers) > 0 {
-		observer := p.observers.begin(p.Requests.NextNumber(), request)
+		observer := p.observers.requestStarted(p.Requests.NextNumber(), request)
 		observer.Ended(Result{End: registry.EndRejected, Cause: cause, RetryAfter: retryAfter})
 	}
 	return retryAfter
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -56,7 +56,7 @@
 
 	connEnded      chan struct{} // closed once Downstream.Pipe has returned
 	handoffDone    chan struct{} // closed once no handoff of it is, or will be, in progress
-	departed       chan struct{} // closed once its turn to depart is over or won't come; nil if it was never established
+	relocated      chan struct{} // closed once its turn to depart is over or won't come; nil if it was never established
 	clientMigrated bool          // its client was notified to migrate in that turn; set before departed is closed
 }
 
@@ -157,9 +157,9 @@
 	r.proxy.Requests.SetStage(r.number, registry.StageEstablished, endpoint.ID)
 	heartbeat := r.proxy.heartbeats.add(r.newHeartbeat(a, endpoint))
 	defer r.proxy.heartbeats.remove(heartbeat)
-	a.connEnded, a.handoffDone, a.departed = make(chan struct{}), make(chan struct{}), make(chan struct{})
-	cancelDeparture := context.AfterFunc(r.proxy.migrating, func() { r.depart(ctx, a, heartbeat, endpoint) })
-	defer a.finishDeparture(cancelDeparture)
+	a.connEnded, a.handoffDone, a.relocated = make(chan struct{}), make(chan struct{}), make(chan struct{})
+	cancelDeparture := context.AfterFunc(r.proxy.migrating, func() { r.relocate(ctx, a, heartbeat, endpoint) })
+	defer a.finishRelocation(cancelDeparture)
 	status := r.downstream.Pipe(ctx, conn, heartbeat)
 	if errors.Is(context.Cause(ctx), errHeartbeatTimeout) {
 		return balancer.StatusReset
@@ -179,21 +179,21 @@
 		onTimeout:       func() { a.cancel(errHeartbeatTimeout) },
 		onLoad:          func(load float64) { p.loop.Report(balancer.LoadReport{Handle: r.handle, Load: load}) },
 		onDelay: func(delay time.Duration) {
-			p.heartbeats.noteEndpointReport(endpoint.ID, delay)
+			p.heartbeats.recordSelfReport(endpoint.ID, delay)
 			p.loop.Report(balancer.DelayReport{Endpoint: endpoint.ID, Delay: delay})
 		},
 	}
 }
 
-// depart hands the connection off or migrates its client, once all established requests
-// are to depart. It runs in a goroutine of its own, which finishDeparture waits for.
+// relocate hands the connection off or migrates its client, once all established requests
+// are to relocate. It runs in a goroutine of its own, which finishDeparture waits for.
 //
 // The request's turn comes first: once its connection is paused nothing passes, and what
 // can't be handed off is migrated right away. With the turn after the pause, a side's end
 // was passed on up to 1.6 s late.
-func (r *requestRun) depart(ctx context.Context, a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) {
-	defer close(a.departed)
-	r.proxy.waitForTurn(ctx, a.connEnded, r.number)
+func (r *requestRun) relocate(ctx context.Context, a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) {
+	defer close(a.relocated)
+	r.proxy.waitForRelocation(ctx, a.connEnded, r.number)
 	handedOff := r.handOff(a, heartbeat, endpoint)
 	close(a.handoffDone)
 	select {
@@ -209,13 +209,13 @@
 	a.cancel(errMigrating)
 }
 
-// finishDeparture notes the connection's end, and waits for a handoff in progress:
+// finishRelocation notes the connection's end, and waits for a handoff in progress:
 // nothing of the connection is closed while it may be on its way to another process.
 // cancel keeps depart from running, unless it already does.
-func (a *attemptRun) finishDeparture(cancel func() bool) {
+func (a *attemptRun) finishRelocation(cancel func() bool) {
 	close(a.connEnded)
 	if cancel() {
-		close(a.departed)
+		close(a.relocated)
 	} else {
 		<-a.handoffDone
 	}
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	encoded, err := json.Marshal(state)
-	established := r.describe(heartbeat, endpoint, encoded)
+	established := r.establishedRequest(heartbeat, endpoint, encoded)
 	if err == nil {
 		err = (*handoff)(established, sockets...)
 	}
@@ -102,8 +102,8 @@
 	return err == nil
 }
 
-// describe returns what the next process is sent of the request.
-func (r *requestRun) describe(heartbeat *Heartbeat, endpoint registry.Endpoint, frontendState json.RawMessage) *EstablishedRequest {
+// establishedRequest returns what the next process is sent of the request.
+func (r *requestRun) establishedRequest(heartbeat *Heartbeat, endpoint registry.Endpoint, frontendState json.RawMessage) *EstablishedRequest {
 	heartbeat.mu.Lock()
 	defer heartbeat.mu.Unlock()
 	return &EstablishedRequest{
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -108,7 +108,7 @@
 
 // endpointDelay is how long messages take at an endpoint.
 type endpointDelay struct {
-	checkedAt      time.Duration // when it was last held against the threshold
+	comparedAt     time.Duration // when it was last held against the threshold
 	worst          time.Duration // since then
 	aboveThreshold bool          // at checkedAt
 
@@ -155,8 +155,8 @@
 	delete(m.heartbeats, heartbeat)
 }
 
-// noteEndpointReport notes the delay that an endpoint reports itself.
-func (m *heartbeatMonitor) noteEndpointReport(endpoint balancer.EndpointID, delay time.Duration) {
+// recordSelfReport notes the delay that an endpoint reports itself.
+func (m *heartbeatMonitor) recordSelfReport(endpoint balancer.EndpointID, delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	noted := m.delays[endpoint]
@@ -174,11 +174,11 @@
 	for endpoint, worst := range m.sampleAll(now) {
 		delay := m.delays[endpoint]
 		delay.worst = max(delay.worst, worst)
-		if now-delay.checkedAt >= delayReportInterval && m.threshold > 0 {
-			if delay.due(m.threshold, now) {
+		if now-delay.comparedAt >= delayReportInterval && m.threshold > 0 {
+			if delay.prepareReport(m.threshold, now) {
 				reports = append(reports, balancer.DelayReport{Endpoint: endpoint, Delay: delay.worst})
 			}
-			delay.checkedAt, delay.worst = now, 0
+			delay.comparedAt, delay.worst = now, 0
 		}
 		m.delays[endpoint] = delay
 	}
@@ -199,8 +199,8 @@
 	return worst
 }
 
-// due reports whether the delay is to be reported, and makes worst what is reported.
-func (d *endpointDelay) due(threshold, now time.Duration) bool {
+// prepareReport reports whether the delay is to be reported, and makes worst what is reported.
+func (d *endpointDelay) prepareReport(threshold, now time.Duration) bool {
 	above := d.worst > threshold
 	if !above && !d.aboveThreshold {
 		return false
--- a/internal/proxy/heartbeat_test.go
+++ b/internal/proxy/heartbeat_test.go
@@ -62,7 +62,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		monitor := newHeartbeatMonitor(new(settings()), NewClock())
 		heartbeat := monitor.add(&Heartbeat{endpoint: 1, onTimeout: func() {}})
-		monitor.noteEndpointReport(1, 10*time.Second)
+		monitor.recordSelfReport(1, 10*time.Second)
 		heartbeat.ClientSent()
 		time.Sleep(time.Second)
 		if reports := monitor.check(monitor.clock.Now()); len(reports) != 1 || reports[0].Delay != 10*time.Second {
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -68,7 +68,7 @@
 
 type observers []Observer
 
-func (all observers) begin(number uint64, request Request) requestObservers {
+func (all observers) requestStarted(number uint64, request Request) requestObservers {
 	var begun requestObservers
 	for _, observer := range all {
 		begun = append(begun, observer.RequestStarted(number, request))
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -43,12 +43,12 @@
 	p.Counters.Requests.Add(1)
 	// A client that asks for a longer deadline than its class has would hold its
 	// admission slot for as long as it likes.
-	request.Deadline = min(request.Deadline, now+maxWait(request))
+	request.Deadline = min(request.Deadline, now+maxTimeout(request))
 	p.serve(ctx, number, request, downstream, func(r *requestRun) bool { return r.resume(ctx) })
 }
 
-// maxWait returns the longest time that a client may wait, by its request's class.
-func maxWait(request Request) time.Duration {
+// maxTimeout returns the longest time that a client may wait, by its request's class.
+func maxTimeout(request Request) time.Duration {
 	class := request.RequestOptions.Class
 	if class >= 0 && class < len(request.Settings.Classes) {
 		return request.Settings.Classes[class].Deadline
@@ -69,7 +69,7 @@
 	defer p.Requests.Remove(r.number)
 	p.Metrics.ActiveRequests.Add(1)
 	defer p.Metrics.ActiveRequests.Add(-1)
-	r.observers = p.observers.begin(number, request)
+	r.observers = p.observers.requestStarted(number, request)
 	if len(r.observers) > 0 {
 		r.request.Observer = r.observers
 	}
@@ -117,20 +117,20 @@
 		action, err := r.proxy.loop.Pick(r.waitCtx, r.handle)
 		if err != nil {
 			if ctx.Err() != nil {
-				return r.clientLeft()
+				return r.finishClientLeft()
 			}
 			r.requireAnswer()
 			continue
 		}
-		if result, ended := r.carryOut(action); ended {
+		if result, ended := r.execute(action); ended {
 			return result
 		}
 	}
 }
 
-// carryOut carries out one action of the balancer's. It reports whether the request has
+// execute carries out one action of the balancer's. It reports whether the request has
 // ended with it.
-func (r *requestRun) carryOut(action balancer.RequestAction) (result Result, ended bool) {
+func (r *requestRun) execute(action balancer.RequestAction) (result Result, ended bool) {
 	switch action.Kind {
 	case balancer.ActionAttempt:
 		if r.cause != CauseShutdown { // else it is about to be answered
@@ -141,7 +141,7 @@
 		r.waitCtx = r.ctx // it departs with the other established requests
 		close(r.current.established)
 	case balancer.ActionReject:
-		return r.rejected(action), true
+		return r.finishRejected(action), true
 	case balancer.ActionFail:
 		r.downstream.Fail()
 		r.class.CountFailed()
@@ -150,13 +150,13 @@
 		r.current.migrate(r.downstream)
 		return Result{End: registry.EndMigrated, Status: balancer.StatusCancelled}, true
 	case balancer.ActionClosed:
-		return r.connectionClosed(), true
+		return r.finishClosed(), true
 	}
 	return Result{}, false
 }
 
-// clientLeft ends a request whose client has left.
-func (r *requestRun) clientLeft() Result {
+// finishClientLeft ends a request whose client has left.
+func (r *requestRun) finishClientLeft() Result {
 	r.current.stop()
 	r.proxy.loop.Report(balancer.ClientDisconnected{Handle: r.handle})
 	return Result{End: registry.EndClientLeft, Status: balancer.StatusCancelled}
@@ -170,8 +170,8 @@
 	r.waitCtx, r.cause = r.ctx, CauseShutdown
 }
 
-// rejected rejects the request as the balancer has decided.
-func (r *requestRun) rejected(action balancer.RequestAction) Result {
+// finishRejected rejects the request as the balancer has decided.
+func (r *requestRun) finishRejected(action balancer.RequestAction) Result {
 	retryAfter := action.Wait
 	if r.cause == CauseShutdown {
 		retryAfter = 0 // another relay may have room at once
@@ -186,15 +186,15 @@
 	r.class.CountRejected()
 }
 
-// connectionClosed waits until the connection of an established request is closed, and
+// finishClosed waits until the connection of an established request is closed, and
 // returns how that came about.
-func (r *requestRun) connectionClosed() Result {
+func (r *requestRun) finishClosed() Result {
 	last := r.current
 	<-last.ended
-	if last.departed != nil {
+	if last.relocated != nil {
 		// The endpoint's end may cross with the turn to depart: what counts is whether
 		// the client was notified.
-		<-last.departed
+		<-last.relocated
 	}
 	switch {
 	case errors.Is(last.cause, errHeartbeatTimeout):
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -35,12 +35,12 @@
 // Migrating returns a channel that is closed once MigrateAll or HandOffAll was called.
 func (p *Proxy) Migrating() <-chan struct{} { return p.migrating.Done() }
 
-// waitForTurn waits for a request's turn to depart, or for the end of ctx or of its
+// waitForRelocation waits for a request's turn to depart, or for the end of ctx or of its
 // connection. Turns are spread evenly whatever the request numbers: multiples of the
 // golden ratio, modulo 1, are. They count from the start of the migration window: a
 // request established after its turn departs at once, as the process may end before
 // another window is over.
-func (p *Proxy) waitForTurn(ctx context.Context, connEnded <-chan struct{}, number uint64) {
+func (p *Proxy) waitForRelocation(ctx context.Context, connEnded <-chan struct{}, number uint64) {
 	const goldenRatio = 0.6180339887498949 // its fractional part
 	_, fraction := math.Modf(float64(number) * goldenRatio)
 	window := p.migration.Load()
