--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -9,8 +9,8 @@
 )
 
 // Admit reports whether a request from a client's address is within the quotas. If so,
-// release is called once the request has ended; otherwise release is nil, and the
-// frontend rejects the request.
+// the frontend calls release once the request has ended; otherwise release is nil and the
+// frontend calls Reject.
 func (p *Proxy) Admit(address net.Addr, request Request) (release func(), ok bool) {
 	if p.Quota == nil {
 		return func() {}, true
@@ -21,14 +21,14 @@
 	}
 	release, reason, ok := p.Quota.Acquire(p.Clock.Now(), host, request.Class)
 	if !ok {
-		p.Log.Debug("client over quota", "address", host, "class", request.Class, "limit", reason)
+		p.Log.Debug("request exceeds quota", "address", host, "class", request.Class, "limit", reason)
 	}
 	return release, ok
 }
 
-// Reject counts and observes a request that a frontend doesn't serve, as it has no
-// admission slot or exceeds a quota. It returns how long the client should wait before
-// it retries.
+// Reject counts a request that a frontend does not pass to Serve, because no admission
+// slot is free or a quota is exceeded, and notifies the observers. It returns how long the
+// client should wait before it retries.
 func (p *Proxy) Reject(ctx context.Context, request Request, cause EndCause) (retryAfter time.Duration) {
 	retryAfter = p.loop.RetryAfter(ctx)
 	p.Metrics.Class(request.Class).CountRejected()
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -10,7 +10,7 @@
 	"lockroad/internal/registry"
 )
 
-// Why an attempt's context was cancelled.
+// The causes with which an attempt's context is cancelled.
 var (
 	errRequestEnded     = errors.New("request ended")
 	errHeartbeatTimeout = errors.New("endpoint heartbeat timeout")
@@ -21,22 +21,21 @@
 // Attempt is one attempt to establish a request at an endpoint.
 type Attempt struct {
 	Endpoint registry.Endpoint
-	Timeout  time.Duration // for the answer
-	NotAfter time.Duration // on the proxy's clock: it isn't sent later; 0: at any time
-	Resume   bool          // the request has been open at the endpoint since before the relay's start
+	Timeout  time.Duration // for the endpoint's answer
+	NotAfter time.Duration // latest time on the proxy's clock to send it; 0: no limit
+	Resume   bool          // it reconnects to a request that was open at the endpoint before the relay started
 	clock    Clock
 }
 
-// StillPermitted reports whether an attempt may still be sent. A connection can come up
-// late: since the attempt was picked its client may have left, its endpoint may have
-// begun to drain, and a retry may have left the time within which the endpoint
-// recognizes it as one.
+// StillPermitted reports whether an attempt may still be sent. While its connection is
+// dialled the client may leave, the endpoint may begin to drain, and the time may end
+// within which the endpoint recognizes a retry as a duplicate.
 func (a Attempt) StillPermitted(ctx context.Context) bool {
 	return ctx.Err() == nil && (a.Resume || !a.Endpoint.IsDraining()) && (a.NotAfter == 0 || a.clock.Now() < a.NotAfter)
 }
 
-// TimeLeft returns how long the answer is still waited for, which is what the endpoint
-// is told. ctx is the one that Downstream.Attempt was called with.
+// TimeLeft returns the remaining timeout of the attempt, which the frontend sends to the
+// endpoint. ctx is the context that Downstream.Attempt was called with.
 func (a Attempt) TimeLeft(ctx context.Context) time.Duration {
 	if deadline, ok := ctx.Deadline(); ok {
 		return min(a.Timeout, time.Until(deadline))
@@ -44,23 +43,23 @@
 	return a.Timeout
 }
 
-// attemptRun is an attempt that is out, or the connection that it became. It has a
-// goroutine of its own, which launch starts and stop waits for.
+// attemptRun is an attempt in progress, or the connection that it has established. It
+// runs in its own goroutine, which launch starts and stop waits for.
 type attemptRun struct {
 	cancel         context.CancelCauseFunc
-	established    chan struct{}          // closed by the request's goroutine once the balancer has it established
-	clientNotified chan struct{}          // closed once the client was notified of that
-	ended          chan struct{}          // closed once the connection is closed
-	cause          error                  // why it was cancelled here; set before ended is closed
-	status         balancer.AttemptStatus // how it ended; set before ended is closed
+	established    chan struct{}          // closed by the request's goroutine once the balancer confirms it
+	clientNotified chan struct{}          // closed once the client knows that the request is established
+	ended          chan struct{}          // closed once the attempt has ended and its connection is closed
+	cause          error                  // cause of its context's cancellation, if any; set before ended is closed
+	status         balancer.AttemptStatus // result; set before ended is closed
 
 	connEnded      chan struct{} // closed once Downstream.Pipe has returned
-	handoffDone    chan struct{} // closed once no handoff of it is, or will be, in progress
-	relocated      chan struct{} // closed once its turn to depart is over or won't come; nil if it was never established
-	clientMigrated bool          // its client was notified to migrate in that turn; set before departed is closed
+	handoffDone    chan struct{} // closed once relocate has tried to hand the connection off
+	relocated      chan struct{} // closed once relocate has returned or can no longer start; nil before it is established
+	clientMigrated bool          // relocate has notified the client to migrate; set before relocated is closed
 }
 
-// stop cancels the attempt, and waits until its connection is closed.
+// stop cancels the attempt, if there is one, and waits until its connection is closed.
 func (a *attemptRun) stop() {
 	if a != nil {
 		a.cancel(errRequestEnded)
@@ -68,9 +67,10 @@
 	}
 }
 
-// migrate migrates the client while its connection is still piped, so that what is
-// being sent can end. It waits until the client was notified that it is established:
-// the other order reads as a failure. It reports whether the client was notified.
+// migrate tells the client to migrate while its connection is still piped, so that writes
+// in progress can complete. It first waits until the client knows that its request is
+// established, as clients treat an earlier migration as a failure. It reports whether the
+// client was notified.
 func (a *attemptRun) migrate(downstream Downstream) bool {
 	select {
 	case <-a.clientNotified:
@@ -80,7 +80,7 @@
 	}
 }
 
-// startAttempt starts an attempt that the balancer has picked.
+// startAttempt starts an attempt at the endpoint that the balancer has picked.
 func (r *requestRun) startAttempt(ctx context.Context, action balancer.RequestAction) {
 	r.launch(ctx, func(ctx context.Context, a *attemptRun) balancer.AttemptStatus {
 		endpoint, ok := r.proxy.Endpoints.Find(action.Endpoint)
@@ -98,8 +98,8 @@
 	})
 }
 
-// launch runs an attempt in a goroutine of its own. The attempt's end is reported only
-// after its connection is closed, so that no other starts before.
+// launch runs an attempt in a new goroutine. It reports the attempt's end to the balancer
+// only after the connection is closed, so that attempts never overlap.
 func (r *requestRun) launch(ctx context.Context, run func(context.Context, *attemptRun) balancer.AttemptStatus) {
 	if r.current != nil {
 		select {
@@ -127,9 +127,9 @@
 	}()
 }
 
-// connect makes the frontend carry out an attempt within its timeout, or within the
-// request's deadline if it has none. The attempt's goroutine calls it, or for a resumed
-// connection the request's.
+// connect has the frontend execute an attempt within its timeout, or within the request's
+// deadline if the attempt has none. It runs in the attempt's goroutine, or in the
+// request's goroutine if the attempt resumes a request.
 func (r *requestRun) connect(ctx context.Context, attempt Attempt) (UpstreamConn, balancer.AttemptStatus) {
 	attempt.clock = r.proxy.Clock
 	if attempt.Timeout <= 0 {
@@ -140,12 +140,13 @@
 	observeEnd := r.observers.AttemptStarted(attempt.Endpoint.ID)
 	conn, status := r.downstream.Attempt(ctx, attempt)
 	observeEnd(status)
-	assert.That((conn != nil) == (status == balancer.StatusOK), "an attempt returns a connection exactly when it is established")
+	assert.That((conn != nil) == (status == balancer.StatusOK), "an attempt returns a connection if and only if its status is OK")
 	return conn, status
 }
 
-// pipe waits until the balancer has the connection established, and then pipes it to its
-// end. The attempt's goroutine calls it.
+// pipe waits until the balancer confirms that the request is established, and then copies
+// data between client and endpoint until the connection ends. It runs in the attempt's
+// goroutine.
 func (r *requestRun) pipe(ctx context.Context, a *attemptRun, endpoint registry.Endpoint, conn UpstreamConn) balancer.AttemptStatus {
 	defer conn.Close()
 	select {
@@ -158,8 +159,8 @@
 	heartbeat := r.proxy.heartbeats.add(r.newHeartbeat(a, endpoint))
 	defer r.proxy.heartbeats.remove(heartbeat)
 	a.connEnded, a.handoffDone, a.relocated = make(chan struct{}), make(chan struct{}), make(chan struct{})
-	cancelDeparture := context.AfterFunc(r.proxy.migrating, func() { r.relocate(ctx, a, heartbeat, endpoint) })
-	defer a.finishRelocation(cancelDeparture)
+	cancelRelocation := context.AfterFunc(r.proxy.migrating, func() { r.relocate(ctx, a, heartbeat, endpoint) })
+	defer a.finishRelocation(cancelRelocation)
 	status := r.downstream.Pipe(ctx, conn, heartbeat)
 	if errors.Is(context.Cause(ctx), errHeartbeatTimeout) {
 		return balancer.StatusReset
@@ -167,7 +168,8 @@
 	return status
 }
 
-// newHeartbeat returns the heartbeat of an attempt's connection.
+// newHeartbeat returns a heartbeat that monitors an established connection, reports its
+// load and delay to the balancer, and cancels the attempt on timeout.
 func (r *requestRun) newHeartbeat(a *attemptRun, endpoint registry.Endpoint) *Heartbeat {
 	p := r.proxy
 	return &Heartbeat{
@@ -185,19 +187,18 @@
 	}
 }
 
-// relocate hands the connection off or migrates its client, once all established requests
-// are to relocate. It runs in a goroutine of its own, which finishDeparture waits for.
+// relocate hands an established connection off to another process, or migrates its client,
+// at its time in the migration window. It runs in its own goroutine, started by MigrateAll.
 //
-// The request's turn comes first: once its connection is paused nothing passes, and what
-// can't be handed off is migrated right away. With the turn after the pause, a side's end
-// was passed on up to 1.6 s late.
+// It waits for that time before it pauses the connection: no data, and no end of either
+// side, is forwarded during the pause, so a failed handoff must lead to a migration at once.
 func (r *requestRun) relocate(ctx context.Context, a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) {
 	defer close(a.relocated)
 	r.proxy.waitForRelocation(ctx, a.connEnded, r.number)
 	handedOff := r.handOff(a, heartbeat, endpoint)
 	close(a.handoffDone)
 	select {
-	case <-a.connEnded: // it has ended by itself
+	case <-a.connEnded: // client or endpoint has closed it
 		return
 	default:
 	}
@@ -209,9 +210,9 @@
 	a.cancel(errMigrating)
 }
 
-// finishRelocation notes the connection's end, and waits for a handoff in progress:
-// nothing of the connection is closed while it may be on its way to another process.
-// cancel keeps depart from running, unless it already does.
+// finishRelocation signals that the connection has ended, and waits for a handoff in
+// progress: the sockets must stay open while they are sent to another process. cancel
+// prevents relocate from starting, and reports whether it did.
 func (a *attemptRun) finishRelocation(cancel func() bool) {
 	close(a.connEnded)
 	if cancel() {
--- a/internal/proxy/clock.go
+++ b/internal/proxy/clock.go
@@ -2,45 +2,44 @@
 
 import "time"
 
-// clockBase is what a new clock shows. It lies well above the intervals that
-// matter, so that an endpoint that started before the relay has no negative start
-// time.
+// clockBase is the initial time of a new clock. It leaves room for the start times of
+// endpoints that started before the relay.
 const clockBase = time.Hour
 
-// Clock shows the time in whole microseconds on the monotonic clock. It is a value
-// that never changes, and safe for concurrent use.
+// Clock is a monotonic clock with microsecond resolution. It is immutable and safe for
+// concurrent use.
 type Clock struct {
-	start time.Time     // with its monotonic reading
-	base  time.Duration // what the clock showed at start
-	wall  time.Time     // the time of day at which it showed clockBase
+	start time.Time     // with a monotonic reading
+	base  time.Duration // clock time at start
+	wall  time.Time     // wall-clock time at clock time clockBase
 }
 
-// NewClock returns a clock that starts now.
+// NewClock returns a clock whose time is clockBase now.
 func NewClock() Clock {
 	now := time.Now()
 	return Clock{start: now, base: clockBase, wall: now.Round(0)}
 }
 
-// ContinueClock returns a clock that continues another process's: now is what that
-// one shows at this moment, and wall its Start.
+// ContinueClock returns a clock that continues the clock of another process: now is the
+// current time of that clock, and wall its Start.
 func ContinueClock(now time.Duration, wall time.Time) Clock {
 	return Clock{start: time.Now(), base: now, wall: wall.Round(0)}
 }
 
-// Start returns the time of day at which the clock began.
+// Start returns the wall-clock time at which the clock started.
 func (c Clock) Start() time.Time { return c.wall }
 
-// Now returns what the clock shows.
+// Now returns the current clock time.
 func (c Clock) Now() time.Duration {
 	return (c.base + time.Since(c.start)).Truncate(time.Microsecond)
 }
 
-// Wall returns the time of day at a time on the clock.
+// Wall converts a clock time to a wall-clock time.
 func (c Clock) Wall(at time.Duration) time.Time { return c.wall.Add(at - clockBase) }
 
-// AtUnixMilli returns the clock's time at a Unix time in milliseconds; 0 stands for
-// a time unknown or long ago. The same argument always gives the same result: an
-// endpoint whose start seemed later than reported before would pass for restarted.
+// AtUnixMilli converts a Unix time in milliseconds to a clock time; 0 stands for a time
+// that is unknown or too long ago. The result for an argument never changes, as an endpoint
+// whose start time increases is taken to have restarted.
 func (c Clock) AtUnixMilli(unixMilli int64) time.Duration {
 	if unixMilli <= 0 {
 		return 0
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -6,19 +6,19 @@
 	"lockroad/balancer"
 )
 
-// endpointList is the list as discovery reports it, and the names of the endpoints that
-// an operator has directed to drain whatever discovery says. Proxy.listMu guards it.
+// endpointList is the list that discovery reports, and the names of the endpoints that an
+// operator drains regardless of their listed state. Proxy.listMu guards it.
 type endpointList struct {
 	endpoints     map[balancer.EndpointID]balancer.Endpoint // without those that are gone
 	drainDirected map[string]bool
 }
 
-// SetRevision sets the revision of the list that is handed to UpdateEndpoints next.
+// SetRevision sets the revision of the list in the next call of UpdateEndpoints.
 func (p *Proxy) SetRevision(revision uint64) { p.listRevision.Store(revision) }
 
-// UpdateEndpoints takes an update of the endpoint list: at once for attempts about to be
-// sent, and for the balancer with its next turn. addresses are those of the endpoints, in
-// their order; nil if none has changed. Any goroutine may call it.
+// UpdateEndpoints applies an update of the endpoint list: at once to the registry, which
+// attempts consult before they are sent, and to the balancer with its next Tick. addresses
+// holds the addresses of the endpoints in the same order, or is nil if none has changed.
 func (p *Proxy) UpdateEndpoints(kind balancer.ListKind, endpoints []balancer.Endpoint, addresses []string) {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
@@ -31,7 +31,7 @@
 	}
 	for _, endpoint := range endpoints {
 		if endpoint.State == balancer.StateGone {
-			delete(p.list.endpoints, endpoint.ID) // there may never be a complete list to drop it
+			delete(p.list.endpoints, endpoint.ID) // a discovery that only sends deltas never drops it otherwise
 			continue
 		}
 		p.list.endpoints[endpoint.ID] = endpoint
@@ -39,8 +39,8 @@
 	p.publishEndpoints(kind, endpoints, addresses)
 }
 
-// publishEndpoints passes endpoints on to the registry and the balancer, with drain
-// directives applied. It is called with listMu held, so that both see updates in one order.
+// publishEndpoints updates endpoints in the registry and the balancer, with the operator's
+// drain directives applied. The caller holds listMu, so that both see the same order.
 func (p *Proxy) publishEndpoints(kind balancer.ListKind, endpoints []balancer.Endpoint, addresses []string) {
 	if len(p.list.drainDirected) > 0 {
 		endpoints = slices.Clone(endpoints)
@@ -60,9 +60,9 @@
 	p.loop.Report(balancer.EndpointUpdate{Kind: kind, Endpoints: endpoints, Revision: p.listRevision.Load()})
 }
 
-// SetDrain directs an endpoint to drain from now on, or withdraws that directive. It
-// prevails over the list: an endpoint that isn't listed yet drains as soon as it is.
-// SetDrain reports whether the endpoint is listed.
+// SetDrain sets or removes an operator's directive to drain an endpoint, and reports
+// whether the endpoint is listed. A directive overrides the listed state, and also applies
+// to an endpoint that is listed later.
 func (p *Proxy) SetDrain(name string, drain bool) (listed bool) {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
@@ -85,15 +85,14 @@
 	return true
 }
 
-// isListed reports whether the list names an endpoint that isn't gone. It is called with
-// listMu held.
+// isListed reports whether an endpoint is listed and not gone. The caller holds listMu.
 func (p *Proxy) isListed(name string) bool {
 	id, ok := p.Endpoints.Lookup(name)
 	_, listed := p.list.endpoints[id]
 	return ok && listed
 }
 
-// DrainDirected reports whether an operator has directed an endpoint to drain.
+// DrainDirected reports whether an operator's directive to drain an endpoint is set.
 func (p *Proxy) DrainDirected(name string) bool {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -9,46 +9,45 @@
 	"lockroad/internal/registry"
 )
 
-// endGracePeriod is how long a connection that can't be handed off may take to end by
-// itself before its client is migrated.
+// endGracePeriod is how long a connection that could not be paused may take to end before
+// its client is migrated.
 const endGracePeriod = 500 * time.Millisecond
 
-// EstablishedRequest is an established request as one process of a relay hands it to the
-// next. Times are on the clock that the two have in common.
+// EstablishedRequest is the state of an established request that one process of a relay
+// sends to the next. Times are on the clock that both processes share.
 type EstablishedRequest struct {
 	Frontend        string          `json:"Front"`
 	Name            string          `json:"Name"`
 	Class           string          `json:"Class"`
-	Tenant          string          `json:"Tenant"` // "" if the settings name none, or from a process that doesn't send it
+	Tenant          string          `json:"Tenant"` // "" if it has none, or if the sending process is older than the field
 	Endpoint        string          `json:"Server"`
 	Item            uint64          `json:"Item"`
 	Group           uint64          `json:"Group"`
-	Load            float64         `json:"Load"` // that its endpoint reported last, or that was expected
+	Load            float64         `json:"Load"` // as its endpoint reported last; before any report, as expected
 	Returning       bool            `json:"Return"`
-	UnansweredSince time.Duration   `json:"Asked"` // since when its client awaits an echo; 0 if it doesn't
-	FrontendState   json.RawMessage `json:"Wire"`  // the frontend's own
+	UnansweredSince time.Duration   `json:"Asked"` // time of its client's oldest unanswered message; 0: none
+	FrontendState   json.RawMessage `json:"Wire"`  // what Transferable.Pause returned
 }
 
-// HandoffFunc hands a request over to another process with its sockets. Once it has
-// returned nil the request is the other process's. Goroutines of several requests may
-// call it at the same time.
-type HandoffFunc func(what any, sockets ...syscall.Conn) error
+// HandoffFunc sends a request and its sockets to another process. If it returns nil, the
+// other process serves the request from then on. It is safe for concurrent use.
+type HandoffFunc func(established any, sockets ...syscall.Conn) error
 
-// Transferable is a Downstream that another process can carry on.
+// Transferable is a Downstream whose connections can be handed off to another process.
 type Transferable interface {
 	Downstream
-	// Pause stops the copying on both sides, between two reads, and returns what another
-	// process needs. It fails where one side has ended, or is in the middle of a write
-	// that takes long. Until Resolve nothing is sent on what is paused.
+	// Pause stops the copying in both directions between two reads, and returns the state
+	// and the sockets that another process needs to continue. It fails if either side has
+	// ended, or if a write is blocked. Nothing is sent on either side until Resolve.
 	Pause() (state any, sockets []syscall.Conn, ok bool)
-	// Resolve says whether another process carries on what was paused: then nothing is
-	// ever sent here on either side; otherwise its client is still to be migrated. The
-	// first call counts, and its word is returned.
+	// Resolve ends the pause. If handedOff is true, another process serves the request and
+	// nothing more is sent on either side; otherwise the client can still be told to
+	// migrate. Only the first call has an effect; later ones return the first's argument.
 	Resolve(handedOff bool) bool
 }
 
-// Adopt serves a request that is already established, as another process of this relay
-// has handed it off with its connection. It is called like Serve.
+// Adopt serves an established request that another process of this relay has handed off
+// together with its connection. It is called like Serve.
 func (p *Proxy) Adopt(ctx context.Context, established *EstablishedRequest, request Request, downstream Downstream, conn UpstreamConn) {
 	request.EndpointName, request.Established = established.Endpoint, true
 	number, ok := p.Requests.Adopt(registry.Request{
@@ -56,28 +55,28 @@
 	})
 	if !ok {
 		conn.Close()
-		downstream.Migrate() // a client has its name by now
+		downstream.Migrate() // another request has been opened under its name
 		return
 	}
 	p.serve(ctx, number, request, downstream, func(r *requestRun) bool { return r.adopt(established, conn) })
 }
 
-// adopt establishes a request where another process had it. The request's goroutine
-// calls it.
+// adopt establishes a handed-off request at the endpoint where it is open. It runs in the
+// request's goroutine.
 func (r *requestRun) adopt(established *EstablishedRequest, conn UpstreamConn) bool {
-	r.class = nil // the other process has counted it
+	r.class = nil // the other process has counted it under its class
 	r.unansweredSince = established.UnansweredSince
-	id, named := r.proxy.Endpoints.Lookup(established.Endpoint)
+	id, known := r.proxy.Endpoints.Lookup(established.Endpoint)
 	endpoint, ok := r.proxy.Endpoints.Find(id)
-	if !named || !ok { // no list has named it yet: it is carried on, and the balancer sees no endpoint
+	if !known || !ok { // not listed yet: it is served all the same, but the balancer can't attribute it
 		endpoint = registry.Endpoint{Name: established.Endpoint}
 	}
 	r.establishAt(endpoint, conn)
 	return true
 }
 
-// handOff hands an established request to another process, and reports whether that one
-// carries it on. The departure's goroutine calls it.
+// handOff hands an established request off to another process, and reports whether that
+// process now serves it. relocate calls it.
 func (r *requestRun) handOff(a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) bool {
 	handoff := r.proxy.handoff.Load()
 	downstream, transferable := r.downstream.(Transferable)
@@ -86,7 +85,7 @@
 	}
 	state, sockets, ok := downstream.Pause()
 	if !ok {
-		// Mostly one side has ended, and the other is about to: no migration is needed.
+		// Usually one side has ended and the other is about to, so no migration is needed.
 		a.waitForEnd(endGracePeriod)
 		return false
 	}
@@ -102,7 +101,7 @@
 	return err == nil
 }
 
-// establishedRequest returns what the next process is sent of the request.
+// establishedRequest returns the request's state as it is sent to the next process.
 func (r *requestRun) establishedRequest(heartbeat *Heartbeat, endpoint registry.Endpoint, frontendState json.RawMessage) *EstablishedRequest {
 	heartbeat.mu.Lock()
 	defer heartbeat.mu.Unlock()
@@ -121,8 +120,8 @@
 	}
 }
 
-// notifiedBeforeEnd waits until the client was notified that it is established, and
-// reports whether that came before the connection's end.
+// notifiedBeforeEnd waits until the client knows that its request is established or the
+// connection has ended, and reports whether the notification came first.
 func (a *attemptRun) notifiedBeforeEnd() bool {
 	select {
 	case <-a.connEnded:
@@ -137,7 +136,7 @@
 	}
 }
 
-// waitForEnd waits until the connection has ended, and no longer than a time.
+// waitForEnd waits until the connection has ended, but at most for limit.
 func (a *attemptRun) waitForEnd(limit time.Duration) {
 	select {
 	case <-a.connEnded:
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	heartbeatCheckInterval = 100 * time.Millisecond // between two checks of all heartbeats
-	delayReportInterval    = time.Second            // between two reports of an endpoint's delay
+	heartbeatCheckInterval = 100 * time.Millisecond // between checks of all heartbeats
+	delayReportInterval    = time.Second            // between reports of one endpoint's delay
 
-	// A connection without an echo for this long is dead. Clients allow 7 s since
-	// something came back; up to 2 s of them pass before a client sends again.
+	// heartbeatTimeout is how long a client's message may stay unanswered before its
+	// connection is closed. Clients expect data or a migration at least every 7 s, and
+	// send a message every 2 s.
 	heartbeatTimeout = 4500 * time.Millisecond
 
-	// selfReportValidity is how long an endpoint's own report of its delay holds, with a
-	// little to spare: it comes once a second.
+	// selfReportValidity is how long an endpoint's report of its own delay is used.
+	// Endpoints report once a second.
 	selfReportValidity = 1500 * time.Millisecond
 )
 
-// Heartbeat monitors the liveness of one connection: what its client sends should be
-// echoed at once. It guards against endpoints that go silent while their connections stay
-// open. The frontend calls its methods, from any goroutine.
+// Heartbeat monitors the liveness of one connection. Endpoints echo what clients send; an
+// endpoint that stops doing so while its connections stay open is detected by the missing
+// echo. The frontend calls the exported methods, which are safe for concurrent use.
 type Heartbeat struct {
 	clock          Clock
 	endpoint       balancer.EndpointID
@@ -34,19 +35,20 @@
 	onLoad         func(float64)
 	onDelay        func(time.Duration)
 
-	mu              sync.Mutex    // guards what follows
-	unansweredSince time.Duration // since when the client awaits an echo; 0 if it doesn't
-	longestResponse time.Duration // since the last sample
-	reportedLoad    float64       // by the endpoint last, in seconds of work a second
+	mu              sync.Mutex    // guards the fields below
+	unansweredSince time.Duration // time of the client's oldest unanswered message; 0: none
+	longestResponse time.Duration // longest response time since the last sample
+	reportedLoad    float64       // last reported by the endpoint, in seconds of work per second
 }
 
-// Established notes that the client was notified that it is established. It is called once.
+// Established records that the client knows that its request is established. It is called
+// exactly once.
 func (h *Heartbeat) Established() {
 	close(h.clientNotified)
 	h.class.CountEstablished()
 }
 
-// ClientSent notes that the client has sent something.
+// ClientSent records that the client has sent data.
 func (h *Heartbeat) ClientSent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -55,7 +57,7 @@
 	}
 }
 
-// EndpointSent notes that the endpoint has sent something back.
+// EndpointSent records that the endpoint has sent data.
 func (h *Heartbeat) EndpointSent() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -65,12 +67,12 @@
 	}
 }
 
-// ReportTimeout notes that the endpoint has not even sent a heartbeat of its own, and ends
-// the connection.
+// ReportTimeout ends the connection, because the frontend has missed the heartbeats that
+// its protocol requires of the endpoint.
 func (h *Heartbeat) ReportTimeout() { h.onTimeout() }
 
-// ReportLoad notes the load, in seconds of work a second, that the endpoint reports of
-// the connection.
+// ReportLoad records the load that the endpoint reports for the connection, in seconds of
+// work per second.
 func (h *Heartbeat) ReportLoad(load float64) {
 	h.mu.Lock()
 	h.reportedLoad = load
@@ -78,11 +80,11 @@
 	h.onLoad(load)
 }
 
-// ReportDelay notes how long a message takes at the endpoint by its own report.
+// ReportDelay records the processing time of a message that the endpoint reports.
 func (h *Heartbeat) ReportDelay(delay time.Duration) { h.onDelay(delay) }
 
-// sample returns the longest response since the last sample, or the wait for the one that
-// is still to come, and whether the heartbeat timeout has passed.
+// sample returns the longest response time since the last sample, including the age of an
+// unanswered message, and whether that message has exceeded heartbeatTimeout.
 func (h *Heartbeat) sample(now time.Duration) (delay time.Duration, timedOut bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,24 +97,24 @@
 	return delay, timedOut
 }
 
-// heartbeatMonitor holds the heartbeats of all established connections, and reports to
-// the balancer how long messages take at an endpoint while that matters.
+// heartbeatMonitor checks the heartbeats of all established connections, and determines
+// the message delays of endpoints that are reported to the balancer.
 type heartbeatMonitor struct {
 	clock Clock
 
-	mu         sync.Mutex    // guards what follows; locked before a Heartbeat's
-	threshold  time.Duration // delays under it are not reported; 0 if none are
+	mu         sync.Mutex    // guards the fields below; locked before Heartbeat.mu
+	threshold  time.Duration // only delays above it are reported; 0: no delays are
 	heartbeats map[*Heartbeat]struct{}
 	delays     map[balancer.EndpointID]endpointDelay
 }
 
-// endpointDelay is how long messages take at an endpoint.
+// endpointDelay is the message delay of an endpoint.
 type endpointDelay struct {
-	comparedAt     time.Duration // when it was last held against the threshold
-	worst          time.Duration // since then
-	aboveThreshold bool          // at checkedAt
+	comparedAt     time.Duration // time of the last comparison with the threshold
+	worst          time.Duration // maximum since comparedAt
+	aboveThreshold bool          // result of that comparison
 
-	selfReported   time.Duration // by the endpoint itself last, at selfReportedAt
+	selfReported   time.Duration // last reported by the endpoint itself, at selfReportedAt
 	selfReportedAt time.Duration
 }
 
@@ -126,8 +128,8 @@
 	return m
 }
 
-// updateSettings puts other settings in force: a third of the strictest objective for the
-// latency of messages is the threshold.
+// updateSettings sets the threshold to a third of the strictest message latency objective
+// of all classes.
 func (m *heartbeatMonitor) updateSettings(s *balancer.Settings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -139,7 +141,7 @@
 	}
 }
 
-// add adds a connection's heartbeat, and returns it.
+// add starts monitoring a connection's heartbeat, and returns it.
 func (m *heartbeatMonitor) add(heartbeat *Heartbeat) *Heartbeat {
 	heartbeat.clock = m.clock
 	m.mu.Lock()
@@ -148,25 +150,25 @@
 	return heartbeat
 }
 
-// remove removes the heartbeat of a connection that has ended.
+// remove stops monitoring the heartbeat of a connection that has ended.
 func (m *heartbeatMonitor) remove(heartbeat *Heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.heartbeats, heartbeat)
 }
 
-// recordSelfReport notes the delay that an endpoint reports itself.
+// recordSelfReport records the delay that an endpoint reports itself.
 func (m *heartbeatMonitor) recordSelfReport(endpoint balancer.EndpointID, delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	noted := m.delays[endpoint]
-	noted.selfReported, noted.selfReportedAt = delay, m.clock.Now()
-	m.delays[endpoint] = noted
+	recorded := m.delays[endpoint]
+	recorded.selfReported, recorded.selfReportedAt = delay, m.clock.Now()
+	m.delays[endpoint] = recorded
 }
 
 // check samples all heartbeats, ends the connections that have timed out, and returns
-// the delays to report: once a second for an endpoint while it is above the threshold,
-// and once more when it is back under it.
+// the delays to report. An endpoint's delay is reported once a second while it is above
+// the threshold, and once more after it has fallen below.
 func (m *heartbeatMonitor) check(now time.Duration) []balancer.DelayReport {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -185,8 +187,8 @@
 	return reports
 }
 
-// sampleAll ends the connections whose heartbeat has timed out, and returns the worst
-// delay of each endpoint. It is called with mu held.
+// sampleAll ends the connections whose heartbeat has timed out, and returns the longest
+// delay of each endpoint. The caller holds mu.
 func (m *heartbeatMonitor) sampleAll(now time.Duration) map[balancer.EndpointID]time.Duration {
 	worst := make(map[balancer.EndpointID]time.Duration)
 	for heartbeat := range m.heartbeats {
@@ -199,15 +201,16 @@
 	return worst
 }
 
-// prepareReport reports whether the delay is to be reported, and makes worst what is reported.
+// prepareReport reports whether the delay is due to be reported, and sets worst to the
+// value to report.
 func (d *endpointDelay) prepareReport(threshold, now time.Duration) bool {
 	above := d.worst > threshold
 	if !above && !d.aboveThreshold {
 		return false
 	}
-	// A missing echo shows only that a message takes that long at the least. Reported
-	// beside the endpoint's own report, a younger and so smaller wait would read as a
-	// delay that falls fast, and a hung endpoint would keep its connections.
+	// The age of an unanswered message is only a lower bound of the delay. If it replaced
+	// a longer delay that the endpoint has just reported itself, the balancer would take
+	// the delay to be falling, and would not migrate clients away from a hung endpoint.
 	if now < d.selfReportedAt+selfReportValidity {
 		d.worst = max(d.worst, d.selfReported)
 	}
@@ -215,8 +218,8 @@
 	return true
 }
 
-// MonitorHeartbeats checks all heartbeats in the calling goroutine until ctx ends. It
-// returns nil.
+// MonitorHeartbeats checks all heartbeats periodically, and reports message delays to the
+// balancer. It runs in the calling goroutine until ctx ends, and returns nil.
 func (p *Proxy) MonitorHeartbeats(ctx context.Context) error {
 	ticker := time.NewTicker(heartbeatCheckInterval)
 	defer ticker.Stop()
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -7,21 +7,21 @@
 	"lockroad/internal/registry"
 )
 
-// EndCause is why a request ended as it did, where the balancer did not decide it.
+// EndCause is why a request ended, if not by a decision of the balancer.
 type EndCause uint8
 
 // The causes of an end.
 const (
-	CauseDecided          EndCause = iota // the balancer, the client or the endpoint ended it
-	CauseConnectionLimit                  // the frontend had no admission slot for it
-	CauseShutdown                         // the relay shuts down
+	CauseDecided          EndCause = iota // ended by the balancer, the client or the endpoint
+	CauseConnectionLimit                  // the frontend had no free admission slot
+	CauseShutdown                         // the relay is shutting down
 	CauseResumeFailed                     // an open request could not be resumed at its endpoint
 	CauseHeartbeatTimeout                 // its endpoint sent nothing within the heartbeat timeout
-	CauseQuotaExceeded                    // its client's address, or its class, is at its quota
+	CauseQuotaExceeded                    // the quota of its client's address or its class was exhausted
 	causeCount
 )
 
-// CauseNames are the names of the causes, in the order of their numbers.
+// CauseNames are the names of the causes, indexed by EndCause.
 var CauseNames = [causeCount]string{"decided", "no-seat", "relay-leaves", "not-open", "no-echo", "over-limit"}
 
 // String returns the name of a cause.
@@ -36,31 +36,31 @@
 type Result struct {
 	End        registry.End
 	Cause      EndCause
-	RetryAfter time.Duration          // that its client was rejected with; 0 if none
+	RetryAfter time.Duration          // sent to its client with a rejection; 0 if none
 	Status     balancer.AttemptStatus // how its connection ended, if it was established
 }
 
-// Observer observes all requests, rejected ones included. Its method is called from each
-// request's goroutine and must not block for long.
+// Observer observes all requests, including rejected ones. RequestStarted is called from
+// the goroutine of each request and must not block for long.
 type Observer interface {
 	RequestStarted(number uint64, request Request) RequestObserver
 }
 
-// RequestObserver observes one request. Its own methods are called one at a time;
-// Decided is called in the balancer's turn, possibly at the same time as another, and
-// must not block.
+// RequestObserver observes one request. The calls of its own methods don't overlap.
+// Decided is called from the goroutine of Proxy.Run, possibly concurrently with the others,
+// and must not block.
 type RequestObserver interface {
 	balancer.DecisionObserver
-	// AttemptStarted notes that an attempt starts. What it returns notes how the attempt
-	// ended, or with balancer.StatusOK that it was established.
+	// AttemptStarted is called when an attempt starts. The function that it returns is
+	// called when the attempt has failed, or with balancer.StatusOK when it succeeded.
 	AttemptStarted(endpoint balancer.EndpointID) func(status balancer.AttemptStatus)
-	// Established notes that the balancer has the request established.
+	// Established is called when the balancer has confirmed that the request is established.
 	Established()
-	// Ended notes the request's end. Nothing is called after it.
+	// Ended is called when the request has ended. It is the last call.
 	Ended(Result)
 }
 
-// Observe adds an observer of the requests to come. It is called before Run.
+// Observe adds an observer of all later requests. It must be called before Run.
 func (p *Proxy) Observe(observer Observer) {
 	p.observers = append(p.observers, observer)
 	p.loop.Observe()
@@ -69,14 +69,14 @@
 type observers []Observer
 
 func (all observers) requestStarted(number uint64, request Request) requestObservers {
-	var begun requestObservers
+	var started requestObservers
 	for _, observer := range all {
-		begun = append(begun, observer.RequestStarted(number, request))
+		started = append(started, observer.RequestStarted(number, request))
 	}
-	return begun
+	return started
 }
 
-// requestObservers are the observers of one request, as one.
+// requestObservers combines the observers of one request into one RequestObserver.
 type requestObservers []RequestObserver
 
 func (all requestObservers) Decided(decision *balancer.Decision) {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -13,44 +13,44 @@
 	"lockroad/internal/registry"
 )
 
-// Proxy carries out what the balancer decides for each request. Its methods are safe
-// for concurrent use unless they say otherwise.
+// Proxy serves requests by executing the balancer's decisions. Its methods are safe for
+// concurrent use unless stated otherwise.
 type Proxy struct {
 	Clock     Clock
 	Endpoints *registry.Endpoints
 	Requests  *registry.Requests
 	Counters  *registry.Counters
 	Metrics   *metrics.Set
-	Log       *slog.Logger // for what belongs to no single request; set before Run, or nothing is logged
+	Log       *slog.Logger // for events that concern no single request; set before Run; discards by default
 
-	settings     atomic.Pointer[balancer.Settings] // in force
+	settings     atomic.Pointer[balancer.Settings] // for new requests
 	loop         *balancer.Loop
 	heartbeats   *heartbeatMonitor
 	observers    observers
 	listRevision atomic.Uint64
 
-	Quota       *quota.Limiter // by client address and class; nil: unlimited
-	Instruments []Instrument   // for telemetry; set before it starts
+	Quota       *quota.Limiter // of requests by client address and class; nil: unlimited
+	Instruments []Instrument   // exported by telemetry; set before telemetry starts
 
-	listMu sync.Mutex // guards list, and the order in which registry and balancer are updated
+	listMu sync.Mutex // guards list, and makes registry and balancer see updates in the same order
 	list   endpointList
 
 	handoff        atomic.Pointer[HandoffFunc] // set by HandOffAll; nil: established requests are migrated
-	migrating      context.Context             // ends once all established requests are to depart
+	migrating      context.Context             // cancelled when the relocation of established requests starts
 	startMigrating context.CancelFunc
-	migration      atomic.Pointer[migrationWindow] // set before migrating ends
-	rejecting      context.Context                 // ends once all pending requests are to be rejected
+	migration      atomic.Pointer[migrationWindow] // set before migrating is cancelled
+	rejecting      context.Context                 // cancelled by RejectPending
 	startRejecting context.CancelFunc
 }
 
-// Instrument is a figure for telemetry that another part of the program reads.
+// Instrument is a metric that another package provides to telemetry.
 type Instrument struct {
 	Name, Description string
-	Cumulative        bool         // a counter; otherwise a gauge
+	Cumulative        bool         // counter if true, otherwise gauge
 	Read              func() int64 // called from telemetry's goroutine
 }
 
-// New returns a proxy without endpoints. seed is that of the balancer's random choices.
+// New returns a proxy without endpoints. seed seeds the balancer's random choices.
 func New(s balancer.Settings, seed uint64, clock Clock) *Proxy {
 	migrating, startMigrating := context.WithCancel(context.Background())
 	rejecting, startRejecting := context.WithCancel(context.Background())
@@ -73,12 +73,13 @@
 	return p
 }
 
-// Settings returns the settings in force. A request keeps those that it began with to its end.
+// Settings returns the current settings. A request uses those with which it started until
+// it ends.
 func (p *Proxy) Settings() *balancer.Settings { return p.settings.Load() }
 
-// UpdateSettings puts other settings in force for all requests that begin from now on.
+// UpdateSettings replaces the settings for all requests that start from now on.
 func (p *Proxy) UpdateSettings(s *balancer.Settings) {
-	p.registerClasses(s) // before anything is counted under them
+	p.registerClasses(s) // before any request is counted under a new class
 	p.loop.Report(balancer.UpdateSettings{Settings: s})
 	p.heartbeats.updateSettings(s)
 	p.settings.Store(s)
@@ -92,8 +93,8 @@
 	p.Metrics.SetClasses(names)
 }
 
-// Run runs the balancer's loop in the calling goroutine until ctx ends: it takes a turn
-// when events are pending and when the balancer's next deadline has come. It returns nil.
+// Run runs the balancer's loop in the calling goroutine until ctx ends: it calls Tick
+// when events are pending and when the balancer's next timer expires. It returns nil.
 func (p *Proxy) Run(ctx context.Context) error {
 	defer p.loop.Close()
 	timer := time.NewTimer(0)
@@ -113,15 +114,15 @@
 	}
 }
 
-// PublishCounts makes the metrics report how many endpoints the balancer lists and avoids.
-// It is called before Run.
+// PublishCounts makes the metrics include how many endpoints the balancer lists and
+// avoids. It must be called before Run.
 func (p *Proxy) PublishCounts() {
 	p.loop.PublishCounts()
 	p.Metrics.EndpointCounts = func() (listed, avoided int) { return p.loop.EndpointCounts(p.Clock.Now()) }
 }
 
-// ProtocolError counts and logs a client that violates its frontend's protocol.
-func (p *Proxy) ProtocolError(front, what string) {
+// ProtocolError counts and logs a violation of a frontend's protocol by a client.
+func (p *Proxy) ProtocolError(frontend, violation string) {
 	p.Counters.ProtocolErrors.Add(1)
-	p.Log.Warn("protocol error", "front", front, "what", what)
+	p.Log.Warn("protocol error", "front", frontend, "what", violation)
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -10,19 +10,19 @@
 	"lockroad/internal/registry"
 )
 
-// Request is a client's request as a frontend hands it over.
+// Request is a client's request, as a frontend has read it.
 type Request struct {
 	balancer.RequestOptions
 	Frontend     string // the frontend's name
-	Name         string // as the client calls it; no two open requests of a frontend share one
+	Name         string // given by the client; unique among the open requests of a frontend
 	Class        string
-	Tenant       string // by its name in the settings; "" where they name none
-	EndpointName string // the endpoint that already has the request open, if Established
+	Tenant       string // name in the settings; "" if they define no tenant for it
+	EndpointName string // the endpoint at which the request is already open, if Established
 }
 
 // Serve serves a request in the calling goroutine, and returns once its client is
-// answered and, if it was established, its connection has ended. It ends early when ctx
-// does, which says that the client has left.
+// answered and, if it was established, its connection has ended. The frontend cancels
+// ctx when the client has left, which ends the request.
 func (p *Proxy) Serve(ctx context.Context, request Request, downstream Downstream) {
 	now := p.Clock.Now()
 	if request.Settings == nil {
@@ -32,22 +32,23 @@
 		Frontend: request.Frontend, Name: request.Name, Class: request.Class, Since: now,
 	})
 	if !ok {
-		// A client uses the name of another's open request. Were it sent on, one endpoint
-		// after another would reject it and be blamed for that, and the route of the
-		// other's group would be dropped.
-		p.ProtocolError(request.Frontend, "a transaction of this name is open")
+		// A client uses the name of an open request. Were it forwarded, each endpoint would
+		// reject it, and the balancer would count those errors against the endpoints and
+		// drop the route of the open request's group.
+		p.ProtocolError(request.Frontend, "a client used the name of an open transaction")
 		downstream.BadRequest("a transaction of this name is open")
 		p.Metrics.Class(request.Class).CountFailed()
 		return
 	}
 	p.Counters.Requests.Add(1)
-	// A client that asks for a longer deadline than its class has would hold its
-	// admission slot for as long as it likes.
+	// The deadline of the class is an upper bound: otherwise a client could hold its
+	// admission slot indefinitely.
 	request.Deadline = min(request.Deadline, now+maxTimeout(request))
 	p.serve(ctx, number, request, downstream, func(r *requestRun) bool { return r.resume(ctx) })
 }
 
-// maxTimeout returns the longest time that a client may wait, by its request's class.
+// maxTimeout returns the longest time that a request may wait for its answer, which its
+// class defines.
 func maxTimeout(request Request) time.Duration {
 	class := request.RequestOptions.Class
 	if class >= 0 && class < len(request.Settings.Classes) {
@@ -56,9 +57,9 @@
 	return 0
 }
 
-// serve runs a request that was entered into the registry. One that is already
-// established is first brought back to that state by establish.
-func (p *Proxy) serve(ctx context.Context, number uint64, request Request, downstream Downstream, establish func(*requestRun) bool) {
+// serve runs a request that has been added to the registry. If the request is already
+// established, resume connects it to its endpoint first, and reports whether it did.
+func (p *Proxy) serve(ctx context.Context, number uint64, request Request, downstream Downstream, resume func(*requestRun) bool) {
 	r := &requestRun{
 		proxy:      p,
 		downstream: downstream,
@@ -74,15 +75,15 @@
 		r.request.Observer = r.observers
 	}
 	r.handle = balancer.NewRequestHandle(r.request.RequestOptions)
-	result := r.run(ctx, establish)
+	result := r.run(ctx, resume)
 	r.current.stop()
 	p.Counters.CountEnd(result.End)
 	r.observers.Ended(result)
 }
 
-// requestRun is the run of one request. All of it belongs to the request's goroutine,
-// which called Serve or Adopt; an attempt's goroutine only reads the fields that are set
-// before it starts.
+// requestRun is the state of one request while it is served. The request's goroutine,
+// which called Serve or Adopt, owns it; an attempt's goroutine only reads the fields that
+// are set before it starts.
 type requestRun struct {
 	proxy      *Proxy
 	downstream Downstream
@@ -91,19 +92,19 @@
 	number     uint64
 	class      *metrics.ClassCounters
 	observers  requestObservers
-	current    *attemptRun // the last one started; nil before the first
+	current    *attemptRun // the attempt started last; nil before the first
 
-	ctx     context.Context // ends when the client leaves
-	waitCtx context.Context // while it waits for an action: also ends once the process rejects pending requests
-	cause   EndCause        // CauseShutdown once the process rejects pending requests
+	ctx     context.Context // cancelled when the client leaves
+	waitCtx context.Context // for Loop.Pick: until the request is established, also cancelled by RejectPending
+	cause   EndCause        // CauseShutdown once RejectPending has interrupted the wait
 
-	unansweredSince time.Duration // of a request handed over: since when its client awaits an echo; 0 if it doesn't
+	unansweredSince time.Duration // time of an adopted request's oldest unanswered client message; 0: none
 }
 
-// run carries out the balancer's actions until the request has ended.
-func (r *requestRun) run(ctx context.Context, establish func(*requestRun) bool) Result {
+// run executes the balancer's actions until the request has ended.
+func (r *requestRun) run(ctx context.Context, resume func(*requestRun) bool) Result {
 	r.ctx = ctx
-	if r.request.Established && !establish(r) {
+	if r.request.Established && !resume(r) {
 		r.reject(0)
 		return Result{End: registry.EndRejected, Cause: CauseResumeFailed}
 	}
@@ -128,17 +129,17 @@
 	}
 }
 
-// execute carries out one action of the balancer's. It reports whether the request has
-// ended with it.
+// execute carries out an action that the balancer has picked, and reports whether that
+// ended the request.
 func (r *requestRun) execute(action balancer.RequestAction) (result Result, ended bool) {
 	switch action.Kind {
 	case balancer.ActionAttempt:
-		if r.cause != CauseShutdown { // else it is about to be answered
+		if r.cause != CauseShutdown { // else the balancer's final answer follows
 			r.startAttempt(r.ctx, action)
 		}
 	case balancer.ActionEstablished:
 		r.observers.Established()
-		r.waitCtx = r.ctx // it departs with the other established requests
+		r.waitCtx = r.ctx // RejectPending does not concern established requests
 		close(r.current.established)
 	case balancer.ActionReject:
 		return r.finishRejected(action), true
@@ -162,38 +163,38 @@
 	return Result{End: registry.EndClientLeft, Status: balancer.StatusCancelled}
 }
 
-// requireAnswer makes the balancer answer the request, as the process rejects pending
-// ones and the client is still there. Which answer the client is owed is the balancer's
-// decision: its attempt may have run, or have been established at this very moment.
+// requireAnswer makes the balancer answer the request at once, because RejectPending was
+// called. The balancer chooses the answer: an attempt may have been executed by its
+// endpoint, or just have been established.
 func (r *requestRun) requireAnswer() {
 	r.proxy.loop.Report(balancer.RequireAnswer{Handle: r.handle})
 	r.waitCtx, r.cause = r.ctx, CauseShutdown
 }
 
-// finishRejected rejects the request as the balancer has decided.
+// finishRejected ends a request that the balancer has rejected.
 func (r *requestRun) finishRejected(action balancer.RequestAction) Result {
 	retryAfter := action.Wait
 	if r.cause == CauseShutdown {
-		retryAfter = 0 // another relay may have room at once
+		retryAfter = 0 // another relay may accept it at once
 	}
 	r.reject(retryAfter)
 	return Result{End: registry.EndRejected, Cause: r.cause, RetryAfter: retryAfter}
 }
 
-// reject gives the client the answer that it is rejected.
+// reject sends the client a rejection, and counts it.
 func (r *requestRun) reject(retryAfter time.Duration) {
 	r.downstream.Reject(retryAfter)
 	r.class.CountRejected()
 }
 
 // finishClosed waits until the connection of an established request is closed, and
-// returns how that came about.
+// returns why it was closed.
 func (r *requestRun) finishClosed() Result {
 	last := r.current
 	<-last.ended
 	if last.relocated != nil {
-		// The endpoint's end may cross with the turn to depart: what counts is whether
-		// the client was notified.
+		// The endpoint may close the connection during the relocation. The request then
+		// counts as migrated if its client was notified of the migration.
 		<-last.relocated
 	}
 	switch {
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -9,35 +9,34 @@
 )
 
 const (
-	resumeTimeout       = 20 * time.Second       // a connection from before the start may take this long to be established again
-	resumeRetryInterval = 100 * time.Millisecond // between two attempts to do so
+	resumeTimeout       = 20 * time.Second       // within which a request must be resumed
+	resumeRetryInterval = 100 * time.Millisecond // between attempts to do so
 
-	// A request whose endpoint no list has named, or that its endpoint doesn't know, may
-	// be a faulty client's, which is owed an answer within 3 s.
+	// resumeUnknownTimeout replaces resumeTimeout while the endpoint is not listed, or does
+	// not know the request. The client may be faulty, and must be answered within 3 s.
 	resumeUnknownTimeout = 2 * time.Second
 )
 
-// resume establishes again a connection that was open before the relay's start: at its
-// endpoint and no other; for the balancer it has been established all along. The
-// connection is lost if this fails, so an endpoint that isn't known yet, or has no room
-// for a moment, is tried again. It reports whether the request is established; the
-// request's goroutine calls it.
+// resume reconnects a request that was open before the relay started to the endpoint that
+// serves it, and reports whether it succeeded. No other endpoint can serve the request, so
+// it retries while the endpoint is not listed or refuses. The balancer is involved only
+// after the attempt has succeeded. It runs in the request's goroutine.
 func (r *requestRun) resume(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, resumeTimeout)
 	defer cancel()
-	defer context.AfterFunc(r.proxy.rejecting, cancel)() // it is rejected before the process ends
-	unknown := time.AfterFunc(resumeUnknownTimeout, cancel)
-	defer unknown.Stop()
+	defer context.AfterFunc(r.proxy.rejecting, cancel)() // RejectPending also covers requests that are being resumed
+	unknownTimer := time.AfterFunc(resumeUnknownTimeout, cancel)
+	defer unknownTimer.Stop()
 	if len(r.proxy.Endpoints.List()) == 0 {
-		unknown.Stop() // the list itself is still to come
+		unknownTimer.Stop() // the first list has not arrived yet
 	}
 	for {
-		id, named := r.proxy.Endpoints.Lookup(r.request.EndpointName)
-		if endpoint, ok := r.proxy.Endpoints.Find(id); named && ok {
+		id, known := r.proxy.Endpoints.Lookup(r.request.EndpointName)
+		if endpoint, ok := r.proxy.Endpoints.Find(id); known && ok {
 			r.proxy.Requests.SetStage(r.number, registry.StageAttempting, endpoint.ID)
 			conn, status := r.connect(ctx, Attempt{Endpoint: endpoint, Timeout: resumeTimeout, Resume: true})
 			if status != balancer.StatusError {
-				unknown.Stop() // it may yet succeed
+				unknownTimer.Stop() // the endpoint has not denied knowing the request
 			}
 			if status == balancer.StatusOK {
 				r.establishAt(endpoint, conn)
@@ -52,8 +51,8 @@
 	}
 }
 
-// establishAt makes the balancer hold the request as established at an endpoint, and
-// pipes its connection in an attempt's goroutine.
+// establishAt registers the request with the balancer as established at an endpoint, and
+// starts a goroutine that pipes its connection.
 func (r *requestRun) establishAt(endpoint registry.Endpoint, conn UpstreamConn) {
 	r.request.RequestOptions.Endpoint = endpoint.ID
 	r.handle = balancer.NewRequestHandle(r.request.RequestOptions)
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -6,14 +6,14 @@
 	"lockroad/balancer"
 )
 
-// Snapshot returns what the balancer has learned, for another process to restore. It
-// fails if ctx ends first.
+// Snapshot returns the balancer's learned state, for another process to restore. It fails
+// if ctx ends first.
 func (p *Proxy) Snapshot(ctx context.Context) (balancer.Snapshot, error) {
 	return p.loop.Snapshot(ctx)
 }
 
-// Restore makes the balancer take over another process's snapshot. The endpoint list
-// that the snapshot refers to has been handed in before.
+// Restore loads another process's snapshot into the balancer. UpdateEndpoints must have
+// been called with the endpoints to which the snapshot refers.
 func (p *Proxy) Restore(snapshot balancer.Snapshot) {
 	p.loop.Report(balancer.RestoreSnapshot{Snapshot: snapshot})
 }
