--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -1,4 +1,4 @@
-// Package registry holds the state that the parts of a relay share: the endpoints, the
-// open requests, and the counters. All of it is safe for concurrent use, and nothing in
-// it waits for more than a mutex.
+// Package registry holds the state that the packages of a relay share: the endpoints, the
+// open requests, and the counters. All types are safe for concurrent use, and no method
+// blocks except on a mutex.
 package registry
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -10,35 +10,36 @@
 	"lockroad/balancer"
 )
 
-// State is an endpoint's state by the endpoint list.
+// State is an endpoint's state according to the endpoint list.
 type State = balancer.EndpointState
 
-// StateName returns the name of a state, as operators read it.
+// StateName returns the name of a state as shown to operators.
 func StateName(state State) string { return [...]string{"gone", "ready", "draining"}[state] }
 
-// Endpoint is an endpoint as the list last named it.
+// Endpoint is an endpoint as last reported by the endpoint list.
 type Endpoint struct {
 	ID       balancer.EndpointID
 	Name     string
 	Address  string
 	State    State
-	Draining <-chan struct{} // closed once the endpoint drains or is gone; nil until a list has named it
+	Draining <-chan struct{} // closed once the endpoint drains or is gone; nil until the endpoint is listed
 }
 
-// IsDraining reports whether the endpoint drains or is gone by now.
+// IsDraining reports whether the endpoint is draining or gone, even if that changed after
+// e was returned.
 func (e Endpoint) IsDraining() bool { return isClosed(e.Draining) }
 
-// Endpoints is the endpoint list, with an ID for each name that it was ever asked for.
-// It is safe for concurrent use.
+// Endpoints is the endpoint list. It assigns IDs to the names of endpoints, and keeps them
+// for endpoints that are gone. It is safe for concurrent use.
 type Endpoints struct {
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	byID     map[balancer.EndpointID]*endpointRecord
 	idByName map[string]balancer.EndpointID
 }
 
 type endpointRecord struct {
 	Endpoint
-	drain chan struct{} // Endpoint.Draining, to close it
+	drainSignal chan struct{} // Endpoint.Draining as a channel that can be closed
 }
 
 // NewEndpoints returns an empty endpoint list.
@@ -49,9 +50,9 @@
 	}
 }
 
-// AssignID returns the ID of an endpoint, and assigns one if it has none. It is the same at
-// every relay: the hexadecimal end of the name, or else a hash of it. Two names never
-// share one.
+// AssignID returns the ID of an endpoint, and assigns one if it has none. The ID is the
+// hexadecimal suffix of the name, or else a hash of the name, so that all relays assign the
+// same ID. If another name already has that ID, the next free one is assigned.
 func (e *Endpoints) AssignID(name string) balancer.EndpointID {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +68,7 @@
 	return id
 }
 
-// preferredID returns the ID of a name while no other has it.
+// preferredID returns the ID that a name is assigned unless another name already has it.
 func preferredID(name string) balancer.EndpointID {
 	suffix := name[strings.LastIndexByte(name, '-')+1:]
 	if number, err := strconv.ParseUint(suffix, 16, 32); err == nil {
@@ -78,8 +79,8 @@
 	return balancer.EndpointID(hash.Sum32())
 }
 
-// Lookup returns the ID of an endpoint that has one. Names that clients send are looked
-// up and get no ID, as otherwise every unknown name would stay in memory.
+// Lookup returns the ID of an endpoint if it has been assigned one. It is meant for names
+// that clients send: AssignID would keep every unknown name in memory.
 func (e *Endpoints) Lookup(name string) (balancer.EndpointID, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -87,8 +88,7 @@
 	return id, ok
 }
 
-// Name returns the name of an endpoint, or its ID as a decimal number if that was never
-// assigned.
+// Name returns the name of an endpoint, or the decimal ID if the ID was never assigned.
 func (e *Endpoints) Name(id balancer.EndpointID) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -98,9 +98,9 @@
 	return strconv.FormatUint(uint64(id), 10)
 }
 
-// Update takes an update of one endpoint; an empty address leaves the address as it is.
-// Draining is closed at once where the endpoint drains or is gone, and made anew where
-// it is ready again. An ID that was never assigned is ignored.
+// Update sets the state of an endpoint, and its address unless that is empty. It closes
+// Draining if the endpoint is draining or gone, and replaces a closed Draining if the
+// endpoint is ready again. An ID that was never assigned is ignored.
 func (e *Endpoints) Update(id balancer.EndpointID, address string, state State) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,12 +113,12 @@
 	}
 	record.State = state
 	ready := state == balancer.StateReady
-	if record.drain == nil || ready && isClosed(record.drain) {
-		record.drain = make(chan struct{})
-		record.Draining = record.drain
+	if record.drainSignal == nil || ready && isClosed(record.drainSignal) {
+		record.drainSignal = make(chan struct{})
+		record.Draining = record.drainSignal
 	}
-	if !ready && !isClosed(record.drain) {
-		close(record.drain)
+	if !ready && !isClosed(record.drainSignal) {
+		close(record.drainSignal)
 	}
 }
 
@@ -131,9 +131,9 @@
 	}
 }
 
-// RetainOnly marks every endpoint as gone that a complete list leaves out.
+// RetainOnly marks all endpoints as gone that are missing from a complete list.
 func (e *Endpoints) RetainOnly(listed []balancer.Endpoint) {
-	isListed := make(map[balancer.EndpointID]bool, len(listed)) // lists of thousands arrive while clients wait
+	isListed := make(map[balancer.EndpointID]bool, len(listed)) // keeps updates with thousands of endpoints fast
 	for _, endpoint := range listed {
 		isListed[endpoint.ID] = true
 	}
@@ -144,7 +144,7 @@
 	}
 }
 
-// Find returns an endpoint that the list has named; it may be draining or gone.
+// Find returns an endpoint that has been listed; it may be draining or gone.
 func (e *Endpoints) Find(id balancer.EndpointID) (Endpoint, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -155,7 +155,7 @@
 	return record.Endpoint, true
 }
 
-// List returns all endpoints, sorted by name.
+// List returns all endpoints, sorted by name, including those never listed.
 func (e *Endpoints) List() []Endpoint {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -167,7 +167,7 @@
 	return list
 }
 
-// CountByState returns how many endpoints are in each state.
+// CountByState returns the number of endpoints in each state, indexed by State.
 func (e *Endpoints) CountByState() [3]int64 {
 	var counts [3]int64
 	for _, endpoint := range e.List() {
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -9,42 +9,44 @@
 func TestEndpointIDsAreTheSameInEveryRegistry(t *testing.T) {
 	endpoints := NewEndpoints()
 	if id := endpoints.AssignID("s-5be2a07c"); id != 0x5be2a07c {
-		t.Errorf("the ID is %#x", id)
+		t.Errorf("a hexadecimal suffix was assigned the ID %#x, want its value", id)
 	}
 	unusualID := endpoints.AssignID("an odd name")
 	if again := NewEndpoints().AssignID("an odd name"); again != unusualID || endpoints.AssignID("an odd name") != unusualID {
-		t.Error("a name without a number has two IDs")
+		t.Error("a name without a hexadecimal suffix was assigned different IDs")
 	}
 	if endpoints.AssignID("x-5be2a07c") == endpoints.AssignID("s-5be2a07c") {
-		t.Error("two names share an ID")
+		t.Error("two names with the same suffix were assigned the same ID")
 	}
 }
 
-func TestDrainingIsSignalledOnceAndResetByRestart(t *testing.T) {
+// Attempts that hold an Endpoint learn that it drains from its Draining channel, which must stay closed for them when the
+// endpoint is ready again.
+func TestDrainingIsSignalledAndResetWhenReadyAgain(t *testing.T) {
 	endpoints := NewEndpoints()
 	id := endpoints.AssignID("s-1")
 	if _, ok := endpoints.Find(id); ok {
-		t.Error("an endpoint was found that no list has named")
+		t.Error("Find returns an endpoint that was never listed")
 	}
 	endpoints.Update(id, "a:1", balancer.StateReady)
 	before, _ := endpoints.Find(id)
 	endpoints.Update(id, "a:2", balancer.StateReady)
 	if before.IsDraining() {
-		t.Error("an endpoint is draining that only has a new address")
+		t.Error("an endpoint is draining after a change of its address")
 	}
 	endpoints.Update(id, "", balancer.StateDraining)
 	endpoints.Update(id, "", balancer.StateGone)
 	if !before.IsDraining() {
-		t.Error("an endpoint that drains or is gone is not draining")
+		t.Error("IsDraining is false after the endpoint was draining and gone")
 	}
 	endpoints.Update(id, "", balancer.StateReady)
 	if after, _ := endpoints.Find(id); after.IsDraining() || after.Address != "a:2" || !before.IsDraining() {
-		t.Error("an endpoint that is ready again is draining, or a holder of the old one isn't notified")
+		t.Errorf("ready again: %+v, draining: %v; the Endpoint returned before, draining: %v", after, after.IsDraining(), before.IsDraining())
 	}
-	newcomer := endpoints.AssignID("s-2")
-	endpoints.Update(newcomer, "b:1", balancer.StateDraining)
-	if endpoint, ok := endpoints.Find(newcomer); !ok || !endpoint.IsDraining() {
-		t.Error("an endpoint that was first listed as draining is not draining")
+	drainingID := endpoints.AssignID("s-2")
+	endpoints.Update(drainingID, "b:1", balancer.StateDraining)
+	if endpoint, ok := endpoints.Find(drainingID); !ok || !endpoint.IsDraining() {
+		t.Error("IsDraining is false for an endpoint that was first listed as draining")
 	}
 }
 
@@ -55,6 +57,6 @@
 	}
 	endpoints.RetainOnly([]balancer.Endpoint{{ID: endpoints.AssignID("s-2")}})
 	if counts := endpoints.CountByState(); counts != [3]int64{2, 1, 0} {
-		t.Errorf("gone, ready, draining: %v", counts)
+		t.Errorf("%v endpoints are gone, ready and draining, want [2 1 0]", counts)
 	}
 }
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -10,35 +10,35 @@
 	"lockroad/balancer"
 )
 
-// Stage is how far a request has come.
+// Stage is the progress of a request.
 type Stage uint8
 
 // The stages of a request, in their order.
 const (
-	StageWaiting     Stage = iota // for the balancer's decision
+	StageWaiting     Stage = iota // waiting for the balancer's decision
 	StageAttempting               // an attempt is in progress
-	StageEstablished              // it is established at an endpoint
+	StageEstablished              // established at an endpoint
 )
 
-// String returns the name of a stage, as operators read it.
+// String returns the name of a stage as shown to operators.
 func (s Stage) String() string { return [...]string{"waiting", "out", "open"}[s] }
 
 // Request is an open request.
 type Request struct {
 	Number   uint64 // unique in the process
 	Frontend string // the frontend's name
-	Name     string // as the client calls it; "" if it has none
+	Name     string // given by the client; "" if it has none
 	Class    string
-	Since    time.Duration // on the proxy's clock
+	Since    time.Duration // start time on the proxy's clock
 	Stage    Stage
 	Endpoint balancer.EndpointID // of the last attempt
-	Attempts int
+	Attempts int                 // number of attempts started
 }
 
 func (r *Request) requestName() RequestName { return RequestName{Frontend: r.Frontend, Name: r.Name} }
 
-// RequestName is what a request is called outside. A process sends the names of its open
-// requests to the next as JSON.
+// RequestName identifies an open request to clients. A process sends the names of its open
+// requests to the next process of its relay as JSON.
 type RequestName struct {
 	Frontend string `json:"Front"`
 	Name     string `json:"Name"`
@@ -46,14 +46,14 @@
 
 // Requests holds the open requests. It is safe for concurrent use.
 type Requests struct {
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	lastNumber uint64
 	byNumber   map[uint64]*Request
-	names      map[RequestName]struct{} // of open requests that have a name
-	reserved   map[RequestName]struct{} // names of requests that are open in another process of this relay
+	names      map[RequestName]struct{} // of the named open requests
+	reserved   map[RequestName]struct{} // of requests that are open in another process of this relay
 }
 
-// NewRequests returns an empty table.
+// NewRequests returns an empty table of requests.
 func NewRequests() *Requests {
 	return &Requests{
 		byNumber: make(map[uint64]*Request),
@@ -61,8 +61,8 @@
 	}
 }
 
-// Add enters a request and returns its number. It fails if another of that frontend and
-// name is open, here or in another process of this relay.
+// Add adds a request and returns the number that it assigns to it. It fails if a request
+// of the same frontend and name is open in this or another process of this relay.
 func (r *Requests) Add(request Request) (number uint64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +80,8 @@
 	return request.Number, true
 }
 
-// Reserve reserves the names of requests that are open in another process of this relay,
-// until Adopt or Release.
+// Reserve reserves the names of requests that are open in another process of this relay.
+// Adopt ends the reservation of one name, Release of all.
 func (r *Requests) Reserve(names []RequestName) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,14 +91,15 @@
 	}
 }
 
-// Release gives up all reserved names, as the other process has ended.
+// Release ends all reservations. It is called after the other process has ended.
 func (r *Requests) Release() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reserved = nil
 }
 
-// Adopt enters a request that comes from another process. It fails as Add does.
+// Adopt adds a request that another process has handed off, and ends the reservation of its
+// name. It fails like Add.
 func (r *Requests) Adopt(request Request) (number uint64, ok bool) {
 	r.mu.Lock()
 	delete(r.reserved, request.requestName())
@@ -106,14 +107,14 @@
 	return r.Add(request)
 }
 
-// Names returns the names of the open requests that have one, in no order.
+// Names returns the names of the named open requests, in no particular order.
 func (r *Requests) Names() []RequestName {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Collect(maps.Keys(r.names))
 }
 
-// NextNumber assigns a number to a request that is never entered.
+// NextNumber returns a new number, for a request that is rejected without being added.
 func (r *Requests) NextNumber() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -121,8 +122,8 @@
 	return r.lastNumber
 }
 
-// SetStage sets the stage and endpoint of a request, and counts its attempts. A request that
-// has ended is ignored.
+// SetStage sets the stage and endpoint of a request, and counts an attempt if the stage is
+// StageAttempting. It has no effect on a request that was removed.
 func (r *Requests) SetStage(number uint64, stage Stage, endpoint balancer.EndpointID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +147,7 @@
 	}
 }
 
-// CountByStage returns how many requests are at each stage.
+// CountByStage returns the number of open requests at each stage, indexed by Stage.
 func (r *Requests) CountByStage() [3]int64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,14 +158,14 @@
 	return counts
 }
 
-// Len returns how many requests are open.
+// Len returns the number of open requests.
 func (r *Requests) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.byNumber)
 }
 
-// List returns the open requests in the order in which they were entered.
+// List returns the open requests in the order in which they were added.
 func (r *Requests) List() []Request {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/requests_test.go
+++ b/internal/registry/requests_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The name of a request that is open in another process of the relay is refused here too, until
-// the request is adopted here or that process has ended.
+// The name of a request that is open in another process of the relay is only accepted by Adopt,
+// or after Release.
 func TestReservedNamesAreRefused(t *testing.T) {
 	previous, current := NewRequests(), NewRequests()
 	for _, name := range []string{"a", "b"} {
@@ -18,16 +18,17 @@
 		return ok
 	}
 	if add("a") || add("b") || !add("c") {
-		t.Error("a name is accepted twice, or one that is free is refused")
+		t.Error("Add accepts a reserved name, or refuses a free one")
 	}
 	if _, ok := current.Adopt(Request{Frontend: "line", Name: "a"}); !ok || add("a") {
-		t.Error("a request that was adopted")
+		t.Error("Adopt refuses a reserved name, or Add accepts the name after Adopt")
 	}
 	if current.Release(); add("a") || !add("b") {
-		t.Error("after the other process's end")
+		t.Error("after Release, Add accepts the name of an open request, or refuses a free one")
 	}
 }
 
+// List and CountByStage cover requests until they are removed, with their last stage and endpoint.
 func TestRequestsAreListedWhileOpen(t *testing.T) {
 	requests := NewRequests()
 	first, _ := requests.Add(Request{Name: "one"})
@@ -39,45 +40,45 @@
 	requests.SetStage(first, StageEstablished, 1)
 	list := requests.List()
 	if len(list) != 1 || list[0].Name != "two" || list[0].Attempts != 2 || list[0].Endpoint != 6 || requests.CountByStage() != [3]int64{0, 0, 1} {
-		t.Errorf("listed: %+v", list)
+		t.Errorf("listed %+v, want request two, established at endpoint 6 after 2 attempts", list)
 	}
 }
 
-// The name of an open request is refused, at its own frontend only.
+// The name of an open request is refused at the same frontend, and accepted at another.
 func TestNamesOfOpenRequestsAreRefused(t *testing.T) {
 	requests := NewRequests()
 	first, ok := requests.Add(Request{Frontend: "line", Name: "one"})
 	if !ok {
-		t.Fatal("a free name is refused")
+		t.Fatal("Add refuses a free name")
 	}
 	if _, ok := requests.Add(Request{Frontend: "line", Name: "one"}); ok {
-		t.Error("two share a name")
+		t.Error("Add accepts the name of an open request")
 	}
 	if _, ok := requests.Add(Request{Frontend: "amqp", Name: "one"}); !ok {
-		t.Error("a name is refused at another frontend")
+		t.Error("Add refuses a name that is open at another frontend only")
 	}
 	requests.Remove(first)
 	requests.Remove(first)
 	if _, ok := requests.Add(Request{Frontend: "line", Name: "one"}); !ok {
-		t.Error("the name of a request that has ended is refused")
+		t.Error("Add refuses the name of a request that was removed")
 	}
 	for range 2 {
 		if _, ok := requests.Add(Request{Frontend: "line"}); !ok {
-			t.Error("requests without a name are held for one")
+			t.Error("Add refuses a second request without a name")
 		}
 	}
 }
 
-// The names of open requests go from one process to the next at an upgrade: the form stays.
+// Processes of different versions exchange the names of open requests during an upgrade.
 func TestRequestNameEncodingIsStable(t *testing.T) {
-	const form = `{"Front":"front-1","Name":"name-2"}`
+	const encoded = `{"Front":"front-1","Name":"name-2"}`
 	want := RequestName{Frontend: "front-1", Name: "name-2"}
 	text, err := json.Marshal(want)
-	if err != nil || string(text) != form {
-		t.Errorf("it is written as %s, %v", text, err)
+	if err != nil || string(text) != encoded {
+		t.Errorf("encoded as %s, want %s; error %v", text, encoded, err)
 	}
 	var got RequestName
-	if err := json.Unmarshal([]byte(form), &got); err != nil || got != want {
-		t.Errorf("it is read as %+v, %v", got, err)
+	if err := json.Unmarshal([]byte(encoded), &got); err != nil || got != want {
+		t.Errorf("decoded as %+v, want %+v; error %v", got, want, err)
 	}
 }
