--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,5 +1,5 @@
-// Package quota keeps one client address, or one class, from taking the capacity that
-// all share. It decides and does no I/O: a frontend calls Limiter.Acquire before it takes
-// an admission slot for a request, and the release that Acquire returns once the request
-// has ended. A request over its quota is rejected, with a retry-after by the balancer.
+// Package quota limits how much of the shared capacity one client address, or one class of
+// requests, can use. It does no I/O: for each request a frontend calls Limiter.Acquire
+// before it takes an admission slot, and calls the returned release function once the
+// request has ended. It rejects a request that Acquire refuses.
 package quota
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// scarcityThreshold is the share of the admission slots from which on they are shared
-	// fairly.
+	// scarcityThreshold is the fraction of the admission slots that must be in use before
+	// fair shares are enforced.
 	scarcityThreshold = 0.8
 
-	// maxAddresses bounds the addresses that are tracked. An address without an active
-	// request and with all of its burst is evicted first, as it is like one never seen.
+	// maxAddresses limits the tracked addresses. Addresses without active requests and with
+	// a full token bucket are evicted first, as tracking them has no effect.
 	maxAddresses = 1 << 14
 )
 
-// Reason is which limit a request was rejected by.
+// Reason is the limit that a rejected request exceeds.
 type Reason uint8
 
-// The limits that may reject a request; String describes each.
+// The limits that a request can exceed.
 const (
 	ReasonPerAddress Reason = iota
 	ReasonRate
@@ -26,58 +26,59 @@
 	ReasonFairShare
 )
 
-// String describes a reason to operators.
+// String describes a reason in log lines.
 func (r Reason) String() string {
 	return [...]string{
-		"as many transactions of one address as may be",
-		"one address begins them too fast",
-		"as many transactions of the class as may be",
-		"the box is full, and the address has its fair share",
+		"too many open transactions from the address",
+		"transaction rate of the address too high",
+		"too many open transactions of the class",
+		"admission slots scarce and fair share of the address used up",
 	}[r]
 }
 
-// Limiter applies limits. It is safe for concurrent use; times are on one clock.
+// Limiter enforces the limits of its settings. It is safe for concurrent use. All times are
+// on one monotonic clock.
 type Limiter struct {
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	settings        Settings
 	addresses       map[string]*addressUsage
 	activeByClass   map[string]int
 	activeRequests  int
-	activeAddresses int // that have an active request
+	activeAddresses int // addresses with an active request
 }
 
-// addressUsage is what a client address uses: its active requests, and a token bucket.
+// addressUsage is the number of active requests and the token bucket of a client address.
 type addressUsage struct {
 	active     int
 	tokens     float64
-	refilledAt time.Duration // tokens are as of then
+	refilledAt time.Duration // time of the last refill
 }
 
-// refilled returns the tokens as of now, without the bound of the burst.
-func (u *addressUsage) refilled(now time.Duration, rate float64) float64 {
+// refilledTokens returns the tokens after a refill, not capped at the burst.
+func (u *addressUsage) refilledTokens(now time.Duration, rate float64) float64 {
 	return u.tokens + rate*(now-u.refilledAt).Seconds()
 }
 
-// New returns a limiter.
+// New returns a limiter without active requests.
 func New(s Settings) *Limiter {
 	return &Limiter{settings: s, addresses: make(map[string]*addressUsage), activeByClass: make(map[string]int)}
 }
 
-// UpdateSettings puts other limits in force for the requests to come.
+// UpdateSettings replaces the limits. They apply to later calls of Acquire.
 func (l *Limiter) UpdateSettings(s Settings) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.settings = s
 }
 
-// Acquire reports whether a request of an address and class may begin. If so, release is
-// to be called once it has ended; further calls of release do nothing. Otherwise reason is
-// the limit that it exceeds.
+// Acquire reports whether a request from an address and of a class may start. If so, the
+// caller calls release once the request has ended; later calls of release have no effect.
+// Otherwise reason is the limit that the request exceeds.
 func (l *Limiter) Acquire(now time.Duration, address, class string) (release func(), reason Reason, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	usage := l.usage(now, address)
-	if reason, exceeded := l.exceeded(usage, class); exceeded {
+	if reason, exceeded := l.exceededLimit(usage, class); exceeded {
 		return nil, reason, false
 	}
 	if l.settings.Rate > 0 {
@@ -93,9 +94,9 @@
 	return func() { once.Do(func() { l.release(address, class) }) }, 0, true
 }
 
-// exceeded returns the limit that one more request of an address and class would exceed.
-// It is called with mu held.
-func (l *Limiter) exceeded(usage *addressUsage, class string) (reason Reason, exceeded bool) {
+// exceededLimit returns the limit that one more request from an address and of a class would
+// exceed, if any. The caller holds mu.
+func (l *Limiter) exceededLimit(usage *addressUsage, class string) (reason Reason, exceeded bool) {
 	s := &l.settings
 	switch {
 	case s.PerAddress > 0 && usage.active >= s.PerAddress:
@@ -110,13 +111,13 @@
 	return 0, false
 }
 
-// fairShare returns how many active requests an address may have while admission slots
-// run short: as many as each of the active addresses and one yet to come, and always one.
-// Without the one to come a single address would take every slot, and the next find none.
+// fairShare returns how many active requests an address may have while admission slots are
+// scarce: an equal share for each active address and one more, and at least one. The extra
+// share keeps slots free for the next address, even if a single address uses all others.
 func (l *Limiter) fairShare() int { return max(1, l.settings.FairShareSlots/(l.activeAddresses+1)) }
 
-// usage returns the usage of an address, with its tokens as of now. It is called with mu
-// held.
+// usage returns the usage of an address after a refill of its tokens. It starts tracking a
+// new address. The caller holds mu.
 func (l *Limiter) usage(now time.Duration, address string) *addressUsage {
 	usage := l.addresses[address]
 	if usage == nil {
@@ -126,18 +127,18 @@
 		usage = &addressUsage{tokens: l.settings.burst(), refilledAt: now}
 		l.addresses[address] = usage
 	}
-	usage.tokens = min(l.settings.burst(), usage.refilled(now, l.settings.Rate))
+	usage.tokens = min(l.settings.burst(), usage.refilledTokens(now, l.settings.Rate))
 	usage.refilledAt = now
 	return usage
 }
 
-// evictIdle evicts the addresses that are like ones never seen; if there are none, all
-// that have no active request. It is called with mu held.
+// evictIdle evicts the addresses without active requests and with a full token bucket, and
+// if there are none, all without active requests. The caller holds mu.
 func (l *Limiter) evictIdle(now time.Duration) {
-	for _, anyTokens := range []bool{false, true} {
+	for _, ignoreTokens := range []bool{false, true} {
 		for address, usage := range l.addresses {
-			full := usage.refilled(now, l.settings.Rate) >= l.settings.burst()
-			if usage.active == 0 && (full || anyTokens) {
+			full := usage.refilledTokens(now, l.settings.Rate) >= l.settings.burst()
+			if usage.active == 0 && (full || ignoreTokens) {
 				delete(l.addresses, address)
 			}
 		}
@@ -147,7 +148,7 @@
 	}
 }
 
-// release notes the end of a request.
+// release records that a request has ended.
 func (l *Limiter) release(address, class string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// An address begins its burst at once, and then at its rate; another is not held up by it.
+// An address may start a burst of requests at once, and then requests at the rate; other addresses are not affected.
 func TestRateIsPerAddress(t *testing.T) {
 	limiter := New(Settings{Rate: 2, Burst: 3})
 	accepted := 0
@@ -16,20 +16,19 @@
 		if _, reason, ok := limiter.Acquire(time.Duration(ms)*time.Millisecond, "a", "page"); ok {
 			accepted++
 		} else if reason != ReasonRate {
-			t.Fatal(reason)
+			t.Fatalf("a request was rejected by the limit %q, want %q", reason, ReasonRate)
 		}
 	}
 	if accepted != 3+5 {
-		t.Errorf("%d were accepted in 3 s", accepted)
+		t.Errorf("%d requests were accepted in 3 s, want 8", accepted)
 	}
 	if _, _, ok := limiter.Acquire(3*time.Second, "b", "page"); !ok {
-		t.Error("another address is held up")
+		t.Error("the first request of another address was rejected")
 	}
 }
 
-// A flood by one address leaves the others their fair share: once admission slots run short it gets no more than they, and
-// a new address gets one.
-func TestOneAddressLeavesFairShares(t *testing.T) {
+// Guards against one address that uses all admission slots: slots stay free for other addresses, and each gets its share.
+func TestFloodFromOneAddressLeavesFairShares(t *testing.T) {
 	limiter := New(Settings{FairShareSlots: 100})
 	held := 0
 	for range 1000 {
@@ -38,7 +37,7 @@
 		}
 	}
 	if held != 80 {
-		t.Fatalf("alone it has %d", held) // the rest is for addresses yet to come
+		t.Fatalf("a single address holds %d slots, want 80", held) // the others are kept for further addresses
 	}
 	limiter = New(Settings{FairShareSlots: 100})
 	counts := make(map[string]int)
@@ -57,12 +56,13 @@
 	}
 	for n := range 4 {
 		if got := counts[fmt.Sprintf("room-%d", n)]; got < 16 {
-			t.Errorf("room-%d holds %d of 100: %v", n, got, counts)
+			t.Errorf("room-%d holds %d of 100 slots, want at least 16: %v", n, got, counts)
 		}
 	}
 }
 
-// Whatever comes: no limit is exceeded, what is released can be acquired again, and in the end nothing is active.
+// For all sequences of Acquire and release: no limit is exceeded, an address without active requests is only rejected by
+// the limit of its class, and no request stays active after its release.
 func TestLimiterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{PerAddress: rapid.IntRange(0, 4).Draw(t, "per address"), FairShareSlots: rapid.IntRange(0, 12).Draw(t, "fair"), PerClass: map[string]int{"page": rapid.IntRange(1, 6).Draw(t, "per class")}}
@@ -84,7 +84,7 @@
 			if len(active) > 0 && rapid.IntRange(0, 2).Draw(t, "release") == 0 {
 				i := rapid.IntRange(0, len(active)-1).Draw(t, "which")
 				active[i].release()
-				active[i].release() // a second time is none
+				active[i].release() // the second call must have no effect
 				active = append(active[:i], active[i+1:]...)
 				continue
 			}
@@ -94,9 +94,9 @@
 			release, reason, ok := limiter.Acquire(0, address, class)
 			switch {
 			case ok && settings.PerAddress > 0 && ofAddress >= settings.PerAddress, ok && class == "page" && ofClass >= settings.PerClass["page"]:
-				t.Fatalf("%s has %d, its class %d, and one more is accepted", address, ofAddress, ofClass)
+				t.Fatalf("a request was accepted beside %d from the address %s and %d of the class %s", ofAddress, address, ofClass, class)
 			case !ok && ofAddress == 0 && reason != ReasonPerClass:
-				t.Fatalf("an address without an active request is rejected: %v", reason)
+				t.Fatalf("an address without active requests was rejected: %v", reason)
 			case ok:
 				active = append(active, activeRequest{address, class, release})
 			}
@@ -105,12 +105,12 @@
 			request.release()
 		}
 		if limiter.activeRequests != 0 || limiter.activeAddresses != 0 || len(limiter.activeByClass) != 0 {
-			t.Fatalf("%d are active of %d addresses, classes %v", limiter.activeRequests, limiter.activeAddresses, limiter.activeByClass)
+			t.Fatalf("at the end %d requests are active, %d addresses, classes %v", limiter.activeRequests, limiter.activeAddresses, limiter.activeByClass)
 		}
 	})
 }
 
-// Idle addresses are evicted, and those with an active request are not.
+// Only addresses without active requests are evicted to limit the number of tracked addresses.
 func TestTrackedAddressesAreBounded(t *testing.T) {
 	limiter := New(Settings{PerAddress: 1, Rate: 1})
 	release, _, _ := limiter.Acquire(0, "stays", "page")
@@ -119,11 +119,11 @@
 			releaseNext()
 		}
 		if len(limiter.addresses) > maxAddresses {
-			t.Fatalf("%d addresses are tracked", len(limiter.addresses))
+			t.Fatalf("%d addresses are tracked, want at most %d", len(limiter.addresses), maxAddresses)
 		}
 	}
 	if _, reason, ok := limiter.Acquire(time.Hour, "stays", "page"); ok || reason != ReasonPerAddress {
-		t.Error("an address with an active request was evicted")
+		t.Error("a second request was accepted: the address with an active request was evicted")
 	}
 	release()
 }
