--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,12 +1,12 @@
-// Package connpool decides which connection to an endpoint each request uses, where several
-// requests may share one as sessions. It does no I/O; whoever embeds it
+// Package connpool decides which connection to an endpoint each request uses, if several
+// requests can share a connection as sessions. It does no I/O. The caller
 //
 //  1. calls Acquire for each request, and dials if it reports that the connection is new;
 //  2. reports the result of the dial with Opened or Closed, and the end of each request with Release;
 //  3. calls ExpireIdle when its next time comes, closes the connections that it returns, and reports each with Closed.
 //
-// All times are on one clock that never goes back. A Pool is not safe for concurrent use: the
-// embedder serializes the calls.
+// All times are on one monotonic clock. A Pool is not safe for concurrent use: the caller
+// serializes the calls.
 package connpool
 
 import (
@@ -17,10 +17,11 @@
 	"time"
 )
 
-// Settings bound the connections.
+// Settings are the limits of a pool's connections.
 type Settings struct {
-	// MaxSessions is the most requests that share a connection, from 1 to 65535. More save
-	// handshakes and file descriptors, but the end of one connection then ends as many.
+	// MaxSessions is the maximum number of requests that share a connection, from 1 to 65535.
+	// A higher number saves handshakes and file descriptors, but more requests fail with a
+	// connection.
 	MaxSessions int
 	// IdleTimeout is how long a connection without sessions is kept open.
 	IdleTimeout time.Duration
@@ -29,10 +30,10 @@
 // Validate returns an error for the first setting that is out of range.
 func (s Settings) Validate() error {
 	if s.MaxSessions < 1 || s.MaxSessions > math.MaxUint16 {
-		return fmt.Errorf("%d sessions are not within 1 and %d", s.MaxSessions, math.MaxUint16)
+		return fmt.Errorf("max sessions per connection is %d, must be 1 to %d", s.MaxSessions, math.MaxUint16)
 	}
 	if s.IdleTimeout < 0 {
-		return fmt.Errorf("%v is no time", s.IdleTimeout)
+		return fmt.Errorf("idle timeout of connections is %v, must not be negative", s.IdleTimeout)
 	}
 	return nil
 }
@@ -40,18 +41,18 @@
 // ID identifies a connection within its pool. IDs are not reused.
 type ID uint64
 
-// connection is what the pool knows of a connection.
+// connection is the state of one connection.
 type connection struct {
 	id          ID
 	endpoint    string
-	maxSessions int           // that the endpoint accepts; until it is open, as many as the settings allow
-	sessions    int           // requests that use it or wait for it
+	maxSessions int           // accepted by the endpoint; until the connection is open, Settings.MaxSessions
+	sessions    int           // requests that use the connection or wait for it to open
 	open        bool          // the handshake is complete
-	closing     bool          // it takes no new requests
-	idleSince   time.Duration // when its last session ended
+	closing     bool          // it is not used for new requests
+	idleSince   time.Duration // end of its last session
 }
 
-// Pool holds the state of all connections. New returns one; the zero value is not usable.
+// Pool holds the state of all connections. The zero value is not usable; use New.
 type Pool struct {
 	settings   Settings
 	lastID     ID
@@ -64,8 +65,9 @@
 	return &Pool{settings: settings, byEndpoint: make(map[string][]*connection), byID: make(map[ID]*connection)}
 }
 
-// Acquire chooses the connection for a request to an endpoint: the fullest that has room, so
-// that the others become idle and are closed. dial reports that it is new: the caller dials.
+// Acquire chooses the connection for a request to an endpoint: the one with the most sessions
+// that has room for another, so that the others become idle and are closed. dial reports that
+// the connection is new and that the caller must dial it.
 func (p *Pool) Acquire(endpoint string) (id ID, dial bool) {
 	var best *connection
 	for _, conn := range p.byEndpoint[endpoint] {
@@ -87,7 +89,8 @@
 	return best.id, dial
 }
 
-// preference orders connections: open ones before those being dialled, and fuller ones first.
+// preference returns a rank by which Acquire chooses the highest: open connections rank above
+// those that are being dialled, and then connections with more sessions above others.
 func (c *connection) preference() int {
 	if c.open {
 		return c.sessions + math.MaxUint16
@@ -96,8 +99,8 @@
 }
 
 // Opened records that a connection is open, and how many sessions its endpoint accepts. It
-// returns how many of the requests that wait for it find no room: for each of them the caller
-// calls Release, and then Acquire again.
+// returns the number of waiting requests above that limit: for each of them the caller calls
+// Release, and then Acquire again.
 func (p *Pool) Opened(id ID, maxSessions int) (excess int) {
 	conn := p.byID[id]
 	if conn == nil {
@@ -116,23 +119,23 @@
 	}
 }
 
-// Drain makes a connection take no new requests, as when its endpoint has not released a
-// session. Idle names it once its last session has ended.
+// Drain excludes a connection from new requests, for example after its endpoint has failed to
+// end a session. ExpireIdle returns it once its last session has ended.
 func (p *Pool) Drain(id ID) {
 	if conn := p.byID[id]; conn != nil {
 		conn.closing = true
 	}
 }
 
-// DrainEndpoint makes all current connections to a draining endpoint take no new requests. Later
-// connections to it are not affected.
+// DrainEndpoint excludes all current connections to an endpoint from new requests. Connections
+// that are opened later are not affected.
 func (p *Pool) DrainEndpoint(endpoint string) {
 	for _, conn := range p.byEndpoint[endpoint] {
 		conn.closing = true
 	}
 }
 
-// Closed records that a connection has been closed, or could not be opened.
+// Closed records that a connection was closed, or could not be opened, and removes it.
 func (p *Pool) Closed(id ID) {
 	conn := p.byID[id]
 	if conn == nil {
@@ -145,8 +148,8 @@
 	}
 }
 
-// ExpireIdle returns the connections to close now, and when to call it next; 0: not before
-// something has changed. A connection that it returns takes no more requests.
+// ExpireIdle returns the connections that the caller must close now, which are not used for
+// new requests any more, and the time of its next call; 0: none until the pool has changed.
 func (p *Pool) ExpireIdle(now time.Duration) (idle []ID, next time.Duration) {
 	for id, conn := range p.byID {
 		if !conn.open || conn.sessions > 0 {
