--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -188,10 +188,11 @@
 }
 
 // relocate hands an established connection off to another process, or migrates its client,
-// at its time in the migration window. It runs in its own goroutine, started by MigrateAll.
+// at its time in the migration window. It runs in its own goroutine, which starts when
+// Proxy.migrating is cancelled and which finishRelocation waits for.
 //
-// It waits for that time before it pauses the connection: no data, and no end of either
-// side, is forwarded during the pause, so a failed handoff must lead to a migration at once.
+// It waits for that time before it pauses the connection, to keep the pause short: neither
+// data nor the end of a stream is forwarded meanwhile.
 func (r *requestRun) relocate(ctx context.Context, a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) {
 	defer close(a.relocated)
 	r.proxy.waitForRelocation(ctx, a.connEnded, r.number)
--- a/internal/proxy/encoding_test.go
+++ b/internal/proxy/encoding_test.go
@@ -8,7 +8,7 @@
 	"lockroad/internal/testutil"
 )
 
-// completeEstablishedRequest returns an established request as one process sends it to the next, with every field set.
+// completeEstablishedRequest returns an EstablishedRequest with all fields set.
 func completeEstablishedRequest() EstablishedRequest {
 	return EstablishedRequest{
 		Frontend: "line", Name: "9b1f03aa5c7e2d41", Class: "page", Tenant: "cedar", Endpoint: "s-5be2a07c",
--- a/internal/proxy/handoff_test.go
+++ b/internal/proxy/handoff_test.go
@@ -11,13 +11,13 @@
 	"lockroad/balancer"
 )
 
-// unpausable is a frontend's side that can't be paused, as one side is in the middle of a write.
-type unpausable struct {
+// unpausableDownstream is a Transferable whose Pause fails after 300 ms, as with a blocked write.
+type unpausableDownstream struct {
 	fakeDownstream
 	pausedAt time.Duration
 }
 
-func (d *unpausable) Pause() (any, []syscall.Conn, bool) {
+func (d *unpausableDownstream) Pause() (any, []syscall.Conn, bool) {
 	d.mu.Lock()
 	d.pausedAt = d.proxy.Clock.Now()
 	d.mu.Unlock()
@@ -25,16 +25,16 @@
 	return nil, nil, false
 }
 
-func (d *unpausable) Resolve(handed bool) bool { return handed }
+func (d *unpausableDownstream) Resolve(handedOff bool) bool { return handedOff }
 
-// A connection that can't be handed off is paused for less than a second until its client is migrated: a side's end is to
-// be passed on within that. With a turn before the pause and another before the migration it took 1.6 s.
-func TestFailedHandoffsMigrateInTime(t *testing.T) {
+// Guards against connections that stay paused for long after a failed handoff: neither data nor the end of a stream is
+// forwarded meanwhile.
+func TestFailedHandoffMigratesClientWithinASecond(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
-		var downstreams []*unpausable
+		var downstreams []*unpausableDownstream
 		var running sync.WaitGroup
 		for range 20 {
-			downstream := &unpausable{fakeDownstream: fakeDownstream{t: t, proxy: proxy, nextAction: establish(time.Minute)}}
+			downstream := &unpausableDownstream{fakeDownstream: fakeDownstream{t: t, proxy: proxy, nextAction: establish(time.Minute)}}
 			downstreams = append(downstreams, downstream)
 			name := string(rune('a' + len(downstreams)))
 			running.Go(func() {
@@ -47,16 +47,16 @@
 		var pauses []time.Duration
 		for i, downstream := range downstreams {
 			if !slices.Contains(downstream.answers, "migrated") {
-				t.Errorf("%d was notified of %v", i, downstream.answers)
+				t.Errorf("client %d was notified of %v, want a migration", i, downstream.answers)
 				continue
 			}
 			if paused := downstream.answeredAt - downstream.pausedAt; paused >= 900*time.Millisecond {
-				t.Errorf("%d was paused for %v", i, paused)
+				t.Errorf("connection %d was paused for %v, want less than 900ms", i, paused)
 			}
 			pauses = append(pauses, downstream.pausedAt)
 		}
 		if len(pauses) > 1 && slices.Max(pauses)-slices.Min(pauses) < 400*time.Millisecond {
-			t.Errorf("all were paused within %v", slices.Max(pauses)-slices.Min(pauses))
+			t.Errorf("all connections were paused within %v, want them spread over at least 400ms", slices.Max(pauses)-slices.Min(pauses))
 		}
 	})
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// settings returns settings of one class, whose clients wait for a second.
+// settings returns settings with one class, whose deadline is one second.
 func settings() balancer.Settings {
 	return balancer.Settings{
 		Classes: []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
@@ -23,7 +23,8 @@
 	}
 }
 
-// runProxy runs a proxy with some endpoints on a fake clock, and checks at the end that nothing is left of its requests.
+// runProxy calls run with a running proxy on a fake clock, with as many ready endpoints named s-0, s-1 and so on. It
+// then checks that no request is left open and no invariant was violated.
 func runProxy(t *testing.T, endpoints int, run func(proxy *Proxy, setState func(index int, state balancer.EndpointState))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -42,25 +43,25 @@
 		})
 		synctest.Wait()
 		if open := proxy.Requests.Len(); open != 0 {
-			t.Errorf("%d requests are still open", open)
+			t.Errorf("%d requests are still open at the end", open)
 		}
 		if violations := assert.Violations(); violations != 0 {
-			t.Errorf("%d invariants are violated", violations)
+			t.Errorf("%d invariant violations", violations)
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// scriptedAction is what an endpoint does with an attempt.
+// scriptedAction is how an endpoint reacts to an attempt.
 type scriptedAction struct {
 	status   balancer.AttemptStatus
-	after    time.Duration
-	lifetime time.Duration // once established
-	mute     bool          // it sends nothing once established
+	after    time.Duration // delay of the answer
+	lifetime time.Duration // of the established connection
+	mute     bool          // the endpoint sends nothing on the established connection
 }
 
-// fakeDownstream is a frontend's side of a request, and the model that the proxy is checked by.
+// fakeDownstream is a Downstream that plays the endpoints' reactions, and checks how the proxy calls it.
 type fakeDownstream struct {
 	t          *testing.T
 	proxy      *Proxy
@@ -68,11 +69,11 @@
 
 	mu         sync.Mutex
 	inFlight   int           // attempts in progress
-	answers    []string      // what the client was notified of
-	answeredAt time.Duration // time of the last answer
+	answers    []string      // notifications of the client, in order
+	answeredAt time.Duration // time of the last notification
 }
 
-// fakeUpstreamConn is the connection that an attempt has established.
+// fakeUpstreamConn is the connection of a successful attempt.
 type fakeUpstreamConn struct{ scriptedAction }
 
 func (fakeUpstreamConn) Close() {}
@@ -80,10 +81,10 @@
 func (d *fakeDownstream) Attempt(ctx context.Context, attempt Attempt) (UpstreamConn, balancer.AttemptStatus) {
 	d.mu.Lock()
 	if d.inFlight++; d.inFlight > 1 {
-		d.t.Error("two attempts are in progress at once")
+		d.t.Error("an attempt starts while another is in progress")
 	}
 	if len(d.answers) > 0 {
-		d.t.Errorf("an attempt starts after the answer %v", d.answers)
+		d.t.Errorf("an attempt starts after the client was notified of %v", d.answers)
 	}
 	d.mu.Unlock()
 	defer func() {
@@ -92,7 +93,7 @@
 		d.mu.Unlock()
 	}()
 	if attempt.Timeout <= 0 {
-		d.t.Errorf("an attempt has a timeout of %v", attempt.Timeout)
+		d.t.Errorf("an attempt has the timeout %v, want a positive one", attempt.Timeout)
 	}
 	if !attempt.StillPermitted(ctx) {
 		return nil, balancer.StatusNotSent
@@ -134,11 +135,11 @@
 	}
 }
 
-// answer notes what the client is notified of.
-func (d *fakeDownstream) answer(what string) {
+// answer records a notification of the client.
+func (d *fakeDownstream) answer(notification string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answers = append(d.answers, what)
+	d.answers = append(d.answers, notification)
 	d.answeredAt = d.proxy.Clock.Now()
 }
 
@@ -150,29 +151,30 @@
 
 func (d *fakeDownstream) Migrate() bool { d.answer("migrated"); return true }
 
-// serve serves a request and returns once it has ended.
-func (d *fakeDownstream) serve(ctx context.Context, wait time.Duration) {
-	d.proxy.Serve(ctx, Request{Frontend: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: d.proxy.Clock.Now() + wait}}, d)
+// serve has the proxy serve a request with a timeout, and returns once it has ended.
+func (d *fakeDownstream) serve(ctx context.Context, timeout time.Duration) {
+	d.proxy.Serve(ctx, Request{Frontend: "fake", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: d.proxy.Clock.Now() + timeout}}, d)
 }
 
-// establish returns actions that all establish a connection of the same lifetime.
+// establish returns a script in which all attempts establish a connection of the same lifetime.
 func establish(lifetime time.Duration) func() scriptedAction {
 	return always(scriptedAction{status: balancer.StatusOK, lifetime: lifetime})
 }
 
+// always returns a script in which all attempts have the same outcome.
 func always(action scriptedAction) func() scriptedAction {
 	return func() scriptedAction { return action }
 }
 
-// check holds what the client was notified of against the model: an answer in time, and
-// after it is established nothing but a migration.
-func (d *fakeDownstream) check(deadline time.Duration, left bool) {
+// check verifies that the client was answered before the deadline unless it left, and was
+// notified of nothing else after that but a migration of an established request.
+func (d *fakeDownstream) check(deadline time.Duration, clientLeft bool) {
 	switch n := len(d.answers); {
-	case n == 0 && left:
+	case n == 0 && clientLeft:
 	case n == 0:
-		d.t.Error("no answer")
+		d.t.Error("the client was not answered")
 	case n == 1 && d.answeredAt > deadline:
-		d.t.Errorf("answered %v after the deadline", d.answeredAt-deadline)
+		d.t.Errorf("the client was answered %v after the deadline", d.answeredAt-deadline)
 	case n == 2 && d.answers[0] == "established" && d.answers[1] == "migrated":
 	case n > 1:
 		d.t.Errorf("the client was notified of %v", d.answers)
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -14,8 +14,8 @@
 	delayReportInterval    = time.Second            // between reports of one endpoint's delay
 
 	// heartbeatTimeout is how long a client's message may stay unanswered before its
-	// connection is closed. Clients expect data or a migration at least every 7 s, and
-	// send a message every 2 s.
+	// connection is closed. Clients give up 7 s after the last data that they received, and
+	// may send nothing for the first 2 s of these.
 	heartbeatTimeout = 4500 * time.Millisecond
 
 	// selfReportValidity is how long an endpoint's report of its own delay is used.
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -16,7 +16,7 @@
 		started := proxy.Clock.Now()
 		downstream.serve(context.Background(), time.Second)
 		if took := proxy.Clock.Now() - started; took > 7*time.Second || len(downstream.answers) != 2 || downstream.answers[1] != "migrated" {
-			t.Errorf("after %v the client was notified of %v", took, downstream.answers)
+			t.Errorf("within %v the client was notified of %v, want a migration within 7s", took, downstream.answers)
 		}
 	})
 }
@@ -27,17 +27,17 @@
 			t.Error("an attempt was sent to a draining endpoint")
 			return scriptedAction{}
 		}}
-		// The registry knows at once, the balancer with its next turn.
+		// Only the registry knows the new state: the balancer still picks the endpoint.
 		proxy.Endpoints.Update(proxy.Endpoints.AssignID("s-0"), "", balancer.StateDraining)
 		downstream.serve(context.Background(), time.Second)
 		if len(downstream.answers) != 1 || downstream.answers[0] != "rejected" {
-			t.Errorf("the client was notified of %v", downstream.answers)
+			t.Errorf("the client was notified of %v, want a rejection", downstream.answers)
 		}
 	})
 }
 
-// Whatever endpoints, clients and the list do, each request gets one final
-// answer while its client waits, and one attempt at a time.
+// For all sequences of endpoint reactions, leaving clients and list updates, attempts of a
+// request don't overlap and its client gets exactly one final answer before the deadline.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 0, 1, 0, 2})
 	f.Add([]byte{0, 4, 2, 9, 5, 7, 0, 2, 200, 3, 1, 1, 250, 0, 0, 6, 4, 2})
@@ -73,17 +73,17 @@
 				switch pick(4) {
 				case 0, 1:
 					downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: nextAction}
-					wait := time.Duration(1+pick(10)) * 100 * ms
+					timeout := time.Duration(1+pick(10)) * 100 * ms
 					ctx, leave := context.WithCancel(context.Background())
-					left := pick(4) == 1
-					if left {
+					clientLeft := pick(4) == 1
+					if clientLeft {
 						time.AfterFunc(time.Duration(pick(10))*70*ms, leave)
 					}
-					deadline := proxy.Clock.Now() + wait
+					deadline := proxy.Clock.Now() + timeout
 					running.Go(func() {
 						defer leave()
-						downstream.serve(ctx, wait)
-						downstream.check(deadline, left)
+						downstream.serve(ctx, timeout)
+						downstream.check(deadline, clientLeft)
 					})
 				case 2:
 					setState(pick(3), []balancer.EndpointState{balancer.StateReady, balancer.StateDraining, balancer.StateGone}[pick(3)])
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -11,6 +11,8 @@
 	"lockroad/internal/registry"
 )
 
+// A request that was open before the start is only resumed at its own endpoint, also if that is listed late or refuses the
+// first attempt, and is rejected if its endpoint is never listed.
 func TestResumedRequestUsesItsEndpointOnly(t *testing.T) {
 	runProxy(t, 3, func(proxy *Proxy, setState func(int, balancer.EndpointState)) {
 		setState(2, balancer.StateDraining)
@@ -22,10 +24,10 @@
 		}()
 		synctest.Wait()
 		if open := proxy.Requests.List(); len(open) != 1 || open[0].Endpoint != proxy.Endpoints.AssignID("s-1") || open[0].Stage != registry.StageEstablished {
-			t.Errorf("open: %+v", open)
+			t.Errorf("open requests: %+v, want one established at s-1", open)
 		}
 		<-done
-		time.AfterFunc(time.Second, func() { setState(4, balancer.StateReady) }) // the list comes late
+		time.AfterFunc(time.Second, func() { setState(4, balancer.StateReady) }) // the endpoint is listed late
 		lateDownstream := &fakeDownstream{t: t, proxy: proxy}
 		lateDownstream.nextAction = func() scriptedAction {
 			lateDownstream.nextAction = establish(0)
@@ -35,14 +37,14 @@
 		unknownDownstream := &fakeDownstream{t: t, proxy: proxy}
 		proxy.Serve(context.Background(), Request{EndpointName: "s-9", RequestOptions: balancer.RequestOptions{Established: true}}, unknownDownstream)
 		if got := fmt.Sprint(downstream.answers, lateDownstream.answers, unknownDownstream.answers); got != "[established] [established] [rejected]" {
-			t.Errorf("the clients were notified of %v", got)
+			t.Errorf("the clients were notified of %v, want [established] [established] [rejected]", got)
 		}
 	})
 }
 
-// A client that names an endpoint which no list names, or one that doesn't know the request, is
-// rejected within 3 s, and leaves nothing behind in the registry.
-func TestResumingUnknownRequestIsRejectedSoon(t *testing.T) {
+// A client that names an unlisted endpoint, or one that doesn't know the request, is rejected within
+// 3 s, and the endpoint's name is not kept in the registry.
+func TestResumingUnknownRequestIsRejectedWithinThreeSeconds(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
 		before := len(proxy.Endpoints.List())
 		for _, name := range []string{"s-0", "s-77", "an odd name"} {
@@ -50,11 +52,11 @@
 			started := proxy.Clock.Now()
 			proxy.Serve(context.Background(), Request{EndpointName: name, RequestOptions: balancer.RequestOptions{Established: true}}, downstream)
 			if took := proxy.Clock.Now() - started; took > 3*time.Second || fmt.Sprint(downstream.answers) != "[rejected]" {
-				t.Errorf("at %s: after %v the client was notified of %v", name, took, downstream.answers)
+				t.Errorf("endpoint %q: within %v the client was notified of %v, want a rejection within 3s", name, took, downstream.answers)
 			}
 		}
 		if after := len(proxy.Endpoints.List()); after != before {
-			t.Errorf("the registry has grown from %d to %d", before, after)
+			t.Errorf("the registry has grown from %d to %d endpoints", before, after)
 		}
 	})
 }
