--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -82,7 +82,7 @@
 
 // startAttempt starts an attempt at the endpoint that the balancer has picked.
 func (r *requestRun) startAttempt(ctx context.Context, action balancer.RequestAction) {
-	r.launch(ctx, func(ctx context.Context, a *attemptRun) balancer.AttemptStatus {
+	r.launch(ctx, func(ctx context.Context, attempt *attemptRun) balancer.AttemptStatus {
 		endpoint, ok := r.proxy.Endpoints.Find(action.Endpoint)
 		if !ok {
 			return balancer.StatusNotSent
@@ -94,7 +94,7 @@
 			return status
 		}
 		r.proxy.loop.Report(balancer.AttemptEstablished{Handle: r.handle, SetupTime: r.proxy.Clock.Now() - started})
-		return r.pipe(ctx, a, endpoint, conn)
+		return r.pipe(ctx, attempt, endpoint, conn)
 	})
 }
 
@@ -110,19 +110,19 @@
 		}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	a := &attemptRun{
+	attempt := &attemptRun{
 		cancel:         cancel,
 		established:    make(chan struct{}),
 		clientNotified: make(chan struct{}),
 		ended:          make(chan struct{}),
 	}
-	r.current = a
+	r.current = attempt
 	go func() {
-		status := run(ctx, a)
-		a.cause, a.status = context.Cause(ctx), status
+		status := run(ctx, attempt)
+		attempt.cause, attempt.status = context.Cause(ctx), status
 		cancel(errRequestEnded)
 		r.proxy.Counters.CountAttempt(status)
-		close(a.ended)
+		close(attempt.ended)
 		r.proxy.loop.Report(balancer.AttemptEnded{Handle: r.handle, Status: status})
 	}()
 }
@@ -147,20 +147,20 @@
 // pipe waits until the balancer confirms that the request is established, and then copies
 // data between client and endpoint until the connection ends. It runs in the attempt's
 // goroutine.
-func (r *requestRun) pipe(ctx context.Context, a *attemptRun, endpoint registry.Endpoint, conn UpstreamConn) balancer.AttemptStatus {
+func (r *requestRun) pipe(ctx context.Context, attempt *attemptRun, endpoint registry.Endpoint, conn UpstreamConn) balancer.AttemptStatus {
 	defer conn.Close()
 	select {
-	case <-a.established:
+	case <-attempt.established:
 	case <-ctx.Done():
 		return balancer.StatusCancelled
 	}
 	r.proxy.Counters.Established.Add(1)
 	r.proxy.Requests.SetStage(r.number, registry.StageEstablished, endpoint.ID)
-	heartbeat := r.proxy.heartbeats.add(r.newHeartbeat(a, endpoint))
+	heartbeat := r.proxy.heartbeats.add(r.newHeartbeat(attempt, endpoint))
 	defer r.proxy.heartbeats.remove(heartbeat)
-	a.connEnded, a.handoffDone, a.relocated = make(chan struct{}), make(chan struct{}), make(chan struct{})
-	cancelRelocation := context.AfterFunc(r.proxy.migrating, func() { r.relocate(ctx, a, heartbeat, endpoint) })
-	defer a.finishRelocation(cancelRelocation)
+	attempt.connEnded, attempt.handoffDone, attempt.relocated = make(chan struct{}), make(chan struct{}), make(chan struct{})
+	cancelRelocation := context.AfterFunc(r.proxy.migrating, func() { r.relocate(ctx, attempt, heartbeat, endpoint) })
+	defer attempt.finishRelocation(cancelRelocation)
 	status := r.downstream.Pipe(ctx, conn, heartbeat)
 	if errors.Is(context.Cause(ctx), errHeartbeatTimeout) {
 		return balancer.StatusReset
@@ -170,15 +170,15 @@
 
 // newHeartbeat returns a heartbeat that monitors an established connection, reports its
 // load and delay to the balancer, and cancels the attempt on timeout.
-func (r *requestRun) newHeartbeat(a *attemptRun, endpoint registry.Endpoint) *Heartbeat {
+func (r *requestRun) newHeartbeat(attempt *attemptRun, endpoint registry.Endpoint) *Heartbeat {
 	p := r.proxy
 	return &Heartbeat{
 		endpoint:        endpoint.ID,
-		clientNotified:  a.clientNotified,
+		clientNotified:  attempt.clientNotified,
 		class:           r.class,
 		unansweredSince: r.unansweredSince,
 		reportedLoad:    r.request.ExpectedLoad,
-		onTimeout:       func() { a.cancel(errHeartbeatTimeout) },
+		onTimeout:       func() { attempt.cancel(errHeartbeatTimeout) },
 		onLoad:          func(load float64) { p.loop.Report(balancer.LoadReport{Handle: r.handle, Load: load}) },
 		onDelay: func(delay time.Duration) {
 			p.heartbeats.recordSelfReport(endpoint.ID, delay)
@@ -193,22 +193,22 @@
 //
 // It waits for that time before it pauses the connection, to keep the pause short: neither
 // data nor the end of a stream is forwarded meanwhile.
-func (r *requestRun) relocate(ctx context.Context, a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) {
-	defer close(a.relocated)
-	r.proxy.waitForRelocation(ctx, a.connEnded, r.number)
-	handedOff := r.handOff(a, heartbeat, endpoint)
-	close(a.handoffDone)
+func (r *requestRun) relocate(ctx context.Context, attempt *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) {
+	defer close(attempt.relocated)
+	r.proxy.waitForRelocation(ctx, attempt.connEnded, r.number)
+	handedOff := r.handOff(attempt, heartbeat, endpoint)
+	close(attempt.handoffDone)
 	select {
-	case <-a.connEnded: // client or endpoint has closed it
+	case <-attempt.connEnded: // client or endpoint has closed it
 		return
 	default:
 	}
 	if handedOff {
-		a.cancel(errHandedOff)
+		attempt.cancel(errHandedOff)
 		return
 	}
-	a.clientMigrated = a.migrate(r.downstream)
-	a.cancel(errMigrating)
+	attempt.clientMigrated = attempt.migrate(r.downstream)
+	attempt.cancel(errMigrating)
 }
 
 // finishRelocation signals that the connection has ended, and waits for a handoff in
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -77,16 +77,16 @@
 
 // handOff hands an established request off to another process, and reports whether that
 // process now serves it. relocate calls it.
-func (r *requestRun) handOff(a *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) bool {
+func (r *requestRun) handOff(attempt *attemptRun, heartbeat *Heartbeat, endpoint registry.Endpoint) bool {
 	handoff := r.proxy.handoff.Load()
 	downstream, transferable := r.downstream.(Transferable)
-	if handoff == nil || !transferable || !a.notifiedBeforeEnd() {
+	if handoff == nil || !transferable || !attempt.notifiedBeforeEnd() {
 		return false
 	}
 	state, sockets, ok := downstream.Pause()
 	if !ok {
 		// Usually one side has ended and the other is about to, so no migration is needed.
-		a.waitForEnd(endGracePeriod)
+		attempt.waitForEnd(endGracePeriod)
 		return false
 	}
 	encoded, err := json.Marshal(state)
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -118,23 +118,23 @@
 	selfReportedAt time.Duration
 }
 
-func newHeartbeatMonitor(s *balancer.Settings, clock Clock) *heartbeatMonitor {
-	m := &heartbeatMonitor{
+func newHeartbeatMonitor(settings *balancer.Settings, clock Clock) *heartbeatMonitor {
+	monitor := &heartbeatMonitor{
 		clock:      clock,
 		heartbeats: make(map[*Heartbeat]struct{}),
 		delays:     make(map[balancer.EndpointID]endpointDelay),
 	}
-	m.updateSettings(s)
-	return m
+	monitor.updateSettings(settings)
+	return monitor
 }
 
 // updateSettings sets the threshold to a third of the strictest message latency objective
 // of all classes.
-func (m *heartbeatMonitor) updateSettings(s *balancer.Settings) {
+func (m *heartbeatMonitor) updateSettings(settings *balancer.Settings) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.threshold = 0
-	for _, class := range s.Classes {
+	for _, class := range settings.Classes {
 		if third := class.MessageLatencyObjective / 3; third > 0 && (m.threshold == 0 || third < m.threshold) {
 			m.threshold = third
 		}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -51,7 +51,7 @@
 }
 
 // New returns a proxy without endpoints. seed seeds the balancer's random choices.
-func New(s balancer.Settings, seed uint64, clock Clock) *Proxy {
+func New(settings balancer.Settings, seed uint64, clock Clock) *Proxy {
 	migrating, startMigrating := context.WithCancel(context.Background())
 	rejecting, startRejecting := context.WithCancel(context.Background())
 	p := &Proxy{
@@ -61,15 +61,15 @@
 		Counters:       &registry.Counters{},
 		Metrics:        &metrics.Set{},
 		Log:            slog.New(slog.DiscardHandler),
-		loop:           balancer.NewLoop(s, seed),
-		heartbeats:     newHeartbeatMonitor(&s, clock),
+		loop:           balancer.NewLoop(settings, seed),
+		heartbeats:     newHeartbeatMonitor(&settings, clock),
 		migrating:      migrating,
 		startMigrating: startMigrating,
 		rejecting:      rejecting,
 		startRejecting: startRejecting,
 	}
-	p.settings.Store(&s)
-	p.registerClasses(&s)
+	p.settings.Store(&settings)
+	p.registerClasses(&settings)
 	return p
 }
 
@@ -78,16 +78,16 @@
 func (p *Proxy) Settings() *balancer.Settings { return p.settings.Load() }
 
 // UpdateSettings replaces the settings for all requests that start from now on.
-func (p *Proxy) UpdateSettings(s *balancer.Settings) {
-	p.registerClasses(s) // before any request is counted under a new class
-	p.loop.Report(balancer.UpdateSettings{Settings: s})
-	p.heartbeats.updateSettings(s)
-	p.settings.Store(s)
+func (p *Proxy) UpdateSettings(settings *balancer.Settings) {
+	p.registerClasses(settings) // before any request is counted under a new class
+	p.loop.Report(balancer.UpdateSettings{Settings: settings})
+	p.heartbeats.updateSettings(settings)
+	p.settings.Store(settings)
 }
 
-func (p *Proxy) registerClasses(s *balancer.Settings) {
-	names := make([]string, len(s.Classes))
-	for i, class := range s.Classes {
+func (p *Proxy) registerClasses(settings *balancer.Settings) {
+	names := make([]string, len(settings.Classes))
+	for i, class := range settings.Classes {
 		names[i] = class.Name
 	}
 	p.Metrics.SetClasses(names)
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -56,7 +56,7 @@
 func (r *requestRun) establishAt(endpoint registry.Endpoint, conn UpstreamConn) {
 	r.request.RequestOptions.Endpoint = endpoint.ID
 	r.handle = balancer.NewRequestHandle(r.request.RequestOptions)
-	r.launch(r.ctx, func(ctx context.Context, a *attemptRun) balancer.AttemptStatus {
-		return r.pipe(ctx, a, endpoint, conn)
+	r.launch(r.ctx, func(ctx context.Context, attempt *attemptRun) balancer.AttemptStatus {
+		return r.pipe(ctx, attempt, endpoint, conn)
 	})
 }
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -60,15 +60,15 @@
 }
 
 // New returns a limiter without active requests.
-func New(s Settings) *Limiter {
-	return &Limiter{settings: s, addresses: make(map[string]*addressUsage), activeByClass: make(map[string]int)}
+func New(settings Settings) *Limiter {
+	return &Limiter{settings: settings, addresses: make(map[string]*addressUsage), activeByClass: make(map[string]int)}
 }
 
 // UpdateSettings replaces the limits. They apply to later calls of Acquire.
-func (l *Limiter) UpdateSettings(s Settings) {
+func (l *Limiter) UpdateSettings(settings Settings) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settings = s
+	l.settings = settings
 }
 
 // Acquire reports whether a request from an address and of a class may start. If so, the
@@ -97,15 +97,15 @@
 // exceededLimit returns the limit that one more request from an address and of a class would
 // exceed, if any. The caller holds mu.
 func (l *Limiter) exceededLimit(usage *addressUsage, class string) (reason Reason, exceeded bool) {
-	s := &l.settings
+	settings := &l.settings
 	switch {
-	case s.PerAddress > 0 && usage.active >= s.PerAddress:
+	case settings.PerAddress > 0 && usage.active >= settings.PerAddress:
 		return ReasonPerAddress, true
-	case s.PerClass[class] > 0 && l.activeByClass[class] >= s.PerClass[class]:
+	case settings.PerClass[class] > 0 && l.activeByClass[class] >= settings.PerClass[class]:
 		return ReasonPerClass, true
-	case s.FairShareSlots > 0 && float64(l.activeRequests) >= scarcityThreshold*float64(s.FairShareSlots) && usage.active >= l.fairShare():
+	case settings.FairShareSlots > 0 && float64(l.activeRequests) >= scarcityThreshold*float64(settings.FairShareSlots) && usage.active >= l.fairShare():
 		return ReasonFairShare, true
-	case s.Rate > 0 && usage.tokens < 1:
+	case settings.Rate > 0 && usage.tokens < 1:
 		return ReasonRate, true
 	}
 	return 0, false
--- a/internal/registry/endpoints.go
+++ b/internal/registry/endpoints.go
@@ -122,9 +122,9 @@
 	}
 }
 
-func isClosed(c <-chan struct{}) bool {
+func isClosed(channel <-chan struct{}) bool {
 	select {
-	case <-c:
+	case <-channel:
 		return true
 	default:
 		return false
