--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -24,7 +24,7 @@
 // CauseNames are the names of the causes, indexed by EndCause.
 var CauseNames = [causeCount]string{"decided", "no-seat", "relay-leaves", "not-open", "no-echo", "over-limit"}
 
-// String returns the name of a cause.
+// String returns the name of a cause, or "unknown".
 func (c EndCause) String() string {
 	if c >= causeCount {
 		return "unknown"
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -137,7 +137,7 @@
 	request.Stage, request.Endpoint = stage, endpoint
 }
 
-// Remove removes a request that has ended. A second call does nothing.
+// Remove removes a request that has ended. Later calls for it have no effect.
 func (r *Requests) Remove(number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
