--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -102,7 +102,7 @@
 // publish updates one endpoint in the proxy's list. The caller holds mu.
 func (p *Prober) publish(endpoint Endpoint, state balancer.EndpointState, startedAt time.Duration) {
 	p.Proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{
-		ID:        p.Proxy.Endpoints.ID(endpoint.Name),
+		ID:        p.Proxy.Endpoints.AssignID(endpoint.Name),
 		State:     state,
 		Zone:      endpoint.Zone,
 		Weight:    endpoint.Size,
