--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -11,10 +11,10 @@
 
 // Problem is the error of one thing wrong in a configuration file.
 type Problem struct {
-	File string
-	Line int    // from 1; 0 if it is not known, as of a key that is missing
-	Key  string // such as amqp.listen; "" if it is about no key
-	What string
+	File    string
+	Line    int    // from 1; 0 if it is not known, as of a key that is missing
+	Key     string // such as amqp.listen; "" if it is about no key
+	Message string
 }
 
 // Error returns FILE:LINE: KEY: WHAT, without what is not known.
@@ -26,7 +26,7 @@
 	if p.Key != "" {
 		where += ": " + p.Key
 	}
-	return where + ": " + p.What
+	return where + ": " + p.Message
 }
 
 // Problems are all that is wrong in a file, in the order of its lines. It is the type of validation errors in this package.
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -32,7 +32,7 @@
 }
 
 func (v *validator) addAt(line int, key, what string) {
-	v.problems = append(v.problems, &Problem{File: v.file, Line: line, Key: key, What: what})
+	v.problems = append(v.problems, &Problem{File: v.file, Line: line, Key: key, Message: what})
 }
 
 // checkAddress adds what is wrong with a host:port. It returns the port, and whether the text is a host:port.
