--- a/cmd/lockroad/run.go
+++ b/cmd/lockroad/run.go
@@ -114,7 +114,7 @@
 		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
 			return fmt.Errorf("PROXY_ADMIN_ADDR: %q is no host:port: %w", c.Admin, err)
 		}
-		platform.Admin = c.Admin
+		platform.AdminAddr = c.Admin
 	}
 	options := server.RunOptions{
 		Shutdown:   shutdownSignal(),
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,17 +14,17 @@
 
 // Config is what a relay is started with by its platform.
 type Config struct {
-	Name      string
-	Listen    string // host:port of the line frontend
-	Discovery string // host:port of the discovery agent
-	Admin     string // host:port of the second address; "": there is none
-	Seed      uint64 // of the balancer's random numbers
-	Cores     float64
-	MemoryMB  int64
-	Sockets   int            // descriptors that the process may have; 0: no limit
-	Known     discovery.List // the endpoint list from before the start
-	Settings  balancer.Settings
-	Zones     []string // names of the zones, by number
+	Name          string
+	Listen        string // host:port of the line frontend
+	DiscoveryAddr string // host:port of the discovery agent
+	AdminAddr     string // host:port of the second address; "": there is none
+	Seed          uint64 // of the balancer's random numbers
+	Cores         float64
+	MemoryMB      int64
+	Sockets       int            // descriptors that the process may have; 0: no limit
+	InitialList   discovery.List // the endpoint list from before the start
+	Settings      balancer.Settings
+	Zones         []string // names of the zones, by number
 
 	text        []byte // that it was read from
 	adminInFile string // what that said of the second address
@@ -108,19 +108,19 @@
 	}
 	v.checkClassNames(&settings)
 	return &Config{
-		Name:        file.Name,
-		Listen:      file.Listen,
-		Discovery:   file.Discovery,
-		Admin:       file.Admin,
-		Seed:        seed,
-		Cores:       file.Limits.Cores,
-		MemoryMB:    file.Limits.MemoryMB,
-		Sockets:     file.Limits.Sockets,
-		Known:       file.Known,
-		Settings:    settings,
-		Zones:       zones,
-		text:        text,
-		adminInFile: file.Admin,
+		Name:          file.Name,
+		Listen:        file.Listen,
+		DiscoveryAddr: file.Discovery,
+		AdminAddr:     file.Admin,
+		Seed:          seed,
+		Cores:         file.Limits.Cores,
+		MemoryMB:      file.Limits.MemoryMB,
+		Sockets:       file.Limits.Sockets,
+		InitialList:   file.Known,
+		Settings:      settings,
+		Zones:         zones,
+		text:          text,
+		adminInFile:   file.Admin,
 	}
 }
 
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -152,7 +152,7 @@
 	return &Config{
 		Name:        file.Name,
 		Listen:      file.Listen,
-		Admin:       file.Admin,
+		AdminAddr:   file.Admin,
 		adminInFile: file.Admin,
 		Cores:       limits.Cores,
 		MemoryMB:    cmp.Or(limits.MemoryMB, defaultMemoryMB),
--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -141,7 +141,7 @@
 	if err != nil {
 		return err
 	}
-	platform.Discovery = discoveryAddress
+	platform.DiscoveryAddr = discoveryAddress
 	if st.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
 		return err
 	}
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -58,7 +58,7 @@
 	if sockets := r.config.Sockets; sockets > 0 {
 		limits.lineSlots = max(1, sockets*slotEighths/8)
 		reserved := reservedDescriptors
-		if r.config.Admin != "" {
+		if r.config.AdminAddr != "" {
 			reserved += admin.MaxConnections + 1 // and the one that finds all taken
 		}
 		if r.operator.Console.Socket != "" {
@@ -128,7 +128,7 @@
 	l := r.inheritedListener(name, address)
 	var err error
 	if l == nil {
-		l, err = listener.Listen(address, r.config.Admin != "") // who asks there whether it is ready may replace it under load
+		l, err = listener.Listen(address, r.config.AdminAddr != "") // who asks there whether it is ready may replace it under load
 	}
 	if err != nil {
 		r.closeListeners()
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -43,7 +43,7 @@
 // $TMPDIR, which they have in common. Only a relay with a second address, by which its readiness is known, can be replaced.
 func (r *relay) connectPredecessor() {
 	path := ""
-	if r.config.Admin != "" {
+	if r.config.AdminAddr != "" {
 		path = hotrestart.SocketPath(os.Getenv("TMPDIR"), r.config.Name, r.config.Listen)
 	}
 	if path == "" {
@@ -94,7 +94,7 @@
 	if r.prober != nil {
 		return
 	}
-	if err := r.watcher.Seed(r.config.Known); err != nil {
+	if err := r.watcher.Seed(r.config.InitialList); err != nil {
 		r.log.Warn("configured endpoint list unusable", "error", err)
 	}
 }
@@ -119,7 +119,7 @@
 // resumeSavedList goes on with the saved list, and reports whether it does. Revisions of two agents can't be compared: the
 // platform's list is the newer one then.
 func (r *relay) resumeSavedList(saved savedSnapshot) bool {
-	if r.prober != nil || saved.Agent != r.config.Discovery || saved.List.Revision < r.config.Known.Revision {
+	if r.prober != nil || saved.Agent != r.config.DiscoveryAddr || saved.List.Revision < r.config.InitialList.Revision {
 		return false
 	}
 	if err := r.watcher.Resume(saved.List, saved.Agent); err != nil {
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -79,8 +79,8 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := config.ReadConfig(file); err != nil || len(c.Known.Members) != n {
-			t.Errorf("%d servers: %d are read, %v", n, len(c.Known.Members), err)
+		if c, err := config.ReadConfig(file); err != nil || len(c.InitialList.Members) != n {
+			t.Errorf("%d servers: %d are read, %v", n, len(c.InitialList.Members), err)
 		}
 	}
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -96,8 +96,8 @@
 		}
 		inForce = next.Text()
 		r.proxy.UpdateSettings(&next.Settings)
-		r.watcher.SetAddress(next.Discovery)
-		r.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
+		r.watcher.SetAddress(next.DiscoveryAddr)
+		r.log.Info("configuration reloaded", "discovery", next.DiscoveryAddr, "classes", len(next.Settings.Classes), "attempts", next.Settings.MaxAttempts)
 		return changes, nil
 	}
 }
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -123,7 +123,7 @@
 	}
 	taken := listen(t).Addr().String()
 	c, err := config.ParseConfig([]byte(strings.Replace(text, "nowhere", taken, 1)))
-	if err != nil || c.Admin != taken {
+	if err != nil || c.AdminAddr != taken {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if err := Run(t.Context(), RunOptions{}, c, &config.Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	k := proxy.New(c.Settings, 1, proxy.NewClock())
-	r := &relay{options: RunOptions{ConfigPath: file}, config: c, proxy: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: k, Address: c.Discovery, Zones: c.Zones}}
+	r := &relay{options: RunOptions{ConfigPath: file}, config: c, proxy: k, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: k, Address: c.DiscoveryAddr, Zones: c.Zones}}
 	reload := r.platformReloader()
 	for _, next := range []struct {
 		localities string
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -121,7 +121,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Admin = admin
+	c.AdminAddr = admin
 	ctx, cancel := context.WithCancel(context.Background())
 	end := make(chan error, 1)
 	over := make(chan struct{})
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -105,10 +105,10 @@
 
 // listenAdmin opens the second address, where there is one. Its error names the key.
 func (r *relay) listenAdmin() error {
-	if r.config.Admin == "" {
+	if r.config.AdminAddr == "" {
 		return nil
 	}
-	l, err := net.Listen("tcp", r.config.Admin)
+	l, err := net.Listen("tcp", r.config.AdminAddr)
 	if err != nil {
 		return fmt.Errorf("admin_addr: %w", err)
 	}
@@ -127,9 +127,9 @@
 func (r *relay) createWatcher() {
 	r.watcher = &discovery.Watcher{
 		Proxy:      r.proxy,
-		Address:    r.config.Discovery,
+		Address:    r.config.DiscoveryAddr,
 		Zones:      r.config.Zones,
-		RetainList: r.config.Admin != "" || r.operator.Store.Dir != "",
+		RetainList: r.config.AdminAddr != "" || r.operator.Store.Dir != "",
 	}
 	r.listSynced = r.watcher.Synced()
 }
