--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -33,10 +33,10 @@
 	EndpointPort int    `toml:"server_port"` // where endpoints speak AMQP; 0: as discovery says
 	MaxLinks     int    `toml:"links"`       // at a time; 0: as many as the limits leave
 
-	// Shared is how many requests share one connection to an endpoint at the most; 0: each has one of its own. A higher number
+	// MaxSessionsPerConn is how many requests share one connection to an endpoint at the most; 0: each has one of its own. A higher number
 	// saves descriptors and set-ups; the end of a connection is that of all requests on it.
-	Shared     int      `toml:"shared"`
-	SharedIdle duration `toml:"shared_idle"` // such a connection without a request is closed after this; empty: 10 s
+	MaxSessionsPerConn int      `toml:"shared"`
+	SharedIdleTimeout  duration `toml:"shared_idle"` // such a connection without a request is closed after this; empty: 10 s
 
 	TLS struct {
 		Cert     string `toml:"cert"`      // PEM files of the frontend's certificate and its key; empty: no TLS
@@ -71,7 +71,7 @@
 
 // PoolSettings returns how requests share connections to endpoints.
 func (a *AMQP) PoolSettings() connpool.Settings {
-	return connpool.Settings{MaxSessions: a.Shared, IdleTimeout: time.Duration(cmp.Or(a.SharedIdle, defaultSharedIdle))}
+	return connpool.Settings{MaxSessions: a.MaxSessionsPerConn, IdleTimeout: time.Duration(cmp.Or(a.SharedIdleTimeout, defaultSharedIdle))}
 }
 
 // AuthSettings returns how clients of the frontend are authenticated and authorized.
@@ -80,8 +80,8 @@
 		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, PlainWithoutTLS: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
-// UpstreamSettings returns how connections to endpoints are secured.
-func (a *AMQP) UpstreamSettings() auth.Upstream {
+// EndpointTLSSettings returns how connections to endpoints are secured.
+func (a *AMQP) EndpointTLSSettings() auth.Upstream {
 	return auth.Upstream{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
 }
 
@@ -199,11 +199,11 @@
 	if n := a.MaxLinks; n < 0 {
 		v.add("amqp.links", "%d is negative", n)
 	}
-	if n := a.Shared; n < 0 || n > maxSharedSessions {
+	if n := a.MaxSessionsPerConn; n < 0 || n > maxSharedSessions {
 		v.add("amqp.shared", "%d is not within 0 and %d", n, maxSharedSessions)
 	}
 	_, authErr := auth.New(a.AuthSettings())
-	_, tlsErr := auth.NewEndpointTLS(a.UpstreamSettings())
+	_, tlsErr := auth.NewEndpointTLS(a.EndpointTLSSettings())
 	for _, err := range []error{authErr, tlsErr} {
 		if keyError := (auth.KeyError{}); errors.As(err, &keyError) {
 			v.add("amqp."+keyError.Key, "%v", keyError)
--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -146,7 +146,7 @@
 		return err
 	}
 	st.socket = filepath.Join(st.directory, "console")
-	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, Shared: st.Shared}}
+	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, MaxSessionsPerConn: st.Shared}}
 	ctx, st.cancel = context.WithCancel(ctx)
 	st.ended = make(chan error, 1)
 	go func() {
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -116,7 +116,7 @@
 	if r.credentials.authenticator, err = auth.New(settings.AuthSettings()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
-	if r.credentials.endpointTLS, err = auth.NewEndpointTLS(settings.UpstreamSettings()); err != nil {
+	if r.credentials.endpointTLS, err = auth.NewEndpointTLS(settings.EndpointTLSSettings()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
 	front.Authenticator, front.EndpointTLS = r.credentials.authenticator, r.credentials.endpointTLS
