--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestParseConfig(t *testing.T) {
-	c, err := ParseConfig([]byte(configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")))
+	c, err := ParseConfig([]byte(configtest.PlatformConfig("127.0.0.1:3000", "127.0.0.1:8500", "x")))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,8 +23,8 @@
 		c.Zones[1] != "b" || c.InitialList.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
 		t.Errorf("read as %+v", c)
 	}
-	for _, text := range []string{"", "{}", strings.Replace(configtest.Text("", "d:1", "x"), `"name":"n3",`, "", 1),
-		strings.Replace(configtest.Text("l:1", "d:1", "x"), "8c1f", "zz", 1), strings.Replace(configtest.Text("l:1", "d:1", "x"), "TryLimit", "Odd", 1)} {
+	for _, text := range []string{"", "{}", strings.Replace(configtest.PlatformConfig("", "d:1", "x"), `"name":"n3",`, "", 1),
+		strings.Replace(configtest.PlatformConfig("l:1", "d:1", "x"), "8c1f", "zz", 1), strings.Replace(configtest.PlatformConfig("l:1", "d:1", "x"), "TryLimit", "Odd", 1)} {
 		if c, err := ParseConfig([]byte(text)); err == nil {
 			t.Errorf("%q was read as %+v", text, c)
 		}
@@ -78,7 +78,7 @@
 
 // All that is wrong with a configuration is reported at once, with line and key.
 func TestCheckReportsAllProblems(t *testing.T) {
-	good := configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")
+	good := configtest.PlatformConfig("127.0.0.1:3000", "127.0.0.1:8500", "x")
 	path := filepath.Join(t.TempDir(), "config.json")
 	check := func(text string) string {
 		t.Helper()
--- a/internal/config/configtest/configtest.go
+++ b/internal/config/configtest/configtest.go
@@ -9,8 +9,8 @@
 	"Guarantees": {"ColdUs": 23000000, "FallUs": 3000000, "StartCapacity": 0.12, "TipMultiple": 3.0},
 	"Limits": {"ConnectTimeoutUs": 500000, "MaxRetryAfterUs": 2000000, "RetryAfter": false, "TryLimit": 5}}`
 
-// Text returns a configuration with these addresses: of the line front, of discovery and of the server in the list.
-func Text(listen, discovery, server string) string {
+// PlatformConfig returns a configuration with these addresses: of the line front, of discovery and of the server in the list.
+func PlatformConfig(listen, discovery, server string) string {
 	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
 		"known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":%q,"locality":"a","flavor":"m","cell":1,
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -19,13 +19,13 @@
 // Site is all that a small site has in one file: a relay's configuration, its endpoints, and the operator's settings. It
 // needs no platform and no discovery agent.
 type Site struct {
-	Config    *Config
-	Operator  *Operator
-	Endpoints []prober.Endpoint
-	Health    healthcheck.Settings
-	Ping      bool           // endpoints are probed with PING, not by a connection alone
-	Quota     quota.Settings // without Fair, which QuotaSettings sets
-	FairShare bool           // admission slots that run short are shared out among client addresses
+	Config        *Config
+	Operator      *Operator
+	Endpoints     []prober.Endpoint
+	Health        healthcheck.Settings
+	ProbeWithPing bool           // endpoints are probed with PING, not by a connection alone
+	Quota         quota.Settings // without Fair, which QuotaSettings sets
+	FairShare     bool           // admission slots that run short are shared out among client addresses
 
 	values map[string]string // every key of the file with its value, for the difference to another
 }
@@ -125,7 +125,7 @@
 	site.Endpoints = v.siteEndpoints(&file, site.Config)
 	site.Config.Settings = v.siteSettings(&file)
 	site.Health = v.siteHealth(&file)
-	site.Ping = v.sitePing(&file)
+	site.ProbeWithPing = v.sitePing(&file)
 	site.Quota, site.FairShare = v.siteQuota(&file), file.Limits.Fair
 	if err := v.problems.errOrNil(); err != nil {
 		return nil, err
--- a/internal/logging/requests.go
+++ b/internal/logging/requests.go
@@ -16,9 +16,9 @@
 // frontend, name, class and last endpoint, and the reason of the last decision. The proxy
 // calls it from the goroutines that serve requests.
 type RequestObserver struct {
-	Log   *slog.Logger
-	Clock proxy.Clock
-	Name  func(balancer.EndpointID) string // returns an endpoint's name; any goroutine calls it
+	Log          *slog.Logger
+	Clock        proxy.Clock
+	EndpointName func(balancer.EndpointID) string // returns an endpoint's name; any goroutine calls it
 }
 
 // RequestStarted returns the observer of one request.
@@ -60,7 +60,7 @@
 func (r *requestLogger) log(level slog.Level, message string, more ...any) {
 	endpoint := "-"
 	if r.attempted.Load() {
-		endpoint = r.Name(balancer.EndpointID(r.lastEndpoint.Load()))
+		endpoint = r.EndpointName(balancer.EndpointID(r.lastEndpoint.Load()))
 	}
 	attributes := append([]any{"number", r.number, "front", r.front, "name", r.requestName, "class", r.class, "server", endpoint}, more...)
 	if r.tenant != "" {
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -70,7 +70,7 @@
 func TestManyServersInTheFirstConfiguration(t *testing.T) {
 	for _, n := range endpointCounts {
 		var fields map[string]any
-		if err := json.Unmarshal([]byte(configtest.Text("127.0.0.1:3000", "127.0.0.1:8500", "x")), &fields); err != nil {
+		if err := json.Unmarshal([]byte(configtest.PlatformConfig("127.0.0.1:3000", "127.0.0.1:8500", "x")), &fields); err != nil {
 			t.Fatal(err)
 		}
 		fields["known"] = listOf(n)
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -54,7 +54,7 @@
 // Each of these files is rejected, counted, and logged with its key.
 func TestRejectedReloadChangesNothing(t *testing.T) {
 	agent := listen(t)
-	good := configtest.Text("127.0.0.1:0", agent.Addr().String(), "x")
+	good := configtest.PlatformConfig("127.0.0.1:0", agent.Addr().String(), "x")
 	added := strings.Replace(good, `[{"AimUs"`, `[{"Name": "extra", "AimUs": 900000, "DeadlineUs": 2000000, "Semantics": "at_most_once"}, {"AimUs"`, 1)
 	with := func(old, replacement string) string {
 		if !strings.Contains(added, old) {
@@ -117,7 +117,7 @@
 
 // A second address that is malformed or taken ends the start, and the error names the key.
 func TestSecondAddressIsChecked(t *testing.T) {
-	text := strings.Replace(configtest.Text("127.0.0.1:0", "127.0.0.1:1", "x"), `"name"`, `"admin_addr": "nowhere", "name"`, 1)
+	text := strings.Replace(configtest.PlatformConfig("127.0.0.1:0", "127.0.0.1:1", "x"), `"name"`, `"admin_addr": "nowhere", "name"`, 1)
 	if _, err := config.ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), `:1: admin_addr: "nowhere" is no host:port`) {
 		t.Errorf("malformed: %v", err)
 	}
@@ -138,7 +138,7 @@
 	admin := freeAddress(t)
 	address, done := startRelayWithAdmin(t, admin, RunOptions{Reload: reload, ConfigPath: file}, agent, &config.Operator{}, io.Discard)
 	stays := openRequest(t, address)
-	text := configtest.Text("127.0.0.1:0", agent.Addr().String(), "x")
+	text := configtest.PlatformConfig("127.0.0.1:0", agent.Addr().String(), "x")
 	for i := range 3 {
 		class := fmt.Sprintf("class-%d", i)
 		writeFile(t, file, strings.Replace(text, `"page"`, `"`+class+`"`, 1))
@@ -169,7 +169,7 @@
 // A configuration that names the localities in another order moves no endpoint to another zone, and the relay stays in its own.
 func TestLocalitiesMayComeInAnotherOrder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	good := configtest.Text("127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1")
+	good := configtest.PlatformConfig("127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1")
 	c, err := config.ParseConfig([]byte(good))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -111,7 +111,7 @@
 // startRelayWithEndpoint is the same, with an endpoint of the test's own.
 func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startRelayWithConfig(t, configtest.Text("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
+	return startRelayWithConfig(t, configtest.PlatformConfig("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
 }
 
 // startRelayWithConfig is the same, with a configuration of the test's own.
@@ -168,7 +168,7 @@
 // one of lines that has sent nothing is rejected.
 func TestIdleClientsAreToldOfTheEndThoughItComesSoon(t *testing.T) {
 	drain := make(chan struct{})
-	text := strings.Replace(configtest.Text("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
+	text := strings.Replace(configtest.PlatformConfig("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
 	free := listen(t)
 	free.Close()
 	address, done := startRelayWithConfig(t, text, "", RunOptions{Shutdown: drain}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
@@ -365,8 +365,8 @@
 	}
 	for _, next := range agents[1:] {
 		unreadable("{half a fi")
-		unreadable(configtest.Text("127.0.0.1:0", "no address", "x"))
-		replace(configtest.Text("127.0.0.1:0", next.Addr().String(), "x"))
+		unreadable(configtest.PlatformConfig("127.0.0.1:0", "no address", "x"))
+		replace(configtest.PlatformConfig("127.0.0.1:0", next.Addr().String(), "x"))
 		if _, err := io.Copy(io.Discard, old); err != nil {
 			t.Errorf("the watch at the old address ended with %v", err)
 		}
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	if site := r.options.Site; site != nil {
-		r.prober = prober.New(r.proxy, site.Health, site.Endpoints, site.Ping)
+		r.prober = prober.New(r.proxy, site.Health, site.Endpoints, site.ProbeWithPing)
 		r.proxy.Observe(r.prober)
 	}
 	return nil
@@ -99,7 +99,7 @@
 			r.proxy.Observe(r.persistence.archive)
 		}
 	}
-	r.proxy.Observe(&logging.RequestObserver{Log: r.log, Clock: r.proxy.Clock, Name: r.proxy.Endpoints.Name})
+	r.proxy.Observe(&logging.RequestObserver{Log: r.log, Clock: r.proxy.Clock, EndpointName: r.proxy.Endpoints.Name})
 	return nil
 }
 
