--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -16,7 +16,7 @@
 func TestRestartFromTheConsole(t *testing.T) {
 	t.Parallel()
 	cluster, relay, socket, env := newLoadedClusterWithStore(t)
-	runConsole(t, socket, "restart", "nobody would start the relay again")
+	runConsole(t, socket, "restart", "no supervisor would start the relay again")
 	relay.requireRunning()
 	relay.shutDown()
 	relay = cluster.startProcess(env, "LOCKROAD_SUPERVISED=1")
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -11,18 +11,18 @@
 	"lockroad/internal/store"
 )
 
-// maxPendingExplanations bounds the requests whose explanations are still to be made.
+// maxPendingExplanations bounds the queue of requests whose explanations are to be saved.
 const maxPendingExplanations = 512
 
-// archive saves explanations of requests that have ended, which outlast the decision log and a restart. They are made by a
-// goroutine of its own: nothing that a request does waits for their text or the disk.
+// archive saves explanations of ended requests, so that they outlive the decision log and a restart. A separate goroutine
+// builds and saves them, so that requests wait for neither.
 //
-// It is a request observer of the proxy, and the explainer's archive.
+// It is an observer of the proxy and the archive of the explainer.
 type archive struct {
 	persistence *persistentState
 	explainer   *explain.Explainer
-	pending     chan uint64   // numbers of requests
-	dropped     atomic.Uint64 // that found no room in pending
+	pending     chan uint64   // numbers of the requests to save
+	dropped     atomic.Uint64 // requests dropped because pending was full
 	done        chan struct{} // closed once run has returned
 }
 
@@ -30,7 +30,7 @@
 	return &archive{persistence: p, pending: make(chan uint64, maxPendingExplanations), done: make(chan struct{})}
 }
 
-// run makes and saves explanations until pending is closed.
+// run saves explanations until pending is closed.
 func (a *archive) run() {
 	defer close(a.done)
 	for number := range a.pending {
@@ -38,7 +38,7 @@
 	}
 }
 
-// stop makes run save those that wait and return, and waits for it. Nothing may be enqueued from then on.
+// stop waits until run has saved all queued explanations. enqueue must not be called afterwards.
 func (a *archive) stop() {
 	close(a.pending)
 	<-a.done
@@ -47,7 +47,7 @@
 	}
 }
 
-// enqueue queues a request whose explanation is to be saved, or counts it as dropped. It never waits.
+// enqueue queues a request for saving, or drops it and counts it if the queue is full. It never blocks.
 func (a *archive) enqueue(number uint64) {
 	select {
 	case a.pending <- number:
@@ -67,17 +67,17 @@
 	a.table().Put(key, *explanation)
 }
 
-// Each calls do with each explanation that is saved, the youngest first, until it returns false.
-func (a *archive) Each(do func(*explain.Explanation) bool) error {
-	return a.table().Each(true, func(_ string, _ time.Time, explanation explain.Explanation) bool { return do(&explanation) })
+// Each calls visit with each saved explanation, newest first, until visit returns false.
+func (a *archive) Each(visit func(*explain.Explanation) bool) error {
+	return a.table().Each(true, func(_ string, _ time.Time, explanation explain.Explanation) bool { return visit(&explanation) })
 }
 
-// RequestStarted returns an observer that enqueues a request once it has ended.
+// RequestStarted returns an observer that enqueues the request when it ends.
 func (a *archive) RequestStarted(number uint64, _ proxy.Request) proxy.RequestObserver {
 	return archivedRequest{archive: a, number: number}
 }
 
-// archivedRequest is a request whose explanation may be saved. Only its end matters.
+// archivedRequest observes one request and enqueues it when it ends. It ignores all other events.
 type archivedRequest struct {
 	*archive
 	number uint64
@@ -93,7 +93,7 @@
 
 func (r archivedRequest) Ended(proxy.Result) { r.enqueue(r.number) }
 
-// Pinned queues the explanation of a request that was pinned, as far as the request has come.
+// Pinned enqueues a request that was pinned. Its explanation covers the request's decisions so far.
 func (p *persistentState) Pinned(number uint64) {
 	if p.archive != nil {
 		p.archive.enqueue(number)
--- a/internal/server/credentials.go
+++ b/internal/server/credentials.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	expiryWarningPeriod = 30 * 24 * time.Hour // a certificate that expires within this is warned of,
-	expiryCheckInterval = 12 * time.Hour      // so often
+	expiryWarningPeriod = 30 * 24 * time.Hour // before a certificate's expiry, in which warnings are logged
+	expiryCheckInterval = 12 * time.Hour
 )
 
-// credentials are the files that say who peers are. Both are nil without the AMQP frontend; their methods allow that.
+// credentials holds the AMQP frontend's credentials, which are loaded from files. Both fields are nil if that frontend is off;
+// their methods accept a nil receiver.
 type credentials struct {
-	authenticator *auth.Authenticator // of clients
+	authenticator *auth.Authenticator // authenticates clients
 	endpointTLS   *auth.EndpointTLS
 }
 
-// reload reads all files anew. Connections that are established go on with what they began under.
+// reload rereads all credential files. Established connections keep their credentials. After an error it logs the error.
 func (c *credentials) reload(log *slog.Logger) {
 	if err := errors.Join(c.authenticator.Reload(), c.endpointTLS.Reload()); err != nil {
 		log.Error("credentials reload rejected", "error", err)
@@ -29,7 +30,7 @@
 	c.reportExpiry(log, time.Now())
 }
 
-// reportExpiry logs that a certificate expires soon, or has.
+// reportExpiry logs a warning if the AMQP certificate expires soon, or an error if it has expired.
 func (c *credentials) reportExpiry(log *slog.Logger, now time.Time) {
 	expires, ok := c.authenticator.Expires()
 	left := expires.Sub(now)
@@ -42,7 +43,7 @@
 	}
 }
 
-// watchExpiry reports it at the start and every expiryCheckInterval, until ctx ends.
+// watchExpiry calls reportExpiry at the start and every expiryCheckInterval until ctx is cancelled.
 func (c *credentials) watchExpiry(ctx context.Context, log *slog.Logger) error {
 	if _, ok := c.authenticator.Expires(); !ok {
 		return nil
--- a/internal/server/draindirectives.go
+++ b/internal/server/draindirectives.go
@@ -11,40 +11,41 @@
 	"lockroad/internal/store"
 )
 
-// directiveCommitTimeout is how long a console waits for the disk.
+// directiveCommitTimeout is how long a console command waits for a change to be committed to the store.
 const directiveCommitTimeout = 3 * time.Second
 
-// directiveTable has the drain directives that are saved, by endpoint. p.mu is held, or the services don't run yet.
+// directiveTable returns the stored drain directives, by endpoint name. The caller holds p.mu, unless the services don't run
+// yet.
 func (p *persistentState) directiveTable() *store.Table[persistence.DrainDirective] {
 	return &store.Table[persistence.DrainDirective]{Store: p.store, Kind: persistence.KindDrainDirectives, Version: 1}
 }
 
-// restoreDirectives puts the directives in force that were saved, and those of the predecessor.
+// restoreDirectives applies the stored directives and those of the predecessor.
 func (p *persistentState) restoreDirectives(inherited []persistence.DrainDirective) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.applyDirectives(append(p.readDirectives(), inherited...))
 }
 
-// readDirectives returns the directives that are saved, as far as they can be read.
+// readDirectives returns the stored directives. It logs an error and returns those read before it.
 func (p *persistentState) readDirectives() (all []persistence.DrainDirective) {
 	err := p.directiveTable().Each(false, func(_ string, _ time.Time, directive persistence.DrainDirective) bool {
 		all = append(all, directive)
 		return true
 	})
 	if err != nil {
-		p.relay.log.Error("stored drain directive unreadable", "error", err)
+		p.relay.log.Error("read stored drain directives failed", "error", err)
 	}
 	return all
 }
 
-// reconcileDirectives goes by the store that the predecessor has let go of: it took directives and withdrew some after it had
-// handed over those in force.
+// reconcileDirectives replaces the directives handed over by the predecessor with those in the store, once the predecessor
+// has released it: the predecessor may have added or withdrawn directives after the handover.
 func (p *persistentState) reconcileDirectives() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.store == nil {
-		return // what was handed over is all there is to go by
+		return // keep the directives that were handed over
 	}
 	saved := p.readDirectives()
 	for endpoint := range p.directives {
@@ -56,7 +57,8 @@
 	p.applyDirectives(saved)
 }
 
-// applyDirectives puts directives in force that are not yet, and have not expired. p.mu is held.
+// applyDirectives applies the directives that have not expired, except for endpoints that already have one. The caller holds
+// p.mu.
 func (p *persistentState) applyDirectives(all []persistence.DrainDirective) {
 	for _, directive := range all {
 		if _, inForce := p.directives[directive.Endpoint]; inForce || directive.Expired(time.Now()) {
@@ -68,38 +70,39 @@
 	}
 }
 
-// Drain makes an endpoint drain at once. kept says why the directive does not outlast a restart; was is the one that it
-// replaces. err says why there is no directive: the endpoint is not listed.
-func (p *persistentState) Drain(ctx context.Context, directive persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error) {
+// Drain sets a drain directive, which takes effect immediately, and returns the one that it replaces, if any. storeErr is set
+// if the directive could not be stored and won't survive a restart. err is set if the endpoint is not in the endpoint list; no
+// directive is set then.
+func (p *persistentState) Drain(ctx context.Context, directive persistence.DrainDirective) (previous *persistence.DrainDirective, storeErr, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, known := p.proxy.Endpoints.Lookup(directive.Endpoint); !known {
-		return nil, nil, fmt.Errorf("no server %q is listed; farm names them", directive.Endpoint)
+		return nil, nil, fmt.Errorf("server %q is not in the endpoint list; the farm command shows the servers", directive.Endpoint)
 	}
 	if old, inForce := p.directives[directive.Endpoint]; inForce {
-		was = &old
+		previous = &old
 	}
 	p.directives[directive.Endpoint] = directive
-	p.proxy.SetDrain(directive.Endpoint, true) // at once, whatever the disk does
+	p.proxy.SetDrain(directive.Endpoint, true) // takes effect before the commit, and even if it fails
 	p.relay.log.Warn("drain directive set", "server", directive.Endpoint, "who", directive.By, "until", directive.Until, "why", directive.Reason)
-	kept = p.commit(ctx, func(ctx context.Context) error { return p.directiveTable().Commit(ctx, directive.Endpoint, directive) })
-	return was, kept, nil
+	storeErr = p.commit(ctx, func(ctx context.Context) error { return p.directiveTable().Commit(ctx, directive.Endpoint, directive) })
+	return previous, storeErr, nil
 }
 
-// Undrain withdraws a directive, and returns it. kept says why it will be in force again after a restart; err says that there
-// is none.
-func (p *persistentState) Undrain(ctx context.Context, endpoint, by string) (was persistence.DrainDirective, kept, err error) {
+// Undrain withdraws a directive and returns it. storeErr is set if the removal could not be stored, so that the directive will
+// be in force again after a restart. err is set if the endpoint has no directive.
+func (p *persistentState) Undrain(ctx context.Context, endpoint, by string) (withdrawn persistence.DrainDirective, storeErr, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	was, inForce := p.directives[endpoint]
+	withdrawn, inForce := p.directives[endpoint]
 	if !inForce {
-		return was, nil, fmt.Errorf("no order has %q drain; orders lists those in force", endpoint)
+		return withdrawn, nil, fmt.Errorf("server %q has no drain order; the orders command lists those in force", endpoint)
 	}
 	p.relay.log.Warn("drain directive withdrawn", "server", endpoint, "who", by)
-	return was, p.removeDirective(ctx, endpoint), nil
+	return withdrawn, p.removeDirective(ctx, endpoint), nil
 }
 
-// DrainDirectives returns those in force, by endpoint.
+// DrainDirectives returns the directives in force, sorted by endpoint name.
 func (p *persistentState) DrainDirectives() []persistence.DrainDirective {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -111,7 +114,7 @@
 	return all
 }
 
-// expireDirectives removes those that have expired.
+// expireDirectives removes expired directives.
 func (p *persistentState) expireDirectives(ctx context.Context, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -121,19 +124,20 @@
 		}
 		p.relay.log.Info("drain directive expired", "server", endpoint, "who", directive.By)
 		if err := p.removeDirective(ctx, endpoint); err != nil && p.store != nil {
-			p.relay.log.Error("expired drain directive not removed from store", "server", endpoint, "error", err)
+			p.relay.log.Error("remove expired drain directive from store failed", "server", endpoint, "error", err)
 		}
 	}
 }
 
-// removeDirective removes a directive, at once here and then on disk. p.mu is held.
-func (p *persistentState) removeDirective(ctx context.Context, endpoint string) (kept error) {
+// removeDirective ends an endpoint's drain immediately and then removes its directive from the store. The error is that of the
+// store. The caller holds p.mu.
+func (p *persistentState) removeDirective(ctx context.Context, endpoint string) (storeErr error) {
 	delete(p.directives, endpoint)
 	p.proxy.SetDrain(endpoint, false)
 	return p.commit(ctx, func(ctx context.Context) error { return p.directiveTable().Remove(ctx, endpoint) })
 }
 
-// commit makes a change to the store, where there is one, and waits directiveCommitTimeout at the most. p.mu is held.
+// commit makes a change to the store and waits at most directiveCommitTimeout for it. The caller holds p.mu.
 func (p *persistentState) commit(ctx context.Context, change func(context.Context) error) error {
 	if p.store == nil {
 		return p.storeErr
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -18,23 +18,24 @@
 )
 
 const (
-	// Where the configuration sets no limit of sockets.
+	// Defaults if the configuration doesn't limit file descriptors.
 	defaultSlots   = 4096
 	defaultMaxIdle = 1024
 
-	// slotEighths is how many eighths of the descriptors are admission slots, each of which takes two: the client's and the
-	// endpoint's.
+	// slotEighths is how many eighths of the file descriptors set the number of admission slots. A slot uses two descriptors,
+	// one for the client and one for the endpoint.
 	slotEighths = 3
-	// reservedDescriptors are for all but clients. What then is left is for idle connections, which have no request yet.
+	// reservedDescriptors is the number of descriptors for uses other than clients and endpoints. The remaining descriptors are
+	// for idle connections, which have no request yet.
 	reservedDescriptors = 24
 )
 
-// firstListTimeout is how long the first list is waited for before clients are admitted: an agent that is up answers at once.
-// Those who come meanwhile wait in the listeners' queues. It is a variable for tests alone.
+// firstListTimeout is how long to wait for the first endpoint list before admitting clients; a running discovery agent answers
+// immediately. Until then, connections wait in the accept queues. It is a variable so that tests can change it.
 var firstListTimeout = 300 * time.Millisecond
 
-// frontend is the server of one client protocol. Serve returns once ctx has ended or the listener is closed, and all clients
-// that it has admitted are gone.
+// frontend is the server of one client protocol. Serve returns once ctx is cancelled or the listener is closed, and all
+// admitted clients have left.
 type frontend interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
@@ -46,20 +47,20 @@
 	*listener.Listener
 }
 
-// frontendLimits are how many clients the frontends admit at a time.
+// frontendLimits limits the concurrent requests and idle connections of the frontends.
 type frontendLimits struct {
-	lineSlots, amqpSlots int // requests under way; amqpSlots is 0 where that frontend is off
-	maxIdle              int // connections without a request, of each frontend
+	lineSlots, amqpSlots int // concurrent requests; amqpSlots is 0 if the AMQP frontend is off
+	maxIdle              int // connections without a request, for each frontend
 }
 
-// frontendLimits divides the descriptors that the configuration allows the process.
+// frontendLimits divides the configured number of file descriptors among the frontends.
 func (r *relay) frontendLimits() frontendLimits {
 	limits := frontendLimits{lineSlots: defaultSlots, maxIdle: defaultMaxIdle}
 	if sockets := r.config.Sockets; sockets > 0 {
 		limits.lineSlots = max(1, sockets*slotEighths/8)
 		reserved := reservedDescriptors
 		if r.config.AdminAddr != "" {
-			reserved += admin.MaxConnections + 1 // and the one that finds all taken
+			reserved += admin.MaxConnections + 1 // one more connection is open while the oldest is evicted
 		}
 		if r.operator.Console.Socket != "" {
 			reserved += console.MaxSessions
@@ -77,8 +78,8 @@
 	return limits
 }
 
-// openFrontends opens the frontends' listeners, or takes over those of the predecessor. Clients are admitted only once the
-// services run. After an error Run gives the relay up.
+// openFrontends creates the frontends and opens their listeners or takes over those of the predecessor. Clients are admitted
+// only once the services run. An error aborts the start.
 func (r *relay) openFrontends() error {
 	limits := r.frontendLimits()
 	r.slots = limits.lineSlots + limits.amqpSlots
@@ -123,32 +124,33 @@
 	return r.bindFrontend("amqp", settings.Listen, front)
 }
 
-// bindFrontend gives a frontend its listener: that of the predecessor, if it offers one of this name and address, or a new one.
+// bindFrontend registers a frontend with a listener: the one that the predecessor offers for this name and address, or a new
+// one.
 func (r *relay) bindFrontend(name, address string, f frontend) error {
 	l := r.inheritedListener(name, address)
 	var err error
 	if l == nil {
-		l, err = listener.Listen(address, r.config.AdminAddr != "") // who asks there whether it is ready may replace it under load
+		l, err = listener.Listen(address, r.config.AdminAddr != "") // in a hot restart both processes listen at the address
 	}
 	if err != nil {
 		r.closeListeners()
-		return fmt.Errorf("front %s: %w", name, err)
+		return fmt.Errorf("open %s frontend: %w", name, err)
 	}
 	r.frontends = append(r.frontends, boundFrontend{console.Frontend{Name: name, Listen: l.Addr().String()}, f, l})
 	return nil
 }
 
-// closeListeners stops the admission of clients. It may be called more than once, by any goroutine.
+// closeListeners stops admitting clients. It is safe for concurrent and repeated use.
 func (r *relay) closeListeners() {
 	for _, f := range r.frontends {
 		f.Shutdown()
 	}
 }
 
-// serveFrontends runs the frontends. Once all clients of all frontends have been seen through, it ends the relay.
-func (r *relay) serveFrontends(ctx context.Context, end context.CancelFunc) error {
-	defer end()
-	if r.prober == nil && r.asSuccessor == nil { // what was known before the start is older than what counts as notified
+// serveFrontends runs the frontends. When all clients of all frontends have left, it stops the other services by calling cancel.
+func (r *relay) serveFrontends(ctx context.Context, cancel context.CancelFunc) error {
+	defer cancel()
+	if r.prober == nil && r.asSuccessor == nil { // the configured or saved list may be outdated, so wait for discovery's
 		select {
 		case <-r.listSynced:
 		case <-ctx.Done():
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -20,27 +20,28 @@
 	"lockroad/internal/registry"
 )
 
-// In a hot restart a relay of a new version, the successor, takes over from the process that runs, the predecessor. What each
-// may do meanwhile is decided by package hotrestart; here is what is handed over. A process is the successor in its start, and
-// the predecessor from then on.
+// In a hot restart a new process of the relay, the successor, takes over from the running process, the predecessor. Package
+// hotrestart implements the protocol between them; this file has the state that is handed over. A process is the successor
+// while it starts and the predecessor afterwards.
 
-// predecessorExitTimeout is how long a successor waits for the predecessor to let go of its console and its store.
+// predecessorExitTimeout is how long a successor waits for the predecessor to release its console socket and its store.
 const predecessorExitTimeout = 5 * time.Second
 
-// handoffState is what a successor begins with. Two versions of the program exchange it: its JSON keys stay as they are.
+// handoffState is the state that a predecessor sends to its successor. The two may be of different versions, so the JSON keys
+// must not change.
 type handoffState struct {
-	Agent           string                                    `json:"Agent"` // that List is of
+	Agent           string                                    `json:"Agent"` // address of the discovery agent that sent List
 	List            discovery.List                            `json:"List"`
-	Names           map[balancer.EndpointID]string            `json:"Names"` // of the endpoints in Snapshot
+	Names           map[balancer.EndpointID]string            `json:"Names"` // names of the endpoints in Snapshot
 	Snapshot        balancer.Snapshot                         `json:"Memory"`
-	ReportTimings   map[balancer.EndpointID]line.ReportTiming `json:"Beats"`  // of endpoints that report delays
-	OpenRequests    []registry.RequestName                    `json:"Open"`   // under way in the predecessor
-	SlotsInUse      []int                                     `json:"Seats"`  // of each limiter
-	DrainDirectives []persistence.DrainDirective              `json:"Orders"` // in force
+	ReportTimings   map[balancer.EndpointID]line.ReportTiming `json:"Beats"`  // for endpoints that report delays
+	OpenRequests    []registry.RequestName                    `json:"Open"`   // requests in progress in the predecessor
+	SlotsInUse      []int                                     `json:"Seats"`  // by limiter, in the order of relay.limiters
+	DrainDirectives []persistence.DrainDirective              `json:"Orders"` // directives in force
 }
 
-// connectPredecessor finds out whether there is a process to take over from, where one can be: the two meet at a socket in
-// $TMPDIR, which they have in common. Only a relay with a second address, by which its readiness is known, can be replaced.
+// connectPredecessor connects to a running process of the same relay over a Unix socket in $TMPDIR. Hot restart is available
+// only to a relay with an admin address, which reports its readiness.
 func (r *relay) connectPredecessor() {
 	path := ""
 	if r.config.AdminAddr != "" {
@@ -54,7 +55,7 @@
 	successor, err := hotrestart.Connect(path)
 	if err != nil {
 		if _, statErr := os.Stat(path); statErr == nil {
-			r.log.Info("no predecessor to take over from", "error", err)
+			r.log.Info("connect to predecessor failed, starting without takeover", "error", err)
 		}
 		close(r.predecessorGone)
 		return
@@ -69,8 +70,9 @@
 	}
 }
 
-// restore restores the endpoint list and what the balancer has learnt: from the predecessor, or from the saved snapshot, or
-// else the list of the configuration. Drain directives are in force before the first client is placed.
+// restore restores the endpoint list and the balancer's snapshot from the predecessor or else from the saved snapshot. If
+// neither is usable, it applies the endpoint list of the configuration. It also restores drain directives, which have to be
+// in force before the first request is routed.
 func (r *relay) restore(saved savedSnapshot) {
 	r.inherited = &handoffState{}
 	defer func() { r.persistence.restoreDirectives(r.inherited.DrainDirectives) }()
@@ -82,11 +84,11 @@
 		if err == nil {
 			return
 		}
-		r.log.Warn("predecessor state unusable", "error", err)
+		r.log.Warn("state from predecessor rejected", "error", err)
 		*r.inherited = handoffState{}
 	}
 	if saved.usable {
-		defer r.restoreSaved(saved) // once the endpoints are listed
+		defer r.restoreSaved(saved) // runs after the endpoint list has been applied
 		if r.resumeSavedList(saved) {
 			return
 		}
@@ -95,11 +97,11 @@
 		return
 	}
 	if err := r.watcher.Seed(r.config.InitialList); err != nil {
-		r.log.Warn("configured endpoint list unusable", "error", err)
+		r.log.Warn("endpoint list of the configuration rejected", "error", err)
 	}
 }
 
-// restoreInherited restores what the predecessor has offered. After an error it is of no use, and the start goes on without.
+// restoreInherited restores the state offered by the predecessor. After an error the caller discards that state.
 func (r *relay) restoreInherited() error {
 	if err := json.Unmarshal(r.asSuccessor.Offer.State, r.inherited); err != nil {
 		return err
@@ -111,25 +113,25 @@
 	}
 	r.inherited.Snapshot.Renumber(r.localEndpoint)
 	r.proxy.Restore(r.inherited.Snapshot)
-	r.proxy.SetSlowStartShare(0) // the predecessor still spends it
+	r.proxy.SetSlowStartShare(0) // the predecessor still uses the slow-start budget
 	r.proxy.Requests.Reserve(r.inherited.OpenRequests)
 	return nil
 }
 
-// resumeSavedList goes on with the saved list, and reports whether it does. Revisions of two agents can't be compared: the
-// platform's list is the newer one then.
+// resumeSavedList applies the saved endpoint list and reports whether it did. It doesn't if the configuration's list is newer
+// or the saved list is from another discovery agent: revisions of different agents can't be compared.
 func (r *relay) resumeSavedList(saved savedSnapshot) bool {
 	if r.prober != nil || saved.Agent != r.config.DiscoveryAddr || saved.List.Revision < r.config.InitialList.Revision {
 		return false
 	}
 	if err := r.watcher.Resume(saved.List, saved.Agent); err != nil {
-		r.log.Warn("stored endpoint list unusable", "error", err)
+		r.log.Warn("stored endpoint list rejected", "error", err)
 		return false
 	}
 	return true
 }
 
-// restoreSaved restores what the balancer had learnt before a restart.
+// restoreSaved restores the balancer's snapshot that was saved before a restart.
 func (r *relay) restoreSaved(saved savedSnapshot) {
 	r.inherited.Names = saved.Names
 	saved.Balancer.Renumber(r.localEndpoint)
@@ -137,13 +139,13 @@
 	r.log.Info("snapshot restored", "age", saved.age.Round(time.Millisecond), "servers", len(saved.Balancer.Endpoints), "routes", len(saved.Balancer.Routes))
 }
 
-// localEndpoint returns the number in this process of an endpoint that has the number old in the inherited snapshot.
+// localEndpoint maps the endpoint ID old of the inherited snapshot to this process's ID of the same endpoint.
 func (r *relay) localEndpoint(old balancer.EndpointID) (balancer.EndpointID, bool) {
 	return r.proxy.Endpoints.Lookup(r.inherited.Names[old])
 }
 
-// inheritedListener returns the listener of a frontend that the predecessor offers, if it is at the same address. It is paused
-// until the predecessor admits nobody. nil: none is offered.
+// inheritedListener returns the predecessor's listener for a frontend, or nil if the predecessor offers none at this address.
+// The listener is paused until the predecessor has stopped admitting clients.
 func (r *relay) inheritedListener(name, address string) *listener.Listener {
 	if r.asSuccessor == nil {
 		return nil
@@ -162,8 +164,8 @@
 	return l
 }
 
-// closeUnclaimedListeners closes the listeners that were offered and that this process has no frontend for: while they are
-// open, clients connect to them that nobody serves.
+// closeUnclaimedListeners closes the predecessor's listeners that no frontend of this process uses. Left open, they would
+// accept connections that are never served.
 func (r *relay) closeUnclaimedListeners() {
 	if r.asSuccessor == nil {
 		return
@@ -176,8 +178,8 @@
 	}
 }
 
-// takeOver takes the predecessor's place, where there is one, and adopts its connections in a goroutine that ends with ctx or
-// once the predecessor is gone. After an error this process is alone.
+// takeOver takes over from the predecessor, if there is one, and adopts its connections in a goroutine that ends when ctx is
+// cancelled or the predecessor has exited. After an error this process continues without the predecessor.
 func (r *relay) takeOver(ctx context.Context) error {
 	if r.asSuccessor == nil {
 		return nil
@@ -202,23 +204,24 @@
 	r.log.Info("took over from predecessor", "transactions there", len(r.inherited.OpenRequests))
 	go func() {
 		defer r.releasePredecessor()
-		r.asSuccessor.Adopt(ctx, func(what json.RawMessage, sockets []net.Conn) (func(), error) {
-			return r.adoptRequest(ctx, what, sockets)
+		r.asSuccessor.Adopt(ctx, func(payload json.RawMessage, sockets []net.Conn) (func(), error) {
+			return r.adoptRequest(ctx, payload, sockets)
 		})
 	}()
 	return nil
 }
 
-// adoptRequest prepares to carry on an established request of the predecessor. The function that it returns does.
-func (r *relay) adoptRequest(ctx context.Context, what json.RawMessage, sockets []net.Conn) (carry func(), err error) {
+// adoptRequest prepares to continue an established request of the predecessor. The returned function continues it.
+func (r *relay) adoptRequest(ctx context.Context, payload json.RawMessage, sockets []net.Conn) (resume func(), err error) {
 	var request proxy.EstablishedRequest
-	if err := json.Unmarshal(what, &request); err != nil {
+	if err := json.Unmarshal(payload, &request); err != nil {
 		return nil, err
 	}
 	return r.lineFrontend.Adopt(ctx, &request, sockets)
 }
 
-// releasePredecessor gives this process all that the two had in common: the predecessor is gone.
+// releasePredecessor gives this process all admission slots, reserved request names and memory that it shared with the
+// predecessor, and closes predecessorGone.
 func (r *relay) releasePredecessor() {
 	for _, limiter := range r.limiters {
 		limiter.LendSlots(0)
@@ -228,8 +231,9 @@
 	close(r.predecessorGone)
 }
 
-// listenConsoleAfterPredecessor opens the console's socket once the predecessor has ended, whose connection to this process
-// ends a moment before its console does. It returns neither a listener nor an error if ctx ends before.
+// listenConsoleAfterPredecessor opens the console's socket once the predecessor has exited. It retries, because the
+// predecessor closes its connection to this process shortly before its console. Both results are nil if ctx is cancelled
+// before the predecessor has exited.
 func (r *relay) listenConsoleAfterPredecessor(ctx context.Context, path string) (l net.Listener, err error) {
 	select {
 	case <-ctx.Done():
@@ -239,7 +243,7 @@
 	select {
 	case <-ctx.Done():
 		return nil, nil
-	case <-r.persistence.storeSettled: // drain directives are accepted once they can be saved
+	case <-r.persistence.storeSettled: // the console accepts drain directives only once they can be saved
 	}
 	retryUntilReleased(ctx, func() bool {
 		l, err = console.Listen(path)
@@ -248,16 +252,17 @@
 	return l, err
 }
 
-// retryUntilReleased retries what needs something that the predecessor, which is ending, has yet to let go of, until
-// predecessorExitTimeout. It tries at least once.
-func retryUntilReleased(ctx context.Context, done func() bool) {
+// retryUntilReleased calls attempt, at least once, until it returns true, ctx is cancelled or predecessorExitTimeout has
+// passed. It is for acquiring a resource that the exiting predecessor may still hold.
+func retryUntilReleased(ctx context.Context, attempt func() bool) {
 	deadline := time.Now().Add(predecessorExitTimeout)
-	for !done() && ctx.Err() == nil && !time.Now().After(deadline) {
+	for !attempt() && ctx.Err() == nil && !time.Now().After(deadline) {
 		sleep(ctx, predecessorExitTimeout/50)
 	}
 }
 
-// Offer returns what a successor begins with, and the sockets of its listeners. It is called by asPredecessor's goroutine.
+// Offer returns the state for a successor and the sockets of this process's listeners. It is called by asPredecessor's
+// goroutine.
 func (r *relay) Offer(ctx context.Context) (*hotrestart.Offer, []syscall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -265,17 +270,17 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := json.Marshal(state)
+	encoded, err := json.Marshal(state)
 	if err != nil {
 		return nil, nil, err
 	}
-	offer := &hotrestart.Offer{State: text, ClockStart: r.proxy.Clock.Start()}
+	offer := &hotrestart.Offer{State: encoded, ClockStart: r.proxy.Clock.Start()}
 	var sockets []syscall.Conn
 	for _, f := range r.frontends {
 		offer.ListenerNames = append(offer.ListenerNames, f.Name)
 		sockets = append(sockets, f.Listener)
 	}
-	offer.Clock = r.proxy.Clock.Now() // as late as may be
+	offer.Clock = r.proxy.Clock.Now() // read last, so that it is as recent as possible
 	return offer, sockets, nil
 }
 
@@ -300,10 +305,10 @@
 	return state, nil
 }
 
-// PeerServes is called by asPredecessor's goroutine. With true a successor admits clients, and this process admits nobody and
-// spends nothing of the slow-start budget; with false it is alone again.
+// PeerServes stops this process from admitting clients and from using the slow-start budget while a successor serves (true),
+// or resumes both (false). It is called by asPredecessor's goroutine.
 func (r *relay) PeerServes(serves bool) {
-	slowStartShare, memoryPart := 1.0, wholeProcess
+	slowStartShare, memoryShare := 1.0, wholeProcess
 	for _, f := range r.frontends {
 		if serves {
 			f.Pause()
@@ -312,9 +317,9 @@
 		}
 	}
 	if serves {
-		slowStartShare, memoryPart = 0, halfProcess
+		slowStartShare, memoryShare = 0, halfProcess
 	}
 	r.ready.Store(!serves && !r.shuttingDown.Load())
 	r.proxy.SetSlowStartShare(slowStartShare)
-	r.limitMemory(memoryPart)
+	r.limitMemory(memoryShare)
 }
--- a/internal/server/persistentstate.go
+++ b/internal/server/persistentstate.go
@@ -12,37 +12,37 @@
 	"lockroad/internal/store"
 )
 
-// persistentState is what of a relay outlasts a restart: drain directives (draindirectives.go), a snapshot of what the balancer
-// has learnt (snapshot.go) and explanations of decisions (archive.go). It is kept on disk where an operator names a folder.
-// Whatever is wrong with the folder or the disk, the relay runs on without, and says so: directives then hold until it ends.
+// persistentState is the state of a relay that survives a restart: drain directives (draindirectives.go), a snapshot of the
+// balancer (snapshot.go) and explanations of decisions (archive.go). It is stored on disk if a store directory is configured.
+// If the store can't be used, the error is logged, the relay runs without it, and directives last until the relay exits.
 //
-// It is the console's Persistence. Exported methods may be called by any goroutine once the services run.
+// It implements console.Persistence. Exported methods are safe for concurrent use once the services run.
 type persistentState struct {
 	proxy   *proxy.Proxy
 	relay   *relay
-	archive *archive // nil: no decisions are saved
+	archive *archive // nil: explanations are not saved
 
-	mu         sync.Mutex // guards what follows, and holds while a directive is committed: one comes after another
+	mu         sync.Mutex // guards the next three fields; held while a directive is committed, which serializes commits
 	store      *store.Store
-	storeErr   error                                 // why there is no store
-	directives map[string]persistence.DrainDirective // in force, by endpoint
+	storeErr   error                                 // why store is nil
+	directives map[string]persistence.DrainDirective // in force, by endpoint name
 
-	storeSettled chan struct{} // closed once the store is open, or is known not to be
+	storeSettled chan struct{} // closed once opening the store has succeeded or failed
 }
 
 var (
-	errNoStoreConfigured      = errors.New("the operator's file names no store")
-	errStoreHeldByPredecessor = errors.New("the old process has the store still")
+	errNoStoreConfigured      = errors.New("no store directory is configured")
+	errStoreHeldByPredecessor = errors.New("the store is still held by the previous process of this relay")
 )
 
 func newPersistentState(r *relay) *persistentState {
 	return &persistentState{relay: r, directives: make(map[string]persistence.DrainDirective), storeSettled: make(chan struct{})}
 }
 
-// deferToPredecessor leaves the store to the predecessor, until that is gone.
+// deferToPredecessor leaves the store closed while the predecessor holds it.
 func (p *persistentState) deferToPredecessor() { p.storeErr = errStoreHeldByPredecessor }
 
-// open opens the store, if one is configured. An error is logged, and is what Stats returns from then on.
+// open opens the store, if one is configured. An error is logged, and Stats returns it from then on.
 func (p *persistentState) open(settings config.Store) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,18 +54,18 @@
 	opened, report, err := store.Open(store.Dir(settings.Dir), options)
 	if err != nil {
 		p.storeErr = err
-		p.relay.log.Error("store unavailable, running without it", "folder", settings.Dir, "error", err)
+		p.relay.log.Error("open store failed, running without it", "folder", settings.Dir, "error", err)
 		return
 	}
 	p.store, p.storeErr = opened, nil
 	p.relay.log.Info("store opened", "folder", settings.Dir, "records", report.Records, "commits", report.Commits, "took", report.Duration)
 	if tail := report.TornTail; tail != nil {
-		p.relay.log.Warn("store tail torn by a crash, uncommitted records lost", "file", tail.File, "byte", tail.Offset, "bytes", tail.Bytes)
+		p.relay.log.Warn("incomplete write at end of store file, uncommitted records lost", "file", tail.File, "byte", tail.Offset, "bytes", tail.Bytes)
 	}
 }
 
-// run lets directives expire and saves snapshots, until ctx ends. In a successor it opens the store once the predecessor has
-// let go of it.
+// run expires directives and saves snapshots periodically until ctx is cancelled. In a successor it opens the store once the
+// predecessor has released it.
 func (p *persistentState) run(ctx context.Context, settings config.Store) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -94,8 +94,8 @@
 	}
 }
 
-// openAfterPredecessor opens the store that a predecessor has just let go of, or is about to. It waits for that
-// predecessorExitTimeout at the most.
+// openAfterPredecessor opens the store after the predecessor has exited. It waits at most predecessorExitTimeout for the
+// predecessor to release the store's lock.
 func (p *persistentState) openAfterPredecessor(ctx context.Context, settings config.Store) {
 	retryUntilReleased(ctx, func() bool {
 		lock, err := store.Dir(settings.Dir).Lock()
@@ -107,7 +107,7 @@
 	p.open(settings)
 }
 
-// close writes what is left and lets go of the store.
+// close writes queued records and closes the store.
 func (p *persistentState) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 	}
 }
 
-// Stats returns the store's; the error says why there is none.
+// Stats returns the store's statistics, or the reason why no store is open.
 func (p *persistentState) Stats() (store.Stats, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,7 +129,7 @@
 	return p.store.Stats(), nil
 }
 
-// instruments are what telemetry exports of the store.
+// instruments returns the store's metrics for telemetry.
 func (p *persistentState) instruments() []proxy.Instrument {
 	return []proxy.Instrument{
 		{Name: "lockroad.store.failing", Description: "1 while nothing can be kept on disk", Read: p.failing},
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -6,10 +6,10 @@
 	"lockroad/internal/config"
 )
 
-// reloadRequest is a reload that is asked for at the console. The zero value is one by SIGHUP.
+// reloadRequest is a reload requested at the console. The zero value is a reload requested by SIGHUP.
 type reloadRequest struct {
-	dryRun bool              // only report what it would change
-	result chan reloadResult // has room for one; nil: nobody waits for it
+	dryRun bool              // only report what would change
+	result chan reloadResult // buffered for one result; nil: the requester doesn't wait
 }
 
 type reloadResult struct {
@@ -17,12 +17,12 @@
 	err     error
 }
 
-// reloader puts a configuration file in force, or only reads it at a dry run, and returns what it changes, a line each. After
-// an error nothing has changed. Only the goroutine of runReloads calls it.
+// reloader applies a configuration file, or only reads it in a dry run, and returns one line per change. After an error
+// nothing has changed. It is called only by runReloads's goroutine.
 type reloader func(request reloadRequest) (changes []string, err error)
 
-// requestReload reloads the configuration, as SIGHUP does, or with dryRun reports what that would change. It waits for the
-// result or the end of ctx, and may be called by any goroutine.
+// requestReload reloads the configuration, as SIGHUP does, or reports what a reload would change (dryRun). It waits for the
+// result or until ctx is cancelled. It is safe for concurrent use.
 func (r *relay) requestReload(ctx context.Context, dryRun bool) ([]string, error) {
 	request := reloadRequest{dryRun: dryRun, result: make(chan reloadResult, 1)}
 	select {
@@ -38,9 +38,9 @@
 	}
 }
 
-// runReloads reloads each time that the file has been replaced or the console asks, until ctx ends: the settings and the address
-// of discovery, or a site's servers, and the files of credentials. A configuration that can't be read, or has anything wrong
-// with it, changes nothing.
+// runReloads handles reload requests from SIGHUP and the console until ctx is cancelled. A reload applies the configuration
+// (settings and discovery address, or a site's endpoints and settings) and the credential files. An unreadable or invalid
+// configuration is rejected as a whole.
 func (r *relay) runReloads(ctx context.Context) error {
 	reload := r.platformReloader()
 	if r.options.Site != nil {
@@ -74,7 +74,7 @@
 	r.proxy.Metrics.ReloadsApplied.Add(1)
 }
 
-// platformReloader reloads the platform's configuration.
+// platformReloader returns the reloader of the platform configuration.
 func (r *relay) platformReloader() reloader {
 	started, inForce := r.config, r.config.Text()
 	return func(request reloadRequest) (changes []string, err error) {
@@ -82,16 +82,16 @@
 		if err != nil {
 			return nil, err
 		}
-		if request.result != nil { // at SIGHUP, which may come under load, nobody reads it
+		if request.result != nil { // a reload by SIGHUP skips the comparison, as nothing reads its result
 			changes = config.Differences(inForce, next.Text())
 		}
 		if request.dryRun {
 			return changes, nil
 		}
 		if next.NeedsRestart(started) {
-			r.log.Warn("changed name, addresses or limits need a restart")
+			r.log.Warn("restart required to apply changes of name, listen address, admin address or limits")
 		}
-		if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) { // endpoints keep the numbers that their zones have here
+		if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) { // zones keep the numbers that they have in this process
 			next.Settings.Zone = r.watcher.ZoneNumber(next.Zones[zone])
 		}
 		inForce = next.Text()
@@ -102,7 +102,7 @@
 	}
 }
 
-// siteReloader reloads a site's file.
+// siteReloader returns the reloader of a site file.
 func (r *relay) siteReloader() reloader {
 	inForce := r.options.Site
 	return func(request reloadRequest) ([]string, error) {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,8 @@
-// Package server starts a relay, runs it, and shuts it down in good order.
+// Package server starts a relay, runs it and shuts it down gracefully.
 //
-// Run is all that a program calls. It goes through three phases: the start (start.go, and hotrestart.go where there is a process
-// to take over from), the services that run until the end (services.go, frontends.go, reload.go), and the shutdown
-// (shutdown.go). What outlasts a restart is in persistentstate.go.
+// Run is the entry point. It has three phases: startup (start.go, and hotrestart.go if a predecessor process is running),
+// the services that run until shutdown (services.go, frontends.go, reload.go), and the shutdown itself (shutdown.go).
+// persistentstate.go holds the state that survives a restart.
 package server
 
 import (
@@ -27,54 +27,54 @@
 	"lockroad/internal/proxy"
 )
 
-// RunOptions are what a process passes to the relay that it runs, beside the configuration. The zero value is of use: such a
-// relay runs until its context ends.
+// RunOptions configures how a process runs a relay, in addition to the relay's configuration. With the zero value, the
+// relay runs until its context is cancelled.
 type RunOptions struct {
-	Shutdown   <-chan struct{}         // closed once the relay is to shut down; nil: only the console or ctx ends it
-	Reload     <-chan os.Signal        // a value each time that the file at ConfigPath has been replaced
-	ConfigPath string                  // of the platform's configuration or the site's file
-	Site       *config.Site            // that the configuration is of; nil: the platform's, with a discovery agent
-	LogTail    func(most int) []string // returns the last lines of the log; nil: none are retained
-	// Supervised says that whoever started the process starts it again after ErrRestart.
+	Shutdown   <-chan struct{}             // closed to request a shutdown; nil: only the console or ctx stops the relay
+	Reload     <-chan os.Signal            // receives a value each time the file at ConfigPath should be reloaded
+	ConfigPath string                      // path of the platform configuration or site file
+	Site       *config.Site                // source of the configuration; nil: the platform, which runs a discovery agent
+	LogTail    func(maxLines int) []string // returns the last log lines; nil: no lines are retained
+	// Supervised reports whether a supervisor restarts the process after ErrRestart.
 	Supervised bool
 }
 
-// ErrRestart is what Run returns once the relay has shut down in good order and is to be started again.
-var ErrRestart = errors.New("the relay is to be started again")
+// ErrRestart is returned by Run after a graceful shutdown that was requested as a restart.
+var ErrRestart = errors.New("relay restart requested")
 
-// relay is a relay that has been started. Fields without a comment on synchronization are set by Run's goroutine before the
-// services start, and only read from then on.
+// relay is a running relay. Unless noted otherwise, fields are set by Run's goroutine before the services start and are
+// read-only afterwards.
 type relay struct {
 	options  RunOptions
 	config   *config.Config
 	operator *config.Operator
 	log      *slog.Logger
 
-	proxy        *proxy.Proxy
-	watcher      *discovery.Watcher
-	listSynced   <-chan struct{}  // closed once discovery has sent its list
-	prober       *prober.Prober   // of a site's servers; nil: discovery lists them
-	decisionLog  *decisionlog.Log // nil: no decisions are recorded
-	persistence  *persistentState
-	credentials  credentials
-	lineFrontend *line.Frontend
-	frontends    []boundFrontend
-	limiters     []*listener.ConnLimiter // in the order of frontends
-	slots        int                     // of all frontends
-	admin        net.Listener            // of the second address; nil: there is none
+	proxy         *proxy.Proxy
+	watcher       *discovery.Watcher
+	listSynced    <-chan struct{}  // closed once discovery has sent its endpoint list
+	prober        *prober.Prober   // probes a site's endpoints; nil: endpoints come from discovery
+	decisionLog   *decisionlog.Log // nil: decisions are not recorded
+	persistence   *persistentState
+	credentials   credentials
+	lineFrontend  *line.Frontend
+	frontends     []boundFrontend
+	limiters      []*listener.ConnLimiter // in the order of frontends
+	slots         int                     // admission slots of all frontends
+	adminListener net.Listener            // listener of the admin address; nil: no admin address is configured
 
-	asPredecessor   *hotrestart.Predecessor // towards a process that comes to take over; nil: none can
-	asSuccessor     *hotrestart.Successor   // towards the process to take over from, while it is there; nil: there is none
-	predecessorGone chan struct{}           // closed once there is no process to take over from
-	inherited       *handoffState           // from the predecessor, as far as it is of use
+	asPredecessor   *hotrestart.Predecessor // hands over to a later successor; nil: hot restart is unavailable
+	asSuccessor     *hotrestart.Successor   // takes over from the running predecessor; nil: there is no predecessor
+	predecessorGone chan struct{}           // closed once the predecessor has exited or if there was none
+	inherited       *handoffState           // usable state received from the predecessor
 
 	ready          atomic.Bool // new clients are admitted
 	shuttingDown   atomic.Bool
 	reloadRequests chan reloadRequest // from the console
 
-	shutdownOnce      sync.Once     // guards the close of shutdownRequested
-	shutdownRequested chan struct{} // closed once the console asks for the shutdown
-	restartRequested  atomic.Bool   // the relay is to be started again after its shutdown
+	shutdownOnce      sync.Once     // guards closing shutdownRequested
+	shutdownRequested chan struct{} // closed when the console requests a shutdown
+	restartRequested  atomic.Bool   // Run returns ErrRestart after the shutdown
 }
 
 func newRelay(options RunOptions, c *config.Config, o *config.Operator, log *slog.Logger) *relay {
@@ -91,12 +91,12 @@
 	return r
 }
 
-// Run runs a relay until options.Shutdown is closed or the console asks for its end, and all clients have been seen through
-// or moved, or until ctx ends. It returns ErrRestart if the console asked for a restart, and an error if the relay can't
-// start, such as that of an address which is taken. It sets limits of the whole process (GOMAXPROCS, the memory limit): a
-// process runs one relay at a time.
+// Run runs a relay until ctx is cancelled, or until a shutdown is requested through options.Shutdown or the console and all
+// clients have finished or been migrated. It returns ErrRestart if the console requested a restart, or an error if the relay
+// cannot start, for example because an address is in use. It sets process-wide limits (GOMAXPROCS and the memory limit), so
+// a process can run only one relay at a time.
 //
-// Each phase of the start that takes hold of something is followed by the deferred call that lets go of it.
+// Each startup step that acquires a resource is followed by the deferred call that releases it.
 func Run(ctx context.Context, options RunOptions, c *config.Config, o *config.Operator, log *slog.Logger) error {
 	limitCPUs(c.Cores)
 	r := newRelay(options, c, o, log)
@@ -128,7 +128,7 @@
 	}
 	defer r.closeListeners()
 	r.startArchive()
-	defer r.stopArchive() // before the store is closed: what has ended is saved
+	defer r.stopArchive() // runs before the store is closed, so that queued explanations are saved
 
 	group, ctx := errgroup.WithContext(ctx)
 	if err := r.startServices(ctx, cancel, group); err != nil {
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -11,13 +11,13 @@
 	"lockroad/internal/explain"
 )
 
-// startServices starts the goroutines that run until the end, each as one of group, which Run waits for. The first error of
-// one ends ctx, and with it all others; end is for those whose return without an error ends the relay as well.
-func (r *relay) startServices(ctx context.Context, end context.CancelFunc, group *errgroup.Group) error {
+// startServices starts the relay's long-running goroutines in group, which Run waits for. The first error cancels ctx and so
+// stops all services. The frontends and the shutdown call cancel when they return, to stop the others without an error.
+func (r *relay) startServices(ctx context.Context, cancel context.CancelFunc, group *errgroup.Group) error {
 	if err := r.startConsole(ctx, group); err != nil {
 		return err
 	}
-	if r.admin != nil {
+	if r.adminListener != nil {
 		group.Go(func() error { return r.serveAdmin(ctx) })
 	}
 	group.Go(func() error { return r.proxy.Run(ctx) })
@@ -27,18 +27,18 @@
 	} else {
 		group.Go(func() error { return r.watcher.Run(ctx) })
 	}
-	group.Go(func() error { return r.serveFrontends(ctx, end) })
+	group.Go(func() error { return r.serveFrontends(ctx, cancel) })
 	group.Go(func() error { return r.runReloads(ctx) })
 	group.Go(func() error { return r.credentials.watchExpiry(ctx, r.log) })
 	if r.operator.Store.Dir != "" || r.operator.Console.Socket != "" {
 		group.Go(func() error { return r.persistence.run(ctx, r.operator.Store) })
 	}
-	group.Go(func() error { return r.awaitShutdown(ctx, end) })
+	group.Go(func() error { return r.awaitShutdown(ctx, cancel) })
 	return nil
 }
 
-// startConsole opens the console's socket, where the operator names one, and serves it. Where there is a predecessor the
-// socket is that process's until it is gone.
+// startConsole opens and serves the console's socket, if one is configured. If there is a predecessor, the socket belongs to
+// it until it has exited.
 func (r *relay) startConsole(ctx context.Context, group *errgroup.Group) error {
 	if r.operator.Console.Socket == "" {
 		return nil
@@ -80,8 +80,8 @@
 	return server
 }
 
-// serveConsole serves the console at l or, if l is nil, at its socket once the predecessor has let go of it. Without a console
-// the relay runs on.
+// serveConsole serves the console on l. If l is nil, it first waits until the predecessor has released the socket. The relay
+// keeps running if the socket can't be opened.
 func (r *relay) serveConsole(ctx context.Context, server *console.Server, l net.Listener) error {
 	if l == nil {
 		var err error
@@ -95,10 +95,10 @@
 	return server.Serve(ctx, l)
 }
 
-// serveAdmin serves the second address. Without it clients are served all the same.
+// serveAdmin serves the admin address. A failure is logged and doesn't stop the relay.
 func (r *relay) serveAdmin(ctx context.Context) error {
 	server := &admin.Server{Ready: r.ready.Load, Metrics: r.proxy.Metrics}
-	if err := server.Serve(ctx, r.admin); err != nil {
+	if err := server.Serve(ctx, r.adminListener); err != nil {
 		r.log.Error("admin server failed", "error", err)
 	}
 	return nil
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,38 +8,39 @@
 	"lockroad/balancer"
 )
 
-// The platform sends SIGTERM, goes on sending clients for up to 0.4 s, and sends SIGKILL at a time that follows from the
-// classes' deadlines. The shutdown uses all of that time: clients are moved as late as may be, since the relays that are to
-// take them in may be restarting themselves.
+// After SIGTERM the platform routes new clients to the relay for up to 0.4 s more. It sends SIGKILL at a time derived from the
+// classes' deadlines. The shutdown uses all of that time and migrates clients as late as possible, because the relays that
+// would take them may be restarting too.
 const (
-	// SIGKILL comes no earlier than killGrace after the longest deadline of a class, where a longer one than maxKillDeadline
-	// counts as that.
+	// SIGKILL comes no earlier than killGrace after the longest class deadline. Deadlines above maxKillDeadline count as
+	// maxKillDeadline.
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 
-	// migrationDelay is how long after SIGTERM the first client is moved, at the earliest. Who were moved before could come back
-	// to this very relay, to be moved once more.
+	// migrationDelay is the minimum time from SIGTERM to the first migration. A client migrated earlier could be routed back to
+	// this relay.
 	migrationDelay = 450 * time.Millisecond
-	// migrationDuration is what the migration is spread over, where the time until SIGKILL has room for it.
+	// migrationDuration is the period over which migrations are spread, if enough time is left until SIGKILL.
 	migrationDuration = 800 * time.Millisecond
 
-	// What follows is so long before SIGKILL. Together with migrationDuration the migration begins 1.9 s before it.
+	// The leads below are times before SIGKILL. Migration starts 1.9 s before SIGKILL: lastMigrationLead plus migrationDuration.
 
 	// lastMigrationLead: the last client is told to move, 0.2 s before the listeners close.
 	lastMigrationLead = 1100 * time.Millisecond
-	// closeListenersLead: the listeners close. Who waits in their queues is admitted first, and has 0.1 s until rejectPendingLead.
+	// closeListenersLead: the listeners close. Connections in their accept queues are admitted first and have 0.1 s until
+	// rejectPendingLead.
 	closeListenersLead = 900 * time.Millisecond
-	// rejectPendingLead: each request that still waits for an endpoint gets the one answer that its class allows. A client that is
-	// in the middle of its opening has 0.2 s more.
+	// rejectPendingLead: each request that still waits for an endpoint is answered as its class allows. A client that has sent
+	// part of its opening line has another 0.2 s.
 	rejectPendingLead = 800 * time.Millisecond
-	// exitLead: the services end, and what is deferred in Run has the rest of the time.
+	// exitLead: the services stop. The remaining time is for Run's deferred calls.
 	exitLead = 150 * time.Millisecond
 )
 
-// errNotSupervised says why a restart is rejected.
-var errNotSupervised = errors.New("nobody would start the relay again: neither INVOCATION_ID, as systemd sets it, nor LOCKROAD_SUPERVISED is set")
+// errNotSupervised is returned for a restart request if no supervisor would start the relay again.
+var errNotSupervised = errors.New("restart refused: no supervisor would start the relay again (neither INVOCATION_ID, set by systemd, nor LOCKROAD_SUPERVISED is set)")
 
-// requestRestart shuts the relay down to be started again. It may be called by any goroutine.
+// requestRestart shuts the relay down and makes Run return ErrRestart. It is safe for concurrent use.
 func (r *relay) requestRestart() error {
 	if !r.options.Supervised {
 		return errNotSupervised
@@ -49,14 +50,13 @@
 	return nil
 }
 
-// requestShutdown shuts the relay down. It returns at once, and may be called by any goroutine, more than once.
+// requestShutdown starts the shutdown and returns immediately. It is safe for concurrent and repeated use.
 func (r *relay) requestShutdown() { r.shutdownOnce.Do(func() { close(r.shutdownRequested) }) }
 
-// awaitShutdown waits for the request to shut down, and then goes through the phases of the shutdown. It is a service of its
-// own goroutine. It ends the relay when it returns, which is timeUntilKill less exitLead after the request at the latest; the
-// frontends end it sooner once the last client is gone.
-func (r *relay) awaitShutdown(ctx context.Context, end context.CancelFunc) error {
-	defer end()
+// awaitShutdown waits for a shutdown request and then runs the shutdown. When it returns, it stops all services by calling
+// cancel, at the latest exitLead before SIGKILL. The frontends stop them earlier once the last client has left.
+func (r *relay) awaitShutdown(ctx context.Context, cancel context.CancelFunc) error {
+	defer cancel()
 	defer r.closeListeners()
 	select {
 	case <-ctx.Done():
@@ -69,8 +69,8 @@
 	requestedAt, killAfter := time.Now(), timeUntilKill(r.proxy.Settings())
 	r.log.Info("shutting down", "transactions", r.proxy.Requests.Len())
 	hasSuccessor := r.asPredecessor != nil && r.asPredecessor.BeginShutdown()
-	ctx, cancel := context.WithTimeout(ctx, killAfter-exitLead)
-	defer cancel()
+	ctx, cancelTimeout := context.WithTimeout(ctx, killAfter-exitLead)
+	defer cancelTimeout()
 	sleepUntil := func(offset time.Duration) { sleep(ctx, time.Until(requestedAt.Add(offset))) }
 	if hasSuccessor {
 		r.handOffClients(sleepUntil, killAfter)
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// timeUntilKill is how long after SIGTERM the platform sends SIGKILL.
+// timeUntilKill returns the time from SIGTERM to the platform's SIGKILL.
 func timeUntilKill(settings *balancer.Settings) time.Duration {
 	longest := time.Duration(0)
 	for _, class := range settings.Classes {
@@ -90,8 +90,8 @@
 	return longest + killGrace
 }
 
-// handOffClients is the shutdown of a process that has a successor, which admits all new clients. Those that are established
-// here go there, and those that are still to be as soon as they are. It returns rejectPendingLead before SIGKILL.
+// handOffClients is the shutdown of a process with a successor, which admits all new clients. Established requests are handed
+// off to the successor, and pending ones as soon as they are established. It returns rejectPendingLead before SIGKILL.
 func (r *relay) handOffClients(sleepUntil func(offset time.Duration), killAfter time.Duration) {
 	r.closeListeners()
 	r.proxy.HandOffAll(r.asPredecessor.HandOff, migrationDuration)
@@ -99,8 +99,8 @@
 	r.proxy.RejectPending()
 }
 
-// migrateClients is the shutdown of a process without a successor. Clients are told to move to other relays while new ones are
-// still admitted. It returns rejectPendingLead before SIGKILL.
+// migrateClients is the shutdown of a process without a successor. It tells clients to move to other relays while new clients
+// are still admitted. It returns rejectPendingLead before SIGKILL.
 func (r *relay) migrateClients(sleepUntil func(offset time.Duration), killAfter time.Duration) {
 	migrateAt := max(migrationDelay, killAfter-lastMigrationLead-migrationDuration)
 	sleepUntil(migrateAt)
@@ -111,7 +111,7 @@
 	r.proxy.RejectPending()
 }
 
-// sleep returns after a time, or once ctx has ended.
+// sleep waits for d or until ctx is cancelled.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	snapshotInterval = 5 * time.Second // between two that are saved
-	snapshotTimeout  = time.Second     // for the turn in which the balancer takes one
-	snapshotKey      = "now"           // the one that the table has
+	snapshotInterval = 5 * time.Second // between saved snapshots
+	snapshotTimeout  = time.Second     // for the balancer to take a snapshot
+	snapshotKey      = "now"           // the only key in the table
 )
 
-// savedSnapshot is a snapshot from before a restart.
+// savedSnapshot is a snapshot that was stored before a restart.
 type savedSnapshot struct {
 	persistence.RelaySnapshot
 	age    time.Duration
-	usable bool // there is one, of this relay, and not too old
+	usable bool // it exists, belongs to this relay and is recent enough
 }
 
-// snapshotTable has the latest snapshot, under one key.
+// snapshotTable returns the table that holds the latest snapshot under snapshotKey.
 func snapshotTable(s *store.Store) *store.Table[persistence.RelaySnapshot] {
 	return &store.Table[persistence.RelaySnapshot]{Store: s, Kind: persistence.KindSnapshots, Version: 1}
 }
 
-// saveSnapshot saves what the balancer has learnt. One of a relay that isn't ready would replace a better one.
+// saveSnapshot stores a snapshot of the balancer. It does nothing while the relay isn't ready, so as not to replace a better
+// snapshot.
 func (p *persistentState) saveSnapshot(ctx context.Context) {
 	p.mu.Lock()
 	opened := p.store
@@ -37,7 +38,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	learnt, err := p.proxy.Snapshot(ctx)
+	balancerSnapshot, err := p.proxy.Snapshot(ctx)
 	if err != nil {
 		return
 	}
@@ -47,21 +48,20 @@
 		ClockStart: p.proxy.Clock.Start(),
 		TakenAt:    time.Now(),
 		Names:      make(map[balancer.EndpointID]string),
-		Balancer:   learnt,
+		Balancer:   balancerSnapshot,
 	}
 	snapshot.List, snapshot.Agent = p.relay.watcher.List()
-	for _, endpoint := range learnt.Endpoints {
+	for _, endpoint := range balancerSnapshot.Endpoints {
 		snapshot.Names[endpoint.ID] = p.proxy.Endpoints.Name(endpoint.ID)
 	}
 	snapshotTable(opened).Put(snapshotKey, snapshot)
 }
 
-// loadSnapshot returns the snapshot from before a restart, with what is too old discarded. It is called before the services
-// run.
+// loadSnapshot reads the stored snapshot and discards stale parts of it. It is called before the services run.
 func (p *persistentState) loadSnapshot() savedSnapshot {
 	snapshot, _, found, err := snapshotTable(p.store).Get(snapshotKey)
 	if err != nil {
-		p.relay.log.Warn("stored snapshot unreadable", "error", err)
+		p.relay.log.Warn("read stored snapshot failed", "error", err)
 	}
 	saved := savedSnapshot{RelaySnapshot: snapshot}
 	if found {
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -20,36 +20,36 @@
 	"lockroad/internal/telemetry"
 )
 
-// This file has the phases of the start in the order in which Run goes through them, but for those that have a file of their
-// own.
+// This file has the startup steps in the order in which Run calls them, except for those with a file of their own.
 
 const (
-	// memoryShare is the part of the configured memory that the garbage collector keeps the heap to. The rest is for what it
-	// doesn't count.
-	memoryShare = 0.7
-	// Parts of that which a process has: all of it, or half while another process of the same relay is there.
+	// memoryLimitShare is the share of the configured memory that becomes the Go memory limit. The rest is for memory that
+	// the Go runtime does not account for.
+	memoryLimitShare = 0.7
+	// Share of the memory limit that one process gets: all of it, or half while two processes of the relay run during a hot
+	// restart.
 	wholeProcess = 1.0
 	halfProcess  = 0.5
 
 	telemetryInterval     = 10 * time.Second
-	telemetryFlushTimeout = time.Second // for what still waits at the end
+	telemetryFlushTimeout = time.Second // for the final export at shutdown
 )
 
-// limitCPUs sets how many threads run at a time, the configured cores rounded up. 0 leaves it as it is.
+// limitCPUs sets GOMAXPROCS to the configured number of cores, rounded up. 0 keeps the runtime's default.
 func limitCPUs(cores float64) {
 	if cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(math.Ceil(cores))))
 	}
 }
 
-// limitMemory keeps the process to a part of the relay's memory.
-func (r *relay) limitMemory(part float64) {
+// limitMemory sets the Go memory limit of this process to a share of the relay's memory.
+func (r *relay) limitMemory(processShare float64) {
 	if r.config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(r.config.MemoryMB<<20) * memoryShare * part))
+		debug.SetMemoryLimit(int64(float64(r.config.MemoryMB<<20) * memoryLimitShare * processShare))
 	}
 }
 
-// openStore opens the store, unless a predecessor still holds it: then persistentState.run does once that process is gone.
+// openStore opens the store. If a predecessor still holds it, persistentState.run opens it once that process has exited.
 func (r *relay) openStore() {
 	if r.asSuccessor == nil || r.operator.Store.Dir == "" {
 		r.persistence.open(r.operator.Store)
@@ -58,8 +58,8 @@
 	}
 }
 
-// createProxy makes the proxy and its observers. Its clock goes on with that of the predecessor, or of the saved snapshot, as
-// times in what is restored are that clock's.
+// createProxy creates the proxy and its observers. The proxy's clock continues that of the predecessor or of the saved
+// snapshot, because restored state contains times of that clock.
 func (r *relay) createProxy(saved savedSnapshot) error {
 	clock := proxy.NewClock()
 	switch {
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// installObservers makes requests logged and, if the operator wants it, their decisions recorded.
-// The record comes first, as the archive and telemetry read in it what has ended.
+// installObservers installs the request logger and, if enabled, the decision log and the archive of explanations. The
+// decision log is installed first: the archive and telemetry read ended requests from it.
 func (r *relay) installObservers() error {
 	r.proxy.Log = r.log
 	if bytes := r.operator.DecisionLogBytes(); bytes > 0 {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// listenAdmin opens the second address, where there is one. Its error names the key.
+// listenAdmin listens on the admin address, if one is configured. An error is prefixed with its configuration key.
 func (r *relay) listenAdmin() error {
 	if r.config.AdminAddr == "" {
 		return nil
@@ -112,18 +112,18 @@
 	if err != nil {
 		return fmt.Errorf("admin_addr: %w", err)
 	}
-	r.admin = l
+	r.adminListener = l
 	r.proxy.PublishCounts()
 	return nil
 }
 
 func (r *relay) closeAdmin() {
-	if r.admin != nil {
-		r.admin.Close()
+	if r.adminListener != nil {
+		r.adminListener.Close()
 	}
 }
 
-// createWatcher makes the watcher of discovery's list, which a site has as well, but doesn't run.
+// createWatcher creates the watcher of the discovery agent's endpoint list. A site's relay has one too but never runs it.
 func (r *relay) createWatcher() {
 	r.watcher = &discovery.Watcher{
 		Proxy:      r.proxy,
@@ -134,8 +134,8 @@
 	r.listSynced = r.watcher.Synced()
 }
 
-// startTelemetry exports telemetry where the operator names a collector, until ctx ends. The function that it returns sends
-// what is left; it takes telemetryFlushTimeout at the most.
+// startTelemetry exports telemetry until ctx is cancelled, if the operator configured a collector. The returned function
+// performs the final export, for at most telemetryFlushTimeout.
 func (r *relay) startTelemetry(ctx context.Context) (stop func(), err error) {
 	if r.operator.OTLP.Endpoint == "" {
 		return func() {}, nil
@@ -153,7 +153,7 @@
 	}, nil
 }
 
-// startArchive starts the goroutine that saves explanations; stopArchive waits for it.
+// startArchive starts the goroutine that saves explanations, if there is an archive. stopArchive waits for it.
 func (r *relay) startArchive() {
 	if a := r.persistence.archive; a != nil {
 		go a.run()
@@ -166,11 +166,11 @@
 	}
 }
 
-// becomeReady is the last phase of the start. It takes over from the predecessor, where there is one, and from then on a
-// successor can take over from this process. Listeners are open, and settings and the endpoint list are there.
+// becomeReady is the last startup step, called once the listeners are open and the services run. It takes over from the
+// predecessor, if there is one, admits clients, and lets a later successor take over from this process.
 func (r *relay) becomeReady(ctx context.Context, group *errgroup.Group) {
 	if err := r.takeOver(ctx); err != nil {
-		r.log.Warn("takeover failed, continuing alone", "error", err)
+		r.log.Warn("takeover from predecessor failed, continuing without it", "error", err)
 	}
 	r.ready.Store(true)
 	if r.asPredecessor != nil {
