--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -72,7 +72,7 @@
 func TestDrainDirectiveSurvivesKillAndUpgrade(t *testing.T) {
 	t.Parallel()
 	cluster, relay, socket, env := newLoadedClusterWithStore(t)
-	runConsole(t, socket, "drain s-9", `no server "s-9" is listed`)
+	runConsole(t, socket, "drain s-9", `server "s-9" is not in the endpoint list`)
 	runConsole(t, socket, "drain s-1 for ever", "expected a time above 0")
 	runConsole(t, socket, "undrain s-1", "no order")
 	runConsole(t, socket, "drain s-1 for 1h because new strings", "s-1 drains", "outlasts a restart")
--- a/internal/server/draindirectives.go
+++ b/internal/server/draindirectives.go
@@ -96,7 +96,7 @@
 	defer p.mu.Unlock()
 	withdrawn, inForce := p.directives[endpoint]
 	if !inForce {
-		return withdrawn, nil, fmt.Errorf("server %q has no drain order; the orders command lists those in force", endpoint)
+		return withdrawn, nil, fmt.Errorf("no order is in force for server %q; the orders command lists all orders", endpoint)
 	}
 	p.relay.log.Warn("drain directive withdrawn", "server", endpoint, "who", by)
 	return withdrawn, p.removeDirective(ctx, endpoint), nil
