--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -93,19 +93,19 @@
 	testutil.Until(t, "nobody comes to it", func() bool { return cluster.attemptsAt("s-1", back) > 0 })
 
 	gone := cluster.site.Servers[1]
-	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+gone.Address()+"\"\nsize = 1.0                   # against the others\n", "", 1)
+	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+gone.Address()+"\"\nsize = 1.0                   # capacity relative to the other servers\n", "", 1)
 	without = strings.Replace(without, "attempts = 5", "attempts = 4", 1)
 	if err := os.WriteFile(file, []byte(without), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	runConsole(t, socket, "reload --dry-run", `server[s-2].name: "s-2" goes`, `limits.attempts: "5" becomes "4"`)
+	runConsole(t, socket, "reload --dry-run", `server[s-2].name: removed, was "s-2"`, `limits.attempts: changed from "5" to "4"`)
 	if runConsole(t, socket, "farm"); cluster.attemptsAt("s-2", back) == 0 {
 		t.Error("a dry run took the server out")
 	}
 	if err := os.WriteFile(file, []byte(without+"\n[[class]]\nname = \"page\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	runConsole(t, socket, "reload", file, "is the name of another class too")
+	runConsole(t, socket, "reload", file, "another class is already named")
 	if err := os.WriteFile(file, []byte(without), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads, validates and compares the files that a relay runs by: the platform's configuration (JSON), a small
-// site's file and an operator's file (TOML). No running relay is needed for it.
+// Package config reads, validates and compares a relay's configuration files: the platform configuration (JSON),
+// the site file and the operator file (both TOML).
 package config
 
 import (
@@ -12,33 +12,33 @@
 	"lockroad/internal/simprotocol"
 )
 
-// Config is what a relay is started with by its platform.
+// Config is the configuration that a relay is started with.
 type Config struct {
 	Name          string
 	Listen        string // host:port of the line frontend
 	DiscoveryAddr string // host:port of the discovery agent
-	AdminAddr     string // host:port of the second address; "": there is none
-	Seed          uint64 // of the balancer's random numbers
+	AdminAddr     string // host:port of the admin server; "": none
+	Seed          uint64 // seed of the balancer's random numbers
 	Cores         float64
 	MemoryMB      int64
-	Sockets       int            // descriptors that the process may have; 0: no limit
-	InitialList   discovery.List // the endpoint list from before the start
+	Sockets       int            // limit on the process's file descriptors; 0: no limit
+	InitialList   discovery.List // endpoint list to use until discovery sends one
 	Settings      balancer.Settings
-	Zones         []string // names of the zones, by number
+	Zones         []string // zone names, by zone number
 
-	text        []byte // that it was read from
-	adminInFile string // what that said of the second address
+	text            []byte // file content
+	adminAddrInFile string // AdminAddr as set in the file, which the environment can override
 }
 
-// ReadConfig reads and validates the configuration that the platform has written to path. The error is Problems, or that of
-// reading the file.
+// ReadConfig reads and validates the platform configuration at path. The error is of type Problems if the
+// configuration is invalid.
 func ReadConfig(path string) (*Config, error) { return ReadReplacement(path, nil) }
 
-// ParseConfig is ReadConfig of a text. The error is Problems.
+// ParseConfig parses and validates a platform configuration. The error is of type Problems.
 func ParseConfig(text []byte) (*Config, error) { return parseConfig("configuration", text, nil) }
 
-// ReadReplacement is ReadConfig of a configuration that is to take the place of the one with the text inForce, if that is not
-// nil: it has to have all the keys that inForce has.
+// ReadReplacement is like ReadConfig for a reload. inForce is the content of the configuration in force; a key
+// that it has and the new configuration lacks is an error. nil disables that check.
 func ReadReplacement(path string, inForce []byte) (*Config, error) {
 	text, err := readStable(path)
 	if err != nil {
@@ -47,17 +47,17 @@
 	return parseConfig(path, text, inForce)
 }
 
-// Text returns the text that the configuration was read from, for a comparison with another. The caller doesn't change it.
+// Text returns the content that the configuration was parsed from. The caller must not modify it.
 func (c *Config) Text() []byte { return c.text }
 
-// NeedsRestart reports whether the configuration differs from the one that the relay was started with in what only a start
-// takes: name, listen address, second address and limits.
+// NeedsRestart reports whether the configuration differs from the one that the relay was started with in
+// settings that a reload can't apply: name, listen address, admin address and limits.
 func (c *Config) NeedsRestart(started *Config) bool {
 	return c.Listen != started.Listen || c.Name != started.Name || c.Sockets != started.Sockets || c.MemoryMB != started.MemoryMB ||
-		c.Cores != started.Cores || c.adminInFile != started.adminInFile
+		c.Cores != started.Cores || c.adminAddrInFile != started.adminAddrInFile
 }
 
-// parseConfig decodes and validates a configuration. inForce is the text of the one whose place it is to take, if any.
+// parseConfig decodes and validates a platform configuration. For inForce see ReadReplacement.
 func parseConfig(path string, text, inForce []byte) (*Config, error) {
 	v := &validator{file: path, lines: jsonLines(text)}
 	c := v.platformConfig(text)
@@ -68,8 +68,8 @@
 	return c, nil
 }
 
-// platformFile is the configuration as the platform writes it. Keys are found whatever their case; errors have them as the tags
-// have. It is an alias as errors of its decoder, which operators read, print the type.
+// platformFile is the format of the platform configuration. Keys match regardless of case; errors name them as
+// the tags do. It is an alias of an unnamed type so that decoder errors don't contain a Go type name.
 type platformFile = struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
@@ -85,8 +85,8 @@
 	Settings json.RawMessage `json:"Settings"`
 }
 
-// platformConfig decodes a configuration and adds all that is wrong with it. It returns nil after a problem that leaves nothing
-// to go on with.
+// platformConfig decodes a platform configuration and adds its problems to v. It returns nil if the JSON or the
+// settings can't be decoded.
 func (v *validator) platformConfig(text []byte) *Config {
 	var file platformFile
 	if err := json.Unmarshal(text, &file); err != nil {
@@ -95,7 +95,7 @@
 	}
 	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
-		v.add("seed", "%q is no hexadecimal number of 64 bits", file.Seed)
+		v.add("seed", "%q is not a 64-bit hexadecimal number", file.Seed)
 	}
 	v.checkAddress("listen", file.Listen)
 	v.checkAddress("discovery", file.Discovery)
@@ -108,55 +108,55 @@
 	}
 	v.checkClassNames(&settings)
 	return &Config{
-		Name:          file.Name,
-		Listen:        file.Listen,
-		DiscoveryAddr: file.Discovery,
-		AdminAddr:     file.Admin,
-		Seed:          seed,
-		Cores:         file.Limits.Cores,
-		MemoryMB:      file.Limits.MemoryMB,
-		Sockets:       file.Limits.Sockets,
-		InitialList:   file.Known,
-		Settings:      settings,
-		Zones:         zones,
-		text:          text,
-		adminInFile:   file.Admin,
+		Name:            file.Name,
+		Listen:          file.Listen,
+		DiscoveryAddr:   file.Discovery,
+		AdminAddr:       file.Admin,
+		Seed:            seed,
+		Cores:           file.Limits.Cores,
+		MemoryMB:        file.Limits.MemoryMB,
+		Sockets:         file.Limits.Sockets,
+		InitialList:     file.Known,
+		Settings:        settings,
+		Zones:           zones,
+		text:            text,
+		adminAddrInFile: file.Admin,
 	}
 }
 
-// platformSettings decodes the balancer's settings and the names of the zones. It reports whether they can be gone on with.
+// platformSettings decodes the balancer's settings and the zone names. ok is false if either can't be decoded.
 func (v *validator) platformSettings(text json.RawMessage) (settings balancer.Settings, zones []string, ok bool) {
 	settings, err := simprotocol.ParseSettings(text)
 	if err != nil {
 		v.addSettingsErrors(err)
 		return settings, nil, false
 	}
-	var names struct {
+	var extra struct {
 		Localities []string `json:"Localities"`
 		Limits     struct {
 			MaxRetryAfterUs float64 `json:"MaxRetryAfterUs"`
 		} `json:"Limits"`
 	}
-	if err := json.Unmarshal(text, &names); err != nil {
+	if err := json.Unmarshal(text, &extra); err != nil {
 		v.add("settings", "%v", err)
 		return settings, nil, false
 	}
-	// On sockets a rejection always has room for the retry-after, whether or not the settings say so.
-	if settings.MaxRetryAfter, err = simprotocol.Span(names.Limits.MaxRetryAfterUs); err != nil {
+	// A rejection over a connection can always carry a retry-after, so Limits.RetryAfter is ignored here.
+	if settings.MaxRetryAfter, err = simprotocol.Span(extra.Limits.MaxRetryAfterUs); err != nil {
 		v.add("settings.Limits.MaxRetryAfterUs", "%v", err)
 		return settings, nil, false
 	}
-	return settings, names.Localities, true
+	return settings, extra.Localities, true
 }
 
-// checkClassNames adds classes without a name, or with that of one before them.
+// checkClassNames adds a problem for each class with a missing or duplicate name.
 func (v *validator) checkClassNames(settings *balancer.Settings) {
 	for i, class := range settings.Classes {
 		switch key := fmt.Sprintf("settings.Classes[%d].Name", i); {
 		case class.Name == "":
 			v.add(key, "is missing")
 		case settings.ClassIndex(class.Name) != i:
-			v.add(key, "%q is the name of another class too", class.Name)
+			v.add(key, "another class is already named %q", class.Name)
 		}
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,37 +21,37 @@
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.ClassIndex("page") != 0 ||
 		c.Zones[1] != "b" || c.InitialList.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
-		t.Errorf("read as %+v", c)
+		t.Errorf("parsed as %+v", c)
 	}
 	for _, text := range []string{"", "{}", strings.Replace(configtest.PlatformConfig("", "d:1", "x"), `"name":"n3",`, "", 1),
 		strings.Replace(configtest.PlatformConfig("l:1", "d:1", "x"), "8c1f", "zz", 1), strings.Replace(configtest.PlatformConfig("l:1", "d:1", "x"), "TryLimit", "Odd", 1)} {
 		if c, err := ParseConfig([]byte(text)); err == nil {
-			t.Errorf("%q was read as %+v", text, c)
+			t.Errorf("invalid configuration %q was parsed as %+v", text, c)
 		}
 	}
 }
 
 func TestReadOperator(t *testing.T) {
 	if o, err := ReadOperator(""); err != nil || !reflect.DeepEqual(*o, Operator{}) || o.DecisionLogBytes() != 0 {
-		t.Errorf("without a file: %+v, %v", o, err)
+		t.Errorf("empty path: got %+v, %v, want the zero Operator", o, err)
 	}
 	o, err := ReadOperator("../../deploy/operator.toml")
 	if err != nil || o.AMQP.Listen == "" || o.Console.Socket == "" || o.OTLP.Endpoint != "" {
-		t.Errorf("the file that ships: %+v, %v", o, err)
+		t.Errorf("deploy/operator.toml: got %+v, %v", o, err)
 	}
 	if o.DecisionLogBytes() != decisionlog.DefaultBytes {
-		t.Errorf("a console without a record of %d bytes", o.DecisionLogBytes())
+		t.Errorf("with a console the decision log has %d bytes, want %d", o.DecisionLogBytes(), decisionlog.DefaultBytes)
 	}
 	for text, want := range map[string]string{
-		"[amqp]\nlisten = \"nowhere\"":            `:2: amqp.listen: "nowhere" is no host:port`,
-		"[amqp]\nlisten = \"a:b\"":                `:2: amqp.listen: port "b" is no number`,
-		"[amqp]\nserver_port = 70000\nlinks = -1": ":2: amqp.server_port: 70000 is no port\nFILE:3: amqp.links: -1 is negative",
-		"[odd]\nx = 1\n[amqp]\nlsten = \"a:1\"":   ":1: odd: there is no such key\nFILE:4: amqp.lsten: there is no such key",
-		"\n[otlp]\nendpoint = \"collector:4318\"": `:3: otlp.endpoint: "collector:4318" is no http or https URL`,
-		"[why]\nbytes = 4096":                     ":2: why.bytes: 4096 is neither 0",
+		"[amqp]\nlisten = \"nowhere\"":            `:2: amqp.listen: "nowhere" is not a host:port address`,
+		"[amqp]\nlisten = \"a:b\"":                `:2: amqp.listen: port "b" is not a number`,
+		"[amqp]\nserver_port = 70000\nlinks = -1": ":2: amqp.server_port: 70000 is not a port number\nFILE:3: amqp.links: -1 is negative",
+		"[odd]\nx = 1\n[amqp]\nlsten = \"a:1\"":   ":1: odd: unknown key\nFILE:4: amqp.lsten: unknown key",
+		"\n[otlp]\nendpoint = \"collector:4318\"": `:3: otlp.endpoint: "collector:4318" is not an http or https URL`,
+		"[why]\nbytes = 4096":                     ":2: why.bytes: 4096 is out of range: expected 0",
 		"[why]\nbytes = \"much\"":                 ":2: why.bytes: ",
-		"[log]\nlevel = \"loud\"\nform = \"xml\"": ":2: log.level: \"loud\" is no level; expected one of debug, info, warn, error\nFILE:3: log.form: ",
-		"[amqp]\nshared = -1":                     ":2: amqp.shared: -1 is not within",
+		"[log]\nlevel = \"loud\"\nform = \"xml\"": ":2: log.level: unknown level \"loud\"; expected one of debug, info, warn, error\nFILE:3: log.form: ",
+		"[amqp]\nshared = -1":                     ":2: amqp.shared: -1 is out of range: expected 0 to",
 		"[amqp.tls]\ncert = \"x\"":                ":2: amqp.tls.cert: a certificate wants its key",
 		"[amqp.tls]\ncert = \"x\"\nkey = \"y\"":   ":2: amqp.tls.cert: x and y: open x: no such file",
 		"[amqp.sasl]\nusers = \"x\"":              ":2: amqp.sasl.users: passwords would come in the clear",
@@ -68,60 +68,60 @@
 		}
 		o, err := ReadOperator(path)
 		if err == nil || !strings.HasPrefix(err.Error(), path+strings.ReplaceAll(want, "FILE", path)) {
-			t.Errorf("%q was read as %+v, %v, want %s", text, o, err, want)
+			t.Errorf("%q: got %+v, %v, want error %s", text, o, err, want)
 		}
-		if _, again := Check(path); again == nil || again.Error() != err.Error() {
-			t.Errorf("%q: checked as %v, read as %v", text, again, err)
+		if _, checkErr := Check(path); checkErr == nil || checkErr.Error() != err.Error() {
+			t.Errorf("%q: Check returned %v, ReadOperator %v", text, checkErr, err)
 		}
 	}
 }
 
-// All that is wrong with a configuration is reported at once, with line and key.
+// Check must report all problems of a configuration at once, each with its line and key.
 func TestCheckReportsAllProblems(t *testing.T) {
-	good := configtest.PlatformConfig("127.0.0.1:3000", "127.0.0.1:8500", "x")
+	valid := configtest.PlatformConfig("127.0.0.1:3000", "127.0.0.1:8500", "x")
 	path := filepath.Join(t.TempDir(), "config.json")
 	check := func(text string) string {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		what, err := Check(path)
-		if what != "platform's configuration" {
-			t.Errorf("taken for a %s", what)
+		kind, err := Check(path)
+		if kind != "platform's configuration" {
+			t.Errorf("recognized as %s", kind)
 		}
 		if err == nil {
 			return ""
 		}
 		return strings.ReplaceAll(err.Error(), path, "FILE")
 	}
-	if got := check(good); got != "" {
-		t.Errorf("a sound one: %s", got)
+	if got := check(valid); got != "" {
+		t.Errorf("valid configuration: %s", got)
 	}
-	bad := strings.NewReplacer("8c1f", "zz", "127.0.0.1:8500", "nowhere", `"TryLimit": 5`, `"TryLimit": "five"`, "idempotent", "sometimes", `"Zone": 1`, `"Zon": 1`).Replace(good)
+	invalid := strings.NewReplacer("8c1f", "zz", "127.0.0.1:8500", "nowhere", `"TryLimit": 5`, `"TryLimit": "five"`, "idempotent", "sometimes", `"Zone": 1`, `"Zon": 1`).Replace(valid)
 	want := []string{
-		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is no hexadecimal number of 64 bits`,
-		`FILE:1: discovery: "nowhere" is no host:port: address nowhere: missing port in address`,
+		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is not a 64-bit hexadecimal number`,
+		`FILE:1: discovery: "nowhere" is not a host:port address: address nowhere: missing port in address`,
 		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
 	}
-	got := strings.Split(check(bad), "\n")
-	for i, w := range want {
-		if len(got) != len(want) || !slices.ContainsFunc(got, func(g string) bool { return strings.HasPrefix(g, w) }) {
-			t.Errorf("got %q, want %q (%d)", got, w, i)
+	got := strings.Split(check(invalid), "\n")
+	for i, prefix := range want {
+		if len(got) != len(want) || !slices.ContainsFunc(got, func(line string) bool { return strings.HasPrefix(line, prefix) }) {
+			t.Errorf("got problems %q, want %q (%d)", got, prefix, i)
 		}
 	}
-	if got := check(strings.Replace(good, `"MaxRetryAfterUs": 2000000`, `"MaxRetryAfterUs": -2000000`, 1)); got != "FILE:8: settings.Limits.MaxRetryAfterUs: is a time of -2e+06 microseconds, which is out of range" {
-		t.Errorf("a time that is none: %s", got)
+	if got := check(strings.Replace(valid, `"MaxRetryAfterUs": 2000000`, `"MaxRetryAfterUs": -2000000`, 1)); got != "FILE:8: settings.Limits.MaxRetryAfterUs: is a time of -2e+06 microseconds, which is out of range" {
+		t.Errorf("negative duration: %s", got)
 	}
-	if got := check(good[:200]); !strings.HasPrefix(got, "FILE:") || !strings.Contains(got, "unexpected end") {
-		t.Errorf("half a file: %s", got)
+	if got := check(valid[:200]); !strings.HasPrefix(got, "FILE:") || !strings.Contains(got, "unexpected end") {
+		t.Errorf("truncated file: %s", got)
 	}
 }
 
-// A file that is written anew while it is read is read again.
+// Reading a file while it is being replaced must return the old or the new content, not a mix.
 func TestReadStableWhileFileIsReplaced(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	old, replacement := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
-	if err := os.WriteFile(file, old, 0o600); err != nil {
+	oldContent, newContent := bytes.Repeat([]byte("a"), 1<<20), bytes.Repeat([]byte("b"), 1<<20)
+	if err := os.WriteFile(file, oldContent, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	stop, stopped := make(chan struct{}), make(chan struct{})
@@ -134,7 +134,7 @@
 			default:
 			}
 			next := file + ".next"
-			_ = os.WriteFile(next, [][]byte{old, replacement}[i%2], 0o600)
+			_ = os.WriteFile(next, [][]byte{oldContent, newContent}[i%2], 0o600)
 			_ = os.Rename(next, file)
 		}
 	}()
@@ -144,8 +144,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !bytes.Equal(text, old) && !bytes.Equal(text, replacement) {
-			t.Fatalf("%d bytes of two files", len(text))
+		if !bytes.Equal(text, oldContent) && !bytes.Equal(text, newContent) {
+			t.Fatalf("read %d bytes that mix both contents", len(text))
 		}
 	}
 }
--- a/internal/config/configtest/configtest.go
+++ b/internal/config/configtest/configtest.go
@@ -1,4 +1,4 @@
-// Package configtest has the text of a platform's configuration, for tests that start a relay. Only tests import it.
+// Package configtest provides a platform configuration for tests that start a relay. Only tests import it.
 package configtest
 
 import "fmt"
@@ -9,10 +9,11 @@
 	"Guarantees": {"ColdUs": 23000000, "FallUs": 3000000, "StartCapacity": 0.12, "TipMultiple": 3.0},
 	"Limits": {"ConnectTimeoutUs": 500000, "MaxRetryAfterUs": 2000000, "RetryAfter": false, "TryLimit": 5}}`
 
-// PlatformConfig returns a configuration with these addresses: of the line front, of discovery and of the server in the list.
-func PlatformConfig(listen, discovery, server string) string {
+// PlatformConfig returns a platform configuration with the addresses of the line frontend, the discovery agent
+// and the one endpoint in the list.
+func PlatformConfig(listen, discovery, endpoint string) string {
 	return fmt.Sprintf(`{"name":"n3","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},
 		"known":{"revision":41,"complete":true,"members":[{"id":"s-1","host_port":%q,"locality":"a","flavor":"m","cell":1,
-		"phase":"ready","size":1.0,"up_since_ms":0}]},"settings":%s}`, listen, discovery, server, settingsText)
+		"phase":"ready","size":1.0,"up_since_ms":0}]},"settings":%s}`, listen, discovery, endpoint, settingsText)
 }
--- a/internal/config/differences.go
+++ b/internal/config/differences.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Differences returns what a platform's configuration changes against another, a line each, in the order of their keys. It
-// compares the texts that the two were read from, and returns nothing where one of them is no JSON.
+// Differences compares two platform configurations, given as JSON, and returns one line per changed value,
+// sorted by key. It returns nil if either is not valid JSON.
 func Differences(before, after []byte) []string {
 	var treeBefore, treeAfter any
 	valuesBefore, valuesAfter := make(map[string]string), make(map[string]string)
@@ -20,17 +20,18 @@
 	return differences(valuesBefore, valuesAfter, platformReloads)
 }
 
-// Differences returns what another site's file changes against this one, a line each, in the order of their keys.
+// Differences compares the site file with a replacement and returns one line per changed value, sorted by key.
 func (s *Site) Differences(next *Site) []string {
 	return differences(s.values, next.values, siteReloads)
 }
 
-// platformReloads reports whether a reload puts a key of the platform's configuration in force; all others need a restart.
+// platformReloads reports whether a reload applies changes of a key of the platform configuration; other keys
+// need a restart.
 func platformReloads(key string) bool {
 	return key == "discovery" || strings.HasPrefix(key, "settings.")
 }
 
-// siteReloads reports whether a reload puts a key of a site's file in force; all others need a restart.
+// siteReloads reports whether a reload applies changes of a key of a site file; other keys need a restart.
 func siteReloads(key string) bool {
 	switch key {
 	case "limits.attempts", "limits.per_address", "limits.rate", "limits.burst", "limits.fair":
@@ -41,8 +42,8 @@
 	return strings.HasPrefix(key, "server[") || strings.HasPrefix(key, "class[") || strings.HasPrefix(key, "health.")
 }
 
-// flatten adds each value of a decoded file to values, by its whole key. An element of a list of tables goes by its name or
-// address, not its index, so that one which is taken out changes no other.
+// flatten adds each value of a decoded file to values, by key path. Paths identify a table in a list by its name
+// or address rather than its index, so that removing one doesn't change the paths of the others.
 func flatten(values map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -58,7 +59,8 @@
 	}
 }
 
-// elementName returns what an element of a list goes by: the last of the keys below that it has, or its index.
+// elementName returns the identifier of a list element in key paths: the value of the last key below that it
+// has, or else its index.
 func elementName(index int, element any) any {
 	name := any(index)
 	if table, isTable := element.(map[string]any); isTable {
@@ -71,8 +73,8 @@
 	return name
 }
 
-// differences returns a line for each key whose value differs, or that one of the two lacks. reloads reports whether a reload
-// puts a key in force.
+// differences returns a line for each key that was changed, added or removed. reloads reports whether a reload
+// applies changes of a key.
 func differences(before, after map[string]string, reloads func(key string) bool) (lines []string) {
 	keys := slices.Collect(maps.Keys(before))
 	for key := range after {
@@ -82,20 +84,20 @@
 	}
 	slices.Sort(keys)
 	for _, key := range keys {
-		was, had := before[key]
-		is, has := after[key]
-		if had && has && was == is {
+		oldValue, had := before[key]
+		newValue, has := after[key]
+		if had && has && oldValue == newValue {
 			continue
 		}
-		line := fmt.Sprintf("%s: %q becomes %q", key, was, is)
+		line := fmt.Sprintf("%s: changed from %q to %q", key, oldValue, newValue)
 		switch {
 		case !had:
-			line = fmt.Sprintf("%s: %q is new", key, is)
+			line = fmt.Sprintf("%s: added, now %q", key, newValue)
 		case !has:
-			line = fmt.Sprintf("%s: %q goes", key, was)
+			line = fmt.Sprintf("%s: removed, was %q", key, oldValue)
 		}
 		if !reloads(key) {
-			line += " (with the next start only)"
+			line += " (requires a restart)"
 		}
 		lines = append(lines, line)
 	}
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,9 +12,10 @@
 	"lockroad/internal/golden"
 )
 
-// The keys of the platform's configuration: the problems where one is missing or of another type. A key that is read under another name shows here as one that changes nothing.
+// The keys of the platform configuration must not change. The golden file lists the outcome for each key that is
+// missing or of another type; a key that is no longer read changes nothing.
 func TestConfigurationKeysAreStable(t *testing.T) {
-	good := golden.Read(t, "config.json")
+	valid := golden.Read(t, "config.json")
 	read := func(text []byte) (*Config, error) {
 		c, err := ParseConfig(text)
 		if err == nil {
@@ -22,12 +23,12 @@
 		}
 		return c, err
 	}
-	want, err := read(good)
+	want, err := read(valid)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var tree any
-	if err := json.Unmarshal(good, &tree); err != nil {
+	if err := json.Unmarshal(valid, &tree); err != nil {
 		t.Fatal(err)
 	}
 	outcome := func() string { return readingOutcome(t, json.Marshal, read, &tree, want) }
@@ -37,7 +38,7 @@
 		fmt.Fprintf(&b, "%s missing: %s\n", path, outcome())
 		restore()
 		switch value.(type) {
-		case map[string]any, []any: // the text of their errors names types of the program
+		case map[string]any, []any: // their decoder errors contain Go types
 		default:
 			set([]int{1})
 			fmt.Fprintf(&b, "%s [1]: %s\n", path, outcome())
@@ -47,11 +48,11 @@
 	golden.Compare(t, "config-keys.txt", b.String())
 }
 
-// A configuration that takes another's place has to have all of its keys.
-func TestReplacementRequiresKeysOfFormer(t *testing.T) {
-	good := golden.Read(t, "config.json")
+// A configuration that is reloaded must have all keys of the configuration in force.
+func TestReplacementRequiresKeysInForce(t *testing.T) {
+	valid := golden.Read(t, "config.json")
 	var tree any
-	if err := json.Unmarshal(good, &tree); err != nil {
+	if err := json.Unmarshal(valid, &tree); err != nil {
 		t.Fatal(err)
 	}
 	var b strings.Builder
@@ -61,55 +62,55 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = parseConfig("FILE", text, good)
+		_, err = parseConfig("FILE", text, valid)
 		fmt.Fprintf(&b, "%s: %s\n", path, strings.ReplaceAll(fmt.Sprint(err), "\n", "; "))
 		restore()
 	})
 	golden.Compare(t, "shorter.txt", b.String())
 }
 
-// keysOf lists the keys that a file is read by, with what kind of value each has.
-func keysOf(b *strings.Builder, path string, of reflect.Type) {
-	switch of.Kind() {
+// listKeys writes the keys of the file format that t describes, each with the kind of its value.
+func listKeys(b *strings.Builder, path string, t reflect.Type) {
+	switch t.Kind() {
 	case reflect.Pointer:
-		keysOf(b, path, of.Elem())
+		listKeys(b, path, t.Elem())
 	case reflect.Slice:
-		keysOf(b, path+"[]", of.Elem())
+		listKeys(b, path+"[]", t.Elem())
 	case reflect.Struct:
-		for i := range of.NumField() {
-			field := of.Field(i)
+		for i := range t.NumField() {
+			field := t.Field(i)
 			name, _, _ := strings.Cut(field.Tag.Get("toml"), ",")
 			switch {
 			case !field.IsExported():
 			case field.Anonymous && name == "":
-				keysOf(b, path, field.Type)
-			case name == "": // keys are found whatever their case
-				keysOf(b, path+"."+strings.ToLower(field.Name), field.Type)
+				listKeys(b, path, field.Type)
+			case name == "": // keys match regardless of case
+				listKeys(b, path+"."+strings.ToLower(field.Name), field.Type)
 			default:
-				keysOf(b, path+"."+name, field.Type)
+				listKeys(b, path+"."+name, field.Type)
 			}
 		}
 	default:
-		kind := of.Kind().String()
-		if of == reflect.TypeFor[duration]() {
+		kind := t.Kind().String()
+		if t == reflect.TypeFor[duration]() {
 			kind = "time"
 		}
 		fmt.Fprintf(b, "%s %s\n", strings.TrimPrefix(path, "."), kind)
 	}
 }
 
-// All keys of the operator's file and of a site's.
+// The keys of the operator file and of the site file must not change.
 func TestFileKeysAreStable(t *testing.T) {
-	for name, of := range map[string]reflect.Type{"operator-keys.txt": reflect.TypeFor[Operator](), "site-keys.txt": reflect.TypeFor[siteFile]()} {
+	for name, format := range map[string]reflect.Type{"operator-keys.txt": reflect.TypeFor[Operator](), "site-keys.txt": reflect.TypeFor[siteFile]()} {
 		var b strings.Builder
-		keysOf(&b, "", of)
+		listKeys(&b, "", format)
 		golden.Compare(t, name, b.String())
 	}
 }
 
-// What is read of a site's file with each of its keys left out in turn, or written with a capital.
-func TestSiteFileIsReadByItsKeys(t *testing.T) {
-	good := golden.Read(t, "site.toml")
+// The golden file lists the outcome for each missing key of a site file. Keys match regardless of case.
+func TestSiteFileKeysAreRead(t *testing.T) {
+	valid := golden.Read(t, "site.toml")
 	read := func(text []byte) (*Site, error) {
 		s, err := parseSite("FILE", text)
 		if err == nil {
@@ -117,12 +118,12 @@
 		}
 		return s, err
 	}
-	want, err := read(good)
+	want, err := read(valid)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var tree map[string]any
-	if err := toml.Unmarshal(good, &tree); err != nil {
+	if err := toml.Unmarshal(valid, &tree); err != nil {
 		t.Fatal(err)
 	}
 	outcome := func() string { return readingOutcome(t, toml.Marshal, read, &tree, want) }
@@ -133,13 +134,13 @@
 		restore()
 	})
 	golden.Compare(t, "site-missing.txt", b.String())
-	capitals := strings.NewReplacer("\nname", "\nName", "\nlisten", "\nListen", "\naddress", "\nAddress", "\nsize", "\nSIZE", "\nevery", "\nEvery", "\neffect", "\nEffect").Replace(string(good))
-	if got, err := read([]byte(capitals)); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("with capitals it is read otherwise: %v", err)
+	capitalized := strings.NewReplacer("\nname", "\nName", "\nlisten", "\nListen", "\naddress", "\nAddress", "\nsize", "\nSIZE", "\nevery", "\nEvery", "\neffect", "\nEffect").Replace(string(valid))
+	if got, err := read([]byte(capitalized)); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("with capitalized keys: got %+v, %v, want %+v", got, err, want)
 	}
 }
 
-// The differences that a reload reports for each key of a site's file, and the file that init writes.
+// Operators read the differences that a reload reports for a site file, and the file that lockroad init writes.
 func TestSiteTextsAreStable(t *testing.T) {
 	s, err := parseSite("FILE", golden.Read(t, "site.toml"))
 	if err != nil {
@@ -149,7 +150,8 @@
 	golden.Compare(t, "init.toml", RenderSite("music-room", "0.0.0.0:3000", "/run/console.sock", []string{"10.0.0.5:4000", "10.0.0.6:4000"}))
 }
 
-// readingOutcome writes a tree of keys and values, reads it, and says how that differs from what is read of the complete file.
+// readingOutcome encodes a tree of keys and values and reads it. It returns the error, or whether the result
+// differs from want.
 func readingOutcome[T any](t *testing.T, marshal func(any) ([]byte, error), read func([]byte) (T, error), tree any, want T) string {
 	t.Helper()
 	text, err := marshal(tree)
--- a/internal/config/keylines.go
+++ b/internal/config/keylines.go
@@ -9,10 +9,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// tomlLines returns the lines of a TOML file's keys, in lower case, as far as it can be read.
+// tomlLines returns the line numbers of a TOML file by key path in lower case. It stops at the first syntax error.
 func tomlLines(text []byte) map[string]int {
 	lines := make(map[string]int)
-	tableCounts := make(map[string]int) // of each array of tables
+	tableCounts := make(map[string]int) // tables seen so far in each array of tables
 	var parser unstable.Parser
 	parser.Reset(text)
 	section := ""
@@ -36,7 +36,7 @@
 	return lines
 }
 
-// tomlKey returns the dotted key of an expression in lower case, and its line.
+// tomlKey returns the dotted key of an expression, in lower case, and its line number.
 func tomlKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for it := expression.Key(); it.Next(); {
@@ -49,21 +49,21 @@
 	return strings.ToLower(strings.Join(parts, ".")), line
 }
 
-// jsonLines returns the lines of a JSON text's keys, in lower case, as far as it can be read.
+// jsonLines returns the line numbers of a JSON text by key path in lower case. It stops at the first syntax error.
 func jsonLines(text []byte) map[string]int {
 	w := jsonWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: make(map[string]int)}
-	_ = w.walk("") // lines of what comes before a syntax error are known all the same
+	_ = w.walk("") // after a syntax error, the lines before it are still valid
 	return w.lines
 }
 
-// jsonWalker notes the line of each value of a JSON text.
+// jsonWalker records the line number of each value of a JSON text.
 type jsonWalker struct {
 	text    []byte
 	decoder *json.Decoder
-	lines   map[string]int // by path in lower case
+	lines   map[string]int // by key path in lower case
 }
 
-// walk notes the lines of the value at path, which is next, and of what it holds.
+// walk records the line numbers of the decoder's next value, which is at path, and of all values within it.
 func (w *jsonWalker) walk(path string) error {
 	token, err := w.decoder.Token()
 	if err != nil {
@@ -91,7 +91,7 @@
 	return err
 }
 
-// lineAt returns the line, from 1, of an offset in a text, which may lie beyond either end.
+// lineAt returns the line number, starting at 1, of an offset in text. An offset out of range is clamped.
 func lineAt(text []byte, offset int64) int {
 	offset = min(max(offset, 0), int64(len(text)))
 	return 1 + bytes.Count(text[:offset], []byte{'\n'})
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -17,7 +17,8 @@
 	"lockroad/internal/logging"
 )
 
-// Operator has the settings that are the operator's, beside the platform's configuration. The zero value turns everything off.
+// Operator has the settings of the operator file, which supplement the platform configuration. The zero value
+// disables all optional features.
 type Operator struct {
 	AMQP        AMQP        `toml:"amqp"`
 	OTLP        OTLP        `toml:"otlp"`
@@ -27,37 +28,37 @@
 	Store       Store       `toml:"store"`
 }
 
-// AMQP has the settings of the frontend for clients that speak AMQP 1.0.
+// AMQP has the settings of the frontend for AMQP 1.0 clients.
 type AMQP struct {
 	Listen       string `toml:"listen"`      // host:port; empty: the frontend is off
-	EndpointPort int    `toml:"server_port"` // where endpoints speak AMQP; 0: as discovery says
-	MaxLinks     int    `toml:"links"`       // at a time; 0: as many as the limits leave
+	EndpointPort int    `toml:"server_port"` // AMQP port of the endpoints; 0: the port that discovery lists
+	MaxLinks     int    `toml:"links"`       // concurrent links; 0: as many as the descriptor limit allows
 
-	// MaxSessionsPerConn is how many requests share one connection to an endpoint at the most; 0: each has one of its own. A higher number
-	// saves descriptors and set-ups; the end of a connection is that of all requests on it.
+	// MaxSessionsPerConn is the maximum number of requests that share a connection to an endpoint; 0: no sharing.
+	// A higher value saves descriptors and connection set-ups, but a lost connection ends all requests on it.
 	MaxSessionsPerConn int      `toml:"shared"`
-	SharedIdleTimeout  duration `toml:"shared_idle"` // such a connection without a request is closed after this; empty: 10 s
+	SharedIdleTimeout  duration `toml:"shared_idle"` // idle time before a shared connection is closed; empty: 10 s
 
 	TLS struct {
-		Cert     string `toml:"cert"`      // PEM files of the frontend's certificate and its key; empty: no TLS
-		Key      string `toml:"key"`       // both are reloaded at SIGHUP, as all files named here
-		ClientCA string `toml:"client_ca"` // PEM file of who signs the certificates that clients may show
+		Cert     string `toml:"cert"`      // PEM file of the frontend's certificate; empty: no TLS
+		Key      string `toml:"key"`       // PEM file of its key; all files are reloaded at SIGHUP
+		ClientCA string `toml:"client_ca"` // PEM file of the CA for client certificates; empty: they are not used
 	} `toml:"tls"`
 	SASL struct {
-		Users           string `toml:"users"`             // file of users and passwords (lockroad passwd); empty: no PLAIN
-		Anonymous       *bool  `toml:"anonymous"`         // clients may come without saying who they are; not set: yes
-		PlainWithoutTLS bool   `toml:"plain_without_tls"` // passwords may come in the clear
+		Users           string `toml:"users"`             // file written by lockroad passwd; empty: no PLAIN
+		Anonymous       *bool  `toml:"anonymous"`         // allow unauthenticated clients; not set: yes
+		PlainWithoutTLS bool   `toml:"plain_without_tls"` // allow PLAIN without TLS
 	} `toml:"sasl"`
-	Grants      []auth.Grant `toml:"grant"` // which classes users may open; none: all may open all
+	Grants      []auth.Grant `toml:"grant"` // classes that each user may open; empty: all users, all classes
 	EndpointTLS struct {
-		CA   string `toml:"ca"`   // PEM file of who signs endpoints' certificates; empty: no TLS to endpoints
-		Cert string `toml:"cert"` // PEM files that the relay shows them; empty: none
-		Key  string `toml:"key"`
-		Name string `toml:"name"` // that their certificates have to be for; empty: their host
+		CA   string `toml:"ca"`   // PEM file of the CA for endpoint certificates; empty: no TLS to endpoints
+		Cert string `toml:"cert"` // PEM file of the relay's client certificate; empty: none
+		Key  string `toml:"key"`  // PEM file of its key
+		Name string `toml:"name"` // server name expected in endpoint certificates; empty: the endpoint's host
 	} `toml:"servers_tls"`
-	Placements []struct { // of links whose attach has no class; the first that matches is taken
-		Address   string   `toml:"address"`   // * stands for any text; empty: any
-		Container string   `toml:"container"` // the same
+	Placements []struct { // rules for links whose attach names no class; the first matching rule applies
+		Address   string   `toml:"address"`   // pattern in which * matches any text; empty: matches all
+		Container string   `toml:"container"` // pattern, as for Address
 		Class     string   `toml:"class"`
 		GiveUp    duration `toml:"give_up"` // empty: the deadline of the class
 		Group     string   `toml:"group"`   // address, container, link or property:NAME; empty: none
@@ -69,27 +70,27 @@
 	defaultSharedIdle = duration(10 * time.Second)
 )
 
-// PoolSettings returns how requests share connections to endpoints.
+// PoolSettings returns the settings of the pool of shared endpoint connections.
 func (a *AMQP) PoolSettings() connpool.Settings {
 	return connpool.Settings{MaxSessions: a.MaxSessionsPerConn, IdleTimeout: time.Duration(cmp.Or(a.SharedIdleTimeout, defaultSharedIdle))}
 }
 
-// AuthSettings returns how clients of the frontend are authenticated and authorized.
+// AuthSettings returns the settings for authenticating and authorizing clients.
 func (a *AMQP) AuthSettings() auth.Settings {
 	return auth.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
 		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, PlainWithoutTLS: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
-// EndpointTLSSettings returns how connections to endpoints are secured.
+// EndpointTLSSettings returns the TLS settings of connections to endpoints.
 func (a *AMQP) EndpointTLSSettings() auth.Upstream {
 	return auth.Upstream{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
 }
 
-// CompiledPlacements returns the placement rules, ready for use. The error joins one for each rule that is malformed, which
-// names the rule and its key.
+// CompiledPlacements compiles the placement rules. The error joins one error per malformed rule, each prefixed
+// with the rule's index and key.
 func (a *AMQP) CompiledPlacements() (all []amqp.Placement, err error) {
-	for i, one := range a.Placements {
-		placement := amqp.Placement{Address: one.Address, Container: one.Container, Class: one.Class, Timeout: time.Duration(one.GiveUp), Group: one.Group}
+	for i, rule := range a.Placements {
+		placement := amqp.Placement{Address: rule.Address, Container: rule.Container, Class: rule.Class, Timeout: time.Duration(rule.GiveUp), Group: rule.Group}
 		if compileErr := placement.Compile(); compileErr != nil {
 			err = errors.Join(err, fmt.Errorf("amqp.place[%d].%w", i, compileErr))
 		}
@@ -98,7 +99,7 @@
 	return all, err
 }
 
-// OTLP has the settings of the export of telemetry.
+// OTLP has the settings of the telemetry export.
 type OTLP struct {
 	Endpoint string `toml:"endpoint"` // URL of the collector; empty: telemetry is off
 }
@@ -110,8 +111,8 @@
 
 // DecisionLog has the settings of the decision log.
 type DecisionLog struct {
-	// Bytes is the memory of the decision log, all of it allocated at the start: 2 MB have some 4,000 requests. 0: no decisions are
-	// recorded. nil: decisionlog.DefaultBytes where a console or telemetry can read them, else 0.
+	// Bytes is the size of the decision log, which is allocated at startup; 2 MB hold some 4,000 requests. 0:
+	// decisions are not recorded. nil: decisionlog.DefaultBytes if the console or telemetry is enabled, else 0.
 	Bytes *int `toml:"bytes"`
 }
 
@@ -121,13 +122,13 @@
 	Format string `toml:"form"`  // text, logfmt or json; empty: logfmt
 }
 
-// Store has the settings of what outlasts a restart.
+// Store has the settings of the store, which holds the state that survives a restart.
 type Store struct {
-	Dir string `toml:"dir"` // a folder of the relay's own; empty: nothing is stored
-	MB  int    `toml:"mb"`  // that its files take, about; 0: 64
+	Dir string `toml:"dir"` // directory used by this relay only; empty: no store
+	MB  int    `toml:"mb"`  // approximate size limit of its files; 0: 64
 }
 
-// DecisionLogBytes returns the memory of the decision log in bytes; 0: there is none.
+// DecisionLogBytes returns the size of the decision log; 0: decisions are not recorded.
 func (o *Operator) DecisionLogBytes() int {
 	switch {
 	case o.DecisionLog.Bytes != nil:
@@ -138,15 +139,15 @@
 	return 0
 }
 
-// ReadOperator reads and validates an operator's file. An empty path stands for none, and the zero Operator. The error is
-// Problems, or that of reading the file.
+// ReadOperator reads and validates the operator file at path. It returns the zero Operator if path is empty. The
+// error is of type Problems if the file is invalid.
 func ReadOperator(path string) (*Operator, error) {
 	if path == "" {
 		return &Operator{}, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("operator's file: %w", err)
+		return nil, fmt.Errorf("read operator file: %w", err)
 	}
 	return parseOperator(path, text)
 }
@@ -164,18 +165,18 @@
 	return o, nil
 }
 
-// check adds all that is wrong with the operator's settings. Files that they name are looked at as well: a check that leaves out
-// what a start would fail at is none.
+// check adds the problems of the operator's settings to v. It also reads the files that they name, to report
+// anything that would make a start fail.
 func (o *Operator) check(v *validator) {
 	o.AMQP.check(v)
 	if o.OTLP.Endpoint != "" {
 		u, err := url.Parse(o.OTLP.Endpoint)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			v.add("otlp.endpoint", "%q is no http or https URL", o.OTLP.Endpoint)
+			v.add("otlp.endpoint", "%q is not an http or https URL", o.OTLP.Endpoint)
 		}
 	}
 	if n := o.DecisionLog.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
-		v.add("why.bytes", "%d is neither 0, for none, nor within %d and %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
+		v.add("why.bytes", "%d is out of range: expected 0 (disabled) or %d to %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
 	}
 	o.Store.check(v)
 	if err := logging.CheckLevel(o.Log.Level); err != nil {
@@ -190,17 +191,17 @@
 	if a.Listen != "" {
 		port, ok := v.checkAddress("amqp.listen", a.Listen)
 		if _, err := strconv.ParseUint(port, 10, 16); ok && err != nil {
-			v.add("amqp.listen", "port %q is no number up to 65535", port)
+			v.add("amqp.listen", "port %q is not a number from 0 to 65535", port)
 		}
 	}
 	if n := a.EndpointPort; n < 0 || n > 65535 {
-		v.add("amqp.server_port", "%d is no port", n)
+		v.add("amqp.server_port", "%d is not a port number", n)
 	}
 	if n := a.MaxLinks; n < 0 {
 		v.add("amqp.links", "%d is negative", n)
 	}
 	if n := a.MaxSessionsPerConn; n < 0 || n > maxSharedSessions {
-		v.add("amqp.shared", "%d is not within 0 and %d", n, maxSharedSessions)
+		v.add("amqp.shared", "%d is out of range: expected 0 to %d", n, maxSharedSessions)
 	}
 	_, authErr := auth.New(a.AuthSettings())
 	_, tlsErr := auth.NewEndpointTLS(a.EndpointTLSSettings())
@@ -211,25 +212,25 @@
 	}
 	if _, err := a.CompiledPlacements(); err != nil {
 		for line := range strings.Lines(err.Error()) {
-			key, what, _ := strings.Cut(strings.TrimSpace(line), ": ")
-			v.add(key, "%s", what)
+			key, message, _ := strings.Cut(strings.TrimSpace(line), ": ")
+			v.add(key, "%s", message)
 		}
 	}
 }
 
 func (s *Store) check(v *validator) {
 	if s.MB < 0 || s.MB > 1<<20 {
-		v.add("store.mb", "%d is not within 0, for the usual, and %d", s.MB, 1<<20)
+		v.add("store.mb", "%d is out of range: expected 0 (default) to %d", s.MB, 1<<20)
 	}
 	if s.Dir == "" {
 		if s.MB != 0 {
-			v.add("store.dir", "it is missing: without a folder nothing is kept")
+			v.add("store.dir", "is missing: mb has no effect without it")
 		}
 		return
 	}
 	if info, err := os.Stat(s.Dir); err != nil {
 		v.add("store.dir", "%v", err)
 	} else if !info.IsDir() {
-		v.add("store.dir", "%s is no folder", s.Dir)
+		v.add("store.dir", "%s is not a directory", s.Dir)
 	}
 }
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -9,30 +9,30 @@
 	"strings"
 )
 
-// Problem is the error of one thing wrong in a configuration file.
+// Problem is one validation error of a configuration file.
 type Problem struct {
 	File    string
-	Line    int    // from 1; 0 if it is not known, as of a key that is missing
-	Key     string // such as amqp.listen; "" if it is about no key
+	Line    int    // starting at 1; 0 if unknown, for example for a missing key
+	Key     string // key path such as amqp.listen; "" if no key is concerned
 	Message string
 }
 
-// Error returns FILE:LINE: KEY: WHAT, without what is not known.
+// Error returns FILE:LINE: KEY: MESSAGE, without an unknown line or key.
 func (p *Problem) Error() string {
-	where := p.File
+	location := p.File
 	if p.Line > 0 {
-		where += ":" + strconv.Itoa(p.Line)
+		location += ":" + strconv.Itoa(p.Line)
 	}
 	if p.Key != "" {
-		where += ": " + p.Key
+		location += ": " + p.Key
 	}
-	return where + ": " + p.Message
+	return location + ": " + p.Message
 }
 
-// Problems are all that is wrong in a file, in the order of its lines. It is the type of validation errors in this package.
+// Problems is the validation error of a file: all its problems, sorted by line.
 type Problems []*Problem
 
-// Error returns a line for each.
+// Error returns one line per problem.
 func (all Problems) Error() string {
 	lines := make([]string, len(all))
 	for i, p := range all {
@@ -41,7 +41,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// errOrNil returns nil where there is none, and else all in the order of their lines.
+// errOrNil sorts the problems by line and returns them, or returns nil if there are none.
 func (all Problems) errOrNil() error {
 	if len(all) == 0 {
 		return nil
@@ -50,9 +50,9 @@
 	return all
 }
 
-// Check reads and validates a file: a platform's configuration, which is JSON, a site's file, or else an operator's file. what
-// names which of them. The error is Problems, or that of reading the file.
-func Check(path string) (what string, err error) {
+// Check reads and validates a file: a platform configuration (JSON), a site file or an operator file. kind
+// describes which of them the content was recognized as. The error is of type Problems if the file is invalid.
+func Check(path string) (kind string, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return "", err
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -16,34 +16,35 @@
 	"lockroad/internal/quota"
 )
 
-// Site is all that a small site has in one file: a relay's configuration, its endpoints, and the operator's settings. It
-// needs no platform and no discovery agent.
+// Site is the content of a site file: a relay's configuration, its endpoints and the operator's settings. A
+// relay of a site runs without a platform and without a discovery agent.
 type Site struct {
 	Config        *Config
 	Operator      *Operator
-	Endpoints     []prober.Endpoint
+	Endpoints     []prober.Endpoint // in the order of the file
 	Health        healthcheck.Settings
-	ProbeWithPing bool           // endpoints are probed with PING, not by a connection alone
-	Quota         quota.Settings // without Fair, which QuotaSettings sets
-	FairShare     bool           // admission slots that run short are shared out among client addresses
+	ProbeWithPing bool           // probe endpoints with PING rather than only by connecting
+	Quota         quota.Settings // without FairShare, which QuotaSettings sets
+	FairShare     bool           // divide scarce admission slots fairly among client addresses
 
-	values map[string]string // every key of the file with its value, for the difference to another
+	values map[string]string // every value of the file by key path, to compare files
 }
 
-// duration is a time as a person writes it, such as 90s or 800ms.
+// duration is a non-negative time.Duration that is written in files as a string such as 90s or 800ms.
 type duration time.Duration
 
-// UnmarshalText parses a time that is not negative.
+// UnmarshalText parses a duration and rejects negative ones.
 func (d *duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil || parsed < 0 {
-		return fmt.Errorf("%q is no time, such as 800ms or 4s", text)
+		return fmt.Errorf("%q is not a duration such as 800ms or 4s", text)
 	}
 	*d = duration(parsed)
 	return nil
 }
 
-// siteFile is a site's file as it is written. Errors of its decoder, which operators read, print the type's and fields' names.
+// siteFile is the format of a site file. Decoder errors, which operators read, contain the names of the type and
+// its fields.
 type siteFile struct {
 	Operator
 	Name   string `toml:"name"`
@@ -62,7 +63,7 @@
 		GiveUp  duration `toml:"give_up_after"`
 		Message duration `toml:"message_within"`
 		Effect  string   `toml:"effect"`
-		Most    int      `toml:"most"` // requests at a time; 0: any number
+		Most    int      `toml:"most"` // concurrent requests; 0: no limit
 	} `toml:"class"`
 	Limits struct {
 		Cores    float64 `toml:"cores"`
@@ -70,10 +71,10 @@
 		Sockets  int     `toml:"sockets"`
 		Attempts int     `toml:"attempts"`
 
-		PerAddress int     `toml:"per_address"` // requests of a client address at a time; 0: any number
-		Rate       float64 `toml:"rate"`        // of requests that an address may begin a second; 0: any number
-		Burst      int     `toml:"burst"`       // of requests that it may begin at once
-		Fair       bool    `toml:"fair"`        // admission slots that run short are shared out among addresses
+		PerAddress int     `toml:"per_address"` // concurrent requests of a client address; 0: no limit
+		Rate       float64 `toml:"rate"`        // new requests of a client address per second; 0: no limit
+		Burst      int     `toml:"burst"`       // new requests that a client address may send at once
+		Fair       bool    `toml:"fair"`        // divide scarce admission slots fairly among client addresses
 	} `toml:"limits"`
 	Health struct {
 		Probe   string   `toml:"probe"`
@@ -86,7 +87,7 @@
 	} `toml:"health"`
 }
 
-// Defaults of what a site's file leaves out.
+// Defaults for keys that a site file omits.
 const (
 	defaultLatencyObjective = 800 * time.Millisecond
 	defaultDeadline         = 4800 * time.Millisecond
@@ -95,10 +96,10 @@
 	defaultSockets          = 4096
 )
 
-// minSockets is the least number of descriptors that leaves room for clients.
+// minSockets is the minimum limit on file descriptors, which leaves enough of them for clients.
 const minSockets = 64
 
-// ReadSite reads and validates a site's file. The error is Problems, or that of reading the file.
+// ReadSite reads and validates the site file at path. The error is of type Problems if the file is invalid.
 func ReadSite(path string) (*Site, error) {
 	text, err := readStable(path)
 	if err != nil {
@@ -107,7 +108,8 @@
 	return parseSite(path, text)
 }
 
-// parseSite decodes and validates a site's file. Problems of a line come in the order of the steps.
+// parseSite decodes and validates a site file. Problems on the same line are reported in the order of the checks
+// below.
 func parseSite(path string, text []byte) (*Site, error) {
 	v := &validator{file: path, lines: tomlLines(text)}
 	var file siteFile
@@ -125,7 +127,7 @@
 	site.Endpoints = v.siteEndpoints(&file, site.Config)
 	site.Config.Settings = v.siteSettings(&file)
 	site.Health = v.siteHealth(&file)
-	site.ProbeWithPing = v.sitePing(&file)
+	site.ProbeWithPing = v.siteProbesWithPing(&file)
 	site.Quota, site.FairShare = v.siteQuota(&file), file.Limits.Fair
 	if err := v.problems.errOrNil(); err != nil {
 		return nil, err
@@ -133,7 +135,7 @@
 	return site, nil
 }
 
-// siteConfig returns the relay's configuration but for its settings, and with the zone of the relay alone.
+// siteConfig returns the relay's configuration without the balancer's settings, and with the relay's own zone only.
 func (v *validator) siteConfig(file *siteFile, text []byte) *Config {
 	if file.Name == "" {
 		v.add("name", "is missing")
@@ -144,60 +146,60 @@
 	}
 	limits := &file.Limits
 	if limits.Cores < 0 || limits.MemoryMB < 0 || limits.Sockets < 0 || limits.Attempts < 0 {
-		v.add("limits", "a limit is negative")
+		v.add("limits", "cores, memory_mb, sockets and attempts must not be negative")
 	}
 	if n := limits.Sockets; n > 0 && n < minSockets {
-		v.add("limits.sockets", "%d is less than %d", n, minSockets)
+		v.add("limits.sockets", "%d is less than the minimum of %d", n, minSockets)
 	}
 	return &Config{
-		Name:        file.Name,
-		Listen:      file.Listen,
-		AdminAddr:   file.Admin,
-		adminInFile: file.Admin,
-		Cores:       limits.Cores,
-		MemoryMB:    cmp.Or(limits.MemoryMB, defaultMemoryMB),
-		Sockets:     cmp.Or(limits.Sockets, defaultSockets),
-		Seed:        uint64(time.Now().UnixNano()),
-		Zones:       []string{file.Zone},
-		text:        text,
+		Name:            file.Name,
+		Listen:          file.Listen,
+		AdminAddr:       file.Admin,
+		adminAddrInFile: file.Admin,
+		Cores:           limits.Cores,
+		MemoryMB:        cmp.Or(limits.MemoryMB, defaultMemoryMB),
+		Sockets:         cmp.Or(limits.Sockets, defaultSockets),
+		Seed:            uint64(time.Now().UnixNano()),
+		Zones:           []string{file.Zone},
+		text:            text,
 	}
 }
 
-// siteEndpoints returns the endpoints that the file lists, and adds their zones to the configuration's.
+// siteEndpoints returns the endpoints of the file and adds their zones to c.
 func (v *validator) siteEndpoints(file *siteFile, c *Config) (endpoints []prober.Endpoint) {
 	if len(file.Server) == 0 {
-		v.add("server", "is missing: there is no server to send anyone to")
+		v.add("server", "is missing: at least one server is required")
 	}
-	for i, one := range file.Server {
-		at := fmt.Sprintf("server[%d].", i)
-		name := cmp.Or(one.Name, one.Address)
-		if _, _, err := net.SplitHostPort(one.Address); err != nil {
-			v.add(at+"address", "%q is no host:port: %v", one.Address, err)
+	for i, server := range file.Server {
+		prefix := fmt.Sprintf("server[%d].", i)
+		name := cmp.Or(server.Name, server.Address)
+		if _, _, err := net.SplitHostPort(server.Address); err != nil {
+			v.add(prefix+"address", "%q is not a host:port address: %v", server.Address, err)
 		}
 		if slices.ContainsFunc(endpoints, func(other prober.Endpoint) bool { return other.Name == name }) {
-			v.add(at+"name", "%q is the name of another server too", name)
+			v.add(prefix+"name", "another server is already named %q", name)
 		}
 		if strings.ContainsFunc(name, func(r rune) bool { return r <= ' ' }) {
-			v.add(at+"name", "%q has a blank or worse in it", name)
+			v.add(prefix+"name", "%q contains a space or control character", name)
 		}
-		if one.Size < 0 {
-			v.add(at+"size", "%v is negative", one.Size)
+		if server.Size < 0 {
+			v.add(prefix+"size", "%v is negative", server.Size)
 		}
-		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: one.Address, Zone: c.siteZone(one.Zone), Size: cmp.Or(one.Size, 1)})
+		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: server.Address, Zone: c.siteZone(server.Zone), Size: cmp.Or(server.Size, 1)})
 	}
 	return endpoints
 }
 
-// siteZone returns the number of a hall, which becomes a zone if it isn't one yet. An endpoint without a hall is in the relay's.
-func (c *Config) siteZone(hall string) int {
-	if i := slices.Index(c.Zones, hall); i >= 0 || hall == "" {
+// siteZone returns the number of a zone, which it adds if it is unknown. An empty name means the relay's own zone.
+func (c *Config) siteZone(name string) int {
+	if i := slices.Index(c.Zones, name); i >= 0 || name == "" {
 		return max(0, i)
 	}
-	c.Zones = append(c.Zones, hall)
+	c.Zones = append(c.Zones, name)
 	return len(c.Zones) - 1
 }
 
-// siteQuota returns the limits of requests by address and class.
+// siteQuota returns the request limits by client address and by class.
 func (v *validator) siteQuota(file *siteFile) quota.Settings {
 	settings := quota.Settings{PerAddress: file.Limits.PerAddress, Rate: file.Limits.Rate, Burst: file.Limits.Burst, PerClass: make(map[string]int)}
 	for i, class := range file.Class {
@@ -213,7 +215,8 @@
 	return settings
 }
 
-// QuotaSettings returns the limits of requests by address and class, for a relay with so many admission slots.
+// QuotaSettings returns the request limits by client address and by class for a relay with this number of
+// admission slots.
 func (s *Site) QuotaSettings(slots int) quota.Settings {
 	settings := s.Quota
 	if s.FairShare {
@@ -222,8 +225,8 @@
 	return settings
 }
 
-// siteSettings returns the balancer's settings. Those that a site's file has no key for suit a single relay before a few
-// endpoints.
+// siteSettings returns the balancer's settings. Settings without a key in the site file have values for a single
+// relay with a few endpoints.
 func (v *validator) siteSettings(file *siteFile) balancer.Settings {
 	settings := balancer.Settings{
 		Relays:            1,
@@ -240,32 +243,32 @@
 		ReportsDelay:      true,
 	}
 	if len(file.Class) == 0 {
-		v.add("class", "is missing: clients name one")
+		v.add("class", "is missing: at least one class is required")
 	}
 	effects := map[string]balancer.Effect{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
-	for i, one := range file.Class {
-		at := fmt.Sprintf("class[%d].", i)
-		effect, ok := effects[one.Effect]
+	for i, class := range file.Class {
+		prefix := fmt.Sprintf("class[%d].", i)
+		effect, ok := effects[class.Effect]
 		switch {
-		case one.Name == "":
-			v.add(at+"name", "is missing")
-		case settings.ClassIndex(one.Name) >= 0:
-			v.add(at+"name", "%q is the name of another class too", one.Name)
+		case class.Name == "":
+			v.add(prefix+"name", "is missing")
+		case settings.ClassIndex(class.Name) >= 0:
+			v.add(prefix+"name", "another class is already named %q", class.Name)
 		case !ok:
-			v.add(at+"effect", "%q is neither idempotent nor at_most_once", one.Effect)
+			v.add(prefix+"effect", "%q is neither idempotent nor at_most_once", class.Effect)
 		}
 		settings.Classes = append(settings.Classes, balancer.Class{
-			Name:                    one.Name,
-			LatencyObjective:        time.Duration(cmp.Or(one.SetUp, duration(defaultLatencyObjective))),
-			Deadline:                time.Duration(cmp.Or(one.GiveUp, duration(defaultDeadline))),
-			MessageLatencyObjective: time.Duration(one.Message),
+			Name:                    class.Name,
+			LatencyObjective:        time.Duration(cmp.Or(class.SetUp, duration(defaultLatencyObjective))),
+			Deadline:                time.Duration(cmp.Or(class.GiveUp, duration(defaultDeadline))),
+			MessageLatencyObjective: time.Duration(class.Message),
 			Effect:                  effect,
 		})
 	}
 	return settings
 }
 
-// siteHealth returns the settings of health checks: the defaults with what the file has.
+// siteHealth returns the health-check settings: the file's values, or the defaults for omitted keys.
 func (v *validator) siteHealth(file *siteFile) healthcheck.Settings {
 	settings, health := healthcheck.DefaultSettings(), &file.Health
 	settings.Interval = time.Duration(cmp.Or(health.Every, duration(settings.Interval)))
@@ -280,8 +283,8 @@
 	return settings
 }
 
-// sitePing reports whether endpoints are probed with PING, not by a connection alone.
-func (v *validator) sitePing(file *siteFile) bool {
+// siteProbesWithPing reports whether to probe endpoints with PING rather than only by connecting.
+func (v *validator) siteProbesWithPing(file *siteFile) bool {
 	switch file.Health.Probe {
 	case "", "ping":
 		return true
--- a/internal/config/sitetemplate.go
+++ b/internal/config/sitetemplate.go
@@ -7,16 +7,16 @@
 	"strings"
 )
 
-// RenderSite returns the text of a site's file to begin with, which has a comment on each setting. servers are host:port each;
-// socket is the path of the console's.
+// RenderSite returns a commented starter site file. servers holds host:port addresses; socket is the path of the
+// console's socket.
 func RenderSite(name, listen, socket string, servers []string) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "# A relay of a small site. `lockroad check` tells all that is wrong with this file; a reload takes servers,\n# classes, attempts and health, whole or not at all.\nname = %q\nlisten = %q\n", name, listen)
+	fmt.Fprintf(&b, "# Configuration of a relay for a small site. Validate it with `lockroad check`. A reload applies servers, classes,\n# attempts, client limits and health; an invalid file is rejected as a whole.\nname = %q\nlisten = %q\n", name, listen)
 	for i, address := range servers {
-		fmt.Fprintf(&b, "\n[[server]]\nname = \"s-%d\"\naddress = %q\nsize = 1.0                   # against the others\n", i+1, address)
+		fmt.Fprintf(&b, "\n[[server]]\nname = \"s-%d\"\naddress = %q\nsize = 1.0                   # capacity relative to the other servers\n", i+1, address)
 	}
 	b.WriteString(`
-# What clients ask for by name. Those that are turned away first are worth least.
+# Classes of requests. Clients choose a class by name.
 [[class]]
 name = "page"
 set_up_within = "800ms"
@@ -33,24 +33,24 @@
 memory_mb = 128
 sockets = 4096
 attempts = 5
-per_address = 0              # transactions of one client address at a time; 0: any number
-rate = 0.0                   # that one address may begin a second; 0: any number
-fair = true                  # seats that run short are shared out among addresses
+per_address = 0              # concurrent requests per client address; 0: no limit
+rate = 0.0                   # new requests per second and client address; 0: no limit
+fair = true                  # divide scarce admission slots fairly among client addresses
 
-# Servers are found to be up by probes, and down by probes and by what becomes of their passes.
+# Probes mark servers as up; probes and failed requests mark them as down.
 [health]
-probe = "ping"               # or connect, where servers know no PING
+probe = "ping"               # or "connect" for servers without PING
 every = "2s"
 timeout = "1s"
-rise = 2                     # in a row, until one that was down is up
-fall = 3                     # in a row, until one that was up is down
-panic = 0.5                  # where more are down, this box is doubted first
+rise = 2                     # successes in a row until a server that is down counts as up
+fall = 3                     # failures in a row until a server that is up counts as down
+panic = 0.5                  # if more than this share of the servers seems down, all count as up
 `)
 	fmt.Fprintf(&b, "\n[console]\nsocket = %q\n\n[log]\nlevel = \"info\"\nform = \"text\"\n", socket)
 	return b.String()
 }
 
-// WriteSite writes a site's file. It fails with fs.ErrExist if there is a file at path already.
+// WriteSite creates a site file. It fails with fs.ErrExist if path already exists.
 func WriteSite(path, text string) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -15,36 +15,37 @@
 	"lockroad/internal/simprotocol"
 )
 
-// validator collects the problems of one file, and knows the lines of its keys.
+// validator collects the problems of one file.
 type validator struct {
 	file     string
-	lines    map[string]int // by keys in lower case
+	lines    map[string]int // line numbers, by key path in lower case
 	problems Problems
 }
 
-// add adds a problem of a key, at its line. Where the key is missing, the line is that of the object or table that lacks it.
+// add adds a problem with the line of its key or, if the key is missing, of the closest enclosing object or table.
 func (v *validator) add(key, format string, args ...any) {
-	in := strings.ToLower(key)
-	for v.lines[in] == 0 && strings.ContainsAny(in, ".[") {
-		in = in[:strings.LastIndexAny(in, ".[")]
+	path := strings.ToLower(key)
+	for v.lines[path] == 0 && strings.ContainsAny(path, ".[") {
+		path = path[:strings.LastIndexAny(path, ".[")]
 	}
-	v.addAt(v.lines[in], key, fmt.Sprintf(format, args...))
+	v.addAt(v.lines[path], key, fmt.Sprintf(format, args...))
 }
 
-func (v *validator) addAt(line int, key, what string) {
-	v.problems = append(v.problems, &Problem{File: v.file, Line: line, Key: key, Message: what})
+func (v *validator) addAt(line int, key, message string) {
+	v.problems = append(v.problems, &Problem{File: v.file, Line: line, Key: key, Message: message})
 }
 
-// checkAddress adds what is wrong with a host:port. It returns the port, and whether the text is a host:port.
-func (v *validator) checkAddress(key, text string) (port string, ok bool) {
-	_, port, err := net.SplitHostPort(text)
+// checkAddress adds a problem if the address isn't a host:port. It returns the port, and whether the address is
+// valid.
+func (v *validator) checkAddress(key, address string) (port string, ok bool) {
+	_, port, err := net.SplitHostPort(address)
 	if err != nil {
-		v.add(key, "%q is no host:port: %v", text, err)
+		v.add(key, "%q is not a host:port address: %v", address, err)
 	}
 	return port, err == nil
 }
 
-// addSettingsErrors adds what is wrong with the settings of the platform, each under its own key.
+// addSettingsErrors adds the errors of decoding the platform's settings, each under its own key.
 func (v *validator) addSettingsErrors(err error) {
 	var keys simprotocol.KeyErrors
 	if !errors.As(err, &keys) {
@@ -55,49 +56,49 @@
 	}
 }
 
-// requireKeysOf adds the keys that the file in force has and this one lacks.
+// requireKeysOf adds a problem for each key that the file in force has and text lacks.
 func (v *validator) requireKeysOf(text, inForce []byte) {
-	var before, now map[string]any
-	if json.Unmarshal(inForce, &before) == nil && json.Unmarshal(text, &now) == nil {
-		v.addMissingKeys("", before, now)
+	var before, after map[string]any
+	if json.Unmarshal(inForce, &before) == nil && json.Unmarshal(text, &after) == nil {
+		v.addMissingKeys("", before, after)
 	}
 }
 
-// addMissingKeys adds the keys that an object had before and lacks now. It looks at objects within objects, not at those in
-// lists: a class or an endpoint that is left out is no missing key.
-func (v *validator) addMissingKeys(path string, before, now map[string]any) {
+// addMissingKeys adds a problem for each key of before that after lacks. It descends into nested objects but not
+// into lists: removing a class or an endpoint is a valid change.
+func (v *validator) addMissingKeys(parent string, before, after map[string]any) {
 	for _, key := range slices.Sorted(maps.Keys(before)) {
-		at := path + key
-		value, has := now[key]
+		path := parent + key
+		value, has := after[key]
 		if !has {
-			if !slices.ContainsFunc(v.problems, func(p *Problem) bool { return p.Key == at }) {
-				v.add(at, "is missing; the file in force has it")
+			if !slices.ContainsFunc(v.problems, func(p *Problem) bool { return p.Key == path }) {
+				v.add(path, "is missing, but set in the configuration in force")
 			}
 			continue
 		}
-		if old, is := before[key].(map[string]any); is {
-			if object, is := value.(map[string]any); is {
-				v.addMissingKeys(at+".", old, object)
+		if oldObject, isObject := before[key].(map[string]any); isObject {
+			if object, isObject := value.(map[string]any); isObject {
+				v.addMissingKeys(path+".", oldObject, object)
 			}
 		}
 	}
 }
 
-// decodeTOML decodes a file that may have known keys alone. It reports whether the rest of the file can be validated.
-func (v *validator) decodeTOML(text []byte, into any) bool {
-	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(into)
+// decodeTOML decodes a file and rejects unknown keys. It reports whether the decoded values can be validated further.
+func (v *validator) decodeTOML(text []byte, target any) bool {
+	err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(target)
 	var unknown *toml.StrictMissingError
 	var malformed *toml.DecodeError
 	switch {
 	case errors.As(err, &unknown):
 		for _, e := range unknown.Errors {
 			line, _ := e.Position()
-			v.addAt(line, strings.Join(e.Key(), "."), "there is no such key")
+			v.addAt(line, strings.Join(e.Key(), "."), "unknown key")
 		}
 	case errors.As(err, &malformed):
 		line, _ := malformed.Position()
 		v.addAt(line, strings.Join(malformed.Key(), "."), strings.TrimPrefix(malformed.Error(), "toml: "))
-		return false // what follows it has not been read
+		return false // the decoder stops at the first malformed value
 	case err != nil:
 		v.addAt(0, "", err.Error())
 		return false
@@ -105,7 +106,7 @@
 	return true
 }
 
-// addJSONError adds what is wrong with a text that can't be decoded as JSON.
+// addJSONError adds an error of decoding text as JSON, with its line.
 func (v *validator) addJSONError(text []byte, err error) {
 	var syntax *json.SyntaxError
 	var wrongType *json.UnmarshalTypeError
--- a/internal/logging/golden_test.go
+++ b/internal/logging/golden_test.go
@@ -8,10 +8,10 @@
 	"lockroad/internal/golden"
 )
 
-// The three forms of a line of the log.
-func TestLineFormsAreStable(t *testing.T) {
+// Log collectors parse these lines, so their formats must not change.
+func TestLineFormatsAreStable(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // times are written in the machine's zone
+	time.Local = time.UTC // log times are in local time
 	defer func() { time.Local = local }()
 	synctest.Test(t, func(t *testing.T) {
 		for _, format := range Formats() {
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -1,8 +1,8 @@
-// Package logging sets up the relay's log: levelled, structured lines in one of three formats,
-// within bounds. Some lines of each kind are written per second and the rest are counted, so
-// that a flood of malformed requests costs little and hides nothing else. Lines are written by
-// a goroutine of their own: a reader that is slow, or gone, blocks nobody, and lines that find
-// no room in the queue are dropped and counted.
+// Package logging provides the relay's log: structured lines with levels, in one of three
+// formats. Lines with the same message are rate-limited, so that a flood of malformed requests
+// costs little and doesn't hide other lines; suppressed lines are counted. A separate goroutine
+// writes the lines, so that a slow or absent reader of the log blocks nobody; lines that don't
+// fit into its queue are dropped and counted.
 package logging
 
 import (
@@ -19,11 +19,11 @@
 	"github.com/charmbracelet/log"
 )
 
-// Options say what is written and how. The zero value logs from info on, in logfmt.
+// Options configures a Logger. The zero value logs in logfmt, from level info.
 type Options struct {
 	Level     string // debug, info, warn or error; empty: info
 	Format    string // text, logfmt or json; empty: logfmt
-	TailLines int    // lines that Tail can return; 0: none. Each costs up to 1 KiB of memory
+	TailLines int    // number of lines that Tail can return; 0: none. Each takes up to 1 KiB of memory
 }
 
 var levels = []string{"debug", "info", "warn", "error"}
@@ -36,7 +36,7 @@
 // CheckLevel returns an error for an unknown level. The empty level is the default.
 func CheckLevel(level string) error {
 	if level != "" && !slices.Contains(levels, level) {
-		return fmt.Errorf("%q is no level; expected one of %s", level, strings.Join(levels, ", "))
+		return fmt.Errorf("unknown level %q; expected one of %s", level, strings.Join(levels, ", "))
 	}
 	return nil
 }
@@ -44,18 +44,18 @@
 // CheckFormat returns an error for an unknown format. The empty format is the default.
 func CheckFormat(format string) error {
 	if _, ok := formatters[format]; format != "" && !ok {
-		return fmt.Errorf("%q is no form; expected one of %s", format, strings.Join(Formats(), ", "))
+		return fmt.Errorf("unknown format %q; expected one of %s", format, strings.Join(Formats(), ", "))
 	}
 	return nil
 }
 
 const (
-	maxQueuedLines  = 512                    // lines that wait to be written; more are dropped
-	summaryInterval = time.Second            // how often suppressed and dropped lines are reported
-	closeTimeout    = 500 * time.Millisecond // for the lines that wait when the log is closed
+	maxQueuedLines  = 512                    // capacity of the queue; more lines are dropped
+	summaryInterval = time.Second            // between reports of suppressed and dropped lines
+	closeTimeout    = 500 * time.Millisecond // for writing the queued lines in Close
 )
 
-// Logger is a log that has been set up. Any goroutine may use it.
+// Logger is a rate-limited, asynchronous log. It is safe for concurrent use.
 type Logger struct {
 	*slog.Logger
 	writer  *lineWriter
@@ -64,8 +64,8 @@
 	done    chan struct{} // closed when run has ended
 }
 
-// New sets up a log that writes to destination. Its options have passed CheckLevel and
-// CheckFormat. The caller has to Close it, which ends the goroutine that writes.
+// New returns a Logger that writes to destination. The options must have passed CheckLevel and
+// CheckFormat. The caller must call Close to stop the writing goroutine.
 func New(options Options, destination io.Writer) *Logger {
 	level, _ := log.ParseLevel(cmp.Or(options.Level, "info"))
 	l := &Logger{
@@ -86,8 +86,8 @@
 	return l
 }
 
-// run writes queued lines, and every summaryInterval how many were suppressed or dropped. It
-// is the only goroutine that writes to the destination, and ends after Close.
+// run writes queued lines and, every summaryInterval, the numbers of suppressed and dropped
+// lines. It is the only goroutine that writes to the destination, and returns after Close.
 func (l *Logger) run() {
 	defer close(l.done)
 	ticker := time.NewTicker(summaryInterval)
@@ -95,7 +95,7 @@
 	for {
 		select {
 		case line := <-l.writer.queue:
-			_, _ = l.writer.destination.Write(line) // a log that can't be written has nowhere to say so
+			_, _ = l.writer.destination.Write(line) // an error can't be reported: this is the log
 		case <-ticker.C:
 			l.logSuppressed(time.Now())
 		case <-l.stop:
@@ -106,7 +106,7 @@
 	}
 }
 
-// writeQueued writes the lines that are queued.
+// writeQueued writes all queued lines.
 func (l *Logger) writeQueued() {
 	for {
 		select {
@@ -118,8 +118,8 @@
 	}
 }
 
-// logSuppressed logs how many lines were suppressed, of each kind whose last line was, and how
-// many were dropped. It bypasses the rate limit.
+// logSuppressed logs the number of suppressed lines of each kind, and the number of dropped
+// lines. It bypasses the rate limit.
 func (l *Logger) logSuppressed(now time.Time) {
 	l.handler.mu.Lock()
 	suppressed := l.handler.limiter.takeSuppressed(now)
@@ -136,7 +136,7 @@
 	}
 }
 
-// Close writes the lines that are queued, for up to closeTimeout. It may be called once, after
+// Close writes the queued lines, for at most closeTimeout. It must be called only once, after
 // the last line has been logged.
 func (l *Logger) Close() {
 	close(l.stop)
@@ -146,8 +146,8 @@
 	}
 }
 
-// Tail returns up to maxLines of the lines that were logged last, the oldest first. Each is
-// truncated to tailLineBytes.
+// Tail returns up to maxLines of the most recent lines, oldest first. Each is truncated to
+// tailLineBytes.
 func (l *Logger) Tail(maxLines int) []string {
 	l.writer.mu.Lock()
 	defer l.writer.mu.Unlock()
--- a/internal/logging/logger_test.go
+++ b/internal/logging/logger_test.go
@@ -11,6 +11,7 @@
 	"time"
 )
 
+// buffer is a strings.Builder that is safe for concurrent use.
 type buffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -34,27 +35,27 @@
 	} {
 		var output buffer
 		logger := New(Options{Level: "warn", Format: format}, &output)
-		logger.Info("is not written")
+		logger.Info("below the level")
 		logger.With("number", 7).Warn("request rejected", "class", "live preview")
 		logger.Close()
 		if got := output.String(); !strings.Contains(got, want) || strings.Count(got, "\n") != 1 {
-			t.Errorf("%s: %q", format, got)
+			t.Errorf("format %s: got %q, want one line with %q", format, got, want)
 		}
 		if format == "json" && !json.Valid([]byte(output.String())) {
-			t.Errorf("no JSON: %s", output.String())
+			t.Errorf("line is not valid JSON: %s", output.String())
 		}
 	}
 	for _, err := range []error{CheckLevel("loud"), CheckFormat("xml")} {
 		if err == nil || !strings.Contains(err.Error(), "expected one of") {
-			t.Errorf("an unknown option returns %v", err)
+			t.Errorf("error for an unknown option is %v", err)
 		}
 	}
 	if CheckLevel("") != nil || CheckLevel("debug") != nil || CheckFormat("") != nil || CheckFormat("json") != nil {
-		t.Error("valid options are refused")
+		t.Error("valid options are rejected")
 	}
 }
 
-// A flood of one kind leaves room for other kinds, and its suppressed lines are counted.
+// A flood of one kind of line must not hide other kinds, and each line is either written or counted as suppressed.
 func TestFloodOfOneKindIsSuppressedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var output buffer
@@ -85,38 +86,39 @@
 			}
 		}
 		if written+suppressed != n || written > int(burstLines+linesPerSecond*3) || written < int(burstLines) {
-			t.Errorf("%d lines were written and %d reported as suppressed, of %d", written, suppressed, n)
+			t.Errorf("%d lines written and %d reported as suppressed, of %d logged", written, suppressed, n)
 		}
 		if !strings.Contains(output.String(), "request rejected") {
-			t.Error("the flood hides another line")
+			t.Error("a line of another kind was not written during the flood")
 		}
 	})
 }
 
-// Nobody reads the log: whoever writes to it is not blocked.
+// A destination that is never read must not block the goroutines that log.
 func TestUnreadLogDoesNotBlockWriters(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer func() { _ = reader.Close() }()
 	logger := New(Options{Level: "debug"}, writer)
-	began := time.Now()
+	start := time.Now()
 	for i := range 40 * maxQueuedLines {
 		logger.Debug(fmt.Sprint("kind ", i%40), "i", i)
 	}
-	if total := logger.writer.dropped.Load(); total == 0 && len(logger.writer.queue) < maxQueuedLines/4 {
-		t.Errorf("%d lines are queued and %d dropped", len(logger.writer.queue), total)
+	if dropped := logger.writer.dropped.Load(); dropped == 0 && len(logger.writer.queue) < maxQueuedLines/4 {
+		t.Errorf("%d lines queued and %d dropped, want a full queue", len(logger.writer.queue), dropped)
 	}
 	logger.Close()
-	if took := time.Since(began); took > 10*time.Second {
-		t.Errorf("writing took %v", took)
+	if elapsed := time.Since(start); elapsed > 10*time.Second {
+		t.Errorf("logging took %v", elapsed)
 	}
 }
 
-func TestKindsAreBounded(t *testing.T) {
-	logger := newRateLimiter()
+// Unlimited kinds of lines must not make the rate limiter grow without bound.
+func TestRateLimiterKindsAreBounded(t *testing.T) {
+	limiter := newRateLimiter()
 	for i := range 10_000 {
-		logger.allow(fmt.Sprint("kind ", i), time.Unix(0, 0))
+		limiter.allow(fmt.Sprint("kind ", i), time.Unix(0, 0))
 	}
-	if total := len(logger.buckets); total > maxKinds+1 {
-		t.Errorf("%d kinds have a bucket", total)
+	if buckets := len(limiter.buckets); buckets > maxKinds+1 {
+		t.Errorf("got %d buckets, want at most %d", buckets, maxKinds+1)
 	}
 }
--- a/internal/logging/ratelimit.go
+++ b/internal/logging/ratelimit.go
@@ -11,21 +11,21 @@
 
 const (
 	linesPerSecond = 5.0  // of each kind
-	burstLines     = 20.0 // of each kind, after a pause
-	maxKinds       = 64   // kinds that are limited separately; all others are limited as one
+	burstLines     = 20.0 // of each kind; capacity of its token bucket
+	maxKinds       = 64   // kinds with their own limit; all others share one
 	otherKind      = "others"
 )
 
-// rateLimiter decides which lines are written, by a token bucket for each kind. Its callers
-// hold a lock.
+// rateLimiter limits the rate of log lines with a token bucket for each kind. It is not safe
+// for concurrent use.
 type rateLimiter struct{ buckets map[string]*tokenBucket }
 
 // tokenBucket is the state of one kind of line.
 type tokenBucket struct {
 	tokens          float64
 	refilledAt      time.Time
-	suppressed      int       // lines suppressed since the last that was written
-	suppressedSince time.Time // when the first of them was
+	suppressed      int       // lines suppressed since the last line was written
+	suppressedSince time.Time // when the first of them was suppressed
 }
 
 func newRateLimiter() *rateLimiter { return &rateLimiter{buckets: make(map[string]*tokenBucket)} }
@@ -56,7 +56,7 @@
 	return true, suppressed
 }
 
-// suppressedCount is how many lines of a kind were suppressed.
+// suppressedCount is the number of suppressed lines of a kind.
 type suppressedCount struct {
 	kind  string
 	count int
@@ -76,21 +76,21 @@
 	return counts
 }
 
-// limitState is shared by handlers that differ in attributes or groups.
+// limitState is the state shared by handlers that differ only in attributes or groups.
 type limitState struct {
 	mu      sync.Mutex // guards limiter
 	limiter *rateLimiter
 }
 
-// limitingHandler passes on the lines that the rate limiter allows. A line's kind is its
-// message: what differs from line to line belongs into attributes.
+// limitingHandler is a slog.Handler with a rate limit for each kind of line. The kind of a line
+// is its message, so anything that varies between lines belongs in attributes.
 type limitingHandler struct {
 	slog.Handler
 	*limitState
 }
 
-// Handle passes a record on, with the number of records that were suppressed before it, or
-// suppresses it.
+// Handle passes a record on, with the number of records suppressed before it as an attribute,
+// or suppresses the record.
 func (h *limitingHandler) Handle(ctx context.Context, record slog.Record) error {
 	h.mu.Lock()
 	ok, suppressed := h.limiter.allow(record.Message, record.Time)
--- a/internal/logging/requests.go
+++ b/internal/logging/requests.go
@@ -11,14 +11,14 @@
 	"lockroad/internal/registry"
 )
 
-// RequestObserver is a proxy.Observer that logs what goes wrong with requests: failed
-// attempts, rejections, failures and lost connections. Each line has the request's number,
-// frontend, name, class and last endpoint, and the reason of the last decision. The proxy
-// calls it from the goroutines that serve requests.
+// RequestObserver is a proxy.Observer that logs failed attempts, rejected, failed and migrated
+// requests, and lost connections. Each line has the request's number, frontend, name, class and
+// last endpoint, and the reason of the last decision. The proxy calls it from the goroutines
+// that serve requests.
 type RequestObserver struct {
 	Log          *slog.Logger
 	Clock        proxy.Clock
-	EndpointName func(balancer.EndpointID) string // returns an endpoint's name; any goroutine calls it
+	EndpointName func(balancer.EndpointID) string // returns an endpoint's name; must be safe for concurrent use
 }
 
 // RequestStarted returns the observer of one request.
@@ -30,39 +30,39 @@
 		class:           request.Class,
 		tenant:          request.Tenant,
 		requestName:     request.Name,
-		began:           o.Clock.Now(),
+		startedAt:       o.Clock.Now(),
 	}
 }
 
-// requestLogger is the observer of one request. The balancer's goroutine calls Decided, the
-// request's own calls the rest; the atomic fields are what they share.
+// requestLogger is the observer of one request. The balancer's goroutine calls Decided and the
+// request's goroutine the other methods; they share the atomic fields.
 type requestLogger struct {
 	*RequestObserver
 	number                    uint64
 	front, class, requestName string
 	tenant                    string // "" if it has none
-	began                     time.Duration
+	startedAt                 time.Duration
 
-	lastDecision atomic.Uint64 // its reason in the low 8 bits, the attempt above them
+	lastDecision atomic.Uint64 // reason in the low 8 bits, attempt number above
 	lastEndpoint atomic.Uint32 // of the last attempt
 	attempted    atomic.Bool   // lastEndpoint is set
 	decided      atomic.Bool   // lastDecision is set
 }
 
-// Decided records the reason of a decision. It neither blocks nor allocates, as the balancer
-// waits for it.
+// Decided records the reason of a decision. It neither blocks nor allocates, because it runs in
+// the balancer's goroutine.
 func (r *requestLogger) Decided(decision *balancer.Decision) {
 	r.decided.Store(true)
 	r.lastDecision.Store(uint64(decision.Reason) | uint64(min(decision.Attempt, 255))<<8)
 }
 
-// log writes a line about the request.
-func (r *requestLogger) log(level slog.Level, message string, more ...any) {
+// log logs a line with the attributes of the request and extra ones.
+func (r *requestLogger) log(level slog.Level, message string, extra ...any) {
 	endpoint := "-"
 	if r.attempted.Load() {
 		endpoint = r.EndpointName(balancer.EndpointID(r.lastEndpoint.Load()))
 	}
-	attributes := append([]any{"number", r.number, "front", r.front, "name", r.requestName, "class", r.class, "server", endpoint}, more...)
+	attributes := append([]any{"number", r.number, "front", r.front, "name", r.requestName, "class", r.class, "server", endpoint}, extra...)
 	if r.tenant != "" {
 		attributes = append(attributes, "tenant", r.tenant)
 	}
@@ -77,10 +77,10 @@
 func (r *requestLogger) AttemptStarted(endpoint balancer.EndpointID) func(balancer.AttemptStatus) {
 	r.lastEndpoint.Store(uint32(endpoint))
 	r.attempted.Store(true)
-	began := r.Clock.Now()
+	startedAt := r.Clock.Now()
 	return func(status balancer.AttemptStatus) {
 		if status != balancer.StatusOK && status != balancer.StatusCancelled {
-			r.log(slog.LevelInfo, "attempt failed", "outcome", registry.StatusNames[status], "took", r.Clock.Now()-began)
+			r.log(slog.LevelInfo, "attempt failed", "outcome", registry.StatusNames[status], "took", r.Clock.Now()-startedAt)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 
 // Ended logs a rejection, a failure, a migration or a lost connection.
 func (r *requestLogger) Ended(result proxy.Result) {
-	elapsed := r.Clock.Now() - r.began
+	elapsed := r.Clock.Now() - r.startedAt
 	switch result.End {
 	case registry.EndRejected:
 		r.log(slog.LevelWarn, "request rejected", "cause", result.Cause.String(), "come_back", result.RetryAfter, "took", elapsed)
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,25 +7,26 @@
 	"sync/atomic"
 )
 
-// tailLineBytes is how much of a line the tail keeps.
+// tailLineBytes is the maximum length of a line in the tail; longer lines are truncated.
 const tailLineBytes = 512
 
-// lineWriter is the writer that the handler writes lines to. It never blocks.
+// lineWriter is the writer behind the log handler. It queues each line without blocking and
+// keeps the most recent ones for Logger.Tail.
 type lineWriter struct {
 	destination io.Writer
-	queue       chan []byte  // lines that wait for Logger.run
-	dropped     atomic.Int64 // lines that found the queue full since the last summary
-	tailLines   int          // lines that Tail can return
+	queue       chan []byte  // lines to be written by Logger.run
+	dropped     atomic.Int64 // lines dropped since the last summary because the queue was full
+	tailLines   int          // number of lines that Tail can return
 
 	mu   sync.Mutex // guards tail
-	tail []string   // the last lines, up to twice tailLines
+	tail []string   // the most recent lines, up to twice tailLines
 }
 
-// keepTail adds a line to the tail.
+// keepTail appends a line to the tail and discards the oldest lines if it is too long.
 func (l *lineWriter) keepTail(line []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.tail) >= 2*l.tailLines { // so that lines are moved only once in tailLines
+	if len(l.tail) >= 2*l.tailLines { // discarding in batches moves the lines only once per tailLines
 		l.tail = append(l.tail[:0], l.tail[len(l.tail)-l.tailLines+1:]...)
 	}
 	l.tail = append(l.tail, string(line[:min(len(line), tailLineBytes)]))
