--- a/internal/assert/assert.go
+++ b/internal/assert/assert.go
@@ -1,13 +1,13 @@
-// Package assert checks invariants. A build with the tag debug panics on a violation; a
-// release build counts it and goes on.
+// Package assert checks invariants at run time. Every violation is counted. Builds with the
+// debug tag also panic; release builds continue.
 package assert
 
 import "sync/atomic"
 
 var violations atomic.Int64
 
-// That checks that an invariant holds; invariant describes it in a few words. Any
-// goroutine may call it.
+// That records a violation of an invariant, unless holds is true. invariant describes it in a
+// few words. It is safe for concurrent use.
 func That(holds bool, invariant string) {
 	if !holds {
 		violations.Add(1)
@@ -15,5 +15,5 @@
 	}
 }
 
-// Violations returns how many violations there were since the process began.
+// Violations returns the number of violations since the process started.
 func Violations() int64 { return violations.Load() }
--- a/internal/assert/assert_test.go
+++ b/internal/assert/assert_test.go
@@ -4,19 +4,19 @@
 
 func TestViolationIsCountedAndPanicsInDebugBuilds(t *testing.T) {
 	before := Violations()
-	That(true, "nothing")
+	That(true, "invariant that holds")
 	if Violations() != before {
-		t.Fatal("an invariant that holds was counted as violated")
+		t.Fatal("That(true) was counted as a violation")
 	}
 	func() {
 		defer func() {
 			if panicked := recover() != nil; panicked != Debug {
-				t.Errorf("panicked: %v; debug build: %v", panicked, Debug)
+				t.Errorf("That(false) panicked: %v, want %v", panicked, Debug)
 			}
 		}()
-		That(false, "a test's invariant")
+		That(false, "invariant that is violated")
 	}()
 	if Violations() != before+1 {
-		t.Errorf("counted %d violations, want 1", Violations()-before)
+		t.Errorf("got %d violations, want 1", Violations()-before)
 	}
 }
--- a/internal/assert/debug.go
+++ b/internal/assert/debug.go
@@ -2,7 +2,7 @@
 
 package assert
 
-// Debug reports whether this build panics on a violation.
+// Debug reports whether violations panic in this build.
 const Debug = true
 
-func fail(invariant string) { panic("must hold: " + invariant) }
+func fail(invariant string) { panic("invariant violated: " + invariant) }
--- a/internal/assert/release.go
+++ b/internal/assert/release.go
@@ -2,7 +2,7 @@
 
 package assert
 
-// Debug reports whether this build panics on a violation.
+// Debug reports whether violations panic in this build.
 const Debug = false
 
 func fail(string) {}
