--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -14,8 +14,8 @@
 // maxPendingExplanations bounds the queue of requests whose explanations are to be saved.
 const maxPendingExplanations = 512
 
-// archive saves explanations of ended requests, so that they outlive the decision log and a restart. A separate goroutine
-// builds and saves them, so that requests wait for neither.
+// archive saves explanations of ended requests, so that they outlive the decision log and a restart. A separate
+// goroutine builds and saves them, so that requests wait for neither.
 //
 // It is an observer of the proxy and the archive of the explainer.
 type archive struct {
--- a/internal/server/credentials.go
+++ b/internal/server/credentials.go
@@ -14,14 +14,15 @@
 	expiryCheckInterval = 12 * time.Hour
 )
 
-// credentials holds the AMQP frontend's credentials, which are loaded from files. Both fields are nil if that frontend is off;
-// their methods accept a nil receiver.
+// credentials holds the AMQP frontend's credentials, which are loaded from files. Both fields are nil if that
+// frontend is off; their methods accept a nil receiver.
 type credentials struct {
 	authenticator *auth.Authenticator // authenticates clients
 	endpointTLS   *auth.EndpointTLS
 }
 
-// reload rereads all credential files. Established connections keep their credentials. After an error it logs the error.
+// reload rereads all credential files. Established connections keep their credentials. After an error it logs
+// the error.
 func (c *credentials) reload(log *slog.Logger) {
 	if err := errors.Join(c.authenticator.Reload(), c.endpointTLS.Reload()); err != nil {
 		log.Error("credentials reload rejected", "error", err)
--- a/internal/server/draindirectives.go
+++ b/internal/server/draindirectives.go
@@ -14,8 +14,8 @@
 // directiveCommitTimeout is how long a console command waits for a change to be committed to the store.
 const directiveCommitTimeout = 3 * time.Second
 
-// directiveTable returns the stored drain directives, by endpoint name. The caller holds p.mu, unless the services don't run
-// yet.
+// directiveTable returns the stored drain directives, by endpoint name. The caller holds p.mu, unless the
+// services don't run yet.
 func (p *persistentState) directiveTable() *store.Table[persistence.DrainDirective] {
 	return &store.Table[persistence.DrainDirective]{Store: p.store, Kind: persistence.KindDrainDirectives, Version: 1}
 }
@@ -39,8 +39,8 @@
 	return all
 }
 
-// reconcileDirectives replaces the directives handed over by the predecessor with those in the store, once the predecessor
-// has released it: the predecessor may have added or withdrawn directives after the handover.
+// reconcileDirectives replaces the directives handed over by the predecessor with those in the store, once the
+// predecessor has released it: the predecessor may have added or withdrawn directives after the handover.
 func (p *persistentState) reconcileDirectives() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,8 +57,8 @@
 	p.applyDirectives(saved)
 }
 
-// applyDirectives applies the directives that have not expired, except for endpoints that already have one. The caller holds
-// p.mu.
+// applyDirectives applies the directives that have not expired, except for endpoints that already have one. The
+// caller holds p.mu.
 func (p *persistentState) applyDirectives(all []persistence.DrainDirective) {
 	for _, directive := range all {
 		if _, inForce := p.directives[directive.Endpoint]; inForce || directive.Expired(time.Now()) {
@@ -70,9 +70,9 @@
 	}
 }
 
-// Drain sets a drain directive, which takes effect immediately, and returns the one that it replaces, if any. storeErr is set
-// if the directive could not be stored and won't survive a restart. err is set if the endpoint is not in the endpoint list; no
-// directive is set then.
+// Drain sets a drain directive, which takes effect immediately, and returns the one that it replaces, if any.
+// storeErr is set if the directive could not be stored and won't survive a restart. err is set if the endpoint
+// is not in the endpoint list; no directive is set then.
 func (p *persistentState) Drain(ctx context.Context, directive persistence.DrainDirective) (previous *persistence.DrainDirective, storeErr, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,8 +89,8 @@
 	return previous, storeErr, nil
 }
 
-// Undrain withdraws a directive and returns it. storeErr is set if the removal could not be stored, so that the directive will
-// be in force again after a restart. err is set if the endpoint has no directive.
+// Undrain withdraws a directive and returns it. storeErr is set if the removal could not be stored, so that the
+// directive will be in force again after a restart. err is set if the endpoint has no directive.
 func (p *persistentState) Undrain(ctx context.Context, endpoint, by string) (withdrawn persistence.DrainDirective, storeErr, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,8 +129,8 @@
 	}
 }
 
-// removeDirective ends an endpoint's drain immediately and then removes its directive from the store. The error is that of the
-// store. The caller holds p.mu.
+// removeDirective ends an endpoint's drain immediately and then removes its directive from the store. The error
+// is that of the store. The caller holds p.mu.
 func (p *persistentState) removeDirective(ctx context.Context, endpoint string) (storeErr error) {
 	delete(p.directives, endpoint)
 	p.proxy.SetDrain(endpoint, false)
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -12,7 +12,7 @@
 	"lockroad/internal/testutil"
 )
 
-// completeState is what a successor begins with, with every field set.
+// completeState returns a handoff state with every field set.
 func completeState() handoffState {
 	ms := time.Millisecond
 	return handoffState{
@@ -42,7 +42,8 @@
 	}
 }
 
-func TestStateKeepsItsEncoding(t *testing.T) {
+// A successor of another version reads this JSON, so it must not change.
+func TestHandoffStateEncodingIsStable(t *testing.T) {
 	testutil.Complete(t, completeState())
 	testutil.GoldenJSON(t, "testdata/state.json", completeState())
 	testutil.GoldenJSON(t, "testdata/state-zero.json", handoffState{})
@@ -55,6 +56,6 @@
 	})
 }
 
-func TestStateFieldsAreTagged(t *testing.T) {
+func TestHandoffStateFieldsAreTagged(t *testing.T) {
 	testutil.Tagged(t, []string{"json"}, handoffState{})
 }
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -22,20 +22,21 @@
 	defaultSlots   = 4096
 	defaultMaxIdle = 1024
 
-	// slotEighths is how many eighths of the file descriptors set the number of admission slots. A slot uses two descriptors,
-	// one for the client and one for the endpoint.
+	// slotEighths is how many eighths of the file descriptors set the number of admission slots. A slot uses two
+	// descriptors, one for the client and one for the endpoint.
 	slotEighths = 3
-	// reservedDescriptors is the number of descriptors for uses other than clients and endpoints. The remaining descriptors are
-	// for idle connections, which have no request yet.
+	// reservedDescriptors is the number of descriptors for uses other than clients and endpoints. The remaining
+	// descriptors are for idle connections, which have no request yet.
 	reservedDescriptors = 24
 )
 
-// firstListTimeout is how long to wait for the first endpoint list before admitting clients; a running discovery agent answers
-// immediately. Until then, connections wait in the accept queues. It is a variable so that tests can change it.
+// firstListTimeout is how long to wait for the first endpoint list before admitting clients; a running discovery
+// agent answers immediately. Until then, connections wait in the accept queues. It is a variable so that tests
+// can change it.
 var firstListTimeout = 300 * time.Millisecond
 
-// frontend is the server of one client protocol. Serve returns once ctx is cancelled or the listener is closed, and all
-// admitted clients have left.
+// frontend is the server of one client protocol. Serve returns once ctx is cancelled or the listener is closed,
+// and all admitted clients have left.
 type frontend interface {
 	Serve(ctx context.Context, l net.Listener) error
 }
@@ -78,8 +79,8 @@
 	return limits
 }
 
-// openFrontends creates the frontends and opens their listeners or takes over those of the predecessor. Clients are admitted
-// only once the services run. An error aborts the start.
+// openFrontends creates the frontends and opens their listeners or takes over those of the predecessor. Clients
+// are admitted only once the services run. An error aborts the start.
 func (r *relay) openFrontends() error {
 	limits := r.frontendLimits()
 	r.slots = limits.lineSlots + limits.amqpSlots
@@ -124,13 +125,13 @@
 	return r.bindFrontend("amqp", settings.Listen, front)
 }
 
-// bindFrontend registers a frontend with a listener: the one that the predecessor offers for this name and address, or a new
-// one.
+// bindFrontend registers a frontend with a listener: the one that the predecessor offers for this name and
+// address, or a new one.
 func (r *relay) bindFrontend(name, address string, f frontend) error {
 	l := r.inheritedListener(name, address)
 	var err error
 	if l == nil {
-		l, err = listener.Listen(address, r.config.AdminAddr != "") // in a hot restart both processes listen at the address
+		l, err = listener.Listen(address, r.config.AdminAddr != "") // both processes of a hot restart listen
 	}
 	if err != nil {
 		r.closeListeners()
@@ -147,10 +148,11 @@
 	}
 }
 
-// serveFrontends runs the frontends. When all clients of all frontends have left, it stops the other services by calling cancel.
+// serveFrontends runs the frontends. When all clients of all frontends have left, it stops the other services by
+// calling cancel.
 func (r *relay) serveFrontends(ctx context.Context, cancel context.CancelFunc) error {
 	defer cancel()
-	if r.prober == nil && r.asSuccessor == nil { // the configured or saved list may be outdated, so wait for discovery's
+	if r.prober == nil && r.asSuccessor == nil { // the configured or saved list may be outdated
 		select {
 		case <-r.listSynced:
 		case <-ctx.Done():
--- a/internal/server/golden_test.go
+++ b/internal/server/golden_test.go
@@ -8,11 +8,11 @@
 	"lockroad/internal/golden"
 )
 
-// The metrics of the store, as telemetry has them.
+// Dashboards use the names of the store's metrics, so they must not change.
 func TestStoreMetricsAreStable(t *testing.T) {
 	var b strings.Builder
-	for _, r := range (&persistentState{}).instruments() {
-		fmt.Fprintf(&b, "%s (%s), grows %v\n", r.Name, r.Description, r.Cumulative)
+	for _, instrument := range (&persistentState{}).instruments() {
+		fmt.Fprintf(&b, "%s (%s), grows %v\n", instrument.Name, instrument.Description, instrument.Cumulative)
 	}
 	golden.Compare(t, "store-metrics.txt", b.String())
 }
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -20,28 +20,29 @@
 	"lockroad/internal/registry"
 )
 
-// In a hot restart a new process of the relay, the successor, takes over from the running process, the predecessor. Package
-// hotrestart implements the protocol between them; this file has the state that is handed over. A process is the successor
-// while it starts and the predecessor afterwards.
+// In a hot restart a new process of the relay, the successor, takes over from the running process, the
+// predecessor. Package hotrestart implements the protocol between them; this file has the state that is handed
+// over. A process is the successor while it starts and the predecessor afterwards.
 
-// predecessorExitTimeout is how long a successor waits for the predecessor to release its console socket and its store.
+// predecessorExitTimeout is how long a successor waits for the predecessor to release its console socket and its
+// store.
 const predecessorExitTimeout = 5 * time.Second
 
-// handoffState is the state that a predecessor sends to its successor. The two may be of different versions, so the JSON keys
-// must not change.
+// handoffState is the state that a predecessor sends to its successor. The two may be of different versions, so
+// the JSON keys must not change.
 type handoffState struct {
-	Agent           string                                    `json:"Agent"` // address of the discovery agent that sent List
+	Agent           string                                    `json:"Agent"` // discovery agent that sent List
 	List            discovery.List                            `json:"List"`
 	Names           map[balancer.EndpointID]string            `json:"Names"` // names of the endpoints in Snapshot
 	Snapshot        balancer.Snapshot                         `json:"Memory"`
 	ReportTimings   map[balancer.EndpointID]line.ReportTiming `json:"Beats"`  // for endpoints that report delays
 	OpenRequests    []registry.RequestName                    `json:"Open"`   // requests in progress in the predecessor
-	SlotsInUse      []int                                     `json:"Seats"`  // by limiter, in the order of relay.limiters
+	SlotsInUse      []int                                     `json:"Seats"`  // in the order of relay.limiters
 	DrainDirectives []persistence.DrainDirective              `json:"Orders"` // directives in force
 }
 
-// connectPredecessor connects to a running process of the same relay over a Unix socket in $TMPDIR. Hot restart is available
-// only to a relay with an admin address, which reports its readiness.
+// connectPredecessor connects to a running process of the same relay over a Unix socket in $TMPDIR. Hot restart
+// is available only to a relay with an admin address, which reports its readiness.
 func (r *relay) connectPredecessor() {
 	path := ""
 	if r.config.AdminAddr != "" {
@@ -70,9 +71,9 @@
 	}
 }
 
-// restore restores the endpoint list and the balancer's snapshot from the predecessor or else from the saved snapshot. If
-// neither is usable, it applies the endpoint list of the configuration. It also restores drain directives, which have to be
-// in force before the first request is routed.
+// restore restores the endpoint list and the balancer's snapshot from the predecessor or else from the saved
+// snapshot. If neither is usable, it applies the endpoint list of the configuration. It also restores drain
+// directives, which have to be in force before the first request is routed.
 func (r *relay) restore(saved savedSnapshot) {
 	r.inherited = &handoffState{}
 	defer func() { r.persistence.restoreDirectives(r.inherited.DrainDirectives) }()
@@ -118,8 +119,9 @@
 	return nil
 }
 
-// resumeSavedList applies the saved endpoint list and reports whether it did. It doesn't if the configuration's list is newer
-// or the saved list is from another discovery agent: revisions of different agents can't be compared.
+// resumeSavedList applies the saved endpoint list and reports whether it did. It doesn't if the configuration's
+// list is newer or the saved list is from another discovery agent: revisions of different agents can't be
+// compared.
 func (r *relay) resumeSavedList(saved savedSnapshot) bool {
 	if r.prober != nil || saved.Agent != r.config.DiscoveryAddr || saved.List.Revision < r.config.InitialList.Revision {
 		return false
@@ -144,8 +146,8 @@
 	return r.proxy.Endpoints.Lookup(r.inherited.Names[old])
 }
 
-// inheritedListener returns the predecessor's listener for a frontend, or nil if the predecessor offers none at this address.
-// The listener is paused until the predecessor has stopped admitting clients.
+// inheritedListener returns the predecessor's listener for a frontend, or nil if the predecessor offers none at
+// this address. The listener is paused until the predecessor has stopped admitting clients.
 func (r *relay) inheritedListener(name, address string) *listener.Listener {
 	if r.asSuccessor == nil {
 		return nil
@@ -164,8 +166,8 @@
 	return l
 }
 
-// closeUnclaimedListeners closes the predecessor's listeners that no frontend of this process uses. Left open, they would
-// accept connections that are never served.
+// closeUnclaimedListeners closes the predecessor's listeners that no frontend of this process uses. Left open,
+// they would accept connections that are never served.
 func (r *relay) closeUnclaimedListeners() {
 	if r.asSuccessor == nil {
 		return
@@ -178,8 +180,9 @@
 	}
 }
 
-// takeOver takes over from the predecessor, if there is one, and adopts its connections in a goroutine that ends when ctx is
-// cancelled or the predecessor has exited. After an error this process continues without the predecessor.
+// takeOver takes over from the predecessor, if there is one, and adopts its connections in a goroutine that ends
+// when ctx is cancelled or the predecessor has exited. After an error this process continues without the
+// predecessor.
 func (r *relay) takeOver(ctx context.Context) error {
 	if r.asSuccessor == nil {
 		return nil
@@ -220,8 +223,8 @@
 	return r.lineFrontend.Adopt(ctx, &request, sockets)
 }
 
-// releasePredecessor gives this process all admission slots, reserved request names and memory that it shared with the
-// predecessor, and closes predecessorGone.
+// releasePredecessor gives this process all admission slots, reserved request names and memory that it shared
+// with the predecessor, and closes predecessorGone.
 func (r *relay) releasePredecessor() {
 	for _, limiter := range r.limiters {
 		limiter.LendSlots(0)
@@ -231,9 +234,9 @@
 	close(r.predecessorGone)
 }
 
-// listenConsoleAfterPredecessor opens the console's socket once the predecessor has exited. It retries, because the
-// predecessor closes its connection to this process shortly before its console. Both results are nil if ctx is cancelled
-// before the predecessor has exited.
+// listenConsoleAfterPredecessor opens the console's socket once the predecessor has exited. It retries, because
+// the predecessor closes its connection to this process shortly before its console. Both results are nil if ctx
+// is cancelled before the predecessor has exited.
 func (r *relay) listenConsoleAfterPredecessor(ctx context.Context, path string) (l net.Listener, err error) {
 	select {
 	case <-ctx.Done():
@@ -252,8 +255,8 @@
 	return l, err
 }
 
-// retryUntilReleased calls attempt, at least once, until it returns true, ctx is cancelled or predecessorExitTimeout has
-// passed. It is for acquiring a resource that the exiting predecessor may still hold.
+// retryUntilReleased calls attempt, at least once, until it returns true, ctx is cancelled or
+// predecessorExitTimeout has passed. It is for acquiring a resource that the exiting predecessor may still hold.
 func retryUntilReleased(ctx context.Context, attempt func() bool) {
 	deadline := time.Now().Add(predecessorExitTimeout)
 	for !attempt() && ctx.Err() == nil && !time.Now().After(deadline) {
@@ -261,8 +264,8 @@
 	}
 }
 
-// Offer returns the state for a successor and the sockets of this process's listeners. It is called by asPredecessor's
-// goroutine.
+// Offer returns the state for a successor and the sockets of this process's listeners. It is called by
+// asPredecessor's goroutine.
 func (r *relay) Offer(ctx context.Context) (*hotrestart.Offer, []syscall.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -305,8 +308,8 @@
 	return state, nil
 }
 
-// PeerServes stops this process from admitting clients and from using the slow-start budget while a successor serves (true),
-// or resumes both (false). It is called by asPredecessor's goroutine.
+// PeerServes stops this process from admitting clients and from using the slow-start budget while a successor
+// serves (true), or resumes both (false). It is called by asPredecessor's goroutine.
 func (r *relay) PeerServes(serves bool) {
 	slowStartShare, memoryShare := 1.0, wholeProcess
 	for _, f := range r.frontends {
--- a/internal/server/persistentstate.go
+++ b/internal/server/persistentstate.go
@@ -12,9 +12,10 @@
 	"lockroad/internal/store"
 )
 
-// persistentState is the state of a relay that survives a restart: drain directives (draindirectives.go), a snapshot of the
-// balancer (snapshot.go) and explanations of decisions (archive.go). It is stored on disk if a store directory is configured.
-// If the store can't be used, the error is logged, the relay runs without it, and directives last until the relay exits.
+// persistentState is the state of a relay that survives a restart: drain directives (draindirectives.go), a
+// snapshot of the balancer (snapshot.go) and explanations of decisions (archive.go). It is stored on disk if a
+// store directory is configured. If the store can't be used, the error is logged, the relay runs without it, and
+// directives last until the relay exits.
 //
 // It implements console.Persistence. Exported methods are safe for concurrent use once the services run.
 type persistentState struct {
@@ -64,8 +65,8 @@
 	}
 }
 
-// run expires directives and saves snapshots periodically until ctx is cancelled. In a successor it opens the store once the
-// predecessor has released it.
+// run expires directives and saves snapshots periodically until ctx is cancelled. In a successor it opens the
+// store once the predecessor has released it.
 func (p *persistentState) run(ctx context.Context, settings config.Store) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -94,8 +95,8 @@
 	}
 }
 
-// openAfterPredecessor opens the store after the predecessor has exited. It waits at most predecessorExitTimeout for the
-// predecessor to release the store's lock.
+// openAfterPredecessor opens the store after the predecessor has exited. It waits at most predecessorExitTimeout
+// for the predecessor to release the store's lock.
 func (p *persistentState) openAfterPredecessor(ctx context.Context, settings config.Store) {
 	retryUntilReleased(ctx, func() bool {
 		lock, err := store.Dir(settings.Dir).Lock()
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -17,12 +17,12 @@
 	err     error
 }
 
-// reloader applies a configuration file, or only reads it in a dry run, and returns one line per change. After an error
-// nothing has changed. It is called only by runReloads's goroutine.
+// reloader applies a configuration file, or only reads it in a dry run, and returns one line per change. After
+// an error nothing has changed. It is called only by runReloads's goroutine.
 type reloader func(request reloadRequest) (changes []string, err error)
 
-// requestReload reloads the configuration, as SIGHUP does, or reports what a reload would change (dryRun). It waits for the
-// result or until ctx is cancelled. It is safe for concurrent use.
+// requestReload reloads the configuration, as SIGHUP does, or reports what a reload would change (dryRun). It
+// waits for the result or until ctx is cancelled. It is safe for concurrent use.
 func (r *relay) requestReload(ctx context.Context, dryRun bool) ([]string, error) {
 	request := reloadRequest{dryRun: dryRun, result: make(chan reloadResult, 1)}
 	select {
@@ -38,9 +38,9 @@
 	}
 }
 
-// runReloads handles reload requests from SIGHUP and the console until ctx is cancelled. A reload applies the configuration
-// (settings and discovery address, or a site's endpoints and settings) and the credential files. An unreadable or invalid
-// configuration is rejected as a whole.
+// runReloads handles reload requests from SIGHUP and the console until ctx is cancelled. A reload applies the
+// configuration (settings and discovery address, or a site's endpoints and settings) and the credential files.
+// An unreadable or invalid configuration is rejected as a whole.
 func (r *relay) runReloads(ctx context.Context) error {
 	reload := r.platformReloader()
 	if r.options.Site != nil {
@@ -91,7 +91,7 @@
 		if next.NeedsRestart(started) {
 			r.log.Warn("restart required to apply changes of name, listen address, admin address or limits")
 		}
-		if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) { // zones keep the numbers that they have in this process
+		if zone := next.Settings.Zone; zone >= 0 && zone < len(next.Zones) { // zones keep their numbers
 			next.Settings.Zone = r.watcher.ZoneNumber(next.Zones[zone])
 		}
 		inForce = next.Text()
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -25,6 +25,7 @@
 	"lockroad/internal/console"
 )
 
+// listen returns a listener on a free port, which is closed at the end of the test.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,15 +36,15 @@
 	return l
 }
 
-// lineFrontendAddress asks a relay's console where its line frontend listens.
+// lineFrontendAddress waits until a relay's console answers and returns the address of its line frontend.
 func lineFrontendAddress(t *testing.T, socket string) string {
 	t.Helper()
-	for late := time.Now().Add(10 * time.Second); time.Now().Before(late); { // until it has started
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
 		var out strings.Builder
 		if console.Run(socket, "fronts", nil, &out, io.Discard) == console.ExitOK {
-			for text := range strings.Lines(out.String()) {
-				if options := strings.Fields(text); options[0] == "line" {
-					return options[1]
+			for line := range strings.Lines(out.String()) {
+				if fields := strings.Fields(line); fields[0] == "line" {
+					return fields[1]
 				}
 			}
 		}
@@ -52,19 +53,19 @@
 	return ""
 }
 
-var requestCount atomic.Uint64 // connections, whose names have to differ
+var requestCount atomic.Uint64 // generates unique request names
 
-// openRequest opens a request through the relay and returns its connection's reader after UP.
+// openRequest opens a request through the relay, requires the answer UP, and returns the connection's reader.
 func openRequest(t *testing.T, address string) *bufio.Reader {
 	t.Helper()
-	text, r := requestClass(t, address, "page")
-	if text != "UP 1\r\n" {
-		t.Fatalf("answered %q", text)
+	answer, r := requestClass(t, address, "page")
+	if answer != "UP 1\r\n" {
+		t.Fatalf("got answer %q, want UP 1", answer)
 	}
 	return r
 }
 
-// requestClass opens a request of a class and returns the line that answers it, and the connection's reader.
+// requestClass opens a request of a class and returns the answer line and the connection's reader.
 func requestClass(t *testing.T, address, class string) (string, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -75,23 +76,24 @@
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	fmt.Fprintf(c, "OPEN %016x 2 c=%s,d=1500\r\n", requestCount.Add(1), class)
 	r := bufio.NewReader(c)
-	text, err := r.ReadString('\n')
+	answer, err := r.ReadString('\n')
 	if err != nil {
-		t.Fatalf("answered %q, %v", text, err)
+		t.Fatalf("read answer: got %q, %v", answer, err)
 	}
-	return text, r
+	return answer, r
 }
 
-// startRelay runs a relay with an endpoint that accepts everyone. It returns where its line frontend listens, and what Run returns.
+// startRelay runs a relay with an endpoint that accepts every request. It returns the address of the line
+// frontend and a channel that receives Run's result.
 func startRelay(t *testing.T, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	return startRelayWithAdmin(t, "", options, discovery, o, log)
 }
 
-// serveEndpoint answers each connection to an endpoint, and holds it until the test's end.
-func serveEndpoint(t *testing.T, server net.Listener, answer string) {
+// serveEndpoint sends an answer on each connection to an endpoint and keeps the connection open until the test ends.
+func serveEndpoint(t *testing.T, endpoint net.Listener, answer string) {
 	for {
-		c, err := server.Accept()
+		c, err := endpoint.Accept()
 		if err != nil {
 			return
 		}
@@ -100,21 +102,21 @@
 	}
 }
 
-// startRelayWithAdmin is the same, with a second address.
+// startRelayWithAdmin is like startRelay, with an admin address.
 func startRelayWithAdmin(t *testing.T, admin string, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	server := listen(t)
-	go serveEndpoint(t, server, "UP 1\r\n")
-	return startRelayWithEndpoint(t, admin, options, discovery, server, o, log)
+	endpoint := listen(t)
+	go serveEndpoint(t, endpoint, "UP 1\r\n")
+	return startRelayWithEndpoint(t, admin, options, discovery, endpoint, o, log)
 }
 
-// startRelayWithEndpoint is the same, with an endpoint of the test's own.
-func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, server net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+// startRelayWithEndpoint is like startRelayWithAdmin, with the given endpoint.
+func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, endpoint net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startRelayWithConfig(t, configtest.PlatformConfig("127.0.0.1:0", discovery.Addr().String(), server.Addr().String()), admin, options, o, log)
+	return startRelayWithConfig(t, configtest.PlatformConfig("127.0.0.1:0", discovery.Addr().String(), endpoint.Addr().String()), admin, options, o, log)
 }
 
-// startRelayWithConfig is the same, with a configuration of the test's own.
+// startRelayWithConfig is like startRelayWithAdmin, with the given platform configuration.
 func startRelayWithConfig(t *testing.T, text, admin string, options RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	c, err := config.ParseConfig([]byte(text))
@@ -123,104 +125,104 @@
 	}
 	c.AdminAddr = admin
 	ctx, cancel := context.WithCancel(context.Background())
-	end := make(chan error, 1)
-	over := make(chan struct{})
-	t.Cleanup(func() { cancel(); <-over })
+	result := make(chan error, 1)
+	stopped := make(chan struct{})
+	t.Cleanup(func() { cancel(); <-stopped })
 	o.Console.Socket = filepath.Join(t.TempDir(), "console")
 	go func() {
-		defer close(over)
-		end <- Run(ctx, options, c, o, slog.New(slog.NewTextHandler(log, nil)))
+		defer close(stopped)
+		result <- Run(ctx, options, c, o, slog.New(slog.NewTextHandler(log, nil)))
 	}()
-	return lineFrontendAddress(t, o.Console.Socket), end
+	return lineFrontendAddress(t, o.Console.Socket), result
 }
 
-// requireEndWithin waits for the relay's end, which has to come before SIGKILL does.
-func requireEndWithin(t *testing.T, done <-chan error, told time.Time, most time.Duration) {
+// requireExitWithin fails the test unless the relay exits without an error before SIGKILL would be sent.
+func requireExitWithin(t *testing.T, done <-chan error, shutdownAt time.Time, killAfter time.Duration) {
 	t.Helper()
 	select {
 	case err := <-done:
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(time.Until(told.Add(most))):
-		t.Error("the relay is still there when SIGKILL comes")
+	case <-time.After(time.Until(shutdownAt.Add(killAfter))):
+		t.Error("the relay is still running when SIGKILL would be sent")
 	}
 }
 
-// At a planned restart clients still come for a moment: they are served as the others, everyone is migrated, and the relay ends
-// well before SIGKILL.
-func TestRelayLeavesInGoodOrder(t *testing.T) {
-	drain := make(chan struct{})
-	address, done := startRelay(t, RunOptions{Shutdown: drain}, listen(t), &config.Operator{AMQP: config.AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
+// Clients that connect just after the shutdown request must still be served, all clients must be told to move,
+// and the relay must exit before SIGKILL.
+func TestShutdownMigratesAllClients(t *testing.T) {
+	shutdown := make(chan struct{})
+	address, done := startRelay(t, RunOptions{Shutdown: shutdown}, listen(t), &config.Operator{AMQP: config.AMQP{Listen: "127.0.0.1:0"}}, io.Discard)
 	clients := []*bufio.Reader{openRequest(t, address)}
-	told := time.Now()
-	close(drain)
-	clients = append(clients, openRequest(t, address)) // the front has not noticed yet
+	shutdownAt := time.Now()
+	close(shutdown)
+	clients = append(clients, openRequest(t, address)) // new clients are still admitted
 	for i, r := range clients {
 		if rest, err := io.ReadAll(r); string(rest) != "MOVE\r\n" || err != nil {
-			t.Errorf("client %d was told %q, %v", i, rest, err)
+			t.Errorf("client %d received %q, %v, want MOVE", i, rest, err)
 		}
 	}
-	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireExitWithin(t, done, shutdownAt, 2200*time.Millisecond) // the class's deadline of 1.5 s plus killGrace
 }
 
-// Where deadlines are short SIGKILL comes soon: a client of AMQP without a link is told that its connection is closed, and
-// one of lines that has sent nothing is rejected.
-func TestIdleClientsAreToldOfTheEndThoughItComesSoon(t *testing.T) {
-	drain := make(chan struct{})
+// With short class deadlines little time is left until SIGKILL. An idle AMQP client must still receive a close,
+// and a line client that has sent nothing must still be rejected.
+func TestShutdownWithShortDeadlineAnswersIdleClients(t *testing.T) {
+	shutdown := make(chan struct{})
 	text := strings.Replace(configtest.PlatformConfig("127.0.0.1:0", listen(t).Addr().String(), listen(t).Addr().String()), `"DeadlineUs": 1500000`, `"DeadlineUs": 200000`, 1)
-	free := listen(t)
+	free := listen(t) // its port is free for the AMQP frontend once it is closed
 	free.Close()
-	address, done := startRelayWithConfig(t, text, "", RunOptions{Shutdown: drain}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
-	idle, err := amqp.Dial(t.Context(), "amqp://"+free.Addr().String(), &amqp.ConnOptions{SASLType: amqp.SASLTypeAnonymous()})
+	address, done := startRelayWithConfig(t, text, "", RunOptions{Shutdown: shutdown}, &config.Operator{AMQP: config.AMQP{Listen: free.Addr().String()}}, io.Discard)
+	idleAMQP, err := amqp.Dial(t.Context(), "amqp://"+free.Addr().String(), &amqp.ConnOptions{SASLType: amqp.SASLTypeAnonymous()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = idle.Close() }()
-	rests, err := net.Dial("tcp", address)
+	defer func() { _ = idleAMQP.Close() }()
+	idleLine, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer rests.Close()
-	rests.SetDeadline(time.Now().Add(10 * time.Second))
-	told := time.Now()
-	close(drain)
+	defer idleLine.Close()
+	idleLine.SetDeadline(time.Now().Add(10 * time.Second))
+	shutdownAt := time.Now()
+	close(shutdown)
 	select {
-	case <-idle.Done():
-		var end *amqp.ConnError
-		if !errors.As(idle.Err(), &end) || end.RemoteErr == nil || end.RemoteErr.Condition != amqp.ErrCondConnectionForced {
-			t.Errorf("the client of AMQP sees %v", idle.Err())
+	case <-idleAMQP.Done():
+		var connErr *amqp.ConnError
+		if !errors.As(idleAMQP.Err(), &connErr) || connErr.RemoteErr == nil || connErr.RemoteErr.Condition != amqp.ErrCondConnectionForced {
+			t.Errorf("the AMQP client's connection ended with %v, want connection-forced", idleAMQP.Err())
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the client of AMQP is not told of the end")
+		t.Error("the AMQP client's connection was not closed")
 	}
-	if rest, err := io.ReadAll(rests); string(rest) != "BUSY\r\n" || err != nil {
-		t.Errorf("the client of lines was told %q, %v", rest, err)
+	if rest, err := io.ReadAll(idleLine); string(rest) != "BUSY\r\n" || err != nil {
+		t.Errorf("the line client received %q, %v, want BUSY", rest, err)
 	}
-	requireEndWithin(t, done, told, 900*time.Millisecond) // the class's 0.2 s and 0.7
+	requireExitWithin(t, done, shutdownAt, 900*time.Millisecond) // the class's deadline of 0.2 s plus killGrace
 }
 
-// A relay that shuts down while its endpoints hang: who is at one of them, who comes after the request to shut down, and who is in
-// the middle of an opening all get one answer, and the relay ends in time.
-func TestEveryoneIsAnsweredThoughServersHang(t *testing.T) {
-	agent, server := listen(t), listen(t)
-	came := make(chan struct{}, 8)
+// If the endpoints hang during a shutdown, clients that wait for an endpoint, connect after the shutdown request
+// or have sent part of their opening line must each get one answer, and the relay must exit in time.
+func TestShutdownAnswersClientsOfHangingEndpoints(t *testing.T) {
+	agent, endpoint := listen(t), listen(t)
+	received := make(chan struct{}, 8)
 	go func() {
 		for {
-			c, err := server.Accept()
+			c, err := endpoint.Accept()
 			if err != nil {
 				return
 			}
 			t.Cleanup(func() { c.Close() })
 			go func() {
 				_, _ = bufio.NewReader(c).ReadString('\n')
-				came <- struct{}{} // and it says nothing
+				received <- struct{}{} // and never answers
 			}()
 		}
 	}()
-	drain := make(chan struct{})
-	address, done := startRelayWithEndpoint(t, "", RunOptions{Shutdown: drain}, agent, server, &config.Operator{}, io.Discard)
-	say := func(text string) *bufio.Reader {
+	shutdown := make(chan struct{})
+	address, done := startRelayWithEndpoint(t, "", RunOptions{Shutdown: shutdown}, agent, endpoint, &config.Operator{}, io.Discard)
+	send := func(text string) *bufio.Reader {
 		t.Helper()
 		c, err := net.Dial("tcp", address)
 		if err != nil {
@@ -232,67 +234,67 @@
 		return bufio.NewReader(c)
 	}
 	opening := func() string { return fmt.Sprintf("OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1)) }
-	clients := []*bufio.Reader{say(opening()), say(opening())}
+	clients := []*bufio.Reader{send(opening()), send(opening())}
 	for range clients {
-		<-came
+		<-received
 	}
-	half := say("PING\r\nOPEN 7")
-	if text, err := half.ReadString('\n'); text != "PONG\r\n" {
-		t.Fatalf("answered %q, %v", text, err)
+	partial := send("PING\r\nOPEN 7")
+	if answer, err := partial.ReadString('\n'); answer != "PONG\r\n" {
+		t.Fatalf("got answer %q, %v, want PONG", answer, err)
 	}
-	told := time.Now()
-	close(drain)
-	clients = append(clients, half, say(opening()), say(opening()))
+	shutdownAt := time.Now()
+	close(shutdown)
+	clients = append(clients, partial, send(opening()), send(opening()))
 	for i, r := range clients {
 		if rest, err := io.ReadAll(r); !regexp.MustCompile(`^BUSY( \d+)?\r\n$`).Match(rest) || err != nil {
-			t.Errorf("client %d was told %q, %v", i, rest, err)
+			t.Errorf("client %d received %q, %v, want BUSY", i, rest, err)
 		}
 	}
-	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
+	requireExitWithin(t, done, shutdownAt, 2200*time.Millisecond) // the class's deadline of 1.5 s plus killGrace
 }
 
-// A relay that shuts down while its console is queried answers completely or not at all, and ends in time.
+// Console queries during a shutdown must be answered completely or not at all, and must not delay the exit.
 func TestShutdownDuringConsoleQueries(t *testing.T) {
-	drain := make(chan struct{})
+	shutdown := make(chan struct{})
 	o := &config.Operator{}
-	address, done := startRelay(t, RunOptions{Shutdown: drain}, listen(t), o, io.Discard)
+	address, done := startRelay(t, RunOptions{Shutdown: shutdown}, listen(t), o, io.Discard)
 	for range 3 {
 		openRequest(t, address)
 	}
-	asked := make(chan int)
+	answered := make(chan int)
 	go func() {
 		n := 0
-		defer func() { asked <- n }()
+		defer func() { answered <- n }()
 		for {
 			var out, errs strings.Builder
 			switch code := console.Run(o.Console.Socket, "why --json", nil, &out, &errs); {
 			case code == console.ExitUnreachable:
 				return
 			case code != console.ExitOK || strings.Count(out.String(), "\n") < 3 || !strings.HasSuffix(out.String(), "}\n"):
-				t.Errorf("code %d: %s%s", code, out.String(), errs.String())
+				t.Errorf("query ended with exit code %d: %s%s", code, out.String(), errs.String())
 				return
 			}
 			n++
 		}
 	}()
-	told := time.Now()
-	close(drain)
-	requireEndWithin(t, done, told, 2200*time.Millisecond) // the class's 1.5 s and 0.7
-	if n := <-asked; n == 0 {
-		t.Error("no question was answered")
+	shutdownAt := time.Now()
+	close(shutdown)
+	requireExitWithin(t, done, shutdownAt, 2200*time.Millisecond) // the class's deadline of 1.5 s plus killGrace
+	if n := <-answered; n == 0 {
+		t.Error("no query was answered")
 	}
 }
 
-// What discovery's agent has counts as notified from a process's first moment, and the list from before the start may be older: a
-// client that comes before the agent has answered is placed by what it answers.
-func TestClientsArePlacedByTheListOfNow(t *testing.T) {
-	usual := firstListTimeout
-	firstListTimeout = time.Minute // the agent waits for the client here
-	t.Cleanup(func() { firstListTimeout = usual })
-	agent, other := listen(t), listen(t)
-	go serveEndpoint(t, other, "UP 2\r\n")
+// The configured endpoint list may be outdated. A client that connects before the discovery agent has answered
+// must be routed by the agent's list.
+func TestFirstClientWaitsForListFromDiscovery(t *testing.T) {
+	defaultTimeout := firstListTimeout
+	firstListTimeout = time.Minute // the agent answers only after the client has connected
+	t.Cleanup(func() { firstListTimeout = defaultTimeout })
+	agent, listed := listen(t), listen(t)
+	go serveEndpoint(t, listed, "UP 2\r\n")
 	address, _ := startRelay(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
-	_, _, conn := acceptHeldWatch(t, agent)
+	_, _, conn := acceptWatchConn(t, agent)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -300,21 +302,22 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	fmt.Fprintf(c, "OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1))
-	list := fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"s-1","phase":"draining","size":1},{"id":"s-2","host_port":%q,"phase":"ready","size":1}]}`, other.Addr())
+	list := fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"s-1","phase":"draining","size":1},{"id":"s-2","host_port":%q,"phase":"ready","size":1}]}`, listed.Addr())
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-	if text, err := bufio.NewReader(c).ReadString('\n'); text != "UP 2\r\n" {
-		t.Errorf("answered %q, %v: the client is placed by the list from before the start", text, err)
+	if answer, err := bufio.NewReader(c).ReadString('\n'); answer != "UP 2\r\n" {
+		t.Errorf("got answer %q, %v, want UP 2 from the endpoint in the agent's list", answer, err)
 	}
 }
 
-// acceptWatch waits for a relay to open a watch, and returns its request line and the connection's reader.
+// acceptWatch waits for a relay to open a discovery watch and returns its request line and the connection's reader.
 func acceptWatch(t *testing.T, l net.Listener) (string, *bufio.Reader) {
 	t.Helper()
-	text, r, _ := acceptHeldWatch(t, l)
-	return text, r
+	requestLine, r, _ := acceptWatchConn(t, l)
+	return requestLine, r
 }
 
-func acceptHeldWatch(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
+// acceptWatchConn is like acceptWatch and also returns the connection.
+func acceptWatchConn(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
 	t.Helper()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	c, err := l.Accept()
@@ -324,16 +327,16 @@
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	r := bufio.NewReader(c)
-	text, err := r.ReadString('\n')
+	requestLine, err := r.ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.TrimSpace(text), r, c
+	return strings.TrimSpace(requestLine), r, c
 }
 
-// A reload under load: the watch goes over to the new address at once and asks for the complete list, clients stay where they are
-// and new ones are still placed by the old list. A malformed file changes nothing.
-func TestNewConfigurationMovesTheWatchOnly(t *testing.T) {
+// A reload with another discovery address must move the watch there and request the complete list. Established
+// clients stay, and new ones are routed by the old list until then. A malformed configuration changes nothing.
+func TestReloadMovesWatchAndKeepsClients(t *testing.T) {
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
 	replace := func(text string) {
 		t.Helper()
@@ -346,49 +349,49 @@
 	var log logBuffer
 	o := &config.Operator{}
 	address, done := startRelay(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
-	asked, old := acceptWatch(t, agents[0])
-	if asked != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
-		t.Errorf("asked %q", asked)
+	requestLine, watch := acceptWatch(t, agents[0])
+	if requestLine != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
+		t.Errorf("first watch: got request %q", requestLine)
 	}
 	clients := []*bufio.Reader{openRequest(t, address)}
-	bad := 0
-	unreadable := func(text string) {
+	rejected := 0
+	replaceInvalid := func(text string) {
 		t.Helper()
 		replace(text)
-		bad++
-		// The file may be replaced again only once it has been read.
-		for late := time.Now().Add(10 * time.Second); log.count("configuration reload rejected") != bad; {
-			if time.Now().After(late) {
-				t.Fatalf("%q was not logged", text)
+		rejected++
+		// The file must not be replaced again before it has been read.
+		for deadline := time.Now().Add(10 * time.Second); log.count("configuration reload rejected") != rejected; {
+			if time.Now().After(deadline) {
+				t.Fatalf("rejection of %q was not logged", text)
 			}
 		}
 	}
 	for _, next := range agents[1:] {
-		unreadable("{half a fi")
-		unreadable(configtest.PlatformConfig("127.0.0.1:0", "no address", "x"))
+		replaceInvalid("{half a fi")
+		replaceInvalid(configtest.PlatformConfig("127.0.0.1:0", "no address", "x"))
 		replace(configtest.PlatformConfig("127.0.0.1:0", next.Addr().String(), "x"))
-		if _, err := io.Copy(io.Discard, old); err != nil {
-			t.Errorf("the watch at the old address ended with %v", err)
+		if _, err := io.Copy(io.Discard, watch); err != nil {
+			t.Errorf("watch at the previous address ended with %v", err)
 		}
-		asked, old = acceptWatch(t, next)
-		if asked != "GET /discovery/hosts?watch=1&from=0 HTTP/1.1" {
-			t.Errorf("asked %q", asked)
+		requestLine, watch = acceptWatch(t, next)
+		if requestLine != "GET /discovery/hosts?watch=1&from=0 HTTP/1.1" {
+			t.Errorf("watch after reload: got request %q", requestLine)
 		}
 		clients = append(clients, openRequest(t, address))
 	}
-	var held strings.Builder
-	console.Run(o.Console.Socket, "transactions", nil, &held, io.Discard)
-	if n := strings.Count(held.String(), "open"); n != len(clients) {
-		t.Errorf("of %d clients %d are still there:\n%s", len(clients), n, held.String())
+	var requests strings.Builder
+	console.Run(o.Console.Socket, "transactions", nil, &requests, io.Discard)
+	if n := strings.Count(requests.String(), "open"); n != len(clients) {
+		t.Errorf("of %d clients, %d are still connected:\n%s", len(clients), n, requests.String())
 	}
 	select {
 	case err := <-done:
-		t.Errorf("the relay has ended with %v", err)
+		t.Errorf("the relay exited: %v", err)
 	default:
 	}
 }
 
-// logBuffer is a log that a test reads.
+// logBuffer collects log output and is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -400,8 +403,8 @@
 	return l.text.Write(b)
 }
 
-func (l *logBuffer) count(what string) int {
+func (l *logBuffer) count(substring string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), what)
+	return strings.Count(l.text.String(), substring)
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,8 +1,8 @@
 // Package server starts a relay, runs it and shuts it down gracefully.
 //
-// Run is the entry point. It has three phases: startup (start.go, and hotrestart.go if a predecessor process is running),
-// the services that run until shutdown (services.go, frontends.go, reload.go), and the shutdown itself (shutdown.go).
-// persistentstate.go holds the state that survives a restart.
+// Run is the entry point. It has three phases: startup (start.go, and hotrestart.go if a predecessor process is
+// running), the services that run until shutdown (services.go, frontends.go, reload.go), and the shutdown itself
+// (shutdown.go). persistentstate.go holds the state that survives a restart.
 package server
 
 import (
@@ -27,13 +27,13 @@
 	"lockroad/internal/proxy"
 )
 
-// RunOptions configures how a process runs a relay, in addition to the relay's configuration. With the zero value, the
-// relay runs until its context is cancelled.
+// RunOptions configures how a process runs a relay, in addition to the relay's configuration. With the zero
+// value, the relay runs until its context is cancelled.
 type RunOptions struct {
 	Shutdown   <-chan struct{}             // closed to request a shutdown; nil: only the console or ctx stops the relay
 	Reload     <-chan os.Signal            // receives a value each time the file at ConfigPath should be reloaded
 	ConfigPath string                      // path of the platform configuration or site file
-	Site       *config.Site                // source of the configuration; nil: the platform, which runs a discovery agent
+	Site       *config.Site                // source of the configuration; nil: the platform
 	LogTail    func(maxLines int) []string // returns the last log lines; nil: no lines are retained
 	// Supervised reports whether a supervisor restarts the process after ErrRestart.
 	Supervised bool
@@ -42,8 +42,8 @@
 // ErrRestart is returned by Run after a graceful shutdown that was requested as a restart.
 var ErrRestart = errors.New("relay restart requested")
 
-// relay is a running relay. Unless noted otherwise, fields are set by Run's goroutine before the services start and are
-// read-only afterwards.
+// relay is a running relay. Unless noted otherwise, fields are set by Run's goroutine before the services start
+// and are read-only afterwards.
 type relay struct {
 	options  RunOptions
 	config   *config.Config
@@ -91,10 +91,10 @@
 	return r
 }
 
-// Run runs a relay until ctx is cancelled, or until a shutdown is requested through options.Shutdown or the console and all
-// clients have finished or been migrated. It returns ErrRestart if the console requested a restart, or an error if the relay
-// cannot start, for example because an address is in use. It sets process-wide limits (GOMAXPROCS and the memory limit), so
-// a process can run only one relay at a time.
+// Run runs a relay until ctx is cancelled, or until a shutdown is requested through options.Shutdown or the
+// console and all clients have finished or been migrated. It returns ErrRestart if the console requested a
+// restart, or an error if the relay cannot start, for example because an address is in use. It sets process-wide
+// limits (GOMAXPROCS and the memory limit), so a process can run only one relay at a time.
 //
 // Each startup step that acquires a resource is followed by the deferred call that releases it.
 func Run(ctx context.Context, options RunOptions, c *config.Config, o *config.Operator, log *slog.Logger) error {
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -11,8 +11,9 @@
 	"lockroad/internal/explain"
 )
 
-// startServices starts the relay's long-running goroutines in group, which Run waits for. The first error cancels ctx and so
-// stops all services. The frontends and the shutdown call cancel when they return, to stop the others without an error.
+// startServices starts the relay's long-running goroutines in group, which Run waits for. The first error
+// cancels ctx and so stops all services. The frontends and the shutdown call cancel when they return, to stop
+// the others without an error.
 func (r *relay) startServices(ctx context.Context, cancel context.CancelFunc, group *errgroup.Group) error {
 	if err := r.startConsole(ctx, group); err != nil {
 		return err
@@ -37,8 +38,8 @@
 	return nil
 }
 
-// startConsole opens and serves the console's socket, if one is configured. If there is a predecessor, the socket belongs to
-// it until it has exited.
+// startConsole opens and serves the console's socket, if one is configured. If there is a predecessor, the
+// socket belongs to it until it has exited.
 func (r *relay) startConsole(ctx context.Context, group *errgroup.Group) error {
 	if r.operator.Console.Socket == "" {
 		return nil
@@ -80,8 +81,8 @@
 	return server
 }
 
-// serveConsole serves the console on l. If l is nil, it first waits until the predecessor has released the socket. The relay
-// keeps running if the socket can't be opened.
+// serveConsole serves the console on l. If l is nil, it first waits until the predecessor has released the
+// socket. The relay keeps running if the socket can't be opened.
 func (r *relay) serveConsole(ctx context.Context, server *console.Server, l net.Listener) error {
 	if l == nil {
 		var err error
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -8,30 +8,31 @@
 	"lockroad/balancer"
 )
 
-// After SIGTERM the platform routes new clients to the relay for up to 0.4 s more. It sends SIGKILL at a time derived from the
-// classes' deadlines. The shutdown uses all of that time and migrates clients as late as possible, because the relays that
-// would take them may be restarting too.
+// After SIGTERM the platform routes new clients to the relay for up to 0.4 s more. It sends SIGKILL at a time
+// derived from the classes' deadlines. The shutdown uses all of that time and migrates clients as late as
+// possible, because the relays that would take them may be restarting too.
 const (
-	// SIGKILL comes no earlier than killGrace after the longest class deadline. Deadlines above maxKillDeadline count as
-	// maxKillDeadline.
+	// SIGKILL comes no earlier than killGrace after the longest class deadline. Deadlines above maxKillDeadline
+	// count as maxKillDeadline.
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 
-	// migrationDelay is the minimum time from SIGTERM to the first migration. A client migrated earlier could be routed back to
-	// this relay.
+	// migrationDelay is the minimum time from SIGTERM to the first migration. A client migrated earlier could be
+	// routed back to this relay.
 	migrationDelay = 450 * time.Millisecond
 	// migrationDuration is the period over which migrations are spread, if enough time is left until SIGKILL.
 	migrationDuration = 800 * time.Millisecond
 
-	// The leads below are times before SIGKILL. Migration starts 1.9 s before SIGKILL: lastMigrationLead plus migrationDuration.
+	// The leads below are times before SIGKILL. Migration starts 1.9 s before SIGKILL: lastMigrationLead plus
+	// migrationDuration.
 
 	// lastMigrationLead: the last client is told to move, 0.2 s before the listeners close.
 	lastMigrationLead = 1100 * time.Millisecond
-	// closeListenersLead: the listeners close. Connections in their accept queues are admitted first and have 0.1 s until
-	// rejectPendingLead.
+	// closeListenersLead: the listeners close. Connections in their accept queues are admitted first, and have
+	// 0.1 s until rejectPendingLead.
 	closeListenersLead = 900 * time.Millisecond
-	// rejectPendingLead: each request that still waits for an endpoint is answered as its class allows. A client that has sent
-	// part of its opening line has another 0.2 s.
+	// rejectPendingLead: each request that still waits for an endpoint is answered as its class allows. A client
+	// that has sent part of its opening line has another 0.2 s.
 	rejectPendingLead = 800 * time.Millisecond
 	// exitLead: the services stop. The remaining time is for Run's deferred calls.
 	exitLead = 150 * time.Millisecond
@@ -53,8 +54,9 @@
 // requestShutdown starts the shutdown and returns immediately. It is safe for concurrent and repeated use.
 func (r *relay) requestShutdown() { r.shutdownOnce.Do(func() { close(r.shutdownRequested) }) }
 
-// awaitShutdown waits for a shutdown request and then runs the shutdown. When it returns, it stops all services by calling
-// cancel, at the latest exitLead before SIGKILL. The frontends stop them earlier once the last client has left.
+// awaitShutdown waits for a shutdown request and then runs the shutdown. When it returns, it stops all services
+// by calling cancel, at the latest exitLead before SIGKILL. The frontends stop them earlier once the last client
+// has left.
 func (r *relay) awaitShutdown(ctx context.Context, cancel context.CancelFunc) error {
 	defer cancel()
 	defer r.closeListeners()
@@ -90,8 +92,9 @@
 	return longest + killGrace
 }
 
-// handOffClients is the shutdown of a process with a successor, which admits all new clients. Established requests are handed
-// off to the successor, and pending ones as soon as they are established. It returns rejectPendingLead before SIGKILL.
+// handOffClients is the shutdown of a process with a successor, which admits all new clients. Established
+// requests are handed off to the successor, and pending ones as soon as they are established. It returns
+// rejectPendingLead before SIGKILL.
 func (r *relay) handOffClients(sleepUntil func(offset time.Duration), killAfter time.Duration) {
 	r.closeListeners()
 	r.proxy.HandOffAll(r.asPredecessor.HandOff, migrationDuration)
@@ -99,8 +102,8 @@
 	r.proxy.RejectPending()
 }
 
-// migrateClients is the shutdown of a process without a successor. It tells clients to move to other relays while new clients
-// are still admitted. It returns rejectPendingLead before SIGKILL.
+// migrateClients is the shutdown of a process without a successor. It tells clients to move to other relays
+// while new clients are still admitted. It returns rejectPendingLead before SIGKILL.
 func (r *relay) migrateClients(sleepUntil func(offset time.Duration), killAfter time.Duration) {
 	migrateAt := max(migrationDelay, killAfter-lastMigrationLead-migrationDuration)
 	sleepUntil(migrateAt)
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -27,8 +27,8 @@
 	return &store.Table[persistence.RelaySnapshot]{Store: s, Kind: persistence.KindSnapshots, Version: 1}
 }
 
-// saveSnapshot stores a snapshot of the balancer. It does nothing while the relay isn't ready, so as not to replace a better
-// snapshot.
+// saveSnapshot stores a snapshot of the balancer. It does nothing while the relay isn't ready, so as not to
+// replace a better snapshot.
 func (p *persistentState) saveSnapshot(ctx context.Context) {
 	p.mu.Lock()
 	opened := p.store
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -23,11 +23,11 @@
 // This file has the startup steps in the order in which Run calls them, except for those with a file of their own.
 
 const (
-	// memoryLimitShare is the share of the configured memory that becomes the Go memory limit. The rest is for memory that
-	// the Go runtime does not account for.
+	// memoryLimitShare is the share of the configured memory that becomes the Go memory limit. The rest is for
+	// memory that the Go runtime does not account for.
 	memoryLimitShare = 0.7
-	// Share of the memory limit that one process gets: all of it, or half while two processes of the relay run during a hot
-	// restart.
+	// Share of the memory limit that one process gets: all of it, or half while two processes of the relay run
+	// during a hot restart.
 	wholeProcess = 1.0
 	halfProcess  = 0.5
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// openStore opens the store. If a predecessor still holds it, persistentState.run opens it once that process has exited.
+// openStore opens the store. If a predecessor still holds it, persistentState.run opens it once that process has
+// exited.
 func (r *relay) openStore() {
 	if r.asSuccessor == nil || r.operator.Store.Dir == "" {
 		r.persistence.open(r.operator.Store)
@@ -58,8 +59,8 @@
 	}
 }
 
-// createProxy creates the proxy and its observers. The proxy's clock continues that of the predecessor or of the saved
-// snapshot, because restored state contains times of that clock.
+// createProxy creates the proxy and its observers. The proxy's clock continues that of the predecessor or of the
+// saved snapshot, because restored state contains times of that clock.
 func (r *relay) createProxy(saved savedSnapshot) error {
 	clock := proxy.NewClock()
 	switch {
@@ -123,7 +124,8 @@
 	}
 }
 
-// createWatcher creates the watcher of the discovery agent's endpoint list. A site's relay has one too but never runs it.
+// createWatcher creates the watcher of the discovery agent's endpoint list. A site's relay has one too but never
+// runs it.
 func (r *relay) createWatcher() {
 	r.watcher = &discovery.Watcher{
 		Proxy:      r.proxy,
@@ -134,8 +136,8 @@
 	r.listSynced = r.watcher.Synced()
 }
 
-// startTelemetry exports telemetry until ctx is cancelled, if the operator configured a collector. The returned function
-// performs the final export, for at most telemetryFlushTimeout.
+// startTelemetry exports telemetry until ctx is cancelled, if the operator configured a collector. The returned
+// function performs the final export, for at most telemetryFlushTimeout.
 func (r *relay) startTelemetry(ctx context.Context) (stop func(), err error) {
 	if r.operator.OTLP.Endpoint == "" {
 		return func() {}, nil
@@ -166,8 +168,8 @@
 	}
 }
 
-// becomeReady is the last startup step, called once the listeners are open and the services run. It takes over from the
-// predecessor, if there is one, admits clients, and lets a later successor take over from this process.
+// becomeReady is the last startup step, called once the listeners are open and the services run. It takes over
+// from the predecessor, if there is one, admits clients, and lets a later successor take over from this process.
 func (r *relay) becomeReady(ctx context.Context, group *errgroup.Group) {
 	if err := r.takeOver(ctx); err != nil {
 		r.log.Warn("takeover from predecessor failed, continuing without it", "error", err)
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -19,31 +19,31 @@
 	"lockroad/internal/store"
 )
 
-// The tests of this file hold the store's format in place: what an earlier version of the program wrote must be
-// read whole, and what this one writes must be the same bytes. Records are encoded by the names of fields, so a
-// field that is renamed without a tag changes the format, and is read as zero without an error.
+// The tests in this file guard the store's format: files of earlier versions must be read completely, and this
+// version must write the same bytes. A field that is renamed without a tag would change the format and be read
+// as zero without an error.
 //
-// testdata/golden has two folders of a store, one as it is written and one after a merge, and a dump of each kind.
-// They are written anew with
+// testdata/golden has two store directories, one as written (plain) and one after compaction (merged), and a
+// dump of each kind of record. To regenerate them, run
 //
 //	LOCKROAD_UPDATE_STORED_GOLDEN=1 go test ./internal/server -run TestStored
 //
-// and that is only for a new version of the format, with a Table.Upgrade that reads the old one.
+// Do so only for a new version of the format, with a Table.Upgrade that reads the old one.
 
 const (
-	updateStoredGolden = "LOCKROAD_UPDATE_STORED_GOLDEN"
-	storedGoldenDir    = "testdata/golden"
+	updateStoredGoldenEnv = "LOCKROAD_UPDATE_STORED_GOLDEN"
+	storedGoldenDir       = "testdata/golden"
 )
 
-// storedAt is when a golden record was put. It lies far ahead, as the store lets go of decisions of a certain age.
+// storedAt returns the time of a golden record. It is far in the future, because the store expires old decisions.
 func storedAt(n int) time.Time {
 	return time.Date(2190, time.March, 4, 5, 6, n, 789_000_000, time.UTC)
 }
 
 func pointerTo[T any](v T) *T { return &v }
 
-// fullOrder, fullKnown and fullAccount have every field set, each to a value of its own.
-// Maps have one entry: the order of more is not fixed when they are encoded.
+// completeDirective, completeSnapshot and completeExplanation set every field to a distinct value. Maps have
+// only one entry, because the encoded order of map entries is undefined.
 
 func completeDirective() persistence.DrainDirective {
 	return persistence.DrainDirective{
@@ -195,34 +195,35 @@
 	}
 }
 
-// sparseExplanation has what may be left out left out, at every depth.
+// sparseExplanation omits all optional fields at every level.
 func sparseExplanation() explain.Explanation {
 	return explain.Explanation{Events: []explain.Event{{Considered: []explain.ConsideredEndpoint{{}}}, {}}, Before: &explain.RelatedRequest{}}
 }
 
 const (
-	sparseKey   = "sparse"
-	accountKey  = "2024-02-05T03:04:05.678912345Z name-2003"
-	withdrawn   = "server-withdrawn"
-	goldenCount = 6 // records that are there in the end
+	sparseKey      = "sparse"
+	explanationKey = "2024-02-05T03:04:05.678912345Z name-2003"
+	withdrawnKey   = "server-withdrawn"
+	goldenRecords  = 6 // records left after the one deletion and replacement
 )
 
-// storedTables are the tables of the program itself, over one store.
+// storedTables has the relay's tables in one store.
 type storedTables struct {
-	orders    *store.Table[persistence.DrainDirective]
-	learnt    *store.Table[persistence.RelaySnapshot]
-	decisions *store.Table[explain.Explanation]
+	directives   *store.Table[persistence.DrainDirective]
+	snapshots    *store.Table[persistence.RelaySnapshot]
+	explanations *store.Table[explain.Explanation]
 }
 
 func tablesOf(s *store.Store) storedTables {
-	k := &persistentState{store: s}
+	p := &persistentState{store: s}
 	return storedTables{
-		orders:    k.directiveTable(),
-		learnt:    snapshotTable(s),
-		decisions: (&archive{persistence: k}).table(),
+		directives:   p.directiveTable(),
+		snapshots:    snapshotTable(s),
+		explanations: (&archive{persistence: p}).table(),
 	}
 }
 
+// openStored opens a store, which must be undamaged, until the end of the test.
 func openStored(t *testing.T, dir string) *store.Store {
 	t.Helper()
 	s, report, err := store.Open(store.Dir(dir), store.Options{Kinds: persistence.Kinds()})
@@ -230,13 +231,13 @@
 		t.Fatal(err)
 	}
 	if report.TornTail != nil || len(report.Damaged) > 0 || len(report.Replaced) > 0 {
-		t.Fatalf("%s is not whole: %+v", dir, report)
+		t.Fatalf("store in %s is damaged: %+v", dir, report)
 	}
 	t.Cleanup(func() { _ = s.Close() })
 	return s
 }
 
-// encoded returns a record as its table writes it, with a fixed time in place of now.
+// encoded returns the change that writes a record to its table, with a fixed time instead of the current one.
 func encoded[T any](t *testing.T, table *store.Table[T], key string, at time.Time, value T) store.Change {
 	t.Helper()
 	if err := table.Commit(t.Context(), key, value); err != nil {
@@ -244,35 +245,35 @@
 	}
 	record, ok, err := table.Store.Get(table.Kind, key)
 	if err != nil || !ok {
-		t.Fatalf("%s %q can't be read back: %v", table.Kind, key, err)
+		t.Fatalf("kind %s: record %q can't be read back: %v", table.Kind, key, err)
 	}
 	change := record.Change
 	change.At = at
 	return change
 }
 
-// writeStored writes the golden records to a folder, a commit each, and merges its files if so wanted.
-func writeStored(t *testing.T, dir string, merge bool) {
+// writeStored writes the golden records to a store directory, one commit each, and optionally compacts it.
+func writeStored(t *testing.T, dir string, compact bool) {
 	t.Helper()
 	encoder := tablesOf(openStored(t, t.TempDir()))
 	target := openStored(t, dir)
 	for _, change := range []store.Change{
-		encoded(t, encoder.orders, "server-1", storedAt(1), completeDirective()),
-		encoded(t, encoder.orders, sparseKey, storedAt(2), persistence.DrainDirective{}),
-		encoded(t, encoder.orders, withdrawn, storedAt(3), persistence.DrainDirective{Endpoint: withdrawn}),
-		{Kind: encoder.orders.Kind, Key: withdrawn, At: storedAt(4), Deleted: true},
-		encoded(t, encoder.learnt, snapshotKey, storedAt(5), persistence.RelaySnapshot{}),
-		encoded(t, encoder.learnt, snapshotKey, storedAt(6), completeSnapshot()),
-		encoded(t, encoder.learnt, sparseKey, storedAt(7), persistence.RelaySnapshot{}),
-		encoded(t, encoder.decisions, accountKey, storedAt(8), completeExplanation()),
-		encoded(t, encoder.decisions, sparseKey, storedAt(9), sparseExplanation()),
+		encoded(t, encoder.directives, "server-1", storedAt(1), completeDirective()),
+		encoded(t, encoder.directives, sparseKey, storedAt(2), persistence.DrainDirective{}),
+		encoded(t, encoder.directives, withdrawnKey, storedAt(3), persistence.DrainDirective{Endpoint: withdrawnKey}),
+		{Kind: encoder.directives.Kind, Key: withdrawnKey, At: storedAt(4), Deleted: true},
+		encoded(t, encoder.snapshots, snapshotKey, storedAt(5), persistence.RelaySnapshot{}),
+		encoded(t, encoder.snapshots, snapshotKey, storedAt(6), completeSnapshot()),
+		encoded(t, encoder.snapshots, sparseKey, storedAt(7), persistence.RelaySnapshot{}),
+		encoded(t, encoder.explanations, explanationKey, storedAt(8), completeExplanation()),
+		encoded(t, encoder.explanations, sparseKey, storedAt(9), sparseExplanation()),
 	} {
-		// One by one, so that each frame says the same of the commits before it.
+		// Committed one by one, so that the number of commits in each frame is deterministic.
 		if err := target.Commit(context.Background(), change); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if merge {
+	if compact {
 		if err := target.Compact(); err != nil {
 			t.Fatal(err)
 		}
@@ -282,10 +283,10 @@
 	}
 }
 
-// storedFolders are the golden folders, and whether their files were merged.
-var storedFolders = map[string]bool{"plain": false, "merged": true}
+// storedDirs are the golden store directories. The value tells whether the store was compacted.
+var storedDirs = map[string]bool{"plain": false, "merged": true}
 
-// filesOf reads the files of a folder but its lock, which is empty.
+// filesOf reads the files of a directory, except for the store's empty lock file.
 func filesOf(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -293,21 +294,21 @@
 		t.Fatal(err)
 	}
 	files := make(map[string][]byte)
-	for _, e := range entries {
-		if e.Name() == "lock" {
+	for _, entry := range entries {
+		if entry.Name() == "lock" {
 			continue
 		}
-		if files[e.Name()], err = os.ReadFile(filepath.Join(dir, e.Name())); err != nil {
+		if files[entry.Name()], err = os.ReadFile(filepath.Join(dir, entry.Name())); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(files) == 0 {
-		t.Fatalf("%s has no files", dir)
+		t.Fatalf("directory %s has no files", dir)
 	}
 	return files
 }
 
-// copyOfGolden returns a copy of a golden folder: a store that is opened is written to.
+// copyOfGolden copies a golden directory, because opening a store writes to it, and returns the copy's path.
 func copyOfGolden(t *testing.T, name string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -319,8 +320,8 @@
 	return dir
 }
 
-// updatesGolden tells whether the golden files are to be written anew.
-func updatesGolden() bool { return os.Getenv(updateStoredGolden) != "" }
+// updatesGolden reports whether to rewrite the golden files.
+func updatesGolden() bool { return os.Getenv(updateStoredGoldenEnv) != "" }
 
 func writeGolden(t *testing.T, name string, content []byte) {
 	t.Helper()
@@ -333,12 +334,12 @@
 	}
 }
 
-// The bytes that a store writes are those that earlier versions wrote.
-func TestStoredFolderHasSameBytes(t *testing.T) {
-	for name, merge := range storedFolders {
+// The store must write the same bytes as earlier versions did.
+func TestStoredBytesAreStable(t *testing.T) {
+	for name, compact := range storedDirs {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			writeStored(t, dir, merge)
+			writeStored(t, dir, compact)
 			got := filesOf(t, dir)
 			if updatesGolden() {
 				if err := os.RemoveAll(filepath.Join(storedGoldenDir, name)); err != nil {
@@ -349,51 +350,52 @@
 				}
 			}
 			want := filesOf(t, filepath.Join(storedGoldenDir, name))
-			if g, w := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(g, w) {
-				t.Fatalf("the files are %q, not %q", g, w)
+			if gotNames, wantNames := slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)); !slices.Equal(gotNames, wantNames) {
+				t.Fatalf("got files %q, want %q", gotNames, wantNames)
 			}
 			for file := range want {
 				if !bytes.Equal(got[file], want[file]) {
-					t.Errorf("%s has other bytes:\n%q\nnot\n%q", file, got[file], want[file])
+					t.Errorf("file %s: got bytes\n%q\nwant\n%q", file, got[file], want[file])
 				}
 			}
 		})
 	}
 }
 
-// A store's folder that an earlier version wrote is read whole: each record, each field.
-func TestStoredFolderOfEarlierVersionIsRead(t *testing.T) {
-	for name := range storedFolders {
+// Every record and field that an earlier version stored must be read.
+func TestStoredFilesOfEarlierVersionAreRead(t *testing.T) {
+	for name := range storedDirs {
 		t.Run(name, func(t *testing.T) {
 			dir := copyOfGolden(t, name)
 			report, err := store.Check(store.Dir(dir), persistence.Kinds())
-			if err != nil || report.TornTail != nil || len(report.Damaged) > 0 || report.Records != goldenCount {
-				t.Fatalf("a check says %+v, %v", report, err)
+			if err != nil || report.TornTail != nil || len(report.Damaged) > 0 || report.Records != goldenRecords {
+				t.Fatalf("store check: got %+v, %v", report, err)
 			}
 			tables := tablesOf(openStored(t, dir))
-			requireRecords(t, tables.orders, []storedRecord[persistence.DrainDirective]{
+			requireRecords(t, tables.directives, []storedRecord[persistence.DrainDirective]{
 				{"server-1", storedAt(1), completeDirective()},
 				{sparseKey, storedAt(2), persistence.DrainDirective{}},
 			})
-			requireRecords(t, tables.learnt, []storedRecord[persistence.RelaySnapshot]{
+			requireRecords(t, tables.snapshots, []storedRecord[persistence.RelaySnapshot]{
 				{snapshotKey, storedAt(6), completeSnapshot()},
 				{sparseKey, storedAt(7), persistence.RelaySnapshot{}},
 			})
-			requireRecords(t, tables.decisions, []storedRecord[explain.Explanation]{
-				{accountKey, storedAt(8), completeExplanation()},
+			requireRecords(t, tables.explanations, []storedRecord[explain.Explanation]{
+				{explanationKey, storedAt(8), completeExplanation()},
 				{sparseKey, storedAt(9), sparseExplanation()},
 			})
 		})
 	}
 }
 
+// storedRecord is one record of a table.
 type storedRecord[T any] struct {
 	key   string
 	at    time.Time
 	value T
 }
 
-// requireRecords fails unless a table holds just these records, in their order.
+// requireRecords fails the test unless a table holds exactly these records in this order.
 func requireRecords[T any](t *testing.T, table *store.Table[T], want []storedRecord[T]) {
 	t.Helper()
 	var got []storedRecord[T]
@@ -405,22 +407,22 @@
 		t.Fatal(err)
 	}
 	if len(got) != len(want) {
-		t.Fatalf("%d records of %s were read, not %d", len(got), table.Kind, len(want))
+		t.Fatalf("read %d records of kind %s, want %d", len(got), table.Kind, len(want))
 	}
 	for i := range want {
 		if !reflect.DeepEqual(got[i], want[i]) {
-			t.Errorf("%s were read as\n%+v\nnot\n%+v", table.Kind, got[i], want[i])
+			t.Errorf("record of kind %s: got\n%+v\nwant\n%+v", table.Kind, got[i], want[i])
 		}
 	}
 }
 
-// A dump of a store says what it said, and a merge changes nothing in it.
+// The dump of a store must not change, and must be the same before and after compaction.
 func TestStoredDumpIsUnchanged(t *testing.T) {
-	for folder := range storedFolders {
+	for name := range storedDirs {
 		for _, kind := range persistence.Kinds() {
-			t.Run(folder+" "+kind.Name, func(t *testing.T) {
+			t.Run(name+" "+kind.Name, func(t *testing.T) {
 				var got bytes.Buffer
-				if err := store.Dump(store.Dir(copyOfGolden(t, folder)), persistence.Kinds(), kind.Name, &got); err != nil {
+				if err := store.Dump(store.Dir(copyOfGolden(t, name)), persistence.Kinds(), kind.Name, &got); err != nil {
 					t.Fatal(err)
 				}
 				file := fmt.Sprintf("dump-%s.jsonl", kind.Name)
@@ -432,24 +434,24 @@
 					t.Fatal(err)
 				}
 				if !bytes.Equal(got.Bytes(), want) {
-					t.Errorf("the dump is\n%s\nnot\n%s", &got, want)
+					t.Errorf("got dump\n%s\nwant\n%s", &got, want)
 				}
 			})
 		}
 	}
 }
 
-// The golden records leave no field at zero and give no two the same value: a field that is added has to be
-// added to them, and two that are exchanged are seen.
+// No field of the golden records may be zero or equal to another: a new field must be added to them, and swapped
+// fields would be noticed.
 func TestStoredGoldenSetsEveryField(t *testing.T) {
 	for _, root := range []any{completeDirective(), completeSnapshot(), completeExplanation()} {
 		seen := make(map[any]string)
-		requireFull(t, reflect.ValueOf(root), reflect.TypeOf(root).String(), seen)
+		requireComplete(t, reflect.ValueOf(root), reflect.TypeOf(root).String(), seen)
 	}
 }
 
-// requireFull fails for each field, element or key below v that is zero, or that has the value of another.
-func requireFull(t *testing.T, v reflect.Value, path string, seen map[any]string) {
+// requireComplete fails the test for each zero or duplicate value within v. seen has the path of each value so far.
+func requireComplete(t *testing.T, v reflect.Value, path string, seen map[any]string) {
 	t.Helper()
 	if v.IsZero() {
 		t.Errorf("%s is zero", path)
@@ -460,11 +462,11 @@
 	case isTime:
 		requireDistinct(t, v, path, seen)
 	case v.Kind() == reflect.Pointer:
-		requireFull(t, v.Elem(), path, seen)
+		requireComplete(t, v.Elem(), path, seen)
 	case v.Kind() == reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				requireFull(t, v.Field(i), path+"."+field.Name, seen)
+				requireComplete(t, v.Field(i), path+"."+field.Name, seen)
 			}
 		}
 	case v.Kind() == reflect.Slice:
@@ -472,26 +474,27 @@
 			t.Errorf("%s is empty", path)
 		}
 		for i := range v.Len() {
-			requireFull(t, v.Index(i), fmt.Sprintf("%s[%d]", path, i), seen)
+			requireComplete(t, v.Index(i), fmt.Sprintf("%s[%d]", path, i), seen)
 		}
 	case v.Kind() == reflect.Map:
 		if v.Len() == 0 {
 			t.Errorf("%s is empty", path)
 		}
 		for _, key := range v.MapKeys() {
-			requireFull(t, key, path+" key", seen)
-			requireFull(t, v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key), seen)
+			requireComplete(t, key, path+" key", seen)
+			requireComplete(t, v.MapIndex(key), fmt.Sprintf("%s[%v]", path, key), seen)
 		}
-	case v.Kind() == reflect.Bool: // there is but one that is not zero
+	case v.Kind() == reflect.Bool: // true is the only non-zero value
 	default:
 		requireDistinct(t, v, path, seen)
 	}
 }
 
+// requireDistinct fails the test if v has the value of another path in seen, to which it adds v.
 func requireDistinct(t *testing.T, v reflect.Value, path string, seen map[any]string) {
 	t.Helper()
 	if other, ok := seen[v.Interface()]; ok {
-		t.Errorf("%s has the value of %s, %v", path, other, v)
+		t.Errorf("%s and %s have the same value %v", path, other, v)
 	}
 	seen[v.Interface()] = path
 }
--- a/internal/server/stored_tags_test.go
+++ b/internal/server/stored_tags_test.go
@@ -10,28 +10,28 @@
 	"lockroad/internal/testutil"
 )
 
-// Every exported field that is encoded names itself in a tag, so that it can be renamed without a change of the
-// format. CBOR goes by the json tag where there is no cbor tag.
-func TestStoredFieldsNameThemselvesInTags(t *testing.T) {
-	isCBOR := func(tag reflect.StructTag) bool {
+// Every encoded field must have its name in a tag, so that renaming the field doesn't change the stored format.
+// CBOR uses the json tag of a field without a cbor tag.
+func TestStoredFieldsAreTagged(t *testing.T) {
+	hasCBORName := func(tag reflect.StructTag) bool {
 		return testutil.HasTagName(tag, "cbor") || testutil.HasTagName(tag, "json")
 	}
-	isJSON := func(tag reflect.StructTag) bool { return testutil.HasTagName(tag, "json") }
-	isBoth := func(tag reflect.StructTag) bool {
+	hasJSONTag := func(tag reflect.StructTag) bool { return testutil.HasTagName(tag, "json") }
+	hasBothTags := func(tag reflect.StructTag) bool {
 		return testutil.HasTagName(tag, "cbor") && testutil.HasTagName(tag, "json")
 	}
 	for _, root := range []struct {
-		of      reflect.Type
-		isNamed func(reflect.StructTag) bool
+		stored   reflect.Type
+		isTagged func(reflect.StructTag) bool
 	}{
-		{reflect.TypeFor[persistence.DrainDirective](), isBoth},
-		{reflect.TypeFor[persistence.RelaySnapshot](), isCBOR},
-		{reflect.TypeFor[explain.Explanation](), isBoth},
-		{reflect.TypeFor[registry.RequestName](), isJSON},
+		{reflect.TypeFor[persistence.DrainDirective](), hasBothTags},
+		{reflect.TypeFor[persistence.RelaySnapshot](), hasCBORName},
+		{reflect.TypeFor[explain.Explanation](), hasBothTags},
+		{reflect.TypeFor[registry.RequestName](), hasJSONTag},
 	} {
-		testutil.EncodedFields(root.of, func(owner reflect.Type, field reflect.StructField) {
-			if !field.Anonymous && !root.isNamed(field.Tag) { // what an embedded type holds is encoded as if it stood here
-				t.Errorf("%v.%s is encoded by the name of the field: its tag is %q", owner, field.Name, field.Tag)
+		testutil.EncodedFields(root.stored, func(owner reflect.Type, field reflect.StructField) {
+			if !field.Anonymous && !root.isTagged(field.Tag) { // embedded fields are promoted
+				t.Errorf("%v.%s has no encoded name in its tag %q", owner, field.Name, field.Tag)
 			}
 		})
 	}
