--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -66,13 +66,13 @@
 }
 
 const (
-	maxSharedSessions = 4096
-	defaultSharedIdle = duration(10 * time.Second)
+	maxSessionsPerConn       = 4096
+	defaultSharedIdleTimeout = duration(10 * time.Second)
 )
 
 // PoolSettings returns the settings of the pool of shared endpoint connections.
 func (a *AMQP) PoolSettings() connpool.Settings {
-	return connpool.Settings{MaxSessions: a.MaxSessionsPerConn, IdleTimeout: time.Duration(cmp.Or(a.SharedIdleTimeout, defaultSharedIdle))}
+	return connpool.Settings{MaxSessions: a.MaxSessionsPerConn, IdleTimeout: time.Duration(cmp.Or(a.SharedIdleTimeout, defaultSharedIdleTimeout))}
 }
 
 // AuthSettings returns the settings for authenticating and authorizing clients.
@@ -153,16 +153,16 @@
 }
 
 func parseOperator(path string, text []byte) (*Operator, error) {
-	o := &Operator{}
+	operator := &Operator{}
 	v := &validator{file: path, lines: tomlLines(text)}
-	if !v.decodeTOML(text, o) {
+	if !v.decodeTOML(text, operator) {
 		return nil, v.problems.errOrNil()
 	}
-	o.check(v)
+	operator.check(v)
 	if err := v.problems.errOrNil(); err != nil {
 		return nil, err
 	}
-	return o, nil
+	return operator, nil
 }
 
 // check adds the problems of the operator's settings to v. It also reads the files that they name, to report
@@ -200,8 +200,8 @@
 	if n := a.MaxLinks; n < 0 {
 		v.add("amqp.links", "%d is negative", n)
 	}
-	if n := a.MaxSessionsPerConn; n < 0 || n > maxSharedSessions {
-		v.add("amqp.shared", "%d is out of range: expected 0 to %d", n, maxSharedSessions)
+	if n := a.MaxSessionsPerConn; n < 0 || n > maxSessionsPerConn {
+		v.add("amqp.shared", "%d is out of range: expected 0 to %d", n, maxSessionsPerConn)
 	}
 	_, authErr := auth.New(a.AuthSettings())
 	_, tlsErr := auth.NewEndpointTLS(a.EndpointTLSSettings())
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -110,9 +110,9 @@
 	settings := &r.operator.AMQP
 	limiter := &listener.ConnLimiter{Slots: limits.amqpSlots, MaxIdle: limits.maxIdle}
 	r.limiters = append(r.limiters, limiter)
-	front := &amqp.Frontend{Proxy: r.proxy, EndpointPort: settings.EndpointPort, Limiter: limiter, Pool: settings.PoolSettings()}
+	amqpFrontend := &amqp.Frontend{Proxy: r.proxy, EndpointPort: settings.EndpointPort, Limiter: limiter, Pool: settings.PoolSettings()}
 	var err error
-	if front.Placements, err = settings.CompiledPlacements(); err != nil {
+	if amqpFrontend.Placements, err = settings.CompiledPlacements(); err != nil {
 		return err
 	}
 	if r.credentials.authenticator, err = auth.New(settings.AuthSettings()); err != nil {
@@ -121,8 +121,8 @@
 	if r.credentials.endpointTLS, err = auth.NewEndpointTLS(settings.EndpointTLSSettings()); err != nil {
 		return fmt.Errorf("amqp: %w", err)
 	}
-	front.Authenticator, front.EndpointTLS = r.credentials.authenticator, r.credentials.endpointTLS
-	return r.bindFrontend("amqp", settings.Listen, front)
+	amqpFrontend.Authenticator, amqpFrontend.EndpointTLS = r.credentials.authenticator, r.credentials.endpointTLS
+	return r.bindFrontend("amqp", settings.Listen, amqpFrontend)
 }
 
 // bindFrontend registers a frontend with a listener: the one that the predecessor offers for this name and
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -80,8 +80,8 @@
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := config.ReadConfig(file); err != nil || len(c.InitialList.Members) != n {
-			t.Errorf("%d endpoints: read %d, %v", n, len(c.InitialList.Members), err)
+		if cfg, err := config.ReadConfig(file); err != nil || len(cfg.InitialList.Members) != n {
+			t.Errorf("%d endpoints: read %d, %v", n, len(cfg.InitialList.Members), err)
 		}
 	}
 }
@@ -94,18 +94,18 @@
 	}
 	t.Cleanup(func() { l.Close() })
 	go func() {
-		c, err := l.Accept()
+		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		defer c.Close()
-		_, _ = c.Read(make([]byte, 4096))
-		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		defer conn.Close()
+		_, _ = conn.Read(make([]byte, 4096))
+		io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for rest := body; len(rest) > 0; rest = rest[min(chunkSize, len(rest)):] {
 			part := rest[:min(chunkSize, len(rest))]
-			fmt.Fprintf(c, "%x\r\n%s\r\n", len(part), part)
+			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(part), part)
 		}
-		_, _ = io.Copy(io.Discard, c) // the watch stays open
+		_, _ = io.Copy(io.Discard, conn) // the watch stays open
 	}()
 	return l.Addr().String()
 }
@@ -125,7 +125,7 @@
 				t.Fatal(err)
 			}
 		}
-		for name, c := range map[string]struct {
+		for name, test := range map[string]struct {
 			body  []byte
 			phase balancer.EndpointState
 		}{
@@ -135,10 +135,10 @@
 			p, _ := proxyWithList(t, 0)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
-			watcher := &discovery.Watcher{Proxy: p, Address: serveDiscovery(t, c.body, 1000), Zones: []string{"a"}, RetainList: true}
+			watcher := &discovery.Watcher{Proxy: p, Address: serveDiscovery(t, test.body, 1000), Zones: []string{"a"}, RetainList: true}
 			go func() { _ = watcher.Run(ctx); close(done) }()
 			go func() { _ = p.Run(ctx) }()
-			testutil.Until(t, fmt.Sprintf("%d endpoints, %s: not all are listed", n, name), func() bool { return p.Endpoints.CountByState()[c.phase] == int64(n) })
+			testutil.Until(t, fmt.Sprintf("%d endpoints, %s: not all are listed", n, name), func() bool { return p.Endpoints.CountByState()[test.phase] == int64(n) })
 			cancel()
 			<-done
 			if list, _ := watcher.List(); len(list.Members) != n {
@@ -232,9 +232,9 @@
 func TestMemoryPerEndpoint(t *testing.T) {
 	heap := func() uint64 {
 		runtime.GC()
-		var m runtime.MemStats
-		runtime.ReadMemStats(&m)
-		return m.HeapAlloc
+		var stats runtime.MemStats
+		runtime.ReadMemStats(&stats)
+		return stats.HeapAlloc
 	}
 	for _, n := range []int{12, 90, 500, 1024, 2000} {
 		before := heap()
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -122,11 +122,11 @@
 		t.Errorf("malformed address: got error %v", err)
 	}
 	used := listen(t).Addr().String()
-	c, err := config.ParseConfig([]byte(strings.Replace(text, "nowhere", used, 1)))
-	if err != nil || c.AdminAddr != used {
-		t.Fatalf("parsed as %+v, %v", c, err)
+	cfg, err := config.ParseConfig([]byte(strings.Replace(text, "nowhere", used, 1)))
+	if err != nil || cfg.AdminAddr != used {
+		t.Fatalf("parsed as %+v, %v", cfg, err)
 	}
-	if err := Run(t.Context(), RunOptions{}, c, &config.Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
+	if err := Run(t.Context(), RunOptions{}, cfg, &config.Operator{}, slog.New(slog.DiscardHandler)); err == nil || !strings.HasPrefix(err.Error(), "admin_addr: ") {
 		t.Errorf("address in use: got error %v", err)
 	}
 }
@@ -170,12 +170,12 @@
 func TestReloadWithReorderedLocalitiesKeepsZones(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	valid := configtest.PlatformConfig("127.0.0.1:0", "127.0.0.1:8500", "127.0.0.1:1")
-	c, err := config.ParseConfig([]byte(valid))
+	cfg, err := config.ParseConfig([]byte(valid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := proxy.New(c.Settings, 1, proxy.NewClock())
-	r := &relay{options: RunOptions{ConfigPath: file}, config: c, proxy: p, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: p, Address: c.DiscoveryAddr, Zones: c.Zones}}
+	p := proxy.New(cfg.Settings, 1, proxy.NewClock())
+	r := &relay{options: RunOptions{ConfigPath: file}, config: cfg, proxy: p, log: slog.New(slog.DiscardHandler), watcher: &discovery.Watcher{Proxy: p, Address: cfg.DiscoveryAddr, Zones: cfg.Zones}}
 	reload := r.platformReloader()
 	for _, next := range []struct {
 		localities string
--- a/internal/server/run_test.go
+++ b/internal/server/run_test.go
@@ -68,14 +68,14 @@
 // requestClass opens a request of a class and returns the answer line and the connection's reader.
 func requestClass(t *testing.T, address, class string) (string, *bufio.Reader) {
 	t.Helper()
-	c, err := net.Dial("tcp", address)
+	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "OPEN %016x 2 c=%s,d=1500\r\n", requestCount.Add(1), class)
-	r := bufio.NewReader(c)
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprintf(conn, "OPEN %016x 2 c=%s,d=1500\r\n", requestCount.Add(1), class)
+	r := bufio.NewReader(conn)
 	answer, err := r.ReadString('\n')
 	if err != nil {
 		t.Fatalf("read answer: got %q, %v", answer, err)
@@ -85,55 +85,55 @@
 
 // startRelay runs a relay with an endpoint that accepts every request. It returns the address of the line
 // frontend and a channel that receives Run's result.
-func startRelay(t *testing.T, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startRelay(t *testing.T, options RunOptions, discovery net.Listener, operator *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startRelayWithAdmin(t, "", options, discovery, o, log)
+	return startRelayWithAdmin(t, "", options, discovery, operator, log)
 }
 
 // serveEndpoint sends an answer on each connection to an endpoint and keeps the connection open until the test ends.
 func serveEndpoint(t *testing.T, endpoint net.Listener, answer string) {
 	for {
-		c, err := endpoint.Accept()
+		conn, err := endpoint.Accept()
 		if err != nil {
 			return
 		}
-		io.WriteString(c, answer)
-		t.Cleanup(func() { c.Close() })
+		io.WriteString(conn, answer)
+		t.Cleanup(func() { conn.Close() })
 	}
 }
 
 // startRelayWithAdmin is like startRelay, with an admin address.
-func startRelayWithAdmin(t *testing.T, admin string, options RunOptions, discovery net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startRelayWithAdmin(t *testing.T, admin string, options RunOptions, discovery net.Listener, operator *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
 	endpoint := listen(t)
 	go serveEndpoint(t, endpoint, "UP 1\r\n")
-	return startRelayWithEndpoint(t, admin, options, discovery, endpoint, o, log)
+	return startRelayWithEndpoint(t, admin, options, discovery, endpoint, operator, log)
 }
 
 // startRelayWithEndpoint is like startRelayWithAdmin, with the given endpoint.
-func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, endpoint net.Listener, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startRelayWithEndpoint(t *testing.T, admin string, options RunOptions, discovery, endpoint net.Listener, operator *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	return startRelayWithConfig(t, configtest.PlatformConfig("127.0.0.1:0", discovery.Addr().String(), endpoint.Addr().String()), admin, options, o, log)
+	return startRelayWithConfig(t, configtest.PlatformConfig("127.0.0.1:0", discovery.Addr().String(), endpoint.Addr().String()), admin, options, operator, log)
 }
 
 // startRelayWithConfig is like startRelayWithAdmin, with the given platform configuration.
-func startRelayWithConfig(t *testing.T, text, admin string, options RunOptions, o *config.Operator, log io.Writer) (address string, done <-chan error) {
+func startRelayWithConfig(t *testing.T, text, admin string, options RunOptions, operator *config.Operator, log io.Writer) (address string, done <-chan error) {
 	t.Helper()
-	c, err := config.ParseConfig([]byte(text))
+	cfg, err := config.ParseConfig([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.AdminAddr = admin
+	cfg.AdminAddr = admin
 	ctx, cancel := context.WithCancel(context.Background())
 	result := make(chan error, 1)
 	stopped := make(chan struct{})
 	t.Cleanup(func() { cancel(); <-stopped })
-	o.Console.Socket = filepath.Join(t.TempDir(), "console")
+	operator.Console.Socket = filepath.Join(t.TempDir(), "console")
 	go func() {
 		defer close(stopped)
-		result <- Run(ctx, options, c, o, slog.New(slog.NewTextHandler(log, nil)))
+		result <- Run(ctx, options, cfg, operator, slog.New(slog.NewTextHandler(log, nil)))
 	}()
-	return lineFrontendAddress(t, o.Console.Socket), result
+	return lineFrontendAddress(t, operator.Console.Socket), result
 }
 
 // requireExitWithin fails the test unless the relay exits without an error before SIGKILL would be sent.
@@ -209,13 +209,13 @@
 	received := make(chan struct{}, 8)
 	go func() {
 		for {
-			c, err := endpoint.Accept()
+			conn, err := endpoint.Accept()
 			if err != nil {
 				return
 			}
-			t.Cleanup(func() { c.Close() })
+			t.Cleanup(func() { conn.Close() })
 			go func() {
-				_, _ = bufio.NewReader(c).ReadString('\n')
+				_, _ = bufio.NewReader(conn).ReadString('\n')
 				received <- struct{}{} // and never answers
 			}()
 		}
@@ -224,14 +224,14 @@
 	address, done := startRelayWithEndpoint(t, "", RunOptions{Shutdown: shutdown}, agent, endpoint, &config.Operator{}, io.Discard)
 	send := func(text string) *bufio.Reader {
 		t.Helper()
-		c, err := net.Dial("tcp", address)
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(10 * time.Second))
-		io.WriteString(c, text)
-		return bufio.NewReader(c)
+		t.Cleanup(func() { conn.Close() })
+		conn.SetDeadline(time.Now().Add(10 * time.Second))
+		io.WriteString(conn, text)
+		return bufio.NewReader(conn)
 	}
 	opening := func() string { return fmt.Sprintf("OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1)) }
 	clients := []*bufio.Reader{send(opening()), send(opening())}
@@ -256,8 +256,8 @@
 // Console queries during a shutdown must be answered completely or not at all, and must not delay the exit.
 func TestShutdownDuringConsoleQueries(t *testing.T) {
 	shutdown := make(chan struct{})
-	o := &config.Operator{}
-	address, done := startRelay(t, RunOptions{Shutdown: shutdown}, listen(t), o, io.Discard)
+	operator := &config.Operator{}
+	address, done := startRelay(t, RunOptions{Shutdown: shutdown}, listen(t), operator, io.Discard)
 	for range 3 {
 		openRequest(t, address)
 	}
@@ -267,7 +267,7 @@
 		defer func() { answered <- n }()
 		for {
 			var out, errs strings.Builder
-			switch code := console.Run(o.Console.Socket, "why --json", nil, &out, &errs); {
+			switch code := console.Run(operator.Console.Socket, "why --json", nil, &out, &errs); {
 			case code == console.ExitUnreachable:
 				return
 			case code != console.ExitOK || strings.Count(out.String(), "\n") < 3 || !strings.HasSuffix(out.String(), "}\n"):
@@ -294,17 +294,17 @@
 	agent, listed := listen(t), listen(t)
 	go serveEndpoint(t, listed, "UP 2\r\n")
 	address, _ := startRelay(t, RunOptions{}, agent, &config.Operator{}, io.Discard)
-	_, _, conn := acceptWatchConn(t, agent)
-	c, err := net.Dial("tcp", address)
+	_, _, watchConn := acceptWatchConn(t, agent)
+	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c, "OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1))
+	defer client.Close()
+	client.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprintf(client, "OPEN %016x 2 c=page,d=1500\r\n", requestCount.Add(1))
 	list := fmt.Sprintf(`{"revision":42,"complete":false,"members":[{"id":"s-1","phase":"draining","size":1},{"id":"s-2","host_port":%q,"phase":"ready","size":1}]}`, listed.Addr())
-	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-	if answer, err := bufio.NewReader(c).ReadString('\n'); answer != "UP 2\r\n" {
+	fmt.Fprintf(watchConn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
+	if answer, err := bufio.NewReader(client).ReadString('\n'); answer != "UP 2\r\n" {
 		t.Errorf("got answer %q, %v, want UP 2 from the endpoint in the agent's list", answer, err)
 	}
 }
@@ -320,18 +320,18 @@
 func acceptWatchConn(t *testing.T, l net.Listener) (string, *bufio.Reader, net.Conn) {
 	t.Helper()
 	l.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
-	c, err := l.Accept()
+	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	r := bufio.NewReader(c)
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	r := bufio.NewReader(conn)
 	requestLine, err := r.ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
-	return strings.TrimSpace(requestLine), r, c
+	return strings.TrimSpace(requestLine), r, conn
 }
 
 // A reload with another discovery address must move the watch there and request the complete list. Established
@@ -347,8 +347,8 @@
 	}
 	agents := []net.Listener{listen(t), listen(t), listen(t)}
 	var log logBuffer
-	o := &config.Operator{}
-	address, done := startRelay(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], o, &log)
+	operator := &config.Operator{}
+	address, done := startRelay(t, RunOptions{Reload: reload, ConfigPath: file}, agents[0], operator, &log)
 	requestLine, watch := acceptWatch(t, agents[0])
 	if requestLine != "GET /discovery/hosts?watch=1&from=41 HTTP/1.1" {
 		t.Errorf("first watch: got request %q", requestLine)
@@ -380,7 +380,7 @@
 		clients = append(clients, openRequest(t, address))
 	}
 	var requests strings.Builder
-	console.Run(o.Console.Socket, "transactions", nil, &requests, io.Discard)
+	console.Run(operator.Console.Socket, "transactions", nil, &requests, io.Discard)
 	if n := strings.Count(requests.String(), "open"); n != len(clients) {
 		t.Errorf("of %d clients, %d are still connected:\n%s", len(clients), n, requests.String())
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -77,11 +77,11 @@
 	restartRequested  atomic.Bool   // Run returns ErrRestart after the shutdown
 }
 
-func newRelay(options RunOptions, c *config.Config, o *config.Operator, log *slog.Logger) *relay {
+func newRelay(options RunOptions, cfg *config.Config, operator *config.Operator, log *slog.Logger) *relay {
 	r := &relay{
 		options:           options,
-		config:            c,
-		operator:          o,
+		config:            cfg,
+		operator:          operator,
 		log:               log,
 		predecessorGone:   make(chan struct{}),
 		reloadRequests:    make(chan reloadRequest),
@@ -97,9 +97,9 @@
 // limits (GOMAXPROCS and the memory limit), so a process can run only one relay at a time.
 //
 // Each startup step that acquires a resource is followed by the deferred call that releases it.
-func Run(ctx context.Context, options RunOptions, c *config.Config, o *config.Operator, log *slog.Logger) error {
-	limitCPUs(c.Cores)
-	r := newRelay(options, c, o, log)
+func Run(ctx context.Context, options RunOptions, cfg *config.Config, operator *config.Operator, log *slog.Logger) error {
+	limitCPUs(cfg.Cores)
+	r := newRelay(options, cfg, operator, log)
 	r.limitMemory(wholeProcess)
 	r.connectPredecessor()
 	defer r.disconnectPredecessor()
