--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -141,12 +141,12 @@
 	if err != nil {
 		return err
 	}
-	platform.Discovery = discoveryAddress
+	platform.DiscoveryAddr = discoveryAddress
 	if st.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
 		return err
 	}
 	st.socket = filepath.Join(st.directory, "console")
-	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, Shared: st.Shared}}
+	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, MaxSessionsPerConn: st.Shared}}
 	ctx, st.cancel = context.WithCancel(ctx)
 	st.ended = make(chan error, 1)
 	go func() {
