--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -9,10 +9,10 @@
 func TestEveryRequestIsAnsweredWithinItsDeadline(t *testing.T) {
 	for name, endpoints := range map[string][]Endpoint{
 		"no endpoint":   nil,
-		"none ready":    {{ID: 1, State: StateDraining, Weight: 1}},
+		"none ready":    {{ID: 1, State: StateDraining, Size: 1}},
 		"one, silent":   readyEndpoints(1),
 		"several":       readyEndpoints(3),
-		"only cold one": {{ID: 1, State: StateReady, Weight: 1, StartedAt: time.Hour}},
+		"only cold one": {{ID: 1, State: StateReady, Size: 1, StartedAt: time.Hour}},
 	} {
 		for _, left := range []time.Duration{0, ms, 50 * ms, 150 * ms, 2 * time.Second} {
 			relay := newTestRelay(t, testSettings(), endpoints...)
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -9,7 +9,7 @@
 // Neither first attempts, cached routes nor retries go to an endpoint that drains or is gone.
 func TestNoAttemptGoesToADrainingOrGoneEndpoint(t *testing.T) {
 	for name, list := range map[string]EndpointList{
-		"draining":   {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}},
+		"draining":   {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}},
 		"gone":       {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateGone}}},
 		"left out":   {Kind: ListFull, Endpoints: readyEndpoints(2)[1:]},
 		"cached out": {Kind: ListCached, Endpoints: readyEndpoints(2)[1:]},
@@ -46,7 +46,7 @@
 		relay.lastID++
 		relay.handle(Resumed{Request: Request{ID: relay.lastID, Group: uint64(i + 1)}, Endpoint: 1})
 	}
-	listed := Endpoint{ID: 1, State: StateDraining, Weight: 1}
+	listed := Endpoint{ID: 1, State: StateDraining, Size: 1}
 	first := countActions[Migrate](relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 	if first == 0 || first > 5 {
 		t.Errorf("%d of 20 connections migrated at once", first)
@@ -66,7 +66,7 @@
 	relays := newTestRelays(t, settings, readyEndpoints(3)...)
 	for _, relay := range relays {
 		relay.handle(Resumed{Request: Request{ID: 1, Group: 5}, Endpoint: 1})
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}})
 	}
 	moved := 0
 	for at := 250 * ms; at <= 4250*ms; at += 250 * ms {
--- a/balancer/drawfilter_test.go
+++ b/balancer/drawfilter_test.go
@@ -41,7 +41,7 @@
 		list := readyEndpoints(n)
 		for i := range list {
 			list[i].Zone = i % 3
-			list[i].Weight = 1 + float64(i%4)/2
+			list[i].Size = 1 + float64(i%4)/2
 		}
 		relay := newTestRelay(t, settings, list...)
 		server := rapid.Map(rapid.IntRange(1, n), func(i int) EndpointID { return EndpointID(i) })
@@ -111,7 +111,7 @@
 				}
 			},
 			"list": func(rt *rapid.T) {
-				listed := Endpoint{ID: server.Draw(rt, "server"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
+				listed := Endpoint{ID: server.Draw(rt, "server"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
 					listed.StartedAt = relay.now
 				}
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -44,7 +44,7 @@
 }
 
 // relativeSize is the endpoint's registered size, above 0.
-func (e *endpointRecord) relativeSize() float64 { return max(e.Weight, minRelativeSize) }
+func (e *endpointRecord) relativeSize() float64 { return max(e.Size, minRelativeSize) }
 
 // demand is what this relay's connections and their groups ask of the endpoint, in mean connections.
 func (e *endpointRecord) demand() float64 {
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -71,7 +71,7 @@
 	now := time.Duration(0)
 	for id := EndpointID(1); id < 3000; id++ {
 		now += time.Second
-		b.Handle(now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: id, State: StateReady, Weight: 1}, {ID: id - 1, State: StateGone}}})
+		b.Handle(now, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: id, State: StateReady, Size: 1}, {ID: id - 1, State: StateGone}}})
 	}
 	if n := len(b.endpoints.sorted); n > 3 {
 		t.Errorf("%d endpoints are kept, of which one is listed", n)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -24,7 +24,7 @@
 	State     EndpointState
 	Zone      int
 	Cell      int
-	Weight    float64       // its registered size, relative to that of others
+	Size      float64       // its registered size, relative to that of others
 	StartedAt time.Duration // its last start, on the relay's clock; 0 if long ago
 }
 
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -26,8 +26,8 @@
 	b := balancer.New(settings, 1)
 	now := 10 * time.Second // any clock that only goes forward
 	b.Handle(now, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{
-		{ID: 1, State: balancer.StateReady, Weight: 4},
-		{ID: 2, State: balancer.StateDraining, Weight: 4},
+		{ID: 1, State: balancer.StateReady, Size: 4},
+		{ID: 2, State: balancer.StateDraining, Size: 4},
 	}})
 	for _, action := range b.Handle(now, balancer.Request{ID: 7, Group: 42, TimeLeft: 2 * time.Second}) {
 		switch a := action.(type) {
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -79,11 +79,11 @@
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteAtCapacity)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteGone)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Weight: 1, StartedAt: relay.now}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Size: 1, StartedAt: relay.now}}})
 		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
@@ -135,19 +135,19 @@
 		relay.request(group)
 		relay.wantLast(VerdictHeld, ReasonNoneEligible) // it is recovering, and few are slow
 		// Where many are slow a request is held for the one that it falls on.
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Weight: 1}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Size: 1}}})
 		relay.makeSlow(2)
 		for other := uint64(1); relay.decisions[len(relay.decisions)-1].Reason != ReasonEndpointRecovering && other < 99; other++ {
 			relay.request(group + other)
 		}
 		relay.wantLast(VerdictHeld, ReasonEndpointRecovering)
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateGone}}})
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Weight: 1}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}})
 		relay.request(group)
 		if decision := relay.wantLast(VerdictRejected, ReasonNoViableEndpoint); decision.ReadyEndpoints != 0 {
 			t.Errorf("observed %+v", decision)
 		}
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}})
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
 		relay.request(group)
 		relay.wantLast(VerdictHeld, ReasonNoneEligible)
@@ -170,7 +170,7 @@
 		}
 		relay.balancer.concurrency.limit = 9
 		_, home := relay.connect(group + 2)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Weight: 1}}})
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
 		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != home || decision.Considered[0].State != StateDraining {
 			t.Errorf("observed %+v", decision)
 		}
@@ -282,7 +282,7 @@
 				account(both(EndpointDelay{Endpoint: server.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
 			},
 			"list": func(rt *rapid.T) {
-				listed := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Weight: 1, Zone: 0}
+				listed := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
 					listed.StartedAt = observed.now
 				}
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -66,7 +66,7 @@
 func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
-		list[i] = Endpoint{ID: EndpointID(i + 1), State: StateReady, Weight: 1}
+		list[i] = Endpoint{ID: EndpointID(i + 1), State: StateReady, Size: 1}
 	}
 	return list
 }
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -472,7 +472,7 @@
 		args := strings.Split(word, ":")
 		list = append(list, Endpoint{
 			ID: EndpointID(parseUint(t, args[0])), State: lookUp(t, stateWords, args[1]), Zone: int(parseUint(t, args[2])),
-			Cell: int(parseUint(t, args[3])), Weight: parseFloat(t, args[4]), StartedAt: parseDuration(t, args[5]),
+			Cell: int(parseUint(t, args[3])), Size: parseFloat(t, args[4]), StartedAt: parseDuration(t, args[5]),
 		})
 	}
 	return list
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -35,11 +35,11 @@
 // What may follow an attempt, by the class of the request and by the outcome of the attempt.
 func TestRetryStaysWithinDeduplicationScope(t *testing.T) {
 	endpoints := []Endpoint{
-		{ID: 1, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
-		{ID: 2, State: StateReady, Weight: 1, Zone: 0, Cell: 1},
-		{ID: 3, State: StateReady, Weight: 1, Zone: 1, Cell: 2},
-		{ID: 4, State: StateReady, Weight: 1, Zone: 0, Cell: 0},
-		{ID: 5, State: StateReady, Weight: 1, Zone: 1, Cell: 2},
+		{ID: 1, State: StateReady, Size: 1, Zone: 0, Cell: 0},
+		{ID: 2, State: StateReady, Size: 1, Zone: 0, Cell: 1},
+		{ID: 3, State: StateReady, Size: 1, Zone: 1, Cell: 2},
+		{ID: 4, State: StateReady, Size: 1, Zone: 0, Cell: 0},
+		{ID: 5, State: StateReady, Size: 1, Zone: 1, Cell: 2},
 	}
 	zone := map[EndpointID]int{1: 0, 2: 0, 3: 1, 4: 0, 5: 1}
 	cell := map[EndpointID]int{1: 0, 2: 1, 3: 2, 4: 0, 5: 2}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -29,7 +29,7 @@
 
 func TestDrawIsProportionalToWeight(t *testing.T) {
 	endpoints := readyEndpoints(2)
-	endpoints[0].Weight = 3
+	endpoints[0].Size = 3
 	relay := newTestRelay(t, testSettings(), endpoints...)
 	n := 0
 	for key := range uint64(4000) {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -84,7 +84,7 @@
 func TestSlowStartBudgetIsSharedByManyRelays(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 100
-	relays := newTestRelays(t, settings, Endpoint{ID: 1, State: StateReady, Weight: 1, StartedAt: time.Hour})
+	relays := newTestRelays(t, settings, Endpoint{ID: 1, State: StateReady, Size: 1, StartedAt: time.Hour})
 	sent := map[time.Duration]int{} // by overload window
 	total := 0
 	for range 150 {
--- a/balancer/snapshot_test.go
+++ b/balancer/snapshot_test.go
@@ -66,7 +66,7 @@
 // a share of it sends nothing to endpoints that are warming up.
 func TestSlowStartBudgetIsSpentOnceAcrossProcesses(t *testing.T) {
 	cold := func(relay *testRelay) []Endpoint {
-		return []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}
+		return []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}
 	}
 	relay := newTestRelay(t, testSettings())
 	endpoints := cold(relay)
@@ -102,7 +102,7 @@
 
 // Connections resumed at an endpoint that drains migrate as others do.
 func TestResumedConnectionsMigrateFromADrainingEndpoint(t *testing.T) {
-	relay := newTestRelay(t, testSettings(), Endpoint{ID: 1, State: StateDraining, Weight: 1}, Endpoint{ID: 2, State: StateReady, Weight: 1})
+	relay := newTestRelay(t, testSettings(), Endpoint{ID: 1, State: StateDraining, Size: 1}, Endpoint{ID: 2, State: StateReady, Size: 1})
 	var moved int
 	for i := range 10 {
 		moved += countActions[Migrate](relay.handle(Resumed{Request: Request{ID: RequestID(100 + i), Group: uint64(i)}, Endpoint: 1}))
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -42,7 +42,7 @@
 	state := relay.balancer.endpoints.find(1)
 	state.cutWeight(0, relay.now)
 	state.lastSlowAt, state.delayAt = relay.now, relay.now
-	relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Weight: 1, StartedAt: relay.now}}})
+	relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}})
 	if state.currentWeight(relay.now) != initialWeight || state.isSlow(relay.now) || relay.balancer.warmth(state) != relay.balancer.settings.InitialCapacity {
 		t.Errorf("weight %v, slow %v, warmth %v", state.currentWeight(relay.now), state.lastSlowAt, relay.balancer.warmth(state))
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -30,7 +30,7 @@
 		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 	}, 1, proxy.NewClock())
 	id := relay.Endpoints.ID("s-5be2a07c")
-	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Weight: 1}}, []string{"10.1.0.18:3000"})
+	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Size: 1}}, []string{"10.1.0.18:3000"})
 	n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
 	relay.Requests.Set(n, registry.StageEstablished, id)
 	relay.Counters.CountEnd(registry.EndMigrated)
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -76,7 +76,7 @@
 		var servers []balancer.Endpoint
 		var addresses []string
 		for i, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateReady, balancer.StateDraining} {
-			servers = append(servers, balancer.Endpoint{ID: relay.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: state, Weight: 1})
+			servers = append(servers, balancer.Endpoint{ID: relay.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: state, Size: 1})
 			addresses = append(addresses, fmt.Sprintf("10.1.0.%d:3000", i+1))
 		}
 		relay.UpdateEndpoints(balancer.ListFull, servers, addresses)
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -55,7 +55,7 @@
 		}
 		endpoints = append(endpoints, balancer.Endpoint{
 			ID: w.Proxy.Endpoints.ID(member.ID), State: state, Zone: w.ZoneNumber(member.Locality),
-			Cell: member.Cell, Weight: member.Size, StartedAt: w.Proxy.Clock.AtUnixMilli(member.UpSince),
+			Cell: member.Cell, Size: member.Size, StartedAt: w.Proxy.Clock.AtUnixMilli(member.UpSince),
 		})
 		addresses = append(addresses, member.HostPort)
 	}
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -75,7 +75,7 @@
 		explainer := &Explainer{Log: log, Names: relay.Endpoints}
 		var list []balancer.Endpoint
 		for i := range 3 {
-			list = append(list, balancer.Endpoint{ID: relay.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
+			list = append(list, balancer.Endpoint{ID: relay.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Size: 1})
 		}
 		relay.SetRevision(17)
 		relay.UpdateEndpoints(balancer.ListFull, list, []string{"a", "b", "c"})
@@ -149,7 +149,7 @@
 			endpoints := registry.NewEndpoints()
 			var list []balancer.Endpoint
 			for i := range 13 {
-				list = append(list, balancer.Endpoint{ID: endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1})
+				list = append(list, balancer.Endpoint{ID: endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Size: 1})
 			}
 			module := balancer.New(balancer.Settings{
 				Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 4, MaxAttempts: 5, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -242,7 +242,7 @@
 	props := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(3000), codec.Symbol(propGroup), codec.AsString(linkProperties()[propGroup])}
 	second.attach(1, props)
 	testutil.Until(t, "the second waits for its turn", func() bool { return onlyMultiplexer(frontend).sessionCount() == 2 })
-	relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{netListener.Addr().String()})
+	relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Size: 1}}, []string{netListener.Addr().String()})
 	began := time.Now()
 	second.expect(framing.CodeAttach, 0, "")
 	second.expect(framing.CodeFlow, 0, "")
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -235,7 +235,7 @@
 		began := relay.proxy.Clock.Now()
 		waits := startRequest(context.Background(), relay, protocol, time.Minute)
 		receiveWithin(t, "the first comes to its server", gate.arrived)
-		relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
+		relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Size: 1}}, []string{f.Addr().String()})
 		close(gate.release) // it breaks
 		testutil.Until(t, "the repeat is out", func() bool {
 			all := relay.proxy.Requests.List()
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -199,7 +199,7 @@
 		netListener := listen(t)
 		relay.endpointAddresses = append(relay.endpointAddresses, netListener.Addr().String())
 		relay.endpoints = append(relay.endpoints, balancer.Endpoint{
-			ID: relay.proxy.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1,
+			ID: relay.proxy.Endpoints.ID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Size: 1,
 		})
 		all.Go(func() { serveAll(t, netListener, protocol, relay.scenario) })
 		context.AfterFunc(ctx, func() { netListener.Close() })
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -73,7 +73,7 @@
 		netListener := listen(t)
 		t.Cleanup(func() { netListener.Close() })
 		id := relay.proxy.Endpoints.ID(name)
-		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Weight: 1}), append(relay.endpointAddresses, netListener.Addr().String())
+		relay.endpoints, relay.endpointAddresses = append(relay.endpoints, balancer.Endpoint{ID: id, State: balancer.StateReady, Size: 1}), append(relay.endpointAddresses, netListener.Addr().String())
 		go func() {
 			for {
 				conn, err := netListener.Accept()
--- a/internal/frontend/line/frontend_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -48,7 +48,7 @@
 		listeners[i] = opened
 	}
 	env.endpoint, env.frontendAddress = listeners[0], listeners[1].Addr().String()
-	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: core.Endpoints.ID("s-1"), State: balancer.StateReady, Weight: 1}},
+	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: core.Endpoints.ID("s-1"), State: balancer.StateReady, Size: 1}},
 		[]string{env.endpoint.Addr().String()})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -294,7 +294,7 @@
 // migrate it in the same turn in which it takes it up.
 func TestReturningConnectionMigratesOffDrainingEndpoint(t *testing.T) {
 	env := newEnvironment(t, 8)
-	env.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: env.proxy.Endpoints.ID("s-1"), State: balancer.StateDraining, Weight: 1}},
+	env.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: env.proxy.Endpoints.ID("s-1"), State: balancer.StateDraining, Size: 1}},
 		[]string{env.endpoint.Addr().String()})
 	client := env.client()
 	client.send(strings.Replace(fmt.Sprintf(openingFormat, 4000), "\r\n", ",at=s-1\r\n", 1))
--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -104,7 +104,7 @@
 		ID:        p.Proxy.Endpoints.ID(endpoint.Name),
 		State:     state,
 		Zone:      endpoint.Zone,
-		Weight:    endpoint.Size,
+		Size:      endpoint.Size,
 		StartedAt: startedAt,
 	}}, []string{endpoint.Address})
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -32,7 +32,7 @@
 		go func() { _ = proxy.Run(ctx) }()
 		go func() { _ = proxy.MonitorHeartbeats(ctx) }()
 		endpoint := func(i int, state balancer.EndpointState) balancer.Endpoint {
-			return balancer.Endpoint{ID: proxy.Endpoints.ID(fmt.Sprintf("s-%d", i)), State: state, Weight: 1}
+			return balancer.Endpoint{ID: proxy.Endpoints.ID(fmt.Sprintf("s-%d", i)), State: state, Size: 1}
 		}
 		for i := range endpoints {
 			proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{endpoint(i, balancer.StateReady)}, []string{"address"})
--- a/internal/simprotocol/endpointlist.go
+++ b/internal/simprotocol/endpointlist.go
@@ -57,7 +57,7 @@
 
 func readEndpoint(c *cursor, endpoint *balancer.Endpoint) error {
 	endpoint.Zone = int(c.u16())
-	endpoint.Weight = float64(c.f32())
+	endpoint.Size = float64(c.f32())
 	endpoint.Cell = int(c.u16())
 	startedAt, err := microseconds(c.u64())
 	if err != nil {
@@ -71,8 +71,8 @@
 		return fmt.Errorf("server %d: unknown state %d", endpoint.ID, state)
 	}
 	endpoint.State = balancer.EndpointState(state)
-	if !(endpoint.Weight >= 0 && endpoint.Weight < maxLevel) { // also false for NaN
-		return fmt.Errorf("server %d: weight %v is out of range", endpoint.ID, endpoint.Weight)
+	if !(endpoint.Size >= 0 && endpoint.Size < maxLevel) { // also false for NaN
+		return fmt.Errorf("server %d: weight %v is out of range", endpoint.ID, endpoint.Size)
 	}
 	return nil
 }
--- a/internal/simprotocol/protocol_test.go
+++ b/internal/simprotocol/protocol_test.go
@@ -83,8 +83,8 @@
 	resumed := request
 	resumed.ID = 0x0e6f2b19
 	servers := []balancer.Endpoint{
-		{ID: 0x03124a07, State: balancer.StateReady, Weight: 1},
-		{ID: 0x2c9011f2, State: balancer.StateReady, Weight: 1.5, Zone: 1, StartedAt: 0x5d1420 * time.Microsecond},
+		{ID: 0x03124a07, State: balancer.StateReady, Size: 1},
+		{ID: 0x2c9011f2, State: balancer.StateReady, Size: 1.5, Zone: 1, StartedAt: 0x5d1420 * time.Microsecond},
 	}
 	for name, test := range map[string]struct {
 		records []string
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -110,7 +110,7 @@
 // endpoint returns a server as the endpoint list has it.
 func (s *Sim) endpoint(serverIndex int) balancer.Endpoint {
 	server := s.servers[serverIndex]
-	return balancer.Endpoint{ID: s.serverID(int32(serverIndex)), State: server.state, Zone: server.zone, Weight: 1, StartedAt: server.startedAt}
+	return balancer.Endpoint{ID: s.serverID(int32(serverIndex)), State: server.state, Zone: server.zone, Size: 1, StartedAt: server.startedAt}
 }
 
 // publish schedules updates of a server for all relays, each after its delay.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -38,7 +38,7 @@
 		Relays:  1, MaxAttempts: 3, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 	endpoints := []balancer.Endpoint{
-		{ID: core.Endpoints.ID("s-1"), State: balancer.StateReady, Weight: 1}, {ID: core.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1},
+		{ID: core.Endpoints.ID("s-1"), State: balancer.StateReady, Size: 1}, {ID: core.Endpoints.ID("s-2"), State: balancer.StateReady, Size: 1},
 	}
 	core.UpdateEndpoints(balancer.ListFull, endpoints, []string{"a", "b"})
 	ctx, cancel := context.WithCancel(context.Background())
