--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -57,8 +57,8 @@
 	settings.MaxAttempts = 1 + rng.IntN(5)
 	settings.Classes = []Class{
 		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 50 * ms},
-		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Scope: ScopeZone, DeduplicationWindow: time.Second},
-		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, Scope: ScopeCell, DeduplicationWindow: time.Second},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationScope: ScopeZone, DeduplicationWindow: time.Second},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationScope: ScopeCell, DeduplicationWindow: time.Second},
 		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationWindow: 300 * ms},
 		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce},
 	}
@@ -219,7 +219,7 @@
 			request := s.checkAnswer(action.Request)
 			for i := range request.attempts {
 				if class := s.settings.Classes[request.Class]; (request.attempts[i].mayHaveRun || request.inFlight > 0) && class.Effect != Idempotent &&
-					!(class.Effect == Deduplicated && class.Scope == ScopeAll) {
+					!(class.Effect == Deduplicated && class.DeduplicationScope == ScopeAll) {
 					s.t.Fatalf("invariant 2: request %d of class %d rejected though it may have run", request.ID, request.Class)
 				}
 			}
@@ -267,8 +267,8 @@
 		switch {
 		case class.Effect == AtMostOnce,
 			s.now > attempt.sentAt+class.DeduplicationWindow,
-			class.Scope == ScopeZone && to.Zone != attempt.endpoint.Zone,
-			class.Scope == ScopeCell && to.Cell != attempt.endpoint.Cell:
+			class.DeduplicationScope == ScopeZone && to.Zone != attempt.endpoint.Zone,
+			class.DeduplicationScope == ScopeCell && to.Cell != attempt.endpoint.Cell:
 			s.t.Fatalf("invariant 2: request %d of class %d sent again", request.ID, request.Class)
 		}
 	}
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -435,7 +435,7 @@
 
 var (
 	effectWords = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
-	scopeWords  = map[string]Scope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
+	scopeWords  = map[string]DeduplicationScope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
 	stateWords  = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
 	listWords   = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
 	statusWords = map[string]AttemptStatus{
@@ -506,7 +506,7 @@
 	m := parsePairs(t, words)
 	return Class{
 		Name: m["name"], LatencyObjective: parseDuration(t, m["aim"]), Deadline: parseDuration(t, m["deadline"]), Effect: lookUp(t, effectWords, m["effect"]),
-		Scope: lookUp(t, scopeWords, m["scope"]), DeduplicationWindow: parseDuration(t, m["memory"]), MessageLatencyObjective: parseDuration(t, m["messageaim"]),
+		DeduplicationScope: lookUp(t, scopeWords, m["scope"]), DeduplicationWindow: parseDuration(t, m["memory"]), MessageLatencyObjective: parseDuration(t, m["messageaim"]),
 	}
 }
 
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -53,14 +53,14 @@
 // withinScope reports whether the request's next attempt may go to the endpoint: a repeat of what may
 // have run stays among the endpoints that drop each other's repeats.
 func (r *requestRecord) withinScope(endpoint *endpointRecord) bool {
-	if !r.mayHaveRun || r.class.Effect == Idempotent || r.class.Scope == ScopeAll {
+	if !r.mayHaveRun || r.class.Effect == Idempotent || r.class.DeduplicationScope == ScopeAll {
 		return true
 	}
-	return endpoint.Zone == r.runZone && (r.class.Scope == ScopeZone || endpoint.Cell == r.runCell)
+	return endpoint.Zone == r.runZone && (r.class.DeduplicationScope == ScopeZone || endpoint.Cell == r.runCell)
 }
 
 // repeatableAnywhere reports whether a client may repeat a request of the class at any endpoint, even
 // if it has run.
 func (c *Class) repeatableAnywhere() bool {
-	return c.Effect == Idempotent || c.Effect == Deduplicated && c.Scope == ScopeAll
+	return c.Effect == Idempotent || c.Effect == Deduplicated && c.DeduplicationScope == ScopeAll
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -46,10 +46,10 @@
 	ran := map[AttemptStatus]bool{StatusError: true, StatusTimeout: true, StatusReset: true, StatusCancelled: true}
 	for _, class := range []Class{
 		{Effect: Idempotent},
-		{Effect: Deduplicated, Scope: ScopeAll, DeduplicationWindow: 5 * time.Second},
-		{Effect: Deduplicated, Scope: ScopeZone, DeduplicationWindow: 5 * time.Second},
-		{Effect: Deduplicated, Scope: ScopeCell, DeduplicationWindow: 5 * time.Second},
-		{Effect: Deduplicated, Scope: ScopeAll, DeduplicationWindow: 50 * ms},
+		{Effect: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, DeduplicationScope: ScopeZone, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, DeduplicationScope: ScopeCell, DeduplicationWindow: 5 * time.Second},
+		{Effect: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 50 * ms},
 		{Effect: AtMostOnce},
 	} {
 		for _, status := range []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent} {
@@ -64,7 +64,7 @@
 				mayRepeat := !ran[status] || class.Effect == Idempotent ||
 					class.Effect == Deduplicated && class.DeduplicationWindow > 100*ms
 				mayReject := !ran[status] || class.Effect == Idempotent ||
-					class.Effect == Deduplicated && class.Scope == ScopeAll
+					class.Effect == Deduplicated && class.DeduplicationScope == ScopeAll
 				for _, action := range actions {
 					switch action := action.(type) {
 					case SendAttempt:
@@ -72,8 +72,8 @@
 							t.Errorf("%+v after %d: sent again", class, status)
 						}
 						scoped := ran[status] && class.Effect == Deduplicated
-						if scoped && class.Scope == ScopeZone && zone[action.Endpoint] != zone[first] ||
-							scoped && class.Scope == ScopeCell && cell[action.Endpoint] != cell[first] {
+						if scoped && class.DeduplicationScope == ScopeZone && zone[action.Endpoint] != zone[first] ||
+							scoped && class.DeduplicationScope == ScopeCell && cell[action.Endpoint] != cell[first] {
 							t.Errorf("%+v after %d: %d then %d", class, status, first, action.Endpoint)
 						}
 					case Reject:
@@ -86,7 +86,7 @@
 						}
 					}
 				}
-				if mayRepeat && class.Scope == ScopeAll && countActions[SendAttempt](actions) != 1 {
+				if mayRepeat && class.DeduplicationScope == ScopeAll && countActions[SendAttempt](actions) != 1 {
 					t.Errorf("%+v after %d: not sent again", class, status)
 				}
 			}
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -17,14 +17,14 @@
 	AtMostOnce                 // unsafe to repeat
 )
 
-// Scope is the set of endpoints that drop each other's repeats of a request.
-type Scope uint8
+// DeduplicationScope is the set of endpoints that drop each other's repeats of a request.
+type DeduplicationScope uint8
 
 // The scopes of deduplication.
 const (
-	ScopeAll  Scope = iota // all endpoints
-	ScopeZone              // the endpoints of one zone
-	ScopeCell              // the endpoints of one cell
+	ScopeAll  DeduplicationScope = iota // all endpoints
+	ScopeZone                           // the endpoints of one zone
+	ScopeCell                           // the endpoints of one cell
 )
 
 // Class describes one kind of request.
@@ -33,9 +33,9 @@
 	LatencyObjective        time.Duration // of a set-up; slower ones don't raise the concurrency limit
 	Deadline                time.Duration // how long a client waits, over all attempts
 	Effect                  Effect
-	Scope                   Scope         // if Deduplicated
-	DeduplicationWindow     time.Duration // if Deduplicated: how long endpoints drop repeats
-	MessageLatencyObjective time.Duration // of a message on an established connection; 0 if unknown
+	DeduplicationScope      DeduplicationScope // if Deduplicated
+	DeduplicationWindow     time.Duration      // if Deduplicated: how long endpoints drop repeats
+	MessageLatencyObjective time.Duration      // of a message on an established connection; 0 if unknown
 }
 
 // Settings are what a relay knows of its deployment. Nobody changes a Settings value: other settings are
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -127,8 +127,8 @@
 	}{
 		{"idempotent", balancer.Class{Effect: balancer.Idempotent}, "unavailable"},
 		{"at most once", balancer.Class{Effect: balancer.AtMostOnce}, "failed"},
-		{"deduplicated by all", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeAll, DeduplicationWindow: time.Minute}, "unavailable"},
-		{"deduplicated in a cell", balancer.Class{Effect: balancer.Deduplicated, Scope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
+		{"deduplicated by all", balancer.Class{Effect: balancer.Deduplicated, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: time.Minute}, "unavailable"},
+		{"deduplicated in a cell", balancer.Class{Effect: balancer.Deduplicated, DeduplicationScope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
@@ -137,7 +137,7 @@
 				relay := newTestRelay(t, protocol, 1, nil)
 				relay.scenario.beforeAnswer = gate.wait
 				relay.updateSettings(func(settings *balancer.Settings) {
-					settings.Classes[0].Effect, settings.Classes[0].Scope, settings.Classes[0].DeduplicationWindow = testCase.class.Effect, testCase.class.Scope, testCase.class.DeduplicationWindow
+					settings.Classes[0].Effect, settings.Classes[0].DeduplicationScope, settings.Classes[0].DeduplicationWindow = testCase.class.Effect, testCase.class.DeduplicationScope, testCase.class.DeduplicationWindow
 					settings.Classes[0].Deadline = time.Minute
 				})
 				waits := startRequest(context.Background(), relay, protocol, time.Minute)
@@ -230,7 +230,7 @@
 		relay.scenario.beforeAnswer = gate.wait
 		relay.updateSettings(func(settings *balancer.Settings) {
 			settings.ConnectTimeout = time.Minute
-			settings.Classes[0].Deadline, settings.Classes[0].Effect, settings.Classes[0].Scope, settings.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
+			settings.Classes[0].Deadline, settings.Classes[0].Effect, settings.Classes[0].DeduplicationScope, settings.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
 		})
 		began := relay.proxy.Clock.Now()
 		waits := startRequest(context.Background(), relay, protocol, time.Minute)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -109,7 +109,7 @@
 	"at_most_once": balancer.AtMostOnce,
 }
 
-var scopeWords = map[string]balancer.Scope{
+var scopeWords = map[string]balancer.DeduplicationScope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
@@ -233,7 +233,7 @@
 			Effect:           lookUp(reader, effectWords, path+"Semantics", required[string](reader, entry, path, "Semantics")),
 		}
 		if class.Effect == balancer.Deduplicated {
-			class.Scope = lookUp(reader, scopeWords, path+"KeyScope", required[string](reader, entry, path, "KeyScope"))
+			class.DeduplicationScope = lookUp(reader, scopeWords, path+"KeyScope", required[string](reader, entry, path, "KeyScope"))
 			class.DeduplicationWindow = positiveDuration(reader, entry, path, "MemorySpanUs")
 		}
 		if i < len(messageObjectives) {
