--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -32,7 +32,7 @@
 func (b *Balancer) attemptTimeout(request *requestRecord) time.Duration {
 	timeLeft := request.deadline - b.now
 	if request.attempts >= request.settings.MaxAttempts || b.sharedCauseActive() ||
-		request.class.Effect == AtMostOnce ||
+		request.class.Semantics == AtMostOnce ||
 		timeLeft/2 <= cmp.Or(b.setupTime.current(b.now), defaultSetupTime) {
 		return timeLeft
 	}
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -154,7 +154,7 @@
 	})
 	t.Run("the concurrency window, a request that is not repeatable, a drain", func(t *testing.T) {
 		settings := testSettings()
-		settings.Classes[0].Effect = AtMostOnce
+		settings.Classes[0].Semantics = AtMostOnce
 		relay := newObservedRelay(t, settings, readyEndpoints(2)...)
 		relay.balancer.concurrency.limit = 1
 		first, actions := relay.request(group)
@@ -185,7 +185,7 @@
 		settings := testSettings()
 		settings.Relays = rapid.IntRange(1, 4).Draw(rt, "relays")
 		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
-		settings.Classes[0].Effect = Effect(rapid.IntRange(0, 2).Draw(rt, "effect"))
+		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		settings.Classes[0].DeduplicationWindow = time.Second
 		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
 		unobserved, observed := newTestRelay(t, settings, readyEndpoints(n)...), newObservedRelay(t, settings, readyEndpoints(n)...)
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -57,10 +57,10 @@
 	settings.MaxAttempts = 1 + rng.IntN(5)
 	settings.Classes = []Class{
 		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 50 * ms},
-		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationScope: ScopeZone, DeduplicationWindow: time.Second},
-		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationScope: ScopeCell, DeduplicationWindow: time.Second},
-		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: Deduplicated, DeduplicationWindow: 300 * ms},
-		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Semantics: Deduplicated, DeduplicationScope: ScopeZone, DeduplicationWindow: time.Second},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Semantics: Deduplicated, DeduplicationScope: ScopeCell, DeduplicationWindow: time.Second},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Semantics: Deduplicated, DeduplicationWindow: 300 * ms},
+		{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Semantics: AtMostOnce},
 	}
 	endpoints := readyEndpoints(1 + rng.IntN(10))
 	for i := range endpoints {
@@ -218,8 +218,8 @@
 		case Reject:
 			request := s.checkAnswer(action.Request)
 			for i := range request.attempts {
-				if class := s.settings.Classes[request.Class]; (request.attempts[i].mayHaveRun || request.inFlight > 0) && class.Effect != Idempotent &&
-					!(class.Effect == Deduplicated && class.DeduplicationScope == ScopeAll) {
+				if class := s.settings.Classes[request.Class]; (request.attempts[i].mayHaveRun || request.inFlight > 0) && class.Semantics != Idempotent &&
+					!(class.Semantics == Deduplicated && class.DeduplicationScope == ScopeAll) {
 					s.t.Fatalf("invariant 2: request %d of class %d rejected though it may have run", request.ID, request.Class)
 				}
 			}
@@ -261,11 +261,11 @@
 	to := s.listed[i]
 	class := s.settings.Classes[request.Class]
 	for _, attempt := range request.attempts {
-		if !attempt.mayHaveRun || class.Effect == Idempotent {
+		if !attempt.mayHaveRun || class.Semantics == Idempotent {
 			continue
 		}
 		switch {
-		case class.Effect == AtMostOnce,
+		case class.Semantics == AtMostOnce,
 			s.now > attempt.sentAt+class.DeduplicationWindow,
 			class.DeduplicationScope == ScopeZone && to.Zone != attempt.endpoint.Zone,
 			class.DeduplicationScope == ScopeCell && to.Cell != attempt.endpoint.Cell:
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -434,7 +434,7 @@
 // The words of the files for enumerated values.
 
 var (
-	effectWords = map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
+	effectWords = map[string]DeliverySemantics{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
 	scopeWords  = map[string]DeduplicationScope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
 	stateWords  = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
 	listWords   = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
@@ -505,7 +505,7 @@
 func parseClass(t *testing.T, words []string) Class {
 	m := parsePairs(t, words)
 	return Class{
-		Name: m["name"], LatencyObjective: parseDuration(t, m["aim"]), Deadline: parseDuration(t, m["deadline"]), Effect: lookUp(t, effectWords, m["effect"]),
+		Name: m["name"], LatencyObjective: parseDuration(t, m["aim"]), Deadline: parseDuration(t, m["deadline"]), Semantics: lookUp(t, effectWords, m["effect"]),
 		DeduplicationScope: lookUp(t, scopeWords, m["scope"]), DeduplicationWindow: parseDuration(t, m["memory"]), MessageLatencyObjective: parseDuration(t, m["messageaim"]),
 	}
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -37,14 +37,14 @@
 // time left, and if it may have run, a repeat is harmless.
 func (b *Balancer) attemptAllowed(request *requestRecord, at time.Duration) bool {
 	return request.attempts < request.settings.MaxAttempts && at < request.deadline &&
-		(!request.mayHaveRun || request.class.Effect == Idempotent || at < request.deduplicatedUntil())
+		(!request.mayHaveRun || request.class.Semantics == Idempotent || at < request.deduplicatedUntil())
 }
 
 // deduplicatedUntil is the time until which a repeat of what may have run may leave, because endpoints
 // within the request's scope still drop it; 0 where none does. The embedder looks at it again when it
 // sends the repeat: a connection may come up late.
 func (r *requestRecord) deduplicatedUntil() time.Duration {
-	if !r.mayHaveRun || r.class.Effect != Deduplicated {
+	if !r.mayHaveRun || r.class.Semantics != Deduplicated {
 		return 0
 	}
 	return max(1, r.mayHaveRunSince+r.class.DeduplicationWindow-deliveryAllowance)
@@ -53,7 +53,7 @@
 // withinScope reports whether the request's next attempt may go to the endpoint: a repeat of what may
 // have run stays among the endpoints that drop each other's repeats.
 func (r *requestRecord) withinScope(endpoint *endpointRecord) bool {
-	if !r.mayHaveRun || r.class.Effect == Idempotent || r.class.DeduplicationScope == ScopeAll {
+	if !r.mayHaveRun || r.class.Semantics == Idempotent || r.class.DeduplicationScope == ScopeAll {
 		return true
 	}
 	return endpoint.Zone == r.runZone && (r.class.DeduplicationScope == ScopeZone || endpoint.Cell == r.runCell)
@@ -62,5 +62,5 @@
 // repeatableAnywhere reports whether a client may repeat a request of the class at any endpoint, even
 // if it has run.
 func (c *Class) repeatableAnywhere() bool {
-	return c.Effect == Idempotent || c.Effect == Deduplicated && c.DeduplicationScope == ScopeAll
+	return c.Semantics == Idempotent || c.Semantics == Deduplicated && c.DeduplicationScope == ScopeAll
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -45,12 +45,12 @@
 	cell := map[EndpointID]int{1: 0, 2: 1, 3: 2, 4: 0, 5: 2}
 	ran := map[AttemptStatus]bool{StatusError: true, StatusTimeout: true, StatusReset: true, StatusCancelled: true}
 	for _, class := range []Class{
-		{Effect: Idempotent},
-		{Effect: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 5 * time.Second},
-		{Effect: Deduplicated, DeduplicationScope: ScopeZone, DeduplicationWindow: 5 * time.Second},
-		{Effect: Deduplicated, DeduplicationScope: ScopeCell, DeduplicationWindow: 5 * time.Second},
-		{Effect: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 50 * ms},
-		{Effect: AtMostOnce},
+		{Semantics: Idempotent},
+		{Semantics: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 5 * time.Second},
+		{Semantics: Deduplicated, DeduplicationScope: ScopeZone, DeduplicationWindow: 5 * time.Second},
+		{Semantics: Deduplicated, DeduplicationScope: ScopeCell, DeduplicationWindow: 5 * time.Second},
+		{Semantics: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 50 * ms},
+		{Semantics: AtMostOnce},
 	} {
 		for _, status := range []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent} {
 			for key := uint64(1); key < 20; key++ {
@@ -61,17 +61,17 @@
 				id, actions := relay.request(key)
 				first := relay.wantSent(actions, id)
 				actions = append(relay.fail(id, first, status), relay.advance(150*ms)...)
-				mayRepeat := !ran[status] || class.Effect == Idempotent ||
-					class.Effect == Deduplicated && class.DeduplicationWindow > 100*ms
-				mayReject := !ran[status] || class.Effect == Idempotent ||
-					class.Effect == Deduplicated && class.DeduplicationScope == ScopeAll
+				mayRepeat := !ran[status] || class.Semantics == Idempotent ||
+					class.Semantics == Deduplicated && class.DeduplicationWindow > 100*ms
+				mayReject := !ran[status] || class.Semantics == Idempotent ||
+					class.Semantics == Deduplicated && class.DeduplicationScope == ScopeAll
 				for _, action := range actions {
 					switch action := action.(type) {
 					case SendAttempt:
 						if !mayRepeat {
 							t.Errorf("%+v after %d: sent again", class, status)
 						}
-						scoped := ran[status] && class.Effect == Deduplicated
+						scoped := ran[status] && class.Semantics == Deduplicated
 						if scoped && class.DeduplicationScope == ScopeZone && zone[action.Endpoint] != zone[first] ||
 							scoped && class.DeduplicationScope == ScopeCell && cell[action.Endpoint] != cell[first] {
 							t.Errorf("%+v after %d: %d then %d", class, status, first, action.Endpoint)
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Effect is what sending a request of a class more than once does.
-type Effect uint8
+// DeliverySemantics is what sending a request of a class more than once does.
+type DeliverySemantics uint8
 
 // The effects of sending a request more than once.
 const (
-	Idempotent   Effect = iota // safe to repeat at any endpoint
-	Deduplicated               // repeats are dropped within a scope, for a while
-	AtMostOnce                 // unsafe to repeat
+	Idempotent   DeliverySemantics = iota // safe to repeat at any endpoint
+	Deduplicated                          // repeats are dropped within a scope, for a while
+	AtMostOnce                            // unsafe to repeat
 )
 
 // DeduplicationScope is the set of endpoints that drop each other's repeats of a request.
@@ -32,7 +32,7 @@
 	Name                    string        // as clients call it; "" where they use its index
 	LatencyObjective        time.Duration // of a set-up; slower ones don't raise the concurrency limit
 	Deadline                time.Duration // how long a client waits, over all attempts
-	Effect                  Effect
+	Semantics               DeliverySemantics
 	DeduplicationScope      DeduplicationScope // if Deduplicated
 	DeduplicationWindow     time.Duration      // if Deduplicated: how long endpoints drop repeats
 	MessageLatencyObjective time.Duration      // of a message on an established connection; 0 if unknown
@@ -92,7 +92,7 @@
 		if c.Deadline <= 0 {
 			return fmt.Errorf("settings: class %d has no deadline", i)
 		}
-		if c.Effect == Deduplicated && c.DeduplicationWindow <= 0 {
+		if c.Semantics == Deduplicated && c.DeduplicationWindow <= 0 {
 			return fmt.Errorf("settings: class %d is deduplicated, but for no time", i)
 		}
 	}
@@ -112,7 +112,7 @@
 // classAt returns a class by its index. A class that the settings don't have is taken as unsafe to repeat.
 func (s *Settings) classAt(i int) *Class {
 	if i < 0 || i >= len(s.Classes) {
-		return &Class{Effect: AtMostOnce}
+		return &Class{Semantics: AtMostOnce}
 	}
 	return &s.Classes[i]
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -10,7 +10,7 @@
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":              func(settings *Settings) { settings.Classes = nil },
 		"no deadline":             func(settings *Settings) { settings.Classes[0].Deadline = 0 },
-		"no deduplication window": func(settings *Settings) { settings.Classes[0].Effect = Deduplicated },
+		"no deduplication window": func(settings *Settings) { settings.Classes[0].Semantics = Deduplicated },
 		"no relays":               func(settings *Settings) { settings.Relays = 0 },
 		"no attempts":             func(settings *Settings) { settings.MaxAttempts = 0 },
 		"no initial capacity":     func(settings *Settings) { settings.InitialCapacity = 0 },
@@ -41,7 +41,7 @@
 
 	next := testSettings()
 	next.MaxAttempts = 1
-	next.Classes = []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Effect: AtMostOnce, MessageLatencyObjective: 40 * ms}}
+	next.Classes = []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Semantics: AtMostOnce, MessageLatencyObjective: 40 * ms}}
 	relay.handle(SettingsChanged{&next})
 	if relay.balancer.messageObjective != 40*ms {
 		t.Errorf("the objective of a message is %v", relay.balancer.messageObjective)
--- a/balancer/setuptime_test.go
+++ b/balancer/setuptime_test.go
@@ -20,7 +20,7 @@
 	settings.Classes = []Class{
 		{Name: "patient", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 100 * ms},
 		{Name: "short of time", LatencyObjective: 500 * ms, Deadline: 600 * ms, MessageLatencyObjective: 60 * ms},
-		{Name: "once", LatencyObjective: 500 * ms, Deadline: 700 * ms, MessageLatencyObjective: 60 * ms, Effect: AtMostOnce},
+		{Name: "once", LatencyObjective: 500 * ms, Deadline: 700 * ms, MessageLatencyObjective: 60 * ms, Semantics: AtMostOnce},
 	}
 	asked, served := make([]int, len(settings.Classes)), make([]int, len(settings.Classes))
 	for i, relay := range newTestRelays(t, settings, readyEndpoints(servers)...) {
@@ -67,7 +67,7 @@
 // Where a time-out may not be repeated no attempt follows it: the first gets all the time left.
 func TestNonRepeatableAttemptGetsTheWholeDeadline(t *testing.T) {
 	settings := testSettings()
-	settings.Classes[0].Effect = AtMostOnce
+	settings.Classes[0].Semantics = AtMostOnce
 	relay := newTestRelay(t, settings, readyEndpoints(3)...)
 	_, actions := relay.request(1)
 	if send, ok := actions[0].(SendAttempt); !ok || send.Timeout < 1900*ms {
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -242,7 +242,7 @@
 	if len(file.Class) == 0 {
 		v.add("class", "is missing: clients name one")
 	}
-	effects := map[string]balancer.Effect{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
+	effects := map[string]balancer.DeliverySemantics{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
 	for i, one := range file.Class {
 		at := fmt.Sprintf("class[%d].", i)
 		effect, ok := effects[one.Effect]
@@ -259,7 +259,7 @@
 			LatencyObjective:        time.Duration(cmp.Or(one.SetUp, duration(defaultLatencyObjective))),
 			Deadline:                time.Duration(cmp.Or(one.GiveUp, duration(defaultDeadline))),
 			MessageLatencyObjective: time.Duration(one.Message),
-			Effect:                  effect,
+			Semantics:               effect,
 		})
 	}
 	return settings
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -125,10 +125,10 @@
 		class balancer.Class
 		want  string
 	}{
-		{"idempotent", balancer.Class{Effect: balancer.Idempotent}, "unavailable"},
-		{"at most once", balancer.Class{Effect: balancer.AtMostOnce}, "failed"},
-		{"deduplicated by all", balancer.Class{Effect: balancer.Deduplicated, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: time.Minute}, "unavailable"},
-		{"deduplicated in a cell", balancer.Class{Effect: balancer.Deduplicated, DeduplicationScope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
+		{"idempotent", balancer.Class{Semantics: balancer.Idempotent}, "unavailable"},
+		{"at most once", balancer.Class{Semantics: balancer.AtMostOnce}, "failed"},
+		{"deduplicated by all", balancer.Class{Semantics: balancer.Deduplicated, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: time.Minute}, "unavailable"},
+		{"deduplicated in a cell", balancer.Class{Semantics: balancer.Deduplicated, DeduplicationScope: balancer.ScopeCell, DeduplicationWindow: time.Minute}, "failed"},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
@@ -137,7 +137,7 @@
 				relay := newTestRelay(t, protocol, 1, nil)
 				relay.scenario.beforeAnswer = gate.wait
 				relay.updateSettings(func(settings *balancer.Settings) {
-					settings.Classes[0].Effect, settings.Classes[0].DeduplicationScope, settings.Classes[0].DeduplicationWindow = testCase.class.Effect, testCase.class.DeduplicationScope, testCase.class.DeduplicationWindow
+					settings.Classes[0].Semantics, settings.Classes[0].DeduplicationScope, settings.Classes[0].DeduplicationWindow = testCase.class.Semantics, testCase.class.DeduplicationScope, testCase.class.DeduplicationWindow
 					settings.Classes[0].Deadline = time.Minute
 				})
 				waits := startRequest(context.Background(), relay, protocol, time.Minute)
@@ -230,7 +230,7 @@
 		relay.scenario.beforeAnswer = gate.wait
 		relay.updateSettings(func(settings *balancer.Settings) {
 			settings.ConnectTimeout = time.Minute
-			settings.Classes[0].Deadline, settings.Classes[0].Effect, settings.Classes[0].DeduplicationScope, settings.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
+			settings.Classes[0].Deadline, settings.Classes[0].Semantics, settings.Classes[0].DeduplicationScope, settings.Classes[0].DeduplicationWindow = time.Minute, balancer.Deduplicated, balancer.ScopeCell, memory
 		})
 		began := relay.proxy.Clock.Now()
 		waits := startRequest(context.Background(), relay, protocol, time.Minute)
@@ -317,7 +317,7 @@
 func TestSharedConnectionClosedDuringAnAttach(t *testing.T) {
 	for _, testCase := range []struct {
 		name     string
-		effect   balancer.Effect
+		effect   balancer.DeliverySemantics
 		sessions int64 // that endpoints have seen in all
 		cond     string
 	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, framing.CondInternalError}} {
@@ -329,7 +329,7 @@
 			protocol.serveEndpoint = shared.serve
 			relay := newTestRelay(t, protocol, 2, nil)
 			relay.updateSettings(func(settings *balancer.Settings) {
-				settings.Classes[0].Effect, settings.Classes[0].Deadline = testCase.effect, time.Minute
+				settings.Classes[0].Semantics, settings.Classes[0].Deadline = testCase.effect, time.Minute
 			})
 			session := clientOf(t, relay)
 			first := attach(t, session, "first")
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -40,8 +40,8 @@
 		Classes: []balancer.Class{
 			{Name: "a", LatencyObjective: 300000 * us, Deadline: 1200000 * us, MessageLatencyObjective: 100000 * us},
 			{Name: "b", LatencyObjective: 400000 * us, Deadline: 1300000 * us, MessageLatencyObjective: 50000 * us,
-				Effect: balancer.Deduplicated, DeduplicationScope: balancer.ScopeCell, DeduplicationWindow: 6 * time.Second},
-			{Name: "c", LatencyObjective: us, Deadline: 2 * us, Effect: balancer.AtMostOnce, MessageLatencyObjective: 150000 * us},
+				Semantics: balancer.Deduplicated, DeduplicationScope: balancer.ScopeCell, DeduplicationWindow: 6 * time.Second},
+			{Name: "c", LatencyObjective: us, Deadline: 2 * us, Semantics: balancer.AtMostOnce, MessageLatencyObjective: 150000 * us},
 		},
 		Relays:            2,
 		Zone:              1,
