--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -45,7 +45,7 @@
 				gone, cancel := context.WithCancel(context.Background())
 				cancel()
 				next := func(handle *RequestHandle, want ActionKind) {
-					if action, err := loop.Pick(gone, handle); err != nil || action.Kind != want {
+					if action, err := loop.NextAction(gone, handle); err != nil || action.Kind != want {
 						b.Fatalf("step %v, %v; want kind %d", action, err, want)
 					}
 				}
@@ -54,7 +54,7 @@
 				for i := range b.N {
 					now += 5 * time.Millisecond
 					handle := NewRequestHandle(RequestOptions{Group: benchGroup(how, i), Deadline: now + 2*time.Second})
-					if action, err := loop.Pick(gone, handle); err == nil {
+					if action, err := loop.NextAction(gone, handle); err == nil {
 						b.Fatalf("action %v before a Tick", action)
 					}
 					loop.Tick(now)
--- a/balancer/loop.go
+++ b/balancer/loop.go
@@ -58,10 +58,10 @@
 // PublishCounts makes the Loop publish what EndpointCounts returns. It is called before the first Tick.
 func (l *Loop) PublishCounts() { l.countsPublished = true }
 
-// Pick blocks until there is something to do for a request, and returns it. It fails only if ctx ends
+// NextAction blocks until there is something to do for a request, and returns it. It fails only if ctx ends
 // first, with its cause; an action that is there already comes before that. The first call submits the
 // request. All calls for a request come from one goroutine.
-func (l *Loop) Pick(ctx context.Context, handle *RequestHandle) (RequestAction, error) {
+func (l *Loop) NextAction(ctx context.Context, handle *RequestHandle) (RequestAction, error) {
 	if !handle.submitted {
 		handle.submitted = true
 		l.enqueue(handle)
--- a/balancer/loop_test.go
+++ b/balancer/loop_test.go
@@ -49,7 +49,7 @@
 	d.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	action, err := d.Pick(ctx, handle)
+	action, err := d.NextAction(ctx, handle)
 	if err != nil || action.Kind != kind {
 		d.t.Fatalf("got action %+v, %v, want kind %d", action, err, kind)
 	}
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	why := errors.New("no action")
 	cancel(why)
-	if action, err := d.Pick(ctx, handle); !errors.Is(err, why) {
+	if action, err := d.NextAction(ctx, handle); !errors.Is(err, why) {
 		d.t.Fatalf("got action %+v, %v, want none", action, err)
 	}
 }
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -287,7 +287,7 @@
 		handle := NewRequestHandle(options)
 		r.handles[args[0]] = handle
 		r.openHandles = append(r.openHandles, args[0])
-		if action, err := r.loop.Pick(r.canceled, handle); err == nil {
+		if action, err := r.loop.NextAction(r.canceled, handle); err == nil {
 			t.Fatalf("action %v before a Tick", action)
 		}
 		return []string{"time left " + formatDuration(handle.TimeLeft(now))}
@@ -349,7 +349,7 @@
 	for _, name := range r.openHandles {
 		over := false
 		for {
-			action, err := r.loop.Pick(r.canceled, r.handles[name])
+			action, err := r.loop.NextAction(r.canceled, r.handles[name])
 			if err != nil {
 				break
 			}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -114,7 +114,7 @@
 	}
 	r.waitCtx, r.cause = waitCtx, CauseDecided
 	for {
-		action, err := r.proxy.loop.Pick(r.waitCtx, r.handle)
+		action, err := r.proxy.loop.NextAction(r.waitCtx, r.handle)
 		if err != nil {
 			if ctx.Err() != nil {
 				return r.clientLeft()
