--- a/balancer/endpointview.go
+++ b/balancer/endpointview.go
@@ -10,10 +10,10 @@
 
 // EndpointView is what a Balancer knows of an endpoint, for operators.
 type EndpointView struct {
-	Endpoint EndpointID
-	Delay    time.Duration // of a message there, as last reported; 0: none was reported lately
-	Load     float64       // of this relay's connections there, in mean connections
-	Avoided  string        // why nothing new is sent there now; "" if it may be
+	Endpoint      EndpointID
+	Delay         time.Duration // of a message there, as last reported; 0: none was reported lately
+	Load          float64       // of this relay's connections there, in mean connections
+	AvoidedReason string        // why nothing new is sent there now; "" if it may be
 }
 
 // endpointViews returns a view of each endpoint that is listed.
@@ -29,11 +29,11 @@
 		if b.now < endpoint.avoidedUntil() {
 			switch {
 			case endpoint.State == StateDraining:
-				view.Avoided = "drains"
+				view.AvoidedReason = "drains"
 			case endpoint.isRedirecting(b.now):
-				view.Avoided = "sends away"
+				view.AvoidedReason = "sends away"
 			default:
-				view.Avoided = "slow or full"
+				view.AvoidedReason = "slow or full"
 			}
 		}
 		views = append(views, view)
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -426,7 +426,7 @@
 func formatViews(views []EndpointView) []string {
 	var out []string
 	for _, view := range views {
-		out = append(out, fmt.Sprintf("view %d %d %s %q", view.Endpoint, int64(view.Delay), formatFloat(view.Load), view.Avoided))
+		out = append(out, fmt.Sprintf("view %d %d %s %q", view.Endpoint, int64(view.Delay), formatFloat(view.Load), view.AvoidedReason))
 	}
 	return out
 }
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -67,8 +67,8 @@
 					delay = view.Delay.Round(100 * time.Microsecond)
 				}
 				load = math.Round(view.Load*10) / 10
-				if view.Avoided != "" {
-					avoided = view.Avoided
+				if view.AvoidedReason != "" {
+					avoided = view.AvoidedReason
 				}
 			}
 			row(endpoint.Name, s.stateText(endpoint), requests[endpoint.Name], delay, load, avoided, endpoint.Address)
