--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -65,7 +65,7 @@
 	request.established = true
 	if request.endpoint != nil {
 		b.routes.put(request.routeKey(), request.endpoint.ID, b.now+routeLifetime)
-		b.endpoints.bookConnection(request)
+		b.endpoints.recordConnection(request)
 	}
 }
 
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -45,7 +45,7 @@
 		endpoints:        endpointTable{recentSetups: decayingCounter{timeConstant: setupRateTimeConstant}},
 		arrivalRate:      decayingCounter{timeConstant: arrivalRateTimeConstant},
 		concurrency:      concurrencyWindow{limit: maxConcurrency, sharedCauseUntil: math.MinInt64},
-		listPoll:         listPoller{readAt: math.MinInt64},
+		listPoll:         listPoller{answeredAt: math.MinInt64},
 	}
 }
 
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -21,7 +21,7 @@
 	var best *endpointRecord
 	least := math.Inf(1)
 	filter := b.prepareFilter(request.routeKey(), meanLoad)
-	for endpoint := range filter.promising {
+	for endpoint := range filter.candidateEndpoints {
 		if !b.eligible(request, endpoint) || passOverSlow && endpoint.isSlow(b.now) ||
 			passOverRecovering && b.mustHold(endpoint) {
 			continue
--- a/balancer/drawfilter.go
+++ b/balancer/drawfilter.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// promising yields the endpoints that may have the least cost, the one with the largest hash first.
-func (f *drawFilter) promising(yield func(*endpointRecord) bool) {
+// candidateEndpoints yields the endpoints that may have the least cost, the one with the largest hash first.
+func (f *drawFilter) candidateEndpoints(yield func(*endpointRecord) bool) {
 	if f.idHashes == nil {
 		for _, endpoint := range f.endpoints {
 			if !yield(endpoint) {
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -19,7 +19,7 @@
 type listPoller struct {
 	requested   bool // a call is in flight, since requestedAt
 	requestedAt time.Duration
-	readAt      time.Duration    // of the last answer
+	answeredAt  time.Duration    // of the last answer
 	failures    uint             // calls that failed since then
 	waiting     []*requestRecord // retries that want a fresh list
 }
@@ -50,9 +50,9 @@
 		b.pollList() // it may be stale
 	case ListFull:
 		b.endpoints.replaceAll(event.Endpoints)
-		poll.failures, poll.readAt = 0, b.now
+		poll.failures, poll.answeredAt = 0, b.now
 	case ListDelta:
-		poll.failures, poll.readAt = 0, b.now
+		poll.failures, poll.answeredAt = 0, b.now
 	}
 	for _, listed := range event.Endpoints {
 		b.updateEndpoint(listed)
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// bookConnection books a connection at its endpoint, with its expected load if that is known.
-func (t *endpointTable) bookConnection(request *requestRecord) {
+// recordConnection books a connection at its endpoint, with its expected load if that is known.
+func (t *endpointTable) recordConnection(request *requestRecord) {
 	request.endpoint.addConnection(request)
 	if request.ExpectedLoad > 0 {
 		t.recordLoad(request, request.ExpectedLoad)
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -12,7 +12,7 @@
 	notify   func(RequestID, *Decision) // nil: nobody observes
 	decision Decision
 	buffer   [MaxConsidered]ConsideredEndpoint
-	nearest  [MaxConsidered]rankedEndpoint
+	ranked   [MaxConsidered]rankedEndpoint
 }
 
 // rankedEndpoint is an endpoint that a request could be sent to, or could but for its exclusions.
@@ -83,9 +83,9 @@
 		case endpoint.State != StateReady || decision.Verdict == VerdictMigrated:
 			continue
 		}
-		found = recorder.insertNearest(ranked, found)
+		found = recorder.insertRanked(ranked, found)
 	}
-	for _, ranked := range recorder.nearest[:found] {
+	for _, ranked := range recorder.ranked[:found] {
 		decision.Considered = append(decision.Considered, b.describe(request, ranked, totalWeight))
 	}
 	b.setPreferred(request, chosen, meanLoad, passedOver)
@@ -107,18 +107,18 @@
 	return ranked
 }
 
-// insertNearest inserts an endpoint into the found nearest ones, by cost, and returns their new number.
-func (r *decisionRecorder) insertNearest(ranked rankedEndpoint, found int) int {
+// insertRanked inserts an endpoint into the found nearest ones, by cost, and returns their new number.
+func (r *decisionRecorder) insertRanked(ranked rankedEndpoint, found int) int {
 	if found < MaxConsidered {
 		found++
-	} else if ranked.cost >= r.nearest[found-1].cost {
+	} else if ranked.cost >= r.ranked[found-1].cost {
 		return found
 	}
 	position := found - 1
-	for ; position > 0 && r.nearest[position-1].cost > ranked.cost; position-- {
-		r.nearest[position] = r.nearest[position-1]
+	for ; position > 0 && r.ranked[position-1].cost > ranked.cost; position-- {
+		r.ranked[position] = r.ranked[position-1]
 	}
-	r.nearest[position] = ranked
+	r.ranked[position] = ranked
 	return found
 }
 
@@ -165,7 +165,7 @@
 		least = b.exponentialVariate(request.routeKey(), chosen) / b.drawWeight(chosen, meanLoad)
 	}
 	for i, considered := range decision.Considered {
-		ranked := b.recorder.nearest[i]
+		ranked := b.recorder.ranked[i]
 		excluded := considered.Exclusions&^ExcludedAtCapacity != 0 || passedOver && ranked.cost == cachedCost
 		if ranked.endpoint != chosen && excluded && ranked.cost < least {
 			decision.Preferred = i
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -37,8 +37,8 @@
 	return fleet
 }
 
-// carryOut carries out what a relay does.
-func (f *fleetSimulation) carryOut(i int, actions []Action) {
+// execute carries out what a relay does.
+func (f *fleetSimulation) execute(i int, actions []Action) {
 	relay := f.relays[i]
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -51,7 +51,7 @@
 			log.attempts = append(log.attempts, action.Endpoint)
 			end := func(event Event) {
 				log.inFlight = false
-				f.carryOut(i, relay.handle(event))
+				f.execute(i, relay.handle(event))
 			}
 			switch {
 			case f.hung[action.Endpoint]:
@@ -83,14 +83,14 @@
 	relay := f.relays[i]
 	relay.lastID++
 	f.requests[requestKey{i, relay.lastID}] = &requestLog{arrivedAt: relay.now}
-	f.carryOut(i, relay.handle(Request{ID: relay.lastID, Group: group, TimeLeft: 2 * time.Second}))
+	f.execute(i, relay.handle(Request{ID: relay.lastID, Group: group, TimeLeft: 2 * time.Second}))
 }
 
 // advance lets time pass for all relays.
 func (f *fleetSimulation) advance(d time.Duration) {
 	for range d / (10 * ms) {
 		for i, relay := range f.relays {
-			f.carryOut(i, relay.advance(10*ms))
+			f.execute(i, relay.advance(10*ms))
 		}
 		now := f.relays[0].now
 		for _, end := range f.scheduled[now] {
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -38,9 +38,9 @@
 	NotAfter time.Duration // the attempt is not sent later, on the clock that Tick is given; 0: at any time
 }
 
-// actionsBuffered is the room for actions that nobody has taken yet: an attempt, its establishment and a
+// actionBufferSize is the room for actions that nobody has taken yet: an attempt, its establishment and a
 // final action fit without a reader.
-const actionsBuffered = 8
+const actionBufferSize = 8
 
 // RequestHandle stands for one request at a Loop. One goroutine calls Pick with it.
 type RequestHandle struct {
@@ -56,7 +56,7 @@
 
 // NewRequestHandle returns the handle of a request that has arrived.
 func NewRequestHandle(options RequestOptions) *RequestHandle {
-	return &RequestHandle{options: options, actions: make(chan RequestAction, actionsBuffered)}
+	return &RequestHandle{options: options, actions: make(chan RequestAction, actionBufferSize)}
 }
 
 // TimeLeft returns how long the client still waits at a time, on the clock that Tick is given.
--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -30,11 +30,11 @@
 	outageEvery time.Duration // between two outages, on average; 0: 9 s
 }
 
-// common are settings that all scenarios share, but for those they give themselves.
-const common = "attempts=3 tick=5000000 connect=200000000 retryafter=4000000000 coldshare=0.2 coldfor=20000000000 " +
+// commonSettings are settings that all scenarios share, but for those they give themselves.
+const commonSettings = "attempts=3 tick=5000000 connect=200000000 retryafter=4000000000 coldshare=0.2 coldfor=20000000000 " +
 	"tipmultiple=3 tipafter=1500000000 askevery=10000000000 "
 
-var scenarios = []replayScenario{
+var replayScenarios = []replayScenario{
 	{name: "five-servers-in-full", servers: 5, inputs: 3000, rate: 25, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=2 zone=0 ask=false crosszone=0 tellsload=false tellsdelay=true",
@@ -74,7 +74,7 @@
 	}},
 }
 
-var classesRecorded = []string{
+var recordedClasses = []string{
 	"name=web aim=500000000 deadline=2000000000 effect=idempotent scope=all memory=0 messageaim=100000000",
 	"name=orders aim=500000000 deadline=3000000000 effect=deduplicated scope=all memory=1500000000 messageaim=200000000",
 	"name=zoned aim=300000000 deadline=2500000000 effect=deduplicated scope=zone memory=1000000000 messageaim=100000000",
@@ -86,7 +86,7 @@
 	if err := os.MkdirAll(replayFolder, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	for i, s := range scenarios {
+	for i, s := range replayScenarios {
 		r := &scenarioRecorder{t: t, replayScenario: s, player: newReplayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
 			now: time.Hour, clients: make(map[string]*recordedClient), started: make(map[int]time.Duration)}
 		r.run()
@@ -110,13 +110,13 @@
 
 	now             time.Duration
 	schedule        stepHeap
-	scheduled       int
+	sequence        int
 	clients         map[string]*recordedClient
 	lastClient      int
-	settingsInForce int // settings in force
+	currentSettings int // settings in force
 	servers         []recordedEndpoint
 	started         map[int]time.Duration
-	saved           bool
+	restarted       bool
 }
 
 type recordedEndpoint struct {
@@ -135,16 +135,16 @@
 }
 
 type scheduledStep struct {
-	at  time.Duration
-	nth int
-	do  func()
+	at       time.Duration
+	sequence int
+	do       func()
 }
 
 type stepHeap []scheduledStep
 
 func (h stepHeap) Len() int { return len(h) }
 func (h stepHeap) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].nth, h[j].nth)) < 0
+	return cmp.Or(cmp.Compare(h[i].at, h[j].at), cmp.Compare(h[i].sequence, h[j].sequence)) < 0
 }
 func (h stepHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 func (h *stepHeap) Push(x any)   { *h = append(*h, x.(scheduledStep)) }
@@ -155,8 +155,8 @@
 }
 
 func (r *scenarioRecorder) after(d time.Duration, do func()) {
-	r.scheduled++
-	heap.Push(&r.schedule, scheduledStep{r.now + d, r.scheduled, do})
+	r.sequence++
+	heap.Push(&r.schedule, scheduledStep{r.now + d, r.sequence, do})
 }
 
 // every does something again and again, at times that vary around a period.
@@ -183,12 +183,12 @@
 	}
 	r.block = append(append(r.block, line), out...)
 	if r.inputs%r.digestEvery == 0 {
-		r.seal()
+		r.writeDigest()
 	}
 	return out
 }
 
-func (r *scenarioRecorder) seal() {
+func (r *scenarioRecorder) writeDigest() {
 	if len(r.block) > 0 {
 		fmt.Fprintln(&r.text, "%", digest(r.block))
 		r.block = r.block[:0]
@@ -198,7 +198,7 @@
 // input writes an input of now, and does what it brought.
 func (r *scenarioRecorder) input(format string, args ...any) {
 	for _, o := range r.write(fmt.Sprintf("%d ", int64(r.now)) + fmt.Sprintf(format, args...)) {
-		r.answer(strings.Fields(o))
+		r.react(strings.Fields(o))
 	}
 }
 
@@ -207,8 +207,8 @@
 	return n
 }
 
-// answer does what an action or a step wants.
-func (r *scenarioRecorder) answer(words []string) {
+// react does what an action or a step wants.
+func (r *scenarioRecorder) react(words []string) {
 	switch words[0] {
 	case "send":
 		r.attempt(r.clients[words[1]], number(words[2]), time.Duration(number(words[3])))
@@ -374,9 +374,9 @@
 	if r.chance(0.1) {
 		under = strconv.Itoa(r.rng.IntN(len(r.settings)))
 	}
-	class := r.rng.IntN(len(classesRecorded))
+	class := r.rng.IntN(len(recordedClasses))
 	if r.chance(0.005) {
-		class = len(classesRecorded) // there is none of that number
+		class = len(recordedClasses) // there is none of that number
 	}
 	resumed := r.chance(0.03)
 	at := 1 + r.rng.IntN(len(r.servers))
@@ -424,8 +424,8 @@
 	r.input("list %s%s", kind, r.listed(first, n))
 }
 
-// disturb changes the health of an endpoint, and updates the list a little later.
-func (r *scenarioRecorder) disturb() {
+// injectFault changes the health of an endpoint, and updates the list a little later.
+func (r *scenarioRecorder) injectFault() {
 	i := r.rng.IntN(len(r.servers))
 	s := &r.servers[i]
 	heal := func(after time.Duration) { r.after(r.jitter(after), func() { r.servers[i].health = "well" }) }
@@ -507,14 +507,14 @@
 	r.input("avoided")
 	r.input("advice")
 	r.input("snapshot")
-	if r.saved {
+	if r.restarted {
 		return
 	}
-	r.saved = true
+	r.restarted = true
 	r.input("renumber 3")
 	open := r.clients
 	r.clients, r.schedule = make(map[string]*recordedClient), nil
-	r.input("start %d 5", r.settingsInForce)
+	r.input("start %d 5", r.currentSettings)
 	if r.observed {
 		r.input("observe")
 	}
@@ -555,16 +555,16 @@
 		r.request(group, r.chance(0.1))
 	})
 	r.every(60*time.Millisecond*time.Duration(1+r.replayScenario.servers/60), r.delays)
-	r.every(3*time.Second/time.Duration(1+len(r.servers)/20), r.disturb)
+	r.every(3*time.Second/time.Duration(1+len(r.servers)/20), r.injectFault)
 	r.every(cmp.Or(r.replayScenario.outageEvery, 9*time.Second), r.outage)
 	r.every(11*time.Second, func() { r.list("full", 0, len(r.servers)) })
 	r.every(14*time.Second, func() { r.list("failed", 0, 0) })
 	r.every(4*time.Second, func() {
-		r.settingsInForce = r.rng.IntN(len(r.settings))
+		r.currentSettings = r.rng.IntN(len(r.settings))
 		if r.throughLoop {
-			r.input("retune %d", r.settingsInForce)
+			r.input("retune %d", r.currentSettings)
 		} else {
-			r.input("retuned %d", r.settingsInForce)
+			r.input("retuned %d", r.currentSettings)
 		}
 	})
 	r.every(2*time.Second, func() { // a client disconnects, or its relay shuts down
@@ -601,8 +601,8 @@
 		fmt.Fprintf(&r.text, "digest %d\n", r.digestEvery)
 	}
 	for i, s := range r.settings {
-		r.write(fmt.Sprintf("settings %d %s%s", i, common, s))
-		for _, class := range classesRecorded {
+		r.write(fmt.Sprintf("settings %d %s%s", i, commonSettings, s))
+		for _, class := range recordedClasses {
 			r.write(fmt.Sprintf("class %d %s", i, class))
 		}
 		r.write(fmt.Sprintf("tenant %d acme", i))
@@ -625,7 +625,7 @@
 		d := heap.Pop(&r.schedule).(scheduledStep)
 		r.now = max(r.now, d.at)
 		d.do()
-		if !r.saved && !r.throughLoop && r.inputs > r.replayScenario.inputs/2 || r.throughLoop && r.inputs%1000 == 0 {
+		if !r.restarted && !r.throughLoop && r.inputs > r.replayScenario.inputs/2 || r.throughLoop && r.inputs%1000 == 0 {
 			r.restart()
 		}
 	}
@@ -634,5 +634,5 @@
 	} else {
 		r.restart()
 	}
-	r.seal()
+	r.writeDigest()
 }
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -41,8 +41,8 @@
 		recordScenarios(t)
 	}
 	files, err := filepath.Glob(filepath.Join(replayFolder, "*.txt"))
-	if err != nil || len(files) != len(scenarios) {
-		t.Fatalf("%d recorded files, want %d (%v)", len(files), len(scenarios), err)
+	if err != nil || len(files) != len(replayScenarios) {
+		t.Fatalf("%d recorded files, want %d (%v)", len(files), len(replayScenarios), err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { replayFile(t, file) })
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -20,11 +20,11 @@
 	load            float64 // booked at its endpoint, in mean connections
 	connectionIndex int     // in the endpoint's connections
 
-	done         bool
-	waiting      bool          // it is held until notBefore, and for a list until listDeadline
-	notBefore    time.Duration // when its next attempt may leave
-	listDeadline time.Duration
-	arrivalSpan  time.Duration // number of the overload window in which it was last counted; 0 if never
+	done          bool
+	waiting       bool          // it is held until notBefore, and for a list until listDeadline
+	notBefore     time.Duration // when its next attempt may leave
+	listDeadline  time.Duration
+	arrivalWindow time.Duration // number of the overload window in which it was last counted; 0 if never
 
 	// An attempt may have run, sent at mayHaveRunSince to an endpoint of runZone and runCell.
 	mayHaveRun      bool
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -23,7 +23,7 @@
 		b.answer(request, b.stopReason(request, b.now+wait))
 		return
 	}
-	if b.settings.PollList && b.now >= b.listPoll.readAt+listFreshness {
+	if b.settings.PollList && b.now >= b.listPoll.answeredAt+listFreshness {
 		// After a zone is lost every retry wants the list: they share one call, and
 		// go on with the list that they have if it isn't answered.
 		request.listDeadline = b.now + listTimeout
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -101,8 +101,8 @@
 // countArrival counts a request that an endpoint is drawn for: once in an overload window, as it gets one
 // chance in that at each endpoint which is warming up.
 func (b *Balancer) countArrival(request *requestRecord) {
-	if span := 1 + b.now/b.settings.OverloadWindow; request.arrivalSpan != span {
-		request.arrivalSpan = span
+	if span := 1 + b.now/b.settings.OverloadWindow; request.arrivalWindow != span {
+		request.arrivalWindow = span
 		b.arrivalRate.increment(b.now)
 	}
 }
