--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// DeliverySemantics is what sending a request of a class more than once does.
+// DeliverySemantics says whether a request may be sent more than once.
 type DeliverySemantics uint8
 
-// The effects of sending a request more than once.
+// The delivery semantics of a class.
 const (
-	Idempotent   DeliverySemantics = iota // safe to repeat at any endpoint
-	Deduplicated                          // repeats are dropped within a scope, for a while
+	Idempotent   DeliverySemantics = iota // safe to repeat on any endpoint
+	Deduplicated                          // endpoints within a scope drop repeats for a limited time
 	AtMostOnce                            // unsafe to repeat
 )
 
@@ -27,89 +27,89 @@
 	ScopeCell                           // the endpoints of one cell
 )
 
-// Class describes one kind of request.
+// Class describes a class of requests.
 type Class struct {
-	Name                    string        // as clients call it; "" where they use its index
-	LatencyObjective        time.Duration // of a set-up; slower ones don't raise the concurrency limit
+	Name                    string        // by which clients refer to it; "" if they use its index
+	LatencyObjective        time.Duration // of a setup; a slower one does not raise the concurrency limit
 	Deadline                time.Duration // how long a client waits, over all attempts
 	Semantics               DeliverySemantics
 	DeduplicationScope      DeduplicationScope // if Deduplicated
 	DeduplicationWindow     time.Duration      // if Deduplicated: how long endpoints drop repeats
-	MessageLatencyObjective time.Duration      // of a message on an established connection; 0 if unknown
+	MessageLatencyObjective time.Duration      // of a message on a connection; 0 if unknown
 }
 
-// Settings are what a relay knows of its deployment. Nobody changes a Settings value: other settings are
-// another value, and a request keeps to its end those that it arrived under.
+// Settings describe a relay's deployment. A Settings value is immutable: changed settings are a new value,
+// and each request keeps the settings that were current when it arrived.
 type Settings struct {
 	Classes []Class  // at least one
-	Tenants []string // whose requests are told apart; none: requests have no tenant
-	Relays  int      // that share the endpoints, this one included; each sends that share of slow starts
+	Tenants []string // that requests may name; empty: requests have no tenant
+	Relays  int      // number of relays that share the endpoints, this one included
 	Zone    int      // of this relay
 
-	PollList     bool          // the endpoint list comes only when asked for
-	PollInterval time.Duration // with PollList: how often to ask at least, without a subscription
+	PollList     bool          // the endpoint list comes only when polled
+	PollInterval time.Duration // with PollList: maximum time between polls until one is answered
 
-	MaxAttempts    int           // of a request; more serve more requests in trouble, and add to its load
-	MinTick        time.Duration // shortest time between two events at different times
-	ConnectTimeout time.Duration // a connection that is not made by then has failed
+	MaxAttempts    int           // per request; more serve more requests during failures, but add load
+	MinTick        time.Duration // clock resolution: shortest time between two events at different times
+	ConnectTimeout time.Duration // a connection that is not open by then has failed
 
-	MaxRetryAfter time.Duration // longest retry-after that clients heed; 0 if rejections carry none
+	MaxRetryAfter time.Duration // longest retry-after that clients accept; 0 if rejections carry none
 
-	// An endpoint that has started has InitialCapacity of its capacity at once, above 0 and up to 1, and
-	// all of it after SlowStartDuration. Sent more than OverloadMultiple of its capacity for
-	// OverloadWindow, it falls over. A longer window or a lower multiple make slow starts slower.
+	// An endpoint starts with the share InitialCapacity, within (0, 1], of its capacity and reaches full
+	// capacity after SlowStartDuration. It fails if it gets more than OverloadMultiple times its capacity
+	// during OverloadWindow. A longer window or a lower multiple slows down the slow start.
 	InitialCapacity   float64
 	SlowStartDuration time.Duration
 	OverloadMultiple  float64
 	OverloadWindow    time.Duration
 
-	CrossZoneCost float64 // of each connection that crosses zones; 0: zones don't matter
+	CrossZoneCost float64 // of each connection that crosses zones; 0: zones are ignored
 
-	// What endpoints report of established connections: their loads, and how long a message takes.
-	// A protocol that has one word for both needs to know.
+	// What endpoints report of established connections: the load, and the delay of a message. A protocol
+	// that reports both in the same form needs this to tell them apart.
 	ReportsLoad, ReportsDelay bool
 }
 
-// Validate reports what is missing from the settings or contradicts itself.
+// Validate returns an error for the first setting that is missing, out of range or inconsistent.
 func (s *Settings) Validate() error {
 	switch {
 	case len(s.Classes) == 0:
-		return errors.New("settings: no classes")
+		return errors.New("settings: no request class is defined")
 	case s.Relays < 1:
-		return errors.New("settings: fewer than one relay")
+		return fmt.Errorf("settings: number of relays is %d, must be at least 1", s.Relays)
 	case s.MaxAttempts < 1:
-		return errors.New("settings: no attempt is allowed")
+		return fmt.Errorf("settings: maximum number of attempts is %d, must be at least 1", s.MaxAttempts)
 	case s.InitialCapacity <= 0 || s.InitialCapacity > 1:
-		return fmt.Errorf("settings: cold share %v is not within (0, 1]", s.InitialCapacity)
+		return fmt.Errorf("settings: initial capacity %v is not within (0, 1]", s.InitialCapacity)
 	case s.OverloadMultiple <= 0 || s.OverloadWindow <= 0 || s.SlowStartDuration < 0:
-		return errors.New("settings: the figures for cold servers are not positive")
+		return errors.New("settings: overload multiple and window must be positive, slow start not negative")
 	case s.MinTick < 0 || s.ConnectTimeout < 0 || s.MaxRetryAfter < 0:
-		return errors.New("settings: a time is negative")
+		return errors.New("settings: tick, connect timeout or maximum retry-after is negative")
 	case s.PollList && s.PollInterval <= 0:
-		return errors.New("settings: lists are asked for, but no time is set within which to ask")
+		return errors.New("settings: the endpoint list is polled, but the poll interval is not positive")
 	}
 	for i, c := range s.Classes {
 		if c.Deadline <= 0 {
-			return fmt.Errorf("settings: class %d has no deadline", i)
+			return fmt.Errorf("settings: deadline of class %d is not positive", i)
 		}
 		if c.Semantics == Deduplicated && c.DeduplicationWindow <= 0 {
-			return fmt.Errorf("settings: class %d is deduplicated, but for no time", i)
+			return fmt.Errorf("settings: deduplication window of class %d is not positive", i)
 		}
 	}
 	return nil
 }
 
-// ClassIndex returns the index of a class by its name; -1 if there is none.
+// ClassIndex returns the index of the class with a name, or -1 if there is none.
 func (s *Settings) ClassIndex(class string) int {
 	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == class })
 }
 
-// AcceptsTenant reports whether a request may be of a tenant: one of Tenants, where there are any.
+// AcceptsTenant reports whether a request may name a tenant. Any is accepted if Tenants is empty.
 func (s *Settings) AcceptsTenant(tenant string) bool {
 	return len(s.Tenants) == 0 || slices.Contains(s.Tenants, tenant)
 }
 
-// classAt returns a class by its index. A class that the settings don't have is taken as unsafe to repeat.
+// classAt returns the class with an index. For an unknown index it returns a class that is unsafe to repeat.
 func (s *Settings) classAt(i int) *Class {
 	if i < 0 || i >= len(s.Classes) {
 		return &Class{Semantics: AtMostOnce}
@@ -117,7 +117,7 @@
 	return &s.Classes[i]
 }
 
-// shortestMessageObjective is the shortest latency objective of a message in any class; 0 if none has one.
+// shortestMessageObjective returns the shortest message latency objective of all classes; 0 if none is set.
 func (s *Settings) shortestMessageObjective() time.Duration {
 	var objective time.Duration
 	for _, c := range s.Classes {
@@ -128,7 +128,7 @@
 	return objective
 }
 
-// handleSettings puts other settings in force.
+// handleSettings applies changed settings.
 func (b *Balancer) handleSettings(settings *Settings) {
 	b.settings, b.messageObjective = settings, settings.shortestMessageObjective()
 }
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestValidateRejectsInvalidSettings(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no classes":              func(settings *Settings) { settings.Classes = nil },
 		"no deadline":             func(settings *Settings) { settings.Classes[0].Deadline = 0 },
 		"no deduplication window": func(settings *Settings) { settings.Classes[0].Semantics = Deduplicated },
@@ -20,19 +20,18 @@
 		"no poll interval":        func(settings *Settings) { settings.PollList, settings.PollInterval = true, 0 },
 	} {
 		settings := testSettings()
-		spoil(&settings)
+		invalidate(&settings)
 		if err := settings.Validate(); err == nil || !strings.HasPrefix(err.Error(), "settings: ") {
-			t.Errorf("%s: error is %v", name, err)
+			t.Errorf("%s: Validate returned %v, want an error that starts with \"settings: \"", name, err)
 		}
 	}
 	settings := testSettings()
 	if err := settings.Validate(); err != nil {
-		t.Errorf("valid settings: %v", err)
+		t.Errorf("valid settings: Validate returned %v", err)
 	}
 }
 
-// Other settings hold for requests that arrive from then on. A request in progress keeps its class and its
-// number of attempts.
+// Guards against changed settings that affect requests which arrived before the change.
 func TestRequestKeepsTheSettingsItArrivedUnder(t *testing.T) {
 	old := testSettings()
 	relay := newTestRelay(t, old, readyEndpoints(4)...)
@@ -44,33 +43,33 @@
 	next.Classes = []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, Semantics: AtMostOnce, MessageLatencyObjective: 40 * ms}}
 	relay.handle(SettingsChanged{&next})
 	if relay.balancer.messageObjective != 40*ms {
-		t.Errorf("the objective of a message is %v", relay.balancer.messageObjective)
+		t.Errorf("message latency objective is %v, want 40ms", relay.balancer.messageObjective)
 	}
 
-	// It may be repeated, up to three attempts: as when it arrived.
+	// The first request is idempotent and has three attempts, as when it arrived.
 	relay.fail(id, first, StatusReset)
 	second := relay.wantSent(relay.advance(retryBackoffBase), id)
 	relay.fail(id, second, StatusReset)
 	third := relay.wantSent(relay.advance(2*retryBackoffBase), id)
 	if actions := relay.fail(id, third, StatusReset); countActions[Reject](actions) != 1 {
-		t.Errorf("after three attempts: %v", actions)
+		t.Errorf("first request, after three attempts: got actions %v, want one Reject", actions)
 	}
 
-	// It must not be repeated, and has one attempt.
+	// Later requests must not be repeated and have one attempt.
 	id, actions = relay.request(8)
 	if actions := relay.fail(id, relay.wantSent(actions, id), StatusReset); countActions[Fail](actions) != 1 {
-		t.Errorf("after what may have run: %v", actions)
+		t.Errorf("later request, after a reset: got actions %v, want one Fail", actions)
 	}
 	id, actions = relay.request(9)
 	if actions := relay.fail(id, relay.wantSent(actions, id), StatusConnectFailed); countActions[Reject](actions) != 1 {
-		t.Errorf("after its one attempt: %v", actions)
+		t.Errorf("later request, after a failed connect: got actions %v, want one Reject", actions)
 	}
 
-	// It arrived under the old settings, and is handed in after the new ones.
+	// This request arrived before the change, but reaches the Balancer after it.
 	relay.lastID++
 	late := relay.handle(Request{ID: relay.lastID, Group: 10, TimeLeft: 2 * time.Second, Settings: &old})
 	endpoint := relay.wantSent(late, relay.lastID)
 	if actions := relay.fail(relay.lastID, endpoint, StatusReset); countActions[Fail]([]Action(actions)) != 0 {
-		t.Errorf("under the old settings it may be repeated: %v", actions)
+		t.Errorf("request with the old settings, after a reset: got actions %v, want no Fail", actions)
 	}
 }
