--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// holdInterval is how long a request that no endpoint may take at present is held before it tries
-// again. Shorter costs more draws while all wait, longer leaves a free endpoint idle.
+// holdInterval is how long a request is held when no endpoint can take it now. A shorter interval costs
+// more draws while requests are held, a longer one leaves a free endpoint idle.
 const holdInterval = 100 * time.Millisecond
 
-// handleRequest admits a request. A timer of its own answers it a little ahead of its client's deadline,
-// whatever it waits for by then.
+// handleRequest admits a request. A timer answers it shortly before its client's deadline, whatever it is
+// waiting for.
 func (b *Balancer) handleRequest(event Request) {
 	request := b.addRequest(event)
 	timeLeft := max(0, event.TimeLeft-2*b.settings.MinTick)
@@ -27,7 +27,8 @@
 	b.migrateDraining(request.endpoint)
 }
 
-// advance sends the next attempt of a request that has none in flight, or queues, holds or answers it.
+// advance sends the next attempt of a request that has none in flight, or queues, holds or answers the
+// request.
 func (b *Balancer) advance(request *requestRecord) {
 	request.waiting = false
 	if !b.attemptAllowed(request, b.now) {
@@ -51,7 +52,7 @@
 	b.sendAttempt(request, endpoint, reason)
 }
 
-// releaseQueued advances the requests that wait for the concurrency window, while it has room.
+// releaseQueued advances queued requests until the concurrency window is full.
 func (b *Balancer) releaseQueued() {
 	for window := &b.concurrency; len(window.queue) > 0 && !window.full(); {
 		request := window.queue[0]
@@ -62,8 +63,8 @@
 	}
 }
 
-// hasViableEndpoint reports whether waiting can still find the request an endpoint: one that is ready,
-// within its scope and not yet tried. A request without one is answered at once.
+// hasViableEndpoint reports whether a ready endpoint within the request's deduplication scope is still
+// untried. Without one, waiting is pointless and the request is answered at once.
 func (b *Balancer) hasViableEndpoint(request *requestRecord) bool {
 	return slices.ContainsFunc(b.endpoints.sorted, func(endpoint *endpointRecord) bool {
 		return endpoint.State == StateReady && request.withinScope(endpoint) &&
@@ -71,7 +72,7 @@
 	})
 }
 
-// holdRequest keeps a request waiting. endpoint is the one that it waits for, if any.
+// holdRequest holds a request for a time. endpoint is the one that it waits for, or nil.
 func (b *Balancer) holdRequest(
 	request *requestRecord, wait time.Duration, reason Reason, endpoint *endpointRecord,
 ) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// answer gives the final answer. It is a rejection only where another request of the same content is
-// harmless: a rejection says so to the client.
+// answer ends a request with its final answer: a rejection if the client may safely send the request
+// again, a failure otherwise.
 func (b *Balancer) answer(request *requestRecord, reason Reason) {
 	mayHaveRun := request.mayHaveRun || request.endpoint != nil
 	if !mayHaveRun || request.class.repeatableAnywhere() {
@@ -97,9 +98,9 @@
 	b.removeRequest(request)
 }
 
-// retryAfter is when a rejected client should try again: when the first of the ready endpoints is no
-// longer slow, but not before the backoff of the attempts made, and MaxRetryAfter where none is ready.
-// It guards against clients that return to endpoints which are still full.
+// retryAfter returns how long a rejected client should wait before it retries: until the first ready
+// endpoint is no longer slow, at least the backoff for the attempts made and at most MaxRetryAfter. It keeps
+// clients from returning to endpoints that are still full.
 func (b *Balancer) retryAfter(request *requestRecord) time.Duration {
 	soonest := b.settings.MaxRetryAfter
 	for _, endpoint := range b.endpoints.sorted {
@@ -114,8 +115,8 @@
 	return soonest
 }
 
-// RetryAfter returns when a client should try again that the relay has rejected on its own, such as for
-// its limit of connections.
+// RetryAfter returns how long a client should wait before it retries if the relay itself rejected it, for
+// example because of a connection limit.
 func (b *Balancer) RetryAfter(now time.Duration) time.Duration {
 	b.now = now
 	return b.retryAfter(&requestRecord{})
--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// defaultSetupTime is the time that a set-up is taken to need where none was seen lately.
+	// defaultSetupTime is the setup time assumed when none was measured recently.
 	defaultSetupTime = 4 * retryBackoffBase
 )
 
@@ -26,9 +26,9 @@
 	})
 }
 
-// attemptTimeout is the time-out of the attempt that is about to be sent. While another may follow, it
-// leaves time for that one. None follows where a time-out may not be repeated. Where set-ups take as
-// long as half of the time left, a repeat would only begin anew with less time and on more load.
+// attemptTimeout returns the timeout of the attempt about to be sent. If another attempt may follow a
+// timeout, half of the time left is reserved for it. The attempt gets all the time left if a setup takes at
+// least half of it: a retry would have less time and add load.
 func (b *Balancer) attemptTimeout(request *requestRecord) time.Duration {
 	timeLeft := request.deadline - b.now
 	if request.attempts >= request.settings.MaxAttempts || b.sharedCauseActive() ||
@@ -39,7 +39,7 @@
 	return max(timeLeft/2, min(timeLeft, b.settings.ConnectTimeout+holdInterval))
 }
 
-// handleEstablished handles an attempt whose connection is established.
+// handleEstablished handles the establishment of an attempt's connection.
 func (b *Balancer) handleEstablished(event Established) {
 	request := b.requests[event.Request]
 	if request == nil || request.endpoint == nil || request.established {
@@ -57,10 +57,10 @@
 		b.concurrency.raise()
 	}
 	b.establish(request)
-	b.migrateDraining(endpoint) // it may have begun to drain while it had no connection to migrate
+	b.migrateDraining(endpoint) // it may have started draining while it had no connections
 }
 
-// establish books a connection that is established and caches its route.
+// establish marks a request as established, records its connection and caches its route.
 func (b *Balancer) establish(request *requestRecord) {
 	request.established = true
 	if request.endpoint != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// handleOutcome handles the end of an attempt, or of the connection that it became.
+// handleOutcome handles the end of an attempt or of an established connection.
 func (b *Balancer) handleOutcome(event Outcome) {
 	request := b.requests[event.Request]
 	if request == nil || request.endpoint == nil && !event.Final && !request.established {
@@ -78,8 +78,8 @@
 	switch endpoint := request.endpoint; event.Status {
 	case StatusOK, StatusCancelled, StatusNotSent:
 	case StatusRedirected:
-		// The endpoint knows before the list that it drains. This guards against placing
-		// clients where they come from, to be redirected again, until the list is updated.
+		// The endpoint is draining, but the list may not say so yet. Avoid it, so that
+		// clients are not sent back to it and redirected again.
 		if endpoint != nil {
 			endpoint.redirectedAt = b.now
 			b.routes.invalidate(request.routeKey(), endpoint.ID)
@@ -101,8 +101,8 @@
 	b.scheduleRetry(request)
 }
 
-// recordFailure invalidates the route of a request whose attempt or connection has failed, and lowers
-// the endpoint's weight, unless the failure has a cause that many endpoints share.
+// recordFailure invalidates the route of a request whose attempt or connection has failed and cuts the
+// endpoint's weight, unless many endpoints fail from a shared cause.
 func (b *Balancer) recordFailure(request *requestRecord, status AttemptStatus) {
 	endpoint := request.endpoint
 	if endpoint == nil {
@@ -115,7 +115,7 @@
 	b.routes.invalidate(request.routeKey(), endpoint.ID)
 	request.triedEndpoints = append(request.triedEndpoints, endpoint.ID)
 	endpoint.cutWeight(weightCutFactor, b.now)
-	if status == StatusFull { // it rejects what it can't bear: requests are held as for a slow one
+	if status == StatusFull { // it rejects excess load: hold requests as for a slow endpoint
 		endpoint.lastSlowAt, endpoint.delayAt = b.now, b.now
 		b.trackOutlier(endpoint)
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// Balancer decides for one relay. It is not safe for concurrent use; see the package's contract.
+// Balancer routes, retries, rejects and migrates the requests of one relay. It is not safe for concurrent
+// use; see the contract in the package documentation.
 type Balancer struct {
-	settings         *Settings     // in force
-	messageObjective time.Duration // the shortest of all classes; 0 if none has one
-	rng              *rand.Rand    // the order of its draws is part of the behaviour
-	now              time.Duration // of the event being handled
-	actions          []Action      // of the event being handled; its room is used again
+	settings         *Settings     // current; a request keeps those that it arrived under
+	messageObjective time.Duration // shortest of all classes; 0 if none is set
+	rng              *rand.Rand    // replays depend on the order of its draws
+	now              time.Duration // time of the event being handled
+	actions          []Action      // returned for the event being handled; the array is reused
 	requests         map[RequestID]*requestRecord
-	requestTimers    map[uint32]*requestRecord  // by token; a nil request: the timer of the list
-	drainTimers      map[uint32]*endpointRecord // by token: endpoints that drain
+	requestTimers    map[uint32]*requestRecord  // by timer token; nil marks a timer of the endpoint list
+	drainTimers      map[uint32]*endpointRecord // by timer token; draining endpoints
 	lastToken        uint32
 	routes           routeCache
 	endpoints        endpointTable
 	concurrency      concurrencyWindow
 	listPoll         listPoller
-	salt             uint64          // tells this relay's hashes from those of other relays
-	slowStartShare   float64         // of the relay's slow-start budget, that is this process's: 0 to 1
-	arrivalRate      decayingCounter // requests of this relay that an endpoint was drawn for
+	salt             uint64          // makes this relay's hashes differ from those of other relays
+	slowStartShare   float64         // this process's share of the relay's slow-start budget, 0 to 1
+	arrivalRate      decayingCounter // requests for which this relay drew an endpoint
 	setupTime        setupTimeEstimate
 	recorder         decisionRecorder
 }
 
-// New returns a Balancer that has just started. The settings pass Settings.Validate. Equal settings,
-// seeds and events give equal actions.
+// New returns a Balancer without endpoints or requests. The settings must pass Settings.Validate. Equal
+// settings, seeds and events produce equal actions.
 func New(settings Settings, seed uint64) *Balancer {
 	return &Balancer{
 		settings:         &settings,
@@ -49,7 +50,7 @@
 	}
 }
 
-// Handle takes an event at a time of the relay's clock and returns the actions to carry out, in order.
+// Handle processes an event at a time on the relay's clock and returns the actions to execute, in order.
 // The slice is valid until the next call.
 func (b *Balancer) Handle(now time.Duration, event Event) []Action {
 	b.now, b.actions = now, b.actions[:0]
@@ -60,6 +61,7 @@
 	return b.actions
 }
 
+// dispatch calls the handler of an event.
 func (b *Balancer) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
@@ -93,8 +95,8 @@
 	}
 }
 
-// handleTimer handles a timer of a draining endpoint, of the list or of a request. Timers are never
-// cancelled, so it first finds out whether this one still means anything.
+// handleTimer handles an expired timer of a draining endpoint, of the endpoint list or of a request. Timers
+// are never cancelled, so it ignores one that is no longer needed.
 func (b *Balancer) handleTimer(token uint32) {
 	request, ok := b.requestTimers[token]
 	endpoint := b.drainTimers[token]
@@ -117,17 +119,17 @@
 	}
 }
 
-// emit appends an action to those that Handle returns.
+// emit appends an action to the result of Handle.
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// setRequestTimer sets a timer of a request, or of the endpoint list where request is nil.
+// setRequestTimer sets a timer for a request, or for the endpoint list if request is nil.
 func (b *Balancer) setRequestTimer(request *requestRecord, after time.Duration) {
 	b.lastToken++
 	b.requestTimers[b.lastToken] = request
 	b.emit(SetTimer{Token: b.lastToken, After: after})
 }
 
-// setDrainTimer sets the timer of an endpoint's next step of migration.
+// setDrainTimer sets the timer for the next migration step of a draining endpoint.
 func (b *Balancer) setDrainTimer(endpoint *endpointRecord, after time.Duration) {
 	b.lastToken++
 	b.drainTimers[b.lastToken] = endpoint
--- a/balancer/draining.go
+++ b/balancer/draining.go
@@ -6,28 +6,27 @@
 )
 
 const (
-	// redirectedDuration is how long an endpoint that redirects its clients is avoided: by then the
-	// list says that it drains.
+	// redirectedDuration is how long an endpoint is avoided after it redirected a client. By then the
+	// endpoint list marks it as draining.
 	redirectedDuration = 10 * time.Second
 
-	// migrationInterval is the time between two steps in which a draining endpoint loses connections.
+	// migrationInterval is the time between two steps of migration from a draining endpoint.
 	migrationInterval = 250 * time.Millisecond
 
-	// migrationShare is the share of its connections that migrates in a step, where relays are few.
+	// migrationShare is the share of its connections that migrates in each step if relays are few.
 	migrationShare = 0.15
 
-	// migrationGrace is how long each of many relays waits for the endpoint to redirect its clients
-	// itself.
+	// migrationGrace is how long each of many relays waits for the endpoint to redirect its own clients.
 	migrationGrace = 2 * time.Second
 
-	// migrationDeadline is the time by which many relays have migrated all connections, counted as
-	// migrationGrace is from when the list first said that the endpoint drains.
+	// migrationDeadline is the time within which many relays migrate all connections. It starts with
+	// migrationGrace, when the endpoint list first marks the endpoint as draining.
 	migrationDeadline = 4 * time.Second
 )
 
-// migrateDraining migrates a share of a draining endpoint's connections and sets a timer for the next
-// step. It guards against clients that are cut off when the endpoint stops. They migrate in steps, lest
-// the endpoints that take them in are flooded; of many relays each picks its number by chance.
+// migrateDraining migrates a share of a draining endpoint's connections, so that they are not cut when it
+// stops, and sets a timer for the next step. Steps keep the remaining endpoints from being flooded. With many
+// relays each step rounds its number of connections randomly. It ignores nil and endpoints in other states.
 func (b *Balancer) migrateDraining(endpoint *endpointRecord) {
 	if endpoint == nil || endpoint.migrating || endpoint.State != StateDraining ||
 		len(endpoint.connections) == 0 {
--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -2,13 +2,13 @@
 
 import "math"
 
-// drawEndpoint draws an endpoint at random by weight, or none where no endpoint may take the request. Of
-// exponential variates, each at the rate of an endpoint's weight, the least falls on each endpoint in
-// proportion to its weight.
+// drawEndpoint draws an eligible endpoint at random by weight; nil if there is none. Each endpoint gets an
+// exponential variate divided by its weight as cost: the probability of having the least cost is
+// proportional to the weight.
 //
-// While few endpoints are slow the draw passes over them: waiting for one while others are free guards
-// against nothing. It includes them where many are slow, as requests that all move on make the next
-// endpoint slow.
+// The draw skips slow endpoints while few are slow, as others are free. It includes them while many are
+// slow and the request is held if one is drawn: otherwise all requests would move on and slow down the
+// remaining endpoints.
 func (b *Balancer) drawEndpoint(request *requestRecord) *endpointRecord {
 	totals := b.totals()
 	meanLoad := totals.meanLoad()
@@ -35,9 +35,9 @@
 	return best
 }
 
-// exponentialVariate draws from the exponential distribution of rate 1. Where there is a route key, a
-// hash of it is the source of randomness: relays that share nothing then draw alike, and a group isn't
-// paid for by an endpoint for each relay.
+// exponentialVariate returns a variate of the exponential distribution with rate 1. With a route key it is
+// computed from a hash of the key and the endpoint, so that relays which share no state draw the same
+// endpoint for a group.
 func (b *Balancer) exponentialVariate(routeKey uint64, endpoint *endpointRecord) float64 {
 	if routeKey == 0 {
 		return b.rng.ExpFloat64()
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -3,29 +3,28 @@
 import "time"
 
 const (
-	// listTimeout is how long retries wait for a list that was asked for. After it the call may be
-	// repeated.
+	// listTimeout is how long retries wait for the answer to a poll. After it the poll may be repeated.
 	listTimeout = time.Second
 
-	// listFreshness is the age up to which a list is fresh enough for a retry. The first wait after a
-	// failed call is as long; it doubles with each further failure.
+	// listFreshness is the maximum age of a list that is fresh enough for a retry. It is also the backoff
+	// after the first failed poll, which doubles with each further failure.
 	listFreshness = 500 * time.Millisecond
 
-	// maxListBackoffDoublings bounds that wait.
+	// maxListBackoffDoublings limits the backoff after failed polls.
 	maxListBackoffDoublings = 8
 )
 
-// listPoller keeps the endpoint list up to date where it comes only when asked for.
+// listPoller is the state of polling for the endpoint list, if Settings.PollList is set.
 type listPoller struct {
-	requested   bool // a call is in flight, since requestedAt
+	requested   bool // a poll is in flight, sent at requestedAt
 	requestedAt time.Duration
-	answeredAt  time.Duration    // of the last answer
-	failures    uint             // calls that failed since then
-	waiting     []*requestRecord // retries that want a fresh list
+	answeredAt  time.Duration    // time of the last successful answer
+	failures    uint             // number of failed polls since answeredAt
+	waiting     []*requestRecord // retries that wait for a fresh list
 }
 
-// pollList asks for the list and its changes, unless a call is in flight. A timer guards against an answer
-// that is lost, and against asking less often than the settings demand.
+// pollList polls for the list and its changes, unless a poll is in flight. A timer repeats the poll if its
+// answer is lost, within the time that the settings require.
 func (b *Balancer) pollList() {
 	poll := &b.listPoll
 	if b.settings.PollList && (!poll.requested || b.now >= poll.requestedAt+listTimeout) {
@@ -35,8 +34,8 @@
 	}
 }
 
-// handleList handles an update of the endpoint list or a failed call for it, and advances the retries that
-// waited for it.
+// handleList handles an update of the endpoint list or a failed poll, and advances the retries that waited
+// for the list.
 func (b *Balancer) handleList(event EndpointList) {
 	poll := &b.listPoll
 	poll.requested = false
@@ -47,7 +46,7 @@
 		poll.failures++
 	case ListCached:
 		b.endpoints.replaceAll(event.Endpoints)
-		b.pollList() // it may be stale
+		b.pollList() // the cached list may be stale
 	case ListFull:
 		b.endpoints.replaceAll(event.Endpoints)
 		poll.failures, poll.answeredAt = 0, b.now
@@ -67,7 +66,7 @@
 	}
 }
 
-// updateEndpoint takes in one line of the list. An endpoint that has restarted gets its initial weight.
+// updateEndpoint applies one entry of the list. An endpoint that has restarted gets the initial weight.
 func (b *Balancer) updateEndpoint(listed Endpoint) {
 	endpoint := b.endpoints.find(listed.ID)
 	switch {
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -7,37 +7,37 @@
 )
 
 const (
-	// reliefInterval is the least time between two steps of load relief at an endpoint: the effect of
-	// one shows in its delays before the next.
+	// reliefInterval is the minimum time between two steps of load relief at an endpoint, so that the
+	// effect of one shows in its delays before the next.
 	reliefInterval = 900 * time.Millisecond
 
-	// slowDuration is how long an endpoint counts as slow after the last report of a delay.
+	// slowDuration is how long an endpoint counts as slow after its last delay report.
 	slowDuration = 3 * time.Second
 
-	// slowAvoidanceShare is the share of the fleet's size below which slow endpoints are passed over in
-	// the draw. Where more of it is slow, requests are held for them.
+	// slowAvoidanceShare is the slow share of the fleet's size below which the draw skips slow endpoints.
+	// Above it, requests are held for them.
 	slowAvoidanceShare = 0.3
 
-	// recoveryAvoidanceShare is the slow share of the fleet's size below which the draw passes over
-	// endpoints that are recovering and have no slot for this relay.
+	// recoveryAvoidanceShare is the slow share of the fleet's size below which the draw skips recovering
+	// endpoints that have no slot for this relay.
 	recoveryAvoidanceShare = 0.1
 
-	// recoveryDuration is the length of the recovery ramp: for this long after it was slow, an endpoint
-	// takes one set-up per recoveryInterval, from all relays together.
+	// recoveryDuration is how long an endpoint recovers after it was slow. Until then it gets one setup
+	// per recoveryInterval from all relays together.
 	recoveryDuration = 10 * time.Second
 	recoveryInterval = 200 * time.Millisecond
 
-	// backlogDrainTime is the time in which the work queued at a slow endpoint should be done. Shorter
-	// migrates more of its connections.
+	// backlogDrainTime is the time within which a slow endpoint should process its queued work. A shorter
+	// time migrates more of its connections.
 	backlogDrainTime = 3 * time.Second
 
-	// minKeptShare is the share of its connections that an endpoint keeps in a step of load relief.
+	// minKeptShare is the minimum share of its connections that an endpoint keeps in a step of load relief.
 	minKeptShare = 0.2
 )
 
-// observeDelay takes in how long a message takes at an endpoint. It guards against an endpoint that slows
-// but accepts, and so keeps its groups. Delays above the objective count as a failure: the weight is cut,
-// and so many connections migrate that the backlog can be worked off in time.
+// observeDelay records the delay of a message at an endpoint. A delay above the objective counts as a
+// failure, as an endpoint that slows down but accepts connections would otherwise keep its groups. It cuts
+// the weight and migrates enough connections for the endpoint to process its backlog in time.
 func (b *Balancer) observeDelay(endpoint *endpointRecord, delay time.Duration) {
 	growth := b.delayGrowth(endpoint, delay)
 	endpoint.delay, endpoint.delayAt = delay, b.now
@@ -57,8 +57,8 @@
 	b.shedLoad(endpoint, max(minKeptShare, keptShare))
 }
 
-// delayGrowth is by how many seconds a second the delay grows: by that much the load exceeds what the
-// endpoint does. Without a recent report it is taken to have grown from nothing within a second.
+// delayGrowth returns the growth of the delay in seconds per second, which is the share by which the load
+// exceeds the endpoint's capacity. Without a recent report it assumes growth from zero within a second.
 func (b *Balancer) delayGrowth(endpoint *endpointRecord, delay time.Duration) float64 {
 	if elapsed := b.now - endpoint.delayAt; endpoint.delay > 0 && elapsed > 0 && elapsed < slowDuration {
 		return float64(delay-endpoint.delay) / float64(elapsed)
@@ -66,18 +66,17 @@
 	return delay.Seconds()
 }
 
-// shedLoad cuts a slow endpoint's weight and its connections to a share. Fractions of a connection
-// migrate by chance, lest many relays all migrate their only one.
+// shedLoad reduces a slow endpoint's weight and connections to a share. The number of connections that
+// migrate is rounded randomly, so that not all of many relays migrate their only one.
 func (b *Balancer) shedLoad(endpoint *endpointRecord, keptShare float64) {
 	endpoint.cutWeight(keptShare, b.now)
 	count := int(float64(len(endpoint.connections))*(1-keptShare) + b.rng.Float64())
 	b.migrateConnections(endpoint, count, ReasonLoadRelief)
 }
 
-// mustHold reports whether requests are held rather than sent to an endpoint, as it is slow or full, or is
-// recovering and has no slot for this relay. It guards against set-ups that keep slow endpoints slow, and
-// against requests that were held all arriving at once. A group whose cached endpoint is so is drawn anew
-// first.
+// mustHold reports whether requests must be held instead of sent to an endpoint: it is slow or full, or is
+// recovering and has no slot for this relay. Holding keeps setups from prolonging slowness, and slots keep
+// held requests from all arriving at once.
 func (b *Balancer) mustHold(endpoint *endpointRecord) bool {
 	if endpoint.isSlow(b.now) {
 		return true
@@ -91,8 +90,8 @@
 }
 
 // migrateConnections migrates count of an endpoint's connections: small groups first and completely, as a
-// group on two endpoints is paid for twice; then a part of a large group, which has outgrown its endpoint.
-// Their routes are invalidated, so the groups grow elsewhere.
+// group that is split costs twice, then part of a large group, which has outgrown the endpoint. It
+// invalidates their routes, so that these groups grow on other endpoints.
 func (b *Balancer) migrateConnections(endpoint *endpointRecord, count int, reason Reason) {
 	connections := slices.Clone(endpoint.connections)
 	rank := func(request *requestRecord) float64 {
@@ -110,12 +109,12 @@
 	}
 }
 
-// isSlow reports whether the endpoint was slow or full when last heard of, and that was lately.
+// isSlow reports whether the endpoint's last delay report was recent and showed it as slow or full.
 func (e *endpointRecord) isSlow(now time.Duration) bool {
 	return e.lastSlowAt > 0 && e.lastSlowAt == e.delayAt && now < e.delayAt+slowDuration
 }
 
-// trackOutlier adds an endpoint that is slow now to the table's outliers.
+// trackOutlier adds a slow endpoint to the table's outliers.
 func (b *Balancer) trackOutlier(endpoint *endpointRecord) {
 	if table := &b.endpoints; table.totalsValid && !endpoint.outlier {
 		endpoint.outlier = true
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -6,28 +6,29 @@
 )
 
 const (
-	// localZoneFactor is how much more the draw weighs endpoints of the relay's own zone, where
-	// connections that cross zones have a cost.
+	// localZoneFactor multiplies the draw weight of endpoints in the relay's own zone if cross-zone
+	// connections have a cost.
 	localZoneFactor = 4.0
 
-	// maxFewRelays is how many relays count as few. More than that share nothing and see little each.
-	// They prefer their own zone less, lest relays of different zones split a group among endpoints.
+	// maxFewRelays is the largest number of relays that counts as few. With more, each relay sees little
+	// of the traffic. They prefer their own zone less, so that relays in different zones do not split a
+	// group among endpoints.
 	maxFewRelays = 8
 
-	// loadExponent is the power with which an endpoint's weight falls with the load placed on it.
-	// Higher spreads connections more evenly, lower keeps more groups together.
+	// loadExponent is the exponent by which an endpoint's draw weight falls with its load. A higher value
+	// spreads connections more evenly, a lower one keeps more groups together.
 	loadExponent = 4.0
 
 	// fullHeadroom is the headroom up to which a cached endpoint counts as at capacity: its group is
-	// drawn anew before messages there become slow.
+	// redrawn before messages there become slow.
 	fullHeadroom = 0.5
 
-	// minHeadroom keeps an endpoint in the draw whose messages take nearly their objective.
+	// minHeadroom keeps an endpoint in the draw while its message delay is close to the objective.
 	minHeadroom = 0.1
 )
 
-// selectEndpoint selects the endpoint of the request's next attempt, or none, and returns the reason.
-// The first attempt goes by the cached route, where its endpoint takes requests.
+// selectEndpoint returns the endpoint for the request's next attempt, or nil, and the reason for the
+// choice. The first attempt uses the cached route if its endpoint can take the request.
 func (b *Balancer) selectEndpoint(request *requestRecord) (*endpointRecord, Reason) {
 	reason := request.drawReason()
 	if id, ok := b.routes.get(request.routeKey(), b.now); ok && request.attempts == 0 {
@@ -41,7 +42,7 @@
 	return b.drawEndpoint(request), reason
 }
 
-// eligible reports whether the request may be sent to the endpoint at all.
+// eligible reports whether the endpoint may be drawn for the request.
 func (b *Balancer) eligible(request *requestRecord, endpoint *endpointRecord) bool {
 	return endpoint.State == StateReady &&
 		(endpoint.redirectedAt == 0 || b.now >= endpoint.redirectedAt+redirectedDuration) &&
@@ -49,9 +50,9 @@
 		b.slowStartAllows(request, endpoint)
 }
 
-// drawWeight is the endpoint's weight in the draw: the controller's weight by size, warmth, headroom,
-// zone and load. The load guards against placing by set-ups alone, blind to established connections.
-// meanLoad is the load of a ready endpoint by size; not above 0 if there is none.
+// drawWeight returns the endpoint's weight in the draw: the controller's weight scaled by size, warmth,
+// headroom, zone and load. Scaling by load takes established connections into account. meanLoad is the mean
+// load per size of the ready endpoints; it is not positive if there is no load.
 func (b *Balancer) drawWeight(endpoint *endpointRecord, meanLoad float64) float64 {
 	warmth := b.warmth(endpoint)
 	weight := endpoint.currentWeight(b.now) * endpoint.relativeSize() * warmth * b.headroom(endpoint)
@@ -64,9 +65,9 @@
 	return weight
 }
 
-// headroom is the share of their latency objective that messages at the endpoint leave. It guards
-// against filling an endpoint until it is slow, as delays grow before that. It is 1 for an endpoint
-// that is already slow: requests are held for it, lest all of them move on to the next.
+// headroom returns the unused share of the message latency objective at the endpoint. It lowers the weight
+// of an endpoint whose delay grows, before it becomes slow. It is 1 for an endpoint that is already slow:
+// requests are held for it, so that they do not all move on and overload the next one.
 func (b *Balancer) headroom(endpoint *endpointRecord) float64 {
 	objective := b.messageObjective
 	if objective == 0 || endpoint.delay > objective || b.now >= endpoint.delayAt+slowDuration {
@@ -75,5 +76,5 @@
 	return max(minHeadroom, 1-float64(endpoint.delay)/float64(objective))
 }
 
-// manyRelays reports whether there are so many relays that each sees little of the fleet.
+// manyRelays reports whether there are so many relays that each sees little of the traffic.
 func (b *Balancer) manyRelays() bool { return b.settings.Relays > maxFewRelays }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -3,27 +3,27 @@
 import "time"
 
 const (
-	// setupRateTimeConstant is that of the rate of connections which warm endpoints take.
+	// setupRateTimeConstant is the time constant of the setup rate at warm endpoints.
 	setupRateTimeConstant = 10 * time.Second
 
-	// overloadSafetyFactor is the share used of what would overload an endpoint that is warming up.
-	// Higher fills restarted endpoints sooner, and risks that they fall over.
+	// overloadSafetyFactor is the share of the overload limit sent to an endpoint that is warming up. A
+	// higher value fills restarted endpoints sooner, but risks overloading them.
 	overloadSafetyFactor = 0.6
 
-	// minWarmSetups is how many set-ups per overload window and size warm endpoints are taken to bear,
-	// where there are many relays and each sees too few to tell.
+	// minWarmSetups is the number of setups per overload window and size that a warm endpoint is assumed
+	// to handle if there are many relays, each of which sees too few to measure it.
 	minWarmSetups = 6.0
 
-	// minArrivals is how many requests per overload window a relay is taken to have at least, lest a
-	// burst of requests all goes to the endpoints that are warming up.
+	// minArrivals is the minimum number of requests per overload window assumed for a relay, so that a
+	// burst of requests does not all go to endpoints that are warming up.
 	minArrivals = 0.4
 
-	// arrivalRateTimeConstant is that of the rate of this relay's own requests.
+	// arrivalRateTimeConstant is the time constant of this relay's request rate.
 	arrivalRateTimeConstant = 30 * time.Second
 )
 
-// warmth is the share of its capacity that an endpoint has at least: it rises from InitialCapacity to 1
-// within SlowStartDuration of its start.
+// warmth returns the assumed share of its capacity that an endpoint has: it rises linearly from
+// InitialCapacity to 1 during SlowStartDuration after the endpoint's start.
 func (b *Balancer) warmth(endpoint *endpointRecord) float64 {
 	if endpoint.StartedAt == 0 || b.now >= endpoint.StartedAt+b.settings.SlowStartDuration {
 		return 1
@@ -32,10 +32,10 @@
 	return b.settings.InitialCapacity + (1-b.settings.InitialCapacity)*age
 }
 
-// slowStartAllows reports whether an endpoint may be sent the request, as far as its start is concerned.
-// Within the time in which an endpoint that is warming up could fall over, it gets from all relays
-// together a share of the new connections which warm endpoints of its size bear, less by its warmth. Of
-// many relays each sends a share of its requests: where requests are few, slots by time go unused.
+// slowStartAllows reports whether the slow start of an endpoint allows it to get the request. Per overload
+// window, all relays together send an endpoint that is warming up a share of the setups that warm endpoints
+// of its size get, scaled by its warmth. With many relays, each relay sends a random share of its requests,
+// as time slots would go unused if it has few.
 func (b *Balancer) slowStartAllows(request *requestRecord, endpoint *endpointRecord) bool {
 	if b.warmth(endpoint) >= 1 {
 		return true
@@ -51,8 +51,9 @@
 	return uniform(b.salt+uint64(request.ID)+uint64(b.now/window), endpoint.ID) < budget/arrivals
 }
 
-// slowStartBudget is how many set-ups this process may send an endpoint that is warming up in an overload
-// window. Many relays see too little to tell what warm endpoints bear, and go by a minimum.
+// slowStartBudget returns the number of setups that this process may send to an endpoint that is warming up
+// per overload window. With many relays it has a higher minimum, as each sees too few setups to measure what
+// warm endpoints handle.
 func (b *Balancer) slowStartBudget(endpoint *endpointRecord) float64 {
 	if warmSize := b.totals().warmSize; warmSize > 0 {
 		recent := b.endpoints.recentSetups.valueAt(b.now)
@@ -67,9 +68,9 @@
 	return b.slowStartShare * b.warmth(endpoint) * max(minimum, setups)
 }
 
-// slowStartCandidate returns an endpoint that is warming up and has a slot for this relay now, if there
-// is one. It guards against restarted endpoints that stay empty behind many relays: where the relay's
-// budget is below one set-up, a slot left to the draw's weights is mostly lost.
+// slowStartCandidate returns an endpoint that is warming up and may get the request, or nil. With many
+// relays such endpoints take precedence over the draw: a budget below one setup per window would mostly go
+// unused in the draw, and restarted endpoints would stay empty.
 func (b *Balancer) slowStartCandidate(request *requestRecord) (best *endpointRecord) {
 	if !b.manyRelays() {
 		return nil
@@ -83,23 +84,23 @@
 	return best
 }
 
-// hasSlot reports whether this relay may send the endpoint a set-up now. Relays that know nothing of each
-// other share an endpoint by it. setups is how many this one may send in an overload window; where it is
-// below 1, the relay has a slot in that share of the windows, by chance.
+// hasSlot reports whether this relay may send the endpoint a setup now, given the number of setups that it
+// may send per overload window. If that is below 1, the relay has a slot in a random share of the windows, so
+// that relays share an endpoint without communicating.
 func (b *Balancer) hasSlot(endpoint *endpointRecord, setups float64) bool {
 	return b.attemptIntervalElapsed(endpoint, setups) &&
 		uniform(b.salt+uint64(b.now/b.settings.OverloadWindow), endpoint.ID) < setups
 }
 
-// attemptIntervalElapsed reports whether the last attempt at the endpoint, and its start, are so long ago
-// that no more than setups attempts fall into an overload window.
+// attemptIntervalElapsed reports whether the endpoint's start and the last attempt at it are long enough ago
+// to keep the rate within a number of setups per overload window.
 func (b *Balancer) attemptIntervalElapsed(endpoint *endpointRecord, setups float64) bool {
 	since := max(endpoint.lastAttemptAt, endpoint.StartedAt)
 	return float64(b.now-since) >= float64(b.settings.OverloadWindow)/max(1, setups)
 }
 
-// countArrival counts a request that an endpoint is drawn for: once in an overload window, as it gets one
-// chance in that at each endpoint which is warming up.
+// countArrival counts a request for which an endpoint is drawn, once per overload window: within a window
+// each endpoint that is warming up considers the request once.
 func (b *Balancer) countArrival(request *requestRecord) {
 	if span := 1 + b.now/b.settings.OverloadWindow; request.arrivalWindow != span {
 		request.arrivalWindow = span
