--- a/balancer/drawfilter.go
+++ b/balancer/drawfilter.go
@@ -2,31 +2,32 @@
 
 import "math"
 
-// drawFilter spares a draw from a large table the endpoints that can't have the least cost: with a route
-// key the variate comes from a hash, and no weight is above maxDrawWeight. It changes no result.
+// drawFilter makes a draw from a large table skip endpoints that cannot have the least cost. With a route key
+// the variate is computed from a hash and no weight exceeds maxDrawWeight, so the hash gives a lower bound of
+// the cost. Filtering does not change the result of a draw.
 type drawFilter struct {
 	endpoints      []*endpointRecord
 	routeKey       uint64
-	idHashes       []uint64        // of all endpoints; nil: the filter passes them all
-	candidates     []drawCandidate // those with a hash of at least candidateFloor
+	idHashes       []uint64        // of all endpoints; nil: no endpoint is skipped
+	candidates     []drawCandidate // endpoints whose hash is at least candidateFloor
 	candidateFloor uint64
-	hashFloor      uint64 // an endpoint with a smaller hash can't have the least cost
-	bestIndex      int    // of the endpoint with the largest hash: it is looked at first
-	maxDrawWeight  float64
+	hashFloor      uint64  // an endpoint with a smaller hash cannot have the least cost
+	bestIndex      int     // of the endpoint with the largest hash, which is visited first
+	maxDrawWeight  float64 // upper bound of all draw weights
 }
 
-// drawCandidate is an endpoint that may well have the least cost.
+// drawCandidate is an endpoint that is likely to have the least cost.
 type drawCandidate struct {
 	hash  uint64
 	index int // in the filter's endpoints
 }
 
-// expectedCandidates is how many endpoints of a large table a draw is expected to have to look at. Where
-// it needs more, the others are hashed once more.
+// expectedCandidates is the expected number of endpoints whose hash reaches the candidate floor. If a draw
+// has to visit more endpoints, it computes the hashes again.
 const expectedCandidates = 64
 
-// prepareFilter prepares the table's filter for a draw. It filters only where the table is large and
-// there are a route key and some load.
+// prepareFilter prepares the table's filter for a draw. The filter skips endpoints only if the table is
+// large, the request has a route key and there is load.
 func (b *Balancer) prepareFilter(routeKey uint64, meanLoad float64) *drawFilter {
 	table := &b.endpoints
 	filter := &table.filter
@@ -48,7 +49,7 @@
 	return filter
 }
 
-// findCandidates hashes all endpoints once, and keeps the best and those above the candidate floor.
+// findCandidates hashes all endpoints and records the one with the largest hash and the candidates.
 func (f *drawFilter) findCandidates() {
 	best, candidateFloor, routeKey := uint64(0), f.candidateFloor, f.routeKey
 	for i, idHash := range f.idHashes {
@@ -65,7 +66,7 @@
 	}
 }
 
-// candidateEndpoints yields the endpoints that may have the least cost, the one with the largest hash first.
+// candidateEndpoints yields the endpoints that may have the least cost, starting with the largest hash.
 func (f *drawFilter) candidateEndpoints(yield func(*endpointRecord) bool) {
 	if f.idHashes == nil {
 		for _, endpoint := range f.endpoints {
@@ -95,10 +96,10 @@
 	}
 }
 
-// raiseFloor raises the floor to the hash that it takes to come below the least cost so far.
+// raiseFloor raises the hash floor to the smallest hash whose cost may be below the least cost so far.
 func (f *drawFilter) raiseFloor(least float64) {
 	if f.idHashes != nil {
-		// -log(u)/maxDrawWeight has to be below least; a little is left for rounding.
+		// A lower cost requires -log(u)/maxDrawWeight < least. The margins allow for rounding errors.
 		u := math.Exp(-least * f.maxDrawWeight * (1 + 1e-9))
 		f.hashFloor = uint64(max(0, u*(1<<53)-2)) << 11
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// goneRetention is how long an endpoint that is gone is kept after the last attempt at it.
+	// goneRetention is how long the record of a gone endpoint is kept after the last attempt at it.
 	goneRetention = time.Minute
 
-	// largeTableSize is the number of endpoints from which it pays to keep totals up to date. Sums kept
-	// that way differ in their last digits from those added up anew; a smaller table has no need of it.
+	// largeTableSize is the number of endpoints from which totals are updated incrementally. They differ
+	// from a fresh sum by rounding errors, which a smaller table avoids.
 	largeTableSize = 64
 
-	// loadRoundingError, in mean connections, is what rounding may leave of the load of a table that
-	// has none.
+	// loadRoundingError is the largest total load that counts as zero, in mean connections.
 	loadRoundingError = 1e-9
 )
 
-// endpointTable holds the records of all endpoints, and totals over them.
+// endpointTable holds the records of all endpoints and totals over them.
 type endpointTable struct {
 	sorted       []*endpointRecord // by ID
-	recentSetups decayingCounter   // new connections that warm endpoints took
-	meanLoad     float64           // of a connection, in seconds of work a second; 0 if none was reported
-	loadSamples  float64           // reports of a load so far
+	recentSetups decayingCounter   // new connections established at warm endpoints
+	meanLoad     float64           // of a connection, in seconds of work per second; 0 if unknown
+	loadSamples  float64           // number of load reports
 
 	derivedState
 
-	readyLoad   float64           // of the ready endpoints together, in mean connections
-	readySize   float64           // of the ready endpoints together
-	largestSize float64           // of a ready endpoint
-	outliers    []*endpointRecord // those that may be warming up or have been slow; no other endpoint is
-	idHashes    []uint64          // of sorted, in the same order
-	filter      drawFilter        // of the draw being made
+	readyLoad   float64           // sum over the ready endpoints, in mean connections
+	readySize   float64           // sum over the ready endpoints
+	largestSize float64           // maximum of the ready endpoints
+	outliers    []*endpointRecord // includes every endpoint that is warming up or slow
+	idHashes    []uint64          // of the endpoint IDs, in the order of sorted
+	filter      drawFilter        // of the current draw
 }
 
-// derivedState is what is worked out while a decision is made. Only decisions may change it: observing
-// puts it back, so that decisions are the same with an observer and without.
+// derivedState is computed during decisions. Reporting a decision to an observer restores it, so that an
+// observer changes no decision.
 type derivedState struct {
-	setupsPerSize    float64     // new connections a second and size, when warm endpoints were last seen
-	eventTotals      tableTotals // as of the event being handled, if eventTotalsValid
+	setupsPerSize    float64     // setup rate per size of warm endpoints, when there last were any
+	eventTotals      tableTotals // for the event being handled, if eventTotalsValid
 	eventTotalsValid bool
-	totalsValid      bool // of the table: readyLoad and what follows it; an update of the list ends it
+	totalsValid      bool // whether readyLoad to idHashes are valid; cleared by a list update
 }
 
 // tableTotals are sums over the ready endpoints.
 type tableTotals struct {
-	load     float64 // that this relay has placed, in mean connections
+	load     float64 // placed by this relay, in mean connections
 	size     float64
 	warmSize float64 // of endpoints that are warm
 	slowSize float64 // of endpoints that are slow
 }
 
-// meanLoad is the load by size; NaN if there is no ready endpoint.
+// meanLoad returns the load per size; NaN if there is no ready endpoint.
 func (t tableTotals) meanLoad() float64 { return t.load / t.size }
 
+// search returns the index of an endpoint, or where to insert it, and whether it is in the table.
 func (t *endpointTable) search(id EndpointID) (int, bool) {
 	return slices.BinarySearchFunc(t.sorted, id, func(endpoint *endpointRecord, id EndpointID) int {
 		return cmp.Compare(endpoint.ID, id)
 	})
 }
 
-// find returns the record of an endpoint; nil if there is none.
+// find returns the record of an endpoint, or nil if there is none.
 func (t *endpointTable) find(id EndpointID) *endpointRecord {
 	if i, ok := t.search(id); ok {
 		return t.sorted[i]
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// insert adds an endpoint. Those that are long gone make room: deltas alone may come for as long as the
-// relay runs, and only a full list drops what it leaves out.
+// insert adds an endpoint. It also removes endpoints that have been gone for goneRetention, so that the table
+// does not grow without limit if the relay gets only list deltas.
 func (t *endpointTable) insert(endpoint *endpointRecord, now time.Duration) {
 	t.totalsValid = false
 	t.sorted = slices.DeleteFunc(t.sorted, func(endpoint *endpointRecord) bool {
@@ -84,7 +84,7 @@
 	t.sorted = slices.Insert(t.sorted, i, endpoint)
 }
 
-// replaceAll marks the endpoints that a full list leaves out as gone, and drops those without connections.
+// replaceAll marks the endpoints missing from a full list as gone and removes those without connections.
 func (t *endpointTable) replaceAll(list []Endpoint) {
 	t.totalsValid = false
 	listedIDs := make(map[EndpointID]bool, len(list))
@@ -99,7 +99,7 @@
 	})
 }
 
-// warmingUp yields the ready endpoints that started within a time.
+// warmingUp yields the ready endpoints that started less than a duration ago.
 func (t *endpointTable) warmingUp(now, within time.Duration) iter.Seq[*endpointRecord] {
 	endpoints := t.sorted
 	if len(endpoints) >= largeTableSize && t.totalsValid {
@@ -115,7 +115,7 @@
 	}
 }
 
-// recordConnection books a connection at its endpoint, with its expected load if that is known.
+// recordConnection adds a connection to its endpoint, with its expected load if known.
 func (t *endpointTable) recordConnection(request *requestRecord) {
 	request.endpoint.addConnection(request)
 	if request.ExpectedLoad > 0 {
@@ -123,7 +123,7 @@
 	}
 }
 
-// recordLoad books the load reported of a connection, in seconds of work a second.
+// recordLoad records the reported load of a connection, in seconds of work per second.
 func (t *endpointTable) recordLoad(request *requestRecord, load float64) {
 	t.loadSamples++
 	t.meanLoad += (load - t.meanLoad) / min(meanLoadSamples, t.loadSamples)
@@ -135,8 +135,8 @@
 	}
 }
 
-// totals returns the sums over the ready endpoints. They are worked out once an event; of a large table
-// only the outliers are looked at.
+// totals returns the sums over the ready endpoints. They are computed once per event; for a large table this
+// visits only the outliers.
 func (b *Balancer) totals() tableTotals {
 	table := &b.endpoints
 	if !table.eventTotalsValid {
@@ -150,7 +150,7 @@
 	return table.eventTotals
 }
 
-// sumTotals adds up endpoints one by one.
+// sumTotals computes the totals of the ready ones among the endpoints.
 func (b *Balancer) sumTotals(endpoints []*endpointRecord) (totals tableTotals) {
 	for _, endpoint := range endpoints {
 		if endpoint.State == StateReady {
@@ -167,8 +167,8 @@
 	return totals
 }
 
-// cachedTotals returns the totals that the table keeps, and sums over the outliers for the rest: all other
-// endpoints are warm and not slow.
+// cachedTotals computes the totals from those kept in the table and from the outliers, as all other endpoints
+// are warm and not slow.
 func (b *Balancer) cachedTotals() tableTotals {
 	table := &b.endpoints
 	if !table.totalsValid {
@@ -187,7 +187,7 @@
 	}
 }
 
-// recomputeTotals goes through the whole table, after an update of the list.
+// recomputeTotals recomputes the totals, outliers and ID hashes from all endpoints, after a list update.
 func (t *endpointTable) recomputeTotals() {
 	t.totalsValid = true
 	t.readyLoad, t.readySize, t.largestSize = 0, 0, 0
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// requestRecord is what a Balancer keeps of a request, from its arrival to the end of its connection.
+// requestRecord is the state of a request from its arrival to the end of its connection.
 type requestRecord struct {
 	Request
-	settings       *Settings     // in force when it arrived, and until it ends
-	class          *Class        // of those settings
-	deadline       time.Duration // it is answered by then
-	attempts       int           // sent so far
-	triedEndpoints []EndpointID  // those that have failed it
+	settings       *Settings     // current when it arrived; kept until it ends
+	class          *Class        // its class in those settings
+	deadline       time.Duration // time by which it is answered
+	attempts       int           // number of attempts sent
+	triedEndpoints []EndpointID  // endpoints that failed this request
 
-	endpoint        *endpointRecord // of the attempt in flight or of the connection; nil if there is none
-	attemptSentAt   time.Duration   // the last one
+	endpoint        *endpointRecord // of the attempt in flight or the connection; nil if none
+	attemptSentAt   time.Duration   // when the last attempt was sent
 	established     bool
-	load            float64 // booked at its endpoint, in mean connections
-	connectionIndex int     // in the endpoint's connections
+	load            float64 // recorded at its endpoint, in mean connections
+	connectionIndex int     // index in the endpoint's connections
 
 	done          bool
-	waiting       bool          // it is held until notBefore, and for a list until listDeadline
-	notBefore     time.Duration // when its next attempt may leave
+	waiting       bool          // held until notBefore, and until listDeadline for a fresh list
+	notBefore     time.Duration // when its next attempt may be sent
 	listDeadline  time.Duration
-	arrivalWindow time.Duration // number of the overload window in which it was last counted; 0 if never
+	arrivalWindow time.Duration // number of the overload window in which it was last counted; 0: never
 
-	// An attempt may have run, sent at mayHaveRunSince to an endpoint of runZone and runCell.
+	// Whether an attempt may have been executed. The first such attempt was sent at mayHaveRunSince to an
+	// endpoint in runZone and runCell.
 	mayHaveRun      bool
 	mayHaveRunSince time.Duration
 	runZone         int
 	runCell         int
 }
 
-// routeKey is the key that the request's route is cached by: its group, or its item where it has no
-// group; 0 if it has neither.
+// routeKey returns the key of the request's cached route: its group, else its item; 0 if it has neither.
 func (r *requestRecord) routeKey() uint64 { return cmp.Or(r.Group, r.Item) }
 
-// addRequest adds the record of a request, with the settings that it keeps to its end.
+// addRequest adds the record of a request and fixes the settings that apply to it.
 func (b *Balancer) addRequest(event Request) *requestRecord {
 	request := &requestRecord{Request: event, settings: cmp.Or(event.Settings, b.settings)}
 	request.class = request.settings.classAt(event.Class)
@@ -45,8 +45,7 @@
 	return request
 }
 
-// removeRequest drops a request that has ended, with its connection or the attempt in flight. The
-// request may be nil.
+// removeRequest removes a request that has ended, with its connection or attempt in flight. It ignores nil.
 func (b *Balancer) removeRequest(request *requestRecord) {
 	if request == nil {
 		return
@@ -60,7 +59,7 @@
 	delete(b.requests, request.ID)
 }
 
-// isEstablished reports whether a request's connection is established.
+// isEstablished reports whether a request has an established connection.
 func (b *Balancer) isEstablished(id RequestID) bool {
 	request := b.requests[id]
 	return request != nil && request.established
--- a/balancer/routecache.go
+++ b/balancer/routecache.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// routeCacheCapacity bounds the routes that are cached. When it is reached the oldest entry makes
-	// room, and its group is drawn anew.
+	// routeCacheCapacity limits the number of cached routes. A group whose route is evicted is redrawn.
 	routeCacheCapacity = 1 << 14
 
-	// routeLifetime is how long a route is valid after a connection was last established by it.
+	// routeLifetime is how long a route is valid after a connection of its group was last established.
 	routeLifetime = 2 * time.Minute
 )
 
-// routeCache caches the endpoint of each group. It is bounded: the oldest entry goes first.
+// routeCache caches the endpoint of each group. It evicts the oldest entry when it is full.
 type routeCache struct {
 	capacity int
 	index    map[uint64]int // in ring, by route key
 	ring     []cachedRoute
-	next     int // index of the oldest entry, once the ring is full
+	next     int // index of the oldest entry once the ring is full
 }
 
+// cachedRoute is the endpoint cached for a route key.
 type cachedRoute struct {
 	key       uint64
 	endpoint  EndpointID
 	expiresAt time.Duration
 }
 
-// get returns the endpoint cached for a key, if there is one that has not expired.
+// get returns the endpoint cached for a key, and false if there is none or it has expired.
 func (c *routeCache) get(key uint64, now time.Duration) (EndpointID, bool) {
 	i, ok := c.index[key]
 	if !ok || now >= c.ring[i].expiresAt {
@@ -37,7 +37,7 @@
 	return c.ring[i].endpoint, true
 }
 
-// put caches the endpoint of a key. The key 0 stands for no key, and is not cached.
+// put caches the endpoint of a key. It ignores the key 0, which means that a request has none.
 func (c *routeCache) put(key uint64, endpoint EndpointID, expiresAt time.Duration) {
 	if key == 0 {
 		return
@@ -54,7 +54,7 @@
 	c.ring[i] = cachedRoute{key, endpoint, expiresAt}
 }
 
-// invalidate drops the route of a key if it leads to the endpoint.
+// invalidate expires the route of a key if it leads to the endpoint.
 func (c *routeCache) invalidate(key uint64, endpoint EndpointID) {
 	if i, ok := c.index[key]; ok && c.ring[i].endpoint == endpoint {
 		c.ring[i].expiresAt = math.MinInt64
