--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Action is something for the embedder to do: one of the types in this file with an action method.
+// Action is an output of a Balancer that the embedder executes: one of the types in this file with an action
+// method.
 type Action interface{ action() }
 
-// SendAttempt sends an attempt to an endpoint.
+// SendAttempt sends an attempt of a request to an endpoint.
 type SendAttempt struct {
 	Request  RequestID
 	Endpoint EndpointID
 	Timeout  time.Duration // 0: until the client's deadline
-	NotAfter time.Duration // it is not sent later, on the relay's clock; 0: at any time
+	NotAfter time.Duration // latest time to send it, on the relay's clock; 0: no limit
 }
 
-// Reject is a final answer: the request was rejected, and trying again is harmless.
+// Reject answers a request finally: it was rejected and the client may safely retry it.
 type Reject struct {
 	Request    RequestID
-	RetryAfter time.Duration // when to try again; 0: the answer doesn't say
+	RetryAfter time.Duration // wait before the retry; 0: not specified
 }
 
-// Fail is a final answer that does not promise that trying again is harmless.
+// Fail answers a request finally, without a promise that a retry is safe.
 type Fail struct{ Request RequestID }
 
-// Migrate closes an established connection in a way that makes its client reconnect.
+// Migrate closes an established connection such that its client reconnects.
 type Migrate struct{ Request RequestID }
 
-// SetTimer asks for a Timer event after a time.
+// SetTimer requires a Timer event with the same token after a time.
 type SetTimer struct {
 	Token uint32
 	After time.Duration
 }
 
-// WatchEndpoints asks for the endpoint list: for the changes that were missed, and for those to come.
+// WatchEndpoints polls for the endpoint list: changes that were missed and future ones.
 type WatchEndpoints struct{}
 
 func (SendAttempt) action() {}
--- a/balancer/decision.go
+++ b/balancer/decision.go
@@ -2,59 +2,59 @@
 
 import "time"
 
-// DecisionObserver is told of every decision on a request. Decided is called within the Tick that decides:
-// it must not block, call the Loop or keep the decision, which is used again.
+// DecisionObserver is notified of every decision on a request. Decided is called during Tick: it must not
+// block, call the Loop or retain the decision, which is reused.
 type DecisionObserver interface{ Decided(decision *Decision) }
 
-// Verdict is what was decided.
+// Verdict is the outcome of a decision.
 type Verdict uint8
 
 // The verdicts of a decision.
 const (
-	VerdictSent     Verdict = iota // to Endpoint, with the time-out Wait; 0: until the deadline
-	VerdictHeld                    // for Wait; 0: until the concurrency window has room
-	VerdictRejected                // with the retry-after Wait
-	VerdictFailed                  // with an answer that promises nothing
+	VerdictSent     Verdict = iota // to Endpoint, with Wait as timeout; 0: until the deadline
+	VerdictHeld                    // for Wait; 0: until the concurrency window is not full
+	VerdictRejected                // with Wait as retry-after
+	VerdictFailed                  // with an answer that does not allow a repeat
 	VerdictMigrated                // from Endpoint
 	verdictCount
 )
 
-// VerdictNames are the names of the verdicts, by their values. Records of decisions and queries use them.
+// VerdictNames are the names of the verdicts, indexed by value. Decision records and queries use them.
 var VerdictNames = [verdictCount]string{"sent", "held", "refused", "failed", "moved"}
 
 // String returns the name of a verdict.
 func (v Verdict) String() string { return nameAt(VerdictNames[:], int(v)) }
 
-// Reason is why it was decided.
+// Reason is the reason for a decision.
 type Reason uint8
 
 // The reasons of a decision.
 const (
 	ReasonNone               Reason = iota
-	ReasonCachedRoute               // sent to the endpoint cached for its group
-	ReasonWeightedDraw              // drawn at random by weight
-	ReasonRouteGone                 // drawn anew: the cached endpoint takes nothing new
-	ReasonRouteSlow                 // drawn anew: the cached endpoint is slow or full
-	ReasonRouteRecovering           // drawn anew: the cached endpoint is recovering
-	ReasonRouteAtCapacity           // drawn anew: the cached endpoint has little headroom
-	ReasonRouteWarmingUp            // drawn anew: the cached endpoint is warming up
-	ReasonRedrawn                   // drawn anew for a retry
-	ReasonWindowFull                // queued: as many set-ups are in flight as may be
-	ReasonNoneEligible              // held: no endpoint may take it now, but one may later
-	ReasonEndpointSlow              // held: the endpoint that it would go to is slow or full
-	ReasonEndpointRecovering        // held: the endpoint that it would go to is recovering
-	ReasonBackoff                   // held before its next attempt
-	ReasonNoViableEndpoint          // no ready endpoint is left untried
-	ReasonDeadlineExceeded          // its deadline has come, or comes before another attempt
-	ReasonAttemptsExhausted         // it has had all attempts that a request may have
-	ReasonNotRepeatable             // it may have run, and must not run twice
-	ReasonLoadRelief                // its endpoint is slow and sheds load
-	ReasonEndpointDraining          // its endpoint drains
-	ReasonShutdown                  // its relay shuts down
+	ReasonCachedRoute               // sent: to the endpoint cached for its group
+	ReasonWeightedDraw              // sent: drawn at random by weight
+	ReasonRouteGone                 // sent: drawn, as the cached endpoint takes no new requests
+	ReasonRouteSlow                 // sent: drawn, as the cached endpoint is slow or full
+	ReasonRouteRecovering           // sent: drawn, as the cached endpoint is recovering
+	ReasonRouteAtCapacity           // sent: drawn, as the cached endpoint has little headroom
+	ReasonRouteWarmingUp            // sent: drawn, as the cached endpoint is warming up
+	ReasonRedrawn                   // sent: drawn for a retry
+	ReasonWindowFull                // held: the concurrency window is full
+	ReasonNoneEligible              // held: no endpoint is eligible now, but one may be later
+	ReasonEndpointSlow              // held: the selected endpoint is slow or full
+	ReasonEndpointRecovering        // held: the selected endpoint is recovering
+	ReasonBackoff                   // held: backoff before the next attempt
+	ReasonNoViableEndpoint          // answered: no ready endpoint is left untried
+	ReasonDeadlineExceeded          // answered: the deadline has passed or leaves no time for a retry
+	ReasonAttemptsExhausted         // answered: the maximum number of attempts is reached
+	ReasonNotRepeatable             // answered: it may have been executed and must not be repeated
+	ReasonLoadRelief                // migrated: its endpoint is slow and sheds load
+	ReasonEndpointDraining          // migrated: its endpoint is draining
+	ReasonShutdown                  // answered: its relay is shutting down
 	reasonCount
 )
 
-// ReasonNames are the names of the reasons, by their values. Records of decisions and queries use them.
+// ReasonNames are the names of the reasons, indexed by value. Decision records and queries use them.
 var ReasonNames = [reasonCount]string{
 	"none", "cached-route", "drawn", "route-gone", "route-slow", "route-eased", "route-full", "route-cold",
 	"drawn-again", "window-full", "none-usable", "server-slow", "server-eased", "backoff", "no-hope",
@@ -65,7 +65,7 @@
 // String returns the name of a reason.
 func (r Reason) String() string { return nameAt(ReasonNames[:], int(r)) }
 
-// nameAt returns a value's name; "unknown" for a value that this version does not know.
+// nameAt returns the name at an index, or "unknown" for a value that this version does not define.
 func nameAt(names []string, i int) string {
 	if i >= len(names) {
 		return "unknown"
@@ -73,22 +73,22 @@
 	return names[i]
 }
 
-// Exclusions is the set of what keeps an endpoint from being sent a request.
+// Exclusions is the set of reasons why an endpoint does not get a request.
 type Exclusions uint16
 
 // The exclusions, one bit each.
 const (
-	ExcludedDraining   Exclusions = 1 << iota // it drains, is gone, or lately redirected a client
-	ExcludedTried                             // it has failed the request
-	ExcludedScope                             // a repeat must not run there
-	ExcludedWarmingUp                         // it is warming up, and has no slot for this relay now
-	ExcludedSlow                              // it is slow or full
-	ExcludedRecovering                        // it is recovering, and has no slot for this relay now
-	ExcludedAtCapacity                        // it has little headroom
+	ExcludedDraining   Exclusions = 1 << iota // draining, gone, or recently redirected a client
+	ExcludedTried                             // failed an earlier attempt of the request
+	ExcludedScope                             // outside the request's deduplication scope
+	ExcludedWarmingUp                         // warming up, without a slot for this relay now
+	ExcludedSlow                              // slow or full
+	ExcludedRecovering                        // recovering, without a slot for this relay now
+	ExcludedAtCapacity                        // little headroom
 	exclusionCount     = 7
 )
 
-// ExclusionNames are the names of the exclusions, from the lowest bit up.
+// ExclusionNames are the names of the exclusions, indexed by bit.
 var ExclusionNames = [exclusionCount]string{"away", "tried", "no-repeat", "cold", "slow", "eased", "full"}
 
 // Names returns the names of the exclusions in the set.
@@ -102,39 +102,39 @@
 	return names
 }
 
-// ConsideredEndpoint is what was known of an endpoint when it was decided.
+// ConsideredEndpoint is the state of an endpoint at the time of a decision.
 type ConsideredEndpoint struct {
 	Endpoint    EndpointID
 	State       EndpointState
 	Exclusions  Exclusions
-	Weight      float64       // the controller's
-	Warmth      float64       // share of its capacity that it has at least
-	Load        float64       // what this relay has placed there, in mean connections
-	Probability float64       // share of the weights in the draw; 0 if it is not ready
-	Delay       time.Duration // of a message
-	DelayAge    time.Duration // of the report of the delay; negative if there was none
+	Weight      float64       // the controller's weight
+	Warmth      float64       // assumed share of its capacity, 1 if not warming up
+	Load        float64       // placed by this relay, in mean connections
+	Probability float64       // of being drawn, by weight alone; 0 if it is not ready
+	Delay       time.Duration // last reported delay of a message
+	DelayAge    time.Duration // age of that report; negative if there was none
 }
 
-// MaxConsidered bounds the endpoints that a decision tells of.
+// MaxConsidered limits the endpoints in Decision.Considered.
 const MaxConsidered = 4
 
-// Decision is one decision on one request.
+// Decision is one decision on one request, as reported to a DecisionObserver.
 type Decision struct {
 	At             time.Duration // on the relay's clock
 	Verdict        Verdict
 	Reason         Reason
-	Attempt        int           // number of the attempt that is sent; else how many were sent so far
-	Endpoint       EndpointID    // of VerdictSent and VerdictMigrated
-	Wait           time.Duration // see the verdicts
-	TimeLeft       time.Duration // until the deadline
-	ReadyEndpoints int           // number of endpoints that the list says are ready
-	SlowShare      float64       // share of their size that is slow
-	Revision       uint64        // of the list; 0 if not known
-	ListAge        time.Duration // since the list last changed; negative if not known
-
-	// Considered is what was known of the chosen endpoint, if there is one, and then of
-	// those that came nearest, best first. Preferred is the index in it of the endpoint
-	// that would have been chosen but for its exclusions; -1 if there is none.
+	Attempt        int           // number of the attempt that is sent, else of attempts sent so far
+	Endpoint       EndpointID    // if VerdictSent or VerdictMigrated
+	Wait           time.Duration // its meaning depends on the verdict
+	TimeLeft       time.Duration // until the request's deadline
+	ReadyEndpoints int           // number of endpoints listed as ready
+	SlowShare      float64       // share of their total size that is slow
+	Revision       uint64        // of the endpoint list; 0 if unknown
+	ListAge        time.Duration // time since the last list update; negative if unknown
+
+	// Considered holds the chosen endpoint, if any, and then the best alternatives, best
+	// first. Preferred is the index in Considered of the endpoint that would have been
+	// chosen but for its exclusions; -1 if there is none.
 	Considered []ConsideredEndpoint
 	Preferred  int
 }
--- a/balancer/endpointview.go
+++ b/balancer/endpointview.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// delayViewDuration is how long a delay is shown after it was reported.
+// delayViewDuration is how long a delay is shown to operators after it was reported.
 const delayViewDuration = 10 * time.Second
 
-// EndpointView is what a Balancer knows of an endpoint, for operators.
+// EndpointView is the state of an endpoint as shown to operators.
 type EndpointView struct {
 	Endpoint      EndpointID
-	Delay         time.Duration // of a message there, as last reported; 0: none was reported lately
-	Load          float64       // of this relay's connections there, in mean connections
-	AvoidedReason string        // why nothing new is sent there now; "" if it may be
+	Delay         time.Duration // last reported delay of a message; 0 if none was reported recently
+	Load          float64       // of this relay's connections, in mean connections
+	AvoidedReason string        // why it gets no new requests now; "" if it may get them
 }
 
-// endpointViews returns a view of each endpoint that is listed.
+// endpointViews returns a view of each listed endpoint.
 func (b *Balancer) endpointViews() (views []EndpointView) {
 	for _, endpoint := range b.endpoints.sorted {
 		if endpoint.State == StateGone {
@@ -41,8 +41,8 @@
 	return views
 }
 
-// avoidedUntil is the time until which nothing new is sent to the endpoint, because of what was observed
-// of it; 0 if it is not avoided.
+// avoidedUntil returns the time until which the endpoint gets no new requests because it drains, redirected
+// a client, or was slow or full; 0 if none of these happened.
 func (e *endpointRecord) avoidedUntil() (until time.Duration) {
 	switch {
 	case e.State == StateDraining:
@@ -56,8 +56,8 @@
 	return until
 }
 
-// avoidedEndpoints returns how many endpoints are listed and, for each that is avoided now, until when.
-// It appends the latter to buffer[:0].
+// avoidedEndpoints returns the number of listed endpoints and, for each that is avoided now, the time until
+// which it is avoided. It appends these times to buffer[:0].
 func (b *Balancer) avoidedEndpoints(buffer []time.Duration) (listed int, until []time.Duration) {
 	until = buffer[:0]
 	for _, endpoint := range b.endpoints.sorted {
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// EndpointID identifies an endpoint. One that restarts keeps its ID.
+// EndpointID identifies an endpoint. It stays the same when the endpoint restarts.
 type EndpointID uint32
 
-// RequestID identifies a request. An ID is never used twice.
+// RequestID identifies a request. An ID is never reused.
 type RequestID uint32
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is the state of an endpoint in the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
 	StateGone     EndpointState = iota // no longer in the list
 	StateReady                         // takes requests
-	StateDraining                      // completes what it has and takes nothing new
+	StateDraining                      // serves its connections but takes no new requests
 )
 
-// Endpoint is one line of the endpoint list.
+// Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID        EndpointID
 	State     EndpointState
 	Zone      int
 	Cell      int
-	Size      float64       // its registered size, relative to that of others
-	StartedAt time.Duration // its last start, on the relay's clock; 0 if long ago
+	Size      float64       // registered capacity relative to other endpoints
+	StartedAt time.Duration // last start, on the relay's clock; 0 if long ago
 }
 
-// Event is something that happened: one of the types in this file with an event method.
+// Event is an input of a Balancer: one of the types in this file with an event method.
 type Event interface{ event() }
 
-// ListKind is what an EndpointList holds.
+// ListKind says what an EndpointList contains.
 type ListKind uint8
 
 // The kinds of endpoint list.
 const (
-	ListFailed ListKind = iota // nothing: a call for the list failed, and the old one holds
-	ListFull                   // all endpoints; those missing are gone
+	ListFailed ListKind = iota // nothing: getting the list failed and the old list stays valid
+	ListFull                   // all endpoints; any other is gone
 	ListCached                 // all endpoints as last seen before a restart; it may be stale
-	ListDelta                  // changes only
+	ListDelta                  // changed endpoints only
 )
 
 // EndpointList is an update of the endpoint list.
@@ -48,52 +48,52 @@
 	Endpoints []Endpoint
 }
 
-// SettingsChanged puts other settings in force, for requests that arrive from now on.
+// SettingsChanged replaces the settings for requests that arrive from now on.
 type SettingsChanged struct{ Settings *Settings }
 
-// Request is a client asking for a connection.
+// Request is the arrival of a client's request for a connection.
 type Request struct {
 	ID           RequestID
 	Class        int
-	Item         uint64        // what it is about; 0 if nothing
-	Group        uint64        // the group it shares work with; 0 if none
+	Item         uint64        // the object that it concerns; 0 if none
+	Group        uint64        // requests of a group share work at an endpoint; 0 if none
 	TimeLeft     time.Duration // until the client's deadline
-	ExpectedLoad float64       // in seconds of work a second; 0 if unknown
-	Returning    bool          // the client is back after a break or a migration
+	ExpectedLoad float64       // in seconds of work per second; 0 if unknown
+	Returning    bool          // the client reconnects after a disconnect or migration
 
-	Settings *Settings // those that it arrived under, and that Class is of; nil: those in force
+	Settings *Settings // those at its arrival, to which Class refers; nil: the current ones
 }
 
-// Resumed is a connection that was established before the relay's process started.
+// Resumed reports a connection that was established before this process of the relay started.
 type Resumed struct {
 	Request  Request
 	Endpoint EndpointID
 }
 
-// Established means that the connection of an attempt is established.
+// Established reports that the connection of an attempt is established.
 type Established struct {
 	Request   RequestID
 	Endpoint  EndpointID
 	SetupTime time.Duration
 }
 
-// AttemptStatus is how an attempt ended.
+// AttemptStatus is the outcome of an attempt or connection.
 type AttemptStatus uint8
 
-// The outcomes of an attempt.
+// The outcomes of an attempt or connection.
 const (
 	StatusOK            AttemptStatus = iota
 	StatusError                       // the endpoint answered with an error
-	StatusFull                        // the endpoint rejected it unseen
+	StatusFull                        // the endpoint rejected it before processing
 	StatusTimeout                     // no answer in time
 	StatusConnectFailed               // no connection could be made
-	StatusReset                       // the connection broke
+	StatusReset                       // the connection was reset
 	StatusCancelled                   // cancelled, or the client left
-	StatusNotSent                     // never sent
-	StatusRedirected                  // the endpoint drains, and has redirected the client
+	StatusNotSent                     // not sent to the endpoint
+	StatusRedirected                  // the endpoint is draining and redirected the client
 )
 
-// Outcome is the end of an attempt, or of the connection that it became.
+// Outcome reports the end of an attempt or of an established connection.
 type Outcome struct {
 	Request  RequestID
 	Endpoint EndpointID
@@ -101,27 +101,28 @@
 	Final    bool // the request has ended
 }
 
-// AnswerRequired demands the final answer to a request that is not established: its relay shuts down.
+// AnswerRequired demands the final answer to a request that is not established, as its relay is shutting
+// down.
 type AnswerRequired struct{ Request RequestID }
 
-// ClientLeft ends a request: its client disconnected.
+// ClientLeft reports that the client of a request disconnected, which ends the request.
 type ClientLeft struct{ Request RequestID }
 
-// ConnectionLoad reports the load of an established connection, in seconds of work a second.
+// ConnectionLoad reports the load of an established connection, in seconds of work per second.
 type ConnectionLoad struct {
 	Request  RequestID
 	Endpoint EndpointID
 	Load     float64
 }
 
-// EndpointDelay reports how long a message takes at an endpoint.
+// EndpointDelay reports the delay of a message at an endpoint.
 type EndpointDelay struct {
 	Request  RequestID
 	Endpoint EndpointID
 	Delay    time.Duration
 }
 
-// Timer means that a timer which SetTimer set is due.
+// Timer reports that a timer set by SetTimer has expired.
 type Timer struct{ Token uint32 }
 
 func (EndpointList) event() {}
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// decisionRecorder is what a Balancer needs to tell an observer of its decisions. Its room is used again,
-// so that observing allocates nothing.
+// decisionRecorder builds the decisions that are reported to an observer. It reuses its buffers, so that
+// observing does not allocate.
 type decisionRecorder struct {
-	notify   func(RequestID, *Decision) // nil: nobody observes
+	notify   func(RequestID, *Decision) // nil: no observer
 	decision Decision
 	buffer   [MaxConsidered]ConsideredEndpoint
 	ranked   [MaxConsidered]rankedEndpoint
 }
 
-// rankedEndpoint is an endpoint that a request could be sent to, or could but for its exclusions.
+// rankedEndpoint is an endpoint with its rank among the candidates for a request, whether excluded or not.
 type rankedEndpoint struct {
 	endpoint *endpointRecord
-	weight   float64 // in the draw; 0 if it is not ready
-	cost     float64 // in the draw, where the least is chosen; chosenCost or cachedCost of those two
+	weight   float64 // draw weight; 0 if it is not ready
+	cost     float64 // in the draw, where the least cost wins, or chosenCost or cachedCost
 }
 
-// The costs that put the chosen endpoint first, and next the one whose cached route was passed over.
+// Costs that rank the chosen endpoint first and the endpoint of a rejected cached route second.
 var chosenCost, cachedCost = math.Inf(-1), -math.MaxFloat64
 
-// Observe makes the Balancer call a function with every decision from now on. The function is called
-// within Handle. It must not block, call the Balancer or keep the decision, which is used again.
+// Observe sets the function that is called with every decision. It is called during Handle and must not
+// block, call the Balancer or retain the decision, which is reused.
 func (b *Balancer) Observe(notify func(RequestID, *Decision)) { b.recorder.notify = notify }
 
-// observeDecision tells the observer, if there is one, what was decided for a request. endpoint is the one
-// that the request is sent to, is established at, or waits for, if any. It leaves the state that decisions
-// go by as it was.
+// observeDecision reports a decision on a request to the observer, if there is one. endpoint is the one that
+// the request is sent to, is established at or waits for, or nil. It does not change the state that
+// decisions depend on.
 func (b *Balancer) observeDecision(
 	verdict Verdict, reason Reason, request *requestRecord, endpoint *endpointRecord, wait time.Duration,
 ) {
@@ -59,7 +59,7 @@
 	recorder.notify(request.ID, &recorder.decision)
 }
 
-// fillConsidered fills in what is known of the chosen endpoint and of those that came nearest.
+// fillConsidered adds the chosen endpoint and the best alternatives to the decision.
 func (b *Balancer) fillConsidered(request *requestRecord, chosen *endpointRecord) {
 	recorder := &b.recorder
 	decision := &recorder.decision
@@ -91,8 +91,8 @@
 	b.setPreferred(request, chosen, meanLoad, passedOver)
 }
 
-// rank works out an endpoint's weight and cost in the draw. Without a route key the cost is chance; it is
-// then taken at its mean, as drawing again would change later draws.
+// rank computes an endpoint's weight and cost in the draw. Without a route key the cost is random; rank then
+// uses its mean, as another random draw would change later decisions.
 func (b *Balancer) rank(request *requestRecord, endpoint *endpointRecord, meanLoad float64) rankedEndpoint {
 	ranked := rankedEndpoint{endpoint: endpoint, cost: math.Inf(1)}
 	if endpoint.State != StateReady {
@@ -107,7 +107,7 @@
 	return ranked
 }
 
-// insertRanked inserts an endpoint into the found nearest ones, by cost, and returns their new number.
+// insertRanked inserts an endpoint into the found ranked ones in order of cost and returns their new number.
 func (r *decisionRecorder) insertRanked(ranked rankedEndpoint, found int) int {
 	if found < MaxConsidered {
 		found++
@@ -122,7 +122,7 @@
 	return found
 }
 
-// describe returns what is known of an endpoint. totalWeight is the sum of all weights in the draw.
+// describe returns the state of an endpoint for a decision. totalWeight is the sum of all draw weights.
 func (b *Balancer) describe(
 	request *requestRecord, ranked rankedEndpoint, totalWeight float64,
 ) ConsideredEndpoint {
@@ -146,9 +146,9 @@
 	return considered
 }
 
-// setPreferred names the endpoint that would have been chosen but for its exclusions: the cached one where
-// that was passed over; else, where there is a route key and so no chance in the draw, the nearest that is
-// excluded and nearer than the chosen one, if any.
+// setPreferred sets the index of the endpoint that would have been chosen but for its exclusions: the cached
+// one if its route was rejected, else the excluded endpoint with the least cost, if below that of the chosen
+// one. Without a route key, costs are random and cannot be compared again.
 func (b *Balancer) setPreferred(
 	request *requestRecord, chosen *endpointRecord, meanLoad float64, passedOver bool,
 ) {
@@ -157,7 +157,7 @@
 	case decision.Verdict == VerdictMigrated || decision.Reason == ReasonCachedRoute ||
 		decision.Reason == ReasonWindowFull || decision.Reason == ReasonBackoff:
 		return
-	case request.routeKey() == 0 && chosen != nil: // its draw is not to be made again
+	case request.routeKey() == 0 && chosen != nil: // its random draw cannot be repeated
 		return
 	}
 	least := math.Inf(1)
@@ -174,7 +174,7 @@
 	}
 }
 
-// exclusions returns what keeps an endpoint from being sent a request.
+// exclusions returns the reasons why an endpoint does not get a request.
 func (b *Balancer) exclusions(request *requestRecord, endpoint *endpointRecord) (excluded Exclusions) {
 	exclude := func(exclusion Exclusions, applies bool) {
 		if applies {
@@ -191,8 +191,8 @@
 	return excluded
 }
 
-// cachedRouteReason returns why a request is not sent to the endpoint cached for its group, which is nil
-// if it is no longer known. It works that out only for an observer.
+// cachedRouteReason returns why a request is not sent to the endpoint cached for its group, which is nil if
+// it is no longer known. Without an observer it skips the computation and returns ReasonWeightedDraw.
 func (b *Balancer) cachedRouteReason(request *requestRecord, endpoint *endpointRecord) Reason {
 	if b.recorder.notify == nil {
 		return ReasonWeightedDraw
@@ -216,7 +216,7 @@
 	return ReasonRouteAtCapacity
 }
 
-// drawReason is the reason of a draw before which no cached route was passed over.
+// drawReason returns the reason for a draw if no cached route was rejected.
 func (r *requestRecord) drawReason() Reason {
 	if r.attempts > 0 {
 		return ReasonRedrawn
@@ -224,7 +224,7 @@
 	return ReasonWeightedDraw
 }
 
-// holdReason returns why a request that fell on an endpoint, if on any, is held.
+// holdReason returns why a request is held. endpoint is the one selected for it, or nil.
 func (b *Balancer) holdReason(endpoint *endpointRecord) Reason {
 	switch {
 	case endpoint == nil:
@@ -235,7 +235,7 @@
 	return ReasonEndpointRecovering
 }
 
-// stopReason returns why no further attempt is allowed at a time.
+// stopReason returns why another attempt is not allowed at a time.
 func (b *Balancer) stopReason(request *requestRecord, at time.Duration) Reason {
 	switch {
 	case request.attempts >= request.settings.MaxAttempts:
--- a/balancer/loop.go
+++ b/balancer/loop.go
@@ -10,35 +10,35 @@
 	"lockroad/internal/assert"
 )
 
-// mailboxCapacity bounds what waits for a Tick. Whoever reports more than that waits.
+// mailboxCapacity limits the messages that wait for a Tick. Senders block while the mailbox is full.
 const mailboxCapacity = 4096
 
-// Loop drives one Balancer for code that talks to a network. Pick waits for the next thing to do for a
-// request, Report hands in what has happened, Tick makes time go on. Nothing is decided here. See the
-// package's contract for which goroutine calls what.
+// Loop drives one Balancer for code that does network I/O. NextAction waits for the next action for a
+// request, Report submits events, Tick processes them and advances the clock. All decisions are made by the
+// Balancer. The package documentation says which goroutine may call which method.
 type Loop struct {
-	mailbox chan any // a *RequestHandle that was submitted, a query, or a LoopEvent
+	mailbox chan any // a submitted *RequestHandle, a query, or a LoopEvent
 	wakeup  chan struct{}
 
-	// Only the goroutine that calls Tick uses these.
+	// The fields below are used only by the goroutine that calls Tick.
 	balancer        *Balancer
 	handles         map[RequestID]*RequestHandle // of requests that have not ended
 	timers          timerHeap
 	lastID          RequestID
-	now             time.Duration // of this Tick
-	countsPublished bool          // counts are published with each Tick
+	now             time.Duration // time of the current Tick
+	countsPublished bool          // each Tick publishes counts
 	avoidedBuffer   []time.Duration
 	revision        uint64        // of the endpoint list
-	listedAt        time.Duration // when the list was last updated; negative before the first list
+	listedAt        time.Duration // last update of the list; negative before the first
 
-	counts atomic.Pointer[endpointCounts] // nil before the first
+	counts atomic.Pointer[endpointCounts] // nil before the first publication
 
 	closeOnce sync.Once
 	closed    chan struct{}
 }
 
-// NewLoop returns a Loop of a Balancer that has just started. Updates of the endpoint list are reported to
-// it without being asked for: Settings.PollList is ignored.
+// NewLoop returns a Loop with a new Balancer. It ignores Settings.PollList: updates of the endpoint list are
+// reported without polling.
 func NewLoop(settings Settings, seed uint64) *Loop {
 	settings.PollList = false
 	return &Loop{
@@ -51,16 +51,16 @@
 	}
 }
 
-// Observe makes the Loop tell the observers of requests of each decision. It is called before the first
+// Observe makes the Loop report decisions to the observers of requests. It must be called before the first
 // Tick.
 func (l *Loop) Observe() { l.balancer.Observe(l.notifyObserver) }
 
-// PublishCounts makes the Loop publish what EndpointCounts returns. It is called before the first Tick.
+// PublishCounts makes the Loop publish the result of EndpointCounts. It must be called before the first Tick.
 func (l *Loop) PublishCounts() { l.countsPublished = true }
 
-// NextAction blocks until there is something to do for a request, and returns it. It fails only if ctx ends
-// first, with its cause; an action that is there already comes before that. The first call submits the
-// request. All calls for a request come from one goroutine.
+// NextAction blocks until there is an action for a request and returns it. It returns an action that is
+// already available even if ctx has ended; else the end of ctx makes it fail with the cause. The first call
+// submits the request. All calls for a request must come from one goroutine.
 func (l *Loop) NextAction(ctx context.Context, handle *RequestHandle) (RequestAction, error) {
 	if !handle.submitted {
 		handle.submitted = true
@@ -79,19 +79,19 @@
 	}
 }
 
-// Report hands in what has happened. It takes effect in the next Tick. Any goroutine may call it; it
-// blocks while the mailbox is full, until a Tick or Close.
+// Report submits an event, which the next Tick processes. Any goroutine may call it. It blocks while the
+// mailbox is full, until a Tick or Close.
 func (l *Loop) Report(event LoopEvent) { l.enqueue(event) }
 
-// Pending yields a value when something waits for a Tick.
+// Pending returns a channel that receives a value when a message waits for a Tick.
 func (l *Loop) Pending() <-chan struct{} { return l.wakeup }
 
-// Close releases whoever reports or waits for an answer after the last Tick. It may be called again.
+// Close unblocks callers that report events or wait for answers after the last Tick. It may be called again.
 func (l *Loop) Close() { l.closeOnce.Do(func() { close(l.closed) }) }
 
-// Tick brings the Balancer up to a time of the clock, which never goes back: it handles what was submitted
-// and reported before, then the timers that are due, and hands out the actions. It returns the time of the
-// next timer, and false if there is none. One goroutine makes all calls.
+// Tick advances the Balancer to a time of the clock, which must not go back: it handles the messages in the
+// mailbox, then the timers that are due, and sends the resulting actions to the handles. It returns the time
+// of the next timer, and false if there is none. All calls must come from one goroutine.
 func (l *Loop) Tick(now time.Duration) (time.Duration, bool) {
 	l.now = now
 	for pending := len(l.mailbox); pending > 0; pending-- {
@@ -123,8 +123,8 @@
 	}
 }
 
-// deliver handles one message of the mailbox. Events of a request that has ended are left aside: they
-// have crossed with its final action.
+// deliver handles one message from the mailbox. It ignores events of requests that have ended, as a final
+// action and an event may cross.
 func (l *Loop) deliver(message any) {
 	switch message := message.(type) {
 	case *RequestHandle:
@@ -137,7 +137,7 @@
 		l.balancer.slowStartShare = message.Share
 	case AttemptEstablished:
 		if handle := message.Handle; !handle.done {
-			// This comes first: the Balancer may migrate it at once.
+			// Send this first: the Balancer may migrate the connection at once.
 			l.sendAction(handle, RequestAction{Kind: ActionEstablished, Endpoint: handle.endpoint})
 			l.handleEvent(Established{
 				Request: handle.id, Endpoint: handle.endpoint, SetupTime: message.SetupTime,
@@ -172,7 +172,7 @@
 	}
 }
 
-// endAttempt handles the end of an attempt, or of the connection that it became.
+// endAttempt handles the end of an attempt or of an established connection.
 func (l *Loop) endAttempt(handle *RequestHandle, status AttemptStatus) {
 	established := l.balancer.isEstablished(handle.id)
 	l.handleEvent(Outcome{
@@ -183,7 +183,7 @@
 	}
 }
 
-// beginRequest hands a request that was submitted to the Balancer, under an ID of its own.
+// beginRequest assigns an ID to a submitted request and passes the request to the Balancer.
 func (l *Loop) beginRequest(handle *RequestHandle) {
 	l.lastID++
 	handle.id = l.lastID
@@ -201,7 +201,7 @@
 	}
 	if options.Established {
 		handle.endpoint = options.Endpoint
-		// This comes first: the Balancer may migrate it at once.
+		// Send this first: the Balancer may migrate the connection at once.
 		l.sendAction(handle, RequestAction{Kind: ActionEstablished, Endpoint: handle.endpoint})
 		l.handleEvent(Resumed{Request: request, Endpoint: handle.endpoint})
 		return
@@ -209,7 +209,7 @@
 	l.handleEvent(request)
 }
 
-// handleEvent hands an event to the Balancer, and hands out the actions that come back.
+// handleEvent passes an event to the Balancer and sends the resulting actions to their handles.
 func (l *Loop) handleEvent(event Event) {
 	for _, action := range l.balancer.Handle(l.now, event) {
 		switch action := action.(type) {
@@ -235,24 +235,24 @@
 	}
 }
 
-// finishRequest sends a request its final action.
+// finishRequest ends a request and sends its final action.
 func (l *Loop) finishRequest(handle *RequestHandle, action RequestAction) {
 	handle.done = true
 	delete(l.handles, handle.id)
 	l.sendAction(handle, action)
 }
 
-// sendAction sends a handle an action. It never blocks: at most an attempt, its establishment and a final
-// action come before Pick has to be called.
+// sendAction adds an action to a handle's buffer. It never blocks: the buffer holds every action that can
+// follow before the next call of NextAction.
 func (l *Loop) sendAction(handle *RequestHandle, action RequestAction) {
 	select {
 	case handle.actions <- action:
 	default:
-		assert.That(false, "the actions of a request handle are picked as they come")
+		assert.That(false, "the action buffer of a request handle is not full")
 	}
 }
 
-// notifyObserver tells the observer of a request, if it has one, of a decision on it.
+// notifyObserver reports a decision to the observer of its request, if there is one.
 func (l *Loop) notifyObserver(id RequestID, decision *Decision) {
 	handle := l.handles[id]
 	if handle == nil || handle.options.Observer == nil {
--- a/balancer/loopqueries.go
+++ b/balancer/loopqueries.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// endpointCounts is what EndpointCounts goes by: the table of endpoints at the end of a Tick.
+// endpointCounts is the state of the endpoints at the end of a Tick, from which EndpointCounts is computed.
 type endpointCounts struct {
 	listed       int
-	avoidedUntil []time.Duration // of each endpoint that was avoided
+	avoidedUntil []time.Duration // of each avoided endpoint
 }
 
-// EndpointCounts returns how many endpoints are listed and how many of them are avoided at a time. It
-// waits for no Tick, and any goroutine may call it. Without PublishCounts both are 0.
+// EndpointCounts returns the number of listed endpoints and how many of them are avoided at a time. It does
+// not wait for a Tick, and any goroutine may call it. Both are 0 unless PublishCounts was called.
 func (l *Loop) EndpointCounts(now time.Duration) (listed, avoided int) {
 	counts := l.counts.Load()
 	if counts == nil {
@@ -27,7 +27,7 @@
 	return counts.listed, avoided
 }
 
-// publishCounts updates what EndpointCounts goes by. It allocates only if something has changed.
+// publishCounts updates the counts for EndpointCounts. It allocates only if they have changed.
 func (l *Loop) publishCounts() {
 	listed, avoided := l.balancer.avoidedEndpoints(l.avoidedBuffer)
 	l.avoidedBuffer = avoided
@@ -37,40 +37,40 @@
 	}
 }
 
-// query is asked of the Balancer in a Tick; it belongs to no request.
+// query is a function that a Tick calls to read the state of the Balancer.
 type query func()
 
-// queryBalancer asks the Balancer and waits for the Tick that answers. It fails if ctx ends or the Loop is
+// queryBalancer calls read in the next Tick and returns its result. It fails if ctx ends or the Loop is
 // closed first.
-func queryBalancer[T any](ctx context.Context, l *Loop, ask func(*Balancer) T) (T, error) {
+func queryBalancer[T any](ctx context.Context, l *Loop, read func(*Balancer) T) (T, error) {
 	answers := make(chan T, 1)
-	l.enqueue(query(func() { answers <- ask(l.balancer) }))
-	var none T
+	l.enqueue(query(func() { answers <- read(l.balancer) }))
+	var zero T
 	select {
 	case answer := <-answers:
 		return answer, nil
 	case <-ctx.Done():
-		return none, context.Cause(ctx)
+		return zero, context.Cause(ctx)
 	case <-l.closed:
-		return none, context.Canceled
+		return zero, context.Canceled
 	}
 }
 
-// RetryAfter returns when a client should try again that the relay has rejected on its own; 0 if ctx ends
-// or the Loop is closed first.
+// RetryAfter returns how long a client should wait before it retries if the relay itself rejected it; 0 if
+// ctx ends or the Loop is closed first.
 func (l *Loop) RetryAfter(ctx context.Context) time.Duration {
 	wait, _ := queryBalancer(ctx, l, func(b *Balancer) time.Duration { return b.RetryAfter(l.now) })
 	return wait
 }
 
-// Snapshot returns what the Balancer has observed, for another process to restore. It fails if ctx ends or
-// the Loop is closed first.
+// Snapshot returns a snapshot of the Balancer for another process to restore. It fails if ctx ends or the
+// Loop is closed first.
 func (l *Loop) Snapshot(ctx context.Context) (Snapshot, error) {
 	return queryBalancer(ctx, l, (*Balancer).Snapshot)
 }
 
-// EndpointViews returns what the Balancer knows of each endpoint that is listed. It fails if ctx ends or the
-// Loop is closed first.
+// EndpointViews returns a view of each listed endpoint for operators. It fails if ctx ends or the Loop is
+// closed first.
 func (l *Loop) EndpointViews(ctx context.Context) ([]EndpointView, error) {
 	return queryBalancer(ctx, l, (*Balancer).endpointViews)
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// maxSnapshotRoutes bounds the routes in a snapshot. Those confirmed last come first.
+// maxSnapshotRoutes limits the routes in a snapshot to those that expire last.
 const maxSnapshotRoutes = 4096
 
-// Snapshot is what a Balancer has observed, in a form that the Balancer of the same relay's next process
-// restores. Times are on the clock that the two have in common. The names in the tags are those of the
-// stored form, which other versions read.
+// Snapshot is the observed state of a Balancer, for the relay's next process to restore. Times are on a clock
+// that both processes share. The names in the tags must not change, as other versions read stored
+// snapshots.
 type Snapshot struct {
-	Salt              uint64             `json:"Salt" cbor:"Salt"` // slots stay where they are
+	Salt              uint64             `json:"Salt" cbor:"Salt"` // of hashes that assign time slots
 	Endpoints         []EndpointSnapshot `json:"Servers" cbor:"Servers"`
 	Routes            []RouteSnapshot    `json:"Routes" cbor:"Routes"`
-	RecentSetups      CounterSnapshot    `json:"Recent" cbor:"Recent"` // connections that warm endpoints took
-	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // requests that were drawn for
+	RecentSetups      CounterSnapshot    `json:"Recent" cbor:"Recent"` // at warm endpoints
+	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // of requests drawn for
 	SetupsPerSize     float64            `json:"PerSize" cbor:"PerSize"`
-	MeanLoad          float64            `json:"Load" cbor:"Load"` // of a connection
+	MeanLoad          float64            `json:"Load" cbor:"Load"` // per connection
 	LoadSamples       float64            `json:"Loads" cbor:"Loads"`
-	ConcurrencyWindow float64            `json:"Window" cbor:"Window"` // set-ups that may be in flight
+	ConcurrencyWindow float64            `json:"Window" cbor:"Window"` // maximum setups in flight
 }
 
-// EndpointSnapshot is what was observed of an endpoint. Times are 0 for what never happened.
+// EndpointSnapshot is the observed state of an endpoint. A time is 0 if its event never happened.
 type EndpointSnapshot struct {
 	ID            EndpointID    `json:"ID" cbor:"ID"`
 	Weight        float64       `json:"Weight" cbor:"Weight"`
@@ -55,7 +55,7 @@
 	CountedFrom time.Duration `json:"From" cbor:"From"`
 }
 
-// Snapshot returns what the Balancer has observed, for another process to restore.
+// Snapshot returns the observed state of the Balancer, for another process to restore.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
 		Salt:              b.salt,
@@ -83,15 +83,15 @@
 	return snapshot
 }
 
-// Restore restores what another Balancer has observed of the endpoints that are listed. It is for those
-// who drive a Balancer without a Loop.
+// Restore restores a snapshot of another Balancer. It ignores endpoints that are not listed. Use it only
+// without a Loop; RestoreSnapshot does the same for a Loop.
 func (b *Balancer) Restore(now time.Duration, snapshot Snapshot) {
 	b.now = now
 	b.restoreSnapshot(snapshot)
 }
 
-// restoreSnapshot restores a snapshot at the time b.now. What was observed of an endpoint before its last
-// start is left aside.
+// restoreSnapshot restores a snapshot at the time b.now. It ignores the state of endpoints that have
+// restarted since the snapshot.
 func (b *Balancer) restoreSnapshot(snapshot Snapshot) {
 	b.salt = snapshot.Salt
 	b.endpoints.recentSetups.restore(snapshot.RecentSetups)
@@ -107,14 +107,14 @@
 		endpoint.restore(saved)
 	}
 	b.endpoints.totalsValid = false
-	for _, route := range slices.Backward(snapshot.Routes) { // those confirmed last stay longest
+	for _, route := range slices.Backward(snapshot.Routes) { // the route added last is evicted last
 		if b.endpoints.find(route.Endpoint) != nil && b.now < route.ExpiresAt {
 			b.routes.put(route.Key, route.Endpoint, route.ExpiresAt)
 		}
 	}
 }
 
-// Renumber gives endpoints the IDs that they have in this process; those without one are left out.
+// Renumber replaces endpoint IDs with those of this process and removes entries without one.
 func (s *Snapshot) Renumber(number func(EndpointID) (EndpointID, bool)) {
 	renumber := func(id *EndpointID) bool {
 		newID, ok := number(*id)
@@ -135,6 +135,7 @@
 	}
 }
 
+// snapshot returns the observed state of the endpoint.
 func (e *endpointRecord) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
 		ID:            e.ID,
@@ -153,6 +154,7 @@
 	}
 }
 
+// restore restores the observed state of the endpoint, with its weight within the limits.
 func (e *endpointRecord) restore(saved EndpointSnapshot) {
 	e.weight, e.weightSetAt = min(maxWeight, max(minWeight, saved.Weight)), saved.WeightSetAt
 	e.lastAttemptAt = saved.LastAttemptAt
--- a/balancer/timerheap.go
+++ b/balancer/timerheap.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// timerEntry is a timer that a Balancer has set.
+// timerEntry is a pending timer of a Balancer.
 type timerEntry struct {
 	at    time.Duration
 	token uint32
 }
 
-// timerHeap holds the timers that are set, the next one on top; of equal times the one set first. It
-// implements heap.Interface.
+// timerHeap is a min-heap of pending timers by time, then by token, which is the order in which they were
+// set. It implements heap.Interface.
 type timerHeap []timerEntry
 
 func (h timerHeap) Len() int { return len(h) }
