--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -61,7 +61,6 @@
 	return b.actions
 }
 
-// dispatch calls the handler of an event.
 func (b *Balancer) dispatch(event Event) {
 	switch event := event.(type) {
 	case EndpointList:
--- a/balancer/hash.go
+++ b/balancer/hash.go
@@ -10,7 +10,6 @@
 	return x ^ x>>31
 }
 
-// hashKey hashes a key and an endpoint ID.
 func hashKey(key uint64, id EndpointID) uint64 { return mixBits(key ^ hashEndpointID(id)) }
 
 // uniform hashes a key and an endpoint ID to a number in the open interval (0, 1).
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -88,11 +88,11 @@
 	case s.PollList && s.PollInterval <= 0:
 		return errors.New("settings: the endpoint list is polled, but the poll interval is not positive")
 	}
-	for i, c := range s.Classes {
-		if c.Deadline <= 0 {
+	for i, class := range s.Classes {
+		if class.Deadline <= 0 {
 			return fmt.Errorf("settings: deadline of class %d is not positive", i)
 		}
-		if c.Semantics == Deduplicated && c.DeduplicationWindow <= 0 {
+		if class.Semantics == Deduplicated && class.DeduplicationWindow <= 0 {
 			return fmt.Errorf("settings: deduplication window of class %d is not positive", i)
 		}
 	}
@@ -100,8 +100,8 @@
 }
 
 // ClassIndex returns the index of the class with a name, or -1 if there is none.
-func (s *Settings) ClassIndex(class string) int {
-	return slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == class })
+func (s *Settings) ClassIndex(name string) int {
+	return slices.IndexFunc(s.Classes, func(class Class) bool { return class.Name == name })
 }
 
 // AcceptsTenant reports whether a request may name a tenant. Any is accepted if Tenants is empty.
@@ -119,13 +119,13 @@
 
 // shortestMessageObjective returns the shortest message latency objective of all classes; 0 if none is set.
 func (s *Settings) shortestMessageObjective() time.Duration {
-	var objective time.Duration
-	for _, c := range s.Classes {
-		if c.MessageLatencyObjective > 0 && (objective == 0 || c.MessageLatencyObjective < objective) {
-			objective = c.MessageLatencyObjective
+	var shortest time.Duration
+	for _, class := range s.Classes {
+		if class.MessageLatencyObjective > 0 && (shortest == 0 || class.MessageLatencyObjective < shortest) {
+			shortest = class.MessageLatencyObjective
 		}
 	}
-	return objective
+	return shortest
 }
 
 // handleSettings applies changed settings.
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -135,7 +135,6 @@
 	}
 }
 
-// snapshot returns the observed state of the endpoint.
 func (e *endpointRecord) snapshot() EndpointSnapshot {
 	return EndpointSnapshot{
 		ID:            e.ID,
