--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -14,23 +14,23 @@
 	"time"
 )
 
-// This file makes the sequences that replay_test.go replays, and runs with -record only. It simulates clients and endpoints
-// in a few words: enough to answer what the Balancer asks for, and to bring about every kind of failure.
+// This file records the sequences that replay_test.go replays; it runs only with -record. It simulates clients and
+// endpoints that execute the actions of a Balancer or Loop and cause every kind of failure.
 
-// replayScenario is what one recorded file holds.
+// replayScenario describes the simulation for one recorded file.
 type replayScenario struct {
 	name        string
 	servers     int
 	inputs      int
-	digestEvery int // inputs a digest; 0: the answers are written in full
-	settings    []string
-	observed    bool
-	throughLoop bool
-	rate        float64       // requests a second
-	outageEvery time.Duration // between two outages, on average; 0: 9 s
+	digestEvery int           // number of inputs per digest; 0: outputs are written in full
+	settings    []string      // one per settings value, added to commonSettings
+	observed    bool          // decisions are observed
+	throughLoop bool          // the inputs go to a Loop
+	rate        float64       // requests per second
+	outageEvery time.Duration // mean time between outages; 0: 9 s
 }
 
-// commonSettings are settings that all scenarios share, but for those they give themselves.
+// commonSettings are the settings that all scenarios share.
 const commonSettings = "attempts=3 tick=5000000 connect=200000000 retryafter=4000000000 coldshare=0.2 coldfor=20000000000 " +
 	"tipmultiple=3 tipafter=1500000000 askevery=10000000000 "
 
@@ -82,64 +82,69 @@
 	"name=once aim=800000000 deadline=4000000000 effect=once scope=all memory=0 messageaim=300000000",
 }
 
+// recordScenarios writes the recorded file of each scenario.
 func recordScenarios(t *testing.T) {
 	if err := os.MkdirAll(replayFolder, 0o755); err != nil {
-		t.Fatal(err)
+		t.Fatalf("create the folder of recorded files: %v", err)
 	}
-	for i, s := range replayScenarios {
-		r := &scenarioRecorder{t: t, replayScenario: s, player: newReplayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
+	for i, scenario := range replayScenarios {
+		recorder := &scenarioRecorder{t: t, replayScenario: scenario, player: newReplayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
 			now: time.Hour, clients: make(map[string]*recordedClient), started: make(map[int]time.Duration)}
-		r.run()
-		name := filepath.Join(replayFolder, s.name+".txt")
-		if err := os.WriteFile(name, []byte(r.text.String()), 0o644); err != nil {
-			t.Fatal(err)
+		recorder.run()
+		path := filepath.Join(replayFolder, scenario.name+".txt")
+		if err := os.WriteFile(path, []byte(recorder.text.String()), 0o644); err != nil {
+			t.Fatalf("write recorded file: %v", err)
 		}
-		t.Logf("%s: %d inputs, %d bytes", name, r.inputs, r.text.Len())
+		t.Logf("recorded %s: %d inputs, %d bytes", path, recorder.inputs, recorder.text.Len())
 	}
 }
 
-// scenarioRecorder simulates the environment of a Balancer or Loop and writes down what passes between them.
+// scenarioRecorder simulates the environment of a Balancer or Loop and records inputs and outputs.
 type scenarioRecorder struct {
 	t *testing.T
 	replayScenario
 	player *replayer
 	rng    *rand.Rand
 	text   strings.Builder
-	block  []string
+	block  []string // inputs and outputs since the last digest
 	inputs int
 
 	now             time.Duration
 	schedule        stepHeap
-	sequence        int
+	sequence        int // number of steps scheduled so far
 	clients         map[string]*recordedClient
 	lastClient      int
-	currentSettings int // settings in force
+	currentSettings int // index of the current settings
 	servers         []recordedEndpoint
 	started         map[int]time.Duration
-	restarted       bool
+	restarted       bool // the Balancer was replaced by one with its snapshot
 }
 
+// recordedEndpoint is the state of a simulated endpoint.
 type recordedEndpoint struct {
-	state     string // as listed
+	state     string // in the endpoint list
 	health    string // well, slow, full, broken, dead, leaving
 	startedAt time.Duration
 }
 
+// recordedClient is the state of a client's request or connection.
 type recordedClient struct {
 	name        string
 	endpoint    int
-	attempt     int // grows with each; 0 before the first
+	attempt     int // incremented by each attempt and by its end; 0 before the first
 	established bool
 	group       int
 	deadline    time.Duration
 }
 
+// scheduledStep is a step of the simulation at a time.
 type scheduledStep struct {
 	at       time.Duration
 	sequence int
 	do       func()
 }
 
+// stepHeap is a min-heap of steps by time, then by order of scheduling. It implements heap.Interface.
 type stepHeap []scheduledStep
 
 func (h stepHeap) Len() int { return len(h) }
@@ -154,40 +159,44 @@
 	return last
 }
 
+// after schedules a step after a delay.
 func (r *scenarioRecorder) after(d time.Duration, do func()) {
 	r.sequence++
 	heap.Push(&r.schedule, scheduledStep{r.now + d, r.sequence, do})
 }
 
-// every does something again and again, at times that vary around a period.
+// every schedules a step repeatedly, at intervals that vary around a period.
 func (r *scenarioRecorder) every(period time.Duration, do func()) {
 	r.after(r.jitter(period), func() { do(); r.every(period, do) })
 }
 
+// jitter returns a random duration between 0.5 and 1.5 times d.
 func (r *scenarioRecorder) jitter(d time.Duration) time.Duration {
 	return time.Duration((0.5 + r.rng.Float64()) * float64(d)).Truncate(time.Microsecond)
 }
 
-func (r *scenarioRecorder) chance(of float64) bool { return r.rng.Float64() < of }
+// chance returns true with a probability.
+func (r *scenarioRecorder) chance(probability float64) bool { return r.rng.Float64() < probability }
 
-// write plays an input and writes it down with what it brought; it returns the latter.
+// write executes an input, records it with its output and returns the output.
 func (r *scenarioRecorder) write(line string) []string {
-	out := slices.Clone(r.player.replay(r.t, line))
+	output := slices.Clone(r.player.replay(r.t, line))
 	r.inputs++
 	fmt.Fprintln(&r.text, line)
 	if r.digestEvery == 0 {
-		for _, o := range out {
-			fmt.Fprintln(&r.text, ">", o)
+		for _, outputLine := range output {
+			fmt.Fprintln(&r.text, ">", outputLine)
 		}
-		return out
+		return output
 	}
-	r.block = append(append(r.block, line), out...)
+	r.block = append(append(r.block, line), output...)
 	if r.inputs%r.digestEvery == 0 {
 		r.writeDigest()
 	}
-	return out
+	return output
 }
 
+// writeDigest records the digest of the current block, if it is not empty, and starts a new block.
 func (r *scenarioRecorder) writeDigest() {
 	if len(r.block) > 0 {
 		fmt.Fprintln(&r.text, "%", digest(r.block))
@@ -195,19 +204,20 @@
 	}
 }
 
-// input writes an input of now, and does what it brought.
+// input records an input at the current time and simulates the reaction to its output.
 func (r *scenarioRecorder) input(format string, args ...any) {
-	for _, o := range r.write(fmt.Sprintf("%d ", int64(r.now)) + fmt.Sprintf(format, args...)) {
-		r.react(strings.Fields(o))
+	for _, outputLine := range r.write(fmt.Sprintf("%d ", int64(r.now)) + fmt.Sprintf(format, args...)) {
+		r.react(strings.Fields(outputLine))
 	}
 }
 
+// number parses an integer; 0 if it is invalid.
 func number(word string) int {
 	n, _ := strconv.Atoi(word)
 	return n
 }
 
-// react does what an action or a step wants.
+// react simulates what an output line requires of clients, endpoints and timers.
 func (r *scenarioRecorder) react(words []string) {
 	switch words[0] {
 	case "send":
@@ -230,7 +240,7 @@
 	case "step":
 		client := r.clients[words[1]]
 		if client == nil {
-			return // the step and the client that left have crossed
+			return // the client left before the action reached it
 		}
 		switch words[2] {
 		case "pass":
@@ -241,7 +251,7 @@
 	}
 }
 
-// finish ends a request of a client; some clients return.
+// finish ends the request of a client; some clients send a new one later.
 func (r *scenarioRecorder) finish(client *recordedClient) {
 	if client == nil || r.clients[client.name] != client {
 		return
@@ -252,82 +262,84 @@
 	}
 }
 
+// current reports whether an attempt is a client's latest and the client has not left.
 func (r *scenarioRecorder) current(client *recordedClient, attempt int) bool {
 	return r.clients[client.name] == client && client.attempt == attempt
 }
 
-// attempt simulates an attempt at an endpoint.
-func (r *scenarioRecorder) attempt(client *recordedClient, server int, patience time.Duration) {
+// attempt simulates an attempt at an endpoint and schedules its outcome.
+func (r *scenarioRecorder) attempt(client *recordedClient, server int, timeout time.Duration) {
 	client.endpoint = server
 	client.attempt++
-	nth := client.attempt
-	takes, how := r.jitter(30*time.Millisecond), "up"
+	attempt := client.attempt
+	duration, outcome := r.jitter(30*time.Millisecond), "up"
 	health := r.servers[server-1].health
 	switch {
 	case health == "slow":
-		takes = r.jitter(900 * time.Millisecond)
+		duration = r.jitter(900 * time.Millisecond)
 	case health == "full" && r.chance(0.8):
-		how = "full"
+		outcome = "full"
 	case health == "broken" && r.chance(0.8):
-		how = "error"
+		outcome = "error"
 	case health == "dead":
-		takes, how = 200*time.Millisecond, "connect"
+		duration, outcome = 200*time.Millisecond, "connect"
 	case r.chance(0.04):
-		how = []string{"error", "reset", "cancelled", "moot", "away", "full"}[r.rng.IntN(6)]
+		outcome = []string{"error", "reset", "cancelled", "moot", "away", "full"}[r.rng.IntN(6)]
 	case r.chance(0.01):
-		takes = 10 * time.Second
+		duration = 10 * time.Second
 	}
-	if patience > 0 && takes >= patience {
-		takes, how = patience, "timeout"
-	} else if left := client.deadline - r.now; takes >= left+50*time.Millisecond {
-		takes, how = max(0, left)+50*time.Millisecond, "left"
+	if timeout > 0 && duration >= timeout {
+		duration, outcome = timeout, "timeout"
+	} else if timeLeft := client.deadline - r.now; duration >= timeLeft+50*time.Millisecond {
+		duration, outcome = max(0, timeLeft)+50*time.Millisecond, "left"
 	}
-	r.after(takes, func() {
-		if !r.current(client, nth) || client.established {
+	r.after(duration, func() {
+		if !r.current(client, attempt) || client.established {
 			return
 		}
-		switch how {
+		switch outcome {
 		case "up":
-			r.establish(client, takes)
+			r.establish(client, duration)
 		case "left":
 			r.leave(client)
 		default:
-			r.ended(client, how, false)
+			r.end(client, outcome, false)
 		}
 	})
 }
 
-func (r *scenarioRecorder) establish(client *recordedClient, took time.Duration) {
+// establish reports an established connection and schedules its load report and its end.
+func (r *scenarioRecorder) establish(client *recordedClient, setupTime time.Duration) {
 	client.established = true
-	nth := client.attempt
+	attempt := client.attempt
 	if r.throughLoop {
-		r.input("stands %s %d", client.name, int64(took))
+		r.input("stands %s %d", client.name, int64(setupTime))
 	} else {
-		r.input("standing %s %d %d", client.name, client.endpoint, int64(took))
+		r.input("standing %s %d %d", client.name, client.endpoint, int64(setupTime))
 	}
 	if r.chance(0.3) {
 		r.after(r.jitter(300*time.Millisecond), func() {
-			if r.current(client, nth) {
+			if r.current(client, attempt) {
 				r.load(client)
 			}
 		})
 	}
 	r.after(r.jitter(time.Duration(1+8*r.rng.ExpFloat64())*time.Second), func() {
-		if !r.current(client, nth) {
+		if !r.current(client, attempt) {
 			return
 		}
 		if r.chance(0.2) {
 			r.leave(client)
 			return
 		}
-		how := "ok"
+		outcome := "ok"
 		if r.chance(0.1) {
-			how = []string{"reset", "error", "away", "timeout"}[r.rng.IntN(4)]
+			outcome = []string{"reset", "error", "away", "timeout"}[r.rng.IntN(4)]
 		}
 		if r.servers[client.endpoint-1].health == "leaving" {
-			how = "away"
+			outcome = "away"
 		}
-		r.ended(client, how, true)
+		r.end(client, outcome, true)
 	})
 }
 
@@ -340,31 +352,33 @@
 	r.input("load %s %d %s", client.name, client.endpoint, load)
 }
 
-func (r *scenarioRecorder) ended(client *recordedClient, how string, over bool) {
-	if over {
+// end reports the end of an attempt, or of a connection if final.
+func (r *scenarioRecorder) end(client *recordedClient, outcome string, final bool) {
+	if final {
 		defer r.finish(client)
 	} else if client.attempt > 0 {
-		client.attempt++ // what is scheduled for this attempt no longer counts
+		client.attempt++ // drops what is scheduled for this attempt
 	}
 	if r.throughLoop {
-		r.input("ended %s %s", client.name, how)
+		r.input("ended %s %s", client.name, outcome)
 		return
 	}
-	r.input("outcome %s %d %s %t", client.name, client.endpoint, how, over)
+	r.input("outcome %s %d %s %t", client.name, client.endpoint, outcome, final)
 }
 
+// leave reports that a client disconnected.
 func (r *scenarioRecorder) leave(client *recordedClient) {
 	defer r.finish(client)
 	r.input("left %s", client.name)
 }
 
-// request sends a request of a client.
-func (r *scenarioRecorder) request(group int, back bool) {
+// request sends the request of a new client, or a resumed connection.
+func (r *scenarioRecorder) request(group int, returning bool) {
 	r.lastClient++
 	deadline := time.Duration(1+r.rng.IntN(3))*time.Second + r.jitter(100*time.Millisecond)
 	client := &recordedClient{name: strconv.Itoa(r.lastClient), group: group, deadline: r.now + deadline}
 	r.clients[client.name] = client
-	item, load, under := 0, "0", "-"
+	item, load, settings := 0, "0", "-"
 	if r.chance(0.3) {
 		item = 1 + r.rng.IntN(40)
 	}
@@ -372,50 +386,51 @@
 		load = formatFloat(0.01 * r.rng.ExpFloat64())
 	}
 	if r.chance(0.1) {
-		under = strconv.Itoa(r.rng.IntN(len(r.settings)))
+		settings = strconv.Itoa(r.rng.IntN(len(r.settings)))
 	}
 	class := r.rng.IntN(len(recordedClasses))
 	if r.chance(0.005) {
-		class = len(recordedClasses) // there is none of that number
+		class = len(recordedClasses) // an unknown class
 	}
 	resumed := r.chance(0.03)
-	at := 1 + r.rng.IntN(len(r.servers))
+	server := 1 + r.rng.IntN(len(r.servers))
 	if resumed {
-		client.established, client.endpoint = true, at
-		nth := client.attempt
+		client.established, client.endpoint = true, server
+		attempt := client.attempt
 		r.after(r.jitter(5*time.Second), func() {
-			if r.current(client, nth) {
-				r.ended(client, "ok", true)
+			if r.current(client, attempt) {
+				r.end(client, "ok", true)
 			}
 		})
 	}
 	if r.throughLoop {
-		open := "-"
+		establishedAt := "-"
 		if resumed {
-			open = strconv.Itoa(at)
+			establishedAt = strconv.Itoa(server)
 		}
-		r.input("pick %s %d %d %d %d %s %t %s %s", client.name, class, item, group, int64(client.deadline), load, back, under, open)
+		r.input("pick %s %d %d %d %d %s %t %s %s", client.name, class, item, group, int64(client.deadline), load, returning, settings, establishedAt)
 		return
 	}
-	request := fmt.Sprintf("%s %d %d %d %d %s %t %s", client.name, class, item, group, int64(deadline), load, back, under)
+	request := fmt.Sprintf("%s %d %d %d %d %s %t %s", client.name, class, item, group, int64(deadline), load, returning, settings)
 	if resumed {
-		r.input("resumed %d %s", at, request)
+		r.input("resumed %d %s", server, request)
 	} else {
 		r.input("request %s", request)
 	}
 }
 
-// listed writes n endpoints as a list does, from the first given.
+// listed formats n endpoints, starting with index first, for a list.
 func (r *scenarioRecorder) listed(first, n int) string {
 	var text strings.Builder
 	for i := first; i < first+n; i++ {
-		s := r.servers[i]
-		weight := formatFloat([]float64{1, 1, 2, 0.5, 1.3}[i%5])
-		fmt.Fprintf(&text, " %d:%s:%d:%d:%s:%d", i+1, s.state, i%3, i%6, weight, int64(s.startedAt))
+		server := r.servers[i]
+		size := formatFloat([]float64{1, 1, 2, 0.5, 1.3}[i%5])
+		fmt.Fprintf(&text, " %d:%s:%d:%d:%s:%d", i+1, server.state, i%3, i%6, size, int64(server.startedAt))
 	}
 	return text.String()
 }
 
+// list reports an endpoint list with n endpoints, starting with index first.
 func (r *scenarioRecorder) list(kind string, first, n int) {
 	if r.throughLoop {
 		r.input("farm %s %d%s", kind, r.inputs, r.listed(first, n))
@@ -424,50 +439,50 @@
 	r.input("list %s%s", kind, r.listed(first, n))
 }
 
-// injectFault changes the health of an endpoint, and updates the list a little later.
+// injectFault changes the health of a random endpoint and schedules its recovery and list updates.
 func (r *scenarioRecorder) injectFault() {
 	i := r.rng.IntN(len(r.servers))
-	s := &r.servers[i]
-	heal := func(after time.Duration) { r.after(r.jitter(after), func() { r.servers[i].health = "well" }) }
-	tell := func(after time.Duration, state string) {
-		r.after(r.jitter(after), func() {
-			s := &r.servers[i]
-			if s.state = state; state == "ready" {
-				s.health = "well"
+	server := &r.servers[i]
+	recoverAfter := func(delay time.Duration) { r.after(r.jitter(delay), func() { r.servers[i].health = "well" }) }
+	listAfter := func(delay time.Duration, state string) {
+		r.after(r.jitter(delay), func() {
+			server := &r.servers[i]
+			if server.state = state; state == "ready" {
+				server.health = "well"
 			}
 			r.list("delta", i, 1)
 		})
 	}
 	switch r.rng.IntN(6) {
 	case 0:
-		s.health = "slow"
-		heal(4 * time.Second)
+		server.health = "slow"
+		recoverAfter(4 * time.Second)
 	case 1:
-		s.health = "full"
-		heal(3 * time.Second)
+		server.health = "full"
+		recoverAfter(3 * time.Second)
 	case 2:
-		s.health = "broken"
-		heal(3 * time.Second)
+		server.health = "broken"
+		recoverAfter(3 * time.Second)
 	case 3: // it drains, stops and restarts
-		s.health = "leaving"
-		tell(500*time.Millisecond, "draining")
-		tell(6*time.Second, "gone")
+		server.health = "leaving"
+		listAfter(500*time.Millisecond, "draining")
+		listAfter(6*time.Second, "gone")
 		r.after(9*time.Second, func() { r.servers[i].startedAt = r.now })
-		tell(19*time.Second, "ready")
+		listAfter(19*time.Second, "ready")
 	default: // it crashes and restarts
-		s.health = "dead"
-		tell(time.Second, "gone")
+		server.health = "dead"
+		listAfter(time.Second, "gone")
 		r.after(3*time.Second, func() { r.servers[i].startedAt = r.now })
-		tell(7*time.Second, "ready")
+		listAfter(7*time.Second, "ready")
 	}
 }
 
-// outage makes a third of the endpoints slow, broken or dead at once.
+// outage changes the health of at least a third of the endpoints for a while.
 func (r *scenarioRecorder) outage() {
-	how := []string{"slow", "broken", "dead", "full", "slow"}[r.rng.IntN(5)]
+	health := []string{"slow", "broken", "dead", "full", "slow"}[r.rng.IntN(5)]
 	for i := range r.servers {
-		if i%3 == 1 || how == "slow" && i%2 == 0 {
-			r.servers[i].health = how
+		if i%3 == 1 || health == "slow" && i%2 == 0 {
+			r.servers[i].health = health
 		}
 	}
 	r.after(r.jitter(2500*time.Millisecond), func() {
@@ -477,6 +492,7 @@
 	})
 }
 
+// delays reports message delays of random endpoints.
 func (r *scenarioRecorder) delays() {
 	for range 1 + len(r.servers)/20 {
 		i := r.rng.IntN(len(r.servers))
@@ -495,7 +511,7 @@
 	}
 }
 
-// restart takes a snapshot, and makes another Balancer restore it.
+// restart takes a snapshot and restores it, the first time into a new Balancer. A Loop restores its own.
 func (r *scenarioRecorder) restart() {
 	if r.throughLoop {
 		r.input("snapshot")
@@ -512,7 +528,7 @@
 	}
 	r.restarted = true
 	r.input("renumber 3")
-	open := r.clients
+	previous := r.clients
 	r.clients, r.schedule = make(map[string]*recordedClient), nil
 	r.input("start %d 5", r.currentSettings)
 	if r.observed {
@@ -520,31 +536,31 @@
 	}
 	r.list("cached", 0, len(r.servers))
 	r.input("restore")
-	names := make([]string, 0, len(open))
-	for name, client := range open {
+	names := make([]string, 0, len(previous))
+	for name, client := range previous {
 		if client.established {
 			names = append(names, name)
 		}
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		client := open[name]
+		client := previous[name]
 		r.clients[name] = client
 		r.input("resumed %d %s 0 0 %d 1000000000 0 false -", client.endpoint, name, client.group)
-		nth := client.attempt
+		attempt := client.attempt
 		r.after(r.jitter(4*time.Second), func() {
-			if r.current(client, nth) {
-				r.ended(client, "ok", true)
+			if r.current(client, attempt) {
+				r.end(client, "ok", true)
 			}
 		})
 	}
-	for i := range r.servers { // what was scheduled to change them is dropped
+	for i := range r.servers { // as their scheduled recovery was dropped
 		r.servers[i].health, r.servers[i].state = "well", "ready"
 	}
 	r.startBackground()
 }
 
-// startBackground schedules what happens again and again.
+// startBackground schedules the repeated steps of the simulation.
 func (r *scenarioRecorder) startBackground() {
 	groups := 3 * len(r.servers)
 	r.every(time.Duration(float64(time.Second)/r.rate), func() {
@@ -586,7 +602,7 @@
 		}
 		r.input("%s %s", word, client.name)
 	})
-	if r.replayScenario.outageEvery > 0 { // its effect on the concurrency limit shows in snapshots first
+	if r.replayScenario.outageEvery > 0 { // snapshots show the effect of outages on the concurrency limit
 		r.every(300*time.Millisecond, func() { r.input("snapshot") })
 	}
 	if r.throughLoop {
@@ -595,13 +611,14 @@
 	}
 }
 
+// run simulates the scenario until it has recorded the wanted number of inputs.
 func (r *scenarioRecorder) run() {
 	fmt.Fprintf(&r.text, "# recorded by TestReplayGivesTheSameActions -record\n")
 	if r.digestEvery > 0 {
 		fmt.Fprintf(&r.text, "digest %d\n", r.digestEvery)
 	}
-	for i, s := range r.settings {
-		r.write(fmt.Sprintf("settings %d %s%s", i, commonSettings, s))
+	for i, settings := range r.settings {
+		r.write(fmt.Sprintf("settings %d %s%s", i, commonSettings, settings))
 		for _, class := range recordedClasses {
 			r.write(fmt.Sprintf("class %d %s", i, class))
 		}
@@ -622,9 +639,9 @@
 	r.list("full", 0, len(r.servers))
 	r.startBackground()
 	for r.inputs < r.replayScenario.inputs {
-		d := heap.Pop(&r.schedule).(scheduledStep)
-		r.now = max(r.now, d.at)
-		d.do()
+		step := heap.Pop(&r.schedule).(scheduledStep)
+		r.now = max(r.now, step.at)
+		step.do()
 		if !r.restarted && !r.throughLoop && r.inputs > r.replayScenario.inputs/2 || r.throughLoop && r.inputs%1000 == 0 {
 			r.restart()
 		}
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -15,100 +15,99 @@
 	"time"
 )
 
-// The files in testdata/replay hold sequences of events and the actions that they brought when they were recorded.
-// Replaying them shows that a change of the code's shape left every decision as it was, down to the order of random
-// draws and the last digit of each number.
+// The files in testdata/replay hold recorded sequences of inputs and their outputs. Replaying them guards against
+// refactorings that change a decision, the order of random draws or the rounding of a number.
 //
-// The text depends on no Go type or field name: its words are fixed below, so that a renaming touches the functions
-// parse... and format... of this file and no recorded file. A line is an input, or begins with one of
+// The format uses no Go type or field names, so that renaming affects only the parse and format functions of this file.
+// A line is an input, or starts with one of
 //
-//	>  one line of what the input before it brought
-//	%  a digest of the last inputs and of all they brought, in files that start with a line "digest N"
+//	>  one line of output of the preceding input
+//	%  the digest of the inputs since the previous digest and their outputs, in files that start with "digest N"
 //	#  a comment
 //
-// An input is a time in nanoseconds, a word and its arguments; durations are in nanoseconds too. Numbers that are not whole
-// are written with as many digits as tell them apart. The sums were recorded on amd64; an architecture that fuses
-// multiplication and addition may differ in last digits.
+// An input is a time, a word and arguments. Times and durations are in nanoseconds, floating-point numbers in their
+// shortest exact form. The files were recorded on amd64; architectures that fuse multiplication and addition may
+// round differently.
 
-// record writes the files anew, with answers of the code as it is. It is for changes that change decisions on purpose,
-// and for no others.
-var record = flag.Bool("record", false, "record testdata/replay anew: only when decisions are changed on purpose")
+// record makes TestReplayGivesTheSameActions record the files again from the current code.
+var record = flag.Bool("record", false, "record testdata/replay again: only after an intended change of decisions")
 
 const replayFolder = "testdata/replay"
 
+// Guards against unintended changes of decisions.
 func TestReplayGivesTheSameActions(t *testing.T) {
 	if *record {
 		recordScenarios(t)
 	}
 	files, err := filepath.Glob(filepath.Join(replayFolder, "*.txt"))
 	if err != nil || len(files) != len(replayScenarios) {
-		t.Fatalf("%d recorded files, want %d (%v)", len(files), len(replayScenarios), err)
+		t.Fatalf("found %d recorded files (error: %v), want %d", len(files), err, len(replayScenarios))
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) { replayFile(t, file) })
 	}
 }
 
-// replayFile replays one file and compares line by line, or block by block where the file holds digests.
+// replayFile replays one file and compares the outputs by line, or by digest if the file holds digests.
 func replayFile(t *testing.T, file string) {
 	content, err := os.ReadFile(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read recorded file: %v", err)
 	}
 	replayer := newReplayer()
 	var input string
-	var answer []string // of the input, or of all inputs since the last digest
+	var output []string // of the last input; with digests, all inputs and outputs since the last digest
 	inputs, next, digested := 0, 0, false
-	complete := func(line int) {
-		if !digested && next < len(answer) {
-			t.Fatalf("%s:%d: %q brought also %q", file, line, input, answer[next])
+	checkComplete := func(line int) {
+		if !digested && next < len(output) {
+			t.Fatalf("%s:%d: input %q has additional output %q", file, line, input, output[next])
 		}
 	}
 	lines := bufio.NewScanner(bytes.NewReader(content))
 	lines.Buffer(nil, 1<<20)
-	number := 0
+	lineNumber := 0
 	for lines.Scan() {
-		number++
+		lineNumber++
 		line := lines.Text()
 		switch {
 		case line == "" || line[0] == '#':
 		case strings.HasPrefix(line, "digest "):
 			digested = true
 		case line[0] == '%':
-			if got := digest(answer); got != line[2:] {
-				t.Fatalf("%s:%d: the digest of the inputs before is %s, want %s; they brought:\n%s",
-					file, number, got, line[2:], strings.Join(answer, "\n"))
+			if got := digest(output); got != line[2:] {
+				t.Fatalf("%s:%d: digest is %s, want %s; inputs and outputs since the last digest:\n%s",
+					file, lineNumber, got, line[2:], strings.Join(output, "\n"))
 			}
-			answer = answer[:0]
+			output = output[:0]
 		case line[0] == '>':
-			if next >= len(answer) {
-				t.Fatalf("%s:%d: %q did not bring %q", file, number, input, line[2:])
+			if next >= len(output) {
+				t.Fatalf("%s:%d: output of input %q lacks %q", file, lineNumber, input, line[2:])
 			}
-			if answer[next] != line[2:] {
-				t.Fatalf("%s:%d: %q brought\n%s\nwant\n%s", file, number, input, answer[next], line[2:])
+			if output[next] != line[2:] {
+				t.Fatalf("%s:%d: output of input %q is\n%s\nwant\n%s", file, lineNumber, input, output[next], line[2:])
 			}
 			next++
 		default:
-			complete(number)
+			checkComplete(lineNumber)
 			inputs++
 			input = line
 			if !digested {
-				answer, next = answer[:0], 0
+				output, next = output[:0], 0
 			} else {
-				answer = append(answer, line)
+				output = append(output, line)
 			}
-			answer = append(answer, replayer.replay(t, line)...)
+			output = append(output, replayer.replay(t, line)...)
 		}
 	}
 	if err := lines.Err(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read lines of %s: %v", file, err)
 	}
-	complete(number)
-	if digested && len(answer) > 0 {
-		t.Fatalf("%s: no digest stands after the last inputs", file)
+	checkComplete(lineNumber)
+	if digested && len(output) > 0 {
+		t.Fatalf("%s: no digest after the last inputs", file)
 	}
 	if inputs < 300 {
-		t.Fatalf("%s has only %d inputs", file, inputs)
+		t.Fatalf("%s has %d inputs, want at least 300", file, inputs)
 	}
 }
 
@@ -121,26 +120,26 @@
 	return fmt.Sprintf("%x", hash.Sum(nil))
 }
 
-// replayer plays inputs to a Balancer, or to a Loop once a file has asked for one.
+// replayer passes inputs to a Balancer, or to a Loop after the input "facade".
 type replayer struct {
 	settings  map[string]*Settings
 	balancer  *Balancer
 	snapshot  Snapshot
-	decisions []string // of the input being played
+	decisions []string // observed during the current input
 
 	loop        *Loop
 	handles     map[string]*RequestHandle
-	openHandles []string // of requests that have not ended
+	openHandles []string // names of requests that have not ended
 	canceled    context.Context
 }
 
 func newReplayer() *replayer {
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	return &replayer{settings: make(map[string]*Settings), handles: make(map[string]*RequestHandle), canceled: gone}
+	return &replayer{settings: make(map[string]*Settings), handles: make(map[string]*RequestHandle), canceled: canceled}
 }
 
-// replay plays one input and returns what it brought.
+// replay executes one input and returns its output.
 func (r *replayer) replay(t *testing.T, line string) []string {
 	args := strings.Fields(line)
 	r.decisions = r.decisions[:0]
@@ -164,12 +163,13 @@
 	return r.replayBalancer(t, now, args[1], args[2:])
 }
 
+// replayBalancer executes an input with the Balancer.
 func (r *replayer) replayBalancer(t *testing.T, now time.Duration, word string, args []string) []string {
 	switch word {
 	case "start": // settings, seed
 		settings := r.settings[args[0]]
 		if err := settings.Validate(); err != nil {
-			t.Fatal(err)
+			t.Fatalf("invalid settings %s: %v", args[0], err)
 		}
 		r.balancer = New(*settings, parseUint(t, args[1]))
 		return nil
@@ -181,9 +181,9 @@
 	case "snapshot":
 		r.snapshot = r.balancer.Snapshot()
 		return formatSnapshot(&r.snapshot)
-	case "renumber": // an endpoint that is left out; all others keep their IDs
-		left := EndpointID(parseUint(t, args[0]))
-		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != left })
+	case "renumber": // server to remove; all others keep their IDs
+		removed := EndpointID(parseUint(t, args[0]))
+		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != removed })
 		return formatSnapshot(&r.snapshot)
 	case "restore":
 		r.balancer.Restore(now, r.snapshot)
@@ -207,10 +207,10 @@
 	return append(out, r.decisions...)
 }
 
-// parseEvent reads an event of the Balancer.
+// parseEvent parses an event for the Balancer.
 func (r *replayer) parseEvent(t *testing.T, word string, args []string) Event {
 	request := func(i int) RequestID { return RequestID(parseUint(t, args[i])) }
-	server := func(i int) EndpointID { return EndpointID(parseUint(t, args[i])) }
+	endpoint := func(i int) EndpointID { return EndpointID(parseUint(t, args[i])) }
 	switch word {
 	case "list": // kind, servers
 		return EndpointList{Kind: parseListKind(t, args[0]), Endpoints: parseEndpoints(t, args[1:])}
@@ -219,27 +219,27 @@
 	case "request":
 		return r.parseRequest(t, args)
 	case "resumed": // server, request
-		return Resumed{Endpoint: server(0), Request: r.parseRequest(t, args[1:])}
-	case "standing": // request, server, time it took
-		return Established{Request: request(0), Endpoint: server(1), SetupTime: parseDuration(t, args[2])}
-	case "outcome": // request, server, status, over
-		return Outcome{Request: request(0), Endpoint: server(1), Status: parseStatus(t, args[2]), Final: parseBool(t, args[3])}
+		return Resumed{Endpoint: endpoint(0), Request: r.parseRequest(t, args[1:])}
+	case "standing": // request, server, setup time
+		return Established{Request: request(0), Endpoint: endpoint(1), SetupTime: parseDuration(t, args[2])}
+	case "outcome": // request, server, status, final
+		return Outcome{Request: request(0), Endpoint: endpoint(1), Status: parseStatus(t, args[2]), Final: parseBool(t, args[3])}
 	case "dismissed":
 		return AnswerRequired{Request: request(0)}
 	case "left":
 		return ClientLeft{Request: request(0)}
 	case "load": // request, server, load
-		return ConnectionLoad{Request: request(0), Endpoint: server(1), Load: parseFloat(t, args[2])}
+		return ConnectionLoad{Request: request(0), Endpoint: endpoint(1), Load: parseFloat(t, args[2])}
 	case "delay": // request, server, delay
-		return EndpointDelay{Request: request(0), Endpoint: server(1), Delay: parseDuration(t, args[2])}
+		return EndpointDelay{Request: request(0), Endpoint: endpoint(1), Delay: parseDuration(t, args[2])}
 	case "timer":
 		return Timer{Token: uint32(parseUint(t, args[0]))}
 	}
-	t.Fatalf("no such input: %s", word)
+	t.Fatalf("unknown Balancer input: %q", word)
 	return nil
 }
 
-// parseRequest reads: request, class, item, group, time left, load, comes back, settings or "-".
+// parseRequest parses: request, class, item, group, time left, load, returning, settings or "-".
 func (r *replayer) parseRequest(t *testing.T, args []string) Request {
 	return Request{
 		ID: RequestID(parseUint(t, args[0])), Class: int(parseUint(t, args[1])), Item: parseUint(t, args[2]), Group: parseUint(t, args[3]),
@@ -262,11 +262,11 @@
 	case WatchEndpoints:
 		return "watch"
 	}
-	t.Fatalf("no such action: %T", action)
+	t.Fatalf("unknown action type: %T", action)
 	return ""
 }
 
-// replayLoop plays an input to the Loop. Requests go by names of their own there, and actions come with a tick.
+// replayLoop executes an input with the Loop. Its requests have names, and actions are output by the input "tick".
 func (r *replayer) replayLoop(t *testing.T, now time.Duration, word string, args []string) []string {
 	switch word {
 	case "facade": // settings, seed
@@ -276,7 +276,7 @@
 		return nil
 	case "tick":
 		return r.tick(now)
-	case "pick": // name, class, item, group, give up at, load, comes back, settings, open at server or "-"
+	case "pick": // name, class, item, group, deadline, load, returning, settings, server of an established connection or "-"
 		options := RequestOptions{
 			Class: int(parseUint(t, args[1])), Item: parseUint(t, args[2]), Group: parseUint(t, args[3]), Deadline: parseDuration(t, args[4]),
 			ExpectedLoad: parseFloat(t, args[5]), Returning: parseBool(t, args[6]), Settings: r.settings[args[7]], Observer: namedObserver{r, args[0]},
@@ -288,14 +288,14 @@
 		r.handles[args[0]] = handle
 		r.openHandles = append(r.openHandles, args[0])
 		if action, err := r.loop.NextAction(r.canceled, handle); err == nil {
-			t.Fatalf("action %v before a Tick", action)
+			t.Fatalf("got action %v before a Tick", action)
 		}
 		return []string{"time left " + formatDuration(handle.TimeLeft(now))}
 	case "advice":
 		wait := duringTick(r, now, r.loop.RetryAfter)
 		return append([]string{"advice " + formatDuration(wait)}, r.decisions...)
 	case "views":
-		views := duringTick(r, now, func(ctx context.Context) []EndpointView { v, _ := r.loop.EndpointViews(ctx); return v })
+		views := duringTick(r, now, func(ctx context.Context) []EndpointView { views, _ := r.loop.EndpointViews(ctx); return views })
 		return append(formatViews(views), r.decisions...)
 	case "snapshot":
 		r.snapshot = duringTick(r, now, func(ctx context.Context) Snapshot { snapshot, _ := r.loop.Snapshot(ctx); return snapshot })
@@ -313,10 +313,10 @@
 	return nil
 }
 
-// parseLoopEvent reads what is reported to the Loop.
+// parseLoopEvent parses an event for the Loop.
 func (r *replayer) parseLoopEvent(t *testing.T, word string, args []string) LoopEvent {
 	switch word {
-	case "stands": // name, time it took
+	case "stands": // name, setup time
 		return AttemptEstablished{Handle: r.handles[args[0]], SetupTime: parseDuration(t, args[1])}
 	case "ended": // name, status
 		return AttemptEnded{Handle: r.handles[args[0]], Status: parseStatus(t, args[1])}
@@ -337,17 +337,17 @@
 	case "budget":
 		return SlowStartBudget{Share: parseFloat(t, args[0])}
 	}
-	t.Fatalf("no such input: %s", word)
+	t.Fatalf("unknown Loop input: %q", word)
 	return nil
 }
 
-// tick ticks and returns the time of the next timer, the decisions, and the actions of all requests that are open.
+// tick calls Tick and returns the time of the next timer, the decisions and the actions of all open requests.
 func (r *replayer) tick(now time.Duration) []string {
 	at, set := r.loop.Tick(now)
 	out := append([]string{fmt.Sprintf("next %d %t", int64(at), set)}, r.decisions...)
 	var open []string
 	for _, name := range r.openHandles {
-		over := false
+		final := false
 		for {
 			action, err := r.loop.NextAction(r.canceled, r.handles[name])
 			if err != nil {
@@ -357,10 +357,10 @@
 				ActionAttempt: "pass", ActionEstablished: "up", ActionMigrate: "move", ActionClosed: "over",
 				ActionReject: "unavailable", ActionFail: "failed",
 			}[action.Kind]
-			over = over || action.Kind != ActionAttempt && action.Kind != ActionEstablished
+			final = final || action.Kind != ActionAttempt && action.Kind != ActionEstablished
 			out = append(out, fmt.Sprintf("step %s %s %d %d %d", name, word, action.Endpoint, int64(action.Wait), int64(action.NotAfter)))
 		}
-		if !over {
+		if !final {
 			open = append(open, name)
 		}
 	}
@@ -368,20 +368,20 @@
 	return out
 }
 
-// duringTick asks what only a Tick can answer, and ticks.
-func duringTick[T any](replayer *replayer, now time.Duration, ask func(context.Context) T) T {
+// duringTick calls query, which waits for a Tick, and calls Tick.
+func duringTick[T any](replayer *replayer, now time.Duration, query func(context.Context) T) T {
 	select {
 	case <-replayer.loop.Pending():
 	default:
 	}
 	answer := make(chan T, 1)
-	go func() { answer <- ask(context.Background()) }()
+	go func() { answer <- query(context.Background()) }()
 	<-replayer.loop.Pending()
 	replayer.loop.Tick(now)
 	return <-answer
 }
 
-// namedObserver records the decisions on a request of the Loop.
+// namedObserver records the decisions on one request of the Loop.
 type namedObserver struct {
 	replayer *replayer
 	name     string
@@ -393,7 +393,7 @@
 	}
 }
 
-// formatDecision writes a decision as one line and each considered endpoint as one more.
+// formatDecision formats a decision as one line, followed by one line for each considered endpoint.
 func formatDecision(id RequestID, decision *Decision) []string {
 	out := []string{fmt.Sprintf("decided %d %s %s at=%d attempt=%d server=%d wait=%d left=%d ready=%d slow=%s revision=%d age=%d instead=%d",
 		id, decision.Verdict, decision.Reason, int64(decision.At), decision.Attempt, decision.Endpoint, int64(decision.Wait), int64(decision.TimeLeft), decision.ReadyEndpoints, formatFloat(decision.SlowShare),
@@ -406,23 +406,25 @@
 	return out
 }
 
+// formatSnapshot formats a snapshot as one line, followed by one line for each endpoint and route.
 func formatSnapshot(snapshot *Snapshot) []string {
-	count := func(c CounterSnapshot) string {
-		return fmt.Sprintf("%s,%d,%d", formatFloat(c.Count), int64(c.UpdatedAt), int64(c.CountedFrom))
+	formatCounter := func(counter CounterSnapshot) string {
+		return fmt.Sprintf("%s,%d,%d", formatFloat(counter.Count), int64(counter.UpdatedAt), int64(counter.CountedFrom))
 	}
 	out := []string{fmt.Sprintf("snapshot salt=%d recent=%s pace=%s persize=%s load=%s loads=%s window=%s", snapshot.Salt,
-		count(snapshot.RecentSetups), count(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyWindow))}
-	for _, s := range snapshot.Endpoints {
-		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", s.ID, formatFloat(s.Weight), int64(s.WeightSetAt),
-			int64(s.LastAttemptAt), int64(s.EstablishedAt), int64(s.FailedAt), int64(s.SlowAt), int64(s.Delay), int64(s.DelayAt),
-			int64(s.RelievedAt), int64(s.DrainingSince), int64(s.RedirectedAt), int64(s.StartedAt)))
+		formatCounter(snapshot.RecentSetups), formatCounter(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyWindow))}
+	for _, endpoint := range snapshot.Endpoints {
+		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", endpoint.ID, formatFloat(endpoint.Weight), int64(endpoint.WeightSetAt),
+			int64(endpoint.LastAttemptAt), int64(endpoint.EstablishedAt), int64(endpoint.FailedAt), int64(endpoint.SlowAt), int64(endpoint.Delay), int64(endpoint.DelayAt),
+			int64(endpoint.RelievedAt), int64(endpoint.DrainingSince), int64(endpoint.RedirectedAt), int64(endpoint.StartedAt)))
 	}
-	for _, r := range snapshot.Routes {
-		out = append(out, fmt.Sprintf("route %d %d %d", r.Key, r.Endpoint, int64(r.ExpiresAt)))
+	for _, route := range snapshot.Routes {
+		out = append(out, fmt.Sprintf("route %d %d %d", route.Key, route.Endpoint, int64(route.ExpiresAt)))
 	}
 	return out
 }
 
+// formatViews formats each view as one line.
 func formatViews(views []EndpointView) []string {
 	var out []string
 	for _, view := range views {
@@ -431,7 +433,7 @@
 	return out
 }
 
-// The words of the files for enumerated values.
+// Words of the recorded files for enumerated values.
 
 var (
 	effectWords = map[string]DeliverySemantics{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
@@ -446,26 +448,26 @@
 
 func lookUp[T any](t *testing.T, words map[string]T, word string) T {
 	t.Helper()
-	m, ok := words[word]
+	value, ok := words[word]
 	if !ok {
-		t.Fatalf("no such word: %q", word)
+		t.Fatalf("unknown word %q for a %T", word, value)
 	}
-	return m
+	return value
 }
 
 func parseListKind(t *testing.T, word string) ListKind    { return lookUp(t, listWords, word) }
 func parseStatus(t *testing.T, word string) AttemptStatus { return lookUp(t, statusWords, word) }
 
-func formatState(s EndpointState) string {
-	for word, state := range stateWords {
-		if state == s {
+func formatState(state EndpointState) string {
+	for word, candidate := range stateWords {
+		if candidate == state {
 			return word
 		}
 	}
 	return "unknown"
 }
 
-// parseEndpoints reads endpoints as number:state:zone:cell:weight:time of start.
+// parseEndpoints parses endpoints of the form id:state:zone:cell:size:start time.
 func parseEndpoints(t *testing.T, words []string) []Endpoint {
 	var list []Endpoint
 	for _, word := range words {
@@ -478,35 +480,36 @@
 	return list
 }
 
-// parsePairs reads key=value words.
+// parsePairs parses words of the form key=value.
 func parsePairs(t *testing.T, words []string) map[string]string {
-	m := make(map[string]string)
+	pairs := make(map[string]string)
 	for _, word := range words {
 		key, value, ok := strings.Cut(word, "=")
 		if !ok {
-			t.Fatalf("not key=value: %q", word)
+			t.Fatalf("word %q has not the form key=value", word)
 		}
-		m[key] = value
+		pairs[key] = value
 	}
-	return m
+	return pairs
 }
 
+// parseSettings parses settings without classes and tenants.
 func parseSettings(t *testing.T, words []string) *Settings {
-	m := parsePairs(t, words)
+	pairs := parsePairs(t, words)
 	return &Settings{
-		Relays: int(parseUint(t, m["relays"])), Zone: int(parseUint(t, m["zone"])), PollList: parseBool(t, m["ask"]),
-		PollInterval: parseDuration(t, m["askevery"]), MaxAttempts: int(parseUint(t, m["attempts"])), MinTick: parseDuration(t, m["tick"]),
-		ConnectTimeout: parseDuration(t, m["connect"]), MaxRetryAfter: parseDuration(t, m["retryafter"]), InitialCapacity: parseFloat(t, m["coldshare"]),
-		SlowStartDuration: parseDuration(t, m["coldfor"]), OverloadMultiple: parseFloat(t, m["tipmultiple"]), OverloadWindow: parseDuration(t, m["tipafter"]),
-		CrossZoneCost: parseFloat(t, m["crosszone"]), ReportsLoad: parseBool(t, m["tellsload"]), ReportsDelay: parseBool(t, m["tellsdelay"]),
+		Relays: int(parseUint(t, pairs["relays"])), Zone: int(parseUint(t, pairs["zone"])), PollList: parseBool(t, pairs["ask"]),
+		PollInterval: parseDuration(t, pairs["askevery"]), MaxAttempts: int(parseUint(t, pairs["attempts"])), MinTick: parseDuration(t, pairs["tick"]),
+		ConnectTimeout: parseDuration(t, pairs["connect"]), MaxRetryAfter: parseDuration(t, pairs["retryafter"]), InitialCapacity: parseFloat(t, pairs["coldshare"]),
+		SlowStartDuration: parseDuration(t, pairs["coldfor"]), OverloadMultiple: parseFloat(t, pairs["tipmultiple"]), OverloadWindow: parseDuration(t, pairs["tipafter"]),
+		CrossZoneCost: parseFloat(t, pairs["crosszone"]), ReportsLoad: parseBool(t, pairs["tellsload"]), ReportsDelay: parseBool(t, pairs["tellsdelay"]),
 	}
 }
 
 func parseClass(t *testing.T, words []string) Class {
-	m := parsePairs(t, words)
+	pairs := parsePairs(t, words)
 	return Class{
-		Name: m["name"], LatencyObjective: parseDuration(t, m["aim"]), Deadline: parseDuration(t, m["deadline"]), Semantics: lookUp(t, effectWords, m["effect"]),
-		DeduplicationScope: lookUp(t, scopeWords, m["scope"]), DeduplicationWindow: parseDuration(t, m["memory"]), MessageLatencyObjective: parseDuration(t, m["messageaim"]),
+		Name: pairs["name"], LatencyObjective: parseDuration(t, pairs["aim"]), Deadline: parseDuration(t, pairs["deadline"]), Semantics: lookUp(t, effectWords, pairs["effect"]),
+		DeduplicationScope: lookUp(t, scopeWords, pairs["scope"]), DeduplicationWindow: parseDuration(t, pairs["memory"]), MessageLatencyObjective: parseDuration(t, pairs["messageaim"]),
 	}
 }
 
@@ -514,7 +517,7 @@
 	t.Helper()
 	n, err := strconv.ParseInt(word, 10, 64)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse duration: %v", err)
 	}
 	return time.Duration(n)
 }
@@ -523,7 +526,7 @@
 	t.Helper()
 	n, err := strconv.ParseUint(word, 10, 64)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse unsigned integer: %v", err)
 	}
 	return n
 }
@@ -532,18 +535,18 @@
 	t.Helper()
 	n, err := strconv.ParseFloat(word, 64)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse floating-point number: %v", err)
 	}
 	return n
 }
 
 func parseBool(t *testing.T, word string) bool {
 	t.Helper()
-	is, err := strconv.ParseBool(word)
+	value, err := strconv.ParseBool(word)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse boolean: %v", err)
 	}
-	return is
+	return value
 }
 
 func formatDuration(d time.Duration) string { return strconv.FormatInt(int64(d), 10) }
