--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Whatever a request waits for, it is answered once and within its deadline.
+// Guards against requests that get no answer, a late one or several, whatever they wait for.
 func TestEveryRequestIsAnsweredWithinItsDeadline(t *testing.T) {
 	for name, endpoints := range map[string][]Endpoint{
 		"no endpoint":   nil,
 		"none ready":    {{ID: 1, State: StateDraining, Size: 1}},
-		"one, silent":   readyEndpoints(1),
+		"one, no reply": readyEndpoints(1),
 		"several":       readyEndpoints(3),
-		"only cold one": {{ID: 1, State: StateReady, Size: 1, StartedAt: time.Hour}},
+		"one, warming":  {{ID: 1, State: StateReady, Size: 1, StartedAt: time.Hour}},
 	} {
-		for _, left := range []time.Duration{0, ms, 50 * ms, 150 * ms, 2 * time.Second} {
+		for _, timeLeft := range []time.Duration{0, ms, 50 * ms, 150 * ms, 2 * time.Second} {
 			relay := newTestRelay(t, testSettings(), endpoints...)
-			actions := relay.handle(Request{ID: 1, TimeLeft: left})
-			if left > 10*ms {
-				actions = append(actions, relay.advance(left-1)...)
+			actions := relay.handle(Request{ID: 1, TimeLeft: timeLeft})
+			if timeLeft > 10*ms {
+				actions = append(actions, relay.advance(timeLeft-1)...)
 			}
 			if n := countActions[Reject](actions) + countActions[Fail](actions); n != 1 {
-				t.Errorf("%s, %v left: %d answers", name, left, n)
+				t.Errorf("endpoints %q, %v left: got %d answers, want 1", name, timeLeft, n)
 			}
 			if actions = relay.advance(10 * time.Second); len(actions) > 0 {
-				t.Errorf("%s, %v left: %v after the answer", name, left, actions)
+				t.Errorf("endpoints %q, %v left: actions after the answer: %v", name, timeLeft, actions)
 			}
 		}
 	}
 }
 
-func TestNoActionFollowsAClientThatLeft(t *testing.T) {
+func TestNoActionAfterClientLeft(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
 	endpoint := relay.wantSent(relay.handle(Request{ID: 1, TimeLeft: time.Second}), 1)
 	relay.fail(1, endpoint, StatusFull)
@@ -39,11 +39,11 @@
 	wantActions(t, relay.fail(1, endpoint, StatusFull))
 	wantActions(t, relay.handle(Timer{Token: 999}))
 	if len(relay.balancer.requests) != 0 || relay.balancer.concurrency.inFlight != 0 {
-		t.Errorf("%d requests kept, %d attempts in flight", len(relay.balancer.requests), relay.balancer.concurrency.inFlight)
+		t.Errorf("after the client left: %d requests, %d attempts in flight, want none", len(relay.balancer.requests), relay.balancer.concurrency.inFlight)
 	}
 }
 
-func TestRequestsQueueForTheConcurrencyWindowAndAreAnswered(t *testing.T) {
+func TestRequestsQueuedForConcurrencyWindowAreAnswered(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(3)...)
 	relay.balancer.concurrency.limit = 1
 	first, actions := relay.request(1)
@@ -51,15 +51,15 @@
 	second, actions := relay.request(2)
 	wantActions(t, actions)
 	relay.request(3)
-	actions = relay.handle(Established{Request: first, Endpoint: endpoint, SetupTime: time.Second}) // it misses its objective: the limit stays
+	actions = relay.handle(Established{Request: first, Endpoint: endpoint, SetupTime: time.Second}) // above the latency objective: the limit stays
 	relay.wantSent(actions, second)
 	if n := countActions[Reject](relay.advance(2 * time.Second)); n != 2 {
-		t.Errorf("%d of the 2 that were queued were answered", n)
+		t.Errorf("%d of 2 waiting requests were rejected at their deadline", n)
 	}
 }
 
-// A request that no endpoint can take is rejected at once, with a retry-after.
-func TestRequestWithoutViableEndpointIsRejectedAtOnce(t *testing.T) {
+// Guards against holding a request until its deadline when every endpoint has already failed it.
+func TestRequestWithoutViableEndpointIsRejectedImmediately(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 1500 * ms
 	relay := newTestRelay(t, settings, readyEndpoints(2)...)
@@ -74,7 +74,7 @@
 	wantActions(t, relay.advance(2*retryBackoffBase), Reject{Request: id, RetryAfter: 1500 * ms})
 }
 
-// A rejected client must not return at once to endpoints that are still full.
+// Guards against rejected clients that return immediately.
 func TestRejectionCarriesRetryAfter(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 1500 * ms
@@ -83,14 +83,14 @@
 	wantActions(t, append(actions, relay.advance(2*time.Second)...), Reject{Request: id, RetryAfter: 1500 * ms})
 }
 
-// The retry-after is when the first of the slow endpoints takes requests again.
-func TestRetryAfterIsWhenASlowEndpointTakesRequestsAgain(t *testing.T) {
+// Guards against clients that return while all endpoints are still slow.
+func TestRetryAfterIsTimeUntilEndpointIsNoLongerSlow(t *testing.T) {
 	settings := testSettings()
 	settings.MaxRetryAfter = 10 * time.Second
 	relay := newTestRelay(t, settings, readyEndpoints(1)...)
-	up, endpoint := relay.connect(7)
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
+	established, endpoint := relay.connect(7)
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
 	id, _ := relay.request(7)
-	left := 2*time.Second - 2*settings.MinTick
-	wantActions(t, relay.advance(left), Reject{Request: id, RetryAfter: slowDuration - left})
+	timeLeft := 2*time.Second - 2*settings.MinTick
+	wantActions(t, relay.advance(timeLeft), Reject{Request: id, RetryAfter: slowDuration - timeLeft})
 }
--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -7,72 +7,73 @@
 	"time"
 )
 
-// benchEndpointCounts are the numbers of endpoints that benchmarks run with. From 64 on a draw uses a filter.
+// benchEndpointCounts are the fleet sizes of the benchmarks, below and above largeTableSize.
 var benchEndpointCounts = []int{5, 60, 1000, 5000}
 
-// benchConnectionsPerEndpoint is how many connections are established per endpoint while a benchmark runs.
+// benchConnectionsPerEndpoint is the number of established connections per endpoint during a benchmark.
 const benchConnectionsPerEndpoint = 4
 
-// BenchmarkSetUp is a request from its arrival to the end of its connection: of a group whose route is cached, of one
-// that is drawn for, and of no group.
+// BenchmarkSetUp measures a request from its arrival to the end of its connection: with a cached route, with a
+// draw for a group, and without a group.
 func BenchmarkSetUp(b *testing.B) {
-	for _, n := range benchEndpointCounts {
-		for _, how := range []string{"cached", "drawn", "alone"} {
-			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
-				balancer, id := benchBalancer(n)
+	for _, endpointCount := range benchEndpointCounts {
+		for _, variant := range []string{"cached", "drawn", "alone"} {
+			b.Run(fmt.Sprintf("servers=%d/%s", endpointCount, variant), func(b *testing.B) {
+				balancer, id := benchBalancer(endpointCount)
 				now := 2 * time.Hour
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					id++
 					now += 5 * time.Millisecond
-					runRequest(b, balancer, now, Request{ID: id, Group: benchGroup(how, i), TimeLeft: 2 * time.Second})
+					runRequest(b, balancer, now, Request{ID: id, Group: benchGroup(variant, i), TimeLeft: 2 * time.Second})
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkLoopSetUp is the same through Pick, Report and Tick.
+// BenchmarkLoopSetUp measures the same through NextAction, Report and Tick of a Loop.
 func BenchmarkLoopSetUp(b *testing.B) {
-	for _, n := range benchEndpointCounts {
-		for _, how := range []string{"cached", "drawn"} {
-			b.Run(fmt.Sprintf("servers=%d/%s", n, how), func(b *testing.B) {
+	for _, endpointCount := range benchEndpointCounts {
+		for _, variant := range []string{"cached", "drawn"} {
+			b.Run(fmt.Sprintf("servers=%d/%s", endpointCount, variant), func(b *testing.B) {
 				loop := NewLoop(testSettings(), 1)
-				loop.Report(EndpointUpdate{Kind: ListFull, Endpoints: readyEndpoints(n)})
+				loop.Report(EndpointUpdate{Kind: ListFull, Endpoints: readyEndpoints(endpointCount)})
 				loop.Tick(time.Hour)
 				now := time.Hour
-				gone, cancel := context.WithCancel(context.Background())
+				canceled, cancel := context.WithCancel(context.Background())
 				cancel()
-				next := func(handle *RequestHandle, want ActionKind) {
-					if action, err := loop.NextAction(gone, handle); err != nil || action.Kind != want {
-						b.Fatalf("step %v, %v; want kind %d", action, err, want)
+				wantAction := func(handle *RequestHandle, want ActionKind) {
+					if action, err := loop.NextAction(canceled, handle); err != nil || action.Kind != want {
+						b.Fatalf("got action %v, error %v; want kind %d", action, err, want)
 					}
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
 					now += 5 * time.Millisecond
-					handle := NewRequestHandle(RequestOptions{Group: benchGroup(how, i), Deadline: now + 2*time.Second})
-					if action, err := loop.NextAction(gone, handle); err == nil {
-						b.Fatalf("action %v before a Tick", action)
+					handle := NewRequestHandle(RequestOptions{Group: benchGroup(variant, i), Deadline: now + 2*time.Second})
+					if action, err := loop.NextAction(canceled, handle); err == nil {
+						b.Fatalf("got action %v before a Tick", action)
 					}
 					loop.Tick(now)
-					next(handle, ActionAttempt)
+					wantAction(handle, ActionAttempt)
 					loop.Report(AttemptEstablished{Handle: handle, SetupTime: 20 * time.Millisecond})
 					loop.Tick(now)
-					next(handle, ActionEstablished)
+					wantAction(handle, ActionEstablished)
 					loop.Report(AttemptEnded{Handle: handle, Status: StatusOK})
 					loop.Tick(now)
-					next(handle, ActionClosed)
+					wantAction(handle, ActionClosed)
 				}
 			})
 		}
 	}
 }
 
-func benchGroup(how string, i int) uint64 {
-	switch how {
+// benchGroup returns the group of the i-th request of a benchmark variant.
+func benchGroup(variant string, i int) uint64 {
+	switch variant {
 	case "cached":
 		return uint64(i%64) + 1
 	case "drawn":
@@ -81,7 +82,7 @@
 	return 0
 }
 
-// benchBalancer returns a Balancer of n endpoints with established connections, and the last request's number.
+// benchBalancer returns a Balancer with n endpoints and established connections, and the last request ID.
 func benchBalancer(n int) (*Balancer, RequestID) {
 	balancer := New(testSettings(), 1)
 	balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
@@ -98,7 +99,7 @@
 	return balancer, id
 }
 
-// runRequest plays a request from its arrival to its end, and the timer that was set for it.
+// runRequest passes the events of a request from its arrival to its end, and its deadline timer.
 func runRequest(b *testing.B, balancer *Balancer, now time.Duration, request Request) {
 	var endpoint EndpointID
 	var token uint32
--- a/balancer/concurrency_test.go
+++ b/balancer/concurrency_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// failSetups makes set-ups of several groups fail at n of 6 endpoints while the others accept.
-func failSetups(relay *testRelay, n int, status AttemptStatus) {
+// failSetups sends 60 requests, whose setups fail at the first endpoints of the list and succeed at the others.
+func failSetups(relay *testRelay, failing int, status AttemptStatus) {
 	for key := range uint64(60) {
 		id, actions := relay.request(key + 1)
 		for _, action := range actions {
 			attempt, ok := action.(SendAttempt)
 			switch {
 			case !ok:
-			case int(attempt.Endpoint) <= n:
+			case int(attempt.Endpoint) <= failing:
 				relay.fail(id, attempt.Endpoint, status)
 			default:
 				relay.handle(Established{Request: id, Endpoint: attempt.Endpoint, SetupTime: ms})
@@ -23,13 +23,14 @@
 	}
 }
 
-// No endpoint is blamed for a cause that many share, and retries must not add to it.
+// Guards against lowering the weights of endpoints that fail from a shared cause, and against retries that add load
+// to that cause.
 func TestSharedCauseKeepsWeightsAndLimitsConcurrency(t *testing.T) {
 	for _, test := range []struct {
-		name   string
-		n      int
-		why    AttemptStatus
-		shared bool
+		name    string
+		failing int // number of failing endpoints
+		status  AttemptStatus
+		shared  bool
 	}{
 		{"all time out", 6, StatusTimeout, true},
 		{"all answer with errors", 6, StatusError, true},
@@ -37,24 +38,24 @@
 		{"all unreachable", 6, StatusConnectFailed, false},
 	} {
 		relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
-		failSetups(relay, test.n, test.why)
+		failSetups(relay, test.failing, test.status)
 		if relay.balancer.sharedCauseActive() != test.shared {
-			t.Errorf("%s: shared is %v", test.name, !test.shared)
+			t.Errorf("%s: shared cause detected: %v, want %v", test.name, !test.shared, test.shared)
 		}
 		if limited := relay.balancer.concurrency.limit < maxConcurrency/2; limited != test.shared {
-			t.Errorf("%s: the limit is %v", test.name, relay.balancer.concurrency.limit)
+			t.Errorf("%s: concurrency limit is %v, want it cut: %v", test.name, relay.balancer.concurrency.limit, test.shared)
 		}
-		blamed := 0
-		for _, state := range relay.balancer.endpoints.sorted {
-			if state.currentWeight(relay.now) < initialWeight {
-				blamed++
+		lowered := 0
+		for _, endpoint := range relay.balancer.endpoints.sorted {
+			if endpoint.currentWeight(relay.now) < initialWeight {
+				lowered++
 			}
 		}
-		if test.shared && blamed > 1 { // one may, before a second one fails
-			t.Errorf("%s: %d endpoints lost weight", test.name, blamed)
+		if test.shared && lowered > 1 { // the first endpoint may, before a second one fails
+			t.Errorf("%s: the weights of %d endpoints were lowered, want at most 1", test.name, lowered)
 		}
-		if !test.shared && blamed == 0 {
-			t.Errorf("%s: no endpoint lost weight", test.name)
+		if !test.shared && lowered == 0 {
+			t.Errorf("%s: no endpoint's weight was lowered", test.name)
 		}
 	}
 }
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Neither first attempts, cached routes nor retries go to an endpoint that drains or is gone.
+// Guards against attempts at a draining or gone endpoint, by cached routes as well as by draws and retries.
 func TestNoAttemptGoesToADrainingOrGoneEndpoint(t *testing.T) {
 	for name, list := range map[string]EndpointList{
 		"draining":   {Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}},
@@ -18,7 +18,7 @@
 		relay.connect(7)
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: readyEndpoints(2)[1:]})
 		var ids []RequestID
-		for key := range uint64(20) { // some are held for their backoff when the list is updated
+		for key := range uint64(20) { // held for their backoff when the list is updated
 			id, actions := relay.request(key + 7)
 			ids = append(ids, id)
 			relay.fail(id, relay.wantSent(actions, id), StatusConnectFailed)
@@ -33,13 +33,13 @@
 			return ok && attempt.Request > ids[len(ids)-1]
 		}):] {
 			if attempt, ok := action.(SendAttempt); ok && attempt.Endpoint == 1 {
-				t.Errorf("%s: request %d sent to it", name, attempt.Request)
+				t.Errorf("endpoint 1 is %s: request %d was sent to it", name, attempt.Request)
 			}
 		}
 	}
 }
 
-// Clients have to migrate before their endpoint stops, but not all at once.
+// Guards against clients that are cut off when their endpoint stops, and against migrating all of them at once.
 func TestDrainingMigratesConnectionsInSteps(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(2)...)
 	for i := range 20 {
@@ -49,17 +49,17 @@
 	listed := Endpoint{ID: 1, State: StateDraining, Size: 1}
 	first := countActions[Migrate](relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 	if first == 0 || first > 5 {
-		t.Errorf("%d of 20 connections migrated at once", first)
+		t.Errorf("%d of 20 connections migrated in the first step, want 1 to 5", first)
 	}
 	if again := countActions[Migrate](relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}})); again != 0 {
-		t.Errorf("%d more migrated as the list was repeated", again)
+		t.Errorf("%d connections migrated because the list entry was repeated, want 0", again)
 	}
 	if countActions[Migrate](relay.advance(4*time.Second)) != 20-first || len(relay.balancer.drainTimers) != 0 {
-		t.Errorf("%d connections are left at an endpoint that drains", 20-countActions[Migrate](relay.actions))
+		t.Errorf("%d connections are left at the draining endpoint after 4 s", 20-countActions[Migrate](relay.actions))
 	}
 }
 
-// Eighty relays with a connection each must not all migrate it in the instant of the update of the list.
+// Guards against many relays that all migrate their connections at the moment of the list update.
 func TestManyRelaysMigrateFromADrainingEndpointInTime(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 80
@@ -68,23 +68,22 @@
 		relay.handle(Resumed{Request: Request{ID: 1, Group: 5}, Endpoint: 1})
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}})
 	}
-	moved := 0
+	migrated := 0
 	for at := 250 * ms; at <= 4250*ms; at += 250 * ms {
-		n := 0
+		inStep := 0
 		for _, relay := range relays {
-			n += countActions[Migrate](relay.advance(250 * ms))
+			inStep += countActions[Migrate](relay.advance(250 * ms))
 		}
-		if moved += n; n > 24 || at < 2*time.Second && n > 0 {
-			t.Errorf("%d migrate in the 250 ms before %v", n, at)
+		if migrated += inStep; inStep > 24 || at < 2*time.Second && inStep > 0 {
+			t.Errorf("%d connections migrated in the 250 ms before %v, want at most 24 and none before 2 s", inStep, at)
 		}
 	}
-	if moved != settings.Relays {
-		t.Errorf("%d of %d have migrated after 4.25 s", moved, settings.Relays)
+	if migrated != settings.Relays {
+		t.Errorf("%d of %d connections migrated within 4.25 s", migrated, settings.Relays)
 	}
 }
 
-// An endpoint that redirects a client drains, though the list says so seconds later. Clients placed there
-// meanwhile would be redirected again at once.
+// Guards against sending clients back to an endpoint that redirects them, before the list marks it as draining.
 func TestRedirectingEndpointGetsNoNewRequests(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(2)...)
 	id, endpoint := relay.connect(7)
@@ -92,19 +91,19 @@
 	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusRedirected, Final: true})
 	for key := range uint64(30) {
 		if _, next := relay.connect(key + 1); next == endpoint {
-			t.Fatalf("group %d is sent to the endpoint that redirects its clients", key+1)
+			t.Fatalf("group %d was sent to the endpoint that redirects its clients", key+1)
 		}
 	}
 	listed := readyEndpoints(2)[endpoint-1]
-	listed.StartedAt = relay.now - testSettings().SlowStartDuration // it has restarted, and is warm
+	listed.StartedAt = relay.now - testSettings().SlowStartDuration // it has restarted and is warm
 	relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}})
-	back := 0
+	sent := 0
 	for key := range uint64(60) {
 		if _, next := relay.connect(key + 100); next == endpoint {
-			back++
+			sent++
 		}
 	}
-	if back == 0 {
-		t.Error("nothing is sent to the endpoint after its restart")
+	if sent == 0 {
+		t.Error("no request was sent to the endpoint after its restart")
 	}
 }
--- a/balancer/encoding_test.go
+++ b/balancer/encoding_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// A snapshot goes to a relay's next process as JSON.
+// Guards the JSON encoding, in which a relay passes its snapshot to its next process.
 func TestSnapshotKeepsItsJSONEncoding(t *testing.T) {
 	testutil.Complete(t, completeSnapshot())
 	testutil.GoldenJSON(t, "testdata/memory.json", completeSnapshot())
@@ -43,24 +43,24 @@
 		Endpoints: make([]balancer.EndpointSnapshot, 1), Routes: make([]balancer.RouteSnapshot, 1)})
 }
 
-// It goes to the store as CBOR.
+// Guards the CBOR encoding of stored snapshots.
 func TestSnapshotKeepsItsCBOREncoding(t *testing.T) {
-	for path, memory := range map[string]balancer.Snapshot{"testdata/memory.cbor": completeSnapshot(), "testdata/memory-zero.cbor": {}} {
-		body, err := cbor.Marshal(memory)
+	for path, snapshot := range map[string]balancer.Snapshot{"testdata/memory.cbor": completeSnapshot(), "testdata/memory-zero.cbor": {}} {
+		body, err := cbor.Marshal(snapshot)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode the snapshot for %s: %v", path, err)
 		}
 		var decoded balancer.Snapshot
 		if err := cbor.Unmarshal(testutil.Golden(t, path, body), &decoded); err != nil {
-			t.Fatalf("%s: %v", path, err)
+			t.Fatalf("decode %s: %v", path, err)
 		}
-		if !reflect.DeepEqual(decoded, memory) {
-			t.Errorf("%s is decoded as\n%+v, want\n%+v", path, decoded, memory)
+		if !reflect.DeepEqual(decoded, snapshot) {
+			t.Errorf("%s is decoded as\n%+v, want\n%+v", path, decoded, snapshot)
 		}
 	}
 }
 
-// A field that has no name in its tags would change both encodings when it is renamed.
+// Guards against untagged fields, whose renaming would change both encodings.
 func TestSnapshotFieldsAreTagged(t *testing.T) {
 	testutil.Tagged(t, []string{"json", "cbor"}, balancer.Snapshot{})
 }
--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
+// newPollingRelay returns a relay that polls for the endpoint list and has got its first list.
 func newPollingRelay(t *testing.T) *testRelay {
 	settings := testSettings()
 	settings.PollList = true
 	relay := newTestRelay(t, settings, readyEndpoints(4)...)
 	if n := countActions[WatchEndpoints](relay.actions); n != 1 {
-		t.Fatalf("%d requests for the list at the start, want 1", n)
+		t.Fatalf("%d polls after the cached list, want 1", n)
 	}
 	relay.handle(EndpointList{Kind: ListFull, Endpoints: readyEndpoints(4)})
 	return relay
@@ -36,61 +37,61 @@
 }
 
 func TestFailedOrUnansweredListDoesNotBlockRetries(t *testing.T) {
-	for _, lost := range []bool{true, false} {
+	for _, unanswered := range []bool{true, false} {
 		relay := newPollingRelay(t)
 		relay.advance(time.Second)
 		id, actions := relay.request(7)
 		relay.fail(id, relay.wantSent(actions, id), StatusFull)
-		if !lost {
+		if !unanswered {
 			relay.handle(EndpointList{Kind: ListFailed})
 		}
 		if n := countActions[SendAttempt](relay.advance(1500 * ms)); n != 1 {
-			t.Errorf("answer lost %v: %d attempts followed", lost, n)
+			t.Errorf("poll unanswered: %v: %d retries were sent, want 1", unanswered, n)
 		}
 	}
 }
 
-func TestRetriesShareOneListRequest(t *testing.T) {
+func TestRetriesShareOnePoll(t *testing.T) {
 	relay := newPollingRelay(t)
 	relay.advance(time.Second)
-	calls := countActions[WatchEndpoints](relay.actions)
+	polls := countActions[WatchEndpoints](relay.actions)
 	for key := range uint64(10) {
 		id, actions := relay.request(key + 1)
 		relay.fail(id, relay.wantSent(actions, id), StatusConnectFailed)
 	}
-	if n := countActions[WatchEndpoints](relay.actions) - calls; n != 1 {
-		t.Errorf("10 retries made %d calls, want 1", n)
+	if n := countActions[WatchEndpoints](relay.actions) - polls; n != 1 {
+		t.Errorf("10 retries caused %d polls, want 1", n)
 	}
 	if n := countActions[SendAttempt](relay.handle(EndpointList{Kind: ListDelta})); n != 0 {
-		t.Errorf("%d attempts were sent before their backoff", n)
+		t.Errorf("%d retries were sent before their backoff ended", n)
 	}
 	if n := countActions[SendAttempt](relay.advance(retryBackoffBase)); n != 10 {
-		t.Errorf("%d of 10 retries were sent", n)
+		t.Errorf("%d of 10 retries were sent after their backoff", n)
 	}
 }
 
-// After a failed call the list is asked for again within the time that the settings demand.
+// Guards against polling less often than the settings require after failed or lost polls.
 func TestListIsPolledUntilAnswered(t *testing.T) {
 	settings := testSettings()
 	settings.PollList = true
 	relay := newTestRelay(t, settings, readyEndpoints(2)...)
 	for range 10 {
-		calls := countActions[WatchEndpoints](relay.actions)
+		polls := countActions[WatchEndpoints](relay.actions)
 		relay.handle(EndpointList{Kind: ListFailed})
 		relay.advance(settings.PollInterval/2 + ms)
-		if countActions[WatchEndpoints](relay.actions) == calls {
-			t.Fatal("a failed call was not followed by another within half the time allowed")
+		if countActions[WatchEndpoints](relay.actions) == polls {
+			t.Fatal("a failed poll was not repeated within half the poll interval")
 		}
 	}
-	calls := countActions[WatchEndpoints](relay.actions)
+	polls := countActions[WatchEndpoints](relay.actions)
 	relay.advance(settings.PollInterval)
-	if countActions[WatchEndpoints](relay.actions) == calls {
-		t.Error("a call that was never answered was not repeated")
+	if countActions[WatchEndpoints](relay.actions) == polls {
+		t.Error("an unanswered poll was not repeated within the poll interval")
 	}
 	relay.handle(EndpointList{Kind: ListFull, Endpoints: readyEndpoints(2)})
-	calls = countActions[WatchEndpoints](relay.actions)
+	polls = countActions[WatchEndpoints](relay.actions)
 	relay.advance(time.Minute)
-	if n := countActions[WatchEndpoints](relay.actions) - calls; n != 0 {
-		t.Errorf("%d calls while the subscription holds", n)
+	if n := countActions[WatchEndpoints](relay.actions) - polls; n != 0 {
+		t.Errorf("%d polls in a minute after an answer, want none", n)
 	}
 }
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,7 @@
 	"lockroad/balancer"
 )
 
-// A relay hands in events with the time of its clock and carries out the actions that come back.
+// A relay passes events with the time of its clock to Handle and executes the returned actions.
 func Example() {
 	settings := balancer.Settings{
 		Classes:           []balancer.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
@@ -24,7 +24,7 @@
 		log.Fatal(err)
 	}
 	b := balancer.New(settings, 1)
-	now := 10 * time.Second // any clock that only goes forward
+	now := 10 * time.Second // any clock that never goes back
 	b.Handle(now, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{
 		{ID: 1, State: balancer.StateReady, Size: 4},
 		{ID: 2, State: balancer.StateDraining, Size: 4},
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -10,67 +10,68 @@
 	"pgregory.net/rapid"
 )
 
-// observedRelay is a relay whose decisions are recorded.
+// observedRelay is a testRelay that records the reported decisions.
 type observedRelay struct {
 	*testRelay
 	decisions  []Decision
-	requestIDs []RequestID
+	requestIDs []RequestID // of the decisions
 }
 
+// newObservedRelay returns a relay with an observer for its Balancer.
 func newObservedRelay(t *testing.T, settings Settings, endpoints ...Endpoint) *observedRelay {
 	relay := &observedRelay{testRelay: newTestRelay(t, settings, endpoints...)}
 	relay.balancer.Observe(func(id RequestID, decision *Decision) {
-		kept := *decision
-		kept.Considered = slices.Clone(decision.Considered)
-		relay.decisions, relay.requestIDs = append(relay.decisions, kept), append(relay.requestIDs, id)
+		saved := *decision
+		saved.Considered = slices.Clone(decision.Considered)
+		relay.decisions, relay.requestIDs = append(relay.decisions, saved), append(relay.requestIDs, id)
 	})
 	return relay
 }
 
-// wantLast returns the last decision, which has to be as wanted.
+// wantLast returns the last decision and fails the test if its verdict or reason is not as wanted.
 func (w *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
 	w.t.Helper()
 	if len(w.decisions) == 0 {
-		w.t.Fatalf("nothing was observed, want %v: %v", verdict, reason)
+		w.t.Fatalf("no decision was observed, want %v: %v", verdict, reason)
 	}
 	decision := w.decisions[len(w.decisions)-1]
 	if decision.Verdict != verdict || decision.Reason != reason {
-		w.t.Fatalf("observed %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
+		w.t.Fatalf("last decision is %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
 	}
 	return decision
 }
 
-// makeSlow makes an endpoint slow from now on.
+// makeSlow reports a delay that makes an endpoint slow.
 func (w *observedRelay) makeSlow(id EndpointID) {
 	w.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
 }
 
 func TestEveryReasonIsObserved(t *testing.T) {
 	const group = 7
-	t.Run("a cached route, and what it is passed over for", func(t *testing.T) {
+	t.Run("cached route used or rejected", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
 		id, home := relay.connect(group)
 		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != home || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision on the first request of the group: %+v", decision)
 		}
 		relay.connect(group)
 		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.Preferred != -1 {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision on the second request of the group: %+v", decision)
 		}
 		relay.handle(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
 		relay.makeSlow(home)
 		relay.wantLast(VerdictMigrated, ReasonLoadRelief)
-		// A group whose route was invalidated is drawn anew past the slow endpoint.
+		// The draw for a group with a cached route to a slow endpoint skips that endpoint.
 		relay.handle(Established{})
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
 		if decision.Endpoint == home || decision.Preferred < 0 || decision.Considered[decision.Preferred].Endpoint != home || decision.Considered[decision.Preferred].Exclusions&ExcludedSlow == 0 ||
 			decision.Considered[decision.Preferred].Delay != 3*time.Second || decision.Considered[decision.Preferred].DelayAge != 0 || decision.SlowShare != 0.25 {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision with a slow cached endpoint: %+v", decision)
 		}
 		relay.advance(slowDuration + ms)
-		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // its slot is used
+		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // uses its slot
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteRecovering)
@@ -89,7 +90,7 @@
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteWarmingUp)
 	})
-	t.Run("retried until its attempts are exhausted", func(t *testing.T) {
+	t.Run("retries until the attempts are exhausted", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
 		id, actions := relay.request(group)
 		var tried []EndpointID
@@ -101,40 +102,40 @@
 				break
 			}
 			if decision := relay.wantLast(VerdictHeld, ReasonBackoff); decision.Wait != retryBackoffBase<<(attempt-1) || decision.Attempt != attempt {
-				t.Errorf("observed %+v", decision)
+				t.Errorf("decision after attempt %d failed: %+v", attempt, decision)
 			}
 			actions = relay.advance(retryBackoffBase << (attempt - 1))
 			decision := relay.wantLast(VerdictSent, ReasonRedrawn)
 			if decision.Attempt != attempt+1 || slices.Contains(tried, decision.Endpoint) {
-				t.Errorf("tried %v, then observed %+v", tried, decision)
+				t.Errorf("decision on a retry after attempts at %v: %+v", tried, decision)
 			}
 			for _, considered := range decision.Considered {
 				if considered.Exclusions&ExcludedTried != 0 != slices.Contains(tried, considered.Endpoint) {
-					t.Errorf("tried %v, observed %+v", tried, considered)
+					t.Errorf("considered endpoint after attempts at %v: %+v", tried, considered)
 				}
 			}
 		}
 		relay.wantLast(VerdictRejected, ReasonAttemptsExhausted)
 	})
-	t.Run("held until its deadline", func(t *testing.T) {
+	t.Run("held until the deadline", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(1)...)
 		relay.makeSlow(1)
 		relay.request(group)
 		if decision := relay.wantLast(VerdictHeld, ReasonEndpointSlow); decision.Considered[0].Endpoint != 1 || decision.Wait != holdInterval {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision while the only endpoint is slow: %+v", decision)
 		}
 		for range 20 {
 			relay.makeSlow(1)
 			relay.advance(100 * ms)
 		}
 		if decision := relay.wantLast(VerdictRejected, ReasonDeadlineExceeded); decision.TimeLeft != 0 {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision at the deadline: %+v", decision)
 		}
 		relay.advance(slowDuration)
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
 		relay.request(group)
-		relay.wantLast(VerdictHeld, ReasonNoneEligible) // it is recovering, and few are slow
-		// Where many are slow a request is held for the one that it falls on.
+		relay.wantLast(VerdictHeld, ReasonNoneEligible) // the endpoint is recovering and few are slow
+		// While many endpoints are slow, a request is held for the one drawn.
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 2, State: StateReady, Size: 1}}})
 		relay.makeSlow(2)
 		for other := uint64(1); relay.decisions[len(relay.decisions)-1].Reason != ReasonEndpointRecovering && other < 99; other++ {
@@ -145,14 +146,14 @@
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}})
 		relay.request(group)
 		if decision := relay.wantLast(VerdictRejected, ReasonNoViableEndpoint); decision.ReadyEndpoints != 0 {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision while the only endpoint is draining: %+v", decision)
 		}
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}})
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
 		relay.request(group)
 		relay.wantLast(VerdictHeld, ReasonNoneEligible)
 	})
-	t.Run("the concurrency window, a request that is not repeatable, a drain", func(t *testing.T) {
+	t.Run("concurrency window, non-repeatable request, draining", func(t *testing.T) {
 		settings := testSettings()
 		settings.Classes[0].Semantics = AtMostOnce
 		relay := newObservedRelay(t, settings, readyEndpoints(2)...)
@@ -162,23 +163,22 @@
 		relay.wantLast(VerdictHeld, ReasonWindowFull)
 		relay.fail(first, actions[0].(SendAttempt).Endpoint, StatusReset)
 		if i := slices.Index(relay.requestIDs, first); relay.decisions[i].Verdict != VerdictSent || relay.requestIDs[len(relay.requestIDs)-1] == first {
-			t.Error("the second was not sent once the window had room")
+			t.Error("the queued request was not sent when the window was no longer full")
 		}
 		i := len(relay.decisions) - 2
 		if decision := relay.decisions[i]; relay.requestIDs[i] != first || decision.Verdict != VerdictFailed || decision.Reason != ReasonNotRepeatable {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision after a reset of a non-repeatable request: %+v", decision)
 		}
 		relay.balancer.concurrency.limit = 9
 		_, home := relay.connect(group + 2)
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
 		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != home || decision.Considered[0].State != StateDraining {
-			t.Errorf("observed %+v", decision)
+			t.Errorf("decision on the connection of a draining endpoint: %+v", decision)
 		}
 	})
 }
 
-// Observing must not change what is decided: the same events bring the same actions with an observer and
-// without, and each action on a request is observed once.
+// Guards against an observer that changes decisions, and against actions that are not reported exactly once.
 func TestObservingChangesNoDecision(t *testing.T) {
 	reached := make(map[Reason]bool)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -187,20 +187,20 @@
 		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
 		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		settings.Classes[0].DeduplicationWindow = time.Second
-		n := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
-		unobserved, observed := newTestRelay(t, settings, readyEndpoints(n)...), newObservedRelay(t, settings, readyEndpoints(n)...)
-		both := func(event Event) []Action {
+		endpointCount := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
+		unobserved, observed := newTestRelay(t, settings, readyEndpoints(endpointCount)...), newObservedRelay(t, settings, readyEndpoints(endpointCount)...)
+		handleBoth := func(event Event) []Action {
 			want, got := unobserved.handle(event), observed.handle(event)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
-				rt.Fatalf("%T %+v: %v without an observer, %v with one", event, event, want, got)
+				rt.Fatalf("event %T %+v: actions are %v without an observer, %v with one", event, event, want, got)
 			}
 			return got
 		}
 		inFlight := make(map[RequestID]EndpointID)
 		established := make(map[RequestID]EndpointID)
-		var next RequestID
-		from := len(observed.decisions)
-		account := func(actions []Action) {
+		var lastID RequestID
+		checked := len(observed.decisions)
+		checkObserved := func(actions []Action) {
 			var want []string
 			for _, action := range actions {
 				switch action := action.(type) {
@@ -219,92 +219,93 @@
 				}
 			}
 			var got []string
-			for i := from; i < len(observed.decisions); i++ {
+			for i := checked; i < len(observed.decisions); i++ {
 				decision := observed.decisions[i]
 				reached[decision.Reason] = true
 				if decision.Verdict != VerdictHeld {
 					got = append(got, fmt.Sprint(observed.requestIDs[i], decision.Verdict, decision.Endpoint, decision.Wait))
 				}
 			}
-			from = len(observed.decisions)
+			checked = len(observed.decisions)
 			if !slices.Equal(want, got) {
-				rt.Fatalf("the actions are %v, observed was %v", want, got)
+				rt.Fatalf("actions are %v, observed decisions are %v", want, got)
 			}
 		}
-		pass := func(d time.Duration) {
+		advanceBoth := func(d time.Duration) {
 			want, got := unobserved.advance(d), observed.advance(d)
 			if len(want)+len(got) > 0 && !reflect.DeepEqual(want, got) {
-				rt.Fatalf("%v later: %v without an observer, %v with one", d, want, got)
+				rt.Fatalf("timers within %v: actions are %v without an observer, %v with one", d, want, got)
 			}
-			account(got)
+			checkObserved(got)
 		}
-		pick := func(m map[RequestID]EndpointID, what string) (RequestID, EndpointID, bool) {
+		choose := func(requests map[RequestID]EndpointID, label string) (RequestID, EndpointID, bool) {
 			var ids []RequestID
-			for id := range m {
+			for id := range requests {
 				ids = append(ids, id)
 			}
 			if len(ids) == 0 {
 				return 0, 0, false
 			}
 			slices.Sort(ids)
-			id := rapid.SampledFrom(ids).Draw(rt, what)
-			return id, m[id], true
+			id := rapid.SampledFrom(ids).Draw(rt, label)
+			return id, requests[id], true
 		}
-		server := rapid.Map(rapid.IntRange(1, n), func(i int) EndpointID { return EndpointID(i) })
+		endpointID := rapid.Map(rapid.IntRange(1, endpointCount), func(i int) EndpointID { return EndpointID(i) })
 		rt.Repeat(map[string]func(*rapid.T){
-			"ask": func(rt *rapid.T) {
-				next++
-				account(both(Request{
-					ID: next, Group: rapid.Uint64Range(0, 5).Draw(rt, "group"), TimeLeft: 2 * time.Second,
+			"arrive": func(rt *rapid.T) {
+				lastID++
+				checkObserved(handleBoth(Request{
+					ID: lastID, Group: rapid.Uint64Range(0, 5).Draw(rt, "group"), TimeLeft: 2 * time.Second,
 					Returning: rapid.Bool().Draw(rt, "return"),
 				}))
 			},
-			"stand": func(_ *rapid.T) {
-				if id, s, ok := pick(inFlight, "stands"); ok {
+			"succeed": func(_ *rapid.T) {
+				if id, endpoint, ok := choose(inFlight, "succeeds"); ok {
 					delete(inFlight, id)
-					established[id] = s
-					account(both(Established{Request: id, Endpoint: s, SetupTime: 20 * ms}))
+					established[id] = endpoint
+					checkObserved(handleBoth(Established{Request: id, Endpoint: endpoint, SetupTime: 20 * ms}))
 				}
 			},
 			"fail": func(rt *rapid.T) {
-				if id, s, ok := pick(inFlight, "fails"); ok {
+				if id, endpoint, ok := choose(inFlight, "fails"); ok {
 					delete(inFlight, id)
-					account(both(Outcome{Request: id, Endpoint: s, Status: AttemptStatus(rapid.IntRange(1, 8).Draw(rt, "status"))}))
+					checkObserved(handleBoth(Outcome{Request: id, Endpoint: endpoint, Status: AttemptStatus(rapid.IntRange(1, 8).Draw(rt, "status"))}))
 				}
 			},
 			"end": func(rt *rapid.T) {
-				if id, s, ok := pick(established, "ends"); ok {
+				if id, endpoint, ok := choose(established, "ends"); ok {
 					delete(established, id)
-					account(both(Outcome{Request: id, Endpoint: s, Status: []AttemptStatus{StatusOK, StatusReset, StatusRedirected}[rapid.IntRange(0, 2).Draw(rt, "end")], Final: true}))
+					checkObserved(handleBoth(Outcome{Request: id, Endpoint: endpoint, Status: []AttemptStatus{StatusOK, StatusReset, StatusRedirected}[rapid.IntRange(0, 2).Draw(rt, "end")], Final: true}))
 				}
 			},
 			"delay": func(rt *rapid.T) {
-				account(both(EndpointDelay{Endpoint: server.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
+				checkObserved(handleBoth(EndpointDelay{Endpoint: endpointID.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
 			},
 			"list": func(rt *rapid.T) {
-				listed := Endpoint{ID: server.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
+				listed := Endpoint{ID: endpointID.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
 					listed.StartedAt = observed.now
 				}
-				account(both(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
+				checkObserved(handleBoth(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{listed}}))
 			},
-			"pass": func(rt *rapid.T) { pass(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * ms) },
+			"pass": func(rt *rapid.T) { advanceBoth(time.Duration(rapid.IntRange(1, 1500).Draw(rt, "ms")) * ms) },
 		})
 	})
-	for r := ReasonCachedRoute; r < reasonCount; r++ {
-		if !reached[r] {
-			t.Logf("no random run came to %v", r)
+	for reason := ReasonCachedRoute; reason < reasonCount; reason++ {
+		if !reached[reason] {
+			t.Logf("no random run had a decision with reason %v", reason)
 		}
 	}
 }
 
+// BenchmarkDecision measures a request with and without an observer.
 func BenchmarkDecision(b *testing.B) {
-	for _, n := range []int{13, 200} {
-		for _, told := range []bool{false, true} {
-			b.Run(fmt.Sprintf("servers=%d/told=%v", n, told), func(b *testing.B) {
+	for _, endpointCount := range []int{13, 200} {
+		for _, observed := range []bool{false, true} {
+			b.Run(fmt.Sprintf("servers=%d/observed=%v", endpointCount, observed), func(b *testing.B) {
 				balancer := New(testSettings(), 1)
-				balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(n)})
-				if told {
+				balancer.Handle(time.Hour, EndpointList{Kind: ListFull, Endpoints: readyEndpoints(endpointCount)})
+				if observed {
 					balancer.Observe(func(RequestID, *Decision) {})
 				}
 				b.ReportAllocs()
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -5,22 +5,24 @@
 	"time"
 )
 
-// fleetSimulation plays the endpoints of a fleet of relays, and keeps a log of each request.
+// fleetSimulation simulates endpoints behind a fleet of relays and logs each request.
 type fleetSimulation struct {
 	t         *testing.T
 	relays    []*testRelay
-	freeSlots map[EndpointID]int // an endpoint without any rejects attempts
-	hung      map[EndpointID]bool
+	freeSlots map[EndpointID]int  // an endpoint without free slots rejects attempts
+	hung      map[EndpointID]bool // these accept attempts and never answer
 
 	requests  map[requestKey]*requestLog
-	scheduled map[time.Duration][]func() // outcomes, by their time
+	scheduled map[time.Duration][]func() // outcomes of attempts, by time
 }
 
+// requestKey identifies a request in the fleet.
 type requestKey struct {
 	relay int
 	id    RequestID
 }
 
+// requestLog records what happened to a request.
 type requestLog struct {
 	arrivedAt, answeredAt time.Duration
 	inFlight              bool
@@ -29,15 +31,16 @@
 	retryAfter            time.Duration
 }
 
-func newFleetSimulation(t *testing.T, settings Settings, servers, seats int) *fleetSimulation {
-	fleet := &fleetSimulation{t: t, relays: newTestRelays(t, settings, readyEndpoints(servers)...), freeSlots: map[EndpointID]int{}, hung: map[EndpointID]bool{}, requests: map[requestKey]*requestLog{}, scheduled: map[time.Duration][]func(){}}
-	for i := range servers {
-		fleet.freeSlots[EndpointID(i+1)] = seats
+// newFleetSimulation returns a simulation with a number of endpoints and free slots at each.
+func newFleetSimulation(t *testing.T, settings Settings, endpoints, slots int) *fleetSimulation {
+	fleet := &fleetSimulation{t: t, relays: newTestRelays(t, settings, readyEndpoints(endpoints)...), freeSlots: map[EndpointID]int{}, hung: map[EndpointID]bool{}, requests: map[requestKey]*requestLog{}, scheduled: map[time.Duration][]func(){}}
+	for i := range endpoints {
+		fleet.freeSlots[EndpointID(i+1)] = slots
 	}
 	return fleet
 }
 
-// execute carries out what a relay does.
+// execute executes the actions of relay i.
 func (f *fleetSimulation) execute(i int, actions []Action) {
 	relay := f.relays[i]
 	for _, action := range actions {
@@ -45,7 +48,7 @@
 		case SendAttempt:
 			log := f.requests[requestKey{i, action.Request}]
 			if log.inFlight || log.established || log.answeredAt > 0 {
-				f.t.Errorf("relay %d: request %d is sent while %+v", i, action.Request, log)
+				f.t.Errorf("relay %d: request %d was sent in state %+v", i, action.Request, log)
 			}
 			log.inFlight = true
 			log.attempts = append(log.attempts, action.Endpoint)
@@ -69,16 +72,16 @@
 		case Reject:
 			log := f.requests[requestKey{i, action.Request}]
 			if log.answeredAt > 0 || log.inFlight {
-				f.t.Errorf("relay %d: request %d is rejected while %+v", i, action.Request, log)
+				f.t.Errorf("relay %d: request %d was rejected in state %+v", i, action.Request, log)
 			}
 			log.answeredAt, log.retryAfter = relay.now, action.RetryAfter
 		case Fail:
-			f.t.Errorf("request %d fails, which may be repeated", action.Request)
+			f.t.Errorf("relay %d: request %d was failed, but is repeatable", i, action.Request)
 		}
 	}
 }
 
-// request sends a request of a client to a relay.
+// request sends a client's request to relay i.
 func (f *fleetSimulation) request(i int, group uint64) {
 	relay := f.relays[i]
 	relay.lastID++
@@ -86,7 +89,7 @@
 	f.execute(i, relay.handle(Request{ID: relay.lastID, Group: group, TimeLeft: 2 * time.Second}))
 }
 
-// advance lets time pass for all relays.
+// advance advances the clocks of all relays and processes scheduled outcomes.
 func (f *fleetSimulation) advance(d time.Duration) {
 	for range d / (10 * ms) {
 		for i, relay := range f.relays {
@@ -100,31 +103,31 @@
 	}
 }
 
-// checkAnswered checks that each request has one answer in time, and returns how many are established and
-// how many attempts there were.
-func (f *fleetSimulation) checkAnswered() (up, tries int) {
+// checkAnswered checks that each request was answered in time and not sent to any endpoint twice. It returns
+// the numbers of established requests and of attempts.
+func (f *fleetSimulation) checkAnswered() (established, attempts int) {
 	f.t.Helper()
 	for key, log := range f.requests {
 		if log.answeredAt == 0 || log.answeredAt > log.arrivedAt+2*time.Second {
-			f.t.Errorf("relay %d: request %d was answered at %v: %+v", key.relay, key.id, log.answeredAt-log.arrivedAt, log)
+			f.t.Errorf("relay %d: request %d was answered after %v, want at most 2 s: %+v", key.relay, key.id, log.answeredAt-log.arrivedAt, log)
 		}
 		for i, id := range log.attempts {
 			for _, other := range log.attempts[:i] {
 				if id == other {
-					f.t.Errorf("request %d was sent to endpoint %d twice", key.id, id)
+					f.t.Errorf("relay %d: request %d was sent to endpoint %d twice", key.relay, key.id, id)
 				}
 			}
 		}
-		if tries += len(log.attempts); log.established {
-			up++
+		if attempts += len(log.attempts); log.established {
+			established++
 		}
 	}
-	return up, tries
+	return established, attempts
 }
 
-// More clients return at once, to eighty relays that know nothing of each other, than the endpoints have
-// slots for: each is answered in time, no slot stays free, and each rejection carries a retry-after.
-func TestMoreRequestsThanTheFleetHasCapacityFor(t *testing.T) {
+// Guards against unused slots, late answers and rejections without a retry-after when more clients return at once
+// than the endpoints have slots for.
+func TestRequestsBeyondFleetCapacityAreRejectedInTime(t *testing.T) {
 	settings := testSettings()
 	settings.Relays, settings.MaxAttempts, settings.MaxRetryAfter = 80, 5, 2*time.Second
 	fleet := newFleetSimulation(t, settings, 6, 20)
@@ -135,22 +138,22 @@
 		}
 	}
 	fleet.advance(3 * time.Second)
-	up, tries := fleet.checkAnswered()
-	if up != 120 {
-		t.Errorf("%d of 120 slots are taken", up)
+	established, attempts := fleet.checkAnswered()
+	if established != 120 {
+		t.Errorf("%d of 120 slots are used", established)
 	}
-	if tries > 300*settings.MaxAttempts {
-		t.Errorf("%d attempts", tries)
+	if attempts > 300*settings.MaxAttempts {
+		t.Errorf("%d attempts for 300 requests, want at most %d for each", attempts, settings.MaxAttempts)
 	}
 	for key, log := range fleet.requests {
 		if !log.established && (log.retryAfter < retryBackoffBase || log.retryAfter > settings.MaxRetryAfter) {
-			t.Errorf("request %d has a retry-after of %v", key.id, log.retryAfter)
+			t.Errorf("relay %d: retry-after of request %d is %v, want %v to %v", key.relay, key.id, log.retryAfter, retryBackoffBase, settings.MaxRetryAfter)
 		}
 	}
 }
 
-// An endpoint accepts requests and answers none, and no relay has seen that before: each request is still
-// served in time by another, and none is sent to it twice.
+// Guards against requests that are lost to an endpoint which accepts attempts but never answers: another endpoint has
+// to serve them in time.
 func TestHungEndpointCostsEachRequestAtMostOneAttempt(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 80
@@ -163,11 +166,11 @@
 		}
 	}
 	fleet.advance(3 * time.Second)
-	up, tries := fleet.checkAnswered()
-	if up != 160 {
-		t.Errorf("%d of 160 are established", up)
+	established, attempts := fleet.checkAnswered()
+	if established != 160 {
+		t.Errorf("%d of 160 requests are established", established)
 	}
-	if extra := tries - 160; extra < 10 || extra > 60 {
-		t.Errorf("%d attempts were lost on the hung endpoint, a sixth of 160 would be 27", extra)
+	if extra := attempts - 160; extra < 10 || extra > 60 {
+		t.Errorf("%d attempts timed out at the hung endpoint, want 10 to 60: a sixth of 160 is 27", extra)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// testSettings describes a small deployment with one class that is safe to repeat.
+// testSettings returns settings of a single relay with one idempotent class.
 func testSettings() Settings {
 	return Settings{
 		Classes:           []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms}},
@@ -25,32 +25,34 @@
 	}
 }
 
-// testRelay drives a Balancer as the code that embeds it does.
+// testRelay drives a Balancer with a simulated clock and timers.
 type testRelay struct {
 	t        *testing.T
 	balancer *Balancer
 	now      time.Duration
 	timers   []pendingTimer
-	actions  []Action // all but timers
+	actions  []Action // all so far, without SetTimer
 	lastID   RequestID
 }
 
+// pendingTimer is a timer that the Balancer has set.
 type pendingTimer struct {
 	at    time.Duration
 	token uint32
 }
 
+// newTestRelay returns a relay that has got a cached endpoint list.
 func newTestRelay(t *testing.T, settings Settings, endpoints ...Endpoint) *testRelay {
 	t.Helper()
 	if err := settings.Validate(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("invalid settings: %v", err)
 	}
 	relay := &testRelay{t: t, balancer: New(settings, 1), now: time.Hour}
 	relay.handle(EndpointList{Kind: ListCached, Endpoints: endpoints})
 	return relay
 }
 
-// newTestRelays returns as many relays as the settings name, each with a seed of its own.
+// newTestRelays returns settings.Relays relays with different seeds.
 func newTestRelays(t *testing.T, settings Settings, endpoints ...Endpoint) []*testRelay {
 	t.Helper()
 	relays := make([]*testRelay, settings.Relays)
@@ -62,7 +64,7 @@
 	return relays
 }
 
-// readyEndpoints returns n ready endpoints of equal size, numbered from 1.
+// readyEndpoints returns n ready endpoints of equal size with IDs from 1.
 func readyEndpoints(n int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -71,7 +73,7 @@
 	return list
 }
 
-// handle hands an event to the Balancer, sets the timers that it wants, and returns its other actions.
+// handle passes an event to the Balancer, sets the requested timers and returns the other actions.
 func (r *testRelay) handle(event Event) []Action {
 	var actions []Action
 	for _, action := range r.balancer.Handle(r.now, event) {
@@ -85,36 +87,36 @@
 	return actions
 }
 
-// advance lets time pass and returns the actions that timers brought meanwhile.
+// advance advances the clock and returns the actions of the timers that expire.
 func (r *testRelay) advance(d time.Duration) []Action {
 	until := r.now + d
 	var actions []Action
 	for {
 		i := -1
-		for j, p := range r.timers {
-			if p.at <= until && (i < 0 || p.at < r.timers[i].at) {
+		for j, timer := range r.timers {
+			if timer.at <= until && (i < 0 || timer.at < r.timers[i].at) {
 				i = j
 			}
 		}
 		if i < 0 {
 			break
 		}
-		p := r.timers[i]
+		timer := r.timers[i]
 		r.timers = slices.Delete(r.timers, i, i+1)
-		r.now = max(r.now, p.at)
-		actions = append(actions, r.handle(Timer{Token: p.token})...)
+		r.now = max(r.now, timer.at)
+		actions = append(actions, r.handle(Timer{Token: timer.token})...)
 	}
 	r.now = until
 	return actions
 }
 
-// request hands in a request of a group and returns its ID and the actions.
+// request sends a request of a group and returns its ID and the actions.
 func (r *testRelay) request(group uint64) (RequestID, []Action) {
 	r.lastID++
 	return r.lastID, r.handle(Request{ID: r.lastID, Group: group, TimeLeft: 2 * time.Second})
 }
 
-// connect establishes a connection of a group and returns its ID and endpoint.
+// connect establishes a connection of a group and returns the request ID and the endpoint.
 func (r *testRelay) connect(group uint64) (RequestID, EndpointID) {
 	r.t.Helper()
 	id, actions := r.request(group)
@@ -123,7 +125,7 @@
 	return id, endpoint
 }
 
-// connectMany establishes n connections of a group and returns the endpoint of the last.
+// connectMany establishes n connections of a group and returns the endpoint of the last one.
 func (r *testRelay) connectMany(group uint64, n int) EndpointID {
 	var endpoint EndpointID
 	for range n {
@@ -132,7 +134,7 @@
 	return endpoint
 }
 
-// wantSent returns the endpoint that the only action sends the request to.
+// wantSent fails the test unless the only action sends the request, and returns the endpoint.
 func (r *testRelay) wantSent(actions []Action, id RequestID) EndpointID {
 	r.t.Helper()
 	if len(actions) == 1 {
@@ -140,10 +142,11 @@
 			return attempt.Endpoint
 		}
 	}
-	r.t.Fatalf("want request %d sent, got %v", id, actions)
+	r.t.Fatalf("got actions %v, want only an attempt of request %d", actions, id)
 	return 0
 }
 
+// fail reports that an attempt ended with a status.
 func (r *testRelay) fail(id RequestID, endpoint EndpointID, status AttemptStatus) []Action {
 	return r.handle(Outcome{Request: id, Endpoint: endpoint, Status: status})
 }
@@ -161,6 +164,6 @@
 func wantActions(t *testing.T, got []Action, want ...Action) {
 	t.Helper()
 	if len(got)+len(want) > 0 && !reflect.DeepEqual(got, want) {
-		t.Fatalf("got %v, want %v", got, want)
+		t.Fatalf("got actions %v, want %v", got, want)
 	}
 }
