--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -7,32 +7,33 @@
 	"time"
 )
 
-// TestInvariantsHoldOverRandomEvents plays random legal events and checks that
+// TestInvariantsHoldOverRandomEvents passes random valid events to a Balancer and checks that
 //
 //  1. each request is answered once and within its deadline,
-//  2. what may have run is repeated and rejected only where that is harmless,
-//  3. nothing is sent to an endpoint that the list says is draining or gone,
-//  4. an endpoint that is warming up gets no more than it can bear,
+//  2. a request that may have been executed is repeated or rejected only if that is safe,
+//  3. no request is sent to an endpoint that is listed as draining or gone,
+//  4. an endpoint that is warming up gets no more setups than its slow start allows,
 //
-// and that what the Balancer counts stays true.
+// and that the Balancer's counters are consistent with its records.
 func TestInvariantsHoldOverRandomEvents(t *testing.T) {
 	for seed := range uint64(60) {
 		newRandomScenario(t, seed).run(1500)
 	}
 }
 
-// randomScenario is a random but legal environment of a Balancer.
+// randomScenario simulates random but valid clients and endpoints of a Balancer.
 type randomScenario struct {
 	*testRelay
 	rng               *rand.Rand
 	settings          Settings
 	listed            []Endpoint
-	unavailableSince  map[EndpointID]time.Duration // listed as draining or gone since
+	unavailableSince  map[EndpointID]time.Duration // when first listed as draining or gone
 	requests          map[RequestID]*scenarioRequest
-	attempts          []scenarioAttempt // in flight or established
-	slowStartAttempts map[EndpointID][]time.Duration
+	attempts          []scenarioAttempt              // in flight or established
+	slowStartAttempts map[EndpointID][]time.Duration // times of attempts while warming up
 }
 
+// scenarioRequest is a request that has not been answered or whose connection is established.
 type scenarioRequest struct {
 	Request
 	arrivedAt   time.Duration
@@ -41,6 +42,7 @@
 	established bool
 }
 
+// scenarioAttempt is an attempt or the connection that was established by it.
 type scenarioAttempt struct {
 	request    RequestID
 	endpoint   Endpoint
@@ -72,41 +74,42 @@
 	return scenario
 }
 
+// run executes random steps, then checks that all requests are answered and the counters are consistent.
 func (s *randomScenario) run(steps int) {
 	for range steps {
 		s.step()
 	}
-	// Without further events every request still gets its answer.
+	// Every request must be answered by its deadline without further events.
 	s.check(s.elapse(3 * time.Second))
 	for id, request := range s.requests {
 		if !request.established {
-			s.t.Errorf("request %d was never answered", id)
+			s.t.Errorf("invariant 1: request %d was not answered", id)
 		}
 	}
-	out := 0
+	inFlight := 0
 	for _, request := range s.balancer.requests {
 		if request.endpoint != nil && !request.established {
-			out++
+			inFlight++
 		}
 	}
-	if out != s.balancer.concurrency.inFlight || out != 0 {
-		s.t.Errorf("%d attempts are in flight, %d are counted", out, s.balancer.concurrency.inFlight)
+	if inFlight != s.balancer.concurrency.inFlight || inFlight != 0 {
+		s.t.Errorf("%d attempts are in flight, the counter is %d, want 0", inFlight, s.balancer.concurrency.inFlight)
 	}
 	for _, endpoint := range s.balancer.endpoints.sorted {
-		n, load := 0, 0.0
-		for _, c := range endpoint.connections {
-			load += c.load
+		inGroups, load := 0, 0.0
+		for _, connection := range endpoint.connections {
+			load += connection.load
 		}
-		for _, g := range endpoint.connectionsByGroup {
-			n += g
+		for _, count := range endpoint.connectionsByGroup {
+			inGroups += count
 		}
-		if n != len(endpoint.connections) || load-endpoint.load > 1e-6 || endpoint.load-load > 1e-6 {
-			s.t.Errorf("endpoint %d: %d connections, %d in groups, load %v booked as %v", endpoint.ID, len(endpoint.connections), n, load, endpoint.load)
+		if inGroups != len(endpoint.connections) || load-endpoint.load > 1e-6 || endpoint.load-load > 1e-6 {
+			s.t.Errorf("endpoint %d has %d connections and %d in groups, total load %v and recorded load %v", endpoint.ID, len(endpoint.connections), inGroups, load, endpoint.load)
 		}
 	}
 }
 
-// elapse lets time pass in small steps, and checks on the way.
+// elapse advances the clock in small steps and checks the actions of each.
 func (s *randomScenario) elapse(d time.Duration) []Action {
 	for end := s.now + d; s.now < end; {
 		s.check(s.advance(min(5*ms, end-s.now)))
@@ -114,19 +117,20 @@
 	return nil
 }
 
+// step executes one random event or advances the clock.
 func (s *randomScenario) step() {
-	switch k := s.rng.IntN(20); {
-	case k < 6:
+	switch choice := s.rng.IntN(20); {
+	case choice < 6:
 		s.lastID++
-		q := Request{ID: s.lastID, Class: s.rng.IntN(len(s.settings.Classes)), Group: s.rng.Uint64N(6),
+		request := Request{ID: s.lastID, Class: s.rng.IntN(len(s.settings.Classes)), Group: s.rng.Uint64N(6),
 			TimeLeft: time.Duration(s.rng.IntN(2000)) * ms, Returning: s.rng.IntN(3) == 0}
-		s.requests[q.ID] = &scenarioRequest{Request: q, arrivedAt: s.now}
-		s.check(s.handle(q))
-	case k < 13 && len(s.attempts) > 0:
+		s.requests[request.ID] = &scenarioRequest{Request: request, arrivedAt: s.now}
+		s.check(s.handle(request))
+	case choice < 13 && len(s.attempts) > 0:
 		s.endAttempt(s.rng.IntN(len(s.attempts)))
-	case k < 14:
+	case choice < 14:
 		s.changeList()
-	case k < 15:
+	case choice < 15:
 		if ids := s.requestIDs(); len(ids) > 0 {
 			id := ids[s.rng.IntN(len(ids))]
 			if !s.requests[id].established {
@@ -134,18 +138,19 @@
 				s.check(s.handle(ClientLeft{Request: id}))
 			}
 		}
-	case k < 16 && len(s.attempts) > 0:
+	case choice < 16 && len(s.attempts) > 0:
 		attempt := s.attempts[s.rng.IntN(len(s.attempts))]
 		delay := time.Duration(s.rng.IntN(3000)) * ms
 		s.check(s.handle(EndpointDelay{Request: attempt.request, Endpoint: attempt.endpoint.ID, Delay: delay}))
 		s.check(s.handle(ConnectionLoad{Request: attempt.request, Endpoint: attempt.endpoint.ID, Load: s.rng.Float64()}))
-	case k < 17:
+	case choice < 17:
 		s.check(s.handle(Timer{Token: s.rng.Uint32()}))
 	default:
 		s.elapse(time.Duration(s.rng.IntN(60)) * ms)
 	}
 }
 
+// requestIDs returns the IDs of all requests in a deterministic order.
 func (s *randomScenario) requestIDs() []RequestID {
 	var ids []RequestID
 	for id := range s.requests {
@@ -155,7 +160,7 @@
 	return ids
 }
 
-// endAttempt establishes or ends an attempt.
+// endAttempt establishes or ends attempt i, or ends its connection.
 func (s *randomScenario) endAttempt(i int) {
 	attempt := s.attempts[i]
 	request := s.requests[attempt.request]
@@ -166,20 +171,20 @@
 	}
 	s.attempts = slices.Delete(s.attempts, i, i+1)
 	status := []AttemptStatus{StatusOK, StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset, StatusCancelled, StatusNotSent}[s.rng.IntN(8)]
-	over := request == nil || request.established || status == StatusOK
+	final := request == nil || request.established || status == StatusOK
 	if request != nil {
 		request.inFlight--
 		if status != StatusFull && status != StatusConnectFailed && status != StatusNotSent {
 			request.attempts[len(request.attempts)-1].mayHaveRun = true
 		}
 	}
-	if over {
+	if final {
 		delete(s.requests, attempt.request)
 	}
-	s.check(s.handle(Outcome{Request: attempt.request, Endpoint: attempt.endpoint.ID, Status: status, Final: over}))
+	s.check(s.handle(Outcome{Request: attempt.request, Endpoint: attempt.endpoint.ID, Status: status, Final: final}))
 }
 
-// changeList updates the list: endpoints drain, go, restart or are left out.
+// changeList updates the list: an endpoint drains, becomes gone or restarts, or the update fails.
 func (s *randomScenario) changeList() {
 	if s.rng.IntN(4) == 0 {
 		s.check(s.handle(EndpointList{Kind: ListFailed}))
@@ -208,7 +213,7 @@
 	s.check(s.handle(list))
 }
 
-// check checks actions against the invariants.
+// check checks actions against the invariants and applies them to the scenario.
 func (s *randomScenario) check(actions []Action) {
 	s.t.Helper()
 	for _, action := range actions {
@@ -220,14 +225,14 @@
 			for i := range request.attempts {
 				if class := s.settings.Classes[request.Class]; (request.attempts[i].mayHaveRun || request.inFlight > 0) && class.Semantics != Idempotent &&
 					!(class.Semantics == Deduplicated && class.DeduplicationScope == ScopeAll) {
-					s.t.Fatalf("invariant 2: request %d of class %d rejected though it may have run", request.ID, request.Class)
+					s.t.Fatalf("invariant 2: request %d of class %d was rejected, but may have been executed", request.ID, request.Class)
 				}
 			}
 		case Fail:
 			s.checkAnswer(action.Request)
 		case Migrate:
 			if request := s.requests[action.Request]; request == nil || !request.established {
-				s.t.Fatalf("request %d migrated, but it isn't established", action.Request)
+				s.t.Fatalf("request %d was migrated, but is not established", action.Request)
 			}
 			delete(s.requests, action.Request)
 			s.attempts = slices.DeleteFunc(s.attempts, func(attempt scenarioAttempt) bool { return attempt.request == action.Request })
@@ -235,30 +240,32 @@
 	}
 }
 
+// checkAnswer checks a final answer and returns the request, which it removes.
 func (s *randomScenario) checkAnswer(id RequestID) *scenarioRequest {
 	s.t.Helper()
 	request := s.requests[id]
 	if request == nil || request.established {
-		s.t.Fatalf("invariant 1: request %d answered, though it needs no answer", id)
+		s.t.Fatalf("invariant 1: request %d was answered, but has ended or is established", id)
 	}
 	if s.now > request.arrivedAt+request.TimeLeft+20*ms {
-		s.t.Fatalf("invariant 1: request %d answered %v after its deadline", id, s.now-request.arrivedAt-request.TimeLeft)
+		s.t.Fatalf("invariant 1: request %d was answered %v after its deadline", id, s.now-request.arrivedAt-request.TimeLeft)
 	}
 	delete(s.requests, id)
 	return request
 }
 
+// checkAttempt checks an attempt against the invariants and records it.
 func (s *randomScenario) checkAttempt(action SendAttempt) {
 	s.t.Helper()
 	request := s.requests[action.Request]
 	if request == nil || request.established || request.inFlight > 0 {
-		s.t.Fatalf("invariant 1: attempt for request %d, which has ended or has one in flight", action.Request)
+		s.t.Fatalf("invariant 1: request %d was sent, but has ended, is established or has an attempt in flight", action.Request)
 	}
 	if len(request.attempts) >= s.settings.MaxAttempts {
-		s.t.Fatalf("request %d has more than %d attempts", action.Request, s.settings.MaxAttempts)
+		s.t.Fatalf("request %d was sent more than %d times", action.Request, s.settings.MaxAttempts)
 	}
 	i := slices.IndexFunc(s.listed, func(endpoint Endpoint) bool { return endpoint.ID == action.Endpoint })
-	to := s.listed[i]
+	target := s.listed[i]
 	class := s.settings.Classes[request.Class]
 	for _, attempt := range request.attempts {
 		if !attempt.mayHaveRun || class.Semantics == Idempotent {
@@ -267,32 +274,32 @@
 		switch {
 		case class.Semantics == AtMostOnce,
 			s.now > attempt.sentAt+class.DeduplicationWindow,
-			class.DeduplicationScope == ScopeZone && to.Zone != attempt.endpoint.Zone,
-			class.DeduplicationScope == ScopeCell && to.Cell != attempt.endpoint.Cell:
-			s.t.Fatalf("invariant 2: request %d of class %d sent again", request.ID, request.Class)
+			class.DeduplicationScope == ScopeZone && target.Zone != attempt.endpoint.Zone,
+			class.DeduplicationScope == ScopeCell && target.Cell != attempt.endpoint.Cell:
+			s.t.Fatalf("invariant 2: request %d of class %d was repeated, but may have been executed", request.ID, request.Class)
 		}
 	}
-	if since, ok := s.unavailableSince[to.ID]; ok && s.now > since+time.Second {
-		s.t.Fatalf("invariant 3: sent to %d, listed as draining or gone %v ago", to.ID, s.now-since)
+	if since, ok := s.unavailableSince[target.ID]; ok && s.now > since+time.Second {
+		s.t.Fatalf("invariant 3: request %d was sent to endpoint %d, listed as draining or gone %v ago", action.Request, target.ID, s.now-since)
 	}
-	if to.StartedAt > 0 && s.now < to.StartedAt+s.settings.SlowStartDuration {
-		// No more than one relay's share of what an overload window may hold, or one.
-		sent := append(s.slowStartAttempts[to.ID], s.now)
-		s.slowStartAttempts[to.ID] = sent
-		n := 0
-		for _, at := range sent {
+	if target.StartedAt > 0 && s.now < target.StartedAt+s.settings.SlowStartDuration {
+		// Within an overload window the limit is one relay's share of the setups, and at least one.
+		sentAt := append(s.slowStartAttempts[target.ID], s.now)
+		s.slowStartAttempts[target.ID] = sentAt
+		sentInWindow := 0
+		for _, at := range sentAt {
 			if at > s.now-s.settings.OverloadWindow {
-				n++
+				sentInWindow++
 			}
 		}
-		age := float64(s.now-to.StartedAt) / float64(s.settings.SlowStartDuration)
-		share := s.settings.InitialCapacity + (1-s.settings.InitialCapacity)*age
-		if most := 1 + 10*share*s.settings.OverloadMultiple*s.settings.OverloadWindow.Seconds(); float64(n) > most {
-			s.t.Fatalf("invariant 4: endpoint %d, which is warming up, was sent %d in a window, %v at most", to.ID, n, most)
+		age := float64(s.now-target.StartedAt) / float64(s.settings.SlowStartDuration)
+		warmth := s.settings.InitialCapacity + (1-s.settings.InitialCapacity)*age
+		if limit := 1 + 10*warmth*s.settings.OverloadMultiple*s.settings.OverloadWindow.Seconds(); float64(sentInWindow) > limit {
+			s.t.Fatalf("invariant 4: endpoint %d is warming up and was sent %d setups in a window, limit is %v", target.ID, sentInWindow, limit)
 		}
 	}
 	request.inFlight++
-	attempt := scenarioAttempt{request: request.ID, endpoint: to, sentAt: s.now}
+	attempt := scenarioAttempt{request: request.ID, endpoint: target, sentAt: s.now}
 	request.attempts = append(request.attempts, attempt)
 	s.attempts = append(s.attempts, attempt)
 }
--- a/balancer/loop_test.go
+++ b/balancer/loop_test.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// drivenLoop is a Loop that the test ticks.
+// drivenLoop is a Loop whose Tick is called by the test.
 type drivenLoop struct {
 	*Loop
 	t   *testing.T
 	now time.Duration
 }
 
-func newDrivenLoop(t *testing.T, servers int) *drivenLoop {
+// newDrivenLoop returns a Loop with a number of ready endpoints.
+func newDrivenLoop(t *testing.T, endpoints int) *drivenLoop {
 	t.Helper()
 	loop := &drivenLoop{NewLoop(testSettings(), 1), t, time.Hour}
-	loop.Report(EndpointUpdate{Kind: ListCached, Endpoints: readyEndpoints(servers)})
+	loop.Report(EndpointUpdate{Kind: ListCached, Endpoints: readyEndpoints(endpoints)})
 	loop.advance(0)
 	return loop
 }
 
-// advance lets time pass, ticks at every timer that is due meanwhile, and once more at the end.
+// advance advances the clock and calls Tick at each timer that is due and at the end.
 func (d *drivenLoop) advance(after time.Duration) {
 	until := d.now + after
 	for {
@@ -36,33 +37,35 @@
 	d.Tick(d.now)
 }
 
-// submit submits a request.
+// submit submits a request and lets the Loop process it.
 func (d *drivenLoop) submit() *RequestHandle {
 	handle := NewRequestHandle(RequestOptions{Group: 7, Deadline: d.now + 2*time.Second})
-	handle.submitted = true // Pick would block before the Tick
+	handle.submitted = true // NextAction would block before the Tick
 	d.enqueue(handle)
 	d.advance(0)
 	return handle
 }
 
+// wantAction returns the next action of a request and fails the test if its kind is not as wanted.
 func (d *drivenLoop) wantAction(handle *RequestHandle, kind ActionKind) RequestAction {
 	d.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	action, err := d.NextAction(ctx, handle)
 	if err != nil || action.Kind != kind {
-		d.t.Fatalf("got action %+v, %v, want kind %d", action, err, kind)
+		d.t.Fatalf("got action %+v, error %v, want kind %d", action, err, kind)
 	}
 	return action
 }
 
+// wantNoAction fails the test if there is an action for a request.
 func (d *drivenLoop) wantNoAction(handle *RequestHandle) {
 	d.t.Helper()
 	ctx, cancel := context.WithCancelCause(context.Background())
-	why := errors.New("no action")
-	cancel(why)
-	if action, err := d.NextAction(ctx, handle); !errors.Is(err, why) {
-		d.t.Fatalf("got action %+v, %v, want none", action, err)
+	cause := errors.New("no action")
+	cancel(cause)
+	if action, err := d.NextAction(ctx, handle); !errors.Is(err, cause) {
+		d.t.Fatalf("got action %+v, error %v, want no action", action, err)
 	}
 }
 
@@ -73,10 +76,10 @@
 	loop.wantNoAction(handle)
 	loop.Report(AttemptEnded{Handle: handle, Status: StatusConnectFailed})
 	loop.advance(0)
-	loop.wantNoAction(handle) // it backs off
+	loop.wantNoAction(handle) // during the backoff
 	loop.advance(retryBackoffBase)
 	if second := loop.wantAction(handle, ActionAttempt); second.Endpoint == first.Endpoint {
-		t.Error("the second attempt goes where the first has failed")
+		t.Error("the second attempt goes to the endpoint where the first failed")
 	}
 	loop.Report(AttemptEstablished{Handle: handle, SetupTime: 5 * ms})
 	loop.advance(0)
@@ -85,17 +88,17 @@
 	loop.advance(0)
 	loop.wantAction(handle, ActionClosed)
 	if len(loop.handles) != 0 {
-		t.Errorf("%d handles are kept", len(loop.handles))
+		t.Errorf("%d handles are left after the connection ended, want none", len(loop.handles))
 	}
 }
 
-func TestDeadlineAnswersWhileAnAttemptIsInFlight(t *testing.T) {
+func TestRequestIsRejectedAtDeadlineWithAttemptInFlight(t *testing.T) {
 	loop := newDrivenLoop(t, 1)
 	handle := loop.submit()
 	loop.wantAction(handle, ActionAttempt)
 	loop.advance(2 * time.Second)
 	loop.wantAction(handle, ActionReject)
-	// An attempt that is established after that comes too late.
+	// Events of the attempt are ignored after the final action.
 	loop.Report(AttemptEstablished{Handle: handle})
 	loop.Report(AttemptEnded{Handle: handle, Status: StatusCancelled})
 	loop.advance(0)
@@ -128,7 +131,7 @@
 	loop.wantNoAction(handle)
 }
 
-// Whoever reports after the last Tick must not wait for another.
+// Guards against reporters that block forever after the last Tick.
 func TestReportAfterCloseDoesNotBlock(t *testing.T) {
 	loop := newDrivenLoop(t, 1)
 	loop.Close()
--- a/balancer/module_test.go
+++ b/balancer/module_test.go
@@ -9,29 +9,28 @@
 	"time"
 )
 
-// policyFiles hold the decisions, and the records that only they use: the policy files of deploy/balancer.toml.
+// policyFiles are the files with the decision logic, listed as policy in deploy/balancer.toml.
 var policyFiles = []string{
 	"admission.go", "attempt.go", "balancer.go", "concurrency.go", "draining.go", "draw.go", "endpointlist.go",
 	"outlier.go", "retry.go", "selection.go", "slowstart.go", "weights.go",
 }
 
-// The decision module has to stay short enough to be read as a whole: lines and files are limited, and so is the code
-// of all decisions together. doc.go tells where to look for what.
-func TestModuleIsShort(t *testing.T) {
+// Guards against growth that makes the package hard to read as a whole, and against files that doc.go does not list.
+func TestSourceStaysWithinSizeLimits(t *testing.T) {
 	const (
-		maxColumns     = 110 // of a line, with tabs of four
-		maxFileLines   = 250 // that are not blank
-		maxPolicyLines = 750 // of code in all policy files, neither blank nor comment
+		maxColumns     = 110 // per line, with a tab width of 4
+		maxFileLines   = 250 // per file, without blank lines
+		maxPolicyLines = 750 // in all policy files, without blank lines and comments
 	)
 	files, err := filepath.Glob("*.go")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("list source files: %v", err)
 	}
 	doc, err := os.ReadFile("doc.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	policyLines, policySeen := 0, 0
+	policyLines, policyFilesFound := 0, 0
 	for _, file := range files {
 		if strings.HasSuffix(file, "_test.go") {
 			continue
@@ -49,32 +48,32 @@
 			if trimmed != "" && !strings.HasPrefix(trimmed, "//") {
 				code++
 			}
-			if w := len([]rune(strings.ReplaceAll(line, "\t", "    "))); w > maxColumns {
-				t.Errorf("%s:%d has %d columns, at most %d are allowed", file, i+1, w, maxColumns)
+			if columns := len([]rune(strings.ReplaceAll(line, "\t", "    "))); columns > maxColumns {
+				t.Errorf("%s:%d has %d columns, limit is %d", file, i+1, columns, maxColumns)
 			}
 		}
 		if lines > maxFileLines {
-			t.Errorf("%s has %d lines that are not blank, at most %d are allowed", file, lines, maxFileLines)
+			t.Errorf("%s has %d non-blank lines, limit is %d", file, lines, maxFileLines)
 		}
 		if slices.Contains(policyFiles, file) {
-			policySeen++
+			policyFilesFound++
 			policyLines += code
 		}
 		if file != "doc.go" && !strings.Contains(string(doc), file) {
-			t.Errorf("doc.go doesn't name %s", file)
+			t.Errorf("doc.go does not list %s", file)
 		}
 	}
-	if policySeen != len(policyFiles) {
-		t.Errorf("%d of the %d policy files are there", policySeen, len(policyFiles))
+	if policyFilesFound != len(policyFiles) {
+		t.Errorf("found %d of %d policy files", policyFilesFound, len(policyFiles))
 	}
 	if policyLines > maxPolicyLines {
-		t.Errorf("the policy files have %d lines of code, at most %d are allowed", policyLines, maxPolicyLines)
+		t.Errorf("the policy files have %d lines of code, limit is %d", policyLines, maxPolicyLines)
 	}
 }
 
-// Balancers share nothing: equal events give equal actions, with another one beside it or without.
+// Guards against state shared between Balancers: equal events give equal actions whether or not another one runs.
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	script := func(relay *testRelay, other *testRelay) []Action {
+	runEvents := func(relay *testRelay, other *testRelay) []Action {
 		for key := range uint64(300) {
 			id, actions := relay.request(key % 13)
 			if other != nil {
@@ -93,10 +92,10 @@
 		}
 		return relay.actions
 	}
-	alone := script(newTestRelay(t, testSettings(), readyEndpoints(9)...), nil)
-	beside := script(newTestRelay(t, testSettings(), readyEndpoints(9)...), newTestRelay(t, testSettings(), readyEndpoints(9)...))
+	alone := runEvents(newTestRelay(t, testSettings(), readyEndpoints(9)...), nil)
+	withOther := runEvents(newTestRelay(t, testSettings(), readyEndpoints(9)...), newTestRelay(t, testSettings(), readyEndpoints(9)...))
 	if len(alone) < 300 {
-		t.Fatalf("only %d actions", len(alone))
+		t.Fatalf("got %d actions, want at least 300", len(alone))
 	}
-	wantActions(t, beside, alone...)
+	wantActions(t, withOther, alone...)
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// An endpoint that slows but accepts must not keep its groups.
+// Guards against an endpoint that keeps its groups while it is slow but accepts connections.
 func TestSlowEndpointLosesWeightRoutesAndConnections(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 	id, endpoint := relay.connect(7)
 	relay.connectMany(7, 19)
-	state := relay.balancer.endpoints.find(endpoint)
-	before := state.currentWeight(relay.now)
+	record := relay.balancer.endpoints.find(endpoint)
+	before := record.currentWeight(relay.now)
 	wantActions(t, relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 90 * ms}))
 	relay.advance(time.Second)
-	moved := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 500 * ms}))
-	if moved == 0 || moved == 20 {
-		t.Fatalf("%d of 20 connections migrated, want some of them", moved)
+	migrated := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 500 * ms}))
+	if migrated == 0 || migrated == 20 {
+		t.Fatalf("%d of 20 connections migrated, want some but not all", migrated)
 	}
-	if after := state.currentWeight(relay.now); after >= before {
-		t.Errorf("weight went from %v to %v", before, after)
+	if after := record.currentWeight(relay.now); after >= before {
+		t.Errorf("weight of the slow endpoint went from %v to %v, want it lowered", before, after)
 	}
 	if _, next := relay.connect(7); next == endpoint {
-		t.Error("the group still grows on the slow endpoint")
+		t.Error("a new request of the group was sent to the slow endpoint")
 	}
 }
 
@@ -40,17 +40,17 @@
 		relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 		id, endpoint := relay.connect(7)
 		relay.connectMany(7, 19)
-		state := relay.balancer.endpoints.find(endpoint)
-		state.delay, state.delayAt = test.before, relay.now
+		record := relay.balancer.endpoints.find(endpoint)
+		record.delay, record.delayAt = test.before, relay.now
 		relay.advance(time.Second)
 		n := countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: test.delay}))
 		if n < test.min || n > test.max {
-			t.Errorf("%s: %d of 20 migrated, want %d to %d", test.name, n, test.min, test.max)
+			t.Errorf("%s: %d of 20 connections migrated, want %d to %d", test.name, n, test.min, test.max)
 		}
 	}
 }
 
-// A group on two endpoints is paid for by both.
+// Guards against splitting groups when load is shed: a group on two endpoints costs twice.
 func TestLoadReliefMigratesSmallGroupsFirst(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	big, _ := relay.connect(1)
@@ -60,75 +60,75 @@
 	relay.handle(EndpointList{Kind: ListDelta, Endpoints: readyEndpoints(2)[1:]})
 	relay.balancer.migrateConnections(relay.balancer.endpoints.find(1), 3, ReasonLoadRelief)
 	if relay.balancer.requests[small] != nil || relay.balancer.endpoints.find(1).connectionsByGroup[2] != 0 {
-		t.Error("the small group stayed")
+		t.Error("connections of the small group were not migrated")
 	}
 	if n := relay.balancer.endpoints.find(1).connectionsByGroup[1]; n != 9 || relay.balancer.requests[big] == nil && n == 10 {
-		t.Errorf("%d of the large group stayed, want 9", n)
+		t.Errorf("%d connections of the large group were kept, want 9", n)
 	}
 }
 
-// Many relays with one connection each must neither empty a slow endpoint nor leave it as it is.
+// Guards against many relays with one connection each that migrate all connections of a slow endpoint or none.
 func TestLoadReliefByManyRelaysKeepsSomeConnections(t *testing.T) {
-	moved := 0
+	migrated := 0
 	for seed := range uint64(200) {
 		relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 		relay.balancer = New(testSettings(), seed)
 		relay.handle(EndpointList{Kind: ListCached, Endpoints: readyEndpoints(6)})
 		id, endpoint := relay.connect(7)
-		state := relay.balancer.endpoints.find(endpoint)
-		state.delay, state.delayAt = 600*ms, relay.now
+		record := relay.balancer.endpoints.find(endpoint)
+		record.delay, record.delayAt = 600*ms, relay.now
 		relay.advance(time.Second)
-		moved += countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 600 * ms}))
+		migrated += countActions[Migrate](relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 600 * ms}))
 	}
-	if moved < 20 || moved > 70 {
-		t.Errorf("%d of 200 relays migrated their connection, want about 40", moved)
+	if migrated < 20 || migrated > 70 {
+		t.Errorf("%d of 200 relays migrated their connection, want 20 to 70", migrated)
 	}
 }
 
-// With all endpoints slow, load is shed: migrated clients are held until an endpoint is no longer slow.
+// Guards against migrating clients back to slow endpoints when all are slow: they are held until one is no longer slow.
 func TestLoadReliefShedsWhenAllEndpointsAreSlow(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
-	up, endpoint := relay.connect(7)
+	established, endpoint := relay.connect(7)
 	relay.connectMany(7, 19)
-	moved := countActions[Migrate](relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second}))
-	if moved < 5 || moved > 18 {
-		t.Fatalf("%d of 20 migrated", moved)
+	migrated := countActions[Migrate](relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second}))
+	if migrated < 5 || migrated > 18 {
+		t.Fatalf("%d of 20 connections migrated, want 5 to 18", migrated)
 	}
-	for range moved {
+	for range migrated {
 		_, actions := relay.request(7)
 		wantActions(t, actions)
 	}
 	relay.advance(ms)
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: 10 * ms})
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: 10 * ms})
 	if n := countActions[SendAttempt](relay.advance(2 * time.Second)); n < 2 {
-		t.Errorf("%d of %d sent once the endpoint was no longer slow", n, moved)
+		t.Errorf("%d of %d held requests were sent after the endpoint recovered, want at least 2", n, migrated)
 	}
 }
 
-// Set-ups at slow endpoints, and migrations among them, keep them slow.
+// Guards against setups that keep a slow endpoint slow.
 func TestRequestsAreHeldWhileTheSelectedEndpointIsSlow(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
-	up, endpoint := relay.connect(7)
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
+	established, endpoint := relay.connect(7)
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
 	id, actions := relay.request(7)
 	wantActions(t, actions)
 	wantActions(t, relay.advance(500*ms))
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: 30 * ms})
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: 30 * ms})
 	relay.wantSent(relay.advance(holdInterval), id)
 	relay.handle(Established{Request: id, Endpoint: endpoint, SetupTime: ms})
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
-	late, _ := relay.request(7)
-	for range 4 { // delays are reported again and again; the held request is answered all the same
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
+	held, _ := relay.request(7)
+	for range 4 { // repeated delay reports must not postpone the answer
 		relay.advance(475 * ms)
-		relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
+		relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
 	}
 	relay.advance(100 * ms)
-	if countActions[Reject](relay.actions) != 1 || relay.balancer.requests[late] != nil {
-		t.Errorf("the request that was held has no answer: %v", relay.actions)
+	if countActions[Reject](relay.actions) != 1 || relay.balancer.requests[held] != nil {
+		t.Errorf("the held request was not answered at its deadline; actions are %v", relay.actions)
 	}
 }
 
-// An endpoint that rejects set-ups quickly would look empty.
+// Guards against more attempts at an endpoint that rejects setups because it is full.
 func TestRequestsAreHeldWhileTheEndpointIsFull(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	id, actions := relay.request(7)
@@ -137,24 +137,24 @@
 	wantActions(t, actions)
 	relay.advance(1500 * ms)
 	if n := countActions[SendAttempt](relay.actions); n != 1 {
-		t.Errorf("%d attempts at an endpoint that was full", n)
+		t.Errorf("%d attempts at the full endpoint, want 1", n)
 	}
 }
 
-// Requests that were held for a slow endpoint must not all arrive at once.
+// Guards against held requests that all arrive at once when an endpoint is no longer slow.
 func TestRecoveryRampLimitsSetupsAfterSlowness(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 2
 	relay := newTestRelay(t, settings, readyEndpoints(1)...)
-	up, endpoint := relay.connect(7)
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: time.Second})
+	established, endpoint := relay.connect(7)
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
 	for range 20 {
 		relay.request(7)
 	}
 	relay.advance(ms)
-	relay.handle(EndpointDelay{Request: up, Endpoint: endpoint, Delay: 10 * ms})
+	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: 10 * ms})
 	if n := countActions[SendAttempt](relay.advance(time.Second)); n < 2 || n > 3 {
-		t.Errorf("%d sent within a second, want one in %v", n, 2*recoveryInterval)
+		t.Errorf("%d requests were sent within a second of recovery, want one per %v", n, 2*recoveryInterval)
 	}
 	relay.advance(recoveryDuration)
 	sent := 0
@@ -163,6 +163,6 @@
 		sent += countActions[SendAttempt](actions)
 	}
 	if sent != 10 {
-		t.Errorf("%d of 10 sent long after", sent)
+		t.Errorf("%d of 10 requests were sent after the recovery", sent)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -19,7 +19,7 @@
 		wantActions(t, relay.advance(wait-1))
 		endpoint = relay.wantSent(relay.advance(1), id)
 		if tried[endpoint] {
-			t.Fatalf("endpoint %d was tried twice", endpoint)
+			t.Fatalf("request %d was sent to endpoint %d twice", id, endpoint)
 		}
 		tried[endpoint] = true
 	}
@@ -32,7 +32,7 @@
 	wantActions(t, relay.fail(1, endpoint, StatusFull), Reject{Request: 1})
 }
 
-// What may follow an attempt, by the class of the request and by the outcome of the attempt.
+// Guards against repeats and rejections that could make a request execute twice, for each class and outcome.
 func TestRetryStaysWithinDeduplicationScope(t *testing.T) {
 	endpoints := []Endpoint{
 		{ID: 1, State: StateReady, Size: 1, Zone: 0, Cell: 0},
@@ -43,7 +43,7 @@
 	}
 	zone := map[EndpointID]int{1: 0, 2: 0, 3: 1, 4: 0, 5: 1}
 	cell := map[EndpointID]int{1: 0, 2: 1, 3: 2, 4: 0, 5: 2}
-	ran := map[AttemptStatus]bool{StatusError: true, StatusTimeout: true, StatusReset: true, StatusCancelled: true}
+	mayHaveRun := map[AttemptStatus]bool{StatusError: true, StatusTimeout: true, StatusReset: true, StatusCancelled: true}
 	for _, class := range []Class{
 		{Semantics: Idempotent},
 		{Semantics: Deduplicated, DeduplicationScope: ScopeAll, DeduplicationWindow: 5 * time.Second},
@@ -61,33 +61,33 @@
 				id, actions := relay.request(key)
 				first := relay.wantSent(actions, id)
 				actions = append(relay.fail(id, first, status), relay.advance(150*ms)...)
-				mayRepeat := !ran[status] || class.Semantics == Idempotent ||
+				mayRepeat := !mayHaveRun[status] || class.Semantics == Idempotent ||
 					class.Semantics == Deduplicated && class.DeduplicationWindow > 100*ms
-				mayReject := !ran[status] || class.Semantics == Idempotent ||
+				mayReject := !mayHaveRun[status] || class.Semantics == Idempotent ||
 					class.Semantics == Deduplicated && class.DeduplicationScope == ScopeAll
 				for _, action := range actions {
 					switch action := action.(type) {
 					case SendAttempt:
 						if !mayRepeat {
-							t.Errorf("%+v after %d: sent again", class, status)
+							t.Errorf("class %+v, status %d: request was repeated", class, status)
 						}
-						scoped := ran[status] && class.Semantics == Deduplicated
+						scoped := mayHaveRun[status] && class.Semantics == Deduplicated
 						if scoped && class.DeduplicationScope == ScopeZone && zone[action.Endpoint] != zone[first] ||
 							scoped && class.DeduplicationScope == ScopeCell && cell[action.Endpoint] != cell[first] {
-							t.Errorf("%+v after %d: %d then %d", class, status, first, action.Endpoint)
+							t.Errorf("class %+v, status %d: request was sent to endpoint %d, then to %d outside the scope", class, status, first, action.Endpoint)
 						}
 					case Reject:
 						if !mayReject {
-							t.Errorf("%+v after %d: rejected", class, status)
+							t.Errorf("class %+v, status %d: request was rejected, but may have been executed", class, status)
 						}
 					case Fail:
 						if mayReject {
-							t.Errorf("%+v after %d: failed though a rejection is true", class, status)
+							t.Errorf("class %+v, status %d: request was failed, want a rejection", class, status)
 						}
 					}
 				}
 				if mayRepeat && class.DeduplicationScope == ScopeAll && countActions[SendAttempt](actions) != 1 {
-					t.Errorf("%+v after %d: not sent again", class, status)
+					t.Errorf("class %+v, status %d: request was not repeated", class, status)
 				}
 			}
 		}
--- a/balancer/routecache_test.go
+++ b/balancer/routecache_test.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// setupFailures are the outcomes of attempts that were not established.
+// setupFailures are the outcomes of failed attempts.
 var setupFailures = []AttemptStatus{StatusError, StatusFull, StatusTimeout, StatusConnectFailed, StatusReset}
 
 func TestEachFailureInvalidatesTheRoute(t *testing.T) {
 	for _, status := range setupFailures {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
 			relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
-			_, home := relay.connect(7)
+			_, cached := relay.connect(7)
 			id, actions := relay.request(7)
-			if endpoint := relay.wantSent(actions, id); endpoint != home {
-				t.Fatalf("sent to %d, cached is %d", endpoint, home)
+			if endpoint := relay.wantSent(actions, id); endpoint != cached {
+				t.Fatalf("request was sent to endpoint %d, cached route leads to %d", endpoint, cached)
 			}
-			relay.fail(id, home, status)
+			relay.fail(id, cached, status)
 			if endpoint, ok := relay.balancer.routes.get(7, relay.now); ok {
-				t.Errorf("route to %d outlived the failure", endpoint)
+				t.Errorf("route to endpoint %d is still cached after the failure", endpoint)
 			}
 		})
 	}
 }
 
-func TestEstablishedWritesAndResetInvalidatesTheRoute(t *testing.T) {
+func TestEstablishedConnectionCachesAndResetInvalidatesTheRoute(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	id, endpoint := relay.connect(7)
 	if got, ok := relay.balancer.routes.get(7, relay.now); !ok || got != endpoint {
-		t.Fatalf("route is %d, %v; want %d", got, ok, endpoint)
+		t.Fatalf("cached endpoint is %d (found: %v), want %d", got, ok, endpoint)
 	}
 	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusReset, Final: true})
 	if _, ok := relay.balancer.routes.get(7, relay.now); ok {
-		t.Error("route outlived the reset of its connection")
+		t.Error("route is still cached after the reset of its connection")
 	}
 	id, endpoint = relay.connect(7)
 	relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusOK, Final: true})
 	if _, ok := relay.balancer.routes.get(7, relay.now); !ok {
-		t.Error("a connection's ordinary end invalidated its route")
+		t.Error("route is not cached after the normal end of its connection")
 	}
 }
 
@@ -49,7 +49,7 @@
 		cache.put(key, EndpointID(key), time.Second)
 	}
 	if len(cache.ring) != 3 || len(cache.index) != 3 {
-		t.Errorf("%d entries and %d keys in a cache of 3", len(cache.ring), len(cache.index))
+		t.Errorf("cache has %d entries and %d keys, want 3", len(cache.ring), len(cache.index))
 	}
 	for key, want := range map[uint64]bool{1: false, 2: false, 3: true, 4: true, 5: true} {
 		if _, ok := cache.get(key, 0); ok != want {
@@ -57,24 +57,24 @@
 		}
 	}
 	if _, ok := cache.get(5, time.Second); ok {
-		t.Error("an entry outlived its expiry")
+		t.Error("expired entry is still returned")
 	}
 	cache.put(0, 1, time.Second)
 	if _, ok := cache.get(0, 0); ok {
-		t.Error("requests without a key share a route")
+		t.Error("route of the key 0 was cached")
 	}
 }
 
 func TestResumedConnectionsRestoreRoutes(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 	relay.handle(Resumed{Request: Request{ID: 900, Group: 7}, Endpoint: 4})
-	relay.handle(Resumed{Request: Request{ID: 901, Group: 8}, Endpoint: 77}) // not on the stale list
+	relay.handle(Resumed{Request: Request{ID: 901, Group: 8}, Endpoint: 77}) // not in the cached list
 	if _, endpoint := relay.connect(7); endpoint != 4 {
-		t.Errorf("the group was sent to %d, its connection is at 4", endpoint)
+		t.Errorf("the group was sent to endpoint %d, its resumed connection is at 4", endpoint)
 	}
 	relay.handle(Outcome{Request: 900, Endpoint: 4, Status: StatusReset, Final: true})
 	relay.handle(Outcome{Request: 901, Endpoint: 77, Status: StatusReset, Final: true})
 	if n := len(relay.balancer.requests); n != 1 {
-		t.Errorf("%d connections kept, want 1", n)
+		t.Errorf("%d requests are left, want 1", n)
 	}
 }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -7,23 +7,23 @@
 
 func TestRouteCacheKeepsAGroupOnItsEndpoint(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(8)...)
-	_, home := relay.connect(7)
+	_, cached := relay.connect(7)
 	for range 10 {
-		if _, endpoint := relay.connect(7); endpoint != home {
-			t.Fatalf("the group was sent to %d, then to %d", home, endpoint)
+		if _, endpoint := relay.connect(7); endpoint != cached {
+			t.Fatalf("the group was sent to endpoint %d, then to %d", cached, endpoint)
 		}
 	}
 }
 
-func TestRouteKeyIsTheItemWithoutAGroup(t *testing.T) {
+func TestRouteKeyOfARequestWithoutGroupIsItsItem(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(8)...)
-	item := func(id RequestID) EndpointID {
+	connectItem := func(id RequestID) EndpointID {
 		endpoint := relay.wantSent(relay.handle(Request{ID: id, Item: 9, TimeLeft: time.Second}), id)
 		relay.handle(Established{Request: id, Endpoint: endpoint})
 		return endpoint
 	}
-	if a, b := item(1), item(2); a != b {
-		t.Errorf("one item was sent to %d and %d", a, b)
+	if first, second := connectItem(1), connectItem(2); first != second {
+		t.Errorf("requests of one item were sent to endpoints %d and %d", first, second)
 	}
 }
 
@@ -31,56 +31,56 @@
 	endpoints := readyEndpoints(2)
 	endpoints[0].Size = 3
 	relay := newTestRelay(t, testSettings(), endpoints...)
-	n := 0
+	drawn := 0
 	for key := range uint64(4000) {
 		if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}).ID == 1 {
-			n++
+			drawn++
 		}
 	}
-	if n < 2850 || n > 3150 {
-		t.Errorf("an endpoint of three times the size drew %d of 4000, want about 3000", n)
+	if drawn < 2850 || drawn > 3150 {
+		t.Errorf("the endpoint of three times the size got %d of 4000 draws, want about 3000", drawn)
 	}
 }
 
-// Relays that share nothing must agree on the endpoint of a group, or several endpoints pay for it.
+// Guards against relays that draw different endpoints for a group, which then costs several times.
 func TestRelaysDrawTheSameEndpointForAGroup(t *testing.T) {
-	a, b := New(testSettings(), 1), New(testSettings(), 2)
-	for _, x := range []*Balancer{a, b} {
-		x.Handle(0, EndpointList{Kind: ListCached, Endpoints: readyEndpoints(12)})
+	first, second := New(testSettings(), 1), New(testSettings(), 2)
+	for _, balancer := range []*Balancer{first, second} {
+		balancer.Handle(0, EndpointList{Kind: ListCached, Endpoints: readyEndpoints(12)})
 	}
 	for key := uint64(1); key < 100; key++ {
 		request := &requestRecord{Request: Request{Group: key}}
-		if state, o := a.drawEndpoint(request), b.drawEndpoint(request); state.ID != o.ID {
-			t.Fatalf("group %d: drawn to %d and to %d", key, state.ID, o.ID)
+		if one, other := first.drawEndpoint(request), second.drawEndpoint(request); one.ID != other.ID {
+			t.Fatalf("group %d: relays draw endpoints %d and %d", key, one.ID, other.ID)
 		}
 	}
 }
 
-// The packets of an established connection may reach another relay, as a request of its group.
+// Guards against relays that send a group to different endpoints when its client switches relays.
 func TestRelaysAgreeOnTheEndpointOfAGroup(t *testing.T) {
-	a, b := newTestRelay(t, testSettings(), readyEndpoints(6)...), newTestRelay(t, testSettings(), readyEndpoints(6)...)
-	_, endpoint := a.connect(7)
-	if got := b.wantSent(b.handle(Request{ID: 1, Group: 7, TimeLeft: time.Second}), 1); got != endpoint {
-		t.Errorf("the connection is established at %d, another relay sent it to %d", endpoint, got)
+	first, second := newTestRelay(t, testSettings(), readyEndpoints(6)...), newTestRelay(t, testSettings(), readyEndpoints(6)...)
+	_, endpoint := first.connect(7)
+	if got := second.wantSent(second.handle(Request{ID: 1, Group: 7, TimeLeft: time.Second}), 1); got != endpoint {
+		t.Errorf("one relay connected the group to endpoint %d, another sent it to %d", endpoint, got)
 	}
 }
 
-// A draw by set-ups alone would not see the connections that are established.
+// Guards against a draw that ignores the load of established connections.
 func TestDrawAvoidsLoadedEndpoints(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	endpoint := relay.connectMany(7, 30)
-	n := 0
+	drawn := 0
 	for key := range uint64(1000) {
 		if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 100}}).ID == endpoint {
-			n++
+			drawn++
 		}
 	}
-	if n > 50 {
-		t.Errorf("the one loaded endpoint of four drew %d of 1000", n)
+	if drawn > 50 {
+		t.Errorf("the loaded endpoint of four got %d of 1000 draws, want at most 50", drawn)
 	}
 }
 
-func TestLocalZoneIsPreferredWhereCrossingCosts(t *testing.T) {
+func TestLocalZoneIsPreferredIfCrossingZonesHasACost(t *testing.T) {
 	for _, test := range []struct {
 		cost     float64
 		min, max int
@@ -90,20 +90,19 @@
 		endpoints := readyEndpoints(2)
 		endpoints[1].Zone = 1
 		relay := newTestRelay(t, settings, endpoints...)
-		n := 0
+		drawn := 0
 		for key := range uint64(1000) {
 			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}).ID == 1 {
-				n++
+				drawn++
 			}
 		}
-		if n < test.min || n > test.max {
-			t.Errorf("cost %v: the local zone drew %d of 1000, want %d to %d", test.cost, n, test.min, test.max)
+		if drawn < test.min || drawn > test.max {
+			t.Errorf("cost %v: the local zone got %d of 1000 draws, want %d to %d", test.cost, drawn, test.min, test.max)
 		}
 	}
 }
 
-// Many relays of four zones draw nearly alike: a full preference for the local zone would put each group
-// on an endpoint in every zone.
+// Guards against splitting each group among zones when many relays in different zones prefer their own.
 func TestLocalZonePreferenceOfManyRelaysDoesNotSplitGroups(t *testing.T) {
 	settings := testSettings()
 	settings.CrossZoneCost = 0.03
@@ -111,7 +110,7 @@
 	for i := range endpoints {
 		endpoints[i].Zone = i % 4
 	}
-	spread := func(relays int) (mean float64) {
+	endpointsPerGroup := func(relays int) (mean float64) {
 		const groups = 50
 		for group := range uint64(groups) {
 			used := map[EndpointID]bool{}
@@ -125,72 +124,72 @@
 		}
 		return mean
 	}
-	if few, many := spread(4), spread(80); few < 2 || many > 1.5 {
-		t.Errorf("a group is on %.2f endpoints behind 4 relays, on %.2f behind 80; more than 2 and less than 1.5 are wanted", few, many)
+	if few, many := endpointsPerGroup(4), endpointsPerGroup(80); few < 2 || many > 1.5 {
+		t.Errorf("a group uses %.2f endpoints with 4 relays and %.2f with 80, want at least 2 and at most 1.5", few, many)
 	}
 }
 
-// A cached endpoint that is slow must not delay its group while other endpoints are not.
+// Guards against holding a group for its slow cached endpoint while other endpoints are free.
 func TestGroupOfASlowEndpointIsRedrawn(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(4)...)
 	_, endpoint := relay.connect(7)
-	state := relay.balancer.endpoints.find(endpoint)
-	state.lastSlowAt, state.delayAt = relay.now, relay.now
-	state.cutWeight(0, relay.now)
+	record := relay.balancer.endpoints.find(endpoint)
+	record.lastSlowAt, record.delayAt = relay.now, relay.now
+	record.cutWeight(0, relay.now)
 	id, actions := relay.request(7)
 	if next := relay.wantSent(actions, id); next == endpoint {
-		t.Error("sent to the slow endpoint")
+		t.Error("the group was sent to its slow cached endpoint")
 	}
 }
 
-// Delays grow before they miss the objective: a group must not fill its endpoint until that is slow.
+// Guards against a group that fills its endpoint until messages there are slow.
 func TestGroupIsRedrawnBeforeItsEndpointIsSlow(t *testing.T) {
 	for _, test := range []struct {
-		delay     time.Duration
-		elsewhere bool
+		delay   time.Duration
+		redrawn bool
 	}{{40 * ms, false}, {80 * ms, true}} {
-		moved := 0
+		redrawn := 0
 		for key := range uint64(20) {
 			relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 			id, endpoint := relay.connect(key + 1)
 			relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: test.delay})
 			if _, next := relay.connect(key + 1); next != endpoint {
-				moved++
+				redrawn++
 			}
 		}
-		if got := moved > 10; got != test.elsewhere {
-			t.Errorf("with a delay of %v of 100 ms, %d of 20 groups grew elsewhere", test.delay, moved)
+		if got := redrawn > 10; got != test.redrawn {
+			t.Errorf("delay %v with an objective of 100 ms: %d of 20 groups were redrawn, want more than 10: %v", test.delay, redrawn, test.redrawn)
 		}
 	}
 }
 
-// Where many endpoints are slow, requests are held for them: if all moved on, they would overload the
-// next endpoint. Where one is slow, holding helps nobody while others are free.
+// Guards against overloading the remaining endpoints while many are slow, and against holding requests for a slow
+// endpoint while others are free.
 func TestDrawAvoidsSlowEndpointsOnlyWhileFewAreSlow(t *testing.T) {
-	for name, c := range map[string]struct{ slow, least, most int }{
+	for name, test := range map[string]struct{ slow, min, max int }{
 		"one of six":   {1, 0, 0},
 		"three of six": {3, 10, 40},
 	} {
-		stay := 0
+		held := 0
 		for key := range uint64(40) {
 			relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 			for other := range uint64(60) {
 				relay.connect(other + 100)
 			}
 			id, endpoint := relay.connect(key + 1)
-			state := relay.balancer.endpoints.find(endpoint)
-			state.delay, state.delayAt = 400*ms, relay.now
+			record := relay.balancer.endpoints.find(endpoint)
+			record.delay, record.delayAt = 400*ms, relay.now
 			relay.advance(time.Second)
-			for i := range EndpointID(c.slow - 1) {
+			for i := range EndpointID(test.slow - 1) {
 				relay.handle(EndpointDelay{Endpoint: (endpoint+i)%6 + 1, Delay: 150 * ms})
 			}
 			relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 150 * ms})
-			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}) == state {
-				stay++
+			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}) == record {
+				held++
 			}
 		}
-		if stay < c.least || stay > c.most {
-			t.Errorf("%s slow: %d of 40 groups are held for their endpoint, want %d to %d", name, stay, c.least, c.most)
+		if held < test.min || held > test.max {
+			t.Errorf("%s endpoints slow: %d of 40 groups are held for theirs, want %d to %d", name, held, test.min, test.max)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -5,14 +5,13 @@
 	"time"
 )
 
-// An endpoint that is warming up gets its share of what warm endpoints are seen to bear, rejected set-ups
-// counted, and an endpoint that restarts is warming up again.
+// Guards against too many setups at an endpoint that has restarted, whether it accepts or rejects them.
 func TestSlowStartLimitsSetupsAtARestartedEndpoint(t *testing.T) {
 	settings := testSettings()
 	endpoints := readyEndpoints(10)
 	relay := newTestRelay(t, settings, endpoints...)
-	arrive := func(d time.Duration, reject bool) (sends int, most int) {
-		var at []time.Duration
+	sendRequests := func(d time.Duration, reject bool) (sent int, maxInWindow int) {
+		var sentAt []time.Duration
 		for end := relay.now + d; relay.now < end; relay.advance(50 * ms) {
 			id, actions := relay.request(uint64(relay.lastID) + 100)
 			endpoint := relay.wantSent(actions, id)
@@ -25,30 +24,30 @@
 			if endpoint != 1 {
 				continue
 			}
-			at = append(at, relay.now)
-			sends++
-			n := 0
-			for _, x := range at {
-				if x > relay.now-settings.OverloadWindow {
-					n++
+			sentAt = append(sentAt, relay.now)
+			sent++
+			inWindow := 0
+			for _, at := range sentAt {
+				if at > relay.now-settings.OverloadWindow {
+					inWindow++
 				}
 			}
-			most = max(most, n)
+			maxInWindow = max(maxInWindow, inWindow)
 		}
-		return sends, most
+		return sent, maxInWindow
 	}
-	arrive(10*time.Second, false)
+	sendRequests(10*time.Second, false)
 	for _, reject := range []bool{false, true} {
 		endpoints[0].StartedAt = relay.now
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: endpoints[:1]})
-		// Each endpoint bears two new connections a second of the twenty: one that is
-		// warming up can take 3 x 0.2 x 2 x 1.5 = 1.8 in any window at first.
-		early, most := arrive(3*time.Second, reject)
-		if early > 3 || most > 2 {
-			t.Errorf("rejecting %v: %d sent in 3 s, %d within a window", reject, early, most)
+		// Each endpoint gets 2 of the 20 setups per second. The overload limit of an endpoint
+		// that has just started is 3 x 0.2 x 2 x 1.5 = 1.8 setups per window.
+		early, maxInWindow := sendRequests(3*time.Second, reject)
+		if early > 3 || maxInWindow > 2 {
+			t.Errorf("endpoint rejects setups: %v: %d setups were sent to it in 3 s and %d in a window, want at most 3 and 2", reject, early, maxInWindow)
 		}
-		if late, _ := arrive(30*time.Second, reject); late < 5 {
-			t.Errorf("rejecting %v: only %d sent in 30 s", reject, late)
+		if late, _ := sendRequests(30*time.Second, reject); late < 5 {
+			t.Errorf("endpoint rejects setups: %v: %d setups were sent to it in the next 30 s, want at least 5", reject, late)
 		}
 	}
 }
@@ -61,31 +60,30 @@
 		endpoints[i].StartedAt = time.Hour
 	}
 	relay := newTestRelay(t, settings, endpoints...)
-	last := map[EndpointID]time.Duration{}
+	lastSentAt := map[EndpointID]time.Duration{}
 	for range 390 {
 		_, actions := relay.request(uint64(relay.lastID))
 		for _, action := range append(actions, relay.advance(50*ms)...) {
 			if attempt, ok := action.(SendAttempt); ok {
-				if gap := relay.now - last[attempt.Endpoint]; last[attempt.Endpoint] > 0 && gap < 1500*ms {
-					t.Fatalf("endpoint %d was sent two attempts within %v", attempt.Endpoint, gap)
+				if interval := relay.now - lastSentAt[attempt.Endpoint]; lastSentAt[attempt.Endpoint] > 0 && interval < 1500*ms {
+					t.Fatalf("endpoint %d was sent two attempts within %v, want at least 1.5 s between them", attempt.Endpoint, interval)
 				}
-				last[attempt.Endpoint] = relay.now
+				lastSentAt[attempt.Endpoint] = relay.now
 				relay.handle(Established{Request: attempt.Request, Endpoint: attempt.Endpoint})
 			}
 		}
 	}
-	if len(last) != 4 {
-		t.Errorf("%d of 4 endpoints that are warming up were ever used", len(last))
+	if len(lastSentAt) != 4 {
+		t.Errorf("%d of 4 endpoints were sent attempts while warming up", len(lastSentAt))
 	}
 }
 
-// Many relays that see an endpoint start, each always with a request for it, must not all send one at the
-// same age of it.
+// Guards against many relays that all send a setup to a started endpoint at the same time.
 func TestSlowStartBudgetIsSharedByManyRelays(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 100
 	relays := newTestRelays(t, settings, Endpoint{ID: 1, State: StateReady, Size: 1, StartedAt: time.Hour})
-	sent := map[time.Duration]int{} // by overload window
+	sent := map[time.Duration]int{} // number of attempts by overload window
 	total := 0
 	for range 150 {
 		for _, relay := range relays {
@@ -95,18 +93,18 @@
 			total += n
 		}
 	}
-	for span, n := range sent {
-		if n > 14 { // minWarmSetups on average, of a warm endpoint
-			t.Errorf("%d sent within window %d, at most about six are wanted", n, span)
+	for window, n := range sent {
+		if n > 14 { // the average limit of a warm endpoint is minWarmSetups
+			t.Errorf("%d attempts were sent within overload window %d, want at most 14", n, window)
 		}
 	}
 	if total < 2 {
-		t.Errorf("%d sent in 15 s", total)
+		t.Errorf("%d attempts were sent in 15 s, want at least 2", total)
 	}
 }
 
-// Many relays with few requests each use an endpoint that is warming up. Slots by time alone would go
-// unused, and leave it empty.
+// Guards against an endpoint that stays empty while it is warming up, as many relays with few requests each rarely
+// have one in their time slots.
 func TestSlowStartBudgetIsUsedByRelaysWithFewRequests(t *testing.T) {
 	settings := testSettings()
 	settings.Relays = 80
@@ -114,7 +112,7 @@
 	endpoints[0].StartedAt = time.Hour
 	relays := newTestRelays(t, settings, endpoints...)
 	var sent []time.Duration // to the endpoint that is warming up
-	for i := range 400 {     // twenty requests a second, each at another relay
+	for i := range 400 {     // 20 requests per second, spread over the relays
 		relay := relays[i*37%settings.Relays]
 		relay.advance(time.Hour + time.Duration(i)*50*ms - relay.now)
 		id, actions := relay.request(uint64(i))
@@ -124,27 +122,27 @@
 			relay.handle(Established{Request: id, Endpoint: endpoint, SetupTime: ms})
 		}
 	}
-	// It may be sent 6 in 1.5 s when it is warm, and on average 0.6 of that.
+	// The limit of a warm endpoint is 6 setups in 1.5 s; the average warmth is 0.6.
 	if len(sent) < 16 || len(sent) > 56 {
-		t.Errorf("%d were sent to the endpoint that is warming up in 20 s, about 40 are wanted", len(sent))
+		t.Errorf("%d requests were sent to the endpoint in 20 s of warming up, want 16 to 56", len(sent))
 	}
 	if n := len(sent); n > 0 && sent[n/2] < time.Hour+8*time.Second {
-		t.Errorf("half of %d were sent within %v of its start", n, sent[n/2]-time.Hour)
+		t.Errorf("half of %d requests were sent within %v of the endpoint's start, want at least 8 s", n, sent[n/2]-time.Hour)
 	}
 }
 
-// Most endpoints restart at once, and more clients return within two seconds than in the minute before:
-// the usual arrival rate must not let relays send all of them to the endpoints that are warming up.
+// Guards against sending a burst of returning clients to restarted endpoints because the arrival rate of the time
+// before was low.
 func TestRequestBurstDoesNotOverloadRestartedEndpoints(t *testing.T) {
 	settings := testSettings()
 	settings.Relays, settings.OverloadWindow, settings.InitialCapacity = 80, 3*time.Second, 0.12
 	relays := newTestRelays(t, settings, readyEndpoints(13)...)
 	sent := map[EndpointID][]time.Duration{}
-	play := func(n int, every time.Duration) {
-		at := relays[0].now
+	sendRequests := func(n int, interval time.Duration) {
+		start := relays[0].now
 		for i := range n {
 			for _, relay := range relays {
-				relay.advance(at + time.Duration(i)*every - relay.now)
+				relay.advance(start + time.Duration(i)*interval - relay.now)
 			}
 			relay := relays[i*37%settings.Relays]
 			id, actions := relay.request(uint64(i % 14))
@@ -154,27 +152,27 @@
 			relay.handle(Outcome{Request: id, Endpoint: endpoint, Status: StatusOK, Final: true})
 		}
 	}
-	play(80, 500*ms)
+	sendRequests(80, 500*ms)
 	endpoints := readyEndpoints(13)
 	for i := range 8 {
 		endpoints[i].StartedAt = relays[0].now
 	}
 	for _, relay := range relays {
-		relay.advance(2 * time.Second) // the delay of the list
+		relay.advance(2 * time.Second) // until the list is updated
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: endpoints})
 	}
 	clear(sent)
-	play(120, 17*ms)
-	cold := 0
-	for id, at := range sent {
-		if cold += len(at); id <= 8 && len(at) > 5 {
-			t.Errorf("restarted endpoint %d was sent %d within 2 s", id, len(at))
+	sendRequests(120, 17*ms)
+	toRestarted := 0
+	for id, sentAt := range sent {
+		if toRestarted += len(sentAt); id <= 8 && len(sentAt) > 5 {
+			t.Errorf("restarted endpoint %d was sent %d requests within 2 s, want at most 5", id, len(sentAt))
 		}
 		if id > 8 {
-			cold -= len(at)
+			toRestarted -= len(sentAt)
 		}
 	}
-	if cold < 4 || cold > 24 {
-		t.Errorf("the eight restarted endpoints were sent %d of 120, some 16 are wanted", cold)
+	if toRestarted < 4 || toRestarted > 24 {
+		t.Errorf("the 8 restarted endpoints were sent %d of 120 requests, want 4 to 24", toRestarted)
 	}
 }
--- a/balancer/weights_test.go
+++ b/balancer/weights_test.go
@@ -13,37 +13,37 @@
 		before := relay.balancer.endpoints.find(endpoint).currentWeight(relay.now)
 		relay.fail(id, endpoint, status)
 		if after := relay.balancer.endpoints.find(endpoint).currentWeight(relay.now); after >= before {
-			t.Errorf("status %d: weight went from %v to %v", status, before, after)
+			t.Errorf("status %d: weight went from %v to %v, want it lowered", status, before, after)
 		}
 	}
 }
 
 func TestWeightStaysBetweenMinimumAndMaximum(t *testing.T) {
-	state := &endpointRecord{weight: initialWeight}
+	endpoint := &endpointRecord{weight: initialWeight}
 	for range 100 {
-		state.cutWeight(weightCutFactor, 0)
+		endpoint.cutWeight(weightCutFactor, 0)
 	}
-	if state.weight != minWeight {
-		t.Errorf("weight after many cuts is %v, want the minimum", state.weight)
+	if endpoint.weight != minWeight {
+		t.Errorf("weight after 100 cuts is %v, want %v", endpoint.weight, minWeight)
 	}
-	if w := state.currentWeight(weightRecoveryTime); w <= initialWeight {
-		t.Errorf("an endpoint at the minimum without attempts is still at %v", w)
+	if weight := endpoint.currentWeight(weightRecoveryTime); weight <= initialWeight {
+		t.Errorf("weight after %v without attempts is %v, want above %v", weightRecoveryTime, weight, initialWeight)
 	}
 	for range 100 {
-		state.raiseWeight(0)
+		endpoint.raiseWeight(0)
 	}
-	if state.weight != maxWeight {
-		t.Errorf("weight after many raises is %v, want the maximum", state.weight)
+	if endpoint.weight != maxWeight {
+		t.Errorf("weight after 100 raises is %v, want %v", endpoint.weight, maxWeight)
 	}
 }
 
 func TestRestartResetsWeightAndSlowness(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
-	state := relay.balancer.endpoints.find(1)
-	state.cutWeight(0, relay.now)
-	state.lastSlowAt, state.delayAt = relay.now, relay.now
+	endpoint := relay.balancer.endpoints.find(1)
+	endpoint.cutWeight(0, relay.now)
+	endpoint.lastSlowAt, endpoint.delayAt = relay.now, relay.now
 	relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}})
-	if state.currentWeight(relay.now) != initialWeight || state.isSlow(relay.now) || relay.balancer.warmth(state) != relay.balancer.settings.InitialCapacity {
-		t.Errorf("weight %v, slow %v, warmth %v", state.currentWeight(relay.now), state.lastSlowAt, relay.balancer.warmth(state))
+	if endpoint.currentWeight(relay.now) != initialWeight || endpoint.isSlow(relay.now) || relay.balancer.warmth(endpoint) != relay.balancer.settings.InitialCapacity {
+		t.Errorf("restarted endpoint has weight %v, last slow at %v, warmth %v", endpoint.currentWeight(relay.now), endpoint.lastSlowAt, relay.balancer.warmth(endpoint))
 	}
 }
