--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -62,7 +62,7 @@
 // Guards against many relays that all migrate their connections at the moment of the list update.
 func TestManyRelaysMigrateFromADrainingEndpointInTime(t *testing.T) {
 	settings := testSettings()
-	settings.Relays = 80
+	settings.RelayCount = 80
 	relays := newTestRelays(t, settings, readyEndpoints(3)...)
 	for _, relay := range relays {
 		relay.handle(Resumed{Request: Request{ID: 1, Group: 5}, Endpoint: 1})
@@ -78,8 +78,8 @@
 			t.Errorf("%d connections migrated in the 250 ms before %v, want at most 24 and none before 2 s", inStep, at)
 		}
 	}
-	if migrated != settings.Relays {
-		t.Errorf("%d of %d connections migrated within 4.25 s", migrated, settings.Relays)
+	if migrated != settings.RelayCount {
+		t.Errorf("%d of %d connections migrated within 4.25 s", migrated, settings.RelayCount)
 	}
 }
 
--- a/balancer/drawfilter_test.go
+++ b/balancer/drawfilter_test.go
@@ -34,7 +34,7 @@
 func TestFilteredDrawEqualsFullDraw(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
-		settings.Relays = rapid.IntRange(1, 8).Draw(rt, "relays")
+		settings.RelayCount = rapid.IntRange(1, 8).Draw(rt, "relays")
 		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
 		endpointCount := rapid.IntRange(largeTableSize, 3*largeTableSize).Draw(rt, "servers")
 		list := readyEndpoints(endpointCount)
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -12,7 +12,7 @@
 func Example() {
 	settings := balancer.Settings{
 		Classes:           []balancer.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
-		Relays:            1,
+		RelayCount:        1,
 		MaxAttempts:       3,
 		ConnectTimeout:    200 * time.Millisecond,
 		InitialCapacity:   0.2,
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -183,7 +183,7 @@
 	reached := make(map[Reason]bool)
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
-		settings.Relays = rapid.IntRange(1, 4).Draw(rt, "relays")
+		settings.RelayCount = rapid.IntRange(1, 4).Draw(rt, "relays")
 		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
 		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "effect"))
 		settings.Classes[0].DeduplicationWindow = time.Second
--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -129,7 +129,7 @@
 // than the endpoints have slots for.
 func TestRequestsBeyondFleetCapacityAreRejectedInTime(t *testing.T) {
 	settings := testSettings()
-	settings.Relays, settings.MaxAttempts, settings.MaxRetryAfter = 80, 5, 2*time.Second
+	settings.RelayCount, settings.MaxAttempts, settings.MaxRetryAfter = 80, 5, 2*time.Second
 	fleet := newFleetSimulation(t, settings, 6, 20)
 	for i := range 300 {
 		fleet.request(i*37%80, uint64(1+i%40))
@@ -156,7 +156,7 @@
 // to serve them in time.
 func TestHungEndpointCostsEachRequestAtMostOneAttempt(t *testing.T) {
 	settings := testSettings()
-	settings.Relays = 80
+	settings.RelayCount = 80
 	fleet := newFleetSimulation(t, settings, 6, 1000)
 	fleet.hung[3] = true
 	for i := range 160 {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -13,7 +13,7 @@
 func testSettings() Settings {
 	return Settings{
 		Classes:           []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms}},
-		Relays:            1,
+		RelayCount:        1,
 		MaxAttempts:       3,
 		MinTick:           5 * ms,
 		ConnectTimeout:    200 * ms,
@@ -55,7 +55,7 @@
 // newTestRelays returns settings.Relays relays with different seeds.
 func newTestRelays(t *testing.T, settings Settings, endpoints ...Endpoint) []*testRelay {
 	t.Helper()
-	relays := make([]*testRelay, settings.Relays)
+	relays := make([]*testRelay, settings.RelayCount)
 	for i := range relays {
 		relays[i] = newTestRelay(t, settings)
 		relays[i].balancer = New(settings, uint64(i)<<32+7)
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -53,7 +53,7 @@
 func newRandomScenario(t *testing.T, seed uint64) *randomScenario {
 	rng := rand.New(rand.NewPCG(seed, 99))
 	settings := testSettings()
-	settings.Relays = 1 + rng.IntN(4)
+	settings.RelayCount = 1 + rng.IntN(4)
 	settings.PollList = rng.IntN(2) == 0
 	settings.CrossZoneCost = float64(rng.IntN(2))
 	settings.MaxAttempts = 1 + rng.IntN(5)
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	setups := b.slowStartShare * b.settings.OverloadWindow.Seconds() / recoveryInterval.Seconds() /
-		float64(b.settings.Relays)
+		float64(b.settings.RelayCount)
 	return !b.hasSlot(endpoint, setups)
 }
 
@@ -96,7 +96,7 @@
 	connections := slices.Clone(endpoint.connections)
 	rank := func(request *requestRecord) float64 {
 		groupSize := endpoint.connectionsByGroup[request.routeKey()]
-		return float64(groupSize/b.settings.Relays) + uniform(request.routeKey(), endpoint.ID)
+		return float64(groupSize/b.settings.RelayCount) + uniform(request.routeKey(), endpoint.ID)
 	}
 	slices.SortStableFunc(connections, func(first, second *requestRecord) int {
 		return cmp.Compare(rank(first), rank(second))
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -144,7 +144,7 @@
 // Guards against held requests that all arrive at once when an endpoint is no longer slow.
 func TestRecoveryRampLimitsSetupsAfterSlowness(t *testing.T) {
 	settings := testSettings()
-	settings.Relays = 2
+	settings.RelayCount = 2
 	relay := newTestRelay(t, settings, readyEndpoints(1)...)
 	established, endpoint := relay.connect(7)
 	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -497,7 +497,7 @@
 func parseSettings(t *testing.T, words []string) *Settings {
 	pairs := parsePairs(t, words)
 	return &Settings{
-		Relays: int(parseUint(t, pairs["relays"])), Zone: int(parseUint(t, pairs["zone"])), PollList: parseBool(t, pairs["ask"]),
+		RelayCount: int(parseUint(t, pairs["relays"])), Zone: int(parseUint(t, pairs["zone"])), PollList: parseBool(t, pairs["ask"]),
 		PollInterval: parseDuration(t, pairs["askevery"]), MaxAttempts: int(parseUint(t, pairs["attempts"])), MinTick: parseDuration(t, pairs["tick"]),
 		ConnectTimeout: parseDuration(t, pairs["connect"]), MaxRetryAfter: parseDuration(t, pairs["retryafter"]), InitialCapacity: parseFloat(t, pairs["coldshare"]),
 		SlowStartDuration: parseDuration(t, pairs["coldfor"]), OverloadMultiple: parseFloat(t, pairs["tipmultiple"]), OverloadWindow: parseDuration(t, pairs["tipafter"]),
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -57,7 +57,7 @@
 	warmth := b.warmth(endpoint)
 	weight := endpoint.currentWeight(b.now) * endpoint.relativeSize() * warmth * b.headroom(endpoint)
 	if b.settings.CrossZoneCost > 0 && endpoint.Zone == b.settings.Zone {
-		weight *= 1 + (localZoneFactor-1)*min(1, maxFewRelays/float64(b.settings.Relays))
+		weight *= 1 + (localZoneFactor-1)*min(1, maxFewRelays/float64(b.settings.RelayCount))
 	}
 	if meanLoad > 0 {
 		weight /= math.Pow(1+(endpoint.demand()+1)/endpoint.relativeSize()/warmth/meanLoad, loadExponent)
@@ -77,4 +77,4 @@
 }
 
 // manyRelays reports whether there are so many relays that each sees little of the traffic.
-func (b *Balancer) manyRelays() bool { return b.settings.Relays > maxFewRelays }
+func (b *Balancer) manyRelays() bool { return b.settings.RelayCount > maxFewRelays }
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -115,7 +115,7 @@
 		for group := range uint64(groups) {
 			used := map[EndpointID]bool{}
 			for settings.Zone = range 4 {
-				settings.Relays = relays
+				settings.RelayCount = relays
 				relay := newTestRelay(t, settings, endpoints...)
 				_, endpoint := relay.connect(1 + group)
 				used[endpoint] = true
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -41,10 +41,10 @@
 // Settings describe a relay's deployment. A Settings value is immutable: changed settings are a new value,
 // and each request keeps the settings that were current when it arrived.
 type Settings struct {
-	Classes []Class  // at least one
-	Tenants []string // that requests may name; empty: requests have no tenant
-	Relays  int      // number of relays that share the endpoints, this one included
-	Zone    int      // of this relay
+	Classes    []Class  // at least one
+	Tenants    []string // that requests may name; empty: requests have no tenant
+	RelayCount int      // number of relays that share the endpoints, this one included
+	Zone       int      // of this relay
 
 	PollList     bool          // the endpoint list comes only when polled
 	PollInterval time.Duration // with PollList: maximum time between polls until one is answered
@@ -75,8 +75,8 @@
 	switch {
 	case len(s.Classes) == 0:
 		return errors.New("settings: no request class is defined")
-	case s.Relays < 1:
-		return fmt.Errorf("settings: number of relays is %d, must be at least 1", s.Relays)
+	case s.RelayCount < 1:
+		return fmt.Errorf("settings: number of relays is %d, must be at least 1", s.RelayCount)
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("settings: maximum number of attempts is %d, must be at least 1", s.MaxAttempts)
 	case s.InitialCapacity <= 0 || s.InitialCapacity > 1:
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -11,7 +11,7 @@
 		"no classes":              func(settings *Settings) { settings.Classes = nil },
 		"no deadline":             func(settings *Settings) { settings.Classes[0].Deadline = 0 },
 		"no deduplication window": func(settings *Settings) { settings.Classes[0].Semantics = Deduplicated },
-		"no relays":               func(settings *Settings) { settings.Relays = 0 },
+		"no relays":               func(settings *Settings) { settings.RelayCount = 0 },
 		"no attempts":             func(settings *Settings) { settings.MaxAttempts = 0 },
 		"no initial capacity":     func(settings *Settings) { settings.InitialCapacity = 0 },
 		"large initial capacity":  func(settings *Settings) { settings.InitialCapacity = 2 },
--- a/balancer/setuptime_test.go
+++ b/balancer/setuptime_test.go
@@ -15,7 +15,7 @@
 		rounds    = 8 // requests of each relay, one per second
 	)
 	settings := testSettings()
-	settings.Relays, settings.MaxAttempts = relays, 5
+	settings.RelayCount, settings.MaxAttempts = relays, 5
 	settings.Classes = []Class{
 		{Name: "patient", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 100 * ms},
 		{Name: "short of time", LatencyObjective: 500 * ms, Deadline: 600 * ms, MessageLatencyObjective: 60 * ms},
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -59,7 +59,7 @@
 		recent := b.endpoints.recentSetups.valueAt(b.now)
 		b.endpoints.setupsPerSize = recent / setupRateTimeConstant.Seconds() / warmSize
 	}
-	minimum := 1 / float64(b.settings.Relays)
+	minimum := 1 / float64(b.settings.RelayCount)
 	if b.manyRelays() {
 		minimum *= endpoint.relativeSize() * minWarmSetups
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -54,7 +54,7 @@
 
 func TestSlowStartWhenAllEndpointsRestartAtOnce(t *testing.T) {
 	settings := testSettings()
-	settings.Relays = 2
+	settings.RelayCount = 2
 	endpoints := readyEndpoints(4)
 	for i := range endpoints {
 		endpoints[i].StartedAt = time.Hour
@@ -81,7 +81,7 @@
 // Guards against many relays that all send a setup to a started endpoint at the same time.
 func TestSlowStartBudgetIsSharedByManyRelays(t *testing.T) {
 	settings := testSettings()
-	settings.Relays = 100
+	settings.RelayCount = 100
 	relays := newTestRelays(t, settings, Endpoint{ID: 1, State: StateReady, Size: 1, StartedAt: time.Hour})
 	sent := map[time.Duration]int{} // number of attempts by overload window
 	total := 0
@@ -107,13 +107,13 @@
 // have one in their time slots.
 func TestSlowStartBudgetIsUsedByRelaysWithFewRequests(t *testing.T) {
 	settings := testSettings()
-	settings.Relays = 80
+	settings.RelayCount = 80
 	endpoints := readyEndpoints(5)
 	endpoints[0].StartedAt = time.Hour
 	relays := newTestRelays(t, settings, endpoints...)
 	var sent []time.Duration // to the endpoint that is warming up
 	for i := range 400 {     // 20 requests per second, spread over the relays
-		relay := relays[i*37%settings.Relays]
+		relay := relays[i*37%settings.RelayCount]
 		relay.advance(time.Hour + time.Duration(i)*50*ms - relay.now)
 		id, actions := relay.request(uint64(i))
 		if endpoint := relay.wantSent(actions, id); endpoint == 1 {
@@ -135,7 +135,7 @@
 // before was low.
 func TestRequestBurstDoesNotOverloadRestartedEndpoints(t *testing.T) {
 	settings := testSettings()
-	settings.Relays, settings.OverloadWindow, settings.InitialCapacity = 80, 3*time.Second, 0.12
+	settings.RelayCount, settings.OverloadWindow, settings.InitialCapacity = 80, 3*time.Second, 0.12
 	relays := newTestRelays(t, settings, readyEndpoints(13)...)
 	sent := map[EndpointID][]time.Duration{}
 	sendRequests := func(n int, interval time.Duration) {
@@ -144,7 +144,7 @@
 			for _, relay := range relays {
 				relay.advance(start + time.Duration(i)*interval - relay.now)
 			}
-			relay := relays[i*37%settings.Relays]
+			relay := relays[i*37%settings.RelayCount]
 			id, actions := relay.request(uint64(i % 14))
 			endpoint := relay.wantSent(actions, id)
 			sent[endpoint] = append(sent[endpoint], relay.now)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 4096 || c.MemoryMB != 2048 || c.Settings.ClassIndex("page") != 0 ||
-		c.Zones[1] != "b" || c.Known.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.Relays != 3 {
+		c.Zones[1] != "b" || c.Known.Revision != 41 || c.Settings.MaxRetryAfter != 2*time.Second || c.Settings.RelayCount != 3 {
 		t.Errorf("read as %+v", c)
 	}
 	for _, text := range []string{"", "{}", strings.Replace(configtest.Text("", "d:1", "x"), `"name":"n3",`, "", 1),
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -226,7 +226,7 @@
 // endpoints.
 func (v *validator) siteSettings(file *siteFile) balancer.Settings {
 	settings := balancer.Settings{
-		Relays:            1,
+		RelayCount:        1,
 		MinTick:           2 * time.Millisecond,
 		ConnectTimeout:    500 * time.Millisecond,
 		MaxRetryAfter:     2 * time.Second,
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -27,7 +27,7 @@
 func startServer(t *testing.T) (socket string, drained func() int) {
 	t.Helper()
 	relay := proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
+		Classes: []balancer.Class{{Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 	}, 1, proxy.NewClock())
 	id := relay.Endpoints.ID("s-5be2a07c")
 	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Size: 1}}, []string{"10.1.0.18:3000"})
@@ -190,7 +190,7 @@
 // Names come from clients: none of them controls the terminal, and JSON stays valid.
 func TestNamesDoNotMoveTheTerminal(t *testing.T) {
 	const evil = "a\x1b[2J\u202e\u009bb"
-	server := &Server{Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+	server := &Server{Proxy: proxy.New(balancer.Settings{RelayCount: 1}, 1, proxy.NewClock())}
 	server.Proxy.Requests.Add(registry.Request{Frontend: "line", Name: evil, Class: evil})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := server.execute(context.Background(), command, "me")
@@ -258,7 +258,7 @@
 // Watch goes on while the relay is unreachable; a relay that is out of file descriptors answers once it
 // has some.
 func TestWatchContinuesOverRestart(t *testing.T) {
-	server := &Server{Name: "n1", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock())}
+	server := &Server{Name: "n1", Proxy: proxy.New(balancer.Settings{RelayCount: 1}, 1, proxy.NewClock())}
 	socket := filepath.Join(t.TempDir(), "console")
 	if code := Watch(t.Context(), socket, "status", time.Millisecond, false, io.Discard, io.Discard); code != ExitUnreachable {
 		t.Errorf("code %d of a relay that was never there", code)
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -67,7 +67,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		relay := proxy.New(balancer.Settings{
-			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
+			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 		}, 1, proxy.NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
 		var all sync.WaitGroup
@@ -163,7 +163,7 @@
 
 // What the commands answer where there is nothing to tell, or no way to.
 func TestEmptyAnswersAreStable(t *testing.T) {
-	server := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{Relays: 1}, 1, proxy.NewClock()), Persistence: &fakePersistence{lastError: errors.New("disk full")}}
+	server := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{RelayCount: 1}, 1, proxy.NewClock()), Persistence: &fakePersistence{lastError: errors.New("disk full")}}
 	failing := transcript(server, "store", "store --json")
 	server.Persistence = nil
 	golden.Compare(t, "empty.txt", failing+transcript(server, "farm", "farm --json", "transactions --json", "fronts --json", "orders --json", "store --json", "health --json",
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -19,7 +19,7 @@
 
 func newProxy() *proxy.Proxy {
 	return proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{Deadline: time.Second}}, Relays: 1, MaxAttempts: 3,
+		Classes: []balancer.Class{{Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 3,
 		InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 }
--- a/internal/frontend/line/frontend_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -31,8 +31,8 @@
 func newEnvironment(t *testing.T, slots int, observers ...proxy.Observer) *environment {
 	t.Helper()
 	core := proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, MessageLatencyObjective: 60 * time.Millisecond}},
-		Relays:  1, MaxAttempts: 3, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
+		Classes:    []balancer.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, MessageLatencyObjective: 60 * time.Millisecond}},
+		RelayCount: 1, MaxAttempts: 3, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}, 1, proxy.NewClock())
 	for _, observer := range observers {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -17,8 +17,8 @@
 // settings returns settings of one class, whose clients wait for a second.
 func settings() balancer.Settings {
 	return balancer.Settings{
-		Classes: []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
-		Relays:  1, MaxAttempts: 3, MinTick: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
+		Classes:    []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
+		RelayCount: 1, MaxAttempts: 3, MinTick: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 }
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -149,9 +149,9 @@
 	costs := optional[object](reader, values, "", "Costs")
 	specifics = optional[object](reader, values, "", "Specifics")
 	settings = balancer.Settings{
-		Relays:  required[int](reader, values, "", "NInstances"),
-		Zone:    required[int](reader, values, "", "Zone"),
-		MinTick: requiredDuration(reader, values, "", "QuantumUs"),
+		RelayCount: required[int](reader, values, "", "NInstances"),
+		Zone:       required[int](reader, values, "", "Zone"),
+		MinTick:    requiredDuration(reader, values, "", "QuantumUs"),
 		PollList: lookUp(reader, map[string]bool{"push": false, "ask": true}, "Discovery",
 			required[string](reader, values, "", "Discovery")),
 		MaxAttempts:       required[int](reader, limits, "Limits.", "TryLimit"),
@@ -180,7 +180,7 @@
 	if settings.MaxAttempts < 1 {
 		reader.failf("Limits.TryLimit", "is not over 0")
 	}
-	if settings.Relays < 1 {
+	if settings.RelayCount < 1 {
 		reader.failf("NInstances", "is not over 0")
 	}
 	if !(settings.InitialCapacity > 0 && settings.InitialCapacity <= 1) {
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -43,7 +43,7 @@
 				Semantics: balancer.Deduplicated, DeduplicationScope: balancer.ScopeCell, DeduplicationWindow: 6 * time.Second},
 			{Name: "c", LatencyObjective: us, Deadline: 2 * us, Semantics: balancer.AtMostOnce, MessageLatencyObjective: 150000 * us},
 		},
-		Relays:            2,
+		RelayCount:        2,
 		Zone:              1,
 		PollList:          true,
 		PollInterval:      10 * time.Second,
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -140,7 +140,7 @@
 	collector := &transcriber{}
 	server := httptest.NewServer(collector)
 	defer server.Close()
-	core := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
+	core := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
 	first, second := core.Endpoints.ID("s-1"), core.Endpoints.ID("s-2")
 	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Size: 1}, {ID: second, State: balancer.StateDraining, Size: 1}}, []string{"a:1", "b:1"})
 	for end := range registry.EndNames {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -34,8 +34,8 @@
 func serve(t *testing.T, endpoint string) *Telemetry {
 	t.Helper()
 	core := proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second}},
-		Relays:  1, MaxAttempts: 3, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
+		Classes:    []balancer.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second}},
+		RelayCount: 1, MaxAttempts: 3, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 	endpoints := []balancer.Endpoint{
 		{ID: core.Endpoints.ID("s-1"), State: balancer.StateReady, Size: 1}, {ID: core.Endpoints.ID("s-2"), State: balancer.StateReady, Size: 1},
