--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -13,7 +13,7 @@
 // waiting for.
 func (b *Balancer) handleRequest(event Request) {
 	request := b.addRequest(event)
-	timeLeft := max(0, event.TimeLeft-2*b.settings.MinTick)
+	timeLeft := max(0, event.TimeLeft-2*b.settings.ClockResolution)
 	request.deadline = b.now + timeLeft
 	b.setRequestTimer(request, timeLeft)
 	b.advance(request)
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -91,6 +91,6 @@
 	established, endpoint := relay.connect(7)
 	relay.handle(EndpointDelay{Request: established, Endpoint: endpoint, Delay: time.Second})
 	id, _ := relay.request(7)
-	timeLeft := 2*time.Second - 2*settings.MinTick
+	timeLeft := 2*time.Second - 2*settings.ClockResolution
 	wantActions(t, relay.advance(timeLeft), Reject{Request: id, RetryAfter: slowDuration - timeLeft})
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -15,7 +15,7 @@
 		Classes:           []Class{{LatencyObjective: 500 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms}},
 		RelayCount:        1,
 		MaxAttempts:       3,
-		MinTick:           5 * ms,
+		ClockResolution:   5 * ms,
 		ConnectTimeout:    200 * ms,
 		InitialCapacity:   0.2,
 		SlowStartDuration: 20 * time.Second,
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -498,7 +498,7 @@
 	pairs := parsePairs(t, words)
 	return &Settings{
 		RelayCount: int(parseUint(t, pairs["relays"])), Zone: int(parseUint(t, pairs["zone"])), PollList: parseBool(t, pairs["ask"]),
-		PollInterval: parseDuration(t, pairs["askevery"]), MaxAttempts: int(parseUint(t, pairs["attempts"])), MinTick: parseDuration(t, pairs["tick"]),
+		PollInterval: parseDuration(t, pairs["askevery"]), MaxAttempts: int(parseUint(t, pairs["attempts"])), ClockResolution: parseDuration(t, pairs["tick"]),
 		ConnectTimeout: parseDuration(t, pairs["connect"]), MaxRetryAfter: parseDuration(t, pairs["retryafter"]), InitialCapacity: parseFloat(t, pairs["coldshare"]),
 		SlowStartDuration: parseDuration(t, pairs["coldfor"]), OverloadMultiple: parseFloat(t, pairs["tipmultiple"]), OverloadWindow: parseDuration(t, pairs["tipafter"]),
 		CrossZoneCost: parseFloat(t, pairs["crosszone"]), ReportsLoad: parseBool(t, pairs["tellsload"]), ReportsDelay: parseBool(t, pairs["tellsdelay"]),
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -16,7 +16,7 @@
 		"no initial capacity":     func(settings *Settings) { settings.InitialCapacity = 0 },
 		"large initial capacity":  func(settings *Settings) { settings.InitialCapacity = 2 },
 		"no overload window":      func(settings *Settings) { settings.OverloadWindow = 0 },
-		"negative":                func(settings *Settings) { settings.MinTick = -1 },
+		"negative":                func(settings *Settings) { settings.ClockResolution = -1 },
 		"no poll interval":        func(settings *Settings) { settings.PollList, settings.PollInterval = true, 0 },
 	} {
 		settings := testSettings()
--- a/balancer/setuptime_test.go
+++ b/balancer/setuptime_test.go
@@ -50,7 +50,7 @@
 					actions = relay.advance(ms)
 				}
 			}
-			if elapsed := relay.now - arrivedAt; elapsed > deadline+settings.MinTick {
+			if elapsed := relay.now - arrivedAt; elapsed > deadline+settings.ClockResolution {
 				t.Errorf("relay %d answered request %d after %v, deadline is %v", i, id, elapsed, deadline)
 			}
 			relay.advance(max(0, arrivedAt+time.Second-relay.now))
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -227,7 +227,7 @@
 func (v *validator) siteSettings(file *siteFile) balancer.Settings {
 	settings := balancer.Settings{
 		RelayCount:        1,
-		MinTick:           2 * time.Millisecond,
+		ClockResolution:   2 * time.Millisecond,
 		ConnectTimeout:    500 * time.Millisecond,
 		MaxRetryAfter:     2 * time.Second,
 		MaxAttempts:       cmp.Or(file.Limits.Attempts, defaultMaxAttempts),
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -64,7 +64,7 @@
 func TestBalancerDecisionsAreExplained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := proxy.New(balancer.Settings{
-			Classes: []balancer.Class{{LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second}}, RelayCount: 1, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
+			Classes: []balancer.Class{{LatencyObjective: 200 * time.Millisecond, Deadline: 4 * time.Second}}, RelayCount: 1, MaxAttempts: 3, ClockResolution: 2 * time.Millisecond,
 			ConnectTimeout: 50 * time.Millisecond, MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 		}, 1, proxy.NewClock())
 		log, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -186,7 +186,7 @@
 	set := balancer.Settings{
 		Classes:     []balancer.Class{{Name: "page", LatencyObjective: 200 * time.Millisecond, Deadline: clientTimeout}},
 		RelayCount:  1,
-		MaxAttempts: 3, MinTick: 2 * time.Millisecond, ConnectTimeout: 400 * time.Millisecond,
+		MaxAttempts: 3, ClockResolution: 2 * time.Millisecond, ConnectTimeout: 400 * time.Millisecond,
 		MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 	if err := set.Validate(); err != nil {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -18,7 +18,7 @@
 func settings() balancer.Settings {
 	return balancer.Settings{
 		Classes:    []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
-		RelayCount: 1, MaxAttempts: 3, MinTick: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
+		RelayCount: 1, MaxAttempts: 3, ClockResolution: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 }
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -43,7 +43,7 @@
 func proxyWithList(t testing.TB, n int) (*proxy.Proxy, *discovery.Watcher) {
 	t.Helper()
 	k := proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 350, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
+		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 350, MaxAttempts: 3, ClockResolution: 2 * time.Millisecond,
 		InitialCapacity: 0.2, SlowStartDuration: 23 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 	w := &discovery.Watcher{Proxy: k, Zones: []string{"a"}, RetainList: true}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -149,9 +149,9 @@
 	costs := optional[object](reader, values, "", "Costs")
 	specifics = optional[object](reader, values, "", "Specifics")
 	settings = balancer.Settings{
-		RelayCount: required[int](reader, values, "", "NInstances"),
-		Zone:       required[int](reader, values, "", "Zone"),
-		MinTick:    requiredDuration(reader, values, "", "QuantumUs"),
+		RelayCount:      required[int](reader, values, "", "NInstances"),
+		Zone:            required[int](reader, values, "", "Zone"),
+		ClockResolution: requiredDuration(reader, values, "", "QuantumUs"),
 		PollList: lookUp(reader, map[string]bool{"push": false, "ask": true}, "Discovery",
 			required[string](reader, values, "", "Discovery")),
 		MaxAttempts:       required[int](reader, limits, "Limits.", "TryLimit"),
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -48,7 +48,7 @@
 		PollList:          true,
 		PollInterval:      10 * time.Second,
 		MaxAttempts:       3,
-		MinTick:           5 * time.Millisecond,
+		ClockResolution:   5 * time.Millisecond,
 		ConnectTimeout:    250 * time.Millisecond,
 		MaxRetryAfter:     1500 * time.Millisecond,
 		InitialCapacity:   0.13,
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -144,7 +144,7 @@
 // settings returns the balancer's settings in a zone.
 func (w *World) settings(zone int) balancer.Settings {
 	s := balancer.Settings{
-		RelayCount: w.Relays, Zone: zone, MaxAttempts: w.Attempts, MinTick: 2 * time.Millisecond, ConnectTimeout: w.Connect, MaxRetryAfter: 2 * time.Second,
+		RelayCount: w.Relays, Zone: zone, MaxAttempts: w.Attempts, ClockResolution: 2 * time.Millisecond, ConnectTimeout: w.Connect, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: w.ColdShare, SlowStartDuration: w.ColdFor, OverloadMultiple: w.Tip, OverloadWindow: w.TipAfter, CrossZoneCost: 0.03,
 	}
 	for _, c := range w.Classes {
