--- a/balancer/decision.go
+++ b/balancer/decision.go
@@ -135,6 +135,6 @@
 	// Considered holds the chosen endpoint, if any, and then the best alternatives, best
 	// first. Preferred is the index in Considered of the endpoint that would have been
 	// chosen but for its exclusions; -1 if there is none.
-	Considered []ConsideredEndpoint
-	Preferred  int
+	Considered     []ConsideredEndpoint
+	PreferredIndex int
 }
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -41,15 +41,15 @@
 	}
 	saved := b.endpoints.derivedState
 	recorder.decision = Decision{
-		At:         b.now,
-		Verdict:    verdict,
-		Reason:     reason,
-		Attempt:    request.attempts,
-		Wait:       wait,
-		TimeLeft:   max(0, request.deadline-b.now),
-		ListAge:    -1,
-		Considered: recorder.buffer[:0],
-		Preferred:  -1,
+		At:             b.now,
+		Verdict:        verdict,
+		Reason:         reason,
+		Attempt:        request.attempts,
+		Wait:           wait,
+		TimeLeft:       max(0, request.deadline-b.now),
+		ListAge:        -1,
+		Considered:     recorder.buffer[:0],
+		PreferredIndex: -1,
 	}
 	if endpoint != nil && (verdict == VerdictSent || verdict == VerdictMigrated) {
 		recorder.decision.Endpoint = endpoint.ID
@@ -168,7 +168,7 @@
 		ranked := b.recorder.ranked[i]
 		excluded := considered.Exclusions&^ExcludedAtCapacity != 0 || passedOver && ranked.cost == cachedCost
 		if ranked.endpoint != chosen && excluded && ranked.cost < least {
-			decision.Preferred = i
+			decision.PreferredIndex = i
 			return
 		}
 	}
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -55,7 +55,7 @@
 			t.Errorf("decision on the first request of the group: %+v", decision)
 		}
 		relay.connect(group)
-		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.Preferred != -1 {
+		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.PreferredIndex != -1 {
 			t.Errorf("decision on the second request of the group: %+v", decision)
 		}
 		relay.handle(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
@@ -66,8 +66,8 @@
 		relay.balancer.routes.put(group, home, relay.now+time.Minute)
 		relay.request(group)
 		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
-		if decision.Endpoint == home || decision.Preferred < 0 || decision.Considered[decision.Preferred].Endpoint != home || decision.Considered[decision.Preferred].Exclusions&ExcludedSlow == 0 ||
-			decision.Considered[decision.Preferred].Delay != 3*time.Second || decision.Considered[decision.Preferred].DelayAge != 0 || decision.SlowShare != 0.25 {
+		if decision.Endpoint == home || decision.PreferredIndex < 0 || decision.Considered[decision.PreferredIndex].Endpoint != home || decision.Considered[decision.PreferredIndex].Exclusions&ExcludedSlow == 0 ||
+			decision.Considered[decision.PreferredIndex].Delay != 3*time.Second || decision.Considered[decision.PreferredIndex].DelayAge != 0 || decision.SlowShare != 0.25 {
 			t.Errorf("decision with a slow cached endpoint: %+v", decision)
 		}
 		relay.advance(slowDuration + ms)
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -397,7 +397,7 @@
 func formatDecision(id RequestID, decision *Decision) []string {
 	out := []string{fmt.Sprintf("decided %d %s %s at=%d attempt=%d server=%d wait=%d left=%d ready=%d slow=%s revision=%d age=%d instead=%d",
 		id, decision.Verdict, decision.Reason, int64(decision.At), decision.Attempt, decision.Endpoint, int64(decision.Wait), int64(decision.TimeLeft), decision.ReadyEndpoints, formatFloat(decision.SlowShare),
-		decision.Revision, int64(decision.ListAge), decision.Preferred)}
+		decision.Revision, int64(decision.ListAge), decision.PreferredIndex)}
 	for _, considered := range decision.Considered {
 		out = append(out, fmt.Sprintf("believed %d %s %s %s %s %s %s %d %d", considered.Endpoint, formatState(considered.State),
 			strings.Join(append([]string{"bars"}, considered.Exclusions.Names()...), ","), formatFloat(considered.Weight), formatFloat(considered.Warmth), formatFloat(considered.Load),
--- a/internal/decisionlog/encoding.go
+++ b/internal/decisionlog/encoding.go
@@ -64,7 +64,7 @@
 			uint64(decision.Reason)<<24|
 			uint64(min(decision.Attempt, 255))<<32|
 			uint64(considered)<<40|
-			uint64(decision.Preferred+1)<<48,
+			uint64(decision.PreferredIndex+1)<<48,
 		uint64(decision.At),
 		uint64(decision.Endpoint)|uint64(min(decision.ReadyEndpoints, 0xffff))<<48, // between the two: repetitions
 		clampToUnits(decision.Wait, time.Microsecond)|clampToUnits(decision.TimeLeft, time.Microsecond)<<32,
@@ -93,7 +93,7 @@
 		Verdict:        balancer.Verdict(words[0] >> 16),
 		Reason:         balancer.Reason(words[0] >> 24),
 		Attempt:        int(words[0] >> 32 & 0xff),
-		Preferred:      int(words[0]>>48&0xff) - 1,
+		PreferredIndex: int(words[0]>>48&0xff) - 1,
 		Endpoint:       balancer.EndpointID(words[2]),
 		ReadyEndpoints: int(words[2] >> 48),
 		Wait:           decodeMicroseconds(words[3]),
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -36,7 +36,7 @@
 
 // testDecision returns a decision with as many considered endpoints as there can be.
 func testDecision(verdict balancer.Verdict, reason balancer.Reason, attempt int, endpoint balancer.EndpointID) *balancer.Decision {
-	decision := &balancer.Decision{At: time.Hour, Verdict: verdict, Reason: reason, Attempt: attempt, Endpoint: endpoint, Preferred: -1, ListAge: -1,
+	decision := &balancer.Decision{At: time.Hour, Verdict: verdict, Reason: reason, Attempt: attempt, Endpoint: endpoint, PreferredIndex: -1, ListAge: -1,
 		TimeLeft: 2 * time.Second, ReadyEndpoints: 12, Revision: 41}
 	for i := range balancer.MaxConsidered {
 		decision.Considered = append(decision.Considered, balancer.ConsideredEndpoint{Endpoint: endpoint + balancer.EndpointID(i), State: balancer.StateReady, Weight: 0.5, DelayAge: -1})
@@ -87,7 +87,7 @@
 				Load: float64(rapid.Float32().Draw(rt, "load")), Probability: fraction.Draw(rt, "pull"), Delay: us.Draw(rt, "delay"), DelayAge: age.Draw(rt, "age"),
 			})
 		}
-		decision.Preferred = rapid.IntRange(-1, len(decision.Considered)-1).Draw(rt, "instead")
+		decision.PreferredIndex = rapid.IntRange(-1, len(decision.Considered)-1).Draw(rt, "instead")
 		number++
 		log.RequestStarted(number, testRequest(number)).Decided(&decision)
 		entry, err := log.Number(number)
--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -25,7 +25,7 @@
 		out.Considered = append(out.Considered, e.explainConsidered(&decision.Considered[i]))
 	}
 	text := decisionText{decision: decision, repeats: event.Repeats, endpoint: out.Endpoint}
-	if preferred := decision.Preferred; preferred >= 0 && preferred < len(decision.Considered) {
+	if preferred := decision.PreferredIndex; preferred >= 0 && preferred < len(decision.Considered) {
 		text.preferred = e.Names.Name(decision.Considered[preferred].Endpoint)
 		out.Preferred = text.preferred
 	}
@@ -145,7 +145,7 @@
 	if t.preferred == "" {
 		return ""
 	}
-	endpoint := &t.decision.Considered[t.decision.Preferred]
+	endpoint := &t.decision.Considered[t.decision.PreferredIndex]
 	excluded := cmp.Or(exclusionsText(endpoint.Exclusions), exclusionTexts[balancer.ExcludedAtCapacity])
 	return fmt.Sprintf("; would have gone to %s but for its %s (%s)", t.preferred, excluded, endpointFigures(endpoint))
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -55,12 +55,12 @@
 // recordDecision records a decision that considered endpoints, of which the first is selected.
 func (e *environment) recordDecision(observer proxy.RequestObserver, verdict balancer.Verdict, reason balancer.Reason, attempt int, wait time.Duration, considered ...balancer.ConsideredEndpoint) {
 	decision := &balancer.Decision{At: e.log.Clock().Now(), Verdict: verdict, Reason: reason, Attempt: attempt, Wait: wait, ReadyEndpoints: 3, SlowShare: 1. / 3,
-		Revision: 41, ListAge: 3200 * time.Millisecond, Considered: considered, Preferred: -1}
+		Revision: 41, ListAge: 3200 * time.Millisecond, Considered: considered, PreferredIndex: -1}
 	if len(considered) > 0 && (verdict == balancer.VerdictSent || verdict == balancer.VerdictMigrated) {
 		decision.Endpoint = considered[0].Endpoint
 	}
 	if len(considered) > 1 {
-		decision.Preferred = 1
+		decision.PreferredIndex = 1
 	}
 	observer.Decided(decision)
 }
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -19,7 +19,7 @@
 func fullEntry(startedAt time.Duration) *decisionlog.Entry {
 	decision := balancer.Decision{
 		At: startedAt, Verdict: balancer.VerdictSent, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: 1, Wait: 1500 * time.Microsecond, TimeLeft: 2 * time.Second,
-		ReadyEndpoints: 3, SlowShare: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, Preferred: 1,
+		ReadyEndpoints: 3, SlowShare: 1. / 3, Revision: 41, ListAge: 3200 * time.Millisecond, PreferredIndex: 1,
 		Considered: []balancer.ConsideredEndpoint{consideredEndpoint(1, 0), consideredEndpoint(2, balancer.ExcludedSlow|balancer.ExcludedDraining)},
 	}
 	return &decisionlog.Entry{
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -165,7 +165,7 @@
 	request := proxy.Request{Frontend: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + time.Second}}
 	recorded := decisions.RequestStarted(7, request)
 	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
-		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
+		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, PreferredIndex: 1,
 			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
 	recorded.AttemptStarted(first)(balancer.StatusOK)
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -123,8 +123,8 @@
 	if decision.Verdict == balancer.VerdictSent || decision.Verdict == balancer.VerdictMigrated {
 		all = append(all, attribute.String("server", s.endpoints.Name(decision.Endpoint)))
 	}
-	if decision.Preferred >= 0 && decision.Preferred < len(decision.Considered) {
-		all = append(all, attribute.String("instead", s.endpoints.Name(decision.Considered[decision.Preferred].Endpoint)))
+	if decision.PreferredIndex >= 0 && decision.PreferredIndex < len(decision.Considered) {
+		all = append(all, attribute.String("instead", s.endpoints.Name(decision.Considered[decision.PreferredIndex].Endpoint)))
 	}
 	return all
 }
