--- a/balancer/decision.go
+++ b/balancer/decision.go
@@ -133,8 +133,8 @@
 	ListAge        time.Duration // time since the last list update; negative if unknown
 
 	// Considered holds the chosen endpoint, if any, and then the best alternatives, best
-	// first. Preferred is the index in Considered of the endpoint that would have been
-	// chosen but for its exclusions; -1 if there is none.
+	// first. PreferredIndex is the index in Considered of the endpoint that would have
+	// been chosen but for its exclusions; -1 if there is none.
 	Considered     []ConsideredEndpoint
 	PreferredIndex int
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -101,8 +101,7 @@
 	Final    bool // the request has ended
 }
 
-// AnswerRequired demands the final answer to a request that is not established, as its relay is shutting
-// down.
+// AnswerRequired demands the final answer to a request that is not established, as its relay shuts down.
 type AnswerRequired struct{ Request RequestID }
 
 // ClientLeft reports that the client of a request disconnected, which ends the request.
--- a/balancer/handle.go
+++ b/balancer/handle.go
@@ -48,7 +48,7 @@
 	submitted bool // used only by the goroutine that calls NextAction
 	actions   chan RequestAction
 
-	// The fields below are used only by the goroutine that calls Tick.
+	// These fields are used only by the goroutine that calls Tick.
 	id       RequestID
 	endpoint EndpointID // of the attempt in flight or the connection
 	done     bool
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -52,7 +52,7 @@
 	return relay
 }
 
-// newTestRelays returns settings.Relays relays with different seeds.
+// newTestRelays returns settings.RelayCount relays with different seeds.
 func newTestRelays(t *testing.T, settings Settings, endpoints ...Endpoint) []*testRelay {
 	t.Helper()
 	relays := make([]*testRelay, settings.RelayCount)
--- a/balancer/loop.go
+++ b/balancer/loop.go
@@ -20,7 +20,7 @@
 	mailbox chan any // a submitted *RequestHandle, a query, or a LoopEvent
 	wakeup  chan struct{}
 
-	// The fields below are used only by the goroutine that calls Tick.
+	// These fields are used only by the goroutine that calls Tick.
 	balancer        *Balancer
 	handles         map[RequestID]*RequestHandle // of requests that have not ended
 	timers          timerHeap
--- a/balancer/loopevents.go
+++ b/balancer/loopevents.go
@@ -17,7 +17,7 @@
 	Status AttemptStatus
 }
 
-// RequireAnswer demands the final answer to a request that is not established, as the relay is shutting down.
+// RequireAnswer demands the final answer to a request that is not established, as its relay shuts down.
 type RequireAnswer struct{ Handle *RequestHandle }
 
 // ClientDisconnected reports that the client of a request disconnected, which ends the request.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -43,14 +43,14 @@
 type Settings struct {
 	Classes    []Class  // at least one
 	Tenants    []string // that requests may name; empty: requests have no tenant
-	RelayCount int      // number of relays that share the endpoints, this one included
+	RelayCount int      // that share the endpoints, this one included
 	Zone       int      // of this relay
 
 	PollList     bool          // the endpoint list comes only when polled
 	PollInterval time.Duration // with PollList: maximum time between polls until one is answered
 
 	MaxAttempts     int           // per request; more serve more requests during failures, but add load
-	ClockResolution time.Duration // clock resolution: shortest time between two events at different times
+	ClockResolution time.Duration // shortest time between two events at different times
 	ConnectTimeout  time.Duration // a connection that is not open by then has failed
 
 	MaxRetryAfter time.Duration // longest retry-after that clients accept; 0 if rejections carry none
@@ -84,7 +84,7 @@
 	case s.OverloadMultiple <= 0 || s.OverloadWindow <= 0 || s.SlowStartDuration < 0:
 		return errors.New("settings: overload multiple and window must be positive, slow start not negative")
 	case s.ClockResolution < 0 || s.ConnectTimeout < 0 || s.MaxRetryAfter < 0:
-		return errors.New("settings: tick, connect timeout or maximum retry-after is negative")
+		return errors.New("settings: clock resolution, connect timeout or maximum retry-after is negative")
 	case s.PollList && s.PollInterval <= 0:
 		return errors.New("settings: the endpoint list is polled, but the poll interval is not positive")
 	}
