--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,11 +8,11 @@
 	"lockroad/balancer"
 )
 
-// A relay hands in events with the time of its clock and carries out the actions that come back.
+// A relay passes events with the time of its clock to Handle and executes the returned actions.
 func Example() {
 	settings := balancer.Settings{
 		Classes:           []balancer.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
-		Relays:            1,
+		RelayCount:        1,
 		MaxAttempts:       3,
 		ConnectTimeout:    200 * time.Millisecond,
 		InitialCapacity:   0.2,
@@ -24,10 +24,10 @@
 		log.Fatal(err)
 	}
 	b := balancer.New(settings, 1)
-	now := 10 * time.Second // any clock that only goes forward
+	now := 10 * time.Second // any clock that never goes back
 	b.Handle(now, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: []balancer.Endpoint{
-		{ID: 1, State: balancer.StateReady, Weight: 4},
-		{ID: 2, State: balancer.StateDraining, Weight: 4},
+		{ID: 1, State: balancer.StateReady, Size: 4},
+		{ID: 2, State: balancer.StateDraining, Size: 4},
 	}})
 	for _, action := range b.Handle(now, balancer.Request{ID: 7, Group: 42, TimeLeft: 2 * time.Second}) {
 		switch a := action.(type) {
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -229,8 +229,8 @@
 // relay with a few endpoints.
 func (v *validator) siteSettings(file *siteFile) balancer.Settings {
 	settings := balancer.Settings{
-		Relays:            1,
-		MinTick:           2 * time.Millisecond,
+		RelayCount:        1,
+		ClockResolution:   2 * time.Millisecond,
 		ConnectTimeout:    500 * time.Millisecond,
 		MaxRetryAfter:     2 * time.Second,
 		MaxAttempts:       cmp.Or(file.Limits.Attempts, defaultMaxAttempts),
@@ -245,7 +245,7 @@
 	if len(file.Class) == 0 {
 		v.add("class", "is missing: at least one class is required")
 	}
-	effects := map[string]balancer.Effect{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
+	effects := map[string]balancer.DeliverySemantics{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
 	for i, class := range file.Class {
 		prefix := fmt.Sprintf("class[%d].", i)
 		effect, ok := effects[class.Effect]
@@ -262,7 +262,7 @@
 			LatencyObjective:        time.Duration(cmp.Or(class.SetUp, duration(defaultLatencyObjective))),
 			Deadline:                time.Duration(cmp.Or(class.GiveUp, duration(defaultDeadline))),
 			MessageLatencyObjective: time.Duration(class.Message),
-			Effect:                  effect,
+			Semantics:               effect,
 		})
 	}
 	return settings
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -56,7 +56,7 @@
 		}
 		endpoints = append(endpoints, balancer.Endpoint{
 			ID: w.Proxy.Endpoints.AssignID(member.ID), State: state, Zone: w.ZoneNumber(member.Locality),
-			Cell: member.Cell, Weight: member.Size, StartedAt: w.Proxy.Clock.AtUnixMilli(member.UpSince),
+			Cell: member.Cell, Size: member.Size, StartedAt: w.Proxy.Clock.AtUnixMilli(member.UpSince),
 		})
 		addresses = append(addresses, member.HostPort)
 	}
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -185,8 +185,8 @@
 	t.Helper()
 	set := balancer.Settings{
 		Classes:     []balancer.Class{{Name: "page", LatencyObjective: 200 * time.Millisecond, Deadline: clientTimeout}},
-		Relays:      1,
-		MaxAttempts: 3, MinTick: 2 * time.Millisecond, ConnectTimeout: 400 * time.Millisecond,
+		RelayCount:  1,
+		MaxAttempts: 3, ClockResolution: 2 * time.Millisecond, ConnectTimeout: 400 * time.Millisecond,
 		MaxRetryAfter: 2 * time.Second, InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 	if err := set.Validate(); err != nil {
@@ -199,7 +199,7 @@
 		netListener := listen(t)
 		relay.endpointAddresses = append(relay.endpointAddresses, netListener.Addr().String())
 		relay.endpoints = append(relay.endpoints, balancer.Endpoint{
-			ID: relay.proxy.Endpoints.AssignID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Weight: 1,
+			ID: relay.proxy.Endpoints.AssignID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Size: 1,
 		})
 		all.Go(func() { serveAll(t, netListener, protocol, relay.scenario) })
 		context.AfterFunc(ctx, func() { netListener.Close() })
--- a/internal/frontend/line/frontend_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -31,8 +31,8 @@
 func newEnvironment(t *testing.T, slots int, observers ...proxy.Observer) *environment {
 	t.Helper()
 	core := proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, MessageLatencyObjective: 60 * time.Millisecond}},
-		Relays:  1, MaxAttempts: 3, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
+		Classes:    []balancer.Class{{Name: "page", LatencyObjective: time.Second, Deadline: 5 * time.Second, MessageLatencyObjective: 60 * time.Millisecond}},
+		RelayCount: 1, MaxAttempts: 3, ConnectTimeout: time.Second, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}, 1, proxy.NewClock())
 	for _, observer := range observers {
@@ -48,7 +48,7 @@
 		listeners[i] = opened
 	}
 	env.endpoint, env.frontendAddress = listeners[0], listeners[1].Addr().String()
-	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: core.Endpoints.AssignID("s-1"), State: balancer.StateReady, Weight: 1}},
+	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: core.Endpoints.AssignID("s-1"), State: balancer.StateReady, Size: 1}},
 		[]string{env.endpoint.Addr().String()})
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -294,7 +294,7 @@
 // migrate it in the same turn in which it takes it up.
 func TestReturningConnectionMigratesOffDrainingEndpoint(t *testing.T) {
 	env := newEnvironment(t, 8)
-	env.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: env.proxy.Endpoints.AssignID("s-1"), State: balancer.StateDraining, Weight: 1}},
+	env.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: env.proxy.Endpoints.AssignID("s-1"), State: balancer.StateDraining, Size: 1}},
 		[]string{env.endpoint.Addr().String()})
 	client := env.client()
 	client.send(strings.Replace(fmt.Sprintf(openingFormat, 4000), "\r\n", ",at=s-1\r\n", 1))
--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -105,7 +105,7 @@
 		ID:        p.Proxy.Endpoints.AssignID(endpoint.Name),
 		State:     state,
 		Zone:      endpoint.Zone,
-		Weight:    endpoint.Size,
+		Size:      endpoint.Size,
 		StartedAt: startedAt,
 	}}, []string{endpoint.Address})
 }
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -17,8 +17,8 @@
 // settings returns settings with one class, whose deadline is one second.
 func settings() balancer.Settings {
 	return balancer.Settings{
-		Classes: []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
-		Relays:  1, MaxAttempts: 3, MinTick: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
+		Classes:    []balancer.Class{{LatencyObjective: 200 * ms, Deadline: time.Second, MessageLatencyObjective: 60 * ms}},
+		RelayCount: 1, MaxAttempts: 3, ClockResolution: 2 * ms, ConnectTimeout: 50 * ms, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: 0.2, SlowStartDuration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 3 * time.Second,
 	}
 }
@@ -33,7 +33,7 @@
 		go func() { _ = proxy.Run(ctx) }()
 		go func() { _ = proxy.MonitorHeartbeats(ctx) }()
 		endpoint := func(i int, state balancer.EndpointState) balancer.Endpoint {
-			return balancer.Endpoint{ID: proxy.Endpoints.AssignID(fmt.Sprintf("s-%d", i)), State: state, Weight: 1}
+			return balancer.Endpoint{ID: proxy.Endpoints.AssignID(fmt.Sprintf("s-%d", i)), State: state, Size: 1}
 		}
 		for i := range endpoints {
 			proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{endpoint(i, balancer.StateReady)}, []string{"address"})
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -115,7 +115,7 @@
 	}
 	r.waitCtx, r.cause = waitCtx, CauseDecided
 	for {
-		action, err := r.proxy.loop.Pick(r.waitCtx, r.handle)
+		action, err := r.proxy.loop.NextAction(r.waitCtx, r.handle)
 		if err != nil {
 			if ctx.Err() != nil {
 				return r.finishClientLeft()
--- a/internal/server/many_test.go
+++ b/internal/server/many_test.go
@@ -44,7 +44,7 @@
 func proxyWithList(t testing.TB, n int) (*proxy.Proxy, *discovery.Watcher) {
 	t.Helper()
 	p := proxy.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 350, MaxAttempts: 3, MinTick: 2 * time.Millisecond,
+		Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 350, MaxAttempts: 3, ClockResolution: 2 * time.Millisecond,
 		InitialCapacity: 0.2, SlowStartDuration: 23 * time.Second, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 	watcher := &discovery.Watcher{Proxy: p, Zones: []string{"a"}, RetainList: true}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -103,13 +103,13 @@
 	return duration
 }
 
-var effectWords = map[string]balancer.Effect{
+var effectWords = map[string]balancer.DeliverySemantics{
 	"idempotent":   balancer.Idempotent,
 	"deduplicated": balancer.Deduplicated,
 	"at_most_once": balancer.AtMostOnce,
 }
 
-var scopeWords = map[string]balancer.Scope{
+var scopeWords = map[string]balancer.DeduplicationScope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
@@ -149,9 +149,9 @@
 	costs := optional[object](reader, values, "", "Costs")
 	specifics = optional[object](reader, values, "", "Specifics")
 	settings = balancer.Settings{
-		Relays:  required[int](reader, values, "", "NInstances"),
-		Zone:    required[int](reader, values, "", "Zone"),
-		MinTick: requiredDuration(reader, values, "", "QuantumUs"),
+		RelayCount:      required[int](reader, values, "", "NInstances"),
+		Zone:            required[int](reader, values, "", "Zone"),
+		ClockResolution: requiredDuration(reader, values, "", "QuantumUs"),
 		PollList: lookUp(reader, map[string]bool{"push": false, "ask": true}, "Discovery",
 			required[string](reader, values, "", "Discovery")),
 		MaxAttempts:       required[int](reader, limits, "Limits.", "TryLimit"),
@@ -180,7 +180,7 @@
 	if settings.MaxAttempts < 1 {
 		reader.failf("Limits.TryLimit", "is not over 0")
 	}
-	if settings.Relays < 1 {
+	if settings.RelayCount < 1 {
 		reader.failf("NInstances", "is not over 0")
 	}
 	if !(settings.InitialCapacity > 0 && settings.InitialCapacity <= 1) {
@@ -230,10 +230,10 @@
 			Name:             optional[string](reader, entry, path, "Name"),
 			LatencyObjective: requiredDuration(reader, entry, path, "AimUs"),
 			Deadline:         positiveDuration(reader, entry, path, "DeadlineUs"),
-			Effect:           lookUp(reader, effectWords, path+"Semantics", required[string](reader, entry, path, "Semantics")),
+			Semantics:        lookUp(reader, effectWords, path+"Semantics", required[string](reader, entry, path, "Semantics")),
 		}
-		if class.Effect == balancer.Deduplicated {
-			class.Scope = lookUp(reader, scopeWords, path+"KeyScope", required[string](reader, entry, path, "KeyScope"))
+		if class.Semantics == balancer.Deduplicated {
+			class.DeduplicationScope = lookUp(reader, scopeWords, path+"KeyScope", required[string](reader, entry, path, "KeyScope"))
 			class.DeduplicationWindow = positiveDuration(reader, entry, path, "MemorySpanUs")
 		}
 		if i < len(messageObjectives) {
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -140,9 +140,9 @@
 	collector := &transcriber{}
 	server := httptest.NewServer(collector)
 	defer server.Close()
-	core := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, Relays: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
+	core := proxy.New(balancer.Settings{Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1}, 1, proxy.NewClock())
 	first, second := core.Endpoints.AssignID("s-1"), core.Endpoints.AssignID("s-2")
-	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Weight: 1}, {ID: second, State: balancer.StateDraining, Weight: 1}}, []string{"a:1", "b:1"})
+	core.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: first, State: balancer.StateReady, Size: 1}, {ID: second, State: balancer.StateDraining, Size: 1}}, []string{"a:1", "b:1"})
 	for end := range registry.EndNames {
 		for range end + 1 {
 			core.Counters.CountEnd(registry.End(end))
@@ -165,7 +165,7 @@
 	request := proxy.Request{Frontend: "line", Class: "page", Name: "9b1f", Tenant: "acme", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + time.Second}}
 	recorded := decisions.RequestStarted(7, request)
 	for _, verdict := range []balancer.Verdict{balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated} {
-		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, Preferred: 1,
+		recorded.Decided(&balancer.Decision{At: core.Clock.Now(), Verdict: verdict, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: first, ReadyEndpoints: 3, PreferredIndex: 1,
 			Considered: []balancer.ConsideredEndpoint{{Endpoint: first, State: balancer.StateReady}, {Endpoint: second, State: balancer.StateReady}}})
 	}
 	recorded.AttemptStarted(first)(balancer.StatusOK)
