--- a/internal/server/draindirectives.go
+++ b/internal/server/draindirectives.go
@@ -34,7 +34,7 @@
 		return true
 	})
 	if err != nil {
-		p.relay.log.Error("read stored drain directives failed", "error", err)
+		p.relay.log.Error("failed to read stored drain directives", "error", err)
 	}
 	return all
 }
@@ -124,7 +124,7 @@
 		}
 		p.relay.log.Info("drain directive expired", "server", endpoint, "who", directive.By)
 		if err := p.removeDirective(ctx, endpoint); err != nil && p.store != nil {
-			p.relay.log.Error("remove expired drain directive from store failed", "server", endpoint, "error", err)
+			p.relay.log.Error("failed to remove expired drain directive from store", "server", endpoint, "error", err)
 		}
 	}
 }
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -56,7 +56,7 @@
 	successor, err := hotrestart.Connect(path)
 	if err != nil {
 		if _, statErr := os.Stat(path); statErr == nil {
-			r.log.Info("connect to predecessor failed, starting without takeover", "error", err)
+			r.log.Info("failed to connect to predecessor, starting without takeover", "error", err)
 		}
 		close(r.predecessorGone)
 		return
--- a/internal/server/persistentstate.go
+++ b/internal/server/persistentstate.go
@@ -55,7 +55,7 @@
 	opened, report, err := store.Open(store.Dir(settings.Dir), options)
 	if err != nil {
 		p.storeErr = err
-		p.relay.log.Error("open store failed, running without it", "folder", settings.Dir, "error", err)
+		p.relay.log.Error("failed to open store, running without it", "folder", settings.Dir, "error", err)
 		return
 	}
 	p.store, p.storeErr = opened, nil
@@ -114,7 +114,7 @@
 	defer p.mu.Unlock()
 	if p.store != nil {
 		if err := p.store.Close(); err != nil {
-			p.relay.log.Error("store close failed", "error", err)
+			p.relay.log.Error("failed to close store", "error", err)
 		}
 		p.store, p.storeErr = nil, store.ErrClosed
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -136,7 +136,7 @@
 	}
 	r.becomeReady(ctx, group)
 	err = group.Wait()
-	log.Info("stopped", "transactions", r.proxy.Requests.Len(), "broken_invariants", assert.Violations())
+	log.Info("relay stopped", "transactions", r.proxy.Requests.Len(), "broken_invariants", assert.Violations())
 	if err == nil && r.restartRequested.Load() {
 		return ErrRestart
 	}
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -87,7 +87,7 @@
 	if l == nil {
 		var err error
 		if l, err = r.listenConsoleAfterPredecessor(ctx, r.operator.Console.Socket); err != nil {
-			r.log.Error("console unavailable", "error", err)
+			r.log.Error("failed to open console socket", "error", err)
 		}
 		if l == nil {
 			return nil
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -69,7 +69,7 @@
 	r.shuttingDown.Store(true)
 	r.ready.Store(false)
 	requestedAt, killAfter := time.Now(), timeUntilKill(r.proxy.Settings())
-	r.log.Info("shutting down", "transactions", r.proxy.Requests.Len())
+	r.log.Info("relay shutting down", "transactions", r.proxy.Requests.Len())
 	hasSuccessor := r.asPredecessor != nil && r.asPredecessor.BeginShutdown()
 	ctx, cancelTimeout := context.WithTimeout(ctx, killAfter-exitLead)
 	defer cancelTimeout()
--- a/internal/server/snapshot.go
+++ b/internal/server/snapshot.go
@@ -61,7 +61,7 @@
 func (p *persistentState) loadSnapshot() savedSnapshot {
 	snapshot, _, found, err := snapshotTable(p.store).Get(snapshotKey)
 	if err != nil {
-		p.relay.log.Warn("read stored snapshot failed", "error", err)
+		p.relay.log.Warn("failed to read stored snapshot", "error", err)
 	}
 	saved := savedSnapshot{RelaySnapshot: snapshot}
 	if found {
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -150,7 +150,7 @@
 		flushContext, cancel := context.WithTimeout(context.Background(), telemetryFlushTimeout)
 		defer cancel()
 		if err := exporter.Stop(flushContext); err != nil {
-			r.log.Warn("final telemetry export failed", "error", err)
+			r.log.Warn("failed to export final telemetry", "error", err)
 		}
 	}, nil
 }
@@ -178,5 +178,5 @@
 	if r.asPredecessor != nil {
 		group.Go(func() error { return r.asPredecessor.Serve(ctx) })
 	}
-	r.log.Info("ready", "name", r.config.Name, "listen", r.config.Listen)
+	r.log.Info("relay ready", "name", r.config.Name, "listen", r.config.Listen)
 }
