--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -22,7 +22,7 @@
 	defaultSlots   = 4096
 	defaultMaxIdle = 1024
 
-	// slotEighths is how many eighths of the file descriptors set the number of admission slots. A slot uses two
+	// The number of admission slots is slotEighths eighths of the number of file descriptors. Each slot uses two
 	// descriptors, one for the client and one for the endpoint.
 	slotEighths = 3
 	// reservedDescriptors is the number of descriptors for uses other than clients and endpoints. The remaining
