--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -30,7 +30,7 @@
 // advance sends the next attempt of a request that has none in flight, or queues, holds or answers the
 // request.
 func (b *Balancer) advance(request *requestRecord) {
-	request.waiting = false
+	request.held = false
 	if !b.attemptAllowed(request, b.now) {
 		b.answer(request, b.stopReason(request, b.now))
 		return
@@ -77,7 +77,7 @@
 	request *requestRecord, wait time.Duration, reason Reason, endpoint *endpointRecord,
 ) {
 	b.observeDecision(VerdictHeld, reason, request, endpoint, wait)
-	request.waiting, request.notBefore = true, b.now+wait
+	request.held, request.notBefore = true, b.now+wait
 	if request.notBefore < request.deadline {
 		b.setRequestTimer(request, wait)
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -111,9 +111,9 @@
 	case request == nil || request.done || request.established:
 	case b.now >= request.deadline:
 		b.answer(request, ReasonDeadlineExceeded)
-	case request.waiting && b.now < request.listDeadline:
+	case request.held && b.now < request.listDeadline:
 		b.setRequestTimer(request, request.listDeadline-b.now)
-	case request.waiting && b.now >= request.notBefore:
+	case request.held && b.now >= request.notBefore:
 		b.advance(request)
 	}
 }
--- a/balancer/endpointlist.go
+++ b/balancer/endpointlist.go
@@ -60,7 +60,7 @@
 	poll.waiting = nil
 	for _, request := range waiting {
 		request.listDeadline = 0
-		if request.waiting && !request.done && b.now >= request.notBefore {
+		if request.held && !request.done && b.now >= request.notBefore {
 			b.advance(request)
 		}
 	}
--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -88,8 +88,8 @@
 		t.Fatalf("create the folder of recorded files: %v", err)
 	}
 	for i, scenario := range replayScenarios {
-		recorder := &scenarioRecorder{t: t, replayScenario: scenario, player: newReplayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
-			now: time.Hour, clients: make(map[string]*recordedClient), started: make(map[int]time.Duration)}
+		recorder := &scenarioRecorder{t: t, replayScenario: scenario, replayer: newReplayer(), rng: rand.New(rand.NewPCG(uint64(i), 77)),
+			now: time.Hour, clients: make(map[string]*simulatedClient), started: make(map[int]time.Duration)}
 		recorder.run()
 		path := filepath.Join(replayFolder, scenario.name+".txt")
 		if err := os.WriteFile(path, []byte(recorder.text.String()), 0o644); err != nil {
@@ -103,32 +103,32 @@
 type scenarioRecorder struct {
 	t *testing.T
 	replayScenario
-	player *replayer
-	rng    *rand.Rand
-	text   strings.Builder
-	block  []string // inputs and outputs since the last digest
-	inputs int
+	replayer *replayer
+	rng      *rand.Rand
+	text     strings.Builder
+	block    []string // inputs and outputs since the last digest
+	inputs   int
 
 	now             time.Duration
 	schedule        stepHeap
 	sequence        int // number of steps scheduled so far
-	clients         map[string]*recordedClient
+	clients         map[string]*simulatedClient
 	lastClient      int
 	currentSettings int // index of the current settings
-	servers         []recordedEndpoint
+	servers         []simulatedEndpoint
 	started         map[int]time.Duration
 	restarted       bool // the Balancer was replaced by one with its snapshot
 }
 
-// recordedEndpoint is the state of a simulated endpoint.
-type recordedEndpoint struct {
+// simulatedEndpoint is the state of a simulated endpoint.
+type simulatedEndpoint struct {
 	state     string // in the endpoint list
 	health    string // well, slow, full, broken, dead, leaving
 	startedAt time.Duration
 }
 
-// recordedClient is the state of a client's request or connection.
-type recordedClient struct {
+// simulatedClient is the state of a client's request or connection.
+type simulatedClient struct {
 	name        string
 	endpoint    int
 	attempt     int // incremented by each attempt and by its end; 0 before the first
@@ -180,7 +180,7 @@
 
 // write executes an input, records it with its output and returns the output.
 func (r *scenarioRecorder) write(line string) []string {
-	output := slices.Clone(r.player.replay(r.t, line))
+	output := slices.Clone(r.replayer.replay(r.t, line))
 	r.inputs++
 	fmt.Fprintln(&r.text, line)
 	if r.digestEvery == 0 {
@@ -252,7 +252,7 @@
 }
 
 // finish ends the request of a client; some clients send a new one later.
-func (r *scenarioRecorder) finish(client *recordedClient) {
+func (r *scenarioRecorder) finish(client *simulatedClient) {
 	if client == nil || r.clients[client.name] != client {
 		return
 	}
@@ -263,12 +263,12 @@
 }
 
 // current reports whether an attempt is a client's latest and the client has not left.
-func (r *scenarioRecorder) current(client *recordedClient, attempt int) bool {
+func (r *scenarioRecorder) current(client *simulatedClient, attempt int) bool {
 	return r.clients[client.name] == client && client.attempt == attempt
 }
 
 // attempt simulates an attempt at an endpoint and schedules its outcome.
-func (r *scenarioRecorder) attempt(client *recordedClient, server int, timeout time.Duration) {
+func (r *scenarioRecorder) attempt(client *simulatedClient, server int, timeout time.Duration) {
 	client.endpoint = server
 	client.attempt++
 	attempt := client.attempt
@@ -309,7 +309,7 @@
 }
 
 // establish reports an established connection and schedules its load report and its end.
-func (r *scenarioRecorder) establish(client *recordedClient, setupTime time.Duration) {
+func (r *scenarioRecorder) establish(client *simulatedClient, setupTime time.Duration) {
 	client.established = true
 	attempt := client.attempt
 	if r.throughLoop {
@@ -343,7 +343,7 @@
 	})
 }
 
-func (r *scenarioRecorder) load(client *recordedClient) {
+func (r *scenarioRecorder) load(client *simulatedClient) {
 	load := formatFloat(0.01 * r.rng.ExpFloat64())
 	if r.throughLoop {
 		r.input("load %s %s", client.name, load)
@@ -353,7 +353,7 @@
 }
 
 // end reports the end of an attempt, or of a connection if final.
-func (r *scenarioRecorder) end(client *recordedClient, outcome string, final bool) {
+func (r *scenarioRecorder) end(client *simulatedClient, outcome string, final bool) {
 	if final {
 		defer r.finish(client)
 	} else if client.attempt > 0 {
@@ -367,7 +367,7 @@
 }
 
 // leave reports that a client disconnected.
-func (r *scenarioRecorder) leave(client *recordedClient) {
+func (r *scenarioRecorder) leave(client *simulatedClient) {
 	defer r.finish(client)
 	r.input("left %s", client.name)
 }
@@ -376,7 +376,7 @@
 func (r *scenarioRecorder) request(group int, returning bool) {
 	r.lastClient++
 	deadline := time.Duration(1+r.rng.IntN(3))*time.Second + r.jitter(100*time.Millisecond)
-	client := &recordedClient{name: strconv.Itoa(r.lastClient), group: group, deadline: r.now + deadline}
+	client := &simulatedClient{name: strconv.Itoa(r.lastClient), group: group, deadline: r.now + deadline}
 	r.clients[client.name] = client
 	item, load, settings := 0, "0", "-"
 	if r.chance(0.3) {
@@ -529,7 +529,7 @@
 	r.restarted = true
 	r.input("renumber 3")
 	previous := r.clients
-	r.clients, r.schedule = make(map[string]*recordedClient), nil
+	r.clients, r.schedule = make(map[string]*simulatedClient), nil
 	r.input("start %d 5", r.currentSettings)
 	if r.observed {
 		r.input("observe")
@@ -625,7 +625,7 @@
 		r.write(fmt.Sprintf("tenant %d acme", i))
 	}
 	for range r.replayScenario.servers {
-		r.servers = append(r.servers, recordedEndpoint{state: "ready", health: "well"})
+		r.servers = append(r.servers, simulatedEndpoint{state: "ready", health: "well"})
 	}
 	if r.throughLoop {
 		r.input("facade 0 3")
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -21,7 +21,7 @@
 	connectionIndex int     // index in the endpoint's connections
 
 	done          bool
-	waiting       bool          // held until notBefore, and until listDeadline for a fresh list
+	held          bool          // held until notBefore, and until listDeadline for a fresh list
 	notBefore     time.Duration // when its next attempt may be sent
 	listDeadline  time.Duration
 	arrivalWindow time.Duration // number of the overload window in which it was last counted; 0: never
