--- a/balancer/decision.go
+++ b/balancer/decision.go
@@ -109,7 +109,7 @@
 	Exclusions  Exclusions
 	Weight      float64       // the controller's weight
 	Warmth      float64       // assumed share of its capacity, 1 if not warming up
-	Load        float64       // placed by this relay, in mean connections
+	Load        float64       // placed by this relay, in multiples of the mean load of a connection
 	Probability float64       // of being drawn, by weight alone; 0 if it is not ready
 	Delay       time.Duration // last reported delay of a message
 	DelayAge    time.Duration // age of that report; negative if there was none
--- a/balancer/endpoint.go
+++ b/balancer/endpoint.go
@@ -17,7 +17,8 @@
 	minRelativeSize = 1e-3
 )
 
-// endpointRecord is the state of an endpoint. A time is 0 if its event never happened.
+// endpointRecord is the state of an endpoint. A time is 0 if its event never happened. Loads are in mean
+// connections, which are multiples of the mean load of a connection.
 type endpointRecord struct {
 	Endpoint
 	weight      float64 // the controller's weight as of weightSetAt
--- a/balancer/endpointview.go
+++ b/balancer/endpointview.go
@@ -12,7 +12,7 @@
 type EndpointView struct {
 	Endpoint      EndpointID
 	Delay         time.Duration // last reported delay of a message; 0 if none was reported recently
-	Load          float64       // of this relay's connections, in mean connections
+	Load          float64       // of this relay's connections, in multiples of their mean load
 	AvoidedReason string        // why it gets no new requests now; "" if it may get them
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -37,7 +37,7 @@
 // routeKey returns the key of the request's cached route: its group, else its item; 0 if it has neither.
 func (r *requestRecord) routeKey() uint64 { return cmp.Or(r.Group, r.Item) }
 
-// addRequest adds the record of a request and fixes the settings that apply to it.
+// addRequest adds the record of a request, with the settings that apply until it ends.
 func (b *Balancer) addRequest(event Request) *requestRecord {
 	request := &requestRecord{Request: event, settings: cmp.Or(event.Settings, b.settings)}
 	request.class = request.settings.classAt(event.Class)
