--- a/internal/fake/server_amqp.go
+++ b/internal/fake/server_amqp.go
@@ -30,7 +30,7 @@
 		tcp.SetLinger(0)
 		tcp.Close()
 	}
-	for peer := conn.Session(); peer != nil; peer = conn.Session() {
+	for peer := conn.AcceptSession(); peer != nil; peer = conn.AcceptSession() {
 		session := &serverSession{server: s, peer: peer, breakConn: breakConn}
 		sessions.Go(func() { session.serve(ctx) })
 	}
@@ -40,7 +40,7 @@
 // request, and another one only after a rejection. One goroutine serves it.
 type serverSession struct {
 	server    *Server
-	peer      *amqp.Peer
+	peer      *amqp.PeerSession
 	breakConn func()
 	record    *attemptRecord   // of the last attach; nil before the first
 	records   []*attemptRecord // of all
@@ -96,7 +96,7 @@
 // attached decides on an attempt. It reports whether the session goes on.
 func (s *serverSession) attached(ctx context.Context, event amqp.PeerEvent) bool {
 	class, _ := event.Properties["class"].(string)
-	milliseconds, _ := amqp.WholeNumber(event.Properties["give-up-ms"])
+	milliseconds, _ := amqp.AsUint64(event.Properties["give-up-ms"])
 	s.record = s.server.newRecord(Attempt{
 		Frontend: "amqp", Name: event.Name, Class: class, At: time.Now(),
 		TimeLimit: time.Duration(milliseconds) * time.Millisecond,
@@ -154,7 +154,7 @@
 	if !s.server.awaitEcho(ctx, took) {
 		return true
 	}
-	if !event.Settled && s.peer.Settle(event.Delivery) != nil {
+	if !event.Settled && s.peer.Settle(event.DeliveryID) != nil {
 		s.record.ended(endGone)
 		return false
 	}
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -14,13 +14,13 @@
 type PeerConn struct {
 	multiplexer *multiplexer
 	readTimeout time.Duration
-	done        chan struct{} // closed by Close
-	sessions    chan *Peer    // begun by the relay, and not yet returned by Session
-	ended       chan struct{} // closed once the reader has ended
+	done        chan struct{}     // closed by Close
+	sessions    chan *PeerSession // begun by the relay, and not yet returned by Session
+	ended       chan struct{}     // closed once the reader has ended
 }
 
-// Peer is one session of a PeerConn, and the links that are attached to it. Its methods are for one goroutine.
-type Peer struct {
+// PeerSession is one session of a PeerConn, and the links that are attached to it. Its methods are for one goroutine.
+type PeerSession struct {
 	*sharedSession
 	conn            *PeerConn
 	partialPayloads map[uint32][]byte // of partial deliveries, by link handle
@@ -28,25 +28,25 @@
 
 // PeerEvent is an event of a Peer: a link is attached, a delivery is complete, or a link is detached.
 type PeerEvent struct {
-	Kind       PeerKind
+	Kind       PeerEventKind
 	Handle     uint32
-	Delivery   uint32         // of PeerDelivered
+	DeliveryID uint32         // of PeerDelivered
 	Settled    bool           // by the sender, of PeerDelivered
 	Payload    []byte         // of PeerDelivered: the message's data section, where it is one
 	Name       string         // of the link, of PeerAttached
-	Sends      bool           // the relay's side sends, of PeerAttached
+	RelaySends bool           // the relay's side sends, of PeerAttached
 	Properties map[string]any // of PeerAttached: strings, numbers and booleans
 	attach     framing.Performative
 }
 
-// PeerKind is the kind of a PeerEvent.
-type PeerKind uint8
+// PeerEventKind is the kind of a PeerEvent.
+type PeerEventKind uint8
 
 // The kinds of PeerEvent.
 const (
-	PeerAttached  PeerKind = iota // the other side has attached a link
-	PeerDelivered                 // the other side has sent a complete delivery
-	PeerDetached                  // the other side has detached a link
+	PeerAttached  PeerEventKind = iota // the other side has attached a link
+	PeerDelivered                      // the other side has sent a complete delivery
+	PeerDetached                       // the other side has detached a link
 )
 
 // maxPeerSessions is how many sessions a fake server accepts on a connection.
@@ -68,11 +68,11 @@
 	}
 	p := &PeerConn{
 		multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}),
-		sessions: make(chan *Peer, maxPeerSessions), ended: make(chan struct{}),
+		sessions: make(chan *PeerSession, maxPeerSessions), ended: make(chan struct{}),
 	}
 	p.multiplexer.onSession = func(shared *sharedSession) {
 		select {
-		case p.sessions <- &Peer{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
+		case p.sessions <- &PeerSession{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
 		default: // more sessions than a fake server accepts in all
 			shared.endLocally()
 		}
@@ -111,8 +111,8 @@
 	return conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
 }
 
-// Session waits for the next session that the relay begins; nil: the connection has ended.
-func (p *PeerConn) Session() *Peer {
+// AcceptSession waits for the next session that the relay begins; nil: the connection has ended.
+func (p *PeerConn) AcceptSession() *PeerSession {
 	select {
 	case s := <-p.sessions:
 		return s
@@ -133,13 +133,13 @@
 	<-p.ended
 }
 
-// AcceptPeer opens the connection of a relay as AcceptPeerConn does, and waits for the first session.
-func AcceptPeer(tcp streamConn, wait time.Duration, plain bool) (*Peer, error) {
+// AcceptPeerSession opens the connection of a relay as AcceptPeerConn does, and waits for the first session.
+func AcceptPeerSession(tcp streamConn, wait time.Duration, plain bool) (*PeerSession, error) {
 	c, err := AcceptPeerConn(tcp, wait, plain)
 	if err != nil {
 		return nil, err
 	}
-	p := c.Session()
+	p := c.AcceptSession()
 	if p == nil {
 		c.Close()
 		return nil, c.multiplexer.err
@@ -170,13 +170,13 @@
 var errPeerSessionEnded = errors.New("the relay has ended the session")
 
 // Close ends the connection at once.
-func (p *Peer) Close() { p.conn.Close() }
+func (p *PeerSession) Close() { p.conn.Close() }
 
 // End ends the session.
-func (p *Peer) End() { p.sharedSession.endLocally() }
+func (p *PeerSession) End() { p.sharedSession.endLocally() }
 
 // DiscardInput reads and ignores the session's frames until its end.
-func (p *Peer) DiscardInput() {
+func (p *PeerSession) DiscardInput() {
 	for {
 		if frame, err := p.nextFrame(0); err != nil || frame.Code == framing.CodeEnd {
 			return
@@ -185,7 +185,7 @@
 }
 
 // Next waits for the next event. Its errors are those of the connection, or say that the relay has ended the session.
-func (p *Peer) Next() (PeerEvent, error) {
+func (p *PeerSession) Next() (PeerEvent, error) {
 	for {
 		frame, err := p.nextFrame(p.conn.readTimeout)
 		if err != nil {
@@ -215,7 +215,7 @@
 		Kind:       PeerAttached,
 		Handle:     attach.Uint32(framing.AttachHandle, 0),
 		Name:       codec.AsString(attach.Field(framing.AttachName)),
-		Sends:      !attach.Bool(framing.AttachRole),
+		RelaySends: !attach.Bool(framing.AttachRole),
 		Properties: make(map[string]any),
 		attach:     attach,
 	}
@@ -227,7 +227,7 @@
 }
 
 // receiveDelivery adds a transfer to its delivery. It returns the event, and true, once the delivery is complete.
-func (p *Peer) receiveDelivery(transfer framing.Frame) (event PeerEvent, complete bool, err error) {
+func (p *PeerSession) receiveDelivery(transfer framing.Frame) (event PeerEvent, complete bool, err error) {
 	if err := p.receiveTransfer(false); err != nil {
 		return PeerEvent{}, false, err
 	}
@@ -242,11 +242,11 @@
 	}
 	delete(p.partialPayloads, handle)
 	return PeerEvent{
-		Kind:     PeerDelivered,
-		Handle:   handle,
-		Delivery: transfer.Uint32(framing.TransferDeliveryID, 0),
-		Settled:  transfer.Bool(framing.TransferSettled),
-		Payload:  dataSection(payload),
+		Kind:       PeerDelivered,
+		Handle:     handle,
+		DeliveryID: transfer.Uint32(framing.TransferDeliveryID, 0),
+		Settled:    transfer.Bool(framing.TransferSettled),
+		Payload:    dataSection(payload),
 	}, true, nil
 }
 
@@ -268,7 +268,7 @@
 }
 
 // Attach answers an attach, and grants credit if the relay's side is to send.
-func (p *Peer) Attach(e PeerEvent, credit uint32) error {
+func (p *PeerSession) Attach(e PeerEvent, credit uint32) error {
 	reply := attachReply(e.attach, e.Handle)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
@@ -285,12 +285,12 @@
 }
 
 // Credit grants credit for credit deliveries from the delivery-count count on.
-func (p *Peer) Credit(handle, count, credit uint32) error {
+func (p *PeerSession) Credit(handle, count, credit uint32) error {
 	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
 }
 
 // RejectAttach answers an attach and detaches the link at once, with a condition of the standard.
-func (p *Peer) RejectAttach(e PeerEvent, condition string) error {
+func (p *PeerSession) RejectAttach(e PeerEvent, condition string) error {
 	reply := attachReply(e.attach, e.Handle).With(framing.AttachTarget, nil)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil {
 		return err
@@ -299,13 +299,13 @@
 }
 
 // Detach detaches a link, with an error if the condition is not empty.
-func (p *Peer) Detach(handle uint32, condition string) error {
+func (p *PeerSession) Detach(handle uint32, condition string) error {
 	errorValue := framing.NewErrorValue(condition, "as the script has it", nil)
 	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, errorValue}}, nil)
 }
 
 // Settle accepts and settles a delivery.
-func (p *Peer) Settle(delivery uint32) error {
+func (p *PeerSession) Settle(delivery uint32) error {
 	return p.writeFrame(p.channel, acceptingDisposition(delivery), nil)
 }
 
@@ -315,8 +315,8 @@
 	return framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, deliveryID, nil, true, accepted}}
 }
 
-// WholeNumber returns a property that is an integer and not negative; it reports false for any other.
-func WholeNumber(v any) (uint64, bool) { return codec.AsUint64(v) }
+// AsUint64 returns a property that is an integer and not negative; it reports false for any other.
+func AsUint64(v any) (uint64, bool) { return codec.AsUint64(v) }
 
 // Conditions with which a server detaches links.
 const (
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -35,7 +35,7 @@
 		return
 	}
 	defer conn.Close()
-	for peer := conn.Session(); peer != nil; peer = conn.Session() {
+	for peer := conn.AcceptSession(); peer != nil; peer = conn.AcceptSession() {
 		go func() {
 			defer peer.End()
 			part := []byte(nil)
--- a/internal/frontend/amqp/sharedconn_test.go
+++ b/internal/frontend/amqp/sharedconn_test.go
@@ -33,7 +33,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer conn.Close()
-	for peer := conn.Session(); peer != nil; peer = conn.Session() {
+	for peer := conn.AcceptSession(); peer != nil; peer = conn.AcceptSession() {
 		n := s.sessions.Add(1)
 		if now := int64(peer.channel) + 1; now > s.maxSessions.Load() { // the lowest that is free is taken
 			s.maxSessions.Store(now)
--- a/internal/frontend/amqp/stall_test.go
+++ b/internal/frontend/amqp/stall_test.go
@@ -31,7 +31,7 @@
 
 // settleAll takes every delivery.
 func settleAll(tcp *net.TCPConn) {
-	peer, err := AcceptPeer(tcp, serverWait, false)
+	peer, err := AcceptPeerSession(tcp, serverWait, false)
 	if err != nil {
 		return
 	}
@@ -40,7 +40,7 @@
 }
 
 // settleSession takes every delivery of a session until its end, or until an attach is not to be taken.
-func settleSession(peer *Peer, credit uint32, attaching func() bool) {
+func settleSession(peer *PeerSession, credit uint32, attaching func() bool) {
 	for n := uint32(0); ; {
 		e, err := peer.Next()
 		switch {
@@ -53,7 +53,7 @@
 			peer.Attach(e, credit)
 		case e.Kind == PeerDelivered:
 			n++
-			_ = peer.Settle(e.Delivery)
+			_ = peer.Settle(e.DeliveryID)
 			peer.Credit(e.Handle, n, credit)
 		case e.Kind == PeerDetached:
 			peer.Detach(e.Handle, "")
