--- a/internal/frontend/amqp/attempt.go
+++ b/internal/frontend/amqp/attempt.go
@@ -50,7 +50,7 @@
 	permitted := func() bool { return attempt.StillPermitted(ctx) }
 	if upstreamConn.sharedSession != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
 		frames = []framing.Performative{upstreamConn.newBegin(nil), performative}
-		permitted = func() bool { return attempt.StillPermitted(ctx) && upstreamConn.sharedSession.announce() }
+		permitted = func() bool { return attempt.StillPermitted(ctx) && upstreamConn.sharedSession.permitBegin() }
 	}
 	switch err := upstreamConn.writeInitial(ctx, permitted, frames...); {
 	case errors.Is(err, errNoLongerPermitted):
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -311,7 +311,7 @@
 		t.Fatal(err)
 	}
 	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{"second", uint32(0), false}}
-	if err := u.writeInitial(t.Context(), u.sharedSession.announce, u.newBegin(nil), attach); err != nil {
+	if err := u.writeInitial(t.Context(), u.sharedSession.permitBegin, u.newBegin(nil), attach); err != nil {
 		t.Fatal(err)
 	}
 	var frame framing.Frame
--- a/internal/frontend/amqp/clientsession.go
+++ b/internal/frontend/amqp/clientsession.go
@@ -115,13 +115,13 @@
 	request, attach, err := frontend.parseRequest(attach, s.client.containerID, l.name)
 	l.attach = attach
 	if err != nil {
-		s.rejectFaulty(l, request.Class, err.Error(), framing.ConditionError{
+		s.rejectInvalid(l, request.Class, err.Error(), framing.ConditionError{
 			Condition: framing.CondInvalidField, Description: err.Error(),
 		})
 		return nil
 	}
 	if !frontend.Authenticator.Authorized(s.client.user, request.Class) {
-		s.rejectFaulty(l, request.Class, "a client may not open a class", framing.Errorf(
+		s.rejectInvalid(l, request.Class, "a client may not open a class", framing.Errorf(
 			framing.CondUnauthorizedAccess, "%q may not open the class %q", s.client.user, request.Class,
 		))
 		return nil
@@ -183,8 +183,8 @@
 	})
 }
 
-// rejectFaulty rejects an attach that is wrong or not allowed, and counts it. event is for the log.
-func (s *clientSession) rejectFaulty(l *link, class, event string, err framing.ConditionError) {
+// rejectInvalid rejects an attach that is wrong or not allowed, and counts it. event is for the log.
+func (s *clientSession) rejectInvalid(l *link, class, event string, err framing.ConditionError) {
 	s.client.frontend.Proxy.ProtocolError("amqp", event)
 	s.rejectAttach(l, err, nil)
 	s.client.frontend.Proxy.Metrics.Class(class).CountFailed()
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -380,7 +380,7 @@
 }
 
 // A client without links that is shown out as it speaks is told so: closing over what has come would reset its connection.
-func TestWhoIsShownOutAsItSpeaksIsTold(t *testing.T) {
+func TestEvictedClientIsSentAClose(t *testing.T) {
 	netListener := listen(t)
 	defer netListener.Close()
 	there, err := net.Dial("tcp", netListener.Addr().String())
--- a/internal/frontend/amqp/multiplexer.go
+++ b/internal/frontend/amqp/multiplexer.go
@@ -151,7 +151,7 @@
 		return framing.Errorf(framing.CondNotAllowed, "channel %d can't begin a session", frame.Channel)
 	}
 	shared := m.newSession(frame.Channel, func() {})
-	shared.announced = true
+	shared.beginPermitted = true
 	m.localChannels[frame.Channel], m.remoteChannels[frame.Channel] = shared, shared
 	m.mu.Unlock()
 	if err := shared.applyBegin(frame.Performative); err != nil {
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -13,7 +13,7 @@
 const (
 	maxChannel             = 7                 // highest channel: a connection has one session more
 	maxHandle              = 63                // highest handle: a session has one link more
-	minWindowGain          = sessionWindow / 8 // least transfers that a flow for released ones reopens
+	minWindowUpdate        = sessionWindow / 8 // least transfers that a flow for released ones reopens
 	sessionWindow          = 256               // transfers that may be received and not yet sent on
 	maxUnsettledDeliveries = 4096              // of a link, at a time
 )
@@ -215,7 +215,7 @@
 	s.mu.Lock()
 	s.pendingTransfers -= uint32(n)
 	gain := sessionWindow - s.pendingTransfers - s.incomingWindow
-	reopen := n > 0 && !s.ended && s.needsWindowUpdate() && gain >= minWindowGain
+	reopen := n > 0 && !s.ended && s.needsWindowUpdate() && gain >= minWindowUpdate
 	s.mu.Unlock()
 	if reopen {
 		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // on failure the reader sees why
--- a/internal/frontend/amqp/sharedconn.go
+++ b/internal/frontend/amqp/sharedconn.go
@@ -120,7 +120,7 @@
 	s.mu.Unlock()
 	go dialed.sendHeartbeats(dialed.peerIdleTimeout, conn.done)
 	if endpoint.Draining != nil {
-		go s.shutWhenDraining(conn, endpoint.Draining)
+		go s.retireWhenDraining(conn, endpoint.Draining)
 	}
 	conn.multiplexer.serve(endpointSilenceTimeout)
 	conn.tcp.Close()
@@ -129,9 +129,9 @@
 	s.mu.Unlock()
 }
 
-// shutWhenDraining gives a connection no new sessions once its endpoint drains: its clients are migrated, and it is closed
+// retireWhenDraining gives a connection no new sessions once its endpoint drains: its clients are migrated, and it is closed
 // after the last. It runs in a goroutine of its own until the connection ends.
-func (s *sharedConnections) shutWhenDraining(conn *sharedConnection, draining <-chan struct{}) {
+func (s *sharedConnections) retireWhenDraining(conn *sharedConnection, draining <-chan struct{}) {
 	select {
 	case <-conn.done:
 	case <-draining:
--- a/internal/frontend/amqp/sharedsession.go
+++ b/internal/frontend/amqp/sharedsession.go
@@ -19,7 +19,7 @@
 	mu              sync.Mutex // guards the fields below
 	queue           []framing.Frame
 	queuedTransfers int           // transfers in the queue
-	announced       bool          // its begin has been sent, or is about to be
+	beginPermitted  bool          // its begin has been sent, or is about to be
 	endedLocally    bool          // by the relay
 	endSent         bool          // the relay's end has been sent: before that the channel can't be used again
 	endedRemotely   bool          // by the peer, or by the end of the connection
@@ -140,12 +140,12 @@
 	return s.endedRemotely
 }
 
-// announce is called before the begin is sent, and reports whether it may be: the session has not been ended meanwhile.
-func (s *sharedSession) announce() bool {
+// permitBegin is called before the begin is sent, and reports whether it may be: the session has not been ended meanwhile.
+func (s *sharedSession) permitBegin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.announced = !s.endedLocally
-	return s.announced
+	s.beginPermitted = !s.endedLocally
+	return s.beginPermitted
 }
 
 // sendEnd sends the relay's end, once, and releases the channels if the peer has ended the session as well. A session
@@ -154,7 +154,7 @@
 	s.mu.Lock()
 	first := !s.endedLocally
 	s.endedLocally = true
-	if !s.announced {
+	if !s.beginPermitted {
 		first, s.endSent, s.endedRemotely = false, true, true
 	}
 	s.mu.Unlock()
