--- a/internal/frontend/amqp/codec/codec_test.go
+++ b/internal/frontend/amqp/codec/codec_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Encodings of the standard's tables, by what they stand for.
+// encodings maps encodings of all kinds to their values.
 var encodings = map[string]any{
 	"\x40":                                 nil,
 	"\x41":                                 true,
@@ -36,28 +36,28 @@
 }
 
 func TestValuesRoundTrip(t *testing.T) {
-	for text, want := range encodings {
-		d := decoder{rest: []byte(text)}
+	for encoding, want := range encodings {
+		d := decoder{rest: []byte(encoding)}
 		got, err := d.decodeValue()
 		if err != nil || len(d.rest) > 0 || !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: got %#v, %v, want %#v", text, got, err, want)
+			t.Errorf("%q: got %#v, %v, want %#v", encoding, got, err, want)
 		}
 		d = decoder{rest: Append(nil, want)}
 		if again, err := d.decodeValue(); err != nil || !reflect.DeepEqual(again, want) {
-			t.Errorf("%#v comes back as %#v, %v", want, again, err)
+			t.Errorf("%#v decodes as %#v after encoding, %v", want, again, err)
 		}
 	}
 }
 
 func TestMalformedValuesAreRejected(t *testing.T) {
-	for _, text := range []string{
+	for _, encoding := range []string{
 		"", "\x01", "\x70\x00", "\xa1\x05ab", "\xc0\x02\x05\x41", "\xc1\x03\x01\x41",
 		"\xd0\xff\xff\xff\xff\xff\xff\xff\xff", "\xf0\x00\x00\x00\x05\xff\xff\xff\xff\x40",
 		"\x00", "\x00\x53\x10", "\xe0\x03\x02\x70\x00", string(bytes.Repeat([]byte{0, 0x40}, 40)),
 	} {
-		d := decoder{rest: []byte(text)}
-		if v, err := d.decodeValue(); err == nil {
-			t.Errorf("%q was read as %#v", text, v)
+		d := decoder{rest: []byte(encoding)}
+		if value, err := d.decodeValue(); err == nil {
+			t.Errorf("malformed encoding %q was decoded as %#v", encoding, value)
 		}
 	}
 }
--- a/internal/frontend/amqp/codec/constructors.go
+++ b/internal/frontend/amqp/codec/constructors.go
@@ -1,6 +1,7 @@
 package codec
 
-// Constructors of the standard's encodings (part 1, section 1.6). A number in a name is the width of the size, in bits.
+// Constructors of the primitive types (section 1.6). A suffix of 0 stands for an empty or zero value without data. A
+// suffix of 8 or 32 at a type of variable width is the width of the size field in bits.
 const (
 	constructorDescribed  = 0x00
 	constructorNull       = 0x40
--- a/internal/frontend/amqp/codec/decode.go
+++ b/internal/frontend/amqp/codec/decode.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	maxNesting       = 32   // depth of values within values
-	maxEmptyElements = 4096 // elements of an array whose encoding takes no bytes, such as nulls
+	maxNesting       = 32   // depth of nested values
+	maxEmptyElements = 4096 // array elements allowed beyond one per byte; elements such as null take no bytes
 )
 
-// Decode reads one value off the front of data and returns what follows it. Its errors wrap ErrDecode. Values of
-// variable width are copied: the result keeps no reference to data.
+// Decode decodes the value at the start of data, and returns it with the remaining bytes. An error is or wraps
+// ErrDecode. Values of variable width are copied: the value keeps no reference to data.
 func Decode(data []byte) (value any, rest []byte, err error) {
 	d := decoder{rest: data}
 	value, err = d.decodeValue()
 	return value, d.rest, err
 }
 
-// decoder reads values off the front of rest. depth is the nesting of the value that it is in.
+// decoder decodes consecutive values from rest. depth is the current nesting.
 type decoder struct {
 	rest  []byte
 	depth int
 }
 
-// take cuts n bytes off the front.
+// take removes and returns the next n bytes.
 func (d *decoder) take(n uint64) ([]byte, error) {
 	if n > uint64(len(d.rest)) {
 		return nil, ErrDecode
@@ -35,7 +35,7 @@
 	return taken, nil
 }
 
-// uint reads a big-endian unsigned integer of width bytes, at most 8.
+// uint decodes a big-endian unsigned integer of width bytes, at most 8.
 func (d *decoder) uint(width uint64) (uint64, error) {
 	octets, err := d.take(width)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return n, nil
 }
 
-// decodeValue reads a value with its constructor.
+// decodeValue decodes a value including its constructor.
 func (d *decoder) decodeValue() (any, error) {
 	if d.depth++; d.depth > maxNesting {
 		return nil, ErrDecode
@@ -64,7 +64,7 @@
 	return d.decodePrimitive(byte(code))
 }
 
-// decodeDescribed reads what follows the constructor of a described value: the descriptor and the value.
+// decodeDescribed decodes the descriptor and the value that follow the constructor of a described value.
 func (d *decoder) decodeDescribed() (any, error) {
 	descriptor, err := d.decodeValue()
 	if err != nil {
@@ -74,7 +74,7 @@
 	return Described{Descriptor: descriptor, Value: value}, err
 }
 
-// decodePrimitive reads what follows a constructor.
+// decodePrimitive decodes the data that follows a constructor other than that of a described value.
 func (d *decoder) decodePrimitive(code byte) (any, error) {
 	switch code {
 	case constructorNull:
@@ -90,7 +90,7 @@
 	case constructorList0:
 		return List{}, nil
 	}
-	// The upper half of a constructor is the width category (section 1.2).
+	// The upper four bits of a constructor determine the width of the data (section 1.2).
 	switch code >> 4 {
 	case 0x5, 0x6, 0x7, 0x8:
 		n, err := d.uint(1 << (code>>4 - 5))
@@ -134,7 +134,7 @@
 	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
 
-// decodeFixedWidth converts the bits of a value of fixed width, of 1 to 8 bytes, to its type.
+// decodeFixedWidth converts the bits of a fixed-width value of 1 to 8 bytes to the type of its constructor.
 func decodeFixedWidth(code byte, n uint64) (any, error) {
 	switch code {
 	case constructorUbyte:
@@ -175,8 +175,8 @@
 	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
 
-// openCompound reads the size and the count at the front of a compound value or an array, each of width bytes. It
-// returns a decoder of the elements, and the count.
+// openCompound decodes the size and the element count of a compound value or an array, each of width bytes. It returns
+// a decoder for the elements and the count.
 func (d *decoder) openCompound(width uint64) (*decoder, uint64, error) {
 	size, err := d.uint(width)
 	if err != nil {
@@ -191,10 +191,10 @@
 	return inner, count, err
 }
 
-// decodeCompound reads what follows the constructor of a list or a map.
+// decodeCompound decodes the data that follows the constructor of a list or a map.
 func (d *decoder) decodeCompound(code byte, width uint64) (any, error) {
 	inner, count, err := d.openCompound(width)
-	if err != nil || count > uint64(len(inner.rest)) { // every element takes a byte at least
+	if err != nil || count > uint64(len(inner.rest)) { // every element takes at least one byte
 		return nil, ErrDecode
 	}
 	elements := make([]any, count)
@@ -213,7 +213,7 @@
 	return nil, ErrDecode
 }
 
-// decodeArray reads what follows the constructor of an array.
+// decodeArray decodes the data that follows the constructor of an array.
 func (d *decoder) decodeArray(code byte, width uint64) (any, error) {
 	inner, count, err := d.openCompound(width)
 	if err != nil || code&0xf != 0 || count > uint64(len(inner.rest))+maxEmptyElements {
--- a/internal/frontend/amqp/codec/encode.go
+++ b/internal/frontend/amqp/codec/encode.go
@@ -6,8 +6,8 @@
 	"math"
 )
 
-// Append appends the encoding of a value, in its most compact form. It panics if the value, or one inside it, is of a
-// type that AMQP has no encoding for.
+// Append appends the encoding of a value, compact where appendCompact has a compact form. It panics if the value or a
+// nested value has a type without an AMQP encoding.
 func Append(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case nil:
@@ -35,8 +35,8 @@
 	return appendBody(append(b, constructorOf(v)), v)
 }
 
-// appendCompact appends a value in its compact form. It reports false, and its slice is to be dropped, if the value has
-// none. The compact form is not just shorter: some peers read the codes of performatives in no other.
+// appendCompact appends a value in its compact form. If the value has none it reports false, and the returned slice
+// must be discarded. Some peers accept the descriptor codes of performatives only in compact form.
 func appendCompact(b []byte, v any) ([]byte, bool) {
 	sized := func(code byte, s string) ([]byte, bool) {
 		if len(s) > 255 {
@@ -59,7 +59,7 @@
 	return b, false
 }
 
-// constructorOf returns the constructor of the widest encoding of a value.
+// constructorOf returns the constructor of the widest encoding of a value's type.
 func constructorOf(v any) byte {
 	switch v := v.(type) {
 	case nil:
@@ -107,7 +107,7 @@
 	case Array:
 		return constructorArray32
 	}
-	panic(fmt.Sprintf("amqp: no form for a %T", v)) // values come from Decode or from the relay itself
+	panic(fmt.Sprintf("codec: no AMQP encoding for type %T", v)) // unreachable: all values come from Decode or the relay
 }
 
 // appendBody appends a value without its constructor, in its widest encoding.
@@ -158,7 +158,7 @@
 	return b
 }
 
-// appendCompound appends a list or a map, in the encoding of a constructor with 32 bits of size.
+// appendCompound appends a list or a map with a 32-bit size; code is its constructor.
 func appendCompound(b []byte, code byte, elements []any) []byte {
 	b = append(b, code)
 	sizeOffset := len(b)
@@ -170,7 +170,7 @@
 	return b
 }
 
-// appendArray appends an array. All its elements are of the first one's type.
+// appendArray appends an array, whose elements must all have the type of the first one.
 func appendArray(b []byte, elements Array) []byte {
 	b = append(b, constructorArray32)
 	sizeOffset := len(b)
@@ -195,7 +195,7 @@
 	return b
 }
 
-// appendElement appends an element of an array, which has no constructor of its own.
+// appendElement appends an array element, which is encoded without a constructor.
 func appendElement(b []byte, v any) []byte {
 	switch v := v.(type) {
 	case List:
--- a/internal/frontend/amqp/codec/types.go
+++ b/internal/frontend/amqp/codec/types.go
@@ -1,18 +1,18 @@
-// Package codec holds the types of AMQP 1.0 and reads and writes their encoding (part 1 of the standard). It does no I/O
-// and keeps no state; all functions may be called from any goroutine.
+// Package codec encodes and decodes values of the AMQP 1.0 type system (part 1 of the standard). It does no I/O and
+// keeps no state; its functions may be called from any goroutine.
 package codec
 
 import (
 	"errors"
 )
 
-// ErrDecode is wrapped by the errors of Decode: the bytes are not a valid encoding.
+// ErrDecode is returned or wrapped by Decode if the bytes are not a valid encoding.
 var ErrDecode = errors.New("the bytes are no value of AMQP")
 
-// The types of AMQP that Go has no name for. The rest are bool, the sized
-// integers and floats, string, []byte for binary, and nil for null.
+// AMQP types without a corresponding Go type. The others are represented by bool, sized integers, floats, string,
+// []byte for binary, and nil for null.
 type (
-	// Symbol is a name from a constrained domain, in ASCII.
+	// Symbol is an ASCII name from a constrained domain.
 	Symbol string
 	// Timestamp is a time in milliseconds since the Unix epoch.
 	Timestamp int64
@@ -20,7 +20,7 @@
 	Char uint32
 	// UUID is a universally unique identifier.
 	UUID [16]byte
-	// Decimal is a decimal floating-point number of any width. It is passed on as it came, and never interpreted.
+	// Decimal is a decimal floating-point number of 32, 64 or 128 bits, kept in encoded form.
 	Decimal struct {
 		constructor byte
 		raw         string
@@ -29,13 +29,13 @@
 	List []any
 	// Array is a sequence of values of one type.
 	Array []any
-	// Map holds keys and values in turn, in the order in which they came.
+	// Map holds alternating keys and values, in the order of their encoding.
 	Map []any
-	// Described is a value with a descriptor that says what it stands for.
+	// Described is a value with a descriptor that identifies its type.
 	Described struct{ Descriptor, Value any }
 )
 
-// Get returns the value of a key, or nil if the map lacks it. Keys are symbols or strings.
+// Get returns the value of a key, which may be a symbol or a string in the map, or nil if there is none.
 func (m Map) Get(key string) any {
 	for i := 0; i+1 < len(m); i += 2 {
 		if AsString(m[i]) == key {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// With returns a copy of the map in which the key, as a symbol, has the value. The receiver is unchanged.
+// With returns a copy of the map in which key, stored as a symbol, has the value. The receiver is unchanged.
 func (m Map) With(key string, value any) Map {
 	out := make(Map, 0, len(m)+2)
 	for i := 0; i+1 < len(m); i += 2 {
@@ -56,7 +56,7 @@
 	return append(out, Symbol(key), value)
 }
 
-// AsString returns the text of a symbol or a string, and "" for any other value.
+// AsString returns the text of a symbol or string, and "" for a value of any other type.
 func AsString(v any) string {
 	switch v := v.(type) {
 	case Symbol:
@@ -67,7 +67,7 @@
 	return ""
 }
 
-// AsUint64 returns an integer of any width. It reports false for a negative one and for any other value.
+// AsUint64 converts an integer of any width. It reports false for a negative integer and for a value of any other type.
 func AsUint64(v any) (uint64, bool) {
 	switch v := v.(type) {
 	case uint8:
--- a/internal/frontend/amqp/framing/condition.go
+++ b/internal/frontend/amqp/framing/condition.go
@@ -6,7 +6,7 @@
 	"lockroad/internal/frontend/amqp/codec"
 )
 
-// Error conditions of the standard.
+// Error conditions that the standard defines (sections 2.8.15 to 2.8.18).
 const (
 	CondInternalError         = "amqp:internal-error"
 	CondDecodeError           = "amqp:decode-error"
@@ -23,7 +23,8 @@
 	CondUnauthorizedAccess    = "amqp:unauthorized-access"
 )
 
-// ConditionError is an error that the peer is told: one of the standard's conditions, and a description for people.
+// ConditionError is an error to be reported to the peer: one of the standard's conditions and a human-readable
+// description.
 type ConditionError struct {
 	Condition   string
 	Description string
@@ -32,7 +33,8 @@
 // Error returns the condition and the description.
 func (e ConditionError) Error() string { return e.Condition + ": " + e.Description }
 
-// Condition returns the error condition and its info that a detach, end or close carries at a field; "" if there is none.
+// Condition returns the error condition and info in field i of a detach, end or close. Without an error the condition
+// is empty.
 func (p Performative) Condition(i int) (cond string, info codec.Map) {
 	described, ok := p.Field(i).(codec.Described)
 	if !ok {
@@ -48,8 +50,8 @@
 	return codec.AsString(fields[0]), info
 }
 
-// NewErrorValue returns the standard's error type (section 2.8.14) for the field of a detach, end or close; nil, which is
-// no error, if the condition is empty.
+// NewErrorValue returns a value of the standard's error type (section 2.8.14) for the error field of a detach, end or
+// close. It returns nil, meaning no error, if the condition is empty.
 func NewErrorValue(condition, description string, info codec.Map) any {
 	if condition == "" {
 		return nil
@@ -66,12 +68,12 @@
 	return ConditionError{Condition: condition, Description: fmt.Sprintf(format, args...)}
 }
 
-// NewClose returns a close that tells the peer of an error.
+// NewClose returns a close that reports an error to the peer.
 func NewClose(err ConditionError) Performative {
 	return Performative{Code: CodeClose, Fields: codec.List{NewErrorValue(err.Condition, err.Description, nil)}}
 }
 
-// NewEnd returns an end that tells the peer of an error.
+// NewEnd returns an end that reports an error to the peer.
 func NewEnd(err ConditionError) Performative {
 	return Performative{Code: CodeEnd, Fields: codec.List{NewErrorValue(err.Condition, err.Description, nil)}}
 }
--- a/internal/frontend/amqp/framing/fields.go
+++ b/internal/frontend/amqp/framing/fields.go
@@ -29,7 +29,7 @@
 	AttachProperties           = 13
 )
 
-// Indices of fields in a flow (section 2.7.4). The handle and those after it are absent if the flow is of the session only.
+// Indices of fields in a flow (section 2.7.4). A flow without a handle concerns only the session.
 const (
 	FlowNextIncomingID = 0
 	FlowIncomingWindow = 1
@@ -69,7 +69,7 @@
 	CloseError   = 0
 )
 
-// Indices of fields in the frames of the security layer (part 5, section 5.3.3).
+// Indices of fields in SASL frames (section 5.3.3).
 const (
 	SASLMechanismsOffered   = 0
 	SASLInitMechanism       = 0
--- a/internal/frontend/amqp/framing/frame.go
+++ b/internal/frontend/amqp/framing/frame.go
@@ -6,29 +6,29 @@
 	"lockroad/internal/frontend/amqp/codec"
 )
 
-// Frame types.
+// Frame types (sections 2.3.1 and 5.3.1).
 const (
 	TypeAMQP = 0
 	TypeSASL = 1
 )
 
-// minDataOffset is the data offset of a frame without an extended header, in words of four bytes.
+// minDataOffset is the data offset of a frame without an extended header, in 4-byte words.
 const minDataOffset = 2
 
 // Sizes of frames, in bytes.
 const (
-	HeaderSize      = 8       // of a frame's fixed header
-	MinMaxFrameSize = 512     // every peer accepts frames of this size (section 2.4.1)
+	HeaderSize      = 8       // fixed part of the frame header
+	MinMaxFrameSize = 512     // every peer must accept frames of this size (section 2.4.1)
 	MaxFrameSize    = 8 << 10 // the largest frame that the relay accepts or sends
 )
 
-// Protocol headers, which open a connection and its security layer (section 2.2, part 5 section 5.3.1).
+// Protocol headers, which begin the AMQP and the SASL exchange (sections 2.2 and 5.3.1).
 var (
 	ProtocolHeaderAMQP = [8]byte{'A', 'M', 'Q', 'P', 0, 1, 0, 0}
 	ProtocolHeaderSASL = [8]byte{'A', 'M', 'Q', 'P', 3, 1, 0, 0}
 )
 
-// Frame is one frame. A frame without a body is Empty: it is a heartbeat (section 2.4.5).
+// Frame is a decoded frame. Empty marks a frame without a body, which is a heartbeat (section 2.4.5).
 type Frame struct {
 	Channel uint16
 	Empty   bool
@@ -36,8 +36,8 @@
 	Payload []byte
 }
 
-// ParseFrame reads a frame without its size field, from the data offset on: at least HeaderSize-4 bytes. The payload of
-// the result refers to b. Its errors are ConditionErrors.
+// ParseFrame decodes a frame without its size field: b begins with the data offset and has at least HeaderSize-4 bytes.
+// The payload of the result refers to b. An error is a ConditionError.
 func ParseFrame(b []byte) (Frame, error) {
 	var f Frame
 	dataOffset := int(b[0]) * 4
@@ -56,7 +56,7 @@
 	described, ok := value.(codec.Described)
 	if ok {
 		f.Code, ok = codec.AsUint64(described.Descriptor)
-		ok = ok && f.Code != 0 // which would pass for a frame without a body
+		ok = ok && f.Code != 0 // AppendFrame would encode code 0 as a frame without a body
 	}
 	if ok {
 		f.Fields, ok = described.Value.(codec.List)
@@ -68,8 +68,8 @@
 	return f, nil
 }
 
-// AppendFrame appends a frame of a type (TypeAMQP or TypeSASL) to b, and returns the extended slice. A performative
-// with code 0 is left out, which makes a frame without a body.
+// AppendFrame appends a frame of type TypeAMQP or TypeSASL to b, and returns the extended slice. A performative with
+// code 0 is omitted, which encodes a heartbeat if there is no payload either.
 func AppendFrame(b []byte, frameType byte, channel uint16, p Performative, payload []byte) []byte {
 	sizeOffset := len(b)
 	b = append(b, 0, 0, 0, 0, minDataOffset, frameType, byte(channel>>8), byte(channel))
--- a/internal/frontend/amqp/framing/frame_test.go
+++ b/internal/frontend/amqp/framing/frame_test.go
@@ -7,7 +7,7 @@
 	"lockroad/internal/frontend/amqp/codec"
 )
 
-// valueSeeds are encodings of the standard's tables: the keys of the codec's test table.
+// valueSeeds are encoded values; the test of package codec has the same encodings.
 var valueSeeds = []string{
 	"\x40",
 	"\x41",
@@ -36,11 +36,10 @@
 	"\x00\x53\x24\x45",
 }
 
-// Whatever comes in, reading it doesn't panic, and what was read once is read
-// again the same after it was written.
+// ParseFrame must not panic on any input, and encoding a parsed frame must result in an equal frame.
 func FuzzFrame(f *testing.F) {
-	for _, text := range valueSeeds {
-		f.Add([]byte("\x02\x00\x00\x00" + text))
+	for _, encoding := range valueSeeds {
+		f.Add([]byte("\x02\x00\x00\x00" + encoding))
 	}
 	f.Add(AppendFrame(nil, TypeAMQP, 1, Performative{CodeOpen, codec.List{"x", nil, uint32(MaxFrameSize), uint16(7), uint32(15000)}}, []byte("payload"))[4:])
 	f.Add(AppendFrame(nil, TypeAMQP, 1, Performative{CodeClose, codec.List{NewErrorValue(CondResourceLimitExceeded, "why", codec.Map{codec.Symbol("a"), uint32(1)})}}, nil)[4:])
@@ -48,17 +47,17 @@
 		if len(b) < 4 || len(b) > MaxFrameSize {
 			return
 		}
-		first, err := ParseFrame(b)
-		if err != nil || first.Empty {
+		parsed, err := ParseFrame(b)
+		if err != nil || parsed.Empty {
 			return
 		}
-		again, err := ParseFrame(AppendFrame(nil, TypeAMQP, first.Channel, first.Performative, first.Payload)[4:])
+		again, err := ParseFrame(AppendFrame(nil, TypeAMQP, parsed.Channel, parsed.Performative, parsed.Payload)[4:])
 		if err != nil {
-			t.Fatalf("what was read can't be read again: %v", err)
+			t.Fatalf("parsing the encoding of a parsed frame: %v", err)
 		}
-		one, two := codec.Append(nil, first.Fields), codec.Append(nil, again.Fields)
-		if first.Code != again.Code || !bytes.Equal(one, two) || !bytes.Equal(first.Payload, again.Payload) {
-			t.Errorf("%#v came back as %#v", first, again)
+		fields, fieldsAgain := codec.Append(nil, parsed.Fields), codec.Append(nil, again.Fields)
+		if parsed.Code != again.Code || !bytes.Equal(fields, fieldsAgain) || !bytes.Equal(parsed.Payload, again.Payload) {
+			t.Errorf("encoding and parsing %#v results in %#v", parsed, again)
 		}
 	})
 }
--- a/internal/frontend/amqp/framing/performative.go
+++ b/internal/frontend/amqp/framing/performative.go
@@ -1,12 +1,12 @@
-// Package framing reads and writes the frames of AMQP 1.0 and the performatives in them (part 2 of the standard), and
-// names the standard's error conditions. It does no I/O; all functions may be called from any goroutine.
+// Package framing encodes and decodes AMQP 1.0 frames and their performatives (part 2 of the standard), and defines the
+// standard's error conditions. It does no I/O and keeps no state; its functions may be called from any goroutine.
 package framing
 
 import (
 	"lockroad/internal/frontend/amqp/codec"
 )
 
-// Descriptor codes of the performatives and other described types that the relay interprets.
+// Descriptor codes of performatives and other described types.
 const (
 	CodeOpen           = 0x10
 	CodeBegin          = 0x11
@@ -29,14 +29,14 @@
 	CodeSASLOutcome    = 0x44
 )
 
-// Performative is one operation of the protocol: its descriptor code and its fields, in the order of the standard.
-// Fields that the relay does not interpret are passed on as they came. The zero value is the absence of one.
+// Performative is the body of a frame: its descriptor code and its fields, in the order of the standard. Fields that
+// the relay does not interpret are kept unchanged. The zero value means that there is no performative.
 type Performative struct {
 	Code   uint64
 	Fields codec.List
 }
 
-// Field returns a field by its index, and nil for one that is null or absent.
+// Field returns the field with index i, or nil if it is null or absent.
 func (p Performative) Field(i int) any {
 	if i < len(p.Fields) {
 		return p.Fields[i]
@@ -44,21 +44,21 @@
 	return nil
 }
 
-// Uint32 returns an integer field, or absent where it is null, absent, not an integer or does not fit.
-func (p Performative) Uint32(i int, absent uint32) uint32 {
+// Uint32 returns the integer in field i, or fallback if the field is null, absent, not an integer or out of range.
+func (p Performative) Uint32(i int, fallback uint32) uint32 {
 	if n, ok := codec.AsUint64(p.Field(i)); ok && n <= 1<<32-1 {
 		return uint32(n)
 	}
-	return absent
+	return fallback
 }
 
-// Bool returns a boolean field, and false where it is null, absent or no boolean.
+// Bool returns the boolean in field i, or false if the field is null, absent or not a boolean.
 func (p Performative) Bool(i int) bool {
 	value, _ := p.Field(i).(bool)
 	return value
 }
 
-// With returns a copy with one field set; the receiver and its fields are unchanged.
+// With returns a copy in which field i is set to v. The receiver is unchanged.
 func (p Performative) With(i int, v any) Performative {
 	fields := make(codec.List, max(len(p.Fields), i+1))
 	copy(fields, p.Fields)
@@ -66,7 +66,7 @@
 	return Performative{p.Code, fields}
 }
 
-// RequireUint32 checks that mandatory fields hold integers of at most 32 bits. Its error is a ConditionError.
+// RequireUint32 checks that mandatory fields hold unsigned 32-bit integers. An error is a ConditionError.
 func (p Performative) RequireUint32(fields ...int) error {
 	for _, i := range fields {
 		if n, ok := codec.AsUint64(p.Field(i)); !ok || n > 1<<32-1 {
