--- a/internal/frontend/amqp/attempt.go
+++ b/internal/frontend/amqp/attempt.go
@@ -16,8 +16,8 @@
 	"lockroad/internal/proxy"
 )
 
-// Attempt attaches the client's link at an endpoint, and waits for the endpoint's attach and, if the client is the
-// sender, for credit. On any status but StatusOK the upstream connection is closed and the result is nil.
+// Attempt attaches the client's link at an endpoint. It waits for the endpoint's attach and, if the client is the
+// sender, for credit. On any status other than StatusOK it closes the upstream connection and returns nil.
 func (l *link) Attempt(ctx context.Context, attempt proxy.Attempt) (conn proxy.UpstreamConn, status balancer.AttemptStatus) {
 	address := attempt.Endpoint.Address
 	if host, _, err := net.SplitHostPort(address); err == nil && l.frontend.EndpointPort != 0 {
@@ -41,14 +41,14 @@
 	return upstreamConn, status
 }
 
-// attachUpstream sends the attach to an endpoint and returns what came of it.
+// attachUpstream sends the attach to an endpoint and waits for the outcome.
 func (l *link) attachUpstream(ctx context.Context, upstreamConn *upstream, attempt proxy.Attempt) balancer.AttemptStatus {
 	properties, _ := l.attach.Field(framing.AttachProperties).(codec.Map)
 	properties = properties.With(propDeadline, uint32(max(1, attempt.TimeLeft(ctx).Milliseconds())))
 	performative := l.attach.With(framing.AttachHandle, uint32(0)).With(framing.AttachProperties, properties)
 	frames := []framing.Performative{performative}
 	permitted := func() bool { return attempt.StillPermitted(ctx) }
-	if upstreamConn.sharedSession != nil { // the attach follows the begin without waiting for the answer, which saves a round trip
+	if upstreamConn.sharedSession != nil { // sends begin and attach together, which saves a round trip
 		frames = []framing.Performative{upstreamConn.newBegin(nil), performative}
 		permitted = func() bool { return attempt.StillPermitted(ctx) && upstreamConn.sharedSession.permitBegin() }
 	}
@@ -56,13 +56,13 @@
 	case errors.Is(err, errNoLongerPermitted):
 		return balancer.StatusNotSent
 	case err != nil:
-		return listener.NotSentStatus(ctx) // an endpoint acts on complete frames only
+		return listener.NotSentStatus(ctx) // an endpoint ignores a partially written attach
 	}
 	l.frontend.Proxy.Metrics.Attempts.Add(1)
 	return l.awaitAttach(ctx, upstreamConn, attempt.Timeout)
 }
 
-// awaitAttach waits until the endpoint has established the link or rejected it.
+// awaitAttach waits until the endpoint accepts or rejects the link, at most timeout for each frame.
 func (l *link) awaitAttach(ctx context.Context, upstreamConn *upstream, timeout time.Duration) balancer.AttemptStatus {
 	for {
 		frame, err := upstreamConn.nextFrame(timeout)
@@ -97,7 +97,7 @@
 }
 
 // isEstablished reports whether the endpoint has accepted the link. An attach without the terminus that the endpoint
-// owns does not: it announces a detach (section 2.6.3).
+// owns is a rejection, and a detach follows (section 2.6.3).
 func (l *link) isEstablished(upstreamConn *upstream) bool {
 	if l.clientSends {
 		return upstreamConn.attach.Field(framing.AttachTarget) != nil && upstreamConn.creditFlow != nil
@@ -105,7 +105,7 @@
 	return upstreamConn.attach.Field(framing.AttachSource) != nil
 }
 
-// rejectionStatus is the status of an attempt that the endpoint has rejected with an error at a field.
+// rejectionStatus returns the status of an attempt that the endpoint rejected with the error in errorField.
 func rejectionStatus(performative framing.Performative, errorField int) balancer.AttemptStatus {
 	if condition, _ := performative.Condition(errorField); condition == framing.CondResourceLimitExceeded {
 		return balancer.StatusFull
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -16,8 +16,8 @@
 	"lockroad/internal/listener"
 )
 
-// clientConnection is one connection of a client. The goroutine of Frontend.serveClient reads it and owns its fields; its
-// links run in goroutines of their own, which it waits for.
+// clientConnection is one connection of a client. The goroutine of Frontend.serveClient reads it, owns its fields and
+// waits for the goroutines that serve its links.
 type clientConnection struct {
 	*connection
 	frontend    *Frontend
@@ -27,13 +27,12 @@
 	sessions    map[uint16]*clientSession
 	done        chan struct{} // closed once all links have ended
 	containerID string        // of the client's open
-	user        string        // as authenticated; auth.AnonymousUser otherwise
+	user        string        // authenticated user; auth.AnonymousUser without authentication
 	tcp         *net.TCPConn
-	tlsState    *tls.ConnectionState // nil: without TLS
+	tlsState    *tls.ConnectionState // nil without TLS
 }
 
-// handshakeTLS completes the TLS handshake, where TLS is configured. It is part of the connection's opening, and shares
-// its deadline.
+// handshakeTLS completes the TLS handshake if TLS is configured. It shares openTimeout with the protocol negotiation.
 func (c *clientConnection) handshakeTLS() error {
 	config := c.frontend.Authenticator.TLS()
 	if config == nil {
@@ -43,8 +42,8 @@
 	defer done()
 	secured := tls.Server(c.tcp, config)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		c.frontend.Proxy.ProtocolError("amqp", "no TLS comes about: "+err.Error())
-		return err // not a ConditionError: without TLS there is nobody to send it to
+		c.frontend.Proxy.ProtocolError("amqp", "TLS handshake failed: "+err.Error())
+		return err // not a ConditionError, which would be sent to the client
 	}
 	state := secured.ConnectionState()
 	c.tlsState = &state
@@ -52,30 +51,31 @@
 	return nil
 }
 
-// linger lets the client read the last frames before the connection is closed: a close with unread input would reset
-// the connection. It does not wait for a client that has left.
+// linger lets the client read the last frames before the connection is closed: closing a socket with unread input would
+// reset the connection. It returns early if the client has closed its side.
 func (c *clientConnection) linger() {
 	_ = c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
 	_, _ = io.CopyN(io.Discard, c.reader, listener.LingerMaxBytes)
 }
 
-// evict closes a connection without links to make room for another. The connection limiter calls it; it never waits for
-// a goroutine that is writing.
+// evict closes a connection without links to make room for another. The connection limiter calls it. It skips the close
+// frame instead of waiting for a goroutine that is writing.
 func (c *clientConnection) evict() {
 	if c.mu.TryLock() {
 		c.writesClosed = true
 		c.writeBuffer = framing.AppendFrame(c.writeBuffer[:0], framing.TypeAMQP, 0,
 			framing.NewClose(framing.Errorf(framing.CondResourceLimitExceeded, "the relay needs the room")), nil)
 		c.SetWriteDeadline(time.Now().Add(time.Millisecond))
-		_, _ = c.Write(c.writeBuffer) // the close follows either way
+		_, _ = c.Write(c.writeBuffer) // the connection is closed even if this fails
 		c.mu.Unlock()
 	}
 	listener.Discard(c.tcp)
 	c.tcp.Close()
 }
 
-// serve opens the connection and handles its frames until it ends. A ConditionError is to be sent to the client.
+// serve opens the connection and handles its frames until it ends. If the error is a ConditionError, the caller reports
+// it to the client.
 func (c *clientConnection) serve() error {
 	c.openDeadline = c.admission.IdleSince.Add(openTimeout)
 	if err := c.negotiate(); err != nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// negotiate exchanges the protocol headers, the frames of the security layer, and the opens.
+// negotiate exchanges protocol headers, SASL frames and opens with the client.
 func (c *clientConnection) negotiate() error {
 	header, err := c.readProtocolHeader(openTimeout)
 	if err != nil {
@@ -120,14 +120,14 @@
 			return err
 		}
 	} else if !c.frontend.Authenticator.Bare() {
-		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // the answer of section 5.3.2; the connection ends with it
-		return errors.New("the client comes without the security layer, and has to say who it is")
+		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // section 5.3.2: reply with the required header, then close
+		return errors.New("client sent the AMQP header without SASL, but authentication is required")
 	}
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderAMQP); err != nil {
 		return err
 	}
 	if header != framing.ProtocolHeaderAMQP {
-		return errors.New("the client speaks another protocol") // it has been sent ours
+		return errors.New("client sent an unsupported protocol header") // it has been sent the supported one
 	}
 	frame, err := c.readFrame(framing.TypeAMQP, openTimeout)
 	if err != nil {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// authenticate passes the security layer: the client authenticates by one of the offered mechanisms.
+// authenticate runs the SASL exchange, in which the client authenticates with one of the offered mechanisms.
 func (c *clientConnection) authenticate() error {
 	if err := c.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
@@ -169,15 +169,16 @@
 	}
 	if !ok {
 		c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(1)}})
-		c.frontend.Proxy.ProtocolError("amqp", "a client does not say who it is, or is not")
-		return errors.New("the client does not say who it is, or is not")
+		c.frontend.Proxy.ProtocolError("amqp", "SASL authentication failed")
+		return errors.New("SASL authentication of the client failed")
 	}
 	c.user = user
 	return c.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// closeOnShutdown closes the connection a grace period after the relay began to shut down: its links have been migrated
-// or answered by then, and clients may still attach until then. It runs in a goroutine of its own until the connection ends.
+// closeOnShutdown closes the connection shutdownGrace after the relay starts to reject pending requests. By then its
+// links have been migrated or rejected; until then clients may attach. It runs in its own goroutine until the
+// connection ends.
 func (c *clientConnection) closeOnShutdown() {
 	select {
 	case <-c.done:
@@ -194,7 +195,7 @@
 	c.SetReadDeadline(time.Now().Add(closeTimeout))
 }
 
-// handleFrame handles a frame other than a close. Its errors end the connection.
+// handleFrame handles a frame other than a close. An error ends the connection.
 func (c *clientConnection) handleFrame(frame framing.Frame) error {
 	if frame.Empty {
 		return nil
@@ -213,7 +214,7 @@
 		return nil
 	}
 	err := s.handleFrame(frame)
-	// An error within a session ends that session only, except what the standard calls a framing error.
+	// A ConditionError ends only the session, unless it is a framing error.
 	conditionErr := framing.ConditionError{}
 	if errors.As(err, &conditionErr) && conditionErr.Condition != framing.CondFramingError {
 		c.frontend.Proxy.ProtocolError("amqp", conditionErr.Description)
@@ -224,16 +225,16 @@
 	return err
 }
 
-// handleBegin begins a session.
+// handleBegin creates a session and answers the client's begin.
 func (c *clientConnection) handleBegin(begin framing.Frame) error {
-	if begin.Channel > maxChannel { // section 2.7.1 has the connection closed
+	if begin.Channel > maxChannel { // section 2.7.1 requires closing the connection
 		return framing.Errorf(framing.CondFramingError, "channel %d is over the most", begin.Channel)
 	}
 	if c.sessions[begin.Channel] != nil {
 		return framing.Errorf(framing.CondNotAllowed, "channel %d has a session", begin.Channel)
 	}
 	s := &clientSession{session: newSession(c.connection, begin.Channel), client: c, links: make(map[uint32]*link)}
-	s.endWritten = new(bool) // its links may still send when it has ended
+	s.endWritten = new(bool) // links may still try to send after the session has ended
 	if err := s.applyBegin(begin.Performative); err != nil {
 		return err
 	}
--- a/internal/frontend/amqp/clientsession.go
+++ b/internal/frontend/amqp/clientsession.go
@@ -8,16 +8,16 @@
 	"lockroad/internal/proxy"
 )
 
-// clientSession is one session of a client, with its links by their handles. The goroutine that reads the client's
-// connection calls its methods.
+// clientSession is one session of a client and its links. Only the goroutine that reads the client's connection calls
+// its methods.
 type clientSession struct {
 	*session
 	client       *clientConnection
-	links        map[uint32]*link
-	endedLocally bool // the relay has ended it; what the client still sends on it is ignored
+	links        map[uint32]*link // by handle
+	endedLocally bool             // the relay has ended the session; later frames of the client are ignored
 }
 
-// disconnect ends the session, and tells all its links that their client is gone.
+// disconnect marks the session as ended and ends the requests of all its links.
 func (s *clientSession) disconnect() {
 	s.markEnded()
 	for _, l := range s.links {
@@ -26,7 +26,7 @@
 }
 
 // handleFrame handles one frame of the session. A ConditionError ends the session, or the connection if it is a framing
-// error; any other error is of the connection.
+// error. Any other error is an I/O error of the connection.
 func (s *clientSession) handleFrame(frame framing.Frame) error {
 	switch frame.Code {
 	case framing.CodeAttach:
@@ -48,7 +48,7 @@
 	return framing.Errorf(framing.CondNotAllowed, "performative %#x has no place here", frame.Code)
 }
 
-// handleFlowFrame applies the session's part of a flow, and hands the rest, if there is one, to the link.
+// handleFlowFrame applies a flow's session fields, and passes a flow with a handle to its link.
 func (s *clientSession) handleFlowFrame(frame framing.Frame) error {
 	err := frame.RequireUint32(framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// handleDisposition hands a disposition to all links: each knows which deliveries are its own.
+// handleDisposition passes a disposition to all links; each ignores the deliveries of other links.
 func (s *clientSession) handleDisposition(disposition framing.Performative) error {
 	if err := disposition.RequireUint32(framing.DispositionFirst); err != nil {
 		return err
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// handleEnd answers the client's end.
+// handleEnd removes the session, answers the client's end and ends the requests of the session's links.
 func (s *clientSession) handleEnd() error {
 	delete(s.client.sessions, s.channel)
 	err := s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
@@ -83,7 +83,7 @@
 	return err
 }
 
-// handleLinkFrame hands a flow, a transfer or a detach to the link that its handle names.
+// handleLinkFrame passes a flow, transfer or detach to the link that its handle refers to.
 func (s *clientSession) handleLinkFrame(frame framing.Frame, handleField int) error {
 	if err := frame.RequireUint32(handleField); err != nil {
 		return err
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// handleAttach begins a request, or answers the attach with a detach.
+// handleAttach starts the request of an attach, or rejects the attach with a detach.
 func (s *clientSession) handleAttach(attach framing.Performative) error {
 	l, err := s.newLink(attach)
 	if err != nil {
@@ -121,7 +121,7 @@
 		return nil
 	}
 	if !frontend.Authenticator.Authorized(s.client.user, request.Class) {
-		s.rejectInvalid(l, request.Class, "a client may not open a class", framing.Errorf(
+		s.rejectInvalid(l, request.Class, "client is not authorized for the class of its attach", framing.Errorf(
 			framing.CondUnauthorizedAccess, "%q may not open the class %q", s.client.user, request.Class,
 		))
 		return nil
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// newLink checks an attach and returns its link. Its errors end the session, or the connection.
+// newLink validates an attach and returns its link. An error ends the session, or the connection if it is a framing
+// error.
 func (s *clientSession) newLink(attach framing.Performative) (*link, error) {
 	if err := attach.RequireUint32(framing.AttachHandle); err != nil {
 		return nil, err
@@ -143,7 +144,7 @@
 	switch {
 	case !hasName || !hasRole:
 		return nil, framing.Errorf(framing.CondInvalidField, "an attach has to tell its name and role")
-	case handle > maxHandle: // section 2.7.2 has the connection closed
+	case handle > maxHandle: // section 2.7.2 requires closing the connection
 		return nil, framing.Errorf(framing.CondFramingError, "handle %d is over the most", handle)
 	case s.links[handle] != nil:
 		return nil, framing.Errorf(framing.CondHandleInUse, "handle %d has a link", handle)
@@ -154,8 +155,8 @@
 	}, nil
 }
 
-// admit takes a place for a link's request in the quotas and in the connection limiter. It returns what gives back the
-// place in the quotas; or it rejects the attach, and reports false.
+// admit counts a link's request against the quotas and takes a slot of the connection limiter. It returns a function
+// that releases the quotas. If a limit is reached, it rejects the attach and reports false.
 func (s *clientSession) admit(l *link, request proxy.Request) (release func(), ok bool) {
 	release, ok = s.client.frontend.Proxy.Admit(s.client.connection.RemoteAddr(), request)
 	if !ok {
@@ -170,7 +171,7 @@
 	return release, true
 }
 
-// serveLink starts the goroutine that serves a link's request until its end. The client's connection waits for it.
+// serveLink starts the goroutine that serves a link's request. The client's connection waits for it to end.
 func (s *clientSession) serveLink(l *link, request proxy.Request, release func()) {
 	ctx, cancel := context.WithCancel(s.client.ctx)
 	l.cancel = cancel
@@ -183,21 +184,21 @@
 	})
 }
 
-// rejectInvalid rejects an attach that is wrong or not allowed, and counts it. event is for the log.
+// rejectInvalid rejects an attach that is malformed or not authorized, logs event and counts the failure.
 func (s *clientSession) rejectInvalid(l *link, class, event string, err framing.ConditionError) {
 	s.client.frontend.Proxy.ProtocolError("amqp", event)
 	s.rejectAttach(l, err, nil)
 	s.client.frontend.Proxy.Metrics.Class(class).CountFailed()
 }
 
-// rejectOverLimit rejects an attach for which there is no room now.
+// rejectOverLimit rejects an attach that exceeds a limit, and says when to retry.
 func (s *clientSession) rejectOverLimit(l *link, request proxy.Request, cause proxy.EndCause, description string) {
 	retryAfter := s.client.frontend.Proxy.Reject(s.client.ctx, request, cause)
 	s.rejectAttach(l, framing.Errorf(framing.CondResourceLimitExceeded, "%s", description), retryAfterInfo(retryAfter))
 }
 
-// rejectAttach answers an attach that never becomes a request. What is retained of the link until the client detaches
-// it is next to nothing: otherwise a client could make the relay hold hundreds of rejected attaches of 8 KiB each.
+// rejectAttach detaches a link that never becomes a request. Until the client detaches it, the handle keeps a link
+// without its attach: otherwise a client could make the relay hold hundreds of rejected attaches of 8 KiB each.
 func (s *clientSession) rejectAttach(l *link, err framing.ConditionError, info codec.Map) {
 	l.detach(err.Condition, err.Description, info)
 	s.links[l.handle] = &link{
--- a/internal/frontend/amqp/connection.go
+++ b/internal/frontend/amqp/connection.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	advertisedIdleTimeout = 15 * time.Second // idle time-out in the relay's open to a client
-	clientIdleTimeout     = 30 * time.Second // actual one: twice what is advertised, as section 2.4.5 recommends
-	writeTimeout          = 5 * time.Second  // a peer that accepts nothing for this long is treated as gone
+	advertisedIdleTimeout = 15 * time.Second // idle-time-out in the relay's open to a client
+	clientIdleTimeout     = 30 * time.Second // twice the advertised value, as section 2.4.5 recommends
+	writeTimeout          = 5 * time.Second  // fails a write that the peer does not accept in this time
 )
 
-// streamConn is a TCP connection, or TLS over one.
+// streamConn is a TCP connection or a TLS connection over it.
 type streamConn interface {
 	net.Conn
 	CloseWrite() error
 }
 
-// connection sends and receives frames, to either side. One goroutine reads; any goroutine may write.
+// connection sends and receives frames on a connection to a client or an endpoint. One goroutine reads; any goroutine
+// may write.
 type connection struct {
 	streamConn
 	reader       *bufio.Reader
-	openDeadline time.Time // of all reads while the connection opens; zero: none
+	openDeadline time.Time // limits all reads while the connection is being opened; zero: none
 
-	mu               timedMutex // guards the fields below, and is held while writing
+	mu               timedMutex // guards the fields below; held while writing
 	peerMaxFrameSize int        // in bytes
 	writeBuffer      []byte
 	lastWrite        time.Time
-	writesClosed     bool // nothing may follow a close, or a frame that was written in part
+	writesClosed     bool // set after a close or a partially written frame: nothing may follow
 }
 
 // readBufferSize is the size of a connection's read buffer, in bytes.
@@ -47,13 +48,14 @@
 	}
 }
 
-// errNoLongerPermitted says that the request was withdrawn before its frames were written: nothing was sent.
 var (
-	errConnectionClosing = errors.New("the connection is closing")
-	errNoLongerPermitted = errors.New("it is not to be sent any more")
+	// errConnectionClosing is returned by operations on a connection or session that has ended.
+	errConnectionClosing = errors.New("AMQP connection or session is closing")
+	// errNoLongerPermitted is returned by writeInitial if permitted returned false. Nothing was sent.
+	errNoLongerPermitted = errors.New("sending the attach is no longer permitted")
 )
 
-// limitNextRead sets the deadline of the next read: wait from now, but no later than the deadline of the opening.
+// limitNextRead sets the deadline of the next read to wait from now, but no later than openDeadline.
 func (c *connection) limitNextRead(wait time.Duration) {
 	deadline := time.Now().Add(wait)
 	if !c.openDeadline.IsZero() && c.openDeadline.Before(deadline) {
@@ -62,7 +64,8 @@
 	c.SetReadDeadline(deadline)
 }
 
-// readFrame waits at most wait for the next frame, which has to be of a type. A ConditionError is to be sent to the peer.
+// readFrame waits at most wait for the next frame, which must have the given type. If the error is a ConditionError,
+// the caller reports it to the peer.
 func (c *connection) readFrame(frameType byte, wait time.Duration) (framing.Frame, error) {
 	c.limitNextRead(wait)
 	var sizePrefix [4]byte
@@ -83,13 +86,13 @@
 	return framing.ParseFrame(body)
 }
 
-// writeFrame sends a frame in one piece; nothing is sent after a close.
+// writeFrame sends a frame in a single write. It fails with errConnectionClosing after a close.
 func (c *connection) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
 	return c.writeUnlessEnded(channel, performative, payload, nil)
 }
 
-// writeUnlessEnded is writeFrame for a session that shares the connection with others: nothing of it may be sent after its
-// end. ended says whether the end has been sent; the connection's lock guards it. nil: the end needs no tracking.
+// writeUnlessEnded is writeFrame for a session that shares the connection: it also fails after the session's end was
+// sent. ended records whether the end was sent, and is guarded by the connection's lock; nil: the end is not tracked.
 func (c *connection) writeUnlessEnded(channel uint16, performative framing.Performative, payload []byte, ended *bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,8 +108,8 @@
 	return c.flush()
 }
 
-// flush writes the buffer; the caller holds the lock. A failure closes the connection: after a frame that was written in
-// part, the peer would read the next as its rest, and the connection's reader has to see that the peer is gone.
+// flush writes the buffer; the caller holds the lock. A failure closes the connection: the peer would parse the next
+// frame as the rest of a partially written one, and closing also unblocks the reader.
 func (c *connection) flush() error {
 	c.lastWrite = time.Now()
 	c.SetWriteDeadline(c.lastWrite.Add(writeTimeout))
@@ -114,7 +117,7 @@
 	if err != nil {
 		c.writesClosed = true
 		if tlsConn, ok := c.streamConn.(interface{ NetConn() net.Conn }); ok {
-			tlsConn.NetConn().Close() // closing TLS would send an alert, and block as this write did
+			tlsConn.NetConn().Close() // closing TLS would send an alert, which could block as this write did
 		} else {
 			c.Close()
 		}
@@ -122,14 +125,14 @@
 	return err
 }
 
-// maxPayload returns how many bytes of payload fit into a frame to the peer beside a performative.
+// maxPayload returns how many payload bytes fit into one frame to the peer together with a performative.
 func (c *connection) maxPayload(performative framing.Performative) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.peerMaxFrameSize - len(framing.AppendFrame(nil, framing.TypeAMQP, 0, performative, nil))
 }
 
-// writeProtocolHeader writes a protocol header.
+// writeProtocolHeader sends a protocol header.
 func (c *connection) writeProtocolHeader(header [8]byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,14 +140,14 @@
 	return c.flush()
 }
 
-// readProtocolHeader waits for a protocol header.
+// readProtocolHeader waits at most wait for the peer's protocol header.
 func (c *connection) readProtocolHeader(wait time.Duration) (header [8]byte, err error) {
 	c.limitNextRead(wait)
 	_, err = io.ReadFull(c.reader, header[:])
 	return header, err
 }
 
-// writeSASL sends a frame of the security layer.
+// writeSASL sends a SASL frame.
 func (c *connection) writeSASL(performative framing.Performative) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +155,7 @@
 	return c.flush()
 }
 
-// applyOpen applies the limits in the peer's open. It returns the peer's idle time-out; 0: none.
+// applyOpen applies the frame size limit of the peer's open. It returns the peer's idle-time-out; 0: none.
 func (c *connection) applyOpen(performative framing.Performative) (idleTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +163,7 @@
 	return time.Duration(performative.Uint32(framing.OpenIdleTimeout, 0)) * time.Millisecond
 }
 
-// newOpen returns the relay's open.
+// newOpen returns an open with the relay's limits.
 func newOpen(containerID string) framing.Performative {
 	idleTimeout := uint32(advertisedIdleTimeout.Milliseconds())
 	return framing.Performative{Code: framing.CodeOpen, Fields: codec.List{
@@ -168,7 +171,8 @@
 	}}
 }
 
-// sendHeartbeats sends empty frames, three in the peer's idle time-out unless other frames are sent, until stop is closed.
+// sendHeartbeats sends an empty frame whenever nothing was sent for a third of the peer's idle-time-out, until stop is
+// closed.
 func (c *connection) sendHeartbeats(idleTimeout time.Duration, stop <-chan struct{}) {
 	if idleTimeout <= 0 {
 		return
--- a/internal/frontend/amqp/creditlimiter.go
+++ b/internal/frontend/amqp/creditlimiter.go
@@ -6,19 +6,19 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// creditLimiter limits the link credit that a sending client gets: that of its endpoint, but at most maxDeliveriesAhead
-// deliveries beyond those that the endpoint has been sent.
+// creditLimiter limits the link credit of a sending client to its endpoint's credit, and to maxDeliveriesAhead
+// deliveries beyond those sent to the endpoint.
 type creditLimiter struct {
 	mu            sync.Mutex
 	initialized   bool
-	deliveryCount uint32               // deliveries that the endpoint has been sent, by the client's delivery-count
+	deliveryCount uint32               // delivery-count after the deliveries sent to the endpoint
 	endpointLimit uint32               // delivery-count up to which the endpoint has granted credit
 	clientLimit   uint32               // delivery-count up to which the client has been granted credit
-	lastFlow      framing.Performative // of the endpoint
+	lastFlow      framing.Performative // the endpoint's
 }
 
-// limitFlow takes a flow of the endpoint and returns the one for the client. A flow that drains the link, or grants no
-// credit, is returned as it is.
+// limitFlow returns the flow for the client that corresponds to a flow of the endpoint. A flow that drains the link or
+// carries no link credit is returned unchanged.
 func (c *creditLimiter) limitFlow(flow framing.Performative) framing.Performative {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -37,8 +37,8 @@
 	return flow.With(framing.FlowLinkCredit, c.clientLimit-deliveryCount)
 }
 
-// nextClientLimit returns the delivery-count up to which the client may be granted credit now. The caller holds the lock.
-// Delivery-counts wrap around (RFC 1982): they are compared by their difference.
+// nextClientLimit returns the delivery-count up to which the client may be granted credit. The caller holds the lock.
+// Delivery-counts wrap around (RFC 1982), so they are compared by their signed difference.
 func (c *creditLimiter) nextClientLimit() uint32 {
 	aheadLimit := c.deliveryCount + maxDeliveriesAhead
 	if int32(c.endpointLimit-aheadLimit) > 0 {
@@ -47,8 +47,8 @@
 	return c.endpointLimit
 }
 
-// deliverySent counts a delivery that the endpoint has been sent. It returns a flow for the client, and true, once half of
-// what the client may send ahead can be granted anew.
+// deliverySent counts a delivery that was sent to the endpoint. It returns a flow for the client, and true, once at
+// least half of maxDeliveriesAhead can be granted again.
 func (c *creditLimiter) deliverySent() (framing.Performative, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/frontend/amqp/deliverymap.go
+++ b/internal/frontend/amqp/deliverymap.go
@@ -7,14 +7,14 @@
 )
 
 // deliveryMap maps the ids of a link's unsettled deliveries between its two sessions: the source, on which transfers
-// arrive, and the destination, on which they are sent on.
+// arrive, and the destination, to which they are forwarded.
 type deliveryMap struct {
 	mu                  sync.Mutex
-	destinationBySource map[uint32]uint32 // delivery ids
+	destinationBySource map[uint32]uint32 // delivery id in the source session to that in the destination session
 	sourceByDestination map[uint32]uint32 // the inverse
-	currentSource       uint32            // of the delivery whose transfers are arriving
-	currentDestination  uint32            // of the same
-	partial             bool              // more transfers of that delivery are to come
+	currentSource       uint32            // id of the delivery whose transfers are arriving
+	currentDestination  uint32            // its id in the destination session
+	partial             bool              // more transfers of that delivery will follow
 	boundaryWaiters     []chan struct{}   // closed once no delivery is partial
 }
 
@@ -22,8 +22,8 @@
 	return &deliveryMap{destinationBySource: make(map[uint32]uint32), sourceByDestination: make(map[uint32]uint32)}
 }
 
-// translateTransfer returns a transfer with its delivery id in the destination session. A ConditionError is to be sent to
-// the source.
+// translateTransfer returns a transfer with its delivery id in the destination session. An error is a ConditionError
+// about the source's transfer.
 func (d *deliveryMap) translateTransfer(transfer framing.Performative, destination *session) (framing.Performative, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -65,14 +65,14 @@
 	return done
 }
 
-// translateDisposition turns a disposition into those of the other session, one for each delivery of the link that it
-// names; settled deliveries are forgotten. fromDestination: it comes from the destination of the deliveries.
+// translateDisposition returns the dispositions for the other session, one for each of the link's deliveries in the
+// range. Settled deliveries are removed. fromDestination says which of the two sessions the disposition came from.
 func (d *deliveryMap) translateDisposition(disposition framing.Performative, fromDestination bool) []framing.Performative {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	named, inverse := d.destinationBySource, d.sourceByDestination
+	translations, inverse := d.destinationBySource, d.sourceByDestination
 	if fromDestination {
-		named, inverse = d.sourceByDestination, d.destinationBySource
+		translations, inverse = d.sourceByDestination, d.destinationBySource
 	}
 	first := disposition.Uint32(framing.DispositionFirst, 0)
 	span := disposition.Uint32(framing.DispositionLast, first) - first
@@ -80,19 +80,19 @@
 	translate := func(id, otherID uint32) {
 		translated = append(translated, disposition.With(framing.DispositionFirst, otherID).With(framing.DispositionLast, otherID))
 		if disposition.Bool(framing.DispositionSettled) {
-			delete(named, id)
+			delete(translations, id)
 			delete(inverse, otherID)
 		}
 	}
-	if span < uint32(len(named)) {
+	if span < uint32(len(translations)) {
 		for offset := uint32(0); offset <= span; offset++ {
-			if otherID, ok := named[first+offset]; ok {
+			if otherID, ok := translations[first+offset]; ok {
 				translate(first+offset, otherID)
 			}
 		}
 		return translated
 	}
-	for id, otherID := range named {
+	for id, otherID := range translations {
 		if id-first <= span {
 			translate(id, otherID)
 		}
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -15,15 +15,16 @@
 )
 
 var (
-	// errNegotiation says that the endpoint's opening breaks the standard.
-	errNegotiation = errors.New("the server's greeting makes no sense")
-	// errSASLMismatch says that the endpoint expects the other protocol header: without the security layer, or with it.
-	errSASLMismatch = errors.New("the server begins with another layer")
+	// errNegotiation is returned if the endpoint violates the standard while the connection is opened.
+	errNegotiation = errors.New("endpoint violates the AMQP 1.0 connection negotiation")
+	// errSASLMismatch is returned if the endpoint answers with the other protocol header: AMQP for SASL, or SASL for
+	// AMQP.
+	errSASLMismatch = errors.New("endpoint requires the other protocol header, with or without SASL")
 )
 
-// dial opens a connection to an endpoint, up to where a session can begin, within a timeout: nothing of a request has been
-// sent by then. An endpoint that does not use the security layer answers its header with the other one (section 2.2) and
-// closes the connection: it is dialled again without the layer, which is remembered for its address.
+// dial connects to an endpoint and exchanges opens within timeout. Nothing of a request is sent. An endpoint that does
+// not use SASL answers the SASL header with the AMQP header (section 2.2) and closes the connection. dial then tries
+// again without SASL, and records the result for the address. The reverse applies to an endpoint that requires SASL.
 func (f *Frontend) dial(ctx context.Context, address string, timeout time.Duration) (*upstream, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -40,7 +41,7 @@
 	return u, err
 }
 
-// dialOnce is one try of dial. It fails with errSASLMismatch if the other protocol header is expected.
+// dialOnce connects once, with or without SASL. It fails with errSASLMismatch if the endpoint expects the other.
 func (f *Frontend) dialOnce(ctx context.Context, address string, timeout time.Duration, withoutSASL bool) (*upstream, error) {
 	dialer := net.Dialer{KeepAlive: -1}
 	tcp, err := dialer.DialContext(ctx, "tcp", address)
@@ -74,7 +75,7 @@
 	return u, nil
 }
 
-// negotiate exchanges the protocol headers, the frames of the security layer, and the opens. timeout bounds each read.
+// negotiate exchanges protocol headers, SASL frames and opens with the endpoint. timeout bounds each read.
 func (u *upstream) negotiate(timeout time.Duration, withoutSASL bool) error {
 	if !withoutSASL {
 		if err := u.authenticate(timeout); err != nil {
@@ -106,8 +107,8 @@
 	return nil
 }
 
-// authenticate passes the security layer: by the relay's certificate if it has shown one and the endpoint offers that,
-// and anonymously otherwise.
+// authenticate runs the SASL exchange. It uses EXTERNAL if the relay has a client certificate and the endpoint offers
+// that mechanism, and ANONYMOUS otherwise.
 func (u *upstream) authenticate(timeout time.Duration) error {
 	if err := u.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
@@ -122,11 +123,11 @@
 	if err != nil || frame.Code != framing.CodeSASLMechanisms {
 		return errors.Join(err, errNegotiation)
 	}
-	begin := framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.Anonymous), []byte("lockroad")}}
+	saslInit := framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.Anonymous), []byte("lockroad")}}
 	if u.hasClientCertificate && offersMechanism(frame.Field(framing.SASLMechanismsOffered), auth.External) {
-		begin = framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.External), []byte{}}}
+		saslInit = framing.Performative{Code: framing.CodeSASLInit, Fields: codec.List{codec.Symbol(auth.External), []byte{}}}
 	}
-	if err := u.writeSASL(begin); err != nil {
+	if err := u.writeSASL(saslInit); err != nil {
 		return err
 	}
 	frame, err = u.readFrame(framing.TypeSASL, timeout)
@@ -136,11 +137,11 @@
 	return nil
 }
 
-// offersMechanism reports whether a mechanism is among those offered, which are one symbol or an array of them.
+// offersMechanism reports whether the offered mechanisms, a symbol or an array of symbols, include name.
 func offersMechanism(mechanisms any, name string) bool {
-	all, ok := mechanisms.(codec.Array)
+	offered, ok := mechanisms.(codec.Array)
 	if !ok {
-		all = codec.Array{mechanisms}
+		offered = codec.Array{mechanisms}
 	}
-	return slices.ContainsFunc(all, func(mechanism any) bool { return codec.AsString(mechanism) == name })
+	return slices.ContainsFunc(offered, func(mechanism any) bool { return codec.AsString(mechanism) == name })
 }
--- a/internal/frontend/amqp/frontend.go
+++ b/internal/frontend/amqp/frontend.go
@@ -15,40 +15,40 @@
 )
 
 const (
-	openTimeout   = listener.OpeningTimeout // from a client's connecting to its open
-	shutdownGrace = 200 * time.Millisecond  // from the relay's shutdown to the close of a client's connection
-	closeTimeout  = time.Second             // for a peer's answer to a close or a detach
+	openTimeout   = listener.OpeningTimeout // from accepting a client's connection to receiving its open
+	shutdownGrace = 200 * time.Millisecond  // from rejecting pending requests to closing client connections
+	closeTimeout  = time.Second             // wait for a peer's reply to a close or a detach
 )
 
-// Frontend accepts clients that speak AMQP 1.0. Its exported fields are set before Serve is called, and not changed after.
+// Frontend accepts clients that speak AMQP 1.0. Exported fields must be set before Serve and not change afterwards.
 type Frontend struct {
 	Proxy   *proxy.Proxy
-	Limiter *listener.ConnLimiter // slots are for links, idle places for connections without
-	// EndpointPort is the port on which endpoints speak AMQP; 0: that of their address in the endpoint list.
+	Limiter *listener.ConnLimiter // a link takes a slot; a connection without links counts as idle
+	// EndpointPort is the AMQP port of all endpoints; 0: the port in each endpoint's address.
 	EndpointPort int
-	IdleTimeout  time.Duration // a client that is silent for this long is closed; 0: 30 s
+	IdleTimeout  time.Duration // closes a client connection that is silent for this long; 0: 30 s
 
-	Authenticator *auth.Authenticator // authenticates clients and authorizes classes; nil: all may open all
-	EndpointTLS   *auth.EndpointTLS   // of connections to endpoints; nil: plain TCP
-	Pool          connpool.Settings   // of connections to endpoints that requests share; zero: each request has its own
-	Placements    []Placement         // rules for links whose attach lacks properties; each compiled
+	Authenticator *auth.Authenticator // authenticates clients and authorizes classes; nil: no checks
+	EndpointTLS   *auth.EndpointTLS   // for connections to endpoints; nil: plain TCP
+	Pool          connpool.Settings   // of shared connections to endpoints; zero: each request has its own connection
+	Placements    []Placement         // rules for links whose attach lacks the relay's properties; must be compiled
 
-	endpointsWithoutSASL sync.Map           // keys are addresses
-	sharedConnections    *sharedConnections // nil: no connections are shared
+	endpointsWithoutSASL sync.Map           // set of endpoint addresses
+	sharedConnections    *sharedConnections // nil if Pool is zero
 }
 
-// Serve accepts clients until the listener is closed, and returns when the last of them has ended. ctx ends the
-// connections at once.
+// Serve accepts clients until the listener is closed, and returns after the last client connection has ended.
+// Cancelling ctx closes all connections immediately.
 func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	if f.Pool.MaxSessions > 0 {
 		f.sharedConnections = newSharedConnections(f, f.Pool)
 		defer f.sharedConnections.close()
-		defer context.AfterFunc(ctx, f.sharedConnections.close)() // at shutdown nothing waits for an endpoint that does not read
+		defer context.AfterFunc(ctx, f.sharedConnections.close)() // unblocks writes to endpoints that do not read
 	}
 	return listener.Serve(ctx, l, f.Limiter, f.serveClient)
 }
 
-// serveClient serves one connection until its end. The listener calls it in a goroutine for each.
+// serveClient serves one client connection until it ends. The listener calls it in a separate goroutine per connection.
 func (f *Frontend) serveClient(ctx context.Context, tcp *net.TCPConn, admission *listener.Admission) {
 	ctx, cancel := context.WithCancel(ctx)
 	c := &clientConnection{
@@ -64,7 +64,7 @@
 		f.Proxy.ProtocolError("amqp", conditionErr.Description)
 		c.writeFrame(0, framing.NewClose(conditionErr), nil)
 	}
-	for _, s := range c.sessions { // before the wait: endpoints are to be sent nothing more of them
+	for _, s := range c.sessions { // before lingering, so that nothing more is sent to endpoints
 		s.disconnect()
 	}
 	c.linger()
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -9,34 +9,34 @@
 	"lockroad/internal/proxy"
 )
 
-// migrateTimeout bounds the wait for the rest of a delivery before its link is migrated.
+// migrateTimeout bounds the wait for the end of a partial delivery before its link is migrated.
 const migrateTimeout = 300 * time.Millisecond
 
-// link is a link of a client, which is one request. It implements the proxy's downstream: the goroutine of
-// clientSession.serveLink calls Attempt, Pipe, Reject and Fail, the reader of the client's connection calls the handle
+// link is a link of a client and carries one request. It implements proxy.Downstream. The goroutine of
+// clientSession.serveLink calls Attempt, Pipe, Reject and Fail; the reader of the client's connection calls the handle
 // methods.
 type link struct {
 	frontend      *Frontend
-	session       *session // of the client
+	session       *session // the client's
 	handle        uint32
 	name          string
-	attach        framing.Performative // of the client
+	attach        framing.Performative // the client's
 	clientSends   bool                 // the client is the sender
-	cancel        func()               // ends the request; nil if it never began
+	cancel        func()               // cancels the request; nil if it was never started
 	deliveries    *deliveryMap
 	creditLimiter creditLimiter
 
 	mu         sync.Mutex
-	outbox     *outbox   // to the endpoint; nil until the link is established
+	outbox     *outbox   // frames for the endpoint; nil until the link is established
 	upstream   *upstream // nil until the link is established
 	heartbeat  *proxy.Heartbeat
-	clientFlow *framing.Performative // the last, until the link is established
-	attachSent bool                  // the client's attach has been answered
-	detachSent bool                  // the client has been sent the end
+	clientFlow *framing.Performative // the client's last flow before the link was established
+	attachSent bool                  // the relay has answered the client's attach
+	detachSent bool                  // the relay has sent the client a detach
 	clientGone bool                  // the client has detached, or its connection has ended
 }
 
-// activeOutbox returns the outbox while neither side has ended the link; nil otherwise, and before it is established.
+// activeOutbox returns the outbox of an established link that neither side has ended; nil otherwise.
 func (l *link) activeOutbox() (*outbox, *proxy.Heartbeat) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	return l.outbox, l.heartbeat
 }
 
-// enqueue has an item sent to the endpoint. If the outbox is full, the link is detached.
+// enqueue queues an item for the endpoint. If the outbox is full, it detaches the link and cancels the request.
 func (l *link) enqueue(pending *outbox, item outboxItem) {
 	if !pending.enqueue(item) {
 		l.detach(framing.CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
@@ -54,7 +54,7 @@
 	}
 }
 
-// handleFlow forwards a flow of the client, or retains it until the link is established.
+// handleFlow forwards a flow of the client, or keeps it until the link is established.
 func (l *link) handleFlow(flow framing.Performative) error {
 	l.mu.Lock()
 	if l.upstream == nil {
@@ -82,12 +82,12 @@
 	switch {
 	case !l.clientSends:
 		return framing.Errorf(framing.CondNotAllowed, "a receiver sends no transfers")
-	case early: // nothing has granted credit yet
+	case early: // no credit has been granted yet
 		l.detach(framing.CondTransferLimitExceeded, "a transfer without credit", nil)
 		l.cancel()
 		return nil
 	case pending == nil:
-		return nil // the transfer has crossed the end
+		return nil // the transfer crossed the detach on the wire
 	}
 	transfer, err := l.deliveries.translateTransfer(frame.Performative, pending.upstreamConn.session)
 	if err != nil {
@@ -105,16 +105,16 @@
 	return nil
 }
 
-// deliverySent counts a delivery that the endpoint has been sent, and grants the client more credit in time.
+// deliverySent counts a delivery that was sent to the endpoint, and grants the client more credit when due.
 func (l *link) deliverySent() {
 	if flow, more := l.creditLimiter.deliverySent(); more {
-		l.session.sendFlow(flow.With(framing.FlowHandle, l.handle)) // on failure the reader of the client's connection sees why
+		l.session.sendFlow(flow.With(framing.FlowHandle, l.handle)) // a failure also ends the connection's reader
 	}
 }
 
-// handleDisposition forwards a disposition of the client, as far as it names deliveries of this link.
+// handleDisposition forwards a disposition of the client for those of its deliveries that belong to this link.
 func (l *link) handleDisposition(disposition framing.Performative) {
-	// A receiver settles what it has received, a sender what it has sent.
+	// The role of a disposition is that of its sender: a receiver settles received deliveries, a sender sent ones.
 	if pending, _ := l.activeOutbox(); pending != nil && disposition.Bool(framing.DispositionRole) != l.clientSends {
 		for _, translated := range l.deliveries.translateDisposition(disposition, !l.clientSends) {
 			l.enqueue(pending, outboxItem{Performative: translated})
@@ -122,8 +122,8 @@
 	}
 }
 
-// handleDetach handles the client's detach. Before the link is established it cancels the request; after that the
-// endpoint answers the detach, within closeTimeout.
+// handleDetach handles the client's detach. Before the link is established it cancels the request; afterwards it
+// forwards the detach, which the endpoint must answer within closeTimeout.
 func (l *link) handleDetach(detach framing.Performative) {
 	l.mu.Lock()
 	l.clientGone = true
@@ -139,7 +139,7 @@
 	}
 }
 
-// handleDisconnect ends the request and the endpoint's side, as the client's side has ended.
+// handleDisconnect cancels the request and closes the endpoint's side after the client's session has ended.
 func (l *link) handleDisconnect() {
 	l.mu.Lock()
 	l.clientGone = true
@@ -153,11 +153,11 @@
 	}
 }
 
-// finish answers a client that has detached while its link was established.
+// finish sends the detach at the end of a request, unless one was sent.
 func (l *link) finish() { l.detach("", "", nil) }
 
-// detach sends the client a detach, once: it reports whether this was the first. Without a condition it is a normal end.
-// It needs no credit.
+// detach sends the client a detach unless one was sent, and reports whether it did. An empty condition is a normal end.
+// A link that was not attached yet is attached first.
 func (l *link) detach(condition, description string, info codec.Map) bool {
 	l.mu.Lock()
 	if l.detachSent {
@@ -177,8 +177,8 @@
 	return true
 }
 
-// rejectingAttach is the attach that precedes the detach of a rejected link (section 2.6.3): it lacks the terminus that
-// the relay's side would own.
+// rejectingAttach returns the attach that precedes the detach of a rejected link (section 2.6.3). It lacks the terminus
+// that the relay's side would own.
 func (l *link) rejectingAttach() framing.Performative {
 	source, target := l.attach.Field(framing.AttachSource), l.attach.Field(framing.AttachTarget)
 	attach := framing.Performative{Code: framing.CodeAttach, Fields: codec.List{
@@ -190,19 +190,19 @@
 	return attach.With(framing.AttachSource, nil).With(framing.AttachInitialDeliveryCount, uint32(0))
 }
 
-// BadRequest detaches the link as invalid.
+// BadRequest detaches the link of an invalid request.
 func (l *link) BadRequest(description string) { l.detach(framing.CondNotAllowed, description, nil) }
 
-// Reject detaches the link, whose request has not run: the client may retry, after retryAfter if that is known.
+// Reject detaches the link of a request that was not executed. The client may retry, after retryAfter if that is known.
 func (l *link) Reject(retryAfter time.Duration) {
 	l.detach(framing.CondResourceLimitExceeded, "no application server takes it", retryAfterInfo(retryAfter))
 }
 
-// Fail detaches the link, whose request may have run.
+// Fail detaches the link of a request that may have been executed.
 func (l *link) Fail() { l.detach(framing.CondInternalError, "the transaction has failed", nil) }
 
-// Migrate detaches the link so that the client attaches again elsewhere: between two deliveries, if the current one ends
-// within migrateTimeout. It reports whether the link had not been detached before.
+// Migrate detaches the link so that the client attaches again elsewhere. It waits up to migrateTimeout for the end of a
+// partial delivery. It reports whether it sent the detach.
 func (l *link) Migrate() bool {
 	select {
 	case <-l.deliveries.boundary():
--- a/internal/frontend/amqp/multiplexer.go
+++ b/internal/frontend/amqp/multiplexer.go
@@ -8,18 +8,17 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// multiplexer is a connection that several sessions share. One goroutine, in serve, reads it, and never waits for a
-// session: the frames that a session has not read yet are bounded by its window, and a peer that sends more loses the
-// session.
+// multiplexer is a connection that several sessions share. One goroutine, in serve, reads it and never blocks on a
+// session: the frames that a session has not read are bounded, and a session whose peer exceeds the bound is ended.
 type multiplexer struct {
 	*connection
-	// onSession is called with each session that the peer begins. nil: it may begin none.
+	// onSession is called with each session that the peer begins; nil: the peer may not begin sessions.
 	onSession func(*sharedSession)
 
 	mu             sync.Mutex
-	localChannels  map[uint16]*sharedSession // by the channel of the frames that are sent
-	remoteChannels map[uint16]*sharedSession // by the channel of the frames that are received
-	err            error                     // why reading ended; nil while it goes on
+	localChannels  map[uint16]*sharedSession // by channel of outgoing frames
+	remoteChannels map[uint16]*sharedSession // by channel of incoming frames
+	err            error                     // why reading ended; nil while it continues
 }
 
 func newMultiplexer(conn *connection) *multiplexer {
@@ -30,7 +29,7 @@
 	}
 }
 
-// newSession returns a session on a channel, which the caller registers.
+// newSession returns a session on a channel. The caller adds it to localChannels.
 func (m *multiplexer) newSession(channel uint16, onRelease func()) *sharedSession {
 	shared := &sharedSession{
 		session: newSession(m.connection, channel), multiplexer: m, onRelease: onRelease, changed: make(chan struct{}, 1),
@@ -39,8 +38,8 @@
 	return shared
 }
 
-// openSession opens a session on the lowest free channel up to the highest that the peer accepts. onRelease is called once
-// the channel is free again. It returns nil where none is free, and an error where the connection has ended.
+// openSession opens a session on the lowest free channel up to highestChannel. onRelease is called once the channel is
+// free again. It returns nil if no channel is free, and an error if the connection has ended.
 func (m *multiplexer) openSession(highestChannel uint16, onRelease func()) (*sharedSession, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -57,7 +56,8 @@
 	return nil, nil
 }
 
-// serve reads until the connection's end, and ends all sessions. A peer that is silent for silenceTimeout is taken for dead.
+// serve reads frames until the connection ends, and then ends all sessions. Receiving nothing for silenceTimeout ends
+// the connection.
 func (m *multiplexer) serve(silenceTimeout time.Duration) {
 	err := m.readFrames(silenceTimeout)
 	m.mu.Lock()
@@ -70,10 +70,10 @@
 	}
 }
 
-// errPeerClosed says that the peer has closed the connection with a close.
-var errPeerClosed = errors.New("the peer has closed the connection")
+// errPeerClosed is returned after the peer has sent a close.
+var errPeerClosed = errors.New("AMQP connection was closed by the peer")
 
-// readFrames hands the peer's frames to their sessions until the connection ends. Its error says why.
+// readFrames passes the peer's frames to their sessions until the connection ends, and returns why it ended.
 func (m *multiplexer) readFrames(silenceTimeout time.Duration) error {
 	for {
 		frame, err := m.readFrame(framing.TypeAMQP, silenceTimeout)
@@ -107,7 +107,7 @@
 	}
 }
 
-// closeWithError closes the connection with a ConditionError, and does nothing for other errors. It returns err.
+// closeWithError sends a close if err is a ConditionError, and returns err.
 func (m *multiplexer) closeWithError(err error) error {
 	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
 		m.writeFrame(0, framing.NewClose(conditionErr), nil)
@@ -115,7 +115,7 @@
 	return err
 }
 
-// forEachSession calls visit for each session, without holding the lock.
+// forEachSession calls visit for each session without holding the lock.
 func (m *multiplexer) forEachSession(visit func(*sharedSession)) {
 	m.mu.Lock()
 	sessions := make([]*sharedSession, 0, len(m.localChannels))
@@ -128,7 +128,7 @@
 	}
 }
 
-// handleBegin handles a begin of the peer: the answer to one of the relay, or, where the peer may, one of its own.
+// handleBegin handles a begin of the peer: an answer to a begin of this side, or a new session if onSession is set.
 func (m *multiplexer) handleBegin(frame framing.Frame) error {
 	m.mu.Lock()
 	if m.remoteChannels[frame.Channel] != nil {
@@ -164,14 +164,14 @@
 	return nil
 }
 
-// handleEnd handles the peer's end of a session, and answers it.
+// handleEnd handles and answers the peer's end of a session.
 func (m *multiplexer) handleEnd(shared *sharedSession, frame framing.Frame) {
 	shared.enqueue(frame)
 	shared.endRemotely(nil)
-	shared.sendEnd() // what has been received is still to be read
+	shared.sendEnd() // unlike endLocally, keeps received frames in the queue
 }
 
-// releaseChannels frees the channels of a session that both sides have ended.
+// releaseChannels frees the channels of a session that both sides have ended, and calls its onRelease.
 func (m *multiplexer) releaseChannels(shared *sharedSession) {
 	shared.releaseOnce.Do(func() {
 		m.mu.Lock()
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	// maxDeliveriesAhead is how many deliveries a client may send on a link beyond those that the endpoint has been sent,
-	// whatever credit the endpoint grants: a part of the session's window, so that an endpoint that stops reading leaves
-	// the rest to other links.
+	// maxDeliveriesAhead limits how many deliveries a client may send on a link beyond those sent to the endpoint,
+	// whatever credit the endpoint grants. It is a part of the session's window, so that an endpoint that stops reading
+	// leaves the rest to other links.
 	maxDeliveriesAhead = sessionWindow / 2
-	// maxPendingControlFrames is how many flows, dispositions and detaches of a client may wait for an endpoint.
-	// Consecutive flows count as one, as each replaces the last.
+	// maxPendingControlFrames limits the flows, dispositions and detaches that are queued for an endpoint. Consecutive
+	// flows count as one, because each replaces the previous one.
 	maxPendingControlFrames = maxUnsettledDeliveries + 16
 )
 
-// outbox queues what a client's link sends to its endpoint; one goroutine, in run, sends it. The goroutine that reads the
-// client's connection so never waits for an endpoint that stops reading, and other links of the connection go on.
+// outbox queues the frames of a client's link for its endpoint; one goroutine, in run, sends them. Thus the goroutine
+// that reads the client's connection never blocks on an endpoint that stops reading, which would stall other links.
 //
-// The queue is bounded: transfers by the window of the client's session, which is reopened only as they are sent
-// (sessionWindow frames of framing.MaxFrameSize bytes for all links of a session), the rest by maxPendingControlFrames.
+// The queue is bounded: transfers by the window of the client's session, which is reopened only as they are forwarded
+// (sessionWindow frames of framing.MaxFrameSize bytes for all links of a session), other frames by
+// maxPendingControlFrames.
 type outbox struct {
-	session      *session // of the client
+	session      *session // the client's
 	upstreamConn *upstream
-	onStall      func() // called when the endpoint has accepted no transfer for writeTimeout; nothing more is sent to it
+	onStall      func() // called when the endpoint has accepted no transfer for writeTimeout, before sending stops
 
 	mu                   sync.Mutex
 	queue                []outboxItem
-	pendingControlFrames int // items in the queue that are no transfers
+	pendingControlFrames int // items in the queue other than transfers
 	closed               bool
-	changed              chan struct{} // has a value when an item has been added
+	changed              chan struct{} // signals that an item was added
 }
 
-// outboxItem is a frame for an endpoint.
+// outboxItem is a frame to be sent to an endpoint.
 type outboxItem struct {
 	framing.Performative
 	payload    []byte
 	isTransfer bool
 	isFlow     bool
-	onSent     func() // called after the last transfer of a delivery has been sent; nil: not called
+	onSent     func() // called after the transfer was sent; may be nil
 }
 
 func newOutbox(downstream *session, upstreamConn *upstream, onStall func()) *outbox {
 	return &outbox{session: downstream, upstreamConn: upstreamConn, onStall: onStall, changed: make(chan struct{}, 1)}
 }
 
-// enqueue adds an item. It reports false where there is no room. After the end the item is dropped.
+// enqueue adds an item, and reports false if the queue is full. A closed outbox drops the item.
 func (o *outbox) enqueue(item outboxItem) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -55,7 +56,7 @@
 		if item.isTransfer {
 			o.session.releaseTransfers(1)
 		}
-		return true // it has crossed the end
+		return true // the frame crossed the end of the link on the wire
 	}
 	if !item.isTransfer {
 		if last := len(o.queue) - 1; item.isFlow && last >= 0 && o.queue[last].isFlow {
@@ -75,7 +76,7 @@
 	return true
 }
 
-// dequeue removes the next item. It reports false if there is none.
+// dequeue removes and returns the next item. It reports false if the queue is empty.
 func (o *outbox) dequeue() (outboxItem, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -93,7 +94,7 @@
 	return item, true
 }
 
-// run sends items until the endpoint's side ends or a write fails. Pipe starts it in a goroutine.
+// run sends queued items until the endpoint's side ends or a write fails. Pipe starts it in its own goroutine.
 func (o *outbox) run() {
 	defer o.close()
 	for {
@@ -120,15 +121,16 @@
 			err = o.upstreamConn.writeFrame(o.upstreamConn.channel, item.Performative, nil)
 		}
 		if errors.Is(err, errWindowClosed) {
-			o.onStall() // the other direction may still work, and the link would accept deliveries that never arrive
+			// The endpoint may still send: its reader would not notice, and the client would go on sending in vain.
+			o.onStall()
 		}
 		if err != nil {
-			return // the reader of the endpoint's connection sees why
+			return // the reader of the endpoint's connection reports the failure
 		}
 	}
 }
 
-// close drops the queue, and gives its transfers' places in the client's window back.
+// close drops the queue and releases its transfers from the client's session window.
 func (o *outbox) close() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -9,33 +9,33 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// PeerConn is an endpoint's end of a connection that the relay has opened, for fake servers: the opening (section 2.4; part
-// 5, section 5.3), and the sessions that the relay begins.
+// PeerConn is the endpoint's end of a connection from the relay, for fake servers. It accepts the connection (sections
+// 2.4 and 5.3) and the sessions that the relay begins.
 type PeerConn struct {
 	multiplexer *multiplexer
 	readTimeout time.Duration
 	done        chan struct{}     // closed by Close
-	sessions    chan *PeerSession // begun by the relay, and not yet returned by Session
-	ended       chan struct{}     // closed once the reader has ended
+	sessions    chan *PeerSession // begun by the relay and not yet returned by AcceptSession
+	ended       chan struct{}     // closed once the reading goroutine has ended
 }
 
-// PeerSession is one session of a PeerConn, and the links that are attached to it. Its methods are for one goroutine.
+// PeerSession is one session of a PeerConn and its links. Its methods must be called from a single goroutine.
 type PeerSession struct {
 	*sharedSession
 	conn            *PeerConn
-	partialPayloads map[uint32][]byte // of partial deliveries, by link handle
+	partialPayloads map[uint32][]byte // payloads of partial deliveries, by link handle
 }
 
-// PeerEvent is an event of a Peer: a link is attached, a delivery is complete, or a link is detached.
+// PeerEvent is an event of a PeerSession: the relay has attached a link, completed a delivery or detached a link.
 type PeerEvent struct {
 	Kind       PeerEventKind
 	Handle     uint32
-	DeliveryID uint32         // of PeerDelivered
-	Settled    bool           // by the sender, of PeerDelivered
-	Payload    []byte         // of PeerDelivered: the message's data section, where it is one
-	Name       string         // of the link, of PeerAttached
-	RelaySends bool           // the relay's side sends, of PeerAttached
-	Properties map[string]any // of PeerAttached: strings, numbers and booleans
+	DeliveryID uint32         // PeerDelivered: the delivery's id
+	Settled    bool           // PeerDelivered: the relay sent the delivery settled
+	Payload    []byte         // PeerDelivered: the content of a message that is one data section, otherwise nil
+	Name       string         // PeerAttached: the link's name
+	RelaySends bool           // PeerAttached: the relay is the sender on the link
+	Properties map[string]any // PeerAttached: the properties of the attach
 	attach     framing.Performative
 }
 
@@ -44,19 +44,19 @@
 
 // The kinds of PeerEvent.
 const (
-	PeerAttached  PeerEventKind = iota // the other side has attached a link
-	PeerDelivered                      // the other side has sent a complete delivery
-	PeerDetached                       // the other side has detached a link
+	PeerAttached  PeerEventKind = iota // the relay has attached a link
+	PeerDelivered                      // the relay has sent a complete delivery
+	PeerDetached                       // the relay has detached a link
 )
 
-// maxPeerSessions is how many sessions a fake server accepts on a connection.
+// maxPeerSessions limits the sessions that a fake server accepts on a connection.
 const maxPeerSessions = 256
 
-// AcceptPeerConn opens the connection of a relay that has connected. wait bounds each read, here and later. plain rejects
-// the security layer. Its errors are those of the connection, or say how the relay breaks the standard.
-func AcceptPeerConn(tcp streamConn, wait time.Duration, plain bool) (*PeerConn, error) {
+// AcceptPeerConn negotiates the server side of a connection from the relay. wait bounds each read, here and later.
+// rejectSASL rejects the SASL header. An error is an I/O error, or describes how the relay violates the standard.
+func AcceptPeerConn(tcp streamConn, wait time.Duration, rejectSASL bool) (*PeerConn, error) {
 	c := newConnection(tcp)
-	if err := acceptProtocolHeaders(c, wait, plain); err != nil {
+	if err := acceptProtocolHeaders(c, wait, rejectSASL); err != nil {
 		return nil, err
 	}
 	frame, err := c.readFrame(framing.TypeAMQP, wait)
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if frame.Code != framing.CodeOpen {
-		return nil, fmt.Errorf("a server was told %#x for an open", frame.Code)
+		return nil, fmt.Errorf("received performative %#x from the relay, want an open", frame.Code)
 	}
 	p := &PeerConn{
 		multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}),
@@ -73,12 +73,13 @@
 	p.multiplexer.onSession = func(shared *sharedSession) {
 		select {
 		case p.sessions <- &PeerSession{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
-		default: // more sessions than a fake server accepts in all
+		default: // more than maxPeerSessions are waiting to be accepted
 			shared.endLocally()
 		}
 	}
 	idle := c.applyOpen(frame.Performative)
-	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil) // on failure the next read sees why
+	// A write error also fails the next read.
+	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil)
 	go c.sendHeartbeats(idle, p.done)
 	go func() {
 		p.multiplexer.serve(wait)
@@ -87,15 +88,16 @@
 	return p, nil
 }
 
-// acceptProtocolHeaders passes the protocol headers, and the security layer between them unless plain rejects it.
-func acceptProtocolHeaders(conn *connection, wait time.Duration, plain bool) error {
+// acceptProtocolHeaders exchanges protocol headers, and SASL frames if the relay begins with SASL and rejectSASL is
+// false.
+func acceptProtocolHeaders(conn *connection, wait time.Duration, rejectSASL bool) error {
 	header, err := conn.readProtocolHeader(wait)
 	if err != nil {
 		return err
 	}
-	if header == framing.ProtocolHeaderSASL && plain {
+	if header == framing.ProtocolHeaderSASL && rejectSASL {
 		conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
-		return errors.New("the relay began with the security layer")
+		return errors.New("received the SASL header from the relay, but SASL is disabled")
 	}
 	if header == framing.ProtocolHeaderSASL {
 		if err := acceptSASL(conn, wait); err != nil {
@@ -106,12 +108,12 @@
 		}
 	}
 	if header != framing.ProtocolHeaderAMQP {
-		return fmt.Errorf("a server was greeted with %q", header)
+		return fmt.Errorf("received protocol header %q from the relay, want AMQP 1.0", header)
 	}
 	return conn.writeProtocolHeader(framing.ProtocolHeaderAMQP)
 }
 
-// AcceptSession waits for the next session that the relay begins; nil: the connection has ended.
+// AcceptSession waits for the next session that the relay begins. It returns nil once the connection has ended.
 func (p *PeerConn) AcceptSession() *PeerSession {
 	select {
 	case s := <-p.sessions:
@@ -126,16 +128,16 @@
 	}
 }
 
-// Close ends the connection at once.
+// Close closes the connection immediately and waits for its reader to end.
 func (p *PeerConn) Close() {
 	close(p.done)
 	p.multiplexer.Close()
 	<-p.ended
 }
 
-// AcceptPeerSession opens the connection of a relay as AcceptPeerConn does, and waits for the first session.
-func AcceptPeerSession(tcp streamConn, wait time.Duration, plain bool) (*PeerSession, error) {
-	c, err := AcceptPeerConn(tcp, wait, plain)
+// AcceptPeerSession accepts a connection like AcceptPeerConn, and waits for its first session.
+func AcceptPeerSession(tcp streamConn, wait time.Duration, rejectSASL bool) (*PeerSession, error) {
+	c, err := AcceptPeerConn(tcp, wait, rejectSASL)
 	if err != nil {
 		return nil, err
 	}
@@ -147,7 +149,7 @@
 	return p, nil
 }
 
-// acceptSASL passes the security layer: the relay authenticates anonymously.
+// acceptSASL runs the SASL exchange, in which the relay authenticates as ANONYMOUS.
 func acceptSASL(conn *connection, wait time.Duration) error {
 	if err := conn.writeProtocolHeader(framing.ProtocolHeaderSASL); err != nil {
 		return err
@@ -161,21 +163,21 @@
 		return err
 	}
 	if frame.Code != framing.CodeSASLInit {
-		return fmt.Errorf("a server was told %#x for an init", frame.Code)
+		return fmt.Errorf("received SASL performative %#x from the relay, want an init", frame.Code)
 	}
 	return conn.writeSASL(framing.Performative{Code: framing.CodeSASLOutcome, Fields: codec.List{uint8(0)}})
 }
 
-// errPeerSessionEnded says that the relay has sent an end or a close.
-var errPeerSessionEnded = errors.New("the relay has ended the session")
+// errPeerSessionEnded is returned after the relay has sent an end or a close.
+var errPeerSessionEnded = errors.New("AMQP session was ended by the relay")
 
-// Close ends the connection at once.
+// Close closes the session's connection immediately.
 func (p *PeerSession) Close() { p.conn.Close() }
 
 // End ends the session.
 func (p *PeerSession) End() { p.sharedSession.endLocally() }
 
-// DiscardInput reads and ignores the session's frames until its end.
+// DiscardInput reads and ignores the session's frames until the session ends.
 func (p *PeerSession) DiscardInput() {
 	for {
 		if frame, err := p.nextFrame(0); err != nil || frame.Code == framing.CodeEnd {
@@ -184,7 +186,8 @@
 	}
 }
 
-// Next waits for the next event. Its errors are those of the connection, or say that the relay has ended the session.
+// Next waits for the next event. It fails with errPeerSessionEnded if the relay ends the session, and with the
+// connection's error if the connection fails.
 func (p *PeerSession) Next() (PeerEvent, error) {
 	for {
 		frame, err := p.nextFrame(p.conn.readTimeout)
@@ -209,7 +212,7 @@
 	}
 }
 
-// attachedEvent is the event of the relay's attach.
+// attachedEvent returns the event for an attach of the relay.
 func attachedEvent(attach framing.Performative) PeerEvent {
 	event := PeerEvent{
 		Kind:       PeerAttached,
@@ -226,7 +229,7 @@
 	return event
 }
 
-// receiveDelivery adds a transfer to its delivery. It returns the event, and true, once the delivery is complete.
+// receiveDelivery appends a transfer to its delivery. It returns an event and true if the delivery is complete.
 func (p *PeerSession) receiveDelivery(transfer framing.Frame) (event PeerEvent, complete bool, err error) {
 	if err := p.receiveTransfer(false); err != nil {
 		return PeerEvent{}, false, err
@@ -234,7 +237,7 @@
 	handle := transfer.Uint32(framing.TransferHandle, 0)
 	payload := append(p.partialPayloads[handle], transfer.Payload...)
 	if len(payload) > maxPeerMessageSize {
-		return PeerEvent{}, false, errors.New("a message is longer than a stand-in reads")
+		return PeerEvent{}, false, errors.New("message is longer than a fake server accepts")
 	}
 	if transfer.Bool(framing.TransferMore) {
 		p.partialPayloads[handle] = payload
@@ -250,10 +253,11 @@
 	}, true, nil
 }
 
-// maxPeerMessageSize is the longest message that a fake server reads, in bytes.
+// maxPeerMessageSize is the size limit of messages to a fake server, in bytes.
 const maxPeerMessageSize = 4 << 20
 
-// dataSection returns the contents of a message that is one data section (section 3.2.6); nil of any other.
+// dataSection returns the content of a message that consists of one data section (section 3.2.6), and nil for any
+// other.
 func dataSection(message []byte) []byte {
 	if len(message) < 5 || message[0] != 0 || message[1] != 0x53 || message[2] != 0x75 {
 		return nil
@@ -267,7 +271,7 @@
 	return nil
 }
 
-// Attach answers an attach, and grants credit if the relay's side is to send.
+// Attach accepts an attach. A positive credit is granted to the relay, which must be the sender then.
 func (p *PeerSession) Attach(e PeerEvent, credit uint32) error {
 	reply := attachReply(e.attach, e.Handle)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
@@ -276,7 +280,8 @@
 	return p.Credit(e.Handle, 0, credit)
 }
 
-// attachReply is the answer to an attach: the same in the other role, without what the initiator alone says.
+// attachReply returns the answer to an attach: a copy in the opposite role, without the initiator's properties and
+// initial-delivery-count.
 func attachReply(attach framing.Performative, handle uint32) framing.Performative {
 	return attach.With(framing.AttachHandle, handle).
 		With(framing.AttachRole, !attach.Bool(framing.AttachRole)).
@@ -284,12 +289,12 @@
 		With(framing.AttachProperties, nil)
 }
 
-// Credit grants credit for credit deliveries from the delivery-count count on.
-func (p *PeerSession) Credit(handle, count, credit uint32) error {
-	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, count, credit}})
+// Credit sets a link's credit to the given number of deliveries, counted from a delivery-count.
+func (p *PeerSession) Credit(handle, deliveryCount, credit uint32) error {
+	return p.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, handle, deliveryCount, credit}})
 }
 
-// RejectAttach answers an attach and detaches the link at once, with a condition of the standard.
+// RejectAttach rejects an attach: it answers without a target and detaches the link with an error condition.
 func (p *PeerSession) RejectAttach(e PeerEvent, condition string) error {
 	reply := attachReply(e.attach, e.Handle).With(framing.AttachTarget, nil)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil {
@@ -298,7 +303,7 @@
 	return p.Detach(e.Handle, condition)
 }
 
-// Detach detaches a link, with an error if the condition is not empty.
+// Detach detaches a link, with an error unless the condition is empty.
 func (p *PeerSession) Detach(handle uint32, condition string) error {
 	errorValue := framing.NewErrorValue(condition, "as the script has it", nil)
 	return p.writeFrame(p.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{handle, true, errorValue}}, nil)
@@ -309,16 +314,16 @@
 	return p.writeFrame(p.channel, acceptingDisposition(delivery), nil)
 }
 
-// acceptingDisposition is a receiver's disposition that accepts and settles a delivery.
+// acceptingDisposition returns a receiver's disposition that accepts and settles a delivery.
 func acceptingDisposition(deliveryID any) framing.Performative {
 	accepted := codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}
 	return framing.Performative{Code: framing.CodeDisposition, Fields: codec.List{true, deliveryID, nil, true, accepted}}
 }
 
-// AsUint64 returns a property that is an integer and not negative; it reports false for any other.
-func AsUint64(v any) (uint64, bool) { return codec.AsUint64(v) }
+// AsUint64 returns the value of an integer property. It reports false for a negative integer and for any other type.
+func AsUint64(value any) (uint64, bool) { return codec.AsUint64(value) }
 
-// Conditions with which a server detaches links.
+// Error conditions for RejectAttach and Detach.
 const (
 	ConditionResourceLimit = framing.CondResourceLimitExceeded
 	ConditionInternalError = framing.CondInternalError
--- a/internal/frontend/amqp/pipe.go
+++ b/internal/frontend/amqp/pipe.go
@@ -12,7 +12,8 @@
 	"lockroad/internal/proxy"
 )
 
-// Pipe answers the client's attach with the endpoint's, and forwards frames both ways until the link has ended.
+// Pipe answers the client's attach with the endpoint's attach, and forwards frames in both directions until the link
+// ends.
 func (l *link) Pipe(ctx context.Context, conn proxy.UpstreamConn, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
 	upstreamConn := conn.(*upstream)
 	defer close(upstreamConn.done)
@@ -40,7 +41,7 @@
 	return l.pipeDownstream(ctx, upstreamConn, heartbeat)
 }
 
-// pipeDownstream forwards the endpoint's frames to the client until the link has ended.
+// pipeDownstream forwards the endpoint's frames to the client until the link ends.
 func (l *link) pipeDownstream(ctx context.Context, upstreamConn *upstream, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
 	for {
 		frame, err := upstreamConn.nextFrame(0)
@@ -48,7 +49,7 @@
 		clientGone := l.clientGone
 		l.mu.Unlock()
 		switch {
-		case ctx.Err() != nil: // migrated or timed out: the caller detaches the client
+		case ctx.Err() != nil: // canceled: the caller detaches the client if necessary
 			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
 		case err != nil && clientGone:
 			return balancer.StatusCancelled
@@ -69,9 +70,9 @@
 	}
 }
 
-// endpointEnded handles the endpoint's detach, end or close: it detaches the client's link, unless the client has left.
+// endpointEnded handles the endpoint's detach, end or close. It detaches the client's link unless the client has left.
 func (l *link) endpointEnded(upstreamConn *upstream, frame framing.Frame, clientGone bool) balancer.AttemptStatus {
-	errorField := framing.EndError // a close has it at the same index
+	errorField := framing.EndError // CloseError has the same index
 	if frame.Code == framing.CodeDetach {
 		errorField = framing.DetachError
 		upstreamConn.writeFrame(upstreamConn.channel, framing.Performative{Code: framing.CodeDetach, Fields: codec.List{uint32(0), true}}, nil)
@@ -87,14 +88,14 @@
 	case condition == "" && frame.Code == framing.CodeDetach:
 		return balancer.StatusOK
 	case condition == framing.CondDetachForced:
-		return balancer.StatusRedirected // it drains, whatever the endpoint list says
+		return balancer.StatusRedirected // the endpoint drains, even if the endpoint list does not say so yet
 	case clientGone:
 		return balancer.StatusCancelled
 	}
 	return balancer.StatusReset
 }
 
-// forwardToClient forwards a frame of the endpoint. It reports false if the client's connection has failed.
+// forwardToClient forwards a frame of the endpoint to the client. It reports false if writing to the client has failed.
 func (l *link) forwardToClient(frame framing.Frame) bool {
 	downstream := l.session
 	switch frame.Code {
@@ -114,7 +115,7 @@
 		return downstream.sendFlow(performative.With(framing.FlowHandle, l.handle)) == nil
 	case framing.CodeTransfer:
 		if l.clientSends || l.upstream.receiveTransfer(false) != nil {
-			return true // not allowed on this link: ignored
+			return true // a transfer in the wrong direction or beyond the window is ignored
 		}
 		l.heartbeat.EndpointSent()
 		performative, err := l.deliveries.translateTransfer(frame.Performative, downstream)
--- a/internal/frontend/amqp/placement.go
+++ b/internal/frontend/amqp/placement.go
@@ -12,15 +12,15 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// Placement is a rule for links whose attach lacks the relay's properties: clients that know nothing of the relay name an
-// address only. The first rule that matches applies.
+// Placement is a rule for links whose attach lacks the relay's properties, as it does from clients that specify only an
+// address. The first rule that matches applies.
 type Placement struct {
-	Address   string        // pattern of the link's remote address; "*" matches any text, empty any address
-	Container string        // pattern of the client's container id; likewise
-	Class     string        // of the request
-	Timeout   time.Duration // of the request; 0: the deadline of its class
-	// Group says by what requests are grouped: "address", "container", "link" for the link's name, or "property:NAME" for
-	// one of the attach's properties; empty: not grouped.
+	Address   string        // pattern for the link's remote address; "*" matches any text, empty matches any address
+	Container string        // pattern for the client's container id, with the same syntax
+	Class     string        // class of the request
+	Timeout   time.Duration // timeout of the request; 0: the deadline of its class
+	// Group selects the value that requests are grouped by: "address", "container", "link" for the link's name, or
+	// "property:NAME" for a property of the attach; empty: not grouped.
 	Group string
 
 	addressPattern, containerPattern *regexp.Regexp
@@ -28,7 +28,8 @@
 
 const propertyGroupPrefix = "property:"
 
-// Compile validates the rule and compiles its patterns, before it is used. Its errors name the key in the settings.
+// Compile validates the rule and compiles its patterns. It must be called before the rule is used. An error starts with
+// the key of the setting.
 func (p *Placement) Compile() error {
 	if p.Class == "" {
 		return errors.New("class: is missing")
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// compilePattern returns the expression that a pattern with * in it stands for; nil: it matches everything.
+// compilePattern converts a pattern with * wildcards to a regular expression; nil for the empty pattern, which matches
+// any text.
 func compilePattern(pattern string) *regexp.Regexp {
 	if pattern == "" {
 		return nil
@@ -53,8 +55,8 @@
 	return regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(pattern), `\*`, "(?s:.*)") + "$")
 }
 
-// terminusAddress returns the address that a client's attach names for the remote end: the target's if the client sends,
-// the source's if it receives (sections 3.5.3 and 3.5.4).
+// terminusAddress returns the address of the remote terminus of a client's attach: the target if the client sends, the
+// source if it receives (sections 3.5.3 and 3.5.4).
 func terminusAddress(attach framing.Performative) string {
 	field := framing.AttachTarget
 	if attach.Bool(framing.AttachRole) {
@@ -68,7 +70,7 @@
 	return codec.AsString(fields[0])
 }
 
-// findPlacement returns the first rule that matches an attach; nil if none does.
+// findPlacement returns the first rule that matches the address and the container, or nil.
 func (f *Frontend) findPlacement(address, container string) *Placement {
 	for i := range f.Placements {
 		p := &f.Placements[i]
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// groupKey returns the group of a link under the rule; 0: none.
+// groupKey returns the group key of a link according to the rule; 0: none.
 func (p *Placement) groupKey(attach framing.Performative, address, container string) uint64 {
 	switch p.Group {
 	case "":
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -12,34 +12,35 @@
 	"lockroad/internal/proxy"
 )
 
-// Properties of an attach, and of a flow's and an error's info, that clients, endpoints and the relay exchange.
+// Keys in the properties of attaches and flows and in the info of errors that clients, endpoints and the relay
+// exchange.
 const (
 	propClass      = "class"
 	propTenant     = "tenant"
-	propDeadline   = "give-up-ms" // milliseconds that the client waits
+	propDeadline   = "give-up-ms" // milliseconds that the client waits for its answer
 	propGroup      = "group"
 	propItem       = "item"
-	propLoad       = "load-us" // microseconds of work a second
-	propReturning  = "again"
-	infoRetryAfter = "come-back-ms" // milliseconds, in the info of a rejection
+	propLoad       = "load-us"      // microseconds of work per second
+	propReturning  = "again"        // true: the client returns after a break or a migration
+	infoRetryAfter = "come-back-ms" // in the info of a rejection: milliseconds to wait before a retry
 )
 
-// Limits of properties.
+// Upper bounds of properties.
 const (
 	maxDeadlineMilliseconds = 1 << 31
-	maxLoad                 = 1e12 // microseconds of work a second
+	maxLoad                 = 1e12 // microseconds of work per second
 )
 
-// parseRequest reads the request from the properties of an attach, or from the placement rule that matches it. It returns
-// the attach with the properties that the rule has added, for the endpoint. Its error is for the client, and names what is
-// missing; the request then holds what was read so far.
+// parseRequest returns the request that an attach describes by its properties or by the placement rule that matches it,
+// and the attach for the endpoint, to which the rule's properties are added. The error text is sent to the client. With
+// an error the request is incomplete.
 func (f *Frontend) parseRequest(attach framing.Performative, container, name string) (proxy.Request, framing.Performative, error) {
 	properties, _ := attach.Field(framing.AttachProperties).(codec.Map)
 	address := terminusAddress(attach)
 	placement := f.findPlacement(address, container)
 	request := proxy.Request{
 		Frontend: "amqp",
-		Name:     container + "/" + name, // a link's name is unique between two containers
+		Name:     container + "/" + name, // a link name is unique between two containers
 		Class:    codec.AsString(properties.Get(propClass)),
 		Tenant:   codec.AsString(properties.Get(propTenant)),
 	}
@@ -77,8 +78,8 @@
 	return request, attach.With(framing.AttachProperties, properties), nil
 }
 
-// requestTimeout reads how long a client waits: the property, or else what the placement rule or the class says. placement
-// may be nil; the property then is mandatory.
+// requestTimeout returns how long a client waits, from the property or else from the placement rule or the class.
+// Without a placement rule (nil) the property is mandatory.
 func requestTimeout(properties codec.Map, placement *Placement, classDeadline time.Duration) (time.Duration, error) {
 	value := properties.Get(propDeadline)
 	milliseconds, ok := codec.AsUint64(value)
@@ -91,25 +92,25 @@
 	return cmp.Or(placement.Timeout, classDeadline), nil
 }
 
-// hashKey returns the key of a group or an item: an integer or a hexadecimal number as it is, any other text by its hash;
-// 0 for none.
+// hashKey returns the key of a group or an item: the value of an integer or a hexadecimal number, the hash of any other
+// text, 0 if there is none.
 func hashKey(value any) uint64 {
 	if number, ok := codec.AsUint64(value); ok {
 		return number
 	}
-	word := codec.AsString(value)
-	if word == "" {
+	text := codec.AsString(value)
+	if text == "" {
 		return 0
 	}
-	if number, err := strconv.ParseUint(word, 16, 64); err == nil {
+	if number, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return number
 	}
 	hash := fnv.New64a()
-	hash.Write([]byte(word))
+	hash.Write([]byte(text))
 	return hash.Sum64()
 }
 
-// parseLoad returns a load in microseconds of work a second. It reports false for what is no number or out of range.
+// parseLoad returns a load in microseconds of work per second. It reports false if value is no number or out of range.
 func parseLoad(value any) (float64, bool) {
 	load, ok := value.(float64)
 	if !ok {
@@ -120,8 +121,8 @@
 	return load, ok && load >= 0 && load < maxLoad
 }
 
-// retryAfterInfo returns the info of a rejection that says when to retry; nil if the wait is under a millisecond, which
-// means that it is not known.
+// retryAfterInfo returns the error info that tells a client when to retry. It is nil if wait is under a millisecond,
+// which means unknown.
 func retryAfterInfo(wait time.Duration) (info codec.Map) {
 	if wait >= time.Millisecond {
 		info = info.With(infoRetryAfter, uint32(wait.Milliseconds()))
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -11,42 +11,43 @@
 )
 
 const (
-	maxChannel             = 7                 // highest channel: a connection has one session more
-	maxHandle              = 63                // highest handle: a session has one link more
-	minWindowUpdate        = sessionWindow / 8 // least transfers that a flow for released ones reopens
-	sessionWindow          = 256               // transfers that may be received and not yet sent on
-	maxUnsettledDeliveries = 4096              // of a link, at a time
+	maxChannel             = 7                 // highest channel number; a client connection has up to 8 sessions
+	maxHandle              = 63                // highest handle; a session has up to 64 links
+	minWindowUpdate        = sessionWindow / 8 // least transfers by which releaseTransfers reopens the incoming window
+	sessionWindow          = 256               // transfers that a peer may send before they are forwarded
+	maxUnsettledDeliveries = 4096              // per link
 )
 
-// session is the relay's end of a session with a client or an endpoint (section 2.5.6). One goroutine reads; any goroutine
+// session is the state of a session with a client or an endpoint (section 2.5.6). One goroutine reads; any goroutine
 // may write.
 type session struct {
 	*connection
 	channel    uint16
-	endWritten *bool // of a session that shares its connection: its end has been sent; the connection's lock guards it
+	endWritten *bool // on a connection with several sessions: the end was sent; guarded by the connection's lock
 
 	mu                   sync.Mutex    // guards the fields below
 	windowOpened         chan struct{} // closed and replaced when the remote incoming window changes
 	ended                bool
 	nextOutgoingID       uint32 // transfer id of the next transfer to the peer
-	remoteIncomingWindow uint32 // transfers that the peer still accepts
+	remoteIncomingWindow uint32 // transfers that the peer accepts until its next flow
 	nextIncomingID       uint32 // transfer id of the peer's next transfer
-	incomingWindow       uint32 // transfers that the relay still accepts
-	pendingTransfers     uint32 // transfers received and not yet sent on
-	nextDeliveryID       uint32 // of the next delivery to the peer
+	incomingWindow       uint32 // transfers that the relay accepts until its next flow
+	pendingTransfers     uint32 // transfers received and not yet forwarded
+	nextDeliveryID       uint32 // id of the next delivery to the peer
 }
 
 func newSession(conn *connection, channel uint16) *session {
 	return &session{connection: conn, channel: channel, windowOpened: make(chan struct{}), incomingWindow: sessionWindow}
 }
 
-// writeFrame sends a frame of the session; nothing is sent after its end.
+// writeFrame sends a frame of the session. It fails with errConnectionClosing after the end.
 func (s *session) writeFrame(channel uint16, performative framing.Performative, payload []byte) error {
 	return s.connection.writeUnlessEnded(channel, performative, payload, s.endWritten)
 }
 
-// writeInitial sends the first frames of a session or a link, in one piece. It waits for the connection's lock until ctx
-// ends. permitted is called with the lock held, just before anything is written; false: errNoLongerPermitted.
+// writeInitial sends the first frames of a session or a link in a single write. It waits for the connection's lock
+// until ctx ends. It calls permitted with the lock held, just before writing, and returns errNoLongerPermitted if that
+// is false.
 func (s *session) writeInitial(ctx context.Context, permitted func() bool, frames ...framing.Performative) error {
 	conn := s.connection
 	if !conn.mu.LockContext(ctx) {
@@ -66,14 +67,14 @@
 	return conn.flush()
 }
 
-// newBegin returns the relay's begin. remoteChannel is the channel of the begin that it answers; nil: none.
+// newBegin returns a begin. remoteChannel is the channel of the begin that it answers; nil if it answers none.
 func (s *session) newBegin(remoteChannel any) framing.Performative {
 	return framing.Performative{Code: framing.CodeBegin, Fields: codec.List{
 		remoteChannel, s.nextOutgoingID, uint32(sessionWindow), uint32(sessionWindow), uint32(maxHandle),
 	}}
 }
 
-// applyBegin applies the peer's begin. Its error is a ConditionError.
+// applyBegin applies the peer's begin. An error is a ConditionError.
 func (s *session) applyBegin(begin framing.Performative) error {
 	err := begin.RequireUint32(framing.BeginNextOutgoingID, framing.BeginIncomingWindow, framing.BeginOutgoingWindow)
 	if err != nil {
@@ -86,14 +87,14 @@
 	return nil
 }
 
-// applyFlow applies the session's part of a flow of the peer.
+// applyFlow applies the session fields of the peer's flow.
 func (s *session) applyFlow(flow framing.Performative) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended { // meanwhile, and the channel is closed
+	if s.ended { // windowOpened is closed
 		return
 	}
-	// The peer's window counts from the transfers that it has received (section 2.5.6).
+	// The window is relative to the last transfer that the peer had received (section 2.5.6).
 	windowEnd := flow.Uint32(framing.FlowNextIncomingID, 0) + flow.Uint32(framing.FlowIncomingWindow, 0)
 	s.remoteIncomingWindow = windowEnd - s.nextOutgoingID
 	if int32(s.remoteIncomingWindow) < 0 {
@@ -103,7 +104,8 @@
 	s.windowOpened = make(chan struct{})
 }
 
-// handleFlow checks and applies the session's part of a flow, and answers it if it asks for that and is of no link.
+// handleFlow validates and applies the session fields of a flow. It answers a flow without a handle that requests an
+// echo.
 func (s *session) handleFlow(flow framing.Performative) error {
 	err := flow.RequireUint32(framing.FlowIncomingWindow, framing.FlowNextOutgoingID, framing.FlowOutgoingWindow)
 	if err != nil {
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// markEnded ends the session for awaitWindow, which then fails.
+// markEnded marks the session as ended, which makes awaitWindow fail.
 func (s *session) markEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,10 +128,10 @@
 	}
 }
 
-// errWindowClosed says that the peer has accepted no transfer for writeTimeout.
-var errWindowClosed = errors.New("the peer's window stays shut")
+// errWindowClosed is returned if the peer's session window stayed closed for writeTimeout.
+var errWindowClosed = errors.New("session window of the peer stayed closed")
 
-// awaitWindow waits until the peer accepts another transfer, and counts that. It fails with errWindowClosed after
+// awaitWindow waits until the peer's window admits a transfer, and reserves it. It fails with errWindowClosed after
 // writeTimeout, and with errConnectionClosing at the session's end.
 func (s *session) awaitWindow() error {
 	timer := time.NewTimer(writeTimeout)
@@ -156,7 +158,7 @@
 	}
 }
 
-// takeDeliveryID returns the id of the next delivery to the peer.
+// takeDeliveryID returns the id for the next delivery to the peer and advances the counter.
 func (s *session) takeDeliveryID() uint32 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,26 +166,26 @@
 	return s.nextDeliveryID - 1
 }
 
-// sendTransfer sends a transfer, in as many frames as the peer's largest frame requires. It blocks while the peer's window
-// is closed.
+// sendTransfer sends a transfer, split into as many frames as the peer's maximum frame size requires. It blocks while
+// the peer's window is closed.
 func (s *session) sendTransfer(transfer framing.Performative, payload []byte) error {
-	room := s.maxPayload(transfer.With(framing.TransferMore, true))
+	maxPayload := s.maxPayload(transfer.With(framing.TransferMore, true))
 	for {
 		if err := s.awaitWindow(); err != nil {
 			return err
 		}
-		if len(payload) <= room {
+		if len(payload) <= maxPayload {
 			return s.writeFrame(s.channel, transfer, payload)
 		}
-		if err := s.writeFrame(s.channel, transfer.With(framing.TransferMore, true), payload[:room]); err != nil {
+		if err := s.writeFrame(s.channel, transfer.With(framing.TransferMore, true), payload[:maxPayload]); err != nil {
 			return err
 		}
-		payload = payload[room:]
+		payload = payload[maxPayload:]
 	}
 }
 
-// receiveTransfer counts a transfer that has been received, and reopens the window in time. A pending one, which waits to
-// be sent on, keeps its place in the window until releaseTransfers.
+// receiveTransfer counts a received transfer and sends a flow when the window must be reopened. A pending transfer,
+// which is still to be forwarded, occupies the window until releaseTransfers.
 func (s *session) receiveTransfer(pending bool) error {
 	s.mu.Lock()
 	if s.incomingWindow == 0 {
@@ -203,14 +205,14 @@
 	return nil
 }
 
-// needsWindowUpdate reports whether the window is to be reopened: at most half of what it could be is left. The caller
-// holds the lock.
+// needsWindowUpdate reports whether to reopen the incoming window: at most half of its possible size is left. The
+// caller holds the lock.
 func (s *session) needsWindowUpdate() bool {
 	largest := sessionWindow - min(s.pendingTransfers, sessionWindow)
 	return s.incomingWindow <= largest/2 && s.incomingWindow < sessionWindow-s.pendingTransfers
 }
 
-// releaseTransfers counts n pending transfers that have been sent on or dropped.
+// releaseTransfers removes n pending transfers, which were forwarded or dropped, and reopens the window if that is due.
 func (s *session) releaseTransfers(n int) {
 	s.mu.Lock()
 	s.pendingTransfers -= uint32(n)
@@ -218,11 +220,11 @@
 	reopen := n > 0 && !s.ended && s.needsWindowUpdate() && gain >= minWindowUpdate
 	s.mu.Unlock()
 	if reopen {
-		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // on failure the reader sees why
+		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // a write error also fails the connection's reader
 	}
 }
 
-// sendFlow sends a flow with the session's part filled in, which reopens the incoming window.
+// sendFlow sends a flow with the session fields filled in. It reopens the incoming window.
 func (s *session) sendFlow(flow framing.Performative) error {
 	s.mu.Lock()
 	s.incomingWindow = sessionWindow - min(s.pendingTransfers, sessionWindow)
--- a/internal/frontend/amqp/sharedconn.go
+++ b/internal/frontend/amqp/sharedconn.go
@@ -11,41 +11,41 @@
 	"lockroad/internal/registry"
 )
 
-// sessionEndTimeout is how long an endpoint may take to answer the end of a session. After that its connection gets no new
-// sessions: an endpoint that loses track of sessions would run out of them.
+// sessionEndTimeout is how long an endpoint may take to answer the end of a session. After that its connection gets no
+// new sessions, because sessions that never end would use up its channels.
 const sessionEndTimeout = 5 * time.Second
 
-// sharedConnections are the connections to endpoints that requests share. The pool decides which connection a request
-// takes; this type opens, reads and closes them.
+// sharedConnections manages the connections to endpoints that requests share. The pool decides which connection a
+// request uses; this type opens, reads and closes the connections.
 type sharedConnections struct {
 	frontend *Frontend
 
-	mu          sync.Mutex // guards the fields below, and err, multiplexer, tcp and closing of the connections
+	mu          sync.Mutex // guards the fields below, and err, multiplexer, tcp and closing of each connection
 	pool        *connpool.Pool
 	connections map[connpool.ID]*sharedConnection
-	idleTimer   *time.Timer // of the next connection that will have idled long enough; nil: none
+	idleTimer   *time.Timer // fires when the next idle connection times out; nil: none
 	closed      bool
 }
 
-// sharedConnection is one connection to an endpoint. The goroutine of connect opens and reads it.
+// sharedConnection is a connection to an endpoint. The goroutine of connect opens and reads it.
 type sharedConnection struct {
 	id             connpool.ID
 	address        string
-	ready          chan struct{} // closed once it is established, or has failed with err
+	ready          chan struct{} // closed once the connection is established or has failed with err
 	err            error
 	multiplexer    *multiplexer
 	tcp            net.Conn
-	peerMaxChannel uint16        // highest channel that the endpoint accepts, and the pool uses
-	closing        bool          // closeGracefully has been started
-	done           chan struct{} // closed once it has ended
+	peerMaxChannel uint16        // highest channel that both the endpoint and the pool settings allow
+	closing        bool          // closeGracefully was started
+	done           chan struct{} // closed once the connection has ended
 }
 
 func newSharedConnections(frontend *Frontend, settings connpool.Settings) *sharedConnections {
 	return &sharedConnections{frontend: frontend, pool: connpool.New(settings), connections: make(map[connpool.ID]*sharedConnection)}
 }
 
-// openSession returns a session to an endpoint, on an established connection or on one that is opened for it within a
-// timeout. The session's begin is the caller's to send.
+// openSession returns a session to an endpoint, on an established connection or on a new one that is opened within
+// timeout. The caller sends the session's begin.
 func (s *sharedConnections) openSession(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*sharedSession, connpool.ID, error) {
 	for {
 		s.mu.Lock()
@@ -76,17 +76,17 @@
 			return shared, id, nil
 		}
 		s.release(conn)
-		if err != nil { // the connection has ended meanwhile: take another once the pool knows
+		if err != nil { // the connection has ended: retry once the pool has removed it
 			select {
 			case <-conn.done:
 			case <-ctx.Done():
 				return nil, 0, ctx.Err()
 			}
-		} // otherwise more requests waited for it than the endpoint accepts sessions
+		} // otherwise the endpoint accepts fewer sessions than requests were waiting for the connection
 	}
 }
 
-// release gives the place of a session on a connection back to the pool.
+// release returns a session slot of a connection to the pool.
 func (s *sharedConnections) release(conn *sharedConnection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +94,7 @@
 	s.closeIdle()
 }
 
-// connect dials an endpoint for all requests that wait for the connection, and then reads it until its end.
+// connect dials an endpoint for all requests that wait for the connection, and then reads the connection until it ends.
 func (s *sharedConnections) connect(conn *sharedConnection, endpoint registry.Endpoint, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	dialed, err := s.frontend.dial(ctx, conn.address, timeout)
@@ -129,8 +129,8 @@
 	s.mu.Unlock()
 }
 
-// retireWhenDraining gives a connection no new sessions once its endpoint drains: its clients are migrated, and it is closed
-// after the last. It runs in a goroutine of its own until the connection ends.
+// retireWhenDraining stops new sessions on a connection once its endpoint drains. The connection is closed after its
+// last session. It runs in its own goroutine until the endpoint drains or the connection ends.
 func (s *sharedConnections) retireWhenDraining(conn *sharedConnection, draining <-chan struct{}) {
 	select {
 	case <-conn.done:
@@ -142,14 +142,14 @@
 	}
 }
 
-// remove forgets a connection that has ended or failed. The caller holds the lock.
+// remove removes a connection that has ended or failed to open. The caller holds the lock.
 func (s *sharedConnections) remove(conn *sharedConnection) {
 	s.pool.Lost(conn.id)
 	delete(s.connections, conn.id)
 	close(conn.done)
 }
 
-// closeIdle closes the connections that have idled long enough, and sets the timer for the next. The caller holds the lock.
+// closeIdle closes connections whose idle time is over, and sets the timer for the next one. The caller holds the lock.
 func (s *sharedConnections) closeIdle() {
 	now := s.frontend.Proxy.Clock.Now()
 	idle, next := s.pool.Idle(now)
@@ -172,7 +172,7 @@
 	}
 }
 
-// closeGracefully sends a close and waits for the endpoint's, at most closeTimeout. It runs in a goroutine of its own.
+// closeGracefully sends a close and waits for the endpoint's close, at most closeTimeout. It runs in its own goroutine.
 func (c *sharedConnection) closeGracefully() {
 	c.multiplexer.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 	_ = c.multiplexer.CloseWrite()
@@ -183,7 +183,7 @@
 	c.tcp.Close()
 }
 
-// close closes all connections at once; no session can be opened after that.
+// close closes all connections immediately; no session can be opened afterwards.
 func (s *sharedConnections) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,7 +196,8 @@
 	}
 }
 
-// endSession ends a session, and gives its connection no new ones if the endpoint does not answer the end in time.
+// endSession ends a session, and stops new sessions on its connection if the endpoint does not answer within
+// sessionEndTimeout.
 func (s *sharedConnections) endSession(id connpool.ID, shared *sharedSession) {
 	if shared.endLocally() {
 		return
--- a/internal/frontend/amqp/sharedsession.go
+++ b/internal/frontend/amqp/sharedsession.go
@@ -8,27 +8,27 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// sharedSession is one session of a multiplexer. The multiplexer's goroutine adds frames to its queue, and the goroutine of
-// its link reads them.
+// sharedSession is one session of a multiplexer. The multiplexer's goroutine adds received frames to its queue, and the
+// goroutine that serves its link reads them.
 type sharedSession struct {
 	*session
 	multiplexer *multiplexer
-	onRelease   func() // called once, when both sides have ended it
+	onRelease   func() // called once, after both sides have ended the session
 	releaseOnce sync.Once
 
 	mu              sync.Mutex // guards the fields below
 	queue           []framing.Frame
 	queuedTransfers int           // transfers in the queue
-	beginPermitted  bool          // its begin has been sent, or is about to be
-	endedLocally    bool          // by the relay
-	endSent         bool          // the relay's end has been sent: before that the channel can't be used again
-	endedRemotely   bool          // by the peer, or by the end of the connection
-	err             error         // why it ended remotely; nil: by an end
-	deadline        time.Time     // of all reads; zero: none
-	changed         chan struct{} // has a value when any of the above has changed
+	beginPermitted  bool          // its begin was sent or is about to be sent
+	endedLocally    bool          // by this side
+	endSent         bool          // this side's end was sent; the channel must not be reused before that
+	endedRemotely   bool          // by the peer or by the end of the connection
+	err             error         // why it ended remotely; nil after an end
+	deadline        time.Time     // limits all calls of nextFrame; zero: none
+	changed         chan struct{} // signals a change of any of the above
 }
 
-// enqueue adds a frame of the peer. A peer that sends more than the window allows loses the session.
+// enqueue adds a received frame. A peer that sends more than the window allows has its session ended.
 func (s *sharedSession) enqueue(frame framing.Frame) {
 	s.mu.Lock()
 	transfer := frame.Code == framing.CodeTransfer
@@ -42,14 +42,14 @@
 	ended := s.endedLocally
 	s.mu.Unlock()
 	if overflow && !ended {
-		s.endRemotely(framing.Errorf(framing.CondWindowViolation, "more than the session's window takes"))
+		s.endRemotely(framing.Errorf(framing.CondWindowViolation, "peer sent more frames than its session may queue"))
 		s.endLocally()
 		return
 	}
 	s.notify()
 }
 
-// notify wakes up nextFrame.
+// notify wakes nextFrame.
 func (s *sharedSession) notify() {
 	select {
 	case s.changed <- struct{}{}:
@@ -57,7 +57,7 @@
 	}
 }
 
-// endRemotely notes that the peer sends nothing more; the queue can still be read.
+// endRemotely records that the peer will send nothing more. Queued frames can still be read.
 func (s *sharedSession) endRemotely(err error) {
 	s.mu.Lock()
 	if !s.endedRemotely {
@@ -68,7 +68,7 @@
 	s.notify()
 }
 
-// setDeadline sets the deadline of nextFrame, also of one that is waiting.
+// setDeadline sets the deadline of nextFrame, including a call that is waiting.
 func (s *sharedSession) setDeadline(deadline time.Time) {
 	s.mu.Lock()
 	s.deadline = deadline
@@ -76,8 +76,8 @@
 	s.notify()
 }
 
-// nextFrame waits for the next frame. It fails at the end of the session or of the connection, and with
-// os.ErrDeadlineExceeded after wait, if that is over 0, or at the deadline.
+// nextFrame waits for the next frame. It fails at the end of the session or the connection, and with
+// os.ErrDeadlineExceeded at the deadline or, if wait is positive, after wait.
 func (s *sharedSession) nextFrame(wait time.Duration) (framing.Frame, error) {
 	var waitUntil time.Time
 	if wait > 0 {
@@ -123,8 +123,8 @@
 	}
 }
 
-// endLocally ends the session and drops its queue; what the peer still sends is ignored. It reports whether the peer has
-// ended the session as well.
+// endLocally ends the session and drops its queue; later frames of the peer are ignored. It reports whether the peer
+// has ended the session too.
 func (s *sharedSession) endLocally() bool {
 	s.mu.Lock()
 	s.queue, s.queuedTransfers = nil, 0
@@ -140,7 +140,8 @@
 	return s.endedRemotely
 }
 
-// permitBegin is called before the begin is sent, and reports whether it may be: the session has not been ended meanwhile.
+// permitBegin reports whether the begin may still be sent: endLocally was not called before. It is called just before
+// sending the begin.
 func (s *sharedSession) permitBegin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,8 +149,8 @@
 	return s.beginPermitted
 }
 
-// sendEnd sends the relay's end, once, and releases the channels if the peer has ended the session as well. A session
-// whose begin was never sent has no end to send.
+// sendEnd sends this side's end once, and releases the channels if the peer has ended the session too. No end is sent
+// for a session whose begin was never sent.
 func (s *sharedSession) sendEnd() {
 	s.mu.Lock()
 	first := !s.endedLocally
@@ -160,7 +161,8 @@
 	s.mu.Unlock()
 	if first {
 		s.session.markEnded()
-		s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil) // on failure the connection's reader fails, too
+		// A write error also fails the connection's reader.
+		s.writeFrame(s.channel, framing.Performative{Code: framing.CodeEnd}, nil)
 		s.notify()
 	}
 	s.mu.Lock()
--- a/internal/frontend/amqp/timedmutex.go
+++ b/internal/frontend/amqp/timedmutex.go
@@ -4,17 +4,17 @@
 	"context"
 )
 
-// timedMutex is a mutex that can be waited for until a context ends: a writer holds it for as long as the peer does not
-// read. It is made with a capacity of one.
+// timedMutex is a mutex whose Lock can be abandoned when a context ends, because a writer may hold it for as long as
+// the peer does not read. It must be made with a capacity of one.
 type timedMutex chan struct{}
 
-// Lock waits for the mutex and locks it.
+// Lock locks the mutex, waiting until it is free.
 func (t timedMutex) Lock() { t <- struct{}{} }
 
 // Unlock unlocks the mutex.
 func (t timedMutex) Unlock() { <-t }
 
-// TryLock locks the mutex if it is free, and reports whether it did.
+// TryLock locks the mutex if it is free, and reports whether it succeeded.
 func (t timedMutex) TryLock() bool {
 	select {
 	case t <- struct{}{}:
@@ -24,7 +24,7 @@
 	}
 }
 
-// LockContext waits for the mutex and locks it, and reports true; or false if ctx has ended first.
+// LockContext locks the mutex, waiting until it is free or ctx ends. It reports whether it locked the mutex.
 func (t timedMutex) LockContext(ctx context.Context) bool {
 	select {
 	case t <- struct{}{}:
--- a/internal/frontend/amqp/upstream.go
+++ b/internal/frontend/amqp/upstream.go
@@ -12,30 +12,30 @@
 	"lockroad/internal/registry"
 )
 
-// Idle time-outs towards endpoints.
+// Idle timeouts of connections to endpoints.
 const (
-	advertisedEndpointIdleTimeout = 2 * time.Second // in the relay's open
-	endpointSilenceTimeout        = 6 * time.Second // after which an endpoint is taken for dead
+	advertisedEndpointIdleTimeout = 2 * time.Second // idle-time-out in the relay's open
+	endpointSilenceTimeout        = 6 * time.Second // after which an endpoint is considered dead
 )
 
-// upstream is the endpoint's side of a request: one session with one link, on a connection of its own or on one that
-// requests share. Where it has its own, the goroutine of the link reads it.
+// upstream is the endpoint's side of a request: one session with one link, on a dedicated or a shared connection. The
+// goroutine of the link reads a dedicated connection.
 type upstream struct {
 	*session
-	sharedSession        *sharedSession // on a shared connection; nil: it has its own
-	connectionID         connpool.ID    // of the shared connection
+	sharedSession        *sharedSession // nil: the connection is dedicated
+	connectionID         connpool.ID    // the shared connection's id in the pool
 	sharedConnections    *sharedConnections
-	maxSessions          int                   // for the channel-max of the relay's open; 0: maxChannel
+	maxSessions          int                   // determines the channel-max of the relay's open; 0: maxChannel
 	peerMaxChannel       uint16                // highest channel that the endpoint accepts
-	peerIdleTimeout      time.Duration         // idle time-out in the endpoint's open; 0: none
-	attach               framing.Performative  // the endpoint's
-	creditFlow           *framing.Performative // the endpoint's first flow with credit; nil: none yet
-	done                 chan struct{}         // closed at the end of the attempt or the pipe
-	hasClientCertificate bool                  // the relay has shown a certificate
-	tcp                  net.Conn              // below TLS, if there is TLS: closing it never blocks
+	peerIdleTimeout      time.Duration         // idle-time-out in the endpoint's open; 0: none
+	attach               framing.Performative  // the endpoint's attach
+	creditFlow           *framing.Performative // last flow with credit during the attempt; nil: none yet
+	done                 chan struct{}         // closed when the attempt fails or Pipe returns
+	hasClientCertificate bool                  // the relay offers a client certificate in the TLS handshake
+	tcp                  net.Conn              // the TCP connection, below TLS if any; closing it never blocks
 }
 
-// Close ends the session at once, and its connection if that is its own. Any goroutine may call it, also repeatedly.
+// Close ends the session immediately, and closes a dedicated connection. Any goroutine may call it, repeatedly.
 func (u *upstream) Close() {
 	if u.sharedSession != nil {
 		u.sharedConnections.endSession(u.connectionID, u.sharedSession)
@@ -45,8 +45,8 @@
 	u.tcp.Close()
 }
 
-// nextFrame waits at most wait for the endpoint's next frame; 0: until the endpoint has been silent for
-// endpointSilenceTimeout, which on a shared connection its reader checks.
+// nextFrame waits for the endpoint's next frame, at most wait; 0: until the endpoint has been silent for
+// endpointSilenceTimeout, which the multiplexer enforces on a shared connection.
 func (u *upstream) nextFrame(wait time.Duration) (framing.Frame, error) {
 	if u.sharedSession != nil {
 		return u.sharedSession.nextFrame(wait)
@@ -54,7 +54,7 @@
 	return u.readFrame(framing.TypeAMQP, cmp.Or(wait, endpointSilenceTimeout))
 }
 
-// limitRemaining sets a deadline for all that the endpoint still sends.
+// limitRemaining sets a deadline, wait from now, for all remaining frames of the endpoint.
 func (u *upstream) limitRemaining(wait time.Duration) {
 	if u.sharedSession != nil {
 		u.sharedSession.setDeadline(time.Now().Add(wait))
@@ -63,8 +63,8 @@
 	u.SetReadDeadline(time.Now().Add(wait))
 }
 
-// connect opens a connection to an endpoint with a session on it, within a timeout. On a shared connection the begin is
-// sent together with the attach.
+// connect opens a session to an endpoint within timeout, on a new dedicated connection or on a shared one. On a shared
+// connection the begin is sent later, together with the attach.
 func (f *Frontend) connect(ctx context.Context, endpoint registry.Endpoint, address string, timeout time.Duration) (*upstream, error) {
 	if f.sharedConnections != nil {
 		shared, connectionID, err := f.sharedConnections.openSession(ctx, endpoint, address, timeout)
@@ -96,7 +96,7 @@
 	return u, nil
 }
 
-// beginSession begins the only session of a connection, and waits for the endpoint's begin.
+// beginSession begins the only session of a dedicated connection, and waits for the endpoint's begin.
 func (u *upstream) beginSession(timeout time.Duration) error {
 	if err := u.writeFrame(0, u.newBegin(nil), nil); err != nil {
 		return err
