--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -169,18 +169,18 @@
 // sendTransfer sends a transfer, split into as many frames as the peer's maximum frame size requires. It blocks while
 // the peer's window is closed.
 func (s *session) sendTransfer(transfer framing.Performative, payload []byte) error {
-	maxPayload := s.maxPayload(transfer.With(framing.TransferMore, true))
+	maxBytes := s.maxPayload(transfer.With(framing.TransferMore, true))
 	for {
 		if err := s.awaitWindow(); err != nil {
 			return err
 		}
-		if len(payload) <= maxPayload {
+		if len(payload) <= maxBytes {
 			return s.writeFrame(s.channel, transfer, payload)
 		}
-		if err := s.writeFrame(s.channel, transfer.With(framing.TransferMore, true), payload[:maxPayload]); err != nil {
+		if err := s.writeFrame(s.channel, transfer.With(framing.TransferMore, true), payload[:maxBytes]); err != nil {
 			return err
 		}
-		payload = payload[maxPayload:]
+		payload = payload[maxBytes:]
 	}
 }
 
