--- a/internal/frontend/amqp/amqppeers_test.go
+++ b/internal/frontend/amqp/amqppeers_test.go
@@ -47,14 +47,14 @@
 }
 
 // answerOpenOrBegin answers an open or a begin on behalf of a fake endpoint.
-func answerOpenOrBegin(conn *connection, s *session, frame framing.Frame) {
+func answerOpenOrBegin(conn *connection, endpointSession *session, frame framing.Frame) {
 	switch frame.Code {
 	case framing.CodeOpen:
 		conn.applyOpen(frame.Performative)
 		conn.writeFrame(0, newOpen("server"), nil)
 	case framing.CodeBegin:
-		_ = s.applyBegin(frame.Performative)
-		conn.writeFrame(0, s.newBegin(uint16(0)), nil)
+		_ = endpointSession.applyBegin(frame.Performative)
+		conn.writeFrame(0, endpointSession.newBegin(uint16(0)), nil)
 	}
 }
 
@@ -75,16 +75,18 @@
 }
 
 // serveAMQPEndpoint runs a fake endpoint that follows the scenario.
-func serveAMQPEndpoint(t testing.TB, tcp *net.TCPConn, s *scenario) { serveAMQPEndpointOn(t, tcp, s) }
+func serveAMQPEndpoint(t testing.TB, tcp *net.TCPConn, script *scenario) {
+	serveAMQPEndpointOn(t, tcp, script)
+}
 
 // serveAMQPEndpointOn is serveAMQPEndpoint on a TCP or TLS connection.
-func serveAMQPEndpointOn(t testing.TB, stream streamConn, s *scenario) {
+func serveAMQPEndpointOn(t testing.TB, stream streamConn, script *scenario) {
 	serveFrames(t, stream, func(conn *connection, session *session, frame framing.Frame) bool {
 		switch frame.Code {
 		case framing.CodeOpen, framing.CodeBegin:
 			answerOpenOrBegin(conn, session, frame)
 		case framing.CodeAttach:
-			return answerAttach(t, conn, session, frame.Performative, s)
+			return answerAttach(t, conn, session, frame.Performative, script)
 		case framing.CodeTransfer:
 			if !frame.Bool(framing.TransferMore) {
 				conn.writeFrame(0, acceptingDisposition(frame.Field(framing.TransferDeliveryID)), nil)
@@ -99,11 +101,11 @@
 }
 
 // answerAttach applies the scenario's next action to an attach. It reports whether to keep the connection open.
-func answerAttach(t testing.TB, conn *connection, session *session, performative framing.Performative, s *scenario) bool {
+func answerAttach(t testing.TB, conn *connection, session *session, performative framing.Performative, script *scenario) bool {
 	properties, _ := performative.Field(framing.AttachProperties).(codec.Map)
 	milliseconds, _ := codec.AsUint64(properties.Get(propDeadline))
-	s.recordTimeout(time.Duration(milliseconds) * time.Millisecond)
-	action := s.next(t, conn.LocalAddr())
+	script.recordTimeout(time.Duration(milliseconds) * time.Millisecond)
+	action := script.next(t, conn.LocalAddr())
 	reply := attachReply(performative, 0)
 	detach := func(condition string) bool {
 		var errorValue any
@@ -114,7 +116,7 @@
 		return true
 	}
 	accept := func() {
-		s.answered()
+		script.answered()
 		conn.writeFrame(0, reply, nil)
 		session.sendFlow(framing.Performative{Code: framing.CodeFlow, Fields: codec.List{nil, nil, nil, nil, uint32(0), uint32(0), uint32(10)}})
 	}
@@ -122,11 +124,11 @@
 	case actionAccept:
 		accept()
 	case actionRejectFull:
-		s.answered()
+		script.answered()
 		conn.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
 		return detach(framing.CondResourceLimitExceeded)
 	case actionFail:
-		s.answered()
+		script.answered()
 		conn.writeFrame(0, reply.With(framing.AttachTarget, nil), nil)
 		return detach(framing.CondInternalError)
 	case actionHang, actionNoCredit:
@@ -134,10 +136,10 @@
 			conn.writeFrame(0, reply, nil)
 		}
 		_, _ = io.Copy(io.Discard, conn.reader)
-		s.answered()
+		script.answered()
 		return false
 	case actionReset:
-		s.answered()
+		script.answered()
 		conn.streamConn.(*net.TCPConn).SetLinger(0)
 		return false
 	case actionAcceptAndDetach:
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -40,14 +40,14 @@
 	}
 	ctx, done := context.WithDeadline(c.ctx, c.admission.IdleSince.Add(openTimeout))
 	defer done()
-	secured := tls.Server(c.tcp, config)
-	if err := secured.HandshakeContext(ctx); err != nil {
+	tlsConn := tls.Server(c.tcp, config)
+	if err := tlsConn.HandshakeContext(ctx); err != nil {
 		c.frontend.Proxy.ProtocolError("amqp", "TLS handshake failed: "+err.Error())
 		return err // not a ConditionError, which would be sent to the client
 	}
-	state := secured.ConnectionState()
+	state := tlsConn.ConnectionState()
 	c.tlsState = &state
-	c.connection = newConnection(secured)
+	c.connection = newConnection(tlsConn)
 	return nil
 }
 
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -52,12 +52,12 @@
 	host, _, _ := net.SplitHostPort(address)
 	hasClientCertificate := false
 	if config := f.EndpointTLS.For(host); config != nil {
-		secured := tls.Client(tcp, config)
-		if err := secured.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(tcp, config)
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			tcp.Close()
 			return nil, err
 		}
-		conn, hasClientCertificate = secured, len(config.Certificates) > 0
+		conn, hasClientCertificate = tlsConn, len(config.Certificates) > 0
 	}
 	u := &upstream{
 		session: newSession(newConnection(conn), 0), done: make(chan struct{}), tcp: tcp,
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -165,12 +165,12 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
-				f := newFullListener(t)
+				endpointListener := newFullListener(t)
 				relay := newTestRelay(t, protocol, 1, nil)
 				relay.updateSettings(func(settings *balancer.Settings) {
 					settings.ConnectTimeout, settings.Classes[0].Deadline = time.Minute, time.Minute
 				})
-				relay.endpointAddresses = []string{f.Addr().String()}
+				relay.endpointAddresses = []string{endpointListener.Addr().String()}
 				relay.setEndpointState(balancer.StateReady, 0)
 				ctx, disconnect := context.WithCancel(context.Background())
 				defer disconnect()
@@ -183,7 +183,7 @@
 				if testCase.name == "the client leaves" {
 					testutil.Until(t, "the relay did not notice that the client left", func() bool { return relay.proxy.Requests.Len() == 0 })
 				}
-				f.acceptAndServe(t, protocol, relay.scenario)
+				endpointListener.acceptAndServe(t, protocol, relay.scenario)
 				receiveWithin(t, "result of the request", results)
 				if result := relay.waitIdle(t); result.received != 0 {
 					t.Errorf("the endpoint received %d requests, want none", result.received)
@@ -198,19 +198,19 @@
 func TestEndpointIsSentTheRemainingTimeout(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const timeout, connectDelay = 4 * time.Second, 600 * time.Millisecond
-		f := newFullListener(t)
+		endpointListener := newFullListener(t)
 		relay := newTestRelay(t, protocol, 1, nil)
 		relay.updateSettings(func(settings *balancer.Settings) {
 			settings.ConnectTimeout, settings.Classes[0].Deadline, settings.MaxAttempts = time.Minute, time.Minute, 1
 		})
-		relay.endpointAddresses = []string{f.Addr().String()}
+		relay.endpointAddresses = []string{endpointListener.Addr().String()}
 		relay.setEndpointState(balancer.StateReady, 0)
 		ctx, disconnect := context.WithCancel(context.Background())
 		defer disconnect()
 		began := relay.proxy.Clock.Now()
 		results := startRequest(ctx, relay, protocol, timeout)
 		testutil.Until(t, "the connect delay did not pass", func() bool { return relay.proxy.Clock.Now()-began > connectDelay })
-		f.acceptAndServe(t, protocol, relay.scenario)
+		endpointListener.acceptAndServe(t, protocol, relay.scenario)
 		testutil.Until(t, "the request was not established", func() bool { return relay.proxy.Counters.Established.Load() == 1 })
 		if relay.scenario.mu.Lock(); relay.scenario.lastTimeout <= 0 || relay.scenario.lastTimeout > timeout-connectDelay {
 			t.Errorf("the endpoint received the timeout %v", relay.scenario.lastTimeout)
@@ -226,7 +226,7 @@
 func TestRetryStaysWithinTheDeduplicationWindow(t *testing.T) {
 	forEachProtocol(t, func(t *testing.T, protocol frontendProtocol) {
 		const window = 1200 * time.Millisecond
-		f, gate := newFullListener(t), newAnswerGate()
+		endpointListener, gate := newFullListener(t), newAnswerGate()
 		relay := newTestRelay(t, protocol, 1, []endpointAction{actionReset})
 		relay.scenario.beforeAnswer = gate.wait
 		relay.updateSettings(func(settings *balancer.Settings) {
@@ -236,14 +236,14 @@
 		began := relay.proxy.Clock.Now()
 		results := startRequest(context.Background(), relay, protocol, time.Minute)
 		receiveWithin(t, "the first attempt arrives at its endpoint", gate.arrived)
-		relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{f.Addr().String()})
+		relay.proxy.UpdateEndpoints(balancer.ListDelta, []balancer.Endpoint{{ID: relay.proxy.Endpoints.ID("s-2"), State: balancer.StateReady, Weight: 1}}, []string{endpointListener.Addr().String()})
 		close(gate.release) // the first attempt's connection is reset
 		testutil.Until(t, "no retry was started", func() bool {
 			requests := relay.proxy.Requests.List()
 			return len(requests) == 1 && requests[0].Attempts == 2
 		})
 		testutil.Until(t, "the deduplication window did not pass", func() bool { return relay.proxy.Clock.Now() > began+2*window })
-		f.acceptAndServe(t, protocol, relay.scenario)
+		endpointListener.acceptAndServe(t, protocol, relay.scenario)
 		if result := receiveWithin(t, "answer to the request", results); result.answer != "failed" {
 			t.Errorf("the client received the answer %q, want failed", result.answer)
 		}
@@ -358,12 +358,12 @@
 // When a protocol error ends a client's connection, its links must end before the relay waits for the client to read
 // the close: until then a pending request could still be sent to an endpoint.
 func TestProtocolErrorEndsLinksImmediately(t *testing.T) {
-	f := newFullListener(t)
+	endpointListener := newFullListener(t)
 	relay := newTestRelay(t, protocols[1], 1, nil)
 	relay.updateSettings(func(settings *balancer.Settings) {
 		settings.ConnectTimeout, settings.Classes[0].Deadline = time.Minute, time.Minute
 	})
-	relay.endpointAddresses = []string{f.Addr().String()}
+	relay.endpointAddresses = []string{endpointListener.Addr().String()}
 	relay.setEndpointState(balancer.StateReady, 0)
 	client := dialRaw(t, relay.address).begin()
 	client.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(60000)})
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -106,7 +106,7 @@
 	name        string
 	newFrontend func(relayProxy *proxy.Proxy, slots int) frontendServer
 	// serveEndpoint serves one connection of a fake endpoint.
-	serveEndpoint func(t testing.TB, conn *net.TCPConn, s *scenario)
+	serveEndpoint func(t testing.TB, conn *net.TCPConn, script *scenario)
 	// open starts a request with a name and waits for its answer. The client disconnects when ctx ends. waitEnd, which
 	// is nil unless the request is established, waits for its end.
 	open func(ctx context.Context, address, name string, timeout time.Duration) (answer string, retryAfter bool, waitEnd func() string)
@@ -137,10 +137,10 @@
 		return frontend
 	}
 	if endpointTLS != nil {
-		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, s *scenario) {
-			secured := tls.Server(tcp, endpointTLS)
-			if secured.Handshake() == nil {
-				serveAMQPEndpointOn(t, secured, s)
+		protocol.serveEndpoint = func(t testing.TB, tcp *net.TCPConn, script *scenario) {
+			tlsConn := tls.Server(tcp, endpointTLS)
+			if tlsConn.Handshake() == nil {
+				serveAMQPEndpointOn(t, tlsConn, script)
 			}
 		}
 	}
@@ -232,7 +232,7 @@
 }
 
 // serveConnections serves a fake endpoint's connections until its listener is closed, and then closes them.
-func serveConnections(t testing.TB, netListener net.Listener, protocol frontendProtocol, s *scenario) {
+func serveConnections(t testing.TB, netListener net.Listener, protocol frontendProtocol, script *scenario) {
 	var running sync.WaitGroup
 	defer running.Wait()
 	var mu sync.Mutex
@@ -253,10 +253,10 @@
 		open = append(open, conn)
 		mu.Unlock()
 		running.Go(func() {
-			protocol.serveEndpoint(t, conn.(*net.TCPConn), s)
+			protocol.serveEndpoint(t, conn.(*net.TCPConn), script)
 			conn.Close()
 			select {
-			case s.ended <- struct{}{}:
+			case script.ended <- struct{}{}:
 			default:
 			}
 		})
--- a/internal/frontend/amqp/fulllistener_test.go
+++ b/internal/frontend/amqp/fulllistener_test.go
@@ -56,7 +56,7 @@
 }
 
 // acceptAndServe closes the queued connections and serves all others.
-func (f *fullListener) acceptAndServe(t *testing.T, protocol frontendProtocol, s *scenario) {
+func (f *fullListener) acceptAndServe(t *testing.T, protocol frontendProtocol, script *scenario) {
 	for range f.queued {
 		conn, err := f.Accept()
 		if err != nil {
@@ -64,5 +64,5 @@
 		}
 		conn.Close()
 	}
-	f.served.Go(func() { serveConnections(t, f.Listener, protocol, s) })
+	f.served.Go(func() { serveConnections(t, f.Listener, protocol, script) })
 }
--- a/internal/frontend/amqp/linepeers_test.go
+++ b/internal/frontend/amqp/linepeers_test.go
@@ -13,7 +13,7 @@
 )
 
 // serveLineEndpoint runs a fake endpoint of the line protocol that follows the scenario.
-func serveLineEndpoint(t testing.TB, conn *net.TCPConn, s *scenario) {
+func serveLineEndpoint(t testing.TB, conn *net.TCPConn, script *scenario) {
 	reader := bufio.NewReader(conn)
 	text, err := reader.ReadString('\n')
 	if err != nil {
@@ -25,24 +25,24 @@
 	_, deadline, _ := strings.Cut(text, ",d=")
 	deadline, _, _ = strings.Cut(deadline, ",")
 	milliseconds, _ := strconv.Atoi(deadline)
-	s.recordTimeout(time.Duration(milliseconds) * time.Millisecond)
-	action := s.next(t, conn.LocalAddr())
-	accept := func(more string) { s.answered(); io.WriteString(conn, "UP r1\r\n"+more) }
+	script.recordTimeout(time.Duration(milliseconds) * time.Millisecond)
+	action := script.next(t, conn.LocalAddr())
+	accept := func(more string) { script.answered(); io.WriteString(conn, "UP r1\r\n"+more) }
 	switch action {
 	case actionAccept:
 		accept("")
 		_, _ = io.Copy(conn, reader)
 	case actionRejectFull:
-		s.answered()
+		script.answered()
 		io.WriteString(conn, "BUSY\r\n")
 	case actionFail:
-		s.answered()
+		script.answered()
 		io.WriteString(conn, "ERR\r\n")
 	case actionHang, actionNoCredit:
 		_, _ = io.Copy(io.Discard, reader)
-		s.answered()
+		script.answered()
 	case actionReset:
-		s.answered()
+		script.answered()
 		conn.SetLinger(0)
 	case actionAcceptAndDetach:
 		accept("BYE\r\n")
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -47,8 +47,8 @@
 }
 
 // enqueue queues an item for the endpoint. If the outbox is full, it detaches the link and cancels the request.
-func (l *link) enqueue(pending *outbox, item outboxItem) {
-	if !pending.enqueue(item) {
+func (l *link) enqueue(queue *outbox, item outboxItem) {
+	if !queue.enqueue(item) {
 		l.detach(framing.CondResourceLimitExceeded, "the application server takes nothing, and too much waits for it", nil)
 		l.cancel()
 	}
@@ -61,15 +61,15 @@
 		l.clientFlow = &flow
 	}
 	l.mu.Unlock()
-	if pending, _ := l.activeOutbox(); pending != nil {
-		l.enqueue(pending, outboxItem{Performative: flow.With(framing.FlowHandle, uint32(0)), isFlow: true})
+	if queue, _ := l.activeOutbox(); queue != nil {
+		l.enqueue(queue, outboxItem{Performative: flow.With(framing.FlowHandle, uint32(0)), isFlow: true})
 	}
 	return nil
 }
 
 // handleTransfer forwards a transfer of the client. A ConditionError ends the client's session.
 func (l *link) handleTransfer(frame framing.Frame) error {
-	pending, heartbeat := l.activeOutbox()
+	queue, heartbeat := l.activeOutbox()
 	sent := false
 	defer func() {
 		if !sent {
@@ -86,22 +86,22 @@
 		l.detach(framing.CondTransferLimitExceeded, "a transfer without credit", nil)
 		l.cancel()
 		return nil
-	case pending == nil:
+	case queue == nil:
 		return nil // the transfer crossed the detach on the wire
 	}
-	transfer, err := l.deliveries.translateTransfer(frame.Performative, pending.upstreamConn.session)
+	transfer, err := l.deliveries.translateTransfer(frame.Performative, queue.upstreamConn.session)
 	if err != nil {
 		return err
 	}
 	if !frame.Bool(framing.TransferMore) && !frame.Bool(framing.TransferSettled) {
 		heartbeat.ClientSent()
 	}
-	next := outboxItem{Performative: transfer.With(framing.TransferHandle, uint32(0)), payload: frame.Payload, isTransfer: true}
+	item := outboxItem{Performative: transfer.With(framing.TransferHandle, uint32(0)), payload: frame.Payload, isTransfer: true}
 	if !frame.Bool(framing.TransferMore) {
-		next.onSent = l.deliverySent
+		item.onSent = l.deliverySent
 	}
 	sent = true
-	l.enqueue(pending, next)
+	l.enqueue(queue, item)
 	return nil
 }
 
@@ -115,9 +115,9 @@
 // handleDisposition forwards a disposition of the client for those of its deliveries that belong to this link.
 func (l *link) handleDisposition(disposition framing.Performative) {
 	// The role of a disposition is that of its sender: a receiver settles received deliveries, a sender sent ones.
-	if pending, _ := l.activeOutbox(); pending != nil && disposition.Bool(framing.DispositionRole) != l.clientSends {
+	if queue, _ := l.activeOutbox(); queue != nil && disposition.Bool(framing.DispositionRole) != l.clientSends {
 		for _, translated := range l.deliveries.translateDisposition(disposition, !l.clientSends) {
-			l.enqueue(pending, outboxItem{Performative: translated})
+			l.enqueue(queue, outboxItem{Performative: translated})
 		}
 	}
 }
@@ -127,14 +127,14 @@
 func (l *link) handleDetach(detach framing.Performative) {
 	l.mu.Lock()
 	l.clientGone = true
-	upstreamConn, pending, detachSent := l.upstream, l.outbox, l.detachSent
+	upstreamConn, queue, detachSent := l.upstream, l.outbox, l.detachSent
 	l.mu.Unlock()
 	switch {
 	case detachSent:
 	case upstreamConn == nil:
 		l.cancel()
 	default:
-		l.enqueue(pending, outboxItem{Performative: detach.With(framing.DetachHandle, uint32(0))})
+		l.enqueue(queue, outboxItem{Performative: detach.With(framing.DetachHandle, uint32(0))})
 		upstreamConn.limitRemaining(closeTimeout)
 	}
 }
--- a/internal/frontend/amqp/placement.go
+++ b/internal/frontend/amqp/placement.go
@@ -73,11 +73,11 @@
 // findPlacement returns the first rule that matches the address and the container, or nil.
 func (f *Frontend) findPlacement(address, container string) *Placement {
 	for i := range f.Placements {
-		p := &f.Placements[i]
-		addressMatches := p.addressPattern == nil || p.addressPattern.MatchString(address)
-		containerMatches := p.containerPattern == nil || p.containerPattern.MatchString(container)
+		rule := &f.Placements[i]
+		addressMatches := rule.addressPattern == nil || rule.addressPattern.MatchString(address)
+		containerMatches := rule.containerPattern == nil || rule.containerPattern.MatchString(container)
 		if addressMatches && containerMatches {
-			return p
+			return rule
 		}
 	}
 	return nil
