--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -111,12 +111,12 @@
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	for what, upstream := range map[string]Upstream{"is missing": {Name: "x"}, "wants its key": {CA: authority.CA, Cert: cert}, "holds no certificate": {CA: key}} {
+	for what, upstream := range map[string]EndpointTLSSettings{"is missing": {Name: "x"}, "wants its key": {CA: authority.CA, Cert: cert}, "holds no certificate": {CA: key}} {
 		if _, err := NewEndpointTLS(upstream); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	if settings, err := NewEndpointTLS(Upstream{}); settings != nil || err != nil || settings.For("x") != nil || settings.Reload() != nil {
+	if settings, err := NewEndpointTLS(EndpointTLSSettings{}); settings != nil || err != nil || settings.For("x") != nil || settings.Reload() != nil {
 		t.Error("empty settings are not taken for no TLS")
 	}
 }
--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -24,7 +24,7 @@
 	credentials atomic.Pointer[credentials]
 }
 
-// New validates the settings and reads all files. Its errors are of type KeyError, and name
+// New validates the settings and reads all files. Its errors are of type SettingError, and name
 // the file where one can't be used.
 func New(settings Settings) (*Authenticator, error) {
 	if err := settings.Validate(); err != nil {
@@ -34,7 +34,7 @@
 	return a, a.Reload()
 }
 
-// Reload reads all files again. After an error, a KeyError, all that was read before stays in
+// Reload reads all files again. After an error, a SettingError, all that was read before stays in
 // force.
 func (a *Authenticator) Reload() error {
 	if a == nil {
--- a/internal/auth/endpointtls.go
+++ b/internal/auth/endpointtls.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Upstream says how connections to endpoints are secured. The zero value means no TLS.
-type Upstream struct {
+// EndpointTLSSettings says how connections to endpoints are secured. The zero value means no TLS.
+type EndpointTLSSettings struct {
 	CA        string // PEM file of the authorities, one of which has to have signed an endpoint's certificate
 	Cert, Key string // PEM files of the relay's client certificate and its key; empty: none
 	Name      string // server name that certificates have to be for; empty: the endpoint's host
@@ -16,22 +16,22 @@
 // EndpointTLS is the TLS configuration for connections to endpoints. A nil EndpointTLS means no
 // TLS. Any goroutine may call its methods.
 type EndpointTLS struct {
-	settings Upstream
+	settings EndpointTLSSettings
 	config   atomic.Pointer[tls.Config]
 }
 
-// NewEndpointTLS reads all files. It returns nil for the zero value of upstream, and its errors
-// are of type KeyError.
-func NewEndpointTLS(upstream Upstream) (*EndpointTLS, error) {
+// NewEndpointTLS reads all files. It returns nil for the zero value of settings, and its errors
+// are of type SettingError.
+func NewEndpointTLS(settings EndpointTLSSettings) (*EndpointTLS, error) {
 	switch {
-	case upstream == Upstream{}:
+	case settings == EndpointTLSSettings{}:
 		return nil, nil
-	case upstream.CA == "":
-		return nil, KeyError{Key: "servers_tls.ca", Err: errors.New("is missing: a server's certificate could be anyone's")}
-	case (upstream.Cert == "") != (upstream.Key == ""):
-		return nil, KeyError{Key: "servers_tls.cert", Err: errIncompletePair}
+	case settings.CA == "":
+		return nil, SettingError{Key: "servers_tls.ca", Err: errors.New("is missing: a server's certificate could be anyone's")}
+	case (settings.Cert == "") != (settings.Key == ""):
+		return nil, SettingError{Key: "servers_tls.cert", Err: errIncompletePair}
 	}
-	e := &EndpointTLS{settings: upstream}
+	e := &EndpointTLS{settings: settings}
 	return e, e.Reload()
 }
 
--- a/internal/auth/settings.go
+++ b/internal/auth/settings.go
@@ -36,44 +36,44 @@
 	Classes []string `toml:"classes"`
 }
 
-// KeyError says which setting is wrong, or names a file that can't be used.
-type KeyError struct {
+// SettingError says which setting is wrong, or names a file that can't be used.
+type SettingError struct {
 	Key string // as in the operator's file, below amqp
 	Err error  // what is wrong
 }
 
 // Error returns the text of Err: whoever prints it puts the file and the key before it.
-func (e KeyError) Error() string { return e.Err.Error() }
+func (e SettingError) Error() string { return e.Err.Error() }
 
 // Unwrap returns Err.
-func (e KeyError) Unwrap() error { return e.Err }
+func (e SettingError) Unwrap() error { return e.Err }
 
-// withKey returns a KeyError, or nil if err is nil.
+// withKey returns a SettingError, or nil if err is nil.
 func withKey(key string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return KeyError{Key: key, Err: err}
+	return SettingError{Key: key, Err: err}
 }
 
 var errIncompletePair = errors.New("a certificate wants its key, and a key its certificate")
 
-// Validate returns a KeyError for settings that contradict each other. It reads no files: New
+// Validate returns a SettingError for settings that contradict each other. It reads no files: New
 // does.
 func (s *Settings) Validate() error {
 	switch {
 	case (s.Cert == "") != (s.Key == ""):
-		return KeyError{Key: "tls.cert", Err: errIncompletePair}
+		return SettingError{Key: "tls.cert", Err: errIncompletePair}
 	case s.ClientCA != "" && s.Cert == "":
-		return KeyError{Key: "tls.client_ca", Err: errors.New("clients show certificates over TLS only: cert and key are missing")}
+		return SettingError{Key: "tls.client_ca", Err: errors.New("clients show certificates over TLS only: cert and key are missing")}
 	case s.NoAnonymous && s.Users == "" && s.ClientCA == "":
-		return KeyError{Key: "sasl.anonymous", Err: errors.New("nobody could come: neither users nor client_ca says who clients are")}
+		return SettingError{Key: "sasl.anonymous", Err: errors.New("nobody could come: neither users nor client_ca says who clients are")}
 	case s.Users != "" && s.Cert == "" && !s.PlainWithoutTLS:
-		return KeyError{Key: "sasl.users", Err: errors.New("passwords would come in the clear: set cert and key, or plain_without_tls")}
+		return SettingError{Key: "sasl.users", Err: errors.New("passwords would come in the clear: set cert and key, or plain_without_tls")}
 	}
 	for i, grant := range s.Grants {
 		if grant.User == "" || len(grant.Classes) == 0 {
-			return KeyError{Key: "grant", Err: fmt.Errorf("the %d. one wants a user and classes", i+1)}
+			return SettingError{Key: "grant", Err: fmt.Errorf("the %d. one wants a user and classes", i+1)}
 		}
 	}
 	return nil
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -82,8 +82,8 @@
 }
 
 // EndpointTLSSettings returns the TLS settings of connections to endpoints.
-func (a *AMQP) EndpointTLSSettings() auth.Upstream {
-	return auth.Upstream{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
+func (a *AMQP) EndpointTLSSettings() auth.EndpointTLSSettings {
+	return auth.EndpointTLSSettings{CA: a.EndpointTLS.CA, Cert: a.EndpointTLS.Cert, Key: a.EndpointTLS.Key, Name: a.EndpointTLS.Name}
 }
 
 // CompiledPlacements compiles the placement rules. The error joins one error per malformed rule, each prefixed
@@ -206,8 +206,8 @@
 	_, authErr := auth.New(a.AuthSettings())
 	_, tlsErr := auth.NewEndpointTLS(a.EndpointTLSSettings())
 	for _, err := range []error{authErr, tlsErr} {
-		if keyError := (auth.KeyError{}); errors.As(err, &keyError) {
-			v.add("amqp."+keyError.Key, "%v", keyError)
+		if settingError := (auth.SettingError{}); errors.As(err, &settingError) {
+			v.add("amqp."+settingError.Key, "%v", settingError)
 		}
 	}
 	if _, err := a.CompiledPlacements(); err != nil {
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	up, err := auth.NewEndpointTLS(auth.Upstream{CA: a.CA, Cert: cert, Key: key})
+	up, err := auth.NewEndpointTLS(auth.EndpointTLSSettings{CA: a.CA, Cert: cert, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
