--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -116,7 +116,7 @@
 			t.Errorf("want %q: %v", what, err)
 		}
 	}
-	if settings, err := NewEndpointTLS(EndpointTLSSettings{}); settings != nil || err != nil || settings.For("x") != nil || settings.Reload() != nil {
+	if settings, err := NewEndpointTLS(EndpointTLSSettings{}); settings != nil || err != nil || settings.ConfigFor("x") != nil || settings.Reload() != nil {
 		t.Error("empty settings are not taken for no TLS")
 	}
 }
@@ -153,10 +153,10 @@
 			}
 		}
 	}
-	if expires, ok := authenticator.Expires(); !ok || time.Until(expires) > 21*24*time.Hour || time.Until(expires) < 19*24*time.Hour {
+	if expires, ok := authenticator.CertificateExpiry(); !ok || time.Until(expires) > 21*24*time.Hour || time.Until(expires) < 19*24*time.Hour {
 		t.Errorf("the certificate expires %v", expires)
 	}
-	if none := (*Authenticator)(nil); !none.Authorized("x", "y") || none.TLS() != nil || !none.Bare() || none.Reload() != nil {
+	if none := (*Authenticator)(nil); !none.Authorized("x", "y") || none.TLSConfig() != nil || !none.SASLOptional() || none.Reload() != nil {
 		t.Error("a nil authenticator refuses something")
 	}
 }
--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// TLS returns the configuration for accepted connections, or nil for no TLS. Each handshake
-// uses the files as they were last read.
-func (a *Authenticator) TLS() *tls.Config {
+// TLSConfig returns the TLS configuration for accepted connections, or nil if they use no TLS.
+// Each handshake uses the credentials that were loaded last.
+func (a *Authenticator) TLSConfig() *tls.Config {
 	if a == nil || a.settings.Cert == "" {
 		return nil
 	}
@@ -79,9 +79,9 @@
 	}}
 }
 
-// Expires returns when the first certificate of the relay's chain expires. ok is false if it
-// has ngrant.
-func (a *Authenticator) Expires() (expires time.Time, ok bool) {
+// CertificateExpiry returns the earliest expiry time in the relay's certificate chain. ok is false
+// if no certificate is configured.
+func (a *Authenticator) CertificateExpiry() (expires time.Time, ok bool) {
 	if a == nil || a.settings.Cert == "" {
 		return time.Time{}, false
 	}
@@ -114,8 +114,8 @@
 	return state.VerifiedChains[0][0].Subject.CommonName
 }
 
-// Bare reports whether a peer may connect without SASL.
-func (a *Authenticator) Bare() bool { return a == nil || !a.settings.NoAnonymous }
+// SASLOptional reports whether a peer may connect without SASL.
+func (a *Authenticator) SASLOptional() bool { return a == nil || !a.settings.NoAnonymous }
 
 // Authenticate returns the user of a peer, by the mechanism that it has chosen and its initial
 // response. state is nil without TLS. An unknown user and a wrong password are not
--- a/internal/auth/endpointtls.go
+++ b/internal/auth/endpointtls.go
@@ -56,9 +56,9 @@
 	return nil
 }
 
-// For returns the configuration for an endpoint at a host, or nil for no TLS. The caller may
-// change it.
-func (e *EndpointTLS) For(host string) *tls.Config {
+// ConfigFor returns the TLS configuration for connections to an endpoint at host, or nil if they use
+// no TLS. The caller may change it.
+func (e *EndpointTLS) ConfigFor(host string) *tls.Config {
 	if e == nil {
 		return nil
 	}
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -35,7 +35,7 @@
 // handshakeTLS completes the TLS handshake, where TLS is configured. It is part of the connection's opening, and shares
 // its deadline.
 func (c *clientConnection) handshakeTLS() error {
-	config := c.frontend.Authenticator.TLS()
+	config := c.frontend.Authenticator.TLSConfig()
 	if config == nil {
 		return nil
 	}
@@ -119,7 +119,7 @@
 		if header, err = c.readProtocolHeader(openTimeout); err != nil {
 			return err
 		}
-	} else if !c.frontend.Authenticator.Bare() {
+	} else if !c.frontend.Authenticator.SASLOptional() {
 		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // the answer of section 5.3.2; the connection ends with it
 		return errors.New("the client comes without the security layer, and has to say who it is")
 	}
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -50,7 +50,7 @@
 	conn := streamConn(tcp.(*net.TCPConn))
 	host, _, _ := net.SplitHostPort(address)
 	hasClientCertificate := false
-	if config := f.EndpointTLS.For(host); config != nil {
+	if config := f.EndpointTLS.ConfigFor(host); config != nil {
 		secured := tls.Client(tcp, config)
 		if err := secured.HandshakeContext(ctx); err != nil {
 			tcp.Close()
--- a/internal/server/credentials.go
+++ b/internal/server/credentials.go
@@ -33,7 +33,7 @@
 
 // reportExpiry logs a warning if the AMQP certificate expires soon, or an error if it has expired.
 func (c *credentials) reportExpiry(log *slog.Logger, now time.Time) {
-	expires, ok := c.authenticator.Expires()
+	expires, ok := c.authenticator.CertificateExpiry()
 	left := expires.Sub(now)
 	switch {
 	case !ok || left > expiryWarningPeriod:
@@ -46,7 +46,7 @@
 
 // watchExpiry calls reportExpiry at the start and every expiryCheckInterval until ctx is cancelled.
 func (c *credentials) watchExpiry(ctx context.Context, log *slog.Logger) error {
-	if _, ok := c.authenticator.Expires(); !ok {
+	if _, ok := c.authenticator.CertificateExpiry(); !ok {
 		return nil
 	}
 	for {
