--- a/internal/frontend/line/encoding_test.go
+++ b/internal/frontend/line/encoding_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestHeartbeatKeepsItsEncoding(t *testing.T) {
-	complete := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTime: 7}
+	complete := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTimeCount: 7}
 	testutil.Complete(t, complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat.json", complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
--- a/internal/frontend/line/handoff.go
+++ b/internal/frontend/line/handoff.go
@@ -129,9 +129,9 @@
 // goroutine may call it.
 func (f *Frontend) ReportTimings() map[balancer.EndpointID]ReportTiming { return f.reports.snapshot() }
 
-// RestoreTiming restores what another process knew of the times at which an endpoint reports
+// RestoreReportTiming restores what another process knew of the times at which an endpoint reports
 // delays. Any goroutine may call it.
-func (f *Frontend) RestoreTiming(id balancer.EndpointID, timing ReportTiming) {
+func (f *Frontend) RestoreReportTiming(id balancer.EndpointID, timing ReportTiming) {
 	f.reports.restore(id, timing)
 }
 
--- a/internal/frontend/line/reports.go
+++ b/internal/frontend/line/reports.go
@@ -52,9 +52,9 @@
 // ReportTiming is what is known of the times at which an endpoint reports its delay. One
 // process of a relay hands it to the next; its encoding must not change.
 type ReportTiming struct {
-	LastAt    time.Duration `json:"At"`    // time of the last delay on the proxy's clock; 0 if there was none
-	LastDelay float64       `json:"Last"`  // the last delay, in milliseconds
-	OnTime    int           `json:"Count"` // number of consecutive delays at exact intervals
+	LastAt      time.Duration `json:"At"`    // time of the last delay on the proxy's clock; 0 if there was none
+	LastDelay   float64       `json:"Last"`  // the last delay, in milliseconds
+	OnTimeCount int           `json:"Count"` // number of consecutive delays at exact intervals
 }
 
 // snapshot returns the timing of every endpoint that has reported a delay.
@@ -63,7 +63,7 @@
 	defer r.mu.Unlock()
 	timings := make(map[balancer.EndpointID]ReportTiming, len(r.byEndpoint))
 	for id, reports := range r.byEndpoint {
-		if reports.OnTime > 0 {
+		if reports.OnTimeCount > 0 {
 			timings[id] = reports.ReportTiming
 		}
 	}
@@ -101,16 +101,16 @@
 		r.byEndpoint = make(map[balancer.EndpointID]*endpointReports)
 	}
 	reports := r.byEndpoint[endpoint]
-	if reports == nil || reports.OnTime > 0 && now-reports.LastAt > timingLifetime {
+	if reports == nil || reports.OnTimeCount > 0 && now-reports.LastAt > timingLifetime {
 		reports = &endpointReports{}
 		r.byEndpoint[endpoint] = reports
 	}
 	switch {
 	case reports.continuedBy(value, now):
-	case reports.OnTime > 1 && now-reports.LastAt < timingShiftTimeout:
+	case reports.OnTimeCount > 1 && now-reports.LastAt < timingShiftTimeout:
 		return false
 	case value < certainDelayBelow:
-		reports.OnTime = 0
+		reports.OnTimeCount = 0
 	case reports.followsGuess(value, now):
 	default:
 		if len(reports.guesses) == maxGuesses {
@@ -119,7 +119,7 @@
 		reports.guesses = append(reports.guesses, guess{at: now, value: value})
 		return false
 	}
-	reports.ReportTiming = ReportTiming{LastAt: now, LastDelay: value, OnTime: reports.OnTime + 1}
+	reports.ReportTiming = ReportTiming{LastAt: now, LastDelay: value, OnTimeCount: reports.OnTimeCount + 1}
 	reports.guesses = nil
 	return true
 }
@@ -130,7 +130,7 @@
 func (e *endpointReports) continuedBy(value float64, now time.Duration) bool {
 	gap := now - e.LastAt
 	offset := min(gap%reportInterval, reportInterval-gap%reportInterval)
-	return e.OnTime > 0 && gap >= reportInterval-reportTolerance && offset <= reportTolerance &&
+	return e.OnTimeCount > 0 && gap >= reportInterval-reportTolerance && offset <= reportTolerance &&
 		value <= e.LastDelay+maxDelayGrowth*(gap+reportTolerance).Seconds()
 }
 
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -32,7 +32,7 @@
 			ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * ms, CountedFrom: 5002 * ms},
 			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
 		},
-		ReportTimings: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTime: 7}},
+		ReportTimings: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTimeCount: 7}},
 		OpenRequests:  []registry.RequestName{{Frontend: "line", Name: "9b1f03aa5c7e2d41"}, {Frontend: "amqp", Name: "container/name"}},
 		SlotsInUse:    []int{17, 4},
 		DrainDirectives: []persistence.DrainDirective{{
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -189,7 +189,7 @@
 	}
 	for old, timing := range r.inherited.ReportTimings {
 		if id, ok := r.localEndpoint(old); ok {
-			r.lineFrontend.RestoreTiming(id, timing)
+			r.lineFrontend.RestoreReportTiming(id, timing)
 		}
 	}
 	for i, slots := range r.inherited.SlotsInUse[:min(len(r.inherited.SlotsInUse), len(r.limiters))] {
