--- a/internal/frontend/line/client.go
+++ b/internal/frontend/line/client.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// writeTimeout bounds a write: a client that takes nothing for this long is gone.
+	// writeTimeout bounds each write of relayed data. A client that accepts nothing for this
+	// long is considered gone.
 	writeTimeout = 5 * time.Second
-	// lastLineTimeout bounds the write of the last line.
+	// lastLineTimeout bounds the write of the relay's own last line.
 	lastLineTimeout = 300 * time.Millisecond
-	// lineCompletionTimeout is how long the rest of a line may take before MOVE follows it.
-	// At shutdown the last client is asked to migrate 1.1 s before SIGKILL.
+	// lineCompletionTimeout is how long MOVE waits for the rest of a partly written line. At
+	// shutdown the last client is sent MOVE 1.1 s before SIGKILL.
 	lineCompletionTimeout = 800 * time.Millisecond
 )
 
 const migrateLine = "MOVE\r\n"
 
-// errLastLineWritten is returned by write once nothing may follow.
-var errLastLineWritten = errors.New("the last line is written")
+// errLastLineWritten is returned by write once the last line has been written.
+var errLastLineWritten = errors.New("write to the client after the last line")
 
-// clientConn is a client's connection. Its writers keep lines complete: the relay's own
-// last line comes between two lines of the endpoint, and nothing follows it.
+// clientConn is a client's connection. Its write methods keep lines complete: the relay's own
+// last line (ERR, BUSY or MOVE) is never inside a line of the endpoint, and nothing follows it.
 type clientConn struct {
 	*net.TCPConn
 	reader       *bufio.Reader
-	readDone     chan struct{} // closed once the client's own stream has ended
-	upstreamDone chan struct{} // closed once nothing more comes from the endpoint
+	readDone     chan struct{} // closed once nothing more is read from the client
+	upstreamDone chan struct{} // closed once nothing more is relayed from the endpoint
 
 	mu              sync.Mutex    // guards the fields below and the order of writes
 	midLine         bool          // a line is partly written
-	lastLineWritten bool          // nothing may follow
-	writeHold       chan struct{} // the last line waits until it is closed; nil: it need not wait
-	migrated        chan struct{} // closed once MOVE has followed the partly written line; nil: none waits for that
+	lastLineWritten bool          // nothing more may be written
+	writeHold       chan struct{} // the relay's last line waits until it is closed; nil: no wait
+	migrated        chan struct{} // closed once the partly written line and MOVE are written; nil: no MOVE is due
 }
 
 func newClientConn(conn *net.TCPConn) *clientConn {
@@ -51,8 +52,8 @@
 	}
 }
 
-// write relays bytes from the endpoint. A client that is to migrate gets MOVE after the line
-// that they end, and write then fails with errLastLineWritten.
+// write writes data from the endpoint. If a MOVE is due, it follows the first line ending in
+// data, the rest of data is dropped, and write fails with errLastLineWritten.
 func (c *clientConn) write(data []byte) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,11 +75,11 @@
 	return err
 }
 
-// writeLastLine writes the last line between two lines, and nothing after it. It reports
-// whether the last line had not been written before. If a line is partly written, it waits up
-// to lineCompletionTimeout for the rest, which MOVE follows.
+// writeLastLine writes text as the last line, unless a last line was written before, which it
+// reports by false. If a line of the endpoint is partly written, it waits up to
+// lineCompletionTimeout for write to complete that line and to append MOVE.
 func (c *clientConn) writeLastLine(text string) bool {
-	c.SetWriteDeadline(time.Now().Add(lastLineTimeout)) // also for a write that holds mu
+	c.SetWriteDeadline(time.Now().Add(lastLineTimeout)) // also bounds a blocked write that holds mu
 	c.mu.Lock()
 	if writeHold := c.writeHold; writeHold != nil {
 		c.mu.Unlock()
@@ -92,7 +93,7 @@
 	}
 	if !c.midLine {
 		c.lastLineWritten = true
-		_, _ = c.Write([]byte(text)) // a client that has left reads nothing
+		_, _ = c.Write([]byte(text)) // fails only if the client has gone
 		c.mu.Unlock()
 		return true
 	}
@@ -102,21 +103,22 @@
 	select {
 	case <-migrated:
 	case <-c.readDone:
-	case <-c.upstreamDone: // an incomplete line can't be followed by another
+	case <-c.upstreamDone: // the line stays incomplete, and MOVE can't follow it
 	case <-time.After(lineCompletionTimeout):
 	}
 	return true
 }
 
-// noteLastLineWritten records that the endpoint has sent the last line itself.
+// noteLastLineWritten records that the endpoint's own last line (BYE or MOVE) was written.
 func (c *clientConn) noteLastLineWritten() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lastLineWritten = true
 }
 
-// finish ends the connection so that the client can still read what was written: closing
-// with its data unread would reset it. Another goroutine has to run drain.
+// finish closes the relay's half, waits up to listener.LingerTimeout until another goroutine has
+// run drain, and closes the connection. A close with unread data would reset the connection, and
+// the client might lose the last line.
 func (c *clientConn) finish() {
 	c.CloseWrite()
 	c.SetReadDeadline(time.Now().Add(listener.LingerTimeout))
@@ -124,13 +126,13 @@
 	c.Close()
 }
 
-// drain discards what the client still sends, until its end or listener.LingerMaxBytes.
+// drain discards up to listener.LingerMaxBytes that the client still sends, then closes readDone.
 func (c *clientConn) drain() {
 	_, _ = io.CopyN(io.Discard, c.reader, listener.LingerMaxBytes)
 	close(c.readDone)
 }
 
-// reset closes a connection with a TCP reset, as its other side was.
+// reset closes a connection with a TCP reset.
 func reset(c *net.TCPConn) {
 	c.SetLinger(0)
 	c.Close()
--- a/internal/frontend/line/exchange.go
+++ b/internal/frontend/line/exchange.go
@@ -13,50 +13,51 @@
 	"lockroad/internal/proxy"
 )
 
-// endpointCloseTimeout is how long an endpoint may take to end the connection after its
-// client has ended its half.
+// endpointCloseTimeout is how long an endpoint may take to close the connection after the
+// client has closed its half.
 const endpointCloseTimeout = 5 * time.Second
 
-// exchange is the downstream side of one client's request: it implements proxy.Downstream
-// and proxy.Transferable.
+// exchange is the client side of one request. It implements proxy.Downstream and
+// proxy.Transferable.
 type exchange struct {
-	frontend         *Frontend
-	client           *clientConn
-	opening          opening
-	upstream         *upstreamConn            // once the request is established
-	adopted          bool                     // another process established the request
-	established      chan establishedUpstream // receives once; closed when the request has ended
-	clientEnded      atomic.Bool              // the client has ended its half
-	clientSpokeEarly atomic.Bool              // the client has sent data before its answer
+	frontend        *Frontend
+	client          *clientConn
+	opening         openingLine
+	upstream        *upstreamConn            // nil until the request is established
+	adopted         bool                     // whether another process has established the request
+	established     chan establishedUpstream // gets one value if the request is established; closed when it has ended
+	clientEnded     atomic.Bool              // the client has closed its half of the connection
+	clientSentEarly atomic.Bool              // the client has sent data before the answer to its opening line
 
 	toEndpoint, toClient *direction
-	pausing              atomic.Bool
-	resumed              chan struct{} // closed if the pause failed: the endpoint's data is relayed again
+	pausing              atomic.Bool   // Pause has been called
+	resumed              chan struct{} // closed after a failed pause, when the endpoint's data is relayed again
 	resolveOnce          sync.Once
-	resolved             chan struct{} // closed once handedOff is final
-	handedOff            bool          // another process serves the request; read after resolved
+	resolved             chan struct{} // closed by Resolve
+	handedOff            bool          // whether another process serves the request; set before resolved is closed
 }
 
-// establishedUpstream is where the client's data goes once the request is established.
+// establishedUpstream is the connection that receives the client's data once the request is
+// established, with its heartbeat.
 type establishedUpstream struct {
 	conn      *upstreamConn
 	heartbeat *proxy.Heartbeat
 }
 
-// direction is one of the two directions in which an exchange relays data.
+// direction is the state of one of the two directions in which an exchange relays data.
 type direction struct {
 	splitter lineSplitter
 	stopOnce sync.Once
 	stopped  chan struct{}
-	paused   bool // stopped between two reads, with everything relayed that was read; read after stopped
+	paused   bool // all data that was read has been relayed, so that it can continue; set before stopped is closed
 }
 
 func newDirection(splitter lineSplitter) *direction {
 	return &direction{splitter: splitter, stopped: make(chan struct{})}
 }
 
-// stop records that the direction relays nothing more, and whether it is paused. Only the
-// first call counts.
+// stop records that the direction relays nothing more, and whether it is only paused. Calls
+// after the first have no effect.
 func (d *direction) stop(paused bool) {
 	d.stopOnce.Do(func() {
 		d.paused = paused
@@ -64,7 +65,8 @@
 	})
 }
 
-// waitPaused reports whether the direction pauses before the timeout.
+// waitPaused waits until the direction has stopped or the timeout fires, and reports whether it
+// is paused.
 func (d *direction) waitPaused(timeout <-chan time.Time) bool {
 	select {
 	case <-d.stopped:
@@ -86,27 +88,28 @@
 	}
 }
 
-// relayToClient relays what the endpoint sends, and ends the client's side as the
-// endpoint's ends, unless it was ended from here. The request's goroutine calls it.
+// relayToClient relays the endpoint's data until its end, and then ends the client's connection
+// the same way, unless the relay itself ended the endpoint's connection. It returns the status
+// of the attempt. It runs in the goroutine of the request's attempt.
 func (x *exchange) relayToClient(ctx context.Context, upstream *upstreamConn, heartbeat *proxy.Heartbeat) balancer.AttemptStatus {
 	defer x.toClient.stop(false)
 	defer close(x.client.upstreamDone)
 	status := balancer.StatusReset
-	lines := &x.toClient.splitter
-	last, resumed := false, false
+	splitter := &x.toClient.splitter
+	lastLineSeen, resumed := false, false
 	clock := x.frontend.Proxy.Clock
-	began := clock.Now()
+	start := clock.Now()
 	for {
-		data, err := upstream.reader.next()
+		data, err := upstream.reader.readAvailable()
 		now := clock.Now()
-		lines.feed(data, func(text []byte) {
+		splitter.feed(data, func(text []byte) {
 			switch kind, value := parseLine(text); kind {
 			case lineBye:
-				status, last = balancer.StatusOK, true
+				status, lastLineSeen = balancer.StatusOK, true
 			case lineMove:
-				status, last = balancer.StatusRedirected, true // it drains, whatever the endpoint list says
+				status, lastLineSeen = balancer.StatusRedirected, true // the endpoint drains; its listed state may lag
 			case lineLoad:
-				if x.frontend.reports.isDelay(x.frontend.Proxy.Settings(), upstream.endpoint, value, now, now-began) {
+				if x.frontend.reports.isDelay(x.frontend.Proxy.Settings(), upstream.endpoint, value, now, now-start) {
 					heartbeat.ReportDelay(time.Duration(value * float64(time.Millisecond)))
 				} else {
 					heartbeat.ReportLoad(value / microsecondsPerSecond)
@@ -116,12 +119,12 @@
 			}
 		})
 		if len(data) > 0 && x.client.write(data) != nil {
-			if last { // the client left at the endpoint's last line, while more was on its way
+			if lastLineSeen { // the client may close on reading it
 				return status
 			}
 			return balancer.StatusCancelled
 		}
-		if last {
+		if lastLineSeen {
 			x.client.noteLastLineWritten()
 		}
 		switch {
@@ -129,12 +132,12 @@
 		case !resumed && x.endedByPause(err):
 			x.toClient.stop(true)
 			select {
-			case <-x.resumed: // the other direction has ended, and this one is about to
+			case <-x.resumed: // the pause failed: continue until the endpoint closes
 				resumed = true
-			case <-ctx.Done(): // the request is handed off or migrated
+			case <-ctx.Done(): // handed off or migrated
 				return balancer.StatusCancelled
 			}
-		case ctx.Err() != nil: // migrated, or its heartbeat timed out: the client is notified later
+		case ctx.Err() != nil: // migrated, or heartbeat timeout: the proxy notifies the client
 			return listener.BrokenStatus(ctx, status)
 		default:
 			return x.endClient(err, status)
@@ -142,23 +145,22 @@
 	}
 }
 
-// relayToEndpoint reads from the client until its end, on a goroutine of its own that
-// serveExchange starts. Before the request is established, the client's end means that it
-// has left, and data from it is a protocol error: relayed, many commands at once would be
-// the endpoint's to sort out. From then on its data and its end are relayed. What comes
-// after that is read and discarded.
+// relayToEndpoint reads from the client until it closes, in a goroutine that serveExchange
+// starts. Before the request is established, a close by the client cancels the request, and
+// so does data from it, which is a protocol violation. From then on data and close are
+// relayed; data that the endpoint no longer accepts is discarded.
 func (x *exchange) relayToEndpoint(cancel func()) {
 	defer x.drainClient()
 	defer x.toEndpoint.stop(false)
 	_, err := x.client.reader.Peek(1)
 	var established establishedUpstream
 	if x.adopted {
-		established = <-x.established // the client was notified long ago, and may send before the upstream connection is here
+		established = <-x.established // its client may send at any time, even before Pipe
 	} else {
 		select {
-		case established = <-x.established: // sent before UP is written, and closed after any other answer
+		case established = <-x.established: // sent before UP is written, or closed after another answer
 		default:
-			x.clientSpokeEarly.Store(err == nil)
+			x.clientSentEarly.Store(err == nil)
 			cancel()
 		}
 	}
@@ -167,9 +169,9 @@
 			data, _ := x.client.reader.Peek(x.client.reader.Buffered())
 			x.toEndpoint.splitter.feed(data, func([]byte) { established.heartbeat.ClientSent() })
 			_, writeErr := established.conn.Write(data)
-			_, _ = x.client.reader.Discard(len(data)) // they are buffered
+			_, _ = x.client.reader.Discard(len(data)) // cannot fail: data is buffered
 			if writeErr != nil {
-				established.conn = nil // the other direction sees why
+				established.conn = nil // relayToClient handles the failed connection
 			}
 		}
 	}
@@ -185,12 +187,13 @@
 	}
 }
 
-// endClient ends the client's side as the endpoint's ended with err, unless the client has
-// left, and returns the outcome of the attempt.
+// endClient ends the client's connection the way the endpoint's has ended, unless the client
+// itself has closed it: after io.EOF it closes the relay's half, after any other error it
+// resets the connection. It returns the final status of the attempt.
 func (x *exchange) endClient(err error, status balancer.AttemptStatus) balancer.AttemptStatus {
 	switch {
 	case x.clientEnded.Load() && status == balancer.StatusReset:
-		return balancer.StatusCancelled // the client has left
+		return balancer.StatusCancelled
 	case errors.Is(err, io.EOF):
 		x.client.CloseWrite()
 	default:
@@ -199,15 +202,16 @@
 	return status
 }
 
-// BadRequest answers a request that makes no sense.
+// BadRequest sends ERR for an invalid request. The line carries no reason.
 func (x *exchange) BadRequest(string) { x.client.writeLastLine(errorLine) }
 
-// Reject answers that the request may safely be retried, after retryAfter if that is known.
+// Reject sends BUSY, which tells the client that it may safely retry the request, after
+// retryAfter if that is not 0.
 func (x *exchange) Reject(retryAfter time.Duration) { x.client.writeLastLine(busyLine(retryAfter)) }
 
-// Fail answers that the request has failed; whether it ran is not known.
+// Fail sends ERR: the request has failed, and an endpoint may have executed it.
 func (x *exchange) Fail() { x.client.writeLastLine(errorLine) }
 
-// Migrate asks the client to reconnect. It reports whether the client was asked: its
-// endpoint may have said the last line itself.
+// Migrate sends MOVE, which tells the client to reconnect. It reports false if the endpoint or
+// the relay has sent a last line before.
 func (x *exchange) Migrate() bool { return x.client.writeLastLine(migrateLine) }
--- a/internal/frontend/line/frontend.go
+++ b/internal/frontend/line/frontend.go
@@ -1,9 +1,9 @@
-// Package line implements the platform's line protocol: lines of text over TCP between
-// clients and the relay, and between the relay and application endpoints.
+// Package line implements the frontend for the platform's line protocol: lines of text over
+// TCP between clients and the relay, and between the relay and application endpoints.
 //
-// A client opens one request per connection. Once an endpoint has established it, the
-// package relays bytes in both directions as they arrive and only watches the lines that
-// pass. The words on the wire are defined by the platform and must not change.
+// A client opens one request per connection. Once an endpoint has established it, the package
+// forwards bytes unchanged in both directions as they arrive, and inspects the lines in them.
+// The platform defines the words of the protocol.
 package line
 
 import (
@@ -21,13 +21,13 @@
 )
 
 const (
-	// openingGracePeriod is how long a partly received opening may still take once the
-	// relay rejects all pending requests.
+	// openingGracePeriod is how long a client may take to complete its opening line once the
+	// relay rejects pending requests.
 	openingGracePeriod = 200 * time.Millisecond
-	// maxPings is how many PING lines a client may send before its opening.
+	// maxPings is how many PING lines a client may send before its opening line.
 	maxPings = 16
-	// evictionWriteTimeout bounds the write of the rejection to an evicted client. So short
-	// a line never blocks on a client that has been sent next to nothing.
+	// evictionWriteTimeout bounds the write of the BUSY line to an evicted client, whose send
+	// buffer is nearly empty.
 	evictionWriteTimeout = time.Millisecond
 )
 
@@ -39,24 +39,24 @@
 	pongLine  = "PONG\r\n"
 )
 
-// Frontend accepts client connections of the line protocol and serves their requests
-// through Proxy. Its exported fields are set before Serve and not changed afterwards; its
-// methods may be called from any goroutine.
+// Frontend accepts client connections of the line protocol and serves their requests through
+// Proxy. Its exported fields must be set before Serve is called and not be changed afterwards.
+// Its methods are safe for concurrent use.
 type Frontend struct {
 	Proxy   *proxy.Proxy          // selects endpoints and runs requests
-	Limiter *listener.ConnLimiter // bounds the connections that are served at a time
+	Limiter *listener.ConnLimiter // limits concurrent connections
 
 	reports reportClassifier
 }
 
-// Serve accepts clients until the listener is closed, then waits for the connections that
-// are open. It returns the listener's error. Cancelling ctx closes all connections at once.
+// Serve accepts clients until the listener is closed, then waits for the open connections to
+// end and returns the listener's error. Cancelling ctx closes all connections at once.
 func (f *Frontend) Serve(ctx context.Context, l net.Listener) error {
 	return listener.Serve(ctx, l, f.Limiter, f.serveClient)
 }
 
-// rejectEvicted rejects a client that has not sent its opening and whose connection is
-// needed for others.
+// rejectEvicted sends BUSY to a client that has not sent its opening line, and closes its
+// connection to make room for another.
 func rejectEvicted(conn *net.TCPConn) {
 	conn.SetWriteDeadline(time.Now().Add(evictionWriteTimeout))
 	io.WriteString(conn, busyLine(0))
@@ -64,15 +64,15 @@
 	conn.Close()
 }
 
-// serveClient serves one client's connection until it has ended. The limiter's goroutine
-// for this connection calls it.
+// serveClient serves a client's connection until it has ended. It is called in a goroutine of
+// its own for each connection.
 func (f *Frontend) serveClient(ctx context.Context, conn *net.TCPConn, admission *listener.Admission) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	client := newClientConn(conn)
 	defer client.Close()
 	admission.OnEvict(func() { rejectEvicted(conn) })
-	// The whole opening has to be there by then; nothing that comes before it extends the time.
+	// PING lines do not extend the time for the opening line.
 	client.SetReadDeadline(admission.IdleSince.Add(listener.OpeningTimeout))
 	stopShortening, shortened := f.shortenOpeningAtShutdown(client, admission)
 	defer stopShortening()
@@ -80,7 +80,7 @@
 	if !ok {
 		return
 	}
-	opened, request, ok := f.parseRequest(client, text)
+	opening, request, ok := f.parseRequest(client, text)
 	if !ok {
 		return
 	}
@@ -99,13 +99,14 @@
 	}
 	client.SetReadDeadline(time.Time{})
 	x := f.newExchange(client)
-	x.opening = opened
+	x.opening = opening
 	f.serveExchange(ctx, x, admission, request, func(ctx context.Context) { f.Proxy.Serve(ctx, request, x) })
 }
 
 // shortenOpeningAtShutdown shortens the read deadline to openingGracePeriod when the relay
-// shuts down, so that a client that writes its opening in pieces is still answered. stop
-// reports whether that is prevented; if not, shortened is closed once the deadline is set.
+// starts to reject pending requests, so that a client that has sent a part of its opening line
+// is answered in time. stop reports whether it has prevented that; if it returns false, shortened
+// is closed once the deadline has been set.
 func (f *Frontend) shortenOpeningAtShutdown(client *clientConn, admission *listener.Admission) (stop func() bool, shortened <-chan struct{}) {
 	done := make(chan struct{})
 	stop = context.AfterFunc(f.Proxy.RejectingPending(), func() {
@@ -117,9 +118,9 @@
 	return stop, done
 }
 
-// readOpening answers PING lines until the client sends another line, and returns that
-// line without its end. The line is valid until the next read. Where ok is false the
-// client has been answered if it could be.
+// readOpening answers PING lines until the client sends another line, and returns that line
+// without its line ending. The line is valid until the next read. If ok is false, the client
+// has been answered unless its connection failed.
 func (f *Frontend) readOpening(client *clientConn) (line []byte, ok bool) {
 	for pings := 0; ; pings++ {
 		text, err := client.reader.ReadSlice('\n')
@@ -130,7 +131,7 @@
 			return nil, false
 		}
 		if errors.Is(err, bufio.ErrBufferFull) || errors.Is(err, os.ErrDeadlineExceeded) || pings > maxPings {
-			f.rejectMalformed(client, "no opening has come in time, or one too long")
+			f.rejectMalformed(client, "opening line missing, too late, too long, or after too many PING lines")
 			return nil, false
 		}
 		if err != nil {
@@ -146,23 +147,24 @@
 	}
 }
 
-// parseRequest returns the opening that a line holds and the request that it makes. Where
-// ok is false the client has been answered.
-func (f *Frontend) parseRequest(client *clientConn, text []byte) (opened opening, request proxy.Request, ok bool) {
-	opened, err := parseOpening(string(text))
+// parseRequest parses an opening line and returns it with the request that it stands for. If ok
+// is false, the client has been answered.
+func (f *Frontend) parseRequest(client *clientConn, text []byte) (opening openingLine, request proxy.Request, ok bool) {
+	opening, err := parseOpening(string(text))
 	settings := f.Proxy.Settings()
-	class := settings.ClassIndex(opened.class)
+	class := settings.ClassIndex(opening.class)
 	if err != nil || class < 0 {
-		f.rejectMalformed(client, "an opening that can't be read, or of no known class")
-		return opened, request, false
+		f.rejectMalformed(client, "malformed opening line, or unknown class in it")
+		return opening, request, false
 	}
-	if !settings.AcceptsTenant(opened.tenant) {
-		f.rejectMalformed(client, "an opening of no known tenant")
-		return opened, request, false
+	if !settings.AcceptsTenant(opening.tenant) {
+		f.rejectMalformed(client, "unknown or missing tenant in the opening line")
+		return opening, request, false
 	}
-	return opened, f.newRequest(opened, settings, class), true
+	return opening, f.newRequest(opening, settings, class), true
 }
 
+// trimLineEnd removes the line ending, LF or CRLF.
 func trimLineEnd(text []byte) []byte {
 	text = text[:len(text)-1]
 	if n := len(text); n > 0 && text[n-1] == '\r' {
@@ -171,52 +173,55 @@
 	return text
 }
 
-// rejectMalformed answers a protocol error with one ERR line, and waits for the client's end.
-func (f *Frontend) rejectMalformed(client *clientConn, what string) {
-	f.Proxy.ProtocolError(frontendName, what)
+// rejectMalformed logs a protocol violation, answers it with an ERR line and waits for the
+// client to close the connection.
+func (f *Frontend) rejectMalformed(client *clientConn, violation string) {
+	f.Proxy.ProtocolError(frontendName, violation)
 	client.writeLastLine(errorLine)
 	go client.drain()
 	client.finish()
 }
 
-// reject answers a client that is over a limit. Its opening has been read: closing with it
-// unread would reset the connection, and lose the answer.
+// reject sends BUSY to a client whose request exceeds a limit, and waits for it to close the
+// connection. The opening line must have been read: a close with unread data would reset the
+// connection, and the client might lose the answer.
 func (f *Frontend) reject(ctx context.Context, client *clientConn, request proxy.Request, cause proxy.EndCause) {
 	client.writeLastLine(busyLine(f.Proxy.Reject(ctx, request, cause)))
 	go client.drain()
 	client.finish()
 }
 
-// newRequest returns the request that an opening makes. class is the index of its class.
-func (f *Frontend) newRequest(opened opening, settings *balancer.Settings, class int) proxy.Request {
+// newRequest returns the request that an opening line stands for. class is the index of its
+// class in the settings.
+func (f *Frontend) newRequest(opening openingLine, settings *balancer.Settings, class int) proxy.Request {
 	return proxy.Request{
-		Frontend: frontendName, Name: opened.id, Class: opened.class, Tenant: opened.tenant, EndpointName: opened.endpointName,
+		Frontend: frontendName, Name: opening.id, Class: opening.class, Tenant: opening.tenant, EndpointName: opening.endpointName,
 		RequestOptions: balancer.RequestOptions{
-			Settings: settings, Class: class, Item: opened.item, Group: opened.group, ExpectedLoad: opened.load, Returning: opened.returning,
-			Deadline: f.Proxy.Clock.Now() + opened.timeout, Established: opened.endpointName != "",
+			Settings: settings, Class: class, Item: opening.item, Group: opening.group, ExpectedLoad: opening.load, Returning: opening.returning,
+			Deadline: f.Proxy.Clock.Now() + opening.timeout, Established: opening.endpointName != "",
 		},
 	}
 }
 
-// serveExchange serves an admitted client until its connection has ended or another process
-// has taken it over. serve runs the request.
+// serveExchange serves an admitted client until its connection has ended or was handed off to
+// another process. serve runs the request.
 func (f *Frontend) serveExchange(ctx context.Context, x *exchange, admission *listener.Admission, request proxy.Request, serve func(context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	client := x.client
-	go x.relayToEndpoint(cancel) // ends with the client's own stream, for which finish waits below
+	go x.relayToEndpoint(cancel) // closes client.readDone at its end, which finish waits for
 	serve(ctx)
 	close(x.established)
 	if x.Resolve(false) {
-		return // another process serves it
+		return // handed off
 	}
-	if x.clientSpokeEarly.Load() {
-		f.Proxy.ProtocolError(frontendName, "a client goes on before its answer")
+	if x.clientSentEarly.Load() {
+		f.Proxy.ProtocolError(frontendName, "data from the client before the answer to its opening line")
 		if client.writeLastLine(errorLine) {
 			f.Proxy.Metrics.Class(request.Class).CountFailed()
 		}
 	}
-	client.CloseWrite() // nothing follows the last line, not even a rejection by eviction
+	client.CloseWrite() // so that an eviction cannot write a BUSY line after the last line
 	admission.Release()
 	client.finish()
 }
--- a/internal/frontend/line/parse.go
+++ b/internal/frontend/line/parse.go
@@ -16,8 +16,8 @@
 	maxReportedValue      = 1e12 // a reported load or delay is below this
 )
 
-// opening is the first line of a client: OPEN, its identifier, its key and a list of fields.
-type opening struct {
+// openingLine is the first line of a client: OPEN, its identifier, its key and a list of fields.
+type openingLine struct {
 	id           string
 	key          string // item in hexadecimal digits
 	class        string
@@ -36,62 +36,62 @@
 var errMalformedOpening = errors.New("the opening line makes no sense")
 
 // parseOpening parses an opening line without its end. It fails with errMalformedOpening.
-func parseOpening(text string) (opening, error) {
+func parseOpening(text string) (openingLine, error) {
 	words := strings.Split(text, " ")
 	if len(words) != 4 || words[0] != "OPEN" || words[1] == "" {
-		return opening{}, errMalformedOpening
+		return openingLine{}, errMalformedOpening
 	}
-	opened := opening{id: words[1], key: words[2]}
+	opening := openingLine{id: words[1], key: words[2]}
 	var err error
-	if opened.item, err = strconv.ParseUint(opened.key, 16, 64); err != nil {
-		return opening{}, errMalformedOpening
+	if opening.item, err = strconv.ParseUint(opening.key, 16, 64); err != nil {
+		return openingLine{}, errMalformedOpening
 	}
 	offset := len(text) - len(words[3])
 	for field := range strings.SplitSeq(words[3], ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return opening{}, errMalformedOpening
+			return openingLine{}, errMalformedOpening
 		}
 		switch name {
 		case "c":
-			opened.class = value
+			opening.class = value
 		case "t":
-			opened.tenant = value
+			opening.tenant = value
 		case "d":
 			milliseconds, timeoutErr := strconv.ParseUint(value, 10, 31)
-			if timeoutErr != nil || opened.beforeTimeout != "" {
-				return opening{}, errMalformedOpening
+			if timeoutErr != nil || opening.beforeTimeout != "" {
+				return openingLine{}, errMalformedOpening
 			}
-			opened.timeout = time.Duration(milliseconds) * time.Millisecond
-			opened.beforeTimeout, opened.afterTimeout = text[:offset+2], text[offset+2+len(value):]
+			opening.timeout = time.Duration(milliseconds) * time.Millisecond
+			opening.beforeTimeout, opening.afterTimeout = text[:offset+2], text[offset+2+len(value):]
 		case "g":
-			opened.group, err = strconv.ParseUint(value, 16, 64)
+			opening.group, err = strconv.ParseUint(value, 16, 64)
 		case "h":
 			var microseconds float64
 			microseconds, err = strconv.ParseFloat(value, 64)
 			if !(microseconds >= 0 && microseconds < maxReportedValue) {
-				return opening{}, errMalformedOpening
+				return openingLine{}, errMalformedOpening
 			}
-			opened.load = microseconds / microsecondsPerSecond
+			opening.load = microseconds / microsecondsPerSecond
 		case "again":
-			opened.returning = value == "1"
+			opening.returning = value == "1"
 		case "at":
-			opened.endpointName = value
+			opening.endpointName = value
 		}
 		if err != nil {
-			return opening{}, errMalformedOpening
+			return openingLine{}, errMalformedOpening
 		}
 		offset += len(field) + 1
 	}
-	if opened.class == "" || opened.beforeTimeout == "" {
-		return opening{}, errMalformedOpening
+	if opening.class == "" || opening.beforeTimeout == "" {
+		return openingLine{}, errMalformedOpening
 	}
-	return opened, nil
+	return opening, nil
 }
 
 // withTimeout returns the line, with its end, that an endpoint is sent: the client's own but
 // for the time that the relay waits, which is at least a millisecond.
-func (o opening) withTimeout(timeout time.Duration) []byte {
+func (o openingLine) withTimeout(timeout time.Duration) []byte {
 	return append(strconv.AppendInt([]byte(o.beforeTimeout), max(1, timeout.Milliseconds()), 10), o.afterTimeout+"\r\n"...)
 }
 
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -13,25 +13,25 @@
 const sampleOpening = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
 
 func TestParseOpening(t *testing.T) {
-	opened, err := parseOpening(sampleOpening + ",again=1,h=12500,at=s-5be2a07c,new=d=7")
+	opening, err := parseOpening(sampleOpening + ",again=1,h=12500,at=s-5be2a07c,new=d=7")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if opened.id != "9b1f03aa5c7e2d41" || opened.item != 0x7f3a9c21e0b4d655 || opened.class != "chat" || opened.timeout != 2*time.Second ||
-		opened.group != 0x5c0f6e1a2b3d4c59 || !opened.returning || opened.load != 0.0125 || opened.endpointName != "s-5be2a07c" {
-		t.Errorf("read as %+v", opened)
+	if opening.id != "9b1f03aa5c7e2d41" || opening.item != 0x7f3a9c21e0b4d655 || opening.class != "chat" || opening.timeout != 2*time.Second ||
+		opening.group != 0x5c0f6e1a2b3d4c59 || !opening.returning || opening.load != 0.0125 || opening.endpointName != "s-5be2a07c" {
+		t.Errorf("read as %+v", opening)
 	}
 }
 
 // The platform voids a run in which an endpoint is sent a form that no client sent.
 func TestOnlyTimeoutIsRewritten(t *testing.T) {
 	for _, tail := range []string{"", ",x=", ",d2=7,=", ",h=1e3,again=1", ",g=0,r=1,at=s-d=9"} {
-		opened, err := parseOpening(sampleOpening + tail)
+		opening, err := parseOpening(sampleOpening + tail)
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := strings.Replace(sampleOpening, "d=2000", "d=731", 1) + tail + "\r\n"
-		if got := string(opened.withTimeout(731500 * time.Microsecond)); got != want {
+		if got := string(opening.withTimeout(731500 * time.Microsecond)); got != want {
 			t.Errorf("got  %q\nwant %q", got, want)
 		}
 	}
@@ -43,8 +43,8 @@
 		"OPEN 1 2 c=x,d=-1", "OPEN 1 2 c=x,d=99999999999", "OPEN 1 2 c=x,d=1,d=2", "OPEN 1 2 c=x,d=1,g=zz",
 		"OPEN 1 2 c=x,d=1,h=NaN", "OPEN 1 2 c=x,d=1,odd", "OPEN 1 2 c=x,d=1 more", "OPEN  2 c=x,d=1",
 	} {
-		if opened, err := parseOpening(text); err == nil {
-			t.Errorf("%q was read as %+v", text, opened)
+		if opening, err := parseOpening(text); err == nil {
+			t.Errorf("%q was read as %+v", text, opening)
 		}
 	}
 }
@@ -65,16 +65,16 @@
 	f.Add(sampleOpening + ",again=1,h=12500,at=s-5be2a07c")
 	f.Add("OPEN 1 2 d=5,c=,c=x,d")
 	f.Fuzz(func(t *testing.T, text string) {
-		opened, err := parseOpening(text)
+		opening, err := parseOpening(text)
 		if err != nil {
 			return
 		}
-		if !strings.HasPrefix(text, opened.beforeTimeout) || !strings.HasSuffix(text, opened.afterTimeout) {
-			t.Fatalf("%q was cut to %q and %q", text, opened.beforeTimeout, opened.afterTimeout)
+		if !strings.HasPrefix(text, opening.beforeTimeout) || !strings.HasSuffix(text, opening.afterTimeout) {
+			t.Fatalf("%q was cut to %q and %q", text, opening.beforeTimeout, opening.afterTimeout)
 		}
-		value := text[len(opened.beforeTimeout) : len(text)-len(opened.afterTimeout)]
-		if milliseconds, err := strconv.Atoi(value); err != nil || time.Duration(milliseconds)*time.Millisecond != opened.timeout {
-			t.Errorf("%q has %q cut out for a timeout of %v", text, value, opened.timeout)
+		value := text[len(opening.beforeTimeout) : len(text)-len(opening.afterTimeout)]
+		if milliseconds, err := strconv.Atoi(value); err != nil || time.Duration(milliseconds)*time.Millisecond != opening.timeout {
+			t.Errorf("%q has %q cut out for a timeout of %v", text, value, opening.timeout)
 		}
 	})
 }
--- a/internal/frontend/line/reader.go
+++ b/internal/frontend/line/reader.go
@@ -81,9 +81,9 @@
 	return err
 }
 
-// line returns the next line with its end, which is valid until the next call. It fails with
-// bufio.ErrBufferFull if the line is longer than maxLineBytes, and otherwise as a read does.
-func (r *reader) line() ([]byte, error) {
+// readLine returns the next readLine with its end, which is valid until the next call. It fails with
+// bufio.ErrBufferFull if the readLine is longer than maxLineBytes, and otherwise as a read does.
+func (r *reader) readLine() ([]byte, error) {
 	for searched := 0; ; {
 		if r.buffer != nil {
 			if newline := bytes.IndexByte(r.buffer[r.start+searched:r.end], '\n'); newline >= 0 {
@@ -99,9 +99,9 @@
 	}
 }
 
-// next returns all that is buffered, or else what the next read returns: at least a byte,
-// valid until the next call.
-func (r *reader) next() ([]byte, error) {
+// readAvailable returns all that is buffered, or else what the readAvailable read returns: at least a byte,
+// valid until the readAvailable call.
+func (r *reader) readAvailable() ([]byte, error) {
 	if r.start == r.end {
 		if err := r.fill(); err != nil {
 			return nil, err
--- a/internal/frontend/line/reader_test.go
+++ b/internal/frontend/line/reader_test.go
@@ -18,7 +18,7 @@
 // readAll reads until the end.
 func readAll(r *reader) (all []byte, err error) {
 	for {
-		data, err := r.next()
+		data, err := r.readAvailable()
 		if all = append(all, data...); errors.Is(err, io.EOF) {
 			return all, nil
 		}
@@ -40,7 +40,7 @@
 			far.CloseWrite()
 		}()
 		for _, want := range []string{"one\r\n", "two\n"} {
-			if got, err := r.line(); err != nil || string(got) != want {
+			if got, err := r.readLine(); err != nil || string(got) != want {
 				t.Fatalf("cut at %d: %q, %v, want %q", cut, got, err, want)
 			}
 		}
@@ -54,26 +54,26 @@
 	near, far := connectionPair(t)
 	r := newReader(near)
 	near.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-	if _, err := r.next(); !errors.Is(err, os.ErrDeadlineExceeded) || r.buffer != nil {
+	if _, err := r.readAvailable(); !errors.Is(err, os.ErrDeadlineExceeded) || r.buffer != nil {
 		t.Errorf("%v, holding %v", err, r.buffer != nil)
 	}
 	near.SetReadDeadline(time.Time{})
 	for range 2 { // what does not end within maxLineBytes is no line, and stays buffered
 		io.WriteString(far, strings.Repeat("x", maxLineBytes))
-		if _, err := r.line(); !errors.Is(err, bufio.ErrBufferFull) || r.buffered() != maxLineBytes {
+		if _, err := r.readLine(); !errors.Is(err, bufio.ErrBufferFull) || r.buffered() != maxLineBytes {
 			t.Errorf("%v, %d buffered", err, r.buffered())
 		}
-		if data, err := r.next(); err != nil || len(data) != maxLineBytes {
+		if data, err := r.readAvailable(); err != nil || len(data) != maxLineBytes {
 			t.Errorf("%d bytes, %v", len(data), err)
 		}
 	}
 	far.SetLinger(0)
 	far.Close()
-	if _, err := r.next(); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := r.readAvailable(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("a reset is returned as %v", err)
 	}
 	near.Close()
-	if _, err := r.next(); !errors.Is(err, net.ErrClosed) {
+	if _, err := r.readAvailable(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("a close of this end is returned as %v", err)
 	}
 }
@@ -100,12 +100,12 @@
 			var err error
 			switch source.Pick(2) {
 			case 0:
-				data, err = r.line()
+				data, err = r.readLine()
 				if errors.Is(err, bufio.ErrBufferFull) {
-					data, err = r.next()
+					data, err = r.readAvailable()
 				}
 			case 1:
-				data, err = r.next()
+				data, err = r.readAvailable()
 			}
 			got = append(got, data...)
 			if err != nil {
--- a/internal/frontend/line/reports.go
+++ b/internal/frontend/line/reports.go
@@ -22,11 +22,11 @@
 	timingLifetime      = 30 * time.Second      // timing without a report for this long is forgotten
 	timingShiftTimeout  = 5 * time.Second       // timing without a report for this long may have shifted
 	newConnectionPeriod = 60 * time.Millisecond // reports on a connection as young as this are loads
-	certainDelayBelow   = 100.0                 // a smaller value is a delay: even an idle connection's load is more, in microseconds per second
+	minLoad             = 100.0                 // a smaller value is a delay: even an idle connection's load is more, in microseconds per second
 	maxDelay            = 30_000.0              // milliseconds; a greater value is a load
-	maxGuessChange      = 1100.0                // milliseconds by which a guessed delay may change from one report to the next
+	maxCandidateChange  = 1100.0                // milliseconds by which a guessed delay may change from one report to the next
 	maxDelayGrowth      = 2000.0                // milliseconds by which a known delay may grow per second
-	maxGuesses          = 8                     // guesses kept of an endpoint
+	maxCandidates       = 8                     // guesses kept of an endpoint
 )
 
 // reportClassifier distinguishes delays from loads. Any goroutine may call its methods.
@@ -38,13 +38,13 @@
 // endpointReports is what is known of an endpoint's reports.
 type endpointReports struct {
 	ReportTiming
-	guesses []guess // of the last second
+	candidates []candidate // of the last second
 }
 
-// guess is a value that is a delay if a similar one follows after exactly an interval. An
+// candidate is a value that is a delay if a similar one follows after exactly an interval. An
 // idle connection's load can be as small as the delay of a slow endpoint, and taken for one
 // it migrates all connections of a healthy endpoint.
-type guess struct {
+type candidate struct {
 	at    time.Duration // on the proxy's clock
 	value float64
 }
@@ -106,37 +106,37 @@
 		r.byEndpoint[endpoint] = reports
 	}
 	switch {
-	case reports.continuedBy(value, now):
+	case reports.isNextDelay(value, now):
 	case reports.OnTimeCount > 1 && now-reports.LastAt < timingShiftTimeout:
 		return false
-	case value < certainDelayBelow:
+	case value < minLoad:
 		reports.OnTimeCount = 0
-	case reports.followsGuess(value, now):
+	case reports.followsCandidate(value, now):
 	default:
-		if len(reports.guesses) == maxGuesses {
-			reports.guesses = slices.Delete(reports.guesses, 0, 1)
+		if len(reports.candidates) == maxCandidates {
+			reports.candidates = slices.Delete(reports.candidates, 0, 1)
 		}
-		reports.guesses = append(reports.guesses, guess{at: now, value: value})
+		reports.candidates = append(reports.candidates, candidate{at: now, value: value})
 		return false
 	}
 	reports.ReportTiming = ReportTiming{LastAt: now, LastDelay: value, OnTimeCount: reports.OnTimeCount + 1}
-	reports.guesses = nil
+	reports.candidates = nil
 	return true
 }
 
-// continuedBy reports whether a value comes exactly some intervals after the last delay, and
+// isNextDelay reports whether a value comes exactly some intervals after the last delay, and
 // is not too much greater. A load that came at such a time by chance was taken for a delay of
 // 24 s, which migrated a healthy endpoint's connections: no delay grows that fast.
-func (e *endpointReports) continuedBy(value float64, now time.Duration) bool {
+func (e *endpointReports) isNextDelay(value float64, now time.Duration) bool {
 	gap := now - e.LastAt
 	offset := min(gap%reportInterval, reportInterval-gap%reportInterval)
 	return e.OnTimeCount > 0 && gap >= reportInterval-reportTolerance && offset <= reportTolerance &&
 		value <= e.LastDelay+maxDelayGrowth*(gap+reportTolerance).Seconds()
 }
 
-// followsGuess reports whether a value follows a similar one after exactly an interval.
-func (e *endpointReports) followsGuess(value float64, now time.Duration) bool {
-	return slices.ContainsFunc(e.guesses, func(g guess) bool {
-		return (now-g.at-reportInterval).Abs() <= reportTolerance && math.Abs(value-g.value) <= maxGuessChange
+// followsCandidate reports whether a value follows a similar one after exactly an interval.
+func (e *endpointReports) followsCandidate(value float64, now time.Duration) bool {
+	return slices.ContainsFunc(e.candidates, func(g candidate) bool {
+		return (now-g.at-reportInterval).Abs() <= reportTolerance && math.Abs(value-g.value) <= maxCandidateChange
 	})
 }
--- a/internal/frontend/line/upstream.go
+++ b/internal/frontend/line/upstream.go
@@ -67,7 +67,7 @@
 		return listener.NotSentStatus(ctx) // an endpoint runs nothing of an incomplete line
 	}
 	x.frontend.Proxy.Metrics.Attempts.Add(1)
-	text, err := upstream.reader.line()
+	text, err := upstream.reader.readLine()
 	if err != nil {
 		return listener.BrokenStatus(ctx, balancer.StatusReset)
 	}
