--- a/internal/frontend/line/handoff.go
+++ b/internal/frontend/line/handoff.go
@@ -14,24 +14,23 @@
 	"lockroad/internal/proxy"
 )
 
-// This file hands an established request off from one process of a relay to the next: its
-// two sockets, and the incomplete lines on them.
+// This file hands an established request off from one process of a relay to the next: both
+// sockets, and the state of the lines that are incomplete on them.
 
-// pauseTimeout is how long both directions may take to pause between two reads.
+// pauseTimeout is how long Pause waits until both directions have paused.
 const pauseTimeout = 300 * time.Millisecond
 
-// pastDeadline is a read deadline that ends a read at once.
+// pastDeadline is a read deadline that interrupts a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// endedByPause reports whether a read was ended to pause the exchange, now or shortly before:
-// the deadline may be seen late, after the exchange has been resumed, and was then taken for
-// the endpoint's end, which reset the client's connection.
+// endedByPause reports whether Pause has interrupted the read that returned err. It holds after
+// a failed pause too: a read that sees the deadline late must not be taken for the endpoint's end.
 func (x *exchange) endedByPause(err error) bool {
 	return x.pausing.Load() && errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Resolve records whether another process serves the request from now on. Only the first
-// call counts, and Resolve returns what that said.
+// Resolve ends a pause and records whether another process serves the request from now on.
+// Only the first call has an effect; later ones return its argument.
 func (x *exchange) Resolve(handedOff bool) bool {
 	x.resolveOnce.Do(func() {
 		x.handedOff = handedOff
@@ -40,15 +39,14 @@
 		client.lastLineWritten = client.lastLineWritten || handedOff
 		client.mu.Unlock()
 		if x.pausing.Load() && !handedOff {
-			client.SetReadDeadline(time.Time{}) // the client's end is read again
+			client.SetReadDeadline(time.Time{}) // drainClient reads from the client again
 		}
 		close(x.resolved)
 	})
 	return x.handedOff
 }
 
-// drainClient discards what the client still sends after its last line, unless another
-// process serves it by then.
+// drainClient discards what the client still sends, unless the request was handed off.
 func (x *exchange) drainClient() {
 	if x.pausing.Load() {
 		if <-x.resolved; x.handedOff {
@@ -59,33 +57,33 @@
 	x.client.drain()
 }
 
-// partialLine is the encoded form of a line that has not ended yet.
+// partialLine is the encoded state of a lineSplitter in the middle of a line.
 type partialLine struct {
 	Text    []byte `json:"Text,omitempty"`
 	TooLong bool   `json:"Long,omitempty"`
 }
 
-// partialLine returns the line that has not ended yet.
+// partialLine returns the encoded state of the splitter.
 func (s *lineSplitter) partialLine() partialLine {
 	return partialLine{Text: s.partial, TooLong: s.tooLong}
 }
 
-// splitter returns a splitter that goes on within the line.
+// splitter returns a splitter that continues in the middle of the line.
 func (p partialLine) splitter() lineSplitter {
 	return lineSplitter{partial: p.Text, tooLong: p.TooLong}
 }
 
-// connectionState is what the next process needs beside the sockets. Its encoding is part
-// of the messages between two processes: the tags must not change.
+// connectionState is what the next process needs besides the sockets. It is sent as JSON between
+// two processes of a relay, so that its tags must not change.
 type connectionState struct {
-	MidLine    bool        `json:"Mid"` // a line to the client is partly written
+	MidLine    bool        `json:"Mid"` // a line was partly written to the client
 	ToEndpoint partialLine `json:"Up"`
 	ToClient   partialLine `json:"Down"`
 }
 
-// Pause stops both directions between two reads, and returns the state and the sockets that
-// the next process needs: the client's, then the endpoint's. If that fails, the exchange goes
-// on by itself. Nothing is written to the client until Resolve.
+// Pause stops both directions between two reads, and returns the connectionState and the sockets
+// that the next process needs: the client's, then the endpoint's. After that nothing is written
+// to the client until Resolve. If Pause fails, the exchange continues.
 func (x *exchange) Pause() (state any, sockets []syscall.Conn, ok bool) {
 	defer func() {
 		if !ok {
@@ -102,7 +100,7 @@
 	}
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	if client.lastLineWritten { // the endpoint has sent its last line
+	if client.lastLineWritten { // the request is about to end
 		return nil, nil, false
 	}
 	client.writeHold = x.resolved
@@ -113,10 +111,10 @@
 	}, []syscall.Conn{client.TCPConn, x.upstream.TCPConn}, true
 }
 
-// resumeUpstream relays the endpoint's data again after a pause that failed. A client that has
-// just ended its half would otherwise be migrated while its endpoint's last line is on its way.
+// resumeUpstream resumes relaying from the endpoint after a failed pause, so that a client that
+// has just closed its half receives its endpoint's last line.
 func (x *exchange) resumeUpstream() {
-	x.client.SetReadDeadline(time.Time{}) // what it sends after its last line is read to its end
+	x.client.SetReadDeadline(time.Time{}) // drainClient may have to read to the client's end
 	var deadline time.Time
 	if x.clientEnded.Load() {
 		deadline = time.Now().Add(endpointCloseTimeout)
@@ -125,31 +123,31 @@
 	close(x.resumed)
 }
 
-// ReportTimings returns what is known of the times at which endpoints report delays. Any
-// goroutine may call it.
+// ReportTimings returns the timing of every endpoint that has reported a delay. It is safe for
+// concurrent use.
 func (f *Frontend) ReportTimings() map[balancer.EndpointID]ReportTiming { return f.reports.snapshot() }
 
-// RestoreReportTiming restores what another process knew of the times at which an endpoint reports
-// delays. Any goroutine may call it.
+// RestoreReportTiming sets an endpoint's timing, which another process has recorded. It is safe
+// for concurrent use.
 func (f *Frontend) RestoreReportTiming(id balancer.EndpointID, timing ReportTiming) {
 	f.reports.restore(id, timing)
 }
 
-// Adopt prepares to serve a request that another process of this relay has handed off, with
-// the sockets that Pause returned there. The function that it returns serves the request to
-// its end; the caller runs it on a goroutine of its own.
+// Adopt prepares to serve a request that another process of this relay has handed off, with the
+// sockets that Pause returned there. The returned function serves the request until it ends; the
+// caller runs it in a goroutine of its own.
 func (f *Frontend) Adopt(ctx context.Context, request *proxy.EstablishedRequest, sockets []net.Conn) (serve func(), err error) {
 	var state connectionState
 	if err := json.Unmarshal(request.FrontendState, &state); err != nil {
 		return nil, err
 	}
 	if len(sockets) != 2 {
-		return nil, errors.New("a handed-off request has two sockets")
+		return nil, errors.New("adopt request: expected two sockets, of the client and of the endpoint")
 	}
 	conn, ok := sockets[0].(*net.TCPConn)
-	endpoint, endpointOK := sockets[1].(*net.TCPConn)
+	endpointConn, endpointOK := sockets[1].(*net.TCPConn)
 	if !ok || !endpointOK {
-		return nil, errors.New("the sockets are not TCP connections")
+		return nil, errors.New("adopt request: a socket is not a TCP connection")
 	}
 	client := newClientConn(conn)
 	client.midLine = state.MidLine
@@ -161,14 +159,14 @@
 		Settings: settings, Class: settings.ClassIndex(request.Class), Item: request.Item, Group: request.Group, ExpectedLoad: request.Load, Returning: request.Returning,
 	}}
 	id, _ := f.Proxy.Endpoints.Lookup(request.Endpoint)
-	upstream := newUpstreamConn(endpoint, id)
+	upstream := newUpstreamConn(endpointConn, id)
 	return func() {
-		adopted := f.Limiter.Adopt(func(admission *listener.Admission) {
+		admitted := f.Limiter.Adopt(func(admission *listener.Admission) {
 			defer client.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
 			f.serveExchange(ctx, x, admission, adoptedRequest, func(ctx context.Context) { f.Proxy.Adopt(ctx, request, adoptedRequest, x, upstream) })
 		})
-		if !adopted { // this process is shutting down itself
+		if !admitted { // this process is shutting down too
 			client.writeLastLine(migrateLine)
 			upstream.Close()
 			client.Close()
--- a/internal/frontend/line/parse.go
+++ b/internal/frontend/line/parse.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// maxLineBytes is the longest line allowed, including its end.
+// maxLineBytes is the maximum length of a line, including its line ending.
 const maxLineBytes = 4 << 10
 
 const (
 	microsecondsPerSecond = 1e6
-	maxReportedValue      = 1e12 // a reported load or delay is below this
+	maxReportedValue      = 1e12 // loads and delays on the wire must be below it
 )
 
-// openingLine is the first line of a client: OPEN, its identifier, its key and a list of fields.
+// openingLine is a parsed opening line: OPEN, an identifier, a key and a list of fields.
 type openingLine struct {
 	id           string
-	key          string // item in hexadecimal digits
+	key          string // the item in hexadecimal, as on the wire
 	class        string
-	tenant       string // "" if the client names none
+	tenant       string // "" if the line names none
 	timeout      time.Duration
 	group        uint64
 	item         uint64
-	load         float64 // seconds of work per second; 0 if not known
-	returning    bool    // migrated or broken before
-	endpointName string  // the endpoint that has it open; "" if none
+	load         float64 // expected load, in seconds of work per second; 0 if not known
+	returning    bool    // the client reconnects after a migration or a broken connection
+	endpointName string  // the endpoint at which the request is open; "" if none
 
-	beforeTimeout, afterTimeout string // the line's text around the value of field d
+	beforeTimeout, afterTimeout string // the line before and after the value of its field d
 }
 
-// errMalformedOpening is returned for a line that is not an opening.
-var errMalformedOpening = errors.New("the opening line makes no sense")
+// errMalformedOpening is the error of parseOpening.
+var errMalformedOpening = errors.New("malformed opening line")
 
-// parseOpening parses an opening line without its end. It fails with errMalformedOpening.
+// parseOpening parses an opening line without its line ending.
 func parseOpening(text string) (openingLine, error) {
 	words := strings.Split(text, " ")
 	if len(words) != 4 || words[0] != "OPEN" || words[1] == "" {
@@ -89,13 +89,13 @@
 	return opening, nil
 }
 
-// withTimeout returns the line, with its end, that an endpoint is sent: the client's own but
-// for the time that the relay waits, which is at least a millisecond.
+// withTimeout returns the opening line that is sent to an endpoint, with its line ending. It is
+// the client's line, with field d replaced by timeout in milliseconds, at least 1.
 func (o openingLine) withTimeout(timeout time.Duration) []byte {
 	return append(strconv.AppendInt([]byte(o.beforeTimeout), max(1, timeout.Milliseconds()), 10), o.afterTimeout+"\r\n"...)
 }
 
-// busyLine returns the rejection, with the retry-after in milliseconds if it is known.
+// busyLine returns a BUSY line. It includes retryAfter in milliseconds unless that is less than 1.
 func busyLine(retryAfter time.Duration) string {
 	if retryAfter < time.Millisecond {
 		return "BUSY\r\n"
@@ -103,7 +103,7 @@
 	return "BUSY " + strconv.FormatInt(retryAfter.Milliseconds(), 10) + "\r\n"
 }
 
-// lineKind is what a line from an endpoint means to the relay.
+// lineKind is the kind of a line from an endpoint.
 type lineKind uint8
 
 const (
@@ -116,8 +116,8 @@
 	lineLoad
 )
 
-// parseLine returns the kind of a line from an endpoint, with or without its end, and the
-// value of a LOAD line.
+// parseLine returns the kind of a line from an endpoint, which may include its line ending, and
+// the value of a LOAD line.
 func parseLine(text []byte) (lineKind, float64) {
 	text = bytes.TrimRight(text, "\r\n")
 	name, rest, _ := bytes.Cut(text, []byte{' '})
@@ -140,15 +140,16 @@
 	return lineOther, 0
 }
 
-// lineSplitter splits a stream into lines as it is relayed.
+// lineSplitter splits a stream into lines while it is relayed. The zero value is ready for use.
 type lineSplitter struct {
-	partial []byte // the line that has not ended yet; its beginning if it is too long
-	tooLong bool   // the line is over maxLineBytes
+	partial []byte // the current, incomplete line; only a prefix if it is too long
+	tooLong bool   // the current line is longer than maxLineBytes
 }
 
-// feed takes the next bytes of the stream and calls line for each line that ends in them,
-// with its end. The line is valid during the call. Lines that are too long are skipped.
-func (s *lineSplitter) feed(data []byte, line func([]byte)) {
+// feed takes the next bytes of the stream and calls handleLine for each line that ends in them,
+// including its line ending. A line is valid during the call. Lines that are longer than
+// maxLineBytes are skipped.
+func (s *lineSplitter) feed(data []byte, handleLine func([]byte)) {
 	for len(data) > 0 {
 		newline := bytes.IndexByte(data, '\n')
 		if newline < 0 {
@@ -156,12 +157,13 @@
 			return
 		}
 		if s.appendPartial(data[:newline+1]); !s.tooLong {
-			line(s.partial)
+			handleLine(s.partial)
 		}
 		s.partial, s.tooLong, data = s.partial[:0], false, data[newline+1:]
 	}
 }
 
+// appendPartial appends data to the current line, or marks the line as too long.
 func (s *lineSplitter) appendPartial(data []byte) {
 	if s.tooLong = s.tooLong || len(s.partial)+len(data) > maxLineBytes; !s.tooLong {
 		s.partial = append(s.partial, data...)
--- a/internal/frontend/line/reader.go
+++ b/internal/frontend/line/reader.go
@@ -9,17 +9,17 @@
 	"syscall"
 )
 
-// bufferPool holds the buffers of readers that have nothing buffered.
+// bufferPool holds buffers that no reader uses at the moment.
 var bufferPool = sync.Pool{New: func() any { return new([maxLineBytes]byte) }}
 
-// reader reads a connection. It holds a buffer only while bytes are buffered: a read that
-// waits, as nearly all do with ten thousand established connections, holds none. One
-// goroutine at a time uses it.
+// reader reads lines and data from a connection. It holds a buffer only while bytes are buffered,
+// so that idle connections, of which there may be ten thousand, hold none. It must not be used
+// concurrently.
 type reader struct {
 	raw        syscall.RawConn
 	buffer     *[maxLineBytes]byte // nil while nothing is buffered
-	start, end int                 // the buffered bytes
-	rawErr     error               // of obtaining raw; every read returns it
+	start, end int                 // range of the buffered bytes in buffer
+	rawErr     error               // error from obtaining raw, which every read returns
 }
 
 func newReader(conn *net.TCPConn) *reader {
@@ -27,7 +27,7 @@
 	return &reader{raw: raw, rawErr: err}
 }
 
-// releaseBuffer returns an empty buffer to the pool.
+// releaseBuffer returns the buffer to the pool if nothing is buffered.
 func (r *reader) releaseBuffer() {
 	if r.buffer != nil && r.start == r.end {
 		bufferPool.Put(r.buffer)
@@ -35,8 +35,8 @@
 	}
 }
 
-// fill waits for more bytes and appends them to the buffer. It fails with bufio.ErrBufferFull
-// if there is no room, and otherwise as a read does.
+// fill waits for more bytes and appends them to the buffer. It returns bufio.ErrBufferFull if the
+// buffer has no room, and otherwise the error of the read.
 func (r *reader) fill() error {
 	if r.rawErr != nil {
 		return r.rawErr
@@ -81,8 +81,8 @@
 	return err
 }
 
-// readLine returns the next readLine with its end, which is valid until the next call. It fails with
-// bufio.ErrBufferFull if the readLine is longer than maxLineBytes, and otherwise as a read does.
+// readLine returns the next line, including its line ending, which is valid until the next call.
+// It returns bufio.ErrBufferFull if the line is longer than maxLineBytes.
 func (r *reader) readLine() ([]byte, error) {
 	for searched := 0; ; {
 		if r.buffer != nil {
@@ -99,8 +99,8 @@
 	}
 }
 
-// readAvailable returns all that is buffered, or else what the readAvailable read returns: at least a byte,
-// valid until the readAvailable call.
+// readAvailable returns the buffered bytes or, if there are none, waits for the next read. It
+// returns at least one byte or an error. The bytes are valid until the next call.
 func (r *reader) readAvailable() ([]byte, error) {
 	if r.start == r.end {
 		if err := r.fill(); err != nil {
@@ -112,5 +112,5 @@
 	return data, nil
 }
 
-// buffered returns the number of bytes that were read from the connection and not returned.
+// buffered returns the number of buffered bytes.
 func (r *reader) buffered() int { return r.end - r.start }
--- a/internal/frontend/line/reports.go
+++ b/internal/frontend/line/reports.go
@@ -9,50 +9,49 @@
 	"lockroad/balancer"
 )
 
-// Endpoints report two things by LOAD lines: the load of the connection that the line comes
-// on, in microseconds of work per second, and, on one connection of the relay, the
-// milliseconds that a message takes while that is long. The settings say whether endpoints
-// report one, the other or both. Where both, nothing on the line distinguishes them: the
-// operators' pages have no other word for it. Taken for loads, delays leave the balancer blind
-// to slow endpoints. What distinguishes them is that an endpoint reports delays at exact
-// intervals of a second, and that their values are small.
+// LOAD lines carry two kinds of values: the load of the connection that they come on, in
+// microseconds of work per second, and, on one of the relay's connections and only while it is
+// long, the endpoint's message delay in milliseconds. The settings say which of them endpoints
+// report. If they report both, the lines look alike; but delays come at exact intervals of a
+// second and are small. A delay that is taken for a load hides a slow endpoint from the balancer,
+// and a load that is taken for a delay makes the balancer migrate a healthy endpoint's connections.
 const (
 	reportInterval      = time.Second
-	reportTolerance     = 12 * time.Millisecond // a report may be early or late by this
-	timingLifetime      = 30 * time.Second      // timing without a report for this long is forgotten
-	timingShiftTimeout  = 5 * time.Second       // timing without a report for this long may have shifted
-	newConnectionPeriod = 60 * time.Millisecond // reports on a connection as young as this are loads
-	minLoad             = 100.0                 // a smaller value is a delay: even an idle connection's load is more, in microseconds per second
-	maxDelay            = 30_000.0              // milliseconds; a greater value is a load
-	maxCandidateChange  = 1100.0                // milliseconds by which a guessed delay may change from one report to the next
-	maxDelayGrowth      = 2000.0                // milliseconds by which a known delay may grow per second
-	maxCandidates       = 8                     // guesses kept of an endpoint
+	reportTolerance     = 12 * time.Millisecond // by which a delay may come early or late
+	timingLifetime      = 30 * time.Second      // after this long without a delay, its timing is forgotten
+	timingShiftTimeout  = 5 * time.Second       // after this long without a delay, the next may come at another time
+	newConnectionPeriod = 60 * time.Millisecond // values on a connection younger than this are loads
+	minLoad             = 100.0                 // microseconds per second; no load is so small
+	maxDelay            = 30_000.0              // milliseconds; a value from here on is a load
+	maxCandidateChange  = 1100.0                // milliseconds; difference between two candidates that may be delays
+	maxDelayGrowth      = 2000.0                // milliseconds per second; growth between two consecutive delays
+	maxCandidates       = 8                     // per endpoint
 )
 
-// reportClassifier distinguishes delays from loads. Any goroutine may call its methods.
+// reportClassifier distinguishes delays from loads in LOAD lines. It is safe for concurrent use.
 type reportClassifier struct {
-	mu         sync.Mutex // guards byEndpoint and what it holds
+	mu         sync.Mutex // guards byEndpoint and its values
 	byEndpoint map[balancer.EndpointID]*endpointReports
 }
 
-// endpointReports is what is known of an endpoint's reports.
+// endpointReports is the state of the classifier for one endpoint.
 type endpointReports struct {
 	ReportTiming
-	candidates []candidate // of the last second
+	candidates []candidate // values since the last delay, oldest first
 }
 
-// candidate is a value that is a delay if a similar one follows after exactly an interval. An
-// idle connection's load can be as small as the delay of a slow endpoint, and taken for one
-// it migrates all connections of a healthy endpoint.
+// candidate is a value that may be a load or a delay. Its kind stays open because an idle
+// connection's load can be as small as a slow endpoint's delay; a similar value after exactly
+// one interval shows that the endpoint reports delays.
 type candidate struct {
-	at    time.Duration // on the proxy's clock
+	at    time.Duration // time on the proxy's clock
 	value float64
 }
 
-// ReportTiming is what is known of the times at which an endpoint reports its delay. One
-// process of a relay hands it to the next; its encoding must not change.
+// ReportTiming is when an endpoint has last reported its delay, and how regularly. One process
+// of a relay sends it to the next as JSON, so that its tags must not change.
 type ReportTiming struct {
-	LastAt      time.Duration `json:"At"`    // time of the last delay on the proxy's clock; 0 if there was none
+	LastAt      time.Duration `json:"At"`    // time of the last delay on the proxy's clock; 0: none
 	LastDelay   float64       `json:"Last"`  // the last delay, in milliseconds
 	OnTimeCount int           `json:"Count"` // number of consecutive delays at exact intervals
 }
@@ -70,7 +69,7 @@
 	return timings
 }
 
-// restore sets what another process knew of an endpoint.
+// restore sets an endpoint's timing, which another process has recorded.
 func (r *reportClassifier) restore(id balancer.EndpointID, timing ReportTiming) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,8 +79,9 @@
 	r.byEndpoint[id] = &endpointReports{ReportTiming: timing}
 }
 
-// isDelay reports whether the value of a LOAD line is a delay, by the settings or else by its
-// time and size. connectionAge is how long ago the request was established.
+// isDelay reports whether the value of a LOAD line is a delay. It decides by the time and size of
+// the value only if endpoints report both kinds. connectionAge is the time since the request was
+// established.
 func (r *reportClassifier) isDelay(settings *balancer.Settings, endpoint balancer.EndpointID, value float64, now, connectionAge time.Duration) bool {
 	if !settings.ReportsDelay || !settings.ReportsLoad {
 		return settings.ReportsDelay
@@ -89,8 +89,8 @@
 	return r.looksLikeDelay(endpoint, value, now, connectionAge)
 }
 
-// looksLikeDelay reports whether the value of a LOAD line looks like a delay. The first that
-// an endpoint reports on a connection, at once, is the connection's load.
+// looksLikeDelay reports whether the value of a LOAD line looks like a delay by its time and
+// size, and records it. A value on a new connection is the load that endpoints report at once.
 func (r *reportClassifier) looksLikeDelay(endpoint balancer.EndpointID, value float64, now, connectionAge time.Duration) bool {
 	if connectionAge < newConnectionPeriod || value <= 0 || value >= maxDelay {
 		return false
@@ -124,9 +124,8 @@
 	return true
 }
 
-// isNextDelay reports whether a value comes exactly some intervals after the last delay, and
-// is not too much greater. A load that came at such a time by chance was taken for a delay of
-// 24 s, which migrated a healthy endpoint's connections: no delay grows that fast.
+// isNextDelay reports whether a value comes a whole number of intervals after the last delay.
+// The bound on its growth rejects a load that comes at such a time by chance.
 func (e *endpointReports) isNextDelay(value float64, now time.Duration) bool {
 	gap := now - e.LastAt
 	offset := min(gap%reportInterval, reportInterval-gap%reportInterval)
@@ -134,9 +133,9 @@
 		value <= e.LastDelay+maxDelayGrowth*(gap+reportTolerance).Seconds()
 }
 
-// followsCandidate reports whether a value follows a similar one after exactly an interval.
+// followsCandidate reports whether a value follows a similar candidate after exactly one interval.
 func (e *endpointReports) followsCandidate(value float64, now time.Duration) bool {
-	return slices.ContainsFunc(e.candidates, func(g candidate) bool {
-		return (now-g.at-reportInterval).Abs() <= reportTolerance && math.Abs(value-g.value) <= maxCandidateChange
+	return slices.ContainsFunc(e.candidates, func(c candidate) bool {
+		return (now-c.at-reportInterval).Abs() <= reportTolerance && math.Abs(value-c.value) <= maxCandidateChange
 	})
 }
