--- a/internal/frontend/line/client_test.go
+++ b/internal/frontend/line/client_test.go
@@ -10,7 +10,7 @@
 	"lockroad/internal/testutil"
 )
 
-// connectionPair returns the two ends of a connection over loopback.
+// connectionPair returns the two ends of a TCP connection over loopback, the accepting end first.
 func connectionPair(t testing.TB) (near, far *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,9 +30,8 @@
 	return accepted.(*net.TCPConn), client.(*net.TCPConn)
 }
 
-// A client's connection is open, then migrating once it is asked to while a line is partly
-// written, then over. Random steps are checked against that model: MOVE comes once, between
-// two lines, and nothing comes after it.
+// MOVE must be written once, between two lines, with nothing after it. The model of a client's
+// connection is open, migrating after a MOVE that has to wait for the rest of a line, or closed.
 func FuzzMigrationComesBetweenLines(f *testing.F) {
 	f.Add([]byte("UP r\r\nM 1 abc\r\n"), []byte{4, 0, 9, 1, 3})
 	f.Add([]byte("UP r\r\nM 1 abc\r\nM 2 def\r\n"), []byte{2, 1, 0, 7, 0, 0})
@@ -42,46 +41,46 @@
 			return
 		}
 		near, far := connectionPair(t)
-		client, from := newClientConn(near), testutil.New(choices)
-		var expected strings.Builder // the model: what the client is to see
-		const open, moving, over = 0, 1, 2
-		state, ended := open, make(chan struct{})
-		for rest := stream; len(rest) > 0 && state != over; {
-			if from.Pick(4) == 1 && state == open {
+		client, source := newClientConn(near), testutil.New(choices)
+		var expected strings.Builder // all that the client should receive
+		const open, migrating, closed = 0, 1, 2
+		state, moved := open, make(chan struct{})
+		for rest := stream; len(rest) > 0 && state != closed; {
+			if source.Pick(4) == 1 && state == open {
 				if accepted := expected.String(); accepted == "" || strings.HasSuffix(accepted, "\n") {
 					client.writeLastLine(migrateLine)
-					close(ended)
-					state = over
+					close(moved)
+					state = closed
 					break
 				}
-				go func() { client.writeLastLine(migrateLine); close(ended) }()
-				for requested := false; !requested; { // until the request to migrate has come in
+				go func() { client.writeLastLine(migrateLine); close(moved) }()
+				for waiting := false; !waiting; { // until writeLastLine waits for the rest of the line
 					client.mu.Lock()
-					requested = client.migrated != nil
+					waiting = client.migrated != nil
 					client.mu.Unlock()
 				}
-				state = moving
+				state = migrating
 			}
 			var part []byte
-			part, rest = from.Cut(rest)
+			part, rest = source.Cut(rest)
 			_ = client.write(part)
-			if newline := bytes.IndexByte(part, '\n'); state == moving && newline >= 0 {
-				part, state = part[:newline+1], over
+			if newline := bytes.IndexByte(part, '\n'); state == migrating && newline >= 0 {
+				part, state = part[:newline+1], closed
 			}
 			expected.Write(part)
 		}
-		if state == over {
+		if state == closed {
 			expected.WriteString(migrateLine)
 			_ = client.write([]byte("late\r\n"))
 		}
 		close(client.readDone)
 		if state != open {
-			<-ended
+			<-moved
 		}
 		near.CloseWrite()
 		got, err := io.ReadAll(far)
 		if err != nil || string(got) != expected.String() {
-			t.Errorf("the client saw %q, %v, want %q", got, err, expected.String())
+			t.Errorf("the client received %q, error %v, want %q", got, err, expected.String())
 		}
 	})
 }
--- a/internal/frontend/line/encoding_test.go
+++ b/internal/frontend/line/encoding_test.go
@@ -9,7 +9,7 @@
 	"lockroad/internal/testutil"
 )
 
-// completeState is what goes over beside a connection's sockets, with every field set.
+// completeState returns a connectionState with all fields set.
 func completeState() connectionState {
 	return connectionState{MidLine: true, ToEndpoint: partialLine{Text: []byte("N 7 w"), TooLong: true}, ToClient: partialLine{Text: []byte("M 1 2 wo"), TooLong: true}}
 }
@@ -21,15 +21,15 @@
 	testutil.GoldenJSON(t, "testdata/connection-zero.json", connectionState{})
 }
 
-func TestHeartbeatKeepsItsEncoding(t *testing.T) {
+func TestReportTimingKeepsItsEncoding(t *testing.T) {
 	complete := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTimeCount: 7}
 	testutil.Complete(t, complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat.json", complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
 }
 
-// What a front hands over of a connection that is in the middle of a line on both sides is the golden file's, and a front
-// that is given the file's bytes goes on in the middle of both lines.
+// The message for a request with an incomplete line in both directions must match the golden file,
+// and a process that receives the file's bytes must continue in the middle of both lines.
 func TestHandoffUsesGoldenEncoding(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client := env.client()
@@ -58,9 +58,9 @@
 	case text := <-encoded:
 		golden <- testutil.Golden(t, "testdata/established.json", text)
 	case <-time.After(5 * time.Second):
-		t.Fatal("it is not handed over")
+		t.Fatal("the request is not handed off")
 	}
-	testutil.Until(t, "it is not taken up", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 })
+	testutil.Until(t, "the request is not adopted", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 })
 	client.send("ord\r\n")
 	endpoint.expect("ord\r\n")
 	endpoint.send("rd\r\nhalf")
--- a/internal/frontend/line/handoff_test.go
+++ b/internal/frontend/line/handoff_test.go
@@ -17,11 +17,11 @@
 	"lockroad/internal/testutil"
 )
 
-// successor is the next process's frontend for what an environment hands off: the same sockets
-// by descriptors of its own, as a Unix socket would bring them.
+// successor returns an environment that stands for the next process, and a function that hands off
+// a request to it, with duplicates of the sockets' descriptors, as a Unix socket passes them.
 func (env *environment) successor(observers ...proxy.Observer) (*environment, proxy.HandoffFunc) {
 	next := newEnvironment(env.t, 8, observers...)
-	return next, func(what any, sockets ...syscall.Conn) error {
+	return next, func(state any, sockets ...syscall.Conn) error {
 		var copies []net.Conn
 		for _, conn := range sockets {
 			raw, err := conn.SyscallConn()
@@ -30,16 +30,16 @@
 			}
 			raw.Control(func(fd uintptr) {
 				duplicate, _ := unix.FcntlInt(fd, unix.F_DUPFD_CLOEXEC, 0)
-				f := os.NewFile(uintptr(duplicate), "copy")
-				defer func() { _ = f.Close() }()
-				conn, err := net.FileConn(f)
+				file := os.NewFile(uintptr(duplicate), "copy")
+				defer func() { _ = file.Close() }()
+				conn, err := net.FileConn(file)
 				if err != nil {
 					env.t.Error(err)
 				}
 				copies = append(copies, conn)
 			})
 		}
-		encoded, err := json.Marshal(what)
+		encoded, err := json.Marshal(state)
 		if err != nil {
 			return err
 		}
@@ -47,33 +47,33 @@
 		if err := json.Unmarshal(encoded, &established); err != nil {
 			return err
 		}
-		carry, err := next.frontend.Adopt(context.Background(), &established, copies)
+		serve, err := next.frontend.Adopt(context.Background(), &established, copies)
 		if err != nil {
 			return err
 		}
-		go carry()
+		go serve()
 		return nil
 	}
 }
 
-// A request is handed off with the lines in both directions cut at every byte: no byte is
-// lost, doubled or delayed, and the next process migrates it between two lines.
-func TestHandoffInsideALineLosesNoByte(t *testing.T) {
-	const said, echo = "N 7 word\r\n", "M 1 2 word\r\n"
-	for cut := range len(said) {
+// A handoff between any two bytes of the lines in both directions must not lose, repeat or delay a
+// byte, and the next process must write MOVE between two lines.
+func TestHandoffWithinLineLosesNoData(t *testing.T) {
+	const sent, answer = "N 7 word\r\n", "M 1 2 word\r\n"
+	for cut := range len(sent) {
 		env := newEnvironment(t, 8)
 		client, endpoint := env.establish()
-		client.send(said[:cut])
-		endpoint.expect(said[:cut])
-		endpoint.send(echo[:cut])
-		client.expect(echo[:cut])
+		client.send(sent[:cut])
+		endpoint.expect(sent[:cut])
+		endpoint.send(answer[:cut])
+		client.expect(answer[:cut])
 		next, handOff := env.successor()
 		env.proxy.HandOffAll(handOff, time.Millisecond)
 		testutil.Until(t, "the request is not handed off", func() bool { return next.proxy.Requests.CountByStage()[2] == 1 && env.proxy.Requests.Len() == 0 })
-		client.send(said[cut:] + said)
-		endpoint.expect(said[cut:] + said)
-		endpoint.send(echo[cut:] + echo + "half")
-		client.expect(echo[cut:] + echo + "half")
+		client.send(sent[cut:] + sent)
+		endpoint.expect(sent[cut:] + sent)
+		endpoint.send(answer[cut:] + answer + "half")
+		client.expect(answer[cut:] + answer + "half")
 		next.proxy.MigrateAll(time.Millisecond)
 		endpoint.send(" a line\r\n")
 		client.expect(" a line\r\nMOVE\r\n")
@@ -81,25 +81,26 @@
 	}
 }
 
-// requestRecorder is an observer that sends on each request that begins.
+// requestRecorder is an observer that sends each started request to the channel.
 type requestRecorder chan proxy.Request
 
-func (a requestRecorder) RequestStarted(_ uint64, ask proxy.Request) proxy.RequestObserver {
-	a <- ask
-	return silentObserver{}
+func (r requestRecorder) RequestStarted(_ uint64, request proxy.Request) proxy.RequestObserver {
+	r <- request
+	return nopObserver{}
 }
 
-// silentObserver is a request observer that does nothing.
-type silentObserver struct{}
+// nopObserver is a request observer that does nothing.
+type nopObserver struct{}
 
-func (silentObserver) Decided(*balancer.Decision) {}
-func (silentObserver) AttemptStarted(balancer.EndpointID) func(balancer.AttemptStatus) {
+func (nopObserver) Decided(*balancer.Decision) {}
+func (nopObserver) AttemptStarted(balancer.EndpointID) func(balancer.AttemptStatus) {
 	return func(balancer.AttemptStatus) {}
 }
-func (silentObserver) Established()       {}
-func (silentObserver) Ended(proxy.Result) {}
+func (nopObserver) Established()       {}
+func (nopObserver) Ended(proxy.Result) {}
 
-// A request keeps its tenant: the next process's records, logs and spans name the same one.
+// A handed-off request must keep its tenant and class, which the next process reports in its
+// records, logs and spans.
 func TestHandoffKeepsTenantAndClass(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client := env.client()
@@ -107,13 +108,13 @@
 	endpoint := env.peer(env.endpoint.Accept())
 	endpoint.send("UP x\r\n")
 	client.expect("UP x\r\n")
-	seen := make(requestRecorder, 1)
-	next, handOff := env.successor(seen)
+	started := make(requestRecorder, 1)
+	next, handOff := env.successor(started)
 	env.proxy.HandOffAll(handOff, time.Millisecond)
 	select {
-	case ask := <-seen:
-		if ask.Tenant != "cedar" || ask.Class != "page" {
-			t.Errorf("it goes on with tenant %q and class %q", ask.Tenant, ask.Class)
+	case request := <-started:
+		if request.Tenant != "cedar" || request.Class != "page" {
+			t.Errorf("handed off with tenant %q and class %q, want cedar and page", request.Tenant, request.Class)
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("the request is not handed off")
@@ -123,7 +124,7 @@
 	testutil.Until(t, "the request has not ended", func() bool { return next.proxy.Requests.Len() == 0 })
 }
 
-// Ends are relayed after a handoff as before it, and so is data that comes in one piece with them.
+// After a handoff too, each side receives the other's last data before its close.
 func TestHalfCloseIsRelayedAfterHandoff(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, endpoint := env.establish()
@@ -141,8 +142,9 @@
 	testutil.Until(t, "the request has not ended", func() bool { return next.proxy.Requests.Len() == 0 })
 }
 
-// A request that can't be handed off is migrated: no process takes it, or its end is under way.
-func TestUnacceptedHandoffMigratesTheClient(t *testing.T) {
+// A client whose request can't be handed off must be migrated: the handoff fails, or the client
+// has closed its half.
+func TestFailedHandoffMigratesClient(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, _ := env.establish()
 	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
@@ -158,18 +160,18 @@
 	client.expect("MOVE\r\n")
 	client.expectEnd(false)
 	if offered != 0 {
-		t.Error("a client that had left was handed off")
+		t.Error("a request whose client has closed its half was offered to the next process")
 	}
 }
 
-// A client that has ended its half as its relay shuts down gets its endpoint's last line, and
-// is not migrated.
+// A client that has closed its half before the shutdown must receive its endpoint's last line
+// instead of MOVE.
 func TestHalfClosedClientIsNotMigrated(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, endpoint := env.establish()
 	client.CloseWrite()
 	endpoint.expectEnd(false)
-	other := env.client() // its migration shows that the relay shuts down
+	other := env.client() // its MOVE shows that the shutdown has begun
 	other.send("OPEN 2 2 c=page,d=4000\r\n")
 	otherEndpoint := env.peer(env.endpoint.Accept())
 	otherEndpoint.send("UP 1\r\n")
@@ -182,7 +184,7 @@
 	client.expectEnd(false)
 }
 
-// Openings and answers may come in pieces of any size.
+// An opening line and its answer may arrive in pieces of any size.
 func TestOpeningMayArriveInPieces(t *testing.T) {
 	env := newEnvironment(t, 64)
 	const text = "PING\r\nOPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=page,d=4000\r\n"
@@ -201,7 +203,7 @@
 		if _, err := endpoint.reader.ReadString('\n'); err != nil {
 			t.Fatal(err)
 		}
-		for _, char := range []byte("UP 1\r\n") { // and so do answers
+		for _, char := range []byte("UP 1\r\n") {
 			endpoint.send(string(char))
 		}
 		client.expect("UP 1\r\n")
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -19,11 +19,12 @@
 	}
 	if opening.id != "9b1f03aa5c7e2d41" || opening.item != 0x7f3a9c21e0b4d655 || opening.class != "chat" || opening.timeout != 2*time.Second ||
 		opening.group != 0x5c0f6e1a2b3d4c59 || !opening.returning || opening.load != 0.0125 || opening.endpointName != "s-5be2a07c" {
-		t.Errorf("read as %+v", opening)
+		t.Errorf("got %+v", opening)
 	}
 }
 
-// The platform voids a run in which an endpoint is sent a form that no client sent.
+// The endpoint must receive the client's line byte for byte, except for the timeout, because
+// the platform accepts no other change.
 func TestOnlyTimeoutIsRewritten(t *testing.T) {
 	for _, tail := range []string{"", ",x=", ",d2=7,=", ",h=1e3,again=1", ",g=0,r=1,at=s-d=9"} {
 		opening, err := parseOpening(sampleOpening + tail)
@@ -37,29 +38,29 @@
 	}
 }
 
-func TestMalformedOpeningsAreRefused(t *testing.T) {
+func TestParseOpeningRejectsMalformedLines(t *testing.T) {
 	for _, text := range []string{
 		"", "OPEN", "OPEN a b", "open 1 2 c=x,d=1", "OPEN 1 2 c=x", "OPEN 1 2 d=1", "OPEN 1 x c=x,d=1",
 		"OPEN 1 2 c=x,d=-1", "OPEN 1 2 c=x,d=99999999999", "OPEN 1 2 c=x,d=1,d=2", "OPEN 1 2 c=x,d=1,g=zz",
 		"OPEN 1 2 c=x,d=1,h=NaN", "OPEN 1 2 c=x,d=1,odd", "OPEN 1 2 c=x,d=1 more", "OPEN  2 c=x,d=1",
 	} {
 		if opening, err := parseOpening(text); err == nil {
-			t.Errorf("%q was read as %+v", text, opening)
+			t.Errorf("parseOpening(%q) = %+v, want an error", text, opening)
 		}
 	}
 }
 
 func TestRetryAfterIsInMilliseconds(t *testing.T) {
 	if got := busyLine(1500 * time.Millisecond); got != "BUSY 1500\r\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("busyLine(1.5s) = %q", got)
 	}
 	if got := busyLine(0); got != "BUSY\r\n" {
-		t.Errorf("got %q", got)
+		t.Errorf("busyLine(0) = %q", got)
 	}
 }
 
-// Parsing any text doesn't panic, and what is sent on differs from it at most in the value
-// of field d.
+// Parsing must not panic on any text, and the parts of an opening line that are sent to the endpoint
+// must be the line without the value of its field d.
 func FuzzOpening(f *testing.F) {
 	f.Add(sampleOpening)
 	f.Add(sampleOpening + ",again=1,h=12500,at=s-5be2a07c")
@@ -70,17 +71,16 @@
 			return
 		}
 		if !strings.HasPrefix(text, opening.beforeTimeout) || !strings.HasSuffix(text, opening.afterTimeout) {
-			t.Fatalf("%q was cut to %q and %q", text, opening.beforeTimeout, opening.afterTimeout)
+			t.Fatalf("%q: parts %q and %q are not its start and end", text, opening.beforeTimeout, opening.afterTimeout)
 		}
 		value := text[len(opening.beforeTimeout) : len(text)-len(opening.afterTimeout)]
 		if milliseconds, err := strconv.Atoi(value); err != nil || time.Duration(milliseconds)*time.Millisecond != opening.timeout {
-			t.Errorf("%q has %q cut out for a timeout of %v", text, value, opening.timeout)
+			t.Errorf("%q: %q is left out, want the timeout %v", text, value, opening.timeout)
 		}
 	})
 }
 
-// However a stream is cut up, the lines in it are the same; those that are too long are
-// skipped.
+// The lines must not depend on where the stream is split, and those that are too long are skipped.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("UP x\r\nLOAD 4\r\nBYE\r\n"), []byte{1, 2, 3})
 	f.Add(append(bytes.Repeat([]byte("x"), maxLineBytes+1), "\nM 1\r\nhalf"...), []byte{200, 100, 0, 255})
@@ -96,10 +96,10 @@
 			}
 			rest = rest[newline+1:]
 		}
-		splitter, from := lineSplitter{}, testutil.New(cuts)
+		splitter, source := lineSplitter{}, testutil.New(cuts)
 		for rest := stream; len(rest) > 0; {
 			var part []byte
-			part, rest = from.Cut(rest)
+			part, rest = source.Cut(rest)
 			splitter.feed(part, func(text []byte) {
 				parseLine(text)
 				got = append(got, string(text))
--- a/internal/frontend/line/reader_test.go
+++ b/internal/frontend/line/reader_test.go
@@ -15,7 +15,7 @@
 	"lockroad/internal/testutil"
 )
 
-// readAll reads until the end.
+// readAll reads until io.EOF, which it does not return.
 func readAll(r *reader) (all []byte, err error) {
 	for {
 		data, err := r.readAvailable()
@@ -28,7 +28,8 @@
 	}
 }
 
-// Lines are returned complete however they were cut, and what follows them by the next call; a reader that waits holds no buffer.
+// Lines must be returned complete wherever the stream is split, with the rest left for the next call,
+// and a reader that waits must not hold a buffer.
 func TestReaderReturnsLinesAndRemainder(t *testing.T) {
 	const text = "one\r\ntwo\nthe rest"
 	for cut := range len(text) {
@@ -41,44 +42,45 @@
 		}()
 		for _, want := range []string{"one\r\n", "two\n"} {
 			if got, err := r.readLine(); err != nil || string(got) != want {
-				t.Fatalf("cut at %d: %q, %v, want %q", cut, got, err, want)
+				t.Fatalf("split at %d: readLine returned %q, %v, want %q", cut, got, err, want)
 			}
 		}
 		if got, err := readAll(r); err != nil || string(got) != "the rest" {
-			t.Fatalf("cut at %d: %q, %v", cut, got, err)
+			t.Fatalf("split at %d: the rest is %q, %v", cut, got, err)
 		}
 		if r.buffer != nil {
-			t.Fatalf("cut at %d: a buffer is held at the end", cut)
+			t.Fatalf("split at %d: the reader holds a buffer at the end", cut)
 		}
 	}
 	near, far := connectionPair(t)
 	r := newReader(near)
 	near.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := r.readAvailable(); !errors.Is(err, os.ErrDeadlineExceeded) || r.buffer != nil {
-		t.Errorf("%v, holding %v", err, r.buffer != nil)
+		t.Errorf("waiting reader: error %v, holds a buffer: %v", err, r.buffer != nil)
 	}
 	near.SetReadDeadline(time.Time{})
-	for range 2 { // what does not end within maxLineBytes is no line, and stays buffered
+	for range 2 { // a line that is too long stays buffered
 		io.WriteString(far, strings.Repeat("x", maxLineBytes))
 		if _, err := r.readLine(); !errors.Is(err, bufio.ErrBufferFull) || r.buffered() != maxLineBytes {
-			t.Errorf("%v, %d buffered", err, r.buffered())
+			t.Errorf("line that is too long: error %v, %d bytes buffered", err, r.buffered())
 		}
 		if data, err := r.readAvailable(); err != nil || len(data) != maxLineBytes {
-			t.Errorf("%d bytes, %v", len(data), err)
+			t.Errorf("readAvailable returned %d bytes, %v", len(data), err)
 		}
 	}
 	far.SetLinger(0)
 	far.Close()
 	if _, err := r.readAvailable(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("a reset is returned as %v", err)
+		t.Errorf("after a reset: error %v, want ECONNRESET", err)
 	}
 	near.Close()
 	if _, err := r.readAvailable(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("a close of this end is returned as %v", err)
+		t.Errorf("after closing the connection: error %v, want net.ErrClosed", err)
 	}
 }
 
-// Whatever comes in whatever pieces, and is read by whichever calls, it is the same bytes in the same order.
+// The bytes that are read must be those that were sent, in whatever pieces they arrive and by whichever
+// methods they are read.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("a\nbc\r\nd"), []byte{0, 1, 2, 3, 0, 1, 2})
 	f.Fuzz(func(t *testing.T, text, choices []byte) {
@@ -112,9 +114,9 @@
 				break
 			}
 		}
-		last, _ := readAll(r) // a line that does not end
+		last, _ := readAll(r) // an incomplete line
 		if got = append(got, last...); !bytes.Equal(got, text) {
-			t.Errorf("%q came as %q", text, got)
+			t.Errorf("sent %q, read %q", text, got)
 		}
 	})
 }
--- a/internal/frontend/line/reports.go
+++ b/internal/frontend/line/reports.go
@@ -21,7 +21,7 @@
 	timingLifetime      = 30 * time.Second      // after this long without a delay, its timing is forgotten
 	timingShiftTimeout  = 5 * time.Second       // after this long without a delay, the next may come at another time
 	newConnectionPeriod = 60 * time.Millisecond // values on a connection younger than this are loads
-	minLoad             = 100.0                 // microseconds per second; no load is so small
+	minLoad             = 100.0                 // microseconds per second; no positive load is smaller
 	maxDelay            = 30_000.0              // milliseconds; a value from here on is a load
 	maxCandidateChange  = 1100.0                // milliseconds; difference between two candidates that may be delays
 	maxDelayGrowth      = 2000.0                // milliseconds per second; growth between two consecutive delays
