--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -9,23 +9,23 @@
 	"time"
 )
 
-// credentials is what was read from files.
+// credentials holds what was read from the files in Settings. It is immutable; fields without a
+// file are nil.
 type credentials struct {
 	certificate *tls.Certificate
-	expires     time.Time
+	expires     time.Time // earliest expiry in the certificate's chain
 	clientCAs   *x509.CertPool
 	users       *userFile
 }
 
-// Authenticator authenticates and authorizes peers. A nil Authenticator accepts everyone for
-// everything, without TLS. Any goroutine may call its methods.
+// Authenticator authenticates clients and authorizes them to open classes. A nil Authenticator
+// requires no TLS and no SASL and authorizes everyone. It is safe for concurrent use.
 type Authenticator struct {
 	settings    Settings
 	credentials atomic.Pointer[credentials]
 }
 
-// New validates the settings and reads all files. Its errors are of type SettingError, and name
-// the file where one can't be used.
+// New validates the settings and reads all files. Its errors are of type SettingError.
 func New(settings Settings) (*Authenticator, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -34,8 +34,8 @@
 	return a, a.Reload()
 }
 
-// Reload reads all files again. After an error, a SettingError, all that was read before stays in
-// force.
+// Reload reads all files again. If it returns an error, which is a SettingError, the credentials
+// that were loaded before remain in use.
 func (a *Authenticator) Reload() error {
 	if a == nil {
 		return nil
@@ -44,19 +44,19 @@
 	if a.settings.Cert != "" {
 		var err error
 		if next.certificate, next.expires, err = readKeyPair(a.settings.Cert, a.settings.Key); err != nil {
-			return withKey("tls.cert", err)
+			return newSettingError("tls.cert", err)
 		}
 	}
 	if a.settings.ClientCA != "" {
 		var err error
 		if next.clientCAs, err = readCertPool(a.settings.ClientCA); err != nil {
-			return withKey("tls.client_ca", err)
+			return newSettingError("tls.client_ca", err)
 		}
 	}
 	if a.settings.Users != "" {
 		var err error
 		if next.users, err = readUserFile(a.settings.Users); err != nil {
-			return withKey("sasl.users", err)
+			return newSettingError("sasl.users", err)
 		}
 	}
 	a.credentials.Store(&next)
@@ -88,13 +88,13 @@
 	return a.credentials.Load().expires, true
 }
 
-// Mechanisms returns the SASL mechanisms that a peer may choose from, the strongest first.
-// state is nil without TLS.
+// Mechanisms returns the SASL mechanisms that are offered to a client, the strongest first. state
+// is nil if the connection uses no TLS.
 func (a *Authenticator) Mechanisms(state *tls.ConnectionState) (names []string) {
 	if a == nil {
 		return []string{Anonymous}
 	}
-	if subject(state) != "" {
+	if commonName(state) != "" {
 		names = append(names, External)
 	}
 	if a.settings.Users != "" && (state != nil || a.settings.PlainWithoutTLS) {
@@ -106,21 +106,21 @@
 	return names
 }
 
-// subject returns the common name of the peer's verified certificate, or "" without grant.
-func subject(state *tls.ConnectionState) string {
+// commonName returns the common name of the client's verified certificate, or "" if there is none.
+func commonName(state *tls.ConnectionState) string {
 	if state == nil || len(state.VerifiedChains) == 0 {
 		return ""
 	}
 	return state.VerifiedChains[0][0].Subject.CommonName
 }
 
-// SASLOptional reports whether a peer may connect without SASL.
+// SASLOptional reports whether a client may connect without SASL.
 func (a *Authenticator) SASLOptional() bool { return a == nil || !a.settings.NoAnonymous }
 
-// Authenticate returns the user of a peer, by the mechanism that it has chosen and its initial
-// response. state is nil without TLS. An unknown user and a wrong password are not
-// distinguished, neither by the result nor by the time taken. The first check of a password
-// takes some 20 ms of processor time; one password is hashed at a time.
+// Authenticate checks a client's initial response for the SASL mechanism that it has chosen, and
+// returns its user. ok is false if authentication fails. state is nil if the connection uses no
+// TLS. An unknown user and a wrong password differ neither in the result nor in the time taken. A
+// password that is not cached takes some 20 ms to hash, and passwords are hashed one at a time.
 func (a *Authenticator) Authenticate(mechanism string, response []byte, state *tls.ConnectionState) (user string, ok bool) {
 	if !slices.Contains(a.Mechanisms(state), mechanism) {
 		return "", false
@@ -129,18 +129,18 @@
 	case Anonymous:
 		return AnonymousUser, true
 	case External:
-		// The response may hold an authorization identity (RFC 4422, appendix A): only the peer's own.
-		name := subject(state)
+		// The authorization identity in the response (RFC 4422, appendix A) must be the client's own.
+		name := commonName(state)
 		return name, len(response) == 0 || string(response) == name
 	}
-	parts := strings.Split(string(response), "\x00") // RFC 4616: authorization identity, user, password
+	parts := strings.Split(string(response), "\x00") // authorization identity, user, password (RFC 4616)
 	if len(parts) != 3 || parts[0] != "" && parts[0] != parts[1] {
 		return "", false
 	}
 	return parts[1], a.credentials.Load().users.verify(parts[1], parts[2])
 }
 
-// Authorized reports whether a user may open a class.
+// Authorized reports whether a user may open requests of a class.
 func (a *Authenticator) Authorized(user, class string) bool {
 	if a == nil || len(a.settings.Grants) == 0 {
 		return true
--- a/internal/auth/certificates.go
+++ b/internal/auth/certificates.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// readKeyPair reads a certificate chain and its key, and returns when the first certificate of
-// the chain expires.
+// readKeyPair reads a certificate chain and its key from PEM files. It also returns the earliest
+// expiry time in the chain.
 func readKeyPair(certFile, keyFile string) (*tls.Certificate, time.Time, error) {
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
-		return nil, time.Time{}, fmt.Errorf("%s and %s: %w", certFile, keyFile, err)
+		return nil, time.Time{}, fmt.Errorf("certificate %s and key %s: %w", certFile, keyFile, err)
 	}
 	var expires time.Time
 	for _, der := range cert.Certificate {
 		parsed, err := x509.ParseCertificate(der)
 		if err != nil {
-			return nil, time.Time{}, fmt.Errorf("%s: %w", certFile, err)
+			return nil, time.Time{}, fmt.Errorf("certificate %s: %w", certFile, err)
 		}
 		if expires.IsZero() || parsed.NotAfter.Before(expires) {
 			expires = parsed.NotAfter
@@ -28,7 +28,7 @@
 	return &cert, expires, nil
 }
 
-// readCertPool reads the certificates of authorities from a PEM file.
+// readCertPool reads CA certificates from a PEM file.
 func readCertPool(file string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -36,7 +36,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s holds no certificate", file)
+		return nil, fmt.Errorf("%s contains no certificate", file)
 	}
 	return pool, nil
 }
--- a/internal/auth/endpointtls.go
+++ b/internal/auth/endpointtls.go
@@ -6,28 +6,28 @@
 	"sync/atomic"
 )
 
-// EndpointTLSSettings says how connections to endpoints are secured. The zero value means no TLS.
+// EndpointTLSSettings configures TLS for connections to endpoints. The zero value means no TLS.
 type EndpointTLSSettings struct {
-	CA        string // PEM file of the authorities, one of which has to have signed an endpoint's certificate
+	CA        string // PEM file of the CAs that sign endpoints' certificates
 	Cert, Key string // PEM files of the relay's client certificate and its key; empty: none
-	Name      string // server name that certificates have to be for; empty: the endpoint's host
+	Name      string // server name that endpoints' certificates must be valid for; empty: the endpoint's host
 }
 
 // EndpointTLS is the TLS configuration for connections to endpoints. A nil EndpointTLS means no
-// TLS. Any goroutine may call its methods.
+// TLS. It is safe for concurrent use.
 type EndpointTLS struct {
 	settings EndpointTLSSettings
 	config   atomic.Pointer[tls.Config]
 }
 
-// NewEndpointTLS reads all files. It returns nil for the zero value of settings, and its errors
-// are of type SettingError.
+// NewEndpointTLS validates the settings and reads all files. It returns nil for the zero value of
+// settings. Its errors are of type SettingError.
 func NewEndpointTLS(settings EndpointTLSSettings) (*EndpointTLS, error) {
 	switch {
 	case settings == EndpointTLSSettings{}:
 		return nil, nil
 	case settings.CA == "":
-		return nil, SettingError{Key: "servers_tls.ca", Err: errors.New("is missing: a server's certificate could be anyone's")}
+		return nil, SettingError{Key: "servers_tls.ca", Err: errors.New("is missing: server certificates could not be verified")}
 	case (settings.Cert == "") != (settings.Key == ""):
 		return nil, SettingError{Key: "servers_tls.cert", Err: errIncompletePair}
 	}
@@ -35,20 +35,21 @@
 	return e, e.Reload()
 }
 
-// Reload reads all files again. After an error what was read before stays in force.
+// Reload reads all files again. If it returns an error, which is a SettingError, the configuration
+// that was loaded before remains in use.
 func (e *EndpointTLS) Reload() error {
 	if e == nil {
 		return nil
 	}
 	pool, err := readCertPool(e.settings.CA)
 	if err != nil {
-		return withKey("servers_tls.ca", err)
+		return newSettingError("servers_tls.ca", err)
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
 	if e.settings.Cert != "" {
 		pair, _, err := readKeyPair(e.settings.Cert, e.settings.Key)
 		if err != nil {
-			return withKey("servers_tls.cert", err)
+			return newSettingError("servers_tls.cert", err)
 		}
 		config.Certificates = []tls.Certificate{*pair}
 	}
--- a/internal/auth/userfile.go
+++ b/internal/auth/userfile.go
@@ -21,28 +21,27 @@
 	maxUserNameBytes = 128
 )
 
-// userFile is the content of a password file. Any goroutine may call verify.
+// userFile is the content of a password file. Its method verify is safe for concurrent use.
 type userFile struct {
-	hashes map[string]*passwordHash // by user
-	decoy  *passwordHash            // is compared for a user that is not there, so that the answer takes as long
+	hashes    map[string]*passwordHash // by user name
+	dummyHash *passwordHash            // used for unknown users, so that verify takes as long for them
 
-	// cacheKey is the key of the codes in verified. A password that has matched is recognized by
-	// its code, so that many clients that return after an endpoint's restart do not wait for
-	// their hashes one after another.
+	// verified caches the password that has matched for a user name, as its HMAC with cacheKey, a
+	// []byte. Many clients that reconnect at once then need not wait for hashes one after another.
 	cacheKey [sha256.Size]byte
-	hashMu   sync.Mutex // held while a password is hashed, which takes memory and a core
-	verified sync.Map   // user to the code of the password that has matched, a []byte
+	hashMu   sync.Mutex // held while a password is hashed, which takes much memory and processor time
+	verified sync.Map
 }
 
-// readUserFile reads a file of NAME:HASH lines. Empty lines and those that begin with # are
-// skipped. Its errors name the file and the line.
+// readUserFile reads a file of NAME:HASH lines. It skips empty lines and those that begin with #.
+// Errors in a line include the file and the number of the line.
 func readUserFile(file string) (*userFile, error) {
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, err
 	}
 	if info.Mode().Perm()&0o007 != 0 {
-		return nil, fmt.Errorf("%s may be read or written by everyone: chmod 600 it", file)
+		return nil, fmt.Errorf("%s is accessible to all users: run chmod 600 on it", file)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -62,18 +61,19 @@
 	return users, lines.Err()
 }
 
+// newUserFile returns a userFile without users.
 func newUserFile() *userFile {
-	decoy := &passwordHash{
-		memory: memoryKiB, passes: passes, lanes: lanes,
+	dummy := &passwordHash{
+		memory: hashMemoryKiB, passes: hashPasses, lanes: hashLanes,
 		salt: make([]byte, saltBytes), hash: make([]byte, hashBytes),
 	}
-	users := &userFile{hashes: make(map[string]*passwordHash), decoy: decoy}
+	users := &userFile{hashes: make(map[string]*passwordHash), dummyHash: dummy}
 	rand.Read(users.cacheKey[:])
-	rand.Read(users.decoy.hash)
+	rand.Read(users.dummyHash.hash)
 	return users
 }
 
-// addLine adds the user of a NAME:HASH line.
+// addLine adds the user in a NAME:HASH line.
 func (u *userFile) addLine(line string) error {
 	name, text, _ := strings.Cut(line, ":")
 	hash, err := parsePasswordHash(text)
@@ -84,54 +84,55 @@
 		return err
 	}
 	if u.hashes[name] != nil {
-		return fmt.Errorf("the user %q is there twice", name)
+		return fmt.Errorf("duplicate user %q", name)
 	}
 	if len(u.hashes) >= maxUsers {
-		return fmt.Errorf("more than %d users", maxUsers)
+		return fmt.Errorf("too many users: the maximum is %d", maxUsers)
 	}
 	u.hashes[name] = hash
 	return nil
 }
 
-// checkUserName returns an error for a name that a password file can't hold or that grants
-// give a meaning of its own.
+// checkUserName returns an error if a password file can't contain the name, or if the name has a
+// special meaning in grants.
 func checkUserName(name string) error {
 	forbidden := func(r rune) bool { return r <= ' ' || r == ':' || r == 0x7f }
 	if name == "" || name == "*" || name == AnonymousUser || len(name) > maxUserNameBytes || strings.ContainsFunc(name, forbidden) {
-		return fmt.Errorf("%q is no name for a user", name)
+		return fmt.Errorf("invalid user name %q", name)
 	}
 	return nil
 }
 
-// verify reports whether a password is the user's.
-func (u *userFile) verify(name, text string) bool {
+// verify reports whether a user has the password.
+func (u *userFile) verify(name, password string) bool {
 	mac := hmac.New(sha256.New, u.cacheKey[:])
-	fmt.Fprintf(mac, "%d %s %s", len(name), name, text)
+	fmt.Fprintf(mac, "%d %s %s", len(name), name, password)
 	code := mac.Sum(nil)
 	if known, ok := u.verified.Load(name); ok && subtle.ConstantTimeCompare(known.([]byte), code) == 1 {
 		return true
 	}
 	hash, ok := u.hashes[name]
 	if !ok {
-		hash = u.decoy
+		hash = u.dummyHash
 	}
 	u.hashMu.Lock()
 	defer u.hashMu.Unlock()
-	if !hash.matches(text) || !ok {
+	if !hash.matches(password) || !ok {
 		return false
 	}
 	u.verified.Store(name, code)
 	return true
 }
 
-// SetPassword sets a user's password in a password file, which it creates if need be; with
-// remove it removes the user. The file is replaced at once, and left as it is after an error.
-func SetPassword(file, name, text string, remove bool) error {
+// SetPassword sets a user's password in a password file, which it creates if it does not exist, or
+// removes the user if remove is true. It replaces the file atomically; after an error the file is
+// unchanged.
+func SetPassword(file, name, password string, remove bool) error {
 	if err := checkUserName(name); err != nil {
 		return err
 	}
-	if text == "" && !remove {
-		return errors.New("an empty password is none")
+	if password == "" && !remove {
+		return errors.New("password is empty")
 	}
 	previous, err := os.ReadFile(file)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -146,27 +147,27 @@
 	if len(previous) > 0 {
 		lines = strings.Split(strings.TrimRight(string(previous), "\n"), "\n")
 	}
-	at := slices.IndexFunc(lines, func(line string) bool { return strings.HasPrefix(strings.TrimSpace(line), name+":") })
+	index := slices.IndexFunc(lines, func(line string) bool { return strings.HasPrefix(strings.TrimSpace(line), name+":") })
 	switch {
-	case remove && at < 0:
+	case remove && index < 0:
 		return fmt.Errorf("%s has no user %q", file, name)
 	case remove:
-		lines = slices.Delete(lines, at, at+1)
-	case at >= 0:
-		lines[at] = name + ":" + hashPassword(text).String()
+		lines = slices.Delete(lines, index, index+1)
+	case index >= 0:
+		lines[index] = name + ":" + hashPassword(password).String()
 	default:
-		lines = append(lines, name+":"+hashPassword(text).String())
+		lines = append(lines, name+":"+hashPassword(password).String())
 	}
 	return replaceFile(file, strings.Join(append(lines, ""), "\n"))
 }
 
-// replaceFile replaces a file at once by one that only its owner may read.
+// replaceFile atomically replaces a file by one with the given text that only its owner may access.
 func replaceFile(file, text string) error {
 	temporary, err := os.CreateTemp(filepath.Dir(file), filepath.Base(file)+".*")
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(temporary.Name()) }() // if it was not renamed
+	defer func() { _ = os.Remove(temporary.Name()) }() // does nothing after the rename
 	_, err = temporary.WriteString(text)
 	if err := errors.Join(err, temporary.Sync(), temporary.Close()); err != nil {
 		return err
