--- a/internal/auth/password.go
+++ b/internal/auth/password.go
@@ -12,8 +12,8 @@
 	"golang.org/x/crypto/argon2"
 )
 
-// Parameters of argon2id for new passwords: the minimum that is recommended today, as a relay has
-// little memory.
+// Parameters of argon2id for new passwords: the minimum of current recommendations, as a
+// relay has little memory.
 const (
 	hashMemoryKiB = 19 << 10
 	hashPasses    = 2
@@ -83,10 +83,10 @@
 	p.salt, saltErr = phcEncoding.DecodeString(parts[4])
 	p.hash, hashErr = phcEncoding.DecodeString(parts[5])
 	if err := cmp.Or(saltErr, hashErr); err != nil {
-		return nil, fmt.Errorf("salt or hash of the password: %w", err)
+		return nil, fmt.Errorf("decode salt and hash of the password: %w", err)
 	}
 	if len(p.salt) < minSaltBytes || len(p.hash) < minHashBytes || len(p.hash) > maxHashBytes {
-		return nil, errors.New("salt of the password is too short, or its hash too short or too long")
+		return nil, errors.New("invalid password hash: the salt is too short, or the hash too short or too long")
 	}
 	return p, nil
 }
--- a/internal/auth/userfile.go
+++ b/internal/auth/userfile.go
@@ -26,8 +26,9 @@
 	hashes    map[string]*passwordHash // by user name
 	dummyHash *passwordHash            // used for unknown users, so that verify takes as long for them
 
-	// verified caches the password that has matched for a user name, as its HMAC with cacheKey, a
-	// []byte. Many clients that reconnect at once then need not wait for hashes one after another.
+	// verified caches matches: it maps a user name to the HMAC, a []byte, of the password that has
+	// matched, with cacheKey as its key. Otherwise clients that reconnect together would wait for
+	// their hashes one after another.
 	cacheKey [sha256.Size]byte
 	hashMu   sync.Mutex // held while a password is hashed, which takes much memory and processor time
 	verified sync.Map
@@ -98,7 +99,8 @@
 func checkUserName(name string) error {
 	forbidden := func(r rune) bool { return r <= ' ' || r == ':' || r == 0x7f }
 	if name == "" || name == "*" || name == AnonymousUser || len(name) > maxUserNameBytes || strings.ContainsFunc(name, forbidden) {
-		return fmt.Errorf("invalid user name %q", name)
+		return fmt.Errorf("invalid user name %q: expected 1 to %d bytes without spaces, control characters or colons, and neither * nor %s",
+			name, maxUserNameBytes, AnonymousUser)
 	}
 	return nil
 }
--- a/internal/frontend/line/client.go
+++ b/internal/frontend/line/client.go
@@ -75,9 +75,9 @@
 	return err
 }
 
-// writeLastLine writes text as the last line, unless a last line was written before, which it
-// reports by false. If a line of the endpoint is partly written, it waits up to
-// lineCompletionTimeout for write to complete that line and to append MOVE.
+// writeLastLine writes text as the last line. If a last line was written before, it writes nothing
+// and returns false. If a line of the endpoint is partly written, it waits up to
+// lineCompletionTimeout until write has completed that line and appended MOVE instead of text.
 func (c *clientConn) writeLastLine(text string) bool {
 	c.SetWriteDeadline(time.Now().Add(lastLineTimeout)) // also bounds a blocked write that holds mu
 	c.mu.Lock()
--- a/internal/frontend/line/exchange.go
+++ b/internal/frontend/line/exchange.go
@@ -26,7 +26,7 @@
 	upstream        *upstreamConn            // nil until the request is established
 	adopted         bool                     // whether another process has established the request
 	established     chan establishedUpstream // gets one value if the request is established; closed when it has ended
-	clientEnded     atomic.Bool              // the client has closed its half of the connection
+	clientEnded     atomic.Bool              // the client has closed its half or reset the connection
 	clientSentEarly atomic.Bool              // the client has sent data before the answer to its opening line
 
 	toEndpoint, toClient *direction
--- a/internal/frontend/line/frontend.go
+++ b/internal/frontend/line/frontend.go
@@ -26,8 +26,8 @@
 	openingGracePeriod = 200 * time.Millisecond
 	// maxPings is how many PING lines a client may send before its opening line.
 	maxPings = 16
-	// evictionWriteTimeout bounds the write of the BUSY line to an evicted client, whose send
-	// buffer is nearly empty.
+	// evictionWriteTimeout bounds the write of the BUSY line to an evicted client. It does
+	// not block, as the client's send buffer is nearly empty.
 	evictionWriteTimeout = time.Millisecond
 )
 
@@ -154,11 +154,11 @@
 	settings := f.Proxy.Settings()
 	class := settings.ClassIndex(opening.class)
 	if err != nil || class < 0 {
-		f.rejectMalformed(client, "malformed opening line, or unknown class in it")
+		f.rejectMalformed(client, "malformed opening line or unknown class")
 		return opening, request, false
 	}
 	if !settings.AcceptsTenant(opening.tenant) {
-		f.rejectMalformed(client, "unknown or missing tenant in the opening line")
+		f.rejectMalformed(client, "missing or unknown tenant in the opening line")
 		return opening, request, false
 	}
 	return opening, f.newRequest(opening, settings, class), true
--- a/internal/frontend/line/reports_test.go
+++ b/internal/frontend/line/reports_test.go
@@ -35,7 +35,7 @@
 			{0, 900, 48313.2, false}, {300, 900, 410.5, false}, {1302, 900, 702.2, true}, {2301, 900, 980, true},
 			{2700, 900, 620, false}, {3300, 900, 31020.1, false},
 		},
-		"a load at an interval": { // 24137 grows too fast for a delay
+		"a load near an interval": { // 24137 comes 20 ms early
 			{0, 900, 19.9, true}, {980, 900, 24137.428, false}, {1000, 900, 13.8, true}, {2001, 900, 1900.5, true},
 		},
 		"loads only": {
@@ -73,7 +73,7 @@
 	}
 }
 
-// A process that has restored the timing must recognize the next delay, which is ambiguous without.
+// A process that has restored the timing must recognize the next delay, which without it is ambiguous.
 func TestReportTimingIsRestored(t *testing.T) {
 	both := &balancer.Settings{ReportsLoad: true, ReportsDelay: true}
 	previous, next := &reportClassifier{}, &reportClassifier{}
