--- a/internal/auth/endpointtls.go
+++ b/internal/auth/endpointtls.go
@@ -6,49 +6,50 @@
 	"sync/atomic"
 )
 
-// Upstream says how connections to endpoints are secured. The zero value means no TLS.
-type Upstream struct {
-	CA        string // PEM file of the authorities, one of which has to have signed an endpoint's certificate
+// EndpointTLSSettings configures TLS for connections to endpoints. The zero value means no TLS.
+type EndpointTLSSettings struct {
+	CA        string // PEM file of the CAs that sign endpoints' certificates
 	Cert, Key string // PEM files of the relay's client certificate and its key; empty: none
-	Name      string // server name that certificates have to be for; empty: the endpoint's host
+	Name      string // server name that endpoints' certificates must be valid for; empty: the endpoint's host
 }
 
 // EndpointTLS is the TLS configuration for connections to endpoints. A nil EndpointTLS means no
-// TLS. Any goroutine may call its methods.
+// TLS. It is safe for concurrent use.
 type EndpointTLS struct {
-	settings Upstream
+	settings EndpointTLSSettings
 	config   atomic.Pointer[tls.Config]
 }
 
-// NewEndpointTLS reads all files. It returns nil for the zero value of upstream, and its errors
-// are of type KeyError.
-func NewEndpointTLS(upstream Upstream) (*EndpointTLS, error) {
+// NewEndpointTLS validates the settings and reads all files. It returns nil for the zero value of
+// settings. Its errors are of type SettingError.
+func NewEndpointTLS(settings EndpointTLSSettings) (*EndpointTLS, error) {
 	switch {
-	case upstream == Upstream{}:
+	case settings == EndpointTLSSettings{}:
 		return nil, nil
-	case upstream.CA == "":
-		return nil, KeyError{Key: "servers_tls.ca", Err: errors.New("is missing: a server's certificate could be anyone's")}
-	case (upstream.Cert == "") != (upstream.Key == ""):
-		return nil, KeyError{Key: "servers_tls.cert", Err: errIncompletePair}
+	case settings.CA == "":
+		return nil, SettingError{Key: "servers_tls.ca", Err: errors.New("is missing: server certificates could not be verified")}
+	case (settings.Cert == "") != (settings.Key == ""):
+		return nil, SettingError{Key: "servers_tls.cert", Err: errIncompletePair}
 	}
-	e := &EndpointTLS{settings: upstream}
+	e := &EndpointTLS{settings: settings}
 	return e, e.Reload()
 }
 
-// Reload reads all files again. After an error what was read before stays in force.
+// Reload reads all files again. If it returns an error, which is a SettingError, the configuration
+// that was loaded before remains in use.
 func (e *EndpointTLS) Reload() error {
 	if e == nil {
 		return nil
 	}
 	pool, err := readCertPool(e.settings.CA)
 	if err != nil {
-		return withKey("servers_tls.ca", err)
+		return newSettingError("servers_tls.ca", err)
 	}
 	config := &tls.Config{MinVersion: tls.VersionTLS12, RootCAs: pool}
 	if e.settings.Cert != "" {
 		pair, _, err := readKeyPair(e.settings.Cert, e.settings.Key)
 		if err != nil {
-			return withKey("servers_tls.cert", err)
+			return newSettingError("servers_tls.cert", err)
 		}
 		config.Certificates = []tls.Certificate{*pair}
 	}
@@ -56,9 +57,9 @@
 	return nil
 }
 
-// For returns the configuration for an endpoint at a host, or nil for no TLS. The caller may
-// change it.
-func (e *EndpointTLS) For(host string) *tls.Config {
+// ConfigFor returns the TLS configuration for connections to an endpoint at host, or nil if they use
+// no TLS. The caller may change it.
+func (e *EndpointTLS) ConfigFor(host string) *tls.Config {
 	if e == nil {
 		return nil
 	}
--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -34,7 +34,7 @@
 
 // handshakeTLS completes the TLS handshake if TLS is configured. It shares openTimeout with the protocol negotiation.
 func (c *clientConnection) handshakeTLS() error {
-	config := c.frontend.Authenticator.TLS()
+	config := c.frontend.Authenticator.TLSConfig()
 	if config == nil {
 		return nil
 	}
@@ -119,7 +119,7 @@
 		if header, err = c.readProtocolHeader(openTimeout); err != nil {
 			return err
 		}
-	} else if !c.frontend.Authenticator.Bare() {
+	} else if !c.frontend.Authenticator.SASLOptional() {
 		c.writeProtocolHeader(framing.ProtocolHeaderSASL) // section 5.3.2: reply with the required header, then close
 		return errors.New("client sent the AMQP header without SASL, but authentication is required")
 	}
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -51,7 +51,7 @@
 	conn := streamConn(tcp.(*net.TCPConn))
 	host, _, _ := net.SplitHostPort(address)
 	hasClientCertificate := false
-	if config := f.EndpointTLS.For(host); config != nil {
+	if config := f.EndpointTLS.ConfigFor(host); config != nil {
 		tlsConn := tls.Client(tcp, config)
 		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			tcp.Close()
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpointTLS, err := auth.NewEndpointTLS(auth.Upstream{CA: authority.CA, Cert: cert, Key: key})
+	endpointTLS, err := auth.NewEndpointTLS(auth.EndpointTLSSettings{CA: authority.CA, Cert: cert, Key: key})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/frontend/line/parse.go
+++ b/internal/frontend/line/parse.go
@@ -8,94 +8,94 @@
 	"time"
 )
 
-// maxLineBytes is the longest line allowed, including its end.
+// maxLineBytes is the maximum length of a line, including its line ending.
 const maxLineBytes = 4 << 10
 
 const (
 	microsecondsPerSecond = 1e6
-	maxReportedValue      = 1e12 // a reported load or delay is below this
+	maxReportedValue      = 1e12 // loads and delays on the wire must be below it
 )
 
-// opening is the first line of a client: OPEN, its identifier, its key and a list of fields.
-type opening struct {
+// openingLine is a parsed opening line: OPEN, an identifier, a key and a list of fields.
+type openingLine struct {
 	id           string
-	key          string // item in hexadecimal digits
+	key          string // the item in hexadecimal, as on the wire
 	class        string
-	tenant       string // "" if the client names none
+	tenant       string // "" if the line names none
 	timeout      time.Duration
 	group        uint64
 	item         uint64
-	load         float64 // seconds of work per second; 0 if not known
-	returning    bool    // migrated or broken before
-	endpointName string  // the endpoint that has it open; "" if none
+	load         float64 // expected load, in seconds of work per second; 0 if not known
+	returning    bool    // the client reconnects after a migration or a broken connection
+	endpointName string  // the endpoint at which the request is open; "" if none
 
-	beforeTimeout, afterTimeout string // the line's text around the value of field d
+	beforeTimeout, afterTimeout string // the line before and after the value of its field d
 }
 
-// errMalformedOpening is returned for a line that is not an opening.
-var errMalformedOpening = errors.New("the opening line makes no sense")
+// errMalformedOpening is the error of parseOpening.
+var errMalformedOpening = errors.New("malformed opening line")
 
-// parseOpening parses an opening line without its end. It fails with errMalformedOpening.
-func parseOpening(text string) (opening, error) {
+// parseOpening parses an opening line without its line ending.
+func parseOpening(text string) (openingLine, error) {
 	words := strings.Split(text, " ")
 	if len(words) != 4 || words[0] != "OPEN" || words[1] == "" {
-		return opening{}, errMalformedOpening
+		return openingLine{}, errMalformedOpening
 	}
-	opened := opening{id: words[1], key: words[2]}
+	opening := openingLine{id: words[1], key: words[2]}
 	var err error
-	if opened.item, err = strconv.ParseUint(opened.key, 16, 64); err != nil {
-		return opening{}, errMalformedOpening
+	if opening.item, err = strconv.ParseUint(opening.key, 16, 64); err != nil {
+		return openingLine{}, errMalformedOpening
 	}
 	offset := len(text) - len(words[3])
 	for field := range strings.SplitSeq(words[3], ",") {
 		name, value, ok := strings.Cut(field, "=")
 		if !ok {
-			return opening{}, errMalformedOpening
+			return openingLine{}, errMalformedOpening
 		}
 		switch name {
 		case "c":
-			opened.class = value
+			opening.class = value
 		case "t":
-			opened.tenant = value
+			opening.tenant = value
 		case "d":
 			milliseconds, timeoutErr := strconv.ParseUint(value, 10, 31)
-			if timeoutErr != nil || opened.beforeTimeout != "" {
-				return opening{}, errMalformedOpening
+			if timeoutErr != nil || opening.beforeTimeout != "" {
+				return openingLine{}, errMalformedOpening
 			}
-			opened.timeout = time.Duration(milliseconds) * time.Millisecond
-			opened.beforeTimeout, opened.afterTimeout = text[:offset+2], text[offset+2+len(value):]
+			opening.timeout = time.Duration(milliseconds) * time.Millisecond
+			opening.beforeTimeout, opening.afterTimeout = text[:offset+2], text[offset+2+len(value):]
 		case "g":
-			opened.group, err = strconv.ParseUint(value, 16, 64)
+			opening.group, err = strconv.ParseUint(value, 16, 64)
 		case "h":
 			var microseconds float64
 			microseconds, err = strconv.ParseFloat(value, 64)
 			if !(microseconds >= 0 && microseconds < maxReportedValue) {
-				return opening{}, errMalformedOpening
+				return openingLine{}, errMalformedOpening
 			}
-			opened.load = microseconds / microsecondsPerSecond
+			opening.load = microseconds / microsecondsPerSecond
 		case "again":
-			opened.returning = value == "1"
+			opening.returning = value == "1"
 		case "at":
-			opened.endpointName = value
+			opening.endpointName = value
 		}
 		if err != nil {
-			return opening{}, errMalformedOpening
+			return openingLine{}, errMalformedOpening
 		}
 		offset += len(field) + 1
 	}
-	if opened.class == "" || opened.beforeTimeout == "" {
-		return opening{}, errMalformedOpening
+	if opening.class == "" || opening.beforeTimeout == "" {
+		return openingLine{}, errMalformedOpening
 	}
-	return opened, nil
+	return opening, nil
 }
 
-// withTimeout returns the line, with its end, that an endpoint is sent: the client's own but
-// for the time that the relay waits, which is at least a millisecond.
-func (o opening) withTimeout(timeout time.Duration) []byte {
+// withTimeout returns the opening line that is sent to an endpoint, with its line ending. It is
+// the client's line, with field d replaced by timeout in milliseconds, at least 1.
+func (o openingLine) withTimeout(timeout time.Duration) []byte {
 	return append(strconv.AppendInt([]byte(o.beforeTimeout), max(1, timeout.Milliseconds()), 10), o.afterTimeout+"\r\n"...)
 }
 
-// busyLine returns the rejection, with the retry-after in milliseconds if it is known.
+// busyLine returns a BUSY line. It includes retryAfter in milliseconds unless that is less than 1.
 func busyLine(retryAfter time.Duration) string {
 	if retryAfter < time.Millisecond {
 		return "BUSY\r\n"
@@ -103,7 +103,7 @@
 	return "BUSY " + strconv.FormatInt(retryAfter.Milliseconds(), 10) + "\r\n"
 }
 
-// lineKind is what a line from an endpoint means to the relay.
+// lineKind is the kind of a line from an endpoint.
 type lineKind uint8
 
 const (
@@ -116,8 +116,8 @@
 	lineLoad
 )
 
-// parseLine returns the kind of a line from an endpoint, with or without its end, and the
-// value of a LOAD line.
+// parseLine returns the kind of a line from an endpoint, which may include its line ending, and
+// the value of a LOAD line.
 func parseLine(text []byte) (lineKind, float64) {
 	text = bytes.TrimRight(text, "\r\n")
 	name, rest, _ := bytes.Cut(text, []byte{' '})
@@ -140,15 +140,16 @@
 	return lineOther, 0
 }
 
-// lineSplitter splits a stream into lines as it is relayed.
+// lineSplitter splits a stream into lines while it is relayed. The zero value is ready for use.
 type lineSplitter struct {
-	partial []byte // the line that has not ended yet; its beginning if it is too long
-	tooLong bool   // the line is over maxLineBytes
+	partial []byte // the current, incomplete line; only a prefix if it is too long
+	tooLong bool   // the current line is longer than maxLineBytes
 }
 
-// feed takes the next bytes of the stream and calls line for each line that ends in them,
-// with its end. The line is valid during the call. Lines that are too long are skipped.
-func (s *lineSplitter) feed(data []byte, line func([]byte)) {
+// feed takes the next bytes of the stream and calls handleLine for each line that ends in them,
+// including its line ending. A line is valid during the call. Lines that are longer than
+// maxLineBytes are skipped.
+func (s *lineSplitter) feed(data []byte, handleLine func([]byte)) {
 	for len(data) > 0 {
 		newline := bytes.IndexByte(data, '\n')
 		if newline < 0 {
@@ -156,12 +157,13 @@
 			return
 		}
 		if s.appendPartial(data[:newline+1]); !s.tooLong {
-			line(s.partial)
+			handleLine(s.partial)
 		}
 		s.partial, s.tooLong, data = s.partial[:0], false, data[newline+1:]
 	}
 }
 
+// appendPartial appends data to the current line, or marks the line as too long.
 func (s *lineSplitter) appendPartial(data []byte) {
 	if s.tooLong = s.tooLong || len(s.partial)+len(data) > maxLineBytes; !s.tooLong {
 		s.partial = append(s.partial, data...)
