--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -48,7 +48,7 @@
 func (relay *fakePersistence) Stats() (store.Stats, error) {
 	return store.Stats{
 		Records: map[string]int{"farm": 3, "order": 2}, Dropped: map[string]uint64{"farm": 1, "order": 4},
-		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, Waiting: 17, LastError: relay.lastError, Retained: 18 * time.Minute,
+		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, QueuedCommits: 17, LastError: relay.lastError, OldestAge: 18 * time.Minute,
 	}, nil
 }
 
--- a/internal/console/process.go
+++ b/internal/console/process.go
@@ -75,8 +75,8 @@
 		row("state", state)
 		row("files", fmt.Sprintf("%d, %d bytes, %d of them wanted", stats.Files, stats.Bytes, stats.LiveBytes))
 		row("commits", fmt.Sprintf("%d, %d syncs, %d merges", stats.Commits, stats.Syncs, stats.Merges))
-		row("waiting", stats.Waiting)
-		row("reaches back", cmp.Or(stats.Retained.Round(time.Second).String(), "-"))
+		row("waiting", stats.QueuedCommits)
+		row("reaches back", cmp.Or(stats.OldestAge.Round(time.Second).String(), "-"))
 		for _, kind := range slices.Sorted(maps.Keys(stats.Records)) {
 			row("  "+kind, fmt.Sprintf("%d kept, %d dropped", stats.Records[kind], stats.Dropped[kind]))
 		}
--- a/internal/server/persistentstate.go
+++ b/internal/server/persistentstate.go
@@ -51,7 +51,7 @@
 		p.storeErr = errNoStoreConfigured
 		return
 	}
-	options := store.Options{Kinds: persistence.Kinds(), Bytes: int64(settings.MB) << 20, Log: p.relay.log}
+	options := store.Options{Kinds: persistence.Kinds(), MaxBytes: int64(settings.MB) << 20, Log: p.relay.log}
 	opened, report, err := store.Open(store.Dir(settings.Dir), options)
 	if err != nil {
 		p.storeErr = err
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// readEntry reads a record's entry from its file. Its error is a *Damage.
+// readEntry reads a record's entry from its file. Its error is a *DamageError.
 func (x *fileIndex) readEntry(record *location) (entry, error) {
 	data := make([]byte, record.frameSize)
 	if n, err := record.segment.file.ReadAt(data, record.offset); n < len(data) {
@@ -131,15 +131,15 @@
 }
 
 // damage returns an error at the place of the record's frame.
-func (l *location) damage(err error) *Damage {
-	return &Damage{File: l.segment.name, Offset: l.offset, Err: err}
+func (l *location) damage(err error) *DamageError {
+	return &DamageError{File: l.segment.name, Offset: l.offset, Err: err}
 }
 
-// readRecord reads a record from its file. Its error is a *Damage.
+// readRecord reads a record from its file. Its error is a *DamageError.
 func (x *fileIndex) readRecord(record *location) (Record, error) {
 	e, err := x.readEntry(record)
 	change := Change{Kind: record.kind, Key: record.key, At: record.at, Version: record.version, Body: e.Body}
-	return Record{Change: change, Number: record.number}, err
+	return Record{Change: change, CommitNumber: record.number}, err
 }
 
 // each calls visit with the records of a kind, as Store.Each does.
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Damage is the error of a place in a store's file that can't be read and is no
+// DamageError is the error of a place in a store's file that can't be read and is no
 // torn tail: a commit that was reported is not there.
-type Damage struct {
+type DamageError struct {
 	File   string
 	Offset int64 // in bytes
 	Err    error
 }
 
-func (d *Damage) Error() string {
+func (d *DamageError) Error() string {
 	return fmt.Sprintf("%s is damaged at byte %d: %v", d.File, d.Offset, d.Err)
 }
 
-func (d *Damage) Unwrap() error { return d.Err }
+func (d *DamageError) Unwrap() error { return d.Err }
 
 // TornTail is the end of the last file as a crash left it: no commit in it was
 // reported as synced.
@@ -40,8 +40,8 @@
 	Bytes     int64
 	LiveBytes int64 // of them, of records that are retained; a merge leaves these
 	TornTail  *TornTail
-	Damaged   []*Damage // found by a check, or passed over by a repair
-	Replaced  []string  // files in whose place a merged one is, left by a crash
+	Damaged   []*DamageError // found by a check, or passed over by a repair
+	Replaced  []string       // files in whose place a merged one is, left by a crash
 	Duration  time.Duration
 }
 
@@ -60,7 +60,7 @@
 }
 
 // load reads the files of a store. With salvage it passes over damage, which is
-// in the report; otherwise the first *Damage is the error.
+// in the report; otherwise the first *DamageError is the error.
 func load(folder FS, kinds []Kind, salvage bool) (*fileIndex, error) {
 	startedAt := time.Now()
 	x := newFileIndex(folder, kinds)
@@ -135,11 +135,11 @@
 	last     bool // the segment is plain and the last of the chain: its end may be torn
 	salvage  bool // frames after damage are read
 	complete bool // the frame that ends a merged segment was read
-	damages  []*Damage
+	damages  []*DamageError
 }
 
 // readSegment reads a segment, whose end may be torn if it is the last.
-func (x *fileIndex) readSegment(header segmentHeader, last, salvage bool) ([]*Damage, error) {
+func (x *fileIndex) readSegment(header segmentHeader, last, salvage bool) ([]*DamageError, error) {
 	r := &segmentReader{index: x, last: last, salvage: salvage}
 	if err := r.open(header); err != nil {
 		return nil, err
@@ -175,7 +175,7 @@
 }
 
 func (r *segmentReader) addDamage(offset int, err error) {
-	r.damages = append(r.damages, &Damage{File: r.segment.name, Offset: int64(offset), Err: err})
+	r.damages = append(r.damages, &DamageError{File: r.segment.name, Offset: int64(offset), Err: err})
 }
 
 // readHeader checks the segment's header and returns where its frames start; the
--- a/internal/store/merge.go
+++ b/internal/store/merge.go
@@ -37,7 +37,7 @@
 	}
 	merged, relocations, err := s.index.writeMerged(header)
 	if err != nil {
-		var damage *Damage
+		var damage *DamageError
 		if errors.As(err, &damage) {
 			return s.markBroken(err)
 		}
--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -156,7 +156,7 @@
 		body = jsonValue(decoded)
 	}
 	return json.Marshal(map[string]any{
-		"kind": r.Kind, "key": r.Key, "at": r.At.UTC().Format(time.RFC3339Nano), "version": r.Version, "commit": r.Number, "body": body,
+		"kind": r.Kind, "key": r.Key, "at": r.At.UTC().Format(time.RFC3339Nano), "version": r.Version, "commit": r.CommitNumber, "body": body,
 	})
 }
 
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -26,7 +26,7 @@
 				damaged.files[name].data = damaged.files[name].data[:length]
 				index, err := load(damaged, testKinds, false)
 				if state, _ := parseSegmentName(name); state.merged || i < len(names)-1 {
-					var damage *Damage
+					var damage *DamageError
 					if !errors.As(err, &damage) || damage.File != name || damage.Offset > int64(length) {
 						t.Fatalf("%s truncated to %d bytes: %v", name, length, err)
 					}
@@ -67,7 +67,7 @@
 			damaged := folder.clone()
 			damaged.files[name].data[offset] ^= 1 << (offset % 8)
 			index, err := load(damaged, testKinds, false)
-			var damage *Damage
+			var damage *DamageError
 			switch {
 			case err == nil && index.report.TornTail != nil && index.report.TornTail.File == name && int64(offset) >= index.report.TornTail.Offset:
 				// the last frame only, which says that all before it was synced
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -27,21 +27,21 @@
 	"time"
 )
 
-// Sync is when a kind's commits are made to outlast a power failure. All outlast
+// SyncPolicy is when a kind's commits are made to outlast a power failure. All outlast
 // a kill of the process.
-type Sync uint8
+type SyncPolicy uint8
 
 // The times at which commits are synced, the safest first.
 const (
-	SyncImmediate  Sync = iota // before they are reported
-	SyncGrouped                // with others within GroupCommitInterval, and reported then
-	SyncBestEffort             // when the kernel writes them back; reported once written
+	SyncImmediate  SyncPolicy = iota // before they are reported
+	SyncGrouped                      // with others within GroupCommitInterval, and reported then
+	SyncBestEffort                   // when the kernel writes them back; reported once written
 )
 
 // Kind is a kind of record.
 type Kind struct {
 	Name       string
-	Sync       Sync
+	Sync       SyncPolicy
 	MaxRecords int           // records retained; the oldest go first. 0: any number
 	Retention  time.Duration // for which they are retained; 0: for good
 }
@@ -51,9 +51,9 @@
 	// their sync.
 	GroupCommitInterval = 50 * time.Millisecond
 
-	// DefaultBytes bounds the records of a store, about; its files may have some
+	// DefaultMaxBytes bounds the records of a store, about; its files may have some
 	// more between merges.
-	DefaultBytes = 64 << 20
+	DefaultMaxBytes = 64 << 20
 
 	maxQueuedCommits = 1024
 	maxEntryOverhead = 64              // bytes that a record takes beside its kind, key and body, at the most
@@ -71,9 +71,9 @@
 
 // Options say how a store is opened.
 type Options struct {
-	Kinds []Kind
-	Bytes int64        // bound on its records, about; 0: DefaultBytes
-	Log   *slog.Logger // nil: nothing is logged
+	Kinds    []Kind
+	MaxBytes int64        // bound on its records, about; 0: DefaultMaxBytes
+	Log      *slog.Logger // nil: nothing is logged
 }
 
 // Change is one record that is put or removed.
@@ -88,7 +88,7 @@
 // Record is a record that is in a store.
 type Record struct {
 	Change
-	Number uint64 // of its commit
+	CommitNumber uint64 // of its commit
 }
 
 // commit is what is queued for the writer: changes that belong together, or a
@@ -109,17 +109,17 @@
 
 // Stats says what a store has done and holds.
 type Stats struct {
-	Records   map[string]int    // by kind
-	Dropped   map[string]uint64 // changes by kind, for lack of room or because the disk failed
-	Commits   uint64
-	Syncs     uint64
-	Merges    uint64
-	Files     int
-	Bytes     int64         // of all files
-	LiveBytes int64         // of records that are retained
-	Waiting   int           // commits that are queued
-	LastError error         // of the disk, while commits fail
-	Retained  time.Duration // age of the oldest record; 0 if there are none
+	Records       map[string]int    // by kind
+	Dropped       map[string]uint64 // changes by kind, for lack of room or because the disk failed
+	Commits       uint64
+	Syncs         uint64
+	Merges        uint64
+	Files         int
+	Bytes         int64         // of all files
+	LiveBytes     int64         // of records that are retained
+	QueuedCommits int           // commits that are queued
+	LastError     error         // of the disk, while commits fail
+	OldestAge     time.Duration // age of the oldest record; 0 if there are none
 }
 
 // Store is an open store.
@@ -151,7 +151,7 @@
 }
 
 // Open opens a store, and removes what a crash left of it. The report is empty if
-// the files could not be read. The error wraps ErrLocked, *Damage or *FormatError
+// the files could not be read. The error wraps ErrLocked, *DamageError or *FormatError
 // where that is the cause.
 func Open(folder FS, options Options) (*Store, Report, error) {
 	lock, err := folder.Lock()
@@ -175,12 +175,12 @@
 
 func newStore(folder FS, lock io.Closer, index *fileIndex, options Options) *Store {
 	s := &Store{
-		folder: folder, lock: lock, maxBytes: options.Bytes, log: options.Log, index: index,
+		folder: folder, lock: lock, maxBytes: options.MaxBytes, log: options.Log, index: index,
 		kinds: make(map[string]Kind), dropped: make(map[string]*atomic.Uint64),
 		queue: make(chan *commit, maxQueuedCommits), stopping: make(chan struct{}), stopped: make(chan struct{}),
 	}
 	if s.maxBytes <= 0 {
-		s.maxBytes = DefaultBytes
+		s.maxBytes = DefaultMaxBytes
 	}
 	if s.log == nil {
 		s.log = slog.New(slog.DiscardHandler)
@@ -306,7 +306,7 @@
 	return s.lock.Close()
 }
 
-// Get returns a record. It reads the file, and its error is a *Damage.
+// Get returns a record. It reads the file, and its error is a *DamageError.
 func (s *Store) Get(kind, key string) (record Record, found bool, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -320,7 +320,7 @@
 
 // Each calls visit with the records of a kind until it returns false, in the
 // order in which they were last put, or the newest first. visit must not call
-// the store. The error is a *Damage.
+// the store. The error is a *DamageError.
 func (s *Store) Each(kind string, newestFirst bool, visit func(Record) bool) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -333,12 +333,12 @@
 	defer s.mu.RUnlock()
 	stats := Stats{
 		Records: make(map[string]int), Dropped: make(map[string]uint64), Commits: s.commits, Syncs: s.syncs, Merges: s.merges,
-		Files: len(s.index.segments), Bytes: s.index.totalBytes, LiveBytes: s.index.liveBytes, Waiting: len(s.queue), LastError: s.diskError,
+		Files: len(s.index.segments), Bytes: s.index.totalBytes, LiveBytes: s.index.liveBytes, QueuedCommits: len(s.queue), LastError: s.diskError,
 	}
 	for name, table := range s.index.tables {
 		stats.Records[name] = len(table.byKey)
 		if oldest := table.order.Front(); oldest != nil {
-			stats.Retained = max(stats.Retained, time.Since(oldest.Value.(*location).at))
+			stats.OldestAge = max(stats.OldestAge, time.Since(oldest.Value.(*location).at))
 		}
 	}
 	for name, count := range s.dropped {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -134,7 +134,7 @@
 // A full store rejects commits that put records, and accepts those that make room; a commit that is too large fails
 // alone.
 func TestFullStoreRejectsPuts(t *testing.T) {
-	s, _, err := Open(newMemFS(), Options{Kinds: testKinds, Bytes: 1000})
+	s, _, err := Open(newMemFS(), Options{Kinds: testKinds, MaxBytes: 1000})
 	must(t, err)
 	defer func() { _ = s.Close() }()
 	ctx := context.Background()
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -169,7 +169,7 @@
 }
 
 // syncOf returns the safest Sync of a commit's kinds.
-func (s *Store) syncOf(c *commit) Sync {
+func (s *Store) syncOf(c *commit) SyncPolicy {
 	when := SyncBestEffort
 	for _, change := range c.changes {
 		when = min(when, s.kinds[change.Kind].Sync)
