--- a/internal/console/decisions.go
+++ b/internal/console/decisions.go
@@ -76,12 +76,12 @@
 	writeTable(out, []string{"KIND", "KEPT", "SHARE", "NO LONGER KEPT"}, func(row rowFunc) {
 		for _, category := range decisionlog.CategoryNames {
 			share := 100 * float64(stats.BlocksInUse[category]) / float64(stats.Blocks)
-			row(category, stats.Entries[category], fmt.Sprintf("%.1f%%", share), stats.Dropped[category])
+			row(category, stats.Entries[category], fmt.Sprintf("%.1f%%", share), stats.Evicted[category])
 		}
 	})
 	fmt.Fprintf(out, "%d bytes, all set aside at the start; %d steps found no room\n", stats.Bytes, stats.EventsLost)
-	if stats.Horizon > 0 {
-		reach := (s.Proxy.Clock.Now() - stats.Horizon).Round(time.Second)
+	if stats.EvictionHorizon > 0 {
+		reach := (s.Proxy.Clock.Now() - stats.EvictionHorizon).Round(time.Second)
 		fmt.Fprintf(out, "all that came within the last %s are kept\n", reach)
 	}
 }
--- a/internal/decisionlog/blockpool_test.go
+++ b/internal/decisionlog/blockpool_test.go
@@ -74,7 +74,7 @@
 			"": func(rt *rapid.T) {
 				checkPool(rt, log.pool)
 				for n, state := range all {
-					entry, err := log.Number(n)
+					entry, err := log.EntryByNumber(n)
 					switch {
 					case errors.Is(err, ErrEvicted):
 					case err != nil:
--- a/internal/decisionlog/doc.go
+++ b/internal/decisionlog/doc.go
@@ -26,7 +26,7 @@
 //  2. leaves Began and the methods of the observer that it returns to the proxy, which
 //     calls them from any goroutine; none blocks for longer than another writer's few
 //     stores;
-//  3. may call the query methods (Number, Name, Each, Related, Pin, Stats) from any
+//  3. may call the query methods (EntryByNumber, EntriesByName, Each, Related, Pin, Stats) from any
 //     goroutine at any time;
 //  4. in the callbacks of Each and Related keeps an entry only as a Clone, as the log
 //     reuses the memory that it passes.
--- a/internal/decisionlog/encoding.go
+++ b/internal/decisionlog/encoding.go
@@ -152,7 +152,7 @@
 		Group:         words[headGroup],
 		Flow:          words[headItem],
 		TimeLimit:     time.Duration(words[headTimeLimit]),
-		Load:          math.Float64frombits(words[headLoad]),
+		ExpectedLoad:  math.Float64frombits(words[headLoad]),
 		Class:         l.internedName(facts & 0xff),
 		Frontend:      l.internedName(facts >> 8 & 0xff),
 		Tenant:        l.internedName(facts >> 40 & 0xff),
@@ -167,7 +167,7 @@
 	}
 	nameLength := min(int(facts>>32&0xff), maxNameBytes)
 	entry.Name = unpackBytes(words[headName:], nameLength)
-	entry.NameCut = hashName(entry.Name) != entry.nameHash
+	entry.NameTruncated = hashName(entry.Name) != entry.nameHash
 	entry.decodeEvents(words[blockWords:])
 }
 
--- a/internal/decisionlog/entry.go
+++ b/internal/decisionlog/entry.go
@@ -15,12 +15,12 @@
 	Class         string
 	Tenant        string        // "" if it has none
 	Name          string        // as the client calls it, or the first part of that
-	NameCut       bool          // Name is only the first part
+	NameTruncated bool          // Name is only the first part
 	Group         uint64        // 0 if none
 	Flow          uint64        // 0 if none; with the platform's protocol the key of the flow
 	StartedAt     time.Duration // on the proxy's clock
 	TimeLimit     time.Duration // that its client had then
-	Load          float64       // expected, in seconds of work per second; 0 if unknown
+	ExpectedLoad  float64       // expected, in seconds of work per second; 0 if unknown
 	Returning     bool          // its client came back after a disconnect or a migration
 	Resumed       bool          // it was established at an endpoint before the start of this process
 	HeadEvicted   bool          // its first events were evicted
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -89,22 +89,22 @@
 
 // Stats says what the log holds and what it has evicted.
 type Stats struct {
-	Bytes       int               // of memory in all
-	Blocks      int               // that the memory is divided into
-	Entries     map[string]int    // entries, by category
-	BlocksInUse map[string]int    // blocks, by category
-	Dropped     map[string]uint64 // entries evicted since the start, by category
-	EventsLost  uint64            // events that there was no room for
-	LastNumber  uint64            // number of the youngest request begun
-	Horizon     time.Duration     // when the youngest of those evicted began; 0 if none was
+	Bytes           int               // of memory in all
+	Blocks          int               // that the memory is divided into
+	Entries         map[string]int    // entries, by category
+	BlocksInUse     map[string]int    // blocks, by category
+	Evicted         map[string]uint64 // entries evicted since the start, by category
+	EventsLost      uint64            // events that there was no room for
+	LastNumber      uint64            // number of the youngest request begun
+	EvictionHorizon time.Duration     // when the youngest of those evicted began; 0 if none was
 }
 
 // CategoryNames are the names of the categories that entries are kept in.
 var CategoryNames = [categoryCount]string{"under-way", "uneventful", "eventful", "pinned"}
 
-// DroppedAll returns how many entries were evicted, of all categories.
-func (s Stats) DroppedAll() (total uint64) {
-	for _, dropped := range s.Dropped {
+// TotalEvicted returns how many entries were evicted, of all categories.
+func (s Stats) TotalEvicted() (total uint64) {
+	for _, dropped := range s.Evicted {
 		total += dropped
 	}
 	return total
@@ -115,19 +115,19 @@
 func (l *Log) Stats() Stats {
 	pool := l.pool
 	stats := Stats{
-		Bytes:       l.Bytes(),
-		Blocks:      pool.blockCount,
-		EventsLost:  l.eventsLost.Load(),
-		LastNumber:  l.lastNumber.Load(),
-		Horizon:     time.Duration(pool.evictionHorizon.Load()),
-		Entries:     make(map[string]int),
-		BlocksInUse: make(map[string]int),
-		Dropped:     make(map[string]uint64),
+		Bytes:           l.Bytes(),
+		Blocks:          pool.blockCount,
+		EventsLost:      l.eventsLost.Load(),
+		LastNumber:      l.lastNumber.Load(),
+		EvictionHorizon: time.Duration(pool.evictionHorizon.Load()),
+		Entries:         make(map[string]int),
+		BlocksInUse:     make(map[string]int),
+		Evicted:         make(map[string]uint64),
 	}
 	for category, name := range CategoryNames {
 		stats.Entries[name] = int(pool.entryCount[category].Load())
 		stats.BlocksInUse[name] = int(pool.blocksInUse[category].Load())
-		stats.Dropped[name] = pool.evicted[category].Load()
+		stats.Evicted[name] = pool.evicted[category].Load()
 	}
 	return stats
 }
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -90,7 +90,7 @@
 		decision.PreferredIndex = rapid.IntRange(-1, len(decision.Considered)-1).Draw(rt, "instead")
 		number++
 		log.RequestStarted(number, testRequest(number)).Decided(&decision)
-		entry, err := log.Number(number)
+		entry, err := log.EntryByNumber(number)
 		if err != nil || len(entry.Events) != 1 || entry.Events[0].At != decision.At || !reflect.DeepEqual(entry.Events[0].Decision, decision) {
 			rt.Fatalf("recorded %+v, read %+v, %v", decision, entry, err)
 		}
@@ -102,7 +102,7 @@
 	for i, tenant := range []string{"", "fraser", "cedar"} {
 		observer := log.RequestStarted(uint64(i+1), proxy.Request{Frontend: "line", Name: "a name", Class: "page", Tenant: tenant})
 		observer.Ended(proxy.Result{})
-		entry, err := log.Number(uint64(i + 1))
+		entry, err := log.EntryByNumber(uint64(i + 1))
 		if err != nil || entry.Tenant != tenant || entry.Class != "page" || entry.Frontend != "line" || entry.Name != "a name" {
 			t.Errorf("read as %+v, %v, want the tenant %q", entry, err, tenant)
 		}
@@ -121,7 +121,7 @@
 	}
 	observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonRouteSlow, 1, 3))
 	attemptEnded := observer.AttemptStarted(3)
-	if entry, _ := log.Number(7); entry.ResultName() != "waiting" || !entry.Attempts()[0].InProgress {
+	if entry, _ := log.EntryByNumber(7); entry.ResultName() != "waiting" || !entry.Attempts()[0].InProgress {
 		t.Errorf("read %+v", entry)
 	}
 	attemptEnded(balancer.StatusFull)
@@ -130,12 +130,12 @@
 	observer.Established()
 	observer.Ended(proxy.Result{End: registry.EndMigrated, Cause: proxy.CauseShutdown, Status: balancer.StatusCancelled, RetryAfter: 1500 * time.Millisecond})
 	observer.Decided(testDecision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0)) // it comes after the end
-	entry, err := log.Number(7)
+	entry, err := log.EntryByNumber(7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if entry.Name != long[:maxNameBytes] || !entry.NameCut || entry.Frontend != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Flow != 6 ||
-		!entry.Returning || !entry.Resumed || entry.Load != 0.25 || entry.TimeLimit > 2*time.Second || entry.TimeLimit < time.Second || !entry.Notable || entry.HeadEvicted || entry.EventsOmitted {
+	if entry.Name != long[:maxNameBytes] || !entry.NameTruncated || entry.Frontend != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Flow != 6 ||
+		!entry.Returning || !entry.Resumed || entry.ExpectedLoad != 0.25 || entry.TimeLimit > 2*time.Second || entry.TimeLimit < time.Second || !entry.Notable || entry.HeadEvicted || entry.EventsOmitted {
 		t.Errorf("read %+v", entry)
 	}
 	var kinds []string
@@ -153,10 +153,10 @@
 	if len(attempts) != 2 || attempts[0].Endpoint != 3 || attempts[0].Status != balancer.StatusFull || attempts[1].Endpoint != 1<<31 || attempts[1].Status != balancer.StatusOK || attempts[1].InProgress {
 		t.Errorf("read the attempts %+v", attempts)
 	}
-	if all, err := log.Name(long); err != nil || len(all) != 1 || all[0].Number != 7 {
+	if all, err := log.EntriesByName(long); err != nil || len(all) != 1 || all[0].Number != 7 {
 		t.Errorf("by its whole name: %v, %v", all, err)
 	}
-	if _, err := log.Name(long[:maxNameBytes]); !errors.Is(err, ErrUnknown) {
+	if _, err := log.EntriesByName(long[:maxNameBytes]); !errors.Is(err, ErrUnknown) {
 		t.Errorf("by a part of its name: %v", err)
 	}
 }
@@ -178,22 +178,22 @@
 		}
 	}
 	for _, i := range notable {
-		if entry, err := log.Number(i); err != nil || entry.ResultName() != "unavailable" || len(entry.Events) != 8 {
+		if entry, err := log.EntryByNumber(i); err != nil || entry.ResultName() != "unavailable" || len(entry.Events) != 8 {
 			t.Fatalf("the rejected request %d: %+v, %v", i, entry, err)
 		}
 	}
 	stats := log.Stats()
-	if stats.Dropped["eventful"] != 0 || stats.Dropped["under-way"] != 0 || stats.Entries["eventful"] != len(notable) ||
-		int(stats.Dropped["uneventful"])+stats.Entries["uneventful"]+len(notable) != n || stats.Bytes > MinBytes {
+	if stats.Evicted["eventful"] != 0 || stats.Evicted["under-way"] != 0 || stats.Entries["eventful"] != len(notable) ||
+		int(stats.Evicted["uneventful"])+stats.Entries["uneventful"]+len(notable) != n || stats.Bytes > MinBytes {
 		t.Errorf("the log holds %+v", stats)
 	}
-	if _, err := log.Number(1); !errors.Is(err, ErrEvicted) {
+	if _, err := log.EntryByNumber(1); !errors.Is(err, ErrEvicted) {
 		t.Errorf("for an evicted entry the error is %v", err)
 	}
-	if _, err := log.Number(n + 1); !errors.Is(err, ErrUnknown) {
+	if _, err := log.EntryByNumber(n + 1); !errors.Is(err, ErrUnknown) {
 		t.Errorf("for a request that never came the error is %v", err)
 	}
-	if _, err := log.Name("never came"); !errors.Is(err, ErrEvicted) {
+	if _, err := log.EntriesByName("never came"); !errors.Is(err, ErrEvicted) {
 		t.Errorf("for a name that may have been evicted the error is %v", err)
 	}
 	// Where all are rejected, the oldest of those are evicted, and never all of the rest.
@@ -204,7 +204,7 @@
 	if share := float64(stats.BlocksInUse["eventful"]) / float64(stats.Blocks); stats.Entries["uneventful"] == 0 || share > 0.77 {
 		t.Errorf("notable entries use %.2f of the memory; %+v", share, stats)
 	}
-	if entry, err := log.Number(2 * n); err != nil || entry.ResultName() != "unavailable" {
+	if entry, err := log.EntryByNumber(2 * n); err != nil || entry.ResultName() != "unavailable" {
 		t.Errorf("the last: %+v, %v", entry, err)
 	}
 }
@@ -216,7 +216,7 @@
 	for i := uint64(2); i < 10_000; i++ {
 		recordAttempts(log, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
-	if entry, err := log.Number(1); err != nil || entry.HeadEvicted {
+	if entry, err := log.EntryByNumber(1); err != nil || entry.HeadEvicted {
 		t.Errorf("the pending entry: %+v, %v", entry, err)
 	}
 	pending.AttemptStarted(4)(balancer.StatusOK)
@@ -225,12 +225,12 @@
 		recordAttempts(log, i, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	}
 	// It has been established for so long that its first events were evicted. Its end is kept on its own.
-	if _, err := log.Number(1); !errors.Is(err, ErrEvicted) {
+	if _, err := log.EntryByNumber(1); !errors.Is(err, ErrEvicted) {
 		t.Errorf("the entry of a long established request: %v", err)
 	}
 	pending.Decided(testDecision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
 	pending.Ended(proxy.Result{End: registry.EndMigrated})
-	if entry, err := log.Number(1); err != nil || !entry.HeadEvicted || entry.ResultName() != "moved" || len(entry.Events) != 2 {
+	if entry, err := log.EntryByNumber(1); err != nil || !entry.HeadEvicted || entry.ResultName() != "moved" || len(entry.Events) != 2 {
 		t.Errorf("its end: %+v, %v", entry, err)
 	}
 }
@@ -250,7 +250,7 @@
 	}
 	established.Ended(proxy.Result{End: registry.EndHeartbeatTimeout})
 	for _, i := range []uint64{1, 2} {
-		if entry, err := log.Number(i); err != nil || !entry.Pinned || entry.HeadEvicted || !entry.Ended {
+		if entry, err := log.EntryByNumber(i); err != nil || !entry.Pinned || entry.HeadEvicted || !entry.Ended {
 			t.Errorf("pinned: %+v, %v", entry, err)
 		}
 	}
@@ -276,7 +276,7 @@
 	if err := log.Pin(2, false); err != nil {
 		t.Fatal(err)
 	}
-	if entry, err := log.Number(2); err != nil || entry.Pinned || !entry.Notable {
+	if entry, err := log.EntryByNumber(2); err != nil || entry.Pinned || !entry.Notable {
 		t.Errorf("unpinned: %+v, %v", entry, err)
 	}
 }
--- a/internal/decisionlog/query.go
+++ b/internal/decisionlog/query.go
@@ -17,9 +17,9 @@
 // ErrPinLimit says that pinned entries use all the memory that they may.
 var ErrPinLimit = errors.New("the share for pins is used up")
 
-// Number returns the entry of the request with a number. The error wraps ErrEvicted or
+// EntryByNumber returns the entry of the request with a number. The error wraps ErrEvicted or
 // ErrUnknown.
-func (l *Log) Number(number uint64) (*Entry, error) {
+func (l *Log) EntryByNumber(number uint64) (*Entry, error) {
 	if number == 0 || number > l.lastNumber.Load() {
 		return nil, fmt.Errorf("transaction %d %w: the last was %d", number, ErrUnknown, l.lastNumber.Load())
 	}
@@ -50,10 +50,10 @@
 	return entry
 }
 
-// Name returns the entries of a name, or of a flow's key in hexadecimal as clients write
+// EntriesByName returns the entries of a name, or of a flow's key in hexadecimal as clients write
 // it, the youngest first. The error wraps ErrEvicted if one of that name may have been
 // evicted, and ErrUnknown if there was none.
-func (l *Log) Name(name string) ([]*Entry, error) {
+func (l *Log) EntriesByName(name string) ([]*Entry, error) {
 	hash := hashName(name)
 	item, _ := parseFlowKey(name)
 	var found []*Entry
@@ -67,7 +67,7 @@
 		slices.SortFunc(found, func(x, y *Entry) int { return cmp.Compare(y.Number, x.Number) })
 		return found, nil
 	}
-	if stats := l.Stats(); stats.DroppedAll() == 0 {
+	if stats := l.Stats(); stats.TotalEvicted() == 0 {
 		return nil, fmt.Errorf("a transaction called %q %w: all since the start are kept", name, ErrUnknown)
 	}
 	return nil, fmt.Errorf("a transaction called %q is %w, if it came", name, ErrEvicted)
@@ -124,9 +124,9 @@
 }
 
 // Pin keeps an entry until it is unpinned, or with on false unpins it. The errors are those
-// of Number, and one that wraps ErrPinLimit.
+// of EntryByNumber, and one that wraps ErrPinLimit.
 func (l *Log) Pin(number uint64, on bool) error {
-	entry, err := l.Number(number)
+	entry, err := l.EntryByNumber(number)
 	if err != nil {
 		return err
 	}
--- a/internal/explain/archive.go
+++ b/internal/explain/archive.go
@@ -16,7 +16,7 @@
 // Save archives the explanation of a request, if its entry is notable or pinned. It formats
 // text, so it must not be called from the request's own goroutine.
 func (e *Explainer) Save(number uint64) {
-	entry, err := e.Log.Number(number)
+	entry, err := e.Log.EntryByNumber(number)
 	if err != nil || !entry.Notable && !entry.Pinned {
 		return
 	}
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -86,7 +86,7 @@
 			frontend := &scriptedFrontend{statuses: statuses, endpoints: relay.Endpoints}
 			relay.Serve(ctx, proxy.Request{Frontend: "line", Class: "page", Name: "a", RequestOptions: balancer.RequestOptions{Group: 7, Deadline: relay.Clock.Now() + 4*time.Second}}, frontend)
 			synctest.Wait()
-			entries, err := log.Name("a")
+			entries, err := log.EntriesByName("a")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -23,8 +23,8 @@
 		Considered: []balancer.ConsideredEndpoint{consideredEndpoint(1, 0), consideredEndpoint(2, balancer.ExcludedSlow|balancer.ExcludedDraining)},
 	}
 	return &decisionlog.Entry{
-		Number: 7, Frontend: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameCut: true, Group: 0x5c0f, Flow: 0x7f01, StartedAt: startedAt,
-		TimeLimit: 2 * time.Second, Load: 0.00025, Returning: true, HeadEvicted: true, EventsOmitted: true, Notable: true, Pinned: true, Ended: true,
+		Number: 7, Frontend: "amqp", Class: "page", Tenant: "acme", Name: "order <1> & more", NameTruncated: true, Group: 0x5c0f, Flow: 0x7f01, StartedAt: startedAt,
+		TimeLimit: 2 * time.Second, ExpectedLoad: 0.00025, Returning: true, HeadEvicted: true, EventsOmitted: true, Notable: true, Pinned: true, Ended: true,
 		Events: []decisionlog.Event{
 			{Kind: decisionlog.EventDecision, At: startedAt, Decision: decision, Repeats: 5},
 			{Kind: decisionlog.EventAttemptStarted, At: startedAt + time.Millisecond, Endpoint: 1},
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -165,12 +165,12 @@
 // retentionText says how far back the log reaches, "" if it has all since the start.
 func (e *Explainer) retentionText() string {
 	stats := e.Log.Stats()
-	if stats.DroppedAll() == 0 {
+	if stats.TotalEvicted() == 0 {
 		return ""
 	}
-	reach := e.Log.Clock().Now() - stats.Horizon
+	reach := e.Log.Clock().Now() - stats.EvictionHorizon
 	return fmt.Sprintf("no longer kept: %d uneventful, %d eventful and %d unanswered; all that came within the last %s are kept\n",
-		stats.Dropped["uneventful"], stats.Dropped["eventful"], stats.Dropped["under-way"], formatDuration(reach))
+		stats.Evicted["uneventful"], stats.Evicted["eventful"], stats.Evicted["under-way"], formatDuration(reach))
 }
 
 // filterOf returns the filter of a query that has no subject.
@@ -220,7 +220,7 @@
 
 // entriesNamed returns the entries of a name, or that of a number.
 func (e *Explainer) entriesNamed(subject string) ([]*decisionlog.Entry, error) {
-	byName, err := e.Log.Name(subject)
+	byName, err := e.Log.EntriesByName(subject)
 	if err == nil {
 		return byName[:min(len(byName), DefaultLimit)], nil
 	}
@@ -228,7 +228,7 @@
 	if notNumber != nil || len(subject) > maxNumberDigits {
 		return nil, e.withRetention(err, eventsLostText(e.Log.Stats()))
 	}
-	entry, err := e.Log.Number(number)
+	entry, err := e.Log.EntryByNumber(number)
 	if err != nil {
 		return nil, e.withRetention(err, "")
 	}
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -89,7 +89,7 @@
 	if s.decisions == nil {
 		return
 	}
-	record, err := s.decisions.Number(s.number)
+	record, err := s.decisions.EntryByNumber(s.number)
 	if err != nil {
 		return
 	}
