--- a/cmd/lockroad/why.go
+++ b/cmd/lockroad/why.go
@@ -24,7 +24,7 @@
   lockroad why --by server,reason --where '(since 10m)'
 
 A query is one of:
-` + explain.Help()
+` + explain.FilterHelp()
 }
 
 // Validate requires at most one way to choose requests.
@@ -37,6 +37,6 @@
 
 // Run asks at the console.
 func (c *whyCommand) Run(std streams) error {
-	query := explain.Query{Subject: c.Of, Where: c.Where, By: c.By, Limit: c.Most, JSON: c.JSON}
+	query := explain.Query{Subject: c.Of, Where: c.Where, CountBy: c.By, Limit: c.Most, JSON: c.JSON}
 	return c.run("why "+query.Line(), std)
 }
--- a/internal/console/commands.go
+++ b/internal/console/commands.go
@@ -105,7 +105,7 @@
 			}
 		})
 	case "why":
-		fmt.Fprintf(out, "why NUMBER|NAME|FLOW\nwhy [--json] [--most N] [--by FIELD,...] [(QUERY)]\n\nA query is one of\n%s", explain.Help())
+		fmt.Fprintf(out, "why NUMBER|NAME|FLOW\nwhy [--json] [--most N] [--by FIELD,...] [(QUERY)]\n\nA query is one of\n%s", explain.FilterHelp())
 	default:
 		return fmt.Errorf("there is more to tell of why only, not of %q", call.args)
 	}
--- a/internal/explain/archive.go
+++ b/internal/explain/archive.go
@@ -29,7 +29,7 @@
 // Matches reports whether an explanation is of a name, or of a flow's key.
 func (x *Explanation) Matches(nameOrFlow string) bool {
 	return x.Name == nameOrFlow ||
-		x.NameCut && strings.HasPrefix(nameOrFlow, x.Name) ||
+		x.NameTruncated && strings.HasPrefix(nameOrFlow, x.Name) ||
 		x.Flow != "" && x.Flow == nameOrFlow
 }
 
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -180,7 +180,7 @@
 							return
 						default:
 						}
-						if err := explainer.Answer(Query{By: []string{"server", "reason"}}, &strings.Builder{}); err != nil {
+						if err := explainer.Answer(Query{CountBy: []string{"server", "reason"}}, &strings.Builder{}); err != nil {
 							b.Error(err)
 							return
 						}
--- a/internal/explain/counts.go
+++ b/internal/explain/counts.go
@@ -42,7 +42,7 @@
 
 // writeCounts writes how many requests fall in each row, the most first.
 func (e *Explainer) writeCounts(query Query, out io.Writer) error {
-	for _, field := range query.By {
+	for _, field := range query.CountBy {
 		if !slices.Contains(countFields, field) {
 			return fmt.Errorf("nothing is counted by %q; expected %s", field, strings.Join(countFields, ", "))
 		}
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	counter := &entryCounter{endpointNames: e.Names, fields: query.By, rows: make(map[string]*countRow)}
+	counter := &entryCounter{endpointNames: e.Names, fields: query.CountBy, rows: make(map[string]*countRow)}
 	if query.Subject != "" {
 		named, err := e.entriesNamed(query.Subject)
 		if err != nil {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -321,7 +321,7 @@
 
 func TestQueriesAreParsedAsWritten(t *testing.T) {
 	for _, query := range []Query{
-		{Subject: "9b1f03aa"}, {Subject: "--json", JSON: true}, {Where: `(class "a b")`, Limit: 7}, {By: []string{"server", "reason"}, JSON: true}, {},
+		{Subject: "9b1f03aa"}, {Subject: "--json", JSON: true}, {Where: `(class "a b")`, Limit: 7}, {CountBy: []string{"server", "reason"}, JSON: true}, {},
 	} {
 		got, err := ParseLine(query.Line())
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(query) {
@@ -332,7 +332,7 @@
 		t.Errorf("read as %+v, %v", query, err)
 	}
 	for _, considered := range filterFields {
-		if !strings.Contains(Help(), "("+considered.name) {
+		if !strings.Contains(FilterHelp(), "("+considered.name) {
 			t.Errorf("the help has no %s", considered.name)
 		}
 	}
--- a/internal/explain/explainer.go
+++ b/internal/explain/explainer.go
@@ -32,14 +32,14 @@
 	before, after := e.related(entry)
 	if before != nil {
 		explanation.Before = &RelatedRequest{
-			Number: before.Number, By: relationOf(before, entry), Result: before.ResultName(),
+			Number: before.Number, Relation: relationOf(before, entry), Result: before.ResultName(),
 			Text: fmt.Sprintf("its client came back from %d (%s), %s, %s before",
 				before.Number, relationText(before, entry), e.resultClause(before), formatDuration(entry.StartedAt-before.LastEventAt())),
 		}
 	}
 	if after != nil {
 		explanation.After = &RelatedRequest{
-			Number: after.Number, By: relationOf(entry, after), Result: after.ResultName(),
+			Number: after.Number, Relation: relationOf(entry, after), Result: after.ResultName(),
 			Text: fmt.Sprintf("its client came again %s later as %d (%s), %s",
 				formatDuration(after.StartedAt-entry.LastEventAt()), after.Number, relationText(entry, after), e.resultClause(after)),
 		}
@@ -54,14 +54,14 @@
 		Number:        entry.Number,
 		Frontend:      entry.Frontend,
 		Name:          entry.Name,
-		NameCut:       entry.NameTruncated,
+		NameTruncated: entry.NameTruncated,
 		Class:         entry.Class,
 		Tenant:        entry.Tenant,
 		Group:         formatKey(entry.Group),
 		Flow:          formatKey(entry.Flow),
 		ReceivedAt:    clock.Wall(entry.StartedAt),
 		TimeLimitMS:   milliseconds(entry.TimeLimit),
-		Load:          entry.ExpectedLoad * 1e6,
+		ExpectedLoad:  entry.ExpectedLoad * 1e6,
 		Returning:     entry.Returning,
 		Pinned:        entry.Pinned,
 		Notable:       entry.Notable,
--- a/internal/explain/explanation.go
+++ b/internal/explain/explanation.go
@@ -9,14 +9,14 @@
 	Number        uint64          `cbor:"number" json:"number"`
 	Frontend      string          `cbor:"front" json:"front"`
 	Name          string          `cbor:"name" json:"name"`
-	NameCut       bool            `cbor:"name_cut,omitempty" json:"name_cut,omitempty"`
+	NameTruncated bool            `cbor:"name_cut,omitempty" json:"name_cut,omitempty"`
 	Class         string          `cbor:"class" json:"class"`
 	Tenant        string          `cbor:"tenant,omitempty" json:"tenant,omitempty"`
 	Group         string          `cbor:"group,omitempty" json:"group,omitempty"`
 	Flow          string          `cbor:"flow,omitempty" json:"flow,omitempty"`
 	ReceivedAt    time.Time       `cbor:"came" json:"came"`
 	TimeLimitMS   float64         `cbor:"patience_ms" json:"patience_ms"`
-	Load          float64         `cbor:"load_us,omitempty" json:"load_us,omitempty"` // expected, in microseconds of work per second
+	ExpectedLoad  float64         `cbor:"load_us,omitempty" json:"load_us,omitempty"` // expected, in microseconds of work per second
 	Returning     bool            `cbor:"return,omitempty" json:"return,omitempty"`
 	Pinned        bool            `cbor:"pinned,omitempty" json:"pinned,omitempty"`
 	Notable       bool            `cbor:"eventful,omitempty" json:"eventful,omitempty"`
@@ -67,8 +67,8 @@
 
 // RelatedRequest is an earlier or later request of the same client.
 type RelatedRequest struct {
-	Number uint64 `cbor:"number" json:"number"`
-	By     string `cbor:"by" json:"by"` // flow, name or group
-	Result string `cbor:"answer" json:"answer"`
-	Text   string `cbor:"text" json:"text"`
+	Number   uint64 `cbor:"number" json:"number"`
+	Relation string `cbor:"by" json:"by"` // flow, name or group
+	Result   string `cbor:"answer" json:"answer"`
+	Text     string `cbor:"text" json:"text"`
 }
--- a/internal/explain/filter.go
+++ b/internal/explain/filter.go
@@ -17,9 +17,9 @@
 // MatchAll matches all entries.
 func MatchAll(*decisionlog.Entry, time.Duration) bool { return true }
 
-// Compile reads a filter in S-expressions. An error says at which line and column what was
+// CompileFilter reads a filter in S-expressions. An error says at which line and column what was
 // expected; it is a *sexp.Error.
-func Compile(source string, names EndpointNames) (Filter, error) {
+func CompileFilter(source string, names EndpointNames) (Filter, error) {
 	node, err := sexp.ParseOne(source)
 	if err != nil {
 		return nil, err
@@ -27,8 +27,8 @@
 	return (&filterCompiler{endpointNames: names}).compile(node)
 }
 
-// Help lists the forms of a filter, a line each.
-func Help() string {
+// FilterHelp lists the forms of a filter, a line each.
+func FilterHelp() string {
 	var help strings.Builder
 	help.WriteString("(and Q ...), (or Q ...), (not Q)\n")
 	for _, field := range filterFields {
--- a/internal/explain/format.go
+++ b/internal/explain/format.go
@@ -34,7 +34,7 @@
 
 func (x *Explanation) writeHead(out io.Writer) {
 	ellipsis := ""
-	if x.NameCut {
+	if x.NameTruncated {
 		ellipsis = "..."
 	}
 	fmt.Fprintf(out, "transaction %d, front %s, name %s%s, class %s", x.Number, x.Frontend, cmp.Or(x.Name, "-"), ellipsis, x.Class)
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -44,8 +44,8 @@
 	time.Sleep(5 * time.Second)
 	explanation := env.explainer.explainAlone(fullEntry(env.startedAt))
 	explanation.ReceivedAt = fixedTime
-	explanation.Before = &RelatedRequest{Number: 6, By: "flow", Result: "moved", Text: "its client came back from 6"}
-	explanation.After = &RelatedRequest{Number: 8, By: "name", Result: "up", Text: "its client came again"}
+	explanation.Before = &RelatedRequest{Number: 6, Relation: "flow", Result: "moved", Text: "its client came back from 6"}
+	explanation.After = &RelatedRequest{Number: 8, Relation: "name", Result: "up", Text: "its client came again"}
 	return explanation
 }
 
@@ -115,7 +115,7 @@
 // What queries and counts are written in, and the closed sets of their words.
 func TestQueryVocabularyIsStable(t *testing.T) {
 	var text strings.Builder
-	text.WriteString(Help())
+	text.WriteString(FilterHelp())
 	for _, f := range filterFields {
 		fmt.Fprintf(&text, "field %s\n", f.name)
 	}
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -16,7 +16,7 @@
 type Query struct {
 	Subject string   // a number or name; empty: by Where
 	Where   string   // an S-expression; empty: all
-	By      []string // counts by these fields instead of explanations
+	CountBy []string // counts by these fields instead of explanations
 	Limit   int      // explanations at most, the youngest first; 0: DefaultLimit
 	JSON    bool
 }
@@ -36,8 +36,8 @@
 	if q.Limit != 0 {
 		words = append(words, "--most", strconv.Itoa(q.Limit))
 	}
-	if len(q.By) > 0 {
-		words = append(words, "--by", strings.Join(q.By, ","))
+	if len(q.CountBy) > 0 {
+		words = append(words, "--by", strings.Join(q.CountBy, ","))
 	}
 	switch {
 	case q.Where != "":
@@ -112,14 +112,14 @@
 	if value == "" {
 		return "", errors.New("--by wants a value")
 	}
-	q.By = strings.Split(value, ",")
+	q.CountBy = strings.Split(value, ",")
 	return rest, nil
 }
 
 // Answer writes the answer to a query. An error is for the one who asks: the query makes no
 // sense, or the log no longer has, or never had, what it is about.
 func (e *Explainer) Answer(query Query, out io.Writer) error {
-	if len(query.By) > 0 {
+	if len(query.CountBy) > 0 {
 		return e.writeCounts(query, out)
 	}
 	selected, total, err := e.selectEntries(query)
@@ -178,7 +178,7 @@
 	if query.Where == "" {
 		return MatchAll, nil
 	}
-	return Compile(query.Where, e.Names)
+	return CompileFilter(query.Where, e.Names)
 }
 
 // selectEntries returns the entries that a query asks for, the youngest first, and how many
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -142,14 +142,14 @@
 		Number:        2001,
 		Frontend:      "front-2002",
 		Name:          "name-2003",
-		NameCut:       true,
+		NameTruncated: true,
 		Class:         "class-2004",
 		Tenant:        "tenant-2005",
 		Group:         "group-2006",
 		Flow:          "flow-2007",
 		ReceivedAt:    time.Date(2024, time.February, 5, 3, 4, 5, 678912345, time.UTC),
 		TimeLimitMS:   2008.5,
-		Load:          2009.5,
+		ExpectedLoad:  2009.5,
 		Returning:     true,
 		Pinned:        true,
 		Notable:       true,
@@ -190,8 +190,8 @@
 				Text:      "text-2037",
 			},
 		},
-		Before: &explain.RelatedRequest{Number: 2038, By: "by-2039", Result: "answer-2040", Text: "text-2041"},
-		After:  &explain.RelatedRequest{Number: 2042, By: "by-2043", Result: "answer-2044", Text: "text-2045"},
+		Before: &explain.RelatedRequest{Number: 2038, Relation: "by-2039", Result: "answer-2040", Text: "text-2041"},
+		After:  &explain.RelatedRequest{Number: 2042, Relation: "by-2043", Result: "answer-2044", Text: "text-2045"},
 	}
 }
 
