--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -242,7 +242,7 @@
 	if len(args) != 1 {
 		return node.Errorf("seeds wants their number")
 	}
-	count, err := args[0].Whole()
+	count, err := args[0].Uint()
 	if err != nil {
 		return err
 	}
--- a/internal/explain/fields.go
+++ b/internal/explain/fields.go
@@ -92,7 +92,7 @@
 }
 
 func parseWhole(node *sexp.Node) (float64, error) {
-	number, err := node.Whole()
+	number, err := node.Uint()
 	return float64(number), err
 }
 
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -125,7 +125,7 @@
 		a.Delay, err = node.Duration()
 	case "PERCENT":
 		var percent uint64
-		if percent, err = node.Whole(); err == nil && percent > 100 {
+		if percent, err = node.Uint(); err == nil && percent > 100 {
 			err = node.Errorf("%d is more than 100 in 100", percent)
 		}
 		a.Share = float64(percent) / 100
--- a/internal/faultproxy/parse.go
+++ b/internal/faultproxy/parse.go
@@ -334,7 +334,7 @@
 }
 
 func positiveNumber(node *sexp.Node) (uint64, error) {
-	value, err := node.Whole()
+	value, err := node.Uint()
 	if err == nil && value == 0 {
 		err = node.Errorf("0 is too little; expected 1 or more")
 	}
--- a/internal/sexp/node.go
+++ b/internal/sexp/node.go
@@ -68,8 +68,8 @@
 	return values, nil
 }
 
-// Whole returns the node as a whole number that is not negative.
-func (n *Node) Whole() (uint64, error) {
+// Uint returns the node as a whole number that is not negative.
+func (n *Node) Uint() (uint64, error) {
 	word, err := n.Value()
 	if err != nil {
 		return 0, err
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -43,14 +43,14 @@
 	if d, err := since[0].Duration(); err != nil || d != 1500*time.Millisecond {
 		t.Errorf("%v, %v", d, err)
 	}
-	if v, err := rest[3].Whole(); err != nil || v != 7 {
+	if v, err := rest[3].Uint(); err != nil || v != 7 {
 		t.Errorf("%v, %v", v, err)
 	}
 	if rest[1].Pos.Line != 2 || rest[1].Pos.Column != 3 {
 		t.Errorf("the second list is at %v", rest[1].Pos)
 	}
 	for _, bad := range []error{
-		second(rest[0].Value()), second(rest[4].Whole()), second(rest[4].Duration()), third(rest[3].Head()), second(rest[0].Duration()),
+		second(rest[0].Value()), second(rest[4].Uint()), second(rest[4].Duration()), third(rest[3].Head()), second(rest[0].Duration()),
 	} {
 		if bad == nil || !strings.HasPrefix(bad.Error(), "line ") {
 			t.Errorf("an invalid value gives %v", bad)
--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -88,7 +88,7 @@
 	switch kind {
 	case 'N':
 		var count uint64
-		if count, err = node.Whole(); err == nil && (count == 0 || count > maxServers) {
+		if count, err = node.Uint(); err == nil && (count == 0 || count > maxServers) {
 			err = node.Errorf("%d is not within 1 and 5000", count)
 		}
 		a.Count = int(count)
