--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -114,7 +114,7 @@
 	}{
 		"unknown command":     {socket, "explode", ExitRejected, `unknown command "explode"`},
 		"words after a name":  {socket, "status farm", ExitRejected, `status: nothing may follow here, not "farm"`},
-		"a bad query":         {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
+		"a bad query":         {socket, "why (class", ExitRejected, "why: line 1, column 1: list is not closed"},
 		"no such pin":         {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
 		"a pin of a name":     {socket, "pin x", ExitRejected, `"x" is no transaction's number`},
 		"no lines":            {socket, "log 0", ExitRejected, "no number of lines"},
--- a/internal/fake/script_test.go
+++ b/internal/fake/script_test.go
@@ -20,13 +20,13 @@
 	for source, want := range map[string]string{
 		"(at 1s)":                  "line 1, column 1: expected (at TIME (ACT ...))",
 		"(in 1s (drain s-1))":      "line 1, column 1: expected (at TIME",
-		"(at soon (drain s-1))":    `line 1, column 5: "soon" is no time`,
+		"(at soon (drain s-1))":    `line 1, column 5: "soon" is not a duration`,
 		"(at 1s (melt s-1))":       `line 1, column 8: there is no act "melt"`,
 		"(at 1s (drain s-3))":      `line 1, column 15: there is no server "s-3"`,
 		"(at 1s (hang s-1))":       "line 1, column 8: hang takes [SERVER TIME], here are 1",
 		"(at 1s (drop 101))":       "line 1, column 14: 101 is more than 100",
-		"(at 1s\n  (drop lots))":   `line 2, column 9: "lots" is no whole number`,
-		"(at 1s (hang s-1 often))": `line 1, column 18: "often" is no time`,
+		"(at 1s\n  (drop lots))":   `line 2, column 9: "lots" is not a whole number`,
+		"(at 1s (hang s-1 often))": `line 1, column 18: "often" is not a duration`,
 		"(at 1s drain)":            "line 1, column 8: drain stands where a list is expected",
 	} {
 		if actions, err := ParseScript(source, servers); err == nil || !strings.HasPrefix(err.Error(), want) {
--- a/internal/sexp/node.go
+++ b/internal/sexp/node.go
@@ -17,7 +17,7 @@
 	Symbol *string `parser:"| @Symbol"`
 }
 
-// List is what stands between two parentheses.
+// List is a list of nodes in parentheses.
 type List struct {
 	Items []*Node `parser:"'(' @@* ')'"`
 }
@@ -27,13 +27,13 @@
 	return &Error{Line: n.Pos.Line, Column: n.Pos.Column, Message: fmt.Sprintf(format, args...)}
 }
 
-// Head returns the word that a list begins with, and the nodes that follow it.
+// Head returns the first node of a list, which must be a word, and the nodes after it.
 func (n *Node) Head() (word string, rest []*Node, err error) {
 	if n.List == nil {
 		return "", nil, n.Errorf("%s stands where a list is expected", n)
 	}
 	if len(n.List.Items) == 0 || n.List.Items[0].Symbol == nil {
-		return "", nil, n.Errorf("a list has to begin with a word")
+		return "", nil, n.Errorf("a list must begin with a word")
 	}
 	return *n.List.Items[0].Symbol, n.List.Items[1:], nil
 }
@@ -49,15 +49,15 @@
 	return "", n.Errorf("a list stands where a word or string is expected")
 }
 
-// Values returns the strings or words that follow a list's head, of which there must be at
-// least one.
+// Values returns the texts of the strings and words after a list's head. It fails if there
+// are none.
 func (n *Node) Values() ([]string, error) {
 	_, rest, err := n.Head()
 	if err != nil {
 		return nil, err
 	}
 	if len(rest) == 0 {
-		return nil, n.Errorf("%s wants a value after its name", n.List.Items[0])
+		return nil, n.Errorf("%s needs a value after its name", n.List.Items[0])
 	}
 	values := make([]string, len(rest))
 	for i, item := range rest {
@@ -68,7 +68,7 @@
 	return values, nil
 }
 
-// Uint returns the node as a whole number that is not negative.
+// Uint returns the node as a non-negative integer.
 func (n *Node) Uint() (uint64, error) {
 	word, err := n.Value()
 	if err != nil {
@@ -76,12 +76,12 @@
 	}
 	number, err := strconv.ParseUint(word, 10, 64)
 	if err != nil {
-		return 0, n.Errorf("%q is no whole number", word)
+		return 0, n.Errorf("%q is not a whole number", word)
 	}
 	return number, nil
 }
 
-// Duration returns the node as a duration that is not negative, such as 5m, 1.5s or 300ms.
+// Duration returns the node as a non-negative duration, such as 5m, 1.5s or 300ms.
 func (n *Node) Duration() (time.Duration, error) {
 	word, err := n.Value()
 	if err != nil {
@@ -89,12 +89,12 @@
 	}
 	duration, err := time.ParseDuration(word)
 	if err != nil || duration < 0 {
-		return 0, n.Errorf("%q is no time such as 5m, 1.5s or 300ms", word)
+		return 0, n.Errorf("%q is not a duration such as 5m, 1.5s or 300ms", word)
 	}
 	return duration, nil
 }
 
-// String returns the node in a form that Parse reads as the same.
+// String returns the node as text that Parse reads as an equal node.
 func (n *Node) String() string {
 	switch {
 	case n.Text != nil:
--- a/internal/sexp/sexp.go
+++ b/internal/sexp/sexp.go
@@ -1,9 +1,9 @@
-// Package sexp reads S-expressions: lists in parentheses of words, strings in double quotes
-// and further lists. A semicolon begins a comment that extends to the line's end. Queries and
-// scripts are written in it.
+// Package sexp parses S-expressions, the syntax of queries and scripts: lists in parentheses
+// of words, strings in double quotes and nested lists. A semicolon begins a comment that
+// extends to the end of the line.
 //
-// Every node has its line and column, and errors say where and what was expected. The package
-// keeps no state: any goroutine may call its functions.
+// Every node has its line and column, and errors state the position and what was expected.
+// The functions are safe for concurrent use.
 package sexp
 
 import (
@@ -16,13 +16,13 @@
 )
 
 const (
-	// MaxTextBytes is how many bytes a text may have.
+	// MaxTextBytes is the maximum size of a text that Parse accepts.
 	MaxTextBytes = 1 << 20
-	// MaxDepth is how deep lists may nest.
+	// MaxDepth is the maximum nesting depth of lists.
 	MaxDepth = 64
 )
 
-// document is a text as the parser reads it.
+// document is the root of the grammar: the nodes of a whole text.
 type document struct {
 	Nodes []*Node `parser:"@@*"`
 }
@@ -40,7 +40,7 @@
 	participle.Unquote("String"),
 )
 
-// Error is an error at a position in a text.
+// Error is a syntax error, or an invalid value, at a position in a text.
 type Error struct {
 	Line, Column int // from 1
 	Message      string
@@ -51,13 +51,13 @@
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// textStart is the position of errors that concern a whole text.
+// textStart is the position of errors about a whole text.
 var textStart = position{line: 1, column: 1}
 
-// Parse reads all nodes of a text. An error is an *Error.
+// Parse parses all nodes of a text. Its error is an *Error.
 func Parse(source string) ([]*Node, error) {
 	if len(source) > MaxTextBytes {
-		return nil, textStart.errorf("%d bytes are more than the %d that are read", len(source), MaxTextBytes)
+		return nil, textStart.errorf("text of %d bytes exceeds the limit of %d", len(source), MaxTextBytes)
 	}
 	if err := checkNesting(source); err != nil {
 		return nil, err
@@ -69,21 +69,21 @@
 	return parsed.Nodes, nil
 }
 
-// ParseOne reads a text that has exactly one node. An error is an *Error.
+// ParseOne parses a text that has exactly one node. Its error is an *Error.
 func ParseOne(source string) (*Node, error) {
 	nodes, err := Parse(source)
 	switch {
 	case err != nil:
 		return nil, err
 	case len(nodes) == 0:
-		return nil, textStart.errorf("nothing is there; expected a list such as (class \"page\")")
+		return nil, textStart.errorf("empty text; expected a list such as (class \"page\")")
 	case len(nodes) > 1:
-		return nil, nodes[1].Errorf("something follows the end of the expression")
+		return nil, nodes[1].Errorf("unexpected text after the end of the expression")
 	}
 	return nodes[0], nil
 }
 
-// convertError returns the *Error for an error of the parser, in words for people.
+// convertError converts an error of the parser to an *Error without the parser's jargon.
 func convertError(err error) error {
 	var parserError participle.Error
 	if !errors.As(err, &parserError) {
