--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// BenchmarkCommit measures commits that wait for the disk, of one caller and of many.
+// BenchmarkCommit measures commits that wait for the disk, by one caller and by many.
 func BenchmarkCommit(b *testing.B) {
 	for _, kind := range testKinds {
-		for _, many := range []int{1, 64} {
-			b.Run(fmt.Sprintf("%s/callers=%d", [...]string{"at-once", "grouped", "best-effort"}[kind.Sync], many), func(b *testing.B) {
+		for _, callers := range []int{1, 64} {
+			b.Run(fmt.Sprintf("%s/callers=%d", [...]string{"at-once", "grouped", "best-effort"}[kind.Sync], callers), func(b *testing.B) {
 				s := openStore(b, Dir(b.TempDir()))
 				body := strings.Repeat("x", 300)
-				b.SetParallelism(many)
-				if many == 1 {
+				b.SetParallelism(callers)
+				if callers == 1 {
 					for i := range b.N {
 						if err := s.Commit(context.Background(), putChange(kind.Name, fmt.Sprint(i%1000), body)); err != nil {
 							b.Fatal(err)
@@ -42,11 +42,11 @@
 	}
 }
 
-// BenchmarkOpen measures the loading of files with a number of records.
+// BenchmarkOpen measures loading a store by its number of records.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{100, 10_000, 100_000} {
-		folder := Dir(b.TempDir())
-		s := openStore(b, folder)
+		dir := Dir(b.TempDir())
+		s := openStore(b, dir)
 		for i := range n {
 			for s.enqueue(&commit{changes: []Change{putChange("state", fmt.Sprint(i), strings.Repeat("x", 300))}}) != nil {
 				time.Sleep(time.Millisecond)
@@ -55,7 +55,7 @@
 		_ = s.Close()
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
 			for range b.N {
-				index, err := load(folder, testKinds, false)
+				index, err := load(dir, testKinds, false)
 				if err != nil || index.report.Records != n {
 					b.Fatal(err, index.report)
 				}
@@ -66,7 +66,7 @@
 	}
 }
 
-// BenchmarkMerge measures commits of 3 KB with and without merges between them.
+// BenchmarkMerge measures the latency of commits of 3 KB with and without merges between them.
 func BenchmarkMerge(b *testing.B) {
 	for _, merges := range []bool{false, true} {
 		b.Run(fmt.Sprintf("merges=%v", merges), func(b *testing.B) {
--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -10,21 +10,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the folder that a store is in. Names are those of files in it. What is
-// written, created, renamed or removed is known to outlast a power failure only
-// after Sync of the file, or SyncDir. A store calls its methods from one goroutine
-// at a time, but ReadAt of a File from any.
+// FS is the directory of a store; names are those of files in it. Data written to a
+// file survives a power failure only after File.Sync, and a created, renamed or removed
+// name only after SyncDir. A store calls the methods from one goroutine at a time,
+// except File.ReadAt, which it may call from any goroutine.
 type FS interface {
-	Open(name string) (File, error)   // for reading and writing; the file must exist
-	Create(name string) (File, error) // empty; a file of that name is truncated
-	Rename(from, to string) error     // replaces a file that is there
+	Open(name string) (File, error)   // opens an existing file for reading and writing
+	Create(name string) (File, error) // creates an empty file, or truncates an existing one
+	Rename(from, to string) error     // replaces an existing file
 	Remove(name string) error
-	List() ([]string, error) // names in order
+	List() ([]string, error) // the names in lexical order
 	SyncDir() error
-	Lock() (io.Closer, error) // ErrLocked if another process holds the lock
+	Lock() (io.Closer, error) // returns ErrLocked if another process holds the lock
 }
 
-// File is a file of an FS.
+// File is an open file of an FS.
 type File interface {
 	io.ReaderAt
 	io.WriterAt
@@ -34,13 +34,13 @@
 	Sync() error
 }
 
-// ErrLocked says that another process has the store open.
+// ErrLocked is returned if another process has the store open.
 var ErrLocked = errors.New("another process has it open")
 
-// lockFile is the name of the file that a process with an open store has locked.
+// lockFile is the name of the file that a process locks while it has the store open.
 const lockFile = "lock"
 
-// Dir is the path of a folder of the operating system. It implements FS.
+// Dir is the path of a directory of the operating system. It implements FS.
 type Dir string
 
 type osFile struct{ *os.File }
@@ -63,21 +63,21 @@
 	return osFile{f}, nil
 }
 
-// Open opens an existing file.
+// Open opens an existing file for reading and writing.
 func (d Dir) Open(name string) (File, error) { return d.openFile(name, os.O_RDWR) }
 
-// Create creates an empty file.
+// Create creates an empty file, or truncates an existing one.
 func (d Dir) Create(name string) (File, error) {
 	return d.openFile(name, os.O_RDWR|os.O_CREATE|os.O_TRUNC)
 }
 
-// Rename renames a file, and replaces one that is there.
+// Rename renames a file. It replaces an existing file of the new name.
 func (d Dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 // Remove removes a file.
 func (d Dir) Remove(name string) error { return os.Remove(d.path(name)) }
 
-// List returns the names of the files, in order.
+// List returns the names of the files in lexical order.
 func (d Dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
 	if err != nil {
@@ -90,18 +90,19 @@
 	return names, nil
 }
 
-// SyncDir makes the files' names outlast a power failure.
+// SyncDir syncs the directory, so that created, renamed and removed names survive a
+// power failure.
 func (d Dir) SyncDir() error {
 	f, err := os.Open(string(d))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // nothing is written by it
+	defer func() { _ = f.Close() }() // opened for reading: a failed close loses nothing
 	return f.Sync()
 }
 
-// Lock locks the store for this process, until the lock is closed or the process
-// ends. It returns ErrLocked if another process has done so.
+// Lock locks the directory for this process until the lock is closed or the process
+// ends. It returns ErrLocked if another process holds the lock.
 func (d Dir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.path(lockFile), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// entryOverhead is what a record takes beside its kind, key and body, about. It
-// counts for liveBytes.
+// entryOverhead is the approximate encoded size of a record in addition to its kind,
+// key and body, as counted in liveBytes.
 const entryOverhead = 24
 
-// segment is one file of the chain.
+// segment is an open segment file.
 type segment struct {
 	segmentHeader
 	name string
@@ -18,55 +18,55 @@
 	size int64
 }
 
-// location is where a record is.
+// location says where in the files a live record is.
 type location struct {
 	kind, key string
 	at        time.Time
 	version   uint
-	number    uint64 // of its commit
+	number    uint64 // of the commit that put it
 	segment   *segment
 	offset    int64 // of its frame
 	frameSize int
-	position  int   // in the frame
-	bytes     int64 // of the record, about
-	element   *list.Element
+	position  int           // index of its entry in the frame
+	bytes     int64         // approximate size
+	element   *list.Element // in the order of its kindTable
 }
 
 // kindTable holds the locations of a kind's records.
 type kindTable struct {
 	Kind
 	byKey map[string]*location
-	order *list.List // of *location, in the order in which they were last put
+	order *list.List // of *location, in the order of their last put
 }
 
 func newKindTable(kind Kind) *kindTable {
 	return &kindTable{Kind: kind, byKey: make(map[string]*location), order: list.New()}
 }
 
-// fileIndex is the content of a store's files: where each record is.
+// fileIndex is the in-memory index of a store's files: the location of each live record.
 type fileIndex struct {
-	folder       FS
+	dir          FS
 	tables       map[string]*kindTable // by kind
-	segments     []*segment            // the last one is appended to, unless it is merged
+	segments     []*segment            // in commit order; the last is appended to unless it is merged
 	nextNumber   uint64                // of the next commit
-	syncedNumber uint64                // of the last commit that outlasts a power failure, as the files say
+	syncedNumber uint64                // number of the last synced commit, according to the files
 	totalBytes   int64                 // of all files
-	liveBytes    int64                 // of the records, about
+	liveBytes    int64                 // of the live records, approximate
 	report       Report
 }
 
-func newFileIndex(folder FS, kinds []Kind) *fileIndex {
-	x := &fileIndex{folder: folder, tables: make(map[string]*kindTable), nextNumber: 1}
+func newFileIndex(dir FS, kinds []Kind) *fileIndex {
+	x := &fileIndex{dir: dir, tables: make(map[string]*kindTable), nextNumber: 1}
 	for _, kind := range kinds {
 		x.tables[kind.Name] = newKindTable(kind)
 	}
 	return x
 }
 
-// apply enters the records of a frame that is in a segment.
+// apply updates the index with the entries of a frame at an offset of a segment.
 func (x *fileIndex) apply(s *segment, offset int64, f frame) {
 	for i, e := range f.entries {
-		if x.tables[e.Kind] == nil { // of another version of this program: retained as it is
+		if x.tables[e.Kind] == nil { // a kind of another program version: keep its records without limits
 			x.tables[e.Kind] = newKindTable(Kind{Name: e.Kind})
 		}
 		x.remove(x.tables[e.Kind].byKey[e.Key])
@@ -88,7 +88,7 @@
 	x.liveBytes += record.bytes
 }
 
-// remove removes a record; nil is none.
+// remove removes a record from the index. It does nothing for nil.
 func (x *fileIndex) remove(record *location) {
 	if record == nil {
 		return
@@ -99,7 +99,8 @@
 	x.liveBytes -= record.bytes
 }
 
-// applyRetention removes records that are too old or too many, the oldest first.
+// applyRetention removes the records that exceed the maximum number or age of their
+// kind from the index, the oldest first.
 func (x *fileIndex) applyRetention(now time.Time) {
 	for _, table := range x.tables {
 		for oldest := table.order.Front(); oldest != nil; oldest = table.order.Front() {
@@ -114,7 +115,7 @@
 	}
 }
 
-// readEntry reads a record's entry from its file. Its error is a *DamageError.
+// readEntry reads the entry of a record from its file. Its error is a *DamageError.
 func (x *fileIndex) readEntry(record *location) (entry, error) {
 	data := make([]byte, record.frameSize)
 	if n, err := record.segment.file.ReadAt(data, record.offset); n < len(data) {
@@ -125,12 +126,12 @@
 		return entry{}, record.damage(err)
 	}
 	if record.position >= len(f.entries) || f.entries[record.position].Key != record.key || f.entries[record.position].Kind != record.kind {
-		return entry{}, record.damage(errors.New("frame of another record"))
+		return entry{}, record.damage(errors.New("frame does not contain the expected record"))
 	}
 	return f.entries[record.position], nil
 }
 
-// damage returns an error at the place of the record's frame.
+// damage returns an error with the position of the record's frame.
 func (l *location) damage(err error) *DamageError {
 	return &DamageError{File: l.segment.name, Offset: l.offset, Err: err}
 }
@@ -142,7 +143,7 @@
 	return Record{Change: change, CommitNumber: record.number}, err
 }
 
-// each calls visit with the records of a kind, as Store.Each does.
+// each implements Store.Each.
 func (x *fileIndex) each(kind string, newestFirst bool, visit func(Record) bool) error {
 	table := x.tables[kind]
 	if table == nil {
@@ -167,7 +168,7 @@
 // close closes the files.
 func (x *fileIndex) close() {
 	for _, s := range x.segments {
-		_ = s.file.Close() // what was written to it was synced
+		_ = s.file.Close() // its data was synced before
 	}
 	x.segments = nil
 }
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// DamageError is the error of a place in a store's file that can't be read and is no
-// torn tail: a commit that was reported is not there.
+// DamageError reports data of a file that can't be read and is not a torn tail: commits
+// that were reported as durable may be lost.
 type DamageError struct {
 	File   string
-	Offset int64 // in bytes
+	Offset int64 // in bytes, where the damaged data begins
 	Err    error
 }
 
@@ -24,7 +24,7 @@
 
 func (d *DamageError) Unwrap() error { return d.Err }
 
-// TornTail is the end of the last file as a crash left it: no commit in it was
+// TornTail is an incomplete end of the last file after a crash. No commit in it was
 // reported as synced.
 type TornTail struct {
 	File   string
@@ -32,20 +32,20 @@
 	Bytes  int64
 }
 
-// Report says what opening a store found.
+// Report says what was found when a store's files were read.
 type Report struct {
 	Records   int
-	Commits   uint64 // the last one's number
+	Commits   uint64 // number of the last commit
 	Files     int
 	Bytes     int64
-	LiveBytes int64 // of them, of records that are retained; a merge leaves these
+	LiveBytes int64 // of live records, approximate; the rest is removed by a merge
 	TornTail  *TornTail
-	Damaged   []*DamageError // found by a check, or passed over by a repair
-	Replaced  []string       // files in whose place a merged one is, left by a crash
+	Damaged   []*DamageError // damaged data that was skipped; empty after Open, which fails instead
+	Replaced  []string       // obsolete files that a merged one replaced, left behind by a crash
 	Duration  time.Duration
 }
 
-// readAll reads a file.
+// readAll returns the content of a file.
 func readAll(file File) ([]byte, error) {
 	size, err := file.Size()
 	if err != nil {
@@ -59,11 +59,11 @@
 	return nil, err
 }
 
-// load reads the files of a store. With salvage it passes over damage, which is
-// in the report; otherwise the first *DamageError is the error.
-func load(folder FS, kinds []Kind, salvage bool) (*fileIndex, error) {
+// load reads the files of a store and builds its index. With salvage it skips damaged
+// data and lists it in the report; otherwise it returns the first *DamageError.
+func load(dir FS, kinds []Kind, salvage bool) (*fileIndex, error) {
 	startedAt := time.Now()
-	x := newFileIndex(folder, kinds)
+	x := newFileIndex(dir, kinds)
 	if err := x.readSegments(salvage); err != nil {
 		x.close()
 		return nil, err
@@ -78,14 +78,14 @@
 	return x, nil
 }
 
-// readSegments reads the segments in order, but those in whose place a merged
-// one is.
+// readSegments reads the segments in commit order, except those that a merged segment
+// replaced.
 func (x *fileIndex) readSegments(salvage bool) error {
-	headers, err := segmentHeaders(x.folder)
+	headers, err := segmentHeaders(x.dir)
 	if err != nil {
 		return err
 	}
-	covered := uint64(0) // the last commit that a merged segment stands for
+	covered := uint64(0) // number of the last commit in the merged segments read so far
 	for i, header := range headers {
 		if header.first <= covered {
 			x.report.Replaced = append(x.report.Replaced, header.fileName())
@@ -107,11 +107,11 @@
 	return nil
 }
 
-// segmentHeaders returns what the names of a folder's segments say, in the order
-// of the commits. Of those that begin at the same commit, the one that stands for
-// most comes first.
-func segmentHeaders(folder FS) ([]segmentHeader, error) {
-	names, err := folder.List()
+// segmentHeaders returns the headers that the names of the segment files encode, in the
+// order of their first commit. Of segments with the same first commit, the one with the
+// most commits comes first.
+func segmentHeaders(dir FS) ([]segmentHeader, error) {
+	names, err := dir.List()
 	if err != nil {
 		return nil, err
 	}
@@ -132,13 +132,13 @@
 	index    *fileIndex
 	segment  *segment
 	data     []byte
-	last     bool // the segment is plain and the last of the chain: its end may be torn
-	salvage  bool // frames after damage are read
-	complete bool // the frame that ends a merged segment was read
+	last     bool // it is the last segment, and plain: its tail may be torn
+	salvage  bool // continue after damaged data
+	complete bool // the final frame of a merged segment was read
 	damages  []*DamageError
 }
 
-// readSegment reads a segment, whose end may be torn if it is the last.
+// readSegment reads a segment into the index. Only the last segment may have a torn tail.
 func (x *fileIndex) readSegment(header segmentHeader, last, salvage bool) ([]*DamageError, error) {
 	r := &segmentReader{index: x, last: last, salvage: salvage}
 	if err := r.open(header); err != nil {
@@ -147,7 +147,7 @@
 	if header.first != x.nextNumber {
 		r.addDamage(0, fmt.Errorf("commits %d to %d are missing", x.nextNumber, header.first-1))
 	}
-	x.nextNumber = header.first // what an earlier file lost is no reason to number later commits anew
+	x.nextNumber = header.first // commits keep their numbers, even if earlier ones are missing
 	start, err := r.readHeader()
 	if err != nil {
 		return r.damages, err
@@ -157,10 +157,10 @@
 	return r.damages, nil
 }
 
-// open opens the segment, adds it to the index, and reads its bytes.
+// open opens the segment's file, adds the segment to the index, and reads the file.
 func (r *segmentReader) open(header segmentHeader) error {
 	name := header.fileName()
-	file, err := r.index.folder.Open(name)
+	file, err := r.index.dir.Open(name)
 	if err != nil {
 		return err
 	}
@@ -178,8 +178,8 @@
 	r.damages = append(r.damages, &DamageError{File: r.segment.name, Offset: int64(offset), Err: err})
 }
 
-// readHeader checks the segment's header and returns where its frames start; the
-// end of the file if there are none to be read. Its error is a *FormatError.
+// readHeader checks the segment's header and returns the offset of its first frame, or
+// the end of the file if there are no readable frames. Its error is a *FormatError.
 func (r *segmentReader) readHeader() (start int, err error) {
 	header, err := readSegmentHeader(r.segment.name, r.data)
 	var otherFormat *FormatError
@@ -187,12 +187,12 @@
 		return 0, err
 	}
 	if err == nil && header != r.segment.segmentHeader {
-		err = errors.New("header of another file")
+		err = errors.New("header does not match the file name")
 	}
 	if err == nil {
 		return segmentHeaderSize, nil
 	}
-	if r.last && len(r.data) <= segmentHeaderSize { // the header is synced before anything else is written
+	if r.last && len(r.data) <= segmentHeaderSize { // the header is synced before frames are written
 		r.cutTornTail(0)
 		return len(r.data), nil
 	}
@@ -203,8 +203,8 @@
 	return min(segmentHeaderSize, len(r.data)), nil
 }
 
-// cutTornTail leaves the file's end from an offset on to be truncated, as a crash
-// left it.
+// cutTornTail excludes the torn tail from an offset on. The file itself is truncated
+// when the store is opened for writing.
 func (r *segmentReader) cutTornTail(offset int) {
 	bytes := r.segment.size - int64(offset)
 	r.index.report.TornTail = &TornTail{File: r.segment.name, Offset: int64(offset), Bytes: bytes}
@@ -213,8 +213,8 @@
 	r.data = r.data[:offset]
 }
 
-// readFrames reads frames from an offset to the end of the file, or to the first
-// damage unless that is passed over.
+// readFrames reads frames from an offset to the end of the file. Without salvage it stops
+// at damaged data.
 func (r *segmentReader) readFrames(offset int) {
 	for offset < len(r.data) {
 		f, err := r.readFrameAt(offset)
@@ -239,26 +239,27 @@
 	}
 }
 
-// readFrameAt reads a frame, which has to be one that belongs there.
+// readFrameAt reads the frame at an offset, and checks that its number is the expected
+// one.
 func (r *segmentReader) readFrameAt(offset int) (frame, error) {
 	f, err := readFrame(r.data[offset:])
 	if err != nil {
 		return f, err
 	}
 	if r.complete {
-		return f, errors.New("data after the last frame")
+		return f, errors.New("data after the final frame of a merged segment")
 	}
 	belongs := f.number == r.index.nextNumber
 	if r.segment.merged {
 		belongs = f.number >= r.segment.first && f.number <= r.segment.last
 	}
 	if !belongs {
-		return f, fmt.Errorf("commit %d in place of commit %d", f.number, r.index.nextNumber)
+		return f, fmt.Errorf("commit %d found where commit %d is expected", f.number, r.index.nextNumber)
 	}
 	return f, nil
 }
 
-// applyFrame enters a frame in the index.
+// applyFrame updates the index with a frame.
 func (r *segmentReader) applyFrame(offset int, f frame) {
 	r.index.apply(r.segment, int64(offset), f)
 	if r.segment.merged {
@@ -268,7 +269,8 @@
 	r.index.nextNumber, r.index.syncedNumber = f.number+1, max(r.index.syncedNumber, f.synced)
 }
 
-// finish notes what the end of the segment says.
+// finish updates the index at the end of the segment. A merged segment without its final
+// frame is damaged.
 func (r *segmentReader) finish() {
 	switch {
 	case r.segment.merged:
@@ -277,13 +279,12 @@
 		}
 		r.index.nextNumber = r.segment.segmentHeader.last + 1
 	case !r.last:
-		r.index.syncedNumber = r.index.nextNumber - 1 // a segment is synced before the next is begun
+		r.index.syncedNumber = r.index.nextNumber - 1 // a segment is synced before the next one is created
 	}
 }
 
-// isTornTail reports whether what can't be read from an offset of the last file
-// on may be a tail that a crash tore: whether no later frame says that what should
-// be there was synced.
+// isTornTail reports whether unreadable data at an offset of the last file may be a torn
+// tail: no later frame says that the commit expected there was synced.
 func (x *fileIndex) isTornTail(data []byte, offset int) bool {
 	for rest := data[offset:]; ; {
 		next := nextFrame(rest)
@@ -297,16 +298,16 @@
 	}
 }
 
-// removeLeftovers removes what a crash left: files that are not complete, and
-// those in whose place a merged one is.
+// removeLeftovers removes files that a crash left behind: temporary files, and segments
+// that a merged one replaced.
 func (x *fileIndex) removeLeftovers() error {
-	names, err := x.folder.List()
+	names, err := x.dir.List()
 	if err != nil {
 		return err
 	}
 	leftovers := slices.DeleteFunc(names, func(name string) bool { return !strings.HasSuffix(name, temporarySuffix) })
 	for _, name := range append(leftovers, x.report.Replaced...) {
-		if err := x.folder.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := x.dir.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
--- a/internal/store/memfs_test.go
+++ b/internal/store/memfs_test.go
@@ -12,27 +12,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// errCrash is what all operations return after the crash.
-var errCrash = errors.New("the machine is down")
+// errCrash is returned by all operations that change something after a simulated crash.
+var errCrash = errors.New("simulated crash")
 
-// memFS is a folder in memory that loses what was not synced at a crash: of each file any part of what was written
-// since the last sync, of the folder the names that changed since.
+// memFS is an in-memory FS that simulates a crash: any part of the unsynced writes to a file, and any unsynced change
+// of a file name, may be lost.
 type memFS struct {
-	mu         sync.Mutex // guards what follows, and the data of all files
+	mu         sync.Mutex // guards the fields below, and the data of all files
 	files      map[string]*memFileData
-	synced     map[string]*memFileData // as of the last SyncDir
+	synced     map[string]*memFileData // the files as of the last SyncDir
 	locked     bool
-	operations int // operations that change something, so far
-	crashAt    int // the operation that the machine crashes before; 0: none
-	fullAt     int // the operation from which on the disk is full; 0: none
-	bytesLeft  int // bytes that the first write to a full disk still takes
-	down       bool
+	operations int  // number of operations so far that change something
+	crashAt    int  // number of the operation that a crash prevents; 0: no crash
+	fullAt     int  // number of the operation from which the disk is full; 0: never full
+	bytesLeft  int  // bytes that can still be written to a full disk
+	down       bool // the crash has happened
 }
 
 // memFileData is the content of a file.
 type memFileData struct {
 	data, synced []byte
-	unsynced     []memWrite // since the last sync
+	unsynced     []memWrite // writes since the last sync
 }
 
 // memWrite is a write or a truncation.
@@ -51,117 +51,117 @@
 	return &memFS{files: make(map[string]*memFileData), synced: make(map[string]*memFileData)}
 }
 
-// countOperation counts an operation that changes something.
-func (folder *memFS) countOperation() error {
-	if folder.operations++; folder.down || folder.crashAt > 0 && folder.operations >= folder.crashAt {
-		folder.down = true
+// countOperation counts an operation that changes something. It returns errCrash from the crash on.
+func (m *memFS) countOperation() error {
+	if m.operations++; m.down || m.crashAt > 0 && m.operations >= m.crashAt {
+		m.down = true
 		return errCrash
 	}
 	return nil
 }
 
-func (folder *memFS) isFull() bool { return folder.fullAt > 0 && folder.operations >= folder.fullAt }
+func (m *memFS) isFull() bool { return m.fullAt > 0 && m.operations >= m.fullAt }
 
-func (folder *memFS) Open(name string) (File, error) {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	if file := folder.files[name]; file != nil {
-		return &memFile{folder, file}, nil
+func (m *memFS) Open(name string) (File, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if file := m.files[name]; file != nil {
+		return &memFile{m, file}, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (folder *memFS) Create(name string) (File, error) {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	if err := folder.countOperation(); err != nil {
+func (m *memFS) Create(name string) (File, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.countOperation(); err != nil {
 		return nil, err
 	}
-	if folder.isFull() {
+	if m.isFull() {
 		return nil, unix.ENOSPC
 	}
-	folder.files[name] = &memFileData{}
-	return &memFile{folder, folder.files[name]}, nil
+	m.files[name] = &memFileData{}
+	return &memFile{m, m.files[name]}, nil
 }
 
-func (folder *memFS) Rename(from, to string) error {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	if err := folder.countOperation(); err != nil {
+func (m *memFS) Rename(from, to string) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.countOperation(); err != nil {
 		return err
 	}
-	folder.files[to] = folder.files[from]
-	delete(folder.files, from)
+	m.files[to] = m.files[from]
+	delete(m.files, from)
 	return nil
 }
 
-func (folder *memFS) Remove(name string) error {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	if err := folder.countOperation(); err != nil {
+func (m *memFS) Remove(name string) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.countOperation(); err != nil {
 		return err
 	}
-	if folder.files[name] == nil {
+	if m.files[name] == nil {
 		return fs.ErrNotExist
 	}
-	delete(folder.files, name)
+	delete(m.files, name)
 	return nil
 }
 
-func (folder *memFS) List() ([]string, error) {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	return slices.Sorted(maps.Keys(folder.files)), nil
+func (m *memFS) List() ([]string, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return slices.Sorted(maps.Keys(m.files)), nil
 }
 
-func (folder *memFS) SyncDir() error {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	if err := folder.countOperation(); err != nil {
+func (m *memFS) SyncDir() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.countOperation(); err != nil {
 		return err
 	}
-	folder.synced = maps.Clone(folder.files)
+	m.synced = maps.Clone(m.files)
 	return nil
 }
 
-type memLock struct{ folder *memFS }
+type memLock struct{ fs *memFS }
 
 func (l memLock) Close() error {
-	l.folder.mu.Lock()
-	defer l.folder.mu.Unlock()
-	l.folder.locked = false
+	l.fs.mu.Lock()
+	defer l.fs.mu.Unlock()
+	l.fs.locked = false
 	return nil
 }
 
-func (folder *memFS) Lock() (io.Closer, error) {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
-	if folder.locked {
+func (m *memFS) Lock() (io.Closer, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.locked {
 		return nil, ErrLocked
 	}
-	folder.locked = true
-	return memLock{folder}, nil
+	m.locked = true
+	return memLock{m}, nil
 }
 
-// afterCrash returns the folder as it may be found after a crash.
-func (folder *memFS) afterCrash(rng *rand.Rand) *memFS {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
+// afterCrash returns a copy with a random choice of the states that a crash may leave behind.
+func (m *memFS) afterCrash(rng *rand.Rand) *memFS {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	after := newMemFS()
-	names := maps.Clone(folder.synced)
-	for name, file := range folder.files { // a change of a name may be on disk without a sync
+	names := maps.Clone(m.synced)
+	for name, file := range m.files { // an unsynced name may be on disk
 		if rng.IntN(2) == 0 {
 			names[name] = file
 		}
 	}
-	for name := range folder.synced {
-		if folder.files[name] == nil && rng.IntN(2) == 0 {
+	for name := range m.synced {
+		if m.files[name] == nil && rng.IntN(2) == 0 {
 			delete(names, name)
 		}
 	}
 	for name, file := range names {
 		data := slices.Clone(file.synced)
-		for _, write := range file.unsynced { // in any order and any part, as the kernel writes back
+		for _, write := range file.unsynced { // any unsynced write may be on disk, as a whole or in part
 			if rng.IntN(3) > 0 {
 				if write.data != nil {
 					write.data = write.data[:rng.IntN(len(write.data)+1)]
@@ -175,19 +175,19 @@
 	return after
 }
 
-// clone returns a copy of the folder with its current names and bytes, all of them synced.
-func (folder *memFS) clone() *memFS {
-	folder.mu.Lock()
-	defer folder.mu.Unlock()
+// clone returns a copy with the current names and data, all of them synced.
+func (m *memFS) clone() *memFS {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	copied := newMemFS()
-	for name, file := range folder.files {
+	for name, file := range m.files {
 		copied.files[name] = &memFileData{data: slices.Clone(file.data), synced: slices.Clone(file.data)}
 	}
 	copied.synced = maps.Clone(copied.files)
 	return copied
 }
 
-// applyTo returns a file's bytes after the write.
+// applyTo returns a file's data after the write.
 func (write memWrite) applyTo(data []byte) []byte {
 	if write.data == nil {
 		if int64(len(data)) > write.offset {
@@ -202,10 +202,10 @@
 	return data
 }
 
-// change applies a write, which fails in part or as a whole at a crash or on a full disk.
+// change applies a write. At a crash or on a full disk it fails, and may apply a part of the write.
 func (f *memFile) change(write memWrite) error {
 	if err := f.fs.countOperation(); err != nil {
-		if write.data != nil { // part of a write may be on disk
+		if write.data != nil { // a part of the write may be on disk
 			write.data = write.data[:len(write.data)/2]
 			f.data.unsynced = append(f.data.unsynced, write)
 		}
--- a/internal/store/merge.go
+++ b/internal/store/merge.go
@@ -6,23 +6,24 @@
 	"slices"
 )
 
-// minMergeBytes is the size of all files below which they are not merged.
+// minMergeBytes is the total size of the files up to which they are not merged, unless
+// forced.
 const minMergeBytes = 256 << 10
 
-// temporarySuffix ends the name of a file that is not complete.
+// temporarySuffix is the suffix of a file that is not complete yet.
 const temporarySuffix = ".tmp"
 
-// mergeIfWasteful merges the files where they hold too much that is no longer
-// wanted. If the merge fails, it has logged so.
+// mergeIfWasteful merges the files if too much of them is obsolete. A failed merge logs
+// its error itself.
 func (s *Store) mergeIfWasteful() {
 	if s.index.totalBytes > minMergeBytes && s.index.totalBytes > 2*s.index.liveBytes+maxSegmentBytes/8 {
 		_ = s.merge(false)
 	}
 }
 
-// merge writes what is still wanted to one segment, in place of all. Not wanted
-// are records that were removed, put again, or are retained no longer. Unless
-// forced, files that are small, or half of which is wanted, are left as they are.
+// merge replaces all segments by one with the live records only. Records that were
+// removed, overwritten or have exceeded their retention are dropped. Unless forced, it
+// does nothing if the files are small, or if at least half of them is live.
 func (s *Store) merge(force bool) error {
 	if s.broken || !force && (s.index.totalBytes <= minMergeBytes || s.index.totalBytes <= 2*s.index.liveBytes) {
 		return nil
@@ -33,7 +34,7 @@
 	previous := s.index.segments
 	header := segmentHeader{merged: true, first: previous[0].first, last: s.index.nextNumber - 1}
 	if header.last < header.first {
-		return nil // nothing was ever committed
+		return nil // there are no commits
 	}
 	merged, relocations, err := s.index.writeMerged(header)
 	if err != nil {
@@ -46,8 +47,8 @@
 	s.useMerged(merged, relocations)
 	for _, replaced := range previous {
 		_ = replaced.file.Close()
-		if replaced.name != merged.name { // one that stays is passed over at the next start
-			_ = s.folder.Remove(replaced.name)
+		if replaced.name != merged.name { // a file that remains is skipped and removed when the store is opened
+			_ = s.dir.Remove(replaced.name)
 		}
 	}
 	if err := s.addSegment(); err != nil {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// useMerged makes the index refer to a merged segment.
+// useMerged makes the index refer to the merged segment.
 func (s *Store) useMerged(merged *segment, relocations []relocation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,12 +70,12 @@
 	s.merges++
 }
 
-// relocation is where a record is in a merged segment.
+// relocation is the new location of a record in a merged segment.
 type relocation struct {
 	location  *location
 	offset    int64 // of its frame
 	frameSize int
-	position  int // in the frame
+	position  int // index of its entry in the frame
 }
 
 // mergeWriter writes a merged segment.
@@ -84,18 +85,18 @@
 	relocations []relocation
 }
 
-// writeMerged writes all records to a merged segment, which has its name only
-// once it is complete and synced.
+// writeMerged writes all live records to a merged segment. The file has a temporary name
+// until it is complete and synced.
 func (x *fileIndex) writeMerged(header segmentHeader) (_ *segment, _ []relocation, err error) {
 	w := &mergeWriter{index: x, segment: &segment{segmentHeader: header, name: header.fileName()}}
 	temporary := w.segment.name + temporarySuffix
-	if w.segment.file, err = x.folder.Create(temporary); err != nil {
+	if w.segment.file, err = x.dir.Create(temporary); err != nil {
 		return nil, nil, err
 	}
 	defer func() {
 		if err != nil {
 			_ = w.segment.file.Close()
-			_ = x.folder.Remove(temporary)
+			_ = x.dir.Remove(temporary)
 		}
 	}()
 	if err = w.writeAll(); err != nil {
@@ -104,18 +105,18 @@
 	if err = w.segment.file.Sync(); err != nil {
 		return nil, nil, err
 	}
-	if err = x.folder.Rename(temporary, w.segment.name); err != nil {
+	if err = x.dir.Rename(temporary, w.segment.name); err != nil {
 		return nil, nil, err
 	}
-	if err = x.folder.SyncDir(); err != nil {
+	if err = x.dir.SyncDir(); err != nil {
 		return nil, nil, err
 	}
 	return w.segment, w.relocations, nil
 }
 
-// writeAll writes the header, a frame for each commit that has records, and the
-// frame that ends a merged segment. A commit's records stay together: one of
-// several records is there as a whole whenever the merge is read.
+// writeAll writes the header, a frame for each commit that has live records, and the
+// final frame. The records of a commit stay in one frame, so that reading the merged
+// segment keeps commits atomic.
 func (w *mergeWriter) writeAll() error {
 	if err := w.write(w.segment.appendTo(nil)); err != nil {
 		return err
@@ -133,7 +134,7 @@
 	return w.writeFrame(w.segment.last, nil)
 }
 
-// writeCommit writes the records of one commit.
+// writeCommit writes a frame with the live records of one commit.
 func (w *mergeWriter) writeCommit(records []*location) error {
 	var entries []entry
 	for position, record := range records {
@@ -147,7 +148,8 @@
 	return w.writeFrame(records[0].number, entries)
 }
 
-// writeFrame writes a frame, whose entries are the last relocations.
+// writeFrame writes a frame, and sets the offset and size of the relocations of its
+// entries, which are the last ones.
 func (w *mergeWriter) writeFrame(number uint64, entries []entry) error {
 	data, err := appendFrame(nil, number, w.segment.last, entries)
 	if err != nil {
@@ -166,8 +168,7 @@
 	return err
 }
 
-// inCommitOrder returns the locations of all records in the order in which they
-// were committed.
+// inCommitOrder returns the locations of all live records in commit order.
 func (x *fileIndex) inCommitOrder() []*location {
 	var records []*location
 	for _, table := range x.tables {
--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -13,15 +13,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// inspect calls use with the index of a store that no process has open. It
-// writes nothing itself.
-func inspect(folder FS, kinds []Kind, use func(*fileIndex) error) error {
-	lock, err := folder.Lock()
+// inspect locks a store, reads its files, skipping damage, and calls use with the index.
+// It does not change the files itself.
+func inspect(dir FS, kinds []Kind, use func(*fileIndex) error) error {
+	lock, err := dir.Lock()
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	defer func() { _ = lock.Close() }() // closing releases the lock, whatever it returns
-	index, err := load(folder, kinds, true)
+	defer func() { _ = lock.Close() }() // the lock is released even if Close returns an error
+	index, err := load(dir, kinds, true)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -29,23 +29,22 @@
 	return use(index)
 }
 
-// Check reads all of a store that no process has open, and reports all damage. It
-// writes nothing. The error wraps ErrLocked or *FormatError where that is the
-// cause.
-func Check(folder FS, kinds []Kind) (report Report, err error) {
-	err = inspect(folder, kinds, func(index *fileIndex) error {
+// Check reads all files of a store that no process has open, and reports all damage. It
+// changes nothing. The error may wrap ErrLocked or *FormatError.
+func Check(dir FS, kinds []Kind) (report Report, err error) {
+	err = inspect(dir, kinds, func(index *fileIndex) error {
 		report = index.report
 		return nil
 	})
 	return report, err
 }
 
-// Repair writes what can be read of a store that no process has open to one new
-// file, in place of all. What was damaged is lost, and records that were put
-// again or removed in what was damaged are as they were before. It does nothing
-// to a store without damage.
-func Repair(folder FS, kinds []Kind) (before, after Report, err error) {
-	err = inspect(folder, kinds, func(index *fileIndex) error {
+// Repair replaces the files of a store that no process has open by one file with all
+// records that can be read. Changes in damaged data are lost: records that were
+// overwritten or removed there reappear in their previous state. It changes nothing if
+// there is no damage, torn tail or replaced file.
+func Repair(dir FS, kinds []Kind) (before, after Report, err error) {
+	err = inspect(dir, kinds, func(index *fileIndex) error {
 		before = index.report
 		if len(before.Damaged) == 0 && before.TornTail == nil && len(before.Replaced) == 0 {
 			return nil
@@ -55,13 +54,13 @@
 	if err != nil {
 		return before, after, err
 	}
-	after, err = Check(folder, kinds)
+	after, err = Check(dir, kinds)
 	return before, after, err
 }
 
-// replaceAll merges all records to one segment and removes all other files.
+// replaceAll merges all records into one segment and removes the other segments.
 func (x *fileIndex) replaceAll() error {
-	last := x.nextNumber // the merged segment's name covers all that the files there are named for
+	last := x.nextNumber // the merged segment must cover the commits of all files, also of damaged ones
 	for _, s := range x.segments {
 		last = max(last, s.first, s.last)
 	}
@@ -69,28 +68,28 @@
 		return err
 	}
 	for _, s := range x.segments {
-		if err := x.folder.Remove(s.name); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if err := x.dir.Remove(s.name); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
 	}
 	if err := x.removeLeftovers(); err != nil {
 		return err
 	}
-	return x.folder.SyncDir()
+	return x.dir.SyncDir()
 }
 
-// KindCount is what a store holds of a kind.
+// KindCount counts the live records of one kind.
 type KindCount struct {
 	Name    string
 	Records int
-	Bytes   int64     // of the records, about
-	Oldest  time.Time // when the record that was not put for longest was put
+	Bytes   int64     // approximate
+	Oldest  time.Time // time of the put of the oldest record
 }
 
-// Count returns what a store that no process has open holds, by kind in the order
-// of their names.
-func Count(folder FS, kinds []Kind) (report Report, counts []KindCount, err error) {
-	err = inspect(folder, kinds, func(index *fileIndex) error {
+// Count counts the records of a store that no process has open, by kind in the order of
+// the kinds' names. Kinds without records are left out.
+func Count(dir FS, kinds []Kind) (report Report, counts []KindCount, err error) {
+	err = inspect(dir, kinds, func(index *fileIndex) error {
 		report = index.report
 		for name, table := range index.tables {
 			if count := table.count(name); count.Records > 0 {
@@ -114,11 +113,10 @@
 	return count
 }
 
-// Dump writes the records of a store that no process has open, a line of JSON
-// each, in the order in which they were put: those of one kind, or of all if
-// onlyKind is "".
-func Dump(folder FS, kinds []Kind, onlyKind string, w io.Writer) error {
-	return inspect(folder, kinds, func(index *fileIndex) error {
+// Dump writes the records of a store that no process has open as JSON, one per line, in
+// the order of their puts: those of one kind, or of all kinds if onlyKind is "".
+func Dump(dir FS, kinds []Kind, onlyKind string, w io.Writer) error {
+	return inspect(dir, kinds, func(index *fileIndex) error {
 		for name := range index.tables {
 			if onlyKind != "" && onlyKind != name {
 				continue
@@ -131,24 +129,24 @@
 	})
 }
 
-// dumpKind writes the records of a kind.
+// dumpKind writes the records of one kind.
 func (x *fileIndex) dumpKind(kind string, w io.Writer) error {
-	var failed error
+	var writeErr error
 	err := x.each(kind, false, func(record Record) bool {
 		var line []byte
-		line, failed = record.jsonLine()
-		if failed == nil {
-			_, failed = fmt.Fprintf(w, "%s\n", line)
+		line, writeErr = record.jsonLine()
+		if writeErr == nil {
+			_, writeErr = fmt.Fprintf(w, "%s\n", line)
 		}
-		return failed == nil
+		return writeErr == nil
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return writeErr
 }
 
-// jsonLine returns a record in JSON; a body that is no CBOR is in base64.
+// jsonLine returns a record as JSON. A body that is not valid CBOR is in base64.
 func (r *Record) jsonLine() ([]byte, error) {
 	var body any = r.Body
 	var decoded any
@@ -160,8 +158,7 @@
 	})
 }
 
-// jsonValue returns a decoded value with the keys of its maps as text, as JSON
-// requires.
+// jsonValue converts the map keys of a decoded CBOR value to strings, as JSON requires.
 func jsonValue(value any) any {
 	switch value := value.(type) {
 	case map[any]any:
@@ -178,10 +175,10 @@
 	return value
 }
 
-// Compact merges the files of a store that no process has open into one, so that
-// nothing that was removed or is retained no longer is left in them.
-func Compact(folder FS, kinds []Kind) (before, after Report, err error) {
-	s, before, err := Open(folder, Options{Kinds: kinds})
+// Compact merges the files of a store that no process has open into one, which removes
+// deleted, overwritten and expired records from the disk.
+func Compact(dir FS, kinds []Kind) (before, after Report, err error) {
+	s, before, err := Open(dir, Options{Kinds: kinds})
 	if err != nil {
 		return before, after, err
 	}
@@ -192,6 +189,6 @@
 	if err := s.Close(); err != nil {
 		return before, after, err
 	}
-	after, err = Check(folder, kinds)
+	after, err = Check(dir, kinds)
 	return before, after, err
 }
--- a/internal/store/offline_test.go
+++ b/internal/store/offline_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// What can be read of a damaged store is retained by a repair, after which the store can be opened and appended to; a
-// second repair has nothing to do.
+// Repair keeps the readable records of a damaged store, after which the store can be opened and appended to, and a
+// second repair finds no damage.
 func TestRepair(t *testing.T) {
-	folder, states := filledStore(t, 12, 5)
-	names, _ := folder.List()
+	dir, states := filledStore(t, 12, 5)
+	names, _ := dir.List()
 	want := states[len(states)-1]
 	for _, name := range names {
-		for offset := 0; offset < len(folder.files[name].data); offset += 13 {
-			damaged := folder.clone()
+		for offset := 0; offset < len(dir.files[name].data); offset += 13 {
+			damaged := dir.clone()
 			damaged.files[name].data[offset] ^= 0x40
 			if offset%2 == 0 {
 				damaged.files[name].data = damaged.files[name].data[:offset]
@@ -24,35 +24,35 @@
 			before, after, err := Repair(damaged, testKinds)
 			must(t, err)
 			if len(after.Damaged) > 0 || after.TornTail != nil {
-				t.Fatalf("byte %d of %s: %+v after the repair of %+v", offset, name, after, before)
+				t.Fatalf("damage at byte %d of %s: repair leaves %+v of %+v", offset, name, after, before)
 			}
 			s := openStore(t, damaged)
 			for key, body := range s.index.contents(t) {
 				if !slices.ContainsFunc(states, func(state map[string]string) bool { return state[key] == body }) {
-					t.Fatalf("byte %d of %s: %s is %q, which it never was", offset, name, key, body)
+					t.Fatalf("damage at byte %d of %s: %s is %q, which was never put", offset, name, key, body)
 				}
 			}
 			must(t, s.Commit(context.Background(), putChange("order", "more", "1")))
 			must(t, s.Close())
 			again, _, err := Repair(damaged, testKinds)
 			if must(t, err); len(again.Damaged) > 0 || again.TornTail != nil {
-				t.Fatalf("byte %d of %s: a second repair finds %+v", offset, name, again)
+				t.Fatalf("damage at byte %d of %s: a second repair finds %+v", offset, name, again)
 			}
 		}
 	}
 	var dump strings.Builder
-	must(t, Dump(folder, testKinds, "order", &dump))
+	must(t, Dump(dir, testKinds, "order", &dump))
 	if n := strings.Count(dump.String(), "\n"); n != 3 && n != 4 {
-		t.Errorf("%d lines:\n%s", n, dump.String())
+		t.Errorf("dump has %d lines, want 3 or 4:\n%s", n, dump.String())
 	}
-	before, after, err := Compact(folder, testKinds)
+	before, after, err := Compact(dir, testKinds)
 	must(t, err)
 	if after.Bytes >= before.Bytes || len(after.Damaged) > 0 {
-		t.Errorf("%+v before, %+v after", before, after)
+		t.Errorf("Compact does not shrink the files: %+v before, %+v after", before, after)
 	}
-	index, err := load(folder, testKinds, false)
+	index, err := load(dir, testKinds, false)
 	must(t, err)
 	if got := index.contents(t); fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("contents after Compact are %v, want %v", got, want)
 	}
 }
--- a/internal/store/segment.go
+++ b/internal/store/segment.go
@@ -8,15 +8,15 @@
 	"strings"
 )
 
-// A store is a chain of segments. Each begins with a header:
+// A store is a sequence of segment files. Each begins with a header:
 //
 //	"lockstor"  format u16  merged u16  first u64  last u64  crc u32
 //
-// and holds frames (see frameHeaderSize). All numbers are little-endian; a crc is
-// Castagnoli's over all of the header but itself. A plain segment holds all
-// commits from first on. A merged one holds what was still wanted of first to
-// last, in place of the segments that held them, and ends with a frame without
-// entries that has the number last.
+// which is followed by frames (see frameHeaderSize). Integers are little-endian. The
+// crc is a CRC-32C of the whole header except itself. A plain segment holds all commits
+// from number first on. A merged segment replaces the segments with the commits first
+// to last: it holds the records of them that were live at the merge, and ends with a
+// frame without entries whose number is last.
 const (
 	formatVersion     = 1
 	magic             = "lockstor"
@@ -34,7 +34,7 @@
 	errChecksum  = errors.New("checksum mismatch")
 )
 
-// FormatError says that a store is of another format than this program's.
+// FormatError is returned for a file whose format version this program does not support.
 type FormatError struct {
 	File   string
 	Format int
@@ -45,13 +45,13 @@
 	if e.Format < formatVersion {
 		age = "older"
 	}
-	return fmt.Sprintf("%s has format %d, %s than this program's %d", e.File, e.Format, age, formatVersion)
+	return fmt.Sprintf("%s has format version %d, %s than this program's version %d", e.File, e.Format, age, formatVersion)
 }
 
-// segmentHeader says which commits a segment holds. Its name says the same.
+// segmentHeader says which commits a segment holds. The name of its file repeats it.
 type segmentHeader struct {
 	merged      bool
-	first, last uint64 // last: of a merged segment; 0 in a plain one
+	first, last uint64 // commit numbers; last is 0 in a plain segment
 }
 
 // appendTo appends the encoded header.
@@ -69,19 +69,19 @@
 	return append(buffer, checksum(buffer[start:])...)
 }
 
-// checksum returns the encoded checksum of some bytes.
+// checksum returns the encoded CRC-32C of data.
 func checksum(data []byte) []byte {
 	return binary.LittleEndian.AppendUint32(nil, crc32.Checksum(data, castagnoli))
 }
 
-// readSegmentHeader reads the header at the start of a file. For another format
-// its error is a *FormatError.
+// readSegmentHeader decodes the header at the start of a file's data. Its error is a
+// *FormatError for another format version.
 func readSegmentHeader(file string, data []byte) (segmentHeader, error) {
 	if len(data) < segmentHeaderSize {
 		return segmentHeader{}, errTruncated
 	}
 	if string(data[:magicSize]) != magic {
-		return segmentHeader{}, errors.New("not a file of a store")
+		return segmentHeader{}, errors.New("not a segment file")
 	}
 	checked := segmentHeaderSize - checksumSize
 	if crc32.Checksum(data[:checked], castagnoli) != binary.LittleEndian.Uint32(data[checked:]) {
@@ -105,8 +105,8 @@
 	return fmt.Sprintf("%016x%s", h.first, segmentSuffix)
 }
 
-// parseSegmentName returns what a file's name says; it is not valid for a file
-// that is no segment.
+// parseSegmentName returns the header that a file's name encodes; valid is false if it
+// is not the name of a segment file.
 func parseSegmentName(name string) (header segmentHeader, valid bool) {
 	numbers, valid := strings.CutSuffix(name, segmentSuffix)
 	if !valid {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,19 +1,20 @@
-// Package store keeps records that must outlast a restart, on installations that
-// have a disk: a log of commits in a chain of segment files, an index of the
-// records in memory, and merges that leave behind what is no longer wanted.
+// Package store is an embedded, log-structured key-value store for records that must
+// survive a restart. It has an append-only log in segment files, an in-memory index of
+// the live records, and merges that rewrite the log without obsolete records.
 //
-// What a store guarantees:
+// Guarantees:
 //
-//   - A commit that was reported is there after a kill, and after a power failure
-//     as the Sync of its kind says. One that failed is never reported.
-//   - A file that was truncated anywhere loses what came after that place and
-//     nothing else.
-//   - Damage is reported by file and byte, and never read as data.
-//   - Only a caller that asks to (Commit) waits for the disk. Put queues, and
-//     what finds no room is dropped and counted.
+//   - A commit that was reported as successful survives a kill of the process, and
+//     a power failure as the SyncPolicy of its kind specifies.
+//   - Truncating the last segment file loses the commits after that point and no
+//     others.
+//   - Damaged data is reported with its file and byte offset, and is never returned
+//     as a record.
+//   - Only Commit waits for the disk. Put queues its changes; if the queue is full,
+//     they are dropped and counted.
 //
 // One goroutine, the writer, writes all files; Open starts it and Close waits
-// for it. All methods of Store may be called from any goroutine.
+// for it. All methods of Store are safe for concurrent use.
 package store
 
 import (
@@ -27,79 +28,78 @@
 	"time"
 )
 
-// SyncPolicy is when a kind's commits are made to outlast a power failure. All outlast
-// a kill of the process.
+// SyncPolicy says when commits of a kind are synced to disk, so that they survive a
+// power failure. All commits survive a kill of the process.
 type SyncPolicy uint8
 
-// The times at which commits are synced, the safest first.
+// The sync policies, from the most to the least durable.
 const (
-	SyncImmediate  SyncPolicy = iota // before they are reported
-	SyncGrouped                      // with others within GroupCommitInterval, and reported then
-	SyncBestEffort                   // when the kernel writes them back; reported once written
+	SyncImmediate  SyncPolicy = iota // before the commit is reported
+	SyncGrouped                      // together with others within GroupCommitInterval; reported once synced
+	SyncBestEffort                   // when the kernel writes it back; reported once written
 )
 
-// Kind is a kind of record.
+// Kind describes a kind of record: its name, durability and retention.
 type Kind struct {
 	Name       string
 	Sync       SyncPolicy
-	MaxRecords int           // records retained; the oldest go first. 0: any number
-	Retention  time.Duration // for which they are retained; 0: for good
+	MaxRecords int           // the oldest are removed first; 0: no limit
+	Retention  time.Duration // since the last put; 0: no limit
 }
 
 const (
-	// GroupCommitInterval bounds how long commits of a SyncGrouped kind wait for
-	// their sync.
+	// GroupCommitInterval is the maximum time that commits of a SyncGrouped kind
+	// wait for their sync.
 	GroupCommitInterval = 50 * time.Millisecond
 
-	// DefaultMaxBytes bounds the records of a store, about; its files may have some
-	// more between merges.
+	// DefaultMaxBytes is the default of Options.MaxBytes.
 	DefaultMaxBytes = 64 << 20
 
 	maxQueuedCommits = 1024
-	maxEntryOverhead = 64              // bytes that a record takes beside its kind, key and body, at the most
-	closeTimeout     = 2 * time.Second // for commits that are queued when the store is closed
+	maxEntryOverhead = 64              // bytes of an encoded record in addition to its kind, key and body
+	closeTimeout     = 2 * time.Second // for writing commits that are queued when the store is closed
 )
 
 var (
-	// ErrClosed says that the store is closed.
+	// ErrClosed is returned for a change to a closed store.
 	ErrClosed = errors.New("the store is closed")
-	// ErrNoRoom says that as many records are queued or retained as may be.
-	ErrNoRoom = errors.New("the store has no room")
-	// ErrTooLarge says that a commit is larger than one may be.
+	// ErrNoRoom is returned when the queue or the store is full.
+	ErrNoRoom = errors.New("the store or its queue is full")
+	// ErrTooLarge is returned for a commit that exceeds the maximum frame size.
 	ErrTooLarge = errors.New("the commit is too large")
 )
 
-// Options say how a store is opened.
+// Options configure a store.
 type Options struct {
 	Kinds    []Kind
-	MaxBytes int64        // bound on its records, about; 0: DefaultMaxBytes
+	MaxBytes int64        // approximate limit of the live records; files may be larger between merges. 0: DefaultMaxBytes
 	Log      *slog.Logger // nil: nothing is logged
 }
 
-// Change is one record that is put or removed.
+// Change is a put or a removal of one record.
 type Change struct {
 	Kind, Key string
-	At        time.Time // zero: now
-	Version   uint      // of the body's form
+	At        time.Time // of the put; zero: now
+	Version   uint      // schema version of the body
 	Body      []byte
-	Deleted   bool
+	Deleted   bool // the record is removed
 }
 
-// Record is a record that is in a store.
+// Record is a live record of a store.
 type Record struct {
 	Change
-	CommitNumber uint64 // of its commit
+	CommitNumber uint64 // of the commit that put it
 }
 
-// commit is what is queued for the writer: changes that belong together, or a
+// commit is an item of the writer's queue: changes to be committed atomically, or a
 // task.
 type commit struct {
 	changes []Change
-	result  chan error   // gets the outcome, without blocking; nil: nobody waits
+	result  chan error   // buffered; receives the outcome. nil: no caller waits
 	task    func() error // run by the writer between two commits
 }
 
-// size returns the bytes that the commit takes in a file, at the most.
+// size returns an upper bound of the commit's encoded size in bytes.
 func (c *commit) size() (bytes int) {
 	for _, change := range c.changes {
 		bytes += len(change.Kind) + len(change.Key) + len(change.Body) + maxEntryOverhead
@@ -107,24 +107,24 @@
 	return bytes
 }
 
-// Stats says what a store has done and holds.
+// Stats are statistics of a store.
 type Stats struct {
 	Records       map[string]int    // by kind
-	Dropped       map[string]uint64 // changes by kind, for lack of room or because the disk failed
+	Dropped       map[string]uint64 // changes that were not committed, by kind
 	Commits       uint64
 	Syncs         uint64
 	Merges        uint64
 	Files         int
-	Bytes         int64         // of all files
-	LiveBytes     int64         // of records that are retained
-	QueuedCommits int           // commits that are queued
-	LastError     error         // of the disk, while commits fail
+	Bytes         int64 // of all files
+	LiveBytes     int64 // of live records, approximate
+	QueuedCommits int
+	LastError     error         // of the disk; nil while commits succeed
 	OldestAge     time.Duration // age of the oldest record; 0 if there are none
 }
 
 // Store is an open store.
 type Store struct {
-	folder    FS
+	dir       FS
 	lock      io.Closer
 	maxBytes  int64
 	log       *slog.Logger
@@ -132,38 +132,40 @@
 	dropped   map[string]*atomic.Uint64 // by kind
 	queue     chan *commit
 	stopping  chan struct{} // closed by Close
-	stopped   chan struct{} // closed when the writer has ended
+	stopped   chan struct{} // closed when the writer has returned
 	closeOnce sync.Once
 
-	mu        sync.RWMutex // guards what follows up to merges; only the writer changes it, and no file is written while it is held
+	// mu guards the fields up to merges, which only the writer changes. The writer does not
+	// hold it while it writes files.
+	mu        sync.RWMutex
 	index     *fileIndex
-	diskError error // while commits fail
+	diskError error // nil while commits succeed
 	commits   uint64
 	syncs     uint64
 	merges    uint64
 
 	// Used by the writer only.
-	syncedNumber uint64    // of the last commit that outlasts a power failure
-	awaitingSync []*commit // written, to be reported once they are synced
-	diskFailedAt time.Time // zero while it works
-	broken       bool      // what the disk has is not known: nothing is written any more
+	syncedNumber uint64    // number of the last synced commit
+	awaitingSync []*commit // written; reported once they are synced
+	diskFailedAt time.Time // zero while writes succeed
+	broken       bool      // the files' content is unknown after a failed sync: no further writes
 	writeBuffer  []byte
 }
 
-// Open opens a store, and removes what a crash left of it. The report is empty if
-// the files could not be read. The error wraps ErrLocked, *DamageError or *FormatError
-// where that is the cause.
-func Open(folder FS, options Options) (*Store, Report, error) {
-	lock, err := folder.Lock()
+// Open opens a store, and removes temporary files, replaced segments and a torn tail
+// that a crash left behind. The report is empty if the files could not be read. The
+// error may wrap ErrLocked, *DamageError or *FormatError.
+func Open(dir FS, options Options) (*Store, Report, error) {
+	lock, err := dir.Lock()
 	if err != nil {
 		return nil, Report{}, fmt.Errorf("store: %w", err)
 	}
-	index, err := load(folder, options.Kinds, false)
+	index, err := load(dir, options.Kinds, false)
 	if err != nil {
 		_ = lock.Close()
 		return nil, Report{}, fmt.Errorf("store: %w", err)
 	}
-	s := newStore(folder, lock, index, options)
+	s := newStore(dir, lock, index, options)
 	if err := s.prepareAppend(); err != nil {
 		index.close()
 		_ = lock.Close()
@@ -173,9 +175,9 @@
 	return s, index.report, nil
 }
 
-func newStore(folder FS, lock io.Closer, index *fileIndex, options Options) *Store {
+func newStore(dir FS, lock io.Closer, index *fileIndex, options Options) *Store {
 	s := &Store{
-		folder: folder, lock: lock, maxBytes: options.MaxBytes, log: options.Log, index: index,
+		dir: dir, lock: lock, maxBytes: options.MaxBytes, log: options.Log, index: index,
 		kinds: make(map[string]Kind), dropped: make(map[string]*atomic.Uint64),
 		queue: make(chan *commit, maxQueuedCommits), stopping: make(chan struct{}), stopped: make(chan struct{}),
 	}
@@ -191,8 +193,8 @@
 	return s
 }
 
-// Put queues changes that are to be committed together. It never blocks: where
-// there is no room for them they are dropped, and counted.
+// Put queues changes to be committed atomically. It never blocks: if the queue is full,
+// the changes are dropped and counted.
 func (s *Store) Put(changes ...Change) {
 	c := &commit{changes: changes}
 	err := s.enqueue(c)
@@ -200,15 +202,15 @@
 		return
 	}
 	s.countDropped(changes)
-	if errors.Is(err, ErrTooLarge) { // it would be so the next time too
+	if errors.Is(err, ErrTooLarge) { // unlike a full queue, this does not pass by itself
 		s.log.Warn("record too large for the store", "kind", changes[0].Kind, "bytes", c.size(), "most", maxFrameBytes)
 	}
 }
 
-// Commit commits changes together and waits until they are, as the Sync of their
-// kinds requires. The error wraps ErrClosed, ErrNoRoom or ErrTooLarge where that
-// is the cause, or that of the disk. After ctx has ended it is not known whether
-// the changes are committed.
+// Commit commits changes atomically, and waits until they are as durable as the
+// strictest SyncPolicy among their kinds requires. The error wraps ErrClosed, ErrNoRoom,
+// ErrTooLarge or an error of the disk. If ctx ends first, the changes may or may not be
+// committed.
 func (s *Store) Commit(ctx context.Context, changes ...Change) error {
 	c := &commit{changes: changes, result: make(chan error, 1)}
 	if err := s.enqueue(c); err != nil {
@@ -223,13 +225,13 @@
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("store: commit not confirmed: %w", context.Cause(ctx))
-	case <-s.stopped: // it came just as the store was closed
+	case <-s.stopped: // the store was closed while the commit was queued
 		return resultAfterStop(c)
 	}
 }
 
-// resultAfterStop returns the outcome of a commit that the writer may have left
-// in the queue when it ended.
+// resultAfterStop returns the outcome of a commit after the writer has returned, or
+// ErrClosed if the writer left it in the queue.
 func resultAfterStop(c *commit) error {
 	select {
 	case err := <-c.result:
@@ -239,17 +241,17 @@
 	}
 }
 
-// enqueue queues a commit without blocking.
+// enqueue queues a commit without blocking. It sets the time of changes without one.
 func (s *Store) enqueue(c *commit) error {
 	for i, change := range c.changes {
 		if _, known := s.kinds[change.Kind]; !known {
-			return fmt.Errorf("unknown kind %q", change.Kind)
+			return fmt.Errorf("unknown kind of record %q", change.Kind)
 		}
 		if change.At.IsZero() {
 			c.changes[i].At = time.Now()
 		}
 	}
-	if c.size() > maxFrameBytes { // it would fail with all that is written beside it
+	if c.size() > maxFrameBytes { // a frame that can't be encoded would fail its whole batch
 		return ErrTooLarge
 	}
 	select {
@@ -265,7 +267,7 @@
 	}
 }
 
-// runTask makes the writer run a task between two commits, and waits for it.
+// runTask runs a task in the writer's goroutine, between two commits, and waits for it.
 func (s *Store) runTask(task func() error) error {
 	c := &commit{task: task, result: make(chan error, 1)}
 	if err := s.enqueue(c); err != nil {
@@ -279,10 +281,10 @@
 	}
 }
 
-// Compact merges the files, so that they hold nothing that is no longer wanted.
+// Compact merges the files, which removes obsolete records from them.
 func (s *Store) Compact() error { return s.runTask(func() error { return s.merge(true) }) }
 
-// countDropped counts changes that are not committed.
+// countDropped counts changes that were not committed.
 func (s *Store) countDropped(changes []Change) {
 	for _, change := range changes {
 		if count := s.dropped[change.Kind]; count != nil {
@@ -291,14 +293,14 @@
 	}
 }
 
-// Close commits what is queued, for up to two seconds, and closes the store. It
-// may be called more than once.
+// Close writes queued commits, for up to closeTimeout, and closes the store. It may be
+// called more than once.
 func (s *Store) Close() error {
 	s.closeOnce.Do(func() { close(s.stopping) })
 	select {
 	case <-s.stopped:
-	case <-time.After(2 * closeTimeout): // a disk that hangs: the lock goes with the process
-		return errors.New("store: close: disk not responding")
+	case <-time.After(2 * closeTimeout): // the disk hangs; the kernel releases the lock when the process ends
+		return errors.New("store: close: the writer did not stop in time: the disk is not responding")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -306,7 +308,7 @@
 	return s.lock.Close()
 }
 
-// Get returns a record. It reads the file, and its error is a *DamageError.
+// Get reads a record from its file. Its error is a *DamageError.
 func (s *Store) Get(kind, key string) (record Record, found bool, err error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -318,16 +320,16 @@
 	return record, err == nil, err
 }
 
-// Each calls visit with the records of a kind until it returns false, in the
-// order in which they were last put, or the newest first. visit must not call
-// the store. The error is a *DamageError.
+// Each calls visit with the records of a kind until it returns false, in the order of
+// their last put, or the reverse if newestFirst. visit must not call the store. The error
+// is a *DamageError.
 func (s *Store) Each(kind string, newestFirst bool, visit func(Record) bool) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.index.each(kind, newestFirst, visit)
 }
 
-// Stats returns what the store has done and holds.
+// Stats returns the store's current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -8,34 +8,34 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Table is a kind of record with a Go type. Bodies are CBOR, each with a version.
-// Its methods may be called from any goroutine.
+// Table stores values of a Go type as the records of one kind. Bodies are encoded in
+// CBOR and have a schema version. The methods are safe for concurrent use.
 type Table[T any] struct {
-	Store   *Store // nil: Put does nothing, Commit and Remove fail, and nothing is there
+	Store   *Store // nil: Put does nothing, Commit and Remove fail, and the table is empty
 	Kind    string
-	Version uint // of the bodies that are put
-	// Upgrade decodes a body of an older version; nil if there is none.
+	Version uint // schema version of the bodies that are put
+	// Upgrade decodes a body of an older version. nil: there is no older version.
 	Upgrade func(version uint, body []byte) (T, error)
 }
 
-// bodyEncoding encodes times with their nanoseconds: the usual form truncates them
-// to seconds, and an endpoint that started within one would pass for one that has
-// restarted.
+// bodyEncoding encodes times with nanoseconds. The default truncates them to seconds,
+// so that a stored start time would differ from the real one and an endpoint would be
+// mistaken for a restarted one.
 var bodyEncoding = func() cbor.EncMode {
 	mode, err := cbor.EncOptions{Time: cbor.TimeRFC3339Nano}.EncMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // unreachable: the options are constant and valid
 	}
 	return mode
 }()
 
-// encode returns the change that puts a value.
+// encode returns the change that puts a value under a key.
 func (t *Table[T]) encode(key string, value T) (Change, error) {
 	body, err := bodyEncoding.Marshal(value)
 	return Change{Kind: t.Kind, Key: key, Version: t.Version, Body: body}, err
 }
 
-// Put queues a record, as Store.Put does.
+// Put queues the put of a value, as Store.Put does.
 func (t *Table[T]) Put(key string, value T) {
 	if t.Store == nil {
 		return
@@ -48,7 +48,7 @@
 	t.Store.Put(change)
 }
 
-// Commit commits a record, as Store.Commit does.
+// Commit commits the put of a value, as Store.Commit does.
 func (t *Table[T]) Commit(ctx context.Context, key string, value T) error {
 	if t.Store == nil {
 		return ErrClosed
@@ -68,7 +68,7 @@
 	return t.Store.Commit(ctx, Change{Kind: t.Kind, Key: key, Deleted: true})
 }
 
-// Get returns a record and when it was put.
+// Get returns the value of a key and the time of its put.
 func (t *Table[T]) Get(key string) (value T, at time.Time, found bool, err error) {
 	if t.Store == nil {
 		return value, at, false, nil
@@ -81,10 +81,10 @@
 	return value, record.At, err == nil, err
 }
 
-// Each calls visit with all records until it returns false, in the order in which
-// they were last put, or the newest first. Those that can't be decoded, as they
-// are of a newer version, are passed over; the first such error is returned.
-// visit must not call the store.
+// Each calls visit with all values until it returns false, in the order of their last
+// put, or the reverse if newestFirst. Records that can't be decoded, for example of a
+// newer version, are skipped, and the first such error is returned. visit must not call
+// the store.
 func (t *Table[T]) Each(newestFirst bool, visit func(key string, at time.Time, value T) bool) error {
 	if t.Store == nil {
 		return nil
@@ -106,7 +106,7 @@
 	return firstDecodeErr
 }
 
-// decode decodes a record's body; its error names the record.
+// decode decodes a record's body. Its error names the record.
 func (t *Table[T]) decode(record Record) (value T, err error) {
 	switch {
 	case record.Version == t.Version:
@@ -114,7 +114,7 @@
 	case record.Version < t.Version && t.Upgrade != nil:
 		value, err = t.Upgrade(record.Version, record.Body)
 	default:
-		err = fmt.Errorf("record of version %d, this program's is version %d", record.Version, t.Version)
+		err = fmt.Errorf("record has version %d, which this program's version %d can't read", record.Version, t.Version)
 	}
 	if err != nil {
 		err = fmt.Errorf("store: %s %q: %w", record.Kind, record.Key, err)
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -10,19 +10,18 @@
 )
 
 const (
-	maxBatchBytes     = 128 << 10 // written at once, about
-	maxSegmentBytes   = 4 << 20   // a segment is not appended to beyond that
-	diskRetryDelay    = time.Second
-	retentionInterval = time.Minute // between checks of age while nothing is committed
+	maxBatchBytes     = 128 << 10   // a batch of at least this size takes no further commits
+	maxSegmentBytes   = 4 << 20     // a larger segment is not appended to
+	diskRetryDelay    = time.Second // between a failed write and the next one
+	retentionInterval = time.Minute // between checks of retention while nothing is committed
 )
 
-// runWriter writes the files until the store is closed: what is queued goes to
-// the disk together. Errors of sync and merge are reported to the commits that
-// wait, and logged, where they come up: nothing is left to be done about them
-// here.
+// runWriter writes queued commits in batches until the store is closed. It ignores the
+// errors of syncs and merges, which are logged and reported to the waiting commits where
+// they occur.
 func (s *Store) runWriter() {
 	defer close(s.stopped)
-	var groupSync <-chan time.Time // when commits that wait are to be synced
+	var groupSync <-chan time.Time // fires when written commits are due to be synced
 	retention := time.NewTicker(retentionInterval)
 	defer retention.Stop()
 	for {
@@ -49,9 +48,9 @@
 	}
 }
 
-// finishWriting writes what is still queued, for up to closeTimeout, and a last
-// frame which says that all before it is synced: what is unreadable later is
-// damage, and no torn tail.
+// finishWriting writes the queued commits, for up to closeTimeout, and a final frame
+// without entries. The frame says that all commits before it are synced, so that
+// unreadable data is later recognized as damage rather than a torn tail.
 func (s *Store) finishWriting() {
 	for deadline := time.Now().Add(closeTimeout); time.Now().Before(deadline); {
 		c := s.nextQueued()
@@ -76,7 +75,8 @@
 	}
 }
 
-// collectBatch returns a commit with those queued after it, up to a size.
+// collectBatch returns a commit and the commits queued after it, up to about
+// maxBatchBytes.
 func (s *Store) collectBatch(first *commit) []*commit {
 	batch := []*commit{first}
 	for size := first.size(); size < maxBatchBytes; {
@@ -90,8 +90,8 @@
 	return batch
 }
 
-// writeBatch appends commits, completes those that need no sync, and runs tasks
-// afterwards. It reports whether a commit is to be synced at once.
+// writeBatch appends the commits of a batch, completes those that need no sync, and then
+// runs the tasks. It reports whether a commit must be synced at once.
 func (s *Store) writeBatch(batch []*commit) (syncNow bool) {
 	if s.broken || !s.diskFailedAt.IsZero() && time.Since(s.diskFailedAt) < diskRetryDelay {
 		s.completeAll(batch, s.diskError)
@@ -116,9 +116,9 @@
 		return false
 	}
 	for _, c := range commits {
-		when := s.syncOf(c)
-		syncNow = syncNow || when == SyncImmediate
-		if when == SyncBestEffort {
+		policy := s.syncPolicyOf(c)
+		syncNow = syncNow || policy == SyncImmediate
+		if policy == SyncBestEffort {
 			s.complete(c, nil)
 		} else {
 			s.awaitingSync = append(s.awaitingSync, c)
@@ -127,7 +127,7 @@
 	return syncNow
 }
 
-// splitTasks splits a batch, whose array it reuses, into commits and tasks.
+// splitTasks splits a batch into commits and tasks. It reuses the array of the batch.
 func splitTasks(batch []*commit) (commits, tasks []*commit) {
 	commits = slices.DeleteFunc(batch, func(c *commit) bool {
 		if c.task == nil {
@@ -139,8 +139,8 @@
 	return commits, tasks
 }
 
-// rejectWithoutRoom rejects commits that put records into a store that is full.
-// Those that only remove may make room.
+// rejectWithoutRoom completes commits that put records into a full store with ErrNoRoom,
+// and returns the others, which only remove records.
 func (s *Store) rejectWithoutRoom(commits []*commit) []*commit {
 	if s.index.liveBytes <= s.maxBytes {
 		return commits
@@ -154,7 +154,7 @@
 	})
 }
 
-// entriesOf returns the entries of each commit.
+// entriesOf converts the changes of each commit to entries.
 func entriesOf(commits []*commit) [][]entry {
 	frames := make([][]entry, len(commits))
 	for i, c := range commits {
@@ -168,16 +168,16 @@
 	return frames
 }
 
-// syncOf returns the safest Sync of a commit's kinds.
-func (s *Store) syncOf(c *commit) SyncPolicy {
-	when := SyncBestEffort
+// syncPolicyOf returns the strictest SyncPolicy among a commit's kinds.
+func (s *Store) syncPolicyOf(c *commit) SyncPolicy {
+	policy := SyncBestEffort
 	for _, change := range c.changes {
-		when = min(when, s.kinds[change.Kind].Sync)
+		policy = min(policy, s.kinds[change.Kind].Sync)
 	}
-	return when
+	return policy
 }
 
-// complete reports the outcome of a commit.
+// complete reports the outcome of a commit to its caller, and counts it if it failed.
 func (s *Store) complete(c *commit, err error) {
 	if err != nil {
 		s.countDropped(c.changes)
@@ -193,8 +193,8 @@
 	}
 }
 
-// appendFrames appends a frame for each commit to the last segment, all or none,
-// and enters them in the index.
+// appendFrames appends a frame for each commit to the last segment, either all or none,
+// and updates the index.
 func (s *Store) appendFrames(commits [][]entry) error {
 	target, err := s.appendableSegment()
 	if err != nil {
@@ -202,10 +202,10 @@
 	}
 	frames, err := s.encodeFrames(commits)
 	if err != nil {
-		return err // too large: nothing is wrong with the disk
+		return err // a commit is too large: the disk has not failed
 	}
 	if _, err := target.file.WriteAt(s.writeBuffer, target.size); err != nil {
-		// What was written in part must not be taken for a commit that follows it.
+		// A partial write must not remain in front of later commits.
 		if truncateErr := target.file.Truncate(target.size); truncateErr != nil {
 			return s.markBroken(errors.Join(err, truncateErr))
 		}
@@ -215,10 +215,10 @@
 	return nil
 }
 
-// lastSegment returns the segment at the end of the chain.
+// lastSegment returns the segment with the latest commits.
 func (s *Store) lastSegment() *segment { return s.index.segments[len(s.index.segments)-1] }
 
-// appendableSegment returns the last segment, or a new one if that is full or
+// appendableSegment returns the last segment, or a new one if the last is full or
 // merged.
 func (s *Store) appendableSegment() (*segment, error) {
 	last := s.lastSegment()
@@ -234,8 +234,8 @@
 	return s.lastSegment(), nil
 }
 
-// encodeFrames encodes commits to writeBuffer, with the numbers that follow the
-// last commit.
+// encodeFrames encodes commits to writeBuffer. Their numbers follow that of the last
+// commit.
 func (s *Store) encodeFrames(commits [][]entry) ([]frame, error) {
 	s.writeBuffer = s.writeBuffer[:0]
 	number := s.index.nextNumber
@@ -252,8 +252,8 @@
 	return frames, nil
 }
 
-// indexFrames enters frames that were written at the end of a segment in the
-// index. The disk works again if it had failed.
+// indexFrames updates the index with frames that were appended to a segment, and resets
+// the state of a failed disk.
 func (s *Store) indexFrames(target *segment, frames []frame) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,8 +273,8 @@
 	s.diskError, s.diskFailedAt = nil, time.Time{}
 }
 
-// diskFailed notes that the disk failed with an error, which it returns. Commits
-// are tried again after diskRetryDelay.
+// diskFailed records and returns an error of the disk. Commits are rejected with it
+// until diskRetryDelay has passed.
 func (s *Store) diskFailed(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -285,15 +285,14 @@
 	return err
 }
 
-// markBroken ends all writing, as it is not known which of the commits that were
-// not synced the disk has. It returns its error.
+// markBroken stops all further writes, as it is unknown which of the unsynced commits
+// are on disk. It returns its argument.
 func (s *Store) markBroken(err error) error {
 	s.broken = true
 	return s.diskFailed(err)
 }
 
-// syncSegment makes all that was written outlast a power failure, and completes
-// the commits that wait for it.
+// syncSegment syncs the last segment, and completes the commits that wait for the sync.
 func (s *Store) syncSegment() error {
 	err := s.syncLast()
 	s.completeAll(s.awaitingSync, err)
@@ -301,7 +300,7 @@
 	return err
 }
 
-// syncLast syncs the last segment if commits were written since its last sync.
+// syncLast syncs the last segment if it has unsynced commits.
 func (s *Store) syncLast() error {
 	if s.broken {
 		return s.diskError
@@ -310,8 +309,8 @@
 		return nil
 	}
 	if err := s.lastSegment().file.Sync(); err != nil {
-		// The kernel may have dropped what it could not write: a second sync would
-		// report that all is well.
+		// The kernel may have discarded the dirty pages, in which case another sync
+		// would succeed without the data.
 		return s.markBroken(fmt.Errorf("sync: %w", err))
 	}
 	s.syncedNumber = s.index.nextNumber - 1
@@ -321,12 +320,13 @@
 	return nil
 }
 
-// prepareAppend makes the last segment one that can be appended to.
+// prepareAppend removes leftovers and the torn tail of a crash, and makes sure that the
+// last segment can be appended to.
 func (s *Store) prepareAppend() error {
 	if err := s.index.removeLeftovers(); err != nil {
 		return err
 	}
-	s.syncedNumber = s.index.nextNumber - 1 // what was read is synced below
+	s.syncedNumber = s.index.nextNumber - 1 // commits that were read are synced below
 	if len(s.index.segments) == 0 || s.lastSegment().merged {
 		return s.addSegment()
 	}
@@ -342,7 +342,7 @@
 	return last.file.Sync()
 }
 
-// writeHeader writes a segment's header to an empty file.
+// writeHeader truncates a segment's file and writes its header.
 func (s *Store) writeHeader(target *segment) error {
 	if err := target.file.Truncate(0); err != nil {
 		return err
@@ -355,15 +355,15 @@
 	}
 	s.index.totalBytes += segmentHeaderSize - target.size
 	target.size = segmentHeaderSize
-	return s.folder.SyncDir()
+	return s.dir.SyncDir()
 }
 
-// addSegment adds a segment to the chain.
+// addSegment creates an empty segment after the last one.
 func (s *Store) addSegment() error {
 	added := &segment{segmentHeader: segmentHeader{first: s.index.nextNumber}}
 	added.name = added.fileName()
 	var err error
-	if added.file, err = s.folder.Create(added.name); err != nil {
+	if added.file, err = s.dir.Create(added.name); err != nil {
 		return err
 	}
 	if err := s.writeHeader(added); err != nil {
