--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -227,7 +227,7 @@
 		t.Errorf("before:\n%s\nafter:\n%s", before, after)
 	}
 	runConsole(t, socket, "why --json "+session.Flow, session.Name)
-	runConsole(t, socket, "why nobody", "has not come")
+	runConsole(t, socket, "why nobody", "not found: the log has all")
 	relay.shutDown()
 	folder := filepath.Join(cluster.dir, "kept")
 	if code, out, errs := runCommandLine("store", "dump", folder, "--kind", "decisions"); code != 0 || !strings.Contains(out, session.Name) {
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -115,7 +115,7 @@
 		"unknown command":     {socket, "explode", ExitRejected, `unknown command "explode"`},
 		"words after a name":  {socket, "status farm", ExitRejected, `status: nothing may follow here, not "farm"`},
 		"a bad query":         {socket, "why (class", ExitRejected, "why: line 1, column 1: list is not closed"},
-		"no such pin":         {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
+		"no such pin":         {socket, "pin 99", ExitRejected, "pin: transaction 99 not found"},
 		"a pin of a name":     {socket, "pin x", ExitRejected, `"x" is no transaction's number`},
 		"no lines":            {socket, "log 0", ExitRejected, "no number of lines"},
 		"no JSON of an order": {socket, "undrain --json", ExitRejected, "undrain: "},
--- a/internal/decisionlog/blockpool.go
+++ b/internal/decisionlog/blockpool.go
@@ -6,72 +6,73 @@
 	"sync/atomic"
 )
 
-// The log's memory is divided into blocks of words. An entry is a chain of blocks: a head,
-// then as many as its events need. Writers hold the pool's lock for a few stores; readers
-// hold no lock. Each chain has a sequence, as in a sequence lock: every change of the chain
-// makes it odd first and even afterwards. A reader copies the chain word by word, and uses
-// the copy only if the sequence was even and the same before and after.
+// The log's memory is divided into blocks of 64-bit words. An entry is a chain of blocks: a
+// head, then as many body blocks as its events need. Writers hold the pool's lock while they
+// change a chain; readers hold no lock. Each chain has a sequence number, as in a seqlock: a
+// writer makes it odd before a change and even afterwards. A reader copies the chain word by
+// word, and uses the copy only if the sequence was even and the same before and after.
 const (
 	blockWords = 16
 	blockBytes = 8 * blockWords
-	// bytesPerBlock is what a block costs in all: its words, its sequence, and its places in
-	// older, newer, lastBlock and headHints.
+	// bytesPerBlock is the total memory per block: its words, its sequence, and its elements
+	// of older, newer, lastBlock and headHints.
 	bytesPerBlock = blockBytes + 8 + 4 + 4 + 4 + 4
 
-	maxChainBlocks  = 14 // of one entry, not counting its end
-	maxCopyAttempts = 64 // of a reader at a chain that keeps changing
+	maxChainBlocks  = 14 // a chain of this length accepts only the final event
+	maxCopyAttempts = 64 // of a reader, while writers keep changing the chain
 
 	// notableSharePercent is the share of the blocks beyond which notable entries are evicted
-	// before routine ones. pinnedSharePercent bounds the share of pinned entries.
+	// before routine ones. pinnedSharePercent is the maximum share of pinned entries.
 	notableSharePercent = 75
 	pinnedSharePercent  = 12
 
 	noBlock = ^uint32(0)
 )
 
-// Tags of blocks.
+// The tags say what a block is used for.
 const (
 	tagFree = iota
 	tagHead
 	tagBody
 )
 
-// category says how soon an entry is evicted. Each category is a list in order of age.
+// category determines how soon an entry is evicted. The entries of each category are in a
+// linked list, the oldest first.
 type category uint8
 
 const (
-	categoryPending category = iota // its client waits for an answer
-	categoryRoutine                 // it was established at the first attempt
+	categoryPending category = iota // the client waits for an answer
+	categoryRoutine                 // established at the first attempt
 	categoryNotable                 // rejected, failed, retried, made to wait, or migrated off a slow endpoint
-	categoryPinned                  // by an operator
+	categoryPinned                  // pinned by an operator
 	categoryCount
-	keepCategory = categoryCount // no change
+	keepCategory = categoryCount // leaves the category unchanged
 )
 
-// blockPool is the memory of a Log. The caller holds mu for all methods except copyChain,
-// and for load when it only looks ahead of copyChain.
+// blockPool is the memory of a Log. Callers must hold mu, except for copyChain, and for load
+// when copyChain verifies what was loaded.
 type blockPool struct {
 	mu sync.Mutex
 
-	// These are written under mu and read at any time, with atomic operations.
+	// Written under mu and read without it, with atomic operations.
 	words     []uint64 // blockCount times blockWords
-	sequences []uint64 // of chains, by their head
-	headHints []uint32 // block where the chain of a number may begin, by the number modulo blockCount
+	sequences []uint64 // sequence numbers of chains, by head block
+	headHints []uint32 // possible head block of a request, by its number modulo blockCount
 
-	// These are counted under mu and read at any time.
+	// Updated under mu and read without it.
 	blocksInUse     [categoryCount]atomic.Int64
 	entryCount      [categoryCount]atomic.Int64
-	evicted         [categoryCount]atomic.Uint64 // entries
-	evictionHorizon atomic.Uint64                // when the youngest of the evicted began
+	evicted         [categoryCount]atomic.Uint64 // number of evicted entries
+	evictionHorizon atomic.Uint64                // start time of the youngest evicted entry
 
-	// mu guards these. The slices are indexed by a chain's head.
+	// Guarded by mu. The slices are indexed by the head block of a chain.
 	older, newer []uint32 // neighbours in the category's list; newer also links the free blocks
-	lastBlock    []uint32 // of the chain
+	lastBlock    []uint32 // last block of the chain
 	firstFree    uint32
 	oldest       [categoryCount]uint32
 	newest       [categoryCount]uint32
 
-	blockCount int // never changes
+	blockCount int // immutable
 }
 
 func newBlockPool(bytes int) *blockPool {
@@ -107,14 +108,14 @@
 	atomic.StoreUint64(p.wordAt(block, word), value)
 }
 
-// beginUpdate makes a chain's sequence odd: readers discard what they copy from now on.
+// beginUpdate makes a chain's sequence odd, so that readers discard their copies.
 func (p *blockPool) beginUpdate(head uint32) { atomic.AddUint64(&p.sequences[head], 1) }
 
-// endUpdate makes it even again.
+// endUpdate makes the sequence even again after a change.
 func (p *blockPool) endUpdate(head uint32) { atomic.AddUint64(&p.sequences[head], 1) }
 
-// linkWord returns the first word of a block: its tag, how many of its words are used, and
-// the next block of its chain. That of a head has the category, too (see setCategory).
+// linkWord returns the first word of a block: its tag, the number of its used words, and
+// the next block of its chain. In a head it also has the category (see setCategory).
 func linkWord(tag, used int, next uint32) uint64 {
 	return uint64(tag) | uint64(used)<<8 | uint64(next)<<32
 }
@@ -128,7 +129,7 @@
 func setUsed(link uint64, used int) uint64        { return link&^(0xff<<8) | uint64(used)<<8 }
 func setNext(link uint64, next uint32) uint64     { return link&0xffffffff | uint64(next)<<32 }
 
-// pushNewest puts a head at the young end of a category's list.
+// pushNewest adds a chain as the newest of a category's list.
 func (p *blockPool) pushNewest(head uint32, to category) {
 	p.older[head], p.newer[head] = p.newest[to], noBlock
 	if p.newest[to] != noBlock {
@@ -140,7 +141,7 @@
 	p.entryCount[to].Add(1)
 }
 
-// unlink takes a head out of its category's list.
+// unlink removes a chain from its category's list.
 func (p *blockPool) unlink(head uint32, from category) {
 	if older := p.older[head]; older != noBlock {
 		p.newer[older] = p.newer[head]
@@ -164,10 +165,10 @@
 	return length
 }
 
-// evictionCandidate returns the entry to evict next, and its category: the oldest routine
-// one, unless notable ones use more than their share, in which case the oldest of those;
-// and one whose client still waits only if there is no other. Pinned entries are never
-// evicted, nor is the chain whose head is spared. It returns noBlock if none is left.
+// evictionCandidate returns the head and category of the next chain to evict: the oldest
+// routine entry, or the oldest notable one if those exceed their share, and a pending one
+// only if there is no other. It never returns a pinned entry or the chain with the head
+// spared. It returns noBlock if there is no candidate.
 func (p *blockPool) evictionCandidate(spared uint32) (uint32, category) {
 	order := [...]category{categoryRoutine, categoryNotable, categoryPending}
 	if int(p.blocksInUse[categoryNotable].Load()) > p.blockCount*notableSharePercent/100 {
@@ -183,9 +184,9 @@
 	return noBlock, 0
 }
 
-// allocate returns a free block, and evicts an entry if there is none. forChain is the head
-// of the chain that the block is for, or noBlock; that chain isn't evicted. It returns
-// noBlock where nothing may be evicted.
+// allocate returns a free block, and evicts an entry if there is none. It does not evict the
+// chain with the head forChain, which the block is for, if that is not noBlock. It returns
+// noBlock if nothing can be evicted.
 func (p *blockPool) allocate(forChain uint32) uint32 {
 	if p.firstFree == noBlock {
 		head, from := p.evictionCandidate(forChain)
@@ -201,13 +202,13 @@
 	return block
 }
 
-// freeBlock returns a block that is in no chain to the free ones.
+// freeBlock adds a block, which must not be in a chain, to the free list.
 func (p *blockPool) freeBlock(block uint32) {
 	p.newer[block], p.firstFree = p.firstFree, block
 }
 
-// freeChain frees the blocks of a chain. Its sequence is odd while its tag says that it is
-// still there.
+// freeChain removes a chain and frees its blocks. The sequence is odd meanwhile, so that no
+// reader uses a partly freed chain.
 func (p *blockPool) freeChain(head uint32, from category) {
 	p.unlink(head, from)
 	p.beginUpdate(head)
@@ -221,8 +222,8 @@
 	p.endUpdate(head)
 }
 
-// newChain returns the head of a new chain in a category, its sequence odd; noBlock if
-// there is no room.
+// newChain returns the head of a new chain in a category, with an odd sequence, or noBlock
+// if there is no memory.
 func (p *blockPool) newChain(in category) uint32 {
 	head := p.allocate(noBlock)
 	if head == noBlock {
@@ -236,7 +237,7 @@
 	return head
 }
 
-// moveToCategory puts a chain whose sequence is odd at the young end of a category's list.
+// moveToCategory moves a chain to a category as its newest. The chain's sequence must be odd.
 func (p *blockPool) moveToCategory(head uint32, to category) {
 	link := p.load(head, 0)
 	from, length := categoryOf(link), int64(p.chainLength(head))
@@ -247,16 +248,16 @@
 	p.store(head, 0, setCategory(link, to))
 }
 
-// maxAppendedBlocks bounds the blocks that one event may need.
+// maxAppendedBlocks is the maximum number of blocks that one event needs.
 const maxAppendedBlocks = 8
 
-// appendWords appends words to a chain whose sequence is odd, all or none of them. It
-// reports whether there was room.
+// appendWords appends words to a chain, either all or none, and reports whether there was
+// memory for them. The chain's sequence must be odd.
 func (p *blockPool) appendWords(head uint32, words []uint64) bool {
 	last := p.lastBlock[head]
 	needed := 0
-	if room := blockWords - usedOf(p.load(last, 0)); len(words) > room {
-		needed = (len(words) - room + blockWords - 2) / (blockWords - 1)
+	if space := blockWords - usedOf(p.load(last, 0)); len(words) > space {
+		needed = (len(words) - space + blockWords - 2) / (blockWords - 1)
 	}
 	var fresh [maxAppendedBlocks]uint32
 	if needed > len(fresh) || !p.allocateAll(head, fresh[:needed]) {
@@ -285,8 +286,8 @@
 	return true
 }
 
-// allocateAll allocates a block for each place of a slice, or none, and reports whether it
-// could.
+// allocateAll fills a slice with allocated blocks. If there are not enough, it allocates
+// none and returns false.
 func (p *blockPool) allocateAll(forChain uint32, blocks []uint32) bool {
 	for i := range blocks {
 		block := p.allocate(forChain)
@@ -301,14 +302,14 @@
 	return true
 }
 
-// copyChain copies the words of a chain without a lock, those of the head first, into the
-// memory of a slice. It fails if no chain begins at the block, or if the chain changed
-// during each of maxCopyAttempts copies. Any goroutine may call it.
+// copyChain copies the words of a chain, beginning with its head, and reuses the memory of
+// into. It takes no lock and may be called from any goroutine. It returns false if no chain
+// begins at the block, or if the chain changed during each of maxCopyAttempts copies.
 func (p *blockPool) copyChain(head uint32, into []uint64) ([]uint64, bool) {
 	for range maxCopyAttempts {
 		into = into[:0]
 		sequence := atomic.LoadUint64(&p.sequences[head])
-		if sequence&1 != 0 { // a writer is at it; on one core it may have been preempted
+		if sequence&1 != 0 { // a writer is changing the chain; let it finish
 			runtime.Gosched()
 			continue
 		}
@@ -327,8 +328,8 @@
 	return into, false
 }
 
-// copyBodies appends the words of the blocks that follow a head, without their links. As
-// the chain may change meanwhile, it bounds its steps and checks each block's tag.
+// copyBodies appends the words of the body blocks of a chain, without their link words. As
+// the chain may change meanwhile, it limits its steps and checks the tag of each block.
 func (p *blockPool) copyBodies(first uint32, into []uint64) []uint64 {
 	block := first
 	for step := 0; block != noBlock && int(block) < p.blockCount && step < p.blockCount; step++ {
--- a/internal/decisionlog/blockpool_test.go
+++ b/internal/decisionlog/blockpool_test.go
@@ -11,13 +11,13 @@
 	"lockroad/internal/registry"
 )
 
-// checkPool checks that every block is in exactly one place, and that the counts are right.
+// checkPool checks that every block is free or in exactly one chain, and that the links and counts are consistent.
 func checkPool(t interface{ Fatalf(string, ...any) }, pool *blockPool) {
-	places := make([]int, pool.blockCount)
+	uses := make([]int, pool.blockCount)
 	for block := pool.firstFree; block != noBlock; block = pool.newer[block] {
-		places[block]++
+		uses[block]++
 		if tag := tagOf(pool.load(block, 0)); tag != tagFree {
-			t.Fatalf("block %d is free and has tag %d", block, tag)
+			t.Fatalf("free block %d has tag %d", block, tag)
 		}
 	}
 	for category := range categoryCount {
@@ -26,40 +26,40 @@
 			chains++
 			link := pool.load(head, 0)
 			if pool.older[head] != previous || categoryOf(link) != category || tagOf(link) != tagHead || pool.sequences[head]&1 != 0 {
-				t.Fatalf("chain %d in category %d is not linked as it should be", head, category)
+				t.Fatalf("chain %d in category %d has wrong links, a wrong tag or an odd sequence", head, category)
 			}
 			previous = head
 			for block := head; block != noBlock; block = nextOf(pool.load(block, 0)) {
-				places[block]++
+				uses[block]++
 				blocks++
 				if nextOf(pool.load(block, 0)) == noBlock && pool.lastBlock[head] != block {
-					t.Fatalf("the last block of chain %d is %d, not %d", head, pool.lastBlock[head], block)
+					t.Fatalf("lastBlock of chain %d is %d, want %d", head, pool.lastBlock[head], block)
 				}
 			}
 		}
 		if chains != int(pool.entryCount[category].Load()) || blocks != int(pool.blocksInUse[category].Load()) || pool.newest[category] != previous {
-			t.Fatalf("category %d counts %d chains of %d blocks, and has %d of %d",
+			t.Fatalf("category %d has counts of %d chains and %d blocks, want %d and %d",
 				category, pool.entryCount[category].Load(), pool.blocksInUse[category].Load(), chains, blocks)
 		}
 	}
-	for block, count := range places {
+	for block, count := range uses {
 		if count != 1 {
-			t.Fatalf("block %d is in %d places", block, count)
+			t.Fatalf("block %d is in %d chains or free lists, want 1", block, count)
 		}
 	}
 }
 
-// Whatever is recorded, the pool stays consistent, and each entry is complete, or has only its end,
-// or is said to be evicted. The memory is so small that all of it is reused often.
+// After any sequence of events the pool is consistent, and each entry is complete, marked as incomplete, or evicted.
+// The memory is so small that its blocks are reused often.
 func TestRandomEventsLeavePoolConsistent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		log := newTestLog(t, MinBytes)
 		log.pool = newBlockPool(bytesPerBlock * rapid.IntRange(4, 60).Draw(rt, "blocks"))
 		type expected struct {
 			proxy.RequestObserver
-			events int // since its start or its last eviction
+			events int // number of recorded events
 			ended  bool
-			held   balancer.Reason // of the last event, if that is a hold
+			held   balancer.Reason // reason of the last event if that is a hold, otherwise 0
 		}
 		all := make(map[uint64]*expected)
 		var last uint64
@@ -78,13 +78,13 @@
 					switch {
 					case errors.Is(err, ErrEvicted):
 					case err != nil:
-						rt.Fatalf("%d: %v", n, err)
+						rt.Fatalf("entry %d: error %v", n, err)
 					case entry.Name != testRequest(n).Name || entry.Flow != n:
-						rt.Fatalf("%d is read as %+v", n, entry)
+						rt.Fatalf("entry %d is read as %+v", n, entry)
 					case !entry.HeadEvicted && !entry.EventsOmitted && len(entry.Events) != state.events:
-						rt.Fatalf("%d has %d events, read are %d: %+v", n, state.events, len(entry.Events), entry.Events)
+						rt.Fatalf("entry %d: %d events recorded, %d read: %+v", n, state.events, len(entry.Events), entry.Events)
 					case entry.HeadEvicted && len(entry.Events) > state.events:
-						rt.Fatalf("%d has %d events, read are %d", n, state.events, len(entry.Events))
+						rt.Fatalf("incomplete entry %d: %d events recorded, %d read", n, state.events, len(entry.Events))
 					}
 				}
 			},
@@ -135,7 +135,7 @@
 				if n, state := pick(); state != nil {
 					err := log.Pin(n, rapid.Bool().Draw(rt, "on"))
 					if err != nil && !errors.Is(err, ErrEvicted) && !errors.Is(err, ErrPinLimit) {
-						rt.Fatalf("pin %d: %v", n, err)
+						rt.Fatalf("Pin(%d): error %v", n, err)
 					}
 				}
 			},
--- a/internal/decisionlog/encoding.go
+++ b/internal/decisionlog/encoding.go
@@ -9,10 +9,10 @@
 	"lockroad/internal/registry"
 )
 
-// This file has the layout of an entry in words: a head, then its events. Nothing of it
-// leaves the process.
+// This file encodes an entry in words: a head, then its events. The encoding is used only
+// in memory and may change between versions.
 
-// Words of a head, after the link word of its block.
+// Indexes of the words of a head block, after its link word.
 const (
 	headNumber = 1 + iota
 	headStartedAt
@@ -20,41 +20,41 @@
 	headItem
 	headTimeLimit
 	headLoad
-	headFacts // class, frontend, flags, length of the name, tenant
-	headHash  // of the whole name
-	headName  // its first bytes
+	headAttributes // class, frontend, flags, length of the name, tenant
+	headHash       // hash of the whole name
+	headName       // first of the words with the first bytes of the name
 )
 
 const (
 	bytesPerWord = 8
-	maxNameBytes = bytesPerWord * (blockWords - headName) // of a name that are kept
+	maxNameBytes = bytesPerWord * (blockWords - headName) // longer names are truncated
 )
 
-// Flags among the facts of a head.
+// Flags in the attributes of a head.
 const (
 	flagReturning     = 1 << iota
-	flagResumed       // it was established before the start of this process
-	flagHeadEvicted   // its first events were evicted
-	flagEventsOmitted // it had more events than one entry may keep
-	flagHeld          // it was made to wait
-	flagFailed        // an attempt failed, or it was not answered as it should be
+	flagResumed       // the request was established before the start of this process
+	flagHeadEvicted   // the first events were evicted
+	flagEventsOmitted // events were omitted for lack of space
+	flagHeld          // the request was made to wait
+	flagFailed        // the request is notable for a reason other than waiting: see the package comment
 	_
 	flagEnded
 )
 
-// An event's first word has its kind (8 bits) and its length in words (8 bits), its second
-// word the time. What follows depends on the kind.
+// The first word of an event has its kind (8 bits) and its length in words (8 bits), the
+// second word its time. The rest depends on the kind.
 const (
-	shortEventWords = 3 // of an event that has a single word of its own
-	decisionWords   = 6 // of a decision, without the endpoints that it considered
-	consideredWords = 3 // of each endpoint that it considered
+	shortEventWords = 3 // length of an event with a single word of data
+	decisionWords   = 6 // length of a decision without its considered endpoints
+	consideredWords = 3 // length of each considered endpoint
 
-	repeatsWord  = 2 // of a decision: the word that counts its repetitions
+	repeatsWord  = 2 // index of the word of a decision that has the number of its repetitions
 	repeatsShift = 32
 	maxRepeats   = 0xffff
 )
 
-// encodeDecision appends the words of a decision.
+// encodeDecision appends the words of a decision event.
 func encodeDecision(to []uint64, decision *balancer.Decision) []uint64 {
 	considered := len(decision.Considered)
 	to = append(to,
@@ -66,7 +66,7 @@
 			uint64(considered)<<40|
 			uint64(decision.PreferredIndex+1)<<48,
 		uint64(decision.At),
-		uint64(decision.Endpoint)|uint64(min(decision.ReadyEndpoints, 0xffff))<<48, // between the two: repetitions
+		uint64(decision.Endpoint)|uint64(min(decision.ReadyEndpoints, 0xffff))<<48, // bits 32 to 47: repetitions
 		clampToUnits(decision.Wait, time.Microsecond)|clampToUnits(decision.TimeLeft, time.Microsecond)<<32,
 		decision.Revision,
 		encodeOptionalAge(decision.ListAge)|encodeFraction(decision.SlowShare)<<32)
@@ -85,8 +85,8 @@
 	return to
 }
 
-// decodeDecision reads the words of a decision. What it considered goes into the entry's
-// memory for that.
+// decodeDecision decodes the words of a decision event. The considered endpoints are stored
+// in the entry's buffer.
 func (e *Entry) decodeDecision(words []uint64) balancer.Decision {
 	decision := balancer.Decision{
 		At:             time.Duration(words[1]),
@@ -122,7 +122,7 @@
 	return decision
 }
 
-// encodeResult returns the word of a result.
+// encodeResult encodes a result in one word.
 func encodeResult(result proxy.Result) uint64 {
 	return min(uint64(result.RetryAfter/time.Microsecond), math.MaxUint32) |
 		uint64(result.End)<<32 |
@@ -139,9 +139,9 @@
 	}
 }
 
-// decodeEntry reads a chain's words into an entry, whose memory it uses again.
+// decodeEntry decodes the words of a chain into an entry, and reuses its buffers.
 func (l *Log) decodeEntry(entry *Entry, words []uint64) {
-	facts, flags := words[headFacts], words[headFacts]>>16&0xffff
+	attributes, flags := words[headAttributes], words[headAttributes]>>16&0xffff
 	has := func(flag uint64) bool { return flags&flag != 0 }
 	*entry = Entry{
 		Events:        entry.Events[:0],
@@ -153,9 +153,9 @@
 		Flow:          words[headItem],
 		TimeLimit:     time.Duration(words[headTimeLimit]),
 		ExpectedLoad:  math.Float64frombits(words[headLoad]),
-		Class:         l.internedName(facts & 0xff),
-		Frontend:      l.internedName(facts >> 8 & 0xff),
-		Tenant:        l.internedName(facts >> 40 & 0xff),
+		Class:         l.internedName(attributes & 0xff),
+		Frontend:      l.internedName(attributes >> 8 & 0xff),
+		Tenant:        l.internedName(attributes >> 40 & 0xff),
 		Returning:     has(flagReturning),
 		Resumed:       has(flagResumed),
 		HeadEvicted:   has(flagHeadEvicted),
@@ -165,13 +165,13 @@
 		Ended:         has(flagEnded),
 		nameHash:      words[headHash],
 	}
-	nameLength := min(int(facts>>32&0xff), maxNameBytes)
+	nameLength := min(int(attributes>>32&0xff), maxNameBytes)
 	entry.Name = unpackBytes(words[headName:], nameLength)
 	entry.NameTruncated = hashName(entry.Name) != entry.nameHash
 	entry.decodeEvents(words[blockWords:])
 }
 
-// decodeEvents reads events until the words end or are none.
+// decodeEvents decodes events up to the end of the words or an invalid length.
 func (e *Entry) decodeEvents(words []uint64) {
 	for len(words) > 0 {
 		length := int(words[0] >> 8 & 0xff)
@@ -199,7 +199,7 @@
 	return event
 }
 
-// hashName is FNV-1a of a name, without the allocation that a hash.Hash costs.
+// hashName returns the FNV-1a hash of a name without allocating a hash.Hash.
 func hashName(name string) uint64 {
 	const offset, prime = 0xcbf29ce484222325, 0x100000001b3
 	hash := uint64(offset)
@@ -209,7 +209,7 @@
 	return hash
 }
 
-// packBytes returns the word of the bytes of a name from an offset on, 0 past its end.
+// packBytes packs up to eight bytes of a name, from an offset on, into a word.
 func packBytes(name string, offset int) (word uint64) {
 	for i := offset; i < min(len(name), offset+bytesPerWord); i++ {
 		word |= uint64(name[i]) << (8 * (i - offset))
@@ -217,7 +217,7 @@
 	return word
 }
 
-// unpackBytes returns the name that packBytes put into words.
+// unpackBytes returns the name that packBytes packed into words.
 func unpackBytes(words []uint64, length int) string {
 	name := make([]byte, length)
 	for i := range name {
@@ -226,7 +226,7 @@
 	return string(name)
 }
 
-// clampToUnits returns a duration in a unit, within 32 bits.
+// clampToUnits returns a duration as a number of units, clamped to 32 bits.
 func clampToUnits(duration, unit time.Duration) uint64 {
 	return uint64(min(max(duration/unit, 0), math.MaxUint32))
 }
@@ -235,8 +235,8 @@
 	return time.Duration(word&math.MaxUint32) * time.Microsecond
 }
 
-// encodeOptionalAge returns an age in milliseconds plus one; 0 stands for an age that is
-// not known, which is negative.
+// encodeOptionalAge returns an age in milliseconds plus one, or 0 for an unknown age, which
+// is negative.
 func encodeOptionalAge(age time.Duration) uint64 {
 	return clampToUnits(age+time.Millisecond, time.Millisecond)
 }
@@ -248,9 +248,9 @@
 	return -1
 }
 
-const maxFraction = 0xffff // stands for 1
+const maxFraction = 0xffff // encodes 1
 
-// encodeFraction returns a number from 0 to 1 in 16 bits.
+// encodeFraction encodes a number from 0 to 1 in 16 bits.
 func encodeFraction(x float64) uint64 {
 	return uint64(math.Round(min(max(x, 0), 1) * maxFraction))
 }
--- a/internal/decisionlog/entry.go
+++ b/internal/decisionlog/entry.go
@@ -8,31 +8,31 @@
 	"lockroad/internal/proxy"
 )
 
-// Entry is what the log has of one request: a copy that belongs to the reader.
+// Entry is a copy of the log's entry of one request.
 type Entry struct {
 	Number        uint64
 	Frontend      string // name of the frontend
 	Class         string
 	Tenant        string        // "" if it has none
-	Name          string        // as the client calls it, or the first part of that
-	NameTruncated bool          // Name is only the first part
+	Name          string        // name that the client gave the request, possibly truncated
+	NameTruncated bool          // Name is only the first part of the name
 	Group         uint64        // 0 if none
-	Flow          uint64        // 0 if none; with the platform's protocol the key of the flow
+	Flow          uint64        // key of the request's flow; 0 if none
 	StartedAt     time.Duration // on the proxy's clock
-	TimeLimit     time.Duration // that its client had then
-	ExpectedLoad  float64       // expected, in seconds of work per second; 0 if unknown
-	Returning     bool          // its client came back after a disconnect or a migration
-	Resumed       bool          // it was established at an endpoint before the start of this process
-	HeadEvicted   bool          // its first events were evicted
-	EventsOmitted bool          // not all of its events were kept
+	TimeLimit     time.Duration // from StartedAt to the request's deadline
+	ExpectedLoad  float64       // in seconds of work per second; 0 if unknown
+	Returning     bool          // the client came back after a disconnect or a migration
+	Resumed       bool          // the request was established before the start of this process
+	HeadEvicted   bool          // the first events were evicted
+	EventsOmitted bool          // events were omitted for lack of space
 	Notable       bool          // see the package comment
 	Pinned        bool
 	Ended         bool
 	Events        []Event
 
 	headBlock  uint32
-	nameHash   uint64                        // of the whole name
-	considered []balancer.ConsideredEndpoint // memory for those of all decisions
+	nameHash   uint64                        // hash of the whole name
+	considered []balancer.ConsideredEndpoint // buffer for the considered endpoints of all decisions
 }
 
 // Clone returns a copy that shares no memory with the entry.
@@ -46,30 +46,31 @@
 	return &clone
 }
 
-// EventKind says what kind of event one is.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of events, with the fields of Event that they set besides At.
 const (
-	EventDecision       EventKind = 1 + iota // of the balancer: Decision and Repeats
-	EventAttemptStarted                      // an attempt at Endpoint begins
+	EventDecision       EventKind = 1 + iota // the balancer made Decision, and repeated it Repeats times
+	EventAttemptStarted                      // an attempt at Endpoint started
 	EventAttemptEnded                        // the attempt at Endpoint ended with Status; balancer.StatusOK means accepted
 	EventEstablished                         // the client was notified that its request is established
-	EventEnded                               // Result says how
+	EventEnded                               // the request ended with Result
 )
 
-// Event is one thing that happened to a request.
+// Event is one event in the life of a request.
 type Event struct {
 	Kind     EventKind
 	At       time.Duration // on the proxy's clock
 	Decision balancer.Decision
-	Repeats  int // how often the same was decided again right after
+	Repeats  int // how often the same decision was repeated directly afterwards
 	Endpoint balancer.EndpointID
 	Status   balancer.AttemptStatus
 	Result   proxy.Result
 }
 
-// Result returns how the request ended; false if it has not, or its end is not kept.
+// Result returns how the request ended. It returns false if the request has not ended, or
+// if its end was not recorded.
 func (e *Entry) Result() (proxy.Result, bool) {
 	if n := len(e.Events); n > 0 && e.Events[n-1].Kind == EventEnded {
 		return e.Events[n-1].Result, true
@@ -77,7 +78,7 @@
 	return proxy.Result{}, false
 }
 
-// ResultName returns the word for how the request ended, or for how far it has come:
+// ResultName returns the name of the request's result, or of its state if it has not ended:
 // "waiting" or "up".
 func (e *Entry) ResultName() string {
 	if result, ended := e.Result(); ended {
@@ -89,7 +90,7 @@
 	return "waiting"
 }
 
-// LastEventAt returns the time of the last event, or of the start if there is none.
+// LastEventAt returns the time of the last event, or StartedAt if there is none.
 func (e *Entry) LastEventAt() time.Duration {
 	if n := len(e.Events); n > 0 {
 		return e.Events[n-1].At
@@ -97,16 +98,16 @@
 	return e.StartedAt
 }
 
-// Attempt is one attempt at an endpoint.
+// Attempt is one attempt to establish a request at an endpoint.
 type Attempt struct {
 	Endpoint   balancer.EndpointID
-	Status     balancer.AttemptStatus // once it has ended
+	Status     balancer.AttemptStatus // only set if it has ended
 	InProgress bool
 	StartedAt  time.Duration // on the proxy's clock
-	Duration   time.Duration // once it has ended
+	Duration   time.Duration // only set if it has ended
 }
 
-// Attempts returns the attempts in their order.
+// Attempts returns the recorded attempts in the order of their start.
 func (e *Entry) Attempts() []Attempt {
 	var attempts []Attempt
 	for i := range e.Events {
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -9,47 +9,46 @@
 	"lockroad/internal/proxy"
 )
 
-// Limits and default of a Log's memory, in bytes. More memory makes the log reach further
-// back; nothing else depends on it.
+// Limits and default of a log's size in bytes. A larger log keeps more requests.
 const (
 	MinBytes     = 512 << 10
 	DefaultBytes = 2 << 20
 	MaxBytes     = 1 << 30
 )
 
-// maxInternedNames bounds the names that are interned, as a head has eight bits for each.
+// maxInternedNames is the maximum number of interned names; a head has eight bits for each.
 const maxInternedNames = 255
 
-// Log is a bounded log of requests. It is safe for concurrent use.
+// Log is a fixed-size log of requests. It is safe for concurrent use.
 type Log struct {
 	pool  *blockPool
 	clock proxy.Clock
 
-	// internedNames are the names of classes, frontends and tenants, by number. The slice
-	// only ever grows; writers replace it under the pool's lock.
+	// internedNames are the names of classes, frontends and tenants, by number. The slice is
+	// append-only; writers replace it under the pool's lock.
 	internedNames atomic.Pointer[[]string]
 
-	lastNumber atomic.Uint64 // number of the youngest request begun
-	eventsLost atomic.Uint64 // events that there was no room for
+	lastNumber atomic.Uint64 // highest number of a started request
+	eventsLost atomic.Uint64 // events that were dropped for lack of space
 }
 
 var _ proxy.Observer = (*Log)(nil)
 
-// New returns an empty log of so many bytes, from MinBytes to MaxBytes. All of its memory
-// is allocated here.
+// New returns an empty log whose size in bytes is between MinBytes and MaxBytes. It
+// allocates all of the log's memory.
 func New(bytes int, clock proxy.Clock) (*Log, error) {
 	if bytes < MinBytes || bytes > MaxBytes {
-		return nil, fmt.Errorf("record: %d bytes are not within %d and %d", bytes, MinBytes, MaxBytes)
+		return nil, fmt.Errorf("decision log: size of %d bytes is not between %d and %d", bytes, MinBytes, MaxBytes)
 	}
 	l := &Log{pool: newBlockPool(bytes), clock: clock}
 	l.internedNames.Store(&[]string{})
 	return l, nil
 }
 
-// Bytes returns the size of the log's memory.
+// Bytes returns the size of the log's memory in bytes.
 func (l *Log) Bytes() int { return l.pool.blockCount * bytesPerBlock }
 
-// Clock returns the clock that the log's times are read from.
+// Clock returns the clock of the log's times.
 func (l *Log) Clock() proxy.Clock { return l.clock }
 
 // RequestStarted starts the entry of a request and returns the observer that records its events.
@@ -65,9 +64,9 @@
 	return r
 }
 
-// internName returns the number of a name, and interns it if it is new. There are few
-// names; past maxInternedNames all further ones share the first number. The caller holds
-// the pool's lock.
+// internName returns the number of a name, and interns the name if it is new. Once there are
+// maxInternedNames names, all further ones share the number of the first. The caller must
+// hold the pool's lock.
 func (l *Log) internName(name string) uint64 {
 	names := *l.internedNames.Load()
 	i := slices.Index(names, name)
@@ -79,7 +78,7 @@
 	return uint64(max(0, i))
 }
 
-// internedName returns the name of a number, "" if there is none.
+// internedName returns the name with a number, or "" if there is none.
 func (l *Log) internedName(number uint64) string {
 	if names := *l.internedNames.Load(); number < uint64(len(names)) {
 		return names[number]
@@ -87,31 +86,31 @@
 	return ""
 }
 
-// Stats says what the log holds and what it has evicted.
+// Stats are statistics of a log.
 type Stats struct {
-	Bytes           int               // of memory in all
-	Blocks          int               // that the memory is divided into
-	Entries         map[string]int    // entries, by category
-	BlocksInUse     map[string]int    // blocks, by category
-	Evicted         map[string]uint64 // entries evicted since the start, by category
-	EventsLost      uint64            // events that there was no room for
-	LastNumber      uint64            // number of the youngest request begun
-	EvictionHorizon time.Duration     // when the youngest of those evicted began; 0 if none was
+	Bytes           int               // size of the log's memory
+	Blocks          int               // number of blocks in the memory
+	Entries         map[string]int    // number of entries, by category
+	BlocksInUse     map[string]int    // number of used blocks, by category
+	Evicted         map[string]uint64 // number of entries evicted since the start, by category
+	EventsLost      uint64            // events that were dropped for lack of space
+	LastNumber      uint64            // highest number of a started request
+	EvictionHorizon time.Duration     // start time of the youngest evicted entry; 0 if none was evicted
 }
 
-// CategoryNames are the names of the categories that entries are kept in.
+// CategoryNames are the names of the categories of entries, as operators see them.
 var CategoryNames = [categoryCount]string{"under-way", "uneventful", "eventful", "pinned"}
 
-// TotalEvicted returns how many entries were evicted, of all categories.
+// TotalEvicted returns the number of evicted entries of all categories.
 func (s Stats) TotalEvicted() (total uint64) {
-	for _, dropped := range s.Evicted {
-		total += dropped
+	for _, evicted := range s.Evicted {
+		total += evicted
 	}
 	return total
 }
 
-// Stats counts without blocking writers. While requests come and go, the figures are of
-// slightly different moments and need not add up.
+// Stats returns the current statistics without blocking writers. They are not a consistent
+// snapshot: while the log is written to, the numbers need not add up.
 func (l *Log) Stats() Stats {
 	pool := l.pool
 	stats := Stats{
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -34,7 +34,7 @@
 	}}
 }
 
-// testDecision returns a decision with as many considered endpoints as there can be.
+// testDecision returns a decision with the maximum number of considered endpoints.
 func testDecision(verdict balancer.Verdict, reason balancer.Reason, attempt int, endpoint balancer.EndpointID) *balancer.Decision {
 	decision := &balancer.Decision{At: time.Hour, Verdict: verdict, Reason: reason, Attempt: attempt, Endpoint: endpoint, PreferredIndex: -1, ListAge: -1,
 		TimeLeft: 2 * time.Second, ReadyEndpoints: 12, Revision: 41}
@@ -44,22 +44,21 @@
 	return decision
 }
 
-// recordAttempts records a request whose attempts end with the given statuses; it is established
-// by one that is balancer.StatusOK.
+// recordAttempts records a request whose attempts end with the given statuses. StatusOK establishes it.
 func recordAttempts(log *Log, number uint64, statuses ...balancer.AttemptStatus) proxy.RequestObserver {
-	t := log.RequestStarted(number, testRequest(number))
+	observer := log.RequestStarted(number, testRequest(number))
 	for i, status := range statuses {
 		endpoint := balancer.EndpointID(i + 1)
-		t.Decided(testDecision(balancer.VerdictSent, balancer.ReasonWeightedDraw, i+1, endpoint))
-		t.AttemptStarted(endpoint)(status)
+		observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonWeightedDraw, i+1, endpoint))
+		observer.AttemptStarted(endpoint)(status)
 		if status == balancer.StatusOK {
-			t.Established()
+			observer.Established()
 		}
 	}
-	return t
+	return observer
 }
 
-func TestDecisionsAreReadAsWritten(t *testing.T) {
+func TestDecisionEncodingRoundTrip(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	number := uint64(0)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -97,71 +96,71 @@
 	})
 }
 
-func TestTenantIsKept(t *testing.T) {
+func TestEntryHasTenant(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	for i, tenant := range []string{"", "fraser", "cedar"} {
 		observer := log.RequestStarted(uint64(i+1), proxy.Request{Frontend: "line", Name: "a name", Class: "page", Tenant: tenant})
 		observer.Ended(proxy.Result{})
 		entry, err := log.EntryByNumber(uint64(i + 1))
 		if err != nil || entry.Tenant != tenant || entry.Class != "page" || entry.Frontend != "line" || entry.Name != "a name" {
-			t.Errorf("read as %+v, %v, want the tenant %q", entry, err, tenant)
+			t.Errorf("entry is %+v, %v, want tenant %q", entry, err, tenant)
 		}
 	}
 }
 
 func TestEntryHasAllEvents(t *testing.T) {
 	log := newTestLog(t, MinBytes)
-	const long = "a container that has been given a name of some length/and so has the link"
-	observer := log.RequestStarted(7, proxy.Request{Frontend: "amqp", Class: "live-preview", Name: long, RequestOptions: balancer.RequestOptions{
+	const longName = "a container that has been given a name of some length/and so has the link"
+	observer := log.RequestStarted(7, proxy.Request{Frontend: "amqp", Class: "live-preview", Name: longName, RequestOptions: balancer.RequestOptions{
 		Group: 5, Item: 6, Deadline: log.clock.Now() + 2*time.Second, ExpectedLoad: 0.25, Returning: true, Established: true,
 	}})
 	heldDecision := testDecision(balancer.VerdictHeld, balancer.ReasonEndpointSlow, 0, 3)
-	for range 40 { // the same again takes no more room
+	for range 40 { // repetitions are only counted
 		observer.Decided(heldDecision)
 	}
 	observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonRouteSlow, 1, 3))
 	attemptEnded := observer.AttemptStarted(3)
 	if entry, _ := log.EntryByNumber(7); entry.ResultName() != "waiting" || !entry.Attempts()[0].InProgress {
-		t.Errorf("read %+v", entry)
+		t.Errorf("entry during the first attempt is %+v", entry)
 	}
 	attemptEnded(balancer.StatusFull)
 	observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonRedrawn, 2, 1<<31))
 	observer.AttemptStarted(1 << 31)(balancer.StatusOK)
 	observer.Established()
 	observer.Ended(proxy.Result{End: registry.EndMigrated, Cause: proxy.CauseShutdown, Status: balancer.StatusCancelled, RetryAfter: 1500 * time.Millisecond})
-	observer.Decided(testDecision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0)) // it comes after the end
+	observer.Decided(testDecision(balancer.VerdictRejected, balancer.ReasonDeadlineExceeded, 2, 0)) // ignored after the end
 	entry, err := log.EntryByNumber(7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if entry.Name != long[:maxNameBytes] || !entry.NameTruncated || entry.Frontend != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Flow != 6 ||
+	if entry.Name != longName[:maxNameBytes] || !entry.NameTruncated || entry.Frontend != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Flow != 6 ||
 		!entry.Returning || !entry.Resumed || entry.ExpectedLoad != 0.25 || entry.TimeLimit > 2*time.Second || entry.TimeLimit < time.Second || !entry.Notable || entry.HeadEvicted || entry.EventsOmitted {
-		t.Errorf("read %+v", entry)
+		t.Errorf("entry after the end is %+v", entry)
 	}
 	var kinds []string
 	for _, event := range entry.Events {
 		kinds = append(kinds, fmt.Sprint(event.Kind, event.Repeats))
 	}
 	if want := "[1 39 1 0 2 0 3 0 1 0 2 0 3 0 4 0 5 0]"; fmt.Sprint(kinds) != want {
-		t.Errorf("read the events %v, want %v", kinds, want)
+		t.Errorf("event kinds and repetitions are %v, want %v", kinds, want)
 	}
 	result, ended := entry.Result()
 	if want := (proxy.Result{End: registry.EndMigrated, Cause: proxy.CauseShutdown, Status: balancer.StatusCancelled, RetryAfter: 1500 * time.Millisecond}); !ended || result != want {
-		t.Errorf("read the result %+v", result)
+		t.Errorf("result is %+v, ended %v, want %+v", result, ended, want)
 	}
 	attempts := entry.Attempts()
 	if len(attempts) != 2 || attempts[0].Endpoint != 3 || attempts[0].Status != balancer.StatusFull || attempts[1].Endpoint != 1<<31 || attempts[1].Status != balancer.StatusOK || attempts[1].InProgress {
-		t.Errorf("read the attempts %+v", attempts)
+		t.Errorf("attempts are %+v, want a full one at endpoint 3 and a successful one at endpoint 1<<31", attempts)
 	}
-	if all, err := log.EntriesByName(long); err != nil || len(all) != 1 || all[0].Number != 7 {
-		t.Errorf("by its whole name: %v, %v", all, err)
+	if all, err := log.EntriesByName(longName); err != nil || len(all) != 1 || all[0].Number != 7 {
+		t.Errorf("EntriesByName of the whole name returns %v, %v", all, err)
 	}
-	if _, err := log.EntriesByName(long[:maxNameBytes]); !errors.Is(err, ErrUnknown) {
-		t.Errorf("by a part of its name: %v", err)
+	if _, err := log.EntriesByName(longName[:maxNameBytes]); !errors.Is(err, ErrUnknown) {
+		t.Errorf("EntriesByName of a part of the name: error %v, want ErrUnknown", err)
 	}
 }
 
-// During a surge routine entries are evicted first; those of rejected and retried requests stay.
+// Routine entries are evicted before those of rejected and retried requests, also during a surge.
 func TestNotableEntriesOutliveSurge(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	var notable []uint64
@@ -179,37 +178,37 @@
 	}
 	for _, i := range notable {
 		if entry, err := log.EntryByNumber(i); err != nil || entry.ResultName() != "unavailable" || len(entry.Events) != 8 {
-			t.Fatalf("the rejected request %d: %+v, %v", i, entry, err)
+			t.Fatalf("entry of rejected request %d is %+v, %v", i, entry, err)
 		}
 	}
 	stats := log.Stats()
 	if stats.Evicted["eventful"] != 0 || stats.Evicted["under-way"] != 0 || stats.Entries["eventful"] != len(notable) ||
 		int(stats.Evicted["uneventful"])+stats.Entries["uneventful"]+len(notable) != n || stats.Bytes > MinBytes {
-		t.Errorf("the log holds %+v", stats)
+		t.Errorf("after %d requests the statistics are %+v", n, stats)
 	}
 	if _, err := log.EntryByNumber(1); !errors.Is(err, ErrEvicted) {
-		t.Errorf("for an evicted entry the error is %v", err)
+		t.Errorf("evicted entry: error %v, want ErrEvicted", err)
 	}
 	if _, err := log.EntryByNumber(n + 1); !errors.Is(err, ErrUnknown) {
-		t.Errorf("for a request that never came the error is %v", err)
+		t.Errorf("number of no request: error %v, want ErrUnknown", err)
 	}
 	if _, err := log.EntriesByName("never came"); !errors.Is(err, ErrEvicted) {
-		t.Errorf("for a name that may have been evicted the error is %v", err)
+		t.Errorf("name that may have been evicted: error %v, want ErrEvicted", err)
 	}
-	// Where all are rejected, the oldest of those are evicted, and never all of the rest.
+	// If all requests are rejected, the oldest notable entries are evicted, and some routine entries remain.
 	for i := uint64(n + 1); i <= 2*n; i++ {
 		recordAttempts(log, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
 	stats = log.Stats()
 	if share := float64(stats.BlocksInUse["eventful"]) / float64(stats.Blocks); stats.Entries["uneventful"] == 0 || share > 0.77 {
-		t.Errorf("notable entries use %.2f of the memory; %+v", share, stats)
+		t.Errorf("notable entries use %.2f of the memory, want at most 0.77; statistics are %+v", share, stats)
 	}
 	if entry, err := log.EntryByNumber(2 * n); err != nil || entry.ResultName() != "unavailable" {
-		t.Errorf("the last: %+v, %v", entry, err)
+		t.Errorf("entry of the latest request is %+v, %v", entry, err)
 	}
 }
 
-// The entry of a client that still waits outlives those of requests that have ended.
+// The entry of a client that still waits for an answer is evicted after those of ended requests.
 func TestPendingEntriesAreEvictedLast(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	pending := log.RequestStarted(1, testRequest(1))
@@ -217,21 +216,21 @@
 		recordAttempts(log, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
 	if entry, err := log.EntryByNumber(1); err != nil || entry.HeadEvicted {
-		t.Errorf("the pending entry: %+v, %v", entry, err)
+		t.Errorf("pending entry is %+v, %v", entry, err)
 	}
 	pending.AttemptStarted(4)(balancer.StatusOK)
 	pending.Established()
 	for i := uint64(10_000); i < 20_000; i++ {
 		recordAttempts(log, i, balancer.StatusOK).Ended(proxy.Result{End: registry.EndClosed})
 	}
-	// It has been established for so long that its first events were evicted. Its end is kept on its own.
+	// The entry of the established request is evicted; its later events are recorded in a new entry.
 	if _, err := log.EntryByNumber(1); !errors.Is(err, ErrEvicted) {
-		t.Errorf("the entry of a long established request: %v", err)
+		t.Errorf("entry of a long established request: error %v, want ErrEvicted", err)
 	}
 	pending.Decided(testDecision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
 	pending.Ended(proxy.Result{End: registry.EndMigrated})
 	if entry, err := log.EntryByNumber(1); err != nil || !entry.HeadEvicted || entry.ResultName() != "moved" || len(entry.Events) != 2 {
-		t.Errorf("its end: %+v, %v", entry, err)
+		t.Errorf("entry with the end of the request is %+v, %v", entry, err)
 	}
 }
 
@@ -251,45 +250,45 @@
 	established.Ended(proxy.Result{End: registry.EndHeartbeatTimeout})
 	for _, i := range []uint64{1, 2} {
 		if entry, err := log.EntryByNumber(i); err != nil || !entry.Pinned || entry.HeadEvicted || !entry.Ended {
-			t.Errorf("pinned: %+v, %v", entry, err)
+			t.Errorf("pinned entry %d is %+v, %v", i, entry, err)
 		}
 	}
-	var full error
+	var limitErr error
 	pinnedCount := 2
-	for i := uint64(4999); full == nil; i-- {
-		if full = log.Pin(i, true); full == nil {
+	for i := uint64(4999); limitErr == nil; i-- {
+		if limitErr = log.Pin(i, true); limitErr == nil {
 			pinnedCount++
 		}
 	}
 	stats := log.Stats()
-	if !errors.Is(full, ErrPinLimit) || stats.Entries["pinned"] != pinnedCount || stats.BlocksInUse["pinned"] > stats.Blocks*pinnedSharePercent/100 || pinnedCount < 10 {
-		t.Errorf("%d pins, then %v; %+v", pinnedCount, full, stats)
+	if !errors.Is(limitErr, ErrPinLimit) || stats.Entries["pinned"] != pinnedCount || stats.BlocksInUse["pinned"] > stats.Blocks*pinnedSharePercent/100 || pinnedCount < 10 {
+		t.Errorf("%d entries were pinned before error %v; statistics are %+v", pinnedCount, limitErr, stats)
 	}
 	for _, c := range []struct {
 		number uint64
 		want   error
 	}{{9, ErrEvicted}, {9999, ErrUnknown}} {
 		if err := log.Pin(c.number, true); !errors.Is(err, c.want) {
-			t.Errorf("pinning %d: %v", c.number, err)
+			t.Errorf("Pin(%d): error %v, want %v", c.number, err, c.want)
 		}
 	}
 	if err := log.Pin(2, false); err != nil {
 		t.Fatal(err)
 	}
 	if entry, err := log.EntryByNumber(2); err != nil || entry.Pinned || !entry.Notable {
-		t.Errorf("unpinned: %+v, %v", entry, err)
+		t.Errorf("unpinned entry is %+v, %v", entry, err)
 	}
 }
 
 func TestSizesOutOfRangeAreRejected(t *testing.T) {
 	for _, n := range []int{-1, 0, MinBytes - 1, MaxBytes + 1} {
 		if log, err := New(n, proxy.NewClock()); err == nil || !strings.Contains(err.Error(), fmt.Sprint(n)) {
-			t.Errorf("%d bytes: %v, %v", n, log, err)
+			t.Errorf("New(%d) = %v, %v, want an error with the size", n, log, err)
 		}
 	}
 }
 
-// Readers never see a partial change, and block no writer.
+// Concurrent readers see only complete changes of entries.
 func TestReadersSeeOnlyCompleteEntries(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	var writers, readers sync.WaitGroup
@@ -315,17 +314,17 @@
 			log.Each(func(entry *Entry) bool {
 				seen++
 				if entry.Flow != entry.Number || entry.Name != testRequest(entry.Number).Name {
-					t.Errorf("read a mix of two entries: %+v", entry)
+					t.Errorf("entry has data of two requests: %+v", entry)
 				}
 				for _, event := range entry.Events {
 					if event.Kind == EventDecision && event.Decision.Endpoint != balancer.EndpointID(entry.Number) ||
 						event.Kind == EventAttemptStarted && event.Endpoint != balancer.EndpointID(entry.Number) ||
 						event.Kind == EventEnded && event.Result.RetryAfter != time.Duration(entry.Number)*time.Microsecond {
-						t.Errorf("entry %d has an event of another: %+v", entry.Number, event)
+						t.Errorf("entry %d has an event of another request: %+v", entry.Number, event)
 					}
 				}
 				if result, ended := entry.Result(); ended && len(entry.Attempts()) != int(entry.Number%4) {
-					t.Errorf("request %d ended %v after %d attempts", entry.Number, result.End, len(entry.Attempts()))
+					t.Errorf("request %d ended as %v with %d attempts, want %d", entry.Number, result.End, len(entry.Attempts()), entry.Number%4)
 				}
 				return true
 			})
@@ -336,7 +335,7 @@
 	readers.Wait()
 	checkPool(t, log.pool)
 	if seen == 0 {
-		t.Error("nothing was read")
+		t.Error("the reader saw no entry")
 	}
 }
 
@@ -344,21 +343,21 @@
 	log := newTestLog(t, MinBytes)
 	observer := log.RequestStarted(1, testRequest(1))
 	decision := testDecision(balancer.VerdictSent, balancer.ReasonWeightedDraw, 1, 3)
-	for i := range uint64(5000) { // until the memory is full
+	for i := range uint64(5000) { // fills the memory
 		recordAttempts(log, i+2, balancer.StatusOK)
 	}
 	if n := testing.AllocsPerRun(1000, func() { observer.Decided(decision) }); n != 0 {
-		t.Errorf("a decision makes %v allocations", n)
+		t.Errorf("recording a decision makes %v allocations, want 0", n)
 	}
 	if n := testing.AllocsPerRun(1000, func() { observer.Established() }); n != 0 {
-		t.Errorf("an event makes %v allocations", n)
+		t.Errorf("recording an event makes %v allocations, want 0", n)
 	}
 	if log.Bytes() > MinBytes {
-		t.Errorf("the log takes %d bytes", log.Bytes())
+		t.Errorf("log has %d bytes, want at most %d", log.Bytes(), MinBytes)
 	}
 }
 
-// The log takes the memory that it was given and no more, however many requests there are.
+// The log does not use more than its configured memory, however many requests it records.
 func TestMemoryStaysUnderItsCap(t *testing.T) {
 	for _, bytes := range []int{MinBytes, DefaultBytes} {
 		var before, after runtime.MemStats
@@ -372,14 +371,14 @@
 		runtime.ReadMemStats(&after)
 		grown := int64(after.HeapAlloc) - int64(before.HeapAlloc)
 		if grown > int64(bytes)+32<<10 || grown < int64(bytes)/2 {
-			t.Errorf("a log of %d bytes takes %d", bytes, grown)
+			t.Errorf("log of %d bytes uses %d bytes of heap", bytes, grown)
 		}
 		runtime.KeepAlive(log)
 	}
 }
 
-// BenchmarkDecided measures what recording a decision costs with a full log, alone and while another goroutine
-// reads all entries in a loop.
+// BenchmarkDecided measures recording a decision in a full log, without readers and while another goroutine reads
+// all entries in a loop.
 func BenchmarkDecided(b *testing.B) {
 	for _, reading := range []bool{false, true} {
 		b.Run(fmt.Sprintf("reader=%v", reading), func(b *testing.B) {
--- a/internal/decisionlog/query.go
+++ b/internal/decisionlog/query.go
@@ -8,20 +8,20 @@
 	"sync/atomic"
 )
 
-// ErrEvicted says that a request was logged, or may have been, and is no longer.
-var ErrEvicted = errors.New("no longer kept")
+// ErrEvicted is returned if the entry of a request was, or may have been, evicted.
+var ErrEvicted = errors.New("no longer in the log")
 
-// ErrUnknown says that there has been no such request.
-var ErrUnknown = errors.New("has not come")
+// ErrUnknown is returned if there has been no such request.
+var ErrUnknown = errors.New("not found")
 
-// ErrPinLimit says that pinned entries use all the memory that they may.
-var ErrPinLimit = errors.New("the share for pins is used up")
+// ErrPinLimit is returned if pinned entries use their whole share of the memory.
+var ErrPinLimit = errors.New("the memory for pinned transactions is used up")
 
 // EntryByNumber returns the entry of the request with a number. The error wraps ErrEvicted or
 // ErrUnknown.
 func (l *Log) EntryByNumber(number uint64) (*Entry, error) {
 	if number == 0 || number > l.lastNumber.Load() {
-		return nil, fmt.Errorf("transaction %d %w: the last was %d", number, ErrUnknown, l.lastNumber.Load())
+		return nil, fmt.Errorf("transaction %d %w: the latest is %d", number, ErrUnknown, l.lastNumber.Load())
 	}
 	if entry := l.entryAtHint(number); entry != nil {
 		return entry, nil
@@ -37,8 +37,8 @@
 	return found, nil
 }
 
-// entryAtHint looks for an entry where its number was last seen, which for most spares
-// reading all blocks. It returns nil if another is there.
+// entryAtHint returns the entry at the block where the chain of a number may begin, which
+// usually avoids a scan of all blocks. It returns nil if the entry is not there.
 func (l *Log) entryAtHint(number uint64) *Entry {
 	head := atomic.LoadUint32(&l.pool.headHints[number%uint64(l.pool.blockCount)])
 	words, ok := l.pool.copyChain(head, nil)
@@ -50,9 +50,9 @@
 	return entry
 }
 
-// EntriesByName returns the entries of a name, or of a flow's key in hexadecimal as clients write
-// it, the youngest first. The error wraps ErrEvicted if one of that name may have been
-// evicted, and ErrUnknown if there was none.
+// EntriesByName returns the entries of requests with a name, or with a flow's key in
+// hexadecimal as clients write it, the youngest first. If there are none, the error wraps
+// ErrEvicted if entries have been evicted, and ErrUnknown otherwise.
 func (l *Log) EntriesByName(name string) ([]*Entry, error) {
 	hash := hashName(name)
 	item, _ := parseFlowKey(name)
@@ -68,13 +68,13 @@
 		return found, nil
 	}
 	if stats := l.Stats(); stats.TotalEvicted() == 0 {
-		return nil, fmt.Errorf("a transaction called %q %w: all since the start are kept", name, ErrUnknown)
+		return nil, fmt.Errorf("transaction %q %w: the log has all transactions since the start", name, ErrUnknown)
 	}
-	return nil, fmt.Errorf("a transaction called %q is %w, if it came", name, ErrEvicted)
+	return nil, fmt.Errorf("transaction %q was not found, or is %w", name, ErrEvicted)
 }
 
-// parseFlowKey reads a key of up to 16 hexadecimal digits in the one form that clients
-// write it in.
+// parseFlowKey parses the key of a flow, which clients write as up to 16 lower-case
+// hexadecimal digits.
 func parseFlowKey(name string) (key uint64, ok bool) {
 	if len(name) == 0 || len(name) > 16 {
 		return 0, false
@@ -83,14 +83,14 @@
 	return key, err == nil && fmt.Sprintf("%0*x", len(name), key) == name
 }
 
-// Each calls visit for each entry, in no order, until it returns false. The entry is used
-// again for the next call: visit must keep a Clone.
+// Each calls visit for all entries in no particular order, until it returns false. The entry
+// is reused for the next call: visit must Clone it to keep it.
 func (l *Log) Each(visit func(*Entry) bool) {
 	l.each(func(func(int) uint64) bool { return true }, visit)
 }
 
-// Related calls visit, as Each does, for each entry that shares its name, flow or group
-// with another, which may itself be among them.
+// Related calls visit, as Each does, for all entries with the name, flow or group of an
+// entry, which may include the entry itself.
 func (l *Log) Related(to *Entry, visit func(*Entry) bool) {
 	l.each(func(word func(int) uint64) bool {
 		return word(headHash) == to.nameHash ||
@@ -99,14 +99,14 @@
 	}, visit)
 }
 
-// each calls visit for the entries whose heads match, until it returns false. match is
-// given a function that returns the words of a head.
+// each calls visit for the entries whose heads match, until visit returns false. match gets
+// a function that returns a word of the head.
 func (l *Log) each(match func(word func(int) uint64) bool, visit func(*Entry) bool) {
 	words := make([]uint64, 0, maxChainBlocks*blockWords)
 	entry := &Entry{}
 	for block := range uint32(l.pool.blockCount) {
-		// A look at the head itself spares most copies. As it may change meanwhile, only the
-		// copy decides.
+		// Matching the head in place avoids most copies. As the head may change meanwhile,
+		// the copy is matched again.
 		isHead := tagOf(l.pool.load(block, 0)) == tagHead
 		if !isHead || !match(func(word int) uint64 { return l.pool.load(block, word) }) {
 			continue
@@ -123,9 +123,9 @@
 	}
 }
 
-// Pin keeps an entry until it is unpinned, or with on false unpins it. The errors are those
+// Pin protects an entry from eviction, or unpins it if pinned is false. The errors are those
 // of EntryByNumber, and one that wraps ErrPinLimit.
-func (l *Log) Pin(number uint64, on bool) error {
+func (l *Log) Pin(number uint64, pinned bool) error {
 	entry, err := l.EntryByNumber(number)
 	if err != nil {
 		return err
@@ -136,12 +136,12 @@
 	if tagOf(pool.load(head, 0)) != tagHead || pool.load(head, headNumber) != number {
 		return fmt.Errorf("transaction %d is %w", number, ErrEvicted)
 	}
-	if isPinned := categoryOf(pool.load(head, 0)) == categoryPinned; on == isPinned {
+	if isPinned := categoryOf(pool.load(head, 0)) == categoryPinned; pinned == isPinned {
 		return nil
 	}
 	to := categoryPinned
-	if !on {
-		to = categoryByFlags(pool.load(head, headFacts) >> 16)
+	if !pinned {
+		to = categoryByFlags(pool.load(head, headAttributes) >> 16)
 	} else if int(pool.blocksInUse[categoryPinned].Load())+pool.chainLength(head) > pool.blockCount*pinnedSharePercent/100 {
 		return fmt.Errorf("transaction %d: %w: %d are pinned; unpin one first", number, ErrPinLimit, pool.entryCount[categoryPinned].Load())
 	}
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// categoryByFlags returns the category of an entry that isn't pinned.
+// categoryByFlags returns the category of an unpinned entry with flags.
 func categoryByFlags(flags uint64) category {
 	switch {
 	case flags&flagEnded == 0:
--- a/internal/decisionlog/recorder.go
+++ b/internal/decisionlog/recorder.go
@@ -10,33 +10,33 @@
 	"lockroad/internal/registry"
 )
 
-// recorder writes the entry of one request. Its events come from the proxy's event loop
-// and from the request's own goroutines. The pool's lock guards the fields below the
-// first group, which never changes.
+// recorder records the events of one request. Its methods are called by the proxy's event
+// loop and by the request's own goroutines.
 type recorder struct {
 	log       *Log
 	number    uint64
 	request   proxy.Request
 	startedAt time.Duration
 
-	head     uint32 // block that the chain begins at; noBlock if it never had one
+	// Guarded by the pool's lock.
+	head     uint32 // head block of the chain; noBlock if the request has had no chain yet
 	lastHold repeatedHold
 }
 
 var _ proxy.RequestObserver = (*recorder)(nil)
 
-// repeatedHold is the last event, if that is a decision to hold the request. The same
-// decision again is counted there, as a request that waits for long is held every tenth
-// of a second.
+// repeatedHold is the last event of a request, if that is a decision to hold it. If the
+// balancer repeats the decision, as it does every tenth of a second for a waiting request,
+// the event's counter is incremented instead of appending another event.
 type repeatedHold struct {
 	reason balancer.Reason
-	block  uint32 // block of the event's word that counts; noBlock if there is no such event
-	word   int    // index of that word in its block
-	count  uint64 // of repetitions
+	block  uint32 // block of the event's counter word; noBlock if the last event is not a hold
+	word   int    // index of the counter word in the block
+	count  uint64 // number of repetitions
 }
 
-// startChain begins the request's chain, whose sequence is odd after it. It reports
-// whether there was room. The caller holds the pool's lock.
+// startChain allocates the request's chain and writes its head. It leaves the chain's
+// sequence odd, and reports whether there was memory. The caller must hold the pool's lock.
 func (r *recorder) startChain(flags uint64) bool {
 	head := r.log.pool.newChain(categoryPending)
 	if head == noBlock {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// writeHead writes the words of the chain's head.
+// writeHead writes the head of the request's chain.
 func (r *recorder) writeHead(flags uint64) {
 	log, request := r.log, &r.request
 	if request.Returning {
@@ -58,7 +58,7 @@
 		flags |= flagResumed
 	}
 	nameLength := min(len(request.Name), maxNameBytes)
-	facts := log.internName(request.Class) |
+	attributes := log.internName(request.Class) |
 		log.internName(request.Frontend)<<8 |
 		flags<<16 |
 		uint64(nameLength)<<32 |
@@ -71,16 +71,16 @@
 	store(headItem, request.Item)
 	store(headTimeLimit, uint64(max(0, request.Deadline-r.startedAt)))
 	store(headLoad, math.Float64bits(request.ExpectedLoad))
-	store(headFacts, facts)
+	store(headAttributes, attributes)
 	store(headHash, hashName(request.Name))
 	for i := range maxNameBytes / bytesPerWord {
 		store(headName+i, packBytes(request.Name[:nameLength], i*bytesPerWord))
 	}
 }
 
-// lockChain takes the pool's lock and makes the chain's sequence odd for a change. A chain
-// that has been evicted is begun anew, and marked so. It reports whether there is a chain;
-// the pool's lock is held either way.
+// lockChain takes the pool's lock and makes the chain's sequence odd for a change. If the
+// chain was evicted, it starts a new one with flagHeadEvicted. It returns false if there is
+// no memory for one; the pool's lock is held either way.
 func (r *recorder) lockChain() bool {
 	pool := r.log.pool
 	pool.mu.Lock()
@@ -91,8 +91,8 @@
 	return r.startChain(flagHeadEvicted)
 }
 
-// appendEvent appends an event, sets flags, and moves the entry to a category, unless that
-// is keepCategory. A pinned entry stays pinned.
+// appendEvent locks the chain, appends an event, sets flags, and moves the entry to a
+// category unless that is keepCategory. A pinned entry stays pinned.
 func (r *recorder) appendEvent(flags uint64, to category, event []uint64) {
 	pool := r.log.pool
 	defer pool.mu.Unlock()
@@ -103,7 +103,8 @@
 	r.appendLocked(flags, to, event)
 }
 
-// appendLocked does the same for a chain that lockChain has locked.
+// appendLocked is appendEvent for a chain that lockChain has locked. Of a full chain, it
+// appends only the final event.
 func (r *recorder) appendLocked(flags uint64, to category, event []uint64) {
 	pool := r.log.pool
 	r.lastHold.block = noBlock
@@ -111,10 +112,10 @@
 		flags |= flagEventsOmitted
 		r.log.eventsLost.Add(1)
 	}
-	facts := pool.load(r.head, headFacts) | flags<<16
-	pool.store(r.head, headFacts, facts)
+	attributes := pool.load(r.head, headAttributes) | flags<<16
+	pool.store(r.head, headAttributes, attributes)
 	current := categoryOf(pool.load(r.head, 0))
-	if (to == categoryRoutine || current == categoryRoutine) && facts>>16&(flagHeld|flagFailed) != 0 {
+	if (to == categoryRoutine || current == categoryRoutine) && attributes>>16&(flagHeld|flagFailed) != 0 {
 		to = categoryNotable
 	}
 	if current != categoryPinned && to != keepCategory && (to != current || flags&flagEnded != 0) {
@@ -122,8 +123,8 @@
 	}
 }
 
-// Decided records a decision of the balancer. A decision that comes after the end, as when
-// the client leaves just as its deadline passes, had no effect and is ignored.
+// Decided records a decision of the balancer. It ignores a decision after the end of the
+// request, which had no effect: for example, a deadline that passes as the client leaves.
 func (r *recorder) Decided(decision *balancer.Decision) {
 	pool := r.log.pool
 	defer pool.mu.Unlock()
@@ -131,15 +132,15 @@
 		return
 	}
 	defer pool.endUpdate(r.head)
-	if pool.load(r.head, headFacts)>>16&flagEnded != 0 || r.countRepeatedHold(decision) {
+	if pool.load(r.head, headAttributes)>>16&flagEnded != 0 || r.countRepeatedHold(decision) {
 		return
 	}
-	var room [decisionWords + consideredWords*balancer.MaxConsidered]uint64
-	event := encodeDecision(room[:0], decision)
+	var buffer [decisionWords + consideredWords*balancer.MaxConsidered]uint64
+	event := encodeDecision(buffer[:0], decision)
 	block, word := pool.lastBlock[r.head], usedOf(pool.load(pool.lastBlock[r.head], 0))+repeatsWord
 	r.appendLocked(decisionFlags(decision), keepCategory, event)
 	if decision.Verdict != balancer.VerdictHeld || pool.lastBlock[r.head] == block && word >= blockWords {
-		return // there is nothing to count, or the event did not fit
+		return // the decision is not a hold, or the event was omitted
 	}
 	for ; word >= blockWords; word -= blockWords - 1 {
 		block = nextOf(pool.load(block, 0))
@@ -147,8 +148,8 @@
 	r.lastHold = repeatedHold{reason: decision.Reason, block: block, word: word}
 }
 
-// countRepeatedHold counts a decision that repeats the last event, and reports whether it
-// does.
+// countRepeatedHold increments the counter of the last event if a decision repeats it, and
+// reports whether it does.
 func (r *recorder) countRepeatedHold(decision *balancer.Decision) bool {
 	hold := &r.lastHold
 	if decision.Verdict != balancer.VerdictHeld || hold.block == noBlock || hold.reason != decision.Reason {
@@ -161,7 +162,7 @@
 	return true
 }
 
-// decisionFlags returns the flags that a decision sets.
+// decisionFlags returns the entry's flags that a decision sets.
 func decisionFlags(decision *balancer.Decision) uint64 {
 	switch {
 	case decision.Verdict == balancer.VerdictHeld && decision.Reason != balancer.ReasonBackoff:
@@ -175,7 +176,7 @@
 	return 0
 }
 
-// AttemptStarted records the start of an attempt; what it returns records how it ended.
+// AttemptStarted records the start of an attempt. The function it returns records its end.
 func (r *recorder) AttemptStarted(endpoint balancer.EndpointID) func(status balancer.AttemptStatus) {
 	r.appendShortEvent(EventAttemptStarted, uint64(endpoint), 0, keepCategory)
 	return func(status balancer.AttemptStatus) {
@@ -187,10 +188,10 @@
 	}
 }
 
-// Established records that the client was notified that its request is established.
+// Established records that the client was notified of its established request.
 func (r *recorder) Established() { r.appendShortEvent(EventEstablished, 0, 0, categoryRoutine) }
 
-// Ended records the final answer, or how an established request ended.
+// Ended records the end of the request.
 func (r *recorder) Ended(result proxy.Result) {
 	flags := uint64(flagEnded)
 	switch result.End {
@@ -200,7 +201,7 @@
 	r.appendShortEvent(EventEnded, encodeResult(result), flags, categoryRoutine)
 }
 
-// appendShortEvent appends an event that has a single word of its own.
+// appendShortEvent appends an event with a single word of data.
 func (r *recorder) appendShortEvent(kind EventKind, value, flags uint64, to category) {
 	event := []uint64{uint64(kind) | shortEventWords<<8, uint64(r.log.clock.Now()), value}
 	r.appendEvent(flags, to, event)
--- a/internal/demo/explanations.go
+++ b/internal/demo/explanations.go
@@ -52,9 +52,9 @@
 	d.result.Asked++
 	if text, err = d.command("why --json -- " + name); err != nil {
 		switch {
-		case strings.Contains(err.Error(), "no longer kept"):
+		case strings.Contains(err.Error(), "no longer in the log"):
 			d.result.Gone++
-		case session.Answer == "none" && strings.Contains(err.Error(), "has not come"):
+		case session.Answer == "none" && strings.Contains(err.Error(), "not found: the log has all"):
 			d.result.Gone++ // its client left before the relay had read the request
 		default:
 			d.result.Bad = append(d.result.Bad, fmt.Sprintf("%s: %v", session.Name, err))
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -284,8 +284,8 @@
 			`--by`:                           `--by wants a value`,
 			`--by colour`:                    `nothing is counted by "colour"; expected class, front`,
 			`--odd 1`:                        `unknown option --odd; expected --json`,
-			`2`:                              `transaction 2 has not come: the last was 1`,
-			`nobody`:                         `a transaction called "nobody" has not come: all since the start are kept`,
+			`2`:                              `transaction 2 not found: the latest is 1`,
+			`nobody`:                         `transaction "nobody" not found: the log has all transactions since the start`,
 		} {
 			if got := env.answer(line); !strings.HasPrefix(got, "error: "+want) {
 				t.Errorf("%s: %s\nwant %s", line, got, want)
@@ -306,8 +306,8 @@
 			time.Sleep(time.Millisecond)
 		}
 		for line, want := range map[string]string{
-			"1":                "error: transaction 1 is no longer kept: no longer kept: ",
-			"0000000000000001": `error: a transaction called "0000000000000001" is no longer kept, if it came: no longer kept: `,
+			"1":                "error: transaction 1 is no longer in the log: no longer kept: ",
+			"0000000000000001": `error: transaction "0000000000000001" was not found, or is no longer in the log: no longer kept: `,
 		} {
 			if got := env.answer(line); !strings.HasPrefix(got, want) || !strings.Contains(got, " uneventful, 0 eventful and 0 unanswered; all that came within the last ") {
 				t.Errorf("%s: %s", line, got)
