--- a/internal/explain/archive.go
+++ b/internal/explain/archive.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// Archive holds explanations that outlast a restart.
+// Archive is persistent storage of explanations.
 type Archive interface {
-	// Put stores an explanation under a key, in place of an earlier one of that key.
+	// Put stores an explanation under a key. It replaces an earlier one of the key.
 	Put(key string, explanation *Explanation)
-	// Each calls visit for the explanations, the youngest first, until it returns false.
+	// Each calls visit for the explanations, the newest first, until it returns false.
 	Each(visit func(*Explanation) bool) error
 }
 
-// Save archives the explanation of a request, if its entry is notable or pinned. It formats
-// text, so it must not be called from the request's own goroutine.
+// Save archives the explanation of a request if its entry is notable or pinned. Formatting
+// takes time, so it must not be called from the request's own goroutine.
 func (e *Explainer) Save(number uint64) {
 	entry, err := e.Log.EntryByNumber(number)
 	if err != nil || !entry.Notable && !entry.Pinned {
 		return
 	}
 	explanation := e.explainAlone(entry)
-	// A request that is saved again, as when it is pinned, replaces its earlier explanation.
+	// The key is the same if a request is saved again, for example because it is pinned.
 	key := explanation.ReceivedAt.UTC().Format(time.RFC3339Nano) + " " + explanation.Name
 	e.Archive.Put(key, explanation)
 }
 
-// Matches reports whether an explanation is of a name, or of a flow's key.
+// Matches reports whether the request has a name, or a flow with a key.
 func (x *Explanation) Matches(nameOrFlow string) bool {
 	return x.Name == nameOrFlow ||
 		x.NameTruncated && strings.HasPrefix(nameOrFlow, x.Name) ||
 		x.Flow != "" && x.Flow == nameOrFlow
 }
 
-// archived returns up to limit archived explanations of a name or a flow, the youngest first.
+// archived returns up to limit archived explanations of requests with a name or a flow's
+// key, the newest first.
 func (e *Explainer) archived(nameOrFlow string, limit int) (found []*Explanation, err error) {
 	if e.Archive == nil {
 		return nil, nil
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -17,13 +17,14 @@
 	"lockroad/internal/registry"
 )
 
-// scriptedFrontend is the frontend's side of a request whose attempts end with given statuses.
+// scriptedFrontend serves a request whose attempts end with the given statuses, and succeed after them.
 type scriptedFrontend struct {
 	statuses  []balancer.AttemptStatus
 	attempts  []string // endpoint and outcome of each attempt
 	endpoints *registry.Endpoints
 }
 
+// fakeUpstream is the connection of a successful attempt.
 type fakeUpstream struct{}
 
 func (fakeUpstream) Close() {}
@@ -59,8 +60,8 @@
 func (*scriptedFrontend) Fail()                {}
 func (*scriptedFrontend) Migrate() bool        { return true }
 
-// The proxy's own decisions, end to end: a request that fails at three endpoints, the third of
-// which is full; the next requests of its group; then an endpoint that drains.
+// Explains decisions of a running proxy: a request that fails at three endpoints, the third of
+// which is full, later requests of its group, and the draining of its cached endpoint.
 func TestBalancerDecisionsAreExplained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		relay := proxy.New(balancer.Settings{
@@ -92,7 +93,7 @@
 			}
 			return frontend, explainer.Explain(entries[0])
 		}
-		check := func(frontend *scriptedFrontend, explanation *Explanation, reasons, answer string) {
+		check := func(frontend *scriptedFrontend, explanation *Explanation, reasons, result string) {
 			t.Helper()
 			var attempts, decisions []string
 			for _, event := range explanation.Events {
@@ -103,16 +104,16 @@
 					decisions = append(decisions, event.Kind+" "+event.Reason)
 				}
 			}
-			if fmt.Sprint(attempts) != fmt.Sprint(frontend.attempts) || strings.Join(decisions, ", ") != reasons || explanation.Result != answer || explanation.Events[0].Revision != 17 {
-				t.Errorf("explained %v, %s, %s; seen %v; want %s, %s", attempts, strings.Join(decisions, ", "), explanation.Result, frontend.attempts, reasons, answer)
+			if fmt.Sprint(attempts) != fmt.Sprint(frontend.attempts) || strings.Join(decisions, ", ") != reasons || explanation.Result != result || explanation.Events[0].Revision != 17 {
+				t.Errorf("explained attempts %v, decisions %s, result %s; want %v, %s, %s", attempts, strings.Join(decisions, ", "), explanation.Result, frontend.attempts, reasons, result)
 			}
 		}
 		frontend, explanation := serve(balancer.StatusTimeout, balancer.StatusReset, balancer.StatusFull)
 		check(frontend, explanation, "sent drawn, held backoff, sent drawn-again, held backoff, sent drawn-again, refused out-of-tries", "unavailable")
 		if len(frontend.attempts) != 3 || explanation.RetryAfterMS == 0 {
-			t.Errorf("seen %v, to retry after %v ms", frontend.attempts, explanation.RetryAfterMS)
+			t.Errorf("rejected after the attempts %v with a retry delay of %v ms, want three attempts and a delay", frontend.attempts, explanation.RetryAfterMS)
 		}
-		time.Sleep(15 * time.Second) // until the endpoint that was full no longer recovers
+		time.Sleep(15 * time.Second) // until the full endpoint has recovered
 		first, explanation := serve()
 		check(first, explanation, "sent drawn", "ended")
 		frontend, explanation = serve()
@@ -127,16 +128,16 @@
 		relay.UpdateEndpoints(balancer.ListDelta, list, []string{"a", "b", "c"})
 		frontend, explanation = serve()
 		if explanation.Events[0].Reason != "route-gone" || explanation.Events[0].Revision != 18 || strings.HasPrefix(frontend.attempts[0], cachedEndpoint) || !strings.Contains(explanation.Events[0].Text, "as "+cachedEndpoint+", where its group is, takes nothing new") {
-			t.Errorf("explained %+v; seen %v", explanation.Events[0], frontend.attempts)
+			t.Errorf("first decision after the drain is explained as %+v, with attempts %v", explanation.Events[0], frontend.attempts)
 		}
 		cancel()
 		running.Wait()
 	})
 }
 
-// BenchmarkBalancerDuringQueries makes 2,000 decisions a second with a full log, and reports the
-// p50 and p99 of their latency while another goroutine counts all entries in a loop, and their
-// ratio to those without it.
+// BenchmarkBalancerDuringQueries measures the p50 and p99 latency of 2,000 decisions per second
+// with a full log, first alone and then, with the ratio of both, while another goroutine counts
+// all entries in a loop.
 func BenchmarkBalancerDuringQueries(b *testing.B) {
 	var baseline [2]float64
 	for _, asked := range []bool{false, true} {
--- a/internal/explain/counts.go
+++ b/internal/explain/counts.go
@@ -15,36 +15,37 @@
 	"lockroad/internal/registry"
 )
 
-// countFields are what requests are counted by.
+// countFields are the fields that requests can be counted by.
 var countFields = []string{"class", "front", "answer", "cause", "group", "server", "reason", "verdict", "outcome", "passes", "tenant"}
 
 const (
-	keySeparator = '\x00' // between the values of a row's key
-	noValue      = "-"
+	keySeparator = '\x00' // separates the values in the key of a row
+	noValue      = "-"    // stands for a missing value
 )
 
-// entryCounter counts requests by fields. One counts once in each row that one of its
-// decisions falls in, or without a decision in a row of its own. It allocates next to
-// nothing: counting all of a full log should not make the garbage collector run beside the
-// proxy's event loop.
+// entryCounter counts requests by the values of fields. A request is counted once in each
+// row that one of its decisions matches; one without decisions is counted in the row without
+// values of a decision. It avoids allocations, so that counting a full log does not trigger
+// the garbage collector while the proxy's event loop runs.
 type entryCounter struct {
 	endpointNames EndpointNames
 	fields        []string
-	rows          map[string]*countRow // by the values of fields
+	rows          map[string]*countRow // by their values of fields, joined with keySeparator
 	keyBuffer     []byte
-	total         int // of requests
+	total         int // number of requests
 }
 
+// countRow is a row of the counts.
 type countRow struct {
 	count      int
-	lastNumber uint64 // number of the request that was counted last
+	lastNumber uint64 // number of the last counted request
 }
 
-// writeCounts writes how many requests fall in each row, the most first.
+// writeCounts writes the number of requests in each row, the highest first.
 func (e *Explainer) writeCounts(query Query, out io.Writer) error {
 	for _, field := range query.CountBy {
 		if !slices.Contains(countFields, field) {
-			return fmt.Errorf("nothing is counted by %q; expected %s", field, strings.Join(countFields, ", "))
+			return fmt.Errorf("unknown field %q in --by; expected %s", field, strings.Join(countFields, ", "))
 		}
 	}
 	matches, err := e.filterOf(query)
@@ -53,11 +54,11 @@
 	}
 	counter := &entryCounter{endpointNames: e.Names, fields: query.CountBy, rows: make(map[string]*countRow)}
 	if query.Subject != "" {
-		named, err := e.entriesNamed(query.Subject)
+		entries, err := e.entriesOfSubject(query.Subject)
 		if err != nil {
 			return err
 		}
-		for _, entry := range named {
+		for _, entry := range entries {
 			counter.add(entry)
 		}
 	} else {
@@ -74,11 +75,11 @@
 		return nil
 	}
 	counter.writeTable(out)
-	fmt.Fprintf(out, "%d transactions; one counts in each row that a decision of its falls in\n%s", counter.total, e.retentionText())
+	fmt.Fprintf(out, "%d transactions; each is counted once in every row that one of its decisions matches\n%s", counter.total, e.retentionText())
 	return nil
 }
 
-// add counts a request.
+// add counts the request of an entry.
 func (c *entryCounter) add(entry *decisionlog.Entry) {
 	c.total++
 	decided := false
@@ -93,7 +94,8 @@
 	}
 }
 
-// outcomeAfter returns how the attempt ended that a decision led to, "" if there was none.
+// outcomeAfter returns the outcome of the attempt that a decision started, or "" if there
+// was none. decision is the index of the decision's event.
 func outcomeAfter(events []decisionlog.Event, decision int) string {
 	if events[decision].Decision.Verdict != balancer.VerdictSent {
 		return ""
@@ -106,8 +108,8 @@
 	return ""
 }
 
-// countDecision counts a request in the row of one of its decisions, which is nil for a
-// request without any.
+// countDecision counts a request in the row of one of its decisions. decision is nil for a
+// request without decisions.
 func (c *entryCounter) countDecision(entry *decisionlog.Entry, decision *balancer.Decision, outcome string) {
 	c.keyBuffer = c.keyBuffer[:0]
 	for i, field := range c.fields {
@@ -127,7 +129,7 @@
 	}
 }
 
-// fieldValue returns the value of one of countFields, "" if there is none.
+// fieldValue returns the value of one of countFields, or "" if it has none.
 func (c *entryCounter) fieldValue(entry *decisionlog.Entry, decision *balancer.Decision, outcome, field string) string {
 	switch field {
 	case "class":
@@ -166,14 +168,14 @@
 	return ""
 }
 
-// sortedKeys returns the keys of the rows, the highest count first.
+// sortedKeys returns the keys of the rows, sorted by descending count.
 func (c *entryCounter) sortedKeys() []string {
 	return slices.SortedFunc(maps.Keys(c.rows), func(x, y string) int {
 		return cmp.Or(cmp.Compare(c.rows[y].count, c.rows[x].count), strings.Compare(x, y))
 	})
 }
 
-// writeJSON writes one JSON object a row.
+// writeJSON writes one JSON object per row.
 func (c *entryCounter) writeJSON(out io.Writer) {
 	for _, key := range c.sortedKeys() {
 		values := strings.Split(key, string(keySeparator))
@@ -185,7 +187,7 @@
 	}
 }
 
-// writeTable writes the rows in columns.
+// writeTable writes the rows as a table.
 func (c *entryCounter) writeTable(out io.Writer) {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, field := range c.fields {
--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -10,7 +10,7 @@
 	"lockroad/internal/registry"
 )
 
-// explainDecision explains a decision of the balancer: its figures, then its text.
+// explainDecision sets the fields of out for a decision event: its data, then its text.
 func (e *Explainer) explainDecision(out *Event, event *decisionlog.Event) {
 	decision := &event.Decision
 	out.Kind, out.Reason = decision.Verdict.String(), decision.Reason.String()
@@ -29,13 +29,14 @@
 		text.preferred = e.Names.Name(decision.Considered[preferred].Endpoint)
 		out.Preferred = text.preferred
 	}
-	text.first = "a server"
+	text.firstConsidered = "a server"
 	if len(decision.Considered) > 0 {
-		text.first = e.Names.Name(decision.Considered[0].Endpoint)
+		text.firstConsidered = e.Names.Name(decision.Considered[0].Endpoint)
 	}
 	out.Text = text.String()
 }
 
+// explainConsidered converts an endpoint that a decision considered.
 func (e *Explainer) explainConsidered(endpoint *balancer.ConsideredEndpoint) ConsideredEndpoint {
 	return ConsideredEndpoint{
 		Endpoint:    e.Names.Name(endpoint.Endpoint),
@@ -50,16 +51,16 @@
 	}
 }
 
-// decisionText puts a decision into words.
+// decisionText formats a decision as text. The names of endpoints are looked up already.
 type decisionText struct {
-	decision  *balancer.Decision
-	repeats   int    // how often the same was decided again right after
-	endpoint  string // that the request is sent to or migrated from
-	first     string // first of the endpoints that were considered, or what stands for it
-	preferred string // endpoint that would have been selected but for its exclusions; "" if none
+	decision        *balancer.Decision
+	repeats         int    // how often the decision was repeated directly afterwards
+	endpoint        string // endpoint that the request is sent to or migrated from
+	firstConsidered string // first considered endpoint, or "a server"
+	preferred       string // endpoint that would have been selected without its exclusions; "" if none
 }
 
-// String returns the sentence, without the request that is its subject.
+// String returns the text, a sentence whose omitted subject is the request.
 func (t *decisionText) String() string {
 	switch t.decision.Verdict {
 	case balancer.VerdictSent:
@@ -89,7 +90,7 @@
 	default:
 		text += fmt.Sprintf(", drawn from %d ready servers", ready)
 	}
-	return text + t.firstFigures() + t.preferredClause()
+	return text + t.firstConsideredClause() + t.preferredClause()
 }
 
 func (t *decisionText) held() string {
@@ -108,9 +109,9 @@
 	case balancer.ReasonNoneEligible:
 		text += fmt.Sprintf(": of %d ready servers none may take it now", t.decision.ReadyEndpoints) + t.preferredClause()
 	case balancer.ReasonEndpointSlow:
-		text += fmt.Sprintf(": %s, which it falls on, is slow or full", t.first) + t.firstFigures()
+		text += fmt.Sprintf(": %s, which it falls on, is slow or full", t.firstConsidered) + t.firstConsideredClause()
 	case balancer.ReasonEndpointRecovering:
-		text += fmt.Sprintf(": %s, which it falls on, is being eased into work", t.first) + t.firstFigures()
+		text += fmt.Sprintf(": %s, which it falls on, is being eased into work", t.firstConsidered) + t.firstConsideredClause()
 	}
 	return text
 }
@@ -129,29 +130,31 @@
 }
 
 func (t *decisionText) migrated() string {
-	return fmt.Sprintf("is moved off %s, which %s", t.endpoint, migrateReasonTexts[t.decision.Reason]) + t.firstFigures()
+	return fmt.Sprintf("is moved off %s, which %s", t.endpoint, migrateReasonTexts[t.decision.Reason]) + t.firstConsideredClause()
 }
 
-// firstFigures returns the figures of the first endpoint that was considered, if there is one.
-func (t *decisionText) firstFigures() string {
+// firstConsideredClause returns the load and state of the first considered endpoint in
+// parentheses, if there is one.
+func (t *decisionText) firstConsideredClause() string {
 	if len(t.decision.Considered) == 0 {
 		return ""
 	}
-	return " (" + endpointFigures(&t.decision.Considered[0]) + ")"
+	return " (" + endpointDetails(&t.decision.Considered[0]) + ")"
 }
 
-// preferredClause says why the preferred endpoint was excluded, if there is one.
+// preferredClause returns a clause with the reasons why the preferred endpoint was excluded,
+// if there is one.
 func (t *decisionText) preferredClause() string {
 	if t.preferred == "" {
 		return ""
 	}
 	endpoint := &t.decision.Considered[t.decision.PreferredIndex]
 	excluded := cmp.Or(exclusionsText(endpoint.Exclusions), exclusionTexts[balancer.ExcludedAtCapacity])
-	return fmt.Sprintf("; would have gone to %s but for its %s (%s)", t.preferred, excluded, endpointFigures(endpoint))
+	return fmt.Sprintf("; would have gone to %s but for its %s (%s)", t.preferred, excluded, endpointDetails(endpoint))
 }
 
-// endpointFigures returns what the balancer knew of an endpoint, for people.
-func endpointFigures(endpoint *balancer.ConsideredEndpoint) string {
+// endpointDetails returns the load and state of an endpoint as the balancer saw it.
+func endpointDetails(endpoint *balancer.ConsideredEndpoint) string {
 	text := fmt.Sprintf("load %.1f, weight %.2f", endpoint.Load, endpoint.Weight)
 	if endpoint.DelayAge >= 0 {
 		text += fmt.Sprintf(", delay %s %s ago", formatDuration(endpoint.Delay), formatDuration(endpoint.DelayAge))
@@ -165,7 +168,7 @@
 	return text
 }
 
-// exclusionTexts follow "but for its".
+// exclusionTexts are the texts of exclusions, which follow "but for its".
 var exclusionTexts = map[balancer.Exclusions]string{
 	balancer.ExcludedDraining:   "leaving",
 	balancer.ExcludedTried:      "having failed this transaction",
@@ -176,6 +179,7 @@
 	balancer.ExcludedAtCapacity: "taking up its messages' time",
 }
 
+// exclusionsText joins the texts of a set of exclusions.
 func exclusionsText(exclusions balancer.Exclusions) string {
 	var texts []string
 	for bit := balancer.Exclusions(1); bit <= exclusions; bit <<= 1 {
@@ -186,8 +190,8 @@
 	return strings.Join(texts, " and ")
 }
 
-// routeReasonTexts say why a request was not sent along its cached route; they follow the
-// endpoint's name.
+// routeReasonTexts are the texts of reasons why a request was not sent along its cached
+// route. They follow the endpoint's name.
 var routeReasonTexts = map[balancer.Reason]string{
 	balancer.ReasonRouteGone:       "takes nothing new",
 	balancer.ReasonRouteSlow:       "is slow or full",
@@ -196,7 +200,7 @@
 	balancer.ReasonRouteWarmingUp:  "is cold and has had what it bears",
 }
 
-// rejectReasonTexts say why a request was rejected or failed.
+// rejectReasonTexts are the texts of reasons why a request was rejected or failed.
 var rejectReasonTexts = map[balancer.Reason]string{
 	balancer.ReasonNoViableEndpoint:  "no ready server is left that it has not tried",
 	balancer.ReasonDeadlineExceeded:  "its client's time is up, or would be before another attempt",
@@ -205,7 +209,8 @@
 	balancer.ReasonShutdown:          "its relay leaves",
 }
 
-// migrateReasonTexts say why a request was migrated; they follow the endpoint's name.
+// migrateReasonTexts are the texts of reasons why a request was migrated. They follow the
+// endpoint's name.
 var migrateReasonTexts = map[balancer.Reason]string{
 	balancer.ReasonLoadRelief:       "is slow and has to lose connections",
 	balancer.ReasonEndpointDraining: "drains",
--- a/internal/explain/doc.go
+++ b/internal/explain/doc.go
@@ -1,7 +1,7 @@
-// Package explain answers, from a decision log, why a request was routed to its endpoint or
-// got the answer that it got: in words, as JSON, or as counts. Entries are chosen by number,
-// by name, or by a query in S-expressions (see FilterHelp).
+// Package explain explains, from the entries of a decision log, why requests were routed or
+// answered as they were: as text, as JSON, or as counts. Entries are selected by number, by
+// name, or by a query in S-expressions (see FilterHelp).
 //
-// It only reads the log, from any goroutine, and nothing that it does blocks the proxy's
-// event loop.
+// It only reads the log, may be used from any goroutine, and never blocks the proxy's event
+// loop.
 package explain
--- a/internal/explain/explainer.go
+++ b/internal/explain/explainer.go
@@ -11,22 +11,21 @@
 	"lockroad/internal/registry"
 )
 
-// EndpointNames maps the identifiers of endpoints to their names and back.
+// EndpointNames maps endpoint IDs to names and back.
 type EndpointNames interface {
 	Name(balancer.EndpointID) string
 	Lookup(name string) (balancer.EndpointID, bool)
 }
 
-// Explainer explains the entries of a decision log. Its methods may be called from any
-// goroutine.
+// Explainer explains the entries of a decision log. It is safe for concurrent use.
 type Explainer struct {
 	Log     *decisionlog.Log
 	Names   EndpointNames
-	Archive Archive // of explanations that outlast a restart; nil: there is none
+	Archive Archive // persistent explanations; nil: none
 }
 
-// Explain returns the explanation of an entry, with the requests that its client made before
-// and after it.
+// Explain returns the explanation of an entry, with the previous and the next request of its
+// client if they are in the log.
 func (e *Explainer) Explain(entry *decisionlog.Entry) *Explanation {
 	explanation := e.explainAlone(entry)
 	before, after := e.related(entry)
@@ -87,8 +86,8 @@
 	return explanation
 }
 
-// explainEvent explains one event. establishedAt is when the request was established, 0 if it
-// wasn't.
+// explainEvent explains one event. establishedAt is the time at which the request was
+// established, or 0.
 func (e *Explainer) explainEvent(entry *decisionlog.Entry, event *decisionlog.Event, establishedAt time.Duration) Event {
 	out := Event{AfterMS: milliseconds(event.At - entry.StartedAt)}
 	switch event.Kind {
@@ -113,7 +112,7 @@
 	return out
 }
 
-// formatKey writes the key of a flow or group, "" if there is none.
+// formatKey formats the key of a flow or group. It returns "" if there is none.
 func formatKey(key uint64) string {
 	if key == 0 {
 		return ""
@@ -121,10 +120,11 @@
 	return fmt.Sprintf("%016x", key)
 }
 
-// milliseconds returns a duration in milliseconds, to the microsecond.
+// milliseconds converts a duration to milliseconds, with a precision of microseconds.
 func milliseconds(duration time.Duration) float64 { return float64(duration.Microseconds()) / 1000 }
 
-// optionalMilliseconds returns nil for an age that is not known, which is negative.
+// optionalMilliseconds converts an age to milliseconds. It returns nil for an unknown age,
+// which is negative.
 func optionalMilliseconds(age time.Duration) *float64 {
 	if age < 0 {
 		return nil
@@ -133,10 +133,10 @@
 	return &ms
 }
 
-// roundFraction rounds a number to four places.
+// roundFraction rounds a number to four decimal places.
 func roundFraction(x float64) float64 { return math.Round(x*1e4) / 1e4 }
 
-// formatDuration writes a duration for people.
+// formatDuration formats a duration in a unit that suits its length.
 func formatDuration(duration time.Duration) string {
 	switch {
 	case duration < 0:
--- a/internal/explain/fields.go
+++ b/internal/explain/fields.go
@@ -12,68 +12,69 @@
 	"lockroad/internal/sexp"
 )
 
-// filterField is a form that a filter may have besides and, or and not.
+// filterField is a field that a filter can test, in a form such as (class "page").
 type filterField struct {
 	name, args, help string
 	compile          compileField
 }
 
-// resultNames are what a request can have for a result so far.
+// resultNames are the names of the results of requests, and of their states until they end.
 var resultNames = append([]string{"waiting", "up"}, registry.EndNames...)
 
-// filterFields is filled at the start, as the compiler of a form looks for fields itself.
+// filterFields are all fields. They are set in init, as their compile functions refer to
+// filterFields themselves.
 var filterFields []filterField
 
 func init() {
 	filterFields = []filterField{
-		{"number", "N ...", "these numbers", matchWord(func(entry *decisionlog.Entry) string { return strconv.FormatUint(entry.Number, 10) })},
-		{"name", "NAME ...", "as the client calls it", matchWord(func(entry *decisionlog.Entry) string { return entry.Name })},
-		{"flow", "KEY ...", "the flow's key, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Flow })},
-		{"group", "KEY ...", "the group, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Group })},
+		{"number", "N ...", "its number is one of these", matchWord(func(entry *decisionlog.Entry) string { return strconv.FormatUint(entry.Number, 10) })},
+		{"name", "NAME ...", "its name, as given by the client", matchWord(func(entry *decisionlog.Entry) string { return entry.Name })},
+		{"flow", "KEY ...", "the key of its flow, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Flow })},
+		{"group", "KEY ...", "the key of its group, in hexadecimal", matchKey(func(entry *decisionlog.Entry) uint64 { return entry.Group })},
 		{"class", "CLASS ...", "its class", matchWord(func(entry *decisionlog.Entry) string { return entry.Class })},
-		{"tenant", "TENANT ...", "whose it is", matchWord(func(entry *decisionlog.Entry) string { return entry.Tenant })},
-		{"front", "FRONT ...", "the front that it came by", matchWord(func(entry *decisionlog.Entry) string { return entry.Frontend })},
-		{"server", "SERVER ...", "sent to one of these", matchEndpoint},
+		{"tenant", "TENANT ...", "its tenant", matchWord(func(entry *decisionlog.Entry) string { return entry.Tenant })},
+		{"front", "FRONT ...", "the front that received it", matchWord(func(entry *decisionlog.Entry) string { return entry.Frontend })},
+		{"server", "SERVER ...", "it was sent to one of these servers", matchEndpoint},
 		{
-			"answer", "ANSWER ...", "how it ended, or how far it has come: " + strings.Join(resultNames, ", "),
+			"answer", "ANSWER ...", "its result, or its state if it has not ended: " + strings.Join(resultNames, ", "),
 			matchWords(resultNames, func(entry *decisionlog.Entry) []string { return []string{entry.ResultName()} }),
 		},
 		{
-			"cause", "CAUSE ...", "why it ended where the module did not decide it: " + strings.Join(proxy.CauseNames[:], ", "),
+			"cause", "CAUSE ...", "why it ended, where decided means by a decision of the balancer: " + strings.Join(proxy.CauseNames[:], ", "),
 			matchWords(proxy.CauseNames[:], causeWords),
 		},
 		{
-			"reason", "REASON ...", "a decision had this reason: " + strings.Join(balancer.ReasonNames[1:], ", "),
+			"reason", "REASON ...", "the reason of one of its decisions: " + strings.Join(balancer.ReasonNames[1:], ", "),
 			matchWords(balancer.ReasonNames[1:], decisionWords(func(decision *balancer.Decision) string { return decision.Reason.String() })),
 		},
 		{
-			"verdict", "VERDICT ...", "a decision was this: " + strings.Join(balancer.VerdictNames[:], ", "),
+			"verdict", "VERDICT ...", "the verdict of one of its decisions: " + strings.Join(balancer.VerdictNames[:], ", "),
 			matchWords(balancer.VerdictNames[:], decisionWords(func(decision *balancer.Decision) string { return decision.Verdict.String() })),
 		},
 		{
-			"outcome", "OUTCOME ...", "a pass ended so: " + strings.Join(registry.StatusNames, ", "),
+			"outcome", "OUTCOME ...", "the outcome of one of its passes: " + strings.Join(registry.StatusNames, ", "),
 			matchWords(registry.StatusNames, outcomeWords),
 		},
 		{
-			"since", "TIME", "it came, or something happened to it, within this time, such as 5m",
+			"since", "TIME", "it was received, or had its last step, within this time, such as 5m",
 			matchTime(func(entry *decisionlog.Entry, since time.Duration) bool { return entry.LastEventAt() >= since }),
 		},
 		{
-			"until", "TIME", "it came longer ago than this",
+			"until", "TIME", "it was received longer ago than this",
 			matchTime(func(entry *decisionlog.Entry, since time.Duration) bool { return entry.StartedAt <= since }),
 		},
-		{"passes", "OP N", "how many passes it had, with one of = < > <= >=", matchNumber(parseWhole, attemptCount)},
-		{"took", "OP TIME", "time from its coming to its answer", matchNumber(parseDuration, timeToAnswer)},
-		{"return", "", "its client was back after a move or a break", matchFlag(func(entry *decisionlog.Entry) bool { return entry.Returning })},
+		{"passes", "OP N", "the number of its passes, compared with one of = < > <= >=", matchNumber(parseWhole, attemptCount)},
+		{"took", "OP TIME", "the time until its answer, compared with one of = < > <= >=", matchNumber(parseDuration, timeToAnswer)},
+		{"return", "", "its client returned after a move or a disconnect", matchFlag(func(entry *decisionlog.Entry) bool { return entry.Returning })},
 		{
-			"eventful", "", "refused, failed, retried, made to wait or moved off a slow server",
+			"eventful", "", "it was refused, failed, retried, made to wait or moved off a slow server",
 			matchFlag(func(entry *decisionlog.Entry) bool { return entry.Notable }),
 		},
-		{"pinned", "", "kept by hand", matchFlag(func(entry *decisionlog.Entry) bool { return entry.Pinned })},
+		{"pinned", "", "it is pinned", matchFlag(func(entry *decisionlog.Entry) bool { return entry.Pinned })},
 	}
 }
 
-// causeWords returns the cause of an entry's end, nothing if it has not ended.
+// causeWords returns the cause of an entry's end, or nil if it has not ended.
 func causeWords(entry *decisionlog.Entry) []string {
 	if result, ended := entry.Result(); ended {
 		return []string{result.Cause.String()}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// outcomeWords returns how the attempts of an entry ended.
+// outcomeWords returns the outcomes of an entry's attempts.
 func outcomeWords(entry *decisionlog.Entry) (words []string) {
 	for _, attempt := range entry.Attempts() {
 		if !attempt.InProgress {
@@ -105,7 +106,8 @@
 	return float64(duration), err
 }
 
-// timeToAnswer returns how long a request took until it was established, rejected or failed.
+// timeToAnswer returns the time until a request was established or ended, and false if it
+// has done neither.
 func timeToAnswer(entry *decisionlog.Entry) (float64, bool) {
 	for i := range entry.Events {
 		event := &entry.Events[i]
--- a/internal/explain/filter.go
+++ b/internal/explain/filter.go
@@ -11,14 +11,13 @@
 	"lockroad/internal/sexp"
 )
 
-// Filter reports whether an entry matches. now is the time on the log's clock.
+// Filter reports whether an entry matches a query. now is the time on the log's clock.
 type Filter func(entry *decisionlog.Entry, now time.Duration) bool
 
 // MatchAll matches all entries.
 func MatchAll(*decisionlog.Entry, time.Duration) bool { return true }
 
-// CompileFilter reads a filter in S-expressions. An error says at which line and column what was
-// expected; it is a *sexp.Error.
+// CompileFilter compiles a query in S-expressions. Its error is a *sexp.Error.
 func CompileFilter(source string, names EndpointNames) (Filter, error) {
 	node, err := sexp.ParseOne(source)
 	if err != nil {
@@ -27,7 +26,7 @@
 	return (&filterCompiler{endpointNames: names}).compile(node)
 }
 
-// FilterHelp lists the forms of a filter, a line each.
+// FilterHelp describes the forms of a query, one per line.
 func FilterHelp() string {
 	var help strings.Builder
 	help.WriteString("(and Q ...), (or Q ...), (not Q)\n")
@@ -37,12 +36,13 @@
 	return help.String()
 }
 
+// filterCompiler compiles queries. It resolves the names of endpoints in them.
 type filterCompiler struct{ endpointNames EndpointNames }
 
-// compileField compiles the form of one field: the node of the whole form, and its arguments.
+// compileField compiles the form of one field. form is the whole form, args are its arguments.
 type compileField func(compiler *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error)
 
-// compile compiles one form: a combination, or a field.
+// compile compiles one form: and, or, not, or a field.
 func (c *filterCompiler) compile(form *sexp.Node) (Filter, error) {
 	head, args, err := form.Head()
 	if err != nil {
@@ -61,11 +61,11 @@
 		}
 		known = append(known, field.name)
 	}
-	return nil, form.List.Items[0].Errorf("no query is called %q; expected and, or, not, %s", head, strings.Join(known, ", "))
+	return nil, form.List.Items[0].Errorf("unknown query %q; expected and, or, not, %s", head, strings.Join(known, ", "))
 }
 
-// compileAndOr compiles a combination that is decided by the first filter that returns
-// decisive: true for "or", false for "and".
+// compileAndOr compiles "and" or "or". The first filter that returns decisive determines the
+// result: true for "or", false for "and".
 func (c *filterCompiler) compileAndOr(args []*sexp.Node, decisive bool) (Filter, error) {
 	filters := make([]Filter, len(args))
 	for i, arg := range args {
@@ -86,7 +86,7 @@
 
 func (c *filterCompiler) compileNot(form *sexp.Node, args []*sexp.Node) (Filter, error) {
 	if len(args) != 1 {
-		return nil, form.Errorf("not takes one query, here are %d", len(args))
+		return nil, form.Errorf("not takes one query, got %d", len(args))
 	}
 	filter, err := c.compile(args[0])
 	if err != nil {
@@ -96,16 +96,16 @@
 }
 
 // matchWords compiles a field that matches if one of an entry's words is among the
-// arguments. Where the field's words are a closed set, the arguments have to be of it.
-func matchWords(closed []string, wordsOf func(*decisionlog.Entry) []string) compileField {
+// arguments. If allowed is not nil, only its words are valid arguments.
+func matchWords(allowed []string, wordsOf func(*decisionlog.Entry) []string) compileField {
 	return func(_ *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 		wanted, err := form.Values()
 		if err != nil {
 			return nil, err
 		}
 		for i, word := range wanted {
-			if closed != nil && !slices.Contains(closed, word) {
-				return nil, args[i].Errorf("%s is never %q; expected one of %s", form.List.Items[0], word, strings.Join(closed, ", "))
+			if allowed != nil && !slices.Contains(allowed, word) {
+				return nil, args[i].Errorf("%s has no value %q; expected one of %s", form.List.Items[0], word, strings.Join(allowed, ", "))
 			}
 		}
 		return func(entry *decisionlog.Entry, _ time.Duration) bool {
@@ -114,12 +114,12 @@
 	}
 }
 
-// matchWord is matchWords for a field that has one word, of no closed set.
+// matchWord is matchWords for a field with a single word and arbitrary arguments.
 func matchWord(wordOf func(*decisionlog.Entry) string) compileField {
 	return matchWords(nil, func(entry *decisionlog.Entry) []string { return []string{wordOf(entry)} })
 }
 
-// decisionWords returns a function that returns the words of all decisions of an entry.
+// decisionWords returns a function that collects wordOf for all decisions of an entry.
 func decisionWords(wordOf func(*balancer.Decision) string) func(*decisionlog.Entry) []string {
 	return func(entry *decisionlog.Entry) (words []string) {
 		for i := range entry.Events {
@@ -131,7 +131,7 @@
 	}
 }
 
-// matchKey compiles a field that is a key, written in hexadecimal.
+// matchKey compiles a field that is a hexadecimal key.
 func matchKey(keyOf func(*decisionlog.Entry) uint64) compileField {
 	return func(_ *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 		wanted, err := form.Values()
@@ -141,15 +141,15 @@
 		keys := make([]uint64, len(wanted))
 		for i, text := range wanted {
 			if keys[i], err = strconv.ParseUint(text, 16, 64); err != nil {
-				return nil, args[i].Errorf("%q is no hexadecimal number of 64 bits", text)
+				return nil, args[i].Errorf("%q is not a hexadecimal number of 64 bits", text)
 			}
 		}
 		return func(entry *decisionlog.Entry, _ time.Duration) bool { return slices.Contains(keys, keyOf(entry)) }, nil
 	}
 }
 
-// matchEndpoint compiles the field that matches requests that were sent to one of the
-// endpoints in its arguments.
+// matchEndpoint compiles the field that matches requests sent to one of the endpoints in its
+// arguments.
 func matchEndpoint(compiler *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 	names, err := form.Values()
 	if err != nil {
@@ -159,7 +159,7 @@
 	for i, name := range names {
 		var known bool
 		if ids[i], known = compiler.endpointNames.Lookup(name); !known {
-			return nil, args[i].Errorf("no list has named an application server %q", name)
+			return nil, args[i].Errorf("unknown application server %q: no endpoint list has named it", name)
 		}
 	}
 	return func(entry *decisionlog.Entry, _ time.Duration) bool {
@@ -176,11 +176,11 @@
 	}, nil
 }
 
-// matchTime compiles a field whose argument is how long ago a time was.
+// matchTime compiles a field whose argument is a duration before now.
 func matchTime(matches func(entry *decisionlog.Entry, since time.Duration) bool) compileField {
 	return func(_ *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 1 {
-			return nil, form.Errorf("%s wants one time, such as 5m", form.List.Items[0])
+			return nil, form.Errorf("%s takes one duration, such as 5m", form.List.Items[0])
 		}
 		ago, err := args[0].Duration()
 		if err != nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-// comparisons are the operators of fields that are compared.
+// comparisons are the comparison operators.
 var comparisons = map[string]func(x, y float64) bool{
 	"=":  func(x, y float64) bool { return x == y },
 	"<":  func(x, y float64) bool { return x < y },
@@ -199,12 +199,12 @@
 	">=": func(x, y float64) bool { return x >= y },
 }
 
-// matchNumber compiles a field that is compared with a number. parse reads the number;
-// valueOf returns an entry's, and false if it has none, in which case nothing matches.
+// matchNumber compiles a field that is compared with a number. parse reads the number.
+// valueOf returns the entry's number, or false if it has none and does not match.
 func matchNumber(parse func(*sexp.Node) (float64, error), valueOf func(*decisionlog.Entry) (float64, bool)) compileField {
 	return func(_ *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 2 {
-			return nil, form.Errorf("%s wants a comparison and a value, such as >= 2", form.List.Items[0])
+			return nil, form.Errorf("%s takes a comparison operator and a value, such as >= 2", form.List.Items[0])
 		}
 		operator, err := args[0].Value()
 		if err != nil {
@@ -212,7 +212,7 @@
 		}
 		compare := comparisons[operator]
 		if compare == nil {
-			return nil, args[0].Errorf("%q compares nothing; expected one of = < > <= >=", operator)
+			return nil, args[0].Errorf("unknown comparison operator %q; expected one of = < > <= >=", operator)
 		}
 		limit, err := parse(args[1])
 		if err != nil {
@@ -225,7 +225,7 @@
 	}
 }
 
-// matchFlag compiles a field without arguments.
+// matchFlag compiles a boolean field without arguments.
 func matchFlag(flagOf func(*decisionlog.Entry) bool) compileField {
 	return func(_ *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 0 {
--- a/internal/explain/format.go
+++ b/internal/explain/format.go
@@ -8,30 +8,31 @@
 	"time"
 )
 
-// Write writes an explanation in words: a head, then a line for each event.
+// Write writes the explanation as text: two lines about the request, then a line per event.
 func (x *Explanation) Write(out io.Writer) {
 	x.writeHead(out)
 	if x.Before != nil {
 		fmt.Fprintf(out, "  %s\n", x.Before.Text)
 	}
 	if x.HeadEvicted {
-		fmt.Fprintln(out, "  its first steps are no longer kept")
+		fmt.Fprintln(out, "  its first steps are no longer in the log")
 	}
 	x.writeEvents(out)
 	if x.EventsOmitted {
-		fmt.Fprintln(out, "  it had more steps than are kept of one")
+		fmt.Fprintln(out, "  some of its steps were omitted for lack of space")
 	}
 	switch x.Result {
 	case "waiting":
-		fmt.Fprintln(out, "  it still waits for its answer")
+		fmt.Fprintln(out, "  its client is still waiting for an answer")
 	case "up":
-		fmt.Fprintln(out, "  it stands")
+		fmt.Fprintln(out, "  it is still up")
 	}
 	if x.After != nil {
 		fmt.Fprintf(out, "  %s\n", x.After.Text)
 	}
 }
 
+// writeHead writes what is known of the request itself.
 func (x *Explanation) writeHead(out io.Writer) {
 	ellipsis := ""
 	if x.NameTruncated {
@@ -47,10 +48,10 @@
 	if x.Flow != "" {
 		fmt.Fprintf(out, ", flow %s", x.Flow)
 	}
-	fmt.Fprintf(out, "\n  came at %s, %s ago; its client waits %s",
+	fmt.Fprintf(out, "\n  received at %s, %s ago; its client waits up to %s",
 		x.ReceivedAt.Format("15:04:05.000"), formatDuration(x.age), formatDuration(fromMilliseconds(x.TimeLimitMS)))
 	if x.Returning {
-		fmt.Fprint(out, "; back after a move or a break")
+		fmt.Fprint(out, "; its client returned after a move or a disconnect")
 	}
 	if x.Pinned {
 		fmt.Fprint(out, "; pinned")
@@ -58,22 +59,22 @@
 	fmt.Fprintln(out)
 }
 
-// writeEvents writes a line for each event. The revision of the endpoint list is written
-// only where it changes.
+// writeEvents writes a line per event. The revision of the endpoint list is written only
+// when it changes.
 func (x *Explanation) writeEvents(out io.Writer) {
-	var written uint64
+	var lastRevision uint64
 	for i := range x.Events {
 		event := &x.Events[i]
 		text := event.Text
-		if event.Revision != 0 && event.Revision != written {
+		if event.Revision != 0 && event.Revision != lastRevision {
 			text += " [" + listText(event) + "]"
-			written = event.Revision
+			lastRevision = event.Revision
 		}
 		fmt.Fprintf(out, "  %10s  %s\n", "+"+formatDuration(fromMilliseconds(event.AfterMS)), text)
 	}
 }
 
-// listText says which endpoint list a decision went by.
+// listText names the endpoint list that a decision was based on.
 func listText(event *Event) string {
 	text := fmt.Sprintf("list of revision %d", event.Revision)
 	if event.ListAgeMS != nil {
@@ -84,7 +85,7 @@
 
 func fromMilliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// WriteJSON writes explanations, one JSON object a line.
+// WriteJSON writes explanations as JSON, one object per line.
 func WriteJSON(out io.Writer, explanations []*Explanation) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetEscapeHTML(false)
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// writeExplanations writes explanations in the form that a query asks for.
+// writeExplanations writes explanations in the format that the query requests.
 func writeExplanations(out io.Writer, query Query, explanations []*Explanation) error {
 	if query.JSON {
 		return WriteJSON(out, explanations)
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -15,7 +15,7 @@
 	"lockroad/internal/registry"
 )
 
-// fullEntry has every field set that an explanation has.
+// fullEntry returns an entry that sets every field of its explanation.
 func fullEntry(startedAt time.Duration) *decisionlog.Entry {
 	decision := balancer.Decision{
 		At: startedAt, Verdict: balancer.VerdictSent, Reason: balancer.ReasonRouteSlow, Attempt: 2, Endpoint: 1, Wait: 1500 * time.Microsecond, TimeLeft: 2 * time.Second,
@@ -36,10 +36,10 @@
 	}
 }
 
-// fixedTime takes the place of the time of day in an explanation.
+// fixedTime replaces the time of day in an explanation.
 var fixedTime = time.Date(2024, 5, 6, 7, 8, 9, 123456789, time.UTC)
 
-// fullExplanation is its explanation, with related requests.
+// fullExplanation returns the explanation of fullEntry, with related requests.
 func fullExplanation(env *environment) *Explanation {
 	time.Sleep(5 * time.Second)
 	explanation := env.explainer.explainAlone(fullEntry(env.startedAt))
@@ -49,16 +49,17 @@
 	return explanation
 }
 
-func TestAccountJSONIsStable(t *testing.T) {
+// The JSON of an explanation, which operators' tools read, must not change.
+func TestExplanationJSONIsStable(t *testing.T) {
 	withEnvironment(t, func(env *environment) {
 		explanation := fullExplanation(env)
-		for name, v := range map[string]any{"account": *explanation, "step": explanation.Events[0], "belief": explanation.Events[0].Considered[1], "link": *explanation.Before} {
-			of := reflect.ValueOf(v)
-			for i := range of.NumField() {
-				field := of.Type().Field(i)
-				// A decision sets all but the outcome, which is of an attempt.
-				if field.IsExported() && of.Field(i).IsZero() && field.Tag.Get("json") != "after_ms" && field.Tag.Get("json") != "outcome,omitempty" {
-					t.Errorf("%s: the field %s is not set, so its form is not compared", name, field.Tag.Get("json"))
+		for name, value := range map[string]any{"explanation": *explanation, "event": explanation.Events[0], "considered endpoint": explanation.Events[0].Considered[1], "related request": *explanation.Before} {
+			fields := reflect.ValueOf(value)
+			for i := range fields.NumField() {
+				field := fields.Type().Field(i)
+				// after_ms of the first event is 0, and a decision has no outcome.
+				if field.IsExported() && fields.Field(i).IsZero() && field.Tag.Get("json") != "after_ms" && field.Tag.Get("json") != "outcome,omitempty" {
+					t.Errorf("%s: field %s is not set, so its encoding is not compared", name, field.Tag.Get("json"))
 				}
 			}
 		}
@@ -70,7 +71,7 @@
 	})
 }
 
-func TestAccountTextIsStable(t *testing.T) {
+func TestExplanationTextIsStable(t *testing.T) {
 	withEnvironment(t, func(env *environment) {
 		var text strings.Builder
 		fullExplanation(env).Write(&text)
@@ -78,8 +79,8 @@
 	})
 }
 
-// Every decision, exclusion, outcome and end, in words.
-func TestStepsAreStable(t *testing.T) {
+// The texts of all decisions, exclusions, outcomes and ends.
+func TestEventTextsAreStable(t *testing.T) {
 	withEnvironment(t, func(env *environment) {
 		entry := fullEntry(env.startedAt)
 		var text strings.Builder
@@ -112,15 +113,15 @@
 	})
 }
 
-// What queries and counts are written in, and the closed sets of their words.
+// The fields of queries and counts, and the words that they accept.
 func TestQueryVocabularyIsStable(t *testing.T) {
 	var text strings.Builder
 	text.WriteString(FilterHelp())
 	for _, f := range filterFields {
 		fmt.Fprintf(&text, "field %s\n", f.name)
 	}
-	list := func(of string, words []string) { fmt.Fprintf(&text, "%s: %s\n", of, strings.Join(words, " ")) }
-	list("facets", countFields)
+	list := func(name string, words []string) { fmt.Fprintf(&text, "%s: %s\n", name, strings.Join(words, " ")) }
+	list("count fields", countFields)
 	list("answers", resultNames)
 	list("ends", registry.EndNames)
 	list("causes", proxy.CauseNames[:])
@@ -128,7 +129,7 @@
 	list("verdicts", balancer.VerdictNames[:])
 	list("outcomes", registry.StatusNames)
 	list("bars", balancer.ExclusionNames[:])
-	list("ties", relations)
+	list("relations", relations)
 	list("kinds", decisionlog.CategoryNames[:])
 	var compared []string
 	for word := range comparisons {
@@ -145,10 +146,10 @@
 	golden.Compare(t, "vocabulary.txt", text.String())
 }
 
-// Words written for each constant: a name that moves to another constant shows here.
-func TestConstantsKeepTheirWords(t *testing.T) {
+// The number and the word of each constant: stored records and queries depend on both.
+func TestConstantNamesAreStable(t *testing.T) {
 	var text strings.Builder
-	for _, c := range []fmt.Stringer{
+	for _, constant := range []fmt.Stringer{
 		registry.EndClosed, registry.EndRejected, registry.EndFailed, registry.EndClientLeft, registry.EndMigrated, registry.EndHeartbeatTimeout, registry.EndHandedOff,
 		proxy.CauseDecided, proxy.CauseConnectionLimit, proxy.CauseShutdown, proxy.CauseResumeFailed, proxy.CauseHeartbeatTimeout, proxy.CauseQuotaExceeded,
 		balancer.VerdictSent, balancer.VerdictHeld, balancer.VerdictRejected, balancer.VerdictFailed, balancer.VerdictMigrated,
@@ -156,7 +157,7 @@
 		balancer.ReasonWeightedDraw, balancer.ReasonWindowFull, balancer.ReasonNoneEligible, balancer.ReasonEndpointSlow, balancer.ReasonEndpointRecovering, balancer.ReasonBackoff, balancer.ReasonNoViableEndpoint,
 		balancer.ReasonDeadlineExceeded, balancer.ReasonAttemptsExhausted, balancer.ReasonNotRepeatable, balancer.ReasonLoadRelief, balancer.ReasonEndpointDraining, balancer.ReasonShutdown,
 	} {
-		fmt.Fprintf(&text, "%d %s\n", reflect.ValueOf(c).Uint(), c)
+		fmt.Fprintf(&text, "%d %s\n", reflect.ValueOf(constant).Uint(), constant)
 	}
 	for _, status := range []balancer.AttemptStatus{balancer.StatusOK, balancer.StatusError, balancer.StatusFull, balancer.StatusTimeout, balancer.StatusConnectFailed, balancer.StatusReset, balancer.StatusCancelled, balancer.StatusNotSent, balancer.StatusRedirected} {
 		fmt.Fprintf(&text, "%d %s\n", status, registry.StatusNames[status])
@@ -164,14 +165,14 @@
 	golden.Compare(t, "constants.txt", text.String())
 }
 
-// Answers to questions: by query, by counts, in words and as JSON.
+// Answers to queries and counts, as text and as JSON.
 func TestAnswersAreStable(t *testing.T) {
 	local := time.Local
-	time.Local = time.UTC // times of day are written in the zone of the machine
+	time.Local = time.UTC // times of day are written in the local time zone
 	defer func() { time.Local = local }()
 	withEnvironment(t, func(env *environment) {
 		env.recordRejected()
-		env.beginRequest("page", func(explanation *proxy.Request) { explanation.Tenant = "acme" }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit})
+		env.beginRequest("page", func(request *proxy.Request) { request.Tenant = "acme" }).Ended(proxy.Result{End: registry.EndRejected, Cause: proxy.CauseConnectionLimit})
 		var text strings.Builder
 		for _, line := range []string{
 			"--by " + strings.Join(countFields, ","), "--json --by " + strings.Join(countFields, ","), "--by class (class \"page\")", "--json --by reason (class \"live-preview\")",
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -12,22 +12,22 @@
 	"lockroad/internal/decisionlog"
 )
 
-// Query is what is asked, as the console or the command line puts it.
+// Query is a query of the console or the command line.
 type Query struct {
-	Subject string   // a number or name; empty: by Where
-	Where   string   // an S-expression; empty: all
-	CountBy []string // counts by these fields instead of explanations
-	Limit   int      // explanations at most, the youngest first; 0: DefaultLimit
-	JSON    bool
+	Subject string   // number, name or flow's key of a request; "": use Where
+	Where   string   // filter in S-expressions; "": all requests
+	CountBy []string // fields to count requests by, instead of explaining them
+	Limit   int      // maximum number of explanations, the youngest first; 0: DefaultLimit
+	JSON    bool     // answer in JSON instead of text
 }
 
-// DefaultLimit and MaxLimit bound the explanations of one answer.
+// Default and maximum of Query.Limit.
 const (
 	DefaultLimit = 10
 	MaxLimit     = 500
 )
 
-// Line writes the query as ParseLine reads it.
+// Line formats the query as a line that ParseLine parses.
 func (q Query) Line() string {
 	var words []string
 	if q.JSON {
@@ -48,9 +48,9 @@
 	return strings.Join(words, " ")
 }
 
-// ParseLine reads a query: [--json] [--most N] [--by FIELD,...], then a number or name, or
-// --where and an S-expression, either of which extends to the line's end. An error is for the
-// one who asks.
+// ParseLine parses a query: [--json] [--most N] [--by FIELD,...], followed by the subject or
+// by --where and an S-expression, either of which extends to the end of the line. The word
+// --where may be omitted. The error is written for the operator.
 func ParseLine(line string) (query Query, err error) {
 	rest := strings.TrimSpace(line)
 	for rest != "" {
@@ -68,7 +68,7 @@
 			rest, err = query.parseBy(after)
 		case "--where":
 			if query.Where = after; after == "" {
-				err = errors.New("--where wants a query, such as (answer \"unavailable\")")
+				err = errors.New("--where needs a query, such as (answer \"unavailable\")")
 			}
 			return query, err
 		case "--":
@@ -88,17 +88,17 @@
 	return query, nil
 }
 
-// cutWord returns the first word of a text, and what follows it.
+// cutWord returns the first word of a text and the rest of the text.
 func cutWord(text string) (word, rest string) {
 	word, rest, _ = strings.Cut(text, " ")
 	return word, strings.TrimSpace(rest)
 }
 
-// parseLimit reads the value of --most, and returns what follows it.
+// parseLimit parses the value of --most and returns the rest of the text.
 func (q *Query) parseLimit(text string) (rest string, err error) {
 	value, rest := cutWord(text)
 	if value == "" {
-		return "", errors.New("--most wants a value")
+		return "", errors.New("--most needs a value")
 	}
 	if q.Limit, err = strconv.Atoi(value); err != nil || q.Limit < 1 || q.Limit > MaxLimit {
 		return "", fmt.Errorf("--most %s: expected a number from 1 to %d", value, MaxLimit)
@@ -106,18 +106,18 @@
 	return rest, nil
 }
 
-// parseBy reads the value of --by, and returns what follows it.
+// parseBy parses the value of --by and returns the rest of the text.
 func (q *Query) parseBy(text string) (rest string, err error) {
 	value, rest := cutWord(text)
 	if value == "" {
-		return "", errors.New("--by wants a value")
+		return "", errors.New("--by needs a value")
 	}
 	q.CountBy = strings.Split(value, ",")
 	return rest, nil
 }
 
-// Answer writes the answer to a query. An error is for the one who asks: the query makes no
-// sense, or the log no longer has, or never had, what it is about.
+// Answer writes the answer to a query. It fails if the query is invalid, or if its subject is
+// neither in the log nor in the archive. The error is written for the operator.
 func (e *Explainer) Answer(query Query, out io.Writer) error {
 	if len(query.CountBy) > 0 {
 		return e.writeCounts(query, out)
@@ -134,10 +134,10 @@
 		return err
 	}
 	if total == 0 {
-		fmt.Fprintln(out, "no transaction that is kept is so")
+		fmt.Fprintln(out, "no matching transaction in the log")
 	}
 	if total > len(selected) {
-		fmt.Fprintf(out, "\n%d of %d; --most shows more, --by counts all\n", len(selected), total)
+		fmt.Fprintf(out, "\n%d of %d transactions; --most shows more, --by counts all\n", len(selected), total)
 	}
 	if query.Subject == "" {
 		fmt.Fprint(out, e.retentionText())
@@ -145,35 +145,36 @@
 	return nil
 }
 
-// answerFromArchive answers a query that the log has no entry for: its subject may have come
-// before a restart, or so long ago that it was evicted. Without one in the archive it returns
-// the log's error.
-func (e *Explainer) answerFromArchive(query Query, out io.Writer, notLogged error) error {
+// answerFromArchive answers a query whose subject is not in the log from the archive, which
+// has requests from before a restart and evicted ones. If the subject is not there either, it
+// returns logErr, the error of the log.
+func (e *Explainer) answerFromArchive(query Query, out io.Writer, logErr error) error {
 	if query.Subject == "" {
-		return notLogged
+		return logErr
 	}
 	found, err := e.archived(query.Subject, cmp.Or(query.Limit, DefaultLimit))
 	switch {
 	case len(found) > 0:
 		return writeExplanations(out, query, found)
 	case err != nil:
-		return fmt.Errorf("%w; %w", notLogged, err)
+		return fmt.Errorf("%w; %w", logErr, err)
 	}
-	return notLogged
+	return logErr
 }
 
-// retentionText says how far back the log reaches, "" if it has all since the start.
+// retentionText says what the log has evicted and how far back it is complete. It returns ""
+// if nothing was evicted.
 func (e *Explainer) retentionText() string {
 	stats := e.Log.Stats()
 	if stats.TotalEvicted() == 0 {
 		return ""
 	}
 	reach := e.Log.Clock().Now() - stats.EvictionHorizon
-	return fmt.Sprintf("no longer kept: %d uneventful, %d eventful and %d unanswered; all that came within the last %s are kept\n",
+	return fmt.Sprintf("evicted: %d uneventful, %d eventful and %d unanswered; the log has all transactions received within the last %s\n",
 		stats.Evicted["uneventful"], stats.Evicted["eventful"], stats.Evicted["under-way"], formatDuration(reach))
 }
 
-// filterOf returns the filter of a query that has no subject.
+// filterOf returns the filter of a query without a subject.
 func (e *Explainer) filterOf(query Query) (Filter, error) {
 	if query.Where == "" {
 		return MatchAll, nil
@@ -181,12 +182,12 @@
 	return CompileFilter(query.Where, e.Names)
 }
 
-// selectEntries returns the entries that a query asks for, the youngest first, and how many
-// there are without its limit.
+// selectEntries returns the entries that a query selects, the youngest first, and their
+// number without its limit.
 func (e *Explainer) selectEntries(query Query) (selected []*decisionlog.Entry, total int, err error) {
 	if query.Subject != "" {
-		named, err := e.entriesNamed(query.Subject)
-		return named, len(named), err
+		entries, err := e.entriesOfSubject(query.Subject)
+		return entries, len(entries), err
 	}
 	matches, err := e.filterOf(query)
 	if err != nil {
@@ -199,8 +200,8 @@
 			return true
 		}
 		total++
-		// The log is in no order: clones of the youngest are kept, with room for some more so
-		// that they are not sorted each time.
+		// The log is not sorted: keep clones of the youngest entries, and sort and truncate
+		// them only when they exceed the limit several times.
 		if selected = append(selected, entry.Clone()); len(selected) >= 4*limit {
 			sortYoungestFirst(selected)
 			selected = selected[:limit]
@@ -211,15 +212,17 @@
 	return selected[:min(len(selected), limit)], total, nil
 }
 
+// sortYoungestFirst sorts entries by descending number.
 func sortYoungestFirst(entries []*decisionlog.Entry) {
 	slices.SortFunc(entries, func(x, y *decisionlog.Entry) int { return cmp.Compare(y.Number, x.Number) })
 }
 
-// maxNumberDigits bounds the digits of what is taken for a number rather than a name.
+// maxNumberDigits is the maximum length of a subject that is taken for a number.
 const maxNumberDigits = 12
 
-// entriesNamed returns the entries of a name, or that of a number.
-func (e *Explainer) entriesNamed(subject string) ([]*decisionlog.Entry, error) {
+// entriesOfSubject returns the entries of a subject: those with the name or flow's key, or
+// otherwise the one with the number.
+func (e *Explainer) entriesOfSubject(subject string) ([]*decisionlog.Entry, error) {
 	byName, err := e.Log.EntriesByName(subject)
 	if err == nil {
 		return byName[:min(len(byName), DefaultLimit)], nil
@@ -235,17 +238,18 @@
 	return []*decisionlog.Entry{entry}, nil
 }
 
-// withRetention adds to the error of an evicted entry how far back the log reaches.
-func (e *Explainer) withRetention(err error, more string) error {
+// withRetention adds retentionText and a suffix to the error for an evicted entry.
+func (e *Explainer) withRetention(err error, suffix string) error {
 	if !errors.Is(err, decisionlog.ErrEvicted) {
 		return err
 	}
-	return fmt.Errorf("%w: %s%s", err, strings.TrimSuffix(e.retentionText(), "\n"), more)
+	return fmt.Errorf("%w: %s%s", err, strings.TrimSuffix(e.retentionText(), "\n"), suffix)
 }
 
+// eventsLostText says how many events the log has dropped. It returns "" if there are none.
 func eventsLostText(stats decisionlog.Stats) string {
 	if stats.EventsLost == 0 {
 		return ""
 	}
-	return fmt.Sprintf("; %d steps found no room", stats.EventsLost)
+	return fmt.Sprintf("; %d steps were dropped for lack of space", stats.EventsLost)
 }
--- a/internal/explain/related.go
+++ b/internal/explain/related.go
@@ -9,13 +9,13 @@
 	"lockroad/internal/registry"
 )
 
-// maxReturnDelay bounds the time between two requests that are taken for one after the other
-// of the same client.
+// maxReturnDelay is the maximum time between the end of a request and the next request of
+// the same client.
 const maxReturnDelay = time.Minute
 
-// related finds the requests that an entry's client made before and after it: the nearest of
-// the same name or flow, or, where the later one says that its client returns after a
-// migration or a disconnect, of the same group. Either may be nil.
+// related finds the previous and the next request of an entry's client: the nearest with the
+// same name or flow, or with the same group if the later request says that its client
+// returned after a migration or a disconnect. Either may be nil.
 func (e *Explainer) related(entry *decisionlog.Entry) (before, after *decisionlog.Entry) {
 	e.Log.Related(entry, func(other *decisionlog.Entry) bool {
 		switch {
@@ -35,7 +35,7 @@
 	return before, after
 }
 
-// follows reports whether a request may be the next one of an earlier one's client.
+// follows reports whether later may be the next request of earlier's client.
 func follows(earlier, later *decisionlog.Entry) bool {
 	if !earlier.Ended || continuationOf(earlier, later) == "" {
 		return false
@@ -44,10 +44,11 @@
 	return delay >= 0 && delay < maxReturnDelay
 }
 
-// relations are what two requests may have in common, the most certain first.
+// relations are the properties by which requests are attributed to the same client, the most
+// reliable first.
 var relations = []string{"name", "flow", "group"}
 
-// relationOf returns the most certain of what two requests have in common, "" if nothing.
+// relationOf returns the most reliable relation of two requests, or "" if there is none.
 func relationOf(x, y *decisionlog.Entry) string {
 	switch {
 	case x.Name != "" && x.Name == y.Name && x.Frontend == y.Frontend:
@@ -60,13 +61,13 @@
 	return ""
 }
 
-// isCloser reports whether x has a more certain relation to an entry than y has.
+// isCloser reports whether x has a more reliable relation to an entry than y.
 func isCloser(x, y, to *decisionlog.Entry) bool {
 	return slices.Index(relations, relationOf(x, to)) < slices.Index(relations, relationOf(y, to))
 }
 
-// continuationOf returns by what relation the later of two requests is the next one of the
-// same client, "" if it is not.
+// continuationOf returns the relation by which two requests are taken for ones of the same
+// client, or "" if they are not.
 func continuationOf(earlier, later *decisionlog.Entry) string {
 	relation := relationOf(earlier, later)
 	if relation != "group" || later.Returning && wasDisconnected(earlier) {
@@ -75,7 +76,7 @@
 	return ""
 }
 
-// wasDisconnected reports whether a request's client was migrated or cut off.
+// wasDisconnected reports whether a request's client was migrated or lost its connection.
 func wasDisconnected(entry *decisionlog.Entry) bool {
 	result, ended := entry.Result()
 	if !ended {
@@ -90,6 +91,7 @@
 	return false
 }
 
+// relationText returns the text of the relation of two requests.
 func relationText(x, y *decisionlog.Entry) string {
 	switch relationOf(x, y) {
 	case "name":
--- a/internal/explain/result.go
+++ b/internal/explain/result.go
@@ -11,7 +11,7 @@
 	"lockroad/internal/registry"
 )
 
-// attemptStatusTexts follow the endpoint's name, by balancer.AttemptStatus.
+// attemptStatusTexts are the texts of the ends of attempts. They follow the endpoint's name.
 var attemptStatusTexts = [...]string{
 	balancer.StatusOK:            "accepts it",
 	balancer.StatusError:         "answers with an error",
@@ -24,7 +24,7 @@
 	balancer.StatusRedirected:    "sends the client away, as it leaves",
 }
 
-// resultText puts a result into words, without the request that is its subject.
+// resultText formats a result as a sentence whose omitted subject is the request.
 func resultText(result proxy.Result) string {
 	switch result.End {
 	case registry.EndRejected:
@@ -44,6 +44,7 @@
 	return closedText(result.Status)
 }
 
+// rejectedText is resultText for a rejected request.
 func rejectedText(result proxy.Result) string {
 	retryAfter := ""
 	if result.RetryAfter > 0 {
@@ -62,7 +63,7 @@
 	return "gets the unavailable answer" + retryAfter
 }
 
-// closedText says how an established request was closed.
+// closedText is resultText for an established request that was closed.
 func closedText(status balancer.AttemptStatus) string {
 	switch status {
 	case balancer.StatusOK:
@@ -75,20 +76,21 @@
 	return "its server breaks the connection"
 }
 
-// resultClause says how a request ended in a clause that follows its number.
+// resultClause formats the result or state of a request as a relative clause.
 func (e *Explainer) resultClause(entry *decisionlog.Entry) string {
 	result, ended := entry.Result()
 	if !ended {
 		return map[string]string{"up": "which stands", "waiting": "which waits for an answer"}[entry.ResultName()]
 	}
 	reason := e.lastReason(entry)
-	if text, ofIts := strings.CutPrefix(resultText(result), "its "); ofIts {
+	if text, hasPrefix := strings.CutPrefix(resultText(result), "its "); hasPrefix {
 		return "whose " + text + reason
 	}
 	return "which " + resultText(result) + reason
 }
 
-// lastReason returns the reason of the last decision in parentheses, if that ended the request.
+// lastReason returns the reason of the last decision in parentheses if the decision ended the
+// request.
 func (e *Explainer) lastReason(entry *decisionlog.Entry) string {
 	for _, event := range slices.Backward(entry.Events) {
 		if event.Kind != decisionlog.EventDecision {
