--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -63,8 +63,8 @@
 var (
 	// ErrClosed is returned for a change to a closed store.
 	ErrClosed = errors.New("the store is closed")
-	// ErrNoRoom is returned when the queue or the store is full.
-	ErrNoRoom = errors.New("the store or its queue is full")
+	// ErrFull is returned when the queue or the store is full.
+	ErrFull = errors.New("the store or its queue is full")
 	// ErrTooLarge is returned for a commit that exceeds the maximum frame size.
 	ErrTooLarge = errors.New("the commit is too large")
 )
@@ -208,7 +208,7 @@
 }
 
 // Commit commits changes atomically, and waits until they are as durable as the
-// strictest SyncPolicy among their kinds requires. The error wraps ErrClosed, ErrNoRoom,
+// strictest SyncPolicy among their kinds requires. The error wraps ErrClosed, ErrFull,
 // ErrTooLarge or an error of the disk. If ctx ends first, the changes may or may not be
 // committed.
 func (s *Store) Commit(ctx context.Context, changes ...Change) error {
@@ -263,7 +263,7 @@
 	case s.queue <- c:
 		return nil
 	default:
-		return ErrNoRoom
+		return ErrFull
 	}
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -141,8 +141,8 @@
 		t.Errorf("commit that is too large: error %v, want ErrTooLarge", err)
 	}
 	must(t, s.Commit(ctx, putChange("order", "a", strings.Repeat("x", 1500))))
-	if err := s.Commit(ctx, putChange("order", "b", "x")); !errors.Is(err, ErrNoRoom) {
-		t.Errorf("put to a full store: error %v, want ErrNoRoom", err)
+	if err := s.Commit(ctx, putChange("order", "b", "x")); !errors.Is(err, ErrFull) {
+		t.Errorf("put to a full store: error %v, want ErrFull", err)
 	}
 	must(t, s.Commit(ctx, Change{Kind: "order", Key: "a", Deleted: true}))
 	must(t, s.Commit(ctx, putChange("order", "b", "x")))
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -139,7 +139,7 @@
 	return commits, tasks
 }
 
-// rejectWithoutRoom completes commits that put records into a full store with ErrNoRoom,
+// rejectWithoutRoom completes commits that put records into a full store with ErrFull,
 // and returns the others, which only remove records.
 func (s *Store) rejectWithoutRoom(commits []*commit) []*commit {
 	if s.index.liveBytes <= s.maxBytes {
@@ -148,7 +148,7 @@
 	return slices.DeleteFunc(commits, func(c *commit) bool {
 		puts := slices.ContainsFunc(c.changes, func(change Change) bool { return !change.Deleted })
 		if puts {
-			s.complete(c, ErrNoRoom)
+			s.complete(c, ErrFull)
 		}
 		return puts
 	})
