--- a/internal/explain/archive.go
+++ b/internal/explain/archive.go
@@ -33,9 +33,9 @@
 		x.Flow != "" && x.Flow == nameOrFlow
 }
 
-// archived returns up to limit archived explanations of requests with a name or a flow's
+// findArchived returns up to limit archived explanations of requests with a name or a flow's
 // key, the newest first.
-func (e *Explainer) archived(nameOrFlow string, limit int) (found []*Explanation, err error) {
+func (e *Explainer) findArchived(nameOrFlow string, limit int) (found []*Explanation, err error) {
 	if e.Archive == nil {
 		return nil, nil
 	}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -312,7 +312,7 @@
 			"0000000000000001": `error: transaction "0000000000000001" was not found, or is no longer in the log: evicted: `,
 		} {
 			if got := env.answer(line); !strings.HasPrefix(got, want) || !strings.Contains(got, " uneventful, 0 eventful and 0 unanswered; the log has all transactions received within the last ") {
-				t.Errorf("answer to %s is %s, want %s and the evicted numbers", line, got, want)
+				t.Errorf("answer to %s is %s, want %s and the counts of evicted entries", line, got, want)
 			}
 		}
 		if got := env.answer("20000"); !strings.HasPrefix(got, "transaction 20000,") {
--- a/internal/explain/fields.go
+++ b/internal/explain/fields.go
@@ -57,11 +57,11 @@
 		},
 		{
 			"since", "TIME", "it was received, or had its last step, within this time, such as 5m",
-			matchTime(func(entry *decisionlog.Entry, since time.Duration) bool { return entry.LastEventAt() >= since }),
+			matchTime(func(entry *decisionlog.Entry, at time.Duration) bool { return entry.LastEventAt() >= at }),
 		},
 		{
 			"until", "TIME", "it was received longer ago than this",
-			matchTime(func(entry *decisionlog.Entry, since time.Duration) bool { return entry.StartedAt <= since }),
+			matchTime(func(entry *decisionlog.Entry, at time.Duration) bool { return entry.StartedAt <= at }),
 		},
 		{"passes", "OP N", "the number of its passes, compared with one of = < > <= >=", matchNumber(parseWhole, attemptCount)},
 		{"took", "OP TIME", "the time until its answer, compared with one of = < > <= >=", matchNumber(parseDuration, timeToAnswer)},
--- a/internal/explain/filter.go
+++ b/internal/explain/filter.go
@@ -176,8 +176,9 @@
 	}, nil
 }
 
-// matchTime compiles a field whose argument is a duration before now.
-func matchTime(matches func(entry *decisionlog.Entry, since time.Duration) bool) compileField {
+// matchTime compiles a field whose argument is a duration. matches gets the time that long
+// before now.
+func matchTime(matches func(entry *decisionlog.Entry, at time.Duration) bool) compileField {
 	return func(_ *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error) {
 		if len(args) != 1 {
 			return nil, form.Errorf("%s takes one duration, such as 5m", form.List.Items[0])
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -152,7 +152,7 @@
 	if query.Subject == "" {
 		return logErr
 	}
-	found, err := e.archived(query.Subject, cmp.Or(query.Limit, DefaultLimit))
+	found, err := e.findArchived(query.Subject, cmp.Or(query.Limit, DefaultLimit))
 	switch {
 	case len(found) > 0:
 		return writeExplanations(out, query, found)
--- a/internal/explain/related.go
+++ b/internal/explain/related.go
@@ -20,12 +20,12 @@
 	e.Log.Related(entry, func(other *decisionlog.Entry) bool {
 		switch {
 		case other.Number < entry.Number && follows(other, entry):
-			if before == nil || isCloser(other, before, entry) ||
+			if before == nil || hasStrongerRelation(other, before, entry) ||
 				relationOf(other, entry) == relationOf(before, entry) && other.LastEventAt() > before.LastEventAt() {
 				before = other.Clone()
 			}
 		case other.Number > entry.Number && follows(entry, other):
-			if after == nil || isCloser(other, after, entry) ||
+			if after == nil || hasStrongerRelation(other, after, entry) ||
 				relationOf(other, entry) == relationOf(after, entry) && other.StartedAt < after.StartedAt {
 				after = other.Clone()
 			}
@@ -37,7 +37,7 @@
 
 // follows reports whether later may be the next request of earlier's client.
 func follows(earlier, later *decisionlog.Entry) bool {
-	if !earlier.Ended || continuationOf(earlier, later) == "" {
+	if !earlier.Ended || sameClientRelation(earlier, later) == "" {
 		return false
 	}
 	delay := later.StartedAt - earlier.LastEventAt()
@@ -61,14 +61,14 @@
 	return ""
 }
 
-// isCloser reports whether x has a more reliable relation to an entry than y.
-func isCloser(x, y, to *decisionlog.Entry) bool {
+// hasStrongerRelation reports whether x has a more reliable relation to an entry than y.
+func hasStrongerRelation(x, y, to *decisionlog.Entry) bool {
 	return slices.Index(relations, relationOf(x, to)) < slices.Index(relations, relationOf(y, to))
 }
 
-// continuationOf returns the relation by which two requests are taken for ones of the same
-// client, or "" if they are not.
-func continuationOf(earlier, later *decisionlog.Entry) string {
+// sameClientRelation returns the relation by which two requests are attributed to the same
+// client, or "" if there is none.
+func sameClientRelation(earlier, later *decisionlog.Entry) string {
 	relation := relationOf(earlier, later)
 	if relation != "group" || later.Returning && wasDisconnected(earlier) {
 		return relation
--- a/internal/store/merge.go
+++ b/internal/store/merge.go
@@ -28,7 +28,7 @@
 	if s.broken || !force && (s.index.totalBytes <= minMergeBytes || s.index.totalBytes <= 2*s.index.liveBytes) {
 		return nil
 	}
-	if err := s.syncSegment(); err != nil {
+	if err := s.syncAndComplete(); err != nil {
 		return err
 	}
 	previous := s.index.segments
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -24,7 +24,7 @@
 				damaged := dir.clone()
 				damaged.files[name].data = damaged.files[name].data[:length]
 				index, err := load(damaged, testKinds, false)
-				if state, _ := parseSegmentName(name); state.merged || i < len(names)-1 {
+				if header, _ := parseSegmentName(name); header.merged || i < len(names)-1 {
 					var damage *DamageError
 					if !errors.As(err, &damage) || damage.File != name || damage.Offset > int64(length) {
 						t.Fatalf("%s truncated to %d bytes: error %v, want damage before that byte", name, length, err)
@@ -57,7 +57,7 @@
 
 // A flipped bit is never read as data: loading fails with the file and the position. Only in the final frame of a
 // closed store, which has no entries, it is taken for a torn tail.
-func TestBytesFlippedAtEveryOffset(t *testing.T) {
+func TestBitFlipInEveryByte(t *testing.T) {
 	dir, states := filledStore(t, 12, 5)
 	names, _ := dir.List()
 	for _, name := range names {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -28,13 +28,13 @@
 		select {
 		case c := <-s.queue:
 			if syncNow := s.writeBatch(s.collectBatch(c)); syncNow {
-				_ = s.syncSegment()
+				_ = s.syncAndComplete()
 				groupSync = nil
 			} else if groupSync == nil && len(s.awaitingSync) > 0 {
 				groupSync = time.After(GroupCommitInterval)
 			}
 		case <-groupSync:
-			_ = s.syncSegment()
+			_ = s.syncAndComplete()
 			groupSync = nil
 		case <-retention.C:
 			s.mu.Lock()
@@ -59,9 +59,9 @@
 		}
 		s.writeBatch(s.collectBatch(c))
 	}
-	_ = s.syncSegment()
+	_ = s.syncAndComplete()
 	if !s.broken && s.diskFailedAt.IsZero() && s.appendFrames([][]entry{nil}) == nil {
-		_ = s.syncSegment()
+		_ = s.syncAndComplete()
 	}
 }
 
@@ -107,7 +107,7 @@
 		return false
 	}
 	s.mergeIfWasteful()
-	commits = s.rejectWithoutRoom(commits)
+	commits = s.rejectPutsIfFull(commits)
 	if len(commits) == 0 {
 		return false
 	}
@@ -139,9 +139,9 @@
 	return commits, tasks
 }
 
-// rejectWithoutRoom completes commits that put records into a full store with ErrFull,
+// rejectPutsIfFull completes commits that put records into a full store with ErrFull,
 // and returns the others, which only remove records.
-func (s *Store) rejectWithoutRoom(commits []*commit) []*commit {
+func (s *Store) rejectPutsIfFull(commits []*commit) []*commit {
 	if s.index.liveBytes <= s.maxBytes {
 		return commits
 	}
@@ -225,7 +225,7 @@
 	if last.size <= maxSegmentBytes && !last.merged {
 		return last, nil
 	}
-	if err := s.syncSegment(); err != nil {
+	if err := s.syncAndComplete(); err != nil {
 		return nil, err
 	}
 	if err := s.addSegment(); err != nil {
@@ -292,16 +292,16 @@
 	return s.diskFailed(err)
 }
 
-// syncSegment syncs the last segment, and completes the commits that wait for the sync.
-func (s *Store) syncSegment() error {
-	err := s.syncLast()
+// syncAndComplete syncs the last segment and completes the commits that wait for the sync.
+func (s *Store) syncAndComplete() error {
+	err := s.syncLastSegment()
 	s.completeAll(s.awaitingSync, err)
 	s.awaitingSync = s.awaitingSync[:0]
 	return err
 }
 
-// syncLast syncs the last segment if it has unsynced commits.
-func (s *Store) syncLast() error {
+// syncLastSegment syncs the last segment if it has unsynced commits.
+func (s *Store) syncLastSegment() error {
 	if s.broken {
 		return s.diskError
 	}
