--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -30,7 +30,7 @@
 }
 
 // Check reads all files of a store that no process has open, and reports all damage. It
-// changes nothing. The error may wrap ErrLocked or *FormatError.
+// changes no records. The error may wrap ErrLocked or *FormatError.
 func Check(dir FS, kinds []Kind) (report Report, err error) {
 	err = inspect(dir, kinds, func(index *fileIndex) error {
 		report = index.report
@@ -113,8 +113,9 @@
 	return count
 }
 
-// Dump writes the records of a store that no process has open as JSON, one per line, in
-// the order of their puts: those of one kind, or of all kinds if onlyKind is "".
+// Dump writes the records of a store that no process has open as JSON, one per line: those
+// of one kind in the order of their puts, or of all kinds, in no particular order of the
+// kinds, if onlyKind is "".
 func Dump(dir FS, kinds []Kind, onlyKind string, w io.Writer) error {
 	return inspect(dir, kinds, func(index *fileIndex) error {
 		for name := range index.tables {
