--- a/internal/frontend/amqp/conformance_client_test.go
+++ b/internal/frontend/amqp/conformance_client_test.go
@@ -16,8 +16,8 @@
 
 // clientRequirements are checked with raw clients of the frontend.
 var clientRequirements = []requirement{
-	{"2.2", "client", "a header that it speaks is answered with the same", func(t *testing.T) error { dialRawTo(t, &recordingEndpoint{}); return nil }},
-	{"2.2", "client", "any other is answered with one that it speaks, and the connection is closed", func(t *testing.T) error {
+	{"2.2", "client", "a supported protocol header is answered with the same header", func(t *testing.T) error { dialRawTo(t, &recordingEndpoint{}); return nil }},
+	{"2.2", "client", "an unsupported protocol header is answered with a supported one, and the connection is closed", func(t *testing.T) error {
 		tcp, err := net.Dial("tcp", newTestRelay(t, protocols[1], 1, nil).address)
 		if err != nil {
 			return err
@@ -28,17 +28,17 @@
 		got, err := io.ReadAll(tcp)
 		return errors.Join(err, checkEqual("answer", got, framing.ProtocolHeaderAMQP[:]))
 	}},
-	{"2.3.1", "client", "an extended frame header is passed over", func(t *testing.T) error {
+	{"2.3.1", "client", "an extended frame header is ignored", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{})
 		b := framing.AppendFrame(nil, framing.TypeAMQP, 3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		long := append([]byte{0, 0, 0, byte(len(b) + 4), 3, 0, 0, 3, 1, 2, 3, 4}, b[8:]...)
 		_, _ = client.Write(long)
 		return client.checkNext(framing.CodeBegin, 0, "")
 	}},
-	{"2.3.1", "client", "a data offset under 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, framing.CondFramingError)},
-	{"2.3.1", "client", "a frame over the size that was told is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, framing.CondFramingError)},
-	{"2.3.2", "client", "a body that can't be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, framing.CondDecodeError)},
-	{"2.4.1", "client", "the open tells a container, and limits that the standard allows", func(t *testing.T) error {
+	{"2.3.1", "client", "a data offset below 2 is a framing error", closedAfter([]byte{0, 0, 0, 8, 1, 0, 0, 0}, framing.CondFramingError)},
+	{"2.3.1", "client", "a frame above max-frame-size is a framing error", closedAfter([]byte{0, 0, 0x20, 1, 2, 0, 0, 0}, framing.CondFramingError)},
+	{"2.3.2", "client", "a frame body that cannot be decoded is a decode error", closedAfter([]byte{0, 0, 0, 11, 2, 0, 0, 0, 0, 0x53, 0x13}, framing.CondDecodeError)},
+	{"2.4.1", "client", "the open contains a container-id and valid limits", func(t *testing.T) error {
 		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
@@ -50,7 +50,7 @@
 		}
 		return nil
 	}},
-	{"2.4.1", "client", "open, begin and attach may come in one piece, and are answered in order", func(t *testing.T) error {
+	{"2.4.1", "client", "pipelined open, begin and attach are answered in order", func(t *testing.T) error {
 		protocol := protocols[1]
 		protocol.serveEndpoint = (&recordingEndpoint{}).serve
 		tcp, err := net.Dial("tcp", newTestRelay(t, protocol, 1, nil).address)
@@ -72,7 +72,7 @@
 		client.writeFrame(0, framing.Performative{Code: framing.CodeClose}, nil)
 		return client.checkNext(framing.CodeClose, 0, "")
 	}},
-	{"2.4.5", "client", "frames without a body come within the idle time-out that was asked for, and are taken", func(t *testing.T) error {
+	{"2.4.5", "client", "empty frames are sent within the peer's idle-time-out, and received ones are accepted", func(t *testing.T) error {
 		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderAMQP)
 		if err != nil {
 			return err
@@ -90,13 +90,13 @@
 		}
 		return nil
 	}},
-	{"2.5.1", "client", "a begin is answered with one that names its channel", func(t *testing.T) error {
+	{"2.5.1", "client", "a begin is answered with a begin whose remote-channel is its channel", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{})
 		client.writeFrame(3, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(9), uint32(9)}}, nil)
 		frame, err := client.nextFrame()
 		return errors.Join(err, checkEqual("remote-channel", frame.Uint32(framing.BeginRemoteChannel, 99), uint32(3)))
 	}},
-	{"2.5.3", "client", "an end is answered with an end, and the channel can begin again", func(t *testing.T) error {
+	{"2.5.3", "client", "an end is answered with an end, and the channel can be reused", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		client.writeFrame(3, framing.Performative{Code: framing.CodeEnd}, nil)
 		if err := client.checkNext(framing.CodeEnd, 0, ""); err != nil {
@@ -105,7 +105,7 @@
 		client.begin()
 		return nil
 	}},
-	{"2.5.6", "client", "a flow that asks for an echo gets the session's state", func(t *testing.T) error {
+	{"2.5.6", "client", "a flow with echo is answered with the session state", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		client.writeFrame(3, framing.Performative{Code: framing.CodeFlow, Fields: codec.List{uint32(0), uint32(9), uint32(0), uint32(9), nil, nil, nil, nil, nil, true}}, nil)
 		frame, err := client.nextFrame()
@@ -114,7 +114,7 @@
 		}
 		return nil
 	}},
-	{"2.5.6", "client", "transfers beyond the session's window end it as a window violation", func(t *testing.T) error {
+	{"2.5.6", "client", "transfers beyond the session window end the session with a window violation", func(t *testing.T) error {
 		release := make(chan struct{})
 		defer close(release)
 		protocol := protocols[1]
@@ -138,12 +138,12 @@
 			}
 		}
 	}},
-	{"2.6.2", "client", "a handle without a link ends the session", func(t *testing.T) error {
+	{"2.6.2", "client", "a frame with an unattached handle ends the session", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		client.sendTransfer(0, false, false, false, nil)
 		return client.checkNext(framing.CodeEnd, 0, framing.CondUnattachedHandle)
 	}},
-	{"2.6.2", "client", "a handle that is in use ends the session", func(t *testing.T) error {
+	{"2.6.2", "client", "an attach with a handle in use ends the session", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		if _, err := client.attachAndWait(true); err != nil {
 			return err
@@ -151,11 +151,11 @@
 		client.attach(1, rawProperties)
 		return client.checkNext(framing.CodeEnd, 0, framing.CondHandleInUse)
 	}},
-	{"2.6.3", "client", "an attach is answered by one of the same name and the other role, a sender's with credit", func(t *testing.T) error {
+	{"2.6.3", "client", "an attach is answered with the same name and the opposite role, and a sender gets credit", func(t *testing.T) error {
 		reply, err := dialRawTo(t, &recordingEndpoint{}).begin().attachAndWait(true)
 		return errors.Join(err, checkEqual("name", codec.AsString(reply.Field(framing.AttachName)), "a link"), checkEqual("role", reply.Field(framing.AttachRole), true), checkEqual("handle", reply.Uint32(framing.AttachHandle, 99), uint32(1)))
 	}},
-	{"2.6.3", "client", "a link that is refused is attached without what the relay would own, and detached at once with the reason", func(t *testing.T) error {
+	{"2.6.3", "client", "a rejected link is attached without the relay's terminus and detached immediately with an error", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		client.attach(1, nil)
 		frame, err := client.nextFrame()
@@ -164,7 +164,7 @@
 		}
 		return client.checkNext(framing.CodeDetach, 2, framing.CondInvalidField)
 	}},
-	{"2.6.5", "client", "a detach is answered with a detach, and the handle and the name are free again", func(t *testing.T) error {
+	{"2.6.5", "client", "a detach is answered with a detach, and handle and name can be reused", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		for range 2 {
 			if _, err := client.attachAndWait(true); err != nil {
@@ -177,7 +177,7 @@
 		}
 		return nil
 	}},
-	{"2.6.7", "client", "a server's credit reaches the client, drain and echo its server", func(t *testing.T) error {
+	{"2.6.7", "client", "credit of the server is forwarded to the client, drain and echo of the client to the server", func(t *testing.T) error {
 		granting := dialRawTo(t, &recordingEndpoint{credit: 7}).begin()
 		granting.writeFrame(3, senderAttach("a link", 1, rawProperties), nil)
 		_, _ = granting.nextFrame()
@@ -198,7 +198,7 @@
 		frame := flows[len(flows)-1]
 		return errors.Join(checkEqual("credit", frame.Uint32(framing.FlowLinkCredit, 0), uint32(5)), checkEqual("drain", frame.Bool(framing.FlowDrain), true), checkEqual("echo", frame.Bool(framing.FlowEcho), true))
 	}},
-	{"2.6.12", "client", "a delivery in several transfers reaches the server as one", func(t *testing.T) error {
+	{"2.6.12", "client", "a delivery in several transfers is forwarded as one delivery", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		client := dialRawTo(t, recorder).begin()
 		if _, err := client.attachAndWait(true); err != nil {
@@ -218,7 +218,7 @@
 		}
 		return errors.Join(err, checkEqual("payload", whole, "abc"))
 	}},
-	{"2.6.14", "client", "a delivery that is aborted is aborted at the server, and the next one passes", func(t *testing.T) error {
+	{"2.6.14", "client", "an aborted delivery is aborted at the server, and the next delivery is forwarded", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		client := dialRawTo(t, recorder).begin()
 		if _, err := client.attachAndWait(true); err != nil {
@@ -233,17 +233,17 @@
 		}
 		return errors.Join(checkEqual("aborted", all[1].Bool(framing.TransferAborted), true), checkEqual("next", string(all[2].Payload), "b"), client.checkNext(framing.CodeDisposition, 99, ""))
 	}},
-	{"2.7.1", "client", "a channel over the most that was told is a framing error", func(t *testing.T) error {
+	{"2.7.1", "client", "a channel above channel-max is a framing error", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{})
 		client.writeFrame(maxChannel+1, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(1), uint32(1)}}, nil)
 		return client.checkNext(framing.CodeClose, 0, framing.CondFramingError)
 	}},
-	{"2.7.2", "client", "a handle over the most that was told is a framing error", func(t *testing.T) error {
+	{"2.7.2", "client", "a handle above handle-max is a framing error", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{}).begin()
 		client.attach(maxHandle+1, rawProperties)
 		return client.checkNext(framing.CodeClose, 0, framing.CondFramingError)
 	}},
-	{"2.7.3", "client", "settlement modes reach the server as they were asked for, and its own the client", func(t *testing.T) error {
+	{"2.7.3", "client", "settlement modes of client and server are forwarded", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		reply, err := dialRawTo(t, recorder).begin().attachAndWait(true, func(performative framing.Performative) framing.Performative {
 			return performative.With(framing.AttachSndSettleMode, uint8(1)).With(framing.AttachRcvSettleMode, uint8(1))
@@ -257,7 +257,7 @@
 		}
 		return errors.Join(checkEqual("snd-settle-mode", all[0].Field(framing.AttachSndSettleMode), uint8(1)), checkEqual("rcv-settle-mode", all[0].Field(framing.AttachRcvSettleMode), uint8(1)), checkEqual("rcv-settle-mode of the reply", reply.Field(framing.AttachRcvSettleMode), uint8(1)))
 	}},
-	{"2.7.5", "client", "a settled delivery is settled at the server, and nothing is said of it", func(t *testing.T) error {
+	{"2.7.5", "client", "a settled delivery is forwarded as settled, and no disposition follows", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		client := dialRawTo(t, recorder).begin()
 		if _, err := client.attachAndWait(true); err != nil {
@@ -272,7 +272,7 @@
 		all, err := recorder.waitFor(framing.CodeTransfer, 2)
 		return errors.Join(err, checkEqual("settled", all[0].Bool(framing.TransferSettled), true), checkEqual("disposition of", frame.Uint32(framing.DispositionFirst, 99), uint32(1)))
 	}},
-	{"2.7.6", "client", "a disposition over a range reaches the server for each delivery of it", func(t *testing.T) error {
+	{"2.7.6", "client", "a disposition over a range is forwarded for each delivery of the range", func(t *testing.T) error {
 		recorder := &recordingEndpoint{reply: func(conn *connection, _ *session, frame framing.Frame) bool {
 			if frame.Code != framing.CodeFlow || frame.Field(framing.FlowHandle) == nil {
 				return false
@@ -308,7 +308,7 @@
 		}
 		return checkEqual("settled", settled, []uint32{0, 1, 2})
 	}},
-	{"3.2", "client", "a message passes byte for byte, annotations and all", func(t *testing.T) error {
+	{"3.2", "client", "a message is forwarded unchanged, including annotations", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		client := dialRawTo(t, recorder).begin()
 		if _, err := client.attachAndWait(true); err != nil {
@@ -323,7 +323,7 @@
 		}
 		return checkEqual("message", all[0].Payload, message)
 	}},
-	{"3.4", "client", "accepted, rejected, released and modified come back as the server gave them", func(t *testing.T) error {
+	{"3.4", "client", "the outcomes accepted, rejected, released and modified are returned unchanged", func(t *testing.T) error {
 		outcomes := []any{codec.Described{Descriptor: uint64(framing.CodeAccepted), Value: codec.List{}}, codec.Described{Descriptor: uint64(framing.CodeRejected), Value: codec.List{framing.NewErrorValue("amqp:not-found", "no such score", nil)}}, codec.Described{Descriptor: uint64(framing.CodeReleased), Value: codec.List{}},
 			codec.Described{Descriptor: uint64(framing.CodeModified), Value: codec.List{true, false, codec.Map{codec.Symbol("why"), "x"}}}}
 		recorder := &recordingEndpoint{reply: func(conn *connection, _ *session, frame framing.Frame) bool {
@@ -345,7 +345,7 @@
 		}
 		return nil
 	}},
-	{"3.5", "client", "sources and targets reach the server as they are: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
+	{"3.5", "client", "sources and targets are forwarded unchanged: durable, expiry, dynamic, filters, capabilities", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		source := codec.Described{Descriptor: uint64(framing.CodeSource), Value: codec.List{nil, uint32(2), codec.Symbol("never"), uint32(60), true, codec.Map{codec.Symbol("lifetime-policy"), codec.Described{Descriptor: uint64(0x2b), Value: codec.List{}}}, codec.Symbol("copy"),
 			codec.Map{codec.Symbol("sel"), codec.Described{Descriptor: codec.Symbol("apache.org:selector-filter:string"), Value: "a = 1"}}, nil, codec.Array{codec.Symbol("amqp:accepted:list")}, codec.Array{codec.Symbol("queue")}}}
@@ -360,7 +360,7 @@
 		}
 		return checkEqual("source", all[0].Field(framing.AttachSource), source)
 	}},
-	{"5.3.1", "client", "mechanisms, init and outcome go before the header of AMQP", func(t *testing.T) error {
+	{"5.3.1", "client", "SASL mechanisms, init and outcome precede the AMQP protocol header", func(t *testing.T) error {
 		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
@@ -378,7 +378,7 @@
 		header, err := conn.readProtocolHeader(time.Second)
 		return errors.Join(err, checkEqual("header", header, framing.ProtocolHeaderAMQP))
 	}},
-	{"5.3.2", "client", "a mechanism that was not offered fails the outcome, and the connection is closed", func(t *testing.T) error {
+	{"5.3.2", "client", "a mechanism that was not offered results in a failed outcome, and the connection is closed", func(t *testing.T) error {
 		conn, err := dialAndExchangeHeader(t, framing.ProtocolHeaderSASL)
 		if err != nil {
 			return err
--- a/internal/frontend/amqp/conformance_endpoint_test.go
+++ b/internal/frontend/amqp/conformance_endpoint_test.go
@@ -19,7 +19,7 @@
 
 // endpointRequirements are checked with endpoints that record the frontend's frames.
 var endpointRequirements = []requirement{
-	{"2.3", "server", "no frame is over the size that the server takes", func(t *testing.T) error {
+	{"2.3", "server", "no frame exceeds the server's max-frame-size", func(t *testing.T) error {
 		recorder := &recordingEndpoint{open: newOpen("server").With(framing.OpenMaxFrameSize, uint32(framing.MinMaxFrameSize))}
 		client := dialRawTo(t, recorder).begin()
 		if _, err := client.attachAndWait(true); err != nil {
@@ -37,7 +37,7 @@
 		}
 		return errors.Join(err, checkEqual("size of the delivery", len(whole), len(body)))
 	}},
-	{"2.4.1", "server", "open, begin and attach come in this order, on a channel and a handle that every server takes", func(t *testing.T) error {
+	{"2.4.1", "server", "open, begin and attach are sent in this order, on channel 0 and handle 0", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
 		if _, err := dialRawTo(t, recorder).begin().attachAndWait(true); err != nil {
 			return err
@@ -52,7 +52,7 @@
 		}
 		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", recorder.frames[1].Channel, uint16(0)), checkEqual("handle", recorder.frames[2].Uint32(framing.AttachHandle, 99), uint32(0)))
 	}},
-	{"2.4.5", "server", "frames without a body come within the idle time-out that the server asks for", func(t *testing.T) error {
+	{"2.4.5", "server", "empty frames are sent within the server's idle-time-out", func(t *testing.T) error {
 		recorder := &recordingEndpoint{open: newOpen("server").With(framing.OpenIdleTimeout, uint32(200))}
 		if _, err := dialRawTo(t, recorder).begin().attachAndWait(true); err != nil {
 			return err
@@ -71,7 +71,7 @@
 		}
 		return nil
 	}},
-	{"2.5.6", "server", "no more transfers go out than the server's window takes", func(t *testing.T) error {
+	{"2.5.6", "server", "transfers stay within the server's incoming window", func(t *testing.T) error {
 		recorder := &recordingEndpoint{window: 2}
 		client := dialRawTo(t, recorder).begin()
 		if _, err := client.attachAndWait(true); err != nil {
@@ -87,7 +87,7 @@
 		all, err := recorder.waitFor(framing.CodeTransfer, 2)
 		return errors.Join(err, checkEqual("transfers", len(all), 2))
 	}},
-	{"2.7.1", "server", "shared connections have no more sessions than the server's channel-max takes", func(t *testing.T) error {
+	{"2.7.1", "server", "shared connections stay within the server's channel-max", func(t *testing.T) error {
 		var mu sync.Mutex
 		highestChannel, connections := uint16(0), 0
 		protocol := amqpProtocol(func(frontend *Frontend) { frontend.Pool = connpool.Settings{MaxSessions: 8, IdleTimeout: time.Minute} }, nil)
@@ -132,7 +132,7 @@
 
 // libraryRequirements are checked with github.com/Azure/go-amqp as the client.
 var libraryRequirements = []requirement{
-	{"2.6, 3.4", "library", "go-amqp sends in each settlement mode, and is told each outcome", func(t *testing.T) error {
+	{"2.6, 3.4", "library", "go-amqp sends in each settlement mode and receives each outcome", func(t *testing.T) error {
 		session := newClientSession(t, newTestRelay(t, protocols[1], 1, nil))
 		for _, mode := range []client10.SenderSettleMode{client10.SenderSettleModeSettled, client10.SenderSettleModeUnsettled, client10.SenderSettleModeMixed} {
 			sender, err := session.NewSender(t.Context(), "there", &client10.SenderOptions{Properties: linkProperties(), SettlementMode: mode.Ptr()})
--- a/internal/frontend/amqp/protocolerrors_test.go
+++ b/internal/frontend/amqp/protocolerrors_test.go
@@ -13,7 +13,8 @@
 	"lockroad/internal/proxy"
 )
 
-func TestWrongFramesGetTheStandardsConditions(t *testing.T) {
+// Each protocol violation must be answered with the condition that the standard requires.
+func TestProtocolViolationsGetTheStandardConditions(t *testing.T) {
 	properties := codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)}
 	for name, testCase := range map[string]struct {
 		actions []endpointAction
