--- a/internal/console/decisions.go
+++ b/internal/console/decisions.go
@@ -35,7 +35,7 @@
 		return err
 	}
 	if s.Persistence != nil {
-		s.Persistence.Pinned(number)
+		s.Persistence.ArchivePinned(number)
 	}
 	fmt.Fprintf(out, "transaction %d is pinned\n", number)
 	return nil
--- a/internal/console/drain.go
+++ b/internal/console/drain.go
@@ -25,8 +25,8 @@
 	Undrain(ctx context.Context, endpoint, user string) (was persistence.DrainDirective, kept, err error)
 	DrainDirectives() []persistence.DrainDirective
 	Stats() (store.Stats, error)
-	// Pinned archives the explanation of a request, so that it outlasts a restart.
-	Pinned(number uint64)
+	// ArchivePinned archives the explanation of a request, so that it outlasts a restart.
+	ArchivePinned(number uint64)
 }
 
 var errNoPersistence = errors.New("this relay takes no orders")
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -52,7 +52,7 @@
 	}, nil
 }
 
-func (*fakePersistence) Pinned(uint64) {}
+func (*fakePersistence) ArchivePinned(uint64) {}
 
 // TestMain makes all tests of the package write times of day in UTC, whatever the machine's zone. It is set before the first
 // test, as sessions of an earlier one may still be ending when the next test begins.
--- a/internal/server/archive.go
+++ b/internal/server/archive.go
@@ -93,8 +93,8 @@
 
 func (r archivedRequest) Ended(proxy.Result) { r.enqueue(r.number) }
 
-// Pinned enqueues a request that was pinned. Its explanation covers the request's decisions so far.
-func (p *persistentState) Pinned(number uint64) {
+// ArchivePinned enqueues a request that was pinned. Its explanation covers the request's decisions so far.
+func (p *persistentState) ArchivePinned(number uint64) {
 	if p.archive != nil {
 		p.archive.enqueue(number)
 	}
