--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -23,7 +23,7 @@
 )
 
 // startServer serves the console of a relay with something in most answers. It returns the socket, and
-// a function that counts the calls of Drain.
+// a function that counts the calls of Shutdown.
 func startServer(t *testing.T) (socket string, drained func() int) {
 	t.Helper()
 	relay := proxy.New(balancer.Settings{
@@ -44,11 +44,11 @@
 	observer.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
 	drains := 0
-	server := &Server{Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}}, Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Drain: func() {
+	server := &Server{Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}}, Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Shutdown: func() {
 		mu.Lock()
 		defer mu.Unlock()
 		drains++
-	}, Log: func(most int) []string { return []string{"first\n", "second\n", "third\n"}[3-min(3, most):] }, Restart: func() error { return nil }}
+	}, LogTail: func(most int) []string { return []string{"first\n", "second\n", "third\n"}[3-min(3, most):] }, Restart: func() error { return nil }}
 	socket = filepath.Join(t.TempDir(), "console")
 	listener, err := Listen(socket)
 	if err != nil {
--- a/internal/console/drain.go
+++ b/internal/console/drain.go
@@ -34,7 +34,7 @@
 // drain puts a drain directive into force, or without arguments drains the relay and stops it.
 func drain(ctx context.Context, s *Server, call call, out io.Writer) error {
 	if call.args == "" {
-		s.Drain()
+		s.Shutdown()
 		fmt.Fprintln(out, "everyone is being moved; the relay stops after the last")
 		return nil
 	}
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -110,7 +110,7 @@
 		synctest.Wait()
 		do(&Server{
 			Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
-			Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Drain: func() {}, Persistence: &fakePersistence{since: time.Now()},
+			Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Shutdown: func() {}, Persistence: &fakePersistence{since: time.Now()},
 			Reload: func(_ context.Context, _ bool) ([]string, error) {
 				return []string{"limits.cores: 2 becomes 4"}, nil
 			},
@@ -119,7 +119,7 @@
 					{Name: "s-1", State: healthcheck.StateUp}, {Name: "s-2", State: healthcheck.StateDown, DownFor: 90 * time.Second, ConsecutiveFailures: 4, Reason: "refused"},
 				}, true
 			},
-			Log:     func(int) []string { return []string{"first\n", "second\n"} },
+			LogTail: func(int) []string { return []string{"first\n", "second\n"} },
 			Restart: func() error { return nil },
 		})
 	})
--- a/internal/console/process.go
+++ b/internal/console/process.go
@@ -85,7 +85,7 @@
 
 // logLines shows the last lines of the log.
 func logLines(_ context.Context, s *Server, call call, out io.Writer) error {
-	if s.Log == nil {
+	if s.LogTail == nil {
 		return errors.New("this relay keeps no lines of its log")
 	}
 	limit := defaultLogLines
@@ -95,7 +95,7 @@
 			return fmt.Errorf("%q is no number of lines within 1 and %d", call.args, maxLogLines)
 		}
 	}
-	for _, line := range s.Log(limit) {
+	for _, line := range s.LogTail(limit) {
 		fmt.Fprintln(out, strings.TrimRight(line, "\n"))
 	}
 	return nil
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -32,8 +32,8 @@
 	MaxSessions = 24
 )
 
-// Frontend is the name and the address of a frontend of the relay.
-type Frontend struct{ Name, Listen string }
+// Frontend is the name and the listening address of a frontend of the relay.
+type Frontend struct{ Name, Address string }
 
 // Server answers the console's commands. Its fields are set before Serve and not changed after;
 // its functions are called from the goroutines of sessions.
@@ -41,7 +41,7 @@
 	Name        string // of the relay
 	Proxy       *proxy.Proxy
 	Frontends   []Frontend
-	Drain       func()             // makes the relay drain and stop
+	Shutdown    func()             // migrates all clients off the relay, and then stops it
 	Explainer   *explain.Explainer // nil: no decisions are logged
 	Persistence Persistence        // nil: no drain directives are taken
 	// Reload applies the configuration file and returns what changes, a line each; with dry it only
@@ -49,8 +49,8 @@
 	Reload func(ctx context.Context, dry bool) ([]string, error)
 	// Health returns the health of a site's endpoints, and whether the prober doubts itself as most
 	// seem to be down. nil: discovery says which endpoints are up.
-	Health func() (all []healthcheck.EndpointHealth, doubts bool)
-	Log    func(most int) []string // returns the last lines of the log; nil: none are kept
+	Health  func() (all []healthcheck.EndpointHealth, doubts bool)
+	LogTail func(most int) []string // returns the last lines of the log; nil: none are kept
 	// Restart makes the relay drain and be started again. An error says why that can't be. nil: it
 	// can't be.
 	Restart func() error
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -120,7 +120,7 @@
 func (s *Server) frontends(out io.Writer) {
 	writeTable(out, []string{"FRONT", "LISTENS"}, func(row rowFunc) {
 		for _, frontend := range s.Frontends {
-			row(frontend.Name, frontend.Listen)
+			row(frontend.Name, frontend.Address)
 		}
 	})
 }
--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -137,7 +137,7 @@
 		r.closeListeners()
 		return fmt.Errorf("open %s frontend: %w", name, err)
 	}
-	r.frontends = append(r.frontends, boundFrontend{console.Frontend{Name: name, Listen: l.Addr().String()}, f, l})
+	r.frontends = append(r.frontends, boundFrontend{console.Frontend{Name: name, Address: l.Addr().String()}, f, l})
 	return nil
 }
 
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -60,10 +60,10 @@
 	server := &console.Server{
 		Name:        r.config.Name,
 		Proxy:       r.proxy,
-		Drain:       r.requestShutdown,
+		Shutdown:    r.requestShutdown,
 		Persistence: r.persistence,
 		Reload:      r.requestReload,
-		Log:         r.options.LogTail,
+		LogTail:     r.options.LogTail,
 		Restart:     r.requestRestart,
 	}
 	if r.prober != nil {
