--- a/internal/console/commands.go
+++ b/internal/console/commands.go
@@ -51,7 +51,7 @@
 	commands = []command{
 		{"status", "", "what the relay has done since its start", report((*Server).status), true},
 		{"farm", "", "the application servers, as discovery last named them", report((*Server).endpointList), true},
-		{"servers", "", "the servers with what is there of transactions, and what is held of them", noArgs(endpoints), true},
+		{"servers", "", "the servers with what is there of transactions, and what is held of them", noArgs(endpointViews), true},
 		{"transactions", "", "those under way", report((*Server).requests), true},
 		{"fronts", "", "where clients come in", report((*Server).frontends), true},
 		{"why", "NUMBER|NAME|(QUERY)", "why a transaction went where it went; help why tells more", why, false},
@@ -71,7 +71,7 @@
 }
 
 // execute runs a command line for a user and returns the answer.
-func (s *Server) execute(ctx context.Context, line, user string) (answerVerdict, string) {
+func (s *Server) execute(ctx context.Context, line, user string) (answerStatus, string) {
 	name, args, _ := strings.Cut(line, " ")
 	for _, command := range commands {
 		if command.name != name {
@@ -84,11 +84,11 @@
 			args, out = strings.TrimSpace(before), &jsonWriter{buffer: &answer}
 		}
 		if err := command.run(ctx, s, call{args: args, user: user}, out); err != nil {
-			return verdictError, fmt.Sprintf("%s: %v\n", name, err)
+			return statusError, fmt.Sprintf("%s: %v\n", name, err)
 		}
-		return verdictOK, answer.String()
+		return statusOK, answer.String()
 	}
-	return verdictError, fmt.Sprintf("unknown command %q; help lists those there are\n", name)
+	return statusError, fmt.Sprintf("unknown command %q; help lists those there are\n", name)
 }
 
 // help lists the commands, or explains queries.
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -230,7 +230,7 @@
 			t.Fatalf("console %d: %v", len(connections), err)
 		}
 	}
-	if code, _, errs := runConsole("", socket, "status"); code == ExitOK || !strings.Contains(errs, "as many as may be") && code != ExitUnreachable {
+	if code, _, errs := runConsole("", socket, "status"); code == ExitOK || !strings.Contains(errs, "too many console sessions") && code != ExitUnreachable {
 		t.Errorf("one too many: code %d, %s", code, errs)
 	}
 	for _, connection := range connections[10:] {
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -1,9 +1,9 @@
-// Package console is the operator's console: commands of a line each over a Unix socket, which
-// only the owner of the relay's process may open. Server answers them; Run and Watch are its
+// Package console implements the operator's console: one-line commands over a Unix socket that
+// only the user who runs the relay may open. Server answers the commands; Run and Watch are the
 // clients.
 //
-// On the wire a command is a line. An answer is a line with a verdict, "ok" or "error", and the
-// number of bytes of the text that follows.
+// On the wire a command is one line. An answer is a header line with a status, "ok" or "error",
+// and the length of the text that follows, in bytes.
 package console
 
 import (
@@ -24,47 +24,47 @@
 
 const (
 	maxCommandBytes = 4 << 10
-	idleTimeout     = 10 * time.Minute // a session without a command for this long is closed
-	answerTimeout   = 5 * time.Second  // for an answer to be made, and to be written
+	idleTimeout     = 10 * time.Minute // after which a session without a command is closed
+	answerTimeout   = 5 * time.Second  // for writing an answer; also for a reload, and for a client's exchange
 	acceptBackoff   = 10 * time.Millisecond
 
-	// MaxSessions bounds the sessions that are open at a time, and so their file descriptors.
+	// MaxSessions limits the open sessions, and thereby the file descriptors they use.
 	MaxSessions = 24
 )
 
 // Frontend is the name and the listening address of a frontend of the relay.
 type Frontend struct{ Name, Address string }
 
-// Server answers the console's commands. Its fields are set before Serve and not changed after;
-// its functions are called from the goroutines of sessions.
+// Server answers the console's commands. Its fields are set before Serve and not changed after
+// that. Its functions are called concurrently, from the goroutines of the sessions.
 type Server struct {
 	Name        string // of the relay
 	Proxy       *proxy.Proxy
 	Frontends   []Frontend
 	Shutdown    func()             // migrates all clients off the relay, and then stops it
-	Explainer   *explain.Explainer // nil: no decisions are logged
-	Persistence Persistence        // nil: no drain directives are taken
-	// Reload applies the configuration file and returns what changes, a line each; with dry it only
-	// returns that. nil: the relay has no file.
-	Reload func(ctx context.Context, dry bool) ([]string, error)
-	// Health returns the health of a site's endpoints, and whether the prober doubts itself as most
-	// seem to be down. nil: discovery says which endpoints are up.
-	Health  func() (all []healthcheck.EndpointHealth, doubts bool)
-	LogTail func(most int) []string // returns the last lines of the log; nil: none are kept
-	// Restart makes the relay drain and be started again. An error says why that can't be. nil: it
-	// can't be.
+	Explainer   *explain.Explainer // nil: there is no decision log
+	Persistence Persistence        // nil: drain directives are rejected
+	// Reload applies the configuration file and returns a line for each change. With dryRun it
+	// changes nothing. nil: there is no configuration file.
+	Reload func(ctx context.Context, dryRun bool) ([]string, error)
+	// Health returns the health of the endpoints, and whether panic mode lists all of them as up
+	// because most health checks fail. nil: endpoints have no health checks.
+	Health  func() (all []healthcheck.EndpointHealth, panicMode bool)
+	LogTail func(limit int) []string // returns the last lines of the log; nil: none are retained
+	// Restart migrates all clients off the relay and restarts it. It returns an error if the relay
+	// can't be restarted. nil: restarts are not supported.
 	Restart func() error
 }
 
-// Listen opens the console's socket, for its owner alone. A socket that an earlier process left
-// there is replaced, unless one still answers on it.
+// Listen opens the console's socket, which only its owner may access. It replaces the socket of a
+// process that has ended, and fails if a process still listens on it.
 func Listen(path string) (net.Listener, error) {
 	if conn, err := net.Dial("unix", path); err == nil {
 		conn.Close()
-		return nil, fmt.Errorf("console: %s answers already", path)
+		return nil, fmt.Errorf("console: another process listens on socket %s", path)
 	}
 	if info, err := os.Stat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		_ = os.Remove(path) // if it stays, Listen fails
+		_ = os.Remove(path) // if this fails, net.Listen reports the address in use
 	}
 	listener, err := net.Listen("unix", path)
 	if err != nil {
@@ -77,9 +77,8 @@
 	return listener, nil
 }
 
-// Serve answers sessions until ctx ends, and closes the listener then. Each session has a
-// goroutine, which ends with its connection; the end of ctx closes that, but Serve does not wait
-// for it.
+// Serve accepts sessions until ctx ends, and then closes the listener and all connections. Each
+// session has its own goroutine. Serve does not wait for them to end.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
@@ -89,7 +88,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // as when the process is out of file descriptors
+		if err != nil { // for example, the process is out of file descriptors
 			select {
 			case <-ctx.Done():
 				return nil
@@ -112,15 +111,16 @@
 	}
 }
 
-// rejectSession says that there are too many sessions. The client, which knows nothing of it,
-// takes this for the answer to its first command.
+// rejectSession sends the error that there are too many sessions, and closes the connection. The
+// client reads it as the answer to its first command.
 func rejectSession(conn net.Conn) {
 	conn.SetDeadline(time.Now().Add(time.Millisecond))
-	io.WriteString(conn, frameAnswer(verdictError, fmt.Sprintf("%d consoles are open, as many as may be\n", MaxSessions)))
+	io.WriteString(conn, frameAnswer(statusError, fmt.Sprintf("too many console sessions: the limit is %d\n", MaxSessions)))
 	conn.Close()
 }
 
-// serveSession answers one session's commands until its connection ends.
+// serveSession answers the commands of one session until its connection ends or is idle for too
+// long.
 func (s *Server) serveSession(ctx context.Context, conn net.Conn) {
 	user := peerUser(conn)
 	reader := bufio.NewReaderSize(conn, maxCommandBytes)
@@ -130,25 +130,24 @@
 		if err != nil {
 			return
 		}
-		verdict, answer := s.execute(ctx, strings.TrimSpace(string(line)), user)
+		status, answer := s.execute(ctx, strings.TrimSpace(string(line)), user)
 		conn.SetDeadline(time.Now().Add(answerTimeout))
-		if _, err := io.WriteString(conn, frameAnswer(verdict, answer)); err != nil {
+		if _, err := io.WriteString(conn, frameAnswer(status, answer)); err != nil {
 			return
 		}
 	}
 }
 
-// answerVerdict is the first word of an answer on the wire.
-type answerVerdict string
+// answerStatus is the first word of an answer's header on the wire.
+type answerStatus string
 
 const (
-	verdictOK    answerVerdict = "ok"
-	verdictError answerVerdict = "error" // the command was rejected, and the text says why
+	statusOK    answerStatus = "ok"
+	statusError answerStatus = "error" // the command failed, and the text is the error
 )
 
-// frameAnswer returns an answer as it goes over the wire, without anything that would control a
-// terminal.
-func frameAnswer(verdict answerVerdict, text string) string {
+// frameAnswer encodes an answer for the wire. It replaces control characters in the text.
+func frameAnswer(status answerStatus, text string) string {
 	text = Sanitize(text)
-	return fmt.Sprintf("%s %d\n%s", verdict, len(text), text)
+	return fmt.Sprintf("%s %d\n%s", status, len(text), text)
 }
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -48,9 +48,9 @@
 	})
 }
 
-// endpoints shows the endpoints that are not gone, or that still have requests, with the
+// endpointViews shows the endpointViews that are not gone, or that still have requests, with the
 // balancer's view of them.
-func endpoints(ctx context.Context, s *Server, _ call, out io.Writer) error {
+func endpointViews(ctx context.Context, s *Server, _ call, out io.Writer) error {
 	requests := s.requestsByEndpoint()
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
