--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -103,7 +103,7 @@
 		t.Errorf("%d attempts came to s-1 after the order", n)
 	}
 	testutil.Until(t, "the new process has no store", func() bool { return strings.Contains(runConsole(t, socket, "store"), "all is well") })
-	runConsole(t, socket, "undrain s-1", "as the list has it again", "outlasts a restart")
+	runConsole(t, socket, "undrain s-1", "follows the endpoint list again", "outlasts a restart")
 	again := time.Now()
 	testutil.Until(t, "no attempt comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
 	cluster.stopClients()
--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -24,7 +24,7 @@
 	letClientsRun()
 	runConsole(t, socket, "log", "ready")
 	asked := time.Now()
-	runConsole(t, socket, "restart", "starts again after the last")
+	runConsole(t, socket, "restart", "restarts after the last")
 	err := <-relay.exited
 	relay.exited <- nil
 	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitRestart || time.Since(asked) > cluster.killAfter {
@@ -73,7 +73,7 @@
 	if n := cluster.attemptsAt("s-1", last.Add(550*time.Millisecond)); n > 0 {
 		t.Errorf("%d attempts came to s-1 after the last order", n)
 	}
-	runConsole(t, socket, "undrain s-1", "as the list has it again")
+	runConsole(t, socket, "undrain s-1", "follows the endpoint list again")
 	again := time.Now()
 	testutil.Until(t, "no attempt comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
 	relay.shutDown()
--- a/internal/console/drain.go
+++ b/internal/console/drain.go
@@ -13,29 +13,35 @@
 	"lockroad/internal/store"
 )
 
-// This file has the commands that drain endpoints or the relay.
+// This file has the commands that drain endpoints or the relay. Operators know a drain directive
+// as an order.
 
-// Persistence stores drain directives, and reports on the store. Its methods are called from
-// the goroutines of sessions.
+// Persistence applies and stores drain directives, archives requests, and reports on the store.
+// Its methods are called concurrently, from the goroutines of the sessions.
 type Persistence interface {
-	// Drain puts a drain directive into force at once. kept says why it does not outlast a restart,
-	// nil if it does; was is the directive that it replaces, nil if none.
-	Drain(ctx context.Context, directive persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error)
-	// Undrain withdraws the drain directive of an endpoint, and returns it.
-	Undrain(ctx context.Context, endpoint, user string) (was persistence.DrainDirective, kept, err error)
+	// Drain puts a drain directive into force at once. previous is the directive of the same endpoint
+	// that it replaces, or nil. storeErr says why the directive does not outlast a restart, nil if it
+	// does. If err is set, the directive was rejected.
+	Drain(ctx context.Context, directive persistence.DrainDirective) (previous *persistence.DrainDirective, storeErr, err error)
+	// Undrain withdraws the drain directive of an endpoint, and returns it. storeErr says why the
+	// withdrawal does not outlast a restart, nil if it does. If err is set, there was no directive.
+	Undrain(ctx context.Context, endpoint, user string) (withdrawn persistence.DrainDirective, storeErr, err error)
+	// DrainDirectives returns the directives in force.
 	DrainDirectives() []persistence.DrainDirective
+	// Stats returns the statistics of the store, or the error that it could not be opened with.
 	Stats() (store.Stats, error)
 	// ArchivePinned archives the explanation of a request, so that it outlasts a restart.
 	ArchivePinned(number uint64)
 }
 
-var errNoPersistence = errors.New("this relay takes no orders")
+var errNoPersistence = errors.New("this relay does not support orders to drain servers")
 
-// drain puts a drain directive into force, or without arguments drains the relay and stops it.
+// drain puts a drain directive into force. Without arguments it migrates all clients off the relay
+// and stops it.
 func drain(ctx context.Context, s *Server, call call, out io.Writer) error {
 	if call.args == "" {
 		s.Shutdown()
-		fmt.Fprintln(out, "everyone is being moved; the relay stops after the last")
+		fmt.Fprintln(out, "all clients are being moved away; the relay stops after the last has left")
 		return nil
 	}
 	if s.Persistence == nil {
@@ -45,19 +51,19 @@
 	if err != nil {
 		return err
 	}
-	replaced, persistErr, err := s.Persistence.Drain(ctx, directive)
+	previous, storeErr, err := s.Persistence.Drain(ctx, directive)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s drains: nothing new goes there, and its %d transactions are moved; %s\n",
-		directive.Endpoint, s.requestsByEndpoint()[directive.Endpoint], persistedText(persistErr))
-	if replaced != nil {
-		fmt.Fprintf(out, "this replaces the order of %s since %s%s\n", replaced.By, formatTime(replaced.Since), reasonClause(replaced.Reason))
+	fmt.Fprintf(out, "%s drains: it gets no new transactions, and its %d transactions are moved away; %s\n",
+		directive.Endpoint, s.requestsByEndpoint()[directive.Endpoint], persistenceText(storeErr))
+	if previous != nil {
+		fmt.Fprintf(out, "this replaces the order of %s from %s%s\n", previous.By, formatTime(previous.Since), reasonClause(previous.Reason))
 	}
 	return nil
 }
 
-// parseDrainDirective reads SERVER [for TIME] [because WORDS].
+// parseDrainDirective parses the arguments SERVER [for TIME] [because WORDS].
 func parseDrainDirective(text, user string, now time.Time) (directive persistence.DrainDirective, err error) {
 	directive = persistence.DrainDirective{By: user, Since: now}
 	directive.Endpoint, text = cutWord(text)
@@ -73,45 +79,45 @@
 			directive.Until, text = now.Add(duration), rest
 		case "because":
 			if after == "" {
-				return directive, errors.New("because: expected words")
+				return directive, errors.New("because: expected a reason")
 			}
 			directive.Reason, text = after, ""
 		default:
-			return directive, fmt.Errorf("%q: expected SERVER [for TIME] [because WORDS]", word)
+			return directive, fmt.Errorf("unexpected argument %q: expected SERVER [for TIME] [because WORDS]", word)
 		}
 	}
 	return directive, nil
 }
 
-// cutWord returns the first word of a text, and what follows it.
+// cutWord splits a text at its first space, into the first word and the trimmed rest.
 func cutWord(text string) (word, rest string) {
 	word, rest, _ = strings.Cut(text, " ")
 	return word, strings.TrimSpace(rest)
 }
 
-// undrain withdraws a drain directive.
+// undrain withdraws the drain directive of an endpoint.
 func undrain(ctx context.Context, s *Server, call call, out io.Writer) error {
 	if s.Persistence == nil {
 		return errNoPersistence
 	}
 	if call.args == "" || strings.Contains(call.args, " ") {
-		return errors.New("expected SERVER")
+		return errors.New("expected one argument, SERVER")
 	}
-	withdrawn, persistErr, err := s.Persistence.Undrain(ctx, call.args, call.user)
+	withdrawn, storeErr, err := s.Persistence.Undrain(ctx, call.args, call.user)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s is as the list has it again; the order of %s since %s%s is withdrawn, %s\n",
-		call.args, withdrawn.By, formatTime(withdrawn.Since), reasonClause(withdrawn.Reason), persistedText(persistErr))
+	fmt.Fprintf(out, "%s follows the endpoint list again; the order of %s from %s%s is withdrawn; %s\n",
+		call.args, withdrawn.By, formatTime(withdrawn.Since), reasonClause(withdrawn.Reason), persistenceText(storeErr))
 	return nil
 }
 
-// persistedText says whether a change outlasts a restart.
-func persistedText(persistErr error) string {
-	if persistErr == nil {
-		return "and that outlasts a restart"
+// persistenceText says whether a change outlasts a restart. storeErr is the error of storing it.
+func persistenceText(storeErr error) string {
+	if storeErr == nil {
+		return "this outlasts a restart"
 	}
-	return fmt.Sprintf("but that does not outlast a restart: %v", persistErr)
+	return fmt.Sprintf("this does not outlast a restart: %v", storeErr)
 }
 
 func formatTime(t time.Time) string { return t.Local().Format("2006-01-02 15:04:05") }
@@ -123,8 +129,8 @@
 	return fmt.Sprintf(" because %q", reason)
 }
 
-// drainDirectives shows the drain directives in force, with how many requests are still to be
-// migrated.
+// drainDirectives shows the drain directives in force, with the number of requests that are still
+// at each endpoint.
 func (s *Server) drainDirectives(out io.Writer) {
 	var directives []persistence.DrainDirective
 	if s.Persistence != nil {
--- a/internal/console/process.go
+++ b/internal/console/process.go
@@ -13,33 +13,33 @@
 	"time"
 )
 
-// This file has the commands about the relay's process: its restart, configuration, store and
-// log.
+// This file has the commands for the relay's process: restart, reload, store and log.
 
+// Limits of the log command.
 const (
 	defaultLogLines = 20
 	maxLogLines     = 1000
 )
 
-// restart makes the relay drain and be started again.
+// restart migrates all clients off the relay and restarts it.
 func restart(_ context.Context, s *Server, _ call, out io.Writer) error {
 	if s.Restart == nil {
-		return errors.New("this relay can't be started again from here")
+		return errors.New("this relay does not support restarts from the console")
 	}
 	if err := s.Restart(); err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "everyone is being moved; the relay starts again after the last")
+	fmt.Fprintln(out, "all clients are being moved away; the relay restarts after the last has left")
 	return nil
 }
 
-// reload applies the configuration file, or shows what that would change.
+// reload applies the configuration file, or with --dry-run shows what that would change.
 func reload(ctx context.Context, s *Server, call call, out io.Writer) error {
 	if call.args != "" && call.args != "--dry-run" {
-		return fmt.Errorf("%q: expected nothing or --dry-run", call.args)
+		return fmt.Errorf("unexpected argument %q: expected nothing or --dry-run", call.args)
 	}
 	if s.Reload == nil {
-		return errors.New("this relay has no file to take")
+		return errors.New("this relay has no configuration file to reload")
 	}
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -51,12 +51,12 @@
 		fmt.Fprintln(out, change)
 	}
 	if len(changes) == 0 {
-		fmt.Fprintln(out, "nothing changes")
+		fmt.Fprintln(out, "no changes")
 	}
 	return nil
 }
 
-// storeStats shows what is stored on disk.
+// storeStats shows the statistics of the store on disk.
 func (s *Server) storeStats(out io.Writer) {
 	if s.Persistence == nil {
 		fmt.Fprintln(out, "nothing is kept on disk")
@@ -83,16 +83,16 @@
 	})
 }
 
-// logLines shows the last lines of the log.
+// logLines shows the last lines of the log, defaultLogLines unless a number is given.
 func logLines(_ context.Context, s *Server, call call, out io.Writer) error {
 	if s.LogTail == nil {
-		return errors.New("this relay keeps no lines of its log")
+		return errors.New("this relay does not retain its log lines")
 	}
 	limit := defaultLogLines
 	if call.args != "" {
 		var err error
 		if limit, err = strconv.Atoi(call.args); err != nil || limit < 1 || limit > maxLogLines {
-			return fmt.Errorf("%q is no number of lines within 1 and %d", call.args, maxLogLines)
+			return fmt.Errorf("invalid number of lines %q: expected 1 to %d", call.args, maxLogLines)
 		}
 	}
 	for _, line := range s.LogTail(limit) {
