--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -116,7 +116,7 @@
 		"words after a name":  {socket, "status farm", ExitRejected, `status: unexpected argument "farm"`},
 		"a bad query":         {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
 		"no such pin":         {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
-		"a pin of a name":     {socket, "pin x", ExitRejected, `"x" is no transaction's number`},
+		"a pin of a name":     {socket, "pin x", ExitRejected, `pin: invalid transaction number "x"`},
 		"no lines":            {socket, "log 0", ExitRejected, `log: invalid number of lines "0"`},
 		"no JSON of an order": {socket, "undrain --json", ExitRejected, "undrain: "},
 		"odd help":            {socket, "help me", ExitRejected, `help: "me": expected nothing or why`},
--- a/internal/console/decisions.go
+++ b/internal/console/decisions.go
@@ -12,11 +12,11 @@
 	"lockroad/internal/explain"
 )
 
-// This file has the commands about the decision log.
+// This file has the commands for the decision log.
 
-var errNoDecisionLog = errors.New("no decisions are kept: the operator's file has why.bytes = 0")
+var errNoDecisionLog = errors.New("the decision log is disabled: why.bytes is 0 in the operator's configuration file")
 
-// why answers a query about decisions.
+// why explains the requests that match a query, or counts them.
 func why(_ context.Context, s *Server, call call, out io.Writer) error {
 	if s.Explainer == nil {
 		return errNoDecisionLog
@@ -28,7 +28,7 @@
 	return s.Explainer.Answer(query, out)
 }
 
-// pin keeps the entry of a request, and archives it where there is an archive.
+// pin keeps a request in the decision log until it is unpinned, and archives it.
 func pin(_ context.Context, s *Server, call call, out io.Writer) error {
 	number, err := s.setPinned(call.args, true)
 	if err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// unpin lets an entry be evicted again.
+// unpin lets the decision log evict a request again.
 func unpin(_ context.Context, s *Server, call call, out io.Writer) error {
 	number, err := s.setPinned(call.args, false)
 	if err != nil {
@@ -51,19 +51,19 @@
 	return nil
 }
 
-// setPinned pins or unpins the entry of a request's number, which it returns.
+// setPinned pins or unpins the request whose number is given as text, and returns the number.
 func (s *Server) setPinned(text string, pinned bool) (number uint64, err error) {
 	if s.Explainer == nil {
 		return 0, errNoDecisionLog
 	}
 	number, err = strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%q is no transaction's number; why tells it", text)
+		return 0, fmt.Errorf("invalid transaction number %q; the why command shows the numbers", text)
 	}
 	return number, s.Explainer.Log.Pin(number, pinned)
 }
 
-// decisionLogStats shows what the decision log holds.
+// decisionLogStats shows the statistics of the decision log.
 func decisionLogStats(ctx context.Context, s *Server, call call, out io.Writer) error {
 	if s.Explainer == nil {
 		return errNoDecisionLog
@@ -81,7 +81,7 @@
 	})
 	fmt.Fprintf(out, "%d bytes, all set aside at the start; %d steps found no room\n", stats.Bytes, stats.EventsLost)
 	if stats.Horizon > 0 {
-		reach := (s.Proxy.Clock.Now() - stats.Horizon).Round(time.Second)
-		fmt.Fprintf(out, "all that came within the last %s are kept\n", reach)
+		window := (s.Proxy.Clock.Now() - stats.Horizon).Round(time.Second)
+		fmt.Fprintf(out, "all that came within the last %s are kept\n", window)
 	}
 }
--- a/internal/console/output.go
+++ b/internal/console/output.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// This file has the two forms of an answer: text in columns, for people, and JSON, an object
-// a line, for programs.
+// This file writes answers in two formats: aligned columns for people, and one JSON object per line
+// for programs.
 
-// rowFunc writes one row of a table. A nil cell stands for a value that is not known.
+// rowFunc writes one row of a table. A nil cell is a value that is unknown or absent.
 type rowFunc func(cells ...any)
 
-// writeTable writes rows in columns, or as JSON if out is a jsonWriter. Without a head each row
-// is a name and its value.
-func writeTable(out io.Writer, head []string, writeRows func(row rowFunc)) {
-	if objects, ok := out.(*jsonWriter); ok {
-		objects.writeTable(head, writeRows)
+// writeTable writes rows as aligned columns, or as JSON if out is a *jsonWriter. If header is nil,
+// each row is a name and a value.
+func writeTable(out io.Writer, header []string, writeRows func(row rowFunc)) {
+	if jsonOut, ok := out.(*jsonWriter); ok {
+		jsonOut.writeTable(header, writeRows)
 		return
 	}
 	columns := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -36,9 +36,9 @@
 		}
 		fmt.Fprintln(columns)
 	}
-	if head != nil {
-		cells := make([]any, len(head))
-		for i, name := range head {
+	if header != nil {
+		cells := make([]any, len(header))
+		for i, name := range header {
 			cells[i] = name
 		}
 		row(cells...)
@@ -47,11 +47,11 @@
 	columns.Flush()
 }
 
-// jsonWriter writes an answer as JSON. Durations are in seconds. A line of text becomes an
-// object with that as its note.
+// jsonWriter writes an answer as JSON, with durations in seconds. A line of text becomes an object
+// whose member "note" is the line.
 type jsonWriter struct{ buffer *strings.Builder }
 
-// Write takes whole lines of text. It never fails.
+// Write writes an object for each line of text, which must be complete lines. It never fails.
 func (w *jsonWriter) Write(text []byte) (int, error) {
 	for line := range strings.Lines(string(text)) {
 		w.beginObject()
@@ -64,7 +64,7 @@
 func (w *jsonWriter) beginObject() { w.buffer.WriteByte('{') }
 func (w *jsonWriter) endObject()   { w.buffer.WriteString("}\n") }
 
-// writeMember writes one member of an object, in the order of the calls.
+// writeMember appends a member to the current object.
 func (w *jsonWriter) writeMember(name string, value any) {
 	if written := w.buffer.String(); written[len(written)-1] != '{' {
 		w.buffer.WriteByte(',')
@@ -76,13 +76,13 @@
 
 func (w *jsonWriter) writeValue(value any) {
 	text, err := json.Marshal(value)
-	if err != nil { // can't be, as cells are plain values
+	if err != nil { // unreachable: jsonValue returns only what can be marshaled
 		text = []byte("null")
 	}
 	w.buffer.Write(text)
 }
 
-// jsonValue returns what stands in JSON for a cell.
+// jsonValue converts a cell to a value that json.Marshal accepts.
 func jsonValue(cell any) any {
 	switch value := cell.(type) {
 	case time.Duration:
@@ -97,14 +97,15 @@
 	return cell
 }
 
-// memberName returns the name of a member for that of a column or row: in lower case.
+// memberName converts the name of a column or row to that of a JSON member, in lower case with
+// underscores.
 func memberName(name string) string {
 	return strings.ReplaceAll(strings.ToLower(strings.TrimSpace(name)), " ", "_")
 }
 
-// writeTable writes an object a row, or without a head one object with a member a row.
-func (w *jsonWriter) writeTable(head []string, writeRows func(row rowFunc)) {
-	if head == nil {
+// writeTable writes one object per row. If header is nil, it writes one object with a member per row.
+func (w *jsonWriter) writeTable(header []string, writeRows func(row rowFunc)) {
+	if header == nil {
 		w.beginObject()
 		writeRows(func(cells ...any) { w.writeMember(fmt.Sprint(cells[0]), cells[1]) })
 		w.endObject()
@@ -112,15 +113,16 @@
 	}
 	writeRows(func(cells ...any) {
 		w.beginObject()
-		for i, name := range head {
+		for i, name := range header {
 			w.writeMember(name, cells[i])
 		}
 		w.endObject()
 	})
 }
 
-// Sanitize replaces what would control a terminal, as names come from clients and endpoints.
-// What it replaces is within names, and so within the strings of what is JSON.
+// Sanitize replaces control characters, which could come from the names that clients and endpoints
+// choose and would control the operator's terminal. JSON stays valid, as there they occur in strings
+// only.
 func Sanitize(text string) string {
 	return strings.Map(func(char rune) rune {
 		switch {
@@ -138,11 +140,11 @@
 // isControl reports whether a character may control a terminal or the direction of text.
 func isControl(char rune) bool {
 	switch {
-	case char < ' ', char >= 0x7f && char < 0xa0: // C0 and C1 controls
+	case char < ' ', char >= 0x7f && char < 0xa0: // C0, DEL and C1
 		return true
-	case char == 0x061c, char >= 0x200e && char <= 0x200f, char >= 0x202a && char <= 0x202e, char >= 0x2066 && char <= 0x2069: // direction
+	case char == 0x061c, char >= 0x200e && char <= 0x200f, char >= 0x202a && char <= 0x202e, char >= 0x2066 && char <= 0x2069: // bidirectional formatting
 		return true
-	case char >= 0x2028 && char <= 0x2029, char == 0xfeff: // separators of lines and paragraphs, byte order mark
+	case char >= 0x2028 && char <= 0x2029, char == 0xfeff: // line and paragraph separators, byte order mark
 		return true
 	}
 	return false
--- a/internal/console/peer.go
+++ b/internal/console/peer.go
@@ -8,11 +8,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// unknownUser is who calls where the kernel doesn't say.
+// unknownUser stands for a client whose credentials the kernel does not provide.
 const unknownUser = "unknown"
 
-// peerUser returns the name of the user at the other end of a connection, or "uid N" for one
-// without a name.
+// peerUser returns the name of the user at the other end of a connection, or "uid N" if the user ID
+// has no account.
 func peerUser(conn net.Conn) string {
 	unixConn, ok := conn.(*net.UnixConn)
 	if !ok {
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -13,13 +13,13 @@
 	"lockroad/internal/registry"
 )
 
-// This file has the commands that show the state of the relay, its endpoints and requests.
+// This file has the commands that show the state of the relay, its endpoints and its requests.
 
-// viewTimeout bounds the wait for the turn of the proxy's event loop in which the balancer
-// returns its view of the endpoints.
+// viewTimeout limits the wait for the balancer's view of the endpoints, which the proxy's event
+// loop collects.
 const viewTimeout = time.Second
 
-// status shows the counters since the start.
+// status shows the relay's counters since its start.
 func (s *Server) status(out io.Writer) {
 	counters := s.Proxy.Counters
 	writeTable(out, nil, func(row rowFunc) {
@@ -39,7 +39,7 @@
 	})
 }
 
-// endpointList shows the endpoint list.
+// endpointList shows all known endpoints with their states.
 func (s *Server) endpointList(out io.Writer) {
 	writeTable(out, []string{"SERVER", "ADDRESS", "PHASE"}, func(row rowFunc) {
 		for _, endpoint := range s.Proxy.Endpoints.List() {
@@ -55,13 +55,13 @@
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	views := s.Proxy.EndpointViews(ctx)
-	head := []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}
-	writeTable(out, head, func(row rowFunc) {
+	header := []string{"SERVER", "STATE", "TRANSACTIONS", "DELAY", "LOAD", "AVOIDED", "ADDRESS"}
+	writeTable(out, header, func(row rowFunc) {
 		for _, endpoint := range s.Proxy.Endpoints.List() {
 			if endpoint.State == balancer.StateGone && requests[endpoint.Name] == 0 {
 				continue
 			}
-			var delay, load, avoided any // nil: not known
+			var delay, load, avoided any // nil: unknown or none
 			if view, known := views[endpoint.ID]; known {
 				if view.Delay > 0 {
 					delay = view.Delay.Round(100 * time.Microsecond)
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// stateText returns an endpoint's state, and whether a drain directive is the cause of it.
+// stateText returns the name of an endpoint's state, with a remark if it drains because of a drain
+// directive.
 func (s *Server) stateText(endpoint registry.Endpoint) string {
 	if endpoint.State == balancer.StateDraining && s.Proxy.DrainDirected(endpoint.Name) {
 		return registry.StateName(endpoint.State) + ", as ordered"
@@ -85,7 +86,7 @@
 	return registry.StateName(endpoint.State)
 }
 
-// requestsByEndpoint counts the requests at each endpoint, with those of attempts in progress.
+// requestsByEndpoint counts the requests at each endpoint, including attempts in progress.
 func (s *Server) requestsByEndpoint() map[string]int {
 	counts := make(map[string]int)
 	for _, request := range s.Proxy.Requests.List() {
@@ -103,10 +104,10 @@
 		names[endpoint.ID] = endpoint.Name
 	}
 	now := s.Proxy.Clock.Now()
-	head := []string{"NUMBER", "FRONT", "NAME", "CLASS", "STAGE", "SERVER", "PASSES", "AGE"}
-	writeTable(out, head, func(row rowFunc) {
+	header := []string{"NUMBER", "FRONT", "NAME", "CLASS", "STAGE", "SERVER", "PASSES", "AGE"}
+	writeTable(out, header, func(row rowFunc) {
 		for _, request := range s.Proxy.Requests.List() {
-			var endpoint any // nil: none yet
+			var endpoint any // nil: not assigned yet
 			if request.Stage != registry.StageWaiting {
 				endpoint = names[request.Endpoint]
 			}
@@ -116,7 +117,7 @@
 	})
 }
 
-// frontends shows the frontends.
+// frontends shows the frontends and their listening addresses.
 func (s *Server) frontends(out io.Writer) {
 	writeTable(out, []string{"FRONT", "LISTENS"}, func(row rowFunc) {
 		for _, frontend := range s.Frontends {
@@ -125,14 +126,14 @@
 	})
 }
 
-// health shows the health of the endpoints.
+// health shows the result of the endpoints' health checks.
 func (s *Server) health(out io.Writer) {
 	if s.Health == nil {
 		fmt.Fprintln(out, "discovery tells which servers are up; farm has them")
 		return
 	}
-	endpoints, doubts := s.Health()
-	if doubts {
+	endpoints, panicMode := s.Health()
+	if panicMode {
 		fmt.Fprintln(out, "most seem to be down: this box is doubted first, and all are listed as up")
 	}
 	writeTable(out, []string{"SERVER", "STATE", "FOR", "FAILED IN A ROW", "WHY"}, func(row rowFunc) {
