--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -22,17 +22,17 @@
 	"lockroad/internal/testutil"
 )
 
-// startServer serves the console of a relay with something in most answers. It returns the socket, and
-// a function that counts the calls of Shutdown.
-func startServer(t *testing.T) (socket string, drained func() int) {
+// startServer serves the console of a relay with a draining endpoint, an established request, and a rejected one in its
+// decision log. It returns the socket, and a function that returns how often Shutdown was called.
+func startServer(t *testing.T) (socket string, shutdowns func() int) {
 	t.Helper()
 	relay := proxy.New(balancer.Settings{
 		Classes: []balancer.Class{{Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 	}, 1, proxy.NewClock())
 	id := relay.Endpoints.AssignID("s-5be2a07c")
 	relay.UpdateEndpoints(balancer.ListFull, []balancer.Endpoint{{ID: id, State: balancer.StateDraining, Size: 1}}, []string{"10.1.0.18:3000"})
-	n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
-	relay.Requests.SetStage(n, registry.StageEstablished, id)
+	number, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: "9b1f03aa", Class: "page", Since: relay.Clock.Now()})
+	relay.Requests.SetStage(number, registry.StageEstablished, id)
 	relay.Counters.CountEnd(registry.EndMigrated)
 	relay.Counters.CountAttempt(balancer.StatusTimeout)
 	log, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
@@ -43,12 +43,12 @@
 	observer.AttemptStarted(id)(balancer.StatusFull)
 	observer.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 	var mu sync.Mutex
-	drains := 0
+	shutdownCalls := 0
 	server := &Server{Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}}, Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Shutdown: func() {
 		mu.Lock()
 		defer mu.Unlock()
-		drains++
-	}, LogTail: func(most int) []string { return []string{"first\n", "second\n", "third\n"}[3-min(3, most):] }, Restart: func() error { return nil }}
+		shutdownCalls++
+	}, LogTail: func(limit int) []string { return []string{"first\n", "second\n", "third\n"}[3-min(3, limit):] }, Restart: func() error { return nil }}
 	socket = filepath.Join(t.TempDir(), "console")
 	listener, err := Listen(socket)
 	if err != nil {
@@ -62,18 +62,19 @@
 	return socket, func() int {
 		mu.Lock()
 		defer mu.Unlock()
-		return drains
+		return shutdownCalls
 	}
 }
 
+// runConsole calls Run, and returns the exit code and what was written.
 func runConsole(in, socket, command string) (code int, out, errs string) {
-	var o, e strings.Builder
-	code = Run(socket, command, strings.NewReader(in), &o, &e)
-	return code, o.String(), e.String()
+	var outText, errText strings.Builder
+	code = Run(socket, command, strings.NewReader(in), &outText, &errText)
+	return code, outText.String(), errText.String()
 }
 
 func TestCommandsAreAnswered(t *testing.T) {
-	socket, drained := startServer(t)
+	socket, shutdowns := startServer(t)
 	for command, want := range map[string][]string{
 		"status":       {"relay", "n3", "moved", "passes timeout", "broken invariants"},
 		"farm":         {"s-5be2a07c", "10.1.0.18:3000", "draining"},
@@ -96,56 +97,56 @@
 		code, out, errs := runConsole("", socket, command)
 		for _, word := range want {
 			if code != ExitOK || errs != "" || !strings.Contains(out, word) {
-				t.Errorf("%s: code %d, errors %q, no %q in\n%s", command, code, errs, word, out)
+				t.Errorf("%s: exit code %d, errors %q, want %q in answer\n%s", command, code, errs, word, out)
 			}
 		}
 	}
-	if drained() != 1 {
-		t.Errorf("told to drain %d times, want 1", drained())
+	if shutdowns() != 1 {
+		t.Errorf("Shutdown was called %d times, want 1", shutdowns())
 	}
 }
 
 func TestRejectedCommandsAndExitCodes(t *testing.T) {
-	socket, drained := startServer(t)
-	for name, connection := range map[string]struct {
+	socket, shutdowns := startServer(t)
+	for name, test := range map[string]struct {
 		socket, command string
 		code            int
 		errs            string
 	}{
-		"unknown command":     {socket, "explode", ExitRejected, `unknown command "explode"`},
-		"words after a name":  {socket, "status farm", ExitRejected, `status: unexpected argument "farm"`},
-		"a bad query":         {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
-		"no such pin":         {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
-		"a pin of a name":     {socket, "pin x", ExitRejected, `pin: invalid transaction number "x"`},
-		"no lines":            {socket, "log 0", ExitRejected, `log: invalid number of lines "0"`},
-		"no JSON of an order": {socket, "undrain --json", ExitRejected, "undrain: "},
-		"odd help":            {socket, "help me", ExitRejected, `help: "me": expected nothing or why`},
-		"nobody there":        {socket + "x", "status", ExitUnreachable, "no relay answers"},
+		"unknown command":         {socket, "explode", ExitRejected, `unknown command "explode"`},
+		"unexpected argument":     {socket, "status farm", ExitRejected, `status: unexpected argument "farm"`},
+		"invalid query":           {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
+		"pin of an unknown one":   {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
+		"pin of a name":           {socket, "pin x", ExitRejected, `pin: invalid transaction number "x"`},
+		"log of 0 lines":          {socket, "log 0", ExitRejected, `log: invalid number of lines "0"`},
+		"JSON where unsupported":  {socket, "undrain --json", ExitRejected, "undrain: "},
+		"help on another command": {socket, "help me", ExitRejected, `help: "me": expected nothing or why`},
+		"no relay":                {socket + "x", "status", ExitUnreachable, "no relay answers"},
 	} {
-		code, out, errs := runConsole("", connection.socket, connection.command)
-		if code != connection.code || !strings.Contains(errs, connection.errs) || out != "" {
-			t.Errorf("%s: code %d, out %q, errors %q", name, code, out, errs)
+		code, out, errs := runConsole("", test.socket, test.command)
+		if code != test.code || !strings.Contains(errs, test.errs) || out != "" {
+			t.Errorf("%s: exit code %d, want %d; answer %q, want none; errors %q, want %q", name, code, test.code, out, errs, test.errs)
 		}
 	}
-	if drained() != 0 {
-		t.Error("told to drain")
+	if shutdowns() != 0 {
+		t.Error("Shutdown was called for rejected commands")
 	}
 }
 
-func TestRunReadsCommands(t *testing.T) {
+func TestRunReadsCommandsFromInput(t *testing.T) {
 	socket, _ := startServer(t)
 	code, out, errs := runConsole("fronts\n\nodd\nfarm\nquit\nstatus\n", socket, "")
 	if code != ExitOK || !strings.Contains(out, "10.0.0.4:3000") || !strings.Contains(out, "s-5be2a07c") ||
 		strings.Contains(out, "passes") || !strings.Contains(errs, `unknown command "odd"`) {
-		t.Errorf("code %d, errors %q, out\n%s", code, errs, out)
+		t.Errorf("exit code %d, errors %q, answers\n%s", code, errs, out)
 	}
 }
 
-// A relay that was killed leaves its socket behind, which is replaced; that of a running one is not.
+// The socket file of a killed process must not prevent the next start, and a running process must keep its socket.
 func TestListenReplacesOnlyStaleSocket(t *testing.T) {
 	socket, _ := startServer(t)
 	if _, err := Listen(socket); err == nil {
-		t.Error("a socket that answers was taken over")
+		t.Error("Listen replaced the socket of a running server")
 	}
 	stale := filepath.Join(t.TempDir(), "stale")
 	listener, err := net.Listen("unix", stale)
@@ -160,7 +161,7 @@
 	listener.Close()
 }
 
-// Every command that reports something does so as JSON too, an object a line, with numbers as numbers.
+// Answers with --json are one object per line, with numbers as JSON numbers.
 func TestAnswersAsJSON(t *testing.T) {
 	socket, _ := startServer(t)
 	for command, want := range map[string]map[string]any{
@@ -171,41 +172,41 @@
 	} {
 		code, out, errs := runConsole("", socket, command+" --json")
 		if code != ExitOK || errs != "" {
-			t.Errorf("%s: code %d, %s", command, code, errs)
+			t.Errorf("%s --json: exit code %d, errors %q", command, code, errs)
 		}
 		for i, line := range strings.Split(strings.TrimSpace(out), "\n") {
-			var o map[string]any
-			if err := json.Unmarshal([]byte(line), &o); err != nil {
-				t.Errorf("%s: %v in %s", command, err, line)
+			var object map[string]any
+			if err := json.Unmarshal([]byte(line), &object); err != nil {
+				t.Errorf("%s --json: %v in line %s", command, err, line)
 			}
-			for name, v := range want {
-				if got, has := o[name]; i == 0 && (!has || got != v) {
-					t.Errorf("%s: %s is %v, want %v, in %s", command, name, got, v, line)
+			for name, value := range want {
+				if got, present := object[name]; i == 0 && (!present || got != value) {
+					t.Errorf("%s --json: member %s is %v, want %v, in line %s", command, name, got, value, line)
 				}
 			}
 		}
 	}
 }
 
-// Names come from clients: none of them controls the terminal, and JSON stays valid.
-func TestNamesDoNotMoveTheTerminal(t *testing.T) {
-	const evil = "a\x1b[2J\u202e\u009bb"
+// A client must not be able to control the operator's terminal through the name of a request.
+func TestControlCharactersInNamesAreReplaced(t *testing.T) {
+	const name = "a\x1b[2J\u202e\u009bb"
 	server := &Server{Proxy: proxy.New(balancer.Settings{RelayCount: 1}, 1, proxy.NewClock())}
-	server.Proxy.Requests.Add(registry.Request{Frontend: "line", Name: evil, Class: evil})
+	server.Proxy.Requests.Add(registry.Request{Frontend: "line", Name: name, Class: name})
 	for _, command := range []string{"transactions", "transactions --json"} {
 		_, answer := server.execute(context.Background(), command, "me")
-		head, body, _ := strings.Cut(frameAnswer("ok", answer), "\n")
-		if strings.ContainsAny(body, "\x1b\u202e\u009b") || !strings.Contains(body, "b") || head != fmt.Sprintf("ok %d", len(body)) {
-			t.Errorf("%s: %q, %q", command, head, body)
+		header, body, _ := strings.Cut(frameAnswer("ok", answer), "\n")
+		if strings.ContainsAny(body, "\x1b\u202e\u009b") || !strings.Contains(body, "b") || header != fmt.Sprintf("ok %d", len(body)) {
+			t.Errorf("%s: answer with header %q and body %q", command, header, body)
 		}
-		if o := map[string]any{}; strings.HasSuffix(command, "--json") && json.Unmarshal([]byte(body), &o) != nil {
-			t.Errorf("%s: %q", command, body)
+		if object := map[string]any{}; strings.HasSuffix(command, "--json") && json.Unmarshal([]byte(body), &object) != nil {
+			t.Errorf("%s: invalid JSON %q", command, body)
 		}
 	}
 }
 
-// MaxSessions are answered, though one of them never reads. One more is rejected, and accepted once
-// others have ended.
+// MaxSessions sessions are answered, even if one of them never reads. Another is rejected until some have
+// ended.
 func TestSessionsAreLimited(t *testing.T) {
 	socket, _ := startServer(t)
 	stalled, err := net.Dial("unix", socket)
@@ -214,7 +215,7 @@
 	}
 	defer stalled.Close()
 	stalled.SetWriteDeadline(time.Now().Add(300 * time.Millisecond))
-	for err == nil { // until the server waits for it to read
+	for err == nil { // until the server blocks in writing an answer
 		_, err = io.WriteString(stalled, "help why\n")
 	}
 	var connections []net.Conn
@@ -225,43 +226,42 @@
 		}
 		defer connection.Close()
 		connections = append(connections, connection)
-		s := &clientSession{conn: connection, reader: bufio.NewReader(connection)}
-		if _, err := s.send("status"); err != nil {
-			t.Fatalf("console %d: %v", len(connections), err)
+		session := &clientSession{conn: connection, reader: bufio.NewReader(connection)}
+		if _, err := session.send("status"); err != nil {
+			t.Fatalf("session %d: %v", len(connections), err)
 		}
 	}
 	if code, _, errs := runConsole("", socket, "status"); code == ExitOK || !strings.Contains(errs, "too many console sessions") && code != ExitUnreachable {
-		t.Errorf("one too many: code %d, %s", code, errs)
+		t.Errorf("session %d: exit code %d, errors %q, want a rejection", MaxSessions+1, code, errs)
 	}
 	for _, connection := range connections[10:] {
 		connection.Close()
 	}
-	testutil.Until(t, "there is no room again", func() bool {
+	testutil.Until(t, "sessions are still rejected after others have ended", func() bool {
 		code, _, _ := runConsole("", socket, "status")
 		return code == ExitOK
 	})
 }
 
-// flakyListener fails to accept at first, as in a process that is out of file descriptors.
+// flakyListener fails its first calls of Accept, as in a process that is out of file descriptors.
 type flakyListener struct {
 	net.Listener
 	failuresLeft int
 }
 
-func (listener *flakyListener) Accept() (net.Conn, error) {
-	if listener.failuresLeft--; listener.failuresLeft >= 0 {
+func (l *flakyListener) Accept() (net.Conn, error) {
+	if l.failuresLeft--; l.failuresLeft >= 0 {
 		return nil, syscall.EMFILE
 	}
-	return listener.Listener.Accept()
+	return l.Listener.Accept()
 }
 
-// Watch goes on while the relay is unreachable; a relay that is out of file descriptors answers once it
-// has some.
+// Watch must continue over a restart of the relay, and Serve over failures to accept a connection.
 func TestWatchContinuesOverRestart(t *testing.T) {
 	server := &Server{Name: "n1", Proxy: proxy.New(balancer.Settings{RelayCount: 1}, 1, proxy.NewClock())}
 	socket := filepath.Join(t.TempDir(), "console")
 	if code := Watch(t.Context(), socket, "status", time.Millisecond, false, io.Discard, io.Discard); code != ExitUnreachable {
-		t.Errorf("code %d of a relay that was never there", code)
+		t.Errorf("without a relay: exit code %d, want %d", code, ExitUnreachable)
 	}
 	serve := func(name string) (stop func()) {
 		listener, err := Listen(socket)
@@ -276,26 +276,26 @@
 		return func() { cancel(); done.Wait() }
 	}
 	stop := serve("before")
-	log, w := io.Pipe()
+	answers, watchOut := io.Pipe()
 	ctx, cancel := context.WithCancel(context.Background())
 	var watch sync.WaitGroup
-	watch.Go(func() { Watch(ctx, socket, "status --json", time.Millisecond, false, w, io.Discard) })
+	watch.Go(func() { Watch(ctx, socket, "status --json", time.Millisecond, false, watchOut, io.Discard) })
 	defer watch.Wait()
-	defer func() { _ = log.Close() }()
+	defer func() { _ = answers.Close() }()
 	defer cancel()
-	lines := bufio.NewScanner(log)
-	until := func(name string) {
+	lines := bufio.NewScanner(answers)
+	awaitAnswerOf := func(name string) {
 		t.Helper()
 		for lines.Scan() {
 			if strings.Contains(lines.Text(), name) {
 				return
 			}
 		}
-		t.Fatalf("%s is never seen", name)
+		t.Fatalf("no answer of relay %q", name)
 	}
-	until("before")
+	awaitAnswerOf("before")
 	stop()
 	stop = serve("after")
 	defer stop()
-	until("after")
+	awaitAnswerOf("after")
 }
--- a/internal/console/golden_test.go
+++ b/internal/console/golden_test.go
@@ -22,57 +22,57 @@
 	"lockroad/internal/store"
 )
 
-// fakePersistence has two drain directives in force and a store with every figure set.
+// fakePersistence has two drain directives in force, and a store with all statistics set.
 type fakePersistence struct {
 	since     time.Time
 	lastError error
 }
 
-func (relay *fakePersistence) directive() persistence.DrainDirective {
-	return persistence.DrainDirective{Endpoint: "s-1", By: "ada", Reason: "disk swap", Since: relay.since, Until: relay.since.Add(2 * time.Hour)}
+func (p *fakePersistence) directive() persistence.DrainDirective {
+	return persistence.DrainDirective{Endpoint: "s-1", By: "ada", Reason: "disk swap", Since: p.since, Until: p.since.Add(2 * time.Hour)}
 }
 
-func (relay *fakePersistence) Drain(context.Context, persistence.DrainDirective) (was *persistence.DrainDirective, kept, err error) {
-	replaced := relay.directive()
+func (p *fakePersistence) Drain(context.Context, persistence.DrainDirective) (previous *persistence.DrainDirective, storeErr, err error) {
+	replaced := p.directive()
 	return &replaced, nil, nil
 }
 
-func (relay *fakePersistence) Undrain(context.Context, string, string) (was persistence.DrainDirective, kept, err error) {
-	return relay.directive(), errors.New("no room"), nil
+func (p *fakePersistence) Undrain(context.Context, string, string) (withdrawn persistence.DrainDirective, storeErr, err error) {
+	return p.directive(), errors.New("no room"), nil
 }
 
-func (relay *fakePersistence) DrainDirectives() []persistence.DrainDirective {
-	return []persistence.DrainDirective{relay.directive(), {Endpoint: "s-2", By: "bob", Since: relay.since}}
+func (p *fakePersistence) DrainDirectives() []persistence.DrainDirective {
+	return []persistence.DrainDirective{p.directive(), {Endpoint: "s-2", By: "bob", Since: p.since}}
 }
 
-func (relay *fakePersistence) Stats() (store.Stats, error) {
+func (p *fakePersistence) Stats() (store.Stats, error) {
 	return store.Stats{
 		Records: map[string]int{"farm": 3, "order": 2}, Dropped: map[string]uint64{"farm": 1, "order": 4},
-		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, Waiting: 17, LastError: relay.lastError, Retained: 18 * time.Minute,
+		Commits: 11, Syncs: 12, Merges: 13, Files: 14, Bytes: 1500, LiveBytes: 1600, Waiting: 17, LastError: p.lastError, Retained: 18 * time.Minute,
 	}, nil
 }
 
 func (*fakePersistence) ArchivePinned(uint64) {}
 
-// TestMain makes all tests of the package write times of day in UTC, whatever the machine's zone. It is set before the first
-// test, as sessions of an earlier one may still be ending when the next test begins.
+// TestMain sets the local time zone of all tests to UTC. It must not change between tests, as sessions of the previous
+// test may still be running.
 func TestMain(m *testing.M) {
 	time.Local = time.UTC
 	os.Exit(m.Run())
 }
 
-// withFixedServer calls do with the server of a relay whose clock is fixed and that has
-// something in every field of every answer.
-func withFixedServer(t *testing.T, do func(server *Server)) {
+// withFixedServer calls test with the server of a relay whose clock is fake, and that has a value for every field of
+// every answer.
+func withFixedServer(t *testing.T, test func(server *Server)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		relay := proxy.New(balancer.Settings{
 			Classes: []balancer.Class{{Name: "page", Deadline: time.Second}}, RelayCount: 1, MaxAttempts: 1, InitialCapacity: 1, OverloadMultiple: 1, OverloadWindow: 1,
 		}, 1, proxy.NewClock())
 		ctx, cancel := context.WithCancel(context.Background())
-		var all sync.WaitGroup
-		all.Go(func() { _ = relay.Run(ctx) })
-		defer func() { cancel(); all.Wait() }()
+		var running sync.WaitGroup
+		running.Go(func() { _ = relay.Run(ctx) })
+		defer func() { cancel(); running.Wait() }()
 		var servers []balancer.Endpoint
 		var addresses []string
 		for i, state := range []balancer.EndpointState{balancer.StateReady, balancer.StateReady, balancer.StateDraining} {
@@ -82,9 +82,9 @@
 		relay.UpdateEndpoints(balancer.ListFull, servers, addresses)
 		relay.SetDrain("s-2", true)
 		for i, stage := range []registry.Stage{registry.StageWaiting, registry.StageAttempting, registry.StageEstablished} {
-			n, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: relay.Clock.Now()})
+			number, _ := relay.Requests.Add(registry.Request{Frontend: "line", Name: fmt.Sprintf("name-%d", i+1), Class: "page", Since: relay.Clock.Now()})
 			if stage != registry.StageWaiting {
-				relay.Requests.SetStage(n, stage, servers[i].ID)
+				relay.Requests.SetStage(number, stage, servers[i].ID)
 			}
 		}
 		relay.Counters.Requests.Add(41)
@@ -103,12 +103,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		trace := log.RequestStarted(1, proxy.Request{Frontend: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
-		trace.AttemptStarted(servers[0].ID)(balancer.StatusFull)
-		trace.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
+		observer := log.RequestStarted(1, proxy.Request{Frontend: "line", Class: "page", Name: "name-1", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + time.Second}})
+		observer.AttemptStarted(servers[0].ID)(balancer.StatusFull)
+		observer.Ended(proxy.Result{End: registry.EndRejected, RetryAfter: time.Second})
 		time.Sleep(1234 * time.Millisecond)
 		synctest.Wait()
-		do(&Server{
+		test(&Server{
 			Name: "n3", Proxy: relay, Frontends: []Frontend{{"line", "10.0.0.4:3000"}, {"amqp", "10.0.0.4:5671"}},
 			Explainer: &explain.Explainer{Log: log, Names: relay.Endpoints}, Shutdown: func() {}, Persistence: &fakePersistence{since: time.Now()},
 			Reload: func(_ context.Context, _ bool) ([]string, error) {
@@ -125,34 +125,34 @@
 	})
 }
 
-// transcript is each command with its verdict and answer.
-func transcript(server *Server, texts ...string) string {
-	var b strings.Builder
-	for _, text := range texts {
-		verdict, answer := server.execute(context.Background(), text, "ada")
-		fmt.Fprintf(&b, "> %s\n%s\n%s\n", text, verdict, answer)
+// transcript runs command lines, and returns each with the status and text of its answer.
+func transcript(server *Server, lines ...string) string {
+	var text strings.Builder
+	for _, line := range lines {
+		status, answer := server.execute(context.Background(), line, "ada")
+		fmt.Fprintf(&text, "> %s\n%s\n%s\n", line, status, answer)
 	}
-	return b.String()
+	return text.String()
 }
 
-// Every command that takes --json, as a program reads it.
+// Programs parse the answers to commands with --json.
 func TestCommandsJSONIsStable(t *testing.T) {
 	withFixedServer(t, func(server *Server) {
-		for _, c := range commands {
-			if c.supportsJSON {
-				golden.Compare(t, c.name+".jsonl", transcript(server, c.name+" --json"))
+		for _, command := range commands {
+			if command.supportsJSON {
+				golden.Compare(t, command.name+".jsonl", transcript(server, command.name+" --json"))
 			}
 		}
 		golden.Compare(t, "why.jsonl", transcript(server, "why --json 1", `why --json --where (answer "unavailable")`, "why --json --by class,answer,reason"))
 	})
 }
 
-// Every command's text, and what changes the relay.
+// The text answers of all commands, including those that change the relay.
 func TestCommandsTextIsStable(t *testing.T) {
 	withFixedServer(t, func(server *Server) {
-		for _, c := range commands {
-			if c.supportsJSON {
-				golden.Compare(t, c.name+".txt", transcript(server, c.name))
+		for _, command := range commands {
+			if command.supportsJSON {
+				golden.Compare(t, command.name+".txt", transcript(server, command.name))
 			}
 		}
 		golden.Compare(t, "help.txt", transcript(server, "help", "help why"))
@@ -161,7 +161,7 @@
 	})
 }
 
-// What the commands answer where there is nothing to tell, or no way to.
+// The answers of a relay without endpoints, requests, store, decision log or configuration file.
 func TestEmptyAnswersAreStable(t *testing.T) {
 	server := &Server{Name: "n3", Proxy: proxy.New(balancer.Settings{RelayCount: 1}, 1, proxy.NewClock()), Persistence: &fakePersistence{lastError: errors.New("disk full")}}
 	failing := transcript(server, "store", "store --json")
@@ -170,7 +170,7 @@
 		"record", "why 1", "pin 1", "drain s-1", "undrain s-1", "restart", "reload", "log"))
 }
 
-// The exit codes of lockroad console.
+// Scripts read the exit codes of lockroad console.
 func TestExitCodesAreStable(t *testing.T) {
 	golden.Compare(t, "exit-codes.txt", fmt.Sprintf("ok %d\nrefused %d\nusage %d\nunreachable %d\n", ExitOK, ExitRejected, ExitUsage, ExitUnreachable))
 }
--- a/internal/console/output.go
+++ b/internal/console/output.go
@@ -142,7 +142,7 @@
 	switch {
 	case char < ' ', char >= 0x7f && char < 0xa0: // C0, DEL and C1
 		return true
-	case char == 0x061c, char >= 0x200e && char <= 0x200f, char >= 0x202a && char <= 0x202e, char >= 0x2066 && char <= 0x2069: // bidirectional formatting
+	case char == 0x061c, char >= 0x200e && char <= 0x200f, char >= 0x202a && char <= 0x202e, char >= 0x2066 && char <= 0x2069: // bidi
 		return true
 	case char >= 0x2028 && char <= 0x2029, char == 0xfeff: // line and paragraph separators, byte order mark
 		return true
--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// endpointViews shows the endpointViews that are not gone, or that still have requests, with the
-// balancer's view of them.
+// endpointViews shows the balancer's view of the endpoints, without those that are gone and have no
+// requests left.
 func endpointViews(ctx context.Context, s *Server, _ call, out io.Writer) error {
 	requests := s.requestsByEndpoint()
 	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
