--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -14,8 +14,8 @@
 	"lockroad/internal/metrics"
 )
 
-// What is answered at each path of the second address: status, type and text.
-func TestAnswersAreStable(t *testing.T) {
+// The status, content type and body at each path, which health checks and metrics scrapers read.
+func TestResponsesAreStable(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,16 +37,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := http.DefaultClient.Do(request)
+		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, err := io.ReadAll(answer.Body)
-		_ = answer.Body.Close()
+		body, err := io.ReadAll(response.Body)
+		_ = response.Body.Close()
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&transcript, "> %s\n%s\n%s\n%s\n", step, answer.Status, answer.Header.Get("Content-Type"), body)
+		fmt.Fprintf(&transcript, "> %s\n%s\n%s\n%s\n", step, response.Status, response.Header.Get("Content-Type"), body)
 	}
 	golden.Compare(t, "answers.txt", transcript.String())
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -6,26 +6,26 @@
 	"sync"
 )
 
-// MaxConnections is the most connections that are open at a time, and so bounds their file
-// descriptors. The one that has been open longest is closed for the next.
+// MaxConnections limits the open connections, and thereby the file descriptors they use. The
+// oldest connection is closed when a new one exceeds the limit.
 const MaxConnections = 16
 
-// evictingListener is a listener that holds up to MaxCallers open connections, and closes
-// the oldest to accept one more.
+// evictingListener is a listener with up to MaxConnections open connections. It closes the
+// oldest one when it accepts another.
 type evictingListener struct {
 	net.Listener
 
 	mu    sync.Mutex     // guards conns
-	conns []*trackedConn // oldest first
+	conns []*trackedConn // the open ones, oldest first
 }
 
-// trackedConn is a connection that its listener knows to be open.
+// trackedConn is a connection that removes itself from its listener's open ones when it is closed.
 type trackedConn struct {
 	net.Conn
 	listener *evictingListener
 }
 
-// Accept returns the next connection, and closes the oldest if there are too many.
+// Accept returns the next connection. It closes the oldest one if there are too many.
 func (l *evictingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return conn, nil
 }
 
-// add adds an open connection. It returns the one that was removed for it, or nil.
+// add adds a connection to the open ones. It returns the connection that it evicted, or nil.
 func (l *evictingListener) add(conn *trackedConn) (oldest *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +50,7 @@
 	return oldest
 }
 
-// remove removes a connection, unless it was evicted.
+// remove removes a connection from the open ones, unless it was evicted.
 func (l *evictingListener) remove(conn *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Close closes the connection.
+// Close removes the connection from its listener's open ones, and closes it.
 func (c *trackedConn) Close() error {
 	c.listener.remove(c)
 	return c.Conn.Close()
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,6 +1,6 @@
-// Package admin serves the relay's second address over HTTP: whether the process takes
-// clients, and its metrics. It reads what is held without waiting for anything, so that
-// it answers in time however busy the relay is.
+// Package admin serves the relay's admin address over HTTP: a readiness check at /-/ready,
+// and metrics in the Prometheus text format at /-/metrics. Handlers never block, so that
+// they answer in time even if the relay is overloaded.
 package admin
 
 import (
@@ -14,20 +14,20 @@
 )
 
 const (
-	readTimeout    = 2 * time.Second // for a request
-	writeTimeout   = 2 * time.Second // for reading the answer, after readTimeout
-	maxHeaderBytes = 4 << 10         // of a request, to which net/http adds some
+	readTimeout    = 2 * time.Second // for a complete request
+	writeTimeout   = 2 * time.Second // for the response, after readTimeout
+	maxHeaderBytes = 4 << 10         // of a request; net/http allows some KB more
 )
 
-// Server answers the requests at the second address. Its fields are set before Serve;
-// what they call must not block.
+// Server answers the requests at the admin address. Its fields are set before Serve, and
+// must be safe for concurrent use and never block.
 type Server struct {
-	Ready   func() bool // whether the process takes clients
-	Metrics io.WriterTo
+	Ready   func() bool // reports whether the process accepts clients
+	Metrics io.WriterTo // writes the body of /-/metrics
 }
 
-// Serve answers requests, one a connection, until ctx ends, and closes the listener. It
-// returns nil if it has ended because ctx has.
+// Serve answers one request per connection until ctx ends, and then closes the listener and
+// all connections. It returns nil once ctx has ended.
 func (s *Server) Serve(ctx context.Context, listener net.Listener) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/ready", s.serveReady)
@@ -37,7 +37,7 @@
 		ReadTimeout:    readTimeout,
 		WriteTimeout:   readTimeout + writeTimeout,
 		MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog:       log.New(io.Discard, "", 0), // faulty clients would fill the log
+		ErrorLog:       log.New(io.Discard, "", 0), // malformed requests must not flood the log
 	}
 	httpServer.SetKeepAlivesEnabled(false)
 	defer context.AfterFunc(ctx, func() { _ = httpServer.Close() })()
@@ -57,5 +57,5 @@
 
 func (s *Server) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	_, _ = s.Metrics.WriteTo(w) // it fails only if the client has gone
+	_, _ = s.Metrics.WriteTo(w) // fails only if the client has closed the connection
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -35,27 +35,28 @@
 	return listener.Addr().String()
 }
 
-// exchange sends text to an address and returns the complete answer.
-func exchange(t *testing.T, address, text string) (status int, body string) {
+// exchange sends a request to an address, and returns the status and body of the response.
+func exchange(t *testing.T, address, request string) (status int, body string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(time.Second)) // as long as a client waits
-	io.WriteString(conn, text)
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	conn.SetDeadline(time.Now().Add(time.Second)) // the timeout of a client
+	io.WriteString(conn, request)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		t.Fatalf("%.40q: %v", text, err)
+		t.Fatalf("request %.40q: %v", request, err)
 	}
-	content, _ := io.ReadAll(answer.Body)
-	if !answer.Close {
-		t.Errorf("%.40q: the connection stays open for another request", text)
+	content, _ := io.ReadAll(response.Body)
+	if !response.Close {
+		t.Errorf("request %.40q: the connection stays open after the response", request)
 	}
-	return answer.StatusCode, string(content)
+	return response.StatusCode, string(content)
 }
 
+// getRequest returns the text of a GET request.
 func getRequest(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n" }
 
 func TestRequestsAreAnswered(t *testing.T) {
@@ -73,22 +74,22 @@
 		{"GET /-/ready HTTP/1.1\r\nHost: x\r\nLong: " + strings.Repeat("x", 3*maxHeaderBytes) + "\r\n\r\n", 431},
 	} {
 		if status, _ := exchange(t, address, request.text); status != request.want {
-			t.Errorf("%.50q: answered %d, want %d", request.text, status, request.want)
+			t.Errorf("request %.50q: status %d, want %d", request.text, status, request.want)
 		}
 	}
 	if _, body := exchange(t, address, getRequest("/-/metrics")); !strings.Contains(body, "edge_proxy_tries_total 5\n") {
-		t.Errorf("metrics: %s", body)
+		t.Errorf("metrics lack edge_proxy_tries_total 5:\n%s", body)
 	}
 	ready.Store(true)
 	if status, _ := exchange(t, address, getRequest("/-/ready")); status != 200 {
-		t.Errorf("ready: answered %d", status)
+		t.Errorf("status %d of a ready process, want 200", status)
 	}
 }
 
-// Connections without a complete request are evicted, and keep no other out.
-func TestSilentConnectionsAreEvicted(t *testing.T) {
+// Connections that never complete a request must not exhaust the connection limit.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	address := startServer(t, &Server{Ready: func() bool { return true }, Metrics: &metrics.Set{}})
-	var silent []net.Conn
+	var idle []net.Conn
 	for i := range 3 * MaxConnections {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
@@ -96,42 +97,42 @@
 		}
 		defer conn.Close()
 		fmt.Fprint(conn, "GET /-/rea"[:i%10])
-		silent = append(silent, conn)
+		idle = append(idle, conn)
 		if status, _ := exchange(t, address, getRequest("/-/ready")); status != 200 {
-			t.Fatalf("after %d connections: answered %d", i+1, status)
+			t.Fatalf("status %d beside %d idle connections, want 200", status, i+1)
 		}
 	}
 	open := 0
-	for _, conn := range silent {
+	for _, conn := range idle {
 		conn.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := conn.Read(make([]byte, 1)); err != nil {
-			var failed net.Error
-			if errors.As(err, &failed) && failed.Timeout() {
+			var netErr net.Error
+			if errors.As(err, &netErr) && netErr.Timeout() {
 				open++
 			}
 		}
 	}
 	if open > MaxConnections {
-		t.Errorf("%d silent connections are open", open)
+		t.Errorf("%d idle connections are open, want at most %d", open, MaxConnections)
 	}
 }
 
-// A request may be cut at every byte.
+// A request may arrive in two segments, split at any byte.
 func TestRequestsMayArriveInPieces(t *testing.T) {
 	address := startServer(t, &Server{Ready: func() bool { return true }, Metrics: &metrics.Set{}})
-	text := getRequest("/-/ready")
-	for cut := 1; cut < len(text); cut++ {
+	request := getRequest("/-/ready")
+	for split := 1; split < len(request); split++ {
 		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = conn.(*net.TCPConn).SetNoDelay(true)
 		conn.SetDeadline(time.Now().Add(time.Second))
-		io.WriteString(conn, text[:cut])
-		io.WriteString(conn, text[cut:])
-		answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
-		if err != nil || answer.StatusCode != 200 {
-			t.Errorf("cut at %d: %v, %v", cut, answer, err)
+		io.WriteString(conn, request[:split])
+		io.WriteString(conn, request[split:])
+		response, err := http.ReadResponse(bufio.NewReader(conn), nil)
+		if err != nil || response.StatusCode != 200 {
+			t.Errorf("split at byte %d: response %v, error %v", split, response, err)
 		}
 		conn.Close()
 	}
