--- a/internal/metrics/class_counters.go
+++ b/internal/metrics/class_counters.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// What may become of a connection.
+// Outcomes of a connection, which index ClassCounters.
 const (
 	outcomeEstablished = iota
 	outcomeRejected
@@ -10,22 +10,21 @@
 	outcomeCount
 )
 
-// outcomeNames are the names of the counters of each outcome, after namePrefix.
+// outcomeNames are the metric names of the outcomes, without namePrefix.
 var outcomeNames = [outcomeCount]string{"ok_total", "shed_total", "errors_total"}
 
-// ClassCounters counts the outcomes of the connections of one class since the process
-// began. It is safe for concurrent use. A nil pointer belongs to no class, and counts
-// nothing.
+// ClassCounters counts the outcomes of the connections of one class since the process started.
+// It is safe for concurrent use. Counting on a nil pointer has no effect.
 type ClassCounters [outcomeCount]atomic.Int64
 
-// CountEstablished counts a connection whose client was notified, to the last byte, that
-// it is established.
+// CountEstablished counts a connection whose client was completely sent the answer that it is
+// established.
 func (c *ClassCounters) CountEstablished() { c.add(outcomeEstablished) }
 
-// CountRejected counts a connection whose client was told to retry later.
+// CountRejected counts a connection whose client was sent the answer to retry later.
 func (c *ClassCounters) CountRejected() { c.add(outcomeRejected) }
 
-// CountFailed counts a connection whose client was told that it has failed.
+// CountFailed counts a connection whose client was sent the answer that it failed.
 func (c *ClassCounters) CountFailed() { c.add(outcomeFailed) }
 
 func (c *ClassCounters) add(outcome int) {
--- a/internal/metrics/golden_test.go
+++ b/internal/metrics/golden_test.go
@@ -6,8 +6,8 @@
 	"lockroad/internal/golden"
 )
 
-// The page of the second address, with a value of its own in every line.
-func TestMetricsPageIsStable(t *testing.T) {
+// Scrapers read the names and the format of the metrics. Every metric has a different value.
+func TestMetricsTextIsStable(t *testing.T) {
 	set := &Set{EndpointCounts: func() (listed, avoided int) { return 11, 12 }}
 	set.SetClasses([]string{"page", "a \"b\" \\ c\nd"})
 	for range 2 {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,5 @@
-// Package metrics holds the metrics that the relay's second address exposes: counters,
-// each incremented at the one event that it counts, and the text that they are written
-// in. Nothing here blocks: counting and reading are atomic.
+// Package metrics holds the counters and gauges that the relay's admin address exposes, and
+// writes them in the Prometheus text format. Counting and writing never wait for a lock.
 package metrics
 
 import (
@@ -14,34 +13,34 @@
 	"sync/atomic"
 )
 
-// maxClasses bounds the classes that are exposed. The settings in force have far fewer;
-// dropped classes are retained beside them, as a counter must not decrease.
+// maxClasses limits the classes that are exposed, including those that reloads have removed
+// from the settings. Their counters stay, as a counter must not disappear or decrease.
 const maxClasses = 256
 
-// namePrefix begins the name of each metric.
+// namePrefix is the prefix of all metric names.
 const namePrefix = "edge_proxy_"
 
-// labelEscaper escapes the value of a label.
+// labelEscaper escapes label values.
 var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
 
 // Set holds the metrics of one process. It is safe for concurrent use.
 type Set struct {
-	Attempts        atomic.Int64 // requests written to endpoints, to the last byte
-	ActiveRequests  atomic.Int64 // entered and not ended
+	Attempts        atomic.Int64 // requests written completely to endpoints
+	ActiveRequests  atomic.Int64 // requests accepted and not ended yet
 	ReloadsApplied  atomic.Int64 // configuration files applied at SIGHUP
 	ReloadsRejected atomic.Int64 // configuration files rejected at SIGHUP
 
-	// EndpointCounts returns how many endpoints are listed, and how many of them are
-	// avoided now. It is set before the metrics are read, and must not block; nil: both
-	// are 0.
+	// EndpointCounts returns the number of listed endpoints, and of those that the balancer
+	// avoids now. It is set before WriteTo is called, must not block, and must be safe for
+	// concurrent use. nil: both are 0.
 	EndpointCounts func() (listed, avoided int)
 
-	mu      sync.Mutex // held to replace classes; reading it needs no lock
-	classes atomic.Pointer[map[string]*ClassCounters]
+	mu      sync.Mutex                                // serializes SetClasses; reading classes needs no lock
+	classes atomic.Pointer[map[string]*ClassCounters] // by name; a stored map is not modified
 }
 
-// SetClasses exposes the classes of the settings in force, each from 0 on. Those that are
-// dropped stay exposed, as long as there are no more than maxClasses.
+// SetClasses sets the names of the classes in force. New ones are exposed with counters of 0.
+// Others stay exposed, unless there are more than maxClasses in total.
 func (s *Set) SetClasses(names []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,7 +59,7 @@
 	s.classes.Store(&classes)
 }
 
-// Class returns the counters of a class, or nil if the settings have never named it.
+// Class returns the counters of a class, or nil if the class is not exposed.
 func (s *Set) Class(name string) *ClassCounters {
 	if classes := s.classes.Load(); classes != nil {
 		return (*classes)[name]
@@ -68,8 +67,8 @@
 	return nil
 }
 
-// WriteTo writes all metrics in the Prometheus text format, one a line and without
-// comments. It implements io.WriterTo.
+// WriteTo writes all metrics in the Prometheus text format, one per line and without comments.
+// It implements io.WriterTo.
 func (s *Set) WriteTo(w io.Writer) (int64, error) {
 	var text bytes.Buffer
 	s.writeClasses(&text)
@@ -77,7 +76,7 @@
 	return text.WriteTo(w)
 }
 
-// writeClasses writes the counters of each class, by outcome and then by name.
+// writeClasses writes the counters of all classes, sorted by outcome and then by class.
 func (s *Set) writeClasses(text *bytes.Buffer) {
 	classes := map[string]*ClassCounters{}
 	if current := s.classes.Load(); current != nil {
@@ -91,7 +90,7 @@
 	}
 }
 
-// writeTotals writes the metrics that belong to no class.
+// writeTotals writes the metrics that are not per class.
 func (s *Set) writeTotals(text *bytes.Buffer) {
 	listed, avoided := 0, 0
 	if s.EndpointCounts != nil {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// metricsText returns what WriteTo writes.
 func metricsText(set *Set) string {
 	var text strings.Builder
 	_, _ = set.WriteTo(&text)
@@ -19,7 +20,7 @@
 	set.Class("page").CountEstablished()
 	set.Class("page").CountRejected()
 	set.Class(`od"d\`).CountFailed()
-	set.Class("never named").CountEstablished() // counts nothing
+	set.Class("unknown").CountEstablished() // must have no effect
 	set.Attempts.Add(7)
 	set.ActiveRequests.Add(3)
 	set.ReloadsApplied.Add(2)
@@ -39,12 +40,13 @@
 edge_proxy_config_rejected_total 1
 `
 	if got := metricsText(set); got != want {
-		t.Errorf("written as\n%swant\n%s", got, want)
+		t.Errorf("metrics are\n%swant\n%s", got, want)
 	}
 }
 
-// A class that is dropped stays exposed, and counts on for requests that began in it.
-func TestCountersOfDroppedClassesAreRetained(t *testing.T) {
+// The counters of a class that a reload removes must not disappear, and still count the requests that began before.
+// Their number is limited.
+func TestCountersOfRemovedClassesAreRetained(t *testing.T) {
 	set := &Set{}
 	set.SetClasses([]string{"old"})
 	old := set.Class("old")
@@ -52,12 +54,12 @@
 	set.SetClasses([]string{"new"})
 	old.CountEstablished()
 	if got := metricsText(set); !strings.Contains(got, `ok_total{kind="old"} 2`) || !strings.Contains(got, `ok_total{kind="new"} 0`) {
-		t.Errorf("written as\n%s", got)
+		t.Errorf("want ok_total 2 of class old and 0 of class new in metrics\n%s", got)
 	}
 	for i := range 2 * maxClasses {
 		set.SetClasses([]string{fmt.Sprint(i)})
 	}
 	if count := len(*set.classes.Load()); count > maxClasses {
-		t.Errorf("%d classes are retained", count)
+		t.Errorf("%d classes are exposed, want at most %d", count, maxClasses)
 	}
 }
