--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -13,7 +13,7 @@
 	"lockroad/internal/registry"
 )
 
-// tracingObserver is a proxy.Observer that makes a span for each request.
+// tracingObserver is a proxy.Observer that creates a span for each request.
 type tracingObserver struct {
 	clock     proxy.Clock
 	endpoints *registry.Endpoints
@@ -36,7 +36,7 @@
 	return &requestSpan{tracingObserver: o, ctx: ctx, span: span, number: number}
 }
 
-// requestSpan is the span of one request. One goroutine at a time uses it, but for Decided.
+// requestSpan is the span of one request. Only Decided may be called concurrently with other methods.
 type requestSpan struct {
 	*tracingObserver
 	ctx    context.Context
@@ -44,7 +44,7 @@
 	number uint64
 }
 
-// AttemptStarted starts the span of an attempt, which the function that it returns ends.
+// AttemptStarted starts the span of an attempt. The function that it returns ends the span.
 func (s *requestSpan) AttemptStarted(endpointID balancer.EndpointID) func(status balancer.AttemptStatus) {
 	name := ""
 	if endpoint, ok := s.endpoints.Find(endpointID); ok {
@@ -61,24 +61,25 @@
 	}
 }
 
-// Established adds an event to the span.
+// Established adds the event "up" to the span.
 func (s *requestSpan) Established() { s.span.AddEvent("up") }
 
-// Decided does nothing: decisions are read from the decision log at the end.
+// Decided does nothing: Ended reads the decisions from the decision log.
 func (s *requestSpan) Decided(*balancer.Decision) {}
 
-// Ended ends the span with the final answer, or how the request ended.
+// Ended adds the request's end and its decisions to the span, and ends the span.
 func (s *requestSpan) Ended(result proxy.Result) {
 	s.span.SetAttributes(attribute.String("answer", result.End.String()))
 	s.addDecisions(result)
 	s.span.End()
 }
 
-// maxDecisionEvents bounds the decision events of a span.
+// maxDecisionEvents limits the decision events of a span.
 const maxDecisionEvents = 32
 
-// addDecisions adds what the decision log has of the request: an event for each decision, and
-// the reason of the last. The console reads the same log, so that both agree.
+// addDecisions adds the cause and the retry delay of the request's end, an event for each decision, the
+// reason of the last decision and the number of attempts. It reads decisions and attempts from the
+// decision log, as the console does, so that both agree.
 func (s *requestSpan) addDecisions(result proxy.Result) {
 	if result.Cause != proxy.CauseDecided {
 		s.span.SetAttributes(attribute.String("cause", result.Cause.String()))
@@ -89,14 +90,14 @@
 	if s.decisions == nil {
 		return
 	}
-	record, err := s.decisions.Number(s.number)
+	entry, err := s.decisions.Number(s.number)
 	if err != nil {
 		return
 	}
 	events := 0
 	var last *balancer.Decision
-	for i := range record.Events {
-		event := &record.Events[i]
+	for i := range entry.Events {
+		event := &entry.Events[i]
 		if event.Kind != decisionlog.EventDecision {
 			continue
 		}
@@ -107,13 +108,13 @@
 		s.span.AddEvent("decision", trace.WithTimestamp(s.clock.Wall(event.At)), trace.WithAttributes(s.attributes(last, event.Repeats)...))
 	}
 	if last != nil {
-		s.span.SetAttributes(attribute.String("reason", last.Reason.String()), attribute.Int("attempts", len(record.Attempts())))
+		s.span.SetAttributes(attribute.String("reason", last.Reason.String()), attribute.Int("attempts", len(entry.Attempts())))
 	}
 }
 
-// attributes returns the attributes of a decision that was repeated some times.
+// attributes returns the attributes of a decision. repeats is how often it was repeated unchanged.
 func (s *requestSpan) attributes(decision *balancer.Decision, repeats int) []attribute.KeyValue {
-	all := []attribute.KeyValue{
+	list := []attribute.KeyValue{
 		attribute.String("verdict", decision.Verdict.String()),
 		attribute.String("reason", decision.Reason.String()),
 		attribute.Int("attempt", decision.Attempt),
@@ -121,10 +122,10 @@
 		attribute.Int("again", repeats),
 	}
 	if decision.Verdict == balancer.VerdictSent || decision.Verdict == balancer.VerdictMigrated {
-		all = append(all, attribute.String("server", s.endpoints.Name(decision.Endpoint)))
+		list = append(list, attribute.String("server", s.endpoints.Name(decision.Endpoint)))
 	}
 	if decision.PreferredIndex >= 0 && decision.PreferredIndex < len(decision.Considered) {
-		all = append(all, attribute.String("instead", s.endpoints.Name(decision.Considered[decision.PreferredIndex].Endpoint)))
+		list = append(list, attribute.String("instead", s.endpoints.Name(decision.Considered[decision.PreferredIndex].Endpoint)))
 	}
-	return all
+	return list
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,7 +1,8 @@
-// Package telemetry exports the relay's metrics, and a span for each request with its
-// attempts, to a collector: OTLP over HTTP by the OpenTelemetry SDK. What the collector does
-// not take in time is dropped, so that requests never wait for it. The names of metrics, spans
-// and attributes are read by others and must not change.
+// Package telemetry exports metrics and traces to a collector over OTLP/HTTP with the
+// OpenTelemetry SDK. A trace has a span for a request, with child spans for its attempts. Data
+// that the collector does not accept in time is dropped, so that requests never wait for it.
+// Dashboards and alerts depend on the names of metrics, spans and attributes, which must not
+// change.
 package telemetry
 
 import (
@@ -22,31 +23,31 @@
 )
 
 const (
-	// instrumentationScope names the instrumentation scope and the service to the collector.
+	// instrumentationScope is the name of the instrumentation scope and of the service.
 	instrumentationScope = "lockroad"
-	// exportTimeout bounds one export.
+	// exportTimeout limits the duration of an export.
 	exportTimeout = 3 * time.Second
-	// maxQueuedSpans is how many spans may wait for an export; more are dropped.
+	// maxQueuedSpans limits the spans that wait for an export. Further ones are dropped.
 	maxQueuedSpans = 2048
 )
 
-// Telemetry is a running export of metrics and spans. Its owner has to call Stop.
+// Telemetry is a running export of metrics and spans. Its owner must call Stop.
 type Telemetry struct {
-	meters  *sdkmetric.MeterProvider
-	tracers *sdktrace.TracerProvider
+	meterProvider  *sdkmetric.MeterProvider
+	tracerProvider *sdktrace.TracerProvider
 }
 
-// Start exports a proxy's metrics to the collector at endpoint (a URL without path) every
-// interval, and observes the proxy to export a span for each request. name identifies this
-// relay. The decisions of a span are read from a decision log that observed the proxy before;
-// if it is nil, spans have none.
-func Start(ctx context.Context, endpoint, name string, interval time.Duration, core *proxy.Proxy, decisions *decisionlog.Log) (*Telemetry, error) {
-	metrics, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(endpoint+"/v1/metrics"),
+// Start exports the metrics of a relay to a collector at every interval, and a span for each of
+// its requests. collectorURL has no path. name is the instance ID of the service. The decisions
+// of a span are read from decisions, which must observe the relay before Start is called; if it
+// is nil, spans have no decisions.
+func Start(ctx context.Context, collectorURL, name string, interval time.Duration, relay *proxy.Proxy, decisions *decisionlog.Log) (*Telemetry, error) {
+	metricExporter, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(collectorURL+"/v1/metrics"),
 		otlpmetrichttp.WithTimeout(exportTimeout), otlpmetrichttp.WithRetry(otlpmetrichttp.RetryConfig{}))
 	if err != nil {
 		return nil, fmt.Errorf("telemetry: %w", err)
 	}
-	traces, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(endpoint+"/v1/traces"),
+	spanExporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(collectorURL+"/v1/traces"),
 		otlptracehttp.WithTimeout(exportTimeout), otlptracehttp.WithRetry(otlptracehttp.RetryConfig{}))
 	if err != nil {
 		return nil, fmt.Errorf("telemetry: %w", err)
@@ -54,25 +55,25 @@
 	service := resource.NewSchemaless(
 		attribute.String("service.name", instrumentationScope), attribute.String("service.instance.id", name))
 	t := &Telemetry{
-		meters: sdkmetric.NewMeterProvider(sdkmetric.WithResource(service), sdkmetric.WithReader(
-			sdkmetric.NewPeriodicReader(metrics, sdkmetric.WithInterval(interval), sdkmetric.WithTimeout(exportTimeout)))),
-		tracers: sdktrace.NewTracerProvider(sdktrace.WithResource(service), sdktrace.WithBatcher(traces,
+		meterProvider: sdkmetric.NewMeterProvider(sdkmetric.WithResource(service), sdkmetric.WithReader(
+			sdkmetric.NewPeriodicReader(metricExporter, sdkmetric.WithInterval(interval), sdkmetric.WithTimeout(exportTimeout)))),
+		tracerProvider: sdktrace.NewTracerProvider(sdktrace.WithResource(service), sdktrace.WithBatcher(spanExporter,
 			sdktrace.WithBatchTimeout(interval), sdktrace.WithExportTimeout(exportTimeout), sdktrace.WithMaxQueueSize(maxQueuedSpans))),
 	}
-	if err := registerMetrics(t.meters.Meter(instrumentationScope), core); err != nil {
+	if err := registerMetrics(t.meterProvider.Meter(instrumentationScope), relay); err != nil {
 		return nil, errors.Join(fmt.Errorf("telemetry: %w", err), t.Stop(ctx))
 	}
-	core.Observe(&tracingObserver{
-		clock:     core.Clock,
-		endpoints: core.Endpoints,
+	relay.Observe(&tracingObserver{
+		clock:     relay.Clock,
+		endpoints: relay.Endpoints,
 		decisions: decisions,
-		tracer:    t.tracers.Tracer(instrumentationScope),
+		tracer:    t.tracerProvider.Tracer(instrumentationScope),
 	})
 	return t, nil
 }
 
-// Stop exports what waits, until ctx ends, and ends the exports. It returns what could not be
-// sent as errors.
+// Stop exports the pending metrics and spans, until ctx ends, and stops all exports. It returns an
+// error if some could not be sent.
 func (t *Telemetry) Stop(ctx context.Context) error {
-	return errors.Join(t.tracers.Shutdown(ctx), t.meters.Shutdown(ctx))
+	return errors.Join(t.tracerProvider.Shutdown(ctx), t.meterProvider.Shutdown(ctx))
 }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -30,34 +30,35 @@
 func (fullDownstream) Fail()                {}
 func (fullDownstream) Migrate() bool        { return true }
 
-// serve runs a proxy with telemetry, and serves one request to its end.
-func serve(t *testing.T, endpoint string) *Telemetry {
+// serve runs a relay that exports to a collector, and serves one request to its end. It fails the test if that takes
+// more than 2 s.
+func serve(t *testing.T, collectorURL string) *Telemetry {
 	t.Helper()
-	core := proxy.New(balancer.Settings{
+	relay := proxy.New(balancer.Settings{
 		Classes:    []balancer.Class{{LatencyObjective: time.Second, Deadline: 5 * time.Second}},
 		RelayCount: 1, MaxAttempts: 3, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: time.Second,
 	}, 1, proxy.NewClock())
 	endpoints := []balancer.Endpoint{
-		{ID: core.Endpoints.AssignID("s-1"), State: balancer.StateReady, Size: 1}, {ID: core.Endpoints.AssignID("s-2"), State: balancer.StateReady, Size: 1},
+		{ID: relay.Endpoints.AssignID("s-1"), State: balancer.StateReady, Size: 1}, {ID: relay.Endpoints.AssignID("s-2"), State: balancer.StateReady, Size: 1},
 	}
-	core.UpdateEndpoints(balancer.ListFull, endpoints, []string{"a", "b"})
+	relay.UpdateEndpoints(balancer.ListFull, endpoints, []string{"a", "b"})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	decisions, err := decisionlog.New(decisionlog.MinBytes, core.Clock)
+	decisions, err := decisionlog.New(decisionlog.MinBytes, relay.Clock)
 	if err != nil {
 		t.Fatal(err)
 	}
-	core.Observe(decisions)
-	core.Instruments = []proxy.Instrument{{Name: "lockroad.part.state", Read: func() int64 { return 3 }}, {Name: "lockroad.part.count", Cumulative: true, Read: func() int64 { return 4 }}}
-	telemetry, err := Start(ctx, endpoint, "n1", time.Hour, core, decisions)
+	relay.Observe(decisions)
+	relay.Instruments = []proxy.Instrument{{Name: "lockroad.part.state", Read: func() int64 { return 3 }}, {Name: "lockroad.part.count", Cumulative: true, Read: func() int64 { return 4 }}}
+	telemetry, err := Start(ctx, collectorURL, "n1", time.Hour, relay, decisions)
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = core.Run(ctx) }()
+	go func() { _ = relay.Run(ctx) }()
 	began := time.Now()
-	core.Serve(ctx, proxy.Request{Frontend: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: core.Clock.Now() + 3*time.Second}}, fullDownstream{})
+	relay.Serve(ctx, proxy.Request{Frontend: "line", Name: "9b1f", Class: "page", RequestOptions: balancer.RequestOptions{Deadline: relay.Clock.Now() + 3*time.Second}}, fullDownstream{})
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("the request took %v: telemetry delays it", took)
+		t.Errorf("the request took %v, want at most 2 s: telemetry delays it", took)
 	}
 	return telemetry
 }
@@ -79,7 +80,7 @@
 		"lockroad.part.state": 3, "lockroad.part.count": 4,
 	} {
 		if got, ok := collector.Count(name); !ok || got != want {
-			t.Errorf("%s is %d (%v), want %d", name, got, ok, want)
+			t.Errorf("metric %s is %d (exported: %v), want %d", name, got, ok, want)
 		}
 	}
 	var requestSpan *spanpb.Span
@@ -90,48 +91,48 @@
 		}
 	}
 	if requestSpan == nil {
-		t.Fatalf("no span of the request among %d", len(collector.Spans()))
+		t.Fatalf("no span of the request among the %d spans", len(collector.Spans()))
 	}
 	if got := fake.Attribute(requestSpan.Attributes, "answer"); got != "unavailable" {
-		t.Errorf("the request's answer is %q", got)
+		t.Errorf("attribute answer of the request's span is %q, want unavailable", got)
 	}
-	var got []string
+	var decisions []string
 	for _, event := range requestSpan.Events {
-		got = append(got, fake.Attribute(event.Attributes, "verdict")+" "+fake.Attribute(event.Attributes, "reason"))
+		decisions = append(decisions, fake.Attribute(event.Attributes, "verdict")+" "+fake.Attribute(event.Attributes, "reason"))
 	}
-	if got, want := strings.Join(got, ", "), "sent drawn, held backoff, sent drawn-again, held backoff, refused no-hope"; got != want ||
+	if got, want := strings.Join(decisions, ", "), "sent drawn, held backoff, sent drawn-again, held backoff, refused no-hope"; got != want ||
 		fake.Attribute(requestSpan.Attributes, "reason") != "no-hope" || fake.Attribute(requestSpan.Attributes, "attempts") != "2" {
-		t.Errorf("the request's decisions are exported as %s", got)
+		t.Errorf("the request's span has decisions %s, and attributes %v", got, requestSpan.Attributes)
 	}
 	for _, span := range collector.Spans() {
 		if span.Name == "proxy pass" {
 			attempts++
 			if string(span.ParentSpanId) != string(requestSpan.SpanId) || fake.Attribute(span.Attributes, "outcome") != "full" || fake.Attribute(span.Attributes, "server") == "" {
-				t.Errorf("an attempt was exported as %v", span)
+				t.Errorf("span of an attempt: %v", span)
 			}
 		}
 	}
 	if attempts != 2 {
-		t.Errorf("%d spans of attempts, want 2", attempts)
+		t.Errorf("%d attempts have a span, want 2", attempts)
 	}
 }
 
-// A collector that hangs, or that is not there, delays no request.
+// A collector that hangs or is unreachable must not delay requests, nor Stop beyond its context.
 func TestUnavailableCollectorDoesNotDelayRequests(t *testing.T) {
 	release := make(chan struct{})
 	hung := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { <-release }))
 	defer hung.Close()
 	defer close(release)
-	for _, endpoint := range []string{hung.URL, "http://127.0.0.1:1"} {
-		telemetry := serve(t, endpoint)
-		last, done := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	for _, collectorURL := range []string{hung.URL, "http://127.0.0.1:1"} {
+		telemetry := serve(t, collectorURL)
+		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		began := time.Now()
-		if err := telemetry.Stop(last); err == nil {
-			t.Error("the dead collector took everything")
+		if err := telemetry.Stop(ctx); err == nil {
+			t.Errorf("Stop reports no error with collector %s", collectorURL)
 		}
 		if took := time.Since(began); took > 2*time.Second {
-			t.Errorf("stopping took %v", took)
+			t.Errorf("Stop took %v with collector %s, want at most 2 s", took, collectorURL)
 		}
-		done()
+		cancel()
 	}
 }
