--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -108,7 +108,7 @@
 		if span.Name == "proxy pass" {
 			attempts++
 			if string(span.ParentSpanId) != string(requestSpan.SpanId) || fake.Attribute(span.Attributes, "outcome") != "full" || fake.Attribute(span.Attributes, "server") == "" {
-				t.Errorf("span of an attempt: %v", span)
+				t.Errorf("span of an attempt lacks its parent, outcome full or a server: %v", span)
 			}
 		}
 	}
--- a/internal/tui/keys.go
+++ b/internal/tui/keys.go
@@ -6,21 +6,22 @@
 	tea "github.com/charmbracelet/bubbletea"
 )
 
+// helpLines is the help of the screen.
 var helpLines = []string{
-	"1 to 7, tab   another page",
-	"up and down   choose a row, or read on",
-	"d             have the chosen server drain; it asks first",
-	"u             withdraw the order that has it drain",
-	"w             why the chosen transaction went where it went",
-	"R, S          on the page of the status: restart or stop the relay; they ask first",
-	"q             leave; whatever was asked for goes on",
+	"1 to 7, tab   open another page",
+	"up and down   select a row, or scroll",
+	"d             drain the selected server, if confirmed",
+	"u             withdraw the order to drain the selected server, if confirmed",
+	"w             explain how the selected transaction was routed",
+	"R, S          on the status page: restart or stop the relay, if confirmed",
+	"q             quit; confirmed commands are still carried out",
 	"",
-	"Drains, orders and reasons are the relay's: a screen that is killed changes nothing of them.",
-	"All of it is there as one-line commands too: lockroad console --socket PATH help",
+	"The relay keeps the orders to drain: they stay if this program is killed.",
+	"One-line commands do the same: lockroad console --socket PATH help",
 }
 
-// handleKey applies a key, which means something else while a question waits or a document is
-// shown.
+// handleKey applies a key. While a confirmation is pending or a document is shown, the key belongs to
+// that.
 func (m Model) handleKey(key string) (tea.Model, tea.Cmd) {
 	switch {
 	case key == "ctrl+c":
@@ -30,7 +31,7 @@
 	case m.document != nil:
 		return m.scrollDocument(key), nil
 	}
-	m.note = ""
+	m.notice = ""
 	switch key {
 	case "q":
 		return m, tea.Quit
@@ -52,25 +53,25 @@
 	return m, nil
 }
 
-// handlePageKey applies a key that has a meaning on some pages only.
+// handlePageKey applies a key that only some pages have.
 func (m Model) handlePageKey(key string) (tea.Model, tea.Cmd) {
 	name := m.selectedName()
 	switch key {
 	case "d":
 		if m.page == pageEndpoints && name != "" {
-			m.confirm(fmt.Sprintf("Drain %s? Its clients are moved, and nothing new goes there.", name), "drain "+name+" because of the console")
+			m.confirm(fmt.Sprintf("Drain %s? Its clients are moved away, and it gets no new ones.", name), "drain "+name+" because of the console")
 		}
 	case "u":
 		if (m.page == pageEndpoints || m.page == pageDrainDirectives) && name != "" {
-			m.confirm(fmt.Sprintf("Withdraw the order that has %s drain?", name), "undrain "+name)
+			m.confirm(fmt.Sprintf("Withdraw the order to drain %s?", name), "undrain "+name)
 		}
 	case "R":
 		if m.page == pageStatus {
-			m.confirm("Have the relay leave and start again? Everyone is moved.", "restart")
+			m.confirm("Restart the relay? All clients are moved away.", "restart")
 		}
 	case "S":
 		if m.page == pageStatus {
-			m.confirm("Stop the relay? Everyone is moved away, and it stays down.", "drain")
+			m.confirm("Stop the relay? All clients are moved away, and it is not restarted.", "drain")
 		}
 	case "w":
 		if m.page == pageRequests && name != "" {
@@ -80,22 +81,23 @@
 	return m, nil
 }
 
-// confirm asks a question; a yes runs a command.
+// confirm asks a question, and runs a command if the answer is y.
 func (m *Model) confirm(question, command string) {
 	m.confirmation, m.confirmedCommand = question, command
 }
 
+// answerConfirmation applies the key that answers the pending confirmation.
 func (m Model) answerConfirmation(key string) (tea.Model, tea.Cmd) {
 	command := m.confirmedCommand
 	m.confirm("", "")
 	if key == "y" {
 		return m, m.runCommand(command, false)
 	}
-	m.note = "left as it is"
+	m.notice = "cancelled"
 	return m, nil
 }
 
-// scrollDocument scrolls the document; any other key closes it.
+// scrollDocument scrolls the document. Any key other than up and down closes it.
 func (m Model) scrollDocument(key string) Model {
 	switch key {
 	case "down", "j":
@@ -108,6 +110,7 @@
 	return m
 }
 
+// openPage opens a page, and returns the command that loads it.
 func (m Model) openPage(page int) (tea.Model, tea.Cmd) {
 	m.page, m.selectedRow, m.table = page, 0, nil
 	return m, m.load(false)
--- a/internal/tui/model.go
+++ b/internal/tui/model.go
@@ -1,10 +1,10 @@
-// Package tui is the console that fills a terminal: a relay's endpoints, requests, rejections
-// and drain directives, read again every second through its console's socket, with draining a
-// key away. It keeps no state that matters: whatever it asked for belongs to the relay, also if
-// the terminal is closed.
+// Package tui implements the full-screen console. It shows a relay's endpoints, requests, rejections,
+// drain directives, health, counters and log, refreshes them every second through the relay's console,
+// and drains endpoints at a key. All state that must persist is in the relay, so the program may be
+// closed or killed at any time.
 //
-// Model is a model of bubbletea, whose event loop alone calls its methods. The commands that
-// Update returns run in goroutines of bubbletea, which call the CommandFunc.
+// Model is a Bubble Tea model. Only the event loop of Bubble Tea calls its methods. The commands that
+// Update returns run in other goroutines, and call the CommandFunc.
 package tui
 
 import (
@@ -18,20 +18,20 @@
 	"lockroad/internal/registry"
 )
 
-// CommandFunc runs a command of the relay's console and returns the answer. It must be safe for
-// concurrent use.
+// CommandFunc runs a command line of the relay's console, and returns the text of the answer. It must
+// be safe for concurrent use.
 type CommandFunc func(command string) (string, error)
 
 const (
-	defaultWidth, defaultHeight = 80, 24 // until the terminal says its size
+	defaultWidth, defaultHeight = 80, 24 // until the terminal reports its size
 	refreshInterval             = time.Second
-	historyLength               = 60 // refreshes that the sparklines go back
+	historyLength               = 60 // number of refreshes in the sparklines
 )
 
-// page is a table that a command of the relay's console writes.
+// page shows the answer of a console command as a table. hint lists the page's own keys.
 type page struct{ title, command, hint string }
 
-// Indexes of pages, one less than their keys.
+// Indexes in pages. The key that opens a page is its index plus 1.
 const (
 	pageEndpoints = iota
 	pageRequests
@@ -44,67 +44,68 @@
 
 var pages = []page{
 	pageEndpoints:       {"servers", "servers", "d drain  u undrain"},
-	pageRequests:        {"transactions", "transactions", "w why it is there"},
-	pageRejections:      {"refusals", `why --by answer,class,reason (answer "unavailable" "failed")`, ""},
+	pageRequests:        {"transactions", "transactions", "w explain"},
+	pageRejections:      {"rejections", `why --by answer,class,reason (answer "unavailable" "failed")`, ""},
 	pageDrainDirectives: {"orders", "orders", "u undrain"},
 	pageHealth:          {"health", "health", ""},
 	pageStatus:          {"status", "status", "R restart  S stop"},
 	pageLog:             {"log", "log 200", ""},
 }
 
-// Model is the state of the screen. Only Update changes it, by returning another.
+// Model is the state of the screen. Update returns a changed copy.
 type Model struct {
 	run           CommandFunc
 	name          string // of the relay
 	width, height int    // of the terminal, in cells
 
-	page        int
-	table       []string // lines of the page, the head first; nil: not loaded yet
-	selectedRow int      // of the table, without its head
+	page        int      // index in pages
+	table       []string // lines of the page, starting with the header; nil: not loaded yet
+	selectedRow int      // index in the table's rows, without the header
 
-	document  []string // an answer that is shown in place of the page; nil: none is
-	firstLine int      // of the document that is shown
+	document  []string // text that is shown instead of the page; nil: none
+	firstLine int      // index of the document's first visible line
 
-	confirmation     string // question that waits for a yes; "" if none
-	confirmedCommand string // to run then
-	note             string // what the last command answered
+	confirmation     string // question that waits for y or n; "" if none
+	confirmedCommand string // console command to run after y
+	notice           string // answer of the last command, shown in the footer
 
 	requestHistory []int // requests in progress, at each refresh
 	delayHistory   []int // delay of the slowest endpoint in microseconds, at each refresh
-	lastError      error // of loading; nil: the relay answers
+	lastError      error // of the last load; nil: it succeeded
 }
 
-// New returns the screen of a relay.
+// New returns the initial model. name is the name of the relay.
 func New(name string, run CommandFunc) Model {
 	return Model{run: run, name: name, width: defaultWidth, height: defaultHeight}
 }
 
-// Messages, besides those of the terminal.
+// Messages to Update, besides those of Bubble Tea.
 type (
-	// pageLoaded is the answer of a page's command.
+	// pageLoaded is the answer to a page's command.
 	pageLoaded struct {
-		page     int
+		page     int // index in pages
 		lines    []string
-		periodic bool // it is a refresh, which has the two that follow, and the next comes after it
+		periodic bool // sets requests and slowestDelay, and schedules the next refresh
 		requests int  // in progress
 		// slowestDelay is the delay of the slowest endpoint, in microseconds.
 		slowestDelay int
 		err          error
 	}
-	// commandDone is the answer of another command.
+	// commandDone is the answer to a command that a key ran.
 	commandDone struct {
-		text string
-		err  error
-		show bool // as a document rather than a note
+		text       string
+		err        error
+		asDocument bool // shown as a document rather than a notice
 	}
+	// refreshTick starts the next refresh.
 	refreshTick struct{}
 )
 
-// Init returns the first refresh.
+// Init returns the command of the first refresh.
 func (m Model) Init() tea.Cmd { return m.load(true) }
 
-// load returns the command that loads the page. A periodic one also loads how many requests are
-// in progress, and how slow the slowest endpoint is.
+// load returns the command that loads the page. If periodic, it also loads the values of the summary
+// line.
 func (m Model) load(periodic bool) tea.Cmd {
 	run, page := m.run, m.page
 	return func() tea.Msg {
@@ -116,14 +117,14 @@
 		}
 		loaded.lines = splitLines(text)
 		if periodic {
-			loaded.loadFigures(run)
+			loaded.loadSummary(run)
 		}
 		return loaded
 	}
 }
 
-// loadFigures loads the figures of the head.
-func (l *pageLoaded) loadFigures(run CommandFunc) {
+// loadSummary loads the number of requests in progress and the delay of the slowest endpoint.
+func (l *pageLoaded) loadSummary(run CommandFunc) {
 	var text string
 	if text, l.err = run("status --json"); l.err == nil {
 		inProgress := sumMembers(text, registry.StageWaiting.String(), registry.StageAttempting.String(), registry.StageEstablished.String())
@@ -135,7 +136,7 @@
 	}
 }
 
-// sumMembers adds up members of a JSON object, without those that are no numbers.
+// sumMembers returns the sum of members of a JSON object. Those that are missing or not numbers count as 0.
 func sumMembers(object string, members ...string) (total float64) {
 	var values map[string]any
 	if json.Unmarshal([]byte(object), &values) != nil {
@@ -148,16 +149,16 @@
 	return total
 }
 
-// runCommand returns the command that runs one of the relay's console.
-func (m Model) runCommand(command string, show bool) tea.Cmd {
+// runCommand returns the tea.Cmd that runs a console command.
+func (m Model) runCommand(command string, asDocument bool) tea.Cmd {
 	run := m.run
 	return func() tea.Msg {
 		text, err := run(command)
-		return commandDone{text: text, err: err, show: show}
+		return commandDone{text: text, err: err, asDocument: asDocument}
 	}
 }
 
-// splitLines returns the lines of a text, without anything that would control the terminal.
+// splitLines returns the lines of a text, with control characters replaced.
 func splitLines(text string) []string {
 	text = strings.TrimRight(text, "\n")
 	if text == "" {
@@ -170,7 +171,7 @@
 	return lines
 }
 
-// Update applies a message.
+// Update applies a message. It implements tea.Model.
 func (m Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -187,8 +188,8 @@
 	return m, nil
 }
 
-// applyLoaded applies what was loaded, unless another page was opened meanwhile. After a
-// periodic one it returns the wait for the next.
+// applyLoaded shows a loaded page, unless another page has been opened since. After a periodic load it
+// returns the command that waits for the next.
 func (m Model) applyLoaded(loaded pageLoaded) (tea.Model, tea.Cmd) {
 	m.lastError = loaded.err
 	if loaded.err == nil && loaded.page == m.page {
@@ -205,28 +206,29 @@
 	return m, tea.Tick(refreshInterval, func(time.Time) tea.Msg { return refreshTick{} })
 }
 
+// applyDone shows the answer or error of a command.
 func (m Model) applyDone(done commandDone) Model {
 	switch {
 	case done.err != nil:
-		m.note = console.Sanitize(strings.TrimSpace(done.err.Error()))
-	case done.show:
+		m.notice = console.Sanitize(strings.TrimSpace(done.err.Error()))
+	case done.asDocument:
 		m.document, m.firstLine = splitLines(done.text), 0
 	default:
-		m.note = strings.Join(splitLines(done.text), " ")
+		m.notice = strings.Join(splitLines(done.text), " ")
 	}
 	return m
 }
 
-// appendHistory appends a figure to those of the last refreshes.
-func appendHistory(history []int, figure int) []int {
-	history = append(history, figure)
+// appendHistory appends a value, and drops all but the last historyLength values.
+func appendHistory(history []int, value int) []int {
+	history = append(history, value)
 	return history[max(0, len(history)-historyLength):]
 }
 
-// clampRow returns the row of the table that is nearest.
+// clampRow returns the index of the table's row that is nearest to row.
 func (m Model) clampRow(row int) int { return max(0, min(row, len(m.table)-2)) }
 
-// selectedName returns the first word of the selected row, "" if there is none.
+// selectedName returns the first word of the selected row, or "" if there is none.
 func (m Model) selectedName() string {
 	if m.selectedRow+1 >= len(m.table) {
 		return ""
--- a/internal/tui/tui_test.go
+++ b/internal/tui/tui_test.go
@@ -15,7 +15,7 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// fakeRelay answers as a relay does, and keeps the commands that it was sent.
+// fakeRelay answers commands with fixed texts, and records the commands. If unreachable is set, it returns an error.
 type fakeRelay struct {
 	commands    []string
 	unreachable bool
@@ -24,7 +24,7 @@
 func (r *fakeRelay) run(command string) (string, error) {
 	r.commands = append(r.commands, command)
 	if r.unreachable {
-		return "", errors.New("no relay answers at /run/x\n") //nolint:revive // as a console answers, with its newline
+		return "", errors.New("no relay answers at /run/x\n") //nolint:revive // errors of the console end in a newline
 	}
 	switch command {
 	case "servers":
@@ -44,15 +44,15 @@
 	case "drain s-2 because of the console", "drain s-2 because the console":
 		return "", nil
 	}
-	return "s-2 drains: nothing new goes there\n", nil
+	return "s-2 drains: it gets no new transactions\n", nil
 }
 
-// send sends messages to a screen, and runs the commands that it returns, except after a load (the wait for the next).
+// send updates a model with messages and runs the commands that Update returns, except the wait for the next refresh.
 func send(model tea.Model, msgs ...tea.Msg) tea.Model {
 	for _, msg := range msgs {
 		var cmd tea.Cmd
 		model, cmd = model.Update(msg)
-		if _, timed := msg.(pageLoaded); cmd != nil && !timed {
+		if _, isLoad := msg.(pageLoaded); cmd != nil && !isLoad {
 			if next := cmd(); next != nil {
 				model = send(model, next)
 			}
@@ -61,22 +61,23 @@
 	return model
 }
 
-func press(s string) tea.Msg {
-	switch s {
+// press returns the message of a key.
+func press(key string) tea.Msg {
+	switch key {
 	case "down":
 		return tea.KeyMsg{Type: tea.KeyDown}
 	case "tab":
 		return tea.KeyMsg{Type: tea.KeyTab}
 	}
-	return tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(s)}
+	return tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune(key)}
 }
 
-// Screens are as in the golden files: go test ./internal/tui -update writes them.
+// The screens match the golden files, which go test ./internal/tui -update writes. Every line has the terminal's width.
 func TestScreensAreStable(t *testing.T) {
 	for _, screen := range []struct {
-		name string
-		w, h int
-		keys []string
+		name          string
+		width, height int
+		keys          []string
 	}{
 		{"servers", defaultWidth, defaultHeight, nil}, {"drain", defaultWidth, defaultHeight, []string{"down", "d"}}, {"transactions", defaultWidth, defaultHeight, []string{"2", "down", "down"}},
 		{"why", defaultWidth, defaultHeight, []string{"tab", "down", "down", "w"}}, {"help", defaultWidth, defaultHeight, []string{"?"}}, {"stop", defaultWidth, defaultHeight, []string{"6", "S"}}, {"narrow", 20, 10, []string{"down"}}, {"wider", 120, 30, nil}, {"too-small", 19, 24, nil},
@@ -84,24 +85,24 @@
 		t.Run(screen.name, func(t *testing.T) {
 			relay := &fakeRelay{}
 			var model tea.Model = New("music-room", relay.run)
-			model = send(model, tea.WindowSizeMsg{Width: screen.w, Height: screen.h}, model.Init()())
+			model = send(model, tea.WindowSizeMsg{Width: screen.width, Height: screen.height}, model.Init()())
 			for _, key := range screen.keys {
 				model = send(model, press(key))
 			}
 			got := model.View()
 			if screen.name != "too-small" {
 				lines := strings.Split(got, "\n")
-				if len(lines) != screen.h {
-					t.Errorf("%d lines, want %d", len(lines), screen.h)
+				if len(lines) != screen.height {
+					t.Errorf("the screen has %d lines, want %d", len(lines), screen.height)
 				}
 				for _, line := range lines {
-					if width := runewidth.StringWidth(line); width != screen.w {
-						t.Errorf("%d wide, want %d: %q", width, screen.w, line)
+					if width := runewidth.StringWidth(line); width != screen.width {
+						t.Errorf("a line has width %d, want %d: %q", width, screen.width, line)
 					}
 				}
 			}
 			if strings.ContainsAny(got, "\x1b\u202e") {
-				t.Error("a name moves the terminal")
+				t.Error("the screen has control characters of a server's name")
 			}
 			file := filepath.Join("testdata", screen.name+".txt")
 			if *update {
@@ -113,20 +114,21 @@
 				}
 			}
 			if want, err := os.ReadFile(file); err != nil || string(want) != got+"\n" {
-				t.Errorf("%v; it is\n%s", err, got)
+				t.Errorf("the screen differs from %s (%v); got\n%s", file, err, got)
 			}
 		})
 	}
 }
 
-// A drain runs only after a yes, for the selected endpoint; a relay that does not answer is reported, and asked again.
+// A command runs only once it is confirmed, and for the selected endpoint. An unreachable relay is reported until it
+// answers again.
 func TestKeysRunCommands(t *testing.T) {
 	relay := &fakeRelay{}
 	var model tea.Model = New("x", relay.run)
 	model = send(model, model.Init()())
-	wasRun := func(command string) bool {
-		for _, sent := range relay.commands {
-			if strings.HasPrefix(sent, command) {
+	wasRun := func(prefix string) bool {
+		for _, command := range relay.commands {
+			if strings.HasPrefix(command, prefix) {
 				return true
 			}
 		}
@@ -134,24 +136,24 @@
 	}
 	model = send(model, press("d"), press("n"))
 	if wasRun("drain") {
-		t.Error("a no drains")
+		t.Error("a drain that was not confirmed ran")
 	}
 	model = send(model, press("down"), press("d"), press("y"))
 	if !wasRun("drain s-2") {
-		t.Errorf("the commands were %q", relay.commands)
+		t.Errorf("drain s-2 was not run; commands: %q", relay.commands)
 	}
 	if model = send(model, press("u"), press("y")); !wasRun("undrain s-2") {
-		t.Errorf("the commands were %q", relay.commands)
+		t.Errorf("undrain s-2 was not run; commands: %q", relay.commands)
 	}
 	relay.unreachable = true
 	if model = send(model, model.(Model).load(true)()); !strings.Contains(model.View(), "the relay does not answer") {
-		t.Errorf("it is\n%s", model.View())
+		t.Errorf("an unreachable relay is not reported:\n%s", model.View())
 	}
 	relay.unreachable = false
 	if model = send(model, model.(Model).load(true)()); strings.Contains(model.View(), "does not answer") {
-		t.Errorf("it is\n%s", model.View())
+		t.Errorf("a relay that answers again is reported as unreachable:\n%s", model.View())
 	}
-	for range 60 { // beyond the end, on each page
+	for range 60 { // beyond the last row
 		model = send(model, press("down"))
 	}
 	for page := range pages {
@@ -159,6 +161,6 @@
 		model.View()
 	}
 	if _, cmd := model.Update(press("q")); cmd == nil {
-		t.Error("q does not leave")
+		t.Error("q returns no command to quit")
 	}
 }
