--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -113,15 +113,15 @@
 		code            int
 		errs            string
 	}{
-		"unknown command":         {socket, "explode", ExitRejected, `unknown command "explode"`},
-		"unexpected argument":     {socket, "status farm", ExitRejected, `status: unexpected argument "farm"`},
-		"invalid query":           {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
-		"pin of an unknown one":   {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
-		"pin of a name":           {socket, "pin x", ExitRejected, `pin: invalid transaction number "x"`},
-		"log of 0 lines":          {socket, "log 0", ExitRejected, `log: invalid number of lines "0"`},
-		"JSON where unsupported":  {socket, "undrain --json", ExitRejected, "undrain: "},
-		"help on another command": {socket, "help me", ExitRejected, `help: "me": expected nothing or why`},
-		"no relay":                {socket + "x", "status", ExitUnreachable, "no relay answers"},
+		"unknown command":               {socket, "explode", ExitRejected, `unknown command "explode"`},
+		"unexpected argument":           {socket, "status farm", ExitRejected, `status: unexpected argument "farm"`},
+		"invalid query":                 {socket, "why (class", ExitRejected, "why: line 1, column 1: a list that is not closed"},
+		"pin of an unknown transaction": {socket, "pin 99", ExitRejected, "pin: transaction 99 has not come"},
+		"pin of a name":                 {socket, "pin x", ExitRejected, `pin: invalid transaction number "x"`},
+		"log of 0 lines":                {socket, "log 0", ExitRejected, `log: invalid number of lines "0"`},
+		"JSON where unsupported":        {socket, "undrain --json", ExitRejected, "undrain: "},
+		"help on another command":       {socket, "help me", ExitRejected, `help: "me": expected nothing or why`},
+		"no relay":                      {socket + "x", "status", ExitUnreachable, "no relay answers"},
 	} {
 		code, out, errs := runConsole("", test.socket, test.command)
 		if code != test.code || !strings.Contains(errs, test.errs) || out != "" {
--- a/internal/console/process.go
+++ b/internal/console/process.go
@@ -15,7 +15,7 @@
 
 // This file has the commands for the relay's process: restart, reload, store and log.
 
-// Limits of the log command.
+// Numbers of lines that the log command shows.
 const (
 	defaultLogLines = 20
 	maxLogLines     = 1000
--- a/internal/console/server.go
+++ b/internal/console/server.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	maxCommandBytes = 4 << 10
+	maxCommandBytes = 4 << 10          // a longer command ends its session
 	idleTimeout     = 10 * time.Minute // after which a session without a command is closed
 	answerTimeout   = 5 * time.Second  // for writing an answer; also for a reload, and for a client's exchange
 	acceptBackoff   = 10 * time.Millisecond
--- a/internal/tui/keys.go
+++ b/internal/tui/keys.go
@@ -20,8 +20,8 @@
 	"One-line commands do the same: lockroad console --socket PATH help",
 }
 
-// handleKey applies a key. While a confirmation is pending or a document is shown, the key belongs to
-// that.
+// handleKey applies a key to the pending confirmation, or else to the document that is shown, or else to
+// the page.
 func (m Model) handleKey(key string) (tea.Model, tea.Cmd) {
 	switch {
 	case key == "ctrl+c":
