--- a/cmd/lockroad/demo.go
+++ b/cmd/lockroad/demo.go
@@ -44,7 +44,7 @@
 // Run runs the demonstration until its end or an interrupt.
 func (c *demoCommand) Run(std streams) error {
 	options := demo.Options{
-		Servers: c.Servers, Rate: c.Rate, For: c.For, Seed: c.Seed, AMQP: c.AMQP, Bytes: decisionlog.DefaultBytes, Asks: c.Asks, Out: std.out,
+		Servers: c.Servers, Rate: c.Rate, Duration: c.For, Seed: c.Seed, AMQPShare: c.AMQP, DecisionLogBytes: decisionlog.DefaultBytes, SampleSize: c.Asks, Out: std.out,
 	}
 	if c.Script != "" {
 		text, err := os.ReadFile(c.Script)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	if len(result.Bad) > 0 {
+	if len(result.Mismatches) > 0 {
 		return exitError(exitFailed)
 	}
 	return nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,19 +27,19 @@
 
 // Options configure a demonstration.
 type Options struct {
-	Servers int
-	Rate    float64       // new clients a second
-	For     time.Duration // clients arrive for this long
-	Seed    uint64
-	AMQP    float64 // share of the clients that use AMQP 1.0
-	Bytes   int     // of the decision log
-	Asks    int     // explanations that are compared with what was seen
-	Script  string  // as fake.ParseScript reads it; empty: Usual
-	Out     io.Writer
-	Log     *slog.Logger // the relay's
+	Servers          int
+	Rate             float64       // new clients a second
+	Duration         time.Duration // clients arrive for this long
+	Seed             uint64
+	AMQPShare        float64 // share of the clients that use AMQP 1.0
+	DecisionLogBytes int     // of the decision log
+	SampleSize       int     // explanations that are compared with what was seen
+	Script           string  // as fake.ParseScript reads it; empty: Usual
+	Out              io.Writer
+	Log              *slog.Logger // the relay's
 }
 
-// RateMost and ForMost bound the load of a demonstration on a machine.
+// MaxRate and MaxDuration bound the load of a demonstration on a machine.
 const (
 	MaxRate     = 500
 	MaxDuration = time.Hour
@@ -58,17 +58,17 @@
 		return fmt.Errorf("%d servers are not within 2 and 64", options.Servers)
 	case !(options.Rate > 0 && options.Rate <= MaxRate):
 		return fmt.Errorf("a rate of %v is not within 0 and %d", options.Rate, MaxRate)
-	case options.For < time.Second || options.For > MaxDuration:
-		return fmt.Errorf("%v is not within a second and %v", options.For, MaxDuration)
-	case !(options.AMQP >= 0 && options.AMQP <= 1):
-		return fmt.Errorf("a part of %v is not within 0 and 1", options.AMQP)
+	case options.Duration < time.Second || options.Duration > MaxDuration:
+		return fmt.Errorf("%v is not within a second and %v", options.Duration, MaxDuration)
+	case !(options.AMQPShare >= 0 && options.AMQPShare <= 1):
+		return fmt.Errorf("a part of %v is not within 0 and 1", options.AMQPShare)
 	}
 	return nil
 }
 
-// DefaultOptions returns the default script of a demonstration of a length: one server hangs, one is
+// DefaultScript returns the default script of a demonstration of a length: one server hangs, one is
 // full for a while, one drains, one is killed and restarts, and clients drop.
-func DefaultOptions(length time.Duration) string {
+func DefaultScript(length time.Duration) string {
 	at := func(part float64) time.Duration { return time.Duration(part * float64(length)).Round(time.Millisecond) }
 	return fmt.Sprintf(`; a server takes clients and answers none
 (at %v (hang s-1 %v))
@@ -89,15 +89,15 @@
 
 // Result is the result of a demonstration.
 type Result struct {
-	Sessions int
-	Asked    int
-	Gone     int // of those asked for, no longer retained
-	Crossed  int // attempts whose end the two sides saw differently, but at the same time
-	Spans    int // that were compared with explanations
-	Bad      []string
-	Record   string // the console's status of the decision log
-	Attempts int
-	ByAnswer map[string]int
+	Sessions         int
+	Sampled          int
+	Unexplained      int // of those asked for, no longer retained
+	Races            int // attempts whose end the two sides saw differently, but at the same time
+	SpansCompared    int // that were compared with explanations
+	Mismatches       []string
+	DecisionLogStats string // the console's status of the decision log
+	Attempts         int
+	ByAnswer         map[string]int
 }
 
 // Run runs a demonstration. An error says that it could not be run; what did not match is in
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	defer site.Stop()
-	actions, err := fake.ParseScript(cmp.Or(options.Script, DefaultOptions(options.For)), site.Names())
+	actions, err := fake.ParseScript(cmp.Or(options.Script, DefaultScript(options.Duration)), site.Names())
 	if err != nil {
 		return nil, fmt.Errorf("script: %w", err)
 	}
@@ -122,10 +122,10 @@
 			_ = d.stop()
 		}
 	}()
-	site.Clients = &fake.ClientPool{Log: site.Log, LineAddress: d.frontends["line"], AMQPAddress: d.frontends["amqp"], Share: options.AMQP, Classes: Classes, Rate: options.Rate,
+	site.Clients = &fake.ClientPool{Log: site.Log, LineAddress: d.frontends["line"], AMQPAddress: d.frontends["amqp"], Share: options.AMQPShare, Classes: Classes, Rate: options.Rate,
 		Groups: 40, MessageInterval: 250 * time.Millisecond, MaxClients: maxClients, Seed: options.Seed}
 	site.Clients.Prepare()
-	arrivals, done := context.WithTimeout(ctx, options.For)
+	arrivals, done := context.WithTimeout(ctx, options.Duration)
 	defer done()
 	var script sync.WaitGroup
 	script.Go(func() { site.Run(arrivals, actions, func(action fake.ScriptedAction) { d.logf("%s", action) }) })
@@ -134,7 +134,7 @@
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	d.logf("the last client has left; %d answers are held against what the stand-ins saw", options.Asks)
+	d.logf("the last client has left; %d answers are held against what the stand-ins saw", options.SampleSize)
 	explanations, err := d.checkExplanations()
 	if err != nil {
 		return nil, err
@@ -142,18 +142,18 @@
 	if err := d.writeSummary(); err != nil {
 		return nil, err
 	}
-	if d.result.Record, err = d.command("record"); err != nil {
+	if d.result.DecisionLogStats, err = d.command("record"); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(options.Out, "\nthe record of decisions\n%s", d.result.Record)
+	fmt.Fprintf(options.Out, "\nthe record of decisions\n%s", d.result.DecisionLogStats)
 	stopped = true
 	if err := d.stop(); err != nil {
 		return nil, err
 	}
-	d.result.Spans = d.checkSpans(explanations)
+	d.result.SpansCompared = d.checkSpans(explanations)
 	fmt.Fprintf(options.Out, "\n%d answers of %d asked for are as the stand-ins saw it (%d crossings, %d no longer kept), %d spans of telemetry as the answers\n",
-		d.result.Asked-d.result.Gone-len(d.result.Bad), d.result.Asked, d.result.Crossed, d.result.Gone, d.result.Spans)
-	for _, bad := range d.result.Bad {
+		d.result.Sampled-d.result.Unexplained-len(d.result.Mismatches), d.result.Sampled, d.result.Races, d.result.Unexplained, d.result.SpansCompared)
+	for _, bad := range d.result.Mismatches {
 		fmt.Fprintln(options.Out, "not as seen:", bad)
 	}
 	return &d.result, nil
@@ -206,7 +206,7 @@
 		AMQP:        config.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
 		Console:     config.Console{Socket: d.socket},
 		OTLP:        config.OTLP{Endpoint: "http://" + l.Addr().String()},
-		DecisionLog: config.DecisionLog{Bytes: &d.Bytes},
+		DecisionLog: config.DecisionLog{Bytes: &d.DecisionLogBytes},
 	}
 	ctx, d.cancel = context.WithCancel(ctx)
 	d.ended = make(chan error, 1)
@@ -225,7 +225,7 @@
 			return errors.New("the relay does not answer at its console")
 		}
 	}
-	fmt.Fprintf(d.Out, "a relay and %d stand-in servers are up for %v, %v new clients a second (seed %d)\n", d.Servers, d.For, d.Rate, d.Seed)
+	fmt.Fprintf(d.Out, "a relay and %d stand-in servers are up for %v, %v new clients a second (seed %d)\n", d.Servers, d.Duration, d.Rate, d.Seed)
 	for name, address := range d.frontends {
 		fmt.Fprintf(d.Out, "  front %-5s %s\n", name, address)
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -15,7 +15,7 @@
 // tells the same.
 func TestExplanationsMatchWhatWasSeen(t *testing.T) {
 	var out strings.Builder
-	options := Options{Servers: 4, Rate: 25, For: 12 * time.Second, Seed: 3, AMQP: 0.4, Bytes: decisionlog.MinBytes, Asks: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
+	options := Options{Servers: 4, Rate: 25, Duration: 12 * time.Second, Seed: 3, AMQPShare: 0.4, DecisionLogBytes: decisionlog.MinBytes, SampleSize: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
 	if err := options.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -25,11 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(result.Bad) > 0 {
-		t.Error(strings.Join(result.Bad, "\n"))
+	if len(result.Mismatches) > 0 {
+		t.Error(strings.Join(result.Mismatches, "\n"))
 	}
-	if asked := min(result.Sessions, options.Asks); result.Asked != asked || result.Sessions < 150 || result.Gone > asked/10 || result.Spans < asked/2 || result.Crossed > asked/10 {
-		t.Errorf("of %d visits %d were asked for, %d gone, %d crossed, %d spans", result.Sessions, result.Asked, result.Gone, result.Crossed, result.Spans)
+	if asked := min(result.Sessions, options.SampleSize); result.Sampled != asked || result.Sessions < 150 || result.Unexplained > asked/10 || result.SpansCompared < asked/2 || result.Races > asked/10 {
+		t.Errorf("of %d visits %d were asked for, %d gone, %d crossed, %d spans", result.Sessions, result.Sampled, result.Unexplained, result.Races, result.SpansCompared)
 	}
 	for _, want := range []string{"s-1 hangs", "s-2 drains", "s-4 is killed", "30% of the clients drop", "live-preview", "moved off s-2, which drains", "SET-UP"} {
 		if !strings.Contains(out.String(), want) {
@@ -39,13 +39,13 @@
 }
 
 func TestOptionsOutOfRangeAreRejected(t *testing.T) {
-	good := Options{Servers: 4, Rate: 1, For: time.Minute, AMQP: 1}
+	good := Options{Servers: 4, Rate: 1, Duration: time.Minute, AMQPShare: 1}
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
 	for _, spoil := range []func(*Options){
 		func(options *Options) { options.Servers = 1 }, func(options *Options) { options.Rate = 0 }, func(options *Options) { options.Rate = 1e9 },
-		func(options *Options) { options.For = time.Millisecond }, func(options *Options) { options.AMQP = 2 },
+		func(options *Options) { options.Duration = time.Millisecond }, func(options *Options) { options.AMQPShare = 2 },
 	} {
 		options := good
 		if spoil(&options); options.Check() == nil {
--- a/internal/demo/explanations.go
+++ b/internal/demo/explanations.go
@@ -24,7 +24,7 @@
 	kills := d.kills()
 	order := d.rng.Perm(len(sessions))
 	explanations := make(map[string]*explain.Explanation)
-	for _, i := range order[:min(len(order), d.Asks)] {
+	for _, i := range order[:min(len(order), d.SampleSize)] {
 		session := sessions[i]
 		explanation, text, err := d.explain(session)
 		if err != nil {
@@ -36,9 +36,9 @@
 		explanations[session.Name] = explanation
 		check := checker{explanation: explanation, session: session, attempts: byName[session.Name], kills: kills}
 		if mismatches := check.check(); len(mismatches) > 0 {
-			d.result.Bad = append(d.result.Bad, fmt.Sprintf("%s: %s\n%s", session.Name, strings.Join(mismatches, "; "), text))
+			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("%s: %s\n%s", session.Name, strings.Join(mismatches, "; "), text))
 		}
-		d.result.Crossed += check.crossings
+		d.result.Races += check.crossings
 	}
 	return explanations, nil
 }
@@ -49,15 +49,15 @@
 	if session.Frontend == "amqp" {
 		name = "client/" + session.Name
 	}
-	d.result.Asked++
+	d.result.Sampled++
 	if text, err = d.command("why --json -- " + name); err != nil {
 		switch {
 		case strings.Contains(err.Error(), "no longer kept"):
-			d.result.Gone++
+			d.result.Unexplained++
 		case session.Answer == "none" && strings.Contains(err.Error(), "has not come"):
-			d.result.Gone++ // its client left before the relay had read the request
+			d.result.Unexplained++ // its client left before the relay had read the request
 		default:
-			d.result.Bad = append(d.result.Bad, fmt.Sprintf("%s: %v", session.Name, err))
+			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("%s: %v", session.Name, err))
 		}
 		return nil, "", nil
 	}
--- a/internal/demo/spans.go
+++ b/internal/demo/spans.go
@@ -54,7 +54,7 @@
 			}
 		}
 		if span.answer != explanation.Result || span.passes != passes.String() && !explanation.HeadEvicted || span.reason != reason {
-			d.result.Bad = append(d.result.Bad, fmt.Sprintf("transaction %s: telemetry tells %+v, the answer %s, %s, %s", number, *span, explanation.Result, reason, passes.String()))
+			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("transaction %s: telemetry tells %+v, the answer %s, %s, %s", number, *span, explanation.Result, reason, passes.String()))
 		}
 	}
 	return count
