--- a/cmd/lockroad/check.go
+++ b/cmd/lockroad/check.go
@@ -6,33 +6,36 @@
 	"lockroad/internal/config"
 )
 
-// checkCommand validates configuration files.
+// checkCommand implements "lockroad check": it validates configuration files.
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"A platform's configuration, which is JSON, or an operator's file, TOML."`
+	Files []string `arg:"" name:"file" help:"A platform configuration (JSON), an operator file or a site file (TOML)."`
 }
 
-// Help has examples.
+// Help returns the examples and exit codes shown by --help.
 func (*checkCommand) Help() string {
-	return `Each line of what it prints is FILE:LINE: KEY: what is wrong.
+	return `Errors are printed one per line, as FILE:LINE: KEY: DESCRIPTION.
 
 Examples:
   lockroad check deploy/operator.toml
   lockroad check relay.json operator.toml && systemctl restart lockroad
 
-It ends with 0 if all is well, with 1 if something is wrong or can't be read.`
+Exit codes:
+  0    all files are valid
+  1    a file is invalid or cannot be read
+  2    the command line is malformed`
 }
 
-// Run prints all that is wrong with the files. Its exit code is exitFailed if anything is.
+// Run prints all errors in the files. It returns exitFailed as an error if there are any.
 func (c *checkCommand) Run(std streams) error {
 	code := exitOK
 	for _, file := range c.Files {
-		what, err := config.Check(file)
+		kind, err := config.Check(file)
 		if err != nil {
 			fmt.Fprintln(std.err, err)
 			code = exitFailed
 			continue
 		}
-		fmt.Fprintf(std.out, "%s: a sound %s\n", file, what)
+		fmt.Fprintf(std.out, "%s: OK (%s)\n", file, kind)
 	}
 	if code != exitOK {
 		return exitError(code)
--- a/cmd/lockroad/console.go
+++ b/cmd/lockroad/console.go
@@ -17,15 +17,15 @@
 	"lockroad/internal/tui"
 )
 
-// consoleTarget is the relay that a command talks to.
+// consoleTarget is the relay that a console command connects to.
 type consoleTarget struct {
-	Socket string `env:"LOCKROAD_SOCKET" placeholder:"PATH" help:"The relay's console socket ($$LOCKROAD_SOCKET)."`
+	Socket string `env:"LOCKROAD_SOCKET" placeholder:"PATH" help:"Console socket of the relay."`
 }
 
-// Validate requires a socket.
+// Validate requires the path of the console socket.
 func (t consoleTarget) Validate() error {
 	if t.Socket == "" {
-		return errors.New("--socket is missing, and LOCKROAD_SOCKET names none")
+		return errors.New("no console socket: set --socket or LOCKROAD_SOCKET")
 	}
 	return nil
 }
@@ -37,43 +37,46 @@
 	return nil
 }
 
-// consoleCommand runs commands of a relay's console.
+// consoleCommand implements "lockroad console": it runs commands on a relay's console.
 type consoleCommand struct {
 	consoleTarget
-	Full    bool          `help:"Fill the terminal. Without one, as in a pipe, the commands are read as ever."`
-	JSON    bool          `name:"json" help:"Have the command's answer as JSON, an object a line, times in seconds."`
-	Watch   time.Duration `placeholder:"TIME" help:"Run the command again and again, every so often, such as 2s."`
-	Command []string      `arg:"" optional:"" passthrough:"partial" help:"One command; without, they are read from standard input, one a line."`
+	Full    bool          `help:"Use the full-screen interface. It is ignored with a command, or if standard input or output is not a terminal."`
+	JSON    bool          `name:"json" help:"Print the answer as JSON, one object per line, durations in seconds."`
+	Watch   time.Duration `placeholder:"TIME" help:"Repeat the command at this interval, such as 2s."`
+	Command []string      `arg:"" optional:"" passthrough:"partial" help:"The command to run. Without it, commands are read from standard input, one per line."`
 }
 
-// Help has examples.
+// Help returns the examples and exit codes shown by --help.
 func (*consoleCommand) Help() string {
 	return `Examples:
   lockroad console --socket /run/lockroad/console.sock status
-  lockroad console --socket /run/lockroad/console.sock    then help, for the commands
+  lockroad console --socket /run/lockroad/console.sock help
   lockroad console --socket /run/lockroad/console.sock --full
   lockroad console --socket /run/lockroad/console.sock --watch 2s servers
   lockroad console --socket /run/lockroad/console.sock --json --watch 10s status >> status.jsonl
 
-It ends with 0 if done, with 1 if the relay turned the command down, with 2 if it was
-called wrongly, and with 3 if no relay answers.`
+Exit codes:
+  0    the command succeeded
+  1    the relay rejected the command
+  2    the command line is malformed
+  3    no relay answers at the socket`
 }
 
-// minWatchInterval keeps a console that watches from costing the relay much.
+// minWatchInterval limits the load that --watch puts on the relay.
 const minWatchInterval = 100 * time.Millisecond
 
-// Validate requires a command for the flags that are about one.
+// Validate requires a command for --json and --watch, and checks the interval.
 func (c *consoleCommand) Validate() error {
 	switch {
 	case len(c.Command) == 0 && (c.JSON || c.Watch != 0):
-		return errors.New("--json and --watch want a command")
+		return errors.New("--json and --watch require a command")
 	case c.Watch != 0 && c.Watch < minWatchInterval:
-		return fmt.Errorf("--watch %v is under %v", c.Watch, minWatchInterval)
+		return fmt.Errorf("--watch %v: the interval must be at least %v", c.Watch, minWatchInterval)
 	}
 	return c.consoleTarget.Validate()
 }
 
-// Run runs one command, or those that are read from standard input.
+// Run runs one command, or the commands read from standard input, or the full-screen interface.
 func (c *consoleCommand) Run(std streams) error {
 	if c.JSON {
 		c.Command = append(c.Command, "--json")
@@ -98,7 +101,7 @@
 	return ok && term.IsTerminal(f.Fd())
 }
 
-// runFullScreen shows the relay on the whole terminal.
+// runFullScreen runs the full-screen interface until the user quits.
 func (c *consoleCommand) runFullScreen(std streams) error {
 	ask := func(command string) (string, error) {
 		var out, errs strings.Builder
--- a/cmd/lockroad/lab.go
+++ b/cmd/lockroad/lab.go
@@ -7,26 +7,27 @@
 	"path/filepath"
 )
 
-// labCommand runs the program simulate, which lies beside this one: its plots need fonts that a relay should not carry.
+// labCommand implements "lockroad lab": it runs the program simulate, which is separate so that the relay does not
+// include the fonts that plots need.
 type labCommand struct {
-	Args []string `arg:"" optional:"" passthrough:"" help:"run, report, compare, plot or list; simulate --help tells more."`
+	Args []string `arg:"" optional:"" passthrough:"" help:"Arguments for simulate: run, report, compare, plot or list; see simulate --help."`
 }
 
-// Run runs simulate, whose exit code is the command's.
+// Run runs simulate and returns its exit code. simulate is taken from the directory of this program, or else from PATH.
 func (c *labCommand) Run(std streams) error {
 	name := "simulate"
 	if self, err := os.Executable(); err == nil {
-		beside := filepath.Join(filepath.Dir(self), name)
-		if _, err := os.Stat(beside); err == nil {
-			name = beside
+		sibling := filepath.Join(filepath.Dir(self), name)
+		if _, err := os.Stat(sibling); err == nil {
+			name = sibling
 		}
 	}
 	cmd := exec.Command(name, c.Args...)
 	cmd.Stdin, cmd.Stdout, cmd.Stderr = std.in, std.out, std.err
 	err := cmd.Run()
-	var code *exec.ExitError
-	if errors.As(err, &code) {
-		return exitError(code.ExitCode())
+	var exit *exec.ExitError
+	if errors.As(err, &exit) {
+		return exitError(exit.ExitCode())
 	}
 	return err
 }
--- a/cmd/lockroad/main.go
+++ b/cmd/lockroad/main.go
@@ -1,5 +1,6 @@
-// Command lockroad is the relay: it places clients' connections on endpoints and forwards their traffic. Its other commands
-// validate files, talk to a relay that runs, ask it for explanations of its decisions, and show one at work among fakes.
+// Command lockroad is the relay: it places clients' connections on endpoints and forwards their traffic. Its other
+// commands validate configuration files, query and control a running relay, explain its routing decisions, maintain its
+// store, and demonstrate a relay among fake endpoints and clients.
 package main
 
 import (
@@ -18,30 +19,30 @@
 	"lockroad/internal/console"
 )
 
-// Exit codes. Supervisors and scripts go by them.
+// Exit codes. Supervisors and scripts depend on them.
 const (
 	exitOK          = console.ExitOK
-	exitFailed      = 1                       // the relay can't start, or what was asked for can't be done or is not in order
+	exitFailed      = 1                       // the relay failed to start, or a command failed or found something invalid
 	exitUsage       = console.ExitUsage       // the command line is malformed
 	exitUnreachable = console.ExitUnreachable // no relay answers
-	// exitRestart asks the supervisor to start the relay again. It is EX_TEMPFAIL, which no other failure has here.
+	// exitRestart asks the supervisor to start the relay again. It is EX_TEMPFAIL, which no failure returns.
 	exitRestart = 75
 )
 
-// commands is the command line.
+// commands defines the command line.
 type commands struct {
-	Version kong.VersionFlag `help:"Tell the version and exit."`
+	Version kong.VersionFlag `help:"Print the version and exit."`
 
-	Run        runCommand                `cmd:"" default:"withargs" help:"Run the relay; the same as no command."`
-	Init       initCommand               `cmd:"" help:"Write the file of a small site, which needs no platform."`
-	Check      checkCommand              `cmd:"" help:"Tell all that is wrong with configurations and operator's files."`
-	Console    consoleCommand            `cmd:"" help:"Talk to a relay that runs."`
-	Why        whyCommand                `cmd:"" help:"Ask a relay why a transaction went where it went."`
-	Passwd     passwdCommand             `cmd:"" help:"Set or take out a user's password, for clients that speak AMQP."`
-	Store      storeCommand              `cmd:"" help:"Look after what a relay keeps on disk."`
-	Demo       demoCommand               `cmd:"" help:"Show a relay at work among stand-ins, on loopback."`
-	Lab        labCommand                `cmd:"" help:"Run experiments on the model of the farm (the program simulate)."`
-	Completion kongcompletion.Completion `cmd:"" help:"Print what sets up completion in a shell (bash, zsh or fish)."`
+	Run        runCommand                `cmd:"" default:"withargs" help:"Run the relay. This is the default command."`
+	Init       initCommand               `cmd:"" help:"Create a site file, the configuration of a relay without a platform."`
+	Check      checkCommand              `cmd:"" help:"Validate configuration files and report all errors."`
+	Console    consoleCommand            `cmd:"" help:"Run commands on the console of a running relay."`
+	Why        whyCommand                `cmd:"" help:"Explain how a running relay routed a transaction."`
+	Passwd     passwdCommand             `cmd:"" help:"Set or remove the password of an AMQP user."`
+	Store      storeCommand              `cmd:"" help:"Inspect and maintain the on-disk store of a relay."`
+	Demo       demoCommand               `cmd:"" help:"Run a relay among fake servers and clients on loopback."`
+	Lab        labCommand                `cmd:"" help:"Run simulation experiments with the program simulate."`
+	Completion kongcompletion.Completion `cmd:"" help:"Print the script that sets up shell completion (bash, zsh or fish)."`
 }
 
 // streams are the standard streams of a command.
@@ -50,13 +51,13 @@
 	out, err io.Writer
 }
 
-// exitError ends a command with its exit code. What went wrong has been printed.
+// exitError ends a command with an exit code, without a message: the command has already printed the cause.
 type exitError int
 
 func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// reloadSignals gets SIGHUP, which says that the configuration has been replaced, from the first moment on: its default action
-// would end a relay that has just been started.
+// reloadSignals receives SIGHUP, which requests a configuration reload. It is registered first thing in main, as the
+// default action of SIGHUP would end a relay that is still starting.
 var reloadSignals = make(chan os.Signal, 1)
 
 func main() {
@@ -64,10 +65,10 @@
 	os.Exit(execute(os.Args[1:], streams{os.Stdin, os.Stdout, os.Stderr}))
 }
 
-// parserExit is the panic that brings the exit code out of the parser, which ends the program at --help.
+// parserExit is the panic value that carries an exit code out of the parser, which would exit the program at --help.
 type parserExit int
 
-// execute runs a command line and returns the exit code.
+// execute runs a command line and returns its exit code.
 func execute(args []string, s streams) (code int) {
 	defer func() {
 		switch e := recover().(type) {
@@ -80,7 +81,7 @@
 	}()
 	var c commands
 	parser, err := kong.New(&c, kong.Name("lockroad"),
-		kong.Description("A relay for long-lived connections: it places each on an application server, carries it to its end, and moves clients before their server leaves."),
+		kong.Description("A relay for long-lived connections. It routes each to an application server, forwards its traffic, and migrates clients before their server shuts down."),
 		kong.Writers(s.out, s.err), kong.Exit(func(code int) { panic(parserExit(code)) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Vars{"version": version()}, kong.Bind(s))
 	if err != nil {
@@ -90,16 +91,16 @@
 	kongcompletion.Register(parser)
 	parsed, err := parser.Parse(acceptSingleDashSocket(args))
 	if err != nil {
-		fmt.Fprintf(s.err, "lockroad: %v\ntry lockroad --help\n", err)
+		fmt.Fprintf(s.err, "lockroad: %v\nRun \"lockroad --help\" for usage.\n", err)
 		return exitUsage
 	}
-	if word, _, _ := strings.Cut(parsed.Command(), " "); word != "run" {
-		signal.Reset(syscall.SIGHUP) // it ends with its terminal
+	if command, _, _ := strings.Cut(parsed.Command(), " "); command != "run" {
+		signal.Reset(syscall.SIGHUP) // other commands end when their terminal closes
 	}
 	if err := parsed.Run(); err != nil {
-		var told exitError
-		if errors.As(err, &told) {
-			return int(told)
+		var exit exitError
+		if errors.As(err, &exit) {
+			return int(exit)
 		}
 		fmt.Fprintf(s.err, "lockroad: %v\n", err)
 		return exitFailed
@@ -107,29 +108,29 @@
 	return exitOK
 }
 
-// acceptSingleDashSocket turns -socket into --socket, as the first releases had it.
+// acceptSingleDashSocket rewrites the deprecated flag -socket to --socket.
 func acceptSingleDashSocket(args []string) []string {
 	out := make([]string, len(args))
-	for i, a := range args {
-		if a == "-socket" || strings.HasPrefix(a, "-socket=") {
-			a = "-" + a
+	for i, arg := range args {
+		if arg == "-socket" || strings.HasPrefix(arg, "-socket=") {
+			arg = "-" + arg
 		}
-		out[i] = a
+		out[i] = arg
 	}
 	return out
 }
 
-// version returns the version, as far as the build knows it.
+// version returns the module version, the commit and the Go version, as far as the build information has them.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
-		return "lockroad, of no known version"
+		return "lockroad (unknown version)"
 	}
-	v, at := info.Main.Version, ""
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" {
-			at = ", commit " + s.Value[:min(12, len(s.Value))]
+	release, commit := info.Main.Version, ""
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			commit = ", commit " + setting.Value[:min(12, len(setting.Value))]
 		}
 	}
-	return fmt.Sprintf("lockroad %s%s, %s", v, at, info.GoVersion)
+	return fmt.Sprintf("lockroad %s%s, %s", release, commit, info.GoVersion)
 }
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -50,8 +50,8 @@
 		{"why --help", 0, []string{"Examples:", "(answer ANSWER ...)", "--socket"}, nil},
 		{"run --help", 0, []string{"Examples:", "--log-form"}, nil},
 		{"completion -c bash", 0, []string{"complete"}, nil},
-		{"check ../../deploy/operator.toml", 0, []string{"a sound operator's file"}, nil},
-		{"check ../../deploy/site.toml", 0, []string{"a sound site's file"}, nil},
+		{"check ../../deploy/operator.toml", 0, []string{"deploy/operator.toml: OK (operator's file)"}, nil},
+		{"check ../../deploy/site.toml", 0, []string{"deploy/site.toml: OK (site's file)"}, nil},
 		{"check " + bad + " " + nobody, 1, nil, []string{bad + ":2: amqp.listen: ", bad + ":3: odd: unknown key", "no such file"}},
 		{"store check " + folder, 0, []string{"0 records of 0 commits"}, nil},
 		{"store check " + nobody, 2, nil, []string{"nobody"}},
@@ -66,7 +66,7 @@
 		{"console -socket " + nobody + " why --json 7", 3, nil, []string{"no relay answers at " + nobody}},
 		{"lab list", 1, nil, []string{"simulate"}}, // it does not stand beside the test
 		{"demo --rate 0", 2, nil, []string{"a rate of 0"}},
-		{"", 1, nil, []string{"PROXY_CONFIG names no configuration"}},
+		{"", 1, nil, []string{"no configuration: set --config, --site or PROXY_CONFIG"}},
 		{"run --operator " + bad, 1, nil, []string{bad + ":2: amqp.listen"}},
 	} {
 		code, out, errs := runCommandLine(strings.Fields(c.args)...)
--- a/cmd/lockroad/passwd.go
+++ b/cmd/lockroad/passwd.go
@@ -13,24 +13,30 @@
 	"lockroad/internal/auth"
 )
 
-// passwdCommand changes the file of users.
+// passwdCommand implements "lockroad passwd": it sets or removes a password in a password file.
 type passwdCommand struct {
-	File   string `arg:"" help:"The file that amqp.sasl.users names; it is made if it is not there."`
-	User   string `arg:"" help:"Who is to come in by the password."`
-	Remove bool   `help:"Take the user out."`
+	File   string `arg:"" help:"The password file, users in the [amqp.sasl] section of the operator file. It is created if it does not exist."`
+	User   string `arg:"" help:"Name of the user."`
+	Remove bool   `help:"Remove the user."`
 }
 
-// Help has examples.
+// Help returns the description and the examples shown by --help.
 func (*passwdCommand) Help() string {
-	return `The password is asked for, or read from standard input where that is no terminal. What is
-kept is its argon2id hash. A relay that runs takes the file at SIGHUP.
+	return `The command prompts for the password, or reads it from standard input if that is not a
+terminal. The file contains argon2id hashes of passwords. A running relay reloads it at
+SIGHUP.
 
 Examples:
   lockroad passwd /etc/lockroad/users ann
-  lockroad passwd --remove /etc/lockroad/users ann`
+  lockroad passwd --remove /etc/lockroad/users ann
+
+Exit codes:
+  0    the file was updated
+  1    the file, the user name or the password is invalid, or the file cannot be written
+  2    the command line is malformed`
 }
 
-// Run sets or removes the password.
+// Run sets or removes the user's password.
 func (c *passwdCommand) Run(std streams) error {
 	password := ""
 	if !c.Remove {
@@ -42,15 +48,16 @@
 	if err := auth.SetPassword(c.File, c.User, password, c.Remove); err != nil {
 		return err
 	}
-	fmt.Fprintf(std.out, "%s is written; a relay that runs takes it at SIGHUP\n", c.File)
+	fmt.Fprintf(std.out, "%s updated; a running relay reloads it at SIGHUP\n", c.File)
 	return nil
 }
 
-// readPassword reads a password: twice and without an echo at a terminal, else a line of standard input.
+// readPassword reads a password: at a terminal it prompts twice, without echo; otherwise it reads a line of standard
+// input.
 func readPassword(std streams) (string, error) {
 	if f, ok := std.in.(*os.File); ok && isTerminal(f) {
 		var typed [2]string
-		for i, prompt := range []string{"password: ", "again: "} {
+		for i, prompt := range []string{"Password: ", "Repeat password: "} {
 			fmt.Fprint(std.err, prompt)
 			text, err := term.ReadPassword(f.Fd())
 			fmt.Fprintln(std.err)
@@ -60,7 +67,7 @@
 			typed[i] = string(text)
 		}
 		if typed[0] != typed[1] {
-			return "", errors.New("the two differ")
+			return "", errors.New("the passwords do not match")
 		}
 		return typed[0], nil
 	}
--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -233,7 +233,7 @@
 	if code, out, errs := runCommandLine("store", "dump", folder, "--kind", "decisions"); code != 0 || !strings.Contains(out, session.Name) {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
-	if code, out, errs := runCommandLine("store", "erase", folder, session.Flow); code != 0 || !strings.Contains(out, "1 accounts are erased") {
+	if code, out, errs := runCommandLine("store", "erase", folder, session.Flow); code != 0 || !strings.Contains(out, "erased 1 stored decisions") {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
 	files, _ := filepath.Glob(filepath.Join(folder, "*.log"))
--- a/cmd/lockroad/run.go
+++ b/cmd/lockroad/run.go
@@ -16,32 +16,37 @@
 	"lockroad/internal/server"
 )
 
-// logTailLines is how many lines of the log the console can show.
+// logTailLines is the number of log lines that are retained for the console's log command.
 const logTailLines = 500
 
-// runCommand runs the relay.
+// runCommand implements "lockroad run".
 type runCommand struct {
-	Config   string `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform's configuration, JSON ($$PROXY_CONFIG)."`
-	Site     string `placeholder:"FILE" help:"A small site's file, TOML, in place of both: no platform, no discovery."`
-	Operator string `env:"LOCKROAD_OPERATOR" placeholder:"FILE" help:"The operator's file, TOML ($$LOCKROAD_OPERATOR)."`
-	Admin    string `name:"admin-addr" env:"PROXY_ADMIN_ADDR" placeholder:"HOST:PORT" help:"Where readiness and figures are asked for, over the configuration's admin_addr ($$PROXY_ADMIN_ADDR)."`
-	LogLevel string `placeholder:"LEVEL" help:"debug, info, warn or error; over the operator's file."`
-	LogForm  string `placeholder:"FORM" help:"text, logfmt or json; over the operator's file."`
+	Config   string `env:"PROXY_CONFIG" placeholder:"FILE" help:"The platform configuration file, JSON."`
+	Site     string `placeholder:"FILE" help:"The site file, TOML. It replaces --config and --operator and needs neither platform nor discovery."`
+	Operator string `env:"LOCKROAD_OPERATOR" placeholder:"FILE" help:"The operator file, TOML."`
+	Admin    string `name:"admin-addr" env:"PROXY_ADMIN_ADDR" placeholder:"HOST:PORT" help:"Address that serves readiness and metrics. It overrides admin_addr of the configuration."`
+	LogLevel string `placeholder:"LEVEL" help:"Log level: debug, info, warn or error. It overrides the operator file."`
+	LogForm  string `placeholder:"FORM" help:"Log format: text, logfmt or json. It overrides the operator file."`
 }
 
-// Help has examples.
+// Help returns the examples and exit codes shown by --help.
 func (*runCommand) Help() string {
 	return `Examples:
-  lockroad                                       as the platform starts it
+  lockroad                         reads PROXY_CONFIG and LOCKROAD_OPERATOR
   lockroad run --config relay.json --operator operator.toml --log-form text
-  lockroad run --site site.toml                  on a box of its own; lockroad init writes the file
+  lockroad run --site site.toml    the file is created by lockroad init
 
-It ends with 0 after SIGTERM, once everyone has been moved, with 1 when it can't
-start, with 2 when it was called wrongly, and with 75 when it left to be started again
-(restart at the console). SIGHUP has it read the configuration anew.`
+SIGHUP reloads the configuration. SIGTERM stops the relay after all clients have been
+migrated.
+
+Exit codes:
+  0    the relay was stopped
+  1    the relay failed; the log has the errors
+  2    the command line is malformed
+  75   a restart was requested at the console; the supervisor starts the relay again`
 }
 
-// Validate checks the flags.
+// Validate checks the log level and the log format.
 func (c *runCommand) Validate() error {
 	return errors.Join(logging.CheckLevel(c.LogLevel), logging.CheckFormat(c.LogForm))
 }
@@ -64,8 +69,8 @@
 	return nil
 }
 
-// readFiles reads the site's file, which has the operator's settings as well, or else the operator's file. After an error
-// operator is nil.
+// readFiles reads the site file, which includes the operator settings, or, without one, the operator file. operator is
+// nil if an error is returned.
 func (c *runCommand) readFiles() (site *config.Site, operator *config.Operator, err error) {
 	if c.Site == "" {
 		operator, err = config.ReadOperator(c.Operator)
@@ -77,7 +82,8 @@
 	return site, site.Operator, nil
 }
 
-// logOptions returns the options of the log: the flags, over the operator's settings. operator is nil if they can't be read.
+// logOptions returns the logging options: the flags override the operator settings, which are nil if they could not be
+// read.
 func (c *runCommand) logOptions(operator *config.Operator) logging.Options {
 	options := logging.Options{Level: c.LogLevel, Format: c.LogForm}
 	if operator == nil {
@@ -91,14 +97,14 @@
 	return options
 }
 
-// run reads the platform's configuration, where there is no site, and runs the relay. With checkOnly it only reads, so that what
-// is wrong with one file and with the other is reported at once.
+// run reads the platform configuration, unless there is a site file, and runs the relay. With checkOnly it reads the
+// configuration but does not run the relay, so that the errors of both files are reported together.
 func (c *runCommand) run(site *config.Site, operator *config.Operator, log *logging.Logger, checkOnly bool) error {
 	if c.Site != "" && checkOnly {
 		return nil
 	}
 	if c.Config == "" && c.Site == "" {
-		return errors.New("PROXY_CONFIG names no configuration, and neither does --config")
+		return errors.New("no configuration: set --config, --site or PROXY_CONFIG")
 	}
 	var platform *config.Config
 	path := c.Config
@@ -112,7 +118,7 @@
 	}
 	if c.Admin != "" {
 		if _, _, err := net.SplitHostPort(c.Admin); err != nil {
-			return fmt.Errorf("PROXY_ADMIN_ADDR: %q is no host:port: %w", c.Admin, err)
+			return fmt.Errorf("--admin-addr or PROXY_ADMIN_ADDR: %q is not a host:port address: %w", c.Admin, err)
 		}
 		platform.AdminAddr = c.Admin
 	}
@@ -127,7 +133,8 @@
 	return server.Run(context.Background(), options, platform, operator, log.Logger)
 }
 
-// shutdownSignal returns a channel that is closed at SIGTERM or an interrupt. Its goroutine lives as long as the process.
+// shutdownSignal returns a channel that is closed when the process receives SIGTERM or an interrupt. Its goroutine runs
+// until then, at the latest until the process exits.
 func shutdownSignal() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -40,7 +40,7 @@
 	if code, _, errs := runCommandLine(args...); code != 1 || !strings.Contains(errs, "exists") {
 		t.Errorf("a second time: %d %s", code, errs)
 	}
-	if code, out, errs := runCommandLine("check", file); code != 0 || !strings.Contains(out, "a sound site's file") {
+	if code, out, errs := runCommandLine("check", file); code != 0 || !strings.Contains(out, "OK (site's file)") {
 		t.Errorf("%d %s%s", code, out, errs)
 	}
 	quick := strings.NewReplacer(`every = "2s"`, `every = "200ms"`, `timeout = "1s"`, `timeout = "200ms"`)
--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -12,42 +12,45 @@
 	"lockroad/internal/store"
 )
 
-// storeCommand has the commands for the folder of a relay's store.
+// storeCommand groups the commands that work on the directory of a relay's store.
 type storeCommand struct {
-	Check   storeCheckCommand   `cmd:"" help:"Read all of it and tell what is wrong."`
-	Stats   storeStatsCommand   `cmd:"" help:"Tell what it holds."`
-	Dump    storeDumpCommand    `cmd:"" help:"Write its records, a line of JSON each."`
-	Compact storeCompactCommand `cmd:"" help:"Leave nothing in its files that was removed or let go."`
-	Erase   storeEraseCommand   `cmd:"" help:"Erase what is kept of a client, by its name or its flow's key."`
-	Repair  storeRepairCommand  `cmd:"" help:"Keep what can be read of one that is damaged, and lose the rest."`
+	Check   storeCheckCommand   `cmd:"" help:"Read the whole store and report damage."`
+	Stats   storeStatsCommand   `cmd:"" help:"Print the number and size of the records of each kind."`
+	Dump    storeDumpCommand    `cmd:"" help:"Print the records as JSON, one object per line."`
+	Compact storeCompactCommand `cmd:"" help:"Merge the files and drop removed and expired records."`
+	Erase   storeEraseCommand   `cmd:"" help:"Erase the stored decisions on a client, by transaction name or flow key."`
+	Repair  storeRepairCommand  `cmd:"" help:"Recover the readable records of a damaged store and discard the rest."`
 }
 
-// Help has examples.
+// Help returns the examples and exit codes shown by --help.
 func (*storeCommand) Help() string {
-	return `The relay must not run, or DIR be a copy: a store that is open is refused.
+	return `These commands refuse a store that is in use: stop the relay first, or work on a copy.
 
 Examples:
   lockroad store check /var/lib/lockroad
   cp -r /var/lib/lockroad copy && lockroad store dump copy --kind orders
 
-They end with 0 if all is well, and with 1 if something is damaged or can't be done.`
+Exit codes:
+  0    the command succeeded and the store is intact
+  1    the store is damaged, or the command failed
+  2    the command line is malformed`
 }
 
-// storeFolder is the argument that all commands of a store have.
+// storeFolder is the argument that all store commands have in common.
 type storeFolder struct {
-	Dir string `arg:"" type:"existingdir" help:"The store's folder, [store] dir in the operator's file."`
+	Dir string `arg:"" type:"existingdir" help:"Directory of the store: dir in the [store] section of the operator file."`
 }
 
 func (f storeFolder) fs() store.FS { return store.Dir(f.Dir) }
 
-// printReport prints what was found. It returns exitFailed as an error if anything is damaged.
+// printReport prints a report on a store. It returns exitFailed as an error if the report lists damage.
 func printReport(w io.Writer, report store.Report) error {
-	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them wanted; read in %v\n", report.Records, report.Commits, report.Files, report.Bytes, report.LiveBytes, report.Duration.Round(time.Microsecond))
+	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them live; read in %v\n", report.Records, report.Commits, report.Files, report.Bytes, report.LiveBytes, report.Duration.Round(time.Microsecond))
 	if t := report.TornTail; t != nil {
-		fmt.Fprintf(w, "%s ends in %d bytes from byte %d on that a crash tore: nothing in them was committed to last\n", t.File, t.Bytes, t.Offset)
+		fmt.Fprintf(w, "%s has a torn tail of %d bytes at offset %d, left by a crash: no synced commit is lost\n", t.File, t.Bytes, t.Offset)
 	}
 	for _, name := range report.Replaced {
-		fmt.Fprintf(w, "%s is left over from a merge, and goes at the next start\n", name)
+		fmt.Fprintf(w, "%s is left over from a merge and is removed at the next start\n", name)
 	}
 	for _, d := range report.Damaged {
 		fmt.Fprintln(w, d)
@@ -60,7 +63,7 @@
 
 type storeCheckCommand struct{ storeFolder }
 
-// Run reads all of the store and prints what is wrong.
+// Run reads the whole store and prints a report with all damage.
 func (c *storeCheckCommand) Run(std streams) error {
 	report, err := store.Check(c.fs(), persistence.Kinds())
 	if err != nil {
@@ -71,7 +74,7 @@
 
 type storeStatsCommand struct{ storeFolder }
 
-// Run prints how many records there are of each kind.
+// Run prints the number, the size and the oldest record of each kind.
 func (c *storeStatsCommand) Run(std streams) error {
 	report, kinds, err := store.Count(c.fs(), persistence.Kinds())
 	if err != nil {
@@ -85,55 +88,55 @@
 
 type storeDumpCommand struct {
 	storeFolder
-	Kind string `placeholder:"KIND" help:"Only those of one kind: orders, learnt or decisions."`
+	Kind string `placeholder:"KIND" help:"Print the records of one kind only: orders, learnt or decisions."`
 }
 
-// Run prints records as JSON.
+// Run prints the records as JSON.
 func (c *storeDumpCommand) Run(std streams) error {
 	return store.Dump(c.fs(), persistence.Kinds(), c.Kind, std.out)
 }
 
 type storeCompactCommand struct{ storeFolder }
 
-// Run merges the store's files.
+// Run merges the store's files and prints their size before and after.
 func (c *storeCompactCommand) Run(std streams) error {
 	before, after, err := store.Compact(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(std.out, "%d bytes before, %d after\n", before.Bytes, after.Bytes)
+	fmt.Fprintf(std.out, "%d bytes before, %d bytes after\n", before.Bytes, after.Bytes)
 	return printReport(std.out, after)
 }
 
 type storeRepairCommand struct{ storeFolder }
 
-// Run keeps what can be read.
+// Run recovers the readable records and prints a report from before and after.
 func (c *storeRepairCommand) Run(std streams) error {
 	before, after, err := store.Repair(c.fs(), persistence.Kinds())
 	if err != nil {
 		return err
 	}
 	fmt.Fprintln(std.out, "before:")
-	_ = printReport(std.out, before) // the verdict is that of what is there now
-	fmt.Fprintln(std.out, "now:")
+	_ = printReport(std.out, before) // the exit code depends on the repaired store only
+	fmt.Fprintln(std.out, "after:")
 	return printReport(std.out, after)
 }
 
 type storeEraseCommand struct {
 	storeFolder
-	Of string `arg:"" help:"The name that a client gave a transaction, or the key of its flow."`
+	Of string `arg:"" help:"The client's name of a transaction, or the key of its flow."`
 }
 
-// Run removes the explanations of a client's requests, and merges the files so that no removed record is left in them.
+// Run removes the explanations of a client's requests, then merges the files so that no removed record remains on disk.
 func (c *storeEraseCommand) Run(std streams) error {
-	kept, _, err := store.Open(c.fs(), store.Options{Kinds: persistence.Kinds()})
+	opened, _, err := store.Open(c.fs(), store.Options{Kinds: persistence.Kinds()})
 	if err != nil {
 		return err
 	}
-	table := &store.Table[explain.Explanation]{Store: kept, Kind: persistence.KindDecisions, Version: 1}
+	table := &store.Table[explain.Explanation]{Store: opened, Kind: persistence.KindDecisions, Version: 1}
 	var keys []string
-	err = table.Each(false, func(key string, _ time.Time, a explain.Explanation) bool {
-		if a.Matches(c.Of) {
+	err = table.Each(false, func(key string, _ time.Time, explanation explain.Explanation) bool {
+		if explanation.Matches(c.Of) {
 			keys = append(keys, key)
 		}
 		return true
@@ -141,9 +144,9 @@
 	for _, key := range keys {
 		err = errors.Join(err, table.Remove(context.Background(), key))
 	}
-	if err = errors.Join(err, kept.Compact(), kept.Close()); err != nil {
+	if err = errors.Join(err, opened.Compact(), opened.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintf(std.out, "%d accounts are erased; what was learnt holds no names of clients\n", len(keys))
+	fmt.Fprintf(std.out, "erased %d stored decisions; learnt records contain no client names\n", len(keys))
 	return nil
 }
