--- a/cmd/lockroad/main.go
+++ b/cmd/lockroad/main.go
@@ -108,7 +108,7 @@
 	return exitOK
 }
 
-// acceptSingleDashSocket rewrites the deprecated flag -socket to --socket.
+// acceptSingleDashSocket rewrites -socket, the spelling of early releases, to --socket.
 func acceptSingleDashSocket(args []string) []string {
 	out := make([]string, len(args))
 	for i, arg := range args {
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -65,7 +65,7 @@
 		{"why --socket " + nobody + " 7", 3, nil, []string{"no relay answers"}},
 		{"console -socket " + nobody + " why --json 7", 3, nil, []string{"no relay answers at " + nobody}},
 		{"lab list", 1, nil, []string{"simulate"}}, // it does not stand beside the test
-		{"demo --rate 0", 2, nil, []string{"a rate of 0"}},
+		{"demo --rate 0", 2, nil, []string{"rate 0: expected more than 0"}},
 		{"", 1, nil, []string{"no configuration: set --config, --site or PROXY_CONFIG"}},
 		{"run --operator " + bad, 1, nil, []string{bad + ":2: amqp.listen"}},
 	} {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo starts a relay among fake servers and clients on loopback, performs a script
-// of faults, and compares the relay's explanations of its decisions with what the servers and
-// clients saw. It is `lockroad demo`, and a test that anybody can watch.
+// Package demo implements `lockroad demo`. It runs a relay among fake servers and clients on
+// loopback, performs a script of faults, and compares the relay's explanations and spans with
+// what the servers and clients observed.
 package demo
 
 import (
@@ -28,49 +28,49 @@
 // Options configure a demonstration.
 type Options struct {
 	Servers          int
-	Rate             float64       // new clients a second
-	Duration         time.Duration // clients arrive for this long
+	Rate             float64       // new clients per second
+	Duration         time.Duration // how long new clients arrive
 	Seed             uint64
 	AMQPShare        float64 // share of the clients that use AMQP 1.0
-	DecisionLogBytes int     // of the decision log
-	SampleSize       int     // explanations that are compared with what was seen
-	Script           string  // as fake.ParseScript reads it; empty: Usual
+	DecisionLogBytes int     // memory of the decision log
+	SampleSize       int     // number of explanations to compare with observations
+	Script           string  // in the syntax of fake.ParseScript; empty: DefaultScript
 	Out              io.Writer
-	Log              *slog.Logger // the relay's
+	Log              *slog.Logger // log of the relay
 }
 
-// MaxRate and MaxDuration bound the load of a demonstration on a machine.
+// Limits of the load that a demonstration puts on a machine.
 const (
 	MaxRate     = 500
 	MaxDuration = time.Hour
-	maxClients  = 4000 // at a time
+	maxClients  = 4000 // connected at the same time
 )
 
 const (
-	readyTimeout = 10 * time.Second // of the relay
-	pollInterval = 10 * time.Millisecond
+	readyTimeout = 10 * time.Second      // limit for the start of the relay
+	pollInterval = 10 * time.Millisecond // of the console, until the relay has started
 )
 
-// Check reports what is wrong with the options.
+// Check returns an error for the first option that is out of range.
 func (options *Options) Check() error {
 	switch {
 	case options.Servers < 2 || options.Servers > 64:
-		return fmt.Errorf("%d servers are not within 2 and 64", options.Servers)
+		return fmt.Errorf("%d servers: expected 2 to 64", options.Servers)
 	case !(options.Rate > 0 && options.Rate <= MaxRate):
-		return fmt.Errorf("a rate of %v is not within 0 and %d", options.Rate, MaxRate)
+		return fmt.Errorf("rate %v: expected more than 0 and at most %d clients per second", options.Rate, MaxRate)
 	case options.Duration < time.Second || options.Duration > MaxDuration:
-		return fmt.Errorf("%v is not within a second and %v", options.Duration, MaxDuration)
+		return fmt.Errorf("duration %v: expected 1s to %v", options.Duration, MaxDuration)
 	case !(options.AMQPShare >= 0 && options.AMQPShare <= 1):
-		return fmt.Errorf("a part of %v is not within 0 and 1", options.AMQPShare)
+		return fmt.Errorf("AMQP share %v: expected 0 to 1", options.AMQPShare)
 	}
 	return nil
 }
 
-// DefaultScript returns the default script of a demonstration of a length: one server hangs, one is
-// full for a while, one drains, one is killed and restarts, and clients drop.
+// DefaultScript returns the default script of a demonstration of a given length: one server
+// hangs, one is full for a while, one drains, one is killed and restarts, and clients drop.
 func DefaultScript(length time.Duration) string {
 	at := func(part float64) time.Duration { return time.Duration(part * float64(length)).Round(time.Millisecond) }
-	return fmt.Sprintf(`; a server takes clients and answers none
+	return fmt.Sprintf(`; s-1 accepts clients but does not answer
 (at %v (hang s-1 %v))
 (at %v (busy s-3 %v))
 (at %v (drain s-2))
@@ -79,7 +79,7 @@
 `, at(.15), min(at(.2), 8*time.Second), at(.4), min(at(.1), 5*time.Second), at(.5), at(.65), min(at(.1), 3*time.Second), at(.8))
 }
 
-// Classes are the classes of the clients.
+// Classes are the classes of the fake clients.
 var Classes = []fake.Class{
 	{Name: "page-render", Share: 0.35, TimeLimit: 2400 * time.Millisecond, MeanLifetime: 3 * time.Second},
 	{Name: "part-extract", Share: 0.30, TimeLimit: 2400 * time.Millisecond, MeanLifetime: 4 * time.Second},
@@ -87,21 +87,22 @@
 	{Name: "print-export", Share: 0.08, TimeLimit: 2400 * time.Millisecond, MeanLifetime: 2 * time.Second},
 }
 
-// Result is the result of a demonstration.
+// Result is the result of a demonstration. Sessions, Attempts and ByAnswer count what clients
+// and servers observed; the other counts are of comparisons with the sampled explanations.
 type Result struct {
 	Sessions         int
-	Sampled          int
-	Unexplained      int // of those asked for, no longer retained
-	Races            int // attempts whose end the two sides saw differently, but at the same time
-	SpansCompared    int // that were compared with explanations
-	Mismatches       []string
-	DecisionLogStats string // the console's status of the decision log
+	Sampled          int      // sessions whose explanation was requested
+	Unexplained      int      // sampled sessions without an explanation: evicted, or never received by the relay
+	Races            int      // tolerated differences between events that two sides saw at almost the same time
+	SpansCompared    int      // transaction spans that were compared with explanations
+	Mismatches       []string // descriptions of explanations and spans that contradict observations
+	DecisionLogStats string   // output of the console command record
 	Attempts         int
-	ByAnswer         map[string]int
+	ByAnswer         map[string]int // sessions by the answer that the client received
 }
 
-// Run runs a demonstration. An error says that it could not be run; what did not match is in
-// the result.
+// Run runs a demonstration and writes its progress and summary to options.Out. Mismatches are
+// not an error: they are listed in the result.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	site, err := fake.NewSite(options.Servers, 10*time.Millisecond, 0, nil)
 	if err != nil {
@@ -125,8 +126,8 @@
 	site.Clients = &fake.ClientPool{Log: site.Log, LineAddress: d.frontends["line"], AMQPAddress: d.frontends["amqp"], Share: options.AMQPShare, Classes: Classes, Rate: options.Rate,
 		Groups: 40, MessageInterval: 250 * time.Millisecond, MaxClients: maxClients, Seed: options.Seed}
 	site.Clients.Prepare()
-	arrivals, done := context.WithTimeout(ctx, options.Duration)
-	defer done()
+	arrivals, stopArrivals := context.WithTimeout(ctx, options.Duration)
+	defer stopArrivals()
 	var script sync.WaitGroup
 	script.Go(func() { site.Run(arrivals, actions, func(action fake.ScriptedAction) { d.logf("%s", action) }) })
 	site.Clients.Run(arrivals)
@@ -134,7 +135,7 @@
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
-	d.logf("the last client has left; %d answers are held against what the stand-ins saw", options.SampleSize)
+	d.logf("all clients have left; comparing up to %d explanations with the observations of servers and clients", options.SampleSize)
 	explanations, err := d.checkExplanations()
 	if err != nil {
 		return nil, err
@@ -145,42 +146,42 @@
 	if d.result.DecisionLogStats, err = d.command("record"); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(options.Out, "\nthe record of decisions\n%s", d.result.DecisionLogStats)
+	fmt.Fprintf(options.Out, "\ndecision log\n%s", d.result.DecisionLogStats)
 	stopped = true
 	if err := d.stop(); err != nil {
 		return nil, err
 	}
 	d.result.SpansCompared = d.checkSpans(explanations)
-	fmt.Fprintf(options.Out, "\n%d answers of %d asked for are as the stand-ins saw it (%d crossings, %d no longer kept), %d spans of telemetry as the answers\n",
+	fmt.Fprintf(options.Out, "\n%d of %d sampled explanations match the observations (%d races tolerated, %d explanations unavailable); %d spans compared\n",
 		d.result.Sampled-d.result.Unexplained-len(d.result.Mismatches), d.result.Sampled, d.result.Races, d.result.Unexplained, d.result.SpansCompared)
-	for _, bad := range d.result.Mismatches {
-		fmt.Fprintln(options.Out, "not as seen:", bad)
+	for _, mismatch := range d.result.Mismatches {
+		fmt.Fprintln(options.Out, "mismatch:", mismatch)
 	}
 	return &d.result, nil
 }
 
-// demonstration is a demonstration that runs.
+// demonstration is the state of a running demonstration.
 type demonstration struct {
 	Options
-	site      *fake.Site
-	rng       *rand.Rand
-	startedAt time.Time
-	directory string
-	socket    string
-	frontends map[string]string
-	collector *fake.Collector
-	telemetry *http.Server
-	cancel    context.CancelFunc
-	ended     chan error
-	result    Result
+	site            *fake.Site
+	rng             *rand.Rand
+	startedAt       time.Time
+	directory       string
+	socket          string
+	frontends       map[string]string
+	collector       *fake.Collector
+	collectorServer *http.Server
+	cancel          context.CancelFunc
+	relayDone       chan error // receives the error that the relay ended with
+	result          Result
 }
 
-// logf writes a line with the time since the start.
+// logf writes a line to Out, prefixed with the time since the start.
 func (d *demonstration) logf(format string, args ...any) {
 	fmt.Fprintf(d.Out, "%6.1f s  %s\n", time.Since(d.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// start starts the collector and the relay, and waits until the relay answers.
+// start starts the collector and the relay, and waits until the relay's console answers.
 func (d *demonstration) start(ctx context.Context) error {
 	var err error
 	if d.directory, err = os.MkdirTemp("", "lockroad-demo-"); err != nil {
@@ -195,57 +196,58 @@
 	if err != nil {
 		return err
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	d.collector = &fake.Collector{}
-	d.telemetry = &http.Server{Handler: d.collector, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = d.telemetry.Serve(l) }()
+	d.collectorServer = &http.Server{Handler: d.collector, ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = d.collectorServer.Serve(listener) }()
 	operator := &config.Operator{
 		AMQP:        config.AMQP{Listen: "127.0.0.1:0", EndpointPort: d.site.AMQPPort},
 		Console:     config.Console{Socket: d.socket},
-		OTLP:        config.OTLP{Endpoint: "http://" + l.Addr().String()},
+		OTLP:        config.OTLP{Endpoint: "http://" + listener.Addr().String()},
 		DecisionLog: config.DecisionLog{Bytes: &d.DecisionLogBytes},
 	}
 	ctx, d.cancel = context.WithCancel(ctx)
-	d.ended = make(chan error, 1)
-	go func() { d.ended <- server.Run(ctx, server.RunOptions{}, platform, operator, d.Log) }()
+	d.relayDone = make(chan error, 1)
+	go func() { d.relayDone <- server.Run(ctx, server.RunOptions{}, platform, operator, d.Log) }()
 	for deadline := time.Now().Add(readyTimeout); ; {
 		if d.frontends, err = d.listFrontends(); err == nil {
 			break
 		}
 		select {
-		case err := <-d.ended:
-			d.ended <- err
-			return fmt.Errorf("the relay has not started: %w", err)
+		case err := <-d.relayDone:
+			d.relayDone <- err
+			return fmt.Errorf("start relay: %w", err)
 		case <-time.After(pollInterval):
 		}
 		if time.Now().After(deadline) {
-			return errors.New("the relay does not answer at its console")
+			return errors.New("start relay: its console does not answer")
 		}
 	}
-	fmt.Fprintf(d.Out, "a relay and %d stand-in servers are up for %v, %v new clients a second (seed %d)\n", d.Servers, d.Duration, d.Rate, d.Seed)
+	fmt.Fprintf(d.Out, "running a relay and %d fake servers for %v with %v new clients per second (seed %d)\n", d.Servers, d.Duration, d.Rate, d.Seed)
 	for name, address := range d.frontends {
-		fmt.Fprintf(d.Out, "  front %-5s %s\n", name, address)
+		fmt.Fprintf(d.Out, "  frontend %-5s %s\n", name, address)
 	}
-	fmt.Fprintf(d.Out, "  console     %s\n  try         lockroad why --socket %s --where '(eventful)'\n", d.socket, d.socket)
+	fmt.Fprintf(d.Out, "  console        %s\n  try            lockroad why --socket %s --where '(eventful)'\n", d.socket, d.socket)
 	return nil
 }
 
-// stop ends the relay, which sends the last of its telemetry, and the collector.
+// stop ends the relay, which then exports its remaining telemetry, and stops the collector. It
+// returns the relay's error.
 func (d *demonstration) stop() error {
 	defer func() { _ = os.RemoveAll(d.directory) }()
 	if d.cancel == nil {
 		return nil
 	}
 	d.cancel()
-	err := <-d.ended
-	_ = d.telemetry.Close()
+	err := <-d.relayDone
+	_ = d.collectorServer.Close()
 	return err
 }
 
-// command runs a command of the relay's console, and returns its output.
+// command runs a command on the relay's console and returns its output.
 func (d *demonstration) command(command string) (string, error) {
 	var out, errs strings.Builder
 	if code := console.Run(d.socket, command, nil, &out, &errs); code != console.ExitOK {
@@ -254,17 +256,17 @@
 	return out.String(), nil
 }
 
-// listFrontends returns the addresses of the relay's frontends by their names.
+// listFrontends returns the addresses of the relay's frontends by name.
 func (d *demonstration) listFrontends() (map[string]string, error) {
 	text, err := d.command("fronts")
 	if err != nil {
 		return nil, err
 	}
-	fronts := make(map[string]string)
+	frontends := make(map[string]string)
 	for line := range strings.Lines(text) {
 		if words := strings.Fields(line); len(words) == 2 && words[0] != "FRONT" {
-			fronts[words[0]] = words[1]
+			frontends[words[0]] = words[1]
 		}
 	}
-	return fronts, nil
+	return frontends, nil
 }
--- a/internal/demo/explanations.go
+++ b/internal/demo/explanations.go
@@ -10,8 +10,8 @@
 	"lockroad/internal/fake"
 )
 
-// checkExplanations asks for the explanations of random sessions, and compares each with what
-// clients and servers saw. It returns the explanations by the clients' names of requests.
+// checkExplanations requests the explanations of a random sample of sessions, and compares each
+// with what the client and the servers observed. It returns the explanations by request name.
 func (d *demonstration) checkExplanations() (map[string]*explain.Explanation, error) {
 	sessions := d.site.Log.Sessions()
 	d.result.Sessions = len(sessions)
@@ -38,12 +38,13 @@
 		if mismatches := check.check(); len(mismatches) > 0 {
 			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("%s: %s\n%s", session.Name, strings.Join(mismatches, "; "), text))
 		}
-		d.result.Races += check.crossings
+		d.result.Races += check.races
 	}
 	return explanations, nil
 }
 
-// explain asks for the explanation of a session, which is nil if there is none; that is counted.
+// explain requests the explanation of a session. The explanation is nil if the relay has none: the
+// result then counts the session as unexplained or as a mismatch.
 func (d *demonstration) explain(session fake.Session) (explanation *explain.Explanation, text string, err error) {
 	name := session.Name
 	if session.Frontend == "amqp" {
@@ -55,7 +56,7 @@
 		case strings.Contains(err.Error(), "no longer kept"):
 			d.result.Unexplained++
 		case session.Answer == "none" && strings.Contains(err.Error(), "has not come"):
-			d.result.Unexplained++ // its client left before the relay had read the request
+			d.result.Unexplained++ // the client left before the relay had read the request
 		default:
 			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("%s: %v", session.Name, err))
 		}
@@ -63,12 +64,12 @@
 	}
 	explanation = &explain.Explanation{}
 	if err := json.Unmarshal([]byte(text), explanation); err != nil {
-		return nil, "", fmt.Errorf("the answer on %s: %w", name, err)
+		return nil, "", fmt.Errorf("decode the explanation of %s: %w", name, err)
 	}
 	return explanation, text, nil
 }
 
-// kills returns the times at which servers were killed, by server.
+// kills returns the times at which each server was killed.
 func (d *demonstration) kills() map[string][]time.Time {
 	kills := make(map[string][]time.Time)
 	for _, change := range d.site.Log.EndpointChanges() {
--- a/internal/demo/spans.go
+++ b/internal/demo/spans.go
@@ -12,49 +12,49 @@
 	"lockroad/internal/fake"
 )
 
-// checkSpans compares the spans of telemetry with the explanations, and returns how many it
-// compared.
+// checkSpans compares the exported spans of transactions with their explanations, and returns
+// the number of transactions compared.
 func (d *demonstration) checkSpans(explanations map[string]*explain.Explanation) int {
 	byNumber := make(map[string]*explain.Explanation)
 	for _, explanation := range explanations {
 		byNumber[fmt.Sprint(explanation.Number)] = explanation
 	}
-	type spans struct{ answer, reason, passes string }
-	found := make(map[string]*spans)
-	ids := make(map[string]*spans)
+	type transactionSpans struct{ result, reason, attempts string }
+	byTransaction := make(map[string]*transactionSpans)
+	bySpanID := make(map[string]*transactionSpans)
 	all := d.collector.Spans()
 	for _, span := range all {
 		if span.Name == "transaction" {
-			one := &spans{answer: fake.Attribute(span.Attributes, "answer"), reason: fake.Attribute(span.Attributes, "reason")}
-			found[fake.Attribute(span.Attributes, "number")], ids[string(span.SpanId)] = one, one
+			spans := &transactionSpans{result: fake.Attribute(span.Attributes, "answer"), reason: fake.Attribute(span.Attributes, "reason")}
+			byTransaction[fake.Attribute(span.Attributes, "number")], bySpanID[string(span.SpanId)] = spans, spans
 		}
 	}
 	children := slices.Clone(all)
 	slices.SortStableFunc(children, func(a, b *spanpb.Span) int { return cmp.Compare(a.StartTimeUnixNano, b.StartTimeUnixNano) })
 	for _, span := range children {
-		if of := ids[string(span.ParentSpanId)]; of != nil && span.Name == "proxy pass" {
-			of.passes += fake.Attribute(span.Attributes, "server") + " " + fake.Attribute(span.Attributes, "outcome") + ";"
+		if parent := bySpanID[string(span.ParentSpanId)]; parent != nil && span.Name == "proxy pass" {
+			parent.attempts += fake.Attribute(span.Attributes, "server") + " " + fake.Attribute(span.Attributes, "outcome") + ";"
 		}
 	}
 	count := 0
 	for number, explanation := range byNumber {
-		span := found[number]
-		if span == nil {
-			continue // dropped, or not ended yet
+		spans := byTransaction[number]
+		if spans == nil {
+			continue // the span was dropped, or the transaction has not ended
 		}
 		count++
-		var passes bytes.Buffer
+		var attempts bytes.Buffer
 		reason := ""
-		for _, step := range explanation.Events {
+		for _, event := range explanation.Events {
 			switch {
-			case step.Kind == "outcome":
-				fmt.Fprintf(&passes, "%s %s;", step.Endpoint, step.Outcome)
-			case step.Reason != "":
-				reason = step.Reason
+			case event.Kind == "outcome":
+				fmt.Fprintf(&attempts, "%s %s;", event.Endpoint, event.Outcome)
+			case event.Reason != "":
+				reason = event.Reason
 			}
 		}
-		if span.answer != explanation.Result || span.passes != passes.String() && !explanation.HeadEvicted || span.reason != reason {
-			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("transaction %s: telemetry tells %+v, the answer %s, %s, %s", number, *span, explanation.Result, reason, passes.String()))
+		if spans.result != explanation.Result || spans.attempts != attempts.String() && !explanation.HeadEvicted || spans.reason != reason {
+			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("transaction %s: its spans have %+v; the explanation has result %s, reason %s, attempts %s", number, *spans, explanation.Result, reason, attempts.String()))
 		}
 	}
 	return count
