--- a/cmd/lockroad/cluster_test.go
+++ b/cmd/lockroad/cluster_test.go
@@ -21,38 +21,38 @@
 	"lockroad/internal/invariants"
 )
 
-// serviceClasses are the classes of clients, unless a test has its own.
+// serviceClasses are the default classes of the clients.
 var serviceClasses = []fake.Class{
 	{Name: "page", Share: 0.5, TimeLimit: 1500 * time.Millisecond, MeanLifetime: 2 * time.Second},
 	{Name: "live", Share: 0.5, TimeLimit: time.Second, MeanLifetime: 4 * time.Second},
 }
 
-// testCluster is a site of fake endpoints, discovery and clients, with processes of the program as its relay, or its relays.
+// testCluster is a site of fake endpoints, discovery and clients, whose relays are processes of the program.
 type testCluster struct {
 	classes         []fake.Class // of its clients and its configuration
 	t               *testing.T
 	site            *fake.Site
 	dir, configPath string
-	listen          string        // of the line frontend
-	amqpAddress     string        // of the AMQP frontend, which half of the clients use; "": all use the line frontend
-	killAfter       time.Duration // from SIGTERM to SIGKILL: the longest deadline and 0.7 s
-	program         string        // path of another build than the test's own; "": that
-	withStore       bool          // relays have a store
-	stopClients     func()        // makes the clients leave, and waits until they have
+	lineAddress     string        // of the line frontend
+	amqpAddress     string        // of the AMQP frontend, used by half of the clients; "": all use the line frontend
+	killAfter       time.Duration // time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s
+	program         string        // path of the build to run; "": the build under test
+	withStore       bool          // each relay has a store of its own; see relayEnv
+	stopClients     func()        // disconnects the clients and waits for them
 }
 
-// process is one process of the program.
+// process is a relay process.
 type process struct {
 	*exec.Cmd
 	cluster *testCluster
-	admin   string // the second address
+	admin   string // address that serves readiness and metrics
 	log     strings.Builder
-	exited  chan error // has what the process ended with; whoever receives it sends it again
+	exited  chan error // holds the process's exit error; each receiver sends it again
 }
 
-// freeAddress returns an address that nobody listens at. Its host is this test process's own: at one that is shared the port is
-// soon another's, which would answer in the relay's place. It is returned only once: two relays of this process would share it as
-// one relay's processes do.
+// freeAddress returns an address without a listener. Its host is a loopback address derived from the process ID, so
+// that no other test process takes the port before the relay listens there. No address is returned twice: two relays
+// would share it, as the processes of one relay do.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for {
@@ -63,7 +63,7 @@
 	}
 }
 
-var reservedAddresses sync.Map // that freeAddress has returned
+var reservedAddresses sync.Map // addresses that freeAddress has returned
 
 func unusedAddress(t *testing.T) string {
 	t.Helper()
@@ -77,12 +77,13 @@
 
 func newCluster(t *testing.T) *testCluster { return newClusterOf(t, 3, nil) }
 
-// newPatientCluster is a cluster whose clients' messages may take long. Tests that check that no client is migrated use it: beside other
-// work on the machine messages take longer than the 100 ms of serviceClasses, and the balancer then migrates clients, as it should.
-func newPatientCluster(t *testing.T) *testCluster {
+// newLatencyTolerantCluster returns a cluster whose classes have a long latency objective, for tests in which no client
+// may be migrated. On a busy machine messages exceed the 100 ms objective of serviceClasses, and the balancer migrates
+// clients.
+func newLatencyTolerantCluster(t *testing.T) *testCluster {
 	t.Helper()
 	cluster := newCluster(t)
-	cluster.classes = patientClasses
+	cluster.classes = latencyTolerantClasses
 	cluster.writeConfig(cluster.classes)
 	return cluster
 }
@@ -94,16 +95,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(site.Stop)
-	cluster := &testCluster{t: t, site: site, dir: t.TempDir(), listen: freeAddress(t), stopClients: func() {}, killAfter: 2200 * time.Millisecond, classes: serviceClasses}
+	cluster := &testCluster{t: t, site: site, dir: t.TempDir(), lineAddress: freeAddress(t), stopClients: func() {}, killAfter: 2200 * time.Millisecond, classes: serviceClasses}
 	cluster.configPath = filepath.Join(cluster.dir, "config.json")
 	cluster.writeConfig(cluster.classes)
 	return cluster
 }
 
-// writeConfig replaces the configuration of the one relay.
+// writeConfig replaces the configuration of a cluster's only relay.
 func (cluster *testCluster) writeConfig(classes []fake.Class) { cluster.writeConfigFor(classes, 1, 0) }
 
-// writeConfigFor replaces the configuration by that of one of several relays.
+// writeConfigFor replaces the configuration with that of relay number of several relays.
 func (cluster *testCluster) writeConfigFor(classes []fake.Class, relays, number int) {
 	cluster.t.Helper()
 	text, err := cluster.site.Config(classes, 7, number)
@@ -114,7 +115,7 @@
 	if err := json.Unmarshal(text, &fields); err != nil {
 		cluster.t.Fatal(err)
 	}
-	fields["listen"] = cluster.listen
+	fields["listen"] = cluster.lineAddress
 	fields["name"] = fmt.Sprintf("n%d", number)
 	fields["settings"].(map[string]any)["NInstances"] = relays
 	text, _ = json.Marshal(fields)
@@ -126,8 +127,8 @@
 	}
 }
 
-// startProcess starts a relay. Its environment is the test's, with what the cluster needs, and then env. What it logs is shown if
-// the test fails.
+// startProcess starts a relay. Its environment is that of the test, the settings of the cluster, and env. Its log is
+// printed if the test fails.
 func (cluster *testCluster) startProcess(env ...string) *process {
 	cluster.t.Helper()
 	p := &process{Cmd: exec.Command(cmp.Or(cluster.program, os.Args[0]), "run", "--log-level", "debug"), cluster: cluster, admin: freeAddress(cluster.t), exited: make(chan error, 1)}
@@ -142,35 +143,35 @@
 		_ = p.Process.Kill()
 		if cluster.t.Failed() {
 			if err := <-p.exited; err != nil {
-				cluster.t.Logf("the process ended: %v", err)
+				cluster.t.Logf("the relay process exited: %v", err)
 			}
-			cluster.t.Logf("process %d:\n%s", p.Process.Pid, p.log.String())
+			cluster.t.Logf("log of process %d:\n%s", p.Process.Pid, p.log.String())
 		}
 	})
 	return p
 }
 
-// awaitReady waits until a process is ready, for no longer than the platform does.
+// awaitReady waits until a process is ready, at most as long as the platform waits.
 func (p *process) awaitReady() {
 	p.cluster.t.Helper()
-	for late := time.Now().Add(6 * time.Second); time.Now().Before(late); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(6 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if p.isReady() {
 			return
 		}
 	}
-	p.cluster.t.Fatal("a process is not ready after 6 s")
+	p.cluster.t.Fatal("the relay process is not ready after 6 s")
 }
 
 func (p *process) isReady() bool {
-	answer, err := http.Get("http://" + p.admin + "/-/ready")
+	response, err := http.Get("http://" + p.admin + "/-/ready")
 	if err != nil {
 		return false
 	}
-	_ = answer.Body.Close()
-	return answer.StatusCode == http.StatusOK
+	_ = response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// shutDown sends SIGTERM and waits for the process's end, no longer than until SIGKILL would come.
+// shutDown sends SIGTERM and waits for the process to exit, at most until the platform would send SIGKILL.
 func (p *process) shutDown() {
 	p.cluster.t.Helper()
 	_ = p.Process.Signal(syscall.SIGTERM)
@@ -178,10 +179,10 @@
 	case err := <-p.exited:
 		p.exited <- err
 		if err != nil {
-			p.cluster.t.Errorf("it ended with %v", err)
+			p.cluster.t.Errorf("after SIGTERM the relay process exited with %v", err)
 		}
 	case <-time.After(p.cluster.killAfter):
-		p.cluster.t.Error("it is still there when SIGKILL comes")
+		p.cluster.t.Error("the relay process did not exit before the platform would send SIGKILL")
 	}
 }
 
@@ -196,33 +197,33 @@
 	select {
 	case err := <-p.exited:
 		p.exited <- err
-		p.cluster.t.Errorf("a process has ended with %v", err)
+		p.cluster.t.Errorf("the relay process exited with %v", err)
 	default:
 	}
 }
 
-// metrics returns the metrics at a process's second address, by name without the prefix.
+// metrics returns the metrics of a process at its admin address, by name without the prefix.
 func (p *process) metrics() map[string]int {
 	p.cluster.t.Helper()
-	answer, err := http.Get("http://" + p.admin + "/-/metrics")
+	response, err := http.Get("http://" + p.admin + "/-/metrics")
 	if err != nil {
 		p.cluster.t.Fatal(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, _ := io.ReadAll(answer.Body)
-	all := make(map[string]int)
+	defer func() { _ = response.Body.Close() }()
+	text, _ := io.ReadAll(response.Body)
+	values := make(map[string]int)
 	for line := range strings.Lines(string(text)) {
 		var name string
 		var n int
 		if _, err := fmt.Sscanf(line, "edge_proxy_%s %d\n", &name, &n); err != nil {
-			p.cluster.t.Errorf("a line of the metrics: %q", line)
+			p.cluster.t.Errorf("malformed line in the metrics: %q", line)
 		}
-		all[name] = n
+		values[name] = n
 	}
-	return all
+	return values
 }
 
-// startClients starts clients of the service's classes, at a rate in clients a second.
+// startClients starts clients of the cluster's classes, at a rate in clients per second.
 func (cluster *testCluster) startClients(rate float64) {
 	cluster.startClientsOf(rate, cluster.classes, 11)
 }
@@ -231,9 +232,9 @@
 	cluster.runClients(&fake.ClientPool{Classes: classes, Rate: rate, Groups: 20, MessageInterval: 40 * time.Millisecond, MaxClients: 150, Seed: seed})
 }
 
-// runClients starts a client pool. stopClients ends it.
+// runClients starts a client pool, which stopClients stops.
 func (cluster *testCluster) runClients(pool *fake.ClientPool) {
-	pool.Log, pool.LineAddress = cluster.site.Log, cluster.listen
+	pool.Log, pool.LineAddress = cluster.site.Log, cluster.lineAddress
 	if cluster.amqpAddress != "" {
 		pool.AMQPAddress, pool.Share = cluster.amqpAddress, 0.5
 	}
@@ -246,13 +247,13 @@
 	cluster.t.Cleanup(cluster.stopClients)
 }
 
-// letClientsRun waits while clients come and go.
+// letClientsRun waits while clients connect and disconnect.
 func letClientsRun() { time.Sleep(500 * time.Millisecond) }
 
-// newLoadedCluster returns a cluster with one relay that clients come to.
+// newLoadedCluster returns a cluster with one relay that has clients.
 func newLoadedCluster(t *testing.T, env ...string) (*testCluster, *process) {
 	t.Helper()
-	cluster := newPatientCluster(t)
+	cluster := newLatencyTolerantCluster(t)
 	p := cluster.startProcess(env...)
 	p.awaitReady()
 	cluster.startClients(60)
@@ -260,9 +261,10 @@
 	return cluster, p
 }
 
-// checkClients stops the clients and checks what the fakes saw against the invariants. At most maxMoved sessions may have been
-// migrated, at most maxRefused may have found nobody at the listener, and none may have been cut off.
-func (cluster *testCluster) checkClients(maxMoved, maxRefused int) {
+// checkClients stops the clients and checks the observations of clients and endpoints against the invariants. At most
+// maxMigrated sessions may have been migrated, at most maxRefused refused at the listener or left without an answer,
+// and no established session may have been broken.
+func (cluster *testCluster) checkClients(maxMigrated, maxRefused int) {
 	cluster.t.Helper()
 	cluster.stopClients()
 	sessions := cluster.site.Log.Sessions()
@@ -280,9 +282,9 @@
 		ends[session.Answer+" "+session.End]++
 	}
 	if refused > maxRefused {
-		cluster.t.Errorf("%d clients were refused at the listener", refused)
+		cluster.t.Errorf("%d clients were refused at the listener or got no answer, want at most %d", refused, maxRefused)
 	}
-	if ends["up moved"] > maxMoved || ends["up broken"] > 0 || len(sessions) < 10 {
-		cluster.t.Errorf("of %d sessions: %v", len(sessions), ends)
+	if ends["up moved"] > maxMigrated || ends["up broken"] > 0 || len(sessions) < 10 {
+		cluster.t.Errorf("%d sessions by answer and end: %v", len(sessions), ends)
 	}
 }
--- a/cmd/lockroad/credentials_test.go
+++ b/cmd/lockroad/credentials_test.go
@@ -17,13 +17,13 @@
 	"lockroad/internal/testutil"
 )
 
-// The whole way of an operator: a password set at the command line, the file checked, the relay started over TLS, a
-// user added and a key replaced at SIGHUP, a certificate that expires soon told of in the log. What stands is not lost.
+// With users set by lockroad passwd and AMQP over TLS, SIGHUP must reload users and certificates without breaking
+// established connections, reject an invalid password file, and log a warning for a certificate that expires soon.
 func TestCredentialsReloadAtSIGHUP(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t)
-	a := testutil.NewAuthority(t)
-	cert, key := a.Pair("relay", 10*24*time.Hour)
+	authority := testutil.NewAuthority(t)
+	cert, key := authority.Pair("relay", 10*24*time.Hour)
 	users, operator, address := filepath.Join(cluster.dir, "users"), filepath.Join(cluster.dir, "operator.toml"), freeAddress(t)
 	passwd := func(user, password string) {
 		t.Helper()
@@ -43,27 +43,27 @@
 	}
 	relay := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
 	relay.awaitReady()
-	ca, _ := os.ReadFile(a.CA)
+	ca, _ := os.ReadFile(authority.CA)
 	pool := x509.NewCertPool()
 	pool.AppendCertsFromPEM(ca)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	open := func(user, password string) (*amqp10.Sender, *x509.Certificate, error) {
-		var seen *x509.Certificate
-		c, err := amqp10.Dial(ctx, "amqps://"+address, &amqp10.ConnOptions{SASLType: amqp10.SASLTypePlain(user, password), TLSConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1",
-			VerifyConnection: func(c tls.ConnectionState) error { seen = c.PeerCertificates[0]; return nil }}})
+		var served *x509.Certificate
+		conn, err := amqp10.Dial(ctx, "amqps://"+address, &amqp10.ConnOptions{SASLType: amqp10.SASLTypePlain(user, password), TLSConfig: &tls.Config{RootCAs: pool, ServerName: "127.0.0.1",
+			VerifyConnection: func(state tls.ConnectionState) error { served = state.PeerCertificates[0]; return nil }}})
 		if err != nil {
 			return nil, nil, err
 		}
-		t.Cleanup(func() { _ = c.Close() })
-		session, err := c.NewSession(ctx, nil)
+		t.Cleanup(func() { _ = conn.Close() })
+		session, err := conn.NewSession(ctx, nil)
 		if err != nil {
 			return nil, nil, err
 		}
 		sender, err := session.NewSender(ctx, "scores/1", nil)
-		return sender, seen, err
+		return sender, served, err
 	}
-	say := func(sender *amqp10.Sender) {
+	send := func(sender *amqp10.Sender) {
 		t.Helper()
 		if err := sender.Send(ctx, amqp10.NewMessage([]byte("N 1 1 x")), nil); err != nil {
 			t.Error(err)
@@ -73,35 +73,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	say(ann)
+	send(ann)
 	if _, _, err := open("bob", "bob's"); err == nil {
-		t.Fatal("a user who is not there comes in")
+		t.Fatal("a user who is not in the password file was authenticated")
 	}
 	passwd("bob", "bob's")
-	a.Pair("relay", 20*24*time.Hour)
+	authority.Pair("relay", 20*24*time.Hour)
 	_ = relay.Process.Signal(syscall.SIGHUP)
-	testutil.Until(t, "the new user is not taken", func() bool {
+	testutil.Until(t, "a user added before SIGHUP is not authenticated", func() bool {
 		_, _, err := open("bob", "bob's")
 		return err == nil
 	})
-	bob, now, err := open("bob", "bob's")
-	if err != nil || now.SerialNumber.Cmp(old.SerialNumber) == 0 {
-		t.Fatalf("the key is the old one; %v", err)
+	bob, renewed, err := open("bob", "bob's")
+	if err != nil || renewed.SerialNumber.Cmp(old.SerialNumber) == 0 {
+		t.Fatalf("the relay still serves the old certificate; error %v", err)
 	}
-	say(bob)
-	say(ann)
+	send(bob)
+	send(ann)
 	if err := os.WriteFile(users, []byte("odd\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	_ = relay.Process.Signal(syscall.SIGHUP)
-	testutil.Until(t, "the second file is not taken", func() bool { return relay.metrics()["config_applied_total"] == 2 })
+	testutil.Until(t, "the second SIGHUP does not reload the configuration", func() bool { return relay.metrics()["config_applied_total"] == 2 })
 	if _, _, err := open("bob", "bob's"); err != nil {
-		t.Errorf("a broken file has shut bob out: %v", err)
+		t.Errorf("after the reload of an invalid password file bob is not authenticated: %v", err)
 	}
 	relay.shutDown()
 	for _, want := range []string{"expires soon", "days=9", "days=19", "credentials reload rejected", users + ":1: "} {
 		if !strings.Contains(relay.log.String(), want) {
-			t.Errorf("the log does not say %q", want)
+			t.Errorf("the log does not contain %q", want)
 		}
 	}
 }
--- a/cmd/lockroad/fullscreen_test.go
+++ b/cmd/lockroad/fullscreen_test.go
@@ -15,44 +15,44 @@
 	"lockroad/internal/testutil"
 )
 
-// A session on a pseudo-terminal of 80 by 24 drains an endpoint, and is killed right after the confirmation: the drain goes on,
-// nothing new reaches the endpoint, everyone there is migrated and nothing is lost; the next session shows it.
-func TestSessionDrains(t *testing.T) {
+// A full-screen console drains an endpoint and is killed right after the confirmation. The drain must continue: no new
+// attempt reaches the endpoint, its clients are migrated without loss, and the next console shows the drain.
+func TestDrainFromFullScreenConsole(t *testing.T) {
 	t.Parallel()
 	cluster, relay, socket, _ := newLoadedClusterWithStore(t)
-	one := startConsoleSession(t, socket)
-	one.awaitText("[1 servers]")
-	one.awaitText("> s-1")
-	one.typeKeys("d")
-	one.awaitText("Drain s-1?")
-	one.typeKeys("y")
-	testutil.Until(t, "nothing is ordered", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1") })
-	ordered := time.Now()
-	_ = one.Process.Kill()
+	first := startConsoleSession(t, socket)
+	first.awaitText("[1 servers]")
+	first.awaitText("> s-1")
+	first.typeKeys("d")
+	first.awaitText("Drain s-1?")
+	first.typeKeys("y")
+	testutil.Until(t, "no drain directive for s-1 is in force", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1") })
+	drainedAt := time.Now()
+	_ = first.Process.Kill()
 	next := startConsoleSession(t, socket)
 	next.awaitText("as ordered")
-	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1     0 ") })
+	testutil.Until(t, "transactions are left at s-1, which drains", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1     0 ") })
 	letClientsRun()
 	next.typeKeys("q")
-	testutil.Until(t, "the session does not end", next.hasEnded)
+	testutil.Until(t, "the full-screen console does not exit at q", next.hasEnded)
 	cluster.stopClients()
 	relay.shutDown()
-	if n := cluster.attemptsAt("s-1", ordered.Add(550*time.Millisecond)); n > 0 {
-		t.Errorf("%d attempts came to s-1", n)
+	if n := cluster.attemptsAt("s-1", drainedAt.Add(550*time.Millisecond)); n > 0 {
+		t.Errorf("%d attempts went to s-1 after its drain directive", n)
 	}
-	for _, b := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), EndpointChanges: cluster.site.Log.EndpointChanges(), Limits: invariants.DefaultLimits()}) {
-		t.Error(b)
+	for _, violation := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), EndpointChanges: cluster.site.Log.EndpointChanges(), Limits: invariants.DefaultLimits()}) {
+		t.Error(violation)
 	}
 }
 
-// consoleSession is a console on a pseudo-terminal.
+// consoleSession is a full-screen console on a pseudo-terminal of 80 by 24.
 type consoleSession struct {
 	*exec.Cmd
-	t     *testing.T
-	file  *os.File
-	mu    sync.Mutex
-	seen  strings.Builder
-	ended bool
+	t      *testing.T
+	file   *os.File   // controlling side of the pseudo-terminal
+	mu     sync.Mutex // guards the fields below
+	output strings.Builder
+	ended  bool
 }
 
 func startConsoleSession(t *testing.T, socket string) *consoleSession {
@@ -64,11 +64,11 @@
 		t.Fatal(err)
 	}
 	go func() {
-		b := make([]byte, 4096)
+		buffer := make([]byte, 4096)
 		for {
-			n, err := c.file.Read(b)
+			n, err := c.file.Read(buffer)
 			c.mu.Lock()
-			c.seen.Write(b[:n])
+			c.output.Write(buffer[:n])
 			c.ended = err != nil
 			c.mu.Unlock()
 			if err != nil {
@@ -89,12 +89,12 @@
 	return c.ended
 }
 
-// awaitText waits until the terminal was sent a text.
+// awaitText waits until the console has written a text to the terminal.
 func (c *consoleSession) awaitText(text string) {
 	c.t.Helper()
 	testutil.Until(c.t, "the terminal does not show "+text, func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return strings.Contains(c.seen.String(), text)
+		return strings.Contains(c.output.String(), text)
 	})
 }
--- a/cmd/lockroad/golden_test.go
+++ b/cmd/lockroad/golden_test.go
@@ -9,7 +9,7 @@
 	"lockroad/internal/golden"
 )
 
-// All commands, arguments and flags, as scripts give them.
+// Scripts depend on the names of commands, arguments, flags and environment variables.
 func TestCommandLineIsStable(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("lockroad"), kong.Vars{"version": "v"})
 	if err != nil {
@@ -18,7 +18,7 @@
 	golden.Compare(t, "command-line.txt", golden.CommandLine(parser))
 }
 
-// The exit codes that supervisors and scripts go by.
+// Supervisors and scripts depend on the exit codes.
 func TestExitCodesAreStable(t *testing.T) {
 	golden.Compare(t, "exit-codes.txt", fmt.Sprintf("ok %d\nfailed %d\nusage %d\nrestart %d\n", exitOK, exitFailed, exitUsage, exitRestart))
 }
--- a/cmd/lockroad/lines_test.go
+++ b/cmd/lockroad/lines_test.go
@@ -22,8 +22,8 @@
 	return all
 }
 
-// TestMeasureLines prints what established connections of the line frontend cost a relay that is a process of its own: memory when they are
-// silent, and once each has said something. It measures and judges nothing:
+// TestMeasureLines prints what established connections of the line frontend cost a relay that is a process of its own:
+// memory when they are silent, and once each has said something. It measures and judges nothing:
 //
 //	LOCKROAD_LINES=2000 go test -run MeasureLines -v ./cmd/lockroad
 func TestMeasureLines(t *testing.T) {
--- a/cmd/lockroad/links_test.go
+++ b/cmd/lockroad/links_test.go
@@ -14,8 +14,8 @@
 	amqp10 "github.com/Azure/go-amqp"
 )
 
-// TestMeasureLinks prints what links of AMQP cost a relay that is a process of its own: memory, descriptors and the time of a
-// set-up, with a connection to the endpoint for each and with shared ones. It measures and judges nothing:
+// TestMeasureLinks prints what links of AMQP cost a relay that is a process of its own: memory, descriptors and the
+// time of a set-up, with a connection to the endpoint for each and with shared ones. It measures and judges nothing:
 //
 //	LOCKROAD_LINKS=1000 go test -run MeasureLinks -v ./cmd/lockroad
 func TestMeasureLinks(t *testing.T) {
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// TestMain runs the program in place of the tests if the environment says so: the test's own binary stands for it.
+// TestMain runs the program instead of the tests if LOCKROAD_TEST_PROGRAM is set: tests start the test binary as a
+// relay.
 func TestMain(m *testing.M) {
 	if os.Getenv("LOCKROAD_TEST_PROGRAM") != "" {
 		main()
@@ -24,9 +25,9 @@
 
 // runCommandLine runs a command line in this process.
 func runCommandLine(args ...string) (code int, out, errs string) {
-	var o, e strings.Builder
-	code = execute(args, streams{strings.NewReader(""), &o, &e})
-	return code, o.String(), e.String()
+	var stdout, stderr strings.Builder
+	code = execute(args, streams{strings.NewReader(""), &stdout, &stderr})
+	return code, stdout.String(), stderr.String()
 }
 
 func TestCommandLine(t *testing.T) {
@@ -34,12 +35,12 @@
 	t.Setenv("LOCKROAD_OPERATOR", "")
 	t.Setenv("LOCKROAD_SOCKET", "")
 	folder := t.TempDir()
-	bad := filepath.Join(folder, "bad.toml")
-	if err := os.WriteFile(bad, []byte("[amqp]\nlisten = \"x\"\n[odd]\ny = 1\n"), 0o600); err != nil {
+	invalid := filepath.Join(folder, "bad.toml")
+	if err := os.WriteFile(invalid, []byte("[amqp]\nlisten = \"x\"\n[odd]\ny = 1\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	nobody := filepath.Join(folder, "nobody")
-	for _, c := range []struct {
+	missing := filepath.Join(folder, "nobody")
+	for _, test := range []struct {
 		args string
 		code int
 		out  []string
@@ -52,9 +53,9 @@
 		{"completion -c bash", 0, []string{"complete"}, nil},
 		{"check ../../deploy/operator.toml", 0, []string{"deploy/operator.toml: OK (operator's file)"}, nil},
 		{"check ../../deploy/site.toml", 0, []string{"deploy/site.toml: OK (site's file)"}, nil},
-		{"check " + bad + " " + nobody, 1, nil, []string{bad + ":2: amqp.listen: ", bad + ":3: odd: unknown key", "no such file"}},
+		{"check " + invalid + " " + missing, 1, nil, []string{invalid + ":2: amqp.listen: ", invalid + ":3: odd: unknown key", "no such file"}},
 		{"store check " + folder, 0, []string{"0 records of 0 commits"}, nil},
-		{"store check " + nobody, 2, nil, []string{"nobody"}},
+		{"store check " + missing, 2, nil, []string{"nobody"}},
 		{"check", 2, nil, []string{"<file>"}},
 		{"--odd", 2, nil, []string{"unknown flag --odd"}},
 		{"console --odd --socket x", 2, nil, []string{"unknown flag --odd"}},
@@ -62,65 +63,67 @@
 		{"run --log-level loud", 2, nil, []string{`unknown level "loud"`}},
 		{"why 7", 2, nil, []string{"--socket"}},
 		{"why --socket x --where (pinned) 7", 2, nil, []string{"exclude each other"}},
-		{"why --socket " + nobody + " 7", 3, nil, []string{"no relay answers"}},
-		{"console -socket " + nobody + " why --json 7", 3, nil, []string{"no relay answers at " + nobody}},
-		{"lab list", 1, nil, []string{"simulate"}}, // it does not stand beside the test
+		{"why --socket " + missing + " 7", 3, nil, []string{"no relay answers"}},
+		{"console -socket " + missing + " why --json 7", 3, nil, []string{"no relay answers at " + missing}},
+		{"lab list", 1, nil, []string{"simulate"}}, // simulate is not in the directory of the test binary
 		{"demo --rate 0", 2, nil, []string{"rate 0: expected more than 0"}},
 		{"", 1, nil, []string{"no configuration: set --config, --site or PROXY_CONFIG"}},
-		{"run --operator " + bad, 1, nil, []string{bad + ":2: amqp.listen"}},
+		{"run --operator " + invalid, 1, nil, []string{invalid + ":2: amqp.listen"}},
 	} {
-		code, out, errs := runCommandLine(strings.Fields(c.args)...)
-		if code != c.code {
-			t.Errorf("%s: code %d, want %d\n%s%s", c.args, code, c.code, out, errs)
+		code, out, errs := runCommandLine(strings.Fields(test.args)...)
+		if code != test.code {
+			t.Errorf("%q: exit code %d, want %d\n%s%s", test.args, code, test.code, out, errs)
 		}
-		for _, want := range c.out {
+		for _, want := range test.out {
 			if !strings.Contains(out, want) {
-				t.Errorf("%s: no %q in\n%s", c.args, want, out)
+				t.Errorf("%q: no %q in standard output:\n%s", test.args, want, out)
 			}
 		}
-		for _, want := range c.errs {
+		for _, want := range test.errs {
 			if !strings.Contains(errs, want) {
-				t.Errorf("%s: no %q in\n%s", c.args, want, errs)
+				t.Errorf("%q: no %q in standard error:\n%s", test.args, want, errs)
 			}
 		}
 	}
 }
 
-// listenDiscovery returns a fake discovery agent, which answers nothing.
+// listenDiscovery returns the listener of a fake discovery agent, which does not answer.
 func listenDiscovery(t *testing.T) *net.TCPListener {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return l.(*net.TCPListener)
+	t.Cleanup(func() { listener.Close() })
+	return listener.(*net.TCPListener)
 }
 
-// acceptWatch waits for a watch to be opened.
-func acceptWatch(t *testing.T, l *net.TCPListener) net.Conn {
+// acceptWatch waits for a relay to open a discovery watch.
+func acceptWatch(t *testing.T, listener *net.TCPListener) net.Conn {
 	t.Helper()
-	l.SetDeadline(time.Now().Add(10 * time.Second))
-	c, err := l.Accept()
+	listener.SetDeadline(time.Now().Add(10 * time.Second))
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	if text, err := bufio.NewReader(c).ReadString('\n'); !strings.Contains(text, "watch=1") {
-		t.Fatalf("asked %q, %v", text, err)
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	if text, err := bufio.NewReader(conn).ReadString('\n'); !strings.Contains(text, "watch=1") {
+		t.Fatalf("the relay sent %q to discovery, want a watch request; error %v", text, err)
 	}
-	return c
+	return conn
 }
 
-// SIGHUP would end the program by Go's default. It reloads the configuration, and SIGTERM still ends the program in good order.
-func TestProgramOutlivesSIGHUP(t *testing.T) {
-	t.Run("while it runs", func(t *testing.T) { outlivesSIGHUP(t, false) })
-	t.Run("as it starts", func(t *testing.T) { outlivesSIGHUP(t, true) })
+// SIGHUP must reload the configuration instead of ending the program, which is its default action; SIGTERM must still
+// shut the program down gracefully.
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
+	t.Run("while running", func(t *testing.T) { testSIGHUP(t, false) })
+	t.Run("during startup", func(t *testing.T) { testSIGHUP(t, true) })
 }
 
-// outlivesSIGHUP sends it to a program that runs, or while it reads the first of its files.
-func outlivesSIGHUP(t *testing.T, early bool) {
+// testSIGHUP sends SIGHUP to a running program or, if early is set, while the program reads the operator file. A FIFO
+// in place of that file holds the program at this point.
+func testSIGHUP(t *testing.T, early bool) {
 	file := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery net.Listener) {
 		text, err := json.Marshal(map[string]any{
@@ -152,16 +155,16 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	t.Cleanup(func() { _ = cmd.Process.Kill() })
 	if early {
-		reads, err := os.OpenFile(operator, os.O_WRONLY, 0) // once the program has it open
+		fifo, err := os.OpenFile(operator, os.O_WRONLY, 0) // blocks until the program has opened it
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = cmd.Process.Signal(syscall.SIGHUP)
-		_ = reads.Close()
+		_ = fifo.Close()
 	}
 	acceptWatch(t, first)
 	write(second)
@@ -169,11 +172,11 @@
 	acceptWatch(t, second)
 	_ = cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			t.Errorf("the program ended with %v", err)
+			t.Errorf("after SIGTERM the program exited with %v", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the program goes on after SIGTERM")
+		t.Error("the program did not exit within 10 s of SIGTERM")
 	}
 }
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -13,8 +13,8 @@
 	"lockroad/internal/fake"
 )
 
-// TestRehearse plays the three commonest faults against builds of the program and prints how long clients wait until they are
-// served again. It measures and judges nothing:
+// TestRehearse plays the three commonest faults against builds of the program and prints how long clients wait until
+// they are served again. It measures and judges nothing:
 //
 //	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run Rehearse -v ./cmd/lockroad
 func TestRehearse(t *testing.T) {
@@ -42,7 +42,8 @@
 	}
 }
 
-// relayEnv returns the environment of a relay, by its number: with a store of its own, if the cluster's relays have one.
+// relayEnv returns the environment of a relay, by its number: with a store of its own, if the cluster's relays have
+// one.
 func (cluster *testCluster) relayEnv(relay int) []string {
 	if !cluster.withStore {
 		return nil
@@ -63,12 +64,12 @@
 	front, addresses, running = newRoundRobin(t), make([]string, relays), make([]*process, relays)
 	for i := range addresses {
 		addresses[i] = freeAddress(t)
-		cluster.listen = addresses[i]
+		cluster.lineAddress = addresses[i]
 		cluster.writeConfigFor(classes, relays, i)
 		running[i] = cluster.startProcess(cluster.relayEnv(i)...)
 		front.add(t, addresses[i])
 	}
-	cluster.listen = front.Addr().String()
+	cluster.lineAddress = front.Addr().String()
 	return front, addresses, running
 }
 
@@ -77,7 +78,7 @@
 	for i, p := range running {
 		p.shutDown()
 		noticed := time.AfterFunc(failureDetectionTime, func() { front.drop(addresses[i]) })
-		cluster.listen = addresses[i]
+		cluster.lineAddress = addresses[i]
 		cluster.writeConfigFor(classes, len(running), i)
 		running[i] = cluster.startProcess(cluster.relayEnv(i)...)
 		front.add(t, addresses[i])
@@ -85,8 +86,8 @@
 	}
 }
 
-// rehearse plays one fault. It returns how long the clients waited that have lost their connection by it, or that came within 10 s
-// of it, how many were not served by the end, and how many were migrated.
+// rehearse plays one fault. It returns how long the clients waited that have lost their connection by it, or that came
+// within 10 s of it, how many were not served by the end, and how many were migrated.
 func rehearse(t *testing.T, program, trouble string, seed uint64) (waits []time.Duration, unserved, moves int) {
 	cluster := newClusterOf(t, 6, nil)
 	cluster.program = program
@@ -168,9 +169,9 @@
 
 const messageInterval = 250 * time.Millisecond
 
-// TestRehearseWorth plays the bench's weakest scenarios with endpoints that have a capacity, and prints what part of the weight
-// asked for was served and where the rest was lost: at the faulty endpoint, at others, or on the way to one. It measures and judges
-// nothing:
+// TestRehearseWorth plays the bench's weakest scenarios with endpoints that have a capacity, and prints what part of
+// the weight asked for was served and where the rest was lost: at the faulty endpoint, at others, or on the way to one.
+// It measures and judges nothing:
 //
 //	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run RehearseWorth -v ./cmd/lockroad
 //
@@ -287,9 +288,9 @@
 	return l
 }
 
-// TestRehearseStore prints what a store adds to a client's wait: the same requests by turns through a relay that has one and one that
-// has not, first such that nothing of them is saved, then such that all are, as all endpoints are full. It measures and judges
-// nothing.
+// TestRehearseStore prints what a store adds to a client's wait: the same requests by turns through a relay that has
+// one and one that has not, first such that nothing of them is saved, then such that all are, as all endpoints are
+// full. It measures and judges nothing.
 func TestRehearseStore(t *testing.T) {
 	if os.Getenv("LOCKROAD_REHEARSE") == "" {
 		t.Skip("LOCKROAD_REHEARSE names no builds")
@@ -310,7 +311,7 @@
 				server.SetupTime = 0
 				server.Set(mode, 0)
 			}
-			one.site.Clients = &fake.ClientPool{Log: one.site.Log, LineAddress: one.listen, MaxClients: 5, Seed: uint64(i + 1)}
+			one.site.Clients = &fake.ClientPool{Log: one.site.Log, LineAddress: one.lineAddress, MaxClients: 5, Seed: uint64(i + 1)}
 			one.site.Clients.Prepare()
 		}
 		n := 2000
--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -11,9 +11,9 @@
 	"lockroad/internal/testutil"
 )
 
-// At a restart by the console the relay migrates everyone, and asks its supervisor for another start by an exit code of its own.
-// One that nobody would start again runs on.
-func TestRestartFromTheConsole(t *testing.T) {
+// A restart requested at the console must migrate all clients and exit with the code that asks the supervisor to start
+// the relay again. Without a supervisor the request must be rejected.
+func TestRestartFromConsole(t *testing.T) {
 	t.Parallel()
 	cluster, relay, socket, env := newLoadedClusterWithStore(t)
 	runConsole(t, socket, "restart", "no supervisor would start the relay again")
@@ -23,58 +23,58 @@
 	relay.awaitReady()
 	letClientsRun()
 	runConsole(t, socket, "log", "ready")
-	asked := time.Now()
+	requestedAt := time.Now()
 	runConsole(t, socket, "restart", "starts again after the last")
 	err := <-relay.exited
 	relay.exited <- nil
-	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitRestart || time.Since(asked) > cluster.killAfter {
-		t.Fatalf("it ended with %v after %v", err, time.Since(asked))
+	if code := (*exec.ExitError)(nil); !errors.As(err, &code) || code.ExitCode() != exitRestart || time.Since(requestedAt) > cluster.killAfter {
+		t.Fatalf("after a restart request the relay process exited with %v after %v, want code %d within %v", err, time.Since(requestedAt), exitRestart, cluster.killAfter)
 	}
 	relay = cluster.startProcess(env, "LOCKROAD_SUPERVISED=1") // as the supervisor does
 	relay.awaitReady()
-	again := time.Now()
-	testutil.Until(t, "nobody comes again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
-	runConsole(t, socket, "drain", "stops after the last") // and a stop is none
+	restartedAt := time.Now()
+	testutil.Until(t, "no attempt goes to s-1 after the restart", func() bool { return cluster.attemptsAt("s-1", restartedAt) > 0 })
+	runConsole(t, socket, "drain", "stops after the last") // a shutdown that is not a restart
 	if err := <-relay.exited; err != nil {
-		t.Errorf("a stop ends with %v", err)
+		t.Errorf("after a shutdown at the console the relay process exited with %v, want code 0", err)
 	}
 	relay.exited <- nil
 	cluster.stopClients()
 	for _, session := range cluster.site.Log.Sessions() {
 		if session.Answer == "up" && session.End == "broken" {
-			t.Errorf("%s was cut off", session.Name)
+			t.Errorf("the connection of session %s was broken", session.Name)
 		}
 	}
 }
 
-// Two operators give conflicting drain directives for one endpoint, again and again: each sees whose its own replaces, and the last
-// one is in force.
+// Two operators repeatedly give conflicting drain directives for one endpoint: each must see which directive its own
+// replaces, and the last one must be in force.
 func TestConflictingDrainDirectives(t *testing.T) {
 	t.Parallel()
 	cluster, relay, socket, _ := newLoadedClusterWithStore(t)
-	var both sync.WaitGroup
-	for _, words := range []string{"drain s-1 because one says so", "undrain s-1"} {
-		both.Go(func() {
+	var operators sync.WaitGroup
+	for _, command := range []string{"drain s-1 because one says so", "undrain s-1"} {
+		operators.Go(func() {
 			for range 15 {
-				code, out, errs := runCommandLine(append([]string{"console", "--socket", socket}, strings.Fields(words)...)...)
+				code, out, errs := runCommandLine(append([]string{"console", "--socket", socket}, strings.Fields(command)...)...)
 				if code != 0 && !strings.Contains(errs, "no order") || code == 0 && !strings.Contains(out, "s-1") {
-					t.Errorf("%s: %d %s%s", words, code, out, errs)
+					t.Errorf("%q: exit code %d\n%s%s", command, code, out, errs)
 				}
 			}
 		})
 	}
-	both.Wait()
+	operators.Wait()
 	runConsole(t, socket, "drain s-1", "s-1 drains")
-	last := time.Now()
+	drainedAt := time.Now()
 	runConsole(t, socket, "drain s-1 because of the other", "this replaces the order of")
 	runConsole(t, socket, "farm", "draining, as ordered")
-	testutil.Until(t, "someone is left at s-1", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1     0 ") })
+	testutil.Until(t, "transactions are left at s-1, which drains", func() bool { return strings.Contains(runConsole(t, socket, "orders"), "s-1     0 ") })
 	letClientsRun()
-	if n := cluster.attemptsAt("s-1", last.Add(550*time.Millisecond)); n > 0 {
-		t.Errorf("%d attempts came to s-1 after the last order", n)
+	if n := cluster.attemptsAt("s-1", drainedAt.Add(550*time.Millisecond)); n > 0 {
+		t.Errorf("%d attempts went to s-1 after the last drain directive", n)
 	}
 	runConsole(t, socket, "undrain s-1", "as the list has it again")
-	again := time.Now()
-	testutil.Until(t, "no attempt comes to s-1 again", func() bool { return cluster.attemptsAt("s-1", again) > 0 })
+	undrainedAt := time.Now()
+	testutil.Until(t, "no attempt goes to s-1 after its drain directive was withdrawn", func() bool { return cluster.attemptsAt("s-1", undrainedAt) > 0 })
 	relay.shutDown()
 }
--- a/cmd/lockroad/roundrobin_test.go
+++ b/cmd/lockroad/roundrobin_test.go
@@ -12,8 +12,8 @@
 // failureDetectionTime is how long the balancer before the relays takes to notice that one has died.
 const failureDetectionTime = 2 * time.Second
 
-// roundRobin is the balancer before several relays: it assigns clients to them in turn, adds one once it answers PING, and notices
-// only later that one has died.
+// roundRobin is the balancer before several relays: it assigns clients to them in turn, adds one once it answers PING,
+// and notices only later that one has died.
 type roundRobin struct {
 	*net.TCPListener
 	mu     sync.Mutex
@@ -45,8 +45,8 @@
 // add waits until a relay answers PING, and assigns clients to it from then on.
 func (s *roundRobin) add(t *testing.T, relay string) {
 	t.Helper()
-	for late := time.Now().Add(6 * time.Second); !answersPing(relay); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
+	for deadline := time.Now().Add(6 * time.Second); !answersPing(relay); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Error("a relay does not start")
 			return
 		}
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -15,8 +15,8 @@
 	"lockroad/internal/testutil"
 )
 
-// Clients come and talk all the while, during one upgrade and a second right after it: none is migrated, cut off or refused at the
-// listener, and the new processes go on with what was established.
+// During an upgrade under load, and a second one right after it, no client may be migrated, cut off or refused at the
+// listener, and each successor must take over the established connections.
 func TestUpgradeUnderLoad(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t)
@@ -24,73 +24,74 @@
 		next := cluster.startProcess()
 		next.awaitReady()
 		if relay.isReady() {
-			t.Error("the old process says that it takes clients")
+			t.Error("the predecessor reports that it is ready after the successor became ready")
 		}
-		stood := relay.metrics()["active"]
+		active := relay.metrics()["active"]
 		relay.shutDown()
-		if has := next.metrics()["active"]; has < stood/2 {
-			t.Errorf("of %d transactions the new process has %d", stood, has)
+		if kept := next.metrics()["active"]; kept < active/2 {
+			t.Errorf("the successor has %d of %d transactions, want at least half", kept, active)
 		}
 		relay = next
 	}
 	letClientsRun()
 	relay.requireRunning()
 	cluster.checkClients(0, 0)
-	testutil.Until(t, "a transaction is left", func() bool { return relay.metrics()["active"] == 0 })
+	testutil.Until(t, "a transaction is left after all clients have disconnected", func() bool { return relay.metrics()["active"] == 0 })
 }
 
-// SIGHUP comes to both processes while one takes over from the other.
+// If both processes receive SIGHUP during an upgrade, the successor must apply the new configuration once, without a
+// loss.
 func TestReloadDuringUpgrade(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
 	next.awaitReady()
 	cluster.writeConfig(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, cluster.classes...))
-	for _, one := range []*process{relay, next} {
-		_ = one.Process.Signal(syscall.SIGHUP)
+	for _, p := range []*process{relay, next} {
+		_ = p.Process.Signal(syscall.SIGHUP)
 	}
 	relay.shutDown()
 	letClientsRun()
 	next.requireRunning()
 	if n := next.metrics()["config_applied_total"]; n != 1 {
-		t.Errorf("%d files were taken", n)
+		t.Errorf("the successor applied %d configurations, want 1", n)
 	}
 	cluster.checkClients(0, 0)
 }
 
-// A successor that is killed half way, with the listener taken over already, leaves the predecessor unharmed, and so does one that
-// never gets ready.
+// A successor that is killed after it has taken over the listener, or that fails to start, must leave the predecessor
+// serving clients.
 func TestUpgradeWhenSuccessorFails(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
 	next.awaitReady()
-	// It may have taken clients of its own by now, which die with it: none come meanwhile.
+	// Clients that the successor has accepted would be cut off with it, so no client runs while it is killed.
 	cluster.stopClients()
 	next.kill()
-	for late := time.Now().Add(5 * time.Second); !relay.isReady(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(late) {
-			t.Fatal("the old process does not go on")
+	for deadline := time.Now().Add(5 * time.Second); !relay.isReady(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the predecessor is not ready within 5 s of the successor's death")
 		}
 	}
 	cluster.startClients(60)
-	never := cluster.startProcess("PROXY_ADMIN_ADDR=" + relay.admin) // taken: it can't start
-	if err := <-never.exited; err == nil || !strings.Contains(never.log.String(), "admin_addr") {
-		t.Errorf("ended with %v: %s", err, never.log.String())
+	failing := cluster.startProcess("PROXY_ADMIN_ADDR=" + relay.admin) // fails: the address is in use
+	if err := <-failing.exited; err == nil || !strings.Contains(failing.log.String(), "admin_addr") {
+		t.Errorf("with an address in use the process exited with %v, want an error about admin_addr; log:\n%s", err, failing.log.String())
 	}
-	never.exited <- nil
+	failing.exited <- nil
 	letClientsRun()
 	relay.requireRunning()
-	third := cluster.startProcess() // and the next version can still come
+	third := cluster.startProcess() // a later upgrade still succeeds
 	third.awaitReady()
 	relay.shutDown()
 	cluster.checkClients(0, 0)
 }
 
-// A process that was killed has left its hot restart socket behind: the next one starts alone.
+// A killed process leaves its hot restart socket behind. The next process must start without a predecessor.
 func TestStartAfterPredecessorWasKilled(t *testing.T) {
 	t.Parallel()
-	cluster := newPatientCluster(t)
+	cluster := newLatencyTolerantCluster(t)
 	relay := cluster.startProcess()
 	relay.awaitReady()
 	relay.kill()
@@ -104,8 +105,8 @@
 	cluster.checkClients(0, 0)
 }
 
-// Without a hot restart socket the new process listens beside the old one, which migrates its clients, and admits who waits in its
-// queue before it closes.
+// Without a hot restart socket both processes listen at the same address. The old process must migrate its clients, and
+// accept the connections queued at its listener before it closes.
 func TestUpgradeWithoutHotRestartSocket(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t, "TMPDIR=")
@@ -114,51 +115,52 @@
 	relay.shutDown()
 	letClientsRun()
 	next.requireRunning()
-	cluster.checkClients(1000, 2) // two an upgrade are free
+	cluster.checkClients(1000, 2) // an upgrade without a hot restart socket may refuse two clients
 }
 
-// The AMQP frontend's listener and the console are taken over too: clients of AMQP are migrated, and come again to the successor,
-// which answers at the console once the predecessor has ended.
-func TestUpgradeOfAllFronts(t *testing.T) {
+// An upgrade must also hand over the AMQP frontend's listener and the console. AMQP clients are migrated and return to
+// the successor, which answers at the console once the predecessor has exited.
+func TestUpgradeOfAllFrontends(t *testing.T) {
 	t.Parallel()
-	cluster := newPatientCluster(t)
-	amqp, socket := freeAddress(t), filepath.Join(cluster.dir, "console")
+	cluster := newLatencyTolerantCluster(t)
+	amqpAddress, socket := freeAddress(t), filepath.Join(cluster.dir, "console")
 	operator := filepath.Join(cluster.dir, "operator.toml")
-	text := fmt.Sprintf("[amqp]\nlisten = %q\nserver_port = %d\n[console]\nsocket = %q\n", amqp, cluster.site.AMQPPort, socket)
+	text := fmt.Sprintf("[amqp]\nlisten = %q\nserver_port = %d\n[console]\nsocket = %q\n", amqpAddress, cluster.site.AMQPPort, socket)
 	if err := os.WriteFile(operator, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	relay := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
 	relay.awaitReady()
-	cluster.amqpAddress = amqp
+	cluster.amqpAddress = amqpAddress
 	cluster.startClients(60)
 	letClientsRun()
 	next := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
 	next.awaitReady()
 	relay.shutDown()
-	testutil.Until(t, "the console is away", func() bool {
+	testutil.Until(t, "the console does not answer, or does not list both frontends", func() bool {
 		code, out, _ := runCommandLine("console", "--socket", socket, "fronts")
-		return code == 0 && strings.Contains(out, amqp) && strings.Contains(out, cluster.listen)
+		return code == 0 && strings.Contains(out, amqpAddress) && strings.Contains(out, cluster.lineAddress)
 	})
 	letClientsRun()
 	next.requireRunning()
 	cluster.checkClients(1000, 0)
-	moved := 0
+	migrated := 0
 	for _, session := range cluster.site.Log.Sessions() {
 		if session.End == "moved" {
-			moved++
+			migrated++
 			if session.Frontend == "line" {
-				t.Errorf("%s was moved, though its connection can be handed over", session.Name)
+				t.Errorf("session %s of the line frontend was migrated instead of handed over", session.Name)
 			}
 		}
 	}
-	if moved == 0 {
-		t.Error("no client of AMQP was there to be moved")
+	if migrated == 0 {
+		t.Error("no AMQP client was migrated")
 	}
 }
 
-// The metrics against what the fakes count, with endpoints that reject, fail and hang, and malformed clients.
-func TestFiguresAreWhatOthersCount(t *testing.T) {
+// With endpoints that reject, fail and hang, and with malformed clients, the metrics must match the counts of clients
+// and endpoints.
+func TestMetricsMatchClientsAndEndpoints(t *testing.T) {
 	t.Parallel()
 	cluster := newCluster(t)
 	relay := cluster.startProcess()
@@ -174,39 +176,39 @@
 		server.Set(fake.ModeBusy, 0)
 	}
 	letClientsRun()
-	for i := range 5 { // no class, a class that is not there, and clients that go on too early
+	for i := range 5 { // no class, an unknown class, and data before the answer
 		for _, text := range []string{"nonsense\r\n", "OPEN a%d 1 c=odd,d=900\r\n", "OPEN b%d 1 c=page,d=900\r\nmore\r\n"} {
-			c, err := net.Dial("tcp", cluster.listen)
+			conn, err := net.Dial("tcp", cluster.lineAddress)
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(c, strings.Replace(text, "%d", fmt.Sprint(i), 1))
-			c.SetDeadline(time.Now().Add(3 * time.Second))
-			_, _ = io.Copy(io.Discard, c)
-			c.Close()
+			io.WriteString(conn, strings.Replace(text, "%d", fmt.Sprint(i), 1))
+			conn.SetDeadline(time.Now().Add(3 * time.Second))
+			_, _ = io.Copy(io.Discard, conn)
+			conn.Close()
 		}
 	}
 	cluster.stopClients()
 	want := map[string]int{"tries_total": len(cluster.site.Log.Attempts()), "active": 0, "pool_size": 3}
-	for _, c := range serviceClasses {
-		for figure, answer := range map[string]string{"ok": "up", "shed": "unavailable", "errors": "failed"} {
+	for _, class := range serviceClasses {
+		for metric, answer := range map[string]string{"ok": "up", "shed": "unavailable", "errors": "failed"} {
 			n := 0
 			for _, session := range cluster.site.Log.Sessions() {
-				if session.Class == c.Name && session.Answer == answer {
+				if session.Class == class.Name && session.Answer == answer {
 					n++
 				}
 			}
-			want[fmt.Sprintf("%s_total{kind=%q}", figure, c.Name)] = n
+			want[fmt.Sprintf("%s_total{kind=%q}", metric, class.Name)] = n
 		}
 	}
 	want[`errors_total{kind="page"}`] += 5
 	got := relay.metrics()
-	for name, n := range want {
-		if got[name] != n {
-			t.Errorf("%s is told as %d, and others count %d", name, got[name], n)
+	for name, count := range want {
+		if got[name] != count {
+			t.Errorf("metric %s is %d, but clients and endpoints counted %d", name, got[name], count)
 		}
 	}
 	if want[`ok_total{kind="page"}`] < 10 || want[`shed_total{kind="page"}`] < 5 {
-		t.Errorf("too little happened: %v", want)
+		t.Errorf("too few events for a meaningful comparison: %v", want)
 	}
 }
