--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -13,37 +13,37 @@
 	"lockroad/internal/fake"
 )
 
-// TestRehearse plays the three commonest faults against builds of the program and prints how long clients wait until
-// they are served again. It measures and judges nothing:
+// TestRehearse runs common faults against builds of the program and prints how long clients wait until they are served
+// again. It checks nothing:
 //
 //	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run Rehearse -v ./cmd/lockroad
 func TestRehearse(t *testing.T) {
 	builds := builds()
 	if len(builds) == 0 {
-		t.Skip("LOCKROAD_REHEARSE names no builds")
+		t.Skip("LOCKROAD_REHEARSE is not set to a list of builds")
 	}
 	const runs = 5
-	for _, trouble := range []string{"one of six hangs for 6 s", "53% drop and come again", "one of six is gone, the list 9 s behind",
-		"four relays: one of six hangs for 6 s", "four relays restart one after another"} {
+	for _, scenario := range []string{"one of six endpoints hangs for 6 s", "53% of the clients drop and return", "one of six endpoints is gone, the list 9 s behind",
+		"four relays: one of six endpoints hangs for 6 s", "four relays restart one after another"} {
 		for _, build := range builds {
-			t.Run(trouble+"/"+build.name, func(t *testing.T) {
+			t.Run(scenario+"/"+build.name, func(t *testing.T) {
 				t.Parallel()
 				var waits []time.Duration
-				unserved, moves := 0, 0
+				unserved, migrations := 0, 0
 				for seed := range uint64(runs) {
-					w, n, m := rehearse(t, build.program, trouble, seed)
-					waits, unserved, moves = append(waits, w...), unserved+n, moves+m
+					w, n, m := runScenario(t, build.program, scenario, seed)
+					waits, unserved, migrations = append(waits, w...), unserved+n, migrations+m
 				}
 				slices.Sort(waits)
-				at := func(q float64) time.Duration { return waits[int(q*float64(len(waits)-1))].Round(time.Millisecond) }
-				fmt.Printf("%-40s %-8s clients %4d  median %v  95%% %v  longest %v  not served %d  moves %d\n", trouble, build.name, len(waits), at(0.5), at(0.95), at(1), unserved, moves)
+				quantile := func(q float64) time.Duration { return waits[int(q*float64(len(waits)-1))].Round(time.Millisecond) }
+				fmt.Printf("%-50s %-8s clients %4d  median %v  95%% %v  longest %v  not served %d  migrations %d\n", scenario, build.name, len(waits), quantile(0.5), quantile(0.95), quantile(1), unserved, migrations)
 			})
 		}
 	}
 }
 
-// relayEnv returns the environment of a relay, by its number: with a store of its own, if the cluster's relays have
-// one.
+// relayEnv returns the environment of a relay by its number, with a store of its own if the cluster's relays have
+// stores.
 func (cluster *testCluster) relayEnv(relay int) []string {
 	if !cluster.withStore {
 		return nil
@@ -59,43 +59,44 @@
 	return []string{"LOCKROAD_OPERATOR=" + operator}
 }
 
-// startRelays starts several relays behind a balancer. addresses are those of their line frontends.
-func startRelays(t *testing.T, cluster *testCluster, classes []fake.Class, relays int) (front *roundRobin, addresses []string, running []*process) {
-	front, addresses, running = newRoundRobin(t), make([]string, relays), make([]*process, relays)
+// startRelays starts several relays behind a load balancer. addresses are those of the relays' line frontends.
+func startRelays(t *testing.T, cluster *testCluster, classes []fake.Class, relays int) (loadBalancer *roundRobin, addresses []string, running []*process) {
+	loadBalancer, addresses, running = newRoundRobin(t), make([]string, relays), make([]*process, relays)
 	for i := range addresses {
 		addresses[i] = freeAddress(t)
 		cluster.lineAddress = addresses[i]
 		cluster.writeConfigFor(classes, relays, i)
 		running[i] = cluster.startProcess(cluster.relayEnv(i)...)
-		front.add(t, addresses[i])
+		loadBalancer.add(t, addresses[i])
 	}
-	cluster.lineAddress = front.Addr().String()
-	return front, addresses, running
+	cluster.lineAddress = loadBalancer.Addr().String()
+	return loadBalancer, addresses, running
 }
 
 // restartRelays restarts the relays one after another.
-func restartRelays(t *testing.T, cluster *testCluster, classes []fake.Class, front *roundRobin, addresses []string, running []*process) {
+func restartRelays(t *testing.T, cluster *testCluster, classes []fake.Class, loadBalancer *roundRobin, addresses []string, running []*process) {
 	for i, p := range running {
 		p.shutDown()
-		noticed := time.AfterFunc(failureDetectionTime, func() { front.drop(addresses[i]) })
+		dropTimer := time.AfterFunc(failureDetectionTime, func() { loadBalancer.drop(addresses[i]) })
 		cluster.lineAddress = addresses[i]
 		cluster.writeConfigFor(classes, len(running), i)
 		running[i] = cluster.startProcess(cluster.relayEnv(i)...)
-		front.add(t, addresses[i])
-		noticed.Stop()
+		loadBalancer.add(t, addresses[i])
+		dropTimer.Stop()
 	}
 }
 
-// rehearse plays one fault. It returns how long the clients waited that have lost their connection by it, or that came
-// within 10 s of it, how many were not served by the end, and how many were migrated.
-func rehearse(t *testing.T, program, trouble string, seed uint64) (waits []time.Duration, unserved, moves int) {
+// runScenario runs one fault scenario. It returns the time until service of each client whose connection was lost
+// during the scenario, or that arrived during it; the number of clients not served by its end; and the number of
+// migrations.
+func runScenario(t *testing.T, program, scenario string, seed uint64) (waits []time.Duration, unserved, migrations int) {
 	cluster := newClusterOf(t, 6, nil)
 	cluster.program = program
 	relays := 1
-	if strings.HasPrefix(trouble, "four") {
+	if strings.HasPrefix(scenario, "four") {
 		relays = 4
 	}
-	front, addresses, running := startRelays(t, cluster, serviceClasses, relays)
+	loadBalancer, addresses, running := startRelays(t, cluster, serviceClasses, relays)
 	classes := slices.Clone(serviceClasses)
 	for i := range classes {
 		classes[i].MeanLifetime = 30 * time.Second
@@ -103,61 +104,61 @@
 	cluster.startClientsOf(10, classes, seed+1)
 	time.Sleep(6 * time.Second)
 	began := time.Now()
-	bad := cluster.site.Servers[int(seed)%6]
+	faulty := cluster.site.Servers[int(seed)%6]
 	switch {
-	case strings.Contains(trouble, "hangs"):
-		bad.Set(fake.ModeHang, 0)
-		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
-	case strings.Contains(trouble, "gone"):
-		bad.Stop()
-		time.AfterFunc(9*time.Second, func() { cluster.site.Discovery.SetState(bad.Name, "gone", false) })
-	case strings.Contains(trouble, "drop"):
+	case strings.Contains(scenario, "hangs"):
+		faulty.Set(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { faulty.Set(fake.ModeAccept, 0) })
+	case strings.Contains(scenario, "gone"):
+		faulty.Stop()
+		time.AfterFunc(9*time.Second, func() { cluster.site.Discovery.SetState(faulty.Name, "gone", false) })
+	case strings.Contains(scenario, "drop"):
 		cluster.site.Clients.Drop(0.53)
 	default:
-		restartRelays(t, cluster, serviceClasses, front, addresses, running)
+		restartRelays(t, cluster, serviceClasses, loadBalancer, addresses, running)
 	}
 	time.Sleep(time.Until(began.Add(12 * time.Second)))
 	cluster.stopClients()
 	for _, p := range running {
 		p.kill()
 	}
-	at := make(map[string]bool) // transactions at the bad server
+	atFaulty := make(map[string]bool) // names of requests accepted by the faulty endpoint
 	for _, attempt := range cluster.site.Log.Attempts() {
-		at[attempt.Name] = at[attempt.Name] || attempt.Endpoint == bad.Name && attempt.Answer == "up"
+		atFaulty[attempt.Name] = atFaulty[attempt.Name] || attempt.Endpoint == faulty.Name && attempt.Answer == "up"
 	}
 	flows := make(map[string][]fake.Session)
 	for _, session := range cluster.site.Log.Sessions() {
 		flows[session.Flow] = append(flows[session.Flow], session)
 	}
-	for _, visits := range flows {
-		slices.SortFunc(visits, func(x, y fake.Session) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
-		since := visits[0].At // not served since then
-		for _, session := range visits {
+	for _, sessions := range flows {
+		slices.SortFunc(sessions, func(x, y fake.Session) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
+		unservedSince := sessions[0].At // zero while the client is served
+		for _, session := range sessions {
 			if session.End == "moved" && session.At.Add(session.SetupTime+session.Established).After(began) {
-				moves++
+				migrations++
 			}
 			if session.Answer != "up" {
 				continue
 			}
 			up := session.At.Add(session.SetupTime)
-			if since.After(began) {
-				waits = append(waits, up.Sub(since))
+			if unservedSince.After(began) {
+				waits = append(waits, up.Sub(unservedSince))
 			}
-			since = time.Time{}
+			unservedSince = time.Time{}
 			if end := up.Add(session.Established); session.End != "left" && session.End != "bye" {
-				if since = end; strings.Contains(trouble, "hangs") && at[session.Name] && up.Before(began) && end.After(began) {
-					since = began.Add(time.Nanosecond) // it stood at a server that answered nothing
+				if unservedSince = end; strings.Contains(scenario, "hangs") && atFaulty[session.Name] && up.Before(began) && end.After(began) {
+					unservedSince = began.Add(time.Nanosecond) // its endpoint hung from the start of the fault
 				}
 			}
 		}
-		if since.After(began) && since.Before(began.Add(8*time.Second)) {
+		if unservedSince.After(began) && unservedSince.Before(began.Add(8*time.Second)) {
 			unserved++
 		}
 	}
-	return waits, unserved, moves
+	return waits, unserved, migrations
 }
 
-// weightedClasses are the operators' classes, with what they ask of an endpoint: 82 ms of work a second on average.
+// weightedClasses are classes of clients that demand 82 ms of an endpoint's work per second on average.
 var weightedClasses = []fake.Class{
 	{Name: "page-render", Share: 0.35, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 20 * time.Second},
 	{Name: "part-extract", Share: 0.30, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 40 * time.Second, LatencyObjective: 50 * time.Millisecond},
@@ -169,173 +170,174 @@
 
 const messageInterval = 250 * time.Millisecond
 
-// TestRehearseWorth plays the bench's weakest scenarios with endpoints that have a capacity, and prints what part of
-// the weight asked for was served and where the rest was lost: at the faulty endpoint, at others, or on the way to one.
-// It measures and judges nothing:
+// TestRehearseServedWeight runs scenarios on endpoints with a limited capacity, and prints the share of the demanded
+// weight that was served and where the rest was lost: at the faulty endpoint, at others, or before an endpoint was
+// reached. It checks nothing:
 //
-//	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run RehearseWorth -v ./cmd/lockroad
+//	LOCKROAD_REHEARSE="before=/path/to/lockroad after=bin/lockroad" go test -run RehearseServedWeight -v ./cmd/lockroad
 //
-// A build called warm has a store; LOCKROAD_SCENE names a single scene.
-func TestRehearseWorth(t *testing.T) {
+// Relays of a build whose name starts with warm have stores. LOCKROAD_SCENE selects one scenario.
+func TestRehearseServedWeight(t *testing.T) {
 	builds := builds()
 	if len(builds) == 0 {
-		t.Skip("LOCKROAD_REHEARSE names no builds")
+		t.Skip("LOCKROAD_REHEARSE is not set to a list of builds")
 	}
 	const runs = 6
-	only := os.Getenv("LOCKROAD_SCENE")
-	for _, trouble := range []string{"nothing happens", "one of six hangs for 6 s", "the relays restart", "one restarts and is cold"} {
-		if only != "" && only != trouble {
+	selected := os.Getenv("LOCKROAD_SCENE")
+	for _, scenario := range []string{"nothing happens", "one of six hangs for 6 s", "the relays restart", "one restarts and is cold"} {
+		if selected != "" && selected != scenario {
 			continue
 		}
 		for _, build := range builds {
-			t.Run(trouble+"/"+build.name, func(t *testing.T) {
+			t.Run(scenario+"/"+build.name, func(t *testing.T) {
 				t.Parallel()
-				var all []lostWeight
+				var all []weightShares
 				for seed := range uint64(runs) {
-					all = append(all, rehearseWorth(t, build.program, trouble, seed, strings.HasPrefix(build.name, "warm")))
+					all = append(all, measureServedWeight(t, build.program, scenario, seed, strings.HasPrefix(build.name, "warm")))
 				}
-				slices.SortFunc(all, func(x, y lostWeight) int { return cmp.Compare(x.served, y.served) })
-				for _, l := range all {
-					fmt.Printf("%-26s %-8s served %.3f  lost at the one in trouble %.3f, at others %.3f, on the way %.3f  moves %d of %d\n", trouble, build.name, l.served, l.there, l.others, l.way, l.moves, l.clients)
+				slices.SortFunc(all, func(x, y weightShares) int { return cmp.Compare(x.served, y.served) })
+				for _, shares := range all {
+					fmt.Printf("%-26s %-8s served %.3f  lost at the faulty endpoint %.3f, at others %.3f, before an endpoint %.3f  migrations %d of %d clients\n", scenario, build.name, shares.served, shares.atFaulty, shares.atOthers, shares.unrouted, shares.migrations, shares.clients)
 				}
 			})
 		}
 	}
 }
 
-// lostWeight is where the weight asked for was served or lost, in parts of it.
-type lostWeight struct {
-	served, there, others, way float64
-	moves, clients             int
+// weightShares are shares of the demanded weight, by where they were served or lost, and counts of clients.
+type weightShares struct {
+	served, atFaulty, atOthers, unrouted float64
+	migrations, clients                  int
 }
 
-func rehearseWorth(t *testing.T, program, trouble string, seed uint64, warm bool) (l lostWeight) {
-	bears := fake.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, ReportOver: 17 * time.Millisecond,
+// measureServedWeight runs one scenario. With warm the relays have stores.
+func measureServedWeight(t *testing.T, program, scenario string, seed uint64, warm bool) (shares weightShares) {
+	capacity := fake.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, ReportOver: 17 * time.Millisecond,
 		Classes: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
-	cluster := newClusterOf(t, 6, func(one *fake.Server) {
-		one.Capacity, one.ExtraListeners, one.Load = bears, make([]string, 3), 0
-		if one.Name == "s-3" || one.Name == "s-5" { // a third are slow machines
-			one.Capacity.Work = 1200 * time.Millisecond
+	cluster := newClusterOf(t, 6, func(server *fake.Server) {
+		server.Capacity, server.ExtraListeners, server.Load = capacity, make([]string, 3), 0
+		if server.Name == "s-3" || server.Name == "s-5" { // a third of the machines are slow
+			server.Capacity.Work = 1200 * time.Millisecond
 		}
 	})
 	cluster.program, cluster.killAfter, cluster.withStore = program, 3700*time.Millisecond, warm
-	front, addresses, running := startRelays(t, cluster, weightedClasses, 4)
+	loadBalancer, addresses, running := startRelays(t, cluster, weightedClasses, 4)
 	cluster.runClients(&fake.ClientPool{Classes: weightedClasses, Rate: 9, Groups: 12, MessageInterval: messageInterval, MaxClients: 150, Seed: seed + 1})
-	time.Sleep(4 * time.Second) // 36 clients that stand, which fill the farm to 0.6 with their groups
+	time.Sleep(4 * time.Second) // 36 established clients use 60% of the total capacity, with their groups
 	cluster.site.Clients.SetRate(1.3)
 	time.Sleep(4 * time.Second)
 	began := time.Now()
-	bad := cluster.site.Servers[int(seed)%6]
-	switch trouble {
+	faulty := cluster.site.Servers[int(seed)%6]
+	switch scenario {
 	case "one of six hangs for 6 s":
-		bad.Set(fake.ModeHang, 0)
-		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
+		faulty.Set(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { faulty.Set(fake.ModeAccept, 0) })
 	case "the relays restart":
-		restartRelays(t, cluster, weightedClasses, front, addresses, running)
+		restartRelays(t, cluster, weightedClasses, loadBalancer, addresses, running)
 	case "one restarts and is cold":
-		bad.Stop()
+		faulty.Stop()
 		time.AfterFunc(2*time.Second, func() {
-			_ = bad.Start(bad.Address(), "")
-			time.AfterFunc(time.Second, func() { cluster.site.SetState(bad.Name, "ready", true) })
+			_ = faulty.Start(faulty.Address(), "")
+			time.AfterFunc(time.Second, func() { cluster.site.SetState(faulty.Name, "ready", true) })
 		})
 	}
 	time.Sleep(time.Until(began.Add(15 * time.Second)))
-	over := time.Now()
+	end := time.Now()
 	cluster.stopClients()
 	for _, p := range running {
 		p.kill()
 	}
-	at := make(map[string]string)
+	endpoints := make(map[string]string) // by name of the request
 	for _, attempt := range cluster.site.Log.Attempts() {
 		if attempt.Answer == "up" {
-			at[attempt.Name] = attempt.Endpoint
+			endpoints[attempt.Name] = attempt.Endpoint
 		}
 	}
-	asked := 0.0
-	came, left := make(map[string]fake.Session), make(map[string]time.Time)
-	stood := make(map[string]time.Duration)
+	demanded := 0.0
+	first, ended := make(map[string]fake.Session), make(map[string]time.Time) // by flow
+	established := make(map[string]time.Duration)                             // by flow
 	for _, session := range cluster.site.Log.Sessions() {
-		if first, ok := came[session.Flow]; !ok || session.At.Before(first.At) {
-			came[session.Flow] = session
+		if earliest, ok := first[session.Flow]; !ok || session.At.Before(earliest.At) {
+			first[session.Flow] = session
 		}
-		end := session.At.Add(session.SetupTime + session.Established)
+		sessionEnd := session.At.Add(session.SetupTime + session.Established)
 		if session.End != "left" {
-			end = over // it wants more
+			sessionEnd = end // the client had more to send
 		}
-		if left[session.Flow].Before(end) {
-			left[session.Flow] = end
+		if ended[session.Flow].Before(sessionEnd) {
+			ended[session.Flow] = sessionEnd
 		}
 		if session.End == "moved" {
-			l.moves++
+			shares.migrations++
 		}
-		stood[session.Flow] += session.Established
-		w := classWeights[session.Class]
-		l.served += w * float64(session.Echoes-session.Late) * messageInterval.Seconds()
-		bare := w * float64(session.Late+session.Missed) * messageInterval.Seconds()
-		if at[session.Name] == bad.Name {
-			l.there += bare
+		established[session.Flow] += session.Established
+		weight := classWeights[session.Class]
+		shares.served += weight * float64(session.Echoes-session.Late) * messageInterval.Seconds()
+		lost := weight * float64(session.Late+session.Missed) * messageInterval.Seconds()
+		if endpoints[session.Name] == faulty.Name {
+			shares.atFaulty += lost
 		} else {
-			l.others += bare
+			shares.atOthers += lost
 		}
 	}
-	for flow, first := range came {
-		wanted := min(left[flow].Sub(first.At), over.Sub(first.At))
-		asked += classWeights[first.Class] * wanted.Seconds()
-		l.way += classWeights[first.Class] * max(0, wanted-stood[flow]).Seconds()
+	for flow, session := range first {
+		wanted := min(ended[flow].Sub(session.At), end.Sub(session.At))
+		demanded += classWeights[session.Class] * wanted.Seconds()
+		shares.unrouted += classWeights[session.Class] * max(0, wanted-established[flow]).Seconds()
 	}
-	l.clients = len(came)
-	l.served, l.there, l.others, l.way = l.served/asked, l.there/asked, l.others/asked, l.way/asked
-	return l
+	shares.clients = len(first)
+	shares.served, shares.atFaulty, shares.atOthers, shares.unrouted = shares.served/demanded, shares.atFaulty/demanded, shares.atOthers/demanded, shares.unrouted/demanded
+	return shares
 }
 
-// TestRehearseStore prints what a store adds to a client's wait: the same requests by turns through a relay that has
-// one and one that has not, first such that nothing of them is saved, then such that all are, as all endpoints are
-// full. It measures and judges nothing.
+// TestRehearseStore prints how much a store adds to the set-up time of clients. It sends the same requests alternately
+// through a relay with a store and one without, first such that no request is saved, then such that all are, as all
+// endpoints are full. It checks nothing.
 func TestRehearseStore(t *testing.T) {
 	if os.Getenv("LOCKROAD_REHEARSE") == "" {
-		t.Skip("LOCKROAD_REHEARSE names no builds")
+		t.Skip("LOCKROAD_REHEARSE is not set to a list of builds")
 	}
 	cluster, _, env := newClusterWithStore(t)
-	second := newCluster(t)
-	bare := filepath.Join(cluster.dir, "bare.toml")
-	if err := os.WriteFile(bare, []byte("[why]\nbytes = 2097152\n"), 0o600); err != nil {
+	clusterWithoutStore := newCluster(t)
+	operator := filepath.Join(cluster.dir, "bare.toml")
+	if err := os.WriteFile(operator, []byte("[why]\nbytes = 2097152\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	with, without := cluster.startProcess(env), second.startProcess("LOCKROAD_OPERATOR="+bare)
-	with.awaitReady()
-	without.awaitReady()
+	relay, relayWithoutStore := cluster.startProcess(env), clusterWithoutStore.startProcess("LOCKROAD_OPERATOR="+operator)
+	relay.awaitReady()
+	relayWithoutStore.awaitReady()
 	for _, mode := range []fake.ServerMode{fake.ModeAccept, fake.ModeBusy} {
 		var waits [2][]time.Duration
-		for i, one := range []*testCluster{cluster, second} {
-			for _, server := range one.site.Servers {
+		for i, target := range []*testCluster{cluster, clusterWithoutStore} {
+			for _, server := range target.site.Servers {
 				server.SetupTime = 0
 				server.Set(mode, 0)
 			}
-			one.site.Clients = &fake.ClientPool{Log: one.site.Log, LineAddress: one.lineAddress, MaxClients: 5, Seed: uint64(i + 1)}
-			one.site.Clients.Prepare()
+			target.site.Clients = &fake.ClientPool{Log: target.site.Log, LineAddress: target.lineAddress, MaxClients: 5, Seed: uint64(i + 1)}
+			target.site.Clients.Prepare()
 		}
 		n := 2000
 		if mode == fake.ModeBusy {
-			n = 40 // each takes its three tries and their pauses
+			n = 40 // each request makes three attempts with pauses between them
 		}
 		for range n {
-			for i, one := range []*testCluster{cluster, second} {
-				session := one.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
+			for i, target := range []*testCluster{cluster, clusterWithoutStore} {
+				session := target.site.Clients.RunSession(t.Context(), "line", serviceClasses[0], "1", time.Millisecond)
 				waits[i] = append(waits[i], session.SetupTime)
 			}
 		}
 		for i := range waits {
 			slices.Sort(waits[i])
 		}
-		at := func(q float64) (a, b time.Duration, r float64) {
-			a, b = waits[0][int(q*float64(n-1))], waits[1][int(q*float64(n-1))]
-			return a, b, float64(a) / float64(b)
+		quantiles := func(q float64) (withStore, withoutStore time.Duration, ratio float64) {
+			withStore, withoutStore = waits[0][int(q*float64(n-1))], waits[1][int(q*float64(n-1))]
+			return withStore, withoutStore, float64(withStore) / float64(withoutStore)
 		}
 		for _, q := range []float64{0.5, 0.99} {
-			a, b, r := at(q)
-			fmt.Printf("%-8s %4d openings each: quantile %.2f with a store %v, without %v, ratio %.2f\n", mode, n, q, a, b, r)
+			withStore, withoutStore, ratio := quantiles(q)
+			fmt.Printf("%-8s %4d requests each: set-up time quantile %.2f with a store %v, without %v, ratio %.2f\n", mode, n, q, withStore, withoutStore, ratio)
 		}
 	}
-	with.shutDown()
-	without.shutDown()
+	relay.shutDown()
+	relayWithoutStore.shutDown()
 }
--- a/cmd/lockroad/roundrobin_test.go
+++ b/cmd/lockroad/roundrobin_test.go
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// failureDetectionTime is how long the balancer before the relays takes to notice that one has died.
+// failureDetectionTime is the time that the load balancer in front of the relays needs to detect a failed relay.
 const failureDetectionTime = 2 * time.Second
 
-// roundRobin is the balancer before several relays: it assigns clients to them in turn, adds one once it answers PING,
-// and notices only later that one has died.
+// roundRobin is a load balancer in front of several relays. It assigns clients to relays in turn, starts to use a relay
+// once it answers PING, and detects failed relays only after failureDetectionTime.
 type roundRobin struct {
 	*net.TCPListener
-	mu     sync.Mutex
-	relays []string
-	next   int
-	all    sync.WaitGroup
+	mu      sync.Mutex // guards relays and next
+	relays  []string   // addresses
+	next    int
+	running sync.WaitGroup // all goroutines
 }
 
 func newRoundRobin(t *testing.T) *roundRobin {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &roundRobin{TCPListener: l.(*net.TCPListener)}
-	s.all.Go(func() {
+	s := &roundRobin{TCPListener: listener.(*net.TCPListener)}
+	s.running.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.all.Go(func() { s.forward(c.(*net.TCPConn)) })
+			s.running.Go(func() { s.forward(conn.(*net.TCPConn)) })
 		}
 	})
-	t.Cleanup(func() { l.Close(); s.all.Wait() })
+	t.Cleanup(func() { listener.Close(); s.running.Wait() })
 	return s
 }
 
@@ -47,7 +47,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(6 * time.Second); !answersPing(relay); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Error("a relay does not start")
+			t.Errorf("the relay at %s does not answer PING within 6 s", relay)
 			return
 		}
 	}
@@ -65,19 +65,19 @@
 }
 
 func answersPing(relay string) bool {
-	c, err := net.Dial("tcp", relay)
+	conn, err := net.Dial("tcp", relay)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(time.Second))
-	io.WriteString(c, "PING\r\n")
-	b := make([]byte, 6)
-	_, err = io.ReadFull(c, b)
-	return err == nil && string(b) == "PONG\r\n"
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(time.Second))
+	io.WriteString(conn, "PING\r\n")
+	answer := make([]byte, 6)
+	_, err = io.ReadFull(conn, answer)
+	return err == nil && string(answer) == "PONG\r\n"
 }
 
-// forward copies a client's bytes to a relay and back, and the end of either side.
+// forward copies bytes between a client and a relay in both directions, until both have closed their side.
 func (s *roundRobin) forward(client *net.TCPConn) {
 	defer client.Close()
 	s.mu.Lock()
@@ -86,23 +86,23 @@
 		return
 	}
 	s.next++
-	to := s.relays[s.next%len(s.relays)]
+	address := s.relays[s.next%len(s.relays)]
 	s.mu.Unlock()
-	c, err := net.DialTimeout("tcp", to, time.Second)
+	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
 	}
-	relay := c.(*net.TCPConn)
+	relay := conn.(*net.TCPConn)
 	defer relay.Close()
-	var both sync.WaitGroup
-	pass := func(from, to *net.TCPConn) {
+	var directions sync.WaitGroup
+	copyBytes := func(from, to *net.TCPConn) {
 		if _, err := io.Copy(to, from); err != nil {
 			from.Close()
 			to.Close()
 		}
 		to.CloseWrite()
 	}
-	both.Go(func() { pass(client, relay) })
-	both.Go(func() { pass(relay, client) })
-	both.Wait()
+	directions.Go(func() { copyBytes(client, relay) })
+	directions.Go(func() { copyBytes(relay, client) })
+	directions.Wait()
 }
