--- a/cmd/lockroad/cluster_test.go
+++ b/cmd/lockroad/cluster_test.go
@@ -29,7 +29,7 @@
 
 // testCluster is a site of fake endpoints, discovery and clients, whose relays are processes of the program.
 type testCluster struct {
-	classes         []fake.Class // of its clients and its configuration
+	classes         []fake.Class // of the clients and the relays' configuration
 	t               *testing.T
 	site            *fake.Site
 	dir, configPath string
@@ -88,6 +88,7 @@
 	return cluster
 }
 
+// newClusterOf returns a cluster with a number of endpoints. prepare, which may be nil, configures each.
 func newClusterOf(t *testing.T, servers int, prepare func(*fake.Server)) *testCluster {
 	t.Helper()
 	site, err := fake.NewSite(servers, 5*time.Millisecond, 400, prepare)
@@ -104,7 +105,7 @@
 // writeConfig replaces the configuration of a cluster's only relay.
 func (cluster *testCluster) writeConfig(classes []fake.Class) { cluster.writeConfigFor(classes, 1, 0) }
 
-// writeConfigFor replaces the configuration with that of relay number of several relays.
+// writeConfigFor replaces the configuration with that of one of several relays, by its number from 0 on.
 func (cluster *testCluster) writeConfigFor(classes []fake.Class, relays, number int) {
 	cluster.t.Helper()
 	text, err := cluster.site.Config(classes, 7, number)
--- a/cmd/lockroad/lines_test.go
+++ b/cmd/lockroad/lines_test.go
@@ -22,8 +22,8 @@
 	return all
 }
 
-// TestMeasureLines prints the memory that a relay process uses per established connection of the line frontend, idle and
-// after messages, and its rates of set-ups and echoes. It checks nothing:
+// TestMeasureLines prints the memory that a relay process uses per established connection of the line frontend, idle
+// and after messages, and its rates of set-ups and echoes. It checks nothing:
 //
 //	LOCKROAD_LINES=2000 go test -run MeasureLines -v ./cmd/lockroad
 func TestMeasureLines(t *testing.T) {
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -166,6 +166,7 @@
 	{Name: "print-export", Share: 0.08, TimeLimit: 4800 * time.Millisecond, MeanLifetime: 13 * time.Second},
 }
 
+// classWeights are the weights of a second of service, by class.
 var classWeights = map[string]float64{"page-render": 5, "part-extract": 2, "live-preview": 1, "print-export": 5}
 
 const messageInterval = 250 * time.Millisecond
--- a/cmd/lockroad/roundrobin_test.go
+++ b/cmd/lockroad/roundrobin_test.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// drop assigns no more clients to a relay.
 func (s *roundRobin) drop(relay string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/lockroad/run.go
+++ b/cmd/lockroad/run.go
@@ -133,8 +133,8 @@
 	return server.Run(context.Background(), options, platform, operator, log.Logger)
 }
 
-// shutdownSignal returns a channel that is closed when the process receives SIGTERM or an interrupt. Its goroutine runs
-// until then, at the latest until the process exits.
+// shutdownSignal returns a channel that is closed when the process receives SIGTERM or an interrupt. A goroutine waits
+// for the first of these signals, if need be until the process exits.
 func shutdownSignal() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt)
--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -18,7 +18,7 @@
 	Stats   storeStatsCommand   `cmd:"" help:"Print the number and size of the records of each kind."`
 	Dump    storeDumpCommand    `cmd:"" help:"Print the records as JSON, one object per line."`
 	Compact storeCompactCommand `cmd:"" help:"Merge the files and drop removed and expired records."`
-	Erase   storeEraseCommand   `cmd:"" help:"Erase the stored decisions on a client, by transaction name or flow key."`
+	Erase   storeEraseCommand   `cmd:"" help:"Erase the stored decisions about a client, by transaction name or flow key."`
 	Repair  storeRepairCommand  `cmd:"" help:"Recover the readable records of a damaged store and discard the rest."`
 }
 
@@ -110,7 +110,7 @@
 
 type storeRepairCommand struct{ storeFolder }
 
-// Run recovers the readable records and prints a report from before and after.
+// Run recovers the readable records and prints a report on the store before and after the repair.
 func (c *storeRepairCommand) Run(std streams) error {
 	before, after, err := store.Repair(c.fs(), persistence.Kinds())
 	if err != nil {
--- a/internal/demo/checker.go
+++ b/internal/demo/checker.go
@@ -16,7 +16,7 @@
 	explanation *explain.Explanation
 	session     fake.Session
 	attempts    []fake.Attempt
-	kills       map[string][]time.Time // of each server
+	kills       map[string][]time.Time // times of kills, by server
 	races       int                    // differences that a race explains
 	mismatches  []string
 }
