--- a/internal/demo/explanations.go
+++ b/internal/demo/explanations.go
@@ -10,8 +10,8 @@
 	"lockroad/internal/fake"
 )
 
-// checkExplanations asks for the explanations of random sessions, and compares each with what
-// clients and servers saw. It returns the explanations by the clients' names of requests.
+// checkExplanations requests the explanations of a random sample of sessions, and compares each
+// with what the client and the servers observed. It returns the explanations by request name.
 func (d *demonstration) checkExplanations() (map[string]*explain.Explanation, error) {
 	sessions := d.site.Log.Sessions()
 	d.result.Sessions = len(sessions)
@@ -24,7 +24,7 @@
 	kills := d.kills()
 	order := d.rng.Perm(len(sessions))
 	explanations := make(map[string]*explain.Explanation)
-	for _, i := range order[:min(len(order), d.Asks)] {
+	for _, i := range order[:min(len(order), d.SampleSize)] {
 		session := sessions[i]
 		explanation, text, err := d.explain(session)
 		if err != nil {
@@ -36,39 +36,40 @@
 		explanations[session.Name] = explanation
 		check := checker{explanation: explanation, session: session, attempts: byName[session.Name], kills: kills}
 		if mismatches := check.check(); len(mismatches) > 0 {
-			d.result.Bad = append(d.result.Bad, fmt.Sprintf("%s: %s\n%s", session.Name, strings.Join(mismatches, "; "), text))
+			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("%s: %s\n%s", session.Name, strings.Join(mismatches, "; "), text))
 		}
-		d.result.Crossed += check.crossings
+		d.result.Races += check.races
 	}
 	return explanations, nil
 }
 
-// explain asks for the explanation of a session, which is nil if there is none; that is counted.
+// explain requests the explanation of a session. The explanation is nil if the relay has none: the
+// result then counts the session as unexplained or as a mismatch.
 func (d *demonstration) explain(session fake.Session) (explanation *explain.Explanation, text string, err error) {
 	name := session.Name
 	if session.Frontend == "amqp" {
 		name = "client/" + session.Name
 	}
-	d.result.Asked++
+	d.result.Sampled++
 	if text, err = d.command("why --json -- " + name); err != nil {
 		switch {
 		case strings.Contains(err.Error(), "no longer in the log"):
-			d.result.Gone++
+			d.result.Unexplained++
 		case session.Answer == "none" && strings.Contains(err.Error(), "not found: the log has all"):
-			d.result.Gone++ // its client left before the relay had read the request
+			d.result.Unexplained++ // the client left before the relay had read the request
 		default:
-			d.result.Bad = append(d.result.Bad, fmt.Sprintf("%s: %v", session.Name, err))
+			d.result.Mismatches = append(d.result.Mismatches, fmt.Sprintf("%s: %v", session.Name, err))
 		}
 		return nil, "", nil
 	}
 	explanation = &explain.Explanation{}
 	if err := json.Unmarshal([]byte(text), explanation); err != nil {
-		return nil, "", fmt.Errorf("the answer on %s: %w", name, err)
+		return nil, "", fmt.Errorf("decode the explanation of %s: %w", name, err)
 	}
 	return explanation, text, nil
 }
 
-// kills returns the times at which servers were killed, by server.
+// kills returns the times at which each server was killed.
 func (d *demonstration) kills() map[string][]time.Time {
 	kills := make(map[string][]time.Time)
 	for _, change := range d.site.Log.EndpointChanges() {
