--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -57,11 +57,11 @@
 		zone = 0
 	}
 	*client = clientModel{
-		class: uint8(classIndex), zone: uint8(zone), load: float32(s.uniform(class.Load) / s.loadMean), generation: client.generation + 1, attempt: client.attempt, server: -1,
+		class: uint8(classIndex), zone: uint8(zone), load: float32(s.uniform(class.LoadFactor) / s.loadMean), generation: client.generation + 1, attempt: client.attempt, server: -1,
 		group: s.drawGroup(), arrivedAt: s.now,
 	}
 	client.meanLoad = client.load
-	client.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.Life)*s.uniform(class.Life)/s.lifeMean)
+	client.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.Life)*s.uniform(class.LifetimeFactor)/s.lifeMean)
 	s.present[classIndex]++
 	s.statistics.clients++
 	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
@@ -131,8 +131,8 @@
 	client.request = relay.lastRequest
 	relay.clients[client.request] = event.subject
 	s.statistics.requests++
-	s.push(scheduledEvent{at: client.requestedAt + class.GiveUp, kind: eventDeadline, subject: event.subject, generation: client.generation})
-	s.handle(client.relay, balancer.Request{ID: client.request, Class: int(client.class), Item: uint64(event.subject) + 1, Group: uint64(client.group) + 1, TimeLeft: client.requestedAt + class.GiveUp - s.now, Returning: client.returning})
+	s.push(scheduledEvent{at: client.requestedAt + class.Deadline, kind: eventDeadline, subject: event.subject, generation: client.generation})
+	s.handle(client.relay, balancer.Request{ID: client.request, Class: int(client.class), Item: uint64(event.subject) + 1, Group: uint64(client.group) + 1, TimeLeft: client.requestedAt + class.Deadline - s.now, Returning: client.returning})
 }
 
 // retry makes a client that was not served return after a while, unless it has done so too
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -180,8 +180,8 @@
 func (s *Sim) leastReportedDelay() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, class := range s.Classes {
-		if class.MessageAim > 0 {
-			least = min(least, class.MessageAim/3)
+		if class.MessageLatencyObjective > 0 {
+			least = min(least, class.MessageLatencyObjective/3)
 		}
 	}
 	return least
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -57,8 +57,8 @@
 	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, present: make([]int, len(world.Classes)), end: startTime + world.For}
 	s.statistics.start(s)
 	for _, class := range world.Classes {
-		s.loadMean += class.Share * (class.Load[0] + class.Load[1]) / 2
-		s.lifeMean += class.Share * (class.Life[0] + class.Life[1]) / 2
+		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
+		s.lifeMean += class.Share * (class.LifetimeFactor[0] + class.LifetimeFactor[1]) / 2
 	}
 	total := 0.0
 	for i := range world.Groups {
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -46,7 +46,7 @@
 	took := s.now - client.requestedAt
 	a.setupTimes[client.class].RecordValue(max(1, took.Microseconds()))
 	a.established[client.class]++
-	if took <= s.Classes[client.class].Aim {
+	if took <= s.Classes[client.class].LatencyObjective {
 		a.inObjective[client.class]++
 	}
 }
@@ -55,8 +55,8 @@
 func (a *statistics) countService(s *Sim, server *serverModel, rho float64, dt time.Duration) {
 	a.utilizations = append(a.utilizations, rho)
 	for i, n := range server.establishedByClass {
-		if n > 0 && !server.hung && server.delay <= s.Classes[i].MessageAim {
-			worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
+		if n > 0 && !server.hung && server.delay <= s.Classes[i].MessageLatencyObjective {
+			worth := float64(n) * s.Classes[i].Weight * dt.Seconds()
 			a.served[i] += worth
 			a.currentServed += worth
 		}
@@ -67,7 +67,7 @@
 // tick ends a tick of all servers.
 func (a *statistics) tick(s *Sim, dt time.Duration) {
 	for i, n := range s.present {
-		worth := float64(n) * s.Classes[i].Worth * dt.Seconds()
+		worth := float64(n) * s.Classes[i].Weight * dt.Seconds()
 		a.wanted[i] += worth
 		a.currentWanted += worth
 	}
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -19,7 +19,7 @@
 	world.Same, world.Cross, world.Client = [2]time.Duration{}, [2]time.Duration{}, [2]time.Duration{}
 	world.Life = time.Hour
 	for i := range world.Classes {
-		world.Classes[i].GiveUp, world.Classes[i].Load = time.Hour, [2]float64{1, 1}
+		world.Classes[i].Deadline, world.Classes[i].LoadFactor = time.Hour, [2]float64{1, 1}
 	}
 	return world
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -17,14 +17,14 @@
 
 // Class is one kind of client.
 type Class struct {
-	Name       string
-	Share      float64       // of new connections
-	Load       [2]float64    // against the mean over all classes: drawn between the two
-	Life       [2]float64    // mean lifetime, against that of all classes
-	Aim        time.Duration // latency objective of a set-up
-	GiveUp     time.Duration // deadline of a set-up
-	MessageAim time.Duration // latency objective of a message
-	Worth      float64       // of a second that is well served
+	Name                    string
+	Share                   float64       // of new connections
+	LoadFactor              [2]float64    // against the mean over all classes: drawn between the two
+	LifetimeFactor          [2]float64    // mean lifetime, against that of all classes
+	LatencyObjective        time.Duration // latency objective of a set-up
+	Deadline                time.Duration // deadline of a set-up
+	MessageLatencyObjective time.Duration // latency objective of a message
+	Weight                  float64       // of a second that is well served
 }
 
 // MaxRelays bounds the relays of a world: each has a balancer with the complete endpoint list.
@@ -148,7 +148,7 @@
 		InitialCapacity: w.ColdShare, SlowStartDuration: w.ColdFor, OverloadMultiple: w.Tip, OverloadWindow: w.TipAfter, CrossZoneCost: 0.03,
 	}
 	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, balancer.Class{LatencyObjective: c.Aim, Deadline: c.GiveUp, MessageLatencyObjective: c.MessageAim})
+		s.Classes = append(s.Classes, balancer.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, MessageLatencyObjective: c.MessageLatencyObjective})
 	}
 	return s
 }
