--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -233,6 +233,6 @@
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", f, e.Name, len(e.Scenes), len(e.Policies), len(e.Runs()), len(e.Claims))
 	}
 	t.Flush()
-	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.Parameters(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
+	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
 	return nil
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -173,7 +173,7 @@
 		if len(values) != 1 {
 			return parameter.Errorf("%s wants one value", name)
 		}
-		if err := e.World.Set(name, values[0]); err != nil {
+		if err := e.World.SetParameter(name, values[0]); err != nil {
 			return err
 		}
 	}
@@ -229,7 +229,7 @@
 		}
 		for _, value := range values {
 			world := e.World
-			if err := world.Set(name, value); err != nil {
+			if err := world.SetParameter(name, value); err != nil {
 				return err
 			}
 		}
@@ -337,7 +337,7 @@
 			for _, value := range axis.Values {
 				grown := cell
 				grown.Values = append(slices.Clone(cell.Values), value.String())
-				_ = grown.World.Set(axis.Name, value) // it was tried when it was parsed
+				_ = grown.World.SetParameter(axis.Name, value) // it was tried when it was parsed
 				next = append(next, grown)
 			}
 		}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -53,7 +53,7 @@
 // The words that experiments are written in.
 func TestExperimentVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "metrics: %s\nparameters: %s\n", strings.Join(Metrics, " "), strings.Join(simulation.Parameters(), " "))
+	fmt.Fprintf(&b, "metrics: %s\nparameters: %s\n", strings.Join(Metrics, " "), strings.Join(simulation.ParameterNames(), " "))
 	for _, p := range simulation.Policies {
 		fmt.Fprintf(&b, "policy %s\n", p.Name)
 	}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -121,7 +121,7 @@
 // Each class's service stands in its own column, and they are those of the run.
 func TestServiceIsToldByClass(t *testing.T) {
 	w := simulation.ReferenceWorld()
-	w.For = 5 * time.Second
+	w.Duration = 5 * time.Second
 	p, _ := simulation.FindPolicy("module")
 	results := simulation.New(w, nil, p, 3).Run(nil)
 	row := Row{Figures: metricsOf(results)}
--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -116,9 +116,9 @@
 	"add":           (*Sim).addServers,
 	"drop":          (*Sim).dropClients,
 	"list-behind":   (*Sim).delayList,
-	"list-again":    func(s *Sim, action ScriptedAction) { s.listDelay -= time.Duration(action.Factor) },
+	"list-again":    func(s *Sim, action ScriptedAction) { s.extraListDelay -= time.Duration(action.Factor) },
 	"surge":         (*Sim).surge,
-	"surge-over":    func(s *Sim, action ScriptedAction) { s.Rate /= action.Factor },
+	"surge-over":    func(s *Sim, action ScriptedAction) { s.ArrivalRate /= action.Factor },
 	"relay-restart": (*Sim).restartRelays,
 }
 
@@ -166,7 +166,7 @@
 		server.state, server.draining = balancer.StateDraining, true
 		s.publish(i)
 		s.schedule(time.Second, scheduledEvent{kind: eventMigrateClients, value: uint32(i)})
-		s.schedule(s.DrainFor, scheduledEvent{kind: eventServerStops, value: uint32(i)})
+		s.schedule(s.DrainDuration, scheduledEvent{kind: eventServerStops, value: uint32(i)})
 	}
 }
 
@@ -195,12 +195,12 @@
 }
 
 func (s *Sim) delayList(action ScriptedAction) {
-	s.listDelay += time.Duration(action.Factor)
+	s.extraListDelay += time.Duration(action.Factor)
 	s.performAfter(action.For, ScriptedAction{Kind: "list-again", Factor: action.Factor})
 }
 
 func (s *Sim) surge(action ScriptedAction) {
-	s.Rate *= action.Factor
+	s.ArrivalRate *= action.Factor
 	s.performAfter(action.For, ScriptedAction{Kind: "surge-over", Factor: action.Factor})
 }
 
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -9,9 +9,9 @@
 // networkDelay draws the one-way delay between a relay and a server.
 func (s *Sim) networkDelay(relayIndex uint32, serverIndex int32) time.Duration {
 	if s.relays[relayIndex].zone == s.servers[serverIndex].zone {
-		return s.uniformDuration(s.Same)
+		return s.uniformDuration(s.SameZoneDelay)
 	}
-	return s.uniformDuration(s.Cross)
+	return s.uniformDuration(s.CrossZoneDelay)
 }
 
 // drainNotice is how long attempts may go to a server after a relay was notified of its drain.
@@ -61,9 +61,9 @@
 		return
 	}
 	capacity := server.capacity * server.speedFactor * s.slowStartShare(server)
-	work := time.Duration(float64(s.SetUp) / (server.speed * server.speedFactor * float64(s.Cores) * s.slowStartShare(server)))
+	work := time.Duration(float64(s.SetupWork) / (server.speed * server.speedFactor * float64(s.CoresPerServer) * s.slowStartShare(server)))
 	queued := max(0, server.setupsDoneAt-s.now)
-	if server.draining || float64(len(server.conns)) >= s.ConnsMost*capacity || queued > time.Duration(s.Queue)*work {
+	if server.draining || float64(len(server.conns)) >= s.ConnectionLimitFactor*capacity || queued > time.Duration(s.SetupQueueLimit)*work {
 		answer(balancer.StatusFull, 0)
 		return
 	}
@@ -102,7 +102,7 @@
 	relayIndex, id := client.relay, client.request
 	s.handle(relayIndex, balancer.Established{Request: id, Endpoint: s.serverID(client.server), SetupTime: s.now - client.requestedAt})
 	if client := &s.clients[event.subject]; client.state == stateEstablished && client.request == id && client.relay == relayIndex {
-		s.handle(relayIndex, balancer.ConnectionLoad{Request: id, Endpoint: s.serverID(client.server), Load: float64(client.load) / s.PerCore})
+		s.handle(relayIndex, balancer.ConnectionLoad{Request: id, Endpoint: s.serverID(client.server), Load: float64(client.load) / s.ConnectionsPerCore})
 	}
 }
 
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -53,7 +53,7 @@
 	classIndex := s.drawClass()
 	class := &s.Classes[classIndex]
 	zone := s.rng.IntN(s.Zones)
-	if s.rng.Float64() < s.Skew {
+	if s.rng.Float64() < s.ZoneSkew {
 		zone = 0
 	}
 	*client = clientModel{
@@ -61,7 +61,7 @@
 		group: s.drawGroup(), arrivedAt: s.now,
 	}
 	client.meanLoad = client.load
-	client.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.Life)*s.uniform(class.LifetimeFactor)/s.lifeMean)
+	client.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.MeanLifetime)*s.uniform(class.LifetimeFactor)/s.lifeMean)
 	s.present[classIndex]++
 	s.statistics.clients++
 	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
@@ -111,7 +111,7 @@
 		return
 	}
 	client.relay = relay
-	s.schedule(s.uniformDuration(s.Client), scheduledEvent{kind: eventRequestArrives, subject: id, generation: client.generation})
+	s.schedule(s.uniformDuration(s.ClientDelay), scheduledEvent{kind: eventRequestArrives, subject: id, generation: client.generation})
 }
 
 // requestArrives makes a relay handle a client's request.
@@ -142,11 +142,11 @@
 	client.generation++
 	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
 	client.state, client.server = stateAway, -1
-	if client.retries++; int(client.retries) > s.Retries {
+	if client.retries++; int(client.retries) > s.MaxRetries {
 		return // it has given up, and is counted as wanting service until its end
 	}
 	wait := s.uniformDuration(s.Backoff) << (client.retries - 1)
-	if retryAfter > 0 && s.rng.Float64() < s.Honour {
+	if retryAfter > 0 && s.rng.Float64() < s.RetryAfterCompliance {
 		wait = max(wait, retryAfter)
 	}
 	s.schedule(wait, scheduledEvent{kind: eventClientReturns, subject: id, generation: client.generation})
--- a/internal/simulation/healthchecks.go
+++ b/internal/simulation/healthchecks.go
@@ -33,7 +33,7 @@
 // startHealthChecks starts the health checks of a relay; all servers count as up at first.
 func (s *Sim) startHealthChecks(id uint32) {
 	relay := s.relays[id]
-	relay.health = healthcheck.New(s.Probes, s.memberNames(), s.now)
+	relay.health = healthcheck.New(s.HealthCheckSettings, s.memberNames(), s.now)
 	relay.health.Changes()
 	s.sendProbes(id)
 }
@@ -49,11 +49,11 @@
 		took, ok := s.networkDelay(id, serverIndex)+s.networkDelay(id, serverIndex), uint32(1)
 		switch {
 		case server.hung || s.rng.Float64() < s.ProbeLoss:
-			took, ok = s.Probes.Timeout, 0
+			took, ok = s.HealthCheckSettings.Timeout, 0
 		case server.down:
 			ok = 0
 		default:
-			server.setupsDoneAt = max(server.setupsDoneAt, s.now) + healthcheck.MaxProbeCost/time.Duration(s.Cores)
+			server.setupsDoneAt = max(server.setupsDoneAt, s.now) + healthcheck.MaxProbeCost/time.Duration(s.CoresPerServer)
 		}
 		s.schedule(took, scheduledEvent{kind: eventProbeResult, subject: id, value: uint32(serverIndex)<<1 | ok, generation: relay.incarnation})
 	}
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -172,7 +172,7 @@
 func baselinePolicy(choose func(*baseline, *pendingRequest, []*knownEndpoint) *knownEndpoint) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
 		return &baseline{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balancer.EndpointID]*knownEndpoint),
-			requests: make(map[balancer.RequestID]*pendingRequest), timers: make(map[uint32]balancer.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
+			requests: make(map[balancer.RequestID]*pendingRequest), timers: make(map[uint32]balancer.RequestID), attempts: s.MaxAttempts, turn: s.rng.IntN(len(s.servers))}
 	}
 }
 
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -28,15 +28,15 @@
 	relay.decider = s.newDecider(s, int(id))
 	list := make([]balancer.Endpoint, len(s.servers))
 	for i := range s.servers {
-		if list[i] = s.endpoint(i); s.Probed {
+		if list[i] = s.endpoint(i); s.UseHealthChecks {
 			list[i].State = balancer.StateReady // as its file says
 		}
 	}
 	s.handle(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
-	if s.Probed {
+	if s.UseHealthChecks {
 		s.startHealthChecks(id)
 	}
-	if fresh, ok := relay.decider.(*balancer.Balancer); ok && old != nil && s.Warm {
+	if fresh, ok := relay.decider.(*balancer.Balancer); ok && old != nil && s.RestoreSnapshots {
 		fresh.Restore(s.now, old.Snapshot())
 	}
 }
@@ -54,7 +54,7 @@
 		case stateEstablished:
 			s.detach(uint32(i))
 			s.statistics.migrations++ // a relay migrates its clients before it ends
-			s.returnAfter(uint32(i), s.uniformDuration(s.Return))
+			s.returnAfter(uint32(i), s.uniformDuration(s.ReturnDelay))
 		case stateWaiting:
 			s.cancelAttempt(client)
 			s.retry(uint32(i), 0)
@@ -89,7 +89,7 @@
 				delete(relay.clients, action.Request)
 				s.detach(client)
 				s.statistics.migrations++
-				s.returnAfter(client, s.uniformDuration(s.Return))
+				s.returnAfter(client, s.uniformDuration(s.ReturnDelay))
 			}
 		}
 	}
@@ -115,11 +115,11 @@
 
 // publish schedules updates of a server for all relays, each after its delay.
 func (s *Sim) publish(serverIndex int) {
-	if s.Probed {
+	if s.UseHealthChecks {
 		return
 	}
 	for relay := range s.relays {
-		s.schedule(s.uniformDuration(s.Notice)+s.listDelay, scheduledEvent{kind: eventListUpdate, subject: uint32(relay), value: uint32(serverIndex)})
+		s.schedule(s.uniformDuration(s.ListDelay)+s.extraListDelay, scheduledEvent{kind: eventListUpdate, subject: uint32(relay), value: uint32(serverIndex)})
 	}
 }
 
@@ -142,5 +142,5 @@
 func (s *Sim) scheduleHeartbeatTimeout(id uint32) {
 	client := &s.clients[id]
 	client.serverSilent = true
-	s.schedule(time.Duration(s.rng.Float64()*float64(s.Beat))+s.Silence, scheduledEvent{kind: eventHeartbeatTimeout, subject: id, generation: client.generation})
+	s.schedule(time.Duration(s.rng.Float64()*float64(s.MessageInterval))+s.HeartbeatTimeout, scheduledEvent{kind: eventHeartbeatTimeout, subject: id, generation: client.generation})
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -101,7 +101,7 @@
 			r.Worst10, r.WorstAt = w, float64(i)
 		}
 	}
-	r.G = 0.6*r.Service + 0.05*r.Worst10 + 0.35*worst - s.MovePrice*ratio(float64(a.migrations), float64(max(1, a.clients)))
+	r.G = 0.6*r.Service + 0.05*r.Worst10 + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
 	r.Recovery = recovery(a.seconds, a.marks)
 	for _, v := range s.servers {
 		r.Standing += len(v.conns)
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -39,7 +39,7 @@
 // newServer adds a server, in the zones in turn. startedAt 0 is long ago.
 func (s *Sim) newServer(speed float64, born time.Duration) {
 	s.servers = append(s.servers, &serverModel{
-		zone: len(s.servers) % s.Zones, speed: speed, capacity: speed * float64(s.Cores) * s.PerCore, state: balancer.StateReady, speedFactor: 1, startedAt: born,
+		zone: len(s.servers) % s.Zones, speed: speed, capacity: speed * float64(s.CoresPerServer) * s.ConnectionsPerCore, state: balancer.StateReady, speedFactor: 1, startedAt: born,
 		groups: make(map[uint32]int), establishedByClass: make([]int, len(s.Classes)), drainNotifiedAt: make([]time.Duration, s.Relays), delayReported: make([]bool, s.Relays), notifiedGone: make(map[uint32]bool),
 	})
 }
@@ -70,10 +70,10 @@
 
 // slowStartShare returns the share of its capacity that a server has by now.
 func (s *Sim) slowStartShare(server *serverModel) float64 {
-	if server.startedAt == 0 || s.now >= server.startedAt+s.ColdFor {
+	if server.startedAt == 0 || s.now >= server.startedAt+s.SlowStartDuration {
 		return 1
 	}
-	return s.ColdShare + (1-s.ColdShare)*float64(s.now-server.startedAt)/float64(s.ColdFor)
+	return s.InitialCapacity + (1-s.InitialCapacity)*float64(s.now-server.startedAt)/float64(s.SlowStartDuration)
 }
 
 // checkOverload makes a server fail that gets too many set-ups while it warms up.
@@ -83,17 +83,17 @@
 		return
 	}
 	from := 0
-	for from < len(server.recentSetups) && server.recentSetups[from] <= s.now-s.TipAfter {
+	for from < len(server.recentSetups) && server.recentSetups[from] <= s.now-s.OverloadWindow {
 		from++
 	}
 	server.recentSetups = append(server.recentSetups[from:], s.now)
-	sustained := server.capacity * s.slowStartShare(server) / s.Life.Seconds() * s.TipAfter.Seconds()
-	if float64(len(server.recentSetups)) > max(2, s.Tip*sustained) {
+	sustained := server.capacity * s.slowStartShare(server) / s.MeanLifetime.Seconds() * s.OverloadWindow.Seconds()
+	if float64(len(server.recentSetups)) > max(2, s.OverloadMultiple*sustained) {
 		s.statistics.overloaded++
 		for index, one := range s.servers {
 			if one == server {
 				s.stopServer(index, true)
-				s.schedule(s.DownFor, scheduledEvent{kind: eventServerRecovers, value: uint32(index)})
+				s.schedule(s.OverloadDowntime, scheduledEvent{kind: eventServerRecovers, value: uint32(index)})
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 	for range int(math.Ceil(float64(len(server.conns)) / 10)) {
 		id := server.conns[s.rng.IntN(len(server.conns))]
 		s.statistics.migrations++
-		s.breakConnection(id, balancer.StatusRedirected, s.uniformDuration(s.Return))
+		s.breakConnection(id, balancer.StatusRedirected, s.uniformDuration(s.ReturnDelay))
 	}
 	s.schedule(500*time.Millisecond, scheduledEvent{kind: eventMigrateClients, value: uint32(index)})
 }
@@ -126,7 +126,7 @@
 	for len(server.conns) > 0 {
 		id := server.conns[len(server.conns)-1]
 		s.statistics.broken++
-		s.breakConnection(id, balancer.StatusReset, s.uniformDuration(s.Return))
+		s.breakConnection(id, balancer.StatusReset, s.uniformDuration(s.ReturnDelay))
 	}
 	if killed {
 		s.publish(index)
@@ -207,7 +207,7 @@
 // messageDelay returns how long a message takes at a server of a utilization: as in M/G/1-PS,
 // up to where the backlog dominates.
 func (s *Sim) messageDelay(server *serverModel, utilization float64) time.Duration {
-	return time.Duration(float64(s.Message) / (server.speed * server.speedFactor) / max(minIdleShare, 1-utilization))
+	return time.Duration(float64(s.IdleMessageTime) / (server.speed * server.speedFactor) / max(minIdleShare, 1-utilization))
 }
 
 // changedLoadShare is the share of a server's connections whose load changes each second.
@@ -215,7 +215,7 @@
 
 // changeLoads changes the loads of some of a server's connections, and reports them.
 func (s *Sim) changeLoads(index int, server *serverModel) {
-	if s.LoadSwing == 0 {
+	if s.LoadAmplitude == 0 {
 		return
 	}
 	for slot := 0; slot < len(server.conns); slot++ {
@@ -223,10 +223,10 @@
 			continue
 		}
 		client := &s.clients[server.conns[slot]]
-		load := client.meanLoad * float32(1+s.LoadSwing*(2*s.rng.Float64()-1))
+		load := client.meanLoad * float32(1+s.LoadAmplitude*(2*s.rng.Float64()-1))
 		server.load += float64(load) - float64(client.load)
 		client.load = load
-		s.handle(client.relay, balancer.ConnectionLoad{Request: client.request, Endpoint: s.serverID(int32(index)), Load: float64(load) / s.PerCore})
+		s.handle(client.relay, balancer.ConnectionLoad{Request: client.request, Endpoint: s.serverID(int32(index)), Load: float64(load) / s.ConnectionsPerCore})
 	}
 }
 
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -31,21 +31,21 @@
 // Sim is a simulation that runs. One goroutine uses it.
 type Sim struct {
 	World
-	now          time.Duration
-	lastSequence uint64
-	events       eventQueue
-	rng          *rand.Rand
-	clients      []clientModel
-	freeClients  []uint32
-	servers      []*serverModel
-	relays       []*relayModel
-	actions      []ScriptedAction
-	newDecider   func(s *Sim, relayIndex int) Decider
-	listDelay    time.Duration // in addition to the world's Notice
-	statistics   statistics
-	present      []int // clients that want service, by class
-	groupWeights []float64
-	processed    uint64 // events handled
+	now            time.Duration
+	lastSequence   uint64
+	events         eventQueue
+	rng            *rand.Rand
+	clients        []clientModel
+	freeClients    []uint32
+	servers        []*serverModel
+	relays         []*relayModel
+	actions        []ScriptedAction
+	newDecider     func(s *Sim, relayIndex int) Decider
+	extraListDelay time.Duration // in addition to the world's Notice
+	statistics     statistics
+	present        []int // clients that want service, by class
+	groupWeights   []float64
+	processed      uint64 // events handled
 
 	loadMean, lifeMean float64 // of the classes' factors, by their shares
 	end                time.Duration
@@ -54,7 +54,7 @@
 // New returns a simulation at its start, with the actions of its script. The world must be
 // valid. Equal arguments give equal results.
 func New(world World, actions []ScriptedAction, p Policy, seed uint64) *Sim {
-	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, present: make([]int, len(world.Classes)), end: startTime + world.For}
+	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, present: make([]int, len(world.Classes)), end: startTime + world.Duration}
 	s.statistics.start(s)
 	for _, class := range world.Classes {
 		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
@@ -67,7 +67,7 @@
 	}
 	for i := range world.Servers {
 		speed := s.uniform(world.Speed)
-		if math.Floor(float64(i+1)*world.Slow) > math.Floor(float64(i)*world.Slow) {
+		if math.Floor(float64(i+1)*world.SlowShare) > math.Floor(float64(i)*world.SlowShare) {
 			speed = s.uniform(world.SlowSpeed)
 		}
 		s.newServer(speed, 0)
@@ -82,10 +82,10 @@
 		s.relays = append(s.relays, relay)
 		s.startRelay(uint32(i))
 	}
-	for range world.Standing {
+	for range world.InitialConnections {
 		s.schedule(time.Duration(s.rng.Float64()*float64(warmUpTime)*0.8), scheduledEvent{kind: eventClientArrives, value: 1})
 	}
-	if world.Rate > 0 {
+	if world.ArrivalRate > 0 {
 		s.push(scheduledEvent{at: startTime, kind: eventClientArrives})
 	}
 	s.push(scheduledEvent{at: startTime - warmUpTime + tickInterval, kind: eventTick})
@@ -130,7 +130,7 @@
 		s.now = event.at
 		s.processed++
 		if s.processed&0xffff == 0 && progress != nil {
-			progress(float64(s.now-startTime) / float64(s.For))
+			progress(float64(s.now-startTime) / float64(s.Duration))
 		}
 		s.step(event)
 	}
@@ -174,7 +174,7 @@
 	case eventHeartbeatTimeout:
 		if class := &s.clients[event.subject]; class.state == stateEstablished && class.generation == event.generation && class.serverSilent {
 			s.statistics.heartbeatTimeouts++
-			s.breakConnection(event.subject, balancer.StatusReset, s.uniformDuration(s.Return))
+			s.breakConnection(event.subject, balancer.StatusReset, s.uniformDuration(s.ReturnDelay))
 		}
 	case eventListUpdate:
 		s.listUpdate(event)
@@ -201,8 +201,8 @@
 
 // rate returns the number of new clients a second now.
 func (s *Sim) rate() float64 {
-	if s.Swing == 0 {
-		return s.Rate
+	if s.RateAmplitude == 0 {
+		return s.ArrivalRate
 	}
-	return s.Rate * (1 + s.Swing*math.Sin(2*math.Pi*float64(s.now-startTime)/float64(s.Period)))
+	return s.ArrivalRate * (1 + s.RateAmplitude*math.Sin(2*math.Pi*float64(s.now-startTime)/float64(s.RatePeriod)))
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -127,9 +127,9 @@
 func TestRandomScenariosStayConsistent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		world := ReferenceWorld()
-		world.Servers, world.Relays, world.For = rapid.IntRange(1, 20).Draw(rt, "servers"), rapid.IntRange(1, 5).Draw(rt, "relays"), 12*time.Second
-		world.Rate, world.Standing = float64(rapid.IntRange(0, 20).Draw(rt, "rate")), rapid.IntRange(0, 200).Draw(rt, "standing")
-		world.Life = time.Duration(rapid.IntRange(1, 30).Draw(rt, "life")) * time.Second
+		world.Servers, world.Relays, world.Duration = rapid.IntRange(1, 20).Draw(rt, "servers"), rapid.IntRange(1, 5).Draw(rt, "relays"), 12*time.Second
+		world.ArrivalRate, world.InitialConnections = float64(rapid.IntRange(0, 20).Draw(rt, "rate")), rapid.IntRange(0, 200).Draw(rt, "standing")
+		world.MeanLifetime = time.Duration(rapid.IntRange(1, 30).Draw(rt, "life")) * time.Second
 		var b strings.Builder
 		for range rapid.IntRange(0, 6).Draw(rt, "acts") {
 			fmt.Fprintf(&b, "(at %dms %s)", rapid.IntRange(0, 12000).Draw(rt, "at"), rapid.SampledFrom([]string{
@@ -180,7 +180,7 @@
 		}
 		return service, attempts, result
 	}
-	calm, attempts, result := mean("", "module", func(world *World) { world.Rate, world.Standing = 1.5, 55 })
+	calm, attempts, result := mean("", "module", func(world *World) { world.ArrivalRate, world.InitialConnections = 1.5, 55 })
 	if calm < 0.93 || attempts > 1.2 || result.Tipped > 0 || result.Silent > 0 {
 		t.Errorf("a calm day has %.3f of service with %.2f attempts: %s", calm, attempts, summary(result))
 	}
@@ -189,7 +189,7 @@
 	if hung >= usual {
 		t.Errorf("two hung servers: %.3f, without %.3f", hung, usual)
 	}
-	over, _, _ := mean("", "module", func(world *World) { world.Rate, world.Standing = 8, 300 })
+	over, _, _ := mean("", "module", func(world *World) { world.ArrivalRate, world.InitialConnections = 8, 300 })
 	if over > usual-0.1 {
 		t.Errorf("an overload is served %.3f, a usual day %.3f", over, usual)
 	}
@@ -210,7 +210,7 @@
 func TestProbedRelaysFindOut(t *testing.T) {
 	day := func(probed bool, loss float64, actions string) *Result {
 		world := ReferenceWorld()
-		world.Probed, world.ProbeLoss = probed, loss
+		world.UseHealthChecks, world.ProbeLoss = probed, loss
 		if err := world.Validate(); err != nil {
 			t.Fatal(err)
 		}
@@ -274,9 +274,9 @@
 
 func TestWorldsThatMakeNoSenseAreRefused(t *testing.T) {
 	for want, change := range map[string]func(*World){
-		"servers 0": func(world *World) { world.Servers = 0 }, "relays 9999": func(world *World) { world.Relays = 9999 }, "rate -1": func(world *World) { world.Rate = -1 },
-		"for 0s": func(world *World) { world.For = 0 }, "no classes": func(world *World) { world.Classes = nil }, "groups 0": func(world *World) { world.Groups = 0 },
-		"cold-share 2": func(world *World) { world.ColdShare = 2 }, "swing 1": func(world *World) { world.Swing = 1 }, "zones 0": func(world *World) { world.Zones = 0 },
+		"servers 0": func(world *World) { world.Servers = 0 }, "relays 9999": func(world *World) { world.Relays = 9999 }, "rate -1": func(world *World) { world.ArrivalRate = -1 },
+		"for 0s": func(world *World) { world.Duration = 0 }, "no classes": func(world *World) { world.Classes = nil }, "groups 0": func(world *World) { world.Groups = 0 },
+		"cold-share 2": func(world *World) { world.InitialCapacity = 2 }, "swing 1": func(world *World) { world.RateAmplitude = 1 }, "zones 0": func(world *World) { world.Zones = 0 },
 	} {
 		world := ReferenceWorld()
 		change(&world)
@@ -315,9 +315,9 @@
 		b.Run(fmt.Sprintf("servers=%d", int(13*size.by)), func(b *testing.B) {
 			for range b.N {
 				world := ReferenceWorld().Scaled(size.by, size.relays)
-				world.For = 20 * time.Second
+				world.Duration = 20 * time.Second
 				result := New(world, nil, policy("module"), 1).Run(nil)
-				b.ReportMetric(world.For.Seconds()/result.Took, "times-real")
+				b.ReportMetric(world.Duration.Seconds()/result.Took, "times-real")
 				b.ReportMetric(float64(result.Events)/result.Took, "events/s")
 				b.ReportMetric(float64(result.Standing), "standing")
 			}
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -12,12 +12,12 @@
 // set-ups: no loads, no delays, no retries.
 func queueWorld(cores int, perSecond float64, setUp time.Duration) World {
 	world := ReferenceWorld()
-	world.Servers, world.Relays, world.Zones, world.Standing, world.Slow = 1, 1, 1, 0, 0
-	world.Rate, world.Swing, world.For = perSecond, 0, 400*time.Second
-	world.Speed, world.PerCore, world.Cores, world.GroupCost = [2]float64{1, 1}, 1e9, cores, 0
-	world.SetUp, world.Queue = setUp, 1_000_000
-	world.Same, world.Cross, world.Client = [2]time.Duration{}, [2]time.Duration{}, [2]time.Duration{}
-	world.Life = time.Hour
+	world.Servers, world.Relays, world.Zones, world.InitialConnections, world.SlowShare = 1, 1, 1, 0, 0
+	world.ArrivalRate, world.RateAmplitude, world.Duration = perSecond, 0, 400*time.Second
+	world.Speed, world.ConnectionsPerCore, world.CoresPerServer, world.GroupCost = [2]float64{1, 1}, 1e9, cores, 0
+	world.SetupWork, world.SetupQueueLimit = setUp, 1_000_000
+	world.SameZoneDelay, world.CrossZoneDelay, world.ClientDelay = [2]time.Duration{}, [2]time.Duration{}, [2]time.Duration{}
+	world.MeanLifetime = time.Hour
 	for i := range world.Classes {
 		world.Classes[i].Deadline, world.Classes[i].LoadFactor = time.Hour, [2]float64{1, 1}
 	}
@@ -58,7 +58,7 @@
 	s := New(world, nil, policy("random"), 1)
 	for _, server := range s.servers {
 		for _, rho := range []float64{0, 0.3, 0.6, 0.9} {
-			want := world.Message.Seconds() / server.speed / (1 - rho)
+			want := world.IdleMessageTime.Seconds() / server.speed / (1 - rho)
 			if got := s.messageDelay(server, rho).Seconds(); math.Abs(got-want) > 1e-6 {
 				t.Errorf("at load %v a message takes %v s, by the closed form %v", rho, got, want)
 			}
@@ -71,7 +71,7 @@
 // distribution of lives; and Little's law holds: mean number is rate times mean stay.
 func TestStandingConnectionsKeepLittlesLaw(t *testing.T) {
 	world := ReferenceWorld()
-	world.For, world.Standing, world.Swing, world.Servers = 600*time.Second, 0, 0, 60
+	world.Duration, world.InitialConnections, world.RateAmplitude, world.Servers = 600*time.Second, 0, 0, 60
 	s := New(world, nil, policy("oracle"), 5)
 	result := s.Run(nil)
 	mean, square, n := 0.0, 0.0, 0.0
@@ -79,7 +79,7 @@
 		mean, square, n = mean+float64(x.Up), square+float64(x.Up)*float64(x.Up), n+1
 	}
 	mean /= n
-	want := world.Rate * world.Life.Seconds()
+	want := world.ArrivalRate * world.MeanLifetime.Seconds()
 	if variance := square/n - mean*mean; math.Abs(mean-want) > 0.12*want || variance < 0.2*want || variance > 3*want {
 		t.Errorf("%.1f stand on average with variance %.1f, by Little's law %.1f", mean, variance, want)
 	}
