--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -38,10 +38,10 @@
 
 // The columns stand for the fields of a result that they have stood for.
 func TestFiguresOfAResultAreStable(t *testing.T) {
-	r := &simulation.Result{G: 1, Service: 2, Worst10: 3, Attempts: 4, Refused: 50, GaveUp: 60, Moves: 70, Silent: 80, Broken: 90, Crossed: 100, Late: 11, Tipped: 12,
-		Spread: 13, GroupsPer: 14, Recovery: 15, Clients: 10, Standing: 16, Probes: 170, FoundIn: 18, Alarms: 19, Events: 20, Took: 21}
+	r := &simulation.Result{Score: 1, Service: 2, WorstTenSeconds: 3, AttemptsPerRequest: 4, Rejected: 50, GaveUp: 60, Migrations: 70, HeartbeatTimeouts: 80, BrokenConnections: 90, CrossZoneAttempts: 100, LateAfterDrain: 11, Overloaded: 12,
+		LoadSpread: 13, ServersPerGroup: 14, Recovery: 15, Clients: 10, Established: 16, Probes: 170, DetectionTime: 18, FalseAlarms: 19, Events: 20, RunTime: 21}
 	for i, c := range simulation.ReferenceWorld().Classes {
-		r.Classes = append(r.Classes, simulation.ClassResult{Name: c.Name, Service: 30 + float64(i), InAim: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
+		r.Classes = append(r.Classes, simulation.ClassResult{Name: c.Name, Service: 30 + float64(i), InObjective: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
 	}
 	var b strings.Builder
 	for i, v := range metricsOf(r) {
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -129,7 +129,7 @@
 		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Figures), len(Metrics), len(results.Classes))
 	}
 	for _, c := range results.Classes {
-		if row.Figure(c.Name) != c.Service || row.Figure(c.Name+"-in-aim") != c.InAim || c.Service <= 0 {
+		if row.Figure(c.Name) != c.Service || row.Figure(c.Name+"-in-aim") != c.InObjective || c.Service <= 0 {
 			t.Errorf("%s: %v, %v for %+v", c.Name, row.Figure(c.Name), row.Figure(c.Name+"-in-aim"), c)
 		}
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -76,7 +76,7 @@
 	top := 1.0
 	for i, policy := range policies {
 		result := simulation.New(c.World, slices.Clone(c.Scene.Acts), policy, e.Seeds[0]).Run(nil)
-		marks = result.Marks
+		marks = result.Annotations
 		from := 0.0
 		if kind == "recovery" && len(marks) > 0 {
 			from = marks[0].At.Seconds() - 5
@@ -88,7 +88,7 @@
 				continue
 			}
 			if kind == "load" {
-				for j, v := range []float64{s.Max, s.Mean, s.Min} {
+				for j, v := range []float64{s.MaxUtilization, s.MeanUtilization, s.MinUtilization} {
 					lines[j] = append(lines[j], plotter.XY{X: x, Y: v})
 					top = max(top, v)
 				}
@@ -116,7 +116,7 @@
 		}
 		l.Color, l.Dashes = color.Gray{Y: 110}, []vg.Length{vg.Points(3), vg.Points(3)}
 		point.Add(l)
-		words, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: at, Y: top * 0.02}}, Labels: []string{" " + m.What}})
+		words, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: at, Y: top * 0.02}}, Labels: []string{" " + m.Text}})
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -36,10 +36,10 @@
 	for _, claim := range r.Classes {
 		worst, p50, p99 = min(worst, claim.Service), max(p50, claim.P50), max(p99, claim.P99)
 	}
-	all := []float64{r.G, r.Service, r.Worst10, worst, r.Attempts, per(r.Refused), per(r.GaveUp), per(r.Moves), per(r.Silent), per(r.Broken), per(r.Crossed),
-		float64(r.Late), float64(r.Tipped), r.Spread, r.GroupsPer, r.Recovery, p50, p99, float64(r.Clients), float64(r.Standing), per(r.Probes), r.FoundIn, float64(r.Alarms), float64(r.Events), r.Took}
+	all := []float64{r.Score, r.Service, r.WorstTenSeconds, worst, r.AttemptsPerRequest, per(r.Rejected), per(r.GaveUp), per(r.Migrations), per(r.HeartbeatTimeouts), per(r.BrokenConnections), per(r.CrossZoneAttempts),
+		float64(r.LateAfterDrain), float64(r.Overloaded), r.LoadSpread, r.ServersPerGroup, r.Recovery, p50, p99, float64(r.Clients), float64(r.Established), per(r.Probes), r.DetectionTime, float64(r.FalseAlarms), float64(r.Events), r.RunTime}
 	for _, claim := range r.Classes {
-		all = append(all, claim.Service, claim.InAim)
+		all = append(all, claim.Service, claim.InObjective)
 	}
 	return all
 }
--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -14,31 +14,31 @@
 
 // ScriptedAction is an action of a script on a world.
 type ScriptedAction struct {
-	At     time.Duration
-	Kind   string // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
-	Count  int    // of servers, or relays, that it happens to; they are drawn
-	Part   float64
-	For    time.Duration
-	Factor float64
+	At       time.Duration
+	Kind     string // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
+	Count    int    // of servers, or relays, that it happens to; they are drawn
+	Share    float64
+	Duration time.Duration
+	Factor   float64
 }
 
 // String writes the action as ParseScriptedAction reads it.
 func (a ScriptedAction) String() string {
 	switch a.Kind {
 	case "hang":
-		return fmt.Sprintf("(at %v (hang %d %v))", a.At, a.Count, a.For)
+		return fmt.Sprintf("(at %v (hang %d %v))", a.At, a.Count, a.Duration)
 	case "slow":
-		return fmt.Sprintf("(at %v (slow %d %v %v))", a.At, a.Count, a.Factor, a.For)
+		return fmt.Sprintf("(at %v (slow %d %v %v))", a.At, a.Count, a.Factor, a.Duration)
 	case "drain", "add":
 		return fmt.Sprintf("(at %v (%s %d))", a.At, a.Kind, a.Count)
 	case "restart", "relay-restart":
-		return fmt.Sprintf("(at %v (%s %d %v))", a.At, a.Kind, a.Count, a.For)
+		return fmt.Sprintf("(at %v (%s %d %v))", a.At, a.Kind, a.Count, a.Duration)
 	case "drop":
-		return fmt.Sprintf("(at %v (drop %v))", a.At, 100*a.Part)
+		return fmt.Sprintf("(at %v (drop %v))", a.At, 100*a.Share)
 	case "list-behind":
-		return fmt.Sprintf("(at %v (list-behind %v %v))", a.At, time.Duration(a.Factor), a.For)
+		return fmt.Sprintf("(at %v (list-behind %v %v))", a.At, time.Duration(a.Factor), a.Duration)
 	case "surge":
-		return fmt.Sprintf("(at %v (surge %v %v))", a.At, a.Factor, a.For)
+		return fmt.Sprintf("(at %v (surge %v %v))", a.At, a.Factor, a.Duration)
 	}
 	return a.Kind
 }
@@ -93,7 +93,7 @@
 		}
 		a.Count = int(count)
 	case 'T':
-		a.For, err = node.Duration()
+		a.Duration, err = node.Duration()
 	case 'D':
 		var delay time.Duration
 		delay, err = node.Duration()
@@ -101,8 +101,8 @@
 	case 'X':
 		a.Factor, err = numberWithin(node, 0.01, 100)
 	case 'P':
-		a.Part, err = numberWithin(node, 0, 100)
-		a.Part /= 100
+		a.Share, err = numberWithin(node, 0, 100)
+		a.Share /= 100
 	}
 	return err
 }
@@ -124,7 +124,7 @@
 
 // perform begins an action.
 func (s *Sim) perform(action ScriptedAction) {
-	s.statistics.marks = append(s.statistics.marks, Annotation{At: s.now - startTime, What: action.String()})
+	s.statistics.marks = append(s.statistics.marks, Annotation{At: s.now - startTime, Text: action.String()})
 	if perform, ok := performers[action.Kind]; ok {
 		perform(s, action)
 	}
@@ -149,14 +149,14 @@
 		for _, client := range server.conns {
 			s.scheduleHeartbeatTimeout(client)
 		}
-		s.recoverAfter(i, action.For)
+		s.recoverAfter(i, action.Duration)
 	}
 }
 
 func (s *Sim) slowServers(action ScriptedAction) {
 	for _, i := range s.drawServers(action.Count) {
 		s.servers[i].speedFactor = action.Factor
-		s.recoverAfter(i, action.For)
+		s.recoverAfter(i, action.Duration)
 	}
 }
 
@@ -173,7 +173,7 @@
 func (s *Sim) restartServers(action ScriptedAction) {
 	for _, i := range s.drawServers(action.Count) {
 		s.stopServer(i, true)
-		s.recoverAfter(i, action.For)
+		s.recoverAfter(i, action.Duration)
 	}
 }
 
@@ -188,7 +188,7 @@
 
 func (s *Sim) dropClients(action ScriptedAction) {
 	for id := range s.clients {
-		if client := &s.clients[id]; client.state == stateEstablished && s.rng.Float64() < action.Part {
+		if client := &s.clients[id]; client.state == stateEstablished && s.rng.Float64() < action.Share {
 			s.breakConnection(uint32(id), balancer.StatusCancelled, s.uniformDuration(dropReturn))
 		}
 	}
@@ -196,12 +196,12 @@
 
 func (s *Sim) delayList(action ScriptedAction) {
 	s.extraListDelay += time.Duration(action.Factor)
-	s.performAfter(action.For, ScriptedAction{Kind: "list-again", Factor: action.Factor})
+	s.performAfter(action.Duration, ScriptedAction{Kind: "list-again", Factor: action.Factor})
 }
 
 func (s *Sim) surge(action ScriptedAction) {
 	s.ArrivalRate *= action.Factor
-	s.performAfter(action.For, ScriptedAction{Kind: "surge-over", Factor: action.Factor})
+	s.performAfter(action.Duration, ScriptedAction{Kind: "surge-over", Factor: action.Factor})
 }
 
 func (s *Sim) restartRelays(action ScriptedAction) {
@@ -210,7 +210,7 @@
 		if left > 0 && s.relays[i].up {
 			left--
 			s.stopRelay(uint32(i))
-			s.schedule(action.For, scheduledEvent{kind: eventRelayStarts, subject: uint32(i)})
+			s.schedule(action.Duration, scheduledEvent{kind: eventRelayStarts, subject: uint32(i)})
 		}
 	}
 }
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -7,60 +7,60 @@
 // Annotation is something that happened, for plots.
 type Annotation struct {
 	At   time.Duration // since the start
-	What string
+	Text string
 }
 
 // ClassResult is how clients of a class were served.
 type ClassResult struct {
-	Name    string  `json:"name"`
-	Service float64 `json:"service"` // worth of well-served seconds over those asked for
-	P50     float64 `json:"p50_ms"`  // of a client's coming to its being up
-	P99     float64 `json:"p99_ms"`
-	InAim   float64 `json:"in_aim"` // part of set-ups within the wanted time
+	Name        string  `json:"name"`
+	Service     float64 `json:"service"` // worth of well-served seconds over those asked for
+	P50         float64 `json:"p50_ms"`  // of a client's coming to its being up
+	P99         float64 `json:"p99_ms"`
+	InObjective float64 `json:"in_aim"` // part of set-ups within the wanted time
 }
 
 // Result is what came of a run.
 type Result struct {
-	G         float64       `json:"g"` // 60% service, 5% the worst 10 s, 35% the worst class, less the price of moves
-	Service   float64       `json:"service"`
-	Worst10   float64       `json:"worst_10s"`
-	WorstAt   float64       `json:"worst_at_s"` // where those 10 s begin
-	Classes   []ClassResult `json:"classes"`
-	Clients   int           `json:"clients"`
-	Visits    int           `json:"visits"`
-	Passes    int           `json:"passes"`
-	Failed    int           `json:"failed_passes"`
-	Refused   int           `json:"refused"`
-	GaveUp    int           `json:"gave_up"`
-	Moves     int           `json:"moves"`
-	Silent    int           `json:"silent"`
-	Broken    int           `json:"broken"`
-	Crossed   int           `json:"crossed"`
-	Late      int           `json:"late_after_drain"` // passes to a server over 500 ms after its drain was told
-	Tipped    int           `json:"tipped"`           // cold servers that fell over
-	Attempts  float64       `json:"attempts_a_visit"`
-	Spread    float64       `json:"load_spread"` // standard deviation of servers' load against what they can do, mean over time
-	GroupsPer float64       `json:"servers_a_group"`
-	Recovery  float64       `json:"recovery_s"` // from the first mark until service is at 95% of what it was before, for 3 s; -1 if it never was
-	Probes    int           `json:"probes"`
-	FoundIn   float64       `json:"found_in_s"`   // from a server's dying or hanging until a relay was told that it is gone; 0 if none was
-	Alarms    int           `json:"false_alarms"` // times that a relay was told so of a server that was well
-	Events    uint64        `json:"events"`
-	Took      float64       `json:"took_s"`
-	Standing  int           `json:"standing"` // at the end
+	Score                float64       `json:"g"` // 60% service, 5% the worst 10 s, 35% the worst class, less the price of moves
+	Service              float64       `json:"service"`
+	WorstTenSeconds      float64       `json:"worst_10s"`
+	WorstTenSecondsStart float64       `json:"worst_at_s"` // where those 10 s begin
+	Classes              []ClassResult `json:"classes"`
+	Clients              int           `json:"clients"`
+	Requests             int           `json:"visits"`
+	Attempts             int           `json:"passes"`
+	FailedAttempts       int           `json:"failed_passes"`
+	Rejected             int           `json:"refused"`
+	GaveUp               int           `json:"gave_up"`
+	Migrations           int           `json:"moves"`
+	HeartbeatTimeouts    int           `json:"silent"`
+	BrokenConnections    int           `json:"broken"`
+	CrossZoneAttempts    int           `json:"crossed"`
+	LateAfterDrain       int           `json:"late_after_drain"` // passes to a server over 500 ms after its drain was told
+	Overloaded           int           `json:"tipped"`           // cold servers that fell over
+	AttemptsPerRequest   float64       `json:"attempts_a_visit"`
+	LoadSpread           float64       `json:"load_spread"` // standard deviation of servers' load against what they can do, mean over time
+	ServersPerGroup      float64       `json:"servers_a_group"`
+	Recovery             float64       `json:"recovery_s"` // from the first mark until service is at 95% of what it was before, for 3 s; -1 if it never was
+	Probes               int           `json:"probes"`
+	DetectionTime        float64       `json:"found_in_s"`   // from a server's dying or hanging until a relay was told that it is gone; 0 if none was
+	FalseAlarms          int           `json:"false_alarms"` // times that a relay was told so of a server that was well
+	Events               uint64        `json:"events"`
+	RunTime              float64       `json:"took_s"`
+	Established          int           `json:"standing"` // at the end
 
-	Seconds []Second     `json:"-"`
-	Marks   []Annotation `json:"-"`
+	Seconds     []Second     `json:"-"`
+	Annotations []Annotation `json:"-"`
 }
 
 // Second is a second of a run.
 type Second struct {
-	Service  float64 // of its worth
-	Asked    float64
-	Up       int
-	Max, Min float64 // load of the fullest and the emptiest server, against what they can do
-	Mean     float64
-	Moves    int
+	Service                        float64 // of its worth
+	Demand                         float64
+	Established                    int
+	MaxUtilization, MinUtilization float64 // load of the fullest and the emptiest server, against what they can do
+	MeanUtilization                float64
+	Migrations                     int
 }
 
 func ratio(x, y float64) float64 {
@@ -73,13 +73,13 @@
 // result adds it all up.
 func (a *statistics) result(s *Sim, took time.Duration) *Result {
 	r := &Result{
-		Clients: a.clients, Visits: a.requests, Passes: a.attempts, Failed: a.failedAttempts, Refused: a.rejected, GaveUp: a.gaveUp, Moves: a.migrations, Silent: a.heartbeatTimeouts,
-		Broken: a.broken, Crossed: a.crossZone, Late: a.lateAfterDrain, Tipped: a.overloaded, Events: s.processed, Took: took.Seconds(), GroupsPer: a.perGroup,
-		Seconds: a.seconds, Marks: a.marks, Attempts: ratio(float64(a.attempts), float64(a.requests)), Spread: ratio(a.spread, float64(a.spreads)),
+		Clients: a.clients, Requests: a.requests, Attempts: a.attempts, FailedAttempts: a.failedAttempts, Rejected: a.rejected, GaveUp: a.gaveUp, Migrations: a.migrations, HeartbeatTimeouts: a.heartbeatTimeouts,
+		BrokenConnections: a.broken, CrossZoneAttempts: a.crossZone, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.processed, RunTime: took.Seconds(), ServersPerGroup: a.perGroup,
+		Seconds: a.seconds, Annotations: a.marks, AttemptsPerRequest: ratio(float64(a.attempts), float64(a.requests)), LoadSpread: ratio(a.spread, float64(a.spreads)),
 	}
-	r.Probes, r.Alarms = a.probes, a.falseAlarms
+	r.Probes, r.FalseAlarms = a.probes, a.falseAlarms
 	if a.detected > 0 {
-		r.FoundIn = a.detectionTime.Seconds() / float64(a.detected)
+		r.DetectionTime = a.detectionTime.Seconds() / float64(a.detected)
 	}
 	good, asked, worst := 0.0, 0.0, 1.0
 	for i, class := range s.Classes {
@@ -87,24 +87,24 @@
 		service := min(1, ratio(a.served[i], a.wanted[i]))
 		worst = min(worst, service)
 		histogram := a.setupTimes[i]
-		r.Classes = append(r.Classes, ClassResult{Name: class.Name, Service: service, InAim: ratio(float64(a.inObjective[i]), float64(a.established[i])),
+		r.Classes = append(r.Classes, ClassResult{Name: class.Name, Service: service, InObjective: ratio(float64(a.inObjective[i]), float64(a.established[i])),
 			P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000})
 	}
 	r.Service = min(1, ratio(good, asked))
-	r.Worst10 = 1
+	r.WorstTenSeconds = 1
 	for i := 0; i+10 <= len(a.seconds); i++ {
 		good, asked := 0.0, 0.0
 		for _, x := range a.seconds[i : i+10] {
-			good, asked = good+x.Service*x.Asked, asked+x.Asked
+			good, asked = good+x.Service*x.Demand, asked+x.Demand
 		}
-		if w := ratio(good, asked); w < r.Worst10 {
-			r.Worst10, r.WorstAt = w, float64(i)
+		if w := ratio(good, asked); w < r.WorstTenSeconds {
+			r.WorstTenSeconds, r.WorstTenSecondsStart = w, float64(i)
 		}
 	}
-	r.G = 0.6*r.Service + 0.05*r.Worst10 + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
+	r.Score = 0.6*r.Service + 0.05*r.WorstTenSeconds + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
 	r.Recovery = recovery(a.seconds, a.marks)
 	for _, v := range s.servers {
-		r.Standing += len(v.conns)
+		r.Established += len(v.conns)
 	}
 	return r
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -55,17 +55,17 @@
 	for _, p := range Policies {
 		run := func(seed uint64) *Result {
 			result := New(ReferenceWorld(), actions, p, seed).Run(nil)
-			result.Took = 0
+			result.RunTime = 0
 			return result
 		}
 		first := run(3)
 		if again := run(3); !reflect.DeepEqual(first, again) {
-			t.Errorf("%s: G %v with %d events, and again %v with %d", p.Name, first.G, first.Events, again.G, again.Events)
+			t.Errorf("%s: G %v with %d events, and again %v with %d", p.Name, first.Score, first.Events, again.Score, again.Events)
 		}
-		if other := run(4); other.Events == first.Events && other.G == first.G {
+		if other := run(4); other.Events == first.Events && other.Score == first.Score {
 			t.Errorf("%s: another seed brings the same day", p.Name)
 		}
-		if first.Clients < 80 || first.Service < 0.3 || first.Moves+first.Broken == 0 || len(first.Marks) < 9 {
+		if first.Clients < 80 || first.Service < 0.3 || first.Migrations+first.BrokenConnections == 0 || len(first.Annotations) < 9 {
 			t.Errorf("%s: %s", p.Name, summary(first))
 		}
 	}
@@ -154,13 +154,13 @@
 			}
 		}
 		result := s.statistics.result(s, 0)
-		for _, part := range []float64{result.Service, result.Worst10, result.Classes[0].Service} {
+		for _, part := range []float64{result.Service, result.WorstTenSeconds, result.Classes[0].Service} {
 			if part < 0 || part > 1 {
 				rt.Fatalf("service of %v: %s", part, summary(result))
 			}
 		}
-		if p.Name == "module" && result.Late > 0 {
-			rt.Fatalf("%d passes went to servers long after their drain was told", result.Late)
+		if p.Name == "module" && result.LateAfterDrain > 0 {
+			rt.Fatalf("%d passes went to servers long after their drain was told", result.LateAfterDrain)
 		}
 	})
 }
@@ -176,12 +176,12 @@
 			}
 			result = New(world, mustParse(t, actions), policy(p), seed).Run(nil)
 			service += result.Service / 5
-			attempts += result.Attempts / 5
+			attempts += result.AttemptsPerRequest / 5
 		}
 		return service, attempts, result
 	}
 	calm, attempts, result := mean("", "module", func(world *World) { world.ArrivalRate, world.InitialConnections = 1.5, 55 })
-	if calm < 0.93 || attempts > 1.2 || result.Tipped > 0 || result.Silent > 0 {
+	if calm < 0.93 || attempts > 1.2 || result.Overloaded > 0 || result.HeartbeatTimeouts > 0 {
 		t.Errorf("a calm day has %.3f of service with %.2f attempts: %s", calm, attempts, summary(result))
 	}
 	hung, _, _ := mean("(at 10s (hang 2 15s))", "module", nil)
@@ -199,8 +199,8 @@
 		t.Errorf("who sees all serves %.3f, chance %.3f", oracle, random)
 	}
 	cold, _, result := mean("(at 5s (restart 2 2s))", "module", nil)
-	if result.Tipped > 0 || cold < 0.5 {
-		t.Errorf("cold servers fell over %d times; service %.3f", result.Tipped, cold)
+	if result.Overloaded > 0 || cold < 0.5 {
+		t.Errorf("cold servers fell over %d times; service %.3f", result.Overloaded, cold)
 	}
 }
 
@@ -222,19 +222,19 @@
 		return result
 	}
 	const hangs, dies = "(at 15s (hang 2 12s))", "(at 15s (restart 2 12s))"
-	if result := day(false, 0, hangs); result.FoundIn != 0 || result.Probes != 0 {
-		t.Errorf("a list that is told finds hung servers in %v s, with %d probes", result.FoundIn, result.Probes)
+	if result := day(false, 0, hangs); result.DetectionTime != 0 || result.Probes != 0 {
+		t.Errorf("a list that is told finds hung servers in %v s, with %d probes", result.DetectionTime, result.Probes)
 	}
 	most := (3*healthcheck.DefaultSettings().Interval + healthcheck.DefaultSettings().Timeout).Seconds()
 	for _, actions := range []string{hangs, dies} {
-		if result := day(true, 0, actions); result.FoundIn <= 0 || result.FoundIn > most {
-			t.Errorf("%s: found in %v s, want within %v", actions, result.FoundIn, most)
+		if result := day(true, 0, actions); result.DetectionTime <= 0 || result.DetectionTime > most {
+			t.Errorf("%s: found in %v s, want within %v", actions, result.DetectionTime, most)
 		}
 	}
-	if result := day(true, 0, ""); result.Alarms != 0 || result.Probes < 13*4*20 {
-		t.Errorf("%d false alarms, %d probes", result.Alarms, result.Probes)
+	if result := day(true, 0, ""); result.FalseAlarms != 0 || result.Probes < 13*4*20 {
+		t.Errorf("%d false alarms, %d probes", result.FalseAlarms, result.Probes)
 	}
-	if result := day(true, 0.4, "(at 10s (add 1)) (at 20s (drain 1)) (at 22s (relay-restart 1 3s))"); result.Alarms == 0 {
+	if result := day(true, 0.4, "(at 10s (add 1)) (at 20s (drain 1)) (at 22s (relay-restart 1 3s))"); result.FalseAlarms == 0 {
 		t.Error("probes that get lost bring no alarm")
 	}
 }
@@ -317,9 +317,9 @@
 				world := ReferenceWorld().Scaled(size.by, size.relays)
 				world.Duration = 20 * time.Second
 				result := New(world, nil, policy("module"), 1).Run(nil)
-				b.ReportMetric(world.Duration.Seconds()/result.Took, "times-real")
-				b.ReportMetric(float64(result.Events)/result.Took, "events/s")
-				b.ReportMetric(float64(result.Standing), "standing")
+				b.ReportMetric(world.Duration.Seconds()/result.RunTime, "times-real")
+				b.ReportMetric(float64(result.Events)/result.RunTime, "events/s")
+				b.ReportMetric(float64(result.Established), "standing")
 			}
 		})
 	}
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -60,7 +60,7 @@
 			a.served[i] += worth
 			a.currentServed += worth
 		}
-		a.current.Up += n
+		a.current.Established += n
 	}
 }
 
@@ -83,11 +83,11 @@
 		}
 		a.spread += math.Sqrt(square / float64(len(a.utilizations)))
 		a.spreads++
-		a.current.Max, a.current.Min, a.current.Mean = max(a.current.Max, slices.Max(a.utilizations)), slices.Min(a.utilizations), mean
+		a.current.MaxUtilization, a.current.MinUtilization, a.current.MeanUtilization = max(a.current.MaxUtilization, slices.Max(a.utilizations)), slices.Min(a.utilizations), mean
 	}
 	a.utilizations = a.utilizations[:0]
 	if a.ticks++; a.ticks%int(time.Second/dt) != 0 {
-		a.current.Up = 0
+		a.current.Established = 0
 		return
 	}
 	groups, copies := make(map[uint32]bool), 0
@@ -102,11 +102,11 @@
 			a.perGroup = float64(copies) / float64(len(groups))
 		}
 	}
-	a.current.Service, a.current.Asked = 1, a.currentWanted
+	a.current.Service, a.current.Demand = 1, a.currentWanted
 	if a.currentWanted > 0 {
 		a.current.Service = min(1, a.currentServed/a.currentWanted)
 	}
-	a.current.Moves, a.countedMigrations = a.migrations-a.countedMigrations, a.migrations
+	a.current.Migrations, a.countedMigrations = a.migrations-a.countedMigrations, a.migrations
 	a.seconds = append(a.seconds, a.current)
 	a.current, a.currentServed, a.currentWanted = Second{}, 0, 0
 }
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -39,7 +39,7 @@
 				wait += h.Mean() / 1e6 * float64(h.TotalCount())
 				n += int(h.TotalCount())
 			}
-			if result.Refused > 0 || result.Failed > 0 {
+			if result.Rejected > 0 || result.FailedAttempts > 0 {
 				t.Fatalf("rho %v: %s", rho, summary(result))
 			}
 		}
@@ -76,7 +76,7 @@
 	result := s.Run(nil)
 	mean, square, n := 0.0, 0.0, 0.0
 	for _, x := range result.Seconds[200:] { // five lives after the start
-		mean, square, n = mean+float64(x.Up), square+float64(x.Up)*float64(x.Up), n+1
+		mean, square, n = mean+float64(x.Established), square+float64(x.Established)*float64(x.Established), n+1
 	}
 	mean /= n
 	want := world.ArrivalRate * world.MeanLifetime.Seconds()
@@ -136,7 +136,7 @@
 func TestPoliciesComeInTheirOrder(t *testing.T) {
 	g := func(name string) (sum float64) {
 		for seed := range uint64(12) {
-			sum += New(ReferenceWorld(), nil, policy(name), seed).Run(nil).G / 12
+			sum += New(ReferenceWorld(), nil, policy(name), seed).Run(nil).Score / 12
 		}
 		return sum
 	}
