--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -129,7 +129,7 @@
 	if err := results.Report(s.out, c.Metrics); err != nil {
 		return err
 	}
-	broken := results.Check(e)
+	broken := results.ContradictedClaims(e)
 	for _, b := range broken {
 		fmt.Fprintln(s.out, "not borne out:", b)
 	}
@@ -150,7 +150,7 @@
 
 // Run tells them.
 func (c *reportCommand) Run(s streams) error {
-	results, err := experiment.Read(c.Results)
+	results, err := experiment.ReadResults(c.Results)
 	if err != nil {
 		return err
 	}
@@ -169,11 +169,11 @@
 
 // Run compares them.
 func (c *compareCommand) Run(s streams) error {
-	a, err := experiment.Read(c.A)
+	a, err := experiment.ReadResults(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := experiment.Read(c.B)
+	b, err := experiment.ReadResults(c.B)
 	if err != nil {
 		return err
 	}
@@ -194,7 +194,7 @@
 // Run draws it.
 func (c *plotCommand) Run(_ streams) error {
 	if c.Kind == "size" {
-		results, err := experiment.Read(c.From)
+		results, err := experiment.ReadResults(c.From)
 		if err != nil {
 			return err
 		}
@@ -230,7 +230,7 @@
 			fmt.Fprintf(t, "%s\t%v\n", f, err)
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", f, e.Name, len(e.Scenes), len(e.Policies), len(e.Runs()), len(e.Claims))
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", f, e.Name, len(e.Scenarios), len(e.Policies), len(e.Runs()), len(e.Claims))
 	}
 	t.Flush()
 	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -142,7 +142,7 @@
 		return settings, nil, false
 	}
 	// A rejection over a connection can always carry a retry-after, so Limits.RetryAfter is ignored here.
-	if settings.MaxRetryAfter, err = simprotocol.Span(extra.Limits.MaxRetryAfterUs); err != nil {
+	if settings.MaxRetryAfter, err = simprotocol.MicrosecondsToDuration(extra.Limits.MaxRetryAfterUs); err != nil {
 		v.add("settings.Limits.MaxRetryAfterUs", "%v", err)
 		return settings, nil, false
 	}
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -52,7 +52,7 @@
 		v.add("settings", "%s", strings.TrimPrefix(err.Error(), "settings: "))
 	}
 	for _, e := range keys {
-		v.add("settings."+e.Key, "%s", e.What)
+		v.add("settings."+e.Key, "%s", e.Problem)
 	}
 }
 
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -101,12 +101,12 @@
 }
 
 func simulate(run Run) *simulation.Result {
-	return simulation.New(run.Cell.World, slices.Clone(run.Cell.Scene.Acts), run.Policy, run.Seed).Run(nil)
+	return simulation.New(run.Cell.World, slices.Clone(run.Cell.Scenario.Actions), run.Policy, run.Seed).Run(nil)
 }
 
 // store writes a run's result, and reports progress.
 func (x *execution) store(run Run, result *simulation.Result) {
-	row := Row{Where: run.Cell.Where(), Policy: run.Policy.Name, Seed: run.Seed, Figures: metricsOf(result)}
+	row := Row{Cell: run.Cell.Name(), Policy: run.Policy.Name, Seed: run.Seed, Values: metricsOf(result)}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.results.Rows = append(x.results.Rows, row)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -15,20 +15,20 @@
 
 // Experiment is an experiment file, parsed.
 type Experiment struct {
-	Name     string
-	World    simulation.World
-	Policies []simulation.Policy
-	Scenes   []Scenario
-	Axes     []Axis
-	Seeds    []uint64
-	Claims   []Claim
-	Source   string // the file's text
+	Name      string
+	World     simulation.World
+	Policies  []simulation.Policy
+	Scenarios []Scenario
+	Axes      []Axis
+	Seeds     []uint64
+	Claims    []Claim
+	Source    string // the file's text
 }
 
 // Scenario is a script of a run.
 type Scenario struct {
-	Name string
-	Acts []simulation.ScriptedAction
+	Name    string
+	Actions []simulation.ScriptedAction
 }
 
 // Axis is a parameter with the values that are tried.
@@ -40,13 +40,13 @@
 // Claim is a statement that the results are checked against, in each cell of the matrix, of
 // all scenes or of one.
 type Claim struct {
-	Metric  string
-	Policy  string
-	Against string  // another policy; "" a value
-	Op      string  // >= or <=
-	Value   float64 // or what is added to the other policy's mean
-	Scene   string  // "" all
-	text    string
+	Metric      string
+	Policy      string
+	OtherPolicy string  // another policy; "" a value
+	Operator    string  // >= or <=
+	Value       float64 // or what is added to the other policy's mean
+	Scenario    string  // "" all
+	text        string
 }
 
 // String returns the claim as it was written.
@@ -103,8 +103,8 @@
 	if len(e.Policies) == 0 {
 		e.Policies = simulation.Policies[:1]
 	}
-	if len(e.Scenes) == 0 {
-		e.Scenes = []Scenario{{Name: "calm"}}
+	if len(e.Scenarios) == 0 {
+		e.Scenarios = []Scenario{{Name: "calm"}}
 	}
 	if len(e.Seeds) == 0 {
 		e.setSeeds(defaultSeeds)
@@ -114,10 +114,10 @@
 // check reports what is wrong with an experiment as a whole.
 func (e *Experiment) check(node *sexp.Node) error {
 	for _, claim := range e.Claims {
-		if claim.Scene != "" && !slices.ContainsFunc(e.Scenes, func(scenario Scenario) bool { return scenario.Name == claim.Scene }) {
+		if claim.Scenario != "" && !slices.ContainsFunc(e.Scenarios, func(scenario Scenario) bool { return scenario.Name == claim.Scenario }) {
 			return node.Errorf("the claim %s is of a scene that is not there", claim)
 		}
-		for _, name := range []string{claim.Policy, claim.Against} {
+		for _, name := range []string{claim.Policy, claim.OtherPolicy} {
 			if name != "" && !slices.ContainsFunc(e.Policies, func(policy simulation.Policy) bool { return policy.Name == name }) {
 				return node.Errorf("the claim %s is of policy %s, which is not tried", claim, name)
 			}
@@ -128,7 +128,7 @@
 	}
 	for _, cell := range e.Cells() {
 		if err := cell.World.Validate(); err != nil {
-			return node.Errorf("with %s: %s", cell.Where(), strings.ReplaceAll(err.Error(), "\n", "; "))
+			return node.Errorf("with %s: %s", cell.Name(), strings.ReplaceAll(err.Error(), "\n", "; "))
 		}
 	}
 	return nil
@@ -212,9 +212,9 @@
 		if err != nil {
 			return err
 		}
-		scenario.Acts = append(scenario.Acts, action)
+		scenario.Actions = append(scenario.Actions, action)
 	}
-	e.Scenes = append(e.Scenes, scenario)
+	e.Scenarios = append(e.Scenarios, scenario)
 	return nil
 }
 
@@ -258,7 +258,7 @@
 		return node.Errorf("expected (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE])")
 	}
 	claim := Claim{text: node.String()}
-	for i, field := range []*string{&claim.Metric, &claim.Policy, &claim.Op} {
+	for i, field := range []*string{&claim.Metric, &claim.Policy, &claim.Operator} {
 		if *field, err = args[i].Value(); err != nil {
 			return err
 		}
@@ -266,14 +266,14 @@
 	if !slices.Contains(Metrics, claim.Metric) {
 		return args[0].Errorf("there is no metric %q; expected one of %s", claim.Metric, strings.Join(Metrics, ", "))
 	}
-	if claim.Op != ">=" && claim.Op != "<=" {
-		return args[2].Errorf("%q compares nothing here; expected >= or <=", claim.Op)
+	if claim.Operator != ">=" && claim.Operator != "<=" {
+		return args[2].Errorf("%q compares nothing here; expected >= or <=", claim.Operator)
 	}
 	if err := claim.parseLimit(args[3]); err != nil {
 		return err
 	}
 	if len(args) == 5 {
-		if claim.Scene, err = args[4].Value(); err != nil {
+		if claim.Scenario, err = args[4].Value(); err != nil {
 			return err
 		}
 	}
@@ -287,7 +287,7 @@
 	value := node
 	if node.List != nil {
 		var added []*sexp.Node
-		if c.Against, added, err = node.Head(); err != nil {
+		if c.OtherPolicy, added, err = node.Head(); err != nil {
 			return err
 		}
 		if len(added) > 1 {
@@ -310,15 +310,15 @@
 
 // Cell is a scene with one value of each axis.
 type Cell struct {
-	Scene  Scenario
-	World  simulation.World
-	Values []string // of the axes, in their order
-	axes   []Axis
+	Scenario Scenario
+	World    simulation.World
+	Values   []string // of the axes, in their order
+	axes     []Axis
 }
 
-// Where returns the cell's name.
-func (c Cell) Where() string {
-	parts := []string{c.Scene.Name}
+// Name returns the cell's name.
+func (c Cell) Name() string {
+	parts := []string{c.Scenario.Name}
 	for i, a := range c.axes {
 		parts = append(parts, a.Name+"="+c.Values[i])
 	}
@@ -328,8 +328,8 @@
 // Cells returns all cells of the matrix, scene by scene.
 func (e *Experiment) Cells() []Cell {
 	cells := []Cell{}
-	for _, scenario := range e.Scenes {
-		cells = append(cells, Cell{Scene: scenario, World: e.World, axes: e.Axes})
+	for _, scenario := range e.Scenarios {
+		cells = append(cells, Cell{Scenario: scenario, World: e.World, axes: e.Axes})
 	}
 	for _, axis := range e.Axes {
 		var next []Cell
@@ -354,7 +354,7 @@
 }
 
 // Key returns the run's name in a file of results.
-func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Where(), r.Policy.Name, r.Seed) }
+func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Name(), r.Policy.Name, r.Seed) }
 
 // Runs returns all runs, in order.
 func (e *Experiment) Runs() []Run {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -13,9 +13,9 @@
 func fixedResults(policy string, add float64) *Results {
 	r := &Results{Source: "(experiment \"fixed\")\n"}
 	for seed := range uint64(3) {
-		row := Row{Where: "calm servers=3", Policy: policy, Seed: seed}
+		row := Row{Cell: "calm servers=3", Policy: policy, Seed: seed}
 		for i := range Metrics {
-			row.Figures = append(row.Figures, float64(i)+float64(seed)/8+add)
+			row.Values = append(row.Values, float64(i)+float64(seed)/8+add)
 		}
 		r.Rows = append(r.Rows, row)
 	}
@@ -31,7 +31,7 @@
 	}
 	golden.Compare(t, "results.csv", text)
 	again, err := parseResults("results.csv", golden.Read(t, "results.csv"))
-	if err != nil || again.Source != r.Source || len(again.Rows) != len(r.Rows) || again.Rows[2].Figure("g") != 0.35 {
+	if err != nil || again.Source != r.Source || len(again.Rows) != len(r.Rows) || again.Rows[2].Value("g") != 0.35 {
 		t.Errorf("read as %+v, %v", again, err)
 	}
 }
@@ -63,7 +63,7 @@
 			fmt.Fprintf(&b, "%s: %v\n", act, err)
 			continue
 		}
-		fmt.Fprintf(&b, "%s; %s; %s; %s\n", e.Scenes[0].Acts[0], e.Claims[0], e.Cells()[0].Where(), e.Runs()[0].Key())
+		fmt.Fprintf(&b, "%s; %s; %s; %s\n", e.Scenarios[0].Actions[0], e.Claims[0], e.Cells()[0].Name(), e.Runs()[0].Key())
 	}
 	for _, bad := range []string{"(other)", `(experiment "g" (wrld))`, `(experiment "g" (world (wrld 1)))`, `(experiment "g" (policies nobody))`, `(experiment "g" (claim joy module >= 1))`} {
 		_, err := Parse(bad)
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken := results.Check(e); len(results.Rows) != len(e.Runs()) || len(broken) > 0 {
+	if broken := results.ContradictedClaims(e); len(results.Rows) != len(e.Runs()) || len(broken) > 0 {
 		t.Errorf("%d rows, claims broken %v", len(results.Rows), broken)
 	}
 	text, err := os.ReadFile(whole)
@@ -109,7 +109,7 @@
 		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(fileHead(small)) && ran > left+1 {
 			t.Errorf("cut at %d: %d runs were made again", cut, ran-left)
 		}
-		if kept, err := Read(path); err != nil || len(kept.Rows) != len(e.Runs()) || strings.TrimSpace(kept.Source) != strings.TrimSpace(small) {
+		if kept, err := ReadResults(path); err != nil || len(kept.Rows) != len(e.Runs()) || strings.TrimSpace(kept.Source) != strings.TrimSpace(small) {
 			t.Errorf("cut at %d: the file holds %v, %v", cut, kept, err)
 		}
 	}
@@ -124,13 +124,13 @@
 	w.Duration = 5 * time.Second
 	p, _ := simulation.FindPolicy("module")
 	results := simulation.New(w, nil, p, 3).Run(nil)
-	row := Row{Figures: metricsOf(results)}
-	if len(row.Figures) != len(Metrics) || len(results.Classes) != 4 {
-		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Figures), len(Metrics), len(results.Classes))
+	row := Row{Values: metricsOf(results)}
+	if len(row.Values) != len(Metrics) || len(results.Classes) != 4 {
+		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Values), len(Metrics), len(results.Classes))
 	}
 	for _, c := range results.Classes {
-		if row.Figure(c.Name) != c.Service || row.Figure(c.Name+"-in-aim") != c.InObjective || c.Service <= 0 {
-			t.Errorf("%s: %v, %v for %+v", c.Name, row.Figure(c.Name), row.Figure(c.Name+"-in-aim"), c)
+		if row.Value(c.Name) != c.Service || row.Value(c.Name+"-in-aim") != c.InObjective || c.Service <= 0 {
+			t.Errorf("%s: %v, %v for %+v", c.Name, row.Value(c.Name), row.Value(c.Name+"-in-aim"), c)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 		t.Error("nothing in common was compared")
 	}
 	m := meanOf([]float64{1, 2, 3})
-	if m.Value != 2 || m.Half < 2.48 || m.Half > 2.49 { // 4.303 times 1 over the root of 3
+	if m.Value != 2 || m.HalfWidth < 2.48 || m.HalfWidth > 2.49 { // 4.303 times 1 over the root of 3
 		t.Errorf("the mean of 1, 2, 3 is %v", m)
 	}
 }
@@ -173,7 +173,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, kind := range Plots {
+	for _, kind := range PlotKinds {
 		for _, ending := range []string{".svg", ".png"} {
 			path := filepath.Join(t.TempDir(), kind+ending)
 			if err := Plot(e, results, kind, "hang", path); err != nil {
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,8 +15,8 @@
 	"lockroad/internal/simulation"
 )
 
-// Plots are the kinds of plots.
-var Plots = []string{"load", "service", "recovery", "size"}
+// PlotKinds are the kinds of plots.
+var PlotKinds = []string{"load", "service", "recovery", "size"}
 
 // Plot draws a plot of an experiment to a file, SVG or PNG by its ending: of a scene's
 // first cell the servers' load or the service over time, with what happens marked; the
@@ -37,16 +37,16 @@
 		i := 0
 		cells := e.Cells()
 		if scene != "" {
-			if i = slices.IndexFunc(cells, func(c Cell) bool { return c.Scene.Name == scene }); i < 0 {
+			if i = slices.IndexFunc(cells, func(c Cell) bool { return c.Scenario.Name == scene }); i < 0 {
 				return fmt.Errorf("there is no scene %q", scene)
 			}
 		}
-		point.Title.Text += ", " + cells[i].Where()
+		point.Title.Text += ", " + cells[i].Name()
 		err = overTime(point, e, cells[i], kind)
 	case "size":
 		err = bySize(point, r)
 	default:
-		return fmt.Errorf("there is no plot %q; expected one of %s", kind, strings.Join(Plots, ", "))
+		return fmt.Errorf("there is no plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
 	}
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 	var marks []simulation.Annotation
 	top := 1.0
 	for i, policy := range policies {
-		result := simulation.New(c.World, slices.Clone(c.Scene.Acts), policy, e.Seeds[0]).Run(nil)
+		result := simulation.New(c.World, slices.Clone(c.Scenario.Actions), policy, e.Seeds[0]).Run(nil)
 		marks = result.Annotations
 		from := 0.0
 		if kind == "recovery" && len(marks) > 0 {
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -46,16 +46,16 @@
 
 // Row holds the figures of one run.
 type Row struct {
-	Where   string // of the cell
-	Policy  string
-	Seed    uint64
-	Figures []float64 // as Metrics
+	Cell   string // of the cell
+	Policy string
+	Seed   uint64
+	Values []float64 // as Metrics
 }
 
-func (r Row) key() string { return fmt.Sprintf("%s|%s|%d", r.Where, r.Policy, r.Seed) }
+func (r Row) key() string { return fmt.Sprintf("%s|%s|%d", r.Cell, r.Policy, r.Seed) }
 
-// Figure returns the figure of a metric, which must be one of Metrics.
-func (r Row) Figure(metric string) float64 { return r.Figures[slices.Index(Metrics, metric)] }
+// Value returns the figure of a metric, which must be one of Metrics.
+func (r Row) Value(metric string) float64 { return r.Values[slices.Index(Metrics, metric)] }
 
 // Results is a file of results, parsed.
 type Results struct {
@@ -73,8 +73,8 @@
 	return b.String()
 }
 
-// Read reads a file of results. A last line that was cut is ignored.
-func Read(path string) (*Results, error) {
+// ReadResults reads a file of results. A last line that was cut is ignored.
+func ReadResults(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 		case first:
 			continue
 		}
-		row := Row{Where: cells[0], Policy: cells[1]}
+		row := Row{Cell: cells[0], Policy: cells[1]}
 		if row.Seed, err = strconv.ParseUint(cells[2], 10, 64); err != nil {
 			return nil, fmt.Errorf("%s: seed %q: %w", path, cells[2], err)
 		}
@@ -117,7 +117,7 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: figure %q: %w", path, cell, err)
 			}
-			row.Figures = append(row.Figures, value)
+			row.Values = append(row.Values, value)
 		}
 		r.Rows = append(r.Rows, row)
 	}
@@ -126,8 +126,8 @@
 func (r Row) csvLine() []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	cells := []string{r.Where, r.Policy, strconv.FormatUint(r.Seed, 10)}
-	for _, value := range r.Figures {
+	cells := []string{r.Cell, r.Policy, strconv.FormatUint(r.Seed, 10)}
+	for _, value := range r.Values {
 		cells = append(cells, strconv.FormatFloat(value, 'g', 7, 64))
 	}
 	_ = w.Write(cells) // a buffer takes all
@@ -137,39 +137,39 @@
 
 // Mean is a mean with the half width of its 95% confidence interval. N is the number of values.
 type Mean struct {
-	Value, Half float64
-	N           int
+	Value, HalfWidth float64
+	Count            int
 }
 
 // String returns the mean and, of two values or more, the half width.
 func (m Mean) String() string {
-	if m.N < 2 {
+	if m.Count < 2 {
 		return fmt.Sprintf("%.4g", m.Value)
 	}
-	return fmt.Sprintf("%.4g ±%.2g", m.Value, m.Half)
+	return fmt.Sprintf("%.4g ±%.2g", m.Value, m.HalfWidth)
 }
 
 // t975 are the 97.5% quantiles of Student's t by degrees of freedom.
 var t975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
 func meanOf(values []float64) Mean {
-	m := Mean{N: len(values)}
-	if m.N == 0 {
+	m := Mean{Count: len(values)}
+	if m.Count == 0 {
 		return m
 	}
 	for _, value := range values {
-		m.Value += value / float64(m.N)
+		m.Value += value / float64(m.Count)
 	}
 	square := 0.0
 	for _, value := range values {
 		square += (value - m.Value) * (value - m.Value)
 	}
-	if m.N > 1 {
-		t := 1.96 + 2.4/float64(m.N-1)
-		if m.N-1 < len(t975) {
-			t = t975[m.N-1]
+	if m.Count > 1 {
+		t := 1.96 + 2.4/float64(m.Count-1)
+		if m.Count-1 < len(t975) {
+			t = t975[m.Count-1]
 		}
-		m.Half = t * math.Sqrt(square/float64(m.N-1)/float64(m.N))
+		m.HalfWidth = t * math.Sqrt(square/float64(m.Count-1)/float64(m.Count))
 	}
 	return m
 }
@@ -178,8 +178,8 @@
 func (r *Results) bySeed(metric, where, policy string) map[uint64]float64 {
 	values := make(map[uint64]float64)
 	for _, row := range r.Rows {
-		if row.Where == where && row.Policy == policy {
-			values[row.Seed] = row.Figure(metric)
+		if row.Cell == where && row.Policy == policy {
+			values[row.Seed] = row.Value(metric)
 		}
 	}
 	return values
@@ -187,7 +187,7 @@
 
 // cells and policies return the names that the rows have, sorted.
 func (r *Results) cells() []string {
-	return distinctValues(r.Rows, func(x Row) string { return x.Where })
+	return distinctValues(r.Rows, func(x Row) string { return x.Cell })
 }
 func (r *Results) policies() []string {
 	return distinctValues(r.Rows, func(x Row) string { return x.Policy })
@@ -258,7 +258,7 @@
 	pairs := 0
 	for _, where := range a.cells() {
 		for _, policy := range a.policies() {
-			count := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).N
+			count := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).Count
 			if count == 0 {
 				continue
 			}
@@ -270,10 +270,10 @@
 				}
 				difference := pairedDifference(a.bySeed(m, where, policy), b.bySeed(m, where, policy))
 				star := ""
-				if difference.N > 1 && math.Abs(difference.Value) > difference.Half {
+				if difference.Count > 1 && math.Abs(difference.Value) > difference.HalfWidth {
 					star = " *"
 				}
-				fmt.Fprintf(t, "\t%+.4g ±%.2g%s", difference.Value, difference.Half, star)
+				fmt.Fprintf(t, "\t%+.4g ±%.2g%s", difference.Value, difference.HalfWidth, star)
 			}
 			fmt.Fprintln(t)
 		}
@@ -284,21 +284,21 @@
 	return t.Flush()
 }
 
-// Check returns the claims of an experiment that its results contradict, one line for each cell
+// ContradictedClaims returns the claims of an experiment that its results contradict, one line for each cell
 // where they do.
-func (r *Results) Check(e *Experiment) []string {
+func (r *Results) ContradictedClaims(e *Experiment) []string {
 	var contradicted []string
 	for _, claim := range e.Claims {
 		for _, cell := range e.Cells() {
-			if claim.Scene != "" && cell.Scene.Name != claim.Scene {
+			if claim.Scenario != "" && cell.Scenario.Name != claim.Scenario {
 				continue
 			}
-			where := cell.Where()
+			where := cell.Name()
 			got, limit := meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Policy))), claim.Value
-			if claim.Against != "" {
-				limit += meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Against))).Value
+			if claim.OtherPolicy != "" {
+				limit += meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.OtherPolicy))).Value
 			}
-			if holds := claim.Op == ">=" && got.Value >= limit || claim.Op == "<=" && got.Value <= limit; !holds || got.N == 0 {
+			if holds := claim.Operator == ">=" && got.Value >= limit || claim.Operator == "<=" && got.Value <= limit; !holds || got.Count == 0 {
 				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", claim, where, claim.Policy, claim.Metric, got, limit))
 			}
 		}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -17,12 +17,12 @@
 
 // KeyError is a fault in one of the settings.
 type KeyError struct {
-	Key  string // such as Limits.TryLimit
-	What string
+	Key     string // such as Limits.TryLimit
+	Problem string
 }
 
 // Error returns the key and what is wrong with it.
-func (e *KeyError) Error() string { return e.Key + " " + e.What }
+func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
 // KeyErrors are all faults of the settings, one for each key at most.
 type KeyErrors []*KeyError
@@ -41,7 +41,7 @@
 
 func (r *settingsReader) failf(key, format string, args ...any) {
 	if !slices.ContainsFunc(r.keyErrors, func(e *KeyError) bool { return e.Key == key }) {
-		r.keyErrors = append(r.keyErrors, &KeyError{Key: key, What: fmt.Sprintf(format, args...)})
+		r.keyErrors = append(r.keyErrors, &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -72,9 +72,9 @@
 // maxMicroseconds bounds the times of the settings, of about 31 years.
 const maxMicroseconds = 1e15
 
-// Span converts a time of the settings, in microseconds. Its error reads as the end
+// MicrosecondsToDuration converts a time of the settings, in microseconds. Its error reads as the end
 // of a sentence that begins with the key.
-func Span(count float64) (time.Duration, error) {
+func MicrosecondsToDuration(count float64) (time.Duration, error) {
 	if !(count >= 0 && count <= maxMicroseconds) {
 		return 0, fmt.Errorf("is a time of %v microseconds, which is out of range", count)
 	}
@@ -83,7 +83,7 @@
 
 // duration is Span with the fault reported for a key.
 func (r *settingsReader) duration(key string, count float64) time.Duration {
-	duration, err := Span(count)
+	duration, err := MicrosecondsToDuration(count)
 	if err != nil {
 		r.failf(key, "%v", err)
 	}
