--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -107,8 +107,8 @@
 	return err
 }
 
-// performers begin the actions of each kind.
-var performers = map[string]func(*Sim, ScriptedAction){
+// actionStarters begin the actions of each kind.
+var actionStarters = map[string]func(*Sim, ScriptedAction){
 	"hang":          (*Sim).hangServers,
 	"slow":          (*Sim).slowServers,
 	"drain":         (*Sim).drainServers,
@@ -122,21 +122,21 @@
 	"relay-restart": (*Sim).restartRelays,
 }
 
-// perform begins an action.
-func (s *Sim) perform(action ScriptedAction) {
-	s.statistics.marks = append(s.statistics.marks, Annotation{At: s.now - startTime, Text: action.String()})
-	if perform, ok := performers[action.Kind]; ok {
+// startAction begins an action.
+func (s *Sim) startAction(action ScriptedAction) {
+	s.statistics.annotations = append(s.statistics.annotations, Annotation{At: s.now - startTime, Text: action.String()})
+	if perform, ok := actionStarters[action.Kind]; ok {
 		perform(s, action)
 	}
 }
 
-// recoverAfter schedules the recovery of a server.
-func (s *Sim) recoverAfter(serverIndex int, after time.Duration) {
+// scheduleRecovery schedules the recovery of a server.
+func (s *Sim) scheduleRecovery(serverIndex int, after time.Duration) {
 	s.schedule(after, scheduledEvent{kind: eventServerRecovers, value: uint32(serverIndex)})
 }
 
-// performAfter schedules an action that ends another.
-func (s *Sim) performAfter(after time.Duration, action ScriptedAction) {
+// scheduleAction schedules an action that ends another.
+func (s *Sim) scheduleAction(after time.Duration, action ScriptedAction) {
 	s.actions = append(s.actions, action)
 	s.schedule(after, scheduledEvent{kind: eventScriptedAction, value: uint32(len(s.actions) - 1)})
 }
@@ -149,14 +149,14 @@
 		for _, client := range server.conns {
 			s.scheduleHeartbeatTimeout(client)
 		}
-		s.recoverAfter(i, action.Duration)
+		s.scheduleRecovery(i, action.Duration)
 	}
 }
 
 func (s *Sim) slowServers(action ScriptedAction) {
 	for _, i := range s.drawServers(action.Count) {
 		s.servers[i].speedFactor = action.Factor
-		s.recoverAfter(i, action.Duration)
+		s.scheduleRecovery(i, action.Duration)
 	}
 }
 
@@ -164,7 +164,7 @@
 	for _, i := range s.drawServers(action.Count) {
 		server := s.servers[i]
 		server.state, server.draining = balancer.StateDraining, true
-		s.publish(i)
+		s.publishServer(i)
 		s.schedule(time.Second, scheduledEvent{kind: eventMigrateClients, value: uint32(i)})
 		s.schedule(s.DrainDuration, scheduledEvent{kind: eventServerStops, value: uint32(i)})
 	}
@@ -173,7 +173,7 @@
 func (s *Sim) restartServers(action ScriptedAction) {
 	for _, i := range s.drawServers(action.Count) {
 		s.stopServer(i, true)
-		s.recoverAfter(i, action.Duration)
+		s.scheduleRecovery(i, action.Duration)
 	}
 }
 
@@ -183,25 +183,25 @@
 	}
 }
 
-// dropReturn is the time after which clients that dropped return.
-var dropReturn = [2]time.Duration{970 * time.Millisecond, 2700 * time.Millisecond}
+// dropReturnDelay is the time after which clients that dropped return.
+var dropReturnDelay = [2]time.Duration{970 * time.Millisecond, 2700 * time.Millisecond}
 
 func (s *Sim) dropClients(action ScriptedAction) {
 	for id := range s.clients {
 		if client := &s.clients[id]; client.state == stateEstablished && s.rng.Float64() < action.Share {
-			s.breakConnection(uint32(id), balancer.StatusCancelled, s.uniformDuration(dropReturn))
+			s.breakConnection(uint32(id), balancer.StatusCancelled, s.uniformDuration(dropReturnDelay))
 		}
 	}
 }
 
 func (s *Sim) delayList(action ScriptedAction) {
 	s.extraListDelay += time.Duration(action.Factor)
-	s.performAfter(action.Duration, ScriptedAction{Kind: "list-again", Factor: action.Factor})
+	s.scheduleAction(action.Duration, ScriptedAction{Kind: "list-again", Factor: action.Factor})
 }
 
 func (s *Sim) surge(action ScriptedAction) {
 	s.ArrivalRate *= action.Factor
-	s.performAfter(action.Duration, ScriptedAction{Kind: "surge-over", Factor: action.Factor})
+	s.scheduleAction(action.Duration, ScriptedAction{Kind: "surge-over", Factor: action.Factor})
 }
 
 func (s *Sim) restartRelays(action ScriptedAction) {
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -14,39 +14,39 @@
 	return s.uniformDuration(s.CrossZoneDelay)
 }
 
-// drainNotice is how long attempts may go to a server after a relay was notified of its drain.
-const drainNotice = 500 * time.Millisecond
+// drainGracePeriod is how long attempts may go to a server after a relay was notified of its drain.
+const drainGracePeriod = 500 * time.Millisecond
 
 // sendAttempt sends an attempt, which times out after wait unless that is 0.
 func (s *Sim) sendAttempt(relayIndex, id uint32, serverIndex int32, wait time.Duration) {
 	client := &s.clients[id]
 	server := s.servers[serverIndex]
 	client.server = serverIndex
-	client.attempt++
-	server.attempts++
+	client.attemptGeneration++
+	server.pendingAttempts++
 	s.statistics.attempts++
-	if at := server.drainNotifiedAt[relayIndex]; at > 0 && s.now > at+drainNotice && server.state != balancer.StateReady {
+	if at := server.drainNotifiedAt[relayIndex]; at > 0 && s.now > at+drainGracePeriod && server.state != balancer.StateReady {
 		s.statistics.lateAfterDrain++
 	}
 	delay := s.networkDelay(relayIndex, serverIndex)
 	if s.relays[relayIndex].zone != server.zone {
-		s.statistics.crossZone++
+		s.statistics.crossZoneAttempts++
 	}
 	if wait > 0 {
-		s.schedule(wait, scheduledEvent{kind: eventAttemptTimeout, subject: id, generation: client.attempt})
+		s.schedule(wait, scheduledEvent{kind: eventAttemptTimeout, subject: id, generation: client.attemptGeneration})
 	}
-	s.schedule(delay, scheduledEvent{kind: eventAttemptArrives, subject: id, generation: client.attempt, value: uint32(delay)})
+	s.schedule(delay, scheduledEvent{kind: eventAttemptArrives, subject: id, generation: client.attemptGeneration, value: uint32(delay)})
 }
 
 // attemptArrives makes a server answer an attempt.
 func (s *Sim) attemptArrives(event scheduledEvent) {
 	client := &s.clients[event.subject]
-	if client.state != stateWaiting || client.attempt != event.generation || client.server < 0 {
+	if client.state != stateWaiting || client.attemptGeneration != event.generation || client.server < 0 {
 		return
 	}
 	server := s.servers[client.server]
 	answer := func(status balancer.AttemptStatus, after time.Duration) {
-		s.schedule(after+time.Duration(event.value), scheduledEvent{kind: eventAttemptResult, subject: event.subject, generation: client.attempt, value: uint32(status)})
+		s.schedule(after+time.Duration(event.value), scheduledEvent{kind: eventAttemptResult, subject: event.subject, generation: client.attemptGeneration, value: uint32(status)})
 	}
 	switch {
 	case server.down:
@@ -74,7 +74,7 @@
 // attemptResult makes a relay handle a server's answer.
 func (s *Sim) attemptResult(event scheduledEvent) {
 	client := &s.clients[event.subject]
-	if client.state != stateWaiting || client.attempt != event.generation || client.server < 0 {
+	if client.state != stateWaiting || client.attemptGeneration != event.generation || client.server < 0 {
 		return
 	}
 	if status := balancer.AttemptStatus(event.value); status != balancer.StatusOK {
@@ -87,10 +87,10 @@
 		return
 	}
 	s.recordAttempt(client.relay, client.server, balancer.StatusOK)
-	if client.state != stateWaiting || client.attempt != event.generation || client.server < 0 {
+	if client.state != stateWaiting || client.attemptGeneration != event.generation || client.server < 0 {
 		return // the health check's change of the server made the decider act on this request
 	}
-	server.attempts--
+	server.pendingAttempts--
 	client.state, client.retries = stateEstablished, 0
 	client.generation++
 	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: event.subject, generation: client.generation})
@@ -99,9 +99,9 @@
 	if server.hung {
 		s.scheduleHeartbeatTimeout(event.subject)
 	}
-	relayIndex, id := client.relay, client.request
+	relayIndex, id := client.relay, client.requestID
 	s.handle(relayIndex, balancer.Established{Request: id, Endpoint: s.serverID(client.server), SetupTime: s.now - client.requestedAt})
-	if client := &s.clients[event.subject]; client.state == stateEstablished && client.request == id && client.relay == relayIndex {
+	if client := &s.clients[event.subject]; client.state == stateEstablished && client.requestID == id && client.relay == relayIndex {
 		s.handle(relayIndex, balancer.ConnectionLoad{Request: id, Endpoint: s.serverID(client.server), Load: float64(client.load) / s.ConnectionsPerCore})
 	}
 }
@@ -109,33 +109,33 @@
 // attemptFailed makes a relay handle the failure of an attempt.
 func (s *Sim) attemptFailed(id uint32, status balancer.AttemptStatus) {
 	client := &s.clients[id]
-	serverIndex, request := client.server, client.request
+	serverIndex, request := client.server, client.requestID
 	s.cancelAttempt(client)
 	s.statistics.failedAttempts++
-	if s.recordAttempt(client.relay, serverIndex, status); client.state != stateWaiting || client.request != request || client.server >= 0 {
+	if s.recordAttempt(client.relay, serverIndex, status); client.state != stateWaiting || client.requestID != request || client.server >= 0 {
 		return // the health check's change of the server made the decider act on this request
 	}
-	s.handle(client.relay, balancer.Outcome{Request: client.request, Endpoint: s.serverID(serverIndex), Status: status})
+	s.handle(client.relay, balancer.Outcome{Request: client.requestID, Endpoint: s.serverID(serverIndex), Status: status})
 }
 
 // cancelAttempt ends the attempt of a waiting client, if there is one.
 func (s *Sim) cancelAttempt(client *clientModel) {
 	if client.server >= 0 {
-		s.servers[client.server].attempts--
+		s.servers[client.server].pendingAttempts--
 	}
 	client.server = -1
-	client.attempt++
+	client.attemptGeneration++
 }
 
 // attach adds a client to its server's connections.
 func (s *Sim) attach(id uint32) {
 	client := &s.clients[id]
 	server := s.servers[client.server]
-	client.slot = int32(len(server.conns))
+	client.connIndex = int32(len(server.conns))
 	server.conns = append(server.conns, id)
 	server.load += float64(client.load)
-	server.establishedByClass[client.class]++
-	if server.groups[client.group]++; server.groups[client.group] == 1 {
+	server.connectionsByClass[client.class]++
+	if server.connectionsByGroup[client.group]++; server.connectionsByGroup[client.group] == 1 {
 		server.load += s.GroupCost
 	}
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -20,24 +20,24 @@
 
 // clientModel is one client, for as long as it wants service.
 type clientModel struct {
-	state        clientState
-	class        uint8
-	returning    bool
-	retries      uint8
-	zone         uint8
-	load         float32 // in mean connections, as it is now
-	meanLoad     float32 // as it is on average
-	group        uint32
-	generation   uint32 // grows with each change of state
-	relay        uint32
-	server       int32  // of its attempt or connection; -1: none
-	attempt      uint32 // grows with each attempt, and with its end
-	slot         int32  // its index in the server's conns
-	leavesAt     time.Duration
-	requestedAt  time.Duration // since when it waits, in this session
-	arrivedAt    time.Duration // first of all
-	request      balancer.RequestID
-	serverSilent bool // its server hangs, and its relay will notice
+	state             clientState
+	class             uint8
+	returning         bool
+	retries           uint8
+	zone              uint8
+	load              float32 // in mean connections, as it is now
+	meanLoad          float32 // as it is on average
+	group             uint32
+	generation        uint32 // grows with each change of state
+	relay             uint32
+	server            int32  // of its attempt or connection; -1: none
+	attemptGeneration uint32 // grows with each attempt, and with its end
+	connIndex         int32  // its index in the server's conns
+	leavesAt          time.Duration
+	requestedAt       time.Duration // since when it waits, in this session
+	arrivedAt         time.Duration // first of all
+	requestID         balancer.RequestID
+	serverSilent      bool // its server hangs, and its relay will notice
 }
 
 // newClient makes a client arrive for the first time.
@@ -57,12 +57,12 @@
 		zone = 0
 	}
 	*client = clientModel{
-		class: uint8(classIndex), zone: uint8(zone), load: float32(s.uniform(class.LoadFactor) / s.loadMean), generation: client.generation + 1, attempt: client.attempt, server: -1,
+		class: uint8(classIndex), zone: uint8(zone), load: float32(s.uniform(class.LoadFactor) / s.loadMean), generation: client.generation + 1, attemptGeneration: client.attemptGeneration, server: -1,
 		group: s.drawGroup(), arrivedAt: s.now,
 	}
 	client.meanLoad = client.load
 	client.leavesAt = s.now + time.Duration(s.rng.ExpFloat64()*float64(s.MeanLifetime)*s.uniform(class.LifetimeFactor)/s.lifeMean)
-	s.present[classIndex]++
+	s.clientsByClass[classIndex]++
 	s.statistics.clients++
 	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
 	s.connect(id)
@@ -127,12 +127,12 @@
 	}
 	class := &s.Classes[client.class]
 	client.state, client.server = stateWaiting, -1
-	relay.lastRequest++
-	client.request = relay.lastRequest
-	relay.clients[client.request] = event.subject
+	relay.lastRequestID++
+	client.requestID = relay.lastRequestID
+	relay.clientsByRequest[client.requestID] = event.subject
 	s.statistics.requests++
 	s.push(scheduledEvent{at: client.requestedAt + class.Deadline, kind: eventDeadline, subject: event.subject, generation: client.generation})
-	s.handle(client.relay, balancer.Request{ID: client.request, Class: int(client.class), Item: uint64(event.subject) + 1, Group: uint64(client.group) + 1, TimeLeft: client.requestedAt + class.Deadline - s.now, Returning: client.returning})
+	s.handle(client.relay, balancer.Request{ID: client.requestID, Class: int(client.class), Item: uint64(event.subject) + 1, Group: uint64(client.group) + 1, TimeLeft: client.requestedAt + class.Deadline - s.now, Returning: client.returning})
 }
 
 // retry makes a client that was not served return after a while, unless it has done so too
@@ -172,10 +172,10 @@
 		s.abandonRequest(event.subject)
 	case stateEstablished:
 		s.detach(event.subject)
-		s.endRequest(event.subject, balancer.Outcome{Request: client.request, Endpoint: s.serverID(client.server), Status: balancer.StatusOK, Final: true})
+		s.endRequest(event.subject, balancer.Outcome{Request: client.requestID, Endpoint: s.serverID(client.server), Status: balancer.StatusOK, Final: true})
 	}
-	s.present[client.class]--
-	s.statistics.left++
+	s.clientsByClass[client.class]--
+	s.statistics.departedClients++
 	client.state = stateGone
 	client.generation++
 	s.freeClients = append(s.freeClients, event.subject)
@@ -186,16 +186,16 @@
 	client := &s.clients[id]
 	s.cancelAttempt(client)
 	relay := s.relays[client.relay]
-	delete(relay.clients, client.request)
+	delete(relay.clientsByRequest, client.requestID)
 	client.server = -1
-	s.handle(client.relay, balancer.ClientLeft{Request: client.request})
+	s.handle(client.relay, balancer.ClientLeft{Request: client.requestID})
 }
 
 // endRequest notifies a relay of the end of an established connection.
 func (s *Sim) endRequest(id uint32, outcome balancer.Outcome) {
 	client := &s.clients[id]
 	relayIndex := client.relay
-	delete(s.relays[relayIndex].clients, client.request)
+	delete(s.relays[relayIndex].clientsByRequest, client.requestID)
 	s.handle(relayIndex, outcome)
 }
 
@@ -204,13 +204,13 @@
 	client := &s.clients[id]
 	server := s.servers[client.server]
 	last := server.conns[len(server.conns)-1]
-	server.conns[client.slot] = last
-	s.clients[last].slot = client.slot
+	server.conns[client.connIndex] = last
+	s.clients[last].connIndex = client.connIndex
 	server.conns = server.conns[:len(server.conns)-1]
 	server.load -= float64(client.load)
-	server.establishedByClass[client.class]--
-	if server.groups[client.group]--; server.groups[client.group] == 0 {
-		delete(server.groups, client.group)
+	server.connectionsByClass[client.class]--
+	if server.connectionsByGroup[client.group]--; server.connectionsByGroup[client.group] == 0 {
+		delete(server.connectionsByGroup, client.group)
 		server.load -= s.GroupCost
 	}
 }
@@ -220,6 +220,6 @@
 func (s *Sim) breakConnection(id uint32, status balancer.AttemptStatus, after time.Duration) {
 	client := &s.clients[id]
 	s.detach(id)
-	s.endRequest(id, balancer.Outcome{Request: client.request, Endpoint: s.serverID(client.server), Status: status, Final: true})
+	s.endRequest(id, balancer.Outcome{Request: client.requestID, Endpoint: s.serverID(client.server), Status: status, Final: true})
 	s.returnAfter(id, after)
 }
--- a/internal/simulation/healthchecks.go
+++ b/internal/simulation/healthchecks.go
@@ -15,7 +15,7 @@
 // memberName is a server's name, which sorts as its number does.
 func memberName(serverIndex int) string { return fmt.Sprintf("%06d", serverIndex) }
 
-func memberNumber(name string) int32 {
+func memberIndex(name string) int32 {
 	serverIndex, err := strconv.Atoi(name)
 	if err != nil {
 		panic(err) // all names are memberName's
@@ -43,7 +43,7 @@
 	relay := s.relays[id]
 	due, next := relay.health.Due(s.now)
 	for _, name := range due {
-		serverIndex := memberNumber(name)
+		serverIndex := memberIndex(name)
 		server := s.servers[serverIndex]
 		s.statistics.probes++
 		took, ok := s.networkDelay(id, serverIndex)+s.networkDelay(id, serverIndex), uint32(1)
@@ -79,8 +79,8 @@
 // applyHealthChanges makes a relay's decider handle changes of its health checks.
 func (s *Sim) applyHealthChanges(id uint32) {
 	for _, c := range s.relays[id].health.Changes() {
-		serverIndex := int(memberNumber(c.Name))
-		line := s.endpoint(serverIndex)
+		serverIndex := int(memberIndex(c.Name))
+		line := s.listEntry(serverIndex)
 		line.State, line.StartedAt = balancer.StateReady, c.RecoveredAt
 		if c.State == healthcheck.StateDown {
 			line.State = balancer.StateGone
@@ -97,9 +97,9 @@
 	gone := server.down || server.hung
 	switch {
 	case state == balancer.StateReady || s.now < startTime:
-	case gone && !server.notifiedGone[id]:
-		server.notifiedGone[id] = true
-		a.detected++
+	case gone && !server.relaysNotifiedGone[id]:
+		server.relaysNotifiedGone[id] = true
+		a.detections++
 		a.detectionTime += s.now - server.unavailableSince
 	case !gone && server.state == balancer.StateReady:
 		a.falseAlarms++
--- a/internal/simulation/parameters.go
+++ b/internal/simulation/parameters.go
@@ -13,33 +13,33 @@
 
 // worldParameters are the parameters of a world that an experiment may set, by name.
 var worldParameters = map[string]func(world *World, node *sexp.Node) error{
-	"servers":    wholeNumber(1, 5000, func(world *World, value int) { world.Servers = value }),
-	"relays":     wholeNumber(1, MaxRelays, func(world *World, value int) { world.Relays = value }),
-	"zones":      wholeNumber(1, 64, func(world *World, value int) { world.Zones = value }),
-	"standing":   wholeNumber(0, 1_000_000, func(world *World, value int) { world.InitialConnections = value }),
-	"groups":     wholeNumber(1, 10_000_000, func(world *World, value int) { world.Groups = value }),
-	"cores":      wholeNumber(1, 1024, func(world *World, value int) { world.CoresPerServer = value }),
-	"attempts":   wholeNumber(1, 20, func(world *World, value int) { world.MaxAttempts = value }),
-	"retries":    wholeNumber(0, 20, func(world *World, value int) { world.MaxRetries = value }),
-	"queue":      wholeNumber(1, 100_000, func(world *World, value int) { world.SetupQueueLimit = value }),
-	"rate":       realNumber(0, 1e5, func(world *World, value float64) { world.ArrivalRate = value }),
-	"swing":      realNumber(0, 0.99, func(world *World, value float64) { world.RateAmplitude = value }),
-	"skew":       realNumber(0, 1, func(world *World, value float64) { world.ZoneSkew = value }),
-	"slow":       realNumber(0, 1, func(world *World, value float64) { world.SlowShare = value }),
-	"per-core":   realNumber(0.1, 1e4, func(world *World, value float64) { world.ConnectionsPerCore = value }),
-	"load-swing": realNumber(0, 1, func(world *World, value float64) { world.LoadAmplitude = value }),
-	"group-cost": realNumber(0, 1e3, func(world *World, value float64) { world.GroupCost = value }),
-	"group-skew": realNumber(0, 3, func(world *World, value float64) { world.GroupSkew = value }),
-	"probed":     wholeNumber(0, 1, func(world *World, value int) { world.UseHealthChecks = value == 1 }),
-	"probe-loss": realNumber(0, 0.9, func(world *World, value float64) { world.ProbeLoss = value }),
-	"warm":       wholeNumber(0, 1, func(world *World, value int) { world.RestoreSnapshots = value == 1 }),
-	"honour":     realNumber(0, 1, func(world *World, value float64) { world.RetryAfterCompliance = value }),
-	"cold-share": realNumber(0.01, 1, func(world *World, value float64) { world.InitialCapacity = value }),
-	"scale-load": realNumber(0.01, 100, func(world *World, value float64) {
+	"servers":    intParameter(1, 5000, func(world *World, value int) { world.Servers = value }),
+	"relays":     intParameter(1, MaxRelays, func(world *World, value int) { world.Relays = value }),
+	"zones":      intParameter(1, 64, func(world *World, value int) { world.Zones = value }),
+	"standing":   intParameter(0, 1_000_000, func(world *World, value int) { world.InitialConnections = value }),
+	"groups":     intParameter(1, 10_000_000, func(world *World, value int) { world.Groups = value }),
+	"cores":      intParameter(1, 1024, func(world *World, value int) { world.CoresPerServer = value }),
+	"attempts":   intParameter(1, 20, func(world *World, value int) { world.MaxAttempts = value }),
+	"retries":    intParameter(0, 20, func(world *World, value int) { world.MaxRetries = value }),
+	"queue":      intParameter(1, 100_000, func(world *World, value int) { world.SetupQueueLimit = value }),
+	"rate":       floatParameter(0, 1e5, func(world *World, value float64) { world.ArrivalRate = value }),
+	"swing":      floatParameter(0, 0.99, func(world *World, value float64) { world.RateAmplitude = value }),
+	"skew":       floatParameter(0, 1, func(world *World, value float64) { world.ZoneSkew = value }),
+	"slow":       floatParameter(0, 1, func(world *World, value float64) { world.SlowShare = value }),
+	"per-core":   floatParameter(0.1, 1e4, func(world *World, value float64) { world.ConnectionsPerCore = value }),
+	"load-swing": floatParameter(0, 1, func(world *World, value float64) { world.LoadAmplitude = value }),
+	"group-cost": floatParameter(0, 1e3, func(world *World, value float64) { world.GroupCost = value }),
+	"group-skew": floatParameter(0, 3, func(world *World, value float64) { world.GroupSkew = value }),
+	"probed":     intParameter(0, 1, func(world *World, value int) { world.UseHealthChecks = value == 1 }),
+	"probe-loss": floatParameter(0, 0.9, func(world *World, value float64) { world.ProbeLoss = value }),
+	"warm":       intParameter(0, 1, func(world *World, value int) { world.RestoreSnapshots = value == 1 }),
+	"honour":     floatParameter(0, 1, func(world *World, value float64) { world.RetryAfterCompliance = value }),
+	"cold-share": floatParameter(0.01, 1, func(world *World, value float64) { world.InitialCapacity = value }),
+	"scale-load": floatParameter(0.01, 100, func(world *World, value float64) {
 		world.ArrivalRate *= value
 		world.InitialConnections = int(float64(world.InitialConnections) * value)
 	}),
-	"scale":    realNumber(0.05, 400, func(world *World, value float64) { *world = world.Scaled(value, world.Relays) }),
+	"scale":    floatParameter(0.05, 400, func(world *World, value float64) { *world = world.Scaled(value, world.Relays) }),
 	"for":      durationParameter(func(world *World, duration time.Duration) { world.Duration = duration }),
 	"life":     durationParameter(func(world *World, duration time.Duration) { world.MeanLifetime = duration }),
 	"period":   durationParameter(func(world *World, duration time.Duration) { world.RatePeriod = duration }),
@@ -67,7 +67,7 @@
 	return value, nil
 }
 
-func wholeNumber(least, most int, set func(*World, int)) func(*World, *sexp.Node) error {
+func intParameter(least, most int, set func(*World, int)) func(*World, *sexp.Node) error {
 	return func(world *World, node *sexp.Node) error {
 		value, err := numberWithin(node, float64(least), float64(most))
 		if err == nil && value != math.Trunc(value) {
@@ -80,7 +80,7 @@
 	}
 }
 
-func realNumber(least, most float64, set func(*World, float64)) func(*World, *sexp.Node) error {
+func floatParameter(least, most float64, set func(*World, float64)) func(*World, *sexp.Node) error {
 	return func(world *World, node *sexp.Node) error {
 		value, err := numberWithin(node, least, most)
 		if err == nil {
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -35,13 +35,13 @@
 		return balancer.New(settings, s.rng.Uint64())
 	}},
 	{"module-no-notes", func(s *Sim, r int) Decider {
-		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+		return eventFilter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			_, note := ev.(balancer.EndpointDelay)
 			return ev, !note
 		}}
 	}},
 	{"module-no-routes", func(s *Sim, r int) Decider {
-		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+		return eventFilter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			if request, ok := ev.(balancer.Request); ok {
 				request.Group, request.Item = 0, 0
 				return request, true
@@ -53,14 +53,14 @@
 		return candidates[p.rng.IntN(len(candidates))]
 	})},
 	{"round-robin", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
-		p.turn++
+		p.lastIndex++
 		for _, endpoint := range candidates {
-			if int(endpoint.ID) > p.turn%p.highestID {
-				p.turn = int(endpoint.ID) - 1
+			if int(endpoint.ID) > p.lastIndex%p.highestID {
+				p.lastIndex = int(endpoint.ID) - 1
 				return endpoint
 			}
 		}
-		p.turn = int(candidates[0].ID) - 1
+		p.lastIndex = int(candidates[0].ID) - 1
 		return candidates[0]
 	})},
 	{"least-connections", baselinePolicy(func(_ *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
@@ -98,15 +98,15 @@
 	})},
 }
 
-// filter is a decider that does not get all events, or not as they are.
-type filter struct {
+// eventFilter is a decider that does not get all events, or not as they are.
+type eventFilter struct {
 	Decider
-	see func(balancer.Event) (balancer.Event, bool)
+	transform func(balancer.Event) (balancer.Event, bool)
 }
 
 // Handle passes on what the decider gets.
-func (w filter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
-	if ev, ok := w.see(ev); ok {
+func (w eventFilter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
+	if ev, ok := w.transform(ev); ok {
 		return w.Decider.Handle(now, ev)
 	}
 	return nil
@@ -138,19 +138,19 @@
 // retries at other servers, backing off as the balancer does, and migrates the clients of a
 // server that drains.
 type baseline struct {
-	s          *Sim
-	rng        *rand.Rand
-	choose     func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint
-	servers    map[balancer.EndpointID]*knownEndpoint
-	order      []*knownEndpoint
-	requests   map[balancer.RequestID]*pendingRequest
-	timers     map[uint32]balancer.RequestID
-	token      uint32
-	turn       int
-	highestID  int
-	attempts   int
-	actions    []balancer.Action
-	candidates []*knownEndpoint
+	sim             *Sim
+	rng             *rand.Rand
+	choose          func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint
+	endpoints       map[balancer.EndpointID]*knownEndpoint
+	sortedEndpoints []*knownEndpoint
+	requests        map[balancer.RequestID]*pendingRequest
+	requestsByTimer map[uint32]balancer.RequestID
+	lastToken       uint32
+	lastIndex       int
+	highestID       int
+	maxAttempts     int
+	actions         []balancer.Action
+	candidates      []*knownEndpoint
 }
 
 type knownEndpoint struct {
@@ -171,23 +171,23 @@
 
 func baselinePolicy(choose func(*baseline, *pendingRequest, []*knownEndpoint) *knownEndpoint) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
-		return &baseline{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balancer.EndpointID]*knownEndpoint),
-			requests: make(map[balancer.RequestID]*pendingRequest), timers: make(map[uint32]balancer.RequestID), attempts: s.MaxAttempts, turn: s.rng.IntN(len(s.servers))}
+		return &baseline{sim: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, endpoints: make(map[balancer.EndpointID]*knownEndpoint),
+			requests: make(map[balancer.RequestID]*pendingRequest), requestsByTimer: make(map[uint32]balancer.RequestID), maxAttempts: s.MaxAttempts, lastIndex: s.rng.IntN(len(s.servers))}
 	}
 }
 
 // trueUtilization is the utilization that a server would have with a new connection of a group, by
 // its true state.
 func (p *baseline) trueUtilization(endpoint *knownEndpoint, group uint32) float64 {
-	v := p.s.servers[endpoint.ID-1]
+	v := p.sim.servers[endpoint.ID-1]
 	if v.down || v.hung || v.draining {
 		return math.Inf(1)
 	}
-	capacity := v.capacity * v.speedFactor * p.s.slowStartShare(v)
-	if full := (v.load+1+float64(v.attempts))/capacity + v.backlog.Seconds(); v.groups[group] > 0 && full < oracleGroupLimit {
+	capacity := v.capacity * v.speedFactor * p.sim.slowStartShare(v)
+	if full := (v.load+1+float64(v.pendingAttempts))/capacity + v.backlog.Seconds(); v.connectionsByGroup[group] > 0 && full < oracleGroupLimit {
 		return full - 1 // it need not pay for the group again
 	}
-	return (v.load+1+p.s.GroupCost+float64(v.attempts))/capacity + v.backlog.Seconds()
+	return (v.load+1+p.sim.GroupCost+float64(v.pendingAttempts))/capacity + v.backlog.Seconds()
 }
 
 // oracleGroupLimit is the utilization up to which the oracle keeps a group together.
@@ -203,7 +203,7 @@
 		request := &pendingRequest{Request: ev, deadline: now + ev.TimeLeft - 4*time.Millisecond}
 		p.requests[ev.ID] = request
 		p.setTimer(request, ev.TimeLeft-4*time.Millisecond)
-		p.attempt(now, request)
+		p.sendAttempt(now, request)
 	case balancer.Established:
 		if request := p.requests[ev.Request]; request != nil && request.endpoint != nil {
 			request.established = true
@@ -216,7 +216,7 @@
 			break
 		}
 		if request.established {
-			p.remove(request)
+			p.removeRequest(request)
 			break
 		}
 		if request.endpoint != nil {
@@ -224,43 +224,43 @@
 			request.endpoint = nil
 		}
 		wait := 100 * time.Millisecond << max(0, request.attempts-1)
-		if request.attempts >= p.attempts || now+wait >= request.deadline {
+		if request.attempts >= p.maxAttempts || now+wait >= request.deadline {
 			p.reject(request)
 			break
 		}
 		p.setTimer(request, wait)
 	case balancer.ClientLeft:
 		if request := p.requests[ev.Request]; request != nil {
-			p.remove(request)
+			p.removeRequest(request)
 		}
 	case balancer.Timer:
-		id, ok := p.timers[ev.Token]
-		delete(p.timers, ev.Token)
+		id, ok := p.requestsByTimer[ev.Token]
+		delete(p.requestsByTimer, ev.Token)
 		request := p.requests[id]
 		switch {
 		case !ok || request == nil || request.established:
 		case now >= request.deadline:
 			p.reject(request)
 		case request.endpoint == nil && ev.Token == request.timer:
-			p.attempt(now, request)
+			p.sendAttempt(now, request)
 		}
 	}
 	return p.actions
 }
 
 func (p *baseline) setTimer(request *pendingRequest, after time.Duration) {
-	p.token++
-	p.timers[p.token] = request.ID
-	request.timer = p.token
-	p.actions = append(p.actions, balancer.SetTimer{Token: p.token, After: max(0, after)})
+	p.lastToken++
+	p.requestsByTimer[p.lastToken] = request.ID
+	request.timer = p.lastToken
+	p.actions = append(p.actions, balancer.SetTimer{Token: p.lastToken, After: max(0, after)})
 }
 
 func (p *baseline) reject(request *pendingRequest) {
 	p.actions = append(p.actions, balancer.Reject{Request: request.ID, RetryAfter: 100 * time.Millisecond})
-	p.remove(request)
+	p.removeRequest(request)
 }
 
-func (p *baseline) remove(request *pendingRequest) {
+func (p *baseline) removeRequest(request *pendingRequest) {
 	if request.established {
 		request.endpoint.conns--
 		delete(request.endpoint.requests, request.ID)
@@ -268,10 +268,10 @@
 	delete(p.requests, request.ID)
 }
 
-// attempt sends an attempt, or rejects the request where there is no server.
-func (p *baseline) attempt(now time.Duration, request *pendingRequest) {
+// sendAttempt sends an sendAttempt, or rejects the request where there is no server.
+func (p *baseline) sendAttempt(now time.Duration, request *pendingRequest) {
 	p.candidates = p.candidates[:0]
-	for _, endpoint := range p.order {
+	for _, endpoint := range p.sortedEndpoints {
 		if endpoint.State == balancer.StateReady && !slices.Contains(request.tried, endpoint.ID) {
 			p.candidates = append(p.candidates, endpoint)
 		}
@@ -283,7 +283,7 @@
 	request.endpoint = p.choose(p, request, p.candidates)
 	request.attempts++
 	wait := request.deadline - now
-	if request.attempts < p.attempts {
+	if request.attempts < p.maxAttempts {
 		wait /= 2
 	}
 	p.actions = append(p.actions, balancer.SendAttempt{Request: request.ID, Endpoint: request.endpoint.ID, Timeout: wait})
@@ -291,12 +291,12 @@
 
 func (p *baseline) updateList(l balancer.EndpointList) {
 	for _, line := range l.Endpoints {
-		endpoint := p.servers[line.ID]
+		endpoint := p.endpoints[line.ID]
 		if endpoint == nil {
 			endpoint = &knownEndpoint{Endpoint: line, requests: make(map[balancer.RequestID]bool)}
-			p.servers[line.ID] = endpoint
-			p.order = append(p.order, endpoint)
-			slices.SortFunc(p.order, func(x, y *knownEndpoint) int { return cmp.Compare(x.ID, y.ID) })
+			p.endpoints[line.ID] = endpoint
+			p.sortedEndpoints = append(p.sortedEndpoints, endpoint)
+			slices.SortFunc(p.sortedEndpoints, func(x, y *knownEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		}
 		endpoint.Endpoint = line
 		p.highestID = max(p.highestID, int(line.ID))
@@ -310,7 +310,7 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			p.actions = append(p.actions, balancer.Migrate{Request: id})
-			p.remove(p.requests[id])
+			p.removeRequest(p.requests[id])
 		}
 	}
 }
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -9,26 +9,26 @@
 
 // relayModel is one relay, with the decider that decides in it.
 type relayModel struct {
-	health      *healthcheck.Tracker // nil: it is notified of the endpoint list
-	zone        int
-	decider     Decider
-	up          bool
-	incarnation uint32
-	clients     map[balancer.RequestID]uint32 // by their requests
-	lastRequest balancer.RequestID
+	health           *healthcheck.Tracker // nil: it is notified of the endpoint list
+	zone             int
+	decider          Decider
+	up               bool
+	incarnation      uint32
+	clientsByRequest map[balancer.RequestID]uint32 // by their requests
+	lastRequestID    balancer.RequestID
 }
 
 // startRelay starts a relay with the endpoint list, and the snapshot of its last incarnation if
 // it has a store.
 func (s *Sim) startRelay(id uint32) {
 	relay := s.relays[id]
-	relay.up, relay.clients = true, make(map[balancer.RequestID]uint32)
+	relay.up, relay.clientsByRequest = true, make(map[balancer.RequestID]uint32)
 	relay.incarnation++
 	old, _ := relay.decider.(*balancer.Balancer)
 	relay.decider = s.newDecider(s, int(id))
 	list := make([]balancer.Endpoint, len(s.servers))
 	for i := range s.servers {
-		if list[i] = s.endpoint(i); s.UseHealthChecks {
+		if list[i] = s.listEntry(i); s.UseHealthChecks {
 			list[i].State = balancer.StateReady // as its file says
 		}
 	}
@@ -73,20 +73,20 @@
 		case balancer.SetTimer:
 			s.schedule(action.After, scheduledEvent{kind: eventTimer, subject: id, generation: action.Token, value: relay.incarnation})
 		case balancer.SendAttempt:
-			if client, ok := relay.clients[action.Request]; ok {
+			if client, ok := relay.clientsByRequest[action.Request]; ok {
 				s.sendAttempt(id, client, int32(action.Endpoint)-1, action.Timeout)
 			}
 		case balancer.Reject:
-			if client, ok := relay.clients[action.Request]; ok {
-				s.rejected(client, action.RetryAfter)
+			if client, ok := relay.clientsByRequest[action.Request]; ok {
+				s.endRejectedRequest(client, action.RetryAfter)
 			}
 		case balancer.Fail:
-			if client, ok := relay.clients[action.Request]; ok {
-				s.rejected(client, 0)
+			if client, ok := relay.clientsByRequest[action.Request]; ok {
+				s.endRejectedRequest(client, 0)
 			}
 		case balancer.Migrate:
-			if client, ok := relay.clients[action.Request]; ok && s.clients[client].state == stateEstablished {
-				delete(relay.clients, action.Request)
+			if client, ok := relay.clientsByRequest[action.Request]; ok && s.clients[client].state == stateEstablished {
+				delete(relay.clientsByRequest, action.Request)
 				s.detach(client)
 				s.statistics.migrations++
 				s.returnAfter(client, s.uniformDuration(s.ReturnDelay))
@@ -95,26 +95,26 @@
 	}
 }
 
-// rejected ends the request of a waiting client.
-func (s *Sim) rejected(id uint32, retryAfter time.Duration) {
+// endRejectedRequest ends the request of a waiting client.
+func (s *Sim) endRejectedRequest(id uint32, retryAfter time.Duration) {
 	client := &s.clients[id]
 	if client.state != stateWaiting {
 		return
 	}
-	delete(s.relays[client.relay].clients, client.request)
+	delete(s.relays[client.relay].clientsByRequest, client.requestID)
 	s.cancelAttempt(client)
 	s.statistics.rejected++
 	s.retry(id, retryAfter)
 }
 
-// endpoint returns a server as the endpoint list has it.
-func (s *Sim) endpoint(serverIndex int) balancer.Endpoint {
+// listEntry returns a server as the listEntry list has it.
+func (s *Sim) listEntry(serverIndex int) balancer.Endpoint {
 	server := s.servers[serverIndex]
 	return balancer.Endpoint{ID: s.serverID(int32(serverIndex)), State: server.state, Zone: server.zone, Size: 1, StartedAt: server.startedAt}
 }
 
-// publish schedules updates of a server for all relays, each after its delay.
-func (s *Sim) publish(serverIndex int) {
+// publishServer schedules updates of a server for all relays, each after its delay.
+func (s *Sim) publishServer(serverIndex int) {
 	if s.UseHealthChecks {
 		return
 	}
@@ -125,7 +125,7 @@
 
 // listUpdate makes a relay handle an update of the endpoint list.
 func (s *Sim) listUpdate(event scheduledEvent) {
-	updated := s.endpoint(int(event.value))
+	updated := s.listEntry(int(event.value))
 	server := s.servers[event.value]
 	if updated.State == balancer.StateGone {
 		s.countDetection(event.subject, int(event.value), updated.State)
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -74,12 +74,12 @@
 func (a *statistics) result(s *Sim, took time.Duration) *Result {
 	r := &Result{
 		Clients: a.clients, Requests: a.requests, Attempts: a.attempts, FailedAttempts: a.failedAttempts, Rejected: a.rejected, GaveUp: a.gaveUp, Migrations: a.migrations, HeartbeatTimeouts: a.heartbeatTimeouts,
-		BrokenConnections: a.broken, CrossZoneAttempts: a.crossZone, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.processed, RunTime: took.Seconds(), ServersPerGroup: a.perGroup,
-		Seconds: a.seconds, Annotations: a.marks, AttemptsPerRequest: ratio(float64(a.attempts), float64(a.requests)), LoadSpread: ratio(a.spread, float64(a.spreads)),
+		BrokenConnections: a.brokenConnections, CrossZoneAttempts: a.crossZoneAttempts, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.eventCount, RunTime: took.Seconds(), ServersPerGroup: a.serversPerGroup,
+		Seconds: a.seconds, Annotations: a.annotations, AttemptsPerRequest: ratio(float64(a.attempts), float64(a.requests)), LoadSpread: ratio(a.loadSpreadSum, float64(a.loadSpreadCount)),
 	}
 	r.Probes, r.FalseAlarms = a.probes, a.falseAlarms
-	if a.detected > 0 {
-		r.DetectionTime = a.detectionTime.Seconds() / float64(a.detected)
+	if a.detections > 0 {
+		r.DetectionTime = a.detectionTime.Seconds() / float64(a.detections)
 	}
 	good, asked, worst := 0.0, 0.0, 1.0
 	for i, class := range s.Classes {
@@ -102,16 +102,16 @@
 		}
 	}
 	r.Score = 0.6*r.Service + 0.05*r.WorstTenSeconds + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
-	r.Recovery = recovery(a.seconds, a.marks)
+	r.Recovery = recoveryTime(a.seconds, a.annotations)
 	for _, v := range s.servers {
 		r.Established += len(v.conns)
 	}
 	return r
 }
 
-// recovery is how long after the first mark service is at 95% of what it was in the 5 s
+// recoveryTime is how long after the first mark service is at 95% of what it was in the 5 s
 // before it, for 3 s on end; 0 if it never fell below.
-func recovery(seconds []Second, marks []Annotation) float64 {
+func recoveryTime(seconds []Second, marks []Annotation) float64 {
 	if len(marks) == 0 {
 		return 0
 	}
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -19,19 +19,19 @@
 	hungAt             time.Duration
 	speedFactor        float64 // of its speed; under 1 while it is slow
 	conns              []uint32
-	groups             map[uint32]int
+	connectionsByGroup map[uint32]int
 	load               float64
-	attempts           int // in progress at it
+	pendingAttempts    int // in progress at it
 	backlog            time.Duration
 	delay              time.Duration   // of a message, as of the last tick
 	setupsDoneAt       time.Duration   // when the set-ups that wait will be done
-	establishedByClass []int           // connections by class
+	connectionsByClass []int           // connections by class
 	recentSetups       []time.Duration // times of set-ups within TipAfter, while it warms up
 	drainNotifiedAt    []time.Duration // by relay: when it was notified of the drain; 0: not
 	delayReported      []bool          // by relay: the last delay was over the least reported
 	draining           bool
 	unavailableSince   time.Duration   // if it is down or hung
-	notifiedGone       map[uint32]bool // relays that were notified of that
+	relaysNotifiedGone map[uint32]bool // relays that were notified of that
 }
 
 func (s *Sim) serverID(index int32) balancer.EndpointID { return balancer.EndpointID(index + 1) }
@@ -40,14 +40,14 @@
 func (s *Sim) newServer(speed float64, born time.Duration) {
 	s.servers = append(s.servers, &serverModel{
 		zone: len(s.servers) % s.Zones, speed: speed, capacity: speed * float64(s.CoresPerServer) * s.ConnectionsPerCore, state: balancer.StateReady, speedFactor: 1, startedAt: born,
-		groups: make(map[uint32]int), establishedByClass: make([]int, len(s.Classes)), drainNotifiedAt: make([]time.Duration, s.Relays), delayReported: make([]bool, s.Relays), notifiedGone: make(map[uint32]bool),
+		connectionsByGroup: make(map[uint32]int), connectionsByClass: make([]int, len(s.Classes)), drainNotifiedAt: make([]time.Duration, s.Relays), delayReported: make([]bool, s.Relays), relaysNotifiedGone: make(map[uint32]bool),
 	})
 }
 
 // addServer starts another server, which warms up.
 func (s *Sim) addServer() {
 	s.newServer(s.uniform(s.Speed), s.now)
-	s.publish(len(s.servers) - 1)
+	s.publishServer(len(s.servers) - 1)
 	for id, r := range s.relays {
 		if r.health != nil && r.up { // their files name it
 			r.health.Replace(s.memberNames(), s.now)
@@ -125,11 +125,11 @@
 	server.state = balancer.StateGone
 	for len(server.conns) > 0 {
 		id := server.conns[len(server.conns)-1]
-		s.statistics.broken++
+		s.statistics.brokenConnections++
 		s.breakConnection(id, balancer.StatusReset, s.uniformDuration(s.ReturnDelay))
 	}
 	if killed {
-		s.publish(index)
+		s.publishServer(index)
 	}
 }
 
@@ -138,7 +138,7 @@
 	server := s.servers[index]
 	if server.down {
 		server.down, server.draining, server.state, server.startedAt, server.recentSetups = false, false, balancer.StateReady, s.now, nil
-		s.publish(index)
+		s.publishServer(index)
 	}
 	server.hung, server.speedFactor = false, 1
 	for _, id := range server.conns {
@@ -149,7 +149,7 @@
 // markUnavailable notes since when a server serves nobody.
 func (s *Sim) markUnavailable(server *serverModel) {
 	server.unavailableSince = s.now
-	clear(server.notifiedGone)
+	clear(server.relaysNotifiedGone)
 }
 
 // tick advances the servers' loads, reports loads and delays to relays once a second, and counts
@@ -161,7 +161,7 @@
 		if server.down {
 			continue
 		}
-		utilization := s.advance(server)
+		utilization := s.updateServer(server)
 		if newSecond && len(server.conns) > 0 {
 			s.changeLoads(i, server)
 			s.reportDelays(i, server, leastReported)
@@ -187,8 +187,8 @@
 	return least
 }
 
-// advance brings a server's backlog and delay up to now, and returns its utilization.
-func (s *Sim) advance(server *serverModel) float64 {
+// updateServer brings a server's backlog and delay up to now, and returns its utilization.
+func (s *Sim) updateServer(server *serverModel) float64 {
 	capacity := server.capacity * server.speedFactor * s.slowStartShare(server)
 	utilization := server.load / capacity
 	// Demand beyond the capacity forms a backlog, which is worked off after.
@@ -226,7 +226,7 @@
 		load := client.meanLoad * float32(1+s.LoadAmplitude*(2*s.rng.Float64()-1))
 		server.load += float64(load) - float64(client.load)
 		client.load = load
-		s.handle(client.relay, balancer.ConnectionLoad{Request: client.request, Endpoint: s.serverID(int32(index)), Load: float64(load) / s.ConnectionsPerCore})
+		s.handle(client.relay, balancer.ConnectionLoad{Request: client.requestID, Endpoint: s.serverID(int32(index)), Load: float64(load) / s.ConnectionsPerCore})
 	}
 }
 
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -43,9 +43,9 @@
 	newDecider     func(s *Sim, relayIndex int) Decider
 	extraListDelay time.Duration // in addition to the world's Notice
 	statistics     statistics
-	present        []int // clients that want service, by class
+	clientsByClass []int // clients that want service, by class
 	groupWeights   []float64
-	processed      uint64 // events handled
+	eventCount     uint64 // events handled
 
 	loadMean, lifeMean float64 // of the classes' factors, by their shares
 	end                time.Duration
@@ -54,7 +54,7 @@
 // New returns a simulation at its start, with the actions of its script. The world must be
 // valid. Equal arguments give equal results.
 func New(world World, actions []ScriptedAction, p Policy, seed uint64) *Sim {
-	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, present: make([]int, len(world.Classes)), end: startTime + world.Duration}
+	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
 	s.statistics.start(s)
 	for _, class := range world.Classes {
 		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
@@ -128,22 +128,22 @@
 			break
 		}
 		s.now = event.at
-		s.processed++
-		if s.processed&0xffff == 0 && progress != nil {
+		s.eventCount++
+		if s.eventCount&0xffff == 0 && progress != nil {
 			progress(float64(s.now-startTime) / float64(s.Duration))
 		}
-		s.step(event)
+		s.handleEvent(event)
 	}
 	return s.statistics.result(s, time.Since(started))
 }
 
-// step handles one event.
-func (s *Sim) step(event scheduledEvent) {
+// handleEvent handles one event.
+func (s *Sim) handleEvent(event scheduledEvent) {
 	switch event.kind {
 	case eventClientArrives:
 		s.newClient()
 		if event.value == 0 {
-			s.schedule(time.Duration(s.rng.ExpFloat64()/s.rate()*float64(time.Second)), scheduledEvent{kind: eventClientArrives})
+			s.schedule(time.Duration(s.rng.ExpFloat64()/s.arrivalRateNow()*float64(time.Second)), scheduledEvent{kind: eventClientArrives})
 		}
 	case eventRequestArrives:
 		s.requestArrives(event)
@@ -156,7 +156,7 @@
 	case eventAttemptResult:
 		s.attemptResult(event)
 	case eventAttemptTimeout:
-		if class := &s.clients[event.subject]; class.state == stateWaiting && class.attempt == event.generation && class.server >= 0 {
+		if class := &s.clients[event.subject]; class.state == stateWaiting && class.attemptGeneration == event.generation && class.server >= 0 {
 			s.attemptFailed(event.subject, balancer.StatusTimeout)
 		}
 	case eventDeadline:
@@ -187,7 +187,7 @@
 	case eventTick:
 		s.tick()
 	case eventScriptedAction:
-		s.perform(s.actions[event.value])
+		s.startAction(s.actions[event.value])
 	case eventMigrateClients:
 		s.migrateClients(int(event.value))
 	case eventServerStops:
@@ -199,8 +199,8 @@
 	}
 }
 
-// rate returns the number of new clients a second now.
-func (s *Sim) rate() float64 {
+// arrivalRateNow returns the number of new clients a second now.
+func (s *Sim) arrivalRateNow() float64 {
 	if s.RateAmplitude == 0 {
 		return s.ArrivalRate
 	}
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/sexp"
 )
 
-func mustParse(t interface {
+func mustParseActions(t interface {
 	Helper()
 	Fatal(...any)
 }, text string) []ScriptedAction {
@@ -34,7 +34,7 @@
 	return actions
 }
 
-func policy(name string) Policy {
+func mustFindPolicy(name string) Policy {
 	p, ok := FindPolicy(name)
 	if !ok {
 		panic(name)
@@ -51,7 +51,7 @@
 
 // The same seed brings the same day, whatever happens in it; another seed another.
 func TestSeedDeterminesResult(t *testing.T) {
-	actions := mustParse(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
+	actions := mustParseActions(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
 	for _, p := range Policies {
 		run := func(seed uint64) *Result {
 			result := New(ReferenceWorld(), actions, p, seed).Run(nil)
@@ -83,8 +83,8 @@
 		load, groups, by := 0.0, make(map[uint32]int), make([]int, len(s.Classes))
 		for slot, id := range server.conns {
 			c := &s.clients[id]
-			if c.state != stateEstablished || int(c.server) != i || int(c.slot) != slot {
-				return fmt.Errorf("client %d stands at server %d in state %d, place %d of server %d", id, i, c.state, c.slot, c.server)
+			if c.state != stateEstablished || int(c.server) != i || int(c.connIndex) != slot {
+				return fmt.Errorf("client %d stands at server %d in state %d, place %d of server %d", id, i, c.state, c.connIndex, c.server)
 			}
 			load += float64(c.load)
 			groups[c.group]++
@@ -92,11 +92,11 @@
 			stand++
 		}
 		load += s.GroupCost * float64(len(groups))
-		if d := load - server.load; d > 1e-3 || d < -1e-3 || !reflect.DeepEqual(groups, server.groups) || !reflect.DeepEqual(by, server.establishedByClass) {
-			return fmt.Errorf("server %d has load %v and groups %v, counted %v and %v", i, server.load, server.groups, load, groups)
+		if d := load - server.load; d > 1e-3 || d < -1e-3 || !reflect.DeepEqual(groups, server.connectionsByGroup) || !reflect.DeepEqual(by, server.connectionsByClass) {
+			return fmt.Errorf("server %d has load %v and groups %v, counted %v and %v", i, server.load, server.connectionsByGroup, load, groups)
 		}
-		if out[i] != server.attempts {
-			return fmt.Errorf("server %d counts %d passes, out are %d", i, server.attempts, out[i])
+		if out[i] != server.pendingAttempts {
+			return fmt.Errorf("server %d counts %d passes, out are %d", i, server.pendingAttempts, out[i])
 		}
 		if server.down && len(server.conns) > 0 {
 			return fmt.Errorf("server %d is down and has connections", i)
@@ -110,13 +110,13 @@
 		}
 		if c.state == stateEstablished {
 			ups++
-			if result := s.relays[c.relay]; !result.up || result.clients[c.request] != uint32(i) {
+			if result := s.relays[c.relay]; !result.up || result.clientsByRequest[c.requestID] != uint32(i) {
 				return fmt.Errorf("client %d stands by relay %d, which does not know it", i, c.relay)
 			}
 		}
 	}
-	if ups != stand || !reflect.DeepEqual(present, s.present) {
-		return fmt.Errorf("%d clients are up and %d stand; present are %v, counted %v", ups, stand, s.present, present)
+	if ups != stand || !reflect.DeepEqual(present, s.clientsByClass) {
+		return fmt.Errorf("%d clients are up and %d stand; present are %v, counted %v", ups, stand, s.clientsByClass, present)
 	}
 	return nil
 }
@@ -136,7 +136,7 @@
 				"(hang 2 3s)", "(slow 2 0.2 4s)", "(drain 1)", "(restart 2 2s)", "(drop 60)", "(relay-restart 1 2s)", "(surge 5 2s)", "(list-behind 3s 4s)", "(add 2)"}).Draw(rt, "act"))
 		}
 		p := rapid.SampledFrom(Policies).Draw(rt, "policy")
-		s := New(world, mustParse(rt, b.String()), p, rapid.Uint64().Draw(rt, "seed"))
+		s := New(world, mustParseActions(rt, b.String()), p, rapid.Uint64().Draw(rt, "seed"))
 		for i := 0; len(s.events) > 0; i++ {
 			event := s.events.pop()
 			if event.at < s.now {
@@ -146,7 +146,7 @@
 				break
 			}
 			s.now = event.at
-			s.step(event)
+			s.handleEvent(event)
 			if i%50 == 0 {
 				if err := s.checkConsistency(); err != nil {
 					rt.Fatalf("%s: %v", p.Name, err)
@@ -174,7 +174,7 @@
 			if change != nil {
 				change(&world)
 			}
-			result = New(world, mustParse(t, actions), policy(p), seed).Run(nil)
+			result = New(world, mustParseActions(t, actions), mustFindPolicy(p), seed).Run(nil)
 			service += result.Service / 5
 			attempts += result.AttemptsPerRequest / 5
 		}
@@ -214,7 +214,7 @@
 		if err := world.Validate(); err != nil {
 			t.Fatal(err)
 		}
-		s := New(world, mustParse(t, actions), policy("module"), 5)
+		s := New(world, mustParseActions(t, actions), mustFindPolicy("module"), 5)
 		result := s.Run(nil)
 		if err := s.checkConsistency(); err != nil {
 			t.Error(err)
@@ -242,7 +242,7 @@
 // The baselines keep their published rules.
 func TestBaselinesChooseAsTheyShould(t *testing.T) {
 	ask := func(name string, n int, group uint64) map[balancer.EndpointID]int {
-		s := New(ReferenceWorld(), nil, policy(name), 1)
+		s := New(ReferenceWorld(), nil, mustFindPolicy(name), 1)
 		got := make(map[balancer.EndpointID]int)
 		for i := range n {
 			id := balancer.RequestID(9000 + i)
@@ -316,7 +316,7 @@
 			for range b.N {
 				world := ReferenceWorld().Scaled(size.by, size.relays)
 				world.Duration = 20 * time.Second
-				result := New(world, nil, policy("module"), 1).Run(nil)
+				result := New(world, nil, mustFindPolicy("module"), 1).Run(nil)
 				b.ReportMetric(world.Duration.Seconds()/result.RunTime, "times-real")
 				b.ReportMetric(float64(result.Events)/result.RunTime, "events/s")
 				b.ReportMetric(float64(result.Established), "standing")
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -10,26 +10,26 @@
 
 // statistics counts what happens in a simulation.
 type statistics struct {
-	clients, left, requests, attempts, failedAttempts, rejected, gaveUp, migrations, heartbeatTimeouts, broken, crossZone, lateAfterDrain, overloaded int
+	clients, departedClients, requests, attempts, failedAttempts, rejected, gaveUp, migrations, heartbeatTimeouts, brokenConnections, crossZoneAttempts, lateAfterDrain, overloaded int
 
-	probes, detected, falseAlarms int
-	detectionTime                 time.Duration // of all detected, in sum
+	probes, detections, falseAlarms int
+	detectionTime                   time.Duration // of all detected, in sum
 
 	served, wanted []float64 // by class: worth times seconds
 	inObjective    []int
 	established    []int
 	setupTimes     []*hdrhistogram.Histogram
-	marks          []Annotation
+	annotations    []Annotation
 
 	seconds           []Second
 	current           Second
 	currentServed     float64
 	currentWanted     float64
 	utilizations      []float64
-	spread            float64
-	spreads           int
-	perGroup          float64
-	ticks             int
+	loadSpreadSum     float64
+	loadSpreadCount   int
+	serversPerGroup   float64
+	tickCount         int
 	countedMigrations int
 }
 
@@ -54,7 +54,7 @@
 // countService counts what a server does in a tick.
 func (a *statistics) countService(s *Sim, server *serverModel, rho float64, dt time.Duration) {
 	a.utilizations = append(a.utilizations, rho)
-	for i, n := range server.establishedByClass {
+	for i, n := range server.connectionsByClass {
 		if n > 0 && !server.hung && server.delay <= s.Classes[i].MessageLatencyObjective {
 			worth := float64(n) * s.Classes[i].Weight * dt.Seconds()
 			a.served[i] += worth
@@ -66,7 +66,7 @@
 
 // tick ends a tick of all servers.
 func (a *statistics) tick(s *Sim, dt time.Duration) {
-	for i, n := range s.present {
+	for i, n := range s.clientsByClass {
 		worth := float64(n) * s.Classes[i].Weight * dt.Seconds()
 		a.wanted[i] += worth
 		a.currentWanted += worth
@@ -81,25 +81,25 @@
 		for _, r := range a.utilizations {
 			square += (r - mean) * (r - mean)
 		}
-		a.spread += math.Sqrt(square / float64(len(a.utilizations)))
-		a.spreads++
+		a.loadSpreadSum += math.Sqrt(square / float64(len(a.utilizations)))
+		a.loadSpreadCount++
 		a.current.MaxUtilization, a.current.MinUtilization, a.current.MeanUtilization = max(a.current.MaxUtilization, slices.Max(a.utilizations)), slices.Min(a.utilizations), mean
 	}
 	a.utilizations = a.utilizations[:0]
-	if a.ticks++; a.ticks%int(time.Second/dt) != 0 {
+	if a.tickCount++; a.tickCount%int(time.Second/dt) != 0 {
 		a.current.Established = 0
 		return
 	}
 	groups, copies := make(map[uint32]bool), 0
-	if a.ticks%int(5*time.Second/dt) == 0 {
+	if a.tickCount%int(5*time.Second/dt) == 0 {
 		for _, server := range s.servers {
-			copies += len(server.groups)
-			for g := range server.groups {
+			copies += len(server.connectionsByGroup)
+			for g := range server.connectionsByGroup {
 				groups[g] = true
 			}
 		}
 		if len(groups) > 0 {
-			a.perGroup = float64(copies) / float64(len(groups))
+			a.serversPerGroup = float64(copies) / float64(len(groups))
 		}
 	}
 	a.current.Service, a.current.Demand = 1, a.currentWanted
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -32,7 +32,7 @@
 		wait, n := 0.0, 0
 		for seed := range uint64(5) {
 			world := queueWorld(1, rho/setUp.Seconds(), setUp)
-			s := New(world, nil, policy("random"), seed)
+			s := New(world, nil, mustFindPolicy("random"), seed)
 			result := s.Run(nil)
 			for i := range s.Classes {
 				h := s.statistics.setupTimes[i]
@@ -55,7 +55,7 @@
 // a queue that shares its server (M/G/1-PS), whatever the distribution of the work.
 func TestMessagesTakeAsLongAsInMG1PS(t *testing.T) {
 	world := ReferenceWorld()
-	s := New(world, nil, policy("random"), 1)
+	s := New(world, nil, mustFindPolicy("random"), 1)
 	for _, server := range s.servers {
 		for _, rho := range []float64{0, 0.3, 0.6, 0.9} {
 			want := world.IdleMessageTime.Seconds() / server.speed / (1 - rho)
@@ -72,7 +72,7 @@
 func TestStandingConnectionsKeepLittlesLaw(t *testing.T) {
 	world := ReferenceWorld()
 	world.Duration, world.InitialConnections, world.RateAmplitude, world.Servers = 600*time.Second, 0, 0, 60
-	s := New(world, nil, policy("oracle"), 5)
+	s := New(world, nil, mustFindPolicy("oracle"), 5)
 	result := s.Run(nil)
 	mean, square, n := 0.0, 0.0, 0.0
 	for _, x := range result.Seconds[200:] { // five lives after the start
@@ -88,7 +88,7 @@
 // Every client that came has left, or is there: visits end once.
 func TestEachVisitEndsOnce(t *testing.T) {
 	for _, p := range Policies {
-		s := New(ReferenceWorld(), mustParse(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
+		s := New(ReferenceWorld(), mustParseActions(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
 		s.Run(nil)
 		there := 0
 		for i := range s.clients {
@@ -96,7 +96,7 @@
 				there++
 			}
 		}
-		left := s.statistics.left
+		left := s.statistics.departedClients
 		if s.statistics.clients != there+left {
 			t.Errorf("%s: %d came, %d are there and %d have left", p.Name, s.statistics.clients, there, left)
 		}
@@ -106,8 +106,8 @@
 	}
 }
 
-// digest is a hash of all events of a run, in order.
-func digest(world World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
+// eventDigest is a hash of all events of a run, in order.
+func eventDigest(world World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
 	s := New(world, actions, p, seed)
 	h := fnv.New64a()
 	for len(s.events) > 0 {
@@ -117,15 +117,15 @@
 		}
 		s.now = event.at
 		fmt.Fprintln(h, event.at, event.kind, event.subject, event.generation, event.value)
-		s.step(event)
+		s.handleEvent(event)
 	}
 	return h.Sum64()
 }
 
 func TestSameSeedSameDigestOfAllEvents(t *testing.T) {
 	for _, p := range Policies {
-		actions := mustParse(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
-		if x, y := digest(ReferenceWorld(), actions, p, 7), digest(ReferenceWorld(), actions, p, 7); x != y {
+		actions := mustParseActions(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
+		if x, y := eventDigest(ReferenceWorld(), actions, p, 7), eventDigest(ReferenceWorld(), actions, p, 7); x != y {
 			t.Errorf("%s: %x, and again %x", p.Name, x, y)
 		}
 	}
@@ -136,7 +136,7 @@
 func TestPoliciesComeInTheirOrder(t *testing.T) {
 	g := func(name string) (sum float64) {
 		for seed := range uint64(12) {
-			sum += New(ReferenceWorld(), nil, policy(name), seed).Run(nil).Score / 12
+			sum += New(ReferenceWorld(), nil, mustFindPolicy(name), seed).Run(nil).Score / 12
 		}
 		return sum
 	}
