--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -64,8 +64,8 @@
 	return 0
 }
 
-// read reads an experiment file.
-func read(path string) (*experiment.Experiment, error) {
+// readExperiment reads an experiment file.
+func readExperiment(path string) (*experiment.Experiment, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -101,7 +101,7 @@
 
 // Run runs the experiment, reports means and checks the claims.
 func (c *runCommand) Run(s streams) error {
-	e, err := read(c.Experiment)
+	e, err := readExperiment(c.Experiment)
 	if err != nil {
 		return err
 	}
@@ -204,7 +204,7 @@
 		}
 		return experiment.Plot(e, results, c.Kind, "", c.Out)
 	}
-	e, err := read(c.From)
+	e, err := readExperiment(c.From)
 	if err != nil {
 		return err
 	}
@@ -225,7 +225,7 @@
 	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "FILE\tNAME\tSCENES\tPOLICIES\tRUNS\tCLAIMS")
 	for _, f := range files {
-		e, err := read(f)
+		e, err := readExperiment(f)
 		if err != nil {
 			fmt.Fprintf(t, "%s\t%v\n", f, err)
 			continue
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -44,7 +44,7 @@
 	}
 	results := &Results{Source: experiment.Source}
 	complete := text[:bytes.LastIndexByte(text, '\n')+1]
-	if want := fileHead(experiment.Source); len(complete) < len(want) && strings.HasPrefix(want, string(complete)) {
+	if want := fileHeader(experiment.Source); len(complete) < len(want) && strings.HasPrefix(want, string(complete)) {
 		complete = []byte(want) // the file is new, or was cut within the head
 		if _, err := file.WriteAt(complete, 0); err != nil {
 			return nil, err
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// forms parse the forms of an experiment, by their heads.
-var forms = map[string]func(e *Experiment, node *sexp.Node, args []*sexp.Node) error{
+// formParsers parse the formParsers of an experiment, by their heads.
+var formParsers = map[string]func(e *Experiment, node *sexp.Node, args []*sexp.Node) error{
 	"world":    (*Experiment).parseWorld,
 	"policies": (*Experiment).parsePolicies,
 	"scene":    (*Experiment).parseScene,
@@ -157,7 +157,7 @@
 	if err != nil {
 		return err
 	}
-	parse, ok := forms[head]
+	parse, ok := formParsers[head]
 	if !ok {
 		return node.List.Items[0].Errorf("an experiment has no %q; expected world, policies, scene, matrix, seeds or claim", head)
 	}
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -25,7 +25,7 @@
 // A file of results: the experiment, the columns and the rows.
 func TestResultsCSVIsStable(t *testing.T) {
 	r := fixedResults("module", 0.1)
-	text := fileHead(r.Source)
+	text := fileHeader(r.Source)
 	for _, row := range r.Rows {
 		text += string(row.csvLine())
 	}
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -11,7 +11,7 @@
 	"lockroad/internal/simulation"
 )
 
-const small = `(experiment "small"
+const smallExperiment = `(experiment "small"
   (world (for 8s) (standing 30) (rate 3))
   (policies module random)
   (scene calm) (scene hang (at 2s (hang 2 4s)))
@@ -22,7 +22,7 @@
   (claim tipped module <= 0))
 `
 
-func experiment(t *testing.T, source string) *Experiment {
+func mustParse(t *testing.T, source string) *Experiment {
 	t.Helper()
 	e, err := Parse(source)
 	if err != nil {
@@ -32,7 +32,7 @@
 }
 
 func TestExperimentsAreReadWhole(t *testing.T) {
-	e := experiment(t, small)
+	e := mustParse(t, smallExperiment)
 	if n := len(e.Runs()); n != 2*4*2*3 || len(e.Cells()) != 8 || e.Cells()[0].World.Servers != 6 || e.Cells()[7].World.Servers != 13 {
 		t.Errorf("%d runs of %d cells", n, len(e.Cells()))
 	}
@@ -65,14 +65,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		experiment(t, string(text))
+		mustParse(t, string(text))
 	}
 }
 
 // A run that was cut anywhere goes on, and ends with the same results as one that was
 // not; results of another experiment are left alone.
 func TestCutRunGoesOn(t *testing.T) {
-	e := experiment(t, small)
+	e := mustParse(t, smallExperiment)
 	folder := t.TempDir()
 	whole := filepath.Join(folder, "whole.csv")
 	results, err := Execute(e, whole, 4, nil)
@@ -93,7 +93,7 @@
 		}
 		return b.String()
 	}
-	for _, cut := range []int{0, 5, len(fileHead(small)) - 3, len(fileHead(small)) + 9, len(text) / 2, len(text) - 1, len(text)} {
+	for _, cut := range []int{0, 5, len(fileHeader(smallExperiment)) - 3, len(fileHeader(smallExperiment)) + 9, len(text) / 2, len(text) - 1, len(text)} {
 		path := filepath.Join(folder, "cut.csv")
 		if err := os.WriteFile(path, text[:cut], 0o644); err != nil {
 			t.Fatal(err)
@@ -106,14 +106,14 @@
 		if report(again) != report(results) {
 			t.Errorf("cut at %d:\n%s\nwhole:\n%s", cut, report(again), report(results))
 		}
-		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(fileHead(small)) && ran > left+1 {
+		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(fileHeader(smallExperiment)) && ran > left+1 {
 			t.Errorf("cut at %d: %d runs were made again", cut, ran-left)
 		}
-		if kept, err := ReadResults(path); err != nil || len(kept.Rows) != len(e.Runs()) || strings.TrimSpace(kept.Source) != strings.TrimSpace(small) {
+		if kept, err := ReadResults(path); err != nil || len(kept.Rows) != len(e.Runs()) || strings.TrimSpace(kept.Source) != strings.TrimSpace(smallExperiment) {
 			t.Errorf("cut at %d: the file holds %v, %v", cut, kept, err)
 		}
 	}
-	if _, err := Execute(experiment(t, strings.Replace(small, "(rate 3)", "(rate 4)", 1)), whole, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
+	if _, err := Execute(mustParse(t, strings.Replace(smallExperiment, "(rate 3)", "(rate 4)", 1)), whole, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
 		t.Errorf("results of another experiment: %v", err)
 	}
 }
@@ -136,13 +136,13 @@
 }
 
 func TestComparisonIsPaired(t *testing.T) {
-	e := experiment(t, small)
+	e := mustParse(t, smallExperiment)
 	folder := t.TempDir()
 	a, err := Execute(e, filepath.Join(folder, "a.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	slower := experiment(t, strings.Replace(small, "(for 8s)", "(for 8s) (cross 200ms)", 1))
+	slower := mustParse(t, strings.Replace(smallExperiment, "(for 8s)", "(for 8s) (cross 200ms)", 1))
 	b, err := Execute(slower, filepath.Join(folder, "b.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 }
 
 func TestPlotsAreDrawn(t *testing.T) {
-	e := experiment(t, small)
+	e := mustParse(t, smallExperiment)
 	results, err := Execute(e, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -42,9 +42,9 @@
 			}
 		}
 		point.Title.Text += ", " + cells[i].Name()
-		err = overTime(point, e, cells[i], kind)
+		err = plotOverTime(point, e, cells[i], kind)
 	case "size":
-		err = bySize(point, r)
+		err = plotBySize(point, r)
 	default:
 		return fmt.Errorf("there is no plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
 	}
@@ -54,8 +54,8 @@
 	return point.Save(18*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// line adds a line to a plot.
-func line(point *plot.Plot, name string, i int, points plotter.XYs) error {
+// addLine adds a addLine to a plot.
+func addLine(point *plot.Plot, name string, i int, points plotter.XYs) error {
 	l, err := plotter.NewLine(points)
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func overTime(point *plot.Plot, e *Experiment, c Cell, kind string) error {
+func plotOverTime(point *plot.Plot, e *Experiment, c Cell, kind string) error {
 	policies := e.Policies
 	if kind != "recovery" && kind != "service" {
 		policies = policies[:1]
@@ -101,7 +101,7 @@
 			names = []string{"fullest server", "mean", "emptiest server"}
 		}
 		for j, name := range names {
-			if err := line(point, name, i+j, lines[j]); err != nil {
+			if err := addLine(point, name, i+j, lines[j]); err != nil {
 				return err
 			}
 		}
@@ -125,20 +125,20 @@
 	return nil
 }
 
-// bySize plots what a run costs against the number of its servers.
-func bySize(point *plot.Plot, r *Results) error {
+// plotBySize plots what a run costs against the number of its servers.
+func plotBySize(point *plot.Plot, r *Results) error {
 	point.X.Label.Text, point.Y.Label.Text = "servers", "seconds a run, and millions of events"
-	for i, policy := range r.policies() {
+	for i, policy := range r.policyNames() {
 		var took, events plotter.XYs
-		for _, where := range r.cells() {
+		for _, where := range r.cellNames() {
 			for _, part := range strings.Fields(where) {
 				name, value, _ := strings.Cut(part, "=")
 				servers, err := strconv.ParseFloat(value, 64)
 				if err != nil || name != "servers" && name != "scale" {
 					continue
 				}
-				took = append(took, plotter.XY{X: servers, Y: meanOf(sortedValues(r.bySeed("took", where, policy))).Value})
-				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(r.bySeed("events", where, policy))).Value / 1e6})
+				took = append(took, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("took", where, policy))).Value})
+				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("events", where, policy))).Value / 1e6})
 			}
 		}
 		if len(took) == 0 {
@@ -146,7 +146,7 @@
 		}
 		for j, points := range []plotter.XYs{took, events} {
 			slices.SortFunc(points, func(x, y plotter.XY) int { return int(x.X - y.X) })
-			if err := line(point, policy+[]string{", seconds", ", events"}[j], 2*i+j, points); err != nil {
+			if err := addLine(point, policy+[]string{", seconds", ", events"}[j], 2*i+j, points); err != nil {
 				return err
 			}
 		}
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -63,8 +63,8 @@
 	Rows   []Row
 }
 
-// fileHead returns the head of a file: the experiment, line by line, then the columns.
-func fileHead(source string) string {
+// fileHeader returns the head of a file: the experiment, line by line, then the columns.
+func fileHeader(source string) string {
 	var b strings.Builder
 	for line := range strings.Lines(strings.TrimRight(source, "\n") + "\n") {
 		b.WriteString("# " + line)
@@ -149,8 +149,8 @@
 	return fmt.Sprintf("%.4g ±%.2g", m.Value, m.HalfWidth)
 }
 
-// t975 are the 97.5% quantiles of Student's t by degrees of freedom.
-var t975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+// studentT975 are the 97.5% quantiles of Student's t by degrees of freedom.
+var studentT975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
 func meanOf(values []float64) Mean {
 	m := Mean{Count: len(values)}
@@ -166,16 +166,16 @@
 	}
 	if m.Count > 1 {
 		t := 1.96 + 2.4/float64(m.Count-1)
-		if m.Count-1 < len(t975) {
-			t = t975[m.Count-1]
+		if m.Count-1 < len(studentT975) {
+			t = studentT975[m.Count-1]
 		}
 		m.HalfWidth = t * math.Sqrt(square/float64(m.Count-1)/float64(m.Count))
 	}
 	return m
 }
 
-// bySeed returns the figures of a metric in a cell by a policy.
-func (r *Results) bySeed(metric, where, policy string) map[uint64]float64 {
+// valuesBySeed returns the figures of a metric in a cell by a policy.
+func (r *Results) valuesBySeed(metric, where, policy string) map[uint64]float64 {
 	values := make(map[uint64]float64)
 	for _, row := range r.Rows {
 		if row.Cell == where && row.Policy == policy {
@@ -185,11 +185,11 @@
 	return values
 }
 
-// cells and policies return the names that the rows have, sorted.
-func (r *Results) cells() []string {
+// cellNames and policies return the names that the rows have, sorted.
+func (r *Results) cellNames() []string {
 	return distinctValues(r.Rows, func(x Row) string { return x.Cell })
 }
-func (r *Results) policies() []string {
+func (r *Results) policyNames() []string {
 	return distinctValues(r.Rows, func(x Row) string { return x.Policy })
 }
 
@@ -222,15 +222,15 @@
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
-	for _, where := range r.cells() {
-		for _, policy := range r.policies() {
-			count := len(r.bySeed("g", where, policy))
+	for _, where := range r.cellNames() {
+		for _, policy := range r.policyNames() {
+			count := len(r.valuesBySeed("g", where, policy))
 			if count == 0 {
 				continue
 			}
 			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
 			for _, m := range metrics {
-				fmt.Fprintf(t, "\t%s", meanOf(sortedValues(r.bySeed(m, where, policy))))
+				fmt.Fprintf(t, "\t%s", meanOf(sortedValues(r.valuesBySeed(m, where, policy))))
 			}
 			fmt.Fprintln(t)
 		}
@@ -256,9 +256,9 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
 	pairs := 0
-	for _, where := range a.cells() {
-		for _, policy := range a.policies() {
-			count := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).Count
+	for _, where := range a.cellNames() {
+		for _, policy := range a.policyNames() {
+			count := pairedDifference(a.valuesBySeed("g", where, policy), b.valuesBySeed("g", where, policy)).Count
 			if count == 0 {
 				continue
 			}
@@ -268,7 +268,7 @@
 				if !slices.Contains(Metrics, m) {
 					return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
 				}
-				difference := pairedDifference(a.bySeed(m, where, policy), b.bySeed(m, where, policy))
+				difference := pairedDifference(a.valuesBySeed(m, where, policy), b.valuesBySeed(m, where, policy))
 				star := ""
 				if difference.Count > 1 && math.Abs(difference.Value) > difference.HalfWidth {
 					star = " *"
@@ -294,9 +294,9 @@
 				continue
 			}
 			where := cell.Name()
-			got, limit := meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Policy))), claim.Value
+			got, limit := meanOf(sortedValues(r.valuesBySeed(claim.Metric, where, claim.Policy))), claim.Value
 			if claim.OtherPolicy != "" {
-				limit += meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.OtherPolicy))).Value
+				limit += meanOf(sortedValues(r.valuesBySeed(claim.Metric, where, claim.OtherPolicy))).Value
 			}
 			if holds := claim.Operator == ">=" && got.Value >= limit || claim.Operator == "<=" && got.Value <= limit; !holds || got.Count == 0 {
 				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", claim, where, claim.Policy, claim.Metric, got, limit))
--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -63,7 +63,7 @@
 	if size > maxBatchSize {
 		return nil, fmt.Errorf("batch of %d bytes is larger than %d", size, maxBatchSize)
 	}
-	at, err := microseconds(clock)
+	at, err := decodeMicroseconds(clock)
 	if err != nil {
 		return nil, fmt.Errorf("batch clock: %w", err)
 	}
@@ -83,7 +83,7 @@
 	return err
 }
 
-func microseconds(count uint64) (time.Duration, error) {
+func decodeMicroseconds(count uint64) (time.Duration, error) {
 	if count > math.MaxInt64/1000 {
 		return 0, fmt.Errorf("time of %d microseconds is out of range", count)
 	}
@@ -109,7 +109,7 @@
 	c := cursor{unread: b.unread[recordHeader : recordHeader+int(size)]}
 	b.unread = b.unread[recordHeader+int(size):]
 	b.remaining--
-	record, err := b.reader.record(code, &c)
+	record, err := b.reader.decodeRecord(code, &c)
 	if err != nil {
 		return Record{}, fmt.Errorf("record of code %d: %w", code, err)
 	}
--- a/internal/simprotocol/endpointlist.go
+++ b/internal/simprotocol/endpointlist.go
@@ -13,8 +13,8 @@
 	4: balancer.ListDelta,
 }
 
-// topology decodes an endpoint list's arrival, which names a catalog sent before.
-func (reader *Reader) topology(c *cursor) (any, error) {
+// decodeTopology decodes an endpoint list's arrival, which names a catalog sent before.
+func (reader *Reader) decodeTopology(c *cursor) (any, error) {
 	mode := c.u8()
 	c.u64() // the version: lists arrive in order with none skipped, so it isn't needed
 	number := c.u16()
@@ -34,9 +34,9 @@
 	return balancer.EndpointList{Kind: kind, Endpoints: reader.catalogs[number]}, nil
 }
 
-// catalog decodes a numbered endpoint list. Numbers are used again; the slice of an
+// decodeCatalog decodes a numbered endpoint list. Numbers are used again; the slice of an
 // earlier list is never written to, as its events may still hold it.
-func (reader *Reader) catalog(c *cursor) error {
+func (reader *Reader) decodeCatalog(c *cursor) error {
 	number, count := c.u16(), c.u32()
 	if c.truncated || uint64(count)*endpointSize > uint64(len(c.unread)) {
 		c.truncated = true
@@ -47,7 +47,7 @@
 	}
 	endpoints := make([]balancer.Endpoint, count)
 	for i := range endpoints {
-		if err := readEndpoint(c, &endpoints[i]); err != nil {
+		if err := decodeEndpoint(c, &endpoints[i]); err != nil {
 			return err
 		}
 	}
@@ -55,11 +55,11 @@
 	return nil
 }
 
-func readEndpoint(c *cursor, endpoint *balancer.Endpoint) error {
+func decodeEndpoint(c *cursor, endpoint *balancer.Endpoint) error {
 	endpoint.Zone = int(c.u16())
 	endpoint.Size = float64(c.f32())
 	endpoint.Cell = int(c.u16())
-	startedAt, err := microseconds(c.u64())
+	startedAt, err := decodeMicroseconds(c.u64())
 	if err != nil {
 		return err
 	}
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -55,10 +55,10 @@
 func TestSettingsWordsAreStable(t *testing.T) {
 	var b strings.Builder
 	for _, word := range []string{"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "Idempotent"} {
-		effect, isEffect := effectWords[word]
+		effect, isEffect := semanticsWords[word]
 		scope, isScope := scopeWords[word]
 		fmt.Fprintf(&b, "%s: effect %d %v, scope %d %v\n", word, effect, isEffect, scope, isScope)
 	}
-	fmt.Fprintf(&b, "%d effects, %d scopes\n", len(effectWords), len(scopeWords))
+	fmt.Fprintf(&b, "%d effects, %d scopes\n", len(semanticsWords), len(scopeWords))
 	golden.Compare(t, "words.txt", b.String())
 }
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -27,8 +27,8 @@
 
 // Bits of a request.
 const (
-	bitLoadValid = 1
-	bitReturning = 16
+	flagLoadValid = 1
+	flagReturning = 16
 )
 
 // Kinds of a heartbeat's level.
@@ -56,34 +56,34 @@
 	Body     any
 }
 
-// record decodes the fields of one record.
-func (reader *Reader) record(code uint8, c *cursor) (Record, error) {
+// decodeRecord decodes the fields of one decodeRecord.
+func (reader *Reader) decodeRecord(code uint8, c *cursor) (Record, error) {
 	if code == codeCatalog { // addressed to all instances
-		return Record{}, reader.catalog(c)
+		return Record{}, reader.decodeCatalog(c)
 	}
 	if code == 0 || code > codeHeartbeat {
 		return Record{}, errors.New("unknown code")
 	}
 	instance := c.u32()
-	body, err := reader.body(code, c)
+	body, err := reader.decodeBody(code, c)
 	return Record{Instance: instance, Body: body}, err
 }
 
-// body decodes what follows the instance's number.
-func (reader *Reader) body(code uint8, c *cursor) (any, error) {
+// decodeBody decodes what follows the instance's number.
+func (reader *Reader) decodeBody(code uint8, c *cursor) (any, error) {
 	switch code {
 	case codeAttach:
-		return attach(c)
+		return decodeAttach(c)
 	case codeTopology:
-		return reader.topology(c)
+		return reader.decodeTopology(c)
 	case codeRequest:
-		return request(c), nil
+		return decodeRequest(c), nil
 	case codeResumed:
-		return resumed(c), nil
+		return decodeResumed(c), nil
 	case codeBegun:
-		return established(c), nil
+		return decodeEstablished(c), nil
 	case codeOutcome:
-		return outcome(c)
+		return decodeOutcome(c)
 	case codeClientLeft:
 		return balancer.ClientLeft{Request: c.requestID()}, nil
 	case codeWake:
@@ -95,12 +95,12 @@
 	case codeRetire:
 		return Retire{}, nil
 	case codeHeartbeat:
-		return heartbeat(c)
+		return decodeHeartbeat(c)
 	}
 	return nil, nil
 }
 
-func attach(c *cursor) (any, error) {
+func decodeAttach(c *cursor) (any, error) {
 	seed, text := c.u64(), c.bytes(c.u32())
 	if c.truncated {
 		return nil, nil
@@ -112,7 +112,7 @@
 	return Attach{Seed: seed, Settings: settings}, nil
 }
 
-func request(c *cursor) balancer.Request {
+func decodeRequest(c *cursor) balancer.Request {
 	var request balancer.Request
 	request.ID = c.requestID()
 	request.Class = int(c.u8())
@@ -121,11 +121,11 @@
 	request.TimeLeft = c.duration()
 	load := c.u32()
 	request.Group = c.u64()
-	setRequestBits(&request, c.u16(), load)
+	setRequestFlags(&request, c.u16(), load)
 	return request
 }
 
-func resumed(c *cursor) balancer.Resumed {
+func decodeResumed(c *cursor) balancer.Resumed {
 	var request balancer.Request
 	request.ID = c.requestID()
 	request.TimeLeft = c.duration()
@@ -135,19 +135,19 @@
 	load := c.u32()
 	c.u16() // the tenant: all are treated alike
 	request.Item = c.u64()
-	setRequestBits(&request, c.u16(), load)
+	setRequestFlags(&request, c.u16(), load)
 	return balancer.Resumed{Request: request, Endpoint: endpoint}
 }
 
-// setRequestBits sets what a request's bits say; load is in microseconds of work a second.
-func setRequestBits(request *balancer.Request, bits uint16, load uint32) {
-	if bits&bitLoadValid != 0 {
+// setRequestFlags sets what a request's bits say; load is in microseconds of work a second.
+func setRequestFlags(request *balancer.Request, bits uint16, load uint32) {
+	if bits&flagLoadValid != 0 {
 		request.ExpectedLoad = float64(load) / 1e6
 	}
-	request.Returning = bits&bitReturning != 0
+	request.Returning = bits&flagReturning != 0
 }
 
-func established(c *cursor) balancer.Established {
+func decodeEstablished(c *cursor) balancer.Established {
 	id, took := c.requestID(), c.duration()
 	c.u16() // attempts of a request never overlap, so their numbers are not needed
 	return balancer.Established{Request: id, Endpoint: c.endpointID(), SetupTime: took}
@@ -178,7 +178,7 @@
 	307: balancer.StatusNotSent,
 }
 
-func outcome(c *cursor) (any, error) {
+func decodeOutcome(c *cursor) (any, error) {
 	var outcome balancer.Outcome
 	outcome.Request = c.requestID()
 	outcome.Final = c.u8() != 0
@@ -195,7 +195,7 @@
 	return outcome, nil
 }
 
-func heartbeat(c *cursor) (any, error) {
+func decodeHeartbeat(c *cursor) (any, error) {
 	id := c.requestID()
 	c.u16() // the attempt's number
 	endpoint := c.endpointID()
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -40,24 +40,24 @@
 func (r *Reply) Add(instance uint32, action balancer.Action) error {
 	switch a := action.(type) {
 	case balancer.SendAttempt:
-		r.record(codeRelay, instance, uint32(a.Request), clampMicroseconds(a.Timeout), uint32(a.Endpoint))
+		r.appendRecord(codeRelay, instance, uint32(a.Request), clampMicroseconds(a.Timeout), uint32(a.Endpoint))
 	case balancer.Reject:
-		r.record(codeSayNo, instance, uint32(a.Request), clampMicroseconds(a.RetryAfter))
+		r.appendRecord(codeSayNo, instance, uint32(a.Request), clampMicroseconds(a.RetryAfter))
 	case balancer.Fail:
-		r.record(codeRespondError, instance, uint32(a.Request))
+		r.appendRecord(codeRespondError, instance, uint32(a.Request))
 	case balancer.Migrate:
-		r.record(codeGoAway, instance, uint32(a.Request))
+		r.appendRecord(codeGoAway, instance, uint32(a.Request))
 	case balancer.SetTimer:
-		r.record(codeWakeAt, instance, clampMicroseconds(min(a.After, maxTimer)), a.Token)
+		r.appendRecord(codeWakeAt, instance, clampMicroseconds(min(a.After, maxTimer)), a.Token)
 	case balancer.WatchEndpoints:
-		r.watch(instance)
+		r.appendWatch(instance)
 	default:
 		return fmt.Errorf("no record for action %T", action)
 	}
 	return nil
 }
 
-func (r *Reply) record(code uint8, fields ...uint32) {
+func (r *Reply) appendRecord(code uint8, fields ...uint32) {
 	r.buffer = append(r.buffer, code)
 	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, uint32(4*len(fields)))
 	for _, field := range fields {
@@ -66,8 +66,8 @@
 	r.count++
 }
 
-// watch adds the one record whose last field is a byte.
-func (r *Reply) watch(instance uint32) {
+// appendWatch adds the one record whose last field is a byte.
+func (r *Reply) appendWatch(instance uint32) {
 	r.buffer = append(r.buffer, codeObserve)
 	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, 5)
 	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, instance)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -103,7 +103,7 @@
 	return duration
 }
 
-var effectWords = map[string]balancer.DeliverySemantics{
+var semanticsWords = map[string]balancer.DeliverySemantics{
 	"idempotent":   balancer.Idempotent,
 	"deduplicated": balancer.Deduplicated,
 	"at_most_once": balancer.AtMostOnce,
@@ -230,7 +230,7 @@
 			Name:             optional[string](reader, entry, path, "Name"),
 			LatencyObjective: requiredDuration(reader, entry, path, "AimUs"),
 			Deadline:         positiveDuration(reader, entry, path, "DeadlineUs"),
-			Semantics:        lookUp(reader, effectWords, path+"Semantics", required[string](reader, entry, path, "Semantics")),
+			Semantics:        lookUp(reader, semanticsWords, path+"Semantics", required[string](reader, entry, path, "Semantics")),
 		}
 		if class.Semantics == balancer.Deduplicated {
 			class.DeduplicationScope = lookUp(reader, scopeWords, path+"KeyScope", required[string](reader, entry, path, "KeyScope"))
