--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -9,14 +9,14 @@
 	"lockroad/internal/sexp"
 )
 
-// maxServers bounds the servers of an action.
+// maxServers bounds the number of servers or relays of an action.
 const maxServers = 5000
 
-// ScriptedAction is an action of a script on a world.
+// ScriptedAction is an action of a script, such as a failure of servers at a time.
 type ScriptedAction struct {
 	At       time.Duration
 	Kind     string // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
-	Count    int    // of servers, or relays, that it happens to; they are drawn
+	Count    int    // number of servers or relays, which are drawn at random
 	Share    float64
 	Duration time.Duration
 	Factor   float64
@@ -43,22 +43,27 @@
 	return a.Kind
 }
 
-// actionForms are the arguments of actions: a number of servers or relays (N), a factor (X), a
-// percentage (P), a time as the factor (D), and how long it lasts (T).
+// actionForms are the arguments of each kind of action: a number of servers or relays (N), a
+// factor (X), a percentage (P), a delay (D, stored as the factor) and a duration (T).
 var actionForms = map[string]string{
 	"hang": "N T", "slow": "N X T", "drain": "N", "restart": "N T", "drop": "P", "list-behind": "D T", "relay-restart": "N T", "surge": "X T", "add": "N",
 }
 
-// ParseScriptedAction reads (at TIME (ACT ...)): of the servers that are drawn, hang N TIME, slow N
-// FACTOR TIME, drain N, restart N TIME, add N; relay-restart N TIME; of the clients, drop
-// PERCENT, surge FACTOR TIME; and list-behind BY TIME. Errors name line and column.
+// ParseScriptedAction parses (at TIME (ACTION ...)), where ACTION is one of
+//
+//	hang N TIME, slow N FACTOR TIME, drain N, restart N TIME, add N   (servers)
+//	relay-restart N TIME                                             (relays)
+//	drop PERCENT, surge FACTOR TIME                                  (clients)
+//	list-behind DELAY TIME                                           (endpoint list)
+//
+// Errors name line and column.
 func ParseScriptedAction(node *sexp.Node) (action ScriptedAction, err error) {
 	head, args, err := node.Head()
 	if err != nil {
 		return action, err
 	}
 	if head != "at" || len(args) != 2 {
-		return action, node.Errorf("expected (at TIME (ACT ...))")
+		return action, node.Errorf("expected (at TIME (ACTION ...))")
 	}
 	if action.At, err = args[0].Duration(); err != nil {
 		return action, err
@@ -69,11 +74,11 @@
 	}
 	form, ok := actionForms[action.Kind]
 	if !ok {
-		return action, node.Errorf("there is no act %q; expected hang, slow, drain, restart, add, relay-restart, drop, surge or list-behind", action.Kind)
+		return action, node.Errorf("unknown action %q; expected hang, slow, drain, restart, add, relay-restart, drop, surge or list-behind", action.Kind)
 	}
 	kinds := slices.DeleteFunc([]byte(form), func(c byte) bool { return c == ' ' })
 	if len(args) != len(kinds) {
-		return action, node.Errorf("%s wants %d values (%s), and has %d", action.Kind, len(kinds), form, len(args))
+		return action, node.Errorf("%s takes %d arguments (%s), got %d", action.Kind, len(kinds), form, len(args))
 	}
 	for i, kind := range kinds {
 		if err := action.setArgument(kind, args[i]); err != nil {
@@ -83,13 +88,13 @@
 	return action, nil
 }
 
-// setArgument sets what an argument of a form says.
+// setArgument parses an argument of a kind in actionForms and sets the field.
 func (a *ScriptedAction) setArgument(kind byte, node *sexp.Node) (err error) {
 	switch kind {
 	case 'N':
 		var count uint64
 		if count, err = node.Whole(); err == nil && (count == 0 || count > maxServers) {
-			err = node.Errorf("%d is not within 1 and 5000", count)
+			err = node.Errorf("%d is not between 1 and 5000", count)
 		}
 		a.Count = int(count)
 	case 'T':
@@ -99,15 +104,16 @@
 		delay, err = node.Duration()
 		a.Factor = float64(delay)
 	case 'X':
-		a.Factor, err = numberWithin(node, 0.01, 100)
+		a.Factor, err = parseNumber(node, 0.01, 100)
 	case 'P':
-		a.Share, err = numberWithin(node, 0, 100)
+		a.Share, err = parseNumber(node, 0, 100)
 		a.Share /= 100
 	}
 	return err
 }
 
-// actionStarters begin the actions of each kind.
+// actionStarters has the function that starts each kind of action. list-again and surge-over,
+// which no script can contain, end list-behind and surge.
 var actionStarters = map[string]func(*Sim, ScriptedAction){
 	"hang":          (*Sim).hangServers,
 	"slow":          (*Sim).slowServers,
@@ -122,11 +128,11 @@
 	"relay-restart": (*Sim).restartRelays,
 }
 
-// startAction begins an action.
+// startAction starts an action and records it as an annotation.
 func (s *Sim) startAction(action ScriptedAction) {
 	s.statistics.annotations = append(s.statistics.annotations, Annotation{At: s.now - startTime, Text: action.String()})
-	if perform, ok := actionStarters[action.Kind]; ok {
-		perform(s, action)
+	if start, ok := actionStarters[action.Kind]; ok {
+		start(s, action)
 	}
 }
 
@@ -135,7 +141,7 @@
 	s.schedule(after, scheduledEvent{kind: eventServerRecovers, value: uint32(serverIndex)})
 }
 
-// scheduleAction schedules an action that ends another.
+// scheduleAction schedules an action that is not in the script, such as the end of another.
 func (s *Sim) scheduleAction(after time.Duration, action ScriptedAction) {
 	s.actions = append(s.actions, action)
 	s.schedule(after, scheduledEvent{kind: eventScriptedAction, value: uint32(len(s.actions) - 1)})
@@ -183,7 +189,7 @@
 	}
 }
 
-// dropReturnDelay is the time after which clients that dropped return.
+// dropReturnDelay has the bounds of the time after which dropped clients connect again.
 var dropReturnDelay = [2]time.Duration{970 * time.Millisecond, 2700 * time.Millisecond}
 
 func (s *Sim) dropClients(action ScriptedAction) {
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -6,7 +6,7 @@
 	"lockroad/balancer"
 )
 
-// networkDelay draws the one-way delay between a relay and a server.
+// networkDelay draws the one-way network delay between a relay and a server.
 func (s *Sim) networkDelay(relayIndex uint32, serverIndex int32) time.Duration {
 	if s.relays[relayIndex].zone == s.servers[serverIndex].zone {
 		return s.uniformDuration(s.SameZoneDelay)
@@ -14,11 +14,11 @@
 	return s.uniformDuration(s.CrossZoneDelay)
 }
 
-// drainGracePeriod is how long attempts may go to a server after a relay was notified of its drain.
+// drainGracePeriod is how long after the notification of a drain a relay's attempts do not count as late.
 const drainGracePeriod = 500 * time.Millisecond
 
-// sendAttempt sends an attempt, which times out after wait unless that is 0.
-func (s *Sim) sendAttempt(relayIndex, id uint32, serverIndex int32, wait time.Duration) {
+// sendAttempt sends an attempt to a server. A timeout of 0 is none.
+func (s *Sim) sendAttempt(relayIndex, id uint32, serverIndex int32, timeout time.Duration) {
 	client := &s.clients[id]
 	server := s.servers[serverIndex]
 	client.server = serverIndex
@@ -32,13 +32,13 @@
 	if s.relays[relayIndex].zone != server.zone {
 		s.statistics.crossZoneAttempts++
 	}
-	if wait > 0 {
-		s.schedule(wait, scheduledEvent{kind: eventAttemptTimeout, subject: id, generation: client.attemptGeneration})
+	if timeout > 0 {
+		s.schedule(timeout, scheduledEvent{kind: eventAttemptTimeout, subject: id, generation: client.attemptGeneration})
 	}
 	s.schedule(delay, scheduledEvent{kind: eventAttemptArrives, subject: id, generation: client.attemptGeneration, value: uint32(delay)})
 }
 
-// attemptArrives makes a server answer an attempt.
+// attemptArrives schedules a server's answer to an attempt: a connection, a rejection or none.
 func (s *Sim) attemptArrives(event scheduledEvent) {
 	client := &s.clients[event.subject]
 	if client.state != stateWaiting || client.attemptGeneration != event.generation || client.server < 0 {
@@ -53,7 +53,7 @@
 		answer(balancer.StatusConnectFailed, 0)
 		return
 	case server.hung:
-		return // it accepts and does not answer
+		return // it accepts the connection and does not answer
 	}
 	s.checkOverload(server)
 	if server.down {
@@ -71,7 +71,7 @@
 	answer(balancer.StatusOK, server.setupsDoneAt-s.now+server.backlog)
 }
 
-// attemptResult makes a relay handle a server's answer.
+// attemptResult passes a server's answer to the relay.
 func (s *Sim) attemptResult(event scheduledEvent) {
 	client := &s.clients[event.subject]
 	if client.state != stateWaiting || client.attemptGeneration != event.generation || client.server < 0 {
@@ -88,7 +88,7 @@
 	}
 	s.recordAttempt(client.relay, client.server, balancer.StatusOK)
 	if client.state != stateWaiting || client.attemptGeneration != event.generation || client.server < 0 {
-		return // the health check's change of the server made the decider act on this request
+		return // the decider acted on this request when its health check changed the server's state
 	}
 	server.pendingAttempts--
 	client.state, client.retries = stateEstablished, 0
@@ -106,19 +106,19 @@
 	}
 }
 
-// attemptFailed makes a relay handle the failure of an attempt.
+// attemptFailed passes the failure of an attempt to the relay.
 func (s *Sim) attemptFailed(id uint32, status balancer.AttemptStatus) {
 	client := &s.clients[id]
 	serverIndex, request := client.server, client.requestID
 	s.cancelAttempt(client)
 	s.statistics.failedAttempts++
 	if s.recordAttempt(client.relay, serverIndex, status); client.state != stateWaiting || client.requestID != request || client.server >= 0 {
-		return // the health check's change of the server made the decider act on this request
+		return // the decider acted on this request when its health check changed the server's state
 	}
 	s.handle(client.relay, balancer.Outcome{Request: client.requestID, Endpoint: s.serverID(serverIndex), Status: status})
 }
 
-// cancelAttempt ends the attempt of a waiting client, if there is one.
+// cancelAttempt ends the attempt of a waiting client, if it has one.
 func (s *Sim) cancelAttempt(client *clientModel) {
 	if client.server >= 0 {
 		s.servers[client.server].pendingAttempts--
@@ -127,7 +127,7 @@
 	client.attemptGeneration++
 }
 
-// attach adds a client to its server's connections.
+// attach adds an established client to its server's connections.
 func (s *Sim) attach(id uint32) {
 	client := &s.clients[id]
 	server := s.servers[client.server]
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -7,40 +7,40 @@
 	"lockroad/balancer"
 )
 
-// clientState is what a client does now.
+// clientState is the state of a client.
 type clientState uint8
 
 const (
-	stateGone       clientState = iota // its index may be used again
-	stateConnecting                    // on its way to a relay
-	stateWaiting                       // for the answer to its request
-	stateEstablished
-	stateAway // it returns by itself, or has given up
+	stateGone        clientState = iota // it has left; its index may be reused
+	stateConnecting                     // its request is on the way to a relay
+	stateWaiting                        // its request is with a relay
+	stateEstablished                    // it has a connection to a server
+	stateAway                           // it connects again later, or has given up
 )
 
-// clientModel is one client, for as long as it wants service.
+// clientModel is one client, from its arrival until its lifetime ends.
 type clientModel struct {
 	state             clientState
 	class             uint8
-	returning         bool
+	returning         bool // it was established before
 	retries           uint8
 	zone              uint8
-	load              float32 // in mean connections, as it is now
-	meanLoad          float32 // as it is on average
+	load              float32 // current load, in mean connections
+	meanLoad          float32 // mean over the connection's time
 	group             uint32
-	generation        uint32 // grows with each change of state
+	generation        uint32 // incremented with changes of state, which invalidates scheduled events
 	relay             uint32
 	server            int32  // of its attempt or connection; -1: none
-	attemptGeneration uint32 // grows with each attempt, and with its end
+	attemptGeneration uint32 // incremented at the start and end of each attempt
 	connIndex         int32  // its index in the server's conns
 	leavesAt          time.Duration
-	requestedAt       time.Duration // since when it waits, in this session
-	arrivedAt         time.Duration // first of all
+	requestedAt       time.Duration // when it last connected to a relay
+	arrivedAt         time.Duration // when it first connected
 	requestID         balancer.RequestID
-	serverSilent      bool // its server hangs, and its relay will notice
+	serverSilent      bool // its server hangs, and a heartbeat timeout is scheduled
 }
 
-// newClient makes a client arrive for the first time.
+// newClient adds a client, which connects to a relay.
 func (s *Sim) newClient() {
 	var id uint32
 	if n := len(s.freeClients); n > 0 {
@@ -76,14 +76,14 @@
 	return drawn
 }
 
-// drawGroup draws a group by Zipf's law.
+// drawGroup draws a group by popularity.
 func (s *Sim) drawGroup() uint32 {
 	x := s.rng.Float64() * s.groupWeights[len(s.groupWeights)-1]
 	return uint32(sort.Search(len(s.groupWeights)-1, func(i int) bool { return s.groupWeights[i] >= x }))
 }
 
-// chooseRelay chooses as the balancer before the relays does: any relay of the zone that is
-// up, else any that is up.
+// chooseRelay draws one of the relays that are up: of the client's zone if there are any, else of
+// all zones. It reports false if no relay is up.
 func (s *Sim) chooseRelay(zone int) (uint32, bool) {
 	found, candidates := uint32(0), 0
 	for _, anyZone := range []bool{false, true} {
@@ -101,12 +101,12 @@
 	return 0, false
 }
 
-// connect makes a client connect to a relay.
+// connect sends a client's request to a relay.
 func (s *Sim) connect(id uint32) {
 	client := &s.clients[id]
 	relay, ok := s.chooseRelay(int(client.zone))
 	client.state, client.requestedAt = stateConnecting, s.now
-	if !ok { // no relay is up
+	if !ok {
 		s.retry(id, 0)
 		return
 	}
@@ -114,7 +114,7 @@
 	s.schedule(s.uniformDuration(s.ClientDelay), scheduledEvent{kind: eventRequestArrives, subject: id, generation: client.generation})
 }
 
-// requestArrives makes a relay handle a client's request.
+// requestArrives passes a client's request to its relay.
 func (s *Sim) requestArrives(event scheduledEvent) {
 	client := &s.clients[event.subject]
 	if client.state != stateConnecting || client.generation != event.generation {
@@ -135,15 +135,15 @@
 	s.handle(client.relay, balancer.Request{ID: client.requestID, Class: int(client.class), Item: uint64(event.subject) + 1, Group: uint64(client.group) + 1, TimeLeft: client.requestedAt + class.Deadline - s.now, Returning: client.returning})
 }
 
-// retry makes a client that was not served return after a while, unless it has done so too
-// often. Most respect a retry-after; 0 is none.
+// retry schedules the next connection of a client that was not served, unless it has used up its
+// retries. A retryAfter of 0 means that the rejection carried none.
 func (s *Sim) retry(id uint32, retryAfter time.Duration) {
 	client := &s.clients[id]
 	client.generation++
 	s.push(scheduledEvent{at: client.leavesAt, kind: eventLifetimeEnds, subject: id, generation: client.generation})
 	client.state, client.server = stateAway, -1
 	if client.retries++; int(client.retries) > s.MaxRetries {
-		return // it has given up, and is counted as wanting service until its end
+		return // it has given up, and counts as demand until its lifetime ends
 	}
 	wait := s.uniformDuration(s.Backoff) << (client.retries - 1)
 	if retryAfter > 0 && s.rng.Float64() < s.RetryAfterCompliance {
@@ -152,7 +152,7 @@
 	s.schedule(wait, scheduledEvent{kind: eventClientReturns, subject: id, generation: client.generation})
 }
 
-// returnAfter makes a client that was migrated or cut off return.
+// returnAfter schedules the next connection of a client that was migrated or disconnected.
 func (s *Sim) returnAfter(id uint32, after time.Duration) {
 	client := &s.clients[id]
 	client.generation++
@@ -161,7 +161,7 @@
 	s.schedule(after, scheduledEvent{kind: eventClientReturns, subject: id, generation: client.generation})
 }
 
-// lifetimeEnds makes a client leave for good.
+// lifetimeEnds removes a client and ends its request or connection.
 func (s *Sim) lifetimeEnds(event scheduledEvent) {
 	client := &s.clients[event.subject]
 	if client.generation != event.generation || client.state == stateGone {
@@ -181,7 +181,7 @@
 	s.freeClients = append(s.freeClients, event.subject)
 }
 
-// abandonRequest notifies a relay that a waiting client has left.
+// abandonRequest ends the request of a waiting client that no longer waits.
 func (s *Sim) abandonRequest(id uint32) {
 	client := &s.clients[id]
 	s.cancelAttempt(client)
@@ -199,7 +199,7 @@
 	s.handle(relayIndex, outcome)
 }
 
-// detach removes an established client from its server.
+// detach removes an established client from its server's connections.
 func (s *Sim) detach(id uint32) {
 	client := &s.clients[id]
 	server := s.servers[client.server]
@@ -215,8 +215,8 @@
 	}
 }
 
-// breakConnection ends an established connection, other than by its client or its relay. The
-// client returns after a time.
+// breakConnection ends an established connection with a status other than its regular end. The
+// client connects again after a delay.
 func (s *Sim) breakConnection(id uint32, status balancer.AttemptStatus, after time.Duration) {
 	client := &s.clients[id]
 	s.detach(id)
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -4,42 +4,42 @@
 	"time"
 )
 
-// eventKind is what happens at an event.
+// eventKind says how an event is handled.
 type eventKind uint8
 
 const (
-	eventClientArrives    eventKind = iota // the next new client
+	eventClientArrives    eventKind = iota // a new client arrives
 	eventRequestArrives                    // a client's request reaches its relay
-	eventTimer                             // of a relay: token
+	eventTimer                             // a relay's timer expires; generation is its token
 	eventAttemptArrives                    // an attempt reaches its server
-	eventAttemptResult                     // a server's answer reaches the relay: status
-	eventAttemptTimeout                    // a relay waits no longer for an attempt
-	eventDeadline                          // a client waits no longer
+	eventAttemptResult                     // a server's answer reaches the relay; value is its status
+	eventAttemptTimeout                    // an attempt times out
+	eventDeadline                          // a client's request reaches its deadline
 	eventLifetimeEnds                      // a client leaves for good
-	eventClientReturns                     // a client returns
-	eventHeartbeatTimeout                  // a relay notices that a server hangs
+	eventClientReturns                     // a client connects again
+	eventHeartbeatTimeout                  // a relay gives up the connection of a hung server
 	eventListUpdate                        // an update of the endpoint list reaches a relay
 	eventProbesDue                         // a relay sends the probes that are due
 	eventProbeResult                       // the result of a probe reaches its relay
-	eventTick
-	eventScriptedAction
-	eventMigrateClients // a server that drains migrates clients
-	eventServerStops    // a server that drained, or is killed, stops
-	eventServerRecovers
-	eventRelayStarts // a relay restarts
+	eventTick                              // servers' delays and the statistics are updated
+	eventScriptedAction                    // an action of the script begins
+	eventMigrateClients                    // a draining server migrates clients
+	eventServerStops                       // a server stops after its drain, or fails if generation is 1
+	eventServerRecovers                    // a server is up and fast again
+	eventRelayStarts                       // a relay starts again
 )
 
+// scheduledEvent is an event in the queue.
 type scheduledEvent struct {
 	at         time.Duration
 	sequence   uint64
 	kind       eventKind
-	subject    uint32 // of a client, relay or server
-	generation uint32 // of the client's state or attempt that it is about, or a timer's token
-	value      uint32 // by kind: a status, a server, an action, an incarnation
+	subject    uint32 // index of a client or relay
+	generation uint32 // of the client's state or attempt, incarnation of the relay, or token of a timer
+	value      uint32 // by kind: a status, a delay, or the index of a server or action
 }
 
-// eventQueue is a heap of events, the next on top; events of one time are in the order in
-// which they were scheduled.
+// eventQueue is a binary min-heap of events by time, then by sequence number.
 type eventQueue []scheduledEvent
 
 func (q eventQueue) less(i, j int) bool {
--- a/internal/simulation/healthchecks.go
+++ b/internal/simulation/healthchecks.go
@@ -9,16 +9,14 @@
 	"lockroad/internal/healthcheck"
 )
 
-// In a world with probes, relays find out by themselves which servers are up, by the code of
-// internal/healthcheck, instead of by an endpoint list.
-
-// memberName is a server's name, which sorts as its number does.
+// memberName returns the name of a server in the health checks; names sort by server index.
 func memberName(serverIndex int) string { return fmt.Sprintf("%06d", serverIndex) }
 
+// memberIndex returns the server index of a member's name.
 func memberIndex(name string) int32 {
 	serverIndex, err := strconv.Atoi(name)
 	if err != nil {
-		panic(err) // all names are memberName's
+		panic(err) // not a name from memberName
 	}
 	return int32(serverIndex)
 }
@@ -30,7 +28,7 @@
 	return names
 }
 
-// startHealthChecks starts the health checks of a relay; all servers count as up at first.
+// startHealthChecks starts the health checks of a relay, in which all servers are up at first.
 func (s *Sim) startHealthChecks(id uint32) {
 	relay := s.relays[id]
 	relay.health = healthcheck.New(s.HealthCheckSettings, s.memberNames(), s.now)
@@ -60,7 +58,7 @@
 	s.push(scheduledEvent{at: next, kind: eventProbesDue, subject: id, generation: relay.incarnation})
 }
 
-// probeResult makes a relay's health check handle the result of a probe.
+// probeResult passes the result of a probe to a relay's health checks.
 func (s *Sim) probeResult(event scheduledEvent) {
 	if relay := s.relays[event.subject]; relay.up && relay.incarnation == event.generation {
 		relay.health.ProbeEnded(s.now, memberName(int(event.value>>1)), event.value&1 == 1, "")
@@ -68,40 +66,40 @@
 	}
 }
 
-// recordAttempt makes a relay's health check handle the status of an attempt.
-func (s *Sim) recordAttempt(id uint32, serverIndex int32, how balancer.AttemptStatus) {
-	if relay := s.relays[id]; relay.health != nil && how != balancer.StatusNotSent && how != balancer.StatusCancelled {
-		relay.health.AttemptEnded(s.now, memberName(int(serverIndex)), how == balancer.StatusOK || how == balancer.StatusFull || how == balancer.StatusRedirected, "")
+// recordAttempt passes the status of an attempt to a relay's health checks.
+func (s *Sim) recordAttempt(id uint32, serverIndex int32, status balancer.AttemptStatus) {
+	if relay := s.relays[id]; relay.health != nil && status != balancer.StatusNotSent && status != balancer.StatusCancelled {
+		relay.health.AttemptEnded(s.now, memberName(int(serverIndex)), status == balancer.StatusOK || status == balancer.StatusFull || status == balancer.StatusRedirected, "")
 		s.applyHealthChanges(id)
 	}
 }
 
-// applyHealthChanges makes a relay's decider handle changes of its health checks.
+// applyHealthChanges passes state changes in a relay's health checks to its decider.
 func (s *Sim) applyHealthChanges(id uint32) {
-	for _, c := range s.relays[id].health.Changes() {
-		serverIndex := int(memberIndex(c.Name))
-		line := s.listEntry(serverIndex)
-		line.State, line.StartedAt = balancer.StateReady, c.RecoveredAt
-		if c.State == healthcheck.StateDown {
-			line.State = balancer.StateGone
+	for _, change := range s.relays[id].health.Changes() {
+		serverIndex := int(memberIndex(change.Name))
+		entry := s.listEntry(serverIndex)
+		entry.State, entry.StartedAt = balancer.StateReady, change.RecoveredAt
+		if change.State == healthcheck.StateDown {
+			entry.State = balancer.StateGone
 		}
-		s.countDetection(id, serverIndex, line.State)
-		s.handle(id, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{line}})
+		s.countDetection(id, serverIndex, entry.State)
+		s.handle(id, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{entry}})
 	}
 }
 
-// countDetection counts the notification of a relay that a server is gone: how late it is, or
-// that it is false.
+// countDetection counts the notification of a relay that a server is gone: its delay if the server
+// is down or hung, a false alarm if the server is ready.
 func (s *Sim) countDetection(id uint32, serverIndex int, state balancer.EndpointState) {
-	server, a := s.servers[serverIndex], &s.statistics
+	server, stats := s.servers[serverIndex], &s.statistics
 	gone := server.down || server.hung
 	switch {
 	case state == balancer.StateReady || s.now < startTime:
 	case gone && !server.relaysNotifiedGone[id]:
 		server.relaysNotifiedGone[id] = true
-		a.detections++
-		a.detectionTime += s.now - server.unavailableSince
+		stats.detections++
+		stats.detectionTime += s.now - server.unavailableSince
 	case !gone && server.state == balancer.StateReady:
-		a.falseAlarms++
+		stats.falseAlarms++
 	}
 }
--- a/internal/simulation/parameters.go
+++ b/internal/simulation/parameters.go
@@ -11,7 +11,7 @@
 	"lockroad/internal/sexp"
 )
 
-// worldParameters are the parameters of a world that an experiment may set, by name.
+// worldParameters has the setters of the parameters that an experiment may set, by name.
 var worldParameters = map[string]func(world *World, node *sexp.Node) error{
 	"servers":    intParameter(1, 5000, func(world *World, value int) { world.Servers = value }),
 	"relays":     intParameter(1, MaxRelays, func(world *World, value int) { world.Relays = value }),
@@ -54,24 +54,24 @@
 	"silence": durationParameter(func(world *World, duration time.Duration) { world.HeartbeatTimeout = duration }),
 }
 
-// numberWithin reads a number within bounds.
-func numberWithin(node *sexp.Node, least, most float64) (float64, error) {
+// parseNumber parses a number within bounds.
+func parseNumber(node *sexp.Node, minimum, maximum float64) (float64, error) {
 	word, err := node.Value()
 	if err != nil {
 		return 0, err
 	}
 	value, err := strconv.ParseFloat(word, 64)
-	if err != nil || !(value >= least && value <= most) {
-		return 0, node.Errorf("%s is not within %v and %v", word, least, most)
+	if err != nil || !(value >= minimum && value <= maximum) {
+		return 0, node.Errorf("%s is not a number between %v and %v", word, minimum, maximum)
 	}
 	return value, nil
 }
 
-func intParameter(least, most int, set func(*World, int)) func(*World, *sexp.Node) error {
+func intParameter(minimum, maximum int, set func(*World, int)) func(*World, *sexp.Node) error {
 	return func(world *World, node *sexp.Node) error {
-		value, err := numberWithin(node, float64(least), float64(most))
+		value, err := parseNumber(node, float64(minimum), float64(maximum))
 		if err == nil && value != math.Trunc(value) {
-			err = node.Errorf("%v is no whole number", value)
+			err = node.Errorf("%v is not an integer", value)
 		}
 		if err == nil {
 			set(world, int(value))
@@ -80,9 +80,9 @@
 	}
 }
 
-func floatParameter(least, most float64, set func(*World, float64)) func(*World, *sexp.Node) error {
+func floatParameter(minimum, maximum float64, set func(*World, float64)) func(*World, *sexp.Node) error {
 	return func(world *World, node *sexp.Node) error {
-		value, err := numberWithin(node, least, most)
+		value, err := parseNumber(node, minimum, maximum)
 		if err == nil {
 			set(world, value)
 		}
@@ -100,14 +100,14 @@
 	}
 }
 
-// ParameterNames are the names of what Set sets, in order.
+// ParameterNames returns the names that SetParameter accepts, sorted.
 func ParameterNames() []string { return slices.Sorted(maps.Keys(worldParameters)) }
 
-// SetParameter sets a parameter of the world by its name. An error names the value's place.
+// SetParameter sets a parameter of the world by its name. Errors name line and column of the value.
 func (w *World) SetParameter(name string, value *sexp.Node) error {
 	set, ok := worldParameters[name]
 	if !ok {
-		return value.Errorf("a world has no %q; expected one of %s", name, strings.Join(ParameterNames(), ", "))
+		return value.Errorf("unknown world parameter %q; expected one of %s", name, strings.Join(ParameterNames(), ", "))
 	}
 	return set(w, value)
 }
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -11,37 +11,39 @@
 	"lockroad/balancer"
 )
 
-// Policies are the balancer and those that it is compared with, by their published rules:
+// Policies are the balancer, variants of it and baselines:
 //
-//   - module: balancer.Balancer, the decisions of a relay.
-//   - module-no-zones, module-no-notes, module-no-routes: the same without the preference
-//     for servers of the own zone; without reports of servers' delays, and so without
-//     outliers, relief and recovery; and with no group, so without cached routes and with a draw
-//     by chance instead of by hash.
-//   - random: any ready server not yet tried.
+//   - module: balancer.Balancer.
+//   - module-no-zones: the balancer without its preference for servers in the relay's zone.
+//   - module-no-notes: the balancer without reports of servers' delays, and so without outlier
+//     detection and relief.
+//   - module-no-routes: the balancer without groups, and so without cached routes and with
+//     draws that are random instead of hashed.
+//   - random: any ready server that the request has not tried.
 //   - round-robin: the ready servers in turn, from a random one on.
-//   - least-connections: the ready server with the fewest of this relay's connections.
-//   - two-choices: of two at random the one with fewer (Mitzenmacher's power of two).
-//   - bounded-hash: rendezvous hashing by group with bounded loads (Mirrokni and others):
-//     the first by hash that has under 1.25 times the mean of this relay's connections.
-//   - oracle: sees the true state of all servers; the upper bound of placement, as it migrates nobody.
+//   - least-connections: the ready server with the fewest connections of this relay.
+//   - two-choices: of two random ready servers, the one with fewer connections of this relay.
+//   - bounded-hash: rendezvous hashing by group with bounded loads: the first server by hash
+//     with fewer than 1.25 times the mean of this relay's connections.
+//   - oracle: the ready server with the lowest utilization by the true state of all servers, an
+//     upper bound of placement. It does not move connections to balance load.
 var Policies = []Policy{
-	{"module", func(s *Sim, r int) Decider {
-		return balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64())
+	{"module", func(s *Sim, relayIndex int) Decider {
+		return balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64())
 	}},
-	{"module-no-zones", func(s *Sim, r int) Decider {
-		settings := s.settings(s.relays[r].zone)
+	{"module-no-zones", func(s *Sim, relayIndex int) Decider {
+		settings := s.settings(s.relays[relayIndex].zone)
 		settings.CrossZoneCost = 0
 		return balancer.New(settings, s.rng.Uint64())
 	}},
-	{"module-no-notes", func(s *Sim, r int) Decider {
-		return eventFilter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
-			_, note := ev.(balancer.EndpointDelay)
-			return ev, !note
+	{"module-no-notes", func(s *Sim, relayIndex int) Decider {
+		return eventFilter{balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+			_, isDelay := ev.(balancer.EndpointDelay)
+			return ev, !isDelay
 		}}
 	}},
-	{"module-no-routes", func(s *Sim, r int) Decider {
-		return eventFilter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+	{"module-no-routes", func(s *Sim, relayIndex int) Decider {
+		return eventFilter{balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			if request, ok := ev.(balancer.Request); ok {
 				request.Group, request.Item = 0, 0
 				return request, true
@@ -98,13 +100,13 @@
 	})},
 }
 
-// eventFilter is a decider that does not get all events, or not as they are.
+// eventFilter is a decider whose events are transformed, or dropped if transform reports false.
 type eventFilter struct {
 	Decider
 	transform func(balancer.Event) (balancer.Event, bool)
 }
 
-// Handle passes on what the decider gets.
+// Handle passes the transformed event to the decider.
 func (w eventFilter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	if ev, ok := w.transform(ev); ok {
 		return w.Decider.Handle(now, ev)
@@ -121,6 +123,7 @@
 	return Policies[i], true
 }
 
+// rendezvous returns the weight of a server for a group in rendezvous hashing.
 func rendezvous(group uint64, id balancer.EndpointID) uint64 {
 	h := fnv.New64a()
 	var b [12]byte
@@ -134,9 +137,8 @@
 	return h.Sum64()
 }
 
-// baseline is a policy that knows no more than the endpoint list and its own connections. It
-// retries at other servers, backing off as the balancer does, and migrates the clients of a
-// server that drains.
+// baseline is a decider that chooses by the endpoint list and its own connections. It retries
+// at other servers with exponential backoff, and migrates the clients of draining servers.
 type baseline struct {
 	sim             *Sim
 	rng             *rand.Rand
@@ -153,12 +155,14 @@
 	candidates      []*knownEndpoint
 }
 
+// knownEndpoint is a server in a baseline's endpoint list, with the connections of this relay.
 type knownEndpoint struct {
 	balancer.Endpoint
 	conns    int
 	requests map[balancer.RequestID]bool
 }
 
+// pendingRequest is a request that waits or is established at a baseline.
 type pendingRequest struct {
 	balancer.Request
 	deadline    time.Duration
@@ -169,6 +173,7 @@
 	timer       uint32
 }
 
+// baselinePolicy returns the constructor of baselines that choose among the ready servers not yet tried.
 func baselinePolicy(choose func(*baseline, *pendingRequest, []*knownEndpoint) *knownEndpoint) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
 		return &baseline{sim: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, endpoints: make(map[balancer.EndpointID]*knownEndpoint),
@@ -176,24 +181,24 @@
 	}
 }
 
-// trueUtilization is the utilization that a server would have with a new connection of a group, by
-// its true state.
+// trueUtilization returns the utilization that a server would have with a new connection of a
+// group. It is lowered by 1 where the server already serves the group.
 func (p *baseline) trueUtilization(endpoint *knownEndpoint, group uint32) float64 {
-	v := p.sim.servers[endpoint.ID-1]
-	if v.down || v.hung || v.draining {
+	server := p.sim.servers[endpoint.ID-1]
+	if server.down || server.hung || server.draining {
 		return math.Inf(1)
 	}
-	capacity := v.capacity * v.speedFactor * p.sim.slowStartShare(v)
-	if full := (v.load+1+float64(v.pendingAttempts))/capacity + v.backlog.Seconds(); v.connectionsByGroup[group] > 0 && full < oracleGroupLimit {
-		return full - 1 // it need not pay for the group again
+	capacity := server.capacity * server.speedFactor * p.sim.slowStartShare(server)
+	if utilization := (server.load+1+float64(server.pendingAttempts))/capacity + server.backlog.Seconds(); server.connectionsByGroup[group] > 0 && utilization < oracleGroupLimit {
+		return utilization - 1 // prefers servers that already serve the group
 	}
-	return (v.load+1+p.sim.GroupCost+float64(v.pendingAttempts))/capacity + v.backlog.Seconds()
+	return (server.load+1+p.sim.GroupCost+float64(server.pendingAttempts))/capacity + server.backlog.Seconds()
 }
 
-// oracleGroupLimit is the utilization up to which the oracle keeps a group together.
+// oracleGroupLimit is the utilization below which the oracle keeps a group on a server that serves it.
 const oracleGroupLimit = 0.75
 
-// Handle takes an event and returns what to do.
+// Handle implements Decider.
 func (p *baseline) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	p.actions = p.actions[:0]
 	switch ev := ev.(type) {
@@ -268,7 +273,7 @@
 	delete(p.requests, request.ID)
 }
 
-// sendAttempt sends an sendAttempt, or rejects the request where there is no server.
+// sendAttempt sends an attempt to a ready server not yet tried, or rejects the request if there is none.
 func (p *baseline) sendAttempt(now time.Duration, request *pendingRequest) {
 	p.candidates = p.candidates[:0]
 	for _, endpoint := range p.sortedEndpoints {
@@ -282,25 +287,26 @@
 	}
 	request.endpoint = p.choose(p, request, p.candidates)
 	request.attempts++
-	wait := request.deadline - now
+	timeout := request.deadline - now
 	if request.attempts < p.maxAttempts {
-		wait /= 2
+		timeout /= 2
 	}
-	p.actions = append(p.actions, balancer.SendAttempt{Request: request.ID, Endpoint: request.endpoint.ID, Timeout: wait})
+	p.actions = append(p.actions, balancer.SendAttempt{Request: request.ID, Endpoint: request.endpoint.ID, Timeout: timeout})
 }
 
-func (p *baseline) updateList(l balancer.EndpointList) {
-	for _, line := range l.Endpoints {
-		endpoint := p.endpoints[line.ID]
+// updateList applies an endpoint list and migrates the clients of draining servers.
+func (p *baseline) updateList(list balancer.EndpointList) {
+	for _, entry := range list.Endpoints {
+		endpoint := p.endpoints[entry.ID]
 		if endpoint == nil {
-			endpoint = &knownEndpoint{Endpoint: line, requests: make(map[balancer.RequestID]bool)}
-			p.endpoints[line.ID] = endpoint
+			endpoint = &knownEndpoint{Endpoint: entry, requests: make(map[balancer.RequestID]bool)}
+			p.endpoints[entry.ID] = endpoint
 			p.sortedEndpoints = append(p.sortedEndpoints, endpoint)
 			slices.SortFunc(p.sortedEndpoints, func(x, y *knownEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		}
-		endpoint.Endpoint = line
-		p.highestID = max(p.highestID, int(line.ID))
-		if line.State != balancer.StateDraining {
+		endpoint.Endpoint = entry
+		p.highestID = max(p.highestID, int(entry.ID))
+		if entry.State != balancer.StateDraining {
 			continue
 		}
 		ids := make([]balancer.RequestID, 0, len(endpoint.requests))
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -7,41 +7,41 @@
 	"lockroad/internal/healthcheck"
 )
 
-// relayModel is one relay, with the decider that decides in it.
+// relayModel is one relay with its decider.
 type relayModel struct {
-	health           *healthcheck.Tracker // nil: it is notified of the endpoint list
+	health           *healthcheck.Tracker // nil if it receives an endpoint list
 	zone             int
 	decider          Decider
 	up               bool
 	incarnation      uint32
-	clientsByRequest map[balancer.RequestID]uint32 // by their requests
+	clientsByRequest map[balancer.RequestID]uint32 // indices of clients
 	lastRequestID    balancer.RequestID
 }
 
-// startRelay starts a relay with the endpoint list, and the snapshot of its last incarnation if
-// it has a store.
+// startRelay starts a relay with a new decider and the complete endpoint list, and restores the
+// snapshot of its previous incarnation if the world says so.
 func (s *Sim) startRelay(id uint32) {
 	relay := s.relays[id]
 	relay.up, relay.clientsByRequest = true, make(map[balancer.RequestID]uint32)
 	relay.incarnation++
-	old, _ := relay.decider.(*balancer.Balancer)
+	previous, _ := relay.decider.(*balancer.Balancer)
 	relay.decider = s.newDecider(s, int(id))
-	list := make([]balancer.Endpoint, len(s.servers))
+	endpoints := make([]balancer.Endpoint, len(s.servers))
 	for i := range s.servers {
-		if list[i] = s.listEntry(i); s.UseHealthChecks {
-			list[i].State = balancer.StateReady // as its file says
+		if endpoints[i] = s.listEntry(i); s.UseHealthChecks {
+			endpoints[i].State = balancer.StateReady // until its probes fail
 		}
 	}
-	s.handle(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
+	s.handle(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: endpoints})
 	if s.UseHealthChecks {
 		s.startHealthChecks(id)
 	}
-	if fresh, ok := relay.decider.(*balancer.Balancer); ok && old != nil && s.RestoreSnapshots {
-		fresh.Restore(s.now, old.Snapshot())
+	if current, ok := relay.decider.(*balancer.Balancer); ok && previous != nil && s.RestoreSnapshots {
+		current.Restore(s.now, previous.Snapshot())
 	}
 }
 
-// stopRelay ends a relay: its clients connect again.
+// stopRelay stops a relay. Its clients connect again.
 func (s *Sim) stopRelay(id uint32) {
 	relay := s.relays[id]
 	relay.up = false
@@ -53,7 +53,7 @@
 		switch client.state {
 		case stateEstablished:
 			s.detach(uint32(i))
-			s.statistics.migrations++ // a relay migrates its clients before it ends
+			s.statistics.migrations++ // a relay migrates its clients before it stops
 			s.returnAfter(uint32(i), s.uniformDuration(s.ReturnDelay))
 		case stateWaiting:
 			s.cancelAttempt(client)
@@ -62,7 +62,7 @@
 	}
 }
 
-// handle makes a relay handle an event, and performs its actions.
+// handle passes an event to a relay's decider and performs the returned actions.
 func (s *Sim) handle(id uint32, event balancer.Event) {
 	relay := s.relays[id]
 	if !relay.up {
@@ -95,7 +95,7 @@
 	}
 }
 
-// endRejectedRequest ends the request of a waiting client.
+// endRejectedRequest ends the request of a waiting client that its relay rejected.
 func (s *Sim) endRejectedRequest(id uint32, retryAfter time.Duration) {
 	client := &s.clients[id]
 	if client.state != stateWaiting {
@@ -113,7 +113,7 @@
 	return balancer.Endpoint{ID: s.serverID(int32(serverIndex)), State: server.state, Zone: server.zone, Size: 1, StartedAt: server.startedAt}
 }
 
-// publishServer schedules updates of a server for all relays, each after its delay.
+// publishServer schedules the delivery of a server's list entry to all relays, each after its own delay.
 func (s *Sim) publishServer(serverIndex int) {
 	if s.UseHealthChecks {
 		return
@@ -123,7 +123,7 @@
 	}
 }
 
-// listUpdate makes a relay handle an update of the endpoint list.
+// listUpdate passes an update of the endpoint list to a relay.
 func (s *Sim) listUpdate(event scheduledEvent) {
 	updated := s.listEntry(int(event.value))
 	server := s.servers[event.value]
@@ -138,7 +138,7 @@
 	s.handle(event.subject, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{updated}})
 }
 
-// scheduleHeartbeatTimeout makes a client's relay notice in time that the server hangs.
+// scheduleHeartbeatTimeout schedules when a client's relay gives up the connection to a hung server.
 func (s *Sim) scheduleHeartbeatTimeout(id uint32) {
 	client := &s.clients[id]
 	client.serverSilent = true
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -4,27 +4,28 @@
 	"time"
 )
 
-// Annotation is something that happened, for plots.
+// Annotation is the start of a scripted action, which plots mark.
 type Annotation struct {
 	At   time.Duration // since the start
 	Text string
 }
 
-// ClassResult is how clients of a class were served.
+// ClassResult has the figures of a class of clients.
 type ClassResult struct {
 	Name        string  `json:"name"`
-	Service     float64 `json:"service"` // worth of well-served seconds over those asked for
-	P50         float64 `json:"p50_ms"`  // of a client's coming to its being up
+	Service     float64 `json:"service"` // share of demanded client seconds that were served within the message objective
+	P50         float64 `json:"p50_ms"`  // of the time from a request to its connection
 	P99         float64 `json:"p99_ms"`
-	InObjective float64 `json:"in_aim"` // part of set-ups within the wanted time
+	InObjective float64 `json:"in_aim"` // share of set-ups within the latency objective
 }
 
-// Result is what came of a run.
+// Result has the figures of a run. Service is the weighted share of demanded client seconds that were
+// served within the message objective.
 type Result struct {
-	Score                float64       `json:"g"` // 60% service, 5% the worst 10 s, 35% the worst class, less the price of moves
+	Score                float64       `json:"g"` // 60% service, 5% the worst 10 s, 35% the worst class, less the cost of migrations
 	Service              float64       `json:"service"`
 	WorstTenSeconds      float64       `json:"worst_10s"`
-	WorstTenSecondsStart float64       `json:"worst_at_s"` // where those 10 s begin
+	WorstTenSecondsStart float64       `json:"worst_at_s"` // start of the 10 s with the least service
 	Classes              []ClassResult `json:"classes"`
 	Clients              int           `json:"clients"`
 	Requests             int           `json:"visits"`
@@ -36,33 +37,34 @@
 	HeartbeatTimeouts    int           `json:"silent"`
 	BrokenConnections    int           `json:"broken"`
 	CrossZoneAttempts    int           `json:"crossed"`
-	LateAfterDrain       int           `json:"late_after_drain"` // passes to a server over 500 ms after its drain was told
-	Overloaded           int           `json:"tipped"`           // cold servers that fell over
+	LateAfterDrain       int           `json:"late_after_drain"` // attempts at a server over 500 ms after the relay was notified of its drain
+	Overloaded           int           `json:"tipped"`           // servers that failed from overload during their slow start
 	AttemptsPerRequest   float64       `json:"attempts_a_visit"`
-	LoadSpread           float64       `json:"load_spread"` // standard deviation of servers' load against what they can do, mean over time
+	LoadSpread           float64       `json:"load_spread"` // standard deviation of servers' utilization, averaged over time
 	ServersPerGroup      float64       `json:"servers_a_group"`
-	Recovery             float64       `json:"recovery_s"` // from the first mark until service is at 95% of what it was before, for 3 s; -1 if it never was
+	Recovery             float64       `json:"recovery_s"` // from the first action until service is at 95% of its level before, for 3 s; -1 if it never is
 	Probes               int           `json:"probes"`
-	DetectionTime        float64       `json:"found_in_s"`   // from a server's dying or hanging until a relay was told that it is gone; 0 if none was
-	FalseAlarms          int           `json:"false_alarms"` // times that a relay was told so of a server that was well
+	DetectionTime        float64       `json:"found_in_s"`   // mean time from a server's failure until a relay was notified; 0 if none was
+	FalseAlarms          int           `json:"false_alarms"` // notifications of a failure of a ready server
 	Events               uint64        `json:"events"`
 	RunTime              float64       `json:"took_s"`
-	Established          int           `json:"standing"` // at the end
+	Established          int           `json:"standing"` // connections at the end
 
 	Seconds     []Second     `json:"-"`
 	Annotations []Annotation `json:"-"`
 }
 
-// Second is a second of a run.
+// Second has the figures of one second of a run.
 type Second struct {
-	Service                        float64 // of its worth
+	Service                        float64 // share of the demand
 	Demand                         float64
 	Established                    int
-	MaxUtilization, MinUtilization float64 // load of the fullest and the emptiest server, against what they can do
+	MaxUtilization, MinUtilization float64 // of any server
 	MeanUtilization                float64
 	Migrations                     int
 }
 
+// ratio returns x/y, or 1 if y is 0.
 func ratio(x, y float64) float64 {
 	if y == 0 {
 		return 1
@@ -70,52 +72,52 @@
 	return x / y
 }
 
-// result adds it all up.
-func (a *statistics) result(s *Sim, took time.Duration) *Result {
+// result computes the figures of a run from its statistics.
+func (a *statistics) result(s *Sim, runTime time.Duration) *Result {
 	r := &Result{
 		Clients: a.clients, Requests: a.requests, Attempts: a.attempts, FailedAttempts: a.failedAttempts, Rejected: a.rejected, GaveUp: a.gaveUp, Migrations: a.migrations, HeartbeatTimeouts: a.heartbeatTimeouts,
-		BrokenConnections: a.brokenConnections, CrossZoneAttempts: a.crossZoneAttempts, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.eventCount, RunTime: took.Seconds(), ServersPerGroup: a.serversPerGroup,
+		BrokenConnections: a.brokenConnections, CrossZoneAttempts: a.crossZoneAttempts, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.eventCount, RunTime: runTime.Seconds(), ServersPerGroup: a.serversPerGroup,
 		Seconds: a.seconds, Annotations: a.annotations, AttemptsPerRequest: ratio(float64(a.attempts), float64(a.requests)), LoadSpread: ratio(a.loadSpreadSum, float64(a.loadSpreadCount)),
 	}
 	r.Probes, r.FalseAlarms = a.probes, a.falseAlarms
 	if a.detections > 0 {
 		r.DetectionTime = a.detectionTime.Seconds() / float64(a.detections)
 	}
-	good, asked, worst := 0.0, 0.0, 1.0
+	served, demanded, worst := 0.0, 0.0, 1.0
 	for i, class := range s.Classes {
-		good, asked = good+a.served[i], asked+a.wanted[i]
-		service := min(1, ratio(a.served[i], a.wanted[i]))
+		served, demanded = served+a.served[i], demanded+a.demanded[i]
+		service := min(1, ratio(a.served[i], a.demanded[i]))
 		worst = min(worst, service)
 		histogram := a.setupTimes[i]
 		r.Classes = append(r.Classes, ClassResult{Name: class.Name, Service: service, InObjective: ratio(float64(a.inObjective[i]), float64(a.established[i])),
 			P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000})
 	}
-	r.Service = min(1, ratio(good, asked))
+	r.Service = min(1, ratio(served, demanded))
 	r.WorstTenSeconds = 1
 	for i := 0; i+10 <= len(a.seconds); i++ {
-		good, asked := 0.0, 0.0
-		for _, x := range a.seconds[i : i+10] {
-			good, asked = good+x.Service*x.Demand, asked+x.Demand
+		served, demanded := 0.0, 0.0
+		for _, second := range a.seconds[i : i+10] {
+			served, demanded = served+second.Service*second.Demand, demanded+second.Demand
 		}
-		if w := ratio(good, asked); w < r.WorstTenSeconds {
-			r.WorstTenSeconds, r.WorstTenSecondsStart = w, float64(i)
+		if service := ratio(served, demanded); service < r.WorstTenSeconds {
+			r.WorstTenSeconds, r.WorstTenSecondsStart = service, float64(i)
 		}
 	}
 	r.Score = 0.6*r.Service + 0.05*r.WorstTenSeconds + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
 	r.Recovery = recoveryTime(a.seconds, a.annotations)
-	for _, v := range s.servers {
-		r.Established += len(v.conns)
+	for _, server := range s.servers {
+		r.Established += len(server.conns)
 	}
 	return r
 }
 
-// recoveryTime is how long after the first mark service is at 95% of what it was in the 5 s
-// before it, for 3 s on end; 0 if it never fell below.
-func recoveryTime(seconds []Second, marks []Annotation) float64 {
-	if len(marks) == 0 {
+// recoveryTime returns the seconds from the first action until service has been at 95% of its mean in
+// the 5 s before the action for 3 s in a row: 0 if it never fell below, -1 if it never recovers.
+func recoveryTime(seconds []Second, annotations []Annotation) float64 {
+	if len(annotations) == 0 {
 		return 0
 	}
-	from := int(marks[0].At / time.Second)
+	from := int(annotations[0].At / time.Second)
 	if from < 1 || from >= len(seconds) {
 		return 0
 	}
@@ -130,7 +132,7 @@
 			fell = true
 			continue
 		}
-		if well := i+3 <= len(seconds) && seconds[i+1].Service >= 0.95*before && seconds[i+2].Service >= 0.95*before; fell && well {
+		if recovered := i+3 <= len(seconds) && seconds[i+1].Service >= 0.95*before && seconds[i+2].Service >= 0.95*before; fell && recovered {
 			return float64(i - from)
 		}
 	}
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -7,68 +7,69 @@
 	"lockroad/balancer"
 )
 
-// serverModel is an application server with its true state.
+// serverModel is an application server.
 type serverModel struct {
 	zone               int
 	speed              float64 // of a core
-	capacity           float64 // mean connections, warm
+	capacity           float64 // mean connections, after its slow start
 	startedAt          time.Duration
 	state              balancer.EndpointState
 	down               bool
 	hung               bool
 	hungAt             time.Duration
-	speedFactor        float64 // of its speed; under 1 while it is slow
+	speedFactor        float64 // below 1 while it is slow
 	conns              []uint32
 	connectionsByGroup map[uint32]int
 	load               float64
-	pendingAttempts    int // in progress at it
+	pendingAttempts    int // of attempts in progress
 	backlog            time.Duration
-	delay              time.Duration   // of a message, as of the last tick
-	setupsDoneAt       time.Duration   // when the set-ups that wait will be done
-	connectionsByClass []int           // connections by class
-	recentSetups       []time.Duration // times of set-ups within TipAfter, while it warms up
-	drainNotifiedAt    []time.Duration // by relay: when it was notified of the drain; 0: not
-	delayReported      []bool          // by relay: the last delay was over the least reported
+	delay              time.Duration   // of a message, at the last tick
+	setupsDoneAt       time.Duration   // when the last queued set-up will be done
+	connectionsByClass []int           // number of connections
+	recentSetups       []time.Duration // times of set-ups within OverloadWindow, during its slow start
+	drainNotifiedAt    []time.Duration // by relay: when it was notified that the server is not ready; 0: not notified
+	delayReported      []bool          // by relay: the last reported delay was over the threshold
 	draining           bool
-	unavailableSince   time.Duration   // if it is down or hung
-	relaysNotifiedGone map[uint32]bool // relays that were notified of that
+	unavailableSince   time.Duration   // while it is down or hung
+	relaysNotifiedGone map[uint32]bool // relays that were notified that it is down or hung
 }
 
+// serverID returns the endpoint ID of a server.
 func (s *Sim) serverID(index int32) balancer.EndpointID { return balancer.EndpointID(index + 1) }
 
-// newServer adds a server, in the zones in turn. startedAt 0 is long ago.
-func (s *Sim) newServer(speed float64, born time.Duration) {
+// newServer adds a server in the next zone. One with a startedAt of 0 has its full capacity.
+func (s *Sim) newServer(speed float64, startedAt time.Duration) {
 	s.servers = append(s.servers, &serverModel{
-		zone: len(s.servers) % s.Zones, speed: speed, capacity: speed * float64(s.CoresPerServer) * s.ConnectionsPerCore, state: balancer.StateReady, speedFactor: 1, startedAt: born,
+		zone: len(s.servers) % s.Zones, speed: speed, capacity: speed * float64(s.CoresPerServer) * s.ConnectionsPerCore, state: balancer.StateReady, speedFactor: 1, startedAt: startedAt,
 		connectionsByGroup: make(map[uint32]int), connectionsByClass: make([]int, len(s.Classes)), drainNotifiedAt: make([]time.Duration, s.Relays), delayReported: make([]bool, s.Relays), relaysNotifiedGone: make(map[uint32]bool),
 	})
 }
 
-// addServer starts another server, which warms up.
+// addServer starts a server, which begins with a slow start.
 func (s *Sim) addServer() {
 	s.newServer(s.uniform(s.Speed), s.now)
 	s.publishServer(len(s.servers) - 1)
-	for id, r := range s.relays {
-		if r.health != nil && r.up { // their files name it
-			r.health.Replace(s.memberNames(), s.now)
+	for id, relay := range s.relays {
+		if relay.health != nil && relay.up {
+			relay.health.Replace(s.memberNames(), s.now)
 			s.applyHealthChanges(uint32(id))
 		}
 	}
 }
 
-// drawServers draws n of the servers that are ready.
+// drawServers draws n of the ready servers, or all if there are fewer.
 func (s *Sim) drawServers(n int) []int {
-	var all []int
+	var ready []int
 	for index, server := range s.servers {
 		if server.state == balancer.StateReady && !server.down && !server.hung {
-			all = append(all, index)
+			ready = append(ready, index)
 		}
 	}
-	s.rng.Shuffle(len(all), func(index, j int) { all[index], all[j] = all[j], all[index] })
-	return all[:min(n, len(all))]
+	s.rng.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
+	return ready[:min(n, len(ready))]
 }
 
-// slowStartShare returns the share of its capacity that a server has by now.
+// slowStartShare returns the share of its capacity that a server has now.
 func (s *Sim) slowStartShare(server *serverModel) float64 {
 	if server.startedAt == 0 || s.now >= server.startedAt+s.SlowStartDuration {
 		return 1
@@ -76,7 +77,7 @@
 	return s.InitialCapacity + (1-s.InitialCapacity)*float64(s.now-server.startedAt)/float64(s.SlowStartDuration)
 }
 
-// checkOverload makes a server fail that gets too many set-ups while it warms up.
+// checkOverload stops a server that received too many set-ups during its slow start.
 func (s *Sim) checkOverload(server *serverModel) {
 	if s.slowStartShare(server) >= 1 {
 		server.recentSetups = server.recentSetups[:0]
@@ -90,8 +91,8 @@
 	sustained := server.capacity * s.slowStartShare(server) / s.MeanLifetime.Seconds() * s.OverloadWindow.Seconds()
 	if float64(len(server.recentSetups)) > max(2, s.OverloadMultiple*sustained) {
 		s.statistics.overloaded++
-		for index, one := range s.servers {
-			if one == server {
+		for index, candidate := range s.servers {
+			if candidate == server {
 				s.stopServer(index, true)
 				s.schedule(s.OverloadDowntime, scheduledEvent{kind: eventServerRecovers, value: uint32(index)})
 			}
@@ -99,7 +100,7 @@
 	}
 }
 
-// migrateClients makes a server that drains migrate a tenth of its clients.
+// migrateClients migrates a tenth of a draining server's clients, and schedules the next tenth.
 func (s *Sim) migrateClients(index int) {
 	server := s.servers[index]
 	if !server.draining || server.down || len(server.conns) == 0 {
@@ -113,8 +114,8 @@
 	s.schedule(500*time.Millisecond, scheduledEvent{kind: eventMigrateClients, value: uint32(index)})
 }
 
-// stopServer ends a server: its connections break. The end of one that was killed is
-// published.
+// stopServer stops a server and breaks its connections. If it was killed rather than drained, the
+// change is published.
 func (s *Sim) stopServer(index int, killed bool) {
 	server := s.servers[index]
 	if server.down {
@@ -133,7 +134,7 @@
 	}
 }
 
-// recoverServer ends a hang, slowness or downtime; a server that was down has just started.
+// recoverServer ends a server's hang, slowness or downtime. A server that was down starts anew.
 func (s *Sim) recoverServer(index int) {
 	server := s.servers[index]
 	if server.down {
@@ -146,14 +147,13 @@
 	}
 }
 
-// markUnavailable notes since when a server serves nobody.
+// markUnavailable records that a server has gone down or hangs.
 func (s *Sim) markUnavailable(server *serverModel) {
 	server.unavailableSince = s.now
 	clear(server.relaysNotifiedGone)
 }
 
-// tick advances the servers' loads, reports loads and delays to relays once a second, and counts
-// service.
+// tick updates the servers and the statistics. Once per second, it reports loads and delays to relays.
 func (s *Sim) tick() {
 	leastReported := s.leastReportedDelay()
 	newSecond := (s.now-startTime)%time.Second < tickInterval
@@ -176,7 +176,7 @@
 	s.schedule(tickInterval, scheduledEvent{kind: eventTick})
 }
 
-// leastReportedDelay returns the delay from which on servers report theirs.
+// leastReportedDelay returns the threshold above which servers report their delays.
 func (s *Sim) leastReportedDelay() time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, class := range s.Classes {
@@ -187,11 +187,11 @@
 	return least
 }
 
-// updateServer brings a server's backlog and delay up to now, and returns its utilization.
+// updateServer updates a server's backlog and delay, and returns its utilization.
 func (s *Sim) updateServer(server *serverModel) float64 {
 	capacity := server.capacity * server.speedFactor * s.slowStartShare(server)
 	utilization := server.load / capacity
-	// Demand beyond the capacity forms a backlog, which is worked off after.
+	// Load beyond the capacity adds to a backlog, which shrinks when the load falls below it.
 	server.backlog = max(0, server.backlog+time.Duration((utilization-1)*float64(tickInterval)))
 	if server.hung {
 		server.delay = s.now - server.hungAt
@@ -201,11 +201,11 @@
 	return utilization
 }
 
-// minIdleShare bounds the delay of a server that is full.
+// minIdleShare bounds the delay of a saturated server.
 const minIdleShare = 0.05
 
-// messageDelay returns how long a message takes at a server of a utilization: as in M/G/1-PS,
-// up to where the backlog dominates.
+// messageDelay returns the delay of a message at a server without a backlog: that of an M/G/1
+// processor-sharing queue, bounded near saturation.
 func (s *Sim) messageDelay(server *serverModel, utilization float64) time.Duration {
 	return time.Duration(float64(s.IdleMessageTime) / (server.speed * server.speedFactor) / max(minIdleShare, 1-utilization))
 }
@@ -213,7 +213,7 @@
 // changedLoadShare is the share of a server's connections whose load changes each second.
 const changedLoadShare = 0.2
 
-// changeLoads changes the loads of some of a server's connections, and reports them.
+// changeLoads draws new loads for some of a server's connections and reports them to relays.
 func (s *Sim) changeLoads(index int, server *serverModel) {
 	if s.LoadAmplitude == 0 {
 		return
@@ -230,8 +230,8 @@
 	}
 }
 
-// reportDelays reports to the relays that have connections to a server how long messages take
-// there, while that is over the least reported, and once more when it is no longer.
+// reportDelays reports a server's message delay to the relays with connections to it while the
+// delay is over the threshold, and once more when it has fallen below.
 func (s *Sim) reportDelays(index int, server *serverModel, leastReported time.Duration) {
 	over := server.delay > leastReported
 	connected := make([]bool, len(s.relays))
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -8,27 +8,28 @@
 	"lockroad/balancer"
 )
 
-// Decider decides for one relay, as balancer.Balancer does. Its actions are valid until the
-// next call.
+// Decider makes the decisions of one relay, as balancer.Balancer does. The returned actions are
+// valid until the next call.
 type Decider interface {
 	Handle(now time.Duration, ev balancer.Event) []balancer.Action
 }
 
-// Policy makes the Decider of a relay.
+// Policy creates the deciders of relays.
 type Policy struct {
 	Name string
 	Make func(s *Sim, relayIndex int) Decider
 }
 
-// startTime is the clock at the start: well above the times that matter, as in a relay.
+// startTime is the clock when measurement begins. It is far above zero, as a relay's clock is.
 const startTime = time.Hour
 
-// warmUpTime is how long before the start those clients arrive that are established at it.
+// warmUpTime is how long before startTime the initial connections begin to arrive.
 const warmUpTime = 10 * time.Second
 
-const tickInterval = 250 * time.Millisecond // of the servers' loads and the statistics
+// tickInterval is the interval at which servers' delays and the statistics are updated.
+const tickInterval = 250 * time.Millisecond
 
-// Sim is a simulation that runs. One goroutine uses it.
+// Sim is a running simulation. It is not safe for concurrent use.
 type Sim struct {
 	World
 	now            time.Duration
@@ -41,20 +42,20 @@
 	relays         []*relayModel
 	actions        []ScriptedAction
 	newDecider     func(s *Sim, relayIndex int) Decider
-	extraListDelay time.Duration // in addition to the world's Notice
+	extraListDelay time.Duration // added to the world's ListDelay
 	statistics     statistics
-	clientsByClass []int // clients that want service, by class
-	groupWeights   []float64
-	eventCount     uint64 // events handled
+	clientsByClass []int     // clients that have not left, by class
+	groupWeights   []float64 // cumulative popularity
+	eventCount     uint64    // handled events
 
-	loadMean, lifeMean float64 // of the classes' factors, by their shares
+	loadMean, lifeMean float64 // of the classes' factors, weighted by their shares
 	end                time.Duration
 }
 
-// New returns a simulation at its start, with the actions of its script. The world must be
-// valid. Equal arguments give equal results.
-func New(world World, actions []ScriptedAction, p Policy, seed uint64) *Sim {
-	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
+// New returns a simulation that performs the actions of a script. The world must be valid.
+// Equal arguments give equal results.
+func New(world World, actions []ScriptedAction, policy Policy, seed uint64) *Sim {
+	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: policy.Make, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
 	s.statistics.start(s)
 	for _, class := range world.Classes {
 		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
@@ -72,10 +73,10 @@
 		}
 		s.newServer(speed, 0)
 	}
-	// The number of slow machines is exact, and their places are random.
+	// The number of slow machines is exact; which servers run on them is random.
 	s.rng.Shuffle(len(s.servers), func(i, j int) {
-		action, b := s.servers[i], s.servers[j]
-		action.speed, b.speed, action.capacity, b.capacity = b.speed, action.speed, b.capacity, action.capacity
+		a, b := s.servers[i], s.servers[j]
+		a.speed, b.speed, a.capacity, b.capacity = b.speed, a.speed, b.capacity, a.capacity
 	})
 	for i := range world.Relays {
 		relay := &relayModel{zone: i % world.Zones}
@@ -95,31 +96,31 @@
 	return s
 }
 
-// push schedules an event at its time; events of one time keep their order.
+// push schedules an event at its own time; simultaneous events are handled in the order of scheduling.
 func (s *Sim) push(event scheduledEvent) {
 	s.lastSequence++
 	event.sequence = s.lastSequence
 	s.events.push(event)
 }
 
-// schedule schedules an event after a time.
+// schedule schedules an event after a delay.
 func (s *Sim) schedule(after time.Duration, event scheduledEvent) {
 	event.at = s.now + after
 	s.push(event)
 }
 
-// uniform draws from a range.
+// uniform draws a uniformly distributed number.
 func (s *Sim) uniform(bounds [2]float64) float64 {
 	return bounds[0] + (bounds[1]-bounds[0])*s.rng.Float64()
 }
 
-// uniformDuration draws from a range.
+// uniformDuration draws a uniformly distributed duration.
 func (s *Sim) uniformDuration(bounds [2]time.Duration) time.Duration {
 	return bounds[0] + time.Duration(s.rng.Float64()*float64(bounds[1]-bounds[0]))
 }
 
-// Run runs to the end and returns the result. progress, if any, is called now and then with
-// the share that is done.
+// Run runs the simulation to its end and returns the result. progress, unless nil, is called
+// from time to time with the completed share of the duration.
 func (s *Sim) Run(progress func(share float64)) *Result {
 	started := time.Now()
 	for len(s.events) > 0 {
@@ -137,7 +138,7 @@
 	return s.statistics.result(s, time.Since(started))
 }
 
-// handleEvent handles one event.
+// handleEvent dispatches an event. Events of clients, timers and probes that are out of date are ignored.
 func (s *Sim) handleEvent(event scheduledEvent) {
 	switch event.kind {
 	case eventClientArrives:
@@ -156,11 +157,11 @@
 	case eventAttemptResult:
 		s.attemptResult(event)
 	case eventAttemptTimeout:
-		if class := &s.clients[event.subject]; class.state == stateWaiting && class.attemptGeneration == event.generation && class.server >= 0 {
+		if client := &s.clients[event.subject]; client.state == stateWaiting && client.attemptGeneration == event.generation && client.server >= 0 {
 			s.attemptFailed(event.subject, balancer.StatusTimeout)
 		}
 	case eventDeadline:
-		if class := &s.clients[event.subject]; class.state == stateWaiting && class.generation == event.generation {
+		if client := &s.clients[event.subject]; client.state == stateWaiting && client.generation == event.generation {
 			s.abandonRequest(event.subject)
 			s.statistics.gaveUp++
 			s.retry(event.subject, 0)
@@ -168,11 +169,11 @@
 	case eventLifetimeEnds:
 		s.lifetimeEnds(event)
 	case eventClientReturns:
-		if class := &s.clients[event.subject]; class.state == stateAway && class.generation == event.generation {
+		if client := &s.clients[event.subject]; client.state == stateAway && client.generation == event.generation {
 			s.connect(event.subject)
 		}
 	case eventHeartbeatTimeout:
-		if class := &s.clients[event.subject]; class.state == stateEstablished && class.generation == event.generation && class.serverSilent {
+		if client := &s.clients[event.subject]; client.state == stateEstablished && client.generation == event.generation && client.serverSilent {
 			s.statistics.heartbeatTimeouts++
 			s.breakConnection(event.subject, balancer.StatusReset, s.uniformDuration(s.ReturnDelay))
 		}
@@ -199,7 +200,7 @@
 	}
 }
 
-// arrivalRateNow returns the number of new clients a second now.
+// arrivalRateNow returns the current number of new clients per second.
 func (s *Sim) arrivalRateNow() float64 {
 	if s.RateAmplitude == 0 {
 		return s.ArrivalRate
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -8,23 +8,23 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// statistics counts what happens in a simulation.
+// statistics holds the counters and sums of a run.
 type statistics struct {
 	clients, departedClients, requests, attempts, failedAttempts, rejected, gaveUp, migrations, heartbeatTimeouts, brokenConnections, crossZoneAttempts, lateAfterDrain, overloaded int
 
 	probes, detections, falseAlarms int
-	detectionTime                   time.Duration // of all detected, in sum
+	detectionTime                   time.Duration // sum over all detections
 
-	served, wanted []float64 // by class: worth times seconds
-	inObjective    []int
-	established    []int
-	setupTimes     []*hdrhistogram.Histogram
-	annotations    []Annotation
+	served, demanded []float64 // by class: client seconds times the class's weight
+	inObjective      []int
+	established      []int
+	setupTimes       []*hdrhistogram.Histogram
+	annotations      []Annotation
 
 	seconds           []Second
 	current           Second
 	currentServed     float64
-	currentWanted     float64
+	currentDemanded   float64
 	utilizations      []float64
 	loadSpreadSum     float64
 	loadSpreadCount   int
@@ -33,15 +33,16 @@
 	countedMigrations int
 }
 
+// start allocates the counters of the classes.
 func (a *statistics) start(s *Sim) {
 	n := len(s.Classes)
-	a.served, a.wanted, a.inObjective, a.established = make([]float64, n), make([]float64, n), make([]int, n), make([]int, n)
+	a.served, a.demanded, a.inObjective, a.established = make([]float64, n), make([]float64, n), make([]int, n), make([]int, n)
 	for range n {
 		a.setupTimes = append(a.setupTimes, hdrhistogram.New(1, time.Minute.Microseconds(), 2))
 	}
 }
 
-// countEstablished counts a request that was established.
+// countEstablished counts a request whose connection was established.
 func (a *statistics) countEstablished(s *Sim, client *clientModel) {
 	took := s.now - client.requestedAt
 	a.setupTimes[client.class].RecordValue(max(1, took.Microseconds()))
@@ -51,37 +52,38 @@
 	}
 }
 
-// countService counts what a server does in a tick.
-func (a *statistics) countService(s *Sim, server *serverModel, rho float64, dt time.Duration) {
-	a.utilizations = append(a.utilizations, rho)
+// countService counts the service of a server in a tick of length dt.
+func (a *statistics) countService(s *Sim, server *serverModel, utilization float64, dt time.Duration) {
+	a.utilizations = append(a.utilizations, utilization)
 	for i, n := range server.connectionsByClass {
 		if n > 0 && !server.hung && server.delay <= s.Classes[i].MessageLatencyObjective {
-			worth := float64(n) * s.Classes[i].Weight * dt.Seconds()
-			a.served[i] += worth
-			a.currentServed += worth
+			served := float64(n) * s.Classes[i].Weight * dt.Seconds()
+			a.served[i] += served
+			a.currentServed += served
 		}
 		a.current.Established += n
 	}
 }
 
-// tick ends a tick of all servers.
+// tick counts the demand of a tick of length dt, after the service of all servers, and completes the
+// figures of each second.
 func (a *statistics) tick(s *Sim, dt time.Duration) {
 	for i, n := range s.clientsByClass {
-		worth := float64(n) * s.Classes[i].Weight * dt.Seconds()
-		a.wanted[i] += worth
-		a.currentWanted += worth
+		demanded := float64(n) * s.Classes[i].Weight * dt.Seconds()
+		a.demanded[i] += demanded
+		a.currentDemanded += demanded
 	}
 	if len(a.utilizations) > 0 {
 		mean := 0.0
-		for _, r := range a.utilizations {
-			mean += r
+		for _, utilization := range a.utilizations {
+			mean += utilization
 		}
 		mean /= float64(len(a.utilizations))
-		square := 0.0
-		for _, r := range a.utilizations {
-			square += (r - mean) * (r - mean)
+		squares := 0.0
+		for _, utilization := range a.utilizations {
+			squares += (utilization - mean) * (utilization - mean)
 		}
-		a.loadSpreadSum += math.Sqrt(square / float64(len(a.utilizations)))
+		a.loadSpreadSum += math.Sqrt(squares / float64(len(a.utilizations)))
 		a.loadSpreadCount++
 		a.current.MaxUtilization, a.current.MinUtilization, a.current.MeanUtilization = max(a.current.MaxUtilization, slices.Max(a.utilizations)), slices.Min(a.utilizations), mean
 	}
@@ -90,23 +92,23 @@
 		a.current.Established = 0
 		return
 	}
-	groups, copies := make(map[uint32]bool), 0
+	groups, placements := make(map[uint32]bool), 0
 	if a.tickCount%int(5*time.Second/dt) == 0 {
 		for _, server := range s.servers {
-			copies += len(server.connectionsByGroup)
-			for g := range server.connectionsByGroup {
-				groups[g] = true
+			placements += len(server.connectionsByGroup)
+			for group := range server.connectionsByGroup {
+				groups[group] = true
 			}
 		}
 		if len(groups) > 0 {
-			a.serversPerGroup = float64(copies) / float64(len(groups))
+			a.serversPerGroup = float64(placements) / float64(len(groups))
 		}
 	}
-	a.current.Service, a.current.Demand = 1, a.currentWanted
-	if a.currentWanted > 0 {
-		a.current.Service = min(1, a.currentServed/a.currentWanted)
+	a.current.Service, a.current.Demand = 1, a.currentDemanded
+	if a.currentDemanded > 0 {
+		a.current.Service = min(1, a.currentServed/a.currentDemanded)
 	}
 	a.current.Migrations, a.countedMigrations = a.migrations-a.countedMigrations, a.migrations
 	a.seconds = append(a.seconds, a.current)
-	a.current, a.currentServed, a.currentWanted = Second{}, 0, 0
+	a.current, a.currentServed, a.currentDemanded = Second{}, 0, 0
 }
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// queueWorld is a world with one server and one relay that is nothing but a queue of
-// set-ups: no loads, no delays, no retries.
-func queueWorld(cores int, perSecond float64, setUp time.Duration) World {
+// queueWorld returns a world with one server whose set-ups are an M/D/1 queue: no network delays,
+// no failures, no rejections.
+func queueWorld(cores int, arrivalRate float64, setupWork time.Duration) World {
 	world := ReferenceWorld()
 	world.Servers, world.Relays, world.Zones, world.InitialConnections, world.SlowShare = 1, 1, 1, 0, 0
-	world.ArrivalRate, world.RateAmplitude, world.Duration = perSecond, 0, 400*time.Second
+	world.ArrivalRate, world.RateAmplitude, world.Duration = arrivalRate, 0, 400*time.Second
 	world.Speed, world.ConnectionsPerCore, world.CoresPerServer, world.GroupCost = [2]float64{1, 1}, 1e9, cores, 0
-	world.SetupWork, world.SetupQueueLimit = setUp, 1_000_000
+	world.SetupWork, world.SetupQueueLimit = setupWork, 1_000_000
 	world.SameZoneDelay, world.CrossZoneDelay, world.ClientDelay = [2]time.Duration{}, [2]time.Duration{}, [2]time.Duration{}
 	world.MeanLifetime = time.Hour
 	for i := range world.Classes {
@@ -24,81 +24,79 @@
 	return world
 }
 
-// A server's set-ups are a queue with one line and a fixed time each, M/D/1: the mean
-// wait is rho/(2(1-rho)) of a service (Pollaczek and Khinchine).
-func TestSetUpsWaitAsInMD1(t *testing.T) {
+// The mean waiting time in an M/D/1 queue is rho/(2(1-rho)) service times, by the
+// Pollaczek-Khinchine formula.
+func TestSetupWaitMatchesMD1Queue(t *testing.T) {
 	for _, rho := range []float64{0.3, 0.6, 0.8} {
-		const setUp = 20 * time.Millisecond
-		wait, n := 0.0, 0
+		const setupWork = 20 * time.Millisecond
+		totalTime, count := 0.0, 0
 		for seed := range uint64(5) {
-			world := queueWorld(1, rho/setUp.Seconds(), setUp)
+			world := queueWorld(1, rho/setupWork.Seconds(), setupWork)
 			s := New(world, nil, mustFindPolicy("random"), seed)
 			result := s.Run(nil)
 			for i := range s.Classes {
-				h := s.statistics.setupTimes[i]
-				wait += h.Mean() / 1e6 * float64(h.TotalCount())
-				n += int(h.TotalCount())
+				histogram := s.statistics.setupTimes[i]
+				totalTime += histogram.Mean() / 1e6 * float64(histogram.TotalCount())
+				count += int(histogram.TotalCount())
 			}
 			if result.Rejected > 0 || result.FailedAttempts > 0 {
-				t.Fatalf("rho %v: %s", rho, summary(result))
+				t.Fatalf("utilization %v: attempts failed or were rejected: %s", rho, summary(result))
 			}
 		}
-		got := wait/float64(n) - setUp.Seconds()
-		want := rho / (2 * (1 - rho)) * setUp.Seconds()
+		got := totalTime/float64(count) - setupWork.Seconds()
+		want := rho / (2 * (1 - rho)) * setupWork.Seconds()
 		if math.Abs(got-want) > 0.08*want+0.0003 {
-			t.Errorf("rho %v: set-ups wait %.4f s on average, by the closed form %.4f", rho, got, want)
+			t.Errorf("utilization %v: set-ups wait %.4f s on average, want %.4f s", rho, got, want)
 		}
 	}
 }
 
-// A message at a server takes its time over what is left of the server: S/(1-rho), as in
-// a queue that shares its server (M/G/1-PS), whatever the distribution of the work.
-func TestMessagesTakeAsLongAsInMG1PS(t *testing.T) {
+// The mean response time in an M/G/1 processor-sharing queue is S/(1-rho).
+func TestMessageDelayMatchesMG1ProcessorSharing(t *testing.T) {
 	world := ReferenceWorld()
 	s := New(world, nil, mustFindPolicy("random"), 1)
 	for _, server := range s.servers {
 		for _, rho := range []float64{0, 0.3, 0.6, 0.9} {
 			want := world.IdleMessageTime.Seconds() / server.speed / (1 - rho)
 			if got := s.messageDelay(server, rho).Seconds(); math.Abs(got-want) > 1e-6 {
-				t.Errorf("at load %v a message takes %v s, by the closed form %v", rho, got, want)
+				t.Errorf("utilization %v: a message takes %v s, want %v s", rho, got, want)
 			}
 		}
 	}
 }
 
-// Connections arrive at random and stay for a random time, with no bound on how many:
-// M/G/infinity. Their number is Poisson with mean arrivals times life, whatever the
-// distribution of lives; and Little's law holds: mean number is rate times mean stay.
-func TestStandingConnectionsKeepLittlesLaw(t *testing.T) {
+// The number of connections is that of an M/G/infinity queue: Poisson distributed, with the mean
+// that Little's law gives.
+func TestConnectionCountMatchesLittlesLaw(t *testing.T) {
 	world := ReferenceWorld()
 	world.Duration, world.InitialConnections, world.RateAmplitude, world.Servers = 600*time.Second, 0, 0, 60
 	s := New(world, nil, mustFindPolicy("oracle"), 5)
 	result := s.Run(nil)
-	mean, square, n := 0.0, 0.0, 0.0
-	for _, x := range result.Seconds[200:] { // five lives after the start
-		mean, square, n = mean+float64(x.Established), square+float64(x.Established)*float64(x.Established), n+1
+	mean, squares, count := 0.0, 0.0, 0.0
+	for _, second := range result.Seconds[200:] { // five mean lifetimes after the start
+		mean, squares, count = mean+float64(second.Established), squares+float64(second.Established)*float64(second.Established), count+1
 	}
-	mean /= n
+	mean /= count
 	want := world.ArrivalRate * world.MeanLifetime.Seconds()
-	if variance := square/n - mean*mean; math.Abs(mean-want) > 0.12*want || variance < 0.2*want || variance > 3*want {
-		t.Errorf("%.1f stand on average with variance %.1f, by Little's law %.1f", mean, variance, want)
+	if variance := squares/count - mean*mean; math.Abs(mean-want) > 0.12*want || variance < 0.2*want || variance > 3*want {
+		t.Errorf("the number of connections has mean %.1f and variance %.1f, want %.1f for both", mean, variance, want)
 	}
 }
 
-// Every client that came has left, or is there: visits end once.
-func TestEachVisitEndsOnce(t *testing.T) {
+// Guards against clients that leave twice or never.
+func TestEachClientLeavesOnce(t *testing.T) {
 	for _, p := range Policies {
 		s := New(ReferenceWorld(), mustParseActions(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
 		s.Run(nil)
-		there := 0
+		present := 0
 		for i := range s.clients {
 			if s.clients[i].state != stateGone {
-				there++
+				present++
 			}
 		}
-		left := s.statistics.departedClients
-		if s.statistics.clients != there+left {
-			t.Errorf("%s: %d came, %d are there and %d have left", p.Name, s.statistics.clients, there, left)
+		departed := s.statistics.departedClients
+		if s.statistics.clients != present+departed {
+			t.Errorf("%s: %d clients arrived, but %d are present and %d have left", p.Name, s.statistics.clients, present, departed)
 		}
 		if err := s.checkConsistency(); err != nil {
 			t.Errorf("%s: %v", p.Name, err)
@@ -106,7 +104,7 @@
 	}
 }
 
-// eventDigest is a hash of all events of a run, in order.
+// eventDigest returns a hash of all events of a run, in order.
 func eventDigest(world World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
 	s := New(world, actions, p, seed)
 	h := fnv.New64a()
@@ -122,26 +120,25 @@
 	return h.Sum64()
 }
 
-func TestSameSeedSameDigestOfAllEvents(t *testing.T) {
+func TestSeedDeterminesAllEvents(t *testing.T) {
 	for _, p := range Policies {
 		actions := mustParseActions(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
 		if x, y := eventDigest(ReferenceWorld(), actions, p, 7), eventDigest(ReferenceWorld(), actions, p, 7); x != y {
-			t.Errorf("%s: %x, and again %x", p.Name, x, y)
+			t.Errorf("%s: two runs with one seed have the event digests %x and %x", p.Name, x, y)
 		}
 	}
 }
 
-// Policies come in the order that the textbooks have for them where loads differ: blind
-// chance, then two choices or fewest connections, then who knows what is there.
-func TestPoliciesComeInTheirOrder(t *testing.T) {
-	g := func(name string) (sum float64) {
+// Guards against scores that do not grow with what a policy knows of the servers.
+func TestPoliciesRankByTheirKnowledge(t *testing.T) {
+	score := func(name string) (mean float64) {
 		for seed := range uint64(12) {
-			sum += New(ReferenceWorld(), nil, mustFindPolicy(name), seed).Run(nil).Score / 12
+			mean += New(ReferenceWorld(), nil, mustFindPolicy(name), seed).Run(nil).Score / 12
 		}
-		return sum
+		return mean
 	}
-	random, two, module, oracle := g("random"), g("two-choices"), g("module"), g("oracle")
-	if !(random < two && two < module && module <= oracle) {
-		t.Errorf("random %.3f, two choices %.3f, module %.3f, oracle %.3f", random, two, module, oracle)
+	random, twoChoices, module, oracle := score("random"), score("two-choices"), score("module"), score("oracle")
+	if !(random < twoChoices && twoChoices < module && module <= oracle) {
+		t.Errorf("scores do not rise from random %.3f, two-choices %.3f, module %.3f to oracle %.3f", random, twoChoices, module, oracle)
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,9 +1,8 @@
-// Package simulation simulates clients, application servers, zones, discovery and any number
-// of relays, in virtual time; in each relay decides the balancer of the real one. It tries
-// designs at sizes that sockets don't reach.
+// Package simulation is a discrete-event simulation of clients, application servers, zones,
+// discovery and relays in virtual time. Each relay runs the production balancer, so that
+// it can be evaluated at sizes that real connections cannot reach.
 //
-// It is a discrete-event simulation, deterministic by its seed. It follows the operators'
-// public pages: what they don't say is a parameter of a World.
+// A run is determined by its World, script, policy and seed.
 package simulation
 
 import (
@@ -15,82 +14,82 @@
 	"lockroad/internal/healthcheck"
 )
 
-// Class is one kind of client.
+// Class is a class of clients. Ranges are drawn from uniformly, once for each client.
 type Class struct {
 	Name                    string
-	Share                   float64       // of new connections
-	LoadFactor              [2]float64    // against the mean over all classes: drawn between the two
-	LifetimeFactor          [2]float64    // mean lifetime, against that of all classes
-	LatencyObjective        time.Duration // latency objective of a set-up
-	Deadline                time.Duration // deadline of a set-up
-	MessageLatencyObjective time.Duration // latency objective of a message
-	Weight                  float64       // of a second that is well served
+	Share                   float64       // of new clients
+	LoadFactor              [2]float64    // load relative to the mean over all classes
+	LifetimeFactor          [2]float64    // mean lifetime relative to the mean over all classes
+	LatencyObjective        time.Duration // of a set-up
+	Deadline                time.Duration // of a set-up
+	MessageLatencyObjective time.Duration // of a message
+	Weight                  float64       // of a second of service in the scores
 }
 
-// MaxRelays bounds the relays of a world: each has a balancer with the complete endpoint list.
+// MaxRelays bounds the memory of a simulation: each relay has a balancer with the complete endpoint list.
 const MaxRelays = 4096
 
-// World is what is simulated. Every field has a value in Galway. Classes' loads and
-// lives are against each other: the mean over all clients is one usual connection, and
-// Life.
+// World holds the parameters of a simulation; ReferenceWorld has a value for each. Loads are in
+// mean connections: the average connection has a load of 1 and lasts MeanLifetime. Fields with
+// two values are the bounds of a uniform distribution.
 type World struct {
 	Servers            int
 	Relays             int
 	Zones              int
-	ArrivalRate        float64       // new clients a second, all relays together
-	RateAmplitude      float64       // the rate goes up and down by this part of it
-	RatePeriod         time.Duration // once in this time
-	Duration           time.Duration // arrivals come for so long, and service is counted
-	InitialConnections int           // connections that are established at the start
-	MeanLifetime       time.Duration // of a connection on average
+	ArrivalRate        float64       // new clients per second, of all relays together
+	RateAmplitude      float64       // of the arrival rate's sine wave, as a share of the rate
+	RatePeriod         time.Duration // of the arrival rate's sine wave
+	Duration           time.Duration // of the measured part, after the warm-up
+	InitialConnections int           // clients that arrive during the warm-up
+	MeanLifetime       time.Duration // of a client
 	Classes            []Class
-	Groups             int     // documents; the nth is as popular as 1/n to the power of GroupSkew
-	GroupSkew          float64 // 1: Zipf's law; 0: all alike
-	ZoneSkew           float64 // of the zones' traffic: 0 all alike, 1 all in the first
+	Groups             int     // the nth has a popularity proportional to n^-GroupSkew
+	GroupSkew          float64 // 0: uniform; 1: Zipf's law
+	ZoneSkew           float64 // of the clients' zones; 0: uniform; 1: all in the first zone
 
 	// Servers.
-	ConnectionsPerCore    float64 // mean connections that fill a core of speed 1
+	ConnectionsPerCore    float64 // mean connections that saturate a core of speed 1
 	CoresPerServer        int
-	SlowShare             float64       // part of the servers that are slow machines
-	Speed                 [2]float64    // of a core of the others
-	SlowSpeed             [2]float64    // of a core of a slow machine
-	LoadAmplitude         float64       // a connection's load changes now and then, by up to this part of the usual
-	GroupCost             float64       // what a server pays for a group, in mean connections
-	ConnectionLimitFactor float64       // connections that a server holds, against what fills it
-	SetupWork             time.Duration // work of a set-up, on a core of speed 1
-	SetupQueueLimit       int           // set-ups that wait at a server; more are rejected
-	IdleMessageTime       time.Duration // that a message takes at an idle server
-	InitialCapacity       float64       // of its capacity that a server has when it starts
-	SlowStartDuration     time.Duration // by which it has its full capacity
-	OverloadMultiple      float64       // a server that warms up and is sent this many times what it can do
-	OverloadWindow        time.Duration // for so long fails
-	OverloadDowntime      time.Duration // and is down for so long
-	DrainDuration         time.Duration // a server that drains stops after this time
+	SlowShare             float64       // share of the servers that run on slow machines
+	Speed                 [2]float64    // of a core on other machines
+	SlowSpeed             [2]float64    // of a core on a slow machine
+	LoadAmplitude         float64       // maximum change of a connection's load, as a share of its mean
+	GroupCost             float64       // load of a group at each server that serves it
+	ConnectionLimitFactor float64       // maximum connections of a server, as a multiple of its capacity
+	SetupWork             time.Duration // time of a set-up on a core of speed 1
+	SetupQueueLimit       int           // maximum set-ups that wait at a server
+	IdleMessageTime       time.Duration // of a message at an idle server with cores of speed 1
+	InitialCapacity       float64       // share of its capacity that a server has when it starts
+	SlowStartDuration     time.Duration // until a started server has its full capacity
+	OverloadMultiple      float64       // of the sustainable set-up rate, at which a warming server fails
+	OverloadWindow        time.Duration // over which that rate is measured
+	OverloadDowntime      time.Duration // of a server that failed from overload
+	DrainDuration         time.Duration // from the start of a drain until the server stops
 
-	// Networks and discovery, one way.
+	// Network and discovery. Delays are one-way.
 	SameZoneDelay, CrossZoneDelay, ClientDelay [2]time.Duration
-	ListDelay                                  [2]time.Duration // that the list is behind
-	ConnectTimeout                             time.Duration    // a connection not made by then has failed
+	ListDelay                                  [2]time.Duration // of an update of the endpoint list
+	ConnectTimeout                             time.Duration    // of the balancer's attempts
 
 	// Clients.
-	MaxRetries           int // after a rejection or no answer
-	Backoff              [2]time.Duration
+	MaxRetries           int              // of a client after a rejection or timeout
+	Backoff              [2]time.Duration // of the first retry; doubles with each
 	ReturnDelay          [2]time.Duration // until a client returns after a migration or a broken connection
-	RetryAfterCompliance float64          // share of the clients that respect a retry-after
-	MessageInterval      time.Duration    // a client sends a message this often
-	HeartbeatTimeout     time.Duration    // heartbeat timeout of relays
-	MaxAttempts          int              // of a request
-	RestoreSnapshots     bool             // relays that restart restore their last snapshot, as those with a store
+	RetryAfterCompliance float64          // probability that a client respects a retry-after
+	MessageInterval      time.Duration    // of a client
+	HeartbeatTimeout     time.Duration    // of relays, for the connection of a hung server
+	MaxAttempts          int              // of a request, by the relay
+	RestoreSnapshots     bool             // restarted relays restore their last snapshot
 
-	UseHealthChecks     bool                 // relays find out by health checks which servers are up; there is no discovery
-	HealthCheckSettings healthcheck.Settings // of those
-	ProbeLoss           float64              // part of the probes that get lost
+	UseHealthChecks     bool // relays probe servers instead of receiving an endpoint list
+	HealthCheckSettings healthcheck.Settings
+	ProbeLoss           float64 // share of lost probes
 
-	MigrationCost float64 // share of service lost if each client is migrated once
+	MigrationCost float64 // deduction from the score per migration and client
 }
 
-// ReferenceWorld is the operators' deployment as their pages have it: 13 servers, 4 relays in 4
-// halls, some 2.2 new connections a second.
+// ReferenceWorld returns the reference deployment: 13 servers and 4 relays in 4 zones, with 2.2
+// new clients per second.
 func ReferenceWorld() World {
 	ms := time.Millisecond
 	return World{
@@ -112,54 +111,54 @@
 	}
 }
 
-// Validate returns all parameters that are out of range, as one error.
+// Validate returns an error that joins those of all parameters that are out of range.
 func (w *World) Validate() error {
-	var all []error
-	bad := func(is bool, format string, args ...any) {
-		if is {
-			all = append(all, fmt.Errorf(format, args...))
+	var errs []error
+	failIf := func(invalid bool, format string, args ...any) {
+		if invalid {
+			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	bad(w.Servers < 1 || w.Servers > 5000, "servers %d are not within 1 and 5000", w.Servers)
-	bad(w.Relays < 1 || w.Relays > MaxRelays, "relays %d are not within 1 and %d", w.Relays, MaxRelays)
-	bad(w.Zones < 1, "zones %d are fewer than one", w.Zones)
-	bad(!(w.ArrivalRate >= 0 && w.ArrivalRate <= 1e5), "rate %v is not within 0 and 100000", w.ArrivalRate)
-	bad(!(w.RateAmplitude >= 0 && w.RateAmplitude < 1), "swing %v is not within 0 and 1", w.RateAmplitude)
-	bad(w.RateAmplitude > 0 && w.RatePeriod <= 0, "period %v is no time for a swing", w.RatePeriod)
-	bad(w.Duration <= 0 || w.Duration > 24*time.Hour, "for %v is not within 0 and a day", w.Duration)
-	bad(w.InitialConnections < 0 || w.InitialConnections > 1_000_000, "standing %d is not within 0 and 1000000", w.InitialConnections)
-	bad(w.MeanLifetime <= 0, "life %v is no time", w.MeanLifetime)
-	bad(len(w.Classes) == 0, "there are no classes")
-	bad(w.Groups < 1, "groups %d are fewer than one", w.Groups)
-	bad(!(w.GroupSkew >= 0 && w.GroupSkew <= 3), "group-skew %v is not within 0 and 3", w.GroupSkew)
-	bad(w.ConnectionsPerCore <= 0 || w.CoresPerServer < 1, "a core bears %v connections, and a server has %d", w.ConnectionsPerCore, w.CoresPerServer)
-	bad(w.InitialCapacity <= 0 || w.InitialCapacity > 1, "cold-share %v is not within 0 and 1", w.InitialCapacity)
-	bad(!(w.LoadAmplitude >= 0 && w.LoadAmplitude <= 1), "load-swing %v is not within 0 and 1", w.LoadAmplitude)
-	bad(w.UseHealthChecks && w.HealthCheckSettings.Validate() != nil, "probes: %v", w.HealthCheckSettings.Validate())
-	bad(!(w.ProbeLoss >= 0 && w.ProbeLoss < 1), "probe-loss %v is not within 0 and 1", w.ProbeLoss)
-	bad(w.MaxAttempts < 1, "attempts %d are fewer than one", w.MaxAttempts)
-	return errors.Join(all...)
+	failIf(w.Servers < 1 || w.Servers > 5000, "servers %d is not between 1 and 5000", w.Servers)
+	failIf(w.Relays < 1 || w.Relays > MaxRelays, "relays %d is not between 1 and %d", w.Relays, MaxRelays)
+	failIf(w.Zones < 1, "zones %d is less than 1", w.Zones)
+	failIf(!(w.ArrivalRate >= 0 && w.ArrivalRate <= 1e5), "rate %v is not between 0 and 100000", w.ArrivalRate)
+	failIf(!(w.RateAmplitude >= 0 && w.RateAmplitude < 1), "swing %v is not within [0, 1)", w.RateAmplitude)
+	failIf(w.RateAmplitude > 0 && w.RatePeriod <= 0, "period %v is not positive, as swing requires", w.RatePeriod)
+	failIf(w.Duration <= 0 || w.Duration > 24*time.Hour, "for %v is not positive or exceeds 24h", w.Duration)
+	failIf(w.InitialConnections < 0 || w.InitialConnections > 1_000_000, "standing %d is not between 0 and 1000000", w.InitialConnections)
+	failIf(w.MeanLifetime <= 0, "life %v is not positive", w.MeanLifetime)
+	failIf(len(w.Classes) == 0, "the world has no classes")
+	failIf(w.Groups < 1, "groups %d is less than 1", w.Groups)
+	failIf(!(w.GroupSkew >= 0 && w.GroupSkew <= 3), "group-skew %v is not between 0 and 3", w.GroupSkew)
+	failIf(w.ConnectionsPerCore <= 0 || w.CoresPerServer < 1, "per-core %v or cores %d is not positive", w.ConnectionsPerCore, w.CoresPerServer)
+	failIf(w.InitialCapacity <= 0 || w.InitialCapacity > 1, "cold-share %v is not within (0, 1]", w.InitialCapacity)
+	failIf(!(w.LoadAmplitude >= 0 && w.LoadAmplitude <= 1), "load-swing %v is not between 0 and 1", w.LoadAmplitude)
+	failIf(w.UseHealthChecks && w.HealthCheckSettings.Validate() != nil, "health check settings: %v", w.HealthCheckSettings.Validate())
+	failIf(!(w.ProbeLoss >= 0 && w.ProbeLoss < 1), "probe-loss %v is not within [0, 1)", w.ProbeLoss)
+	failIf(w.MaxAttempts < 1, "attempts %d is less than 1", w.MaxAttempts)
+	return errors.Join(errs...)
 }
 
-// settings returns the balancer's settings in a zone.
+// settings returns the settings of a relay's balancer in a zone.
 func (w *World) settings(zone int) balancer.Settings {
 	s := balancer.Settings{
 		RelayCount: w.Relays, Zone: zone, MaxAttempts: w.MaxAttempts, ClockResolution: 2 * time.Millisecond, ConnectTimeout: w.ConnectTimeout, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: w.InitialCapacity, SlowStartDuration: w.SlowStartDuration, OverloadMultiple: w.OverloadMultiple, OverloadWindow: w.OverloadWindow, CrossZoneCost: 0.03,
 	}
-	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, balancer.Class{LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, MessageLatencyObjective: c.MessageLatencyObjective})
+	for _, class := range w.Classes {
+		s.Classes = append(s.Classes, balancer.Class{LatencyObjective: class.LatencyObjective, Deadline: class.Deadline, MessageLatencyObjective: class.MessageLatencyObjective})
 	}
 	return s
 }
 
-// Scaled returns the world with so many times the servers, traffic, standing
-// connections and groups, and so many relays.
-func (w World) Scaled(by float64, relays int) World {
-	w.Servers = max(1, int(float64(w.Servers)*by))
-	w.ArrivalRate *= by
-	w.InitialConnections = int(float64(w.InitialConnections) * by)
-	w.Groups = max(1, int(float64(w.Groups)*by))
+// Scaled returns the world with its servers, arrival rate, initial connections and groups
+// multiplied by a factor, and with a number of relays.
+func (w World) Scaled(factor float64, relays int) World {
+	w.Servers = max(1, int(float64(w.Servers)*factor))
+	w.ArrivalRate *= factor
+	w.InitialConnections = int(float64(w.InitialConnections) * factor)
+	w.Groups = max(1, int(float64(w.Groups)*factor))
 	w.Relays = relays
 	return w
 }
