--- a/cmd/simulate/golden_test.go
+++ b/cmd/simulate/golden_test.go
@@ -8,7 +8,7 @@
 	"lockroad/internal/golden"
 )
 
-// All commands, arguments and flags, as scripts give them.
+// Guards against changes of commands, arguments and flags, which scripts use.
 func TestCommandLineIsStable(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("simulate"))
 	if err != nil {
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -1,5 +1,5 @@
-// Command simulate runs experiments on the model of the farm: `lockroad lab` is the same.
-// It is a program of its own as plots bring fonts that a relay should not carry.
+// Command simulate runs simulation experiments; `lockroad lab` runs it. It is a separate program
+// to keep the plotting library and its fonts out of the relay's binary.
 package main
 
 import (
@@ -31,9 +31,10 @@
 	List    listCommand    `cmd:"" help:"List experiments, and what a world can be set to."`
 }
 
+// streams are the standard output and standard error of a command.
 type streams struct{ out, errs io.Writer }
 
-// exitCode is the panic by which kong ends the program after its help.
+// exitCode is the value that kong's exit function panics with, such as after --help.
 type exitCode int
 
 func main() { os.Exit(run(os.Args[1:], streams{out: os.Stdout, errs: os.Stderr})) }
@@ -41,12 +42,12 @@
 // run runs a command line and returns the exit code.
 func run(args []string, s streams) (code int) {
 	defer func() {
-		if exit, is := recover().(exitCode); is {
+		if exit, ok := recover().(exitCode); ok {
 			code = int(exit)
 		}
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("simulate"),
-		kong.Description("Runs experiments on the model of the farm, with the relay's own decision module in each of its relays."),
+		kong.Description("Runs simulation experiments of a server farm whose relays use the relay's own balancer."),
 		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(s))
 	if err != nil {
 		fmt.Fprintf(s.errs, "simulate: %v\n", err)
@@ -77,10 +78,10 @@
 	return e, nil
 }
 
-// defaultMetrics are those that are reported where none are named.
+// defaultMetrics are reported if no metrics are given.
 var defaultMetrics = []string{"g", "service", "worst10", "attempts", "moves", "recovery"}
 
-// runCommand runs an experiment.
+// runCommand implements simulate run.
 type runCommand struct {
 	Experiment string   `arg:"" help:"The experiment's file."`
 	Out        string   `short:"o" placeholder:"FILE" help:"Results, CSV; by the experiment's name in this folder. What is there is not run again."`
@@ -95,11 +96,11 @@
   simulate run experiments/baselines.lisp
   simulate run experiments/size.lisp -o size.csv && simulate plot size size.csv -o size.svg
 
-It ends with 1 if the results do not bear out a claim. A run that was cut goes on where
-it was: results are kept as they come.`
+The exit code is 1 if the results contradict a claim. Results are stored as runs complete, and
+an interrupted experiment resumes where it stopped.`
 }
 
-// Run runs the experiment, reports means and checks the claims.
+// Run runs the experiment, prints the means and checks the claims.
 func (c *runCommand) Run(s streams) error {
 	e, err := readExperiment(c.Experiment)
 	if err != nil {
@@ -113,11 +114,11 @@
 	if workers <= 0 {
 		workers = runtime.GOMAXPROCS(0)
 	}
-	last := time.Now()
-	results, err := experiment.Execute(e, out, workers, func(done, all int) {
-		if !c.Quiet && (time.Since(last) > time.Second || done == all) {
-			last = time.Now()
-			fmt.Fprintf(s.errs, "%d of %d runs\n", done, all)
+	lastProgress := time.Now()
+	results, err := experiment.Execute(e, out, workers, func(done, total int) {
+		if !c.Quiet && (time.Since(lastProgress) > time.Second || done == total) {
+			lastProgress = time.Now()
+			fmt.Fprintf(s.errs, "%d of %d runs completed\n", done, total)
 		}
 	})
 	if err != nil {
@@ -129,26 +130,26 @@
 	if err := results.Report(s.out, c.Metrics); err != nil {
 		return err
 	}
-	broken := results.ContradictedClaims(e)
-	for _, b := range broken {
-		fmt.Fprintln(s.out, "not borne out:", b)
+	contradicted := results.ContradictedClaims(e)
+	for _, claim := range contradicted {
+		fmt.Fprintln(s.out, "claim does not hold:", claim)
 	}
-	if len(broken) > 0 {
-		return fmt.Errorf("%d of %d claims are not borne out", len(broken), len(e.Claims))
+	if len(contradicted) > 0 {
+		return fmt.Errorf("%d of %d claims do not hold", len(contradicted), len(e.Claims))
 	}
 	if len(e.Claims) > 0 {
-		fmt.Fprintf(s.out, "all %d claims are borne out\n", len(e.Claims))
+		fmt.Fprintf(s.out, "all %d claims hold\n", len(e.Claims))
 	}
 	return nil
 }
 
-// reportCommand tells the means.
+// reportCommand implements simulate report.
 type reportCommand struct {
 	Results string   `arg:"" help:"A file of results."`
 	Metrics []string `help:"Figures to tell of."`
 }
 
-// Run tells them.
+// Run prints the means of the results.
 func (c *reportCommand) Run(s streams) error {
 	results, err := experiment.ReadResults(c.Results)
 	if err != nil {
@@ -160,14 +161,14 @@
 	return results.Report(s.out, c.Metrics)
 }
 
-// compareCommand compares two files.
+// compareCommand implements simulate compare.
 type compareCommand struct {
 	A       string   `arg:"" help:"A file of results."`
 	B       string   `arg:"" help:"Another: told is what the first has more."`
 	Metrics []string `help:"Figures to tell of."`
 }
 
-// Run compares them.
+// Run prints the mean differences of two files of results.
 func (c *compareCommand) Run(s streams) error {
 	a, err := experiment.ReadResults(c.A)
 	if err != nil {
@@ -183,7 +184,7 @@
 	return experiment.Compare(s.out, a, b, c.Metrics)
 }
 
-// plotCommand draws.
+// plotCommand implements simulate plot.
 type plotCommand struct {
 	Kind  string `arg:"" enum:"load,service,recovery,size" help:"load, service, recovery or size."`
 	From  string `arg:"" help:"An experiment's file; of size, a file of results."`
@@ -191,7 +192,7 @@
 	Out   string `short:"o" required:"" placeholder:"FILE" help:"A name that ends in .svg or .png."`
 }
 
-// Run draws it.
+// Run draws the plot.
 func (c *plotCommand) Run(_ streams) error {
 	if c.Kind == "size" {
 		results, err := experiment.ReadResults(c.From)
@@ -211,28 +212,28 @@
 	return experiment.Plot(e, nil, c.Kind, c.Scene, c.Out)
 }
 
-// listCommand lists experiments.
+// listCommand implements simulate list.
 type listCommand struct {
 	Folder string `arg:"" optional:"" default:"experiments" help:"Where they are."`
 }
 
-// Run lists them.
+// Run lists the experiment files of a folder, the world parameters and the metrics.
 func (c *listCommand) Run(s streams) error {
 	files, err := filepath.Glob(filepath.Join(c.Folder, "*.lisp"))
 	if err != nil {
 		return err
 	}
-	t := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "FILE\tNAME\tSCENES\tPOLICIES\tRUNS\tCLAIMS")
-	for _, f := range files {
-		e, err := readExperiment(f)
+	table := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "FILE\tNAME\tSCENES\tPOLICIES\tRUNS\tCLAIMS")
+	for _, file := range files {
+		e, err := readExperiment(file)
 		if err != nil {
-			fmt.Fprintf(t, "%s\t%v\n", f, err)
+			fmt.Fprintf(table, "%s\t%v\n", file, err)
 			continue
 		}
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", f, e.Name, len(e.Scenarios), len(e.Policies), len(e.Runs()), len(e.Claims))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\n", file, e.Name, len(e.Scenarios), len(e.Policies), len(e.Runs()), len(e.Claims))
 	}
-	t.Flush()
-	fmt.Fprintf(s.out, "\na world can be set to (%s VALUE)\nfigures: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
+	table.Flush()
+	fmt.Fprintf(s.out, "\nworld parameters: (%s VALUE)\nmetrics: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
 	return nil
 }
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -12,31 +12,31 @@
 	"lockroad/internal/simulation"
 )
 
-// Execute runs an experiment and appends to a file of results what is not there yet, with
-// workers runs at a time. progress, if any, is called with the number of runs that are done,
-// by one goroutine at a time. It fails for a file of another experiment.
-func Execute(experiment *Experiment, path string, workers int, progress func(done, all int)) (*Results, error) {
+// Execute performs the runs of an experiment whose results a file does not hold yet, several at a time,
+// and appends their results. progress, unless nil, is called by one goroutine at a time with the
+// number of completed runs. It returns an error if the file belongs to another experiment.
+func Execute(experiment *Experiment, path string, workers int, progress func(done, total int)) (*Results, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // the errors of writes are checked, and the next run reads the file again
+	defer func() { _ = file.Close() }() // errors of writes are checked in store
 	results, err := resume(experiment, path, file)
 	if err != nil {
 		return nil, err
 	}
-	present := make(map[string]bool)
+	completed := make(map[string]bool)
 	for _, row := range results.Rows {
-		present[row.key()] = true
+		completed[row.key()] = true
 	}
 	runs := experiment.Runs()
-	missing := slices.DeleteFunc(slices.Clone(runs), func(run Run) bool { return present[run.Key()] })
-	execution := &execution{results: results, file: file, done: len(runs) - len(missing), all: len(runs), progress: progress}
+	missing := slices.DeleteFunc(slices.Clone(runs), func(run Run) bool { return completed[run.Key()] })
+	execution := &execution{results: results, file: file, done: len(runs) - len(missing), total: len(runs), progress: progress}
 	return results, execution.run(missing, workers)
 }
 
-// resume reads what a file of results holds, and leaves it at its end, with a complete head and
-// without a last line that was cut.
+// resume reads a file of results and prepares it for appending: it writes a missing or truncated
+// header, and removes a truncated last line.
 func resume(experiment *Experiment, path string, file *os.File) (*Results, error) {
 	text, err := io.ReadAll(file)
 	if err != nil {
@@ -45,7 +45,7 @@
 	results := &Results{Source: experiment.Source}
 	complete := text[:bytes.LastIndexByte(text, '\n')+1]
 	if want := fileHeader(experiment.Source); len(complete) < len(want) && strings.HasPrefix(want, string(complete)) {
-		complete = []byte(want) // the file is new, or was cut within the head
+		complete = []byte(want) // the file is new, or its header is truncated
 		if _, err := file.WriteAt(complete, 0); err != nil {
 			return nil, err
 		}
@@ -54,7 +54,7 @@
 			return nil, err
 		}
 		if strings.TrimSpace(results.Source) != strings.TrimSpace(experiment.Source) {
-			return nil, fmt.Errorf("%s: holds results of another experiment; name another file", path)
+			return nil, fmt.Errorf("%s: the file holds results of another experiment; choose another file", path)
 		}
 	}
 	if err := file.Truncate(int64(len(complete))); err != nil {
@@ -68,17 +68,17 @@
 
 // execution is the state that the workers of an experiment share.
 type execution struct {
-	all      int // runs of the experiment
-	progress func(done, all int)
+	total    int // runs of the experiment
+	progress func(done, total int)
 
 	mu      sync.Mutex // guards the fields below
 	results *Results
 	file    io.Writer
-	done    int
-	err     error // the first of a write; no run begins after it
+	done    int   // completed runs
+	err     error // the first error of a write; no run starts after it
 }
 
-// run runs what is missing, and waits for all workers.
+// run performs the missing runs and waits for all workers.
 func (x *execution) run(missing []Run, workers int) error {
 	next := make(chan Run)
 	var running sync.WaitGroup
@@ -100,11 +100,12 @@
 	return x.failed()
 }
 
+// simulate performs a run. It copies the script's actions, which the simulation extends.
 func simulate(run Run) *simulation.Result {
 	return simulation.New(run.Cell.World, slices.Clone(run.Cell.Scenario.Actions), run.Policy, run.Seed).Run(nil)
 }
 
-// store writes a run's result, and reports progress.
+// store appends a run's result to the file and reports progress.
 func (x *execution) store(run Run, result *simulation.Result) {
 	row := Row{Cell: run.Cell.Name(), Policy: run.Policy.Name, Seed: run.Seed, Values: metricsOf(result)}
 	x.mu.Lock()
@@ -115,10 +116,11 @@
 	}
 	x.done++
 	if x.progress != nil {
-		x.progress(x.done, x.all)
+		x.progress(x.done, x.total)
 	}
 }
 
+// failed returns the first error of a write.
 func (x *execution) failed() error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs experiments on the simulation: a world, scenarios, policies, a
-// matrix of parameters, seeds, and claims to check. Runs are parallel, can be resumed after
-// an interruption, and leave a file of results that holds their exact inputs.
+// Package experiment runs simulation experiments: a world, scenarios, policies, a matrix of
+// parameters, seeds, and claims about the results. Runs are parallel and can be resumed after an
+// interruption. The file of results includes the experiment's source.
 package experiment
 
 import (
@@ -13,7 +13,7 @@
 	"lockroad/internal/simulation"
 )
 
-// Experiment is an experiment file, parsed.
+// Experiment is a parsed experiment file.
 type Experiment struct {
 	Name      string
 	World     simulation.World
@@ -25,27 +25,27 @@
 	Source    string // the file's text
 }
 
-// Scenario is a script of a run.
+// Scenario is a named script of actions.
 type Scenario struct {
 	Name    string
 	Actions []simulation.ScriptedAction
 }
 
-// Axis is a parameter with the values that are tried.
+// Axis is a world parameter with its values in the matrix.
 type Axis struct {
 	Name   string
 	Values []*sexp.Node
 }
 
-// Claim is a statement that the results are checked against, in each cell of the matrix, of
-// all scenes or of one.
+// Claim is an expected bound of a metric's mean. It is checked in each cell of the matrix, of all
+// scenarios or of one.
 type Claim struct {
 	Metric      string
 	Policy      string
-	OtherPolicy string  // another policy; "" a value
+	OtherPolicy string  // policy whose mean is the bound; "" if Value is
 	Operator    string  // >= or <=
-	Value       float64 // or what is added to the other policy's mean
-	Scenario    string  // "" all
+	Value       float64 // the bound, or what is added to the other policy's mean
+	Scenario    string  // "" means all
 	text        string
 }
 
@@ -58,18 +58,18 @@
 	defaultSeeds = 10
 )
 
-// Parse reads an experiment file:
+// Parse parses an experiment file:
 //
 //	(experiment NAME
 //	  (world (PARAMETER VALUE) ...)
 //	  (policies NAME ...)
-//	  (scene NAME (at TIME (ACT ...)) ...) ...
+//	  (scene NAME (at TIME (ACTION ...)) ...) ...
 //	  (matrix (PARAMETER VALUE ...) ...)
 //	  (seeds N)
 //	  (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE]) ...)
 //
-// The defaults are the reference world, the module as policy, a scene without actions, and
-// ten seeds. Errors name line and column.
+// The defaults are the reference world, the policy module, a scenario without actions, and ten
+// seeds. Errors name line and column.
 func Parse(source string) (*Experiment, error) {
 	node, err := sexp.ParseOne(source)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return e, nil
 }
 
-// setDefaults sets what was left out.
+// setDefaults fills in the forms that the file does not have.
 func (e *Experiment) setDefaults() {
 	if len(e.Policies) == 0 {
 		e.Policies = simulation.Policies[:1]
@@ -111,30 +111,30 @@
 	}
 }
 
-// check reports what is wrong with an experiment as a whole.
+// check validates the claims' scenarios and policies, the number of runs and the worlds of all cells.
 func (e *Experiment) check(node *sexp.Node) error {
 	for _, claim := range e.Claims {
 		if claim.Scenario != "" && !slices.ContainsFunc(e.Scenarios, func(scenario Scenario) bool { return scenario.Name == claim.Scenario }) {
-			return node.Errorf("the claim %s is of a scene that is not there", claim)
+			return node.Errorf("claim %s: the experiment has no such scene", claim)
 		}
 		for _, name := range []string{claim.Policy, claim.OtherPolicy} {
 			if name != "" && !slices.ContainsFunc(e.Policies, func(policy simulation.Policy) bool { return policy.Name == name }) {
-				return node.Errorf("the claim %s is of policy %s, which is not tried", claim, name)
+				return node.Errorf("claim %s: policy %s is not in the experiment's policies", claim, name)
 			}
 		}
 	}
 	if runs := e.Runs(); len(runs) > maxRuns {
-		return node.Errorf("%d runs are more than %d", len(runs), maxRuns)
+		return node.Errorf("the experiment has %d runs, more than %d", len(runs), maxRuns)
 	}
 	for _, cell := range e.Cells() {
 		if err := cell.World.Validate(); err != nil {
-			return node.Errorf("with %s: %s", cell.Name(), strings.ReplaceAll(err.Error(), "\n", "; "))
+			return node.Errorf("cell %s: %s", cell.Name(), strings.ReplaceAll(err.Error(), "\n", "; "))
 		}
 	}
 	return nil
 }
 
-// setSeeds sets the seeds from 1 on.
+// setSeeds sets the seeds to 1 to count.
 func (e *Experiment) setSeeds(count int) {
 	e.Seeds = nil
 	for i := range count {
@@ -142,7 +142,7 @@
 	}
 }
 
-// formParsers parse the formParsers of an experiment, by their heads.
+// formParsers has the parsers of an experiment's forms, by their heads.
 var formParsers = map[string]func(e *Experiment, node *sexp.Node, args []*sexp.Node) error{
 	"world":    (*Experiment).parseWorld,
 	"policies": (*Experiment).parsePolicies,
@@ -159,7 +159,7 @@
 	}
 	parse, ok := formParsers[head]
 	if !ok {
-		return node.List.Items[0].Errorf("an experiment has no %q; expected world, policies, scene, matrix, seeds or claim", head)
+		return node.List.Items[0].Errorf("unknown form %q; expected world, policies, scene, matrix, seeds or claim", head)
 	}
 	return parse(e, node, args)
 }
@@ -171,7 +171,7 @@
 			return err
 		}
 		if len(values) != 1 {
-			return parameter.Errorf("%s wants one value", name)
+			return parameter.Errorf("%s takes one value", name)
 		}
 		if err := e.World.SetParameter(name, values[0]); err != nil {
 			return err
@@ -192,7 +192,7 @@
 			for _, policy := range simulation.Policies {
 				known = append(known, policy.Name)
 			}
-			return argument.Errorf("there is no policy %q; expected one of %s", name, strings.Join(known, ", "))
+			return argument.Errorf("unknown policy %q; expected one of %s", name, strings.Join(known, ", "))
 		}
 		e.Policies = append(e.Policies, policy)
 	}
@@ -201,7 +201,7 @@
 
 func (e *Experiment) parseScene(node *sexp.Node, args []*sexp.Node) (err error) {
 	if len(args) == 0 {
-		return node.Errorf("a scene wants a name")
+		return node.Errorf("scene has no name")
 	}
 	scenario := Scenario{}
 	if scenario.Name, err = args[0].Value(); err != nil {
@@ -225,7 +225,7 @@
 			return err
 		}
 		if len(values) == 0 {
-			return axis.Errorf("%s wants values to try", name)
+			return axis.Errorf("%s has no values", name)
 		}
 		for _, value := range values {
 			world := e.World
@@ -240,14 +240,14 @@
 
 func (e *Experiment) parseSeeds(node *sexp.Node, args []*sexp.Node) error {
 	if len(args) != 1 {
-		return node.Errorf("seeds wants their number")
+		return node.Errorf("seeds takes one value, their number")
 	}
 	count, err := args[0].Whole()
 	if err != nil {
 		return err
 	}
 	if count < 1 || count > maxSeeds {
-		return args[0].Errorf("%d seeds are not within 1 and 10000", count)
+		return args[0].Errorf("%d seeds is not between 1 and 10000", count)
 	}
 	e.setSeeds(int(count))
 	return nil
@@ -264,10 +264,10 @@
 		}
 	}
 	if !slices.Contains(Metrics, claim.Metric) {
-		return args[0].Errorf("there is no metric %q; expected one of %s", claim.Metric, strings.Join(Metrics, ", "))
+		return args[0].Errorf("unknown metric %q; expected one of %s", claim.Metric, strings.Join(Metrics, ", "))
 	}
 	if claim.Operator != ">=" && claim.Operator != "<=" {
-		return args[2].Errorf("%q compares nothing here; expected >= or <=", claim.Operator)
+		return args[2].Errorf("unknown operator %q; expected >= or <=", claim.Operator)
 	}
 	if err := claim.parseLimit(args[3]); err != nil {
 		return err
@@ -281,51 +281,50 @@
 	return nil
 }
 
-// parseLimit reads what the metric is compared with: a value, or a policy and what is added
-// to its mean.
+// parseLimit parses the bound of a claim: a value, or a policy and what is added to its mean.
 func (c *Claim) parseLimit(node *sexp.Node) (err error) {
 	value := node
 	if node.List != nil {
-		var added []*sexp.Node
-		if c.OtherPolicy, added, err = node.Head(); err != nil {
+		var args []*sexp.Node
+		if c.OtherPolicy, args, err = node.Head(); err != nil {
 			return err
 		}
-		if len(added) > 1 {
+		if len(args) > 1 {
 			return node.Errorf("expected (POLICY [VALUE])")
 		}
-		if len(added) == 0 {
+		if len(args) == 0 {
 			return nil
 		}
-		value = added[0]
+		value = args[0]
 	}
 	word, err := value.Value()
 	if err != nil {
 		return err
 	}
 	if c.Value, err = strconv.ParseFloat(word, 64); err != nil {
-		return value.Errorf("%q is no number", word)
+		return value.Errorf("%q is not a number", word)
 	}
 	return nil
 }
 
-// Cell is a scene with one value of each axis.
+// Cell is a cell of the matrix: a scenario with one value of each axis.
 type Cell struct {
 	Scenario Scenario
 	World    simulation.World
-	Values   []string // of the axes, in their order
+	Values   []string // in the order of the axes
 	axes     []Axis
 }
 
-// Name returns the cell's name.
+// Name returns the scenario's name, followed by the values of the axes.
 func (c Cell) Name() string {
 	parts := []string{c.Scenario.Name}
-	for i, a := range c.axes {
-		parts = append(parts, a.Name+"="+c.Values[i])
+	for i, axis := range c.axes {
+		parts = append(parts, axis.Name+"="+c.Values[i])
 	}
 	return strings.Join(parts, " ")
 }
 
-// Cells returns all cells of the matrix, scene by scene.
+// Cells returns all cells of the matrix, scenario by scenario.
 func (e *Experiment) Cells() []Cell {
 	cells := []Cell{}
 	for _, scenario := range e.Scenarios {
@@ -335,10 +334,10 @@
 		var next []Cell
 		for _, cell := range cells {
 			for _, value := range axis.Values {
-				grown := cell
-				grown.Values = append(slices.Clone(cell.Values), value.String())
-				_ = grown.World.SetParameter(axis.Name, value) // it was tried when it was parsed
-				next = append(next, grown)
+				extended := cell
+				extended.Values = append(slices.Clone(cell.Values), value.String())
+				_ = extended.World.SetParameter(axis.Name, value) // parseMatrix has checked the value
+				next = append(next, extended)
 			}
 		}
 		cells = next
@@ -346,17 +345,17 @@
 	return cells
 }
 
-// Run is one run: a cell, a policy and a seed.
+// Run is one simulation of a cell with a policy and a seed.
 type Run struct {
 	Cell   Cell
 	Policy simulation.Policy
 	Seed   uint64
 }
 
-// Key returns the run's name in a file of results.
+// Key returns a string that identifies the run among the rows of a file of results.
 func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Name(), r.Policy.Name, r.Seed) }
 
-// Runs returns all runs, in order.
+// Runs returns all runs, in the order of cells, policies and seeds.
 func (e *Experiment) Runs() []Run {
 	var runs []Run
 	for _, cell := range e.Cells() {
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -9,20 +9,20 @@
 	"lockroad/internal/simulation"
 )
 
-// fixedResults have a figure of its own in every column.
-func fixedResults(policy string, add float64) *Results {
+// fixedResults returns results with a different value in every column and row, raised by offset.
+func fixedResults(policy string, offset float64) *Results {
 	r := &Results{Source: "(experiment \"fixed\")\n"}
 	for seed := range uint64(3) {
 		row := Row{Cell: "calm servers=3", Policy: policy, Seed: seed}
 		for i := range Metrics {
-			row.Values = append(row.Values, float64(i)+float64(seed)/8+add)
+			row.Values = append(row.Values, float64(i)+float64(seed)/8+offset)
 		}
 		r.Rows = append(r.Rows, row)
 	}
 	return r
 }
 
-// A file of results: the experiment, the columns and the rows.
+// Guards against changes of the results' file format, which would make stored results unreadable.
 func TestResultsCSVIsStable(t *testing.T) {
 	r := fixedResults("module", 0.1)
 	text := fileHeader(r.Source)
@@ -32,54 +32,54 @@
 	golden.Compare(t, "results.csv", text)
 	again, err := parseResults("results.csv", golden.Read(t, "results.csv"))
 	if err != nil || again.Source != r.Source || len(again.Rows) != len(r.Rows) || again.Rows[2].Value("g") != 0.35 {
-		t.Errorf("read as %+v, %v", again, err)
+		t.Errorf("results.csv is parsed as %+v, error %v", again, err)
 	}
 }
 
-// The columns stand for the fields of a result that they have stood for.
-func TestFiguresOfAResultAreStable(t *testing.T) {
+// Guards against columns that are filled from another field of the result.
+func TestMetricsOfResultAreStable(t *testing.T) {
 	r := &simulation.Result{Score: 1, Service: 2, WorstTenSeconds: 3, AttemptsPerRequest: 4, Rejected: 50, GaveUp: 60, Migrations: 70, HeartbeatTimeouts: 80, BrokenConnections: 90, CrossZoneAttempts: 100, LateAfterDrain: 11, Overloaded: 12,
 		LoadSpread: 13, ServersPerGroup: 14, Recovery: 15, Clients: 10, Established: 16, Probes: 170, DetectionTime: 18, FalseAlarms: 19, Events: 20, RunTime: 21}
-	for i, c := range simulation.ReferenceWorld().Classes {
-		r.Classes = append(r.Classes, simulation.ClassResult{Name: c.Name, Service: 30 + float64(i), InObjective: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
+	for i, class := range simulation.ReferenceWorld().Classes {
+		r.Classes = append(r.Classes, simulation.ClassResult{Name: class.Name, Service: 30 + float64(i), InObjective: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
 	}
 	var b strings.Builder
-	for i, v := range metricsOf(r) {
-		fmt.Fprintf(&b, "%s %v\n", Metrics[i], v)
+	for i, value := range metricsOf(r) {
+		fmt.Fprintf(&b, "%s %v\n", Metrics[i], value)
 	}
 	golden.Compare(t, "figures.txt", b.String())
 }
 
-// The words that experiments are written in.
+// Guards against changes of the language of experiment files and of its errors.
 func TestExperimentVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "metrics: %s\nparameters: %s\n", strings.Join(Metrics, " "), strings.Join(simulation.ParameterNames(), " "))
 	for _, p := range simulation.Policies {
 		fmt.Fprintf(&b, "policy %s\n", p.Name)
 	}
-	for _, act := range []string{"(hang 1 1s)", "(slow 1 2 1s)", "(drain 1)", "(restart 1 1s)", "(add 1)", "(drop 10)", "(list-behind 1s 2s)", "(relay-restart 1 1s)", "(surge 2 1s)", "(explode)"} {
-		e, err := Parse(`(experiment "g" (world (for 3s)) (policies module) (scene h (at 1s ` + act + `)) (matrix (servers 3 4)) (seeds 2) (claim service module >= 0.01 h))`)
+	for _, action := range []string{"(hang 1 1s)", "(slow 1 2 1s)", "(drain 1)", "(restart 1 1s)", "(add 1)", "(drop 10)", "(list-behind 1s 2s)", "(relay-restart 1 1s)", "(surge 2 1s)", "(explode)"} {
+		e, err := Parse(`(experiment "g" (world (for 3s)) (policies module) (scene h (at 1s ` + action + `)) (matrix (servers 3 4)) (seeds 2) (claim service module >= 0.01 h))`)
 		if err != nil {
-			fmt.Fprintf(&b, "%s: %v\n", act, err)
+			fmt.Fprintf(&b, "%s: %v\n", action, err)
 			continue
 		}
 		fmt.Fprintf(&b, "%s; %s; %s; %s\n", e.Scenarios[0].Actions[0], e.Claims[0], e.Cells()[0].Name(), e.Runs()[0].Key())
 	}
-	for _, bad := range []string{"(other)", `(experiment "g" (wrld))`, `(experiment "g" (world (wrld 1)))`, `(experiment "g" (policies nobody))`, `(experiment "g" (claim joy module >= 1))`} {
-		_, err := Parse(bad)
-		fmt.Fprintf(&b, "%s: %v\n", bad, err)
+	for _, invalid := range []string{"(other)", `(experiment "g" (wrld))`, `(experiment "g" (world (wrld 1)))`, `(experiment "g" (policies nobody))`, `(experiment "g" (claim joy module >= 1))`} {
+		_, err := Parse(invalid)
+		fmt.Fprintf(&b, "%s: %v\n", invalid, err)
 	}
 	golden.Compare(t, "vocabulary.txt", b.String())
 }
 
-// What is told of results and of the difference of two.
+// Guards against changes of the tables of reports and comparisons.
 func TestReportsAreStable(t *testing.T) {
-	a, c := fixedResults("module", 0.1), fixedResults("module", 0.3)
+	first, second := fixedResults("module", 0.1), fixedResults("module", 0.3)
 	var b strings.Builder
-	if err := a.Report(&b, Metrics); err != nil {
+	if err := first.Report(&b, Metrics); err != nil {
 		t.Fatal(err)
 	}
-	if err := Compare(&b, a, c, []string{"g", "moves"}); err != nil {
+	if err := Compare(&b, first, second, []string{"g", "moves"}); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "report.txt", b.String())
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -22,6 +22,7 @@
   (claim tipped module <= 0))
 `
 
+// mustParse parses an experiment.
 func mustParse(t *testing.T, source string) *Experiment {
 	t.Helper()
 	e, err := Parse(source)
@@ -31,37 +32,37 @@
 	return e
 }
 
-func TestExperimentsAreReadWhole(t *testing.T) {
+func TestExperimentsAreParsed(t *testing.T) {
 	e := mustParse(t, smallExperiment)
 	if n := len(e.Runs()); n != 2*4*2*3 || len(e.Cells()) != 8 || e.Cells()[0].World.Servers != 6 || e.Cells()[7].World.Servers != 13 {
-		t.Errorf("%d runs of %d cells", n, len(e.Cells()))
+		t.Errorf("the matrix has %d runs and %d cells, want 48 runs and 8 cells with 6 to 13 servers", n, len(e.Cells()))
 	}
 	for source, want := range map[string]string{
 		"(lab)":                                                                   "line 1, column 1: expected (experiment NAME ...)",
-		"(experiment a (word))":                                                   `line 1, column 16: an experiment has no "word"`,
+		"(experiment a (word))":                                                   `line 1, column 16: unknown form "word"`,
 		"(experiment a (world (servrs 3)))":                                       `line 1, column 30: unknown world parameter "servrs"; expected one of attempts`,
 		"(experiment a (world (servers 0)))":                                      "line 1, column 31: 0 is not a number between 1 and 5000",
 		"(experiment a (world (servers 2.5)))":                                    "line 1, column 31: 2.5 is not an integer",
-		"(experiment a (policies best))":                                          `line 1, column 25: there is no policy "best"; expected one of module`,
-		"(experiment a (matrix (servers)))":                                       "line 1, column 23: servers wants values to try",
+		"(experiment a (policies best))":                                          `line 1, column 25: unknown policy "best"; expected one of module`,
+		"(experiment a (matrix (servers)))":                                       "line 1, column 23: servers has no values",
 		"(experiment a (scene x (at 1s (melt))))":                                 `line 1, column 31: unknown action "melt"`,
-		"(experiment a (seeds 0))":                                                "line 1, column 22: 0 seeds are not within",
-		"(experiment a (claim joy module >= 1))":                                  `line 1, column 22: there is no metric "joy"`,
-		"(experiment a (claim g module > 1))":                                     `line 1, column 31: ">" compares nothing here`,
-		"(experiment a (claim g random >= 1))":                                    "line 1, column 1: the claim (claim g random >= 1) is of policy random, which is not tried",
-		"(experiment a (claim g module >= 1 x))":                                  "line 1, column 1: the claim (claim g module >= 1 x) is of a scene that is not there",
-		"(experiment a (seeds 10000) (matrix (servers 1 2 3 4 5 6 7 8 9 10 11)))": "line 1, column 1: 110000 runs are more than 100000",
+		"(experiment a (seeds 0))":                                                "line 1, column 22: 0 seeds is not between",
+		"(experiment a (claim joy module >= 1))":                                  `line 1, column 22: unknown metric "joy"`,
+		"(experiment a (claim g module > 1))":                                     `line 1, column 31: unknown operator ">"`,
+		"(experiment a (claim g random >= 1))":                                    "line 1, column 1: claim (claim g random >= 1): policy random is not in the experiment's policies",
+		"(experiment a (claim g module >= 1 x))":                                  "line 1, column 1: claim (claim g module >= 1 x): the experiment has no such scene",
+		"(experiment a (seeds 10000) (matrix (servers 1 2 3 4 5 6 7 8 9 10 11)))": "line 1, column 1: the experiment has 110000 runs, more than 100000",
 	} {
 		if e, err := Parse(source); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %+v, %v, want %s", source, e, err, want)
+			t.Errorf("%s: parsed as %+v, error %v; want an error that begins with %q", source, e, err, want)
 		}
 	}
 	files, _ := filepath.Glob("../../experiments/*.lisp")
 	if len(files) == 0 {
-		t.Error("no experiments ship")
+		t.Error("the folder experiments has no experiment files")
 	}
-	for _, f := range files {
-		text, err := os.ReadFile(f)
+	for _, file := range files {
+		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,20 +70,20 @@
 	}
 }
 
-// A run that was cut anywhere goes on, and ends with the same results as one that was
-// not; results of another experiment are left alone.
-func TestCutRunGoesOn(t *testing.T) {
+// Guards against runs that are lost or repeated when an experiment resumes from a truncated file, and
+// against results that are appended to those of another experiment.
+func TestInterruptedExperimentResumes(t *testing.T) {
 	e := mustParse(t, smallExperiment)
 	folder := t.TempDir()
-	whole := filepath.Join(folder, "whole.csv")
-	results, err := Execute(e, whole, 4, nil)
+	complete := filepath.Join(folder, "complete.csv")
+	results, err := Execute(e, complete, 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if broken := results.ContradictedClaims(e); len(results.Rows) != len(e.Runs()) || len(broken) > 0 {
-		t.Errorf("%d rows, claims broken %v", len(results.Rows), broken)
+	if contradicted := results.ContradictedClaims(e); len(results.Rows) != len(e.Runs()) || len(contradicted) > 0 {
+		t.Errorf("results have %d rows of %d runs and contradict the claims %v", len(results.Rows), len(e.Runs()), contradicted)
 	}
-	text, err := os.ReadFile(whole)
+	text, err := os.ReadFile(complete)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,49 +94,49 @@
 		}
 		return b.String()
 	}
-	for _, cut := range []int{0, 5, len(fileHeader(smallExperiment)) - 3, len(fileHeader(smallExperiment)) + 9, len(text) / 2, len(text) - 1, len(text)} {
-		path := filepath.Join(folder, "cut.csv")
-		if err := os.WriteFile(path, text[:cut], 0o644); err != nil {
+	for _, length := range []int{0, 5, len(fileHeader(smallExperiment)) - 3, len(fileHeader(smallExperiment)) + 9, len(text) / 2, len(text) - 1, len(text)} {
+		path := filepath.Join(folder, "truncated.csv")
+		if err := os.WriteFile(path, text[:length], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		ran := 0
-		again, err := Execute(e, path, 3, func(int, int) { ran++ })
+		runs := 0
+		again, err := Execute(e, path, 3, func(int, int) { runs++ })
 		if err != nil {
-			t.Fatalf("cut at %d: %v", cut, err)
+			t.Fatalf("truncated to %d bytes: %v", length, err)
 		}
 		if report(again) != report(results) {
-			t.Errorf("cut at %d:\n%s\nwhole:\n%s", cut, report(again), report(results))
+			t.Errorf("truncated to %d bytes, resumed results are\n%s\nwant\n%s", length, report(again), report(results))
 		}
-		if left := bytes.Count(text[cut:], []byte("\n")); cut > len(fileHeader(smallExperiment)) && ran > left+1 {
-			t.Errorf("cut at %d: %d runs were made again", cut, ran-left)
+		if missing := bytes.Count(text[length:], []byte("\n")); length > len(fileHeader(smallExperiment)) && runs > missing+1 {
+			t.Errorf("truncated to %d bytes: %d runs were repeated", length, runs-missing)
 		}
-		if kept, err := ReadResults(path); err != nil || len(kept.Rows) != len(e.Runs()) || strings.TrimSpace(kept.Source) != strings.TrimSpace(smallExperiment) {
-			t.Errorf("cut at %d: the file holds %v, %v", cut, kept, err)
+		if stored, err := ReadResults(path); err != nil || len(stored.Rows) != len(e.Runs()) || strings.TrimSpace(stored.Source) != strings.TrimSpace(smallExperiment) {
+			t.Errorf("truncated to %d bytes: the resumed file holds %v, error %v", length, stored, err)
 		}
 	}
-	if _, err := Execute(mustParse(t, strings.Replace(smallExperiment, "(rate 3)", "(rate 4)", 1)), whole, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
-		t.Errorf("results of another experiment: %v", err)
+	if _, err := Execute(mustParse(t, strings.Replace(smallExperiment, "(rate 3)", "(rate 4)", 1)), complete, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
+		t.Errorf("appending to results of another experiment: error is %v", err)
 	}
 }
 
-// Each class's service stands in its own column, and they are those of the run.
-func TestServiceIsToldByClass(t *testing.T) {
-	w := simulation.ReferenceWorld()
-	w.Duration = 5 * time.Second
-	p, _ := simulation.FindPolicy("module")
-	results := simulation.New(w, nil, p, 3).Run(nil)
-	row := Row{Values: metricsOf(results)}
-	if len(row.Values) != len(Metrics) || len(results.Classes) != 4 {
-		t.Fatalf("%d figures of %d metrics, %d classes", len(row.Values), len(Metrics), len(results.Classes))
-	}
-	for _, c := range results.Classes {
-		if row.Value(c.Name) != c.Service || row.Value(c.Name+"-in-aim") != c.InObjective || c.Service <= 0 {
-			t.Errorf("%s: %v, %v for %+v", c.Name, row.Value(c.Name), row.Value(c.Name+"-in-aim"), c)
+// Guards against the service of a class in the column of another.
+func TestMetricsHaveServiceOfEachClass(t *testing.T) {
+	world := simulation.ReferenceWorld()
+	world.Duration = 5 * time.Second
+	policy, _ := simulation.FindPolicy("module")
+	result := simulation.New(world, nil, policy, 3).Run(nil)
+	row := Row{Values: metricsOf(result)}
+	if len(row.Values) != len(Metrics) || len(result.Classes) != 4 {
+		t.Fatalf("the row has %d values of %d metrics, and the result %d classes, want 4", len(row.Values), len(Metrics), len(result.Classes))
+	}
+	for _, class := range result.Classes {
+		if row.Value(class.Name) != class.Service || row.Value(class.Name+"-in-aim") != class.InObjective || class.Service <= 0 {
+			t.Errorf("%s: the row has service %v and share in objective %v, the result %+v", class.Name, row.Value(class.Name), row.Value(class.Name+"-in-aim"), class)
 		}
 	}
 }
 
-func TestComparisonIsPaired(t *testing.T) {
+func TestComparisonIsPairedBySeed(t *testing.T) {
 	e := mustParse(t, smallExperiment)
 	folder := t.TempDir()
 	a, err := Execute(e, filepath.Join(folder, "a.csv"), 4, nil)
@@ -152,18 +153,18 @@
 		t.Fatal(err)
 	}
 	if lines := strings.Count(out.String(), "\n"); lines != 1+8*2 || !strings.Contains(out.String(), "*") {
-		t.Errorf("compared as\n%s", out.String())
+		t.Errorf("want a line for each cell and policy, and a significant difference; got\n%s", out.String())
 	}
 	out.Reset()
 	if err := Compare(&out, a, a, []string{"g"}); err != nil || strings.Contains(out.String(), "*") || !strings.Contains(out.String(), "+0 ±0") {
-		t.Errorf("with itself: %v\n%s", err, out.String())
+		t.Errorf("comparison of results with themselves: error %v, table\n%s", err, out.String())
 	}
 	if err := Compare(&out, a, &Results{}, []string{"g"}); err == nil {
-		t.Error("nothing in common was compared")
+		t.Error("comparison of results without a common run returned no error")
 	}
-	m := meanOf([]float64{1, 2, 3})
-	if m.Value != 2 || m.HalfWidth < 2.48 || m.HalfWidth > 2.49 { // 4.303 times 1 over the root of 3
-		t.Errorf("the mean of 1, 2, 3 is %v", m)
+	mean := meanOf([]float64{1, 2, 3})
+	if mean.Value != 2 || mean.HalfWidth < 2.48 || mean.HalfWidth > 2.49 { // 4.303/sqrt(3)
+		t.Errorf("the mean of 1, 2, 3 is %v, want 2 ±2.48", mean)
 	}
 }
 
@@ -174,19 +175,19 @@
 		t.Fatal(err)
 	}
 	for _, kind := range PlotKinds {
-		for _, ending := range []string{".svg", ".png"} {
-			path := filepath.Join(t.TempDir(), kind+ending)
+		for _, extension := range []string{".svg", ".png"} {
+			path := filepath.Join(t.TempDir(), kind+extension)
 			if err := Plot(e, results, kind, "hang", path); err != nil {
-				t.Errorf("%s%s: %v", kind, ending, err)
+				t.Errorf("%s%s: %v", kind, extension, err)
 			}
-			if b, err := os.ReadFile(path); err != nil || len(b) < 2000 {
-				t.Errorf("%s%s has %d bytes, %v", kind, ending, len(b), err)
+			if image, err := os.ReadFile(path); err != nil || len(image) < 2000 {
+				t.Errorf("%s%s has %d bytes, want at least 2000; error %v", kind, extension, len(image), err)
 			}
 		}
 	}
-	for _, c := range [][3]string{{"load", "hang", "x.pdf"}, {"load", "storm", "x.svg"}, {"joy", "hang", "x.svg"}} {
-		if err := Plot(e, results, c[0], c[1], filepath.Join(t.TempDir(), c[2])); err == nil {
-			t.Errorf("%v was drawn", c)
+	for _, args := range [][3]string{{"load", "hang", "x.pdf"}, {"load", "storm", "x.svg"}, {"joy", "hang", "x.svg"}} {
+		if err := Plot(e, results, args[0], args[1], filepath.Join(t.TempDir(), args[2])); err == nil {
+			t.Errorf("Plot with kind, scenario and file %q returned no error", args)
 		}
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,138 +15,144 @@
 	"lockroad/internal/simulation"
 )
 
-// PlotKinds are the kinds of plots.
+// PlotKinds are the kinds of plots that Plot draws.
 var PlotKinds = []string{"load", "service", "recovery", "size"}
 
-// Plot draws a plot of an experiment to a file, SVG or PNG by its ending: of a scene's
-// first cell the servers' load or the service over time, with what happens marked; the
-// service of all policies after the first thing that happens; or, from results, the cost
-// of a run against the number of servers.
-func Plot(e *Experiment, r *Results, kind, scene, path string) error {
+// Plot writes a plot to a file, as SVG or PNG by its extension. The kinds are
+//
+//   - load: the servers' utilization over time, with the first policy,
+//   - service: the service of each policy over time,
+//   - recovery: the same, from shortly before the first action of the script,
+//   - size: the run time and the number of events by the number of servers.
+//
+// size plots the results. The others run the first cell of a scenario, by default the first
+// scenario, with the first seed, and mark the actions of the script.
+func Plot(e *Experiment, r *Results, kind, scenario, path string) error {
 	if !strings.HasSuffix(path, ".svg") && !strings.HasSuffix(path, ".png") {
-		return fmt.Errorf("%s: expected a name that ends in .svg or .png", path)
+		return fmt.Errorf("%s: expected a file name that ends in .svg or .png", path)
 	}
-	point := plot.New()
-	point.Title.Text = e.Name + ", " + kind
-	point.X.Label.Text = "seconds"
-	point.Legend.Top = true
-	point.Add(plotter.NewGrid())
+	chart := plot.New()
+	chart.Title.Text = e.Name + ", " + kind
+	chart.X.Label.Text = "seconds"
+	chart.Legend.Top = true
+	chart.Add(plotter.NewGrid())
 	var err error
 	switch kind {
 	case "load", "service", "recovery":
 		i := 0
 		cells := e.Cells()
-		if scene != "" {
-			if i = slices.IndexFunc(cells, func(c Cell) bool { return c.Scenario.Name == scene }); i < 0 {
-				return fmt.Errorf("there is no scene %q", scene)
+		if scenario != "" {
+			if i = slices.IndexFunc(cells, func(cell Cell) bool { return cell.Scenario.Name == scenario }); i < 0 {
+				return fmt.Errorf("the experiment has no scene %q", scenario)
 			}
 		}
-		point.Title.Text += ", " + cells[i].Name()
-		err = plotOverTime(point, e, cells[i], kind)
+		chart.Title.Text += ", " + cells[i].Name()
+		err = plotOverTime(chart, e, cells[i], kind)
 	case "size":
-		err = plotBySize(point, r)
+		err = plotBySize(chart, r)
 	default:
-		return fmt.Errorf("there is no plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
+		return fmt.Errorf("unknown plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
 	}
 	if err != nil {
 		return err
 	}
-	return point.Save(18*vg.Centimeter, 11*vg.Centimeter, path)
+	return chart.Save(18*vg.Centimeter, 11*vg.Centimeter, path)
 }
 
-// addLine adds a addLine to a plot.
-func addLine(point *plot.Plot, name string, i int, points plotter.XYs) error {
-	l, err := plotter.NewLine(points)
+// addLine adds a line with the ith color and style to a plot and its legend.
+func addLine(chart *plot.Plot, name string, i int, points plotter.XYs) error {
+	line, err := plotter.NewLine(points)
 	if err != nil {
 		return err
 	}
-	l.Color, l.Width = plotutil.Color(i), vg.Points(1.5)
-	l.Dashes = plotutil.Dashes(i / 7)
-	point.Add(l)
-	point.Legend.Add(name, l)
+	line.Color, line.Width = plotutil.Color(i), vg.Points(1.5)
+	line.Dashes = plotutil.Dashes(i / 7)
+	chart.Add(line)
+	chart.Legend.Add(name, line)
 	return nil
 }
 
-func plotOverTime(point *plot.Plot, e *Experiment, c Cell, kind string) error {
+// plotOverTime adds the lines of the plots load, service and recovery for a cell.
+func plotOverTime(chart *plot.Plot, e *Experiment, cell Cell, kind string) error {
 	policies := e.Policies
 	if kind != "recovery" && kind != "service" {
 		policies = policies[:1]
 	}
-	var marks []simulation.Annotation
+	var annotations []simulation.Annotation
 	top := 1.0
 	for i, policy := range policies {
-		result := simulation.New(c.World, slices.Clone(c.Scenario.Actions), policy, e.Seeds[0]).Run(nil)
-		marks = result.Annotations
+		result := simulation.New(cell.World, slices.Clone(cell.Scenario.Actions), policy, e.Seeds[0]).Run(nil)
+		annotations = result.Annotations
 		from := 0.0
-		if kind == "recovery" && len(marks) > 0 {
-			from = marks[0].At.Seconds() - 5
+		if kind == "recovery" && len(annotations) > 0 {
+			from = annotations[0].At.Seconds() - 5
 		}
 		var lines [3]plotter.XYs
-		for at, s := range result.Seconds {
+		for at, second := range result.Seconds {
 			x := float64(at) + 1
 			if x < from {
 				continue
 			}
 			if kind == "load" {
-				for j, v := range []float64{s.MaxUtilization, s.MeanUtilization, s.MinUtilization} {
-					lines[j] = append(lines[j], plotter.XY{X: x, Y: v})
-					top = max(top, v)
+				for j, utilization := range []float64{second.MaxUtilization, second.MeanUtilization, second.MinUtilization} {
+					lines[j] = append(lines[j], plotter.XY{X: x, Y: utilization})
+					top = max(top, utilization)
 				}
 				continue
 			}
-			lines[0] = append(lines[0], plotter.XY{X: x, Y: s.Service})
+			lines[0] = append(lines[0], plotter.XY{X: x, Y: second.Service})
 		}
 		names := []string{policy.Name}
 		if kind == "load" {
-			names = []string{"fullest server", "mean", "emptiest server"}
+			names = []string{"maximum of all servers", "mean", "minimum of all servers"}
 		}
 		for j, name := range names {
-			if err := addLine(point, name, i+j, lines[j]); err != nil {
+			if err := addLine(chart, name, i+j, lines[j]); err != nil {
 				return err
 			}
 		}
 	}
-	point.Y.Label.Text = map[bool]string{true: "load against what a server can do", false: "part of the worth asked for"}[kind == "load"]
-	point.Y.Min, point.Y.Max = 0, top*1.05
-	for _, m := range marks {
-		at := m.At.Seconds()
-		l, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
+	chart.Y.Label.Text = map[bool]string{true: "utilization", false: "service, as a share of the demand"}[kind == "load"]
+	chart.Y.Min, chart.Y.Max = 0, top*1.05
+	for _, annotation := range annotations {
+		at := annotation.At.Seconds()
+		line, err := plotter.NewLine(plotter.XYs{{X: at, Y: 0}, {X: at, Y: top}})
 		if err != nil {
 			return err
 		}
-		l.Color, l.Dashes = color.Gray{Y: 110}, []vg.Length{vg.Points(3), vg.Points(3)}
-		point.Add(l)
-		words, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: at, Y: top * 0.02}}, Labels: []string{" " + m.Text}})
+		line.Color, line.Dashes = color.Gray{Y: 110}, []vg.Length{vg.Points(3), vg.Points(3)}
+		chart.Add(line)
+		label, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{{X: at, Y: top * 0.02}}, Labels: []string{" " + annotation.Text}})
 		if err != nil {
 			return err
 		}
-		point.Add(words)
+		chart.Add(label)
 	}
 	return nil
 }
 
-// plotBySize plots what a run costs against the number of its servers.
-func plotBySize(point *plot.Plot, r *Results) error {
-	point.X.Label.Text, point.Y.Label.Text = "servers", "seconds a run, and millions of events"
+// plotBySize adds the lines of the plot size, from the values of the axis servers or scale.
+func plotBySize(chart *plot.Plot, r *Results) error {
+	chart.X.Label.Text, chart.Y.Label.Text = "servers", "seconds per run, and millions of events"
 	for i, policy := range r.policyNames() {
-		var took, events plotter.XYs
-		for _, where := range r.cellNames() {
-			for _, part := range strings.Fields(where) {
+		var runTimes, events plotter.XYs
+		for _, cell := range r.cellNames() {
+			for _, part := range strings.Fields(cell) {
 				name, value, _ := strings.Cut(part, "=")
 				servers, err := strconv.ParseFloat(value, 64)
 				if err != nil || name != "servers" && name != "scale" {
 					continue
 				}
-				took = append(took, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("took", where, policy))).Value})
-				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("events", where, policy))).Value / 1e6})
+				runTimes = append(runTimes, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("took", cell, policy))).Value})
+				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("events", cell, policy))).Value / 1e6})
 			}
 		}
-		if len(took) == 0 {
+		if len(runTimes) == 0 {
 			return fmt.Errorf("the results have no axis servers or scale")
 		}
-		for j, points := range []plotter.XYs{took, events} {
+		for j, points := range []plotter.XYs{runTimes, events} {
 			slices.SortFunc(points, func(x, y plotter.XY) int { return int(x.X - y.X) })
-			if err := addLine(point, policy+[]string{", seconds", ", events"}[j], 2*i+j, points); err != nil {
+			if err := addLine(chart, policy+[]string{", seconds", ", events"}[j], 2*i+j, points); err != nil {
 				return err
 			}
 		}
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -16,54 +16,57 @@
 	"lockroad/internal/simulation"
 )
 
-// Metrics are the names of a run's figures, in the order of their columns: at the end the
-// service of each class, such as live-preview, and its share of set-ups within its objective.
+// Metrics are the names of a run's metrics, in the order of their columns. The last are, for each
+// class, its service and its share of set-ups within the latency objective.
 var Metrics = append([]string{"g", "service", "worst10", "worst-class", "attempts", "refused", "gave-up", "moves", "silent", "broken", "crossed", "late", "tipped",
 	"spread", "servers-a-group", "recovery", "p50", "p99", "clients", "standing", "probes", "found-in", "false-alarms", "events", "took"}, classMetrics()...)
 
 // classMetrics returns the names of the metrics of the classes, in their order.
 func classMetrics() (names []string) {
-	for _, claim := range simulation.ReferenceWorld().Classes { // no experiment has others
-		names = append(names, claim.Name, claim.Name+"-in-aim")
+	for _, class := range simulation.ReferenceWorld().Classes { // experiments can't change the classes
+		names = append(names, class.Name, class.Name+"-in-aim")
 	}
 	return names
 }
 
-// metricsOf returns the figures of a result; those from refused to crossed are per client.
+// metricsOf returns the values of Metrics for a result. Those from refused to crossed, and probes, are
+// per client.
 func metricsOf(r *simulation.Result) []float64 {
-	per := func(count int) float64 { return float64(count) / float64(max(1, r.Clients)) }
+	perClient := func(count int) float64 { return float64(count) / float64(max(1, r.Clients)) }
 	worst, p50, p99 := 1.0, 0.0, 0.0
-	for _, claim := range r.Classes {
-		worst, p50, p99 = min(worst, claim.Service), max(p50, claim.P50), max(p99, claim.P99)
+	for _, class := range r.Classes {
+		worst, p50, p99 = min(worst, class.Service), max(p50, class.P50), max(p99, class.P99)
 	}
-	all := []float64{r.Score, r.Service, r.WorstTenSeconds, worst, r.AttemptsPerRequest, per(r.Rejected), per(r.GaveUp), per(r.Migrations), per(r.HeartbeatTimeouts), per(r.BrokenConnections), per(r.CrossZoneAttempts),
-		float64(r.LateAfterDrain), float64(r.Overloaded), r.LoadSpread, r.ServersPerGroup, r.Recovery, p50, p99, float64(r.Clients), float64(r.Established), per(r.Probes), r.DetectionTime, float64(r.FalseAlarms), float64(r.Events), r.RunTime}
-	for _, claim := range r.Classes {
-		all = append(all, claim.Service, claim.InObjective)
+	values := []float64{r.Score, r.Service, r.WorstTenSeconds, worst, r.AttemptsPerRequest, perClient(r.Rejected), perClient(r.GaveUp), perClient(r.Migrations), perClient(r.HeartbeatTimeouts), perClient(r.BrokenConnections), perClient(r.CrossZoneAttempts),
+		float64(r.LateAfterDrain), float64(r.Overloaded), r.LoadSpread, r.ServersPerGroup, r.Recovery, p50, p99, float64(r.Clients), float64(r.Established), perClient(r.Probes), r.DetectionTime, float64(r.FalseAlarms), float64(r.Events), r.RunTime}
+	for _, class := range r.Classes {
+		values = append(values, class.Service, class.InObjective)
 	}
-	return all
+	return values
 }
 
-// Row holds the figures of one run.
+// Row holds the metrics of one run.
 type Row struct {
-	Cell   string // of the cell
+	Cell   string // name of the cell
 	Policy string
 	Seed   uint64
-	Values []float64 // as Metrics
+	Values []float64 // in the order of Metrics
 }
 
+// key returns the Key of the row's run.
 func (r Row) key() string { return fmt.Sprintf("%s|%s|%d", r.Cell, r.Policy, r.Seed) }
 
-// Value returns the figure of a metric, which must be one of Metrics.
+// Value returns the value of a metric, which must be one of Metrics.
 func (r Row) Value(metric string) float64 { return r.Values[slices.Index(Metrics, metric)] }
 
-// Results is a file of results, parsed.
+// Results is a parsed file of results.
 type Results struct {
 	Source string // of the experiment
 	Rows   []Row
 }
 
-// fileHeader returns the head of a file: the experiment, line by line, then the columns.
+// fileHeader returns the header of a file of results: the experiment's source as comments, and the
+// names of the columns.
 func fileHeader(source string) string {
 	var b strings.Builder
 	for line := range strings.Lines(strings.TrimRight(source, "\n") + "\n") {
@@ -73,7 +76,7 @@
 	return b.String()
 }
 
-// ReadResults reads a file of results. A last line that was cut is ignored.
+// ReadResults reads a file of results. It ignores a truncated last line.
 func ReadResults(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -87,35 +90,35 @@
 	r := &Results{}
 	rest := text
 	for bytes.HasPrefix(rest, []byte("# ")) {
-		line, more, _ := bytes.Cut(rest, []byte("\n"))
+		line, remaining, _ := bytes.Cut(rest, []byte("\n"))
 		r.Source += string(line[2:]) + "\n"
-		rest = more
+		rest = remaining
 	}
 	if r.Source == "" {
-		return nil, fmt.Errorf("%s: no results: the experiment is not at its head", path)
+		return nil, fmt.Errorf("%s: not a file of results: the header has no experiment", path)
 	}
-	claim := csv.NewReader(bytes.NewReader(rest))
-	claim.FieldsPerRecord = 3 + len(Metrics)
+	reader := csv.NewReader(bytes.NewReader(rest))
+	reader.FieldsPerRecord = 3 + len(Metrics)
 	for first := true; ; first = false {
-		cells, err := claim.Read()
+		fields, err := reader.Read()
 		switch {
 		case errors.Is(err, io.EOF):
 			return r, nil
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", path, err)
-		case first && (cells[0] != "where" || !slices.Equal(cells[3:], Metrics)):
-			return nil, fmt.Errorf("%s: the columns are those of another version: %v", path, cells)
+		case first && (fields[0] != "where" || !slices.Equal(fields[3:], Metrics)):
+			return nil, fmt.Errorf("%s: the columns %v are not those of this version", path, fields)
 		case first:
 			continue
 		}
-		row := Row{Cell: cells[0], Policy: cells[1]}
-		if row.Seed, err = strconv.ParseUint(cells[2], 10, 64); err != nil {
-			return nil, fmt.Errorf("%s: seed %q: %w", path, cells[2], err)
+		row := Row{Cell: fields[0], Policy: fields[1]}
+		if row.Seed, err = strconv.ParseUint(fields[2], 10, 64); err != nil {
+			return nil, fmt.Errorf("%s: seed %q: %w", path, fields[2], err)
 		}
-		for _, cell := range cells[3:] {
-			value, err := strconv.ParseFloat(cell, 64)
+		for _, field := range fields[3:] {
+			value, err := strconv.ParseFloat(field, 64)
 			if err != nil {
-				return nil, fmt.Errorf("%s: figure %q: %w", path, cell, err)
+				return nil, fmt.Errorf("%s: metric value %q: %w", path, field, err)
 			}
 			row.Values = append(row.Values, value)
 		}
@@ -123,25 +126,26 @@
 	}
 }
 
+// csvLine returns the row's line in a file of results.
 func (r Row) csvLine() []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	cells := []string{r.Cell, r.Policy, strconv.FormatUint(r.Seed, 10)}
+	fields := []string{r.Cell, r.Policy, strconv.FormatUint(r.Seed, 10)}
 	for _, value := range r.Values {
-		cells = append(cells, strconv.FormatFloat(value, 'g', 7, 64))
+		fields = append(fields, strconv.FormatFloat(value, 'g', 7, 64))
 	}
-	_ = w.Write(cells) // a buffer takes all
+	_ = w.Write(fields) // writes to a buffer don't fail
 	w.Flush()
 	return b.Bytes()
 }
 
-// Mean is a mean with the half width of its 95% confidence interval. N is the number of values.
+// Mean is the mean of Count values with the half width of its 95% confidence interval.
 type Mean struct {
 	Value, HalfWidth float64
 	Count            int
 }
 
-// String returns the mean and, of two values or more, the half width.
+// String returns the mean and, for two values or more, the half width.
 func (m Mean) String() string {
 	if m.Count < 2 {
 		return fmt.Sprintf("%.4g", m.Value)
@@ -149,7 +153,7 @@
 	return fmt.Sprintf("%.4g ±%.2g", m.Value, m.HalfWidth)
 }
 
-// studentT975 are the 97.5% quantiles of Student's t by degrees of freedom.
+// studentT975 has the 97.5% quantiles of Student's t by degrees of freedom.
 var studentT975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
 func meanOf(values []float64) Mean {
@@ -160,132 +164,134 @@
 	for _, value := range values {
 		m.Value += value / float64(m.Count)
 	}
-	square := 0.0
+	squares := 0.0
 	for _, value := range values {
-		square += (value - m.Value) * (value - m.Value)
+		squares += (value - m.Value) * (value - m.Value)
 	}
 	if m.Count > 1 {
 		t := 1.96 + 2.4/float64(m.Count-1)
 		if m.Count-1 < len(studentT975) {
 			t = studentT975[m.Count-1]
 		}
-		m.HalfWidth = t * math.Sqrt(square/float64(m.Count-1)/float64(m.Count))
+		m.HalfWidth = t * math.Sqrt(squares/float64(m.Count-1)/float64(m.Count))
 	}
 	return m
 }
 
-// valuesBySeed returns the figures of a metric in a cell by a policy.
-func (r *Results) valuesBySeed(metric, where, policy string) map[uint64]float64 {
+// valuesBySeed returns the values of a metric for a cell and a policy, by seed.
+func (r *Results) valuesBySeed(metric, cell, policy string) map[uint64]float64 {
 	values := make(map[uint64]float64)
 	for _, row := range r.Rows {
-		if row.Cell == where && row.Policy == policy {
+		if row.Cell == cell && row.Policy == policy {
 			values[row.Seed] = row.Value(metric)
 		}
 	}
 	return values
 }
 
-// cellNames and policies return the names that the rows have, sorted.
+// cellNames and policyNames return the distinct names in the rows, sorted.
 func (r *Results) cellNames() []string {
-	return distinctValues(r.Rows, func(x Row) string { return x.Cell })
+	return distinctValues(r.Rows, func(row Row) string { return row.Cell })
 }
 func (r *Results) policyNames() []string {
-	return distinctValues(r.Rows, func(x Row) string { return x.Policy })
+	return distinctValues(r.Rows, func(row Row) string { return row.Policy })
 }
 
-func distinctValues(rows []Row, of func(Row) string) []string {
-	var all []string
-	for _, r := range rows {
-		if value := of(r); !slices.Contains(all, value) {
-			all = append(all, value)
+// distinctValues returns the distinct values of a field of the rows, sorted.
+func distinctValues(rows []Row, field func(Row) string) []string {
+	var distinct []string
+	for _, row := range rows {
+		if value := field(row); !slices.Contains(distinct, value) {
+			distinct = append(distinct, value)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(distinct)
+	return distinct
 }
 
-func sortedValues(m map[uint64]float64) []float64 {
-	var all []float64
-	for _, value := range m {
-		all = append(all, value)
+// sortedValues returns the values of valuesBySeed in an order that makes their sum reproducible.
+func sortedValues(bySeed map[uint64]float64) []float64 {
+	var values []float64
+	for _, value := range bySeed {
+		values = append(values, value)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(values)
+	return values
 }
 
-// Report writes means by cell and policy.
+// Report writes a table of the metrics' means by cell and policy.
 func (r *Results) Report(w io.Writer, metrics []string) error {
-	for _, m := range metrics {
-		if !slices.Contains(Metrics, m) {
-			return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
+	for _, metric := range metrics {
+		if !slices.Contains(Metrics, metric) {
+			return fmt.Errorf("unknown metric %q; expected some of %s", metric, strings.Join(Metrics, ", "))
 		}
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
-	for _, where := range r.cellNames() {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
+	for _, cell := range r.cellNames() {
 		for _, policy := range r.policyNames() {
-			count := len(r.valuesBySeed("g", where, policy))
+			count := len(r.valuesBySeed("g", cell, policy))
 			if count == 0 {
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
-			for _, m := range metrics {
-				fmt.Fprintf(t, "\t%s", meanOf(sortedValues(r.valuesBySeed(m, where, policy))))
+			fmt.Fprintf(table, "%s\t%s\t%d", cell, policy, count)
+			for _, metric := range metrics {
+				fmt.Fprintf(table, "\t%s", meanOf(sortedValues(r.valuesBySeed(metric, cell, policy))))
 			}
-			fmt.Fprintln(t)
+			fmt.Fprintln(table)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// pairedDifference returns the mean of the differences of two sets of figures by seed.
+// pairedDifference returns the mean of x-y over the seeds that both have.
 func pairedDifference(x, y map[uint64]float64) Mean {
-	var difference []float64
+	var differences []float64
 	for seed, value := range x {
-		if u, ok := y[seed]; ok {
-			difference = append(difference, value-u)
+		if other, ok := y[seed]; ok {
+			differences = append(differences, value-other)
 		}
 	}
-	slices.Sort(difference)
-	return meanOf(difference)
+	slices.Sort(differences)
+	return meanOf(differences)
 }
 
-// Compare writes the differences of two files of results, paired by cell, policy and seed; a
-// star marks those that are significant at 95%.
+// Compare writes a table of the metrics' mean differences a-b, paired by cell, policy and seed. A star
+// marks those that are significant at 95%.
 func Compare(w io.Writer, a, b *Results, metrics []string) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
 	pairs := 0
-	for _, where := range a.cellNames() {
+	for _, cell := range a.cellNames() {
 		for _, policy := range a.policyNames() {
-			count := pairedDifference(a.valuesBySeed("g", where, policy), b.valuesBySeed("g", where, policy)).Count
+			count := pairedDifference(a.valuesBySeed("g", cell, policy), b.valuesBySeed("g", cell, policy)).Count
 			if count == 0 {
 				continue
 			}
 			pairs += count
-			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
-			for _, m := range metrics {
-				if !slices.Contains(Metrics, m) {
-					return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
+			fmt.Fprintf(table, "%s\t%s\t%d", cell, policy, count)
+			for _, metric := range metrics {
+				if !slices.Contains(Metrics, metric) {
+					return fmt.Errorf("unknown metric %q; expected some of %s", metric, strings.Join(Metrics, ", "))
 				}
-				difference := pairedDifference(a.valuesBySeed(m, where, policy), b.valuesBySeed(m, where, policy))
+				difference := pairedDifference(a.valuesBySeed(metric, cell, policy), b.valuesBySeed(metric, cell, policy))
 				star := ""
 				if difference.Count > 1 && math.Abs(difference.Value) > difference.HalfWidth {
 					star = " *"
 				}
-				fmt.Fprintf(t, "\t%+.4g ±%.2g%s", difference.Value, difference.HalfWidth, star)
+				fmt.Fprintf(table, "\t%+.4g ±%.2g%s", difference.Value, difference.HalfWidth, star)
 			}
-			fmt.Fprintln(t)
+			fmt.Fprintln(table)
 		}
 	}
 	if pairs == 0 {
-		return errors.New("the two have no run in common")
+		return errors.New("the files of results have no run in common")
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// ContradictedClaims returns the claims of an experiment that its results contradict, one line for each cell
-// where they do.
+// ContradictedClaims returns a line for each claim of an experiment and each cell in which the results
+// contradict it.
 func (r *Results) ContradictedClaims(e *Experiment) []string {
 	var contradicted []string
 	for _, claim := range e.Claims {
@@ -293,13 +299,13 @@
 			if claim.Scenario != "" && cell.Scenario.Name != claim.Scenario {
 				continue
 			}
-			where := cell.Name()
-			got, limit := meanOf(sortedValues(r.valuesBySeed(claim.Metric, where, claim.Policy))), claim.Value
+			name := cell.Name()
+			got, limit := meanOf(sortedValues(r.valuesBySeed(claim.Metric, name, claim.Policy))), claim.Value
 			if claim.OtherPolicy != "" {
-				limit += meanOf(sortedValues(r.valuesBySeed(claim.Metric, where, claim.OtherPolicy))).Value
+				limit += meanOf(sortedValues(r.valuesBySeed(claim.Metric, name, claim.OtherPolicy))).Value
 			}
 			if holds := claim.Operator == ">=" && got.Value >= limit || claim.Operator == "<=" && got.Value <= limit; !holds || got.Count == 0 {
-				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", claim, where, claim.Policy, claim.Metric, got, limit))
+				contradicted = append(contradicted, fmt.Sprintf("%s: in cell %s, %s has %s %s; the limit is %.4g", claim, name, claim.Policy, claim.Metric, got, limit))
 			}
 		}
 	}
