--- a/cmd/sim-adapter/main.go
+++ b/cmd/sim-adapter/main.go
@@ -1,5 +1,5 @@
-// Command sim-adapter connects many instances of the balancer to the simulator: it reads
-// batches of events from standard input and writes replies to standard output.
+// Command sim-adapter connects instances of the balancer to the platform's simulator: it reads
+// batches of events from standard input and writes replies with actions to standard output.
 package main
 
 import (
@@ -20,11 +20,11 @@
 	}
 }
 
-const inputBuffer = 64 << 10 // bytes
+const inputBufferSize = 64 << 10 // in bytes
 
 // serve answers batches until the input ends.
-func serve(r io.Reader, w io.Writer) error {
-	reader := simprotocol.NewReader(bufio.NewReaderSize(r, inputBuffer))
+func serve(in io.Reader, out io.Writer) error {
+	reader := simprotocol.NewReader(bufio.NewReaderSize(in, inputBufferSize))
 	instances := make(map[uint32]*balancer.Balancer)
 	var reply simprotocol.Reply
 	for {
@@ -33,20 +33,19 @@
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("reading: %w", err)
+			return fmt.Errorf("reading a batch: %w", err)
 		}
 		reply.Reset()
 		if err := handleBatch(batch, instances, &reply); err != nil {
 			return fmt.Errorf("batch at %v: %w", batch.Clock, err)
 		}
-		if _, err := reply.WriteTo(w); err != nil {
-			return fmt.Errorf("writing: %w", err)
+		if _, err := reply.WriteTo(out); err != nil {
+			return fmt.Errorf("writing the reply: %w", err)
 		}
 	}
 }
 
-// handleBatch passes the records of a batch to their instances, in order, and adds the
-// actions to the reply.
+// handleBatch passes the records of a batch to their instances in order, and adds the actions to the reply.
 func handleBatch(batch *simprotocol.Batch, instances map[uint32]*balancer.Balancer, reply *simprotocol.Reply) error {
 	for {
 		record, err := batch.Next()
--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -17,17 +17,17 @@
 "Guarantees":{"AnswerSlackUs":20000,"ColdUs":23000000,"DrainGraceUs":1000000,"FallUs":1500000,
 "StartCapacity":0.13,"TipMultiple":3.0}}`
 
-// encode writes values one behind the other as the wire has them.
+// encode concatenates the encodings of values on the wire. A string is preceded by its length.
 func encode(values ...any) []byte {
 	var out []byte
-	for _, v := range values {
-		switch v := v.(type) {
+	for _, value := range values {
+		switch value := value.(type) {
 		case []byte:
-			out = append(out, v...)
+			out = append(out, value...)
 		case string:
-			out = append(binary.LittleEndian.AppendUint32(out, uint32(len(v))), v...)
+			out = append(binary.LittleEndian.AppendUint32(out, uint32(len(value))), value...)
 		default:
-			out, _ = binary.Append(out, binary.LittleEndian, v)
+			out, _ = binary.Append(out, binary.LittleEndian, value)
 		}
 	}
 	return out
@@ -50,51 +50,51 @@
 	return record(3, instance, id, uint8(0), uint16(0), uint64(0), uint32(2000000), uint32(0), group, uint16(0))
 }
 
-func endpointList(n int) []byte {
+func catalog(size int) []byte {
 	var entries []byte
-	for id := range uint32(n) {
+	for id := range uint32(size) {
 		entries = append(entries, encode(uint16(0), float32(1), uint16(0), uint64(0), id+1, uint8(1), uint16(0))...)
 	}
-	return record(11, uint16(0), uint32(n), entries)
+	return record(11, uint16(0), uint32(size), entries)
 }
 
 func topology(instance uint32) []byte { return record(2, instance, uint8(3), uint64(1), uint16(0)) }
 
-// actionsByInstance splits replies into the records of each instance.
+// actionsByInstance splits replies into records and groups them by instance.
 func actionsByInstance(t *testing.T, out []byte) map[uint32][]string {
 	t.Helper()
-	by := make(map[uint32][]string)
+	records := make(map[uint32][]string)
 	for len(out) > 0 {
 		body := out[8 : 8+binary.LittleEndian.Uint32(out)]
 		out = out[8+len(body):]
 		for len(body) > 0 {
-			n := 5 + binary.LittleEndian.Uint32(body[1:])
+			size := 5 + binary.LittleEndian.Uint32(body[1:])
 			instance := binary.LittleEndian.Uint32(body[5:])
-			by[instance] = append(by[instance], string(body[:n]))
-			body = body[n:]
+			records[instance] = append(records[instance], string(body[:size]))
+			body = body[size:]
 		}
 	}
-	return by
+	return records
 }
 
 func TestServeAnswersEachBatchUntilEOF(t *testing.T) {
-	in := slices.Concat(batch(1), batch(2, attach(0), endpointList(3), topology(0), request(0, 1, 5)), batch(3))
+	in := slices.Concat(batch(1), batch(2, attach(0), catalog(3), topology(0), request(0, 1, 5)), batch(3))
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.HasPrefix(out.Bytes(), make([]byte, 8)) || !bytes.HasSuffix(out.Bytes(), make([]byte, 8)) {
-		t.Error("an empty batch was not answered with an empty reply")
+		t.Error("the reply to an empty batch is not empty")
 	}
 	if got := actionsByInstance(t, out.Bytes())[0]; len(got) != 2 {
-		t.Errorf("%d actions for one request, want its timer and its attempt", len(got))
+		t.Errorf("%d actions for one request, want 2: its timer and its attempt", len(got))
 	}
 }
 
 func TestInstancesAreIndependent(t *testing.T) {
-	day := func(instances ...uint32) map[uint32][]string {
+	actions := func(instances ...uint32) map[uint32][]string {
 		in := batch(1000)
-		first := [][]byte{endpointList(7)}
+		first := [][]byte{catalog(7)}
 		for _, instance := range instances {
 			first = append(first, attach(instance), topology(instance))
 		}
@@ -112,18 +112,18 @@
 		}
 		return actionsByInstance(t, out.Bytes())
 	}
-	together := day(0, 1, 2)
+	together := actions(0, 1, 2)
 	for instance := range uint32(3) {
-		if alone := day(instance); len(alone[instance]) < 100 || !slices.Equal(alone[instance], together[instance]) {
-			t.Errorf("instance %d acts differently beside others (%d actions alone)", instance, len(alone[instance]))
+		if alone := actions(instance); len(alone[instance]) < 100 || !slices.Equal(alone[instance], together[instance]) {
+			t.Errorf("instance %d has %d actions alone, want at least 100, and the same with other instances", instance, len(alone[instance]))
 		}
 	}
 }
 
-// An instance that is retired and attached in one batch knows nothing.
+// Guards against state that survives when an instance is retired and attached again in one batch.
 func TestRetiredInstanceKeepsNoState(t *testing.T) {
 	in := slices.Concat(
-		batch(1000, attach(0), endpointList(3), topology(0), request(0, 1, 5)),
+		batch(1000, attach(0), catalog(3), topology(0), request(0, 1, 5)),
 		batch(2000, retire(0), attach(0), topology(0), record(6, uint32(0), uint32(1)),
 			record(7, uint32(0), uint32(1)), request(0, 2, 5)))
 	var out bytes.Buffer
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	if got := actionsByInstance(t, out.Bytes())[0]; len(got) != 4 || got[0] != strings.Replace(got[2], "\x02\x00\x00\x00", "\x01\x00\x00\x00", 1) {
-		t.Errorf("the fresh instance did not begin as the first did: %q", got)
+		t.Errorf("the new instance acts differently from the retired one: %q", got)
 	}
 }
 
@@ -139,7 +139,7 @@
 	var out bytes.Buffer
 	err := serve(bytes.NewReader(batch(1, request(4, 1, 5))), &out)
 	if err == nil || !strings.Contains(err.Error(), "instance 4 is not attached") {
-		t.Errorf("error is %v", err)
+		t.Errorf("error is %v, want one that names instance 4", err)
 	}
 }
 
@@ -149,11 +149,11 @@
 
 func TestWriteErrorIsReturned(t *testing.T) {
 	if err := serve(bytes.NewReader(batch(1)), brokenPipe{}); err == nil {
-		t.Error("a reply was lost in silence")
+		t.Error("a failed write returned no error")
 	}
 }
 
-// TestMain lets the test binary stand in for the command.
+// TestMain runs the command instead of the tests if the environment says so.
 func TestMain(m *testing.M) {
 	if os.Getenv("SIM_ADAPTER_AS_COMMAND") != "" {
 		main()
@@ -165,26 +165,26 @@
 func TestCommandExit(t *testing.T) {
 	for name, test := range map[string]struct {
 		in   []byte
-		want string // on standard error, in one line; none with exit 0
+		want string // in the single line on standard error; "" means exit code 0 and no output
 	}{
 		"end of input":  {nil, ""},
 		"empty batches": {slices.Concat(batch(1), batch(2)), ""},
 		"truncated":     {batch(1, request(0, 1, 1))[:30], "ends after"},
 		"unknown code":  {batch(1, record(99, uint32(0))), "unknown code"},
 		"settings":      {batch(1, record(1, uint32(0), uint64(1), `{"Zone": 1}`)), "is missing"},
-		"no JSON":       {batch(1, record(1, uint32(0), uint64(1), `{`)), "no JSON"},
+		"not JSON":      {batch(1, record(1, uint32(0), uint64(1), `{`)), "not a JSON object"},
 	} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "SIM_ADAPTER_AS_COMMAND=1")
 		cmd.Stdin = bytes.NewReader(test.in)
-		var errout bytes.Buffer
-		cmd.Stderr = &errout
+		var stderr bytes.Buffer
+		cmd.Stderr = &stderr
 		err := cmd.Run()
 		if (err != nil) != (test.want != "") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: command ended with %v, want an error: %t", name, err, test.want != "")
 		}
-		if got := errout.String(); !strings.Contains(got, test.want) || test.want != "" && strings.Count(got, "\n") != 1 {
-			t.Errorf("%s: standard error is %q", name, got)
+		if got := stderr.String(); !strings.Contains(got, test.want) || test.want != "" && strings.Count(got, "\n") != 1 {
+			t.Errorf("%s: standard error is %q, want one line with %q", name, got, test.want)
 		}
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -101,7 +101,7 @@
 	want := []string{
 		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is not a 64-bit hexadecimal number`,
 		`FILE:1: discovery: "nowhere" is not a host:port address: address nowhere: missing port in address`,
-		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
+		`FILE:5: settings.Classes[0].Semantics: has the unknown value "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
 	}
 	got := strings.Split(check(invalid), "\n")
 	for i, prefix := range want {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -81,7 +81,7 @@
 		replace(`"TryLimit": 5`, `"TryLimit": 2.5`):              "settings.Limits.TryLimit: can't be read",
 		replace(`"extra"`, `"page"`):                             "another class is already named",
 		replace(`"Name": "extra", `, ""):                         "settings.Classes[0].Name: is missing",
-		replace(`"idempotent"`, `"sometimes"`):                   "settings.Classes[1].Semantics: has the unknown word",
+		replace(`"idempotent"`, `"sometimes"`):                   "settings.Classes[1].Semantics: has the unknown value",
 	}
 	file, reload := filepath.Join(t.TempDir(), "config.json"), make(chan os.Signal)
 	var log logBuffer
--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -1,7 +1,6 @@
-// Package simprotocol encodes and decodes the simulator's binary protocol: it reads
-// batches of events for many relay instances, and writes the replies that hold
-// their actions. It makes no decisions. All integers on the wire are little-endian,
-// all times are microseconds.
+// Package simprotocol encodes and decodes the binary protocol of the platform's simulator: it reads
+// batches of events for many relay instances, and writes replies with their actions. Integers on
+// the wire are little-endian, and times are in microseconds unless a field says otherwise.
 package simprotocol
 
 import (
@@ -26,30 +25,30 @@
 
 const (
 	maxCatalogs  = 16
-	maxBatchSize = 1 << 30 // bytes: far above any batch; guards against a corrupt length
+	maxBatchSize = 1 << 30 // in bytes; guards against a corrupt length
 )
 
 // A Reader reads batches. It is not safe for concurrent use.
 type Reader struct {
 	source   io.Reader
 	buffer   bytes.Buffer
-	catalogs [maxCatalogs][]balancer.Endpoint // endpoint lists by number, for all instances
+	catalogs [maxCatalogs][]balancer.Endpoint // endpoint lists by number, shared by all instances
 }
 
 // NewReader returns a Reader that reads from source.
 func NewReader(source io.Reader) *Reader { return &Reader{source: source} }
 
-// A Batch holds the records of one batch and the clock they happened at. It is
-// valid until the next call of the Reader's Next.
+// A Batch is an iterator over the records of one batch. It is valid until the next call of the
+// Reader's Next.
 type Batch struct {
-	Clock     time.Duration // since the simulation's start
-	remaining uint32        // records still to be read
+	Clock     time.Duration // time of all its events, since the start of the simulation
+	remaining uint32        // number of unread records
 	unread    []byte
 	reader    *Reader
 }
 
-// Next reads a batch. It returns io.EOF at the end of the input, and another
-// error where the input ends within a batch or is malformed.
+// Next reads a batch. It returns io.EOF at the end of the input, and another error if the input ends
+// within a batch or is malformed.
 func (reader *Reader) Next() (*Batch, error) {
 	var header [batchHeader]byte
 	if _, err := io.ReadFull(reader.source, header[:]); err == io.EOF {
@@ -63,19 +62,19 @@
 	if size > maxBatchSize {
 		return nil, fmt.Errorf("batch of %d bytes is larger than %d", size, maxBatchSize)
 	}
-	at, err := decodeMicroseconds(clock)
+	batchClock, err := decodeMicroseconds(clock)
 	if err != nil {
 		return nil, fmt.Errorf("batch clock: %w", err)
 	}
-	// The buffer grows with what arrives, not with what the header claims.
+	// CopyN grows the buffer with the bytes that arrive, so a corrupt size allocates no memory.
 	reader.buffer.Reset()
 	if n, err := io.CopyN(&reader.buffer, reader.source, int64(size)); err != nil {
 		return nil, fmt.Errorf("batch of %d bytes ends after %d: %w", size, n, unexpectedEOF(err))
 	}
-	return &Batch{Clock: at, remaining: count, unread: reader.buffer.Bytes(), reader: reader}, nil
+	return &Batch{Clock: batchClock, remaining: count, unread: reader.buffer.Bytes(), reader: reader}, nil
 }
 
-// unexpectedEOF replaces io.EOF, which would read as the regular end of the input.
+// unexpectedEOF replaces io.EOF, which callers take for the regular end of the input.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -83,6 +82,7 @@
 	return err
 }
 
+// decodeMicroseconds converts a time in microseconds and returns an error if it overflows.
 func decodeMicroseconds(count uint64) (time.Duration, error) {
 	if count > math.MaxInt64/1000 {
 		return 0, fmt.Errorf("time of %d microseconds is out of range", count)
@@ -90,8 +90,8 @@
 	return time.Duration(count) * time.Microsecond, nil
 }
 
-// Next returns the next record, or io.EOF after the last. Any other error says that
-// the batch is malformed.
+// Next returns the next record, or io.EOF after the last. Any other error means that the batch is
+// malformed.
 func (b *Batch) Next() (Record, error) {
 	if b.remaining == 0 {
 		if len(b.unread) > 0 {
@@ -100,11 +100,11 @@
 		return Record{}, io.EOF
 	}
 	if len(b.unread) < recordHeader {
-		return Record{}, fmt.Errorf("batch ends with %d records still to come", b.remaining)
+		return Record{}, fmt.Errorf("batch ends with %d records missing", b.remaining)
 	}
 	code, size := b.unread[0], binary.LittleEndian.Uint32(b.unread[1:])
 	if uint64(size) > uint64(len(b.unread)-recordHeader) {
-		return Record{}, fmt.Errorf("record of code %d claims %d bytes, %d are left", code, size, len(b.unread)-recordHeader)
+		return Record{}, fmt.Errorf("record of code %d: its size is %d bytes, but %d are left in the batch", code, size, len(b.unread)-recordHeader)
 	}
 	c := cursor{unread: b.unread[recordHeader : recordHeader+int(size)]}
 	b.unread = b.unread[recordHeader+int(size):]
@@ -114,10 +114,10 @@
 		return Record{}, fmt.Errorf("record of code %d: %w", code, err)
 	}
 	if c.truncated {
-		return Record{}, fmt.Errorf("record of code %d: %d bytes are too few for its fields", code, size)
+		return Record{}, fmt.Errorf("record of code %d: size of %d bytes is too short for its fields", code, size)
 	}
 	if len(c.unread) > 0 {
-		return Record{}, fmt.Errorf("record of code %d: %d bytes follow its fields", code, len(c.unread))
+		return Record{}, fmt.Errorf("record of code %d: %d bytes follow its last field", code, len(c.unread))
 	}
 	return record, nil
 }
--- a/internal/simprotocol/cursor.go
+++ b/internal/simprotocol/cursor.go
@@ -8,13 +8,14 @@
 	"lockroad/balancer"
 )
 
-// A cursor takes fields off the front of a record. Fields beyond the end read as
-// zero and set truncated, so that a decoder may check once, after its last field.
+// A cursor decodes the fields of a record in order. Fields beyond the end decode as zero and set
+// truncated, so that a decoder can check for errors once, after its last field.
 type cursor struct {
 	unread    []byte
-	truncated bool // a field was asked for that is not there
+	truncated bool // a field beyond the end was read
 }
 
+// take returns the next n bytes, or up to 8 zeros if the record has fewer.
 func (c *cursor) take(n int) []byte {
 	if len(c.unread) < n {
 		c.truncated, c.unread = true, nil
@@ -36,6 +37,7 @@
 func (c *cursor) requestID() balancer.RequestID   { return balancer.RequestID(c.u32()) }
 func (c *cursor) endpointID() balancer.EndpointID { return balancer.EndpointID(c.u32()) }
 
+// bytes returns the next n bytes, or nil if the record has fewer.
 func (c *cursor) bytes(n uint32) []byte {
 	if uint64(n) > uint64(len(c.unread)) {
 		c.truncated, c.unread = true, nil
@@ -44,5 +46,5 @@
 	return c.take(int(n))
 }
 
-// skipFloats skips a list of floats that is preceded by its length.
+// skipFloats skips a list of 32-bit floats that is preceded by its length in one byte.
 func (c *cursor) skipFloats() { c.bytes(4 * uint32(c.u8())) }
--- a/internal/simprotocol/endpointlist.go
+++ b/internal/simprotocol/endpointlist.go
@@ -6,6 +6,7 @@
 	"lockroad/balancer"
 )
 
+// listKinds has the kinds of lists by the mode of a topology record.
 var listKinds = map[uint8]balancer.ListKind{
 	0: balancer.ListFailed,
 	2: balancer.ListFull,
@@ -13,10 +14,10 @@
 	4: balancer.ListDelta,
 }
 
-// decodeTopology decodes an endpoint list's arrival, which names a catalog sent before.
+// decodeTopology decodes the delivery of an endpoint list, which an earlier catalog record holds.
 func (reader *Reader) decodeTopology(c *cursor) (any, error) {
 	mode := c.u8()
-	c.u64() // the version: lists arrive in order with none skipped, so it isn't needed
+	c.u64() // version, not needed as lists arrive in order and none is skipped
 	number := c.u16()
 	if c.truncated {
 		return nil, nil
@@ -29,13 +30,13 @@
 		return balancer.EndpointList{Kind: kind}, nil
 	}
 	if number >= maxCatalogs || reader.catalogs[number] == nil {
-		return nil, fmt.Errorf("no list has the number %d", number)
+		return nil, fmt.Errorf("no catalog has the number %d", number)
 	}
 	return balancer.EndpointList{Kind: kind, Endpoints: reader.catalogs[number]}, nil
 }
 
-// decodeCatalog decodes a numbered endpoint list. Numbers are used again; the slice of an
-// earlier list is never written to, as its events may still hold it.
+// decodeCatalog decodes a numbered endpoint list and stores it for topology records. Numbers are
+// reused, and events may still hold the earlier list, so its slice is replaced and not overwritten.
 func (reader *Reader) decodeCatalog(c *cursor) error {
 	number, count := c.u16(), c.u32()
 	if c.truncated || uint64(count)*endpointSize > uint64(len(c.unread)) {
@@ -43,7 +44,7 @@
 		return nil
 	}
 	if number >= maxCatalogs {
-		return fmt.Errorf("list number %d is not below %d", number, maxCatalogs)
+		return fmt.Errorf("catalog number %d is not below %d", number, maxCatalogs)
 	}
 	endpoints := make([]balancer.Endpoint, count)
 	for i := range endpoints {
@@ -55,6 +56,7 @@
 	return nil
 }
 
+// decodeEndpoint decodes an entry of a catalog.
 func decodeEndpoint(c *cursor, endpoint *balancer.Endpoint) error {
 	endpoint.Zone = int(c.u16())
 	endpoint.Size = float64(c.f32())
@@ -66,13 +68,13 @@
 	endpoint.StartedAt = startedAt
 	endpoint.ID = c.endpointID()
 	state := c.u8()
-	c.u16() // the machine's kind: decisions go by what is observed
+	c.u16() // machine type, not used by the balancer
 	if state > uint8(balancer.StateDraining) {
-		return fmt.Errorf("server %d: unknown state %d", endpoint.ID, state)
+		return fmt.Errorf("endpoint %d: unknown state %d", endpoint.ID, state)
 	}
 	endpoint.State = balancer.EndpointState(state)
 	if !(endpoint.Size >= 0 && endpoint.Size < maxLevel) { // also false for NaN
-		return fmt.Errorf("server %d: weight %v is out of range", endpoint.ID, endpoint.Size)
+		return fmt.Errorf("endpoint %d: size %v is out of range", endpoint.ID, endpoint.Size)
 	}
 	return nil
 }
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,12 +10,12 @@
 	"lockroad/internal/golden"
 )
 
-// What is told where one of the settings' keys is missing, of another type or out of range:
-// a key that is read under another name shows here as one that changes nothing.
+// Guards against a renamed key, and records the result for each key if it is missing, of another
+// type or out of range.
 func TestSettingsKeysAreStable(t *testing.T) {
 	var b strings.Builder
-	good := golden.Read(t, "settings.json")
-	want, err := ParseSettings(good)
+	valid := golden.Read(t, "settings.json")
+	want, err := ParseSettings(valid)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 		return "changes nothing"
 	}
 	var tree any
-	if err := json.Unmarshal(good, &tree); err != nil {
+	if err := json.Unmarshal(valid, &tree); err != nil {
 		t.Fatal(err)
 	}
 	golden.EachKey(tree, func(path string, _ any, set func(any), remove, restore func()) {
@@ -51,13 +51,13 @@
 	golden.Compare(t, "settings-keys.txt", b.String())
 }
 
-// The words that settings may have.
+// Guards against changes of the words in the settings.
 func TestSettingsWordsAreStable(t *testing.T) {
 	var b strings.Builder
 	for _, word := range []string{"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "Idempotent"} {
-		effect, isEffect := semanticsWords[word]
+		semantics, isSemantics := semanticsWords[word]
 		scope, isScope := scopeWords[word]
-		fmt.Fprintf(&b, "%s: effect %d %v, scope %d %v\n", word, effect, isEffect, scope, isScope)
+		fmt.Fprintf(&b, "%s: effect %d %v, scope %d %v\n", word, semantics, isSemantics, scope, isScope)
 	}
 	fmt.Fprintf(&b, "%d effects, %d scopes\n", len(semanticsWords), len(scopeWords))
 	golden.Compare(t, "words.txt", b.String())
--- a/internal/simprotocol/protocol_test.go
+++ b/internal/simprotocol/protocol_test.go
@@ -13,7 +13,7 @@
 	"lockroad/balancer"
 )
 
-// Example frames of the simulator's description.
+// Batches, replies and records of the simulator's protocol, with spaces between fields.
 const (
 	emptyBatch = "00000000 00000000 5a5c800000000000"
 	emptyReply = "00000000 00000000"
@@ -45,7 +45,7 @@
 	return b
 }
 
-// batch frames records, each given in hexadecimal.
+// batch returns a batch of records, each given in hexadecimal.
 func batch(t testing.TB, records ...string) []byte {
 	t.Helper()
 	body := decodeHex(t, strings.Join(records, ""))
@@ -56,8 +56,8 @@
 }
 
 // readAll reads all records of all batches.
-func readAll(r io.Reader) (records []Record, err error) {
-	reader := NewReader(r)
+func readAll(source io.Reader) (records []Record, err error) {
+	reader := NewReader(source)
 	for {
 		b, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestExampleEventsAreDecoded(t *testing.T) {
+func TestEventsAreDecoded(t *testing.T) {
 	request := balancer.Request{ID: 0x5d3a91c4, Item: 0x91f03b7c55d20a64, Group: 0x2b8e6401d9f37c10,
 		TimeLeft: 240 * time.Millisecond, ExpectedLoad: 0.012}
 	resumed := request
@@ -119,13 +119,13 @@
 	}
 }
 
-func TestExampleBatchIsDecodedInOrder(t *testing.T) {
+func TestBatchIsDecodedInOrder(t *testing.T) {
 	in := decodeHex(t, "44000000 03000000 5a5c800000000000"+requestRecord+wakeRecord+
 		"06 08000000 05000000 192b6f0e")
 	reader := NewReader(bytes.NewReader(in))
 	b, err := reader.Next()
 	if err != nil || b.Clock != 0x805c5a*time.Microsecond {
-		t.Fatalf("clock %v, error %v", b.Clock, err)
+		t.Fatalf("batch has clock %v, error %v", b.Clock, err)
 	}
 	var instances []uint32
 	for {
@@ -138,11 +138,11 @@
 		instances = append(instances, record.Instance)
 	}
 	if !reflect.DeepEqual(instances, []uint32{3, 3, 5}) {
-		t.Errorf("instances %v", instances)
+		t.Errorf("records are for the instances %v, want 3, 3 and 5", instances)
 	}
 }
 
-func TestExampleActionsAreEncoded(t *testing.T) {
+func TestActionsAreEncoded(t *testing.T) {
 	for name, test := range map[string]struct {
 		action balancer.Action
 		want   string
@@ -157,13 +157,13 @@
 		"respond_error": {balancer.Fail{Request: 0x0e6f2b19}, "03 08000000 03000000 192b6f0e"},
 		"go_away":       {balancer.Migrate{Request: 0x0e6f2b19}, "0d 08000000 03000000 192b6f0e"},
 	} {
-		var r Reply
-		r.Reset()
-		if err := r.Add(3, test.action); err != nil {
+		var reply Reply
+		reply.Reset()
+		if err := reply.Add(3, test.action); err != nil {
 			t.Fatal(err)
 		}
 		var out bytes.Buffer
-		if _, err := r.WriteTo(&out); err != nil {
+		if _, err := reply.WriteTo(&out); err != nil {
 			t.Fatal(err)
 		}
 		record := decodeHex(t, test.want)
@@ -172,19 +172,19 @@
 			t.Errorf("%s: got %x, want %x", name, out.Bytes(), want)
 		}
 	}
-	var r Reply
-	r.Reset()
+	var reply Reply
+	reply.Reset()
 	var out bytes.Buffer
-	_, _ = r.WriteTo(&out)
+	_, _ = reply.WriteTo(&out)
 	if !bytes.Equal(out.Bytes(), decodeHex(t, emptyReply)) {
-		t.Errorf("empty reply is %x", out.Bytes())
+		t.Errorf("the empty reply is %x, want %s", out.Bytes(), emptyReply)
 	}
-	if err := r.Add(3, nil); err == nil {
-		t.Error("an action without a record was ignored")
+	if err := reply.Add(3, nil); err == nil {
+		t.Error("adding an action without a record returned no error")
 	}
 }
 
-// Numbers of endpoint lists are used again, even within a batch.
+// Guards against a catalog that overwrites an earlier one of the same number, which events still hold.
 func TestCatalogNumbersCanBeReused(t *testing.T) {
 	other := strings.Replace(catalogRecord, "074a1203", "99999999", 1)
 	records, err := readAll(bytes.NewReader(batch(t, catalogRecord, topologyRecord, other, topologyRecord)))
@@ -194,7 +194,7 @@
 	first := records[1].Body.(balancer.EndpointList).Endpoints[0].ID
 	second := records[3].Body.(balancer.EndpointList).Endpoints[0].ID
 	if first != 0x03124a07 || second != 0x99999999 {
-		t.Errorf("lists begin with %x and %x", first, second)
+		t.Errorf("the lists begin with endpoints %x and %x, want 3124a07 and 99999999", first, second)
 	}
 }
 
@@ -207,47 +207,46 @@
 		"half a header":      {decodeHex(t, emptyBatch)[:9], "header"},
 		"truncated batch":    {batch(t, requestRecord)[:30], "ends after"},
 		"oversized batch":    {decodeHex(t, "ffffffff 01000000 5a5c800000000000"), "larger than"},
-		"claims much":        {decodeHex(t, "ffffff3f 01000000 5a5c800000000000 00"), "ends after"},
-		"no clock":           {decodeHex(t, "00000000 00000000 ffffffffffffffff"), "clock"},
-		"missing record":     {decodeHex(t, "00000000 01000000 5a5c800000000000"), "still to come"},
+		"size beyond input":  {decodeHex(t, "ffffff3f 01000000 5a5c800000000000 00"), "ends after"},
+		"clock out of range": {decodeHex(t, "00000000 00000000 ffffffffffffffff"), "clock"},
+		"missing record":     {decodeHex(t, "00000000 01000000 5a5c800000000000"), "records missing"},
 		"bytes left over":    {decodeHex(t, "01000000 00000000 5a5c800000000000 00"), "follow the last record"},
-		"record too long":    {batch(t, edit(wakeRecord, "07 08", "07 09")), "claims 9 bytes"},
+		"record too long":    {batch(t, edit(wakeRecord, "07 08", "07 09")), "its size is 9 bytes, but"},
 		"unknown code":       {batch(t, edit(wakeRecord, "07", "63")), "unknown code"},
 		"code zero":          {batch(t, edit(wakeRecord, "07", "00")), "unknown code"},
-		"fields too short":   {batch(t, "07 04000000 03000000"), "too few"},
-		"fields too long":    {batch(t, "0a 05000000 03000000 00"), "follow its fields"},
-		"unknown outcome":    {batch(t, edit(outcomeRecord, "6400", "6500")), "unknown outcome"},
-		"unknown list kind":  {batch(t, catalogRecord, edit(topologyRecord, " 03 29", " 09 29")), "unknown mode"},
-		"unknown list":       {batch(t, topologyRecord), "no list"},
-		"list number":        {batch(t, edit(catalogRecord, "34000000 0000", "34000000 1000")), "not below"},
-		"catalog too short":  {batch(t, "0b 06000000 0000 ffffffff"), "too few"},
-		"server state":       {batch(t, edit(catalogRecord, "074a1203 01", "074a1203 07")), "unknown state"},
-		"server weight":      {batch(t, edit(catalogRecord, "0000803f", "0000c07f")), "weight"},
-		"server start":       {batch(t, edit(catalogRecord, "20145d0000000000", "ffffffffffffffff")), "out of range"},
-		"note kind":          {batch(t, edit(loadRecord, " 01 0000003f", " 07 0000003f")), "unknown kind"},
-		"note level":         {batch(t, edit(loadRecord, "0000003f", "0000c07f")), "out of range"},
-		"settings no JSON":   {batch(t, "01 12000000 03000000 0000000000000000 02000000 7b7b"), "no JSON object"},
-		"settings too short": {batch(t, "01 10000000 03000000 0000000000000000 ffffffff"), "too few"},
-		"report too short":   {batch(t, edit(outcomeRecord, "074a1203 00", "074a1203 04")), "too few"},
+		"fields too short":   {batch(t, "07 04000000 03000000"), "too short for its fields"},
+		"fields too long":    {batch(t, "0a 05000000 03000000 00"), "follow its last field"},
+		"unknown outcome":    {batch(t, edit(outcomeRecord, "6400", "6500")), "unknown outcome code"},
+		"unknown list mode":  {batch(t, catalogRecord, edit(topologyRecord, " 03 29", " 09 29")), "unknown mode"},
+		"unknown catalog":    {batch(t, topologyRecord), "no catalog"},
+		"catalog number":     {batch(t, edit(catalogRecord, "34000000 0000", "34000000 1000")), "not below"},
+		"catalog too short":  {batch(t, "0b 06000000 0000 ffffffff"), "too short for its fields"},
+		"endpoint state":     {batch(t, edit(catalogRecord, "074a1203 01", "074a1203 07")), "unknown state"},
+		"endpoint size":      {batch(t, edit(catalogRecord, "0000803f", "0000c07f")), "size"},
+		"endpoint start":     {batch(t, edit(catalogRecord, "20145d0000000000", "ffffffffffffffff")), "out of range"},
+		"heartbeat kind":     {batch(t, edit(loadRecord, " 01 0000003f", " 07 0000003f")), "unknown heartbeat kind"},
+		"heartbeat level":    {batch(t, edit(loadRecord, "0000003f", "0000c07f")), "out of range"},
+		"settings no JSON":   {batch(t, "01 12000000 03000000 0000000000000000 02000000 7b7b"), "not a JSON object"},
+		"settings too short": {batch(t, "01 10000000 03000000 0000000000000000 ffffffff"), "too short for its fields"},
+		"report too short":   {batch(t, edit(outcomeRecord, "074a1203 00", "074a1203 04")), "too short for its fields"},
 	} {
 		_, err := readAll(bytes.NewReader(test.in))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
 			t.Errorf("%s: error is %v, want one with %q", name, err, test.want)
 		} else if strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error of several lines: %v", name, err)
+			t.Errorf("%s: error has several lines: %v", name, err)
 		}
 	}
 }
 
-func TestInputThatEndsWithinABatchIsAnUnexpectedEOF(t *testing.T) {
+func TestTruncatedBatchIsUnexpectedEOF(t *testing.T) {
 	_, err := readAll(bytes.NewReader(batch(t, requestRecord)[:20]))
 	if !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("error is %v", err)
+		t.Errorf("error is %v, want %v", err, io.ErrUnexpectedEOF)
 	}
 }
 
-// FuzzReader looks for input that makes the reader panic or take more memory
-// than the input is worth.
+// FuzzReader looks for input that makes the reader panic or return more records than fit the input.
 func FuzzReader(f *testing.F) {
 	f.Add(batch(f, catalogRecord, topologyRecord, requestRecord, begunRecord, outcomeRecord))
 	f.Add(batch(f, resumedRecord, loadRecord, delayRecord, retireRecord, datagramRecord, probeRecord))
@@ -255,20 +254,20 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		records, err := readAll(bytes.NewReader(in))
 		if err == nil && len(in) > 0 && len(in) < batchHeader {
-			t.Errorf("%d bytes were taken for a batch", len(in))
+			t.Errorf("an input of %d bytes, shorter than a header, returned no error", len(in))
 		}
 		if len(records) > len(in) {
-			t.Errorf("%d records from %d bytes", len(records), len(in))
+			t.Errorf("an input of %d bytes has %d records", len(in), len(records))
 		}
 	})
 }
 
-// FuzzSettings looks for settings that are accepted though they are not valid.
+// FuzzSettings looks for invalid settings that are accepted.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(sampleSettings))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if s, err := ParseSettings(in); err == nil && s.Validate() != nil {
-			t.Errorf("took settings that are not valid: %v", s.Validate())
+		if settings, err := ParseSettings(in); err == nil && settings.Validate() != nil {
+			t.Errorf("ParseSettings accepted invalid settings: %v", settings.Validate())
 		}
 	})
 }
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -8,7 +8,7 @@
 	"lockroad/balancer"
 )
 
-// Codes of the events, by their names in the simulator's description.
+// Codes of event records, with the names of the simulator's protocol.
 const (
 	codeAttach     = 1
 	codeTopology   = 2
@@ -25,40 +25,40 @@
 	codeHeartbeat  = 13
 )
 
-// Bits of a request.
+// Flags of a request.
 const (
 	flagLoadValid = 1
 	flagReturning = 16
 )
 
-// Kinds of a heartbeat's level.
+// Kinds of a heartbeat record.
 const (
 	levelIsLoad  = 1
 	levelIsDelay = 2
 )
 
-// maxLevel bounds levels and weights, which are floats of the wire.
+// maxLevel bounds heartbeat levels and endpoint sizes, which are floats on the wire.
 const maxLevel = 1e12
 
-// Attach starts an instance.
+// Attach is the record that starts an instance.
 type Attach struct {
 	Seed     uint64
 	Settings balancer.Settings
 }
 
-// Retire ends an instance.
+// Retire is the record that ends an instance.
 type Retire struct{}
 
-// Record is what one record of a batch means for one instance: an Attach, a
-// Retire or a balancer.Event. Body is nil for records that no decision needs.
+// Record is a decoded record. Its Body is an Attach, a Retire, a balancer.Event, or nil for records
+// that no instance has to handle.
 type Record struct {
 	Instance uint32
 	Body     any
 }
 
-// decodeRecord decodes the fields of one decodeRecord.
+// decodeRecord decodes the fields of a record.
 func (reader *Reader) decodeRecord(code uint8, c *cursor) (Record, error) {
-	if code == codeCatalog { // addressed to all instances
+	if code == codeCatalog { // shared by all instances
 		return Record{}, reader.decodeCatalog(c)
 	}
 	if code == 0 || code > codeHeartbeat {
@@ -69,7 +69,7 @@
 	return Record{Instance: instance, Body: body}, err
 }
 
-// decodeBody decodes what follows the instance's number.
+// decodeBody decodes the fields after the instance number.
 func (reader *Reader) decodeBody(code uint8, c *cursor) (any, error) {
 	switch code {
 	case codeAttach:
@@ -116,7 +116,7 @@
 	var request balancer.Request
 	request.ID = c.requestID()
 	request.Class = int(c.u8())
-	c.u16() // the tenant: all are treated alike
+	c.u16() // tenant, not used by the balancer
 	request.Item = c.u64()
 	request.TimeLeft = c.duration()
 	load := c.u32()
@@ -133,27 +133,27 @@
 	request.Group = c.u64()
 	request.Class = int(c.u8())
 	load := c.u32()
-	c.u16() // the tenant: all are treated alike
+	c.u16() // tenant, not used by the balancer
 	request.Item = c.u64()
 	setRequestFlags(&request, c.u16(), load)
 	return balancer.Resumed{Request: request, Endpoint: endpoint}
 }
 
-// setRequestFlags sets what a request's bits say; load is in microseconds of work a second.
-func setRequestFlags(request *balancer.Request, bits uint16, load uint32) {
-	if bits&flagLoadValid != 0 {
+// setRequestFlags sets the fields that depend on flags. load is in microseconds of work per second.
+func setRequestFlags(request *balancer.Request, flags uint16, load uint32) {
+	if flags&flagLoadValid != 0 {
 		request.ExpectedLoad = float64(load) / 1e6
 	}
-	request.Returning = bits&flagReturning != 0
+	request.Returning = flags&flagReturning != 0
 }
 
 func decodeEstablished(c *cursor) balancer.Established {
-	id, took := c.requestID(), c.duration()
-	c.u16() // attempts of a request never overlap, so their numbers are not needed
-	return balancer.Established{Request: id, Endpoint: c.endpointID(), SetupTime: took}
+	id, setupTime := c.requestID(), c.duration()
+	c.u16() // attempt number, not needed as the attempts of a request never overlap
+	return balancer.Established{Request: id, Endpoint: c.endpointID(), SetupTime: setupTime}
 }
 
-// skipProbe skips the result of a probe: no instance sends probes.
+// skipProbe skips the result of a probe, as the balancer sends none.
 func skipProbe(c *cursor) {
 	c.u32()
 	c.u16()
@@ -161,12 +161,13 @@
 	c.skipFloats()
 }
 
-// skipDatagram skips a message between relays: no instance sends any.
+// skipDatagram skips a message between relays, as the balancer sends none.
 func skipDatagram(c *cursor) {
 	c.u32()
 	c.bytes(uint32(c.u16()))
 }
 
+// statuses has the statuses of attempts by the codes of outcome records.
 var statuses = map[uint16]balancer.AttemptStatus{
 	100: balancer.StatusOK,
 	301: balancer.StatusError,
@@ -182,29 +183,31 @@
 	var outcome balancer.Outcome
 	outcome.Request = c.requestID()
 	outcome.Final = c.u8() != 0
-	c.u32() // how long it took: no decision uses it
-	c.u16() // the attempt's number
+	c.u32() // duration, not used by the balancer
+	c.u16() // attempt number, not needed as the attempts of a request never overlap
 	code := c.u16()
 	outcome.Endpoint = c.endpointID()
-	c.skipFloats() // load reports: no decision uses them
+	c.skipFloats() // load reports, not used by the balancer
 	status, ok := statuses[code]
 	if !ok && !c.truncated {
-		return nil, fmt.Errorf("unknown outcome %d", code)
+		return nil, fmt.Errorf("unknown outcome code %d", code)
 	}
 	outcome.Status = status
 	return outcome, nil
 }
 
+// decodeHeartbeat decodes a report of a connection's load, in microseconds of work per second, or of an
+// endpoint's message delay, in milliseconds.
 func decodeHeartbeat(c *cursor) (any, error) {
 	id := c.requestID()
-	c.u16() // the attempt's number
+	c.u16() // attempt number, not needed as the attempts of a request never overlap
 	endpoint := c.endpointID()
 	kind, level := c.u8(), float64(c.f32())
 	if c.truncated {
 		return nil, nil
 	}
 	if !(level >= 0 && level < maxLevel) { // also false for NaN
-		return nil, fmt.Errorf("level %v is out of range", level)
+		return nil, fmt.Errorf("heartbeat level %v is out of range", level)
 	}
 	switch kind {
 	case levelIsLoad:
@@ -213,5 +216,5 @@
 		return balancer.EndpointDelay{Request: id, Endpoint: endpoint,
 			Delay: time.Duration(level * float64(time.Millisecond))}, nil
 	}
-	return nil, fmt.Errorf("unknown kind %d", kind)
+	return nil, fmt.Errorf("unknown heartbeat kind %d", kind)
 }
--- a/internal/simprotocol/reply.go
+++ b/internal/simprotocol/reply.go
@@ -10,7 +10,7 @@
 	"lockroad/balancer"
 )
 
-// Codes of the actions, by their names in the simulator's description.
+// Codes of action records, with the names of the simulator's protocol.
 const (
 	codeRelay        = 1
 	codeSayNo        = 2
@@ -20,11 +20,11 @@
 	codeGoAway       = 13
 )
 
-// maxTimer is the longest time that a timer may be set for: its microseconds fit the field.
+// maxTimer bounds the duration of a timer, whose microseconds must fit 32 bits.
 const maxTimer = 71 * time.Minute
 
-// A Reply collects the actions that answer a batch. Call Reset before the first Add; it
-// is not safe for concurrent use.
+// A Reply collects the actions in response to a batch. Call Reset before the first Add. It is not
+// safe for concurrent use.
 type Reply struct {
 	buffer []byte
 	count  uint32
@@ -36,27 +36,28 @@
 	r.count = 0
 }
 
-// Add appends an action of an instance. It fails for actions that the protocol has no record of.
+// Add appends an action of an instance. It returns an error for actions without a record in the protocol.
 func (r *Reply) Add(instance uint32, action balancer.Action) error {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case balancer.SendAttempt:
-		r.appendRecord(codeRelay, instance, uint32(a.Request), clampMicroseconds(a.Timeout), uint32(a.Endpoint))
+		r.appendRecord(codeRelay, instance, uint32(action.Request), clampMicroseconds(action.Timeout), uint32(action.Endpoint))
 	case balancer.Reject:
-		r.appendRecord(codeSayNo, instance, uint32(a.Request), clampMicroseconds(a.RetryAfter))
+		r.appendRecord(codeSayNo, instance, uint32(action.Request), clampMicroseconds(action.RetryAfter))
 	case balancer.Fail:
-		r.appendRecord(codeRespondError, instance, uint32(a.Request))
+		r.appendRecord(codeRespondError, instance, uint32(action.Request))
 	case balancer.Migrate:
-		r.appendRecord(codeGoAway, instance, uint32(a.Request))
+		r.appendRecord(codeGoAway, instance, uint32(action.Request))
 	case balancer.SetTimer:
-		r.appendRecord(codeWakeAt, instance, clampMicroseconds(min(a.After, maxTimer)), a.Token)
+		r.appendRecord(codeWakeAt, instance, clampMicroseconds(min(action.After, maxTimer)), action.Token)
 	case balancer.WatchEndpoints:
 		r.appendWatch(instance)
 	default:
-		return fmt.Errorf("no record for action %T", action)
+		return fmt.Errorf("the protocol has no record for action %T", action)
 	}
 	return nil
 }
 
+// appendRecord appends a record of 32-bit fields.
 func (r *Reply) appendRecord(code uint8, fields ...uint32) {
 	r.buffer = append(r.buffer, code)
 	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, uint32(4*len(fields)))
@@ -66,7 +67,7 @@
 	r.count++
 }
 
-// appendWatch adds the one record whose last field is a byte.
+// appendWatch appends the record of balancer.WatchEndpoints, whose last field is a single byte.
 func (r *Reply) appendWatch(instance uint32) {
 	r.buffer = append(r.buffer, codeObserve)
 	r.buffer = binary.LittleEndian.AppendUint32(r.buffer, 5)
@@ -75,12 +76,12 @@
 	r.count++
 }
 
-// clampMicroseconds gives a time in whole microseconds, within what the field holds.
-func clampMicroseconds(d time.Duration) uint32 {
-	return uint32(min(max(d.Microseconds(), 0), math.MaxInt32))
+// clampMicroseconds returns a duration in microseconds, limited to 0 and math.MaxInt32.
+func clampMicroseconds(duration time.Duration) uint32 {
+	return uint32(min(max(duration.Microseconds(), 0), math.MaxInt32))
 }
 
-// WriteTo writes the reply in one piece.
+// WriteTo writes the reply with a single call of w.Write.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	binary.LittleEndian.PutUint32(r.buffer[0:], uint32(len(r.buffer)-replyHeader))
 	binary.LittleEndian.PutUint32(r.buffer[4:], r.count)
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -10,24 +10,23 @@
 	"lockroad/balancer"
 )
 
-// object is a JSON object whose keys are looked up one by one, so that a
-// missing one can be named and an unknown one ignored. Error texts that others read
-// hold the type's name.
+// object is a JSON object whose keys are read one by one, so that errors name the missing ones and
+// unknown ones are ignored. The type's name is part of error texts of encoding/json.
 type object map[string]json.RawMessage
 
-// KeyError is a fault in one of the settings.
+// KeyError is an error in the value of one key of the settings.
 type KeyError struct {
 	Key     string // such as Limits.TryLimit
 	Problem string
 }
 
-// Error returns the key and what is wrong with it.
+// Error returns the key and the problem, which reads as the end of a sentence.
 func (e *KeyError) Error() string { return e.Key + " " + e.Problem }
 
-// KeyErrors are all faults of the settings, one for each key at most.
+// KeyErrors are all errors of the settings, at most one for each key.
 type KeyErrors []*KeyError
 
-// Error lists all of them in one line.
+// Error lists the errors in one line.
 func (errs KeyErrors) Error() string {
 	texts := make([]string, len(errs))
 	for i, err := range errs {
@@ -36,20 +35,21 @@
 	return "settings: " + strings.Join(texts, "; ")
 }
 
-// settingsReader collects the faults that are found, the first of each key.
+// settingsReader collects the first error of each key.
 type settingsReader struct{ keyErrors KeyErrors }
 
+// failf adds an error for a key, unless it has one.
 func (r *settingsReader) failf(key, format string, args ...any) {
 	if !slices.ContainsFunc(r.keyErrors, func(e *KeyError) bool { return e.Key == key }) {
 		r.keyErrors = append(r.keyErrors, &KeyError{Key: key, Problem: fmt.Sprintf(format, args...)})
 	}
 }
 
-// required reads the value of a key that has to be there.
+// required decodes the value of a mandatory key; path is that of the object, such as "Limits.".
 func required[T any](reader *settingsReader, values object, path, key string) T {
 	var value T
 	if values == nil {
-		return value // the object is missing as a whole, which is reported for its own key
+		return value // the missing object is reported under its own key
 	}
 	raw, ok := values[key]
 	if !ok || string(raw) == "null" {
@@ -60,7 +60,7 @@
 	return value
 }
 
-// optional reads the value of a key that may be absent.
+// optional decodes the value of a key that may be absent.
 func optional[T any](reader *settingsReader, values object, path, key string) T {
 	if raw, ok := values[key]; ok && string(raw) != "null" {
 		return required[T](reader, object{key: raw}, path, key)
@@ -69,11 +69,11 @@
 	return zero
 }
 
-// maxMicroseconds bounds the times of the settings, of about 31 years.
+// maxMicroseconds bounds the times of the settings, at about 31 years.
 const maxMicroseconds = 1e15
 
-// MicrosecondsToDuration converts a time of the settings, in microseconds. Its error reads as the end
-// of a sentence that begins with the key.
+// MicrosecondsToDuration converts a time of the settings. Its error reads as the end of a sentence
+// that begins with the key.
 func MicrosecondsToDuration(count float64) (time.Duration, error) {
 	if !(count >= 0 && count <= maxMicroseconds) {
 		return 0, fmt.Errorf("is a time of %v microseconds, which is out of range", count)
@@ -81,7 +81,7 @@
 	return time.Duration(count) * time.Microsecond, nil
 }
 
-// duration is Span with the fault reported for a key.
+// duration is MicrosecondsToDuration with the error added for a key.
 func (r *settingsReader) duration(key string, count float64) time.Duration {
 	duration, err := MicrosecondsToDuration(count)
 	if err != nil {
@@ -90,11 +90,12 @@
 	return duration
 }
 
+// requiredDuration decodes a time.
 func requiredDuration(reader *settingsReader, values object, path, key string) time.Duration {
 	return reader.duration(path+key, required[float64](reader, values, path, key))
 }
 
-// positiveDuration reads a time that has to be over 0.
+// positiveDuration decodes a time that must be positive.
 func positiveDuration(reader *settingsReader, values object, path, key string) time.Duration {
 	duration := requiredDuration(reader, values, path, key)
 	if duration <= 0 {
@@ -103,33 +104,35 @@
 	return duration
 }
 
+// semanticsWords has the values of Classes[].Semantics.
 var semanticsWords = map[string]balancer.DeliverySemantics{
 	"idempotent":   balancer.Idempotent,
 	"deduplicated": balancer.Deduplicated,
 	"at_most_once": balancer.AtMostOnce,
 }
 
+// scopeWords has the values of Classes[].KeyScope.
 var scopeWords = map[string]balancer.DeduplicationScope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
 	"cell": balancer.ScopeCell,
 }
 
-// lookUp returns what a word of the settings stands for.
+// lookUp returns the value of a word, and adds an error for the key at path if it is unknown.
 func lookUp[T any](reader *settingsReader, words map[string]T, path, word string) T {
 	value, ok := words[word]
 	if !ok {
-		reader.failf(path, "has the unknown word %q", word)
+		reader.failf(path, "has the unknown value %q", word)
 	}
 	return value
 }
 
-// ParseSettings reads the settings that an instance is given at its start, as JSON.
-// Its errors are KeyErrors where keys are missing or have values that make no sense.
+// ParseSettings parses the JSON settings of an instance. It returns KeyErrors if keys are missing or
+// have invalid values.
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var values object
 	if err := json.Unmarshal(text, &values); err != nil {
-		return balancer.Settings{}, fmt.Errorf("settings are no JSON object: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings are not a JSON object: %w", err)
 	}
 	reader := &settingsReader{}
 	settings, specifics := readSettings(reader, values)
@@ -142,7 +145,7 @@
 	return settings, settings.Validate()
 }
 
-// readSettings reads all but the tenants and classes.
+// readSettings reads all settings but the tenants and classes, and returns the object Specifics.
 func readSettings(reader *settingsReader, values object) (settings balancer.Settings, specifics object) {
 	limits := required[object](reader, values, "", "Limits")
 	guarantees := required[object](reader, values, "", "Guarantees")
@@ -172,7 +175,7 @@
 	return settings, specifics
 }
 
-// checkSettings reports values that make no sense.
+// checkSettings adds errors for invalid values.
 func checkSettings(reader *settingsReader, settings balancer.Settings) {
 	if settings.CrossZoneCost < 0 {
 		reader.failf("Costs.CrossZone", "is %v, which is no price", settings.CrossZoneCost)
@@ -191,7 +194,7 @@
 	}
 }
 
-// readTenants reads the names of the tenants, whose requests are counted apart.
+// readTenants reads the names of the tenants.
 func readTenants(reader *settingsReader, values object) (names []string) {
 	for i, entry := range optional[[]object](reader, values, "", "Customers") {
 		path := fmt.Sprintf("Customers[%d].", i)
@@ -202,14 +205,14 @@
 		case name == "":
 			reader.failf(path+"Name", "is empty")
 		case slices.Contains(names, name):
-			reader.failf(path+"Name", "%q is the name of another tenant too", name)
+			reader.failf(path+"Name", "%q is already the name of another tenant", name)
 		}
 		names = append(names, name)
 	}
 	return names
 }
 
-// reports reads whether endpoints report something. Where the key is absent, they may.
+// reports reads whether endpoints report loads or delays, which defaults to true.
 func reports(reader *settingsReader, specifics object, key string) bool {
 	if raw, ok := specifics[key]; !ok || string(raw) == "null" {
 		return true
@@ -217,12 +220,13 @@
 	return required[bool](reader, specifics, "Specifics.", key)
 }
 
-// readClasses reads the classes; messageObjectives are those of their messages, in microseconds and in order.
+// readClasses reads the classes. messageObjectives has their message latency objectives in
+// microseconds, in the order of the classes.
 func readClasses(reader *settingsReader, values object, messageObjectives []float64) []balancer.Class {
 	var classes []balancer.Class
 	given := required[[]object](reader, values, "", "Classes")
 	if len(given) == 0 {
-		reader.failf("Classes", "names none")
+		reader.failf("Classes", "is empty")
 	}
 	for i, entry := range given {
 		path := fmt.Sprintf("Classes[%d].", i)
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -29,7 +29,7 @@
 	"SomethingNew": {"deeper": [1, 2]}
 }`
 
-func TestSettingsAreRead(t *testing.T) {
+func TestSettingsAreParsed(t *testing.T) {
 	got, err := ParseSettings([]byte(sampleSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -62,22 +62,22 @@
 	}
 }
 
-// without returns the sample less one key, given by its path.
-func without(t *testing.T, path ...string) []byte {
+// sampleWithout returns the sample settings without the key at a path; in a list, that of its second element.
+func sampleWithout(t *testing.T, path ...string) []byte {
 	t.Helper()
 	var values map[string]any
 	if err := json.Unmarshal([]byte(sampleSettings), &values); err != nil {
 		t.Fatal(err)
 	}
-	at := values
+	parent := values
 	for _, key := range path[:len(path)-1] {
-		if list, ok := at[key].([]any); ok {
-			at = list[1].(map[string]any)
+		if list, ok := parent[key].([]any); ok {
+			parent = list[1].(map[string]any)
 		} else {
-			at = at[key].(map[string]any)
+			parent = parent[key].(map[string]any)
 		}
 	}
-	delete(at, path[len(path)-1])
+	delete(parent, path[len(path)-1])
 	out, err := json.Marshal(values)
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 	return out
 }
 
-func TestMissingKeysAreReported(t *testing.T) {
+func TestMissingRequiredKeysAreReported(t *testing.T) {
 	for _, path := range [][]string{
 		{"Classes"}, {"Classes", "AimUs"}, {"Classes", "DeadlineUs"}, {"Classes", "Semantics"},
 		{"Classes", "KeyScope"}, {"Classes", "MemorySpanUs"},
@@ -96,20 +96,20 @@
 		{"Guarantees", "TipMultiple"},
 	} {
 		key := path[len(path)-1]
-		if _, err := ParseSettings(without(t, path...)); err == nil || !strings.Contains(err.Error(), key+" is missing") {
-			t.Errorf("without %v: error is %v", path, err)
+		if _, err := ParseSettings(sampleWithout(t, path...)); err == nil || !strings.Contains(err.Error(), key+" is missing") {
+			t.Errorf("without %v: error is %v, want one with %q", path, err, key+" is missing")
 		}
 	}
 	for _, path := range [][]string{{"Costs"}, {"Specifics"}, {"Me"}} {
-		if _, err := ParseSettings(without(t, path...)); err != nil {
+		if _, err := ParseSettings(sampleWithout(t, path...)); err != nil {
 			t.Errorf("without %v: %v", path, err)
 		}
 	}
 }
 
-func TestUnreadableSettingsAreRejected(t *testing.T) {
+func TestMalformedSettingsAreRejected(t *testing.T) {
 	for name, edit := range map[string][2]string{
-		"unknown effect":    {`"at_most_once"`, `"sometimes"`},
+		"unknown semantics": {`"at_most_once"`, `"sometimes"`},
 		"unknown scope":     {`"cell"`, `"galaxy"`},
 		"unknown discovery": {`"ask"`, `"gossip"`},
 		"wrong type":        {`"NInstances": 2`, `"NInstances": "two"`},
@@ -121,14 +121,14 @@
 	} {
 		_, err := ParseSettings([]byte(strings.Replace(sampleSettings, edit[0], edit[1], 1)))
 		if err == nil || !strings.HasPrefix(err.Error(), "settings") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error is %v", name, err)
+			t.Errorf("%s: error is %v, want one line that begins with settings", name, err)
 		}
 	}
 }
 
-// What makes no sense is told with the key that it is wrong with, each thing once.
+// Guards against invalid values that are reported without their key or more than once.
 func TestInvalidSettingsAreReportedWithTheirKey(t *testing.T) {
-	for _, c := range [][3]string{
+	for _, test := range [][3]string{
 		{`"AskEveryUs": 10000000`, `"AskEveryUs": 0`, "settings: Guarantees.AskEveryUs is not over 0"},
 		{`"MemorySpanUs": 6000000`, `"MemorySpanUs": 0`, "settings: Classes[1].MemorySpanUs is not over 0"},
 		{`"DeadlineUs": 1300000`, `"DeadlineUs": 0`, "settings: Classes[1].DeadlineUs is not over 0"},
@@ -138,14 +138,14 @@
 		{`"FallUs": 1500000`, `"FallUs": 0`, "settings: Guarantees.FallUs is not over 0"},
 		{`"TryLimit": 3`, `"TryLimit": 0`, "settings: Limits.TryLimit is not over 0"},
 		{`"Share": 0.53`, `"Share": -0.53`, "settings: Customers[0].Share is -0.53, which is no part of the whole"},
-		{`"Name": "y"`, `"Name": "x"`, `settings: Customers[1].Name "x" is the name of another tenant too`},
+		{`"Name": "y"`, `"Name": "x"`, `settings: Customers[1].Name "x" is already the name of another tenant`},
 		{`"Name": "y"`, `"Name": ""`, "settings: Customers[1].Name is empty"},
 		{`"CrossZone": 0.06`, `"CrossZone": -0.06`, "settings: Costs.CrossZone is -0.06, which is no price"},
 		{`100000.0, 50000.0`, `100000.0, -50000.0`, "settings: Specifics.MessageAimUs[1] is a time of -50000 microseconds, which is out of range"},
 	} {
-		text := strings.Replace(sampleSettings, c[0], c[1], 1)
-		if _, err := ParseSettings([]byte(text)); err == nil || err.Error() != c[2] {
-			t.Errorf("%s: %v, want %s", c[1], err, c[2])
+		text := strings.Replace(sampleSettings, test[0], test[1], 1)
+		if _, err := ParseSettings([]byte(text)); err == nil || err.Error() != test[2] {
+			t.Errorf("%s: error is %v, want %s", test[1], err, test[2])
 		}
 	}
 }
