--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -71,11 +71,11 @@
 	if err != nil {
 		return nil, err
 	}
-	e, err := experiment.Parse(string(text))
+	parsed, err := experiment.Parse(string(text))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return e, nil
+	return parsed, nil
 }
 
 // defaultMetrics are reported if no metrics are given.
@@ -102,7 +102,7 @@
 
 // Run runs the experiment, prints the means and checks the claims.
 func (c *runCommand) Run(s streams) error {
-	e, err := readExperiment(c.Experiment)
+	parsed, err := readExperiment(c.Experiment)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 		workers = runtime.GOMAXPROCS(0)
 	}
 	lastProgress := time.Now()
-	results, err := experiment.Execute(e, out, workers, func(done, total int) {
+	results, err := experiment.Execute(parsed, out, workers, func(done, total int) {
 		if !c.Quiet && (time.Since(lastProgress) > time.Second || done == total) {
 			lastProgress = time.Now()
 			fmt.Fprintf(s.errs, "%d of %d runs completed\n", done, total)
@@ -130,15 +130,15 @@
 	if err := results.Report(s.out, c.Metrics); err != nil {
 		return err
 	}
-	contradicted := results.ContradictedClaims(e)
+	contradicted := results.ContradictedClaims(parsed)
 	for _, claim := range contradicted {
 		fmt.Fprintln(s.out, "claim does not hold:", claim)
 	}
 	if len(contradicted) > 0 {
-		return fmt.Errorf("%d of %d claims do not hold", len(contradicted), len(e.Claims))
+		return fmt.Errorf("%d of %d claims do not hold", len(contradicted), len(parsed.Claims))
 	}
-	if len(e.Claims) > 0 {
-		fmt.Fprintf(s.out, "all %d claims hold\n", len(e.Claims))
+	if len(parsed.Claims) > 0 {
+		fmt.Fprintf(s.out, "all %d claims hold\n", len(parsed.Claims))
 	}
 	return nil
 }
@@ -170,18 +170,18 @@
 
 // Run prints the mean differences of two files of results.
 func (c *compareCommand) Run(s streams) error {
-	a, err := experiment.ReadResults(c.A)
+	first, err := experiment.ReadResults(c.A)
 	if err != nil {
 		return err
 	}
-	b, err := experiment.ReadResults(c.B)
+	second, err := experiment.ReadResults(c.B)
 	if err != nil {
 		return err
 	}
 	if len(c.Metrics) == 0 {
 		c.Metrics = defaultMetrics
 	}
-	return experiment.Compare(s.out, a, b, c.Metrics)
+	return experiment.Compare(s.out, first, second, c.Metrics)
 }
 
 // plotCommand implements simulate plot.
@@ -199,17 +199,17 @@
 		if err != nil {
 			return err
 		}
-		e, err := experiment.Parse(results.Source)
+		parsed, err := experiment.Parse(results.Source)
 		if err != nil {
 			return err
 		}
-		return experiment.Plot(e, results, c.Kind, "", c.Out)
+		return experiment.Plot(parsed, results, c.Kind, "", c.Out)
 	}
-	e, err := readExperiment(c.From)
+	parsed, err := readExperiment(c.From)
 	if err != nil {
 		return err
 	}
-	return experiment.Plot(e, nil, c.Kind, c.Scene, c.Out)
+	return experiment.Plot(parsed, nil, c.Kind, c.Scene, c.Out)
 }
 
 // listCommand implements simulate list.
@@ -226,12 +226,12 @@
 	table := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "FILE\tNAME\tSCENES\tPOLICIES\tRUNS\tCLAIMS")
 	for _, file := range files {
-		e, err := readExperiment(file)
+		parsed, err := readExperiment(file)
 		if err != nil {
 			fmt.Fprintf(table, "%s\t%v\n", file, err)
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\n", file, e.Name, len(e.Scenarios), len(e.Policies), len(e.Runs()), len(e.Claims))
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\n", file, parsed.Name, len(parsed.Scenarios), len(parsed.Policies), len(parsed.Runs()), len(parsed.Claims))
 	}
 	table.Flush()
 	fmt.Fprintf(s.out, "\nworld parameters: (%s VALUE)\nmetrics: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -14,7 +14,7 @@
 
 // Execute performs the runs of an experiment whose results a file does not hold yet, several at a time,
 // and appends their results. progress, unless nil, is called by one goroutine at a time with the
-// number of completed runs. It returns an error if the file belongs to another experiment.
+// numbers of completed and of all runs. It returns an error if the file belongs to another experiment.
 func Execute(experiment *Experiment, path string, workers int, progress func(done, total int)) (*Results, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -82,20 +82,20 @@
 	if head != "experiment" || len(args) < 1 {
 		return nil, node.Errorf("expected (experiment NAME ...)")
 	}
-	e := &Experiment{World: simulation.ReferenceWorld(), Source: source}
-	if e.Name, err = args[0].Value(); err != nil {
+	experiment := &Experiment{World: simulation.ReferenceWorld(), Source: source}
+	if experiment.Name, err = args[0].Value(); err != nil {
 		return nil, err
 	}
 	for _, form := range args[1:] {
-		if err := e.parseForm(form); err != nil {
+		if err := experiment.parseForm(form); err != nil {
 			return nil, err
 		}
 	}
-	e.setDefaults()
-	if err := e.check(node); err != nil {
+	experiment.setDefaults()
+	if err := experiment.check(node); err != nil {
 		return nil, err
 	}
-	return e, nil
+	return experiment, nil
 }
 
 // setDefaults fills in the forms that the file does not have.
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -58,12 +58,12 @@
 		fmt.Fprintf(&b, "policy %s\n", p.Name)
 	}
 	for _, action := range []string{"(hang 1 1s)", "(slow 1 2 1s)", "(drain 1)", "(restart 1 1s)", "(add 1)", "(drop 10)", "(list-behind 1s 2s)", "(relay-restart 1 1s)", "(surge 2 1s)", "(explode)"} {
-		e, err := Parse(`(experiment "g" (world (for 3s)) (policies module) (scene h (at 1s ` + action + `)) (matrix (servers 3 4)) (seeds 2) (claim service module >= 0.01 h))`)
+		experiment, err := Parse(`(experiment "g" (world (for 3s)) (policies module) (scene h (at 1s ` + action + `)) (matrix (servers 3 4)) (seeds 2) (claim service module >= 0.01 h))`)
 		if err != nil {
 			fmt.Fprintf(&b, "%s: %v\n", action, err)
 			continue
 		}
-		fmt.Fprintf(&b, "%s; %s; %s; %s\n", e.Scenarios[0].Actions[0], e.Claims[0], e.Cells()[0].Name(), e.Runs()[0].Key())
+		fmt.Fprintf(&b, "%s; %s; %s; %s\n", experiment.Scenarios[0].Actions[0], experiment.Claims[0], experiment.Cells()[0].Name(), experiment.Runs()[0].Key())
 	}
 	for _, invalid := range []string{"(other)", `(experiment "g" (wrld))`, `(experiment "g" (world (wrld 1)))`, `(experiment "g" (policies nobody))`, `(experiment "g" (claim joy module >= 1))`} {
 		_, err := Parse(invalid)
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -25,17 +25,17 @@
 // mustParse parses an experiment.
 func mustParse(t *testing.T, source string) *Experiment {
 	t.Helper()
-	e, err := Parse(source)
+	experiment, err := Parse(source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return e
+	return experiment
 }
 
 func TestExperimentsAreParsed(t *testing.T) {
-	e := mustParse(t, smallExperiment)
-	if n := len(e.Runs()); n != 2*4*2*3 || len(e.Cells()) != 8 || e.Cells()[0].World.Servers != 6 || e.Cells()[7].World.Servers != 13 {
-		t.Errorf("the matrix has %d runs and %d cells, want 48 runs and 8 cells with 6 to 13 servers", n, len(e.Cells()))
+	experiment := mustParse(t, smallExperiment)
+	if n := len(experiment.Runs()); n != 2*4*2*3 || len(experiment.Cells()) != 8 || experiment.Cells()[0].World.Servers != 6 || experiment.Cells()[7].World.Servers != 13 {
+		t.Errorf("the matrix has %d runs and %d cells, want 48 runs and 8 cells with 6 to 13 servers", n, len(experiment.Cells()))
 	}
 	for source, want := range map[string]string{
 		"(lab)":                                                                   "line 1, column 1: expected (experiment NAME ...)",
@@ -53,8 +53,8 @@
 		"(experiment a (claim g module >= 1 x))":                                  "line 1, column 1: claim (claim g module >= 1 x): the experiment has no such scene",
 		"(experiment a (seeds 10000) (matrix (servers 1 2 3 4 5 6 7 8 9 10 11)))": "line 1, column 1: the experiment has 110000 runs, more than 100000",
 	} {
-		if e, err := Parse(source); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: parsed as %+v, error %v; want an error that begins with %q", source, e, err, want)
+		if experiment, err := Parse(source); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%s: parsed as %+v, error %v; want an error that begins with %q", source, experiment, err, want)
 		}
 	}
 	files, _ := filepath.Glob("../../experiments/*.lisp")
@@ -73,15 +73,15 @@
 // Guards against runs that are lost or repeated when an experiment resumes from a truncated file, and
 // against results that are appended to those of another experiment.
 func TestInterruptedExperimentResumes(t *testing.T) {
-	e := mustParse(t, smallExperiment)
+	experiment := mustParse(t, smallExperiment)
 	folder := t.TempDir()
 	complete := filepath.Join(folder, "complete.csv")
-	results, err := Execute(e, complete, 4, nil)
+	results, err := Execute(experiment, complete, 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if contradicted := results.ContradictedClaims(e); len(results.Rows) != len(e.Runs()) || len(contradicted) > 0 {
-		t.Errorf("results have %d rows of %d runs and contradict the claims %v", len(results.Rows), len(e.Runs()), contradicted)
+	if contradicted := results.ContradictedClaims(experiment); len(results.Rows) != len(experiment.Runs()) || len(contradicted) > 0 {
+		t.Errorf("results have %d rows of %d runs and contradict the claims %v", len(results.Rows), len(experiment.Runs()), contradicted)
 	}
 	text, err := os.ReadFile(complete)
 	if err != nil {
@@ -100,7 +100,7 @@
 			t.Fatal(err)
 		}
 		runs := 0
-		again, err := Execute(e, path, 3, func(int, int) { runs++ })
+		again, err := Execute(experiment, path, 3, func(int, int) { runs++ })
 		if err != nil {
 			t.Fatalf("truncated to %d bytes: %v", length, err)
 		}
@@ -110,7 +110,7 @@
 		if missing := bytes.Count(text[length:], []byte("\n")); length > len(fileHeader(smallExperiment)) && runs > missing+1 {
 			t.Errorf("truncated to %d bytes: %d runs were repeated", length, runs-missing)
 		}
-		if stored, err := ReadResults(path); err != nil || len(stored.Rows) != len(e.Runs()) || strings.TrimSpace(stored.Source) != strings.TrimSpace(smallExperiment) {
+		if stored, err := ReadResults(path); err != nil || len(stored.Rows) != len(experiment.Runs()) || strings.TrimSpace(stored.Source) != strings.TrimSpace(smallExperiment) {
 			t.Errorf("truncated to %d bytes: the resumed file holds %v, error %v", length, stored, err)
 		}
 	}
@@ -137,9 +137,9 @@
 }
 
 func TestComparisonIsPairedBySeed(t *testing.T) {
-	e := mustParse(t, smallExperiment)
+	experiment := mustParse(t, smallExperiment)
 	folder := t.TempDir()
-	a, err := Execute(e, filepath.Join(folder, "a.csv"), 4, nil)
+	a, err := Execute(experiment, filepath.Join(folder, "a.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -169,15 +169,15 @@
 }
 
 func TestPlotsAreDrawn(t *testing.T) {
-	e := mustParse(t, smallExperiment)
-	results, err := Execute(e, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
+	experiment := mustParse(t, smallExperiment)
+	results, err := Execute(experiment, filepath.Join(t.TempDir(), "r.csv"), 4, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range PlotKinds {
 		for _, extension := range []string{".svg", ".png"} {
 			path := filepath.Join(t.TempDir(), kind+extension)
-			if err := Plot(e, results, kind, "hang", path); err != nil {
+			if err := Plot(experiment, results, kind, "hang", path); err != nil {
 				t.Errorf("%s%s: %v", kind, extension, err)
 			}
 			if image, err := os.ReadFile(path); err != nil || len(image) < 2000 {
@@ -186,7 +186,7 @@
 		}
 	}
 	for _, args := range [][3]string{{"load", "hang", "x.pdf"}, {"load", "storm", "x.svg"}, {"joy", "hang", "x.svg"}} {
-		if err := Plot(e, results, args[0], args[1], filepath.Join(t.TempDir(), args[2])); err == nil {
+		if err := Plot(experiment, results, args[0], args[1], filepath.Join(t.TempDir(), args[2])); err == nil {
 			t.Errorf("Plot with kind, scenario and file %q returned no error", args)
 		}
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -27,12 +27,12 @@
 //
 // size plots the results. The others run the first cell of a scenario, by default the first
 // scenario, with the first seed, and mark the actions of the script.
-func Plot(e *Experiment, r *Results, kind, scenario, path string) error {
+func Plot(experiment *Experiment, results *Results, kind, scenario, path string) error {
 	if !strings.HasSuffix(path, ".svg") && !strings.HasSuffix(path, ".png") {
 		return fmt.Errorf("%s: expected a file name that ends in .svg or .png", path)
 	}
 	chart := plot.New()
-	chart.Title.Text = e.Name + ", " + kind
+	chart.Title.Text = experiment.Name + ", " + kind
 	chart.X.Label.Text = "seconds"
 	chart.Legend.Top = true
 	chart.Add(plotter.NewGrid())
@@ -40,16 +40,16 @@
 	switch kind {
 	case "load", "service", "recovery":
 		i := 0
-		cells := e.Cells()
+		cells := experiment.Cells()
 		if scenario != "" {
 			if i = slices.IndexFunc(cells, func(cell Cell) bool { return cell.Scenario.Name == scenario }); i < 0 {
 				return fmt.Errorf("the experiment has no scene %q", scenario)
 			}
 		}
 		chart.Title.Text += ", " + cells[i].Name()
-		err = plotOverTime(chart, e, cells[i], kind)
+		err = plotOverTime(chart, experiment, cells[i], kind)
 	case "size":
-		err = plotBySize(chart, r)
+		err = plotBySize(chart, results)
 	default:
 		return fmt.Errorf("unknown plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
 	}
@@ -73,15 +73,15 @@
 }
 
 // plotOverTime adds the lines of the plots load, service and recovery for a cell.
-func plotOverTime(chart *plot.Plot, e *Experiment, cell Cell, kind string) error {
-	policies := e.Policies
+func plotOverTime(chart *plot.Plot, experiment *Experiment, cell Cell, kind string) error {
+	policies := experiment.Policies
 	if kind != "recovery" && kind != "service" {
 		policies = policies[:1]
 	}
 	var annotations []simulation.Annotation
 	top := 1.0
 	for i, policy := range policies {
-		result := simulation.New(cell.World, slices.Clone(cell.Scenario.Actions), policy, e.Seeds[0]).Run(nil)
+		result := simulation.New(cell.World, slices.Clone(cell.Scenario.Actions), policy, experiment.Seeds[0]).Run(nil)
 		annotations = result.Annotations
 		from := 0.0
 		if kind == "recovery" && len(annotations) > 0 {
@@ -132,19 +132,19 @@
 }
 
 // plotBySize adds the lines of the plot size, from the values of the axis servers or scale.
-func plotBySize(chart *plot.Plot, r *Results) error {
+func plotBySize(chart *plot.Plot, results *Results) error {
 	chart.X.Label.Text, chart.Y.Label.Text = "servers", "seconds per run, and millions of events"
-	for i, policy := range r.policyNames() {
+	for i, policy := range results.policyNames() {
 		var runTimes, events plotter.XYs
-		for _, cell := range r.cellNames() {
+		for _, cell := range results.cellNames() {
 			for _, part := range strings.Fields(cell) {
 				name, value, _ := strings.Cut(part, "=")
 				servers, err := strconv.ParseFloat(value, 64)
 				if err != nil || name != "servers" && name != "scale" {
 					continue
 				}
-				runTimes = append(runTimes, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("took", cell, policy))).Value})
-				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(r.valuesBySeed("events", cell, policy))).Value / 1e6})
+				runTimes = append(runTimes, plotter.XY{X: servers, Y: meanOf(sortedValues(results.valuesBySeed("took", cell, policy))).Value})
+				events = append(events, plotter.XY{X: servers, Y: meanOf(sortedValues(results.valuesBySeed("events", cell, policy))).Value / 1e6})
 			}
 		}
 		if len(runTimes) == 0 {
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -31,15 +31,15 @@
 
 // metricsOf returns the values of Metrics for a result. Those from refused to crossed, and probes, are
 // per client.
-func metricsOf(r *simulation.Result) []float64 {
-	perClient := func(count int) float64 { return float64(count) / float64(max(1, r.Clients)) }
+func metricsOf(result *simulation.Result) []float64 {
+	perClient := func(count int) float64 { return float64(count) / float64(max(1, result.Clients)) }
 	worst, p50, p99 := 1.0, 0.0, 0.0
-	for _, class := range r.Classes {
+	for _, class := range result.Classes {
 		worst, p50, p99 = min(worst, class.Service), max(p50, class.P50), max(p99, class.P99)
 	}
-	values := []float64{r.Score, r.Service, r.WorstTenSeconds, worst, r.AttemptsPerRequest, perClient(r.Rejected), perClient(r.GaveUp), perClient(r.Migrations), perClient(r.HeartbeatTimeouts), perClient(r.BrokenConnections), perClient(r.CrossZoneAttempts),
-		float64(r.LateAfterDrain), float64(r.Overloaded), r.LoadSpread, r.ServersPerGroup, r.Recovery, p50, p99, float64(r.Clients), float64(r.Established), perClient(r.Probes), r.DetectionTime, float64(r.FalseAlarms), float64(r.Events), r.RunTime}
-	for _, class := range r.Classes {
+	values := []float64{result.Score, result.Service, result.WorstTenSeconds, worst, result.AttemptsPerRequest, perClient(result.Rejected), perClient(result.GaveUp), perClient(result.Migrations), perClient(result.HeartbeatTimeouts), perClient(result.BrokenConnections), perClient(result.CrossZoneAttempts),
+		float64(result.LateAfterDrain), float64(result.Overloaded), result.LoadSpread, result.ServersPerGroup, result.Recovery, p50, p99, float64(result.Clients), float64(result.Established), perClient(result.Probes), result.DetectionTime, float64(result.FalseAlarms), float64(result.Events), result.RunTime}
+	for _, class := range result.Classes {
 		values = append(values, class.Service, class.InObjective)
 	}
 	return values
@@ -87,14 +87,14 @@
 
 func parseResults(path string, text []byte) (*Results, error) {
 	text = text[:bytes.LastIndexByte(text, '\n')+1]
-	r := &Results{}
+	results := &Results{}
 	rest := text
 	for bytes.HasPrefix(rest, []byte("# ")) {
 		line, remaining, _ := bytes.Cut(rest, []byte("\n"))
-		r.Source += string(line[2:]) + "\n"
+		results.Source += string(line[2:]) + "\n"
 		rest = remaining
 	}
-	if r.Source == "" {
+	if results.Source == "" {
 		return nil, fmt.Errorf("%s: not a file of results: the header has no experiment", path)
 	}
 	reader := csv.NewReader(bytes.NewReader(rest))
@@ -103,7 +103,7 @@
 		fields, err := reader.Read()
 		switch {
 		case errors.Is(err, io.EOF):
-			return r, nil
+			return results, nil
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", path, err)
 		case first && (fields[0] != "where" || !slices.Equal(fields[3:], Metrics)):
@@ -122,7 +122,7 @@
 			}
 			row.Values = append(row.Values, value)
 		}
-		r.Rows = append(r.Rows, row)
+		results.Rows = append(results.Rows, row)
 	}
 }
 
@@ -157,25 +157,25 @@
 var studentT975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
 func meanOf(values []float64) Mean {
-	m := Mean{Count: len(values)}
-	if m.Count == 0 {
-		return m
+	mean := Mean{Count: len(values)}
+	if mean.Count == 0 {
+		return mean
 	}
 	for _, value := range values {
-		m.Value += value / float64(m.Count)
+		mean.Value += value / float64(mean.Count)
 	}
 	squares := 0.0
 	for _, value := range values {
-		squares += (value - m.Value) * (value - m.Value)
+		squares += (value - mean.Value) * (value - mean.Value)
 	}
-	if m.Count > 1 {
-		t := 1.96 + 2.4/float64(m.Count-1)
-		if m.Count-1 < len(studentT975) {
-			t = studentT975[m.Count-1]
+	if mean.Count > 1 {
+		t := 1.96 + 2.4/float64(mean.Count-1)
+		if mean.Count-1 < len(studentT975) {
+			t = studentT975[mean.Count-1]
 		}
-		m.HalfWidth = t * math.Sqrt(squares/float64(m.Count-1)/float64(m.Count))
+		mean.HalfWidth = t * math.Sqrt(squares/float64(mean.Count-1)/float64(mean.Count))
 	}
-	return m
+	return mean
 }
 
 // valuesBySeed returns the values of a metric for a cell and a policy, by seed.
@@ -258,13 +258,13 @@
 
 // Compare writes a table of the metrics' mean differences a-b, paired by cell, policy and seed. A star
 // marks those that are significant at 95%.
-func Compare(w io.Writer, a, b *Results, metrics []string) error {
+func Compare(w io.Writer, first, second *Results, metrics []string) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
 	pairs := 0
-	for _, cell := range a.cellNames() {
-		for _, policy := range a.policyNames() {
-			count := pairedDifference(a.valuesBySeed("g", cell, policy), b.valuesBySeed("g", cell, policy)).Count
+	for _, cell := range first.cellNames() {
+		for _, policy := range first.policyNames() {
+			count := pairedDifference(first.valuesBySeed("g", cell, policy), second.valuesBySeed("g", cell, policy)).Count
 			if count == 0 {
 				continue
 			}
@@ -274,7 +274,7 @@
 				if !slices.Contains(Metrics, metric) {
 					return fmt.Errorf("unknown metric %q; expected some of %s", metric, strings.Join(Metrics, ", "))
 				}
-				difference := pairedDifference(a.valuesBySeed(metric, cell, policy), b.valuesBySeed(metric, cell, policy))
+				difference := pairedDifference(first.valuesBySeed(metric, cell, policy), second.valuesBySeed(metric, cell, policy))
 				star := ""
 				if difference.Count > 1 && math.Abs(difference.Value) > difference.HalfWidth {
 					star = " *"
@@ -292,10 +292,10 @@
 
 // ContradictedClaims returns a line for each claim of an experiment and each cell in which the results
 // contradict it.
-func (r *Results) ContradictedClaims(e *Experiment) []string {
+func (r *Results) ContradictedClaims(experiment *Experiment) []string {
 	var contradicted []string
-	for _, claim := range e.Claims {
-		for _, cell := range e.Cells() {
+	for _, claim := range experiment.Claims {
+		for _, cell := range experiment.Cells() {
 			if claim.Scenario != "" && cell.Scenario.Name != claim.Scenario {
 				continue
 			}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -90,7 +90,7 @@
 	return duration
 }
 
-// requiredDuration decodes a time.
+// requiredDuration decodes the time of a mandatory key.
 func requiredDuration(reader *settingsReader, values object, path, key string) time.Duration {
 	return reader.duration(path+key, required[float64](reader, values, path, key))
 }
--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -15,11 +15,11 @@
 // ScriptedAction is an action of a script, such as a failure of servers at a time.
 type ScriptedAction struct {
 	At       time.Duration
-	Kind     string // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
-	Count    int    // number of servers or relays, which are drawn at random
-	Share    float64
+	Kind     string  // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
+	Count    int     // number of servers or relays, which are drawn at random
+	Share    float64 // of the established clients, for drop
 	Duration time.Duration
-	Factor   float64
+	Factor   float64 // of the speed or arrival rate, or the delay of list-behind
 }
 
 // String writes the action as ParseScriptedAction reads it.
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -15,7 +15,7 @@
 	eventAttemptResult                     // a server's answer reaches the relay; value is its status
 	eventAttemptTimeout                    // an attempt times out
 	eventDeadline                          // a client's request reaches its deadline
-	eventLifetimeEnds                      // a client leaves for good
+	eventLifetimeEnds                      // a client leaves
 	eventClientReturns                     // a client connects again
 	eventHeartbeatTimeout                  // a relay gives up the connection of a hung server
 	eventListUpdate                        // an update of the endpoint list reaches a relay
@@ -25,7 +25,7 @@
 	eventScriptedAction                    // an action of the script begins
 	eventMigrateClients                    // a draining server migrates clients
 	eventServerStops                       // a server stops after its drain, or fails if generation is 1
-	eventServerRecovers                    // a server is up and fast again
+	eventServerRecovers                    // a server's downtime, hang or slowness ends
 	eventRelayStarts                       // a relay starts again
 )
 
@@ -36,7 +36,7 @@
 	kind       eventKind
 	subject    uint32 // index of a client or relay
 	generation uint32 // of the client's state or attempt, incarnation of the relay, or token of a timer
-	value      uint32 // by kind: a status, a delay, or the index of a server or action
+	value      uint32 // by kind: a status, a delay, an incarnation, or the index of a server or action
 }
 
 // eventQueue is a binary min-heap of events by time, then by sequence number.
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -144,15 +144,15 @@
 	rng             *rand.Rand
 	choose          func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint
 	endpoints       map[balancer.EndpointID]*knownEndpoint
-	sortedEndpoints []*knownEndpoint
+	sortedEndpoints []*knownEndpoint // by ID
 	requests        map[balancer.RequestID]*pendingRequest
 	requestsByTimer map[uint32]balancer.RequestID
 	lastToken       uint32
-	lastIndex       int
-	highestID       int
+	lastIndex       int // round-robin: one less than the ID of the last chosen endpoint
+	highestID       int // of all endpoints
 	maxAttempts     int
-	actions         []balancer.Action
-	candidates      []*knownEndpoint
+	actions         []balancer.Action // returned by Handle, reused
+	candidates      []*knownEndpoint  // reused
 }
 
 // knownEndpoint is a server in a baseline's endpoint list, with the connections of this relay.
@@ -162,7 +162,7 @@
 	requests map[balancer.RequestID]bool
 }
 
-// pendingRequest is a request that waits or is established at a baseline.
+// pendingRequest is a request at a baseline, from its arrival to the end of its connection.
 type pendingRequest struct {
 	balancer.Request
 	deadline    time.Duration
@@ -170,7 +170,7 @@
 	tried       []balancer.EndpointID
 	endpoint    *knownEndpoint
 	established bool
-	timer       uint32
+	timer       uint32 // token of the timer that was set last
 }
 
 // baselinePolicy returns the constructor of baselines that choose among the ready servers not yet tried.
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -13,16 +13,16 @@
 // ClassResult has the figures of a class of clients.
 type ClassResult struct {
 	Name        string  `json:"name"`
-	Service     float64 `json:"service"` // share of demanded client seconds that were served within the message objective
+	Service     float64 `json:"service"` // served share of the demanded client seconds
 	P50         float64 `json:"p50_ms"`  // of the time from a request to its connection
 	P99         float64 `json:"p99_ms"`
 	InObjective float64 `json:"in_aim"` // share of set-ups within the latency objective
 }
 
-// Result has the figures of a run. Service is the weighted share of demanded client seconds that were
-// served within the message objective.
+// Result has the figures of a run. Service is the share of the clients' time, weighted by class, in which
+// they were connected to a server that met their message latency objective.
 type Result struct {
-	Score                float64       `json:"g"` // 60% service, 5% the worst 10 s, 35% the worst class, less the cost of migrations
+	Score                float64       `json:"g"` // 0.6 service + 0.05 worst 10 s + 0.35 worst class - migration cost
 	Service              float64       `json:"service"`
 	WorstTenSeconds      float64       `json:"worst_10s"`
 	WorstTenSecondsStart float64       `json:"worst_at_s"` // start of the 10 s with the least service
@@ -37,15 +37,15 @@
 	HeartbeatTimeouts    int           `json:"silent"`
 	BrokenConnections    int           `json:"broken"`
 	CrossZoneAttempts    int           `json:"crossed"`
-	LateAfterDrain       int           `json:"late_after_drain"` // attempts at a server over 500 ms after the relay was notified of its drain
-	Overloaded           int           `json:"tipped"`           // servers that failed from overload during their slow start
+	LateAfterDrain       int           `json:"late_after_drain"` // attempts after drainGracePeriod
+	Overloaded           int           `json:"tipped"`           // servers that failed during their slow start
 	AttemptsPerRequest   float64       `json:"attempts_a_visit"`
-	LoadSpread           float64       `json:"load_spread"` // standard deviation of servers' utilization, averaged over time
+	LoadSpread           float64       `json:"load_spread"` // mean over time of the utilization's standard deviation
 	ServersPerGroup      float64       `json:"servers_a_group"`
-	Recovery             float64       `json:"recovery_s"` // from the first action until service is at 95% of its level before, for 3 s; -1 if it never is
+	Recovery             float64       `json:"recovery_s"` // after the first action, as recoveryTime returns it
 	Probes               int           `json:"probes"`
-	DetectionTime        float64       `json:"found_in_s"`   // mean time from a server's failure until a relay was notified; 0 if none was
-	FalseAlarms          int           `json:"false_alarms"` // notifications of a failure of a ready server
+	DetectionTime        float64       `json:"found_in_s"`   // mean time until a relay is notified of a failure
+	FalseAlarms          int           `json:"false_alarms"` // notifications of failures of ready servers
 	Events               uint64        `json:"events"`
 	RunTime              float64       `json:"took_s"`
 	Established          int           `json:"standing"` // connections at the end
@@ -74,14 +74,14 @@
 
 // result computes the figures of a run from its statistics.
 func (a *statistics) result(s *Sim, runTime time.Duration) *Result {
-	r := &Result{
+	result := &Result{
 		Clients: a.clients, Requests: a.requests, Attempts: a.attempts, FailedAttempts: a.failedAttempts, Rejected: a.rejected, GaveUp: a.gaveUp, Migrations: a.migrations, HeartbeatTimeouts: a.heartbeatTimeouts,
 		BrokenConnections: a.brokenConnections, CrossZoneAttempts: a.crossZoneAttempts, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.eventCount, RunTime: runTime.Seconds(), ServersPerGroup: a.serversPerGroup,
 		Seconds: a.seconds, Annotations: a.annotations, AttemptsPerRequest: ratio(float64(a.attempts), float64(a.requests)), LoadSpread: ratio(a.loadSpreadSum, float64(a.loadSpreadCount)),
 	}
-	r.Probes, r.FalseAlarms = a.probes, a.falseAlarms
+	result.Probes, result.FalseAlarms = a.probes, a.falseAlarms
 	if a.detections > 0 {
-		r.DetectionTime = a.detectionTime.Seconds() / float64(a.detections)
+		result.DetectionTime = a.detectionTime.Seconds() / float64(a.detections)
 	}
 	served, demanded, worst := 0.0, 0.0, 1.0
 	for i, class := range s.Classes {
@@ -89,26 +89,26 @@
 		service := min(1, ratio(a.served[i], a.demanded[i]))
 		worst = min(worst, service)
 		histogram := a.setupTimes[i]
-		r.Classes = append(r.Classes, ClassResult{Name: class.Name, Service: service, InObjective: ratio(float64(a.inObjective[i]), float64(a.established[i])),
+		result.Classes = append(result.Classes, ClassResult{Name: class.Name, Service: service, InObjective: ratio(float64(a.inObjective[i]), float64(a.established[i])),
 			P50: float64(histogram.ValueAtQuantile(50)) / 1000, P99: float64(histogram.ValueAtQuantile(99)) / 1000})
 	}
-	r.Service = min(1, ratio(served, demanded))
-	r.WorstTenSeconds = 1
+	result.Service = min(1, ratio(served, demanded))
+	result.WorstTenSeconds = 1
 	for i := 0; i+10 <= len(a.seconds); i++ {
 		served, demanded := 0.0, 0.0
 		for _, second := range a.seconds[i : i+10] {
 			served, demanded = served+second.Service*second.Demand, demanded+second.Demand
 		}
-		if service := ratio(served, demanded); service < r.WorstTenSeconds {
-			r.WorstTenSeconds, r.WorstTenSecondsStart = service, float64(i)
+		if service := ratio(served, demanded); service < result.WorstTenSeconds {
+			result.WorstTenSeconds, result.WorstTenSecondsStart = service, float64(i)
 		}
 	}
-	r.Score = 0.6*r.Service + 0.05*r.WorstTenSeconds + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
-	r.Recovery = recoveryTime(a.seconds, a.annotations)
+	result.Score = 0.6*result.Service + 0.05*result.WorstTenSeconds + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
+	result.Recovery = recoveryTime(a.seconds, a.annotations)
 	for _, server := range s.servers {
-		r.Established += len(server.conns)
+		result.Established += len(server.conns)
 	}
-	return r
+	return result
 }
 
 // recoveryTime returns the seconds from the first action until service has been at 95% of its mean in
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -17,15 +17,15 @@
 	down               bool
 	hung               bool
 	hungAt             time.Duration
-	speedFactor        float64 // below 1 while it is slow
-	conns              []uint32
+	speedFactor        float64  // below 1 while it is slow
+	conns              []uint32 // indices of clients
 	connectionsByGroup map[uint32]int
-	load               float64
-	pendingAttempts    int // of attempts in progress
-	backlog            time.Duration
+	load               float64         // in mean connections, with the cost of groups
+	pendingAttempts    int             // attempts without an answer yet
+	backlog            time.Duration   // time to work off past overload
 	delay              time.Duration   // of a message, at the last tick
 	setupsDoneAt       time.Duration   // when the last queued set-up will be done
-	connectionsByClass []int           // number of connections
+	connectionsByClass []int           // numbers of connections
 	recentSetups       []time.Duration // times of set-ups within OverloadWindow, during its slow start
 	drainNotifiedAt    []time.Duration // by relay: when it was notified that the server is not ready; 0: not notified
 	delayReported      []bool          // by relay: the last reported delay was over the threshold
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -53,21 +53,21 @@
 // Guards against results that depend on anything but the seed, or not on the seed.
 func TestSeedDeterminesResult(t *testing.T) {
 	actions := mustParseActions(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
-	for _, p := range Policies {
+	for _, policy := range Policies {
 		run := func(seed uint64) *Result {
-			result := New(ReferenceWorld(), actions, p, seed).Run(nil)
+			result := New(ReferenceWorld(), actions, policy, seed).Run(nil)
 			result.RunTime = 0
 			return result
 		}
 		first := run(3)
 		if again := run(3); !reflect.DeepEqual(first, again) {
-			t.Errorf("%s: the first run has score %v and %d events, the second score %v and %d events", p.Name, first.Score, first.Events, again.Score, again.Events)
+			t.Errorf("%s: the first run has score %v and %d events, the second score %v and %d events", policy.Name, first.Score, first.Events, again.Score, again.Events)
 		}
 		if other := run(4); other.Events == first.Events && other.Score == first.Score {
-			t.Errorf("%s: seeds 3 and 4 give the same score and number of events", p.Name)
+			t.Errorf("%s: seeds 3 and 4 give the same score and number of events", policy.Name)
 		}
 		if first.Clients < 80 || first.Service < 0.3 || first.Migrations+first.BrokenConnections == 0 || len(first.Annotations) < 9 {
-			t.Errorf("%s: the scripted failures had no effect: %s", p.Name, summary(first))
+			t.Errorf("%s: the scripted failures had no effect: %s", policy.Name, summary(first))
 		}
 	}
 }
@@ -135,8 +135,8 @@
 			fmt.Fprintf(&script, "(at %dms %s)", rapid.IntRange(0, 12000).Draw(rt, "at"), rapid.SampledFrom([]string{
 				"(hang 2 3s)", "(slow 2 0.2 4s)", "(drain 1)", "(restart 2 2s)", "(drop 60)", "(relay-restart 1 2s)", "(surge 5 2s)", "(list-behind 3s 4s)", "(add 2)"}).Draw(rt, "act"))
 		}
-		p := rapid.SampledFrom(Policies).Draw(rt, "policy")
-		s := New(world, mustParseActions(rt, script.String()), p, rapid.Uint64().Draw(rt, "seed"))
+		policy := rapid.SampledFrom(Policies).Draw(rt, "policy")
+		s := New(world, mustParseActions(rt, script.String()), policy, rapid.Uint64().Draw(rt, "seed"))
 		for i := 0; len(s.events) > 0; i++ {
 			event := s.events.pop()
 			if event.at < s.now {
@@ -149,7 +149,7 @@
 			s.handleEvent(event)
 			if i%50 == 0 {
 				if err := s.checkConsistency(); err != nil {
-					rt.Fatalf("%s: %v", p.Name, err)
+					rt.Fatalf("%s: %v", policy.Name, err)
 				}
 			}
 		}
@@ -159,7 +159,7 @@
 				rt.Fatalf("service %v is not between 0 and 1: %s", service, summary(result))
 			}
 		}
-		if p.Name == "module" && result.LateAfterDrain > 0 {
+		if policy.Name == "module" && result.LateAfterDrain > 0 {
 			rt.Fatalf("%d attempts were sent to servers over %v after the notification of their drain", result.LateAfterDrain, drainGracePeriod)
 		}
 	})
@@ -254,7 +254,7 @@
 		}
 		return got
 	}
-	for name, want := range map[string][3]int{ // maximum number of servers, and minimum and maximum requests of a chosen server, of 130 requests at 13 servers
+	for name, want := range map[string][3]int{ // most servers chosen, fewest and most requests each
 		"round-robin": {13, 10, 10}, "least-connections": {13, 10, 10}, "two-choices": {13, 5, 14}, "random": {13, 1, 25}, "bounded-hash": {13, 0, 13},
 	} {
 		got := choices(name, 130, 7)
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -85,8 +85,8 @@
 
 // Guards against clients that leave twice or never.
 func TestEachClientLeavesOnce(t *testing.T) {
-	for _, p := range Policies {
-		s := New(ReferenceWorld(), mustParseActions(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), p, 9)
+	for _, policy := range Policies {
+		s := New(ReferenceWorld(), mustParseActions(t, "(at 10s (hang 2 10s)) (at 20s (drop 60)) (at 30s (restart 3 4s))"), policy, 9)
 		s.Run(nil)
 		present := 0
 		for i := range s.clients {
@@ -96,17 +96,17 @@
 		}
 		departed := s.statistics.departedClients
 		if s.statistics.clients != present+departed {
-			t.Errorf("%s: %d clients arrived, but %d are present and %d have left", p.Name, s.statistics.clients, present, departed)
+			t.Errorf("%s: %d clients arrived, but %d are present and %d have left", policy.Name, s.statistics.clients, present, departed)
 		}
 		if err := s.checkConsistency(); err != nil {
-			t.Errorf("%s: %v", p.Name, err)
+			t.Errorf("%s: %v", policy.Name, err)
 		}
 	}
 }
 
 // eventDigest returns a hash of all events of a run, in order.
-func eventDigest(world World, actions []ScriptedAction, p Policy, seed uint64) uint64 {
-	s := New(world, actions, p, seed)
+func eventDigest(world World, actions []ScriptedAction, policy Policy, seed uint64) uint64 {
+	s := New(world, actions, policy, seed)
 	h := fnv.New64a()
 	for len(s.events) > 0 {
 		event := s.events.pop()
@@ -121,10 +121,10 @@
 }
 
 func TestSeedDeterminesAllEvents(t *testing.T) {
-	for _, p := range Policies {
+	for _, policy := range Policies {
 		actions := mustParseActions(t, "(at 5s (hang 2 8s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s))")
-		if x, y := eventDigest(ReferenceWorld(), actions, p, 7), eventDigest(ReferenceWorld(), actions, p, 7); x != y {
-			t.Errorf("%s: two runs with one seed have the event digests %x and %x", p.Name, x, y)
+		if x, y := eventDigest(ReferenceWorld(), actions, policy, 7), eventDigest(ReferenceWorld(), actions, policy, 7); x != y {
+			t.Errorf("%s: two runs with one seed have the event digests %x and %x", policy.Name, x, y)
 		}
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -30,7 +30,7 @@
 const MaxRelays = 4096
 
 // World holds the parameters of a simulation; ReferenceWorld has a value for each. Loads are in
-// mean connections: the average connection has a load of 1 and lasts MeanLifetime. Fields with
+// mean connections: the average connection has a load of 1. Fields with
 // two values are the bounds of a uniform distribution.
 type World struct {
 	Servers            int
@@ -142,14 +142,14 @@
 
 // settings returns the settings of a relay's balancer in a zone.
 func (w *World) settings(zone int) balancer.Settings {
-	s := balancer.Settings{
+	settings := balancer.Settings{
 		RelayCount: w.Relays, Zone: zone, MaxAttempts: w.MaxAttempts, ClockResolution: 2 * time.Millisecond, ConnectTimeout: w.ConnectTimeout, MaxRetryAfter: 2 * time.Second,
 		InitialCapacity: w.InitialCapacity, SlowStartDuration: w.SlowStartDuration, OverloadMultiple: w.OverloadMultiple, OverloadWindow: w.OverloadWindow, CrossZoneCost: 0.03,
 	}
 	for _, class := range w.Classes {
-		s.Classes = append(s.Classes, balancer.Class{LatencyObjective: class.LatencyObjective, Deadline: class.Deadline, MessageLatencyObjective: class.MessageLatencyObjective})
+		settings.Classes = append(settings.Classes, balancer.Class{LatencyObjective: class.LatencyObjective, Deadline: class.Deadline, MessageLatencyObjective: class.MessageLatencyObjective})
 	}
-	return s
+	return settings
 }
 
 // Scaled returns the world with its servers, arrival rate, initial connections and groups
