--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -115,11 +115,11 @@
 func (e *Experiment) check(node *sexp.Node) error {
 	for _, claim := range e.Claims {
 		if claim.Scenario != "" && !slices.ContainsFunc(e.Scenarios, func(scenario Scenario) bool { return scenario.Name == claim.Scenario }) {
-			return node.Errorf("claim %s: the experiment has no such scene", claim)
+			return node.Errorf("%s names a scene that is not in the experiment", claim)
 		}
 		for _, name := range []string{claim.Policy, claim.OtherPolicy} {
 			if name != "" && !slices.ContainsFunc(e.Policies, func(policy simulation.Policy) bool { return policy.Name == name }) {
-				return node.Errorf("claim %s: policy %s is not in the experiment's policies", claim, name)
+				return node.Errorf("%s names policy %s, which is not in the experiment", claim, name)
 			}
 		}
 	}
@@ -247,7 +247,7 @@
 		return err
 	}
 	if count < 1 || count > maxSeeds {
-		return args[0].Errorf("%d seeds is not between 1 and 10000", count)
+		return args[0].Errorf("number of seeds %d is not between 1 and 10000", count)
 	}
 	e.setSeeds(int(count))
 	return nil
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -46,11 +46,11 @@
 		"(experiment a (policies best))":                                          `line 1, column 25: unknown policy "best"; expected one of module`,
 		"(experiment a (matrix (servers)))":                                       "line 1, column 23: servers has no values",
 		"(experiment a (scene x (at 1s (melt))))":                                 `line 1, column 31: unknown action "melt"`,
-		"(experiment a (seeds 0))":                                                "line 1, column 22: 0 seeds is not between",
+		"(experiment a (seeds 0))":                                                "line 1, column 22: number of seeds 0 is not between",
 		"(experiment a (claim joy module >= 1))":                                  `line 1, column 22: unknown metric "joy"`,
 		"(experiment a (claim g module > 1))":                                     `line 1, column 31: unknown operator ">"`,
-		"(experiment a (claim g random >= 1))":                                    "line 1, column 1: claim (claim g random >= 1): policy random is not in the experiment's policies",
-		"(experiment a (claim g module >= 1 x))":                                  "line 1, column 1: claim (claim g module >= 1 x): the experiment has no such scene",
+		"(experiment a (claim g random >= 1))":                                    "line 1, column 1: (claim g random >= 1) names policy random, which is not in the experiment",
+		"(experiment a (claim g module >= 1 x))":                                  "line 1, column 1: (claim g module >= 1 x) names a scene that is not in the experiment",
 		"(experiment a (seeds 10000) (matrix (servers 1 2 3 4 5 6 7 8 9 10 11)))": "line 1, column 1: the experiment has 110000 runs, more than 100000",
 	} {
 		if experiment, err := Parse(source); err == nil || !strings.HasPrefix(err.Error(), want) {
--- a/internal/simprotocol/protocol_test.go
+++ b/internal/simprotocol/protocol_test.go
@@ -222,7 +222,7 @@
 		"catalog number":     {batch(t, edit(catalogRecord, "34000000 0000", "34000000 1000")), "not below"},
 		"catalog too short":  {batch(t, "0b 06000000 0000 ffffffff"), "too short for its fields"},
 		"endpoint state":     {batch(t, edit(catalogRecord, "074a1203 01", "074a1203 07")), "unknown state"},
-		"endpoint size":      {batch(t, edit(catalogRecord, "0000803f", "0000c07f")), "size"},
+		"endpoint size":      {batch(t, edit(catalogRecord, "0000803f", "0000c07f")), "size NaN is out of range"},
 		"endpoint start":     {batch(t, edit(catalogRecord, "20145d0000000000", "ffffffffffffffff")), "out of range"},
 		"heartbeat kind":     {batch(t, edit(loadRecord, " 01 0000003f", " 07 0000003f")), "unknown heartbeat kind"},
 		"heartbeat level":    {batch(t, edit(loadRecord, "0000003f", "0000c07f")), "out of range"},
