--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment runs experiments on the simulation: a world, scenarios, policies, a
-// matrix of parameters, seeds, and claims to check. Runs are parallel, can be resumed after
-// an interruption, and leave a file of results that holds their exact inputs.
+// Package experiment runs simulation experiments: a world, scenarios, policies, a matrix of
+// parameters, seeds, and claims about the results. Runs are parallel and can be resumed after an
+// interruption. The file of results includes the experiment's source.
 package experiment
 
 import (
@@ -13,40 +13,40 @@
 	"lockroad/internal/simulation"
 )
 
-// Experiment is an experiment file, parsed.
+// Experiment is a parsed experiment file.
 type Experiment struct {
-	Name     string
-	World    simulation.World
-	Policies []simulation.Policy
-	Scenes   []Scenario
-	Axes     []Axis
-	Seeds    []uint64
-	Claims   []Claim
-	Source   string // the file's text
+	Name      string
+	World     simulation.World
+	Policies  []simulation.Policy
+	Scenarios []Scenario
+	Axes      []Axis
+	Seeds     []uint64
+	Claims    []Claim
+	Source    string // the file's text
 }
 
-// Scenario is a script of a run.
+// Scenario is a named script of actions.
 type Scenario struct {
-	Name string
-	Acts []simulation.ScriptedAction
+	Name    string
+	Actions []simulation.ScriptedAction
 }
 
-// Axis is a parameter with the values that are tried.
+// Axis is a world parameter with its values in the matrix.
 type Axis struct {
 	Name   string
 	Values []*sexp.Node
 }
 
-// Claim is a statement that the results are checked against, in each cell of the matrix, of
-// all scenes or of one.
+// Claim is an expected bound of a metric's mean. It is checked in each cell of the matrix, of all
+// scenarios or of one.
 type Claim struct {
-	Metric  string
-	Policy  string
-	Against string  // another policy; "" a value
-	Op      string  // >= or <=
-	Value   float64 // or what is added to the other policy's mean
-	Scene   string  // "" all
-	text    string
+	Metric      string
+	Policy      string
+	OtherPolicy string  // policy whose mean is the bound; "" if Value is
+	Operator    string  // >= or <=
+	Value       float64 // the bound, or what is added to the other policy's mean
+	Scenario    string  // "" means all
+	text        string
 }
 
 // String returns the claim as it was written.
@@ -58,18 +58,18 @@
 	defaultSeeds = 10
 )
 
-// Parse reads an experiment file:
+// Parse parses an experiment file:
 //
 //	(experiment NAME
 //	  (world (PARAMETER VALUE) ...)
 //	  (policies NAME ...)
-//	  (scene NAME (at TIME (ACT ...)) ...) ...
+//	  (scene NAME (at TIME (ACTION ...)) ...) ...
 //	  (matrix (PARAMETER VALUE ...) ...)
 //	  (seeds N)
 //	  (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE]) ...)
 //
-// The defaults are the reference world, the module as policy, a scene without actions, and
-// ten seeds. Errors name line and column.
+// The defaults are the reference world, the policy module, a scenario without actions, and ten
+// seeds. Errors name line and column.
 func Parse(source string) (*Experiment, error) {
 	node, err := sexp.ParseOne(source)
 	if err != nil {
@@ -82,59 +82,59 @@
 	if head != "experiment" || len(args) < 1 {
 		return nil, node.Errorf("expected (experiment NAME ...)")
 	}
-	e := &Experiment{World: simulation.ReferenceWorld(), Source: source}
-	if e.Name, err = args[0].Value(); err != nil {
+	experiment := &Experiment{World: simulation.ReferenceWorld(), Source: source}
+	if experiment.Name, err = args[0].Value(); err != nil {
 		return nil, err
 	}
 	for _, form := range args[1:] {
-		if err := e.parseForm(form); err != nil {
+		if err := experiment.parseForm(form); err != nil {
 			return nil, err
 		}
 	}
-	e.setDefaults()
-	if err := e.check(node); err != nil {
+	experiment.setDefaults()
+	if err := experiment.check(node); err != nil {
 		return nil, err
 	}
-	return e, nil
+	return experiment, nil
 }
 
-// setDefaults sets what was left out.
+// setDefaults fills in the forms that the file does not have.
 func (e *Experiment) setDefaults() {
 	if len(e.Policies) == 0 {
 		e.Policies = simulation.Policies[:1]
 	}
-	if len(e.Scenes) == 0 {
-		e.Scenes = []Scenario{{Name: "calm"}}
+	if len(e.Scenarios) == 0 {
+		e.Scenarios = []Scenario{{Name: "calm"}}
 	}
 	if len(e.Seeds) == 0 {
 		e.setSeeds(defaultSeeds)
 	}
 }
 
-// check reports what is wrong with an experiment as a whole.
+// check validates the claims' scenarios and policies, the number of runs and the worlds of all cells.
 func (e *Experiment) check(node *sexp.Node) error {
 	for _, claim := range e.Claims {
-		if claim.Scene != "" && !slices.ContainsFunc(e.Scenes, func(scenario Scenario) bool { return scenario.Name == claim.Scene }) {
-			return node.Errorf("the claim %s is of a scene that is not there", claim)
+		if claim.Scenario != "" && !slices.ContainsFunc(e.Scenarios, func(scenario Scenario) bool { return scenario.Name == claim.Scenario }) {
+			return node.Errorf("%s names a scene that is not in the experiment", claim)
 		}
-		for _, name := range []string{claim.Policy, claim.Against} {
+		for _, name := range []string{claim.Policy, claim.OtherPolicy} {
 			if name != "" && !slices.ContainsFunc(e.Policies, func(policy simulation.Policy) bool { return policy.Name == name }) {
-				return node.Errorf("the claim %s is of policy %s, which is not tried", claim, name)
+				return node.Errorf("%s names policy %s, which is not in the experiment", claim, name)
 			}
 		}
 	}
 	if runs := e.Runs(); len(runs) > maxRuns {
-		return node.Errorf("%d runs are more than %d", len(runs), maxRuns)
+		return node.Errorf("the experiment has %d runs, more than %d", len(runs), maxRuns)
 	}
 	for _, cell := range e.Cells() {
 		if err := cell.World.Validate(); err != nil {
-			return node.Errorf("with %s: %s", cell.Where(), strings.ReplaceAll(err.Error(), "\n", "; "))
+			return node.Errorf("cell %s: %s", cell.Name(), strings.ReplaceAll(err.Error(), "\n", "; "))
 		}
 	}
 	return nil
 }
 
-// setSeeds sets the seeds from 1 on.
+// setSeeds sets the seeds to 1 to count.
 func (e *Experiment) setSeeds(count int) {
 	e.Seeds = nil
 	for i := range count {
@@ -142,8 +142,8 @@
 	}
 }
 
-// forms parse the forms of an experiment, by their heads.
-var forms = map[string]func(e *Experiment, node *sexp.Node, args []*sexp.Node) error{
+// formParsers has the parsers of an experiment's forms, by their heads.
+var formParsers = map[string]func(e *Experiment, node *sexp.Node, args []*sexp.Node) error{
 	"world":    (*Experiment).parseWorld,
 	"policies": (*Experiment).parsePolicies,
 	"scene":    (*Experiment).parseScene,
@@ -157,9 +157,9 @@
 	if err != nil {
 		return err
 	}
-	parse, ok := forms[head]
+	parse, ok := formParsers[head]
 	if !ok {
-		return node.List.Items[0].Errorf("an experiment has no %q; expected world, policies, scene, matrix, seeds or claim", head)
+		return node.List.Items[0].Errorf("unknown form %q; expected world, policies, scene, matrix, seeds or claim", head)
 	}
 	return parse(e, node, args)
 }
@@ -171,9 +171,9 @@
 			return err
 		}
 		if len(values) != 1 {
-			return parameter.Errorf("%s wants one value", name)
+			return parameter.Errorf("%s takes one value", name)
 		}
-		if err := e.World.Set(name, values[0]); err != nil {
+		if err := e.World.SetParameter(name, values[0]); err != nil {
 			return err
 		}
 	}
@@ -192,7 +192,7 @@
 			for _, policy := range simulation.Policies {
 				known = append(known, policy.Name)
 			}
-			return argument.Errorf("there is no policy %q; expected one of %s", name, strings.Join(known, ", "))
+			return argument.Errorf("unknown policy %q; expected one of %s", name, strings.Join(known, ", "))
 		}
 		e.Policies = append(e.Policies, policy)
 	}
@@ -201,7 +201,7 @@
 
 func (e *Experiment) parseScene(node *sexp.Node, args []*sexp.Node) (err error) {
 	if len(args) == 0 {
-		return node.Errorf("a scene wants a name")
+		return node.Errorf("scene has no name")
 	}
 	scenario := Scenario{}
 	if scenario.Name, err = args[0].Value(); err != nil {
@@ -212,9 +212,9 @@
 		if err != nil {
 			return err
 		}
-		scenario.Acts = append(scenario.Acts, action)
+		scenario.Actions = append(scenario.Actions, action)
 	}
-	e.Scenes = append(e.Scenes, scenario)
+	e.Scenarios = append(e.Scenarios, scenario)
 	return nil
 }
 
@@ -225,11 +225,11 @@
 			return err
 		}
 		if len(values) == 0 {
-			return axis.Errorf("%s wants values to try", name)
+			return axis.Errorf("%s has no values", name)
 		}
 		for _, value := range values {
 			world := e.World
-			if err := world.Set(name, value); err != nil {
+			if err := world.SetParameter(name, value); err != nil {
 				return err
 			}
 		}
@@ -240,14 +240,14 @@
 
 func (e *Experiment) parseSeeds(node *sexp.Node, args []*sexp.Node) error {
 	if len(args) != 1 {
-		return node.Errorf("seeds wants their number")
+		return node.Errorf("seeds takes one value, their number")
 	}
 	count, err := args[0].Uint()
 	if err != nil {
 		return err
 	}
 	if count < 1 || count > maxSeeds {
-		return args[0].Errorf("%d seeds are not within 1 and 10000", count)
+		return args[0].Errorf("number of seeds %d is not between 1 and 10000", count)
 	}
 	e.setSeeds(int(count))
 	return nil
@@ -258,22 +258,22 @@
 		return node.Errorf("expected (claim METRIC POLICY >=|<= VALUE|(POLICY [VALUE]) [SCENE])")
 	}
 	claim := Claim{text: node.String()}
-	for i, field := range []*string{&claim.Metric, &claim.Policy, &claim.Op} {
+	for i, field := range []*string{&claim.Metric, &claim.Policy, &claim.Operator} {
 		if *field, err = args[i].Value(); err != nil {
 			return err
 		}
 	}
 	if !slices.Contains(Metrics, claim.Metric) {
-		return args[0].Errorf("there is no metric %q; expected one of %s", claim.Metric, strings.Join(Metrics, ", "))
+		return args[0].Errorf("unknown metric %q; expected one of %s", claim.Metric, strings.Join(Metrics, ", "))
 	}
-	if claim.Op != ">=" && claim.Op != "<=" {
-		return args[2].Errorf("%q compares nothing here; expected >= or <=", claim.Op)
+	if claim.Operator != ">=" && claim.Operator != "<=" {
+		return args[2].Errorf("unknown operator %q; expected >= or <=", claim.Operator)
 	}
 	if err := claim.parseLimit(args[3]); err != nil {
 		return err
 	}
 	if len(args) == 5 {
-		if claim.Scene, err = args[4].Value(); err != nil {
+		if claim.Scenario, err = args[4].Value(); err != nil {
 			return err
 		}
 	}
@@ -281,64 +281,63 @@
 	return nil
 }
 
-// parseLimit reads what the metric is compared with: a value, or a policy and what is added
-// to its mean.
+// parseLimit parses the bound of a claim: a value, or a policy and what is added to its mean.
 func (c *Claim) parseLimit(node *sexp.Node) (err error) {
 	value := node
 	if node.List != nil {
-		var added []*sexp.Node
-		if c.Against, added, err = node.Head(); err != nil {
+		var args []*sexp.Node
+		if c.OtherPolicy, args, err = node.Head(); err != nil {
 			return err
 		}
-		if len(added) > 1 {
+		if len(args) > 1 {
 			return node.Errorf("expected (POLICY [VALUE])")
 		}
-		if len(added) == 0 {
+		if len(args) == 0 {
 			return nil
 		}
-		value = added[0]
+		value = args[0]
 	}
 	word, err := value.Value()
 	if err != nil {
 		return err
 	}
 	if c.Value, err = strconv.ParseFloat(word, 64); err != nil {
-		return value.Errorf("%q is no number", word)
+		return value.Errorf("%q is not a number", word)
 	}
 	return nil
 }
 
-// Cell is a scene with one value of each axis.
+// Cell is a cell of the matrix: a scenario with one value of each axis.
 type Cell struct {
-	Scene  Scenario
-	World  simulation.World
-	Values []string // of the axes, in their order
-	axes   []Axis
+	Scenario Scenario
+	World    simulation.World
+	Values   []string // in the order of the axes
+	axes     []Axis
 }
 
-// Where returns the cell's name.
-func (c Cell) Where() string {
-	parts := []string{c.Scene.Name}
-	for i, a := range c.axes {
-		parts = append(parts, a.Name+"="+c.Values[i])
+// Name returns the scenario's name, followed by the values of the axes.
+func (c Cell) Name() string {
+	parts := []string{c.Scenario.Name}
+	for i, axis := range c.axes {
+		parts = append(parts, axis.Name+"="+c.Values[i])
 	}
 	return strings.Join(parts, " ")
 }
 
-// Cells returns all cells of the matrix, scene by scene.
+// Cells returns all cells of the matrix, scenario by scenario.
 func (e *Experiment) Cells() []Cell {
 	cells := []Cell{}
-	for _, scenario := range e.Scenes {
-		cells = append(cells, Cell{Scene: scenario, World: e.World, axes: e.Axes})
+	for _, scenario := range e.Scenarios {
+		cells = append(cells, Cell{Scenario: scenario, World: e.World, axes: e.Axes})
 	}
 	for _, axis := range e.Axes {
 		var next []Cell
 		for _, cell := range cells {
 			for _, value := range axis.Values {
-				grown := cell
-				grown.Values = append(slices.Clone(cell.Values), value.String())
-				_ = grown.World.Set(axis.Name, value) // it was tried when it was parsed
-				next = append(next, grown)
+				extended := cell
+				extended.Values = append(slices.Clone(cell.Values), value.String())
+				_ = extended.World.SetParameter(axis.Name, value) // parseMatrix has checked the value
+				next = append(next, extended)
 			}
 		}
 		cells = next
@@ -346,17 +345,17 @@
 	return cells
 }
 
-// Run is one run: a cell, a policy and a seed.
+// Run is one simulation of a cell with a policy and a seed.
 type Run struct {
 	Cell   Cell
 	Policy simulation.Policy
 	Seed   uint64
 }
 
-// Key returns the run's name in a file of results.
-func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Where(), r.Policy.Name, r.Seed) }
+// Key returns a string that identifies the run among the rows of a file of results.
+func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Name(), r.Policy.Name, r.Seed) }
 
-// Runs returns all runs, in order.
+// Runs returns all runs, in the order of cells, policies and seeds.
 func (e *Experiment) Runs() []Run {
 	var runs []Run
 	for _, cell := range e.Cells() {
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -16,55 +16,58 @@
 	"lockroad/internal/simulation"
 )
 
-// Metrics are the names of a run's figures, in the order of their columns: at the end the
-// service of each class, such as live-preview, and its share of set-ups within its objective.
+// Metrics are the names of a run's metrics, in the order of their columns. The last are, for each
+// class, its service and its share of set-ups within the latency objective.
 var Metrics = append([]string{"g", "service", "worst10", "worst-class", "attempts", "refused", "gave-up", "moves", "silent", "broken", "crossed", "late", "tipped",
 	"spread", "servers-a-group", "recovery", "p50", "p99", "clients", "standing", "probes", "found-in", "false-alarms", "events", "took"}, classMetrics()...)
 
 // classMetrics returns the names of the metrics of the classes, in their order.
 func classMetrics() (names []string) {
-	for _, claim := range simulation.ReferenceWorld().Classes { // no experiment has others
-		names = append(names, claim.Name, claim.Name+"-in-aim")
+	for _, class := range simulation.ReferenceWorld().Classes { // experiments can't change the classes
+		names = append(names, class.Name, class.Name+"-in-aim")
 	}
 	return names
 }
 
-// metricsOf returns the figures of a result; those from refused to crossed are per client.
-func metricsOf(r *simulation.Result) []float64 {
-	per := func(count int) float64 { return float64(count) / float64(max(1, r.Clients)) }
+// metricsOf returns the values of Metrics for a result. Those from refused to crossed, and probes, are
+// per client.
+func metricsOf(result *simulation.Result) []float64 {
+	perClient := func(count int) float64 { return float64(count) / float64(max(1, result.Clients)) }
 	worst, p50, p99 := 1.0, 0.0, 0.0
-	for _, claim := range r.Classes {
-		worst, p50, p99 = min(worst, claim.Service), max(p50, claim.P50), max(p99, claim.P99)
+	for _, class := range result.Classes {
+		worst, p50, p99 = min(worst, class.Service), max(p50, class.P50), max(p99, class.P99)
 	}
-	all := []float64{r.G, r.Service, r.Worst10, worst, r.Attempts, per(r.Refused), per(r.GaveUp), per(r.Moves), per(r.Silent), per(r.Broken), per(r.Crossed),
-		float64(r.Late), float64(r.Tipped), r.Spread, r.GroupsPer, r.Recovery, p50, p99, float64(r.Clients), float64(r.Standing), per(r.Probes), r.FoundIn, float64(r.Alarms), float64(r.Events), r.Took}
-	for _, claim := range r.Classes {
-		all = append(all, claim.Service, claim.InAim)
+	values := []float64{result.Score, result.Service, result.WorstTenSeconds, worst, result.AttemptsPerRequest, perClient(result.Rejected), perClient(result.GaveUp), perClient(result.Migrations), perClient(result.HeartbeatTimeouts), perClient(result.BrokenConnections), perClient(result.CrossZoneAttempts),
+		float64(result.LateAfterDrain), float64(result.Overloaded), result.LoadSpread, result.ServersPerGroup, result.Recovery, p50, p99, float64(result.Clients), float64(result.Established), perClient(result.Probes), result.DetectionTime, float64(result.FalseAlarms), float64(result.Events), result.RunTime}
+	for _, class := range result.Classes {
+		values = append(values, class.Service, class.InObjective)
 	}
-	return all
+	return values
 }
 
-// Row holds the figures of one run.
+// Row holds the metrics of one run.
 type Row struct {
-	Where   string // of the cell
-	Policy  string
-	Seed    uint64
-	Figures []float64 // as Metrics
+	Cell   string // name of the cell
+	Policy string
+	Seed   uint64
+	Values []float64 // in the order of Metrics
 }
 
-func (r Row) key() string { return fmt.Sprintf("%s|%s|%d", r.Where, r.Policy, r.Seed) }
+// key returns the Key of the row's run.
+func (r Row) key() string { return fmt.Sprintf("%s|%s|%d", r.Cell, r.Policy, r.Seed) }
 
-// Figure returns the figure of a metric, which must be one of Metrics.
-func (r Row) Figure(metric string) float64 { return r.Figures[slices.Index(Metrics, metric)] }
+// Value returns the value of a metric, which must be one of Metrics.
+func (r Row) Value(metric string) float64 { return r.Values[slices.Index(Metrics, metric)] }
 
-// Results is a file of results, parsed.
+// Results is a parsed file of results.
 type Results struct {
 	Source string // of the experiment
 	Rows   []Row
 }
 
-// fileHead returns the head of a file: the experiment, line by line, then the columns.
-func fileHead(source string) string {
+// fileHeader returns the header of a file of results: the experiment's source as comments, and the
+// names of the columns.
+func fileHeader(source string) string {
 	var b strings.Builder
 	for line := range strings.Lines(strings.TrimRight(source, "\n") + "\n") {
 		b.WriteString("# " + line)
@@ -73,8 +76,8 @@
 	return b.String()
 }
 
-// Read reads a file of results. A last line that was cut is ignored.
-func Read(path string) (*Results, error) {
+// ReadResults reads a file of results. It ignores a truncated last line.
+func ReadResults(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -84,222 +87,225 @@
 
 func parseResults(path string, text []byte) (*Results, error) {
 	text = text[:bytes.LastIndexByte(text, '\n')+1]
-	r := &Results{}
+	results := &Results{}
 	rest := text
 	for bytes.HasPrefix(rest, []byte("# ")) {
-		line, more, _ := bytes.Cut(rest, []byte("\n"))
-		r.Source += string(line[2:]) + "\n"
-		rest = more
+		line, remaining, _ := bytes.Cut(rest, []byte("\n"))
+		results.Source += string(line[2:]) + "\n"
+		rest = remaining
 	}
-	if r.Source == "" {
-		return nil, fmt.Errorf("%s: no results: the experiment is not at its head", path)
+	if results.Source == "" {
+		return nil, fmt.Errorf("%s: not a file of results: the header has no experiment", path)
 	}
-	claim := csv.NewReader(bytes.NewReader(rest))
-	claim.FieldsPerRecord = 3 + len(Metrics)
+	reader := csv.NewReader(bytes.NewReader(rest))
+	reader.FieldsPerRecord = 3 + len(Metrics)
 	for first := true; ; first = false {
-		cells, err := claim.Read()
+		fields, err := reader.Read()
 		switch {
 		case errors.Is(err, io.EOF):
-			return r, nil
+			return results, nil
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", path, err)
-		case first && (cells[0] != "where" || !slices.Equal(cells[3:], Metrics)):
-			return nil, fmt.Errorf("%s: the columns are those of another version: %v", path, cells)
+		case first && (fields[0] != "where" || !slices.Equal(fields[3:], Metrics)):
+			return nil, fmt.Errorf("%s: the columns %v are not those of this version", path, fields)
 		case first:
 			continue
 		}
-		row := Row{Where: cells[0], Policy: cells[1]}
-		if row.Seed, err = strconv.ParseUint(cells[2], 10, 64); err != nil {
-			return nil, fmt.Errorf("%s: seed %q: %w", path, cells[2], err)
+		row := Row{Cell: fields[0], Policy: fields[1]}
+		if row.Seed, err = strconv.ParseUint(fields[2], 10, 64); err != nil {
+			return nil, fmt.Errorf("%s: seed %q: %w", path, fields[2], err)
 		}
-		for _, cell := range cells[3:] {
-			value, err := strconv.ParseFloat(cell, 64)
+		for _, field := range fields[3:] {
+			value, err := strconv.ParseFloat(field, 64)
 			if err != nil {
-				return nil, fmt.Errorf("%s: figure %q: %w", path, cell, err)
+				return nil, fmt.Errorf("%s: metric value %q: %w", path, field, err)
 			}
-			row.Figures = append(row.Figures, value)
+			row.Values = append(row.Values, value)
 		}
-		r.Rows = append(r.Rows, row)
+		results.Rows = append(results.Rows, row)
 	}
 }
 
+// csvLine returns the row's line in a file of results.
 func (r Row) csvLine() []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
-	cells := []string{r.Where, r.Policy, strconv.FormatUint(r.Seed, 10)}
-	for _, value := range r.Figures {
-		cells = append(cells, strconv.FormatFloat(value, 'g', 7, 64))
+	fields := []string{r.Cell, r.Policy, strconv.FormatUint(r.Seed, 10)}
+	for _, value := range r.Values {
+		fields = append(fields, strconv.FormatFloat(value, 'g', 7, 64))
 	}
-	_ = w.Write(cells) // a buffer takes all
+	_ = w.Write(fields) // writes to a buffer don't fail
 	w.Flush()
 	return b.Bytes()
 }
 
-// Mean is a mean with the half width of its 95% confidence interval. N is the number of values.
+// Mean is the mean of Count values with the half width of its 95% confidence interval.
 type Mean struct {
-	Value, Half float64
-	N           int
+	Value, HalfWidth float64
+	Count            int
 }
 
-// String returns the mean and, of two values or more, the half width.
+// String returns the mean and, for two values or more, the half width.
 func (m Mean) String() string {
-	if m.N < 2 {
+	if m.Count < 2 {
 		return fmt.Sprintf("%.4g", m.Value)
 	}
-	return fmt.Sprintf("%.4g ±%.2g", m.Value, m.Half)
+	return fmt.Sprintf("%.4g ±%.2g", m.Value, m.HalfWidth)
 }
 
-// t975 are the 97.5% quantiles of Student's t by degrees of freedom.
-var t975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
+// studentT975 has the 97.5% quantiles of Student's t by degrees of freedom.
+var studentT975 = []float64{0, 12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120, 2.110, 2.101, 2.093, 2.086}
 
 func meanOf(values []float64) Mean {
-	m := Mean{N: len(values)}
-	if m.N == 0 {
-		return m
+	mean := Mean{Count: len(values)}
+	if mean.Count == 0 {
+		return mean
 	}
 	for _, value := range values {
-		m.Value += value / float64(m.N)
+		mean.Value += value / float64(mean.Count)
 	}
-	square := 0.0
+	squares := 0.0
 	for _, value := range values {
-		square += (value - m.Value) * (value - m.Value)
+		squares += (value - mean.Value) * (value - mean.Value)
 	}
-	if m.N > 1 {
-		t := 1.96 + 2.4/float64(m.N-1)
-		if m.N-1 < len(t975) {
-			t = t975[m.N-1]
+	if mean.Count > 1 {
+		t := 1.96 + 2.4/float64(mean.Count-1)
+		if mean.Count-1 < len(studentT975) {
+			t = studentT975[mean.Count-1]
 		}
-		m.Half = t * math.Sqrt(square/float64(m.N-1)/float64(m.N))
+		mean.HalfWidth = t * math.Sqrt(squares/float64(mean.Count-1)/float64(mean.Count))
 	}
-	return m
+	return mean
 }
 
-// bySeed returns the figures of a metric in a cell by a policy.
-func (r *Results) bySeed(metric, where, policy string) map[uint64]float64 {
+// valuesBySeed returns the values of a metric for a cell and a policy, by seed.
+func (r *Results) valuesBySeed(metric, cell, policy string) map[uint64]float64 {
 	values := make(map[uint64]float64)
 	for _, row := range r.Rows {
-		if row.Where == where && row.Policy == policy {
-			values[row.Seed] = row.Figure(metric)
+		if row.Cell == cell && row.Policy == policy {
+			values[row.Seed] = row.Value(metric)
 		}
 	}
 	return values
 }
 
-// cells and policies return the names that the rows have, sorted.
-func (r *Results) cells() []string {
-	return distinctValues(r.Rows, func(x Row) string { return x.Where })
+// cellNames and policyNames return the distinct names in the rows, sorted.
+func (r *Results) cellNames() []string {
+	return distinctValues(r.Rows, func(row Row) string { return row.Cell })
 }
-func (r *Results) policies() []string {
-	return distinctValues(r.Rows, func(x Row) string { return x.Policy })
+func (r *Results) policyNames() []string {
+	return distinctValues(r.Rows, func(row Row) string { return row.Policy })
 }
 
-func distinctValues(rows []Row, of func(Row) string) []string {
-	var all []string
-	for _, r := range rows {
-		if value := of(r); !slices.Contains(all, value) {
-			all = append(all, value)
+// distinctValues returns the distinct values of a field of the rows, sorted.
+func distinctValues(rows []Row, field func(Row) string) []string {
+	var distinct []string
+	for _, row := range rows {
+		if value := field(row); !slices.Contains(distinct, value) {
+			distinct = append(distinct, value)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(distinct)
+	return distinct
 }
 
-func sortedValues(m map[uint64]float64) []float64 {
-	var all []float64
-	for _, value := range m {
-		all = append(all, value)
+// sortedValues returns the values of valuesBySeed in an order that makes their sum reproducible.
+func sortedValues(bySeed map[uint64]float64) []float64 {
+	var values []float64
+	for _, value := range bySeed {
+		values = append(values, value)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(values)
+	return values
 }
 
-// Report writes means by cell and policy.
+// Report writes a table of the metrics' means by cell and policy.
 func (r *Results) Report(w io.Writer, metrics []string) error {
-	for _, m := range metrics {
-		if !slices.Contains(Metrics, m) {
-			return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
+	for _, metric := range metrics {
+		if !slices.Contains(Metrics, metric) {
+			return fmt.Errorf("unknown metric %q; expected some of %s", metric, strings.Join(Metrics, ", "))
 		}
 	}
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
-	for _, where := range r.cells() {
-		for _, policy := range r.policies() {
-			count := len(r.bySeed("g", where, policy))
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "WHERE\tPOLICY\tSEEDS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
+	for _, cell := range r.cellNames() {
+		for _, policy := range r.policyNames() {
+			count := len(r.valuesBySeed("g", cell, policy))
 			if count == 0 {
 				continue
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
-			for _, m := range metrics {
-				fmt.Fprintf(t, "\t%s", meanOf(sortedValues(r.bySeed(m, where, policy))))
+			fmt.Fprintf(table, "%s\t%s\t%d", cell, policy, count)
+			for _, metric := range metrics {
+				fmt.Fprintf(table, "\t%s", meanOf(sortedValues(r.valuesBySeed(metric, cell, policy))))
 			}
-			fmt.Fprintln(t)
+			fmt.Fprintln(table)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// pairedDifference returns the mean of the differences of two sets of figures by seed.
+// pairedDifference returns the mean of x-y over the seeds that both have.
 func pairedDifference(x, y map[uint64]float64) Mean {
-	var difference []float64
+	var differences []float64
 	for seed, value := range x {
-		if u, ok := y[seed]; ok {
-			difference = append(difference, value-u)
+		if other, ok := y[seed]; ok {
+			differences = append(differences, value-other)
 		}
 	}
-	slices.Sort(difference)
-	return meanOf(difference)
+	slices.Sort(differences)
+	return meanOf(differences)
 }
 
-// Compare writes the differences of two files of results, paired by cell, policy and seed; a
-// star marks those that are significant at 95%.
-func Compare(w io.Writer, a, b *Results, metrics []string) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
+// Compare writes a table of the metrics' mean differences a-b, paired by cell, policy and seed. A star
+// marks those that are significant at 95%.
+func Compare(w io.Writer, first, second *Results, metrics []string) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
 	pairs := 0
-	for _, where := range a.cells() {
-		for _, policy := range a.policies() {
-			count := pairedDifference(a.bySeed("g", where, policy), b.bySeed("g", where, policy)).N
+	for _, cell := range first.cellNames() {
+		for _, policy := range first.policyNames() {
+			count := pairedDifference(first.valuesBySeed("g", cell, policy), second.valuesBySeed("g", cell, policy)).Count
 			if count == 0 {
 				continue
 			}
 			pairs += count
-			fmt.Fprintf(t, "%s\t%s\t%d", where, policy, count)
-			for _, m := range metrics {
-				if !slices.Contains(Metrics, m) {
-					return fmt.Errorf("there is no metric %q; expected some of %s", m, strings.Join(Metrics, ", "))
+			fmt.Fprintf(table, "%s\t%s\t%d", cell, policy, count)
+			for _, metric := range metrics {
+				if !slices.Contains(Metrics, metric) {
+					return fmt.Errorf("unknown metric %q; expected some of %s", metric, strings.Join(Metrics, ", "))
 				}
-				difference := pairedDifference(a.bySeed(m, where, policy), b.bySeed(m, where, policy))
+				difference := pairedDifference(first.valuesBySeed(metric, cell, policy), second.valuesBySeed(metric, cell, policy))
 				star := ""
-				if difference.N > 1 && math.Abs(difference.Value) > difference.Half {
+				if difference.Count > 1 && math.Abs(difference.Value) > difference.HalfWidth {
 					star = " *"
 				}
-				fmt.Fprintf(t, "\t%+.4g ±%.2g%s", difference.Value, difference.Half, star)
+				fmt.Fprintf(table, "\t%+.4g ±%.2g%s", difference.Value, difference.HalfWidth, star)
 			}
-			fmt.Fprintln(t)
+			fmt.Fprintln(table)
 		}
 	}
 	if pairs == 0 {
-		return errors.New("the two have no run in common")
+		return errors.New("the files of results have no run in common")
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// Check returns the claims of an experiment that its results contradict, one line for each cell
-// where they do.
-func (r *Results) Check(e *Experiment) []string {
+// ContradictedClaims returns a line for each claim of an experiment and each cell in which the results
+// contradict it.
+func (r *Results) ContradictedClaims(experiment *Experiment) []string {
 	var contradicted []string
-	for _, claim := range e.Claims {
-		for _, cell := range e.Cells() {
-			if claim.Scene != "" && cell.Scene.Name != claim.Scene {
+	for _, claim := range experiment.Claims {
+		for _, cell := range experiment.Cells() {
+			if claim.Scenario != "" && cell.Scenario.Name != claim.Scenario {
 				continue
 			}
-			where := cell.Where()
-			got, limit := meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Policy))), claim.Value
-			if claim.Against != "" {
-				limit += meanOf(sortedValues(r.bySeed(claim.Metric, where, claim.Against))).Value
+			name := cell.Name()
+			got, limit := meanOf(sortedValues(r.valuesBySeed(claim.Metric, name, claim.Policy))), claim.Value
+			if claim.OtherPolicy != "" {
+				limit += meanOf(sortedValues(r.valuesBySeed(claim.Metric, name, claim.OtherPolicy))).Value
 			}
-			if holds := claim.Op == ">=" && got.Value >= limit || claim.Op == "<=" && got.Value <= limit; !holds || got.N == 0 {
-				contradicted = append(contradicted, fmt.Sprintf("%s: in %s %s has %s %s, and the limit is %.4g", claim, where, claim.Policy, claim.Metric, got, limit))
+			if holds := claim.Operator == ">=" && got.Value >= limit || claim.Operator == "<=" && got.Value <= limit; !holds || got.Count == 0 {
+				contradicted = append(contradicted, fmt.Sprintf("%s: in cell %s, %s has %s %s; the limit is %.4g", claim, name, claim.Policy, claim.Metric, got, limit))
 			}
 		}
 	}
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -8,7 +8,7 @@
 	"lockroad/balancer"
 )
 
-// Codes of the events, by their names in the simulator's description.
+// Codes of event records, with the names of the simulator's protocol.
 const (
 	codeAttach     = 1
 	codeTopology   = 2
@@ -25,65 +25,65 @@
 	codeHeartbeat  = 13
 )
 
-// Bits of a request.
+// Flags of a request.
 const (
-	bitLoadValid = 1
-	bitReturning = 16
+	flagLoadValid = 1
+	flagReturning = 16
 )
 
-// Kinds of a heartbeat's level.
+// Kinds of a heartbeat record.
 const (
 	levelIsLoad  = 1
 	levelIsDelay = 2
 )
 
-// maxLevel bounds levels and weights, which are floats of the wire.
+// maxLevel bounds heartbeat levels and endpoint sizes, which are floats on the wire.
 const maxLevel = 1e12
 
-// Attach starts an instance.
+// Attach is the record that starts an instance.
 type Attach struct {
 	Seed     uint64
 	Settings balancer.Settings
 }
 
-// Retire ends an instance.
+// Retire is the record that ends an instance.
 type Retire struct{}
 
-// Record is what one record of a batch means for one instance: an Attach, a
-// Retire or a balancer.Event. Body is nil for records that no decision needs.
+// Record is a decoded record. Its Body is an Attach, a Retire, a balancer.Event, or nil for records
+// that no instance has to handle.
 type Record struct {
 	Instance uint32
 	Body     any
 }
 
-// record decodes the fields of one record.
-func (reader *Reader) record(code uint8, c *cursor) (Record, error) {
-	if code == codeCatalog { // addressed to all instances
-		return Record{}, reader.catalog(c)
+// decodeRecord decodes the fields of a record.
+func (reader *Reader) decodeRecord(code uint8, c *cursor) (Record, error) {
+	if code == codeCatalog { // shared by all instances
+		return Record{}, reader.decodeCatalog(c)
 	}
 	if code == 0 || code > codeHeartbeat {
 		return Record{}, errors.New("unknown code")
 	}
 	instance := c.u32()
-	body, err := reader.body(code, c)
+	body, err := reader.decodeBody(code, c)
 	return Record{Instance: instance, Body: body}, err
 }
 
-// body decodes what follows the instance's number.
-func (reader *Reader) body(code uint8, c *cursor) (any, error) {
+// decodeBody decodes the fields after the instance number.
+func (reader *Reader) decodeBody(code uint8, c *cursor) (any, error) {
 	switch code {
 	case codeAttach:
-		return attach(c)
+		return decodeAttach(c)
 	case codeTopology:
-		return reader.topology(c)
+		return reader.decodeTopology(c)
 	case codeRequest:
-		return request(c), nil
+		return decodeRequest(c), nil
 	case codeResumed:
-		return resumed(c), nil
+		return decodeResumed(c), nil
 	case codeBegun:
-		return established(c), nil
+		return decodeEstablished(c), nil
 	case codeOutcome:
-		return outcome(c)
+		return decodeOutcome(c)
 	case codeClientLeft:
 		return balancer.ClientLeft{Request: c.requestID()}, nil
 	case codeWake:
@@ -95,12 +95,12 @@
 	case codeRetire:
 		return Retire{}, nil
 	case codeHeartbeat:
-		return heartbeat(c)
+		return decodeHeartbeat(c)
 	}
 	return nil, nil
 }
 
-func attach(c *cursor) (any, error) {
+func decodeAttach(c *cursor) (any, error) {
 	seed, text := c.u64(), c.bytes(c.u32())
 	if c.truncated {
 		return nil, nil
@@ -112,20 +112,20 @@
 	return Attach{Seed: seed, Settings: settings}, nil
 }
 
-func request(c *cursor) balancer.Request {
+func decodeRequest(c *cursor) balancer.Request {
 	var request balancer.Request
 	request.ID = c.requestID()
 	request.Class = int(c.u8())
-	c.u16() // the tenant: all are treated alike
+	c.u16() // tenant, not used by the balancer
 	request.Item = c.u64()
 	request.TimeLeft = c.duration()
 	load := c.u32()
 	request.Group = c.u64()
-	setRequestBits(&request, c.u16(), load)
+	setRequestFlags(&request, c.u16(), load)
 	return request
 }
 
-func resumed(c *cursor) balancer.Resumed {
+func decodeResumed(c *cursor) balancer.Resumed {
 	var request balancer.Request
 	request.ID = c.requestID()
 	request.TimeLeft = c.duration()
@@ -133,27 +133,27 @@
 	request.Group = c.u64()
 	request.Class = int(c.u8())
 	load := c.u32()
-	c.u16() // the tenant: all are treated alike
+	c.u16() // tenant, not used by the balancer
 	request.Item = c.u64()
-	setRequestBits(&request, c.u16(), load)
+	setRequestFlags(&request, c.u16(), load)
 	return balancer.Resumed{Request: request, Endpoint: endpoint}
 }
 
-// setRequestBits sets what a request's bits say; load is in microseconds of work a second.
-func setRequestBits(request *balancer.Request, bits uint16, load uint32) {
-	if bits&bitLoadValid != 0 {
+// setRequestFlags sets the fields that depend on flags. load is in microseconds of work per second.
+func setRequestFlags(request *balancer.Request, flags uint16, load uint32) {
+	if flags&flagLoadValid != 0 {
 		request.ExpectedLoad = float64(load) / 1e6
 	}
-	request.Returning = bits&bitReturning != 0
+	request.Returning = flags&flagReturning != 0
 }
 
-func established(c *cursor) balancer.Established {
-	id, took := c.requestID(), c.duration()
-	c.u16() // attempts of a request never overlap, so their numbers are not needed
-	return balancer.Established{Request: id, Endpoint: c.endpointID(), SetupTime: took}
+func decodeEstablished(c *cursor) balancer.Established {
+	id, setupTime := c.requestID(), c.duration()
+	c.u16() // attempt number, not needed as the attempts of a request never overlap
+	return balancer.Established{Request: id, Endpoint: c.endpointID(), SetupTime: setupTime}
 }
 
-// skipProbe skips the result of a probe: no instance sends probes.
+// skipProbe skips the result of a probe, as the balancer sends none.
 func skipProbe(c *cursor) {
 	c.u32()
 	c.u16()
@@ -161,12 +161,13 @@
 	c.skipFloats()
 }
 
-// skipDatagram skips a message between relays: no instance sends any.
+// skipDatagram skips a message between relays, as the balancer sends none.
 func skipDatagram(c *cursor) {
 	c.u32()
 	c.bytes(uint32(c.u16()))
 }
 
+// statuses has the statuses of attempts by the codes of outcome records.
 var statuses = map[uint16]balancer.AttemptStatus{
 	100: balancer.StatusOK,
 	301: balancer.StatusError,
@@ -178,33 +179,35 @@
 	307: balancer.StatusNotSent,
 }
 
-func outcome(c *cursor) (any, error) {
+func decodeOutcome(c *cursor) (any, error) {
 	var outcome balancer.Outcome
 	outcome.Request = c.requestID()
 	outcome.Final = c.u8() != 0
-	c.u32() // how long it took: no decision uses it
-	c.u16() // the attempt's number
+	c.u32() // duration, not used by the balancer
+	c.u16() // attempt number, not needed as the attempts of a request never overlap
 	code := c.u16()
 	outcome.Endpoint = c.endpointID()
-	c.skipFloats() // load reports: no decision uses them
+	c.skipFloats() // load reports, not used by the balancer
 	status, ok := statuses[code]
 	if !ok && !c.truncated {
-		return nil, fmt.Errorf("unknown outcome %d", code)
+		return nil, fmt.Errorf("unknown outcome code %d", code)
 	}
 	outcome.Status = status
 	return outcome, nil
 }
 
-func heartbeat(c *cursor) (any, error) {
+// decodeHeartbeat decodes a report of a connection's load, in microseconds of work per second, or of an
+// endpoint's message delay, in milliseconds.
+func decodeHeartbeat(c *cursor) (any, error) {
 	id := c.requestID()
-	c.u16() // the attempt's number
+	c.u16() // attempt number, not needed as the attempts of a request never overlap
 	endpoint := c.endpointID()
 	kind, level := c.u8(), float64(c.f32())
 	if c.truncated {
 		return nil, nil
 	}
 	if !(level >= 0 && level < maxLevel) { // also false for NaN
-		return nil, fmt.Errorf("level %v is out of range", level)
+		return nil, fmt.Errorf("heartbeat level %v is out of range", level)
 	}
 	switch kind {
 	case levelIsLoad:
@@ -213,5 +216,5 @@
 		return balancer.EndpointDelay{Request: id, Endpoint: endpoint,
 			Delay: time.Duration(level * float64(time.Millisecond))}, nil
 	}
-	return nil, fmt.Errorf("unknown kind %d", kind)
+	return nil, fmt.Errorf("unknown heartbeat kind %d", kind)
 }
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -11,37 +11,39 @@
 	"lockroad/balancer"
 )
 
-// Policies are the balancer and those that it is compared with, by their published rules:
+// Policies are the balancer, variants of it and baselines:
 //
-//   - module: balancer.Balancer, the decisions of a relay.
-//   - module-no-zones, module-no-notes, module-no-routes: the same without the preference
-//     for servers of the own zone; without reports of servers' delays, and so without
-//     outliers, relief and recovery; and with no group, so without cached routes and with a draw
-//     by chance instead of by hash.
-//   - random: any ready server not yet tried.
+//   - module: balancer.Balancer.
+//   - module-no-zones: the balancer without its preference for servers in the relay's zone.
+//   - module-no-notes: the balancer without reports of servers' delays, and so without outlier
+//     detection and relief.
+//   - module-no-routes: the balancer without groups, and so without cached routes and with
+//     draws that are random instead of hashed.
+//   - random: any ready server that the request has not tried.
 //   - round-robin: the ready servers in turn, from a random one on.
-//   - least-connections: the ready server with the fewest of this relay's connections.
-//   - two-choices: of two at random the one with fewer (Mitzenmacher's power of two).
-//   - bounded-hash: rendezvous hashing by group with bounded loads (Mirrokni and others):
-//     the first by hash that has under 1.25 times the mean of this relay's connections.
-//   - oracle: sees the true state of all servers; the upper bound of placement, as it migrates nobody.
+//   - least-connections: the ready server with the fewest connections of this relay.
+//   - two-choices: of two random ready servers, the one with fewer connections of this relay.
+//   - bounded-hash: rendezvous hashing by group with bounded loads: the first server by hash
+//     with fewer than 1.25 times the mean of this relay's connections.
+//   - oracle: the ready server with the lowest utilization by the true state of all servers, an
+//     upper bound of placement. It does not move connections to balance load.
 var Policies = []Policy{
-	{"module", func(s *Sim, r int) Decider {
-		return balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64())
+	{"module", func(s *Sim, relayIndex int) Decider {
+		return balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64())
 	}},
-	{"module-no-zones", func(s *Sim, r int) Decider {
-		settings := s.settings(s.relays[r].zone)
+	{"module-no-zones", func(s *Sim, relayIndex int) Decider {
+		settings := s.settings(s.relays[relayIndex].zone)
 		settings.CrossZoneCost = 0
 		return balancer.New(settings, s.rng.Uint64())
 	}},
-	{"module-no-notes", func(s *Sim, r int) Decider {
-		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
-			_, note := ev.(balancer.EndpointDelay)
-			return ev, !note
+	{"module-no-notes", func(s *Sim, relayIndex int) Decider {
+		return eventFilter{balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+			_, isDelay := ev.(balancer.EndpointDelay)
+			return ev, !isDelay
 		}}
 	}},
-	{"module-no-routes", func(s *Sim, r int) Decider {
-		return filter{balancer.New(s.settings(s.relays[r].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+	{"module-no-routes", func(s *Sim, relayIndex int) Decider {
+		return eventFilter{balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			if request, ok := ev.(balancer.Request); ok {
 				request.Group, request.Item = 0, 0
 				return request, true
@@ -53,14 +55,14 @@
 		return candidates[p.rng.IntN(len(candidates))]
 	})},
 	{"round-robin", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
-		p.turn++
+		p.lastIndex++
 		for _, endpoint := range candidates {
-			if int(endpoint.ID) > p.turn%p.highestID {
-				p.turn = int(endpoint.ID) - 1
+			if int(endpoint.ID) > p.lastIndex%p.highestID {
+				p.lastIndex = int(endpoint.ID) - 1
 				return endpoint
 			}
 		}
-		p.turn = int(candidates[0].ID) - 1
+		p.lastIndex = int(candidates[0].ID) - 1
 		return candidates[0]
 	})},
 	{"least-connections", baselinePolicy(func(_ *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
@@ -98,15 +100,15 @@
 	})},
 }
 
-// filter is a decider that does not get all events, or not as they are.
-type filter struct {
+// eventFilter is a decider whose events are transformed, or dropped if transform reports false.
+type eventFilter struct {
 	Decider
-	see func(balancer.Event) (balancer.Event, bool)
+	transform func(balancer.Event) (balancer.Event, bool)
 }
 
-// Handle passes on what the decider gets.
-func (w filter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
-	if ev, ok := w.see(ev); ok {
+// Handle passes the transformed event to the decider.
+func (w eventFilter) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
+	if ev, ok := w.transform(ev); ok {
 		return w.Decider.Handle(now, ev)
 	}
 	return nil
@@ -121,6 +123,7 @@
 	return Policies[i], true
 }
 
+// rendezvous returns the weight of a server for a group in rendezvous hashing.
 func rendezvous(group uint64, id balancer.EndpointID) uint64 {
 	h := fnv.New64a()
 	var b [12]byte
@@ -134,31 +137,32 @@
 	return h.Sum64()
 }
 
-// baseline is a policy that knows no more than the endpoint list and its own connections. It
-// retries at other servers, backing off as the balancer does, and migrates the clients of a
-// server that drains.
+// baseline is a decider that chooses by the endpoint list and its own connections. It retries
+// at other servers with exponential backoff, and migrates the clients of draining servers.
 type baseline struct {
-	s          *Sim
-	rng        *rand.Rand
-	choose     func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint
-	servers    map[balancer.EndpointID]*knownEndpoint
-	order      []*knownEndpoint
-	requests   map[balancer.RequestID]*pendingRequest
-	timers     map[uint32]balancer.RequestID
-	token      uint32
-	turn       int
-	highestID  int
-	attempts   int
-	actions    []balancer.Action
-	candidates []*knownEndpoint
+	sim             *Sim
+	rng             *rand.Rand
+	choose          func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint
+	endpoints       map[balancer.EndpointID]*knownEndpoint
+	sortedEndpoints []*knownEndpoint // by ID
+	requests        map[balancer.RequestID]*pendingRequest
+	requestsByTimer map[uint32]balancer.RequestID
+	lastToken       uint32
+	lastIndex       int // round-robin: one less than the ID of the last chosen endpoint
+	highestID       int // of all endpoints
+	maxAttempts     int
+	actions         []balancer.Action // returned by Handle, reused
+	candidates      []*knownEndpoint  // reused
 }
 
+// knownEndpoint is a server in a baseline's endpoint list, with the connections of this relay.
 type knownEndpoint struct {
 	balancer.Endpoint
 	conns    int
 	requests map[balancer.RequestID]bool
 }
 
+// pendingRequest is a request at a baseline, from its arrival to the end of its connection.
 type pendingRequest struct {
 	balancer.Request
 	deadline    time.Duration
@@ -166,34 +170,35 @@
 	tried       []balancer.EndpointID
 	endpoint    *knownEndpoint
 	established bool
-	timer       uint32
+	timer       uint32 // token of the timer that was set last
 }
 
+// baselinePolicy returns the constructor of baselines that choose among the ready servers not yet tried.
 func baselinePolicy(choose func(*baseline, *pendingRequest, []*knownEndpoint) *knownEndpoint) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
-		return &baseline{s: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, servers: make(map[balancer.EndpointID]*knownEndpoint),
-			requests: make(map[balancer.RequestID]*pendingRequest), timers: make(map[uint32]balancer.RequestID), attempts: s.Attempts, turn: s.rng.IntN(len(s.servers))}
+		return &baseline{sim: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, endpoints: make(map[balancer.EndpointID]*knownEndpoint),
+			requests: make(map[balancer.RequestID]*pendingRequest), requestsByTimer: make(map[uint32]balancer.RequestID), maxAttempts: s.MaxAttempts, lastIndex: s.rng.IntN(len(s.servers))}
 	}
 }
 
-// trueUtilization is the utilization that a server would have with a new connection of a group, by
-// its true state.
+// trueUtilization returns the utilization that a server would have with a new connection of a
+// group. It is lowered by 1 where the server already serves the group.
 func (p *baseline) trueUtilization(endpoint *knownEndpoint, group uint32) float64 {
-	v := p.s.servers[endpoint.ID-1]
-	if v.down || v.hung || v.draining {
+	server := p.sim.servers[endpoint.ID-1]
+	if server.down || server.hung || server.draining {
 		return math.Inf(1)
 	}
-	capacity := v.capacity * v.speedFactor * p.s.slowStartShare(v)
-	if full := (v.load+1+float64(v.attempts))/capacity + v.backlog.Seconds(); v.groups[group] > 0 && full < oracleGroupLimit {
-		return full - 1 // it need not pay for the group again
+	capacity := server.capacity * server.speedFactor * p.sim.slowStartShare(server)
+	if utilization := (server.load+1+float64(server.pendingAttempts))/capacity + server.backlog.Seconds(); server.connectionsByGroup[group] > 0 && utilization < oracleGroupLimit {
+		return utilization - 1 // prefers servers that already serve the group
 	}
-	return (v.load+1+p.s.GroupCost+float64(v.attempts))/capacity + v.backlog.Seconds()
+	return (server.load+1+p.sim.GroupCost+float64(server.pendingAttempts))/capacity + server.backlog.Seconds()
 }
 
-// oracleGroupLimit is the utilization up to which the oracle keeps a group together.
+// oracleGroupLimit is the utilization below which the oracle keeps a group on a server that serves it.
 const oracleGroupLimit = 0.75
 
-// Handle takes an event and returns what to do.
+// Handle implements Decider.
 func (p *baseline) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	p.actions = p.actions[:0]
 	switch ev := ev.(type) {
@@ -203,7 +208,7 @@
 		request := &pendingRequest{Request: ev, deadline: now + ev.TimeLeft - 4*time.Millisecond}
 		p.requests[ev.ID] = request
 		p.setTimer(request, ev.TimeLeft-4*time.Millisecond)
-		p.attempt(now, request)
+		p.sendAttempt(now, request)
 	case balancer.Established:
 		if request := p.requests[ev.Request]; request != nil && request.endpoint != nil {
 			request.established = true
@@ -216,7 +221,7 @@
 			break
 		}
 		if request.established {
-			p.remove(request)
+			p.removeRequest(request)
 			break
 		}
 		if request.endpoint != nil {
@@ -224,43 +229,43 @@
 			request.endpoint = nil
 		}
 		wait := 100 * time.Millisecond << max(0, request.attempts-1)
-		if request.attempts >= p.attempts || now+wait >= request.deadline {
+		if request.attempts >= p.maxAttempts || now+wait >= request.deadline {
 			p.reject(request)
 			break
 		}
 		p.setTimer(request, wait)
 	case balancer.ClientLeft:
 		if request := p.requests[ev.Request]; request != nil {
-			p.remove(request)
+			p.removeRequest(request)
 		}
 	case balancer.Timer:
-		id, ok := p.timers[ev.Token]
-		delete(p.timers, ev.Token)
+		id, ok := p.requestsByTimer[ev.Token]
+		delete(p.requestsByTimer, ev.Token)
 		request := p.requests[id]
 		switch {
 		case !ok || request == nil || request.established:
 		case now >= request.deadline:
 			p.reject(request)
 		case request.endpoint == nil && ev.Token == request.timer:
-			p.attempt(now, request)
+			p.sendAttempt(now, request)
 		}
 	}
 	return p.actions
 }
 
 func (p *baseline) setTimer(request *pendingRequest, after time.Duration) {
-	p.token++
-	p.timers[p.token] = request.ID
-	request.timer = p.token
-	p.actions = append(p.actions, balancer.SetTimer{Token: p.token, After: max(0, after)})
+	p.lastToken++
+	p.requestsByTimer[p.lastToken] = request.ID
+	request.timer = p.lastToken
+	p.actions = append(p.actions, balancer.SetTimer{Token: p.lastToken, After: max(0, after)})
 }
 
 func (p *baseline) reject(request *pendingRequest) {
 	p.actions = append(p.actions, balancer.Reject{Request: request.ID, RetryAfter: 100 * time.Millisecond})
-	p.remove(request)
+	p.removeRequest(request)
 }
 
-func (p *baseline) remove(request *pendingRequest) {
+func (p *baseline) removeRequest(request *pendingRequest) {
 	if request.established {
 		request.endpoint.conns--
 		delete(request.endpoint.requests, request.ID)
@@ -268,10 +273,10 @@
 	delete(p.requests, request.ID)
 }
 
-// attempt sends an attempt, or rejects the request where there is no server.
-func (p *baseline) attempt(now time.Duration, request *pendingRequest) {
+// sendAttempt sends an attempt to a ready server not yet tried, or rejects the request if there is none.
+func (p *baseline) sendAttempt(now time.Duration, request *pendingRequest) {
 	p.candidates = p.candidates[:0]
-	for _, endpoint := range p.order {
+	for _, endpoint := range p.sortedEndpoints {
 		if endpoint.State == balancer.StateReady && !slices.Contains(request.tried, endpoint.ID) {
 			p.candidates = append(p.candidates, endpoint)
 		}
@@ -282,25 +287,26 @@
 	}
 	request.endpoint = p.choose(p, request, p.candidates)
 	request.attempts++
-	wait := request.deadline - now
-	if request.attempts < p.attempts {
-		wait /= 2
+	timeout := request.deadline - now
+	if request.attempts < p.maxAttempts {
+		timeout /= 2
 	}
-	p.actions = append(p.actions, balancer.SendAttempt{Request: request.ID, Endpoint: request.endpoint.ID, Timeout: wait})
+	p.actions = append(p.actions, balancer.SendAttempt{Request: request.ID, Endpoint: request.endpoint.ID, Timeout: timeout})
 }
 
-func (p *baseline) updateList(l balancer.EndpointList) {
-	for _, line := range l.Endpoints {
-		endpoint := p.servers[line.ID]
+// updateList applies an endpoint list and migrates the clients of draining servers.
+func (p *baseline) updateList(list balancer.EndpointList) {
+	for _, entry := range list.Endpoints {
+		endpoint := p.endpoints[entry.ID]
 		if endpoint == nil {
-			endpoint = &knownEndpoint{Endpoint: line, requests: make(map[balancer.RequestID]bool)}
-			p.servers[line.ID] = endpoint
-			p.order = append(p.order, endpoint)
-			slices.SortFunc(p.order, func(x, y *knownEndpoint) int { return cmp.Compare(x.ID, y.ID) })
+			endpoint = &knownEndpoint{Endpoint: entry, requests: make(map[balancer.RequestID]bool)}
+			p.endpoints[entry.ID] = endpoint
+			p.sortedEndpoints = append(p.sortedEndpoints, endpoint)
+			slices.SortFunc(p.sortedEndpoints, func(x, y *knownEndpoint) int { return cmp.Compare(x.ID, y.ID) })
 		}
-		endpoint.Endpoint = line
-		p.highestID = max(p.highestID, int(line.ID))
-		if line.State != balancer.StateDraining {
+		endpoint.Endpoint = entry
+		p.highestID = max(p.highestID, int(entry.ID))
+		if entry.State != balancer.StateDraining {
 			continue
 		}
 		ids := make([]balancer.RequestID, 0, len(endpoint.requests))
@@ -310,7 +316,7 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			p.actions = append(p.actions, balancer.Migrate{Request: id})
-			p.remove(p.requests[id])
+			p.removeRequest(p.requests[id])
 		}
 	}
 }
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -7,41 +7,41 @@
 	"lockroad/internal/healthcheck"
 )
 
-// relayModel is one relay, with the decider that decides in it.
+// relayModel is one relay with its decider.
 type relayModel struct {
-	health      *healthcheck.Tracker // nil: it is notified of the endpoint list
-	zone        int
-	decider     Decider
-	up          bool
-	incarnation uint32
-	clients     map[balancer.RequestID]uint32 // by their requests
-	lastRequest balancer.RequestID
+	health           *healthcheck.Tracker // nil if it receives an endpoint list
+	zone             int
+	decider          Decider
+	up               bool
+	incarnation      uint32
+	clientsByRequest map[balancer.RequestID]uint32 // indices of clients
+	lastRequestID    balancer.RequestID
 }
 
-// startRelay starts a relay with the endpoint list, and the snapshot of its last incarnation if
-// it has a store.
+// startRelay starts a relay with a new decider and the complete endpoint list, and restores the
+// snapshot of its previous incarnation if the world says so.
 func (s *Sim) startRelay(id uint32) {
 	relay := s.relays[id]
-	relay.up, relay.clients = true, make(map[balancer.RequestID]uint32)
+	relay.up, relay.clientsByRequest = true, make(map[balancer.RequestID]uint32)
 	relay.incarnation++
-	old, _ := relay.decider.(*balancer.Balancer)
+	previous, _ := relay.decider.(*balancer.Balancer)
 	relay.decider = s.newDecider(s, int(id))
-	list := make([]balancer.Endpoint, len(s.servers))
+	endpoints := make([]balancer.Endpoint, len(s.servers))
 	for i := range s.servers {
-		if list[i] = s.endpoint(i); s.Probed {
-			list[i].State = balancer.StateReady // as its file says
+		if endpoints[i] = s.listEntry(i); s.UseHealthChecks {
+			endpoints[i].State = balancer.StateReady // until its probes fail
 		}
 	}
-	s.handle(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: list})
-	if s.Probed {
+	s.handle(id, balancer.EndpointList{Kind: balancer.ListFull, Endpoints: endpoints})
+	if s.UseHealthChecks {
 		s.startHealthChecks(id)
 	}
-	if fresh, ok := relay.decider.(*balancer.Balancer); ok && old != nil && s.Warm {
-		fresh.Restore(s.now, old.Snapshot())
+	if current, ok := relay.decider.(*balancer.Balancer); ok && previous != nil && s.RestoreSnapshots {
+		current.Restore(s.now, previous.Snapshot())
 	}
 }
 
-// stopRelay ends a relay: its clients connect again.
+// stopRelay stops a relay. Its clients connect again.
 func (s *Sim) stopRelay(id uint32) {
 	relay := s.relays[id]
 	relay.up = false
@@ -53,8 +53,8 @@
 		switch client.state {
 		case stateEstablished:
 			s.detach(uint32(i))
-			s.statistics.migrations++ // a relay migrates its clients before it ends
-			s.returnAfter(uint32(i), s.uniformDuration(s.Return))
+			s.statistics.migrations++ // a relay migrates its clients before it stops
+			s.returnAfter(uint32(i), s.uniformDuration(s.ReturnDelay))
 		case stateWaiting:
 			s.cancelAttempt(client)
 			s.retry(uint32(i), 0)
@@ -62,7 +62,7 @@
 	}
 }
 
-// handle makes a relay handle an event, and performs its actions.
+// handle passes an event to a relay's decider and performs the returned actions.
 func (s *Sim) handle(id uint32, event balancer.Event) {
 	relay := s.relays[id]
 	if !relay.up {
@@ -73,59 +73,59 @@
 		case balancer.SetTimer:
 			s.schedule(action.After, scheduledEvent{kind: eventTimer, subject: id, generation: action.Token, value: relay.incarnation})
 		case balancer.SendAttempt:
-			if client, ok := relay.clients[action.Request]; ok {
+			if client, ok := relay.clientsByRequest[action.Request]; ok {
 				s.sendAttempt(id, client, int32(action.Endpoint)-1, action.Timeout)
 			}
 		case balancer.Reject:
-			if client, ok := relay.clients[action.Request]; ok {
-				s.rejected(client, action.RetryAfter)
+			if client, ok := relay.clientsByRequest[action.Request]; ok {
+				s.endRejectedRequest(client, action.RetryAfter)
 			}
 		case balancer.Fail:
-			if client, ok := relay.clients[action.Request]; ok {
-				s.rejected(client, 0)
+			if client, ok := relay.clientsByRequest[action.Request]; ok {
+				s.endRejectedRequest(client, 0)
 			}
 		case balancer.Migrate:
-			if client, ok := relay.clients[action.Request]; ok && s.clients[client].state == stateEstablished {
-				delete(relay.clients, action.Request)
+			if client, ok := relay.clientsByRequest[action.Request]; ok && s.clients[client].state == stateEstablished {
+				delete(relay.clientsByRequest, action.Request)
 				s.detach(client)
 				s.statistics.migrations++
-				s.returnAfter(client, s.uniformDuration(s.Return))
+				s.returnAfter(client, s.uniformDuration(s.ReturnDelay))
 			}
 		}
 	}
 }
 
-// rejected ends the request of a waiting client.
-func (s *Sim) rejected(id uint32, retryAfter time.Duration) {
+// endRejectedRequest ends the request of a waiting client that its relay rejected.
+func (s *Sim) endRejectedRequest(id uint32, retryAfter time.Duration) {
 	client := &s.clients[id]
 	if client.state != stateWaiting {
 		return
 	}
-	delete(s.relays[client.relay].clients, client.request)
+	delete(s.relays[client.relay].clientsByRequest, client.requestID)
 	s.cancelAttempt(client)
 	s.statistics.rejected++
 	s.retry(id, retryAfter)
 }
 
-// endpoint returns a server as the endpoint list has it.
-func (s *Sim) endpoint(serverIndex int) balancer.Endpoint {
+// listEntry returns a server as the listEntry list has it.
+func (s *Sim) listEntry(serverIndex int) balancer.Endpoint {
 	server := s.servers[serverIndex]
 	return balancer.Endpoint{ID: s.serverID(int32(serverIndex)), State: server.state, Zone: server.zone, Size: 1, StartedAt: server.startedAt}
 }
 
-// publish schedules updates of a server for all relays, each after its delay.
-func (s *Sim) publish(serverIndex int) {
-	if s.Probed {
+// publishServer schedules the delivery of a server's list entry to all relays, each after its own delay.
+func (s *Sim) publishServer(serverIndex int) {
+	if s.UseHealthChecks {
 		return
 	}
 	for relay := range s.relays {
-		s.schedule(s.uniformDuration(s.Notice)+s.listDelay, scheduledEvent{kind: eventListUpdate, subject: uint32(relay), value: uint32(serverIndex)})
+		s.schedule(s.uniformDuration(s.ListDelay)+s.extraListDelay, scheduledEvent{kind: eventListUpdate, subject: uint32(relay), value: uint32(serverIndex)})
 	}
 }
 
-// listUpdate makes a relay handle an update of the endpoint list.
+// listUpdate passes an update of the endpoint list to a relay.
 func (s *Sim) listUpdate(event scheduledEvent) {
-	updated := s.endpoint(int(event.value))
+	updated := s.listEntry(int(event.value))
 	server := s.servers[event.value]
 	if updated.State == balancer.StateGone {
 		s.countDetection(event.subject, int(event.value), updated.State)
@@ -138,9 +138,9 @@
 	s.handle(event.subject, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{updated}})
 }
 
-// scheduleHeartbeatTimeout makes a client's relay notice in time that the server hangs.
+// scheduleHeartbeatTimeout schedules when a client's relay gives up the connection to a hung server.
 func (s *Sim) scheduleHeartbeatTimeout(id uint32) {
 	client := &s.clients[id]
 	client.serverSilent = true
-	s.schedule(time.Duration(s.rng.Float64()*float64(s.Beat))+s.Silence, scheduledEvent{kind: eventHeartbeatTimeout, subject: id, generation: client.generation})
+	s.schedule(time.Duration(s.rng.Float64()*float64(s.MessageInterval))+s.HeartbeatTimeout, scheduledEvent{kind: eventHeartbeatTimeout, subject: id, generation: client.generation})
 }
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -8,57 +8,58 @@
 	"lockroad/balancer"
 )
 
-// Decider decides for one relay, as balancer.Balancer does. Its actions are valid until the
-// next call.
+// Decider makes the decisions of one relay, as balancer.Balancer does. The returned actions are
+// valid until the next call.
 type Decider interface {
 	Handle(now time.Duration, ev balancer.Event) []balancer.Action
 }
 
-// Policy makes the Decider of a relay.
+// Policy creates the deciders of relays.
 type Policy struct {
 	Name string
 	Make func(s *Sim, relayIndex int) Decider
 }
 
-// startTime is the clock at the start: well above the times that matter, as in a relay.
+// startTime is the clock when measurement begins. It is far above zero, as a relay's clock is.
 const startTime = time.Hour
 
-// warmUpTime is how long before the start those clients arrive that are established at it.
+// warmUpTime is how long before startTime the initial connections begin to arrive.
 const warmUpTime = 10 * time.Second
 
-const tickInterval = 250 * time.Millisecond // of the servers' loads and the statistics
+// tickInterval is the interval at which servers' delays and the statistics are updated.
+const tickInterval = 250 * time.Millisecond
 
-// Sim is a simulation that runs. One goroutine uses it.
+// Sim is a running simulation. It is not safe for concurrent use.
 type Sim struct {
 	World
-	now          time.Duration
-	lastSequence uint64
-	events       eventQueue
-	rng          *rand.Rand
-	clients      []clientModel
-	freeClients  []uint32
-	servers      []*serverModel
-	relays       []*relayModel
-	actions      []ScriptedAction
-	newDecider   func(s *Sim, relayIndex int) Decider
-	listDelay    time.Duration // in addition to the world's Notice
-	statistics   statistics
-	present      []int // clients that want service, by class
-	groupWeights []float64
-	processed    uint64 // events handled
-
-	loadMean, lifeMean float64 // of the classes' factors, by their shares
+	now            time.Duration
+	lastSequence   uint64
+	events         eventQueue
+	rng            *rand.Rand
+	clients        []clientModel
+	freeClients    []uint32
+	servers        []*serverModel
+	relays         []*relayModel
+	actions        []ScriptedAction
+	newDecider     func(s *Sim, relayIndex int) Decider
+	extraListDelay time.Duration // added to the world's ListDelay
+	statistics     statistics
+	clientsByClass []int     // clients that have not left, by class
+	groupWeights   []float64 // cumulative popularity
+	eventCount     uint64    // handled events
+
+	loadMean, lifeMean float64 // of the classes' factors, weighted by their shares
 	end                time.Duration
 }
 
-// New returns a simulation at its start, with the actions of its script. The world must be
-// valid. Equal arguments give equal results.
-func New(world World, actions []ScriptedAction, p Policy, seed uint64) *Sim {
-	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: p.Make, present: make([]int, len(world.Classes)), end: startTime + world.For}
+// New returns a simulation that performs the actions of a script. The world must be valid.
+// Equal arguments give equal results.
+func New(world World, actions []ScriptedAction, policy Policy, seed uint64) *Sim {
+	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: policy.Make, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
 	s.statistics.start(s)
 	for _, class := range world.Classes {
-		s.loadMean += class.Share * (class.Load[0] + class.Load[1]) / 2
-		s.lifeMean += class.Share * (class.Life[0] + class.Life[1]) / 2
+		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
+		s.lifeMean += class.Share * (class.LifetimeFactor[0] + class.LifetimeFactor[1]) / 2
 	}
 	total := 0.0
 	for i := range world.Groups {
@@ -67,25 +68,25 @@
 	}
 	for i := range world.Servers {
 		speed := s.uniform(world.Speed)
-		if math.Floor(float64(i+1)*world.Slow) > math.Floor(float64(i)*world.Slow) {
+		if math.Floor(float64(i+1)*world.SlowShare) > math.Floor(float64(i)*world.SlowShare) {
 			speed = s.uniform(world.SlowSpeed)
 		}
 		s.newServer(speed, 0)
 	}
-	// The number of slow machines is exact, and their places are random.
+	// The number of slow machines is exact; which servers run on them is random.
 	s.rng.Shuffle(len(s.servers), func(i, j int) {
-		action, b := s.servers[i], s.servers[j]
-		action.speed, b.speed, action.capacity, b.capacity = b.speed, action.speed, b.capacity, action.capacity
+		a, b := s.servers[i], s.servers[j]
+		a.speed, b.speed, a.capacity, b.capacity = b.speed, a.speed, b.capacity, a.capacity
 	})
 	for i := range world.Relays {
 		relay := &relayModel{zone: i % world.Zones}
 		s.relays = append(s.relays, relay)
 		s.startRelay(uint32(i))
 	}
-	for range world.Standing {
+	for range world.InitialConnections {
 		s.schedule(time.Duration(s.rng.Float64()*float64(warmUpTime)*0.8), scheduledEvent{kind: eventClientArrives, value: 1})
 	}
-	if world.Rate > 0 {
+	if world.ArrivalRate > 0 {
 		s.push(scheduledEvent{at: startTime, kind: eventClientArrives})
 	}
 	s.push(scheduledEvent{at: startTime - warmUpTime + tickInterval, kind: eventTick})
@@ -95,31 +96,31 @@
 	return s
 }
 
-// push schedules an event at its time; events of one time keep their order.
+// push schedules an event at its own time; simultaneous events are handled in the order of scheduling.
 func (s *Sim) push(event scheduledEvent) {
 	s.lastSequence++
 	event.sequence = s.lastSequence
 	s.events.push(event)
 }
 
-// schedule schedules an event after a time.
+// schedule schedules an event after a delay.
 func (s *Sim) schedule(after time.Duration, event scheduledEvent) {
 	event.at = s.now + after
 	s.push(event)
 }
 
-// uniform draws from a range.
+// uniform draws a uniformly distributed number.
 func (s *Sim) uniform(bounds [2]float64) float64 {
 	return bounds[0] + (bounds[1]-bounds[0])*s.rng.Float64()
 }
 
-// uniformDuration draws from a range.
+// uniformDuration draws a uniformly distributed duration.
 func (s *Sim) uniformDuration(bounds [2]time.Duration) time.Duration {
 	return bounds[0] + time.Duration(s.rng.Float64()*float64(bounds[1]-bounds[0]))
 }
 
-// Run runs to the end and returns the result. progress, if any, is called now and then with
-// the share that is done.
+// Run runs the simulation to its end and returns the result. progress, unless nil, is called
+// from time to time with the completed share of the duration.
 func (s *Sim) Run(progress func(share float64)) *Result {
 	started := time.Now()
 	for len(s.events) > 0 {
@@ -128,22 +129,22 @@
 			break
 		}
 		s.now = event.at
-		s.processed++
-		if s.processed&0xffff == 0 && progress != nil {
-			progress(float64(s.now-startTime) / float64(s.For))
+		s.eventCount++
+		if s.eventCount&0xffff == 0 && progress != nil {
+			progress(float64(s.now-startTime) / float64(s.Duration))
 		}
-		s.step(event)
+		s.handleEvent(event)
 	}
 	return s.statistics.result(s, time.Since(started))
 }
 
-// step handles one event.
-func (s *Sim) step(event scheduledEvent) {
+// handleEvent dispatches an event. Events of clients, timers and probes that are out of date are ignored.
+func (s *Sim) handleEvent(event scheduledEvent) {
 	switch event.kind {
 	case eventClientArrives:
 		s.newClient()
 		if event.value == 0 {
-			s.schedule(time.Duration(s.rng.ExpFloat64()/s.rate()*float64(time.Second)), scheduledEvent{kind: eventClientArrives})
+			s.schedule(time.Duration(s.rng.ExpFloat64()/s.arrivalRateNow()*float64(time.Second)), scheduledEvent{kind: eventClientArrives})
 		}
 	case eventRequestArrives:
 		s.requestArrives(event)
@@ -156,11 +157,11 @@
 	case eventAttemptResult:
 		s.attemptResult(event)
 	case eventAttemptTimeout:
-		if class := &s.clients[event.subject]; class.state == stateWaiting && class.attempt == event.generation && class.server >= 0 {
+		if client := &s.clients[event.subject]; client.state == stateWaiting && client.attemptGeneration == event.generation && client.server >= 0 {
 			s.attemptFailed(event.subject, balancer.StatusTimeout)
 		}
 	case eventDeadline:
-		if class := &s.clients[event.subject]; class.state == stateWaiting && class.generation == event.generation {
+		if client := &s.clients[event.subject]; client.state == stateWaiting && client.generation == event.generation {
 			s.abandonRequest(event.subject)
 			s.statistics.gaveUp++
 			s.retry(event.subject, 0)
@@ -168,13 +169,13 @@
 	case eventLifetimeEnds:
 		s.lifetimeEnds(event)
 	case eventClientReturns:
-		if class := &s.clients[event.subject]; class.state == stateAway && class.generation == event.generation {
+		if client := &s.clients[event.subject]; client.state == stateAway && client.generation == event.generation {
 			s.connect(event.subject)
 		}
 	case eventHeartbeatTimeout:
-		if class := &s.clients[event.subject]; class.state == stateEstablished && class.generation == event.generation && class.serverSilent {
+		if client := &s.clients[event.subject]; client.state == stateEstablished && client.generation == event.generation && client.serverSilent {
 			s.statistics.heartbeatTimeouts++
-			s.breakConnection(event.subject, balancer.StatusReset, s.uniformDuration(s.Return))
+			s.breakConnection(event.subject, balancer.StatusReset, s.uniformDuration(s.ReturnDelay))
 		}
 	case eventListUpdate:
 		s.listUpdate(event)
@@ -187,7 +188,7 @@
 	case eventTick:
 		s.tick()
 	case eventScriptedAction:
-		s.perform(s.actions[event.value])
+		s.startAction(s.actions[event.value])
 	case eventMigrateClients:
 		s.migrateClients(int(event.value))
 	case eventServerStops:
@@ -199,10 +200,10 @@
 	}
 }
 
-// rate returns the number of new clients a second now.
-func (s *Sim) rate() float64 {
-	if s.Swing == 0 {
-		return s.Rate
+// arrivalRateNow returns the current number of new clients per second.
+func (s *Sim) arrivalRateNow() float64 {
+	if s.RateAmplitude == 0 {
+		return s.ArrivalRate
 	}
-	return s.Rate * (1 + s.Swing*math.Sin(2*math.Pi*float64(s.now-startTime)/float64(s.Period)))
+	return s.ArrivalRate * (1 + s.RateAmplitude*math.Sin(2*math.Pi*float64(s.now-startTime)/float64(s.RatePeriod)))
 }
