--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -117,7 +117,7 @@
 	if err := c.openRoutes(proxy, output); err != nil {
 		return err
 	}
-	proxy.Restart()
+	proxy.ResetClock()
 	if commands != nil {
 		go func() { _ = proxy.Serve(ctx, commands) }() // ends with ctx
 	}
@@ -148,7 +148,7 @@
 		if !ok || !both || name == "" {
 			return fmt.Errorf("route %q is no NAME=LISTEN,TARGET", route)
 		}
-		address, err := proxy.Open(faultproxy.Route{Name: name, Listen: listen, Target: target})
+		address, err := proxy.OpenRoute(faultproxy.Route{Name: name, Listen: listen, Target: target})
 		if err != nil {
 			return err
 		}
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -16,22 +16,22 @@
 
 // Message is an injected fault, or an answer to a command, as a line of JSON.
 type Message struct {
-	At        int64    `json:"at_us"` // microseconds on the script's clock
-	Fault     Kind     `json:"fault,omitempty"`
-	Rule      string   `json:"rule,omitempty"`
-	Route     string   `json:"route,omitempty"`
-	Conn      uint64   `json:"conn,omitempty"`
-	Direction string   `json:"direction,omitempty"`
-	Offset    uint64   `json:"offset,omitempty"`
-	Listen    string   `json:"listen,omitempty"`
-	Target    string   `json:"target,omitempty"`
-	Conns     uint64   `json:"conns,omitempty"`
-	Open      int      `json:"open,omitempty"`
-	Up        uint64   `json:"up_bytes,omitempty"`
-	Down      uint64   `json:"down_bytes,omitempty"`
-	Rules     []string `json:"rules,omitempty"`
-	Done      string   `json:"done,omitempty"`
-	Error     string   `json:"error,omitempty"`
+	At        int64     `json:"at_us"` // microseconds on the script's clock
+	Fault     FaultKind `json:"fault,omitempty"`
+	Rule      string    `json:"rule,omitempty"`
+	Route     string    `json:"route,omitempty"`
+	Conn      uint64    `json:"conn,omitempty"`
+	Direction string    `json:"direction,omitempty"`
+	Offset    uint64    `json:"offset,omitempty"`
+	Listen    string    `json:"listen,omitempty"`
+	Target    string    `json:"target,omitempty"`
+	Conns     uint64    `json:"conns,omitempty"`
+	Open      int       `json:"open,omitempty"`
+	Up        uint64    `json:"up_bytes,omitempty"`
+	Down      uint64    `json:"down_bytes,omitempty"`
+	Rules     []string  `json:"rules,omitempty"`
+	Done      string    `json:"done,omitempty"`
+	Error     string    `json:"error,omitempty"`
 }
 
 // Message returns the message that reports an injection.
@@ -50,9 +50,9 @@
 (status)            tells of routes and rules
 `
 
-// Do performs a command and returns its answer. An error says what is wrong with the
+// Execute performs a command and returns its answer. An error says what is wrong with the
 // command, with its column where it can't be read.
-func (p *Proxy) Do(command string) ([]Message, error) {
+func (p *Proxy) Execute(command string) ([]Message, error) {
 	node, err := sexp.ParseOne(command)
 	if err != nil {
 		return nil, err
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.Command(name); err != nil {
+	if err := p.Trigger(name); err != nil {
 		return args[0].Errorf("%v", err)
 	}
 	return nil
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	p.Cut(name)
+	p.ResetRoute(name)
 	return nil
 }
 
@@ -151,7 +151,7 @@
 		if command == "" || command[0] == ';' {
 			continue
 		}
-		answer, err := p.Do(command)
+		answer, err := p.Execute(command)
 		if err != nil {
 			answer = []Message{{At: p.now().Microseconds(), Error: err.Error()}}
 		}
--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -37,7 +37,7 @@
 // Injection reports that a fault was injected.
 type Injection struct {
 	Rule string
-	Kind Kind
+	Kind FaultKind
 	Location
 	Offset uint64        // bytes that the direction had received before
 	At     time.Duration // on the script's clock
@@ -117,11 +117,11 @@
 // Idle reports whether the flow has no rules.
 func (f *Flow) Idle() bool { return len(f.rules) == 0 }
 
-// Command triggers a rule that waits for it. It reports whether there is one.
-func (f *Flow) Command(name string, now time.Duration) ([]Op, bool) {
+// Trigger triggers a rule that waits for it. It reports whether there is one.
+func (f *Flow) Trigger(name string, now time.Duration) ([]Op, bool) {
 	for _, rule := range f.rules {
 		if rule.Name == name && rule.Trigger.Kind == OnCommand {
-			return f.trigger(rule, now, nil), true
+			return f.activate(rule, now, nil), true
 		}
 	}
 	return nil, false
@@ -132,9 +132,9 @@
 	f.rules = slices.DeleteFunc(f.rules, func(rule *activeRule) bool { return name == "" || rule.Name == name })
 }
 
-// Next returns the next time at which something happens without a byte, when Due has to be
+// NextDue returns the next time at which something happens without a byte, when Due has to be
 // called. It returns false where there is none.
-func (f *Flow) Next(now time.Duration) (time.Duration, bool) {
+func (f *Flow) NextDue(now time.Duration) (time.Duration, bool) {
 	next, found := time.Duration(math.MaxInt64), false
 	consider := func(at time.Duration) {
 		if at > now {
@@ -171,14 +171,14 @@
 			rule.active = false
 		}
 		if !rule.triggered && (rule.Trigger.Kind == FromStart || rule.Trigger.Kind == AtTime && now >= rule.Trigger.At) {
-			operations = f.trigger(rule, now, operations)
+			operations = f.activate(rule, now, operations)
 		}
 	}
 	return operations
 }
 
-// trigger begins a rule here.
-func (f *Flow) trigger(rule *activeRule, now time.Duration, operations []Op) []Op {
+// activate begins a rule here.
+func (f *Flow) activate(rule *activeRule, now time.Duration, operations []Op) []Op {
 	if rule.Trigger.Kind == AtTime && rule.For > 0 && now >= rule.Trigger.At+rule.For {
 		rule.triggered = true // it was over before this connection came
 		return operations
@@ -233,7 +233,7 @@
 }
 
 // report notifies of an injected fault.
-func (f *Flow) report(rule *activeRule, kind Kind, now time.Duration) {
+func (f *Flow) report(rule *activeRule, kind FaultKind, now time.Duration) {
 	if f.notify != nil {
 		f.notify(Injection{Rule: rule.Name, Kind: kind, Location: f.location, Offset: f.offset, At: now})
 	}
@@ -311,7 +311,7 @@
 			break
 		}
 		if f.beginsAt(rule, place) {
-			operations = f.trigger(rule, now, operations)
+			operations = f.activate(rule, now, operations)
 		}
 	}
 	if (place.line || place.frame) && len(f.merged) > 0 && f.mergeComplete(place) {
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -56,7 +56,7 @@
 func TestScriptVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(Help() + Commands)
-	for _, kind := range []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut, Refuse, Mute, QueueFull, Vanish} {
+	for _, kind := range []FaultKind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut, Refuse, Mute, QueueFull, Vanish} {
 		fmt.Fprintf(&b, "fault %s, of a door: %v\n", kind, kind.ofListener())
 	}
 	for _, kind := range []TriggerKind{FromStart, AtTime, AfterBytes, AtLine, AtFrame, AtPerformative, OnCommand, Chance} {
--- a/internal/faultproxy/listenerfaults.go
+++ b/internal/faultproxy/listenerfaults.go
@@ -54,7 +54,7 @@
 }
 
 // inject begins a listener fault, and schedules its end. The caller holds mu.
-func (p *Proxy) inject(rule *Rule, kind Kind, r *route) {
+func (p *Proxy) inject(rule *Rule, kind FaultKind, r *route) {
 	if p.OnInjection != nil {
 		p.OnInjection(Injection{Rule: rule.Name, Kind: kind, Location: Location{Route: r.Name, Direction: Both}, At: p.now()})
 	}
@@ -65,7 +65,7 @@
 }
 
 // changeFault begins (by 1) or ends (by -1) a listener fault. The caller holds mu.
-func (r *route) changeFault(kind Kind, by int) {
+func (r *route) changeFault(kind FaultKind, by int) {
 	switch kind {
 	case Refuse:
 		if r.refusals += by; r.refusals > 0 && r.listener != nil {
--- a/internal/faultproxy/parse.go
+++ b/internal/faultproxy/parse.go
@@ -77,7 +77,7 @@
 }
 
 // faultForms are the arguments of faults: the words of Mode, then a count (N) or a duration (D).
-var faultForms = map[Kind]struct {
+var faultForms = map[FaultKind]struct {
 	modes []string
 	args  string
 }{
@@ -137,7 +137,7 @@
 	if parse, ok := triggerForms[head]; ok {
 		return parse(p, node, args)
 	}
-	return p.parseFault(node, Kind(head), args)
+	return p.parseFault(node, FaultKind(head), args)
 }
 
 func (p *ruleParser) parseRoute(node *sexp.Node, _ []*sexp.Node) (err error) {
@@ -262,7 +262,7 @@
 // jitterModes are the distributions of a latency's jitter.
 var jitterModes = []string{"uniform", "normal", "exponential"}
 
-func (p *ruleParser) parseFault(node *sexp.Node, kind Kind, args []*sexp.Node) (err error) {
+func (p *ruleParser) parseFault(node *sexp.Node, kind FaultKind, args []*sexp.Node) (err error) {
 	form, ok := faultForms[kind]
 	if !ok {
 		return node.List.Items[0].Errorf("there is no form %q; faultproxy forms lists those there are", kind)
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -47,11 +47,11 @@
 	return time.Since(p.startedAt) - time.Duration(p.clockOffset.Load())
 }
 
-// Restart sets the script's clock to zero. What waits for a time on it goes on waiting.
-func (p *Proxy) Restart() { p.clockOffset.Store(int64(time.Since(p.startedAt))) }
+// ResetClock sets the script's clock to zero. What waits for a time on it goes on waiting.
+func (p *Proxy) ResetClock() { p.clockOffset.Store(int64(time.Since(p.startedAt))) }
 
-// Open opens a route and returns the address of its listener.
-func (p *Proxy) Open(config Route) (string, error) {
+// OpenRoute opens a route and returns the address of its listener.
+func (p *Proxy) OpenRoute(config Route) (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.routes[config.Name] != nil {
@@ -101,9 +101,9 @@
 	}
 }
 
-// Command triggers the rules of a name that wait for it, for present connections and, unless
+// Trigger triggers the rules of a name that wait for it, for present connections and, unless
 // the rule has a duration or ends connections, for those to come. It fails if there is none.
-func (p *Proxy) Command(name string) error {
+func (p *Proxy) Trigger(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	i := slices.IndexFunc(p.rules, func(r *Rule) bool { return r.Name == name && r.Trigger.Kind == OnCommand })
@@ -126,7 +126,7 @@
 	}
 	p.eachStream(func(s *stream) {
 		s.mu.Lock()
-		ops, _ := s.flow.Command(name, p.now())
+		ops, _ := s.flow.Trigger(name, p.now())
 		s.mu.Unlock()
 		for _, op := range ops {
 			select {
@@ -210,8 +210,8 @@
 	return all, rules
 }
 
-// Cut resets all connections of a route.
-func (p *Proxy) Cut(name string) {
+// ResetRoute resets all connections of a route.
+func (p *Proxy) ResetRoute(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.routes[name]; r != nil {
@@ -221,9 +221,9 @@
 	}
 }
 
-// Shut closes a route for good.
-func (p *Proxy) Shut(name string) {
-	p.Cut(name)
+// CloseRoute closes a route for good.
+func (p *Proxy) CloseRoute(name string) {
+	p.ResetRoute(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if r := p.routes[name]; r != nil {
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -96,14 +96,14 @@
 	if got := feed(0, "x"); got != "0s:x|" {
 		t.Errorf("before the command: %q", got)
 	}
-	f.Command("a", 0)
+	f.Trigger("a", 0)
 	if got := feed(500*ms, "x") + feed(1100*ms, "y"); got != "1.1s:y|" {
 		t.Errorf("after it: %q", got)
 	}
-	if next, found := f.Next(1200 * ms); !found || next != 5*time.Second {
+	if next, found := f.NextDue(1200 * ms); !found || next != 5*time.Second {
 		t.Errorf("next is %v, %v", next, found)
 	}
-	f.Command("c", 2*time.Second)
+	f.Trigger("c", 2*time.Second)
 	if stalled, until := f.Stalled(2 * time.Second); !stalled || until != 0 {
 		t.Errorf("stalled %v until %v", stalled, until)
 	}
@@ -114,7 +114,7 @@
 	if got := describe(f.Due(5 * time.Second)); got != "5s:rst" {
 		t.Errorf("at its time: %q", got)
 	}
-	if _, found := f.Command("nobody", 0); found {
+	if _, found := f.Trigger("nobody", 0); found {
 		t.Error("a command that nobody waits for was found")
 	}
 }
@@ -252,7 +252,7 @@
 		defer env.mu.Unlock()
 		env.injections = append(env.injections, d)
 	}
-	if env.address, err = env.proxy.Open(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
+	if env.address, err = env.proxy.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { env.proxy.Close(); l.Close(); all.Wait() })
@@ -378,7 +378,7 @@
 		if got := connects(env.address); got != "echo" {
 			t.Errorf("%s: before it %s", kind, got)
 		}
-		if err := env.proxy.Command("a"); err != nil {
+		if err := env.proxy.Trigger("a"); err != nil {
 			t.Fatal(err)
 		}
 		if got := connects(env.address); got != want {
@@ -408,7 +408,7 @@
 	if got := connects(env.address); got != "echo" {
 		t.Errorf("when it is back: %s", got)
 	}
-	if err := env.proxy.Command("a"); err == nil {
+	if err := env.proxy.Trigger("a"); err == nil {
 		t.Error("a rule that waits for no command took one")
 	}
 }
@@ -432,7 +432,7 @@
 	}()
 	p := NewProxy(nil, 1)
 	defer p.Close()
-	at, err := p.Open(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()})
+	at, err := p.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/faultproxy/route.go
+++ b/internal/faultproxy/route.go
@@ -146,7 +146,7 @@
 		location := Location{Route: c.route.Name, Conn: c.number, Direction: Direction(direction)}
 		stream := newStream(c, ends[0], ends[1], NewFlow(location, p.rules, p.Seed, c.first, p.OnInjection))
 		for name := range p.triggered {
-			stream.flow.Command(name, p.now())
+			stream.flow.Trigger(name, p.now())
 		}
 		c.streams[direction] = stream
 	}
--- a/internal/faultproxy/rule.go
+++ b/internal/faultproxy/rule.go
@@ -47,39 +47,39 @@
 	Code        byte          // of AtPerformance
 }
 
-// Kind is what a fault does.
-type Kind string
+// FaultKind is what a fault does.
+type FaultKind string
 
 // Faults of bytes, in the order in which they are applied, then those of connections,
 // then those of a route's listener.
 const (
-	Swallow   Kind = "swallow"    // bytes are read and lost
-	Garble    Kind = "garble"     // Mode: flip, insert, drop or duplicate N bytes, once
-	Stall     Kind = "stall"      // reads stop, so that the sender's window fills
-	Pause     Kind = "pause"      // bytes are held, and come in one burst at the end
-	Merge     Kind = "merge"      // a line or frame waits for the next, and both come in one packet
-	Split     Kind = "split"      // packets of N bytes at the most
-	Latency   Kind = "latency"    // D, with jitter of Jitter by Mode: uniform, normal or exponential
-	Bandwidth Kind = "bandwidth"  // N bytes a second
-	Drip      Kind = "drip"       // N bytes every D
-	HalfClose Kind = "half-close" // this direction ends, the other goes on
-	Cut       Kind = "cut"        // Mode: rst or fin; both directions end
-	Refuse    Kind = "refuse"     // connections are refused
-	Mute      Kind = "mute"       // connections are accepted, and nothing follows
-	QueueFull Kind = "queue-full" // the listener's queue is full: connections are never established
-	Vanish    Kind = "vanish"     // all is silent and new connections are never established; then all are reset
+	Swallow   FaultKind = "swallow"    // bytes are read and lost
+	Garble    FaultKind = "garble"     // Mode: flip, insert, drop or duplicate N bytes, once
+	Stall     FaultKind = "stall"      // reads stop, so that the sender's window fills
+	Pause     FaultKind = "pause"      // bytes are held, and come in one burst at the end
+	Merge     FaultKind = "merge"      // a line or frame waits for the next, and both come in one packet
+	Split     FaultKind = "split"      // packets of N bytes at the most
+	Latency   FaultKind = "latency"    // D, with jitter of Jitter by Mode: uniform, normal or exponential
+	Bandwidth FaultKind = "bandwidth"  // N bytes a second
+	Drip      FaultKind = "drip"       // N bytes every D
+	HalfClose FaultKind = "half-close" // this direction ends, the other goes on
+	Cut       FaultKind = "cut"        // Mode: rst or fin; both directions end
+	Refuse    FaultKind = "refuse"     // connections are refused
+	Mute      FaultKind = "mute"       // connections are accepted, and nothing follows
+	QueueFull FaultKind = "queue-full" // the listener's queue is full: connections are never established
+	Vanish    FaultKind = "vanish"     // all is silent and new connections are never established; then all are reset
 )
 
 // byteKinds are the faults of bytes and connections; the rest are a listener's.
-var byteKinds = []Kind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut}
+var byteKinds = []FaultKind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut}
 
 // ofListener reports whether a fault is of a route's listener.
-func (k Kind) ofListener() bool { return !slices.Contains(byteKinds, k) }
+func (k FaultKind) ofListener() bool { return !slices.Contains(byteKinds, k) }
 
 // Fault is something that is done to bytes, to a connection or to a listener. Which fields
 // are used depends on Kind.
 type Fault struct {
-	Kind   Kind
+	Kind   FaultKind
 	Mode   string
 	Count  uint64
 	Delay  time.Duration
--- a/internal/faultproxy/shaping.go
+++ b/internal/faultproxy/shaping.go
@@ -7,7 +7,7 @@
 )
 
 // activeFault returns the active fault of a kind, and its rule, if there is one now.
-func (f *Flow) activeFault(kind Kind) (*activeRule, Fault, bool) {
+func (f *Flow) activeFault(kind FaultKind) (*activeRule, Fault, bool) {
 	for _, rule := range f.rules {
 		if !rule.active {
 			continue
@@ -46,7 +46,7 @@
 }
 
 // reportOnce reports a fault of bytes the first time that it does something.
-func (f *Flow) reportOnce(rule *activeRule, kind Kind, now time.Duration) {
+func (f *Flow) reportOnce(rule *activeRule, kind FaultKind, now time.Duration) {
 	if !rule.reported {
 		rule.reported = true
 		f.report(rule, kind, now)
--- a/internal/faultproxy/stream.go
+++ b/internal/faultproxy/stream.go
@@ -154,7 +154,7 @@
 	for {
 		s.mu.Lock()
 		now := s.proxy.now()
-		next, found := s.flow.Next(now)
+		next, found := s.flow.NextDue(now)
 		s.mu.Unlock()
 		var due <-chan time.Time
 		if found {
--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -79,7 +79,7 @@
 	}
 	running, done := context.WithTimeout(ctx, s.Duration)
 	defer done()
-	st.Proxy.Restart()
+	st.Proxy.ResetClock()
 	st.startActions(running, actions)
 	if s.Rate > 0 {
 		st.running.Go(func() { st.Site.Clients.Run(running) })
@@ -129,7 +129,7 @@
 	if err = st.openServerRoutes(); err != nil {
 		return err
 	}
-	discoveryAddress, err := st.Proxy.Open(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: st.Site.Discovery.Address()})
+	discoveryAddress, err := st.Proxy.OpenRoute(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: st.Site.Discovery.Address()})
 	if err != nil {
 		return err
 	}
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	address, err := st.Proxy.Open(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
+	address, err := st.Proxy.OpenRoute(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
 	if err != nil {
 		return err
 	}
@@ -209,10 +209,10 @@
 		if st.Front == "amqp" {
 			target, listen = server.AMQP(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
 		}
-		at, err := st.Proxy.Open(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
+		at, err := st.Proxy.OpenRoute(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
 		if err != nil {
 			for _, opened := range st.Site.Servers[:i] {
-				st.Proxy.Shut(opened.Name)
+				st.Proxy.CloseRoute(opened.Name)
 			}
 			return err
 		}
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -153,7 +153,7 @@
 	{name: "discovery goes back in revision", scenario: Scenario{}, want: "up", within: second,
 		connect: func(ctx context.Context, _ *testing.T, env *Environment) []fake.Session {
 			env.Site.Discovery.Rewind()
-			env.Proxy.Cut("discovery")
+			env.Proxy.ResetRoute("discovery")
 			return env.RunSessions(ctx, 18, 600*ms)
 		}},
 
