--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -130,7 +130,7 @@
 		t.Error("it does not end")
 	}
 	for _, b := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), Limits: invariants.DefaultLimits(),
-		Broken: func(p fake.Attempt) bool { return p.Endpoint == "s-1" }, Spoiled: func(session fake.Session) bool { return session.End == "broken" }}) {
+		ServerFaulted: func(p fake.Attempt) bool { return p.Endpoint == "s-1" }, ClientFaulted: func(session fake.Session) bool { return session.End == "broken" }}) {
 		t.Error(b)
 	}
 }
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -140,7 +140,7 @@
 			}
 		}},
 	{name: "a server restarts and is cold", scenario: Scenario{Rate: 10, Duration: 7 * second, MeanLifetime: second, Actions: `(at 2s (restart s-1 1s))`,
-		Limits: invariants.Limits{Late: 50 * ms, Drain: 550 * ms, Held: 1050 * ms, ColdFor: 5 * second, ColdShare: 0.2, Tip: 3, TipAfter: second, Capacity: 10. / serverCount}}, served: 0.8,
+		Limits: invariants.Limits{AnswerTolerance: 50 * ms, DrainDelay: 550 * ms, MaxMessageDelay: 1050 * ms, SlowStartDuration: 5 * second, InitialCapacity: 0.2, OverloadMultiple: 3, OverloadWindow: second, Capacity: 10. / serverCount}}, served: 0.8,
 		broken: func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-1" }},
 	{name: "a server drains while the list is 4 s behind", scenario: Scenario{Rate: 6, Duration: 7 * second, MeanLifetime: 2 * second, Actions: `(at 1s (drain s-1))`,
 		Rules: `(rule a (route discovery) (direction down) (latency 4s))`, Limits: limitsOfLateList(4 * second)}, served: 0.85},
@@ -166,7 +166,7 @@
 // limitsOfLateList returns the default limits where relays are notified so much later than discovery knows.
 func limitsOfLateList(by time.Duration) invariants.Limits {
 	l := invariants.DefaultLimits()
-	l.Drain += by
+	l.DrainDelay += by
 	return l
 }
 
@@ -208,7 +208,7 @@
 	if scenario.Limits == (invariants.Limits{}) {
 		scenario.Limits = invariants.DefaultLimits()
 	}
-	scenario.Limits.Late, scenario.Limits.Held = scenario.Limits.Late+busyMachine, scenario.Limits.Held+busyMachine
+	scenario.Limits.AnswerTolerance, scenario.Limits.MaxMessageDelay = scenario.Limits.AnswerTolerance+busyMachine, scenario.Limits.MaxMessageDelay+busyMachine
 	ctx, cancel := context.WithTimeout(context.Background(), 30*second)
 	defer cancel()
 	var all []fake.Session
@@ -228,7 +228,7 @@
 	if scenario.Rate > 0 {
 		all = history.Sessions
 	}
-	history.Spoiled, history.Broken = r.spoiled, r.broken
+	history.ClientFaulted, history.ServerFaulted = r.spoiled, r.broken
 	if violations := invariants.Check(history); len(violations) > 0 {
 		var b bytes.Buffer
 		Report(&b, env.Injections(), violations)
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -67,7 +67,7 @@
 	for _, action := range actions {
 		faulty[action.Server] = faulty[action.Server] || action.Kind == "restart"
 	}
-	history.Broken = func(attempt fake.Attempt) bool { return faulty[attempt.Endpoint] }
+	history.ServerFaulted = func(attempt fake.Attempt) bool { return faulty[attempt.Endpoint] }
 	byServer := make(map[string]string)
 	for _, attempt := range history.Attempts {
 		byServer[attempt.Name] = attempt.Endpoint
@@ -79,9 +79,9 @@
 		}
 	}
 	if faulty["discovery"] {
-		history.Limits.Drain = time.Hour // nobody knows when relays were notified
+		history.Limits.DrainDelay = time.Hour // nobody knows when relays were notified
 	}
-	history.Limits.Late, history.Limits.Held = history.Limits.Late+busyMachine, history.Limits.Held+busyMachine
+	history.Limits.AnswerTolerance, history.Limits.MaxMessageDelay = history.Limits.AnswerTolerance+busyMachine, history.Limits.MaxMessageDelay+busyMachine
 	all := invariants.Check(history)
 	if len(all) == 0 {
 		return ""
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -17,31 +17,31 @@
 
 // The operators' rules.
 const (
-	Answered  Rule = "one final answer in time"
-	Once      Rule = "never two attempts at once"
-	Drained   Rule = "nothing new to a draining or gone server"
-	SlowStart Rule = "no cold server pushed over"
-	Migrated  Rule = "nothing cut off without a move"
-	Prompt    Rule = "no line held back"
-	Intact    Rule = "every byte as sent"
+	Answered           Rule = "one final answer in time"
+	SequentialAttempts Rule = "never two attempts at once"
+	DrainRespected     Rule = "nothing new to a draining or gone server"
+	SlowStart          Rule = "no cold server pushed over"
+	Migrated           Rule = "nothing cut off without a move"
+	PromptDelivery     Rule = "no line held back"
+	Intact             Rule = "every byte as sent"
 )
 
 // Limits are the limits of the rules.
 type Limits struct {
-	Late      time.Duration // that an answer may come after the client's time limit, and an attempt before the end of another
-	Drain     time.Duration // after which nothing new goes to a server that drains or is gone
-	Held      time.Duration // that a line may take through the relay
-	ColdFor   time.Duration // that a server warms up after its start
-	ColdShare float64       // share of its capacity that it has at its start
-	Tip       float64       // a server that warms up fails when sent more than so many times what it can do
-	TipAfter  time.Duration // for this long
-	Capacity  float64       // set-ups a second of a server that has warmed up; 0: not checked
+	AnswerTolerance   time.Duration // that an answer may come after the client's time limit, and an attempt before the end of another
+	DrainDelay        time.Duration // after which nothing new goes to a server that drains or is gone
+	MaxMessageDelay   time.Duration // that a line may take through the relay
+	SlowStartDuration time.Duration // that a server warms up after its start
+	InitialCapacity   float64       // share of its capacity that it has at its start
+	OverloadMultiple  float64       // a server that warms up fails when sent more than so many times what it can do
+	OverloadWindow    time.Duration // for this long
+	Capacity          float64       // set-ups a second of a server that has warmed up; 0: not checked
 }
 
 // DefaultLimits returns the limits of the operators' pages, each time 50 ms longer.
 func DefaultLimits() Limits {
-	return Limits{Late: 50 * time.Millisecond, Drain: 550 * time.Millisecond, Held: 1050 * time.Millisecond,
-		ColdFor: 23 * time.Second, ColdShare: 0.12, Tip: 3, TipAfter: 3 * time.Second}
+	return Limits{AnswerTolerance: 50 * time.Millisecond, DrainDelay: 550 * time.Millisecond, MaxMessageDelay: 1050 * time.Millisecond,
+		SlowStartDuration: 23 * time.Second, InitialCapacity: 0.12, OverloadMultiple: 3, OverloadWindow: 3 * time.Second}
 }
 
 // History is what is checked.
@@ -50,23 +50,23 @@
 	Attempts        []fake.Attempt
 	EndpointChanges []fake.EndpointChange
 	Limits          Limits
-	// Spoiled reports whether what a client saw is not due to the relay, as a fault was
+	// ClientFaulted reports whether what a client saw is not due to the relay, as a fault was
 	// injected between the two. nil: for none.
-	Spoiled func(fake.Session) bool
-	// Broken reports whether an attempt's connection may have broken by itself, as a fault
+	ClientFaulted func(fake.Session) bool
+	// ServerFaulted reports whether an attempt's connection may have broken by itself, as a fault
 	// was injected between its server and the relay. nil: for none.
-	Broken func(fake.Attempt) bool
+	ServerFaulted func(fake.Attempt) bool
 }
 
 // Violation is a rule that was broken.
 type Violation struct {
-	Rule Rule
-	At   time.Time
-	What string
+	Rule   Rule
+	At     time.Time
+	Detail string
 }
 
 // String returns the rule and what violated it.
-func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.What) }
+func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
 // Check returns the violations of rules, in order of time.
 func Check(history History) []Violation {
@@ -75,7 +75,7 @@
 		c.byName[attempt.Name] = append(c.byName[attempt.Name], attempt)
 	}
 	for _, session := range history.Sessions {
-		if history.Spoiled == nil || !history.Spoiled(session) {
+		if history.ClientFaulted == nil || !history.ClientFaulted(session) {
 			c.checkSession(session)
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 	c.checkDrains()
 	c.checkSlowStart()
-	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.What, b.What)) })
+	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Detail, b.Detail)) })
 	return c.violations
 }
 
@@ -96,7 +96,7 @@
 }
 
 func (c *checker) add(rule Rule, at time.Time, format string, args ...any) {
-	c.violations = append(c.violations, Violation{Rule: rule, At: at, What: fmt.Sprintf(format, args...)})
+	c.violations = append(c.violations, Violation{Rule: rule, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
 // checkSession checks what one client saw, and what servers saw of it.
@@ -108,7 +108,7 @@
 		return // it has not been answered yet
 	case session.Answer == "none":
 		c.add(Answered, session.At, "%s got none: after %v of its %v it had no more than that", session.Name, session.SetupTime, session.TimeLimit)
-	case session.SetupTime > session.TimeLimit+c.Limits.Late:
+	case session.SetupTime > session.TimeLimit+c.Limits.AnswerTolerance:
 		c.add(Answered, session.At, "%s got %s after %v of %v", session.Name, session.Answer, session.SetupTime, session.TimeLimit)
 	}
 	if session.More > 0 {
@@ -117,11 +117,11 @@
 	if session.Garbled > 0 {
 		c.add(Intact, session.At, "%s got %d lines that were not as sent", session.Name, session.Garbled)
 	}
-	if session.MaxHeld > c.Limits.Held {
-		c.add(Prompt, session.At, "a line to %s was under way for %v", session.Name, session.MaxHeld)
+	if session.MaxHeld > c.Limits.MaxMessageDelay {
+		c.add(PromptDelivery, session.At, "a line to %s was under way for %v", session.Name, session.MaxHeld)
 	}
 	for _, attempt := range c.byName[session.Name] {
-		if c.Broken == nil || !c.Broken(attempt) {
+		if c.ServerFaulted == nil || !c.ServerFaulted(attempt) {
 			c.checkAttempt(session, attempt)
 		}
 	}
@@ -132,8 +132,8 @@
 	if attempt.Garbled > 0 {
 		c.add(Intact, attempt.At, "%s got %d lines of %s that were not as sent", attempt.Endpoint, attempt.Garbled, session.Name)
 	}
-	if attempt.MaxHeld > c.Limits.Held {
-		c.add(Prompt, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Endpoint, attempt.MaxHeld)
+	if attempt.MaxHeld > c.Limits.MaxMessageDelay {
+		c.add(PromptDelivery, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Endpoint, attempt.MaxHeld)
 	}
 	// It was cut off although its server would have gone on.
 	if session.End == "broken" && attempt.Answer == "up" && (attempt.End == "gone" || attempt.End == "bye") {
@@ -151,8 +151,8 @@
 			until = attempt.Answered
 		}
 		next := attempts[i+1]
-		if until.IsZero() || next.At.Before(until.Add(-c.Limits.Late)) {
-			c.add(Once, next.At, "%s came to %s while its pass to %s was out", name, next.Endpoint, attempt.Endpoint)
+		if until.IsZero() || next.At.Before(until.Add(-c.Limits.AnswerTolerance)) {
+			c.add(SequentialAttempts, next.At, "%s came to %s while its pass to %s was out", name, next.Endpoint, attempt.Endpoint)
 		}
 	}
 }
@@ -176,8 +176,8 @@
 	}
 	for _, attempt := range c.Attempts {
 		for _, out := range unavailable[attempt.Endpoint] {
-			if attempt.At.After(out.from.Add(c.Limits.Drain)) && (out.to.IsZero() || attempt.At.Before(out.to)) {
-				c.add(Drained, attempt.At, "%s came to %s %v after its drain was told", attempt.Name, attempt.Endpoint, attempt.At.Sub(out.from))
+			if attempt.At.After(out.from.Add(c.Limits.DrainDelay)) && (out.to.IsZero() || attempt.At.Before(out.to)) {
+				c.add(DrainRespected, attempt.At, "%s came to %s %v after its drain was told", attempt.Name, attempt.Endpoint, attempt.At.Sub(out.from))
 			}
 		}
 	}
@@ -209,14 +209,14 @@
 	for i, from := range arrivals {
 		count := 0
 		for _, at := range arrivals[i:] {
-			if at.Sub(from) < limits.TipAfter {
+			if at.Sub(from) < limits.OverloadWindow {
 				count++
 			}
 		}
-		age := max(0, from.Sub(start.At)) + limits.TipAfter
-		share := min(1, limits.ColdShare+(1-limits.ColdShare)*age.Seconds()/limits.ColdFor.Seconds())
-		if most := max(1, limits.Tip*share*limits.Capacity*limits.TipAfter.Seconds()); float64(count) > most {
-			c.add(SlowStart, from, "%d set-ups came to %s within %v, %v after its start; it bears %.1f", count, start.Endpoint, limits.TipAfter, from.Sub(start.At), most)
+		age := max(0, from.Sub(start.At)) + limits.OverloadWindow
+		share := min(1, limits.InitialCapacity+(1-limits.InitialCapacity)*age.Seconds()/limits.SlowStartDuration.Seconds())
+		if most := max(1, limits.OverloadMultiple*share*limits.Capacity*limits.OverloadWindow.Seconds()); float64(count) > most {
+			c.add(SlowStart, from, "%d set-ups came to %s within %v, %v after its start; it bears %.1f", count, start.Endpoint, limits.OverloadWindow, from.Sub(start.At), most)
 			return
 		}
 	}
@@ -228,7 +228,7 @@
 	var arrivals []time.Time
 	for _, attempt := range c.Attempts {
 		age := attempt.At.Sub(start.At)
-		if attempt.Endpoint == start.Endpoint && age >= -c.Limits.TipAfter && age < c.Limits.ColdFor {
+		if attempt.Endpoint == start.Endpoint && age >= -c.Limits.OverloadWindow && age < c.Limits.SlowStartDuration {
 			arrivals = append(arrivals, attempt.At)
 		}
 	}
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -58,16 +58,16 @@
 			history.Sessions[1].Answer, history.Sessions[1].SetupTime = "none", time.Second
 		}, Answered},
 		"a second answer":          {func(history *History) { history.Sessions[1].More = 1 }, Answered},
-		"two out by a microsecond": {func(history *History) { history.Attempts[2].At = at(550*ms - time.Microsecond) }, Once},
-		"two out, one for good":    {func(history *History) { history.Attempts[1].Closed = time.Time{} }, Once},
-		"to a draining server":     {func(history *History) { history.Attempts[3].At = history.Attempts[3].At.Add(time.Microsecond) }, Drained},
+		"two out by a microsecond": {func(history *History) { history.Attempts[2].At = at(550*ms - time.Microsecond) }, SequentialAttempts},
+		"two out, one for good":    {func(history *History) { history.Attempts[1].Closed = time.Time{} }, SequentialAttempts},
+		"to a draining server":     {func(history *History) { history.Attempts[3].At = history.Attempts[3].At.Add(time.Microsecond) }, DrainRespected},
 		"to one that is gone": {func(history *History) {
 			history.EndpointChanges[1].State = "gone"
 			history.Attempts[3].At = at(11 * time.Second)
-		}, Drained},
+		}, DrainRespected},
 		"cut off":                   {func(history *History) { history.Attempts[2].End = "gone" }, Migrated},
-		"held back down":            {func(history *History) { history.Sessions[0].MaxHeld += time.Microsecond }, Prompt},
-		"held back up":              {func(history *History) { history.Attempts[2].MaxHeld += time.Microsecond }, Prompt},
+		"held back down":            {func(history *History) { history.Sessions[0].MaxHeld += time.Microsecond }, PromptDelivery},
+		"held back up":              {func(history *History) { history.Attempts[2].MaxHeld += time.Microsecond }, PromptDelivery},
 		"garbled down":              {func(history *History) { history.Sessions[3].Garbled = 1 }, Intact},
 		"garbled up":                {func(history *History) { history.Attempts[3].Garbled = 1 }, Intact},
 		"a cold server pushed over": {func(history *History) { restart(history, 22, 0) }, SlowStart},
@@ -88,10 +88,10 @@
 		"as much as a cold server bears": func(history *History) { restart(history, 21, 0) },
 		"more, once it is warm":          func(history *History) { restart(history, 80, 23*time.Second) },
 		"spoiled on purpose": func(history *History) {
-			history.Sessions[3].Garbled, history.Spoiled = 1, func(session fake.Session) bool { return session.Name == "d" }
+			history.Sessions[3].Garbled, history.ClientFaulted = 1, func(session fake.Session) bool { return session.Name == "d" }
 		},
 		"broken on purpose": func(history *History) {
-			history.Attempts[2].End, history.Broken = "gone", func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-3" }
+			history.Attempts[2].End, history.ServerFaulted = "gone", func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-3" }
 		},
 	} {
 		history := validHistory()
