--- a/cmd/lockroad/cluster_test.go
+++ b/cmd/lockroad/cluster_test.go
@@ -235,7 +235,7 @@
 func (cluster *testCluster) runClients(pool *fake.ClientPool) {
 	pool.Log, pool.LineAddress = cluster.site.Log, cluster.listen
 	if cluster.amqpAddress != "" {
-		pool.AMQPAddress, pool.Share = cluster.amqpAddress, 0.5
+		pool.AMQPAddress, pool.AMQPShare = cluster.amqpAddress, 0.5
 	}
 	cluster.site.Clients = pool
 	pool.Prepare()
--- a/cmd/lockroad/metrics_test.go
+++ b/cmd/lockroad/metrics_test.go
@@ -39,7 +39,7 @@
 	relay.awaitReady()
 	all := func(m fake.ServerMode) {
 		for _, one := range cluster.site.Servers {
-			one.Set(m, 0)
+			one.SetMode(m, 0)
 		}
 	}
 	for _, c := range []struct {
--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -204,7 +204,7 @@
 	t.Parallel()
 	cluster, socket, env := newClusterWithStore(t)
 	for _, one := range cluster.site.Servers {
-		one.Set(fake.ModeBusy, 0)
+		one.SetMode(fake.ModeBusy, 0)
 	}
 	relay := cluster.startProcess(env)
 	relay.awaitReady()
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -105,8 +105,8 @@
 	bad := cluster.site.Servers[int(seed)%6]
 	switch {
 	case strings.Contains(trouble, "hangs"):
-		bad.Set(fake.ModeHang, 0)
-		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
+		bad.SetMode(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { bad.SetMode(fake.ModeAccept, 0) })
 	case strings.Contains(trouble, "gone"):
 		bad.Stop()
 		time.AfterFunc(9*time.Second, func() { cluster.site.Discovery.SetState(bad.Name, "gone", false) })
@@ -209,12 +209,12 @@
 }
 
 func rehearseWorth(t *testing.T, program, trouble string, seed uint64, warm bool) (l lostWeight) {
-	bears := fake.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, ReportOver: 17 * time.Millisecond,
-		Classes: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
+	bears := fake.Capacity{WorkRate: 1700 * time.Millisecond, GroupWork: 160 * time.Millisecond, MessageTime: 4 * time.Millisecond, InitialShare: 0.12, SlowStartDuration: 5 * time.Second, ReportThreshold: 17 * time.Millisecond,
+		ClassWork: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
 	cluster := newClusterOf(t, 6, func(one *fake.Server) {
 		one.Capacity, one.ExtraListeners, one.Load = bears, make([]string, 3), 0
 		if one.Name == "s-3" || one.Name == "s-5" { // a third are slow machines
-			one.Capacity.Work = 1200 * time.Millisecond
+			one.Capacity.WorkRate = 1200 * time.Millisecond
 		}
 	})
 	cluster.program, cluster.killAfter, cluster.withStore = program, 3700*time.Millisecond, warm
@@ -227,14 +227,14 @@
 	bad := cluster.site.Servers[int(seed)%6]
 	switch trouble {
 	case "one of six hangs for 6 s":
-		bad.Set(fake.ModeHang, 0)
-		time.AfterFunc(6*time.Second, func() { bad.Set(fake.ModeAccept, 0) })
+		bad.SetMode(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { bad.SetMode(fake.ModeAccept, 0) })
 	case "the relays restart":
 		restartRelays(t, cluster, weightedClasses, front, addresses, running)
 	case "one restarts and is cold":
 		bad.Stop()
 		time.AfterFunc(2*time.Second, func() {
-			_ = bad.Start(bad.Address(), "")
+			_ = bad.Start(bad.LineAddress(), "")
 			time.AfterFunc(time.Second, func() { cluster.site.SetState(bad.Name, "ready", true) })
 		})
 	}
@@ -308,7 +308,7 @@
 		for i, one := range []*testCluster{cluster, second} {
 			for _, server := range one.site.Servers {
 				server.SetupTime = 0
-				server.Set(mode, 0)
+				server.SetMode(mode, 0)
 			}
 			one.site.Clients = &fake.ClientPool{Log: one.site.Log, LineAddress: one.listen, MaxClients: 5, Seed: uint64(i + 1)}
 			one.site.Clients.Prepare()
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -27,11 +27,11 @@
 // list, and a broken one is rejected. Nothing of it violates an invariant.
 func TestSiteFromNothing(t *testing.T) {
 	t.Parallel()
-	cluster := newClusterOf(t, 3, func(one *fake.Server) { one.Probes = true })
+	cluster := newClusterOf(t, 3, func(one *fake.Server) { one.AnswersProbes = true })
 	file, socket := filepath.Join(cluster.dir, "site.toml"), filepath.Join(cluster.dir, "sock")
 	args := []string{"init", file, "--name", "music-room", "--listen", cluster.listen, "--socket", socket}
 	for _, one := range cluster.site.Servers {
-		args = append(args, "--server", one.Address())
+		args = append(args, "--server", one.LineAddress())
 	}
 	began := time.Now()
 	if code, out, errs := runCommandLine(args...); code != 0 {
@@ -85,7 +85,7 @@
 	dead.Stop()
 	runConsole(t, socket, "health", "SERVER")
 	testutil.Until(t, "a dead server is up", func() bool { return strings.Contains(runConsole(t, socket, "health"), "down") })
-	if err := dead.Start(dead.Address(), ""); err != nil {
+	if err := dead.Start(dead.LineAddress(), ""); err != nil {
 		t.Fatal(err)
 	}
 	testutil.Until(t, "a server that is back is down", func() bool { return !strings.Contains(runConsole(t, socket, "health"), "down") })
@@ -93,7 +93,7 @@
 	testutil.Until(t, "nobody comes to it", func() bool { return cluster.attemptsAt("s-1", back) > 0 })
 
 	gone := cluster.site.Servers[1]
-	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+gone.Address()+"\"\nsize = 1.0                   # capacity relative to the other servers\n", "", 1)
+	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+gone.LineAddress()+"\"\nsize = 1.0                   # capacity relative to the other servers\n", "", 1)
 	without = strings.Replace(without, "attempts = 5", "attempts = 4", 1)
 	if err := os.WriteFile(file, []byte(without), 0o600); err != nil {
 		t.Fatal(err)
@@ -166,10 +166,10 @@
 func TestFairShareUnderFloodOfOneAddress(t *testing.T) {
 	t.Parallel()
 	for _, fair := range []bool{true, false} {
-		cluster := newClusterOf(t, 2, func(one *fake.Server) { one.Probes = true })
+		cluster := newClusterOf(t, 2, func(one *fake.Server) { one.AnswersProbes = true })
 		var servers []string
 		for _, one := range cluster.site.Servers {
-			servers = append(servers, one.Address())
+			servers = append(servers, one.LineAddress())
 		}
 		file := filepath.Join(cluster.dir, "site.toml")
 		text := config.RenderSite("box", cluster.listen, filepath.Join(cluster.dir, "sock"), servers)
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -166,12 +166,12 @@
 	cluster.startClients(80)
 	for _, mode := range []fake.ServerMode{fake.ModeBusy, fake.ModeHang, fake.ModeError, fake.ModeBreak, fake.ModeAccept} {
 		for _, server := range cluster.site.Servers[:2] {
-			server.Set(mode, 0)
+			server.SetMode(mode, 0)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 	for _, server := range cluster.site.Servers {
-		server.Set(fake.ModeBusy, 0)
+		server.SetMode(fake.ModeBusy, 0)
 	}
 	letClientsRun()
 	for i := range 5 { // no class, a class that is not there, and clients that go on too early
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -122,7 +122,7 @@
 			_ = d.stop()
 		}
 	}()
-	site.Clients = &fake.ClientPool{Log: site.Log, LineAddress: d.frontends["line"], AMQPAddress: d.frontends["amqp"], Share: options.AMQP, Classes: Classes, Rate: options.Rate,
+	site.Clients = &fake.ClientPool{Log: site.Log, LineAddress: d.frontends["line"], AMQPAddress: d.frontends["amqp"], AMQPShare: options.AMQP, Classes: Classes, Rate: options.Rate,
 		Groups: 40, MessageInterval: 250 * time.Millisecond, MaxClients: maxClients, Seed: options.Seed}
 	site.Clients.Prepare()
 	arrivals, done := context.WithTimeout(ctx, options.For)
--- a/internal/fake/capacity_test.go
+++ b/internal/fake/capacity_test.go
@@ -10,7 +10,7 @@
 func TestWorkloadDelaysMessages(t *testing.T) {
 	const ms = time.Millisecond
 	now := time.Unix(1e9, 0)
-	load := workload{Capacity: Capacity{Work: time.Second, Classes: map[string]time.Duration{"page": 300 * ms}, Group: 200 * ms, Message: 4 * ms, ColdShare: 0.5, ColdFor: 10 * time.Second}, groups: make(map[string]int)}
+	load := workload{Capacity: Capacity{WorkRate: time.Second, ClassWork: map[string]time.Duration{"page": 300 * ms}, GroupWork: 200 * ms, MessageTime: 4 * ms, InitialShare: 0.5, SlowStartDuration: 10 * time.Second}, groups: make(map[string]int)}
 	want := func(what string, delay time.Duration) {
 		t.Helper()
 		if got := load.delay(now); (got - delay).Abs() > 100*time.Microsecond {
--- a/internal/fake/clientpool.go
+++ b/internal/fake/clientpool.go
@@ -29,7 +29,7 @@
 	Log             *EventLog
 	LineAddress     string // of the relay's line frontend
 	AMQPAddress     string // of its AMQP frontend; empty: all clients use the line frontend
-	Share           float64
+	AMQPShare       float64
 	Classes         []Class
 	Rate            float64 // new clients a second
 	Groups          int     // that clients belong to, the first by far the most often
@@ -91,7 +91,7 @@
 		return nil
 	}
 	client := &client{frontend: "line", flow: fmt.Sprintf("%016x", c.rng.Uint64()|1), rng: rand.New(rand.NewPCG(c.rng.Uint64(), 0)), drop: make(chan struct{})}
-	if c.AMQPAddress != "" && c.rng.Float64() < c.Share {
+	if c.AMQPAddress != "" && c.rng.Float64() < c.AMQPShare {
 		client.frontend = "amqp"
 	}
 	client.class = c.drawClass()
--- a/internal/fake/collector.go
+++ b/internal/fake/collector.go
@@ -105,9 +105,9 @@
 	return c.spans[:len(c.spans):len(c.spans)]
 }
 
-// Count returns the last value of a metric, by its name and its attributes' values, with a
+// MetricValue returns the last value of a metric, by its name and its attributes' values, with a
 // space before each.
-func (c *Collector) Count(name string) (count int64, ok bool) {
+func (c *Collector) MetricValue(name string) (count int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count, ok = c.counts[name]
--- a/internal/fake/delayreports.go
+++ b/internal/fake/delayreports.go
@@ -62,7 +62,7 @@
 		s.mu.Lock()
 		delay, hangs := s.workload.delay(time.Now()), s.mode == ModeHang
 		s.mu.Unlock()
-		long := delay > s.Capacity.ReportOver
+		long := delay > s.Capacity.ReportThreshold
 		if (long || wasLong) && !hangs {
 			for _, write := range s.delayReports.onePerListener() {
 				_ = write(fmt.Sprintf("LOAD %d\r\n", delay.Milliseconds()))
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -56,8 +56,8 @@
 	return d.address
 }
 
-// Set adds a member to the list, or changes it.
-func (d *Discovery) Set(member discovery.Member) {
+// SetMember adds a member to the list, or changes it.
+func (d *Discovery) SetMember(member discovery.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision++
@@ -76,12 +76,12 @@
 	if justStarted {
 		member.UpSince = time.Now().UnixMilli()
 	}
-	d.Set(member)
+	d.SetMember(member)
 }
 
-// Rewind makes revisions begin again from a lower one, as after a loss of discovery's own
+// ResetRevisions makes revisions begin again from a lower one, as after a loss of discovery's own
 // state.
-func (d *Discovery) Rewind() {
+func (d *Discovery) ResetRevisions() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.revision = 1
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -161,18 +161,18 @@
 	}
 	switch action.Kind {
 	case "hang", "busy", "error", "break", "no-credit":
-		server.Set(ServerMode(action.Kind), 0)
-		after(action.Duration, func() { server.Set(ModeAccept, 0) })
+		server.SetMode(ServerMode(action.Kind), 0)
+		after(action.Duration, func() { server.SetMode(ModeAccept, 0) })
 	case "slow":
-		server.Set(ModeAccept, action.Delay)
-		after(action.Duration, func() { server.Set(ModeAccept, 0) })
+		server.SetMode(ModeAccept, action.Delay)
+		after(action.Duration, func() { server.SetMode(ModeAccept, 0) })
 	case "drain":
 		s.SetState(action.Server, "draining", false)
 		server.Drain()
 	case "restart":
 		server.Stop()
 		after(action.Duration, func() {
-			if server.Start(server.Address(), server.AMQP()) == nil {
+			if server.Start(server.LineAddress(), server.AMQPAddress()) == nil {
 				s.SetState(action.Server, "ready", true)
 			}
 		})
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -24,13 +24,13 @@
 // Server plays an application server. It speaks both protocols. Its exported fields are set
 // before Start; its methods may be called from any goroutine.
 type Server struct {
-	Name      string
-	Log       *EventLog
-	SetupTime time.Duration // of each attempt
-	MaxConns  int           // at a time; more are rejected. 0: without bound
-	Load      time.Duration // work a second that it reports of each connection
-	Plain     bool          // AMQP without the security layer
-	Probes    bool          // are answered: PING by PONG
+	Name          string
+	Log           *EventLog
+	SetupTime     time.Duration // of each attempt
+	MaxConns      int           // at a time; more are rejected. 0: without bound
+	Load          time.Duration // work a second that it reports of each connection
+	WithoutSASL   bool          // AMQP without the security layer
+	AnswersProbes bool          // are answered: PING by PONG
 	// Capacity is what it can do; line connections alone count. With it the server reports
 	// delays instead of loads.
 	Capacity       Capacity
@@ -85,7 +85,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop = stop
-	if s.Capacity.Work > 0 {
+	if s.Capacity.WorkRate > 0 {
 		s.running.Go(func() { s.reportDelays(ctx) })
 	}
 	return nil
@@ -112,11 +112,11 @@
 	return nil
 }
 
-// Address returns the address of the line listener.
-func (s *Server) Address() string { return s.listenAddress(listenerLine) }
+// LineAddress returns the address of the line listener.
+func (s *Server) LineAddress() string { return s.listenAddress(listenerLine) }
 
-// AMQP returns the address of the AMQP listener.
-func (s *Server) AMQP() string { return s.listenAddress(listenerAMQP) }
+// AMQPAddress returns the address of the AMQPAddress listener.
+func (s *Server) AMQPAddress() string { return s.listenAddress(listenerAMQP) }
 
 func (s *Server) listenAddress(number int) string {
 	s.mu.Lock()
@@ -124,9 +124,9 @@
 	return s.addresses[number]
 }
 
-// Set changes what the server does with attempts that come from now on, and how long
+// SetMode changes what the server does with attempts that come from now on, and how long
 // echoes take.
-func (s *Server) Set(mode ServerMode, delay time.Duration) {
+func (s *Server) SetMode(mode ServerMode, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode, s.delay = mode, delay
--- a/internal/fake/server_amqp.go
+++ b/internal/fake/server_amqp.go
@@ -16,7 +16,7 @@
 
 // serveAMQP serves one connection of AMQP 1.0, and the sessions on it in parallel.
 func (s *Server) serveAMQP(ctx context.Context, tcp *net.TCPConn) {
-	conn, err := amqp.AcceptPeerConn(tcp, readTimeout, s.Plain)
+	conn, err := amqp.AcceptPeerConn(tcp, readTimeout, s.WithoutSASL)
 	if err != nil {
 		return
 	}
--- a/internal/fake/server_line.go
+++ b/internal/fake/server_line.go
@@ -53,7 +53,7 @@
 	switch {
 	case !isProbe:
 		return "SYNTAX\r\n"
-	case s.Probes:
+	case s.AnswersProbes:
 		return "PONG\r\n"
 	}
 	return "NO\r\n"
@@ -108,7 +108,7 @@
 		l.record.ended(endGone)
 		return
 	}
-	if l.server.Capacity.Work > 0 {
+	if l.server.Capacity.WorkRate > 0 {
 		defer l.joinWorkload()()
 	} else if l.server.Load > 0 {
 		_ = l.write(fmt.Sprintf("LOAD %d\r\n", l.server.Load.Microseconds()))
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -75,12 +75,12 @@
 			}
 			return err
 		}
-		_, port, _ = net.SplitHostPort(server.AMQP())
-		member := discovery.Member{ID: server.Name, HostPort: server.Address(), Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1}
-		s.Discovery.Set(member)
+		_, port, _ = net.SplitHostPort(server.AMQPAddress())
+		member := discovery.Member{ID: server.Name, HostPort: server.LineAddress(), Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1}
+		s.Discovery.SetMember(member)
 		for i, agent := range s.Agents {
 			member.HostPort = server.ExtraListeners[i]
-			agent.Set(member)
+			agent.SetMember(member)
 		}
 	}
 	var err error
@@ -155,7 +155,7 @@
 			"Classes": classObjects, "Discovery": "push", "Localities": []string{"hall"}, "NInstances": 1, "QuantumUs": 2000, "Zone": 0,
 			"Guarantees": object{"ColdUs": 5_000_000, "FallUs": 1_000_000, "StartCapacity": 0.2, "TipMultiple": 3.0},
 			"Limits":     object{"ConnectTimeoutUs": 300_000, "MaxRetryAfterUs": 2_000_000, "RetryAfter": true, "TryLimit": 5},
-			"Specifics":  object{"MessageAimUs": messageObjectives, "TellsDelay": s.Servers[0].Capacity.Work > 0, "TellsLoad": s.Servers[0].Capacity.Work == 0},
+			"Specifics":  object{"MessageAimUs": messageObjectives, "TellsDelay": s.Servers[0].Capacity.WorkRate > 0, "TellsLoad": s.Servers[0].Capacity.WorkRate == 0},
 		},
 	})
 }
--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -122,7 +122,7 @@
 		return err
 	}
 	for _, server := range st.Site.Servers {
-		server.Plain = st.Plain
+		server.WithoutSASL = st.Plain
 	}
 	st.Proxy = faultproxy.NewProxy(rules, st.Seed)
 	st.Proxy.OnInjection = st.addInjection
@@ -168,7 +168,7 @@
 	st.Site.Clients = &fake.ClientPool{Log: st.Site.Log, LineAddress: address, Classes: []fake.Class{st.Class}, Rate: st.Rate, Groups: 30,
 		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: st.Seed}
 	if st.Front == "amqp" {
-		st.Site.Clients.AMQPAddress, st.Site.Clients.Share = address, 1
+		st.Site.Clients.AMQPAddress, st.Site.Clients.AMQPShare = address, 1
 	}
 	st.Site.Clients.Prepare()
 	return nil
@@ -205,9 +205,9 @@
 	port := "0"
 	amqpPort := st.Site.AMQPPort
 	for i, server := range st.Site.Servers {
-		target, listen := server.Address(), "127.0.0.1:0"
+		target, listen := server.LineAddress(), "127.0.0.1:0"
 		if st.Front == "amqp" {
-			target, listen = server.AMQP(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
+			target, listen = server.AMQPAddress(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
 		}
 		at, err := st.Proxy.OpenRoute(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
 		if err != nil {
@@ -220,7 +220,7 @@
 			_, port, _ = net.SplitHostPort(at)
 			_, _ = fmt.Sscan(port, &amqpPort)
 		}
-		st.Site.Discovery.Set(discovery.Member{ID: server.Name, HostPort: at, Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1})
+		st.Site.Discovery.SetMember(discovery.Member{ID: server.Name, HostPort: at, Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1})
 	}
 	st.Site.AMQPPort = amqpPort
 	return nil
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -152,7 +152,7 @@
 	{name: "discovery's words are garbled", scenario: Scenario{Rules: `(rule a (route discovery) (direction down) (after-bytes 150) (garble flip 30))`}, connect: sessionsAfterUpdate, want: "up", within: second},
 	{name: "discovery goes back in revision", scenario: Scenario{}, want: "up", within: second,
 		connect: func(ctx context.Context, _ *testing.T, env *Environment) []fake.Session {
-			env.Site.Discovery.Rewind()
+			env.Site.Discovery.ResetRevisions()
 			env.Proxy.ResetRoute("discovery")
 			return env.RunSessions(ctx, 18, 600*ms)
 		}},
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -78,7 +78,7 @@
 		"lockroad.farm ready": 2, "lockroad.farm draining": 0, "lockroad.invariants.broken": 0,
 		"lockroad.part.state": 3, "lockroad.part.count": 4,
 	} {
-		if got, ok := collector.Count(name); !ok || got != want {
+		if got, ok := collector.MetricValue(name); !ok || got != want {
 			t.Errorf("%s is %d (%v), want %d", name, got, ok, want)
 		}
 	}
