--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -132,7 +132,7 @@
 		slices.SortFunc(visits, func(x, y fake.Session) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
 		since := visits[0].At // not served since then
 		for _, session := range visits {
-			if session.End == "moved" && session.At.Add(session.SetupTime+session.Established).After(began) {
+			if session.End == "moved" && session.At.Add(session.SetupTime+session.EstablishedFor).After(began) {
 				moves++
 			}
 			if session.Answer != "up" {
@@ -143,7 +143,7 @@
 				waits = append(waits, up.Sub(since))
 			}
 			since = time.Time{}
-			if end := up.Add(session.Established); session.End != "left" && session.End != "bye" {
+			if end := up.Add(session.EstablishedFor); session.End != "left" && session.End != "bye" {
 				if since = end; strings.Contains(trouble, "hangs") && at[session.Name] && up.Before(began) && end.After(began) {
 					since = began.Add(time.Nanosecond) // it stood at a server that answered nothing
 				}
@@ -257,7 +257,7 @@
 		if first, ok := came[session.Flow]; !ok || session.At.Before(first.At) {
 			came[session.Flow] = session
 		}
-		end := session.At.Add(session.SetupTime + session.Established)
+		end := session.At.Add(session.SetupTime + session.EstablishedFor)
 		if session.End != "left" {
 			end = over // it wants more
 		}
@@ -267,10 +267,10 @@
 		if session.End == "moved" {
 			l.moves++
 		}
-		stood[session.Flow] += session.Established
+		stood[session.Flow] += session.EstablishedFor
 		w := classWeights[session.Class]
-		l.served += w * float64(session.Echoes-session.Late) * messageInterval.Seconds()
-		bare := w * float64(session.Late+session.Missed) * messageInterval.Seconds()
+		l.served += w * float64(session.Echoes-session.LateEchoes) * messageInterval.Seconds()
+		bare := w * float64(session.LateEchoes+session.MissingEchoes) * messageInterval.Seconds()
 		if at[session.Name] == bad.Name {
 			l.there += bare
 		} else {
--- a/internal/demo/checker.go
+++ b/internal/demo/checker.go
@@ -101,7 +101,7 @@
 			return true
 		}
 		// The answer and the time-out, or the client's leaving, have crossed.
-		if attempt.ended.IsZero() || event.Answered.Sub(attempt.ended).Abs() < crossingTime {
+		if attempt.ended.IsZero() || event.AnsweredAt.Sub(attempt.ended).Abs() < crossingTime {
 			c.crossings++
 			return true
 		}
@@ -152,7 +152,7 @@
 	}[session.End]
 	ended := explanation.ReceivedAt.Add(time.Duration(last.AfterMS * float64(time.Millisecond)))
 	if session.End == "moved" && (explanation.Result == "client_left" || explanation.Result == "ended" && strings.Contains(last.Text, "its client ends it")) &&
-		ended.Sub(session.At.Add(session.SetupTime+session.Established)).Abs() < crossingTime {
+		ended.Sub(session.At.Add(session.SetupTime+session.EstablishedFor)).Abs() < crossingTime {
 		c.crossings++ // it left when it was migrated, which the relay saw before its own end of the session
 		return
 	}
--- a/internal/fake/attemptrecord.go
+++ b/internal/fake/attemptrecord.go
@@ -30,7 +30,7 @@
 }
 
 func (r *attemptRecord) answered(answer string) {
-	r.log.update(func() { r.attempt.Answer, r.attempt.Answered = answer, time.Now() })
+	r.log.update(func() { r.attempt.Answer, r.attempt.AnsweredAt = answer, time.Now() })
 }
 
 // ended records the first end of an attempt that was accepted. A nil record has no attempt.
@@ -40,14 +40,14 @@
 	}
 	r.log.update(func() {
 		if r.attempt.Answer == answerUp && r.attempt.End == "" {
-			r.attempt.End, r.attempt.Ended = end, time.Now()
+			r.attempt.End, r.attempt.EndedAt = end, time.Now()
 		}
 	})
 }
 
 // closed records that the attempt's connection is at an end.
 func (r *attemptRecord) closed() {
-	r.log.update(func() { r.attempt.Closed = time.Now() })
+	r.log.update(func() { r.attempt.ClosedAt = time.Now() })
 }
 
 // received compares a message of the client with what it should be, and returns how long
@@ -55,7 +55,7 @@
 func (r *attemptRecord) received(message string, sequence int) time.Duration {
 	took, ok := readMessage(strings.TrimRight(message, "\r\n"), sequence, r.attempt.Name)
 	r.log.update(func() {
-		r.attempt.MaxHeld = max(r.attempt.MaxHeld, took)
+		r.attempt.MaxMessageDelay = max(r.attempt.MaxMessageDelay, took)
 		if !ok {
 			r.attempt.Garbled++
 		}
--- a/internal/fake/client_line.go
+++ b/internal/fake/client_line.go
@@ -94,7 +94,7 @@
 func (s *clientSession) countExtra(conn net.Conn, reader io.Reader) {
 	conn.SetDeadline(time.Now().Add(time.Second))
 	if n, _ := io.Copy(io.Discard, reader); n > 0 {
-		s.update(func() { s.record.More++ })
+		s.update(func() { s.record.ExtraAnswers++ })
 	}
 }
 
--- a/internal/fake/clientsession.go
+++ b/internal/fake/clientsession.go
@@ -71,7 +71,7 @@
 }
 
 func (s *clientSession) ended(end string) string {
-	s.update(func() { s.record.End, s.record.Established = end, time.Since(s.record.At)-s.record.SetupTime })
+	s.update(func() { s.record.End, s.record.EstablishedFor = end, time.Since(s.record.At)-s.record.SetupTime })
 	return end
 }
 
@@ -84,7 +84,7 @@
 	defer interval.Stop()
 	var deadline <-chan time.Time
 	sent, received, leaving := 0, 0, false
-	defer func() { s.update(func() { s.record.Missed = sent - received }) }()
+	defer func() { s.update(func() { s.record.MissingEchoes = sent - received }) }()
 	stopped := ctx.Done()
 	leave := func() {
 		leaving, stopped = true, nil
@@ -143,10 +143,10 @@
 		if s.record.Echoes++; err != nil || !ok {
 			s.record.Garbled++
 		} else {
-			s.record.MaxHeld = max(s.record.MaxHeld, held)
+			s.record.MaxMessageDelay = max(s.record.MaxMessageDelay, held)
 		}
 		if took > cmp.Or(s.client.class.LatencyObjective, defaultObjective) {
-			s.record.Late++
+			s.record.LateEchoes++
 		}
 	})
 }
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -8,46 +8,46 @@
 
 // Attempt is what a server saw of one attempt.
 type Attempt struct {
-	Endpoint  string
-	Frontend  string // line or amqp
-	Name      string // of the request, as its client calls it
-	Class     string
-	At        time.Time     // its first line, or its attach, came
-	TimeLimit time.Duration // as the relay told it
-	Answer    string        // up, busy, error or broken; "" if it had none
-	Answered  time.Time
-	End       string // of one that was up: bye, away, broken, or gone if the relay ended it
-	Ended     time.Time
-	Closed    time.Time     // its connection was at an end, whoever ended it
-	MaxHeld   time.Duration // the longest that a message of the client took to arrive
-	Garbled   int           // messages that were not as the client sends them, or not in order
+	Endpoint        string
+	Frontend        string // line or amqp
+	Name            string // of the request, as its client calls it
+	Class           string
+	At              time.Time     // its first line, or its attach, came
+	TimeLimit       time.Duration // as the relay told it
+	Answer          string        // up, busy, error or broken; "" if it had none
+	AnsweredAt      time.Time
+	End             string // of one that was up: bye, away, broken, or gone if the relay ended it
+	EndedAt         time.Time
+	ClosedAt        time.Time     // its connection was at an end, whoever ended it
+	MaxMessageDelay time.Duration // the longest that a message of the client took to arrive
+	Garbled         int           // messages that were not as the client sends them, or not in order
 }
 
 // Session is what a client saw of one request.
 type Session struct {
-	Frontend    string
-	Name        string
-	Flow        string // the same for all sessions of a client
-	Class       string
-	Group       string
-	Returning   bool // the client returned after a migration or a broken connection
-	Retry       int  // the number of rejections in a row before this session
-	At          time.Time
-	Answer      string // up, unavailable, failed, or none in time
-	SetupTime   time.Duration
-	RetryAfter  time.Duration // as the relay advised; 0 if it did not
-	End         string        // of one that was up: left, bye, moved, broken or dropped
-	Established time.Duration
-	TimeLimit   time.Duration
-	Echoes      int           // lines or deliveries that came back
-	Missed      int           // that did not
-	Late        int           // that came back after they were wanted
-	MaxHeld     time.Duration // the longest that a line of the server took to arrive
+	Frontend        string
+	Name            string
+	Flow            string // the same for all sessions of a client
+	Class           string
+	Group           string
+	Returning       bool // the client returned after a migration or a broken connection
+	Retry           int  // the number of rejections in a row before this session
+	At              time.Time
+	Answer          string // up, unavailable, failed, or none in time
+	SetupTime       time.Duration
+	RetryAfter      time.Duration // as the relay advised; 0 if it did not
+	End             string        // of one that was up: left, bye, moved, broken or dropped
+	EstablishedFor  time.Duration
+	TimeLimit       time.Duration
+	Echoes          int           // lines or deliveries that came back
+	MissingEchoes   int           // that did not
+	LateEchoes      int           // that came back after they were wanted
+	MaxMessageDelay time.Duration // the longest that a line of the server took to arrive
 	// Garbled counts lines that were not as the server sends them, or not in order, and
 	// More the sessions in which anything followed a final answer.
-	Garbled int
-	More    int
-	Refused bool // the relay's listener could not be reached
+	Garbled      int
+	ExtraAnswers int
+	Refused      bool // the relay's listener could not be reached
 }
 
 // Killed is the state of a server that was killed, whatever discovery reports.
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -66,8 +66,8 @@
 func checkEnds(how string, within time.Duration) func(*testing.T, *Environment, []fake.Session, invariants.History) {
 	return func(t *testing.T, _ *Environment, all []fake.Session, _ invariants.History) {
 		for _, session := range all {
-			if !slices.Contains(strings.Split(how, "|"), session.End) || session.Established > within+busyMachine {
-				t.Errorf("%s ended %q after %v; want %s within %v", session.Name, session.End, session.Established, how, within)
+			if !slices.Contains(strings.Split(how, "|"), session.End) || session.EstablishedFor > within+busyMachine {
+				t.Errorf("%s ended %q after %v; want %s within %v", session.Name, session.End, session.EstablishedFor, how, within)
 			}
 		}
 	}
@@ -119,8 +119,8 @@
 			if len(history.Attempts) != 1 || all[0].Answer != "none" {
 				t.Fatalf("the client got %s, of %d passes", all[0].Answer, len(history.Attempts))
 			}
-			if attempt := history.Attempts[0]; attempt.Closed.IsZero() || attempt.Closed.Sub(attempt.At) > 1200*ms {
-				t.Errorf("the pass was out for %v", attempt.Closed.Sub(attempt.At))
+			if attempt := history.Attempts[0]; attempt.ClosedAt.IsZero() || attempt.ClosedAt.Sub(attempt.At) > 1200*ms {
+				t.Errorf("the pass was out for %v", attempt.ClosedAt.Sub(attempt.At))
 			}
 		}},
 	{name: "moves that cross the client's last line", scenario: Scenario{Servers: 2, Rate: 40, Duration: 3 * second, MeanLifetime: 60 * ms, Actions: `(at 1s (drain s-1))`}, served: 0.85},
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -75,7 +75,7 @@
 	// What a client got garbled or late from a faulty server is due to the fault.
 	for i := range history.Sessions {
 		if session := &history.Sessions[i]; faulty[byServer[session.Name]] {
-			session.Garbled, session.MaxHeld = 0, 0
+			session.Garbled, session.MaxMessageDelay = 0, 0
 		}
 	}
 	if faulty["discovery"] {
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -111,14 +111,14 @@
 	case session.SetupTime > session.TimeLimit+c.Limits.AnswerTolerance:
 		c.add(Answered, session.At, "%s got %s after %v of %v", session.Name, session.Answer, session.SetupTime, session.TimeLimit)
 	}
-	if session.More > 0 {
+	if session.ExtraAnswers > 0 {
 		c.add(Answered, session.At, "%s got something after %s", session.Name, session.Answer)
 	}
 	if session.Garbled > 0 {
 		c.add(Intact, session.At, "%s got %d lines that were not as sent", session.Name, session.Garbled)
 	}
-	if session.MaxHeld > c.Limits.MaxMessageDelay {
-		c.add(PromptDelivery, session.At, "a line to %s was under way for %v", session.Name, session.MaxHeld)
+	if session.MaxMessageDelay > c.Limits.MaxMessageDelay {
+		c.add(PromptDelivery, session.At, "a line to %s was under way for %v", session.Name, session.MaxMessageDelay)
 	}
 	for _, attempt := range c.byName[session.Name] {
 		if c.ServerFaulted == nil || !c.ServerFaulted(attempt) {
@@ -132,12 +132,12 @@
 	if attempt.Garbled > 0 {
 		c.add(Intact, attempt.At, "%s got %d lines of %s that were not as sent", attempt.Endpoint, attempt.Garbled, session.Name)
 	}
-	if attempt.MaxHeld > c.Limits.MaxMessageDelay {
-		c.add(PromptDelivery, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Endpoint, attempt.MaxHeld)
+	if attempt.MaxMessageDelay > c.Limits.MaxMessageDelay {
+		c.add(PromptDelivery, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Endpoint, attempt.MaxMessageDelay)
 	}
 	// It was cut off although its server would have gone on.
 	if session.End == "broken" && attempt.Answer == "up" && (attempt.End == "gone" || attempt.End == "bye") {
-		c.add(Migrated, attempt.Ended, "%s was cut off, and %s had not ended it", session.Name, attempt.Endpoint)
+		c.add(Migrated, attempt.EndedAt, "%s was cut off, and %s had not ended it", session.Name, attempt.Endpoint)
 	}
 }
 
@@ -146,9 +146,9 @@
 func (c *checker) checkOnce(name string, attempts []fake.Attempt) {
 	slices.SortStableFunc(attempts, func(a, b fake.Attempt) int { return a.At.Compare(b.At) })
 	for i, attempt := range attempts[:max(0, len(attempts)-1)] {
-		until := attempt.Closed
+		until := attempt.ClosedAt
 		if attempt.Answer == "busy" || attempt.Answer == "error" || attempt.Answer == "broken" {
-			until = attempt.Answered
+			until = attempt.AnsweredAt
 		}
 		next := attempts[i+1]
 		if until.IsZero() || next.At.Before(until.Add(-c.Limits.AnswerTolerance)) {
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -22,16 +22,16 @@
 	return History{
 		Limits: limits,
 		Sessions: []fake.Session{
-			{Name: "a", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: time.Second + 50*ms, End: "broken", MaxHeld: 1050 * ms},
+			{Name: "a", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: time.Second + 50*ms, End: "broken", MaxMessageDelay: 1050 * ms},
 			{Name: "b", At: at(0), TimeLimit: time.Second, Answer: "unavailable", SetupTime: 10 * ms},
 			{Name: "c", At: at(0), Refused: true, Answer: "none", TimeLimit: time.Second},
 			{Name: "d", At: at(0), TimeLimit: time.Second, Answer: "up", SetupTime: 10 * ms, End: "moved"},
 		},
 		Attempts: []fake.Attempt{
-			{Name: "a", Endpoint: "s-1", At: at(0), Answer: "busy", Answered: at(100 * ms), Closed: at(900 * ms)},
-			{Name: "a", Endpoint: "s-2", At: at(100 * ms), Closed: at(600 * ms)},
-			{Name: "a", Endpoint: "s-3", At: at(600 * ms), Answer: "up", End: "broken", Ended: at(5 * time.Second), Closed: at(5 * time.Second), MaxHeld: 1050 * ms},
-			{Name: "d", Endpoint: "s-4", At: at(10*time.Second + 550*ms), Answer: "up", End: "gone", Closed: at(12 * time.Second)},
+			{Name: "a", Endpoint: "s-1", At: at(0), Answer: "busy", AnsweredAt: at(100 * ms), ClosedAt: at(900 * ms)},
+			{Name: "a", Endpoint: "s-2", At: at(100 * ms), ClosedAt: at(600 * ms)},
+			{Name: "a", Endpoint: "s-3", At: at(600 * ms), Answer: "up", End: "broken", EndedAt: at(5 * time.Second), ClosedAt: at(5 * time.Second), MaxMessageDelay: 1050 * ms},
+			{Name: "d", Endpoint: "s-4", At: at(10*time.Second + 550*ms), Answer: "up", End: "gone", ClosedAt: at(12 * time.Second)},
 		},
 		EndpointChanges: []fake.EndpointChange{{At: at(-time.Second), Endpoint: "s-4", State: "ready"}, {At: at(10 * time.Second), Endpoint: "s-4", State: "draining"}},
 	}
@@ -46,7 +46,7 @@
 		history.EndpointChanges = append(history.EndpointChanges, fake.EndpointChange{At: at(20 * time.Second), Endpoint: "s-9", State: fake.Killed}, fake.EndpointChange{At: at(30 * time.Second), Endpoint: "s-9", State: "ready"})
 		for i := range n {
 			came := at(30*time.Second + after + time.Duration(i)*ms)
-			history.Attempts = append(history.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Endpoint: "s-9", At: came, Closed: came.Add(ms)})
+			history.Attempts = append(history.Attempts, fake.Attempt{Name: fmt.Sprint("cold ", i), Endpoint: "s-9", At: came, ClosedAt: came.Add(ms)})
 		}
 	}
 	for name, c := range map[string]struct {
@@ -57,17 +57,17 @@
 		"none": {func(history *History) {
 			history.Sessions[1].Answer, history.Sessions[1].SetupTime = "none", time.Second
 		}, Answered},
-		"a second answer":          {func(history *History) { history.Sessions[1].More = 1 }, Answered},
+		"a second answer":          {func(history *History) { history.Sessions[1].ExtraAnswers = 1 }, Answered},
 		"two out by a microsecond": {func(history *History) { history.Attempts[2].At = at(550*ms - time.Microsecond) }, SequentialAttempts},
-		"two out, one for good":    {func(history *History) { history.Attempts[1].Closed = time.Time{} }, SequentialAttempts},
+		"two out, one for good":    {func(history *History) { history.Attempts[1].ClosedAt = time.Time{} }, SequentialAttempts},
 		"to a draining server":     {func(history *History) { history.Attempts[3].At = history.Attempts[3].At.Add(time.Microsecond) }, DrainRespected},
 		"to one that is gone": {func(history *History) {
 			history.EndpointChanges[1].State = "gone"
 			history.Attempts[3].At = at(11 * time.Second)
 		}, DrainRespected},
 		"cut off":                   {func(history *History) { history.Attempts[2].End = "gone" }, Migrated},
-		"held back down":            {func(history *History) { history.Sessions[0].MaxHeld += time.Microsecond }, PromptDelivery},
-		"held back up":              {func(history *History) { history.Attempts[2].MaxHeld += time.Microsecond }, PromptDelivery},
+		"held back down":            {func(history *History) { history.Sessions[0].MaxMessageDelay += time.Microsecond }, PromptDelivery},
+		"held back up":              {func(history *History) { history.Attempts[2].MaxMessageDelay += time.Microsecond }, PromptDelivery},
 		"garbled down":              {func(history *History) { history.Sessions[3].Garbled = 1 }, Intact},
 		"garbled up":                {func(history *History) { history.Attempts[3].Garbled = 1 }, Intact},
 		"a cold server pushed over": {func(history *History) { restart(history, 22, 0) }, SlowStart},
