--- a/balancer/encoding_test.go
+++ b/balancer/encoding_test.go
@@ -36,7 +36,7 @@
 
 // Guards the JSON encoding, in which a relay passes its snapshot to its next process.
 func TestSnapshotKeepsItsJSONEncoding(t *testing.T) {
-	testutil.Complete(t, completeSnapshot())
+	testutil.RequireComplete(t, completeSnapshot())
 	testutil.GoldenJSON(t, "testdata/memory.json", completeSnapshot())
 	testutil.GoldenJSON(t, "testdata/memory-zero.json", balancer.Snapshot{})
 	testutil.GoldenJSON(t, "testdata/memory-zero-elements.json", balancer.Snapshot{
@@ -62,5 +62,5 @@
 
 // Guards against untagged fields, whose renaming would change both encodings.
 func TestSnapshotFieldsAreTagged(t *testing.T) {
-	testutil.Tagged(t, []string{"json", "cbor"}, balancer.Snapshot{})
+	testutil.RequireTags(t, []string{"json", "cbor"}, balancer.Snapshot{})
 }
--- a/internal/discovery/response_test.go
+++ b/internal/discovery/response_test.go
@@ -37,7 +37,7 @@
 		_, _ = io.Copy(io.Discard, &chunkedReader{reader: bufio.NewReader(bytes.NewReader(body))})
 		_, _ = readResponseHead(bufio.NewReader(bytes.NewReader(body)))
 		var wire strings.Builder
-		choices := testutil.New(cuts)
+		choices := testutil.NewSource(cuts)
 		for part, rest := choices.Cut(body); part != nil; part, rest = choices.Cut(rest) {
 			wire.WriteString(chunkText(string(part)))
 		}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -399,7 +399,7 @@
 	if err := peer.writeFrame(0, framing.Performative{Code: framing.CodeBegin, Fields: codec.List{nil, uint32(0), uint32(100), uint32(100)}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	testutil.Unread(t, tcp, framing.HeaderSize)
+	testutil.AwaitUnread(t, tcp, framing.HeaderSize)
 	(&clientConnection{connection: newConnection(tcp), tcp: tcp}).evict()
 	frame, err := peer.readFrame(framing.TypeAMQP, peerReadTimeout)
 	if condition, _ := frame.Condition(framing.CloseError); err != nil || frame.Code != framing.CodeClose || condition != framing.CondResourceLimitExceeded {
--- a/internal/frontend/line/client_test.go
+++ b/internal/frontend/line/client_test.go
@@ -42,7 +42,7 @@
 			return
 		}
 		near, far := connectionPair(t)
-		client, from := newClientConn(near), testutil.New(choices)
+		client, from := newClientConn(near), testutil.NewSource(choices)
 		var expected strings.Builder // the model: what the client is to see
 		const open, moving, over = 0, 1, 2
 		state, ended := open, make(chan struct{})
--- a/internal/frontend/line/encoding_test.go
+++ b/internal/frontend/line/encoding_test.go
@@ -16,14 +16,14 @@
 
 func TestConnectionStateKeepsItsEncoding(t *testing.T) {
 	complete := completeState()
-	testutil.Complete(t, complete)
+	testutil.RequireComplete(t, complete)
 	testutil.GoldenJSON(t, "testdata/connection.json", complete)
 	testutil.GoldenJSON(t, "testdata/connection-zero.json", connectionState{})
 }
 
 func TestHeartbeatKeepsItsEncoding(t *testing.T) {
 	complete := ReportTiming{LastAt: 1234567890, LastDelay: 12.5, OnTime: 7}
-	testutil.Complete(t, complete)
+	testutil.RequireComplete(t, complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat.json", complete)
 	testutil.GoldenJSON(t, "testdata/heartbeat-zero.json", ReportTiming{})
 }
@@ -72,6 +72,6 @@
 }
 
 func TestHandoffFieldsAreTagged(t *testing.T) {
-	testutil.Tagged(t, []string{"json"}, connectionState{})
-	testutil.Tagged(t, []string{"json"}, ReportTiming{})
+	testutil.RequireTags(t, []string{"json"}, connectionState{})
+	testutil.RequireTags(t, []string{"json"}, ReportTiming{})
 }
--- a/internal/frontend/line/frontend_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -237,7 +237,7 @@
 	accepted := env.peer(env.endpoint.Accept()) // which nobody reads
 	opening := fmt.Sprintf(openingFormat, 4000)
 	client.send(opening)
-	testutil.Unread(t, accepted.TCPConn, len(opening))
+	testutil.AwaitUnread(t, accepted.TCPConn, len(opening))
 	rejectEvicted(accepted.TCPConn)
 	client.expect("BUSY\r\n")
 	client.expectEnd(false)
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -96,7 +96,7 @@
 			}
 			rest = rest[newline+1:]
 		}
-		splitter, from := lineSplitter{}, testutil.New(cuts)
+		splitter, from := lineSplitter{}, testutil.NewSource(cuts)
 		for rest := stream; len(rest) > 0; {
 			var part []byte
 			part, rest = from.Cut(rest)
--- a/internal/frontend/line/reader_test.go
+++ b/internal/frontend/line/reader_test.go
@@ -85,7 +85,7 @@
 		near, far := connectionPair(t)
 		r := newReader(near)
 		go func() {
-			source := testutil.New(choices)
+			source := testutil.NewSource(choices)
 			for left := text; len(left) > 0; {
 				var part []byte
 				part, left = source.Cut(left)
@@ -94,7 +94,7 @@
 			far.CloseWrite()
 		}()
 		var got []byte
-		source := testutil.New(choices)
+		source := testutil.NewSource(choices)
 		for {
 			var data []byte
 			var err error
--- a/internal/hotrestart/messages_test.go
+++ b/internal/hotrestart/messages_test.go
@@ -105,7 +105,7 @@
 
 func TestHelloKeepsItsEncoding(t *testing.T) {
 	complete := helloMessage{Version: 1, PID: 4711}
-	testutil.Complete(t, complete)
+	testutil.RequireComplete(t, complete)
 	checkFrame(t, "testdata/hello.frame", kindHello, complete)
 }
 
@@ -121,7 +121,7 @@
 		Clock: 1234567890 * time.Nanosecond, ClockStart: time.Date(2026, 7, 8, 9, 10, 11, 123456789, time.UTC),
 		ListenerNames: []string{"line", "amqp"}, State: json.RawMessage(`{"Agent":"127.0.0.1:1"}`),
 	}
-	testutil.Complete(t, complete)
+	testutil.RequireComplete(t, complete)
 	checkFrame(t, "testdata/offer.frame", kindOffer, complete, openListeners(t, 2)...)
 	checkFrame(t, "testdata/offer-zero.frame", kindOffer, &Offer{State: json.RawMessage("{}")})
 }
@@ -140,7 +140,7 @@
 
 func TestConnectionKeepsItsEncoding(t *testing.T) {
 	complete := connectionMessage{Number: 42, Payload: json.RawMessage(`{"Front":"line"}`)}
-	testutil.Complete(t, complete)
+	testutil.RequireComplete(t, complete)
 	near, far := connectionPair(t)
 	checkFrame(t, "testdata/established.frame", kindConnection, complete, near.(*net.TCPConn), far.(*net.TCPConn))
 }
@@ -157,6 +157,6 @@
 
 func TestMessageFieldsAreTagged(t *testing.T) {
 	for _, message := range []any{helloMessage{}, Offer{}, connectionMessage{}} {
-		testutil.Tagged(t, []string{"json"}, message)
+		testutil.RequireTags(t, []string{"json"}, message)
 	}
 }
--- a/internal/listener/connlimiter_test.go
+++ b/internal/listener/connlimiter_test.go
@@ -55,7 +55,7 @@
 				ended     bool // evicted or closed
 			}
 			var admissions []*model
-			for choices := testutil.New(data); choices.More(); {
+			for choices := testutil.NewSource(data); choices.More(); {
 				step := choices.Pick(4)
 				if step == 0 || len(admissions) == 0 {
 					client := &model{}
--- a/internal/proxy/encoding_test.go
+++ b/internal/proxy/encoding_test.go
@@ -18,11 +18,11 @@
 }
 
 func TestEstablishedRequestEncodingIsStable(t *testing.T) {
-	testutil.Complete(t, completeEstablishedRequest())
+	testutil.RequireComplete(t, completeEstablishedRequest())
 	testutil.GoldenJSON(t, "testdata/established.json", completeEstablishedRequest())
 	testutil.GoldenJSON(t, "testdata/established-zero.json", EstablishedRequest{FrontendState: json.RawMessage("{}")})
 }
 
 func TestEstablishedRequestFieldsAreTagged(t *testing.T) {
-	testutil.Tagged(t, []string{"json"}, EstablishedRequest{})
+	testutil.RequireTags(t, []string{"json"}, EstablishedRequest{})
 }
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -47,7 +47,7 @@
 		if len(data) > 200 {
 			return
 		}
-		script := testutil.New(data)
+		script := testutil.NewSource(data)
 		var mu sync.Mutex
 		nextAction := func() scriptedAction {
 			mu.Lock()
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -44,7 +44,7 @@
 
 // A successor of another version reads this JSON, so it must not change.
 func TestHandoffStateEncodingIsStable(t *testing.T) {
-	testutil.Complete(t, completeState())
+	testutil.RequireComplete(t, completeState())
 	testutil.GoldenJSON(t, "testdata/state.json", completeState())
 	testutil.GoldenJSON(t, "testdata/state-zero.json", handoffState{})
 	testutil.GoldenJSON(t, "testdata/state-zero-elements.json", handoffState{
@@ -57,5 +57,5 @@
 }
 
 func TestHandoffStateFieldsAreTagged(t *testing.T) {
-	testutil.Tagged(t, []string{"json"}, handoffState{})
+	testutil.RequireTags(t, []string{"json"}, handoffState{})
 }
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -52,15 +52,15 @@
 	}
 }
 
-// Complete fails the test at each field, element, key or value within a value that is zero or empty, and at
+// RequireComplete fails the test at each field, element, key or value within a value that is zero or empty, and at
 // each two equal numbers or strings in one struct: an encoding that leaves fields out, or swaps two, would
 // not show.
-func Complete(t testing.TB, value any) {
+func RequireComplete(t testing.TB, value any) {
 	t.Helper()
-	complete(t, reflect.TypeOf(value).String(), reflect.ValueOf(value))
+	requireComplete(t, reflect.TypeOf(value).String(), reflect.ValueOf(value))
 }
 
-func complete(t testing.TB, path string, v reflect.Value) {
+func requireComplete(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
 		t.Errorf("%s is zero", path)
@@ -71,7 +71,7 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
-		complete(t, path, v.Elem())
+		requireComplete(t, path, v.Elem())
 	case reflect.Struct:
 		seen := make(map[any]string)
 		for i := range v.NumField() {
@@ -79,7 +79,7 @@
 			if !field.IsExported() {
 				continue
 			}
-			complete(t, path+"."+field.Name, v.Field(i))
+			requireComplete(t, path+"."+field.Name, v.Field(i))
 			if kind := field.Type.Kind(); kind == reflect.Bool || !field.Type.Comparable() {
 				continue
 			}
@@ -93,15 +93,15 @@
 			t.Errorf("%s is empty", path)
 		}
 		for i := range v.Len() {
-			complete(t, path+"[]", v.Index(i))
+			requireComplete(t, path+"[]", v.Index(i))
 		}
 	case reflect.Map:
 		if v.Len() == 0 {
 			t.Errorf("%s is empty", path)
 		}
 		for _, key := range v.MapKeys() {
-			complete(t, path+" key", key)
-			complete(t, path+"[]", v.MapIndex(key))
+			requireComplete(t, path+" key", key)
+			requireComplete(t, path+"[]", v.MapIndex(key))
 		}
 	}
 }
--- a/internal/testutil/source.go
+++ b/internal/testutil/source.go
@@ -4,8 +4,8 @@
 // bytes give equal choices.
 type Source struct{ data []byte }
 
-// New returns a Source of the bytes of a fuzzer, which it does not copy.
-func New(data []byte) *Source { return &Source{data: data} }
+// NewSource returns a Source of the bytes of a fuzzer, which it does not copy.
+func NewSource(data []byte) *Source { return &Source{data: data} }
 
 // More reports whether there are bytes left.
 func (s *Source) More() bool { return len(s.data) > 0 }
--- a/internal/testutil/tagged.go
+++ b/internal/testutil/tagged.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Tagged fails the test at each exported field within a value's type that has no explicit name in one of its
+// RequireTags fails the test at each exported field within a value's type that has no explicit name in one of its
 // tags of the given keys, such as "json": its encoding would change with the field's name.
-func Tagged(t testing.TB, keys []string, value any) {
+func RequireTags(t testing.TB, keys []string, value any) {
 	t.Helper()
 	EncodedFields(reflect.TypeOf(value), func(owner reflect.Type, field reflect.StructField) {
 		for _, key := range keys {
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// Unread waits until a connection that nobody reads has received so many bytes.
-func Unread(t testing.TB, conn *net.TCPConn, want int) {
+// AwaitUnread waits until a connection that nobody reads has received so many bytes.
+func AwaitUnread(t testing.TB, conn *net.TCPConn, want int) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
 	if err != nil {
