--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -27,18 +27,18 @@
 
 // Scenario says what is to be run.
 type Scenario struct {
-	Front        string // line or amqp: the protocol of clients and servers
-	Servers      int
-	Rules        string // of the fault proxy: its routes are door, discovery, and each server by its name
-	Actions      string // of the servers and clients, as fake.ParseScript reads them
-	Plain        bool   // servers speak AMQP without the security layer
-	Shared       int    // requests by AMQP that share a connection to a server; 0: each has its own
-	Seed         uint64
-	SetupTime    time.Duration     // of each attempt at a server
-	Rate         float64           // of the client pool: new clients a second; 0: none
-	Duration     time.Duration     // of the client pool and the actions
-	MeanLifetime time.Duration     // of a connection of the client pool, on average
-	Limits       invariants.Limits // zero: the defaults
+	Front           string // line or amqp: the protocol of clients and servers
+	Servers         int
+	Rules           string // of the fault proxy: its routes are door, discovery, and each server by its name
+	Actions         string // of the servers and clients, as fake.ParseScript reads them
+	WithoutSASL     bool   // servers speak AMQP without the security layer
+	SessionsPerConn int    // requests by AMQP that share a connection to a server; 0: each has its own
+	Seed            uint64
+	SetupTime       time.Duration     // of each attempt at a server
+	Rate            float64           // of the client pool: new clients a second; 0: none
+	Duration        time.Duration     // of the client pool and the actions
+	MeanLifetime    time.Duration     // of a connection of the client pool, on average
+	Limits          invariants.Limits // zero: the defaults
 }
 
 // Class is the class of all clients.
@@ -122,7 +122,7 @@
 		return err
 	}
 	for _, server := range st.Site.Servers {
-		server.WithoutSASL = st.Plain
+		server.WithoutSASL = st.WithoutSASL
 	}
 	st.Proxy = faultproxy.NewProxy(rules, st.Seed)
 	st.Proxy.OnInjection = st.addInjection
@@ -146,7 +146,7 @@
 		return err
 	}
 	st.socket = filepath.Join(st.directory, "console")
-	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, MaxSessionsPerConn: st.Shared}}
+	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, MaxSessionsPerConn: st.SessionsPerConn}}
 	ctx, st.cancel = context.WithCancel(ctx)
 	st.ended = make(chan error, 1)
 	go func() {
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -159,7 +159,7 @@
 
 	// What only one protocol has.
 	{name: "credit that never comes while the give-up time runs", onlyFrontend: "amqp", whyOnly: "a line has no credit", scenario: Scenario{Actions: `(at 0s (no-credit s-1 9s))`}, want: "up", within: 2 * second},
-	{name: "servers without the security layer", onlyFrontend: "amqp", whyOnly: "a line has no layers", scenario: Scenario{Plain: true}, want: "up", within: second, check: checkEnds("left", 2*second)},
+	{name: "servers without the security layer", onlyFrontend: "amqp", whyOnly: "a line has no layers", scenario: Scenario{WithoutSASL: true}, want: "up", within: second, check: checkEnds("left", 2*second)},
 	{name: "a link's attach is cut in the middle", onlyFrontend: "amqp", whyOnly: "a line has no frames", scenario: Scenario{Rules: `(rule a (route s-1) (direction up) (at-performative attach) (cut rst))`}, want: "up", within: second},
 }
 
@@ -195,7 +195,7 @@
 
 func (r knownFailure) run(t *testing.T, front string, shared int) {
 	scenario := r.scenario
-	scenario.Shared = shared
+	scenario.SessionsPerConn = shared
 	scenario.Front, scenario.Seed, scenario.SetupTime = front, 1, 5*ms
 	if scenario.Servers == 0 {
 		scenario.Servers = serverCount
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -23,7 +23,7 @@
 // formatScenario writes a scenario as parseScenario reads it.
 func formatScenario(scenario Scenario) string {
 	front := scenario.Front
-	if scenario.Shared > 0 {
+	if scenario.SessionsPerConn > 0 {
 		front = "shared"
 	}
 	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, scenario.Servers, scenario.Seed, scenario.Rules, scenario.Actions)
@@ -36,7 +36,7 @@
 		return scenario, fmt.Errorf("the head %q: %w", head, err)
 	}
 	if scenario.Front == "shared" { // connections to servers, by AMQP
-		scenario.Front, scenario.Shared = "amqp", 4
+		scenario.Front, scenario.SessionsPerConn = "amqp", 4
 	}
 	scenario.Rules, scenario.Actions, _ = strings.Cut(rest, "; acts\n")
 	scenario.Rate, scenario.Duration, scenario.MeanLifetime, scenario.SetupTime = 15, 2500*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
