--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -28,9 +28,9 @@
 		code int
 		text string
 	}{
-		"--help": {0, "forms"}, "forms": {0, "(vanish)"}, "check " + bad: {1, bad + ": line 2, column 3: there is no form"},
+		"--help": {0, "forms"}, "forms": {0, "(vanish)"}, "check " + bad: {1, bad + ": line 2, column 3: unknown form"},
 		"--odd": {2, "unknown flag --odd"}, "run": {2, "--route"}, "--route odd": {1, "is no NAME=LISTEN,TARGET"},
-		"tell " + bad + "x (status)": {1, "no faultproxy answers"},
+		"tell " + bad + "x (status)": {1, "connect to the faultproxy at " + bad + "x: "},
 	} {
 		code, out, errs := command(strings.Fields(args)...)
 		if code != want.code || !strings.Contains(out+errs, want.text) {
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/sexp"
 )
 
-// Message is an injected fault, or an answer to a command, as a line of JSON.
+// Message reports an injected fault or answers a command, as one line of JSON.
 type Message struct {
 	At        int64     `json:"at_us"` // microseconds on the script's clock
 	Fault     FaultKind `json:"fault,omitempty"`
@@ -34,7 +34,7 @@
 	Error     string    `json:"error,omitempty"`
 }
 
-// Message returns the message that reports an injection.
+// Message returns the message that reports the injection.
 func (i Injection) Message() Message {
 	return Message{
 		At: i.At.Microseconds(), Fault: i.Kind, Rule: i.Rule, Route: i.Route, Conn: i.Conn,
@@ -42,16 +42,15 @@
 	}
 }
 
-// Commands lists the commands of Do, for people.
-const Commands = `(trigger NAME)      sets a rule off that waits for a command
-(add RULE ...)      adds rules; one of a name that is taken takes the other's place
-(clear [NAME])      ends a rule, or all
-(cut ROUTE)         breaks all connections of a route
-(status)            tells of routes and rules
+// Commands is the help text of the commands that Execute accepts.
+const Commands = `(trigger NAME)      triggers the on-command rule of that name
+(add RULE ...)      adds rules; a rule replaces an existing one of the same name
+(clear [NAME])      removes a rule, or all rules
+(cut ROUTE)         resets all connections of a route
+(status)            lists routes and rules
 `
 
-// Execute performs a command and returns its answer. An error says what is wrong with the
-// command, with its column where it can't be read.
+// Execute executes a command and returns its answer. A syntax error has the line and column.
 func (p *Proxy) Execute(command string) ([]Message, error) {
 	node, err := sexp.ParseOne(command)
 	if err != nil {
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// doAdd adds all rules, or none if one can't be read.
+// doAdd adds all rules, or none if one is invalid.
 func (p *Proxy) doAdd(args []*sexp.Node) error {
 	var rules []*Rule
 	for _, argument := range args {
@@ -127,7 +126,7 @@
 	return nil
 }
 
-// doStatus returns a message for each route, and a last one with the rules.
+// doStatus returns a message for each route, followed by one with the rules.
 func (p *Proxy) doStatus() []Message {
 	routes, rules := p.Status()
 	var answer []Message
@@ -140,8 +139,8 @@
 	return append(answer, Message{At: p.now().Microseconds(), Rules: rules, Done: "(status)"})
 }
 
-// ServeCommands performs commands that come in, one a line, and writes their answers as lines
-// of JSON, until the input ends.
+// ServeCommands executes commands read from in, one per line, and writes their answers to out
+// as lines of JSON, until the input ends.
 func (p *Proxy) ServeCommands(in io.Reader, out io.Writer) error {
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, sexp.MaxTextBytes)
@@ -164,8 +163,8 @@
 	return lines.Err()
 }
 
-// Serve performs the commands that come in at a listener, which it closes when ctx ends. The
-// goroutines of its connections end with ctx or their connections.
+// Serve executes the commands received on the connections of a listener, which it closes when
+// ctx ends. The connections' goroutines end with ctx or with their connections.
 func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
@@ -179,20 +178,20 @@
 		go func() {
 			defer conn.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			_ = p.ServeCommands(conn, conn) // its reader may have gone
+			_ = p.ServeCommands(conn, conn) // the peer may have closed the connection
 		}()
 	}
 }
 
-// commandTimeout bounds the connection to a proxy, and its answer.
+// commandTimeout bounds connecting to a proxy and, separately, receiving its answer.
 const commandTimeout = 5 * time.Second
 
-// SendCommand sends a command to the proxy that serves at a Unix socket, and returns its
-// answer. An answer with an error is an error.
+// SendCommand sends a command to the proxy that listens on a Unix socket and returns its
+// answer. It returns an answer's Error field as an error.
 func SendCommand(socket, command string) ([]Message, error) {
 	conn, err := net.DialTimeout("unix", socket, commandTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("no faultproxy answers at %s: %w", socket, err)
+		return nil, fmt.Errorf("connect to the faultproxy at %s: %w", socket, err)
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(commandTimeout))
@@ -208,7 +207,7 @@
 		case errors.Is(err, io.EOF) && len(answer) > 0:
 			return answer, nil
 		case err != nil:
-			return nil, fmt.Errorf("the answer breaks off: %w", err)
+			return nil, fmt.Errorf("read the faultproxy's answer: %w", err)
 		case message.Error != "":
 			return nil, errors.New(message.Error)
 		}
--- a/internal/faultproxy/doc.go
+++ b/internal/faultproxy/doc.go
@@ -1,11 +1,11 @@
-// Package faultproxy passes connections between sockets and injects faults, as a script
-// says: it delays, cuts, half-closes, garbles, splits, swallows, stalls, refuses and vanishes,
-// on command or by trigger. Equal seeds, scripts and bytes give equal faults.
+// Package faultproxy is a TCP proxy that injects the faults of a script: it delays, cuts,
+// half-closes, corrupts, splits, drops, stalls and refuses, on triggers or commands. Equal
+// seeds, scripts and input give equal faults.
 //
-// A Flow decides what becomes of the bytes of one direction of one connection; it does
-// no I/O and is given the time. A Proxy carries that out between sockets.
+// A Flow applies the rules to the bytes of one direction of one connection; it does no I/O
+// and gets the time as an argument. A Proxy performs the flows' operations between sockets.
 //
-// Who embeds a Proxy (1) opens its routes before the parties connect, (2) calls Restart,
-// which starts the script's clock, when the first may connect, and (3) closes it, which ends
-// all connections.
+// To embed a Proxy, (1) call OpenRoute for each route before anything connects, (2) call
+// ResetClock, which starts the script's clock, when the first connection may arrive, and
+// (3) call Close, which ends all connections.
 package faultproxy
--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -7,81 +7,80 @@
 	"time"
 )
 
-// Location names one direction of one connection.
+// Location identifies one direction of one connection.
 type Location struct {
 	Route     string
-	Conn      uint64 // its number on its route, from 1
+	Conn      uint64 // number of the connection on its route, from 1
 	Direction Direction
 }
 
-// OpKind is what an operation does.
+// OpKind is the kind of an operation.
 type OpKind uint8
 
 // The kinds of operation.
 const (
-	OpWrite     OpKind = iota // Data, in a packet of its own, no earlier than At
-	OpHalfClose               // end this direction, and discard what still comes
-	OpFIN                     // end the connection
+	OpWrite     OpKind = iota // write Data in a packet of its own
+	OpHalfClose               // close this direction and discard further input
+	OpFIN                     // close the connection
 	OpRST                     // reset the connection
-	opLast                    // the reader has ended: nothing follows
+	opLast                    // the reader has ended: no operation follows
 )
 
-// Op is one operation on a direction. Operations are performed in order, and none after an
-// end.
+// Op is one operation on a direction. Operations are performed in order, and none after one
+// that closes or resets.
 type Op struct {
 	Kind OpKind
-	At   time.Duration // on the script's clock
+	At   time.Duration // earliest time, on the script's clock
 	Data []byte
 }
 
-// Injection reports that a fault was injected.
+// Injection describes a fault that was injected.
 type Injection struct {
 	Rule string
 	Kind FaultKind
 	Location
-	Offset uint64        // bytes that the direction had received before
+	Offset uint64        // bytes received in this direction before the fault
 	At     time.Duration // on the script's clock
 }
 
-// Flow decides what becomes of the bytes of one direction. It does no I/O and has no clock;
-// one goroutine at a time may use it. Equal rules, seeds, bytes and times give equal
-// operations.
+// Flow applies rules to the bytes of one direction. It does no I/O, has no clock and is not
+// safe for concurrent use. Equal rules, seeds, bytes and times give equal operations.
 type Flow struct {
 	location   Location
 	seed       uint64
 	rules      []*activeRule
 	notify     func(Injection)
 	offset     uint64        // bytes received
-	lastAt     time.Duration // At of the last operation: bytes never overtake each other
-	rateFreeAt time.Duration // when the bandwidth lets the next bytes pass
+	lastAt     time.Duration // time of the last operation: keeps operations in order
+	rateFreeAt time.Duration // when the bandwidth limit allows the next write
 	ended      bool
-	sent       bool // something has been forwarded
+	sent       bool // some bytes have been forwarded
 
 	scanner     scanner
-	merged      []byte // waits for the next line or frame
+	merged      []byte // held back by a merge fault
 	mergedSince time.Duration
 }
 
-// activeRule is a rule with its state in a direction.
+// activeRule is a rule and its state in one direction.
 type activeRule struct {
 	*Rule
-	salt          uint64 // of its random numbers here
+	salt          uint64 // seeds its random numbers
 	active        bool
-	triggered     bool          // at least once; only rules of Chance are again
-	until         time.Duration // zero: without end
-	reported      bool          // since it was triggered
-	performatives uint64        // frames of its performative that have begun
-	garbleLeft    uint64        // bytes that are still to be garbled
+	triggered     bool          // at least once; only Chance triggers a rule again
+	until         time.Duration // 0: without end
+	reported      bool          // an injection was, since the last trigger
+	performatives uint64        // frames seen of the trigger's performative
+	garbleLeft    uint64        // bytes still to be garbled
 }
 
 const (
-	mergeTimeout  = 40 * time.Millisecond // that a line or frame waits for the next
-	splitInterval = time.Millisecond      // between packets that must not be merged by the network
-	maxPacket     = 16 << 10              // bytes of one operation
+	mergeTimeout  = 40 * time.Millisecond // longest time that a line or frame is held for the next
+	splitInterval = time.Millisecond      // between writes, so that TCP does not merge them
+	maxPacket     = 16 << 10              // bytes in one operation
 )
 
-// matches reports whether a rule is about a connection; first is what its connecting side
-// has sent so far.
+// matches reports whether the rule applies to a connection; first holds the bytes that its
+// client has sent so far.
 func (r *Rule) matches(location Location, seed uint64, first []byte) bool {
 	switch {
 	case len(r.Routes) > 0 && !slices.Contains(r.Routes, location.Route),
@@ -93,8 +92,8 @@
 	return r.Fraction >= 1 || uniform(seed, hashText(r.Name), hashText(location.Route), location.Conn) < r.Fraction
 }
 
-// NewFlow returns the flow of a direction, with the rules that are about it. first is what
-// the connecting side sends first; notify is called for each injected fault, and may be nil.
+// NewFlow returns the flow of a direction, with those of the rules that apply to it. first
+// holds the client's first bytes; notify, which may be nil, is called for each injected fault.
 func NewFlow(location Location, rules []*Rule, seed uint64, first []byte, notify func(Injection)) *Flow {
 	f := &Flow{location: location, seed: seed, notify: notify}
 	for _, r := range rules {
@@ -103,7 +102,7 @@
 	return f
 }
 
-// Add adds a rule, if it is about this direction.
+// Add adds a rule if it applies to this direction; first holds the client's first bytes.
 func (f *Flow) Add(added *Rule, first []byte) {
 	if added.Direction != Both && added.Direction != f.location.Direction || !added.matches(f.location, f.seed, first) || added.Faults[0].Kind.ofListener() {
 		return
@@ -117,7 +116,7 @@
 // Idle reports whether the flow has no rules.
 func (f *Flow) Idle() bool { return len(f.rules) == 0 }
 
-// Trigger triggers a rule that waits for it. It reports whether there is one.
+// Trigger triggers the on-command rule of a name. It reports whether there is one.
 func (f *Flow) Trigger(name string, now time.Duration) ([]Op, bool) {
 	for _, rule := range f.rules {
 		if rule.Name == name && rule.Trigger.Kind == OnCommand {
@@ -127,13 +126,13 @@
 	return nil, false
 }
 
-// Clear ends a rule, or all of them where no name is given.
+// Clear removes the rules of a name, or all rules if name is empty.
 func (f *Flow) Clear(name string) {
 	f.rules = slices.DeleteFunc(f.rules, func(rule *activeRule) bool { return name == "" || rule.Name == name })
 }
 
-// NextDue returns the next time at which something happens without a byte, when Due has to be
-// called. It returns false where there is none.
+// NextDue returns the next time at which Due has to be called. It returns false if there is
+// none.
 func (f *Flow) NextDue(now time.Duration) (time.Duration, bool) {
 	next, found := time.Duration(math.MaxInt64), false
 	consider := func(at time.Duration) {
@@ -155,7 +154,7 @@
 	return next, found
 }
 
-// Due returns what is to be done by now without a byte.
+// Due returns the operations that are due by now without further input.
 func (f *Flow) Due(now time.Duration) []Op {
 	operations := f.advance(now, nil)
 	if len(f.merged) > 0 && now >= f.mergedSince+mergeTimeout {
@@ -164,7 +163,7 @@
 	return operations
 }
 
-// advance triggers what is due by the clock or from the start, and ends what is over.
+// advance triggers the rules that are due at now or from the start, and ends expired ones.
 func (f *Flow) advance(now time.Duration, operations []Op) []Op {
 	for _, rule := range f.rules {
 		if rule.active && rule.until > 0 && now >= rule.until {
@@ -177,10 +176,10 @@
 	return operations
 }
 
-// activate begins a rule here.
+// activate starts a rule's faults in this direction.
 func (f *Flow) activate(rule *activeRule, now time.Duration, operations []Op) []Op {
 	if rule.Trigger.Kind == AtTime && rule.For > 0 && now >= rule.Trigger.At+rule.For {
-		rule.triggered = true // it was over before this connection came
+		rule.triggered = true // it expired before this connection was opened
 		return operations
 	}
 	rule.triggered, rule.active, rule.reported = true, true, false
@@ -201,7 +200,7 @@
 	return operations
 }
 
-// end ends the direction, or the connection.
+// end closes the direction, or closes or resets the connection.
 func (f *Flow) end(rule *activeRule, fault Fault, now time.Duration, operations []Op) []Op {
 	f.report(rule, fault.Kind, now)
 	operations = f.flush(operations, now)
@@ -216,14 +215,14 @@
 	return append(operations, Op{Kind: kind, At: max(now, f.lastAt)})
 }
 
-// startGarbling inserts bytes, or notes how many of those to come are garbled.
+// startGarbling inserts random bytes, or sets how many of the next bytes are garbled.
 func (f *Flow) startGarbling(rule *activeRule, fault Fault, now time.Duration, operations []Op) []Op {
 	f.report(rule, fault.Kind, now)
 	if fault.Mode != "insert" {
 		rule.garbleLeft = fault.Count
 		return operations
 	}
-	// The inserted bytes are forwarded like any others, ungarbled.
+	// The inserted bytes themselves are not garbled.
 	rule.garbleLeft = 0
 	data := make([]byte, min(fault.Count, maxPacket))
 	for i := range data {
@@ -232,15 +231,14 @@
 	return f.forward(data, now, operations)
 }
 
-// report notifies of an injected fault.
+// report calls notify with an injected fault.
 func (f *Flow) report(rule *activeRule, kind FaultKind, now time.Duration) {
 	if f.notify != nil {
 		f.notify(Injection{Rule: rule.Name, Kind: kind, Location: f.location, Offset: f.offset, At: now})
 	}
 }
 
-// Stalled reports whether reads are to stop now, and until when; zero is until a rule is
-// cleared.
+// Stalled reports whether reads must stop now, and until when; 0 is until the rule is cleared.
 func (f *Flow) Stalled(now time.Duration) (stalled bool, until time.Duration) {
 	for _, rule := range f.rules {
 		if rule.active && (rule.until == 0 || now < rule.until) && slices.ContainsFunc(rule.Faults, func(fault Fault) bool { return fault.Kind == Stall }) {
@@ -257,7 +255,7 @@
 	return stalled, until
 }
 
-// Feed takes received bytes and returns what is to be done, in order. It keeps none of them.
+// Feed processes received bytes and returns the operations in order. It does not retain data.
 func (f *Flow) Feed(now time.Duration, data []byte) []Op {
 	operations := f.advance(now, nil)
 	if len(f.scanner.held) > 0 {
@@ -265,7 +263,7 @@
 		f.scanner.held = nil
 	}
 	for len(data) > 0 && !f.ended {
-		n, place, more := f.scanner.next(data, f.limit())
+		n, pos, more := f.scanner.next(data, f.limit())
 		if more {
 			f.scanner.held = slices.Clone(data)
 			break
@@ -278,12 +276,12 @@
 		if f.ended {
 			break
 		}
-		operations = f.reach(place, now, operations)
+		operations = f.triggerAt(pos, now, operations)
 	}
 	return operations
 }
 
-// End takes the end of the input, and returns what was held back.
+// End processes the end of the input and returns the operations that write held-back bytes.
 func (f *Flow) End(now time.Duration) []Op {
 	operations := f.flush(nil, now)
 	if held := f.scanner.held; len(held) > 0 {
@@ -293,7 +291,7 @@
 	return operations
 }
 
-// limit returns how many bytes may pass before the next trigger that counts them.
+// limit returns how many bytes may pass before the next after-bytes trigger.
 func (f *Flow) limit() uint64 {
 	limit := uint64(math.MaxUint64)
 	for _, rule := range f.rules {
@@ -304,27 +302,27 @@
 	return limit
 }
 
-// reach triggers the rules that begin at a place.
-func (f *Flow) reach(place mark, now time.Duration, operations []Op) []Op {
+// triggerAt triggers the rules whose trigger is at a position.
+func (f *Flow) triggerAt(pos position, now time.Duration, operations []Op) []Op {
 	for _, rule := range f.rules {
 		if f.ended {
 			break
 		}
-		if f.beginsAt(rule, place) {
+		if f.triggersAt(rule, pos) {
 			operations = f.activate(rule, now, operations)
 		}
 	}
-	if (place.line || place.frame) && len(f.merged) > 0 && f.mergeComplete(place) {
+	if (pos.line || pos.frame) && len(f.merged) > 0 && f.mergeComplete(pos) {
 		operations = f.flush(operations, now)
 	}
 	return operations
 }
 
-// beginsAt reports whether a place triggers a rule.
-func (f *Flow) beginsAt(rule *activeRule, place mark) bool {
+// triggersAt reports whether a position triggers a rule.
+func (f *Flow) triggersAt(rule *activeRule, pos position) bool {
 	trigger := rule.Trigger
 	if trigger.Kind == Chance {
-		return (place.line || place.frame) && uniform(rule.salt, place.linesBefore, place.framesBefore) < trigger.Probability
+		return (pos.line || pos.frame) && uniform(rule.salt, pos.linesBefore, pos.framesBefore) < trigger.Probability
 	}
 	if rule.triggered {
 		return false
@@ -333,11 +331,11 @@
 	case AfterBytes:
 		return f.offset >= trigger.Count
 	case AtLine:
-		return place.line && place.linesBefore+1 == trigger.Count
+		return pos.line && pos.linesBefore+1 == trigger.Count
 	case AtFrame:
-		return place.frame && place.framesBefore+1 == trigger.Count
+		return pos.frame && pos.framesBefore+1 == trigger.Count
 	case AtPerformative:
-		if !place.frame || place.code != trigger.Code {
+		if !pos.frame || pos.code != trigger.Code {
 			return false
 		}
 		rule.performatives++
@@ -346,7 +344,7 @@
 	return false
 }
 
-// mergeComplete reports whether two lines or frames wait.
-func (f *Flow) mergeComplete(place mark) bool {
-	return bytes.Count(f.merged, []byte{'\n'}) >= 2 || place.frame && place.framesBefore%2 == 0
+// mergeComplete reports whether two lines or frames are held back.
+func (f *Flow) mergeComplete(pos position) bool {
+	return bytes.Count(f.merged, []byte{'\n'}) >= 2 || pos.frame && pos.framesBefore%2 == 0
 }
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -14,19 +14,19 @@
 	"lockroad/internal/golden"
 )
 
-// An injected fault, and an answer, as a line of JSON with every field set.
+// Guards the JSON encoding of Message, which other programs read, with every field set and with none.
 func TestMessageJSONIsStable(t *testing.T) {
 	full := Message{At: 1, Fault: Cut, Rule: "r", Route: "a", Conn: 2, Direction: "up", Offset: 3, Listen: "l", Target: "t", Conns: 4, Open: 5,
 		Up: 6, Down: 7, Rules: []string{"r"}, Done: "(status)", Error: "e"}
-	for of, i := reflect.ValueOf(full), 0; i < of.NumField(); i++ {
-		if of.Field(i).IsZero() {
-			t.Errorf("the field %s is not set, so its form is not compared", of.Type().Field(i).Tag.Get("json"))
+	for fields, i := reflect.ValueOf(full), 0; i < fields.NumField(); i++ {
+		if fields.Field(i).IsZero() {
+			t.Errorf("field %s is not set, so its encoding is not compared", fields.Type().Field(i).Tag.Get("json"))
 		}
 	}
 	injection := Injection{Location: Location{Route: "a", Conn: 2, Direction: Down}, At: 1500 * time.Microsecond, Kind: Garble, Rule: "r", Offset: 3}
 	var b strings.Builder
-	for _, one := range []Message{full, {}, injection.Message()} {
-		text, err := json.Marshal(one)
+	for _, message := range []Message{full, {}, injection.Message()} {
+		text, err := json.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,7 +35,7 @@
 	golden.Compare(t, "line.jsonl", b.String())
 }
 
-// The control socket's commands and their answers.
+// Guards the answers to the commands of the control socket, which other programs read.
 func TestCommandAnswersAreStable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		proxy := NewProxy(mustParse(t, "(rule a (on-command) (stall)) (rule b (cut rst))"), 1)
@@ -52,18 +52,18 @@
 	})
 }
 
-// The words that scripts are written in, and the forms in which rules are written.
+// Guards the words and syntax of scripts, the help text and the syntax errors.
 func TestScriptVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
 	b.WriteString(Help() + Commands)
 	for _, kind := range []FaultKind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut, Refuse, Mute, QueueFull, Vanish} {
-		fmt.Fprintf(&b, "fault %s, of a door: %v\n", kind, kind.ofListener())
+		fmt.Fprintf(&b, "fault %s, listener: %v\n", kind, kind.ofListener())
 	}
 	for _, kind := range []TriggerKind{FromStart, AtTime, AfterBytes, AtLine, AtFrame, AtPerformative, OnCommand, Chance} {
 		fmt.Fprintf(&b, "trigger %s\n", kind)
 	}
-	for _, d := range []Direction{Up, Down, Both} {
-		fmt.Fprintf(&b, "direction %s\n", d)
+	for _, direction := range []Direction{Up, Down, Both} {
+		fmt.Fprintf(&b, "direction %s\n", direction)
 	}
 	for _, name := range slices.Sorted(maps.Keys(performatives)) {
 		fmt.Fprintf(&b, "performative %s %#x\n", name, performatives[name])
@@ -76,12 +76,12 @@
 		`(rule a (half-close))`, `(rule a (cut fin))`, `(rule a (refuse))`, `(rule a (mute))`, `(rule a (queue-full))`, `(rule a (for 1s) (vanish))`,
 		`(rule a (explode))`, `(rule a (at-performative hello) (stall))`, `(rule a (direction left) (stall))`,
 	} {
-		all, err := ParseRules(script)
+		rules, err := ParseRules(script)
 		if err != nil {
 			fmt.Fprintf(&b, "%s: %v\n", script, err)
 			continue
 		}
-		fmt.Fprintf(&b, "%s\n", all[0])
+		fmt.Fprintf(&b, "%s\n", rules[0])
 	}
 	golden.Compare(t, "vocabulary.txt", b.String())
 }
--- a/internal/faultproxy/listenerfaults.go
+++ b/internal/faultproxy/listenerfaults.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// arm injects or schedules a rule's listener faults at a route. The caller holds mu.
+// arm injects or schedules a rule's listener faults on a route. The caller holds mu.
 func (p *Proxy) arm(rule *Rule, r *route) {
 	if !rule.isForRoute(r.Name) {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// atScriptTime calls do at a time of the script's clock, which may be restarted meanwhile.
+// atScriptTime calls do at a time of the script's clock, even if the clock is reset meanwhile.
 func (p *Proxy) atScriptTime(at time.Duration, do func()) {
 	p.after(at-p.now(), func() {
 		if p.now() < at {
@@ -37,7 +37,7 @@
 	})
 }
 
-// after calls do with mu held after a time, unless the proxy is closed.
+// after calls do with mu held once wait has passed, unless the proxy is closed by then.
 func (p *Proxy) after(wait time.Duration, do func()) {
 	p.running.Go(func() {
 		select {
@@ -53,7 +53,7 @@
 	})
 }
 
-// inject begins a listener fault, and schedules its end. The caller holds mu.
+// inject starts a listener fault and schedules its end. The caller holds mu.
 func (p *Proxy) inject(rule *Rule, kind FaultKind, r *route) {
 	if p.OnInjection != nil {
 		p.OnInjection(Injection{Rule: rule.Name, Kind: kind, Location: Location{Route: r.Name, Direction: Both}, At: p.now()})
@@ -64,7 +64,7 @@
 	}
 }
 
-// changeFault begins (by 1) or ends (by -1) a listener fault. The caller holds mu.
+// changeFault starts (by 1) or ends (by -1) a listener fault. The caller holds mu.
 func (r *route) changeFault(kind FaultKind, by int) {
 	switch kind {
 	case Refuse:
@@ -78,9 +78,9 @@
 		r.queueFull = by > 0
 	case Vanish:
 		if by > 0 {
-			r.silences.Add(1)
+			r.vanishes.Add(1)
 		}
-		r.queueFull = by > 0 || r.silences.Load() > 1
+		r.queueFull = by > 0 || r.vanishes.Load() > 1
 	}
 	switch {
 	case r.queueFull && len(r.queueFillers) == 0:
@@ -89,23 +89,23 @@
 		r.releaseQueue()
 	}
 	if r.refusals <= 0 && !r.queueFull && r.listener == nil && !r.proxy.closed {
-		_ = r.listen() // if this fails, connections stay refused, as with a server that can't start
+		_ = r.listen() // on failure connections stay refused
 	}
 	if kind == Vanish && by < 0 {
-		if !r.queueFull { // it returns as another process: what was established is reset
+		if !r.queueFull { // like a restarted process, the target knows no earlier connection
 			for conn := range r.conns {
 				conn.reset()
 			}
 		}
-		r.silences.Add(-1)
+		r.vanishes.Add(-1)
 	}
 }
 
-// fillTimeout bounds each connection that fills a queue.
+// fillTimeout bounds the set-up of each connection that fills an accept queue.
 const fillTimeout = 100 * time.Millisecond
 
-// fillQueue replaces the listener by one with the shortest queue, full: connections are then
-// neither accepted nor refused. The caller holds mu.
+// fillQueue replaces the listener by one with the shortest accept queue and fills it, so that
+// connection attempts time out. The caller holds mu.
 func (r *route) fillQueue() {
 	if r.listener != nil {
 		r.listener.Close()
@@ -119,7 +119,7 @@
 	if err != nil {
 		return
 	}
-	_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) // without it Bind may fail, which is checked
+	_ = syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1) // without it Bind may fail, which is checked below
 	at := &syscall.SockaddrInet4{Port: address.Port}
 	copy(at.Addr[:], address.IP.To4())
 	if syscall.Bind(fd, at) != nil || syscall.Listen(fd, 0) != nil {
@@ -127,14 +127,14 @@
 		return
 	}
 	r.queueFillers = append(r.queueFillers, fullListener(fd))
-	for range 2 { // a queue of none holds one, on Linux
+	for range 2 { // on Linux a backlog of 0 holds one connection
 		if conn, err := net.DialTimeout("tcp", r.Listen, fillTimeout); err == nil {
 			r.queueFillers = append(r.queueFillers, conn)
 		}
 	}
 }
 
-// releaseQueue closes what fillQueue opened, the connections first. The caller holds mu.
+// releaseQueue closes what fillQueue opened, the connections before the listener. The caller holds mu.
 func (r *route) releaseQueue() {
 	for _, filler := range slices.Backward(r.queueFillers) {
 		filler.Close()
@@ -142,8 +142,8 @@
 	r.queueFillers = nil
 }
 
-// fullListener is a listening socket that nobody accepts from. It is a net.Conn only to be
-// kept and closed with the connections that fill it.
+// fullListener is a listening socket that is never accepted from. It implements net.Conn so
+// that it can be stored and closed together with the connections that fill its queue.
 type fullListener int
 
 func (l fullListener) Close() error                   { return syscall.Close(int(l)) }
--- a/internal/faultproxy/parse.go
+++ b/internal/faultproxy/parse.go
@@ -9,8 +9,8 @@
 	"lockroad/internal/sexp"
 )
 
-// ParseRules reads a script: (rule NAME FORM ...), any number of them, with different names.
-// An error is a *sexp.Error, which names line and column.
+// ParseRules parses a script: any number of (rule NAME FORM ...) with distinct names. Its
+// errors are of type *sexp.Error, with line and column.
 func ParseRules(source string) ([]*Rule, error) {
 	nodes, err := sexp.Parse(source)
 	if err != nil {
@@ -23,7 +23,7 @@
 			return nil, err
 		}
 		if slices.ContainsFunc(rules, func(other *Rule) bool { return other.Name == rule.Name }) {
-			return nil, node.Errorf("there are two rules called %q", rule.Name)
+			return nil, node.Errorf("duplicate rule name %q", rule.Name)
 		}
 		rules = append(rules, rule)
 	}
@@ -54,17 +54,17 @@
 	return rule, nil
 }
 
-// check reports what is wrong with a rule as a whole.
+// check returns an error if the rule's forms don't go together.
 func (r *Rule) check(node *sexp.Node) error {
 	if len(r.Faults) == 0 {
-		return node.Errorf("rule %q does nothing; it wants a fault such as (cut rst)", r.Name)
+		return node.Errorf("rule %q has no fault; expected one such as (cut rst)", r.Name)
 	}
 	for _, fault := range r.Faults {
 		if trigger := r.Trigger.Kind; fault.Kind.ofListener() && trigger != FromStart && trigger != AtTime && trigger != OnCommand {
-			return node.Errorf("%s is of a route's door: it goes with at, on-command or no trigger", fault.Kind)
+			return node.Errorf("%s is a listener fault; its trigger must be at, on-command or none", fault.Kind)
 		}
 		if r.For == 0 && (fault.Kind == Vanish || fault.Kind == Pause) {
-			return node.Errorf("%s wants a (for TIME)", fault.Kind)
+			return node.Errorf("%s requires (for TIME)", fault.Kind)
 		}
 	}
 	return nil
@@ -76,7 +76,8 @@
 	triggered bool // a trigger has been set
 }
 
-// faultForms are the arguments of faults: the words of Mode, then a count (N) or a duration (D).
+// faultForms lists the arguments of each fault: the values of Mode, then counts (N) and
+// durations (D).
 var faultForms = map[FaultKind]struct {
 	modes []string
 	args  string
@@ -86,25 +87,26 @@
 	Latency: {nil, "D"}, Drip: {nil, "N D"}, Cut: {[]string{"rst", "fin"}, ""},
 }
 
-// Help lists the forms of a rule.
+// Help returns the help text of the forms of a rule.
 func Help() string {
 	return `(rule NAME FORM ...) where a FORM is one of
-where:  (route NAME ...) (direction up|down|both) (conn N ...) (every N) (first "BYTES") (fraction PERCENT)
+match:  (route NAME ...) (direction up|down|both) (conn N ...) (every N) (first "BYTES") (fraction PERCENT)
 when:   (at TIME) (after-bytes N) (at-line N) (at-frame N) (at-performative NAME [N]) (on-command) (chance PERCENT)
-long:   (for TIME)
+lasts:  (for TIME)
 bytes:  (swallow) (garble flip|insert|drop|duplicate N) (stall) (pause) (merge) (split N)
         (latency TIME [JITTER [uniform|normal|exponential]]) (bandwidth BYTES-A-SECOND) (drip N TIME)
 ends:   (half-close) (cut rst|fin)
-doors:  (refuse) (mute) (queue-full) (vanish)
-Without a when, a rule holds from the start; without a long, to the connection's end.
+listen: (refuse) (mute) (queue-full) (vanish)
+Without a trigger (when), a rule applies from the start. Without (for TIME), it applies until the
+connection ends or, for a listener fault (listen), until the rule is cleared.
 `
 }
 
-// form parses one form of a rule; its arguments follow its head.
+// form parses one form of a rule; args are the form's arguments, without its head.
 type form func(p *ruleParser, node *sexp.Node, args []*sexp.Node) error
 
-// conditionForms and triggerForms are the forms of a rule by their heads; all others are
-// faults.
+// conditionForms and triggerForms hold the parsers of a rule's forms by head; all other heads
+// are faults.
 var (
 	conditionForms = map[string]form{
 		"route":     (*ruleParser).parseRoute,
@@ -152,7 +154,7 @@
 	}
 	i := slices.Index(Directions[:], value)
 	if i < 0 {
-		return args[0].Errorf("%q is no direction; expected up, down or both", value)
+		return args[0].Errorf("invalid direction %q; expected up, down or both", value)
 	}
 	p.rule.Direction = Direction(i)
 	return nil
@@ -160,7 +162,7 @@
 
 func (p *ruleParser) parseConn(node *sexp.Node, args []*sexp.Node) error {
 	if len(args) == 0 {
-		return node.Errorf("conn wants a number")
+		return node.Errorf("conn requires at least one connection number")
 	}
 	for _, argument := range args {
 		number, err := positiveNumber(argument)
@@ -192,10 +194,10 @@
 	return err
 }
 
-// setTrigger sets the rule's trigger, of which it has one at most.
+// setTrigger sets the rule's trigger; a rule has at most one.
 func (p *ruleParser) setTrigger(node *sexp.Node, trigger Trigger) error {
 	if p.triggered {
-		return node.Errorf("rule %q has a trigger already", p.rule.Name)
+		return node.Errorf("rule %q already has a trigger", p.rule.Name)
 	}
 	p.triggered = true
 	p.rule.Trigger = trigger
@@ -210,7 +212,7 @@
 	return p.setTrigger(node, Trigger{Kind: AtTime, At: at})
 }
 
-// parseCount parses the triggers of the nth byte, line or frame.
+// parseCount parses the triggers after-bytes, at-line and at-frame.
 func (p *ruleParser) parseCount(node *sexp.Node, args []*sexp.Node) error {
 	count, err := oneNumber(node, args)
 	if err != nil {
@@ -225,7 +227,7 @@
 
 func (p *ruleParser) parsePerformative(node *sexp.Node, args []*sexp.Node) error {
 	if len(args) < 1 || len(args) > 2 {
-		return node.Errorf("at-performative wants a name, and may have a number")
+		return node.Errorf("at-performative takes a name and an optional number")
 	}
 	name, err := args[0].Value()
 	if err != nil {
@@ -233,7 +235,7 @@
 	}
 	code, ok := performatives[name]
 	if !ok {
-		return args[0].Errorf("the standard has no performative %q", name)
+		return args[0].Errorf("unknown AMQP performative %q", name)
 	}
 	trigger := Trigger{Kind: AtPerformative, Code: code, Count: 1}
 	if len(args) == 2 {
@@ -246,7 +248,7 @@
 
 func (p *ruleParser) parseOnCommand(node *sexp.Node, args []*sexp.Node) error {
 	if len(args) != 0 {
-		return args[0].Errorf("on-command takes no value")
+		return args[0].Errorf("on-command takes no arguments")
 	}
 	return p.setTrigger(node, Trigger{Kind: OnCommand})
 }
@@ -259,13 +261,13 @@
 	return p.setTrigger(node, Trigger{Kind: Chance, Probability: probability})
 }
 
-// jitterModes are the distributions of a latency's jitter.
+// jitterModes are the distributions of the latency fault's jitter.
 var jitterModes = []string{"uniform", "normal", "exponential"}
 
 func (p *ruleParser) parseFault(node *sexp.Node, kind FaultKind, args []*sexp.Node) (err error) {
 	form, ok := faultForms[kind]
 	if !ok {
-		return node.List.Items[0].Errorf("there is no form %q; faultproxy forms lists those there are", kind)
+		return node.List.Items[0].Errorf("unknown form %q; run faultproxy forms for a list", kind)
 	}
 	fault := Fault{Kind: kind}
 	if form.modes != nil {
@@ -273,13 +275,13 @@
 			return err
 		}
 	}
-	if kind == Latency && len(args) > 1 { // jitter and its distribution may follow
+	if kind == Latency && len(args) > 1 { // followed by jitter and, optionally, its distribution
 		if args, err = fault.parseJitter(args); err != nil {
 			return err
 		}
 	}
 	if want := strings.Fields(form.args); len(args) != len(want) {
-		return node.Errorf("%s wants %d values here, and has %d", kind, len(want), len(args))
+		return node.Errorf("%s expects %d numbers or times, got %d", kind, len(want), len(args))
 	}
 	for i, argument := range strings.Fields(form.args) {
 		if argument == "N" {
@@ -295,21 +297,21 @@
 	return nil
 }
 
-// parseMode reads the mode, and returns the arguments after it.
+// parseMode parses the fault's mode and returns the arguments after it.
 func (f *Fault) parseMode(node *sexp.Node, args []*sexp.Node, modes []string) (rest []*sexp.Node, err error) {
 	if len(args) == 0 {
-		return nil, node.Errorf("%s wants one of %s", f.Kind, strings.Join(modes, ", "))
+		return nil, node.Errorf("%s requires one of %s", f.Kind, strings.Join(modes, ", "))
 	}
 	if f.Mode, err = args[0].Value(); err != nil {
 		return nil, err
 	}
 	if !slices.Contains(modes, f.Mode) {
-		return nil, args[0].Errorf("%s is never %q; expected one of %s", f.Kind, f.Mode, strings.Join(modes, ", "))
+		return nil, args[0].Errorf("%s has no mode %q; expected one of %s", f.Kind, f.Mode, strings.Join(modes, ", "))
 	}
 	return args[1:], nil
 }
 
-// parseJitter reads a latency's jitter and distribution, and returns the arguments before them.
+// parseJitter parses a latency's jitter and distribution and returns the arguments before them.
 func (f *Fault) parseJitter(args []*sexp.Node) (rest []*sexp.Node, err error) {
 	if f.Jitter, err = args[1].Duration(); err != nil {
 		return nil, err
@@ -320,7 +322,7 @@
 			return nil, err
 		}
 		if !slices.Contains(jitterModes, f.Mode) {
-			return nil, args[2].Errorf("%q is no distribution; expected uniform, normal or exponential", f.Mode)
+			return nil, args[2].Errorf("unknown distribution %q; expected uniform, normal or exponential", f.Mode)
 		}
 	}
 	return args[:1], nil
@@ -328,7 +330,7 @@
 
 func oneValue(node *sexp.Node, args []*sexp.Node) (string, error) {
 	if len(args) != 1 {
-		return "", node.Errorf("%s wants one value, and has %d", node.List.Items[0], len(args))
+		return "", node.Errorf("%s expects one value, got %d", node.List.Items[0], len(args))
 	}
 	return args[0].Value()
 }
@@ -336,7 +338,7 @@
 func positiveNumber(node *sexp.Node) (uint64, error) {
 	value, err := node.Whole()
 	if err == nil && value == 0 {
-		err = node.Errorf("0 is too little; expected 1 or more")
+		err = node.Errorf("expected a number of 1 or more, got 0")
 	}
 	return value, err
 }
@@ -362,7 +364,7 @@
 	}
 	value, err := strconv.ParseFloat(word, 64)
 	if err != nil || !(value >= 0 && value <= 100) {
-		return 0, args[0].Errorf("%q is no part of 100", word)
+		return 0, args[0].Errorf("%q is not a percentage from 0 to 100", word)
 	}
 	return value / 100, nil
 }
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -10,32 +10,32 @@
 	"time"
 )
 
-// Route is a listener, and the target that its connections are passed to.
+// Route is a listener and the target that its connections are forwarded to.
 type Route struct {
 	Name   string
-	Listen string // host:port; port 0 for a free one
+	Listen string // host:port; port 0 picks a free one
 	Target string
 }
 
-// Proxy passes connections between routes' listeners and targets, and injects the faults of
-// its rules. It is safe for concurrent use.
+// Proxy forwards connections from its routes' listeners to their targets and injects the
+// faults of its rules. It is safe for concurrent use.
 type Proxy struct {
 	Seed        uint64
-	OnInjection func(Injection) // is called for each fault, and must not block. Set before the first route
+	OnInjection func(Injection) // called for each fault; must not block. Set before the first OpenRoute
 
 	mu          sync.Mutex // guards the fields below, and the routes
 	rules       []*Rule
 	startedAt   time.Time
-	clockOffset atomic.Int64 // of the script's clock, in nanoseconds after startedAt
+	clockOffset atomic.Int64 // start of the script's clock, in nanoseconds after startedAt
 	routes      map[string]*route
-	triggered   map[string]bool // names of rules that a command triggered, for connections to come
+	triggered   map[string]bool // names of rules that a command triggered, which apply to new connections
 	closed      bool
 	running     sync.WaitGroup // all goroutines; Close waits for them
 	ctx         context.Context
 	cancel      context.CancelFunc
 }
 
-// NewProxy returns a proxy with the rules of a script, whose clock starts now.
+// NewProxy returns a proxy with the given rules. The script's clock starts now.
 func NewProxy(rules []*Rule, seed uint64) *Proxy {
 	p := &Proxy{Seed: seed, rules: slices.Clone(rules), startedAt: time.Now(), routes: make(map[string]*route), triggered: make(map[string]bool)}
 	p.ctx, p.cancel = context.WithCancel(context.Background())
@@ -47,21 +47,21 @@
 	return time.Since(p.startedAt) - time.Duration(p.clockOffset.Load())
 }
 
-// ResetClock sets the script's clock to zero. What waits for a time on it goes on waiting.
+// ResetClock sets the script's clock to zero. Pending times are relative to the new start.
 func (p *Proxy) ResetClock() { p.clockOffset.Store(int64(time.Since(p.startedAt))) }
 
-// OpenRoute opens a route and returns the address of its listener.
+// OpenRoute opens a route's listener and returns its address.
 func (p *Proxy) OpenRoute(config Route) (string, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.routes[config.Name] != nil {
-		return "", fmt.Errorf("route %s is open already", config.Name)
+		return "", fmt.Errorf("route %s is already open", config.Name)
 	}
 	r := &route{Route: config, proxy: p, conns: make(map[*connection]struct{})}
 	if err := r.listen(); err != nil {
 		return "", fmt.Errorf("route %s: %w", config.Name, err)
 	}
-	r.Listen = r.listener.Addr().String() // it stays the same when the listener is opened again
+	r.Listen = r.listener.Addr().String() // reused when the listener is reopened
 	p.routes[config.Name] = r
 	for _, rule := range p.rules {
 		p.arm(rule, r)
@@ -69,7 +69,7 @@
 	return r.Listen, nil
 }
 
-// eachStream calls do for every direction of every connection. The caller holds the lock.
+// eachStream calls do for each direction of each connection. The caller holds mu.
 func (p *Proxy) eachStream(do func(*stream)) {
 	for _, r := range p.routes {
 		for conn := range r.conns {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Add adds rules, for present connections as well. A rule replaces one of the same name.
+// Add adds rules for new and existing connections. A rule replaces one of the same name.
 func (p *Proxy) Add(rules ...*Rule) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,8 +101,8 @@
 	}
 }
 
-// Trigger triggers the rules of a name that wait for it, for present connections and, unless
-// the rule has a duration or ends connections, for those to come. It fails if there is none.
+// Trigger triggers the on-command rule of a name for existing connections and, unless the rule
+// has a duration or ends connections, for new ones. It fails if there is no such rule.
 func (p *Proxy) Trigger(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,7 +131,7 @@
 		for _, op := range ops {
 			select {
 			case s.queue <- op:
-			default: // full: the writer is behind, and its connection is reset where it is
+			default: // full: the connection is reset, since waiting would hold mu
 				go s.conn.reset()
 			}
 		}
@@ -140,14 +140,14 @@
 	return nil
 }
 
-// Clear ends the rules of a name, or all if it is empty; listener faults end as well.
+// Clear removes the rules of a name, or all if it is empty, and ends their faults.
 func (p *Proxy) Clear(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.clear(name)
 }
 
-// clear ends rules. The caller holds mu.
+// clear does what Clear does. The caller holds mu.
 func (p *Proxy) clear(name string) {
 	for _, rule := range p.rules {
 		if name == "" || rule.Name == name {
@@ -167,8 +167,8 @@
 	})
 }
 
-// endListenerFaults ends those of a rule's faults that don't end by themselves. The caller
-// holds mu.
+// endListenerFaults ends a rule's active listener faults, unless they end after a duration.
+// The caller holds mu.
 func (p *Proxy) endListenerFaults(rule *Rule) {
 	if rule.For != 0 || rule.Trigger.Kind != FromStart && !p.triggered[rule.Name] {
 		return
@@ -185,16 +185,16 @@
 	}
 }
 
-// RouteStatus says what a route has passed.
+// RouteStatus reports a route's connections and traffic.
 type RouteStatus struct {
 	Route
-	Conns uint64 // accepted since the start
-	Open  int    // connections now
-	Up    uint64 // bytes
-	Down  uint64
+	Conns uint64 // accepted since the route was opened
+	Open  int    // connections that are open now
+	Up    uint64 // bytes received from clients
+	Down  uint64 // bytes received from targets
 }
 
-// Status returns the routes, sorted by name, and the rules in force.
+// Status returns the routes, sorted by name, and the current rules.
 func (p *Proxy) Status() ([]RouteStatus, []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,7 +210,7 @@
 	return all, rules
 }
 
-// ResetRoute resets all connections of a route.
+// ResetRoute resets all connections of a route; the route stays open.
 func (p *Proxy) ResetRoute(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -221,7 +221,7 @@
 	}
 }
 
-// CloseRoute closes a route for good.
+// CloseRoute closes a route's listener, resets its connections and removes the route.
 func (p *Proxy) CloseRoute(name string) {
 	p.ResetRoute(name)
 	p.mu.Lock()
@@ -235,7 +235,7 @@
 	}
 }
 
-// Close closes all listeners, ends all connections, and waits for all goroutines.
+// Close closes all listeners and connections and waits for all goroutines.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -23,17 +23,17 @@
 	Fatal(...any)
 }, script string) []*Rule {
 	t.Helper()
-	all, err := ParseRules(script)
+	rules, err := ParseRules(script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return all
+	return rules
 }
 
-// describe writes operations in a line: a write as its time, its bytes and their packet's end.
-func describe(all []Op) string {
+// describe formats operations: a write as "TIME:DATA|", any other as "TIME:KIND".
+func describe(operations []Op) string {
 	var b strings.Builder
-	for _, op := range all {
+	for _, op := range operations {
 		switch op.Kind {
 		case OpWrite:
 			fmt.Fprintf(&b, "%v:%s|", op.At, op.Data)
@@ -44,10 +44,10 @@
 	return b.String()
 }
 
-func TestByteFaults(t *testing.T) {
-	for _, conn := range []struct {
+func TestFlowAppliesFaultsOfBytesAndConnections(t *testing.T) {
+	for _, test := range []struct {
 		script string
-		feeds  []string // a tenth of a second apart
+		feeds  []string // received 100 ms apart
 		want   string
 	}{
 		{`(rule a (at-line 2) (cut rst))`, []string{"one\ntwo\nthree"}, "0s:one\n|0s:rst"},
@@ -72,63 +72,63 @@
 		{`(rule a (route r1) (conn 1) (first "a") (direction up) (every 1) (swallow))`, []string{"ab"}, ""},
 	} {
 		var injections []Injection
-		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, conn.script), 1, []byte(conn.feeds[0]), func(d Injection) { injections = append(injections, d) })
+		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, test.script), 1, []byte(test.feeds[0]), func(injection Injection) { injections = append(injections, injection) })
 		got, now := "", time.Duration(0)
-		for i, b := range conn.feeds {
+		for i, b := range test.feeds {
 			now = time.Duration(i) * 100 * ms
 			got += describe(f.Due(now)) + describe(f.Feed(now, []byte(b)))
 		}
 		if rest := describe(f.End(now + 100*ms)); rest != "" {
 			got += "end " + rest
 		}
-		if got != conn.want {
-			t.Errorf("%s: got %q, want %q", conn.script, got, conn.want)
+		if got != test.want {
+			t.Errorf("%s: got %q, want %q", test.script, got, test.want)
 		}
-		if changed := conn.want != "0s:"+strings.Join(conn.feeds, "|")+"|"; changed != (len(injections) > 0) {
-			t.Errorf("%s: told %+v", conn.script, injections)
+		if changed := test.want != "0s:"+strings.Join(test.feeds, "|")+"|"; changed != (len(injections) > 0) {
+			t.Errorf("%s: reported injections %+v, although the output changed is %v", test.script, injections, changed)
 		}
 	}
 }
 
-func TestCommandsAndTimers(t *testing.T) {
+func TestFlowTriggersByCommandAndClock(t *testing.T) {
 	f := NewFlow(Location{"r", 1, Up}, mustParse(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
 	feed := func(at time.Duration, b string) string { return describe(f.Feed(at, []byte(b))) }
 	if got := feed(0, "x"); got != "0s:x|" {
-		t.Errorf("before the command: %q", got)
+		t.Errorf("before the command: got %q, want the byte forwarded", got)
 	}
 	f.Trigger("a", 0)
 	if got := feed(500*ms, "x") + feed(1100*ms, "y"); got != "1.1s:y|" {
-		t.Errorf("after it: %q", got)
+		t.Errorf("after the command: got %q, want the first byte swallowed and the second forwarded", got)
 	}
 	if next, found := f.NextDue(1200 * ms); !found || next != 5*time.Second {
-		t.Errorf("next is %v, %v", next, found)
+		t.Errorf("NextDue returned %v, %v; want 5s, true", next, found)
 	}
 	f.Trigger("c", 2*time.Second)
 	if stalled, until := f.Stalled(2 * time.Second); !stalled || until != 0 {
-		t.Errorf("stalled %v until %v", stalled, until)
+		t.Errorf("Stalled returned %v, %v; want true, 0s", stalled, until)
 	}
 	f.Clear("c")
 	if stalled, _ := f.Stalled(2 * time.Second); stalled {
-		t.Error("it is stalled still")
+		t.Error("the flow is stalled after the rule was cleared")
 	}
 	if got := describe(f.Due(5 * time.Second)); got != "5s:rst" {
-		t.Errorf("at its time: %q", got)
+		t.Errorf("at the time of rule b: got %q, want a reset", got)
 	}
 	if _, found := f.Trigger("nobody", 0); found {
-		t.Error("a command that nobody waits for was found")
+		t.Error("Trigger found a rule of an unknown name")
 	}
 }
 
-// The output does not depend on the packets that the input arrives in; a second run with
-// the same seed does the same, another seed something else.
+// Guards against output that depends on how the input is split into packets, or that does not
+// depend on the seed.
 func TestFaultsAreDeterministic(t *testing.T) {
 	text := []byte(strings.Repeat("a line of some length\nb\n", 40))
 	script := `(rule flip (chance 20) (garble flip 3)) (rule insert (at-line 7) (garble insert 4)) (rule drop (after-bytes 200) (garble drop 9)) (rule cut (at-line 70) (cut rst))`
-	run := func(seed uint64, cut func(left int) int) string {
+	run := func(seed uint64, packetSize func(left int) int) string {
 		f := NewFlow(Location{"r", 3, Down}, mustParse(t, script), seed, nil, nil)
 		var out bytes.Buffer
 		for b := text; len(b) > 0; {
-			n := cut(len(b))
+			n := packetSize(len(b))
 			for _, op := range f.Feed(0, b[:n]) {
 				fmt.Fprint(&out, map[OpKind]string{OpRST: "[rst]"}[op.Kind])
 				out.Write(op.Data)
@@ -139,16 +139,16 @@
 	}
 	whole := run(7, func(left int) int { return left })
 	if whole == run(8, func(left int) int { return left }) || !strings.HasSuffix(whole, "[rst]") || whole == string(text) {
-		t.Error("the seed makes no difference, or nothing is done")
+		t.Error("the seed makes no difference, or the faults were not injected")
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		if got := run(7, func(left int) int { return rapid.IntRange(1, left).Draw(rt, "n") }); got != whole {
-			rt.Fatalf("in packets %q, whole %q", got, whole)
+			rt.Fatalf("split into packets: got %q, want as in one packet: %q", got, whole)
 		}
 	})
 }
 
-// Splitting and holding frames back changes no byte, whatever the packets.
+// Guards against splitting and held-back frame starts that change, lose or reorder bytes.
 func TestFramesPassUnchanged(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := []byte("AMQP\x03\x01\x00\x00")
@@ -159,67 +159,67 @@
 		in = append(in, rapid.SliceOfN(rapid.Byte(), 0, 5).Draw(rt, "rest")...)
 		f := NewFlow(Location{"r", 1, Up}, mustParse(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
 		var out []byte
-		take := func(all []Op) {
-			for _, op := range all {
+		collect := func(operations []Op) {
+			for _, op := range operations {
 				out = append(out, op.Data...)
 			}
 		}
 		swallowed := false
-		f.notify = func(d Injection) { swallowed = swallowed || d.Kind == Swallow }
+		f.notify = func(injection Injection) { swallowed = swallowed || injection.Kind == Swallow }
 		for b := in; len(b) > 0; {
 			n := rapid.IntRange(1, len(b)).Draw(rt, "n")
-			take(f.Feed(0, b[:n]))
+			collect(f.Feed(0, b[:n]))
 			b = b[n:]
 		}
-		take(f.End(0))
+		collect(f.End(0))
 		if !swallowed && !bytes.Equal(in, out) {
-			rt.Fatalf("%q came out as %q", in, out)
+			rt.Fatalf("input %q was forwarded as %q", in, out)
 		}
 	})
 }
 
-func TestScriptErrorsNameTheirPosition(t *testing.T) {
+func TestParseRulesErrorsAndRoundTrip(t *testing.T) {
 	for script, want := range map[string]string{
 		"(rule)":                                   "line 1, column 1: expected (rule NAME FORM ...)",
-		"(rule a (cut))":                           "line 1, column 9: cut wants one of rst, fin",
-		"(rule a (cut off))":                       `line 1, column 14: cut is never "off"`,
-		"(rule a (direction left) (stall))":        `line 1, column 20: "left" is no direction`,
-		"(rule a\n (explode))":                     `line 2, column 3: there is no form "explode"`,
-		"(rule a (at 1s) (at 2s) (stall))":         `line 1, column 17: rule "a" has a trigger already`,
-		"(rule a (at 1s))":                         `line 1, column 1: rule "a" does nothing`,
-		"(rule a (at-line 0) (stall))":             "line 1, column 18: 0 is too little",
-		"(rule a (at-performative hello) (stall))": `line 1, column 26: the standard has no performative "hello"`,
-		"(rule a (fraction 101) (stall))":          `line 1, column 19: "101" is no part of 100`,
-		"(rule a (at-line 2) (refuse))":            "line 1, column 1: refuse is of a route's door",
-		"(rule a (vanish))":                        "line 1, column 1: vanish wants a (for TIME)",
-		"(rule a (latency 1s 2s odd))":             `line 1, column 24: "odd" is no distribution`,
-		"(rule a (drip 5))":                        "line 1, column 9: drip wants 2 values here, and has 1",
-		"(rule a (stall)) (rule a (stall))":        `line 1, column 18: there are two rules called "a"`,
-		"(rule a (stall 3))":                       "line 1, column 9: stall wants 0 values here, and has 1",
+		"(rule a (cut))":                           "line 1, column 9: cut requires one of rst, fin",
+		"(rule a (cut off))":                       `line 1, column 14: cut has no mode "off"`,
+		"(rule a (direction left) (stall))":        `line 1, column 20: invalid direction "left"`,
+		"(rule a\n (explode))":                     `line 2, column 3: unknown form "explode"`,
+		"(rule a (at 1s) (at 2s) (stall))":         `line 1, column 17: rule "a" already has a trigger`,
+		"(rule a (at 1s))":                         `line 1, column 1: rule "a" has no fault`,
+		"(rule a (at-line 0) (stall))":             "line 1, column 18: expected a number of 1 or more, got 0",
+		"(rule a (at-performative hello) (stall))": `line 1, column 26: unknown AMQP performative "hello"`,
+		"(rule a (fraction 101) (stall))":          `line 1, column 19: "101" is not a percentage from 0 to 100`,
+		"(rule a (at-line 2) (refuse))":            "line 1, column 1: refuse is a listener fault",
+		"(rule a (vanish))":                        "line 1, column 1: vanish requires (for TIME)",
+		"(rule a (latency 1s 2s odd))":             `line 1, column 24: unknown distribution "odd"`,
+		"(rule a (drip 5))":                        "line 1, column 9: drip expects 2 numbers or times, got 1",
+		"(rule a (stall)) (rule a (stall))":        `line 1, column 18: duplicate rule name "a"`,
+		"(rule a (stall 3))":                       "line 1, column 9: stall expects 0 numbers or times, got 1",
 	} {
-		if env, err := ParseRules(script); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%s: %v, %v, want %s", script, env, err, want)
+		if rules, err := ParseRules(script); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("%s: got rules %v, error %v; want error %s", script, rules, err, want)
 		}
 	}
 	for _, script := range []string{
 		`(rule a (route x y) (direction down) (conn 1 3) (every 2) (first "OPEN \"x\"") (fraction 12.5) (at 2s) (for 1m0s) (latency 5ms 2ms normal) (cut rst))`,
 		`(rule b (at-performative attach 2) (garble insert 9) (drip 3 10ms))`, `(rule c (chance 5) (bandwidth 900))`,
 	} {
-		env := mustParse(t, script)
-		if again := mustParse(t, env[0].String()); fmt.Sprintf("%+v", *again[0]) != fmt.Sprintf("%+v", *env[0]) {
-			t.Errorf("%s was written as %s", script, env[0])
+		rules := mustParse(t, script)
+		if again := mustParse(t, rules[0].String()); fmt.Sprintf("%+v", *again[0]) != fmt.Sprintf("%+v", *rules[0]) {
+			t.Errorf("%s was formatted as %s, which parses to another rule", script, rules[0])
 		}
 	}
 }
 
-// environment is a proxy before a server that echoes, or does as a test says.
+// environment is a proxy in front of a server that echoes or hands its connections to the test.
 type environment struct {
 	t          *testing.T
 	proxy      *Proxy
 	address    string
 	mu         sync.Mutex
 	injections []Injection
-	accepted   chan *net.TCPConn // connections at the server, where nobody echoes
+	accepted   chan *net.TCPConn // the server's connections, unless it echoes
 }
 
 func newEnvironment(t *testing.T, script string, echo bool) *environment {
@@ -229,8 +229,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all sync.WaitGroup
-	all.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
@@ -240,22 +240,22 @@
 				env.accepted <- conn.(*net.TCPConn)
 				continue
 			}
-			all.Go(func() {
+			running.Go(func() {
 				defer conn.Close()
 				_, _ = io.Copy(conn, conn)
 			})
 		}
 	})
 	env.proxy = NewProxy(mustParse(t, script), 1)
-	env.proxy.OnInjection = func(d Injection) {
+	env.proxy.OnInjection = func(injection Injection) {
 		env.mu.Lock()
 		defer env.mu.Unlock()
-		env.injections = append(env.injections, d)
+		env.injections = append(env.injections, injection)
 	}
 	if env.address, err = env.proxy.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { env.proxy.Close(); l.Close(); all.Wait() })
+	t.Cleanup(func() { env.proxy.Close(); l.Close(); running.Wait() })
 	return env
 }
 
@@ -277,7 +277,7 @@
 	return conn
 }
 
-// exchange sends a text and returns what comes back until the end, and how it ends.
+// exchange sends text, half-closes, and returns what is received and how the connection ends.
 func exchange(conn *net.TCPConn, text string) string {
 	io.WriteString(conn, text)
 	conn.CloseWrite()
@@ -293,7 +293,7 @@
 	return string(b)
 }
 
-func TestProxyAppliesFlows(t *testing.T) {
+func TestProxyInjectsFaults(t *testing.T) {
 	for script, want := range map[string]string{
 		"": "one\ntwo\n", `(rule a (direction up) (at-line 2) (garble drop 2))`: "one\no\n",
 		`(rule a (direction down) (after-bytes 4) (cut fin))`: "one\n",
@@ -308,58 +308,58 @@
 	}
 	env := newEnvironment(t, `(rule a (direction up) (after-bytes 4) (cut rst))`, true)
 	if got := exchange(env.dial(), "one\ntwo\n"); !strings.HasSuffix(got, "[reset]") {
-		t.Errorf("a reset: got %q", got)
+		t.Errorf("cut rst: got %q, want a reset at the end", got)
 	}
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	if len(env.injections) != 1 || env.injections[0].Kind != Cut || env.injections[0].Offset != 4 || env.injections[0].Conn != 1 || env.injections[0].Rule != "a" {
-		t.Errorf("told %+v", env.injections)
+		t.Errorf("cut rst: reported injections %+v; want one by rule a on connection 1 at offset 4", env.injections)
 	}
 }
 
-// One direction ends while the other goes on.
+// Guards against a half-close that also ends the other direction.
 func TestHalfCloseEndsOneDirection(t *testing.T) {
 	env := newEnvironment(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
 	conn := env.dial()
 	s := env.server()
 	io.WriteString(s, "abcdef")
 	if b, err := io.ReadAll(conn); string(b) != "abc" || err != nil {
-		t.Fatalf("the client got %q, %v", b, err)
+		t.Fatalf("the client received %q, error %v; want abc and EOF", b, err)
 	}
 	io.WriteString(conn, "still here")
 	conn.CloseWrite()
 	if b, err := io.ReadAll(s); string(b) != "still here" || err != nil {
-		t.Errorf("the server got %q, %v", b, err)
+		t.Errorf("the server received %q, error %v; want all that the client sent", b, err)
 	}
 }
 
-// A stall fills the sender's window: it can write no more until the stall is cleared.
+// Guards against a stall that reads on or loses bytes: the sender must block until it is cleared.
 func TestStallBlocksTheSender(t *testing.T) {
 	env := newEnvironment(t, `(rule a (direction up) (stall))`, false)
 	conn := env.dial()
 	conn.SetDeadline(time.Now().Add(300 * ms))
-	const most = 64 << 20
-	n, err := conn.Write(make([]byte, most))
+	const size = 64 << 20
+	n, err := conn.Write(make([]byte, size))
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("wrote %d bytes, %v", n, err)
+		t.Fatalf("wrote %d bytes, error %v; want a timeout", n, err)
 	}
 	env.proxy.Clear("a")
 	s := env.server()
 	conn.Close()
 	if got, err := io.Copy(io.Discard, s); err != nil || got != int64(n) {
-		t.Errorf("of %d bytes %d came, %v", n, got, err)
+		t.Errorf("of %d bytes sent the server received %d, error %v", n, got, err)
 	}
 }
 
 func TestListenerFaults(t *testing.T) {
-	connects := func(at string) string {
-		conn, err := net.DialTimeout("tcp", at, 300*ms)
-		var late net.Error
+	connect := func(address string) string {
+		conn, err := net.DialTimeout("tcp", address, 300*ms)
+		var timeout net.Error
 		switch {
 		case errors.Is(err, syscall.ECONNREFUSED):
 			return "refused"
-		case errors.As(err, &late) && late.Timeout():
-			return "never up"
+		case errors.As(err, &timeout) && timeout.Timeout():
+			return "timeout"
 		case err != nil:
 			return err.Error()
 		}
@@ -373,48 +373,48 @@
 		}
 		return "echo"
 	}
-	for kind, want := range map[string]string{"refuse": "refused", "mute": "mute", "queue-full": "never up"} {
+	for kind, want := range map[string]string{"refuse": "refused", "mute": "mute", "queue-full": "timeout"} {
 		env := newEnvironment(t, fmt.Sprintf("(rule a (on-command) (%s))", kind), true)
-		if got := connects(env.address); got != "echo" {
-			t.Errorf("%s: before it %s", kind, got)
+		if got := connect(env.address); got != "echo" {
+			t.Errorf("%s: before the fault: got %s, want echo", kind, got)
 		}
 		if err := env.proxy.Trigger("a"); err != nil {
 			t.Fatal(err)
 		}
-		if got := connects(env.address); got != want {
-			t.Errorf("%s: got %s", kind, got)
+		if got := connect(env.address); got != want {
+			t.Errorf("%s: during the fault: got %s, want %s", kind, got, want)
 		}
 		env.proxy.Clear("")
-		if got := connects(env.address); got != "echo" {
-			t.Errorf("%s: after it %s", kind, got)
+		if got := connect(env.address); got != "echo" {
+			t.Errorf("%s: after the fault: got %s, want echo", kind, got)
 		}
 	}
 	env := newEnvironment(t, "(rule a (at 100ms) (for 400ms) (vanish))", true)
-	standing := env.dial()
-	io.WriteString(standing, "x")
-	if _, err := io.ReadFull(standing, make([]byte, 1)); err != nil {
+	established := env.dial()
+	io.WriteString(established, "x")
+	if _, err := io.ReadFull(established, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(time.Until(time.Now().Add(200*ms - env.proxy.now())))
-	io.WriteString(standing, "y")
-	standing.SetDeadline(time.Now().Add(100 * ms))
-	if _, err := standing.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("one that has vanished answers: %v", err)
+	io.WriteString(established, "y")
+	established.SetDeadline(time.Now().Add(100 * ms))
+	if _, err := established.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("vanish: read error %v, want a timeout", err)
 	}
-	standing.SetDeadline(time.Now().Add(5 * time.Second))
-	if _, err := standing.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("when it comes back, what stood ends with %v", err)
+	established.SetDeadline(time.Now().Add(5 * time.Second))
+	if _, err := established.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("vanish: the connection ended with %v, want a reset", err)
 	}
-	if got := connects(env.address); got != "echo" {
-		t.Errorf("when it is back: %s", got)
+	if got := connect(env.address); got != "echo" {
+		t.Errorf("after vanish: got %s, want echo", got)
 	}
 	if err := env.proxy.Trigger("a"); err == nil {
-		t.Error("a rule that waits for no command took one")
+		t.Error("a command triggered a rule that has another trigger")
 	}
 }
 
-// BenchmarkProxy sends through a proxy that does nothing, and straight; the ratio is
-// that of the throughputs of echoes one after another.
+// BenchmarkProxy compares sequential echoes through a proxy without rules with direct ones. It
+// reports the ratio of their throughputs.
 func BenchmarkProxy(b *testing.B) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -432,30 +432,30 @@
 	}()
 	p := NewProxy(nil, 1)
 	defer p.Close()
-	at, err := p.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()})
+	address, err := p.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()})
 	if err != nil {
 		b.Fatal(err)
 	}
-	echo := func(b *testing.B, at string, size int) time.Duration {
-		conn, err := net.Dial("tcp", at)
+	echo := func(b *testing.B, address string, size int) time.Duration {
+		conn, err := net.Dial("tcp", address)
 		if err != nil {
 			b.Fatal(err)
 		}
 		defer conn.Close()
 		out, in := make([]byte, size), make([]byte, size)
-		began := time.Now()
+		start := time.Now()
 		for range b.N {
 			go func() { _, _ = conn.Write(out) }()
 			if _, err := io.ReadFull(conn, in); err != nil {
 				b.Fatal(err)
 			}
 		}
-		return time.Since(began)
+		return time.Since(start)
 	}
 	for _, size := range []int{64, 256 << 10} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
-			straight, through := echo(b, l.Addr().String(), size), echo(b, at, size)
-			b.ReportMetric(float64(straight)/float64(through), "throughput-ratio")
+			direct, proxied := echo(b, l.Addr().String(), size), echo(b, address, size)
+			b.ReportMetric(float64(direct)/float64(proxied), "throughput-ratio")
 		})
 	}
 }
--- a/internal/faultproxy/random.go
+++ b/internal/faultproxy/random.go
@@ -1,6 +1,6 @@
 package faultproxy
 
-// hash mixes words into a pseudo-random number.
+// hash derives a pseudo-random number from words; equal words give equal numbers.
 func hash(words ...uint64) uint64 {
 	x := uint64(0x9e3779b97f4a7c15)
 	for _, w := range words {
@@ -11,10 +11,10 @@
 	return x
 }
 
-// uniform returns a pseudo-random number from 0 to 1.
+// uniform derives a pseudo-random number in [0, 1) from words.
 func uniform(words ...uint64) float64 { return float64(hash(words...)>>11) / (1 << 53) }
 
-// hashText is the FNV-1a hash of a text.
+// hashText returns the FNV-1a hash of a string.
 func hashText(s string) uint64 {
 	x := uint64(14695981039346656037)
 	for i := range len(s) {
--- a/internal/faultproxy/route.go
+++ b/internal/faultproxy/route.go
@@ -11,35 +11,35 @@
 	"time"
 )
 
-// route is an open route. Unless said otherwise, its fields are guarded by the proxy's mu.
+// route is an open route. Its fields are guarded by the proxy's mu unless noted otherwise.
 type route struct {
 	Route
 	proxy        *Proxy       // constant
 	listener     net.Listener // nil while connections are refused or not accepted
 	conns        map[*connection]struct{}
-	accepted     uint64     // connections since the start
-	refusals     int        // active faults that refuse connections
-	queueFillers []net.Conn // that fill the listener's queue
-	queueFull    bool
-	mutes        int          // active faults that leave connections unanswered
-	silences     atomic.Int32 // active faults that make the target vanish
-
-	passed [2]atomic.Uint64 // bytes, up and down
+	accepted     uint64       // connections since the route was opened
+	refusals     int          // active refuse faults
+	queueFillers []net.Conn   // the full listener and the connections in its accept queue
+	queueFull    bool         // whether the accept queue is to be full
+	mutes        int          // active mute faults
+	vanishes     atomic.Int32 // active vanish faults; atomic
+
+	passed [2]atomic.Uint64 // bytes received, indexed by Direction
 }
 
 // connection is one connection through a route.
 type connection struct {
 	route   *route
-	number  uint64 // on its route, from 1
+	number  uint64 // of the connection on its route, from 1
 	client  *net.TCPConn
-	target  *net.TCPConn // nil until it is dialled
-	streams [2]*stream   // up and down; nil until both ends are there
-	first   []byte       // what the client sent before its streams began, if rules ask for it
+	target  *net.TCPConn // nil until it is connected
+	streams [2]*stream   // indexed by Direction; nil until the target is connected
+	first   []byte       // the client's first bytes, if a rule depends on them
 	ctx     context.Context
-	cancel  context.CancelFunc // ends the connection
+	cancel  context.CancelFunc // closes the connection
 }
 
-// listen opens the listener. The caller holds the proxy's mu.
+// listen opens the listener and starts accepting. The caller holds the proxy's mu.
 func (r *route) listen() error {
 	listener, err := net.Listen("tcp", r.Listen)
 	if err != nil {
@@ -50,9 +50,9 @@
 	return nil
 }
 
-const acceptRetryWait = time.Millisecond
+const acceptRetryWait = time.Millisecond // after a failed accept
 
-// accept serves a listener's connections until it is closed.
+// accept accepts and serves connections until the listener is closed.
 func (r *route) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -60,14 +60,14 @@
 			if errors.Is(err, net.ErrClosed) || r.proxy.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(acceptRetryWait) // out of descriptors, which is temporary
+			time.Sleep(acceptRetryWait) // such as when file descriptors are exhausted
 			continue
 		}
 		r.proxy.running.Go(func() { r.serve(conn.(*net.TCPConn)) })
 	}
 }
 
-// serve serves one connection until its end.
+// serve forwards one connection until it ends.
 func (r *route) serve(client *net.TCPConn) {
 	defer client.Close()
 	ctx, cancel := context.WithCancel(r.proxy.ctx)
@@ -77,7 +77,7 @@
 	defer r.remove(conn)
 	defer context.AfterFunc(ctx, func() { client.Close() })()
 	if mute {
-		_, _ = io.Copy(io.Discard, client) // accepted, read, and never answered
+		_, _ = io.Copy(io.Discard, client) // a mute fault: input is read and never answered
 		return
 	}
 	if !conn.dial() {
@@ -95,8 +95,8 @@
 	both.Wait()
 }
 
-// add numbers a connection and adds it to the route's. It reports whether the connection is
-// to be left unanswered, and whether any rule depends on what its client sends first.
+// add numbers a connection and adds it to the route. It reports whether a mute fault applies
+// to the connection, and whether any rule depends on the client's first bytes.
 func (r *route) add(conn *connection) (mute, wantsFirst bool) {
 	r.proxy.mu.Lock()
 	defer r.proxy.mu.Unlock()
@@ -112,21 +112,21 @@
 	delete(r.conns, conn)
 }
 
-// dial connects to the target. It reports whether that succeeded.
+// dial connects to the target. On failure it makes the client's connection close by a reset.
 func (c *connection) dial() bool {
 	var dialer net.Dialer
 	target, err := dialer.DialContext(c.ctx, "tcp", c.route.Target)
 	if err != nil {
-		c.client.SetLinger(0) // a reset is as close to a refusal as is possible now
+		c.client.SetLinger(0) // the connection is accepted, so it can no longer be refused
 		return false
 	}
 	c.target = target.(*net.TCPConn)
 	return true
 }
 
-const firstRead = 4 << 10 // bytes
+const firstRead = 4 << 10 // size of the buffer for a client's first bytes
 
-// readFirst reads what the client sends first. It reports whether there is anything.
+// readFirst reads the client's first bytes. It reports whether there are any.
 func (c *connection) readFirst() bool {
 	buffer := make([]byte, firstRead)
 	n, err := c.client.Read(buffer)
@@ -137,7 +137,7 @@
 	return true
 }
 
-// openStreams makes the streams of both directions, with the rules in force.
+// openStreams creates the streams of both directions with the current rules.
 func (c *connection) openStreams() {
 	p := c.route.proxy
 	p.mu.Lock()
@@ -152,7 +152,7 @@
 	}
 }
 
-// reset resets both ends.
+// reset resets the connections to the client and to the target.
 func (c *connection) reset() {
 	c.client.SetLinger(0)
 	if c.target != nil {
@@ -161,4 +161,4 @@
 	c.cancel()
 }
 
-func (r *route) isSilent() bool { return r.silences.Load() > 0 }
+func (r *route) hasVanished() bool { return r.vanishes.Load() > 0 }
--- a/internal/faultproxy/rule.go
+++ b/internal/faultproxy/rule.go
@@ -7,77 +7,77 @@
 	"time"
 )
 
-// Direction of bytes: Up is from who connects to who is connected to.
+// Direction is a direction of a connection.
 type Direction uint8
 
 // The directions of a connection.
 const (
-	Up   Direction = iota // to the side that was connected to
-	Down                  // to the side that connected
-	Both                  // each of the two
+	Up   Direction = iota // from the client to the target
+	Down                  // from the target to the client
+	Both                  // each of them
 )
 
-// Directions are the names of directions, in the order of their values.
+// Directions holds the names of the directions, indexed by Direction.
 var Directions = [...]string{"up", "down", "both"}
 
 // String returns the direction's name.
 func (d Direction) String() string { return Directions[d] }
 
-// TriggerKind is what triggers a rule.
+// TriggerKind is the kind of a trigger.
 type TriggerKind string
 
 // The kinds of trigger.
 const (
-	FromStart      TriggerKind = "start"           // when the connection begins
+	FromStart      TriggerKind = "start"           // when the connection opens
 	AtTime         TriggerKind = "at"              // at a time of the script's clock
-	AfterBytes     TriggerKind = "after-bytes"     // once so many bytes have passed
-	AtLine         TriggerKind = "at-line"         // where the nth line begins
-	AtFrame        TriggerKind = "at-frame"        // where the nth AMQP frame begins
-	AtPerformative TriggerKind = "at-performative" // where the nth frame of that performative begins
-	OnCommand      TriggerKind = "on-command"      // when a command says so
-	Chance         TriggerKind = "chance"          // at each line or frame, with a probability
+	AfterBytes     TriggerKind = "after-bytes"     // after the first Count bytes
+	AtLine         TriggerKind = "at-line"         // at the start of the nth line
+	AtFrame        TriggerKind = "at-frame"        // at the start of the nth AMQP frame
+	AtPerformative TriggerKind = "at-performative" // at the start of the nth AMQP frame with a performative
+	OnCommand      TriggerKind = "on-command"      // on a trigger command
+	Chance         TriggerKind = "chance"          // with a probability at each line or frame
 )
 
-// Trigger is when a rule begins.
+// Trigger says when a rule starts. Which fields are used depends on Kind.
 type Trigger struct {
 	Kind        TriggerKind
-	Count       uint64        // bytes, line, frame, or which of its kind
-	At          time.Duration // since the script's start
-	Probability float64       // of Chance
-	Code        byte          // of AtPerformance
+	Count       uint64        // of bytes, or the number of the line or frame, from 1
+	At          time.Duration // on the script's clock
+	Probability float64       // of Chance, from 0 to 1
+	Code        byte          // of AtPerformative
 }
 
-// FaultKind is what a fault does.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
 // Faults of bytes, in the order in which they are applied, then those of connections,
 // then those of a route's listener.
 const (
-	Swallow   FaultKind = "swallow"    // bytes are read and lost
+	Swallow   FaultKind = "swallow"    // bytes are read and discarded
 	Garble    FaultKind = "garble"     // Mode: flip, insert, drop or duplicate N bytes, once
-	Stall     FaultKind = "stall"      // reads stop, so that the sender's window fills
-	Pause     FaultKind = "pause"      // bytes are held, and come in one burst at the end
-	Merge     FaultKind = "merge"      // a line or frame waits for the next, and both come in one packet
-	Split     FaultKind = "split"      // packets of N bytes at the most
-	Latency   FaultKind = "latency"    // D, with jitter of Jitter by Mode: uniform, normal or exponential
-	Bandwidth FaultKind = "bandwidth"  // N bytes a second
-	Drip      FaultKind = "drip"       // N bytes every D
-	HalfClose FaultKind = "half-close" // this direction ends, the other goes on
-	Cut       FaultKind = "cut"        // Mode: rst or fin; both directions end
+	Stall     FaultKind = "stall"      // reads stop, so that the sender's TCP window closes
+	Pause     FaultKind = "pause"      // bytes are held back until the rule ends
+	Merge     FaultKind = "merge"      // two lines or frames are sent in one packet
+	Split     FaultKind = "split"      // packets have at most N bytes
+	Latency   FaultKind = "latency"    // bytes are delayed by D, with Jitter of distribution Mode
+	Bandwidth FaultKind = "bandwidth"  // at most N bytes per second pass
+	Drip      FaultKind = "drip"       // N bytes pass every D
+	HalfClose FaultKind = "half-close" // this direction is closed, the other stays open
+	Cut       FaultKind = "cut"        // both directions are closed; Mode: rst or fin
 	Refuse    FaultKind = "refuse"     // connections are refused
-	Mute      FaultKind = "mute"       // connections are accepted, and nothing follows
-	QueueFull FaultKind = "queue-full" // the listener's queue is full: connections are never established
-	Vanish    FaultKind = "vanish"     // all is silent and new connections are never established; then all are reset
+	Mute      FaultKind = "mute"       // connections are accepted and never answered
+	QueueFull FaultKind = "queue-full" // the accept queue is full: connection attempts time out
+	Vanish    FaultKind = "vanish"     // nothing passes and connecting times out; at the end, connections are reset
 )
 
-// byteKinds are the faults of bytes and connections; the rest are a listener's.
+// byteKinds are the kinds of byte and connection faults; the others are listener faults.
 var byteKinds = []FaultKind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut}
 
-// ofListener reports whether a fault is of a route's listener.
+// ofListener reports whether a fault applies to a route's listener.
 func (k FaultKind) ofListener() bool { return !slices.Contains(byteKinds, k) }
 
-// Fault is something that is done to bytes, to a connection or to a listener. Which fields
-// are used depends on Kind.
+// Fault is a fault of the bytes of a connection, of the connection or of a listener. Which
+// fields are used depends on Kind.
 type Fault struct {
 	Kind   FaultKind
 	Mode   string
@@ -86,27 +86,27 @@
 	Jitter time.Duration
 }
 
-// Rule says when, where and for how long which faults are done.
+// Rule says which faults are injected into which connections, when and for how long.
 type Rule struct {
 	Name      string
 	Routes    []string // empty: all
 	Direction Direction
 	Conns     []uint64 // numbers of connections on their route, from 1; empty: all
-	Every     uint64   // or each nth; 0: all
-	First     string   // what the connecting side sends first begins with this; empty: anything
-	Fraction  float64  // share of the connections, chosen by the seed; 1: all
+	Every     uint64   // only connections with a number divisible by this; 0: all
+	First     string   // prefix of the client's first bytes; empty: any
+	Fraction  float64  // of the connections, picked at random by the seed; 1: all
 	Trigger   Trigger
-	For       time.Duration // 0: to the connection's end, or of a listener until it is cleared
+	For       time.Duration // 0: until the connection ends or, for a listener fault, the rule is cleared
 	Faults    []Fault
 }
 
-// performatives by their names in the standard (part 2, section 2.7).
+// performatives maps names to descriptor codes (AMQP 1.0, part 2, section 2.7; part 5, section 5.3).
 var performatives = map[string]byte{
 	"open": 0x10, "begin": 0x11, "attach": 0x12, "flow": 0x13, "transfer": 0x14, "disposition": 0x15,
 	"detach": 0x16, "end": 0x17, "close": 0x18, "sasl-mechanisms": 0x40, "sasl-init": 0x41, "sasl-outcome": 0x44,
 }
 
-// String writes a rule as ParseRules reads it.
+// String formats the rule in the syntax of ParseRules.
 func (r *Rule) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "(rule %s", r.Name)
@@ -122,7 +122,7 @@
 	return b.String()
 }
 
-// writeConditions writes which connections a rule is about.
+// writeConditions writes the forms that select connections.
 func (r *Rule) writeConditions(b *strings.Builder) {
 	if len(r.Routes) > 0 {
 		fmt.Fprintf(b, " (route %s)", strings.Join(r.Routes, " "))
@@ -185,7 +185,7 @@
 	b.WriteString(")")
 }
 
-// isForRoute reports whether a rule is about a route.
+// isForRoute reports whether the rule applies to a route.
 func (r *Rule) isForRoute(name string) bool {
 	return len(r.Routes) == 0 || slices.Contains(r.Routes, name)
 }
--- a/internal/faultproxy/scanner.go
+++ b/internal/faultproxy/scanner.go
@@ -5,67 +5,65 @@
 	"encoding/binary"
 )
 
-// mark describes a place in a stream.
-type mark struct {
-	line, frame               bool   // one begins here
-	linesBefore, framesBefore uint64 // that have ended before it
-	code                      byte   // of the frame that begins: its performative's, 0 if not known
+// position describes a position in a stream.
+type position struct {
+	line, frame               bool   // one starts here
+	linesBefore, framesBefore uint64 // number that ended before it
+	code                      byte   // performative of the frame that starts here; 0: unknown
 }
 
-// scanner finds where lines begin or, where rules ask for them, AMQP frames (part 2,
-// section 2.3). To know a frame's performative it holds back the frame's first bytes
-// until they are there.
+// scanner finds the starts of lines or, if wantsFrames is set, of AMQP frames (AMQP 1.0,
+// part 2, section 2.3). It holds back the start of a frame until the performative is known.
 type scanner struct {
 	wantsFrames bool
 	started     bool
 	linesEnded  uint64
-	framesEnded uint64 // frames that have ended
-	remaining   uint64 // bytes of the frame, or the protocol header, that are still to pass
-	inHeader    bool   // it is a protocol header
-	held        []byte // of a frame's head, all that has come
+	framesEnded uint64
+	remaining   uint64 // bytes left of the current frame or protocol header
+	inHeader    bool   // remaining counts a protocol header
+	held        []byte // incomplete start of a frame
 }
 
-// next returns how many of the bytes come before the next mark, at the most limit, and
-// that mark. Without a byte and a mark it wants more bytes.
-func (s *scanner) next(b []byte, limit uint64) (n int, m mark, more bool) {
+// next returns how many bytes, at most limit, precede the next position of interest, and that
+// position. If more is true, it needs more input to tell.
+func (s *scanner) next(b []byte, limit uint64) (n int, m position, more bool) {
 	most := min(uint64(len(b)), limit)
 	if s.wantsFrames {
 		return s.nextFrame(b, most)
 	}
 	if !s.started {
 		s.started = true
-		return 0, mark{line: true}, false
+		return 0, position{line: true}, false
 	}
 	i := bytes.IndexByte(b[:most], '\n')
 	if i < 0 {
-		return int(most), mark{linesBefore: s.linesEnded}, false
+		return int(most), position{linesBefore: s.linesEnded}, false
 	}
 	s.linesEnded++
-	return i + 1, mark{line: true, linesBefore: s.linesEnded}, false
+	return i + 1, position{line: true, linesBefore: s.linesEnded}, false
 }
 
-// nextFrame passes the rest of a frame, or looks at the head of the next: its size (4
-// bytes), data offset, type and channel, and where the body begins the constructor of
-// its performative.
-func (s *scanner) nextFrame(b []byte, most uint64) (n int, m mark, more bool) {
+// nextFrame consumes the rest of a frame, or reads the start of the next one: its size (4
+// bytes), data offset, type and channel, then the descriptor of its performative.
+func (s *scanner) nextFrame(b []byte, most uint64) (n int, m position, more bool) {
 	if s.remaining > 0 {
 		n := min(s.remaining, most)
 		if s.remaining -= n; s.remaining == 0 && !s.inHeader {
 			s.framesEnded++
 		}
-		return int(n), mark{framesBefore: s.framesEnded}, false
+		return int(n), position{framesBefore: s.framesEnded}, false
 	}
 	if s.inHeader = bytes.HasPrefix(b, []byte("AMQP")); s.inHeader {
 		s.remaining = 8
-		return 0, mark{framesBefore: s.framesEnded}, false
+		return 0, position{framesBefore: s.framesEnded}, false
 	}
 	if len(b) < 5 {
-		return 0, mark{}, true
+		return 0, position{}, true
 	}
 	size, body := uint64(binary.BigEndian.Uint32(b)), 4*int(b[4])
 	if uint64(body)+3 <= size {
 		if len(b) < body+3 {
-			return 0, mark{}, true
+			return 0, position{}, true
 		}
 		if b[body] == 0 && b[body+1] == 0x53 {
 			m.code = b[body+2]
--- a/internal/faultproxy/shaping.go
+++ b/internal/faultproxy/shaping.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// activeFault returns the active fault of a kind, and its rule, if there is one now.
+// activeFault returns the first active fault of a kind and its rule, if there is one.
 func (f *Flow) activeFault(kind FaultKind) (*activeRule, Fault, bool) {
 	for _, rule := range f.rules {
 		if !rule.active {
@@ -21,7 +21,7 @@
 	return nil, Fault{}, false
 }
 
-// transform returns bytes swallowed or garbled, as a copy.
+// transform applies swallow and garble faults to a copy of b.
 func (f *Flow) transform(b []byte, now time.Duration) []byte {
 	if rule, _, on := f.activeFault(Swallow); on {
 		f.reportOnce(rule, Swallow, now)
@@ -45,7 +45,7 @@
 	return append(out, b[n:]...)
 }
 
-// reportOnce reports a fault of bytes the first time that it does something.
+// reportOnce reports a byte fault when it first takes effect after a trigger.
 func (f *Flow) reportOnce(rule *activeRule, kind FaultKind, now time.Duration) {
 	if !rule.reported {
 		rule.reported = true
@@ -53,7 +53,7 @@
 	}
 }
 
-// forward emits bytes, or holds them back to be merged.
+// forward emits bytes, or holds them back while a merge fault is active.
 func (f *Flow) forward(b []byte, now time.Duration, operations []Op) []Op {
 	if len(b) == 0 {
 		return operations
@@ -71,7 +71,7 @@
 	return f.emit(b, now, operations)
 }
 
-// flush emits what waits to be merged.
+// flush emits the bytes held back for merging.
 func (f *Flow) flush(operations []Op, now time.Duration) []Op {
 	merged := f.merged
 	f.merged = nil
@@ -81,33 +81,33 @@
 	return f.emit(merged, now, operations)
 }
 
-// bandwidthSteps is how many packets a second a bandwidth is divided into.
+// bandwidthSteps is the least number of writes per second under a bandwidth limit.
 const bandwidthSteps = 20
 
-// emit appends the operations that write bytes: their times and sizes are as the rules say.
+// emit appends the writes of b, timed and sized by the active faults.
 func (f *Flow) emit(b []byte, now time.Duration, operations []Op) []Op {
 	at := now
 	if rule, _, on := f.activeFault(Pause); on {
 		f.reportOnce(rule, Pause, now)
 		at = max(at, rule.until)
 	}
-	if rule, lat, on := f.activeFault(Latency); on {
+	if rule, latency, on := f.activeFault(Latency); on {
 		f.reportOnce(rule, Latency, now)
-		at += lat.Delay + jitter(lat, uniform(rule.salt, f.offset), uniform(rule.salt, f.offset, 1))
+		at += latency.Delay + jitter(latency, uniform(rule.salt, f.offset), uniform(rule.salt, f.offset, 1))
 	}
 	size, gap := maxPacket, time.Duration(0)
-	if rule, s, on := f.activeFault(Split); on {
+	if rule, split, on := f.activeFault(Split); on {
 		f.reportOnce(rule, Split, now)
-		size, gap = int(min(s.Count, maxPacket)), splitInterval
+		size, gap = int(min(split.Count, maxPacket)), splitInterval
 	}
-	if rule, d, on := f.activeFault(Drip); on {
+	if rule, drip, on := f.activeFault(Drip); on {
 		f.reportOnce(rule, Drip, now)
-		size, gap = int(min(d.Count, uint64(size))), max(gap, d.Delay)
+		size, gap = int(min(drip.Count, uint64(size))), max(gap, drip.Delay)
 	}
 	rate := uint64(0)
-	if rule, w, on := f.activeFault(Bandwidth); on {
+	if rule, bandwidth, on := f.activeFault(Bandwidth); on {
 		f.reportOnce(rule, Bandwidth, now)
-		rate = w.Count
+		rate = bandwidth.Count
 		size = min(size, int(max(1, rate/bandwidthSteps)))
 	}
 	for first := true; len(b) > 0; first = false {
@@ -127,11 +127,11 @@
 	return operations
 }
 
-// jitter returns a random time of a distribution, from two numbers from 0 to 1. It never
-// makes the latency negative.
-func jitter(rule Fault, x, y float64) time.Duration {
+// jitter maps two uniform random numbers in [0, 1) to a jitter of the fault's distribution. It
+// never makes the latency negative.
+func jitter(fault Fault, x, y float64) time.Duration {
 	var j float64
-	switch rule.Mode {
+	switch fault.Mode {
 	case "uniform":
 		j = 2*x - 1
 	case "normal":
@@ -139,5 +139,5 @@
 	case "exponential":
 		j = -math.Log(max(x, 1e-12))
 	}
-	return max(-rule.Delay, time.Duration(j*float64(rule.Jitter)))
+	return max(-fault.Delay, time.Duration(j*float64(fault.Jitter)))
 }
--- a/internal/faultproxy/stream.go
+++ b/internal/faultproxy/stream.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	streamQueue  = 256                   // operations that wait for the writer
-	pollInterval = 10 * time.Millisecond // of a direction that is stalled or silent
+	streamQueue  = 256                   // capacity of a stream's operation queue
+	pollInterval = 10 * time.Millisecond // of stalled streams and vanished routes
 )
 
-// stream carries out what a Flow decides for one direction of a connection.
+// stream performs the operations of a Flow for one direction of a connection.
 type stream struct {
-	ordering   sync.Mutex // held from the flow's decision until its operations are queued
+	ordering   sync.Mutex // held from computing operations until they are queued
 	mu         sync.Mutex // guards flow; taken after ordering
 	flow       *Flow
 	queue      chan Op
 	writerDone chan struct{} // closed once the writer has ended
 	wake       chan struct{} // the rules have changed
-	reschedule chan struct{} // the flow's next time may have changed
+	reschedule chan struct{} // the result of flow.NextDue may have changed
 	conn       *connection
 	route      *route
 	proxy      *Proxy
@@ -37,9 +37,9 @@
 	}
 }
 
-// run passes what is read through the flow, beside a goroutine that performs the flow's
-// operations in order and one that runs its timers. It returns once the writer has ended;
-// first is what has been read already.
+// run reads input and feeds it to the flow, while one goroutine performs the flow's operations
+// and another runs its timers. It returns once the writer has ended. first holds the bytes
+// that have been read already.
 func (s *stream) run(direction Direction, first []byte) {
 	s.proxy.running.Go(s.write)
 	defer func() { <-s.writerDone }()
@@ -53,8 +53,8 @@
 	buffer := make([]byte, maxPacket)
 	for s.awaitReadable() {
 		n, err := s.from.Read(buffer)
-		// What was read while a silence began waits as well.
-		if n > 0 && !(s.awaitNotSilent() && s.feed(direction, buffer[:n])) {
+		// Bytes read just as the route vanished wait as well.
+		if n > 0 && !(s.awaitNotVanished() && s.feed(direction, buffer[:n])) {
 			return
 		}
 		if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-// feed passes bytes through the flow. It reports whether the connection goes on.
+// feed feeds bytes to the flow and queues its operations. It returns false if the connection has ended.
 func (s *stream) feed(direction Direction, data []byte) bool {
 	s.route.passed[direction].Add(uint64(len(data)))
 	s.ordering.Lock()
@@ -79,7 +79,7 @@
 	return s.enqueue(ops...)
 }
 
-// end passes the end of what is read on.
+// end queues the held-back bytes, and then a half-close after io.EOF or a reset after another error.
 func (s *stream) end(err error) {
 	s.mu.Lock()
 	ops := s.flow.End(s.proxy.now())
@@ -88,18 +88,18 @@
 	if !errors.Is(err, io.EOF) {
 		end.Kind = OpRST
 	}
-	if s.awaitNotSilent() {
+	if s.awaitNotVanished() {
 		s.enqueue(append(ops, end)...)
 	}
 }
 
-// awaitReadable waits while reads are stalled. It reports whether the connection goes on.
+// awaitReadable waits while reads are stalled. It returns false if the connection has ended.
 func (s *stream) awaitReadable() bool {
 	for {
 		s.mu.Lock()
 		stalled, until := s.flow.Stalled(s.proxy.now())
 		s.mu.Unlock()
-		if !stalled && !s.route.isSilent() {
+		if !stalled && !s.route.hasVanished() {
 			return true
 		}
 		if !s.awaitStall(until) {
@@ -108,9 +108,9 @@
 	}
 }
 
-// awaitNotSilent waits while the route is silent. It reports whether the connection goes on.
-func (s *stream) awaitNotSilent() bool {
-	for s.route.isSilent() {
+// awaitNotVanished waits while a vanish fault is active. It returns false if the connection has ended.
+func (s *stream) awaitNotVanished() bool {
+	for s.route.hasVanished() {
 		if !s.awaitStall(0) {
 			return false
 		}
@@ -118,8 +118,8 @@
 	return true
 }
 
-// enqueue passes operations to the writer, in order. It reports whether the connection goes
-// on.
+// enqueue queues operations for the writer. It returns false if the writer or the connection
+// has ended.
 func (s *stream) enqueue(ops ...Op) bool {
 	for _, op := range ops {
 		select {
@@ -134,7 +134,7 @@
 }
 
 // awaitStall waits until the rules change or a stall may be over, at most pollInterval. It
-// reports whether the connection goes on.
+// returns false if the connection has ended.
 func (s *stream) awaitStall(until time.Duration) bool {
 	wait := pollInterval
 	if until > 0 {
@@ -149,7 +149,7 @@
 	return true
 }
 
-// runTimers makes the flow do what is due by the clock, until done is closed.
+// runTimers queues the flow's timed operations when they are due, until done is closed.
 func (s *stream) runTimers(done <-chan struct{}) {
 	for {
 		s.mu.Lock()
@@ -178,7 +178,7 @@
 	}
 }
 
-// write performs operations, each at its time, until the last.
+// write performs the queued operations, each at its time, until opLast.
 func (s *stream) write() {
 	defer close(s.writerDone)
 	for ended := false; ; {
@@ -191,34 +191,34 @@
 		if !s.awaitTime(op.At) || op.Kind == opLast {
 			return
 		}
-		if !ended { // after an end, what still comes is discarded
+		if !ended { // after the direction was closed, operations are discarded
 			ended = s.perform(op)
 		}
 	}
 }
 
-// awaitTime waits until a time of the script's clock, and while the route is silent. It
-// reports whether the connection goes on.
+// awaitTime waits until a time of the script's clock, and while a vanish fault is active. It
+// returns false if the connection has ended.
 func (s *stream) awaitTime(at time.Duration) bool {
-	for wait := at - s.proxy.now(); wait > 0 || s.route.isSilent(); wait = pollInterval {
+	for wait := at - s.proxy.now(); wait > 0 || s.route.hasVanished(); wait = pollInterval {
 		select {
 		case <-time.After(wait):
 		case <-s.conn.ctx.Done():
 			return false
 		}
-		if !s.route.isSilent() {
+		if !s.route.hasVanished() {
 			break
 		}
 	}
 	return true
 }
 
-// perform performs one operation. It reports whether that ended this direction.
+// perform performs one operation. It reports whether this direction is closed.
 func (s *stream) perform(op Op) (ended bool) {
 	switch op.Kind {
 	case OpWrite:
 		_, err := s.to.Write(op.Data)
-		return err != nil // the other direction notices why
+		return err != nil // the other direction's read reports why
 	case OpHalfClose:
 		s.to.CloseWrite()
 	case OpFIN:
@@ -229,13 +229,13 @@
 	return true
 }
 
-// notify tells the stream that its rules have changed.
+// notify signals that the stream's rules have changed.
 func (s *stream) notify() {
 	signal(s.wake)
 	signal(s.reschedule)
 }
 
-// signal sends without waiting: a signal that is pending already says the same.
+// signal sends without blocking; one pending signal is enough.
 func signal(pending chan struct{}) {
 	select {
 	case pending <- struct{}{}:
