--- a/cmd/faultproxy/golden_test.go
+++ b/cmd/faultproxy/golden_test.go
@@ -8,7 +8,7 @@
 	"lockroad/internal/golden"
 )
 
-// All commands, arguments and flags, as scripts give them.
+// Guards the commands, arguments and flags, which scripts rely on.
 func TestCommandLineIsStable(t *testing.T) {
 	parser, err := kong.New(&commands{}, kong.Name("faultproxy"))
 	if err != nil {
--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -1,5 +1,5 @@
-// Command faultproxy passes connections on and injects faults, as a script or a person says,
-// to rehearse outages. `faultproxy --help` lists its commands.
+// Command faultproxy is a TCP proxy that injects faults into connections, by a script or on
+// command, to test how programs handle outages. `faultproxy --help` lists its commands.
 package main
 
 import (
@@ -27,18 +27,19 @@
 )
 
 type commands struct {
-	Run   runCommand   `cmd:"" default:"withargs" help:"Pass connections on, by a script."`
-	Tell  tellCommand  `cmd:"" help:"Have one that runs carry out a command."`
-	Check checkCommand `cmd:"" help:"Tell what is wrong with scripts."`
-	Forms formsCommand `cmd:"" help:"List the forms of rules and commands."`
+	Run   runCommand   `cmd:"" default:"withargs" help:"Proxy connections and inject the faults of a script."`
+	Tell  tellCommand  `cmd:"" help:"Send a command to a running faultproxy."`
+	Check checkCommand `cmd:"" help:"Check the syntax of scripts."`
+	Forms formsCommand `cmd:"" help:"List the syntax of rules and commands."`
 }
 
+// streams are the standard streams of a command.
 type streams struct {
 	in        io.Reader
 	out, errs io.Writer
 }
 
-// exitCode is the panic by which kong ends the program after its help.
+// exitCode is the value that kong's exit function panics with, after help and usage errors.
 type exitCode int
 
 func main() { os.Exit(run(os.Args[1:], streams{in: os.Stdin, out: os.Stdout, errs: os.Stderr})) }
@@ -51,7 +52,7 @@
 		}
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("faultproxy"),
-		kong.Description("Sits between sockets and delays, cuts, half-closes and garbles what passes."),
+		kong.Description("A TCP proxy that injects faults: it delays, cuts, half-closes and corrupts connections."),
 		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(s))
 	if err != nil {
 		fmt.Fprintf(s.errs, "faultproxy: %v\n", err)
@@ -69,19 +70,20 @@
 	return 0
 }
 
-// runCommand passes connections on.
+// runCommand runs the proxy.
 type runCommand struct {
-	Route    []string      `required:"" sep:"none" placeholder:"NAME=LISTEN,TARGET" help:"A door and where it leads; any number of them."`
-	Script   string        `type:"existingfile" placeholder:"FILE" help:"Rules that hold from the start."`
-	Seed     uint64        `default:"1" help:"For what happens by chance."`
-	Socket   string        `placeholder:"PATH" help:"A Unix socket that takes commands."`
-	Commands bool          `help:"Take commands from standard input as well, and end with it."`
-	For      time.Duration `help:"End after this time."`
+	Route    []string      `required:"" sep:"none" placeholder:"NAME=LISTEN,TARGET" help:"A listener and the target of its connections; repeatable."`
+	Script   string        `type:"existingfile" placeholder:"FILE" help:"A script with the initial rules."`
+	Seed     uint64        `default:"1" help:"Seed of random choices."`
+	Socket   string        `placeholder:"PATH" help:"Listen for commands on this Unix socket."`
+	Commands bool          `help:"Also read commands from standard input, and exit at its end."`
+	For      time.Duration `help:"Exit after this time."`
 }
 
 // Help returns examples.
 func (*runCommand) Help() string {
-	return `What it did is told on standard output, a JSON object a line, with times in microseconds.
+	return `Opened routes and injected faults are reported on standard output, one JSON object
+per line, with times in microseconds.
 
 Examples:
   faultproxy --route hall=127.0.0.1:4000,127.0.0.1:3000 --script evening.lisp
@@ -89,7 +91,7 @@
   faultproxy tell /tmp/fault.sock '(add (rule hang (route a) (for 8s) (stall)))'`
 }
 
-// Run runs until it is interrupted, its input ends, or its time is up.
+// Run runs the proxy until a signal, the end of the commands on standard input, or the end of its time.
 func (c *runCommand) Run(s streams) error {
 	rules, err := c.readScript()
 	if err != nil {
@@ -102,12 +104,12 @@
 		ctx, cancel = context.WithTimeout(ctx, c.For)
 		defer cancel()
 	}
-	var commands net.Listener
-	if c.Socket != "" { // before a route is reported: who has read of one may send commands
-		if commands, err = net.Listen("unix", c.Socket); err != nil {
+	var commandListener net.Listener
+	if c.Socket != "" { // opened before a route is reported, as readers of the report may send commands at once
+		if commandListener, err = net.Listen("unix", c.Socket); err != nil {
 			return err
 		}
-		defer commands.Close()
+		defer commandListener.Close()
 	}
 	proxy := faultproxy.NewProxy(rules, c.Seed)
 	defer proxy.Close()
@@ -118,13 +120,13 @@
 		return err
 	}
 	proxy.ResetClock()
-	if commands != nil {
-		go func() { _ = proxy.Serve(ctx, commands) }() // ends with ctx
+	if commandListener != nil {
+		go func() { _ = proxy.Serve(ctx, commandListener) }() // ends with ctx
 	}
 	return c.wait(ctx, proxy, s.in, output)
 }
 
-// readScript reads the rules that hold from the start.
+// readScript parses the script file, if one is given.
 func (c *runCommand) readScript() ([]*faultproxy.Rule, error) {
 	if c.Script == "" {
 		return nil, nil
@@ -140,13 +142,13 @@
 	return rules, nil
 }
 
-// openRoutes opens the routes, and reports each.
+// openRoutes opens the routes and reports each.
 func (c *runCommand) openRoutes(proxy *faultproxy.Proxy, output *messageWriter) error {
 	for _, route := range c.Route {
 		name, rest, ok := strings.Cut(route, "=")
 		listen, target, both := strings.Cut(rest, ",")
 		if !ok || !both || name == "" {
-			return fmt.Errorf("route %q is no NAME=LISTEN,TARGET", route)
+			return fmt.Errorf("invalid route %q; expected NAME=LISTEN,TARGET", route)
 		}
 		address, err := proxy.OpenRoute(faultproxy.Route{Name: name, Listen: listen, Target: target})
 		if err != nil {
@@ -157,14 +159,15 @@
 	return nil
 }
 
-// wait performs the commands of the input, if it is to, and returns when they or ctx end.
+// wait executes the commands on standard input, if enabled, and returns at their end or when
+// ctx ends.
 func (c *runCommand) wait(ctx context.Context, proxy *faultproxy.Proxy, input io.Reader, output io.Writer) error {
 	if !c.Commands {
 		<-ctx.Done()
 		return nil
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- proxy.ServeCommands(input, output) }() // ends with the input, or the process
+	go func() { ended <- proxy.ServeCommands(input, output) }() // ends with the input or the process
 	select {
 	case err := <-ended:
 		return err
@@ -173,18 +176,18 @@
 	}
 }
 
-const messageQueue = 1024
+const messageQueue = 1024 // capacity of the queue of messages
 
-// messageWriter writes messages in a goroutine of its own, so that a slow reader holds no
-// connection up. Messages that find no room in the queue are counted.
+// messageWriter writes messages in a goroutine of its own, so that a slow reader of the output
+// does not delay connections. Messages that don't fit into the queue are dropped and counted.
 type messageWriter struct {
 	queue   chan faultproxy.Message
 	once    sync.Once // starts the goroutine, which close waits for
 	running sync.WaitGroup
 
-	mu   sync.Mutex // guards the fields below, and keeps messages from mixing with answers
+	mu   sync.Mutex // guards the fields below, and keeps lines whole
 	w    io.Writer
-	lost int
+	lost int // messages dropped
 }
 
 func (m *messageWriter) enqueue(message faultproxy.Message) {
@@ -201,11 +204,11 @@
 func (m *messageWriter) run() {
 	encoder := json.NewEncoder(m)
 	for message := range m.queue {
-		_ = encoder.Encode(message) // its reader may have gone
+		_ = encoder.Encode(message) // the reader of the output may have closed it
 	}
 }
 
-// Write writes one line; answers to commands are written by it, too.
+// Write writes one line. Answers to commands go through it as well.
 func (m *messageWriter) Write(line []byte) (int, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -216,14 +219,14 @@
 	close(m.queue)
 	m.running.Wait()
 	if m.lost > 0 {
-		_ = json.NewEncoder(m.w).Encode(faultproxy.Message{Error: fmt.Sprintf("%d lines found no room", m.lost)})
+		_ = json.NewEncoder(m.w).Encode(faultproxy.Message{Error: fmt.Sprintf("%d messages dropped: the output is read too slowly", m.lost)})
 	}
 }
 
-// tellCommand sends a command to a faultproxy that runs.
+// tellCommand sends a command to a running faultproxy.
 type tellCommand struct {
-	Socket  string   `arg:"" help:"Where it takes commands."`
-	Command []string `arg:"" help:"Such as '(trigger hang)'; faultproxy forms lists them."`
+	Socket  string   `arg:"" help:"The Unix socket of the running faultproxy."`
+	Command []string `arg:"" help:"A command such as '(trigger hang)'; faultproxy forms lists them."`
 }
 
 // Run sends the command and prints the answer.
@@ -241,14 +244,14 @@
 	return nil
 }
 
-var errUnreadableScripts = errors.New("not all scripts can be read")
+var errUnreadableScripts = errors.New("some scripts are invalid")
 
-// checkCommand reads scripts.
+// checkCommand checks the syntax of scripts.
 type checkCommand struct {
 	Files []string `arg:"" name:"file" help:"Scripts of rules."`
 }
 
-// Run reports what is wrong with each.
+// Run prints the number of rules or the error of each script.
 func (c *checkCommand) Run(s streams) error {
 	unreadable := 0
 	for _, file := range c.Files {
@@ -270,11 +273,11 @@
 	return nil
 }
 
-// formsCommand lists the forms.
+// formsCommand lists the syntax of rules and commands.
 type formsCommand struct{}
 
-// Run lists them.
+// Run prints the help texts of rules and commands.
 func (*formsCommand) Run(s streams) error {
-	fmt.Fprintf(s.out, "A script holds rules:\n\n%s\nCommands:\n\n%s", faultproxy.Help(), faultproxy.Commands)
+	fmt.Fprintf(s.out, "Rules of a script:\n\n%s\nCommands:\n\n%s", faultproxy.Help(), faultproxy.Commands)
 	return nil
 }
--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -13,13 +13,14 @@
 	"lockroad/internal/faultproxy"
 )
 
-func command(args ...string) (code int, out, errs string) {
-	var o, e strings.Builder
-	code = run(args, streams{strings.NewReader(""), &o, &e})
-	return code, o.String(), e.String()
+// runFaultproxy runs a command line with empty standard input.
+func runFaultproxy(args ...string) (code int, out, errs string) {
+	var stdout, stderr strings.Builder
+	code = run(args, streams{strings.NewReader(""), &stdout, &stderr})
+	return code, stdout.String(), stderr.String()
 }
 
-func TestCommandLine(t *testing.T) {
+func TestExitCodesAndMessages(t *testing.T) {
 	bad := filepath.Join(t.TempDir(), "bad.lisp")
 	if err := os.WriteFile(bad, []byte("(rule a\n (explode))"), 0o600); err != nil {
 		t.Fatal(err)
@@ -29,18 +30,18 @@
 		text string
 	}{
 		"--help": {0, "forms"}, "forms": {0, "(vanish)"}, "check " + bad: {1, bad + ": line 2, column 3: unknown form"},
-		"--odd": {2, "unknown flag --odd"}, "run": {2, "--route"}, "--route odd": {1, "is no NAME=LISTEN,TARGET"},
+		"--odd": {2, "unknown flag --odd"}, "run": {2, "--route"}, "--route odd": {1, `invalid route "odd"; expected NAME=LISTEN,TARGET`},
 		"tell " + bad + "x (status)": {1, "connect to the faultproxy at " + bad + "x: "},
 	} {
-		code, out, errs := command(strings.Fields(args)...)
+		code, out, errs := runFaultproxy(strings.Fields(args)...)
 		if code != want.code || !strings.Contains(out+errs, want.text) {
-			t.Errorf("%s: code %d\n%s%s", args, code, out, errs)
+			t.Errorf("faultproxy %s: exit code %d, want %d with %q in the output:\n%s%s", args, code, want.code, want.text, out, errs)
 		}
 	}
 }
 
-// A person makes a running proxy cut a connection by its socket, and reads of it.
-func TestRunningProxyTakesCommands(t *testing.T) {
+// Guards against commands, by socket or standard input, that have no effect or are not reported.
+func TestCommandsToRunningProxy(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,63 +49,63 @@
 	defer l.Close()
 	go func() {
 		for {
-			c, err := l.Accept()
+			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go func() { defer c.Close(); _, _ = io.Copy(c, c) }()
+			go func() { defer conn.Close(); _, _ = io.Copy(conn, conn) }()
 		}
 	}()
 	socket := filepath.Join(t.TempDir(), "socket")
 	in, stop := io.Pipe()
 	messages, out := io.Pipe()
-	ended := make(chan int, 1)
+	exited := make(chan int, 1)
 	go func() {
-		ended <- run([]string{"--route", "r=127.0.0.1:0," + l.Addr().String(), "--socket", socket, "--commands", "--for", "30s"}, streams{in, out, io.Discard})
+		exited <- run([]string{"--route", "r=127.0.0.1:0," + l.Addr().String(), "--socket", socket, "--commands", "--for", "30s"}, streams{in, out, io.Discard})
 		_ = out.Close()
 	}()
 	decoder := json.NewDecoder(messages)
 	next := func() faultproxy.Message {
 		t.Helper()
-		var one faultproxy.Message
-		if err := decoder.Decode(&one); err != nil {
+		var message faultproxy.Message
+		if err := decoder.Decode(&message); err != nil {
 			t.Fatal(err)
 		}
-		return one
+		return message
 	}
-	at := next().Listen
-	c, err := net.Dial("tcp", at)
+	address := next().Listen
+	client, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	io.WriteString(c, "x")
-	_, _ = io.ReadFull(c, make([]byte, 1))
-	if code, out, errs := command("tell", socket, "(add (rule a (on-command) (direction up) (cut rst)))"); code != 0 {
-		t.Fatalf("code %d: %s%s", code, out, errs)
+	defer client.Close()
+	client.SetDeadline(time.Now().Add(5 * time.Second))
+	io.WriteString(client, "x")
+	_, _ = io.ReadFull(client, make([]byte, 1))
+	if code, out, errs := runFaultproxy("tell", socket, "(add (rule a (on-command) (direction up) (cut rst)))"); code != 0 {
+		t.Fatalf("faultproxy tell: exit code %d: %s%s", code, out, errs)
 	}
-	if code, _, errs := command("tell", socket, "(trigger b)"); code != 1 || !strings.Contains(errs, `column 10: no rule called "b"`) {
-		t.Errorf("code %d: %s", code, errs)
+	if code, _, errs := runFaultproxy("tell", socket, "(trigger b)"); code != 1 || !strings.Contains(errs, `column 10: no rule called "b"`) {
+		t.Errorf("a trigger of an unknown rule: exit code %d: %s", code, errs)
 	}
 	io.WriteString(stop, "(trigger a)\n")
 	var cut, done bool
 	for !cut || !done {
-		one := next()
-		cut = cut || one.Fault == faultproxy.Cut && one.Rule == "a" && one.Route == "r" && one.Conn == 1 && one.Direction == "up" && one.Offset == 1 && one.At > 0
-		done = done || one.Done == "(trigger a)"
-		if one.Error != "" {
-			t.Fatal(one.Error)
+		message := next()
+		cut = cut || message.Fault == faultproxy.Cut && message.Rule == "a" && message.Route == "r" && message.Conn == 1 && message.Direction == "up" && message.Offset == 1 && message.At > 0
+		done = done || message.Done == "(trigger a)"
+		if message.Error != "" {
+			t.Fatal(message.Error)
 		}
 	}
-	if _, err := c.Read(make([]byte, 1)); err == nil {
-		t.Error("the connection goes on")
+	if _, err := client.Read(make([]byte, 1)); err == nil {
+		t.Error("the connection is still open after the cut")
 	}
-	if _, out, _ := command("tell", socket, "(status)"); !strings.Contains(out, `"conns":1`) || !strings.Contains(out, "(rule a (direction up) (on-command) (cut rst))") {
-		t.Errorf("status: %s", out)
+	if _, out, _ := runFaultproxy("tell", socket, "(status)"); !strings.Contains(out, `"conns":1`) || !strings.Contains(out, "(rule a (direction up) (on-command) (cut rst))") {
+		t.Errorf("(status) returned %s, without the connection or the rule", out)
 	}
 	_ = stop.Close()
-	if code := <-ended; code != 0 {
-		t.Errorf("ended with %d", code)
+	if code := <-exited; code != 0 {
+		t.Errorf("exit code %d at the end of standard input, want 0", code)
 	}
 }
