--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -27,10 +27,10 @@
 )
 
 type commands struct {
-	Run   runCommand   `cmd:"" default:"withargs" help:"Proxy connections and inject the faults of a script."`
-	Tell  tellCommand  `cmd:"" help:"Send a command to a running faultproxy."`
-	Check checkCommand `cmd:"" help:"Check the syntax of scripts."`
-	Forms formsCommand `cmd:"" help:"List the syntax of rules and commands."`
+	Run   runCommand   `cmd:"" default:"withargs" help:"Pass connections on, by a script."`
+	Tell  tellCommand  `cmd:"" help:"Have one that runs carry out a command."`
+	Check checkCommand `cmd:"" help:"Tell what is wrong with scripts."`
+	Forms formsCommand `cmd:"" help:"List the forms of rules and commands."`
 }
 
 // streams are the standard streams of a command.
@@ -72,12 +72,12 @@
 
 // runCommand runs the proxy.
 type runCommand struct {
-	Route    []string      `required:"" sep:"none" placeholder:"NAME=LISTEN,TARGET" help:"A listener and the target of its connections; repeatable."`
-	Script   string        `type:"existingfile" placeholder:"FILE" help:"A script with the initial rules."`
-	Seed     uint64        `default:"1" help:"Seed of random choices."`
-	Socket   string        `placeholder:"PATH" help:"Listen for commands on this Unix socket."`
-	Commands bool          `help:"Also read commands from standard input, and exit at its end."`
-	For      time.Duration `help:"Exit after this time."`
+	Route    []string      `required:"" sep:"none" placeholder:"NAME=LISTEN,TARGET" help:"A door and where it leads; any number of them."`
+	Script   string        `type:"existingfile" placeholder:"FILE" help:"Rules that hold from the start."`
+	Seed     uint64        `default:"1" help:"For what happens by chance."`
+	Socket   string        `placeholder:"PATH" help:"A Unix socket that takes commands."`
+	Commands bool          `help:"Take commands from standard input as well, and end with it."`
+	For      time.Duration `help:"End after this time."`
 }
 
 // Help returns examples.
@@ -225,8 +225,8 @@
 
 // tellCommand sends a command to a running faultproxy.
 type tellCommand struct {
-	Socket  string   `arg:"" help:"The Unix socket of the running faultproxy."`
-	Command []string `arg:"" help:"A command such as '(trigger hang)'; faultproxy forms lists them."`
+	Socket  string   `arg:"" help:"Where it takes commands."`
+	Command []string `arg:"" help:"Such as '(trigger hang)'; faultproxy forms lists them."`
 }
 
 // Run sends the command and prints the answer.
