--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -1,6 +1,6 @@
-// Package invariants checks, by what fake clients, servers and discovery recorded, whether a
-// relay kept the operators' rules. It is independent of the relay's own metrics and decision
-// log, and does no I/O: a history goes in, and the violations of rules come out.
+// Package invariants checks the events recorded by fake clients, servers and discovery for
+// violations of the relay's guarantees. It does not use the relay's metrics or decision log,
+// and does no I/O.
 package invariants
 
 import (
@@ -12,63 +12,63 @@
 	"lockroad/internal/fake"
 )
 
-// Rule is one of the operators' rules.
+// Rule is a guarantee that the relay gives its operators.
 type Rule string
 
-// The operators' rules.
+// The rules that Check checks.
 const (
-	Answered           Rule = "one final answer in time"
-	SequentialAttempts Rule = "never two attempts at once"
-	DrainRespected     Rule = "nothing new to a draining or gone server"
-	SlowStart          Rule = "no cold server pushed over"
-	Migrated           Rule = "nothing cut off without a move"
-	PromptDelivery     Rule = "no line held back"
-	Intact             Rule = "every byte as sent"
+	Answered           Rule = "exactly one final answer, in time"
+	SequentialAttempts Rule = "one attempt at a time"
+	DrainRespected     Rule = "no new attempts to a draining or gone server"
+	SlowStart          Rule = "no overload during slow start"
+	Migrated           Rule = "no session cut off without a move"
+	PromptDelivery     Rule = "no message delayed"
+	Intact             Rule = "no message altered"
 )
 
-// Limits are the limits of the rules.
+// Limits are the limits beyond which the rules are violated.
 type Limits struct {
-	AnswerTolerance   time.Duration // that an answer may come after the client's time limit, and an attempt before the end of another
-	DrainDelay        time.Duration // after which nothing new goes to a server that drains or is gone
-	MaxMessageDelay   time.Duration // that a line may take through the relay
-	SlowStartDuration time.Duration // that a server warms up after its start
-	InitialCapacity   float64       // share of its capacity that it has at its start
-	OverloadMultiple  float64       // a server that warms up fails when sent more than so many times what it can do
-	OverloadWindow    time.Duration // for this long
-	Capacity          float64       // set-ups a second of a server that has warmed up; 0: not checked
+	AnswerTolerance   time.Duration // of an answer after the client's time limit, and of overlapping attempts
+	DrainDelay        time.Duration // time until a server that drains or is gone gets no new attempts
+	MaxMessageDelay   time.Duration // time that a message may take through the relay
+	SlowStartDuration time.Duration // time that a server warms up after its start
+	InitialCapacity   float64       // share of its capacity that a server has at its start
+	OverloadMultiple  float64       // a server in slow start is overloaded by this multiple of its capacity
+	OverloadWindow    time.Duration // over this time
+	Capacity          float64       // set-ups a second of a warm server; 0: slow start is not checked
 }
 
-// DefaultLimits returns the limits of the operators' pages, each time 50 ms longer.
+// DefaultLimits returns the documented limits, with 50 ms of tolerance on times.
 func DefaultLimits() Limits {
 	return Limits{AnswerTolerance: 50 * time.Millisecond, DrainDelay: 550 * time.Millisecond, MaxMessageDelay: 1050 * time.Millisecond,
 		SlowStartDuration: 23 * time.Second, InitialCapacity: 0.12, OverloadMultiple: 3, OverloadWindow: 3 * time.Second}
 }
 
-// History is what is checked.
+// History holds the recorded events to check.
 type History struct {
 	Sessions        []fake.Session
 	Attempts        []fake.Attempt
 	EndpointChanges []fake.EndpointChange
 	Limits          Limits
-	// ClientFaulted reports whether what a client saw is not due to the relay, as a fault was
-	// injected between the two. nil: for none.
+	// ClientFaulted reports whether a session is not checked, as a fault was injected between
+	// the client and the relay. nil: all are checked.
 	ClientFaulted func(fake.Session) bool
-	// ServerFaulted reports whether an attempt's connection may have broken by itself, as a fault
-	// was injected between its server and the relay. nil: for none.
+	// ServerFaulted reports whether an attempt is not checked on its own, as a fault was injected
+	// between the relay and the server. nil: all are checked.
 	ServerFaulted func(fake.Attempt) bool
 }
 
-// Violation is a rule that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule   Rule
 	At     time.Time
 	Detail string
 }
 
-// String returns the rule and what violated it.
+// String returns the rule and the detail.
 func (v Violation) String() string { return fmt.Sprintf("%s: %s", v.Rule, v.Detail) }
 
-// Check returns the violations of rules, in order of time.
+// Check returns the violations in a history, ordered by time.
 func Check(history History) []Violation {
 	c := &checker{History: history, byName: make(map[string][]fake.Attempt)}
 	for _, attempt := range history.Attempts {
@@ -80,7 +80,7 @@
 		}
 	}
 	for name, attempts := range c.byName {
-		c.checkOnce(name, attempts)
+		c.checkSequence(name, attempts)
 	}
 	c.checkDrains()
 	c.checkSlowStart()
@@ -99,26 +99,26 @@
 	c.violations = append(c.violations, Violation{Rule: rule, At: at, Detail: fmt.Sprintf(format, args...)})
 }
 
-// checkSession checks what one client saw, and what servers saw of it.
+// checkSession checks one client's session and the attempts that servers recorded for it.
 func (c *checker) checkSession(session fake.Session) {
 	switch {
-	case session.Refused: // the relay's listener was closed: it has accepted nothing
+	case session.Refused: // the relay never accepted the connection
 		return
 	case session.Answer == "":
-		return // it has not been answered yet
+		return // not answered yet
 	case session.Answer == "none":
-		c.add(Answered, session.At, "%s got none: after %v of its %v it had no more than that", session.Name, session.SetupTime, session.TimeLimit)
+		c.add(Answered, session.At, "session %s got no answer: it gave up after %v, with a time limit of %v", session.Name, session.SetupTime, session.TimeLimit)
 	case session.SetupTime > session.TimeLimit+c.Limits.AnswerTolerance:
-		c.add(Answered, session.At, "%s got %s after %v of %v", session.Name, session.Answer, session.SetupTime, session.TimeLimit)
+		c.add(Answered, session.At, "session %s got answer %s after %v, with a time limit of %v", session.Name, session.Answer, session.SetupTime, session.TimeLimit)
 	}
 	if session.ExtraAnswers > 0 {
-		c.add(Answered, session.At, "%s got something after %s", session.Name, session.Answer)
+		c.add(Answered, session.At, "session %s received data after its final answer %s", session.Name, session.Answer)
 	}
 	if session.Garbled > 0 {
-		c.add(Intact, session.At, "%s got %d lines that were not as sent", session.Name, session.Garbled)
+		c.add(Intact, session.At, "session %s received %d altered messages", session.Name, session.Garbled)
 	}
 	if session.MaxMessageDelay > c.Limits.MaxMessageDelay {
-		c.add(PromptDelivery, session.At, "a line to %s was under way for %v", session.Name, session.MaxMessageDelay)
+		c.add(PromptDelivery, session.At, "a message to session %s took %v through the relay", session.Name, session.MaxMessageDelay)
 	}
 	for _, attempt := range c.byName[session.Name] {
 		if c.ServerFaulted == nil || !c.ServerFaulted(attempt) {
@@ -127,23 +127,23 @@
 	}
 }
 
-// checkAttempt checks what a server saw of a client.
+// checkAttempt checks one attempt of a session, as its server recorded it.
 func (c *checker) checkAttempt(session fake.Session, attempt fake.Attempt) {
 	if attempt.Garbled > 0 {
-		c.add(Intact, attempt.At, "%s got %d lines of %s that were not as sent", attempt.Endpoint, attempt.Garbled, session.Name)
+		c.add(Intact, attempt.At, "server %s received %d altered messages of session %s", attempt.Endpoint, attempt.Garbled, session.Name)
 	}
 	if attempt.MaxMessageDelay > c.Limits.MaxMessageDelay {
-		c.add(PromptDelivery, attempt.At, "a line of %s to %s was under way for %v", session.Name, attempt.Endpoint, attempt.MaxMessageDelay)
+		c.add(PromptDelivery, attempt.At, "a message of session %s to server %s took %v through the relay", session.Name, attempt.Endpoint, attempt.MaxMessageDelay)
 	}
-	// It was cut off although its server would have gone on.
+	// The session was cut off although its server had not ended it.
 	if session.End == "broken" && attempt.Answer == "up" && (attempt.End == "gone" || attempt.End == "bye") {
-		c.add(Migrated, attempt.EndedAt, "%s was cut off, and %s had not ended it", session.Name, attempt.Endpoint)
+		c.add(Migrated, attempt.EndedAt, "session %s was cut off although server %s had not ended it", session.Name, attempt.Endpoint)
 	}
 }
 
-// checkOnce checks the attempts of one request: one is in progress from when it came to a
-// server until that has rejected it, or its connection is at an end.
-func (c *checker) checkOnce(name string, attempts []fake.Attempt) {
+// checkSequence checks that the attempts of one request don't overlap: an attempt lasts from its
+// arrival at a server until the server's rejection or the end of its connection.
+func (c *checker) checkSequence(name string, attempts []fake.Attempt) {
 	slices.SortStableFunc(attempts, func(a, b fake.Attempt) int { return a.At.Compare(b.At) })
 	for i, attempt := range attempts[:max(0, len(attempts)-1)] {
 		until := attempt.ClosedAt
@@ -152,14 +152,14 @@
 		}
 		next := attempts[i+1]
 		if until.IsZero() || next.At.Before(until.Add(-c.Limits.AnswerTolerance)) {
-			c.add(SequentialAttempts, next.At, "%s came to %s while its pass to %s was out", name, next.Endpoint, attempt.Endpoint)
+			c.add(SequentialAttempts, next.At, "request %s was sent to server %s while its attempt at server %s was in progress", name, next.Endpoint, attempt.Endpoint)
 		}
 	}
 }
 
-// checkDrains checks what came to servers that drain or are gone.
+// checkDrains checks that no attempts reach servers that drain or are gone.
 func (c *checker) checkDrains() {
-	type period struct{ from, to time.Time } // to is zero while it lasts
+	type period struct{ from, to time.Time } // to is zero until the server is ready again
 	unavailable := make(map[string][]period)
 	changes := slices.Clone(c.EndpointChanges)
 	slices.SortStableFunc(changes, func(a, b fake.EndpointChange) int { return a.At.Compare(b.At) })
@@ -167,7 +167,7 @@
 		periods := unavailable[change.Endpoint]
 		open := len(periods) > 0 && periods[len(periods)-1].to.IsZero()
 		switch {
-		case change.State == fake.Killed: // no relay was notified
+		case change.State == fake.Killed: // discovery did not report it
 		case change.State == "ready" && open:
 			periods[len(periods)-1].to = change.At
 		case change.State != "ready" && !open:
@@ -175,16 +175,16 @@
 		}
 	}
 	for _, attempt := range c.Attempts {
-		for _, out := range unavailable[attempt.Endpoint] {
-			if attempt.At.After(out.from.Add(c.Limits.DrainDelay)) && (out.to.IsZero() || attempt.At.Before(out.to)) {
-				c.add(DrainRespected, attempt.At, "%s came to %s %v after its drain was told", attempt.Name, attempt.Endpoint, attempt.At.Sub(out.from))
+		for _, period := range unavailable[attempt.Endpoint] {
+			if attempt.At.After(period.from.Add(c.Limits.DrainDelay)) && (period.to.IsZero() || attempt.At.Before(period.to)) {
+				c.add(DrainRespected, attempt.At, "request %s was sent to server %s %v after discovery reported the server unavailable", attempt.Name, attempt.Endpoint, attempt.At.Sub(period.from))
 			}
 		}
 	}
 }
 
-// checkSlowStart checks what came to servers that had just started: within any time in which
-// one fails, no more than a multiple of what it can do then.
+// checkSlowStart checks each server that was killed and started again for overload: more
+// set-ups within OverloadWindow than OverloadMultiple times its reduced capacity.
 func (c *checker) checkSlowStart() {
 	if c.Limits.Capacity <= 0 {
 		return
@@ -202,7 +202,7 @@
 	}
 }
 
-// checkStart checks what came to a server around its start. Its first violation is enough.
+// checkStart checks the attempts around one start of a server, and reports the first violation only.
 func (c *checker) checkStart(start fake.EndpointChange) {
 	limits := c.Limits
 	arrivals := c.arrivals(start)
@@ -216,14 +216,14 @@
 		age := max(0, from.Sub(start.At)) + limits.OverloadWindow
 		share := min(1, limits.InitialCapacity+(1-limits.InitialCapacity)*age.Seconds()/limits.SlowStartDuration.Seconds())
 		if most := max(1, limits.OverloadMultiple*share*limits.Capacity*limits.OverloadWindow.Seconds()); float64(count) > most {
-			c.add(SlowStart, from, "%d set-ups came to %s within %v, %v after its start; it bears %.1f", count, start.Endpoint, limits.OverloadWindow, from.Sub(start.At), most)
+			c.add(SlowStart, from, "%d set-ups reached server %s within %v, starting %v after its start; the limit is %.1f", count, start.Endpoint, limits.OverloadWindow, from.Sub(start.At), most)
 			return
 		}
 	}
 }
 
-// arrivals returns the times at which attempts came to a server while it warmed up, or
-// shortly before, in order.
+// arrivals returns, in order, the arrival times of attempts at a server from OverloadWindow
+// before its start until the end of slow start.
 func (c *checker) arrivals(start fake.EndpointChange) []time.Time {
 	var arrivals []time.Time
 	for _, attempt := range c.Attempts {
