--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -54,7 +54,7 @@
 	}
 	options := good
 	options.Script, options.Out, options.Log = "(at 1s (hang s-9 2s))", &strings.Builder{}, slog.New(slog.DiscardHandler)
-	if _, err := Run(context.Background(), options); err == nil || !strings.Contains(err.Error(), `script: line 1, column 14: there is no server "s-9"`) {
+	if _, err := Run(context.Background(), options); err == nil || !strings.Contains(err.Error(), `script: line 1, column 14: unknown server "s-9"`) {
 		t.Errorf("a script about nobody: %v", err)
 	}
 }
--- a/internal/fake/attemptrecord.go
+++ b/internal/fake/attemptrecord.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Answers of a server to an attempt, beside answerUp.
+// Answers of a server to an attempt, besides answerUp.
 const (
 	answerBusy   = "busy"
 	answerError  = "error"
 	answerBroken = "broken"
 )
 
-// Ends of an accepted attempt, as its server saw them, beside endBye and endBroken.
+// Ends of an accepted attempt as recorded by its server, besides endBye and endBroken.
 const (
-	endAway = "away" // the server drained
-	endGone = "gone" // the relay ended it
+	endAway = "away" // the server drained and migrated it
+	endGone = "gone" // the relay closed the connection
 )
 
-// attemptRecord records what a server sees of one attempt.
+// attemptRecord records the events of one attempt at a server.
 type attemptRecord struct {
 	log     *EventLog
-	attempt *Attempt // in the log, which guards it
+	attempt *Attempt // entry of the log, guarded by it
 }
 
 func (s *Server) newRecord(attempt Attempt) *attemptRecord {
@@ -33,7 +33,7 @@
 	r.log.update(func() { r.attempt.Answer, r.attempt.AnsweredAt = answer, time.Now() })
 }
 
-// ended records the first end of an attempt that was accepted. A nil record has no attempt.
+// ended records the end of an accepted attempt, unless one is recorded. It accepts a nil receiver.
 func (r *attemptRecord) ended(end string) {
 	if r == nil {
 		return
@@ -45,12 +45,12 @@
 	})
 }
 
-// closed records that the attempt's connection is at an end.
+// closed records that the attempt's connection has ended.
 func (r *attemptRecord) closed() {
 	r.log.update(func() { r.attempt.ClosedAt = time.Now() })
 }
 
-// received compares a message of the client with what it should be, and returns how long
+// received checks a message of the client against the one expected, and returns the time that
 // it took to arrive.
 func (r *attemptRecord) received(message string, sequence int) time.Duration {
 	took, ok := readMessage(strings.TrimRight(message, "\r\n"), sequence, r.attempt.Name)
--- a/internal/fake/capacity.go
+++ b/internal/fake/capacity.go
@@ -2,35 +2,35 @@
 
 import "time"
 
-// Capacity is what a server can do. Messages take longer as the demand nears it, as in a
-// queue (S/(1-rho)), and demand beyond it forms a backlog. The zero value has no bound.
+// Capacity models the capacity of a server. The time of a message grows with the utilization
+// rho as in an M/M/1 queue, by 1/(1-rho), and demand beyond the capacity forms a backlog. The
+// zero value is unbounded.
 type Capacity struct {
-	WorkRate    time.Duration            // done a second; 0: without bound
-	ClassWork   map[string]time.Duration // work a second of each connection, by class
-	GroupWork   time.Duration            // work a second of each group with any connection
-	MessageTime time.Duration            // time that a message takes at an idle server
-	// A server that has just started has this share of Work, which grows linearly for ColdFor.
+	WorkRate    time.Duration            // work done per second; 0: unbounded
+	ClassWork   map[string]time.Duration // work per second of each connection, by class
+	GroupWork   time.Duration            // work per second of each group that has connections
+	MessageTime time.Duration            // time of a message at an idle server
+	// A restarted server begins with InitialShare of WorkRate, which grows linearly to 1.
 	InitialShare      float64
 	SlowStartDuration time.Duration
-	ReportThreshold   time.Duration // relays are notified of delays over this, once a second
+	ReportThreshold   time.Duration // delays above this are reported to relays
 }
 
-// maxUtilization bounds the utilization that the queue's law is applied to; beyond it the
-// backlog alone delays messages.
+// maxUtilization bounds the utilization in the queueing formula, which diverges at 1; beyond it
+// only the backlog adds delay.
 const maxUtilization = 0.95
 
-// workload is what is demanded of a server now. Its callers hold the server's mu, and give
-// the time.
+// workload is the current demand on a server. The caller of its methods holds the server's mu.
 type workload struct {
 	Capacity
-	startedAt time.Time      // zero: long ago
-	demand    time.Duration  // work a second
-	groups    map[string]int // connections by group
+	startedAt time.Time      // zero: the server is warm
+	demand    time.Duration  // work per second
+	groups    map[string]int // number of connections by group
 	backlog   time.Duration  // work not done yet, as of updatedAt
 	updatedAt time.Time
 }
 
-// capacityAt returns the work a second that the server can do at a time.
+// capacityAt returns the work per second that the server can do at a time.
 func (w *workload) capacityAt(now time.Time) time.Duration {
 	if age := now.Sub(w.startedAt); !w.startedAt.IsZero() && age < w.SlowStartDuration {
 		return time.Duration(float64(w.WorkRate) * (w.InitialShare + (1-w.InitialShare)*float64(age)/float64(w.SlowStartDuration)))
@@ -38,7 +38,7 @@
 	return w.WorkRate
 }
 
-// advance brings the backlog up to a time.
+// advance updates the backlog to a time.
 func (w *workload) advance(now time.Time) {
 	if !w.updatedAt.IsZero() {
 		w.backlog = max(0, w.backlog+time.Duration(now.Sub(w.updatedAt).Seconds()*float64(w.demand-w.capacityAt(now))))
@@ -46,7 +46,7 @@
 	w.updatedAt = now
 }
 
-// add counts an established connection of a class and group.
+// add adds the demand of an established connection.
 func (w *workload) add(now time.Time, class, group string) {
 	w.advance(now)
 	w.demand += w.ClassWork[class]
@@ -65,7 +65,7 @@
 	}
 }
 
-// delay returns the time that a message takes which comes at a time.
+// delay returns the time that a message takes which arrives at a time.
 func (w *workload) delay(now time.Time) time.Duration {
 	if w.WorkRate == 0 {
 		return 0
@@ -76,7 +76,7 @@
 	return time.Duration(float64(w.MessageTime)/(1-utilization) + float64(w.backlog)/capacity)
 }
 
-// updateWorkload adds an established connection to the server's workload, or removes it.
+// updateWorkload adds the demand of an established connection, or removes that of an ended one.
 func (s *Server) updateWorkload(class, group string, established bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/client_amqp.go
+++ b/internal/fake/client_amqp.go
@@ -9,14 +9,14 @@
 	amqp10 "github.com/Azure/go-amqp"
 )
 
-var errQueueFull = errors.New("as many messages wait as may")
+var errQueueFull = errors.New("send message: queue is full")
 
 // amqpLink is the link of an established session over AMQP.
 type amqpLink struct {
 	sender   *amqp10.Sender
-	session  string          // its name
-	messages chan string     // to be sent
-	ctx      context.Context // of the sending goroutine
+	session  string          // name of the session
+	messages chan string     // queued for sending
+	ctx      context.Context // ends the sending goroutine
 	stop     context.CancelFunc
 }
 
@@ -36,8 +36,7 @@
 	_ = l.sender.Close(ctx)
 }
 
-// runAMQP runs the session over AMQP 1.0, by a client library that knows nothing of
-// the relay.
+// runAMQP runs the session over AMQP 1.0, with an independent client library.
 func (s *clientSession) runAMQP(ctx context.Context) string {
 	timeLimit := s.client.class.TimeLimit + lateAnswerGrace
 	opening, cancel := context.WithTimeout(context.Background(), timeLimit)
@@ -51,7 +50,7 @@
 	if err != nil {
 		return s.answered(answerNone, 0)
 	}
-	// The time limit counts from the attach on; what came before is not the request's.
+	// The request's time limit starts at the attach, not at the connection.
 	attaching, cancelAttach := context.WithTimeout(context.Background(), timeLimit)
 	defer cancelAttach()
 	sender, err := s.attach(attaching, amqpSession)
@@ -66,10 +65,10 @@
 	go link.sendMessages(lines)
 	defer func() {
 		link.stop()
-		for range lines { // until the sender has ended
+		for range lines { // drains the channel until the sender has ended
 		}
 	}()
-	return s.converse(ctx, lines, link)
+	return s.exchangeMessages(ctx, lines, link)
 }
 
 func (s *clientSession) attach(ctx context.Context, session *amqp10.Session) (*amqp10.Sender, error) {
@@ -82,7 +81,7 @@
 	return session.NewSender(ctx, "score", &amqp10.SenderOptions{Name: s.record.Name, Properties: properties})
 }
 
-// attachFailed records the answer that an attach's error is.
+// attachFailed records the answer that a failed attach stands for.
 func (s *clientSession) attachFailed(err error) string {
 	var rejected *amqp10.Error
 	switch {
@@ -95,9 +94,8 @@
 	return s.answered(answerFailed, 0)
 }
 
-// sendMessages sends what is queued, and passes each message on as an echo once it is
-// settled, until the link ends or is stopped. It closes the channel, which its owner
-// drains.
+// sendMessages sends queued messages until the link ends or is stopped. For each settled
+// message it sends an echo to lines. It closes lines, which the owner must drain.
 func (l *amqpLink) sendMessages(lines chan<- string) {
 	defer close(lines)
 	for {
@@ -123,7 +121,7 @@
 	}
 }
 
-// lineOfError is the line of the line protocol that says how a link ended.
+// lineOfError translates the error that ended a link into a line of the line protocol.
 func lineOfError(err error) string {
 	var ended *amqp10.LinkError
 	switch {
--- a/internal/fake/client_line.go
+++ b/internal/fake/client_line.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// lineConn is the connection of an established session on the line protocol.
+// lineConn is the connection of an established session over the line protocol.
 type lineConn struct {
 	*net.TCPConn
-	session string // its name
+	session string // name of the session
 }
 
 func (c lineConn) send(sequence int) error {
@@ -48,10 +48,10 @@
 	go readLines(reader, lines)
 	defer func() {
 		conn.Close()
-		for range lines { // until the reader has ended
+		for range lines { // drains the channel until the reader has ended
 		}
 	}()
-	return s.converse(ctx, lines, lineConn{TCPConn: conn.(*net.TCPConn), session: s.record.Name})
+	return s.exchangeMessages(ctx, lines, lineConn{TCPConn: conn.(*net.TCPConn), session: s.record.Name})
 }
 
 func (s *clientSession) dialLine() (net.Conn, error) {
@@ -62,7 +62,7 @@
 	return dialer.Dial("tcp", s.pool.LineAddress)
 }
 
-// openLine sends the request; the session's time counts from here.
+// openLine sends the request. The session's time limit starts here.
 func (s *clientSession) openLine(conn net.Conn) {
 	returning := ""
 	if s.record.Returning {
@@ -74,7 +74,7 @@
 	fmt.Fprintf(conn, "OPEN %s %s c=%s,d=%d,g=%s%s\r\n", s.record.Name, s.client.flow, class.Name, class.TimeLimit.Milliseconds(), s.client.group, returning)
 }
 
-// lineAnswer records the answer that a line is.
+// lineAnswer records the answer in a line.
 func (s *clientSession) lineAnswer(line string) string {
 	words := strings.Fields(line)
 	switch words[0] {
@@ -90,7 +90,7 @@
 	return s.answered(answerFailed, 0)
 }
 
-// countExtra counts what follows an answer that is final.
+// countExtra records whether any data follows a final answer.
 func (s *clientSession) countExtra(conn net.Conn, reader io.Reader) {
 	conn.SetDeadline(time.Now().Add(time.Second))
 	if n, _ := io.Copy(io.Discard, reader); n > 0 {
@@ -98,8 +98,8 @@
 	}
 }
 
-// readLines passes lines on until the connection ends, and closes the channel. Its
-// caller closes the connection, and drains the channel.
+// readLines sends received lines to a channel, and closes it when the connection ends. The
+// caller closes the connection and drains the channel.
 func readLines(reader *bufio.Reader, lines chan<- string) {
 	defer close(lines)
 	for {
--- a/internal/fake/clientpool.go
+++ b/internal/fake/clientpool.go
@@ -9,54 +9,53 @@
 	"time"
 )
 
-// Class describes what the clients of a class do.
+// Class describes the clients of a class.
 type Class struct {
 	Name             string
-	Share            float64       // of new connections
-	TimeLimit        time.Duration // a client waits this long for an answer
-	MeanLifetime     time.Duration // a connection lasts this long on average
-	LatencyObjective time.Duration // a message is wanted back within this time; 0: 100 ms
+	Share            float64       // of the new clients, from 0 to 1
+	TimeLimit        time.Duration // time that a client waits for an answer
+	MeanLifetime     time.Duration // mean duration of a session
+	LatencyObjective time.Duration // an echo after more than this is late; 0: 100 ms
 }
 
-// defaultObjective is the latency objective of classes that have none.
+// defaultObjective is the latency objective of classes without one.
 const defaultObjective = 100 * time.Millisecond
 
-// ClientPool plays clients, which arrive at random at a rate, send messages and expect
-// them back, leave after a while, and return when they are migrated, rejected or
-// cut off. Prepare is called before all else; then its methods may be called from
-// any goroutine.
+// ClientPool runs clients, which arrive in a Poisson process, send messages and expect echoes,
+// leave after a random time, and return when they are migrated, rejected or cut off. After
+// Prepare, its methods are safe for concurrent use.
 type ClientPool struct {
 	Log             *EventLog
 	LineAddress     string // of the relay's line frontend
-	AMQPAddress     string // of its AMQP frontend; empty: all clients use the line frontend
+	AMQPAddress     string // of the relay's AMQP frontend; empty: all clients use the line frontend
 	AMQPShare       float64
 	Classes         []Class
-	Rate            float64 // new clients a second
-	Groups          int     // that clients belong to, the first by far the most often
+	Rate            float64 // new clients per second
+	Groups          int     // number of groups; the nth is drawn about 1/n as often as the first
 	MessageInterval time.Duration
-	MaxClients      int // at a time
+	MaxClients      int // at the same time
 	Seed            uint64
-	SourceAddress   string // of line connections; "": any
+	SourceAddress   string // local address of line connections; "": any
 
 	mu       sync.Mutex // guards the fields below, and Rate once Run is called
 	rng      *rand.Rand
-	sessions uint64 // started so far; numbers their names
+	sessions uint64 // number started so far, used in their names
 	clients  map[*client]struct{}
-	running  sync.WaitGroup // of the clients' goroutines; Run waits for them
+	running  sync.WaitGroup // the clients' goroutines; Run waits for them
 }
 
-// client is one client, which opens one session after another.
+// client opens one session after another.
 type client struct {
 	frontend string // line or amqp
-	flow     string // the same in all its sessions
+	flow     string // the same in all of its sessions
 	group    string
 	class    Class
-	rng      *rand.Rand    // used by the client's own goroutine alone
-	drop     chan struct{} // closed when it is to drop its connection
-	lifetime time.Duration // of its sessions; 0: drawn by the class's mean
+	rng      *rand.Rand    // used by the client's goroutine only
+	drop     chan struct{} // closed when the client is to drop its connection
+	lifetime time.Duration // of its sessions; 0: drawn from an exponential distribution
 }
 
-// Prepare makes the pool ready for clients to arrive.
+// Prepare initializes the pool. It is called before any other method.
 func (c *ClientPool) Prepare() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,8 +63,8 @@
 	c.clients = make(map[*client]struct{})
 }
 
-// Run makes clients arrive until ctx ends, and then waits until all of them have left.
-// It is called after Prepare, once.
+// Run starts clients until ctx ends, and then waits until all of them have left. It is called
+// once.
 func (c *ClientPool) Run(ctx context.Context) {
 	defer c.running.Wait()
 	for {
@@ -83,7 +82,7 @@
 	}
 }
 
-// newClient draws a new client, unless there are as many as may be.
+// newClient draws a new client, or returns nil if there are MaxClients.
 func (c *ClientPool) newClient() *client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,23 +101,23 @@
 
 func (c *ClientPool) drawClass() Class {
 	var drawn Class
-	at := c.rng.Float64()
+	remaining := c.rng.Float64()
 	for _, class := range c.Classes {
-		if drawn = class; at < class.Share {
+		if drawn = class; remaining < class.Share {
 			break
 		}
-		at -= class.Share
+		remaining -= class.Share
 	}
 	return drawn
 }
 
-// drawGroup draws by Zipf's law, approximately: the nth group has a share like 1/n.
+// drawGroup draws a group by an approximation of Zipf's law: the nth has a share like 1/n.
 func (c *ClientPool) drawGroup() string {
 	group := int(math.Exp(c.rng.Float64()*math.Log(float64(max(1, c.Groups)+1)))) - 1
 	return fmt.Sprintf("%016x", uint64(group+1)*0x9e3779b97f4a7c15)
 }
 
-// Drop makes a share of the present clients drop their connections and return.
+// Drop makes a random share of the clients drop their connections and return.
 func (c *ClientPool) Drop(share float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,7 +129,7 @@
 	}
 }
 
-// SetRate changes how many new clients arrive a second.
+// SetRate changes the number of new clients per second.
 func (c *ClientPool) SetRate(rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,15 +137,15 @@
 }
 
 const (
-	maxRetries      = 2 // of a client that is rejected
+	maxRetries      = 2 // sessions that a client starts after a rejection
 	minRetryWait    = 57 * time.Millisecond
 	retryWaitSpread = 463 * time.Millisecond
-	// lateAnswerGrace is how much longer than its time limit a client listens, so that an
-	// answer that comes too late is recorded as late.
+	// lateAnswerGrace is added to a client's time limit, so that a late answer is recorded as
+	// such and not as none.
 	lateAnswerGrace = 700 * time.Millisecond
 )
 
-// runClient runs all sessions of a client.
+// runClient runs a client's sessions, one after another.
 func (c *ClientPool) runClient(ctx context.Context, client *client) {
 	defer func() {
 		c.mu.Lock()
@@ -189,8 +188,8 @@
 	return &clientSession{pool: c, client: client, record: record, drop: drop}
 }
 
-// RunSession runs one session of one client and returns what the client saw of it. It lasts
-// for a time, or until ctx ends.
+// RunSession runs one session of a new client and returns its record. The session lasts for
+// lifetime, or until ctx ends.
 func (c *ClientPool) RunSession(ctx context.Context, frontend string, class Class, group string, lifetime time.Duration) Session {
 	c.mu.Lock()
 	c.sessions++
@@ -208,7 +207,7 @@
 	return *record
 }
 
-// drawLifetime is how long a client means to stay from now on.
+// drawLifetime returns the time after which the client ends an established session.
 func (client *client) drawLifetime() time.Duration {
 	if client.lifetime > 0 {
 		return client.lifetime
--- a/internal/fake/clientsession.go
+++ b/internal/fake/clientsession.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// Answers that a client gets.
+// Answers to a session's request.
 const (
 	answerUp          = "up"
 	answerUnavailable = "unavailable"
 	answerFailed      = "failed"
-	answerNone        = "none" // in time
+	answerNone        = "none" // no answer in time
 )
 
-// Ends of an established session, as its client saw them.
+// Ends of an established session as recorded by its client.
 const (
-	endLeft    = "left" // by the client's own will
+	endLeft    = "left" // the client ended it
 	endBye     = "bye"
 	endMoved   = "moved"
 	endBroken  = "broken"
 	endDropped = "dropped"
 )
 
-// Lines that a relay sends beside echoes.
+// Lines of a relay other than echoes.
 const (
 	lineMove   = "MOVE\r\n"
 	lineBye    = "BYE\r\n"
-	lineBroken = "broken" // put in by the reader of a connection that broke
+	lineBroken = "broken" // stands for a connection that broke; not on the wire
 	prefixLoad = "LOAD "
 )
 
 const (
-	leaveTimeout       = 2 * time.Second // a client that leaves waits this long for the end
+	leaveTimeout       = 2 * time.Second // time that a client that leaves waits for the end
 	minMessageInterval = 10 * time.Millisecond
-	lineQueue          = 16 // lines that are read and not looked at yet
+	lineQueue          = 16 // capacity of channels of lines and messages
 )
 
 // clientSession is one session of a client, run by one goroutine.
 type clientSession struct {
 	pool   *ClientPool
 	client *client
-	record *Session        // in the event log, which guards it
-	drop   <-chan struct{} // closed when the client is to drop its connection; nil: never
+	record *Session        // entry of the event log, guarded by it
+	drop   <-chan struct{} // closed when the client is to drop the connection; nil: never
 }
 
-// transport is an established session's connection, whichever its protocol.
+// transport is the connection of an established session over either protocol.
 type transport interface {
-	send(sequence int) error // of a message
-	leave()                  // begins a regular end
+	send(sequence int) error // sends the message of a number
+	leave()                  // starts a regular end of the session
 }
 
-// run runs the session and returns its end, or its answer where it wasn't established.
+// run runs the session and returns its end, or its answer if it was not established.
 func (s *clientSession) run(ctx context.Context) string {
 	if s.client.frontend == "amqp" {
 		return s.runAMQP(ctx)
@@ -75,9 +75,9 @@
 	return end
 }
 
-// converse sends messages until an end. What comes back are echoes, and the words that
-// end a session; lines is closed when the connection is at an end.
-func (s *clientSession) converse(ctx context.Context, lines <-chan string, connection transport) string {
+// exchangeMessages sends messages and checks their echoes until the session ends, and returns its end.
+// lines carries what the relay sends; it is closed when the connection ends.
+func (s *clientSession) exchangeMessages(ctx context.Context, lines <-chan string, connection transport) string {
 	lifetime := time.NewTimer(s.client.drawLifetime())
 	defer lifetime.Stop()
 	interval := time.NewTicker(max(s.pool.MessageInterval, minMessageInterval))
@@ -117,7 +117,7 @@
 	}
 }
 
-// endOfLine is how a session ends by what was read, or "" if it goes on.
+// endOfLine returns the session's end that a line or the end of the connection means, or "".
 func endOfLine(line string, open, leaving bool) string {
 	switch {
 	case !open && leaving:
@@ -132,7 +132,7 @@
 	return ""
 }
 
-// checkEcho compares what came back with what it should be.
+// checkEcho checks an echo against the message with a sequence number, and records its latency.
 func (s *clientSession) checkEcho(line string, sequence int) {
 	var microseconds int64
 	_, err := fmt.Sscanf(line, "M %d ", &microseconds)
--- a/internal/fake/collector.go
+++ b/internal/fake/collector.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Collector plays a telemetry collector: OTLP 1.x over HTTP with protobuf. It is an
-// http.Handler, and safe for concurrent use; the zero value is ready.
+// Collector is a telemetry collector for OTLP 1.x over HTTP with protobuf. It is an
+// http.Handler and safe for concurrent use; the zero value is ready.
 type Collector struct {
 	mu     sync.Mutex // guards the fields below
 	spans  []*spanpb.Span
@@ -23,10 +23,10 @@
 	errs   []error
 }
 
-// maxBody bounds an export, in bytes.
+// maxBody bounds the size of an export, in bytes.
 const maxBody = 64 << 20
 
-// ServeHTTP receives one export.
+// ServeHTTP receives one export of spans or metrics.
 func (c *Collector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if err := c.receive(r); err != nil {
 		c.mu.Lock()
@@ -71,12 +71,12 @@
 		defer c.mu.Unlock()
 		c.storeMetrics(&export)
 	default:
-		return fmt.Errorf("an export to %s", r.URL.Path)
+		return fmt.Errorf("export to unknown path %s", r.URL.Path)
 	}
 	return nil
 }
 
-// storeMetrics stores the last value of each data point. The caller holds mu.
+// storeMetrics stores the latest value of each data point. The caller holds mu.
 func (c *Collector) storeMetrics(export *metricspb.ExportMetricsServiceRequest) {
 	if c.counts == nil {
 		c.counts = make(map[string]int64)
@@ -98,15 +98,15 @@
 	}
 }
 
-// Spans returns the spans in the order in which they arrived.
+// Spans returns the received spans in order of arrival.
 func (c *Collector) Spans() []*spanpb.Span {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.spans[:len(c.spans):len(c.spans)]
 }
 
-// MetricValue returns the last value of a metric, by its name and its attributes' values, with a
-// space before each.
+// MetricValue returns the latest value of a metric. name is the metric's name followed by the
+// values of its attributes, separated by spaces.
 func (c *Collector) MetricValue(name string) (count int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,14 +114,14 @@
 	return count, ok
 }
 
-// Errors returns why exports could not be read.
+// Errors returns the errors of invalid exports.
 func (c *Collector) Errors() []error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.errs[:len(c.errs):len(c.errs)]
 }
 
-// Attribute returns the value of a span's attribute, as text; "" if it has none.
+// Attribute returns the text or integer value of an attribute as text, or "" if there is none.
 func Attribute(attributes []*commonpb.KeyValue, key string) string {
 	for _, attribute := range attributes {
 		if attribute.Key != key {
--- a/internal/fake/delayreports.go
+++ b/internal/fake/delayreports.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-const reportInterval = time.Second
+const reportInterval = time.Second // between delay reports
 
-// reportWriter writes a line to a connection. Its pointer is its identity.
+// reportWriter writes a line to a connection. Connections are told apart by its pointer.
 type reportWriter = func(string) error
 
-// delayReports holds the connections of each listener on which a server may report its
-// delay: each relay has a listener of its own, and gets reports on one connection.
+// delayReports holds the connections on which a server may report its delay, by listener. Each
+// relay has its own listener and gets reports on one connection.
 type delayReports struct {
 	mu         sync.Mutex // guards byListener
 	byListener map[int][]*reportWriter
@@ -35,7 +35,7 @@
 	r.byListener[listener] = slices.DeleteFunc(r.byListener[listener], func(other *reportWriter) bool { return other == write })
 }
 
-// onePerListener returns the oldest connection of each listener.
+// onePerListener returns the writer of the oldest connection of each listener.
 func (r *delayReports) onePerListener() []reportWriter {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,8 +48,8 @@
 	return all
 }
 
-// reportDelays reports to each relay once a second what a message takes, while that is long,
-// and once when it no longer is, until ctx ends.
+// reportDelays reports the delay of messages to each relay once a second while it is above
+// ReportThreshold, and once when it no longer is, until ctx ends.
 func (s *Server) reportDelays(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -14,25 +14,25 @@
 	"lockroad/internal/discovery"
 )
 
-// Discovery plays discovery's agent over HTTP/1.1: the complete endpoint list, and a watch
-// of its changes. Its methods may be called from any goroutine after Start.
+// Discovery is a discovery agent over HTTP/1.1, which serves the endpoint list and a watch of
+// its changes. After Start, its methods are safe for concurrent use.
 type Discovery struct {
 	Log *EventLog
 
 	mu        sync.Mutex // guards the fields below
 	members   map[string]discovery.Member
-	revisions map[string]uint64 // of each member's last change
+	revisions map[string]uint64 // revision of each member's last change
 	revision  uint64
-	changed   chan struct{} // closed and renewed with each change
+	changed   chan struct{} // closed and replaced on each change
 	server    *http.Server
 	address   string
 }
 
-// Start opens the agent at an address.
+// Start starts the agent on an address.
 func (d *Discovery) Start(address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("stand-in discovery: %w", err)
+		return fmt.Errorf("start fake discovery: %w", err)
 	}
 	d.mu.Lock()
 	d.members, d.revisions, d.changed, d.revision = make(map[string]discovery.Member), make(map[string]uint64), make(chan struct{}), 1
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Stop ends the agent and its watches.
+// Stop closes the agent and its watches.
 func (d *Discovery) Stop() { _ = d.server.Close() }
 
 // Address returns the address that the agent listens on.
@@ -56,7 +56,7 @@
 	return d.address
 }
 
-// SetMember adds a member to the list, or changes it.
+// SetMember adds a member to the list or replaces it.
 func (d *Discovery) SetMember(member discovery.Member) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -67,7 +67,7 @@
 	d.Log.addChange(EndpointChange{At: time.Now(), Endpoint: member.ID, State: member.Phase})
 }
 
-// SetState changes the phase of a member; justStarted sets its start to now.
+// SetState changes the phase of a member; justStarted also sets its start time to now.
 func (d *Discovery) SetState(id, phase string, justStarted bool) {
 	d.mu.Lock()
 	member := d.members[id]
@@ -79,8 +79,7 @@
 	d.SetMember(member)
 }
 
-// ResetRevisions makes revisions begin again from a lower one, as after a loss of discovery's own
-// state.
+// ResetRevisions sets all revisions back to 1, as if discovery had lost its state.
 func (d *Discovery) ResetRevisions() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,14 +89,14 @@
 	}
 }
 
-// List returns the complete list.
+// List returns the complete endpoint list.
 func (d *Discovery) List() discovery.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.since(0)
 }
 
-// since returns what changed after a revision; the complete list after 0. The caller holds mu.
+// since returns the changes after a revision, or the complete list for 0. The caller holds mu.
 func (d *Discovery) since(revision uint64) discovery.List {
 	list := discovery.List{Revision: d.revision, Complete: revision == 0}
 	for id, member := range d.members {
@@ -109,31 +108,31 @@
 	return list
 }
 
-// keepAliveInterval is how often a watch gets an empty line where nothing changes.
+// keepAliveInterval is the interval of the empty lines on a watch.
 const keepAliveInterval = 2 * time.Second
 
-// serveHosts answers a GET: the list, or with watch=1 its changes until the watch ends.
+// serveHosts serves the list and, with watch=1, its changes until the caller closes the connection.
 func (d *Discovery) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil && r.URL.Query().Has("from") {
-		http.Error(w, "from is no revision", http.StatusBadRequest)
+		http.Error(w, "invalid revision in parameter from", http.StatusBadRequest)
 		return
 	}
 	d.mu.Lock()
-	if from > d.revision { // of another agent
+	if from > d.revision { // a revision from before ResetRevisions or of another agent
 		from = 0
 	}
 	list, changed := d.since(from), d.changed
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(list) // a caller that has gone is noticed by the watch
+	_ = json.NewEncoder(w).Encode(list) // a closed connection is noticed by the watch
 	if r.URL.Query().Get("watch") == "1" {
 		d.watch(w, r, list.Revision, changed)
 	}
 }
 
-// watch writes the changes after a revision, and an empty line at intervals, until the
-// caller has gone. The channel is closed with the first change.
+// watch writes the changes after a revision, and empty lines as keep-alive, until the caller
+// closes the connection. changed is closed on the first change after the revision.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, revision uint64, changed <-chan struct{}) {
 	encoder := json.NewEncoder(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,7 +1,7 @@
-// Package fake plays the parties around a relay, for tests and for `lockroad demo`:
-// application servers, discovery, clients and a telemetry collector, over both
-// protocols, as a script says. All of them use loopback addresses.
+// Package fake implements the parties around a relay, for tests and for `lockroad demo`:
+// application servers, discovery, clients and a telemetry collector, on loopback addresses.
+// Servers and clients speak both protocols, and a script changes what they do.
 //
-// Each records all that it sees in an EventLog, which is independent of the relay's
-// metrics and decision log, so that these can be checked against it.
+// They record what they see in an EventLog, which is independent of the relay's metrics and
+// decision log and serves to check these.
 package fake
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -6,71 +6,71 @@
 	"time"
 )
 
-// Attempt is what a server saw of one attempt.
+// Attempt is a server's record of one attempt.
 type Attempt struct {
 	Endpoint        string
 	Frontend        string // line or amqp
-	Name            string // of the request, as its client calls it
+	Name            string // the client's name of the request
 	Class           string
-	At              time.Time     // its first line, or its attach, came
-	TimeLimit       time.Duration // as the relay told it
-	Answer          string        // up, busy, error or broken; "" if it had none
+	At              time.Time     // arrival of its first line or its attach
+	TimeLimit       time.Duration // as sent by the relay
+	Answer          string        // up, busy, error or broken; "" if not answered
 	AnsweredAt      time.Time
-	End             string // of one that was up: bye, away, broken, or gone if the relay ended it
+	End             string // if Answer is up: bye, away, broken, or gone if the relay ended it
 	EndedAt         time.Time
-	ClosedAt        time.Time     // its connection was at an end, whoever ended it
-	MaxMessageDelay time.Duration // the longest that a message of the client took to arrive
-	Garbled         int           // messages that were not as the client sends them, or not in order
+	ClosedAt        time.Time     // when its connection ended, whoever ended it
+	MaxMessageDelay time.Duration // longest time that a message of the client took to arrive
+	Garbled         int           // messages altered or out of order
 }
 
-// Session is what a client saw of one request.
+// Session is a client's record of one request and the session that it established.
 type Session struct {
 	Frontend        string
 	Name            string
-	Flow            string // the same for all sessions of a client
+	Flow            string // the same for all sessions of the client
 	Class           string
 	Group           string
 	Returning       bool // the client returned after a migration or a broken connection
-	Retry           int  // the number of rejections in a row before this session
+	Retry           int  // number of consecutive rejections before this session
 	At              time.Time
-	Answer          string // up, unavailable, failed, or none in time
+	Answer          string // up, unavailable, failed, or none if none came in time
 	SetupTime       time.Duration
-	RetryAfter      time.Duration // as the relay advised; 0 if it did not
-	End             string        // of one that was up: left, bye, moved, broken or dropped
+	RetryAfter      time.Duration // as advised by the relay; 0 if it did not
+	End             string        // if Answer is up: left, bye, moved, broken or dropped
 	EstablishedFor  time.Duration
 	TimeLimit       time.Duration
-	Echoes          int           // lines or deliveries that came back
-	MissingEchoes   int           // that did not
-	LateEchoes      int           // that came back after they were wanted
-	MaxMessageDelay time.Duration // the longest that a line of the server took to arrive
-	// Garbled counts lines that were not as the server sends them, or not in order, and
-	// More the sessions in which anything followed a final answer.
+	Echoes          int           // echoes received
+	MissingEchoes   int           // messages without an echo
+	LateEchoes      int           // echoes after the latency objective
+	MaxMessageDelay time.Duration // longest time that a line of the server took to arrive
+	// Garbled counts echoes that were altered or out of order. ExtraAnswers is 1 if data
+	// followed a final answer.
 	Garbled      int
 	ExtraAnswers int
-	Refused      bool // the relay's listener could not be reached
+	Refused      bool // connecting to the relay failed
 }
 
-// Killed is the state of a server that was killed, whatever discovery reports.
+// Killed is the State of an EndpointChange that records the kill of a server.
 const Killed = "killed"
 
-// EndpointChange is a change of the endpoint list by discovery, or the kill of a server.
+// EndpointChange records a change of the endpoint list or the kill of a server.
 type EndpointChange struct {
 	At       time.Time
 	Endpoint string
 	State    string
 }
 
-// maxEntries bounds each list of an event log; what comes after is only counted.
+// maxEntries bounds each list of an event log; further entries are only counted.
 const maxEntries = 1 << 20
 
-// EventLog is what servers, clients and discovery saw. It is safe for concurrent use; the
-// zero value is empty and ready.
+// EventLog records what servers, clients and discovery see. It is safe for concurrent use; the
+// zero value is ready.
 type EventLog struct {
 	mu         sync.Mutex // guards the fields below and the entries themselves
 	attempts   []*Attempt
 	sessions   []*Session
 	changes    []*EndpointChange
-	overflowed int // entries that found no room
+	overflowed int // entries dropped because a list was full
 }
 
 func (l *EventLog) addAttempt(attempt Attempt) *Attempt { return appendEntry(l, &l.attempts, &attempt) }
@@ -79,7 +79,7 @@
 
 func (l *EventLog) addChange(change EndpointChange) { appendEntry(l, &l.changes, &change) }
 
-// appendEntry appends an entry to a list, unless that is full, and returns it.
+// appendEntry appends an entry to a list, or counts it as dropped if the list is full, and returns it.
 func appendEntry[T any](l *EventLog, list *[]*T, entry *T) *T {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,29 +98,29 @@
 	l.attempts, l.sessions, l.changes, l.overflowed = nil, nil, nil, 0
 }
 
-// update changes entries: do runs with the lock held.
+// update calls do, which may change entries, with mu held.
 func (l *EventLog) update(do func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	do()
 }
 
-// Attempts returns what servers saw, in order of time.
+// Attempts returns the servers' records, ordered by time.
 func (l *EventLog) Attempts() []Attempt {
 	return sortedByTime(l, &l.attempts, func(attempt Attempt) time.Time { return attempt.At })
 }
 
-// Sessions returns what clients saw, in order of time.
+// Sessions returns the clients' records, ordered by time.
 func (l *EventLog) Sessions() []Session {
 	return sortedByTime(l, &l.sessions, func(session Session) time.Time { return session.At })
 }
 
-// EndpointChanges returns the changes of the endpoint list, and kills, in order of time.
+// EndpointChanges returns the changes of the endpoint list and the kills, ordered by time.
 func (l *EventLog) EndpointChanges() []EndpointChange {
 	return sortedByTime(l, &l.changes, func(change EndpointChange) time.Time { return change.At })
 }
 
-// Overflowed returns the number of entries that found no room.
+// Overflowed returns the number of entries dropped because a list was full.
 func (l *EventLog) Overflowed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -9,48 +9,47 @@
 	"lockroad/internal/sexp"
 )
 
-// ScriptedAction is an action of a script, at its time.
+// ScriptedAction is an action of a script and its time.
 type ScriptedAction struct {
-	At       time.Duration
-	Kind     string // hang, no-credit, busy, error, break, slow, drain, restart or drop
+	At       time.Duration // since the start of the script
+	Kind     string        // hang, no-credit, busy, error, break, slow, drain, restart or drop
 	Server   string
-	Duration time.Duration // how long it lasts, or of restart how long it is down
-	Delay    time.Duration // of slow: of an echo
-	Share    float64       // of drop: of the clients
+	Duration time.Duration // how long it lasts; of restart: how long the server is down
+	Delay    time.Duration // of slow: the time of an echo
+	Share    float64       // of drop: share of the clients, from 0 to 1
 }
 
 // String describes the action in a sentence, without its time.
 func (a ScriptedAction) String() string {
 	switch a.Kind {
 	case "hang":
-		return fmt.Sprintf("%s hangs for %v: it takes transactions and answers none", a.Server, a.Duration)
+		return fmt.Sprintf("%s hangs for %v: it accepts connections and answers none", a.Server, a.Duration)
 	case "no-credit":
 		return fmt.Sprintf("%s attaches links and grants no credit for %v", a.Server, a.Duration)
 	case "busy":
-		return fmt.Sprintf("%s turns everyone away for %v", a.Server, a.Duration)
+		return fmt.Sprintf("%s rejects all attempts for %v", a.Server, a.Duration)
 	case "error":
 		return fmt.Sprintf("%s answers with errors for %v", a.Server, a.Duration)
 	case "break":
-		return fmt.Sprintf("%s breaks every connection for %v", a.Server, a.Duration)
+		return fmt.Sprintf("%s resets new connections for %v", a.Server, a.Duration)
 	case "slow":
-		return fmt.Sprintf("%s takes %v for an echo, for %v", a.Server, a.Delay, a.Duration)
+		return fmt.Sprintf("%s delays echoes by %v, for %v", a.Server, a.Delay, a.Duration)
 	case "drain":
-		return fmt.Sprintf("%s drains, and leaves", a.Server)
+		return fmt.Sprintf("%s drains", a.Server)
 	case "restart":
-		return fmt.Sprintf("%s is killed, and starts again after %v", a.Server, a.Duration)
+		return fmt.Sprintf("%s is killed and restarts after %v", a.Server, a.Duration)
 	case "drop":
-		return fmt.Sprintf("%.0f%% of the clients drop and come again", 100*a.Share)
+		return fmt.Sprintf("%.0f%% of the clients drop their connections and return", 100*a.Share)
 	}
 	return a.Kind
 }
 
-// ParseScript reads a script: (at TIME (ACT ...)) for each action, where ACT is one of
+// ParseScript parses a script of any number of (at TIME ACTION), where ACTION is one of
 //
 //	(hang SERVER TIME) (busy SERVER TIME) (error SERVER TIME) (break SERVER TIME)
 //	(no-credit SERVER TIME) (slow SERVER DELAY TIME) (drain SERVER) (restart SERVER TIME) (drop PERCENT)
 //
-// The actions are returned in order of time. An error says at which line and column what
-// was expected.
+// The actions are returned in order of time. Syntax errors have the line and column.
 func ParseScript(source string, servers []string) ([]ScriptedAction, error) {
 	nodes, err := sexp.Parse(source)
 	if err != nil {
@@ -68,14 +67,14 @@
 	return actions, nil
 }
 
-// parseTimed reads an action with its time.
+// parseTimed parses an action with its time.
 func parseTimed(node *sexp.Node, servers []string) (ScriptedAction, error) {
 	head, args, err := node.Head()
 	if err != nil {
 		return ScriptedAction{}, err
 	}
 	if head != "at" || len(args) != 2 {
-		return ScriptedAction{}, node.Errorf("expected (at TIME (ACT ...))")
+		return ScriptedAction{}, node.Errorf("expected (at TIME (ACTION ...))")
 	}
 	at, err := args[0].Duration()
 	if err != nil {
@@ -99,10 +98,10 @@
 	}
 	form, ok := actionForms[action.Kind]
 	if !ok {
-		return action, node.Errorf("there is no act %q; expected hang, busy, error, break, no-credit, slow, drain, restart or drop", action.Kind)
+		return action, node.Errorf("unknown action %q; expected hang, busy, error, break, no-credit, slow, drain, restart or drop", action.Kind)
 	}
 	if len(args) != len(form) {
-		return action, node.Errorf("%s takes %v, here are %d", action.Kind, form, len(args))
+		return action, node.Errorf("%s takes arguments %v, got %d", action.Kind, form, len(args))
 	}
 	for i, argument := range form {
 		if err := action.setArgument(argument, args[i], servers); err != nil {
@@ -112,12 +111,12 @@
 	return action, nil
 }
 
-// setArgument sets what an argument of a form says.
+// setArgument parses an argument of a kind and sets its field.
 func (a *ScriptedAction) setArgument(argument string, node *sexp.Node, servers []string) (err error) {
 	switch argument {
 	case "SERVER":
 		if a.Server, err = node.Value(); err == nil && !slices.Contains(servers, a.Server) {
-			err = node.Errorf("there is no server %q; expected one of %v", a.Server, servers)
+			err = node.Errorf("unknown server %q; expected one of %v", a.Server, servers)
 		}
 	case "TIME":
 		a.Duration, err = node.Duration()
@@ -126,15 +125,15 @@
 	case "PERCENT":
 		var percent uint64
 		if percent, err = node.Whole(); err == nil && percent > 100 {
-			err = node.Errorf("%d is more than 100 in 100", percent)
+			err = node.Errorf("%d is more than 100 percent", percent)
 		}
 		a.Share = float64(percent) / 100
 	}
 	return err
 }
 
-// Run performs a script's actions and calls notify with each once it has begun, until all
-// have begun or ctx ends. Stop waits for the end of those that last.
+// Run performs a script's actions at their times and calls notify with each that has begun,
+// until all have begun or ctx ends. Stop waits for actions that last.
 func (s *Site) Run(ctx context.Context, actions []ScriptedAction, notify func(ScriptedAction)) {
 	start := time.Now()
 	for _, action := range actions {
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -8,66 +8,65 @@
 	"time"
 )
 
-// ServerMode is what a server does with attempts that come.
+// ServerMode is how a server treats new attempts.
 type ServerMode string
 
 // The modes of a server.
 const (
 	ModeAccept   ServerMode = "accept"
-	ModeHang     ServerMode = "hang"      // accepts them and does not answer
+	ModeHang     ServerMode = "hang"      // reads them and does not answer
 	ModeNoCredit ServerMode = "no-credit" // attaches links and grants no credit; on the line protocol it hangs
 	ModeBusy     ServerMode = "busy"      // rejects them
 	ModeError    ServerMode = "error"     // answers with an error
-	ModeBreak    ServerMode = "break"     // accepts them and breaks the connection
+	ModeBreak    ServerMode = "break"     // resets the connection
 )
 
-// Server plays an application server. It speaks both protocols. Its exported fields are set
-// before Start; its methods may be called from any goroutine.
+// Server is an application server that speaks both protocols. Its exported fields are set before
+// Start. Its methods are safe for concurrent use.
 type Server struct {
 	Name          string
 	Log           *EventLog
-	SetupTime     time.Duration // of each attempt
-	MaxConns      int           // at a time; more are rejected. 0: without bound
-	Load          time.Duration // work a second that it reports of each connection
-	WithoutSASL   bool          // AMQP without the security layer
-	AnswersProbes bool          // are answered: PING by PONG
-	// Capacity is what it can do; line connections alone count. With it the server reports
-	// delays instead of loads.
+	SetupTime     time.Duration // time to accept an attempt
+	MaxConns      int           // maximum of established attempts; further ones are rejected. 0: unbounded
+	Load          time.Duration // work per second that the server reports for each connection
+	WithoutSASL   bool          // AMQP without the SASL layer
+	AnswersProbes bool          // answers health probes: PING by PONG
+	// Capacity applies to line connections only. If WorkRate is set, the server reports delays
+	// instead of loads.
 	Capacity       Capacity
 	ExtraListeners []string // addresses of further line listeners, one for each relay beyond the first
 
 	mu           sync.Mutex // guards the fields below
-	addresses    [2]string  // of the line and the AMQP listener
+	addresses    [2]string  // of the line and the AMQP listener, by listener number
 	listeners    []net.Listener
 	conns        map[net.Conn]context.CancelFunc
 	mode         ServerMode
-	delay        time.Duration // of echoes
+	delay        time.Duration // of each echo
 	draining     bool
-	established  int // attempts that are accepted and not ended
+	established  int // accepted attempts that have not ended
 	workload     workload
 	stop         context.CancelFunc // ends reportDelays; nil before the first Start
 	delayReports delayReports
 	running      sync.WaitGroup // all goroutines of the server; Stop waits for them
 }
 
-// Numbers of a server's listeners; those from the third on are its ExtraListeners.
+// Numbers of a server's listeners; those from listenersOfOneRelay on are the ExtraListeners.
 const (
 	listenerLine = iota
 	listenerAMQP
 	listenersOfOneRelay
 )
 
-// Start opens the server's listeners: line at one address and AMQP at another, which may
-// be empty. After Stop it can be started again, at the same addresses; it then counts
-// as just started.
+// Start opens the server's listeners. An empty address opens none. After Stop, the server can
+// be started again and then goes through slow start.
 func (s *Server) Start(line, amqp10 string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode, s.delay, s.draining = ModeAccept, 0, false
 	s.conns = make(map[net.Conn]context.CancelFunc)
-	again := s.stop != nil
+	restarted := s.stop != nil
 	s.workload = workload{Capacity: s.Capacity, groups: make(map[string]int)}
-	if again {
+	if restarted {
 		s.workload.startedAt = time.Now()
 	}
 	s.delayReports.byListener = nil
@@ -80,7 +79,7 @@
 				listener.Close()
 			}
 			s.listeners = nil
-			return fmt.Errorf("stand-in %s: %w", s.Name, err)
+			return fmt.Errorf("start fake server %s: %w", s.Name, err)
 		}
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -91,7 +90,7 @@
 	return nil
 }
 
-// listen opens one listener, and notes its address. The caller holds mu.
+// listen opens one listener and stores its address. The caller holds mu.
 func (s *Server) listen(number int, address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -124,24 +123,23 @@
 	return s.addresses[number]
 }
 
-// SetMode changes what the server does with attempts that come from now on, and how long
-// echoes take.
+// SetMode changes how the server treats new attempts, and the delay of echoes.
 func (s *Server) SetMode(mode ServerMode, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode, s.delay = mode, delay
 }
 
-// Drain makes the server migrate its clients, a share of them every tenth of a second.
-// It rejects new attempts.
+// Drain makes the server reject new attempts and migrate its clients, a quarter of them every
+// drainInterval.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 }
 
-// Stop kills the server: its connections break, and new ones are refused. It returns when
-// all goroutines of the server have ended.
+// Stop kills the server: its connections are reset and new ones refused. It returns once all
+// goroutines of the server have ended.
 func (s *Server) Stop() {
 	s.Log.addChange(EndpointChange{At: time.Now(), Endpoint: s.Name, State: Killed})
 	s.mu.Lock()
@@ -163,7 +161,7 @@
 	s.running.Wait()
 }
 
-// accept serves a listener's connections until it is closed.
+// accept accepts and serves connections until the listener is closed.
 func (s *Server) accept(listener net.Listener, serve func(context.Context, *net.TCPConn)) {
 	for {
 		conn, err := listener.Accept()
@@ -172,7 +170,7 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		s.mu.Lock()
-		if s.listeners == nil { // it was stopped meanwhile
+		if s.listeners == nil { // stopped since Accept returned
 			s.mu.Unlock()
 			cancel()
 			conn.Close()
@@ -191,8 +189,8 @@
 	}
 }
 
-// admit decides what the server does with one attempt, after the time of its set-up. After
-// ModeAccept the caller calls release once.
+// admit returns how the server treats an attempt. For ModeAccept it waits for SetupTime first,
+// and the caller must call release once.
 func (s *Server) admit(ctx context.Context) ServerMode {
 	s.mu.Lock()
 	mode, wait := s.mode, s.SetupTime
@@ -218,13 +216,13 @@
 	s.established--
 }
 
-// awaitEcho waits as long as an echo takes now to a message that took so long to arrive. It
-// reports whether there is one.
+// awaitEcho waits until the echo of a message is due; took is the time that the message took to
+// arrive. It reports whether the message is echoed at all.
 func (s *Server) awaitEcho(ctx context.Context, took time.Duration) bool {
 	s.mu.Lock()
 	mode, delay := s.mode, s.delay
-	if own := s.workload.delay(time.Now()); own > 0 {
-		delay += own - took // counts from when it was sent: messages that wait behind one another wait at the same time
+	if queueDelay := s.workload.delay(time.Now()); queueDelay > 0 {
+		delay += queueDelay - took // from its sending on, as queued messages wait concurrently
 	}
 	s.mu.Unlock()
 	if mode == ModeHang {
@@ -239,8 +237,8 @@
 	return true
 }
 
-// shouldMigrate reports whether a connection is to be migrated now: one in four is, each
-// time that all of them ask.
+// shouldMigrate reports whether a connection is to be migrated now. sequence increases by one
+// with each call for a connection, so that one in drainRounds calls returns true.
 func (s *Server) shouldMigrate(sequence int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,13 +247,13 @@
 
 const (
 	drainInterval = 100 * time.Millisecond
-	drainRounds   = 4 // until all connections have been migrated
+	drainRounds   = 4 // number of intervals in which all connections are migrated
 	readTimeout   = 30 * time.Second
 	writeTimeout  = time.Second
 )
 
-// awaitDrain calls migrate once a connection is to be migrated, as its server drains, or
-// returns when ctx ends.
+// awaitDrain waits until the connection is to be migrated because the server drains, and calls
+// migrate; or it returns when ctx ends.
 func (s *Server) awaitDrain(ctx context.Context, migrate func()) {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
--- a/internal/fake/server_amqp.go
+++ b/internal/fake/server_amqp.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	linkCredit     = 100 // deliveries that a client may send ahead
+	linkCredit     = 100 // deliveries that a client may send without a new grant
 	creditInterval = 50  // deliveries between grants of credit
 )
 
-// serveAMQP serves one connection of AMQP 1.0, and the sessions on it in parallel.
+// serveAMQP serves one AMQP 1.0 connection and, concurrently, its sessions.
 func (s *Server) serveAMQP(ctx context.Context, tcp *net.TCPConn) {
 	conn, err := amqp.AcceptPeerConn(tcp, readTimeout, s.WithoutSASL)
 	if err != nil {
@@ -25,7 +25,7 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	breakConn := func() { // and with it all sessions that share it
+	breakConn := func() { // ends all sessions of the connection
 		cancel()
 		tcp.SetLinger(0)
 		tcp.Close()
@@ -36,15 +36,15 @@
 	}
 }
 
-// serverSession is one session of AMQP, on which a client attaches one link for its
-// request, and another one only after a rejection. One goroutine serves it.
+// serverSession is one AMQP session. A client attaches one link for its request, and another
+// only after a rejection. One goroutine serves the session.
 type serverSession struct {
 	server    *Server
 	peer      *amqp.PeerSession
 	breakConn func()
 	record    *attemptRecord   // of the last attach; nil before the first
-	records   []*attemptRecord // of all
-	admitted  int              // attempts to be released at the end
+	records   []*attemptRecord // of all attaches
+	admitted  int              // accepted attempts, which are released at the end
 	delivered uint32
 }
 
@@ -79,7 +79,7 @@
 	}
 }
 
-// handle reports whether the session goes on after an event.
+// handle handles an event. It reports whether the session continues.
 func (s *serverSession) handle(ctx context.Context, event amqp.PeerEvent) bool {
 	switch event.Kind {
 	case amqp.PeerAttached:
@@ -93,7 +93,7 @@
 	return true
 }
 
-// attached decides on an attempt. It reports whether the session goes on.
+// attached answers an attempt as its mode demands. It reports whether the session continues.
 func (s *serverSession) attached(ctx context.Context, event amqp.PeerEvent) bool {
 	class, _ := event.Properties["class"].(string)
 	milliseconds, _ := amqp.AsUint64(event.Properties["give-up-ms"])
@@ -127,9 +127,10 @@
 	return s.accept(ctx, event)
 }
 
-// accept attaches the link, and detaches it once the server drains.
+// accept attaches the link, to be detached when the server drains. It reports whether the
+// session continues.
 func (s *serverSession) accept(ctx context.Context, event amqp.PeerEvent) bool {
-	if ctx.Err() != nil { // the server was stopped during the set-up
+	if ctx.Err() != nil { // the server was stopped during SetupTime
 		return false
 	}
 	record := s.record
@@ -147,7 +148,7 @@
 	return true
 }
 
-// received settles a delivery, which is its echo.
+// received handles a delivery; settling it is its echo. It reports whether the session continues.
 func (s *serverSession) received(ctx context.Context, event amqp.PeerEvent) bool {
 	took := s.record.received(string(event.Payload), int(s.delivered)+1)
 	s.delivered++
--- a/internal/fake/server_line.go
+++ b/internal/fake/server_line.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// serverLine is one attempt on the line protocol, as its server serves it.
+// serverLine is the server side of one attempt over the line protocol.
 type serverLine struct {
 	server   *Server
-	listener int // its number
+	listener int // number of the listener
 	conn     *net.TCPConn
 	reader   *bufio.Reader
 	record   *attemptRecord
@@ -25,7 +25,7 @@
 	writing sync.Mutex // guards writes to conn
 }
 
-// serveLine serves one connection of the line protocol that came to a listener.
+// serveLine serves one connection of the line protocol; listener is the number of its listener.
 func (s *Server) serveLine(ctx context.Context, conn *net.TCPConn, listener int) {
 	reader := bufio.NewReader(conn)
 	conn.SetReadDeadline(time.Now().Add(readTimeout))
@@ -47,7 +47,7 @@
 	}
 }
 
-// answerProbe answers a first line that is no request.
+// answerProbe returns the answer to a first line that is not an OPEN request.
 func (s *Server) answerProbe(words []string) string {
 	isProbe := len(words) == 1 && (words[0] == "PING" || words[0] == "STATS")
 	switch {
@@ -59,7 +59,7 @@
 	return "NO\r\n"
 }
 
-// parseOpen reads the words of a request.
+// parseOpen parses the words of an OPEN request.
 func parseOpen(words []string) (attempt Attempt, group string) {
 	attempt = Attempt{Frontend: "line", Name: words[1], At: time.Now()}
 	for field := range strings.SplitSeq(words[3], ",") {
@@ -76,7 +76,7 @@
 	return attempt, group
 }
 
-// admit reports whether the attempt is accepted; otherwise it has been dealt with.
+// admit reports whether the attempt is accepted; if not, it has been answered.
 func (l *serverLine) admit(ctx context.Context) bool {
 	switch l.server.admit(ctx) {
 	case ModeHang, ModeNoCredit:
@@ -98,9 +98,9 @@
 	return true
 }
 
-// serve answers an accepted attempt, and echoes its messages until it ends.
+// serve answers an accepted attempt and echoes its messages until it ends.
 func (l *serverLine) serve(ctx context.Context) {
-	if ctx.Err() != nil { // the server was stopped during the set-up
+	if ctx.Err() != nil { // the server was stopped during SetupTime
 		return
 	}
 	l.record.answered(answerUp)
@@ -123,7 +123,7 @@
 	}
 }
 
-// echoNext echoes the next message and reports whether the attempt goes on.
+// echoNext echoes the next message. It reports whether the attempt continues.
 func (l *serverLine) echoNext(ctx context.Context, sequence int) bool {
 	l.conn.SetReadDeadline(time.Now().Add(readTimeout))
 	message, err := l.reader.ReadString('\n')
@@ -157,8 +157,8 @@
 	l.conn.CloseWrite()
 }
 
-// joinWorkload counts the connection to the server's workload, and makes it one of those
-// that delays may be reported on; the function that it returns ends both.
+// joinWorkload adds the connection to the server's workload and to the connections for delay
+// reports. The returned function removes it from both.
 func (l *serverLine) joinWorkload() (leave func()) {
 	write := l.write
 	l.server.delayReports.add(l.listener, &write)
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -12,25 +12,24 @@
 	"lockroad/internal/discovery"
 )
 
-// Site is a set of servers with their discovery, and the clients that use them.
+// Site is a set of servers, their discovery, and the clients that use them.
 type Site struct {
 	Log       *EventLog
 	Servers   []*Server
 	Discovery *Discovery
-	Agents    []*Discovery // of the relays beyond the first, where servers have a listener for each
+	Agents    []*Discovery // discovery of the relays beyond the first, if servers have extra listeners
 	Clients   *ClientPool
 	AMQPPort  int // of all servers
 
-	pending sync.WaitGroup // scripted actions that last; Stop waits for them
+	pending sync.WaitGroup // goroutines of scripted actions; Stop waits for them
 }
 
-// maxStarts bounds the attempts to find a port that is free at all addresses.
+// maxStarts bounds the attempts to find an AMQP port that is free on all addresses.
 const maxStarts = 20
 
-// NewSite starts n servers, named s-1 and so on, and discovery that lists them. Each server
-// has a loopback address of its own, as all speak AMQP on one port. Their set-ups take
-// setupTime, and each accepts maxConns connections at a time. What else they are is set by
-// prepare, which may be nil.
+// NewSite starts n servers, named s-1 and so on, and discovery that lists them. Each server has
+// its own loopback address, as all use the same AMQP port. They have the given SetupTime and
+// MaxConns; prepare, which may be nil, sets their other fields before they start.
 func NewSite(n int, setupTime time.Duration, maxConns int, prepare func(*Server)) (*Site, error) {
 	s := &Site{Log: &EventLog{}}
 	s.Discovery = &Discovery{Log: s.Log}
@@ -44,18 +43,18 @@
 		}
 	}
 	for range s.Servers[0].ExtraListeners {
-		agent := &Discovery{Log: &EventLog{}} // of its own: it repeats what the first reports
+		agent := &Discovery{Log: &EventLog{}} // a separate log, as the agent repeats the changes of the first
 		if err := agent.Start("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
 		s.Agents = append(s.Agents, agent)
 	}
 	var err error
-	for range maxStarts { // a port that is free at the first address may be taken at another
+	for range maxStarts { // a port that is free on the first address may be in use on another
 		if err = s.start(); err == nil {
 			return s, nil
 		}
-		s.Log.reset() // the servers of the failed start
+		s.Log.reset() // drop the records of the failed start
 	}
 	s.Discovery.Stop()
 	return nil, err
@@ -71,7 +70,7 @@
 		if err := server.Start(net.JoinHostPort(host, "0"), net.JoinHostPort(host, port)); err != nil {
 			for _, started := range s.Servers[:i] {
 				started.Stop()
-				started.stop = nil // so that its next start is its first
+				started.stop = nil // so that its next start is not a restart
 			}
 			return err
 		}
@@ -88,7 +87,7 @@
 	return err
 }
 
-// Agent returns the discovery of a relay, by its number from 0 on.
+// Agent returns the discovery of a relay, numbered from 0.
 func (s *Site) Agent(relay int) *Discovery {
 	if relay > 0 && relay <= len(s.Agents) {
 		return s.Agents[relay-1]
@@ -96,7 +95,7 @@
 	return s.Discovery
 }
 
-// SetState changes a server's phase in all of discovery; justStarted sets its start to now.
+// SetState changes a server's phase in all discovery; justStarted also sets its start time to now.
 func (s *Site) SetState(id, phase string, justStarted bool) {
 	s.Discovery.SetState(id, phase, justStarted)
 	for _, agent := range s.Agents {
@@ -104,7 +103,7 @@
 	}
 }
 
-// Server returns the server of a name, or nil.
+// Server returns the server of that name, or nil.
 func (s *Site) Server(name string) *Server {
 	for _, server := range s.Servers {
 		if server.Name == name {
@@ -123,8 +122,8 @@
 	return names
 }
 
-// Stop ends the script's actions, servers and discovery; the client pool's Run has to have
-// returned.
+// Stop waits for the scripted actions and stops servers and discovery. The client pool's Run
+// must have returned.
 func (s *Site) Stop() {
 	s.pending.Wait()
 	for _, server := range s.Servers {
@@ -136,8 +135,8 @@
 	}
 }
 
-// Config returns a JSON configuration for a relay of the site, by its number, with its line
-// frontend on a free port.
+// Config returns the platform's JSON configuration for a relay of the site, numbered from 0,
+// with its line frontend on a free port.
 func (s *Site) Config(classes []Class, seed uint64, relay int) ([]byte, error) {
 	type object = map[string]any
 	var classObjects []object
