--- a/internal/golden/commandline.go
+++ b/internal/golden/commandline.go
@@ -7,8 +7,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// CommandLine lists the commands of a command line with their arguments and flags: their
-// names, short forms, defaults, environment variables and whether they have to be given.
+// CommandLine lists the commands of a command line with their arguments and flags: names, short
+// forms, types, defaults, allowed values, environment variables and whether they are required.
 func CommandLine(parser *kong.Kong) string {
 	var b strings.Builder
 	describe(&b, parser.Model.Node)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden compares a text that a test has produced with a file under testdata/golden,
-// byte for byte. The files hold what people and other programs read: command lines, outputs,
-// error texts, vocabularies. The encodings of stored and sent Go values are checked by Golden
-// and GoldenJSON of internal/testutil. Only tests import it.
+// Package golden compares texts that tests produce with files under testdata/golden, byte for
+// byte. The files hold what users and other programs read: command lines, outputs, errors and
+// vocabularies. Encodings of stored and sent Go values are checked by Golden and GoldenJSON of
+// internal/testutil. Only tests import the package.
 package golden
 
 import (
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// update makes Compare write the files. Give it only when a text is changed on purpose, and
-// say in the commit which readers of the text have been notified.
-var update = flag.Bool("update", false, "write the golden files anew: only when a form is changed on purpose")
+// update makes Compare rewrite the files. The commit that changes a text names the readers of
+// the text that it affects.
+var update = flag.Bool("update", false, "rewrite the golden files, for intended changes only")
 
 // Compare fails the test unless got equals testdata/golden/name.
 func Compare(t *testing.T, name, got string) {
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s has changed, and other programs read it; got\n%s\nwant\n%s", path, got, want)
+		t.Errorf("the text of %s, which users or other programs read, has changed; got\n%s\nwant\n%s", path, got, want)
 	}
 }
 
-// Read returns an input that is stored beside the golden files.
+// Read returns the content of a test input in testdata/golden.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "golden", name))
--- a/internal/golden/keys.go
+++ b/internal/golden/keys.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// EachKey calls visit for each key of a tree of objects and lists, in a fixed order. set gives
-// the key another value, remove removes it, and restore undoes either.
+// EachKey calls visit for each key in a decoded JSON tree, in a fixed order. set replaces the
+// key's value, remove deletes the key, and restore undoes both.
 func EachKey(tree any, visit func(path string, value any, set func(any), remove, restore func())) {
 	eachKey(tree, "", visit)
 }
--- a/internal/testutil/authority.go
+++ b/internal/testutil/authority.go
@@ -15,16 +15,16 @@
 	"time"
 )
 
-// Authority signs certificates for tests. Its files are in a directory of the test.
+// Authority is a certificate authority for tests. Its files are in a temporary directory.
 type Authority struct {
-	CA   string // file of its own certificate
+	CA   string // path of its certificate
 	t    testing.TB
 	dir  string
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority with a new key, valid for an hour.
+// NewAuthority creates an authority whose certificate is valid for an hour.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
 	a := &Authority{t: t, dir: t.TempDir()}
@@ -59,8 +59,8 @@
 	return path
 }
 
-// Pair makes a certificate for a name, and for 127.0.0.1, that is valid for so long, and returns the files of it and
-// of its key. A pair replaces the last one of the same name.
+// Pair creates a certificate for a common name and 127.0.0.1, and returns the paths of the
+// certificate and its key. It replaces an earlier pair of the same name.
 func (a *Authority) Pair(name string, validity time.Duration) (cert, key string) {
 	a.t.Helper()
 	newKey := a.newKey()
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// UpdateGolden names the environment variable that has Golden write its files instead of comparing with
-// them. The files are what programs in service write and read: set it only for a new format version.
+// UpdateGolden names the environment variable that makes Golden rewrite its files before it
+// compares. Deployed programs read and write these encodings: set it only for a new format version.
 const UpdateGolden = "LOCKROAD_UPDATE_GOLDEN"
 
-// Golden fails the test if got differs from the golden file of a path, and returns the file's bytes.
+// Golden fails the test if got differs from the golden file at path, and returns the file's content.
 func Golden(t testing.TB, path string, got []byte) []byte {
 	t.Helper()
 	if os.Getenv(UpdateGolden) != "" {
@@ -35,8 +35,8 @@
 	return want
 }
 
-// GoldenJSON fails the test if a value's JSON differs from the golden file of a path, or if the file does
-// not decode to an equal value.
+// GoldenJSON fails the test if the JSON of a value differs from the golden file at path, or if the
+// file does not decode to an equal value.
 func GoldenJSON[T any](t testing.TB, path string, value T) {
 	t.Helper()
 	text, err := json.Marshal(value)
@@ -48,13 +48,12 @@
 		t.Fatalf("%s: %v", path, err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%s is decoded as\n%+v, want\n%+v", path, decoded, value)
+		t.Errorf("%s decodes to\n%+v, want\n%+v", path, decoded, value)
 	}
 }
 
-// RequireComplete fails the test at each field, element, key or value within a value that is zero or empty, and at
-// each two equal numbers or strings in one struct: an encoding that leaves fields out, or swaps two, would
-// not show.
+// RequireComplete fails the test for each zero or empty field, element or key in a value, and for
+// equal fields in one struct. Such a value would not show that an encoding drops or swaps fields.
 func RequireComplete(t testing.TB, value any) {
 	t.Helper()
 	requireComplete(t, reflect.TypeOf(value).String(), reflect.ValueOf(value))
@@ -106,7 +105,7 @@
 	}
 }
 
-// encodesItself reports whether a type has an encoding of its own, so that names of its fields do not matter.
+// encodesItself reports whether a type implements its encoding, so that its field names don't matter.
 func encodesItself(t reflect.Type) bool {
 	for _, encoder := range []reflect.Type{reflect.TypeFor[json.Marshaler](), reflect.TypeFor[encoding.TextMarshaler]()} {
 		if t.Implements(encoder) || reflect.PointerTo(t).Implements(encoder) {
--- a/internal/testutil/source.go
+++ b/internal/testutil/source.go
@@ -1,16 +1,16 @@
 package testutil
 
-// Source turns the bytes of a fuzzer into choices; when they are used up it chooses 0. Equal
-// bytes give equal choices.
+// Source turns the bytes of a fuzzer into choices. Equal bytes give equal choices; once the
+// bytes are used up, every choice is 0.
 type Source struct{ data []byte }
 
-// NewSource returns a Source of the bytes of a fuzzer, which it does not copy.
+// NewSource returns a Source of the bytes of a fuzzer. It does not copy data.
 func NewSource(data []byte) *Source { return &Source{data: data} }
 
 // More reports whether there are bytes left.
 func (s *Source) More() bool { return len(s.data) > 0 }
 
-// Pick returns a number from 0 up to n-1; numbers over 255 are never chosen.
+// Pick returns a number in [0, n), at most 255.
 func (s *Source) Pick(n int) int {
 	if len(s.data) == 0 {
 		return 0
@@ -20,7 +20,7 @@
 	return int(choice) % n
 }
 
-// Cut splits bytes at a random place after the first.
+// Cut splits data at a chosen position after its first byte.
 func (s *Source) Cut(data []byte) (part, rest []byte) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/testutil/tagged.go
+++ b/internal/testutil/tagged.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// RequireTags fails the test at each exported field within a value's type that has no explicit name in one of its
-// tags of the given keys, such as "json": its encoding would change with the field's name.
+// RequireTags fails the test for each exported field in a value's type without an explicit name in
+// its tags of the given keys, such as "json". Renaming such a field would change the encoding.
 func RequireTags(t testing.TB, keys []string, value any) {
 	t.Helper()
 	EncodedFields(reflect.TypeOf(value), func(owner reflect.Type, field reflect.StructField) {
@@ -19,36 +19,36 @@
 	})
 }
 
-// HasTagName reports whether a field's tag of a key, such as "json", has a name, not options alone.
+// HasTagName reports whether the value of a key, such as "json", in a tag has a name besides options.
 func HasTagName(tag reflect.StructTag, key string) bool {
 	name, _, _ := strings.Cut(tag.Get(key), ",")
 	return name != ""
 }
 
-// EncodedFields calls visit with each field, exported or embedded, of the structs within a type, once for each struct. Types that
-// encode themselves are left out.
+// EncodedFields calls visit with each exported or embedded field of the structs within a type, once
+// per struct type. Types that implement their encoding are skipped.
 func EncodedFields(root reflect.Type, visit func(owner reflect.Type, field reflect.StructField)) {
 	visitEncodedFields(root, visit, make(map[reflect.Type]bool))
 }
 
-func visitEncodedFields(of reflect.Type, visit func(reflect.Type, reflect.StructField), seen map[reflect.Type]bool) {
-	if seen[of] || encodesItself(of) {
+func visitEncodedFields(typ reflect.Type, visit func(reflect.Type, reflect.StructField), seen map[reflect.Type]bool) {
+	if seen[typ] || encodesItself(typ) {
 		return
 	}
-	seen[of] = true
-	switch of.Kind() {
+	seen[typ] = true
+	switch typ.Kind() {
 	case reflect.Map:
-		visitEncodedFields(of.Key(), visit, seen)
-		visitEncodedFields(of.Elem(), visit, seen)
+		visitEncodedFields(typ.Key(), visit, seen)
+		visitEncodedFields(typ.Elem(), visit, seen)
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		visitEncodedFields(of.Elem(), visit, seen)
+		visitEncodedFields(typ.Elem(), visit, seen)
 	case reflect.Struct:
-		for i := range of.NumField() {
-			field := of.Field(i)
+		for i := range typ.NumField() {
+			field := typ.Field(i)
 			if !field.IsExported() && !field.Anonymous {
 				continue
 			}
-			visit(of, field)
+			visit(typ, field)
 			visitEncodedFields(field.Type, visit, seen)
 		}
 	}
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -13,9 +13,8 @@
 	waitInterval = time.Millisecond
 )
 
-// Until waits for a condition that is due at any moment, and fails the test with message if it
-// is not met within 10 s. It is for what real sockets and processes do, which no fake clock
-// drives.
+// Until polls a condition and fails the test with message if it is not met within 10 s. It is
+// for effects of real sockets and processes, which no fake clock drives.
 func Until(t testing.TB, message string, reached func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !reached(); time.Sleep(waitInterval) {
@@ -25,14 +24,14 @@
 	}
 }
 
-// AwaitUnread waits until a connection that nobody reads has received so many bytes.
+// AwaitUnread waits until want bytes are in the receive buffer of a connection that is not read.
 func AwaitUnread(t testing.TB, conn *net.TCPConn, want int) {
 	t.Helper()
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	Until(t, "what was sent has not come", func() (received bool) {
+	Until(t, "the sent bytes did not arrive", func() (received bool) {
 		raw.Control(func(fd uintptr) {
 			n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
 			received = err == nil && n >= want
