--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -1,6 +1,6 @@
-// Package faulttest runs scenarios: a complete relay among fake clients, servers and
-// discovery, with a fault proxy between it and each of them. Its tests reproduce every known
-// failure through both frontends, and check the operators' rules at the end.
+// Package faulttest runs a complete relay among fake clients, servers and discovery, with a
+// fault proxy between the relay and each of them. Its tests reproduce known failures through
+// both frontends and check the relay's invariants.
 package faulttest
 
 import (
@@ -25,26 +25,26 @@
 	"lockroad/internal/server"
 )
 
-// Scenario says what is to be run.
+// Scenario describes a run.
 type Scenario struct {
-	Front           string // line or amqp: the protocol of clients and servers
+	Front           string // protocol of clients and servers: line or amqp
 	Servers         int
-	Rules           string // of the fault proxy: its routes are door, discovery, and each server by its name
-	Actions         string // of the servers and clients, as fake.ParseScript reads them
-	WithoutSASL     bool   // servers speak AMQP without the security layer
-	SessionsPerConn int    // requests by AMQP that share a connection to a server; 0: each has its own
+	Rules           string // fault script; routes: door (the relay's frontend), discovery, and server names
+	Actions         string // script of the servers and clients; see fake.ParseScript
+	WithoutSASL     bool   // servers speak AMQP without the SASL layer
+	SessionsPerConn int    // AMQP requests that may share a connection to a server; 0: each has its own
 	Seed            uint64
-	SetupTime       time.Duration     // of each attempt at a server
-	Rate            float64           // of the client pool: new clients a second; 0: none
-	Duration        time.Duration     // of the client pool and the actions
-	MeanLifetime    time.Duration     // of a connection of the client pool, on average
-	Limits          invariants.Limits // zero: the defaults
+	SetupTime       time.Duration     // time in which a server accepts an attempt
+	Rate            float64           // new clients per second of the client pool; 0: no pool
+	Duration        time.Duration     // time that the client pool and the actions run
+	MeanLifetime    time.Duration     // mean duration of the client pool's sessions
+	Limits          invariants.Limits // zero: invariants.DefaultLimits
 }
 
 // Class is the class of all clients.
 var Class = fake.Class{Name: "page-render", Share: 1, TimeLimit: 2400 * time.Millisecond}
 
-// Environment is a scenario that runs. Its methods may be called by any goroutine.
+// Environment is a running scenario. Its methods are safe for concurrent use.
 type Environment struct {
 	Scenario
 	Site  *fake.Site
@@ -53,15 +53,15 @@
 
 	mu         sync.Mutex // guards injections
 	injections []faultproxy.Injection
-	socket     string // of the relay's console
-	directory  string
+	socket     string // path of the relay's console socket
+	directory  string // holds the socket
 	cancel     context.CancelFunc
-	ended      chan error     // the relay's error, once it has ended
+	ended      chan error     // gets the relay's error when it has ended
 	running    sync.WaitGroup // client pool and actions; Run waits for them
 }
 
-// Run runs a scenario: do is called once the relay is ready, and may start sessions; the
-// client pool and the actions run beside it. It returns what is to be checked.
+// Run runs a scenario and returns its history for invariants.Check. Once the relay is ready it
+// calls do, which may start sessions, while the client pool and the actions run.
 func Run(ctx context.Context, s Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
 	if s.Limits == (invariants.Limits{}) {
 		s.Limits = invariants.DefaultLimits()
@@ -75,7 +75,7 @@
 	actions, err := fake.ParseScript(s.Actions, st.Site.Names())
 	if err != nil {
 		_ = st.stop()
-		return invariants.History{}, fmt.Errorf("acts: %w", err)
+		return invariants.History{}, fmt.Errorf("parse actions: %w", err)
 	}
 	running, done := context.WithTimeout(ctx, s.Duration)
 	defer done()
@@ -96,8 +96,8 @@
 	return history, st.stop()
 }
 
-// startActions runs the actions, and waits for those of time 0: a server that hangs from the
-// start does so before the first client arrives.
+// startActions starts the actions and waits until those of time 0 have begun, so that they
+// precede the first client.
 func (st *Environment) startActions(ctx context.Context, actions []fake.ScriptedAction) {
 	begun := make(chan struct{}, len(actions))
 	st.running.Go(func() { st.Site.Run(ctx, actions, func(fake.ScriptedAction) { begun <- struct{}{} }) })
@@ -112,11 +112,11 @@
 	}
 }
 
-// start starts the site, the proxy's routes, and the relay between them.
+// start starts the site, the proxy's routes and the relay.
 func (st *Environment) start(ctx context.Context) error {
 	rules, err := faultproxy.ParseRules(st.Rules)
 	if err != nil {
-		return fmt.Errorf("rules: %w", err)
+		return fmt.Errorf("parse fault rules: %w", err)
 	}
 	if st.Site, err = fake.NewSite(st.Servers, st.SetupTime, 0, nil); err != nil {
 		return err
@@ -155,7 +155,7 @@
 	return st.openFrontend()
 }
 
-// openFrontend opens the route to the relay's frontend, and prepares the clients.
+// openFrontend opens the route to the relay's frontend and prepares the client pool.
 func (st *Environment) openFrontend() error {
 	frontend, err := st.awaitFrontend()
 	if err != nil {
@@ -175,8 +175,8 @@
 }
 
 const (
-	maxInjections = 10_000 // that are kept
-	routeAttempts = 21     // to find a port that is free at all addresses
+	maxInjections = 10_000 // recorded
+	routeAttempts = 21     // to find an AMQP port that is free on all addresses
 	readyTimeout  = 10 * time.Second
 	pollInterval  = 5 * time.Millisecond
 	stopTimeout   = 10 * time.Second
@@ -199,8 +199,8 @@
 	return err
 }
 
-// tryServerRoutes puts a route before each server, and makes discovery list those. All servers
-// speak AMQP on one port, so each route has an address of its own.
+// tryServerRoutes opens a route to each server and makes discovery list the routes' addresses.
+// All servers use the same AMQP port, so each route has its own IP address.
 func (st *Environment) tryServerRoutes() error {
 	port := "0"
 	amqpPort := st.Site.AMQPPort
@@ -226,14 +226,13 @@
 	return nil
 }
 
-// awaitFrontend waits until the relay answers at its console, and returns its frontend's
-// address.
+// awaitFrontend waits until the relay's console answers, and returns the frontend's address.
 func (st *Environment) awaitFrontend() (string, error) {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
 		case err := <-st.ended:
 			st.ended <- err
-			return "", fmt.Errorf("the relay has ended: %w", err)
+			return "", fmt.Errorf("relay ended during start: %w", err)
 		default:
 		}
 		text, err := st.Command("fronts")
@@ -247,10 +246,10 @@
 			}
 		}
 	}
-	return "", errors.New("the relay does not answer at its console")
+	return "", errors.New("relay's console does not report the frontend in time")
 }
 
-// Command runs a command of the relay's console, and returns its output.
+// Command runs a command on the relay's console and returns its output.
 func (st *Environment) Command(command string) (string, error) {
 	var out, errs strings.Builder
 	if code := console.Run(st.socket, command, nil, &out, &errs); code != console.ExitOK {
@@ -259,28 +258,28 @@
 	return out.String(), nil
 }
 
-// Injections returns the faults that were injected, the first 10,000 of them.
+// Injections returns the injected faults, at most the first maxInjections.
 func (st *Environment) Injections() []faultproxy.Injection {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.injections[:len(st.injections):len(st.injections)]
 }
 
-// RunSessions runs sessions of as many clients and groups at the same time, each of a
-// lifetime, and returns what the clients saw.
+// RunSessions runs count sessions concurrently, each of a client and group of its own and with
+// the given lifetime, and returns their records.
 func (st *Environment) RunSessions(ctx context.Context, count int, lifetime time.Duration) []fake.Session {
-	all := make([]fake.Session, count)
+	sessions := make([]fake.Session, count)
 	var running sync.WaitGroup
 	for i := range count {
 		running.Go(func() {
-			all[i] = st.Site.Clients.RunSession(ctx, st.Front, st.Class, fmt.Sprintf("%x", 100+i), lifetime)
+			sessions[i] = st.Site.Clients.RunSession(ctx, st.Front, st.Class, fmt.Sprintf("%x", 100+i), lifetime)
 		})
 	}
 	running.Wait()
-	return all
+	return sessions
 }
 
-// stop ends the relay and all around it, and returns the relay's error.
+// stop stops the relay, the proxy and the site, and returns the relay's error.
 func (st *Environment) stop() error {
 	var err error
 	if st.cancel != nil {
@@ -288,7 +287,7 @@
 		select {
 		case err = <-st.ended:
 		case <-time.After(stopTimeout):
-			err = errors.New("the relay does not end")
+			err = errors.New("relay does not end after its context")
 		}
 	}
 	if st.Proxy != nil {
@@ -303,12 +302,12 @@
 	return err
 }
 
-// Report writes the injected faults and the violations, for a person.
+// Report writes the injected faults and the violations in readable form.
 func Report(w io.Writer, injections []faultproxy.Injection, violations []invariants.Violation) {
 	for _, injection := range injections {
 		fmt.Fprintf(w, "%10v  %s: %s on %s, connection %d %s, byte %d\n", injection.At.Round(time.Millisecond), injection.Rule, injection.Kind, injection.Route, injection.Conn, injection.Direction, injection.Offset)
 	}
 	for _, violation := range violations {
-		fmt.Fprintf(w, "broken: %s\n", violation)
+		fmt.Fprintf(w, "violated: %s\n", violation)
 	}
 }
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -17,10 +17,10 @@
 	"lockroad/internal/invariants"
 )
 
-// foundFile is where a random scenario that violates a rule is stored.
+// foundFile is the file in which a scenario that TestRandomScripts finds is stored.
 const foundFile = "testdata/found.lisp"
 
-// formatScenario writes a scenario as parseScenario reads it.
+// formatScenario formats a scenario for parseScenario.
 func formatScenario(scenario Scenario) string {
 	front := scenario.Front
 	if scenario.SessionsPerConn > 0 {
@@ -29,13 +29,13 @@
 	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, scenario.Servers, scenario.Seed, scenario.Rules, scenario.Actions)
 }
 
-// parseScenario reads a scenario of the corpus.
+// parseScenario parses a scenario of the corpus.
 func parseScenario(text string) (scenario Scenario, err error) {
 	head, rest, _ := strings.Cut(text, "\n")
 	if _, err := fmt.Sscanf(head, "; front %s servers %d seed %d", &scenario.Front, &scenario.Servers, &scenario.Seed); err != nil {
-		return scenario, fmt.Errorf("the head %q: %w", head, err)
+		return scenario, fmt.Errorf("parse scenario's first line %q: %w", head, err)
 	}
-	if scenario.Front == "shared" { // connections to servers, by AMQP
+	if scenario.Front == "shared" { // AMQP with shared connections to servers
 		scenario.Front, scenario.SessionsPerConn = "amqp", 4
 	}
 	scenario.Rules, scenario.Actions, _ = strings.Cut(rest, "; acts\n")
@@ -43,10 +43,10 @@
 	return scenario, nil
 }
 
-// violations runs a scenario and returns the violations of rules, as text. What goes wrong at a server
-// with injected faults is not due to the relay; the answers are, whatever happens.
+// violations runs a scenario and returns a report of the violated invariants, or "". Attempts at
+// servers with injected faults are excluded, but the answers to clients are always checked.
 func violations(t interface{ Fatal(...any) }, scenario Scenario) string {
-	list, err := faultproxy.ParseRules(scenario.Rules)
+	rules, err := faultproxy.ParseRules(scenario.Rules)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	faulty := make(map[string]bool)
-	for _, rule := range list {
+	for _, rule := range rules {
 		for _, name := range rule.Routes {
 			faulty[name] = true
 		}
@@ -72,26 +72,26 @@
 	for _, attempt := range history.Attempts {
 		byServer[attempt.Name] = attempt.Endpoint
 	}
-	// What a client got garbled or late from a faulty server is due to the fault.
+	// Garbled and delayed messages from a faulty server are due to the fault.
 	for i := range history.Sessions {
 		if session := &history.Sessions[i]; faulty[byServer[session.Name]] {
 			session.Garbled, session.MaxMessageDelay = 0, 0
 		}
 	}
 	if faulty["discovery"] {
-		history.Limits.DrainDelay = time.Hour // nobody knows when relays were notified
+		history.Limits.DrainDelay = time.Hour // the time at which relays were notified is unknown
 	}
 	history.Limits.AnswerTolerance, history.Limits.MaxMessageDelay = history.Limits.AnswerTolerance+busyMachine, history.Limits.MaxMessageDelay+busyMachine
-	all := invariants.Check(history)
-	if len(all) == 0 {
+	found := invariants.Check(history)
+	if len(found) == 0 {
 		return ""
 	}
 	var b bytes.Buffer
-	Report(&b, env.Injections(), all)
+	Report(&b, env.Injections(), found)
 	return b.String()
 }
 
-// TestCorpus runs the scenarios that violated a rule once.
+// TestCorpus guards against the return of violations that random scenarios have found.
 func TestCorpus(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.lisp")
 	if err != nil {
@@ -108,64 +108,66 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if what := violations(t, scenario); what != "" {
-				t.Error(what)
+			if report := violations(t, scenario); report != "" {
+				t.Error(report)
 			}
 		})
 	}
 }
 
-// drawScenario draws a random scenario of a few servers.
+// drawScenario draws a random scenario with a few servers.
 func drawScenario(rt *rapid.T) Scenario {
 	servers := rapid.IntRange(2, 4).Draw(rt, "servers")
 	server := rapid.Map(rapid.IntRange(1, servers), func(i int) string { return fmt.Sprintf("s-%d", i) })
-	ms := func(what string, most int) string { return fmt.Sprintf("%dms", rapid.IntRange(1, most).Draw(rt, what)) }
-	var list, actions []string
+	milliseconds := func(label string, most int) string {
+		return fmt.Sprintf("%dms", rapid.IntRange(1, most).Draw(rt, label))
+	}
+	var rules, actions []string
 	for i := range rapid.IntRange(0, 3).Draw(rt, "rules") {
 		route := server.Draw(rt, "route")
 		if rapid.IntRange(0, 5).Draw(rt, "of discovery") == 0 {
 			route = "discovery"
 		}
-		when := rapid.SampledFrom([]string{"", "(at %d0ms)", "(after-bytes %d)", "(at-line %d)", "(at-frame %d)", "(chance %d)", "(at-performative attach)", "(at-performative transfer)"}).Draw(rt, "when")
-		if strings.Contains(when, "%d") {
-			when = fmt.Sprintf(when, rapid.IntRange(1, 99).Draw(rt, "n"))
+		trigger := rapid.SampledFrom([]string{"", "(at %d0ms)", "(after-bytes %d)", "(at-line %d)", "(at-frame %d)", "(chance %d)", "(at-performative attach)", "(at-performative transfer)"}).Draw(rt, "when")
+		if strings.Contains(trigger, "%d") {
+			trigger = fmt.Sprintf(trigger, rapid.IntRange(1, 99).Draw(rt, "n"))
 		}
-		what := rapid.SampledFrom([]string{"(swallow)", "(stall)", "(merge)", "(split 1)", "(split 7)", "(garble flip 4)", "(garble insert 9)", "(garble drop 3)", "(garble duplicate 30)",
+		fault := rapid.SampledFrom([]string{"(swallow)", "(stall)", "(merge)", "(split 1)", "(split 7)", "(garble flip 4)", "(garble insert 9)", "(garble drop 3)", "(garble duplicate 30)",
 			"(cut rst)", "(cut fin)", "(half-close)", "(latency 20ms 10ms normal)", "(drip 1 3ms)", "(bandwidth 4000)", "(pause)", "(refuse)", "(mute)", "(queue-full)", "(vanish)"}).Draw(rt, "what")
-		if strings.HasPrefix(what, "(refuse") || strings.HasPrefix(what, "(mute") || strings.HasPrefix(what, "(queue") || strings.HasPrefix(what, "(vanish") {
-			when = fmt.Sprintf("(at %s)", ms("at", 1500))
+		if strings.HasPrefix(fault, "(refuse") || strings.HasPrefix(fault, "(mute") || strings.HasPrefix(fault, "(queue") || strings.HasPrefix(fault, "(vanish") {
+			trigger = fmt.Sprintf("(at %s)", milliseconds("at", 1500))
 		}
-		list = append(list, fmt.Sprintf("(rule r%d (route %s) (direction %s) (fraction %d) %s (for %s) %s)", i, route,
-			rapid.SampledFrom([]string{"up", "down", "both"}).Draw(rt, "direction"), rapid.IntRange(20, 100).Draw(rt, "fraction"), when, ms("for", 1500), what))
+		rules = append(rules, fmt.Sprintf("(rule r%d (route %s) (direction %s) (fraction %d) %s (for %s) %s)", i, route,
+			rapid.SampledFrom([]string{"up", "down", "both"}).Draw(rt, "direction"), rapid.IntRange(20, 100).Draw(rt, "fraction"), trigger, milliseconds("for", 1500), fault))
 	}
 	for range rapid.IntRange(0, 2).Draw(rt, "acts") {
-		at, scenario := ms("at", 1800), server.Draw(rt, "server")
+		at, name := milliseconds("at", 1800), server.Draw(rt, "server")
 		actions = append(actions, fmt.Sprintf("(at %s %s)", at, rapid.SampledFrom([]string{
-			fmt.Sprintf("(hang %s %s)", scenario, ms("for", 1500)), fmt.Sprintf("(busy %s %s)", scenario, ms("for", 1500)), fmt.Sprintf("(error %s %s)", scenario, ms("for", 1500)),
-			fmt.Sprintf("(break %s %s)", scenario, ms("for", 1500)), fmt.Sprintf("(drain %s)", scenario), fmt.Sprintf("(restart %s %s)", scenario, ms("for", 900)),
+			fmt.Sprintf("(hang %s %s)", name, milliseconds("for", 1500)), fmt.Sprintf("(busy %s %s)", name, milliseconds("for", 1500)), fmt.Sprintf("(error %s %s)", name, milliseconds("for", 1500)),
+			fmt.Sprintf("(break %s %s)", name, milliseconds("for", 1500)), fmt.Sprintf("(drain %s)", name), fmt.Sprintf("(restart %s %s)", name, milliseconds("for", 900)),
 			fmt.Sprintf("(drop %d)", rapid.IntRange(1, 100).Draw(rt, "percent"))}).Draw(rt, "act")))
 	}
 	scenario, err := parseScenario(formatScenario(Scenario{Front: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: servers, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
-		Rules: strings.Join(list, "\n"), Actions: strings.Join(actions, "\n")}))
+		Rules: strings.Join(rules, "\n"), Actions: strings.Join(actions, "\n")}))
 	if err != nil {
 		rt.Fatal(err)
 	}
 	return scenario
 }
 
-// TestRandomScripts runs random scenarios and shrinks one that violates a rule to a least
-// one, which is stored in testdata. It takes real time: `make trouble-long`.
+// TestRandomScripts checks the invariants in random scenarios, and shrinks a violating scenario
+// and stores it in testdata. It takes several seconds per scenario: `make trouble-long`.
 func TestRandomScripts(t *testing.T) {
 	if os.Getenv("LOCKROAD_TROUBLE") == "" {
-		t.Skip("LOCKROAD_TROUBLE is not set: make trouble-long")
+		t.Skip("LOCKROAD_TROUBLE is not set; run make trouble-long")
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		scenario := drawScenario(rt)
-		if what := violations(rt, scenario); what != "" {
+		if report := violations(rt, scenario); report != "" {
 			if err := os.WriteFile(foundFile, []byte(formatScenario(scenario)), 0o644); err != nil {
 				t.Fatal(err)
 			}
-			rt.Fatalf("%s\n%s", formatScenario(scenario), what)
+			rt.Fatalf("%s\n%s", formatScenario(scenario), report)
 		}
 	})
 }
