--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -68,7 +68,7 @@
 	active        bool
 	triggered     bool          // at least once; only Chance triggers a rule again
 	until         time.Duration // 0: without end
-	reported      bool          // an injection was, since the last trigger
+	reported      bool          // an injection was reported since the last trigger
 	performatives uint64        // frames seen of the trigger's performative
 	garbleLeft    uint64        // bytes still to be garbled
 }
@@ -263,8 +263,8 @@
 		f.scanner.held = nil
 	}
 	for len(data) > 0 && !f.ended {
-		n, pos, more := f.scanner.next(data, f.limit())
-		if more {
+		n, pos, needMore := f.scanner.next(data, f.limit())
+		if needMore {
 			f.scanner.held = slices.Clone(data)
 			break
 		}
--- a/internal/faultproxy/scanner.go
+++ b/internal/faultproxy/scanner.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 )
 
-// position describes a position in a stream.
+// position is a point in a stream at which rules may be triggered.
 type position struct {
 	line, frame               bool   // one starts here
 	linesBefore, framesBefore uint64 // number that ended before it
@@ -25,19 +25,19 @@
 }
 
 // next returns how many bytes, at most limit, precede the next position of interest, and that
-// position. If more is true, it needs more input to tell.
-func (s *scanner) next(b []byte, limit uint64) (n int, m position, more bool) {
-	most := min(uint64(len(b)), limit)
+// position. If needMore is set, it needs more input to tell.
+func (s *scanner) next(b []byte, limit uint64) (n int, m position, needMore bool) {
+	maxBytes := min(uint64(len(b)), limit)
 	if s.wantsFrames {
-		return s.nextFrame(b, most)
+		return s.nextFrame(b, maxBytes)
 	}
 	if !s.started {
 		s.started = true
 		return 0, position{line: true}, false
 	}
-	i := bytes.IndexByte(b[:most], '\n')
+	i := bytes.IndexByte(b[:maxBytes], '\n')
 	if i < 0 {
-		return int(most), position{linesBefore: s.linesEnded}, false
+		return int(maxBytes), position{linesBefore: s.linesEnded}, false
 	}
 	s.linesEnded++
 	return i + 1, position{line: true, linesBefore: s.linesEnded}, false
@@ -45,9 +45,9 @@
 
 // nextFrame consumes the rest of a frame, or reads the start of the next one: its size (4
 // bytes), data offset, type and channel, then the descriptor of its performative.
-func (s *scanner) nextFrame(b []byte, most uint64) (n int, m position, more bool) {
+func (s *scanner) nextFrame(b []byte, maxBytes uint64) (n int, m position, needMore bool) {
 	if s.remaining > 0 {
-		n := min(s.remaining, most)
+		n := min(s.remaining, maxBytes)
 		if s.remaining -= n; s.remaining == 0 && !s.inHeader {
 			s.framesEnded++
 		}
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -175,9 +175,9 @@
 		}
 	}
 	for _, attempt := range c.Attempts {
-		for _, period := range unavailable[attempt.Endpoint] {
-			if attempt.At.After(period.from.Add(c.Limits.DrainDelay)) && (period.to.IsZero() || attempt.At.Before(period.to)) {
-				c.add(DrainRespected, attempt.At, "request %s was sent to server %s %v after discovery reported the server unavailable", attempt.Name, attempt.Endpoint, attempt.At.Sub(period.from))
+		for _, outage := range unavailable[attempt.Endpoint] {
+			if attempt.At.After(outage.from.Add(c.Limits.DrainDelay)) && (outage.to.IsZero() || attempt.At.Before(outage.to)) {
+				c.add(DrainRespected, attempt.At, "request %s was sent to server %s %v after discovery reported the server unavailable", attempt.Name, attempt.Endpoint, attempt.At.Sub(outage.from))
 			}
 		}
 	}
