--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -86,7 +86,7 @@
 per line, with times in microseconds.
 
 Examples:
-  faultproxy --route hall=127.0.0.1:4000,127.0.0.1:3000 --script evening.lisp
+  faultproxy --route app=127.0.0.1:4000,127.0.0.1:3000 --script faults.lisp
   faultproxy --route a=127.0.0.1:4001,127.0.0.1:3001 --route b=127.0.0.1:4002,127.0.0.1:3002 --socket /tmp/fault.sock
   faultproxy tell /tmp/fault.sock '(add (rule hang (route a) (for 8s) (stall)))'`
 }
--- a/internal/fake/client_amqp.go
+++ b/internal/fake/client_amqp.go
@@ -39,21 +39,21 @@
 // runAMQP runs the session over AMQP 1.0, with an independent client library.
 func (s *clientSession) runAMQP(ctx context.Context) string {
 	timeLimit := s.client.class.TimeLimit + lateAnswerGrace
-	opening, cancel := context.WithTimeout(context.Background(), timeLimit)
+	openCtx, cancel := context.WithTimeout(context.Background(), timeLimit)
 	defer cancel()
-	conn, err := amqp10.Dial(opening, "amqp://"+s.pool.AMQPAddress, &amqp10.ConnOptions{SASLType: amqp10.SASLTypeAnonymous(), ContainerID: "client"})
+	conn, err := amqp10.Dial(openCtx, "amqp://"+s.pool.AMQPAddress, &amqp10.ConnOptions{SASLType: amqp10.SASLTypeAnonymous(), ContainerID: "client"})
 	if err != nil {
 		return s.answered(answerNone, 0)
 	}
 	defer func() { _ = conn.Close() }()
-	amqpSession, err := conn.NewSession(opening, nil)
+	amqpSession, err := conn.NewSession(openCtx, nil)
 	if err != nil {
 		return s.answered(answerNone, 0)
 	}
 	// The request's time limit starts at the attach, not at the connection.
-	attaching, cancelAttach := context.WithTimeout(context.Background(), timeLimit)
+	attachCtx, cancelAttach := context.WithTimeout(context.Background(), timeLimit)
 	defer cancelAttach()
-	sender, err := s.attach(attaching, amqpSession)
+	sender, err := s.attach(attachCtx, amqpSession)
 	if err != nil {
 		return s.attachFailed(err)
 	}
--- a/internal/fake/script_test.go
+++ b/internal/fake/script_test.go
@@ -9,7 +9,7 @@
 
 func TestParseScript(t *testing.T) {
 	servers := []string{"s-1", "s-2"}
-	actions, err := ParseScript(`; an evening
+	actions, err := ParseScript(`; a comment
 (at 2s (drop 30))
 (at 1s (slow s-1 250ms 4s)) (at 1s (restart "s-2" 3s))`, servers)
 	want := []ScriptedAction{{At: time.Second, Kind: "slow", Server: "s-1", Delay: 250 * time.Millisecond, Duration: 4 * time.Second},
--- a/internal/faultproxy/shaping.go
+++ b/internal/faultproxy/shaping.go
@@ -23,12 +23,12 @@
 
 // transform applies swallow and garble faults to a copy of b.
 func (f *Flow) transform(b []byte, now time.Duration) []byte {
-	if rule, _, on := f.activeFault(Swallow); on {
+	if rule, _, found := f.activeFault(Swallow); found {
 		f.reportOnce(rule, Swallow, now)
 		return nil
 	}
-	rule, garble, on := f.activeFault(Garble)
-	if !on || rule.garbleLeft == 0 {
+	rule, garble, found := f.activeFault(Garble)
+	if !found || rule.garbleLeft == 0 {
 		return slices.Clone(b)
 	}
 	n := min(uint64(len(b)), rule.garbleLeft)
@@ -58,7 +58,7 @@
 	if len(b) == 0 {
 		return operations
 	}
-	if rule, _, on := f.activeFault(Merge); on {
+	if rule, _, found := f.activeFault(Merge); found {
 		f.reportOnce(rule, Merge, now)
 		if len(f.merged) == 0 {
 			f.mergedSince = now
@@ -87,25 +87,25 @@
 // emit appends the writes of b, timed and sized by the active faults.
 func (f *Flow) emit(b []byte, now time.Duration, operations []Op) []Op {
 	at := now
-	if rule, _, on := f.activeFault(Pause); on {
+	if rule, _, found := f.activeFault(Pause); found {
 		f.reportOnce(rule, Pause, now)
 		at = max(at, rule.until)
 	}
-	if rule, latency, on := f.activeFault(Latency); on {
+	if rule, latency, found := f.activeFault(Latency); found {
 		f.reportOnce(rule, Latency, now)
 		at += latency.Delay + jitter(latency, uniform(rule.salt, f.offset), uniform(rule.salt, f.offset, 1))
 	}
 	size, gap := maxPacket, time.Duration(0)
-	if rule, split, on := f.activeFault(Split); on {
+	if rule, split, found := f.activeFault(Split); found {
 		f.reportOnce(rule, Split, now)
 		size, gap = int(min(split.Count, maxPacket)), splitInterval
 	}
-	if rule, drip, on := f.activeFault(Drip); on {
+	if rule, drip, found := f.activeFault(Drip); found {
 		f.reportOnce(rule, Drip, now)
 		size, gap = int(min(drip.Count, uint64(size))), max(gap, drip.Delay)
 	}
 	rate := uint64(0)
-	if rule, bandwidth, on := f.activeFault(Bandwidth); on {
+	if rule, bandwidth, found := f.activeFault(Bandwidth); found {
 		f.reportOnce(rule, Bandwidth, now)
 		rate = bandwidth.Count
 		size = min(size, int(max(1, rate/bandwidthSteps)))
--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -62,45 +62,45 @@
 
 // Run runs a scenario and returns its history for invariants.Check. Once the relay is ready it
 // calls do, which may start sessions, while the client pool and the actions run.
-func Run(ctx context.Context, s Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
-	if s.Limits == (invariants.Limits{}) {
-		s.Limits = invariants.DefaultLimits()
+func Run(ctx context.Context, scenario Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
+	if scenario.Limits == (invariants.Limits{}) {
+		scenario.Limits = invariants.DefaultLimits()
 	}
-	st := &Environment{Scenario: s, Class: Class}
-	st.Class.MeanLifetime = max(s.MeanLifetime, 100*time.Millisecond)
-	if err := st.start(ctx); err != nil {
-		_ = st.stop()
+	env := &Environment{Scenario: scenario, Class: Class}
+	env.Class.MeanLifetime = max(scenario.MeanLifetime, 100*time.Millisecond)
+	if err := env.start(ctx); err != nil {
+		_ = env.stop()
 		return invariants.History{}, err
 	}
-	actions, err := fake.ParseScript(s.Actions, st.Site.Names())
+	actions, err := fake.ParseScript(scenario.Actions, env.Site.Names())
 	if err != nil {
-		_ = st.stop()
+		_ = env.stop()
 		return invariants.History{}, fmt.Errorf("parse actions: %w", err)
 	}
-	running, done := context.WithTimeout(ctx, s.Duration)
-	defer done()
-	st.Proxy.ResetClock()
-	st.startActions(running, actions)
-	if s.Rate > 0 {
-		st.running.Go(func() { st.Site.Clients.Run(running) })
+	runCtx, cancel := context.WithTimeout(ctx, scenario.Duration)
+	defer cancel()
+	env.Proxy.ResetClock()
+	env.startActions(runCtx, actions)
+	if scenario.Rate > 0 {
+		env.running.Go(func() { env.Site.Clients.Run(runCtx) })
 	}
 	if do != nil {
-		do(ctx, st)
+		do(ctx, env)
 	}
-	if s.Rate > 0 || len(actions) > 0 {
-		<-running.Done()
+	if scenario.Rate > 0 || len(actions) > 0 {
+		<-runCtx.Done()
 	}
-	done()
-	st.running.Wait()
-	history := invariants.History{Sessions: st.Site.Log.Sessions(), Attempts: st.Site.Log.Attempts(), EndpointChanges: st.Site.Log.EndpointChanges(), Limits: s.Limits}
-	return history, st.stop()
+	cancel()
+	env.running.Wait()
+	history := invariants.History{Sessions: env.Site.Log.Sessions(), Attempts: env.Site.Log.Attempts(), EndpointChanges: env.Site.Log.EndpointChanges(), Limits: scenario.Limits}
+	return history, env.stop()
 }
 
 // startActions starts the actions and waits until those of time 0 have begun, so that they
 // precede the first client.
-func (st *Environment) startActions(ctx context.Context, actions []fake.ScriptedAction) {
+func (e *Environment) startActions(ctx context.Context, actions []fake.ScriptedAction) {
 	begun := make(chan struct{}, len(actions))
-	st.running.Go(func() { st.Site.Run(ctx, actions, func(fake.ScriptedAction) { begun <- struct{}{} }) })
+	e.running.Go(func() { e.Site.Run(ctx, actions, func(fake.ScriptedAction) { begun <- struct{}{} }) })
 	for _, action := range actions {
 		if action.At > 0 {
 			continue
@@ -113,27 +113,27 @@
 }
 
 // start starts the site, the proxy's routes and the relay.
-func (st *Environment) start(ctx context.Context) error {
-	rules, err := faultproxy.ParseRules(st.Rules)
+func (e *Environment) start(ctx context.Context) error {
+	rules, err := faultproxy.ParseRules(e.Rules)
 	if err != nil {
 		return fmt.Errorf("parse fault rules: %w", err)
 	}
-	if st.Site, err = fake.NewSite(st.Servers, st.SetupTime, 0, nil); err != nil {
+	if e.Site, err = fake.NewSite(e.Servers, e.SetupTime, 0, nil); err != nil {
 		return err
 	}
-	for _, server := range st.Site.Servers {
-		server.WithoutSASL = st.WithoutSASL
+	for _, server := range e.Site.Servers {
+		server.WithoutSASL = e.WithoutSASL
 	}
-	st.Proxy = faultproxy.NewProxy(rules, st.Seed)
-	st.Proxy.OnInjection = st.addInjection
-	if err = st.openServerRoutes(); err != nil {
+	e.Proxy = faultproxy.NewProxy(rules, e.Seed)
+	e.Proxy.OnInjection = e.addInjection
+	if err = e.openServerRoutes(); err != nil {
 		return err
 	}
-	discoveryAddress, err := st.Proxy.OpenRoute(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: st.Site.Discovery.Address()})
+	discoveryAddress, err := e.Proxy.OpenRoute(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: e.Site.Discovery.Address()})
 	if err != nil {
 		return err
 	}
-	text, err := st.Site.Config([]fake.Class{st.Class}, st.Seed+1, 0)
+	text, err := e.Site.Config([]fake.Class{e.Class}, e.Seed+1, 0)
 	if err != nil {
 		return err
 	}
@@ -142,35 +142,35 @@
 		return err
 	}
 	platform.DiscoveryAddr = discoveryAddress
-	if st.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
+	if e.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
 		return err
 	}
-	st.socket = filepath.Join(st.directory, "console")
-	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, MaxSessionsPerConn: st.SessionsPerConn}}
-	ctx, st.cancel = context.WithCancel(ctx)
-	st.ended = make(chan error, 1)
+	e.socket = filepath.Join(e.directory, "console")
+	operator := &config.Operator{Console: config.Console{Socket: e.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: e.Site.AMQPPort, MaxSessionsPerConn: e.SessionsPerConn}}
+	ctx, e.cancel = context.WithCancel(ctx)
+	e.ended = make(chan error, 1)
 	go func() {
-		st.ended <- server.Run(ctx, server.RunOptions{}, platform, o, slog.New(slog.DiscardHandler))
+		e.ended <- server.Run(ctx, server.RunOptions{}, platform, operator, slog.New(slog.DiscardHandler))
 	}()
-	return st.openFrontend()
+	return e.openFrontend()
 }
 
 // openFrontend opens the route to the relay's frontend and prepares the client pool.
-func (st *Environment) openFrontend() error {
-	frontend, err := st.awaitFrontend()
+func (e *Environment) openFrontend() error {
+	frontend, err := e.awaitFrontend()
 	if err != nil {
 		return err
 	}
-	address, err := st.Proxy.OpenRoute(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
+	address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
 	if err != nil {
 		return err
 	}
-	st.Site.Clients = &fake.ClientPool{Log: st.Site.Log, LineAddress: address, Classes: []fake.Class{st.Class}, Rate: st.Rate, Groups: 30,
-		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: st.Seed}
-	if st.Front == "amqp" {
-		st.Site.Clients.AMQPAddress, st.Site.Clients.AMQPShare = address, 1
+	e.Site.Clients = &fake.ClientPool{Log: e.Site.Log, LineAddress: address, Classes: []fake.Class{e.Class}, Rate: e.Rate, Groups: 30,
+		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: e.Seed}
+	if e.Front == "amqp" {
+		e.Site.Clients.AMQPAddress, e.Site.Clients.AMQPShare = address, 1
 	}
-	st.Site.Clients.Prepare()
+	e.Site.Clients.Prepare()
 	return nil
 }
 
@@ -182,17 +182,17 @@
 	stopTimeout   = 10 * time.Second
 )
 
-func (st *Environment) addInjection(injection faultproxy.Injection) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	if len(st.injections) < maxInjections {
-		st.injections = append(st.injections, injection)
+func (e *Environment) addInjection(injection faultproxy.Injection) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.injections) < maxInjections {
+		e.injections = append(e.injections, injection)
 	}
 }
 
-func (st *Environment) openServerRoutes() (err error) {
+func (e *Environment) openServerRoutes() (err error) {
 	for range routeAttempts {
-		if err = st.tryServerRoutes(); err == nil {
+		if err = e.tryServerRoutes(); err == nil {
 			return nil
 		}
 	}
@@ -201,47 +201,47 @@
 
 // tryServerRoutes opens a route to each server and makes discovery list the routes' addresses.
 // All servers use the same AMQP port, so each route has its own IP address.
-func (st *Environment) tryServerRoutes() error {
+func (e *Environment) tryServerRoutes() error {
 	port := "0"
-	amqpPort := st.Site.AMQPPort
-	for i, server := range st.Site.Servers {
+	amqpPort := e.Site.AMQPPort
+	for i, server := range e.Site.Servers {
 		target, listen := server.LineAddress(), "127.0.0.1:0"
-		if st.Front == "amqp" {
+		if e.Front == "amqp" {
 			target, listen = server.AMQPAddress(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
 		}
-		at, err := st.Proxy.OpenRoute(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
+		address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
 		if err != nil {
-			for _, opened := range st.Site.Servers[:i] {
-				st.Proxy.CloseRoute(opened.Name)
+			for _, opened := range e.Site.Servers[:i] {
+				e.Proxy.CloseRoute(opened.Name)
 			}
 			return err
 		}
-		if st.Front == "amqp" {
-			_, port, _ = net.SplitHostPort(at)
+		if e.Front == "amqp" {
+			_, port, _ = net.SplitHostPort(address)
 			_, _ = fmt.Sscan(port, &amqpPort)
 		}
-		st.Site.Discovery.SetMember(discovery.Member{ID: server.Name, HostPort: at, Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1})
+		e.Site.Discovery.SetMember(discovery.Member{ID: server.Name, HostPort: address, Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1})
 	}
-	st.Site.AMQPPort = amqpPort
+	e.Site.AMQPPort = amqpPort
 	return nil
 }
 
 // awaitFrontend waits until the relay's console answers, and returns the frontend's address.
-func (st *Environment) awaitFrontend() (string, error) {
+func (e *Environment) awaitFrontend() (string, error) {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
-		case err := <-st.ended:
-			st.ended <- err
+		case err := <-e.ended:
+			e.ended <- err
 			return "", fmt.Errorf("relay ended during start: %w", err)
 		default:
 		}
-		text, err := st.Command("fronts")
+		text, err := e.Command("fronts")
 		if err != nil {
 			time.Sleep(pollInterval)
 			continue
 		}
 		for line := range strings.Lines(text) {
-			if words := strings.Fields(line); len(words) == 2 && words[0] == st.Front {
+			if words := strings.Fields(line); len(words) == 2 && words[0] == e.Front {
 				return words[1], nil
 			}
 		}
@@ -250,29 +250,29 @@
 }
 
 // Command runs a command on the relay's console and returns its output.
-func (st *Environment) Command(command string) (string, error) {
+func (e *Environment) Command(command string) (string, error) {
 	var out, errs strings.Builder
-	if code := console.Run(st.socket, command, nil, &out, &errs); code != console.ExitOK {
+	if code := console.Run(e.socket, command, nil, &out, &errs); code != console.ExitOK {
 		return "", errors.New(errs.String())
 	}
 	return out.String(), nil
 }
 
 // Injections returns the injected faults, at most the first maxInjections.
-func (st *Environment) Injections() []faultproxy.Injection {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.injections[:len(st.injections):len(st.injections)]
+func (e *Environment) Injections() []faultproxy.Injection {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.injections[:len(e.injections):len(e.injections)]
 }
 
 // RunSessions runs count sessions concurrently, each of a client and group of its own and with
 // the given lifetime, and returns their records.
-func (st *Environment) RunSessions(ctx context.Context, count int, lifetime time.Duration) []fake.Session {
+func (e *Environment) RunSessions(ctx context.Context, count int, lifetime time.Duration) []fake.Session {
 	sessions := make([]fake.Session, count)
 	var running sync.WaitGroup
 	for i := range count {
 		running.Go(func() {
-			sessions[i] = st.Site.Clients.RunSession(ctx, st.Front, st.Class, fmt.Sprintf("%x", 100+i), lifetime)
+			sessions[i] = e.Site.Clients.RunSession(ctx, e.Front, e.Class, fmt.Sprintf("%x", 100+i), lifetime)
 		})
 	}
 	running.Wait()
@@ -280,24 +280,24 @@
 }
 
 // stop stops the relay, the proxy and the site, and returns the relay's error.
-func (st *Environment) stop() error {
+func (e *Environment) stop() error {
 	var err error
-	if st.cancel != nil {
-		st.cancel()
+	if e.cancel != nil {
+		e.cancel()
 		select {
-		case err = <-st.ended:
+		case err = <-e.ended:
 		case <-time.After(stopTimeout):
 			err = errors.New("relay does not end after its context")
 		}
 	}
-	if st.Proxy != nil {
-		st.Proxy.Close()
+	if e.Proxy != nil {
+		e.Proxy.Close()
 	}
-	if st.Site != nil {
-		st.Site.Stop()
+	if e.Site != nil {
+		e.Site.Stop()
 	}
-	if st.directory != "" {
-		_ = os.RemoveAll(st.directory)
+	if e.directory != "" {
+		_ = os.RemoveAll(e.directory)
 	}
 	return err
 }
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -41,16 +41,16 @@
 func anyAttempt(fake.Attempt) bool { return true }
 
 // oneSession returns a function that runs one session.
-func oneSession(stay time.Duration) func(context.Context, *testing.T, *Environment) []fake.Session {
+func oneSession(lifetime time.Duration) func(context.Context, *testing.T, *Environment) []fake.Session {
 	return func(ctx context.Context, _ *testing.T, env *Environment) []fake.Session {
-		return env.RunSessions(ctx, 1, stay)
+		return env.RunSessions(ctx, 1, lifetime)
 	}
 }
 
 // manySessions returns a function that runs 18 sessions of as many groups.
-func manySessions(stay time.Duration) func(context.Context, *testing.T, *Environment) []fake.Session {
+func manySessions(lifetime time.Duration) func(context.Context, *testing.T, *Environment) []fake.Session {
 	return func(ctx context.Context, _ *testing.T, env *Environment) []fake.Session {
-		return env.RunSessions(ctx, 18, stay)
+		return env.RunSessions(ctx, 18, lifetime)
 	}
 }
 
@@ -174,10 +174,10 @@
 // the AMQP frontend also with shared connections to servers.
 func TestKnownFailures(t *testing.T) {
 	for _, r := range knownFailures {
-		for _, way := range []string{"line", "amqp", "shared"} {
-			t.Run(r.name+"/"+way, func(t *testing.T) {
-				front, shared := way, 0
-				if way == "shared" {
+		for _, variant := range []string{"line", "amqp", "shared"} {
+			t.Run(r.name+"/"+variant, func(t *testing.T) {
+				front, shared := variant, 0
+				if variant == "shared" {
 					front, shared = "amqp", 8
 				}
 				if r.onlyFrontend != "" && r.onlyFrontend != front {
--- a/internal/testutil/authority.go
+++ b/internal/testutil/authority.go
@@ -67,9 +67,9 @@
 	der := a.sign(&x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(validity), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}, &newKey.PublicKey)
-	text, err := x509.MarshalECPrivateKey(newKey)
+	keyDER, err := x509.MarshalECPrivateKey(newKey)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	return a.write(name+".pem", "CERTIFICATE", der), a.write(name+".key", "EC PRIVATE KEY", text)
+	return a.write(name+".pem", "CERTIFICATE", der), a.write(name+".key", "EC PRIVATE KEY", keyDER)
 }
