--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -23,7 +23,7 @@
 func (a ScriptedAction) String() string {
 	switch a.Kind {
 	case "hang":
-		return fmt.Sprintf("%s hangs for %v: it accepts connections and answers none", a.Server, a.Duration)
+		return fmt.Sprintf("%s hangs for %v: it accepts connections but answers nothing", a.Server, a.Duration)
 	case "no-credit":
 		return fmt.Sprintf("%s attaches links and grants no credit for %v", a.Server, a.Duration)
 	case "busy":
