--- a/cmd/lockroad/metrics_test.go
+++ b/cmd/lockroad/metrics_test.go
@@ -40,7 +40,7 @@
 	relay.awaitReady()
 	setMode := func(mode fake.ServerMode) {
 		for _, server := range cluster.site.Servers {
-			server.Set(mode, 0)
+			server.SetMode(mode, 0)
 		}
 	}
 	for _, test := range []struct {
--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -206,7 +206,7 @@
 	t.Parallel()
 	cluster, socket, env := newClusterWithStore(t)
 	for _, server := range cluster.site.Servers {
-		server.Set(fake.ModeBusy, 0)
+		server.SetMode(fake.ModeBusy, 0)
 	}
 	relay := cluster.startProcess(env)
 	relay.awaitReady()
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -107,8 +107,8 @@
 	faulty := cluster.site.Servers[int(seed)%6]
 	switch {
 	case strings.Contains(scenario, "hangs"):
-		faulty.Set(fake.ModeHang, 0)
-		time.AfterFunc(6*time.Second, func() { faulty.Set(fake.ModeAccept, 0) })
+		faulty.SetMode(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { faulty.SetMode(fake.ModeAccept, 0) })
 	case strings.Contains(scenario, "gone"):
 		faulty.Stop()
 		time.AfterFunc(9*time.Second, func() { cluster.site.Discovery.SetState(faulty.Name, "gone", false) })
@@ -134,7 +134,7 @@
 		slices.SortFunc(sessions, func(x, y fake.Session) int { return cmp.Compare(x.At.UnixNano(), y.At.UnixNano()) })
 		unservedSince := sessions[0].At // zero while the client is served
 		for _, session := range sessions {
-			if session.End == "moved" && session.At.Add(session.SetupTime+session.Established).After(began) {
+			if session.End == "moved" && session.At.Add(session.SetupTime+session.EstablishedFor).After(began) {
 				migrations++
 			}
 			if session.Answer != "up" {
@@ -145,7 +145,7 @@
 				waits = append(waits, up.Sub(unservedSince))
 			}
 			unservedSince = time.Time{}
-			if end := up.Add(session.Established); session.End != "left" && session.End != "bye" {
+			if end := up.Add(session.EstablishedFor); session.End != "left" && session.End != "bye" {
 				if unservedSince = end; strings.Contains(scenario, "hangs") && atFaulty[session.Name] && up.Before(began) && end.After(began) {
 					unservedSince = began.Add(time.Nanosecond) // its endpoint hung from the start of the fault
 				}
@@ -213,12 +213,12 @@
 
 // measureServedWeight runs one scenario. With warm the relays have stores.
 func measureServedWeight(t *testing.T, program, scenario string, seed uint64, warm bool) (shares weightShares) {
-	capacity := fake.Capacity{Work: 1700 * time.Millisecond, Group: 160 * time.Millisecond, Message: 4 * time.Millisecond, ColdShare: 0.12, ColdFor: 5 * time.Second, ReportOver: 17 * time.Millisecond,
-		Classes: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
+	capacity := fake.Capacity{WorkRate: 1700 * time.Millisecond, GroupWork: 160 * time.Millisecond, MessageTime: 4 * time.Millisecond, InitialShare: 0.12, SlowStartDuration: 5 * time.Second, ReportThreshold: 17 * time.Millisecond,
+		ClassWork: map[string]time.Duration{"page-render": 40 * time.Millisecond, "part-extract": 14 * time.Millisecond, "live-preview": 240 * time.Millisecond, "print-export": 120 * time.Millisecond}}
 	cluster := newClusterOf(t, 6, func(server *fake.Server) {
 		server.Capacity, server.ExtraListeners, server.Load = capacity, make([]string, 3), 0
 		if server.Name == "s-3" || server.Name == "s-5" { // a third of the machines are slow
-			server.Capacity.Work = 1200 * time.Millisecond
+			server.Capacity.WorkRate = 1200 * time.Millisecond
 		}
 	})
 	cluster.program, cluster.killAfter, cluster.withStore = program, 3700*time.Millisecond, warm
@@ -231,14 +231,14 @@
 	faulty := cluster.site.Servers[int(seed)%6]
 	switch scenario {
 	case "one of six hangs for 6 s":
-		faulty.Set(fake.ModeHang, 0)
-		time.AfterFunc(6*time.Second, func() { faulty.Set(fake.ModeAccept, 0) })
+		faulty.SetMode(fake.ModeHang, 0)
+		time.AfterFunc(6*time.Second, func() { faulty.SetMode(fake.ModeAccept, 0) })
 	case "the relays restart":
 		restartRelays(t, cluster, weightedClasses, loadBalancer, addresses, running)
 	case "one restarts and is cold":
 		faulty.Stop()
 		time.AfterFunc(2*time.Second, func() {
-			_ = faulty.Start(faulty.Address(), "")
+			_ = faulty.Start(faulty.LineAddress(), "")
 			time.AfterFunc(time.Second, func() { cluster.site.SetState(faulty.Name, "ready", true) })
 		})
 	}
@@ -261,7 +261,7 @@
 		if earliest, ok := first[session.Flow]; !ok || session.At.Before(earliest.At) {
 			first[session.Flow] = session
 		}
-		sessionEnd := session.At.Add(session.SetupTime + session.Established)
+		sessionEnd := session.At.Add(session.SetupTime + session.EstablishedFor)
 		if session.End != "left" {
 			sessionEnd = end // the client had more to send
 		}
@@ -271,10 +271,10 @@
 		if session.End == "moved" {
 			shares.migrations++
 		}
-		established[session.Flow] += session.Established
+		established[session.Flow] += session.EstablishedFor
 		weight := classWeights[session.Class]
-		shares.served += weight * float64(session.Echoes-session.Late) * messageInterval.Seconds()
-		lost := weight * float64(session.Late+session.Missed) * messageInterval.Seconds()
+		shares.served += weight * float64(session.Echoes-session.LateEchoes) * messageInterval.Seconds()
+		lost := weight * float64(session.LateEchoes+session.MissingEchoes) * messageInterval.Seconds()
 		if endpoints[session.Name] == faulty.Name {
 			shares.atFaulty += lost
 		} else {
@@ -312,7 +312,7 @@
 		for i, target := range []*testCluster{cluster, clusterWithoutStore} {
 			for _, server := range target.site.Servers {
 				server.SetupTime = 0
-				server.Set(mode, 0)
+				server.SetMode(mode, 0)
 			}
 			target.site.Clients = &fake.ClientPool{Log: target.site.Log, LineAddress: target.lineAddress, MaxClients: 5, Seed: uint64(i + 1)}
 			target.site.Clients.Prepare()
--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -27,11 +27,11 @@
 // reload an edited site file, and reject an invalid one, without violating an invariant.
 func TestSiteLifecycle(t *testing.T) {
 	t.Parallel()
-	cluster := newClusterOf(t, 3, func(endpoint *fake.Server) { endpoint.Probes = true })
+	cluster := newClusterOf(t, 3, func(endpoint *fake.Server) { endpoint.AnswersProbes = true })
 	file, socket := filepath.Join(cluster.dir, "site.toml"), filepath.Join(cluster.dir, "sock")
 	args := []string{"init", file, "--name", "music-room", "--listen", cluster.lineAddress, "--socket", socket}
 	for _, endpoint := range cluster.site.Servers {
-		args = append(args, "--server", endpoint.Address())
+		args = append(args, "--server", endpoint.LineAddress())
 	}
 	began := time.Now()
 	if code, out, errs := runCommandLine(args...); code != 0 {
@@ -85,7 +85,7 @@
 	stopped.Stop()
 	runConsole(t, socket, "health", "SERVER")
 	testutil.Until(t, "a stopped server is still reported up", func() bool { return strings.Contains(runConsole(t, socket, "health"), "down") })
-	if err := stopped.Start(stopped.Address(), ""); err != nil {
+	if err := stopped.Start(stopped.LineAddress(), ""); err != nil {
 		t.Fatal(err)
 	}
 	testutil.Until(t, "a server that was started again is still reported down", func() bool { return !strings.Contains(runConsole(t, socket, "health"), "down") })
@@ -93,7 +93,7 @@
 	testutil.Until(t, "no attempt goes to a server that was started again", func() bool { return cluster.attemptsAt("s-1", restartedAt) > 0 })
 
 	removed := cluster.site.Servers[1]
-	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+removed.Address()+"\"\nsize = 1.0                   # capacity relative to the other servers\n", "", 1)
+	without := strings.Replace(fast, "[[server]]\nname = \"s-2\"\naddress = \""+removed.LineAddress()+"\"\nsize = 1.0                   # capacity relative to the other servers\n", "", 1)
 	without = strings.Replace(without, "attempts = 5", "attempts = 4", 1)
 	if err := os.WriteFile(file, []byte(without), 0o600); err != nil {
 		t.Fatal(err)
@@ -130,7 +130,7 @@
 		t.Error("the relay process did not exit within 5 s of SIGTERM")
 	}
 	for _, violation := range invariants.Check(invariants.History{Sessions: cluster.site.Log.Sessions(), Attempts: cluster.site.Log.Attempts(), Limits: invariants.DefaultLimits(),
-		Broken: func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-1" }, Spoiled: func(session fake.Session) bool { return session.End == "broken" }}) {
+		ServerFaulted: func(attempt fake.Attempt) bool { return attempt.Endpoint == "s-1" }, ClientFaulted: func(session fake.Session) bool { return session.End == "broken" }}) {
 		t.Error(violation)
 	}
 }
@@ -167,10 +167,10 @@
 func TestFairShareUnderFloodFromOneAddress(t *testing.T) {
 	t.Parallel()
 	for _, fair := range []bool{true, false} {
-		cluster := newClusterOf(t, 2, func(endpoint *fake.Server) { endpoint.Probes = true })
+		cluster := newClusterOf(t, 2, func(endpoint *fake.Server) { endpoint.AnswersProbes = true })
 		var servers []string
 		for _, endpoint := range cluster.site.Servers {
-			servers = append(servers, endpoint.Address())
+			servers = append(servers, endpoint.LineAddress())
 		}
 		file := filepath.Join(cluster.dir, "site.toml")
 		text := config.RenderSite("box", cluster.lineAddress, filepath.Join(cluster.dir, "sock"), servers)
--- a/internal/demo/checker.go
+++ b/internal/demo/checker.go
@@ -101,7 +101,7 @@
 			return true
 		}
 		// The server's answer raced with the timeout or the client's disconnect.
-		if attempt.ended.IsZero() || observed.Answered.Sub(attempt.ended).Abs() < raceWindow {
+		if attempt.ended.IsZero() || observed.AnsweredAt.Sub(attempt.ended).Abs() < raceWindow {
 			c.races++
 			return true
 		}
@@ -152,7 +152,7 @@
 	}[session.End]
 	ended := explanation.ReceivedAt.Add(time.Duration(last.AfterMS * float64(time.Millisecond)))
 	if session.End == "moved" && (explanation.Result == "client_left" || explanation.Result == "ended" && strings.Contains(last.Text, "its client ends it")) &&
-		ended.Sub(session.At.Add(session.SetupTime+session.Established)).Abs() < raceWindow {
+		ended.Sub(session.At.Add(session.SetupTime+session.EstablishedFor)).Abs() < raceWindow {
 		c.races++ // the client left as it was migrated, and the relay saw that before it closed the session
 		return
 	}
--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -1,6 +1,6 @@
-// Package faulttest runs scenarios: a complete relay among fake clients, servers and
-// discovery, with a fault proxy between it and each of them. Its tests reproduce every known
-// failure through both frontends, and check the operators' rules at the end.
+// Package faulttest runs a complete relay among fake clients, servers and discovery, with a
+// fault proxy between the relay and each of them. Its tests reproduce known failures through
+// both frontends and check the relay's invariants.
 package faulttest
 
 import (
@@ -25,26 +25,26 @@
 	"lockroad/internal/server"
 )
 
-// Scenario says what is to be run.
+// Scenario describes a run.
 type Scenario struct {
-	Front        string // line or amqp: the protocol of clients and servers
-	Servers      int
-	Rules        string // of the fault proxy: its routes are door, discovery, and each server by its name
-	Actions      string // of the servers and clients, as fake.ParseScript reads them
-	Plain        bool   // servers speak AMQP without the security layer
-	Shared       int    // requests by AMQP that share a connection to a server; 0: each has its own
-	Seed         uint64
-	SetupTime    time.Duration     // of each attempt at a server
-	Rate         float64           // of the client pool: new clients a second; 0: none
-	Duration     time.Duration     // of the client pool and the actions
-	MeanLifetime time.Duration     // of a connection of the client pool, on average
-	Limits       invariants.Limits // zero: the defaults
+	Front           string // protocol of clients and servers: line or amqp
+	Servers         int
+	Rules           string // fault script; routes: door (the relay's frontend), discovery, and server names
+	Actions         string // script of the servers and clients; see fake.ParseScript
+	WithoutSASL     bool   // servers speak AMQP without the SASL layer
+	SessionsPerConn int    // AMQP requests that may share a connection to a server; 0: each has its own
+	Seed            uint64
+	SetupTime       time.Duration     // time in which a server accepts an attempt
+	Rate            float64           // new clients per second of the client pool; 0: no pool
+	Duration        time.Duration     // time that the client pool and the actions run
+	MeanLifetime    time.Duration     // mean duration of the client pool's sessions
+	Limits          invariants.Limits // zero: invariants.DefaultLimits
 }
 
 // Class is the class of all clients.
 var Class = fake.Class{Name: "page-render", Share: 1, TimeLimit: 2400 * time.Millisecond}
 
-// Environment is a scenario that runs. Its methods may be called by any goroutine.
+// Environment is a running scenario. Its methods are safe for concurrent use.
 type Environment struct {
 	Scenario
 	Site  *fake.Site
@@ -53,54 +53,54 @@
 
 	mu         sync.Mutex // guards injections
 	injections []faultproxy.Injection
-	socket     string // of the relay's console
-	directory  string
+	socket     string // path of the relay's console socket
+	directory  string // holds the socket
 	cancel     context.CancelFunc
-	ended      chan error     // the relay's error, once it has ended
+	ended      chan error     // gets the relay's error when it has ended
 	running    sync.WaitGroup // client pool and actions; Run waits for them
 }
 
-// Run runs a scenario: do is called once the relay is ready, and may start sessions; the
-// client pool and the actions run beside it. It returns what is to be checked.
-func Run(ctx context.Context, s Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
-	if s.Limits == (invariants.Limits{}) {
-		s.Limits = invariants.DefaultLimits()
+// Run runs a scenario and returns its history for invariants.Check. Once the relay is ready it
+// calls do, which may start sessions, while the client pool and the actions run.
+func Run(ctx context.Context, scenario Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
+	if scenario.Limits == (invariants.Limits{}) {
+		scenario.Limits = invariants.DefaultLimits()
 	}
-	st := &Environment{Scenario: s, Class: Class}
-	st.Class.MeanLifetime = max(s.MeanLifetime, 100*time.Millisecond)
-	if err := st.start(ctx); err != nil {
-		_ = st.stop()
+	env := &Environment{Scenario: scenario, Class: Class}
+	env.Class.MeanLifetime = max(scenario.MeanLifetime, 100*time.Millisecond)
+	if err := env.start(ctx); err != nil {
+		_ = env.stop()
 		return invariants.History{}, err
 	}
-	actions, err := fake.ParseScript(s.Actions, st.Site.Names())
+	actions, err := fake.ParseScript(scenario.Actions, env.Site.Names())
 	if err != nil {
-		_ = st.stop()
-		return invariants.History{}, fmt.Errorf("acts: %w", err)
+		_ = env.stop()
+		return invariants.History{}, fmt.Errorf("parse actions: %w", err)
 	}
-	running, done := context.WithTimeout(ctx, s.Duration)
-	defer done()
-	st.Proxy.Restart()
-	st.startActions(running, actions)
-	if s.Rate > 0 {
-		st.running.Go(func() { st.Site.Clients.Run(running) })
+	runCtx, cancel := context.WithTimeout(ctx, scenario.Duration)
+	defer cancel()
+	env.Proxy.ResetClock()
+	env.startActions(runCtx, actions)
+	if scenario.Rate > 0 {
+		env.running.Go(func() { env.Site.Clients.Run(runCtx) })
 	}
 	if do != nil {
-		do(ctx, st)
+		do(ctx, env)
 	}
-	if s.Rate > 0 || len(actions) > 0 {
-		<-running.Done()
+	if scenario.Rate > 0 || len(actions) > 0 {
+		<-runCtx.Done()
 	}
-	done()
-	st.running.Wait()
-	history := invariants.History{Sessions: st.Site.Log.Sessions(), Attempts: st.Site.Log.Attempts(), EndpointChanges: st.Site.Log.EndpointChanges(), Limits: s.Limits}
-	return history, st.stop()
+	cancel()
+	env.running.Wait()
+	history := invariants.History{Sessions: env.Site.Log.Sessions(), Attempts: env.Site.Log.Attempts(), EndpointChanges: env.Site.Log.EndpointChanges(), Limits: scenario.Limits}
+	return history, env.stop()
 }
 
-// startActions runs the actions, and waits for those of time 0: a server that hangs from the
-// start does so before the first client arrives.
-func (st *Environment) startActions(ctx context.Context, actions []fake.ScriptedAction) {
+// startActions starts the actions and waits until those of time 0 have begun, so that they
+// precede the first client.
+func (e *Environment) startActions(ctx context.Context, actions []fake.ScriptedAction) {
 	begun := make(chan struct{}, len(actions))
-	st.running.Go(func() { st.Site.Run(ctx, actions, func(fake.ScriptedAction) { begun <- struct{}{} }) })
+	e.running.Go(func() { e.Site.Run(ctx, actions, func(fake.ScriptedAction) { begun <- struct{}{} }) })
 	for _, action := range actions {
 		if action.At > 0 {
 			continue
@@ -112,28 +112,28 @@
 	}
 }
 
-// start starts the site, the proxy's routes, and the relay between them.
-func (st *Environment) start(ctx context.Context) error {
-	rules, err := faultproxy.ParseRules(st.Rules)
+// start starts the site, the proxy's routes and the relay.
+func (e *Environment) start(ctx context.Context) error {
+	rules, err := faultproxy.ParseRules(e.Rules)
 	if err != nil {
-		return fmt.Errorf("rules: %w", err)
+		return fmt.Errorf("parse fault rules: %w", err)
 	}
-	if st.Site, err = fake.NewSite(st.Servers, st.SetupTime, 0, nil); err != nil {
+	if e.Site, err = fake.NewSite(e.Servers, e.SetupTime, 0, nil); err != nil {
 		return err
 	}
-	for _, server := range st.Site.Servers {
-		server.Plain = st.Plain
+	for _, server := range e.Site.Servers {
+		server.WithoutSASL = e.WithoutSASL
 	}
-	st.Proxy = faultproxy.NewProxy(rules, st.Seed)
-	st.Proxy.OnInjection = st.addInjection
-	if err = st.openServerRoutes(); err != nil {
+	e.Proxy = faultproxy.NewProxy(rules, e.Seed)
+	e.Proxy.OnInjection = e.addInjection
+	if err = e.openServerRoutes(); err != nil {
 		return err
 	}
-	discoveryAddress, err := st.Proxy.Open(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: st.Site.Discovery.Address()})
+	discoveryAddress, err := e.Proxy.OpenRoute(faultproxy.Route{Name: "discovery", Listen: "127.0.0.1:0", Target: e.Site.Discovery.Address()})
 	if err != nil {
 		return err
 	}
-	text, err := st.Site.Config([]fake.Class{st.Class}, st.Seed+1, 0)
+	text, err := e.Site.Config([]fake.Class{e.Class}, e.Seed+1, 0)
 	if err != nil {
 		return err
 	}
@@ -142,173 +142,172 @@
 		return err
 	}
 	platform.DiscoveryAddr = discoveryAddress
-	if st.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
+	if e.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
 		return err
 	}
-	st.socket = filepath.Join(st.directory, "console")
-	o := &config.Operator{Console: config.Console{Socket: st.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: st.Site.AMQPPort, MaxSessionsPerConn: st.Shared}}
-	ctx, st.cancel = context.WithCancel(ctx)
-	st.ended = make(chan error, 1)
+	e.socket = filepath.Join(e.directory, "console")
+	operator := &config.Operator{Console: config.Console{Socket: e.socket}, AMQP: config.AMQP{Listen: "127.0.0.1:0", EndpointPort: e.Site.AMQPPort, MaxSessionsPerConn: e.SessionsPerConn}}
+	ctx, e.cancel = context.WithCancel(ctx)
+	e.ended = make(chan error, 1)
 	go func() {
-		st.ended <- server.Run(ctx, server.RunOptions{}, platform, o, slog.New(slog.DiscardHandler))
+		e.ended <- server.Run(ctx, server.RunOptions{}, platform, operator, slog.New(slog.DiscardHandler))
 	}()
-	return st.openFrontend()
+	return e.openFrontend()
 }
 
-// openFrontend opens the route to the relay's frontend, and prepares the clients.
-func (st *Environment) openFrontend() error {
-	frontend, err := st.awaitFrontend()
+// openFrontend opens the route to the relay's frontend and prepares the client pool.
+func (e *Environment) openFrontend() error {
+	frontend, err := e.awaitFrontend()
 	if err != nil {
 		return err
 	}
-	address, err := st.Proxy.Open(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
+	address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
 	if err != nil {
 		return err
 	}
-	st.Site.Clients = &fake.ClientPool{Log: st.Site.Log, LineAddress: address, Classes: []fake.Class{st.Class}, Rate: st.Rate, Groups: 30,
-		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: st.Seed}
-	if st.Front == "amqp" {
-		st.Site.Clients.AMQPAddress, st.Site.Clients.Share = address, 1
+	e.Site.Clients = &fake.ClientPool{Log: e.Site.Log, LineAddress: address, Classes: []fake.Class{e.Class}, Rate: e.Rate, Groups: 30,
+		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: e.Seed}
+	if e.Front == "amqp" {
+		e.Site.Clients.AMQPAddress, e.Site.Clients.AMQPShare = address, 1
 	}
-	st.Site.Clients.Prepare()
+	e.Site.Clients.Prepare()
 	return nil
 }
 
 const (
-	maxInjections = 10_000 // that are kept
-	routeAttempts = 21     // to find a port that is free at all addresses
+	maxInjections = 10_000 // recorded
+	routeAttempts = 21     // to find an AMQP port that is free on all addresses
 	readyTimeout  = 10 * time.Second
 	pollInterval  = 5 * time.Millisecond
 	stopTimeout   = 10 * time.Second
 )
 
-func (st *Environment) addInjection(injection faultproxy.Injection) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	if len(st.injections) < maxInjections {
-		st.injections = append(st.injections, injection)
+func (e *Environment) addInjection(injection faultproxy.Injection) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if len(e.injections) < maxInjections {
+		e.injections = append(e.injections, injection)
 	}
 }
 
-func (st *Environment) openServerRoutes() (err error) {
+func (e *Environment) openServerRoutes() (err error) {
 	for range routeAttempts {
-		if err = st.tryServerRoutes(); err == nil {
+		if err = e.tryServerRoutes(); err == nil {
 			return nil
 		}
 	}
 	return err
 }
 
-// tryServerRoutes puts a route before each server, and makes discovery list those. All servers
-// speak AMQP on one port, so each route has an address of its own.
-func (st *Environment) tryServerRoutes() error {
+// tryServerRoutes opens a route to each server and makes discovery list the routes' addresses.
+// All servers use the same AMQP port, so each route has its own IP address.
+func (e *Environment) tryServerRoutes() error {
 	port := "0"
-	amqpPort := st.Site.AMQPPort
-	for i, server := range st.Site.Servers {
-		target, listen := server.Address(), "127.0.0.1:0"
-		if st.Front == "amqp" {
-			target, listen = server.AMQP(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
+	amqpPort := e.Site.AMQPPort
+	for i, server := range e.Site.Servers {
+		target, listen := server.LineAddress(), "127.0.0.1:0"
+		if e.Front == "amqp" {
+			target, listen = server.AMQPAddress(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
 		}
-		at, err := st.Proxy.Open(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
+		address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
 		if err != nil {
-			for _, opened := range st.Site.Servers[:i] {
-				st.Proxy.Shut(opened.Name)
+			for _, opened := range e.Site.Servers[:i] {
+				e.Proxy.CloseRoute(opened.Name)
 			}
 			return err
 		}
-		if st.Front == "amqp" {
-			_, port, _ = net.SplitHostPort(at)
+		if e.Front == "amqp" {
+			_, port, _ = net.SplitHostPort(address)
 			_, _ = fmt.Sscan(port, &amqpPort)
 		}
-		st.Site.Discovery.Set(discovery.Member{ID: server.Name, HostPort: at, Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1})
+		e.Site.Discovery.SetMember(discovery.Member{ID: server.Name, HostPort: address, Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1})
 	}
-	st.Site.AMQPPort = amqpPort
+	e.Site.AMQPPort = amqpPort
 	return nil
 }
 
-// awaitFrontend waits until the relay answers at its console, and returns its frontend's
-// address.
-func (st *Environment) awaitFrontend() (string, error) {
+// awaitFrontend waits until the relay's console answers, and returns the frontend's address.
+func (e *Environment) awaitFrontend() (string, error) {
 	for deadline := time.Now().Add(readyTimeout); time.Now().Before(deadline); {
 		select {
-		case err := <-st.ended:
-			st.ended <- err
-			return "", fmt.Errorf("the relay has ended: %w", err)
+		case err := <-e.ended:
+			e.ended <- err
+			return "", fmt.Errorf("relay ended during start: %w", err)
 		default:
 		}
-		text, err := st.Command("fronts")
+		text, err := e.Command("fronts")
 		if err != nil {
 			time.Sleep(pollInterval)
 			continue
 		}
 		for line := range strings.Lines(text) {
-			if words := strings.Fields(line); len(words) == 2 && words[0] == st.Front {
+			if words := strings.Fields(line); len(words) == 2 && words[0] == e.Front {
 				return words[1], nil
 			}
 		}
 	}
-	return "", errors.New("the relay does not answer at its console")
+	return "", errors.New("relay's console does not report the frontend in time")
 }
 
-// Command runs a command of the relay's console, and returns its output.
-func (st *Environment) Command(command string) (string, error) {
+// Command runs a command on the relay's console and returns its output.
+func (e *Environment) Command(command string) (string, error) {
 	var out, errs strings.Builder
-	if code := console.Run(st.socket, command, nil, &out, &errs); code != console.ExitOK {
+	if code := console.Run(e.socket, command, nil, &out, &errs); code != console.ExitOK {
 		return "", errors.New(errs.String())
 	}
 	return out.String(), nil
 }
 
-// Injections returns the faults that were injected, the first 10,000 of them.
-func (st *Environment) Injections() []faultproxy.Injection {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	return st.injections[:len(st.injections):len(st.injections)]
+// Injections returns the injected faults, at most the first maxInjections.
+func (e *Environment) Injections() []faultproxy.Injection {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.injections[:len(e.injections):len(e.injections)]
 }
 
-// RunSessions runs sessions of as many clients and groups at the same time, each of a
-// lifetime, and returns what the clients saw.
-func (st *Environment) RunSessions(ctx context.Context, count int, lifetime time.Duration) []fake.Session {
-	all := make([]fake.Session, count)
+// RunSessions runs count sessions concurrently, each of a client and group of its own and with
+// the given lifetime, and returns their records.
+func (e *Environment) RunSessions(ctx context.Context, count int, lifetime time.Duration) []fake.Session {
+	sessions := make([]fake.Session, count)
 	var running sync.WaitGroup
 	for i := range count {
 		running.Go(func() {
-			all[i] = st.Site.Clients.RunSession(ctx, st.Front, st.Class, fmt.Sprintf("%x", 100+i), lifetime)
+			sessions[i] = e.Site.Clients.RunSession(ctx, e.Front, e.Class, fmt.Sprintf("%x", 100+i), lifetime)
 		})
 	}
 	running.Wait()
-	return all
+	return sessions
 }
 
-// stop ends the relay and all around it, and returns the relay's error.
-func (st *Environment) stop() error {
+// stop stops the relay, the proxy and the site, and returns the relay's error.
+func (e *Environment) stop() error {
 	var err error
-	if st.cancel != nil {
-		st.cancel()
+	if e.cancel != nil {
+		e.cancel()
 		select {
-		case err = <-st.ended:
+		case err = <-e.ended:
 		case <-time.After(stopTimeout):
-			err = errors.New("the relay does not end")
+			err = errors.New("relay does not end after its context")
 		}
 	}
-	if st.Proxy != nil {
-		st.Proxy.Close()
+	if e.Proxy != nil {
+		e.Proxy.Close()
 	}
-	if st.Site != nil {
-		st.Site.Stop()
+	if e.Site != nil {
+		e.Site.Stop()
 	}
-	if st.directory != "" {
-		_ = os.RemoveAll(st.directory)
+	if e.directory != "" {
+		_ = os.RemoveAll(e.directory)
 	}
 	return err
 }
 
-// Report writes the injected faults and the violations, for a person.
+// Report writes the injected faults and the violations in readable form.
 func Report(w io.Writer, injections []faultproxy.Injection, violations []invariants.Violation) {
 	for _, injection := range injections {
 		fmt.Fprintf(w, "%10v  %s: %s on %s, connection %d %s, byte %d\n", injection.At.Round(time.Millisecond), injection.Rule, injection.Kind, injection.Route, injection.Conn, injection.Direction, injection.Offset)
 	}
 	for _, violation := range violations {
-		fmt.Fprintf(w, "broken: %s\n", violation)
+		fmt.Fprintf(w, "violated: %s\n", violation)
 	}
 }
--- a/internal/frontend/line/client_test.go
+++ b/internal/frontend/line/client_test.go
@@ -41,7 +41,7 @@
 			return
 		}
 		near, far := connectionPair(t)
-		client, source := newClientConn(near), testutil.New(choices)
+		client, source := newClientConn(near), testutil.NewSource(choices)
 		var expected strings.Builder // all that the client should receive
 		const open, migrating, closed = 0, 1, 2
 		state, moved := open, make(chan struct{})
--- a/internal/frontend/line/frontend_test.go
+++ b/internal/frontend/line/frontend_test.go
@@ -246,7 +246,7 @@
 	accepted := env.peer(env.endpoint.Accept()) // never read
 	opening := fmt.Sprintf(openingFormat, 4000)
 	client.send(opening)
-	testutil.Unread(t, accepted.TCPConn, len(opening))
+	testutil.AwaitUnread(t, accepted.TCPConn, len(opening))
 	rejectEvicted(accepted.TCPConn)
 	client.expect("BUSY\r\n")
 	client.expectEnd(false)
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -96,7 +96,7 @@
 			}
 			rest = rest[newline+1:]
 		}
-		splitter, source := lineSplitter{}, testutil.New(cuts)
+		splitter, source := lineSplitter{}, testutil.NewSource(cuts)
 		for rest := stream; len(rest) > 0; {
 			var part []byte
 			part, rest = source.Cut(rest)
