--- a/cmd/lockroad/site_test.go
+++ b/cmd/lockroad/site_test.go
@@ -148,8 +148,8 @@
 	if err := os.WriteFile(invalid, []byte("name = \"x\"\nlisten = \"nowhere\"\n[[server]]\naddress = \"a:1\"\n[[server]]\naddress = \"b\"\nsize = -1.0\n[[class]]\nname = \"p\"\ngive_up_after = \"soon\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if code, _, errs := runCommandLine("check", invalid); code != 1 || !strings.Contains(errs, invalid+":10: class.give_up_after") {
-		t.Errorf("check: exit code %d, want 1 and an error for class.give_up_after at line 10\n%s", code, errs)
+	if code, _, errs := runCommandLine("check", invalid); code != 1 || !strings.Contains(errs, invalid+":10: class[0].give_up_after") {
+		t.Errorf("check: exit code %d, want 1 and an error for class[0].give_up_after at line 10\n%s", code, errs)
 	}
 	if err := os.WriteFile(invalid, []byte("name = \"x\"\nlisten = \"nowhere\"\n[[server]]\naddress = \"a:1\"\n[[server]]\naddress = \"b\"\nsize = -1.0\n[health]\nevery = \"50ms\"\ntimeout = \"40ms\"\n"), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -4,6 +4,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"strconv"
 
@@ -68,9 +69,8 @@
 	return c, nil
 }
 
-// platformFile is the format of the platform configuration. Keys match regardless of case; errors name them as
-// the tags do. It is an alias of an unnamed type so that decoder errors don't contain a Go type name.
-type platformFile = struct {
+// platformFile is the format of the platform configuration. Keys match regardless of case.
+type platformFile struct {
 	Name      string `json:"Name"`
 	Listen    string `json:"Listen"`
 	Discovery string `json:"Discovery"`
@@ -138,7 +138,11 @@
 		} `json:"Limits"`
 	}
 	if err := json.Unmarshal(text, &extra); err != nil {
-		v.add("settings", "%v", err)
+		key := "settings"
+		if mismatch := (*json.UnmarshalTypeError)(nil); errors.As(err, &mismatch) {
+			key += "." + mismatch.Field
+		}
+		v.add(key, "%v", simprotocol.DescribeJSONError(err))
 		return settings, nil, false
 	}
 	// A rejection over a connection can always carry a retry-after, so Limits.RetryAfter is ignored here.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -49,7 +49,7 @@
 		"[odd]\nx = 1\n[amqp]\nlsten = \"a:1\"":   ":1: odd: unknown key\nFILE:4: amqp.lsten: unknown key",
 		"\n[otlp]\nendpoint = \"collector:4318\"": `:3: otlp.endpoint: "collector:4318" is not an http or https URL`,
 		"[why]\nbytes = 4096":                     ":2: why.bytes: 4096 is out of range: expected 0",
-		"[why]\nbytes = \"much\"":                 ":2: why.bytes: ",
+		"[why]\nbytes = \"much\"":                 ":2: why.bytes: expected an integer, found a string",
 		"[log]\nlevel = \"loud\"\nform = \"xml\"": ":2: log.level: unknown level \"loud\"; expected one of debug, info, warn, error\nFILE:3: log.form: ",
 		"[amqp]\nshared = -1":                     ":2: amqp.shared: -1 is out of range: expected 0 to",
 		"[amqp.tls]\ncert = \"x\"":                ":2: amqp.tls.cert: cert and key must be set together",
@@ -59,7 +59,7 @@
 		"[amqp.servers_tls]\nname = \"x\"":        ":1: amqp.servers_tls.ca: is missing",
 		"[[amqp.grant]]\nuser = \"x\"":            ":1: amqp.grant: entry 1 must have a user and classes",
 		"[[amqp.place]]\ngive_up = \"1s\"":        ":1: amqp.place[0].class: is missing",
-		"[[amqp.place]]\ngive_up = \"soon\"":      ":2: amqp.place.give_up: ",
+		"[[amqp.place]]\ngive_up = \"soon\"":      ":2: amqp.place[0].give_up: \"soon\" is not a duration",
 		"# a comment\n\nnot toml":                 ":3: ",
 	} {
 		path := filepath.Join(t.TempDir(), "operator.toml")
@@ -101,7 +101,7 @@
 	want := []string{
 		`FILE:4: settings.Zone: is missing`, `FILE:1: seed: "zz30d27a5be964" is not a 64-bit hexadecimal number`,
 		`FILE:1: discovery: "nowhere" is not a host:port address: address nowhere: missing port in address`,
-		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: can't be read: `,
+		`FILE:5: settings.Classes[0].Semantics: has the unknown word "sometimes"`, `FILE:8: settings.Limits.TryLimit: has the wrong type: expected an integer, found a string`,
 	}
 	got := strings.Split(check(invalid), "\n")
 	for i, prefix := range want {
@@ -117,6 +117,59 @@
 	}
 }
 
+// A value of the wrong type must be reported with its key and with types of the file's language instead of Go types.
+func TestTypeMismatchesAreReportedInTermsOfTheFile(t *testing.T) {
+	readSite := func(text []byte) error { _, err := parseSite("FILE", text); return err }
+	readPlatform := func(text []byte) error { _, err := parseConfig("FILE", text, nil); return err }
+	replace := func(valid, invalid string) string {
+		return strings.Replace(configtest.PlatformConfig("127.0.0.1:3000", "127.0.0.1:8500", "x"), valid, invalid, 1)
+	}
+	for _, c := range []struct {
+		read       func([]byte) error
+		text, want string
+	}{
+		{readSite, "\nlisten = 3000", "FILE:2: listen: expected a string, found an integer"},
+		{readSite, "listen = 2026-01-02", "FILE:1: listen: expected a string, found a date or time"},
+		{readSite, "listen = { port = 1 }", "FILE:1: listen: expected a string, found a table"},
+		{readSite, "[listen]\nport = 1", "FILE:1: listen: expected a string, found a table"},
+		{readSite, "listen.port = 1", "FILE:1: listen.port: expected a string, found a table"},
+		{readSite, "[[server]]\nname = \"a\"\n[[server]]\nname = 5", "FILE:4: server[1].name: expected a string, found an integer"},
+		{readSite, "[[Server]]\nSize = \"big\"", "FILE:2: Server[0].Size: expected a number, found a string"},
+		{readSite, "server = 3", "FILE:1: server: expected an array of tables, found an integer"},
+		{readSite, "server = [\"a\"]", "FILE:1: server[0]: expected a table, found a string"},
+		{readSite, "server = [{ address = \"a:1\" }, { name = 5 }]", "FILE:1: server[1].name: expected a string, found an integer"},
+		{readSite, "[log]\n= 2", "FILE:2: invalid character at start of key: U+003D '='"},
+		{readSite, "[limits]\nfair = \"yes\"", "FILE:2: limits.fair: expected a boolean, found a string"},
+		{readSite, "[limits]\nsockets = 1.5", "FILE:2: limits.sockets: expected an integer, found a float"},
+		{readSite, "[limits]\nmemory_mb = true", "FILE:2: limits.memory_mb: expected an integer, found a boolean"},
+		{readSite, "[[limits]]\nsockets = 1", "FILE:1: limits: expected a table, found an array of tables"},
+		{readSite, "limits = [1]", "FILE:1: limits: expected a table, found an array"},
+		{readSite, "[health]\nevery = [\"2s\"]", "FILE:2: health.every: expected a duration such as \"5s\", found an array"},
+		{readSite, "[health.every]\ns = 2", "FILE:1: health.every: expected a single value, found a table"},
+		{readSite, "[amqp.sasl]\nanonymous = 1", "FILE:2: amqp.sasl.anonymous: expected a boolean, found an integer"},
+		{readSite, "[[amqp.grant]]\nclasses = \"a\"", "FILE:2: amqp.grant[0].classes: expected an array, found a string"},
+		{readSite, "[[amqp.grant]]\nclasses = [\n\"a\",\n1]", "FILE:4: amqp.grant[0].classes[1]: expected a string, found an integer"},
+		{readSite, "[amqp]\ngrant = 1", "FILE:2: amqp.grant: expected an array of tables, found an integer"},
+		{readSite, "log = 1", "FILE:1: log: expected a table, found an integer"},
+		{readPlatform, `{"discovery": 7}`, "FILE:1: discovery: expected a string, found a number"},
+		{readPlatform, "{\"SEED\":\n{\"a\": 1}}", "FILE:2: SEED: expected a string, found an object"},
+		{readPlatform, `{"known": {"members": [{"id": "a"}, {"cell": 1.5}]}}`, "FILE:1: known.members[1].cell: expected an integer, found the number 1.5"},
+		{readPlatform, `{"known": {"revision": -1}}`, "FILE:1: known.revision: expected a non-negative integer, found the number -1"},
+		{readPlatform, `{"known": {"complete": "yes" }}`, "FILE:1: known.complete: expected a boolean, found a string"},
+		{readPlatform, `{"known": {"members": {}}}`, "FILE:1: known.members: expected an array, found an object"},
+		{readPlatform, `{"limits": {"cores": true}}`, "FILE:1: limits.cores: expected a number, found a boolean"},
+		{readPlatform, `{"limits": [1]}`, "FILE:1: limits: expected an object, found an array"},
+		{readPlatform, "\n[1]", "FILE:2: expected an object, found an array"},
+		{readPlatform, replace(`"Localities": [`, `"Localities": [1, `), "FILE:6: settings.Localities: expected a string, found a number"},
+		{readPlatform, replace(`"MaxRetryAfterUs": 2000000`, `"MaxRetryAfterUs": "2s"`), "FILE:8: settings.Limits.MaxRetryAfterUs: expected a number, found a string"},
+		{readPlatform, replace(`"TryLimit": 5`, `"TryLimit": 2.5`), "FILE:8: settings.Limits.TryLimit: has the wrong type: expected an integer, found the number 2.5"},
+	} {
+		if err := c.read([]byte(c.text)); err == nil || err.Error() != c.want {
+			t.Errorf("%q: got error %v, want %s", c.text, err, c.want)
+		}
+	}
+}
+
 // Reading a file while it is being replaced must return the old or the new content, not a mix.
 func TestReadStableWhileFileIsReplaced(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -38,7 +38,7 @@
 		fmt.Fprintf(&b, "%s missing: %s\n", path, outcome())
 		restore()
 		switch value.(type) {
-		case map[string]any, []any: // their decoder errors contain Go types
+		case []any: // [1] has the right type
 		default:
 			set([]int{1})
 			fmt.Fprintf(&b, "%s [1]: %s\n", path, outcome())
--- a/internal/config/keylines.go
+++ b/internal/config/keylines.go
@@ -19,6 +19,7 @@
 	for parser.NextExpression() {
 		expression := parser.Expression()
 		key, line := tomlKey(&parser, expression)
+		key = strings.ToLower(key)
 		switch expression.Kind {
 		case unstable.Table:
 			section = key + "."
@@ -36,7 +37,7 @@
 	return lines
 }
 
-// tomlKey returns the dotted key of an expression, in lower case, and its line number.
+// tomlKey returns the dotted key of an expression and its line number.
 func tomlKey(parser *unstable.Parser, expression *unstable.Node) (key string, line int) {
 	var parts []string
 	for it := expression.Key(); it.Next(); {
@@ -46,7 +47,42 @@
 			line = parser.Shape(node.Raw).Start.Line
 		}
 	}
-	return strings.ToLower(strings.Join(parts, ".")), line
+	return strings.Join(parts, "."), line
+}
+
+// tomlInnerPath returns the path, relative to its key, of the value at a position in a TOML file: "" if it is the
+// key's value itself, or a path such as [1].name if it is within an array or an inline table.
+func tomlInnerPath(text []byte, line, column int) string {
+	var parser unstable.Parser
+	parser.Reset(text)
+	for parser.NextExpression() {
+		if expression := parser.Expression(); expression.Kind == unstable.KeyValue {
+			if path, found := innerPath(&parser, expression.Value(), line, column); found {
+				return path
+			}
+		}
+	}
+	return ""
+}
+
+// innerPath returns the path, relative to a value, of the value within it at a position.
+func innerPath(parser *unstable.Parser, value *unstable.Node, line, column int) (path string, found bool) {
+	if value.Kind != unstable.Array && value.Kind != unstable.InlineTable {
+		start := parser.Shape(value.Raw).Start
+		return "", start.Line == line && start.Column == column
+	}
+	children := value.Children()
+	for i := 0; children.Next(); i++ {
+		child, step := children.Node(), fmt.Sprintf("[%d]", i)
+		if child.Kind == unstable.KeyValue {
+			key, _ := tomlKey(parser, child)
+			child, step = child.Value(), "."+key
+		}
+		if path, found := innerPath(parser, child, line, column); found {
+			return step + path, true
+		}
+	}
+	return "", false
 }
 
 // jsonLines returns the line numbers of a JSON text by key path in lower case. It stops at the first syntax error.
@@ -61,6 +97,16 @@
 	text    []byte
 	decoder *json.Decoder
 	lines   map[string]int // by key path in lower case
+
+	offset       int64
+	pathAtOffset string // of the last value that starts before offset
+}
+
+// jsonPathAt returns the key path of the last value that starts before an offset in a JSON text.
+func jsonPathAt(text []byte, offset int64) string {
+	w := jsonWalker{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: make(map[string]int), offset: offset}
+	_ = w.walk("") // after a syntax error, the path found before it is still valid
+	return w.pathAtOffset
 }
 
 // walk records the line numbers of the decoder's next value, which is at path, and of all values within it.
@@ -70,6 +116,9 @@
 		return err
 	}
 	w.lines[strings.ToLower(path)] = lineAt(w.text, w.decoder.InputOffset())
+	if w.decoder.InputOffset() <= w.offset {
+		w.pathAtOffset = path
+	}
 	open, isDelim := token.(json.Delim)
 	if !isDelim {
 		return nil
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -43,8 +43,7 @@
 	return nil
 }
 
-// siteFile is the format of a site file. Decoder errors, which operators read, contain the names of the type and
-// its fields.
+// siteFile is the format of a site file.
 type siteFile struct {
 	Operator
 	Name   string `toml:"name"`
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"maps"
 	"net"
+	"reflect"
+	"regexp"
 	"slices"
 	"strings"
 
@@ -96,8 +98,9 @@
 			v.addAt(line, strings.Join(e.Key(), "."), "unknown key")
 		}
 	case errors.As(err, &malformed):
-		line, _ := malformed.Position()
-		v.addAt(line, strings.Join(malformed.Key(), "."), strings.TrimPrefix(malformed.Error(), "toml: "))
+		line, column := malformed.Position()
+		key := v.indexedKey(strings.Join(malformed.Key(), "."), line) + tomlInnerPath(text, line, column)
+		v.addAt(line, key, describeTOMLError(malformed))
 		return false // the decoder stops at the first malformed value
 	case err != nil:
 		v.addAt(0, "", err.Error())
@@ -106,6 +109,69 @@
 	return true
 }
 
+// indexedKey inserts the indexes of arrays of tables into the key of the value at a line of a TOML file.
+func (v *validator) indexedKey(key string, line int) string {
+	indexed, keyLine := "", 0
+	for path, at := range v.lines {
+		if at > keyLine && at <= line && tableIndexes.ReplaceAllString(path, "") == strings.ToLower(key) {
+			indexed, keyLine = path, at
+		}
+	}
+	parts := strings.Split(key, ".")
+	for i, part := range strings.Split(indexed, ".") {
+		parts[i] += tableIndexes.FindString(part)
+	}
+	return strings.Join(parts, ".")
+}
+
+var tableIndexes = regexp.MustCompile(`\[\d+\]`)
+
+// tomlMismatch matches the texts of type mismatches, for which the decoder has no error type.
+var tomlMismatch = regexp.MustCompile(`^toml: cannot (?:decode TOML|store an?) (.+?) (?:into|in a) (?:struct field .* of type )?(.+)$`)
+
+// describeTOMLError names the expected and the found TOML type instead of Go types if err is a type mismatch. It
+// returns the text of any other error.
+func describeTOMLError(err *toml.DecodeError) string {
+	match := tomlMismatch.FindStringSubmatch(err.Error())
+	if match == nil {
+		return strings.TrimPrefix(err.Error(), "toml: ")
+	}
+	found, ok := tomlTypes[match[1]]
+	if !ok {
+		found = "a date or time"
+	}
+	expected := tomlTypeOf(match[2])
+	if match[2] == "int64" && strings.HasPrefix(found, "a table") { // int64 is the kind of durations too
+		expected = "a single value"
+	}
+	return fmt.Sprintf("expected %s, found %s", expected, found)
+}
+
+// tomlTypes has the decoder's type names except for those of dates and times.
+var tomlTypes = map[string]string{"array": "an array", "array table": "an array of tables", "boolean": "a boolean", "float": "a float",
+	"inline table": "a table", "integer": "an integer", "string": "a string", "table": "a table"}
+
+// tomlTypeOf returns the TOML type that is decoded into a Go type.
+func tomlTypeOf(goType string) string {
+	switch {
+	case goType == "string":
+		return "a string"
+	case goType == "bool":
+		return "a boolean"
+	case goType == "float64":
+		return "a number"
+	case goType == "int" || goType == "int64":
+		return "an integer"
+	case goType == reflect.TypeFor[duration]().String():
+		return `a duration such as "5s"`
+	case strings.HasPrefix(goType, "[]struct"), goType == "[]auth.Grant":
+		return "an array of tables"
+	case strings.HasPrefix(goType, "[]"):
+		return "an array"
+	}
+	return "a table"
+}
+
 // addJSONError adds an error of decoding text as JSON, with its line.
 func (v *validator) addJSONError(text []byte, err error) {
 	var syntax *json.SyntaxError
@@ -114,7 +180,7 @@
 	case errors.As(err, &syntax):
 		v.addAt(lineAt(text, syntax.Offset), "", syntax.Error())
 	case errors.As(err, &wrongType):
-		v.addAt(lineAt(text, wrongType.Offset), wrongType.Field, fmt.Sprintf("is a %s; expected %s", wrongType.Value, wrongType.Type))
+		v.addAt(lineAt(text, wrongType.Offset), jsonPathAt(text, wrongType.Offset), simprotocol.DescribeJSONError(wrongType).Error())
 	default:
 		v.addAt(lineAt(text, int64(len(text))), "", err.Error())
 	}
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
+	"reflect"
 	"slices"
 	"strings"
 	"time"
@@ -11,8 +13,7 @@
 )
 
 // object is a JSON object whose keys are looked up one by one, so that a
-// missing one can be named and an unknown one ignored. Error texts that others read
-// hold the type's name.
+// missing one can be named and an unknown one ignored.
 type object map[string]json.RawMessage
 
 // KeyError is a fault in one of the settings.
@@ -55,7 +56,7 @@
 	if !ok || string(raw) == "null" {
 		reader.failf(path+key, "is missing")
 	} else if err := json.Unmarshal(raw, &value); err != nil {
-		reader.failf(path+key, "can't be read: %v", err)
+		reader.failf(path+key, "has the wrong type: %v", DescribeJSONError(err))
 	}
 	return value
 }
@@ -69,6 +70,44 @@
 	return zero
 }
 
+// DescribeJSONError names the expected and the found JSON type instead of Go types if err is a type mismatch. It
+// returns any other error unchanged.
+func DescribeJSONError(err error) error {
+	var mismatch *json.UnmarshalTypeError
+	if !errors.As(err, &mismatch) {
+		return err
+	}
+	found, isLiteral := strings.CutPrefix(mismatch.Value, "number ")
+	if isLiteral {
+		found = "the number " + found
+	} else {
+		found = jsonTypes[found]
+	}
+	return fmt.Errorf("expected %s, found %s", jsonTypeOf(mismatch.Type), found)
+}
+
+// jsonTypes has the type names of json.UnmarshalTypeError.
+var jsonTypes = map[string]string{"array": "an array", "bool": "a boolean", "number": "a number", "object": "an object", "string": "a string"}
+
+// jsonTypeOf returns the JSON type that is decoded into a Go type.
+func jsonTypeOf(t reflect.Type) string {
+	switch t.Kind() {
+	case reflect.String:
+		return "a string"
+	case reflect.Bool:
+		return "a boolean"
+	case reflect.Float32, reflect.Float64:
+		return "a number"
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		return "a non-negative integer"
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		return "an integer"
+	case reflect.Slice, reflect.Array:
+		return "an array"
+	}
+	return "an object"
+}
+
 // maxMicroseconds bounds the times of the settings, of about 31 years.
 const maxMicroseconds = 1e15
 
@@ -129,7 +168,7 @@
 func ParseSettings(text []byte) (balancer.Settings, error) {
 	var values object
 	if err := json.Unmarshal(text, &values); err != nil {
-		return balancer.Settings{}, fmt.Errorf("settings are no JSON object: %w", err)
+		return balancer.Settings{}, fmt.Errorf("settings are no JSON object: %w", DescribeJSONError(err))
 	}
 	reader := &settingsReader{}
 	settings, specifics := readSettings(reader, values)
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -126,6 +126,24 @@
 	}
 }
 
+// A value of the wrong type must be reported with its key and with JSON types instead of Go types.
+func TestTypeMismatchesAreReportedInJSONTypes(t *testing.T) {
+	for _, c := range [][3]string{
+		{`"NInstances": 2`, `"NInstances": "two"`, "NInstances has the wrong type: expected an integer, found a string"},
+		{`"NInstances": 2`, `"NInstances": 2.5`, "NInstances has the wrong type: expected an integer, found the number 2.5"},
+		{`"DeadlineUs": 1300000`, `"DeadlineUs": "long"`, "Classes[1].DeadlineUs has the wrong type: expected a number, found a string"},
+		{`"Name": "y"`, `"Name": true`, "Customers[1].Name has the wrong type: expected a string, found a boolean"},
+		{`"Classes": [`, `"Classes": 7, "x": [`, "Classes has the wrong type: expected an array, found a number"},
+		{`"Limits": {`, `"Limits": [], "x": {`, "Limits has the wrong type: expected an object, found an array"},
+		{sampleSettings, `[1]`, "settings are no JSON object: expected an object, found an array"},
+	} {
+		_, err := ParseSettings([]byte(strings.Replace(sampleSettings, c[0], c[1], 1)))
+		if err == nil || !strings.Contains(err.Error()+";", c[2]+";") || strings.Contains(err.Error(), "json: ") {
+			t.Errorf("%s: got error %v, want %s", c[1], err, c[2])
+		}
+	}
+}
+
 // What makes no sense is told with the key that it is wrong with, each thing once.
 func TestInvalidSettingsAreReportedWithTheirKey(t *testing.T) {
 	for _, c := range [][3]string{
