--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -60,7 +60,7 @@
 		Address   string   `toml:"address"`   // pattern in which * matches any text; empty: matches all
 		Container string   `toml:"container"` // pattern, as for Address
 		Class     string   `toml:"class"`
-		GiveUp    duration `toml:"give_up"` // empty: the deadline of the class
+		Timeout   duration `toml:"give_up"` // empty: the deadline of the class
 		Group     string   `toml:"group"`   // address, container, link or property:NAME; empty: none
 	} `toml:"place"`
 }
@@ -90,7 +90,7 @@
 // with the rule's index and key.
 func (a *AMQP) CompiledPlacements() (all []amqp.Placement, err error) {
 	for i, rule := range a.Placements {
-		placement := amqp.Placement{Address: rule.Address, Container: rule.Container, Class: rule.Class, Timeout: time.Duration(rule.GiveUp), Group: rule.Group}
+		placement := amqp.Placement{Address: rule.Address, Container: rule.Container, Class: rule.Class, Timeout: time.Duration(rule.Timeout), Group: rule.Group}
 		if compileErr := placement.Compile(); compileErr != nil {
 			err = errors.Join(err, fmt.Errorf("amqp.place[%d].%w", i, compileErr))
 		}
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -57,32 +57,32 @@
 		Size    float64 `toml:"size"`
 	} `toml:"server"`
 	Class []struct {
-		Name    string   `toml:"name"`
-		SetUp   duration `toml:"set_up_within"`
-		GiveUp  duration `toml:"give_up_after"`
-		Message duration `toml:"message_within"`
-		Effect  string   `toml:"effect"`
-		Most    int      `toml:"most"` // concurrent requests; 0: no limit
+		Name                    string   `toml:"name"`
+		LatencyObjective        duration `toml:"set_up_within"`
+		Deadline                duration `toml:"give_up_after"`
+		MessageLatencyObjective duration `toml:"message_within"`
+		Semantics               string   `toml:"effect"`
+		MaxRequests             int      `toml:"most"` // concurrent requests; 0: no limit
 	} `toml:"class"`
 	Limits struct {
-		Cores    float64 `toml:"cores"`
-		MemoryMB int64   `toml:"memory_mb"`
-		Sockets  int     `toml:"sockets"`
-		Attempts int     `toml:"attempts"`
+		Cores       float64 `toml:"cores"`
+		MemoryMB    int64   `toml:"memory_mb"`
+		Sockets     int     `toml:"sockets"`
+		MaxAttempts int     `toml:"attempts"`
 
 		PerAddress int     `toml:"per_address"` // concurrent requests of a client address; 0: no limit
 		Rate       float64 `toml:"rate"`        // new requests of a client address per second; 0: no limit
 		Burst      int     `toml:"burst"`       // new requests that a client address may send at once
-		Fair       bool    `toml:"fair"`        // divide scarce admission slots fairly among client addresses
+		FairShare  bool    `toml:"fair"`        // divide scarce admission slots fairly among client addresses
 	} `toml:"limits"`
 	Health struct {
-		Probe   string   `toml:"probe"`
-		Every   duration `toml:"every"`
-		Timeout duration `toml:"timeout"`
-		Rise    int      `toml:"rise"`
-		Fall    int      `toml:"fall"`
-		Share   float64  `toml:"share"`
-		Panic   float64  `toml:"panic"`
+		Probe          string   `toml:"probe"`
+		Interval       duration `toml:"every"`
+		Timeout        duration `toml:"timeout"`
+		Rise           int      `toml:"rise"`
+		Fall           int      `toml:"fall"`
+		MaxLoadShare   float64  `toml:"share"`
+		PanicThreshold float64  `toml:"panic"`
 	} `toml:"health"`
 }
 
@@ -127,7 +127,7 @@
 	site.Config.Settings = v.siteSettings(&file)
 	site.Health = v.siteHealth(&file)
 	site.ProbeWithPing = v.siteProbesWithPing(&file)
-	site.Quota, site.FairShare = v.siteQuota(&file), file.Limits.Fair
+	site.Quota, site.FairShare = v.siteQuota(&file), file.Limits.FairShare
 	if err := v.problems.errOrNil(); err != nil {
 		return nil, err
 	}
@@ -144,7 +144,7 @@
 		v.checkAddress("admin_addr", file.Admin)
 	}
 	limits := &file.Limits
-	if limits.Cores < 0 || limits.MemoryMB < 0 || limits.Sockets < 0 || limits.Attempts < 0 {
+	if limits.Cores < 0 || limits.MemoryMB < 0 || limits.Sockets < 0 || limits.MaxAttempts < 0 {
 		v.add("limits", "cores, memory_mb, sockets and attempts must not be negative")
 	}
 	if n := limits.Sockets; n > 0 && n < minSockets {
@@ -202,10 +202,10 @@
 func (v *validator) siteQuota(file *siteFile) quota.Settings {
 	settings := quota.Settings{PerAddress: file.Limits.PerAddress, Rate: file.Limits.Rate, Burst: file.Limits.Burst, PerClass: make(map[string]int)}
 	for i, class := range file.Class {
-		if class.Most < 0 {
-			v.add(fmt.Sprintf("class[%d].most", i), "%d is negative", class.Most)
-		} else if class.Most > 0 {
-			settings.PerClass[class.Name] = class.Most
+		if class.MaxRequests < 0 {
+			v.add(fmt.Sprintf("class[%d].most", i), "%d is negative", class.MaxRequests)
+		} else if class.MaxRequests > 0 {
+			settings.PerClass[class.Name] = class.MaxRequests
 		}
 	}
 	if err := settings.Validate(); err != nil {
@@ -232,7 +232,7 @@
 		ClockResolution:   2 * time.Millisecond,
 		ConnectTimeout:    500 * time.Millisecond,
 		MaxRetryAfter:     2 * time.Second,
-		MaxAttempts:       cmp.Or(file.Limits.Attempts, defaultMaxAttempts),
+		MaxAttempts:       cmp.Or(file.Limits.MaxAttempts, defaultMaxAttempts),
 		InitialCapacity:   0.2,
 		SlowStartDuration: 20 * time.Second,
 		OverloadMultiple:  3,
@@ -244,24 +244,24 @@
 	if len(file.Class) == 0 {
 		v.add("class", "is missing: at least one class is required")
 	}
-	effects := map[string]balancer.DeliverySemantics{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
+	semanticsByName := map[string]balancer.DeliverySemantics{"": balancer.Idempotent, "idempotent": balancer.Idempotent, "at_most_once": balancer.AtMostOnce}
 	for i, class := range file.Class {
 		prefix := fmt.Sprintf("class[%d].", i)
-		effect, ok := effects[class.Effect]
+		semantics, ok := semanticsByName[class.Semantics]
 		switch {
 		case class.Name == "":
 			v.add(prefix+"name", "is missing")
 		case settings.ClassIndex(class.Name) >= 0:
 			v.add(prefix+"name", "another class is already named %q", class.Name)
 		case !ok:
-			v.add(prefix+"effect", "%q is neither idempotent nor at_most_once", class.Effect)
+			v.add(prefix+"effect", "%q is neither idempotent nor at_most_once", class.Semantics)
 		}
 		settings.Classes = append(settings.Classes, balancer.Class{
 			Name:                    class.Name,
-			LatencyObjective:        time.Duration(cmp.Or(class.SetUp, duration(defaultLatencyObjective))),
-			Deadline:                time.Duration(cmp.Or(class.GiveUp, duration(defaultDeadline))),
-			MessageLatencyObjective: time.Duration(class.Message),
-			Semantics:               effect,
+			LatencyObjective:        time.Duration(cmp.Or(class.LatencyObjective, duration(defaultLatencyObjective))),
+			Deadline:                time.Duration(cmp.Or(class.Deadline, duration(defaultDeadline))),
+			MessageLatencyObjective: time.Duration(class.MessageLatencyObjective),
+			Semantics:               semantics,
 		})
 	}
 	return settings
@@ -270,12 +270,12 @@
 // siteHealth returns the health-check settings: the file's values, or the defaults for omitted keys.
 func (v *validator) siteHealth(file *siteFile) healthcheck.Settings {
 	settings, health := healthcheck.DefaultSettings(), &file.Health
-	settings.Interval = time.Duration(cmp.Or(health.Every, duration(settings.Interval)))
+	settings.Interval = time.Duration(cmp.Or(health.Interval, duration(settings.Interval)))
 	settings.Timeout = time.Duration(cmp.Or(health.Timeout, duration(settings.Timeout)))
 	settings.Rise = cmp.Or(health.Rise, settings.Rise)
 	settings.Fall = cmp.Or(health.Fall, settings.Fall)
-	settings.MaxLoadShare = cmp.Or(health.Share, settings.MaxLoadShare)
-	settings.PanicThreshold = cmp.Or(health.Panic, settings.PanicThreshold)
+	settings.MaxLoadShare = cmp.Or(health.MaxLoadShare, settings.MaxLoadShare)
+	settings.PanicThreshold = cmp.Or(health.PanicThreshold, settings.PanicThreshold)
 	if err := settings.Validate(); err != nil {
 		v.add("health", "%v", err)
 	}
