--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -59,12 +59,12 @@
 	}
 	if trimmed := bytes.TrimSpace(text); len(trimmed) > 0 && trimmed[0] == '{' {
 		_, err := parseConfig(path, text, nil)
-		return "platform's configuration", err
+		return "platform configuration", err
 	}
 	if lines := tomlLines(text); lines["listen"] > 0 || lines["server"] > 0 || lines["class"] > 0 {
 		_, err := parseSite(path, text)
-		return "site's file", err
+		return "site file", err
 	}
 	_, err = parseOperator(path, text)
-	return "operator's file", err
+	return "operator file", err
 }
