--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for those who keep the program.
+# Development targets.
 
 FUZZTIME ?= 10s
 CONFIG ?= $(PROXY_CONFIG)
@@ -15,7 +15,7 @@
 	go test ./...
 	go test -tags debug ./...
 
-# random tries CHECKS random runs of steps that no earlier run tried. CI's are the same every time.
+# random runs the property-based tests with CHECKS cases each and a random seed. CI uses a fixed seed.
 random:
 	RAPID_SEED=0 go test -count=1 ./balancer ./internal/faultproxy ./internal/hotrestart ./internal/simulation ./internal/connpool ./internal/decisionlog ./internal/frontend/amqp -rapid.checks=$(CHECKS)
 
@@ -37,26 +37,26 @@
 	go test -run '^$$' -fuzz '^FuzzClient$$' -fuzztime $(FUZZTIME) ./internal/frontend/amqp
 	go test -run '^$$' -fuzz '^FuzzParse$$' -fuzztime $(FUZZTIME) ./internal/sexp
 
-# why-run is the long form of the demonstration's test: 500 answers after five minutes
-# are held against what clients, servers and a collector saw.
+# why-run is the long form of the demonstration's test: after five minutes it compares 500 answers of
+# `lockroad why` with what clients, servers and a telemetry collector observed.
 why-run: build
 	bin/lockroad demo --for 5m --rate 10 --asks 500 --seed 1
 
-# trouble plays every known failure; trouble-long plays random scripts for CHECKS scenes
-# of some 3 s, and keeps the least that breaks a rule in internal/faulttest/testdata.
+# trouble runs the fault tests with scripted faults. trouble-long runs CHECKS random fault scripts of some 3 s
+# each and stores the smallest script that violates an invariant in internal/faulttest/testdata.
 trouble:
 	go test -count=1 -parallel 16 ./internal/faulttest
 
 trouble-long:
 	LOCKROAD_TROUBLE=1 go test ./internal/faulttest -count=1 -timeout 60m -run TestRandomScripts -rapid.checks=$(CHECKS) -rapid.nofailfile
 
-# rehearse plays the commonest troubles against builds of the program, and tells how long
-# clients wait: make rehearse BEFORE=/path/to/an/older/lockroad
+# rehearse injects the most common faults into two builds of the program and compares how long clients
+# wait: make rehearse BEFORE=/path/to/an/older/lockroad
 BEFORE ?= $(CURDIR)/bin/lockroad
 rehearse: build
 	LOCKROAD_REHEARSE="before=$(BEFORE) after=$(CURDIR)/bin/lockroad" go test -count=1 -run Rehearse -v ./cmd/lockroad
 
-# lab compares the module with the textbooks' policies on the model of the farm.
+# lab compares the balancer with standard load-balancing policies in the simulation.
 lab: build
 	mkdir -p found && bin/simulate run experiments/baselines.lisp -o found/baselines.csv
 
