--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -139,6 +139,7 @@
 		{readSite, "server = [\"a\"]", "FILE:1: server[0]: expected a table, found a string"},
 		{readSite, "server = [{ address = \"a:1\" }, { name = 5 }]", "FILE:1: server[1].name: expected a string, found an integer"},
 		{readSite, "[log]\n= 2", "FILE:2: invalid character at start of key: U+003D '='"},
+		{readSite, "server = [{ name = { a = 1 } }]", "FILE:1: server[0].name: expected a string, found a table"},
 		{readSite, "[limits]\nfair = \"yes\"", "FILE:2: limits.fair: expected a boolean, found a string"},
 		{readSite, "[limits]\nsockets = 1.5", "FILE:2: limits.sockets: expected an integer, found a float"},
 		{readSite, "[limits]\nmemory_mb = true", "FILE:2: limits.memory_mb: expected an integer, found a boolean"},
--- a/internal/config/keylines.go
+++ b/internal/config/keylines.go
@@ -67,9 +67,11 @@
 
 // innerPath returns the path, relative to a value, of the value within it at a position.
 func innerPath(parser *unstable.Parser, value *unstable.Node, line, column int) (path string, found bool) {
+	if start := parser.Shape(value.Raw).Start; value.Raw.Length > 0 && start.Line == line && start.Column == column {
+		return "", true
+	}
 	if value.Kind != unstable.Array && value.Kind != unstable.InlineTable {
-		start := parser.Shape(value.Raw).Start
-		return "", start.Line == line && start.Column == column
+		return "", false
 	}
 	children := value.Children()
 	for i := 0; children.Next(); i++ {
