--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -147,6 +147,7 @@
 		{readSite, "limits = [1]", "FILE:1: limits: expected a table, found an array"},
 		{readSite, "[health]\nevery = [\"2s\"]", "FILE:2: health.every: expected a duration such as \"5s\", found an array"},
 		{readSite, "[health.every]\ns = 2", "FILE:1: health.every: expected a single value, found a table"},
+		{readSite, "[[health.every]]\ns = 2", "FILE:1: health.every: expected a single value, found an array of tables"},
 		{readSite, "[amqp.sasl]\nanonymous = 1", "FILE:2: amqp.sasl.anonymous: expected a boolean, found an integer"},
 		{readSite, "[[amqp.grant]]\nclasses = \"a\"", "FILE:2: amqp.grant[0].classes: expected an array, found a string"},
 		{readSite, "[[amqp.grant]]\nclasses = [\n\"a\",\n1]", "FILE:4: amqp.grant[0].classes[1]: expected a string, found an integer"},
--- a/internal/config/validator.go
+++ b/internal/config/validator.go
@@ -141,7 +141,7 @@
 		found = "a date or time"
 	}
 	expected := tomlTypeOf(match[2])
-	if match[2] == "int64" && strings.HasPrefix(found, "a table") { // int64 is the kind of durations too
+	if match[2] == "int64" && strings.Contains(found, "table") { // can be a duration, of which the text has only the kind
 		expected = "a single value"
 	}
 	return fmt.Sprintf("expected %s, found %s", expected, found)
--- a/internal/server/credentials.go
+++ b/internal/server/credentials.go
@@ -21,8 +21,8 @@
 	endpointTLS   *auth.EndpointTLS
 }
 
-// reload rereads all credential files. Established connections keep their credentials. After an error it logs
-// the error.
+// reload rereads all credential files and logs an error if some can't be loaded. Established connections keep
+// their credentials.
 func (c *credentials) reload(log *slog.Logger) {
 	if err := errors.Join(c.authenticator.Reload(), c.endpointTLS.Reload()); err != nil {
 		log.Error("credentials reload rejected", "error", err)
