--- a/internal/auth/password.go
+++ b/internal/auth/password.go
@@ -12,8 +12,8 @@
 	"golang.org/x/crypto/argon2"
 )
 
-// Parameters of argon2id for new passwords: the minimum of current recommendations, as a
-// relay has little memory.
+// Parameters of argon2id for new passwords: the minimum that OWASP recommends, because a relay has
+// little memory.
 const (
 	hashMemoryKiB = 19 << 10
 	hashPasses    = 2
--- a/internal/frontend/amqp/codec/encode.go
+++ b/internal/frontend/amqp/codec/encode.go
@@ -29,8 +29,8 @@
 	case Described:
 		return Append(Append(append(b, constructorDescribed), v.Descriptor), v.Value)
 	}
-	if short, ok := appendCompact(b, v); ok {
-		return short
+	if compact, ok := appendCompact(b, v); ok {
+		return compact
 	}
 	return appendBody(append(b, constructorOf(v)), v)
 }
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -19,7 +19,7 @@
 	errNegotiation = errors.New("endpoint violates the AMQP 1.0 connection negotiation")
 	// errSASLMismatch is returned if the endpoint answers with the other protocol header: AMQP for SASL, or SASL for
 	// AMQP.
-	errSASLMismatch = errors.New("endpoint requires the other protocol header, with or without SASL")
+	errSASLMismatch = errors.New("endpoint answered the SASL header with the AMQP header, or the reverse")
 )
 
 // dial connects to an endpoint and exchanges opens within timeout. Nothing of a request is sent. An endpoint that does
--- a/internal/frontend/amqp/framing/condition.go
+++ b/internal/frontend/amqp/framing/condition.go
@@ -35,7 +35,7 @@
 
 // Condition returns the error condition and info in field i of a detach, end or close. Without an error the condition
 // is empty.
-func (p Performative) Condition(i int) (cond string, info codec.Map) {
+func (p Performative) Condition(i int) (condition string, info codec.Map) {
 	described, ok := p.Field(i).(codec.Described)
 	if !ok {
 		return "", nil
--- a/internal/frontend/amqp/link.go
+++ b/internal/frontend/amqp/link.go
@@ -70,9 +70,9 @@
 // handleTransfer forwards a transfer of the client. A ConditionError ends the client's session.
 func (l *link) handleTransfer(frame framing.Frame) error {
 	queue, heartbeat := l.activeOutbox()
-	sent := false
+	queued := false
 	defer func() {
-		if !sent {
+		if !queued {
 			l.session.releaseTransfers(1)
 		}
 	}()
@@ -100,7 +100,7 @@
 	if !frame.Bool(framing.TransferMore) {
 		item.onSent = l.deliverySent
 	}
-	sent = true
+	queued = true
 	l.enqueue(queue, item)
 	return nil
 }
--- a/internal/frontend/amqp/pipe.go
+++ b/internal/frontend/amqp/pipe.go
@@ -49,7 +49,7 @@
 		clientGone := l.clientGone
 		l.mu.Unlock()
 		switch {
-		case ctx.Err() != nil: // canceled: the caller detaches the client if necessary
+		case ctx.Err() != nil: // cancelled: the caller detaches the client if necessary
 			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
 		case err != nil && clientGone:
 			return balancer.StatusCancelled
--- a/internal/frontend/amqp/timedmutex.go
+++ b/internal/frontend/amqp/timedmutex.go
@@ -4,8 +4,8 @@
 	"context"
 )
 
-// timedMutex is a mutex whose Lock can be abandoned when a context ends, because a writer may hold it for as long as
-// the peer does not read. It must be made with a capacity of one.
+// timedMutex is a mutex that can also be locked until a context ends: a writer holds it for as long as the peer does
+// not read. It must be made with a capacity of one.
 type timedMutex chan struct{}
 
 // Lock locks the mutex, waiting until it is free.
--- a/internal/frontend/line/frontend.go
+++ b/internal/frontend/line/frontend.go
@@ -26,8 +26,8 @@
 	openingGracePeriod = 200 * time.Millisecond
 	// maxPings is how many PING lines a client may send before its opening line.
 	maxPings = 16
-	// evictionWriteTimeout bounds the write of the BUSY line to an evicted client. It does
-	// not block, as the client's send buffer is nearly empty.
+	// evictionWriteTimeout bounds the write of the BUSY line to an evicted client. The write is
+	// not expected to block, because little was sent to the client before.
 	evictionWriteTimeout = time.Millisecond
 )
 
