--- a/internal/frontend/amqp/amqppeers_test.go
+++ b/internal/frontend/amqp/amqppeers_test.go
@@ -28,7 +28,7 @@
 	}
 	conn.writeProtocolHeader(framing.ProtocolHeaderSASL)
 	want, offered := "ANONYMOUS", codec.Array{codec.Symbol("ANONYMOUS")}
-	if _, is := tcp.(*tls.Conn); is { // the relay has a client certificate
+	if _, isTLS := tcp.(*tls.Conn); isTLS { // the relay has a client certificate
 		want, offered = "EXTERNAL", codec.Array{codec.Symbol("EXTERNAL"), codec.Symbol("ANONYMOUS")}
 	}
 	conn.writeSASL(framing.Performative{Code: framing.CodeSASLMechanisms, Fields: codec.List{offered}})
--- a/internal/frontend/amqp/blocked_test.go
+++ b/internal/frontend/amqp/blocked_test.go
@@ -190,7 +190,7 @@
 
 // While an attach waits for a blocked shared connection, its client leaves, its endpoint drains, or the relay stops.
 // The attach must not be sent once the endpoint reads again, and nothing may wait for that.
-func TestNothingIsSentWhenASharedConnectionFreesTooLate(t *testing.T) {
+func TestNothingIsSentWhenASharedConnectionUnblocksTooLate(t *testing.T) {
 	for _, event := range []string{"the client leaves", "the endpoint drains", "the relay stops"} {
 		t.Run(event, func(t *testing.T) {
 			t.Parallel()
--- a/internal/frontend/amqp/conformance_client_test.go
+++ b/internal/frontend/amqp/conformance_client_test.go
@@ -182,7 +182,7 @@
 		granting.writeFrame(3, senderAttach("a link", 1, rawProperties), nil)
 		_, _ = granting.nextFrame()
 		granted, err := granting.nextFrame()
-		if err := errors.Join(err, checkEqual("granted", granted.Uint32(framing.FlowLinkCredit, 0), uint32(7))); err != nil {
+		if err := errors.Join(err, checkEqual("link credit of the client", granted.Uint32(framing.FlowLinkCredit, 0), uint32(7))); err != nil {
 			return err
 		}
 		recorder := &recordingEndpoint{}
@@ -214,7 +214,7 @@
 		whole := ""
 		for _, frame := range all {
 			whole += string(frame.Payload)
-			err = errors.Join(err, checkEqual("delivery", frame.Uint32(framing.DispositionFirst, 99), uint32(0)))
+			err = errors.Join(err, checkEqual("delivery-id", frame.Uint32(framing.DispositionFirst, 99), uint32(0)))
 		}
 		return errors.Join(err, checkEqual("payload", whole, "abc"))
 	}},
@@ -231,7 +231,7 @@
 		if err != nil {
 			return err
 		}
-		return errors.Join(checkEqual("aborted", all[1].Bool(framing.TransferAborted), true), checkEqual("next", string(all[2].Payload), "b"), client.checkNext(framing.CodeDisposition, 99, ""))
+		return errors.Join(checkEqual("aborted", all[1].Bool(framing.TransferAborted), true), checkEqual("payload of the next delivery", string(all[2].Payload), "b"), client.checkNext(framing.CodeDisposition, 99, ""))
 	}},
 	{"2.7.1", "client", "a channel above channel-max is a framing error", func(t *testing.T) error {
 		client := dialRawTo(t, &recordingEndpoint{})
@@ -270,7 +270,7 @@
 			return err
 		}
 		all, err := recorder.waitFor(framing.CodeTransfer, 2)
-		return errors.Join(err, checkEqual("settled", all[0].Bool(framing.TransferSettled), true), checkEqual("disposition of", frame.Uint32(framing.DispositionFirst, 99), uint32(1)))
+		return errors.Join(err, checkEqual("settled", all[0].Bool(framing.TransferSettled), true), checkEqual("delivery-id of the disposition", frame.Uint32(framing.DispositionFirst, 99), uint32(1)))
 	}},
 	{"2.7.6", "client", "a disposition over a range is forwarded for each delivery of the range", func(t *testing.T) error {
 		recorder := &recordingEndpoint{reply: func(conn *connection, _ *session, frame framing.Frame) bool {
@@ -306,7 +306,7 @@
 				}
 			}
 		}
-		return checkEqual("settled", settled, []uint32{0, 1, 2})
+		return checkEqual("settled delivery-ids", settled, []uint32{0, 1, 2})
 	}},
 	{"3.2", "client", "a message is forwarded unchanged, including annotations", func(t *testing.T) error {
 		recorder := &recordingEndpoint{}
--- a/internal/frontend/amqp/conformance_endpoint_test.go
+++ b/internal/frontend/amqp/conformance_endpoint_test.go
@@ -50,7 +50,7 @@
 				codes = append(codes, frame.Code)
 			}
 		}
-		return errors.Join(checkEqual("order", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", recorder.frames[1].Channel, uint16(0)), checkEqual("handle", recorder.frames[2].Uint32(framing.AttachHandle, 99), uint32(0)))
+		return errors.Join(checkEqual("order of performatives", codes[:3], []uint64{framing.CodeOpen, framing.CodeBegin, framing.CodeAttach}), checkEqual("channel", recorder.frames[1].Channel, uint16(0)), checkEqual("handle", recorder.frames[2].Uint32(framing.AttachHandle, 99), uint32(0)))
 	}},
 	{"2.4.5", "server", "empty frames are sent within the server's idle-time-out", func(t *testing.T) error {
 		recorder := &recordingEndpoint{open: newOpen("server").With(framing.OpenIdleTimeout, uint32(200))}
--- a/internal/frontend/amqp/endings_test.go
+++ b/internal/frontend/amqp/endings_test.go
@@ -260,15 +260,15 @@
 		name      string
 		endpoints int
 		actions   []endpointAction
-		waiting   func(t *testing.T, relay *testRelay) bool // reports whether the request has reached the stage
+		reached   func(t *testing.T, relay *testRelay) bool // reports whether the request has reached the stage
 		want      int                                       // requests that endpoints have received by then
 	}{
-		{"for the event loop", 1, nil, func(_ *testing.T, relay *testRelay) bool { return relay.proxy.Requests.Len() == 1 }, 0},
+		{"waiting for the event loop", 1, nil, func(_ *testing.T, relay *testRelay) bool { return relay.proxy.Requests.Len() == 1 }, 0},
 		// The fifth backoff takes 1.6 s.
-		{"for a backoff", 7, []endpointAction{actionReset, actionReset, actionReset, actionReset, actionReset}, func(_ *testing.T, relay *testRelay) bool {
+		{"waiting for a backoff", 7, []endpointAction{actionReset, actionReset, actionReset, actionReset, actionReset}, func(_ *testing.T, relay *testRelay) bool {
 			return relay.proxy.Counters.Attempts(balancer.StatusReset) == 5
 		}, 5},
-		{"for an endpoint in slow start", 1, []endpointAction{actionAccept}, func(_ *testing.T, relay *testRelay) bool {
+		{"waiting for an endpoint in slow start", 1, []endpointAction{actionAccept}, func(_ *testing.T, relay *testRelay) bool {
 			return relay.proxy.Requests.Len() == 2
 		}, 1},
 	} {
@@ -280,12 +280,12 @@
 				defer startLoop()
 				relay.updateSettings(func(settings *balancer.Settings) { settings.MaxAttempts, settings.Classes[0].Deadline = 9, time.Minute })
 				established := 0
-				if testCase.name != "for the event loop" {
+				if testCase.name != "waiting for the event loop" {
 					startLoop()
 				}
 				first, endFirst := context.WithCancel(context.Background())
 				defer endFirst()
-				if testCase.name == "for an endpoint in slow start" {
+				if testCase.name == "waiting for an endpoint in slow start" {
 					// Another request uses up the capacity of the endpoint in slow start.
 					relay.setEndpointState(balancer.StateReady, relay.proxy.Clock.Now()-18*time.Second)
 					startRequest(first, relay, protocol, time.Minute)
@@ -295,7 +295,7 @@
 				ctx, disconnect := context.WithCancel(context.Background())
 				defer disconnect()
 				results := startRequest(ctx, relay, protocol, time.Minute)
-				testutil.Until(t, "the request did not reach the stage", func() bool { return testCase.waiting(t, relay) })
+				testutil.Until(t, "the request did not reach the stage", func() bool { return testCase.reached(t, relay) })
 				disconnect()
 				testutil.Until(t, "the request was not released", func() bool { return relay.proxy.Requests.Len() == established })
 				receiveWithin(t, "result of the request", results)
@@ -318,7 +318,7 @@
 func TestSharedConnectionClosedDuringAnAttach(t *testing.T) {
 	for _, testCase := range []struct {
 		name      string
-		effect    balancer.DeliverySemantics
+		semantics balancer.DeliverySemantics
 		sessions  int64 // sessions that endpoints have accepted in total
 		condition string
 	}{{"idempotent", balancer.Idempotent, 3, ""}, {"at most once", balancer.AtMostOnce, 2, framing.CondInternalError}} {
@@ -330,7 +330,7 @@
 			protocol.serveEndpoint = shared.serve
 			relay := newTestRelay(t, protocol, 2, nil)
 			relay.updateSettings(func(settings *balancer.Settings) {
-				settings.Classes[0].Semantics, settings.Classes[0].Deadline = testCase.effect, time.Minute
+				settings.Classes[0].Semantics, settings.Classes[0].Deadline = testCase.semantics, time.Minute
 			})
 			session := newClientSession(t, relay)
 			first := attach(t, session, "first")
--- a/internal/frontend/amqp/environment_test.go
+++ b/internal/frontend/amqp/environment_test.go
@@ -77,10 +77,10 @@
 }
 
 // recordTimeout records the timeout that the relay sent with a request.
-func (s *scenario) recordTimeout(wait time.Duration) {
+func (s *scenario) recordTimeout(timeout time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lastTimeout = wait
+	s.lastTimeout = timeout
 }
 
 func (s *scenario) answered() {
@@ -112,7 +112,8 @@
 	open func(ctx context.Context, address, name string, timeout time.Duration) (answer string, retryAfter bool, waitEnd func() string)
 	// openAndSend starts a request, sends data without waiting for its establishment, and returns the answer.
 	openAndSend func(t *testing.T, address string) string
-	// slowPieces and endless are input of clients that never complete their opening.
+	// Input of clients that never complete their opening: slowPieces is sent piece by piece, the last one repeatedly;
+	// endless is the start of an opening of unlimited length.
 	slowPieces []string
 	endless    string
 }
--- a/internal/frontend/amqp/frontends_test.go
+++ b/internal/frontend/amqp/frontends_test.go
@@ -104,7 +104,7 @@
 				return relay.waitIdle(t, requestResult{answer: answer, retryAfter: retryAfter})
 			},
 			caseResult{[]requestResult{{"unavailable", true, ""}}, "timeout=1", 1}},
-		{"slow start limits a new endpoint", 1, []endpointAction{actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach}, clientsAtWarmingEndpoint,
+		{"slow start limits a new endpoint", 1, []endpointAction{actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach, actionAcceptAndDetach}, clientsDuringSlowStart,
 			caseResult{[]requestResult{
 				{"unavailable", true, ""}, {"unavailable", true, ""}, {"unavailable", true, ""}, {"up", false, "ended"},
 			}, "ok=1", 1}},
@@ -234,9 +234,9 @@
 	return relay.waitIdle(t, result)
 }
 
-// clientsAtWarmingEndpoint sends four requests at the same time to an endpoint in slow start, which must get only one
+// clientsDuringSlowStart sends four requests at the same time to an endpoint in slow start, which must get only one
 // of them.
-func clientsAtWarmingEndpoint(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
+func clientsDuringSlowStart(t *testing.T, relay *testRelay, protocol frontendProtocol) caseResult {
 	relay.setEndpointState(balancer.StateReady, relay.proxy.Clock.Now()-18*time.Second)
 	var clients sync.WaitGroup
 	results := make([]requestResult, 4)
--- a/internal/frontend/amqp/protocolerrors_test.go
+++ b/internal/frontend/amqp/protocolerrors_test.go
@@ -84,7 +84,7 @@
 }
 
 // A request whose endpoint grants no credit must be rejected by the client's deadline.
-func TestRejectionNeedsNoCredit(t *testing.T) {
+func TestRequestWithoutCreditIsRejectedByItsDeadline(t *testing.T) {
 	relay := newTestRelay(t, protocols[1], 1, []endpointAction{actionNoCredit})
 	client := dialRaw(t, relay.address).begin()
 	client.attach(1, codec.Map{codec.Symbol(propClass), "page", codec.Symbol(propDeadline), uint32(400)})
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -84,11 +84,12 @@
 	}
 }
 
-// randomLinks is the number of links that randomDeliveries uses.
-const randomLinks = 4
+// randomLinkCount is the number of links that randomDeliveries uses.
+const randomLinkCount = 4
 
-// randomNames counts the used link names: a link may still be open for a moment after its client has closed it.
-var randomNames atomic.Int64
+// lastRandomLink numbers the links of all sequences: names are not reused, because a link may stay open for a moment
+// after its client has detached it.
+var lastRandomLink atomic.Int64
 
 // randomDeliveries runs one random sequence with a new client.
 func randomDeliveries(t *testing.T, rt *rapid.T, address string) {
@@ -101,7 +102,7 @@
 		payload           []byte // of the incomplete delivery
 		deliveryID        uint32 // of the incomplete delivery
 	}
-	links := make([]linkState, randomLinks)
+	links := make([]linkState, randomLinkCount)
 	want := make(map[uint32]any) // pending outcomes by delivery id
 	nextDeliveryID := uint32(0)
 	// receiveUntil handles the relay's frames until done reports true.
@@ -185,7 +186,7 @@
 	rt.Repeat(map[string]func(*rapid.T){
 		"attach": func(*rapid.T) {
 			i := drawLink(func(state linkState) bool { return !state.attached })
-			client.writeFrame(3, senderAttach(fmt.Sprint("link ", randomNames.Add(1)), uint32(i), rawProperties), nil)
+			client.writeFrame(3, senderAttach(fmt.Sprint("link ", lastRandomLink.Add(1)), uint32(i), rawProperties), nil)
 			receiveUntil(func() bool { return links[i].attached && links[i].creditLimit > 0 })
 		},
 		"send": func(rt *rapid.T) {
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -121,7 +121,7 @@
 }
 
 // A client that does not complete its TLS handshake must be disconnected within openTimeout.
-func TestHandshakeIsBounded(t *testing.T) {
+func TestIncompleteTLSHandshakeTimesOut(t *testing.T) {
 	authority := testutil.NewAuthority(t)
 	cert, key := authority.Pair("relay", time.Hour)
 	authenticator, err := auth.New(auth.Settings{Cert: cert, Key: key})
