--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -26,7 +26,7 @@
 		"empty password": set("ann", "", false), "removal of an unknown user": set("ann", "", true),
 	} {
 		if err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: SetPassword returned no error", name)
 		}
 	}
 	for _, name := range []string{"ann", "bob", "ann"} { // the second call for ann replaces her password
--- a/internal/frontend/line/client_test.go
+++ b/internal/frontend/line/client_test.go
@@ -44,16 +44,16 @@
 		client, source := newClientConn(near), testutil.New(choices)
 		var expected strings.Builder // all that the client should receive
 		const open, migrating, closed = 0, 1, 2
-		state, moved := open, make(chan struct{})
+		state, migrated := open, make(chan struct{})
 		for rest := stream; len(rest) > 0 && state != closed; {
 			if source.Pick(4) == 1 && state == open {
 				if accepted := expected.String(); accepted == "" || strings.HasSuffix(accepted, "\n") {
 					client.writeLastLine(migrateLine)
-					close(moved)
+					close(migrated)
 					state = closed
 					break
 				}
-				go func() { client.writeLastLine(migrateLine); close(moved) }()
+				go func() { client.writeLastLine(migrateLine); close(migrated) }()
 				for waiting := false; !waiting; { // until writeLastLine waits for the rest of the line
 					client.mu.Lock()
 					waiting = client.migrated != nil
@@ -75,7 +75,7 @@
 		}
 		close(client.readDone)
 		if state != open {
-			<-moved
+			<-migrated
 		}
 		near.CloseWrite()
 		got, err := io.ReadAll(far)
--- a/internal/frontend/line/handoff_test.go
+++ b/internal/frontend/line/handoff_test.go
@@ -147,7 +147,7 @@
 func TestFailedHandoffMigratesClient(t *testing.T) {
 	env := newEnvironment(t, 8)
 	client, _ := env.establish()
-	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
+	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("handoff failed") }, time.Millisecond)
 	client.expect("MOVE\r\n")
 	client.expectEnd(false)
 
@@ -176,7 +176,7 @@
 	otherEndpoint := env.peer(env.endpoint.Accept())
 	otherEndpoint.send("UP 1\r\n")
 	other.expect("UP 1\r\n")
-	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("no") }, time.Millisecond)
+	env.proxy.HandOffAll(func(any, ...syscall.Conn) error { return errors.New("handoff failed") }, time.Millisecond)
 	other.expect("MOVE\r\n")
 	endpoint.send("x\r\nBYE\r\n")
 	endpoint.Close()
--- a/internal/frontend/line/parse_test.go
+++ b/internal/frontend/line/parse_test.go
@@ -19,7 +19,7 @@
 	}
 	if opening.id != "9b1f03aa5c7e2d41" || opening.item != 0x7f3a9c21e0b4d655 || opening.class != "chat" || opening.timeout != 2*time.Second ||
 		opening.group != 0x5c0f6e1a2b3d4c59 || !opening.returning || opening.load != 0.0125 || opening.endpointName != "s-5be2a07c" {
-		t.Errorf("got %+v", opening)
+		t.Errorf("parseOpening returned %+v", opening)
 	}
 }
 
@@ -33,7 +33,7 @@
 		}
 		want := strings.Replace(sampleOpening, "d=2000", "d=731", 1) + tail + "\r\n"
 		if got := string(opening.withTimeout(731500 * time.Microsecond)); got != want {
-			t.Errorf("got  %q\nwant %q", got, want)
+			t.Errorf("the endpoint would receive %q, want %q", got, want)
 		}
 	}
 }
@@ -106,7 +106,7 @@
 			})
 		}
 		if strings.Join(got, "|") != strings.Join(want, "|") {
-			t.Errorf("got %q, want %q", got, want)
+			t.Errorf("the splitter returned the lines %q, want %q", got, want)
 		}
 	})
 }
