--- a/internal/frontend/amqp/doc.go
+++ b/internal/frontend/amqp/doc.go
@@ -9,7 +9,7 @@
 //   - An upstream is the endpoint's side of a link, on a dedicated connection or on a session of a connection that
 //     several requests share (sharedConnections, multiplexer, sharedSession).
 //   - An outbox and a creditLimiter keep an endpoint that stops reading from stalling the client's other links.
-//   - PeerConn and PeerSession implement the endpoint's end of such a connection, for fake servers in tests and demos.
+//   - PeerConn and PeerSession implement the endpoint's end of such a connection, for fake endpoints in tests and demos.
 //
 // One goroutine reads each connection; any goroutine may write. Section numbers in comments refer to the OASIS AMQP 1.0
 // standard.
--- a/internal/frontend/amqp/framing/frame.go
+++ b/internal/frontend/amqp/framing/frame.go
@@ -39,33 +39,33 @@
 // ParseFrame decodes a frame without its size field: b begins with the data offset and has at least HeaderSize-4 bytes.
 // The payload of the result refers to b. An error is a ConditionError.
 func ParseFrame(b []byte) (Frame, error) {
-	var f Frame
+	var frame Frame
 	dataOffset := int(b[0]) * 4
 	if dataOffset < HeaderSize || dataOffset-4 > len(b) {
-		return f, Errorf(CondFramingError, "the data offset is out of range")
+		return frame, Errorf(CondFramingError, "the data offset is out of range")
 	}
-	f.Channel = binary.BigEndian.Uint16(b[2:])
+	frame.Channel = binary.BigEndian.Uint16(b[2:])
 	if b = b[dataOffset-4:]; len(b) == 0 {
-		f.Empty = true
-		return f, nil
+		frame.Empty = true
+		return frame, nil
 	}
 	value, rest, err := codec.Decode(b)
 	if err != nil {
-		return f, ConditionError{Condition: CondDecodeError, Description: err.Error()}
+		return frame, ConditionError{Condition: CondDecodeError, Description: err.Error()}
 	}
 	described, ok := value.(codec.Described)
 	if ok {
-		f.Code, ok = codec.AsUint64(described.Descriptor)
-		ok = ok && f.Code != 0 // AppendFrame would encode code 0 as a frame without a body
+		frame.Code, ok = codec.AsUint64(described.Descriptor)
+		ok = ok && frame.Code != 0 // AppendFrame would encode code 0 as a frame without a body
 	}
 	if ok {
-		f.Fields, ok = described.Value.(codec.List)
+		frame.Fields, ok = described.Value.(codec.List)
 	}
 	if !ok {
-		return f, Errorf(CondDecodeError, "the frame holds no performative")
+		return frame, Errorf(CondDecodeError, "the frame holds no performative")
 	}
-	f.Payload = rest
-	return f, nil
+	frame.Payload = rest
+	return frame, nil
 }
 
 // AppendFrame appends a frame of type TypeAMQP or TypeSASL to b, and returns the extended slice. A performative with
--- a/internal/frontend/amqp/frontend.go
+++ b/internal/frontend/amqp/frontend.go
@@ -51,25 +51,25 @@
 // serveClient serves one client connection until it ends. The listener calls it in a separate goroutine per connection.
 func (f *Frontend) serveClient(ctx context.Context, tcp *net.TCPConn, admission *listener.Admission) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &clientConnection{
+	client := &clientConnection{
 		connection: newConnection(tcp), frontend: f, admission: admission, ctx: ctx, tcp: tcp,
 		sessions: make(map[uint16]*clientSession), done: make(chan struct{}), user: auth.AnonymousUser,
 	}
 	stopClose := context.AfterFunc(ctx, func() { tcp.Close() })
-	err := c.handshakeTLS()
+	err := client.handshakeTLS()
 	if err == nil {
-		err = c.serve()
+		err = client.serve()
 	}
 	if conditionErr := (framing.ConditionError{}); errors.As(err, &conditionErr) {
 		f.Proxy.ProtocolError("amqp", conditionErr.Description)
-		c.writeFrame(0, framing.NewClose(conditionErr), nil)
+		client.writeFrame(0, framing.NewClose(conditionErr), nil)
 	}
-	for _, s := range c.sessions { // before lingering, so that nothing more is sent to endpoints
+	for _, s := range client.sessions { // before lingering, so that nothing more is sent to endpoints
 		s.disconnect()
 	}
-	c.linger()
-	c.activeLinks.Wait()
-	close(c.done)
+	client.linger()
+	client.activeLinks.Wait()
+	close(client.done)
 	stopClose()
 	cancel()
 	tcp.Close()
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -9,8 +9,8 @@
 	"lockroad/internal/frontend/amqp/framing"
 )
 
-// PeerConn is the endpoint's end of a connection from the relay, for fake servers. It accepts the connection (sections
-// 2.4 and 5.3) and the sessions that the relay begins.
+// PeerConn is the endpoint's end of a connection from the relay, for fake endpoints. It accepts the connection
+// (sections 2.4 and 5.3) and the sessions that the relay begins.
 type PeerConn struct {
 	multiplexer *multiplexer
 	readTimeout time.Duration
@@ -49,43 +49,43 @@
 	PeerDetached                       // the relay has detached a link
 )
 
-// maxPeerSessions limits the sessions that a fake server accepts on a connection.
+// maxPeerSessions limits the sessions that a fake endpoint accepts on a connection.
 const maxPeerSessions = 256
 
 // AcceptPeerConn negotiates the server side of a connection from the relay. wait bounds each read, here and later.
 // rejectSASL rejects the SASL header. An error is an I/O error, or describes how the relay violates the standard.
 func AcceptPeerConn(tcp streamConn, wait time.Duration, rejectSASL bool) (*PeerConn, error) {
-	c := newConnection(tcp)
-	if err := acceptProtocolHeaders(c, wait, rejectSASL); err != nil {
+	conn := newConnection(tcp)
+	if err := acceptProtocolHeaders(conn, wait, rejectSASL); err != nil {
 		return nil, err
 	}
-	frame, err := c.readFrame(framing.TypeAMQP, wait)
+	frame, err := conn.readFrame(framing.TypeAMQP, wait)
 	if err != nil {
 		return nil, err
 	}
 	if frame.Code != framing.CodeOpen {
 		return nil, fmt.Errorf("received performative %#x from the relay, want an open", frame.Code)
 	}
-	p := &PeerConn{
-		multiplexer: newMultiplexer(c), readTimeout: wait, done: make(chan struct{}),
+	peer := &PeerConn{
+		multiplexer: newMultiplexer(conn), readTimeout: wait, done: make(chan struct{}),
 		sessions: make(chan *PeerSession, maxPeerSessions), ended: make(chan struct{}),
 	}
-	p.multiplexer.onSession = func(shared *sharedSession) {
+	peer.multiplexer.onSession = func(shared *sharedSession) {
 		select {
-		case p.sessions <- &PeerSession{sharedSession: shared, conn: p, partialPayloads: make(map[uint32][]byte)}:
+		case peer.sessions <- &PeerSession{sharedSession: shared, conn: peer, partialPayloads: make(map[uint32][]byte)}:
 		default: // more than maxPeerSessions are waiting to be accepted
 			shared.endLocally()
 		}
 	}
-	idle := c.applyOpen(frame.Performative)
+	idle := conn.applyOpen(frame.Performative)
 	// A write error also fails the next read.
-	c.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil)
-	go c.sendHeartbeats(idle, p.done)
+	conn.writeFrame(0, newOpen("server").With(framing.OpenChannelMax, uint16(maxPeerSessions-1)), nil)
+	go conn.sendHeartbeats(idle, peer.done)
 	go func() {
-		p.multiplexer.serve(wait)
-		close(p.ended)
+		peer.multiplexer.serve(wait)
+		close(peer.ended)
 	}()
-	return p, nil
+	return peer, nil
 }
 
 // acceptProtocolHeaders exchanges protocol headers, and SASL frames if the relay begins with SASL and rejectSASL is
@@ -137,16 +137,16 @@
 
 // AcceptPeerSession accepts a connection like AcceptPeerConn, and waits for its first session.
 func AcceptPeerSession(tcp streamConn, wait time.Duration, rejectSASL bool) (*PeerSession, error) {
-	c, err := AcceptPeerConn(tcp, wait, rejectSASL)
+	conn, err := AcceptPeerConn(tcp, wait, rejectSASL)
 	if err != nil {
 		return nil, err
 	}
-	p := c.AcceptSession()
-	if p == nil {
-		c.Close()
-		return nil, c.multiplexer.err
+	session := conn.AcceptSession()
+	if session == nil {
+		conn.Close()
+		return nil, conn.multiplexer.err
 	}
-	return p, nil
+	return session, nil
 }
 
 // acceptSASL runs the SASL exchange, in which the relay authenticates as ANONYMOUS.
@@ -198,7 +198,7 @@
 		case framing.CodeAttach:
 			return attachedEvent(frame.Performative), nil
 		case framing.CodeFlow:
-			_ = p.handleFlow(frame.Performative) // a fake server ignores a bad flow
+			_ = p.handleFlow(frame.Performative) // a fake endpoint ignores an invalid flow
 		case framing.CodeTransfer:
 			event, complete, err := p.receiveDelivery(frame)
 			if err != nil || complete {
@@ -237,7 +237,7 @@
 	handle := transfer.Uint32(framing.TransferHandle, 0)
 	payload := append(p.partialPayloads[handle], transfer.Payload...)
 	if len(payload) > maxPeerMessageSize {
-		return PeerEvent{}, false, errors.New("message is longer than a fake server accepts")
+		return PeerEvent{}, false, errors.New("message from the relay exceeds 4 MiB, the limit of a fake endpoint")
 	}
 	if transfer.Bool(framing.TransferMore) {
 		p.partialPayloads[handle] = payload
@@ -253,7 +253,7 @@
 	}, true, nil
 }
 
-// maxPeerMessageSize is the size limit of messages to a fake server, in bytes.
+// maxPeerMessageSize is the size limit of messages to a fake endpoint, in bytes.
 const maxPeerMessageSize = 4 << 20
 
 // dataSection returns the content of a message that consists of one data section (section 3.2.6), and nil for any
--- a/internal/frontend/line/parse.go
+++ b/internal/frontend/line/parse.go
@@ -107,13 +107,13 @@
 type lineKind uint8
 
 const (
-	lineOther lineKind = iota
-	lineUp
-	lineBusy
-	lineErr
-	lineBye
-	lineMove
-	lineLoad
+	lineOther lineKind = iota // data for the client, or a malformed LOAD line
+	lineUp                    // the request is established
+	lineBusy                  // the request is rejected, and another endpoint may be tried
+	lineErr                   // the attempt has failed
+	lineBye                   // the endpoint has ended the request
+	lineMove                  // the client must reconnect, because the endpoint drains
+	lineLoad                  // report of a load or a delay
 )
 
 // parseLine returns the kind of a line from an endpoint, which may include its line ending, and
