--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	if err := authenticator.Reload(); err == nil || !strings.Contains(err.Error(), "chmod") {
-		t.Errorf("file that all users may read: Reload returned %v", err)
+		t.Errorf("file that all users may read: Reload returned %v, want an error that mentions chmod", err)
 	}
 	if _, ok := authenticator.Authenticate(Plain, plain("ann", "new"), nil); !ok {
 		t.Error("a user is not authenticated after an invalid file was rejected")
@@ -158,6 +158,6 @@
 		t.Errorf("CertificateExpiry returned %v, want a time in 20 days", expires)
 	}
 	if none := (*Authenticator)(nil); !none.Authorized("x", "y") || none.TLSConfig() != nil || !none.SASLOptional() || none.Reload() != nil {
-		t.Error("a nil Authenticator rejects something")
+		t.Error("a nil Authenticator requires TLS or SASL, denies a class or fails to reload")
 	}
 }
--- a/internal/frontend/amqp/random_test.go
+++ b/internal/frontend/amqp/random_test.go
@@ -110,7 +110,7 @@
 		for !done() {
 			frame, err := client.nextFrame()
 			if err != nil {
-				rt.Fatalf("%v; pending outcomes %v", err, want)
+				rt.Fatalf("reading the next frame: %v; pending outcomes %v", err, want)
 			}
 			switch frame.Code {
 			case framing.CodeAttach:
--- a/internal/frontend/amqp/request.go
+++ b/internal/frontend/amqp/request.go
@@ -21,7 +21,7 @@
 	propGroup      = "group"
 	propItem       = "item"
 	propLoad       = "load-us"      // microseconds of work per second
-	propReturning  = "again"        // true: the client returns after a break or a migration
+	propReturning  = "again"        // true: the client returns after a broken connection or a migration
 	infoRetryAfter = "come-back-ms" // in the info of a rejection: milliseconds to wait before a retry
 )
 
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -13,7 +13,7 @@
 const (
 	maxChannel             = 7                 // highest channel number; a client connection has up to 8 sessions
 	maxHandle              = 63                // highest handle; a session has up to 64 links
-	minWindowUpdate        = sessionWindow / 8 // least transfers by which releaseTransfers reopens the incoming window
+	minWindowUpdate        = sessionWindow / 8 // smallest window growth for which releaseTransfers sends a flow
 	sessionWindow          = 256               // transfers that a peer may send before they are forwarded
 	maxUnsettledDeliveries = 4096              // per link
 )
