--- a/balancer/encoding_test.go
+++ b/balancer/encoding_test.go
@@ -30,7 +30,7 @@
 		Routes:        []balancer.RouteSnapshot{{Key: 0x123456789abcdef1, Endpoint: 3, ExpiresAt: 3001 * time.Second}},
 		RecentSetups:  balancer.CounterSnapshot{Count: 4.5, UpdatedAt: 4001 * time.Millisecond, CountedFrom: 4002 * time.Millisecond},
 		ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * time.Millisecond, CountedFrom: 5002 * time.Millisecond},
-		SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
+		SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyLimit: 9.75,
 	}
 }
 
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -412,7 +412,7 @@
 		return fmt.Sprintf("%s,%d,%d", formatFloat(counter.Count), int64(counter.UpdatedAt), int64(counter.CountedFrom))
 	}
 	out := []string{fmt.Sprintf("snapshot salt=%d recent=%s pace=%s persize=%s load=%s loads=%s window=%s", snapshot.Salt,
-		formatCounter(snapshot.RecentSetups), formatCounter(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyWindow))}
+		formatCounter(snapshot.RecentSetups), formatCounter(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyLimit))}
 	for _, endpoint := range snapshot.Endpoints {
 		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", endpoint.ID, formatFloat(endpoint.Weight), int64(endpoint.WeightSetAt),
 			int64(endpoint.LastAttemptAt), int64(endpoint.EstablishedAt), int64(endpoint.FailedAt), int64(endpoint.SlowAt), int64(endpoint.Delay), int64(endpoint.DelayAt),
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -13,15 +13,15 @@
 // that both processes share. The names in the tags must not change, as other versions read stored
 // snapshots.
 type Snapshot struct {
-	Salt              uint64             `json:"Salt" cbor:"Salt"` // of hashes that assign time slots
-	Endpoints         []EndpointSnapshot `json:"Servers" cbor:"Servers"`
-	Routes            []RouteSnapshot    `json:"Routes" cbor:"Routes"`
-	RecentSetups      CounterSnapshot    `json:"Recent" cbor:"Recent"` // at warm endpoints
-	ArrivalRate       CounterSnapshot    `json:"Pace" cbor:"Pace"`     // of requests drawn for
-	SetupsPerSize     float64            `json:"PerSize" cbor:"PerSize"`
-	MeanLoad          float64            `json:"Load" cbor:"Load"` // per connection
-	LoadSamples       float64            `json:"Loads" cbor:"Loads"`
-	ConcurrencyWindow float64            `json:"Window" cbor:"Window"` // maximum setups in flight
+	Salt             uint64             `json:"Salt" cbor:"Salt"` // of hashes that assign time slots
+	Endpoints        []EndpointSnapshot `json:"Servers" cbor:"Servers"`
+	Routes           []RouteSnapshot    `json:"Routes" cbor:"Routes"`
+	RecentSetups     CounterSnapshot    `json:"Recent" cbor:"Recent"` // at warm endpoints
+	ArrivalRate      CounterSnapshot    `json:"Pace" cbor:"Pace"`     // of requests drawn for
+	SetupsPerSize    float64            `json:"PerSize" cbor:"PerSize"`
+	MeanLoad         float64            `json:"Load" cbor:"Load"` // per connection
+	LoadSamples      float64            `json:"Loads" cbor:"Loads"`
+	ConcurrencyLimit float64            `json:"Window" cbor:"Window"` // maximum setups in flight
 }
 
 // EndpointSnapshot is the observed state of an endpoint. A time is 0 if its event never happened.
@@ -58,13 +58,13 @@
 // Snapshot returns the observed state of the Balancer, for another process to restore.
 func (b *Balancer) Snapshot() Snapshot {
 	snapshot := Snapshot{
-		Salt:              b.salt,
-		RecentSetups:      b.endpoints.recentSetups.snapshot(),
-		ArrivalRate:       b.arrivalRate.snapshot(),
-		SetupsPerSize:     b.endpoints.setupsPerSize,
-		MeanLoad:          b.endpoints.meanLoad,
-		LoadSamples:       b.endpoints.loadSamples,
-		ConcurrencyWindow: b.concurrency.limit,
+		Salt:             b.salt,
+		RecentSetups:     b.endpoints.recentSetups.snapshot(),
+		ArrivalRate:      b.arrivalRate.snapshot(),
+		SetupsPerSize:    b.endpoints.setupsPerSize,
+		MeanLoad:         b.endpoints.meanLoad,
+		LoadSamples:      b.endpoints.loadSamples,
+		ConcurrencyLimit: b.concurrency.limit,
 	}
 	for _, endpoint := range b.endpoints.sorted {
 		snapshot.Endpoints = append(snapshot.Endpoints, endpoint.snapshot())
@@ -98,7 +98,7 @@
 	b.arrivalRate.restore(snapshot.ArrivalRate)
 	b.endpoints.setupsPerSize = snapshot.SetupsPerSize
 	b.endpoints.meanLoad, b.endpoints.loadSamples = snapshot.MeanLoad, snapshot.LoadSamples
-	b.concurrency.limit = min(maxConcurrency, max(1, snapshot.ConcurrencyWindow))
+	b.concurrency.limit = min(maxConcurrency, max(1, snapshot.ConcurrencyLimit))
 	for _, saved := range snapshot.Endpoints {
 		endpoint := b.endpoints.find(saved.ID)
 		if endpoint == nil || endpoint.StartedAt > saved.StartedAt {
--- a/internal/server/encoding_test.go
+++ b/internal/server/encoding_test.go
@@ -30,7 +30,7 @@
 			Routes:        []balancer.RouteSnapshot{{Key: 0x123456789abcdef1, Endpoint: 9, ExpiresAt: 3001 * ms}},
 			RecentSetups:  balancer.CounterSnapshot{Count: 4.5, UpdatedAt: 4001 * ms, CountedFrom: 4002 * ms},
 			ArrivalRate:   balancer.CounterSnapshot{Count: 5.5, UpdatedAt: 5001 * ms, CountedFrom: 5002 * ms},
-			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyWindow: 9.75,
+			SetupsPerSize: 6.125, MeanLoad: 0.0078125, LoadSamples: 8.5, ConcurrencyLimit: 9.75,
 		},
 		ReportTimings: map[balancer.EndpointID]line.ReportTiming{0x5be2a07c: {LastAt: 6001 * ms, LastDelay: 12.5, OnTimeCount: 7}},
 		OpenRequests:  []registry.RequestName{{Frontend: "line", Name: "9b1f03aa5c7e2d41"}, {Frontend: "amqp", Name: "container/name"}},
--- a/internal/server/stored_golden_test.go
+++ b/internal/server/stored_golden_test.go
@@ -127,12 +127,12 @@
 				{Key: 1050, Endpoint: 1051, ExpiresAt: 1052 * time.Microsecond},
 				{Key: 1053, Endpoint: 1054, ExpiresAt: 1055 * time.Microsecond},
 			},
-			RecentSetups:      balancer.CounterSnapshot{Count: 1056.25, UpdatedAt: 1057 * time.Microsecond, CountedFrom: 1058 * time.Microsecond},
-			ArrivalRate:       balancer.CounterSnapshot{Count: 1059.25, UpdatedAt: 1060 * time.Microsecond, CountedFrom: 1061 * time.Microsecond},
-			SetupsPerSize:     1062.5,
-			MeanLoad:          0.1063,
-			LoadSamples:       1064.5,
-			ConcurrencyWindow: 1065.5,
+			RecentSetups:     balancer.CounterSnapshot{Count: 1056.25, UpdatedAt: 1057 * time.Microsecond, CountedFrom: 1058 * time.Microsecond},
+			ArrivalRate:      balancer.CounterSnapshot{Count: 1059.25, UpdatedAt: 1060 * time.Microsecond, CountedFrom: 1061 * time.Microsecond},
+			SetupsPerSize:    1062.5,
+			MeanLoad:         0.1063,
+			LoadSamples:      1064.5,
+			ConcurrencyLimit: 1065.5,
 		},
 	}
 }
