--- a/balancer/loop.go
+++ b/balancer/loop.go
@@ -133,7 +133,7 @@
 		message()
 	case RestoreSnapshot:
 		l.balancer.restoreSnapshot(message.Snapshot)
-	case SlowStartBudget:
+	case SetSlowStartShare:
 		l.balancer.slowStartShare = message.Share
 	case AttemptEstablished:
 		if handle := message.Handle; !handle.done {
--- a/balancer/loopevents.go
+++ b/balancer/loopevents.go
@@ -48,13 +48,13 @@
 // RestoreSnapshot restores the snapshot of the relay's previous process.
 type RestoreSnapshot struct{ Snapshot Snapshot }
 
-// SlowStartBudget sets the share, from 0 to 1, of the relay's slow-start budget that this process may use. It
-// is 0 while another process of the relay uses all of it.
-type SlowStartBudget struct{ Share float64 }
+// SetSlowStartShare sets the share, from 0 to 1, of the relay's slow-start budget that this process may use.
+// It is 0 while another process of the relay uses all of it.
+type SetSlowStartShare struct{ Share float64 }
 
 func (RestoreSnapshot) loopEvent() {}
 
-func (SlowStartBudget) loopEvent() {}
+func (SetSlowStartShare) loopEvent() {}
 
 func (UpdateSettings) loopEvent() {}
 
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -335,7 +335,7 @@
 	case "restore":
 		return RestoreSnapshot{Snapshot: r.snapshot}
 	case "budget":
-		return SlowStartBudget{Share: parseFloat(t, args[0])}
+		return SetSlowStartShare{Share: parseFloat(t, args[0])}
 	}
 	t.Fatalf("unknown Loop input: %q", word)
 	return nil
--- a/internal/proxy/snapshot.go
+++ b/internal/proxy/snapshot.go
@@ -33,5 +33,5 @@
 
 // SetSlowStartShare sets this process's share, 0 to 1, of the relay's slow-start budget.
 func (p *Proxy) SetSlowStartShare(share float64) {
-	p.loop.Report(balancer.SlowStartBudget{Share: share})
+	p.loop.Report(balancer.SetSlowStartShare{Share: share})
 }
