--- a/balancer/draw.go
+++ b/balancer/draw.go
@@ -11,22 +11,22 @@
 // remaining endpoints.
 func (b *Balancer) drawEndpoint(request *requestRecord) *endpointRecord {
 	totals := b.totals()
-	meanLoad := totals.meanLoad()
-	passOverSlow := totals.slowSize < slowAvoidanceShare*totals.size
-	passOverRecovering := totals.slowSize < recoveryAvoidanceShare*totals.size
+	loadPerSize := totals.loadPerSize()
+	skipSlow := totals.slowSize < slowAvoidanceShare*totals.size
+	skipRecovering := totals.slowSize < recoveryAvoidanceShare*totals.size
 	b.countArrival(request)
 	if endpoint := b.slowStartCandidate(request); endpoint != nil {
 		return endpoint
 	}
 	var best *endpointRecord
 	least := math.Inf(1)
-	filter := b.prepareFilter(request.routeKey(), meanLoad)
+	filter := b.prepareFilter(request.routeKey(), loadPerSize)
 	for endpoint := range filter.candidateEndpoints {
-		if !b.eligible(request, endpoint) || passOverSlow && endpoint.isSlow(b.now) ||
-			passOverRecovering && b.mustHold(endpoint) {
+		if !b.eligible(request, endpoint) || skipSlow && endpoint.isSlow(b.now) ||
+			skipRecovering && b.mustHold(endpoint) {
 			continue
 		}
-		weight := b.drawWeight(endpoint, meanLoad)
+		weight := b.drawWeight(endpoint, loadPerSize)
 		if cost := b.exponentialVariate(request.routeKey(), endpoint) / weight; cost < least {
 			best, least = endpoint, cost
 			filter.raiseFloor(cost)
--- a/balancer/drawfilter.go
+++ b/balancer/drawfilter.go
@@ -28,18 +28,18 @@
 
 // prepareFilter prepares the table's filter for a draw. The filter skips endpoints only if the table is
 // large, the request has a route key and there is load.
-func (b *Balancer) prepareFilter(routeKey uint64, meanLoad float64) *drawFilter {
+func (b *Balancer) prepareFilter(routeKey uint64, loadPerSize float64) *drawFilter {
 	table := &b.endpoints
 	filter := &table.filter
 	*filter = drawFilter{endpoints: table.sorted, candidates: filter.candidates[:0]}
-	if len(table.sorted) < largeTableSize || routeKey == 0 || !(meanLoad > 0) {
+	if len(table.sorted) < largeTableSize || routeKey == 0 || !(loadPerSize > 0) {
 		return filter
 	}
 	if !table.totalsValid {
 		table.recomputeTotals()
 	}
 	largest := table.largestSize
-	filter.maxDrawWeight = maxWeight * largest / math.Pow(1+1/largest/meanLoad, loadExponent)
+	filter.maxDrawWeight = maxWeight * largest / math.Pow(1+1/largest/loadPerSize, loadExponent)
 	if b.settings.CrossZoneCost > 0 {
 		filter.maxDrawWeight *= localZoneFactor
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -53,8 +53,8 @@
 	slowSize float64 // of endpoints that are slow
 }
 
-// meanLoad returns the load per size; NaN if there is no ready endpoint.
-func (t tableTotals) meanLoad() float64 { return t.load / t.size }
+// loadPerSize returns the mean load per size; NaN if there is no ready endpoint.
+func (t tableTotals) loadPerSize() float64 { return t.load / t.size }
 
 // search returns the index of an endpoint, or where to insert it, and whether it is in the table.
 func (t *endpointTable) search(id EndpointID) (int, bool) {
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -22,7 +22,7 @@
 	cost     float64 // in the draw, where the least cost wins, or chosenCost or cachedCost
 }
 
-// Costs that rank the chosen endpoint first and the endpoint of a rejected cached route second.
+// Costs that rank the chosen endpoint first and the endpoint of an unused cached route second.
 var chosenCost, cachedCost = math.Inf(-1), -math.MaxFloat64
 
 // Observe sets the function that is called with every decision. It is called during Handle and must not
@@ -65,41 +65,43 @@
 	decision := &recorder.decision
 	b.endpoints.eventTotalsValid = false
 	totals := b.totals()
-	meanLoad := totals.meanLoad()
+	loadPerSize := totals.loadPerSize()
 	if totals.size > 0 {
 		decision.SlowShare = totals.slowSize / totals.size
 	}
-	cached, passedOver := b.routes.get(request.routeKey(), b.now)
-	passedOver = passedOver && decision.Reason >= ReasonRouteGone && decision.Reason <= ReasonRouteWarmingUp
-	totalWeight, found := 0.0, 0
+	cached, routeUnused := b.routes.get(request.routeKey(), b.now)
+	routeUnused = routeUnused && decision.Reason >= ReasonRouteGone && decision.Reason <= ReasonRouteWarmingUp
+	totalWeight, count := 0.0, 0
 	for _, endpoint := range b.endpoints.sorted {
-		ranked := b.rank(request, endpoint, meanLoad)
+		ranked := b.rank(request, endpoint, loadPerSize)
 		totalWeight += ranked.weight
 		switch {
 		case endpoint == chosen:
 			ranked.cost = chosenCost
-		case passedOver && endpoint.ID == cached:
+		case routeUnused && endpoint.ID == cached:
 			ranked.cost = cachedCost
 		case endpoint.State != StateReady || decision.Verdict == VerdictMigrated:
 			continue
 		}
-		found = recorder.insertRanked(ranked, found)
+		count = recorder.insertRanked(ranked, count)
 	}
-	for _, ranked := range recorder.ranked[:found] {
+	for _, ranked := range recorder.ranked[:count] {
 		decision.Considered = append(decision.Considered, b.describe(request, ranked, totalWeight))
 	}
-	b.setPreferred(request, chosen, meanLoad, passedOver)
+	b.setPreferred(request, chosen, loadPerSize, routeUnused)
 }
 
 // rank computes an endpoint's weight and cost in the draw. Without a route key the cost is random; rank then
 // uses its mean, as another random draw would change later decisions.
-func (b *Balancer) rank(request *requestRecord, endpoint *endpointRecord, meanLoad float64) rankedEndpoint {
+func (b *Balancer) rank(
+	request *requestRecord, endpoint *endpointRecord, loadPerSize float64,
+) rankedEndpoint {
 	ranked := rankedEndpoint{endpoint: endpoint, cost: math.Inf(1)}
 	if endpoint.State != StateReady {
 		return ranked
 	}
 	b.recorder.decision.ReadyEndpoints++
-	ranked.weight = b.drawWeight(endpoint, meanLoad)
+	ranked.weight = b.drawWeight(endpoint, loadPerSize)
 	ranked.cost = 1 / ranked.weight
 	if routeKey := request.routeKey(); routeKey != 0 {
 		ranked.cost = b.exponentialVariate(routeKey, endpoint) / ranked.weight
@@ -107,19 +109,20 @@
 	return ranked
 }
 
-// insertRanked inserts an endpoint into the found ranked ones in order of cost and returns their new number.
-func (r *decisionRecorder) insertRanked(ranked rankedEndpoint, found int) int {
-	if found < MaxConsidered {
-		found++
-	} else if ranked.cost >= r.ranked[found-1].cost {
-		return found
+// insertRanked inserts an endpoint into ranked, which holds count entries in order of cost, and returns the
+// new count. If ranked is full, the entry with the highest cost is dropped.
+func (r *decisionRecorder) insertRanked(ranked rankedEndpoint, count int) int {
+	if count < MaxConsidered {
+		count++
+	} else if ranked.cost >= r.ranked[count-1].cost {
+		return count
 	}
-	position := found - 1
+	position := count - 1
 	for ; position > 0 && r.ranked[position-1].cost > ranked.cost; position-- {
 		r.ranked[position] = r.ranked[position-1]
 	}
 	r.ranked[position] = ranked
-	return found
+	return count
 }
 
 // describe returns the state of an endpoint for a decision. totalWeight is the sum of all draw weights.
@@ -147,10 +150,10 @@
 }
 
 // setPreferred sets the index of the endpoint that would have been chosen but for its exclusions: the cached
-// one if its route was rejected, else the excluded endpoint with the least cost, if below that of the chosen
-// one. Without a route key, costs are random and cannot be compared again.
+// one if its route was not used, else the excluded endpoint with the least cost, if below that of the chosen
+// one. Without a route key, costs are random and those of the draw are no longer known.
 func (b *Balancer) setPreferred(
-	request *requestRecord, chosen *endpointRecord, meanLoad float64, passedOver bool,
+	request *requestRecord, chosen *endpointRecord, loadPerSize float64, routeUnused bool,
 ) {
 	decision := &b.recorder.decision
 	switch {
@@ -162,11 +165,11 @@
 	}
 	least := math.Inf(1)
 	if chosen != nil && chosen.State == StateReady {
-		least = b.exponentialVariate(request.routeKey(), chosen) / b.drawWeight(chosen, meanLoad)
+		least = b.exponentialVariate(request.routeKey(), chosen) / b.drawWeight(chosen, loadPerSize)
 	}
 	for i, considered := range decision.Considered {
 		ranked := b.recorder.ranked[i]
-		excluded := considered.Exclusions&^ExcludedAtCapacity != 0 || passedOver && ranked.cost == cachedCost
+		excluded := considered.Exclusions&^ExcludedAtCapacity != 0 || routeUnused && ranked.cost == cachedCost
 		if ranked.endpoint != chosen && excluded && ranked.cost < least {
 			decision.PreferredIndex = i
 			return
@@ -187,7 +190,7 @@
 	exclude(ExcludedWarmingUp, endpoint.State == StateReady && !b.slowStartAllows(request, endpoint))
 	exclude(ExcludedSlow, endpoint.isSlow(b.now))
 	exclude(ExcludedRecovering, !endpoint.isSlow(b.now) && b.mustHold(endpoint))
-	exclude(ExcludedAtCapacity, b.headroom(endpoint) <= fullHeadroom)
+	exclude(ExcludedAtCapacity, b.headroom(endpoint) <= atCapacityHeadroom)
 	return excluded
 }
 
@@ -216,7 +219,7 @@
 	return ReasonRouteAtCapacity
 }
 
-// drawReason returns the reason for a draw if no cached route was rejected.
+// drawReason returns the reason for a draw if there is no cached route that is not used.
 func (r *requestRecord) drawReason() Reason {
 	if r.attempts > 0 {
 		return ReasonRedrawn
--- a/balancer/loop.go
+++ b/balancer/loop.go
@@ -28,8 +28,8 @@
 	now             time.Duration // time of the current Tick
 	countsPublished bool          // each Tick publishes counts
 	avoidedBuffer   []time.Duration
-	revision        uint64        // of the endpoint list
-	listedAt        time.Duration // last update of the list; negative before the first
+	listRevision    uint64        // of the endpoint list
+	listUpdatedAt   time.Duration // last update of the list; negative before the first
 
 	counts atomic.Pointer[endpointCounts] // nil before the first publication
 
@@ -42,12 +42,12 @@
 func NewLoop(settings Settings, seed uint64) *Loop {
 	settings.PollList = false
 	return &Loop{
-		mailbox:  make(chan any, mailboxCapacity),
-		wakeup:   make(chan struct{}, 1),
-		balancer: New(settings, seed),
-		handles:  make(map[RequestID]*RequestHandle),
-		listedAt: -1,
-		closed:   make(chan struct{}),
+		mailbox:       make(chan any, mailboxCapacity),
+		wakeup:        make(chan struct{}, 1),
+		balancer:      New(settings, seed),
+		handles:       make(map[RequestID]*RequestHandle),
+		listUpdatedAt: -1,
+		closed:        make(chan struct{}),
 	}
 }
 
@@ -167,7 +167,7 @@
 		settings.PollList = false
 		l.handleEvent(SettingsChanged{&settings})
 	case EndpointUpdate:
-		l.revision, l.listedAt = message.Revision, l.now
+		l.listRevision, l.listUpdatedAt = message.Revision, l.now
 		l.handleEvent(EndpointList{Kind: message.Kind, Endpoints: message.Endpoints})
 	}
 }
@@ -258,8 +258,8 @@
 	if handle == nil || handle.options.Observer == nil {
 		return
 	}
-	if decision.Revision = l.revision; l.listedAt >= 0 {
-		decision.ListAge = l.now - l.listedAt
+	if decision.Revision = l.listRevision; l.listUpdatedAt >= 0 {
+		decision.ListAge = l.now - l.listUpdatedAt
 	}
 	handle.options.Observer.Decided(decision)
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -19,9 +19,9 @@
 	// spreads connections more evenly, a lower one keeps more groups together.
 	loadExponent = 4.0
 
-	// fullHeadroom is the headroom up to which a cached endpoint counts as at capacity: its group is
+	// atCapacityHeadroom is the headroom up to which a cached endpoint counts as at capacity: its group is
 	// redrawn before messages there become slow.
-	fullHeadroom = 0.5
+	atCapacityHeadroom = 0.5
 
 	// minHeadroom keeps an endpoint in the draw while its message delay is close to the objective.
 	minHeadroom = 0.1
@@ -34,7 +34,7 @@
 	if id, ok := b.routes.get(request.routeKey(), b.now); ok && request.attempts == 0 {
 		endpoint := b.endpoints.find(id)
 		if endpoint != nil && b.eligible(request, endpoint) &&
-			!b.mustHold(endpoint) && b.headroom(endpoint) > fullHeadroom {
+			!b.mustHold(endpoint) && b.headroom(endpoint) > atCapacityHeadroom {
 			return endpoint, ReasonCachedRoute
 		}
 		reason = b.cachedRouteReason(request, endpoint)
@@ -51,16 +51,16 @@
 }
 
 // drawWeight returns the endpoint's weight in the draw: the controller's weight scaled by size, warmth,
-// headroom, zone and load. Scaling by load takes established connections into account. meanLoad is the mean
-// load per size of the ready endpoints; it is not positive if there is no load.
-func (b *Balancer) drawWeight(endpoint *endpointRecord, meanLoad float64) float64 {
+// headroom, zone and load. Scaling by load takes established connections into account. loadPerSize is that of
+// the ready endpoints together; it is not positive if there is no load.
+func (b *Balancer) drawWeight(endpoint *endpointRecord, loadPerSize float64) float64 {
 	warmth := b.warmth(endpoint)
 	weight := endpoint.currentWeight(b.now) * endpoint.relativeSize() * warmth * b.headroom(endpoint)
 	if b.settings.CrossZoneCost > 0 && endpoint.Zone == b.settings.Zone {
 		weight *= 1 + (localZoneFactor-1)*min(1, maxFewRelays/float64(b.settings.RelayCount))
 	}
-	if meanLoad > 0 {
-		weight /= math.Pow(1+(endpoint.demand()+1)/endpoint.relativeSize()/warmth/meanLoad, loadExponent)
+	if loadPerSize > 0 {
+		weight /= math.Pow(1+(endpoint.demand()+1)/endpoint.relativeSize()/warmth/loadPerSize, loadExponent)
 	}
 	return weight
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -99,11 +99,11 @@
 	return float64(b.now-since) >= float64(b.settings.OverloadWindow)/max(1, setups)
 }
 
-// countArrival counts a request for which an endpoint is drawn, once per overload window: within a window
-// each endpoint that is warming up considers the request once.
+// countArrival counts a request for which an endpoint is drawn, once per overload window: slowStartAllows
+// decides once per window whether an endpoint that is warming up may get the request.
 func (b *Balancer) countArrival(request *requestRecord) {
-	if span := 1 + b.now/b.settings.OverloadWindow; request.arrivalWindow != span {
-		request.arrivalWindow = span
+	if window := 1 + b.now/b.settings.OverloadWindow; request.arrivalWindow != window {
+		request.arrivalWindow = window
 		b.arrivalRate.increment(b.now)
 	}
 }
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -114,11 +114,12 @@
 	}
 }
 
-// Renumber replaces endpoint IDs with those of this process and removes entries without one.
-func (s *Snapshot) Renumber(number func(EndpointID) (EndpointID, bool)) {
+// Renumber replaces each endpoint ID with its newID and removes the entries of endpoints without one. The
+// next process of a relay may number endpoints differently.
+func (s *Snapshot) Renumber(newID func(EndpointID) (EndpointID, bool)) {
 	renumber := func(id *EndpointID) bool {
-		newID, ok := number(*id)
-		*id = newID
+		renumbered, ok := newID(*id)
+		*id = renumbered
 		return ok
 	}
 	endpoints, routes := s.Endpoints, s.Routes
