--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -43,7 +43,7 @@
 type Settings struct {
 	Classes    []Class  // at least one
 	Tenants    []string // that requests may name; empty: requests have no tenant
-	RelayCount int      // that share the endpoints, this one included
+	RelayCount int      // relays that share the endpoints, this one included
 	Zone       int      // of this relay
 
 	PollList     bool          // the endpoint list comes only when polled
@@ -82,18 +82,23 @@
 	case s.InitialCapacity <= 0 || s.InitialCapacity > 1:
 		return fmt.Errorf("settings: initial capacity %v is not within (0, 1]", s.InitialCapacity)
 	case s.OverloadMultiple <= 0 || s.OverloadWindow <= 0 || s.SlowStartDuration < 0:
-		return errors.New("settings: overload multiple and window must be positive, slow start not negative")
+		return fmt.Errorf("settings: overload multiple %v and window %v must be positive, "+
+			"slow-start duration %v not negative", s.OverloadMultiple, s.OverloadWindow, s.SlowStartDuration)
 	case s.ClockResolution < 0 || s.ConnectTimeout < 0 || s.MaxRetryAfter < 0:
-		return errors.New("settings: clock resolution, connect timeout or maximum retry-after is negative")
+		return fmt.Errorf("settings: clock resolution %v, connect timeout %v or maximum retry-after %v "+
+			"is negative", s.ClockResolution, s.ConnectTimeout, s.MaxRetryAfter)
 	case s.PollList && s.PollInterval <= 0:
-		return errors.New("settings: the endpoint list is polled, but the poll interval is not positive")
+		return fmt.Errorf("settings: the endpoint list is polled, but the poll interval %v is not positive",
+			s.PollInterval)
 	}
 	for i, class := range s.Classes {
 		if class.Deadline <= 0 {
-			return fmt.Errorf("settings: deadline of class %d is not positive", i)
+			return fmt.Errorf("settings: deadline %v of class %d (%q) is not positive",
+				class.Deadline, i, class.Name)
 		}
 		if class.Semantics == Deduplicated && class.DeduplicationWindow <= 0 {
-			return fmt.Errorf("settings: deduplication window of class %d is not positive", i)
+			return fmt.Errorf("settings: deduplication window %v of class %d (%q) is not positive",
+				class.DeduplicationWindow, i, class.Name)
 		}
 	}
 	return nil
