--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Action is an output of a Balancer that the embedder executes: one of the types in this file with an action
-// method.
+// Action is an output of a Balancer that the embedding code executes: one of the types in this file with an
+// action method.
 type Action interface{ action() }
 
 // SendAttempt sends an attempt of a request to an endpoint.
@@ -14,25 +14,26 @@
 	NotAfter time.Duration // latest time to send it, on the relay's clock; 0: no limit
 }
 
-// Reject answers a request finally: it was rejected and the client may safely retry it.
+// Reject is a final answer to a request: it was rejected and the client may safely retry it.
 type Reject struct {
 	Request    RequestID
 	RetryAfter time.Duration // wait before the retry; 0: not specified
 }
 
-// Fail answers a request finally, without a promise that a retry is safe.
+// Fail is a final answer to a request: it failed and a retry may execute it a second time.
 type Fail struct{ Request RequestID }
 
-// Migrate closes an established connection such that its client reconnects.
+// Migrate closes an established connection so that its client reconnects, usually to another endpoint.
 type Migrate struct{ Request RequestID }
 
-// SetTimer requires a Timer event with the same token after a time.
+// SetTimer requests a Timer event with the same token after a time.
 type SetTimer struct {
 	Token uint32
 	After time.Duration
 }
 
-// WatchEndpoints polls for the endpoint list: changes that were missed and future ones.
+// WatchEndpoints requests an EndpointList with the changes that the Balancer has missed, and later changes as
+// they happen. It is repeated until it is answered. Retries that need a fresh list cause one, too.
 type WatchEndpoints struct{}
 
 func (SendAttempt) action() {}
--- a/balancer/concurrency.go
+++ b/balancer/concurrency.go
@@ -45,9 +45,9 @@
 func (b *Balancer) sharedCauseActive() bool { return b.now < b.concurrency.sharedCauseUntil }
 
 // detectSharedCause records a failed setup at an endpoint and reports whether the failures have a shared
-// cause, such as a slow session store: setups fail on at least two endpoints and on as many as accept them.
-// If so, it lowers the concurrency limit to limit the load of retries. The caller then keeps weights and
-// routes, as the endpoints are not at fault.
+// cause, such as a slow session store: setups fail on at least two endpoints, and on at least as many as
+// accept them. If so, it lowers the concurrency limit to limit the load of retries. The caller then keeps
+// weights and routes, as the endpoints are not at fault.
 func (b *Balancer) detectSharedCause(endpoint *endpointRecord) bool {
 	endpoint.failedAt = b.now
 	accepting, failing := 0, 0
--- a/balancer/explain.go
+++ b/balancer/explain.go
@@ -219,7 +219,7 @@
 	return ReasonRouteAtCapacity
 }
 
-// drawReason returns the reason for a draw if there is no cached route that is not used.
+// drawReason returns the reason for a draw that does not replace a cached route.
 func (r *requestRecord) drawReason() Reason {
 	if r.attempts > 0 {
 		return ReasonRedrawn
--- a/balancer/setuptime.go
+++ b/balancer/setuptime.go
@@ -7,7 +7,7 @@
 	setupTimeValidity = 30 * time.Second
 )
 
-// setupTimeEstimate estimates how long a setup takes from the few that a relay may see.
+// setupTimeEstimate estimates how long a setup takes, from the possibly few setups of this relay.
 type setupTimeEstimate struct {
 	estimate  time.Duration
 	updatedAt time.Duration
