--- a/balancer/attempt.go
+++ b/balancer/attempt.go
@@ -27,9 +27,9 @@
 }
 
 // attemptTimeout returns the timeout of the attempt about to be sent. If another attempt may follow a
-// timeout, half of the time left is reserved for it, unless that leaves less than ConnectTimeout and
-// holdInterval. The attempt gets all the time left if a setup takes at least half of it: a retry would have
-// less time and add load.
+// timeout, half of the time left is reserved for it, but this one gets at least ConnectTimeout plus
+// holdInterval. It gets all the time left if a setup takes at least half of it: a retry would have less time
+// and add load.
 func (b *Balancer) attemptTimeout(request *requestRecord) time.Duration {
 	timeLeft := request.deadline - b.now
 	if request.attempts >= request.settings.MaxAttempts || b.sharedCauseActive() ||
--- a/balancer/snapshot.go
+++ b/balancer/snapshot.go
@@ -17,7 +17,7 @@
 	Endpoints        []EndpointSnapshot `json:"Servers" cbor:"Servers"`
 	Routes           []RouteSnapshot    `json:"Routes" cbor:"Routes"`
 	RecentSetups     CounterSnapshot    `json:"Recent" cbor:"Recent"` // at warm endpoints
-	ArrivalRate      CounterSnapshot    `json:"Pace" cbor:"Pace"`     // of requests drawn for
+	ArrivalRate      CounterSnapshot    `json:"Pace" cbor:"Pace"`     // of requests in draws
 	SetupsPerSize    float64            `json:"PerSize" cbor:"PerSize"`
 	MeanLoad         float64            `json:"Load" cbor:"Load"` // per connection
 	LoadSamples      float64            `json:"Loads" cbor:"Loads"`
