--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -29,64 +29,64 @@
 }
 
 // wantLast returns the last decision and fails the test if its verdict or reason is not as wanted.
-func (w *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
-	w.t.Helper()
-	if len(w.decisions) == 0 {
-		w.t.Fatalf("no decision was observed, want %v: %v", verdict, reason)
+func (r *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
+	r.t.Helper()
+	if len(r.decisions) == 0 {
+		r.t.Fatalf("no decision was observed, want %v: %v", verdict, reason)
 	}
-	decision := w.decisions[len(w.decisions)-1]
+	decision := r.decisions[len(r.decisions)-1]
 	if decision.Verdict != verdict || decision.Reason != reason {
-		w.t.Fatalf("last decision is %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
+		r.t.Fatalf("last decision is %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
 	}
 	return decision
 }
 
 // makeSlow reports a delay that makes an endpoint slow.
-func (w *observedRelay) makeSlow(id EndpointID) {
-	w.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
+func (r *observedRelay) makeSlow(id EndpointID) {
+	r.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
 }
 
 func TestEveryReasonIsObserved(t *testing.T) {
 	const group = 7
 	t.Run("cached route used or rejected", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
-		id, home := relay.connect(group)
-		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != home || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
+		id, cached := relay.connect(group)
+		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != cached || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
 			t.Errorf("decision on the first request of the group: %+v", decision)
 		}
 		relay.connect(group)
-		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.PreferredIndex != -1 {
+		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != cached || decision.Considered[0].Endpoint != cached || decision.Considered[0].Load <= 0 || decision.PreferredIndex != -1 {
 			t.Errorf("decision on the second request of the group: %+v", decision)
 		}
-		relay.handle(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
-		relay.makeSlow(home)
+		relay.handle(ConnectionLoad{Request: id, Endpoint: cached, Load: 0.1})
+		relay.makeSlow(cached)
 		relay.wantLast(VerdictMigrated, ReasonLoadRelief)
 		// The draw for a group with a cached route to a slow endpoint skips that endpoint.
 		relay.handle(Established{})
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
-		if decision.Endpoint == home || decision.PreferredIndex < 0 || decision.Considered[decision.PreferredIndex].Endpoint != home || decision.Considered[decision.PreferredIndex].Exclusions&ExcludedSlow == 0 ||
+		if decision.Endpoint == cached || decision.PreferredIndex < 0 || decision.Considered[decision.PreferredIndex].Endpoint != cached || decision.Considered[decision.PreferredIndex].Exclusions&ExcludedSlow == 0 ||
 			decision.Considered[decision.PreferredIndex].Delay != 3*time.Second || decision.Considered[decision.PreferredIndex].DelayAge != 0 || decision.SlowShare != 0.25 {
 			t.Errorf("decision with a slow cached endpoint: %+v", decision)
 		}
 		relay.advance(slowDuration + ms)
-		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // uses its slot
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.balancer.endpoints.find(cached).lastAttemptAt = relay.now // uses its slot
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteRecovering)
 		relay.advance(recoveryDuration)
-		relay.handle(EndpointDelay{Endpoint: home, Delay: 60 * ms})
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.handle(EndpointDelay{Endpoint: cached, Delay: 60 * ms})
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteAtCapacity)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: cached, State: StateDraining, Size: 1}}})
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteGone)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Size: 1, StartedAt: relay.now}}})
-		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: cached, State: StateReady, Size: 1, StartedAt: relay.now}}})
+		relay.balancer.endpoints.find(cached).lastAttemptAt = relay.now
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteWarmingUp)
 	})
@@ -170,9 +170,9 @@
 			t.Errorf("decision after a reset of a non-repeatable request: %+v", decision)
 		}
 		relay.balancer.concurrency.limit = 9
-		_, home := relay.connect(group + 2)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
-		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != home || decision.Considered[0].State != StateDraining {
+		_, endpoint := relay.connect(group + 2)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: endpoint, State: StateDraining, Size: 1}}})
+		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != endpoint || decision.Considered[0].State != StateDraining {
 			t.Errorf("decision on the connection of a draining endpoint: %+v", decision)
 		}
 	})
--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -19,15 +19,15 @@
 
 // replayScenario describes the simulation for one recorded file.
 type replayScenario struct {
-	name        string
-	servers     int
-	inputs      int
-	digestEvery int           // number of inputs per digest; 0: outputs are written in full
-	settings    []string      // one per settings value, added to commonSettings
-	observed    bool          // decisions are observed
-	throughLoop bool          // the inputs go to a Loop
-	rate        float64       // requests per second
-	outageEvery time.Duration // mean time between outages; 0: 9 s
+	name          string
+	endpointCount int
+	inputs        int
+	digestEvery   int           // number of inputs per digest; 0: outputs are written in full
+	settings      []string      // one per settings value, added to commonSettings
+	observed      bool          // decisions are observed
+	throughLoop   bool          // the inputs go to a Loop
+	rate          float64       // requests per second
+	outageEvery   time.Duration // mean time between outages; 0: 9 s
 }
 
 // commonSettings are the settings that all scenarios share.
@@ -35,40 +35,40 @@
 	"tipmultiple=3 tipafter=1500000000 askevery=10000000000 "
 
 var replayScenarios = []replayScenario{
-	{name: "five-servers-in-full", servers: 5, inputs: 3000, rate: 25, settings: []string{
+	{name: "five-servers-in-full", endpointCount: 5, inputs: 3000, rate: 25, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=2 zone=0 ask=false crosszone=0 tellsload=false tellsdelay=true",
 	}},
-	{name: "decisions-in-full", servers: 6, inputs: 1300, rate: 30, observed: true, settings: []string{
+	{name: "decisions-in-full", endpointCount: 6, inputs: 1300, rate: 30, observed: true, settings: []string{
 		"relays=8 zone=1 ask=true crosszone=0.5 tellsload=true tellsdelay=true",
 	}},
-	{name: "lists-asked-for", servers: 12, inputs: 8000, digestEvery: 50, rate: 30, observed: true, settings: []string{
+	{name: "lists-asked-for", endpointCount: 12, inputs: 8000, digestEvery: 50, rate: 30, observed: true, settings: []string{
 		"relays=8 zone=1 ask=true crosszone=0.5 tellsload=true tellsdelay=true",
 		"relays=9 zone=1 ask=true crosszone=0 tellsload=true tellsdelay=false",
 	}},
-	{name: "sixty-servers", servers: 60, inputs: 8000, digestEvery: 50, rate: 45, settings: []string{
+	{name: "sixty-servers", endpointCount: 60, inputs: 8000, digestEvery: 50, rate: 45, settings: []string{
 		"relays=9 zone=1 ask=false crosszone=0.3 tellsload=true tellsdelay=true",
 		"relays=8 zone=2 ask=false crosszone=0 tellsload=false tellsdelay=false",
 	}},
-	{name: "large-fleet", servers: 230, inputs: 7500, digestEvery: 50, rate: 80, settings: []string{
+	{name: "large-fleet", endpointCount: 230, inputs: 7500, digestEvery: 50, rate: 80, settings: []string{
 		"relays=300 zone=2 ask=false crosszone=0.3 tellsload=true tellsdelay=true",
 		"relays=1 zone=2 ask=false crosszone=0 tellsload=true tellsdelay=true",
 	}},
-	{name: "large-fleet-observed", servers: 90, inputs: 6000, digestEvery: 50, rate: 70, observed: true, settings: []string{
+	{name: "large-fleet-observed", endpointCount: 90, inputs: 6000, digestEvery: 50, rate: 70, observed: true, settings: []string{
 		"relays=8 zone=0 ask=true crosszone=0 tellsload=true tellsdelay=true",
 	}},
-	{name: "crowd", servers: 20, inputs: 6000, digestEvery: 50, rate: 500, observed: true, outageEvery: 1500 * time.Millisecond, settings: []string{
+	{name: "crowd", endpointCount: 20, inputs: 6000, digestEvery: 50, rate: 500, observed: true, outageEvery: 1500 * time.Millisecond, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 	}},
-	{name: "restarts-seen-by-many", servers: 20, inputs: 6000, digestEvery: 50, rate: 8, settings: []string{
+	{name: "restarts-seen-by-many", endpointCount: 20, inputs: 6000, digestEvery: 50, rate: 8, settings: []string{
 		"relays=300 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=40 zone=1 ask=false crosszone=0.2 tellsload=true tellsdelay=true",
 	}},
-	{name: "facade", servers: 9, inputs: 5000, digestEvery: 50, rate: 40, throughLoop: true, settings: []string{
+	{name: "facade", endpointCount: 9, inputs: 5000, digestEvery: 50, rate: 40, throughLoop: true, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=9 zone=1 ask=false crosszone=0.4 tellsload=true tellsdelay=true",
 	}},
-	{name: "few-requests-of-one-relay", servers: 20, inputs: 5000, digestEvery: 50, rate: 2, settings: []string{
+	{name: "few-requests-of-one-relay", endpointCount: 20, inputs: 5000, digestEvery: 50, rate: 2, settings: []string{
 		"relays=9 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 		"relays=30 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
 	}},
@@ -82,7 +82,7 @@
 	"name=once aim=800000000 deadline=4000000000 effect=once scope=all memory=0 messageaim=300000000",
 }
 
-// recordScenarios writes the recorded file of each scenario.
+// recordScenarios simulates each scenario and writes its recorded file.
 func recordScenarios(t *testing.T) {
 	if err := os.MkdirAll(replayFolder, 0o755); err != nil {
 		t.Fatalf("create the folder of recorded files: %v", err)
@@ -115,7 +115,7 @@
 	clients         map[string]*simulatedClient
 	lastClient      int
 	currentSettings int // index of the current settings
-	servers         []simulatedEndpoint
+	endpoints       []simulatedEndpoint
 	started         map[int]time.Duration
 	restarted       bool // the Balancer was replaced by one with its snapshot
 }
@@ -123,7 +123,7 @@
 // simulatedEndpoint is the state of a simulated endpoint.
 type simulatedEndpoint struct {
 	state     string // in the endpoint list
-	health    string // well, slow, full, broken, dead, leaving
+	health    string // healthy, slow, full, failing, unreachable, draining
 	startedAt time.Duration
 }
 
@@ -178,8 +178,8 @@
 // chance returns true with a probability.
 func (r *scenarioRecorder) chance(probability float64) bool { return r.rng.Float64() < probability }
 
-// write executes an input, records it with its output and returns the output.
-func (r *scenarioRecorder) write(line string) []string {
+// record executes an input, records it with its output and returns the output.
+func (r *scenarioRecorder) record(line string) []string {
 	output := slices.Clone(r.replayer.replay(r.t, line))
 	r.inputs++
 	fmt.Fprintln(&r.text, line)
@@ -204,15 +204,15 @@
 	}
 }
 
-// input records an input at the current time and simulates the reaction to its output.
+// input executes and records an input at the current time and simulates the reaction to its output.
 func (r *scenarioRecorder) input(format string, args ...any) {
-	for _, outputLine := range r.write(fmt.Sprintf("%d ", int64(r.now)) + fmt.Sprintf(format, args...)) {
+	for _, outputLine := range r.record(fmt.Sprintf("%d ", int64(r.now)) + fmt.Sprintf(format, args...)) {
 		r.react(strings.Fields(outputLine))
 	}
 }
 
-// number parses an integer; 0 if it is invalid.
-func number(word string) int {
+// parseIntOrZero parses an integer. It returns 0 if the word is not one.
+func parseIntOrZero(word string) int {
 	n, _ := strconv.Atoi(word)
 	return n
 }
@@ -221,20 +221,20 @@
 func (r *scenarioRecorder) react(words []string) {
 	switch words[0] {
 	case "send":
-		r.attempt(r.clients[words[1]], number(words[2]), time.Duration(number(words[3])))
+		r.simulateAttempt(r.clients[words[1]], parseIntOrZero(words[2]), time.Duration(parseIntOrZero(words[3])))
 	case "refuse", "fail", "move":
-		r.finish(r.clients[words[1]])
+		r.finishRequest(r.clients[words[1]])
 	case "timer":
-		r.after(time.Duration(number(words[2])), func() { r.input("timer %s", words[1]) })
+		r.after(time.Duration(parseIntOrZero(words[2])), func() { r.input("timer %s", words[1]) })
 	case "watch":
 		r.after(r.jitter(40*time.Millisecond), func() {
 			switch {
 			case r.chance(0.2):
 				r.input("list failed")
 			case r.chance(0.2):
-				r.input("list full%s", r.listed(0, len(r.servers)))
+				r.input("list full%s", r.formatEndpoints(0, len(r.endpoints)))
 			default:
-				r.input("list delta%s", r.listed(r.rng.IntN(len(r.servers)-2), r.rng.IntN(3)))
+				r.input("list delta%s", r.formatEndpoints(r.rng.IntN(len(r.endpoints)-2), r.rng.IntN(3)))
 			}
 		})
 	case "step":
@@ -244,44 +244,44 @@
 		}
 		switch words[2] {
 		case "pass":
-			r.attempt(client, number(words[3]), time.Duration(number(words[4])))
+			r.simulateAttempt(client, parseIntOrZero(words[3]), time.Duration(parseIntOrZero(words[4])))
 		case "unavailable", "failed", "move", "over":
-			r.finish(client)
+			r.finishRequest(client)
 		}
 	}
 }
 
-// finish ends the request of a client; some clients send a new one later.
-func (r *scenarioRecorder) finish(client *simulatedClient) {
+// finishRequest ends the request of a client; some clients send a new one later.
+func (r *scenarioRecorder) finishRequest(client *simulatedClient) {
 	if client == nil || r.clients[client.name] != client {
 		return
 	}
 	delete(r.clients, client.name)
 	if r.chance(0.3) {
-		r.after(r.jitter(400*time.Millisecond), func() { r.request(client.group, true) })
+		r.after(r.jitter(400*time.Millisecond), func() { r.sendRequest(client.group, true) })
 	}
 }
 
-// current reports whether an attempt is a client's latest and the client has not left.
-func (r *scenarioRecorder) current(client *simulatedClient, attempt int) bool {
+// isCurrent reports whether an attempt is a client's latest and the client has not left.
+func (r *scenarioRecorder) isCurrent(client *simulatedClient, attempt int) bool {
 	return r.clients[client.name] == client && client.attempt == attempt
 }
 
-// attempt simulates an attempt at an endpoint and schedules its outcome.
-func (r *scenarioRecorder) attempt(client *simulatedClient, server int, timeout time.Duration) {
-	client.endpoint = server
+// simulateAttempt simulates an attempt at an endpoint and schedules its outcome.
+func (r *scenarioRecorder) simulateAttempt(client *simulatedClient, endpoint int, timeout time.Duration) {
+	client.endpoint = endpoint
 	client.attempt++
 	attempt := client.attempt
 	duration, outcome := r.jitter(30*time.Millisecond), "up"
-	health := r.servers[server-1].health
+	health := r.endpoints[endpoint-1].health
 	switch {
 	case health == "slow":
 		duration = r.jitter(900 * time.Millisecond)
 	case health == "full" && r.chance(0.8):
 		outcome = "full"
-	case health == "broken" && r.chance(0.8):
+	case health == "failing" && r.chance(0.8):
 		outcome = "error"
-	case health == "dead":
+	case health == "unreachable":
 		duration, outcome = 200*time.Millisecond, "connect"
 	case r.chance(0.04):
 		outcome = []string{"error", "reset", "cancelled", "moot", "away", "full"}[r.rng.IntN(6)]
@@ -294,22 +294,22 @@
 		duration, outcome = max(0, timeLeft)+50*time.Millisecond, "left"
 	}
 	r.after(duration, func() {
-		if !r.current(client, attempt) || client.established {
+		if !r.isCurrent(client, attempt) || client.established {
 			return
 		}
 		switch outcome {
 		case "up":
-			r.establish(client, duration)
+			r.reportEstablished(client, duration)
 		case "left":
-			r.leave(client)
+			r.reportDisconnect(client)
 		default:
-			r.end(client, outcome, false)
+			r.reportEnd(client, outcome, false)
 		}
 	})
 }
 
-// establish reports an established connection and schedules its load report and its end.
-func (r *scenarioRecorder) establish(client *simulatedClient, setupTime time.Duration) {
+// reportEstablished reports an established connection and schedules its load report and its end.
+func (r *scenarioRecorder) reportEstablished(client *simulatedClient, setupTime time.Duration) {
 	client.established = true
 	attempt := client.attempt
 	if r.throughLoop {
@@ -319,31 +319,32 @@
 	}
 	if r.chance(0.3) {
 		r.after(r.jitter(300*time.Millisecond), func() {
-			if r.current(client, attempt) {
-				r.load(client)
+			if r.isCurrent(client, attempt) {
+				r.reportLoad(client)
 			}
 		})
 	}
 	r.after(r.jitter(time.Duration(1+8*r.rng.ExpFloat64())*time.Second), func() {
-		if !r.current(client, attempt) {
+		if !r.isCurrent(client, attempt) {
 			return
 		}
 		if r.chance(0.2) {
-			r.leave(client)
+			r.reportDisconnect(client)
 			return
 		}
 		outcome := "ok"
 		if r.chance(0.1) {
 			outcome = []string{"reset", "error", "away", "timeout"}[r.rng.IntN(4)]
 		}
-		if r.servers[client.endpoint-1].health == "leaving" {
+		if r.endpoints[client.endpoint-1].health == "draining" {
 			outcome = "away"
 		}
-		r.end(client, outcome, true)
+		r.reportEnd(client, outcome, true)
 	})
 }
 
-func (r *scenarioRecorder) load(client *simulatedClient) {
+// reportLoad reports a random load of a client's connection.
+func (r *scenarioRecorder) reportLoad(client *simulatedClient) {
 	load := formatFloat(0.01 * r.rng.ExpFloat64())
 	if r.throughLoop {
 		r.input("load %s %s", client.name, load)
@@ -352,10 +353,10 @@
 	r.input("load %s %d %s", client.name, client.endpoint, load)
 }
 
-// end reports the end of an attempt, or of a connection if final.
-func (r *scenarioRecorder) end(client *simulatedClient, outcome string, final bool) {
+// reportEnd reports the end of an attempt, or of a connection if final.
+func (r *scenarioRecorder) reportEnd(client *simulatedClient, outcome string, final bool) {
 	if final {
-		defer r.finish(client)
+		defer r.finishRequest(client)
 	} else if client.attempt > 0 {
 		client.attempt++ // drops what is scheduled for this attempt
 	}
@@ -366,14 +367,14 @@
 	r.input("outcome %s %d %s %t", client.name, client.endpoint, outcome, final)
 }
 
-// leave reports that a client disconnected.
-func (r *scenarioRecorder) leave(client *simulatedClient) {
-	defer r.finish(client)
+// reportDisconnect reports that a client disconnected.
+func (r *scenarioRecorder) reportDisconnect(client *simulatedClient) {
+	defer r.finishRequest(client)
 	r.input("left %s", client.name)
 }
 
-// request sends the request of a new client, or a resumed connection.
-func (r *scenarioRecorder) request(group int, returning bool) {
+// sendRequest sends the request of a new client, or resumes a connection of one.
+func (r *scenarioRecorder) sendRequest(group int, returning bool) {
 	r.lastClient++
 	deadline := time.Duration(1+r.rng.IntN(3))*time.Second + r.jitter(100*time.Millisecond)
 	client := &simulatedClient{name: strconv.Itoa(r.lastClient), group: group, deadline: r.now + deadline}
@@ -393,111 +394,111 @@
 		class = len(recordedClasses) // an unknown class
 	}
 	resumed := r.chance(0.03)
-	server := 1 + r.rng.IntN(len(r.servers))
+	endpoint := 1 + r.rng.IntN(len(r.endpoints))
 	if resumed {
-		client.established, client.endpoint = true, server
+		client.established, client.endpoint = true, endpoint
 		attempt := client.attempt
 		r.after(r.jitter(5*time.Second), func() {
-			if r.current(client, attempt) {
-				r.end(client, "ok", true)
+			if r.isCurrent(client, attempt) {
+				r.reportEnd(client, "ok", true)
 			}
 		})
 	}
 	if r.throughLoop {
 		establishedAt := "-"
 		if resumed {
-			establishedAt = strconv.Itoa(server)
+			establishedAt = strconv.Itoa(endpoint)
 		}
 		r.input("pick %s %d %d %d %d %s %t %s %s", client.name, class, item, group, int64(client.deadline), load, returning, settings, establishedAt)
 		return
 	}
 	request := fmt.Sprintf("%s %d %d %d %d %s %t %s", client.name, class, item, group, int64(deadline), load, returning, settings)
 	if resumed {
-		r.input("resumed %d %s", server, request)
+		r.input("resumed %d %s", endpoint, request)
 	} else {
 		r.input("request %s", request)
 	}
 }
 
-// listed formats n endpoints, starting with index first, for a list.
-func (r *scenarioRecorder) listed(first, n int) string {
+// formatEndpoints formats n endpoints, starting with index first, for a list.
+func (r *scenarioRecorder) formatEndpoints(first, n int) string {
 	var text strings.Builder
 	for i := first; i < first+n; i++ {
-		server := r.servers[i]
+		endpoint := r.endpoints[i]
 		size := formatFloat([]float64{1, 1, 2, 0.5, 1.3}[i%5])
-		fmt.Fprintf(&text, " %d:%s:%d:%d:%s:%d", i+1, server.state, i%3, i%6, size, int64(server.startedAt))
+		fmt.Fprintf(&text, " %d:%s:%d:%d:%s:%d", i+1, endpoint.state, i%3, i%6, size, int64(endpoint.startedAt))
 	}
 	return text.String()
 }
 
-// list reports an endpoint list with n endpoints, starting with index first.
-func (r *scenarioRecorder) list(kind string, first, n int) {
+// reportList reports an endpoint list with n endpoints, starting with index first.
+func (r *scenarioRecorder) reportList(kind string, first, n int) {
 	if r.throughLoop {
-		r.input("farm %s %d%s", kind, r.inputs, r.listed(first, n))
+		r.input("farm %s %d%s", kind, r.inputs, r.formatEndpoints(first, n))
 		return
 	}
-	r.input("list %s%s", kind, r.listed(first, n))
+	r.input("list %s%s", kind, r.formatEndpoints(first, n))
 }
 
 // injectFault changes the health of a random endpoint and schedules its recovery and list updates.
 func (r *scenarioRecorder) injectFault() {
-	i := r.rng.IntN(len(r.servers))
-	server := &r.servers[i]
-	recoverAfter := func(delay time.Duration) { r.after(r.jitter(delay), func() { r.servers[i].health = "well" }) }
+	i := r.rng.IntN(len(r.endpoints))
+	endpoint := &r.endpoints[i]
+	recoverAfter := func(delay time.Duration) { r.after(r.jitter(delay), func() { r.endpoints[i].health = "healthy" }) }
 	listAfter := func(delay time.Duration, state string) {
 		r.after(r.jitter(delay), func() {
-			server := &r.servers[i]
-			if server.state = state; state == "ready" {
-				server.health = "well"
+			endpoint := &r.endpoints[i]
+			if endpoint.state = state; state == "ready" {
+				endpoint.health = "healthy"
 			}
-			r.list("delta", i, 1)
+			r.reportList("delta", i, 1)
 		})
 	}
 	switch r.rng.IntN(6) {
 	case 0:
-		server.health = "slow"
+		endpoint.health = "slow"
 		recoverAfter(4 * time.Second)
 	case 1:
-		server.health = "full"
+		endpoint.health = "full"
 		recoverAfter(3 * time.Second)
 	case 2:
-		server.health = "broken"
+		endpoint.health = "failing"
 		recoverAfter(3 * time.Second)
 	case 3: // it drains, stops and restarts
-		server.health = "leaving"
+		endpoint.health = "draining"
 		listAfter(500*time.Millisecond, "draining")
 		listAfter(6*time.Second, "gone")
-		r.after(9*time.Second, func() { r.servers[i].startedAt = r.now })
+		r.after(9*time.Second, func() { r.endpoints[i].startedAt = r.now })
 		listAfter(19*time.Second, "ready")
 	default: // it crashes and restarts
-		server.health = "dead"
+		endpoint.health = "unreachable"
 		listAfter(time.Second, "gone")
-		r.after(3*time.Second, func() { r.servers[i].startedAt = r.now })
+		r.after(3*time.Second, func() { r.endpoints[i].startedAt = r.now })
 		listAfter(7*time.Second, "ready")
 	}
 }
 
-// outage changes the health of at least a third of the endpoints for a while.
-func (r *scenarioRecorder) outage() {
-	health := []string{"slow", "broken", "dead", "full", "slow"}[r.rng.IntN(5)]
-	for i := range r.servers {
+// startOutage degrades at least a third of the endpoints and schedules their recovery.
+func (r *scenarioRecorder) startOutage() {
+	health := []string{"slow", "failing", "unreachable", "full", "slow"}[r.rng.IntN(5)]
+	for i := range r.endpoints {
 		if i%3 == 1 || health == "slow" && i%2 == 0 {
-			r.servers[i].health = health
+			r.endpoints[i].health = health
 		}
 	}
 	r.after(r.jitter(2500*time.Millisecond), func() {
-		for i := range r.servers {
-			r.servers[i].health = "well"
+		for i := range r.endpoints {
+			r.endpoints[i].health = "healthy"
 		}
 	})
 }
 
-// delays reports message delays of random endpoints.
-func (r *scenarioRecorder) delays() {
-	for range 1 + len(r.servers)/20 {
-		i := r.rng.IntN(len(r.servers))
+// reportDelays reports message delays of random endpoints.
+func (r *scenarioRecorder) reportDelays() {
+	for range 1 + len(r.endpoints)/20 {
+		i := r.rng.IntN(len(r.endpoints))
 		delay := r.jitter(20 * time.Millisecond)
-		switch r.servers[i].health {
+		switch r.endpoints[i].health {
 		case "slow":
 			delay = r.jitter(500 * time.Millisecond)
 		case "full":
@@ -511,8 +512,8 @@
 	}
 }
 
-// restart takes a snapshot and restores it, the first time into a new Balancer. A Loop restores its own.
-func (r *scenarioRecorder) restart() {
+// restartRelay takes a snapshot and restores it, the first time into a new Balancer. A Loop restores its own.
+func (r *scenarioRecorder) restartRelay() {
 	if r.throughLoop {
 		r.input("snapshot")
 		r.input("restore")
@@ -534,7 +535,7 @@
 	if r.observed {
 		r.input("observe")
 	}
-	r.list("cached", 0, len(r.servers))
+	r.reportList("cached", 0, len(r.endpoints))
 	r.input("restore")
 	names := make([]string, 0, len(previous))
 	for name, client := range previous {
@@ -549,32 +550,32 @@
 		r.input("resumed %d %s 0 0 %d 1000000000 0 false -", client.endpoint, name, client.group)
 		attempt := client.attempt
 		r.after(r.jitter(4*time.Second), func() {
-			if r.current(client, attempt) {
-				r.end(client, "ok", true)
+			if r.isCurrent(client, attempt) {
+				r.reportEnd(client, "ok", true)
 			}
 		})
 	}
-	for i := range r.servers { // as their scheduled recovery was dropped
-		r.servers[i].health, r.servers[i].state = "well", "ready"
+	for i := range r.endpoints { // as their scheduled recovery was dropped
+		r.endpoints[i].health, r.endpoints[i].state = "healthy", "ready"
 	}
 	r.startBackground()
 }
 
 // startBackground schedules the repeated steps of the simulation.
 func (r *scenarioRecorder) startBackground() {
-	groups := 3 * len(r.servers)
+	groups := 3 * len(r.endpoints)
 	r.every(time.Duration(float64(time.Second)/r.rate), func() {
 		group := 0
 		if r.chance(0.7) {
 			group = 1 + r.rng.IntN(groups)
 		}
-		r.request(group, r.chance(0.1))
+		r.sendRequest(group, r.chance(0.1))
 	})
-	r.every(60*time.Millisecond*time.Duration(1+r.replayScenario.servers/60), r.delays)
-	r.every(3*time.Second/time.Duration(1+len(r.servers)/20), r.injectFault)
-	r.every(cmp.Or(r.replayScenario.outageEvery, 9*time.Second), r.outage)
-	r.every(11*time.Second, func() { r.list("full", 0, len(r.servers)) })
-	r.every(14*time.Second, func() { r.list("failed", 0, 0) })
+	r.every(60*time.Millisecond*time.Duration(1+r.replayScenario.endpointCount/60), r.reportDelays)
+	r.every(3*time.Second/time.Duration(1+len(r.endpoints)/20), r.injectFault)
+	r.every(cmp.Or(r.replayScenario.outageEvery, 9*time.Second), r.startOutage)
+	r.every(11*time.Second, func() { r.reportList("full", 0, len(r.endpoints)) })
+	r.every(14*time.Second, func() { r.reportList("failed", 0, 0) })
 	r.every(4*time.Second, func() {
 		r.currentSettings = r.rng.IntN(len(r.settings))
 		if r.throughLoop {
@@ -593,7 +594,7 @@
 		}
 		client := r.clients[names[r.rng.IntN(len(names))]]
 		if r.chance(0.5) {
-			r.leave(client)
+			r.reportDisconnect(client)
 			return
 		}
 		word := "dismissed"
@@ -618,14 +619,14 @@
 		fmt.Fprintf(&r.text, "digest %d\n", r.digestEvery)
 	}
 	for i, settings := range r.settings {
-		r.write(fmt.Sprintf("settings %d %s%s", i, commonSettings, settings))
+		r.record(fmt.Sprintf("settings %d %s%s", i, commonSettings, settings))
 		for _, class := range recordedClasses {
-			r.write(fmt.Sprintf("class %d %s", i, class))
+			r.record(fmt.Sprintf("class %d %s", i, class))
 		}
-		r.write(fmt.Sprintf("tenant %d acme", i))
+		r.record(fmt.Sprintf("tenant %d acme", i))
 	}
-	for range r.replayScenario.servers {
-		r.servers = append(r.servers, simulatedEndpoint{state: "ready", health: "well"})
+	for range r.replayScenario.endpointCount {
+		r.endpoints = append(r.endpoints, simulatedEndpoint{state: "ready", health: "healthy"})
 	}
 	if r.throughLoop {
 		r.input("facade 0 3")
@@ -636,20 +637,20 @@
 		}
 		r.input("request 1000000 0 0 0 1000000000 0 false -") // before any list
 	}
-	r.list("full", 0, len(r.servers))
+	r.reportList("full", 0, len(r.endpoints))
 	r.startBackground()
 	for r.inputs < r.replayScenario.inputs {
 		step := heap.Pop(&r.schedule).(scheduledStep)
 		r.now = max(r.now, step.at)
 		step.do()
 		if !r.restarted && !r.throughLoop && r.inputs > r.replayScenario.inputs/2 || r.throughLoop && r.inputs%1000 == 0 {
-			r.restart()
+			r.restartRelay()
 		}
 	}
 	if r.throughLoop {
 		r.input("close")
 	} else {
-		r.restart()
+		r.restartRelay()
 	}
 	r.writeDigest()
 }
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -181,7 +181,7 @@
 	case "snapshot":
 		r.snapshot = r.balancer.Snapshot()
 		return formatSnapshot(&r.snapshot)
-	case "renumber": // server to remove; all others keep their IDs
+	case "renumber": // endpoint to remove; all others keep their IDs
 		removed := EndpointID(parseUint(t, args[0]))
 		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != removed })
 		return formatSnapshot(&r.snapshot)
@@ -212,25 +212,25 @@
 	request := func(i int) RequestID { return RequestID(parseUint(t, args[i])) }
 	endpoint := func(i int) EndpointID { return EndpointID(parseUint(t, args[i])) }
 	switch word {
-	case "list": // kind, servers
+	case "list": // kind, endpoints
 		return EndpointList{Kind: parseListKind(t, args[0]), Endpoints: parseEndpoints(t, args[1:])}
 	case "retuned":
 		return SettingsChanged{Settings: r.settings[args[0]]}
 	case "request":
 		return r.parseRequest(t, args)
-	case "resumed": // server, request
+	case "resumed": // endpoint, request
 		return Resumed{Endpoint: endpoint(0), Request: r.parseRequest(t, args[1:])}
-	case "standing": // request, server, setup time
+	case "standing": // request, endpoint, setup time
 		return Established{Request: request(0), Endpoint: endpoint(1), SetupTime: parseDuration(t, args[2])}
-	case "outcome": // request, server, status, final
+	case "outcome": // request, endpoint, status, final
 		return Outcome{Request: request(0), Endpoint: endpoint(1), Status: parseStatus(t, args[2]), Final: parseBool(t, args[3])}
 	case "dismissed":
 		return AnswerRequired{Request: request(0)}
 	case "left":
 		return ClientLeft{Request: request(0)}
-	case "load": // request, server, load
+	case "load": // request, endpoint, load
 		return ConnectionLoad{Request: request(0), Endpoint: endpoint(1), Load: parseFloat(t, args[2])}
-	case "delay": // request, server, delay
+	case "delay": // request, endpoint, delay
 		return EndpointDelay{Request: request(0), Endpoint: endpoint(1), Delay: parseDuration(t, args[2])}
 	case "timer":
 		return Timer{Token: uint32(parseUint(t, args[0]))}
@@ -276,7 +276,7 @@
 		return nil
 	case "tick":
 		return r.tick(now)
-	case "pick": // name, class, item, group, deadline, load, returning, settings, server of an established connection or "-"
+	case "pick": // name, class, item, group, deadline, load, returning, settings, endpoint of an established connection or "-"
 		options := RequestOptions{
 			Class: int(parseUint(t, args[1])), Item: parseUint(t, args[2]), Group: parseUint(t, args[3]), Deadline: parseDuration(t, args[4]),
 			ExpectedLoad: parseFloat(t, args[5]), Returning: parseBool(t, args[6]), Settings: r.settings[args[7]], Observer: namedObserver{r, args[0]},
@@ -326,9 +326,9 @@
 		return ClientDisconnected{Handle: r.handles[args[0]]}
 	case "load": // name, load
 		return LoadReport{Handle: r.handles[args[0]], Load: parseFloat(t, args[1])}
-	case "delay": // server, delay
+	case "delay": // endpoint, delay
 		return DelayReport{Endpoint: EndpointID(parseUint(t, args[0])), Delay: parseDuration(t, args[1])}
-	case "farm": // kind, revision, servers
+	case "farm": // kind, revision, endpoints
 		return EndpointUpdate{Kind: parseListKind(t, args[0]), Revision: parseUint(t, args[1]), Endpoints: parseEndpoints(t, args[2:])}
 	case "retune":
 		return UpdateSettings{Settings: r.settings[args[0]]}
@@ -436,11 +436,11 @@
 // Words of the recorded files for enumerated values.
 
 var (
-	effectWords = map[string]DeliverySemantics{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
-	scopeWords  = map[string]DeduplicationScope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
-	stateWords  = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
-	listWords   = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
-	statusWords = map[string]AttemptStatus{
+	semanticsWords = map[string]DeliverySemantics{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
+	scopeWords     = map[string]DeduplicationScope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
+	stateWords     = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
+	listWords      = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
+	statusWords    = map[string]AttemptStatus{
 		"ok": StatusOK, "error": StatusError, "full": StatusFull, "timeout": StatusTimeout, "connect": StatusConnectFailed, "reset": StatusReset,
 		"cancelled": StatusCancelled, "moot": StatusNotSent, "away": StatusRedirected,
 	}
@@ -508,7 +508,7 @@
 func parseClass(t *testing.T, words []string) Class {
 	pairs := parsePairs(t, words)
 	return Class{
-		Name: pairs["name"], LatencyObjective: parseDuration(t, pairs["aim"]), Deadline: parseDuration(t, pairs["deadline"]), Semantics: lookUp(t, effectWords, pairs["effect"]),
+		Name: pairs["name"], LatencyObjective: parseDuration(t, pairs["aim"]), Deadline: parseDuration(t, pairs["deadline"]), Semantics: lookUp(t, semanticsWords, pairs["effect"]),
 		DeduplicationScope: lookUp(t, scopeWords, pairs["scope"]), DeduplicationWindow: parseDuration(t, pairs["memory"]), MessageLatencyObjective: parseDuration(t, pairs["messageaim"]),
 	}
 }
