--- a/balancer/endpointlist_test.go
+++ b/balancer/endpointlist_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestFailedOrUnansweredListDoesNotBlockRetries(t *testing.T) {
+func TestFailedOrUnansweredPollDoesNotBlockRetries(t *testing.T) {
 	for _, unanswered := range []bool{true, false} {
 		relay := newPollingRelay(t)
 		relay.advance(time.Second)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -86,7 +86,7 @@
 }
 
 // Guards against migrating clients back to slow endpoints when all are slow: they are held until one is no longer slow.
-func TestLoadReliefShedsWhenAllEndpointsAreSlow(t *testing.T) {
+func TestMigratedClientsAreHeldWhileAllEndpointsAreSlow(t *testing.T) {
 	relay := newTestRelay(t, testSettings(), readyEndpoints(1)...)
 	established, endpoint := relay.connect(7)
 	relay.connectMany(7, 19)
@@ -142,7 +142,7 @@
 }
 
 // Guards against held requests that all arrive at once when an endpoint is no longer slow.
-func TestRecoveryRampLimitsSetupsAfterSlowness(t *testing.T) {
+func TestRecoveryLimitsSetupsAfterSlowness(t *testing.T) {
 	settings := testSettings()
 	settings.RelayCount = 2
 	relay := newTestRelay(t, settings, readyEndpoints(1)...)
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -170,7 +170,7 @@
 		"one of six":   {1, 0, 0},
 		"three of six": {3, 10, 40},
 	} {
-		held := 0
+		drawn := 0
 		for key := range uint64(40) {
 			relay := newTestRelay(t, testSettings(), readyEndpoints(6)...)
 			for other := range uint64(60) {
@@ -185,11 +185,11 @@
 			}
 			relay.handle(EndpointDelay{Request: id, Endpoint: endpoint, Delay: 150 * ms})
 			if relay.balancer.drawEndpoint(&requestRecord{Request: Request{Group: key + 1}}) == record {
-				held++
+				drawn++
 			}
 		}
-		if held < test.min || held > test.max {
-			t.Errorf("%s endpoints slow: %d of 40 groups are held for theirs, want %d to %d", name, held, test.min, test.max)
+		if drawn < test.min || drawn > test.max {
+			t.Errorf("%s endpoints slow: %d of 40 groups drew their slow endpoint, want %d to %d", name, drawn, test.min, test.max)
 		}
 	}
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestSlowStartWhenAllEndpointsRestartAtOnce(t *testing.T) {
+func TestSlowStartLimitsSetupsWhenAllEndpointsRestart(t *testing.T) {
 	settings := testSettings()
 	settings.RelayCount = 2
 	endpoints := readyEndpoints(4)
