--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -54,7 +54,7 @@
 	actions = relay.handle(Established{Request: first, Endpoint: endpoint, SetupTime: time.Second}) // above the latency objective: the limit stays
 	relay.wantSent(actions, second)
 	if n := countActions[Reject](relay.advance(2 * time.Second)); n != 2 {
-		t.Errorf("%d of 2 waiting requests were rejected at their deadline", n)
+		t.Errorf("%d of 2 requests that are not established were rejected at their deadline", n)
 	}
 }
 
--- a/balancer/draining_test.go
+++ b/balancer/draining_test.go
@@ -55,7 +55,8 @@
 		t.Errorf("%d connections migrated because the list entry was repeated, want 0", again)
 	}
 	if countActions[Migrate](relay.advance(4*time.Second)) != 20-first || len(relay.balancer.drainTimers) != 0 {
-		t.Errorf("%d connections are left at the draining endpoint after 4 s", 20-countActions[Migrate](relay.actions))
+		t.Errorf("%d connections are left at the draining endpoint after 4 s and %d timers are set for it, want none",
+			20-countActions[Migrate](relay.actions), len(relay.balancer.drainTimers))
 	}
 }
 
--- a/balancer/drawfilter_test.go
+++ b/balancer/drawfilter_test.go
@@ -35,8 +35,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
 		settings.RelayCount = rapid.IntRange(1, 8).Draw(rt, "relays")
-		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
-		endpointCount := rapid.IntRange(largeTableSize, 3*largeTableSize).Draw(rt, "servers")
+		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cross-zone cost"))
+		endpointCount := rapid.IntRange(largeTableSize, 3*largeTableSize).Draw(rt, "endpoints")
 		list := readyEndpoints(endpointCount)
 		for i := range list {
 			list[i].Zone = i % 3
@@ -106,11 +106,11 @@
 			},
 			"slow": func(rt *rapid.T) {
 				for range rapid.IntRange(1, endpointCount/2).Draw(rt, "n") {
-					apply(relay.handle(EndpointDelay{Endpoint: endpointID.Draw(rt, "server"), Delay: time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * ms}))
+					apply(relay.handle(EndpointDelay{Endpoint: endpointID.Draw(rt, "endpoint"), Delay: time.Duration(rapid.IntRange(0, 900).Draw(rt, "ms")) * ms}))
 				}
 			},
 			"list": func(rt *rapid.T) {
-				listed := Endpoint{ID: endpointID.Draw(rt, "server"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
+				listed := Endpoint{ID: endpointID.Draw(rt, "endpoint"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: rapid.Float64Range(0.1, 4).Draw(rt, "size"), Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
 					listed.StartedAt = relay.now
 				}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -32,7 +32,7 @@
 	for _, action := range b.Handle(now, balancer.Request{ID: 7, Group: 42, TimeLeft: 2 * time.Second}) {
 		switch a := action.(type) {
 		case balancer.SendAttempt:
-			fmt.Printf("connect request %d to server %d, wait %v\n", a.Request, a.Endpoint, a.Timeout)
+			fmt.Printf("send request %d to endpoint %d, timeout %v\n", a.Request, a.Endpoint, a.Timeout)
 		case balancer.SetTimer:
 			fmt.Printf("timer %d in %v\n", a.Token, a.After)
 		}
@@ -40,11 +40,11 @@
 	for _, action := range b.Handle(now+90*time.Millisecond,
 		balancer.Outcome{Request: 7, Endpoint: 1, Status: balancer.StatusFull}) {
 		if a, ok := action.(balancer.SetTimer); ok {
-			fmt.Printf("try again in %v\n", a.After)
+			fmt.Printf("retry in %v\n", a.After)
 		}
 	}
 	// Output:
 	// timer 1 in 2s
-	// connect request 7 to server 1, wait 1s
-	// try again in 100ms
+	// send request 7 to endpoint 1, timeout 1s
+	// retry in 100ms
 }
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -184,10 +184,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
 		settings.RelayCount = rapid.IntRange(1, 4).Draw(rt, "relays")
-		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
-		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "effect"))
+		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cross-zone cost"))
+		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "semantics"))
 		settings.Classes[0].DeduplicationWindow = time.Second
-		endpointCount := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
+		endpointCount := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "endpoints")
 		unobserved, observed := newTestRelay(t, settings, readyEndpoints(endpointCount)...), newObservedRelay(t, settings, readyEndpoints(endpointCount)...)
 		handleBoth := func(event Event) []Action {
 			want, got := unobserved.handle(event), observed.handle(event)
@@ -256,7 +256,7 @@
 				lastID++
 				checkObserved(handleBoth(Request{
 					ID: lastID, Group: rapid.Uint64Range(0, 5).Draw(rt, "group"), TimeLeft: 2 * time.Second,
-					Returning: rapid.Bool().Draw(rt, "return"),
+					Returning: rapid.Bool().Draw(rt, "returning"),
 				}))
 			},
 			"succeed": func(_ *rapid.T) {
@@ -279,10 +279,10 @@
 				}
 			},
 			"delay": func(rt *rapid.T) {
-				checkObserved(handleBoth(EndpointDelay{Endpoint: endpointID.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
+				checkObserved(handleBoth(EndpointDelay{Endpoint: endpointID.Draw(rt, "endpoint"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
 			},
 			"list": func(rt *rapid.T) {
-				listed := Endpoint{ID: endpointID.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
+				listed := Endpoint{ID: endpointID.Draw(rt, "endpoint"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
 					listed.StartedAt = observed.now
 				}
--- a/balancer/selection_test.go
+++ b/balancer/selection_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against relays that draw different endpoints for a group, which then costs several times.
+// Guards against relays that draw different endpoints for a group, which then adds its fixed cost to each of them.
 func TestRelaysDrawTheSameEndpointForAGroup(t *testing.T) {
 	first, second := New(testSettings(), 1), New(testSettings(), 2)
 	for _, balancer := range []*Balancer{first, second} {
--- a/balancer/setuptime_test.go
+++ b/balancer/setuptime_test.go
@@ -17,9 +17,9 @@
 	settings := testSettings()
 	settings.RelayCount, settings.MaxAttempts = relays, 5
 	settings.Classes = []Class{
-		{Name: "patient", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 100 * ms},
-		{Name: "short of time", LatencyObjective: 500 * ms, Deadline: 600 * ms, MessageLatencyObjective: 60 * ms},
-		{Name: "once", LatencyObjective: 500 * ms, Deadline: 700 * ms, MessageLatencyObjective: 60 * ms, Semantics: AtMostOnce},
+		{Name: "long deadline", LatencyObjective: 800 * ms, Deadline: 4800 * ms, MessageLatencyObjective: 100 * ms},
+		{Name: "short deadline", LatencyObjective: 500 * ms, Deadline: 600 * ms, MessageLatencyObjective: 60 * ms},
+		{Name: "at most once", LatencyObjective: 500 * ms, Deadline: 700 * ms, MessageLatencyObjective: 60 * ms, Semantics: AtMostOnce},
 	}
 	sent, served := make([]int, len(settings.Classes)), make([]int, len(settings.Classes))
 	for i, relay := range newTestRelays(t, settings, readyEndpoints(endpoints)...) {
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// Guards against many relays that all send a setup to a started endpoint at the same time.
+// Guards against many relays that all send a setup to a restarted endpoint at the same time.
 func TestSlowStartBudgetIsSharedByManyRelays(t *testing.T) {
 	settings := testSettings()
 	settings.RelayCount = 100
@@ -131,8 +131,8 @@
 	}
 }
 
-// Guards against sending a burst of returning clients to restarted endpoints because the arrival rate of the time
-// before was low.
+// Guards against sending a burst of returning clients to restarted endpoints because the arrival rate was low before
+// the burst.
 func TestRequestBurstDoesNotOverloadRestartedEndpoints(t *testing.T) {
 	settings := testSettings()
 	settings.RelayCount, settings.OverloadWindow, settings.InitialCapacity = 80, 3*time.Second, 0.12
