--- a/balancer/bench_test.go
+++ b/balancer/bench_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// BenchmarkLoopSetUp measures the same through NextAction, Report and Tick of a Loop.
+// BenchmarkLoopSetUp measures a request through NextAction, Report and Tick of a Loop, from its arrival to the end of
+// its connection.
 func BenchmarkLoopSetUp(b *testing.B) {
 	for _, endpointCount := range benchEndpointCounts {
 		for _, variant := range []string{"cached", "drawn"} {
--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -52,11 +52,11 @@
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
 		id, cached := relay.connect(group)
 		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != cached || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
-			t.Errorf("decision on the first request of the group: %+v", decision)
+			t.Errorf("decision on the first request of the group is %+v, want attempt 1 at the connected endpoint, all 4 ready and considered", decision)
 		}
 		relay.connect(group)
 		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != cached || decision.Considered[0].Endpoint != cached || decision.Considered[0].Load <= 0 || decision.PreferredIndex != -1 {
-			t.Errorf("decision on the second request of the group: %+v", decision)
+			t.Errorf("decision on the second request of the group is %+v, want the cached endpoint considered first, with its load, and none preferred", decision)
 		}
 		relay.handle(ConnectionLoad{Request: id, Endpoint: cached, Load: 0.1})
 		relay.makeSlow(cached)
@@ -68,7 +68,7 @@
 		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
 		if decision.Endpoint == cached || decision.PreferredIndex < 0 || decision.Considered[decision.PreferredIndex].Endpoint != cached || decision.Considered[decision.PreferredIndex].Exclusions&ExcludedSlow == 0 ||
 			decision.Considered[decision.PreferredIndex].Delay != 3*time.Second || decision.Considered[decision.PreferredIndex].DelayAge != 0 || decision.SlowShare != 0.25 {
-			t.Errorf("decision with a slow cached endpoint: %+v", decision)
+			t.Errorf("decision with a slow cached endpoint is %+v, want another endpoint, and the cached one preferred but slow", decision)
 		}
 		relay.advance(slowDuration + ms)
 		relay.balancer.endpoints.find(cached).lastAttemptAt = relay.now // uses its slot
@@ -102,16 +102,16 @@
 				break
 			}
 			if decision := relay.wantLast(VerdictHeld, ReasonBackoff); decision.Wait != retryBackoffBase<<(attempt-1) || decision.Attempt != attempt {
-				t.Errorf("decision after attempt %d failed: %+v", attempt, decision)
+				t.Errorf("decision after attempt %d failed is %+v, want its backoff", attempt, decision)
 			}
 			actions = relay.advance(retryBackoffBase << (attempt - 1))
 			decision := relay.wantLast(VerdictSent, ReasonRedrawn)
 			if decision.Attempt != attempt+1 || slices.Contains(tried, decision.Endpoint) {
-				t.Errorf("decision on a retry after attempts at %v: %+v", tried, decision)
+				t.Errorf("decision on a retry after attempts at %v is %+v, want the next attempt at an untried endpoint", tried, decision)
 			}
 			for _, considered := range decision.Considered {
 				if considered.Exclusions&ExcludedTried != 0 != slices.Contains(tried, considered.Endpoint) {
-					t.Errorf("considered endpoint after attempts at %v: %+v", tried, considered)
+					t.Errorf("considered endpoint after attempts at %v is %+v, want ExcludedTried set for these only", tried, considered)
 				}
 			}
 		}
@@ -122,14 +122,14 @@
 		relay.makeSlow(1)
 		relay.request(group)
 		if decision := relay.wantLast(VerdictHeld, ReasonEndpointSlow); decision.Considered[0].Endpoint != 1 || decision.Wait != holdInterval {
-			t.Errorf("decision while the only endpoint is slow: %+v", decision)
+			t.Errorf("decision while the only endpoint is slow is %+v, want it considered and a wait of holdInterval", decision)
 		}
 		for range 20 {
 			relay.makeSlow(1)
 			relay.advance(100 * ms)
 		}
 		if decision := relay.wantLast(VerdictRejected, ReasonDeadlineExceeded); decision.TimeLeft != 0 {
-			t.Errorf("decision at the deadline: %+v", decision)
+			t.Errorf("decision at the deadline is %+v, want no time left", decision)
 		}
 		relay.advance(slowDuration)
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
@@ -146,7 +146,7 @@
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}})
 		relay.request(group)
 		if decision := relay.wantLast(VerdictRejected, ReasonNoViableEndpoint); decision.ReadyEndpoints != 0 {
-			t.Errorf("decision while the only endpoint is draining: %+v", decision)
+			t.Errorf("decision while the only endpoint is draining is %+v, want none ready", decision)
 		}
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}})
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
@@ -167,13 +167,13 @@
 		}
 		i := len(relay.decisions) - 2
 		if decision := relay.decisions[i]; relay.requestIDs[i] != first || decision.Verdict != VerdictFailed || decision.Reason != ReasonNotRepeatable {
-			t.Errorf("decision after a reset of a non-repeatable request: %+v", decision)
+			t.Errorf("decision after a reset of a non-repeatable request is %+v, want VerdictFailed and ReasonNotRepeatable", decision)
 		}
 		relay.balancer.concurrency.limit = 9
 		_, endpoint := relay.connect(group + 2)
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: endpoint, State: StateDraining, Size: 1}}})
 		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != endpoint || decision.Considered[0].State != StateDraining {
-			t.Errorf("decision on the connection of a draining endpoint: %+v", decision)
+			t.Errorf("decision on the connection of a draining endpoint is %+v, want it migrated from there", decision)
 		}
 	})
 }
--- a/balancer/replay_record_test.go
+++ b/balancer/replay_record_test.go
@@ -34,6 +34,7 @@
 const commonSettings = "attempts=3 tick=5000000 connect=200000000 retryafter=4000000000 coldshare=0.2 coldfor=20000000000 " +
 	"tipmultiple=3 tipafter=1500000000 askevery=10000000000 "
 
+// replayScenarios are the recorded scenarios. Their names are the names of the files.
 var replayScenarios = []replayScenario{
 	{name: "five-servers-in-full", endpointCount: 5, inputs: 3000, rate: 25, settings: []string{
 		"relays=1 zone=0 ask=false crosszone=0 tellsload=true tellsdelay=true",
@@ -74,6 +75,7 @@
 	}},
 }
 
+// recordedClasses are the classes of all recorded settings.
 var recordedClasses = []string{
 	"name=web aim=500000000 deadline=2000000000 effect=idempotent scope=all memory=0 messageaim=100000000",
 	"name=orders aim=500000000 deadline=3000000000 effect=deduplicated scope=all memory=1500000000 messageaim=200000000",
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -188,7 +188,7 @@
 	case "restore":
 		r.balancer.Restore(now, r.snapshot)
 		return nil
-	case "advice":
+	case "advice": // outputs the retry-after of a rejection by the relay
 		return []string{"advice " + formatDuration(r.balancer.RetryAfter(now))}
 	case "views":
 		return formatViews(r.balancer.endpointViews())
@@ -214,7 +214,7 @@
 	switch word {
 	case "list": // kind, endpoints
 		return EndpointList{Kind: parseListKind(t, args[0]), Endpoints: parseEndpoints(t, args[1:])}
-	case "retuned":
+	case "retuned": // settings
 		return SettingsChanged{Settings: r.settings[args[0]]}
 	case "request":
 		return r.parseRequest(t, args)
@@ -224,15 +224,15 @@
 		return Established{Request: request(0), Endpoint: endpoint(1), SetupTime: parseDuration(t, args[2])}
 	case "outcome": // request, endpoint, status, final
 		return Outcome{Request: request(0), Endpoint: endpoint(1), Status: parseStatus(t, args[2]), Final: parseBool(t, args[3])}
-	case "dismissed":
+	case "dismissed": // request
 		return AnswerRequired{Request: request(0)}
-	case "left":
+	case "left": // request
 		return ClientLeft{Request: request(0)}
 	case "load": // request, endpoint, load
 		return ConnectionLoad{Request: request(0), Endpoint: endpoint(1), Load: parseFloat(t, args[2])}
 	case "delay": // request, endpoint, delay
 		return EndpointDelay{Request: request(0), Endpoint: endpoint(1), Delay: parseDuration(t, args[2])}
-	case "timer":
+	case "timer": // token
 		return Timer{Token: uint32(parseUint(t, args[0]))}
 	}
 	t.Fatalf("unknown Balancer input: %q", word)
@@ -291,7 +291,7 @@
 			t.Fatalf("got action %v before a Tick", action)
 		}
 		return []string{"time left " + formatDuration(handle.TimeLeft(now))}
-	case "advice":
+	case "advice": // outputs the retry-after of a rejection by the relay
 		wait := duringTick(r, now, r.loop.RetryAfter)
 		return append([]string{"advice " + formatDuration(wait)}, r.decisions...)
 	case "views":
@@ -300,7 +300,7 @@
 	case "snapshot":
 		r.snapshot = duringTick(r, now, func(ctx context.Context) Snapshot { snapshot, _ := r.loop.Snapshot(ctx); return snapshot })
 		return append(formatSnapshot(&r.snapshot), r.decisions...)
-	case "pool":
+	case "pool": // outputs the numbers of listed and avoided endpoints
 		listed, avoided := r.loop.EndpointCounts(now)
 		return []string{fmt.Sprintf("pool %d %d", listed, avoided)}
 	case "close":
@@ -320,9 +320,9 @@
 		return AttemptEstablished{Handle: r.handles[args[0]], SetupTime: parseDuration(t, args[1])}
 	case "ended": // name, status
 		return AttemptEnded{Handle: r.handles[args[0]], Status: parseStatus(t, args[1])}
-	case "dismiss":
+	case "dismiss": // name
 		return RequireAnswer{Handle: r.handles[args[0]]}
-	case "left":
+	case "left": // name
 		return ClientDisconnected{Handle: r.handles[args[0]]}
 	case "load": // name, load
 		return LoadReport{Handle: r.handles[args[0]], Load: parseFloat(t, args[1])}
@@ -330,11 +330,11 @@
 		return DelayReport{Endpoint: EndpointID(parseUint(t, args[0])), Delay: parseDuration(t, args[1])}
 	case "farm": // kind, revision, endpoints
 		return EndpointUpdate{Kind: parseListKind(t, args[0]), Revision: parseUint(t, args[1]), Endpoints: parseEndpoints(t, args[2:])}
-	case "retune":
+	case "retune": // settings
 		return UpdateSettings{Settings: r.settings[args[0]]}
 	case "restore":
 		return RestoreSnapshot{Snapshot: r.snapshot}
-	case "budget":
+	case "budget": // share of the slow-start budget
 		return SetSlowStartShare{Share: parseFloat(t, args[0])}
 	}
 	t.Fatalf("unknown Loop input: %q", word)
