--- a/balancer/explain_test.go
+++ b/balancer/explain_test.go
@@ -29,64 +29,64 @@
 }
 
 // wantLast returns the last decision and fails the test if its verdict or reason is not as wanted.
-func (w *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
-	w.t.Helper()
-	if len(w.decisions) == 0 {
-		w.t.Fatalf("no decision was observed, want %v: %v", verdict, reason)
+func (r *observedRelay) wantLast(verdict Verdict, reason Reason) Decision {
+	r.t.Helper()
+	if len(r.decisions) == 0 {
+		r.t.Fatalf("no decision was observed, want %v: %v", verdict, reason)
 	}
-	decision := w.decisions[len(w.decisions)-1]
+	decision := r.decisions[len(r.decisions)-1]
 	if decision.Verdict != verdict || decision.Reason != reason {
-		w.t.Fatalf("last decision is %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
+		r.t.Fatalf("last decision is %v: %v, want %v: %v", decision.Verdict, decision.Reason, verdict, reason)
 	}
 	return decision
 }
 
 // makeSlow reports a delay that makes an endpoint slow.
-func (w *observedRelay) makeSlow(id EndpointID) {
-	w.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
+func (r *observedRelay) makeSlow(id EndpointID) {
+	r.handle(EndpointDelay{Endpoint: id, Delay: 3 * time.Second})
 }
 
 func TestEveryReasonIsObserved(t *testing.T) {
 	const group = 7
 	t.Run("cached route used or rejected", func(t *testing.T) {
 		relay := newObservedRelay(t, testSettings(), readyEndpoints(4)...)
-		id, home := relay.connect(group)
-		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != home || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
-			t.Errorf("decision on the first request of the group: %+v", decision)
+		id, cached := relay.connect(group)
+		if decision := relay.wantLast(VerdictSent, ReasonWeightedDraw); decision.Endpoint != cached || decision.Attempt != 1 || len(decision.Considered) != MaxConsidered || decision.ReadyEndpoints != 4 {
+			t.Errorf("decision on the first request of the group is %+v, want attempt 1 at the connected endpoint, all 4 ready and considered", decision)
 		}
 		relay.connect(group)
-		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != home || decision.Considered[0].Endpoint != home || decision.Considered[0].Load <= 0 || decision.PreferredIndex != -1 {
-			t.Errorf("decision on the second request of the group: %+v", decision)
+		if decision := relay.wantLast(VerdictSent, ReasonCachedRoute); decision.Endpoint != cached || decision.Considered[0].Endpoint != cached || decision.Considered[0].Load <= 0 || decision.PreferredIndex != -1 {
+			t.Errorf("decision on the second request of the group is %+v, want the cached endpoint considered first, with its load, and none preferred", decision)
 		}
-		relay.handle(ConnectionLoad{Request: id, Endpoint: home, Load: 0.1})
-		relay.makeSlow(home)
+		relay.handle(ConnectionLoad{Request: id, Endpoint: cached, Load: 0.1})
+		relay.makeSlow(cached)
 		relay.wantLast(VerdictMigrated, ReasonLoadRelief)
 		// The draw for a group with a cached route to a slow endpoint skips that endpoint.
 		relay.handle(Established{})
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		decision := relay.wantLast(VerdictSent, ReasonRouteSlow)
-		if decision.Endpoint == home || decision.PreferredIndex < 0 || decision.Considered[decision.PreferredIndex].Endpoint != home || decision.Considered[decision.PreferredIndex].Exclusions&ExcludedSlow == 0 ||
+		if decision.Endpoint == cached || decision.PreferredIndex < 0 || decision.Considered[decision.PreferredIndex].Endpoint != cached || decision.Considered[decision.PreferredIndex].Exclusions&ExcludedSlow == 0 ||
 			decision.Considered[decision.PreferredIndex].Delay != 3*time.Second || decision.Considered[decision.PreferredIndex].DelayAge != 0 || decision.SlowShare != 0.25 {
-			t.Errorf("decision with a slow cached endpoint: %+v", decision)
+			t.Errorf("decision with a slow cached endpoint is %+v, want another endpoint, and the cached one preferred but slow", decision)
 		}
 		relay.advance(slowDuration + ms)
-		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now // uses its slot
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.balancer.endpoints.find(cached).lastAttemptAt = relay.now // uses its slot
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteRecovering)
 		relay.advance(recoveryDuration)
-		relay.handle(EndpointDelay{Endpoint: home, Delay: 60 * ms})
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.handle(EndpointDelay{Endpoint: cached, Delay: 60 * ms})
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteAtCapacity)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: cached, State: StateDraining, Size: 1}}})
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteGone)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateReady, Size: 1, StartedAt: relay.now}}})
-		relay.balancer.endpoints.find(home).lastAttemptAt = relay.now
-		relay.balancer.routes.put(group, home, relay.now+time.Minute)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: cached, State: StateReady, Size: 1, StartedAt: relay.now}}})
+		relay.balancer.endpoints.find(cached).lastAttemptAt = relay.now
+		relay.balancer.routes.put(group, cached, relay.now+time.Minute)
 		relay.request(group)
 		relay.wantLast(VerdictSent, ReasonRouteWarmingUp)
 	})
@@ -102,16 +102,16 @@
 				break
 			}
 			if decision := relay.wantLast(VerdictHeld, ReasonBackoff); decision.Wait != retryBackoffBase<<(attempt-1) || decision.Attempt != attempt {
-				t.Errorf("decision after attempt %d failed: %+v", attempt, decision)
+				t.Errorf("decision after attempt %d failed is %+v, want its backoff", attempt, decision)
 			}
 			actions = relay.advance(retryBackoffBase << (attempt - 1))
 			decision := relay.wantLast(VerdictSent, ReasonRedrawn)
 			if decision.Attempt != attempt+1 || slices.Contains(tried, decision.Endpoint) {
-				t.Errorf("decision on a retry after attempts at %v: %+v", tried, decision)
+				t.Errorf("decision on a retry after attempts at %v is %+v, want the next attempt at an untried endpoint", tried, decision)
 			}
 			for _, considered := range decision.Considered {
 				if considered.Exclusions&ExcludedTried != 0 != slices.Contains(tried, considered.Endpoint) {
-					t.Errorf("considered endpoint after attempts at %v: %+v", tried, considered)
+					t.Errorf("considered endpoint after attempts at %v is %+v, want ExcludedTried set for these only", tried, considered)
 				}
 			}
 		}
@@ -122,14 +122,14 @@
 		relay.makeSlow(1)
 		relay.request(group)
 		if decision := relay.wantLast(VerdictHeld, ReasonEndpointSlow); decision.Considered[0].Endpoint != 1 || decision.Wait != holdInterval {
-			t.Errorf("decision while the only endpoint is slow: %+v", decision)
+			t.Errorf("decision while the only endpoint is slow is %+v, want it considered and a wait of holdInterval", decision)
 		}
 		for range 20 {
 			relay.makeSlow(1)
 			relay.advance(100 * ms)
 		}
 		if decision := relay.wantLast(VerdictRejected, ReasonDeadlineExceeded); decision.TimeLeft != 0 {
-			t.Errorf("decision at the deadline: %+v", decision)
+			t.Errorf("decision at the deadline is %+v, want no time left", decision)
 		}
 		relay.advance(slowDuration)
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
@@ -146,7 +146,7 @@
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateDraining, Size: 1}}})
 		relay.request(group)
 		if decision := relay.wantLast(VerdictRejected, ReasonNoViableEndpoint); decision.ReadyEndpoints != 0 {
-			t.Errorf("decision while the only endpoint is draining: %+v", decision)
+			t.Errorf("decision while the only endpoint is draining is %+v, want none ready", decision)
 		}
 		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: 1, State: StateReady, Size: 1, StartedAt: relay.now}}})
 		relay.balancer.endpoints.find(1).lastAttemptAt = relay.now
@@ -167,13 +167,13 @@
 		}
 		i := len(relay.decisions) - 2
 		if decision := relay.decisions[i]; relay.requestIDs[i] != first || decision.Verdict != VerdictFailed || decision.Reason != ReasonNotRepeatable {
-			t.Errorf("decision after a reset of a non-repeatable request: %+v", decision)
+			t.Errorf("decision after a reset of a non-repeatable request is %+v, want VerdictFailed and ReasonNotRepeatable", decision)
 		}
 		relay.balancer.concurrency.limit = 9
-		_, home := relay.connect(group + 2)
-		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: home, State: StateDraining, Size: 1}}})
-		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != home || decision.Considered[0].State != StateDraining {
-			t.Errorf("decision on the connection of a draining endpoint: %+v", decision)
+		_, endpoint := relay.connect(group + 2)
+		relay.handle(EndpointList{Kind: ListDelta, Endpoints: []Endpoint{{ID: endpoint, State: StateDraining, Size: 1}}})
+		if decision := relay.wantLast(VerdictMigrated, ReasonEndpointDraining); decision.Endpoint != endpoint || decision.Considered[0].State != StateDraining {
+			t.Errorf("decision on the connection of a draining endpoint is %+v, want it migrated from there", decision)
 		}
 	})
 }
@@ -184,10 +184,10 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		settings := testSettings()
 		settings.RelayCount = rapid.IntRange(1, 4).Draw(rt, "relays")
-		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cost"))
-		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "effect"))
+		settings.CrossZoneCost = float64(rapid.IntRange(0, 1).Draw(rt, "cross-zone cost"))
+		settings.Classes[0].Semantics = DeliverySemantics(rapid.IntRange(0, 2).Draw(rt, "semantics"))
 		settings.Classes[0].DeduplicationWindow = time.Second
-		endpointCount := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "servers")
+		endpointCount := rapid.OneOf(rapid.IntRange(1, 8), rapid.IntRange(largeTableSize, largeTableSize+9)).Draw(rt, "endpoints")
 		unobserved, observed := newTestRelay(t, settings, readyEndpoints(endpointCount)...), newObservedRelay(t, settings, readyEndpoints(endpointCount)...)
 		handleBoth := func(event Event) []Action {
 			want, got := unobserved.handle(event), observed.handle(event)
@@ -256,7 +256,7 @@
 				lastID++
 				checkObserved(handleBoth(Request{
 					ID: lastID, Group: rapid.Uint64Range(0, 5).Draw(rt, "group"), TimeLeft: 2 * time.Second,
-					Returning: rapid.Bool().Draw(rt, "return"),
+					Returning: rapid.Bool().Draw(rt, "returning"),
 				}))
 			},
 			"succeed": func(_ *rapid.T) {
@@ -279,10 +279,10 @@
 				}
 			},
 			"delay": func(rt *rapid.T) {
-				checkObserved(handleBoth(EndpointDelay{Endpoint: endpointID.Draw(rt, "slow"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
+				checkObserved(handleBoth(EndpointDelay{Endpoint: endpointID.Draw(rt, "endpoint"), Delay: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "ms")) * ms}))
 			},
 			"list": func(rt *rapid.T) {
-				listed := Endpoint{ID: endpointID.Draw(rt, "listed"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
+				listed := Endpoint{ID: endpointID.Draw(rt, "endpoint"), State: EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")), Size: 1, Zone: 0}
 				if rapid.Bool().Draw(rt, "restarted") {
 					listed.StartedAt = observed.now
 				}
--- a/balancer/replay_test.go
+++ b/balancer/replay_test.go
@@ -181,14 +181,14 @@
 	case "snapshot":
 		r.snapshot = r.balancer.Snapshot()
 		return formatSnapshot(&r.snapshot)
-	case "renumber": // server to remove; all others keep their IDs
+	case "renumber": // endpoint to remove; all others keep their IDs
 		removed := EndpointID(parseUint(t, args[0]))
 		r.snapshot.Renumber(func(id EndpointID) (EndpointID, bool) { return id, id != removed })
 		return formatSnapshot(&r.snapshot)
 	case "restore":
 		r.balancer.Restore(now, r.snapshot)
 		return nil
-	case "advice":
+	case "advice": // outputs the retry-after of a rejection by the relay
 		return []string{"advice " + formatDuration(r.balancer.RetryAfter(now))}
 	case "views":
 		return formatViews(r.balancer.endpointViews())
@@ -212,27 +212,27 @@
 	request := func(i int) RequestID { return RequestID(parseUint(t, args[i])) }
 	endpoint := func(i int) EndpointID { return EndpointID(parseUint(t, args[i])) }
 	switch word {
-	case "list": // kind, servers
+	case "list": // kind, endpoints
 		return EndpointList{Kind: parseListKind(t, args[0]), Endpoints: parseEndpoints(t, args[1:])}
-	case "retuned":
+	case "retuned": // settings
 		return SettingsChanged{Settings: r.settings[args[0]]}
 	case "request":
 		return r.parseRequest(t, args)
-	case "resumed": // server, request
+	case "resumed": // endpoint, request
 		return Resumed{Endpoint: endpoint(0), Request: r.parseRequest(t, args[1:])}
-	case "standing": // request, server, setup time
+	case "standing": // request, endpoint, setup time
 		return Established{Request: request(0), Endpoint: endpoint(1), SetupTime: parseDuration(t, args[2])}
-	case "outcome": // request, server, status, final
+	case "outcome": // request, endpoint, status, final
 		return Outcome{Request: request(0), Endpoint: endpoint(1), Status: parseStatus(t, args[2]), Final: parseBool(t, args[3])}
-	case "dismissed":
+	case "dismissed": // request
 		return AnswerRequired{Request: request(0)}
-	case "left":
+	case "left": // request
 		return ClientLeft{Request: request(0)}
-	case "load": // request, server, load
+	case "load": // request, endpoint, load
 		return ConnectionLoad{Request: request(0), Endpoint: endpoint(1), Load: parseFloat(t, args[2])}
-	case "delay": // request, server, delay
+	case "delay": // request, endpoint, delay
 		return EndpointDelay{Request: request(0), Endpoint: endpoint(1), Delay: parseDuration(t, args[2])}
-	case "timer":
+	case "timer": // token
 		return Timer{Token: uint32(parseUint(t, args[0]))}
 	}
 	t.Fatalf("unknown Balancer input: %q", word)
@@ -276,7 +276,7 @@
 		return nil
 	case "tick":
 		return r.tick(now)
-	case "pick": // name, class, item, group, deadline, load, returning, settings, server of an established connection or "-"
+	case "pick": // name, class, item, group, deadline, load, returning, settings, endpoint of an established connection or "-"
 		options := RequestOptions{
 			Class: int(parseUint(t, args[1])), Item: parseUint(t, args[2]), Group: parseUint(t, args[3]), Deadline: parseDuration(t, args[4]),
 			ExpectedLoad: parseFloat(t, args[5]), Returning: parseBool(t, args[6]), Settings: r.settings[args[7]], Observer: namedObserver{r, args[0]},
@@ -291,7 +291,7 @@
 			t.Fatalf("got action %v before a Tick", action)
 		}
 		return []string{"time left " + formatDuration(handle.TimeLeft(now))}
-	case "advice":
+	case "advice": // outputs the retry-after of a rejection by the relay
 		wait := duringTick(r, now, r.loop.RetryAfter)
 		return append([]string{"advice " + formatDuration(wait)}, r.decisions...)
 	case "views":
@@ -300,7 +300,7 @@
 	case "snapshot":
 		r.snapshot = duringTick(r, now, func(ctx context.Context) Snapshot { snapshot, _ := r.loop.Snapshot(ctx); return snapshot })
 		return append(formatSnapshot(&r.snapshot), r.decisions...)
-	case "pool":
+	case "pool": // outputs the numbers of listed and avoided endpoints
 		listed, avoided := r.loop.EndpointCounts(now)
 		return []string{fmt.Sprintf("pool %d %d", listed, avoided)}
 	case "close":
@@ -320,22 +320,22 @@
 		return AttemptEstablished{Handle: r.handles[args[0]], SetupTime: parseDuration(t, args[1])}
 	case "ended": // name, status
 		return AttemptEnded{Handle: r.handles[args[0]], Status: parseStatus(t, args[1])}
-	case "dismiss":
+	case "dismiss": // name
 		return RequireAnswer{Handle: r.handles[args[0]]}
-	case "left":
+	case "left": // name
 		return ClientDisconnected{Handle: r.handles[args[0]]}
 	case "load": // name, load
 		return LoadReport{Handle: r.handles[args[0]], Load: parseFloat(t, args[1])}
-	case "delay": // server, delay
+	case "delay": // endpoint, delay
 		return DelayReport{Endpoint: EndpointID(parseUint(t, args[0])), Delay: parseDuration(t, args[1])}
-	case "farm": // kind, revision, servers
+	case "farm": // kind, revision, endpoints
 		return EndpointUpdate{Kind: parseListKind(t, args[0]), Revision: parseUint(t, args[1]), Endpoints: parseEndpoints(t, args[2:])}
-	case "retune":
+	case "retune": // settings
 		return UpdateSettings{Settings: r.settings[args[0]]}
 	case "restore":
 		return RestoreSnapshot{Snapshot: r.snapshot}
-	case "budget":
-		return SlowStartBudget{Share: parseFloat(t, args[0])}
+	case "budget": // share of the slow-start budget
+		return SetSlowStartShare{Share: parseFloat(t, args[0])}
 	}
 	t.Fatalf("unknown Loop input: %q", word)
 	return nil
@@ -412,7 +412,7 @@
 		return fmt.Sprintf("%s,%d,%d", formatFloat(counter.Count), int64(counter.UpdatedAt), int64(counter.CountedFrom))
 	}
 	out := []string{fmt.Sprintf("snapshot salt=%d recent=%s pace=%s persize=%s load=%s loads=%s window=%s", snapshot.Salt,
-		formatCounter(snapshot.RecentSetups), formatCounter(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyWindow))}
+		formatCounter(snapshot.RecentSetups), formatCounter(snapshot.ArrivalRate), formatFloat(snapshot.SetupsPerSize), formatFloat(snapshot.MeanLoad), formatFloat(snapshot.LoadSamples), formatFloat(snapshot.ConcurrencyLimit))}
 	for _, endpoint := range snapshot.Endpoints {
 		out = append(out, fmt.Sprintf("server %d %s %d %d %d %d %d %d %d %d %d %d %d", endpoint.ID, formatFloat(endpoint.Weight), int64(endpoint.WeightSetAt),
 			int64(endpoint.LastAttemptAt), int64(endpoint.EstablishedAt), int64(endpoint.FailedAt), int64(endpoint.SlowAt), int64(endpoint.Delay), int64(endpoint.DelayAt),
@@ -436,11 +436,11 @@
 // Words of the recorded files for enumerated values.
 
 var (
-	effectWords = map[string]DeliverySemantics{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
-	scopeWords  = map[string]DeduplicationScope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
-	stateWords  = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
-	listWords   = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
-	statusWords = map[string]AttemptStatus{
+	semanticsWords = map[string]DeliverySemantics{"idempotent": Idempotent, "deduplicated": Deduplicated, "once": AtMostOnce}
+	scopeWords     = map[string]DeduplicationScope{"all": ScopeAll, "zone": ScopeZone, "cell": ScopeCell}
+	stateWords     = map[string]EndpointState{"gone": StateGone, "ready": StateReady, "draining": StateDraining}
+	listWords      = map[string]ListKind{"failed": ListFailed, "full": ListFull, "cached": ListCached, "delta": ListDelta}
+	statusWords    = map[string]AttemptStatus{
 		"ok": StatusOK, "error": StatusError, "full": StatusFull, "timeout": StatusTimeout, "connect": StatusConnectFailed, "reset": StatusReset,
 		"cancelled": StatusCancelled, "moot": StatusNotSent, "away": StatusRedirected,
 	}
@@ -508,7 +508,7 @@
 func parseClass(t *testing.T, words []string) Class {
 	pairs := parsePairs(t, words)
 	return Class{
-		Name: pairs["name"], LatencyObjective: parseDuration(t, pairs["aim"]), Deadline: parseDuration(t, pairs["deadline"]), Semantics: lookUp(t, effectWords, pairs["effect"]),
+		Name: pairs["name"], LatencyObjective: parseDuration(t, pairs["aim"]), Deadline: parseDuration(t, pairs["deadline"]), Semantics: lookUp(t, semanticsWords, pairs["effect"]),
 		DeduplicationScope: lookUp(t, scopeWords, pairs["scope"]), DeduplicationWindow: parseDuration(t, pairs["memory"]), MessageLatencyObjective: parseDuration(t, pairs["messageaim"]),
 	}
 }
