--- a/internal/listener/connlimiter.go
+++ b/internal/listener/connlimiter.go
@@ -32,12 +32,12 @@
 
 	clients sync.WaitGroup // goroutines that serve clients
 
-	mu         sync.Mutex // guards the fields below
-	closed     bool       // Serve is ending, and Adopt fails
-	lentSlots  int        // slots that another process of this relay uses
-	slotsInUse int
-	idle       []*Admission  // ordered by IdleSince, longest idle first
-	roomFreed  chan struct{} // receives a value when an idle connection is removed
+	mu            sync.Mutex // guards the fields below
+	closed        bool       // Serve is ending, and Adopt fails
+	reservedSlots int        // slots that another process of this relay uses
+	slotsInUse    int
+	idle          []*Admission  // ordered by IdleSince, longest idle first
+	roomFreed     chan struct{} // receives a value when an idle connection is removed
 }
 
 // Admission is the state of one connection in a ConnLimiter. It is idle at first.
@@ -141,22 +141,22 @@
 	return false, 0
 }
 
-// LendSlots reserves a number of slots for clients that another process of this relay
+// ReserveSlots reserves a number of slots for clients that another process of this relay
 // serves, until they are adopted here or end there. 0 makes all slots available.
-func (c *ConnLimiter) LendSlots(slots int) {
+func (c *ConnLimiter) ReserveSlots(slots int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lentSlots = slots
+	c.reservedSlots = slots
 }
 
-// SlotsInUse returns the number of slots in use, without lent ones.
+// SlotsInUse returns the number of slots in use, without reserved ones.
 func (c *ConnLimiter) SlotsInUse() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.slotsInUse
 }
 
-// Adopt takes over a client of another process of this relay: it uses one of the lent
+// Adopt takes over a client of another process of this relay: it uses one of the reserved
 // slots for it, and calls serveClient on a new goroutine, which Serve waits for. Once
 // Serve is ending, it returns false and serves nothing.
 func (c *ConnLimiter) Adopt(serveClient func(*Admission)) bool {
@@ -165,7 +165,7 @@
 	if c.closed {
 		return false
 	}
-	c.lentSlots = max(0, c.lentSlots-1)
+	c.reservedSlots = max(0, c.reservedSlots-1)
 	c.slotsInUse++
 	admission := &Admission{limiter: c, slots: 1}
 	c.clients.Go(func() {
@@ -203,7 +203,7 @@
 	c := a.limiter
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a.closed || c.slotsInUse+c.lentSlots >= c.Slots {
+	if a.closed || c.slotsInUse+c.reservedSlots >= c.Slots {
 		return false
 	}
 	c.slotsInUse++
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -193,7 +193,7 @@
 		}
 	}
 	for i, slots := range r.inherited.SlotsInUse[:min(len(r.inherited.SlotsInUse), len(r.limiters))] {
-		r.limiters[i].LendSlots(slots)
+		r.limiters[i].ReserveSlots(slots)
 	}
 	err := r.asSuccessor.TakeOver()
 	r.proxy.SetSlowStartShare(1)
@@ -227,7 +227,7 @@
 // with the predecessor, and closes predecessorGone.
 func (r *relay) releasePredecessor() {
 	for _, limiter := range r.limiters {
-		limiter.LendSlots(0)
+		limiter.ReserveSlots(0)
 	}
 	r.proxy.Requests.Release()
 	r.limitMemory(wholeProcess)
