--- a/internal/frontend/amqp/attempt.go
+++ b/internal/frontend/amqp/attempt.go
@@ -31,7 +31,7 @@
 	stop := context.AfterFunc(ctx, upstreamConn.Close)
 	status = l.attachUpstream(ctx, upstreamConn, attempt)
 	if !stop() && status == balancer.StatusOK {
-		status = listener.BrokenStatus(ctx, balancer.StatusReset)
+		status = listener.FailedStatus(ctx, balancer.StatusReset)
 	}
 	if status != balancer.StatusOK {
 		close(upstreamConn.done)
@@ -70,7 +70,7 @@
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				return balancer.StatusTimeout
 			}
-			return listener.BrokenStatus(ctx, balancer.StatusReset)
+			return listener.FailedStatus(ctx, balancer.StatusReset)
 		}
 		switch {
 		case frame.Empty:
--- a/internal/frontend/amqp/pipe.go
+++ b/internal/frontend/amqp/pipe.go
@@ -50,7 +50,7 @@
 		l.mu.Unlock()
 		switch {
 		case ctx.Err() != nil: // canceled: the caller detaches the client if necessary
-			return listener.BrokenStatus(ctx, balancer.StatusCancelled)
+			return listener.FailedStatus(ctx, balancer.StatusCancelled)
 		case err != nil && clientGone:
 			return balancer.StatusCancelled
 		case errors.Is(err, os.ErrDeadlineExceeded):
--- a/internal/frontend/line/exchange.go
+++ b/internal/frontend/line/exchange.go
@@ -138,7 +138,7 @@
 				return balancer.StatusCancelled
 			}
 		case ctx.Err() != nil: // migrated, or heartbeat timeout: the proxy notifies the client
-			return listener.BrokenStatus(ctx, status)
+			return listener.FailedStatus(ctx, status)
 		default:
 			return x.endClient(err, status)
 		}
--- a/internal/frontend/line/upstream.go
+++ b/internal/frontend/line/upstream.go
@@ -50,7 +50,7 @@
 	stop := context.AfterFunc(ctx, upstream.Close)
 	status := x.sendOpening(ctx, upstream, attempt)
 	if !stop() && status == balancer.StatusOK {
-		status = listener.BrokenStatus(ctx, balancer.StatusReset)
+		status = listener.FailedStatus(ctx, balancer.StatusReset)
 	}
 	if status != balancer.StatusOK {
 		upstream.Close()
@@ -71,7 +71,7 @@
 	x.frontend.Proxy.Metrics.Attempts.Add(1)
 	text, err := upstream.reader.readLine()
 	if err != nil {
-		return listener.BrokenStatus(ctx, balancer.StatusReset)
+		return listener.FailedStatus(ctx, balancer.StatusReset)
 	}
 	switch kind, _ := parseLine(text); kind {
 	case lineUp:
--- a/internal/listener/status.go
+++ b/internal/listener/status.go
@@ -17,15 +17,15 @@
 	return balancer.StatusNotSent
 }
 
-// BrokenStatus returns the status of an attempt that failed after it was sent. ctx is
-// the attempt's context, with its timeout. If neither the timeout nor a cancellation
-// ended the attempt, the status is broken.
-func BrokenStatus(ctx context.Context, broken balancer.AttemptStatus) balancer.AttemptStatus {
+// FailedStatus returns the status of an attempt that failed after it was sent:
+// StatusTimeout or StatusCancelled if that ended it, otherwise fallback. ctx is the
+// attempt's context, with its timeout.
+func FailedStatus(ctx context.Context, fallback balancer.AttemptStatus) balancer.AttemptStatus {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return balancer.StatusTimeout
 	case ctx.Err() != nil:
 		return balancer.StatusCancelled
 	}
-	return broken
+	return fallback
 }
