--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -33,7 +33,7 @@
 		w.retain(list, kind)
 	}
 	w.failures = 0
-	w.Proxy.SetRevision(list.Revision)
+	w.Proxy.SetListRevision(list.Revision)
 	w.Proxy.UpdateEndpoints(kind, endpoints, addresses)
 	w.recordPhases(list, kind, overridden)
 	if overridden {
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -78,7 +78,7 @@
 		for i := range 3 {
 			list = append(list, balancer.Endpoint{ID: relay.Endpoints.AssignID(fmt.Sprintf("s-%d", i+1)), State: balancer.StateReady, Size: 1})
 		}
-		relay.SetRevision(17)
+		relay.SetListRevision(17)
 		relay.UpdateEndpoints(balancer.ListFull, list, []string{"a", "b", "c"})
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
@@ -124,7 +124,7 @@
 				list[i].State = balancer.StateDraining
 			}
 		}
-		relay.SetRevision(18)
+		relay.SetListRevision(18)
 		relay.UpdateEndpoints(balancer.ListDelta, list, []string{"a", "b", "c"})
 		frontend, explanation = serve()
 		if explanation.Events[0].Reason != "route-gone" || explanation.Events[0].Revision != 18 || strings.HasPrefix(frontend.attempts[0], cachedEndpoint) || !strings.Contains(explanation.Events[0].Text, "as "+cachedEndpoint+", where its group is, takes nothing new") {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -13,8 +13,8 @@
 	drainDirected map[string]bool
 }
 
-// SetRevision sets the revision of the list in the next call of UpdateEndpoints.
-func (p *Proxy) SetRevision(revision uint64) { p.listRevision.Store(revision) }
+// SetListRevision sets the revision of the list in the next call of UpdateEndpoints.
+func (p *Proxy) SetListRevision(revision uint64) { p.listRevision.Store(revision) }
 
 // UpdateEndpoints applies an update of the endpoint list: at once to the registry, which
 // attempts consult before they are sent, and to the balancer with its next Tick. addresses
