--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -81,7 +81,7 @@
 }
 
 // Reserve reserves the names of requests that are open in another process of this relay.
-// Adopt ends the reservation of one name, Release of all.
+// Adopt ends the reservation of one name, ReleaseReservations of all.
 func (r *Requests) Reserve(names []RequestName) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +91,8 @@
 	}
 }
 
-// Release ends all reservations. It is called after the other process has ended.
-func (r *Requests) Release() {
+// ReleaseReservations ends all reservations. It is called after the other process has ended.
+func (r *Requests) ReleaseReservations() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reserved = nil
--- a/internal/registry/requests_test.go
+++ b/internal/registry/requests_test.go
@@ -6,7 +6,7 @@
 )
 
 // The name of a request that is open in another process of the relay is only accepted by Adopt,
-// or after Release.
+// or after ReleaseReservations.
 func TestReservedNamesAreRefused(t *testing.T) {
 	previous, current := NewRequests(), NewRequests()
 	for _, name := range []string{"a", "b"} {
@@ -23,8 +23,8 @@
 	if _, ok := current.Adopt(Request{Frontend: "line", Name: "a"}); !ok || add("a") {
 		t.Error("Adopt refuses a reserved name, or Add accepts the name after Adopt")
 	}
-	if current.Release(); add("a") || !add("b") {
-		t.Error("after Release, Add accepts the name of an open request, or refuses a free one")
+	if current.ReleaseReservations(); add("a") || !add("b") {
+		t.Error("after ReleaseReservations, Add accepts the name of an open request, or refuses a free one")
 	}
 }
 
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -229,7 +229,7 @@
 	for _, limiter := range r.limiters {
 		limiter.ReserveSlots(0)
 	}
-	r.proxy.Requests.Release()
+	r.proxy.Requests.ReleaseReservations()
 	r.limitMemory(wholeProcess)
 	close(r.predecessorGone)
 }
