--- a/internal/console/status.go
+++ b/internal/console/status.go
@@ -80,7 +80,7 @@
 // stateText returns the name of an endpoint's state, with a remark if it drains because of a drain
 // directive.
 func (s *Server) stateText(endpoint registry.Endpoint) string {
-	if endpoint.State == balancer.StateDraining && s.Proxy.DrainDirected(endpoint.Name) {
+	if endpoint.State == balancer.StateDraining && s.Proxy.HasDrainDirective(endpoint.Name) {
 		return registry.StateName(endpoint.State) + ", as ordered"
 	}
 	return registry.StateName(endpoint.State)
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -9,8 +9,8 @@
 // endpointList is the list that discovery reports, and the names of the endpoints that an
 // operator drains regardless of their listed state. Proxy.listMu guards it.
 type endpointList struct {
-	endpoints     map[balancer.EndpointID]balancer.Endpoint // without those that are gone
-	drainDirected map[string]bool
+	endpoints       map[balancer.EndpointID]balancer.Endpoint // without those that are gone
+	drainDirectives map[string]bool
 }
 
 // SetListRevision sets the revision of the list in the next call of UpdateEndpoints.
@@ -42,10 +42,10 @@
 // publishEndpoints updates endpoints in the registry and the balancer, with the operator's
 // drain directives applied. The caller holds listMu, so that both see the same order.
 func (p *Proxy) publishEndpoints(kind balancer.ListKind, endpoints []balancer.Endpoint, addresses []string) {
-	if len(p.list.drainDirected) > 0 {
+	if len(p.list.drainDirectives) > 0 {
 		endpoints = slices.Clone(endpoints)
 		for i := range endpoints {
-			if endpoints[i].State == balancer.StateReady && p.list.drainDirected[p.Endpoints.Name(endpoints[i].ID)] {
+			if endpoints[i].State == balancer.StateReady && p.list.drainDirectives[p.Endpoints.Name(endpoints[i].ID)] {
 				endpoints[i].State = balancer.StateDraining
 			}
 		}
@@ -66,16 +66,16 @@
 func (p *Proxy) SetDrain(name string, drain bool) (listed bool) {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
-	if drain == p.list.drainDirected[name] {
+	if drain == p.list.drainDirectives[name] {
 		return p.isListed(name)
 	}
-	if p.list.drainDirected == nil {
-		p.list.drainDirected = make(map[string]bool)
+	if p.list.drainDirectives == nil {
+		p.list.drainDirectives = make(map[string]bool)
 	}
 	if drain {
-		p.list.drainDirected[name] = true
+		p.list.drainDirectives[name] = true
 	} else {
-		delete(p.list.drainDirected, name)
+		delete(p.list.drainDirectives, name)
 	}
 	if !p.isListed(name) {
 		return false
@@ -92,9 +92,9 @@
 	return ok && listed
 }
 
-// DrainDirected reports whether an operator's directive to drain an endpoint is set.
-func (p *Proxy) DrainDirected(name string) bool {
+// HasDrainDirective reports whether an operator's directive to drain an endpoint is set.
+func (p *Proxy) HasDrainDirective(name string) bool {
 	p.listMu.Lock()
 	defer p.listMu.Unlock()
-	return p.list.drainDirected[name]
+	return p.list.drainDirectives[name]
 }
