--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -23,12 +23,12 @@
 	Endpoint registry.Endpoint
 	Timeout  time.Duration // for the endpoint's answer
 	NotAfter time.Duration // latest time on the proxy's clock to send it; 0: no limit
-	Resume   bool          // it reconnects to a request that was open at the endpoint before the relay started
+	Resume   bool          // reconnects to a request that was open at the endpoint before the relay started
 	clock    Clock
 }
 
 // StillPermitted reports whether an attempt may still be sent. While its connection is
-// dialled the client may leave, the endpoint may begin to drain, and the time may end
+// dialled, the client may leave, the endpoint may begin to drain, and the time may end
 // within which the endpoint recognizes a retry as a duplicate.
 func (a Attempt) StillPermitted(ctx context.Context) bool {
 	return ctx.Err() == nil && (a.Resume || !a.Endpoint.IsDraining()) && (a.NotAfter == 0 || a.clock.Now() < a.NotAfter)
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -6,8 +6,8 @@
 	"lockroad/balancer"
 )
 
-// endpointList is the list that discovery reports, and the names of the endpoints that an
-// operator drains regardless of their listed state. Proxy.listMu guards it.
+// endpointList is the list from discovery or health checks, and the names of the endpoints
+// that an operator drains regardless of their listed state. Proxy.listMu guards it.
 type endpointList struct {
 	endpoints       map[balancer.EndpointID]balancer.Endpoint // without those that are gone
 	drainDirectives map[string]bool
@@ -31,7 +31,7 @@
 	}
 	for _, endpoint := range endpoints {
 		if endpoint.State == balancer.StateGone {
-			delete(p.list.endpoints, endpoint.ID) // a discovery that only sends deltas never drops it otherwise
+			delete(p.list.endpoints, endpoint.ID) // a source that only sends deltas, as health checks do, never omits it
 			continue
 		}
 		p.list.endpoints[endpoint.ID] = endpoint
--- a/internal/proxy/handoff.go
+++ b/internal/proxy/handoff.go
@@ -26,7 +26,7 @@
 	Load            float64         `json:"Load"` // as its endpoint reported last; before any report, as expected
 	Returning       bool            `json:"Return"`
 	UnansweredSince time.Duration   `json:"Asked"` // time of its client's oldest unanswered message; 0: none
-	FrontendState   json.RawMessage `json:"Wire"`  // what Transferable.Pause returned
+	FrontendState   json.RawMessage `json:"Wire"`  // state returned by Transferable.Pause
 }
 
 // HandoffFunc sends a request and its sockets to another process. If it returns nil, the
@@ -68,7 +68,7 @@
 	r.unansweredSince = established.UnansweredSince
 	id, known := r.proxy.Endpoints.Lookup(established.Endpoint)
 	endpoint, ok := r.proxy.Endpoints.Find(id)
-	if !known || !ok { // not listed yet: it is served all the same, but the balancer can't attribute it
+	if !known || !ok { // not listed yet: it is served, but the balancer cannot attribute it to an endpoint
 		endpoint = registry.Endpoint{Name: established.Endpoint}
 	}
 	r.establishAt(endpoint, conn)
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// runProxy calls run with a running proxy on a fake clock, with as many ready endpoints named s-0, s-1 and so on. It
+// runProxy calls run with a running proxy on a fake clock, with a number of ready endpoints named s-0, s-1 and so on. It
 // then checks that no request is left open and no invariant was violated.
 func runProxy(t *testing.T, endpoints int, run func(proxy *Proxy, setState func(index int, state balancer.EndpointState))) {
 	t.Helper()
@@ -53,7 +53,7 @@
 	})
 }
 
-// scriptedAction is how an endpoint reacts to an attempt.
+// scriptedAction is how an endpoint responds to an attempt.
 type scriptedAction struct {
 	status   balancer.AttemptStatus
 	after    time.Duration // delay of the answer
@@ -61,7 +61,7 @@
 	mute     bool          // the endpoint sends nothing on the established connection
 }
 
-// fakeDownstream is a Downstream that plays the endpoints' reactions, and checks how the proxy calls it.
+// fakeDownstream is a Downstream that simulates the endpoints with a script, and checks how the proxy calls it.
 type fakeDownstream struct {
 	t          *testing.T
 	proxy      *Proxy
--- a/internal/proxy/heartbeat.go
+++ b/internal/proxy/heartbeat.go
@@ -14,8 +14,8 @@
 	delayReportInterval    = time.Second            // between reports of one endpoint's delay
 
 	// heartbeatTimeout is how long a client's message may stay unanswered before its
-	// connection is closed. Clients give up 7 s after the last data that they received, and
-	// may send nothing for the first 2 s of these.
+	// connection is closed. Clients disconnect 7 s after the last data that they received, and
+	// may send nothing in the first 2 s of that time.
 	heartbeatTimeout = 4500 * time.Millisecond
 
 	// selfReportValidity is how long an endpoint's report of its own delay is used.
@@ -103,7 +103,7 @@
 	clock Clock
 
 	mu         sync.Mutex    // guards the fields below; locked before Heartbeat.mu
-	threshold  time.Duration // only delays above it are reported; 0: no delays are
+	threshold  time.Duration // only delays above it are reported; 0: none are
 	heartbeats map[*Heartbeat]struct{}
 	delays     map[balancer.EndpointID]endpointDelay
 }
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -7,12 +7,12 @@
 	"lockroad/internal/registry"
 )
 
-// EndCause is why a request ended, if not by a decision of the balancer.
+// EndCause is why a request ended.
 type EndCause uint8
 
 // The causes of an end.
 const (
-	CauseDecided          EndCause = iota // ended by the balancer, the client or the endpoint
+	CauseDecided          EndCause = iota // the balancer decided it, or client or endpoint closed the connection
 	CauseConnectionLimit                  // the frontend had no free admission slot
 	CauseShutdown                         // the relay is shutting down
 	CauseResumeFailed                     // an open request could not be resumed at its endpoint
@@ -52,7 +52,7 @@
 type RequestObserver interface {
 	balancer.DecisionObserver
 	// AttemptStarted is called when an attempt starts. The function that it returns is
-	// called when the attempt has failed, or with balancer.StatusOK when it succeeded.
+	// called with the attempt's status: balancer.StatusOK once it has succeeded, or why it failed.
 	AttemptStarted(endpoint balancer.EndpointID) func(status balancer.AttemptStatus)
 	// Established is called when the balancer has confirmed that the request is established.
 	Established()
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -32,9 +32,9 @@
 		Frontend: request.Frontend, Name: request.Name, Class: request.Class, Since: now,
 	})
 	if !ok {
-		// A client uses the name of an open request. Were it forwarded, each endpoint would
-		// reject it, and the balancer would count those errors against the endpoints and
-		// drop the route of the open request's group.
+		// The client uses the name of an open request. If it were forwarded, each endpoint
+		// would reject it, and the balancer would count those errors against the endpoints
+		// and drop the route of the open request's group.
 		p.ProtocolError(request.Frontend, "a client used the name of an open transaction")
 		downstream.BadRequest("a transaction of this name is open")
 		p.Metrics.Class(request.Class).CountFailed()
@@ -58,7 +58,7 @@
 }
 
 // serve runs a request that has been added to the registry. If the request is already
-// established, resume connects it to its endpoint first, and reports whether it did.
+// established, resume connects it to its endpoint first, and reports whether it succeeded.
 func (p *Proxy) serve(ctx context.Context, number uint64, request Request, downstream Downstream, resume func(*requestRun) bool) {
 	r := &requestRun{
 		proxy:      p,
@@ -95,7 +95,7 @@
 	current    *attemptRun // the attempt started last; nil before the first
 
 	ctx     context.Context // cancelled when the client leaves
-	waitCtx context.Context // for Loop.Pick: until the request is established, also cancelled by RejectPending
+	waitCtx context.Context // for Loop.NextAction: until the request is established, also cancelled by RejectPending
 	cause   EndCause        // CauseShutdown once RejectPending has interrupted the wait
 
 	unansweredSince time.Duration // time of an adopted request's oldest unanswered client message; 0: none
@@ -129,8 +129,8 @@
 	}
 }
 
-// execute carries out an action that the balancer has picked, and reports whether that
-// ended the request.
+// execute executes an action that the balancer has picked, and reports whether that ended
+// the request.
 func (r *requestRun) execute(action balancer.RequestAction) (result Result, ended bool) {
 	switch action.Kind {
 	case balancer.ActionAttempt:
--- a/internal/proxy/request_test.go
+++ b/internal/proxy/request_test.go
@@ -36,8 +36,8 @@
 	})
 }
 
-// For all sequences of endpoint reactions, leaving clients and list updates, attempts of a
-// request don't overlap and its client gets exactly one final answer before the deadline.
+// For all sequences of endpoint responses, client disconnects and list updates, attempts of
+// a request don't overlap and its client gets exactly one final answer before the deadline.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 0, 1, 0, 2})
 	f.Add([]byte{0, 4, 2, 9, 5, 7, 0, 2, 200, 3, 1, 1, 250, 0, 0, 6, 4, 2})
--- a/internal/proxy/resume.go
+++ b/internal/proxy/resume.go
@@ -13,7 +13,8 @@
 	resumeRetryInterval = 100 * time.Millisecond // between attempts to do so
 
 	// resumeUnknownTimeout replaces resumeTimeout while the endpoint is not listed, or does
-	// not know the request. The client may be faulty, and must be answered within 3 s.
+	// not know the request. The client may have sent a wrong name, and must be answered
+	// within 3 s.
 	resumeUnknownTimeout = 2 * time.Second
 )
 
@@ -36,7 +37,7 @@
 			r.proxy.Requests.SetStage(r.number, registry.StageAttempting, endpoint.ID)
 			conn, status := r.connect(ctx, Attempt{Endpoint: endpoint, Timeout: resumeTimeout, Resume: true})
 			if status != balancer.StatusError {
-				unknownTimer.Stop() // the endpoint has not denied knowing the request
+				unknownTimer.Stop() // the endpoint may know the request
 			}
 			if status == balancer.StatusOK {
 				r.establishAt(endpoint, conn)
--- a/internal/proxy/resume_test.go
+++ b/internal/proxy/resume_test.go
@@ -11,8 +11,8 @@
 	"lockroad/internal/registry"
 )
 
-// A request that was open before the start is only resumed at its own endpoint, also if that is listed late or refuses the
-// first attempt, and is rejected if its endpoint is never listed.
+// A request that was open before the relay started is resumed only at its own endpoint, even if that is listed late or
+// refuses the first attempt. It is rejected if its endpoint is never listed.
 func TestResumedRequestUsesItsEndpointOnly(t *testing.T) {
 	runProxy(t, 3, func(proxy *Proxy, setState func(int, balancer.EndpointState)) {
 		setState(2, balancer.StateDraining)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -36,8 +36,8 @@
 // Migrating returns a channel that MigrateAll and HandOffAll close.
 func (p *Proxy) Migrating() <-chan struct{} { return p.migrating.Done() }
 
-// waitForRelocation waits for a request's time in the migration window, or for the end of
-// ctx or of its connection. The fractional parts of the multiples of the golden ratio
+// waitForRelocation waits for a request's time in the migration window, or until ctx or its
+// connection ends. The fractional parts of the multiples of the golden ratio
 // spread the requests evenly, whatever their numbers. A request that is established after
 // its time is relocated at once, as the process may end soon after the window.
 func (p *Proxy) waitForRelocation(ctx context.Context, connEnded <-chan struct{}, number uint64) {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -30,7 +30,7 @@
 }
 
 // A request whose client was notified to migrate counts as migrated, even if its endpoint closes the connection meanwhile.
-func TestEndpointEndDuringMigrationCountsAsMigrated(t *testing.T) {
+func TestEndpointCloseDuringMigrationCountsAsMigrated(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
 		downstream := &racingDownstream{fakeDownstream{t: t, proxy: proxy, nextAction: establish(0)}, make(chan struct{})}
 		ended := make(chan struct{})
@@ -109,7 +109,7 @@
 	})
 }
 
-// A request that is being resumed must also be answered before the process is killed.
+// Requests that are being resumed must also be answered before the process is killed.
 func TestResumingRequestsAreRejectedAtShutdown(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
 		downstream := &fakeDownstream{t: t, proxy: proxy, nextAction: always(scriptedAction{status: balancer.StatusFull})}
