--- a/internal/healthcheck/tracker.go
+++ b/internal/healthcheck/tracker.go
@@ -41,8 +41,8 @@
 	failedAttemptDivisor = 4
 )
 
-// endpoint is the state that a Tracker keeps for one endpoint.
-type endpoint struct {
+// endpointRecord is the state that a Tracker keeps for one endpoint.
+type endpointRecord struct {
 	name                 string
 	state                State
 	reported             Change // last returned by Changes
@@ -58,8 +58,8 @@
 // Tracker holds the health of a list of endpoints. It is not safe for concurrent use.
 type Tracker struct {
 	settings  Settings
-	endpoints []*endpoint // sorted by name
-	panicMode bool        // see PanicMode
+	endpoints []*endpointRecord // sorted by name
+	panicMode bool              // see PanicMode
 }
 
 // New returns a tracker of endpoints, which are considered up until probes or attempts
@@ -70,7 +70,7 @@
 	return t
 }
 
-// UpdateSettings replaces the settings.
+// UpdateSettings replaces the settings. They apply to later probes and attempts.
 func (t *Tracker) UpdateSettings(settings Settings) { t.settings = settings }
 
 // Replace replaces the list of endpoints. Those that both lists name keep their state.
@@ -80,12 +80,12 @@
 	t.endpoints = nil
 	spread := float64(min(t.settings.Interval, maxInitialProbeDelay))
 	for i, name := range slices.Sorted(slices.Values(names)) {
-		if j := slices.IndexFunc(previous, func(e *endpoint) bool { return e.name == name }); j >= 0 {
+		if j := slices.IndexFunc(previous, func(record *endpointRecord) bool { return record.name == name }); j >= 0 {
 			t.endpoints = append(t.endpoints, previous[j])
 			continue
 		}
 		delay := time.Duration(spread * float64(i) / float64(len(names)))
-		t.endpoints = append(t.endpoints, &endpoint{
+		t.endpoints = append(t.endpoints, &endpointRecord{
 			name:      name,
 			reported:  Change{Name: name, State: StateDown}, // makes Changes report the endpoint as up
 			nextProbe: now + delay,
@@ -95,8 +95,8 @@
 }
 
 // findEndpoint returns an endpoint of the list, or nil.
-func (t *Tracker) findEndpoint(name string) *endpoint {
-	i, ok := slices.BinarySearchFunc(t.endpoints, name, func(e *endpoint, name string) int { return cmp.Compare(e.name, name) })
+func (t *Tracker) findEndpoint(name string) *endpointRecord {
+	i, ok := slices.BinarySearchFunc(t.endpoints, name, func(record *endpointRecord, name string) int { return cmp.Compare(record.name, name) })
 	if !ok {
 		return nil
 	}
@@ -107,12 +107,12 @@
 // endpoint is not due again until ProbeEnded was called for it.
 func (t *Tracker) Due(now time.Duration) (names []string, next time.Duration) {
 	next = now + t.settings.Interval
-	for _, e := range t.endpoints {
-		if !e.probing && now >= e.nextProbe {
-			e.probing, e.nextProbe = true, now+t.settings.Interval
-			names = append(names, e.name)
+	for _, record := range t.endpoints {
+		if !record.probing && now >= record.nextProbe {
+			record.probing, record.nextProbe = true, now+t.settings.Interval
+			names = append(names, record.name)
 		}
-		next = min(next, e.nextProbe)
+		next = min(next, record.nextProbe)
 	}
 	return names, max(next, now+minProbeWait)
 }
@@ -120,51 +120,53 @@
 // ProbeEnded records the outcome of a probe, with the reason if it failed. It ignores
 // endpoints that the list no longer names.
 func (t *Tracker) ProbeEnded(now time.Duration, name string, ok bool, reason string) {
-	e := t.findEndpoint(name)
-	if e == nil {
+	record := t.findEndpoint(name)
+	if record == nil {
 		return
 	}
-	e.probing = false
+	record.probing = false
 	if !ok {
-		t.recordFailure(now, e, reason)
+		t.recordFailure(now, record, reason)
 		return
 	}
-	e.consecutiveFailures = 0
-	if e.state == StateUp {
+	record.consecutiveFailures = 0
+	if record.state == StateUp {
 		return
 	}
-	e.consecutiveSuccesses++
-	if e.consecutiveSuccesses >= t.settings.Rise {
-		e.state, e.consecutiveSuccesses, e.reason = StateUp, 0, ""
-		e.recoveredAt = now // restarts its slow start
+	record.consecutiveSuccesses++
+	if record.consecutiveSuccesses >= t.settings.Rise {
+		record.state, record.consecutiveSuccesses, record.reason = StateUp, 0, ""
+		record.recoveredAt = now // restarts its slow start
 		t.updatePanicMode()
 	}
 }
 
-// AttemptEnded records the outcome of an attempt: whether the endpoint answered it, be it
-// to reject it as full. Failed attempts take an endpoint down, and only probes bring it up
-// again, as no attempts are sent to it meanwhile.
+// AttemptEnded records the outcome of an attempt. ok means that the endpoint answered, even
+// if it rejected the attempt as full; otherwise reason is why it failed. Failed attempts
+// take an endpoint down, but only probes bring it up again, as no attempts are sent to it
+// meanwhile.
 func (t *Tracker) AttemptEnded(now time.Duration, name string, ok bool, reason string) {
-	e := t.findEndpoint(name)
+	record := t.findEndpoint(name)
 	switch {
-	case e == nil:
+	case record == nil:
 	case ok:
-		e.consecutiveFailures = 0
-	case e.state == StateUp:
-		t.recordFailure(now, e, reason)
-		e.nextProbe = min(e.nextProbe, now+t.settings.Interval/failedAttemptDivisor)
+		record.consecutiveFailures = 0
+	case record.state == StateUp:
+		t.recordFailure(now, record, reason)
+		record.nextProbe = min(record.nextProbe, now+t.settings.Interval/failedAttemptDivisor)
 	}
 }
 
-// recordFailure notes a recordFailure probe or attempt.
-func (t *Tracker) recordFailure(now time.Duration, e *endpoint, reason string) {
-	e.consecutiveSuccesses = 0
-	if e.state == StateDown {
+// recordFailure records a failed probe or attempt, and takes the endpoint down after
+// Settings.Fall in a row.
+func (t *Tracker) recordFailure(now time.Duration, record *endpointRecord, reason string) {
+	record.consecutiveSuccesses = 0
+	if record.state == StateDown {
 		return
 	}
-	e.consecutiveFailures++
-	if e.consecutiveFailures >= t.settings.Fall {
-		e.state, e.consecutiveFailures, e.downAt, e.reason = StateDown, 0, now, reason
+	record.consecutiveFailures++
+	if record.consecutiveFailures >= t.settings.Fall {
+		record.state, record.consecutiveFailures, record.downAt, record.reason = StateDown, 0, now, reason
 		t.updatePanicMode()
 	}
 }
@@ -172,8 +174,8 @@
 // updatePanicMode enters or leaves panic mode by the share of endpoints that are down.
 func (t *Tracker) updatePanicMode() {
 	down := 0
-	for _, e := range t.endpoints {
-		if e.state == StateDown {
+	for _, record := range t.endpoints {
+		if record.state == StateDown {
 			down++
 		}
 	}
@@ -187,13 +189,13 @@
 
 // Changes returns the endpoints whose listing has changed since the last call.
 func (t *Tracker) Changes() (changes []Change) {
-	for _, e := range t.endpoints {
-		change := Change{Name: e.name, State: e.state, RecoveredAt: e.recoveredAt}
-		if t.panicMode && e.state == StateDown {
+	for _, record := range t.endpoints {
+		change := Change{Name: record.name, State: record.state, RecoveredAt: record.recoveredAt}
+		if t.panicMode && record.state == StateDown {
 			change.State = StateUp
 		}
-		if change != e.reported {
-			e.reported = change
+		if change != record.reported {
+			record.reported = change
 			changes = append(changes, change)
 		}
 	}
@@ -202,10 +204,10 @@
 
 // Health returns the health of all endpoints, sorted by name.
 func (t *Tracker) Health(now time.Duration) (all []EndpointHealth) {
-	for _, e := range t.endpoints {
-		health := EndpointHealth{Name: e.name, State: e.state, ConsecutiveFailures: e.consecutiveFailures, Reason: e.reason}
-		if e.state == StateDown {
-			health.DownFor = now - e.downAt
+	for _, record := range t.endpoints {
+		health := EndpointHealth{Name: record.name, State: record.state, ConsecutiveFailures: record.consecutiveFailures, Reason: record.reason}
+		if record.state == StateDown {
+			health.DownFor = now - record.downAt
 		}
 		all = append(all, health)
 	}
--- a/internal/healthcheck/tracker_test.go
+++ b/internal/healthcheck/tracker_test.go
@@ -12,7 +12,7 @@
 
 const second = time.Second
 
-// simulateProbes carries out the probes that are due between two times. They succeed while alive returns true. It
+// simulateProbes carries out the probes that are due between two times. A probe succeeds if alive returns true. It
 // returns, by endpoint, the reported states with their times.
 func simulateProbes(tracker *Tracker, from, until time.Duration, alive func(name string, now time.Duration) bool) (reported map[string][]string) {
 	reported = make(map[string][]string)
@@ -50,7 +50,7 @@
 	}
 }
 
-// While most endpoints appear down, all are listed as up.
+// While more than half of the endpoints appear down, all are listed as up.
 func TestPanicMode(t *testing.T) {
 	tracker := New(DefaultSettings(), []string{"a", "b", "c", "d"}, 0)
 	noneAlive := func(string, time.Duration) bool { return false }
@@ -58,9 +58,9 @@
 	if !tracker.PanicMode() || len(reported["d"]) != 1 {
 		t.Fatalf("panic mode %v with changes %v, want true with one change each", tracker.PanicMode(), reported)
 	}
-	for _, e := range tracker.endpoints {
-		if e.reported.State != StateUp {
-			t.Errorf("%s is listed as down in panic mode", e.name)
+	for _, record := range tracker.endpoints {
+		if record.reported.State != StateUp {
+			t.Errorf("%s is listed as down in panic mode", record.name)
 		}
 	}
 	simulateProbes(tracker, 20*second, 40*second, func(name string, _ time.Duration) bool { return name != "a" })
@@ -89,7 +89,7 @@
 	}
 }
 
-// probedEndpoints is the model of endpoints that fail and recover, with the tracker under test.
+// probedEndpoints simulates endpoints that fail and recover, and checks the tracker under test.
 type probedEndpoints struct {
 	t        *rapid.T
 	settings Settings
@@ -214,11 +214,11 @@
 		rng := rand.New(rand.NewPCG(1, 1))
 		tracker := New(DefaultSettings(), names, 0)
 		var detectionTimes []time.Duration
-		falseAlarms, diedAt, dead := 0, time.Duration(0), ""
-		nextDeath := 10 * time.Minute
+		falseAlarms, failedAt, dead := 0, time.Duration(0), ""
+		nextFailure := 10 * time.Minute
 		for now := time.Duration(0); now < 24*time.Hour; {
-			if dead == "" && now >= nextDeath {
-				dead, diedAt = names[rng.IntN(len(names))], now
+			if dead == "" && now >= nextFailure {
+				dead, failedAt = names[rng.IntN(len(names))], now
 			}
 			dueNames, nextDue := tracker.Due(now)
 			for _, name := range dueNames {
@@ -227,8 +227,8 @@
 			for _, change := range tracker.Changes() {
 				switch {
 				case change.State == StateDown && change.Name == dead:
-					detectionTimes = append(detectionTimes, now-diedAt)
-					dead, nextDeath = "", now+10*time.Minute+time.Duration(rng.IntN(2000))*time.Millisecond // it recovers at once
+					detectionTimes = append(detectionTimes, now-failedAt)
+					dead, nextFailure = "", now+10*time.Minute+time.Duration(rng.IntN(2000))*time.Millisecond // it recovers at once
 				case change.State == StateDown:
 					falseAlarms++
 				}
