--- a/internal/listener/connlimiter.go
+++ b/internal/listener/connlimiter.go
@@ -11,11 +11,11 @@
 
 const (
 	// OpeningTimeout is how long a client may take to send its complete opening
-	// after it has connected. It leaves time to answer or close within 3 s.
+	// message after it has connected. It leaves time to answer or close within 3 s.
 	OpeningTimeout = 2 * time.Second
 
 	// minIdleTime is how long an idle connection is safe from eviction, so that a
-	// burst of connections does not evict one whose opening is about to arrive.
+	// burst of connections does not evict one whose opening message is about to arrive.
 	minIdleTime = 50 * time.Millisecond
 
 	// acceptRetryDelay is the wait after a failed accept.
@@ -23,8 +23,8 @@
 )
 
 // ConnLimiter limits the connections of a frontend: those with requests, which use
-// slots, and idle ones, which have not sent their opening yet or have been answered.
-// Idle connections take no slots. If there are too many, the longest idle one is
+// slots, and idle ones, which have not sent their opening message yet or have been answered.
+// Idle connections use no slots. If there are too many, the longest idle one is
 // evicted. Its methods may be called from any goroutine.
 type ConnLimiter struct {
 	Slots   int // limit of concurrent requests
@@ -37,7 +37,7 @@
 	reservedSlots int        // slots that another process of this relay uses
 	slotsInUse    int
 	idle          []*Admission  // ordered by IdleSince, longest idle first
-	roomFreed     chan struct{} // receives a value when an idle connection is removed
+	idleRemoved   chan struct{} // receives a value when an idle connection is removed
 }
 
 // Admission is the state of one connection in a ConnLimiter. It is idle at first.
@@ -57,18 +57,18 @@
 // Serve accepts connections, and calls serveClient on a new goroutine for each one
 // that the limiter admits. After the listener is closed or ctx has ended, it waits
 // for all clients, and returns nil.
-func Serve(ctx context.Context, l net.Listener, c *ConnLimiter, serveClient func(context.Context, *net.TCPConn, *Admission)) error {
-	c.mu.Lock()
-	c.roomFreed = make(chan struct{}, 1)
-	c.mu.Unlock()
-	defer c.clients.Wait()
-	defer c.close()
+func Serve(ctx context.Context, listener net.Listener, limiter *ConnLimiter, serveClient func(context.Context, *net.TCPConn, *Admission)) error {
+	limiter.mu.Lock()
+	limiter.idleRemoved = make(chan struct{}, 1)
+	limiter.mu.Unlock()
+	defer limiter.clients.Wait()
+	defer limiter.close()
 	for {
-		accepted, err := l.Accept()
+		accepted, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		if err != nil { // such as too many open files, or a client that left the queue
+		if err != nil { // for example too many open files, or a client that disconnected in the accept queue
 			select {
 			case <-ctx.Done():
 				return nil
@@ -77,12 +77,12 @@
 			continue
 		}
 		conn := accepted.(*net.TCPConn)
-		admission := &Admission{limiter: c, evict: func() { conn.Close() }}
-		if !c.admit(ctx, admission) {
+		admission := &Admission{limiter: limiter, evict: func() { conn.Close() }}
+		if !limiter.admit(ctx, admission) {
 			conn.Close()
 			return nil
 		}
-		c.clients.Go(func() {
+		limiter.clients.Go(func() {
 			defer admission.close()
 			serveClient(ctx, conn, admission)
 		})
@@ -108,7 +108,7 @@
 			continue // a connection was evicted
 		}
 		select {
-		case <-c.roomFreed:
+		case <-c.idleRemoved:
 		case <-time.After(wait):
 		case <-ctx.Done():
 			return false
@@ -183,7 +183,7 @@
 	}
 	c.idle = slices.Delete(c.idle, i, i+1)
 	select {
-	case c.roomFreed <- struct{}{}:
+	case c.idleRemoved <- struct{}{}:
 	default:
 	}
 }
@@ -200,15 +200,15 @@
 // returns false if no slot is free or the connection was evicted. A connection may
 // have several slots.
 func (a *Admission) Acquire() bool {
-	c := a.limiter
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if a.closed || c.slotsInUse+c.reservedSlots >= c.Slots {
+	limiter := a.limiter
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	if a.closed || limiter.slotsInUse+limiter.reservedSlots >= limiter.Slots {
 		return false
 	}
-	c.slotsInUse++
+	limiter.slotsInUse++
 	if a.slots == 0 {
-		c.removeIdle(a)
+		limiter.removeIdle(a)
 	}
 	a.slots++
 	return true
@@ -216,22 +216,22 @@
 
 // Release releases a slot. The connection is idle again after its last one.
 func (a *Admission) Release() {
-	c := a.limiter
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.slotsInUse--
+	limiter := a.limiter
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	limiter.slotsInUse--
 	a.slots--
 	if a.slots == 0 && !a.closed {
 		a.IdleSince = time.Now()
-		c.idle = append(c.idle, a)
+		limiter.idle = append(limiter.idle, a)
 	}
 }
 
 // close ends the admission. All of its slots must have been released.
 func (a *Admission) close() {
-	c := a.limiter
-	c.mu.Lock()
-	defer c.mu.Unlock()
+	limiter := a.limiter
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
 	a.closed = true
-	c.removeIdle(a)
+	limiter.removeIdle(a)
 }
