--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// receive reads a message until a deadline; the zero time means no deadline. The
+// receive reads a message before a deadline; the zero time means no deadline. The
 // caller must close the descriptors of the message.
 func (c channel) receive(deadline time.Time) (*message, error) {
 	c.SetReadDeadline(deadline)
@@ -164,7 +164,7 @@
 		for _, descriptor := range descriptors {
 			unix.CloseOnExec(descriptor)
 			_ = unix.SetNonblock(descriptor, true) // os.NewFile accepts a blocking descriptor too
-			m.descriptors = append(m.descriptors, os.NewFile(uintptr(descriptor), "handed over"))
+			m.descriptors = append(m.descriptors, os.NewFile(uintptr(descriptor), "received descriptor"))
 		}
 	}
 	return nil
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -21,7 +21,7 @@
 
 // fakeHandler is a Handler with one listener.
 type fakeHandler struct {
-	state          atomic.Pointer[string] // offered in place of a short one, if not nil
+	state          atomic.Pointer[string] // overrides the offered state, if not nil
 	clientListener *net.TCPListener
 	pauses         atomic.Int32 // calls of SetPaused with true, less those with false
 	fails          atomic.Bool
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -28,8 +28,8 @@
 	kindTakeOver                          // successor: it is ready to take over
 	kindPaused                            // predecessor: it has stopped accepting
 	kindConnection                        // predecessor: an established connection with its sockets
-	kindAck                               // successor: it serves the connection of a number
-	kindNack                              // successor: it declines the connection of a number
+	kindAck                               // successor: it serves the connection with this number
+	kindNack                              // successor: it declines the connection with this number
 )
 
 // Errors of the exchange between the two processes.
@@ -60,15 +60,15 @@
 	Payload json.RawMessage `json:"What"`
 }
 
-// expect returns an error unless the message is of a kind. For a rejection, the
-// error contains the predecessor's reason.
+// expect returns an error unless the message is of the given kind. For a rejection,
+// the error contains the predecessor's reason.
 func (m *message) expect(kind messageKind) error {
 	switch m.kind {
 	case kind:
 		return nil
 	case kindReject:
 		var reason string
-		_ = m.decode(&reason) // a rejection without a valid reason is still one
+		_ = m.decode(&reason) // a rejection without a valid reason is still a rejection
 		return fmt.Errorf("hotrestart: predecessor rejected the takeover: %.200s", reason)
 	}
 	return errProtocol
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -50,7 +50,7 @@
 	mu               sync.Mutex // guards the fields up to handOffMu
 	state            PredecessorState
 	peer             channel
-	acknowledgements chan *message // of connections handed off to peer; closed once the peer is lost
+	acknowledgements chan *message // for connections handed off to peer; closed once the peer is lost
 	lastNumber       int           // of the last connection handed off
 	listener         *net.UnixListener
 
@@ -94,11 +94,11 @@
 	}
 }
 
-// listen opens the socket, and replaces an existing one at its path: that of an
-// earlier predecessor, or one that a killed process has left behind.
+// listen opens the socket, and replaces an existing one at its path: that of another
+// process, or one that a killed process has left behind.
 func (p *Predecessor) listen() error {
 	temporary := fmt.Sprintf("%s.%d", p.path, os.Getpid())
-	_ = os.Remove(temporary) // ListenUnix reports a failure to remove it
+	_ = os.Remove(temporary) // if that fails, so does ListenUnix
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return err
@@ -135,7 +135,8 @@
 	}
 }
 
-// servePeer serves a successor, from its hello until its connection ends.
+// servePeer serves a successor, from its hello until its connection ends. If the
+// successor had taken over, this process then resumes.
 func (p *Predecessor) servePeer(ctx context.Context, conn channel) {
 	defer conn.Close()
 	if err := conn.checkPeerUser(); err != nil {
@@ -146,7 +147,7 @@
 	if !accepted {
 		return
 	}
-	err := p.runHandover(ctx, conn)
+	err := p.runTakeover(ctx, conn)
 	resume, shuttingDown := p.peerLost()
 	if ctx.Err() != nil {
 		return
@@ -197,8 +198,8 @@
 	return resume, p.state.shuttingDown
 }
 
-// runHandover carries out a takeover, and returns once the successor is lost.
-func (p *Predecessor) runHandover(ctx context.Context, conn channel) error {
+// runTakeover runs a takeover, and returns once the successor is lost.
+func (p *Predecessor) runTakeover(ctx context.Context, conn channel) error {
 	if err := p.offer(ctx, conn); err != nil {
 		return err
 	}
@@ -292,7 +293,7 @@
 }
 
 // awaitAcknowledgement waits for the acknowledgement of a connection. It returns nil
-// if the successor owns the connection, or may own it after a timeout.
+// if the successor owns the connection, or after a timeout, when it may own it.
 func (p *Predecessor) awaitAcknowledgement(peer channel, acknowledgements <-chan *message, number int) error {
 	for timeout := time.After(messageTimeout); ; {
 		select {
@@ -309,7 +310,7 @@
 			}
 			return nil
 		case <-timeout:
-			// The successor may still adopt the connection. If both served it, its data would be corrupted.
+			// The successor may still adopt the connection. If both processes served it, its data would be corrupted.
 			p.log.Warn("hot restart successor did not acknowledge a connection in time, ending the handoff")
 			peer.Close() // so that the remaining connections are migrated, without a timeout for each
 			return nil
--- a/internal/hotrestart/state.go
+++ b/internal/hotrestart/state.go
@@ -28,9 +28,9 @@
 	return true
 }
 
-// PeerLost records that the successor has exited or cannot be reached. It reports
-// whether this process has to resume accepting, as the successor had taken over.
-// Another successor may connect then.
+// PeerLost records that the successor has exited or cannot be reached, so that
+// another one may connect. It reports whether this process has to resume accepting,
+// which is the case if the successor had taken over.
 func (p *PredecessorState) PeerLost() (resume bool) {
 	resume = p.takenOver
 	p.hasPeer, p.takenOver = false, false
@@ -71,7 +71,7 @@
 }
 
 // TakeOver records that this process is about to notify the predecessor of the
-// takeover. It returns false unless an offer has arrived and was not used yet.
+// takeover. It returns false unless an offer has arrived and no takeover has begun.
 func (s *SuccessorState) TakeOver() bool {
 	if s.phase != phaseOffered {
 		return false
--- a/internal/hotrestart/state_test.go
+++ b/internal/hotrestart/state_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Runs both state machines through random steps, with messages in flight that are lost with
-// either process. While both are connected, at most one accepts. Connections are handed off
-// only at shutdown, to a successor that takes over. A process that is left alone accepts.
+// Runs both state machines through random steps, with messages that are lost in flight when
+// either process is killed. While both are connected, at most one accepts. Connections are handed
+// off only at shutdown, to a successor that takes over. A process whose peer is lost accepts.
 func TestOnlyOneProcessAccepts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var predecessor PredecessorState
@@ -20,17 +20,17 @@
 			connected = false
 			toPredecessor, toSuccessor = append(toPredecessor, "lost"), append(toSuccessor, "lost")
 		}
-		predecessorLives := true
+		predecessorAlive := true
 		step := 0
 		shutdownStep := rapid.IntRange(0, 40).Draw(t, "shutdown step") // the earliest step with a shutdown
 		checkInvariants := func() {
-			if connected && predecessorLives && successor != nil && version == ProtocolVersion && predecessor.MayAccept() && successor.MayAccept() {
+			if connected && predecessorAlive && successor != nil && version == ProtocolVersion && predecessor.MayAccept() && successor.MayAccept() {
 				t.Fatal("both processes may accept")
 			}
-			if connected && predecessorLives && predecessor.MayHandOff() && successor != nil && successor.phase != phaseTakingOver && successor.phase != phaseTakenOver {
+			if connected && predecessorAlive && predecessor.MayHandOff() && successor != nil && successor.phase != phaseTakingOver && successor.phase != phaseTakenOver {
 				t.Fatal("connections may be handed off to a successor that has not taken over")
 			}
-			if predecessorLives && predecessor.MayHandOff() && !predecessor.shuttingDown {
+			if predecessorAlive && predecessor.MayHandOff() && !predecessor.shuttingDown {
 				t.Fatal("connections may be handed off by a predecessor that is not shutting down")
 			}
 		}
@@ -41,12 +41,12 @@
 			can  func() bool // whether the step is possible
 			do   func()
 		}{
-			{"a successor starts", func() bool { return successor == nil && predecessorLives && len(toPredecessor) == 0 }, func() {
+			{"a successor starts", func() bool { return successor == nil && predecessorAlive && len(toPredecessor) == 0 }, func() {
 				successor, toSuccessor, connected = &SuccessorState{}, nil, true
 				version = rapid.SampledFrom([]int{ProtocolVersion, ProtocolVersion, ProtocolVersion, ProtocolVersion - 1, ProtocolVersion + 1}).Draw(t, "version")
 				toPredecessor = append(toPredecessor, "hello")
 			}},
-			{"the predecessor receives", func() bool { return len(toPredecessor) > 0 && predecessorLives }, func() {
+			{"the predecessor receives", func() bool { return len(toPredecessor) > 0 && predecessorAlive }, func() {
 				received := toPredecessor[0]
 				toPredecessor = toPredecessor[1:]
 				switch received {
@@ -102,13 +102,13 @@
 			}},
 			{"the successor is killed", func() bool { return successor != nil }, func() {
 				successor, toSuccessor, connected = nil, nil, false
-				if predecessorLives {
+				if predecessorAlive {
 					toPredecessor = append(toPredecessor, "lost")
 				}
 			}},
 			{"the predecessor is ordered to shut down", func() bool { return step >= shutdownStep }, func() { predecessor.BeginShutdown() }},
-			{"the predecessor is killed", func() bool { return predecessorLives && successor != nil }, func() {
-				predecessorLives, connected = false, false
+			{"the predecessor is killed", func() bool { return predecessorAlive && successor != nil }, func() {
+				predecessorAlive, connected = false, false
 				toPredecessor, toSuccessor = nil, append(toSuccessor, "lost")
 			}},
 		}
