--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -21,7 +21,7 @@
 // one without members, is rejected as a whole.
 func (w *Watcher) apply(list List, kind balancer.ListKind) error {
 	if kind == balancer.ListFull && len(list.Members) == 0 && len(w.Proxy.Endpoints.List()) > 0 {
-		return errEmptyList // as from an agent that lost its list: applying it would reject every client
+		return errEmptyList // the agent may have lost its list; applying it would reject every client
 	}
 	overridden := w.keepKnownPhases(&list)
 	endpoints, addresses, err := w.convertMembers(list.Members)
@@ -117,7 +117,7 @@
 	for _, member := range list.Members {
 		w.recordPhase(member.ID, member.Phase, now)
 	}
-	w.forgetGoneEndpoints(now)
+	w.removeGoneRecords(now)
 }
 
 // recordPhase records an endpoint's phase. The time of an unchanged phase is kept.
@@ -140,9 +140,10 @@
 	}
 }
 
-// forgetGoneEndpoints removes the records of endpoints that every agent knows as
-// gone by now. It does so at most once per propagationDelay.
-func (w *Watcher) forgetGoneEndpoints(now time.Time) {
+// removeGoneRecords removes the records of endpoints that have been gone for
+// propagationDelay, as every agent knows that by now. It does so at most once per
+// propagationDelay.
+func (w *Watcher) removeGoneRecords(now time.Time) {
 	if now.Sub(w.lastCleanup) < propagationDelay {
 		return
 	}
--- a/internal/discovery/apply_test.go
+++ b/internal/discovery/apply_test.go
@@ -12,9 +12,9 @@
 
 func TestInvalidSeedListsChangeNothing(t *testing.T) {
 	target := newProxy()
-	w := &Watcher{Proxy: target}
+	watcher := &Watcher{Proxy: target}
 	for _, member := range []Member{{ID: "", Phase: "ready"}, {ID: "s-1", Phase: "odd"}, {ID: "s-1", Phase: "ready", Size: -1}} {
-		if err := w.Seed(List{Members: []Member{member}}); err == nil {
+		if err := watcher.Seed(List{Members: []Member{member}}); err == nil {
 			t.Errorf("Seed accepted the invalid member %+v", member)
 		}
 	}
@@ -26,11 +26,11 @@
 // A list that arrives late on an earlier watch, or from the previous agent, must not override a newer list.
 func TestStaleListDoesNotOverrideNewerList(t *testing.T) {
 	before, after := newScriptedAgent(t), newScriptedAgent(t)
-	target, w := startWatcher(t, before.address, false)
+	target, watcher := startWatcher(t, before.address, false)
 	oldWatch, _ := before.nextWatch("0")
 	oldWatch.answer(listJSON(7, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready")), listJSON(8, false, memberJSON("s-1", "draining"))[:50])
 	testutil.Until(t, "the list was not applied", func() bool { return statesOf(target) == "s-1=ready s-2=ready" })
-	w.SetAddress(after.address)
+	watcher.SetAddress(after.address)
 	watch, _ := after.nextWatch("0")
 	watch.answer(listJSON(9, true, memberJSON("s-1", "draining"), memberJSON("s-2", "draining")))
 	testutil.Until(t, "the new agent's list was not applied", func() bool { return statesOf(target) == "s-1=draining s-2=draining" })
@@ -48,13 +48,13 @@
 func TestStaleListOfNewAgentKeepsEndpointsDraining(t *testing.T) {
 	t.Parallel()
 	before, after := newScriptedAgent(t), newScriptedAgent(t)
-	target, w := startWatcher(t, before.address, false)
+	target, watcher := startWatcher(t, before.address, false)
 	oldWatch, _ := before.nextWatch("0")
 	oldWatch.answer(listJSON(50, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"), memberJSON("s-3", "ready"), memberJSON("s-4", "ready"), memberJSON("s-5", "ready")))
 	io.WriteString(oldWatch, chunkText(listJSON(51, false, memberJSON("s-1", "draining"), memberJSON("s-2", "draining"), memberJSON("s-3", "draining"), memberJSON("s-4", "gone"))))
 	testutil.Until(t, "the drains were not applied", func() bool { return statesOf(target) == "s-1=draining s-2=draining s-3=draining s-4=gone s-5=ready" })
 	draining, _ := target.Endpoints.Find(target.Endpoints.AssignID("s-1"))
-	w.SetAddress(after.address)
+	watcher.SetAddress(after.address)
 	watch, _ := after.nextWatch("0")
 	restarted := strings.Replace(memberJSON("s-3", "ready"), `"up_since_ms":0`, fmt.Sprintf(`"up_since_ms":%d`, time.Now().Add(time.Second).UnixMilli()), 1)
 	watch.answer(listJSON(48, true, memberJSON("s-1", "ready"), memberJSON("s-2", "ready"), restarted, memberJSON("s-4", "ready"), memberJSON("s-5", "draining"), memberJSON("s-6", "ready")))
@@ -89,14 +89,14 @@
 // deduplicated per zone.
 func TestZoneNumbersAreStable(t *testing.T) {
 	target := newProxy()
-	w := &Watcher{Proxy: target, Zones: []string{"a", "b"}}
+	watcher := &Watcher{Proxy: target, Zones: []string{"a", "b"}}
 	for locality, want := range map[string]int{"a": 0, "b": 1} {
-		if got := w.ZoneNumber(locality); got != want {
+		if got := watcher.ZoneNumber(locality); got != want {
 			t.Errorf("locality %q has zone number %d", locality, got)
 		}
 	}
-	c, d := w.ZoneNumber("c"), w.ZoneNumber("d")
-	if c < 2 || d < 2 || c == d || w.ZoneNumber("c") != c || w.ZoneNumber("b") != 1 {
-		t.Errorf("unconfigured localities have zone numbers %d and %d, then %d, and locality b has %d", c, d, w.ZoneNumber("c"), w.ZoneNumber("b"))
+	c, d := watcher.ZoneNumber("c"), watcher.ZoneNumber("d")
+	if c < 2 || d < 2 || c == d || watcher.ZoneNumber("c") != c || watcher.ZoneNumber("b") != 1 {
+		t.Errorf("unconfigured localities have zone numbers %d and %d, then %d, and locality b has %d", c, d, watcher.ZoneNumber("c"), watcher.ZoneNumber("b"))
 	}
 }
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -17,8 +17,8 @@
 // watchPolicy holds the timing of watch requests and of reopened watches.
 type watchPolicy struct {
 	maxInFlight int           // limit of watch requests that wait for a response at the same time
-	hedgeDelay  time.Duration // wait for a response until one more request is sent; see responseTimeout
-	minBackoff  time.Duration // between two watches, doubled with each that brings no list
+	hedgeDelay  time.Duration // wait for a response before another request is sent; see responseTimeout
+	minBackoff  time.Duration // between two watches, doubled after each that delivers no list
 	maxBackoff  time.Duration // limit of the doubled backoff
 }
 
@@ -28,8 +28,8 @@
 	// agent has, so a silent or ended watch is replaced within a fraction of a second.
 	agentPolicy = watchPolicy{maxInFlight: 12, hedgeDelay: 500 * time.Millisecond, minBackoff: 25 * time.Millisecond, maxBackoff: 200 * time.Millisecond}
 	// servicePolicy is for a service that all relays poll, and that handles their
-	// requests one after another. The relay is expected to know a change that a
-	// silent watch misses within 6 s of the silence: the next watch must be open by then.
+	// requests one after another. A watch that falls silent may miss changes,
+	// which the relay must learn of within 6 s: the next watch must be open by then.
 	servicePolicy = watchPolicy{maxInFlight: 1, hedgeDelay: 2200 * time.Millisecond, minBackoff: 200 * time.Millisecond, maxBackoff: 1600 * time.Millisecond}
 )
 
@@ -41,11 +41,12 @@
 	return agentPolicy
 }
 
-// backoff returns the wait before the next watch after a number of watches in a
-// row that brought no list: a random time between half the limit and the limit, so
-// that relays do not reconnect in step. The limit is higher for an overloaded
-// service, whose queue would otherwise fill with requests that time out there. A
-// pollInterval above zero caps it at half the interval, so that no poll is missed.
+// backoff returns the wait before the next watch after a number of consecutive
+// watches that delivered no list: a random time between half the limit and the limit,
+// so that relays do not all reconnect at the same time. The limit is higher for an
+// overloaded service, whose queue would otherwise fill with requests that time out
+// there. A pollInterval above zero caps it at half the interval, so that no poll is
+// missed.
 func (p watchPolicy) backoff(failures int, overloaded bool, pollInterval time.Duration) time.Duration {
 	lowest, highest := p.minBackoff, p.maxBackoff
 	if overloaded {
@@ -59,7 +60,7 @@
 }
 
 // responseTimeout returns how long one watch request may wait for its response
-// after a number of watches in a row that brought no list.
+// after a number of consecutive watches that delivered no list.
 func (p watchPolicy) responseTimeout(failures int) time.Duration {
 	return min(maxResponseTimeout, time.Duration(p.maxInFlight)*p.hedgeDelay<<min(maxBackoffDoublings, max(0, failures-1)))
 }
--- a/internal/discovery/backoff_test.go
+++ b/internal/discovery/backoff_test.go
@@ -25,7 +25,7 @@
 			}
 		}
 		if len(seen) < 100 {
-			t.Errorf("%d of 600 backoffs are distinct, want at least 100: relays would reconnect in step", len(seen))
+			t.Errorf("%d of 600 backoffs are distinct, want at least 100: relays would reconnect at the same time", len(seen))
 		}
 	}
 	if wait := servicePolicy.backoff(12, true, 6*time.Second); wait > 3*time.Second {
--- a/internal/discovery/fakeagent_test.go
+++ b/internal/discovery/fakeagent_test.go
@@ -44,14 +44,14 @@
 // listenAsAgent listens until the test's end, and calls handle for one connection at a time, with its request line.
 func listenAsAgent(t *testing.T, handle func(conn net.Conn, request string)) (address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -59,7 +59,7 @@
 			handle(conn, strings.TrimSpace(text))
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 // expectWatches waits for watch requests with the given parameters, in this order.
--- a/internal/discovery/response.go
+++ b/internal/discovery/response.go
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// applyField returns the reader of the body after one more header field. Chunked
-// encoding takes precedence over a content length.
+// applyField returns the reader of the body that a header field selects, or the given
+// one. Chunked encoding takes precedence over a content length.
 func applyField(field string, reader *bufio.Reader, body io.Reader) (io.Reader, error) {
 	name, value, found := strings.Cut(field, ":")
 	if !found {
@@ -148,7 +148,7 @@
 	return err
 }
 
-// boundedReader limits the bytes of one list, and so the memory it takes.
+// boundedReader limits the size of one list, and so the memory that it takes.
 type boundedReader struct {
 	io.Reader
 	remaining int
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -31,13 +31,13 @@
 
 	// Used by the goroutine of Run, and by Seed and Resume before it.
 	revision       uint64
-	failures       int                    // watches in a row that brought no list
+	failures       int                    // consecutive watches that delivered no list
 	newestRevision uint64                 // of the newest list from any agent
 	lastPhases     map[string]phaseRecord // by endpoint ID; of listed and recently listed endpoints
-	lastCleanup    time.Time              // when old entries of lastPhases were last removed
+	lastCleanup    time.Time              // when old entries were last removed from lastPhases
 
 	mu              sync.Mutex    // guards the fields below, Zones, and Address, which only Run writes
-	synced          chan struct{} // closed once a watch has brought a list; nil until Synced is called
+	synced          chan struct{} // closed once a watch has delivered a list; nil until Synced is called
 	retained        List
 	nextAddress     string             // address for the next watch; "" if unchanged
 	needsFullList   bool               // the next watch starts from revision 0
@@ -62,7 +62,7 @@
 
 // beginWatch applies a pending change of address, and returns the context of the
 // next watch. A new agent is asked for its full list, as its revisions need not
-// continue those of the previous agent.
+// match those of the previous agent.
 func (w *Watcher) beginWatch(ctx context.Context) (context.Context, context.CancelFunc) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,7 +106,7 @@
 
 // ZoneNumber returns the zone number of a locality, which stays the same for the
 // lifetime of the relay. Each locality that is missing from the configuration gets
-// a number of its own: requests are deduplicated per zone, so two localities must
+// a distinct number: requests are deduplicated per zone, so two localities must
 // not share one.
 func (w *Watcher) ZoneNumber(locality string) int {
 	w.mu.Lock()
@@ -118,9 +118,9 @@
 	return len(w.Zones) - 1
 }
 
-// Synced returns a channel that is closed once a watch has brought a list. Clients
-// should be assigned after that, as the list from before the start may name
-// endpoints that the agent knows as gone or draining.
+// Synced returns a channel that is closed once a watch has delivered a list. Clients
+// should be sent to endpoints only after that: in a list from before the start, endpoints
+// may be ready that the agent knows as gone or draining.
 func (w *Watcher) Synced() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +130,7 @@
 	return w.synced
 }
 
-// markSynced closes the channel of Synced.
+// markSynced closes the channel that Synced returns.
 func (w *Watcher) markSynced() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -153,7 +153,7 @@
 		startedAt := time.Now()
 		err := w.watch(watchCtx)
 		if time.Since(startedAt) > idleTimeout {
-			w.failures = 0 // the watch was healthy, even if it brought no list
+			w.failures = 0 // the watch was healthy, even if it delivered no list
 		}
 		if watchCtx.Err() == nil {
 			w.Proxy.Log.Warn("discovery watch ended", "error", cmp.Or(err, io.EOF), "revision", w.revision)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -40,8 +40,8 @@
 		[]string{listJSON(50, true, memberJSON("s-2", "ready"))[:30], listJSON(50, true, memberJSON("s-2", "ready"))[30:] + "\n" + listJSON(51, false, memberJSON("s-3", "ready"))},
 	)
 	target := newProxy()
-	w := &Watcher{Proxy: target, Address: address, Zones: []string{"a", "b"}}
-	if err := w.Seed(List{Revision: 41, Complete: true, Members: []Member{
+	watcher := &Watcher{Proxy: target, Address: address, Zones: []string{"a", "b"}}
+	if err := watcher.Seed(List{Revision: 41, Complete: true, Members: []Member{
 		{ID: "s-1", HostPort: "x", Locality: "a", Phase: "ready", Size: 1}, {ID: "s-2", HostPort: "y", Locality: "b", Phase: "ready", Size: 1},
 	}}); err != nil {
 		t.Fatal(err)
@@ -49,7 +49,7 @@
 	known, _ := target.Endpoints.Find(target.Endpoints.AssignID("s-2"))
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { _ = w.Run(ctx) })
+	done.Go(func() { _ = watcher.Run(ctx) })
 	for i, want := range []string{"from=41", "from=42", "from=51"} {
 		select {
 		case got := <-requested:
@@ -60,7 +60,7 @@
 			t.Fatalf("watch %d was not opened within 5 s", i)
 		}
 		switch i {
-		case 0: // waiters on s-2 are notified as soon as it drains
+		case 0: // Draining of s-2 is closed as soon as it drains
 			select {
 			case <-known.Draining:
 			case <-time.After(5 * time.Second):
@@ -147,12 +147,12 @@
 		settings.PollList, settings.PollInterval = true, 10*time.Second
 		target.UpdateSettings(&settings)
 	}
-	w := &Watcher{Proxy: target, Address: address, Zones: []string{"a", "b"}}
+	watcher := &Watcher{Proxy: target, Address: address, Zones: []string{"a", "b"}}
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
-	done.Go(func() { _ = w.Run(ctx) })
+	done.Go(func() { _ = watcher.Run(ctx) })
 	t.Cleanup(func() { cancel(); done.Wait() })
-	return target, w
+	return target, watcher
 }
 
 // A change that a silent watch misses must be applied within 6 s of the silence, by the next watch, even if the first
@@ -185,9 +185,9 @@
 	}
 }
 
-// A watch that is reset is reopened within 700 ms, even after many resets in a row without a change. The relay is
-// expected to know what its agent knows, so a longer gap would delay changes too much.
-func TestBrokenWatchIsReopenedAtOnce(t *testing.T) {
+// A watch that is reset is reopened within 700 ms, even after many consecutive resets without a change. A longer gap
+// would delay the changes that the agent knows already.
+func TestResetWatchIsReopenedAtOnce(t *testing.T) {
 	agent := newScriptedAgent(t)
 	target, _ := startWatcher(t, agent.address, false)
 	watch, _ := agent.nextWatch("0")
@@ -207,11 +207,11 @@
 // SetAddress with the current address must not interrupt the watch.
 func TestSettingSameAddressKeepsWatch(t *testing.T) {
 	agent := newScriptedAgent(t)
-	target, w := startWatcher(t, agent.address, false)
+	target, watcher := startWatcher(t, agent.address, false)
 	watch, _ := agent.nextWatch("0")
 	watch.answer(listJSON(7, true, memberJSON("s-1", "ready")))
 	testutil.Until(t, "the list was not applied", func() bool { return statesOf(target) == "s-1=ready" })
-	w.SetAddress(agent.address)
+	watcher.SetAddress(agent.address)
 	io.WriteString(watch, chunkText(listJSON(8, false, memberJSON("s-1", "draining"))))
 	testutil.Until(t, "a change on the same watch was not applied", func() bool { return statesOf(target) == "s-1=draining" })
 	if n := len(agent.watches); n != 0 {
