--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Settings are the limits of a pool's connections.
+// Settings limit the connections of a pool.
 type Settings struct {
 	// MaxSessions is the maximum number of requests that share a connection, from 1 to 65535.
 	// A higher number saves handshakes and file descriptors, but more requests fail with a
@@ -66,7 +66,7 @@
 }
 
 // Acquire chooses the connection for a request to an endpoint: the one with the most sessions
-// that has room for another, so that the others become idle and are closed. dial reports that
+// that accepts one more, so that the others become idle and are closed. dial reports that
 // the connection is new and that the caller must dial it.
 func (p *Pool) Acquire(endpoint string) (id ID, dial bool) {
 	var best *connection
@@ -89,8 +89,8 @@
 	return best.id, dial
 }
 
-// preference returns a rank by which Acquire chooses the highest: open connections rank above
-// those that are being dialled, and then connections with more sessions above others.
+// preference returns the rank of a connection; Acquire chooses the highest. Open connections rank
+// above those that are being dialled, and among either, those with more sessions rank higher.
 func (c *connection) preference() int {
 	if c.open {
 		return c.sessions + math.MaxUint16
@@ -148,8 +148,8 @@
 	}
 }
 
-// ExpireIdle returns the connections that the caller must close now, which are not used for
-// new requests any more, and the time of its next call; 0: none until the pool has changed.
+// ExpireIdle returns the connections that the caller must close now, and excludes them from new
+// requests. next is the time of its next call; 0: none until the pool has changed.
 func (p *Pool) ExpireIdle(now time.Duration) (idle []ID, next time.Duration) {
 	for id, conn := range p.byID {
 		if !conn.open || conn.sessions > 0 {
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -44,7 +44,7 @@
 	pool.Release(0, 1)
 	acquire("a", 2, false)
 	pool.Opened(2, 100)
-	acquire("a", 2, false) // the first has no room
+	acquire("a", 2, false) // the first has no free session
 	expireIdle(0, 0)
 	pool.Release(time.Second, 3)
 	expireIdle(time.Second, 0) // the third is not open yet
@@ -66,8 +66,8 @@
 	}
 }
 
-// For all sequences of calls: no connection exceeds its sessions, none with sessions expires, none that is closing gets
-// new sessions, and Counts matches the calls.
+// For all sequences of calls: no connection exceeds its maximum of sessions, none with sessions expires, none that is
+// closing gets new sessions, and Counts matches the calls.
 func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{MaxSessions: rapid.IntRange(1, 4).Draw(t, "max sessions"), IdleTimeout: time.Second}
@@ -103,7 +103,7 @@
 				if dial {
 					for _, other := range models {
 						if other.endpoint == endpoint && !other.closing && other.sessions < other.maxSessions {
-							t.Fatalf("a new connection was chosen although one has room: %+v", other)
+							t.Fatalf("a new connection was chosen although one has a free session: %+v", other)
 						}
 					}
 					model = &connectionModel{endpoint: endpoint, maxSessions: settings.MaxSessions}
--- a/internal/persistence/persistence.go
+++ b/internal/persistence/persistence.go
@@ -19,7 +19,7 @@
 
 const (
 	// MaxDrainDirectives is the maximum number of saved drain directives, at most one for each endpoint. It is far above
-	// the number of endpoints, as the store drops the oldest beyond it, and their endpoints would get clients again.
+	// the number of endpoints: the store drops the oldest directives beyond it, which would undo those drains.
 	MaxDrainDirectives = 1 << 16
 	// MaxDecisions is the maximum number of saved decisions.
 	MaxDecisions = 2000
@@ -55,7 +55,7 @@
 type RelaySnapshot struct {
 	Name       string                         `cbor:"1,keyasint"` // of the relay; other relays must not use the snapshot
 	Clock      time.Duration                  `cbor:"2,keyasint"` // reading of the proxy's clock at TakenAt
-	ClockStart time.Time                      `cbor:"3,keyasint"` // wall clock time of the proxy clock's zero
+	ClockStart time.Time                      `cbor:"3,keyasint"` // start of the proxy's clock, see proxy.Clock.Start
 	TakenAt    time.Time                      `cbor:"4,keyasint"`
 	Agent      string                         `cbor:"5,keyasint"` // address of the discovery agent that sent List
 	List       discovery.List                 `cbor:"6,keyasint"`
@@ -64,7 +64,8 @@
 }
 
 // Maximum ages of the parts of a RelaySnapshot. State that is too old sends clients to endpoints that have failed
-// meanwhile. Without any, each group's clients go to a random endpoint instead of the one that served them before.
+// meanwhile. Without saved state, each group's clients go to a random endpoint instead of the one that served them
+// before.
 const (
 	// ListMaxAge applies to the endpoint list, which is used until discovery sends a new one.
 	ListMaxAge = 10 * time.Minute
--- a/internal/persistence/persistence_test.go
+++ b/internal/persistence/persistence_test.go
@@ -7,7 +7,7 @@
 	"lockroad/balancer"
 )
 
-// Older snapshots keep fewer parts. None is usable if it is from the future or of another relay.
+// The older a snapshot is, the fewer parts are kept. One from the future or of another relay is not usable.
 func TestDiscardStaleByAge(t *testing.T) {
 	takenAt := time.Unix(1_700_000_000, 0)
 	for _, test := range []struct {
--- a/internal/quota/limiter.go
+++ b/internal/quota/limiter.go
@@ -112,8 +112,9 @@
 }
 
 // fairShare returns how many active requests an address may have while admission slots are
-// scarce: an equal share for each active address and one more, and at least one. Without
-// the extra share a single address could take every slot, and the next would find none.
+// scarce: an equal share for each active address and one further address, and at least
+// one. Without the extra share, a single address could use all slots, and the next would
+// be rejected.
 func (l *Limiter) fairShare() int { return max(1, l.settings.FairShareSlots/(l.activeAddresses+1)) }
 
 // usage returns the usage of an address after a refill of its tokens. It starts tracking a
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	if held != 80 {
-		t.Fatalf("a single address holds %d slots, want 80", held) // the others are kept for further addresses
+		t.Fatalf("a single address holds %d slots, want 80", held) // the others stay free for further addresses
 	}
 	limiter = New(Settings{FairShareSlots: 100})
 	counts := make(map[string]int)
--- a/internal/quota/settings.go
+++ b/internal/quota/settings.go
@@ -5,7 +5,7 @@
 // Settings limit the active requests and the rate of new ones. A zero field sets no limit.
 type Settings struct {
 	PerAddress     int            // max active requests per client address
-	Rate           float64        // max average of new requests per address and second
+	Rate           float64        // max average of new requests per second and address
 	Burst          int            // max new requests at once per address; 0: those of a second at Rate, at least one
 	PerClass       map[string]int // max active requests per class
 	FairShareSlots int            // admission slots to share fairly among addresses when scarce; 0: not shared
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -37,7 +37,7 @@
 
 func (r *Request) requestName() RequestName { return RequestName{Frontend: r.Frontend, Name: r.Name} }
 
-// RequestName identifies an open request to clients. A process sends the names of its open
+// RequestName is the name under which clients refer to an open request. A process sends the names of its open
 // requests to the next process of its relay as JSON.
 type RequestName struct {
 	Frontend string `json:"Front"`
@@ -137,7 +137,7 @@
 	request.Stage, request.Endpoint = stage, endpoint
 }
 
-// Remove removes a request that has ended. Later calls for it have no effect.
+// Remove removes a request that has ended. Later calls with its number have no effect.
 func (r *Requests) Remove(number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/registry/requests_test.go
+++ b/internal/registry/requests_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// List and CountByStage cover requests until they are removed, with their last stage and endpoint.
+// Open requests are listed and counted with their last stage and endpoint until they are removed.
 func TestRequestsAreListedWhileOpen(t *testing.T) {
 	requests := NewRequests()
 	first, _ := requests.Add(Request{Name: "one"})
