--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -30,7 +30,7 @@
 	RetainList bool     // keep a copy of the list for List
 
 	// Used by the goroutine of Run, and by Seed and Resume before it.
-	revision       uint64
+	revision       uint64                 // of the last list applied; the next watch continues from it
 	failures       int                    // consecutive watches that delivered no list
 	newestRevision uint64                 // of the newest list from any agent
 	lastPhases     map[string]phaseRecord // by endpoint ID; of listed and recently listed endpoints
--- a/internal/healthcheck/prober/probe.go
+++ b/internal/healthcheck/prober/probe.go
@@ -28,7 +28,7 @@
 	defer cancel()
 	err := p.check(ctx, endpoint.Address)
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return // the relay shuts down
+		return // the relay is shutting down
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/healthcheck/prober/prober.go
+++ b/internal/healthcheck/prober/prober.go
@@ -1,7 +1,7 @@
 // Package prober keeps a proxy's endpoints up to date from health checks, for a site
 // whose endpoints are listed in its configuration. It carries out the probes that
-// internal/healthcheck schedules, reports the outcomes of attempts to it, and lists
-// endpoints at the proxy according to their health.
+// internal/healthcheck schedules, reports the outcomes of attempts to it, and updates the
+// proxy's endpoint list according to the endpoints' health.
 package prober
 
 import (
@@ -23,8 +23,8 @@
 	Size    float64 // relative weight
 }
 
-// Prober lists endpoints at a proxy by their health. It also observes requests, as the
-// outcomes of attempts count for health. Its methods are safe for concurrent use.
+// Prober updates a proxy's endpoint list by the endpoints' health. It also observes
+// requests, as the outcomes of attempts count for health. Its methods are safe for concurrent use.
 type Prober struct {
 	Proxy *proxy.Proxy
 	Ping  bool // probes expect PONG after a PING; otherwise a connection suffices
@@ -39,13 +39,13 @@
 }
 
 // New returns a prober of endpoints, all of which are considered up at first.
-func New(p *proxy.Proxy, settings healthcheck.Settings, endpoints []Endpoint, ping bool) *Prober {
+func New(target *proxy.Proxy, settings healthcheck.Settings, endpoints []Endpoint, ping bool) *Prober {
 	return &Prober{
-		Proxy:     p,
+		Proxy:     target,
 		Ping:      ping,
 		settings:  settings,
 		endpoints: endpoints,
-		tracker:   healthcheck.New(settings, endpointNames(endpoints), p.Clock.Now()),
+		tracker:   healthcheck.New(settings, endpointNames(endpoints), target.Clock.Now()),
 		wake:      make(chan struct{}, 1),
 	}
 }
@@ -57,7 +57,7 @@
 	return all
 }
 
-// PublishInitialList lists all endpoints at the proxy. It must be called before the proxy runs.
+// PublishInitialList adds all endpoints to the proxy's list. It must be called before the proxy runs.
 func (p *Prober) PublishInitialList() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -147,8 +147,8 @@
 		}
 		return func() { adopted <- sockets[0] }, nil
 	})
-	if err := predecessor.HandOff("unwanted", near.(syscall.Conn)); !errors.Is(err, errNotAdopted) {
-		t.Errorf("handoff of a declined connection: got %v, want errNotAdopted", err)
+	if err := predecessor.HandOff("unwanted", near.(syscall.Conn)); !errors.Is(err, errDeclined) {
+		t.Errorf("handoff of a declined connection: got %v, want errDeclined", err)
 	}
 	if err := predecessor.HandOff("wanted", near.(syscall.Conn)); err != nil {
 		t.Fatal(err)
--- a/internal/hotrestart/messages.go
+++ b/internal/hotrestart/messages.go
@@ -34,10 +34,10 @@
 
 // Errors of the exchange between the two processes.
 var (
-	errProtocol   = errors.New("hotrestart: malformed or unexpected message")
-	errOtherUser  = errors.New("hotrestart: peer belongs to another user")
-	errNoPeer     = errors.New("hotrestart: no successor to hand off to")
-	errNotAdopted = errors.New("hotrestart: successor declined the connection")
+	errProtocol  = errors.New("hotrestart: malformed or unexpected message")
+	errOtherUser = errors.New("hotrestart: peer process runs as another user")
+	errNoPeer    = errors.New("hotrestart: no successor to hand off to")
+	errDeclined  = errors.New("hotrestart: successor declined the connection")
 )
 
 // helloMessage identifies a successor.
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -306,7 +306,7 @@
 				continue
 			}
 			if received.kind == kindNack {
-				return errNotAdopted
+				return errDeclined
 			}
 			return nil
 		case <-timeout:
--- a/internal/listener/connlimiter.go
+++ b/internal/listener/connlimiter.go
@@ -40,7 +40,8 @@
 	idleRemoved   chan struct{} // receives a value when an idle connection is removed
 }
 
-// Admission is the state of one connection in a ConnLimiter. It is idle at first.
+// Admission is the state of one connection in a ConnLimiter. An accepted connection is
+// idle at first; an adopted one has a slot.
 type Admission struct {
 	// IdleSince is when the connection last became idle. It is written under
 	// limiter.mu, on admission and by Release.
