--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// Requests share a connection, also while it is being dialled, up to the number of sessions that the endpoint accepts. An
-// idle connection expires after the timeout, and a draining one after its last session.
+// Requests share a connection, also while it is being dialled, up to the number of sessions that the endpoint accepts.
+// An idle connection expires after the timeout, and a draining one after its last session.
 func TestConnectionLifetime(t *testing.T) {
 	pool := New(Settings{MaxSessions: 3, IdleTimeout: time.Second})
 	acquire := func(endpoint string, want ID, wantDial bool) {
--- a/internal/discovery/fakeagent_test.go
+++ b/internal/discovery/fakeagent_test.go
@@ -29,7 +29,7 @@
 		requests <- request
 		if len(responses) == 0 {
 			t.Cleanup(func() { conn.Close() })
-			return // no response, as from an agent that is down
+			return // like an agent that is down
 		}
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\ntransfer-encoding: Chunked\r\n\r\n")
 		for _, text := range responses[0] {
--- a/internal/healthcheck/settings.go
+++ b/internal/healthcheck/settings.go
@@ -10,8 +10,8 @@
 type Settings struct {
 	Interval       time.Duration // between two probes of an endpoint
 	Timeout        time.Duration // of one probe; at most Interval
-	Rise           int           // successful probes in a row after which a down endpoint is up
-	Fall           int           // failed probes or attempts in a row after which an up endpoint is down
+	Rise           int           // consecutive successful probes after which a down endpoint is up
+	Fall           int           // consecutive failed probes or attempts after which an up endpoint is down
 	MaxLoadShare   float64       // limit of the share of an endpoint's time that probes take; within (0, 0.1]
 	PanicThreshold float64       // share of down endpoints above which all are listed as up, see Tracker.PanicMode
 }
--- a/internal/healthcheck/tracker.go
+++ b/internal/healthcheck/tracker.go
@@ -158,7 +158,7 @@
 }
 
 // recordFailure records a failed probe or attempt, and takes the endpoint down after
-// Settings.Fall in a row.
+// Settings.Fall consecutive ones.
 func (t *Tracker) recordFailure(now time.Duration, record *endpointRecord, reason string) {
 	record.consecutiveSuccesses = 0
 	if record.state == StateDown {
--- a/internal/healthcheck/tracker_test.go
+++ b/internal/healthcheck/tracker_test.go
@@ -29,8 +29,8 @@
 	return reported
 }
 
-// An endpoint is down after three failed probes in a row, and up again, with a time of recovery, after two successful
-// ones. Failures that are not in a row change nothing.
+// An endpoint is down after three consecutive failed probes, and up again, with a time of recovery, after two
+// successful ones. Failures that are not consecutive change nothing.
 func TestRiseAndFall(t *testing.T) {
 	tracker := New(DefaultSettings(), []string{"a", "b", "c", "d"}, 0)
 	reported := simulateProbes(tracker, 0, 60*second, func(name string, now time.Duration) bool {
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -98,7 +98,7 @@
 // process, or one that a killed process has left behind.
 func (p *Predecessor) listen() error {
 	temporary := fmt.Sprintf("%s.%d", p.path, os.Getpid())
-	_ = os.Remove(temporary) // if that fails, so does ListenUnix
+	_ = os.Remove(temporary) // ListenUnix fails if it is still there
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: temporary, Net: "unix"})
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 }
 
 // servePeer serves a successor, from its hello until its connection ends. If the
-// successor had taken over, this process then resumes.
+// successor had taken over, the relay then resumes accepting.
 func (p *Predecessor) servePeer(ctx context.Context, conn channel) {
 	defer conn.Close()
 	if err := conn.checkPeerUser(); err != nil {
--- a/internal/proxy/harness_test.go
+++ b/internal/proxy/harness_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// runProxy calls run with a running proxy on a fake clock, with a number of ready endpoints named s-0, s-1 and so on. It
-// then checks that no request is left open and no invariant was violated.
+// runProxy calls run with a running proxy on a fake clock, with a number of ready endpoints named s-0, s-1 and so on.
+// It then checks that no request is left open and no invariant was violated.
 func runProxy(t *testing.T, endpoints int, run func(proxy *Proxy, setState func(index int, state balancer.EndpointState))) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/proxy/heartbeat_test.go
+++ b/internal/proxy/heartbeat_test.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// Guards against a missing echo that lowers the delay which a hung endpoint has reported itself: the balancer would take
-// the delay to be falling, and not migrate its clients.
+// Guards against a missing echo that lowers the delay which a hung endpoint has reported itself: the balancer would
+// take the delay to be falling, and not migrate its clients.
 func TestMissingEchoDoesNotOverrideEndpointReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		monitor := newHeartbeatMonitor(new(settings()), NewClock())
--- a/internal/proxy/observe.go
+++ b/internal/proxy/observe.go
@@ -12,7 +12,7 @@
 
 // The causes of an end.
 const (
-	CauseDecided          EndCause = iota // the balancer decided it, or client or endpoint closed the connection
+	CauseDecided          EndCause = iota // decided by the balancer, or ended by client or endpoint
 	CauseConnectionLimit                  // the frontend had no free admission slot
 	CauseShutdown                         // the relay is shutting down
 	CauseResumeFailed                     // an open request could not be resumed at its endpoint
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -37,9 +37,9 @@
 func (p *Proxy) Migrating() <-chan struct{} { return p.migrating.Done() }
 
 // waitForRelocation waits for a request's time in the migration window, or until ctx or its
-// connection ends. The fractional parts of the multiples of the golden ratio
-// spread the requests evenly, whatever their numbers. A request that is established after
-// its time is relocated at once, as the process may end soon after the window.
+// connection ends. The fractional parts of the multiples of the golden ratio spread the
+// requests evenly, whatever their numbers. A request that is established after its time is
+// relocated at once, as the process may end soon after the window.
 func (p *Proxy) waitForRelocation(ctx context.Context, connEnded <-chan struct{}, number uint64) {
 	const goldenRatio = 0.6180339887498949 // its fractional part
 	_, fraction := math.Modf(float64(number) * goldenRatio)
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -29,7 +29,8 @@
 	return d.fakeDownstream.Migrate()
 }
 
-// A request whose client was notified to migrate counts as migrated, even if its endpoint closes the connection meanwhile.
+// A request whose client was notified to migrate counts as migrated, even if its endpoint closes the connection
+// meanwhile.
 func TestEndpointCloseDuringMigrationCountsAsMigrated(t *testing.T) {
 	runProxy(t, 1, func(proxy *Proxy, _ func(int, balancer.EndpointState)) {
 		downstream := &racingDownstream{fakeDownstream{t: t, proxy: proxy, nextAction: establish(0)}, make(chan struct{})}
--- a/internal/quota/limiter_test.go
+++ b/internal/quota/limiter_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// Guards against one address that uses all admission slots: slots stay free for other addresses, and each gets its share.
+// Guards against one address that uses all admission slots: slots stay free for other addresses, and each gets its
+// share.
 func TestFloodFromOneAddressLeavesFairShares(t *testing.T) {
 	limiter := New(Settings{FairShareSlots: 100})
 	held := 0
@@ -61,8 +62,8 @@
 	}
 }
 
-// For all sequences of Acquire and release: no limit is exceeded, an address without active requests is only rejected by
-// the limit of its class, and no request stays active after its release.
+// For all sequences of Acquire and release: no limit is exceeded, an address without active requests is only rejected
+// by the limit of its class, and no request stays active after its release.
 func TestLimiterInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{PerAddress: rapid.IntRange(0, 4).Draw(t, "per address"), FairShareSlots: rapid.IntRange(0, 12).Draw(t, "fair"), PerClass: map[string]int{"page": rapid.IntRange(1, 6).Draw(t, "per class")}}
--- a/internal/registry/endpoints_test.go
+++ b/internal/registry/endpoints_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// Attempts that hold an Endpoint learn that it drains from its Draining channel, which must stay closed for them when the
-// endpoint is ready again.
+// Attempts that hold an Endpoint learn that it drains from its Draining channel, which must stay closed for them when
+// the endpoint is ready again.
 func TestDrainingIsSignalledAndResetWhenReadyAgain(t *testing.T) {
 	endpoints := NewEndpoints()
 	id := endpoints.AssignID("s-1")
