--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -21,7 +21,7 @@
 
 // fakeHandler is a Handler with one listener.
 type fakeHandler struct {
-	state          atomic.Pointer[string] // offered in place of a short one, if not nil
+	state          atomic.Pointer[string] // overrides the offered state, if not nil
 	clientListener *net.TCPListener
 	pauses         atomic.Int32 // calls of SetPaused with true, less those with false
 	fails          atomic.Bool
@@ -147,8 +147,8 @@
 		}
 		return func() { adopted <- sockets[0] }, nil
 	})
-	if err := predecessor.HandOff("unwanted", near.(syscall.Conn)); !errors.Is(err, errNotAdopted) {
-		t.Errorf("handoff of a declined connection: got %v, want errNotAdopted", err)
+	if err := predecessor.HandOff("unwanted", near.(syscall.Conn)); !errors.Is(err, errDeclined) {
+		t.Errorf("handoff of a declined connection: got %v, want errDeclined", err)
 	}
 	if err := predecessor.HandOff("wanted", near.(syscall.Conn)); err != nil {
 		t.Fatal(err)
--- a/internal/registry/requests.go
+++ b/internal/registry/requests.go
@@ -37,7 +37,7 @@
 
 func (r *Request) requestName() RequestName { return RequestName{Frontend: r.Frontend, Name: r.Name} }
 
-// RequestName identifies an open request to clients. A process sends the names of its open
+// RequestName is the name under which clients refer to an open request. A process sends the names of its open
 // requests to the next process of its relay as JSON.
 type RequestName struct {
 	Frontend string `json:"Front"`
@@ -81,7 +81,7 @@
 }
 
 // Reserve reserves the names of requests that are open in another process of this relay.
-// Adopt ends the reservation of one name, Release of all.
+// Adopt ends the reservation of one name, ReleaseReservations of all.
 func (r *Requests) Reserve(names []RequestName) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +91,8 @@
 	}
 }
 
-// Release ends all reservations. It is called after the other process has ended.
-func (r *Requests) Release() {
+// ReleaseReservations ends all reservations. It is called after the other process has ended.
+func (r *Requests) ReleaseReservations() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reserved = nil
@@ -137,7 +137,7 @@
 	request.Stage, request.Endpoint = stage, endpoint
 }
 
-// Remove removes a request that has ended. Later calls for it have no effect.
+// Remove removes a request that has ended. Later calls with its number have no effect.
 func (r *Requests) Remove(number uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
