--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -46,7 +46,7 @@
 	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
 	next.awaitReady()
-	cluster.writeConfig(append([]fake.Class{{Name: "extra", TimeLimit: time.Second}}, cluster.classes...))
+	cluster.writeConfig(append([]fake.Class{{Name: "extra", TimeLimit: time.Second, LatencyObjective: 10 * time.Second}}, cluster.classes...))
 	for _, p := range []*process{relay, next} {
 		_ = p.Process.Signal(syscall.SIGHUP)
 	}
