--- a/internal/healthcheck/prober/probe.go
+++ b/internal/healthcheck/prober/probe.go
@@ -63,7 +63,7 @@
 		return err
 	}
 	if string(answer) != probeAnswer {
-		return fmt.Errorf("answer to PING is %q, not PONG", answer)
+		return fmt.Errorf("it answers %q to PING", answer)
 	}
 	return nil
 }
@@ -93,7 +93,7 @@
 		ok := status == balancer.StatusOK || status == balancer.StatusFull || status == balancer.StatusRedirected
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.tracker.AttemptEnded(o.Proxy.Clock.Now(), o.Proxy.Endpoints.Name(endpoint), ok, "attempt ended with "+registry.StatusNames[status])
+		o.tracker.AttemptEnded(o.Proxy.Clock.Now(), o.Proxy.Endpoints.Name(endpoint), ok, "a pass: "+registry.StatusNames[status])
 		o.publishChanges()
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -64,7 +64,7 @@
 	// ErrClosed is returned for a change to a closed store.
 	ErrClosed = errors.New("the store is closed")
 	// ErrFull is returned when the queue or the store is full.
-	ErrFull = errors.New("the store or its queue is full")
+	ErrFull = errors.New("the store has no room")
 	// ErrTooLarge is returned for a commit that exceeds the maximum frame size.
 	ErrTooLarge = errors.New("the commit is too large")
 )
