--- a/internal/frontend/amqp/sharedsession.go
+++ b/internal/frontend/amqp/sharedsession.go
@@ -42,7 +42,7 @@
 	ended := s.endedLocally
 	s.mu.Unlock()
 	if overflow && !ended {
-		s.endRemotely(framing.Errorf(framing.CondWindowViolation, "peer sent more frames than its session may queue"))
+		s.endRemotely(framing.Errorf(framing.CondWindowViolation, "more than the session's window takes"))
 		s.endLocally()
 		return
 	}
