--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -139,7 +139,7 @@
 func positiveDuration(reader *settingsReader, values object, path, key string) time.Duration {
 	duration := requiredDuration(reader, values, path, key)
 	if duration <= 0 {
-		reader.failf(path+key, "is not over 0")
+		reader.failf(path+key, "must be greater than 0")
 	}
 	return duration
 }
@@ -218,19 +218,19 @@
 // checkSettings adds errors for invalid values.
 func checkSettings(reader *settingsReader, settings balancer.Settings) {
 	if settings.CrossZoneCost < 0 {
-		reader.failf("Costs.CrossZone", "is %v, which is no price", settings.CrossZoneCost)
+		reader.failf("Costs.CrossZone", "is %v, but must not be negative", settings.CrossZoneCost)
 	}
 	if settings.MaxAttempts < 1 {
-		reader.failf("Limits.TryLimit", "is not over 0")
+		reader.failf("Limits.TryLimit", "must be greater than 0")
 	}
 	if settings.RelayCount < 1 {
-		reader.failf("NInstances", "is not over 0")
+		reader.failf("NInstances", "must be greater than 0")
 	}
 	if !(settings.InitialCapacity > 0 && settings.InitialCapacity <= 1) {
-		reader.failf("Guarantees.StartCapacity", "is %v, which is not over 0 and up to 1", settings.InitialCapacity)
+		reader.failf("Guarantees.StartCapacity", "is %v, but must be greater than 0 and at most 1", settings.InitialCapacity)
 	}
 	if !(settings.OverloadMultiple > 0) {
-		reader.failf("Guarantees.TipMultiple", "is not over 0")
+		reader.failf("Guarantees.TipMultiple", "must be greater than 0")
 	}
 }
 
@@ -241,7 +241,7 @@
 		name := required[string](reader, entry, path, "Name")
 		switch share := optional[float64](reader, entry, path, "Share"); {
 		case share < 0 || share > 1:
-			reader.failf(path+"Share", "is %v, which is no part of the whole", share)
+			reader.failf(path+"Share", "is %v, but must be between 0 and 1", share)
 		case name == "":
 			reader.failf(path+"Name", "is empty")
 		case slices.Contains(names, name):
