--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -27,10 +27,10 @@
 )
 
 type commands struct {
-	Run   runCommand   `cmd:"" default:"withargs" help:"Pass connections on, by a script."`
-	Tell  tellCommand  `cmd:"" help:"Have one that runs carry out a command."`
-	Check checkCommand `cmd:"" help:"Tell what is wrong with scripts."`
-	Forms formsCommand `cmd:"" help:"List the forms of rules and commands."`
+	Run   runCommand   `cmd:"" default:"withargs" help:"Run the proxy and inject the faults of a script."`
+	Tell  tellCommand  `cmd:"" help:"Send a command to a running faultproxy."`
+	Check checkCommand `cmd:"" help:"Check scripts for errors."`
+	Forms formsCommand `cmd:"" help:"List the syntax of rules and commands."`
 }
 
 // streams are the standard streams of a command.
@@ -72,12 +72,12 @@
 
 // runCommand runs the proxy.
 type runCommand struct {
-	Route    []string      `required:"" sep:"none" placeholder:"NAME=LISTEN,TARGET" help:"A door and where it leads; any number of them."`
-	Script   string        `type:"existingfile" placeholder:"FILE" help:"Rules that hold from the start."`
-	Seed     uint64        `default:"1" help:"For what happens by chance."`
-	Socket   string        `placeholder:"PATH" help:"A Unix socket that takes commands."`
-	Commands bool          `help:"Take commands from standard input as well, and end with it."`
-	For      time.Duration `help:"End after this time."`
+	Route    []string      `required:"" sep:"none" placeholder:"NAME=LISTEN,TARGET" help:"Listen on one address and forward its connections to another; repeatable."`
+	Script   string        `type:"existingfile" placeholder:"FILE" help:"Script of the initial rules."`
+	Seed     uint64        `default:"1" help:"Seed of the random number generator."`
+	Socket   string        `placeholder:"PATH" help:"Unix socket on which to accept commands."`
+	Commands bool          `help:"Also read commands from standard input, and exit at its end."`
+	For      time.Duration `help:"Exit after this duration."`
 }
 
 // Help returns examples.
@@ -225,8 +225,8 @@
 
 // tellCommand sends a command to a running faultproxy.
 type tellCommand struct {
-	Socket  string   `arg:"" help:"Where it takes commands."`
-	Command []string `arg:"" help:"Such as '(trigger hang)'; faultproxy forms lists them."`
+	Socket  string   `arg:"" help:"Unix socket of the running faultproxy."`
+	Command []string `arg:"" help:"Command, such as '(trigger hang)'; see faultproxy forms."`
 }
 
 // Run sends the command and prints the answer.
@@ -244,16 +244,16 @@
 	return nil
 }
 
-var errUnreadableScripts = errors.New("some scripts are invalid")
+var errInvalidScripts = errors.New("some scripts are invalid")
 
 // checkCommand checks the syntax of scripts.
 type checkCommand struct {
-	Files []string `arg:"" name:"file" help:"Scripts of rules."`
+	Files []string `arg:"" name:"file" help:"Script files to check."`
 }
 
 // Run prints the number of rules or the error of each script.
 func (c *checkCommand) Run(s streams) error {
-	unreadable := 0
+	invalid := 0
 	for _, file := range c.Files {
 		text, err := os.ReadFile(file)
 		var rules []*faultproxy.Rule
@@ -261,14 +261,14 @@
 			rules, err = faultproxy.ParseRules(string(text))
 		}
 		if err != nil {
-			unreadable++
+			invalid++
 			fmt.Fprintf(s.errs, "%s: %v\n", file, err)
 			continue
 		}
 		fmt.Fprintf(s.out, "%s: %d rules\n", file, len(rules))
 	}
-	if unreadable > 0 {
-		return errUnreadableScripts
+	if invalid > 0 {
+		return errInvalidScripts
 	}
 	return nil
 }
--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -24,11 +24,11 @@
 )
 
 type commands struct {
-	Run     runCommand     `cmd:"" help:"Carry an experiment out, or go on with it, and check its claims."`
-	Report  reportCommand  `cmd:"" help:"Tell the means of a file of results."`
-	Compare compareCommand `cmd:"" help:"Compare two files of results, paired by seed."`
-	Plot    plotCommand    `cmd:"" help:"Draw a plot, SVG or PNG."`
-	List    listCommand    `cmd:"" help:"List experiments, and what a world can be set to."`
+	Run     runCommand     `cmd:"" help:"Run or resume an experiment, and check its claims."`
+	Report  reportCommand  `cmd:"" help:"Print the means of a results file."`
+	Compare compareCommand `cmd:"" help:"Compare two results files, paired by seed."`
+	Plot    plotCommand    `cmd:"" help:"Draw a plot as SVG or PNG."`
+	List    listCommand    `cmd:"" help:"List experiments, world parameters and metrics."`
 }
 
 // streams are the standard output and standard error of a command.
@@ -83,11 +83,11 @@
 
 // runCommand implements simulate run.
 type runCommand struct {
-	Experiment string   `arg:"" help:"The experiment's file."`
-	Out        string   `short:"o" placeholder:"FILE" help:"Results, CSV; by the experiment's name in this folder. What is there is not run again."`
-	Workers    int      `default:"0" help:"Runs at a time; 0: one a core."`
-	Metrics    []string `help:"Figures to tell of."`
-	Quiet      bool     `short:"q" help:"Show no progress."`
+	Experiment string   `arg:"" help:"Experiment file."`
+	Out        string   `short:"o" placeholder:"FILE" help:"Results file, in CSV; runs it already holds are skipped. Defaults to the experiment's file name with .csv, in the working directory."`
+	Workers    int      `default:"0" help:"Number of concurrent runs; 0 means one per core."`
+	Metrics    []string `help:"Metrics to print."`
+	Quiet      bool     `short:"q" help:"Do not print progress."`
 }
 
 // Help returns examples.
@@ -145,8 +145,8 @@
 
 // reportCommand implements simulate report.
 type reportCommand struct {
-	Results string   `arg:"" help:"A file of results."`
-	Metrics []string `help:"Figures to tell of."`
+	Results string   `arg:"" help:"Results file."`
+	Metrics []string `help:"Metrics to print."`
 }
 
 // Run prints the means of the results.
@@ -163,9 +163,9 @@
 
 // compareCommand implements simulate compare.
 type compareCommand struct {
-	A       string   `arg:"" help:"A file of results."`
-	B       string   `arg:"" help:"Another: told is what the first has more."`
-	Metrics []string `help:"Figures to tell of."`
+	A       string   `arg:"" help:"Results file to compare."`
+	B       string   `arg:"" help:"Results file whose values are subtracted from those of the first."`
+	Metrics []string `help:"Metrics to print."`
 }
 
 // Run prints the mean differences of two files of results.
@@ -186,10 +186,10 @@
 
 // plotCommand implements simulate plot.
 type plotCommand struct {
-	Kind  string `arg:"" enum:"load,service,recovery,size" help:"load, service, recovery or size."`
-	From  string `arg:"" help:"An experiment's file; of size, a file of results."`
-	Scene string `help:"Which scene; without, the first."`
-	Out   string `short:"o" required:"" placeholder:"FILE" help:"A name that ends in .svg or .png."`
+	Kind  string `arg:"" enum:"load,service,recovery,size" help:"Kind of plot: load, service, recovery or size."`
+	From  string `arg:"" help:"Experiment file; for a size plot, a results file."`
+	Scene string `help:"Scene to plot; defaults to the first."`
+	Out   string `short:"o" required:"" placeholder:"FILE" help:"Output file; its suffix, .svg or .png, selects the format."`
 }
 
 // Run draws the plot.
@@ -214,7 +214,7 @@
 
 // listCommand implements simulate list.
 type listCommand struct {
-	Folder string `arg:"" optional:"" default:"experiments" help:"Where they are."`
+	Folder string `arg:"" optional:"" default:"experiments" help:"Folder of the experiment files."`
 }
 
 // Run lists the experiment files of a folder, the world parameters and the metrics.
--- a/internal/faultproxy/parse.go
+++ b/internal/faultproxy/parse.go
@@ -94,7 +94,7 @@
 when:   (at TIME) (after-bytes N) (at-line N) (at-frame N) (at-performative NAME [N]) (on-command) (chance PERCENT)
 lasts:  (for TIME)
 bytes:  (swallow) (garble flip|insert|drop|duplicate N) (stall) (pause) (merge) (split N)
-        (latency TIME [JITTER [uniform|normal|exponential]]) (bandwidth BYTES-A-SECOND) (drip N TIME)
+        (latency TIME [JITTER [uniform|normal|exponential]]) (bandwidth BYTES-PER-SECOND) (drip N TIME)
 ends:   (half-close) (cut rst|fin)
 listen: (refuse) (mute) (queue-full) (vanish)
 Without a trigger (when), a rule applies from the start. Without (for TIME), it applies until the
