--- a/experiments/ablation.lisp
+++ b/experiments/ablation.lisp
@@ -1,5 +1,6 @@
-; What of the gap between chance and the oracle is due to what: the module without its
-; preference for the own zone, without word of servers' delays, and without routes of groups.
+; What each part of the balancer contributes to the difference between random choice and the
+; oracle: the balancer without its preference for servers in the relay's zone, without reports
+; of servers' delays, and without cached routes of groups.
 (experiment "ablation"
   (world (for 60s))
   (policies random module-no-routes module-no-notes module-no-zones module oracle)
--- a/experiments/baselines.lisp
+++ b/experiments/baselines.lisp
@@ -1,5 +1,5 @@
-; The module beside policies of the textbooks, on the operators' deployment, calm and in
-; the troubles that their pages name. The oracle sees the true state of all servers.
+; The balancer against textbook policies on the reference deployment, undisturbed and under
+; failures, drains and overload. The oracle knows the true state of all servers.
 (experiment "baselines"
   (world (for 60s))
   (policies module random round-robin least-connections two-choices bounded-hash oracle)
--- a/experiments/fleet.lisp
+++ b/experiments/fleet.lisp
@@ -1,6 +1,6 @@
-; Eighty relays that share nothing before 60 servers: a scene for each cause that was mended
-; (docs/design/fleet.md). Built on the module before a mend and after it, the two are
-; compared by the same seeds: simulate compare.
+; 80 relays without shared state and 60 servers: undisturbed, after 12 servers restart, while 12
+; servers drain, and after 56 relays restart at once. To evaluate a change of the balancer, run it
+; with builds from before and after the change, and compare by seed: simulate compare.
 (experiment "fleet"
   (world (servers 60) (relays 80) (rate 10) (standing 370) (groups 55) (for 40s))
   (policies module)
--- a/experiments/growth.lisp
+++ b/experiments/growth.lisp
@@ -1,4 +1,4 @@
-; How service and cost grow with the farm, the traffic and the relays growing with it.
+; Service and run time as servers, groups and traffic grow by the same factor, with 4 relays.
 (experiment "growth"
   (world (for 40s))
   (policies module two-choices oracle)
--- a/experiments/large.lisp
+++ b/experiments/large.lisp
@@ -1,5 +1,5 @@
-; The largest: 2,000 servers, 64 relays, 200,000 standing connections, 5,400 new ones a
-; second. One run; it takes some minutes on a core.
+; The largest farm: 2,000 servers, 64 relays, 200,000 initial connections, and 5,400 new clients
+; per second. A single run, which takes some minutes on one core.
 (experiment "large"
   (world (servers 2000) (relays 64) (standing 200000) (rate 5400) (per-core 160) (groups 20000) (for 10s) (set-up 2ms) (queue 400))
   (seeds 1)
--- a/experiments/list-delay.lisp
+++ b/experiments/list-delay.lisp
@@ -1,4 +1,5 @@
-; How much a later list costs when servers restart: the operators have seen 2.7 to 9 s.
+; How much a delay of the endpoint list costs when servers restart or drain. Operators have
+; reported delays of 2.7 to 9 s.
 (experiment "list delay"
   (world (for 60s))
   (policies module random)
--- a/experiments/overload.lisp
+++ b/experiments/overload.lisp
@@ -1,5 +1,5 @@
-; From well under to twice what the farm can do: 2.2 new clients a second and 81 that stand
-; fill it to 0.45 with their groups.
+; From well below the farm's capacity to about twice its capacity. At scale-load 1, 2.2 new
+; clients per second, or 81 connected clients, cause a utilization of 0.45, with the cost of groups.
 (experiment "overload"
   (world (for 50s))
   (policies module random least-connections bounded-hash oracle)
--- a/experiments/parts.lisp
+++ b/experiments/parts.lisp
@@ -1,4 +1,4 @@
-; What single parts of the module are worth, each against the module as it is:
+; The balancer under several failures, for measuring the effect of a single constant:
 ; experiments/without.sh experiments/parts.lisp CONSTANT=VALUE...
 (experiment "parts"
   (world (for 60s))
--- a/experiments/probes.lisp
+++ b/experiments/probes.lisp
@@ -1,6 +1,7 @@
-; Servers that are found to be up by probes and passes (a box of its own), against a list that is told late: the same scenes
-; with (probed 0) and the list as late as the operators have seen it, 2.7 to 9 s. found-in is how long a relay took to
-; be told of a server that died or hung, false-alarms how often it was told so of one that was well.
+; Relays that find failed servers by health checks (probed 1) against relays that receive an
+; endpoint list with delay (probed 0); operators have reported delays of 2.7 to 9 s. The metric
+; found-in is the mean time until a relay is notified of a server that is down or hung;
+; false-alarms counts such notifications for ready servers.
 (experiment "probes"
   (world (for 50s))
   (policies module)
--- a/experiments/relays.lisp
+++ b/experiments/relays.lisp
@@ -1,5 +1,5 @@
-; Relays that share nothing: what they do to a farm all at once, the more of them there
-; are, after one server restarts, after 53% of the clients drop, and with the list 9 s behind.
+; The effect of the number of relays, which share no state, on the servers: after a restart of one
+; server, after 53% of the clients drop their connections, and with the endpoint list 9 s behind.
 (experiment "relays"
   (world (for 50s))
   (policies module random oracle)
--- a/experiments/warm.lisp
+++ b/experiments/warm.lisp
@@ -1,5 +1,5 @@
-; What it is worth that a relay which restarts goes on with what it had learnt. Carried out as it is and with (warm 1),
-; the two are compared by the same seeds: simulate compare.
+; What restarted relays gain from restoring the snapshot of their previous run. Run it as it is
+; and with (warm 1), and compare by seed: simulate compare.
 (experiment "warm"
   (world (for 50s) (warm 0))
   (policies module)
--- a/experiments/without.sh
+++ b/experiments/without.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# without.sh EXPERIMENT CONSTANT=VALUE...: what a part of the module is worth. It builds simulate from a copy of
-# the tree in which constants of balancer/*.go are set otherwise, carries the experiment out with that and with
-# the module as it is, by the same seeds, and compares the two. The tree itself is not touched. Example:
+# without.sh EXPERIMENT CONSTANT=VALUE... measures the effect of constants of balancer/*.go. It builds simulate
+# unchanged and from a copy of the tree with the given values, runs the experiment with both, and compares the
+# results by seed. The working tree is not modified. Example:
 #   experiments/without.sh experiments/parts.lisp recoveryDuration=0
 set -eu
 [ $# -ge 2 ] || { sed -n '2,5s/^# //p' "$0" >&2; exit 2; }
@@ -13,7 +13,7 @@
 cp -r "$root/go.mod" "$root/go.sum" "$root/balancer" "$root/cmd" "$root/internal" "$copy"
 for change; do
 	name=${change%%=*}
-	# A constant stands in a block (tab, name) or by itself (const name).
+	# A constant is declared in a block (tab, name) or on its own (const name).
 	declared="^\(	\|const \)$name *= "
 	file=$(grep -l "$declared" "$copy"/balancer/*.go) || { echo "without.sh: balancer has no constant $name" >&2; exit 2; }
 	sed -i "s|\($declared\)[^/]*|\1${change#*=} |" "$file"
