--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -168,7 +168,7 @@
 	Metrics []string `help:"Metrics to print."`
 }
 
-// Run prints the mean differences of two files of results.
+// Run prints the mean differences between two results files.
 func (c *compareCommand) Run(s streams) error {
 	first, err := experiment.ReadResults(c.A)
 	if err != nil {
--- a/internal/experiment/execute.go
+++ b/internal/experiment/execute.go
@@ -35,7 +35,7 @@
 	return results, execution.run(missing, workers)
 }
 
-// resume reads a file of results and prepares it for appending: it writes a missing or truncated
+// resume reads a results file and prepares it for appending: it writes a missing or truncated
 // header, and removes a truncated last line.
 func resume(experiment *Experiment, path string, file *os.File) (*Results, error) {
 	text, err := io.ReadAll(file)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,6 +1,6 @@
 // Package experiment runs simulation experiments: a world, scenarios, policies, a matrix of
 // parameters, seeds, and claims about the results. Runs are parallel and can be resumed after an
-// interruption. The file of results includes the experiment's source.
+// interruption. The results file includes the experiment's source.
 package experiment
 
 import (
@@ -37,8 +37,8 @@
 	Values []*sexp.Node
 }
 
-// Claim is an expected bound of a metric's mean. It is checked in each cell of the matrix, of all
-// scenarios or of one.
+// Claim is an expected bound of a metric's mean for a policy. It is checked in each cell of the
+// matrix, or in those of one scenario.
 type Claim struct {
 	Metric      string
 	Policy      string
@@ -98,7 +98,7 @@
 	return experiment, nil
 }
 
-// setDefaults fills in the forms that the file does not have.
+// setDefaults sets the default policy, scenario and seeds if the file has none.
 func (e *Experiment) setDefaults() {
 	if len(e.Policies) == 0 {
 		e.Policies = simulation.Policies[:1]
@@ -352,7 +352,7 @@
 	Seed   uint64
 }
 
-// Key returns a string that identifies the run among the rows of a file of results.
+// Key returns a string that identifies the run among the rows of a results file.
 func (r Run) Key() string { return fmt.Sprintf("%s|%s|%d", r.Cell.Name(), r.Policy.Name, r.Seed) }
 
 // Runs returns all runs, in the order of cells, policies and seeds.
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -51,7 +51,7 @@
 	case "size":
 		err = plotBySize(chart, results)
 	default:
-		return fmt.Errorf("unknown plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
+		return fmt.Errorf("unknown kind of plot %q; expected one of %s", kind, strings.Join(PlotKinds, ", "))
 	}
 	if err != nil {
 		return err
--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -59,13 +59,13 @@
 // Value returns the value of a metric, which must be one of Metrics.
 func (r Row) Value(metric string) float64 { return r.Values[slices.Index(Metrics, metric)] }
 
-// Results is a parsed file of results.
+// Results is a parsed results file.
 type Results struct {
 	Source string // of the experiment
 	Rows   []Row
 }
 
-// fileHeader returns the header of a file of results: the experiment's source as comments, and the
+// fileHeader returns the header of a results file: the experiment's source as comments, and the
 // names of the columns.
 func fileHeader(source string) string {
 	var b strings.Builder
@@ -76,7 +76,7 @@
 	return b.String()
 }
 
-// ReadResults reads a file of results. It ignores a truncated last line.
+// ReadResults reads a results file. It ignores a truncated last line.
 func ReadResults(path string) (*Results, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 		rest = remaining
 	}
 	if results.Source == "" {
-		return nil, fmt.Errorf("%s: not a file of results: the header has no experiment", path)
+		return nil, fmt.Errorf("%s: not a results file: the header has no experiment", path)
 	}
 	reader := csv.NewReader(bytes.NewReader(rest))
 	reader.FieldsPerRecord = 3 + len(Metrics)
@@ -107,7 +107,7 @@
 		case err != nil:
 			return nil, fmt.Errorf("%s: %w", path, err)
 		case first && (fields[0] != "where" || !slices.Equal(fields[3:], Metrics)):
-			return nil, fmt.Errorf("%s: the columns %v are not those of this version", path, fields)
+			return nil, fmt.Errorf("%s: the columns %v differ from those of this version of simulate", path, fields)
 		case first:
 			continue
 		}
@@ -126,7 +126,7 @@
 	}
 }
 
-// csvLine returns the row's line in a file of results.
+// csvLine returns the row's line in a results file.
 func (r Row) csvLine() []byte {
 	var b bytes.Buffer
 	w := csv.NewWriter(&b)
@@ -244,7 +244,7 @@
 	return table.Flush()
 }
 
-// pairedDifference returns the mean of x-y over the seeds that both have.
+// pairedDifference returns the mean of x-y over the seeds that x and y have in common.
 func pairedDifference(x, y map[uint64]float64) Mean {
 	var differences []float64
 	for seed, value := range x {
@@ -256,8 +256,8 @@
 	return meanOf(differences)
 }
 
-// Compare writes a table of the metrics' mean differences a-b, paired by cell, policy and seed. A star
-// marks those that are significant at 95%.
+// Compare writes a table of the metrics' mean differences between first and second, paired by cell,
+// policy and seed. A star marks differences that are significant at the 95% level.
 func Compare(w io.Writer, first, second *Results, metrics []string) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "WHERE\tPOLICY\tPAIRS\t%s\n", strings.ToUpper(strings.Join(metrics, "\t")))
@@ -285,7 +285,7 @@
 		}
 	}
 	if pairs == 0 {
-		return errors.New("the files of results have no run in common")
+		return errors.New("the results files have no run in common")
 	}
 	return table.Flush()
 }
--- a/internal/simulation/actions.go
+++ b/internal/simulation/actions.go
@@ -17,9 +17,9 @@
 	At       time.Duration
 	Kind     string  // hang, slow, drain, restart, drop, list-behind, relay-restart, surge or add
 	Count    int     // number of servers or relays, which are drawn at random
-	Share    float64 // of the established clients, for drop
+	Share    float64 // of drop: share of the established clients, from 0 to 1
 	Duration time.Duration
-	Factor   float64 // of the speed or arrival rate, or the delay of list-behind
+	Factor   float64 // of slow and surge: factor of the speed or arrival rate; of list-behind: the delay
 }
 
 // String writes the action as ParseScriptedAction reads it.
@@ -43,7 +43,7 @@
 	return a.Kind
 }
 
-// actionForms are the arguments of each kind of action: a number of servers or relays (N), a
+// actionForms has the arguments of each kind of action: a number of servers or relays (N), a
 // factor (X), a percentage (P), a delay (D, stored as the factor) and a duration (T).
 var actionForms = map[string]string{
 	"hang": "N T", "slow": "N X T", "drain": "N", "restart": "N T", "drop": "P", "list-behind": "D T", "relay-restart": "N T", "surge": "X T", "add": "N",
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -37,7 +37,7 @@
 	requestedAt       time.Duration // when it last connected to a relay
 	arrivedAt         time.Duration // when it first connected
 	requestID         balancer.RequestID
-	serverSilent      bool // its server hangs, and a heartbeat timeout is scheduled
+	serverSilent      bool // its server is hung, and a heartbeat timeout is scheduled
 }
 
 // newClient adds a client, which connects to a relay.
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -17,7 +17,7 @@
 	eventDeadline                          // a client's request reaches its deadline
 	eventLifetimeEnds                      // a client leaves
 	eventClientReturns                     // a client connects again
-	eventHeartbeatTimeout                  // a relay gives up the connection of a hung server
+	eventHeartbeatTimeout                  // a relay closes the connection of a client to a hung server
 	eventListUpdate                        // an update of the endpoint list reaches a relay
 	eventProbesDue                         // a relay sends the probes that are due
 	eventProbeResult                       // the result of a probe reaches its relay
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -173,7 +173,8 @@
 	timer       uint32 // token of the timer that was set last
 }
 
-// baselinePolicy returns the constructor of baselines that choose among the ready servers not yet tried.
+// baselinePolicy returns the constructor of baselines that choose, with the given function, among the
+// ready servers that a request has not tried.
 func baselinePolicy(choose func(*baseline, *pendingRequest, []*knownEndpoint) *knownEndpoint) func(*Sim, int) Decider {
 	return func(s *Sim, _ int) Decider {
 		return &baseline{sim: s, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 2)), choose: choose, endpoints: make(map[balancer.EndpointID]*knownEndpoint),
@@ -198,7 +199,7 @@
 // oracleGroupLimit is the utilization below which the oracle keeps a group on a server that serves it.
 const oracleGroupLimit = 0.75
 
-// Handle implements Decider.
+// Handle handles an event and returns the actions to perform.
 func (p *baseline) Handle(now time.Duration, ev balancer.Event) []balancer.Action {
 	p.actions = p.actions[:0]
 	switch ev := ev.(type) {
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -9,17 +9,17 @@
 
 // relayModel is one relay with its decider.
 type relayModel struct {
-	health           *healthcheck.Tracker // nil if it receives an endpoint list
+	health           *healthcheck.Tracker // nil if the relay receives an endpoint list
 	zone             int
 	decider          Decider
 	up               bool
-	incarnation      uint32
+	incarnation      uint32                        // number of starts, which tells events of earlier incarnations apart
 	clientsByRequest map[balancer.RequestID]uint32 // indices of clients
 	lastRequestID    balancer.RequestID
 }
 
-// startRelay starts a relay with a new decider and the complete endpoint list, and restores the
-// snapshot of its previous incarnation if the world says so.
+// startRelay starts a relay with a new decider and the complete endpoint list. If RestoreSnapshots is
+// set, it restores the snapshot of the relay's previous incarnation.
 func (s *Sim) startRelay(id uint32) {
 	relay := s.relays[id]
 	relay.up, relay.clientsByRequest = true, make(map[balancer.RequestID]uint32)
@@ -107,7 +107,7 @@
 	s.retry(id, retryAfter)
 }
 
-// listEntry returns a server as the listEntry list has it.
+// listEntry returns a server's entry in the endpoint list.
 func (s *Sim) listEntry(serverIndex int) balancer.Endpoint {
 	server := s.servers[serverIndex]
 	return balancer.Endpoint{ID: s.serverID(int32(serverIndex)), State: server.state, Zone: server.zone, Size: 1, StartedAt: server.startedAt}
@@ -138,7 +138,7 @@
 	s.handle(event.subject, balancer.EndpointList{Kind: balancer.ListDelta, Endpoints: []balancer.Endpoint{updated}})
 }
 
-// scheduleHeartbeatTimeout schedules when a client's relay gives up the connection to a hung server.
+// scheduleHeartbeatTimeout schedules the time at which a client's relay closes the connection to a hung server.
 func (s *Sim) scheduleHeartbeatTimeout(id uint32) {
 	client := &s.clients[id]
 	client.serverSilent = true
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -10,7 +10,7 @@
 	Text string
 }
 
-// ClassResult has the figures of a class of clients.
+// ClassResult holds the metrics of a class of clients.
 type ClassResult struct {
 	Name        string  `json:"name"`
 	Service     float64 `json:"service"` // served share of the demanded client seconds
@@ -19,13 +19,13 @@
 	InObjective float64 `json:"in_aim"` // share of set-ups within the latency objective
 }
 
-// Result has the figures of a run. Service is the share of the clients' time, weighted by class, in which
+// Result holds the metrics of a run. Service is the share of the clients' time, weighted by class, in which
 // they were connected to a server that met their message latency objective.
 type Result struct {
 	Score                float64       `json:"g"` // 0.6 service + 0.05 worst 10 s + 0.35 worst class - migration cost
 	Service              float64       `json:"service"`
-	WorstTenSeconds      float64       `json:"worst_10s"`
-	WorstTenSecondsStart float64       `json:"worst_at_s"` // start of the 10 s with the least service
+	WorstTenSeconds      float64       `json:"worst_10s"`  // service in the 10 s with the least service
+	WorstTenSecondsStart float64       `json:"worst_at_s"` // start of these 10 s
 	Classes              []ClassResult `json:"classes"`
 	Clients              int           `json:"clients"`
 	Requests             int           `json:"visits"`
@@ -54,7 +54,7 @@
 	Annotations []Annotation `json:"-"`
 }
 
-// Second has the figures of one second of a run.
+// Second holds the metrics of one second of a run.
 type Second struct {
 	Service                        float64 // share of the demand
 	Demand                         float64
@@ -72,7 +72,7 @@
 	return x / y
 }
 
-// result computes the figures of a run from its statistics.
+// result computes the metrics of a run from its statistics.
 func (a *statistics) result(s *Sim, runTime time.Duration) *Result {
 	result := &Result{
 		Clients: a.clients, Requests: a.requests, Attempts: a.attempts, FailedAttempts: a.failedAttempts, Rejected: a.rejected, GaveUp: a.gaveUp, Migrations: a.migrations, HeartbeatTimeouts: a.heartbeatTimeouts,
@@ -111,8 +111,8 @@
 	return result
 }
 
-// recoveryTime returns the seconds from the first action until service has been at 95% of its mean in
-// the 5 s before the action for 3 s in a row: 0 if it never fell below, -1 if it never recovers.
+// recoveryTime returns the seconds from the first action until service reaches 95% of its mean in the
+// 5 s before the action and stays there for 3 s: 0 if it never falls below, -1 if it never recovers.
 func recoveryTime(seconds []Second, annotations []Annotation) float64 {
 	if len(annotations) == 0 {
 		return 0
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -147,7 +147,7 @@
 	}
 }
 
-// markUnavailable records that a server has gone down or hangs.
+// markUnavailable records that a server has gone down or is hung.
 func (s *Sim) markUnavailable(server *serverModel) {
 	server.unavailableSince = s.now
 	clear(server.relaysNotifiedGone)
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -66,7 +66,7 @@
 }
 
 // tick counts the demand of a tick of length dt, after the service of all servers, and completes the
-// figures of each second.
+// metrics of each second.
 func (a *statistics) tick(s *Sim, dt time.Duration) {
 	for i, n := range s.clientsByClass {
 		demanded := float64(n) * s.Classes[i].Weight * dt.Seconds()
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -23,15 +23,15 @@
 	LatencyObjective        time.Duration // of a set-up
 	Deadline                time.Duration // of a set-up
 	MessageLatencyObjective time.Duration // of a message
-	Weight                  float64       // of a second of service in the scores
+	Weight                  float64       // of a second of service in the score
 }
 
 // MaxRelays bounds the memory of a simulation: each relay has a balancer with the complete endpoint list.
 const MaxRelays = 4096
 
 // World holds the parameters of a simulation; ReferenceWorld has a value for each. Loads are in
-// mean connections: the average connection has a load of 1. Fields with
-// two values are the bounds of a uniform distribution.
+// mean connections: the average connection has a load of 1. Fields with two values are the bounds
+// of a uniform distribution.
 type World struct {
 	Servers            int
 	Relays             int
@@ -61,7 +61,7 @@
 	IdleMessageTime       time.Duration // of a message at an idle server with cores of speed 1
 	InitialCapacity       float64       // share of its capacity that a server has when it starts
 	SlowStartDuration     time.Duration // until a started server has its full capacity
-	OverloadMultiple      float64       // of the sustainable set-up rate, at which a warming server fails
+	OverloadMultiple      float64       // of the sustainable set-up rate, above which a server in slow start fails
 	OverloadWindow        time.Duration // over which that rate is measured
 	OverloadDowntime      time.Duration // of a server that failed from overload
 	DrainDuration         time.Duration // from the start of a drain until the server stops
