--- a/cmd/faultproxy/main_test.go
+++ b/cmd/faultproxy/main_test.go
@@ -42,14 +42,14 @@
 
 // Guards against commands, by socket or standard input, that have no effect or are not reported.
 func TestCommandsToRunningProxy(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -61,7 +61,7 @@
 	messages, out := io.Pipe()
 	exited := make(chan int, 1)
 	go func() {
-		exited <- run([]string{"--route", "r=127.0.0.1:0," + l.Addr().String(), "--socket", socket, "--commands", "--for", "30s"}, streams{in, out, io.Discard})
+		exited <- run([]string{"--route", "r=127.0.0.1:0," + listener.Addr().String(), "--socket", socket, "--commands", "--for", "30s"}, streams{in, out, io.Discard})
 		_ = out.Close()
 	}()
 	decoder := json.NewDecoder(messages)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -269,7 +269,7 @@
 	if claim.Operator != ">=" && claim.Operator != "<=" {
 		return args[2].Errorf("unknown operator %q; expected >= or <=", claim.Operator)
 	}
-	if err := claim.parseLimit(args[3]); err != nil {
+	if err := claim.parseBound(args[3]); err != nil {
 		return err
 	}
 	if len(args) == 5 {
@@ -281,8 +281,8 @@
 	return nil
 }
 
-// parseLimit parses the bound of a claim: a value, or a policy and what is added to its mean.
-func (c *Claim) parseLimit(node *sexp.Node) (err error) {
+// parseBound parses the bound of a claim: a value, or a policy and what is added to its mean.
+func (c *Claim) parseBound(node *sexp.Node) (err error) {
 	value := node
 	if node.List != nil {
 		var args []*sexp.Node
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -50,7 +50,7 @@
 (status)            lists routes and rules
 `
 
-// Execute executes a command and returns its answer. A syntax error has the line and column.
+// Execute executes a command and returns its answer. Syntax errors name line and column.
 func (p *Proxy) Execute(command string) ([]Message, error) {
 	node, err := sexp.ParseOne(command)
 	if err != nil {
--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -61,12 +61,12 @@
 	mergedSince time.Duration
 }
 
-// activeRule is a rule and its state in one direction.
+// activeRule is a rule and its state in one direction of a connection.
 type activeRule struct {
 	*Rule
 	salt          uint64 // seeds its random numbers
 	active        bool
-	triggered     bool          // at least once; only Chance triggers a rule again
+	triggered     bool          // at least once; only Chance triggers a rule repeatedly
 	until         time.Duration // 0: without end
 	reported      bool          // an injection was reported since the last trigger
 	performatives uint64        // frames seen of the trigger's performative
@@ -200,7 +200,7 @@
 	return operations
 }
 
-// end closes the direction, or closes or resets the connection.
+// end appends the operation of a half-close or cut fault, after the held-back bytes.
 func (f *Flow) end(rule *activeRule, fault Fault, now time.Duration, operations []Op) []Op {
 	f.report(rule, fault.Kind, now)
 	operations = f.flush(operations, now)
--- a/internal/faultproxy/proxy.go
+++ b/internal/faultproxy/proxy.go
@@ -102,7 +102,7 @@
 }
 
 // Trigger triggers the on-command rule of a name for existing connections and, unless the rule
-// has a duration or ends connections, for new ones. It fails if there is no such rule.
+// has a duration or ends connections, for new ones. It returns an error if there is no such rule.
 func (p *Proxy) Trigger(name string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// Clear removes the rules of a name, or all if it is empty, and ends their faults.
+// Clear removes the rules of a name, or all rules if name is empty, and ends their faults.
 func (p *Proxy) Clear(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -72,13 +72,13 @@
 		{`(rule a (route r1) (conn 1) (first "a") (direction up) (every 1) (swallow))`, []string{"ab"}, ""},
 	} {
 		var injections []Injection
-		f := NewFlow(Location{"r1", 1, Up}, mustParse(t, test.script), 1, []byte(test.feeds[0]), func(injection Injection) { injections = append(injections, injection) })
+		flow := NewFlow(Location{"r1", 1, Up}, mustParse(t, test.script), 1, []byte(test.feeds[0]), func(injection Injection) { injections = append(injections, injection) })
 		got, now := "", time.Duration(0)
 		for i, b := range test.feeds {
 			now = time.Duration(i) * 100 * ms
-			got += describe(f.Due(now)) + describe(f.Feed(now, []byte(b)))
+			got += describe(flow.Due(now)) + describe(flow.Feed(now, []byte(b)))
 		}
-		if rest := describe(f.End(now + 100*ms)); rest != "" {
+		if rest := describe(flow.End(now + 100*ms)); rest != "" {
 			got += "end " + rest
 		}
 		if got != test.want {
@@ -91,30 +91,30 @@
 }
 
 func TestFlowTriggersByCommandAndClock(t *testing.T) {
-	f := NewFlow(Location{"r", 1, Up}, mustParse(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
-	feed := func(at time.Duration, b string) string { return describe(f.Feed(at, []byte(b))) }
+	flow := NewFlow(Location{"r", 1, Up}, mustParse(t, `(rule a (on-command) (for 1s) (swallow)) (rule b (at 5s) (cut rst)) (rule c (on-command) (stall))`), 1, nil, nil)
+	feed := func(at time.Duration, b string) string { return describe(flow.Feed(at, []byte(b))) }
 	if got := feed(0, "x"); got != "0s:x|" {
 		t.Errorf("before the command: got %q, want the byte forwarded", got)
 	}
-	f.Trigger("a", 0)
+	flow.Trigger("a", 0)
 	if got := feed(500*ms, "x") + feed(1100*ms, "y"); got != "1.1s:y|" {
 		t.Errorf("after the command: got %q, want the first byte swallowed and the second forwarded", got)
 	}
-	if next, found := f.NextDue(1200 * ms); !found || next != 5*time.Second {
+	if next, found := flow.NextDue(1200 * ms); !found || next != 5*time.Second {
 		t.Errorf("NextDue returned %v, %v; want 5s, true", next, found)
 	}
-	f.Trigger("c", 2*time.Second)
-	if stalled, until := f.Stalled(2 * time.Second); !stalled || until != 0 {
+	flow.Trigger("c", 2*time.Second)
+	if stalled, until := flow.Stalled(2 * time.Second); !stalled || until != 0 {
 		t.Errorf("Stalled returned %v, %v; want true, 0s", stalled, until)
 	}
-	f.Clear("c")
-	if stalled, _ := f.Stalled(2 * time.Second); stalled {
+	flow.Clear("c")
+	if stalled, _ := flow.Stalled(2 * time.Second); stalled {
 		t.Error("the flow is stalled after the rule was cleared")
 	}
-	if got := describe(f.Due(5 * time.Second)); got != "5s:rst" {
+	if got := describe(flow.Due(5 * time.Second)); got != "5s:rst" {
 		t.Errorf("at the time of rule b: got %q, want a reset", got)
 	}
-	if _, found := f.Trigger("nobody", 0); found {
+	if _, found := flow.Trigger("nobody", 0); found {
 		t.Error("Trigger found a rule of an unknown name")
 	}
 }
@@ -125,11 +125,11 @@
 	text := []byte(strings.Repeat("a line of some length\nb\n", 40))
 	script := `(rule flip (chance 20) (garble flip 3)) (rule insert (at-line 7) (garble insert 4)) (rule drop (after-bytes 200) (garble drop 9)) (rule cut (at-line 70) (cut rst))`
 	run := func(seed uint64, packetSize func(left int) int) string {
-		f := NewFlow(Location{"r", 3, Down}, mustParse(t, script), seed, nil, nil)
+		flow := NewFlow(Location{"r", 3, Down}, mustParse(t, script), seed, nil, nil)
 		var out bytes.Buffer
 		for b := text; len(b) > 0; {
 			n := packetSize(len(b))
-			for _, op := range f.Feed(0, b[:n]) {
+			for _, op := range flow.Feed(0, b[:n]) {
 				fmt.Fprint(&out, map[OpKind]string{OpRST: "[rst]"}[op.Kind])
 				out.Write(op.Data)
 			}
@@ -157,7 +157,7 @@
 			in = append(append(in, 0, 0, 0, byte(8+len(body)), 2, 0, 0, 0), body...)
 		}
 		in = append(in, rapid.SliceOfN(rapid.Byte(), 0, 5).Draw(rt, "rest")...)
-		f := NewFlow(Location{"r", 1, Up}, mustParse(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
+		flow := NewFlow(Location{"r", 1, Up}, mustParse(rt, `(rule a (at-frame 999) (swallow)) (rule b (at-performative close) (swallow)) (rule c (split 3))`), 1, nil, nil)
 		var out []byte
 		collect := func(operations []Op) {
 			for _, op := range operations {
@@ -165,13 +165,13 @@
 			}
 		}
 		swallowed := false
-		f.notify = func(injection Injection) { swallowed = swallowed || injection.Kind == Swallow }
+		flow.notify = func(injection Injection) { swallowed = swallowed || injection.Kind == Swallow }
 		for b := in; len(b) > 0; {
 			n := rapid.IntRange(1, len(b)).Draw(rt, "n")
-			collect(f.Feed(0, b[:n]))
+			collect(flow.Feed(0, b[:n]))
 			b = b[n:]
 		}
-		collect(f.End(0))
+		collect(flow.End(0))
 		if !swallowed && !bytes.Equal(in, out) {
 			rt.Fatalf("input %q was forwarded as %q", in, out)
 		}
@@ -225,14 +225,14 @@
 func newEnvironment(t *testing.T, script string, echo bool) *environment {
 	t.Helper()
 	env := &environment{t: t, accepted: make(chan *net.TCPConn, 16)}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -252,10 +252,10 @@
 		defer env.mu.Unlock()
 		env.injections = append(env.injections, injection)
 	}
-	if env.address, err = env.proxy.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()}); err != nil {
+	if env.address, err = env.proxy.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: listener.Addr().String()}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { env.proxy.Close(); l.Close(); running.Wait() })
+	t.Cleanup(func() { env.proxy.Close(); listener.Close(); running.Wait() })
 	return env
 }
 
@@ -321,19 +321,19 @@
 func TestHalfCloseEndsOneDirection(t *testing.T) {
 	env := newEnvironment(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
 	conn := env.dial()
-	s := env.server()
-	io.WriteString(s, "abcdef")
+	server := env.server()
+	io.WriteString(server, "abcdef")
 	if b, err := io.ReadAll(conn); string(b) != "abc" || err != nil {
 		t.Fatalf("the client received %q, error %v; want abc and EOF", b, err)
 	}
 	io.WriteString(conn, "still here")
 	conn.CloseWrite()
-	if b, err := io.ReadAll(s); string(b) != "still here" || err != nil {
+	if b, err := io.ReadAll(server); string(b) != "still here" || err != nil {
 		t.Errorf("the server received %q, error %v; want all that the client sent", b, err)
 	}
 }
 
-// Guards against a stall that reads on or loses bytes: the sender must block until it is cleared.
+// Guards against a stall fault that continues to read, or that loses bytes when it is cleared.
 func TestStallBlocksTheSender(t *testing.T) {
 	env := newEnvironment(t, `(rule a (direction up) (stall))`, false)
 	conn := env.dial()
@@ -344,9 +344,9 @@
 		t.Fatalf("wrote %d bytes, error %v; want a timeout", n, err)
 	}
 	env.proxy.Clear("a")
-	s := env.server()
+	server := env.server()
 	conn.Close()
-	if got, err := io.Copy(io.Discard, s); err != nil || got != int64(n) {
+	if got, err := io.Copy(io.Discard, server); err != nil || got != int64(n) {
 		t.Errorf("of %d bytes sent the server received %d, error %v", n, got, err)
 	}
 }
@@ -416,23 +416,23 @@
 // BenchmarkProxy compares sequential echoes through a proxy without rules with direct ones. It
 // reports the ratio of their throughputs.
 func BenchmarkProxy(b *testing.B) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			go func() { defer conn.Close(); _, _ = io.Copy(conn, conn) }()
 		}
 	}()
-	p := NewProxy(nil, 1)
-	defer p.Close()
-	address, err := p.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: l.Addr().String()})
+	proxy := NewProxy(nil, 1)
+	defer proxy.Close()
+	address, err := proxy.OpenRoute(Route{Name: "r", Listen: "127.0.0.1:0", Target: listener.Addr().String()})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -454,7 +454,7 @@
 	}
 	for _, size := range []int{64, 256 << 10} {
 		b.Run(fmt.Sprint(size, " bytes"), func(b *testing.B) {
-			direct, proxied := echo(b, l.Addr().String(), size), echo(b, address, size)
+			direct, proxied := echo(b, listener.Addr().String(), size), echo(b, address, size)
 			b.ReportMetric(float64(direct)/float64(proxied), "throughput-ratio")
 		})
 	}
--- a/internal/faultproxy/route.go
+++ b/internal/faultproxy/route.go
@@ -20,11 +20,11 @@
 	accepted     uint64       // connections since the route was opened
 	refusals     int          // active refuse faults
 	queueFillers []net.Conn   // the full listener and the connections in its accept queue
-	queueFull    bool         // whether the accept queue is to be full
+	queueFull    bool         // a queue-full or vanish fault keeps the accept queue full
 	mutes        int          // active mute faults
 	vanishes     atomic.Int32 // active vanish faults; atomic
 
-	passed [2]atomic.Uint64 // bytes received, indexed by Direction
+	passed [2]atomic.Uint64 // bytes received, indexed by Direction; atomic
 }
 
 // connection is one connection through a route.
@@ -112,7 +112,7 @@
 	delete(r.conns, conn)
 }
 
-// dial connects to the target. On failure it makes the client's connection close by a reset.
+// dial connects to the target. If this fails, the client's connection will be closed by a reset.
 func (c *connection) dial() bool {
 	var dialer net.Dialer
 	target, err := dialer.DialContext(c.ctx, "tcp", c.route.Target)
@@ -124,11 +124,11 @@
 	return true
 }
 
-const firstRead = 4 << 10 // size of the buffer for a client's first bytes
+const firstReadSize = 4 << 10 // size of the buffer for a client's first bytes
 
 // readFirst reads the client's first bytes. It reports whether there are any.
 func (c *connection) readFirst() bool {
-	buffer := make([]byte, firstRead)
+	buffer := make([]byte, firstReadSize)
 	n, err := c.client.Read(buffer)
 	if err != nil && n == 0 {
 		return false
--- a/internal/faultproxy/rule.go
+++ b/internal/faultproxy/rule.go
@@ -14,7 +14,7 @@
 const (
 	Up   Direction = iota // from the client to the target
 	Down                  // from the target to the client
-	Both                  // each of them
+	Both                  // both directions
 )
 
 // Directions holds the names of the directions, indexed by Direction.
@@ -44,7 +44,7 @@
 	Count       uint64        // of bytes, or the number of the line or frame, from 1
 	At          time.Duration // on the script's clock
 	Probability float64       // of Chance, from 0 to 1
-	Code        byte          // of AtPerformative
+	Code        byte          // of AtPerformative: descriptor code of the performative
 }
 
 // FaultKind is the kind of a fault.
--- a/internal/faultproxy/scanner.go
+++ b/internal/faultproxy/scanner.go
@@ -24,9 +24,9 @@
 	held        []byte // incomplete start of a frame
 }
 
-// next returns how many bytes, at most limit, precede the next position of interest, and that
-// position. If needMore is set, it needs more input to tell.
-func (s *scanner) next(b []byte, limit uint64) (n int, m position, needMore bool) {
+// next returns how many bytes, at most limit, precede the next position at which rules may be
+// triggered, and that position. If needMore is set, more input is needed to find it.
+func (s *scanner) next(b []byte, limit uint64) (n int, pos position, needMore bool) {
 	maxBytes := min(uint64(len(b)), limit)
 	if s.wantsFrames {
 		return s.nextFrame(b, maxBytes)
@@ -45,7 +45,7 @@
 
 // nextFrame consumes the rest of a frame, or reads the start of the next one: its size (4
 // bytes), data offset, type and channel, then the descriptor of its performative.
-func (s *scanner) nextFrame(b []byte, maxBytes uint64) (n int, m position, needMore bool) {
+func (s *scanner) nextFrame(b []byte, maxBytes uint64) (n int, pos position, needMore bool) {
 	if s.remaining > 0 {
 		n := min(s.remaining, maxBytes)
 		if s.remaining -= n; s.remaining == 0 && !s.inHeader {
@@ -66,10 +66,10 @@
 			return 0, position{}, true
 		}
 		if b[body] == 0 && b[body+1] == 0x53 {
-			m.code = b[body+2]
+			pos.code = b[body+2]
 		}
 	}
 	s.remaining = max(size, 4)
-	m.frame, m.framesBefore = true, s.framesEnded
-	return 0, m, false
+	pos.frame, pos.framesBefore = true, s.framesEnded
+	return 0, pos, false
 }
--- a/internal/faultproxy/shaping.go
+++ b/internal/faultproxy/shaping.go
@@ -21,7 +21,7 @@
 	return nil, Fault{}, false
 }
 
-// transform applies swallow and garble faults to a copy of b.
+// transform returns a copy of b with the active swallow or garble fault applied.
 func (f *Flow) transform(b []byte, now time.Duration) []byte {
 	if rule, _, found := f.activeFault(Swallow); found {
 		f.reportOnce(rule, Swallow, now)
@@ -81,8 +81,8 @@
 	return f.emit(merged, now, operations)
 }
 
-// bandwidthSteps is the least number of writes per second under a bandwidth limit.
-const bandwidthSteps = 20
+// minWritesPerSecond is the minimum number of writes per second under a bandwidth limit.
+const minWritesPerSecond = 20
 
 // emit appends the writes of b, timed and sized by the active faults.
 func (f *Flow) emit(b []byte, now time.Duration, operations []Op) []Op {
@@ -108,7 +108,7 @@
 	if rule, bandwidth, found := f.activeFault(Bandwidth); found {
 		f.reportOnce(rule, Bandwidth, now)
 		rate = bandwidth.Count
-		size = min(size, int(max(1, rate/bandwidthSteps)))
+		size = min(size, int(max(1, rate/minWritesPerSecond)))
 	}
 	for first := true; len(b) > 0; first = false {
 		n := min(len(b), size)
--- a/internal/faultproxy/stream.go
+++ b/internal/faultproxy/stream.go
@@ -15,7 +15,7 @@
 
 // stream performs the operations of a Flow for one direction of a connection.
 type stream struct {
-	ordering   sync.Mutex // held from computing operations until they are queued
+	ordering   sync.Mutex // held while operations are computed and queued, so that they stay in order
 	mu         sync.Mutex // guards flow; taken after ordering
 	flow       *Flow
 	queue      chan Op
@@ -53,7 +53,7 @@
 	buffer := make([]byte, maxPacket)
 	for s.awaitReadable() {
 		n, err := s.from.Read(buffer)
-		// Bytes read just as the route vanished wait as well.
+		// Bytes that were read as a vanish fault began are held until it ends.
 		if n > 0 && !(s.awaitNotVanished() && s.feed(direction, buffer[:n])) {
 			return
 		}
