--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -27,12 +27,12 @@
 
 // Scenario describes a run.
 type Scenario struct {
-	Front           string // protocol of clients and servers: line or amqp
+	Front           string // frontend that the clients use, and protocol of the servers: line or amqp
 	Servers         int
-	Rules           string // fault script; routes: door (the relay's frontend), discovery, and server names
+	Rules           string // fault script; its routes are frontend (of the relay), discovery, and the servers' names
 	Actions         string // script of the servers and clients; see fake.ParseScript
 	WithoutSASL     bool   // servers speak AMQP without the SASL layer
-	SessionsPerConn int    // AMQP requests that may share a connection to a server; 0: each has its own
+	SessionsPerConn int    // maximum of AMQP requests that share a connection to a server; 0: each has its own
 	Seed            uint64
 	SetupTime       time.Duration     // time in which a server accepts an attempt
 	Rate            float64           // new clients per second of the client pool; 0: no pool
@@ -56,12 +56,12 @@
 	socket     string // path of the relay's console socket
 	directory  string // holds the socket
 	cancel     context.CancelFunc
-	ended      chan error     // gets the relay's error when it has ended
+	ended      chan error     // receives the relay's error when it has stopped
 	running    sync.WaitGroup // client pool and actions; Run waits for them
 }
 
-// Run runs a scenario and returns its history for invariants.Check. Once the relay is ready it
-// calls do, which may start sessions, while the client pool and the actions run.
+// Run runs a scenario and returns its history for invariants.Check. Once the relay is ready, it
+// calls do, which may run sessions, while the client pool and the actions run.
 func Run(ctx context.Context, scenario Scenario, do func(context.Context, *Environment)) (invariants.History, error) {
 	if scenario.Limits == (invariants.Limits{}) {
 		scenario.Limits = invariants.DefaultLimits()
@@ -142,7 +142,7 @@
 		return err
 	}
 	platform.DiscoveryAddr = discoveryAddress
-	if e.directory, err = os.MkdirTemp("", "lockroad-trouble-"); err != nil {
+	if e.directory, err = os.MkdirTemp("", "lockroad-faulttest-"); err != nil {
 		return err
 	}
 	e.socket = filepath.Join(e.directory, "console")
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: "door", Listen: "127.0.0.1:0", Target: frontend})
+	address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: "frontend", Listen: "127.0.0.1:0", Target: frontend})
 	if err != nil {
 		return err
 	}
@@ -175,8 +175,8 @@
 }
 
 const (
-	maxInjections = 10_000 // recorded
-	routeAttempts = 21     // to find an AMQP port that is free on all addresses
+	maxInjections = 10_000 // that are recorded
+	routeAttempts = 21     // to find an AMQP port that is free on all servers' addresses
 	readyTimeout  = 10 * time.Second
 	pollInterval  = 5 * time.Millisecond
 	stopTimeout   = 10 * time.Second
@@ -232,7 +232,7 @@
 		select {
 		case err := <-e.ended:
 			e.ended <- err
-			return "", fmt.Errorf("relay ended during start: %w", err)
+			return "", fmt.Errorf("relay stopped during its start: %w", err)
 		default:
 		}
 		text, err := e.Command("fronts")
@@ -246,7 +246,7 @@
 			}
 		}
 	}
-	return "", errors.New("relay's console does not report the frontend in time")
+	return "", errors.New("relay's console did not report the frontend's address in time")
 }
 
 // Command runs a command on the relay's console and returns its output.
@@ -287,7 +287,7 @@
 		select {
 		case err = <-e.ended:
 		case <-time.After(stopTimeout):
-			err = errors.New("relay does not end after its context")
+			err = errors.New("relay did not stop after its context was cancelled")
 		}
 	}
 	if e.Proxy != nil {
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -17,7 +17,7 @@
 	name         string
 	scenario     Scenario
 	onlyFrontend string // the only frontend that it applies to; "": both
-	whyOnly      string // why it does not apply to the other
+	whyOnly      string // why it does not apply to the other frontend
 	// connect runs sessions; nil: 18 at the same time, each of its own group, for 600 ms.
 	connect func(ctx context.Context, t *testing.T, env *Environment) []fake.Session
 	// want is the answer that every client must get within a time; "": any.
@@ -31,10 +31,10 @@
 }
 
 const (
-	serverCount = 6 // default number of servers
-	second      = time.Second
-	ms          = time.Millisecond
-	busyMachine = 500 * ms // tolerance for a busy machine
+	serverCount   = 6 // default number of servers
+	second        = time.Second
+	ms            = time.Millisecond
+	loadTolerance = 500 * ms // added to time limits, as the machine may be busy
 )
 
 func anySession(fake.Session) bool { return true }
@@ -54,7 +54,7 @@
 	}
 }
 
-// sessionsAfterUpdate makes discovery send updates and then runs sessions.
+// sessionsAfterUpdate makes discovery send an update of each server, and then runs 18 sessions.
 func sessionsAfterUpdate(ctx context.Context, _ *testing.T, env *Environment) []fake.Session {
 	for _, name := range env.Site.Names() {
 		env.Site.Discovery.SetState(name, "ready", false)
@@ -66,7 +66,7 @@
 func checkEnds(ends string, within time.Duration) func(*testing.T, *Environment, []fake.Session, invariants.History) {
 	return func(t *testing.T, _ *Environment, all []fake.Session, _ invariants.History) {
 		for _, session := range all {
-			if !slices.Contains(strings.Split(ends, "|"), session.End) || session.EstablishedFor > within+busyMachine {
+			if !slices.Contains(strings.Split(ends, "|"), session.End) || session.EstablishedFor > within+loadTolerance {
 				t.Errorf("session %s ended %q after %v; want %s within %v", session.Name, session.End, session.EstablishedFor, ends, within)
 			}
 		}
@@ -74,7 +74,7 @@
 }
 
 var knownFailures = []knownFailure{
-	// One server of six fails, and all clients are served; or all servers fail, and clients are rejected.
+	// One of six servers fails and all clients are served, or all servers fail and clients are rejected.
 	{name: "a server refuses connections", scenario: Scenario{Rules: `(rule a (route s-1) (refuse))`}, want: "up", within: second},
 	{name: "connections to a server time out", scenario: Scenario{Rules: `(rule a (route s-1) (queue-full))`}, want: "up", within: 1200 * ms},
 	{name: "a server accepts and never answers", scenario: Scenario{Rules: `(rule a (route s-1) (mute))`}, want: "up", within: 2 * second},
@@ -90,10 +90,10 @@
 		check: checkEnds("left", 2*second)},
 	{name: "an answer in small delayed pieces", scenario: Scenario{Rules: `(rule a (route s-1) (direction down) (for 300ms) (drip 8 30ms))`}, want: "up", within: 2 * second},
 	{name: "an answer merged with what follows", scenario: Scenario{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (direction down) (merge))`}, want: "up", within: second},
-	{name: "a request byte by byte", scenario: Scenario{Rules: `(rule a (route door) (direction up) (split 1))`}, want: "up", within: second, check: checkEnds("left", 2*second)},
+	{name: "a request byte by byte", scenario: Scenario{Rules: `(rule a (route frontend) (direction up) (split 1))`}, want: "up", within: second, check: checkEnds("left", 2*second)},
 	{name: "a garbled answer", scenario: Scenario{Rules: `(rule a (route s-1) (direction down) (garble flip 3))`}, want: "up", within: 2 * second, serverFaulted: anyAttempt},
 	{name: "a garbled request to a server", scenario: Scenario{Rules: `(rule a (route s-1) (direction up) (garble flip 5))`}, want: "up", within: 2 * second, serverFaulted: anyAttempt},
-	{name: "a garbled request of a client", scenario: Scenario{Rules: `(rule a (route door) (direction up) (garble flip 4))`}, connect: oneSession(second), clientFaulted: anySession,
+	{name: "a garbled request of a client", scenario: Scenario{Rules: `(rule a (route frontend) (direction up) (garble flip 4))`}, connect: oneSession(second), clientFaulted: anySession,
 		check: func(t *testing.T, _ *Environment, all []fake.Session, history invariants.History) {
 			if session := all[0]; session.Answer == "up" || session.Answer == "unavailable" || session.SetupTime > 3*second || len(history.Attempts) > 0 {
 				t.Errorf("the client got %s after %v, and servers got %d attempts; want a failure and none", session.Answer, session.SetupTime, len(history.Attempts))
@@ -108,24 +108,24 @@
 		scenario: Scenario{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (direction down) (after-bytes 700) (half-close))`}, want: "up", within: second, serverFaulted: anyAttempt,
 		check: checkEnds("bye|broken|moved", 3*second)},
 	{name: "a half-close from the client while the server still sends", connect: oneSession(3 * second),
-		scenario: Scenario{Rules: `(rule a (route door) (direction up) (after-bytes 700) (half-close))`}, want: "up", within: second, clientFaulted: anySession,
+		scenario: Scenario{Rules: `(rule a (route frontend) (direction up) (after-bytes 700) (half-close))`}, want: "up", within: second, clientFaulted: anySession,
 		check: checkEnds("bye|broken|moved", 4*second)},
 	{name: "a reset in the middle of a message", connect: oneSession(3 * second),
 		scenario: Scenario{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (direction down) (after-bytes 733) (cut rst))`}, want: "up", within: second, serverFaulted: anyAttempt, check: checkEnds("broken", 2*second)},
 	{name: "servers vanish with established sessions", connect: oneSession(9 * second),
 		scenario: Scenario{Rules: `(rule a (route s-1 s-2 s-3 s-4 s-5 s-6) (at 1s) (for 9s) (vanish))`}, want: "up", within: second, serverFaulted: anyAttempt, check: checkEnds("moved", 8*second)},
-	{name: "a client disconnects during its attempt", scenario: Scenario{Servers: 1, Duration: 2 * second, Actions: `(at 0s (hang s-1 9s))`, Rules: `(rule a (route door) (at 500ms) (for 200ms) (cut rst))`}, connect: oneSession(second),
+	{name: "a client disconnects during its attempt", scenario: Scenario{Servers: 1, Duration: 2 * second, Actions: `(at 0s (hang s-1 9s))`, Rules: `(rule a (route frontend) (at 500ms) (for 200ms) (cut rst))`}, connect: oneSession(second),
 		clientFaulted: anySession, check: func(t *testing.T, _ *Environment, all []fake.Session, history invariants.History) {
 			if len(history.Attempts) != 1 || all[0].Answer != "none" {
 				t.Fatalf("the client got %s after %d attempts; want none after 1", all[0].Answer, len(history.Attempts))
 			}
 			if attempt := history.Attempts[0]; attempt.ClosedAt.IsZero() || attempt.ClosedAt.Sub(attempt.At) > 1200*ms {
-				t.Errorf("the attempt was in progress for %v after its client disconnected at 500ms", attempt.ClosedAt.Sub(attempt.At))
+				t.Errorf("the attempt was in progress for %v, although its client disconnected at 500ms; want at most 1.2s", attempt.ClosedAt.Sub(attempt.At))
 			}
 		}},
 	{name: "migrations while clients leave", scenario: Scenario{Servers: 2, Rate: 40, Duration: 3 * second, MeanLifetime: 60 * ms, Actions: `(at 1s (drain s-1))`}, served: 0.85},
 
-	// Many servers and clients.
+	// Failures under load.
 	{name: "one of six hangs for 6 s under load", scenario: Scenario{Rate: 6, Duration: 8 * second, MeanLifetime: 2 * second, Actions: `(at 1s (hang s-1 6s))`}, served: 0.8},
 	{name: "half of the clients drop their connections and return", scenario: Scenario{Rate: 6, Duration: 6 * second, MeanLifetime: 3 * second, Actions: `(at 3s (drop 50))`}, served: 0.9,
 		check: func(t *testing.T, _ *Environment, all []fake.Session, _ invariants.History) {
@@ -163,31 +163,31 @@
 	{name: "a link's attach is cut in the middle", onlyFrontend: "amqp", whyOnly: "the line protocol has no frames", scenario: Scenario{Rules: `(rule a (route s-1) (direction up) (at-performative attach) (cut rst))`}, want: "up", within: second},
 }
 
-// limitsOfLateList returns the default limits for an endpoint list that reaches relays late.
-func limitsOfLateList(by time.Duration) invariants.Limits {
-	l := invariants.DefaultLimits()
-	l.DrainDelay += by
-	return l
+// limitsOfLateList returns the default limits for an endpoint list that reaches relays with a delay.
+func limitsOfLateList(delay time.Duration) invariants.Limits {
+	limits := invariants.DefaultLimits()
+	limits.DrainDelay += delay
+	return limits
 }
 
 // TestKnownFailures runs every known failure through the frontends that it applies to, and through
 // the AMQP frontend also with shared connections to servers.
 func TestKnownFailures(t *testing.T) {
-	for _, r := range knownFailures {
+	for _, failure := range knownFailures {
 		for _, variant := range []string{"line", "amqp", "shared"} {
-			t.Run(r.name+"/"+variant, func(t *testing.T) {
+			t.Run(failure.name+"/"+variant, func(t *testing.T) {
 				front, shared := variant, 0
 				if variant == "shared" {
 					front, shared = "amqp", 8
 				}
-				if r.onlyFrontend != "" && r.onlyFrontend != front {
-					t.Skip(r.whyOnly)
+				if failure.onlyFrontend != "" && failure.onlyFrontend != front {
+					t.Skip(failure.whyOnly)
 				}
-				if shared > 0 && strings.Contains(r.scenario.Rules, "(after-bytes") {
-					t.Skip("on a shared connection, the request at a byte offset varies; random scripts cover this")
+				if shared > 0 && strings.Contains(failure.scenario.Rules, "(after-bytes") {
+					t.Skip("on a shared connection, which request is at a byte offset varies; TestRandomScripts covers such faults")
 				}
 				t.Parallel()
-				r.run(t, front, shared)
+				failure.run(t, front, shared)
 			})
 		}
 	}
@@ -201,14 +201,14 @@
 		scenario.Servers = serverCount
 	}
 	if scenario.Duration == 0 && scenario.Actions != "" {
-		scenario.Duration = 3 * second // the actions end with it
+		scenario.Duration = 3 * second // how long the actions run
 	}
 	// The tests check behaviour, on a machine that may be busy, so the time limits are relaxed;
 	// the exact limits are covered by the tests of package invariants.
 	if scenario.Limits == (invariants.Limits{}) {
 		scenario.Limits = invariants.DefaultLimits()
 	}
-	scenario.Limits.AnswerTolerance, scenario.Limits.MaxMessageDelay = scenario.Limits.AnswerTolerance+busyMachine, scenario.Limits.MaxMessageDelay+busyMachine
+	scenario.Limits.AnswerTolerance, scenario.Limits.MaxMessageDelay = scenario.Limits.AnswerTolerance+loadTolerance, scenario.Limits.MaxMessageDelay+loadTolerance
 	ctx, cancel := context.WithTimeout(context.Background(), 30*second)
 	defer cancel()
 	var all []fake.Session
@@ -232,7 +232,7 @@
 	if violations := invariants.Check(history); len(violations) > 0 {
 		var b bytes.Buffer
 		Report(&b, env.Injections(), violations)
-		t.Errorf("invariants are violated\n%s", b.String())
+		t.Errorf("invariants are violated:\n%s", b.String())
 	}
 	r.checkAnswers(t, all)
 	if strings.Contains(scenario.Rules, "(rule") && len(env.Injections()) == 0 {
@@ -247,7 +247,7 @@
 func (r knownFailure) checkAnswers(t *testing.T, all []fake.Session) {
 	t.Helper()
 	for _, session := range all {
-		if r.want != "" && (session.Answer != r.want || session.SetupTime > r.within+busyMachine) {
+		if r.want != "" && (session.Answer != r.want || session.SetupTime > r.within+loadTolerance) {
 			t.Errorf("session %s of group %s got %s after %v; want %s within %v", session.Name, session.Group, session.Answer, session.SetupTime, r.want, r.within)
 		}
 	}
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -17,7 +17,7 @@
 	"lockroad/internal/invariants"
 )
 
-// foundFile is the file in which a scenario that TestRandomScripts finds is stored.
+// foundFile is where TestRandomScripts stores a scenario that violates an invariant.
 const foundFile = "testdata/found.lisp"
 
 // formatScenario formats a scenario for parseScenario.
@@ -43,7 +43,7 @@
 	return scenario, nil
 }
 
-// violations runs a scenario and returns a report of the violated invariants, or "". Attempts at
+// violations runs a scenario and returns a report of the violated invariants, or "" if none is. Attempts at
 // servers with injected faults are excluded, but the answers to clients are always checked.
 func violations(t interface{ Fatal(...any) }, scenario Scenario) string {
 	rules, err := faultproxy.ParseRules(scenario.Rules)
@@ -81,7 +81,7 @@
 	if faulty["discovery"] {
 		history.Limits.DrainDelay = time.Hour // the time at which relays were notified is unknown
 	}
-	history.Limits.AnswerTolerance, history.Limits.MaxMessageDelay = history.Limits.AnswerTolerance+busyMachine, history.Limits.MaxMessageDelay+busyMachine
+	history.Limits.AnswerTolerance, history.Limits.MaxMessageDelay = history.Limits.AnswerTolerance+loadTolerance, history.Limits.MaxMessageDelay+loadTolerance
 	found := invariants.Check(history)
 	if len(found) == 0 {
 		return ""
@@ -91,7 +91,7 @@
 	return b.String()
 }
 
-// TestCorpus guards against the return of violations that random scenarios have found.
+// TestCorpus guards against regressions: it runs the violating scenarios that random tests have found.
 func TestCorpus(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.lisp")
 	if err != nil {
@@ -155,8 +155,8 @@
 	return scenario
 }
 
-// TestRandomScripts checks the invariants in random scenarios, and shrinks a violating scenario
-// and stores it in testdata. It takes several seconds per scenario: `make trouble-long`.
+// TestRandomScripts checks the invariants in random scenarios. It shrinks a violating scenario and
+// stores it in testdata. A scenario takes several seconds, so the test runs in `make trouble-long` only.
 func TestRandomScripts(t *testing.T) {
 	if os.Getenv("LOCKROAD_TROUBLE") == "" {
 		t.Skip("LOCKROAD_TROUBLE is not set; run make trouble-long")
