--- a/internal/fake/capacity.go
+++ b/internal/fake/capacity.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Capacity models the capacity of a server. The time of a message grows with the utilization
-// rho as in an M/M/1 queue, by 1/(1-rho), and demand beyond the capacity forms a backlog. The
-// zero value is unbounded.
+// Capacity models the capacity of a server. The time of a message grows with the utilization rho
+// by a factor of 1/(1-rho), as in an M/M/1 queue, and demand beyond the capacity forms a backlog.
+// The zero value is unbounded.
 type Capacity struct {
 	WorkRate    time.Duration            // work done per second; 0: unbounded
 	ClassWork   map[string]time.Duration // work per second of each connection, by class
@@ -23,7 +23,7 @@
 // workload is the current demand on a server. The caller of its methods holds the server's mu.
 type workload struct {
 	Capacity
-	startedAt time.Time      // zero: the server is warm
+	startedAt time.Time      // zero: the server has no slow start
 	demand    time.Duration  // work per second
 	groups    map[string]int // number of connections by group
 	backlog   time.Duration  // work not done yet, as of updatedAt
--- a/internal/fake/capacity_test.go
+++ b/internal/fake/capacity_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards the queue model: demand beyond the capacity forms a backlog, a group counts once, and
+// Guards the queueing model: demand beyond the capacity forms a backlog, a group counts once, and
 // capacity is reduced during slow start.
 func TestWorkloadDelaysMessages(t *testing.T) {
 	const ms = time.Millisecond
--- a/internal/fake/clientpool.go
+++ b/internal/fake/clientpool.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Class describes the clients of a class.
+// Class holds the parameters of a class of clients.
 type Class struct {
 	Name             string
 	Share            float64       // of the new clients, from 0 to 1
@@ -33,13 +33,13 @@
 	Rate            float64 // new clients per second
 	Groups          int     // number of groups; the nth is drawn about 1/n as often as the first
 	MessageInterval time.Duration
-	MaxClients      int // at the same time
+	MaxClients      int // maximum number of clients at the same time
 	Seed            uint64
 	SourceAddress   string // local address of line connections; "": any
 
 	mu       sync.Mutex // guards the fields below, and Rate once Run is called
 	rng      *rand.Rand
-	sessions uint64 // number started so far, used in their names
+	sessions uint64 // number of sessions started so far, used in their names
 	clients  map[*client]struct{}
 	running  sync.WaitGroup // the clients' goroutines; Run waits for them
 }
@@ -111,7 +111,8 @@
 	return drawn
 }
 
-// drawGroup draws a group by an approximation of Zipf's law: the nth has a share like 1/n.
+// drawGroup draws a group by an approximation of Zipf's law: the share of the nth is about
+// proportional to 1/n.
 func (c *ClientPool) drawGroup() string {
 	group := int(math.Exp(c.rng.Float64()*math.Log(float64(max(1, c.Groups)+1)))) - 1
 	return fmt.Sprintf("%016x", uint64(group+1)*0x9e3779b97f4a7c15)
--- a/internal/fake/clientsession.go
+++ b/internal/fake/clientsession.go
@@ -34,7 +34,7 @@
 )
 
 const (
-	leaveTimeout       = 2 * time.Second // time that a client that leaves waits for the end
+	leaveTimeout       = 2 * time.Second // how long a leaving client waits for the end of its session
 	minMessageInterval = 10 * time.Millisecond
 	lineQueue          = 16 // capacity of channels of lines and messages
 )
@@ -49,11 +49,11 @@
 
 // transport is the connection of an established session over either protocol.
 type transport interface {
-	send(sequence int) error // sends the message of a number
+	send(sequence int) error // sends the message with a sequence number
 	leave()                  // starts a regular end of the session
 }
 
-// run runs the session and returns its end, or its answer if it was not established.
+// run runs the session and returns how it ended, or its answer if it was not established.
 func (s *clientSession) run(ctx context.Context) string {
 	if s.client.frontend == "amqp" {
 		return s.runAMQP(ctx)
@@ -75,7 +75,7 @@
 	return end
 }
 
-// exchangeMessages sends messages and checks their echoes until the session ends, and returns its end.
+// exchangeMessages sends messages and checks their echoes until the session ends, and returns how it ended.
 // lines carries what the relay sends; it is closed when the connection ends.
 func (s *clientSession) exchangeMessages(ctx context.Context, lines <-chan string, connection transport) string {
 	lifetime := time.NewTimer(s.client.drawLifetime())
@@ -117,7 +117,7 @@
 	}
 }
 
-// endOfLine returns the session's end that a line or the end of the connection means, or "".
+// endOfLine returns how a line or the end of the connection ends the session, or "" if it does not.
 func endOfLine(line string, open, leaving bool) string {
 	switch {
 	case !open && leaving:
@@ -136,14 +136,14 @@
 func (s *clientSession) checkEcho(line string, sequence int) {
 	var microseconds int64
 	_, err := fmt.Sscanf(line, "M %d ", &microseconds)
-	held := time.Since(time.UnixMicro(microseconds))
+	delay := time.Since(time.UnixMicro(microseconds)) // since the server sent the echo
 	_, message, _ := strings.Cut(strings.TrimPrefix(line, "M "), " ")
 	took, ok := readMessage(message, sequence, s.record.Name)
 	s.update(func() {
 		if s.record.Echoes++; err != nil || !ok {
 			s.record.Garbled++
 		} else {
-			s.record.MaxMessageDelay = max(s.record.MaxMessageDelay, held)
+			s.record.MaxMessageDelay = max(s.record.MaxMessageDelay, delay)
 		}
 		if took > cmp.Or(s.client.class.LatencyObjective, defaultObjective) {
 			s.record.LateEchoes++
--- a/internal/fake/collector.go
+++ b/internal/fake/collector.go
@@ -14,16 +14,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Collector is a telemetry collector for OTLP 1.x over HTTP with protobuf. It is an
-// http.Handler and safe for concurrent use; the zero value is ready.
+// Collector is a telemetry collector for OTLP 1.x over HTTP with protobuf. It is an http.Handler
+// and safe for concurrent use. The zero value is ready to use.
 type Collector struct {
 	mu     sync.Mutex // guards the fields below
 	spans  []*spanpb.Span
-	counts map[string]int64
+	values map[string]int64 // latest values of metrics, by name and attribute values
 	errs   []error
 }
 
-// maxBody bounds the size of an export, in bytes.
+// maxBody is the maximum size of an export, in bytes. The rest of a longer one is not read.
 const maxBody = 64 << 20
 
 // ServeHTTP receives one export of spans or metrics.
@@ -78,8 +78,8 @@
 
 // storeMetrics stores the latest value of each data point. The caller holds mu.
 func (c *Collector) storeMetrics(export *metricspb.ExportMetricsServiceRequest) {
-	if c.counts == nil {
-		c.counts = make(map[string]int64)
+	if c.values == nil {
+		c.values = make(map[string]int64)
 	}
 	for _, resource := range export.ResourceMetrics {
 		for _, scope := range resource.ScopeMetrics {
@@ -91,7 +91,7 @@
 					for _, attribute := range point.Attributes {
 						name += " " + attribute.Value.GetStringValue()
 					}
-					c.counts[name] = point.GetAsInt()
+					c.values[name] = point.GetAsInt()
 				}
 			}
 		}
@@ -107,11 +107,11 @@
 
 // MetricValue returns the latest value of a metric. name is the metric's name followed by the
 // values of its attributes, separated by spaces.
-func (c *Collector) MetricValue(name string) (count int64, ok bool) {
+func (c *Collector) MetricValue(name string) (value int64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	count, ok = c.counts[name]
-	return count, ok
+	value, ok = c.values[name]
+	return value, ok
 }
 
 // Errors returns the errors of invalid exports.
--- a/internal/fake/delayreports.go
+++ b/internal/fake/delayreports.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const reportInterval = time.Second // between delay reports
+const reportInterval = time.Second // of delay reports
 
 // reportWriter writes a line to a connection. Connections are told apart by its pointer.
 type reportWriter = func(string) error
@@ -48,12 +48,12 @@
 	return all
 }
 
-// reportDelays reports the delay of messages to each relay once a second while it is above
-// ReportThreshold, and once when it no longer is, until ctx ends.
+// reportDelays reports the delay of messages to each relay once per second while the delay is above
+// ReportThreshold, and once more when it has fallen below. It returns when ctx ends.
 func (s *Server) reportDelays(ctx context.Context) {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
-	for wasLong := false; ; {
+	for wasOver := false; ; {
 		select {
 		case <-ctx.Done():
 			return
@@ -62,12 +62,12 @@
 		s.mu.Lock()
 		delay, hangs := s.workload.delay(time.Now()), s.mode == ModeHang
 		s.mu.Unlock()
-		long := delay > s.Capacity.ReportThreshold
-		if (long || wasLong) && !hangs {
+		over := delay > s.Capacity.ReportThreshold
+		if (over || wasOver) && !hangs {
 			for _, write := range s.delayReports.onePerListener() {
 				_ = write(fmt.Sprintf("LOAD %d\r\n", delay.Milliseconds()))
 			}
 		}
-		wasLong = long
+		wasOver = over
 	}
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -14,8 +14,8 @@
 	"lockroad/internal/discovery"
 )
 
-// Discovery is a discovery agent over HTTP/1.1, which serves the endpoint list and a watch of
-// its changes. After Start, its methods are safe for concurrent use.
+// Discovery is a discovery agent. It serves the endpoint list and a watch of its changes over
+// HTTP/1.1. After Start, its methods are safe for concurrent use.
 type Discovery struct {
 	Log *EventLog
 
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// Stop closes the agent and its watches.
+// Stop stops the agent and closes its watches.
 func (d *Discovery) Stop() { _ = d.server.Close() }
 
 // Address returns the address that the agent listens on.
@@ -111,7 +111,7 @@
 // keepAliveInterval is the interval of the empty lines on a watch.
 const keepAliveInterval = 2 * time.Second
 
-// serveHosts serves the list and, with watch=1, its changes until the caller closes the connection.
+// serveHosts serves the list and, with watch=1, its changes until the client closes the connection.
 func (d *Discovery) serveHosts(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseUint(r.URL.Query().Get("from"), 10, 64)
 	if err != nil && r.URL.Query().Has("from") {
@@ -125,13 +125,13 @@
 	list, changed := d.since(from), d.changed
 	d.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(list) // a closed connection is noticed by the watch
+	_ = json.NewEncoder(w).Encode(list) // watch detects a closed connection
 	if r.URL.Query().Get("watch") == "1" {
 		d.watch(w, r, list.Revision, changed)
 	}
 }
 
-// watch writes the changes after a revision, and empty lines as keep-alive, until the caller
+// watch writes the changes after a revision, and empty lines as keep-alive, until the client
 // closes the connection. changed is closed on the first change after the revision.
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, revision uint64, changed <-chan struct{}) {
 	encoder := json.NewEncoder(w)
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -63,8 +63,8 @@
 // maxEntries bounds each list of an event log; further entries are only counted.
 const maxEntries = 1 << 20
 
-// EventLog records what servers, clients and discovery see. It is safe for concurrent use; the
-// zero value is ready.
+// EventLog records the events that servers, clients and discovery observe. It is safe for concurrent
+// use. The zero value is ready to use.
 type EventLog struct {
 	mu         sync.Mutex // guards the fields below and the entries themselves
 	attempts   []*Attempt
--- a/internal/fake/message.go
+++ b/internal/fake/message.go
@@ -22,6 +22,6 @@
 	if _, err := fmt.Sscanf(text, messageFormat, &gotSequence, &microseconds, &gotName); err != nil {
 		return 0, false
 	}
-	unchanged := text == fmt.Sprintf(messageFormat, gotSequence, microseconds, gotName)
-	return time.Since(time.UnixMicro(microseconds)), gotSequence == sequence && gotName == name && unchanged
+	unaltered := text == fmt.Sprintf(messageFormat, gotSequence, microseconds, gotName)
+	return time.Since(time.UnixMicro(microseconds)), gotSequence == sequence && gotName == name && unaltered
 }
--- a/internal/fake/script.go
+++ b/internal/fake/script.go
@@ -14,8 +14,8 @@
 	At       time.Duration // since the start of the script
 	Kind     string        // hang, no-credit, busy, error, break, slow, drain, restart or drop
 	Server   string
-	Duration time.Duration // how long it lasts; of restart: how long the server is down
-	Delay    time.Duration // of slow: the time of an echo
+	Duration time.Duration // how long the action lasts; of restart: how long the server is down
+	Delay    time.Duration // of slow: the delay of each echo
 	Share    float64       // of drop: share of the clients, from 0 to 1
 }
 
@@ -85,7 +85,7 @@
 	return action, err
 }
 
-// actionForms are the arguments of each kind of action.
+// actionForms has the arguments of each kind of action.
 var actionForms = map[string][]string{
 	"hang": {"SERVER", "TIME"}, "no-credit": {"SERVER", "TIME"}, "busy": {"SERVER", "TIME"}, "error": {"SERVER", "TIME"}, "break": {"SERVER", "TIME"},
 	"slow": {"SERVER", "DELAY", "TIME"}, "drain": {"SERVER"}, "restart": {"SERVER", "TIME"}, "drop": {"PERCENT"},
@@ -111,7 +111,7 @@
 	return action, nil
 }
 
-// setArgument parses an argument of a kind and sets its field.
+// setArgument parses an argument of a kind in actionForms and sets the field.
 func (a *ScriptedAction) setArgument(argument string, node *sexp.Node, servers []string) (err error) {
 	switch argument {
 	case "SERVER":
@@ -132,8 +132,8 @@
 	return err
 }
 
-// Run performs a script's actions at their times and calls notify with each that has begun,
-// until all have begun or ctx ends. Stop waits for actions that last.
+// Run starts a script's actions at their times and calls notify with each that has started, until
+// all have started or ctx ends. Stop waits for the ends of actions that have a duration.
 func (s *Site) Run(ctx context.Context, actions []ScriptedAction, notify func(ScriptedAction)) {
 	start := time.Now()
 	for _, action := range actions {
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -28,7 +28,7 @@
 	Log           *EventLog
 	SetupTime     time.Duration // time to accept an attempt
 	MaxConns      int           // maximum of established attempts; further ones are rejected. 0: unbounded
-	Load          time.Duration // work per second that the server reports for each connection
+	Load          time.Duration // load that the server reports for each connection, in work per second
 	WithoutSASL   bool          // AMQP without the SASL layer
 	AnswersProbes bool          // answers health probes: PING by PONG
 	// Capacity applies to line connections only. If WorkRate is set, the server reports delays
@@ -37,7 +37,7 @@
 	ExtraListeners []string // addresses of further line listeners, one for each relay beyond the first
 
 	mu           sync.Mutex // guards the fields below
-	addresses    [2]string  // of the line and the AMQP listener, by listener number
+	addresses    [2]string  // of the line and the AMQP listener, indexed by listener number
 	listeners    []net.Listener
 	conns        map[net.Conn]context.CancelFunc
 	mode         ServerMode
@@ -50,7 +50,7 @@
 	running      sync.WaitGroup // all goroutines of the server; Stop waits for them
 }
 
-// Numbers of a server's listeners; those from listenersOfOneRelay on are the ExtraListeners.
+// Numbers of a server's listeners. Numbers from listenersOfOneRelay on belong to ExtraListeners.
 const (
 	listenerLine = iota
 	listenerAMQP
@@ -114,7 +114,7 @@
 // LineAddress returns the address of the line listener.
 func (s *Server) LineAddress() string { return s.listenAddress(listenerLine) }
 
-// AMQPAddress returns the address of the AMQPAddress listener.
+// AMQPAddress returns the address of the AMQP listener.
 func (s *Server) AMQPAddress() string { return s.listenAddress(listenerAMQP) }
 
 func (s *Server) listenAddress(number int) string {
@@ -222,7 +222,7 @@
 	s.mu.Lock()
 	mode, delay := s.mode, s.delay
 	if queueDelay := s.workload.delay(time.Now()); queueDelay > 0 {
-		delay += queueDelay - took // from its sending on, as queued messages wait concurrently
+		delay += queueDelay - took // counted from when it was sent, as queued messages wait concurrently
 	}
 	s.mu.Unlock()
 	if mode == ModeHang {
@@ -237,8 +237,8 @@
 	return true
 }
 
-// shouldMigrate reports whether a connection is to be migrated now. sequence increases by one
-// with each call for a connection, so that one in drainRounds calls returns true.
+// shouldMigrate reports whether a connection is to be migrated now, which is the case in one of
+// drainRounds calls while the server drains. sequence increases by one with each call.
 func (s *Server) shouldMigrate(sequence int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/server_amqp.go
+++ b/internal/fake/server_amqp.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	linkCredit     = 100 // deliveries that a client may send without a new grant
-	creditInterval = 50  // deliveries between grants of credit
+	linkCredit     = 100 // deliveries that a client may send before a new grant of credit
+	creditInterval = 50  // number of deliveries between grants of credit
 )
 
 // serveAMQP serves one AMQP 1.0 connection and, concurrently, its sessions.
@@ -93,7 +93,7 @@
 	return true
 }
 
-// attached answers an attempt as its mode demands. It reports whether the session continues.
+// attached answers an attempt by the server's mode. It reports whether the session continues.
 func (s *serverSession) attached(ctx context.Context, event amqp.PeerEvent) bool {
 	class, _ := event.Properties["class"].(string)
 	milliseconds, _ := amqp.AsUint64(event.Properties["give-up-ms"])
--- a/internal/fake/server_line.go
+++ b/internal/fake/server_line.go
@@ -157,8 +157,8 @@
 	l.conn.CloseWrite()
 }
 
-// joinWorkload adds the connection to the server's workload and to the connections for delay
-// reports. The returned function removes it from both.
+// joinWorkload adds the connection's demand to the server's workload, and the connection to those on
+// which delays are reported. The returned function removes both.
 func (l *serverLine) joinWorkload() (leave func()) {
 	write := l.write
 	l.server.delayReports.add(l.listener, &write)
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -12,22 +12,22 @@
 	"lockroad/internal/discovery"
 )
 
-// Site is a set of servers, their discovery, and the clients that use them.
+// Site is a set of servers, the discovery agents that list them, and the clients that use them.
 type Site struct {
 	Log       *EventLog
 	Servers   []*Server
 	Discovery *Discovery
-	Agents    []*Discovery // discovery of the relays beyond the first, if servers have extra listeners
+	Agents    []*Discovery // discovery agents of the relays beyond the first, if servers have extra listeners
 	Clients   *ClientPool
 	AMQPPort  int // of all servers
 
 	pending sync.WaitGroup // goroutines of scripted actions; Stop waits for them
 }
 
-// maxStarts bounds the attempts to find an AMQP port that is free on all addresses.
+// maxStarts bounds the attempts to find an AMQP port that is free on all servers' addresses.
 const maxStarts = 20
 
-// NewSite starts n servers, named s-1 and so on, and discovery that lists them. Each server has
+// NewSite starts n servers, named s-1 and so on, and a discovery agent that lists them. Each server has
 // its own loopback address, as all use the same AMQP port. They have the given SetupTime and
 // MaxConns; prepare, which may be nil, sets their other fields before they start.
 func NewSite(n int, setupTime time.Duration, maxConns int, prepare func(*Server)) (*Site, error) {
@@ -43,7 +43,7 @@
 		}
 	}
 	for range s.Servers[0].ExtraListeners {
-		agent := &Discovery{Log: &EventLog{}} // a separate log, as the agent repeats the changes of the first
+		agent := &Discovery{Log: &EventLog{}} // a log of its own, as the agent repeats the changes that the first agent records
 		if err := agent.Start("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
@@ -87,7 +87,7 @@
 	return err
 }
 
-// Agent returns the discovery of a relay, numbered from 0.
+// Agent returns the discovery agent of a relay; relays are numbered from 0.
 func (s *Site) Agent(relay int) *Discovery {
 	if relay > 0 && relay <= len(s.Agents) {
 		return s.Agents[relay-1]
@@ -95,7 +95,8 @@
 	return s.Discovery
 }
 
-// SetState changes a server's phase in all discovery; justStarted also sets its start time to now.
+// SetState changes a server's phase at all discovery agents; justStarted also sets its start time to
+// now.
 func (s *Site) SetState(id, phase string, justStarted bool) {
 	s.Discovery.SetState(id, phase, justStarted)
 	for _, agent := range s.Agents {
@@ -135,8 +136,8 @@
 	}
 }
 
-// Config returns the platform's JSON configuration for a relay of the site, numbered from 0,
-// with its line frontend on a free port.
+// Config returns the platform's JSON configuration for a relay of the site, with its line frontend on
+// a free port. Relays are numbered from 0.
 func (s *Site) Config(classes []Class, seed uint64, relay int) ([]byte, error) {
 	type object = map[string]any
 	var classObjects []object
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// update makes Compare rewrite the files. The commit that changes a text names the readers of
-// the text that it affects.
+// update makes Compare rewrite the files. A commit that changes a text says which of its readers are
+// affected.
 var update = flag.Bool("update", false, "rewrite the golden files, for intended changes only")
 
 // Compare fails the test unless got equals testdata/golden/name.
--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -31,11 +31,11 @@
 	AnswerTolerance   time.Duration // of an answer after the client's time limit, and of overlapping attempts
 	DrainDelay        time.Duration // time until a server that drains or is gone gets no new attempts
 	MaxMessageDelay   time.Duration // time that a message may take through the relay
-	SlowStartDuration time.Duration // time that a server warms up after its start
+	SlowStartDuration time.Duration // of a server, after its start
 	InitialCapacity   float64       // share of its capacity that a server has at its start
 	OverloadMultiple  float64       // a server in slow start is overloaded by this multiple of its capacity
-	OverloadWindow    time.Duration // over this time
-	Capacity          float64       // set-ups a second of a warm server; 0: slow start is not checked
+	OverloadWindow    time.Duration // period over which the set-ups at a server are counted
+	Capacity          float64       // set-ups per second of a server after its slow start; 0: slow start is not checked
 }
 
 // DefaultLimits returns the documented limits, with 50 ms of tolerance on times.
@@ -102,7 +102,7 @@
 // checkSession checks one client's session and the attempts that servers recorded for it.
 func (c *checker) checkSession(session fake.Session) {
 	switch {
-	case session.Refused: // the relay never accepted the connection
+	case session.Refused: // the relay did not accept the connection
 		return
 	case session.Answer == "":
 		return // not answered yet
@@ -135,7 +135,7 @@
 	if attempt.MaxMessageDelay > c.Limits.MaxMessageDelay {
 		c.add(PromptDelivery, attempt.At, "a message of session %s to server %s took %v through the relay", session.Name, attempt.Endpoint, attempt.MaxMessageDelay)
 	}
-	// The session was cut off although its server had not ended it.
+	// The relay closed its connections on both sides although the server had not ended the session.
 	if session.End == "broken" && attempt.Answer == "up" && (attempt.End == "gone" || attempt.End == "bye") {
 		c.add(Migrated, attempt.EndedAt, "session %s was cut off although server %s had not ended it", session.Name, attempt.Endpoint)
 	}
@@ -167,7 +167,7 @@
 		periods := unavailable[change.Endpoint]
 		open := len(periods) > 0 && periods[len(periods)-1].to.IsZero()
 		switch {
-		case change.State == fake.Killed: // discovery did not report it
+		case change.State == fake.Killed: // discovery does not report kills
 		case change.State == "ready" && open:
 			periods[len(periods)-1].to = change.At
 		case change.State != "ready" && !open:
@@ -215,8 +215,8 @@
 		}
 		age := max(0, from.Sub(start.At)) + limits.OverloadWindow
 		share := min(1, limits.InitialCapacity+(1-limits.InitialCapacity)*age.Seconds()/limits.SlowStartDuration.Seconds())
-		if most := max(1, limits.OverloadMultiple*share*limits.Capacity*limits.OverloadWindow.Seconds()); float64(count) > most {
-			c.add(SlowStart, from, "%d set-ups reached server %s within %v, starting %v after its start; the limit is %.1f", count, start.Endpoint, limits.OverloadWindow, from.Sub(start.At), most)
+		if limit := max(1, limits.OverloadMultiple*share*limits.Capacity*limits.OverloadWindow.Seconds()); float64(count) > limit {
+			c.add(SlowStart, from, "%d set-ups reached server %s within %v, starting %v after its start; the limit is %.1f", count, start.Endpoint, limits.OverloadWindow, from.Sub(start.At), limit)
 			return
 		}
 	}
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -45,7 +45,7 @@
 	}
 	var decoded T
 	if err := json.Unmarshal(Golden(t, path, text), &decoded); err != nil {
-		t.Fatalf("%s: %v", path, err)
+		t.Fatalf("decode %s: %v", path, err)
 	}
 	if !reflect.DeepEqual(decoded, value) {
 		t.Errorf("%s decodes to\n%+v, want\n%+v", path, decoded, value)
@@ -62,7 +62,7 @@
 func requireComplete(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
-		t.Errorf("%s is zero", path)
+		t.Errorf("%s is zero, so its encoding is not compared", path)
 		return
 	}
 	if encodesItself(v.Type()) {
@@ -83,20 +83,20 @@
 				continue
 			}
 			if other, found := seen[v.Field(i).Interface()]; found {
-				t.Errorf("%s.%s equals %s", path, field.Name, other)
+				t.Errorf("%s.%s has the same value as %s, so a swap of the two would not show", path, field.Name, other)
 			}
 			seen[v.Field(i).Interface()] = field.Name
 		}
 	case reflect.Slice, reflect.Array:
 		if v.Len() == 0 {
-			t.Errorf("%s is empty", path)
+			t.Errorf("%s is empty, so the encoding of its elements is not compared", path)
 		}
 		for i := range v.Len() {
 			requireComplete(t, path+"[]", v.Index(i))
 		}
 	case reflect.Map:
 		if v.Len() == 0 {
-			t.Errorf("%s is empty", path)
+			t.Errorf("%s is empty, so the encoding of its elements is not compared", path)
 		}
 		for _, key := range v.MapKeys() {
 			requireComplete(t, path+" key", key)
