--- a/cmd/sim-adapter/main_test.go
+++ b/cmd/sim-adapter/main_test.go
@@ -17,7 +17,8 @@
 "Guarantees":{"AnswerSlackUs":20000,"ColdUs":23000000,"DrainGraceUs":1000000,"FallUs":1500000,
 "StartCapacity":0.13,"TipMultiple":3.0}}`
 
-// encode concatenates the encodings of values on the wire. A string is preceded by its length.
+// encode concatenates the encodings of values in the simulator's protocol. A string is preceded by its
+// length.
 func encode(values ...any) []byte {
 	var out []byte
 	for _, value := range values {
@@ -87,7 +88,7 @@
 		t.Error("the reply to an empty batch is not empty")
 	}
 	if got := actionsByInstance(t, out.Bytes())[0]; len(got) != 2 {
-		t.Errorf("%d actions for one request, want 2: its timer and its attempt", len(got))
+		t.Errorf("one request led to %d actions, want 2: a timer and an attempt", len(got))
 	}
 }
 
@@ -131,7 +132,7 @@
 		t.Fatal(err)
 	}
 	if got := actionsByInstance(t, out.Bytes())[0]; len(got) != 4 || got[0] != strings.Replace(got[2], "\x02\x00\x00\x00", "\x01\x00\x00\x00", 1) {
-		t.Errorf("the new instance acts differently from the retired one: %q", got)
+		t.Errorf("the actions of the retired and of the new instance are %q, want the same 2 of each", got)
 	}
 }
 
@@ -153,7 +154,7 @@
 	}
 }
 
-// TestMain runs the command instead of the tests if the environment says so.
+// TestMain runs the command instead of the tests if SIM_ADAPTER_AS_COMMAND is set, for TestCommandExit.
 func TestMain(m *testing.M) {
 	if os.Getenv("SIM_ADAPTER_AS_COMMAND") != "" {
 		main()
--- a/internal/experiment/golden_test.go
+++ b/internal/experiment/golden_test.go
@@ -9,42 +9,42 @@
 	"lockroad/internal/simulation"
 )
 
-// fixedResults returns results with a different value in every column and row, raised by offset.
+// fixedResults returns results with a different value in every column and row. offset is added to each.
 func fixedResults(policy string, offset float64) *Results {
-	r := &Results{Source: "(experiment \"fixed\")\n"}
+	results := &Results{Source: "(experiment \"fixed\")\n"}
 	for seed := range uint64(3) {
 		row := Row{Cell: "calm servers=3", Policy: policy, Seed: seed}
 		for i := range Metrics {
 			row.Values = append(row.Values, float64(i)+float64(seed)/8+offset)
 		}
-		r.Rows = append(r.Rows, row)
+		results.Rows = append(results.Rows, row)
 	}
-	return r
+	return results
 }
 
-// Guards against changes of the results' file format, which would make stored results unreadable.
+// Guards against changes of the format of results files, which would make stored results unreadable.
 func TestResultsCSVIsStable(t *testing.T) {
-	r := fixedResults("module", 0.1)
-	text := fileHeader(r.Source)
-	for _, row := range r.Rows {
+	results := fixedResults("module", 0.1)
+	text := fileHeader(results.Source)
+	for _, row := range results.Rows {
 		text += string(row.csvLine())
 	}
 	golden.Compare(t, "results.csv", text)
 	again, err := parseResults("results.csv", golden.Read(t, "results.csv"))
-	if err != nil || again.Source != r.Source || len(again.Rows) != len(r.Rows) || again.Rows[2].Value("g") != 0.35 {
+	if err != nil || again.Source != results.Source || len(again.Rows) != len(results.Rows) || again.Rows[2].Value("g") != 0.35 {
 		t.Errorf("results.csv is parsed as %+v, error %v", again, err)
 	}
 }
 
-// Guards against columns that are filled from another field of the result.
+// Guards against metrics that are computed from the wrong field of the result.
 func TestMetricsOfResultAreStable(t *testing.T) {
-	r := &simulation.Result{Score: 1, Service: 2, WorstTenSeconds: 3, AttemptsPerRequest: 4, Rejected: 50, GaveUp: 60, Migrations: 70, HeartbeatTimeouts: 80, BrokenConnections: 90, CrossZoneAttempts: 100, LateAfterDrain: 11, Overloaded: 12,
+	result := &simulation.Result{Score: 1, Service: 2, WorstTenSeconds: 3, AttemptsPerRequest: 4, Rejected: 50, GaveUp: 60, Migrations: 70, HeartbeatTimeouts: 80, BrokenConnections: 90, CrossZoneAttempts: 100, LateAfterDrain: 11, Overloaded: 12,
 		LoadSpread: 13, ServersPerGroup: 14, Recovery: 15, Clients: 10, Established: 16, Probes: 170, DetectionTime: 18, FalseAlarms: 19, Events: 20, RunTime: 21}
 	for i, class := range simulation.ReferenceWorld().Classes {
-		r.Classes = append(r.Classes, simulation.ClassResult{Name: class.Name, Service: 30 + float64(i), InObjective: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
+		result.Classes = append(result.Classes, simulation.ClassResult{Name: class.Name, Service: 30 + float64(i), InObjective: 40 + float64(i), P50: 50 + float64(i), P99: 60 + float64(i)})
 	}
 	var b strings.Builder
-	for i, value := range metricsOf(r) {
+	for i, value := range metricsOf(result) {
 		fmt.Fprintf(&b, "%s %v\n", Metrics[i], value)
 	}
 	golden.Compare(t, "figures.txt", b.String())
--- a/internal/experiment/lab_test.go
+++ b/internal/experiment/lab_test.go
@@ -22,7 +22,7 @@
   (claim tipped module <= 0))
 `
 
-// mustParse parses an experiment.
+// mustParse parses an experiment, and fails the test if it is invalid.
 func mustParse(t *testing.T, source string) *Experiment {
 	t.Helper()
 	experiment, err := Parse(source)
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	if contradicted := results.ContradictedClaims(experiment); len(results.Rows) != len(experiment.Runs()) || len(contradicted) > 0 {
-		t.Errorf("results have %d rows of %d runs and contradict the claims %v", len(results.Rows), len(experiment.Runs()), contradicted)
+		t.Errorf("results have %d rows, want one for each of %d runs, and contradict the claims %v, want none", len(results.Rows), len(experiment.Runs()), contradicted)
 	}
 	text, err := os.ReadFile(complete)
 	if err != nil {
@@ -108,18 +108,18 @@
 			t.Errorf("truncated to %d bytes, resumed results are\n%s\nwant\n%s", length, report(again), report(results))
 		}
 		if missing := bytes.Count(text[length:], []byte("\n")); length > len(fileHeader(smallExperiment)) && runs > missing+1 {
-			t.Errorf("truncated to %d bytes: %d runs were repeated", length, runs-missing)
+			t.Errorf("truncated to %d bytes: %d runs were repeated, want at most the one of the truncated line", length, runs-missing)
 		}
 		if stored, err := ReadResults(path); err != nil || len(stored.Rows) != len(experiment.Runs()) || strings.TrimSpace(stored.Source) != strings.TrimSpace(smallExperiment) {
-			t.Errorf("truncated to %d bytes: the resumed file holds %v, error %v", length, stored, err)
+			t.Errorf("truncated to %d bytes: the resumed file holds %v, error %v; want the rows of all runs and the experiment", length, stored, err)
 		}
 	}
 	if _, err := Execute(mustParse(t, strings.Replace(smallExperiment, "(rate 3)", "(rate 4)", 1)), complete, 1, nil); err == nil || !strings.Contains(err.Error(), "another experiment") {
-		t.Errorf("appending to results of another experiment: error is %v", err)
+		t.Errorf("appending to results of another experiment: error is %v, want one that says so", err)
 	}
 }
 
-// Guards against the service of a class in the column of another.
+// Guards against a class's service that is stored in the column of another class.
 func TestMetricsHaveServiceOfEachClass(t *testing.T) {
 	world := simulation.ReferenceWorld()
 	world.Duration = 5 * time.Second
--- a/internal/faultproxy/proxy_test.go
+++ b/internal/faultproxy/proxy_test.go
@@ -321,14 +321,14 @@
 func TestHalfCloseEndsOneDirection(t *testing.T) {
 	env := newEnvironment(t, `(rule a (direction down) (after-bytes 3) (half-close))`, false)
 	conn := env.dial()
-	server := env.server()
-	io.WriteString(server, "abcdef")
+	serverConn := env.server()
+	io.WriteString(serverConn, "abcdef")
 	if b, err := io.ReadAll(conn); string(b) != "abc" || err != nil {
 		t.Fatalf("the client received %q, error %v; want abc and EOF", b, err)
 	}
 	io.WriteString(conn, "still here")
 	conn.CloseWrite()
-	if b, err := io.ReadAll(server); string(b) != "still here" || err != nil {
+	if b, err := io.ReadAll(serverConn); string(b) != "still here" || err != nil {
 		t.Errorf("the server received %q, error %v; want all that the client sent", b, err)
 	}
 }
@@ -344,9 +344,9 @@
 		t.Fatalf("wrote %d bytes, error %v; want a timeout", n, err)
 	}
 	env.proxy.Clear("a")
-	server := env.server()
+	serverConn := env.server()
 	conn.Close()
-	if got, err := io.Copy(io.Discard, server); err != nil || got != int64(n) {
+	if got, err := io.Copy(io.Discard, serverConn); err != nil || got != int64(n) {
 		t.Errorf("of %d bytes sent the server received %d, error %v", n, got, err)
 	}
 }
--- a/internal/invariants/invariants_test.go
+++ b/internal/invariants/invariants_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Guards against limits that are off: each rule holds at its limit and is violated just beyond.
+// Guards against limits that are off by one: each rule holds at its limit and is violated just beyond it.
 func TestCheckAtLimits(t *testing.T) {
 	if found := Check(validHistory()); len(found) > 0 {
 		t.Fatalf("violations in a valid history: %v", found)
--- a/internal/simprotocol/golden_test.go
+++ b/internal/simprotocol/golden_test.go
@@ -10,8 +10,8 @@
 	"lockroad/internal/golden"
 )
 
-// Guards against a renamed key, and records the result for each key if it is missing, of another
-// type or out of range.
+// Guards against renamed keys and changed errors: the golden file has the result for each key when it
+// is missing, an object or -1.
 func TestSettingsKeysAreStable(t *testing.T) {
 	var b strings.Builder
 	valid := golden.Read(t, "settings.json")
@@ -51,7 +51,7 @@
 	golden.Compare(t, "settings-keys.txt", b.String())
 }
 
-// Guards against changes of the words in the settings.
+// Guards against changes of the words that settings may have as values.
 func TestSettingsWordsAreStable(t *testing.T) {
 	var b strings.Builder
 	for _, word := range []string{"idempotent", "deduplicated", "at_most_once", "all", "zone", "cell", "Idempotent"} {
--- a/internal/simprotocol/protocol_test.go
+++ b/internal/simprotocol/protocol_test.go
@@ -45,7 +45,7 @@
 	return b
 }
 
-// batch returns a batch of records, each given in hexadecimal.
+// batch returns the encoding of a batch of records, each given in hexadecimal.
 func batch(t testing.TB, records ...string) []byte {
 	t.Helper()
 	body := decodeHex(t, strings.Join(records, ""))
@@ -55,7 +55,7 @@
 	return append(head, body...)
 }
 
-// readAll reads all records of all batches.
+// readAll reads the records of all batches.
 func readAll(source io.Reader) (records []Record, err error) {
 	reader := NewReader(source)
 	for {
@@ -257,7 +257,7 @@
 			t.Errorf("an input of %d bytes, shorter than a header, returned no error", len(in))
 		}
 		if len(records) > len(in) {
-			t.Errorf("an input of %d bytes has %d records", len(in), len(records))
+			t.Errorf("an input of %d bytes was decoded to %d records", len(in), len(records))
 		}
 	})
 }
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// sampleWithout returns the sample settings without the key at a path; in a list, that of its second element.
+// sampleWithout returns the sample settings without the key at a path. A list on the path stands for its second
+// element.
 func sampleWithout(t *testing.T, path ...string) []byte {
 	t.Helper()
 	var values map[string]any
@@ -126,7 +127,7 @@
 	}
 }
 
-// A value of the wrong type must be reported with its key and with JSON types instead of Go types.
+// Guards against type errors that name Go types instead of JSON types, or do not name the key.
 func TestTypeMismatchesAreReportedInJSONTypes(t *testing.T) {
 	for _, c := range [][3]string{
 		{`"NInstances": 2`, `"NInstances": "two"`, "NInstances has the wrong type: expected an integer, found a string"},
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -14,7 +14,7 @@
 	"lockroad/internal/sexp"
 )
 
-// mustParseActions parses a script.
+// mustParseActions parses a script, and fails the test if it is invalid.
 func mustParseActions(t interface {
 	Helper()
 	Fatal(...any)
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("%+v", short)
 }
 
-// Guards against results that depend on anything but the seed, or not on the seed.
+// Guards against results that differ between runs with one seed, or do not differ between seeds.
 func TestSeedDeterminesResult(t *testing.T) {
 	actions := mustParseActions(t, "(at 5s (hang 2 8s)) (at 8s (drain 1)) (at 10s (restart 1 3s)) (at 12s (drop 40)) (at 15s (relay-restart 1 3s)) (at 18s (slow 2 0.3 5s)) (at 20s (surge 3 4s)) (at 21s (list-behind 4s 6s)) (at 25s (add 2))")
 	for _, policy := range Policies {
@@ -67,7 +67,7 @@
 			t.Errorf("%s: seeds 3 and 4 give the same score and number of events", policy.Name)
 		}
 		if first.Clients < 80 || first.Service < 0.3 || first.Migrations+first.BrokenConnections == 0 || len(first.Annotations) < 9 {
-			t.Errorf("%s: the scripted failures had no effect: %s", policy.Name, summary(first))
+			t.Errorf("%s: the scripted actions had no effect: %s", policy.Name, summary(first))
 		}
 	}
 }
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// Guards against clients and loads that are lost or counted twice, and against late attempts of
-// the balancer at draining servers, under random scripts.
+// Guards against clients and loads that are lost or counted twice under random scripts, and against
+// attempts that the balancer sends to draining servers after the grace period.
 func TestRandomScenariosStayConsistent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		world := ReferenceWorld()
@@ -165,8 +165,8 @@
 	})
 }
 
-// Guards against a model in which failures and overload do not lower the service, or the balancer
-// does not serve an undisturbed run.
+// Guards against a model in which failures and overload do not lower the service, or in which service
+// is low without them.
 func TestFailuresAndOverloadLowerService(t *testing.T) {
 	mean := func(actions, policy string, change func(*World)) (service, attempts float64, result *Result) {
 		for seed := range uint64(5) {
@@ -180,27 +180,27 @@
 		}
 		return service, attempts, result
 	}
-	calm, attempts, result := mean("", "module", func(world *World) { world.ArrivalRate, world.InitialConnections = 1.5, 55 })
-	if calm < 0.93 || attempts > 1.2 || result.Overloaded > 0 || result.HeartbeatTimeouts > 0 {
-		t.Errorf("without failures, service is %.3f with %.2f attempts per request: %s", calm, attempts, summary(result))
+	undisturbed, attempts, result := mean("", "module", func(world *World) { world.ArrivalRate, world.InitialConnections = 1.5, 55 })
+	if undisturbed < 0.93 || attempts > 1.2 || result.Overloaded > 0 || result.HeartbeatTimeouts > 0 {
+		t.Errorf("without failures, service is %.3f, want at least 0.93, and %.2f attempts per request, want at most 1.2: %s", undisturbed, attempts, summary(result))
 	}
 	hung, _, _ := mean("(at 10s (hang 2 15s))", "module", nil)
 	usual, _, _ := mean("", "module", nil)
 	if hung >= usual {
-		t.Errorf("service is %.3f with two hung servers and %.3f without", hung, usual)
+		t.Errorf("service is %.3f with two hung servers and %.3f without, want less with them", hung, usual)
 	}
 	overload, _, _ := mean("", "module", func(world *World) { world.ArrivalRate, world.InitialConnections = 8, 300 })
 	if overload > usual-0.1 {
-		t.Errorf("service is %.3f under overload and %.3f without", overload, usual)
+		t.Errorf("service is %.3f under overload and %.3f without, want it lower by 0.1 or more", overload, usual)
 	}
 	oracle, _, _ := mean("", "oracle", nil)
 	random, _, _ := mean("", "random", nil)
 	if oracle < random {
-		t.Errorf("service is %.3f with the oracle and %.3f with random choice", oracle, random)
+		t.Errorf("service is %.3f with the oracle and %.3f with random choice, want more with the oracle", oracle, random)
 	}
-	cold, _, result := mean("(at 5s (restart 2 2s))", "module", nil)
-	if result.Overloaded > 0 || cold < 0.5 {
-		t.Errorf("%d restarted servers failed from overload; service is %.3f", result.Overloaded, cold)
+	restarted, _, result := mean("(at 5s (restart 2 2s))", "module", nil)
+	if result.Overloaded > 0 || restarted < 0.5 {
+		t.Errorf("%d restarted servers failed from overload, want none; service is %.3f, want at least 0.5", result.Overloaded, restarted)
 	}
 }
 
@@ -231,14 +231,14 @@
 		}
 	}
 	if result := run(true, 0, ""); result.FalseAlarms != 0 || result.Probes < 13*4*20 {
-		t.Errorf("without failures, there are %d false alarms and %d probes", result.FalseAlarms, result.Probes)
+		t.Errorf("without failures, there are %d false alarms, want none, and %d probes, want at least %d", result.FalseAlarms, result.Probes, 13*4*20)
 	}
 	if result := run(true, 0.4, "(at 10s (add 1)) (at 20s (drain 1)) (at 22s (relay-restart 1 3s))"); result.FalseAlarms == 0 {
 		t.Error("lost probes cause no false alarm")
 	}
 }
 
-// Guards against baselines that spread requests other than their rules say.
+// Guards against baselines that do not choose servers by the rule that they are named after.
 func TestBaselinesFollowTheirRules(t *testing.T) {
 	choices := func(name string, n int, group uint64) map[balancer.EndpointID]int {
 		s := New(ReferenceWorld(), nil, mustFindPolicy(name), 1)
@@ -254,7 +254,7 @@
 		}
 		return got
 	}
-	for name, want := range map[string][3]int{ // most servers chosen, fewest and most requests each
+	for name, want := range map[string][3]int{ // maximum of servers chosen, minimum and maximum of requests for each
 		"round-robin": {13, 10, 10}, "least-connections": {13, 10, 10}, "two-choices": {13, 5, 14}, "random": {13, 1, 25}, "bounded-hash": {13, 0, 13},
 	} {
 		got := choices(name, 130, 7)
@@ -267,7 +267,7 @@
 		}
 	}
 	if got := choices("bounded-hash", 1, 7); len(got) != 1 || fmt.Sprint(got) != fmt.Sprint(choices("bounded-hash", 1, 7)) {
-		t.Errorf("bounded-hash: the group's request goes to %v, and not there again", got)
+		t.Errorf("bounded-hash: the first request of a group goes to %v, and not there again in a second run", got)
 	}
 }
 
@@ -301,7 +301,7 @@
 	}
 }
 
-// The balancer of the relay is a Decider.
+// The production balancer implements Decider.
 var _ Decider = (*balancer.Balancer)(nil)
 
 // BenchmarkSimulation reports, for worlds of several sizes, the simulated seconds and the events per
--- a/internal/simulation/theory_test.go
+++ b/internal/simulation/theory_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// The number of connections is that of an M/G/infinity queue: Poisson distributed, with the mean
-// that Little's law gives.
+// The number of connections in an M/G/infinity queue is Poisson distributed, with the mean given by
+// Little's law.
 func TestConnectionCountMatchesLittlesLaw(t *testing.T) {
 	world := ReferenceWorld()
 	world.Duration, world.InitialConnections, world.RateAmplitude, world.Servers = 600*time.Second, 0, 0, 60
@@ -129,7 +129,7 @@
 	}
 }
 
-// Guards against scores that do not grow with what a policy knows of the servers.
+// Guards against scores that do not increase with a policy's knowledge of the servers' state.
 func TestPoliciesRankByTheirKnowledge(t *testing.T) {
 	score := func(name string) (mean float64) {
 		for seed := range uint64(12) {
