--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -121,7 +121,7 @@
 	}
 	proxy.ResetClock()
 	if commandListener != nil {
-		go func() { _ = proxy.Serve(ctx, commandListener) }() // ends with ctx
+		go func() { _ = proxy.ServeCommandListener(ctx, commandListener) }() // ends with ctx
 	}
 	return c.wait(ctx, proxy, s.in, output)
 }
@@ -278,6 +278,6 @@
 
 // Run prints the help texts of rules and commands.
 func (*formsCommand) Run(s streams) error {
-	fmt.Fprintf(s.out, "Rules of a script:\n\n%s\nCommands:\n\n%s", faultproxy.Help(), faultproxy.Commands)
+	fmt.Fprintf(s.out, "Rules of a script:\n\n%s\nCommands:\n\n%s", faultproxy.RulesHelp(), faultproxy.CommandsHelp)
 	return nil
 }
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Commands is the help text of the commands that Execute accepts.
-const Commands = `(trigger NAME)      triggers the on-command rule of that name
+// CommandsHelp is the help text of the commands that Execute accepts.
+const CommandsHelp = `(trigger NAME)      triggers the on-command rule of that name
 (add RULE ...)      adds rules; a rule replaces an existing one of the same name
 (clear [NAME])      removes a rule, or all rules
 (cut ROUTE)         resets all connections of a route
@@ -163,9 +163,9 @@
 	return lines.Err()
 }
 
-// Serve executes the commands received on the connections of a listener, which it closes when
+// ServeCommandListener executes the commands received on the connections of a listener, which it closes when
 // ctx ends. The connections' goroutines end with ctx or with their connections.
-func (p *Proxy) Serve(ctx context.Context, listener net.Listener) error {
+func (p *Proxy) ServeCommandListener(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
 		conn, err := listener.Accept()
--- a/internal/faultproxy/golden_test.go
+++ b/internal/faultproxy/golden_test.go
@@ -55,7 +55,7 @@
 // Guards the words and syntax of scripts, the help text and the syntax errors.
 func TestScriptVocabularyIsStable(t *testing.T) {
 	var b strings.Builder
-	b.WriteString(Help() + Commands)
+	b.WriteString(RulesHelp() + CommandsHelp)
 	for _, kind := range []FaultKind{Swallow, Garble, Stall, Pause, Merge, Split, Latency, Bandwidth, Drip, HalfClose, Cut, Refuse, Mute, QueueFull, Vanish} {
 		fmt.Fprintf(&b, "fault %s, listener: %v\n", kind, kind.ofListener())
 	}
--- a/internal/faultproxy/parse.go
+++ b/internal/faultproxy/parse.go
@@ -87,8 +87,8 @@
 	Latency: {nil, "D"}, Drip: {nil, "N D"}, Cut: {[]string{"rst", "fin"}, ""},
 }
 
-// Help returns the help text of the forms of a rule.
-func Help() string {
+// RulesHelp returns the help text of the forms of a rule.
+func RulesHelp() string {
 	return `(rule NAME FORM ...) where a FORM is one of
 match:  (route NAME ...) (direction up|down|both) (conn N ...) (every N) (first "BYTES") (fraction PERCENT)
 when:   (at TIME) (after-bytes N) (at-line N) (at-frame N) (at-performative NAME [N]) (on-command) (chance PERCENT)
