--- a/internal/faulttest/environment.go
+++ b/internal/faulttest/environment.go
@@ -27,7 +27,7 @@
 
 // Scenario describes a run.
 type Scenario struct {
-	Front           string // frontend that the clients use, and protocol of the servers: line or amqp
+	Frontend        string // frontend that the clients use, and protocol of the servers: line or amqp
 	Servers         int
 	Rules           string // fault script; its routes are frontend (of the relay), discovery, and the servers' names
 	Actions         string // script of the servers and clients; see fake.ParseScript
@@ -167,7 +167,7 @@
 	}
 	e.Site.Clients = &fake.ClientPool{Log: e.Site.Log, LineAddress: address, Classes: []fake.Class{e.Class}, Rate: e.Rate, Groups: 30,
 		MessageInterval: 100 * time.Millisecond, MaxClients: 500, Seed: e.Seed}
-	if e.Front == "amqp" {
+	if e.Frontend == "amqp" {
 		e.Site.Clients.AMQPAddress, e.Site.Clients.AMQPShare = address, 1
 	}
 	e.Site.Clients.Prepare()
@@ -206,7 +206,7 @@
 	amqpPort := e.Site.AMQPPort
 	for i, server := range e.Site.Servers {
 		target, listen := server.LineAddress(), "127.0.0.1:0"
-		if e.Front == "amqp" {
+		if e.Frontend == "amqp" {
 			target, listen = server.AMQPAddress(), net.JoinHostPort(fmt.Sprintf("127.0.2.%d", i+1), port)
 		}
 		address, err := e.Proxy.OpenRoute(faultproxy.Route{Name: server.Name, Listen: listen, Target: target})
@@ -216,7 +216,7 @@
 			}
 			return err
 		}
-		if e.Front == "amqp" {
+		if e.Frontend == "amqp" {
 			_, port, _ = net.SplitHostPort(address)
 			_, _ = fmt.Sscan(port, &amqpPort)
 		}
@@ -241,7 +241,7 @@
 			continue
 		}
 		for line := range strings.Lines(text) {
-			if words := strings.Fields(line); len(words) == 2 && words[0] == e.Front {
+			if words := strings.Fields(line); len(words) == 2 && words[0] == e.Frontend {
 				return words[1], nil
 			}
 		}
@@ -272,7 +272,7 @@
 	var running sync.WaitGroup
 	for i := range count {
 		running.Go(func() {
-			sessions[i] = e.Site.Clients.RunSession(ctx, e.Front, e.Class, fmt.Sprintf("%x", 100+i), lifetime)
+			sessions[i] = e.Site.Clients.RunSession(ctx, e.Frontend, e.Class, fmt.Sprintf("%x", 100+i), lifetime)
 		})
 	}
 	running.Wait()
--- a/internal/faulttest/faults_test.go
+++ b/internal/faulttest/faults_test.go
@@ -176,27 +176,27 @@
 	for _, failure := range knownFailures {
 		for _, variant := range []string{"line", "amqp", "shared"} {
 			t.Run(failure.name+"/"+variant, func(t *testing.T) {
-				front, shared := variant, 0
+				frontend, sessionsPerConn := variant, 0
 				if variant == "shared" {
-					front, shared = "amqp", 8
+					frontend, sessionsPerConn = "amqp", 8
 				}
-				if failure.onlyFrontend != "" && failure.onlyFrontend != front {
+				if failure.onlyFrontend != "" && failure.onlyFrontend != frontend {
 					t.Skip(failure.whyOnly)
 				}
-				if shared > 0 && strings.Contains(failure.scenario.Rules, "(after-bytes") {
+				if sessionsPerConn > 0 && strings.Contains(failure.scenario.Rules, "(after-bytes") {
 					t.Skip("on a shared connection, which request is at a byte offset varies; TestRandomScripts covers such faults")
 				}
 				t.Parallel()
-				failure.run(t, front, shared)
+				failure.run(t, frontend, sessionsPerConn)
 			})
 		}
 	}
 }
 
-func (r knownFailure) run(t *testing.T, front string, shared int) {
+func (r knownFailure) run(t *testing.T, frontend string, sessionsPerConn int) {
 	scenario := r.scenario
-	scenario.SessionsPerConn = shared
-	scenario.Front, scenario.Seed, scenario.SetupTime = front, 1, 5*ms
+	scenario.SessionsPerConn = sessionsPerConn
+	scenario.Frontend, scenario.Seed, scenario.SetupTime = frontend, 1, 5*ms
 	if scenario.Servers == 0 {
 		scenario.Servers = serverCount
 	}
--- a/internal/faulttest/random_test.go
+++ b/internal/faulttest/random_test.go
@@ -22,21 +22,21 @@
 
 // formatScenario formats a scenario for parseScenario.
 func formatScenario(scenario Scenario) string {
-	front := scenario.Front
+	frontend := scenario.Frontend
 	if scenario.SessionsPerConn > 0 {
-		front = "shared"
+		frontend = "shared"
 	}
-	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", front, scenario.Servers, scenario.Seed, scenario.Rules, scenario.Actions)
+	return fmt.Sprintf("; front %s servers %d seed %d\n%s\n; acts\n%s\n", frontend, scenario.Servers, scenario.Seed, scenario.Rules, scenario.Actions)
 }
 
 // parseScenario parses a scenario of the corpus.
 func parseScenario(text string) (scenario Scenario, err error) {
 	head, rest, _ := strings.Cut(text, "\n")
-	if _, err := fmt.Sscanf(head, "; front %s servers %d seed %d", &scenario.Front, &scenario.Servers, &scenario.Seed); err != nil {
+	if _, err := fmt.Sscanf(head, "; front %s servers %d seed %d", &scenario.Frontend, &scenario.Servers, &scenario.Seed); err != nil {
 		return scenario, fmt.Errorf("parse scenario's first line %q: %w", head, err)
 	}
-	if scenario.Front == "shared" { // AMQP with shared connections to servers
-		scenario.Front, scenario.SessionsPerConn = "amqp", 4
+	if scenario.Frontend == "shared" { // AMQP with shared connections to servers
+		scenario.Frontend, scenario.SessionsPerConn = "amqp", 4
 	}
 	scenario.Rules, scenario.Actions, _ = strings.Cut(rest, "; acts\n")
 	scenario.Rate, scenario.Duration, scenario.MeanLifetime, scenario.SetupTime = 15, 2500*time.Millisecond, 300*time.Millisecond, 5*time.Millisecond
@@ -147,7 +147,7 @@
 			fmt.Sprintf("(break %s %s)", name, milliseconds("for", 1500)), fmt.Sprintf("(drain %s)", name), fmt.Sprintf("(restart %s %s)", name, milliseconds("for", 900)),
 			fmt.Sprintf("(drop %d)", rapid.IntRange(1, 100).Draw(rt, "percent"))}).Draw(rt, "act")))
 	}
-	scenario, err := parseScenario(formatScenario(Scenario{Front: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: servers, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
+	scenario, err := parseScenario(formatScenario(Scenario{Frontend: rapid.SampledFrom([]string{"line", "amqp", "shared"}).Draw(rt, "front"), Servers: servers, Seed: rapid.Uint64Range(1, 99).Draw(rt, "seed"),
 		Rules: strings.Join(rules, "\n"), Actions: strings.Join(actions, "\n")}))
 	if err != nil {
 		rt.Fatal(err)
