--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -14,12 +14,12 @@
 
 // Site is a set of servers, the discovery agents that list them, and the clients that use them.
 type Site struct {
-	Log       *EventLog
-	Servers   []*Server
-	Discovery *Discovery
-	Agents    []*Discovery // discovery agents of the relays beyond the first, if servers have extra listeners
-	Clients   *ClientPool
-	AMQPPort  int // of all servers
+	Log         *EventLog
+	Servers     []*Server
+	Discovery   *Discovery
+	ExtraAgents []*Discovery // of the relays beyond the first, one for each extra listener of a server
+	Clients     *ClientPool
+	AMQPPort    int // of all servers
 
 	pending sync.WaitGroup // goroutines of scripted actions; Stop waits for them
 }
@@ -47,7 +47,7 @@
 		if err := agent.Start("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
-		s.Agents = append(s.Agents, agent)
+		s.ExtraAgents = append(s.ExtraAgents, agent)
 	}
 	var err error
 	for range maxStarts { // a port that is free on the first address may be in use on another
@@ -77,7 +77,7 @@
 		_, port, _ = net.SplitHostPort(server.AMQPAddress())
 		member := discovery.Member{ID: server.Name, HostPort: server.LineAddress(), Locality: "hall", Flavor: "stand-in", Phase: "ready", Size: 1}
 		s.Discovery.SetMember(member)
-		for i, agent := range s.Agents {
+		for i, agent := range s.ExtraAgents {
 			member.HostPort = server.ExtraListeners[i]
 			agent.SetMember(member)
 		}
@@ -89,8 +89,8 @@
 
 // Agent returns the discovery agent of a relay; relays are numbered from 0.
 func (s *Site) Agent(relay int) *Discovery {
-	if relay > 0 && relay <= len(s.Agents) {
-		return s.Agents[relay-1]
+	if relay > 0 && relay <= len(s.ExtraAgents) {
+		return s.ExtraAgents[relay-1]
 	}
 	return s.Discovery
 }
@@ -99,7 +99,7 @@
 // now.
 func (s *Site) SetState(id, phase string, justStarted bool) {
 	s.Discovery.SetState(id, phase, justStarted)
-	for _, agent := range s.Agents {
+	for _, agent := range s.ExtraAgents {
 		agent.SetState(id, phase, justStarted)
 	}
 }
@@ -131,7 +131,7 @@
 		server.Stop()
 	}
 	s.Discovery.Stop()
-	for _, agent := range s.Agents {
+	for _, agent := range s.ExtraAgents {
 		agent.Stop()
 	}
 }
