--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -163,8 +163,8 @@
 	return lines.Err()
 }
 
-// ServeCommandListener executes the commands received on the connections of a listener, which it closes when
-// ctx ends. The connections' goroutines end with ctx or with their connections.
+// ServeCommandListener executes the commands received on the connections of a listener, which it
+// closes when ctx ends. The connections' goroutines end with ctx or with their connections.
 func (p *Proxy) ServeCommandListener(ctx context.Context, listener net.Listener) error {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	for {
--- a/internal/faultproxy/parse.go
+++ b/internal/faultproxy/parse.go
@@ -87,18 +87,18 @@
 	Latency: {nil, "D"}, Drip: {nil, "N D"}, Cut: {[]string{"rst", "fin"}, ""},
 }
 
-// RulesHelp returns the help text of the forms of a rule.
+// RulesHelp returns the help text of the forms of a rule, by their purpose.
 func RulesHelp() string {
 	return `(rule NAME FORM ...) where a FORM is one of
-match:  (route NAME ...) (direction up|down|both) (conn N ...) (every N) (first "BYTES") (fraction PERCENT)
-when:   (at TIME) (after-bytes N) (at-line N) (at-frame N) (at-performative NAME [N]) (on-command) (chance PERCENT)
-lasts:  (for TIME)
-bytes:  (swallow) (garble flip|insert|drop|duplicate N) (stall) (pause) (merge) (split N)
-        (latency TIME [JITTER [uniform|normal|exponential]]) (bandwidth BYTES-PER-SECOND) (drip N TIME)
-ends:   (half-close) (cut rst|fin)
-listen: (refuse) (mute) (queue-full) (vanish)
-Without a trigger (when), a rule applies from the start. Without (for TIME), it applies until the
-connection ends or, for a listener fault (listen), until the rule is cleared.
+match:    (route NAME ...) (direction up|down|both) (conn N ...) (every N) (first "BYTES") (fraction PERCENT)
+trigger:  (at TIME) (after-bytes N) (at-line N) (at-frame N) (at-performative NAME [N]) (on-command) (chance PERCENT)
+duration: (for TIME)
+bytes:    (swallow) (garble flip|insert|drop|duplicate N) (stall) (pause) (merge) (split N)
+          (latency TIME [JITTER [uniform|normal|exponential]]) (bandwidth BYTES-PER-SECOND) (drip N TIME)
+close:    (half-close) (cut rst|fin)
+listener: (refuse) (mute) (queue-full) (vanish)
+Without a trigger, a rule applies from the start. Without a duration, it applies until the connection
+ends or, for a listener fault, until the rule is cleared.
 `
 }
 
