--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -16,8 +16,8 @@
 
 // Policy creates the deciders of relays.
 type Policy struct {
-	Name string
-	Make func(s *Sim, relayIndex int) Decider
+	Name       string
+	NewDecider func(s *Sim, relayIndex int) Decider
 }
 
 // startTime is the clock when measurement begins. It is far above zero, as a relay's clock is.
@@ -55,7 +55,7 @@
 // New returns a simulation that performs the actions of a script. The world must be valid.
 // Equal arguments give equal results.
 func New(world World, actions []ScriptedAction, policy Policy, seed uint64) *Sim {
-	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: policy.Make, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
+	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: policy.NewDecider, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
 	s.statistics.start(s)
 	for _, class := range world.Classes {
 		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
