--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -244,7 +244,7 @@
 	return nil
 }
 
-var errInvalidScripts = errors.New("some scripts are invalid")
+var errInvalidScripts = errors.New("some scripts cannot be read or are invalid")
 
 // checkCommand checks the syntax of scripts.
 type checkCommand struct {
--- a/internal/fake/attemptrecord.go
+++ b/internal/fake/attemptrecord.go
@@ -29,6 +29,7 @@
 	return &attemptRecord{log: s.Log, attempt: s.Log.addAttempt(attempt)}
 }
 
+// answered records the server's answer.
 func (r *attemptRecord) answered(answer string) {
 	r.log.update(func() { r.attempt.Answer, r.attempt.AnsweredAt = answer, time.Now() })
 }
--- a/internal/fake/client_amqp.go
+++ b/internal/fake/client_amqp.go
@@ -81,7 +81,7 @@
 	return session.NewSender(ctx, "score", &amqp10.SenderOptions{Name: s.record.Name, Properties: properties})
 }
 
-// attachFailed records the answer that a failed attach stands for.
+// attachFailed records the answer to the request that the error of an attach means.
 func (s *clientSession) attachFailed(err error) string {
 	var rejected *amqp10.Error
 	switch {
--- a/internal/fake/clientsession.go
+++ b/internal/fake/clientsession.go
@@ -29,7 +29,7 @@
 const (
 	lineMove   = "MOVE\r\n"
 	lineBye    = "BYE\r\n"
-	lineBroken = "broken" // stands for a connection that broke; not on the wire
+	lineBroken = "broken" // marks a broken connection; not on the wire
 	prefixLoad = "LOAD "
 )
 
@@ -63,6 +63,7 @@
 
 func (s *clientSession) update(do func()) { s.pool.Log.update(do) }
 
+// answered records the answer to the request, and returns it.
 func (s *clientSession) answered(answer string, retryAfter time.Duration) string {
 	s.update(func() {
 		s.record.Answer, s.record.SetupTime, s.record.RetryAfter = answer, time.Since(s.record.At), retryAfter
@@ -70,13 +71,15 @@
 	return answer
 }
 
+// ended records how the established session ended, and returns it.
 func (s *clientSession) ended(end string) string {
 	s.update(func() { s.record.End, s.record.EstablishedFor = end, time.Since(s.record.At)-s.record.SetupTime })
 	return end
 }
 
 // exchangeMessages sends messages and checks their echoes until the session ends, and returns how it ended.
-// lines carries what the relay sends; it is closed when the connection ends.
+// lines carries the lines that the relay sends, or their equivalents; it is closed when the connection
+// ends.
 func (s *clientSession) exchangeMessages(ctx context.Context, lines <-chan string, connection transport) string {
 	lifetime := time.NewTimer(s.client.drawLifetime())
 	defer lifetime.Stop()
--- a/internal/fake/delayreports.go
+++ b/internal/fake/delayreports.go
@@ -10,7 +10,7 @@
 
 const reportInterval = time.Second // of delay reports
 
-// reportWriter writes a line to a connection. Connections are told apart by its pointer.
+// reportWriter writes a line to a connection. Its pointer identifies the connection.
 type reportWriter = func(string) error
 
 // delayReports holds the connections on which a server may report its delay, by listener. Each
--- a/internal/fake/server.go
+++ b/internal/fake/server.go
@@ -210,6 +210,7 @@
 	return mode
 }
 
+// release ends an attempt that admit accepted.
 func (s *Server) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/faultproxy/control.go
+++ b/internal/faultproxy/control.go
@@ -207,7 +207,7 @@
 		case errors.Is(err, io.EOF) && len(answer) > 0:
 			return answer, nil
 		case err != nil:
-			return nil, fmt.Errorf("read the faultproxy's answer: %w", err)
+			return nil, fmt.Errorf("read the answer of the faultproxy at %s: %w", socket, err)
 		case message.Error != "":
 			return nil, errors.New(message.Error)
 		}
--- a/internal/simulation/relays.go
+++ b/internal/simulation/relays.go
@@ -13,7 +13,7 @@
 	zone             int
 	decider          Decider
 	up               bool
-	incarnation      uint32                        // number of starts, which tells events of earlier incarnations apart
+	incarnation      uint32                        // number of starts; events of earlier incarnations are ignored
 	clientsByRequest map[balancer.RequestID]uint32 // indices of clients
 	lastRequestID    balancer.RequestID
 }
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -218,11 +218,11 @@
 	if s.LoadAmplitude == 0 {
 		return
 	}
-	for slot := 0; slot < len(server.conns); slot++ {
+	for connIndex := 0; connIndex < len(server.conns); connIndex++ {
 		if s.rng.Float64() >= changedLoadShare {
 			continue
 		}
-		client := &s.clients[server.conns[slot]]
+		client := &s.clients[server.conns[connIndex]]
 		load := client.meanLoad * float32(1+s.LoadAmplitude*(2*s.rng.Float64()-1))
 		server.load += float64(load) - float64(client.load)
 		client.load = load
