--- a/internal/decisionlog/blockpool.go
+++ b/internal/decisionlog/blockpool.go
@@ -63,12 +63,12 @@
 	blocksInUse     [categoryCount]atomic.Int64
 	entryCount      [categoryCount]atomic.Int64
 	evicted         [categoryCount]atomic.Uint64 // number of evicted entries
-	evictionHorizon atomic.Uint64                // start time of the youngest evicted entry
+	evictionHorizon atomic.Uint64                // latest start time of an evicted entry
 
 	// Guarded by mu. The slices are indexed by the head block of a chain.
 	older, newer []uint32 // neighbours in the category's list; newer also links the free blocks
 	lastBlock    []uint32 // last block of the chain
-	firstFree    uint32
+	firstFree    uint32   // first block of the free list
 	oldest       [categoryCount]uint32
 	newest       [categoryCount]uint32
 
@@ -115,7 +115,7 @@
 func (p *blockPool) endUpdate(head uint32) { atomic.AddUint64(&p.sequences[head], 1) }
 
 // linkWord returns the first word of a block: its tag, the number of its used words, and
-// the next block of its chain. In a head it also has the category (see setCategory).
+// the next block of its chain. In a head block, setCategory adds the entry's category.
 func linkWord(tag, used int, next uint32) uint64 {
 	return uint64(tag) | uint64(used)<<8 | uint64(next)<<32
 }
--- a/internal/decisionlog/blockpool_test.go
+++ b/internal/decisionlog/blockpool_test.go
@@ -57,7 +57,7 @@
 		log.pool = newBlockPool(bytesPerBlock * rapid.IntRange(4, 60).Draw(rt, "blocks"))
 		type expected struct {
 			proxy.RequestObserver
-			events int // number of recorded events
+			events int // number of events passed to the observer
 			ended  bool
 			held   balancer.Reason // reason of the last event if that is a hold, otherwise 0
 		}
@@ -97,7 +97,7 @@
 				if state == nil || state.ended {
 					return
 				}
-				reason := balancer.Reason(rapid.IntRange(int(balancer.ReasonNoneEligible), int(balancer.ReasonEndpointRecovering)).Draw(rt, "why"))
+				reason := balancer.Reason(rapid.IntRange(int(balancer.ReasonNoneEligible), int(balancer.ReasonEndpointRecovering)).Draw(rt, "reason"))
 				if rapid.Bool().Draw(rt, "held") {
 					state.Decided(testDecision(balancer.VerdictHeld, reason, 1, 2))
 					if state.held != reason {
@@ -112,7 +112,7 @@
 			},
 			"pass": func(rt *rapid.T) {
 				if _, state := pick(); state != nil && !state.ended {
-					state.AttemptStarted(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "how")))
+					state.AttemptStarted(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "status")))
 					state.events += 2
 					state.held = 0
 				}
@@ -133,7 +133,7 @@
 			},
 			"pin": func(rt *rapid.T) {
 				if n, state := pick(); state != nil {
-					err := log.Pin(n, rapid.Bool().Draw(rt, "on"))
+					err := log.Pin(n, rapid.Bool().Draw(rt, "pinned"))
 					if err != nil && !errors.Is(err, ErrEvicted) && !errors.Is(err, ErrPinLimit) {
 						rt.Fatalf("Pin(%d): error %v", n, err)
 					}
--- a/internal/decisionlog/encoding.go
+++ b/internal/decisionlog/encoding.go
@@ -17,7 +17,7 @@
 	headNumber = 1 + iota
 	headStartedAt
 	headGroup
-	headItem
+	headFlow
 	headTimeLimit
 	headLoad
 	headAttributes // class, frontend, flags, length of the name, tenant
@@ -38,7 +38,7 @@
 	flagEventsOmitted // events were omitted for lack of space
 	flagHeld          // the request was made to wait
 	flagFailed        // the request is notable for a reason other than waiting: see the package comment
-	_
+	_                 // unused
 	flagEnded
 )
 
@@ -150,7 +150,7 @@
 		Number:        words[headNumber],
 		StartedAt:     time.Duration(words[headStartedAt]),
 		Group:         words[headGroup],
-		Flow:          words[headItem],
+		Flow:          words[headFlow],
 		TimeLimit:     time.Duration(words[headTimeLimit]),
 		ExpectedLoad:  math.Float64frombits(words[headLoad]),
 		Class:         l.internedName(attributes & 0xff),
--- a/internal/decisionlog/entry.go
+++ b/internal/decisionlog/entry.go
@@ -19,7 +19,7 @@
 	Group         uint64        // 0 if none
 	Flow          uint64        // key of the request's flow; 0 if none
 	StartedAt     time.Duration // on the proxy's clock
-	TimeLimit     time.Duration // from StartedAt to the request's deadline
+	TimeLimit     time.Duration // from StartedAt to the request's deadline; 0 if that had passed
 	ExpectedLoad  float64       // in seconds of work per second; 0 if unknown
 	Returning     bool          // the client came back after a disconnect or a migration
 	Resumed       bool          // the request was established before the start of this process
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -48,7 +48,7 @@
 // Bytes returns the size of the log's memory in bytes.
 func (l *Log) Bytes() int { return l.pool.blockCount * bytesPerBlock }
 
-// Clock returns the clock of the log's times.
+// Clock returns the clock of the times in the log's entries.
 func (l *Log) Clock() proxy.Clock { return l.clock }
 
 // RequestStarted starts the entry of a request and returns the observer that records its events.
@@ -78,7 +78,7 @@
 	return uint64(max(0, i))
 }
 
-// internedName returns the name with a number, or "" if there is none.
+// internedName returns the name that internName gave a number, or "" if there is none.
 func (l *Log) internedName(number uint64) string {
 	if names := *l.internedNames.Load(); number < uint64(len(names)) {
 		return names[number]
@@ -95,7 +95,7 @@
 	Evicted         map[string]uint64 // number of entries evicted since the start, by category
 	EventsLost      uint64            // events that were dropped for lack of space
 	LastNumber      uint64            // highest number of a started request
-	EvictionHorizon time.Duration     // start time of the youngest evicted entry; 0 if none was evicted
+	EvictionHorizon time.Duration     // latest start time of an evicted entry; 0 if none was evicted
 }
 
 // CategoryNames are the names of the categories of entries, as operators see them.
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -62,31 +62,31 @@
 	log := newTestLog(t, MinBytes)
 	number := uint64(0)
 	rapid.Check(t, func(rt *rapid.T) {
-		fraction := rapid.Custom(func(rt *rapid.T) float64 { return float64(rapid.Uint16().Draw(rt, "part")) / 0xffff })
-		us := rapid.Custom(func(rt *rapid.T) time.Duration {
-			return time.Duration(rapid.Uint32().Draw(rt, "us")) * time.Microsecond
+		fraction := rapid.Custom(func(rt *rapid.T) float64 { return float64(rapid.Uint16().Draw(rt, "fraction")) / 0xffff })
+		microseconds := rapid.Custom(func(rt *rapid.T) time.Duration {
+			return time.Duration(rapid.Uint32().Draw(rt, "microseconds")) * time.Microsecond
 		})
 		age := rapid.Custom(func(rt *rapid.T) time.Duration {
-			if rapid.Bool().Draw(rt, "none") {
+			if rapid.Bool().Draw(rt, "unknown age") {
 				return -1
 			}
-			return time.Duration(rapid.Uint32Range(0, math.MaxUint32-1).Draw(rt, "ms")) * time.Millisecond
+			return time.Duration(rapid.Uint32Range(0, math.MaxUint32-1).Draw(rt, "milliseconds")) * time.Millisecond
 		})
 		decision := balancer.Decision{
-			At: us.Draw(rt, "at"), Verdict: balancer.Verdict(rapid.IntRange(0, 4).Draw(rt, "verdict")),
+			At: microseconds.Draw(rt, "at"), Verdict: balancer.Verdict(rapid.IntRange(0, 4).Draw(rt, "verdict")),
 			Reason:  balancer.Reason(rapid.IntRange(0, len(balancer.ReasonNames)-1).Draw(rt, "reason")),
-			Attempt: rapid.IntRange(0, 255).Draw(rt, "attempt"), Endpoint: balancer.EndpointID(rapid.Uint32().Draw(rt, "server")),
-			Wait: us.Draw(rt, "wait"), TimeLeft: us.Draw(rt, "left"), ReadyEndpoints: rapid.IntRange(0, 0xffff).Draw(rt, "servers"),
-			SlowShare: fraction.Draw(rt, "slow"), Revision: rapid.Uint64().Draw(rt, "revision"), ListAge: age.Draw(rt, "list"),
+			Attempt: rapid.IntRange(0, 255).Draw(rt, "attempt"), Endpoint: balancer.EndpointID(rapid.Uint32().Draw(rt, "endpoint")),
+			Wait: microseconds.Draw(rt, "wait"), TimeLeft: microseconds.Draw(rt, "time left"), ReadyEndpoints: rapid.IntRange(0, 0xffff).Draw(rt, "ready endpoints"),
+			SlowShare: fraction.Draw(rt, "slow share"), Revision: rapid.Uint64().Draw(rt, "revision"), ListAge: age.Draw(rt, "list age"),
 		}
-		for range rapid.IntRange(0, balancer.MaxConsidered).Draw(rt, "beliefs") {
+		for range rapid.IntRange(0, balancer.MaxConsidered).Draw(rt, "considered") {
 			decision.Considered = append(decision.Considered, balancer.ConsideredEndpoint{
-				Endpoint: balancer.EndpointID(rapid.Uint32().Draw(rt, "s")), State: balancer.EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")),
-				Exclusions: balancer.Exclusions(rapid.IntRange(0, 127).Draw(rt, "bars")), Weight: fraction.Draw(rt, "weight"), Warmth: fraction.Draw(rt, "warmth"),
-				Load: float64(rapid.Float32().Draw(rt, "load")), Probability: fraction.Draw(rt, "pull"), Delay: us.Draw(rt, "delay"), DelayAge: age.Draw(rt, "age"),
+				Endpoint: balancer.EndpointID(rapid.Uint32().Draw(rt, "considered endpoint")), State: balancer.EndpointState(rapid.IntRange(0, 2).Draw(rt, "state")),
+				Exclusions: balancer.Exclusions(rapid.IntRange(0, 127).Draw(rt, "exclusions")), Weight: fraction.Draw(rt, "weight"), Warmth: fraction.Draw(rt, "warmth"),
+				Load: float64(rapid.Float32().Draw(rt, "load")), Probability: fraction.Draw(rt, "probability"), Delay: microseconds.Draw(rt, "delay"), DelayAge: age.Draw(rt, "delay age"),
 			})
 		}
-		decision.PreferredIndex = rapid.IntRange(-1, len(decision.Considered)-1).Draw(rt, "instead")
+		decision.PreferredIndex = rapid.IntRange(-1, len(decision.Considered)-1).Draw(rt, "preferred index")
 		number++
 		log.RequestStarted(number, testRequest(number)).Decided(&decision)
 		entry, err := log.EntryByNumber(number)
@@ -121,7 +121,7 @@
 	observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonRouteSlow, 1, 3))
 	attemptEnded := observer.AttemptStarted(3)
 	if entry, _ := log.EntryByNumber(7); entry.ResultName() != "waiting" || !entry.Attempts()[0].InProgress {
-		t.Errorf("entry during the first attempt is %+v", entry)
+		t.Errorf("entry during the first attempt is %+v, want result waiting and an attempt in progress", entry)
 	}
 	attemptEnded(balancer.StatusFull)
 	observer.Decided(testDecision(balancer.VerdictSent, balancer.ReasonRedrawn, 2, 1<<31))
@@ -135,7 +135,7 @@
 	}
 	if entry.Name != longName[:maxNameBytes] || !entry.NameTruncated || entry.Frontend != "amqp" || entry.Class != "live-preview" || entry.Group != 5 || entry.Flow != 6 ||
 		!entry.Returning || !entry.Resumed || entry.ExpectedLoad != 0.25 || entry.TimeLimit > 2*time.Second || entry.TimeLimit < time.Second || !entry.Notable || entry.HeadEvicted || entry.EventsOmitted {
-		t.Errorf("entry after the end is %+v", entry)
+		t.Errorf("entry after the end is %+v, want the attributes of the request and a truncated name", entry)
 	}
 	var kinds []string
 	for _, event := range entry.Events {
@@ -153,15 +153,16 @@
 		t.Errorf("attempts are %+v, want a full one at endpoint 3 and a successful one at endpoint 1<<31", attempts)
 	}
 	if all, err := log.EntriesByName(longName); err != nil || len(all) != 1 || all[0].Number != 7 {
-		t.Errorf("EntriesByName of the whole name returns %v, %v", all, err)
+		t.Errorf("EntriesByName of the whole name returns %v, %v, want entry 7", all, err)
 	}
 	if _, err := log.EntriesByName(longName[:maxNameBytes]); !errors.Is(err, ErrUnknown) {
 		t.Errorf("EntriesByName of a part of the name: error %v, want ErrUnknown", err)
 	}
 }
 
-// Routine entries are evicted before those of rejected and retried requests, also during a surge.
-func TestNotableEntriesOutliveSurge(t *testing.T) {
+// Entries of rejected and retried requests are evicted only if they exceed their share of the memory; until then,
+// routine entries are.
+func TestRoutineEntriesAreEvictedBeforeNotable(t *testing.T) {
 	log := newTestLog(t, MinBytes)
 	var notable []uint64
 	const n = 20_000
@@ -178,13 +179,13 @@
 	}
 	for _, i := range notable {
 		if entry, err := log.EntryByNumber(i); err != nil || entry.ResultName() != "unavailable" || len(entry.Events) != 8 {
-			t.Fatalf("entry of rejected request %d is %+v, %v", i, entry, err)
+			t.Fatalf("entry of rejected request %d is %+v, %v, want 8 events and result unavailable", i, entry, err)
 		}
 	}
 	stats := log.Stats()
 	if stats.Evicted["eventful"] != 0 || stats.Evicted["under-way"] != 0 || stats.Entries["eventful"] != len(notable) ||
 		int(stats.Evicted["uneventful"])+stats.Entries["uneventful"]+len(notable) != n || stats.Bytes > MinBytes {
-		t.Errorf("after %d requests the statistics are %+v", n, stats)
+		t.Errorf("after %d requests the statistics are %+v, want all eventful entries kept and only uneventful ones evicted", n, stats)
 	}
 	if _, err := log.EntryByNumber(1); !errors.Is(err, ErrEvicted) {
 		t.Errorf("evicted entry: error %v, want ErrEvicted", err)
@@ -192,7 +193,7 @@
 	if _, err := log.EntryByNumber(n + 1); !errors.Is(err, ErrUnknown) {
 		t.Errorf("number of no request: error %v, want ErrUnknown", err)
 	}
-	if _, err := log.EntriesByName("never came"); !errors.Is(err, ErrEvicted) {
+	if _, err := log.EntriesByName("unknown"); !errors.Is(err, ErrEvicted) {
 		t.Errorf("name that may have been evicted: error %v, want ErrEvicted", err)
 	}
 	// If all requests are rejected, the oldest notable entries are evicted, and some routine entries remain.
@@ -204,7 +205,7 @@
 		t.Errorf("notable entries use %.2f of the memory, want at most 0.77; statistics are %+v", share, stats)
 	}
 	if entry, err := log.EntryByNumber(2 * n); err != nil || entry.ResultName() != "unavailable" {
-		t.Errorf("entry of the latest request is %+v, %v", entry, err)
+		t.Errorf("entry of the latest request is %+v, %v, want result unavailable", entry, err)
 	}
 }
 
@@ -216,7 +217,7 @@
 		recordAttempts(log, i, balancer.StatusFull).Ended(proxy.Result{End: registry.EndRejected})
 	}
 	if entry, err := log.EntryByNumber(1); err != nil || entry.HeadEvicted {
-		t.Errorf("pending entry is %+v, %v", entry, err)
+		t.Errorf("pending entry is %+v, %v, want it complete", entry, err)
 	}
 	pending.AttemptStarted(4)(balancer.StatusOK)
 	pending.Established()
@@ -230,7 +231,7 @@
 	pending.Decided(testDecision(balancer.VerdictMigrated, balancer.ReasonLoadRelief, 1, 4))
 	pending.Ended(proxy.Result{End: registry.EndMigrated})
 	if entry, err := log.EntryByNumber(1); err != nil || !entry.HeadEvicted || entry.ResultName() != "moved" || len(entry.Events) != 2 {
-		t.Errorf("entry with the end of the request is %+v, %v", entry, err)
+		t.Errorf("entry with the end of the request is %+v, %v, want HeadEvicted, 2 events and result moved", entry, err)
 	}
 }
 
@@ -250,7 +251,7 @@
 	established.Ended(proxy.Result{End: registry.EndHeartbeatTimeout})
 	for _, i := range []uint64{1, 2} {
 		if entry, err := log.EntryByNumber(i); err != nil || !entry.Pinned || entry.HeadEvicted || !entry.Ended {
-			t.Errorf("pinned entry %d is %+v, %v", i, entry, err)
+			t.Errorf("pinned entry %d is %+v, %v, want it complete, pinned and ended", i, entry, err)
 		}
 	}
 	var limitErr error
@@ -262,7 +263,7 @@
 	}
 	stats := log.Stats()
 	if !errors.Is(limitErr, ErrPinLimit) || stats.Entries["pinned"] != pinnedCount || stats.BlocksInUse["pinned"] > stats.Blocks*pinnedSharePercent/100 || pinnedCount < 10 {
-		t.Errorf("%d entries were pinned before error %v; statistics are %+v", pinnedCount, limitErr, stats)
+		t.Errorf("%d entries were pinned before error %v, want at least 10 and ErrPinLimit; statistics are %+v", pinnedCount, limitErr, stats)
 	}
 	for _, c := range []struct {
 		number uint64
@@ -276,7 +277,7 @@
 		t.Fatal(err)
 	}
 	if entry, err := log.EntryByNumber(2); err != nil || entry.Pinned || !entry.Notable {
-		t.Errorf("unpinned entry is %+v, %v", entry, err)
+		t.Errorf("unpinned entry is %+v, %v, want it notable and not pinned", entry, err)
 	}
 }
 
@@ -357,8 +358,8 @@
 	}
 }
 
-// The log does not use more than its configured memory, however many requests it records.
-func TestMemoryStaysUnderItsCap(t *testing.T) {
+// The log's use of the heap does not grow with the number of recorded requests.
+func TestMemoryStaysWithinConfiguredSize(t *testing.T) {
 	for _, bytes := range []int{MinBytes, DefaultBytes} {
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -371,7 +372,7 @@
 		runtime.ReadMemStats(&after)
 		grown := int64(after.HeapAlloc) - int64(before.HeapAlloc)
 		if grown > int64(bytes)+32<<10 || grown < int64(bytes)/2 {
-			t.Errorf("log of %d bytes uses %d bytes of heap", bytes, grown)
+			t.Errorf("log of %d bytes uses %d bytes of heap, want at least half and at most 32 KB more", bytes, grown)
 		}
 		runtime.KeepAlive(log)
 	}
--- a/internal/decisionlog/query.go
+++ b/internal/decisionlog/query.go
@@ -11,13 +11,13 @@
 // ErrEvicted is returned if the entry of a request was, or may have been, evicted.
 var ErrEvicted = errors.New("no longer in the log")
 
-// ErrUnknown is returned if there has been no such request.
+// ErrUnknown is returned if no request with the number or name has started.
 var ErrUnknown = errors.New("not found")
 
 // ErrPinLimit is returned if pinned entries use their whole share of the memory.
 var ErrPinLimit = errors.New("the memory for pinned transactions is used up")
 
-// EntryByNumber returns the entry of the request with a number. The error wraps ErrEvicted or
+// EntryByNumber returns the entry of a request by its number. The error wraps ErrEvicted or
 // ErrUnknown.
 func (l *Log) EntryByNumber(number uint64) (*Entry, error) {
 	if number == 0 || number > l.lastNumber.Load() {
@@ -37,7 +37,7 @@
 	return found, nil
 }
 
-// entryAtHint returns the entry at the block where the chain of a number may begin, which
+// entryAtHint returns the entry with a number from the block that headHints has for it, which
 // usually avoids a scan of all blocks. It returns nil if the entry is not there.
 func (l *Log) entryAtHint(number uint64) *Entry {
 	head := atomic.LoadUint32(&l.pool.headHints[number%uint64(l.pool.blockCount)])
@@ -50,15 +50,15 @@
 	return entry
 }
 
-// EntriesByName returns the entries of requests with a name, or with a flow's key in
-// hexadecimal as clients write it, the youngest first. If there are none, the error wraps
-// ErrEvicted if entries have been evicted, and ErrUnknown otherwise.
+// EntriesByName returns the entries of the requests whose name, or whose flow's key in
+// hexadecimal, is name, the newest first. If there are none, the error wraps ErrEvicted if
+// entries have been evicted, and ErrUnknown otherwise.
 func (l *Log) EntriesByName(name string) ([]*Entry, error) {
 	hash := hashName(name)
-	item, _ := parseFlowKey(name)
+	flow, _ := parseFlowKey(name)
 	var found []*Entry
 	l.each(func(word func(int) uint64) bool {
-		return word(headHash) == hash || item != 0 && word(headItem) == item
+		return word(headHash) == hash || flow != 0 && word(headFlow) == flow
 	}, func(entry *Entry) bool {
 		found = append(found, entry.Clone())
 		return true
@@ -94,7 +94,7 @@
 func (l *Log) Related(to *Entry, visit func(*Entry) bool) {
 	l.each(func(word func(int) uint64) bool {
 		return word(headHash) == to.nameHash ||
-			to.Flow != 0 && word(headItem) == to.Flow ||
+			to.Flow != 0 && word(headFlow) == to.Flow ||
 			to.Group != 0 && word(headGroup) == to.Group
 	}, visit)
 }
--- a/internal/decisionlog/recorder.go
+++ b/internal/decisionlog/recorder.go
@@ -25,9 +25,9 @@
 
 var _ proxy.RequestObserver = (*recorder)(nil)
 
-// repeatedHold is the last event of a request, if that is a decision to hold it. If the
-// balancer repeats the decision, as it does every tenth of a second for a waiting request,
-// the event's counter is incremented instead of appending another event.
+// repeatedHold locates the last event of a request if that is a decision to hold it. If the
+// balancer repeats the decision, as it does at a short interval while the request waits, the
+// event's counter is incremented instead of appending another event.
 type repeatedHold struct {
 	reason balancer.Reason
 	block  uint32 // block of the event's counter word; noBlock if the last event is not a hold
@@ -68,7 +68,7 @@
 	store(headNumber, r.number)
 	store(headStartedAt, uint64(r.startedAt))
 	store(headGroup, request.Group)
-	store(headItem, request.Item)
+	store(headFlow, request.Item)
 	store(headTimeLimit, uint64(max(0, request.Deadline-r.startedAt)))
 	store(headLoad, math.Float64bits(request.ExpectedLoad))
 	store(headAttributes, attributes)
