--- a/internal/store/fs.go
+++ b/internal/store/fs.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// FS is the directory of a store; names are those of files in it. Data written to a
+// FS is the directory of a store. It takes file names without a path. Data written to a
 // file survives a power failure only after File.Sync, and a created, renamed or removed
 // name only after SyncDir. A store calls the methods from one goroutine at a time,
 // except File.ReadAt, which it may call from any goroutine.
@@ -35,7 +35,7 @@
 }
 
 // ErrLocked is returned if another process has the store open.
-var ErrLocked = errors.New("another process has it open")
+var ErrLocked = errors.New("another process has the store open")
 
 // lockFile is the name of the file that a process locks while it has the store open.
 const lockFile = "lock"
@@ -43,6 +43,7 @@
 // Dir is the path of a directory of the operating system. It implements FS.
 type Dir string
 
+// osFile is a File of the operating system.
 type osFile struct{ *os.File }
 
 func (f osFile) Size() (int64, error) {
--- a/internal/store/index.go
+++ b/internal/store/index.go
@@ -18,12 +18,12 @@
 	size int64
 }
 
-// location says where in the files a live record is.
+// location is the position of a live record in the files.
 type location struct {
 	kind, key string
 	at        time.Time
 	version   uint
-	number    uint64 // of the commit that put it
+	number    uint64 // number of the commit that put it
 	segment   *segment
 	offset    int64 // of its frame
 	frameSize int
@@ -131,7 +131,7 @@
 	return f.entries[record.position], nil
 }
 
-// damage returns an error with the position of the record's frame.
+// damage wraps an error in a *DamageError with the position of the record's frame.
 func (l *location) damage(err error) *DamageError {
 	return &DamageError{File: l.segment.name, Offset: l.offset, Err: err}
 }
--- a/internal/store/load.go
+++ b/internal/store/load.go
@@ -32,7 +32,7 @@
 	Bytes  int64
 }
 
-// Report says what was found when a store's files were read.
+// Report is the result of reading a store's files.
 type Report struct {
 	Records   int
 	Commits   uint64 // number of the last commit
@@ -132,7 +132,7 @@
 	index    *fileIndex
 	segment  *segment
 	data     []byte
-	last     bool // it is the last segment, and plain: its tail may be torn
+	last     bool // the segment is the last one and not merged, so its tail may be torn
 	salvage  bool // continue after damaged data
 	complete bool // the final frame of a merged segment was read
 	damages  []*DamageError
--- a/internal/store/merge.go
+++ b/internal/store/merge.go
@@ -13,8 +13,8 @@
 // temporarySuffix is the suffix of a file that is not complete yet.
 const temporarySuffix = ".tmp"
 
-// mergeIfWasteful merges the files if too much of them is obsolete. A failed merge logs
-// its error itself.
+// mergeIfWasteful merges the files if more than about half of them is obsolete. It ignores
+// the error, which merge records.
 func (s *Store) mergeIfWasteful() {
 	if s.index.totalBytes > minMergeBytes && s.index.totalBytes > 2*s.index.liveBytes+maxSegmentBytes/8 {
 		_ = s.merge(false)
@@ -42,7 +42,7 @@
 		if errors.As(err, &damage) {
 			return s.markBroken(err)
 		}
-		return s.diskFailed(err)
+		return s.recordDiskError(err)
 	}
 	s.useMerged(merged, relocations)
 	for _, replaced := range previous {
@@ -52,7 +52,7 @@
 		}
 	}
 	if err := s.addSegment(); err != nil {
-		return s.diskFailed(err)
+		return s.recordDiskError(err)
 	}
 	return nil
 }
--- a/internal/store/offline.go
+++ b/internal/store/offline.go
@@ -83,7 +83,7 @@
 	Name    string
 	Records int
 	Bytes   int64     // approximate
-	Oldest  time.Time // time of the put of the oldest record
+	Oldest  time.Time // time at which the oldest record was put
 }
 
 // Count counts the records of a store that no process has open, by kind in the order of
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -88,7 +88,7 @@
 // Record is a live record of a store.
 type Record struct {
 	Change
-	CommitNumber uint64 // of the commit that put it
+	CommitNumber uint64 // number of the commit that put it
 }
 
 // commit is an item of the writer's queue: changes to be committed atomically, or a
@@ -131,7 +131,7 @@
 	kinds     map[string]Kind
 	dropped   map[string]*atomic.Uint64 // by kind
 	queue     chan *commit
-	stopping  chan struct{} // closed by Close
+	stopping  chan struct{} // closed by Close, to stop the writer
 	stopped   chan struct{} // closed when the writer has returned
 	closeOnce sync.Once
 
@@ -202,8 +202,8 @@
 		return
 	}
 	s.countDropped(changes)
-	if errors.Is(err, ErrTooLarge) { // unlike a full queue, this does not pass by itself
-		s.log.Warn("record too large for the store", "kind", changes[0].Kind, "bytes", c.size(), "most", maxFrameBytes)
+	if errors.Is(err, ErrTooLarge) { // unlike a full queue, this is not temporary
+		s.log.Warn("store changes dropped: too large for one commit", "kind", changes[0].Kind, "bytes", c.size(), "most", maxFrameBytes)
 	}
 }
 
@@ -245,7 +245,7 @@
 func (s *Store) enqueue(c *commit) error {
 	for i, change := range c.changes {
 		if _, known := s.kinds[change.Kind]; !known {
-			return fmt.Errorf("unknown kind of record %q", change.Kind)
+			return fmt.Errorf("unknown record kind %q", change.Kind)
 		}
 		if change.At.IsZero() {
 			c.changes[i].At = time.Now()
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -35,7 +35,7 @@
 	return Change{Kind: t.Kind, Key: key, Version: t.Version, Body: body}, err
 }
 
-// Put queues the put of a value, as Store.Put does.
+// Put queues a value to be stored under a key. It never blocks: see Store.Put.
 func (t *Table[T]) Put(key string, value T) {
 	if t.Store == nil {
 		return
@@ -48,7 +48,7 @@
 	t.Store.Put(change)
 }
 
-// Commit commits the put of a value, as Store.Commit does.
+// Commit stores a value under a key, and waits until it is durable: see Store.Commit.
 func (t *Table[T]) Commit(ctx context.Context, key string, value T) error {
 	if t.Store == nil {
 		return ErrClosed
@@ -60,7 +60,7 @@
 	return t.Store.Commit(ctx, change)
 }
 
-// Remove commits the removal of a record, as Store.Commit does.
+// Remove removes the record of a key, and waits until that is durable: see Store.Commit.
 func (t *Table[T]) Remove(ctx context.Context, key string) error {
 	if t.Store == nil {
 		return ErrClosed
@@ -68,7 +68,7 @@
 	return t.Store.Commit(ctx, Change{Kind: t.Kind, Key: key, Deleted: true})
 }
 
-// Get returns the value of a key and the time of its put.
+// Get returns the value of a key and the time at which it was put.
 func (t *Table[T]) Get(key string) (value T, at time.Time, found bool, err error) {
 	if t.Store == nil {
 		return value, at, false, nil
@@ -106,7 +106,7 @@
 	return firstDecodeErr
 }
 
-// decode decodes a record's body. Its error names the record.
+// decode decodes a record's body. Its error has the record's kind and key.
 func (t *Table[T]) decode(record Record) (value T, err error) {
 	switch {
 	case record.Version == t.Version:
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -209,7 +209,7 @@
 		if truncateErr := target.file.Truncate(target.size); truncateErr != nil {
 			return s.markBroken(errors.Join(err, truncateErr))
 		}
-		return s.diskFailed(err)
+		return s.recordDiskError(err)
 	}
 	s.indexFrames(target, frames)
 	return nil
@@ -229,7 +229,7 @@
 		return nil, err
 	}
 	if err := s.addSegment(); err != nil {
-		return nil, s.diskFailed(err)
+		return nil, s.recordDiskError(err)
 	}
 	return s.lastSegment(), nil
 }
@@ -273,9 +273,9 @@
 	s.diskError, s.diskFailedAt = nil, time.Time{}
 }
 
-// diskFailed records and returns an error of the disk. Commits are rejected with it
+// recordDiskError records an error of the disk and returns it. Commits fail with this error
 // until diskRetryDelay has passed.
-func (s *Store) diskFailed(err error) error {
+func (s *Store) recordDiskError(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.diskError == nil {
@@ -285,11 +285,11 @@
 	return err
 }
 
-// markBroken stops all further writes, as it is unknown which of the unsynced commits
-// are on disk. It returns its argument.
+// markBroken records an error after which the content of the files is unknown, and stops
+// all further writes. It returns the error.
 func (s *Store) markBroken(err error) error {
 	s.broken = true
-	return s.diskFailed(err)
+	return s.recordDiskError(err)
 }
 
 // syncAndComplete syncs the last segment and completes the commits that wait for the sync.
