--- a/internal/explain/archive.go
+++ b/internal/explain/archive.go
@@ -7,9 +7,9 @@
 
 // Archive is persistent storage of explanations.
 type Archive interface {
-	// Put stores an explanation under a key. It replaces an earlier one of the key.
+	// Put stores an explanation under a key. It replaces the previous one under the key.
 	Put(key string, explanation *Explanation)
-	// Each calls visit for the explanations, the newest first, until it returns false.
+	// Each calls visit for the explanations, the newest first, until visit returns false.
 	Each(visit func(*Explanation) bool) error
 }
 
@@ -20,21 +20,22 @@
 	if err != nil || !entry.Notable && !entry.Pinned {
 		return
 	}
-	explanation := e.explainAlone(entry)
+	explanation := e.explainEntry(entry)
 	// The key is the same if a request is saved again, for example because it is pinned.
 	key := explanation.ReceivedAt.UTC().Format(time.RFC3339Nano) + " " + explanation.Name
 	e.Archive.Put(key, explanation)
 }
 
-// Matches reports whether the request has a name, or a flow with a key.
+// Matches reports whether nameOrFlow is the request's name or the key of its flow. A name that was
+// truncated in the log matches by its first part.
 func (x *Explanation) Matches(nameOrFlow string) bool {
 	return x.Name == nameOrFlow ||
 		x.NameTruncated && strings.HasPrefix(nameOrFlow, x.Name) ||
 		x.Flow != "" && x.Flow == nameOrFlow
 }
 
-// findArchived returns up to limit archived explanations of requests with a name or a flow's
-// key, the newest first.
+// findArchived returns up to limit archived explanations that match a name or a flow's key, the
+// newest first.
 func (e *Explainer) findArchived(nameOrFlow string, limit int) (found []*Explanation, err error) {
 	if e.Archive == nil {
 		return nil, nil
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -105,7 +105,7 @@
 				}
 			}
 			if fmt.Sprint(attempts) != fmt.Sprint(frontend.attempts) || strings.Join(decisions, ", ") != reasons || explanation.Result != result || explanation.Events[0].Revision != 17 {
-				t.Errorf("explained attempts %v, decisions %s, result %s; want %v, %s, %s", attempts, strings.Join(decisions, ", "), explanation.Result, frontend.attempts, reasons, result)
+				t.Errorf("explained attempts %v, decisions %s, result %s; want %v, %s, %s, with list revision 17", attempts, strings.Join(decisions, ", "), explanation.Result, frontend.attempts, reasons, result)
 			}
 		}
 		frontend, explanation := serve(balancer.StatusTimeout, balancer.StatusReset, balancer.StatusFull)
--- a/internal/explain/counts.go
+++ b/internal/explain/counts.go
@@ -15,12 +15,12 @@
 	"lockroad/internal/registry"
 )
 
-// countFields are the fields that requests can be counted by.
+// countFields are the names of the fields that requests can be counted by.
 var countFields = []string{"class", "front", "answer", "cause", "group", "server", "reason", "verdict", "outcome", "passes", "tenant"}
 
 const (
 	keySeparator = '\x00' // separates the values in the key of a row
-	noValue      = "-"    // stands for a missing value
+	noValue      = "-"    // shown for a missing value
 )
 
 // entryCounter counts requests by the values of fields. A request is counted once in each
@@ -82,14 +82,14 @@
 // add counts the request of an entry.
 func (c *entryCounter) add(entry *decisionlog.Entry) {
 	c.total++
-	decided := false
+	hasDecision := false
 	for i := range entry.Events {
 		if entry.Events[i].Kind == decisionlog.EventDecision {
-			decided = true
+			hasDecision = true
 			c.countDecision(entry, &entry.Events[i].Decision, outcomeAfter(entry.Events, i))
 		}
 	}
-	if !decided {
+	if !hasDecision {
 		c.countDecision(entry, nil, "")
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -107,10 +107,10 @@
 	return out.String()
 }
 
-// checkLines compares texts except for the time of day.
+// checkLines compares texts, after it has replaced the environment's start time in got by TIME.
 func (e *environment) checkLines(got, want string) {
 	e.t.Helper()
-	got = strings.ReplaceAll(got, "received at "+e.log.Clock().Wall(e.startedAt).Format("15:04:05.000"), "received at NOON")
+	got = strings.ReplaceAll(got, "received at "+e.log.Clock().Wall(e.startedAt).Format("15:04:05.000"), "received at TIME")
 	if got != want {
 		e.t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
@@ -120,7 +120,7 @@
 	withEnvironment(t, func(env *environment) {
 		env.recordRejected()
 		env.checkLines(env.answer("1"), `transaction 1, front line, name 0000000000000001, class live-preview, group 0000000000005c0f, flow 0000000000007f01
-  received at NOON, 950 ms ago; its client waits up to 2.0 s
+  received at TIME, 950 ms ago; its client waits up to 2.0 s
      +0.0 ms  attempt 1 goes to s-1, drawn anew from 3 ready servers as s-2, where its group is, is slow or full (load 4.2, weight 0.50, delay 2.1 s 300 ms ago); would have gone to s-2 but for its being slow or full (load 4.2, weight 0.50, delay 2.1 s 300 ms ago) [list of revision 41, 3.2 s old]
      +0.0 ms  connects to s-1
      +250 ms  s-1 does not answer in time
@@ -135,15 +135,15 @@
      +950 ms  is given up: it has had all the attempts that it may have, after 3 attempts; 3 servers are ready, 33% of them slow
      +950 ms  gets the unavailable answer, to come back in 800 ms
 `)
-		for _, by := range []string{"0000000000000001", "0000000000007f01", `--where (and (class "live-preview") (answer unavailable) (since 5m))`} {
-			if got := env.answer(by); !strings.HasPrefix(got, "transaction 1,") {
-				t.Errorf("answer to %s does not begin with transaction 1: %s", by, got)
+		for _, query := range []string{"0000000000000001", "0000000000007f01", `--where (and (class "live-preview") (answer unavailable) (since 5m))`} {
+			if got := env.answer(query); !strings.HasPrefix(got, "transaction 1,") {
+				t.Errorf("answer to %s does not begin with transaction 1: %s", query, got)
 			}
 		}
 		var request Explanation
 		if err := json.Unmarshal([]byte(env.answer("--json 1")), &request); err != nil || request.Result != "unavailable" || request.RetryAfterMS != 800 || len(request.Events) != 13 ||
 			request.Events[0].Preferred != "s-2" || request.Events[0].Considered[1].Exclusions[0] != "slow" || request.Events[2].Outcome != "timeout" || *request.Events[0].ListAgeMS != 3200 {
-			t.Errorf("explanation read from JSON is %+v, %v", request, err)
+			t.Errorf("explanation read from JSON is %+v, %v, want that of the rejected request with 13 events", request, err)
 		}
 	})
 }
@@ -239,10 +239,10 @@
 			t.Errorf("counts by server and reason are\n%s\nwant the rows\n%s", got, want)
 		}
 		if got := env.answer(`--json --by class (answer ended)`); got != `{"class":"page","count":3}`+"\n" {
-			t.Errorf("counts by class are %s", got)
+			t.Errorf("counts by class are %s, want 3 of class page", got)
 		}
 		if got := env.answer("--most 2"); !strings.Contains(got, "2 of 5 transactions; --most shows more") {
-			t.Errorf("answer limited to two transactions:\n%s", got)
+			t.Errorf("answer limited to two transactions does not say 2 of 5:\n%s", got)
 		}
 	})
 }
@@ -316,7 +316,7 @@
 			}
 		}
 		if got := env.answer("20000"); !strings.HasPrefix(got, "transaction 20000,") {
-			t.Errorf("answer to the latest number is %s", got)
+			t.Errorf("answer to the latest number does not begin with transaction 20000: %s", got)
 		}
 	})
 }
--- a/internal/explain/explainer.go
+++ b/internal/explain/explainer.go
@@ -27,7 +27,7 @@
 // Explain returns the explanation of an entry, with the previous and the next request of its
 // client if they are in the log.
 func (e *Explainer) Explain(entry *decisionlog.Entry) *Explanation {
-	explanation := e.explainAlone(entry)
+	explanation := e.explainEntry(entry)
 	before, after := e.related(entry)
 	if before != nil {
 		explanation.Before = &RelatedRequest{
@@ -46,8 +46,8 @@
 	return explanation
 }
 
-// explainAlone returns the explanation of an entry without related requests.
-func (e *Explainer) explainAlone(entry *decisionlog.Entry) *Explanation {
+// explainEntry returns the explanation of an entry without related requests.
+func (e *Explainer) explainEntry(entry *decisionlog.Entry) *Explanation {
 	clock := e.Log.Clock()
 	explanation := &Explanation{
 		Number:        entry.Number,
--- a/internal/explain/filter.go
+++ b/internal/explain/filter.go
@@ -39,7 +39,7 @@
 // filterCompiler compiles queries. It resolves the names of endpoints in them.
 type filterCompiler struct{ endpointNames EndpointNames }
 
-// compileField compiles the form of one field. form is the whole form, args are its arguments.
+// compileField compiles the form of one field. args are the arguments of the form.
 type compileField func(compiler *filterCompiler, form *sexp.Node, args []*sexp.Node) (Filter, error)
 
 // compile compiles one form: and, or, not, or a field.
--- a/internal/explain/format.go
+++ b/internal/explain/format.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// writeHead writes what is known of the request itself.
+// writeHead writes the request's attributes and its time of receipt.
 func (x *Explanation) writeHead(out io.Writer) {
 	ellipsis := ""
 	if x.NameTruncated {
@@ -74,7 +74,7 @@
 	}
 }
 
-// listText names the endpoint list that a decision was based on.
+// listText returns the revision and age of the endpoint list that a decision was based on.
 func listText(event *Event) string {
 	text := fmt.Sprintf("list of revision %d", event.Revision)
 	if event.ListAgeMS != nil {
--- a/internal/explain/golden_test.go
+++ b/internal/explain/golden_test.go
@@ -42,7 +42,7 @@
 // fullExplanation returns the explanation of fullEntry, with related requests.
 func fullExplanation(env *environment) *Explanation {
 	time.Sleep(5 * time.Second)
-	explanation := env.explainer.explainAlone(fullEntry(env.startedAt))
+	explanation := env.explainer.explainEntry(fullEntry(env.startedAt))
 	explanation.ReceivedAt = fixedTime
 	explanation.Before = &RelatedRequest{Number: 6, Relation: "flow", Result: "moved", Text: "its client came back from 6"}
 	explanation.After = &RelatedRequest{Number: 8, Relation: "name", Result: "up", Text: "its client came again"}
@@ -106,8 +106,8 @@
 				}
 			}
 		}
-		for bar, name := range balancer.ExclusionNames {
-			fmt.Fprintf(&text, "bar|%s|%s\n", name, exclusionsText(1<<bar))
+		for bit, name := range balancer.ExclusionNames {
+			fmt.Fprintf(&text, "bar|%s|%s\n", name, exclusionsText(1<<bit))
 		}
 		golden.Compare(t, "steps.txt", text.String())
 	})
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -17,7 +17,7 @@
 	Subject string   // number, name or flow's key of a request; "": use Where
 	Where   string   // filter in S-expressions; "": all requests
 	CountBy []string // fields to count requests by, instead of explaining them
-	Limit   int      // maximum number of explanations, the youngest first; 0: DefaultLimit
+	Limit   int      // maximum number of explanations, the newest first; 0: DefaultLimit
 	JSON    bool     // answer in JSON instead of text
 }
 
@@ -146,8 +146,8 @@
 }
 
 // answerFromArchive answers a query whose subject is not in the log from the archive, which
-// has requests from before a restart and evicted ones. If the subject is not there either, it
-// returns logErr, the error of the log.
+// keeps notable and pinned requests after a restart or eviction. If the subject is not there
+// either, it returns logErr, the error of the log.
 func (e *Explainer) answerFromArchive(query Query, out io.Writer, logErr error) error {
 	if query.Subject == "" {
 		return logErr
@@ -169,12 +169,12 @@
 	if stats.TotalEvicted() == 0 {
 		return ""
 	}
-	reach := e.Log.Clock().Now() - stats.EvictionHorizon
+	window := e.Log.Clock().Now() - stats.EvictionHorizon
 	return fmt.Sprintf("evicted: %d uneventful, %d eventful and %d unanswered; the log has all transactions received within the last %s\n",
-		stats.Evicted["uneventful"], stats.Evicted["eventful"], stats.Evicted["under-way"], formatDuration(reach))
+		stats.Evicted["uneventful"], stats.Evicted["eventful"], stats.Evicted["under-way"], formatDuration(window))
 }
 
-// filterOf returns the filter of a query without a subject.
+// filterOf compiles the filter of a query. It matches all entries if the query has none.
 func (e *Explainer) filterOf(query Query) (Filter, error) {
 	if query.Where == "" {
 		return MatchAll, nil
@@ -182,8 +182,8 @@
 	return CompileFilter(query.Where, e.Names)
 }
 
-// selectEntries returns the entries that a query selects, the youngest first, and their
-// number without its limit.
+// selectEntries returns the entries that a query selects, the newest first, and their number
+// without the query's limit.
 func (e *Explainer) selectEntries(query Query) (selected []*decisionlog.Entry, total int, err error) {
 	if query.Subject != "" {
 		entries, err := e.entriesOfSubject(query.Subject)
@@ -200,28 +200,28 @@
 			return true
 		}
 		total++
-		// The log is not sorted: keep clones of the youngest entries, and sort and truncate
+		// The log is not sorted: keep clones of the newest entries, and sort and truncate
 		// them only when they exceed the limit several times.
 		if selected = append(selected, entry.Clone()); len(selected) >= 4*limit {
-			sortYoungestFirst(selected)
+			sortNewestFirst(selected)
 			selected = selected[:limit]
 		}
 		return true
 	})
-	sortYoungestFirst(selected)
+	sortNewestFirst(selected)
 	return selected[:min(len(selected), limit)], total, nil
 }
 
-// sortYoungestFirst sorts entries by descending number.
-func sortYoungestFirst(entries []*decisionlog.Entry) {
+// sortNewestFirst sorts entries by descending number.
+func sortNewestFirst(entries []*decisionlog.Entry) {
 	slices.SortFunc(entries, func(x, y *decisionlog.Entry) int { return cmp.Compare(y.Number, x.Number) })
 }
 
 // maxNumberDigits is the maximum length of a subject that is taken for a number.
 const maxNumberDigits = 12
 
-// entriesOfSubject returns the entries of a subject: those with the name or flow's key, or
-// otherwise the one with the number.
+// entriesOfSubject returns the entries whose name or flow's key is the subject, or otherwise
+// the entry whose number is.
 func (e *Explainer) entriesOfSubject(subject string) ([]*decisionlog.Entry, error) {
 	byName, err := e.Log.EntriesByName(subject)
 	if err == nil {
--- a/internal/explain/related.go
+++ b/internal/explain/related.go
@@ -61,7 +61,7 @@
 	return ""
 }
 
-// hasStrongerRelation reports whether x has a more reliable relation to an entry than y.
+// hasStrongerRelation reports whether x has a more reliable relation than y to the entry to.
 func hasStrongerRelation(x, y, to *decisionlog.Entry) bool {
 	return slices.Index(relations, relationOf(x, to)) < slices.Index(relations, relationOf(y, to))
 }
