--- a/cmd/lockroad/console.go
+++ b/cmd/lockroad/console.go
@@ -103,7 +103,7 @@
 
 // runFullScreen runs the full-screen interface until the user quits.
 func (c *consoleCommand) runFullScreen(std streams) error {
-	ask := func(command string) (string, error) {
+	send := func(command string) (string, error) {
 		var out, errs strings.Builder
 		if code := console.Run(c.Socket, command, strings.NewReader(""), &out, &errs); code != exitOK {
 			return "", errors.New(errs.String())
@@ -111,7 +111,7 @@
 		return out.String(), nil
 	}
 	name := c.Socket
-	if text, err := ask("status"); err == nil {
+	if text, err := send("status"); err == nil {
 		if words := strings.Fields(text); len(words) > 1 {
 			name = words[1]
 		}
@@ -119,6 +119,6 @@
 		fmt.Fprint(std.err, err)
 		return exitError(exitUnreachable)
 	}
-	_, err := tea.NewProgram(tui.New(name, ask), tea.WithInput(std.in), tea.WithOutput(std.out), tea.WithAltScreen()).Run()
+	_, err := tea.NewProgram(tui.New(name, send), tea.WithInput(std.in), tea.WithOutput(std.out), tea.WithAltScreen()).Run()
 	return err
 }
--- a/cmd/lockroad/main.go
+++ b/cmd/lockroad/main.go
@@ -56,7 +56,7 @@
 
 func (e exitError) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// reloadSignals receives SIGHUP, which requests a configuration reload. It is registered first thing in main, as the
+// reloadSignals receives SIGHUP, which requests a configuration reload. It is registered at the start of main, as the
 // default action of SIGHUP would end a relay that is still starting.
 var reloadSignals = make(chan os.Signal, 1)
 
--- a/cmd/lockroad/main_test.go
+++ b/cmd/lockroad/main_test.go
@@ -62,7 +62,7 @@
 		{"explode", 2, nil, []string{"explode"}},
 		{"run --log-level loud", 2, nil, []string{`unknown level "loud"`}},
 		{"why 7", 2, nil, []string{"--socket"}},
-		{"why --socket x --where (pinned) 7", 2, nil, []string{"exclude each other"}},
+		{"why --socket x --where (pinned) 7", 2, nil, []string{"mutually exclusive"}},
 		{"why --socket " + missing + " 7", 3, nil, []string{"no relay answers"}},
 		{"console -socket " + missing + " why --json 7", 3, nil, []string{"no relay answers at " + missing}},
 		{"lab list", 1, nil, []string{"simulate"}}, // simulate is not in the directory of the test binary
--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -29,7 +29,8 @@
 	return cluster, socket, "LOCKROAD_OPERATOR=" + operator
 }
 
-// newLoadedClusterWithStore returns such a cluster with a relay that has clients, once s-1 has had some attempts.
+// newLoadedClusterWithStore starts a relay with a console, a store and clients, and returns once s-1 has had some
+// attempts.
 func newLoadedClusterWithStore(t *testing.T) (cluster *testCluster, relay *process, socket, env string) {
 	t.Helper()
 	cluster, socket, env = newClusterWithStore(t)
@@ -74,7 +75,7 @@
 	t.Parallel()
 	cluster, relay, socket, env := newLoadedClusterWithStore(t)
 	runConsole(t, socket, "drain s-9", `server "s-9" is not in the endpoint list`)
-	runConsole(t, socket, "drain s-1 for ever", "expected a time above 0")
+	runConsole(t, socket, "drain s-1 for ever", "expected a duration above 0")
 	runConsole(t, socket, "undrain s-1", "no order")
 	runConsole(t, socket, "drain s-1 for 1h because new strings", "s-1 drains", "outlasts a restart")
 	drainedAt := time.Now()
@@ -138,7 +139,7 @@
 	if err := os.Mkdir(folder, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "0000000000000001.log"), []byte("this is no file of a store, by far"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, "0000000000000001.log"), []byte("this is not a segment file of a store"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	relay = cluster.startProcess(env)
--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -36,14 +36,14 @@
   2    the command line is malformed`
 }
 
-// storeFolder is the argument that all store commands have in common.
-type storeFolder struct {
+// storeDirectory is the directory argument of a store command.
+type storeDirectory struct {
 	Dir string `arg:"" type:"existingdir" help:"Directory of the store: dir in the [store] section of the operator file."`
 }
 
-func (f storeFolder) fs() store.FS { return store.Dir(f.Dir) }
+func (d storeDirectory) fs() store.FS { return store.Dir(d.Dir) }
 
-// printReport prints a report on a store. It returns exitFailed as an error if the report lists damage.
+// printReport prints a report on a store. It returns exitFailed as an error if the store is damaged.
 func printReport(w io.Writer, report store.Report) error {
 	fmt.Fprintf(w, "%d records of %d commits in %d files; %d bytes, about %d of them live; read in %v\n", report.Records, report.Commits, report.Files, report.Bytes, report.LiveBytes, report.Duration.Round(time.Microsecond))
 	if t := report.TornTail; t != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-type storeCheckCommand struct{ storeFolder }
+type storeCheckCommand struct{ storeDirectory }
 
 // Run reads the whole store and prints a report with all damage.
 func (c *storeCheckCommand) Run(std streams) error {
@@ -72,7 +72,7 @@
 	return printReport(std.out, report)
 }
 
-type storeStatsCommand struct{ storeFolder }
+type storeStatsCommand struct{ storeDirectory }
 
 // Run prints the number, the size and the oldest record of each kind.
 func (c *storeStatsCommand) Run(std streams) error {
@@ -87,7 +87,7 @@
 }
 
 type storeDumpCommand struct {
-	storeFolder
+	storeDirectory
 	Kind string `placeholder:"KIND" help:"Print the records of one kind only: orders, learnt or decisions."`
 }
 
@@ -96,7 +96,7 @@
 	return store.Dump(c.fs(), persistence.Kinds(), c.Kind, std.out)
 }
 
-type storeCompactCommand struct{ storeFolder }
+type storeCompactCommand struct{ storeDirectory }
 
 // Run merges the store's files and prints their size before and after.
 func (c *storeCompactCommand) Run(std streams) error {
@@ -108,7 +108,7 @@
 	return printReport(std.out, after)
 }
 
-type storeRepairCommand struct{ storeFolder }
+type storeRepairCommand struct{ storeDirectory }
 
 // Run recovers the readable records and prints a report on the store before and after the repair.
 func (c *storeRepairCommand) Run(std streams) error {
@@ -123,7 +123,7 @@
 }
 
 type storeEraseCommand struct {
-	storeFolder
+	storeDirectory
 	Of string `arg:"" help:"The client's name of a transaction, or the key of its flow."`
 }
 
--- a/cmd/lockroad/why.go
+++ b/cmd/lockroad/why.go
@@ -36,7 +36,7 @@
 // Validate rejects a transaction together with a query.
 func (c *whyCommand) Validate() error {
 	if c.Of != "" && c.Where != "" {
-		return errors.New("a transaction and --where exclude each other")
+		return errors.New("a transaction and --where are mutually exclusive")
 	}
 	return c.consoleTarget.Validate()
 }
--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -24,7 +24,7 @@
 	clearScreen = "\x1b[H\x1b[2J" // moves the cursor to the top left, and erases the screen
 )
 
-// rejectedError is the error that the relay answered a command with.
+// rejectedError is the relay's answer to a command that it rejected.
 type rejectedError struct{ text string }
 
 // Error returns the text of the answer, which ends in a newline.
--- a/internal/console/drain.go
+++ b/internal/console/drain.go
@@ -74,7 +74,7 @@
 			value, rest := cutWord(after)
 			duration, err := time.ParseDuration(value)
 			if err != nil || duration <= 0 {
-				return directive, fmt.Errorf("for %q: expected a time above 0, such as 90m or 12h", value)
+				return directive, fmt.Errorf("for %q: expected a duration above 0, such as 90m or 12h", value)
 			}
 			directive.Until, text = now.Add(duration), rest
 		case "because":
