--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -166,13 +166,13 @@
 	site            *fake.Site
 	rng             *rand.Rand
 	startedAt       time.Time
-	directory       string
-	socket          string
-	frontends       map[string]string
+	directory       string            // temporary; contains the console socket
+	socket          string            // path of the relay's console socket
+	frontends       map[string]string // addresses of the relay's frontends, by name
 	collector       *fake.Collector
 	collectorServer *http.Server
-	cancel          context.CancelFunc
-	relayDone       chan error // receives the error that the relay ended with
+	cancel          context.CancelFunc // ends the relay; nil: not started
+	relayDone       chan error         // receives the error that the relay ended with
 	result          Result
 }
 
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -11,7 +11,7 @@
 )
 
 // While servers hang, fill up, drain and restart and clients drop, each explanation must match
-// what its client and servers observed, and the exported spans. `make why-run` is the long form.
+// what its client and servers observed, and the exported spans. `make why-run` runs longer.
 func TestExplanationsMatchObservations(t *testing.T) {
 	var out strings.Builder
 	options := Options{Servers: 4, Rate: 25, Duration: 12 * time.Second, Seed: 3, AMQPShare: 0.4, DecisionLogBytes: decisionlog.MinBytes, SampleSize: 500, Out: &out, Log: slog.New(slog.DiscardHandler)}
@@ -28,7 +28,7 @@
 		t.Error(strings.Join(result.Mismatches, "\n"))
 	}
 	if sampled := min(result.Sessions, options.SampleSize); result.Sampled != sampled || result.Sessions < 150 || result.Unexplained > sampled/10 || result.SpansCompared < sampled/2 || result.Races > sampled/10 {
-		t.Errorf("%d sessions: %d sampled, %d unexplained, %d races, %d spans compared", result.Sessions, result.Sampled, result.Unexplained, result.Races, result.SpansCompared)
+		t.Errorf("%d sessions, want at least 150: %d sampled, %d unexplained, %d races, %d spans compared", result.Sessions, result.Sampled, result.Unexplained, result.Races, result.SpansCompared)
 	}
 	for _, want := range []string{"s-1 hangs", "s-2 drains", "s-4 is killed", "30% of the clients drop", "live-preview", "moved off s-2, which drains", "SETUP"} {
 		if !strings.Contains(out.String(), want) {
@@ -54,6 +54,6 @@
 	options := good
 	options.Script, options.Out, options.Log = "(at 1s (hang s-9 2s))", &strings.Builder{}, slog.New(slog.DiscardHandler)
 	if _, err := Run(context.Background(), options); err == nil || !strings.Contains(err.Error(), `script: line 1, column 14: unknown server "s-9"`) {
-		t.Errorf("a script with an unknown server: got error %v", err)
+		t.Errorf("a script with an unknown server: got error %v, want one with its name and position", err)
 	}
 }
--- a/internal/metrics/class_counters.go
+++ b/internal/metrics/class_counters.go
@@ -17,14 +17,13 @@
 // It is safe for concurrent use. Counting on a nil pointer has no effect.
 type ClassCounters [outcomeCount]atomic.Int64
 
-// CountEstablished counts a connection whose client was completely sent the answer that it is
-// established.
+// CountEstablished counts a connection once the answer that it is established was sent completely.
 func (c *ClassCounters) CountEstablished() { c.add(outcomeEstablished) }
 
-// CountRejected counts a connection whose client was sent the answer to retry later.
+// CountRejected counts a connection whose client was told to retry later.
 func (c *ClassCounters) CountRejected() { c.add(outcomeRejected) }
 
-// CountFailed counts a connection whose client was sent the answer that it failed.
+// CountFailed counts a connection whose client was told that it failed.
 func (c *ClassCounters) CountFailed() { c.add(outcomeFailed) }
 
 func (c *ClassCounters) add(outcome int) {
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -58,6 +58,7 @@
 	}
 }
 
+// second and third return the error of a call with two or three results.
 func second[T any](_ T, err error) error        { return err }
 func third[T, U any](_ T, _ U, err error) error { return err }
 
--- a/internal/tui/model.go
+++ b/internal/tui/model.go
@@ -1,7 +1,7 @@
 // Package tui implements the full-screen console. It shows a relay's endpoints, requests, rejections,
 // drain directives, health, counters and log, refreshes them every second through the relay's console,
-// and drains endpoints at a key. All state that must persist is in the relay, so the program may be
-// closed or killed at any time.
+// and sends the commands that the operator confirms, such as to drain an endpoint. All state that must
+// persist is in the relay, so the program may be closed or killed at any time.
 //
 // Model is a Bubble Tea model. Only the event loop of Bubble Tea calls its methods. The commands that
 // Update returns run in other goroutines, and call the CommandFunc.
--- a/internal/tui/tui_test.go
+++ b/internal/tui/tui_test.go
@@ -40,7 +40,7 @@
 	case "servers --json":
 		return `{"server":"s-1","delay":0.0123}` + "\n" + `{"server":"s-2","delay":null}` + "\n", nil
 	case "why 3":
-		return "transaction 3, front line\n  came at 10:00:00\n", nil
+		return "transaction 3, front line\n  received at 10:00:00\n", nil
 	case "drain s-2 because of the console", "drain s-2 because the console":
 		return "", nil
 	}
