--- a/cmd/lockroad/credentials_test.go
+++ b/cmd/lockroad/credentials_test.go
@@ -29,7 +29,7 @@
 		t.Helper()
 		var out, errs strings.Builder
 		if code := execute([]string{"passwd", users, user}, streams{strings.NewReader(password + "\n"), &out, &errs}); code != 0 {
-			t.Fatal(code, out.String(), errs.String())
+			t.Fatal("passwd: exit code", code, out.String(), errs.String())
 		}
 	}
 	passwd("ann", "ann's")
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if code, out, errs := runCommandLine("check", operator); code != 0 || !strings.Contains(out, "OK (operator file)") {
-		t.Fatal(code, out, errs)
+		t.Fatal("check of the operator file: exit code", code, out, errs)
 	}
 	relay := cluster.startProcess("LOCKROAD_OPERATOR=" + operator)
 	relay.awaitReady()
--- a/cmd/lockroad/main.go
+++ b/cmd/lockroad/main.go
@@ -69,29 +69,29 @@
 type parserExit int
 
 // execute runs a command line and returns its exit code.
-func execute(args []string, s streams) (code int) {
+func execute(args []string, std streams) (code int) {
 	defer func() {
-		switch e := recover().(type) {
+		switch value := recover().(type) {
 		case nil:
 		case parserExit:
-			code = int(e)
+			code = int(value)
 		default:
-			panic(e)
+			panic(value)
 		}
 	}()
-	var c commands
-	parser, err := kong.New(&c, kong.Name("lockroad"),
+	var commandLine commands
+	parser, err := kong.New(&commandLine, kong.Name("lockroad"),
 		kong.Description("A relay for long-lived connections. It routes each to an application server, forwards its traffic, and migrates clients before their server shuts down."),
-		kong.Writers(s.out, s.err), kong.Exit(func(code int) { panic(parserExit(code)) }),
-		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Vars{"version": version()}, kong.Bind(s))
+		kong.Writers(std.out, std.err), kong.Exit(func(code int) { panic(parserExit(code)) }),
+		kong.ConfigureHelp(kong.HelpOptions{Compact: true}), kong.Vars{"version": version()}, kong.Bind(std))
 	if err != nil {
-		fmt.Fprintf(s.err, "lockroad: %v\n", err)
+		fmt.Fprintf(std.err, "lockroad: %v\n", err)
 		return exitFailed
 	}
 	kongcompletion.Register(parser)
 	parsed, err := parser.Parse(acceptSingleDashSocket(args))
 	if err != nil {
-		fmt.Fprintf(s.err, "lockroad: %v\nRun \"lockroad --help\" for usage.\n", err)
+		fmt.Fprintf(std.err, "lockroad: %v\nRun \"lockroad --help\" for usage.\n", err)
 		return exitUsage
 	}
 	if command, _, _ := strings.Cut(parsed.Command(), " "); command != "run" {
@@ -102,7 +102,7 @@
 		if errors.As(err, &exit) {
 			return int(exit)
 		}
-		fmt.Fprintf(s.err, "lockroad: %v\n", err)
+		fmt.Fprintf(std.err, "lockroad: %v\n", err)
 		return exitFailed
 	}
 	return exitOK
--- a/internal/decisionlog/blockpool_test.go
+++ b/internal/decisionlog/blockpool_test.go
@@ -67,24 +67,24 @@
 			if last == 0 {
 				return 0, nil
 			}
-			n := rapid.Uint64Range(max(1, last-min(last-1, 12)), last).Draw(rt, "number")
-			return n, all[n]
+			number := rapid.Uint64Range(max(1, last-min(last-1, 12)), last).Draw(rt, "number")
+			return number, all[number]
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"": func(rt *rapid.T) {
 				checkPool(rt, log.pool)
-				for n, state := range all {
-					entry, err := log.EntryByNumber(n)
+				for number, state := range all {
+					entry, err := log.EntryByNumber(number)
 					switch {
 					case errors.Is(err, ErrEvicted):
 					case err != nil:
-						rt.Fatalf("entry %d: error %v", n, err)
-					case entry.Name != testRequest(n).Name || entry.Flow != n:
-						rt.Fatalf("entry %d is read as %+v", n, entry)
+						rt.Fatalf("entry %d: error %v", number, err)
+					case entry.Name != testRequest(number).Name || entry.Flow != number:
+						rt.Fatalf("entry %d is read as %+v", number, entry)
 					case !entry.HeadEvicted && !entry.EventsOmitted && len(entry.Events) != state.events:
-						rt.Fatalf("entry %d: %d events recorded, %d read: %+v", n, state.events, len(entry.Events), entry.Events)
+						rt.Fatalf("entry %d: %d events recorded, %d read: %+v", number, state.events, len(entry.Events), entry.Events)
 					case entry.HeadEvicted && len(entry.Events) > state.events:
-						rt.Fatalf("incomplete entry %d: %d events recorded, %d read", n, state.events, len(entry.Events))
+						rt.Fatalf("incomplete entry %d: %d events recorded, %d read", number, state.events, len(entry.Events))
 					}
 				}
 			},
@@ -132,10 +132,10 @@
 				}
 			},
 			"pin": func(rt *rapid.T) {
-				if n, state := pick(); state != nil {
-					err := log.Pin(n, rapid.Bool().Draw(rt, "pinned"))
+				if number, state := pick(); state != nil {
+					err := log.Pin(number, rapid.Bool().Draw(rt, "pinned"))
 					if err != nil && !errors.Is(err, ErrEvicted) && !errors.Is(err, ErrPinLimit) {
-						rt.Fatalf("Pin(%d): error %v", n, err)
+						rt.Fatalf("Pin(%d): error %v", number, err)
 					}
 				}
 			},
--- a/internal/sexp/sexp_test.go
+++ b/internal/sexp/sexp_test.go
@@ -19,8 +19,8 @@
 		strings.Repeat("(", 99):    "line 1, column 65: lists are nested deeper than 64",
 		strings.Repeat("x", 2<<20): "line 1, column 1: text of 2097152 bytes exceeds",
 	} {
-		if n, err := ParseOne(source); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("ParseOne(%.40q) = %v, %v, want error %q", source, n, err, want)
+		if node, err := ParseOne(source); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("ParseOne(%.40q) = %v, %v, want error %q", source, node, err, want)
 		}
 	}
 }
@@ -28,23 +28,23 @@
 func TestParsedNodeValues(t *testing.T) {
 	const source = `(and (class "live \"preview\"") ; a comment (
 		(passes >= 2) (since 1.5s) 7 é)`
-	n, err := ParseOne(source)
+	node, err := ParseOne(source)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := n.String(), `(and (class "live \"preview\"") (passes >= 2) (since 1.5s) 7 é)`; got != want {
+	if got, want := node.String(), `(and (class "live \"preview\"") (passes >= 2) (since 1.5s) 7 é)`; got != want {
 		t.Errorf("parsed node is written as %s, want %s", got, want)
 	}
-	head, rest, err := n.Head()
+	head, rest, err := node.Head()
 	if err != nil || head != "and" || len(rest) != 5 {
 		t.Fatalf("Head() = %q, %d nodes, %v, want and with 5 nodes", head, len(rest), err)
 	}
 	_, since, _ := rest[2].Head()
-	if d, err := since[0].Duration(); err != nil || d != 1500*time.Millisecond {
-		t.Errorf("Duration() = %v, %v, want 1.5s", d, err)
+	if duration, err := since[0].Duration(); err != nil || duration != 1500*time.Millisecond {
+		t.Errorf("Duration() = %v, %v, want 1.5s", duration, err)
 	}
-	if v, err := rest[3].Uint(); err != nil || v != 7 {
-		t.Errorf("Uint() = %v, %v, want 7", v, err)
+	if value, err := rest[3].Uint(); err != nil || value != 7 {
+		t.Errorf("Uint() = %v, %v, want 7", value, err)
 	}
 	if rest[1].Pos.Line != 2 || rest[1].Pos.Column != 3 {
 		t.Errorf("position of the second list is %v, want line 2, column 3", rest[1].Pos)
@@ -76,10 +76,10 @@
 			}
 			return
 		}
-		for _, n := range all {
-			again, err := ParseOne(n.String())
-			if err != nil || again.String() != n.String() {
-				t.Errorf("%q: node %v is parsed again as %v, %v", source, n, again, err)
+		for _, node := range all {
+			again, err := ParseOne(node.String())
+			if err != nil || again.String() != node.String() {
+				t.Errorf("%q: node %v is parsed again as %v, %v", source, node, again, err)
 			}
 		}
 	})
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -45,12 +45,12 @@
 	metricExporter, err := otlpmetrichttp.New(ctx, otlpmetrichttp.WithEndpointURL(collectorURL+"/v1/metrics"),
 		otlpmetrichttp.WithTimeout(exportTimeout), otlpmetrichttp.WithRetry(otlpmetrichttp.RetryConfig{}))
 	if err != nil {
-		return nil, fmt.Errorf("telemetry: %w", err)
+		return nil, fmt.Errorf("telemetry: create metric exporter: %w", err)
 	}
 	spanExporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(collectorURL+"/v1/traces"),
 		otlptracehttp.WithTimeout(exportTimeout), otlptracehttp.WithRetry(otlptracehttp.RetryConfig{}))
 	if err != nil {
-		return nil, fmt.Errorf("telemetry: %w", err)
+		return nil, fmt.Errorf("telemetry: create span exporter: %w", err)
 	}
 	service := resource.NewSchemaless(
 		attribute.String("service.name", instrumentationScope), attribute.String("service.instance.id", name))
@@ -61,7 +61,7 @@
 			sdktrace.WithBatchTimeout(interval), sdktrace.WithExportTimeout(exportTimeout), sdktrace.WithMaxQueueSize(maxQueuedSpans))),
 	}
 	if err := registerMetrics(t.meterProvider.Meter(instrumentationScope), relay); err != nil {
-		return nil, errors.Join(fmt.Errorf("telemetry: %w", err), t.Stop(ctx))
+		return nil, errors.Join(fmt.Errorf("telemetry: register metrics: %w", err), t.Stop(ctx))
 	}
 	relay.Observe(&tracingObserver{
 		clock:     relay.Clock,
