--- a/cmd/lockroad/persistence_test.go
+++ b/cmd/lockroad/persistence_test.go
@@ -118,7 +118,7 @@
 
 // A relay must not start if store.dir is a file, and must run without persistence if the store is damaged: a drain
 // directive is then in force, reported as not persisted, and expires at its time.
-func TestDrainDirectiveWithoutStore(t *testing.T) {
+func TestDrainDirectiveIsInForceWithoutStore(t *testing.T) {
 	t.Parallel()
 	cluster, socket, env := newClusterWithStore(t)
 	folder := filepath.Join(cluster.dir, "kept")
--- a/cmd/lockroad/restart_test.go
+++ b/cmd/lockroad/restart_test.go
@@ -49,7 +49,7 @@
 
 // Two operators repeatedly give conflicting drain directives for one endpoint: each must see which directive its own
 // replaces, and the last one must be in force.
-func TestConflictingDrainDirectives(t *testing.T) {
+func TestLastDrainDirectiveIsInForce(t *testing.T) {
 	t.Parallel()
 	cluster, relay, socket, _ := newLoadedClusterWithStore(t)
 	var operators sync.WaitGroup
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -17,7 +17,7 @@
 
 // During an upgrade under load, and a second one right after it, no client may be migrated, cut off or refused at the
 // listener, and each successor must take over the established connections.
-func TestUpgradeUnderLoad(t *testing.T) {
+func TestUpgradeKeepsConnections(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t)
 	for range 2 {
@@ -41,7 +41,7 @@
 
 // If both processes receive SIGHUP during an upgrade, the successor must apply the new configuration once, without a
 // loss.
-func TestReloadDuringUpgrade(t *testing.T) {
+func TestReloadDuringUpgradeIsAppliedOnce(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
@@ -61,7 +61,7 @@
 
 // A successor that is killed after it has taken over the listener, or that fails to start, must leave the predecessor
 // serving clients.
-func TestUpgradeWhenSuccessorFails(t *testing.T) {
+func TestPredecessorServesAfterSuccessorFails(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t)
 	next := cluster.startProcess()
@@ -107,7 +107,7 @@
 
 // Without a hot restart socket both processes listen at the same address. The old process must migrate its clients, and
 // accept the connections queued at its listener before it closes.
-func TestUpgradeWithoutHotRestartSocket(t *testing.T) {
+func TestUpgradeWithoutHotRestartSocketMigratesClients(t *testing.T) {
 	t.Parallel()
 	cluster, relay := newLoadedCluster(t, "TMPDIR=")
 	next := cluster.startProcess("TMPDIR=" + filepath.Join(cluster.dir, "not there"))
@@ -120,7 +120,7 @@
 
 // An upgrade must also hand over the AMQP frontend's listener and the console. AMQP clients are migrated and return to
 // the successor, which answers at the console once the predecessor has exited.
-func TestUpgradeOfAllFrontends(t *testing.T) {
+func TestUpgradeHandsOverAllFrontends(t *testing.T) {
 	t.Parallel()
 	cluster := newLatencyTolerantCluster(t)
 	amqpAddress, socket := freeAddress(t), filepath.Join(cluster.dir, "console")
--- a/internal/store/offline_test.go
+++ b/internal/store/offline_test.go
@@ -10,7 +10,7 @@
 
 // Repair keeps the readable records of a damaged store, after which the store can be opened and appended to, and a
 // second repair finds no damage.
-func TestRepair(t *testing.T) {
+func TestRepairKeepsReadableRecords(t *testing.T) {
 	dir, states := filledStore(t, 12, 5)
 	names, _ := dir.List()
 	want := states[len(states)-1]
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -13,7 +13,7 @@
 
 // Truncating the last file at any byte loses the commits after that point and no others, and the store can be opened
 // and appended to. Truncating any other file, or a merged one, is reported as damage.
-func TestTruncationAtEveryByte(t *testing.T) {
+func TestTruncationLosesOnlyLaterCommits(t *testing.T) {
 	for _, mergeAfter := range []int{-1, 7} {
 		dir, states := filledStore(t, 16, mergeAfter)
 		names, _ := dir.List()
@@ -57,7 +57,7 @@
 
 // A flipped bit is never read as data: loading fails with the file and the position. Only in the final frame of a
 // closed store, which has no entries, it is taken for a torn tail.
-func TestBitFlipInEveryByte(t *testing.T) {
+func TestBitFlipIsNeverReadAsData(t *testing.T) {
 	dir, states := filledStore(t, 12, 5)
 	names, _ := dir.List()
 	for _, name := range names {
@@ -89,7 +89,7 @@
 
 // A commit that was reported as synced survives a crash before any file operation, whichever unsynced writes are lost,
 // and the store can be opened and appended to.
-func TestCrashAtEveryOperation(t *testing.T) {
+func TestSyncedCommitsSurviveCrash(t *testing.T) {
 	for seed := range uint64(3) {
 		for crashAt := 1; ; crashAt++ {
 			dir := newMemFS()
@@ -136,7 +136,7 @@
 
 // When the disk becomes full at any operation, committed records remain, failed commits are reported and counted, and
 // the store works again once there is space.
-func TestDiskFullAtEveryOperation(t *testing.T) {
+func TestCommittedRecordsSurviveFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for fullAt := 4; fullAt < 40; fullAt++ {
 			dir := newMemFS()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -107,7 +107,7 @@
 }
 
 // Records that exceed the maximum number or age of their kind are removed, the oldest first, also after a reload.
-func TestRetention(t *testing.T) {
+func TestRetentionRemovesOldestRecords(t *testing.T) {
 	dir := newMemFS()
 	kinds := []Kind{{Name: "note", MaxRecords: 5}, {Name: "old", Retention: time.Hour}}
 	s, _, err := Open(dir, Options{Kinds: kinds})
@@ -168,7 +168,7 @@
 	must(t, s.Close())
 }
 
-func TestOpenRejections(t *testing.T) {
+func TestOpenRejectsUnusableStores(t *testing.T) {
 	dir := Dir(t.TempDir())
 	s, _, err := Open(dir, Options{Kinds: testKinds})
 	must(t, err)
--- a/internal/store/table_test.go
+++ b/internal/store/table_test.go
@@ -16,7 +16,7 @@
 }
 
 // Records of an older version are upgraded, and those of a newer version are skipped and reported.
-func TestTableVersions(t *testing.T) {
+func TestTableUpgradesOlderRecords(t *testing.T) {
 	s := openStore(t, newMemFS())
 	defer func() { _ = s.Close() }()
 	old := &Table[string]{Store: s, Kind: "order", Version: 1}
