--- a/cmd/lockroad/builds_test.go
+++ b/cmd/lockroad/builds_test.go
@@ -81,8 +81,8 @@
 		letClientsRun()
 		active := relay.metrics()["active"]
 		next := cluster.upgrade(relay, to, operator, socket, "s-1", `"new strings"`)
-		if kept := next.metrics()["active"]; active == 0 || kept < active/4 { // half of them use AMQP and are migrated
-			t.Errorf("the successor has %d of %d transactions, want at least a quarter", kept, active)
+		if handedOver := next.metrics()["active"]; active == 0 || handedOver < active/4 { // half of them use AMQP and are migrated
+			t.Errorf("the successor has %d of %d transactions, want at least a quarter", handedOver, active)
 		}
 		letClientsRun()
 		next.requireRunning()
--- a/cmd/lockroad/cluster_test.go
+++ b/cmd/lockroad/cluster_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	for {
 		address := unusedAddress(t)
-		if _, given := reservedAddresses.LoadOrStore(address, true); !given {
+		if _, reserved := reservedAddresses.LoadOrStore(address, true); !reserved {
 			return address
 		}
 	}
--- a/cmd/lockroad/rehearse_test.go
+++ b/cmd/lockroad/rehearse_test.go
@@ -282,9 +282,9 @@
 		}
 	}
 	for flow, session := range first {
-		wanted := min(ended[flow].Sub(session.At), end.Sub(session.At))
-		demanded += classWeights[session.Class] * wanted.Seconds()
-		shares.unrouted += classWeights[session.Class] * max(0, wanted-established[flow]).Seconds()
+		demandedTime := min(ended[flow].Sub(session.At), end.Sub(session.At))
+		demanded += classWeights[session.Class] * demandedTime.Seconds()
+		shares.unrouted += classWeights[session.Class] * max(0, demandedTime-established[flow]).Seconds()
 	}
 	shares.clients = len(first)
 	shares.served, shares.atFaulty, shares.atOthers, shares.unrouted = shares.served/demanded, shares.atFaulty/demanded, shares.atOthers/demanded, shares.unrouted/demanded
--- a/cmd/lockroad/store.go
+++ b/cmd/lockroad/store.go
@@ -147,6 +147,6 @@
 	if err = errors.Join(err, opened.Compact(), opened.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintf(std.out, "erased %d stored decisions; learnt records contain no client names\n", len(keys))
+	fmt.Fprintf(std.out, "erased %d stored decisions; records of the kind learnt contain no client names\n", len(keys))
 	return nil
 }
--- a/cmd/lockroad/upgrade_test.go
+++ b/cmd/lockroad/upgrade_test.go
@@ -28,8 +28,8 @@
 		}
 		active := relay.metrics()["active"]
 		relay.shutDown()
-		if kept := next.metrics()["active"]; kept < active/2 {
-			t.Errorf("the successor has %d of %d transactions, want at least half", kept, active)
+		if handedOver := next.metrics()["active"]; handedOver < active/2 {
+			t.Errorf("the successor has %d of %d transactions, want at least half", handedOver, active)
 		}
 		relay = next
 	}
--- a/internal/console/output.go
+++ b/internal/console/output.go
@@ -11,7 +11,7 @@
 )
 
 // This file writes answers in two formats: aligned columns for people, and one JSON object per line
-// for programs.
+// for programs. JSON has the same names and texts as the columns, so they must not change.
 
 // rowFunc writes one row of a table. A nil cell is a value that is unknown or absent.
 type rowFunc func(cells ...any)
--- a/internal/console/peer.go
+++ b/internal/console/peer.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// unknownUser stands for a client whose credentials the kernel does not provide.
+// unknownUser is the name of a client whose credentials the kernel does not provide.
 const unknownUser = "unknown"
 
 // peerUser returns the name of the user at the other end of a connection, or "uid N" if the user ID
--- a/internal/decisionlog/blockpool.go
+++ b/internal/decisionlog/blockpool.go
@@ -168,15 +168,15 @@
 // evictionCandidate returns the head and category of the next chain to evict: the oldest
 // routine entry, or the oldest notable one if those exceed their share, and a pending one
 // only if there is no other. It never returns a pinned entry or the chain with the head
-// spared. It returns noBlock if there is no candidate.
-func (p *blockPool) evictionCandidate(spared uint32) (uint32, category) {
+// excluded. It returns noBlock if there is no candidate.
+func (p *blockPool) evictionCandidate(excluded uint32) (uint32, category) {
 	order := [...]category{categoryRoutine, categoryNotable, categoryPending}
 	if int(p.blocksInUse[categoryNotable].Load()) > p.blockCount*notableSharePercent/100 {
 		order = [...]category{categoryNotable, categoryRoutine, categoryPending}
 	}
 	for _, category := range order {
 		for head := p.oldest[category]; head != noBlock; head = p.newer[head] {
-			if head != spared {
+			if head != excluded {
 				return head, category
 			}
 		}
--- a/internal/explain/balancer_test.go
+++ b/internal/explain/balancer_test.go
@@ -140,8 +140,8 @@
 // all entries in a loop.
 func BenchmarkBalancerDuringQueries(b *testing.B) {
 	var baseline [2]float64
-	for _, asked := range []bool{false, true} {
-		b.Run(fmt.Sprintf("asked=%v", asked), func(b *testing.B) {
+	for _, querying := range []bool{false, true} {
+		b.Run(fmt.Sprintf("asked=%v", querying), func(b *testing.B) {
 			clock := proxy.NewClock()
 			log, err := decisionlog.New(decisionlog.DefaultBytes, clock)
 			if err != nil {
@@ -172,7 +172,7 @@
 			}
 			stop := make(chan struct{})
 			var reader sync.WaitGroup
-			if asked {
+			if querying {
 				explainer := &Explainer{Log: log, Names: endpoints}
 				reader.Go(func() {
 					for {
@@ -206,7 +206,7 @@
 			for i, quantile := range []float64{50, 99} {
 				value := float64(latencies.ValueAtQuantile(quantile))
 				b.ReportMetric(value, fmt.Sprintf("p%v-ns", quantile))
-				if !asked {
+				if !querying {
 					baseline[i] = value
 				} else if baseline[i] > 0 {
 					b.ReportMetric(value/baseline[i], fmt.Sprintf("p%v-ratio", quantile))
--- a/internal/explain/decision.go
+++ b/internal/explain/decision.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// decisionText formats a decision as text. The names of endpoints are looked up already.
+// decisionText formats a decision as text, which must not change: it is part of an explanation's
+// JSON. The names of endpoints are looked up already.
 type decisionText struct {
 	decision        *balancer.Decision
 	repeats         int    // how often the decision was repeated directly afterwards
--- a/internal/explain/query.go
+++ b/internal/explain/query.go
@@ -217,7 +217,7 @@
 	slices.SortFunc(entries, func(x, y *decisionlog.Entry) int { return cmp.Compare(y.Number, x.Number) })
 }
 
-// maxNumberDigits is the maximum length of a subject that is taken for a number.
+// maxNumberDigits is the maximum length of a subject that is parsed as a number.
 const maxNumberDigits = 12
 
 // entriesOfSubject returns the entries whose name or flow's key is the subject, or otherwise
--- a/internal/explain/result.go
+++ b/internal/explain/result.go
@@ -11,7 +11,8 @@
 	"lockroad/internal/registry"
 )
 
-// attemptStatusTexts are the texts of the ends of attempts. They follow the endpoint's name.
+// attemptStatusTexts are the texts of the ends of attempts. They follow the endpoint's name. As
+// part of an explanation's JSON, they and the texts of results must not change.
 var attemptStatusTexts = [...]string{
 	balancer.StatusOK:            "accepts it",
 	balancer.StatusError:         "answers with an error",
--- a/internal/store/recovery_test.go
+++ b/internal/store/recovery_test.go
@@ -56,7 +56,7 @@
 }
 
 // A flipped bit is never read as data: loading fails with the file and the position. Only in the final frame of a
-// closed store, which has no entries, it is taken for a torn tail.
+// closed store, which has no entries, it is treated as a torn tail.
 func TestBitFlipIsNeverReadAsData(t *testing.T) {
 	dir, states := filledStore(t, 12, 5)
 	names, _ := dir.List()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -92,7 +92,7 @@
 			default:
 				puts++
 				change := putChange(rapid.SampledFrom([]string{"order", "state"}).Draw(rt, "kind"), fmt.Sprint(rapid.IntRange(0, 5).Draw(rt, "key")), strings.Repeat("y", puts%70)+fmt.Sprint(puts))
-				change.Deleted = rapid.IntRange(0, 3).Draw(rt, "gone") == 0
+				change.Deleted = rapid.IntRange(0, 3).Draw(rt, "deleted") == 0
 				must(t, s.Commit(context.Background(), change))
 				if model[change.Kind+" "+change.Key] = string(change.Body); change.Deleted {
 					delete(model, change.Kind+" "+change.Key)
