--- a/internal/decisionlog/blockpool.go
+++ b/internal/decisionlog/blockpool.go
@@ -63,12 +63,12 @@
 	blocksInUse     [categoryCount]atomic.Int64
 	entryCount      [categoryCount]atomic.Int64
 	evicted         [categoryCount]atomic.Uint64 // number of evicted entries
-	evictionHorizon atomic.Uint64                // start time of the youngest evicted entry
+	evictionHorizon atomic.Uint64                // latest start time of an evicted entry
 
 	// Guarded by mu. The slices are indexed by the head block of a chain.
 	older, newer []uint32 // neighbours in the category's list; newer also links the free blocks
 	lastBlock    []uint32 // last block of the chain
-	firstFree    uint32
+	firstFree    uint32   // first block of the free list
 	oldest       [categoryCount]uint32
 	newest       [categoryCount]uint32
 
@@ -115,7 +115,7 @@
 func (p *blockPool) endUpdate(head uint32) { atomic.AddUint64(&p.sequences[head], 1) }
 
 // linkWord returns the first word of a block: its tag, the number of its used words, and
-// the next block of its chain. In a head it also has the category (see setCategory).
+// the next block of its chain. In a head block, setCategory adds the entry's category.
 func linkWord(tag, used int, next uint32) uint64 {
 	return uint64(tag) | uint64(used)<<8 | uint64(next)<<32
 }
@@ -168,15 +168,15 @@
 // evictionCandidate returns the head and category of the next chain to evict: the oldest
 // routine entry, or the oldest notable one if those exceed their share, and a pending one
 // only if there is no other. It never returns a pinned entry or the chain with the head
-// spared. It returns noBlock if there is no candidate.
-func (p *blockPool) evictionCandidate(spared uint32) (uint32, category) {
+// excluded. It returns noBlock if there is no candidate.
+func (p *blockPool) evictionCandidate(excluded uint32) (uint32, category) {
 	order := [...]category{categoryRoutine, categoryNotable, categoryPending}
 	if int(p.blocksInUse[categoryNotable].Load()) > p.blockCount*notableSharePercent/100 {
 		order = [...]category{categoryNotable, categoryRoutine, categoryPending}
 	}
 	for _, category := range order {
 		for head := p.oldest[category]; head != noBlock; head = p.newer[head] {
-			if head != spared {
+			if head != excluded {
 				return head, category
 			}
 		}
--- a/internal/decisionlog/blockpool_test.go
+++ b/internal/decisionlog/blockpool_test.go
@@ -57,7 +57,7 @@
 		log.pool = newBlockPool(bytesPerBlock * rapid.IntRange(4, 60).Draw(rt, "blocks"))
 		type expected struct {
 			proxy.RequestObserver
-			events int // number of recorded events
+			events int // number of events passed to the observer
 			ended  bool
 			held   balancer.Reason // reason of the last event if that is a hold, otherwise 0
 		}
@@ -67,24 +67,24 @@
 			if last == 0 {
 				return 0, nil
 			}
-			n := rapid.Uint64Range(max(1, last-min(last-1, 12)), last).Draw(rt, "number")
-			return n, all[n]
+			number := rapid.Uint64Range(max(1, last-min(last-1, 12)), last).Draw(rt, "number")
+			return number, all[number]
 		}
 		rt.Repeat(map[string]func(*rapid.T){
 			"": func(rt *rapid.T) {
 				checkPool(rt, log.pool)
-				for n, state := range all {
-					entry, err := log.EntryByNumber(n)
+				for number, state := range all {
+					entry, err := log.EntryByNumber(number)
 					switch {
 					case errors.Is(err, ErrEvicted):
 					case err != nil:
-						rt.Fatalf("entry %d: error %v", n, err)
-					case entry.Name != testRequest(n).Name || entry.Flow != n:
-						rt.Fatalf("entry %d is read as %+v", n, entry)
+						rt.Fatalf("entry %d: error %v", number, err)
+					case entry.Name != testRequest(number).Name || entry.Flow != number:
+						rt.Fatalf("entry %d is read as %+v", number, entry)
 					case !entry.HeadEvicted && !entry.EventsOmitted && len(entry.Events) != state.events:
-						rt.Fatalf("entry %d: %d events recorded, %d read: %+v", n, state.events, len(entry.Events), entry.Events)
+						rt.Fatalf("entry %d: %d events recorded, %d read: %+v", number, state.events, len(entry.Events), entry.Events)
 					case entry.HeadEvicted && len(entry.Events) > state.events:
-						rt.Fatalf("incomplete entry %d: %d events recorded, %d read", n, state.events, len(entry.Events))
+						rt.Fatalf("incomplete entry %d: %d events recorded, %d read", number, state.events, len(entry.Events))
 					}
 				}
 			},
@@ -97,7 +97,7 @@
 				if state == nil || state.ended {
 					return
 				}
-				reason := balancer.Reason(rapid.IntRange(int(balancer.ReasonNoneEligible), int(balancer.ReasonEndpointRecovering)).Draw(rt, "why"))
+				reason := balancer.Reason(rapid.IntRange(int(balancer.ReasonNoneEligible), int(balancer.ReasonEndpointRecovering)).Draw(rt, "reason"))
 				if rapid.Bool().Draw(rt, "held") {
 					state.Decided(testDecision(balancer.VerdictHeld, reason, 1, 2))
 					if state.held != reason {
@@ -112,7 +112,7 @@
 			},
 			"pass": func(rt *rapid.T) {
 				if _, state := pick(); state != nil && !state.ended {
-					state.AttemptStarted(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "how")))
+					state.AttemptStarted(1)(balancer.AttemptStatus(rapid.IntRange(0, 8).Draw(rt, "status")))
 					state.events += 2
 					state.held = 0
 				}
@@ -132,10 +132,10 @@
 				}
 			},
 			"pin": func(rt *rapid.T) {
-				if n, state := pick(); state != nil {
-					err := log.Pin(n, rapid.Bool().Draw(rt, "on"))
+				if number, state := pick(); state != nil {
+					err := log.Pin(number, rapid.Bool().Draw(rt, "pinned"))
 					if err != nil && !errors.Is(err, ErrEvicted) && !errors.Is(err, ErrPinLimit) {
-						rt.Fatalf("Pin(%d): error %v", n, err)
+						rt.Fatalf("Pin(%d): error %v", number, err)
 					}
 				}
 			},
