--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -43,8 +43,8 @@
 // newClient adds a client, which connects to a relay.
 func (s *Sim) newClient() {
 	var id uint32
-	if n := len(s.freeClients); n > 0 {
-		id, s.freeClients = s.freeClients[n-1], s.freeClients[:n-1]
+	if count := len(s.freeClients); count > 0 {
+		id, s.freeClients = s.freeClients[count-1], s.freeClients[:count-1]
 	} else {
 		id = uint32(len(s.clients))
 		s.clients = append(s.clients, clientModel{})
--- a/internal/simulation/eventqueue.go
+++ b/internal/simulation/eventqueue.go
@@ -65,16 +65,16 @@
 func (q *eventQueue) pop() scheduledEvent {
 	heap := *q
 	top := heap[0]
-	n := len(heap) - 1
-	heap[0] = heap[n]
-	heap = heap[:n]
+	count := len(heap) - 1
+	heap[0] = heap[count]
+	heap = heap[:count]
 	*q = heap
 	for i := 0; ; {
 		child := 2*i + 1
-		if child >= n {
+		if child >= count {
 			break
 		}
-		if child+1 < n && heap.less(child+1, child) {
+		if child+1 < count && heap.less(child+1, child) {
 			child++
 		}
 		if !heap.less(child, i) {
--- a/internal/simulation/policies.go
+++ b/internal/simulation/policies.go
@@ -36,14 +36,14 @@
 		settings.CrossZoneCost = 0
 		return balancer.New(settings, s.rng.Uint64())
 	}},
-	{"module-no-notes", func(s *Sim, relayIndex int) Decider {
-		return eventFilter{balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+	{"module-no-notes", func(sim *Sim, relayIndex int) Decider {
+		return eventFilter{balancer.New(sim.settings(sim.relays[relayIndex].zone), sim.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			_, isDelay := ev.(balancer.EndpointDelay)
 			return ev, !isDelay
 		}}
 	}},
-	{"module-no-routes", func(s *Sim, relayIndex int) Decider {
-		return eventFilter{balancer.New(s.settings(s.relays[relayIndex].zone), s.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
+	{"module-no-routes", func(sim *Sim, relayIndex int) Decider {
+		return eventFilter{balancer.New(sim.settings(sim.relays[relayIndex].zone), sim.rng.Uint64()), func(ev balancer.Event) (balancer.Event, bool) {
 			if request, ok := ev.(balancer.Request); ok {
 				request.Group, request.Item = 0, 0
 				return request, true
@@ -54,22 +54,22 @@
 	{"random", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
 		return candidates[p.rng.IntN(len(candidates))]
 	})},
-	{"round-robin", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
-		p.lastIndex++
+	{"round-robin", baselinePolicy(func(decider *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+		decider.lastIndex++
 		for _, endpoint := range candidates {
-			if int(endpoint.ID) > p.lastIndex%p.highestID {
-				p.lastIndex = int(endpoint.ID) - 1
+			if int(endpoint.ID) > decider.lastIndex%decider.highestID {
+				decider.lastIndex = int(endpoint.ID) - 1
 				return endpoint
 			}
 		}
-		p.lastIndex = int(candidates[0].ID) - 1
+		decider.lastIndex = int(candidates[0].ID) - 1
 		return candidates[0]
 	})},
 	{"least-connections", baselinePolicy(func(_ *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
 		return slices.MinFunc(candidates, func(x, y *knownEndpoint) int { return cmp.Compare(x.conns, y.conns) })
 	})},
-	{"two-choices", baselinePolicy(func(p *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
-		x, y := candidates[p.rng.IntN(len(candidates))], candidates[p.rng.IntN(len(candidates))]
+	{"two-choices", baselinePolicy(func(decider *baseline, _ *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+		x, y := candidates[decider.rng.IntN(len(candidates))], candidates[decider.rng.IntN(len(candidates))]
 		if y.conns < x.conns {
 			return y
 		}
@@ -92,10 +92,10 @@
 		}
 		return ranked[0]
 	})},
-	{"oracle", baselinePolicy(func(p *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
+	{"oracle", baselinePolicy(func(decider *baseline, request *pendingRequest, candidates []*knownEndpoint) *knownEndpoint {
 		group := uint32(request.Group - 1)
 		return slices.MinFunc(candidates, func(x, y *knownEndpoint) int {
-			return cmp.Compare(p.trueUtilization(x, group), p.trueUtilization(y, group))
+			return cmp.Compare(decider.trueUtilization(x, group), decider.trueUtilization(y, group))
 		})
 	})},
 }
@@ -125,16 +125,16 @@
 
 // rendezvous returns the weight of a server for a group in rendezvous hashing.
 func rendezvous(group uint64, id balancer.EndpointID) uint64 {
-	h := fnv.New64a()
-	var b [12]byte
+	hash := fnv.New64a()
+	var key [12]byte
 	for i := range 8 {
-		b[i] = byte(group >> (8 * i))
+		key[i] = byte(group >> (8 * i))
 	}
 	for i := range 4 {
-		b[8+i] = byte(id >> (8 * i))
+		key[8+i] = byte(id >> (8 * i))
 	}
-	h.Write(b[:])
-	return h.Sum64()
+	hash.Write(key[:])
+	return hash.Sum64()
 }
 
 // baseline is a decider that chooses by the endpoint list and its own connections. It retries
--- a/internal/simulation/result.go
+++ b/internal/simulation/result.go
@@ -73,10 +73,10 @@
 }
 
 // result computes the metrics of a run from its statistics.
-func (a *statistics) result(s *Sim, runTime time.Duration) *Result {
+func (a *statistics) result(sim *Sim, runTime time.Duration) *Result {
 	result := &Result{
 		Clients: a.clients, Requests: a.requests, Attempts: a.attempts, FailedAttempts: a.failedAttempts, Rejected: a.rejected, GaveUp: a.gaveUp, Migrations: a.migrations, HeartbeatTimeouts: a.heartbeatTimeouts,
-		BrokenConnections: a.brokenConnections, CrossZoneAttempts: a.crossZoneAttempts, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: s.eventCount, RunTime: runTime.Seconds(), ServersPerGroup: a.serversPerGroup,
+		BrokenConnections: a.brokenConnections, CrossZoneAttempts: a.crossZoneAttempts, LateAfterDrain: a.lateAfterDrain, Overloaded: a.overloaded, Events: sim.eventCount, RunTime: runTime.Seconds(), ServersPerGroup: a.serversPerGroup,
 		Seconds: a.seconds, Annotations: a.annotations, AttemptsPerRequest: ratio(float64(a.attempts), float64(a.requests)), LoadSpread: ratio(a.loadSpreadSum, float64(a.loadSpreadCount)),
 	}
 	result.Probes, result.FalseAlarms = a.probes, a.falseAlarms
@@ -84,7 +84,7 @@
 		result.DetectionTime = a.detectionTime.Seconds() / float64(a.detections)
 	}
 	served, demanded, worst := 0.0, 0.0, 1.0
-	for i, class := range s.Classes {
+	for i, class := range sim.Classes {
 		served, demanded = served+a.served[i], demanded+a.demanded[i]
 		service := min(1, ratio(a.served[i], a.demanded[i]))
 		worst = min(worst, service)
@@ -103,9 +103,9 @@
 			result.WorstTenSeconds, result.WorstTenSecondsStart = service, float64(i)
 		}
 	}
-	result.Score = 0.6*result.Service + 0.05*result.WorstTenSeconds + 0.35*worst - s.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
+	result.Score = 0.6*result.Service + 0.05*result.WorstTenSeconds + 0.35*worst - sim.MigrationCost*ratio(float64(a.migrations), float64(max(1, a.clients)))
 	result.Recovery = recoveryTime(a.seconds, a.annotations)
-	for _, server := range s.servers {
+	for _, server := range sim.servers {
 		result.Established += len(server.conns)
 	}
 	return result
@@ -121,11 +121,11 @@
 	if from < 1 || from >= len(seconds) {
 		return 0
 	}
-	before, n := 0.0, 0
+	before, count := 0.0, 0
 	for i := max(0, from-5); i < from; i++ {
-		before, n = before+seconds[i].Service, n+1
+		before, count = before+seconds[i].Service, count+1
 	}
-	before /= float64(n)
+	before /= float64(count)
 	fell := false
 	for i := from; i < len(seconds); i++ {
 		if seconds[i].Service < 0.95*before {
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// drawServers draws n of the ready servers, or all if there are fewer.
-func (s *Sim) drawServers(n int) []int {
+// drawServers draws count of the ready servers, or all if there are fewer.
+func (s *Sim) drawServers(count int) []int {
 	var ready []int
 	for index, server := range s.servers {
 		if server.state == balancer.StateReady && !server.down && !server.hung {
@@ -66,7 +66,7 @@
 		}
 	}
 	s.rng.Shuffle(len(ready), func(i, j int) { ready[i], ready[j] = ready[j], ready[i] })
-	return ready[:min(n, len(ready))]
+	return ready[:min(count, len(ready))]
 }
 
 // slowStartShare returns the share of its capacity that a server has now.
--- a/internal/simulation/sim.go
+++ b/internal/simulation/sim.go
@@ -55,45 +55,45 @@
 // New returns a simulation that performs the actions of a script. The world must be valid.
 // Equal arguments give equal results.
 func New(world World, actions []ScriptedAction, policy Policy, seed uint64) *Sim {
-	s := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: policy.NewDecider, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
-	s.statistics.start(s)
+	sim := &Sim{World: world, now: startTime - warmUpTime, rng: rand.New(rand.NewPCG(seed, 1)), actions: actions, newDecider: policy.NewDecider, clientsByClass: make([]int, len(world.Classes)), end: startTime + world.Duration}
+	sim.statistics.start(sim)
 	for _, class := range world.Classes {
-		s.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
-		s.lifeMean += class.Share * (class.LifetimeFactor[0] + class.LifetimeFactor[1]) / 2
+		sim.loadMean += class.Share * (class.LoadFactor[0] + class.LoadFactor[1]) / 2
+		sim.lifeMean += class.Share * (class.LifetimeFactor[0] + class.LifetimeFactor[1]) / 2
 	}
 	total := 0.0
 	for i := range world.Groups {
 		total += math.Pow(float64(i+1), -world.GroupSkew)
-		s.groupWeights = append(s.groupWeights, total)
+		sim.groupWeights = append(sim.groupWeights, total)
 	}
 	for i := range world.Servers {
-		speed := s.uniform(world.Speed)
+		speed := sim.uniform(world.Speed)
 		if math.Floor(float64(i+1)*world.SlowShare) > math.Floor(float64(i)*world.SlowShare) {
-			speed = s.uniform(world.SlowSpeed)
+			speed = sim.uniform(world.SlowSpeed)
 		}
-		s.newServer(speed, 0)
+		sim.newServer(speed, 0)
 	}
 	// The number of slow machines is exact; which servers run on them is random.
-	s.rng.Shuffle(len(s.servers), func(i, j int) {
-		a, b := s.servers[i], s.servers[j]
+	sim.rng.Shuffle(len(sim.servers), func(i, j int) {
+		a, b := sim.servers[i], sim.servers[j]
 		a.speed, b.speed, a.capacity, b.capacity = b.speed, a.speed, b.capacity, a.capacity
 	})
 	for i := range world.Relays {
 		relay := &relayModel{zone: i % world.Zones}
-		s.relays = append(s.relays, relay)
-		s.startRelay(uint32(i))
+		sim.relays = append(sim.relays, relay)
+		sim.startRelay(uint32(i))
 	}
 	for range world.InitialConnections {
-		s.schedule(time.Duration(s.rng.Float64()*float64(warmUpTime)*0.8), scheduledEvent{kind: eventClientArrives, value: 1})
+		sim.schedule(time.Duration(sim.rng.Float64()*float64(warmUpTime)*0.8), scheduledEvent{kind: eventClientArrives, value: 1})
 	}
 	if world.ArrivalRate > 0 {
-		s.push(scheduledEvent{at: startTime, kind: eventClientArrives})
+		sim.push(scheduledEvent{at: startTime, kind: eventClientArrives})
 	}
-	s.push(scheduledEvent{at: startTime - warmUpTime + tickInterval, kind: eventTick})
+	sim.push(scheduledEvent{at: startTime - warmUpTime + tickInterval, kind: eventTick})
 	for i, action := range actions {
-		s.push(scheduledEvent{at: startTime + action.At, kind: eventScriptedAction, value: uint32(i)})
+		sim.push(scheduledEvent{at: startTime + action.At, kind: eventScriptedAction, value: uint32(i)})
 	}
-	return s
+	return sim
 }
 
 // push schedules an event at its own time; simultaneous events are handled in the order of scheduling.
--- a/internal/simulation/statistics.go
+++ b/internal/simulation/statistics.go
@@ -34,8 +34,8 @@
 }
 
 // start allocates the counters of the classes.
-func (a *statistics) start(s *Sim) {
-	n := len(s.Classes)
+func (a *statistics) start(sim *Sim) {
+	n := len(sim.Classes)
 	a.served, a.demanded, a.inObjective, a.established = make([]float64, n), make([]float64, n), make([]int, n), make([]int, n)
 	for range n {
 		a.setupTimes = append(a.setupTimes, hdrhistogram.New(1, time.Minute.Microseconds(), 2))
@@ -43,33 +43,33 @@
 }
 
 // countEstablished counts a request whose connection was established.
-func (a *statistics) countEstablished(s *Sim, client *clientModel) {
-	took := s.now - client.requestedAt
+func (a *statistics) countEstablished(sim *Sim, client *clientModel) {
+	took := sim.now - client.requestedAt
 	a.setupTimes[client.class].RecordValue(max(1, took.Microseconds()))
 	a.established[client.class]++
-	if took <= s.Classes[client.class].LatencyObjective {
+	if took <= sim.Classes[client.class].LatencyObjective {
 		a.inObjective[client.class]++
 	}
 }
 
 // countService counts the service of a server in a tick of length dt.
-func (a *statistics) countService(s *Sim, server *serverModel, utilization float64, dt time.Duration) {
+func (a *statistics) countService(sim *Sim, server *serverModel, utilization float64, dt time.Duration) {
 	a.utilizations = append(a.utilizations, utilization)
-	for i, n := range server.connectionsByClass {
-		if n > 0 && !server.hung && server.delay <= s.Classes[i].MessageLatencyObjective {
-			served := float64(n) * s.Classes[i].Weight * dt.Seconds()
+	for i, count := range server.connectionsByClass {
+		if count > 0 && !server.hung && server.delay <= sim.Classes[i].MessageLatencyObjective {
+			served := float64(count) * sim.Classes[i].Weight * dt.Seconds()
 			a.served[i] += served
 			a.currentServed += served
 		}
-		a.current.Established += n
+		a.current.Established += count
 	}
 }
 
 // tick counts the demand of a tick of length dt, after the service of all servers, and completes the
 // metrics of each second.
-func (a *statistics) tick(s *Sim, dt time.Duration) {
-	for i, n := range s.clientsByClass {
-		demanded := float64(n) * s.Classes[i].Weight * dt.Seconds()
+func (a *statistics) tick(sim *Sim, dt time.Duration) {
+	for i, n := range sim.clientsByClass {
+		demanded := float64(n) * sim.Classes[i].Weight * dt.Seconds()
 		a.demanded[i] += demanded
 		a.currentDemanded += demanded
 	}
@@ -94,7 +94,7 @@
 	}
 	groups, placements := make(map[uint32]bool), 0
 	if a.tickCount%int(5*time.Second/dt) == 0 {
-		for _, server := range s.servers {
+		for _, server := range sim.servers {
 			placements += len(server.connectionsByGroup)
 			for group := range server.connectionsByGroup {
 				groups[group] = true
