--- a/internal/simprotocol/batch.go
+++ b/internal/simprotocol/batch.go
@@ -106,18 +106,18 @@
 	if uint64(size) > uint64(len(b.unread)-recordHeader) {
 		return Record{}, fmt.Errorf("record of code %d: its size is %d bytes, but %d are left in the batch", code, size, len(b.unread)-recordHeader)
 	}
-	c := cursor{unread: b.unread[recordHeader : recordHeader+int(size)]}
+	fields := cursor{unread: b.unread[recordHeader : recordHeader+int(size)]}
 	b.unread = b.unread[recordHeader+int(size):]
 	b.remaining--
-	record, err := b.reader.decodeRecord(code, &c)
+	record, err := b.reader.decodeRecord(code, &fields)
 	if err != nil {
 		return Record{}, fmt.Errorf("record of code %d: %w", code, err)
 	}
-	if c.truncated {
+	if fields.truncated {
 		return Record{}, fmt.Errorf("record of code %d: size of %d bytes is too short for its fields", code, size)
 	}
-	if len(c.unread) > 0 {
-		return Record{}, fmt.Errorf("record of code %d: %d bytes follow its last field", code, len(c.unread))
+	if len(fields.unread) > 0 {
+		return Record{}, fmt.Errorf("record of code %d: %d bytes follow its last field", code, len(fields.unread))
 	}
 	return record, nil
 }
--- a/internal/simprotocol/cursor.go
+++ b/internal/simprotocol/cursor.go
@@ -15,14 +15,14 @@
 	truncated bool // a field beyond the end was read
 }
 
-// take returns the next n bytes, or up to 8 zeros if the record has fewer.
-func (c *cursor) take(n int) []byte {
-	if len(c.unread) < n {
+// take returns the next count bytes, or up to 8 zeros if the record has fewer.
+func (c *cursor) take(count int) []byte {
+	if len(c.unread) < count {
 		c.truncated, c.unread = true, nil
-		return make([]byte, 8)[:min(n, 8)]
+		return make([]byte, 8)[:min(count, 8)]
 	}
-	b := c.unread[:n]
-	c.unread = c.unread[n:]
+	b := c.unread[:count]
+	c.unread = c.unread[count:]
 	return b
 }
 
@@ -37,13 +37,13 @@
 func (c *cursor) requestID() balancer.RequestID   { return balancer.RequestID(c.u32()) }
 func (c *cursor) endpointID() balancer.EndpointID { return balancer.EndpointID(c.u32()) }
 
-// bytes returns the next n bytes, or nil if the record has fewer.
-func (c *cursor) bytes(n uint32) []byte {
-	if uint64(n) > uint64(len(c.unread)) {
+// bytes returns the next count bytes, or nil if the record has fewer.
+func (c *cursor) bytes(count uint32) []byte {
+	if uint64(count) > uint64(len(c.unread)) {
 		c.truncated, c.unread = true, nil
 		return nil
 	}
-	return c.take(int(n))
+	return c.take(int(count))
 }
 
 // skipFloats skips a list of 32-bit floats that is preceded by its length in one byte.
--- a/internal/simprotocol/endpointlist.go
+++ b/internal/simprotocol/endpointlist.go
@@ -15,11 +15,11 @@
 }
 
 // decodeTopology decodes the delivery of an endpoint list, which an earlier catalog record holds.
-func (reader *Reader) decodeTopology(c *cursor) (any, error) {
-	mode := c.u8()
-	c.u64() // version, not needed as lists arrive in order and none is skipped
-	number := c.u16()
-	if c.truncated {
+func (reader *Reader) decodeTopology(fields *cursor) (any, error) {
+	mode := fields.u8()
+	fields.u64() // version, not needed as lists arrive in order and none is skipped
+	number := fields.u16()
+	if fields.truncated {
 		return nil, nil
 	}
 	kind, ok := listKinds[mode]
@@ -37,10 +37,10 @@
 
 // decodeCatalog decodes a numbered endpoint list and stores it for topology records. Numbers are
 // reused, and events may still hold the earlier list, so its slice is replaced and not overwritten.
-func (reader *Reader) decodeCatalog(c *cursor) error {
-	number, count := c.u16(), c.u32()
-	if c.truncated || uint64(count)*endpointSize > uint64(len(c.unread)) {
-		c.truncated = true
+func (reader *Reader) decodeCatalog(fields *cursor) error {
+	number, count := fields.u16(), fields.u32()
+	if fields.truncated || uint64(count)*endpointSize > uint64(len(fields.unread)) {
+		fields.truncated = true
 		return nil
 	}
 	if number >= maxCatalogs {
@@ -48,7 +48,7 @@
 	}
 	endpoints := make([]balancer.Endpoint, count)
 	for i := range endpoints {
-		if err := decodeEndpoint(c, &endpoints[i]); err != nil {
+		if err := decodeEndpoint(fields, &endpoints[i]); err != nil {
 			return err
 		}
 	}
@@ -57,18 +57,18 @@
 }
 
 // decodeEndpoint decodes an entry of a catalog.
-func decodeEndpoint(c *cursor, endpoint *balancer.Endpoint) error {
-	endpoint.Zone = int(c.u16())
-	endpoint.Size = float64(c.f32())
-	endpoint.Cell = int(c.u16())
-	startedAt, err := decodeMicroseconds(c.u64())
+func decodeEndpoint(fields *cursor, endpoint *balancer.Endpoint) error {
+	endpoint.Zone = int(fields.u16())
+	endpoint.Size = float64(fields.f32())
+	endpoint.Cell = int(fields.u16())
+	startedAt, err := decodeMicroseconds(fields.u64())
 	if err != nil {
 		return err
 	}
 	endpoint.StartedAt = startedAt
-	endpoint.ID = c.endpointID()
-	state := c.u8()
-	c.u16() // machine type, not used by the balancer
+	endpoint.ID = fields.endpointID()
+	state := fields.u8()
+	fields.u16() // machine type, not used by the balancer
 	if state > uint8(balancer.StateDraining) {
 		return fmt.Errorf("endpoint %d: unknown state %d", endpoint.ID, state)
 	}
--- a/internal/simprotocol/record.go
+++ b/internal/simprotocol/record.go
@@ -57,52 +57,52 @@
 }
 
 // decodeRecord decodes the fields of a record.
-func (reader *Reader) decodeRecord(code uint8, c *cursor) (Record, error) {
+func (reader *Reader) decodeRecord(code uint8, fields *cursor) (Record, error) {
 	if code == codeCatalog { // shared by all instances
-		return Record{}, reader.decodeCatalog(c)
+		return Record{}, reader.decodeCatalog(fields)
 	}
 	if code == 0 || code > codeHeartbeat {
 		return Record{}, errors.New("unknown code")
 	}
-	instance := c.u32()
-	body, err := reader.decodeBody(code, c)
+	instance := fields.u32()
+	body, err := reader.decodeBody(code, fields)
 	return Record{Instance: instance, Body: body}, err
 }
 
 // decodeBody decodes the fields after the instance number.
-func (reader *Reader) decodeBody(code uint8, c *cursor) (any, error) {
+func (reader *Reader) decodeBody(code uint8, fields *cursor) (any, error) {
 	switch code {
 	case codeAttach:
-		return decodeAttach(c)
+		return decodeAttach(fields)
 	case codeTopology:
-		return reader.decodeTopology(c)
+		return reader.decodeTopology(fields)
 	case codeRequest:
-		return decodeRequest(c), nil
+		return decodeRequest(fields), nil
 	case codeResumed:
-		return decodeResumed(c), nil
+		return decodeResumed(fields), nil
 	case codeBegun:
-		return decodeEstablished(c), nil
+		return decodeEstablished(fields), nil
 	case codeOutcome:
-		return decodeOutcome(c)
+		return decodeOutcome(fields)
 	case codeClientLeft:
-		return balancer.ClientLeft{Request: c.requestID()}, nil
+		return balancer.ClientLeft{Request: fields.requestID()}, nil
 	case codeWake:
-		return balancer.Timer{Token: c.u32()}, nil
+		return balancer.Timer{Token: fields.u32()}, nil
 	case codeProbeDone:
-		skipProbe(c)
+		skipProbe(fields)
 	case codeDatagram:
-		skipDatagram(c)
+		skipDatagram(fields)
 	case codeRetire:
 		return Retire{}, nil
 	case codeHeartbeat:
-		return decodeHeartbeat(c)
+		return decodeHeartbeat(fields)
 	}
 	return nil, nil
 }
 
-func decodeAttach(c *cursor) (any, error) {
-	seed, text := c.u64(), c.bytes(c.u32())
-	if c.truncated {
+func decodeAttach(fields *cursor) (any, error) {
+	seed, text := fields.u64(), fields.bytes(fields.u32())
+	if fields.truncated {
 		return nil, nil
 	}
 	settings, err := ParseSettings(text)
@@ -112,30 +112,30 @@
 	return Attach{Seed: seed, Settings: settings}, nil
 }
 
-func decodeRequest(c *cursor) balancer.Request {
+func decodeRequest(fields *cursor) balancer.Request {
 	var request balancer.Request
-	request.ID = c.requestID()
-	request.Class = int(c.u8())
-	c.u16() // tenant, not used by the balancer
-	request.Item = c.u64()
-	request.TimeLeft = c.duration()
-	load := c.u32()
-	request.Group = c.u64()
-	setRequestFlags(&request, c.u16(), load)
+	request.ID = fields.requestID()
+	request.Class = int(fields.u8())
+	fields.u16() // tenant, not used by the balancer
+	request.Item = fields.u64()
+	request.TimeLeft = fields.duration()
+	load := fields.u32()
+	request.Group = fields.u64()
+	setRequestFlags(&request, fields.u16(), load)
 	return request
 }
 
-func decodeResumed(c *cursor) balancer.Resumed {
+func decodeResumed(fields *cursor) balancer.Resumed {
 	var request balancer.Request
-	request.ID = c.requestID()
-	request.TimeLeft = c.duration()
-	endpoint := c.endpointID()
-	request.Group = c.u64()
-	request.Class = int(c.u8())
-	load := c.u32()
-	c.u16() // tenant, not used by the balancer
-	request.Item = c.u64()
-	setRequestFlags(&request, c.u16(), load)
+	request.ID = fields.requestID()
+	request.TimeLeft = fields.duration()
+	endpoint := fields.endpointID()
+	request.Group = fields.u64()
+	request.Class = int(fields.u8())
+	load := fields.u32()
+	fields.u16() // tenant, not used by the balancer
+	request.Item = fields.u64()
+	setRequestFlags(&request, fields.u16(), load)
 	return balancer.Resumed{Request: request, Endpoint: endpoint}
 }
 
@@ -154,11 +154,11 @@
 }
 
 // skipProbe skips the result of a probe, as the balancer sends none.
-func skipProbe(c *cursor) {
-	c.u32()
-	c.u16()
-	c.u32()
-	c.skipFloats()
+func skipProbe(fields *cursor) {
+	fields.u32()
+	fields.u16()
+	fields.u32()
+	fields.skipFloats()
 }
 
 // skipDatagram skips a message between relays, as the balancer sends none.
@@ -179,17 +179,17 @@
 	307: balancer.StatusNotSent,
 }
 
-func decodeOutcome(c *cursor) (any, error) {
+func decodeOutcome(fields *cursor) (any, error) {
 	var outcome balancer.Outcome
-	outcome.Request = c.requestID()
-	outcome.Final = c.u8() != 0
-	c.u32() // duration, not used by the balancer
-	c.u16() // attempt number, not needed as the attempts of a request never overlap
-	code := c.u16()
-	outcome.Endpoint = c.endpointID()
-	c.skipFloats() // load reports, not used by the balancer
+	outcome.Request = fields.requestID()
+	outcome.Final = fields.u8() != 0
+	fields.u32() // duration, not used by the balancer
+	fields.u16() // attempt number, not needed as the attempts of a request never overlap
+	code := fields.u16()
+	outcome.Endpoint = fields.endpointID()
+	fields.skipFloats() // load reports, not used by the balancer
 	status, ok := statuses[code]
-	if !ok && !c.truncated {
+	if !ok && !fields.truncated {
 		return nil, fmt.Errorf("unknown outcome code %d", code)
 	}
 	outcome.Status = status
@@ -198,12 +198,12 @@
 
 // decodeHeartbeat decodes a report of a connection's load, in microseconds of work per second, or of an
 // endpoint's message delay, in milliseconds.
-func decodeHeartbeat(c *cursor) (any, error) {
-	id := c.requestID()
-	c.u16() // attempt number, not needed as the attempts of a request never overlap
-	endpoint := c.endpointID()
-	kind, level := c.u8(), float64(c.f32())
-	if c.truncated {
+func decodeHeartbeat(fields *cursor) (any, error) {
+	id := fields.requestID()
+	fields.u16() // attempt number, not needed as the attempts of a request never overlap
+	endpoint := fields.endpointID()
+	kind, level := fields.u8(), float64(fields.f32())
+	if fields.truncated {
 		return nil, nil
 	}
 	if !(level >= 0 && level < maxLevel) { // also false for NaN
