--- a/internal/experiment/results.go
+++ b/internal/experiment/results.go
@@ -68,12 +68,12 @@
 // fileHeader returns the header of a results file: the experiment's source as comments, and the
 // names of the columns.
 func fileHeader(source string) string {
-	var b strings.Builder
+	var header strings.Builder
 	for line := range strings.Lines(strings.TrimRight(source, "\n") + "\n") {
-		b.WriteString("# " + line)
+		header.WriteString("# " + line)
 	}
-	b.WriteString("where,policy,seed," + strings.Join(Metrics, ",") + "\n")
-	return b.String()
+	header.WriteString("where,policy,seed," + strings.Join(Metrics, ",") + "\n")
+	return header.String()
 }
 
 // ReadResults reads a results file. It ignores a truncated last line.
@@ -128,15 +128,15 @@
 
 // csvLine returns the row's line in a results file.
 func (r Row) csvLine() []byte {
-	var b bytes.Buffer
-	w := csv.NewWriter(&b)
+	var buffer bytes.Buffer
+	writer := csv.NewWriter(&buffer)
 	fields := []string{r.Cell, r.Policy, strconv.FormatUint(r.Seed, 10)}
 	for _, value := range r.Values {
 		fields = append(fields, strconv.FormatFloat(value, 'g', 7, 64))
 	}
-	_ = w.Write(fields) // writes to a buffer don't fail
-	w.Flush()
-	return b.Bytes()
+	_ = writer.Write(fields) // writes to a buffer don't fail
+	writer.Flush()
+	return buffer.Bytes()
 }
 
 // Mean is the mean of Count values with the half width of its 95% confidence interval.
