--- a/cmd/simulate/main.go
+++ b/cmd/simulate/main.go
@@ -40,7 +40,7 @@
 func main() { os.Exit(run(os.Args[1:], streams{out: os.Stdout, errs: os.Stderr})) }
 
 // run runs a command line and returns the exit code.
-func run(args []string, s streams) (code int) {
+func run(args []string, stdio streams) (code int) {
 	defer func() {
 		if exit, ok := recover().(exitCode); ok {
 			code = int(exit)
@@ -48,18 +48,18 @@
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("simulate"),
 		kong.Description("Runs simulation experiments of a server farm whose relays use the relay's own balancer."),
-		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(s))
+		kong.Writers(stdio.out, stdio.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(stdio))
 	if err != nil {
-		fmt.Fprintf(s.errs, "simulate: %v\n", err)
+		fmt.Fprintf(stdio.errs, "simulate: %v\n", err)
 		return exitFailed
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(s.errs, "simulate: %v\ntry simulate --help\n", err)
+		fmt.Fprintf(stdio.errs, "simulate: %v\ntry simulate --help\n", err)
 		return exitUsage
 	}
 	if err := parsed.Run(); err != nil {
-		fmt.Fprintf(s.errs, "simulate: %v\n", err)
+		fmt.Fprintf(stdio.errs, "simulate: %v\n", err)
 		return exitFailed
 	}
 	return 0
@@ -101,7 +101,7 @@
 }
 
 // Run runs the experiment, prints the means and checks the claims.
-func (c *runCommand) Run(s streams) error {
+func (c *runCommand) Run(stdio streams) error {
 	parsed, err := readExperiment(c.Experiment)
 	if err != nil {
 		return err
@@ -118,7 +118,7 @@
 	results, err := experiment.Execute(parsed, out, workers, func(done, total int) {
 		if !c.Quiet && (time.Since(lastProgress) > time.Second || done == total) {
 			lastProgress = time.Now()
-			fmt.Fprintf(s.errs, "%d of %d runs completed\n", done, total)
+			fmt.Fprintf(stdio.errs, "%d of %d runs completed\n", done, total)
 		}
 	})
 	if err != nil {
@@ -127,18 +127,18 @@
 	if len(c.Metrics) == 0 {
 		c.Metrics = defaultMetrics
 	}
-	if err := results.Report(s.out, c.Metrics); err != nil {
+	if err := results.Report(stdio.out, c.Metrics); err != nil {
 		return err
 	}
 	contradicted := results.ContradictedClaims(parsed)
 	for _, claim := range contradicted {
-		fmt.Fprintln(s.out, "claim does not hold:", claim)
+		fmt.Fprintln(stdio.out, "claim does not hold:", claim)
 	}
 	if len(contradicted) > 0 {
 		return fmt.Errorf("%d of %d claims do not hold", len(contradicted), len(parsed.Claims))
 	}
 	if len(parsed.Claims) > 0 {
-		fmt.Fprintf(s.out, "all %d claims hold\n", len(parsed.Claims))
+		fmt.Fprintf(stdio.out, "all %d claims hold\n", len(parsed.Claims))
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 }
 
 // Run prints the means of the results.
-func (c *reportCommand) Run(s streams) error {
+func (c *reportCommand) Run(stdio streams) error {
 	results, err := experiment.ReadResults(c.Results)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	if len(c.Metrics) == 0 {
 		c.Metrics = defaultMetrics
 	}
-	return results.Report(s.out, c.Metrics)
+	return results.Report(stdio.out, c.Metrics)
 }
 
 // compareCommand implements simulate compare.
@@ -169,7 +169,7 @@
 }
 
 // Run prints the mean differences between two results files.
-func (c *compareCommand) Run(s streams) error {
+func (c *compareCommand) Run(stdio streams) error {
 	first, err := experiment.ReadResults(c.A)
 	if err != nil {
 		return err
@@ -181,7 +181,7 @@
 	if len(c.Metrics) == 0 {
 		c.Metrics = defaultMetrics
 	}
-	return experiment.Compare(s.out, first, second, c.Metrics)
+	return experiment.Compare(stdio.out, first, second, c.Metrics)
 }
 
 // plotCommand implements simulate plot.
@@ -218,12 +218,12 @@
 }
 
 // Run lists the experiment files of a folder, the world parameters and the metrics.
-func (c *listCommand) Run(s streams) error {
+func (c *listCommand) Run(stdio streams) error {
 	files, err := filepath.Glob(filepath.Join(c.Folder, "*.lisp"))
 	if err != nil {
 		return err
 	}
-	table := tabwriter.NewWriter(s.out, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(stdio.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "FILE\tNAME\tSCENES\tPOLICIES\tRUNS\tCLAIMS")
 	for _, file := range files {
 		parsed, err := readExperiment(file)
@@ -234,6 +234,6 @@
 		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\n", file, parsed.Name, len(parsed.Scenarios), len(parsed.Policies), len(parsed.Runs()), len(parsed.Claims))
 	}
 	table.Flush()
-	fmt.Fprintf(s.out, "\nworld parameters: (%s VALUE)\nmetrics: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
+	fmt.Fprintf(stdio.out, "\nworld parameters: (%s VALUE)\nmetrics: %s\n", strings.Join(simulation.ParameterNames(), " VALUE) ("), strings.Join(experiment.Metrics, " "))
 	return nil
 }
