--- a/internal/auth/password.go
+++ b/internal/auth/password.go
@@ -69,24 +69,24 @@
 		return nil, errors.New("invalid password hash: expected $argon2id$v=…$m=…,t=…,p=…$SALT$HASH, as written by lockroad passwd")
 	}
 	var version int
-	p := &passwordHash{}
+	parsed := &passwordHash{}
 	if _, err := fmt.Sscanf(parts[2], "v=%d", &version); err != nil || version != argon2.Version {
 		return nil, fmt.Errorf("unsupported argon2 version %q: expected v=%d", parts[2], argon2.Version)
 	}
-	if _, err := fmt.Sscanf(parts[3], "m=%d,t=%d,p=%d", &p.memory, &p.passes, &p.lanes); err != nil {
+	if _, err := fmt.Sscanf(parts[3], "m=%d,t=%d,p=%d", &parsed.memory, &parsed.passes, &parsed.lanes); err != nil {
 		return nil, fmt.Errorf("invalid argon2 parameters %q: expected m=…,t=…,p=…", parts[3])
 	}
-	if p.memory < minMemoryKiB || p.memory > maxMemoryKiB || p.passes < 1 || p.passes > maxPasses || p.lanes < 1 || p.lanes > maxLanes {
+	if parsed.memory < minMemoryKiB || parsed.memory > maxMemoryKiB || parsed.passes < 1 || parsed.passes > maxPasses || parsed.lanes < 1 || parsed.lanes > maxLanes {
 		return nil, fmt.Errorf("argon2 parameters %q out of range: expected m=%d,t=1,p=1 to m=%d,t=%d,p=%d", parts[3], minMemoryKiB, maxMemoryKiB, maxPasses, maxLanes)
 	}
 	var saltErr, hashErr error
-	p.salt, saltErr = phcEncoding.DecodeString(parts[4])
-	p.hash, hashErr = phcEncoding.DecodeString(parts[5])
+	parsed.salt, saltErr = phcEncoding.DecodeString(parts[4])
+	parsed.hash, hashErr = phcEncoding.DecodeString(parts[5])
 	if err := cmp.Or(saltErr, hashErr); err != nil {
 		return nil, fmt.Errorf("decode salt and hash of the password: %w", err)
 	}
-	if len(p.salt) < minSaltBytes || len(p.hash) < minHashBytes || len(p.hash) > maxHashBytes {
+	if len(parsed.salt) < minSaltBytes || len(parsed.hash) < minHashBytes || len(parsed.hash) > maxHashBytes {
 		return nil, errors.New("invalid password hash: the salt is too short, or the hash too short or too long")
 	}
-	return p, nil
+	return parsed, nil
 }
