--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -60,13 +60,13 @@
 
 // parseConfig decodes and validates a platform configuration. For inForce see ReadReplacement.
 func parseConfig(path string, text, inForce []byte) (*Config, error) {
-	v := &validator{file: path, lines: jsonLines(text)}
-	c := v.platformConfig(text)
-	v.requireKeysOf(text, inForce)
-	if err := v.problems.errOrNil(); err != nil {
+	validation := &validator{file: path, lines: jsonLines(text)}
+	config := validation.platformConfig(text)
+	validation.requireKeysOf(text, inForce)
+	if err := validation.problems.errOrNil(); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return config, nil
 }
 
 // platformFile is the format of the platform configuration. Keys match regardless of case.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -154,83 +154,83 @@
 
 func parseOperator(path string, text []byte) (*Operator, error) {
 	operator := &Operator{}
-	v := &validator{file: path, lines: tomlLines(text)}
-	if !v.decodeTOML(text, operator) {
-		return nil, v.problems.errOrNil()
+	validation := &validator{file: path, lines: tomlLines(text)}
+	if !validation.decodeTOML(text, operator) {
+		return nil, validation.problems.errOrNil()
 	}
-	operator.check(v)
-	if err := v.problems.errOrNil(); err != nil {
+	operator.check(validation)
+	if err := validation.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return operator, nil
 }
 
-// check adds the problems of the operator's settings to v. It also reads the files that they name, to report
-// anything that would make a start fail.
-func (o *Operator) check(v *validator) {
-	o.AMQP.check(v)
+// check adds the problems of the operator's settings to validation. It also reads the files that they name, to
+// report anything that would make a start fail.
+func (o *Operator) check(validation *validator) {
+	o.AMQP.check(validation)
 	if o.OTLP.Endpoint != "" {
 		u, err := url.Parse(o.OTLP.Endpoint)
 		if err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			v.add("otlp.endpoint", "%q is not an http or https URL", o.OTLP.Endpoint)
+			validation.add("otlp.endpoint", "%q is not an http or https URL", o.OTLP.Endpoint)
 		}
 	}
 	if n := o.DecisionLog.Bytes; n != nil && *n != 0 && (*n < decisionlog.MinBytes || *n > decisionlog.MaxBytes) {
-		v.add("why.bytes", "%d is out of range: expected 0 (disabled) or %d to %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
+		validation.add("why.bytes", "%d is out of range: expected 0 (disabled) or %d to %d", *n, decisionlog.MinBytes, decisionlog.MaxBytes)
 	}
-	o.Store.check(v)
+	o.Store.check(validation)
 	if err := logging.CheckLevel(o.Log.Level); err != nil {
-		v.add("log.level", "%v", err)
+		validation.add("log.level", "%v", err)
 	}
 	if err := logging.CheckFormat(o.Log.Format); err != nil {
-		v.add("log.form", "%v", err)
+		validation.add("log.form", "%v", err)
 	}
 }
 
-func (a *AMQP) check(v *validator) {
+func (a *AMQP) check(validation *validator) {
 	if a.Listen != "" {
-		port, ok := v.checkAddress("amqp.listen", a.Listen)
+		port, ok := validation.checkAddress("amqp.listen", a.Listen)
 		if _, err := strconv.ParseUint(port, 10, 16); ok && err != nil {
-			v.add("amqp.listen", "port %q is not a number from 0 to 65535", port)
+			validation.add("amqp.listen", "port %q is not a number from 0 to 65535", port)
 		}
 	}
 	if n := a.EndpointPort; n < 0 || n > 65535 {
-		v.add("amqp.server_port", "%d is not a port number", n)
+		validation.add("amqp.server_port", "%d is not a port number", n)
 	}
 	if n := a.MaxLinks; n < 0 {
-		v.add("amqp.links", "%d is negative", n)
+		validation.add("amqp.links", "%d is negative", n)
 	}
 	if n := a.MaxSessionsPerConn; n < 0 || n > maxSessionsPerConn {
-		v.add("amqp.shared", "%d is out of range: expected 0 to %d", n, maxSessionsPerConn)
+		validation.add("amqp.shared", "%d is out of range: expected 0 to %d", n, maxSessionsPerConn)
 	}
 	_, authErr := auth.New(a.AuthSettings())
 	_, tlsErr := auth.NewEndpointTLS(a.EndpointTLSSettings())
 	for _, err := range []error{authErr, tlsErr} {
 		if settingError := (auth.SettingError{}); errors.As(err, &settingError) {
-			v.add("amqp."+settingError.Key, "%v", settingError)
+			validation.add("amqp."+settingError.Key, "%v", settingError)
 		}
 	}
 	if _, err := a.CompiledPlacements(); err != nil {
 		for line := range strings.Lines(err.Error()) {
 			key, message, _ := strings.Cut(strings.TrimSpace(line), ": ")
-			v.add(key, "%s", message)
+			validation.add(key, "%s", message)
 		}
 	}
 }
 
-func (s *Store) check(v *validator) {
+func (s *Store) check(validation *validator) {
 	if s.MB < 0 || s.MB > 1<<20 {
-		v.add("store.mb", "%d is out of range: expected 0 (default) to %d", s.MB, 1<<20)
+		validation.add("store.mb", "%d is out of range: expected 0 (default) to %d", s.MB, 1<<20)
 	}
 	if s.Dir == "" {
 		if s.MB != 0 {
-			v.add("store.dir", "is missing: mb has no effect without it")
+			validation.add("store.dir", "is missing: mb has no effect without it")
 		}
 		return
 	}
 	if info, err := os.Stat(s.Dir); err != nil {
-		v.add("store.dir", "%v", err)
+		validation.add("store.dir", "%v", err)
 	} else if !info.IsDir() {
-		v.add("store.dir", "%s is not a directory", s.Dir)
+		validation.add("store.dir", "%s is not a directory", s.Dir)
 	}
 }
--- a/internal/config/site.go
+++ b/internal/config/site.go
@@ -110,25 +110,25 @@
 // parseSite decodes and validates a site file. Problems on the same line are reported in the order of the checks
 // below.
 func parseSite(path string, text []byte) (*Site, error) {
-	v := &validator{file: path, lines: tomlLines(text)}
+	validation := &validator{file: path, lines: tomlLines(text)}
 	var file siteFile
 	var tree map[string]any
-	if !v.decodeTOML(text, &file) {
-		return nil, v.problems.errOrNil()
+	if !validation.decodeTOML(text, &file) {
+		return nil, validation.problems.errOrNil()
 	}
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		v.addAt(0, "", err.Error())
+		validation.addAt(0, "", err.Error())
 	}
-	file.Operator.check(v)
+	file.Operator.check(validation)
 	site := &Site{Operator: &file.Operator, values: make(map[string]string)}
 	flatten(site.values, "", tree)
-	site.Config = v.siteConfig(&file, text)
-	site.Endpoints = v.siteEndpoints(&file, site.Config)
-	site.Config.Settings = v.siteSettings(&file)
-	site.Health = v.siteHealth(&file)
-	site.ProbeWithPing = v.siteProbesWithPing(&file)
-	site.Quota, site.FairShare = v.siteQuota(&file), file.Limits.FairShare
-	if err := v.problems.errOrNil(); err != nil {
+	site.Config = validation.siteConfig(&file, text)
+	site.Endpoints = validation.siteEndpoints(&file, site.Config)
+	site.Config.Settings = validation.siteSettings(&file)
+	site.Health = validation.siteHealth(&file)
+	site.ProbeWithPing = validation.siteProbesWithPing(&file)
+	site.Quota, site.FairShare = validation.siteQuota(&file), file.Limits.FairShare
+	if err := validation.problems.errOrNil(); err != nil {
 		return nil, err
 	}
 	return site, nil
@@ -164,8 +164,8 @@
 	}
 }
 
-// siteEndpoints returns the endpoints of the file and adds their zones to c.
-func (v *validator) siteEndpoints(file *siteFile, c *Config) (endpoints []prober.Endpoint) {
+// siteEndpoints returns the endpoints of the file and adds their zones to config.
+func (v *validator) siteEndpoints(file *siteFile, config *Config) (endpoints []prober.Endpoint) {
 	if len(file.Server) == 0 {
 		v.add("server", "is missing: at least one server is required")
 	}
@@ -184,7 +184,7 @@
 		if server.Size < 0 {
 			v.add(prefix+"size", "%v is negative", server.Size)
 		}
-		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: server.Address, Zone: c.siteZone(server.Zone), Size: cmp.Or(server.Size, 1)})
+		endpoints = append(endpoints, prober.Endpoint{Name: name, Address: server.Address, Zone: config.siteZone(server.Zone), Size: cmp.Or(server.Size, 1)})
 	}
 	return endpoints
 }
--- a/internal/config/sitetemplate.go
+++ b/internal/config/sitetemplate.go
@@ -10,12 +10,12 @@
 // RenderSite returns a commented starter site file. servers holds host:port addresses; socket is the path of the
 // console's socket.
 func RenderSite(name, listen, socket string, servers []string) string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "# Configuration of a relay for a small site. Validate it with `lockroad check`. A reload applies servers, classes,\n# attempts, client limits and health; an invalid file is rejected as a whole.\nname = %q\nlisten = %q\n", name, listen)
+	var text strings.Builder
+	fmt.Fprintf(&text, "# Configuration of a relay for a small site. Validate it with `lockroad check`. A reload applies servers, classes,\n# attempts, client limits and health; an invalid file is rejected as a whole.\nname = %q\nlisten = %q\n", name, listen)
 	for i, address := range servers {
-		fmt.Fprintf(&b, "\n[[server]]\nname = \"s-%d\"\naddress = %q\nsize = 1.0                   # capacity relative to the other servers\n", i+1, address)
+		fmt.Fprintf(&text, "\n[[server]]\nname = \"s-%d\"\naddress = %q\nsize = 1.0                   # capacity relative to the other servers\n", i+1, address)
 	}
-	b.WriteString(`
+	text.WriteString(`
 # Classes of requests. Clients choose a class by name.
 [[class]]
 name = "page"
@@ -46,16 +46,16 @@
 fall = 3                     # failures in a row until a server that is up counts as down
 panic = 0.5                  # if more than this share of the servers seems down, all count as up
 `)
-	fmt.Fprintf(&b, "\n[console]\nsocket = %q\n\n[log]\nlevel = \"info\"\nform = \"text\"\n", socket)
-	return b.String()
+	fmt.Fprintf(&text, "\n[console]\nsocket = %q\n\n[log]\nlevel = \"info\"\nform = \"text\"\n", socket)
+	return text.String()
 }
 
 // WriteSite creates a site file. It fails with fs.ErrExist if path already exists.
 func WriteSite(path, text string) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
 		return err
 	}
-	_, err = f.WriteString(text)
-	return errors.Join(err, f.Close())
+	_, err = file.WriteString(text)
+	return errors.Join(err, file.Close())
 }
