--- a/internal/frontend/amqp/codec/decode.go
+++ b/internal/frontend/amqp/codec/decode.go
@@ -25,13 +25,13 @@
 	depth int
 }
 
-// take removes and returns the next n bytes.
-func (d *decoder) take(n uint64) ([]byte, error) {
-	if n > uint64(len(d.rest)) {
+// take removes and returns the next size bytes.
+func (d *decoder) take(size uint64) ([]byte, error) {
+	if size > uint64(len(d.rest)) {
 		return nil, ErrDecode
 	}
-	taken := d.rest[:n]
-	d.rest = d.rest[n:]
+	taken := d.rest[:size]
+	d.rest = d.rest[size:]
 	return taken, nil
 }
 
@@ -41,11 +41,11 @@
 	if err != nil {
 		return 0, err
 	}
-	var n uint64
+	var value uint64
 	for _, octet := range octets {
-		n = n<<8 | uint64(octet)
+		value = value<<8 | uint64(octet)
 	}
-	return n, nil
+	return value, nil
 }
 
 // decodeValue decodes a value including its constructor.
@@ -99,32 +99,32 @@
 		}
 		return decodeFixedWidth(code, n)
 	case 0x9:
-		b, err := d.take(16)
+		octets, err := d.take(16)
 		if err != nil {
 			return nil, err
 		}
 		if code == constructorUUID {
-			return UUID(b), nil
+			return UUID(octets), nil
 		}
 		if code == constructorDecimal128 {
-			return Decimal{code, string(b)}, nil
+			return Decimal{code, string(octets)}, nil
 		}
 	case 0xa, 0xb:
-		n, err := d.uint(1 + 3*uint64(code>>4&1))
+		size, err := d.uint(1 + 3*uint64(code>>4&1))
 		if err != nil {
 			return nil, err
 		}
-		b, err := d.take(n)
+		data, err := d.take(size)
 		if err != nil {
 			return nil, err
 		}
 		switch code & 0xf {
 		case 0x0:
-			return append([]byte{}, b...), nil
+			return append([]byte{}, data...), nil
 		case 0x1:
-			return string(b), nil
+			return string(data), nil
 		case 0x3:
-			return Symbol(b), nil
+			return Symbol(data), nil
 		}
 	case 0xc, 0xd:
 		return d.decodeCompound(code, 1+3*uint64(code>>4&1))
@@ -135,42 +135,42 @@
 }
 
 // decodeFixedWidth converts the bits of a fixed-width value of 1 to 8 bytes to the type of its constructor.
-func decodeFixedWidth(code byte, n uint64) (any, error) {
+func decodeFixedWidth(code byte, bits uint64) (any, error) {
 	switch code {
 	case constructorUbyte:
-		return uint8(n), nil
+		return uint8(bits), nil
 	case constructorByte:
-		return int8(n), nil
+		return int8(bits), nil
 	case constructorSmallUint, constructorUint:
-		return uint32(n), nil
+		return uint32(bits), nil
 	case constructorSmallUlong, constructorUlong:
-		return n, nil
+		return bits, nil
 	case constructorSmallInt:
-		return int32(int8(n)), nil
+		return int32(int8(bits)), nil
 	case constructorSmallLong:
-		return int64(int8(n)), nil
+		return int64(int8(bits)), nil
 	case constructorBoolean:
-		return n == 1, nil
+		return bits == 1, nil
 	case constructorUshort:
-		return uint16(n), nil
+		return uint16(bits), nil
 	case constructorShort:
-		return int16(n), nil
+		return int16(bits), nil
 	case constructorInt:
-		return int32(n), nil
+		return int32(bits), nil
 	case constructorFloat:
-		return math.Float32frombits(uint32(n)), nil
+		return math.Float32frombits(uint32(bits)), nil
 	case constructorChar:
-		return Char(n), nil
+		return Char(bits), nil
 	case constructorDecimal32:
-		return Decimal{code, string(binary.BigEndian.AppendUint32(nil, uint32(n)))}, nil
+		return Decimal{code, string(binary.BigEndian.AppendUint32(nil, uint32(bits)))}, nil
 	case constructorLong:
-		return int64(n), nil
+		return int64(bits), nil
 	case constructorDouble:
-		return math.Float64frombits(n), nil
+		return math.Float64frombits(bits), nil
 	case constructorTimestamp:
-		return Timestamp(n), nil
+		return Timestamp(bits), nil
 	case constructorDecimal64:
-		return Decimal{code, string(binary.BigEndian.AppendUint64(nil, n))}, nil
+		return Decimal{code, string(binary.BigEndian.AppendUint64(nil, bits))}, nil
 	}
 	return nil, fmt.Errorf("%w: constructor %#x", ErrDecode, code)
 }
@@ -182,11 +182,11 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	b, err := d.take(size)
+	data, err := d.take(size)
 	if err != nil {
 		return nil, 0, err
 	}
-	inner := &decoder{rest: b, depth: d.depth}
+	inner := &decoder{rest: data, depth: d.depth}
 	count, err := inner.uint(width)
 	return inner, count, err
 }
--- a/internal/frontend/amqp/codec/encode.go
+++ b/internal/frontend/amqp/codec/encode.go
@@ -8,60 +8,60 @@
 
 // Append appends the encoding of a value, compact where appendCompact has a compact form. It panics if the value or a
 // nested value has a type without an AMQP encoding.
-func Append(b []byte, v any) []byte {
-	switch v := v.(type) {
+func Append(b []byte, value any) []byte {
+	switch value := value.(type) {
 	case nil:
 		return append(b, constructorNull)
 	case bool:
-		if v {
+		if value {
 			return append(b, constructorTrue)
 		}
 		return append(b, constructorFalse)
 	case List:
-		if len(v) == 0 {
+		if len(value) == 0 {
 			return append(b, constructorList0)
 		}
-		return appendCompound(b, constructorList32, v)
+		return appendCompound(b, constructorList32, value)
 	case Map:
-		return appendCompound(b, constructorMap32, v)
+		return appendCompound(b, constructorMap32, value)
 	case Array:
-		return appendArray(b, v)
+		return appendArray(b, value)
 	case Described:
-		return Append(Append(append(b, constructorDescribed), v.Descriptor), v.Value)
+		return Append(Append(append(b, constructorDescribed), value.Descriptor), value.Value)
 	}
-	if compact, ok := appendCompact(b, v); ok {
+	if compact, ok := appendCompact(b, value); ok {
 		return compact
 	}
-	return appendBody(append(b, constructorOf(v)), v)
+	return appendBody(append(b, constructorOf(value)), value)
 }
 
 // appendCompact appends a value in its compact form. If the value has none it reports false, and the returned slice
 // must be discarded. Some peers accept the descriptor codes of performatives only in compact form.
-func appendCompact(b []byte, v any) ([]byte, bool) {
-	sized := func(code byte, s string) ([]byte, bool) {
-		if len(s) > 255 {
+func appendCompact(b []byte, value any) ([]byte, bool) {
+	sized := func(code byte, text string) ([]byte, bool) {
+		if len(text) > 255 {
 			return b, false
 		}
-		return append(append(b, code, byte(len(s))), s...), true
+		return append(append(b, code, byte(len(text))), text...), true
 	}
-	switch v := v.(type) {
+	switch value := value.(type) {
 	case uint32:
-		return append(b, constructorSmallUint, byte(v)), v < 256
+		return append(b, constructorSmallUint, byte(value)), value < 256
 	case uint64:
-		return append(b, constructorSmallUlong, byte(v)), v < 256
+		return append(b, constructorSmallUlong, byte(value)), value < 256
 	case []byte:
-		return sized(constructorBinary8, string(v))
+		return sized(constructorBinary8, string(value))
 	case string:
-		return sized(constructorString8, v)
+		return sized(constructorString8, value)
 	case Symbol:
-		return sized(constructorSymbol8, string(v))
+		return sized(constructorSymbol8, string(value))
 	}
 	return b, false
 }
 
 // constructorOf returns the constructor of the widest encoding of a value's type.
-func constructorOf(v any) byte {
-	switch v := v.(type) {
+func constructorOf(value any) byte {
+	switch value := value.(type) {
 	case nil:
 		return constructorNull
 	case bool:
@@ -91,7 +91,7 @@
 	case Timestamp:
 		return constructorTimestamp
 	case Decimal:
-		return v.constructor
+		return value.constructor
 	case UUID:
 		return constructorUUID
 	case []byte:
@@ -107,53 +107,53 @@
 	case Array:
 		return constructorArray32
 	}
-	panic(fmt.Sprintf("codec: no AMQP encoding for type %T", v)) // unreachable: all values come from Decode or the relay
+	panic(fmt.Sprintf("codec: no AMQP encoding for type %T", value)) // unreachable: all values come from Decode or the relay
 }
 
 // appendBody appends a value without its constructor, in its widest encoding.
-func appendBody(b []byte, v any) []byte {
+func appendBody(b []byte, value any) []byte {
 	bigEndian := binary.BigEndian
 	sized := func(s string) []byte { return append(bigEndian.AppendUint32(b, uint32(len(s))), s...) }
-	switch v := v.(type) {
+	switch value := value.(type) {
 	case bool:
-		if v {
+		if value {
 			return append(b, 1)
 		}
 		return append(b, 0)
 	case uint8:
-		return append(b, v)
+		return append(b, value)
 	case int8:
-		return append(b, byte(v))
+		return append(b, byte(value))
 	case uint16:
-		return bigEndian.AppendUint16(b, v)
+		return bigEndian.AppendUint16(b, value)
 	case int16:
-		return bigEndian.AppendUint16(b, uint16(v))
+		return bigEndian.AppendUint16(b, uint16(value))
 	case uint32:
-		return bigEndian.AppendUint32(b, v)
+		return bigEndian.AppendUint32(b, value)
 	case int32:
-		return bigEndian.AppendUint32(b, uint32(v))
+		return bigEndian.AppendUint32(b, uint32(value))
 	case float32:
-		return bigEndian.AppendUint32(b, math.Float32bits(v))
+		return bigEndian.AppendUint32(b, math.Float32bits(value))
 	case Char:
-		return bigEndian.AppendUint32(b, uint32(v))
+		return bigEndian.AppendUint32(b, uint32(value))
 	case uint64:
-		return bigEndian.AppendUint64(b, v)
+		return bigEndian.AppendUint64(b, value)
 	case int64:
-		return bigEndian.AppendUint64(b, uint64(v))
+		return bigEndian.AppendUint64(b, uint64(value))
 	case float64:
-		return bigEndian.AppendUint64(b, math.Float64bits(v))
+		return bigEndian.AppendUint64(b, math.Float64bits(value))
 	case Timestamp:
-		return bigEndian.AppendUint64(b, uint64(v))
+		return bigEndian.AppendUint64(b, uint64(value))
 	case Decimal:
-		return append(b, v.raw...)
+		return append(b, value.raw...)
 	case UUID:
-		return append(b, v[:]...)
+		return append(b, value[:]...)
 	case []byte:
-		return sized(string(v))
+		return sized(string(value))
 	case string:
-		return sized(v)
+		return sized(value)
 	case Symbol:
-		return sized(string(v))
+		return sized(string(value))
 	}
 	return b
 }
@@ -178,32 +178,32 @@
 	if len(elements) == 0 {
 		b = append(b, constructorNull)
 	}
-	for i, v := range elements {
-		described, isDescribed := v.(Described)
+	for i, element := range elements {
+		described, isDescribed := element.(Described)
 		if isDescribed {
-			v = described.Value
+			element = described.Value
 		}
 		if i == 0 {
 			if isDescribed {
 				b = Append(append(b, constructorDescribed), described.Descriptor)
 			}
-			b = append(b, constructorOf(v))
+			b = append(b, constructorOf(element))
 		}
-		b = appendElement(b, v)
+		b = appendElement(b, element)
 	}
 	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset-4))
 	return b
 }
 
 // appendElement appends an array element, which is encoded without a constructor.
-func appendElement(b []byte, v any) []byte {
-	switch v := v.(type) {
+func appendElement(b []byte, value any) []byte {
+	switch value := value.(type) {
 	case List:
-		return append(b, appendCompound(nil, constructorList32, v)[1:]...)
+		return append(b, appendCompound(nil, constructorList32, value)[1:]...)
 	case Map:
-		return append(b, appendCompound(nil, constructorMap32, v)[1:]...)
+		return append(b, appendCompound(nil, constructorMap32, value)[1:]...)
 	case Array:
-		return append(b, appendArray(nil, v)[1:]...)
+		return append(b, appendArray(nil, value)[1:]...)
 	}
-	return appendBody(b, v)
+	return appendBody(b, value)
 }
--- a/internal/frontend/amqp/codec/types.go
+++ b/internal/frontend/amqp/codec/types.go
@@ -57,35 +57,35 @@
 }
 
 // AsString returns the text of a symbol or string, and "" for a value of any other type.
-func AsString(v any) string {
-	switch v := v.(type) {
+func AsString(value any) string {
+	switch value := value.(type) {
 	case Symbol:
-		return string(v)
+		return string(value)
 	case string:
-		return v
+		return value
 	}
 	return ""
 }
 
 // AsUint64 converts an integer of any width. It reports false for a negative integer and for a value of any other type.
-func AsUint64(v any) (uint64, bool) {
-	switch v := v.(type) {
+func AsUint64(value any) (uint64, bool) {
+	switch value := value.(type) {
 	case uint8:
-		return uint64(v), true
+		return uint64(value), true
 	case uint16:
-		return uint64(v), true
+		return uint64(value), true
 	case uint32:
-		return uint64(v), true
+		return uint64(value), true
 	case uint64:
-		return v, true
+		return value, true
 	case int8:
-		return uint64(v), v >= 0
+		return uint64(value), value >= 0
 	case int16:
-		return uint64(v), v >= 0
+		return uint64(value), value >= 0
 	case int32:
-		return uint64(v), v >= 0
+		return uint64(value), value >= 0
 	case int64:
-		return uint64(v), v >= 0
+		return uint64(value), value >= 0
 	}
 	return 0, false
 }
