--- a/internal/frontend/amqp/framing/frame.go
+++ b/internal/frontend/amqp/framing/frame.go
@@ -36,20 +36,20 @@
 	Payload []byte
 }
 
-// ParseFrame decodes a frame without its size field: b begins with the data offset and has at least HeaderSize-4 bytes.
-// The payload of the result refers to b. An error is a ConditionError.
-func ParseFrame(b []byte) (Frame, error) {
+// ParseFrame decodes a frame without its size field: data begins with the data offset and has at least
+// HeaderSize-4 bytes. The payload of the result refers to data. An error is a ConditionError.
+func ParseFrame(data []byte) (Frame, error) {
 	var frame Frame
-	dataOffset := int(b[0]) * 4
-	if dataOffset < HeaderSize || dataOffset-4 > len(b) {
+	dataOffset := int(data[0]) * 4
+	if dataOffset < HeaderSize || dataOffset-4 > len(data) {
 		return frame, Errorf(CondFramingError, "the data offset is out of range")
 	}
-	frame.Channel = binary.BigEndian.Uint16(b[2:])
-	if b = b[dataOffset-4:]; len(b) == 0 {
+	frame.Channel = binary.BigEndian.Uint16(data[2:])
+	if data = data[dataOffset-4:]; len(data) == 0 {
 		frame.Empty = true
 		return frame, nil
 	}
-	value, rest, err := codec.Decode(b)
+	value, rest, err := codec.Decode(data)
 	if err != nil {
 		return frame, ConditionError{Condition: CondDecodeError, Description: err.Error()}
 	}
@@ -70,11 +70,11 @@
 
 // AppendFrame appends a frame of type TypeAMQP or TypeSASL to b, and returns the extended slice. A performative with
 // code 0 is omitted, which encodes a heartbeat if there is no payload either.
-func AppendFrame(b []byte, frameType byte, channel uint16, p Performative, payload []byte) []byte {
+func AppendFrame(b []byte, frameType byte, channel uint16, performative Performative, payload []byte) []byte {
 	sizeOffset := len(b)
 	b = append(b, 0, 0, 0, 0, minDataOffset, frameType, byte(channel>>8), byte(channel))
-	if p.Code != 0 {
-		b = codec.Append(b, codec.Described{Descriptor: p.Code, Value: p.Fields})
+	if performative.Code != 0 {
+		b = codec.Append(b, codec.Described{Descriptor: performative.Code, Value: performative.Fields})
 	}
 	b = append(b, payload...)
 	binary.BigEndian.PutUint32(b[sizeOffset:], uint32(len(b)-sizeOffset))
--- a/internal/frontend/amqp/framing/performative.go
+++ b/internal/frontend/amqp/framing/performative.go
@@ -58,11 +58,11 @@
 	return value
 }
 
-// With returns a copy in which field i is set to v. The receiver is unchanged.
-func (p Performative) With(i int, v any) Performative {
+// With returns a copy in which field i is set to value. The receiver is unchanged.
+func (p Performative) With(i int, value any) Performative {
 	fields := make(codec.List, max(len(p.Fields), i+1))
 	copy(fields, p.Fields)
-	fields[i] = v
+	fields[i] = value
 	return Performative{p.Code, fields}
 }
 
