--- a/internal/frontend/amqp/clientconn.go
+++ b/internal/frontend/amqp/clientconn.go
@@ -203,24 +203,24 @@
 	if frame.Code == framing.CodeBegin {
 		return c.handleBegin(frame)
 	}
-	s := c.sessions[frame.Channel]
-	if s == nil {
+	session := c.sessions[frame.Channel]
+	if session == nil {
 		return framing.Errorf(framing.CondFramingError, "channel %d has no session", frame.Channel)
 	}
-	if s.endedLocally {
+	if session.endedLocally {
 		if frame.Code == framing.CodeEnd {
 			delete(c.sessions, frame.Channel)
 		}
 		return nil
 	}
-	err := s.handleFrame(frame)
+	err := session.handleFrame(frame)
 	// A ConditionError ends only the session, unless it is a framing error.
 	conditionErr := framing.ConditionError{}
 	if errors.As(err, &conditionErr) && conditionErr.Condition != framing.CondFramingError {
 		c.frontend.Proxy.ProtocolError("amqp", conditionErr.Description)
-		s.endedLocally = true
-		err = s.writeFrame(frame.Channel, framing.NewEnd(conditionErr), nil)
-		s.disconnect()
+		session.endedLocally = true
+		err = session.writeFrame(frame.Channel, framing.NewEnd(conditionErr), nil)
+		session.disconnect()
 	}
 	return err
 }
--- a/internal/frontend/amqp/clientsession.go
+++ b/internal/frontend/amqp/clientsession.go
@@ -89,45 +89,45 @@
 		return err
 	}
 	handle := frame.Uint32(handleField, 0)
-	l := s.links[handle]
-	if l == nil {
+	link := s.links[handle]
+	if link == nil {
 		return framing.Errorf(framing.CondUnattachedHandle, "handle %d has no link", handle)
 	}
 	switch frame.Code {
 	case framing.CodeFlow:
-		return l.handleFlow(frame.Performative)
+		return link.handleFlow(frame.Performative)
 	case framing.CodeTransfer:
-		return l.handleTransfer(frame)
+		return link.handleTransfer(frame)
 	}
 	delete(s.links, handle)
-	l.handleDetach(frame.Performative)
+	link.handleDetach(frame.Performative)
 	return nil
 }
 
 // handleAttach starts the request of an attach, or rejects the attach with a detach.
 func (s *clientSession) handleAttach(attach framing.Performative) error {
-	l, err := s.newLink(attach)
+	link, err := s.newLink(attach)
 	if err != nil {
 		return err
 	}
-	s.links[l.handle] = l
+	s.links[link.handle] = link
 	frontend := s.client.frontend
-	request, attach, err := frontend.parseRequest(attach, s.client.containerID, l.name)
-	l.attach = attach
+	request, attach, err := frontend.parseRequest(attach, s.client.containerID, link.name)
+	link.attach = attach
 	if err != nil {
-		s.rejectInvalid(l, request.Class, err.Error(), framing.ConditionError{
+		s.rejectInvalid(link, request.Class, err.Error(), framing.ConditionError{
 			Condition: framing.CondInvalidField, Description: err.Error(),
 		})
 		return nil
 	}
 	if !frontend.Authenticator.Authorized(s.client.user, request.Class) {
-		s.rejectInvalid(l, request.Class, "client is not authorized for the class of its attach", framing.Errorf(
+		s.rejectInvalid(link, request.Class, "client is not authorized for the class of its attach", framing.Errorf(
 			framing.CondUnauthorizedAccess, "%q may not open the class %q", s.client.user, request.Class,
 		))
 		return nil
 	}
-	if release, ok := s.admit(l, request); ok {
-		s.serveLink(l, request, release)
+	if release, ok := s.admit(link, request); ok {
+		s.serveLink(link, request, release)
 	}
 	return nil
 }
@@ -157,30 +157,30 @@
 
 // admit counts a link's request against the quotas and takes a slot of the connection limiter. It returns a function
 // that releases the quotas. If a limit is reached, it rejects the attach and reports false.
-func (s *clientSession) admit(l *link, request proxy.Request) (release func(), ok bool) {
+func (s *clientSession) admit(link *link, request proxy.Request) (release func(), ok bool) {
 	release, ok = s.client.frontend.Proxy.Admit(s.client.connection.RemoteAddr(), request)
 	if !ok {
-		s.rejectOverLimit(l, request, proxy.CauseQuotaExceeded, "its address or class has as many links as it may")
+		s.rejectOverLimit(link, request, proxy.CauseQuotaExceeded, "its address or class has as many links as it may")
 		return nil, false
 	}
 	if !s.client.admission.Acquire() {
 		release()
-		s.rejectOverLimit(l, request, proxy.CauseConnectionLimit, "the relay holds as many links as it may")
+		s.rejectOverLimit(link, request, proxy.CauseConnectionLimit, "the relay holds as many links as it may")
 		return nil, false
 	}
 	return release, true
 }
 
 // serveLink starts the goroutine that serves a link's request. The client's connection waits for it to end.
-func (s *clientSession) serveLink(l *link, request proxy.Request, release func()) {
+func (s *clientSession) serveLink(link *link, request proxy.Request, release func()) {
 	ctx, cancel := context.WithCancel(s.client.ctx)
-	l.cancel = cancel
+	link.cancel = cancel
 	s.client.activeLinks.Go(func() {
 		defer s.client.admission.Release()
 		defer release()
 		defer cancel()
-		s.client.frontend.Proxy.Serve(ctx, request, l)
-		l.finish()
+		s.client.frontend.Proxy.Serve(ctx, request, link)
+		link.finish()
 	})
 }
 
--- a/internal/frontend/amqp/dial.go
+++ b/internal/frontend/amqp/dial.go
@@ -29,16 +29,16 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	_, withoutSASL := f.endpointsWithoutSASL.Load(address)
-	u, err := f.dialOnce(ctx, address, timeout, withoutSASL)
+	dialed, err := f.dialOnce(ctx, address, timeout, withoutSASL)
 	if errors.Is(err, errSASLMismatch) {
 		if withoutSASL = !withoutSASL; withoutSASL {
 			f.endpointsWithoutSASL.Store(address, true)
 		} else {
 			f.endpointsWithoutSASL.Delete(address)
 		}
-		u, err = f.dialOnce(ctx, address, timeout, withoutSASL)
+		dialed, err = f.dialOnce(ctx, address, timeout, withoutSASL)
 	}
-	return u, err
+	return dialed, err
 }
 
 // dialOnce connects once, with or without SASL. It fails with errSASLMismatch if the endpoint expects the other.
@@ -59,20 +59,20 @@
 		}
 		conn, hasClientCertificate = tlsConn, len(config.Certificates) > 0
 	}
-	u := &upstream{
+	dialed := &upstream{
 		session: newSession(newConnection(conn), 0), done: make(chan struct{}), tcp: tcp,
 		hasClientCertificate: hasClientCertificate, maxSessions: f.Pool.MaxSessions,
 	}
 	stopClose := context.AfterFunc(ctx, func() { tcp.Close() })
-	err = u.negotiate(timeout, withoutSASL)
+	err = dialed.negotiate(timeout, withoutSASL)
 	if !stopClose() {
 		err = errors.Join(err, ctx.Err())
 	}
 	if err != nil {
-		u.Close()
+		dialed.Close()
 		return nil, err
 	}
-	return u, nil
+	return dialed, nil
 }
 
 // negotiate exchanges protocol headers, SASL frames and opens with the endpoint. timeout bounds each read.
--- a/internal/frontend/amqp/peer.go
+++ b/internal/frontend/amqp/peer.go
@@ -272,12 +272,12 @@
 }
 
 // Attach accepts an attach. A positive credit is granted to the relay, which must be the sender then.
-func (p *PeerSession) Attach(e PeerEvent, credit uint32) error {
-	reply := attachReply(e.attach, e.Handle)
+func (p *PeerSession) Attach(event PeerEvent, credit uint32) error {
+	reply := attachReply(event.attach, event.Handle)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil || credit == 0 {
 		return err
 	}
-	return p.Credit(e.Handle, 0, credit)
+	return p.Credit(event.Handle, 0, credit)
 }
 
 // attachReply returns the answer to an attach: a copy in the opposite role, without the initiator's properties and
@@ -295,12 +295,12 @@
 }
 
 // RejectAttach rejects an attach: it answers without a target and detaches the link with an error condition.
-func (p *PeerSession) RejectAttach(e PeerEvent, condition string) error {
-	reply := attachReply(e.attach, e.Handle).With(framing.AttachTarget, nil)
+func (p *PeerSession) RejectAttach(event PeerEvent, condition string) error {
+	reply := attachReply(event.attach, event.Handle).With(framing.AttachTarget, nil)
 	if err := p.writeFrame(p.channel, reply, nil); err != nil {
 		return err
 	}
-	return p.Detach(e.Handle, condition)
+	return p.Detach(event.Handle, condition)
 }
 
 // Detach detaches a link, with an error unless the condition is empty.
--- a/internal/frontend/amqp/session.go
+++ b/internal/frontend/amqp/session.go
@@ -212,12 +212,13 @@
 	return s.incomingWindow <= largest/2 && s.incomingWindow < sessionWindow-s.pendingTransfers
 }
 
-// releaseTransfers removes n pending transfers, which were forwarded or dropped, and reopens the window if that is due.
-func (s *session) releaseTransfers(n int) {
+// releaseTransfers removes count pending transfers, which were forwarded or dropped, and reopens the window if that is
+// due.
+func (s *session) releaseTransfers(count int) {
 	s.mu.Lock()
-	s.pendingTransfers -= uint32(n)
+	s.pendingTransfers -= uint32(count)
 	gain := sessionWindow - s.pendingTransfers - s.incomingWindow
-	reopen := n > 0 && !s.ended && s.needsWindowUpdate() && gain >= minWindowUpdate
+	reopen := count > 0 && !s.ended && s.needsWindowUpdate() && gain >= minWindowUpdate
 	s.mu.Unlock()
 	if reopen {
 		s.sendFlow(framing.Performative{Code: framing.CodeFlow}) // a write error also fails the connection's reader
--- a/internal/frontend/amqp/upstream.go
+++ b/internal/frontend/amqp/upstream.go
@@ -78,22 +78,22 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	u, err := f.dial(ctx, address, timeout)
+	dedicated, err := f.dial(ctx, address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	stopClose := context.AfterFunc(ctx, func() { u.tcp.Close() })
-	go u.sendHeartbeats(u.peerIdleTimeout, u.done)
-	err = u.beginSession(timeout)
+	stopClose := context.AfterFunc(ctx, func() { dedicated.tcp.Close() })
+	go dedicated.sendHeartbeats(dedicated.peerIdleTimeout, dedicated.done)
+	err = dedicated.beginSession(timeout)
 	if !stopClose() {
 		err = errors.Join(err, ctx.Err())
 	}
 	if err != nil {
-		close(u.done)
-		u.Close()
+		close(dedicated.done)
+		dedicated.Close()
 		return nil, err
 	}
-	return u, nil
+	return dedicated, nil
 }
 
 // beginSession begins the only session of a dedicated connection, and waits for the endpoint's begin.
