--- a/internal/frontend/line/frontend.go
+++ b/internal/frontend/line/frontend.go
@@ -205,17 +205,17 @@
 
 // serveExchange serves an admitted client until its connection has ended or was handed off to
 // another process. serve runs the request.
-func (f *Frontend) serveExchange(ctx context.Context, x *exchange, admission *listener.Admission, request proxy.Request, serve func(context.Context)) {
+func (f *Frontend) serveExchange(ctx context.Context, exchange *exchange, admission *listener.Admission, request proxy.Request, serve func(context.Context)) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	client := x.client
-	go x.relayToEndpoint(cancel) // closes client.readDone at its end, which finish waits for
+	client := exchange.client
+	go exchange.relayToEndpoint(cancel) // closes client.readDone at its end, which finish waits for
 	serve(ctx)
-	close(x.established)
-	if x.Resolve(false) {
+	close(exchange.established)
+	if exchange.Resolve(false) {
 		return // handed off
 	}
-	if x.clientSentEarly.Load() {
+	if exchange.clientSentEarly.Load() {
 		f.Proxy.ProtocolError(frontendName, "data from the client before the answer to its opening line")
 		if client.writeLastLine(errorLine) {
 			f.Proxy.Metrics.Class(request.Class).CountFailed()
--- a/internal/frontend/line/handoff.go
+++ b/internal/frontend/line/handoff.go
@@ -151,9 +151,9 @@
 	}
 	client := newClientConn(conn)
 	client.midLine = state.MidLine
-	x := f.newExchange(client)
-	x.adopted = true
-	x.toEndpoint, x.toClient = newDirection(state.ToEndpoint.splitter()), newDirection(state.ToClient.splitter())
+	exchange := f.newExchange(client)
+	exchange.adopted = true
+	exchange.toEndpoint, exchange.toClient = newDirection(state.ToEndpoint.splitter()), newDirection(state.ToClient.splitter())
 	settings := f.Proxy.Settings()
 	adoptedRequest := proxy.Request{Frontend: "line", Name: request.Name, Class: request.Class, Tenant: request.Tenant, RequestOptions: balancer.RequestOptions{
 		Settings: settings, Class: settings.ClassIndex(request.Class), Item: request.Item, Group: request.Group, ExpectedLoad: request.Load, Returning: request.Returning,
@@ -164,7 +164,7 @@
 		admitted := f.Limiter.Adopt(func(admission *listener.Admission) {
 			defer client.Close()
 			defer context.AfterFunc(ctx, func() { conn.Close() })()
-			f.serveExchange(ctx, x, admission, adoptedRequest, func(ctx context.Context) { f.Proxy.Adopt(ctx, request, adoptedRequest, x, upstream) })
+			f.serveExchange(ctx, exchange, admission, adoptedRequest, func(ctx context.Context) { f.Proxy.Adopt(ctx, request, adoptedRequest, exchange, upstream) })
 		})
 		if !admitted { // this process is shutting down too
 			client.writeLastLine(migrateLine)
