--- a/internal/hotrestart/channel.go
+++ b/internal/hotrestart/channel.go
@@ -113,20 +113,20 @@
 // caller must close the descriptors of the message.
 func (c channel) receive(deadline time.Time) (*message, error) {
 	c.SetReadDeadline(deadline)
-	m := &message{}
-	if err := m.readFrom(c); err != nil {
-		m.closeFiles()
+	received := &message{}
+	if err := received.readFrom(c); err != nil {
+		received.closeFiles()
 		return nil, err
 	}
-	return m, nil
+	return received, nil
 }
 
 // readFrom reads a message. It may have received some descriptors if it fails.
-func (m *message) readFrom(c channel) error {
+func (m *message) readFrom(source channel) error {
 	header := make([]byte, headerSize)
 	rights := make([]byte, unix.CmsgSpace(descriptorSize*maxDescriptors))
 	// The kernel delivers the descriptors with the first byte of the message.
-	n, rightsSize, _, _, err := c.ReadMsgUnix(header, rights)
+	n, rightsSize, _, _, err := source.ReadMsgUnix(header, rights)
 	if err != nil {
 		return err
 	}
@@ -136,7 +136,7 @@
 	if n == 0 {
 		return net.ErrClosed
 	}
-	if _, err := io.ReadFull(c, header[n:]); err != nil {
+	if _, err := io.ReadFull(source, header[n:]); err != nil {
 		return err
 	}
 	size := binary.BigEndian.Uint32(header)
@@ -145,7 +145,7 @@
 		return errProtocol
 	}
 	m.body = make([]byte, size)
-	_, err = io.ReadFull(c, m.body)
+	_, err = io.ReadFull(source, m.body)
 	return err
 }
 
--- a/internal/hotrestart/successor.go
+++ b/internal/hotrestart/successor.go
@@ -36,16 +36,16 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Successor{channel: channel{conn.(*net.UnixConn)}}
-	if err := s.receiveOffer(version); err != nil {
-		s.Close()
-		for _, listener := range s.Listeners {
+	successor := &Successor{channel: channel{conn.(*net.UnixConn)}}
+	if err := successor.receiveOffer(version); err != nil {
+		successor.Close()
+		for _, listener := range successor.Listeners {
 			listener.Close()
 		}
 		return nil, err
 	}
-	s.state.OfferReceived()
-	return s, nil
+	successor.state.OfferReceived()
+	return successor, nil
 }
 
 // receiveOffer sends a hello and receives the offer.
