--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -68,22 +68,22 @@
 // CheckFormat. The caller must call Close to stop the writing goroutine.
 func New(options Options, destination io.Writer) *Logger {
 	level, _ := log.ParseLevel(cmp.Or(options.Level, "info"))
-	l := &Logger{
+	logger := &Logger{
 		writer: &lineWriter{destination: destination, queue: make(chan []byte, maxQueuedLines), tailLines: options.TailLines},
 		stop:   make(chan struct{}),
 		done:   make(chan struct{}),
 	}
 	format := formatters[cmp.Or(options.Format, "logfmt")]
-	handler := log.NewWithOptions(l.writer, log.Options{
+	handler := log.NewWithOptions(logger.writer, log.Options{
 		Level: level, Formatter: format, ReportTimestamp: true, TimeFormat: "2006-01-02T15:04:05.000Z07:00",
 	})
 	if format == log.TextFormatter {
 		handler.SetTimeFormat(time.TimeOnly)
 	}
-	l.handler = &limitingHandler{Handler: handler, limitState: &limitState{limiter: newRateLimiter()}}
-	l.Logger = slog.New(l.handler)
-	go l.run()
-	return l
+	logger.handler = &limitingHandler{Handler: handler, limitState: &limitState{limiter: newRateLimiter()}}
+	logger.Logger = slog.New(logger.handler)
+	go logger.run()
+	return logger
 }
 
 // run writes queued lines and, every summaryInterval, the numbers of suppressed and dropped
