--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -171,7 +171,7 @@
 // newHeartbeat returns a heartbeat that monitors an established connection, reports its
 // load and delay to the balancer, and cancels the attempt on timeout.
 func (r *requestRun) newHeartbeat(attempt *attemptRun, endpoint registry.Endpoint) *Heartbeat {
-	p := r.proxy
+	proxy := r.proxy
 	return &Heartbeat{
 		endpoint:        endpoint.ID,
 		clientNotified:  attempt.clientNotified,
@@ -179,10 +179,10 @@
 		unansweredSince: r.unansweredSince,
 		reportedLoad:    r.request.ExpectedLoad,
 		onTimeout:       func() { attempt.cancel(errHeartbeatTimeout) },
-		onLoad:          func(load float64) { p.loop.Report(balancer.LoadReport{Handle: r.handle, Load: load}) },
+		onLoad:          func(load float64) { proxy.loop.Report(balancer.LoadReport{Handle: r.handle, Load: load}) },
 		onDelay: func(delay time.Duration) {
-			p.heartbeats.recordSelfReport(endpoint.ID, delay)
-			p.loop.Report(balancer.DelayReport{Endpoint: endpoint.ID, Delay: delay})
+			proxy.heartbeats.recordSelfReport(endpoint.ID, delay)
+			proxy.loop.Report(balancer.DelayReport{Endpoint: endpoint.ID, Delay: delay})
 		},
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -54,7 +54,7 @@
 func New(settings balancer.Settings, seed uint64, clock Clock) *Proxy {
 	migrating, startMigrating := context.WithCancel(context.Background())
 	rejecting, startRejecting := context.WithCancel(context.Background())
-	p := &Proxy{
+	proxy := &Proxy{
 		Clock:          clock,
 		Endpoints:      registry.NewEndpoints(),
 		Requests:       registry.NewRequests(),
@@ -68,9 +68,9 @@
 		rejecting:      rejecting,
 		startRejecting: startRejecting,
 	}
-	p.settings.Store(&settings)
-	p.registerClasses(&settings)
-	return p
+	proxy.settings.Store(&settings)
+	proxy.registerClasses(&settings)
+	return proxy
 }
 
 // Settings returns the current settings. A request uses those with which it started until
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -60,25 +60,25 @@
 // serve runs a request that has been added to the registry. If the request is already
 // established, resume connects it to its endpoint first, and reports whether it succeeded.
 func (p *Proxy) serve(ctx context.Context, number uint64, request Request, downstream Downstream, resume func(*requestRun) bool) {
-	r := &requestRun{
+	run := &requestRun{
 		proxy:      p,
 		downstream: downstream,
 		request:    request,
 		number:     number,
 		class:      p.Metrics.Class(request.Class),
 	}
-	defer p.Requests.Remove(r.number)
+	defer p.Requests.Remove(run.number)
 	p.Metrics.ActiveRequests.Add(1)
 	defer p.Metrics.ActiveRequests.Add(-1)
-	r.observers = p.observers.requestStarted(number, request)
-	if len(r.observers) > 0 {
-		r.request.Observer = r.observers
+	run.observers = p.observers.requestStarted(number, request)
+	if len(run.observers) > 0 {
+		run.request.Observer = run.observers
 	}
-	r.handle = balancer.NewRequestHandle(r.request.RequestOptions)
-	result := r.run(ctx, resume)
-	r.current.stop()
+	run.handle = balancer.NewRequestHandle(run.request.RequestOptions)
+	result := run.run(ctx, resume)
+	run.current.stop()
 	p.Counters.CountEnd(result.End)
-	r.observers.Ended(result)
+	run.observers.Ended(result)
 }
 
 // requestRun is the state of one request while it is served. The request's goroutine,
