--- a/internal/server/frontends.go
+++ b/internal/server/frontends.go
@@ -128,16 +128,16 @@
 // bindFrontend registers a frontend with a listener: the one that the predecessor offers for this name and
 // address, or a new one.
 func (r *relay) bindFrontend(name, address string, f frontend) error {
-	l := r.inheritedListener(name, address)
+	frontendListener := r.inheritedListener(name, address)
 	var err error
-	if l == nil {
-		l, err = listener.Listen(address, r.config.AdminAddr != "") // both processes of a hot restart listen
+	if frontendListener == nil {
+		frontendListener, err = listener.Listen(address, r.config.AdminAddr != "") // both processes of a hot restart listen
 	}
 	if err != nil {
 		r.closeListeners()
 		return fmt.Errorf("open %s frontend: %w", name, err)
 	}
-	r.frontends = append(r.frontends, boundFrontend{console.Frontend{Name: name, Address: l.Addr().String()}, f, l})
+	r.frontends = append(r.frontends, boundFrontend{console.Frontend{Name: name, Address: frontendListener.Addr().String()}, f, frontendListener})
 	return nil
 }
 
--- a/internal/server/hotrestart.go
+++ b/internal/server/hotrestart.go
@@ -172,9 +172,9 @@
 	if r.asSuccessor == nil {
 		return
 	}
-	for i, l := range r.asSuccessor.Listeners {
-		if l != nil {
-			l.Close()
+	for i, unclaimed := range r.asSuccessor.Listeners {
+		if unclaimed != nil {
+			unclaimed.Close()
 			r.asSuccessor.Listeners[i] = nil
 		}
 	}
@@ -237,7 +237,7 @@
 // listenConsoleAfterPredecessor opens the console's socket once the predecessor has exited. It retries, because
 // the predecessor closes its connection to this process shortly before its console. Both results are nil if ctx
 // is cancelled before the predecessor has exited.
-func (r *relay) listenConsoleAfterPredecessor(ctx context.Context, path string) (l net.Listener, err error) {
+func (r *relay) listenConsoleAfterPredecessor(ctx context.Context, path string) (consoleListener net.Listener, err error) {
 	select {
 	case <-ctx.Done():
 		return nil, nil
@@ -249,10 +249,10 @@
 	case <-r.persistence.storeSettled: // the console accepts drain directives only once they can be saved
 	}
 	retryUntilReleased(ctx, func() bool {
-		l, err = console.Listen(path)
+		consoleListener, err = console.Listen(path)
 		return err == nil
 	})
-	return l, err
+	return consoleListener, err
 }
 
 // retryUntilReleased calls attempt, at least once, until it returns true, ctx is cancelled or
@@ -312,11 +312,11 @@
 // serves (true), or resumes both (false). It is called by asPredecessor's goroutine.
 func (r *relay) SetPaused(paused bool) {
 	slowStartShare, memoryShare := 1.0, wholeProcess
-	for _, f := range r.frontends {
+	for _, bound := range r.frontends {
 		if paused {
-			f.Pause()
+			bound.Pause()
 		} else {
-			f.Resume()
+			bound.Resume()
 		}
 	}
 	if paused {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -99,45 +99,45 @@
 // Each startup step that acquires a resource is followed by the deferred call that releases it.
 func Run(ctx context.Context, options RunOptions, cfg *config.Config, operator *config.Operator, log *slog.Logger) error {
 	limitCPUs(cfg.Cores)
-	r := newRelay(options, cfg, operator, log)
-	r.limitMemory(wholeProcess)
-	r.connectPredecessor()
-	defer r.disconnectPredecessor()
-	r.openStore()
-	defer r.persistence.close()
-	saved := r.persistence.loadSnapshot()
-	if err := r.createProxy(saved); err != nil {
+	relay := newRelay(options, cfg, operator, log)
+	relay.limitMemory(wholeProcess)
+	relay.connectPredecessor()
+	defer relay.disconnectPredecessor()
+	relay.openStore()
+	defer relay.persistence.close()
+	saved := relay.persistence.loadSnapshot()
+	if err := relay.createProxy(saved); err != nil {
 		return err
 	}
-	if err := r.listenAdmin(); err != nil {
+	if err := relay.listenAdmin(); err != nil {
 		return err
 	}
-	defer r.closeAdmin()
-	r.createWatcher()
-	r.restore(saved)
+	defer relay.closeAdmin()
+	relay.createWatcher()
+	relay.restore(saved)
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stopTelemetry, err := r.startTelemetry(ctx)
+	stopTelemetry, err := relay.startTelemetry(ctx)
 	if err != nil {
 		return err
 	}
 	defer stopTelemetry()
-	if err := r.openFrontends(); err != nil {
+	if err := relay.openFrontends(); err != nil {
 		return err
 	}
-	defer r.closeListeners()
-	r.startArchive()
-	defer r.stopArchive() // runs before the store is closed, so that queued explanations are saved
+	defer relay.closeListeners()
+	relay.startArchive()
+	defer relay.stopArchive() // runs before the store is closed, so that queued explanations are saved
 
 	group, ctx := errgroup.WithContext(ctx)
-	if err := r.startServices(ctx, cancel, group); err != nil {
+	if err := relay.startServices(ctx, cancel, group); err != nil {
 		return err
 	}
-	r.becomeReady(ctx, group)
+	relay.becomeReady(ctx, group)
 	err = group.Wait()
-	log.Info("relay stopped", "transactions", r.proxy.Requests.Len(), "broken_invariants", assert.Violations())
-	if err == nil && r.restartRequested.Load() {
+	log.Info("relay stopped", "transactions", relay.proxy.Requests.Len(), "broken_invariants", assert.Violations())
+	if err == nil && relay.restartRequested.Load() {
 		return ErrRestart
 	}
 	return err
--- a/internal/server/services.go
+++ b/internal/server/services.go
@@ -44,15 +44,15 @@
 	if r.operator.Console.Socket == "" {
 		return nil
 	}
-	var l net.Listener
+	var consoleListener net.Listener
 	if r.asSuccessor == nil {
 		var err error
-		if l, err = console.Listen(r.operator.Console.Socket); err != nil {
+		if consoleListener, err = console.Listen(r.operator.Console.Socket); err != nil {
 			return err
 		}
 	}
 	server := r.consoleServer()
-	group.Go(func() error { return r.serveConsole(ctx, server, l) })
+	group.Go(func() error { return r.serveConsole(ctx, server, consoleListener) })
 	return nil
 }
 
@@ -81,19 +81,19 @@
 	return server
 }
 
-// serveConsole serves the console on l. If l is nil, it first waits until the predecessor has released the
-// socket. The relay keeps running if the socket can't be opened.
-func (r *relay) serveConsole(ctx context.Context, server *console.Server, l net.Listener) error {
-	if l == nil {
+// serveConsole serves the console on consoleListener. If consoleListener is nil, it first waits until the
+// predecessor has released the socket. The relay keeps running if the socket can't be opened.
+func (r *relay) serveConsole(ctx context.Context, server *console.Server, consoleListener net.Listener) error {
+	if consoleListener == nil {
 		var err error
-		if l, err = r.listenConsoleAfterPredecessor(ctx, r.operator.Console.Socket); err != nil {
+		if consoleListener, err = r.listenConsoleAfterPredecessor(ctx, r.operator.Console.Socket); err != nil {
 			r.log.Error("failed to open console socket", "error", err)
 		}
-		if l == nil {
+		if consoleListener == nil {
 			return nil
 		}
 	}
-	return server.Serve(ctx, l)
+	return server.Serve(ctx, consoleListener)
 }
 
 // serveAdmin serves the admin address. A failure is logged and doesn't stop the relay.
--- a/internal/server/shutdown.go
+++ b/internal/server/shutdown.go
@@ -114,10 +114,10 @@
 	r.proxy.RejectPending()
 }
 
-// sleep waits for d or until ctx is cancelled.
-func sleep(ctx context.Context, d time.Duration) {
+// sleep waits for duration or until ctx is cancelled.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(d):
+	case <-time.After(duration):
 	}
 }
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -109,11 +109,11 @@
 	if r.config.AdminAddr == "" {
 		return nil
 	}
-	l, err := net.Listen("tcp", r.config.AdminAddr)
+	adminListener, err := net.Listen("tcp", r.config.AdminAddr)
 	if err != nil {
 		return fmt.Errorf("admin_addr: %w", err)
 	}
-	r.adminListener = l
+	r.adminListener = adminListener
 	r.proxy.PublishCounts()
 	return nil
 }
