--- a/cmd/faultproxy/main.go
+++ b/cmd/faultproxy/main.go
@@ -45,7 +45,7 @@
 func main() { os.Exit(run(os.Args[1:], streams{in: os.Stdin, out: os.Stdout, errs: os.Stderr})) }
 
 // run runs a command line and returns the exit code.
-func run(args []string, s streams) (code int) {
+func run(args []string, standard streams) (code int) {
 	defer func() {
 		if exit, is := recover().(exitCode); is {
 			code = int(exit)
@@ -53,18 +53,18 @@
 	}()
 	parser, err := kong.New(&commands{}, kong.Name("faultproxy"),
 		kong.Description("A TCP proxy that injects faults: it delays, cuts, half-closes and corrupts connections."),
-		kong.Writers(s.out, s.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(s))
+		kong.Writers(standard.out, standard.errs), kong.Exit(func(code int) { panic(exitCode(code)) }), kong.Bind(standard))
 	if err != nil {
-		fmt.Fprintf(s.errs, "faultproxy: %v\n", err)
+		fmt.Fprintf(standard.errs, "faultproxy: %v\n", err)
 		return exitFailed
 	}
 	parsed, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintf(s.errs, "faultproxy: %v\ntry faultproxy --help\n", err)
+		fmt.Fprintf(standard.errs, "faultproxy: %v\ntry faultproxy --help\n", err)
 		return exitUsage
 	}
 	if err := parsed.Run(); err != nil {
-		fmt.Fprintf(s.errs, "faultproxy: %v\n", err)
+		fmt.Fprintf(standard.errs, "faultproxy: %v\n", err)
 		return exitFailed
 	}
 	return 0
@@ -92,7 +92,7 @@
 }
 
 // Run runs the proxy until a signal, the end of the commands on standard input, or the end of its time.
-func (c *runCommand) Run(s streams) error {
+func (c *runCommand) Run(standard streams) error {
 	rules, err := c.readScript()
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 	}
 	proxy := faultproxy.NewProxy(rules, c.Seed)
 	defer proxy.Close()
-	output := &messageWriter{w: s.out, queue: make(chan faultproxy.Message, messageQueue)}
+	output := &messageWriter{w: standard.out, queue: make(chan faultproxy.Message, messageQueue)}
 	defer output.close()
 	proxy.OnInjection = func(injection faultproxy.Injection) { output.enqueue(injection.Message()) }
 	if err := c.openRoutes(proxy, output); err != nil {
@@ -123,7 +123,7 @@
 	if commandListener != nil {
 		go func() { _ = proxy.ServeCommandListener(ctx, commandListener) }() // ends with ctx
 	}
-	return c.wait(ctx, proxy, s.in, output)
+	return c.wait(ctx, proxy, standard.in, output)
 }
 
 // readScript parses the script file, if one is given.
@@ -230,12 +230,12 @@
 }
 
 // Run sends the command and prints the answer.
-func (c *tellCommand) Run(s streams) error {
+func (c *tellCommand) Run(standard streams) error {
 	answer, err := faultproxy.SendCommand(c.Socket, strings.Join(c.Command, " "))
 	if err != nil {
 		return err
 	}
-	encoder := json.NewEncoder(s.out)
+	encoder := json.NewEncoder(standard.out)
 	for _, message := range answer {
 		if err := encoder.Encode(message); err != nil {
 			return err
@@ -252,7 +252,7 @@
 }
 
 // Run prints the number of rules or the error of each script.
-func (c *checkCommand) Run(s streams) error {
+func (c *checkCommand) Run(standard streams) error {
 	invalid := 0
 	for _, file := range c.Files {
 		text, err := os.ReadFile(file)
@@ -262,10 +262,10 @@
 		}
 		if err != nil {
 			invalid++
-			fmt.Fprintf(s.errs, "%s: %v\n", file, err)
+			fmt.Fprintf(standard.errs, "%s: %v\n", file, err)
 			continue
 		}
-		fmt.Fprintf(s.out, "%s: %d rules\n", file, len(rules))
+		fmt.Fprintf(standard.out, "%s: %d rules\n", file, len(rules))
 	}
 	if invalid > 0 {
 		return errInvalidScripts
