--- a/internal/fake/collector.go
+++ b/internal/fake/collector.go
@@ -36,10 +36,10 @@
 	}
 }
 
-func (c *Collector) receive(r *http.Request) error {
-	var input io.Reader = r.Body
-	if r.Header.Get("Content-Encoding") == "gzip" {
-		unzipped, err := gzip.NewReader(r.Body)
+func (c *Collector) receive(request *http.Request) error {
+	var input io.Reader = request.Body
+	if request.Header.Get("Content-Encoding") == "gzip" {
+		unzipped, err := gzip.NewReader(request.Body)
 		if err != nil {
 			return err
 		}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	switch r.URL.Path {
+	switch request.URL.Path {
 	case "/v1/traces":
 		var export tracepb.ExportTraceServiceRequest
 		if err := proto.Unmarshal(body, &export); err != nil {
@@ -71,7 +71,7 @@
 		defer c.mu.Unlock()
 		c.storeMetrics(&export)
 	default:
-		return fmt.Errorf("export to unknown path %s", r.URL.Path)
+		return fmt.Errorf("export to unknown path %s", request.URL.Path)
 	}
 	return nil
 }
--- a/internal/fake/discovery.go
+++ b/internal/fake/discovery.go
@@ -133,7 +133,7 @@
 
 // watch writes the changes after a revision, and empty lines as keep-alive, until the client
 // closes the connection. changed is closed on the first change after the revision.
-func (d *Discovery) watch(w http.ResponseWriter, r *http.Request, revision uint64, changed <-chan struct{}) {
+func (d *Discovery) watch(w http.ResponseWriter, request *http.Request, revision uint64, changed <-chan struct{}) {
 	encoder := json.NewEncoder(w)
 	keepAlive := time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
@@ -142,7 +142,7 @@
 			return
 		}
 		select {
-		case <-r.Context().Done():
+		case <-request.Context().Done():
 			return
 		case <-keepAlive.C:
 			fmt.Fprint(w, "\n")
--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -80,13 +80,13 @@
 func (l *EventLog) addChange(change EndpointChange) { appendEntry(l, &l.changes, &change) }
 
 // appendEntry appends an entry to a list, or counts it as dropped if the list is full, and returns it.
-func appendEntry[T any](l *EventLog, list *[]*T, entry *T) *T {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func appendEntry[T any](log *EventLog, list *[]*T, entry *T) *T {
+	log.mu.Lock()
+	defer log.mu.Unlock()
 	if len(*list) < maxEntries {
 		*list = append(*list, entry)
 	} else {
-		l.overflowed++
+		log.overflowed++
 	}
 	return entry
 }
@@ -127,9 +127,9 @@
 	return l.overflowed
 }
 
-func sortedByTime[T any](l *EventLog, list *[]*T, at func(T) time.Time) []T {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func sortedByTime[T any](log *EventLog, list *[]*T, at func(T) time.Time) []T {
+	log.mu.Lock()
+	defer log.mu.Unlock()
 	out := make([]T, len(*list))
 	for i, entry := range *list {
 		out[i] = *entry
--- a/internal/fake/site.go
+++ b/internal/fake/site.go
@@ -27,36 +27,36 @@
 // maxStarts bounds the attempts to find an AMQP port that is free on all servers' addresses.
 const maxStarts = 20
 
-// NewSite starts n servers, named s-1 and so on, and a discovery agent that lists them. Each server has
+// NewSite starts count servers, named s-1 and so on, and a discovery agent that lists them. Each server has
 // its own loopback address, as all use the same AMQP port. They have the given SetupTime and
 // MaxConns; prepare, which may be nil, sets their other fields before they start.
-func NewSite(n int, setupTime time.Duration, maxConns int, prepare func(*Server)) (*Site, error) {
-	s := &Site{Log: &EventLog{}}
-	s.Discovery = &Discovery{Log: s.Log}
-	if err := s.Discovery.Start("127.0.0.1:0"); err != nil {
+func NewSite(count int, setupTime time.Duration, maxConns int, prepare func(*Server)) (*Site, error) {
+	site := &Site{Log: &EventLog{}}
+	site.Discovery = &Discovery{Log: site.Log}
+	if err := site.Discovery.Start("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
-	for i := range n {
-		s.Servers = append(s.Servers, &Server{Name: fmt.Sprintf("s-%d", i+1), Log: s.Log, SetupTime: setupTime, MaxConns: maxConns, Load: 5 * time.Millisecond})
+	for i := range count {
+		site.Servers = append(site.Servers, &Server{Name: fmt.Sprintf("s-%d", i+1), Log: site.Log, SetupTime: setupTime, MaxConns: maxConns, Load: 5 * time.Millisecond})
 		if prepare != nil {
-			prepare(s.Servers[i])
+			prepare(site.Servers[i])
 		}
 	}
-	for range s.Servers[0].ExtraListeners {
+	for range site.Servers[0].ExtraListeners {
 		agent := &Discovery{Log: &EventLog{}} // a log of its own, as the agent repeats the changes that the first agent records
 		if err := agent.Start("127.0.0.1:0"); err != nil {
 			return nil, err
 		}
-		s.ExtraAgents = append(s.ExtraAgents, agent)
+		site.ExtraAgents = append(site.ExtraAgents, agent)
 	}
 	var err error
 	for range maxStarts { // a port that is free on the first address may be in use on another
-		if err = s.start(); err == nil {
-			return s, nil
+		if err = site.start(); err == nil {
+			return site, nil
 		}
-		s.Log.reset() // drop the records of the failed start
+		site.Log.reset() // drop the records of the failed start
 	}
-	s.Discovery.Stop()
+	site.Discovery.Stop()
 	return nil, err
 }
 
