--- a/internal/faultproxy/flow.go
+++ b/internal/faultproxy/flow.go
@@ -95,11 +95,11 @@
 // NewFlow returns the flow of a direction, with those of the rules that apply to it. first
 // holds the client's first bytes; notify, which may be nil, is called for each injected fault.
 func NewFlow(location Location, rules []*Rule, seed uint64, first []byte, notify func(Injection)) *Flow {
-	f := &Flow{location: location, seed: seed, notify: notify}
+	flow := &Flow{location: location, seed: seed, notify: notify}
 	for _, r := range rules {
-		f.Add(r, first)
+		flow.Add(r, first)
 	}
-	return f
+	return flow
 }
 
 // Add adds a rule if it applies to this direction; first holds the client's first bytes.
--- a/internal/faultproxy/rule.go
+++ b/internal/faultproxy/rule.go
@@ -108,81 +108,81 @@
 
 // String formats the rule in the syntax of ParseRules.
 func (r *Rule) String() string {
-	var b strings.Builder
-	fmt.Fprintf(&b, "(rule %s", r.Name)
-	r.writeConditions(&b)
-	r.Trigger.write(&b)
+	var builder strings.Builder
+	fmt.Fprintf(&builder, "(rule %s", r.Name)
+	r.writeConditions(&builder)
+	r.Trigger.write(&builder)
 	if r.For > 0 {
-		fmt.Fprintf(&b, " (for %v)", r.For)
+		fmt.Fprintf(&builder, " (for %v)", r.For)
 	}
 	for _, fault := range r.Faults {
-		fault.write(&b)
+		fault.write(&builder)
 	}
-	b.WriteString(")")
-	return b.String()
+	builder.WriteString(")")
+	return builder.String()
 }
 
 // writeConditions writes the forms that select connections.
-func (r *Rule) writeConditions(b *strings.Builder) {
+func (r *Rule) writeConditions(builder *strings.Builder) {
 	if len(r.Routes) > 0 {
-		fmt.Fprintf(b, " (route %s)", strings.Join(r.Routes, " "))
+		fmt.Fprintf(builder, " (route %s)", strings.Join(r.Routes, " "))
 	}
 	if r.Direction != Both {
-		fmt.Fprintf(b, " (direction %s)", r.Direction)
+		fmt.Fprintf(builder, " (direction %s)", r.Direction)
 	}
 	if len(r.Conns) > 0 {
-		b.WriteString(" (conn")
+		builder.WriteString(" (conn")
 		for _, number := range r.Conns {
-			fmt.Fprintf(b, " %d", number)
+			fmt.Fprintf(builder, " %d", number)
 		}
-		b.WriteString(")")
+		builder.WriteString(")")
 	}
 	if r.Every > 0 {
-		fmt.Fprintf(b, " (every %d)", r.Every)
+		fmt.Fprintf(builder, " (every %d)", r.Every)
 	}
 	if r.First != "" {
-		fmt.Fprintf(b, " (first %q)", r.First)
+		fmt.Fprintf(builder, " (first %q)", r.First)
 	}
 	if r.Fraction < 1 {
-		fmt.Fprintf(b, " (fraction %v)", 100*r.Fraction)
+		fmt.Fprintf(builder, " (fraction %v)", 100*r.Fraction)
 	}
 }
 
-func (t Trigger) write(b *strings.Builder) {
+func (t Trigger) write(builder *strings.Builder) {
 	switch t.Kind {
 	case FromStart:
 	case AtTime:
-		fmt.Fprintf(b, " (at %v)", t.At)
+		fmt.Fprintf(builder, " (at %v)", t.At)
 	case AfterBytes, AtLine, AtFrame:
-		fmt.Fprintf(b, " (%s %d)", t.Kind, t.Count)
+		fmt.Fprintf(builder, " (%s %d)", t.Kind, t.Count)
 	case AtPerformative:
 		for name, code := range performatives {
 			if code == t.Code {
-				fmt.Fprintf(b, " (at-performative %s %d)", name, t.Count)
+				fmt.Fprintf(builder, " (at-performative %s %d)", name, t.Count)
 			}
 		}
 	case OnCommand:
-		b.WriteString(" (on-command)")
+		builder.WriteString(" (on-command)")
 	case Chance:
-		fmt.Fprintf(b, " (chance %v)", 100*t.Probability)
+		fmt.Fprintf(builder, " (chance %v)", 100*t.Probability)
 	}
 }
 
-func (f Fault) write(b *strings.Builder) {
-	b.WriteString(" (" + string(f.Kind))
+func (f Fault) write(builder *strings.Builder) {
+	builder.WriteString(" (" + string(f.Kind))
 	if f.Kind != Latency && f.Mode != "" {
-		b.WriteString(" " + f.Mode)
+		builder.WriteString(" " + f.Mode)
 	}
 	if f.Count > 0 {
-		fmt.Fprintf(b, " %d", f.Count)
+		fmt.Fprintf(builder, " %d", f.Count)
 	}
 	if f.Kind == Latency || f.Kind == Drip {
-		fmt.Fprintf(b, " %v", f.Delay)
+		fmt.Fprintf(builder, " %v", f.Delay)
 	}
 	if f.Jitter > 0 {
-		fmt.Fprintf(b, " %v %s", f.Jitter, f.Mode)
+		fmt.Fprintf(builder, " %v %s", f.Jitter, f.Mode)
 	}
-	b.WriteString(")")
+	builder.WriteString(")")
 }
 
 // isForRoute reports whether the rule applies to a route.
--- a/internal/faultproxy/scanner.go
+++ b/internal/faultproxy/scanner.go
@@ -26,16 +26,16 @@
 
 // next returns how many bytes, at most limit, precede the next position at which rules may be
 // triggered, and that position. If needMore is set, more input is needed to find it.
-func (s *scanner) next(b []byte, limit uint64) (n int, pos position, needMore bool) {
-	maxBytes := min(uint64(len(b)), limit)
+func (s *scanner) next(data []byte, limit uint64) (n int, pos position, needMore bool) {
+	maxBytes := min(uint64(len(data)), limit)
 	if s.wantsFrames {
-		return s.nextFrame(b, maxBytes)
+		return s.nextFrame(data, maxBytes)
 	}
 	if !s.started {
 		s.started = true
 		return 0, position{line: true}, false
 	}
-	i := bytes.IndexByte(b[:maxBytes], '\n')
+	i := bytes.IndexByte(data[:maxBytes], '\n')
 	if i < 0 {
 		return int(maxBytes), position{linesBefore: s.linesEnded}, false
 	}
@@ -45,28 +45,28 @@
 
 // nextFrame consumes the rest of a frame, or reads the start of the next one: its size (4
 // bytes), data offset, type and channel, then the descriptor of its performative.
-func (s *scanner) nextFrame(b []byte, maxBytes uint64) (n int, pos position, needMore bool) {
+func (s *scanner) nextFrame(data []byte, maxBytes uint64) (n int, pos position, needMore bool) {
 	if s.remaining > 0 {
-		n := min(s.remaining, maxBytes)
-		if s.remaining -= n; s.remaining == 0 && !s.inHeader {
+		taken := min(s.remaining, maxBytes)
+		if s.remaining -= taken; s.remaining == 0 && !s.inHeader {
 			s.framesEnded++
 		}
-		return int(n), position{framesBefore: s.framesEnded}, false
+		return int(taken), position{framesBefore: s.framesEnded}, false
 	}
-	if s.inHeader = bytes.HasPrefix(b, []byte("AMQP")); s.inHeader {
+	if s.inHeader = bytes.HasPrefix(data, []byte("AMQP")); s.inHeader {
 		s.remaining = 8
 		return 0, position{framesBefore: s.framesEnded}, false
 	}
-	if len(b) < 5 {
+	if len(data) < 5 {
 		return 0, position{}, true
 	}
-	size, body := uint64(binary.BigEndian.Uint32(b)), 4*int(b[4])
+	size, body := uint64(binary.BigEndian.Uint32(data)), 4*int(data[4])
 	if uint64(body)+3 <= size {
-		if len(b) < body+3 {
+		if len(data) < body+3 {
 			return 0, position{}, true
 		}
-		if b[body] == 0 && b[body+1] == 0x53 {
-			pos.code = b[body+2]
+		if data[body] == 0 && data[body+1] == 0x53 {
+			pos.code = data[body+2]
 		}
 	}
 	s.remaining = max(size, 4)
--- a/internal/faultproxy/shaping.go
+++ b/internal/faultproxy/shaping.go
@@ -21,28 +21,28 @@
 	return nil, Fault{}, false
 }
 
-// transform returns a copy of b with the active swallow or garble fault applied.
-func (f *Flow) transform(b []byte, now time.Duration) []byte {
+// transform returns a copy of data with the active swallow or garble fault applied.
+func (f *Flow) transform(data []byte, now time.Duration) []byte {
 	if rule, _, found := f.activeFault(Swallow); found {
 		f.reportOnce(rule, Swallow, now)
 		return nil
 	}
 	rule, garble, found := f.activeFault(Garble)
 	if !found || rule.garbleLeft == 0 {
-		return slices.Clone(b)
+		return slices.Clone(data)
 	}
-	n := min(uint64(len(b)), rule.garbleLeft)
-	rule.garbleLeft -= n
-	out := make([]byte, 0, len(b)+int(n))
+	count := min(uint64(len(data)), rule.garbleLeft)
+	rule.garbleLeft -= count
+	out := make([]byte, 0, len(data)+int(count))
 	switch garble.Mode {
 	case "flip":
-		for i, c := range b[:n] {
+		for i, c := range data[:count] {
 			out = append(out, c^1<<(hash(rule.salt, f.offset+uint64(i))%8))
 		}
 	case "duplicate":
-		out = append(append(out, b[:n]...), b[:n]...)
+		out = append(append(out, data[:count]...), data[:count]...)
 	}
-	return append(out, b[n:]...)
+	return append(out, data[count:]...)
 }
 
 // reportOnce reports a byte fault when it first takes effect after a trigger.
@@ -54,8 +54,8 @@
 }
 
 // forward emits bytes, or holds them back while a merge fault is active.
-func (f *Flow) forward(b []byte, now time.Duration, operations []Op) []Op {
-	if len(b) == 0 {
+func (f *Flow) forward(data []byte, now time.Duration, operations []Op) []Op {
+	if len(data) == 0 {
 		return operations
 	}
 	if rule, _, found := f.activeFault(Merge); found {
@@ -63,12 +63,12 @@
 		if len(f.merged) == 0 {
 			f.mergedSince = now
 		}
-		if f.merged = append(f.merged, b...); len(f.merged) < maxPacket {
+		if f.merged = append(f.merged, data...); len(f.merged) < maxPacket {
 			return operations
 		}
 		return f.flush(operations, now)
 	}
-	return f.emit(b, now, operations)
+	return f.emit(data, now, operations)
 }
 
 // flush emits the bytes held back for merging.
@@ -84,8 +84,8 @@
 // minWritesPerSecond is the minimum number of writes per second under a bandwidth limit.
 const minWritesPerSecond = 20
 
-// emit appends the writes of b, timed and sized by the active faults.
-func (f *Flow) emit(b []byte, now time.Duration, operations []Op) []Op {
+// emit appends the writes of data, timed and sized by the active faults.
+func (f *Flow) emit(data []byte, now time.Duration, operations []Op) []Op {
 	at := now
 	if rule, _, found := f.activeFault(Pause); found {
 		f.reportOnce(rule, Pause, now)
@@ -110,19 +110,19 @@
 		rate = bandwidth.Count
 		size = min(size, int(max(1, rate/minWritesPerSecond)))
 	}
-	for first := true; len(b) > 0; first = false {
-		n := min(len(b), size)
+	for first := true; len(data) > 0; first = false {
+		count := min(len(data), size)
 		at = max(at, f.lastAt)
 		if gap > 0 && f.sent && (!first || at < f.lastAt+gap) {
 			at = max(at, f.lastAt+gap)
 		}
 		if rate > 0 {
 			at = max(at, f.rateFreeAt)
-			f.rateFreeAt = at + time.Duration(float64(n)/float64(rate)*float64(time.Second))
+			f.rateFreeAt = at + time.Duration(float64(count)/float64(rate)*float64(time.Second))
 		}
-		operations = append(operations, Op{Kind: OpWrite, At: at, Data: b[:n:n]})
+		operations = append(operations, Op{Kind: OpWrite, At: at, Data: data[:count:count]})
 		f.lastAt, f.sent = at, true
-		b = b[n:]
+		data = data[count:]
 	}
 	return operations
 }
