--- a/internal/invariants/invariants.go
+++ b/internal/invariants/invariants.go
@@ -70,22 +70,22 @@
 
 // Check returns the violations in a history, ordered by time.
 func Check(history History) []Violation {
-	c := &checker{History: history, byName: make(map[string][]fake.Attempt)}
+	check := &checker{History: history, byName: make(map[string][]fake.Attempt)}
 	for _, attempt := range history.Attempts {
-		c.byName[attempt.Name] = append(c.byName[attempt.Name], attempt)
+		check.byName[attempt.Name] = append(check.byName[attempt.Name], attempt)
 	}
 	for _, session := range history.Sessions {
 		if history.ClientFaulted == nil || !history.ClientFaulted(session) {
-			c.checkSession(session)
+			check.checkSession(session)
 		}
 	}
-	for name, attempts := range c.byName {
-		c.checkSequence(name, attempts)
+	for name, attempts := range check.byName {
+		check.checkSequence(name, attempts)
 	}
-	c.checkDrains()
-	c.checkSlowStart()
-	slices.SortStableFunc(c.violations, func(a, b Violation) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Detail, b.Detail)) })
-	return c.violations
+	check.checkDrains()
+	check.checkSlowStart()
+	slices.SortStableFunc(check.violations, func(a, b Violation) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Detail, b.Detail)) })
+	return check.violations
 }
 
 // checker checks one history.
