--- a/internal/golden/commandline.go
+++ b/internal/golden/commandline.go
@@ -15,35 +15,35 @@
 	return b.String()
 }
 
-func describe(b *strings.Builder, node *kong.Node) {
-	fmt.Fprintf(b, "%s\n", node.FullPath())
+func describe(builder *strings.Builder, node *kong.Node) {
+	fmt.Fprintf(builder, "%s\n", node.FullPath())
 	for _, argument := range node.Positional {
-		fmt.Fprintf(b, "  argument %s\n", value(argument))
+		fmt.Fprintf(builder, "  argument %s\n", value(argument))
 	}
 	for _, flag := range node.Flags {
 		short := ""
 		if flag.Short != 0 {
 			short = fmt.Sprintf(" -%c", flag.Short)
 		}
-		fmt.Fprintf(b, "  flag --%s%s\n", value(flag.Value), short)
+		fmt.Fprintf(builder, "  flag --%s%s\n", value(flag.Value), short)
 	}
 	for _, child := range node.Children {
-		describe(b, child)
+		describe(builder, child)
 	}
 }
 
-func value(v *kong.Value) string {
-	text := fmt.Sprintf("%s (%s)", v.Name, v.Target.Kind())
-	if v.Default != "" {
-		text += fmt.Sprintf(" default %q", v.Default)
+func value(parameter *kong.Value) string {
+	text := fmt.Sprintf("%s (%s)", parameter.Name, parameter.Target.Kind())
+	if parameter.Default != "" {
+		text += fmt.Sprintf(" default %q", parameter.Default)
 	}
-	if v.Enum != "" {
-		text += fmt.Sprintf(" one of %s", v.Enum)
+	if parameter.Enum != "" {
+		text += fmt.Sprintf(" one of %s", parameter.Enum)
 	}
-	if v.Required {
+	if parameter.Required {
 		text += " required"
 	}
-	for _, name := range v.Tag.Envs {
+	for _, name := range parameter.Tag.Envs {
 		text += " env " + name
 	}
 	return text
