--- a/internal/testutil/authority.go
+++ b/internal/testutil/authority.go
@@ -27,12 +27,12 @@
 // NewAuthority creates an authority whose certificate is valid for an hour.
 func NewAuthority(t testing.TB) *Authority {
 	t.Helper()
-	a := &Authority{t: t, dir: t.TempDir()}
-	a.key = a.newKey()
-	a.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotBefore: time.Now().Add(-time.Hour),
+	authority := &Authority{t: t, dir: t.TempDir()}
+	authority.key = authority.newKey()
+	authority.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotBefore: time.Now().Add(-time.Hour),
 		NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	a.CA = a.write("ca.pem", "CERTIFICATE", a.sign(a.cert, &a.key.PublicKey))
-	return a
+	authority.CA = authority.write("ca.pem", "CERTIFICATE", authority.sign(authority.cert, &authority.key.PublicKey))
+	return authority
 }
 
 func (a *Authority) newKey() *ecdsa.PrivateKey {
--- a/internal/testutil/golden.go
+++ b/internal/testutil/golden.go
@@ -59,48 +59,48 @@
 	requireComplete(t, reflect.TypeOf(value).String(), reflect.ValueOf(value))
 }
 
-func requireComplete(t testing.TB, path string, v reflect.Value) {
+func requireComplete(t testing.TB, path string, value reflect.Value) {
 	t.Helper()
-	if v.IsZero() {
+	if value.IsZero() {
 		t.Errorf("%s is zero, so its encoding is not compared", path)
 		return
 	}
-	if encodesItself(v.Type()) {
+	if encodesItself(value.Type()) {
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Pointer:
-		requireComplete(t, path, v.Elem())
+		requireComplete(t, path, value.Elem())
 	case reflect.Struct:
 		seen := make(map[any]string)
-		for i := range v.NumField() {
-			field := v.Type().Field(i)
+		for i := range value.NumField() {
+			field := value.Type().Field(i)
 			if !field.IsExported() {
 				continue
 			}
-			requireComplete(t, path+"."+field.Name, v.Field(i))
+			requireComplete(t, path+"."+field.Name, value.Field(i))
 			if kind := field.Type.Kind(); kind == reflect.Bool || !field.Type.Comparable() {
 				continue
 			}
-			if other, found := seen[v.Field(i).Interface()]; found {
+			if other, found := seen[value.Field(i).Interface()]; found {
 				t.Errorf("%s.%s has the same value as %s, so a swap of the two would not show", path, field.Name, other)
 			}
-			seen[v.Field(i).Interface()] = field.Name
+			seen[value.Field(i).Interface()] = field.Name
 		}
 	case reflect.Slice, reflect.Array:
-		if v.Len() == 0 {
+		if value.Len() == 0 {
 			t.Errorf("%s is empty, so the encoding of its elements is not compared", path)
 		}
-		for i := range v.Len() {
-			requireComplete(t, path+"[]", v.Index(i))
+		for i := range value.Len() {
+			requireComplete(t, path+"[]", value.Index(i))
 		}
 	case reflect.Map:
-		if v.Len() == 0 {
+		if value.Len() == 0 {
 			t.Errorf("%s is empty, so the encoding of its elements is not compared", path)
 		}
-		for _, key := range v.MapKeys() {
+		for _, key := range value.MapKeys() {
 			requireComplete(t, path+" key", key)
-			requireComplete(t, path+"[]", v.MapIndex(key))
+			requireComplete(t, path+"[]", value.MapIndex(key))
 		}
 	}
 }
--- a/internal/testutil/source.go
+++ b/internal/testutil/source.go
@@ -10,14 +10,14 @@
 // More reports whether there are bytes left.
 func (s *Source) More() bool { return len(s.data) > 0 }
 
-// Pick returns a number in [0, n), at most 255.
-func (s *Source) Pick(n int) int {
+// Pick returns a number in [0, limit), at most 255.
+func (s *Source) Pick(limit int) int {
 	if len(s.data) == 0 {
 		return 0
 	}
 	choice := s.data[0]
 	s.data = s.data[1:]
-	return int(choice) % n
+	return int(choice) % limit
 }
 
 // Cut splits data at a chosen position after its first byte.
