--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -41,7 +41,7 @@
 	if info, err := os.Stat(file); err != nil || info.Mode().Perm() != 0o600 || strings.Count(string(text), "ann:") != 1 {
 		t.Errorf("password file has mode %v and content %s", info.Mode(), text)
 	}
-	authenticator, err := New(Settings{Users: file, PlainWithoutTLS: true, NoAnonymous: true})
+	authenticator, err := New(Settings{Users: file, PlainWithoutTLS: true, RequireAuthentication: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 	cert, key := authority.Pair("relay", time.Hour)
 	other, _ := authority.Pair("other", time.Hour)
 	for want, settings := range map[string]Settings{
-		"cert and key must be set": {Cert: cert}, "key must be set together": {Key: key}, "only over TLS": {ClientCA: authority.CA}, "no client could authenticate": {NoAnonymous: true},
+		"cert and key must be set": {Cert: cert}, "key must be set together": {Key: key}, "only over TLS": {ClientCA: authority.CA}, "no client could authenticate": {RequireAuthentication: true},
 		"sent unencrypted": {Users: "x"}, "must have a user and classes": {Grants: []Grant{{User: "ann"}}}, "does not match": {Cert: other, Key: key},
 		"no such file": {Cert: cert, Key: key, ClientCA: "/not/there"}, "contains no certificate": {Cert: cert, Key: key, ClientCA: key},
 	} {
--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -100,7 +100,7 @@
 	if a.settings.Users != "" && (state != nil || a.settings.PlainWithoutTLS) {
 		names = append(names, Plain)
 	}
-	if !a.settings.NoAnonymous {
+	if !a.settings.RequireAuthentication {
 		names = append(names, Anonymous)
 	}
 	return names
@@ -115,7 +115,7 @@
 }
 
 // SASLOptional reports whether a client may connect without SASL.
-func (a *Authenticator) SASLOptional() bool { return a == nil || !a.settings.NoAnonymous }
+func (a *Authenticator) SASLOptional() bool { return a == nil || !a.settings.RequireAuthentication }
 
 // Authenticate checks a client's initial response for the SASL mechanism that it has chosen, and
 // returns its user. ok is false if authentication fails. state is nil if the connection uses no
--- a/internal/auth/settings.go
+++ b/internal/auth/settings.go
@@ -24,9 +24,9 @@
 	ClientCA  string // PEM file of the CAs of client certificates, whose common name is the user; empty: no EXTERNAL
 	Users     string // password file, as written by `lockroad passwd`; empty: no PLAIN
 
-	NoAnonymous     bool    // clients must authenticate
-	PlainWithoutTLS bool    // PLAIN is offered without TLS too
-	Grants          []Grant // empty: every user may open every class
+	RequireAuthentication bool    // clients must authenticate
+	PlainWithoutTLS       bool    // PLAIN is offered without TLS too
+	Grants                []Grant // empty: every user may open every class
 }
 
 // Grant lists classes that a user may open.
@@ -64,7 +64,7 @@
 		return SettingError{Key: "tls.cert", Err: errIncompletePair}
 	case s.ClientCA != "" && s.Cert == "":
 		return SettingError{Key: "tls.client_ca", Err: errors.New("requires cert and key: clients send certificates only over TLS")}
-	case s.NoAnonymous && s.Users == "" && s.ClientCA == "":
+	case s.RequireAuthentication && s.Users == "" && s.ClientCA == "":
 		return SettingError{Key: "sasl.anonymous", Err: errors.New("no client could authenticate: neither users nor client_ca is set")}
 	case s.Users != "" && s.Cert == "" && !s.PlainWithoutTLS:
 		return SettingError{Key: "sasl.users", Err: errors.New("passwords would be sent unencrypted: set cert and key, or plain_without_tls")}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -78,7 +78,7 @@
 // AuthSettings returns the settings for authenticating and authorizing clients.
 func (a *AMQP) AuthSettings() auth.Settings {
 	return auth.Settings{Cert: a.TLS.Cert, Key: a.TLS.Key, ClientCA: a.TLS.ClientCA, Users: a.SASL.Users,
-		NoAnonymous: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, PlainWithoutTLS: a.SASL.PlainWithoutTLS, Grants: a.Grants}
+		RequireAuthentication: a.SASL.Anonymous != nil && !*a.SASL.Anonymous, PlainWithoutTLS: a.SASL.PlainWithoutTLS, Grants: a.Grants}
 }
 
 // EndpointTLSSettings returns the TLS settings of connections to endpoints.
--- a/internal/frontend/amqp/security_test.go
+++ b/internal/frontend/amqp/security_test.go
@@ -45,7 +45,7 @@
 	if err := auth.SetPassword(users, "ann", "ann's", false); err != nil {
 		t.Fatal(err)
 	}
-	authenticator, err := auth.New(auth.Settings{Cert: cert, Key: key, ClientCA: authority.CA, Users: users, NoAnonymous: true,
+	authenticator, err := auth.New(auth.Settings{Cert: cert, Key: key, ClientCA: authority.CA, Users: users, RequireAuthentication: true,
 		Grants: []auth.Grant{{User: "ann", Classes: []string{"page"}}, {User: "desk", Classes: []string{"none"}}}})
 	if err != nil {
 		t.Fatal(err)
