--- a/internal/fake/eventlog.go
+++ b/internal/fake/eventlog.go
@@ -18,7 +18,7 @@
 	AnsweredAt      time.Time
 	End             string // if Answer is up: bye, away, broken, or gone if the relay ended it
 	EndedAt         time.Time
-	ClosedAt        time.Time     // when its connection ended, whoever ended it
+	ClosedAt        time.Time     // when its connection ended, by either side
 	MaxMessageDelay time.Duration // longest time that a message of the client took to arrive
 	Garbled         int           // messages altered or out of order
 }
--- a/internal/frontend/amqp/outbox.go
+++ b/internal/frontend/amqp/outbox.go
@@ -121,7 +121,8 @@
 			err = o.upstreamConn.writeFrame(o.upstreamConn.channel, item.Performative, nil)
 		}
 		if errors.Is(err, errWindowClosed) {
-			// The endpoint may still send: its reader would not notice, and the client would go on sending in vain.
+			// The endpoint may still send, so its reader would not notice, and the client would keep sending
+			// messages that never arrive.
 			o.onStall()
 		}
 		if err != nil {
--- a/internal/logging/logger.go
+++ b/internal/logging/logger.go
@@ -1,7 +1,7 @@
 // Package logging provides the relay's log: structured lines with levels, in one of three
 // formats. Lines with the same message are rate-limited, so that a flood of malformed requests
 // costs little and doesn't hide other lines; suppressed lines are counted. A separate goroutine
-// writes the lines, so that a slow or absent reader of the log blocks nobody; lines that don't
+// writes the lines, so that a slow or absent reader of the log does not block callers; lines that don't
 // fit into its queue are dropped and counted.
 package logging
 
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// recoverServer ends a server's hang, slowness or downtime. A server that was down starts anew.
+// recoverServer ends a server's hang, slowness or downtime. A server that was down starts again.
 func (s *Sim) recoverServer(index int) {
 	server := s.servers[index]
 	if server.down {
